--- a/internal/succession/codec.go
+++ b/internal/succession/codec.go
@@ -4,58 +4,217 @@
 	"encoding/json"
 	"fmt"
 	"slices"
+	"time"
 
 	"birchstair/internal/node"
 	"birchstair/policy"
 )
 
-// What two processes of a node say to each other: one JSON object a line. The words go no further than this file.
+// What two processes of a node send each other: one JSON object a line. The wire types below are the only place where its
+// field names stand; they are part of the protocol between versions and don't change with the names in package node.
 
-// version goes up when what is said changes its meaning.
+// version goes up when what is sent changes its meaning.
 const version = 1
 
+// The names on the wire of kinds of messages and of operators' commands, by their values in package node.
 var (
-	kinds  = []string{node.Hand: "state", node.Yes: "ready", node.Ceded: "ceded", node.Relay: "order", node.Done: "done"}
-	orders = []string{node.TakeOut: "take-out", node.PutBack: "put-back", node.DrainOn: "drain-on", node.DrainOff: "drain-off"}
+	kindNames    = []string{node.Hand: "state", node.Yes: "ready", node.Ceded: "ceded", node.Relay: "order", node.Done: "done"}
+	commandNames = []string{node.TakeOut: "take-out", node.PutBack: "put-back", node.DrainOn: "drain-on", node.DrainOff: "drain-off"}
 )
 
-type wordText struct {
-	Version  int
-	Kind     string
-	Seq      uint64            `json:",omitempty"`
-	Order    string            `json:",omitempty"`
-	Executor policy.ExecutorID `json:",omitempty"`
-	State    *node.State       `json:",omitempty"`
+// wireMessage is one line.
+type wireMessage struct {
+	Version  int               `json:"Version"`
+	Kind     string            `json:"Kind"`
+	Seq      uint64            `json:"Seq,omitempty"`
+	Command  string            `json:"Order,omitempty"`
+	Executor policy.ExecutorID `json:"Executor,omitempty"`
+	State    *wireState        `json:"State,omitempty"`
 }
 
-func encode(w node.Word) ([]byte, error) {
-	text := wordText{Version: version, Kind: kinds[w.Kind], Seq: w.Seq, Executor: w.Executor, State: w.State}
-	if w.Kind == node.Relay {
-		text.Order = orders[w.Order]
+// wireState is what a process hands to its successor. Spans are nanoseconds; moments are ages.
+type wireState struct {
+	Excluded   []policy.ExecutorID `json:"Outs"`
+	Readmitted []wireReadmitted    `json:"Backs"`
+	Drained    bool                `json:"Drained"`
+	Endpoints  []wireEndpoint      `json:"List"`
+	Learned    wireLearned         `json:"Known"`
+	ClassNames []string            `json:"Names"`
+}
+
+type wireReadmitted struct {
+	Executor policy.ExecutorID `json:"Executor"`
+	Age      time.Duration     `json:"Ago"`
+}
+
+type wireEndpoint struct {
+	Executor policy.ExecutorID `json:"Executor"`
+	Zone     policy.ZoneID     `json:"Zone"`
+	Kind     policy.KindID     `json:"Kind"`
+	Cell     policy.CellID     `json:"Cell"`
+	State    policy.State      `json:"State"`
+	Weight   float64           `json:"Weight"`
+	Age      time.Duration     `json:"Started"`
+	LongAgo  bool              `json:"LongAgo"`
+	Addr     string            `json:"Addr"`
+}
+
+type wireLearned struct {
+	Nodes       int            `json:"Nodes"`
+	Classes     []wireClass    `json:"Tracks"`
+	Kinds       []wireKind     `json:"Kinds"`
+	Executors   []wireExecutor `json:"Executors"`
+	MeanValue   float64        `json:"MeanEarnings"`
+	MeanDensity float64        `json:"MeanDensity"`
+}
+
+type wireClass struct {
+	ID         policy.TrackID `json:"ID"`
+	MeanWork   time.Duration  `json:"MeanWork"`
+	Samples    int            `json:"Learnt"`
+	FullBudget time.Duration  `json:"FullBudget"`
+	Requested  float64        `json:"Asked"`
+	Earned     float64        `json:"Given"`
+	UnitValue  float64        `json:"Unit"`
+}
+
+type wireKind struct {
+	ID       policy.KindID `json:"ID"`
+	Pace     float64       `json:"Pace"`
+	Size     float64       `json:"Size"`
+	Slots    float64       `json:"Places"`
+	Parallel int           `json:"Parallel"`
+}
+
+type wireExecutor struct {
+	ID          policy.ExecutorID `json:"ID"`
+	Quota       int               `json:"Quota"`
+	RunTime     float64           `json:"Runs"`
+	Work        float64           `json:"Works"`
+	StartWait   time.Duration     `json:"StartWait"`
+	EjectedFor  time.Duration     `json:"HeldFor"`
+	InFlightCap int               `json:"InCap"`
+	Timeouts    int               `json:"Silences"`
+}
+
+// encode writes a message as one line.
+func encode(message node.Word) ([]byte, error) {
+	wire := wireMessage{Version: version, Kind: kindNames[message.Kind], Seq: message.Seq, Executor: message.Executor}
+	if message.State != nil {
+		wire.State = stateToWire(message.State)
 	}
-	b, err := json.Marshal(text)
-	return append(b, '\n'), err
+	if message.Kind == node.Relay {
+		wire.Command = commandNames[message.Order]
+	}
+	line, err := json.Marshal(wire)
+	return append(line, '\n'), err
 }
 
-func decode(line []byte) (w node.Word, err error) {
-	var text wordText
-	if err := json.Unmarshal(line, &text); err != nil {
-		return w, fmt.Errorf("a word that makes no sense: %v", err)
+// decode reads one line. Fields that this version doesn't know are passed over.
+func decode(line []byte) (message node.Word, err error) {
+	var wire wireMessage
+	if err := json.Unmarshal(line, &wire); err != nil {
+		return message, fmt.Errorf("a word that makes no sense: %w", err)
+	}
+	if wire.Version != version {
+		return message, fmt.Errorf("it speaks version %d, and this process version %d", wire.Version, version)
 	}
-	if text.Version != version {
-		return w, fmt.Errorf("it speaks version %d, and this process version %d", text.Version, version)
+	kind := slices.Index(kindNames, wire.Kind)
+	if kind < 0 || wire.Kind == kindNames[node.Hand] && wire.State == nil {
+		return message, fmt.Errorf("no word is named %.40q", wire.Kind)
 	}
-	kind := slices.Index(kinds, text.Kind)
-	if kind < 0 || text.Kind == "state" && text.State == nil {
-		return w, fmt.Errorf("no word is named %.40q", text.Kind)
+	message = node.Word{Kind: node.WordKind(kind), Seq: wire.Seq, Executor: wire.Executor}
+	if wire.State != nil {
+		message.State = stateFromWire(wire.State)
 	}
-	w = node.Word{Kind: node.WordKind(kind), Seq: text.Seq, Executor: text.Executor, State: text.State}
-	if w.Kind == node.Relay {
-		order := slices.Index(orders, text.Order)
-		if order < 0 || text.Order == "" {
-			return w, fmt.Errorf("no order is named %.40q", text.Order)
+	if message.Kind == node.Relay {
+		command := slices.Index(commandNames, wire.Command)
+		if command < 0 || wire.Command == "" {
+			return message, fmt.Errorf("no order is named %.40q", wire.Command)
 		}
-		w.Order = node.Order(order)
+		message.Order = node.Order(command)
+	}
+	return message, nil
+}
+
+// convert maps a slice and keeps nil apart from empty, which differ on the wire.
+func convert[From, To any](list []From, each func(From) To) []To {
+	if list == nil {
+		return nil
+	}
+	out := make([]To, len(list))
+	for i, v := range list {
+		out[i] = each(v)
+	}
+	return out
+}
+
+func stateToWire(state *node.State) *wireState {
+	return &wireState{
+		Excluded: state.Outs,
+		Readmitted: convert(state.Backs, func(r node.Back) wireReadmitted {
+			return wireReadmitted{Executor: r.Executor, Age: r.Ago}
+		}),
+		Drained: state.Drained,
+		Endpoints: convert(state.List, func(e node.Executor) wireEndpoint {
+			return wireEndpoint{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Weight: e.Weight,
+				Age: e.Started, LongAgo: e.LongAgo, Addr: e.Addr}
+		}),
+		Learned:    learnedToWire(state.Known),
+		ClassNames: state.Names,
+	}
+}
+
+func stateFromWire(wire *wireState) *node.State {
+	return &node.State{
+		Outs: wire.Excluded,
+		Backs: convert(wire.Readmitted, func(r wireReadmitted) node.Back {
+			return node.Back{Executor: r.Executor, Ago: r.Age}
+		}),
+		Drained: wire.Drained,
+		List: convert(wire.Endpoints, func(e wireEndpoint) node.Executor {
+			return node.Executor{Addr: e.Addr, Entry: policy.Entry{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+				State: e.State, Weight: e.Weight, Started: e.Age, LongAgo: e.LongAgo}}
+		}),
+		Known: learnedFromWire(wire.Learned),
+		Names: wire.ClassNames,
+	}
+}
+
+func learnedToWire(learned policy.Knowledge) wireLearned {
+	return wireLearned{
+		Nodes: learned.Nodes,
+		Classes: convert(learned.Tracks, func(c policy.KnownTrack) wireClass {
+			return wireClass{ID: c.ID, MeanWork: c.MeanWork, Samples: c.Learnt, FullBudget: c.FullBudget, Requested: c.Asked,
+				Earned: c.Given, UnitValue: c.Unit}
+		}),
+		Kinds: convert(learned.Kinds, func(k policy.KnownKind) wireKind {
+			return wireKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Slots: k.Places, Parallel: k.Parallel}
+		}),
+		Executors: convert(learned.Executors, func(e policy.KnownExecutor) wireExecutor {
+			return wireExecutor{ID: e.ID, Quota: e.Quota, RunTime: e.Runs, Work: e.Works, StartWait: e.StartWait,
+				EjectedFor: e.HeldFor, InFlightCap: e.InCap, Timeouts: e.Silences}
+		}),
+		MeanValue:   learned.MeanEarnings,
+		MeanDensity: learned.MeanDensity,
+	}
+}
+
+func learnedFromWire(wire wireLearned) policy.Knowledge {
+	return policy.Knowledge{
+		Nodes: wire.Nodes,
+		Tracks: convert(wire.Classes, func(c wireClass) policy.KnownTrack {
+			return policy.KnownTrack{ID: c.ID, MeanWork: c.MeanWork, Learnt: c.Samples, FullBudget: c.FullBudget, Asked: c.Requested,
+				Given: c.Earned, Unit: c.UnitValue}
+		}),
+		Kinds: convert(wire.Kinds, func(k wireKind) policy.KnownKind {
+			return policy.KnownKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Places: k.Slots, Parallel: k.Parallel}
+		}),
+		Executors: convert(wire.Executors, func(e wireExecutor) policy.KnownExecutor {
+			return policy.KnownExecutor{ID: e.ID, Quota: e.Quota, Runs: e.RunTime, Works: e.Work, StartWait: e.StartWait,
+				HeldFor: e.EjectedFor, InCap: e.InFlightCap, Silences: e.Timeouts}
+		}),
+		MeanEarnings: wire.MeanValue,
+		MeanDensity:  wire.MeanDensity,
 	}
-	return w, nil
 }
