--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -138,7 +138,7 @@
 		return executors.TCP(c.Settings.DialLimit)(ctx, 0, addr)
 	}
 	return durable.New(durable.Options{OuterLimit: time.Duration(own.OuterLimit), Leases: leases.Settings{Room: own.InHand,
-		Keep: time.Duration(own.Keep), Leases: own.Leases, AskEvery: time.Duration(own.AskEvery)}}, s, c.Settings.Tracks, c.Settings.Policy.Tracks, dial, log), nil
+		Keep: time.Duration(own.Keep), Leases: own.Leases, AskEvery: time.Duration(own.AskEvery)}}, s, c.Settings.Tracks, c.Settings.Policy.JobClasses, dial, log), nil
 }
 
 // fleetOf is what the node is told of its fleet; nil without the table.
@@ -166,5 +166,5 @@
 	if own.Durable != nil {
 		t.Settings.Policy = durable.Tracks(t.Settings.Policy, time.Duration(own.Durable.OuterLimit))
 	}
-	return node.Reread{Discovery: t.Discovery, Waits: waits, Tracks: service.Tracks(t.Settings), Work: t.LongestWork(), StopLimit: t.StopLimit()}
+	return node.Reread{Discovery: t.Discovery, Waits: waits, Classes: service.Tracks(t.Settings), Work: t.LongestWork(), StopLimit: t.StopLimit()}
 }
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -293,7 +293,7 @@
 		return err
 	}
 	n.guard(func() {
-		n.brain.Arrived(now, policy.Arrival{Job: policy.JobID(id), Track: policy.TrackID(track), Tenant: policy.TenantID(tenant),
+		n.brain.Arrived(now, policy.Arrival{Job: policy.JobID(id), Class: policy.JobClassID(track), Tenant: policy.TenantID(tenant),
 			Work: work, Budget: budget, Again: again == 1})
 	})
 	return nil
--- a/internal/clients/codec.go
+++ b/internal/clients/codec.go
@@ -90,7 +90,7 @@
 	if !ok {
 		return job, bad("X-Call-Class: no track is called %.40q", h.Get("X-Call-Class"))
 	}
-	if job.Track = track.id; len(job.Tag) > longestID || track.tagged && job.Tag == "" {
+	if job.Class = track.id; len(job.Tag) > longestID || track.tagged && job.Tag == "" {
 		return job, bad("Idempotency-Key: missing, or over %d bytes", longestID)
 	}
 	text := h.Get("X-Budget-Ms")
--- a/internal/clients/front.go
+++ b/internal/clients/front.go
@@ -36,16 +36,16 @@
 
 // track is what a batch job's track asks of it.
 type track struct {
-	id     policy.TrackID
+	id     policy.JobClassID
 	limit  time.Duration // its outer limit
 	tagged bool          // it comes with a tag
 }
 
 // New makes a front for tracks, with a budget of connections.
-func New(tracks []node.Numbered, conns Budget, tell func(node.Event)) *Front {
+func New(tracks []node.NumberedClass, conns Budget, tell func(node.Event)) *Front {
 	f := &Front{tell: tell, gate: newGate(conns), over: make(chan struct{}), closeIn: closeSpell,
 		waiting: map[policy.JobID]chan node.Answer{}}
-	f.Retune(tracks)
+	f.UpdateJobClasses(tracks)
 	f.server = http.Server{Handler: http.HandlerFunc(f.handle), ConnState: f.gate.turned,
 		DisableGeneralOptionsHandler: true, // so that the handler sees every message
 		// Together from the first moment on, so that nobody holds a place by sending ever less.
@@ -62,8 +62,8 @@
 	f.aside[path] = to
 }
 
-// Retune says which tracks there are from now on. What has been read under those before goes on under them.
-func (f *Front) Retune(tracks []node.Numbered) {
+// UpdateJobClasses says which tracks there are from now on. What has been read under those before goes on under them.
+func (f *Front) UpdateJobClasses(tracks []node.NumberedClass) {
 	all := map[string]track{}
 	for _, t := range tracks {
 		all[t.Name] = track{t.ID, t.OuterLimit, t.Repeat == policy.Tagged}
@@ -134,7 +134,7 @@
 	}
 	to := f.await(job.ID)
 	if to == nil {
-		f.tell(node.Declined{Track: job.Track})
+		f.tell(node.Declined{Class: job.Class})
 		inHand.write(w)
 		return
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -69,7 +69,7 @@
 func (c *Config) LongestWork() time.Duration { return quickest * c.longest() }
 
 func (c *Config) longest() (longest time.Duration) {
-	for _, t := range c.Settings.Policy.Tracks {
+	for _, t := range c.Settings.Policy.JobClasses {
 		longest = max(longest, t.OuterLimit)
 	}
 	return longest
@@ -167,9 +167,9 @@
 		c.Shared = env("TMPDIR")
 	}
 	c.Settings.Policy.Seed = crc32.ChecksumIEEE([]byte(w.Seed))
-	for i := range c.Settings.Policy.Tracks {
+	for i := range c.Settings.Policy.JobClasses {
 		// A connection may take so long to come up after the module has decided on a further allocation.
-		window := &c.Settings.Policy.Tracks[i].GroupWindow
+		window := &c.Settings.Policy.JobClasses[i].GroupWindow
 		*window = max(0, *window-c.Settings.DialLimit)
 	}
 	p := &c.Settings.Policy
@@ -224,7 +224,7 @@
 func (c *Config) Waits(other Config) (keys []string) {
 	other.Settings.Policy.Seed = c.Settings.Policy.Seed
 	// The tracks are taken up at once.
-	other.Settings.Tracks, other.Settings.Policy.Tracks = c.Settings.Tracks, c.Settings.Policy.Tracks
+	other.Settings.Tracks, other.Settings.Policy.JobClasses = c.Settings.Tracks, c.Settings.Policy.JobClasses
 	other.Settings.Policy.MaxAllocations = c.Settings.Policy.MaxAllocations
 	probe := other.Settings.Probe
 	other.Settings.Probe = c.Settings.Probe
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -189,9 +189,9 @@
 		Quantum:     max(Seconds(w.Quantum), leastQuantum),
 		LiveWeights: w.Weights == "live", MustAsk: w.Discovery == "ask", AskWithin: Seconds(w.Rules.AskWithin),
 		EarnPerWork: w.PerWork == "work", OverageEarnings: w.Overage, CrossZonePrice: w.Prices.CrossZone,
-		WholeWeight:    w.ScoreParts["whole"] + w.ScoreParts["worst-window"],
-		TrackWeight:    w.ScoreParts["worst-class"],
-		MaxAllocations: w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayTell: w.Caps.Peers,
+		WholeWeight:      w.ScoreParts["whole"] + w.ScoreParts["worst-window"],
+		WorstClassWeight: w.ScoreParts["worst-class"],
+		MaxAllocations:   w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayTell: w.Caps.Peers,
 		MayCopy: w.Caps.Copies, MayProbe: w.Caps.Probes && w.Report.How == "on_probe", MarksAgain: w.Clients.MarksRetry,
 		ColdShare: w.Rules.ColdShare, WarmWithin: Seconds(w.Rules.WarmWithin),
 		FallMultiple: w.Rules.FallMultiple, FallWindow: Seconds(w.Rules.FallS),
@@ -218,7 +218,7 @@
 		if i < len(w.Domain.Stretch) {
 			track.Stretch = w.Domain.Stretch[i]
 		}
-		s.Policy.Tracks = append(s.Policy.Tracks, track)
+		s.Policy.JobClasses = append(s.Policy.JobClasses, track)
 		s.Tracks = append(s.Tracks, t.Name)
 	}
 	return s, nil
@@ -268,25 +268,25 @@
 	return nil
 }
 
-func (t trackText) track(i int) (policy.Track, error) {
+func (t trackText) track(i int) (policy.JobClass, error) {
 	repeat, ok := repeats[t.Repeat]
 	if !ok {
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d].repeat: %.40q is none of the kinds", i, t.Repeat)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d].repeat: %.40q is none of the kinds", i, t.Repeat)
 	}
 	group, ok := groups[t.Scope]
 	if !ok {
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d].dedup-scope: %.40q is none of the groups", i, t.Scope)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d].dedup-scope: %.40q is none of the groups", i, t.Scope)
 	}
 	switch {
 	case t.Quoted <= 0:
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d].quoted-time-s: missing, or not over 0", i)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d].quoted-time-s: missing, or not over 0", i)
 	case t.Limit <= 0:
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d].outer-limit-s: missing, or not over 0", i)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d].outer-limit-s: missing, or not over 0", i)
 	}
 	if max(t.Quoted, t.Limit, t.Window) > longestLimit {
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d]: a time over %g s", i, longestLimit)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d]: a time over %g s", i, longestLimit)
 	}
-	return policy.Track{Repeat: repeat, Group: group, GroupWindow: Seconds(t.Window),
+	return policy.JobClass{Repeat: repeat, Group: group, GroupWindow: Seconds(t.Window),
 		Quoted: Seconds(t.Quoted), Stretch: t.Stretch, OuterLimit: Seconds(t.Limit), Earnings: t.Earnings,
 		LateEarnings: t.Late, Kind: policy.AnyKind}, nil
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -74,9 +74,9 @@
 
 // track is a track's part.
 type track struct {
-	id      policy.TrackID
+	id      policy.JobClassID
 	tagged  bool
-	lease   leases.Track
+	lease   leases.JobClass
 	dropped bool // by another configuration: those on the disk go on, no new ones come
 }
 
@@ -92,29 +92,29 @@
 
 // Tracks adds a twin of each track for durable batch jobs: with their outer limit, and in time as long as that lasts.
 func Tracks(s policy.Settings, limit time.Duration) policy.Settings {
-	for _, t := range slices.Clone(s.Tracks) {
+	for _, t := range slices.Clone(s.JobClasses) {
 		t.Work = t.Quoted // hours to be in time say nothing of the work
 		t.OuterLimit, t.Quoted, t.Stretch, t.LateEarnings = limit, limit, 0, 0
-		s.Tracks = append(s.Tracks, t)
+		s.JobClasses = append(s.JobClasses, t)
 	}
 	return s
 }
 
 // New takes up a store: names and tracks are those of the settings, without their twins. Nothing goes to the reducer before Start.
-func New(o Options, s *store.Store, names []string, tracks []policy.Track, dial func(context.Context, string) (net.Conn, error), log zerolog.Logger) *Durable {
+func New(o Options, s *store.Store, names []string, tracks []policy.JobClass, dial func(context.Context, string) (net.Conn, error), log zerolog.Logger) *Durable {
 	d := &Durable{o: o, store: s, tracks: map[string]track{}, log: log, http: dialer(dial), book: leases.NewBook(o.Leases),
 		records: map[leases.ID]*store.Record{}, waits: map[leases.ID]chan struct{}{}, kept: map[leases.ID]chan error{},
 		writes: map[node.ConnID]*pending{}, out: map[leases.ID]node.ConnID{}, addrs: map[node.ConnID]string{}, at: map[string]policy.ExecutorID{}, where: map[policy.ExecutorID]string{}}
 	for i, name := range names {
-		d.tracks[name] = twin(policy.TrackID(len(names)+i), tracks[i])
+		d.tracks[name] = twin(policy.JobClassID(len(names)+i), tracks[i])
 	}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	return d
 }
 
 // twin is what a track's twin of that number asks of its batch jobs.
-func twin(id policy.TrackID, t policy.Track) track {
-	return track{id: id, tagged: t.Repeat == policy.Tagged, lease: leases.Track{Repeat: t.Repeat, Group: t.Group, Window: t.GroupWindow}}
+func twin(id policy.JobClassID, t policy.JobClass) track {
+	return track{id: id, tagged: t.Repeat == policy.Tagged, lease: leases.JobClass{Repeat: t.Repeat, Group: t.Group, Window: t.GroupWindow}}
 }
 
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
@@ -368,7 +368,7 @@
 	d.mu.Lock()
 	tr := d.tracks[rec.Track]
 	d.mu.Unlock()
-	job := node.Job{Track: tr.id, Work: rec.Work, Budget: e.Budget, Call: node.Call{ID: policy.JobID(prefix + string(e.ID)), Method: http.MethodPost,
+	job := node.Job{Class: tr.id, Work: rec.Work, Budget: e.Budget, Call: node.Call{ID: policy.JobID(prefix + string(e.ID)), Method: http.MethodPost,
 		URI: rec.URI, Host: rec.Host, ContentType: rec.ContentType, Tag: rec.Tag, Body: rec.Body}}
 	go d.tell(node.Arrived{Job: job})
 }
@@ -475,24 +475,24 @@
 	d.carryOut(early)
 }
 
-// Retune takes up the twins, and leaves them out of what ordinary batch jobs can name.
-func (s *clientsSide) Retune(tracks []node.Numbered) {
+// UpdateJobClasses takes up the twins, and leaves them out of what ordinary batch jobs can name.
+func (s *clientsSide) UpdateJobClasses(tracks []node.NumberedClass) {
 	d := (*Durable)(s)
 	d.mu.Lock()
 	for name, t := range d.tracks {
 		t.dropped = true
 		d.tracks[name] = t
 	}
-	var plain []node.Numbered
+	var plain []node.NumberedClass
 	for _, t := range tracks {
 		if name, ok := strings.CutPrefix(t.Name, Twin); ok {
-			d.tracks[name] = twin(t.ID, t.Track.Track)
+			d.tracks[name] = twin(t.ID, t.JobClass.JobClass)
 		} else {
 			plain = append(plain, t)
 		}
 	}
 	d.mu.Unlock()
-	s.clients.Retune(plain)
+	s.clients.UpdateJobClasses(plain)
 }
 
 func (s *clientsSide) SendAway(on bool) { s.clients.SendAway(on) }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -66,7 +66,7 @@
 	over   bool
 }
 
-var tracks = []policy.Track{
+var tracks = []policy.JobClass{
 	{Repeat: policy.Repeatable, Quoted: time.Second, OuterLimit: 5 * time.Second, Earnings: 1, Kind: policy.AnyKind},
 	{Repeat: policy.OnceOnly, Quoted: time.Second, OuterLimit: 5 * time.Second, Earnings: 1, Kind: policy.AnyKind},
 }
@@ -149,7 +149,7 @@
 	}
 	start := time.Now()
 	base := policy.Settings{Seed: uint32(w.life), Nodes: 1, Zone: 0, WholeWeight: 1, MaxAllocations: 6, MayCancel: true, MaxComeBack: time.Second,
-		Quantum: time.Millisecond, TellsStart: true, ColdShare: 1, FallMultiple: 4, FallWindow: time.Second, Tracks: tracks}
+		Quantum: time.Millisecond, TellsStart: true, ColdShare: 1, FallMultiple: 4, FallWindow: time.Second, JobClasses: tracks}
 	dial := func(ctx context.Context, id node.ConnID, to string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -59,7 +59,7 @@
 // wanted is a batch job at a baseline.
 type wanted struct {
 	id    policy.JobID
-	track policy.Track
+	track policy.JobClass
 	try   *try
 	limit time.Duration // of the process
 	sent  int
@@ -68,7 +68,7 @@
 }
 
 func (b *baseline) Arrived(now time.Duration, in policy.Arrival) {
-	b.jobs[in.Job] = &wanted{id: in.Job, track: b.settings.Tracks[in.Track], try: b.n.tries[in.Job], limit: now + in.Budget}
+	b.jobs[in.Job] = &wanted{id: in.Job, track: b.settings.JobClasses[in.Class], try: b.n.tries[in.Job], limit: now + in.Budget}
 	b.due = append(b.due, in.Job)
 }
 
@@ -236,7 +236,7 @@
 func (b *baseline) Closing(time.Duration, time.Duration)                                 {}
 func (b *baseline) Avoided(time.Duration) int                                            { return 0 }
 func (b *baseline) ColdFrom(time.Duration, time.Duration)                                {}
-func (b *baseline) Retuned(time.Duration, []policy.Change)                               {}
+func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)              {}
 func (b *baseline) Knows(time.Duration) policy.Knowledge                                 { return policy.Knowledge{} }
 func (b *baseline) Learn(time.Duration, policy.Knowledge)                                {}
 func (b *baseline) Heard(time.Duration, policy.NodeID, policy.Word, policy.Sum)          {}
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -170,9 +170,9 @@
 			return []node.Event{ev}
 		}),
 		settings: func(p *policy.Settings) {
-			for i := range p.Tracks {
-				p.Tracks[i].Quoted, p.Tracks[i].OuterLimit = 4*p.Tracks[i].Quoted, 2*p.Tracks[i].OuterLimit
-				p.Tracks[i].LateEarnings = 1
+			for i := range p.JobClasses {
+				p.JobClasses[i].Quoted, p.JobClasses[i].OuterLimit = 4*p.JobClasses[i].Quoted, 2*p.JobClasses[i].OuterLimit
+				p.JobClasses[i].LateEarnings = 1
 			}
 		}}},
 	{"an executor's error counts as its result", rules.OneAnswer, nil, plant{
@@ -226,9 +226,9 @@
 		})}},
 	{"a once-only track is taken for repeatable", rules.NoEffectTwice, nil, plant{
 		settings: func(p *policy.Settings) {
-			for i := range p.Tracks {
-				if p.Tracks[i].Repeat == policy.OnceOnly {
-					p.Tracks[i].Repeat = policy.Repeatable
+			for i := range p.JobClasses {
+				if p.JobClasses[i].Repeat == policy.OnceOnly {
+					p.JobClasses[i].Repeat = policy.Repeatable
 				}
 			}
 		}}},
@@ -236,22 +236,22 @@
 		settings: func(p *policy.Settings) { p.MayCopy = true }}},
 	{"a once-only track is copied", rules.NoEffectTwice, func(s *Scenario) { crawling(s); s.Fleet.Copies = true }, plant{
 		settings: func(p *policy.Settings) {
-			for i := range p.Tracks {
-				if p.Tracks[i].Repeat == policy.OnceOnly {
-					p.Tracks[i].Repeat = policy.Repeatable
+			for i := range p.JobClasses {
+				if p.JobClasses[i].Repeat == policy.OnceOnly {
+					p.JobClasses[i].Repeat = policy.Repeatable
 				}
 			}
 		}}},
 	{"a zone's group is taken for all executors", rules.NoEffectTwice, tagged("zone", 5*time.Second), plant{
 		settings: func(p *policy.Settings) {
-			for i := range p.Tracks {
-				p.Tracks[i].Group = policy.GroupAll
+			for i := range p.JobClasses {
+				p.JobClasses[i].Group = policy.GroupAll
 			}
 		}}},
 	{"a window is taken for longer than it is", rules.NoEffectTwice, tagged("all", 300*time.Millisecond), plant{
 		settings: func(p *policy.Settings) {
-			for i := range p.Tracks {
-				p.Tracks[i].GroupWindow = time.Minute
+			for i := range p.JobClasses {
+				p.JobClasses[i].GroupWindow = time.Minute
 			}
 		}}},
 	{"executors say turned away, and run it", rules.NoEffectTwice, nil, plant{
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -345,12 +345,12 @@
 }
 
 // Takes are the tracks as clients, module and rules take them.
-func (s *Scenario) Takes() (own []standin.Track, module []policy.Track) {
+func (s *Scenario) Takes() (own []standin.Track, module []policy.JobClass) {
 	for _, t := range s.Tracks {
-		p := policy.Track{Repeat: repeats[t.Repeat], Group: groups[t.Group], GroupWindow: time.Duration(t.Window),
+		p := policy.JobClass{Repeat: repeats[t.Repeat], Group: groups[t.Group], GroupWindow: time.Duration(t.Window),
 			Quoted: time.Duration(t.Quoted), Stretch: t.Stretch, OuterLimit: time.Duration(t.Outer), Earnings: t.Earnings,
 			LateEarnings: t.Late, Kind: policy.AnyKind}
-		own = append(own, standin.Track{Track: p, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
+		own = append(own, standin.Track{JobClass: p, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
 			Priority: t.Priority})
 		module = append(module, p)
 	}
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -32,7 +32,7 @@
 	front   *rand.Rand // of the front layer, where nodes get unlike parts
 	tracks  []standin.Track
 	orders  int // that operators have given to wired nodes
-	module  []policy.Track
+	module  []policy.JobClass
 	policy  Policy
 	account *ledger // nil where none is kept
 
@@ -352,7 +352,7 @@
 func (n *sim) settings() (policy.Settings, node.Limits) {
 	f := &n.w.s.Fleet
 	p := policy.Settings{Seed: uint32(mix(n.w.seed + uint64(n.id)<<20 + uint64(n.run))), Node: int(n.id), Nodes: f.Nodes, Zone: n.zone,
-		EarnPerWork: f.PerWork, CrossZonePrice: f.CrossPrice, WholeWeight: 0.8, TrackWeight: 0.2, MaxAllocations: f.Allocations,
+		EarnPerWork: f.PerWork, CrossZonePrice: f.CrossPrice, WholeWeight: 0.8, WorstClassWeight: 0.2, MaxAllocations: f.Allocations,
 		MayCancel: true, MaxComeBack: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LiveWeights: f.WeightsEvery > 0,
 		ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
 		FallWindow: time.Duration(f.FallWindow), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery),
@@ -360,7 +360,7 @@
 	longest := time.Duration(0)
 	for _, t := range n.w.module {
 		t.GroupWindow = max(0, t.GroupWindow-time.Duration(f.DialLimit)) // as config does
-		p.Tracks = append(p.Tracks, t)
+		p.JobClasses = append(p.JobClasses, t)
 		longest = max(longest, t.OuterLimit)
 	}
 	return p, node.Limits{Quantum: p.Quantum, IdleUse: time.Duration(f.IdleLimit) * 4 / 5, DialLimit: time.Duration(f.DialLimit),
@@ -389,9 +389,9 @@
 		n.w.wired.startNode(n, p, limits, module)
 		return
 	}
-	var tracks []node.Track
-	for i, t := range p.Tracks {
-		tracks = append(tracks, node.Track{Name: strconv.Itoa(i), Track: t})
+	var tracks []node.JobClass
+	for i, t := range p.JobClasses {
+		tracks = append(tracks, node.JobClass{Name: strconv.Itoa(i), JobClass: t})
 	}
 	n.core = node.New(&witness{Module: module, n: n}, limits, tracks)
 	if n.w.s.Fleet.Talk {
@@ -693,7 +693,7 @@
 func (x *executor) size() float64 { return float64(x.Cores) * x.Speed }
 
 // memory is what remembers the tags of a track's batch jobs at an executor.
-func (w *World) memory(x *executor, id policy.TrackID) *standin.Memory {
+func (w *World) memory(x *executor, id policy.JobClassID) *standin.Memory {
 	return w.memories.Of(id, w.module[id].Group, x.ExecutorSpec)
 }
 
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -50,8 +50,8 @@
 	BrokenOff
 )
 
-// Track is what a track allows after an allocation that may have run.
-type Track struct {
+// JobClass is what a track allows after an allocation that may have run.
+type JobClass struct {
 	Repeat policy.Repeat
 	Group  policy.Group
 	Window time.Duration // of a tagged one, less what a connection takes to come up
@@ -60,7 +60,7 @@
 // Job is a batch job as it is handed in. Times are times of day, as spans since 1970.
 type Job struct {
 	ID    ID
-	Track Track
+	Track JobClass
 	Limit time.Duration // the outer limit
 }
 
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -11,10 +11,10 @@
 )
 
 var (
-	repeatable = Track{}
-	once       = Track{Repeat: policy.OnceOnly}
-	taggedAll  = Track{Repeat: policy.Tagged, Window: 7 * time.Second}
-	taggedZone = Track{Repeat: policy.Tagged, Group: policy.GroupZone, Window: 7 * time.Second}
+	repeatable = JobClass{}
+	once       = JobClass{Repeat: policy.OnceOnly}
+	taggedAll  = JobClass{Repeat: policy.Tagged, Window: 7 * time.Second}
+	taggedZone = JobClass{Repeat: policy.Tagged, Group: policy.GroupZone, Window: 7 * time.Second}
 )
 
 func text(e Effect) string {
@@ -61,7 +61,7 @@
 func at(s float64) time.Duration { return time.Duration(s * 1e9) }
 
 // crashed is a start of a node with a batch job on the disk that has gone out, and did or did not prove not to have run.
-func (s *story) crashed(name string, set Settings, now, last float64, t Track, never bool) {
+func (s *story) crashed(name string, set Settings, now, last float64, t JobClass, never bool) {
 	s.b = NewBook(set)
 	s.tell(fmt.Sprintf("# %s, found at %.0f s, out at 2 s", name, now), s.b.Recover(at(now), at(last), Job{"j", t, at(60)},
 		[]Send{{Epoch: 1, Executor: "e", At: at(2), NeverRan: never}}, nil, nil, 0))
@@ -73,7 +73,7 @@
 	asks := set
 	asks.Leases = true
 	s := &story{b: NewBook(set)}
-	hand := func(id ID, t Track, now, limit float64) {
+	hand := func(id ID, t JobClass, now, limit float64) {
 		effects, ok := s.b.HandIn(at(now), Job{id, t, at(limit)})
 		s.tell(fmt.Sprintf("%s is handed in at %v s: %v", id, now, ok), effects)
 	}
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -155,7 +155,7 @@
 	c.state, c.heard, c.wroteAt = busy, false, n.now
 	n.figures.Allocations++ // taken back if its last byte never leaves
 	n.say(Write{c.id, Allocation{Call: &c.job.Call, Budget: max(c.job.limitAt-n.now, time.Millisecond),
-		Once: n.repeats[c.job.Track] != policy.Repeatable, Client: c.job.Client}})
+		Once: n.repeats[c.job.Class] != policy.Repeatable, Client: c.job.Client}})
 }
 
 // anew says whether the executor has started anew since the module meant it: it is cold, so the module is asked again. Guards
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -25,7 +25,7 @@
 // Job is a batch job as a client handed it in.
 type Job struct {
 	Call
-	Track  policy.TrackID
+	Class  policy.JobClassID
 	Tenant policy.TenantID
 	Work   time.Duration // a guess; 0 for none
 	Budget time.Duration // how long the client waits
@@ -43,16 +43,16 @@
 	Gone() bool
 }
 
-// Track is a track and its name.
-type Track struct {
+// JobClass is a track and its name.
+type JobClass struct {
 	Name string
-	policy.Track
+	policy.JobClass
 }
 
-// Numbered is a track by the number that batch jobs of it bear.
-type Numbered struct {
-	ID policy.TrackID
-	Track
+// NumberedClass is a track by the number that batch jobs of it bear.
+type NumberedClass struct {
+	ID policy.JobClassID
+	JobClass
 }
 
 // Executor is an entry of the list and where the executor is reached.
@@ -107,7 +107,7 @@
 	Reread struct {
 		Discovery string   // where the list comes from
 		Waits     []string // keys that changed and hold from the next start on
-		Tracks    []Track
+		Classes   []JobClass
 		Work      time.Duration // as in Limits
 		StopLimit time.Duration // as in Limits
 		Detail    string
@@ -149,7 +149,7 @@
 	// FrontClosed: no client waits any more, and none can come.
 	FrontClosed struct{}
 	// Declined: the front has turned a batch job of a track away as one that it can't take.
-	Declined struct{ Track policy.TrackID }
+	Declined struct{ Class policy.JobClassID }
 	// Called: an operator's call. It is answered by one Reply.
 	Called struct {
 		Caller   CallerID
@@ -241,8 +241,8 @@
 	Watch struct{}
 	// Follow takes the list from an address from now on; it may be the one that it comes from already.
 	Follow struct{ Addr string }
-	// Retune tells the front which tracks there are from now on.
-	Retune struct{ Tracks []Numbered }
+	// UpdateJobClasses tells the front which tracks there are from now on.
+	UpdateJobClasses struct{ Classes []NumberedClass }
 	// Ready says whether the node is to be given batch jobs.
 	Ready struct{ Yes bool }
 	// SendAway says that the node is not ready and lets clients go, until it is over; what still comes is taken.
@@ -287,24 +287,24 @@
 	Exit struct{}
 )
 
-func (Answer) effect()        {}
-func (Dial) effect()          {}
-func (Write) effect()         {}
-func (Close) effect()         {}
-func (Probe) effect()         {}
-func (Watch) effect()         {}
-func (Follow) effect()        {}
-func (Ready) effect()         {}
-func (Retune) effect()        {}
-func (CloseFront) effect()    {}
-func (Wake) effect()          {}
-func (Log) effect()           {}
-func (Exit) effect()          {}
-func (SendAway) effect()      {}
-func (Reply) effect()         {}
-func (Pass) effect()          {}
-func (Part) effect()          {}
-func (Take) effect()          {}
-func (Share) effect()         {}
-func (TellNeighbour) effect() {}
-func (TellPlace) effect()     {}
+func (Answer) effect()           {}
+func (Dial) effect()             {}
+func (Write) effect()            {}
+func (Close) effect()            {}
+func (Probe) effect()            {}
+func (Watch) effect()            {}
+func (Follow) effect()           {}
+func (Ready) effect()            {}
+func (UpdateJobClasses) effect() {}
+func (CloseFront) effect()       {}
+func (Wake) effect()             {}
+func (Log) effect()              {}
+func (Exit) effect()             {}
+func (SendAway) effect()         {}
+func (Reply) effect()            {}
+func (Pass) effect()             {}
+func (Part) effect()             {}
+func (Take) effect()             {}
+func (Share) effect()            {}
+func (TellNeighbour) effect()    {}
+func (TellPlace) effect()        {}
--- a/internal/node/hand.go
+++ b/internal/node/hand.go
@@ -27,7 +27,7 @@
 
 // Figures are what a node has done since its start, and what it holds.
 type Figures struct {
-	Tracks      []TrackFigures // in the order in which the tracks came
+	Classes     []ClassMetrics // in the order in which the tracks came
 	Allocations int            // whose last byte was written
 	InFlight    int            // batch jobs that are owed an answer
 	Known       int            // executors on the list
@@ -36,15 +36,15 @@
 	TurnedDown  int            // and those that were not
 }
 
-// TrackFigures are the final answers to batch jobs of one track.
-type TrackFigures struct {
+// ClassMetrics are the final answers to batch jobs of one track.
+type ClassMetrics struct {
 	Name                           string
 	Handled, PushedBack, BrokenOff int
 }
 
 // count books a final answer.
-func (n *Node) count(track policy.TrackID, how Final) {
-	f := &n.figures.Tracks[n.booked[track]]
+func (n *Node) count(track policy.JobClassID, how Final) {
+	f := &n.figures.Classes[n.booked[track]]
 	switch how {
 	case Handled:
 		f.Handled++
@@ -67,7 +67,7 @@
 		}
 	case ReadFigures:
 		f := n.figures
-		f.Tracks = slices.Clone(f.Tracks) // the caller reads them while this goes on
+		f.Classes = slices.Clone(f.Classes) // the caller reads them while this goes on
 		f.InFlight, f.Known, f.Avoided = len(n.due), len(n.executors), n.brain.Avoided(n.now)
 		r.Figures = &f
 	case ReadFleet:
--- a/internal/node/pair.go
+++ b/internal/node/pair.go
@@ -25,12 +25,12 @@
 
 // State is what a process hands to the one that joins it. Spans are ages, since the two count time from their own starts.
 type State struct {
-	Outs    []policy.ExecutorID // taken out by operators
-	Backs   []Back
-	Drained bool
-	List    []Executor // Started is an age
-	Known   policy.Knowledge
-	Names   []string // of the tracks in Known, in the same order
+	Outs       []policy.ExecutorID // taken out by operators
+	Backs      []Back
+	Drained    bool
+	List       []Executor // Started is an age
+	Known      policy.Knowledge
+	ClassNames []string // of the tracks in Known, in the same order
 }
 
 // Back is an executor that operators have put back, and how long ago.
@@ -109,8 +109,8 @@
 // state is what a new process is handed.
 func (n *Node) state() *State {
 	s := &State{Drained: n.drained, Known: n.brain.Knows(n.now)}
-	for _, t := range s.Known.Tracks {
-		s.Names = append(s.Names, n.figures.Tracks[n.booked[t.ID]].Name)
+	for _, t := range s.Known.Classes {
+		s.ClassNames = append(s.ClassNames, n.figures.Classes[n.booked[t.ID]].Name)
 	}
 	s.Outs = slices.Sorted(maps.Keys(n.outs))
 	for _, id := range slices.Sorted(maps.Keys(n.backs)) {
@@ -234,17 +234,17 @@
 
 // learn hands the module what the old one's has learnt, with tracks by this process's numbers.
 func (n *Node) learn(s State) {
-	var tracks []policy.KnownTrack
-	for i, t := range s.Known.Tracks {
-		if i >= len(s.Names) {
+	var tracks []policy.LearnedClass
+	for i, t := range s.Known.Classes {
+		if i >= len(s.ClassNames) {
 			break
 		}
-		if id, ok := n.former[s.Names[i]]; ok {
+		if id, ok := n.former[s.ClassNames[i]]; ok {
 			t.ID = id
 			tracks = append(tracks, t)
 		}
 	}
-	s.Known.Tracks = tracks
+	s.Known.Classes = tracks
 	n.brain.Learn(n.now, s.Known)
 }
 
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -53,7 +53,7 @@
 	Wait(now time.Duration) policy.Due
 	Avoided(now time.Duration) int
 	ColdFrom(now, at time.Duration)
-	Retuned(now time.Duration, tracks []policy.Change)
+	UpdateJobClasses(now time.Duration, tracks []policy.JobClassUpdate)
 	Knows(now time.Duration) policy.Knowledge
 	Learn(now time.Duration, k policy.Knowledge)
 	Heard(now time.Duration, from policy.NodeID, word policy.Word, sum policy.Sum)
@@ -85,10 +85,10 @@
 	halved    bool
 	fleet     *fleet.Fleet // nil where this node talks with no others
 	pair
-	booked   []int                     // by a track's number, where its figures stand
-	repeats  []policy.Repeat           // by that number
-	tracks   []Numbered                // the current ones
-	former   map[string]policy.TrackID // by name, the last number that it bore
+	booked   []int                        // by a track's number, where its figures stand
+	repeats  []policy.Repeat              // by that number
+	tracks   []NumberedClass              // the current ones
+	former   map[string]policy.JobClassID // by name, the last number that it bore
 	lists    int
 	listLost bool
 	losts    int // calls for the list that brought nothing
@@ -114,10 +114,10 @@
 }
 
 // New makes a node that knows nothing yet, with its tracks, numbered from 0.
-func New(brain Module, limits Limits, tracks []Track) *Node {
+func New(brain Module, limits Limits, tracks []JobClass) *Node {
 	n := &Node{brain: brain, limits: limits, shortRest: limits.IdleUse, executors: map[policy.ExecutorID]*executor{},
 		conns: map[ConnID]*conn{}, jobs: map[policy.JobID]*job{},
-		outs: map[policy.ExecutorID]bool{}, backs: map[policy.ExecutorID]time.Duration{}, former: map[string]policy.TrackID{}, pair: pair{relays: map[uint64]*relay{}}}
+		outs: map[policy.ExecutorID]bool{}, backs: map[policy.ExecutorID]time.Duration{}, former: map[string]policy.JobClassID{}, pair: pair{relays: map[uint64]*relay{}}}
 	n.number(tracks)
 	return n
 }
@@ -195,7 +195,7 @@
 		}
 		n.say(Exit{})
 	case Declined:
-		n.count(ev.Track, BrokenOff)
+		n.count(ev.Class, BrokenOff)
 	case Called:
 		n.called(ev)
 	case Joined:
@@ -215,12 +215,12 @@
 func (n *Node) arrived(in Job) {
 	if n.jobs[in.ID] != nil {
 		// Its client left it, and came again under the same id while an allocation of it is still out.
-		n.count(in.Track, BrokenOff)
+		n.count(in.Class, BrokenOff)
 		n.say(Answer{Job: in.ID, Final: BrokenOff})
 		return
 	}
 	if in.Crowded || n.bodies+len(in.Body) > n.limits.Bodies {
-		n.count(in.Track, PushedBack)
+		n.count(in.Class, PushedBack)
 		n.say(Answer{Job: in.ID, Final: PushedBack, ComeBack: n.limits.ComeBack})
 		return
 	}
@@ -234,7 +234,7 @@
 	j.order, j.dueAt = n.order, j.limitAt-n.limits.Quantum
 	heap.Push(&n.due, j)
 	n.deciding = j
-	n.brain.Arrived(n.now, policy.Arrival{Job: j.ID, Track: j.Track, Tenant: j.Tenant, Work: min(j.Work, n.limits.Work),
+	n.brain.Arrived(n.now, policy.Arrival{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Work: min(j.Work, n.limits.Work),
 		Budget: j.Budget, Again: j.Again})
 	n.deciding = nil
 }
@@ -251,7 +251,7 @@
 func (n *Node) answer(j *job, a Answer) {
 	if !j.answered {
 		a.Job = j.ID
-		n.count(j.Track, a.Final)
+		n.count(j.Class, a.Final)
 		n.say(a)
 		n.settled(j)
 	}
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -49,7 +49,7 @@
 	s := policy.Settings{Seed: 7, Nodes: 1, WholeWeight: 1, MaxAllocations: 3, MayCancel: true,
 		MaxComeBack: 2 * time.Second, Quantum: time.Millisecond, TellsStart: true, EarnPerWork: true,
 		ColdShare: 1, FallMultiple: 4, FallWindow: time.Second,
-		Tracks: []policy.Track{{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
+		JobClasses: []policy.JobClass{{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
 			Earnings: 1, Kind: policy.AnyKind}}}
 	l := Limits{Quantum: time.Millisecond, IdleUse: 8 * time.Second, DialLimit: 100 * time.Millisecond, Conns: 8, HalfConns: 3, ColdSpell: time.Second, Bodies: 100,
 		Work: 10 * time.Second, ComeBack: 2 * time.Second, StopSpell: 500 * time.Millisecond, StopLimit: 3 * time.Second}
@@ -58,7 +58,7 @@
 		figure, _ := strconv.Atoi(value)
 		switch key {
 		case "once":
-			s.Tracks[0].Repeat = policy.OnceOnly
+			s.JobClasses[0].Repeat = policy.OnceOnly
 		case "cold":
 			s.ColdShare, s.WarmWithin = 0.25, 8*time.Second
 		case "conns":
@@ -66,9 +66,9 @@
 		case "copies":
 			s.MayCopy = true
 		case "late":
-			s.Tracks[0].LateEarnings = 0.5
+			s.JobClasses[0].LateEarnings = 0.5
 		case "tagged":
-			s.Tracks[0].Repeat, s.Tracks[0].GroupWindow = policy.Tagged, 2*time.Second
+			s.JobClasses[0].Repeat, s.JobClasses[0].GroupWindow = policy.Tagged, 2*time.Second
 		case "probes":
 			s.MayProbe = true
 		case "live":
@@ -82,7 +82,7 @@
 
 func fresh(words []string) *Node {
 	brain, limits := settings(words)
-	n := New(brain, limits, []Track{{"page", policy.Track{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
+	n := New(brain, limits, []JobClass{{"page", policy.JobClass{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
 		Earnings: 1, Kind: policy.AnyKind}}})
 	if slices.Contains(words, "talk") {
 		n.Talk(fleet.Defaults("me", 0, 1))
@@ -158,7 +158,7 @@
 				j.Client = caller(value)
 			case "track":
 				id, _ := strconv.Atoi(value)
-				j.Track = policy.TrackID(id)
+				j.Class = policy.JobClassID(id)
 			}
 		}
 		return Arrived{j}
@@ -200,7 +200,7 @@
 				r.Waits = append(r.Waits, w)
 				continue
 			}
-			t := p.n.tracks[0].Track.Track
+			t := p.n.tracks[0].JobClass.JobClass
 			t.Repeat, t.Allocations = policy.Repeatable, 0
 			switch rule {
 			case "once":
@@ -208,11 +208,11 @@
 			case "1", "2":
 				t.Allocations, _ = strconv.Atoi(rule)
 			}
-			r.Tracks = append(r.Tracks, Track{name, t})
+			r.Classes = append(r.Classes, JobClass{name, t})
 		}
-		if r.Tracks == nil {
+		if r.Classes == nil {
 			for _, t := range p.n.tracks {
-				r.Tracks = append(r.Tracks, t.Track)
+				r.Classes = append(r.Classes, t.JobClass)
 			}
 		}
 		return r
@@ -307,9 +307,9 @@
 		case Log:
 			text, _, _ := strings.Cut(e.Text, "\n") // without a stack
 			line = strings.TrimRight(fmt.Sprintf("log: %s %s %s", text, e.Executor, e.Job), " ")
-		case Retune:
+		case UpdateJobClasses:
 			line = "tracks:"
-			for _, t := range e.Tracks {
+			for _, t := range e.Classes {
 				line += fmt.Sprintf(" %d %s", t.ID, t.Name)
 			}
 		case SendAway:
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -13,7 +13,7 @@
 type Clients interface {
 	Answer(Answer)
 	Ready(bool)
-	Retune([]Numbered)
+	UpdateJobClasses([]NumberedClass)
 	SendAway(bool)
 	Take(bool)
 	Halve(bool)
@@ -141,8 +141,8 @@
 				to.List.Watch()
 			case Follow:
 				to.List.Follow(e.Addr)
-			case Retune:
-				to.Clients.Retune(e.Tracks)
+			case UpdateJobClasses:
+				to.Clients.UpdateJobClasses(e.Classes)
 			case SendAway:
 				to.Clients.SendAway(e.On)
 			case Reply:
--- a/internal/operators/codec.go
+++ b/internal/operators/codec.go
@@ -66,7 +66,7 @@
 		b = append(append(b, name...), '=')
 		b = append(strconv.AppendInt(b, int64(x), 10), '\n')
 	}
-	for _, t := range f.Tracks {
+	for _, t := range f.Classes {
 		figure("requests."+t.Name+".served", t.Handled)
 		figure("requests."+t.Name+".refused", t.PushedBack)
 		figure("requests."+t.Name+".failed", t.BrokenOff)
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -63,7 +63,7 @@
 	closing   bool
 	rand      *rand.Rand
 	tracks    []standin.Track
-	module    []policy.Track
+	module    []policy.JobClass
 	checker   *rules.Checker
 	result    Result
 	nodes     []*proc
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -33,10 +33,10 @@
 
 // Settings are what the rules mean at a site.
 type Settings struct {
-	Tracks       []policy.Track // windows as the executors keep them
-	Slack        time.Duration  // after a limit an answer still counts for so long
-	Grace        time.Duration  // after being told of a drain
-	Prompt       time.Duration  // an answer is at once within it
+	Tracks       []policy.JobClass // windows as the executors keep them
+	Slack        time.Duration     // after a limit an answer still counts for so long
+	Grace        time.Duration     // after being told of a drain
+	Prompt       time.Duration     // an answer is at once within it
 	WarmWithin   time.Duration
 	FallMultiple float64
 	FallWindow   time.Duration
@@ -94,7 +94,7 @@
 // job is a batch job at a node, from its being taken until nothing of it is open.
 type job struct {
 	work     WorkID
-	track    policy.TrackID
+	track    policy.JobClassID
 	limit    time.Duration
 	gaveUp   time.Duration
 	given    bool // the module has given up
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -14,7 +14,7 @@
 
 // Tracks 0 to 4: repeatable, once-only, tagged within all, a zone, a cell.
 var site = Settings{Slack: 16 * ms, Grace: 1500 * ms, Prompt: ms, WarmWithin: 9000 * ms, FallMultiple: 2, FallWindow: 1000 * ms,
-	Tracks: []policy.Track{{}, {Repeat: policy.OnceOnly}, {Repeat: policy.Tagged, GroupWindow: 7500 * ms},
+	Tracks: []policy.JobClass{{}, {Repeat: policy.OnceOnly}, {Repeat: policy.Tagged, GroupWindow: 7500 * ms},
 		{Repeat: policy.Tagged, Group: policy.GroupZone, GroupWindow: 7500 * ms},
 		{Repeat: policy.Tagged, Group: policy.GroupCell, GroupWindow: 7500 * ms}}}
 
@@ -26,7 +26,7 @@
 	return s
 }
 
-func taken(track policy.TrackID) Seen {
+func taken(track policy.JobClassID) Seen {
 	return at(0, Taken, func(s *Seen) { s.Track, s.Limit = track, 10000*ms })
 }
 
@@ -38,7 +38,7 @@
 	return at(t, Over, func(s *Seen) { s.Allocation, s.Proof = n, proof })
 }
 
-func ranAt(t time.Duration, track policy.TrackID, e policy.ExecutorID) Seen {
+func ranAt(t time.Duration, track policy.JobClassID, e policy.ExecutorID) Seen {
 	return at(t, Ran, func(s *Seen) { s.Track, s.Executor = track, e })
 }
 
@@ -202,7 +202,7 @@
 	allowed.Copies = true
 	for _, c := range []struct {
 		name  string
-		track policy.TrackID
+		track policy.JobClassID
 		seen  []Seen
 		want  bool
 	}{
--- a/internal/rules/seen.go
+++ b/internal/rules/seen.go
@@ -83,7 +83,7 @@
 	Node       NodeID              `json:"node"`
 	Job        policy.JobID        `json:"job,omitempty"`
 	Work       WorkID              `json:"work,omitempty"`
-	Track      policy.TrackID      `json:"track,omitempty"`
+	Track      policy.JobClassID   `json:"track,omitempty"`
 	Allocation policy.AllocationID `json:"allocation,omitempty"`
 	Executor   policy.ExecutorID   `json:"executor,omitempty"`
 	Zone       policy.ZoneID       `json:"zone,omitempty"`
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -54,15 +54,15 @@
 }
 
 // Tracks are the settings' tracks with their names; those beyond the names are the twins for durable batch jobs.
-func Tracks(s config.Settings) (all []node.Track) {
-	for i, t := range s.Policy.Tracks {
+func Tracks(s config.Settings) (all []node.JobClass) {
+	for i, t := range s.Policy.JobClasses {
 		name := ""
 		if n := len(s.Tracks); i < n {
 			name = s.Tracks[i]
 		} else {
 			name = durable.Twin + s.Tracks[i-n]
 		}
-		all = append(all, node.Track{Name: name, Track: t})
+		all = append(all, node.JobClass{Name: name, JobClass: t})
 	}
 	return all
 }
@@ -73,7 +73,7 @@
 	loop := node.NewLoop(s.Start)
 	loop.Tap = s.Tap
 	core := node.New(s.Module, s.Limits, Tracks(s.Settings))
-	front := clients.New(core.Tracks()[:len(s.Settings.Tracks)], s.ClientConns, loop.Tell)
+	front := clients.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Tell)
 	pool := executors.New(s.Executors, s.Settings.TellsLoad(), executors.Probing{Path: s.Settings.Probe.Path,
 		Limit: s.Settings.Probe.Limit, Told: s.Settings.Told()}, loop.Tell)
 	patience := list.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.MustAsk)
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -12,7 +12,7 @@
 
 // Track is a track as its clients use it.
 type Track struct {
-	policy.Track
+	policy.JobClass
 	Share    float64 // of the batch jobs
 	Mean     float64 // seconds on a standard core
 	Spread   float64 // how far single ones are from that: the sigma of a lognormal
@@ -46,7 +46,7 @@
 type Work struct {
 	ID     rules.WorkID
 	Client int // of a loop; -1
-	Track  policy.TrackID
+	Track  policy.JobClassID
 	Cost   float64
 	Hint   float64 // 0: none
 	Came   time.Duration
@@ -126,14 +126,14 @@
 	return w
 }
 
-func (c *Clients) track() policy.TrackID {
+func (c *Clients) track() policy.JobClassID {
 	x := c.rand.Float64()
 	for i, t := range c.Tracks {
 		if x -= t.Share; x < 0 {
-			return policy.TrackID(i)
+			return policy.JobClassID(i)
 		}
 	}
-	return policy.TrackID(len(c.Tracks) - 1)
+	return policy.JobClassID(len(c.Tracks) - 1)
 }
 
 // End is how a try ended for its client.
--- a/internal/standin/executor.go
+++ b/internal/standin/executor.go
@@ -58,7 +58,7 @@
 	Node     rules.NodeID
 	Job      policy.JobID
 	Work     rules.WorkID
-	Track    policy.TrackID
+	Track    policy.JobClassID
 	Tag      string        // a tagged one's; empty for others
 	Window   time.Duration // how long its repeats are dropped
 	Memory   *Memory       // by whom
@@ -80,11 +80,11 @@
 	group policy.Group
 	zone  policy.ZoneID
 	cell  policy.CellID
-	track policy.TrackID
+	track policy.JobClassID
 }
 
 // Of is what remembers the tags of a track's batch jobs at an executor; an empty one where there was none.
-func (all Memories) Of(track policy.TrackID, group policy.Group, at ExecutorSpec) *Memory {
+func (all Memories) Of(track policy.JobClassID, group policy.Group, at ExecutorSpec) *Memory {
 	k := memoryKey{group: group, track: track}
 	switch group {
 	case policy.GroupZone:
--- a/internal/succession/codec.go
+++ b/internal/succession/codec.go
@@ -69,13 +69,13 @@
 }
 
 type wireClass struct {
-	ID         policy.TrackID `json:"ID"`
-	MeanWork   time.Duration  `json:"MeanWork"`
-	Samples    int            `json:"Learnt"`
-	FullBudget time.Duration  `json:"FullBudget"`
-	Requested  float64        `json:"Asked"`
-	Earned     float64        `json:"Given"`
-	UnitValue  float64        `json:"Unit"`
+	ID         policy.JobClassID `json:"ID"`
+	MeanWork   time.Duration     `json:"MeanWork"`
+	Samples    int               `json:"Learnt"`
+	FullBudget time.Duration     `json:"FullBudget"`
+	Requested  float64           `json:"Asked"`
+	Earned     float64           `json:"Given"`
+	UnitValue  float64           `json:"Unit"`
 }
 
 type wireKind struct {
@@ -161,7 +161,7 @@
 				Age: e.Started, LongAgo: e.LongAgo, Addr: e.Addr}
 		}),
 		Learned:    learnedToWire(state.Known),
-		ClassNames: state.Names,
+		ClassNames: state.ClassNames,
 	}
 }
 
@@ -176,15 +176,15 @@
 			return node.Executor{Addr: e.Addr, Entry: policy.Entry{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
 				State: e.State, Weight: e.Weight, Started: e.Age, LongAgo: e.LongAgo}}
 		}),
-		Known: learnedFromWire(wire.Learned),
-		Names: wire.ClassNames,
+		Known:      learnedFromWire(wire.Learned),
+		ClassNames: wire.ClassNames,
 	}
 }
 
 func learnedToWire(learned policy.Knowledge) wireLearned {
 	return wireLearned{
 		Nodes: learned.Nodes,
-		Classes: convert(learned.Tracks, func(c policy.KnownTrack) wireClass {
+		Classes: convert(learned.Classes, func(c policy.LearnedClass) wireClass {
 			return wireClass{ID: c.ID, MeanWork: c.MeanWork, Samples: c.Learnt, FullBudget: c.FullBudget, Requested: c.Asked,
 				Earned: c.Given, UnitValue: c.Unit}
 		}),
@@ -203,8 +203,8 @@
 func learnedFromWire(wire wireLearned) policy.Knowledge {
 	return policy.Knowledge{
 		Nodes: wire.Nodes,
-		Tracks: convert(wire.Classes, func(c wireClass) policy.KnownTrack {
-			return policy.KnownTrack{ID: c.ID, MeanWork: c.MeanWork, Learnt: c.Samples, FullBudget: c.FullBudget, Asked: c.Requested,
+		Classes: convert(wire.Classes, func(c wireClass) policy.LearnedClass {
+			return policy.LearnedClass{ID: c.ID, MeanWork: c.MeanWork, Learnt: c.Samples, FullBudget: c.FullBudget, Asked: c.Requested,
 				Given: c.Earned, Unit: c.UnitValue}
 		}),
 		Kinds: convert(wire.Kinds, func(k wireKind) policy.KnownKind {
--- a/internal/succession/codec_test.go
+++ b/internal/succession/codec_test.go
@@ -25,7 +25,7 @@
 			},
 			Known: policy.Knowledge{
 				Nodes: 30,
-				Tracks: []policy.KnownTrack{{ID: 4, MeanWork: 350 * time.Millisecond, Learnt: 12, FullBudget: 5 * time.Second,
+				Classes: []policy.LearnedClass{{ID: 4, MeanWork: 350 * time.Millisecond, Learnt: 12, FullBudget: 5 * time.Second,
 					Asked: 17.5, Given: 16.25, Unit: 2.125}},
 				Kinds: []policy.KnownKind{{ID: 5, Pace: 0.625, Size: 3.5, Places: 4.25, Parallel: 6}},
 				Executors: []policy.KnownExecutor{{ID: "executor-1", Quota: 7, Runs: 8.5, Works: 9.25, StartWait: 10 * time.Millisecond,
@@ -33,7 +33,7 @@
 				MeanEarnings: 14.5,
 				MeanDensity:  15.75,
 			},
-			Names: []string{"board-read"},
+			ClassNames: []string{"board-read"},
 		}},
 		{Kind: node.Hand, State: &node.State{}},
 		{Kind: node.Yes},
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -11,16 +11,16 @@
 // Knowledge is what was learnt.
 type Knowledge struct {
 	Nodes        int // among so many; 0: as many as there are now
-	Tracks       []KnownTrack
+	Classes      []LearnedClass
 	Kinds        []KnownKind
 	Executors    []KnownExecutor
 	MeanEarnings float64
 	MeanDensity  float64
 }
 
-// KnownTrack is what was learnt of a current track.
-type KnownTrack struct {
-	ID           TrackID
+// LearnedClass is what was learnt of a current track.
+type LearnedClass struct {
+	ID           JobClassID
 	MeanWork     time.Duration
 	Learnt       int
 	FullBudget   time.Duration
@@ -51,7 +51,7 @@
 	k.Nodes, k.MeanEarnings, k.MeanDensity = d.nodes, d.meanEarnings, d.meanDensity
 	for id, t := range d.tracks {
 		if slices.Contains(d.current, t) {
-			k.Tracks = append(k.Tracks, KnownTrack{TrackID(id), t.meanWork, t.learnt, t.fullBudget, t.asked, t.given, t.unit})
+			k.Classes = append(k.Classes, LearnedClass{JobClassID(id), t.meanWork, t.learnt, t.fullBudget, t.asked, t.given, t.unit})
 		}
 	}
 	for id, kind := range d.kinds {
@@ -77,7 +77,7 @@
 	if k.MeanEarnings > 0 && k.MeanDensity > 0 {
 		d.meanEarnings, d.meanDensity = k.MeanEarnings, k.MeanDensity
 	}
-	for _, in := range k.Tracks {
+	for _, in := range k.Classes {
 		if in.ID < 0 || int(in.ID) >= len(d.tracks) || in.MeanWork <= 0 || in.Unit <= 0 {
 			continue
 		}
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -32,13 +32,13 @@
 		last = now
 	}
 	k := player.d.Knows(last)
-	if len(k.Executors) != 2 || len(k.Kinds) != 2 || len(k.Tracks) != 2 {
+	if len(k.Executors) != 2 || len(k.Kinds) != 2 || len(k.Classes) != 2 {
 		t.Fatalf("too little is known: %+v", k)
 	}
 	next := New(settings(nil))
 	list := []Entry{entry(t, last, "a"), entry(t, last, "b:0:1"), entry(t, last, "c:0:0:1s")}
 	next.Listed(last, Whole, list)
-	odd := Knowledge{Tracks: []KnownTrack{{ID: 9, MeanWork: 1, Unit: 1}, {ID: -1}, {ID: 0}}, Kinds: []KnownKind{{ID: 7}, {ID: 0}},
+	odd := Knowledge{Classes: []LearnedClass{{ID: 9, MeanWork: 1, Unit: 1}, {ID: -1}, {ID: 0}}, Kinds: []KnownKind{{ID: 7}, {ID: 0}},
 		Executors: []KnownExecutor{{ID: "nobody", Quota: 3}, {ID: "a"}, {ID: "b", Quota: 3, Runs: -1}, {ID: "c", Quota: 5}}}
 	before := next.Knows(last)
 	next.Learn(last, odd)
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -128,15 +128,15 @@
 	if yes() {
 		s.TellsEvery = time.Second
 	}
-	s.Tracks = nil
+	s.JobClasses = nil
 	for range 1 + r.IntN(3) {
-		t := Track{Repeat: Repeat(r.IntN(3)), Group: Group(r.IntN(3)), GroupWindow: time.Duration(r.IntN(4000)) * time.Millisecond,
+		t := JobClass{Repeat: Repeat(r.IntN(3)), Group: Group(r.IntN(3)), GroupWindow: time.Duration(r.IntN(4000)) * time.Millisecond,
 			Quoted: time.Duration(50+r.IntN(900)) * time.Millisecond, Stretch: float64(r.IntN(3)), OuterLimit: time.Duration(1+r.IntN(8)) * time.Second,
 			Earnings: 1 + 4*r.Float64(), Kind: KindID(r.IntN(3) - 1)}
 		if yes() {
 			t.LateEarnings = r.Float64()
 		}
-		s.Tracks = append(s.Tracks, t)
+		s.JobClasses = append(s.JobClasses, t)
 	}
 	w := &drawn{Dispatcher: New(s), t: t, r: r, seed: seed, kinds: map[ExecutorID]KindID{}, found: map[string]int{}}
 	var entries []Entry
@@ -319,7 +319,7 @@
 	switch what := w.r.IntN(20); {
 	case what < 8:
 		w.jobs++
-		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Track: TrackID(w.r.IntN(len(w.tracks))), Tenant: -1,
+		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Class: JobClassID(w.r.IntN(len(w.tracks))), Tenant: -1,
 			Budget: time.Duration(w.r.IntN(8000)) * time.Millisecond, Again: w.r.IntN(4) == 0}
 		if w.r.IntN(4) > 0 {
 			in.Work = time.Duration(1+w.r.IntN(600)) * time.Millisecond
@@ -476,8 +476,8 @@
 func newSteady(executors int, load, perS float64) *steady {
 	s := base
 	s.LiveWeights = false
-	s.Tracks = slices.Clone(base.Tracks)
-	s.Tracks[1].Kind = AnyKind
+	s.JobClasses = slices.Clone(base.JobClasses)
+	s.JobClasses[1].Kind = AnyKind
 	w := &steady{Dispatcher: New(s), r: rand.New(rand.NewPCG(1, uint64(executors))), paces: map[ExecutorID]float64{}}
 	var entries []Entry
 	for i := range executors {
@@ -528,7 +528,7 @@
 		case 0:
 			w.jobs++
 			id := JobID(fmt.Sprint("j", w.jobs))
-			w.Arrived(w.now, Arrival{Job: id, Track: TrackID(w.jobs % 2), Tenant: -1, Work: w.work(id), Budget: 5 * time.Second})
+			w.Arrived(w.now, Arrival{Job: id, Class: JobClassID(w.jobs % 2), Tenant: -1, Work: w.work(id), Budget: 5 * time.Second})
 			w.push(steadyItem{at: w.now + w.gap})
 		case 1:
 			w.Started(w.now, it.job, it.n)
@@ -579,7 +579,7 @@
 	per := map[int]int{}
 	for _, n := range [...]int{100, 400} {
 		s := base
-		s.Tracks = []Track{{Quoted: 300 * time.Millisecond, Stretch: 1.2, OuterLimit: 60 * time.Second, Earnings: 1, Kind: AnyKind}}
+		s.JobClasses = []JobClass{{Quoted: 300 * time.Millisecond, Stretch: 1.2, OuterLimit: 60 * time.Second, Earnings: 1, Kind: AnyKind}}
 		d, now := New(s), time.Second
 		var entries []Entry
 		for i := range n {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -353,7 +353,7 @@
 // Arrived tells of a batch job that this node has taken. A work of 0 means that no hint came.
 func (d *Dispatcher) Arrived(now time.Duration, in Arrival) {
 	d.turn(now)
-	t := d.tracks[min(max(0, int(in.Track)), len(d.tracks)-1)]
+	t := d.tracks[min(max(0, int(in.Class)), len(d.tracks)-1)]
 	j := &job{id: in.Job, track: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, margin: margin,
 		need: 1, came: now, limitAt: now + in.Budget, spread: d.chance()}
 	if !j.hinted {
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -13,14 +13,14 @@
 		kinds: map[KindID]*kind{}, byID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
 		index: index{until: pile{by: byUntil}}, bySum: map[Sum]*executor{}, kept: map[Sum]*keep{}, mayTell: s.MayTell, mayCopy: s.MayCopy, probes: s.MayProbe, marks: s.MarksAgain,
 		perWork: s.EarnPerWork, overage: s.OverageEarnings, crossPrice: s.CrossZonePrice,
-		wholeWeight: s.WholeWeight, trackWeight: s.TrackWeight,
+		wholeWeight: s.WholeWeight, trackWeight: s.WorstClassWeight,
 		maxAllocations: s.MaxAllocations, mayCancel: s.MayCancel, comeBack: s.MaxComeBack,
 		quantum: s.Quantum, tellsStart: s.TellsStart, tellsEvery: s.TellsEvery, mustAsk: s.MustAsk,
 		liveWeights: s.LiveWeights,
 		coldShare:   s.ColdShare, warmWithin: s.WarmWithin, fallWindow: s.FallWindow,
 	}
-	for i, t := range s.Tracks {
-		d.add(Change{TrackID(i), NoTrack, t})
+	for i, t := range s.JobClasses {
+		d.add(JobClassUpdate{JobClassID(i), NoJobClass, t})
 	}
 	d.derive()
 	d.tick = d.interval
@@ -34,12 +34,12 @@
 }
 
 // add takes up a track as it is from now on, with what is known of the one that it comes from.
-func (d *Dispatcher) add(c Change) {
+func (d *Dispatcher) add(c JobClassUpdate) {
 	t := &track{repeat: c.Repeat, group: c.Group, groupWindow: c.GroupWindow, allocations: cmp.Or(c.Allocations, d.maxAllocations),
 		quoted: c.Quoted, outerLimit: c.OuterLimit, stretch: c.Stretch, earnings: c.Earnings,
-		late: c.LateEarnings, kind: c.Kind, meanWork: cmp.Or(c.Work, firstGuess(c.Track)), unit: c.Earnings}
-	if c.From != NoTrack {
-		from := d.tracks[c.From]
+		late: c.LateEarnings, kind: c.Kind, meanWork: cmp.Or(c.Work, firstGuess(c.JobClass)), unit: c.Earnings}
+	if c.Replaces != NoJobClass {
+		from := d.tracks[c.Replaces]
 		if from.learnt > 0 || from.fullBudget > 0 {
 			t.meanWork, t.learnt = from.meanWork, from.learnt
 		}
@@ -67,9 +67,9 @@
 	d.lookAfter = max(d.shortestQuoted/8, d.quantum)
 }
 
-// Retuned tells what the tracks are from now on. Numbers that are new go on from the last. Rule 4's parts stay as they
+// UpdateJobClasses tells what the tracks are from now on. Numbers that are new go on from the last. Rule 4's parts stay as they
 // are: other nodes may still reckon with the figures before.
-func (d *Dispatcher) Retuned(now time.Duration, tracks []Change) {
+func (d *Dispatcher) UpdateJobClasses(now time.Duration, tracks []JobClassUpdate) {
 	d.current = nil
 	for _, c := range tracks {
 		if int(c.ID) < len(d.tracks) {
@@ -86,7 +86,7 @@
 
 // firstGuess is a track's mean work as long as nothing is known of it. Guards against a guess as long as the quoted time where that does not grow with
 // the work: no executor could be in time for it, all would be pushed back, and nothing ever learned.
-func firstGuess(t Track) time.Duration {
+func firstGuess(t JobClass) time.Duration {
 	if t.Stretch == 0 {
 		return t.Quoted / 2
 	}
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -38,7 +38,7 @@
 	Seed: 7, Nodes: 1, WholeWeight: 1, MaxAllocations: 3, MayCancel: true, MaxComeBack: 2 * time.Second,
 	Quantum: time.Millisecond, AskWithin: 8 * time.Second, ColdShare: 0.25, WarmWithin: 8 * time.Second,
 	FallMultiple: 4, FallWindow: time.Second, TellsStart: true, OverageEarnings: 0.1, EarnPerWork: true,
-	Tracks: []Track{
+	JobClasses: []JobClass{
 		{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second, Earnings: 1, Kind: AnyKind,
 			GroupWindow: 2 * time.Second},
 		{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second, Earnings: 4, Kind: 1},
@@ -47,10 +47,10 @@
 
 func settings(words []string) Settings {
 	s := base
-	s.Tracks = append([]Track(nil), base.Tracks...)
-	first := &s.Tracks[0]
+	s.JobClasses = append([]JobClass(nil), base.JobClasses...)
+	first := &s.JobClasses[0]
 	change := map[string]func(){
-		"once":     func() { first.Repeat, s.Tracks[1].Repeat = OnceOnly, OnceOnly },
+		"once":     func() { first.Repeat, s.JobClasses[1].Repeat = OnceOnly, OnceOnly },
 		"tagged":   func() { first.Repeat = Tagged },
 		"zone":     func() { first.Group = GroupZone },
 		"cell":     func() { first.Group = GroupCell },
@@ -211,7 +211,7 @@
 		track, _ := strconv.Atoi(args["track"])
 		tenant, _ := strconv.Atoi(args["tenant"])
 		work, budget := kept.Span(p.t, args["work"]), kept.Span(p.t, args["budget"])
-		p.d.Arrived(now, Arrival{id, TrackID(track), TenantID(tenant), work, budget, args["again"] != ""})
+		p.d.Arrived(now, Arrival{id, JobClassID(track), TenantID(tenant), work, budget, args["again"] != ""})
 	case "started":
 		p.d.Started(now, id, n)
 	case "progress":
--- a/policy/types.go
+++ b/policy/types.go
@@ -12,7 +12,7 @@
 	AllocationID int
 	NodeID       int
 	Sum          uint32 // an executor as nodes name it among each other
-	TrackID      int
+	JobClassID   int
 	TenantID     int
 	ZoneID       int
 	KindID       int
@@ -61,8 +61,8 @@
 // NeverRan says whether an outcome proves that the allocation never ran.
 func (o Outcome) NeverRan() bool { return o == NoRoom || o == NoRoute || o == NotSent }
 
-// Track is a kind of batch job with its own handling.
-type Track struct {
+// JobClass is a kind of batch job with its own handling.
+type JobClass struct {
 	Repeat       Repeat
 	Group        Group
 	GroupWindow  time.Duration
@@ -76,34 +76,34 @@
 	Kind         KindID
 }
 
-// Change is a track as it is from now on. One that differs from what bore its name gets a number of its own: a number
+// JobClassUpdate is a track as it is from now on. One that differs from what bore its name gets a number of its own: a number
 // once used never means anything else, and batch jobs in hand keep theirs.
-type Change struct {
-	ID   TrackID
-	From TrackID // what was learnt of that one holds here too; NoTrack for none
-	Track
+type JobClassUpdate struct {
+	ID       JobClassID
+	Replaces JobClassID // what was learnt of that one holds here too; NoTrack for none
+	JobClass
 }
 
-// NoTrack is the number of none.
-const NoTrack TrackID = -1
+// NoJobClass is the number of none.
+const NoJobClass JobClassID = -1
 
 // Tenant is a customer with a share for all nodes together.
 type Tenant struct{ QuotaPerS float64 }
 
 // Settings is what an instance is handed at its start.
 type Settings struct {
-	Seed   uint32
-	Node   int // this node's number
-	Nodes  int
-	Zone   ZoneID
-	Tracks []Track
-	Tenant []Tenant
-
-	EarnPerWork     bool
-	OverageEarnings float64
-	CrossZonePrice  float64
-	WholeWeight     float64 // of earnings over the whole day and over its worst stretch
-	TrackWeight     float64 // of the track that fares worst
+	Seed       uint32
+	Node       int // this node's number
+	Nodes      int
+	Zone       ZoneID
+	JobClasses []JobClass
+	Tenant     []Tenant
+
+	EarnPerWork      bool
+	OverageEarnings  float64
+	CrossZonePrice   float64
+	WholeWeight      float64 // of earnings over the whole day and over its worst stretch
+	WorstClassWeight float64 // of the track that fares worst
 
 	MaxAllocations int
 	MayCancel      bool
@@ -128,7 +128,7 @@
 // Arrival is a batch job as it came.
 type Arrival struct {
 	Job    JobID
-	Track  TrackID
+	Class  JobClassID
 	Tenant TenantID
 	Work   time.Duration // a guess, as time on a standard core; 0 for none
 	Budget time.Duration // how long the client waits
