--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -328,7 +328,7 @@
 			n.brain.Reported(policy.ExecutorID(executor), load)
 		}
 		job := policy.JobID(id)
-		n.carryOut(job, n.brain.Ended(now, job, policy.AllocationID(shot), how, settled == 1))
+		n.carryOut(job, n.brain.Ended(now, job, policy.AttemptID(shot), how, settled == 1))
 	})
 	return nil
 }
@@ -402,9 +402,9 @@
 	n.guard(func() {
 		switch what {
 		case 1:
-			n.brain.Started(now, policy.JobID(id), policy.AllocationID(shot))
+			n.brain.Started(now, policy.JobID(id), policy.AttemptID(shot))
 		case 2:
-			n.brain.Progressed(now, policy.JobID(id), policy.AllocationID(shot), level)
+			n.brain.Progressed(now, policy.JobID(id), policy.AttemptID(shot), level)
 		}
 	})
 	return nil
@@ -418,10 +418,10 @@
 		switch due.Task {
 		case policy.PlaceJob:
 			n.carryOut(due.Job, n.brain.Place(now, due.Job))
-		case policy.StopJob:
+		case policy.CancelAttempt:
 			n.say("STOP_ATTEMPT", "id", string(due.Job))
 			n.out = append(n.out, " shot="...)
-			n.out = strconv.AppendInt(n.out, int64(due.Allocation), 10)
+			n.out = strconv.AppendInt(n.out, int64(due.Attempt), 10)
 			n.out = append(n.out, '\n')
 		case policy.Subscribe:
 			n.say("WATCH", "enable", "1")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -225,7 +225,7 @@
 	other.Settings.Policy.Seed = c.Settings.Policy.Seed
 	// The tracks are taken up at once.
 	other.Settings.Tracks, other.Settings.Policy.JobClasses = c.Settings.Tracks, c.Settings.Policy.JobClasses
-	other.Settings.Policy.MaxAllocations = c.Settings.Policy.MaxAllocations
+	other.Settings.Policy.MaxAttempts = c.Settings.Policy.MaxAttempts
 	probe := other.Settings.Probe
 	other.Settings.Probe = c.Settings.Probe
 	for _, k := range [...]struct {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -191,7 +191,7 @@
 		EarnPerWork: w.PerWork == "work", OverageEarnings: w.Overage, CrossZonePrice: w.Prices.CrossZone,
 		WholeWeight:      w.ScoreParts["whole"] + w.ScoreParts["worst-window"],
 		WorstClassWeight: w.ScoreParts["worst-class"],
-		MaxAllocations:   w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayTell: w.Caps.Peers,
+		MaxAttempts:      w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayTell: w.Caps.Peers,
 		MayCopy: w.Caps.Copies, MayProbe: w.Caps.Probes && w.Report.How == "on_probe", MarksAgain: w.Clients.MarksRetry,
 		ColdShare: w.Rules.ColdShare, WarmWithin: Seconds(w.Rules.WarmWithin),
 		FallMultiple: w.Rules.FallMultiple, FallWindow: Seconds(w.Rules.FallS),
@@ -211,7 +211,7 @@
 		if err != nil {
 			return s, err
 		}
-		track.Allocations = w.Caps.Allocations
+		track.MaxAttempts = w.Caps.Allocations
 		if i < len(w.Domain.Kind) {
 			track.Kind = policy.KindID(w.Domain.Kind[i])
 		}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -84,7 +84,7 @@
 type pending struct {
 	id    leases.ID
 	epoch leases.Epoch
-	alloc node.Allocation
+	alloc node.Attempt
 }
 
 // Twin begins the name of a track's twin for durable batch jobs.
@@ -513,7 +513,7 @@
 }
 
 // Write lets an allocation of a durable batch job out once its record stands on the disk.
-func (s *executorsSide) Write(c node.ConnID, a node.Allocation) {
+func (s *executorsSide) Write(c node.ConnID, a node.Attempt) {
 	d := (*Durable)(s)
 	id, ok := strings.CutPrefix(string(a.ID), prefix)
 	if !ok {
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -148,7 +148,7 @@
 		return func() {}, func() {}
 	}
 	start := time.Now()
-	base := policy.Settings{Seed: uint32(w.life), Nodes: 1, Zone: 0, WholeWeight: 1, MaxAllocations: 6, MayCancel: true, MaxComeBack: time.Second,
+	base := policy.Settings{Seed: uint32(w.life), Nodes: 1, Zone: 0, WholeWeight: 1, MaxAttempts: 6, MayCancel: true, MaxComeBack: time.Second,
 		Quantum: time.Millisecond, TellsStart: true, ColdShare: 1, FallMultiple: 4, FallWindow: time.Second, JobClasses: tracks}
 	dial := func(ctx context.Context, id node.ConnID, to string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
--- a/internal/executors/codec.go
+++ b/internal/executors/codec.go
@@ -14,7 +14,7 @@
 // The protocol's words; none of them goes beyond this file.
 
 // encode writes an allocation as it goes over the wire.
-func encode(a node.Allocation) []byte {
+func encode(a node.Attempt) []byte {
 	b := make([]byte, 0, 320+len(a.URI)+len(a.Body))
 	b = append(b, a.Method...)
 	b = append(b, ' ')
--- a/internal/executors/crossings_test.go
+++ b/internal/executors/crossings_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func onceOnly(id string) node.Allocation {
+func onceOnly(id string) node.Attempt {
 	a := call(id)
 	a.Once = true
 	return a
@@ -211,7 +211,7 @@
 // on one at rest: no byte of it goes out, and the same connection carries the next one. Where the executor has closed it
 // meanwhile, it is given back.
 func TestClientGoneAtWrite(t *testing.T) {
-	left := func(id string, look func()) node.Allocation {
+	left := func(id string, look func()) node.Attempt {
 		a := onceOnly(id)
 		a.Client = caller{true, look}
 		return a
--- a/internal/executors/executors.go
+++ b/internal/executors/executors.go
@@ -50,7 +50,7 @@
 }
 
 // Write sends an allocation in the background.
-func (p *Pool) Write(id node.ConnID, a node.Allocation) {
+func (p *Pool) Write(id node.ConnID, a node.Attempt) {
 	if l := p.link(id); l != nil && l.begin(a) {
 		go l.write(a)
 	}
--- a/internal/executors/executors_test.go
+++ b/internal/executors/executors_test.go
@@ -155,8 +155,8 @@
 	p.out.WriteString("  " + line + "\n")
 }
 
-func call(id string) node.Allocation {
-	return node.Allocation{Budget: 1500 * time.Millisecond, Call: &node.Call{ID: policy.JobID(id), Method: "POST",
+func call(id string) node.Attempt {
+	return node.Attempt{Budget: 1500 * time.Millisecond, Call: &node.Call{ID: policy.JobID(id), Method: "POST",
 		URI: "/api/a%20b?c=d&e", Host: "backend.local", Tag: "tag-1", ContentType: "text/plain", Body: []byte("body")}}
 }
 
--- a/internal/executors/link.go
+++ b/internal/executors/link.go
@@ -53,7 +53,7 @@
 }
 
 // begin claims the connection for an allocation, unless it is closed already.
-func (l *link) begin(a node.Allocation) bool {
+func (l *link) begin(a node.Attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || l.conn == nil || l.carries != "" {
@@ -65,7 +65,7 @@
 
 // write sends an attempt, after a last look at both ends. The decision may be old by now, through a dial that came up late, a
 // loop that was late or a process that stood still.
-func (l *link) write(a node.Allocation) {
+func (l *link) write(a node.Attempt) {
 	text := encode(a)
 	disturbed := l.disturbed()
 	gone := a.Client != nil && a.Client.Gone() // the last thing before the first byte
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -105,7 +105,7 @@
 	if j == nil || j.out {
 		return policy.Decision{}
 	}
-	if now >= j.limit-b.settings.Quantum || j.sent >= b.settings.MaxAllocations || j.ran && j.track.Repeat != policy.Repeatable {
+	if now >= j.limit-b.settings.Quantum || j.sent >= b.settings.MaxAttempts || j.ran && j.track.Repeat != policy.Repeatable {
 		delete(b.jobs, id)
 		if j.ran && j.track.Repeat != policy.Repeatable {
 			return policy.Decision{Act: policy.BreakOff}
@@ -125,7 +125,7 @@
 	return policy.Decision{Act: policy.Send, Executor: to}
 }
 
-func (b *baseline) Ended(now time.Duration, id policy.JobID, _ policy.AllocationID, how policy.Outcome, final bool) policy.Decision {
+func (b *baseline) Ended(now time.Duration, id policy.JobID, _ policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
 	j := b.jobs[id]
 	if j == nil {
 		return policy.Decision{}
@@ -229,16 +229,16 @@
 
 // What a baseline has no use for.
 
-func (b *baseline) Started(time.Duration, policy.JobID, policy.AllocationID)             {}
-func (b *baseline) Progressed(time.Duration, policy.JobID, policy.AllocationID, float64) {}
-func (b *baseline) Reported(policy.ExecutorID, policy.Load)                              {}
-func (b *baseline) Probed(time.Duration, policy.ExecutorID, bool, policy.Load)           {}
-func (b *baseline) Closing(time.Duration, time.Duration)                                 {}
-func (b *baseline) Avoided(time.Duration) int                                            { return 0 }
-func (b *baseline) ColdFrom(time.Duration, time.Duration)                                {}
-func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)              {}
-func (b *baseline) Knows(time.Duration) policy.Knowledge                                 { return policy.Knowledge{} }
-func (b *baseline) Learn(time.Duration, policy.Knowledge)                                {}
-func (b *baseline) Heard(time.Duration, policy.NodeID, policy.Word, policy.Sum)          {}
-func (b *baseline) Tally(time.Duration) policy.Tally                                     { return policy.Tally{} }
-func (b *baseline) Cut(policy.CutLine)                                                   {}
+func (b *baseline) Started(time.Duration, policy.JobID, policy.AttemptID)             {}
+func (b *baseline) Progressed(time.Duration, policy.JobID, policy.AttemptID, float64) {}
+func (b *baseline) Reported(policy.ExecutorID, policy.Load)                           {}
+func (b *baseline) Probed(time.Duration, policy.ExecutorID, bool, policy.Load)        {}
+func (b *baseline) Closing(time.Duration, time.Duration)                              {}
+func (b *baseline) Avoided(time.Duration) int                                         { return 0 }
+func (b *baseline) ColdFrom(time.Duration, time.Duration)                             {}
+func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)           {}
+func (b *baseline) Knows(time.Duration) policy.Knowledge                              { return policy.Knowledge{} }
+func (b *baseline) Learn(time.Duration, policy.Knowledge)                             {}
+func (b *baseline) Heard(time.Duration, policy.NodeID, policy.Word, policy.Sum)       {}
+func (b *baseline) Tally(time.Duration) policy.Tally                                  { return policy.Tally{} }
+func (b *baseline) Cut(policy.CutLine)                                                {}
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -102,7 +102,7 @@
 	executors []*executor
 }
 
-func (m *stubborn) Ended(now time.Duration, id policy.JobID, a policy.AllocationID, how policy.Outcome, final bool) policy.Decision {
+func (m *stubborn) Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
 	d := m.Module.Ended(now, id, a, how, final)
 	if d.Act != policy.BreakOff {
 		return d
@@ -187,7 +187,7 @@
 			if a.Final == node.Handled && t != nil && w.module[t.work.Track].Repeat == policy.Repeatable {
 				for _, c := range sortedByID(n.wires) {
 					if c.state == up && c.load == nil && !c.x.Cold(w.now) && c.x.down == 0 {
-						return []node.Effect{a, node.Write{Conn: c.id, Allocation: node.Allocation{Call: &node.Call{ID: a.Job}}}}
+						return []node.Effect{a, node.WriteAttempt{Conn: c.id, Attempt: node.Attempt{Call: &node.Call{ID: a.Job}}}}
 					}
 				}
 			}
--- a/internal/lab/net.go
+++ b/internal/lab/net.go
@@ -135,7 +135,7 @@
 type load struct {
 	try    *try
 	x      *executor
-	number policy.AllocationID
+	number policy.AttemptID
 	path   *attempt
 	all    bool // its last byte has left the node
 	ended  bool // the node is told, or about to be told, that it is over
@@ -144,7 +144,7 @@
 // sends books that an allocation of a try goes out.
 func (n *sim) sends(t *try, x *executor) *load {
 	w := n.w
-	l := &load{try: t, x: x, number: policy.AllocationID(t.sent), path: w.account.sent(t, x)}
+	l := &load{try: t, x: x, number: policy.AttemptID(t.sent), path: w.account.sent(t, x)}
 	t.sent++
 	t.sentAt = w.now
 	if t.out++; t.out > 1 {
@@ -330,16 +330,16 @@
 	})
 }
 
-func (n *sim) write(e node.Write) {
+func (n *sim) write(e node.WriteAttempt) {
 	w, c := n.w, n.wires[e.Conn]
 	if c == nil || c.state != up || c.load != nil {
 		return // it is closed already, and the node about to be told
 	}
-	t := n.tries[e.Allocation.ID]
+	t := n.tries[e.Attempt.ID]
 	if t == nil {
 		return
 	}
-	if client := e.Allocation.Client; client != nil && client.Gone() {
+	if client := e.Attempt.Client; client != nil && client.Gone() {
 		c.tellLater(epsilon, node.Unsent{Conn: c.id})
 		return
 	}
@@ -349,7 +349,7 @@
 	if c.uses == 1 {
 		l.path.dialled, l.path.up = c.dialled, c.upAt
 	}
-	writing := epsilon + time.Duration(len(e.Allocation.Body))*bytesPerSecond
+	writing := epsilon + time.Duration(len(e.Attempt.Body))*bytesPerSecond
 	if c.breaks {
 		c.breaks = false
 		c.breakAt(time.Duration(w.rand.Int64N(int64(3 * writing))))
--- a/internal/lab/wired.go
+++ b/internal/lab/wired.go
@@ -537,8 +537,8 @@
 		if x := w.byAddr[e.Addr]; x != nil {
 			n.dials[e.Conn] = x
 		}
-	case node.Write:
-		t, x := l.v.tries[e.Allocation.ID], n.dials[e.Conn]
+	case node.WriteAttempt:
+		t, x := l.v.tries[e.Attempt.ID], n.dials[e.Conn]
 		if t == nil || x == nil {
 			return
 		}
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -352,7 +352,7 @@
 func (n *sim) settings() (policy.Settings, node.Limits) {
 	f := &n.w.s.Fleet
 	p := policy.Settings{Seed: uint32(mix(n.w.seed + uint64(n.id)<<20 + uint64(n.run))), Node: int(n.id), Nodes: f.Nodes, Zone: n.zone,
-		EarnPerWork: f.PerWork, CrossZonePrice: f.CrossPrice, WholeWeight: 0.8, WorstClassWeight: 0.2, MaxAllocations: f.Allocations,
+		EarnPerWork: f.PerWork, CrossZonePrice: f.CrossPrice, WholeWeight: 0.8, WorstClassWeight: 0.2, MaxAttempts: f.Allocations,
 		MayCancel: true, MaxComeBack: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LiveWeights: f.WeightsEvery > 0,
 		ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
 		FallWindow: time.Duration(f.FallWindow), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery),
@@ -432,7 +432,7 @@
 	return m.gaveUp(id, m.Module.Place(now, id))
 }
 
-func (m *witness) Ended(now time.Duration, id policy.JobID, a policy.AllocationID, how policy.Outcome, final bool) policy.Decision {
+func (m *witness) Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
 	if t := m.n.tries[id]; how == policy.Handled && t != nil {
 		m.n.pace.did(m.n.w.now, cmp.Or(t.work.Hint, m.n.w.tracks[t.work.Track].Mean))
 	}
@@ -484,7 +484,7 @@
 		n.answer(e)
 	case node.Dial:
 		n.dial(e)
-	case node.Write:
+	case node.WriteAttempt:
 		n.write(e)
 	case node.Close:
 		n.close(e.Conn)
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -36,7 +36,7 @@
 	to      *executor
 	state   connState
 	job     *job // whose allocation it carries, or is to carry once it is up
-	number  policy.AllocationID
+	number  policy.AttemptID
 	start   int            // the start of its executor that the module meant
 	moves   int            // the address that it leads to
 	given   bool           // this node has stopped waiting for that allocation
@@ -62,7 +62,7 @@
 
 // send puts an allocation on its way.
 func (n *Node) send(j *job, id policy.ExecutorID) {
-	number := policy.AllocationID(j.sent)
+	number := policy.AttemptID(j.sent)
 	j.sent++
 	if e := n.executors[id]; e == nil || !n.place(j, number, e, n.now) {
 		n.over(j, number, policy.NotSent)
@@ -70,7 +70,7 @@
 }
 
 // place finds a connection for an allocation that was decided on then: the one that has rested least, or a new one.
-func (n *Node) place(j *job, number policy.AllocationID, e *executor, decided time.Duration) bool {
+func (n *Node) place(j *job, number policy.AttemptID, e *executor, decided time.Duration) bool {
 	if !e.up {
 		return false
 	}
@@ -153,8 +153,8 @@
 
 func (n *Node) write(c *conn) {
 	c.state, c.heard, c.wroteAt = busy, false, n.now
-	n.figures.Allocations++ // taken back if its last byte never leaves
-	n.say(Write{c.id, Allocation{Call: &c.job.Call, Budget: max(c.job.limitAt-n.now, time.Millisecond),
+	n.figures.Attempts++ // taken back if its last byte never leaves
+	n.say(WriteAttempt{c.id, Attempt{Call: &c.job.Call, Budget: max(c.job.limitAt-n.now, time.Millisecond),
 		Once: n.repeats[c.job.Class] != policy.Repeatable, Client: c.job.Client}})
 }
 
@@ -248,7 +248,7 @@
 	c.state = spent
 	j, how := n.unlink(c), ev.Outcome
 	if ev.Broken && how == policy.NoRoute {
-		n.figures.Allocations--
+		n.figures.Attempts--
 	}
 	switch {
 	case how == policy.Handled:
@@ -281,7 +281,7 @@
 	if c == nil || c.state != busy {
 		return
 	}
-	n.figures.Allocations--
+	n.figures.Attempts--
 	j := n.unlink(c)
 	if c.state = spent; !c.given { // else it is being closed
 		n.rest(c)
@@ -311,7 +311,7 @@
 		}
 	}
 	if c.state == busy { // its end never came: nothing was written
-		n.figures.Allocations--
+		n.figures.Attempts--
 	}
 	c.state = spent
 	j := n.unlink(c)
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -67,8 +67,8 @@
 	Known bool
 }
 
-// Allocation is one sending of a batch job.
-type Allocation struct {
+// Attempt is one sending of a batch job.
+type Attempt struct {
 	*Call
 	Budget time.Duration // how long this node waits for it
 	Once   bool          // it must not run again unless it provably never ran
@@ -225,10 +225,10 @@
 		Conn ConnID
 		Addr string
 	}
-	// Write sends an allocation on a connection that rests or has just come up.
-	Write struct {
-		Conn       ConnID
-		Allocation Allocation
+	// WriteAttempt sends an allocation on a connection that rests or has just come up.
+	WriteAttempt struct {
+		Conn    ConnID
+		Attempt Attempt
 	}
 	// Probe asks an executor for its load, on a connection of its own. One Probed event answers it.
 	Probe struct {
@@ -289,7 +289,7 @@
 
 func (Answer) effect()           {}
 func (Dial) effect()             {}
-func (Write) effect()            {}
+func (WriteAttempt) effect()     {}
 func (Close) effect()            {}
 func (Probe) effect()            {}
 func (Watch) effect()            {}
--- a/internal/node/hand.go
+++ b/internal/node/hand.go
@@ -27,13 +27,13 @@
 
 // Figures are what a node has done since its start, and what it holds.
 type Figures struct {
-	Classes     []ClassMetrics // in the order in which the tracks came
-	Allocations int            // whose last byte was written
-	InFlight    int            // batch jobs that are owed an answer
-	Known       int            // executors on the list
-	Avoided     int            // those of them that get nothing new, by hand, by the list or by choice
-	Taken       int            // configurations that were read again and taken
-	TurnedDown  int            // and those that were not
+	Classes    []ClassMetrics // in the order in which the tracks came
+	Attempts   int            // whose last byte was written
+	InFlight   int            // batch jobs that are owed an answer
+	Known      int            // executors on the list
+	Avoided    int            // those of them that get nothing new, by hand, by the list or by choice
+	Taken      int            // configurations that were read again and taken
+	TurnedDown int            // and those that were not
 }
 
 // ClassMetrics are the final answers to batch jobs of one track.
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -42,14 +42,14 @@
 type Module interface {
 	Listed(now time.Duration, what policy.ListKind, entries []policy.Entry)
 	Arrived(now time.Duration, in policy.Arrival)
-	Started(now time.Duration, id policy.JobID, a policy.AllocationID)
-	Progressed(now time.Duration, id policy.JobID, a policy.AllocationID, share float64)
+	Started(now time.Duration, id policy.JobID, a policy.AttemptID)
+	Progressed(now time.Duration, id policy.JobID, a policy.AttemptID, share float64)
 	Reported(id policy.ExecutorID, load policy.Load)
 	Probed(now time.Duration, id policy.ExecutorID, answered bool, load policy.Load)
 	Left(now time.Duration, id policy.JobID)
 	Closing(now, by time.Duration)
 	Place(now time.Duration, id policy.JobID) policy.Decision
-	Ended(now time.Duration, id policy.JobID, a policy.AllocationID, how policy.Outcome, final bool) policy.Decision
+	Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision
 	Wait(now time.Duration) policy.Due
 	Avoided(now time.Duration) int
 	ColdFrom(now, at time.Duration)
@@ -286,7 +286,7 @@
 }
 
 // over tells the module of an allocation's end and does what follows.
-func (n *Node) over(j *job, a policy.AllocationID, how policy.Outcome) {
+func (n *Node) over(j *job, a policy.AttemptID, how policy.Outcome) {
 	n.drop(j)
 	n.deciding = j
 	n.carryOut(j, n.brain.Ended(n.now, j.ID, a, how, j.answered))
@@ -322,9 +322,9 @@
 			} else {
 				n.brain.Left(n.now, due.Job)
 			}
-		case policy.StopJob:
+		case policy.CancelAttempt:
 			if j := n.jobs[due.Job]; j != nil {
-				if i := slices.IndexFunc(j.conns, func(c *conn) bool { return c.number == due.Allocation }); i >= 0 {
+				if i := slices.IndexFunc(j.conns, func(c *conn) bool { return c.number == due.Attempt }); i >= 0 {
 					n.giveUp(j.conns[i], policy.CalledOff)
 				}
 			}
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -46,7 +46,7 @@
 func (c caller) Gone() bool { panic("the reducer looked at the connection of " + c) }
 
 func settings(words []string) (*policy.Dispatcher, Limits) {
-	s := policy.Settings{Seed: 7, Nodes: 1, WholeWeight: 1, MaxAllocations: 3, MayCancel: true,
+	s := policy.Settings{Seed: 7, Nodes: 1, WholeWeight: 1, MaxAttempts: 3, MayCancel: true,
 		MaxComeBack: 2 * time.Second, Quantum: time.Millisecond, TellsStart: true, EarnPerWork: true,
 		ColdShare: 1, FallMultiple: 4, FallWindow: time.Second,
 		JobClasses: []policy.JobClass{{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
@@ -201,12 +201,12 @@
 				continue
 			}
 			t := p.n.tracks[0].JobClass.JobClass
-			t.Repeat, t.Allocations = policy.Repeatable, 0
+			t.Repeat, t.MaxAttempts = policy.Repeatable, 0
 			switch rule {
 			case "once":
 				t.Repeat = policy.OnceOnly
 			case "1", "2":
-				t.Allocations, _ = strconv.Atoi(rule)
+				t.MaxAttempts, _ = strconv.Atoi(rule)
 			}
 			r.Classes = append(r.Classes, JobClass{name, t})
 		}
@@ -282,8 +282,8 @@
 			}
 		case Dial:
 			line = fmt.Sprintf("dial %d to %s", e.Conn, e.Addr)
-		case Write:
-			line = fmt.Sprintf("write %s on %d, %v left", e.Allocation.ID, e.Conn, e.Allocation.Budget)
+		case WriteAttempt:
+			line = fmt.Sprintf("write %s on %d, %v left", e.Attempt.ID, e.Conn, e.Attempt.Budget)
 		case Close:
 			line = fmt.Sprintf("close %d", e.Conn)
 		case Probe:
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -23,7 +23,7 @@
 // Executors holds the connections to executors.
 type Executors interface {
 	Dial(ConnID, string)
-	Write(ConnID, Allocation)
+	Write(ConnID, Attempt)
 	Close(ConnID)
 	Probe(id policy.ExecutorID, addr string)
 }
@@ -131,8 +131,8 @@
 				to.Clients.Ready(e.Yes)
 			case Dial:
 				to.Executors.Dial(e.Conn, e.Addr)
-			case Write:
-				to.Executors.Write(e.Conn, e.Allocation)
+			case WriteAttempt:
+				to.Executors.Write(e.Conn, e.Attempt)
 			case Close:
 				to.Executors.Close(e.Conn)
 			case Probe:
--- a/internal/operators/codec.go
+++ b/internal/operators/codec.go
@@ -71,7 +71,7 @@
 		figure("requests."+t.Name+".refused", t.PushedBack)
 		figure("requests."+t.Name+".failed", t.BrokenOff)
 	}
-	figure("attempts", f.Allocations)
+	figure("attempts", f.Attempts)
 	figure("in_flight", f.InFlight)
 	figure("executors_known", f.Known)
 	figure("executors_excluded", f.Avoided)
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -106,7 +106,7 @@
 }
 
 type sent struct {
-	number   policy.AllocationID
+	number   policy.AttemptID
 	executor policy.ExecutorID
 	zone     policy.ZoneID
 	cell     policy.CellID
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -30,11 +30,11 @@
 	return at(0, Taken, func(s *Seen) { s.Track, s.Limit = track, 10000*ms })
 }
 
-func sentTo(t time.Duration, n policy.AllocationID, e policy.ExecutorID, zone policy.ZoneID) Seen {
+func sentTo(t time.Duration, n policy.AttemptID, e policy.ExecutorID, zone policy.ZoneID) Seen {
 	return at(t, FirstByte, func(s *Seen) { s.Allocation, s.Executor, s.Zone, s.Cell = n, e, zone, policy.CellID(zone) })
 }
 
-func over(t time.Duration, n policy.AllocationID, proof bool) Seen {
+func over(t time.Duration, n policy.AttemptID, proof bool) Seen {
 	return at(t, Over, func(s *Seen) { s.Allocation, s.Proof = n, proof })
 }
 
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -36,7 +36,7 @@
 
 type moduleOut struct {
 	id policy.JobID
-	n  policy.AllocationID
+	n  policy.AttemptID
 }
 
 type moduleEnd struct {
@@ -60,7 +60,7 @@
 func (m *moduleJob) budget() time.Duration { return max(5*time.Second, 5*m.Work) }
 
 func (m *moduleJob) settings() policy.Settings {
-	s := policy.Settings{Seed: 7, Nodes: m.Of, WholeWeight: 1, MaxAllocations: 3, MayCancel: true, MaxComeBack: 2 * time.Second, Quantum: 4 * time.Millisecond,
+	s := policy.Settings{Seed: 7, Nodes: m.Of, WholeWeight: 1, MaxAttempts: 3, MayCancel: true, MaxComeBack: 2 * time.Second, Quantum: 4 * time.Millisecond,
 		EarnPerWork: true, ColdShare: 0.3, WarmWithin: 9 * time.Second, FallMultiple: 4, FallWindow: 1500 * time.Millisecond, TellsStart: true,
 		JobClasses: []policy.JobClass{{Quoted: max(time.Second, 3*m.Work), OuterLimit: m.budget(), Earnings: 2}}}
 	for range m.Tenants {
@@ -75,7 +75,7 @@
 	d        *policy.Dispatcher
 	now      time.Duration
 	ends     moduleEnds
-	sent     map[policy.JobID]policy.AllocationID
+	sent     map[policy.JobID]policy.AttemptID
 	out      map[moduleOut]policy.ExecutorID
 	running  map[policy.ExecutorID]int
 	starts   int
@@ -86,7 +86,7 @@
 
 func (m *moduleJob) play() (f moduleFigures) {
 	before := heapNow()
-	p := &player{m: m, d: policy.New(m.settings()), sent: map[policy.JobID]policy.AllocationID{}, running: map[policy.ExecutorID]int{}, out: map[moduleOut]policy.ExecutorID{}}
+	p := &player{m: m, d: policy.New(m.settings()), sent: map[policy.JobID]policy.AttemptID{}, running: map[policy.ExecutorID]int{}, out: map[moduleOut]policy.ExecutorID{}}
 	var entries []policy.Entry
 	for i := range m.Executors {
 		entries = append(entries, policy.Entry{Executor: executorID(i), Zone: policy.ZoneID(i % 4), Cell: policy.CellID(i / 40), Weight: float64(places(i)), LongAgo: true})
@@ -156,8 +156,8 @@
 		switch due := p.d.Wait(p.now); due.Task {
 		case policy.PlaceJob:
 			p.does(due.Job, p.d.Place(p.now, due.Job))
-		case policy.StopJob:
-			p.end(due.Job, due.Allocation, policy.CalledOff)
+		case policy.CancelAttempt:
+			p.end(due.Job, due.Attempt, policy.CalledOff)
 		case policy.Sleep:
 			p.next = max(due.At, p.now+1)
 			return
@@ -183,7 +183,7 @@
 }
 
 // end ends an allocation, unless it has ended before.
-func (p *player) end(id policy.JobID, n policy.AllocationID, how policy.Outcome) {
+func (p *player) end(id policy.JobID, n policy.AttemptID, how policy.Outcome) {
 	out := moduleOut{id, n}
 	on, is := p.out[out]
 	if !is {
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -85,7 +85,7 @@
 				return tcp.DialContext(ctx, "tcp", addr)
 			},
 			Tap: func(_ time.Duration, ev node.Event, effects []node.Effect) {
-				if slices.ContainsFunc(effects, func(e node.Effect) bool { _, ok := e.(node.Write); return ok }) {
+				if slices.ContainsFunc(effects, func(e node.Effect) bool { _, ok := e.(node.WriteAttempt); return ok }) {
 					if l := w.late.Swap(nil); l != nil {
 						close(l.reached)
 						<-l.goOn
@@ -104,7 +104,7 @@
 					w.unsent++
 				}
 				for _, e := range effects {
-					if _, ok := e.(node.Write); ok {
+					if _, ok := e.(node.WriteAttempt); ok {
 						w.writes++
 					}
 				}
--- a/policy/books.go
+++ b/policy/books.go
@@ -212,7 +212,7 @@
 }
 
 // out is a batch job's allocation n, if it is out now.
-func (d *Dispatcher) out(id JobID, n AllocationID) *shot {
+func (d *Dispatcher) out(id JobID, n AttemptID) *shot {
 	if j := d.jobs[id]; j != nil {
 		for _, s := range j.out {
 			if s.n == n {
@@ -247,7 +247,7 @@
 	if len(e.out) == 0 {
 		e.news = now
 	}
-	s := &shot{job: j, n: AllocationID(j.sent), on: e, zone: e.zone, cell: e.cell, sentAt: now}
+	s := &shot{job: j, n: AttemptID(j.sent), on: e, zone: e.zone, cell: e.cell, sentAt: now}
 	d.take(e, s)
 	if now < e.coldUntil {
 		e.colds = append(e.colds, spend{now, j.coldWork()})
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -283,8 +283,8 @@
 		switch due.Task {
 		case PlaceJob:
 			w.Place(w.now, due.Job)
-		case StopJob:
-			w.Ended(w.now, due.Job, due.Allocation, [...]Outcome{CalledOff, NotSent, Handled}[w.r.IntN(3)], false)
+		case CancelAttempt:
+			w.Ended(w.now, due.Job, due.Attempt, [...]Outcome{CalledOff, NotSent, Handled}[w.r.IntN(3)], false)
 		case Tell:
 			if w.r.IntN(3) > 0 {
 				w.Heard(w.now, due.Node, [...]Word{Lend, Lend, Later}[w.r.IntN(3)], due.Sum)
@@ -454,7 +454,7 @@
 	order int
 	what  int // 0: a batch job comes; 1: one has begun; 2: one is done; 3: what is due
 	job   JobID
-	n     AllocationID
+	n     AttemptID
 }
 
 type steadyHeap []steadyItem
@@ -513,7 +513,7 @@
 		return
 	}
 	w.starts++
-	n := AllocationID(w.Dispatcher.jobs[id].sent - 1)
+	n := AttemptID(w.Dispatcher.jobs[id].sent - 1)
 	w.push(steadyItem{at: w.now + time.Millisecond, what: 1, job: id, n: n})
 	ran := time.Duration(float64(w.work(id)) * w.paces[what.Executor] * (0.6 + 0.8*w.r.Float64()))
 	w.push(steadyItem{at: w.now + 2*time.Millisecond + ran, what: 2, job: id, n: n})
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -564,7 +564,7 @@
 // ---- News of allocations ----
 
 // Ended says what to do after an allocation's outcome. Final: the batch job is over by it or before it.
-func (d *Dispatcher) Ended(now time.Duration, id JobID, n AllocationID, how Outcome, final bool) Decision {
+func (d *Dispatcher) Ended(now time.Duration, id JobID, n AttemptID, how Outcome, final bool) Decision {
 	d.turn(now)
 	s := d.out(id, n)
 	if s == nil {
@@ -1008,7 +1008,7 @@
 			d.release(it.token, now, false)
 		case s != nil && s.turn == it.turn && d.look(s, now):
 			s.stopping = true
-			return Due{Task: StopJob, Job: s.id, Allocation: s.n}
+			return Due{Task: CancelAttempt, Job: s.id, Attempt: s.n}
 		case j != nil && j.turn == it.turn && len(j.out) == 0:
 			return Due{Task: PlaceJob, Job: j.id}
 		case s == nil && j == nil:
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -24,7 +24,7 @@
 func (d *Dispatcher) took(s *shot) time.Duration { return max(0, d.now-s.sentAt-d.stood) }
 
 // Started tells that an executor has begun on an allocation.
-func (d *Dispatcher) Started(now time.Duration, id JobID, n AllocationID) {
+func (d *Dispatcher) Started(now time.Duration, id JobID, n AttemptID) {
 	d.turn(now)
 	s := d.out(id, n)
 	if s == nil || s.running {
@@ -43,7 +43,7 @@
 }
 
 // Progressed tells how much of an allocation is done.
-func (d *Dispatcher) Progressed(now time.Duration, id JobID, n AllocationID, share float64) {
+func (d *Dispatcher) Progressed(now time.Duration, id JobID, n AttemptID, share float64) {
 	if s := d.out(id, n); s != nil {
 		s.share, s.shareAt = share, now
 		d.alive(s.on, now)
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -14,7 +14,7 @@
 		index: index{until: pile{by: byUntil}}, bySum: map[Sum]*executor{}, kept: map[Sum]*keep{}, mayTell: s.MayTell, mayCopy: s.MayCopy, probes: s.MayProbe, marks: s.MarksAgain,
 		perWork: s.EarnPerWork, overage: s.OverageEarnings, crossPrice: s.CrossZonePrice,
 		wholeWeight: s.WholeWeight, trackWeight: s.WorstClassWeight,
-		maxAllocations: s.MaxAllocations, mayCancel: s.MayCancel, comeBack: s.MaxComeBack,
+		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxComeBack,
 		quantum: s.Quantum, tellsStart: s.TellsStart, tellsEvery: s.TellsEvery, mustAsk: s.MustAsk,
 		liveWeights: s.LiveWeights,
 		coldShare:   s.ColdShare, warmWithin: s.WarmWithin, fallWindow: s.FallWindow,
@@ -35,7 +35,7 @@
 
 // add takes up a track as it is from now on, with what is known of the one that it comes from.
 func (d *Dispatcher) add(c JobClassUpdate) {
-	t := &track{repeat: c.Repeat, group: c.Group, groupWindow: c.GroupWindow, allocations: cmp.Or(c.Allocations, d.maxAllocations),
+	t := &track{repeat: c.Repeat, group: c.Group, groupWindow: c.GroupWindow, allocations: cmp.Or(c.MaxAttempts, d.maxAllocations),
 		quoted: c.Quoted, outerLimit: c.OuterLimit, stretch: c.Stretch, earnings: c.Earnings,
 		late: c.LateEarnings, kind: c.Kind, meanWork: cmp.Or(c.Work, firstGuess(c.JobClass)), unit: c.Earnings}
 	if c.Replaces != NoJobClass {
--- a/policy/state.go
+++ b/policy/state.go
@@ -258,7 +258,7 @@
 // shot is one allocation of a batch job, from its sending to its outcome.
 type shot struct {
 	*job
-	n           AllocationID
+	n           AttemptID
 	on          *executor
 	zone        ZoneID
 	cell        CellID
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -28,14 +28,14 @@
 type player struct {
 	t     *testing.T
 	d     *Dispatcher
-	shot  map[JobID]AllocationID
+	shot  map[JobID]AttemptID
 	on    map[JobID][]ExecutorID
 	names map[Sum]ExecutorID
 	lines []string
 }
 
 var base = Settings{
-	Seed: 7, Nodes: 1, WholeWeight: 1, MaxAllocations: 3, MayCancel: true, MaxComeBack: 2 * time.Second,
+	Seed: 7, Nodes: 1, WholeWeight: 1, MaxAttempts: 3, MayCancel: true, MaxComeBack: 2 * time.Second,
 	Quantum: time.Millisecond, AskWithin: 8 * time.Second, ColdShare: 0.25, WarmWithin: 8 * time.Second,
 	FallMultiple: 4, FallWindow: time.Second, TellsStart: true, OverageEarnings: 0.1, EarnPerWork: true,
 	JobClasses: []JobClass{
@@ -101,8 +101,8 @@
 		switch due.Task {
 		case PlaceJob:
 			p.decided(now, due.Job, p.d.Place(now, due.Job))
-		case StopJob:
-			p.say(now, "stop waiting for %s on %s", due.Job, p.on[due.Job][due.Allocation])
+		case CancelAttempt:
+			p.say(now, "stop waiting for %s on %s", due.Job, p.on[due.Job][due.Attempt])
 		case Subscribe:
 			p.say(now, "subscribe")
 		case Tell:
@@ -156,7 +156,7 @@
 
 // play runs a trace file's own lines and gives the file as it should be.
 func play(t *testing.T, lines []string) string {
-	p := &player{t: t, shot: map[JobID]AllocationID{}, on: map[JobID][]ExecutorID{}, names: map[Sum]ExecutorID{}}
+	p := &player{t: t, shot: map[JobID]AttemptID{}, on: map[JobID][]ExecutorID{}, names: map[Sum]ExecutorID{}}
 	last := time.Duration(0)
 	for _, line := range lines {
 		words := strings.Fields(line)
@@ -183,13 +183,13 @@
 }
 
 func (p *player) tell(now time.Duration, what string, words []string) {
-	id, n := JobID(""), AllocationID(0)
+	id, n := JobID(""), AttemptID(0)
 	if len(words) > 0 {
 		name, number, told := strings.Cut(words[0], "/")
 		id = JobID(name)
 		if n = p.shot[id] - 1; told {
 			shot, _ := strconv.Atoi(number)
-			n = AllocationID(shot)
+			n = AttemptID(shot)
 		}
 	}
 	switch what {
--- a/policy/types.go
+++ b/policy/types.go
@@ -7,16 +7,16 @@
 
 // Each kind of id is a type of its own. The places of tracks, tenants, zones and kinds count from 0.
 type (
-	JobID        string
-	ExecutorID   string
-	AllocationID int
-	NodeID       int
-	Sum          uint32 // an executor as nodes name it among each other
-	JobClassID   int
-	TenantID     int
-	ZoneID       int
-	KindID       int
-	CellID       int
+	JobID      string
+	ExecutorID string
+	AttemptID  int
+	NodeID     int
+	Sum        uint32 // an executor as nodes name it among each other
+	JobClassID int
+	TenantID   int
+	ZoneID     int
+	KindID     int
+	CellID     int
 )
 
 // Endless is longer than anything.
@@ -71,7 +71,7 @@
 	Stretch      float64       // the quoted time grows by this multiple of the job's own running time
 	OuterLimit   time.Duration
 	Earnings     float64
-	Allocations  int     // at most; 0: as many as the settings say
+	MaxAttempts  int     // at most; 0: as many as the settings say
 	LateEarnings float64 // part of the earnings paid between the quoted time and the outer limit
 	Kind         KindID
 }
@@ -105,14 +105,14 @@
 	WholeWeight      float64 // of earnings over the whole day and over its worst stretch
 	WorstClassWeight float64 // of the track that fares worst
 
-	MaxAllocations int
-	MayCancel      bool
-	MayTell        bool          // nodes may send each other words
-	MayCopy        bool          // a repeatable batch job may have a second allocation out
-	MarksAgain     bool          // clients mark their repeats
-	MayProbe       bool          // executors answer probes with their load, and only those
-	MaxComeBack    time.Duration // 0: the client is not told when to come back
-	Quantum        time.Duration
+	MaxAttempts int
+	MayCancel   bool
+	MayTell     bool          // nodes may send each other words
+	MayCopy     bool          // a repeatable batch job may have a second allocation out
+	MarksAgain  bool          // clients mark their repeats
+	MayProbe    bool          // executors answer probes with their load, and only those
+	MaxComeBack time.Duration // 0: the client is not told when to come back
+	Quantum     time.Duration
 
 	LiveWeights  bool // weights in the list fall with the load
 	MustAsk      bool // the list comes only when asked for
@@ -219,26 +219,26 @@
 type Task int
 
 const (
-	Sleep     Task = iota // nothing before Due.At
-	PlaceJob              // ask where to send Due.Job
-	StopJob               // stop waiting for Due.Allocation of Due.Job
-	Subscribe             // ask for the list and its changes
-	Tell                  // say Due.Word of the executor of Due.Sum to Due.Node
-	Note                  // write Due.Text to the log
-	Probe                 // ask Due.Executor for its load
+	Sleep         Task = iota // nothing before Due.At
+	PlaceJob                  // ask where to send Due.Job
+	CancelAttempt             // stop waiting for Due.Allocation of Due.Job
+	Subscribe                 // ask for the list and its changes
+	Tell                      // say Due.Word of the executor of Due.Sum to Due.Node
+	Note                      // write Due.Text to the log
+	Probe                     // ask Due.Executor for its load
 )
 
 // Due is the answer to how long to wait.
 type Due struct {
-	Task       Task
-	At         time.Duration
-	Job        JobID
-	Allocation AllocationID
-	Node       NodeID
-	Word       Word
-	Sum        Sum
-	Executor   ExecutorID
-	Text       string
+	Task     Task
+	At       time.Duration
+	Job      JobID
+	Attempt  AttemptID
+	Node     NodeID
+	Word     Word
+	Sum      Sum
+	Executor ExecutorID
+	Text     string
 }
 
 // Word is what one node says to another of an executor's places.
