--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -300,7 +300,7 @@
 }
 
 var outcomes = map[string]policy.Outcome{
-	"pass": policy.Handled, "fault": policy.Errored, "no_room": policy.NoRoom, "too_slow": policy.TooSlow,
+	"pass": policy.Succeeded, "fault": policy.Errored, "no_room": policy.NoRoom, "too_slow": policy.TooSlow,
 	"no_route": policy.NoRoute, "cut": policy.Cut, "undone": policy.CalledOff, "stale_send": policy.NotSent,
 }
 
@@ -447,17 +447,17 @@
 }
 
 func (n *instance) carryOut(job policy.JobID, what policy.Decision) {
-	switch what.Act {
+	switch what.Action {
 	case policy.Send:
 		n.say("ISSUE", "id", string(job))
 		n.out = append(n.out, " executor="...)
 		n.out = append(n.out, what.Executor...)
-	case policy.PushBack:
+	case policy.Reject:
 		n.say("TURN_AWAY", "id", string(job))
-		if what.ComeBack > 0 {
-			n.time(" wait-s=", what.ComeBack)
+		if what.RetryAfter > 0 {
+			n.time(" wait-s=", what.RetryAfter)
 		}
-	case policy.BreakOff:
+	case policy.Fail:
 		n.say("RESPOND_ERROR", "id", string(job))
 	default:
 		return
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -38,13 +38,13 @@
 		if ev, ok := ev.(node.Arrived); ok {
 			switch name, _, _ := strings.Cut(string(ev.Job.ID), "-"); {
 			case ev.Job.Crowded:
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.PushedBack})
+				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected})
 			case name == "handled":
 				c.front.Answer(node.Answer{Job: ev.Job.ID, Result: []byte("the result")})
 			case name == "back":
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.PushedBack, ComeBack: 1500 * time.Millisecond})
+				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected, RetryAfter: 1500 * time.Millisecond})
 			case name == "off":
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.BrokenOff})
+				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Failed})
 			}
 		}
 		c.told <- ev
--- a/internal/clients/codec.go
+++ b/internal/clients/codec.go
@@ -136,16 +136,16 @@
 func write(w http.ResponseWriter, a node.Answer) {
 	h := w.Header()
 	switch a.Final {
-	case node.Handled:
+	case node.Succeeded:
 		h.Set("Content-Type", "application/octet-stream")
 		h.Set("Content-Length", strconv.Itoa(len(a.Result)))
 		w.Write(a.Result)
-	case node.PushedBack:
-		if a.ComeBack > 0 {
-			h.Set("Retry-After", strconv.FormatFloat(a.ComeBack.Seconds(), 'f', -1, 64))
+	case node.Rejected:
+		if a.RetryAfter > 0 {
+			h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
 		}
 		http.Error(w, "pushed back", http.StatusServiceUnavailable)
-	case node.BrokenOff:
+	case node.Failed:
 		http.Error(w, "broken off", http.StatusBadGateway)
 	}
 }
--- a/internal/clients/front.go
+++ b/internal/clients/front.go
@@ -182,8 +182,8 @@
 	default:
 	}
 	if over {
-		return node.Answer{Job: id, Final: node.PushedBack}, false
+		return node.Answer{Job: id, Final: node.Rejected}, false
 	}
 	f.tell(node.Left{Job: id, Client: client})
-	return node.Answer{Job: id, Final: node.BrokenOff}, left
+	return node.Answer{Job: id, Final: node.Failed}, left
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -198,7 +198,7 @@
 		TellsStart: w.Domain.TellsStart, TellsEvery: Seconds(w.Domain.TellsEvery),
 	}
 	if w.Caps.RetryAfter {
-		s.Policy.MaxComeBack = Seconds(w.Caps.MaxComeBackS)
+		s.Policy.MaxRetryAfter = Seconds(w.Caps.MaxComeBackS)
 	}
 	for i, p := range w.Projects {
 		if !(p.Quota >= 0 && p.Quota <= mostQuota) { // what is left of a sum with one under 0 divides rates
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -148,7 +148,7 @@
 		return func() {}, func() {}
 	}
 	start := time.Now()
-	base := policy.Settings{Seed: uint32(w.life), Nodes: 1, Zone: 0, WholeWeight: 1, MaxAttempts: 6, MayCancel: true, MaxComeBack: time.Second,
+	base := policy.Settings{Seed: uint32(w.life), Nodes: 1, Zone: 0, WholeWeight: 1, MaxAttempts: 6, MayCancel: true, MaxRetryAfter: time.Second,
 		Quantum: time.Millisecond, TellsStart: true, ColdShare: 1, FallMultiple: 4, FallWindow: time.Second, JobClasses: tracks}
 	dial := func(ctx context.Context, id node.ConnID, to string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
@@ -182,7 +182,7 @@
 		defer close(ended)
 		service.Run(ctx, service.Setup{Settings: config.Settings{Policy: p, Tracks: names, Load: config.LoadAt{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
 			Limits: node.Limits{Quantum: time.Millisecond, IdleUse: time.Minute, DialLimit: 100 * time.Millisecond, Conns: 100, Bodies: 10 << 20,
-				Work: time.Hour, ComeBack: time.Second, StopSpell: 100 * time.Millisecond, StopLimit: 200 * time.Millisecond},
+				Work: time.Hour, RetryAfter: time.Second, StopSpell: 100 * time.Millisecond, StopLimit: 200 * time.Millisecond},
 			ClientConns: clients.Budget{Whole: 300}, Discovery: "127.0.0.1:8500", Start: start, Module: policy.New(p), Listener: l, Executors: dial,
 			List: func(ctx context.Context, _, addr string) (net.Conn, error) { return dial(ctx, next(), addr) }, Log: zerolog.Nop(), Durable: d}, more)
 	}()
--- a/internal/executors/codec.go
+++ b/internal/executors/codec.go
@@ -56,7 +56,7 @@
 }
 
 var ends = map[string]policy.Outcome{
-	"done": policy.Handled, "failed": policy.Errored, "returned": policy.NoRoom, "lost": policy.Cut,
+	"done": policy.Succeeded, "failed": policy.Errored, "returned": policy.NoRoom, "lost": policy.Cut,
 }
 
 // decode reads a line. A state that is not known is passed over: another line ends the answer.
@@ -83,7 +83,7 @@
 	default:
 		o.outcome, o.ended = ends[w.State]
 	}
-	if o.ended && o.outcome == policy.Handled {
+	if o.ended && o.outcome == policy.Succeeded {
 		if len(w.Result) == 0 {
 			return o, fmt.Errorf("done, without a result")
 		}
--- a/internal/lab/account_test.go
+++ b/internal/lab/account_test.go
@@ -204,7 +204,7 @@
 	}, attempts: []*attempt{
 		{dialled: unseen, sent: ms(20), reached: ms(22), began: unseen, ended: ms(22), over: ms(24), how: policy.NoRoom},
 		{dialled: ms(114), up: ms(118), sent: ms(120), reached: ms(125), began: ms(165), ended: unseen, over: ms(400), slow: true}, // crawls
-		{dialled: unseen, sent: ms(200), reached: ms(205), began: ms(305), ended: ms(395), over: ms(400), how: policy.Handled},
+		{dialled: unseen, sent: ms(200), reached: ms(205), began: ms(305), ended: ms(395), over: ms(400), how: policy.Succeeded},
 	}}
 	got := h.times(ms(401))
 	want := [causes]time.Duration{TurnedAway: ms(4), Connecting: ms(4), BetweenTries: ms(10), OnTheWay: ms(1 + 1 + 1 + 5 + 1), HeldAtNode: ms(19 + 76 + 4),
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -108,9 +108,9 @@
 	if now >= j.limit-b.settings.Quantum || j.sent >= b.settings.MaxAttempts || j.ran && j.track.Repeat != policy.Repeatable {
 		delete(b.jobs, id)
 		if j.ran && j.track.Repeat != policy.Repeatable {
-			return policy.Decision{Act: policy.BreakOff}
+			return policy.Decision{Action: policy.Fail}
 		}
-		return policy.Decision{Act: policy.PushBack, ComeBack: b.settings.MaxComeBack}
+		return policy.Decision{Action: policy.Reject, RetryAfter: b.settings.MaxRetryAfter}
 	}
 	to := b.choose(now, j)
 	if to == "" {
@@ -118,11 +118,11 @@
 			b.next = now + holdStep
 		}
 		b.held = append(b.held, id)
-		return policy.Decision{Act: policy.Hold}
+		return policy.Decision{Action: policy.Enqueue}
 	}
 	j.sent++
 	j.out = true
-	return policy.Decision{Act: policy.Send, Executor: to}
+	return policy.Decision{Action: policy.Send, Executor: to}
 }
 
 func (b *baseline) Ended(now time.Duration, id policy.JobID, _ policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -104,12 +104,12 @@
 
 func (m *stubborn) Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
 	d := m.Module.Ended(now, id, a, how, final)
-	if d.Act != policy.BreakOff {
+	if d.Action != policy.Fail {
 		return d
 	}
 	for _, x := range m.executors {
 		if x.Up && !x.Drains && !x.Cold(now) && x.down == 0 {
-			return policy.Decision{Act: policy.Send, Executor: x.ID}
+			return policy.Decision{Action: policy.Send, Executor: x.ID}
 		}
 	}
 	return d
@@ -159,7 +159,7 @@
 		effect: instead(func(_ *World, _ *sim, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
 	{"results are lost within the node", rules.OneAnswer, nil, plant{
 		effect: instead(func(w *World, _ *sim, a node.Answer) []node.Effect {
-			if a.Final == node.Handled && w.steps%20 == 0 {
+			if a.Final == node.Succeeded && w.steps%20 == 0 {
 				return nil
 			}
 			return []node.Effect{a}
@@ -178,13 +178,13 @@
 	{"an executor's error counts as its result", rules.OneAnswer, nil, plant{
 		event: onlyEnded(func(ev *node.Ended) {
 			if ev.Outcome == policy.Errored {
-				ev.Outcome = policy.Handled
+				ev.Outcome = policy.Succeeded
 			}
 		})}},
 	{"what is answered is sent once more", rules.OneAnswer, nil, plant{
 		effect: instead(func(w *World, n *sim, a node.Answer) []node.Effect {
 			t := n.tries[a.Job]
-			if a.Final == node.Handled && t != nil && w.module[t.work.Track].Repeat == policy.Repeatable {
+			if a.Final == node.Succeeded && t != nil && w.module[t.work.Track].Repeat == policy.Repeatable {
 				for _, c := range sortedByID(n.wires) {
 					if c.state == up && c.load == nil && !c.x.Cold(w.now) && c.x.down == 0 {
 						return []node.Effect{a, node.WriteAttempt{Conn: c.id, Attempt: node.Attempt{Call: &node.Call{ID: a.Job}}}}
@@ -209,8 +209,8 @@
 		module: func(w *World, _ *sim, m node.Module) node.Module { return &stubborn{m, w.executors} }}},
 	{"what is broken off is told as pushed back", rules.NoEffectTwice, nil, plant{
 		effect: instead(func(_ *World, _ *sim, a node.Answer) []node.Effect {
-			if a.Final == node.BrokenOff {
-				a.Final = node.PushedBack
+			if a.Final == node.Failed {
+				a.Final = node.Rejected
 			}
 			return []node.Effect{a}
 		})}},
@@ -266,7 +266,7 @@
 	{"nobody looks before an attempt's first byte", rules.Awaited, stoppedUnderLeaving, plant{blind: true}},
 	{"what is given up on is held for a while", rules.AtOnce, nil, plant{
 		effect: instead(func(w *World, n *sim, a node.Answer) []node.Effect {
-			if t := n.tries[a.Job]; a.Final == node.PushedBack && t != nil && t.work.Limit > w.now+time.Second {
+			if t := n.tries[a.Job]; a.Final == node.Rejected && t != nil && t.work.Limit > w.now+time.Second {
 				n.later(300*time.Millisecond, func() { n.carryOut(a) })
 				return nil
 			}
--- a/internal/lab/front.go
+++ b/internal/lab/front.go
@@ -225,7 +225,7 @@
 	if t.cut {
 		return
 	}
-	w.after(w.oneWay(n.zone, t.from.zone)/2, func() { t.done(standin.End(a.Final), a.ComeBack) })
+	w.after(w.oneWay(n.zone, t.from.zone)/2, func() { t.done(standin.End(a.Final), a.RetryAfter) })
 }
 
 // loseClients: the node is gone, and all its clients' connections with it.
--- a/internal/lab/net.go
+++ b/internal/lab/net.go
@@ -470,7 +470,7 @@
 	})
 }
 
-var words = map[standin.Word]policy.Outcome{standin.Done: policy.Handled, standin.Errored: policy.Errored, standin.NoRoom: policy.NoRoom}
+var words = map[standin.Word]policy.Outcome{standin.Done: policy.Succeeded, standin.Errored: policy.Errored, standin.NoRoom: policy.NoRoom}
 
 // say brings an executor's word to the node.
 func (c *wire) say(o standin.Say) {
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -353,7 +353,7 @@
 	f := &n.w.s.Fleet
 	p := policy.Settings{Seed: uint32(mix(n.w.seed + uint64(n.id)<<20 + uint64(n.run))), Node: int(n.id), Nodes: f.Nodes, Zone: n.zone,
 		EarnPerWork: f.PerWork, CrossZonePrice: f.CrossPrice, WholeWeight: 0.8, WorstClassWeight: 0.2, MaxAttempts: f.Allocations,
-		MayCancel: true, MaxComeBack: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LiveWeights: f.WeightsEvery > 0,
+		MayCancel: true, MaxRetryAfter: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LiveWeights: f.WeightsEvery > 0,
 		ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
 		FallWindow: time.Duration(f.FallWindow), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery),
 		MayTell: f.Talk && f.Keepers && n.w.wired == nil, MayCopy: f.Copies, MarksAgain: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
@@ -364,7 +364,7 @@
 		longest = max(longest, t.OuterLimit)
 	}
 	return p, node.Limits{Quantum: p.Quantum, IdleUse: time.Duration(f.IdleLimit) * 4 / 5, DialLimit: time.Duration(f.DialLimit),
-		Conns: f.NodeConns, Bodies: f.NodeBodies, ComeBack: p.MaxComeBack, Work: 4 * longest, StopSpell: config.StopSpell,
+		Conns: f.NodeConns, Bodies: f.NodeBodies, RetryAfter: p.MaxRetryAfter, Work: 4 * longest, StopSpell: config.StopSpell,
 		StopLimit: min(longest, 3*time.Second) + 700*time.Millisecond - config.StopSpell}
 }
 
@@ -417,7 +417,7 @@
 }
 
 func (m *witness) gaveUp(id policy.JobID, d policy.Decision) policy.Decision {
-	if d.Act == policy.PushBack || d.Act == policy.BreakOff {
+	if d.Action == policy.Reject || d.Action == policy.Fail {
 		gave := rules.Seen{What: rules.GaveUp, Node: m.n.id, Job: id}
 		if l := m.life; l != nil {
 			l.gave = append(l.gave, gave) // the step's tap sees it
@@ -433,7 +433,7 @@
 }
 
 func (m *witness) Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
-	if t := m.n.tries[id]; how == policy.Handled && t != nil {
+	if t := m.n.tries[id]; how == policy.Succeeded && t != nil {
 		m.n.pace.did(m.n.w.now, cmp.Or(t.work.Hint, m.n.w.tracks[t.work.Track].Mean))
 	}
 	return m.gaveUp(id, m.Module.Ended(now, id, a, how, final))
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -45,9 +45,9 @@
 type Final int
 
 const (
-	Handled Final = iota
-	PushedBack
-	BrokenOff
+	Succeeded Final = iota
+	Rejected
+	Failed
 )
 
 // JobClass is what a track allows after an allocation that may have run.
@@ -336,10 +336,10 @@
 		return b.give(now)
 	}
 	b.inHand--
-	if how == PushedBack && j.Track.Repeat != policy.Repeatable && j.mayHaveRun() != nil {
-		how = BrokenOff // the module knows nothing of what an earlier life has sent
+	if how == Rejected && j.Track.Repeat != policy.Repeatable && j.mayHaveRun() != nil {
+		how = Failed // the module knows nothing of what an earlier life has sent
 	}
-	if b.stopped && how != Handled {
+	if b.stopped && how != Succeeded {
 		b.wait(j)
 		return b.give(now)
 	}
@@ -355,9 +355,9 @@
 
 // expire answers what nothing was handled of by its outer limit. A pushback promises that it did not run.
 func (b *Book) expire(now time.Duration, j *job) {
-	how := BrokenOff
+	how := Failed
 	if j.mayHaveRun() == nil || j.Track.Repeat == policy.Repeatable {
-		how = PushedBack
+		how = Rejected
 	}
 	b.close(j, how, nil)
 }
@@ -428,7 +428,7 @@
 func (b *Book) ask(now time.Duration, j *job) {
 	first := j.mayHaveRun()
 	if !b.s.Leases {
-		b.close(j, BrokenOff, nil)
+		b.close(j, Failed, nil)
 		return
 	}
 	j.state, j.asked = Asking, true
@@ -446,7 +446,7 @@
 	j.asked = false
 	switch what {
 	case FoundFinished:
-		b.close(j, Handled, result)
+		b.close(j, Succeeded, result)
 	case FoundNever:
 		j.sends[e-1].NeverRan = true
 		b.say(KeepOver{id, e})
@@ -459,10 +459,10 @@
 			b.ask(now, j)
 		}
 	case FoundMute, FoundLost:
-		b.close(j, BrokenOff, nil)
+		b.close(j, Failed, nil)
 	case FoundNothing, FoundRunning:
 		if now >= j.Limit {
-			b.close(j, BrokenOff, nil)
+			b.close(j, Failed, nil)
 			break
 		}
 		j.turn++
@@ -486,7 +486,7 @@
 			b.expire(now, j)
 		case Asking:
 			if now >= j.Limit {
-				b.close(j, BrokenOff, nil)
+				b.close(j, Failed, nil)
 			} else {
 				b.ask(now, j)
 			}
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -98,8 +98,8 @@
 	s.tell("the record of the first comes late", s.b.SendKept(at(3), "a", 1))
 	s.tell("that of the second comes", s.b.SendKept(at(3), "a", 2))
 	s.tell("a is let go too soon", first(s.b.LetGo(at(3), "a")))
-	s.tell("the module says handled", s.b.Answered(at(4), "a", Handled, []byte("r")))
-	s.tell("and again", s.b.Answered(at(4), "a", BrokenOff, nil))
+	s.tell("the module says handled", s.b.Answered(at(4), "a", Succeeded, []byte("r")))
+	s.tell("and again", s.b.Answered(at(4), "a", Failed, nil))
 	s.tell("the answer stands on the disk", s.b.FinalKept(at(4), "a"))
 	s.tell("a is let go", first(s.b.LetGo(at(5), "a")))
 
@@ -124,9 +124,9 @@
 	}
 	send("y", 2)
 	s.tell("it is told to stop", s.b.Stop(at(3)))
-	s.tell("x is pushed back", s.b.Answered(at(3), "x", PushedBack, nil))
-	s.tell("y is broken off", s.b.Answered(at(3), "y", BrokenOff, nil))
-	s.tell("z is handled", s.b.Answered(at(3), "z", Handled, nil))
+	s.tell("x is pushed back", s.b.Answered(at(3), "x", Rejected, nil))
+	s.tell("y is broken off", s.b.Answered(at(3), "y", Failed, nil))
+	s.tell("z is handled", s.b.Answered(at(3), "z", Succeeded, nil))
 
 	s.crashed("repeatable, may have run", set, 5, 2, repeatable, false)
 	s.crashed("once-only, provably never ran", set, 5, 2, once, true)
@@ -134,7 +134,7 @@
 	s.crashed("once-only, may have run, past its outer limit", set, 70, 2, once, false)
 	s.crashed("once-only, never ran, past its outer limit", set, 70, 2, once, true)
 	s.crashed("tagged within all, inside its window", set, 5, 2, taggedAll, false)
-	s.tell("pushed back when the window passes: the module does not know that it may have run", s.b.Answered(at(9), "j", PushedBack, nil))
+	s.tell("pushed back when the window passes: the module does not know that it may have run", s.b.Answered(at(9), "j", Rejected, nil))
 	s.crashed("tagged within all, outside its window", set, 10, 2, taggedAll, false)
 	s.crashed("tagged within a zone", set, 5, 2, taggedZone, false)
 	s.crashed("tagged within all, and the clock was set back", set, 5, 8, taggedAll, false)
@@ -176,7 +176,7 @@
 		t.Fatalf("%d at once", arrived)
 	}
 	for i := range 10000 {
-		count(b.Answered(at(1), ID(fmt.Sprint(i)), Handled, nil))
+		count(b.Answered(at(1), ID(fmt.Sprint(i)), Succeeded, nil))
 		count(b.FinalKept(at(1), ID(fmt.Sprint(i))))
 	}
 	if n := b.Counts(); arrived+n[Waiting] != 10000 {
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -251,11 +251,11 @@
 		n.figures.Attempts--
 	}
 	switch {
-	case how == policy.Handled:
-		n.answer(j, Answer{Final: Handled, Result: ev.Result})
+	case how == policy.Succeeded:
+		n.answer(j, Answer{Final: Succeeded, Result: ev.Result})
 	case how == policy.Unfit:
 		// It is the batch job's fault: elsewhere it would fare no better, and cost another executor its good name.
-		n.answer(j, Answer{Final: BrokenOff})
+		n.answer(j, Answer{Final: Failed})
 		n.say(Log{Text: ev.Detail, Executor: c.to.id, Job: j.ID})
 	case c.given && ev.Broken && how == policy.NoRoute:
 		how = policy.NotSent // closed by us before its last byte was written
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -79,9 +79,9 @@
 type Final int
 
 const (
-	Handled Final = iota
-	PushedBack
-	BrokenOff
+	Succeeded Final = iota
+	Rejected
+	Failed
 )
 
 // Event is what a peer or the clock tells the reducer: one of the types below.
@@ -215,10 +215,10 @@
 type (
 	// Answer gives a client its final answer.
 	Answer struct {
-		Job      policy.JobID
-		Final    Final
-		Result   []byte
-		ComeBack time.Duration // 0: no advice
+		Job        policy.JobID
+		Final      Final
+		Result     []byte
+		RetryAfter time.Duration // 0: no advice
 	}
 	// Dial opens a connection.
 	Dial struct {
--- a/internal/node/hand.go
+++ b/internal/node/hand.go
@@ -38,20 +38,20 @@
 
 // ClassMetrics are the final answers to batch jobs of one track.
 type ClassMetrics struct {
-	Name                           string
-	Handled, PushedBack, BrokenOff int
+	Name                        string
+	Succeeded, Rejected, Failed int
 }
 
 // count books a final answer.
 func (n *Node) count(track policy.JobClassID, how Final) {
 	f := &n.figures.Classes[n.booked[track]]
 	switch how {
-	case Handled:
-		f.Handled++
-	case PushedBack:
-		f.PushedBack++
-	case BrokenOff:
-		f.BrokenOff++
+	case Succeeded:
+		f.Succeeded++
+	case Rejected:
+		f.Rejected++
+	case Failed:
+		f.Failed++
 	}
 }
 
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -19,17 +19,17 @@
 
 // Limits are the figures that the reducer needs beside the module's settings.
 type Limits struct {
-	Quantum   time.Duration // what comes so close to an outer limit counts as at it
-	IdleUse   time.Duration // a connection that has rested so long is not used any more
-	DialLimit time.Duration // news of a close takes less
-	Conns     int           // connections to executors
-	HalfConns int           // and while another process of the node lives
-	Bodies    int           // bytes of bodies in hand
-	ComeBack  time.Duration // what is pushed back at the edge of the limits comes back then; 0: no advice
-	Work      time.Duration // a guess beyond it counts as this
-	StopSpell time.Duration // after a stop is asked for, new batch jobs still come for so long
-	StopLimit time.Duration // and all is answered within this
-	ColdSpell time.Duration // rule 4's window, and a little for what was on its way
+	Quantum    time.Duration // what comes so close to an outer limit counts as at it
+	IdleUse    time.Duration // a connection that has rested so long is not used any more
+	DialLimit  time.Duration // news of a close takes less
+	Conns      int           // connections to executors
+	HalfConns  int           // and while another process of the node lives
+	Bodies     int           // bytes of bodies in hand
+	RetryAfter time.Duration // what is pushed back at the edge of the limits comes back then; 0: no advice
+	Work       time.Duration // a guess beyond it counts as this
+	StopSpell  time.Duration // after a stop is asked for, new batch jobs still come for so long
+	StopLimit  time.Duration // and all is answered within this
+	ColdSpell  time.Duration // rule 4's window, and a little for what was on its way
 }
 
 // ModuleBroke begins the log line of a panic of the module.
@@ -145,7 +145,7 @@
 func (n *Node) broke(text string) {
 	n.say(Log{Text: text})
 	if j := n.deciding; j != nil && len(j.conns) == 0 {
-		n.answer(j, Answer{Final: BrokenOff})
+		n.answer(j, Answer{Final: Failed})
 	}
 	n.deciding = nil
 	n.wake(n.now + breakSpell)
@@ -191,11 +191,11 @@
 			return
 		}
 		for len(n.due) > 0 { // the front broke: nobody would learn what becomes of them
-			n.answer(n.due[0], Answer{Final: BrokenOff})
+			n.answer(n.due[0], Answer{Final: Failed})
 		}
 		n.say(Exit{})
 	case Declined:
-		n.count(ev.Class, BrokenOff)
+		n.count(ev.Class, Failed)
 	case Called:
 		n.called(ev)
 	case Joined:
@@ -215,13 +215,13 @@
 func (n *Node) arrived(in Job) {
 	if n.jobs[in.ID] != nil {
 		// Its client left it, and came again under the same id while an allocation of it is still out.
-		n.count(in.Class, BrokenOff)
-		n.say(Answer{Job: in.ID, Final: BrokenOff})
+		n.count(in.Class, Failed)
+		n.say(Answer{Job: in.ID, Final: Failed})
 		return
 	}
 	if in.Crowded || n.bodies+len(in.Body) > n.limits.Bodies {
-		n.count(in.Class, PushedBack)
-		n.say(Answer{Job: in.ID, Final: PushedBack, ComeBack: n.limits.ComeBack})
+		n.count(in.Class, Rejected)
+		n.say(Answer{Job: in.ID, Final: Rejected, RetryAfter: n.limits.RetryAfter})
 		return
 	}
 	j := &job{Job: in, limitAt: n.now + in.Budget}
@@ -275,13 +275,13 @@
 // carryOut does what the module decided for a batch job.
 func (n *Node) carryOut(j *job, what policy.Decision) {
 	n.deciding = nil
-	switch what.Act {
+	switch what.Action {
 	case policy.Send:
 		n.send(j, what.Executor)
-	case policy.PushBack:
-		n.answer(j, Answer{Final: PushedBack, ComeBack: what.ComeBack})
-	case policy.BreakOff:
-		n.answer(j, Answer{Final: BrokenOff})
+	case policy.Reject:
+		n.answer(j, Answer{Final: Rejected, RetryAfter: what.RetryAfter})
+	case policy.Fail:
+		n.answer(j, Answer{Final: Failed})
 	}
 }
 
@@ -298,7 +298,7 @@
 	for len(n.due) > 0 && n.due[0].dueAt <= n.now {
 		j := n.due[0]
 		if n.now >= j.limitAt {
-			n.answer(j, Answer{Final: BrokenOff})
+			n.answer(j, Answer{Final: Failed})
 			n.brain.Left(n.now, j.ID)
 			continue
 		}
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -47,12 +47,12 @@
 
 func settings(words []string) (*policy.Dispatcher, Limits) {
 	s := policy.Settings{Seed: 7, Nodes: 1, WholeWeight: 1, MaxAttempts: 3, MayCancel: true,
-		MaxComeBack: 2 * time.Second, Quantum: time.Millisecond, TellsStart: true, EarnPerWork: true,
+		MaxRetryAfter: 2 * time.Second, Quantum: time.Millisecond, TellsStart: true, EarnPerWork: true,
 		ColdShare: 1, FallMultiple: 4, FallWindow: time.Second,
 		JobClasses: []policy.JobClass{{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
 			Earnings: 1, Kind: policy.AnyKind}}}
 	l := Limits{Quantum: time.Millisecond, IdleUse: 8 * time.Second, DialLimit: 100 * time.Millisecond, Conns: 8, HalfConns: 3, ColdSpell: time.Second, Bodies: 100,
-		Work: 10 * time.Second, ComeBack: 2 * time.Second, StopSpell: 500 * time.Millisecond, StopLimit: 3 * time.Second}
+		Work: 10 * time.Second, RetryAfter: 2 * time.Second, StopSpell: 500 * time.Millisecond, StopLimit: 3 * time.Second}
 	for _, w := range words {
 		key, value, _ := strings.Cut(w, "=")
 		figure, _ := strconv.Atoi(value)
@@ -117,7 +117,7 @@
 	return list
 }
 
-var outcomes = map[string]policy.Outcome{"handled": policy.Handled, "errored": policy.Errored,
+var outcomes = map[string]policy.Outcome{"handled": policy.Succeeded, "errored": policy.Errored,
 	"no-room": policy.NoRoom, "no-route": policy.NoRoute, "cut": policy.Cut, "unfit": policy.Unfit}
 
 func (p *player) event(now time.Duration, words []string) Event {
@@ -274,11 +274,11 @@
 		switch e := e.(type) {
 		case Answer:
 			line = [...]string{"handled", "pushed back", "broken off"}[e.Final] + " " + string(e.Job)
-			if e.Final == Handled {
+			if e.Final == Succeeded {
 				line += " with " + string(e.Result)
 			}
-			if e.ComeBack > 0 {
-				line += ", come back in " + e.ComeBack.String()
+			if e.RetryAfter > 0 {
+				line += ", come back in " + e.RetryAfter.String()
 			}
 		case Dial:
 			line = fmt.Sprintf("dial %d to %s", e.Conn, e.Addr)
--- a/internal/operators/codec.go
+++ b/internal/operators/codec.go
@@ -67,9 +67,9 @@
 		b = append(strconv.AppendInt(b, int64(x), 10), '\n')
 	}
 	for _, t := range f.Classes {
-		figure("requests."+t.Name+".served", t.Handled)
-		figure("requests."+t.Name+".refused", t.PushedBack)
-		figure("requests."+t.Name+".failed", t.BrokenOff)
+		figure("requests."+t.Name+".served", t.Succeeded)
+		figure("requests."+t.Name+".refused", t.Rejected)
+		figure("requests."+t.Name+".failed", t.Failed)
 	}
 	figure("attempts", f.Attempts)
 	figure("in_flight", f.InFlight)
--- a/internal/operators/door_test.go
+++ b/internal/operators/door_test.go
@@ -30,7 +30,7 @@
 			r := node.Reply{Caller: c.Caller}
 			switch {
 			case c.Order == node.ReadFigures:
-				r.Figures = &node.Figures{Classes: []node.ClassMetrics{{Name: "page", Handled: 3, PushedBack: 1}}, Attempts: 5, InFlight: 2,
+				r.Figures = &node.Figures{Classes: []node.ClassMetrics{{Name: "page", Succeeded: 3, Rejected: 1}}, Attempts: 5, InFlight: 2,
 					Known: 4, Avoided: 1, Taken: 6, TurnedDown: 7}
 			case c.Executor == "nobody":
 				r.No = "not\nhere"
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -60,7 +60,7 @@
 func (m *moduleJob) budget() time.Duration { return max(5*time.Second, 5*m.Work) }
 
 func (m *moduleJob) settings() policy.Settings {
-	s := policy.Settings{Seed: 7, Nodes: m.Of, WholeWeight: 1, MaxAttempts: 3, MayCancel: true, MaxComeBack: 2 * time.Second, Quantum: 4 * time.Millisecond,
+	s := policy.Settings{Seed: 7, Nodes: m.Of, WholeWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Quantum: 4 * time.Millisecond,
 		EarnPerWork: true, ColdShare: 0.3, WarmWithin: 9 * time.Second, FallMultiple: 4, FallWindow: 1500 * time.Millisecond, TellsStart: true,
 		JobClasses: []policy.JobClass{{Quoted: max(time.Second, 3*m.Work), OuterLimit: m.budget(), Earnings: 2}}}
 	for range m.Tenants {
@@ -117,7 +117,7 @@
 		switch {
 		case len(p.ends) > 0 && p.ends[0].at == p.now:
 			e := heap.Pop(&p.ends).(moduleEnd)
-			p.end(e.id, e.n, policy.Handled)
+			p.end(e.id, e.n, policy.Succeeded)
 		case arrives == p.now:
 			tenant := policy.TenantID(-1)
 			if m.Tenants > 0 {
@@ -166,10 +166,10 @@
 }
 
 func (p *player) does(id policy.JobID, what policy.Decision) {
-	if what.Act == policy.PushBack || what.Act == policy.BreakOff {
+	if what.Action == policy.Reject || what.Action == policy.Fail {
 		p.rejected++
 	}
-	if what.Act != policy.Send {
+	if what.Action != policy.Send {
 		return
 	}
 	n := p.sent[id]
@@ -191,10 +191,10 @@
 	}
 	delete(p.out, out)
 	p.running[on]--
-	if how == policy.Handled {
+	if how == policy.Succeeded {
 		p.handled++
 		p.d.Reported(on, policy.Load{Held: float64(p.running[on]), Free: float64(100 - p.running[on]), Memory: -1, Took: -1})
 		delete(p.sent, id)
 	}
-	p.does(id, p.d.Ended(p.now, id, n, how, how == policy.Handled))
+	p.does(id, p.d.Ended(p.now, id, n, how, how == policy.Succeeded))
 }
--- a/policy/books.go
+++ b/policy/books.go
@@ -255,7 +255,7 @@
 	j.sent++
 	j.turn++
 	d.lookAt(now+d.lookAfter, s)
-	return Decision{Act: Send, Executor: e.id}
+	return Decision{Action: Send, Executor: e.id}
 }
 
 // take uses the oldest free token.
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -99,7 +99,7 @@
 			if due.Task != PlaceJob {
 				continue
 			}
-			if what := next.Place(now, due.Job); what.Act == Send {
+			if what := next.Place(now, due.Job); what.Action == Send {
 				sent[what.Executor]++
 				next.Started(now, due.Job, 0)
 			}
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -284,7 +284,7 @@
 		case PlaceJob:
 			w.Place(w.now, due.Job)
 		case CancelAttempt:
-			w.Ended(w.now, due.Job, due.Attempt, [...]Outcome{CalledOff, NotSent, Handled}[w.r.IntN(3)], false)
+			w.Ended(w.now, due.Job, due.Attempt, [...]Outcome{CalledOff, NotSent, Succeeded}[w.r.IntN(3)], false)
 		case Tell:
 			if w.r.IntN(3) > 0 {
 				w.Heard(w.now, due.Node, [...]Word{Lend, Lend, Later}[w.r.IntN(3)], due.Sum)
@@ -328,8 +328,8 @@
 	case what < 11 && s != nil:
 		w.Started(w.now, s.id, s.n)
 	case what < 15 && s != nil:
-		how := [...]Outcome{Handled, Handled, Handled, Handled, Handled, Handled, Errored, NoRoom, TooSlow, NoRoute, Cut, NotSent}[w.r.IntN(12)]
-		w.Ended(w.now, s.id, s.n, how, how == Handled)
+		how := [...]Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Errored, NoRoom, TooSlow, NoRoute, Cut, NotSent}[w.r.IntN(12)]
+		w.Ended(w.now, s.id, s.n, how, how == Succeeded)
 	case what == 15 && s != nil:
 		w.Progressed(w.now, s.id, s.n, w.r.Float64())
 	case what == 16 && s != nil:
@@ -509,7 +509,7 @@
 }
 
 func (w *steady) decided(id JobID, what Decision) {
-	if what.Act != Send {
+	if what.Action != Send {
 		return
 	}
 	w.starts++
@@ -533,7 +533,7 @@
 		case 1:
 			w.Started(w.now, it.job, it.n)
 		case 2:
-			w.decided(it.job, w.Ended(w.now, it.job, it.n, Handled, true))
+			w.decided(it.job, w.Ended(w.now, it.job, it.n, Succeeded, true))
 		}
 		for {
 			due := w.Wait(w.now)
@@ -595,7 +595,7 @@
 				if due.Task != PlaceJob {
 					continue
 				}
-				if to := d.Place(now, due.Job); to.Act == Send {
+				if to := d.Place(now, due.Job); to.Action == Send {
 					sent = append(sent, due.Job)
 					if len(d.byID[to.Executor].out) == 1 { // it has a place only
 						d.Started(now, due.Job, 0)
@@ -612,7 +612,7 @@
 		}
 		now += time.Millisecond
 		weighed := d.weighed
-		d.Ended(now, sent[n/2], 0, Handled, true)
+		d.Ended(now, sent[n/2], 0, Succeeded, true)
 		settle()
 		per[n] = d.weighed - weighed
 		if t.Logf("%d executors: %d weighed when one is done", n, per[n]); len(sent) == n || len(sent) > n+2 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -461,7 +461,7 @@
 	}
 	j.turn++
 	d.at(max(next, now+d.quantum), j, nil)
-	return Decision{Act: Hold}
+	return Decision{Action: Enqueue}
 }
 
 // lastStart is when an executor of that pace must begin on j at the latest.
@@ -487,13 +487,13 @@
 	d.forget(j)
 	j.track.lost += flag(j.fresh)
 	if j.cut { // they come back at times of their own, not all together
-		return Decision{Act: PushBack, ComeBack: times(d.comeBack, (1+d.chance())/2)}
+		return Decision{Action: Reject, RetryAfter: times(d.comeBack, (1+d.chance())/2)}
 	}
 	d.lost(j)
 	if j.ran == nil || j.track.repeat == Repeatable || j.track.repeat == Tagged && j.track.group == GroupAll {
-		return Decision{Act: PushBack, ComeBack: d.comeBack}
+		return Decision{Action: Reject, RetryAfter: d.comeBack}
 	}
-	return Decision{Act: BreakOff}
+	return Decision{Action: Fail}
 }
 
 // inGroup says whether j may only be repeated in its dedup group.
@@ -599,7 +599,7 @@
 	d.touch(e)
 	est := times(j.work, d.pace(e, now))
 	switch how {
-	case Handled:
+	case Succeeded:
 		d.handled(j, e, now)
 	case NoRoom, Errored, Unfit, NoRoute, Cut:
 		if how == NoRoom {
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -14,7 +14,7 @@
 		index: index{until: pile{by: byUntil}}, bySum: map[Sum]*executor{}, kept: map[Sum]*keep{}, mayTell: s.MayTell, mayCopy: s.MayCopy, probes: s.MayProbe, marks: s.MarksAgain,
 		perWork: s.EarnPerWork, overage: s.OverageEarnings, crossPrice: s.CrossZonePrice,
 		wholeWeight: s.WholeWeight, trackWeight: s.WorstClassWeight,
-		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxComeBack,
+		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
 		quantum: s.Quantum, tellsStart: s.TellsStart, tellsEvery: s.TellsEvery, mustAsk: s.MustAsk,
 		liveWeights: s.LiveWeights,
 		coldShare:   s.ColdShare, warmWithin: s.WarmWithin, fallWindow: s.FallWindow,
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -22,17 +22,17 @@
 		id := JobID(fmt.Sprint(i))
 		now += 300 * time.Millisecond
 		d.Arrived(now, Arrival{Job: id, Tenant: TenantID(5000 * i), Work: 100 * time.Millisecond, Budget: 2 * time.Second})
-		if got := d.Place(now, id); got.Act != Send {
+		if got := d.Place(now, id); got.Action != Send {
 			t.Fatalf("batch job %d: %+v", i, got)
 		}
 		d.Started(now, id, 0)
-		d.Ended(now+100*time.Millisecond, id, 0, Handled, true)
+		d.Ended(now+100*time.Millisecond, id, 0, Succeeded, true)
 		for due := d.Wait(now + 100*time.Millisecond); due.Task != 0; due = d.Wait(now + 100*time.Millisecond) {
 		}
 	}
 	d.Listed(now, Whole, nil) // and all of them gone at once
 	d.Arrived(now, Arrival{Job: "late", Tenant: 1, Work: 100 * time.Millisecond, Budget: 2 * time.Second})
-	if got := d.Place(now, "late"); got.Act != Hold {
+	if got := d.Place(now, "late"); got.Action != Enqueue {
 		t.Fatalf("with no executor left: %+v", got)
 	}
 }
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -35,7 +35,7 @@
 }
 
 var base = Settings{
-	Seed: 7, Nodes: 1, WholeWeight: 1, MaxAttempts: 3, MayCancel: true, MaxComeBack: 2 * time.Second,
+	Seed: 7, Nodes: 1, WholeWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second,
 	Quantum: time.Millisecond, AskWithin: 8 * time.Second, ColdShare: 0.25, WarmWithin: 8 * time.Second,
 	FallMultiple: 4, FallWindow: time.Second, TellsStart: true, OverageEarnings: 0.1, EarnPerWork: true,
 	JobClasses: []JobClass{
@@ -81,14 +81,14 @@
 }
 
 func (p *player) decided(now time.Duration, id JobID, what Decision) {
-	switch what.Act {
+	switch what.Action {
 	case Send:
 		p.shot[id]++
 		p.on[id] = append(p.on[id], what.Executor)
 		p.say(now, "send %s to %s", id, what.Executor)
-	case PushBack:
-		p.say(now, "push back %s, come back in %v", id, what.ComeBack)
-	case BreakOff:
+	case Reject:
+		p.say(now, "push back %s, come back in %v", id, what.RetryAfter)
+	case Fail:
 		p.say(now, "break off %s", id)
 	}
 }
@@ -151,7 +151,7 @@
 var wordNames = map[Word]string{Want: "want", WantLate: "want-late", Lend: "lend", Later: "later",
 	Back: "back", BackLate: "back-late"}
 
-var outcomeWords = map[string]Outcome{"handled": Handled, "errored": Errored, "unfit": Unfit, "no-room": NoRoom,
+var outcomeWords = map[string]Outcome{"handled": Succeeded, "errored": Errored, "unfit": Unfit, "no-room": NoRoom,
 	"too-slow": TooSlow, "no-route": NoRoute, "cut": Cut, "called-off": CalledOff, "not-sent": NotSent}
 
 // play runs a trace file's own lines and gives the file as it should be.
--- a/policy/types.go
+++ b/policy/types.go
@@ -47,7 +47,7 @@
 type Outcome int
 
 const (
-	Handled   Outcome = iota
+	Succeeded Outcome = iota
 	Errored           // the executor answered with an error; it may have run
 	Unfit             // the executor can't use it as it is; it may have run
 	NoRoom            // turned away unseen; it never ran
@@ -105,14 +105,14 @@
 	WholeWeight      float64 // of earnings over the whole day and over its worst stretch
 	WorstClassWeight float64 // of the track that fares worst
 
-	MaxAttempts int
-	MayCancel   bool
-	MayTell     bool          // nodes may send each other words
-	MayCopy     bool          // a repeatable batch job may have a second allocation out
-	MarksAgain  bool          // clients mark their repeats
-	MayProbe    bool          // executors answer probes with their load, and only those
-	MaxComeBack time.Duration // 0: the client is not told when to come back
-	Quantum     time.Duration
+	MaxAttempts   int
+	MayCancel     bool
+	MayTell       bool          // nodes may send each other words
+	MayCopy       bool          // a repeatable batch job may have a second allocation out
+	MarksAgain    bool          // clients mark their repeats
+	MayProbe      bool          // executors answer probes with their load, and only those
+	MaxRetryAfter time.Duration // 0: the client is not told when to come back
+	Quantum       time.Duration
 
 	LiveWeights  bool // weights in the list fall with the load
 	MustAsk      bool // the list comes only when asked for
@@ -197,22 +197,22 @@
 	Wait float64 // part of its slack that an allocation has to wait where it is before it is moved, 0 to 1
 }
 
-// Act is what becomes of a batch job.
-type Act int
+// Action is what becomes of a batch job.
+type Action int
 
 const (
-	Nothing Act = iota // it is over, or still out
+	NoAction Action = iota // it is over, or still out
 	Send
-	Hold
-	PushBack
-	BreakOff
+	Enqueue
+	Reject
+	Fail
 )
 
 // Decision is the answer to where to send a batch job and what to do after an outcome.
 type Decision struct {
-	Act      Act
-	Executor ExecutorID
-	ComeBack time.Duration // 0: no advice
+	Action     Action
+	Executor   ExecutorID
+	RetryAfter time.Duration // 0: no advice
 }
 
 // Task is what has fallen due.
