--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -300,8 +300,8 @@
 }
 
 var outcomes = map[string]policy.Outcome{
-	"pass": policy.Succeeded, "fault": policy.Errored, "no_room": policy.NoRoom, "too_slow": policy.TooSlow,
-	"no_route": policy.NoRoute, "cut": policy.Cut, "undone": policy.CalledOff, "stale_send": policy.NotSent,
+	"pass": policy.Succeeded, "fault": policy.ExecutorError, "no_room": policy.ExecutorFull, "too_slow": policy.TimedOut,
+	"no_route": policy.ConnectFailed, "cut": policy.ConnectionLost, "undone": policy.Canceled, "stale_send": policy.NotSent,
 }
 
 func (n *instance) done(now time.Duration, f *fields) error {
--- a/internal/executors/codec.go
+++ b/internal/executors/codec.go
@@ -56,7 +56,7 @@
 }
 
 var ends = map[string]policy.Outcome{
-	"done": policy.Succeeded, "failed": policy.Errored, "returned": policy.NoRoom, "lost": policy.Cut,
+	"done": policy.Succeeded, "failed": policy.ExecutorError, "returned": policy.ExecutorFull, "lost": policy.ConnectionLost,
 }
 
 // decode reads a line. A state that is not known is passed over: another line ends the answer.
@@ -102,15 +102,15 @@
 	switch answer.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if answer.Header.Get("X-Rejected") == "1" {
-			return policy.NoRoom, ""
+			return policy.ExecutorFull, ""
 		}
 	case http.StatusInternalServerError:
-		return policy.Errored, ""
+		return policy.ExecutorError, ""
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity,
 		http.StatusRequestHeaderFieldsTooLarge:
-		return policy.Unfit, "the executor can't use it: " + answer.Status
+		return policy.InvalidRequest, "the executor can't use it: " + answer.Status
 	}
-	return policy.Errored, "an answer that is not in the protocol: " + answer.Status
+	return policy.ExecutorError, "an answer that is not in the protocol: " + answer.Status
 }
 
 // A load report's values may go by the settings' names or by the protocol's. One that no executor could have makes
--- a/internal/executors/executors_test.go
+++ b/internal/executors/executors_test.go
@@ -98,8 +98,8 @@
 
 func answer(head string) string { return "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n" }
 
-var outcomes = map[policy.Outcome]string{policy.Succeeded: "handled", policy.Errored: "errored",
-	policy.Unfit: "unfit", policy.NoRoom: "no room", policy.NoRoute: "no route", policy.Cut: "cut"}
+var outcomes = map[policy.Outcome]string{policy.Succeeded: "handled", policy.ExecutorError: "errored",
+	policy.InvalidRequest: "unfit", policy.ExecutorFull: "no room", policy.ConnectFailed: "no route", policy.ConnectionLost: "cut"}
 
 // printer prints events until a connection is given back.
 type printer struct {
--- a/internal/executors/link.go
+++ b/internal/executors/link.go
@@ -162,7 +162,7 @@
 	end := node.Ended{Conn: l.id}
 	var rest io.Reader
 	if err == nil {
-		if rest, err = l.read(r, limited, job, &end); err == nil && end.Outcome == policy.NoRoom && l.mayBeStray() {
+		if rest, err = l.read(r, limited, job, &end); err == nil && end.Outcome == policy.ExecutorFull && l.mayBeStray() {
 			err = l.alone(r, rest)
 		}
 	} else {
@@ -175,9 +175,9 @@
 		if !how.any {
 			return false // nothing left: it is as if this connection had never been taken
 		}
-		end.Outcome, end.Broken, end.Detail = policy.Cut, true, err.Error()
+		end.Outcome, end.Broken, end.Detail = policy.ConnectionLost, true, err.Error()
 		if !how.all {
-			end.Outcome = policy.NoRoute
+			end.Outcome = policy.ConnectFailed
 		}
 	}
 	l.pool.tell(end)
--- a/internal/lab/account.go
+++ b/internal/lab/account.go
@@ -260,7 +260,7 @@
 func (b *ledger) ended(a *attempt, how policy.Outcome) {
 	a.over, a.how = a.x.w.now, how
 	if a.calledOff {
-		a.how = policy.CalledOff
+		a.how = policy.Canceled
 	}
 	if b != nil && a.reached == unseen {
 		// It may still come there, as a break does not stop what is under way; then it is counted off once only.
@@ -398,10 +398,10 @@
 			until = end
 		}
 		switch a.how {
-		case policy.NoRoom:
+		case policy.ExecutorFull:
 			put(a.sent, until, TurnedAway, 3)
 			continue
-		case policy.Errored, policy.Unfit, policy.NoRoute, policy.Cut:
+		case policy.ExecutorError, policy.InvalidRequest, policy.ConnectFailed, policy.ConnectionLost:
 			put(a.sent, until, Failed, 3)
 			continue
 		}
--- a/internal/lab/account_test.go
+++ b/internal/lab/account_test.go
@@ -202,7 +202,7 @@
 		{from: ms(0), arrived: ms(1), answered: ms(100), done: ms(101), how: standin.EndPushedBack},
 		{from: ms(111), arrived: ms(112), answered: ms(400), done: ms(401), how: standin.EndHandled},
 	}, attempts: []*attempt{
-		{dialled: unseen, sent: ms(20), reached: ms(22), began: unseen, ended: ms(22), over: ms(24), how: policy.NoRoom},
+		{dialled: unseen, sent: ms(20), reached: ms(22), began: unseen, ended: ms(22), over: ms(24), how: policy.ExecutorFull},
 		{dialled: ms(114), up: ms(118), sent: ms(120), reached: ms(125), began: ms(165), ended: unseen, over: ms(400), slow: true}, // crawls
 		{dialled: unseen, sent: ms(200), reached: ms(205), began: ms(305), ended: ms(395), over: ms(400), how: policy.Succeeded},
 	}}
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -177,7 +177,7 @@
 		}}},
 	{"an executor's error counts as its result", rules.OneAnswer, nil, plant{
 		event: onlyEnded(func(ev *node.Ended) {
-			if ev.Outcome == policy.Errored {
+			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.Succeeded
 			}
 		})}},
@@ -195,14 +195,14 @@
 		})}},
 	{"a cut counts as a connection that never came up", rules.NoEffectTwice, nil, plant{
 		event: onlyEnded(func(ev *node.Ended) {
-			if ev.Outcome == policy.Cut {
-				ev.Outcome = policy.NoRoute
+			if ev.Outcome == policy.ConnectionLost {
+				ev.Outcome = policy.ConnectFailed
 			}
 		})}},
 	{"an error counts as turned away", rules.NoEffectTwice, nil, plant{
 		event: onlyEnded(func(ev *node.Ended) {
-			if ev.Outcome == policy.Errored {
-				ev.Outcome = policy.NoRoom
+			if ev.Outcome == policy.ExecutorError {
+				ev.Outcome = policy.ExecutorFull
 			}
 		})}},
 	{"the module sends what it should break off", rules.NoEffectTwice, nil, plant{
@@ -220,7 +220,7 @@
 			if c == nil || c.state != up || c.load == nil {
 				return []node.Effect{e}
 			}
-			n.later(epsilon, func() { n.tell(node.Ended{Conn: e.Conn, Outcome: policy.Cut, Broken: true}) })
+			n.later(epsilon, func() { n.tell(node.Ended{Conn: e.Conn, Outcome: policy.ConnectionLost, Broken: true}) })
 			n.later(2*epsilon, func() { n.tell(node.Closed{Conn: e.Conn}) })
 			return nil
 		})}},
--- a/internal/lab/net.go
+++ b/internal/lab/net.go
@@ -424,9 +424,9 @@
 	c.state = closed
 	if l := c.load; l != nil && !l.ended {
 		l.ended = true
-		ev := node.Ended{Conn: c.id, Outcome: policy.Cut, Broken: true, Detail: why}
+		ev := node.Ended{Conn: c.id, Outcome: policy.ConnectionLost, Broken: true, Detail: why}
 		if !l.all {
-			ev.Outcome = policy.NoRoute
+			ev.Outcome = policy.ConnectFailed
 		}
 		c.tellLater(epsilon, ev)
 	}
@@ -470,7 +470,7 @@
 	})
 }
 
-var words = map[standin.Word]policy.Outcome{standin.Done: policy.Succeeded, standin.Errored: policy.Errored, standin.NoRoom: policy.NoRoom}
+var words = map[standin.Word]policy.Outcome{standin.Done: policy.Succeeded, standin.Errored: policy.ExecutorError, standin.NoRoom: policy.ExecutorFull}
 
 // say brings an executor's word to the node.
 func (c *wire) say(o standin.Say) {
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -214,7 +214,7 @@
 	case c.state == dialling && c.job.answered:
 		n.over(n.unlink(c), c.number, policy.NotSent)
 	case c.state == dialling:
-		n.over(n.unlink(c), c.number, policy.NoRoute)
+		n.over(n.unlink(c), c.number, policy.ConnectFailed)
 	case !c.given:
 		c.given, c.as = true, as
 		n.say(Close{c.id})
@@ -247,17 +247,17 @@
 	}
 	c.state = spent
 	j, how := n.unlink(c), ev.Outcome
-	if ev.Broken && how == policy.NoRoute {
+	if ev.Broken && how == policy.ConnectFailed {
 		n.figures.Attempts--
 	}
 	switch {
 	case how == policy.Succeeded:
 		n.answer(j, Answer{Final: Succeeded, Result: ev.Result})
-	case how == policy.Unfit:
+	case how == policy.InvalidRequest:
 		// It is the batch job's fault: elsewhere it would fare no better, and cost another executor its good name.
 		n.answer(j, Answer{Final: Failed})
 		n.say(Log{Text: ev.Detail, Executor: c.to.id, Job: j.ID})
-	case c.given && ev.Broken && how == policy.NoRoute:
+	case c.given && ev.Broken && how == policy.ConnectFailed:
 		how = policy.NotSent // closed by us before its last byte was written
 	case c.given && ev.Broken:
 		how = c.as
@@ -265,10 +265,10 @@
 		n.say(Log{Text: ev.Detail, Executor: c.to.id, Job: j.ID})
 	}
 	n.reported(c, ev.Load)
-	if ev.Broken && how == policy.Cut && c.rested && !c.heard {
+	if ev.Broken && how == policy.ConnectionLost && c.rested && !c.heard {
 		n.tooLong(c.wroteAt - c.restsAt)
 	}
-	if ev.Broken && how != policy.CalledOff && how != policy.NotSent {
+	if ev.Broken && how != policy.Canceled && how != policy.NotSent {
 		// The others may lead nowhere as well; a new one shows before anything is written whether there is a way.
 		n.closeResting(c.to)
 	}
@@ -323,7 +323,7 @@
 		}
 		n.say(Log{Text: detail, Executor: c.to.id, Job: j.ID})
 		n.closeResting(c.to)
-		n.over(j, c.number, policy.NoRoute)
+		n.over(j, c.number, policy.ConnectFailed)
 	case c.given || j.answered || c.anew() || n.outOfWindow(c, j) || !n.place(j, c.number, c.to, c.askedAt):
 		n.over(j, c.number, policy.NotSent)
 	}
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -305,7 +305,7 @@
 		j.dueAt = j.limitAt
 		heap.Fix(&n.due, 0)
 		for _, c := range slices.Clone(j.conns) {
-			n.giveUp(c, policy.TooSlow)
+			n.giveUp(c, policy.TimedOut)
 		}
 	}
 }
@@ -325,7 +325,7 @@
 		case policy.CancelAttempt:
 			if j := n.jobs[due.Job]; j != nil {
 				if i := slices.IndexFunc(j.conns, func(c *conn) bool { return c.number == due.Attempt }); i >= 0 {
-					n.giveUp(j.conns[i], policy.CalledOff)
+					n.giveUp(j.conns[i], policy.Canceled)
 				}
 			}
 		case policy.Probe:
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -117,8 +117,8 @@
 	return list
 }
 
-var outcomes = map[string]policy.Outcome{"handled": policy.Succeeded, "errored": policy.Errored,
-	"no-room": policy.NoRoom, "no-route": policy.NoRoute, "cut": policy.Cut, "unfit": policy.Unfit}
+var outcomes = map[string]policy.Outcome{"handled": policy.Succeeded, "errored": policy.ExecutorError,
+	"no-room": policy.ExecutorFull, "no-route": policy.ConnectFailed, "cut": policy.ConnectionLost, "unfit": policy.InvalidRequest}
 
 func (p *player) event(now time.Duration, words []string) Event {
 	last := words[len(words)-1]
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -157,7 +157,7 @@
 		case policy.PlaceJob:
 			p.does(due.Job, p.d.Place(p.now, due.Job))
 		case policy.CancelAttempt:
-			p.end(due.Job, due.Attempt, policy.CalledOff)
+			p.end(due.Job, due.Attempt, policy.Canceled)
 		case policy.Sleep:
 			p.next = max(due.At, p.now+1)
 			return
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -284,7 +284,7 @@
 		case PlaceJob:
 			w.Place(w.now, due.Job)
 		case CancelAttempt:
-			w.Ended(w.now, due.Job, due.Attempt, [...]Outcome{CalledOff, NotSent, Succeeded}[w.r.IntN(3)], false)
+			w.Ended(w.now, due.Job, due.Attempt, [...]Outcome{Canceled, NotSent, Succeeded}[w.r.IntN(3)], false)
 		case Tell:
 			if w.r.IntN(3) > 0 {
 				w.Heard(w.now, due.Node, [...]Word{Lend, Lend, Later}[w.r.IntN(3)], due.Sum)
@@ -328,7 +328,7 @@
 	case what < 11 && s != nil:
 		w.Started(w.now, s.id, s.n)
 	case what < 15 && s != nil:
-		how := [...]Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Errored, NoRoom, TooSlow, NoRoute, Cut, NotSent}[w.r.IntN(12)]
+		how := [...]Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, ExecutorError, ExecutorFull, TimedOut, ConnectFailed, ConnectionLost, NotSent}[w.r.IntN(12)]
 		w.Ended(w.now, s.id, s.n, how, how == Succeeded)
 	case what == 15 && s != nil:
 		w.Progressed(w.now, s.id, s.n, w.r.Float64())
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -601,24 +601,24 @@
 	switch how {
 	case Succeeded:
 		d.handled(j, e, now)
-	case NoRoom, Errored, Unfit, NoRoute, Cut:
-		if how == NoRoom {
+	case ExecutorFull, ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
+		if how == ExecutorFull {
 			// Full counts as queuing at the executor, unless only one tenant meets it.
 			e.fullMany = e.fullMany || e.full && e.fullFrom != j.tenantID
 			e.full, e.fullFrom, e.fullWait, j.startedLate = true, j.tenantID, e.fullWait+est, true
 		}
-		if d.probes && (how == NoRoute || how == Cut) {
+		if d.probes && (how == ConnectFailed || how == ConnectionLost) {
 			d.mute(e, max(1, e.silences)) // until it answers
 			d.askLoad(e, now, 0)
 		}
 		// One may be the network's or the batch job's; a second, with no sign of life between, is the executor's.
-		if how == Errored || e.broke && (how != NoRoom || j.tenant == nil || e.fullMany) {
+		if how == ExecutorError || e.broke && (how != ExecutorFull || j.tenant == nil || e.fullMany) {
 			d.holdBack(e, now, "after an outcome that was no result")
-			e.errors += int(flag(how == Errored))
+			e.errors += int(flag(how == ExecutorError))
 		}
 		e.broke = true
-	case TooSlow, CalledOff:
-		if j.curt && how == TooSlow {
+	case TimedOut, Canceled:
+		if j.curt && how == TimedOut {
 			j.tenant.need = min(j.tenant.need+4*needStep, 1.5)
 		}
 		// The executor may still be on it: the token stays taken until the work would be over.
@@ -634,7 +634,7 @@
 		d.at(max(now, begun+est), nil, e)
 		return
 	}
-	if how == NoRoom { // guards against a token that is turned away again and again, in overload by the hundred
+	if how == ExecutorFull { // guards against a token that is turned away again and again, in overload by the hundred
 		d.giveBack(e, now, true)
 		e.turned++
 		d.at(now+times(est, fullRest*float64(e.turned)), nil, e)
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -151,8 +151,8 @@
 var wordNames = map[Word]string{Want: "want", WantLate: "want-late", Lend: "lend", Later: "later",
 	Back: "back", BackLate: "back-late"}
 
-var outcomeWords = map[string]Outcome{"handled": Succeeded, "errored": Errored, "unfit": Unfit, "no-room": NoRoom,
-	"too-slow": TooSlow, "no-route": NoRoute, "cut": Cut, "called-off": CalledOff, "not-sent": NotSent}
+var outcomeWords = map[string]Outcome{"handled": Succeeded, "errored": ExecutorError, "unfit": InvalidRequest, "no-room": ExecutorFull,
+	"too-slow": TimedOut, "no-route": ConnectFailed, "cut": ConnectionLost, "called-off": Canceled, "not-sent": NotSent}
 
 // play runs a trace file's own lines and gives the file as it should be.
 func play(t *testing.T, lines []string) string {
--- a/policy/types.go
+++ b/policy/types.go
@@ -47,19 +47,19 @@
 type Outcome int
 
 const (
-	Succeeded Outcome = iota
-	Errored           // the executor answered with an error; it may have run
-	Unfit             // the executor can't use it as it is; it may have run
-	NoRoom            // turned away unseen; it never ran
-	TooSlow           // no answer in time; it may have run, or may still
-	NoRoute           // no connection; it never ran
-	Cut               // the connection broke; it may have run
-	CalledOff         // we stopped waiting; it may have run
-	NotSent           // it never left this node
+	Succeeded      Outcome = iota
+	ExecutorError          // the executor answered with an error; it may have run
+	InvalidRequest         // the executor can't use it as it is; it may have run
+	ExecutorFull           // turned away unseen; it never ran
+	TimedOut               // no answer in time; it may have run, or may still
+	ConnectFailed          // no connection; it never ran
+	ConnectionLost         // the connection broke; it may have run
+	Canceled               // we stopped waiting; it may have run
+	NotSent                // it never left this node
 )
 
 // NeverRan says whether an outcome proves that the allocation never ran.
-func (o Outcome) NeverRan() bool { return o == NoRoom || o == NoRoute || o == NotSent }
+func (o Outcome) NeverRan() bool { return o == ExecutorFull || o == ConnectFailed || o == NotSent }
 
 // JobClass is a kind of batch job with its own handling.
 type JobClass struct {
