--- a/internal/clients/codec.go
+++ b/internal/clients/codec.go
@@ -81,8 +81,8 @@
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return job, bad("the path is missing")
 	}
-	job.Call = node.Call{ID: policy.JobID(h.Get("X-Call-Id")), Method: r.Method, URI: r.RequestURI, Host: r.Host,
-		ContentType: h.Get("Content-Type"), Tag: h.Get("Idempotency-Key")}
+	job.Request = node.Request{ID: policy.JobID(h.Get("X-Call-Id")), Method: r.Method, URI: r.RequestURI, Host: r.Host,
+		ContentType: h.Get("Content-Type"), IdempotencyKey: h.Get("Idempotency-Key")}
 	if job.ID == "" || len(job.ID) > longestID {
 		return job, bad("X-Call-Id: missing, or over %d bytes", longestID)
 	}
@@ -90,7 +90,7 @@
 	if !ok {
 		return job, bad("X-Call-Class: no track is called %.40q", h.Get("X-Call-Class"))
 	}
-	if job.Class = track.id; len(job.Tag) > longestID || track.tagged && job.Tag == "" {
+	if job.Class = track.id; len(job.IdempotencyKey) > longestID || track.tagged && job.IdempotencyKey == "" {
 		return job, bad("Idempotency-Key: missing, or over %d bytes", longestID)
 	}
 	text := h.Get("X-Budget-Ms")
--- a/internal/clients/front.go
+++ b/internal/clients/front.go
@@ -66,7 +66,7 @@
 func (f *Front) UpdateJobClasses(tracks []node.NumberedClass) {
 	all := map[string]track{}
 	for _, t := range tracks {
-		all[t.Name] = track{t.ID, t.OuterLimit, t.Repeat == policy.Tagged}
+		all[t.Name] = track{t.ID, t.OuterLimit, t.Idempotency == policy.IdempotentWithKey}
 	}
 	f.tracks.Store(&all)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -169,7 +169,7 @@
 	c.Settings.Policy.Seed = crc32.ChecksumIEEE([]byte(w.Seed))
 	for i := range c.Settings.Policy.JobClasses {
 		// A connection may take so long to come up after the module has decided on a further allocation.
-		window := &c.Settings.Policy.JobClasses[i].GroupWindow
+		window := &c.Settings.Policy.JobClasses[i].DedupWindow
 		*window = max(0, *window-c.Settings.DialLimit)
 	}
 	p := &c.Settings.Policy
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -81,12 +81,12 @@
 // Seconds turns seconds into a span, rounded to the microsecond.
 func Seconds(x float64) time.Duration { return time.Duration(math.Round(x*1e6)) * time.Microsecond }
 
-var repeats = map[string]policy.Repeat{
-	"repeatable": policy.Repeatable, "by_key": policy.Tagged, "once": policy.OnceOnly,
+var repeats = map[string]policy.Idempotency{
+	"repeatable": policy.Idempotent, "by_key": policy.IdempotentWithKey, "once": policy.AtMostOnce,
 }
 
-var groups = map[string]policy.Group{
-	"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell,
+var groups = map[string]policy.DedupGroup{
+	"": policy.DedupAllExecutors, "all": policy.DedupAllExecutors, "zone": policy.DedupZone, "cell": policy.DedupCell,
 }
 
 // reportHows are the ways in which executors tell their load.
@@ -286,7 +286,7 @@
 	if max(t.Quoted, t.Limit, t.Window) > longestLimit {
 		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d]: a time over %g s", i, longestLimit)
 	}
-	return policy.JobClass{Repeat: repeat, Group: group, GroupWindow: Seconds(t.Window),
+	return policy.JobClass{Idempotency: repeat, DedupGroup: group, DedupWindow: Seconds(t.Window),
 		Quoted: Seconds(t.Quoted), Stretch: t.Stretch, OuterLimit: Seconds(t.Limit), Earnings: t.Earnings,
 		LateEarnings: t.Late, Kind: policy.AnyKind}, nil
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -114,7 +114,7 @@
 
 // twin is what a track's twin of that number asks of its batch jobs.
 func twin(id policy.JobClassID, t policy.JobClass) track {
-	return track{id: id, tagged: t.Repeat == policy.Tagged, lease: leases.JobClass{Repeat: t.Repeat, Group: t.Group, Window: t.GroupWindow}}
+	return track{id: id, tagged: t.Idempotency == policy.IdempotentWithKey, lease: leases.JobClass{Idempotency: t.Idempotency, DedupGroup: t.DedupGroup, DedupWindow: t.DedupWindow}}
 }
 
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
@@ -154,7 +154,7 @@
 		tr, ok := d.tracks[st.Accepted.Track]
 		if !ok {
 			unknown++ // its track is gone from the settings: nothing is known of what it allows
-			tr.lease.Repeat = policy.OnceOnly
+			tr.lease.Idempotency = policy.AtMostOnce
 		}
 		var sends []leases.Send
 		for _, s := range st.Sends {
@@ -368,8 +368,8 @@
 	d.mu.Lock()
 	tr := d.tracks[rec.Track]
 	d.mu.Unlock()
-	job := node.Job{Class: tr.id, Work: rec.Work, Budget: e.Budget, Call: node.Call{ID: policy.JobID(prefix + string(e.ID)), Method: http.MethodPost,
-		URI: rec.URI, Host: rec.Host, ContentType: rec.ContentType, Tag: rec.Tag, Body: rec.Body}}
+	job := node.Job{Class: tr.id, Work: rec.Work, Budget: e.Budget, Request: node.Request{ID: policy.JobID(prefix + string(e.ID)), Method: http.MethodPost,
+		URI: rec.URI, Host: rec.Host, ContentType: rec.ContentType, IdempotencyKey: rec.Tag, Body: rec.Body}}
 	go d.tell(node.Arrived{Job: job})
 }
 
@@ -523,12 +523,12 @@
 	d.mu.Lock()
 	epoch, effects := d.book.Send(now(), leases.ID(id), d.at[d.addrs[c]])
 	if epoch > 0 {
-		call := *a.Call
+		call := *a.Request
 		call.Epoch = uint32(epoch)
 		if d.plant.noEpoch {
 			call.Epoch = 0
 		}
-		a.Call = &call
+		a.Request = &call
 		d.writes[c] = &pending{id: leases.ID(id), epoch: epoch, alloc: a}
 		d.out[leases.ID(id)] = c
 	}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -67,8 +67,8 @@
 }
 
 var tracks = []policy.JobClass{
-	{Repeat: policy.Repeatable, Quoted: time.Second, OuterLimit: 5 * time.Second, Earnings: 1, Kind: policy.AnyKind},
-	{Repeat: policy.OnceOnly, Quoted: time.Second, OuterLimit: 5 * time.Second, Earnings: 1, Kind: policy.AnyKind},
+	{Idempotency: policy.Idempotent, Quoted: time.Second, OuterLimit: 5 * time.Second, Earnings: 1, Kind: policy.AnyKind},
+	{Idempotency: policy.AtMostOnce, Quoted: time.Second, OuterLimit: 5 * time.Second, Earnings: 1, Kind: policy.AnyKind},
 }
 
 var names = []string{"page", "order"}
--- a/internal/executors/codec.go
+++ b/internal/executors/codec.go
@@ -22,7 +22,7 @@
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = field(b, "Host", a.Host)
 	b = field(b, "X-Call-Id", string(a.ID))
-	b = field(b, "Idempotency-Key", a.Tag)
+	b = field(b, "Idempotency-Key", a.IdempotencyKey)
 	b = field(b, "Content-Type", a.ContentType)
 	if a.Epoch > 0 {
 		b = field(b, "X-Lease-Epoch", strconv.FormatUint(uint64(a.Epoch), 10))
--- a/internal/executors/crossings_test.go
+++ b/internal/executors/crossings_test.go
@@ -108,7 +108,7 @@
 
 func onceOnly(id string) node.Attempt {
 	a := call(id)
-	a.Once = true
+	a.AtMostOnce = true
 	return a
 }
 
--- a/internal/executors/executors_test.go
+++ b/internal/executors/executors_test.go
@@ -156,8 +156,8 @@
 }
 
 func call(id string) node.Attempt {
-	return node.Attempt{Budget: 1500 * time.Millisecond, Call: &node.Call{ID: policy.JobID(id), Method: "POST",
-		URI: "/api/a%20b?c=d&e", Host: "backend.local", Tag: "tag-1", ContentType: "text/plain", Body: []byte("body")}}
+	return node.Attempt{Budget: 1500 * time.Millisecond, Request: &node.Request{ID: policy.JobID(id), Method: "POST",
+		URI: "/api/a%20b?c=d&e", Host: "backend.local", IdempotencyKey: "tag-1", ContentType: "text/plain", Body: []byte("body")}}
 }
 
 // What comes back from executors, whole, cut and senseless, and the outcome that each stands for.
--- a/internal/executors/link.go
+++ b/internal/executors/link.go
@@ -59,7 +59,7 @@
 	if l.closed || l.conn == nil || l.carries != "" {
 		return false
 	}
-	l.carries, l.once, l.written = a.ID, a.Once, make(chan written, 1)
+	l.carries, l.once, l.written = a.ID, a.AtMostOnce, make(chan written, 1)
 	return true
 }
 
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -105,9 +105,9 @@
 	if j == nil || j.out {
 		return policy.Decision{}
 	}
-	if now >= j.limit-b.settings.Quantum || j.sent >= b.settings.MaxAttempts || j.ran && j.track.Repeat != policy.Repeatable {
+	if now >= j.limit-b.settings.Quantum || j.sent >= b.settings.MaxAttempts || j.ran && j.track.Idempotency != policy.Idempotent {
 		delete(b.jobs, id)
-		if j.ran && j.track.Repeat != policy.Repeatable {
+		if j.ran && j.track.Idempotency != policy.Idempotent {
 			return policy.Decision{Action: policy.Fail}
 		}
 		return policy.Decision{Action: policy.Reject, RetryAfter: b.settings.MaxRetryAfter}
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -184,10 +184,10 @@
 	{"what is answered is sent once more", rules.OneAnswer, nil, plant{
 		effect: instead(func(w *World, n *sim, a node.Answer) []node.Effect {
 			t := n.tries[a.Job]
-			if a.Final == node.Succeeded && t != nil && w.module[t.work.Track].Repeat == policy.Repeatable {
+			if a.Final == node.Succeeded && t != nil && w.module[t.work.Track].Idempotency == policy.Idempotent {
 				for _, c := range sortedByID(n.wires) {
 					if c.state == up && c.load == nil && !c.x.Cold(w.now) && c.x.down == 0 {
-						return []node.Effect{a, node.WriteAttempt{Conn: c.id, Attempt: node.Attempt{Call: &node.Call{ID: a.Job}}}}
+						return []node.Effect{a, node.WriteAttempt{Conn: c.id, Attempt: node.Attempt{Request: &node.Request{ID: a.Job}}}}
 					}
 				}
 			}
@@ -227,8 +227,8 @@
 	{"a once-only track is taken for repeatable", rules.NoEffectTwice, nil, plant{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
-				if p.JobClasses[i].Repeat == policy.OnceOnly {
-					p.JobClasses[i].Repeat = policy.Repeatable
+				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
+					p.JobClasses[i].Idempotency = policy.Idempotent
 				}
 			}
 		}}},
@@ -237,21 +237,21 @@
 	{"a once-only track is copied", rules.NoEffectTwice, func(s *Scenario) { crawling(s); s.Fleet.Copies = true }, plant{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
-				if p.JobClasses[i].Repeat == policy.OnceOnly {
-					p.JobClasses[i].Repeat = policy.Repeatable
+				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
+					p.JobClasses[i].Idempotency = policy.Idempotent
 				}
 			}
 		}}},
 	{"a zone's group is taken for all executors", rules.NoEffectTwice, tagged("zone", 5*time.Second), plant{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
-				p.JobClasses[i].Group = policy.GroupAll
+				p.JobClasses[i].DedupGroup = policy.DedupAllExecutors
 			}
 		}}},
 	{"a window is taken for longer than it is", rules.NoEffectTwice, tagged("all", 300*time.Millisecond), plant{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
-				p.JobClasses[i].GroupWindow = time.Minute
+				p.JobClasses[i].DedupWindow = time.Minute
 			}
 		}}},
 	{"executors say turned away, and run it", rules.NoEffectTwice, nil, plant{
--- a/internal/lab/net.go
+++ b/internal/lab/net.go
@@ -371,7 +371,7 @@
 
 // tag is what a work of a tagged track carries; others have none.
 func (w *World) tag(work *standin.Work) string {
-	if w.module[work.Track].Repeat == policy.Tagged {
+	if w.module[work.Track].Idempotency == policy.IdempotentWithKey {
 		return string(work.ID)
 	}
 	return ""
@@ -385,7 +385,7 @@
 		a.Cost *= math.Exp(w.noise.NormFloat64()*noise - noise*noise/2)
 	}
 	if a.Tag = w.tag(t.work); a.Tag != "" {
-		a.Window, a.Memory = w.module[a.Track].GroupWindow, w.memory(x, a.Track)
+		a.Window, a.Memory = w.module[a.Track].DedupWindow, w.memory(x, a.Track)
 	}
 	if w.plant.allocation != nil {
 		w.plant.allocation(&a)
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -202,8 +202,8 @@
 	return b.Bytes(), err
 }
 
-var repeats = map[string]policy.Repeat{"repeatable": policy.Repeatable, "tagged": policy.Tagged, "once-only": policy.OnceOnly}
-var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
+var repeats = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "tagged": policy.IdempotentWithKey, "once-only": policy.AtMostOnce}
+var groups = map[string]policy.DedupGroup{"": policy.DedupAllExecutors, "all": policy.DedupAllExecutors, "zone": policy.DedupZone, "cell": policy.DedupCell}
 
 // Sized is the scenario with another number of nodes and executors, and another length; 0 leaves one as it is. Faults that come later are left out.
 func (s Scenario) Sized(nodes, executors int, length time.Duration) (Scenario, error) {
@@ -347,7 +347,7 @@
 // Takes are the tracks as clients, module and rules take them.
 func (s *Scenario) Takes() (own []standin.Track, module []policy.JobClass) {
 	for _, t := range s.Tracks {
-		p := policy.JobClass{Repeat: repeats[t.Repeat], Group: groups[t.Group], GroupWindow: time.Duration(t.Window),
+		p := policy.JobClass{Idempotency: repeats[t.Repeat], DedupGroup: groups[t.Group], DedupWindow: time.Duration(t.Window),
 			Quoted: time.Duration(t.Quoted), Stretch: t.Stretch, OuterLimit: time.Duration(t.Outer), Earnings: t.Earnings,
 			LateEarnings: t.Late, Kind: policy.AnyKind}
 		own = append(own, standin.Track{JobClass: p, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -359,7 +359,7 @@
 		MayTell: f.Talk && f.Keepers && n.w.wired == nil, MayCopy: f.Copies, MarksAgain: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
 	longest := time.Duration(0)
 	for _, t := range n.w.module {
-		t.GroupWindow = max(0, t.GroupWindow-time.Duration(f.DialLimit)) // as config does
+		t.DedupWindow = max(0, t.DedupWindow-time.Duration(f.DialLimit)) // as config does
 		p.JobClasses = append(p.JobClasses, t)
 		longest = max(longest, t.OuterLimit)
 	}
@@ -694,7 +694,7 @@
 
 // memory is what remembers the tags of a track's batch jobs at an executor.
 func (w *World) memory(x *executor, id policy.JobClassID) *standin.Memory {
-	return w.memories.Of(id, w.module[id].Group, x.ExecutorSpec)
+	return w.memories.Of(id, w.module[id].DedupGroup, x.ExecutorSpec)
 }
 
 func compareIDs(a, b rules.Seen) int { return cmp.Compare(a.Executor, b.Executor) }
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -52,9 +52,9 @@
 
 // JobClass is what a track allows after an allocation that may have run.
 type JobClass struct {
-	Repeat policy.Repeat
-	Group  policy.Group
-	Window time.Duration // of a tagged one, less what a connection takes to come up
+	Idempotency policy.Idempotency
+	DedupGroup  policy.DedupGroup
+	DedupWindow time.Duration // of a tagged one, less what a connection takes to come up
 }
 
 // Job is a batch job as it is handed in. Times are times of day, as spans since 1970.
@@ -278,11 +278,11 @@
 // node has sent, so it is given that much time only.
 func (b *Book) repeatUntil(j *job) time.Duration {
 	first := j.mayHaveRun()
-	if first == nil || j.Track.Repeat == policy.Repeatable {
+	if first == nil || j.Track.Idempotency == policy.Idempotent {
 		return never
 	}
-	if j.Track.Repeat == policy.Tagged && j.Track.Group == policy.GroupAll {
-		return first.At + j.Track.Window
+	if j.Track.Idempotency == policy.IdempotentWithKey && j.Track.DedupGroup == policy.DedupAllExecutors {
+		return first.At + j.Track.DedupWindow
 	}
 	return 0
 }
@@ -336,7 +336,7 @@
 		return b.give(now)
 	}
 	b.inHand--
-	if how == Rejected && j.Track.Repeat != policy.Repeatable && j.mayHaveRun() != nil {
+	if how == Rejected && j.Track.Idempotency != policy.Idempotent && j.mayHaveRun() != nil {
 		how = Failed // the module knows nothing of what an earlier life has sent
 	}
 	if b.stopped && how != Succeeded {
@@ -356,7 +356,7 @@
 // expire answers what nothing was handled of by its outer limit. A pushback promises that it did not run.
 func (b *Book) expire(now time.Duration, j *job) {
 	how := Failed
-	if j.mayHaveRun() == nil || j.Track.Repeat == policy.Repeatable {
+	if j.mayHaveRun() == nil || j.Track.Idempotency == policy.Idempotent {
 		how = Rejected
 	}
 	b.close(j, how, nil)
@@ -410,8 +410,8 @@
 		b.at(max(now, finalAt+b.s.Keep), j)
 		return b.give(now)
 	}
-	if now < last && j.Track.Repeat == policy.Tagged {
-		j.Track.Window = 0
+	if now < last && j.Track.Idempotency == policy.IdempotentWithKey {
+		j.Track.DedupWindow = 0
 	}
 	switch {
 	case now >= j.Limit && (!b.s.Leases || j.mayHaveRun() == nil):
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -12,9 +12,9 @@
 
 var (
 	repeatable = JobClass{}
-	once       = JobClass{Repeat: policy.OnceOnly}
-	taggedAll  = JobClass{Repeat: policy.Tagged, Window: 7 * time.Second}
-	taggedZone = JobClass{Repeat: policy.Tagged, Group: policy.GroupZone, Window: 7 * time.Second}
+	once       = JobClass{Idempotency: policy.AtMostOnce}
+	taggedAll  = JobClass{Idempotency: policy.IdempotentWithKey, DedupWindow: 7 * time.Second}
+	taggedZone = JobClass{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupZone, DedupWindow: 7 * time.Second}
 )
 
 func text(e Effect) string {
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -154,8 +154,8 @@
 func (n *Node) write(c *conn) {
 	c.state, c.heard, c.wroteAt = busy, false, n.now
 	n.figures.Attempts++ // taken back if its last byte never leaves
-	n.say(WriteAttempt{c.id, Attempt{Call: &c.job.Call, Budget: max(c.job.limitAt-n.now, time.Millisecond),
-		Once: n.repeats[c.job.Class] != policy.Repeatable, Client: c.job.Client}})
+	n.say(WriteAttempt{c.id, Attempt{Request: &c.job.Request, Budget: max(c.job.limitAt-n.now, time.Millisecond),
+		AtMostOnce: n.repeats[c.job.Class] != policy.Idempotent, Client: c.job.Client}})
 }
 
 // anew says whether the executor has started anew since the module meant it: it is cold, so the module is asked again. Guards
@@ -169,7 +169,7 @@
 // outOfWindow says whether a further allocation of a tagged batch job was decided on longer ago than dialling may take, which is
 // all that a dedup window was lessened by. Guards against a process that stood still meanwhile, and would repeat outside it.
 func (n *Node) outOfWindow(c *conn, j *job) bool {
-	return c.number > 0 && j.Tag != "" && n.now-c.askedAt > n.limits.DialLimit
+	return c.number > 0 && j.IdempotencyKey != "" && n.now-c.askedAt > n.limits.DialLimit
 }
 
 // dialled puts a connection that has come up to its use. Its executor may drain, be gone or be another by now, the client may
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -10,21 +10,21 @@
 // ConnID names a connection to an executor, from its dialling on.
 type ConnID uint64
 
-// Call is what of a batch job goes on to an executor unchanged.
-type Call struct {
-	ID          policy.JobID
-	Method      string
-	URI         string // path and query, as they came
-	Host        string
-	ContentType string
-	Tag         string // by which executors know a repeat
-	Epoch       uint32 // of a durable batch job's allocation; 0 for all others
-	Body        []byte
+// Request is what of a batch job goes on to an executor unchanged.
+type Request struct {
+	ID             policy.JobID
+	Method         string
+	URI            string // path and query, as they came
+	Host           string
+	ContentType    string
+	IdempotencyKey string // by which executors know a repeat
+	Epoch          uint32 // of a durable batch job's allocation; 0 for all others
+	Body           []byte
 }
 
 // Job is a batch job as a client handed it in.
 type Job struct {
-	Call
+	Request
 	Class  policy.JobClassID
 	Tenant policy.TenantID
 	Work   time.Duration // a guess; 0 for none
@@ -69,10 +69,10 @@
 
 // Attempt is one sending of a batch job.
 type Attempt struct {
-	*Call
-	Budget time.Duration // how long this node waits for it
-	Once   bool          // it must not run again unless it provably never ran
-	Client Client        // looked at right before the first byte; nil where nobody waits
+	*Request
+	Budget     time.Duration // how long this node waits for it
+	AtMostOnce bool          // it must not run again unless it provably never ran
+	Client     Client        // looked at right before the first byte; nil where nobody waits
 }
 
 // Final is the kind of a final answer.
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -86,7 +86,7 @@
 	fleet     *fleet.Fleet // nil where this node talks with no others
 	pair
 	booked   []int                        // by a track's number, where its figures stand
-	repeats  []policy.Repeat              // by that number
+	repeats  []policy.Idempotency         // by that number
 	tracks   []NumberedClass              // the current ones
 	former   map[string]policy.JobClassID // by name, the last number that it bore
 	lists    int
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -58,7 +58,7 @@
 		figure, _ := strconv.Atoi(value)
 		switch key {
 		case "once":
-			s.JobClasses[0].Repeat = policy.OnceOnly
+			s.JobClasses[0].Idempotency = policy.AtMostOnce
 		case "cold":
 			s.ColdShare, s.WarmWithin = 0.25, 8*time.Second
 		case "conns":
@@ -68,7 +68,7 @@
 		case "late":
 			s.JobClasses[0].LateEarnings = 0.5
 		case "tagged":
-			s.JobClasses[0].Repeat, s.JobClasses[0].GroupWindow = policy.Tagged, 2*time.Second
+			s.JobClasses[0].Idempotency, s.JobClasses[0].DedupWindow = policy.IdempotentWithKey, 2*time.Second
 		case "probes":
 			s.MayProbe = true
 		case "live":
@@ -141,13 +141,13 @@
 	case "lost":
 		return Listed{Kind: policy.Lost, Detail: "no answer"}
 	case "job":
-		j := Job{Call: Call{ID: policy.JobID(words[1])}, Work: 300 * time.Millisecond, Budget: 5 * time.Second}
+		j := Job{Request: Request{ID: policy.JobID(words[1])}, Work: 300 * time.Millisecond, Budget: 5 * time.Second}
 		for _, w := range words[2:] {
 			switch key, value, _ := strings.Cut(w, "="); key {
 			case "work":
 				j.Work = kept.Span(p.t, value)
 			case "tag":
-				j.Tag = value
+				j.IdempotencyKey = value
 			case "budget":
 				j.Budget = kept.Span(p.t, value)
 			case "body":
@@ -201,10 +201,10 @@
 				continue
 			}
 			t := p.n.tracks[0].JobClass.JobClass
-			t.Repeat, t.MaxAttempts = policy.Repeatable, 0
+			t.Idempotency, t.MaxAttempts = policy.Idempotent, 0
 			switch rule {
 			case "once":
-				t.Repeat = policy.OnceOnly
+				t.Idempotency = policy.AtMostOnce
 			case "1", "2":
 				t.MaxAttempts, _ = strconv.Atoi(rule)
 			}
--- a/internal/node/retune.go
+++ b/internal/node/retune.go
@@ -22,7 +22,7 @@
 			c.ID = n.tracks[i].ID
 		} else {
 			n.booked = append(n.booked, n.figuresOf(t.Name))
-			n.repeats = append(n.repeats, t.Repeat)
+			n.repeats = append(n.repeats, t.Idempotency)
 		}
 		n.former[t.Name] = c.ID
 		changes = append(changes, c)
--- a/internal/rig/ends.go
+++ b/internal/rig/ends.go
@@ -132,8 +132,8 @@
 	if a.Hint == 0 {
 		a.Hint = r.tracks[a.Track].Mean
 	}
-	if r.module[a.Track].Repeat == policy.Tagged {
-		a.Tag, a.Window, a.Memory = string(t.work.ID), r.module[a.Track].GroupWindow, r.memories.Of(a.Track, r.module[a.Track].Group, x.ExecutorSpec)
+	if r.module[a.Track].Idempotency == policy.IdempotentWithKey {
+		a.Tag, a.Window, a.Memory = string(t.work.ID), r.module[a.Track].DedupWindow, r.memories.Of(a.Track, r.module[a.Track].DedupGroup, x.ExecutorSpec)
 	}
 	x.does(x.Take(r.now(), a))
 }
--- a/internal/rig/front.go
+++ b/internal/rig/front.go
@@ -97,7 +97,7 @@
 	}
 	r.tries[t.job] = t
 	m := platform.Message{Job: t.job, Track: r.s.Tracks[work.Track].Name, Work: time.Duration(work.Hint * 1e9), Body: make([]byte, min(r.s.Load.Body, 4<<10))}
-	if r.module[work.Track].Repeat == policy.Tagged {
+	if r.module[work.Track].Idempotency == policy.IdempotentWithKey {
 		m.Tag = string(work.ID)
 	}
 	r.waits.Go(func() {
@@ -229,7 +229,7 @@
 	if how == standin.EndHandled && r.now() <= work.Quoted {
 		r.result.Earned += work.Earns
 	}
-	if at, again := c.After(r.now(), work, how, f.ComeBack); again && (how != standin.EndLost || r.module[work.Track].Repeat != policy.OnceOnly) {
+	if at, again := c.After(r.now(), work, how, f.ComeBack); again && (how != standin.EndLost || r.module[work.Track].Idempotency != policy.AtMostOnce) {
 		r.after(at-r.now(), func() { c.handIn(work) })
 	}
 }
@@ -240,7 +240,7 @@
 	switch {
 	case how == standin.EndHandled && !platform.IsHandled(f, string(t.work.ID)):
 		r.wrong("%s was answered with what no executor made for it", t.job)
-	case how == standin.EndPushedBack && t.ran > 0 && (m.Repeat == policy.OnceOnly || m.Repeat == policy.Tagged && m.Group != policy.GroupAll):
+	case how == standin.EndPushedBack && t.ran > 0 && (m.Idempotency == policy.AtMostOnce || m.Idempotency == policy.IdempotentWithKey && m.DedupGroup != policy.DedupAllExecutors):
 		r.wrong("%s was pushed back, and ran", t.job)
 	case how == standin.EndBrokenOff && f.Status < 500:
 		r.wrong("%s: node %s finds fault with a sound message: status %d", t.job, t.p.name, f.Status)
--- a/internal/rig/proc.go
+++ b/internal/rig/proc.go
@@ -105,10 +105,10 @@
 	for i, t := range r.s.Tracks {
 		m := r.module[i]
 		track := map[string]any{"name": t.Name, "quoted-time-s": secs(m.Quoted), "outer-limit-s": secs(m.OuterLimit), "earnings": m.Earnings,
-			"repeat": map[policy.Repeat]string{policy.Repeatable: "repeatable", policy.Tagged: "by_key", policy.OnceOnly: "once"}[m.Repeat], "aim-stretch": m.Stretch}
-		if m.Repeat == policy.Tagged {
-			track["dedup-scope"] = map[policy.Group]string{policy.GroupAll: "all", policy.GroupZone: "zone", policy.GroupCell: "cell"}[m.Group]
-			track["dedup-window-s"] = secs(m.GroupWindow)
+			"repeat": map[policy.Idempotency]string{policy.Idempotent: "repeatable", policy.IdempotentWithKey: "by_key", policy.AtMostOnce: "once"}[m.Idempotency], "aim-stretch": m.Stretch}
+		if m.Idempotency == policy.IdempotentWithKey {
+			track["dedup-scope"] = map[policy.DedupGroup]string{policy.DedupAllExecutors: "all", policy.DedupZone: "zone", policy.DedupCell: "cell"}[m.DedupGroup]
+			track["dedup-window-s"] = secs(m.DedupWindow)
 		}
 		if m.LateEarnings > 0 {
 			track["late-earnings"] = m.LateEarnings
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -384,18 +384,18 @@
 	switch {
 	case out > 1:
 		c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s has three allocations out at once", s.Job)
-	case out == 1 && !(c.s.Copies && track.Repeat == policy.Repeatable):
+	case out == 1 && !(c.s.Copies && track.Idempotency == policy.Idempotent):
 		c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s has two allocations out at once", s.Job)
 	}
 	if first >= 0 {
 		a := j.sent[first]
 		switch {
-		case track.Repeat == policy.OnceOnly:
+		case track.Idempotency == policy.AtMostOnce:
 			c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s, once-only, was sent again though allocation %d may have run", s.Job, a.number)
-		case track.Repeat == policy.Tagged && (track.Group == policy.GroupZone && a.zone != s.Zone ||
-			track.Group == policy.GroupCell && a.cell != s.Cell):
+		case track.Idempotency == policy.IdempotentWithKey && (track.DedupGroup == policy.DedupZone && a.zone != s.Zone ||
+			track.DedupGroup == policy.DedupCell && a.cell != s.Cell):
 			c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s, tagged, was sent outside the group that drops its repeats", s.Job)
-		case track.Repeat == policy.Tagged && s.At > a.at+track.GroupWindow:
+		case track.Idempotency == policy.IdempotentWithKey && s.At > a.at+track.DedupWindow:
 			c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s, tagged, was sent again %v after allocation %d, outside the window", s.Job, s.At-a.at, a.number)
 		}
 	}
@@ -430,7 +430,7 @@
 	track := c.s.Tracks[j.track]
 	may := slices.ContainsFunc(j.sent, func(a sent) bool { return !(a.over && a.proof) })
 	switch {
-	case s.Final == PushedBack && may && (track.Repeat == policy.OnceOnly || track.Repeat == policy.Tagged && track.Group != policy.GroupAll):
+	case s.Final == PushedBack && may && (track.Idempotency == policy.AtMostOnce || track.Idempotency == policy.IdempotentWithKey && track.DedupGroup != policy.DedupAllExecutors):
 		c.breaks(NoEffectTwice, s.At, key, j.work, "", "%s was pushed back, though it may have run", s.Job)
 	case s.Final == Handled && len(c.works[j.work]) == 0:
 		c.breaks(OneAnswer, s.At, key, j.work, "", "%s was answered as handled, and never ran", s.Job)
@@ -449,11 +449,11 @@
 	track := c.s.Tracks[s.Track]
 	for _, r := range c.works[s.Work] {
 		switch {
-		case track.Repeat == policy.OnceOnly:
+		case track.Idempotency == policy.AtMostOnce:
 			c.breaks(NoEffectTwice, s.At, key, s.Work, s.Executor, "%s, once-only, ran at %s and at %s", s.Work, r.executor, s.Executor)
-		case track.Repeat == policy.Tagged && s.At > r.at+track.GroupWindow:
+		case track.Idempotency == policy.IdempotentWithKey && s.At > r.at+track.DedupWindow:
 			c.lateTwice++
-		case track.Repeat == policy.Tagged && r.job == key:
+		case track.Idempotency == policy.IdempotentWithKey && r.job == key:
 			c.breaks(NoEffectTwice, s.At, key, s.Work, s.Executor, "%s, tagged, ran at %s and at %s for one batch job", s.Work, r.executor, s.Executor)
 		}
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -14,9 +14,9 @@
 
 // Tracks 0 to 4: repeatable, once-only, tagged within all, a zone, a cell.
 var site = Settings{Slack: 16 * ms, Grace: 1500 * ms, Prompt: ms, WarmWithin: 9000 * ms, FallMultiple: 2, FallWindow: 1000 * ms,
-	Tracks: []policy.JobClass{{}, {Repeat: policy.OnceOnly}, {Repeat: policy.Tagged, GroupWindow: 7500 * ms},
-		{Repeat: policy.Tagged, Group: policy.GroupZone, GroupWindow: 7500 * ms},
-		{Repeat: policy.Tagged, Group: policy.GroupCell, GroupWindow: 7500 * ms}}}
+	Tracks: []policy.JobClass{{}, {Idempotency: policy.AtMostOnce}, {Idempotency: policy.IdempotentWithKey, DedupWindow: 7500 * ms},
+		{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupZone, DedupWindow: 7500 * ms},
+		{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupCell, DedupWindow: 7500 * ms}}}
 
 func at(t time.Duration, what What, with func(*Seen)) Seen {
 	s := Seen{At: t, What: what, Job: "j", Work: "w", Executor: "a"}
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -151,8 +151,8 @@
 // likewise where all executors drop its repeats and within its window; others only where nothing can have run.
 func (c *Clients) After(now time.Duration, w *Work, how End, comeBack time.Duration) (time.Duration, bool) {
 	t := &c.Tracks[w.Track]
-	may := how == EndPushedBack || how == EndUnreached || t.Repeat == policy.Repeatable ||
-		t.Repeat == policy.Tagged && t.Group == policy.GroupAll && now < w.first+t.GroupWindow/2
+	may := how == EndPushedBack || how == EndUnreached || t.Idempotency == policy.Idempotent ||
+		t.Idempotency == policy.IdempotentWithKey && t.DedupGroup == policy.DedupAllExecutors && now < w.first+t.DedupWindow/2
 	if how == EndHandled || !may || w.Tries >= c.Habits.Retries {
 		return 0, false
 	}
--- a/internal/standin/executor.go
+++ b/internal/standin/executor.go
@@ -77,19 +77,19 @@
 type Memories map[memoryKey]*Memory
 
 type memoryKey struct {
-	group policy.Group
+	group policy.DedupGroup
 	zone  policy.ZoneID
 	cell  policy.CellID
 	track policy.JobClassID
 }
 
 // Of is what remembers the tags of a track's batch jobs at an executor; an empty one where there was none.
-func (all Memories) Of(track policy.JobClassID, group policy.Group, at ExecutorSpec) *Memory {
+func (all Memories) Of(track policy.JobClassID, group policy.DedupGroup, at ExecutorSpec) *Memory {
 	k := memoryKey{group: group, track: track}
 	switch group {
-	case policy.GroupZone:
+	case policy.DedupZone:
 		k.zone = at.Zone
-	case policy.GroupCell:
+	case policy.DedupCell:
 		k.cell = at.Cell
 	}
 	if all[k] == nil {
--- a/policy/index.go
+++ b/policy/index.go
@@ -450,7 +450,7 @@
 // likely gives executors with an open token that may be of use, by bounds alone: what it leaves out is of none.
 func (d *Dispatcher) likely(w *wish) iter.Seq[*executor] {
 	return func(yield func(*executor) bool) {
-		if d.inGroup(w.job) && w.track.group != GroupZone {
+		if d.inGroup(w.job) && w.track.group != DedupZone {
 			for _, e := range d.ranked {
 				d.looks++
 				if (d.abroad(e) > 0) == w.far && !yield(e) {
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -36,7 +36,7 @@
 		pace := d.pace(e, now)
 		wait := d.waitAt(e, pace, now)
 		queue := wait
-		if j.track.repeat == OnceOnly {
+		if j.track.repeat == AtMostOnce {
 			queue = max(wait, times(j.track.meanWork, (e.load-1)*pace))
 		}
 		if !late && now+times(queue+times(j.work, pace), j.margin) > j.quotedAt {
@@ -130,7 +130,7 @@
 	}
 	s.JobClasses = nil
 	for range 1 + r.IntN(3) {
-		t := JobClass{Repeat: Repeat(r.IntN(3)), Group: Group(r.IntN(3)), GroupWindow: time.Duration(r.IntN(4000)) * time.Millisecond,
+		t := JobClass{Idempotency: Idempotency(r.IntN(3)), DedupGroup: DedupGroup(r.IntN(3)), DedupWindow: time.Duration(r.IntN(4000)) * time.Millisecond,
 			Quoted: time.Duration(50+r.IntN(900)) * time.Millisecond, Stretch: float64(r.IntN(3)), OuterLimit: time.Duration(1+r.IntN(8)) * time.Second,
 			Earnings: 1 + 4*r.Float64(), Kind: KindID(r.IntN(3) - 1)}
 		if yes() {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -307,15 +307,15 @@
 	if j.track.kind != AnyKind && j.track.kind != e.kind {
 		return false
 	}
-	group := j.ran == nil || j.track.repeat == Repeatable || j.track.group == GroupAll ||
-		j.track.group == GroupZone && e.zone == j.ran.zone || j.track.group == GroupCell && e.cell == j.ran.cell
+	group := j.ran == nil || j.track.repeat == Idempotent || j.track.group == DedupAllExecutors ||
+		j.track.group == DedupZone && e.zone == j.ran.zone || j.track.group == DedupCell && e.cell == j.ran.cell
 	return group && d.mayRepeat(j, now)
 }
 
 // mayRepeat is rule 2 for a further allocation.
 func (d *Dispatcher) mayRepeat(j *job, now time.Duration) bool {
-	return j.ran == nil || j.track.repeat == Repeatable ||
-		j.track.repeat == Tagged && now < j.ran.sentAt+j.track.groupWindow-d.quantum
+	return j.ran == nil || j.track.repeat == Idempotent ||
+		j.track.repeat == IdempotentWithKey && now < j.ran.sentAt+j.track.groupWindow-d.quantum
 }
 
 func (d *Dispatcher) late(j *job, now time.Duration) bool { return j.quotedAt < now+j.work/2 }
@@ -490,7 +490,7 @@
 		return Decision{Action: Reject, RetryAfter: times(d.comeBack, (1+d.chance())/2)}
 	}
 	d.lost(j)
-	if j.ran == nil || j.track.repeat == Repeatable || j.track.repeat == Tagged && j.track.group == GroupAll {
+	if j.ran == nil || j.track.repeat == Idempotent || j.track.repeat == IdempotentWithKey && j.track.group == DedupAllExecutors {
 		return Decision{Action: Reject, RetryAfter: d.comeBack}
 	}
 	return Decision{Action: Fail}
@@ -498,7 +498,7 @@
 
 // inGroup says whether j may only be repeated in its dedup group.
 func (d *Dispatcher) inGroup(j *job) bool {
-	return j.ran != nil && j.track.repeat == Tagged && j.track.group != GroupAll
+	return j.ran != nil && j.track.repeat == IdempotentWithKey && j.track.group != DedupAllExecutors
 }
 
 // pick finds the executor with the oldest free token that j may take now, or, asking, whose keeper is to be
@@ -551,7 +551,7 @@
 	pace := d.pace(e, now)
 	wait := d.waitAt(e, pace, now)
 	queue := wait
-	if j.track.repeat == OnceOnly {
+	if j.track.repeat == AtMostOnce {
 		// What can't be taken back counts the list's news as well: its like, held over one a core, go first.
 		queue = max(wait, times(j.track.meanWork, (e.load-1)*pace))
 	}
@@ -698,7 +698,7 @@
 		d.askLoad(e, now, d.shortestQuoted)
 	}
 	if j.over {
-		return !j.running || j.track.repeat == Repeatable // it may be stopped at no cost
+		return !j.running || j.track.repeat == Idempotent // it may be stopped at no cost
 	}
 	usual, left := d.kinds[e.kind].pace, time.Duration(0)
 	if j.running { // it can't crawl sooner
@@ -710,7 +710,7 @@
 		pace = d.pace(e, now)
 	}
 	crawls := (e.held > now || j.lost || pace >= crawl*usual) && left < 0 || e.mute
-	begun, repeatable := j.running || !d.tellsStart, j.track.repeat == Repeatable
+	begun, repeatable := j.running || !d.tellsStart, j.track.repeat == Idempotent
 	if repeatable && (e.mute || !begun) && j.track.late == 0 && now > j.quotedAt-times(j.work, pace) {
 		return true // it can earn nothing more
 	}
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -180,7 +180,7 @@
 
 // learn books a running time.
 func (d *Dispatcher) learn(j *job, e *executor, ran time.Duration) {
-	if j.track.repeat == Tagged && ran < times(j.work, remembered*d.kinds[e.kind].pace) {
+	if j.track.repeat == IdempotentWithKey && ran < times(j.work, remembered*d.kinds[e.kind].pace) {
 		return // it was remembered there, not run: guards against executors that look quick, and are rushed while cold
 	}
 	if !j.hinted {
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -35,7 +35,7 @@
 
 // add takes up a track as it is from now on, with what is known of the one that it comes from.
 func (d *Dispatcher) add(c JobClassUpdate) {
-	t := &track{repeat: c.Repeat, group: c.Group, groupWindow: c.GroupWindow, allocations: cmp.Or(c.MaxAttempts, d.maxAllocations),
+	t := &track{repeat: c.Idempotency, group: c.DedupGroup, groupWindow: c.DedupWindow, allocations: cmp.Or(c.MaxAttempts, d.maxAllocations),
 		quoted: c.Quoted, outerLimit: c.OuterLimit, stretch: c.Stretch, earnings: c.Earnings,
 		late: c.LateEarnings, kind: c.Kind, meanWork: cmp.Or(c.Work, firstGuess(c.JobClass)), unit: c.Earnings}
 	if c.Replaces != NoJobClass {
--- a/policy/state.go
+++ b/policy/state.go
@@ -91,8 +91,8 @@
 
 // track holds a track's derived figures and running averages.
 type track struct {
-	repeat       Repeat
-	group        Group
+	repeat       Idempotency
+	group        DedupGroup
 	groupWindow  time.Duration
 	allocations  int
 	quoted       time.Duration
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -40,7 +40,7 @@
 	FallMultiple: 4, FallWindow: time.Second, TellsStart: true, OverageEarnings: 0.1, EarnPerWork: true,
 	JobClasses: []JobClass{
 		{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second, Earnings: 1, Kind: AnyKind,
-			GroupWindow: 2 * time.Second},
+			DedupWindow: 2 * time.Second},
 		{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second, Earnings: 4, Kind: 1},
 	},
 }
@@ -50,10 +50,10 @@
 	s.JobClasses = append([]JobClass(nil), base.JobClasses...)
 	first := &s.JobClasses[0]
 	change := map[string]func(){
-		"once":     func() { first.Repeat, s.JobClasses[1].Repeat = OnceOnly, OnceOnly },
-		"tagged":   func() { first.Repeat = Tagged },
-		"zone":     func() { first.Group = GroupZone },
-		"cell":     func() { first.Group = GroupCell },
+		"once":     func() { first.Idempotency, s.JobClasses[1].Idempotency = AtMostOnce, AtMostOnce },
+		"tagged":   func() { first.Idempotency = IdempotentWithKey },
+		"zone":     func() { first.DedupGroup = DedupZone },
+		"cell":     func() { first.DedupGroup = DedupCell },
 		"late":     func() { first.LateEarnings = 0.5 },
 		"flat":     func() { first.Stretch = 0 },
 		"ask":      func() { s.MustAsk = true },
--- a/policy/types.go
+++ b/policy/types.go
@@ -25,22 +25,22 @@
 // AnyKind is the bound kind of a track that every executor may run.
 const AnyKind KindID = -1
 
-// Repeat says how often a track's batch job may take effect.
-type Repeat int
+// Idempotency says how often a track's batch job may take effect.
+type Idempotency int
 
 const (
-	Repeatable Repeat = iota
-	Tagged
-	OnceOnly
+	Idempotent Idempotency = iota
+	IdempotentWithKey
+	AtMostOnce
 )
 
-// Group says which executors drop repeats of a tagged batch job.
-type Group int
+// DedupGroup says which executors drop repeats of a tagged batch job.
+type DedupGroup int
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAllExecutors DedupGroup = iota
+	DedupZone
+	DedupCell
 )
 
 // Outcome is how an allocation ended.
@@ -63,9 +63,9 @@
 
 // JobClass is a kind of batch job with its own handling.
 type JobClass struct {
-	Repeat       Repeat
-	Group        Group
-	GroupWindow  time.Duration
+	Idempotency  Idempotency
+	DedupGroup   DedupGroup
+	DedupWindow  time.Duration
 	Quoted       time.Duration
 	Work         time.Duration // a first guess at the mean work; 0: the quoted time
 	Stretch      float64       // the quoted time grows by this multiple of the job's own running time
