--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -108,7 +108,7 @@
 		probes = fmt.Sprintf("by GET %s within %v", c.Settings.Probe.Path, c.Settings.Probe.Limit)
 	}
 	fmt.Printf("probes are %s; second copies of repeatable batch jobs are %s; marks of clients' repeats are %s\n", probes,
-		onOff[c.Settings.Policy.MayCopy && s.Durable == nil], map[bool]string{true: "taken", false: "passed over"}[c.Settings.Policy.MarksAgain])
+		onOff[c.Settings.Policy.MayHedge && s.Durable == nil], map[bool]string{true: "taken", false: "passed over"}[c.Settings.Policy.ClientsMarkRetries])
 	return nil
 }
 
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -73,7 +73,7 @@
 			return err
 		}
 		p = durable.Tracks(p, time.Duration(own.Durable.OuterLimit))
-		p.MayCopy = false // a lease is one executor's
+		p.MayHedge = false // a lease is one executor's
 		c.Settings.Policy = p
 	}
 	talks, err := fleetOf(own.Fleet, c, start)
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -294,7 +294,7 @@
 	}
 	n.guard(func() {
 		n.brain.Arrived(now, policy.Arrival{Job: policy.JobID(id), Class: policy.JobClassID(track), Tenant: policy.TenantID(tenant),
-			Work: work, Budget: budget, Again: again == 1})
+			Work: work, Budget: budget, ClientRetry: again == 1})
 	})
 	return nil
 }
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -33,11 +33,11 @@
 // newCoreBehind makes one whose listener and connections can be stopped.
 func newCoreBehind(t *testing.T, conns int, halts *standin.Halts, change ...func(*http.Server)) *core {
 	c := &core{t: t, told: make(chan node.Event, 100)}
-	c.front = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{OuterLimit: time.Second}}},
+	c.front = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
 		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, Budget{conns, conns / 2}, func(ev node.Event) {
 		if ev, ok := ev.(node.Arrived); ok {
 			switch name, _, _ := strings.Cut(string(ev.Job.ID), "-"); {
-			case ev.Job.Crowded:
+			case ev.Job.NearConnectionLimit:
 				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected})
 			case name == "handled":
 				c.front.Answer(node.Answer{Job: ev.Job.ID, Result: []byte("the result")})
@@ -71,10 +71,10 @@
 			j := ev.Job
 			fmt.Fprintf(&c.out, "  arrived: %s track %d work %v budget %v, %s %s host %s type %q tag %q body %d bytes",
 				j.ID, j.Class, j.Work, j.Budget, j.Method, j.URI, j.Host, j.ContentType, j.IdempotencyKey, len(j.Body))
-			if j.Again {
+			if j.ClientRetry {
 				c.out.WriteString(", again")
 			}
-			if j.Crowded {
+			if j.NearConnectionLimit {
 				c.out.WriteString(", crowded")
 			}
 			c.out.WriteString("\n")
--- a/internal/clients/codec.go
+++ b/internal/clients/codec.go
@@ -107,7 +107,7 @@
 		}
 		job.Work = time.Duration(cost * float64(time.Microsecond))
 	}
-	job.Again = h.Get("X-Again") == "1"
+	job.ClientRetry = h.Get("X-Again") == "1"
 	job.Body, no = readBody(w, r)
 	return job, no
 }
--- a/internal/clients/front.go
+++ b/internal/clients/front.go
@@ -66,7 +66,7 @@
 func (f *Front) UpdateJobClasses(tracks []node.NumberedClass) {
 	all := map[string]track{}
 	for _, t := range tracks {
-		all[t.Name] = track{t.ID, t.OuterLimit, t.Idempotency == policy.IdempotentWithKey}
+		all[t.Name] = track{t.ID, t.Deadline, t.Idempotency == policy.IdempotentWithKey}
 	}
 	f.tracks.Store(&all)
 }
@@ -138,7 +138,7 @@
 		inHand.write(w)
 		return
 	}
-	job.Crowded = f.gate.came(conn)
+	job.NearConnectionLimit = f.gate.came(conn)
 	client := conn.awaits()
 	defer conn.replied()
 	job.Client = client
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -70,7 +70,7 @@
 
 func (c *Config) longest() (longest time.Duration) {
 	for _, t := range c.Settings.Policy.JobClasses {
-		longest = max(longest, t.OuterLimit)
+		longest = max(longest, t.Deadline)
 	}
 	return longest
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -188,11 +188,11 @@
 		Node: w.Number, Nodes: w.Balancers, Zone: policy.ZoneID(w.Locality),
 		Quantum:     max(Seconds(w.Quantum), leastQuantum),
 		LiveWeights: w.Weights == "live", MustAsk: w.Discovery == "ask", AskWithin: Seconds(w.Rules.AskWithin),
-		EarnPerWork: w.PerWork == "work", OverageEarnings: w.Overage, CrossZonePrice: w.Prices.CrossZone,
-		WholeWeight:      w.ScoreParts["whole"] + w.ScoreParts["worst-window"],
+		ValuePerWork: w.PerWork == "work", OverQuotaValue: w.Overage, CrossZoneCost: w.Prices.CrossZone,
+		TotalWeight:      w.ScoreParts["whole"] + w.ScoreParts["worst-window"],
 		WorstClassWeight: w.ScoreParts["worst-class"],
 		MaxAttempts:      w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayTell: w.Caps.Peers,
-		MayCopy: w.Caps.Copies, MayProbe: w.Caps.Probes && w.Report.How == "on_probe", MarksAgain: w.Clients.MarksRetry,
+		MayHedge: w.Caps.Copies, MayProbe: w.Caps.Probes && w.Report.How == "on_probe", ClientsMarkRetries: w.Clients.MarksRetry,
 		ColdShare: w.Rules.ColdShare, WarmWithin: Seconds(w.Rules.WarmWithin),
 		FallMultiple: w.Rules.FallMultiple, FallWindow: Seconds(w.Rules.FallS),
 		TellsStart: w.Domain.TellsStart, TellsEvery: Seconds(w.Domain.TellsEvery),
@@ -204,7 +204,7 @@
 		if !(p.Quota >= 0 && p.Quota <= mostQuota) { // what is left of a sum with one under 0 divides rates
 			return s, fmt.Errorf("settings.projects[%d].quota-per-s: not between 0 and %g", i, mostQuota)
 		}
-		s.Policy.Tenant = append(s.Policy.Tenant, policy.Tenant{QuotaPerS: p.Quota})
+		s.Policy.Tenants = append(s.Policy.Tenants, policy.Tenant{QuotaPerSecond: p.Quota})
 	}
 	for i, t := range w.Tracks {
 		track, err := t.track(i)
@@ -216,7 +216,7 @@
 			track.Kind = policy.KindID(w.Domain.Kind[i])
 		}
 		if i < len(w.Domain.Stretch) {
-			track.Stretch = w.Domain.Stretch[i]
+			track.RunTimeFactor = w.Domain.Stretch[i]
 		}
 		s.Policy.JobClasses = append(s.Policy.JobClasses, track)
 		s.Tracks = append(s.Tracks, t.Name)
@@ -287,6 +287,6 @@
 		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d]: a time over %g s", i, longestLimit)
 	}
 	return policy.JobClass{Idempotency: repeat, DedupGroup: group, DedupWindow: Seconds(t.Window),
-		Quoted: Seconds(t.Quoted), Stretch: t.Stretch, OuterLimit: Seconds(t.Limit), Earnings: t.Earnings,
-		LateEarnings: t.Late, Kind: policy.AnyKind}, nil
+		LatencyObjective: Seconds(t.Quoted), RunTimeFactor: t.Stretch, Deadline: Seconds(t.Limit), Value: t.Earnings,
+		LateValue: t.Late, Kind: policy.AnyKind}, nil
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -93,8 +93,8 @@
 // Tracks adds a twin of each track for durable batch jobs: with their outer limit, and in time as long as that lasts.
 func Tracks(s policy.Settings, limit time.Duration) policy.Settings {
 	for _, t := range slices.Clone(s.JobClasses) {
-		t.Work = t.Quoted // hours to be in time say nothing of the work
-		t.OuterLimit, t.Quoted, t.Stretch, t.LateEarnings = limit, limit, 0, 0
+		t.ExpectedWork = t.LatencyObjective // hours to be in time say nothing of the work
+		t.Deadline, t.LatencyObjective, t.RunTimeFactor, t.LateValue = limit, limit, 0, 0
 		s.JobClasses = append(s.JobClasses, t)
 	}
 	return s
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -67,8 +67,8 @@
 }
 
 var tracks = []policy.JobClass{
-	{Idempotency: policy.Idempotent, Quoted: time.Second, OuterLimit: 5 * time.Second, Earnings: 1, Kind: policy.AnyKind},
-	{Idempotency: policy.AtMostOnce, Quoted: time.Second, OuterLimit: 5 * time.Second, Earnings: 1, Kind: policy.AnyKind},
+	{Idempotency: policy.Idempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, Value: 1, Kind: policy.AnyKind},
+	{Idempotency: policy.AtMostOnce, LatencyObjective: time.Second, Deadline: 5 * time.Second, Value: 1, Kind: policy.AnyKind},
 }
 
 var names = []string{"page", "order"}
@@ -148,7 +148,7 @@
 		return func() {}, func() {}
 	}
 	start := time.Now()
-	base := policy.Settings{Seed: uint32(w.life), Nodes: 1, Zone: 0, WholeWeight: 1, MaxAttempts: 6, MayCancel: true, MaxRetryAfter: time.Second,
+	base := policy.Settings{Seed: uint32(w.life), Nodes: 1, Zone: 0, TotalWeight: 1, MaxAttempts: 6, MayCancel: true, MaxRetryAfter: time.Second,
 		Quantum: time.Millisecond, TellsStart: true, ColdShare: 1, FallMultiple: 4, FallWindow: time.Second, JobClasses: tracks}
 	dial := func(ctx context.Context, id node.ConnID, to string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -171,8 +171,8 @@
 		}),
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
-				p.JobClasses[i].Quoted, p.JobClasses[i].OuterLimit = 4*p.JobClasses[i].Quoted, 2*p.JobClasses[i].OuterLimit
-				p.JobClasses[i].LateEarnings = 1
+				p.JobClasses[i].LatencyObjective, p.JobClasses[i].Deadline = 4*p.JobClasses[i].LatencyObjective, 2*p.JobClasses[i].Deadline
+				p.JobClasses[i].LateValue = 1
 			}
 		}}},
 	{"an executor's error counts as its result", rules.OneAnswer, nil, plant{
@@ -233,7 +233,7 @@
 			}
 		}}},
 	{"a second copy where none is allowed", rules.NoEffectTwice, crawling, plant{
-		settings: func(p *policy.Settings) { p.MayCopy = true }}},
+		settings: func(p *policy.Settings) { p.MayHedge = true }}},
 	{"a once-only track is copied", rules.NoEffectTwice, func(s *Scenario) { crawling(s); s.Fleet.Copies = true }, plant{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
--- a/internal/lab/front.go
+++ b/internal/lab/front.go
@@ -159,7 +159,7 @@
 	budget := (work.Limit - w.now).Truncate(time.Millisecond)
 	w.see(rules.Seen{What: rules.Taken, Node: n.id, Job: t.job, Work: work.ID, Track: work.Track, Limit: w.now + budget})
 	n.tell(node.Arrived{Job: node.Job{Request: node.Request{ID: t.job, Method: "POST", URI: "/", IdempotencyKey: w.tag(work), Body: w.body()},
-		Class: work.Track, Work: time.Duration(work.Hint * 1e9).Truncate(time.Microsecond), Budget: budget, Again: w.s.Load.MarksAgain && work.Tries > 0, Client: t}})
+		Class: work.Track, Work: time.Duration(work.Hint * 1e9).Truncate(time.Microsecond), Budget: budget, ClientRetry: w.s.Load.MarksAgain && work.Tries > 0, Client: t}})
 	n.mostHeld = max(n.mostHeld, n.inHand-n.out)
 	leave := min(work.Leaves, work.Limit+slack+time.Millisecond)
 	n.later(leave-w.now, func() { n.leaves(t) })
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -154,7 +154,7 @@
 		t.Handled++
 		earns := work.Earns
 		if w.now > work.Quoted {
-			earns *= w.module[work.Track].LateEarnings
+			earns *= w.module[work.Track].LateValue
 		}
 		t.earned += earns
 		r.second(work.Came).earned += earns
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -348,8 +348,8 @@
 func (s *Scenario) Takes() (own []standin.Track, module []policy.JobClass) {
 	for _, t := range s.Tracks {
 		p := policy.JobClass{Idempotency: repeats[t.Repeat], DedupGroup: groups[t.Group], DedupWindow: time.Duration(t.Window),
-			Quoted: time.Duration(t.Quoted), Stretch: t.Stretch, OuterLimit: time.Duration(t.Outer), Earnings: t.Earnings,
-			LateEarnings: t.Late, Kind: policy.AnyKind}
+			LatencyObjective: time.Duration(t.Quoted), RunTimeFactor: t.Stretch, Deadline: time.Duration(t.Outer), Value: t.Earnings,
+			LateValue: t.Late, Kind: policy.AnyKind}
 		own = append(own, standin.Track{JobClass: p, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
 			Priority: t.Priority})
 		module = append(module, p)
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -263,7 +263,7 @@
 func (w *World) longestEnd() time.Duration {
 	end := time.Duration(w.s.Length)
 	for _, t := range w.tracks {
-		end = max(end, time.Duration(w.s.Length)+t.OuterLimit+time.Second)
+		end = max(end, time.Duration(w.s.Length)+t.Deadline+time.Second)
 	}
 	return end
 }
@@ -352,16 +352,16 @@
 func (n *sim) settings() (policy.Settings, node.Limits) {
 	f := &n.w.s.Fleet
 	p := policy.Settings{Seed: uint32(mix(n.w.seed + uint64(n.id)<<20 + uint64(n.run))), Node: int(n.id), Nodes: f.Nodes, Zone: n.zone,
-		EarnPerWork: f.PerWork, CrossZonePrice: f.CrossPrice, WholeWeight: 0.8, WorstClassWeight: 0.2, MaxAttempts: f.Allocations,
+		ValuePerWork: f.PerWork, CrossZoneCost: f.CrossPrice, TotalWeight: 0.8, WorstClassWeight: 0.2, MaxAttempts: f.Allocations,
 		MayCancel: true, MaxRetryAfter: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LiveWeights: f.WeightsEvery > 0,
 		ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
 		FallWindow: time.Duration(f.FallWindow), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery),
-		MayTell: f.Talk && f.Keepers && n.w.wired == nil, MayCopy: f.Copies, MarksAgain: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
+		MayTell: f.Talk && f.Keepers && n.w.wired == nil, MayHedge: f.Copies, ClientsMarkRetries: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
 	longest := time.Duration(0)
 	for _, t := range n.w.module {
 		t.DedupWindow = max(0, t.DedupWindow-time.Duration(f.DialLimit)) // as config does
 		p.JobClasses = append(p.JobClasses, t)
-		longest = max(longest, t.OuterLimit)
+		longest = max(longest, t.Deadline)
 	}
 	return p, node.Limits{Quantum: p.Quantum, IdleUse: time.Duration(f.IdleLimit) * 4 / 5, DialLimit: time.Duration(f.DialLimit),
 		Conns: f.NodeConns, Bodies: f.NodeBodies, RetryAfter: p.MaxRetryAfter, Work: 4 * longest, StopSpell: config.StopSpell,
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -25,13 +25,13 @@
 // Job is a batch job as a client handed it in.
 type Job struct {
 	Request
-	Class  policy.JobClassID
-	Tenant policy.TenantID
-	Work   time.Duration // a guess; 0 for none
-	Budget time.Duration // how long the client waits
-	Again  bool          // the client marks it as a repeat of its own
+	Class       policy.JobClassID
+	Tenant      policy.TenantID
+	Work        time.Duration // a guess; 0 for none
+	Budget      time.Duration // how long the client waits
+	ClientRetry bool          // the client marks it as a repeat of its own
 
-	Crowded bool // it came when the front was at the edge of its descriptors
+	NearConnectionLimit bool // it came when the front was at the edge of its descriptors
 
 	Client Client // nil where nobody waits on a connection
 }
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -219,7 +219,7 @@
 		n.say(Answer{Job: in.ID, Final: Failed})
 		return
 	}
-	if in.Crowded || n.bodies+len(in.Body) > n.limits.Bodies {
+	if in.NearConnectionLimit || n.bodies+len(in.Body) > n.limits.Bodies {
 		n.count(in.Class, Rejected)
 		n.say(Answer{Job: in.ID, Final: Rejected, RetryAfter: n.limits.RetryAfter})
 		return
@@ -235,7 +235,7 @@
 	heap.Push(&n.due, j)
 	n.deciding = j
 	n.brain.Arrived(n.now, policy.Arrival{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Work: min(j.Work, n.limits.Work),
-		Budget: j.Budget, Again: j.Again})
+		Budget: j.Budget, ClientRetry: j.ClientRetry})
 	n.deciding = nil
 }
 
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -46,11 +46,11 @@
 func (c caller) Gone() bool { panic("the reducer looked at the connection of " + c) }
 
 func settings(words []string) (*policy.Dispatcher, Limits) {
-	s := policy.Settings{Seed: 7, Nodes: 1, WholeWeight: 1, MaxAttempts: 3, MayCancel: true,
-		MaxRetryAfter: 2 * time.Second, Quantum: time.Millisecond, TellsStart: true, EarnPerWork: true,
+	s := policy.Settings{Seed: 7, Nodes: 1, TotalWeight: 1, MaxAttempts: 3, MayCancel: true,
+		MaxRetryAfter: 2 * time.Second, Quantum: time.Millisecond, TellsStart: true, ValuePerWork: true,
 		ColdShare: 1, FallMultiple: 4, FallWindow: time.Second,
-		JobClasses: []policy.JobClass{{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
-			Earnings: 1, Kind: policy.AnyKind}}}
+		JobClasses: []policy.JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second,
+			Value: 1, Kind: policy.AnyKind}}}
 	l := Limits{Quantum: time.Millisecond, IdleUse: 8 * time.Second, DialLimit: 100 * time.Millisecond, Conns: 8, HalfConns: 3, ColdSpell: time.Second, Bodies: 100,
 		Work: 10 * time.Second, RetryAfter: 2 * time.Second, StopSpell: 500 * time.Millisecond, StopLimit: 3 * time.Second}
 	for _, w := range words {
@@ -64,9 +64,9 @@
 		case "conns":
 			l.Conns = figure
 		case "copies":
-			s.MayCopy = true
+			s.MayHedge = true
 		case "late":
-			s.JobClasses[0].LateEarnings = 0.5
+			s.JobClasses[0].LateValue = 0.5
 		case "tagged":
 			s.JobClasses[0].Idempotency, s.JobClasses[0].DedupWindow = policy.IdempotentWithKey, 2*time.Second
 		case "probes":
@@ -82,8 +82,8 @@
 
 func fresh(words []string) *Node {
 	brain, limits := settings(words)
-	n := New(brain, limits, []JobClass{{"page", policy.JobClass{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
-		Earnings: 1, Kind: policy.AnyKind}}})
+	n := New(brain, limits, []JobClass{{"page", policy.JobClass{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second,
+		Value: 1, Kind: policy.AnyKind}}})
 	if slices.Contains(words, "talk") {
 		n.Talk(fleet.Defaults("me", 0, 1))
 	}
@@ -153,7 +153,7 @@
 			case "body":
 				j.Body = []byte(value)
 			case "crowded":
-				j.Crowded = true
+				j.NearConnectionLimit = true
 			case "client":
 				j.Client = caller(value)
 			case "track":
--- a/internal/rig/proc.go
+++ b/internal/rig/proc.go
@@ -104,14 +104,14 @@
 	var tracks []any
 	for i, t := range r.s.Tracks {
 		m := r.module[i]
-		track := map[string]any{"name": t.Name, "quoted-time-s": secs(m.Quoted), "outer-limit-s": secs(m.OuterLimit), "earnings": m.Earnings,
-			"repeat": map[policy.Idempotency]string{policy.Idempotent: "repeatable", policy.IdempotentWithKey: "by_key", policy.AtMostOnce: "once"}[m.Idempotency], "aim-stretch": m.Stretch}
+		track := map[string]any{"name": t.Name, "quoted-time-s": secs(m.LatencyObjective), "outer-limit-s": secs(m.Deadline), "earnings": m.Value,
+			"repeat": map[policy.Idempotency]string{policy.Idempotent: "repeatable", policy.IdempotentWithKey: "by_key", policy.AtMostOnce: "once"}[m.Idempotency], "aim-stretch": m.RunTimeFactor}
 		if m.Idempotency == policy.IdempotentWithKey {
 			track["dedup-scope"] = map[policy.DedupGroup]string{policy.DedupAllExecutors: "all", policy.DedupZone: "zone", policy.DedupCell: "cell"}[m.DedupGroup]
 			track["dedup-window-s"] = secs(m.DedupWindow)
 		}
-		if m.LateEarnings > 0 {
-			track["late-earnings"] = m.LateEarnings
+		if m.LateValue > 0 {
+			track["late-earnings"] = m.LateValue
 		}
 		tracks = append(tracks, track)
 	}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -224,7 +224,7 @@
 	r.ticks()
 	longest := time.Duration(0)
 	for _, t := range r.module {
-		longest = max(longest, t.OuterLimit)
+		longest = max(longest, t.Deadline)
 	}
 	r.mu.Unlock()
 	time.Sleep(warmUp + length)
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -60,11 +60,11 @@
 func (m *moduleJob) budget() time.Duration { return max(5*time.Second, 5*m.Work) }
 
 func (m *moduleJob) settings() policy.Settings {
-	s := policy.Settings{Seed: 7, Nodes: m.Of, WholeWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Quantum: 4 * time.Millisecond,
-		EarnPerWork: true, ColdShare: 0.3, WarmWithin: 9 * time.Second, FallMultiple: 4, FallWindow: 1500 * time.Millisecond, TellsStart: true,
-		JobClasses: []policy.JobClass{{Quoted: max(time.Second, 3*m.Work), OuterLimit: m.budget(), Earnings: 2}}}
+	s := policy.Settings{Seed: 7, Nodes: m.Of, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Quantum: 4 * time.Millisecond,
+		ValuePerWork: true, ColdShare: 0.3, WarmWithin: 9 * time.Second, FallMultiple: 4, FallWindow: 1500 * time.Millisecond, TellsStart: true,
+		JobClasses: []policy.JobClass{{LatencyObjective: max(time.Second, 3*m.Work), Deadline: m.budget(), Value: 2}}}
 	for range m.Tenants {
-		s.Tenant = append(s.Tenant, policy.Tenant{QuotaPerS: m.Rate * float64(m.Of) / float64(m.Tenants)})
+		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerSecond: m.Rate * float64(m.Of) / float64(m.Tenants)})
 	}
 	return s
 }
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -114,13 +114,13 @@
 		cost *= c.Tail.Times // no hint tells it
 	}
 	w := &Work{ID: rules.WorkID(fmt.Sprintf("%s%d", c.Name, c.count)), Client: client, Track: id, Cost: cost, Hint: hint,
-		Came: now, Limit: now + t.OuterLimit, Leaves: Never, first: now, Earns: t.Earnings}
+		Came: now, Limit: now + t.Deadline, Leaves: Never, first: now, Earns: t.Value}
 	if c.perWork {
 		w.Earns *= cost
 	}
-	w.Quoted = now + min(t.OuterLimit, t.Quoted+time.Duration(t.Stretch*cost*1e9))
+	w.Quoted = now + min(t.Deadline, t.LatencyObjective+time.Duration(t.RunTimeFactor*cost*1e9))
 	if c.rand.Float64() < c.Habits.Leaves {
-		w.Leaves = now + time.Duration(c.rand.Float64()*float64(t.OuterLimit))
+		w.Leaves = now + time.Duration(c.rand.Float64()*float64(t.Deadline))
 	}
 	w.repeatID = c.rand.Float64() < c.Habits.RepeatsIDs
 	return w
--- a/internal/succession/codec.go
+++ b/internal/succession/codec.go
@@ -195,7 +195,7 @@
 			return wireExecutor{ID: e.ID, Quota: e.Quota, RunTime: e.Runs, Work: e.Works, StartWait: e.StartWait,
 				EjectedFor: e.HeldFor, InFlightCap: e.InCap, Timeouts: e.Silences}
 		}),
-		MeanValue:   learned.MeanEarnings,
+		MeanValue:   learned.MeanValue,
 		MeanDensity: learned.MeanDensity,
 	}
 }
@@ -214,7 +214,7 @@
 			return policy.KnownExecutor{ID: e.ID, Quota: e.Quota, Runs: e.RunTime, Works: e.Work, StartWait: e.StartWait,
 				HeldFor: e.EjectedFor, InCap: e.InFlightCap, Silences: e.Timeouts}
 		}),
-		MeanEarnings: wire.MeanValue,
-		MeanDensity:  wire.MeanDensity,
+		MeanValue:   wire.MeanValue,
+		MeanDensity: wire.MeanDensity,
 	}
 }
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -10,12 +10,12 @@
 
 // Knowledge is what was learnt.
 type Knowledge struct {
-	Nodes        int // among so many; 0: as many as there are now
-	Classes      []LearnedClass
-	Kinds        []KnownKind
-	Executors    []KnownExecutor
-	MeanEarnings float64
-	MeanDensity  float64
+	Nodes       int // among so many; 0: as many as there are now
+	Classes     []LearnedClass
+	Kinds       []KnownKind
+	Executors   []KnownExecutor
+	MeanValue   float64
+	MeanDensity float64
 }
 
 // LearnedClass is what was learnt of a current track.
@@ -48,7 +48,7 @@
 
 // Knows gives what was learnt, in the order of ids.
 func (d *Dispatcher) Knows(now time.Duration) (k Knowledge) {
-	k.Nodes, k.MeanEarnings, k.MeanDensity = d.nodes, d.meanEarnings, d.meanDensity
+	k.Nodes, k.MeanValue, k.MeanDensity = d.nodes, d.meanEarnings, d.meanDensity
 	for id, t := range d.tracks {
 		if slices.Contains(d.current, t) {
 			k.Classes = append(k.Classes, LearnedClass{JobClassID(id), t.meanWork, t.learnt, t.fullBudget, t.asked, t.given, t.unit})
@@ -74,8 +74,8 @@
 // what one of a few did.
 func (d *Dispatcher) Learn(now time.Duration, k Knowledge) {
 	among := k.Nodes == 0 || k.Nodes == d.nodes
-	if k.MeanEarnings > 0 && k.MeanDensity > 0 {
-		d.meanEarnings, d.meanDensity = k.MeanEarnings, k.MeanDensity
+	if k.MeanValue > 0 && k.MeanDensity > 0 {
+		d.meanEarnings, d.meanDensity = k.MeanValue, k.MeanDensity
 	}
 	for _, in := range k.Classes {
 		if in.ID < 0 || int(in.ID) >= len(d.tracks) || in.MeanWork <= 0 || in.Unit <= 0 {
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -120,10 +120,10 @@
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
 	s.Node = r.IntN(s.Nodes)
 	yes := func() bool { return r.IntN(2) == 0 }
-	s.MayTell, s.MayCopy, s.MayProbe, s.LiveWeights, s.TellsStart = yes(), yes(), yes(), yes(), r.IntN(4) > 0
-	s.EarnPerWork, s.MarksAgain = yes(), yes()
+	s.MayTell, s.MayHedge, s.MayProbe, s.LiveWeights, s.TellsStart = yes(), yes(), yes(), yes(), r.IntN(4) > 0
+	s.ValuePerWork, s.ClientsMarkRetries = yes(), yes()
 	if yes() {
-		s.CrossZonePrice = 0.5 * r.Float64()
+		s.CrossZoneCost = 0.5 * r.Float64()
 	}
 	if yes() {
 		s.TellsEvery = time.Second
@@ -131,10 +131,10 @@
 	s.JobClasses = nil
 	for range 1 + r.IntN(3) {
 		t := JobClass{Idempotency: Idempotency(r.IntN(3)), DedupGroup: DedupGroup(r.IntN(3)), DedupWindow: time.Duration(r.IntN(4000)) * time.Millisecond,
-			Quoted: time.Duration(50+r.IntN(900)) * time.Millisecond, Stretch: float64(r.IntN(3)), OuterLimit: time.Duration(1+r.IntN(8)) * time.Second,
-			Earnings: 1 + 4*r.Float64(), Kind: KindID(r.IntN(3) - 1)}
+			LatencyObjective: time.Duration(50+r.IntN(900)) * time.Millisecond, RunTimeFactor: float64(r.IntN(3)), Deadline: time.Duration(1+r.IntN(8)) * time.Second,
+			Value: 1 + 4*r.Float64(), Kind: KindID(r.IntN(3) - 1)}
 		if yes() {
-			t.LateEarnings = r.Float64()
+			t.LateValue = r.Float64()
 		}
 		s.JobClasses = append(s.JobClasses, t)
 	}
@@ -320,7 +320,7 @@
 	case what < 8:
 		w.jobs++
 		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Class: JobClassID(w.r.IntN(len(w.tracks))), Tenant: -1,
-			Budget: time.Duration(w.r.IntN(8000)) * time.Millisecond, Again: w.r.IntN(4) == 0}
+			Budget: time.Duration(w.r.IntN(8000)) * time.Millisecond, ClientRetry: w.r.IntN(4) == 0}
 		if w.r.IntN(4) > 0 {
 			in.Work = time.Duration(1+w.r.IntN(600)) * time.Millisecond
 		}
@@ -415,7 +415,7 @@
 // An executor that the list has moved to the own zone counts as there before the slice is picked anew.
 func TestMovedHome(t *testing.T) {
 	s := base
-	s.CrossZonePrice = 0.25
+	s.CrossZoneCost = 0.25
 	d := New(s)
 	d.Listed(0, Whole, []Entry{{Executor: "far", Zone: 1, LongAgo: true, Weight: 1}, {Executor: "moves", Zone: 1, LongAgo: true, Weight: 1}})
 	now := time.Second
@@ -579,7 +579,7 @@
 	per := map[int]int{}
 	for _, n := range [...]int{100, 400} {
 		s := base
-		s.JobClasses = []JobClass{{Quoted: 300 * time.Millisecond, Stretch: 1.2, OuterLimit: 60 * time.Second, Earnings: 1, Kind: AnyKind}}
+		s.JobClasses = []JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 1.2, Deadline: 60 * time.Second, Value: 1, Kind: AnyKind}}
 		d, now := New(s), time.Second
 		var entries []Entry
 		for i := range n {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -370,9 +370,9 @@
 	// clients lose patience early, and a try that can't be done by then is not to be sent.
 	t.fullBudget = max(t.fullBudget, in.Budget)
 	lacks, spent := t.fullBudget-in.Budget, time.Duration(0)
-	first := !in.Again && lacks > d.gap
+	first := !in.ClientRetry && lacks > d.gap
 	t.came(lacks > d.quantum)
-	curt := d.marks && (j.tenant.firstTries(in.Again, first) > mostCurt || first)
+	curt := d.marks && (j.tenant.firstTries(in.ClientRetry, first) > mostCurt || first)
 	switch {
 	case lacks <= d.quantum:
 	case !d.marks && lacks > d.heldFor(j)+d.comeBack+max(0, d.stood) && t.short > fewCame+mostAgain*t.lost:
@@ -385,7 +385,7 @@
 	}
 	j.quotedAt = min(now-spent+j.quoted(), j.limitAt)
 	d.closeBy(j)
-	j.fresh = spent == 0 && !in.Again
+	j.fresh = spent == 0 && !in.ClientRetry
 	d.asked(j, j.fresh)
 	j.cut = d.talks && d.below(j)
 	d.jobs[in.Job] = j
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -11,9 +11,9 @@
 	d := &Dispatcher{
 		seed: s.Seed, node: NodeID(s.Node), nodes: s.Nodes, zone: s.Zone,
 		kinds: map[KindID]*kind{}, byID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
-		index: index{until: pile{by: byUntil}}, bySum: map[Sum]*executor{}, kept: map[Sum]*keep{}, mayTell: s.MayTell, mayCopy: s.MayCopy, probes: s.MayProbe, marks: s.MarksAgain,
-		perWork: s.EarnPerWork, overage: s.OverageEarnings, crossPrice: s.CrossZonePrice,
-		wholeWeight: s.WholeWeight, trackWeight: s.WorstClassWeight,
+		index: index{until: pile{by: byUntil}}, bySum: map[Sum]*executor{}, kept: map[Sum]*keep{}, mayTell: s.MayTell, mayCopy: s.MayHedge, probes: s.MayProbe, marks: s.ClientsMarkRetries,
+		perWork: s.ValuePerWork, overage: s.OverQuotaValue, crossPrice: s.CrossZoneCost,
+		wholeWeight: s.TotalWeight, trackWeight: s.WorstClassWeight,
 		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
 		quantum: s.Quantum, tellsStart: s.TellsStart, tellsEvery: s.TellsEvery, mustAsk: s.MustAsk,
 		liveWeights: s.LiveWeights,
@@ -27,8 +27,8 @@
 	d.shareCold(s.FallMultiple)
 	d.spreadAsks(s.AskWithin)
 	d.at(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
-	for _, t := range s.Tenant {
-		d.tenants = append(d.tenants, tenant{perS: t.QuotaPerS / float64(s.Nodes)})
+	for _, t := range s.Tenants {
+		d.tenants = append(d.tenants, tenant{perS: t.QuotaPerSecond / float64(s.Nodes)})
 	}
 	return d
 }
@@ -36,8 +36,8 @@
 // add takes up a track as it is from now on, with what is known of the one that it comes from.
 func (d *Dispatcher) add(c JobClassUpdate) {
 	t := &track{repeat: c.Idempotency, group: c.DedupGroup, groupWindow: c.DedupWindow, allocations: cmp.Or(c.MaxAttempts, d.maxAllocations),
-		quoted: c.Quoted, outerLimit: c.OuterLimit, stretch: c.Stretch, earnings: c.Earnings,
-		late: c.LateEarnings, kind: c.Kind, meanWork: cmp.Or(c.Work, firstGuess(c.JobClass)), unit: c.Earnings}
+		quoted: c.LatencyObjective, outerLimit: c.Deadline, stretch: c.RunTimeFactor, earnings: c.Value,
+		late: c.LateValue, kind: c.Kind, meanWork: cmp.Or(c.ExpectedWork, firstGuess(c.JobClass)), unit: c.Value}
 	if c.Replaces != NoJobClass {
 		from := d.tracks[c.Replaces]
 		if from.learnt > 0 || from.fullBudget > 0 {
@@ -87,8 +87,8 @@
 // firstGuess is a track's mean work as long as nothing is known of it. Guards against a guess as long as the quoted time where that does not grow with
 // the work: no executor could be in time for it, all would be pushed back, and nothing ever learned.
 func firstGuess(t JobClass) time.Duration {
-	if t.Stretch == 0 {
-		return t.Quoted / 2
+	if t.RunTimeFactor == 0 {
+		return t.LatencyObjective / 2
 	}
-	return t.Quoted
+	return t.LatencyObjective
 }
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -8,9 +8,9 @@
 
 // What is larger than any installation is served: 100,000 tenants without shares, and a list of 100,000 executors.
 func TestSizes(t *testing.T) {
-	d := New(Settings{Nodes: 9, Node: 4, Quantum: time.Millisecond, MaxAttempts: 2, OverageEarnings: 0.5,
-		Tenant:     make([]Tenant, 100_000),
-		JobClasses: []JobClass{{Quoted: time.Second, OuterLimit: 2 * time.Second, Stretch: 2, Earnings: 1, Kind: AnyKind}}})
+	d := New(Settings{Nodes: 9, Node: 4, Quantum: time.Millisecond, MaxAttempts: 2, OverQuotaValue: 0.5,
+		Tenants:    make([]Tenant, 100_000),
+		JobClasses: []JobClass{{LatencyObjective: time.Second, Deadline: 2 * time.Second, RunTimeFactor: 2, Value: 1, Kind: AnyKind}}})
 	list := make([]Entry, 100_000)
 	for i := range list {
 		list[i] = Entry{Executor: ExecutorID(fmt.Sprint("e", i)), State: Up, Weight: 1, LongAgo: true}
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -35,13 +35,13 @@
 }
 
 var base = Settings{
-	Seed: 7, Nodes: 1, WholeWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second,
+	Seed: 7, Nodes: 1, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second,
 	Quantum: time.Millisecond, AskWithin: 8 * time.Second, ColdShare: 0.25, WarmWithin: 8 * time.Second,
-	FallMultiple: 4, FallWindow: time.Second, TellsStart: true, OverageEarnings: 0.1, EarnPerWork: true,
+	FallMultiple: 4, FallWindow: time.Second, TellsStart: true, OverQuotaValue: 0.1, ValuePerWork: true,
 	JobClasses: []JobClass{
-		{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second, Earnings: 1, Kind: AnyKind,
+		{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second, Value: 1, Kind: AnyKind,
 			DedupWindow: 2 * time.Second},
-		{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second, Earnings: 4, Kind: 1},
+		{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second, Value: 4, Kind: 1},
 	},
 }
 
@@ -54,21 +54,21 @@
 		"tagged":   func() { first.Idempotency = IdempotentWithKey },
 		"zone":     func() { first.DedupGroup = DedupZone },
 		"cell":     func() { first.DedupGroup = DedupCell },
-		"late":     func() { first.LateEarnings = 0.5 },
-		"flat":     func() { first.Stretch = 0 },
+		"late":     func() { first.LateValue = 0.5 },
+		"flat":     func() { first.RunTimeFactor = 0 },
 		"ask":      func() { s.MustAsk = true },
 		"progress": func() { s.TellsEvery = time.Second },
 		"mute":     func() { s.TellsStart = false },
 		"nocancel": func() { s.MayCancel = false },
-		"price":    func() { s.CrossZonePrice = 0.25 },
+		"price":    func() { s.CrossZoneCost = 0.25 },
 		"nodes8":   func() { s.Nodes = 8 },
 		"nodes30":  func() { s.Nodes, s.Node = 30, 7 },
 		"talk":     func() { s.MayTell = true },
-		"copies":   func() { s.MayCopy = true },
+		"copies":   func() { s.MayHedge = true },
 		"probes":   func() { s.MayProbe = true },
-		"marks":    func() { s.MarksAgain = true },
+		"marks":    func() { s.ClientsMarkRetries = true },
 		"live":     func() { s.LiveWeights = true },
-		"tenants":  func() { s.Tenant = []Tenant{{10}, {10}} },
+		"tenants":  func() { s.Tenants = []Tenant{{10}, {10}} },
 	}
 	for _, w := range words {
 		change[w]()
--- a/policy/types.go
+++ b/policy/types.go
@@ -63,17 +63,17 @@
 
 // JobClass is a kind of batch job with its own handling.
 type JobClass struct {
-	Idempotency  Idempotency
-	DedupGroup   DedupGroup
-	DedupWindow  time.Duration
-	Quoted       time.Duration
-	Work         time.Duration // a first guess at the mean work; 0: the quoted time
-	Stretch      float64       // the quoted time grows by this multiple of the job's own running time
-	OuterLimit   time.Duration
-	Earnings     float64
-	MaxAttempts  int     // at most; 0: as many as the settings say
-	LateEarnings float64 // part of the earnings paid between the quoted time and the outer limit
-	Kind         KindID
+	Idempotency      Idempotency
+	DedupGroup       DedupGroup
+	DedupWindow      time.Duration
+	LatencyObjective time.Duration
+	ExpectedWork     time.Duration // a first guess at the mean work; 0: the quoted time
+	RunTimeFactor    float64       // the quoted time grows by this multiple of the job's own running time
+	Deadline         time.Duration
+	Value            float64
+	MaxAttempts      int     // at most; 0: as many as the settings say
+	LateValue        float64 // part of the earnings paid between the quoted time and the outer limit
+	Kind             KindID
 }
 
 // JobClassUpdate is a track as it is from now on. One that differs from what bore its name gets a number of its own: a number
@@ -88,7 +88,7 @@
 const NoJobClass JobClassID = -1
 
 // Tenant is a customer with a share for all nodes together.
-type Tenant struct{ QuotaPerS float64 }
+type Tenant struct{ QuotaPerSecond float64 }
 
 // Settings is what an instance is handed at its start.
 type Settings struct {
@@ -97,22 +97,22 @@
 	Nodes      int
 	Zone       ZoneID
 	JobClasses []JobClass
-	Tenant     []Tenant
+	Tenants    []Tenant
 
-	EarnPerWork      bool
-	OverageEarnings  float64
-	CrossZonePrice   float64
-	WholeWeight      float64 // of earnings over the whole day and over its worst stretch
+	ValuePerWork     bool
+	OverQuotaValue   float64
+	CrossZoneCost    float64
+	TotalWeight      float64 // of earnings over the whole day and over its worst stretch
 	WorstClassWeight float64 // of the track that fares worst
 
-	MaxAttempts   int
-	MayCancel     bool
-	MayTell       bool          // nodes may send each other words
-	MayCopy       bool          // a repeatable batch job may have a second allocation out
-	MarksAgain    bool          // clients mark their repeats
-	MayProbe      bool          // executors answer probes with their load, and only those
-	MaxRetryAfter time.Duration // 0: the client is not told when to come back
-	Quantum       time.Duration
+	MaxAttempts        int
+	MayCancel          bool
+	MayTell            bool          // nodes may send each other words
+	MayHedge           bool          // a repeatable batch job may have a second allocation out
+	ClientsMarkRetries bool          // clients mark their repeats
+	MayProbe           bool          // executors answer probes with their load, and only those
+	MaxRetryAfter      time.Duration // 0: the client is not told when to come back
+	Quantum            time.Duration
 
 	LiveWeights  bool // weights in the list fall with the load
 	MustAsk      bool // the list comes only when asked for
@@ -127,12 +127,12 @@
 
 // Arrival is a batch job as it came.
 type Arrival struct {
-	Job    JobID
-	Class  JobClassID
-	Tenant TenantID
-	Work   time.Duration // a guess, as time on a standard core; 0 for none
-	Budget time.Duration // how long the client waits
-	Again  bool          // marked as a client's repeat, where clients mark them
+	Job         JobID
+	Class       JobClassID
+	Tenant      TenantID
+	Work        time.Duration // a guess, as time on a standard core; 0 for none
+	Budget      time.Duration // how long the client waits
+	ClientRetry bool          // marked as a client's repeat, where clients mark them
 }
 
 // Load is what an executor says of itself. What it does not tell is under 0.
