--- a/cmd/birchstair/crowd_test.go
+++ b/cmd/birchstair/crowd_test.go
@@ -177,7 +177,7 @@
 	}
 	defer up.Close()
 	go (&platform.Discovery{Zones: []string{"z"}, Entries: []standin.Entry{{Addr: work.Addr().String(),
-		Entry: policy.Entry{Executor: "e", Weight: 1, LongAgo: true}}}}).Serve(up)
+		Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true}}}}).Serve(up)
 	came, began := idle.letGo.Load(), time.Now()
 	asked := 0
 	until("it is ready", func() bool {
--- a/cmd/birchstair/upgrade_test.go
+++ b/cmd/birchstair/upgrade_test.go
@@ -58,7 +58,7 @@
 	for i := range 4 {
 		id := policy.ExecutorID(fmt.Sprint("e", i))
 		l := freeListener(p.t)
-		entries = append(entries, standin.Entry{Addr: l.Addr().String(), Entry: policy.Entry{Executor: id, Weight: 1, LongAgo: true}})
+		entries = append(entries, standin.Entry{Addr: l.Addr().String(), Endpoint: policy.Endpoint{Executor: id, Weight: 1, StartedLongAgo: true}})
 		x := &platform.Executor{ID: id, Takes: func() time.Duration { return 5 * time.Millisecond }, Ran: func(job policy.JobID) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -37,7 +37,7 @@
 	nodes map[string]*instance
 	order []*instance // those with an event in this batch, in the order of their first one
 	f     fields
-	list  []policy.Entry
+	list  []policy.Endpoint
 }
 
 // Run answers batches until the input ends.
@@ -189,11 +189,11 @@
 	return nil
 }
 
-var listKinds = map[string]policy.ListKind{
-	"incr": policy.Changes, "total": policy.Whole, "warm_copy": policy.WarmCopy, "lost": policy.Lost,
+var listKinds = map[string]policy.EndpointUpdateKind{
+	"incr": policy.IncrementalUpdate, "total": policy.CompleteUpdate, "warm_copy": policy.CachedUpdate, "lost": policy.WatchFailed,
 }
 
-var states = map[string]policy.State{"U": policy.Up, "L": policy.Draining, "D": policy.Gone}
+var states = map[string]policy.EndpointState{"U": policy.Available, "L": policy.Draining, "D": policy.Removed}
 
 func (a *adapter) membership(who string) error {
 	f := &a.f
@@ -237,13 +237,13 @@
 		a.list = append(a.list, entry)
 	}
 	if n != nil {
-		n.guard(func() { n.brain.Listed(a.now-base, what, a.list) })
+		n.guard(func() { n.brain.UpdateEndpoints(a.now-base, what, a.list) })
 	}
 	return nil
 }
 
-func readEntry(f *fields, base time.Duration) (policy.Entry, error) {
-	var n policy.Entry
+func readEntry(f *fields, base time.Duration) (policy.Endpoint, error) {
+	var n policy.Endpoint
 	id, err := f.need("executor")
 	if err != nil {
 		return n, err
@@ -262,7 +262,7 @@
 	started, err4 := f.secondsOr0("start-time-s")
 	weight, err5 := f.number("power-hint")
 	n.Executor, n.Zone, n.Kind = policy.ExecutorID(id), policy.ZoneID(zone), policy.KindID(kind)
-	n.Cell, n.Started, n.LongAgo = policy.CellID(cell), started-base, started == 0
+	n.Cell, n.StartedAt, n.StartedLongAgo = policy.CellID(cell), started-base, started == 0
 	n.Weight = weight
 	return n, errors.Join(err1, err2, err3, err4, err5)
 }
@@ -423,7 +423,7 @@
 			n.out = append(n.out, " shot="...)
 			n.out = strconv.AppendInt(n.out, int64(due.Attempt), 10)
 			n.out = append(n.out, '\n')
-		case policy.Subscribe:
+		case policy.WatchEndpoints:
 			n.say("WATCH", "enable", "1")
 			n.out = append(n.out, '\n')
 		case policy.Tell:
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -186,8 +186,8 @@
 	}
 	s.Policy = policy.Settings{
 		Node: w.Number, Nodes: w.Balancers, Zone: policy.ZoneID(w.Locality),
-		Quantum:     max(Seconds(w.Quantum), leastQuantum),
-		LiveWeights: w.Weights == "live", MustAsk: w.Discovery == "ask", AskWithin: Seconds(w.Rules.AskWithin),
+		Quantum:             max(Seconds(w.Quantum), leastQuantum),
+		LoadAdjustedWeights: w.Weights == "live", EndpointsPolled: w.Discovery == "ask", PollWithin: Seconds(w.Rules.AskWithin),
 		ValuePerWork: w.PerWork == "work", OverQuotaValue: w.Overage, CrossZoneCost: w.Prices.CrossZone,
 		TotalWeight:      w.ScoreParts["whole"] + w.ScoreParts["worst-window"],
 		WorstClassWeight: w.ScoreParts["worst-class"],
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -391,7 +391,7 @@
 // Tap sees the reducer's steps: what the list says of addresses, and how allocations end.
 func (d *Durable) Tap(_ time.Duration, ev node.Event, _ []node.Effect) {
 	switch ev := ev.(type) {
-	case node.Listed:
+	case node.EndpointsUpdated:
 		d.listed(ev)
 	case node.Ended:
 		d.over(ev.Conn, ev.Outcome.NeverRan(), false)
@@ -400,11 +400,11 @@
 	}
 }
 
-func (d *Durable) listed(ev node.Listed) {
+func (d *Durable) listed(ev node.EndpointsUpdated) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, e := range ev.Executors {
-		if e.State == policy.Gone {
+	for _, e := range ev.Endpoints {
+		if e.State == policy.Removed {
 			delete(d.where, e.Executor)
 			continue
 		}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -130,7 +130,7 @@
 	var entries []standin.Entry
 	for i := range 3 {
 		entries = append(entries, standin.Entry{Addr: fmt.Sprintf("127.1.0.%d:9000", i+1),
-			Entry: policy.Entry{Executor: policy.ExecutorID(fmt.Sprint("e", i)), Weight: 1, LongAgo: true}})
+			Endpoint: policy.Endpoint{Executor: policy.ExecutorID(fmt.Sprint("e", i)), Weight: 1, StartedLongAgo: true}})
 	}
 	go (&platform.Discovery{Entries: entries, Zones: []string{"z"}}).Serve(l)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -273,15 +273,15 @@
 }
 
 // Sighted tells what this node's own list says of an executor.
-func (f *Fleet) Sighted(now time.Duration, id policy.ExecutorID, started time.Duration, longAgo bool, state policy.State) {
+func (f *Fleet) Sighted(now time.Duration, id policy.ExecutorID, started time.Duration, longAgo bool, state policy.EndpointState) {
 	d, born := f.drains[id], f.born(started, longAgo)
 	switch {
-	case state != policy.Up:
-		if state == policy.Gone && d != nil {
+	case state != policy.Available:
+		if state == policy.Removed && d != nil {
 			born = max(born, d.born) // one that is gone may be named without its start
 		}
 		delete(f.back, id)
-		f.keep(id, &drain{born: born, seen: now, own: true, gone: state == policy.Gone})
+		f.keep(id, &drain{born: born, seen: now, own: true, gone: state == policy.Removed})
 	case d == nil:
 	case d.own:
 		delete(f.drains, id)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -133,7 +133,7 @@
 			out = append(out, fmt.Sprintf("%s is news", id))
 		}
 	case "list":
-		state := policy.State(slices.Index([]string{"up", "draining", "gone"}, words[2]))
+		state := policy.EndpointState(slices.Index([]string{"up", "draining", "gone"}, words[2]))
 		born := time.Duration(0)
 		if v := value["born"]; v != "" {
 			born = kept.Span(p.t, v)
--- a/internal/lab/account_test.go
+++ b/internal/lab/account_test.go
@@ -122,7 +122,7 @@
 // deaf is a module that is told of no executors.
 type deaf struct{ node.Module }
 
-func (deaf) Listed(time.Duration, policy.ListKind, []policy.Entry) {}
+func (deaf) UpdateEndpoints(time.Duration, policy.EndpointUpdateKind, []policy.Endpoint) {}
 
 // Facts that are planted come out where they should: each of these worlds loses for one cause, and hardly for any other.
 func TestAccountNamesTheCause(t *testing.T) {
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -75,7 +75,7 @@
 func (b *baseline) Wait(now time.Duration) policy.Due {
 	if !b.asked {
 		b.asked = true
-		return policy.Due{Task: policy.Subscribe}
+		return policy.Due{Task: policy.WatchEndpoints}
 	}
 	if len(b.held) > 0 && now >= b.next {
 		// What has least time left goes first.
@@ -145,12 +145,12 @@
 	}
 }
 
-func (b *baseline) Listed(_ time.Duration, what policy.ListKind, entries []policy.Entry) {
-	if what == policy.Whole {
+func (b *baseline) UpdateEndpoints(_ time.Duration, what policy.EndpointUpdateKind, entries []policy.Endpoint) {
+	if what == policy.CompleteUpdate {
 		clear(b.live)
 	}
 	for _, e := range entries {
-		b.live[e.Executor] = e.State == policy.Up
+		b.live[e.Executor] = e.State == policy.Available
 	}
 	b.order = b.order[:0]
 	for _, x := range b.n.w.executors {
@@ -234,7 +234,7 @@
 func (b *baseline) Reported(policy.ExecutorID, policy.Load)                           {}
 func (b *baseline) Probed(time.Duration, policy.ExecutorID, bool, policy.Load)        {}
 func (b *baseline) Closing(time.Duration, time.Duration)                              {}
-func (b *baseline) Avoided(time.Duration) int                                         { return 0 }
+func (b *baseline) CountExcluded(time.Duration) int                                   { return 0 }
 func (b *baseline) ColdFrom(time.Duration, time.Duration)                             {}
 func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)           {}
 func (b *baseline) Knows(time.Duration) policy.Knowledge                              { return policy.Knowledge{} }
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -124,10 +124,10 @@
 
 var defects = []defect{
 	{"the reducer forgets that an executor drains", rules.DrainKept, nil, plant{
-		event: changed(func(_ *World, _ *sim, ev node.Listed) []node.Event {
-			for i := range ev.Executors {
-				if ev.Executors[i].State == policy.Draining {
-					ev.Executors[i].State = policy.Up
+		event: changed(func(_ *World, _ *sim, ev node.EndpointsUpdated) []node.Event {
+			for i := range ev.Endpoints {
+				if ev.Endpoints[i].State == policy.Draining {
+					ev.Endpoints[i].State = policy.Available
 				}
 			}
 			return []node.Event{ev}
@@ -135,7 +135,7 @@
 	{"the reducer forgets with the next list what operators have taken out", rules.DrainKept, func(s *Scenario) {
 		s.Faults = append(s.Faults, Fault{Kind: standin.TakenOut, At: Span(3 * time.Second), For: Span(14 * time.Second), Where: []string{"e9", "e11"}})
 	}, plant{
-		event: changed(func(w *World, n *sim, e node.Listed) []node.Event {
+		event: changed(func(w *World, n *sim, e node.EndpointsUpdated) []node.Event {
 			for _, id := range slices.Sorted(maps.Keys(n.outs)) {
 				for _, e := range n.core.Step(w.now-n.started, node.Called{Order: node.PutBack, Executor: id}) {
 					n.carryOut(e)
@@ -144,8 +144,8 @@
 			return []node.Event{e}
 		})}},
 	{"the list's edge sits on its news", rules.DrainKept, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightsEvery = 0 }, plant{
-		event: changed(func(w *World, n *sim, ev node.Listed) []node.Event {
-			if ev.Kind != policy.Changes {
+		event: changed(func(w *World, n *sim, ev node.EndpointsUpdated) []node.Event {
+			if ev.Kind != policy.IncrementalUpdate {
 				return []node.Event{ev}
 			}
 			n.later(3*time.Second, func() {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -283,14 +283,14 @@
 	}
 	if !silently {
 		x.does(outs)
-		x.w.change(x.entry(policy.Gone))
+		x.w.change(x.entry(policy.Removed))
 		return
 	}
 	x.gone = true
 	x.wake++
 	x.w.after(noticed, func() {
 		if x.gone {
-			x.w.change(x.entry(policy.Gone))
+			x.w.change(x.entry(policy.Removed))
 		}
 	})
 }
@@ -345,7 +345,7 @@
 			if w.wired != nil {
 				w.wired.endExecutor(x, false)
 			}
-			w.change(x.entry(policy.Gone))
+			w.change(x.entry(policy.Removed))
 		}
 	})
 	w.after(f.For, x.back)
--- a/internal/lab/hard_test.go
+++ b/internal/lab/hard_test.go
@@ -58,7 +58,7 @@
 	case rules.Reached:
 		x.cold++
 	case rules.Told:
-		if s.State == policy.Up && s.Start > 0 && s.At > s.Start+2*time.Second {
+		if s.State == policy.Available && s.Start > 0 && s.At > s.Start+2*time.Second {
 			x.notFresh++
 		}
 	}
--- a/internal/lab/killing.go
+++ b/internal/lab/killing.go
@@ -164,7 +164,7 @@
 	var entries []standin.Entry
 	for i := range 3 {
 		id := policy.ExecutorID(fmt.Sprint("e", i))
-		entries = append(entries, standin.Entry{Addr: listen(), Entry: policy.Entry{Executor: id, Weight: 1, LongAgo: true}})
+		entries = append(entries, standin.Entry{Addr: listen(), Endpoint: policy.Endpoint{Executor: id, Weight: 1, StartedLongAgo: true}})
 		if err != nil {
 			return closeAll, err
 		}
--- a/internal/lab/net.go
+++ b/internal/lab/net.go
@@ -47,9 +47,9 @@
 }
 
 // entry is its entry in the list.
-func (x *executor) entry(state policy.State) standin.Entry {
-	e := standin.Entry{Addr: x.addr, Entry: policy.Entry{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state,
-		Weight: x.size(), Started: x.Started, LongAgo: x.Started < 0}}
+func (x *executor) entry(state policy.EndpointState) standin.Entry {
+	e := standin.Entry{Addr: x.addr, Endpoint: policy.Endpoint{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state,
+		Weight: x.size(), StartedAt: x.Started, StartedLongAgo: x.Started < 0}}
 	if x.w.s.Fleet.NoWeights {
 		e.Weight = 1
 	}
@@ -85,7 +85,7 @@
 		case standin.Fell:
 			x.w.result.Fell++
 			x.w.see(rules.Seen{What: rules.Fell, Node: rules.Nobody, Executor: x.ID})
-			x.w.change(x.entry(policy.Gone))
+			x.w.change(x.entry(policy.Removed))
 			if x.w.wired != nil {
 				x.w.wired.endExecutor(x, false)
 			}
@@ -546,8 +546,8 @@
 	}
 	x.suffer()
 	x.w.see(rules.Seen{What: rules.Started, Node: rules.Nobody, Executor: x.ID})
-	e := x.entry(policy.Up)
-	e.Started += x.w.clockOff
+	e := x.entry(policy.Available)
+	e.StartedAt += x.w.clockOff
 	x.w.change(e)
 }
 
--- a/internal/lab/talk.go
+++ b/internal/lab/talk.go
@@ -152,7 +152,7 @@
 		if !ok {
 			continue
 		}
-		state, was := policy.Draining, policy.Up
+		state, was := policy.Draining, policy.Available
 		switch {
 		case strings.HasPrefix(l.Text, "counts as draining"):
 		case strings.HasPrefix(l.Text, "no longer counts as draining"):
--- a/internal/lab/wired.go
+++ b/internal/lab/wired.go
@@ -402,7 +402,7 @@
 	if err != nil {
 		panic(err) // the address has its start in it
 	}
-	known := n.listed(policy.WarmCopy, v.w.discovery.Copy(v.w.now-copyAge)).Executors
+	known := n.listed(policy.CachedUpdate, v.w.discovery.Copy(v.w.now-copyAge)).Endpoints
 	s := config.Settings{Policy: p, Load: config.LoadAt{0, 1, 2, -1, -1}, Zones: f.Zones, Kinds: []string{"plain"},
 		IdleLimit: time.Duration(f.IdleLimit), DialLimit: time.Duration(f.DialLimit)}
 	if !f.Reports {
@@ -501,14 +501,14 @@
 	case node.Left:
 		n.inHand--
 		w.see(rules.Seen{What: rules.Left, Node: n.id, Job: ev.Job})
-	case node.Listed:
-		if ev.Kind == policy.Lost || ev.Kind == policy.WarmCopy {
+	case node.EndpointsUpdated:
+		if ev.Kind == policy.WatchFailed || ev.Kind == policy.CachedUpdate {
 			return
 		}
 		var entries []standin.Entry
-		for _, e := range ev.Executors {
-			e.Started += n.started
-			entries = append(entries, standin.Entry{Entry: e.Entry, Addr: e.Addr})
+		for _, e := range ev.Endpoints {
+			e.StartedAt += n.started
+			entries = append(entries, standin.Entry{Endpoint: e.Endpoint, Addr: e.Addr})
 		}
 		n.listed(ev.Kind, entries)
 	case node.Ended:
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -284,7 +284,7 @@
 		if w.plant.standin != nil {
 			w.plant.standin(x.Executor)
 		}
-		w.discovery.Change(-time.Duration(f.ListLag)-time.Hour+time.Duration(i), x.entry(policy.Up))
+		w.discovery.Change(-time.Duration(f.ListLag)-time.Hour+time.Duration(i), x.entry(policy.Available))
 		if w.wired != nil {
 			w.wired.startExecutor(x)
 		}
@@ -353,7 +353,7 @@
 	f := &n.w.s.Fleet
 	p := policy.Settings{Seed: uint32(mix(n.w.seed + uint64(n.id)<<20 + uint64(n.run))), Node: int(n.id), Nodes: f.Nodes, Zone: n.zone,
 		ValuePerWork: f.PerWork, CrossZoneCost: f.CrossPrice, TotalWeight: 0.8, WorstClassWeight: 0.2, MaxAttempts: f.Allocations,
-		MayCancel: true, MaxRetryAfter: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LiveWeights: f.WeightsEvery > 0,
+		MayCancel: true, MaxRetryAfter: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LoadAdjustedWeights: f.WeightsEvery > 0,
 		ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
 		FallWindow: time.Duration(f.FallWindow), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery),
 		MayTell: f.Talk && f.Keepers && n.w.wired == nil, MayHedge: f.Copies, ClientsMarkRetries: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
@@ -397,7 +397,7 @@
 	if n.w.s.Fleet.Talk {
 		n.talk()
 	}
-	n.tell(n.listed(policy.WarmCopy, n.w.discovery.Copy(n.w.now-copyAge)))
+	n.tell(n.listed(policy.CachedUpdate, n.w.discovery.Copy(n.w.now-copyAge)))
 	n.later(firstList, func() {
 		n.w.discovery.Watch(n.id)
 		n.news()
@@ -497,7 +497,7 @@
 	case node.CloseFront:
 		n.closed = true
 		n.later(5*time.Millisecond, func() { n.tell(node.FrontClosed{}) })
-	case node.Watch:
+	case node.WatchEndpoints:
 		n.later(5*time.Millisecond, n.news)
 	case node.TellNeighbour:
 		n.say(e.To)
@@ -564,29 +564,29 @@
 }
 
 // listed makes an event of the list, and books what it tells the node.
-func (n *sim) listed(kind policy.ListKind, entries []standin.Entry) node.Listed {
-	ev := node.Listed{Kind: kind}
-	if kind == policy.Lost {
+func (n *sim) listed(kind policy.EndpointUpdateKind, entries []standin.Entry) node.EndpointsUpdated {
+	ev := node.EndpointsUpdated{Kind: kind}
+	if kind == policy.WatchFailed {
 		ev.Detail = "no answer"
 		return ev
 	}
 	named := map[policy.ExecutorID]bool{}
 	for _, e := range entries {
 		named[e.Executor] = true
-		if !e.LongAgo {
-			e.Started -= n.started
+		if !e.StartedLongAgo {
+			e.StartedAt -= n.started
 		}
-		ev.Executors = append(ev.Executors, node.Executor{Entry: e.Entry, Addr: e.Addr})
-		start := e.Started + n.started
-		if e.LongAgo {
+		ev.Endpoints = append(ev.Endpoints, node.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
+		start := e.StartedAt + n.started
+		if e.StartedLongAgo {
 			start = -time.Hour
 		}
 		n.told(rules.Seen{What: rules.Told, Node: n.id, Executor: e.Executor, State: e.State, Start: start})
 	}
-	if kind == policy.Whole {
+	if kind == policy.CompleteUpdate {
 		for _, was := range sortedSeen(n.known) {
-			if !named[was.Executor] && was.State != policy.Gone {
-				was.State = policy.Gone
+			if !named[was.Executor] && was.State != policy.Removed {
+				was.State = policy.Removed
 				n.told(was)
 			}
 		}
@@ -630,7 +630,7 @@
 	s.At = 0
 	if _, out := n.outs[s.Executor]; out {
 		n.outs[s.Executor] = s
-		if s.State == policy.Up {
+		if s.State == policy.Available {
 			s.State = policy.Draining
 		}
 	}
@@ -650,7 +650,7 @@
 		return
 	}
 	kind, entries := n.w.discovery.News(n.w.now, n.id)
-	if kind == policy.Changes && len(entries) == 0 {
+	if kind == policy.IncrementalUpdate && len(entries) == 0 {
 		return
 	}
 	n.tell(n.listed(kind, entries))
--- a/internal/list/bounds_test.go
+++ b/internal/list/bounds_test.go
@@ -306,10 +306,10 @@
 }
 
 func (h *heard) tell(ev node.Event) {
-	if l, ok := ev.(node.Listed); ok && l.Kind == policy.Whole {
+	if l, ok := ev.(node.EndpointsUpdated); ok && l.Kind == policy.CompleteUpdate {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		for size := len(l.Executors); size > 0 && h.at[size].IsZero(); size-- {
+		for size := len(l.Endpoints); size > 0 && h.at[size].IsZero(); size-- {
 			h.at[size] = time.Now()
 		}
 	}
@@ -367,30 +367,30 @@
 	}},
 	{"half-open, moved to where nobody is", func(d *service, w *Watcher) time.Time {
 		d.halfOpen()
-		w.Follow("nowhere:1")
+		w.SwitchDiscovery("nowhere:1")
 		return time.Now()
 	}},
 	{"half-open, moved there and back", func(d *service, w *Watcher) time.Time {
 		d.halfOpen()
-		w.Follow("nowhere:1")
+		w.SwitchDiscovery("nowhere:1")
 		time.Sleep(time.Second)
-		w.Follow(at)
+		w.SwitchDiscovery(at)
 		return time.Now().Add(-time.Second)
 	}},
 	{"half-open, moved to where it comes up 15 s later", func(d *service, w *Watcher) time.Time {
 		d.halfOpen()
 		d.do(func() { d.lost = true })
-		w.Follow("127.0.0.1:8501")
+		w.SwitchDiscovery("127.0.0.1:8501")
 		time.Sleep(15 * time.Second)
 		d.do(func() { d.lost, d.moved = false, true })
 		return time.Now()
 	}},
 	{"moved there, back while it is cut off", func(d *service, w *Watcher) time.Time {
-		w.Follow("nowhere:1")
+		w.SwitchDiscovery("nowhere:1")
 		d.halfOpen()
 		d.do(func() { d.lost = true })
 		time.Sleep(time.Second)
-		w.Follow(at)
+		w.SwitchDiscovery(at)
 		time.Sleep(time.Second)
 		d.do(func() { d.lost = false })
 		return time.Now()
@@ -485,7 +485,7 @@
 				w := New(Names{}, PatienceFor(grace, pushed), d.dial(), func(ev node.Event) {
 					mu.Lock()
 					defer mu.Unlock()
-					if l := ev.(node.Listed); l.Kind != policy.Lost {
+					if l := ev.(node.EndpointsUpdated); l.Kind != policy.WatchFailed {
 						whole = true
 					} else if whole {
 						late++
--- a/internal/list/codec.go
+++ b/internal/list/codec.go
@@ -21,10 +21,10 @@
 type update struct {
 	version   int64
 	whole     bool
-	executors []node.Executor
+	executors []node.Endpoint
 }
 
-var states = map[string]policy.State{"ready": policy.Up, "draining": policy.Draining, "gone": policy.Gone}
+var states = map[string]policy.EndpointState{"ready": policy.Available, "draining": policy.Draining, "gone": policy.Removed}
 
 // decode reads an answer of discovery; its words go no further.
 func (n Names) decode(text []byte) (update, error) {
@@ -48,21 +48,21 @@
 	if w.Seq == nil {
 		return update{}, oddError{fmt.Errorf("the list has no seq")}
 	}
-	got := update{version: *w.Seq, whole: w.Whole, executors: make([]node.Executor, 0, len(w.Hosts))}
+	got := update{version: *w.Seq, whole: w.Whole, executors: make([]node.Endpoint, 0, len(w.Hosts))}
 	for _, h := range w.Hosts {
 		state, ok := states[h.Health]
 		_, err := netip.ParseAddrPort(h.Dial)
-		if !ok || h.Host == "" || err != nil && state != policy.Gone {
+		if !ok || h.Host == "" || err != nil && state != policy.Removed {
 			return update{}, oddError{fmt.Errorf("the list's entry %.40q makes no sense", h.Host)}
 		}
 		weight := 1.0
 		if h.Share != nil {
 			weight = *h.Share
 		}
-		got.executors = append(got.executors, node.Executor{Addr: h.Dial, Entry: policy.Entry{
+		got.executors = append(got.executors, node.Endpoint{Addr: h.Dial, Endpoint: policy.Endpoint{
 			Executor: h.Host, Zone: policy.ZoneID(number(n.Zones, h.Site)), Cell: h.Block,
 			Kind: policy.KindID(number(n.Kinds, h.Class)), State: state, Weight: weight,
-			Started: time.UnixMilli(h.Born).Sub(n.Start), LongAgo: h.Born == 0}})
+			StartedAt: time.UnixMilli(h.Born).Sub(n.Start), StartedLongAgo: h.Born == 0}})
 	}
 	return got, nil
 }
--- a/internal/list/list.go
+++ b/internal/list/list.go
@@ -114,7 +114,7 @@
 
 // Copy is a list as discovery told it once; it may be old.
 type Copy struct {
-	Executors []node.Executor
+	Executors []node.Endpoint
 
 	version int64
 	whole   bool // it says that it is whole, so that changes since its version make it the list of now
@@ -126,7 +126,7 @@
 	changed := map[policy.ExecutorID]bool{}
 	for _, e := range changes.executors {
 		changed[e.Executor] = true
-		if e.State != policy.Gone {
+		if e.State != policy.Removed {
 			all.executors = append(all.executors, e)
 		}
 	}
@@ -165,16 +165,16 @@
 		again: make(chan struct{}, 1), follow: make(chan string, 1), news: make(chan news), dial: dial}
 }
 
-// Watch cuts a backoff between two calls short.
-func (w *Watcher) Watch() {
+// WatchEndpoints cuts a backoff between two calls short.
+func (w *Watcher) WatchEndpoints() {
 	select {
 	case w.again <- struct{}{}:
 	default:
 	}
 }
 
-// Follow goes on at another address. It is called by one goroutine only and never waits.
-func (w *Watcher) Follow(addr string) {
+// SwitchDiscovery goes on at another address. It is called by one goroutine only and never waits.
+func (w *Watcher) SwitchDiscovery(addr string) {
 	select {
 	case <-w.follow: // taken over before it was looked at
 	default:
@@ -212,7 +212,7 @@
 				w.bring(n)
 			case n.from == last && !last.mute:
 				last.mute = true
-				w.tell(node.NotFollowed{Addr: last.addr, Detail: n.err.Error()})
+				w.tell(node.DiscoverySwitchPending{Addr: last.addr, Detail: n.err.Error()})
 			}
 			n.from.told <- struct{}{}
 		}
@@ -450,11 +450,11 @@
 func (w *Watcher) bring(n news) {
 	switch {
 	case n.err != nil:
-		w.tell(node.Listed{Kind: policy.Lost, Detail: n.err.Error()})
+		w.tell(node.EndpointsUpdated{Kind: policy.WatchFailed, Detail: n.err.Error()})
 	case n.whole:
-		w.tell(node.Listed{Kind: policy.Whole, Executors: n.executors})
+		w.tell(node.EndpointsUpdated{Kind: policy.CompleteUpdate, Endpoints: n.executors})
 	case len(n.executors) > 0:
-		w.tell(node.Listed{Kind: policy.Changes, Executors: n.executors})
+		w.tell(node.EndpointsUpdated{Kind: policy.IncrementalUpdate, Endpoints: n.executors})
 	}
 }
 
--- a/internal/list/list_test.go
+++ b/internal/list/list_test.go
@@ -113,13 +113,13 @@
 	defer discovery.Close()
 
 	w := New(traceNames, p, nil, func(ev node.Event) {
-		told := ev.(node.Listed)
-		line := map[policy.ListKind]string{policy.Whole: "whole", policy.Changes: "changes", policy.Lost: "lost"}[told.Kind]
-		for _, e := range told.Executors {
+		told := ev.(node.EndpointsUpdated)
+		line := map[policy.EndpointUpdateKind]string{policy.CompleteUpdate: "whole", policy.IncrementalUpdate: "changes", policy.WatchFailed: "lost"}[told.Kind]
+		for _, e := range told.Endpoints {
 			line += fmt.Sprintf("; %s at %s zone %d kind %d cell %d state %d weight %v", e.Executor, e.Addr, e.Zone,
 				e.Kind, e.Cell, e.State, e.Weight)
-			if !e.LongAgo {
-				line += " started " + e.Started.String()
+			if !e.StartedLongAgo {
+				line += " started " + e.StartedAt.String()
 			}
 		}
 		steps <- "  -> " + line
@@ -132,7 +132,7 @@
 	}()
 	for step := range steps {
 		out.WriteString(step + "\n")
-		w.Watch()
+		w.WatchEndpoints()
 	}
 	return out.String()
 }
@@ -162,9 +162,9 @@
 	defer cancel()
 	w := New(Names{}, PatienceFor(time.Second, true), nil, func(ev node.Event) {
 		switch ev := ev.(type) {
-		case node.Listed:
-			steps <- fmt.Sprintf("  -> list %d: %s", ev.Kind, ev.Executors[0].Executor)
-		case node.NotFollowed:
+		case node.EndpointsUpdated:
+			steps <- fmt.Sprintf("  -> list %d: %s", ev.Kind, ev.Endpoints[0].Executor)
+		case node.DiscoverySwitchPending:
 			steps <- "  -> " + strings.ReplaceAll(ev.Detail, to, "new") + " of " + strings.ReplaceAll(ev.Addr, to, "new")
 		}
 	})
@@ -188,15 +188,15 @@
 	}
 	answer("old", oldAnswers, entry("41", "true", "a"))
 	expect(1)
-	w.Follow(from)
-	w.Follow(to) // takes the place of the one before, if that was not looked at
+	w.SwitchDiscovery(from)
+	w.SwitchDiscovery(to) // takes the place of the one before, if that was not looked at
 	answer("new", newAnswers, "error")
 	expect(1)
 	answer("old", oldAnswers, entry("42", "false", "b"))
 	expect(1)
 	answer("new", newAnswers, entry("7", "true", "c"))
 	expect(2)
-	w.Follow(to)
+	w.SwitchDiscovery(to)
 	answer("new", newAnswers, entry("8", "false", "d"))
 	expect(1)
 	kept.Compare(t, "follow.txt", out.String())
@@ -250,10 +250,10 @@
 	w := New(Names{}, PatienceFor(400*time.Millisecond, true), nil, func(ev node.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		if news := ev.(node.Listed); news.Kind == policy.Lost {
+		if news := ev.(node.EndpointsUpdated); news.Kind == policy.WatchFailed {
 			fmt.Fprintln(&told, "told: lost")
 		} else {
-			fmt.Fprintf(&told, "told: list %d: %s %d\n", news.Kind, news.Executors[0].Executor, news.Executors[0].State)
+			fmt.Fprintf(&told, "told: list %d: %s %d\n", news.Kind, news.Endpoints[0].Executor, news.Endpoints[0].State)
 		}
 	})
 	w.hold, w.answer = 50*time.Millisecond, 2*time.Second // so long that no call is given up before it is heard, however busy the machine
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -12,7 +12,7 @@
 type executor struct {
 	id      policy.ExecutorID
 	addr    string
-	entry   policy.Entry // as the list has it
+	entry   policy.Endpoint // as the list has it
 	started time.Duration
 	listed  int // the list that named it last
 	starts  int // how often the list told of a new one
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -55,9 +55,9 @@
 	JobClass
 }
 
-// Executor is an entry of the list and where the executor is reached.
-type Executor struct {
-	policy.Entry
+// Endpoint is an entry of the list and where the executor is reached.
+type Endpoint struct {
+	policy.Endpoint
 	Addr string
 }
 
@@ -95,14 +95,14 @@
 		Job    policy.JobID
 		Client Client // as in Job
 	}
-	// Listed: the list has news, or, with a detail, could not be had.
-	Listed struct {
-		Kind      policy.ListKind
-		Executors []Executor
+	// EndpointsUpdated: the list has news, or, with a detail, could not be had.
+	EndpointsUpdated struct {
+		Kind      policy.EndpointUpdateKind
+		Endpoints []Endpoint
 		Detail    string
 	}
-	// NotFollowed: the address that the list is to come from now has brought none yet; the old one still counts.
-	NotFollowed struct{ Addr, Detail string }
+	// DiscoverySwitchPending: the address that the list is to come from now has brought none yet; the old one still counts.
+	DiscoverySwitchPending struct{ Addr, Detail string }
 	// Reread: the configuration was read again. With a detail it makes no sense.
 	Reread struct {
 		Discovery string   // where the list comes from
@@ -184,30 +184,30 @@
 	Woke struct{}
 )
 
-func (Arrived) event()     {}
-func (Left) event()        {}
-func (Listed) event()      {}
-func (NotFollowed) event() {}
-func (Reread) event()      {}
-func (Dialled) event()     {}
-func (Told) event()        {}
-func (Ended) event()       {}
-func (Rested) event()      {}
-func (Unsent) event()      {}
-func (Probed) event()      {}
-func (Closed) event()      {}
-func (Stopping) event()    {}
-func (FrontClosed) event() {}
-func (Woke) event()        {}
-func (Declined) event()    {}
-func (Called) event()      {}
-func (Joined) event()      {}
-func (Heard) event()       {}
-func (Parted) event()      {}
-func (Neighbours) event()  {}
-func (Hears) event()       {}
-func (HearsPlace) event()  {}
-func (Garbled) event()     {}
+func (Arrived) event()                {}
+func (Left) event()                   {}
+func (EndpointsUpdated) event()       {}
+func (DiscoverySwitchPending) event() {}
+func (Reread) event()                 {}
+func (Dialled) event()                {}
+func (Told) event()                   {}
+func (Ended) event()                  {}
+func (Rested) event()                 {}
+func (Unsent) event()                 {}
+func (Probed) event()                 {}
+func (Closed) event()                 {}
+func (Stopping) event()               {}
+func (FrontClosed) event()            {}
+func (Woke) event()                   {}
+func (Declined) event()               {}
+func (Called) event()                 {}
+func (Joined) event()                 {}
+func (Heard) event()                  {}
+func (Parted) event()                 {}
+func (Neighbours) event()             {}
+func (Hears) event()                  {}
+func (HearsPlace) event()             {}
+func (Garbled) event()                {}
 
 // Effect is what the reducer asks for: one of the types below.
 type Effect interface{ effect() }
@@ -237,10 +237,10 @@
 	}
 	// Close closes a connection, or gives up dialling it.
 	Close struct{ Conn ConnID }
-	// Watch asks for the list again, now.
-	Watch struct{}
-	// Follow takes the list from an address from now on; it may be the one that it comes from already.
-	Follow struct{ Addr string }
+	// WatchEndpoints asks for the list again, now.
+	WatchEndpoints struct{}
+	// SwitchDiscovery takes the list from an address from now on; it may be the one that it comes from already.
+	SwitchDiscovery struct{ Addr string }
 	// UpdateJobClasses tells the front which tracks there are from now on.
 	UpdateJobClasses struct{ Classes []NumberedClass }
 	// Ready says whether the node is to be given batch jobs.
@@ -292,8 +292,8 @@
 func (WriteAttempt) effect()     {}
 func (Close) effect()            {}
 func (Probe) effect()            {}
-func (Watch) effect()            {}
-func (Follow) effect()           {}
+func (WatchEndpoints) effect()   {}
+func (SwitchDiscovery) effect()  {}
 func (Ready) effect()            {}
 func (UpdateJobClasses) effect() {}
 func (CloseFront) effect()       {}
--- a/internal/node/hand.go
+++ b/internal/node/hand.go
@@ -68,7 +68,7 @@
 	case ReadFigures:
 		f := n.figures
 		f.Classes = slices.Clone(f.Classes) // the caller reads them while this goes on
-		f.InFlight, f.Known, f.Avoided = len(n.due), len(n.executors), n.brain.Avoided(n.now)
+		f.InFlight, f.Known, f.Avoided = len(n.due), len(n.executors), n.brain.CountExcluded(n.now)
 		r.Figures = &f
 	case ReadFleet:
 		if r.No = "this node talks with no others: its [fleet] table is not there"; n.fleet != nil {
@@ -137,18 +137,18 @@
 // showModule tells the module of one executor as the list and operators have it together.
 func (n *Node) showModule(e *executor) {
 	in := n.merged(e.entry)
-	e.up, e.started = in.State == policy.Up, in.Started
-	n.brain.Listed(n.now, policy.Changes, []policy.Entry{in})
+	e.up, e.started = in.State == policy.Available, in.StartedAt
+	n.brain.UpdateEndpoints(n.now, policy.IncrementalUpdate, []policy.Endpoint{in})
 }
 
 // merged is an entry of the list with what operators want, and what neighbours tell of drains, put over it.
-func (n *Node) merged(in policy.Entry) policy.Entry {
-	told := n.fleet != nil && n.fleet.Drains(in.Executor, in.Started, in.LongAgo)
-	if (n.outs[in.Executor] || told) && in.State == policy.Up {
+func (n *Node) merged(in policy.Endpoint) policy.Endpoint {
+	told := n.fleet != nil && n.fleet.Drains(in.Executor, in.StartedAt, in.StartedLongAgo)
+	if (n.outs[in.Executor] || told) && in.State == policy.Available {
 		in.State = policy.Draining
 	}
-	if at, ok := n.backs[in.Executor]; ok && (in.LongAgo || in.Started < at) {
-		in.Started, in.LongAgo = at, false
+	if at, ok := n.backs[in.Executor]; ok && (in.StartedLongAgo || in.StartedAt < at) {
+		in.StartedAt, in.StartedLongAgo = at, false
 	}
 	return in
 }
--- a/internal/node/listed.go
+++ b/internal/node/listed.go
@@ -20,15 +20,15 @@
 		n.say(Log{Text: "changed, and taken up at the next start: " + strings.Join(ev.Waits, ", ")})
 	}
 	n.retune(ev)
-	n.say(Follow{ev.Discovery})
+	n.say(SwitchDiscovery{ev.Discovery})
 }
 
 // listed takes in news of the list. A first list makes the node ready; where none can be had, an old copy does.
-func (n *Node) listed(ev Listed) {
-	if ev.Kind == policy.WarmCopy && n.copied {
+func (n *Node) listed(ev EndpointsUpdated) {
+	if ev.Kind == policy.CachedUpdate && n.copied {
 		return // the copy that this process was started with is older than what the one before handed over
 	}
-	if lost := ev.Kind == policy.Lost; lost != n.listLost && ev.Kind != policy.WarmCopy {
+	if lost := ev.Kind == policy.WatchFailed; lost != n.listLost && ev.Kind != policy.CachedUpdate {
 		n.listLost = lost
 		if lost {
 			n.say(Log{Text: "the list could not be had: " + ev.Detail})
@@ -37,24 +37,24 @@
 		}
 	}
 	n.lists++
-	entries := make([]policy.Entry, len(ev.Executors))
-	for i, in := range ev.Executors {
-		if ev.Kind != policy.WarmCopy {
-			n.sighted(in.Entry)
+	entries := make([]policy.Endpoint, len(ev.Endpoints))
+	for i, in := range ev.Endpoints {
+		if ev.Kind != policy.CachedUpdate {
+			n.sighted(in.Endpoint)
 		}
-		entries[i] = n.merged(in.Entry)
+		entries[i] = n.merged(in.Endpoint)
 		n.listedOne(in, entries[i])
 	}
-	if ev.Kind == policy.Whole {
+	if ev.Kind == policy.CompleteUpdate {
 		n.goneUnlisted()
 	}
-	n.brain.Listed(n.now, ev.Kind, entries)
-	n.live = n.live || ev.Kind == policy.Whole
-	if ev.Kind == policy.Lost {
+	n.brain.UpdateEndpoints(n.now, ev.Kind, entries)
+	n.live = n.live || ev.Kind == policy.CompleteUpdate
+	if ev.Kind == policy.WatchFailed {
 		n.losts++
 	}
 	// One call that is lost is no sign that discovery is down: what it has counts as told, and the copy is older.
-	if !n.ready && len(n.executors) > 0 && ev.Kind != policy.WarmCopy && (n.live || n.copied || n.losts > 1) {
+	if !n.ready && len(n.executors) > 0 && ev.Kind != policy.CachedUpdate && (n.live || n.copied || n.losts > 1) {
 		n.ready = true
 		n.becomeReady()
 	}
@@ -62,19 +62,19 @@
 
 // listedOne takes in one entry, and as what it counts. Connections to what has moved or started anew lead nowhere: what
 // was written on one would count as run.
-func (n *Node) listedOne(in Executor, as policy.Entry) {
+func (n *Node) listedOne(in Endpoint, as policy.Endpoint) {
 	e := n.executors[in.Executor]
-	if in.State == policy.Gone {
+	if in.State == policy.Removed {
 		if e != nil {
 			n.gone(e)
 		}
 		return
 	}
 	if e == nil {
-		e = &executor{id: in.Executor, addr: in.Addr, started: as.Started}
+		e = &executor{id: in.Executor, addr: in.Addr, started: as.StartedAt}
 		n.executors[e.id] = e
 	}
-	anew := !as.LongAgo && as.Started > e.started
+	anew := !as.StartedLongAgo && as.StartedAt > e.started
 	if e.addr != in.Addr {
 		e.moves++
 	}
@@ -84,15 +84,15 @@
 	if anew {
 		e.starts++
 	}
-	e.entry, e.addr, e.listed = in.Entry, in.Addr, n.lists
-	e.up, e.started = as.State == policy.Up, as.Started
+	e.entry, e.addr, e.listed = in.Endpoint, in.Addr, n.lists
+	e.up, e.started = as.State == policy.Available, as.StartedAt
 }
 
 // goneUnlisted drops what a whole list leaves out, in the order of ids: the same events give the same effects.
 func (n *Node) goneUnlisted() {
 	for _, e := range n.inOrder() {
 		if e.listed != n.lists {
-			e.entry.State = policy.Gone
+			e.entry.State = policy.Removed
 			n.sighted(e.entry)
 			n.gone(e)
 		}
--- a/internal/node/pair.go
+++ b/internal/node/pair.go
@@ -28,7 +28,7 @@
 	Outs       []policy.ExecutorID // taken out by operators
 	Backs      []Back
 	Drained    bool
-	List       []Executor // Started is an age
+	Endpoints  []Endpoint // Started is an age
 	Known      policy.Knowledge
 	ClassNames []string // of the tracks in Known, in the same order
 }
@@ -117,9 +117,9 @@
 		s.Backs = append(s.Backs, Back{id, n.now - n.backs[id]})
 	}
 	for _, e := range n.inOrder() {
-		in := Executor{Entry: e.entry, Addr: e.addr}
-		in.Started = n.now - in.Started
-		s.List = append(s.List, in)
+		in := Endpoint{Endpoint: e.entry, Addr: e.addr}
+		in.StartedAt = n.now - in.StartedAt
+		s.Endpoints = append(s.Endpoints, in)
 	}
 	return s
 }
@@ -211,11 +211,11 @@
 	if s.Drained {
 		n.drain(true)
 	}
-	for i := range s.List {
-		s.List[i].Started = n.now - s.List[i].Started
+	for i := range s.Endpoints {
+		s.Endpoints[i].StartedAt = n.now - s.Endpoints[i].StartedAt
 	}
 	if !n.live { // news of the old one's, newer than the copy that this one was started with
-		n.listed(Listed{Kind: policy.WarmCopy, Executors: s.List})
+		n.listed(EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Endpoints})
 		n.copied = true
 		n.goneUnlisted()
 	} else {
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -40,7 +40,7 @@
 
 // Module is the decision module, as the reducer calls it: *policy.Dispatcher, or one that sees what goes between.
 type Module interface {
-	Listed(now time.Duration, what policy.ListKind, entries []policy.Entry)
+	UpdateEndpoints(now time.Duration, what policy.EndpointUpdateKind, entries []policy.Endpoint)
 	Arrived(now time.Duration, in policy.Arrival)
 	Started(now time.Duration, id policy.JobID, a policy.AttemptID)
 	Progressed(now time.Duration, id policy.JobID, a policy.AttemptID, share float64)
@@ -51,7 +51,7 @@
 	Place(now time.Duration, id policy.JobID) policy.Decision
 	Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision
 	Wait(now time.Duration) policy.Due
-	Avoided(now time.Duration) int
+	CountExcluded(now time.Duration) int
 	ColdFrom(now, at time.Duration)
 	UpdateJobClasses(now time.Duration, tracks []policy.JobClassUpdate)
 	Knows(now time.Duration) policy.Knowledge
@@ -162,9 +162,9 @@
 		if j := n.jobs[ev.Job]; j != nil && j.Client == ev.Client {
 			n.left(j)
 		}
-	case Listed:
+	case EndpointsUpdated:
 		n.listed(ev)
-	case NotFollowed:
+	case DiscoverySwitchPending:
 		n.say(Log{Text: fmt.Sprintf("no list from %s yet, the old address counts: %s", ev.Addr, ev.Detail)})
 	case Reread:
 		n.reread(ev)
@@ -334,8 +334,8 @@
 			if n.fleet != nil { // else nobody carries it
 				n.say(TellPlace{To: due.Node, Word: due.Word, Sum: due.Sum})
 			}
-		case policy.Subscribe:
-			n.say(Watch{})
+		case policy.WatchEndpoints:
+			n.say(WatchEndpoints{})
 		case policy.Note:
 			n.say(Log{Text: due.Text})
 		case policy.Sleep:
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -72,7 +72,7 @@
 		case "probes":
 			s.MayProbe = true
 		case "live":
-			s.LiveWeights = true
+			s.LoadAdjustedWeights = true
 		case "broken":
 			return nil, l
 		}
@@ -98,19 +98,19 @@
 	return ConnID(id)
 }
 
-func (p *player) executors(now time.Duration, words []string) (list []Executor) {
+func (p *player) executors(now time.Duration, words []string) (list []Endpoint) {
 	for _, w := range words {
 		name, state, _ := strings.Cut(w, ":")
 		name, at, _ := strings.Cut(name, "@")
-		e := Executor{Addr: name + at, Entry: policy.Entry{Executor: policy.ExecutorID(name), Weight: 1, LongAgo: true}}
+		e := Endpoint{Addr: name + at, Endpoint: policy.Endpoint{Executor: policy.ExecutorID(name), Weight: 1, StartedLongAgo: true}}
 		switch state {
 		case "":
 		case "L":
 			e.State = policy.Draining
 		case "D":
-			e.State = policy.Gone
+			e.State = policy.Removed
 		default:
-			e.LongAgo, e.Started = false, now-kept.Span(p.t, state)
+			e.StartedLongAgo, e.StartedAt = false, now-kept.Span(p.t, state)
 		}
 		list = append(list, e)
 	}
@@ -124,11 +124,11 @@
 	last := words[len(words)-1]
 	switch words[0] {
 	case "list":
-		return Listed{Kind: policy.Whole, Executors: p.executors(now, words[1:])}
+		return EndpointsUpdated{Kind: policy.CompleteUpdate, Endpoints: p.executors(now, words[1:])}
 	case "change":
-		return Listed{Kind: policy.Changes, Executors: p.executors(now, words[1:])}
+		return EndpointsUpdated{Kind: policy.IncrementalUpdate, Endpoints: p.executors(now, words[1:])}
 	case "copy":
-		return Listed{Kind: policy.WarmCopy, Executors: p.executors(now, words[1:])}
+		return EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: p.executors(now, words[1:])}
 	case "alive":
 		var names []fleet.Name
 		for _, w := range words[1:] {
@@ -139,7 +139,7 @@
 		seq, _ := strconv.Atoi(words[2])
 		return Hears{fleet.Word{From: fleet.Name(words[1]), Life: 1, Seq: uint64(seq), Drains: []fleet.Drain{{Executor: policy.ExecutorID(words[3])}}}}
 	case "lost":
-		return Listed{Kind: policy.Lost, Detail: "no answer"}
+		return EndpointsUpdated{Kind: policy.WatchFailed, Detail: "no answer"}
 	case "job":
 		j := Job{Request: Request{ID: policy.JobID(words[1])}, Work: 300 * time.Millisecond, Budget: 5 * time.Second}
 		for _, w := range words[2:] {
@@ -217,7 +217,7 @@
 		}
 		return r
 	case "notfollowed":
-		return NotFollowed{Addr: last, Detail: "no answer"}
+		return DiscoverySwitchPending{Addr: last, Detail: "no answer"}
 	case "joined", "parted", "heard":
 		link, _ := strconv.Atoi(words[1])
 		switch words[0] {
@@ -243,7 +243,7 @@
 				case "back":
 					w.State.Backs = append(w.State.Backs, Back{policy.ExecutorID(name), time.Second})
 				case "listed":
-					w.State.List = append(w.State.List, p.executors(now, []string{name})...)
+					w.State.Endpoints = append(w.State.Endpoints, p.executors(now, []string{name})...)
 				case "drained":
 					w.State.Drained = true
 				}
@@ -288,14 +288,14 @@
 			line = fmt.Sprintf("close %d", e.Conn)
 		case Probe:
 			line = fmt.Sprintf("probe %s at %s", e.Executor, e.Addr)
-		case Watch:
+		case WatchEndpoints:
 			line = "watch"
 		case TellNeighbour:
 			if len(e.Word.Drains) == 0 {
 				continue
 			}
 			line = fmt.Sprintf("tell %s that %s drains, %v old", e.Name, e.Word.Drains[0].Executor, e.Word.Drains[0].Age)
-		case Follow:
+		case SwitchDiscovery:
 			line = "follow " + e.Addr
 		case Ready:
 			line = fmt.Sprint("ready: ", e.Yes)
@@ -342,7 +342,7 @@
 	switch w.Kind {
 	case Hand:
 		text := fmt.Sprintf("state, out %v, back %v, drained %t, listed", w.State.Outs, w.State.Backs, w.State.Drained)
-		for _, e := range w.State.List {
+		for _, e := range w.State.Endpoints {
 			text += fmt.Sprintf(" %s@%s:%d", e.Executor, e.Addr, e.State)
 		}
 		return text
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -30,8 +30,8 @@
 
 // List follows the list.
 type List interface {
-	Watch()
-	Follow(addr string)
+	WatchEndpoints()
+	SwitchDiscovery(addr string)
 }
 
 // Operators answers those who call at the door.
@@ -137,10 +137,10 @@
 				to.Executors.Close(e.Conn)
 			case Probe:
 				to.Executors.Probe(e.Executor, e.Addr)
-			case Watch:
-				to.List.Watch()
-			case Follow:
-				to.List.Follow(e.Addr)
+			case WatchEndpoints:
+				to.List.WatchEndpoints()
+			case SwitchDiscovery:
+				to.List.SwitchDiscovery(e.Addr)
 			case UpdateJobClasses:
 				to.Clients.UpdateJobClasses(e.Classes)
 			case SendAway:
--- a/internal/node/talk.go
+++ b/internal/node/talk.go
@@ -24,7 +24,7 @@
 		n.say(Log{Text: fmt.Sprintf("nodes of the fleet alive: %d", len(ev.Alive))})
 	case Hears:
 		for _, id := range n.fleet.Heard(n.now, ev.Word) {
-			if e := n.executors[id]; e != nil && e.up && n.fleet.Drains(id, e.entry.Started, e.entry.LongAgo) {
+			if e := n.executors[id]; e != nil && e.up && n.fleet.Drains(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
 				n.say(Log{Text: "counts as draining: " + string(ev.Word.From) + " told so", Executor: id})
 				n.showAgain(id)
 			}
@@ -63,8 +63,8 @@
 }
 
 // sighted tells neighbours what this node's own list says.
-func (n *Node) sighted(in policy.Entry) {
+func (n *Node) sighted(in policy.Endpoint) {
 	if n.fleet != nil {
-		n.fleet.Sighted(n.now, in.Executor, in.Started, in.LongAgo, in.State)
+		n.fleet.Sighted(n.now, in.Executor, in.StartedAt, in.StartedLongAgo, in.State)
 	}
 }
--- a/internal/rig/ends.go
+++ b/internal/rig/ends.go
@@ -37,9 +37,9 @@
 	return x
 }
 
-func (x *executor) entry(state policy.State) standin.Entry {
-	return standin.Entry{Entry: policy.Entry{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state, Weight: float64(x.Cores) * x.Speed,
-		Started: x.Started, LongAgo: x.Started < 0}}
+func (x *executor) entry(state policy.EndpointState) standin.Entry {
+	return standin.Entry{Endpoint: policy.Endpoint{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state, Weight: float64(x.Cores) * x.Speed,
+		StartedAt: x.Started, StartedLongAgo: x.Started < 0}}
 }
 
 // meet opens the address where a node reaches an executor.
@@ -116,7 +116,7 @@
 	}
 	r.result.Allocations++
 	r.result.Work += t.work.Cost
-	if known, ok := p.known[x.ID]; ok && known.State == policy.Up {
+	if known, ok := p.known[x.ID]; ok && known.State == policy.Available {
 		if at, drains := r.firstTold[x.ID]; drains && r.now() > at+time.Duration(r.s.Fleet.DrainGrace)+drainSlow {
 			r.result.Late++
 			r.note("%s was sent to %s by %s, %v after another node was told that it drains", m.Job, x.ID, p.name, r.now()-at)
@@ -227,7 +227,7 @@
 	x.does(x.Start(r.now()))
 	delete(r.firstTold, x.ID)
 	r.see(rules.Seen{What: rules.Started, Node: rules.Nobody, Executor: x.ID, Start: x.Started}) // as the list says it, or no node would count as told
-	r.change(x.entry(policy.Up))
+	r.change(x.entry(policy.Available))
 }
 
 func (x *executor) close() {
@@ -331,16 +331,16 @@
 		}
 		e.Addr = l.Addr().String()
 		own = append(own, e)
-		start := e.Started
-		if e.LongAgo {
+		start := e.StartedAt
+		if e.StartedLongAgo {
 			start = -time.Hour
 		}
 		p.told(rules.Seen{Executor: e.Executor, State: e.State, Start: start})
 	}
 	if whole {
 		for id, was := range p.known {
-			if !named[id] && was.State != policy.Gone {
-				p.told(rules.Seen{Executor: id, State: policy.Gone, Start: was.Start})
+			if !named[id] && was.State != policy.Removed {
+				p.told(rules.Seen{Executor: id, State: policy.Removed, Start: was.Start})
 			}
 		}
 	}
@@ -353,11 +353,11 @@
 	if ok && was.State == s.State && was.Start == s.Start {
 		return
 	}
-	if ok && was.State != policy.Up && s.State != policy.Up {
+	if ok && was.State != policy.Available && s.State != policy.Available {
 		s.At = was.At
 	}
 	p.known[s.Executor] = s
-	if s.State != policy.Up {
+	if s.State != policy.Available {
 		if _, ok := p.r.firstTold[s.Executor]; !ok {
 			p.r.firstTold[s.Executor] = p.r.now()
 		}
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -75,7 +75,7 @@
 		r.onExecutors(f, func(x *executor) {
 			if x.downs++; x.Up {
 				x.crash()
-				r.change(x.entry(policy.Gone))
+				r.change(x.entry(policy.Removed))
 			}
 		})
 	case standin.DrainOff:
@@ -215,7 +215,7 @@
 	r.after(f.For*3/4, func() {
 		if x.Up && x.lives == lives {
 			x.crash()
-			r.change(x.entry(policy.Gone))
+			r.change(x.entry(policy.Removed))
 		}
 	})
 	r.after(f.For, x.back)
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -168,7 +168,7 @@
 	defer r.mu.Unlock()
 	for i := range f.Executors {
 		x := r.newExecutor(fmt.Sprint("e", i), i, f.Speed*(1+f.Spread*(2*speeds.Float64()-1)))
-		r.discovery.Change(-time.Hour+time.Duration(i), x.entry(policy.Up))
+		r.discovery.Change(-time.Hour+time.Duration(i), x.entry(policy.Available))
 	}
 	slot, held, err := Claim()
 	if err != nil {
--- a/internal/rules/informed_test.go
+++ b/internal/rules/informed_test.go
@@ -17,8 +17,8 @@
 	}{
 		{"in time", nil, 7000 * ms, false},
 		{"late", nil, 7001 * ms, true},
-		{"up again", func(c *Checker) { c.Listed(3000*ms, "a", policy.Up) }, 9000 * ms, false},
-		{"gone as well counts from the drain", func(c *Checker) { c.Listed(3000*ms, "a", policy.Gone) }, 7001 * ms, true},
+		{"up again", func(c *Checker) { c.Listed(3000*ms, "a", policy.Available) }, 9000 * ms, false},
+		{"gone as well counts from the drain", func(c *Checker) { c.Listed(3000*ms, "a", policy.Removed) }, 7001 * ms, true},
 		{"its zone was cut off", func(c *Checker) { c.Apart(0, 2000*ms) }, 8000 * ms, false},
 		{"its zone was cut off, late", func(c *Checker) { c.Apart(0, 2000*ms) }, 8001 * ms, true},
 		{"discovery was down", func(c *Checker) { c.Cut(1500*ms, Nobody, true); c.Cut(2000*ms, Nobody, false) }, 8000 * ms, false},
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -123,7 +123,7 @@
 }
 
 type told struct {
-	state policy.State
+	state policy.EndpointState
 	at    time.Duration
 	start time.Duration
 }
@@ -149,7 +149,7 @@
 
 // listed is what discovery has of an executor, and since when it may tell of it.
 type listed struct {
-	state policy.State
+	state policy.EndpointState
 	at    time.Duration
 }
 
@@ -178,9 +178,9 @@
 }
 
 // Listed says that discovery has an executor in a state, and tells of it from a time on. It is no thing seen by a node.
-func (c *Checker) Listed(from time.Duration, e policy.ExecutorID, state policy.State) {
+func (c *Checker) Listed(from time.Duration, e policy.ExecutorID, state policy.EndpointState) {
 	was, known := c.listed[e]
-	if known && was.state != policy.Up && state != policy.Up {
+	if known && was.state != policy.Available && state != policy.Available {
 		return // it binds since then
 	}
 	c.listed[e] = listed{state, from}
@@ -198,7 +198,7 @@
 // Uninformed says how long ago a node should have known that an executor takes nothing new.
 func (c *Checker) Uninformed(now time.Duration, n NodeID, e policy.ExecutorID) (time.Duration, bool) {
 	l, known := c.listed[e]
-	if !known || l.state == policy.Up || c.apart[n] || c.apart[Nobody] {
+	if !known || l.state == policy.Available || c.apart[n] || c.apart[Nobody] {
 		return 0, false
 	}
 	late := now - max(l.at, c.reachable[n], c.reachable[Nobody]) - InformedWithin
@@ -325,7 +325,7 @@
 	}
 	was, known := of[s.Executor]
 	t := told{s.State, s.At, s.Start}
-	if known && was.state != policy.Up && s.State != policy.Up {
+	if known && was.state != policy.Available && s.State != policy.Available {
 		t.at = was.at // it was told so before
 	}
 	of[s.Executor] = t
@@ -363,7 +363,7 @@
 		c.breaks(OneAnswer, s.At, key, s.Work, s.Executor, "%s was sent to %s after its end", s.Job, s.Executor)
 		return
 	}
-	if t, ok := c.nodes[s.Node][s.Executor]; ok && t.state != policy.Up && s.At > t.at+c.s.Grace {
+	if t, ok := c.nodes[s.Node][s.Executor]; ok && t.state != policy.Available && s.At > t.at+c.s.Grace {
 		c.breaks(DrainKept, s.At, key, j.work, s.Executor, "%s was sent to %s %v after node %d was told that it drains or is gone",
 			s.Job, s.Executor, s.At-t.at, s.Node)
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -55,12 +55,12 @@
 
 func answer(t time.Duration, f Final) Seen { return at(t, Answered, func(s *Seen) { s.Final = f }) }
 
-func toldOf(t time.Duration, state policy.State) Seen {
+func toldOf(t time.Duration, state policy.EndpointState) Seen {
 	return at(t, Told, func(s *Seen) { s.State = state })
 }
 
 func toldFrom(t, start time.Duration) Seen {
-	return at(t, Told, func(s *Seen) { s.State, s.Start = policy.Up, start })
+	return at(t, Told, func(s *Seen) { s.State, s.Start = policy.Available, start })
 }
 
 func reached(t time.Duration, cost float64) Seen {
@@ -127,18 +127,18 @@
 		{"tagged, held up for longer than its window", []Seen{taken(2), ranAt(1*ms, 2, "a"), ranAt(7600*ms, 2, "b")}},
 		{"sent within the grace of a drain", []Seen{toldOf(0, policy.Draining), taken(0), sentTo(1500*ms, 0, "a", 0)}},
 		{"sent after the grace of a drain", []Seen{toldOf(0, policy.Draining), taken(0), sentTo(1501*ms, 0, "a", 0)}},
-		{"the grace counts from the first word", []Seen{toldOf(0, policy.Draining), toldOf(1000*ms, policy.Gone), taken(0), sentTo(1501*ms, 0, "a", 0)}},
-		{"up again after a drain", []Seen{toldOf(0, policy.Draining), toldOf(1000*ms, policy.Up), taken(0), sentTo(3000*ms, 0, "a", 0)}},
+		{"the grace counts from the first word", []Seen{toldOf(0, policy.Draining), toldOf(1000*ms, policy.Removed), taken(0), sentTo(1501*ms, 0, "a", 0)}},
+		{"up again after a drain", []Seen{toldOf(0, policy.Draining), toldOf(1000*ms, policy.Available), taken(0), sentTo(3000*ms, 0, "a", 0)}},
 		{"a new start of the node knows of no drain", []Seen{toldOf(0, policy.Draining), at(5*ms, NodeStarted, nil), taken(0), sentTo(3000*ms, 0, "a", 0)}},
-		{"cold, within its budget and the slack", []Seen{at(0, Started, nil), toldOf(0, policy.Up), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1)}},
-		{"cold, over its budget", []Seen{at(0, Started, nil), toldOf(0, policy.Up), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1), reached(40*ms, 1.1)}},
-		{"cold, the window has passed", []Seen{at(0, Started, nil), toldOf(0, policy.Up), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1), reached(1040*ms, 1.1)}},
-		{"cold, by nodes that were not told of its start", []Seen{toldOf(0, policy.Up), at(5*ms, Started, nil), reached(10*ms, 5), reached(20*ms, 5), reached(30*ms, 5)}},
-		{"cold, sent by a node before it was told of its start", []Seen{toldOf(0, policy.Up), at(5*ms, Started, nil), taken(0), sentTo(6*ms, 0, "a", 0),
+		{"cold, within its budget and the slack", []Seen{at(0, Started, nil), toldOf(0, policy.Available), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1)}},
+		{"cold, over its budget", []Seen{at(0, Started, nil), toldOf(0, policy.Available), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1), reached(40*ms, 1.1)}},
+		{"cold, the window has passed", []Seen{at(0, Started, nil), toldOf(0, policy.Available), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1), reached(1040*ms, 1.1)}},
+		{"cold, by nodes that were not told of its start", []Seen{toldOf(0, policy.Available), at(5*ms, Started, nil), reached(10*ms, 5), reached(20*ms, 5), reached(30*ms, 5)}},
+		{"cold, sent by a node before it was told of its start", []Seen{toldOf(0, policy.Available), at(5*ms, Started, nil), taken(0), sentTo(6*ms, 0, "a", 0),
 			toldFrom(7*ms, 5*ms), reached(10*ms, 5), reached(20*ms, 5)}},
-		{"cold, sent by a node after it was told of its start", []Seen{toldOf(0, policy.Up), at(5*ms, Started, nil), taken(0), toldFrom(6*ms, 5*ms),
+		{"cold, sent by a node after it was told of its start", []Seen{toldOf(0, policy.Available), at(5*ms, Started, nil), taken(0), toldFrom(6*ms, 5*ms),
 			sentTo(7*ms, 0, "a", 0), reached(10*ms, 5), reached(20*ms, 5)}},
-		{"warm", []Seen{at(0, Started, nil), toldOf(0, policy.Up), reached(9001*ms, 9), reached(9002*ms, 9), reached(9003*ms, 9)}},
+		{"warm", []Seen{at(0, Started, nil), toldOf(0, policy.Available), reached(9001*ms, 9), reached(9002*ms, 9), reached(9003*ms, 9)}},
 		{"given up on, answered at once", []Seen{taken(0), at(5*ms, GaveUp, nil), answer(5*ms, PushedBack)}},
 		{"given up on, answered late", []Seen{taken(0), at(5*ms, GaveUp, nil), answer(7*ms, PushedBack)}},
 	} {
@@ -182,7 +182,7 @@
 // A line of a trace reads back as it was.
 func TestLine(t *testing.T) {
 	s := Seen{At: 5 * ms, What: Over, Node: 3, Job: "j", Work: "w", Track: 1, Allocation: 2, Executor: "e", Zone: 1, Cell: 4,
-		State: policy.Gone, Start: -3, Limit: 7, Proof: true, Final: BrokenOff, Cost: 0.5, Capacity: 2, Text: "x"}
+		State: policy.Removed, Start: -3, Limit: 7, Proof: true, Final: BrokenOff, Cost: 0.5, Capacity: 2, Text: "x"}
 	line, err := s.Line()
 	if err != nil {
 		t.Fatal(err)
@@ -258,7 +258,7 @@
 		checker := New(of)
 		start := at(5*ms, Started, nil)
 		start.Node = Nobody
-		untold, told := toldOf(0, policy.Up), toldFrom(6*ms, 5*ms)
+		untold, told := toldOf(0, policy.Available), toldFrom(6*ms, 5*ms)
 		untold.Node = 1
 		for _, s := range []Seen{untold, start, told} {
 			checker.See(s)
--- a/internal/rules/seen.go
+++ b/internal/rules/seen.go
@@ -78,24 +78,24 @@
 
 // Seen is one thing that was seen. Which of the other fields count hangs on What. Times are spans since the start.
 type Seen struct {
-	At         time.Duration     `json:"at"`
-	What       What              `json:"what"`
-	Node       NodeID            `json:"node"`
-	Job        policy.JobID      `json:"job,omitempty"`
-	Work       WorkID            `json:"work,omitempty"`
-	Track      policy.JobClassID `json:"track,omitempty"`
-	Allocation policy.AttemptID  `json:"allocation,omitempty"`
-	Executor   policy.ExecutorID `json:"executor,omitempty"`
-	Zone       policy.ZoneID     `json:"zone,omitempty"`
-	Cell       policy.CellID     `json:"cell,omitempty"`
-	State      policy.State      `json:"state,omitempty"`
-	Start      time.Duration     `json:"start,omitempty"`
-	Limit      time.Duration     `json:"limit,omitempty"`
-	Proof      bool              `json:"proof,omitempty"`
-	Final      Final             `json:"final,omitempty"`
-	Cost       float64           `json:"cost,omitempty"`     // seconds of work on a standard core
-	Capacity   float64           `json:"capacity,omitempty"` // such seconds a second
-	Text       string            `json:"text,omitempty"`
+	At         time.Duration        `json:"at"`
+	What       What                 `json:"what"`
+	Node       NodeID               `json:"node"`
+	Job        policy.JobID         `json:"job,omitempty"`
+	Work       WorkID               `json:"work,omitempty"`
+	Track      policy.JobClassID    `json:"track,omitempty"`
+	Allocation policy.AttemptID     `json:"allocation,omitempty"`
+	Executor   policy.ExecutorID    `json:"executor,omitempty"`
+	Zone       policy.ZoneID        `json:"zone,omitempty"`
+	Cell       policy.CellID        `json:"cell,omitempty"`
+	State      policy.EndpointState `json:"state,omitempty"`
+	Start      time.Duration        `json:"start,omitempty"`
+	Limit      time.Duration        `json:"limit,omitempty"`
+	Proof      bool                 `json:"proof,omitempty"`
+	Final      Final                `json:"final,omitempty"`
+	Cost       float64              `json:"cost,omitempty"`     // seconds of work on a standard core
+	Capacity   float64              `json:"capacity,omitempty"` // such seconds a second
+	Text       string               `json:"text,omitempty"`
 }
 
 // Line is a thing seen as a line of a trace: JSON, without its end.
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -234,7 +234,7 @@
 			w.list.Change(e)
 			time.Sleep(cmp.Or(w.o.Burst, time.Second) / burst)
 		}
-		more.State = policy.Gone
+		more.State = policy.Removed
 		w.list.Change(more)
 		return nil
 	}, knows(known-1)); err != nil {
@@ -244,9 +244,9 @@
 	var gone, back []standin.Entry
 	for i, e := range w.entries[:len(w.entries)-1] {
 		if i%len(zones) == 1 {
-			e.State = policy.Gone
+			e.State = policy.Removed
 			gone = append(gone, e)
-			e.State, e.LongAgo, e.Started = policy.Up, false, time.Since(w.epoch)
+			e.State, e.StartedLongAgo, e.StartedAt = policy.Available, false, time.Since(w.epoch)
 			back = append(back, e)
 		}
 	}
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -87,11 +87,11 @@
 func (m *moduleJob) play() (f moduleFigures) {
 	before := heapNow()
 	p := &player{m: m, d: policy.New(m.settings()), sent: map[policy.JobID]policy.AttemptID{}, running: map[policy.ExecutorID]int{}, out: map[moduleOut]policy.ExecutorID{}}
-	var entries []policy.Entry
+	var entries []policy.Endpoint
 	for i := range m.Executors {
-		entries = append(entries, policy.Entry{Executor: executorID(i), Zone: policy.ZoneID(i % 4), Cell: policy.CellID(i / 40), Weight: float64(places(i)), LongAgo: true})
+		entries = append(entries, policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % 4), Cell: policy.CellID(i / 40), Weight: float64(places(i)), StartedLongAgo: true})
 	}
-	p.d.Listed(0, policy.Whole, entries)
+	p.d.UpdateEndpoints(0, policy.CompleteUpdate, entries)
 	p.due()
 	arrivals, began, err := 0, time.Duration(0), error(nil)
 	first := -1
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -319,8 +319,8 @@
 		w.hollow = append(w.hollow, h)
 		w.closers = append(w.closers, h.end)
 		for i, x := range job.Executors {
-			w.entries = append(w.entries, standin.Entry{Addr: h.Addrs[i], Entry: policy.Entry{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
-				Cell: policy.CellID((first + i) / 40), State: policy.Up, Weight: float64(x.Places), LongAgo: true}})
+			w.entries = append(w.entries, standin.Entry{Addr: h.Addrs[i], Endpoint: policy.Endpoint{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
+				Cell: policy.CellID((first + i) / 40), State: policy.Available, Weight: float64(x.Places), StartedLongAgo: true}})
 		}
 	}
 	return nil
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -210,7 +210,7 @@
 	p := w.nodes[0]
 	var all []standin.Entry
 	for i := range 100000 {
-		all = append(all, standin.Entry{Addr: "127.0.0.1:1", Entry: policy.Entry{Executor: executorID(i), Zone: policy.ZoneID(i % len(zones)), Weight: 1, LongAgo: true}})
+		all = append(all, standin.Entry{Addr: "127.0.0.1:1", Endpoint: policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % len(zones)), Weight: 1, StartedLongAgo: true}})
 	}
 	w.list.Change(all...)
 	if err := until(readyIn, func() bool {
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -29,7 +29,7 @@
 	t      *testing.T
 	listen string
 	dials  chan chan struct{} // each dial to the executor stops until its channel is closed
-	state  chan policy.State
+	state  chan policy.EndpointState
 	halts  standin.Halts // of clients' connections
 	late   atomic.Pointer[late]
 
@@ -51,8 +51,8 @@
 	return l
 }
 
-func start(t *testing.T, first policy.State, repeat string) *whole {
-	w := &whole{t: t, ran: map[policy.JobID]int{}, over: make(chan error, 1), state: make(chan policy.State, 1), dials: make(chan chan struct{}, 10)}
+func start(t *testing.T, first policy.EndpointState, repeat string) *whole {
+	w := &whole{t: t, ran: map[policy.JobID]int{}, over: make(chan error, 1), state: make(chan policy.EndpointState, 1), dials: make(chan chan struct{}, 10)}
 	at := listener(t)
 	go (&platform.Executor{ID: "e", Takes: func() time.Duration { return time.Millisecond }, Ran: func(job policy.JobID) {
 		w.mu.Lock()
@@ -60,7 +60,7 @@
 		w.ran[job]++
 	}}).Serve(at)
 	list := listener(t)
-	go w.discovery(list, standin.Entry{Addr: at.Addr().String(), Entry: policy.Entry{Executor: "e", Weight: 1, LongAgo: true, State: first}})
+	go w.discovery(list, standin.Entry{Addr: at.Addr().String(), Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true, State: first}})
 	s, err := config.ReadSettings([]byte(`{"balancers":1,"areas":["z"],"flavors":["plain"],"caps":{"max-allocations":3},"domain":{"tells-start":true},
 		"tracks":[{"name":"page","quoted-time-s":20,"outer-limit-s":40,"late-earnings":0.5,"repeat":"` + repeat + `","earnings":1}]}`))
 	if err != nil {
@@ -96,7 +96,7 @@
 				switch ev.(type) {
 				case node.Left:
 					w.left++
-				case node.Listed:
+				case node.EndpointsUpdated:
 					w.lists++
 				case node.Dialled:
 					w.up++
@@ -229,7 +229,7 @@
 		stays := w.hands("stays")
 		end(leave, more)
 		w.heard(100)
-		w.state <- policy.Up
+		w.state <- policy.Available
 		go func() {
 			for goOn := range w.dials {
 				close(goOn)
@@ -302,7 +302,7 @@
 func TestClientLeavesUnderWrite(t *testing.T) {
 	for _, l := range leaving {
 		t.Run(l.name, func(t *testing.T) {
-			w := start(t, policy.Up, "once")
+			w := start(t, policy.Available, "once")
 			loop := w.isLate()
 			leaves := w.hands("leaves")
 			close(<-w.dials)
@@ -324,7 +324,7 @@
 
 // Clients leave in one instant while the loop stands before the first write: none of them is sent on.
 func TestClientsLeaveUnderLateLoop(t *testing.T) {
-	w := start(t, policy.Up, "once")
+	w := start(t, policy.Available, "once")
 	loop := w.isLate()
 	var leave []net.Conn
 	for i := range 100 {
@@ -347,7 +347,7 @@
 
 // The connection comes up after the client has left, which the front has not come to: nothing of it is written.
 func TestClientLeavesUnreadWhileDialling(t *testing.T) {
-	w := start(t, policy.Up, "once")
+	w := start(t, policy.Available, "once")
 	leaves := w.hands("leaves")
 	goOn := <-w.dials
 	stop := w.halts.At(standin.AfterRead, 0)
@@ -362,7 +362,7 @@
 
 // The client leaves while the connection for its batch job is being dialled: nothing of it is written.
 func TestClientLeavesWhileDialling(t *testing.T) {
-	w := start(t, policy.Up, "once")
+	w := start(t, policy.Available, "once")
 	leaves := w.hands("leaves")
 	goOn := <-w.dials
 	leaves.Close()
@@ -380,7 +380,7 @@
 // Discovery names the executor as draining while the connection is being dialled: nothing goes out on it when it comes up, and
 // the batch job goes there once the executor is up again.
 func TestDrainWhileDialling(t *testing.T) {
-	w := start(t, policy.Up, "once")
+	w := start(t, policy.Available, "once")
 	stays := w.hands("stays")
 	goOn := <-w.dials
 	w.mu.Lock()
@@ -408,7 +408,7 @@
 			close(goOn)
 		}
 	}()
-	w.state <- policy.Up
+	w.state <- policy.Available
 	w.handled(stays)
 	w.ranOnly("stays")
 }
--- a/internal/service/ready_test.go
+++ b/internal/service/ready_test.go
@@ -140,7 +140,7 @@
 			in.ReadByte() // until the node gives it up
 			return
 		}
-		entries := []standin.Entry{{Addr: "127.0.0.1:81", Entry: policy.Entry{Executor: "e", Weight: 1, LongAgo: true}}}
+		entries := []standin.Entry{{Addr: "127.0.0.1:81", Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true}}}
 		pause := 1500 * time.Millisecond
 		if !ask.Whole {
 			entries, pause = nil, pause+ask.Hold
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -76,7 +76,7 @@
 	front := clients.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Tell)
 	pool := executors.New(s.Executors, s.Settings.TellsLoad(), executors.Probing{Path: s.Settings.Probe.Path,
 		Limit: s.Settings.Probe.Limit, Told: s.Settings.Told()}, loop.Tell)
-	patience := list.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.MustAsk)
+	patience := list.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
 	patience.Seed = uint64(s.Settings.Policy.Seed)<<32 | uint64(uint32(s.Settings.Policy.Node))
 	watcher := list.New(list.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Tell)
 	watcher.Copy = s.Known
@@ -127,7 +127,7 @@
 	watching, enough := context.WithCancel(context.Background())
 	defer enough()
 	go func() {
-		loop.Tell(node.Listed{Kind: policy.WarmCopy, Executors: s.Known.Executors})
+		loop.Tell(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Executors})
 		watcher.Run(watching, s.Discovery)
 	}()
 	go func() {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -12,7 +12,7 @@
 
 // Entry is an executor in the list, and where it is reached.
 type Entry struct {
-	policy.Entry
+	policy.Endpoint
 	Addr string
 }
 
@@ -40,7 +40,7 @@
 
 // Change books a change of one entry, and says when nodes may be told of it.
 func (d *Discovery) Change(now time.Duration, e Entry) time.Duration {
-	if e.State == policy.Gone {
+	if e.State == policy.Removed {
 		delete(d.entries, e.Executor)
 	} else {
 		d.entries[e.Executor] = e
@@ -84,7 +84,7 @@
 		if c.at > at {
 			break
 		}
-		if c.State == policy.Gone {
+		if c.State == policy.Removed {
 			delete(byID, c.Executor)
 		} else {
 			byID[c.Executor] = c.Entry
@@ -95,16 +95,16 @@
 
 // News is what a node is told now: nothing, the changes since it was told last, or the whole list, both as they were a
 // lag ago.
-func (d *Discovery) News(now time.Duration, n rules.NodeID) (kind policy.ListKind, entries []Entry) {
+func (d *Discovery) News(now time.Duration, n rules.NodeID) (kind policy.EndpointUpdateKind, entries []Entry) {
 	if d.silent {
-		return policy.Lost, nil
+		return policy.WatchFailed, nil
 	}
 	d.told[n], entries = d.Since(now, d.told[n])
 	if d.whole[n] {
 		delete(d.whole, n)
-		return policy.Whole, d.Whole(now)
+		return policy.CompleteUpdate, d.Whole(now)
 	}
-	return policy.Changes, entries
+	return policy.IncrementalUpdate, entries
 }
 
 // Since is what may be told now of the changes after a version, the last of each executor, and the version after them.
--- a/internal/standin/platform/codec.go
+++ b/internal/standin/platform/codec.go
@@ -196,7 +196,7 @@
 	return w, err
 }
 
-var health = map[policy.State]string{policy.Up: "ready", policy.Draining: "draining", policy.Gone: "gone"}
+var health = map[policy.EndpointState]string{policy.Available: "ready", policy.Draining: "draining", policy.Removed: "gone"}
 
 // AppendList writes discovery's answer. Times of day count from epoch.
 func AppendList(b []byte, version int, whole bool, entries []standin.Entry, zones []string, epoch time.Time) []byte {
@@ -217,8 +217,8 @@
 	}{version, whole, []host{}}
 	for _, e := range entries {
 		h := host{e.Executor, e.Addr, zones[e.Zone], "plain", e.Cell, health[e.State], e.Weight, 0}
-		if !e.LongAgo {
-			h.Born = epoch.Add(e.Started).UnixMilli()
+		if !e.StartedLongAgo {
+			h.Born = epoch.Add(e.StartedAt).UnixMilli()
 		}
 		list.Hosts = append(list.Hosts, h)
 	}
--- a/internal/succession/codec.go
+++ b/internal/succession/codec.go
@@ -48,15 +48,15 @@
 }
 
 type wireEndpoint struct {
-	Executor policy.ExecutorID `json:"Executor"`
-	Zone     policy.ZoneID     `json:"Zone"`
-	Kind     policy.KindID     `json:"Kind"`
-	Cell     policy.CellID     `json:"Cell"`
-	State    policy.State      `json:"State"`
-	Weight   float64           `json:"Weight"`
-	Age      time.Duration     `json:"Started"`
-	LongAgo  bool              `json:"LongAgo"`
-	Addr     string            `json:"Addr"`
+	Executor policy.ExecutorID    `json:"Executor"`
+	Zone     policy.ZoneID        `json:"Zone"`
+	Kind     policy.KindID        `json:"Kind"`
+	Cell     policy.CellID        `json:"Cell"`
+	State    policy.EndpointState `json:"State"`
+	Weight   float64              `json:"Weight"`
+	Age      time.Duration        `json:"Started"`
+	LongAgo  bool                 `json:"LongAgo"`
+	Addr     string               `json:"Addr"`
 }
 
 type wireLearned struct {
@@ -156,9 +156,9 @@
 			return wireReadmitted{Executor: r.Executor, Age: r.Ago}
 		}),
 		Drained: state.Drained,
-		Endpoints: convert(state.List, func(e node.Executor) wireEndpoint {
+		Endpoints: convert(state.Endpoints, func(e node.Endpoint) wireEndpoint {
 			return wireEndpoint{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Weight: e.Weight,
-				Age: e.Started, LongAgo: e.LongAgo, Addr: e.Addr}
+				Age: e.StartedAt, LongAgo: e.StartedLongAgo, Addr: e.Addr}
 		}),
 		Learned:    learnedToWire(state.Known),
 		ClassNames: state.ClassNames,
@@ -172,9 +172,9 @@
 			return node.Back{Executor: r.Executor, Ago: r.Age}
 		}),
 		Drained: wire.Drained,
-		List: convert(wire.Endpoints, func(e wireEndpoint) node.Executor {
-			return node.Executor{Addr: e.Addr, Entry: policy.Entry{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
-				State: e.State, Weight: e.Weight, Started: e.Age, LongAgo: e.LongAgo}}
+		Endpoints: convert(wire.Endpoints, func(e wireEndpoint) node.Endpoint {
+			return node.Endpoint{Addr: e.Addr, Endpoint: policy.Endpoint{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+				State: e.State, Weight: e.Weight, StartedAt: e.Age, StartedLongAgo: e.LongAgo}}
 		}),
 		Known:      learnedFromWire(wire.Learned),
 		ClassNames: wire.ClassNames,
--- a/internal/succession/codec_test.go
+++ b/internal/succession/codec_test.go
@@ -18,10 +18,10 @@
 			Outs:    []policy.ExecutorID{"executor-1", "executor-2"},
 			Backs:   []node.Back{{Executor: "executor-3", Ago: 1500 * time.Millisecond}},
 			Drained: true,
-			List: []node.Executor{
-				{Addr: "127.0.0.1:9001", Entry: policy.Entry{Executor: "executor-1", Zone: 1, Kind: 2, Cell: 3,
-					State: policy.Draining, Weight: 0.75, Started: 2500 * time.Millisecond}},
-				{Addr: "127.0.0.1:9002", Entry: policy.Entry{Executor: "executor-2", State: policy.Gone, Weight: 1.25, LongAgo: true}},
+			Endpoints: []node.Endpoint{
+				{Addr: "127.0.0.1:9001", Endpoint: policy.Endpoint{Executor: "executor-1", Zone: 1, Kind: 2, Cell: 3,
+					State: policy.Draining, Weight: 0.75, StartedAt: 2500 * time.Millisecond}},
+				{Addr: "127.0.0.1:9002", Endpoint: policy.Endpoint{Executor: "executor-2", State: policy.Removed, Weight: 1.25, StartedLongAgo: true}},
 			},
 			Known: policy.Knowledge{
 				Nodes: 30,
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -36,8 +36,8 @@
 		t.Fatalf("too little is known: %+v", k)
 	}
 	next := New(settings(nil))
-	list := []Entry{entry(t, last, "a"), entry(t, last, "b:0:1"), entry(t, last, "c:0:0:1s")}
-	next.Listed(last, Whole, list)
+	list := []Endpoint{entry(t, last, "a"), entry(t, last, "b:0:1"), entry(t, last, "c:0:0:1s")}
+	next.UpdateEndpoints(last, CompleteUpdate, list)
 	odd := Knowledge{Classes: []LearnedClass{{ID: 9, MeanWork: 1, Unit: 1}, {ID: -1}, {ID: 0}}, Kinds: []KnownKind{{ID: 7}, {ID: 0}},
 		Executors: []KnownExecutor{{ID: "nobody", Quota: 3}, {ID: "a"}, {ID: "b", Quota: 3, Runs: -1}, {ID: "c", Quota: 5}}}
 	before := next.Knows(last)
@@ -66,7 +66,7 @@
 // afresh: in its first seconds it sends no burst on what it took for its own, and nothing to the one that crawls.
 func TestMove(t *testing.T) {
 	old := New(settings([]string{"ask"}))
-	old.Listed(0, Whole, []Entry{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
+	old.UpdateEndpoints(0, CompleteUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	rest := func(d *Dispatcher) {
 		for d.Wait(0).Task != Sleep {
 		}
@@ -82,7 +82,7 @@
 	among := settings([]string{"ask"})
 	among.Nodes = 5
 	next := New(among)
-	next.Listed(0, WarmCopy, []Entry{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
+	next.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	next.Learn(0, old.Knows(0))
 	rest(next)
 	if b := next.byID["b"]; b.runs != 40 || b.startWait != 0 || b.known != 0 {
@@ -115,7 +115,7 @@
 		t.Errorf("sent %v", sent)
 	}
 	again := New(settings([]string{"ask"}))
-	again.Listed(0, WarmCopy, []Entry{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
+	again.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	again.Learn(0, old.Knows(0))
 	rest(again)
 	if a := again.byID["a"]; a.quota != 7 {
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -120,7 +120,7 @@
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
 	s.Node = r.IntN(s.Nodes)
 	yes := func() bool { return r.IntN(2) == 0 }
-	s.MayTell, s.MayHedge, s.MayProbe, s.LiveWeights, s.TellsStart = yes(), yes(), yes(), yes(), r.IntN(4) > 0
+	s.MayTell, s.MayHedge, s.MayProbe, s.LoadAdjustedWeights, s.TellsStart = yes(), yes(), yes(), yes(), r.IntN(4) > 0
 	s.ValuePerWork, s.ClientsMarkRetries = yes(), yes()
 	if yes() {
 		s.CrossZoneCost = 0.5 * r.Float64()
@@ -139,28 +139,28 @@
 		s.JobClasses = append(s.JobClasses, t)
 	}
 	w := &drawn{Dispatcher: New(s), t: t, r: r, seed: seed, kinds: map[ExecutorID]KindID{}, found: map[string]int{}}
-	var entries []Entry
+	var entries []Endpoint
 	for i := range 2 + r.IntN(50) {
 		w.ids = append(w.ids, ExecutorID(fmt.Sprint("e", i)))
 		entries = append(entries, w.entry(w.ids[i], true))
 	}
-	w.Listed(0, Whole, entries)
+	w.UpdateEndpoints(0, CompleteUpdate, entries)
 	return w
 }
 
-func (w *drawn) entry(id ExecutorID, calm bool) Entry {
+func (w *drawn) entry(id ExecutorID, calm bool) Endpoint {
 	if _, ok := w.kinds[id]; !ok || w.r.IntN(30) == 0 {
 		w.kinds[id] = KindID(w.r.IntN(2))
 	}
 	sum := len(id) + int(id[len(id)-1])
-	n := Entry{Executor: id, Zone: ZoneID(sum % 3), Kind: w.kinds[id], Cell: CellID(sum % 5), LongAgo: true, Weight: 1}
+	n := Endpoint{Executor: id, Zone: ZoneID(sum % 3), Kind: w.kinds[id], Cell: CellID(sum % 5), StartedLongAgo: true, Weight: 1}
 	if w.r.IntN(3) > 0 {
 		n.Weight = [...]float64{0.5, 1, 2, 3 * w.r.Float64()}[w.r.IntN(4)]
 	}
 	if !calm {
-		n.State = [...]State{Up, Up, Up, Draining, Gone}[w.r.IntN(5)]
+		n.State = [...]EndpointState{Available, Available, Available, Draining, Removed}[w.r.IntN(5)]
 		if w.r.IntN(3) == 0 {
-			n.LongAgo, n.Started = false, w.now-time.Duration(w.r.IntN(9000))*time.Millisecond
+			n.StartedLongAgo, n.StartedAt = false, w.now-time.Duration(w.r.IntN(9000))*time.Millisecond
 		}
 		if w.r.IntN(4) == 0 {
 			n.Zone = ZoneID(w.r.IntN(3))
@@ -335,7 +335,7 @@
 	case what == 16 && s != nil:
 		w.Reported(s.on.id, Load{Held: float64(w.r.IntN(4)), Free: float64(w.r.IntN(4))})
 	case what == 17:
-		var entries []Entry
+		var entries []Endpoint
 		for range 1 + w.r.IntN(4) {
 			id := w.ids[w.r.IntN(len(w.ids))]
 			if w.r.IntN(10) == 0 {
@@ -344,7 +344,7 @@
 			}
 			entries = append(entries, w.entry(id, w.r.IntN(2) == 0))
 		}
-		w.Listed(w.now, Changes, entries)
+		w.UpdateEndpoints(w.now, IncrementalUpdate, entries)
 	case what == 18 && s != nil && w.r.IntN(4) == 0:
 		w.Left(w.now, s.id)
 	case what == 19:
@@ -361,7 +361,7 @@
 		w.Cut(CutLine{Rung: w.r.IntN(3) * 16, Part: w.r.Float64(), Wait: w.r.Float64()})
 	case 2:
 		if w.r.IntN(10) == 0 {
-			w.Listed(w.now, Whole, []Entry{w.entry(w.ids[0], true), w.entry(w.ids[len(w.ids)-1], true)})
+			w.UpdateEndpoints(w.now, CompleteUpdate, []Endpoint{w.entry(w.ids[0], true), w.entry(w.ids[len(w.ids)-1], true)})
 		}
 	case 3: // as another process of this node may tell
 		for _, s := range w.shelves {
@@ -417,7 +417,7 @@
 	s := base
 	s.CrossZoneCost = 0.25
 	d := New(s)
-	d.Listed(0, Whole, []Entry{{Executor: "far", Zone: 1, LongAgo: true, Weight: 1}, {Executor: "moves", Zone: 1, LongAgo: true, Weight: 1}})
+	d.UpdateEndpoints(0, CompleteUpdate, []Endpoint{{Executor: "far", Zone: 1, StartedLongAgo: true, Weight: 1}, {Executor: "moves", Zone: 1, StartedLongAgo: true, Weight: 1}})
 	now := time.Second
 	for d.Wait(now).Task != Sleep {
 	}
@@ -428,7 +428,7 @@
 	if got := d.pick(d.jobs["j"], now, false); got == nil || got.id != "far" {
 		t.Fatal("with both in another zone: ", name(got))
 	}
-	d.Listed(now, Changes, []Entry{{Executor: "moves", Zone: 0, LongAgo: true, Weight: 1}})
+	d.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Executor: "moves", Zone: 0, StartedLongAgo: true, Weight: 1}})
 	if got, want := d.pick(d.jobs["j"], now, false), d.scanned(d.jobs["j"], now, false); got != want || want != nil {
 		t.Fatalf("with one at home: %s, the scan %s", name(got), name(want))
 	}
@@ -475,17 +475,17 @@
 // newSteady loads executors of two places each to that part, or with so many batch jobs a second.
 func newSteady(executors int, load, perS float64) *steady {
 	s := base
-	s.LiveWeights = false
+	s.LoadAdjustedWeights = false
 	s.JobClasses = slices.Clone(base.JobClasses)
 	s.JobClasses[1].Kind = AnyKind
 	w := &steady{Dispatcher: New(s), r: rand.New(rand.NewPCG(1, uint64(executors))), paces: map[ExecutorID]float64{}}
-	var entries []Entry
+	var entries []Endpoint
 	for i := range executors {
 		id := ExecutorID(fmt.Sprint("e", i))
 		w.paces[id] = 0.8 + 0.4*w.r.Float64()
-		entries = append(entries, Entry{Executor: id, Zone: ZoneID(i % 4), LongAgo: true, Weight: 1})
+		entries = append(entries, Endpoint{Executor: id, Zone: ZoneID(i % 4), StartedLongAgo: true, Weight: 1})
 	}
-	w.Listed(0, Whole, entries)
+	w.UpdateEndpoints(0, CompleteUpdate, entries)
 	if perS == 0 {
 		perS = load * float64(executors) * 2 / 0.3
 	}
@@ -581,11 +581,11 @@
 		s := base
 		s.JobClasses = []JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 1.2, Deadline: 60 * time.Second, Value: 1, Kind: AnyKind}}
 		d, now := New(s), time.Second
-		var entries []Entry
+		var entries []Endpoint
 		for i := range n {
-			entries = append(entries, Entry{Executor: ExecutorID(fmt.Sprint("e", i)), LongAgo: true, Weight: 1})
+			entries = append(entries, Endpoint{Executor: ExecutorID(fmt.Sprint("e", i)), StartedLongAgo: true, Weight: 1})
 		}
-		d.Listed(0, Whole, entries)
+		d.UpdateEndpoints(0, CompleteUpdate, entries)
 		for _, e := range entries {
 			d.Reported(e.Executor, Load{Held: 1}) // one place
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -79,31 +79,31 @@
 	}
 }
 
-// Listed tells what discovery brought.
-func (d *Dispatcher) Listed(now time.Duration, what ListKind, entries []Entry) {
+// UpdateEndpoints tells what discovery brought.
+func (d *Dispatcher) UpdateEndpoints(now time.Duration, what EndpointUpdateKind, entries []Endpoint) {
 	d.asking = false
-	if what == Lost {
+	if what == WatchFailed {
 		// Calls load a service that all nodes share: ask again after a spell that differs by node.
 		d.subscribed = false
 		d.askAt = now + times(d.askEvery, 0.5+d.chance())
 		return
 	}
-	d.subscribed = d.subscribed || what != WarmCopy
+	d.subscribed = d.subscribed || what != CachedUpdate
 	d.lists++
 	for _, n := range entries {
 		d.listed(now, n)
 	}
 	d.enlist()
-	d.dropGone(what != Changes)
+	d.dropGone(what != IncrementalUpdate)
 	d.stale, d.moved, d.freed = true, true, true
 	d.zoneLoads(now)
 }
 
-func (d *Dispatcher) listed(now time.Duration, n Entry) {
+func (d *Dispatcher) listed(now time.Duration, n Endpoint) {
 	e := d.byID[n.Executor]
 	fresh := e == nil
 	if fresh {
-		e = &executor{id: n.Executor, started: n.Started, news: now, rank: d.rankOf(n.Executor), place: -1}
+		e = &executor{id: n.Executor, started: n.StartedAt, news: now, rank: d.rankOf(n.Executor), place: -1}
 		e.sum = Sum(crc32.ChecksumIEEE([]byte(n.Executor)))
 		e.keeper = d.keeperOf(e.sum)
 		// The nodes that carry a cold executor follow its number: all reckon the same ones, without asking.
@@ -115,16 +115,16 @@
 	d.touch(e)
 	d.rezoned = d.rezoned || e.place >= 0 && (e.zone != n.Zone || e.kind != n.Kind)
 	d.knowKind(n.Kind, max(n.Weight, 1e-3))
-	restarted := !n.LongAgo && (fresh || n.Started > e.started)
+	restarted := !n.StartedLongAgo && (fresh || n.StartedAt > e.started)
 	e.zone, e.kind, e.cell, e.listed = n.Zone, n.Kind, n.Cell, d.lists
-	e.up, e.gone = n.State == Up, n.State == Gone
+	e.up, e.gone = n.State == Available, n.State == Removed
 	d.anyGone = d.anyGone || e.gone
 	d.weigh(e, max(n.Weight, 1e-3))
 	if !restarted {
 		return
 	}
-	e.started = n.Started
-	if until := n.Started + d.warmWithin; until > now {
+	e.started = n.StartedAt
+	if until := n.StartedAt + d.warmWithin; until > now {
 		// A fresh executor can do part of its work only, and what we knew of it no longer holds.
 		if e.carried && now >= e.coldUntil {
 			d.cold = append(d.cold, e)
@@ -995,7 +995,7 @@
 	mustSubscribe := d.mustAsk && !d.subscribed && !d.asking
 	if mustSubscribe && now >= d.askAt {
 		d.asking = true
-		return Due{Task: Subscribe}
+		return Due{Task: WatchEndpoints}
 	}
 	if j := d.next(now); j != nil {
 		return Due{Task: PlaceJob, Job: j.id}
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -286,8 +286,8 @@
 	}
 }
 
-// Avoided counts the executors on the list that get nothing new from this node now, whoever says so.
-func (d *Dispatcher) Avoided(now time.Duration) (n int) {
+// CountExcluded counts the executors on the list that get nothing new from this node now, whoever says so.
+func (d *Dispatcher) CountExcluded(now time.Duration) (n int) {
 	for _, e := range d.ranked {
 		if !e.gone && !d.usable(e, now) {
 			n++
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -15,8 +15,8 @@
 		perWork: s.ValuePerWork, overage: s.OverQuotaValue, crossPrice: s.CrossZoneCost,
 		wholeWeight: s.TotalWeight, trackWeight: s.WorstClassWeight,
 		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
-		quantum: s.Quantum, tellsStart: s.TellsStart, tellsEvery: s.TellsEvery, mustAsk: s.MustAsk,
-		liveWeights: s.LiveWeights,
+		quantum: s.Quantum, tellsStart: s.TellsStart, tellsEvery: s.TellsEvery, mustAsk: s.EndpointsPolled,
+		liveWeights: s.LoadAdjustedWeights,
 		coldShare:   s.ColdShare, warmWithin: s.WarmWithin, fallWindow: s.FallWindow,
 	}
 	for i, t := range s.JobClasses {
@@ -25,7 +25,7 @@
 	d.derive()
 	d.tick = d.interval
 	d.shareCold(s.FallMultiple)
-	d.spreadAsks(s.AskWithin)
+	d.spreadAsks(s.PollWithin)
 	d.at(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
 	for _, t := range s.Tenants {
 		d.tenants = append(d.tenants, tenant{perS: t.QuotaPerSecond / float64(s.Nodes)})
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -11,11 +11,11 @@
 	d := New(Settings{Nodes: 9, Node: 4, Quantum: time.Millisecond, MaxAttempts: 2, OverQuotaValue: 0.5,
 		Tenants:    make([]Tenant, 100_000),
 		JobClasses: []JobClass{{LatencyObjective: time.Second, Deadline: 2 * time.Second, RunTimeFactor: 2, Value: 1, Kind: AnyKind}}})
-	list := make([]Entry, 100_000)
+	list := make([]Endpoint, 100_000)
 	for i := range list {
-		list[i] = Entry{Executor: ExecutorID(fmt.Sprint("e", i)), State: Up, Weight: 1, LongAgo: true}
+		list[i] = Endpoint{Executor: ExecutorID(fmt.Sprint("e", i)), State: Available, Weight: 1, StartedLongAgo: true}
 	}
-	d.Listed(0, Whole, list)
+	d.UpdateEndpoints(0, CompleteUpdate, list)
 	now := time.Duration(0)
 	d.Wait(now) // the slice is picked
 	for i := range 20 {
@@ -30,7 +30,7 @@
 		for due := d.Wait(now + 100*time.Millisecond); due.Task != 0; due = d.Wait(now + 100*time.Millisecond) {
 		}
 	}
-	d.Listed(now, Whole, nil) // and all of them gone at once
+	d.UpdateEndpoints(now, CompleteUpdate, nil) // and all of them gone at once
 	d.Arrived(now, Arrival{Job: "late", Tenant: 1, Work: 100 * time.Millisecond, Budget: 2 * time.Second})
 	if got := d.Place(now, "late"); got.Action != Enqueue {
 		t.Fatalf("with no executor left: %+v", got)
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -36,7 +36,7 @@
 
 var base = Settings{
 	Seed: 7, Nodes: 1, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second,
-	Quantum: time.Millisecond, AskWithin: 8 * time.Second, ColdShare: 0.25, WarmWithin: 8 * time.Second,
+	Quantum: time.Millisecond, PollWithin: 8 * time.Second, ColdShare: 0.25, WarmWithin: 8 * time.Second,
 	FallMultiple: 4, FallWindow: time.Second, TellsStart: true, OverQuotaValue: 0.1, ValuePerWork: true,
 	JobClasses: []JobClass{
 		{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second, Value: 1, Kind: AnyKind,
@@ -56,7 +56,7 @@
 		"cell":     func() { first.DedupGroup = DedupCell },
 		"late":     func() { first.LateValue = 0.5 },
 		"flat":     func() { first.RunTimeFactor = 0 },
-		"ask":      func() { s.MustAsk = true },
+		"ask":      func() { s.EndpointsPolled = true },
 		"progress": func() { s.TellsEvery = time.Second },
 		"mute":     func() { s.TellsStart = false },
 		"nocancel": func() { s.MayCancel = false },
@@ -67,7 +67,7 @@
 		"copies":   func() { s.MayHedge = true },
 		"probes":   func() { s.MayProbe = true },
 		"marks":    func() { s.ClientsMarkRetries = true },
-		"live":     func() { s.LiveWeights = true },
+		"live":     func() { s.LoadAdjustedWeights = true },
 		"tenants":  func() { s.Tenants = []Tenant{{10}, {10}} },
 	}
 	for _, w := range words {
@@ -103,7 +103,7 @@
 			p.decided(now, due.Job, p.d.Place(now, due.Job))
 		case CancelAttempt:
 			p.say(now, "stop waiting for %s on %s", due.Job, p.on[due.Job][due.Attempt])
-		case Subscribe:
+		case WatchEndpoints:
 			p.say(now, "subscribe")
 		case Tell:
 			p.say(now, "tell node %d: %s %s", due.Node, wordNames[due.Word], p.names[due.Sum])
@@ -132,16 +132,16 @@
 	}
 }
 
-func entry(t *testing.T, now time.Duration, text string) Entry {
+func entry(t *testing.T, now time.Duration, text string) Endpoint {
 	parts := append(strings.Split(text, ":"), make([]string, 6)...)
-	n := Entry{Executor: ExecutorID(parts[0]), LongAgo: true, Weight: 1}
+	n := Endpoint{Executor: ExecutorID(parts[0]), StartedLongAgo: true, Weight: 1}
 	zone, _ := strconv.Atoi(parts[1])
 	kind, _ := strconv.Atoi(parts[2])
 	n.Zone, n.Kind, n.Cell = ZoneID(zone), KindID(kind), CellID(zone)
 	if parts[3] != "" && parts[3] != "-" {
-		n.Started, n.LongAgo = now-kept.Span(t, parts[3]), false
+		n.StartedAt, n.StartedLongAgo = now-kept.Span(t, parts[3]), false
 	}
-	n.State = map[string]State{"": Up, "L": Draining, "D": Gone}[parts[4]]
+	n.State = map[string]EndpointState{"": Available, "L": Draining, "D": Removed}[parts[4]]
 	if parts[5] != "" {
 		n.Weight, _ = strconv.ParseFloat(parts[5], 64)
 	}
@@ -194,14 +194,14 @@
 	}
 	switch what {
 	case "list", "change", "lost", "copy":
-		var entries []Entry
+		var entries []Endpoint
 		for _, w := range words {
 			entries = append(entries, entry(p.t, now, w))
 			name := entries[len(entries)-1].Executor
 			p.names[Sum(crc32.ChecksumIEEE([]byte(name)))] = name
 		}
-		kinds := map[string]ListKind{"list": Whole, "change": Changes, "lost": Lost, "copy": WarmCopy}
-		p.d.Listed(now, kinds[what], entries)
+		kinds := map[string]EndpointUpdateKind{"list": CompleteUpdate, "change": IncrementalUpdate, "lost": WatchFailed, "copy": CachedUpdate}
+		p.d.UpdateEndpoints(now, kinds[what], entries)
 	case "job":
 		args := map[string]string{"track": "0", "tenant": "0", "work": "300ms", "budget": "5s"}
 		for _, w := range words[1:] {
--- a/policy/types.go
+++ b/policy/types.go
@@ -114,15 +114,15 @@
 	MaxRetryAfter      time.Duration // 0: the client is not told when to come back
 	Quantum            time.Duration
 
-	LiveWeights  bool // weights in the list fall with the load
-	MustAsk      bool // the list comes only when asked for
-	AskWithin    time.Duration
-	ColdShare    float64
-	WarmWithin   time.Duration
-	FallMultiple float64
-	FallWindow   time.Duration
-	TellsStart   bool
-	TellsEvery   time.Duration // between an executor's notices of progress; 0: there are none
+	LoadAdjustedWeights bool // weights in the list fall with the load
+	EndpointsPolled     bool // the list comes only when asked for
+	PollWithin          time.Duration
+	ColdShare           float64
+	WarmWithin          time.Duration
+	FallMultiple        float64
+	FallWindow          time.Duration
+	TellsStart          bool
+	TellsEvery          time.Duration // between an executor's notices of progress; 0: there are none
 }
 
 // Arrival is a batch job as it came.
@@ -144,35 +144,35 @@
 	Took    time.Duration // running time of its last ones
 }
 
-// ListKind says what a list brings.
-type ListKind int
+// EndpointUpdateKind says what a list brings.
+type EndpointUpdateKind int
 
 const (
-	Changes ListKind = iota
-	Whole
-	WarmCopy
-	Lost
+	IncrementalUpdate EndpointUpdateKind = iota
+	CompleteUpdate
+	CachedUpdate
+	WatchFailed
 )
 
-// State is an executor's state in the list.
-type State int
+// EndpointState is an executor's state in the list.
+type EndpointState int
 
 const (
-	Up State = iota
+	Available EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Entry is one executor in a list. Started is when it last started, unless that was long ago.
-type Entry struct {
-	Executor ExecutorID
-	Zone     ZoneID
-	Kind     KindID
-	Cell     CellID
-	State    State
-	Weight   float64 // its size, or its size less its load, against the others'
-	Started  time.Duration
-	LongAgo  bool
+// Endpoint is one executor in a list. Started is when it last started, unless that was long ago.
+type Endpoint struct {
+	Executor       ExecutorID
+	Zone           ZoneID
+	Kind           KindID
+	Cell           CellID
+	State          EndpointState
+	Weight         float64 // its size, or its size less its load, against the others'
+	StartedAt      time.Duration
+	StartedLongAgo bool
 }
 
 // Rungs are the steps of earnings for a second of work that a tally sorts by: two to an octave, the middle one is 1.
@@ -219,13 +219,13 @@
 type Task int
 
 const (
-	Sleep         Task = iota // nothing before Due.At
-	PlaceJob                  // ask where to send Due.Job
-	CancelAttempt             // stop waiting for Due.Allocation of Due.Job
-	Subscribe                 // ask for the list and its changes
-	Tell                      // say Due.Word of the executor of Due.Sum to Due.Node
-	Note                      // write Due.Text to the log
-	Probe                     // ask Due.Executor for its load
+	Sleep          Task = iota // nothing before Due.At
+	PlaceJob                   // ask where to send Due.Job
+	CancelAttempt              // stop waiting for Due.Allocation of Due.Job
+	WatchEndpoints             // ask for the list and its changes
+	Tell                       // say Due.Word of the executor of Due.Sum to Due.Node
+	Note                       // write Due.Text to the log
+	Probe                      // ask Due.Executor for its load
 )
 
 // Due is the answer to how long to wait.
