--- a/internal/clients/crossings_test.go
+++ b/internal/clients/crossings_test.go
@@ -70,7 +70,7 @@
 			c.front.gate.sendAway(true)
 			c.front.gate.letAwayGo()
 		}},
-		{"over the budget", func(c *core) { c.front.Halve(true) }},
+		{"over the budget", func(c *core) { c.front.HalveLimits(true) }},
 	} {
 		c, h := halted(t, 2)
 		c.say("%s", let.name)
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -139,14 +139,14 @@
 	return g
 }
 
-// Take says whether this process takes new connections; another process of the node takes them where it does not.
-func (f *Front) Take(yes bool) { f.gate.take(yes) }
+// AcceptConnections says whether this process takes new connections; another process of the node takes them where it does not.
+func (f *Front) AcceptConnections(yes bool) { f.gate.take(yes) }
 
 // Budget is how many connections from clients there may be: Half of them while another process of the node lives.
 type Budget struct{ Whole, Half int }
 
-// Halve lets this process hold half of its connections, or all again.
-func (f *Front) Halve(half bool) { f.gate.halve(half) }
+// HalveLimits lets this process hold half of its connections, or all again.
+func (f *Front) HalveLimits(half bool) { f.gate.halve(half) }
 
 // Accept waits for room, and for this process's turn, first.
 func (g *gate) Accept() (net.Conn, error) {
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -495,9 +495,9 @@
 	s.clients.UpdateJobClasses(plain)
 }
 
-func (s *clientsSide) SendAway(on bool) { s.clients.SendAway(on) }
-func (s *clientsSide) Take(yes bool)    { s.clients.Take(yes) }
-func (s *clientsSide) Halve(half bool)  { s.clients.Halve(half) }
+func (s *clientsSide) SendAway(on bool)           { s.clients.SendAway(on) }
+func (s *clientsSide) AcceptConnections(yes bool) { s.clients.AcceptConnections(yes) }
+func (s *clientsSide) HalveLimits(half bool)      { s.clients.HalveLimits(half) }
 
 func (s *clientsSide) Close() { s.clients.Close() }
 
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -237,8 +237,8 @@
 func (b *baseline) CountExcluded(time.Duration) int                                   { return 0 }
 func (b *baseline) ColdFrom(time.Duration, time.Duration)                             {}
 func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)           {}
-func (b *baseline) Knows(time.Duration) policy.Knowledge                              { return policy.Knowledge{} }
-func (b *baseline) Learn(time.Duration, policy.Knowledge)                             {}
+func (b *baseline) ExportLearned(time.Duration) policy.LearnedState                   { return policy.LearnedState{} }
+func (b *baseline) ImportLearned(time.Duration, policy.LearnedState)                  {}
 func (b *baseline) Heard(time.Duration, policy.NodeID, policy.Word, policy.Sum)       {}
 func (b *baseline) Tally(time.Duration) policy.Tally                                  { return policy.Tally{} }
 func (b *baseline) Cut(policy.CutLine)                                                {}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -156,16 +156,16 @@
 		Order    Order
 		Executor policy.ExecutorID
 	}
-	// Joined: a link to another process of this node is up.
-	Joined struct{ Link LinkID }
-	// Heard: that process says something.
-	Heard struct {
-		Link LinkID
-		Word Word
+	// HandoffLinkUp: a link to another process of this node is up.
+	HandoffLinkUp struct{ Link HandoffLink }
+	// HandoffReceived: that process says something.
+	HandoffReceived struct {
+		Link    HandoffLink
+		Message HandoffMessage
 	}
-	// Parted: the link has ended, and its process most likely.
-	Parted struct {
-		Link   LinkID
+	// HandoffLinkDown: the link has ended, and its process most likely.
+	HandoffLinkDown struct {
+		Link   HandoffLink
 		Detail string
 	}
 	// Neighbours: the nodes of the fleet that are held for alive.
@@ -201,9 +201,9 @@
 func (Woke) event()                   {}
 func (Declined) event()               {}
 func (Called) event()                 {}
-func (Joined) event()                 {}
-func (Heard) event()                  {}
-func (Parted) event()                 {}
+func (HandoffLinkUp) event()          {}
+func (HandoffReceived) event()        {}
+func (HandoffLinkDown) event()        {}
 func (Neighbours) event()             {}
 func (Hears) event()                  {}
 func (HearsPlace) event()             {}
@@ -254,17 +254,17 @@
 		Figures *Figures
 		Lines   []string // or what there is to see, a thing a line
 	}
-	// Pass says something to another process of this node.
-	Pass struct {
-		Link LinkID
-		Word Word
+	// SendHandoff says something to another process of this node.
+	SendHandoff struct {
+		Link    HandoffLink
+		Message HandoffMessage
 	}
-	// Part ends the link to it.
-	Part struct{ Link LinkID }
-	// Take says whether this process takes clients' new connections.
-	Take struct{ Yes bool }
-	// Share halves what this process may use of the node's limits, or gives it all back.
-	Share struct{ Half bool }
+	// CloseHandoffLink ends the link to it.
+	CloseHandoffLink struct{ Link HandoffLink }
+	// AcceptConnections says whether this process takes clients' new connections.
+	AcceptConnections struct{ Yes bool }
+	// HalveLimits halves what this process may use of the node's limits, or gives it all back.
+	HalveLimits struct{ Half bool }
 	// TellNeighbour says a word to a neighbour, which may get lost.
 	TellNeighbour struct{ fleet.To }
 	// TellPlace says a word about an executor's places to a neighbour; it may get lost.
@@ -287,24 +287,24 @@
 	Exit struct{}
 )
 
-func (Answer) effect()           {}
-func (Dial) effect()             {}
-func (WriteAttempt) effect()     {}
-func (Close) effect()            {}
-func (Probe) effect()            {}
-func (WatchEndpoints) effect()   {}
-func (SwitchDiscovery) effect()  {}
-func (Ready) effect()            {}
-func (UpdateJobClasses) effect() {}
-func (CloseFront) effect()       {}
-func (Wake) effect()             {}
-func (Log) effect()              {}
-func (Exit) effect()             {}
-func (SendAway) effect()         {}
-func (Reply) effect()            {}
-func (Pass) effect()             {}
-func (Part) effect()             {}
-func (Take) effect()             {}
-func (Share) effect()            {}
-func (TellNeighbour) effect()    {}
-func (TellPlace) effect()        {}
+func (Answer) effect()            {}
+func (Dial) effect()              {}
+func (WriteAttempt) effect()      {}
+func (Close) effect()             {}
+func (Probe) effect()             {}
+func (WatchEndpoints) effect()    {}
+func (SwitchDiscovery) effect()   {}
+func (Ready) effect()             {}
+func (UpdateJobClasses) effect()  {}
+func (CloseFront) effect()        {}
+func (Wake) effect()              {}
+func (Log) effect()               {}
+func (Exit) effect()              {}
+func (SendAway) effect()          {}
+func (Reply) effect()             {}
+func (SendHandoff) effect()       {}
+func (CloseHandoffLink) effect()  {}
+func (AcceptConnections) effect() {}
+func (HalveLimits) effect()       {}
+func (TellNeighbour) effect()     {}
+func (TellPlace) effect()         {}
--- a/internal/node/hand.go
+++ b/internal/node/hand.go
@@ -76,7 +76,7 @@
 		}
 	default:
 		if r.No = n.carry(ev.Order, ev.Executor); r.No == "" {
-			w := Word{Kind: Relay, Order: ev.Order, Executor: ev.Executor}
+			w := HandoffMessage{Kind: RelayCommand, Command: ev.Order, Executor: ev.Executor}
 			n.remember(w)
 			n.pass(nobody, w, &r)
 			return
--- a/internal/node/pair.go
+++ b/internal/node/pair.go
@@ -14,55 +14,55 @@
 // one finishes what it has. Limits are halved while both live. A cold executor's budget is one process's alone: the old
 // one gives it up, and the new one uses it when all that the old one has sent is out of the window.
 
-// LinkID names a link to another process of this node.
-type LinkID int
+// HandoffLink names a link to another process of this node.
+type HandoffLink int
 
-// Elder is the link to the process that this one takes over from.
-const Elder LinkID = 0
+// Predecessor is the link to the process that this one takes over from.
+const Predecessor HandoffLink = 0
 
 // nobody is no link.
-const nobody LinkID = -1
+const nobody HandoffLink = -1
 
-// State is what a process hands to the one that joins it. Spans are ages, since the two count time from their own starts.
-type State struct {
-	Outs       []policy.ExecutorID // taken out by operators
-	Backs      []Back
+// HandoffState is what a process hands to the one that joins it. Spans are ages, since the two count time from their own starts.
+type HandoffState struct {
+	Excluded   []policy.ExecutorID // taken out by operators
+	Readmitted []ReadmittedExecutor
 	Drained    bool
 	Endpoints  []Endpoint // Started is an age
-	Known      policy.Knowledge
+	Learned    policy.LearnedState
 	ClassNames []string // of the tracks in Known, in the same order
 }
 
-// Back is an executor that operators have put back, and how long ago.
-type Back struct {
+// ReadmittedExecutor is an executor that operators have put back, and how long ago.
+type ReadmittedExecutor struct {
 	Executor policy.ExecutorID
-	Ago      time.Duration
+	Age      time.Duration
 }
 
-// WordKind is what a word between two processes of a node is about.
-type WordKind int
+// HandoffKind is what a word between two processes of a node is about.
+type HandoffKind int
 
 const (
-	Hand  WordKind = iota // the old one's state
-	Yes                   // the new one can serve
-	Ceded                 // the old one takes no new connections and sends nothing to cold executors any more
-	Relay                 // an operator's order, to be done there too
-	Done                  // it is done
+	StateTransfer      HandoffKind = iota // the old one's state
+	SuccessorReady                        // the new one can serve
+	PredecessorYielded                    // the old one takes no new connections and sends nothing to cold executors any more
+	RelayCommand                          // an operator's order, to be done there too
+	RelayDone                             // it is done
 )
 
-// Word is what one process of a node says to another.
-type Word struct {
-	Kind     WordKind
+// HandoffMessage is what one process of a node says to another.
+type HandoffMessage struct {
+	Kind     HandoffKind
 	Seq      uint64 // of Relay and Done
-	Order    Order
+	Command  Order
 	Executor policy.ExecutorID
-	State    *State
+	State    *HandoffState
 }
 
 // relay is an operator's answer that waits until the other processes have done as well.
 type relay struct {
 	reply Reply
-	open  []LinkID
+	open  []HandoffLink
 	by    time.Duration
 }
 
@@ -77,11 +77,11 @@
 
 // pair is what the reducer knows of other processes of its node.
 type pair struct {
-	links   []LinkID // those up, the elder first
-	waits   bool     // for the elder's state
+	links   []HandoffLink // those up, the elder first
+	waits   bool          // for the elder's state
 	waitsBy time.Duration
 	ceded   bool // a younger process takes over
-	heir    LinkID
+	heir    HandoffLink
 	live    bool // a list has come from discovery
 	copied  bool // the elder's list has been taken up
 	said    bool // this process has said its yes
@@ -89,13 +89,13 @@
 	yieldBy time.Duration
 	relays  map[uint64]*relay
 	seq     uint64
-	orders  []Word // of operators, obeyed here while the elder's state is on its way
+	orders  []HandoffMessage // of operators, obeyed here while the elder's state is on its way
 }
 
 // joined takes up a link to another process.
-func (n *Node) joined(link LinkID) {
+func (n *Node) joined(link HandoffLink) {
 	n.links = append(n.links, link)
-	if link == Elder {
+	if link == Predecessor {
 		n.waits, n.waitsBy = true, n.now+handSpell
 		n.say(Log{Text: "an older process of this node runs: its state is waited for"})
 		n.brain.ColdFrom(n.now, policy.Endless) // the elder may use all of it until it cedes
@@ -103,18 +103,18 @@
 		return
 	}
 	n.say(Log{Text: "a newer process of this node has started"})
-	n.say(Pass{link, Word{Kind: Hand, State: n.state()}})
+	n.say(SendHandoff{link, HandoffMessage{Kind: StateTransfer, State: n.state()}})
 }
 
 // state is what a new process is handed.
-func (n *Node) state() *State {
-	s := &State{Drained: n.drained, Known: n.brain.Knows(n.now)}
-	for _, t := range s.Known.Classes {
+func (n *Node) state() *HandoffState {
+	s := &HandoffState{Drained: n.drained, Learned: n.brain.ExportLearned(n.now)}
+	for _, t := range s.Learned.Classes {
 		s.ClassNames = append(s.ClassNames, n.figures.Classes[n.booked[t.ID]].Name)
 	}
-	s.Outs = slices.Sorted(maps.Keys(n.outs))
+	s.Excluded = slices.Sorted(maps.Keys(n.outs))
 	for _, id := range slices.Sorted(maps.Keys(n.backs)) {
-		s.Backs = append(s.Backs, Back{id, n.now - n.backs[id]})
+		s.Readmitted = append(s.Readmitted, ReadmittedExecutor{id, n.now - n.backs[id]})
 	}
 	for _, e := range n.inOrder() {
 		in := Endpoint{Endpoint: e.entry, Addr: e.addr}
@@ -125,7 +125,7 @@
 }
 
 // parted notes that another process has ended, or what it says makes no sense. All is this process's again.
-func (n *Node) parted(link LinkID, detail string) {
+func (n *Node) parted(link HandoffLink, detail string) {
 	i := slices.Index(n.links, link)
 	if i < 0 {
 		return
@@ -135,14 +135,14 @@
 		n.relayed(seq, link)
 	}
 	switch {
-	case link == Elder:
+	case link == Predecessor:
 		n.say(Log{Text: "the older process is gone: " + detail})
 		n.waits, n.yields = false, false
 		n.mayUseCold()
 	case n.ceded && n.heir == link:
 		n.say(Log{Text: "the newer process is gone, this one goes on: " + detail})
 		n.ceded = false
-		n.say(Take{true})
+		n.say(AcceptConnections{true})
 		n.mayUseCold()
 	}
 	n.share()
@@ -154,10 +154,10 @@
 
 // share halves the limits while another process of this node may use the other half.
 func (n *Node) share() {
-	half := n.ceded || slices.Contains(n.links, Elder)
+	half := n.ceded || slices.Contains(n.links, Predecessor)
 	if half != n.halved {
 		n.halved = half
-		n.say(Share{Half: half})
+		n.say(HalveLimits{Half: half})
 	}
 }
 
@@ -170,43 +170,43 @@
 }
 
 // heard takes in what another process says.
-func (n *Node) heard(from LinkID, w Word) {
+func (n *Node) heard(from HandoffLink, w HandoffMessage) {
 	if !slices.Contains(n.links, from) {
 		return
 	}
 	switch w.Kind {
-	case Hand:
-		if from == Elder && n.waits && w.State != nil {
+	case StateTransfer:
+		if from == Predecessor && n.waits && w.State != nil {
 			n.handed(*w.State)
 		}
-	case Yes:
+	case SuccessorReady:
 		n.ceded, n.heir = true, from
 		n.say(Log{Text: "the newer process takes over"})
-		n.say(Take{false})
+		n.say(AcceptConnections{false})
 		n.brain.ColdFrom(n.now, policy.Endless)
 		n.share()
-		n.say(Pass{from, Word{Kind: Ceded}})
-	case Ceded:
+		n.say(SendHandoff{from, HandoffMessage{Kind: PredecessorYielded}})
+	case PredecessorYielded:
 		n.yields = false
 		n.mayUseCold()
-	case Relay:
-		n.obey(w.Order, w.Executor)
+	case RelayCommand:
+		n.obey(w.Command, w.Executor)
 		n.remember(w)
-		n.pass(from, Word{Kind: Relay, Order: w.Order, Executor: w.Executor}, nil)
-		n.say(Pass{from, Word{Kind: Done, Seq: w.Seq}})
-	case Done:
+		n.pass(from, HandoffMessage{Kind: RelayCommand, Command: w.Command, Executor: w.Executor}, nil)
+		n.say(SendHandoff{from, HandoffMessage{Kind: RelayDone, Seq: w.Seq}})
+	case RelayDone:
 		n.relayed(w.Seq, from)
 	}
 }
 
 // handed takes over the old process's state.
-func (n *Node) handed(s State) {
+func (n *Node) handed(s HandoffState) {
 	n.waits = false
-	for _, id := range s.Outs {
+	for _, id := range s.Excluded {
 		n.outs[id] = true
 	}
-	for _, b := range s.Backs {
-		n.backs[b.Executor] = n.now - b.Ago
+	for _, b := range s.Readmitted {
+		n.backs[b.Executor] = n.now - b.Age
 	}
 	if s.Drained {
 		n.drain(true)
@@ -224,7 +224,7 @@
 		}
 	}
 	for _, w := range n.orders {
-		n.obey(w.Order, w.Executor)
+		n.obey(w.Command, w.Executor)
 	}
 	n.orders = nil
 	n.learn(s)
@@ -233,9 +233,9 @@
 }
 
 // learn hands the module what the old one's has learnt, with tracks by this process's numbers.
-func (n *Node) learn(s State) {
+func (n *Node) learn(s HandoffState) {
 	var tracks []policy.LearnedClass
-	for i, t := range s.Known.Classes {
+	for i, t := range s.Learned.Classes {
 		if i >= len(s.ClassNames) {
 			break
 		}
@@ -244,8 +244,8 @@
 			tracks = append(tracks, t)
 		}
 	}
-	s.Known.Classes = tracks
-	n.brain.Learn(n.now, s.Known)
+	s.Learned.Classes = tracks
+	n.brain.ImportLearned(n.now, s.Learned)
 }
 
 // inOrder are the executors by their ids.
@@ -262,10 +262,10 @@
 	}
 	n.said = true
 	n.say(Ready{!n.stopping})
-	n.say(Take{!n.ceded})
-	if slices.Contains(n.links, Elder) {
+	n.say(AcceptConnections{!n.ceded})
+	if slices.Contains(n.links, Predecessor) {
 		n.yields, n.yieldBy = true, n.now+yieldLimit
-		n.say(Pass{Elder, Word{Kind: Yes}})
+		n.say(SendHandoff{Predecessor, HandoffMessage{Kind: SuccessorReady}})
 	}
 }
 
@@ -278,21 +278,21 @@
 
 // remember keeps an order until the older process's state is here. Guards against a state that was told before the order was
 // given, comes after it, and would undo it here alone.
-func (n *Node) remember(w Word) {
+func (n *Node) remember(w HandoffMessage) {
 	if n.waits {
 		n.orders = append(n.orders, w)
 	}
 }
 
 // pass hands an order on to all processes but one. The reply, if there is one, goes out once they have done.
-func (n *Node) pass(but LinkID, w Word, reply *Reply) {
+func (n *Node) pass(but HandoffLink, w HandoffMessage, reply *Reply) {
 	n.seq++
 	w.Seq = n.seq
 	r := &relay{by: n.now + relaySpell}
 	for _, link := range n.links {
 		if link != but {
 			r.open = append(r.open, link)
-			n.say(Pass{link, w})
+			n.say(SendHandoff{link, w})
 		}
 	}
 	switch {
@@ -309,7 +309,7 @@
 func (n *Node) relaysInOrder() []uint64 { return slices.Sorted(maps.Keys(n.relays)) }
 
 // relayed notes that a process has done what was passed on, or is gone.
-func (n *Node) relayed(seq uint64, by LinkID) {
+func (n *Node) relayed(seq uint64, by HandoffLink) {
 	r := n.relays[seq]
 	if r == nil {
 		return
@@ -326,8 +326,8 @@
 // pairDue does what is due between processes.
 func (n *Node) pairDue() {
 	if n.waits && n.now >= n.waitsBy {
-		n.say(Part{Elder})
-		n.parted(Elder, "it hands nothing over")
+		n.say(CloseHandoffLink{Predecessor})
+		n.parted(Predecessor, "it hands nothing over")
 	}
 	if len(n.relays) == 0 { // as nearly always: this is on every batch job's way
 		return
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -54,8 +54,8 @@
 	CountExcluded(now time.Duration) int
 	ColdFrom(now, at time.Duration)
 	UpdateJobClasses(now time.Duration, tracks []policy.JobClassUpdate)
-	Knows(now time.Duration) policy.Knowledge
-	Learn(now time.Duration, k policy.Knowledge)
+	ExportLearned(now time.Duration) policy.LearnedState
+	ImportLearned(now time.Duration, k policy.LearnedState)
 	Heard(now time.Duration, from policy.NodeID, word policy.Word, sum policy.Sum)
 	Tally(now time.Duration) policy.Tally
 	Cut(policy.CutLine)
@@ -198,11 +198,11 @@
 		n.count(ev.Class, Failed)
 	case Called:
 		n.called(ev)
-	case Joined:
+	case HandoffLinkUp:
 		n.joined(ev.Link)
-	case Heard:
-		n.heard(ev.Link, ev.Word)
-	case Parted:
+	case HandoffReceived:
+		n.heard(ev.Link, ev.Message)
+	case HandoffLinkDown:
 		n.parted(ev.Link, ev.Detail)
 	case Neighbours, Hears, HearsPlace, Garbled:
 		n.ofFleet(ev)
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -222,26 +222,26 @@
 		link, _ := strconv.Atoi(words[1])
 		switch words[0] {
 		case "joined":
-			return Joined{LinkID(link)}
+			return HandoffLinkUp{HandoffLink(link)}
 		case "parted":
-			return Parted{LinkID(link), "it ended"}
+			return HandoffLinkDown{HandoffLink(link), "it ended"}
 		}
-		kinds := map[string]WordKind{"yes": Yes, "ceded": Ceded, "done": Done, "out": Relay, "back": Relay, "state": Hand}
-		w := Word{Kind: kinds[words[2]]}
+		kinds := map[string]HandoffKind{"yes": SuccessorReady, "ceded": PredecessorYielded, "done": RelayDone, "out": RelayCommand, "back": RelayCommand, "state": StateTransfer}
+		w := HandoffMessage{Kind: kinds[words[2]]}
 		switch words[2] {
 		case "done":
 			seq, _ := strconv.Atoi(last)
 			w.Seq = uint64(seq)
 		case "out", "back":
-			w.Seq, w.Order, w.Executor = 9, map[string]Order{"out": TakeOut, "back": PutBack}[words[2]], policy.ExecutorID(last)
+			w.Seq, w.Command, w.Executor = 9, map[string]Order{"out": TakeOut, "back": PutBack}[words[2]], policy.ExecutorID(last)
 		case "state":
-			w.State = &State{}
+			w.State = &HandoffState{}
 			for _, word := range words[3:] {
 				switch what, name, _ := strings.Cut(word, "="); what {
 				case "out":
-					w.State.Outs = append(w.State.Outs, policy.ExecutorID(name))
+					w.State.Excluded = append(w.State.Excluded, policy.ExecutorID(name))
 				case "back":
-					w.State.Backs = append(w.State.Backs, Back{policy.ExecutorID(name), time.Second})
+					w.State.Readmitted = append(w.State.Readmitted, ReadmittedExecutor{policy.ExecutorID(name), time.Second})
 				case "listed":
 					w.State.Endpoints = append(w.State.Endpoints, p.executors(now, []string{name})...)
 				case "drained":
@@ -249,7 +249,7 @@
 				}
 			}
 		}
-		return Heard{LinkID(link), w}
+		return HandoffReceived{HandoffLink(link), w}
 	case "stop":
 		return Stopping{}
 	case "shut":
@@ -314,13 +314,13 @@
 			}
 		case SendAway:
 			line = fmt.Sprint("send clients away: ", e.On)
-		case Take:
+		case AcceptConnections:
 			line = fmt.Sprint("take new connections: ", e.Yes)
-		case Share:
+		case HalveLimits:
 			line = fmt.Sprint("half of the limits: ", e.Half)
-		case Pass:
-			line = fmt.Sprintf("to process %d: ", e.Link) + wordText(e.Word)
-		case Part:
+		case SendHandoff:
+			line = fmt.Sprintf("to process %d: ", e.Link) + wordText(e.Message)
+		case CloseHandoffLink:
 			line = fmt.Sprintf("part from process %d", e.Link)
 		case Reply:
 			switch {
@@ -338,20 +338,20 @@
 	}
 }
 
-func wordText(w Word) string {
+func wordText(w HandoffMessage) string {
 	switch w.Kind {
-	case Hand:
-		text := fmt.Sprintf("state, out %v, back %v, drained %t, listed", w.State.Outs, w.State.Backs, w.State.Drained)
+	case StateTransfer:
+		text := fmt.Sprintf("state, out %v, back %v, drained %t, listed", w.State.Excluded, w.State.Readmitted, w.State.Drained)
 		for _, e := range w.State.Endpoints {
 			text += fmt.Sprintf(" %s@%s:%d", e.Executor, e.Addr, e.State)
 		}
 		return text
-	case Relay:
-		return fmt.Sprintf("order %d: %d %s", w.Seq, w.Order, w.Executor)
-	case Done:
+	case RelayCommand:
+		return fmt.Sprintf("order %d: %d %s", w.Seq, w.Command, w.Executor)
+	case RelayDone:
 		return fmt.Sprintf("done %d", w.Seq)
 	}
-	return map[WordKind]string{Yes: "yes", Ceded: "ceded"}[w.Kind]
+	return map[HandoffKind]string{SuccessorReady: "yes", PredecessorYielded: "ceded"}[w.Kind]
 }
 
 func TestTraces(t *testing.T) {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -15,8 +15,8 @@
 	Ready(bool)
 	UpdateJobClasses([]NumberedClass)
 	SendAway(bool)
-	Take(bool)
-	Halve(bool)
+	AcceptConnections(bool)
+	HalveLimits(bool)
 	Close()
 }
 
@@ -39,9 +39,9 @@
 
 // Others are the other processes of this node.
 type Others interface {
-	Pass(LinkID, Word)
-	Part(LinkID)
-	Take(bool)
+	Send(HandoffLink, HandoffMessage)
+	CloseLink(HandoffLink)
+	AcceptConnections(bool)
 }
 
 // Fleet says words to neighbours.
@@ -147,17 +147,17 @@
 				to.Clients.SendAway(e.On)
 			case Reply:
 				to.Operators.Reply(e)
-			case Pass:
-				to.Others.Pass(e.Link, e.Word)
-			case Part:
-				to.Others.Part(e.Link)
-			case Take:
-				to.Clients.Take(e.Yes)
+			case SendHandoff:
+				to.Others.Send(e.Link, e.Message)
+			case CloseHandoffLink:
+				to.Others.CloseLink(e.Link)
+			case AcceptConnections:
+				to.Clients.AcceptConnections(e.Yes)
 				if to.Others != nil {
-					to.Others.Take(e.Yes)
+					to.Others.AcceptConnections(e.Yes)
 				}
-			case Share:
-				to.Clients.Halve(e.Half)
+			case HalveLimits:
+				to.Clients.HalveLimits(e.Half)
 				to.Memory(e.Half)
 			case TellNeighbour:
 				to.Fleet.Tell(e.To)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -85,7 +85,7 @@
 	if s.Heirs != "" {
 		others := succession.New(s.Heirs, loop.TellFirst)
 		defer others.Close()
-		front.Take(s.Elder == nil)
+		front.AcceptConnections(s.Elder == nil)
 		edges.Others, edges.Memory = others, s.Share
 		others.Start(s.Elder)
 	}
--- a/internal/succession/codec.go
+++ b/internal/succession/codec.go
@@ -18,7 +18,7 @@
 
 // The names on the wire of kinds of messages and of operators' commands, by their values in package node.
 var (
-	kindNames    = []string{node.Hand: "state", node.Yes: "ready", node.Ceded: "ceded", node.Relay: "order", node.Done: "done"}
+	kindNames    = []string{node.StateTransfer: "state", node.SuccessorReady: "ready", node.PredecessorYielded: "ceded", node.RelayCommand: "order", node.RelayDone: "done"}
 	commandNames = []string{node.TakeOut: "take-out", node.PutBack: "put-back", node.DrainOn: "drain-on", node.DrainOff: "drain-off"}
 )
 
@@ -98,20 +98,20 @@
 }
 
 // encode writes a message as one line.
-func encode(message node.Word) ([]byte, error) {
+func encode(message node.HandoffMessage) ([]byte, error) {
 	wire := wireMessage{Version: version, Kind: kindNames[message.Kind], Seq: message.Seq, Executor: message.Executor}
 	if message.State != nil {
 		wire.State = stateToWire(message.State)
 	}
-	if message.Kind == node.Relay {
-		wire.Command = commandNames[message.Order]
+	if message.Kind == node.RelayCommand {
+		wire.Command = commandNames[message.Command]
 	}
 	line, err := json.Marshal(wire)
 	return append(line, '\n'), err
 }
 
 // decode reads one line. Fields that this version doesn't know are passed over.
-func decode(line []byte) (message node.Word, err error) {
+func decode(line []byte) (message node.HandoffMessage, err error) {
 	var wire wireMessage
 	if err := json.Unmarshal(line, &wire); err != nil {
 		return message, fmt.Errorf("a word that makes no sense: %w", err)
@@ -120,19 +120,19 @@
 		return message, fmt.Errorf("it speaks version %d, and this process version %d", wire.Version, version)
 	}
 	kind := slices.Index(kindNames, wire.Kind)
-	if kind < 0 || wire.Kind == kindNames[node.Hand] && wire.State == nil {
+	if kind < 0 || wire.Kind == kindNames[node.StateTransfer] && wire.State == nil {
 		return message, fmt.Errorf("no word is named %.40q", wire.Kind)
 	}
-	message = node.Word{Kind: node.WordKind(kind), Seq: wire.Seq, Executor: wire.Executor}
+	message = node.HandoffMessage{Kind: node.HandoffKind(kind), Seq: wire.Seq, Executor: wire.Executor}
 	if wire.State != nil {
 		message.State = stateFromWire(wire.State)
 	}
-	if message.Kind == node.Relay {
+	if message.Kind == node.RelayCommand {
 		command := slices.Index(commandNames, wire.Command)
 		if command < 0 || wire.Command == "" {
 			return message, fmt.Errorf("no order is named %.40q", wire.Command)
 		}
-		message.Order = node.Order(command)
+		message.Command = node.Order(command)
 	}
 	return message, nil
 }
@@ -149,70 +149,70 @@
 	return out
 }
 
-func stateToWire(state *node.State) *wireState {
+func stateToWire(state *node.HandoffState) *wireState {
 	return &wireState{
-		Excluded: state.Outs,
-		Readmitted: convert(state.Backs, func(r node.Back) wireReadmitted {
-			return wireReadmitted{Executor: r.Executor, Age: r.Ago}
+		Excluded: state.Excluded,
+		Readmitted: convert(state.Readmitted, func(r node.ReadmittedExecutor) wireReadmitted {
+			return wireReadmitted{Executor: r.Executor, Age: r.Age}
 		}),
 		Drained: state.Drained,
 		Endpoints: convert(state.Endpoints, func(e node.Endpoint) wireEndpoint {
 			return wireEndpoint{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Weight: e.Weight,
 				Age: e.StartedAt, LongAgo: e.StartedLongAgo, Addr: e.Addr}
 		}),
-		Learned:    learnedToWire(state.Known),
+		Learned:    learnedToWire(state.Learned),
 		ClassNames: state.ClassNames,
 	}
 }
 
-func stateFromWire(wire *wireState) *node.State {
-	return &node.State{
-		Outs: wire.Excluded,
-		Backs: convert(wire.Readmitted, func(r wireReadmitted) node.Back {
-			return node.Back{Executor: r.Executor, Ago: r.Age}
+func stateFromWire(wire *wireState) *node.HandoffState {
+	return &node.HandoffState{
+		Excluded: wire.Excluded,
+		Readmitted: convert(wire.Readmitted, func(r wireReadmitted) node.ReadmittedExecutor {
+			return node.ReadmittedExecutor{Executor: r.Executor, Age: r.Age}
 		}),
 		Drained: wire.Drained,
 		Endpoints: convert(wire.Endpoints, func(e wireEndpoint) node.Endpoint {
 			return node.Endpoint{Addr: e.Addr, Endpoint: policy.Endpoint{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
 				State: e.State, Weight: e.Weight, StartedAt: e.Age, StartedLongAgo: e.LongAgo}}
 		}),
-		Known:      learnedFromWire(wire.Learned),
+		Learned:    learnedFromWire(wire.Learned),
 		ClassNames: wire.ClassNames,
 	}
 }
 
-func learnedToWire(learned policy.Knowledge) wireLearned {
+func learnedToWire(learned policy.LearnedState) wireLearned {
 	return wireLearned{
 		Nodes: learned.Nodes,
 		Classes: convert(learned.Classes, func(c policy.LearnedClass) wireClass {
-			return wireClass{ID: c.ID, MeanWork: c.MeanWork, Samples: c.Learnt, FullBudget: c.FullBudget, Requested: c.Asked,
-				Earned: c.Given, UnitValue: c.Unit}
+			return wireClass{ID: c.ID, MeanWork: c.MeanWork, Samples: c.Samples, FullBudget: c.FullBudget, Requested: c.RequestedValue,
+				Earned: c.EarnedValue, UnitValue: c.UnitValue}
 		}),
-		Kinds: convert(learned.Kinds, func(k policy.KnownKind) wireKind {
-			return wireKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Slots: k.Places, Parallel: k.Parallel}
+		Kinds: convert(learned.Kinds, func(k policy.LearnedKind) wireKind {
+			return wireKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Slots: k.Slots, Parallel: k.Parallel}
 		}),
-		Executors: convert(learned.Executors, func(e policy.KnownExecutor) wireExecutor {
-			return wireExecutor{ID: e.ID, Quota: e.Quota, RunTime: e.Runs, Work: e.Works, StartWait: e.StartWait,
-				EjectedFor: e.HeldFor, InFlightCap: e.InCap, Timeouts: e.Silences}
+		Executors: convert(learned.Executors, func(e policy.LearnedExecutor) wireExecutor {
+			return wireExecutor{ID: e.ID, Quota: e.Quota, RunTime: e.RunTime, Work: e.Work, StartWait: e.StartWait,
+				EjectedFor: e.EjectedFor, InFlightCap: e.InFlightCap, Timeouts: e.Timeouts}
 		}),
 		MeanValue:   learned.MeanValue,
 		MeanDensity: learned.MeanDensity,
 	}
 }
 
-func learnedFromWire(wire wireLearned) policy.Knowledge {
-	return policy.Knowledge{
+func learnedFromWire(wire wireLearned) policy.LearnedState {
+	return policy.LearnedState{
 		Nodes: wire.Nodes,
 		Classes: convert(wire.Classes, func(c wireClass) policy.LearnedClass {
-			return policy.LearnedClass{ID: c.ID, MeanWork: c.MeanWork, Learnt: c.Samples, FullBudget: c.FullBudget, Asked: c.Requested,
-				Given: c.Earned, Unit: c.UnitValue}
+			return policy.LearnedClass{ID: c.ID, MeanWork: c.MeanWork, Samples: c.Samples, FullBudget: c.FullBudget, RequestedValue: c.Requested,
+				EarnedValue: c.Earned, UnitValue: c.UnitValue}
 		}),
-		Kinds: convert(wire.Kinds, func(k wireKind) policy.KnownKind {
-			return policy.KnownKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Places: k.Slots, Parallel: k.Parallel}
+		Kinds: convert(wire.Kinds, func(k wireKind) policy.LearnedKind {
+			return policy.LearnedKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Slots: k.Slots, Parallel: k.Parallel}
 		}),
-		Executors: convert(wire.Executors, func(e wireExecutor) policy.KnownExecutor {
-			return policy.KnownExecutor{ID: e.ID, Quota: e.Quota, Runs: e.RunTime, Works: e.Work, StartWait: e.StartWait,
-				HeldFor: e.EjectedFor, InCap: e.InFlightCap, Silences: e.Timeouts}
+		Executors: convert(wire.Executors, func(e wireExecutor) policy.LearnedExecutor {
+			return policy.LearnedExecutor{ID: e.ID, Quota: e.Quota, RunTime: e.RunTime, Work: e.Work, StartWait: e.StartWait,
+				EjectedFor: e.EjectedFor, InFlightCap: e.InFlightCap, Timeouts: e.Timeouts}
 		}),
 		MeanValue:   wire.MeanValue,
 		MeanDensity: wire.MeanDensity,
--- a/internal/succession/codec_test.go
+++ b/internal/succession/codec_test.go
@@ -12,37 +12,37 @@
 )
 
 // every is one message of each kind, with each field set to a value of its own.
-func every() []node.Word {
-	return []node.Word{
-		{Kind: node.Hand, State: &node.State{
-			Outs:    []policy.ExecutorID{"executor-1", "executor-2"},
-			Backs:   []node.Back{{Executor: "executor-3", Ago: 1500 * time.Millisecond}},
-			Drained: true,
+func every() []node.HandoffMessage {
+	return []node.HandoffMessage{
+		{Kind: node.StateTransfer, State: &node.HandoffState{
+			Excluded:   []policy.ExecutorID{"executor-1", "executor-2"},
+			Readmitted: []node.ReadmittedExecutor{{Executor: "executor-3", Age: 1500 * time.Millisecond}},
+			Drained:    true,
 			Endpoints: []node.Endpoint{
 				{Addr: "127.0.0.1:9001", Endpoint: policy.Endpoint{Executor: "executor-1", Zone: 1, Kind: 2, Cell: 3,
 					State: policy.Draining, Weight: 0.75, StartedAt: 2500 * time.Millisecond}},
 				{Addr: "127.0.0.1:9002", Endpoint: policy.Endpoint{Executor: "executor-2", State: policy.Removed, Weight: 1.25, StartedLongAgo: true}},
 			},
-			Known: policy.Knowledge{
+			Learned: policy.LearnedState{
 				Nodes: 30,
-				Classes: []policy.LearnedClass{{ID: 4, MeanWork: 350 * time.Millisecond, Learnt: 12, FullBudget: 5 * time.Second,
-					Asked: 17.5, Given: 16.25, Unit: 2.125}},
-				Kinds: []policy.KnownKind{{ID: 5, Pace: 0.625, Size: 3.5, Places: 4.25, Parallel: 6}},
-				Executors: []policy.KnownExecutor{{ID: "executor-1", Quota: 7, Runs: 8.5, Works: 9.25, StartWait: 10 * time.Millisecond,
-					HeldFor: 11 * time.Millisecond, InCap: 12, Silences: 13}},
+				Classes: []policy.LearnedClass{{ID: 4, MeanWork: 350 * time.Millisecond, Samples: 12, FullBudget: 5 * time.Second,
+					RequestedValue: 17.5, EarnedValue: 16.25, UnitValue: 2.125}},
+				Kinds: []policy.LearnedKind{{ID: 5, Pace: 0.625, Size: 3.5, Slots: 4.25, Parallel: 6}},
+				Executors: []policy.LearnedExecutor{{ID: "executor-1", Quota: 7, RunTime: 8.5, Work: 9.25, StartWait: 10 * time.Millisecond,
+					EjectedFor: 11 * time.Millisecond, InFlightCap: 12, Timeouts: 13}},
 				MeanValue:   14.5,
 				MeanDensity: 15.75,
 			},
 			ClassNames: []string{"board-read"},
 		}},
-		{Kind: node.Hand, State: &node.State{}},
-		{Kind: node.Yes},
-		{Kind: node.Ceded},
-		{Kind: node.Relay, Seq: 16, Order: node.TakeOut, Executor: "executor-1"},
-		{Kind: node.Relay, Seq: 17, Order: node.PutBack, Executor: "executor-2"},
-		{Kind: node.Relay, Seq: 18, Order: node.DrainOn},
-		{Kind: node.Relay, Seq: 19, Order: node.DrainOff},
-		{Kind: node.Done, Seq: 1 << 60},
+		{Kind: node.StateTransfer, State: &node.HandoffState{}},
+		{Kind: node.SuccessorReady},
+		{Kind: node.PredecessorYielded},
+		{Kind: node.RelayCommand, Seq: 16, Command: node.TakeOut, Executor: "executor-1"},
+		{Kind: node.RelayCommand, Seq: 17, Command: node.PutBack, Executor: "executor-2"},
+		{Kind: node.RelayCommand, Seq: 18, Command: node.DrainOn},
+		{Kind: node.RelayCommand, Seq: 19, Command: node.DrainOff},
+		{Kind: node.RelayDone, Seq: 1 << 60},
 	}
 }
 
@@ -69,7 +69,7 @@
 
 // TestHandoffLinesOfNewerVersion checks that fields that this version does not know are passed over.
 func TestHandoffLinesOfNewerVersion(t *testing.T) {
-	line, err := encode(node.Word{Kind: node.Done, Seq: 3})
+	line, err := encode(node.HandoffMessage{Kind: node.RelayDone, Seq: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/succession/succession.go
+++ b/internal/succession/succession.go
@@ -31,8 +31,8 @@
 	tell func(node.Event)
 
 	mu     sync.Mutex
-	last   node.LinkID
-	links  map[node.LinkID]*link
+	last   node.HandoffLink
+	links  map[node.HandoffLink]*link
 	socket *net.UnixListener
 	ended  bool
 }
@@ -40,12 +40,12 @@
 // link is one connection; its reader owns it and gives it back.
 type link struct {
 	conn net.Conn
-	out  chan node.Word
+	out  chan node.HandoffMessage
 }
 
 // New makes a line that uses a directory.
 func New(dir string, tell func(node.Event)) *Line {
-	return &Line{dir: dir, tell: tell, links: map[node.LinkID]*link{}}
+	return &Line{dir: dir, tell: tell, links: map[node.HandoffLink]*link{}}
 }
 
 // reach gives a path to a file of the directory that is short enough for a socket, and what to call when it is done with.
@@ -74,12 +74,12 @@
 // Start begins with the link to the older process, or nil.
 func (s *Line) Start(elder net.Conn) {
 	if elder != nil {
-		s.begin(node.Elder, elder)
+		s.begin(node.Predecessor, elder)
 	}
 }
 
-// Take makes this process the one that a new one joins.
-func (s *Line) Take(yes bool) {
+// AcceptConnections makes this process the one that a new one joins.
+func (s *Line) AcceptConnections(yes bool) {
 	if !yes {
 		return
 	}
@@ -131,18 +131,18 @@
 	}
 }
 
-func (s *Line) begin(id node.LinkID, conn net.Conn) {
-	l := &link{conn: conn, out: make(chan node.Word, waiting)}
+func (s *Line) begin(id node.HandoffLink, conn net.Conn) {
+	l := &link{conn: conn, out: make(chan node.HandoffMessage, waiting)}
 	s.mu.Lock()
 	s.links[id] = l
 	s.mu.Unlock()
-	s.tell(node.Joined{Link: id}) // before anything else is told: the reducer must not say its yes without knowing
+	s.tell(node.HandoffLinkUp{Link: id}) // before anything else is told: the reducer must not say its yes without knowing
 	go s.read(id, l)
 	go l.write()
 }
 
 // read takes in words until the link ends. It is the one that gives it back.
-func (s *Line) read(id node.LinkID, l *link) {
+func (s *Line) read(id node.HandoffLink, l *link) {
 	in := bufio.NewScanner(l.conn)
 	in.Buffer(make([]byte, 0, 1<<10), longestWord)
 	detail := "its link has ended"
@@ -152,7 +152,7 @@
 			detail = err.Error()
 			break
 		}
-		s.tell(node.Heard{Link: id, Word: w})
+		s.tell(node.HandoffReceived{Link: id, Message: w})
 	}
 	if err := in.Err(); err != nil && err != io.EOF {
 		detail = err.Error()
@@ -162,7 +162,7 @@
 	delete(s.links, id)
 	close(l.out)
 	s.mu.Unlock()
-	s.tell(node.Parted{Link: id, Detail: detail})
+	s.tell(node.HandoffLinkDown{Link: id, Detail: detail})
 }
 
 func (l *link) write() {
@@ -178,8 +178,8 @@
 	}
 }
 
-// Pass says a word. A process that reads nothing is given up.
-func (s *Line) Pass(to node.LinkID, w node.Word) {
+// Send says a word. A process that reads nothing is given up.
+func (s *Line) Send(to node.HandoffLink, w node.HandoffMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.links[to]; l != nil {
@@ -191,8 +191,8 @@
 	}
 }
 
-// Part ends a link.
-func (s *Line) Part(id node.LinkID) {
+// CloseLink ends a link.
+func (s *Line) CloseLink(id node.HandoffLink) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.links[id]; l != nil {
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -31,25 +31,25 @@
 		player.run(now)
 		last = now
 	}
-	k := player.d.Knows(last)
+	k := player.d.ExportLearned(last)
 	if len(k.Executors) != 2 || len(k.Kinds) != 2 || len(k.Classes) != 2 {
 		t.Fatalf("too little is known: %+v", k)
 	}
 	next := New(settings(nil))
 	list := []Endpoint{entry(t, last, "a"), entry(t, last, "b:0:1"), entry(t, last, "c:0:0:1s")}
 	next.UpdateEndpoints(last, CompleteUpdate, list)
-	odd := Knowledge{Classes: []LearnedClass{{ID: 9, MeanWork: 1, Unit: 1}, {ID: -1}, {ID: 0}}, Kinds: []KnownKind{{ID: 7}, {ID: 0}},
-		Executors: []KnownExecutor{{ID: "nobody", Quota: 3}, {ID: "a"}, {ID: "b", Quota: 3, Runs: -1}, {ID: "c", Quota: 5}}}
-	before := next.Knows(last)
-	next.Learn(last, odd)
-	if after := next.Knows(last); !reflect.DeepEqual(before, after) {
+	odd := LearnedState{Classes: []LearnedClass{{ID: 9, MeanWork: 1, UnitValue: 1}, {ID: -1}, {ID: 0}}, Kinds: []LearnedKind{{ID: 7}, {ID: 0}},
+		Executors: []LearnedExecutor{{ID: "nobody", Quota: 3}, {ID: "a"}, {ID: "b", Quota: 3, RunTime: -1}, {ID: "c", Quota: 5}}}
+	before := next.ExportLearned(last)
+	next.ImportLearned(last, odd)
+	if after := next.ExportLearned(last); !reflect.DeepEqual(before, after) {
 		t.Errorf("learnt what makes no sense: %+v", after)
 	}
-	next.Learn(last, k)
-	got := next.Knows(last)
+	next.ImportLearned(last, k)
+	got := next.ExportLearned(last)
 	for _, in := range k.Executors { // those that are held back have no tokens yet
 		e := next.byID[in.ID]
-		got.Executors = append(got.Executors, KnownExecutor{e.id, e.known, e.runs, e.works, e.startWait, max(0, e.held-last), e.inCap, e.silences})
+		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.known, e.runs, e.works, e.startWait, max(0, e.held-last), e.inCap, e.silences})
 	}
 	if !reflect.DeepEqual(got, k) {
 		t.Errorf("learnt\n%+v\nof\n%+v", got, k)
@@ -83,7 +83,7 @@
 	among.Nodes = 5
 	next := New(among)
 	next.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
-	next.Learn(0, old.Knows(0))
+	next.ImportLearned(0, old.ExportLearned(0))
 	rest(next)
 	if b := next.byID["b"]; b.runs != 40 || b.startWait != 0 || b.known != 0 {
 		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runs, b.works, b.startWait, b.known)
@@ -116,7 +116,7 @@
 	}
 	again := New(settings([]string{"ask"}))
 	again.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
-	again.Learn(0, old.Knows(0))
+	again.ImportLearned(0, old.ExportLearned(0))
 	rest(again)
 	if a := again.byID["a"]; a.quota != 7 {
 		t.Errorf("among as many nodes as before the quota is %d", a.quota)
