--- a/cmd/birchstair/crowd_test.go
+++ b/cmd/birchstair/crowd_test.go
@@ -150,7 +150,7 @@
 		}
 	}
 	figures := func() error {
-		_, err := operators.Call(door, node.ReadFigures, "", 5*time.Second)
+		_, err := operators.Call(door, node.ReadMetrics, "", 5*time.Second)
 		return err
 	}
 	until("the door answers", func() bool { return figures() == nil })
--- a/cmd/birchstair/ops.go
+++ b/cmd/birchstair/ops.go
@@ -50,12 +50,12 @@
 	return nil
 }
 
-func (varsCmd) Run(own *opsCmd) error { return own.print(node.ReadFigures) }
+func (varsCmd) Run(own *opsCmd) error { return own.print(node.ReadMetrics) }
 
 func (fleetCmd) Run(own *opsCmd) error { return own.print(node.ReadFleet) }
 
 // print prints the lines that a call brings.
-func (c *opsCmd) print(order node.Order) error {
+func (c *opsCmd) print(order node.AdminCommand) error {
 	lines, err := c.call(order, "")
 	for _, line := range lines {
 		fmt.Println(line)
@@ -66,7 +66,7 @@
 // commandName is the name of the command that runs; those of ops are the door's calls.
 type commandName string
 
-func (c *opsCmd) call(order node.Order, id policy.ExecutorID) ([]string, error) {
+func (c *opsCmd) call(order node.AdminCommand, id policy.ExecutorID) ([]string, error) {
 	addr := cmp.Or(c.At, os.Getenv("ROUTER_MANAGEMENT"))
 	if addr == "" && os.Getenv("ROUTER_CONFIG") != "" {
 		told, err := config.Read(os.Getenv)
--- a/cmd/birchstair/reload_test.go
+++ b/cmd/birchstair/reload_test.go
@@ -64,7 +64,7 @@
 			var figures []string
 			for by := time.Now().Add(15 * time.Second); !slices.Contains(figures, "reloads_ok=1"); time.Sleep(5 * time.Millisecond) {
 				var err error
-				if figures, err = operators.Call(pr.door, node.ReadFigures, "", time.Second); err != nil {
+				if figures, err = operators.Call(pr.door, node.ReadMetrics, "", time.Second); err != nil {
 					t.Fatal(err)
 				}
 				if time.Now().After(by) {
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -154,17 +154,17 @@
 }
 
 // reread reads the configuration anew, whole: what would not do for a start changes nothing.
-func reread(c *told, own site.Site, read func() (told, error)) node.Reread {
+func reread(c *told, own site.Site, read func() (told, error)) node.ConfigReloaded {
 	t, err := read()
 	if err == nil {
 		err = c.Lacks(&t.Config)
 	}
 	if err != nil {
-		return node.Reread{Detail: err.Error()}
+		return node.ConfigReloaded{Detail: err.Error()}
 	}
 	waits := c.Waits(t.Config)
 	if own.Durable != nil {
 		t.Settings.Policy = durable.Tracks(t.Settings.Policy, time.Duration(own.Durable.OuterLimit))
 	}
-	return node.Reread{Discovery: t.Discovery, Waits: waits, Classes: service.Tracks(t.Settings), Work: t.LongestWork(), StopLimit: t.StopLimit()}
+	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.Tracks(t.Settings), Work: t.LongestWork(), StopLimit: t.StopLimit()}
 }
--- a/cmd/birchstair/upgrade_test.go
+++ b/cmd/birchstair/upgrade_test.go
@@ -141,14 +141,14 @@
 	p.t.Cleanup(func() { pr.cmd.Process.Kill() })
 }
 
-func (pr *process) call(order node.Order, id policy.ExecutorID) error {
+func (pr *process) call(order node.AdminCommand, id policy.ExecutorID) error {
 	_, err := operators.Call(pr.door, order, id, time.Second)
 	return err
 }
 
 // ready waits for a yes, for a while.
 func (p *platformHere) ready(pr *process) {
-	for until := time.Now().Add(15 * time.Second); pr.call(node.Check, "") != nil; time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(15 * time.Second); pr.call(node.CheckReady, "") != nil; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
 			text, _ := os.ReadFile(pr.log)
 			p.t.Fatalf("never ready:\n%s", text)
@@ -159,7 +159,7 @@
 // setDown has an operator take an executor out: from the yes on nothing that is handed in may reach it. What was in hand then
 // may have been decided on before, however late its bytes arrive there; what the reducer does with it is in its kept traces.
 func (p *platformHere) setDown(pr *process, id policy.ExecutorID) {
-	if err := pr.call(node.TakeOut, id); err != nil {
+	if err := pr.call(node.ExcludeExecutor, id); err != nil {
 		p.t.Error(err)
 	}
 	p.mu.Lock()
@@ -281,7 +281,7 @@
 		}
 	}
 	for _, door := range p.doors {
-		lines, err := operators.Call(door, node.ReadFigures, "", time.Second)
+		lines, err := operators.Call(door, node.ReadMetrics, "", time.Second)
 		p.t.Log(door, lines, err)
 	}
 	for i := range p.started {
@@ -311,7 +311,7 @@
 				old = next
 			}
 			p.mayHave()
-			if err := old.call(node.PutBack, "e3"); err != nil {
+			if err := old.call(node.ReadmitExecutor, "e3"); err != nil {
 				p.t.Errorf("e3 is not known as out: %v", err)
 			}
 		}},
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -50,9 +50,9 @@
 	}()
 }
 
-// SendAway is not ready and ends clients' connections, until it is over: each with its next answer, and those that rest
+// DrainClients is not ready and ends clients' connections, until it is over: each with its next answer, and those that rest
 // once clients have had time to go elsewhere. Guards against closing under a batch job that is just being sent.
-func (f *Front) SendAway(on bool) {
+func (f *Front) DrainClients(on bool) {
 	if !f.gate.sendAway(on) {
 		return
 	}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -495,7 +495,7 @@
 	s.clients.UpdateJobClasses(plain)
 }
 
-func (s *clientsSide) SendAway(on bool)           { s.clients.SendAway(on) }
+func (s *clientsSide) DrainClients(on bool)       { s.clients.DrainClients(on) }
 func (s *clientsSide) AcceptConnections(yes bool) { s.clients.AcceptConnections(yes) }
 func (s *clientsSide) HalveLimits(half bool)      { s.clients.HalveLimits(half) }
 
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -137,7 +137,7 @@
 	}, plant{
 		event: changed(func(w *World, n *sim, e node.EndpointsUpdated) []node.Event {
 			for _, id := range slices.Sorted(maps.Keys(n.outs)) {
-				for _, e := range n.core.Step(w.now-n.started, node.Called{Order: node.PutBack, Executor: id}) {
+				for _, e := range n.core.Step(w.now-n.started, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
 					n.carryOut(e)
 				}
 			}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -199,7 +199,7 @@
 	case standin.TakenOut:
 		for _, x := range w.touched(f) {
 			for _, n := range w.nodes {
-				n.order(node.PutBack, x.ID)
+				n.order(node.ReadmitExecutor, x.ID)
 			}
 		}
 	case standin.SentAway:
@@ -354,7 +354,7 @@
 // takeOut has operators take an executor out at each node, and restart it meanwhile. The list says nothing of the first.
 func (w *World) takeOut(x *executor, f standin.Fault) {
 	for _, n := range w.nodes {
-		n.order(node.TakeOut, x.ID)
+		n.order(node.ExcludeExecutor, x.ID)
 	}
 	w.after(f.For/2, func() { x.stop(false) })
 	w.after(f.For*3/4, x.back)
--- a/internal/lab/wired.go
+++ b/internal/lab/wired.go
@@ -581,7 +581,7 @@
 )
 
 // order has an operator call at the process.
-func (l *life) order(c node.Called) {
+func (l *life) order(c node.AdminCalled) {
 	l.v.w.orders++
 	// Each at an instant of its own, or the order of what follows would hang on the scheduler.
 	l.v.w.after(time.Duration(l.v.w.orders%orderSalt+1)*orderStep, func() {
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -492,7 +492,7 @@
 		n.probe(e)
 	case node.Ready:
 		n.later(time.Millisecond, func() { n.ready = e.Yes })
-	case node.SendAway:
+	case node.DrainClients:
 		n.later(time.Millisecond, func() { n.ready = !e.On && !n.closed })
 	case node.CloseFront:
 		n.closed = true
@@ -595,8 +595,8 @@
 }
 
 // order has an operator call at a node.
-func (n *sim) order(o node.Order, id policy.ExecutorID) {
-	ev := node.Called{Order: o, Executor: id}
+func (n *sim) order(o node.AdminCommand, id policy.ExecutorID) {
+	ev := node.AdminCalled{Command: o, Executor: id}
 	switch {
 	case !n.up:
 	case n.life != nil:
@@ -608,17 +608,17 @@
 
 // ordered books what the node is told by an operator, once it has said yes.
 func (n *sim) ordered(ev node.Event, effects []node.Effect) {
-	c, ok := ev.(node.Called)
-	if !ok || !slices.ContainsFunc(effects, func(e node.Effect) bool { r, ok := e.(node.Reply); return ok && r.No == "" }) {
+	c, ok := ev.(node.AdminCalled)
+	if !ok || !slices.ContainsFunc(effects, func(e node.Effect) bool { r, ok := e.(node.AdminReply); return ok && r.Refusal == "" }) {
 		return
 	}
 	raw, out := n.outs[c.Executor]
 	switch {
-	case c.Order == node.TakeOut && !out:
+	case c.Command == node.ExcludeExecutor && !out:
 		raw = n.known[c.Executor]
 		n.outs[c.Executor] = raw
 		n.told(raw)
-	case c.Order == node.PutBack && out:
+	case c.Command == node.ReadmitExecutor && out:
 		delete(n.outs, c.Executor)
 		n.told(raw)
 	}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -103,14 +103,14 @@
 	}
 	// DiscoverySwitchPending: the address that the list is to come from now has brought none yet; the old one still counts.
 	DiscoverySwitchPending struct{ Addr, Detail string }
-	// Reread: the configuration was read again. With a detail it makes no sense.
-	Reread struct {
-		Discovery string   // where the list comes from
-		Waits     []string // keys that changed and hold from the next start on
-		Classes   []JobClass
-		Work      time.Duration // as in Limits
-		StopLimit time.Duration // as in Limits
-		Detail    string
+	// ConfigReloaded: the configuration was read again. With a detail it makes no sense.
+	ConfigReloaded struct {
+		Discovery   string   // where the list comes from
+		NeedRestart []string // keys that changed and hold from the next start on
+		Classes     []JobClass
+		Work        time.Duration // as in Limits
+		StopLimit   time.Duration // as in Limits
+		Detail      string
 	}
 	// Dialled: a connection is up.
 	Dialled struct{ Conn ConnID }
@@ -150,10 +150,10 @@
 	FrontClosed struct{}
 	// Declined: the front has turned a batch job of a track away as one that it can't take.
 	Declined struct{ Class policy.JobClassID }
-	// Called: an operator's call. It is answered by one Reply.
-	Called struct {
-		Caller   CallerID
-		Order    Order
+	// AdminCalled: an operator's call. It is answered by one Reply.
+	AdminCalled struct {
+		Caller   AdminCallID
+		Command  AdminCommand
 		Executor policy.ExecutorID
 	}
 	// HandoffLinkUp: a link to another process of this node is up.
@@ -188,7 +188,7 @@
 func (Left) event()                   {}
 func (EndpointsUpdated) event()       {}
 func (DiscoverySwitchPending) event() {}
-func (Reread) event()                 {}
+func (ConfigReloaded) event()         {}
 func (Dialled) event()                {}
 func (Told) event()                   {}
 func (Ended) event()                  {}
@@ -200,7 +200,7 @@
 func (FrontClosed) event()            {}
 func (Woke) event()                   {}
 func (Declined) event()               {}
-func (Called) event()                 {}
+func (AdminCalled) event()            {}
 func (HandoffLinkUp) event()          {}
 func (HandoffReceived) event()        {}
 func (HandoffLinkDown) event()        {}
@@ -245,13 +245,13 @@
 	UpdateJobClasses struct{ Classes []NumberedClass }
 	// Ready says whether the node is to be given batch jobs.
 	Ready struct{ Yes bool }
-	// SendAway says that the node is not ready and lets clients go, until it is over; what still comes is taken.
-	SendAway struct{ On bool }
-	// Reply answers an operator's call: with figures, or a no and its reason, or a yes.
-	Reply struct {
-		Caller  CallerID
-		No      string
-		Figures *Figures
+	// DrainClients says that the node is not ready and lets clients go, until it is over; what still comes is taken.
+	DrainClients struct{ On bool }
+	// AdminReply answers an operator's call: with figures, or a no and its reason, or a yes.
+	AdminReply struct {
+		Caller  AdminCallID
+		Refusal string
+		Metrics *Metrics
 		Lines   []string // or what there is to see, a thing a line
 	}
 	// SendHandoff says something to another process of this node.
@@ -300,8 +300,8 @@
 func (Wake) effect()              {}
 func (Log) effect()               {}
 func (Exit) effect()              {}
-func (SendAway) effect()          {}
-func (Reply) effect()             {}
+func (DrainClients) effect()      {}
+func (AdminReply) effect()        {}
 func (SendHandoff) effect()       {}
 func (CloseHandoffLink) effect()  {}
 func (AcceptConnections) effect() {}
--- a/internal/node/hand.go
+++ b/internal/node/hand.go
@@ -9,31 +9,31 @@
 
 // What operators do to a node: calls at its door, executors taken out by hand, the drain, figures.
 
-// CallerID names a caller at the door.
-type CallerID uint64
+// AdminCallID names a caller at the door.
+type AdminCallID uint64
 
-// Order is what a caller wants.
-type Order int
+// AdminCommand is what a caller wants.
+type AdminCommand int
 
 const (
-	Check       Order = iota // can this process take batch jobs?
-	ReadFigures              // what it has done
-	TakeOut                  // an executor gets nothing new until it is put back
-	PutBack
+	CheckReady      AdminCommand = iota // can this process take batch jobs?
+	ReadMetrics                         // what it has done
+	ExcludeExecutor                     // an executor gets nothing new until it is put back
+	ReadmitExecutor
 	DrainOn // clients are sent away
 	DrainOff
 	ReadFleet // what it knows of the nodes that it talks with
 )
 
-// Figures are what a node has done since its start, and what it holds.
-type Figures struct {
-	Classes    []ClassMetrics // in the order in which the tracks came
-	Attempts   int            // whose last byte was written
-	InFlight   int            // batch jobs that are owed an answer
-	Known      int            // executors on the list
-	Avoided    int            // those of them that get nothing new, by hand, by the list or by choice
-	Taken      int            // configurations that were read again and taken
-	TurnedDown int            // and those that were not
+// Metrics are what a node has done since its start, and what it holds.
+type Metrics struct {
+	Classes           []ClassMetrics // in the order in which the tracks came
+	Attempts          int            // whose last byte was written
+	InFlight          int            // batch jobs that are owed an answer
+	KnownExecutors    int            // executors on the list
+	ExcludedExecutors int            // those of them that get nothing new, by hand, by the list or by choice
+	ReloadsApplied    int            // configurations that were read again and taken
+	ReloadsRejected   int            // and those that were not
 }
 
 // ClassMetrics are the final answers to batch jobs of one track.
@@ -56,27 +56,27 @@
 }
 
 // called does what a caller wants, and answers.
-func (n *Node) called(ev Called) {
-	r := Reply{Caller: ev.Caller}
-	switch ev.Order {
-	case Check:
+func (n *Node) called(ev AdminCalled) {
+	r := AdminReply{Caller: ev.Caller}
+	switch ev.Command {
+	case CheckReady:
 		// Guards against a platform that ends the elder by this yes before the elder knows of its heir: it would let clients'
 		// connections go at once, some of them under their next message.
 		if !n.said || n.yields && n.now < n.yieldBy || n.stopping {
-			r.No = "not ready"
+			r.Refusal = "not ready"
 		}
-	case ReadFigures:
+	case ReadMetrics:
 		f := n.figures
 		f.Classes = slices.Clone(f.Classes) // the caller reads them while this goes on
-		f.InFlight, f.Known, f.Avoided = len(n.due), len(n.executors), n.brain.CountExcluded(n.now)
-		r.Figures = &f
+		f.InFlight, f.KnownExecutors, f.ExcludedExecutors = len(n.due), len(n.executors), n.brain.CountExcluded(n.now)
+		r.Metrics = &f
 	case ReadFleet:
-		if r.No = "this node talks with no others: its [fleet] table is not there"; n.fleet != nil {
-			r.No, r.Lines = "", n.fleet.Lines(n.now)
+		if r.Refusal = "this node talks with no others: its [fleet] table is not there"; n.fleet != nil {
+			r.Refusal, r.Lines = "", n.fleet.Lines(n.now)
 		}
 	default:
-		if r.No = n.carry(ev.Order, ev.Executor); r.No == "" {
-			w := HandoffMessage{Kind: RelayCommand, Command: ev.Order, Executor: ev.Executor}
+		if r.Refusal = n.carry(ev.Command, ev.Executor); r.Refusal == "" {
+			w := HandoffMessage{Kind: RelayCommand, Command: ev.Command, Executor: ev.Executor}
 			n.remember(w)
 			n.pass(nobody, w, &r)
 			return
@@ -86,11 +86,11 @@
 }
 
 // carry does what changes something, in this process alone. It gives the reason where it can't.
-func (n *Node) carry(o Order, id policy.ExecutorID) (no string) {
+func (n *Node) carry(o AdminCommand, id policy.ExecutorID) (no string) {
 	switch o {
-	case TakeOut:
+	case ExcludeExecutor:
 		return n.takeOut(id)
-	case PutBack:
+	case ReadmitExecutor:
 		return n.putBack(id)
 	case DrainOn, DrainOff:
 		n.drain(o == DrainOn)
@@ -160,5 +160,5 @@
 	}
 	n.drained = on
 	n.say(Log{Text: fmt.Sprintf("told by hand to send clients away: %t", on)})
-	n.say(SendAway{on})
+	n.say(DrainClients{on})
 }
--- a/internal/node/listed.go
+++ b/internal/node/listed.go
@@ -8,16 +8,16 @@
 
 // reread takes in a configuration that was read again: the list comes from the address that it names, the tracks are
 // its, and nothing in hand is touched. One that makes no sense changes nothing.
-func (n *Node) reread(ev Reread) {
+func (n *Node) reread(ev ConfigReloaded) {
 	if ev.Detail != "" {
-		n.figures.TurnedDown++
+		n.figures.ReloadsRejected++
 		n.say(Log{Text: "the configuration stays as it was: " + ev.Detail})
 		return
 	}
-	n.figures.Taken++
+	n.figures.ReloadsApplied++
 	n.say(Log{Text: "the configuration was read again; the list comes from " + ev.Discovery})
-	if len(ev.Waits) > 0 {
-		n.say(Log{Text: "changed, and taken up at the next start: " + strings.Join(ev.Waits, ", ")})
+	if len(ev.NeedRestart) > 0 {
+		n.say(Log{Text: "changed, and taken up at the next start: " + strings.Join(ev.NeedRestart, ", ")})
 	}
 	n.retune(ev)
 	n.say(SwitchDiscovery{ev.Discovery})
--- a/internal/node/pair.go
+++ b/internal/node/pair.go
@@ -54,14 +54,14 @@
 type HandoffMessage struct {
 	Kind     HandoffKind
 	Seq      uint64 // of Relay and Done
-	Command  Order
+	Command  AdminCommand
 	Executor policy.ExecutorID
 	State    *HandoffState
 }
 
 // relay is an operator's answer that waits until the other processes have done as well.
 type relay struct {
-	reply Reply
+	reply AdminReply
 	open  []HandoffLink
 	by    time.Duration
 }
@@ -270,8 +270,8 @@
 }
 
 // obey does what an operator has told another process of this node; the id was on the list there.
-func (n *Node) obey(o Order, id policy.ExecutorID) {
-	if n.carry(o, id) != "" && o == TakeOut {
+func (n *Node) obey(o AdminCommand, id policy.ExecutorID) {
+	if n.carry(o, id) != "" && o == ExcludeExecutor {
 		n.outs[id] = true
 	}
 }
@@ -285,7 +285,7 @@
 }
 
 // pass hands an order on to all processes but one. The reply, if there is one, goes out once they have done.
-func (n *Node) pass(but HandoffLink, w HandoffMessage, reply *Reply) {
+func (n *Node) pass(but HandoffLink, w HandoffMessage, reply *AdminReply) {
 	n.seq++
 	w.Seq = n.seq
 	r := &relay{by: n.now + relaySpell}
@@ -335,7 +335,7 @@
 	for _, seq := range n.relaysInOrder() {
 		if r := n.relays[seq]; n.now >= r.by {
 			delete(n.relays, seq)
-			r.reply.No = "another process of this node does not say that it has done so"
+			r.reply.Refusal = "another process of this node does not say that it has done so"
 			n.say(r.reply)
 		}
 	}
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -81,7 +81,7 @@
 	drained   bool                                // by operators
 	outs      map[policy.ExecutorID]bool          // taken out by them
 	backs     map[policy.ExecutorID]time.Duration // when they put one back
-	figures   Figures
+	figures   Metrics
 	halved    bool
 	fleet     *fleet.Fleet // nil where this node talks with no others
 	pair
@@ -166,7 +166,7 @@
 		n.listed(ev)
 	case DiscoverySwitchPending:
 		n.say(Log{Text: fmt.Sprintf("no list from %s yet, the old address counts: %s", ev.Addr, ev.Detail)})
-	case Reread:
+	case ConfigReloaded:
 		n.reread(ev)
 	case Dialled:
 		n.dialled(n.conns[ev.Conn])
@@ -196,7 +196,7 @@
 		n.say(Exit{})
 	case Declined:
 		n.count(ev.Class, Failed)
-	case Called:
+	case AdminCalled:
 		n.called(ev)
 	case HandoffLinkUp:
 		n.joined(ev.Link)
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -191,13 +191,13 @@
 		return l
 	case "reread":
 		if last == "odd" {
-			return Reread{Detail: "listen: missing"}
+			return ConfigReloaded{Detail: "listen: missing"}
 		}
-		r := Reread{Discovery: words[1], Work: 10 * time.Second, StopLimit: 3 * time.Second}
+		r := ConfigReloaded{Discovery: words[1], Work: 10 * time.Second, StopLimit: 3 * time.Second}
 		for _, w := range words[2:] {
 			name, rule, isTrack := strings.Cut(w, ":")
 			if !isTrack {
-				r.Waits = append(r.Waits, w)
+				r.NeedRestart = append(r.NeedRestart, w)
 				continue
 			}
 			t := p.n.tracks[0].JobClass.JobClass
@@ -233,7 +233,7 @@
 			seq, _ := strconv.Atoi(last)
 			w.Seq = uint64(seq)
 		case "out", "back":
-			w.Seq, w.Command, w.Executor = 9, map[string]Order{"out": TakeOut, "back": PutBack}[words[2]], policy.ExecutorID(last)
+			w.Seq, w.Command, w.Executor = 9, map[string]AdminCommand{"out": ExcludeExecutor, "back": ReadmitExecutor}[words[2]], policy.ExecutorID(last)
 		case "state":
 			w.State = &HandoffState{}
 			for _, word := range words[3:] {
@@ -257,8 +257,8 @@
 	case "wait":
 		return Woke{}
 	case "check", "figures", "out", "back", "drain", "undrain":
-		orders := map[string]Order{"check": Check, "figures": ReadFigures, "out": TakeOut, "back": PutBack, "drain": DrainOn, "undrain": DrainOff}
-		c := Called{Order: orders[words[0]]}
+		orders := map[string]AdminCommand{"check": CheckReady, "figures": ReadMetrics, "out": ExcludeExecutor, "back": ReadmitExecutor, "drain": DrainOn, "undrain": DrainOff}
+		c := AdminCalled{Command: orders[words[0]]}
 		if len(words) > 1 {
 			c.Executor = policy.ExecutorID(last)
 		}
@@ -312,7 +312,7 @@
 			for _, t := range e.Classes {
 				line += fmt.Sprintf(" %d %s", t.ID, t.Name)
 			}
-		case SendAway:
+		case DrainClients:
 			line = fmt.Sprint("send clients away: ", e.On)
 		case AcceptConnections:
 			line = fmt.Sprint("take new connections: ", e.Yes)
@@ -322,12 +322,12 @@
 			line = fmt.Sprintf("to process %d: ", e.Link) + wordText(e.Message)
 		case CloseHandoffLink:
 			line = fmt.Sprintf("part from process %d", e.Link)
-		case Reply:
+		case AdminReply:
 			switch {
-			case e.No != "":
-				line = "no: " + e.No
-			case e.Figures != nil:
-				line = fmt.Sprintf("figures: %+v", *e.Figures)
+			case e.Refusal != "":
+				line = "no: " + e.Refusal
+			case e.Metrics != nil:
+				line = fmt.Sprintf("figures: %+v", *e.Metrics)
 			default:
 				line = "yes"
 			}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -14,7 +14,7 @@
 	Answer(Answer)
 	Ready(bool)
 	UpdateJobClasses([]NumberedClass)
-	SendAway(bool)
+	DrainClients(bool)
 	AcceptConnections(bool)
 	HalveLimits(bool)
 	Close()
@@ -35,7 +35,7 @@
 }
 
 // Operators answers those who call at the door.
-type Operators interface{ Reply(Reply) }
+type Operators interface{ Reply(AdminReply) }
 
 // Others are the other processes of this node.
 type Others interface {
@@ -143,9 +143,9 @@
 				to.List.SwitchDiscovery(e.Addr)
 			case UpdateJobClasses:
 				to.Clients.UpdateJobClasses(e.Classes)
-			case SendAway:
-				to.Clients.SendAway(e.On)
-			case Reply:
+			case DrainClients:
+				to.Clients.DrainClients(e.On)
+			case AdminReply:
 				to.Operators.Reply(e)
 			case SendHandoff:
 				to.Others.Send(e.Link, e.Message)
--- a/internal/operators/call.go
+++ b/internal/operators/call.go
@@ -19,7 +19,7 @@
 
 // Call makes one call at a node's door and gives the lines of its answer: figures, or none for a yes. Its error is the
 // node's no with its reason, or says that nobody answered within the time.
-func Call(addr string, order node.Order, executor policy.ExecutorID, wait time.Duration) ([]string, error) {
+func Call(addr string, order node.AdminCommand, executor policy.ExecutorID, wait time.Duration) ([]string, error) {
 	line := orders[order]
 	if aboutOne(order) {
 		line += " " + string(executor)
@@ -48,14 +48,14 @@
 }
 
 // answered reads an answer.
-func answered(order node.Order, lines []string) ([]string, error) {
+func answered(order node.AdminCommand, lines []string) ([]string, error) {
 	if len(lines) == 0 {
 		return nil, errors.New("the node closed without an answer: it has too many callers, or ends")
 	}
 	if reason, no := strings.CutPrefix(lines[0], "fail"); no {
 		return nil, fmt.Errorf("the node says no: %s", strings.TrimSpace(reason))
 	}
-	if order == node.ReadFigures || order == node.ReadFleet {
+	if order == node.ReadMetrics || order == node.ReadFleet {
 		end := slices.Index(lines, "eof")
 		if end < 0 {
 			return nil, errors.New("the figures have no end: the answer was cut off")
--- a/internal/operators/codec.go
+++ b/internal/operators/codec.go
@@ -18,17 +18,19 @@
 	longestID   = 128 // bytes of an executor's id
 )
 
-var orders = []string{node.Check: "check", node.ReadFigures: "vars", node.TakeOut: "set-down", node.PutBack: "set-up",
+var orders = []string{node.CheckReady: "check", node.ReadMetrics: "vars", node.ExcludeExecutor: "set-down", node.ReadmitExecutor: "set-up",
 	node.DrainOn: "drain-on", node.DrainOff: "drain-off", node.ReadFleet: "fleet"}
 
 // Named is the order of a name; -1 where no call is named so.
-func Named(name string) node.Order { return node.Order(slices.Index(orders, name)) }
+func Named(name string) node.AdminCommand { return node.AdminCommand(slices.Index(orders, name)) }
 
 // aboutOne are the orders that name an executor.
-func aboutOne(o node.Order) bool { return o == node.TakeOut || o == node.PutBack }
+func aboutOne(o node.AdminCommand) bool {
+	return o == node.ExcludeExecutor || o == node.ReadmitExecutor
+}
 
 // decode reads a call. Its error is the reason that the caller gets.
-func decode(line string) (order node.Order, executor policy.ExecutorID, err error) {
+func decode(line string) (order node.AdminCommand, executor policy.ExecutorID, err error) {
 	if !utf8.ValidString(line) {
 		return 0, "", fmt.Errorf("the line is no text")
 	}
@@ -52,16 +54,16 @@
 }
 
 // encode writes an answer.
-func encode(r node.Reply) []byte {
+func encode(r node.AdminReply) []byte {
 	switch {
-	case r.No != "":
-		return no(r.No)
+	case r.Refusal != "":
+		return no(r.Refusal)
 	case r.Lines != nil:
 		return []byte(strings.Join(r.Lines, "\n") + "\neof\n")
-	case r.Figures == nil:
+	case r.Metrics == nil:
 		return []byte("ok\n")
 	}
-	f, b := r.Figures, make([]byte, 0, 1024)
+	f, b := r.Metrics, make([]byte, 0, 1024)
 	figure := func(name string, x int) {
 		b = append(append(b, name...), '=')
 		b = append(strconv.AppendInt(b, int64(x), 10), '\n')
@@ -73,10 +75,10 @@
 	}
 	figure("attempts", f.Attempts)
 	figure("in_flight", f.InFlight)
-	figure("executors_known", f.Known)
-	figure("executors_excluded", f.Avoided)
-	figure("reloads_ok", f.Taken)
-	figure("reloads_failed", f.TurnedDown)
+	figure("executors_known", f.KnownExecutors)
+	figure("executors_excluded", f.ExcludedExecutors)
+	figure("reloads_ok", f.ReloadsApplied)
+	figure("reloads_failed", f.ReloadsRejected)
 	return append(b, "eof\n"...)
 }
 
--- a/internal/operators/door.go
+++ b/internal/operators/door.go
@@ -27,8 +27,8 @@
 	most int
 
 	mu      sync.Mutex
-	last    node.CallerID
-	callers map[node.CallerID]*caller
+	last    node.AdminCallID
+	callers map[node.AdminCallID]*caller
 	silent  *list.List // of *caller: those whose call is not whole yet, the first at the front
 	room    *sync.Cond
 	ended   bool
@@ -39,12 +39,12 @@
 type caller struct {
 	conn   net.Conn
 	at     *list.Element // in silent, or nil
-	answer chan node.Reply
+	answer chan node.AdminReply
 }
 
 // New makes a door for so many callers at a time; tell must not wait behind batch jobs.
 func New(most int, tell func(node.Event)) *Door {
-	d := &Door{tell: tell, most: most, callers: map[node.CallerID]*caller{}, silent: list.New()}
+	d := &Door{tell: tell, most: most, callers: map[node.AdminCallID]*caller{}, silent: list.New()}
 	d.room = sync.NewCond(&d.mu)
 	return d
 }
@@ -100,7 +100,7 @@
 		return
 	}
 	d.last++
-	c := &caller{conn: conn, answer: make(chan node.Reply, 1)}
+	c := &caller{conn: conn, answer: make(chan node.AdminReply, 1)}
 	c.at = d.silent.PushBack(c)
 	d.callers[d.last] = c
 	go d.serve(d.last, c)
@@ -114,7 +114,7 @@
 	}
 }
 
-func (d *Door) serve(id node.CallerID, c *caller) {
+func (d *Door) serve(id node.AdminCallID, c *caller) {
 	defer func() {
 		c.conn.Close()
 		d.mu.Lock()
@@ -142,12 +142,12 @@
 }
 
 // ask hands a call to the reducer and waits for what it says.
-func (d *Door) ask(id node.CallerID, c *caller, line string) []byte {
+func (d *Door) ask(id node.AdminCallID, c *caller, line string) []byte {
 	order, executor, err := decode(line)
 	if err != nil {
 		return no(err.Error())
 	}
-	d.tell(node.Called{Caller: id, Order: order, Executor: executor})
+	d.tell(node.AdminCalled{Caller: id, Command: order, Executor: executor})
 	select {
 	case r := <-c.answer:
 		return encode(r)
@@ -157,7 +157,7 @@
 }
 
 // Reply gives a caller its answer.
-func (d *Door) Reply(r node.Reply) {
+func (d *Door) Reply(r node.AdminReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c := d.callers[r.Caller]; c != nil {
--- a/internal/operators/door_test.go
+++ b/internal/operators/door_test.go
@@ -26,14 +26,14 @@
 		}
 		var d *Door
 		d = New(2, func(ev node.Event) {
-			c := ev.(node.Called)
-			r := node.Reply{Caller: c.Caller}
+			c := ev.(node.AdminCalled)
+			r := node.AdminReply{Caller: c.Caller}
 			switch {
-			case c.Order == node.ReadFigures:
-				r.Figures = &node.Figures{Classes: []node.ClassMetrics{{Name: "page", Succeeded: 3, Rejected: 1}}, Attempts: 5, InFlight: 2,
-					Known: 4, Avoided: 1, Taken: 6, TurnedDown: 7}
+			case c.Command == node.ReadMetrics:
+				r.Metrics = &node.Metrics{Classes: []node.ClassMetrics{{Name: "page", Succeeded: 3, Rejected: 1}}, Attempts: 5, InFlight: 2,
+					KnownExecutors: 4, ExcludedExecutors: 1, ReloadsApplied: 6, ReloadsRejected: 7}
 			case c.Executor == "nobody":
-				r.No = "not\nhere"
+				r.Refusal = "not\nhere"
 			case c.Executor == "never":
 				return
 			}
--- a/internal/scale/proc.go
+++ b/internal/scale/proc.go
@@ -120,7 +120,7 @@
 
 // vars are the figures that the node shows at its door.
 func (p *proc) vars() (map[string]int, error) {
-	lines, err := operators.Call(p.door, node.ReadFigures, "", 5*time.Second)
+	lines, err := operators.Call(p.door, node.ReadMetrics, "", 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -229,7 +229,7 @@
 // An executor that a node sends nothing to for a reason of its own does not make a drain look late: here one is taken out by hand.
 func TestDrainAmongExcluded(t *testing.T) {
 	w := worldOf(t, Point{Series: "drain", Executors: 4, Of: 9, Real: 1, Hollow: 2, Talk: true, Sockets: 512, Memory: 192})
-	if _, err := operators.Call(w.nodes[0].door, node.TakeOut, executorID(0), 5*time.Second); err != nil {
+	if _, err := operators.Call(w.nodes[0].door, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.drain(5); err != nil {
--- a/internal/succession/codec.go
+++ b/internal/succession/codec.go
@@ -19,7 +19,7 @@
 // The names on the wire of kinds of messages and of operators' commands, by their values in package node.
 var (
 	kindNames    = []string{node.StateTransfer: "state", node.SuccessorReady: "ready", node.PredecessorYielded: "ceded", node.RelayCommand: "order", node.RelayDone: "done"}
-	commandNames = []string{node.TakeOut: "take-out", node.PutBack: "put-back", node.DrainOn: "drain-on", node.DrainOff: "drain-off"}
+	commandNames = []string{node.ExcludeExecutor: "take-out", node.ReadmitExecutor: "put-back", node.DrainOn: "drain-on", node.DrainOff: "drain-off"}
 )
 
 // wireMessage is one line.
@@ -132,7 +132,7 @@
 		if command < 0 || wire.Command == "" {
 			return message, fmt.Errorf("no order is named %.40q", wire.Command)
 		}
-		message.Command = node.Order(command)
+		message.Command = node.AdminCommand(command)
 	}
 	return message, nil
 }
