--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -64,7 +64,7 @@
 	fromClients, toExecutors := c.Descriptors()
 	fromFewer, toFewer := c.HalfDescriptors()
 	p := c.Settings.Policy
-	p.MayTell = c.Settings.Peers && own.Fleet != nil // else nobody carries words
+	p.MayLease = c.Settings.Peers && own.Fleet != nil // else nobody carries words
 	c.Settings.Policy = p
 	var lasting *durable.Durable
 	if own.Durable != nil {
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -357,8 +357,8 @@
 	n.out = strconv.AppendInt(n.out, int64(due.Node), 10)
 	n.out = append(n.out, " content="...)
 	var b [wordBytes]byte
-	b[0] = byte(due.Word)
-	binary.BigEndian.PutUint32(b[1:], uint32(due.Sum))
+	b[0] = byte(due.Message)
+	binary.BigEndian.PutUint32(b[1:], uint32(due.Hash))
 	n.out = base64.StdEncoding.AppendEncode(n.out, b[:])
 	n.out = append(n.out, '\n')
 }
@@ -379,8 +379,8 @@
 	if err != nil || len(b) != wordBytes {
 		return nil // from a node that speaks otherwise: passed over
 	}
-	sum := policy.Sum(binary.BigEndian.Uint32(b[1:]))
-	n.guard(func() { n.brain.Heard(now, policy.NodeID(from), policy.Word(b[0]), sum) })
+	sum := policy.ExecutorHash(binary.BigEndian.Uint32(b[1:]))
+	n.guard(func() { n.brain.ReceiveLeaseMessage(now, policy.NodeID(from), policy.LeaseMessage(b[0]), sum) })
 	return nil
 }
 
@@ -426,7 +426,7 @@
 		case policy.WatchEndpoints:
 			n.say("WATCH", "enable", "1")
 			n.out = append(n.out, '\n')
-		case policy.Tell:
+		case policy.SendLeaseMessage:
 			n.tell(due)
 		case policy.Probe:
 			n.say("ASK_LOAD", "executor", string(due.Executor))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -176,7 +176,7 @@
 	c.Settings.Probe = Probe{w.Probe.Path, Seconds(orElse(w.Probe.Timeout, defaultProbe))}
 	// The protocol has no call for a probe and no link between nodes: the settings' leave alone makes neither. Words need the operator's file as well.
 	p.MayProbe = p.MayProbe && c.Settings.Probe.Path != ""
-	c.Settings.Peers, p.MayTell = p.MayTell, false
+	c.Settings.Peers, p.MayLease = p.MayLease, false
 	return c, c.check()
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,8 +30,8 @@
 		fmt.Fprintf(&out, "%s: %s on %s of %s, %v cores, %d MB, %d sockets (%d clients, %d executors), idle %v, "+
 			"dial %v, stop %v, loads %v", title, c.Name, c.Listen, c.Discovery, c.Cores, c.Memory>>20, c.Sockets,
 			clients, executors, c.Settings.IdleLimit, c.Settings.DialLimit, c.StopLimit(), c.Settings.TellsLoad())
-		if p := c.Settings.Policy; p.MayProbe || p.MayHedge || p.MayTell || p.ClientsMarkRetries {
-			fmt.Fprintf(&out, ", probes %v by %s within %v, copies %v, words %v, marks %v", p.MayProbe, c.Settings.Probe.Path, c.Settings.Probe.Limit, p.MayHedge, p.MayTell, p.ClientsMarkRetries)
+		if p := c.Settings.Policy; p.MayProbe || p.MayHedge || p.MayLease || p.ClientsMarkRetries {
+			fmt.Fprintf(&out, ", probes %v by %s within %v, copies %v, words %v, marks %v", p.MayProbe, c.Settings.Probe.Path, c.Settings.Probe.Limit, p.MayHedge, p.MayLease, p.ClientsMarkRetries)
 		}
 		out.WriteString("\n")
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -191,7 +191,7 @@
 		ValuePerWork: w.PerWork == "work", OverQuotaValue: w.Overage, CrossZoneCost: w.Prices.CrossZone,
 		TotalWeight:      w.ScoreParts["whole"] + w.ScoreParts["worst-window"],
 		WorstClassWeight: w.ScoreParts["worst-class"],
-		MaxAttempts:      w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayTell: w.Caps.Peers,
+		MaxAttempts:      w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayLease: w.Caps.Peers,
 		MayHedge: w.Caps.Copies, MayProbe: w.Caps.Probes && w.Report.How == "on_probe", ClientsMarkRetries: w.Clients.MarksRetry,
 		ColdShare: w.Rules.ColdShare, WarmWithin: Seconds(w.Rules.WarmWithin),
 		FallMultiple: w.Rules.FallMultiple, FallWindow: Seconds(w.Rules.FallS),
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -239,6 +239,7 @@
 func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)           {}
 func (b *baseline) ExportLearned(time.Duration) policy.LearnedState                   { return policy.LearnedState{} }
 func (b *baseline) ImportLearned(time.Duration, policy.LearnedState)                  {}
-func (b *baseline) Heard(time.Duration, policy.NodeID, policy.Word, policy.Sum)       {}
-func (b *baseline) Tally(time.Duration) policy.Tally                                  { return policy.Tally{} }
-func (b *baseline) Cut(policy.CutLine)                                                {}
+func (b *baseline) ReceiveLeaseMessage(time.Duration, policy.NodeID, policy.LeaseMessage, policy.ExecutorHash) {
+}
+func (b *baseline) Tally(time.Duration) policy.Tally { return policy.Tally{} }
+func (b *baseline) Cut(policy.CutLine)               {}
--- a/internal/lab/talk.go
+++ b/internal/lab/talk.go
@@ -79,9 +79,9 @@
 }
 
 // sayPlace sends a word about an executor's places on its way.
-func (n *sim) sayPlace(to node.TellPlace) {
+func (n *sim) sayPlace(to node.SendLeaseMessage) {
 	if int(to.To) < len(n.w.nodes) {
-		n.carryWord(n.w.nodes[to.To], node.HearsPlace{From: policy.NodeID(n.id), Word: to.Word, Sum: to.Sum})
+		n.carryWord(n.w.nodes[to.To], node.LeaseMessageReceived{From: policy.NodeID(n.id), Message: to.Message, Hash: to.Hash})
 	}
 }
 
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -356,7 +356,7 @@
 		MayCancel: true, MaxRetryAfter: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LoadAdjustedWeights: f.WeightsEvery > 0,
 		ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
 		FallWindow: time.Duration(f.FallWindow), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery),
-		MayTell: f.Talk && f.Keepers && n.w.wired == nil, MayHedge: f.Copies, ClientsMarkRetries: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
+		MayLease: f.Talk && f.Keepers && n.w.wired == nil, MayHedge: f.Copies, ClientsMarkRetries: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
 	longest := time.Duration(0)
 	for _, t := range n.w.module {
 		t.DedupWindow = max(0, t.DedupWindow-time.Duration(f.DialLimit)) // as config does
@@ -501,7 +501,7 @@
 		n.later(5*time.Millisecond, n.news)
 	case node.TellNeighbour:
 		n.say(e.To)
-	case node.TellPlace:
+	case node.SendLeaseMessage:
 		n.sayPlace(e)
 	case node.Wake:
 		n.wake++
--- a/internal/members/codec.go
+++ b/internal/members/codec.go
@@ -122,20 +122,20 @@
 // isPlace says whether what came is a word about places: an array, where the other is a map.
 func isPlace(b []byte) bool { return len(b) > 0 && b[0]>>5 == 4 }
 
-func encodePlace(from policy.NodeID, p node.TellPlace) ([]byte, error) {
-	return writes.Marshal(placeText{Version: version, From: int(from), Word: uint8(p.Word), Sum: uint32(p.Sum)})
+func encodePlace(from policy.NodeID, p node.SendLeaseMessage) ([]byte, error) {
+	return writes.Marshal(placeText{Version: version, From: int(from), Word: uint8(p.Message), Sum: uint32(p.Hash)})
 }
 
-func decodePlace(b []byte) (node.HearsPlace, error) {
+func decodePlace(b []byte) (node.LeaseMessageReceived, error) {
 	var text placeText
 	if err := reads.Unmarshal(b, &text); err != nil {
-		return node.HearsPlace{}, fmt.Errorf("that make no sense")
+		return node.LeaseMessageReceived{}, fmt.Errorf("that make no sense")
 	}
 	switch {
 	case text.Version != version:
-		return node.HearsPlace{}, fmt.Errorf("of another version")
-	case text.From < 0 || policy.Word(text.Word) < policy.Want || policy.Word(text.Word) > policy.BackLate:
-		return node.HearsPlace{}, fmt.Errorf("that make no sense")
+		return node.LeaseMessageReceived{}, fmt.Errorf("of another version")
+	case text.From < 0 || policy.LeaseMessage(text.Word) < policy.LeaseRequest || policy.LeaseMessage(text.Word) > policy.LeaseReturnLate:
+		return node.LeaseMessageReceived{}, fmt.Errorf("that make no sense")
 	}
-	return node.HearsPlace{From: policy.NodeID(text.From), Word: policy.Word(text.Word), Sum: policy.Sum(text.Sum)}, nil
+	return node.LeaseMessageReceived{From: policy.NodeID(text.From), Message: policy.LeaseMessage(text.Word), Hash: policy.ExecutorHash(text.Sum)}, nil
 }
--- a/internal/members/codec_test.go
+++ b/internal/members/codec_test.go
@@ -38,11 +38,11 @@
 	if b, err = encode(w); err != nil || len(b) > mostBytes {
 		t.Errorf("%d bytes, %v", len(b), err)
 	}
-	p := node.TellPlace{To: 3, Word: policy.Lend, Sum: 0xfffffff0}
+	p := node.SendLeaseMessage{To: 3, Message: policy.LeaseGrant, Hash: 0xfffffff0}
 	if b, err = encodePlace(5, p); err != nil || !isPlace(b) {
 		t.Fatal(b, err)
 	}
-	if got, err := decodePlace(b); err != nil || got != (node.HearsPlace{From: 5, Word: policy.Lend, Sum: 0xfffffff0}) {
+	if got, err := decodePlace(b); err != nil || got != (node.LeaseMessageReceived{From: 5, Message: policy.LeaseGrant, Hash: 0xfffffff0}) {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -57,7 +57,7 @@
 		}
 		f.Add(b)
 	}
-	b, _ := encodePlace(1, node.TellPlace{Word: policy.Want})
+	b, _ := encodePlace(1, node.SendLeaseMessage{Message: policy.LeaseRequest})
 	f.Add(b)
 	f.Add([]byte{0xa1, 0x00, 0x02})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -65,8 +65,8 @@
 // Tell says a word to a neighbour, or drops it where too many wait.
 func (m *Members) Tell(to fleet.To) { m.queue(to) }
 
-// TellPlace says a word about an executor's places to the neighbour of that number.
-func (m *Members) TellPlace(to node.TellPlace) { m.queue(to) }
+// SendLeaseMessage says a word about an executor's places to the neighbour of that number.
+func (m *Members) SendLeaseMessage(to node.SendLeaseMessage) { m.queue(to) }
 
 func (m *Members) queue(to any) {
 	select {
@@ -209,7 +209,7 @@
 			case fleet.To:
 				n = m.at(string(to.Name))
 				b, err = encode(to.Word)
-			case node.TellPlace:
+			case node.SendLeaseMessage:
 				n = m.at(meta(to.To))
 				b, err = encodePlace(m.o.Number, to)
 			}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -172,11 +172,11 @@
 	Neighbours struct{ Alive []fleet.Name }
 	// Hears: a neighbour's word.
 	Hears struct{ Word fleet.Word }
-	// HearsPlace: a neighbour's word about an executor's places.
-	HearsPlace struct {
-		From policy.NodeID
-		Word policy.Word
-		Sum  policy.Sum
+	// LeaseMessageReceived: a neighbour's word about an executor's places.
+	LeaseMessageReceived struct {
+		From    policy.NodeID
+		Message policy.LeaseMessage
+		Hash    policy.ExecutorHash
 	}
 	// Garbled: what came from a neighbour could not be read.
 	Garbled struct{ Why string }
@@ -206,7 +206,7 @@
 func (HandoffLinkDown) event()        {}
 func (Neighbours) event()             {}
 func (Hears) event()                  {}
-func (HearsPlace) event()             {}
+func (LeaseMessageReceived) event()   {}
 func (Garbled) event()                {}
 
 // Effect is what the reducer asks for: one of the types below.
@@ -267,11 +267,11 @@
 	HalveLimits struct{ Half bool }
 	// TellNeighbour says a word to a neighbour, which may get lost.
 	TellNeighbour struct{ fleet.To }
-	// TellPlace says a word about an executor's places to a neighbour; it may get lost.
-	TellPlace struct {
-		To   policy.NodeID
-		Word policy.Word
-		Sum  policy.Sum
+	// SendLeaseMessage says a word about an executor's places to a neighbour; it may get lost.
+	SendLeaseMessage struct {
+		To      policy.NodeID
+		Message policy.LeaseMessage
+		Hash    policy.ExecutorHash
 	}
 	// CloseFront lets the clients go that have their answers, and takes nothing more.
 	CloseFront struct{}
@@ -307,4 +307,4 @@
 func (AcceptConnections) effect() {}
 func (HalveLimits) effect()       {}
 func (TellNeighbour) effect()     {}
-func (TellPlace) effect()         {}
+func (SendLeaseMessage) effect()  {}
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -56,7 +56,7 @@
 	UpdateJobClasses(now time.Duration, tracks []policy.JobClassUpdate)
 	ExportLearned(now time.Duration) policy.LearnedState
 	ImportLearned(now time.Duration, k policy.LearnedState)
-	Heard(now time.Duration, from policy.NodeID, word policy.Word, sum policy.Sum)
+	ReceiveLeaseMessage(now time.Duration, from policy.NodeID, word policy.LeaseMessage, sum policy.ExecutorHash)
 	Tally(now time.Duration) policy.Tally
 	Cut(policy.CutLine)
 }
@@ -204,7 +204,7 @@
 		n.heard(ev.Link, ev.Message)
 	case HandoffLinkDown:
 		n.parted(ev.Link, ev.Detail)
-	case Neighbours, Hears, HearsPlace, Garbled:
+	case Neighbours, Hears, LeaseMessageReceived, Garbled:
 		n.ofFleet(ev)
 	case Woke:
 		n.armed = -1
@@ -330,9 +330,9 @@
 			}
 		case policy.Probe:
 			n.probe(due.Executor)
-		case policy.Tell:
+		case policy.SendLeaseMessage:
 			if n.fleet != nil { // else nobody carries it
-				n.say(TellPlace{To: due.Node, Word: due.Word, Sum: due.Sum})
+				n.say(SendLeaseMessage{To: due.Node, Message: due.Message, Hash: due.Hash})
 			}
 		case policy.WatchEndpoints:
 			n.say(WatchEndpoints{})
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -47,7 +47,7 @@
 // Fleet says words to neighbours.
 type Fleet interface {
 	Tell(fleet.To)
-	TellPlace(TellPlace)
+	SendLeaseMessage(SendLeaseMessage)
 }
 
 // Edges are the packages by peer that carry effects out.
@@ -161,8 +161,8 @@
 				to.Memory(e.Half)
 			case TellNeighbour:
 				to.Fleet.Tell(e.To)
-			case TellPlace:
-				to.Fleet.TellPlace(e)
+			case SendLeaseMessage:
+				to.Fleet.SendLeaseMessage(e)
 			case CloseFront:
 				to.Clients.Close()
 			case Wake:
--- a/internal/node/talk.go
+++ b/internal/node/talk.go
@@ -29,8 +29,8 @@
 				n.showAgain(id)
 			}
 		}
-	case HearsPlace:
-		n.brain.Heard(n.now, ev.From, ev.Word, ev.Sum)
+	case LeaseMessageReceived:
+		n.brain.ReceiveLeaseMessage(n.now, ev.From, ev.Message, ev.Hash)
 	case Garbled:
 		n.fleet.Dropped(ev.Why)
 	}
--- a/policy/books.go
+++ b/policy/books.go
@@ -350,28 +350,28 @@
 
 // ---- Places that nodes lend each other ----
 
-func (d *Dispatcher) tell(now time.Duration, to NodeID, word Word, sum Sum) {
+func (d *Dispatcher) tell(now time.Duration, to NodeID, word LeaseMessage, sum ExecutorHash) {
 	if to == d.node {
-		d.Heard(now, to, word, sum)
+		d.ReceiveLeaseMessage(now, to, word, sum)
 		return
 	}
-	d.words = append(d.words, Due{Task: Tell, Node: to, Word: word, Sum: sum})
+	d.words = append(d.words, Due{Task: SendLeaseMessage, Node: to, Message: word, Hash: sum})
 }
 
 // giveBack tells the keeper that a place it lent is free again.
 func (d *Dispatcher) giveBack(e *executor, now time.Duration, late bool) {
 	if e.lent > 0 {
 		e.lent--
-		word := Back
+		word := LeaseReturn
 		if late {
-			word = BackLate
+			word = LeaseReturnLate
 		}
 		d.tell(now, e.keeper, word, e.sum)
 	}
 }
 
 // keepOf is the book that this node keeps of an executor's places.
-func (d *Dispatcher) keepOf(sum Sum) *keep {
+func (d *Dispatcher) keepOf(sum ExecutorHash) *keep {
 	k := d.kept[sum]
 	if k == nil {
 		k = &keep{sum: sum, quota: firstQuota}
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -11,7 +11,7 @@
 // What one process has learnt, another of the same list knows, quotas and hold-backs too; what makes no sense is passed
 // over, and a cold executor's figures are not taken.
 func TestHandover(t *testing.T) {
-	player := &player{t: t, d: New(settings(nil)), shot: map[JobID]AttemptID{}, on: map[JobID][]ExecutorID{}, names: map[Sum]ExecutorID{}}
+	player := &player{t: t, d: New(settings(nil)), shot: map[JobID]AttemptID{}, on: map[JobID][]ExecutorID{}, names: map[ExecutorHash]ExecutorID{}}
 	last := time.Duration(0)
 	for _, line := range strings.Split(strings.TrimSpace(`
 0s list a b:0:1
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -120,7 +120,7 @@
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
 	s.Node = r.IntN(s.Nodes)
 	yes := func() bool { return r.IntN(2) == 0 }
-	s.MayTell, s.MayHedge, s.MayProbe, s.LoadAdjustedWeights, s.TellsStart = yes(), yes(), yes(), yes(), r.IntN(4) > 0
+	s.MayLease, s.MayHedge, s.MayProbe, s.LoadAdjustedWeights, s.TellsStart = yes(), yes(), yes(), yes(), r.IntN(4) > 0
 	s.ValuePerWork, s.ClientsMarkRetries = yes(), yes()
 	if yes() {
 		s.CrossZoneCost = 0.5 * r.Float64()
@@ -285,9 +285,9 @@
 			w.Place(w.now, due.Job)
 		case CancelAttempt:
 			w.Ended(w.now, due.Job, due.Attempt, [...]Outcome{Canceled, NotSent, Succeeded}[w.r.IntN(3)], false)
-		case Tell:
+		case SendLeaseMessage:
 			if w.r.IntN(3) > 0 {
-				w.Heard(w.now, due.Node, [...]Word{Lend, Lend, Later}[w.r.IntN(3)], due.Sum)
+				w.ReceiveLeaseMessage(w.now, due.Node, [...]LeaseMessage{LeaseGrant, LeaseGrant, LeaseWait}[w.r.IntN(3)], due.Hash)
 			}
 		case Probe:
 			if w.r.IntN(3) > 0 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -104,10 +104,10 @@
 	fresh := e == nil
 	if fresh {
 		e = &executor{id: n.Executor, started: n.StartedAt, news: now, rank: d.rankOf(n.Executor), place: -1}
-		e.sum = Sum(crc32.ChecksumIEEE([]byte(n.Executor)))
+		e.sum = ExecutorHash(crc32.ChecksumIEEE([]byte(n.Executor)))
 		e.keeper = d.keeperOf(e.sum)
 		// The nodes that carry a cold executor follow its number: all reckon the same ones, without asking.
-		place := (int(d.node) + d.nodes - int(e.sum%Sum(d.nodes))) % d.nodes
+		place := (int(d.node) + d.nodes - int(e.sum%ExecutorHash(d.nodes))) % d.nodes
 		e.carried = place < d.carriers
 		d.fresh = append(d.fresh, e)
 		d.byID[e.id], d.bySum[e.sum] = e, e
@@ -766,7 +766,7 @@
 // Where nodes are many and may talk, one keeps each executor's places for all: a place is asked for before a
 // token there is used, and given back with it. A keeper that does not answer is done without for a while.
 
-func (d *Dispatcher) keeperOf(sum Sum) NodeID { return NodeID(sum % Sum(d.nodes)) }
+func (d *Dispatcher) keeperOf(sum ExecutorHash) NodeID { return NodeID(sum % ExecutorHash(d.nodes)) }
 
 // cleared says whether e's keeper has given a place there, or, asking, may be asked for one.
 func (d *Dispatcher) cleared(e *executor, now time.Duration, asking bool) bool {
@@ -785,7 +785,7 @@
 		if e.given {
 			e.given = false
 			d.touch(e)
-			d.tell(now, e.keeper, Back, e.sum)
+			d.tell(now, e.keeper, LeaseReturn, e.sum)
 		}
 	}
 	d.givens = d.givens[:0]
@@ -793,7 +793,7 @@
 		if e.place >= 0 && e.queued && len(d.held)+len(d.heldLate)+len(d.copies) == 0 {
 			e.asked = false
 			d.touch(e)
-			d.tell(now, e.keeper, Never, e.sum)
+			d.tell(now, e.keeper, LeaseCancel, e.sum)
 		}
 	}
 	if !d.wants || !d.mayTell || !d.many() {
@@ -818,9 +818,9 @@
 	j.asked, e.asked, e.queued, e.askedAt = e, true, false, now
 	d.awaits(e)
 	d.at(now+d.shortestQuoted/4, nil, nil)
-	word := Want
+	word := LeaseRequest
 	if d.late(j, now) {
-		word = WantLate
+		word = LeaseRequestLate
 	}
 	d.tell(now, e.keeper, word, e.sum)
 }
@@ -855,38 +855,38 @@
 	}
 }
 
-// Heard tells of a word from another node about an executor's places.
-func (d *Dispatcher) Heard(now time.Duration, from NodeID, word Word, sum Sum) {
+// ReceiveLeaseMessage tells of a word from another node about an executor's places.
+func (d *Dispatcher) ReceiveLeaseMessage(now time.Duration, from NodeID, word LeaseMessage, sum ExecutorHash) {
 	switch word {
-	case Lend, Later:
+	case LeaseGrant, LeaseWait:
 		e := d.bySum[sum]
 		if e == nil || !e.asked || e.keeper != from {
-			if word == Lend {
-				d.tell(now, from, Back, sum)
+			if word == LeaseGrant {
+				d.tell(now, from, LeaseReturn, sum)
 			}
 			return
 		}
-		d.freed, d.wants, e.queued = true, true, word == Later
-		if word == Lend {
+		d.freed, d.wants, e.queued = true, true, word == LeaseWait
+		if word == LeaseGrant {
 			e.asked, e.given = false, true
 			d.touch(e)
 			d.givens = append(d.givens, e)
 		}
-	case Want, WantLate:
+	case LeaseRequest, LeaseRequestLate:
 		k := d.keepOf(sum)
-		k.wait(from, word == WantLate)
+		k.wait(from, word == LeaseRequestLate)
 		if d.lend(k, k.quota, now); k.waits(from) {
 			k.dry = true
-			d.tell(now, from, Later, sum)
+			d.tell(now, from, LeaseWait, sum)
 			if e := d.bySum[sum]; e != nil {
 				d.askLoad(e, now, d.shortestQuoted)
 			}
 		}
-	case Never:
+	case LeaseCancel:
 		d.keepOf(sum).leave(from)
-	case Back, BackLate:
+	case LeaseReturn, LeaseReturnLate:
 		k := d.keepOf(sum)
-		k.back(from, word == BackLate)
+		k.back(from, word == LeaseReturnLate)
 		d.lend(k, k.quota, now)
 	}
 }
@@ -899,7 +899,7 @@
 		to := k.first()
 		k.lentAt = now
 		k.lent = append(k.lent, lease{to, now + 2*d.interval})
-		d.tell(now, to, Lend, k.sum)
+		d.tell(now, to, LeaseGrant, k.sum)
 	}
 }
 
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -11,7 +11,7 @@
 	d := &Dispatcher{
 		seed: s.Seed, node: NodeID(s.Node), nodes: s.Nodes, zone: s.Zone,
 		kinds: map[KindID]*kind{}, byID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
-		index: index{until: pile{by: byUntil}}, bySum: map[Sum]*executor{}, kept: map[Sum]*keep{}, mayTell: s.MayTell, mayCopy: s.MayHedge, probes: s.MayProbe, marks: s.ClientsMarkRetries,
+		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, mayCopy: s.MayHedge, probes: s.MayProbe, marks: s.ClientsMarkRetries,
 		perWork: s.ValuePerWork, overage: s.OverQuotaValue, crossPrice: s.CrossZoneCost,
 		wholeWeight: s.TotalWeight, trackWeight: s.WorstClassWeight,
 		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
--- a/policy/state.go
+++ b/policy/state.go
@@ -81,10 +81,10 @@
 	mayCopy bool
 	probes  bool
 	marks   bool
-	wants   bool              // a batch job may want to ask for a place
-	givens  []*executor       // where a place was given
-	bySum   map[Sum]*executor // by the id that nodes use among each other
-	kept    map[Sum]*keep     // what this node keeps for all
+	wants   bool                       // a batch job may want to ask for a place
+	givens  []*executor                // where a place was given
+	bySum   map[ExecutorHash]*executor // by the id that nodes use among each other
+	kept    map[ExecutorHash]*keep     // what this node keeps for all
 	keeps   []*keep
 	words   []Due // to be said; probes and notes among them
 }
@@ -133,7 +133,7 @@
 // executor is what this node knows of one executor.
 type executor struct {
 	id        ExecutorID
-	sum       Sum
+	sum       ExecutorHash
 	zone      ZoneID
 	kind      KindID
 	cell      CellID
@@ -200,7 +200,7 @@
 
 // keep is what this node keeps for all: an executor's places.
 type keep struct {
-	sum        Sum
+	sum        ExecutorHash
 	quota      int
 	lent       []lease
 	queue      []NodeID // those that wait for a place
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -30,7 +30,7 @@
 	d     *Dispatcher
 	shot  map[JobID]AttemptID
 	on    map[JobID][]ExecutorID
-	names map[Sum]ExecutorID
+	names map[ExecutorHash]ExecutorID
 	lines []string
 }
 
@@ -63,7 +63,7 @@
 		"price":    func() { s.CrossZoneCost = 0.25 },
 		"nodes8":   func() { s.Nodes = 8 },
 		"nodes30":  func() { s.Nodes, s.Node = 30, 7 },
-		"talk":     func() { s.MayTell = true },
+		"talk":     func() { s.MayLease = true },
 		"copies":   func() { s.MayHedge = true },
 		"probes":   func() { s.MayProbe = true },
 		"marks":    func() { s.ClientsMarkRetries = true },
@@ -105,8 +105,8 @@
 			p.say(now, "stop waiting for %s on %s", due.Job, p.on[due.Job][due.Attempt])
 		case WatchEndpoints:
 			p.say(now, "subscribe")
-		case Tell:
-			p.say(now, "tell node %d: %s %s", due.Node, wordNames[due.Word], p.names[due.Sum])
+		case SendLeaseMessage:
+			p.say(now, "tell node %d: %s %s", due.Node, wordNames[due.Message], p.names[due.Hash])
 		case Probe:
 			p.say(now, "probe %s", due.Executor)
 		case Note:
@@ -148,15 +148,15 @@
 	return n
 }
 
-var wordNames = map[Word]string{Want: "want", WantLate: "want-late", Lend: "lend", Later: "later",
-	Back: "back", BackLate: "back-late"}
+var wordNames = map[LeaseMessage]string{LeaseRequest: "want", LeaseRequestLate: "want-late", LeaseGrant: "lend", LeaseWait: "later",
+	LeaseReturn: "back", LeaseReturnLate: "back-late"}
 
 var outcomeWords = map[string]Outcome{"handled": Succeeded, "errored": ExecutorError, "unfit": InvalidRequest, "no-room": ExecutorFull,
 	"too-slow": TimedOut, "no-route": ConnectFailed, "cut": ConnectionLost, "called-off": Canceled, "not-sent": NotSent}
 
 // play runs a trace file's own lines and gives the file as it should be.
 func play(t *testing.T, lines []string) string {
-	p := &player{t: t, shot: map[JobID]AttemptID{}, on: map[JobID][]ExecutorID{}, names: map[Sum]ExecutorID{}}
+	p := &player{t: t, shot: map[JobID]AttemptID{}, on: map[JobID][]ExecutorID{}, names: map[ExecutorHash]ExecutorID{}}
 	last := time.Duration(0)
 	for _, line := range lines {
 		words := strings.Fields(line)
@@ -198,7 +198,7 @@
 		for _, w := range words {
 			entries = append(entries, entry(p.t, now, w))
 			name := entries[len(entries)-1].Executor
-			p.names[Sum(crc32.ChecksumIEEE([]byte(name)))] = name
+			p.names[ExecutorHash(crc32.ChecksumIEEE([]byte(name)))] = name
 		}
 		kinds := map[string]EndpointUpdateKind{"list": CompleteUpdate, "change": IncrementalUpdate, "lost": WatchFailed, "copy": CachedUpdate}
 		p.d.UpdateEndpoints(now, kinds[what], entries)
@@ -224,7 +224,7 @@
 		from, _ := strconv.Atoi(words[0])
 		for word, name := range wordNames {
 			if name == words[1] {
-				p.d.Heard(now, NodeID(from), word, Sum(crc32.ChecksumIEEE([]byte(words[2]))))
+				p.d.ReceiveLeaseMessage(now, NodeID(from), word, ExecutorHash(crc32.ChecksumIEEE([]byte(words[2]))))
 			}
 		}
 	case "reported":
--- a/policy/types.go
+++ b/policy/types.go
@@ -7,16 +7,16 @@
 
 // Each kind of id is a type of its own. The places of tracks, tenants, zones and kinds count from 0.
 type (
-	JobID      string
-	ExecutorID string
-	AttemptID  int
-	NodeID     int
-	Sum        uint32 // an executor as nodes name it among each other
-	JobClassID int
-	TenantID   int
-	ZoneID     int
-	KindID     int
-	CellID     int
+	JobID        string
+	ExecutorID   string
+	AttemptID    int
+	NodeID       int
+	ExecutorHash uint32 // an executor as nodes name it among each other
+	JobClassID   int
+	TenantID     int
+	ZoneID       int
+	KindID       int
+	CellID       int
 )
 
 // Endless is longer than anything.
@@ -107,7 +107,7 @@
 
 	MaxAttempts        int
 	MayCancel          bool
-	MayTell            bool          // nodes may send each other words
+	MayLease           bool          // nodes may send each other words
 	MayHedge           bool          // a repeatable batch job may have a second allocation out
 	ClientsMarkRetries bool          // clients mark their repeats
 	MayProbe           bool          // executors answer probes with their load, and only those
@@ -219,13 +219,13 @@
 type Task int
 
 const (
-	Sleep          Task = iota // nothing before Due.At
-	PlaceJob                   // ask where to send Due.Job
-	CancelAttempt              // stop waiting for Due.Allocation of Due.Job
-	WatchEndpoints             // ask for the list and its changes
-	Tell                       // say Due.Word of the executor of Due.Sum to Due.Node
-	Note                       // write Due.Text to the log
-	Probe                      // ask Due.Executor for its load
+	Sleep            Task = iota // nothing before Due.At
+	PlaceJob                     // ask where to send Due.Job
+	CancelAttempt                // stop waiting for Due.Allocation of Due.Job
+	WatchEndpoints               // ask for the list and its changes
+	SendLeaseMessage             // say Due.Word of the executor of Due.Sum to Due.Node
+	Note                         // write Due.Text to the log
+	Probe                        // ask Due.Executor for its load
 )
 
 // Due is the answer to how long to wait.
@@ -235,21 +235,21 @@
 	Job      JobID
 	Attempt  AttemptID
 	Node     NodeID
-	Word     Word
-	Sum      Sum
+	Message  LeaseMessage
+	Hash     ExecutorHash
 	Executor ExecutorID
 	Text     string
 }
 
-// Word is what one node says to another of an executor's places.
-type Word byte
+// LeaseMessage is what one node says to another of an executor's places.
+type LeaseMessage byte
 
 const (
-	Want     Word = iota + 1 // a place is wanted
-	WantLate                 // for a late batch job
-	Lend                     // here is one
-	Later                    // none is free yet
-	Never                    // it is not wanted any more
-	Back                     // the place is free again
-	BackLate                 // likewise, and the batch job had to wait at the executor
+	LeaseRequest     LeaseMessage = iota + 1 // a place is wanted
+	LeaseRequestLate                         // for a late batch job
+	LeaseGrant                               // here is one
+	LeaseWait                                // none is free yet
+	LeaseCancel                              // it is not wanted any more
+	LeaseReturn                              // the place is free again
+	LeaseReturnLate                          // likewise, and the batch job had to wait at the executor
 )
