--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -146,9 +146,9 @@
 	if own == nil {
 		return nil, nil
 	}
-	name := fleet.Name(cmp.Or(own.Name, c.Name))
+	name := fleet.NodeName(cmp.Or(own.Name, c.Name))
 	s := fleet.Defaults(name, uint64(start.UnixMilli()), c.Settings.Policy.Seed)
-	s.Every, s.Tell, s.ViewFor, s.DrainFor = time.Duration(own.Every), own.Tell, time.Duration(own.ViewFor), time.Duration(own.DrainFor)
+	s.GossipInterval, s.Fanout, s.PeerStateTTL, s.DrainTTL = time.Duration(own.Every), own.Tell, time.Duration(own.ViewFor), time.Duration(own.DrainFor)
 	o, err := members.Parse(name, policy.NodeID(c.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
 	return &service.Fleet{Settings: s, Options: o}, err
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -28,7 +28,7 @@
 func TestTraces(t *testing.T) {
 	kept.Replay(t, func(t *testing.T, lines []string) string {
 		s := Defaults("me", 5, 1)
-		s.Epoch, s.DrainFor = 0, 30*time.Second
+		s.Epoch, s.DrainTTL = 0, 30*time.Second
 		p, out := &player{t: t, f: New(s)}, []string{}
 		for _, line := range lines {
 			out = append(out, line)
@@ -71,7 +71,7 @@
 			value[key] = v
 		}
 	}
-	figures := Figures{Offered: map[int]float64{}}
+	figures := Rates{Offered: map[int]float64{}}
 	for key, v := range value {
 		switch key {
 		case "offered":
@@ -79,24 +79,24 @@
 		case "admitted":
 			figures.Admitted = p.figure(v)
 		case "done":
-			figures.Done = p.figure(v)
+			figures.Completed = p.figure(v)
 		case "lost":
-			figures.Lost = p.figure(v)
+			figures.Expired = p.figure(v)
 		case "moves":
-			figures.Moves = p.figure(v)
+			figures.Migrations = p.figure(v)
 		case "waiting":
 			figures.Waiting = p.figure(v)
 		}
 	}
 	switch words[0] {
 	case "alive":
-		var names []Name
+		var names []NodeName
 		for _, w := range words[1:] {
-			names = append(names, Name(w))
+			names = append(names, NodeName(w))
 		}
-		p.f.Alive(names)
+		p.f.SetAlive(names)
 	case "tick":
-		t := policy.Tally{Admitted: figures.Admitted, Done: figures.Done, Lost: figures.Lost, Moves: figures.Moves, Waiting: figures.Waiting}
+		t := policy.LoadSummary{Admitted: figures.Admitted, Completed: figures.Completed, Expired: figures.Expired, Migrations: figures.Migrations, Waiting: figures.Waiting}
 		for rung, x := range figures.Offered {
 			t.Offered[rung] = x
 		}
@@ -105,31 +105,31 @@
 		}
 		told, line := p.f.Tick(now, t)
 		for _, to := range told {
-			text := fmt.Sprintf("tell %s, word %d: offered %.1f, done %.1f", to.Name, to.Word.Seq, to.Word.Figures.total(), to.Word.Figures.Done)
-			for _, d := range to.Word.Drains {
+			text := fmt.Sprintf("tell %s, word %d: offered %.1f, done %.1f", to.To, to.Message.Seq, to.Message.Rates.total(), to.Message.Rates.Completed)
+			for _, d := range to.Message.Drains {
 				text += fmt.Sprintf(", %s drains, %v old", d.Executor, d.Age)
 			}
 			out = append(out, text)
 		}
-		text := fmt.Sprintf("cut line at rung %d, %.2f of it taken", line.Rung, line.Part)
-		if line.Wait > 0 {
-			text += fmt.Sprintf(", moves wait %.2f of their slack", line.Wait)
+		text := fmt.Sprintf("cut line at rung %d, %.2f of it taken", line.Level, line.AdmitFraction)
+		if line.MigrationDelay > 0 {
+			text += fmt.Sprintf(", moves wait %.2f of their slack", line.MigrationDelay)
 		}
 		out = append(out, text)
 	case "word":
-		w := Word{From: Name(words[1]), Life: 1, Seq: 1, Figures: figures}
+		w := Message{From: NodeName(words[1]), Incarnation: 1, Seq: 1, Rates: figures}
 		if v := value["life"]; v != "" {
-			w.Life = uint64(p.figure(v))
+			w.Incarnation = uint64(p.figure(v))
 		}
 		if v := value["seq"]; v != "" {
 			w.Seq = uint64(p.figure(v))
 		}
 		for _, text := range words[2:] {
 			if part := strings.Split(text, ":"); len(part) == 3 && !strings.Contains(text, "=") {
-				w.Drains = append(w.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: kept.Span(p.t, part[1]), Born: kept.Span(p.t, part[2]).Milliseconds()})
+				w.Drains = append(w.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: kept.Span(p.t, part[1]), Incarnation: kept.Span(p.t, part[2]).Milliseconds()})
 			}
 		}
-		for _, id := range p.f.Heard(now, w) {
+		for _, id := range p.f.Receive(now, w) {
 			out = append(out, fmt.Sprintf("%s is news", id))
 		}
 	case "list":
@@ -138,16 +138,16 @@
 		if v := value["born"]; v != "" {
 			born = kept.Span(p.t, v)
 		}
-		p.f.Sighted(now, policy.ExecutorID(words[1]), born, born == 0, state)
+		p.f.ObserveEndpoint(now, policy.ExecutorID(words[1]), born, born == 0, state)
 	case "drains":
 		born := kept.Span(p.t, value["born"])
-		out = append(out, fmt.Sprint(p.f.Drains(policy.ExecutorID(words[1]), born, born == 0)))
+		out = append(out, fmt.Sprint(p.f.IsDraining(policy.ExecutorID(words[1]), born, born == 0)))
 	case "old":
-		for _, id := range p.f.Old(now, words[1] == "follows") {
+		for _, id := range p.f.ExpireDrains(now, words[1] == "follows") {
 			out = append(out, fmt.Sprintf("%s is forgotten", id))
 		}
 	case "show":
-		out = p.f.Lines(now)
+		out = p.f.Describe(now)
 	default:
 		p.t.Fatalf("no line begins with %q", words[0])
 	}
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -241,5 +241,5 @@
 func (b *baseline) ImportLearned(time.Duration, policy.LearnedState)                  {}
 func (b *baseline) ReceiveLeaseMessage(time.Duration, policy.NodeID, policy.LeaseMessage, policy.ExecutorHash) {
 }
-func (b *baseline) Tally(time.Duration) policy.Tally { return policy.Tally{} }
-func (b *baseline) Cut(policy.CutLine)               {}
+func (b *baseline) TakeLoadSummary(time.Duration) policy.LoadSummary { return policy.LoadSummary{} }
+func (b *baseline) SetAdmissionThreshold(policy.AdmissionThreshold)  {}
--- a/internal/lab/bounds.go
+++ b/internal/lab/bounds.go
@@ -19,8 +19,8 @@
 
 // bounds is what the check keeps in mind.
 type bounds struct {
-	told map[fleet.WordID]time.Duration // when each word was told
-	old  []fleet.WordID                 // in that order
+	told map[fleet.MessageID]time.Duration // when each word was told
+	old  []fleet.MessageID                 // in that order
 }
 
 // pace is what a node did lately, averaged as it does itself.
@@ -43,26 +43,26 @@
 }
 
 // bounded checks a word that a node tells, before anything becomes of it on its way.
-func (n *sim) bounded(to fleet.To) {
+func (n *sim) bounded(to fleet.Envelope) {
 	w, s := n.w, fleet.Defaults("", 0, 0)
 	n.pace.words = append(n.pace.words, w.now)
-	for w.now-n.pace.words[0] > 4*s.Every {
+	for w.now-n.pace.words[0] > 4*s.GossipInterval {
 		n.pace.words = n.pace.words[1:]
 	}
-	if most := s.Tell * (5 + slackWords); len(n.pace.words) > most {
-		w.over(n, "%s told %d words in %v where %d are the most", n.name, len(n.pace.words), 4*s.Every, most)
+	if most := s.Fanout * (5 + slackWords); len(n.pace.words) > most {
+		w.over(n, "%s told %d words in %v where %d are the most", n.name, len(n.pace.words), 4*s.GossipInterval, most)
 	}
-	if done, did := to.Word.Figures.Done, n.pace.rate(w.now, w.now-n.started); n.w.s.Load.HintNoise >= 0 && n.w.s.Load.HintNoise < 0.3 && w.now >= n.pace.stood && done > echoTimes*did+echoMore {
+	if done, did := to.Message.Rates.Completed, n.pace.rate(w.now, w.now-n.started); n.w.s.Load.HintNoise >= 0 && n.w.s.Load.HintNoise < 0.3 && w.now >= n.pace.stood && done > echoTimes*did+echoMore {
 		w.over(n, "%s tells that it does %.2f, and did %.2f", n.name, done, did)
 	}
 	if len(n.pace.words) > 1 && n.pace.words[len(n.pace.words)-2] == w.now {
 		return // what counts was looked at with the spell's first word
 	}
-	longest := s.ViewFor + time.Duration(w.s.Fleet.WordsLate) + max(time.Duration(w.s.Fleet.Near), time.Duration(w.s.Fleet.Far))
-	if w.now < n.pace.stood+s.ViewFor {
-		longest += 3 * s.Every // a shorter stand-still than that shows nowhere
+	longest := s.PeerStateTTL + time.Duration(w.s.Fleet.WordsLate) + max(time.Duration(w.s.Fleet.Near), time.Duration(w.s.Fleet.Far))
+	if w.now < n.pace.stood+s.PeerStateTTL {
+		longest += 3 * s.GossipInterval // a shorter stand-still than that shows nowhere
 	}
-	for _, c := range n.core.Fleet().Counted(w.now - n.started) {
+	for _, c := range n.core.Fleet().FreshPeers(w.now - n.started) {
 		at, ok := w.bounds.told[c]
 		if !ok {
 			w.over(n, "%s counts word %d of %s, which was never told", n.name, c.Seq, c.From)
@@ -73,9 +73,9 @@
 }
 
 // remember books that a word is on its way.
-func (w *World) remember(word fleet.Word) {
+func (w *World) remember(word fleet.Message) {
 	b := &w.bounds
-	key := fleet.WordID{From: word.From, Life: word.Life, Seq: word.Seq}
+	key := fleet.MessageID{From: word.From, Incarnation: word.Incarnation, Seq: word.Seq}
 	if _, ok := b.told[key]; !ok {
 		b.old = append(b.old, key)
 	}
--- a/internal/lab/fleet_defects_test.go
+++ b/internal/lab/fleet_defects_test.go
@@ -14,14 +14,14 @@
 // stuck is a module whose cut line never falls again.
 type stuck struct {
 	node.Module
-	highest policy.CutLine
+	highest policy.AdmissionThreshold
 }
 
-func (m *stuck) Cut(l policy.CutLine) {
-	if l.Rung >= m.highest.Rung {
+func (m *stuck) SetAdmissionThreshold(l policy.AdmissionThreshold) {
+	if l.Level >= m.highest.Level {
 		m.highest = l
 	}
-	m.Module.Cut(m.highest)
+	m.Module.SetAdmissionThreshold(m.highest)
 }
 
 // overTold gives the first bound between nodes that broke.
@@ -44,29 +44,29 @@
 		wrong func(sound, r Result) string
 	}{
 		{"a node tells its own echo as news", nil, func() plant {
-			heard := map[rules.NodeID]map[fleet.Name]fleet.Figures{}
+			heard := map[rules.NodeID]map[fleet.NodeName]fleet.Rates{}
 			return plant{
-				event: changed(func(_ *World, n *sim, ev node.Hears) []node.Event {
+				event: changed(func(_ *World, n *sim, ev node.GossipReceived) []node.Event {
 					if heard[n.id] == nil {
-						heard[n.id] = map[fleet.Name]fleet.Figures{}
+						heard[n.id] = map[fleet.NodeName]fleet.Rates{}
 					}
-					heard[n.id][ev.Word.From] = ev.Word.Figures
+					heard[n.id][ev.Message.From] = ev.Message.Rates
 					return []node.Event{ev}
 				}),
-				effect: instead(func(_ *World, n *sim, to node.TellNeighbour) []node.Effect {
+				effect: instead(func(_ *World, n *sim, to node.SendGossip) []node.Effect {
 					for _, g := range heard[n.id] {
-						to.Word.Figures.Done += g.Done
+						to.Message.Rates.Completed += g.Completed
 					}
 					return []node.Effect{to}
 				})}
 		}(), overTold},
 		{"an old view counts as fresh", func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "nodes-apart", At: Span(4 * time.Second), For: Span(9 * time.Second), Where: []string{"n0", "n1"}}}
-		}, plant{fleet: func(s *fleet.Settings) { s.ViewFor = time.Hour }}, overTold},
-		{"a node tells more often than it may", nil, plant{fleet: func(s *fleet.Settings) { s.Every /= 2 }}, overTold},
+		}, plant{fleet: func(s *fleet.Settings) { s.PeerStateTTL = time.Hour }}, overTold},
+		{"a node tells more often than it may", nil, plant{fleet: func(s *fleet.Settings) { s.GossipInterval /= 2 }}, overTold},
 		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Of = 0.8 }, plant{
-			event: changed(func(_ *World, _ *sim, ev node.Hears) []node.Event {
-				ev.Word.Figures.Moves = 0
+			event: changed(func(_ *World, _ *sim, ev node.GossipReceived) []node.Event {
+				ev.Message.Rates.Migrations = 0
 				return []node.Event{ev}
 			})}, func(sound, r Result) string {
 			if float64(r.Allocations) > 1.2*float64(sound.Allocations) {
--- a/internal/lab/talk.go
+++ b/internal/lab/talk.go
@@ -22,20 +22,20 @@
 
 // talk makes a node that has just started one of the fleet.
 func (n *sim) talk() {
-	s := fleet.Defaults(fleet.Name(n.name), uint64(n.started.Milliseconds())<<8+uint64(n.run), uint32(mix(n.w.seed+uint64(n.id))))
+	s := fleet.Defaults(fleet.NodeName(n.name), uint64(n.started.Milliseconds())<<8+uint64(n.run), uint32(mix(n.w.seed+uint64(n.id))))
 	s.Epoch = n.started.Milliseconds()
 	if n.w.plant.fleet != nil {
 		n.w.plant.fleet(&s)
 	}
 	n.pace = pace{at: n.w.now}
-	n.core.Talk(s)
+	n.core.JoinFleet(s)
 	n.reached, n.alive = map[rules.NodeID]time.Duration{}, nil
 	n.later(time.Duration(n.w.talks.Int64N(int64(memberSpell))), n.look)
 }
 
 // look finds out who is alive.
 func (n *sim) look() {
-	var alive []fleet.Name
+	var alive []fleet.NodeName
 	for _, o := range n.w.nodes {
 		if o == n {
 			continue
@@ -44,12 +44,12 @@
 			n.reached[o.id] = n.w.now
 		}
 		if at, ok := n.reached[o.id]; ok && n.w.now-at < deadAfter {
-			alive = append(alive, fleet.Name(o.name))
+			alive = append(alive, fleet.NodeName(o.name))
 		}
 	}
 	if !slices.Equal(alive, n.alive) {
 		n.alive = alive
-		n.tell(node.Neighbours{Alive: slices.Clone(alive)})
+		n.tell(node.FleetChanged{Alive: slices.Clone(alive)})
 	}
 	n.later(memberSpell, n.look)
 }
@@ -68,13 +68,13 @@
 }
 
 // say sends a word on its way.
-func (n *sim) say(to fleet.To) {
+func (n *sim) say(to fleet.Envelope) {
 	n.bounded(to)
-	to.Word = n.lie(to.Word)
-	n.w.remember(to.Word)
-	i := slices.IndexFunc(n.w.nodes, func(o *sim) bool { return o.name == string(to.Name) })
+	to.Message = n.lie(to.Message)
+	n.w.remember(to.Message)
+	i := slices.IndexFunc(n.w.nodes, func(o *sim) bool { return o.name == string(to.To) })
 	if i >= 0 {
-		n.carryWord(n.w.nodes[i], node.Hears{Word: to.Word})
+		n.carryWord(n.w.nodes[i], node.GossipReceived{Message: to.Message})
 	}
 }
 
@@ -121,26 +121,26 @@
 }
 
 // lie makes nonsense of what a node tells, while it lies: each word another kind of it.
-func (n *sim) lie(w fleet.Word) fleet.Word {
+func (n *sim) lie(w fleet.Message) fleet.Message {
 	if n.lies == 0 {
 		return w
 	}
 	n.lies++
-	g := w.Figures.Clone()
+	g := w.Rates.Clone()
 	switch n.lies % 4 {
 	case 0: // ten times the truth
 		for rung := range g.Offered {
 			g.Offered[rung] *= 10
 		}
-		g.Done *= 10
+		g.Completed *= 10
 	case 1:
-		g.Done = -1
+		g.Completed = -1
 	case 2: // all is lost
-		g.Lost += 10 * g.Done
+		g.Expired += 10 * g.Completed
 	case 3:
-		w.From = fleet.Name(n.w.nodes[(int(n.id)+1)%len(n.w.nodes)].name) // another's name
+		w.From = fleet.NodeName(n.w.nodes[(int(n.id)+1)%len(n.w.nodes)].name) // another's name
 	}
-	w.Figures = g
+	w.Rates = g
 	return w
 }
 
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -97,7 +97,7 @@
 // New makes a world in which nothing has happened yet.
 func New(s Scenario, seed uint64, o Options) *World {
 	w := &World{s: s, seed: seed, rand: stream(seed, "network"), talks: stream(seed, "words"), noise: stream(seed, "attempts"), front: stream(seed, "front"), byAddr: map[string]*executor{},
-		memories: standin.Memories{}, bounds: bounds{told: map[fleet.WordID]time.Duration{}}, trace: o.Trace, cuts: make([]cut, len(s.Fleet.Zones)),
+		memories: standin.Memories{}, bounds: bounds{told: map[fleet.MessageID]time.Duration{}}, trace: o.Trace, cuts: make([]cut, len(s.Fleet.Zones)),
 		discovery: standin.NewDiscovery(time.Duration(s.Fleet.ListLag)), most: cmp.Or(o.Most, mostBroken), policy: cmp.Or(o.Policy, ModulePolicy)}
 	if o.Account {
 		w.account = &ledger{w: w, open: map[rules.WorkID]*history{}}
@@ -338,7 +338,7 @@
 	life     *life // its process, where the world is wired
 	dials    map[node.ConnID]*executor
 
-	alive   []fleet.Name // neighbours that it holds for alive, where nodes talk
+	alive   []fleet.NodeName // neighbours that it holds for alive, where nodes talk
 	reached map[rules.NodeID]time.Duration
 	pace    pace         // of what it does, to check what it tells
 	lies    int          // words told while it tells nonsense; 0 while it does not
@@ -499,8 +499,8 @@
 		n.later(5*time.Millisecond, func() { n.tell(node.FrontClosed{}) })
 	case node.WatchEndpoints:
 		n.later(5*time.Millisecond, n.news)
-	case node.TellNeighbour:
-		n.say(e.To)
+	case node.SendGossip:
+		n.say(e.Envelope)
 	case node.SendLeaseMessage:
 		n.sayPlace(e)
 	case node.Wake:
--- a/internal/members/codec.go
+++ b/internal/members/codec.go
@@ -55,17 +55,17 @@
 }
 
 // encode writes a word; drains that find no room are left out, the next word has them.
-func encode(w fleet.Word) ([]byte, error) {
-	text := wordText{Version: version, From: string(w.From), Life: w.Life, Seq: w.Seq, Done: float32(w.Figures.Done), Lost: float32(w.Figures.Lost), Waiting: float32(w.Figures.Waiting), Admitted: float32(w.Figures.Admitted),
-		Moves: float32(w.Figures.Moves)}
-	if len(w.Figures.Offered) > 0 {
+func encode(w fleet.Message) ([]byte, error) {
+	text := wordText{Version: version, From: string(w.From), Life: w.Incarnation, Seq: w.Seq, Done: float32(w.Rates.Completed), Lost: float32(w.Rates.Expired), Waiting: float32(w.Rates.Waiting), Admitted: float32(w.Rates.Admitted),
+		Moves: float32(w.Rates.Migrations)}
+	if len(w.Rates.Offered) > 0 {
 		text.Offered = map[int]float32{}
-		for rung, x := range w.Figures.Offered {
+		for rung, x := range w.Rates.Offered {
 			text.Offered[rung] = float32(x)
 		}
 	}
 	for _, d := range w.Drains {
-		text.Drains = append(text.Drains, drainText{Executor: string(d.Executor), Born: d.Born, AgeMs: (d.Age + time.Millisecond - 1).Milliseconds()})
+		text.Drains = append(text.Drains, drainText{Executor: string(d.Executor), Born: d.Incarnation, AgeMs: (d.Age + time.Millisecond - 1).Milliseconds()})
 	}
 	for {
 		b, err := writes.Marshal(text)
@@ -82,7 +82,7 @@
 }
 
 // decode reads a word. What its figures and ages may be, the decider checks.
-func decode(b []byte) (w fleet.Word, err error) {
+func decode(b []byte) (w fleet.Message, err error) {
 	var text wordText
 	if len(b) > mostBytes {
 		return w, fmt.Errorf("longer than a word may be")
@@ -96,16 +96,16 @@
 	if text.Version > version {
 		return w, fmt.Errorf("of a newer version")
 	}
-	w = fleet.Word{From: fleet.Name(text.From), Life: text.Life, Seq: text.Seq,
-		Figures: fleet.Figures{Offered: map[int]float64{}, Done: float64(text.Done), Lost: float64(text.Lost), Waiting: float64(text.Waiting), Admitted: float64(text.Admitted), Moves: float64(text.Moves)}}
+	w = fleet.Message{From: fleet.NodeName(text.From), Incarnation: text.Life, Seq: text.Seq,
+		Rates: fleet.Rates{Offered: map[int]float64{}, Completed: float64(text.Done), Expired: float64(text.Lost), Waiting: float64(text.Waiting), Admitted: float64(text.Admitted), Migrations: float64(text.Moves)}}
 	for rung, x := range text.Offered {
-		w.Figures.Offered[rung] = float64(x)
+		w.Rates.Offered[rung] = float64(x)
 	}
 	for _, d := range text.Drains {
 		if d.AgeMs < 0 || d.AgeMs > math.MaxInt64/int64(time.Millisecond) {
 			return w, fmt.Errorf("with an age that makes no sense")
 		}
-		w.Drains = append(w.Drains, fleet.Drain{Executor: policy.ExecutorID(d.Executor), Born: d.Born, Age: time.Duration(d.AgeMs) * time.Millisecond})
+		w.Drains = append(w.Drains, fleet.Drain{Executor: policy.ExecutorID(d.Executor), Incarnation: d.Born, Age: time.Duration(d.AgeMs) * time.Millisecond})
 	}
 	return w, nil
 }
--- a/internal/members/codec_test.go
+++ b/internal/members/codec_test.go
@@ -15,8 +15,8 @@
 
 // What is written is read as it was, in one datagram; drains that find no room are left out, ages never grow younger.
 func TestWords(t *testing.T) {
-	w := fleet.Word{From: "n7", Life: 12, Seq: 3, Figures: fleet.Figures{Offered: map[int]float64{38: 1.5, 34: 0.25}, Admitted: 3, Done: 2, Lost: 0.5, Waiting: 0.125, Moves: 0.75},
-		Drains: []fleet.Drain{{Executor: "e1", Born: 1764600000123, Age: 1500*time.Millisecond + time.Microsecond}}}
+	w := fleet.Message{From: "n7", Incarnation: 12, Seq: 3, Rates: fleet.Rates{Offered: map[int]float64{38: 1.5, 34: 0.25}, Admitted: 3, Completed: 2, Expired: 0.5, Waiting: 0.125, Migrations: 0.75},
+		Drains: []fleet.Drain{{Executor: "e1", Incarnation: 1764600000123, Age: 1500*time.Millisecond + time.Microsecond}}}
 	b, err := encode(w)
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 
 // Whatever comes, nothing breaks, and what is read is sound once the decider has looked at it.
 func FuzzWord(f *testing.F) {
-	for _, w := range []fleet.Word{{}, {From: "a", Life: 1, Seq: 1, Figures: fleet.Figures{Offered: map[int]float64{63: math.MaxFloat32, -1: math.Inf(1)}, Done: math.NaN()},
+	for _, w := range []fleet.Message{{}, {From: "a", Incarnation: 1, Seq: 1, Rates: fleet.Rates{Offered: map[int]float64{63: math.MaxFloat32, -1: math.Inf(1)}, Completed: math.NaN()},
 		Drains: []fleet.Drain{{Executor: "e", Age: time.Hour}}}} {
 		b, err := encode(w)
 		if err != nil {
@@ -72,19 +72,19 @@
 			return
 		}
 		s := fleet.New(fleet.Defaults("me", 1, 1))
-		s.Alive([]fleet.Name{w.From})
-		s.Heard(time.Millisecond, w)
-		told, _ := s.Tick(250*time.Millisecond, policy.Tally{})
+		s.SetAlive([]fleet.NodeName{w.From})
+		s.Receive(time.Millisecond, w)
+		told, _ := s.Tick(250*time.Millisecond, policy.LoadSummary{})
 		for _, to := range told {
-			for rung, x := range to.Word.Figures.Offered {
+			for rung, x := range to.Message.Rates.Offered {
 				if math.IsNaN(x) || math.IsInf(x, 0) {
 					t.Errorf("rung %d: %v", rung, x)
 				}
 			}
-			again, err := encode(to.Word)
+			again, err := encode(to.Message)
 			if err != nil {
 				t.Error(err)
-			} else if got, err := decode(again); err != nil || !maps.Equal(got.Figures.Offered, to.Word.Figures.Offered) {
+			} else if got, err := decode(again); err != nil || !maps.Equal(got.Rates.Offered, to.Message.Rates.Offered) {
 				t.Errorf("%+v, %v", got, err)
 			}
 		}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -22,7 +22,7 @@
 
 // Options say where a node listens for its neighbours, and where the first ones are found.
 type Options struct {
-	Name      fleet.Name
+	Name      fleet.NodeName
 	Number    policy.NodeID // by which nodes name each other where they lend places
 	Listen    netip.AddrPort
 	Advertise netip.AddrPort // where neighbours reach it
@@ -62,8 +62,8 @@
 		down: map[string]string{}, resumed: map[string]bool{}, told: make(chan struct{}, 1), resumes: make(chan struct{}, 1)}
 }
 
-// Tell says a word to a neighbour, or drops it where too many wait.
-func (m *Members) Tell(to fleet.To) { m.queue(to) }
+// SendGossip says a word to a neighbour, or drops it where too many wait.
+func (m *Members) SendGossip(to fleet.Envelope) { m.queue(to) }
 
 // SendLeaseMessage says a word about an executor's places to the neighbour of that number.
 func (m *Members) SendLeaseMessage(to node.SendLeaseMessage) { m.queue(to) }
@@ -206,9 +206,9 @@
 			var b []byte
 			var err error
 			switch to := to.(type) {
-			case fleet.To:
-				n = m.at(string(to.Name))
-				b, err = encode(to.Word)
+			case fleet.Envelope:
+				n = m.at(string(to.To))
+				b, err = encode(to.Message)
 			case node.SendLeaseMessage:
 				n = m.at(meta(to.To))
 				b, err = encodePlace(m.o.Number, to)
@@ -241,15 +241,15 @@
 		case <-m.told:
 		}
 		m.mu.Lock()
-		var names []fleet.Name
+		var names []fleet.NodeName
 		for key, n := range m.nodes {
 			if key == n.Name {
-				names = append(names, fleet.Name(n.Name))
+				names = append(names, fleet.NodeName(n.Name))
 			}
 		}
 		m.mu.Unlock()
 		slices.Sort(names)
-		m.tell(node.Neighbours{Alive: names})
+		m.tell(node.FleetChanged{Alive: names})
 	}
 }
 
@@ -287,7 +287,7 @@
 // NotifyConflict is its call when two nodes bear one name.
 func (m *Members) NotifyConflict(here, other *memberlist.Node) {
 	m.log.Error().Str("name", here.Name).Str("at", here.Address()).Str("and_at", other.Address()).Msg("two nodes of the fleet bear one name: the second is not taken in")
-	m.tell(node.Garbled{Why: "of a second node of the same name"})
+	m.tell(node.GossipUnreadable{Why: "of a second node of the same name"})
 }
 
 // NotifyMsg is its call when a word has come.
@@ -295,7 +295,7 @@
 	if isPlace(b) {
 		p, err := decodePlace(b)
 		if err != nil {
-			m.tell(node.Garbled{Why: err.Error()})
+			m.tell(node.GossipUnreadable{Why: err.Error()})
 			return
 		}
 		m.tell(p)
@@ -303,11 +303,11 @@
 	}
 	w, err := decode(b)
 	if err != nil {
-		m.tell(node.Garbled{Why: err.Error()})
+		m.tell(node.GossipUnreadable{Why: err.Error()})
 		return
 	}
 	m.heardOf(string(w.From))
-	m.tell(node.Hears{Word: w})
+	m.tell(node.GossipReceived{Message: w})
 }
 
 // NodeMeta is its call for what neighbours are told of this node: its number.
@@ -322,7 +322,7 @@
 func (m *Members) MergeRemoteState([]byte, bool) {}
 
 // Parse reads the addresses of an operator's file, which has been checked.
-func Parse(name fleet.Name, number policy.NodeID, listen, advertise string, seeds []string) (o Options, err error) {
+func Parse(name fleet.NodeName, number policy.NodeID, listen, advertise string, seeds []string) (o Options, err error) {
 	o = Options{Name: name, Number: number}
 	if o.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return o, fmt.Errorf("fleet.listen: %w", err)
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -75,7 +75,7 @@
 	seeds := []netip.AddrPort{there}
 	alive := make(chan bool, 64) // whether the node is alive, by its neighbour
 	member(Options{Name: "neighbour", Listen: there, Advertise: there, Seeds: seeds}, func(ev node.Event) {
-		if n, is := ev.(node.Neighbours); is {
+		if n, is := ev.(node.FleetChanged); is {
 			alive <- slices.Contains(n.Alive, "node")
 		}
 	})
@@ -108,6 +108,6 @@
 	until(false, "the neighbour did not take the node for dead", func() { c.Write(deadMessage("node", "neighbour")) })
 	until(true, "the node sends messages and stays taken for dead", func() {
 		seq++
-		n.Tell(fleet.To{Name: "neighbour", Word: fleet.Word{From: "node", Life: 1, Seq: seq}})
+		n.SendGossip(fleet.Envelope{To: "neighbour", Message: fleet.Message{From: "node", Incarnation: 1, Seq: seq}})
 	})
 }
--- a/internal/members/traffic_test.go
+++ b/internal/members/traffic_test.go
@@ -21,14 +21,14 @@
 	none.Of = func(netip.Addr) bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
-	heard := make(chan node.Hears, 1)
-	member := func(name fleet.Name, number int, listen netip.AddrPort, traffic *Traffic, tell func(node.Event)) *Members {
+	heard := make(chan node.GossipReceived, 1)
+	member := func(name fleet.NodeName, number int, listen netip.AddrPort, traffic *Traffic, tell func(node.Event)) *Members {
 		m := New(Options{Name: name, Listen: listen, Advertise: listen, Seeds: []netip.AddrPort{there}, Traffic: traffic}, tell, zerolog.Nop())
 		wait.Go(func() { m.Run(ctx) })
 		return m
 	}
 	member("b", 1, there, &none, func(ev node.Event) {
-		if h, is := ev.(node.Hears); is {
+		if h, is := ev.(node.GossipReceived); is {
 			select {
 			case heard <- h:
 			default:
@@ -42,9 +42,9 @@
 	for came := false; !came; {
 		select {
 		case <-again.C:
-			a.Tell(fleet.To{Name: "b", Word: fleet.Word{From: "a", Life: 1, Seq: 1}})
+			a.SendGossip(fleet.Envelope{To: "b", Message: fleet.Message{From: "a", Incarnation: 1, Seq: 1}})
 		case h := <-heard:
-			came = h.Word.From == "a"
+			came = h.Message.From == "a"
 		case <-limit:
 			t.Fatal("no word came")
 		}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -168,18 +168,18 @@
 		Link   HandoffLink
 		Detail string
 	}
-	// Neighbours: the nodes of the fleet that are held for alive.
-	Neighbours struct{ Alive []fleet.Name }
-	// Hears: a neighbour's word.
-	Hears struct{ Word fleet.Word }
+	// FleetChanged: the nodes of the fleet that are held for alive.
+	FleetChanged struct{ Alive []fleet.NodeName }
+	// GossipReceived: a neighbour's word.
+	GossipReceived struct{ Message fleet.Message }
 	// LeaseMessageReceived: a neighbour's word about an executor's places.
 	LeaseMessageReceived struct {
 		From    policy.NodeID
 		Message policy.LeaseMessage
 		Hash    policy.ExecutorHash
 	}
-	// Garbled: what came from a neighbour could not be read.
-	Garbled struct{ Why string }
+	// GossipUnreadable: what came from a neighbour could not be read.
+	GossipUnreadable struct{ Why string }
 	// Woke: the timer that was asked for.
 	Woke struct{}
 )
@@ -204,10 +204,10 @@
 func (HandoffLinkUp) event()          {}
 func (HandoffReceived) event()        {}
 func (HandoffLinkDown) event()        {}
-func (Neighbours) event()             {}
-func (Hears) event()                  {}
+func (FleetChanged) event()           {}
+func (GossipReceived) event()         {}
 func (LeaseMessageReceived) event()   {}
-func (Garbled) event()                {}
+func (GossipUnreadable) event()       {}
 
 // Effect is what the reducer asks for: one of the types below.
 type Effect interface{ effect() }
@@ -265,8 +265,8 @@
 	AcceptConnections struct{ Yes bool }
 	// HalveLimits halves what this process may use of the node's limits, or gives it all back.
 	HalveLimits struct{ Half bool }
-	// TellNeighbour says a word to a neighbour, which may get lost.
-	TellNeighbour struct{ fleet.To }
+	// SendGossip says a word to a neighbour, which may get lost.
+	SendGossip struct{ fleet.Envelope }
 	// SendLeaseMessage says a word about an executor's places to a neighbour; it may get lost.
 	SendLeaseMessage struct {
 		To      policy.NodeID
@@ -306,5 +306,5 @@
 func (CloseHandoffLink) effect()  {}
 func (AcceptConnections) effect() {}
 func (HalveLimits) effect()       {}
-func (TellNeighbour) effect()     {}
+func (SendGossip) effect()        {}
 func (SendLeaseMessage) effect()  {}
--- a/internal/node/hand.go
+++ b/internal/node/hand.go
@@ -72,7 +72,7 @@
 		r.Metrics = &f
 	case ReadFleet:
 		if r.Refusal = "this node talks with no others: its [fleet] table is not there"; n.fleet != nil {
-			r.Refusal, r.Lines = "", n.fleet.Lines(n.now)
+			r.Refusal, r.Lines = "", n.fleet.Describe(n.now)
 		}
 	default:
 		if r.Refusal = n.carry(ev.Command, ev.Executor); r.Refusal == "" {
@@ -143,7 +143,7 @@
 
 // merged is an entry of the list with what operators want, and what neighbours tell of drains, put over it.
 func (n *Node) merged(in policy.Endpoint) policy.Endpoint {
-	told := n.fleet != nil && n.fleet.Drains(in.Executor, in.StartedAt, in.StartedLongAgo)
+	told := n.fleet != nil && n.fleet.IsDraining(in.Executor, in.StartedAt, in.StartedLongAgo)
 	if (n.outs[in.Executor] || told) && in.State == policy.Available {
 		in.State = policy.Draining
 	}
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -57,8 +57,8 @@
 	ExportLearned(now time.Duration) policy.LearnedState
 	ImportLearned(now time.Duration, k policy.LearnedState)
 	ReceiveLeaseMessage(now time.Duration, from policy.NodeID, word policy.LeaseMessage, sum policy.ExecutorHash)
-	Tally(now time.Duration) policy.Tally
-	Cut(policy.CutLine)
+	TakeLoadSummary(now time.Duration) policy.LoadSummary
+	SetAdmissionThreshold(policy.AdmissionThreshold)
 }
 
 // Node is the state of one node.
@@ -204,7 +204,7 @@
 		n.heard(ev.Link, ev.Message)
 	case HandoffLinkDown:
 		n.parted(ev.Link, ev.Detail)
-	case Neighbours, Hears, LeaseMessageReceived, Garbled:
+	case FleetChanged, GossipReceived, LeaseMessageReceived, GossipUnreadable:
 		n.ofFleet(ev)
 	case Woke:
 		n.armed = -1
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -85,7 +85,7 @@
 	n := New(brain, limits, []JobClass{{"page", policy.JobClass{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second,
 		Value: 1, Kind: policy.AnyKind}}})
 	if slices.Contains(words, "talk") {
-		n.Talk(fleet.Defaults("me", 0, 1))
+		n.JoinFleet(fleet.Defaults("me", 0, 1))
 	}
 	return n
 }
@@ -130,14 +130,14 @@
 	case "copy":
 		return EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: p.executors(now, words[1:])}
 	case "alive":
-		var names []fleet.Name
+		var names []fleet.NodeName
 		for _, w := range words[1:] {
-			names = append(names, fleet.Name(w))
+			names = append(names, fleet.NodeName(w))
 		}
-		return Neighbours{names}
+		return FleetChanged{names}
 	case "word": // of a neighbour, its number, and the executor that drains there
 		seq, _ := strconv.Atoi(words[2])
-		return Hears{fleet.Word{From: fleet.Name(words[1]), Life: 1, Seq: uint64(seq), Drains: []fleet.Drain{{Executor: policy.ExecutorID(words[3])}}}}
+		return GossipReceived{fleet.Message{From: fleet.NodeName(words[1]), Incarnation: 1, Seq: uint64(seq), Drains: []fleet.Drain{{Executor: policy.ExecutorID(words[3])}}}}
 	case "lost":
 		return EndpointsUpdated{Kind: policy.WatchFailed, Detail: "no answer"}
 	case "job":
@@ -290,11 +290,11 @@
 			line = fmt.Sprintf("probe %s at %s", e.Executor, e.Addr)
 		case WatchEndpoints:
 			line = "watch"
-		case TellNeighbour:
-			if len(e.Word.Drains) == 0 {
+		case SendGossip:
+			if len(e.Message.Drains) == 0 {
 				continue
 			}
-			line = fmt.Sprintf("tell %s that %s drains, %v old", e.Name, e.Word.Drains[0].Executor, e.Word.Drains[0].Age)
+			line = fmt.Sprintf("tell %s that %s drains, %v old", e.To, e.Message.Drains[0].Executor, e.Message.Drains[0].Age)
 		case SwitchDiscovery:
 			line = "follow " + e.Addr
 		case Ready:
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -46,7 +46,7 @@
 
 // Fleet says words to neighbours.
 type Fleet interface {
-	Tell(fleet.To)
+	SendGossip(fleet.Envelope)
 	SendLeaseMessage(SendLeaseMessage)
 }
 
@@ -159,8 +159,8 @@
 			case HalveLimits:
 				to.Clients.HalveLimits(e.Half)
 				to.Memory(e.Half)
-			case TellNeighbour:
-				to.Fleet.Tell(e.To)
+			case SendGossip:
+				to.Fleet.SendGossip(e.Envelope)
 			case SendLeaseMessage:
 				to.Fleet.SendLeaseMessage(e)
 			case CloseFront:
--- a/internal/node/talk.go
+++ b/internal/node/talk.go
@@ -7,8 +7,8 @@
 	"birchstair/policy"
 )
 
-// Talk makes this node one of a fleet. It is called before the first step, or never: then nothing of this file acts.
-func (n *Node) Talk(s fleet.Settings) { n.fleet = fleet.New(s) }
+// JoinFleet makes this node one of a fleet. It is called before the first step, or never: then nothing of this file acts.
+func (n *Node) JoinFleet(s fleet.Settings) { n.fleet = fleet.New(s) }
 
 // Fleet is what this node knows of its fleet, to be looked at; nil where it does not talk.
 func (n *Node) Fleet() *fleet.Fleet { return n.fleet }
@@ -19,20 +19,20 @@
 		return
 	}
 	switch ev := ev.(type) {
-	case Neighbours:
-		n.fleet.Alive(ev.Alive)
+	case FleetChanged:
+		n.fleet.SetAlive(ev.Alive)
 		n.say(Log{Text: fmt.Sprintf("nodes of the fleet alive: %d", len(ev.Alive))})
-	case Hears:
-		for _, id := range n.fleet.Heard(n.now, ev.Word) {
-			if e := n.executors[id]; e != nil && e.up && n.fleet.Drains(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
-				n.say(Log{Text: "counts as draining: " + string(ev.Word.From) + " told so", Executor: id})
+	case GossipReceived:
+		for _, id := range n.fleet.Receive(n.now, ev.Message) {
+			if e := n.executors[id]; e != nil && e.up && n.fleet.IsDraining(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
+				n.say(Log{Text: "counts as draining: " + string(ev.Message.From) + " told so", Executor: id})
 				n.showAgain(id)
 			}
 		}
 	case LeaseMessageReceived:
 		n.brain.ReceiveLeaseMessage(n.now, ev.From, ev.Message, ev.Hash)
-	case Garbled:
-		n.fleet.Dropped(ev.Why)
+	case GossipUnreadable:
+		n.fleet.CountDropped(ev.Why)
 	}
 }
 
@@ -41,14 +41,14 @@
 	if n.fleet == nil || n.now < n.fleet.Next() {
 		return
 	}
-	for _, id := range n.fleet.Old(n.now, n.live && !n.listLost) {
+	for _, id := range n.fleet.ExpireDrains(n.now, n.live && !n.listLost) {
 		n.say(Log{Text: "no longer counts as draining by what neighbours told", Executor: id})
 		n.showAgain(id)
 	}
-	words, line := n.fleet.Tick(n.now, n.brain.Tally(n.now))
-	n.brain.Cut(line)
+	words, line := n.fleet.Tick(n.now, n.brain.TakeLoadSummary(n.now))
+	n.brain.SetAdmissionThreshold(line)
 	for _, w := range words {
-		n.say(TellNeighbour{w})
+		n.say(SendGossip{w})
 	}
 }
 
@@ -65,6 +65,6 @@
 // sighted tells neighbours what this node's own list says.
 func (n *Node) sighted(in policy.Endpoint) {
 	if n.fleet != nil {
-		n.fleet.Sighted(n.now, in.Executor, in.StartedAt, in.StartedLongAgo, in.State)
+		n.fleet.ObserveEndpoint(n.now, in.Executor, in.StartedAt, in.StartedLongAgo, in.State)
 	}
 }
--- a/internal/scale/members.go
+++ b/internal/scale/members.go
@@ -72,7 +72,7 @@
 	}
 	h.traffic.Of = func(a netip.Addr) bool { return isReal[a] }
 	for i, n := range job.Nodes {
-		o, err := members.Parse(fleet.Name(n.Name), policy.NodeID(n.Number), n.Listen, "", job.Fleet.Seeds)
+		o, err := members.Parse(fleet.NodeName(n.Name), policy.NodeID(n.Number), n.Listen, "", job.Fleet.Seeds)
 		if err != nil {
 			return h, err
 		}
@@ -89,7 +89,7 @@
 				m.edge.Run(ctx)
 			}
 		})
-		h.wait.Go(func() { m.talk(ctx, s.Every, job.Fleet.Rungs) })
+		h.wait.Go(func() { m.talk(ctx, s.GossipInterval, job.Fleet.Rungs) })
 	}
 	return h, nil
 }
@@ -98,13 +98,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch ev := ev.(type) {
-	case node.Neighbours:
-		m.fleet.Alive(ev.Alive)
+	case node.FleetChanged:
+		m.fleet.SetAlive(ev.Alive)
 		m.alive = len(ev.Alive)
-	case node.Hears:
-		m.fleet.Heard(time.Since(m.epoch), ev.Word)
-	case node.Garbled:
-		m.fleet.Dropped(ev.Why)
+	case node.GossipReceived:
+		m.fleet.Receive(time.Since(m.epoch), ev.Message)
+	case node.GossipUnreadable:
+		m.fleet.CountDropped(ev.Why)
 	}
 }
 
@@ -118,18 +118,18 @@
 			return
 		case <-ticks.C:
 		}
-		var t policy.Tally
-		for i := range min(rungs, policy.Rungs) {
+		var t policy.LoadSummary
+		for i := range min(rungs, policy.PriorityLevels) {
 			t.Offered[i] = math.Pi / float64(i+1)
 		}
-		t.Admitted, t.Done, t.Capacity = 4, 3, 10
+		t.Admitted, t.Completed, t.Capacity = 4, 3, 10
 		m.mu.Lock()
 		now := time.Since(m.epoch)
-		m.fleet.Old(now, true)
+		m.fleet.ExpireDrains(now, true)
 		words, _ := m.fleet.Tick(now, t)
 		m.mu.Unlock()
 		for _, w := range words {
-			m.edge.Tell(w)
+			m.edge.SendGossip(w)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 		if i == 0 || m.alive < c.Fewest {
 			c.Fewest = m.alive
 		}
-		if about != "" && m.fleet.Drains(about, 0, true) {
+		if about != "" && m.fleet.IsDraining(about, 0, true) {
 			c.Drains++
 		}
 		m.mu.Unlock()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -90,7 +90,7 @@
 		others.Start(s.Elder)
 	}
 	if s.Fleet != nil {
-		core.Talk(s.Fleet.Settings)
+		core.JoinFleet(s.Fleet.Settings)
 		others := members.New(s.Fleet.Options, loop.Tell, s.Log)
 		edges.Fleet = others
 		among, out := context.WithCancel(context.Background())
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -34,7 +34,7 @@
 
 func fleetDefaults() Fleet {
 	d := fleet.Defaults("", 0, 0)
-	return Fleet{Every: tomlfile.Span(d.Every), Tell: d.Tell, ViewFor: tomlfile.Span(d.ViewFor), DrainFor: tomlfile.Span(d.DrainFor)}
+	return Fleet{Every: tomlfile.Span(d.GossipInterval), Tell: d.Fanout, ViewFor: tomlfile.Span(d.PeerStateTTL), DrainFor: tomlfile.Span(d.DrainTTL)}
 }
 
 // Durable turns durable batch jobs on.
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -358,7 +358,7 @@
 	case 0:
 		w.ColdFrom(w.now, w.now+time.Duration(w.r.IntN(2000))*time.Millisecond)
 	case 1:
-		w.Cut(CutLine{Rung: w.r.IntN(3) * 16, Part: w.r.Float64(), Wait: w.r.Float64()})
+		w.SetAdmissionThreshold(AdmissionThreshold{Level: w.r.IntN(3) * 16, AdmitFraction: w.r.Float64(), MigrationDelay: w.r.Float64()})
 	case 2:
 		if w.r.IntN(10) == 0 {
 			w.UpdateEndpoints(w.now, CompleteUpdate, []Endpoint{w.entry(w.ids[0], true), w.entry(w.ids[len(w.ids)-1], true)})
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -436,7 +436,7 @@
 	}
 	d.hold(j, now)
 	// In the fleet's overload a further allocation of what never ran and is below the line by now is too much.
-	j.cut = j.cut || j.sent > 0 && j.ran == nil && d.line.Rung > d.rung(j)
+	j.cut = j.cut || j.sent > 0 && j.ran == nil && d.line.Level > d.rung(j)
 	if j.cut || now >= j.limitAt-d.quantum || j.sent >= j.track.allocations || !d.mayRepeat(j, now) {
 		return d.giveUp(j)
 	}
@@ -478,8 +478,8 @@
 // Guards against low earners taken here while dearer ones find no token elsewhere.
 func (d *Dispatcher) below(j *job) bool {
 	rung, line := d.offered(j), d.line
-	marginal := rung == line.Rung && !j.tight && d.chance() < line.Part
-	return !d.admitted(j, line.Rung == 0 || rung > line.Rung || marginal)
+	marginal := rung == line.Level && !j.tight && d.chance() < line.AdmitFraction
+	return !d.admitted(j, line.Level == 0 || rung > line.Level || marginal)
 }
 
 // giveUp answers at once. A pushback says that nothing happened or that trying again is harmless: rule 2.
@@ -692,7 +692,7 @@
 	e := j.on
 	quiet := times(j.work, d.kinds[e.kind].pace)
 	if !j.running { // how long it is left there anyway, where moves have a budget
-		quiet = max(quiet, times(j.quotedAt-j.sentAt-j.work, d.line.Wait))
+		quiet = max(quiet, times(j.quotedAt-j.sentAt-j.work, d.line.MigrationDelay))
 	}
 	if !e.mute && now-max(e.news, j.sentAt) > quiet {
 		d.askLoad(e, now, d.shortestQuoted)
@@ -729,7 +729,7 @@
 		d.wishes(j)
 		slack := j.quotedAt - j.sentAt - times(j.work, pace)
 		blind := flag(!d.liveWeights && d.kinds[to.kind].places == 0) // nothing tells that another has less to do
-		from := j.sentAt + max(times(slack, d.line.Wait), times(d.longestMean(), pace*blind))
+		from := j.sentAt + max(times(slack, d.line.MigrationDelay), times(d.longestMean(), pace*blind))
 		if now < from {
 			d.lookAt(from, j)
 			return false
@@ -748,7 +748,7 @@
 
 // wantsCopy says whether a second allocation of j may still earn something.
 func (d *Dispatcher) wantsCopy(j *job, now time.Duration) bool {
-	return !j.over && len(j.out) == 1 && j.sent < j.track.allocations && d.line.Rung == 0 &&
+	return !j.over && len(j.out) == 1 && j.sent < j.track.allocations && d.line.Level == 0 &&
 		now < j.limitAt-d.quantum && (!d.late(j, now) || j.track.late > 0)
 }
 
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -341,10 +341,10 @@
 
 // ---- For nodes that talk ----
 
-// Tally is what this node saw since it was asked last; from the first asking on it is kept.
-func (d *Dispatcher) Tally(now time.Duration) Tally {
+// TakeLoadSummary is what this node saw since it was asked last; from the first asking on it is kept.
+func (d *Dispatcher) TakeLoadSummary(now time.Duration) LoadSummary {
 	t := d.tally
-	d.talks, d.tally = true, Tally{}
+	d.talks, d.tally = true, LoadSummary{}
 	for _, j := range d.held {
 		t.Waiting += j.pressing()
 	}
@@ -367,21 +367,21 @@
 	return t
 }
 
-// Cut tells where the cut line of nodes that talk is from now on. Batch jobs in hand stay.
-func (d *Dispatcher) Cut(line CutLine) { d.line = line }
+// SetAdmissionThreshold tells where the cut line of nodes that talk is from now on. Batch jobs in hand stay.
+func (d *Dispatcher) SetAdmissionThreshold(line AdmissionThreshold) { d.line = line }
 
 // rung is the step of what j earns for its work. A tenant over its share is weighed down as in value.
 func (d *Dispatcher) rung(j *job) int {
 	density := d.earnings(j) / max(j.work.Seconds(), 1e-6) * d.counts(j.tenant)
-	rung := Rungs/2 + int(math.Round(2*math.Log2(max(density, 1e-9))))
-	return min(max(0, rung), Rungs-1)
+	rung := PriorityLevels/2 + int(math.Round(2*math.Log2(max(density, 1e-9))))
+	return min(max(0, rung), PriorityLevels-1)
 }
 
 // wishes books, once, that an allocation would be moved if moves were free.
 func (d *Dispatcher) wishes(s *shot) {
 	if !s.wished {
 		s.wished = true
-		d.tally.Moves += s.work.Seconds()
+		d.tally.Migrations += s.work.Seconds()
 	}
 }
 
@@ -412,7 +412,7 @@
 // booked books an answer, in its quoted time or not.
 func (d *Dispatcher) booked(s *shot, now time.Duration) {
 	s.on.errors = 0
-	d.tally.Done += s.work.Seconds()
+	d.tally.Completed += s.work.Seconds()
 	if now <= s.quotedAt {
 		s.track.given += d.earnings(s.job)
 	}
@@ -422,6 +422,6 @@
 // it would cut more and more, to no end.
 func (d *Dispatcher) lost(j *job) {
 	if !j.tight && d.now-j.came > d.quantum && j.sent < j.track.allocations {
-		d.tally.Lost += j.work.Seconds()
+		d.tally.Expired += j.work.Seconds()
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -74,8 +74,8 @@
 	closing        time.Duration // when all must be over, once this node ends; 0 before
 
 	talks bool // nodes reckon a cut line together
-	line  CutLine
-	tally Tally // since it was asked for last
+	line  AdmissionThreshold
+	tally LoadSummary // since it was asked for last
 
 	mayTell bool
 	mayCopy bool
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -262,10 +262,10 @@
 		for i := range x {
 			x[i], _ = strconv.ParseFloat(words[i], 64)
 		}
-		p.d.Cut(CutLine{int(x[0]), x[1], x[2]})
+		p.d.SetAdmissionThreshold(AdmissionThreshold{int(x[0]), x[1], x[2]})
 	case "tally":
-		t := p.d.Tally(now)
-		p.say(now, "done %.2f, lost %.2f, would be moved %.2f", t.Done, t.Lost, t.Moves)
+		t := p.d.TakeLoadSummary(now)
+		p.say(now, "done %.2f, lost %.2f, would be moved %.2f", t.Completed, t.Expired, t.Migrations)
 	case "wait":
 	default:
 		p.t.Fatalf("unknown word %q", what)
--- a/policy/types.go
+++ b/policy/types.go
@@ -175,26 +175,26 @@
 	StartedLongAgo bool
 }
 
-// Rungs are the steps of earnings for a second of work that a tally sorts by: two to an octave, the middle one is 1.
-const Rungs = 64
-
-// Tally is what a node saw since it was asked last, in seconds of work on a standard core.
-type Tally struct {
-	Offered  [Rungs]float64 // of batch jobs that came, by what they earn for their work
-	Admitted float64        // of them, those not below the cut line
-	Done     float64        // handled
-	Moves    float64        // of allocations that would be moved, had moves no budget
-	Lost     float64        // given up on after they had waited for a token
-	Waiting  float64        // of those that are held in time now, or have not started where they were sent, against their slack
-	Capacity float64        // work a second that all executors on its list could do, as far as it has seen them
+// PriorityLevels are the steps of earnings for a second of work that a tally sorts by: two to an octave, the middle one is 1.
+const PriorityLevels = 64
+
+// LoadSummary is what a node saw since it was asked last, in seconds of work on a standard core.
+type LoadSummary struct {
+	Offered    [PriorityLevels]float64 // of batch jobs that came, by what they earn for their work
+	Admitted   float64                 // of them, those not below the cut line
+	Completed  float64                 // handled
+	Migrations float64                 // of allocations that would be moved, had moves no budget
+	Expired    float64                 // given up on after they had waited for a token
+	Waiting    float64                 // of those that are held in time now, or have not started where they were sent, against their slack
+	Capacity   float64                 // work a second that all executors on its list could do, as far as it has seen them
 }
 
-// CutLine is where earnings for the work are too low to be taken now: rungs under Rung are, and of Rung itself all
+// AdmissionThreshold is where earnings for the work are too low to be taken now: rungs under Rung are, and of Rung itself all
 // but a part. The zero value cuts nothing.
-type CutLine struct {
-	Rung int
-	Part float64
-	Wait float64 // part of its slack that an allocation has to wait where it is before it is moved, 0 to 1
+type AdmissionThreshold struct {
+	Level          int
+	AdmitFraction  float64
+	MigrationDelay float64 // part of its slack that an allocation has to wait where it is before it is moved, 0 to 1
 }
 
 // Action is what becomes of a batch job.
