--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -92,7 +92,7 @@
 	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: clients.Budget{Whole: fromClients, Half: fromFewer}, Known: c.known, Discovery: c.Discovery,
 		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.Shared, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: executors.TCP(c.Settings.DialLimit), Log: log,
 		Limits: node.Limits{Quantum: p.Quantum, IdleUse: c.Settings.IdleLimit * 4 / 5, DialLimit: c.Settings.DialLimit,
-			Conns: toExecutors, HalfConns: toFewer, ColdSpell: p.FallWindow + coldSlack, Bodies: int(c.Memory / 4), RetryAfter: p.MaxRetryAfter,
+			Conns: toExecutors, HalfConns: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, Bodies: int(c.Memory / 4), RetryAfter: p.MaxRetryAfter,
 			Work: c.LongestWork(), StopSpell: config.StopSpell, StopLimit: c.StopLimit()}}, more)
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -71,9 +71,9 @@
 			ok = true
 		}
 	}
-	load = policy.Load{Held: x[0], Waiting: x[1], Free: x[2], Memory: x[3], Took: -1}
+	load = policy.Load{InFlight: x[0], Queued: x[1], FreeSlots: x[2], FreeMemory: x[3], RunTime: -1}
 	if x[4] >= 0 {
-		load.Took = Seconds(x[4] / 1000)
+		load.RunTime = Seconds(x[4] / 1000)
 	}
 	return load, ok
 }
@@ -193,9 +193,9 @@
 		WorstClassWeight: w.ScoreParts["worst-class"],
 		MaxAttempts:      w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayLease: w.Caps.Peers,
 		MayHedge: w.Caps.Copies, MayProbe: w.Caps.Probes && w.Report.How == "on_probe", ClientsMarkRetries: w.Clients.MarksRetry,
-		ColdShare: w.Rules.ColdShare, WarmWithin: Seconds(w.Rules.WarmWithin),
-		FallMultiple: w.Rules.FallMultiple, FallWindow: Seconds(w.Rules.FallS),
-		TellsStart: w.Domain.TellsStart, TellsEvery: Seconds(w.Domain.TellsEvery),
+		SlowStartCapacity: w.Rules.ColdShare, SlowStartDuration: Seconds(w.Rules.WarmWithin),
+		OverloadMultiple: w.Rules.FallMultiple, OverloadWindow: Seconds(w.Rules.FallS),
+		StartNotices: w.Domain.TellsStart, ProgressInterval: Seconds(w.Domain.TellsEvery),
 	}
 	if w.Caps.RetryAfter {
 		s.Policy.MaxRetryAfter = Seconds(w.Caps.MaxComeBackS)
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -149,7 +149,7 @@
 	}
 	start := time.Now()
 	base := policy.Settings{Seed: uint32(w.life), Nodes: 1, Zone: 0, TotalWeight: 1, MaxAttempts: 6, MayCancel: true, MaxRetryAfter: time.Second,
-		Quantum: time.Millisecond, TellsStart: true, ColdShare: 1, FallMultiple: 4, FallWindow: time.Second, JobClasses: tracks}
+		Quantum: time.Millisecond, StartNotices: true, SlowStartCapacity: 1, OverloadMultiple: 4, OverloadWindow: time.Second, JobClasses: tracks}
 	dial := func(ctx context.Context, id node.ConnID, to string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
--- a/internal/executors/codec.go
+++ b/internal/executors/codec.go
@@ -135,7 +135,7 @@
 			return load
 		}
 	}
-	return node.Load{Load: policy.Load{Held: x[0], Waiting: x[1], Free: x[2], Memory: -1, Took: -1}, Known: true}
+	return node.Load{Load: policy.Load{InFlight: x[0], Queued: x[1], FreeSlots: x[2], FreeMemory: -1, RunTime: -1}, Known: true}
 }
 
 // loadOf reads a load report in an answer's head.
--- a/internal/executors/executors_test.go
+++ b/internal/executors/executors_test.go
@@ -150,7 +150,7 @@
 		line = "dialled"
 	}
 	if load.Known {
-		line += fmt.Sprintf(", held %v waiting %v free %v", load.Held, load.Waiting, load.Free)
+		line += fmt.Sprintf(", held %v waiting %v free %v", load.InFlight, load.Queued, load.FreeSlots)
 	}
 	p.out.WriteString("  " + line + "\n")
 }
--- a/internal/executors/probe.go
+++ b/internal/executors/probe.go
@@ -33,7 +33,7 @@
 // ask makes one probe. Any answer shows that the executor is there, or a wrong path would shut all of them out; one without a
 // report, or with values that make no sense, shows no more.
 func (p *Pool) ask(ctx context.Context, addr string) (load policy.Load, answered bool) {
-	load = policy.Load{Held: -1, Waiting: -1, Free: -1, Memory: -1, Took: -1}
+	load = policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
 	conn, err := p.dial(ctx, 0, addr)
 	if err != nil {
 		return load, false
@@ -62,10 +62,10 @@
 		}
 		return x
 	}
-	load.Held, load.Waiting = tell("inflight", "active"), tell("queue", "waiting")
-	load.Free, load.Memory = tell("x0", "x0"), tell("x1", "x1")
+	load.InFlight, load.Queued = tell("inflight", "active"), tell("queue", "waiting")
+	load.FreeSlots, load.FreeMemory = tell("x0", "x0"), tell("x1", "x1")
 	if took := tell("latency_ms", "avg_ms"); took >= 0 {
-		load.Took = time.Duration(took * float64(time.Millisecond))
+		load.RunTime = time.Duration(took * float64(time.Millisecond))
 	}
 	return load, true
 }
--- a/internal/executors/probe_test.go
+++ b/internal/executors/probe_test.go
@@ -23,7 +23,7 @@
 		case ev := <-events:
 			p := ev.(node.Probed)
 			fmt.Fprintf(&out, "%s: of %s, answered %t, held %v waiting %v free %v memory %v took %v\n", name, p.Executor, p.Answered,
-				p.Load.Held, p.Load.Waiting, p.Load.Free, p.Load.Memory, p.Load.Took)
+				p.Load.InFlight, p.Load.Queued, p.Load.FreeSlots, p.Load.FreeMemory, p.Load.RunTime)
 		case <-time.After(20 * time.Second):
 			t.Fatalf("%s: nothing came of it", name)
 		}
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -235,7 +235,7 @@
 func (b *baseline) Probed(time.Duration, policy.ExecutorID, bool, policy.Load)        {}
 func (b *baseline) Closing(time.Duration, time.Duration)                              {}
 func (b *baseline) CountExcluded(time.Duration) int                                   { return 0 }
-func (b *baseline) ColdFrom(time.Duration, time.Duration)                             {}
+func (b *baseline) ReserveSlowStartUntil(time.Duration, time.Duration)                {}
 func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)           {}
 func (b *baseline) ExportLearned(time.Duration) policy.LearnedState                   { return policy.LearnedState{} }
 func (b *baseline) ImportLearned(time.Duration, policy.LearnedState)                  {}
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -261,7 +261,9 @@
 	{"a cold executor is taken for a warm one", rules.ColdSpared, func(s *Scenario) {
 		s.Load.Of = 1.5
 		s.Fleet.ColdShare, s.Fleet.FallMultiple, s.Fleet.Queue = 0.1, 1, 10
-	}, plant{settings: func(p *policy.Settings) { p.ColdShare, p.WarmWithin, p.FallMultiple = 1, time.Millisecond, 1000 }}},
+	}, plant{settings: func(p *policy.Settings) {
+		p.SlowStartCapacity, p.SlowStartDuration, p.OverloadMultiple = 1, time.Millisecond, 1000
+	}}},
 	{"the leaving is forgotten", rules.Awaited, impatient, plant{unheard: true, blind: true}},
 	{"nobody looks before an attempt's first byte", rules.Awaited, stoppedUnderLeaving, plant{blind: true}},
 	{"what is given up on is held for a while", rules.AtOnce, nil, plant{
--- a/internal/lab/net.go
+++ b/internal/lab/net.go
@@ -258,9 +258,9 @@
 		if x.gone || !x.Up || x.Mute() {
 			return
 		}
-		load := policy.Load{Held: -1, Waiting: -1, Free: -1, Memory: -1, Took: -1}
+		load := policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
 		if says := x.Says(w.now); says.Known {
-			load.Held, load.Waiting, load.Free = says.Held, says.Waiting, says.Free
+			load.InFlight, load.Queued, load.FreeSlots = says.Held, says.Waiting, says.Free
 		}
 		w.at(w.passes(x.Zone, n.zone), func() {
 			if n.up && n.run == run {
@@ -474,7 +474,7 @@
 
 // say brings an executor's word to the node.
 func (c *wire) say(o standin.Say) {
-	load := node.Load{Load: policy.Load{Held: o.Load.Held, Waiting: o.Load.Waiting, Free: o.Load.Free, Memory: -1, Took: -1}, Known: o.Load.Known}
+	load := node.Load{Load: policy.Load{InFlight: o.Load.Held, Queued: o.Load.Waiting, FreeSlots: o.Load.Free, FreeMemory: -1, RunTime: -1}, Known: o.Load.Known}
 	sentAt := c.n.w.now
 	if l := c.load; l != nil && !l.ended && l.try.job == o.Job {
 		c.n.w.account.said(l.path, o.Word)
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -354,8 +354,8 @@
 	p := policy.Settings{Seed: uint32(mix(n.w.seed + uint64(n.id)<<20 + uint64(n.run))), Node: int(n.id), Nodes: f.Nodes, Zone: n.zone,
 		ValuePerWork: f.PerWork, CrossZoneCost: f.CrossPrice, TotalWeight: 0.8, WorstClassWeight: 0.2, MaxAttempts: f.Allocations,
 		MayCancel: true, MaxRetryAfter: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LoadAdjustedWeights: f.WeightsEvery > 0,
-		ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
-		FallWindow: time.Duration(f.FallWindow), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery),
+		SlowStartCapacity: f.ColdShare, SlowStartDuration: time.Duration(f.WarmWithin), OverloadMultiple: f.FallMultiple,
+		OverloadWindow: time.Duration(f.FallWindow), StartNotices: f.TellsStart, ProgressInterval: time.Duration(f.TellsEvery),
 		MayLease: f.Talk && f.Keepers && n.w.wired == nil, MayHedge: f.Copies, ClientsMarkRetries: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
 	longest := time.Duration(0)
 	for _, t := range n.w.module {
--- a/internal/node/pair.go
+++ b/internal/node/pair.go
@@ -98,7 +98,7 @@
 	if link == Predecessor {
 		n.waits, n.waitsBy = true, n.now+handSpell
 		n.say(Log{Text: "an older process of this node runs: its state is waited for"})
-		n.brain.ColdFrom(n.now, policy.Endless) // the elder may use all of it until it cedes
+		n.brain.ReserveSlowStartUntil(n.now, policy.Endless) // the elder may use all of it until it cedes
 		n.share()
 		return
 	}
@@ -150,7 +150,7 @@
 }
 
 // mayUseCold lets cold executors be used once all that another process may have sent them is out of the window.
-func (n *Node) mayUseCold() { n.brain.ColdFrom(n.now, n.now+n.limits.ColdSpell) }
+func (n *Node) mayUseCold() { n.brain.ReserveSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow) }
 
 // share halves the limits while another process of this node may use the other half.
 func (n *Node) share() {
@@ -183,7 +183,7 @@
 		n.ceded, n.heir = true, from
 		n.say(Log{Text: "the newer process takes over"})
 		n.say(AcceptConnections{false})
-		n.brain.ColdFrom(n.now, policy.Endless)
+		n.brain.ReserveSlowStartUntil(n.now, policy.Endless)
 		n.share()
 		n.say(SendHandoff{from, HandoffMessage{Kind: PredecessorYielded}})
 	case PredecessorYielded:
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -19,17 +19,17 @@
 
 // Limits are the figures that the reducer needs beside the module's settings.
 type Limits struct {
-	Quantum    time.Duration // what comes so close to an outer limit counts as at it
-	IdleUse    time.Duration // a connection that has rested so long is not used any more
-	DialLimit  time.Duration // news of a close takes less
-	Conns      int           // connections to executors
-	HalfConns  int           // and while another process of the node lives
-	Bodies     int           // bytes of bodies in hand
-	RetryAfter time.Duration // what is pushed back at the edge of the limits comes back then; 0: no advice
-	Work       time.Duration // a guess beyond it counts as this
-	StopSpell  time.Duration // after a stop is asked for, new batch jobs still come for so long
-	StopLimit  time.Duration // and all is answered within this
-	ColdSpell  time.Duration // rule 4's window, and a little for what was on its way
+	Quantum         time.Duration // what comes so close to an outer limit counts as at it
+	IdleUse         time.Duration // a connection that has rested so long is not used any more
+	DialLimit       time.Duration // news of a close takes less
+	Conns           int           // connections to executors
+	HalfConns       int           // and while another process of the node lives
+	Bodies          int           // bytes of bodies in hand
+	RetryAfter      time.Duration // what is pushed back at the edge of the limits comes back then; 0: no advice
+	Work            time.Duration // a guess beyond it counts as this
+	StopSpell       time.Duration // after a stop is asked for, new batch jobs still come for so long
+	StopLimit       time.Duration // and all is answered within this
+	SlowStartWindow time.Duration // rule 4's window, and a little for what was on its way
 }
 
 // ModuleBroke begins the log line of a panic of the module.
@@ -52,7 +52,7 @@
 	Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision
 	Wait(now time.Duration) policy.Due
 	CountExcluded(now time.Duration) int
-	ColdFrom(now, at time.Duration)
+	ReserveSlowStartUntil(now, at time.Duration)
 	UpdateJobClasses(now time.Duration, tracks []policy.JobClassUpdate)
 	ExportLearned(now time.Duration) policy.LearnedState
 	ImportLearned(now time.Duration, k policy.LearnedState)
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -47,11 +47,11 @@
 
 func settings(words []string) (*policy.Dispatcher, Limits) {
 	s := policy.Settings{Seed: 7, Nodes: 1, TotalWeight: 1, MaxAttempts: 3, MayCancel: true,
-		MaxRetryAfter: 2 * time.Second, Quantum: time.Millisecond, TellsStart: true, ValuePerWork: true,
-		ColdShare: 1, FallMultiple: 4, FallWindow: time.Second,
+		MaxRetryAfter: 2 * time.Second, Quantum: time.Millisecond, StartNotices: true, ValuePerWork: true,
+		SlowStartCapacity: 1, OverloadMultiple: 4, OverloadWindow: time.Second,
 		JobClasses: []policy.JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second,
 			Value: 1, Kind: policy.AnyKind}}}
-	l := Limits{Quantum: time.Millisecond, IdleUse: 8 * time.Second, DialLimit: 100 * time.Millisecond, Conns: 8, HalfConns: 3, ColdSpell: time.Second, Bodies: 100,
+	l := Limits{Quantum: time.Millisecond, IdleUse: 8 * time.Second, DialLimit: 100 * time.Millisecond, Conns: 8, HalfConns: 3, SlowStartWindow: time.Second, Bodies: 100,
 		Work: 10 * time.Second, RetryAfter: 2 * time.Second, StopSpell: 500 * time.Millisecond, StopLimit: 3 * time.Second}
 	for _, w := range words {
 		key, value, _ := strings.Cut(w, "=")
@@ -60,7 +60,7 @@
 		case "once":
 			s.JobClasses[0].Idempotency = policy.AtMostOnce
 		case "cold":
-			s.ColdShare, s.WarmWithin = 0.25, 8*time.Second
+			s.SlowStartCapacity, s.SlowStartDuration = 0.25, 8*time.Second
 		case "conns":
 			l.Conns = figure
 		case "copies":
@@ -180,7 +180,7 @@
 		return Ended{Conn: p.conn(words[1]), Outcome: outcomes[words[2]], Broken: last == "broken",
 			Result: []byte("result")}
 	case "probed":
-		return Probed{policy.ExecutorID(words[1]), last == "answered", policy.Load{Held: -1, Waiting: -1, Free: -1, Memory: -1, Took: -1}}
+		return Probed{policy.ExecutorID(words[1]), last == "answered", policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}}
 	case "unsent":
 		return Unsent{Conn: p.conn(last)}
 	case "left":
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -61,7 +61,7 @@
 
 func (m *moduleJob) settings() policy.Settings {
 	s := policy.Settings{Seed: 7, Nodes: m.Of, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Quantum: 4 * time.Millisecond,
-		ValuePerWork: true, ColdShare: 0.3, WarmWithin: 9 * time.Second, FallMultiple: 4, FallWindow: 1500 * time.Millisecond, TellsStart: true,
+		ValuePerWork: true, SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond, StartNotices: true,
 		JobClasses: []policy.JobClass{{LatencyObjective: max(time.Second, 3*m.Work), Deadline: m.budget(), Value: 2}}}
 	for range m.Tenants {
 		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerSecond: m.Rate * float64(m.Of) / float64(m.Tenants)})
@@ -193,7 +193,7 @@
 	p.running[on]--
 	if how == policy.Succeeded {
 		p.handled++
-		p.d.Reported(on, policy.Load{Held: float64(p.running[on]), Free: float64(100 - p.running[on]), Memory: -1, Took: -1})
+		p.d.Reported(on, policy.Load{InFlight: float64(p.running[on]), FreeSlots: float64(100 - p.running[on]), FreeMemory: -1, RunTime: -1})
 		delete(p.sent, id)
 	}
 	p.does(id, p.d.Ended(p.now, id, n, how, how == policy.Succeeded))
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -120,13 +120,13 @@
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
 	s.Node = r.IntN(s.Nodes)
 	yes := func() bool { return r.IntN(2) == 0 }
-	s.MayLease, s.MayHedge, s.MayProbe, s.LoadAdjustedWeights, s.TellsStart = yes(), yes(), yes(), yes(), r.IntN(4) > 0
+	s.MayLease, s.MayHedge, s.MayProbe, s.LoadAdjustedWeights, s.StartNotices = yes(), yes(), yes(), yes(), r.IntN(4) > 0
 	s.ValuePerWork, s.ClientsMarkRetries = yes(), yes()
 	if yes() {
 		s.CrossZoneCost = 0.5 * r.Float64()
 	}
 	if yes() {
-		s.TellsEvery = time.Second
+		s.ProgressInterval = time.Second
 	}
 	s.JobClasses = nil
 	for range 1 + r.IntN(3) {
@@ -291,7 +291,7 @@
 			}
 		case Probe:
 			if w.r.IntN(3) > 0 {
-				w.Probed(w.now, due.Executor, w.r.IntN(4) > 0, Load{Held: 1, Free: float64(w.r.IntN(3))})
+				w.Probed(w.now, due.Executor, w.r.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.r.IntN(3))})
 			}
 		case Sleep:
 			if w.r.IntN(4) == 0 { // picked anew, or found to be as it was
@@ -333,7 +333,7 @@
 	case what == 15 && s != nil:
 		w.Progressed(w.now, s.id, s.n, w.r.Float64())
 	case what == 16 && s != nil:
-		w.Reported(s.on.id, Load{Held: float64(w.r.IntN(4)), Free: float64(w.r.IntN(4))})
+		w.Reported(s.on.id, Load{InFlight: float64(w.r.IntN(4)), FreeSlots: float64(w.r.IntN(4))})
 	case what == 17:
 		var entries []Endpoint
 		for range 1 + w.r.IntN(4) {
@@ -356,7 +356,7 @@
 func (w *drawn) rare() {
 	switch w.r.IntN(6) {
 	case 0:
-		w.ColdFrom(w.now, w.now+time.Duration(w.r.IntN(2000))*time.Millisecond)
+		w.ReserveSlowStartUntil(w.now, w.now+time.Duration(w.r.IntN(2000))*time.Millisecond)
 	case 1:
 		w.SetAdmissionThreshold(AdmissionThreshold{Level: w.r.IntN(3) * 16, AdmitFraction: w.r.Float64(), MigrationDelay: w.r.Float64()})
 	case 2:
@@ -587,7 +587,7 @@
 		}
 		d.UpdateEndpoints(0, CompleteUpdate, entries)
 		for _, e := range entries {
-			d.Reported(e.Executor, Load{Held: 1}) // one place
+			d.Reported(e.Executor, Load{InFlight: 1}) // one place
 		}
 		sent := []JobID{}
 		settle := func() {
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -65,8 +65,8 @@
 
 // Reported tells what an executor says of its load with an answer: batch jobs held, those that wait, and places free.
 func (d *Dispatcher) Reported(id ExecutorID, load Load) {
-	e, places := d.byID[id], load.Held-load.Waiting+load.Free
-	if e == nil || places < 0.5 || min(load.Held, load.Waiting, load.Free) < 0 {
+	e, places := d.byID[id], load.InFlight-load.Queued+load.FreeSlots
+	if e == nil || places < 0.5 || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
 		return
 	}
 	k := d.kinds[e.kind]
@@ -75,7 +75,7 @@
 	}
 	k.places += (places - k.places) * (1 - fade)
 	k.parallel = max(1, int(k.places+0.5))
-	if load.Waiting < 0.5 { // how many wait is told roughly: where many do, the rest swings
+	if load.Queued < 0.5 { // how many wait is told roughly: where many do, the rest swings
 		k.sure = cmp.Or(k.sure, places)
 		k.sure += (places - k.sure) * (1 - fade)
 	}
@@ -296,9 +296,9 @@
 	return n
 }
 
-// ColdFrom tells from when on cold executors are this process's to use: another process of this node has their budget
+// ReserveSlowStartUntil tells from when on cold executors are this process's to use: another process of this node has their budget
 // until then.
-func (d *Dispatcher) ColdFrom(now, at time.Duration) {
+func (d *Dispatcher) ReserveSlowStartUntil(now, at time.Duration) {
 	d.coldFrom, d.stale, d.moved, d.freed = at, true, true, true
 	if at != Endless {
 		d.at(max(at, now), nil, nil)
@@ -322,7 +322,7 @@
 		d.moved = d.moved || e.mute
 		d.stale, d.freed = d.stale || e.mute, true
 		e.news, e.mute, e.silences = now, false, 0
-		if k := d.kept[e.sum]; k != nil && load.Free >= 0.5 && now-k.lentAt >= d.shortestQuoted {
+		if k := d.kept[e.sum]; k != nil && load.FreeSlots >= 0.5 && now-k.lentAt >= d.shortestQuoted {
 			k.more = k.more || len(k.lent) >= k.quota
 			d.lend(k, len(k.lent)+1, now)
 		}
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -15,16 +15,16 @@
 		perWork: s.ValuePerWork, overage: s.OverQuotaValue, crossPrice: s.CrossZoneCost,
 		wholeWeight: s.TotalWeight, trackWeight: s.WorstClassWeight,
 		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
-		quantum: s.Quantum, tellsStart: s.TellsStart, tellsEvery: s.TellsEvery, mustAsk: s.EndpointsPolled,
+		quantum: s.Quantum, tellsStart: s.StartNotices, tellsEvery: s.ProgressInterval, mustAsk: s.EndpointsPolled,
 		liveWeights: s.LoadAdjustedWeights,
-		coldShare:   s.ColdShare, warmWithin: s.WarmWithin, fallWindow: s.FallWindow,
+		coldShare:   s.SlowStartCapacity, warmWithin: s.SlowStartDuration, fallWindow: s.OverloadWindow,
 	}
 	for i, t := range s.JobClasses {
 		d.add(JobClassUpdate{JobClassID(i), NoJobClass, t})
 	}
 	d.derive()
 	d.tick = d.interval
-	d.shareCold(s.FallMultiple)
+	d.shareCold(s.OverloadMultiple)
 	d.spreadAsks(s.PollWithin)
 	d.at(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
 	for _, t := range s.Tenants {
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -36,8 +36,8 @@
 
 var base = Settings{
 	Seed: 7, Nodes: 1, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second,
-	Quantum: time.Millisecond, PollWithin: 8 * time.Second, ColdShare: 0.25, WarmWithin: 8 * time.Second,
-	FallMultiple: 4, FallWindow: time.Second, TellsStart: true, OverQuotaValue: 0.1, ValuePerWork: true,
+	Quantum: time.Millisecond, PollWithin: 8 * time.Second, SlowStartCapacity: 0.25, SlowStartDuration: 8 * time.Second,
+	OverloadMultiple: 4, OverloadWindow: time.Second, StartNotices: true, OverQuotaValue: 0.1, ValuePerWork: true,
 	JobClasses: []JobClass{
 		{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second, Value: 1, Kind: AnyKind,
 			DedupWindow: 2 * time.Second},
@@ -57,8 +57,8 @@
 		"late":     func() { first.LateValue = 0.5 },
 		"flat":     func() { first.RunTimeFactor = 0 },
 		"ask":      func() { s.EndpointsPolled = true },
-		"progress": func() { s.TellsEvery = time.Second },
-		"mute":     func() { s.TellsStart = false },
+		"progress": func() { s.ProgressInterval = time.Second },
+		"mute":     func() { s.StartNotices = false },
 		"nocancel": func() { s.MayCancel = false },
 		"price":    func() { s.CrossZoneCost = 0.25 },
 		"nodes8":   func() { s.Nodes = 8 },
@@ -232,11 +232,11 @@
 		for i := range load {
 			load[i], _ = strconv.ParseFloat(words[1+i], 64)
 		}
-		p.d.Reported(ExecutorID(words[0]), Load{Held: load[0], Waiting: load[1], Free: load[2], Memory: -1, Took: -1})
+		p.d.Reported(ExecutorID(words[0]), Load{InFlight: load[0], Queued: load[1], FreeSlots: load[2], FreeMemory: -1, RunTime: -1})
 	case "probed":
-		load := Load{Held: -1, Waiting: -1, Free: -1, Memory: -1, Took: -1}
+		load := Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
 		for _, w := range words[2:] {
-			load.Free, _ = strconv.ParseFloat(strings.TrimPrefix(w, "free="), 64)
+			load.FreeSlots, _ = strconv.ParseFloat(strings.TrimPrefix(w, "free="), 64)
 		}
 		p.d.Probed(now, ExecutorID(words[0]), words[1] == "answered", load)
 	case "left":
--- a/policy/types.go
+++ b/policy/types.go
@@ -117,12 +117,12 @@
 	LoadAdjustedWeights bool // weights in the list fall with the load
 	EndpointsPolled     bool // the list comes only when asked for
 	PollWithin          time.Duration
-	ColdShare           float64
-	WarmWithin          time.Duration
-	FallMultiple        float64
-	FallWindow          time.Duration
-	TellsStart          bool
-	TellsEvery          time.Duration // between an executor's notices of progress; 0: there are none
+	SlowStartCapacity   float64
+	SlowStartDuration   time.Duration
+	OverloadMultiple    float64
+	OverloadWindow      time.Duration
+	StartNotices        bool
+	ProgressInterval    time.Duration // between an executor's notices of progress; 0: there are none
 }
 
 // Arrival is a batch job as it came.
@@ -137,11 +137,11 @@
 
 // Load is what an executor says of itself. What it does not tell is under 0.
 type Load struct {
-	Held    float64       // batch jobs
-	Waiting float64       // those of them that wait
-	Free    float64       // places
-	Memory  float64       // free units of it
-	Took    time.Duration // running time of its last ones
+	InFlight   float64       // batch jobs
+	Queued     float64       // those of them that wait
+	FreeSlots  float64       // places
+	FreeMemory float64       // free units of it
+	RunTime    time.Duration // running time of its last ones
 }
 
 // EndpointUpdateKind says what a list brings.
