--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -91,9 +91,9 @@
 		Int("executors", toExecutors).Msg("the node is up")
 	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: clients.Budget{Whole: fromClients, Half: fromFewer}, Known: c.known, Discovery: c.Discovery,
 		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.Shared, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: executors.TCP(c.Settings.DialLimit), Log: log,
-		Limits: node.Limits{Quantum: p.Quantum, IdleUse: c.Settings.IdleLimit * 4 / 5, DialLimit: c.Settings.DialLimit,
-			Conns: toExecutors, HalfConns: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, Bodies: int(c.Memory / 4), RetryAfter: p.MaxRetryAfter,
-			Work: c.LongestWork(), StopSpell: config.StopSpell, StopLimit: c.StopLimit()}}, more)
+		Limits: node.Limits{Quantum: p.Quantum, MaxIdle: c.Settings.IdleLimit * 4 / 5, DialTimeout: c.Settings.DialLimit,
+			MaxConns: toExecutors, MaxConnsShared: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, MaxBodyBytes: int(c.Memory / 4), RetryAfter: p.MaxRetryAfter,
+			MaxWork: c.LongestWork(), LameDuckPeriod: config.StopSpell, ShutdownTimeout: c.StopLimit()}}, more)
 }
 
 // setAside keeps descriptors for what the operator's own file turns on.
@@ -166,5 +166,5 @@
 	if own.Durable != nil {
 		t.Settings.Policy = durable.Tracks(t.Settings.Policy, time.Duration(own.Durable.OuterLimit))
 	}
-	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.Tracks(t.Settings), Work: t.LongestWork(), StopLimit: t.StopLimit()}
+	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.Tracks(t.Settings), MaxWork: t.LongestWork(), ShutdownTimeout: t.StopLimit()}
 }
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -151,7 +151,7 @@
 	case "CANCELLED_BY_CLIENT":
 		id, err := f.need("id")
 		if err == nil {
-			n.guard(func() { n.brain.Left(now, policy.JobID(id)) })
+			n.guard(func() { n.brain.ClientLeft(now, policy.JobID(id)) })
 		}
 		return err
 	case "HEARD":
@@ -293,7 +293,7 @@
 		return err
 	}
 	n.guard(func() {
-		n.brain.Arrived(now, policy.Arrival{Job: policy.JobID(id), Class: policy.JobClassID(track), Tenant: policy.TenantID(tenant),
+		n.brain.JobArrived(now, policy.Arrival{Job: policy.JobID(id), Class: policy.JobClassID(track), Tenant: policy.TenantID(tenant),
 			Work: work, Budget: budget, ClientRetry: again == 1})
 	})
 	return nil
@@ -325,10 +325,10 @@
 	executor, _ := f.get("executor")
 	n.guard(func() {
 		if reported {
-			n.brain.Reported(policy.ExecutorID(executor), load)
+			n.brain.LoadReported(policy.ExecutorID(executor), load)
 		}
 		job := policy.JobID(id)
-		n.carryOut(job, n.brain.Ended(now, job, policy.AttemptID(shot), how, settled == 1))
+		n.carryOut(job, n.brain.AttemptEnded(now, job, policy.AttemptID(shot), how, settled == 1))
 	})
 	return nil
 }
@@ -343,14 +343,14 @@
 		return err
 	}
 	load, ok := f.report(n.load)
-	n.guard(func() { n.brain.Probed(now, policy.ExecutorID(executor), ok && string(text) == "pass", load) })
+	n.guard(func() { n.brain.ProbeEnded(now, policy.ExecutorID(executor), ok && string(text) == "pass", load) })
 	return nil
 }
 
 // What one node says to another: the word and the executor's sum, as five bytes.
 const wordBytes = 5
 
-func (n *instance) tell(due policy.Due) {
+func (n *instance) tell(due policy.DueTask) {
 	n.out = append(n.out, "SHARE who="...)
 	n.out = append(n.out, n.who...)
 	n.out = append(n.out, " dest="...)
@@ -402,9 +402,9 @@
 	n.guard(func() {
 		switch what {
 		case 1:
-			n.brain.Started(now, policy.JobID(id), policy.AttemptID(shot))
+			n.brain.AttemptStarted(now, policy.JobID(id), policy.AttemptID(shot))
 		case 2:
-			n.brain.Progressed(now, policy.JobID(id), policy.AttemptID(shot), level)
+			n.brain.AttemptProgressed(now, policy.JobID(id), policy.AttemptID(shot), level)
 		}
 	})
 	return nil
@@ -414,7 +414,7 @@
 func (n *instance) doDue(now time.Duration) {
 	now -= n.base
 	for {
-		due := n.brain.Wait(now)
+		due := n.brain.NextTask(now)
 		switch due.Task {
 		case policy.PlaceJob:
 			n.carryOut(due.Job, n.brain.Place(now, due.Job))
@@ -428,10 +428,10 @@
 			n.out = append(n.out, '\n')
 		case policy.SendLeaseMessage:
 			n.tell(due)
-		case policy.Probe:
+		case policy.ProbeExecutor:
 			n.say("ASK_LOAD", "executor", string(due.Executor))
 			n.out = append(n.out, '\n')
-		case policy.Note:
+		case policy.WriteLog:
 			n.say("PRINT", "msg", due.Text)
 			n.out = append(n.out, '\n')
 		case policy.Sleep:
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -35,7 +35,7 @@
 	c := &core{t: t, told: make(chan node.Event, 100)}
 	c.front = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
 		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, Budget{conns, conns / 2}, func(ev node.Event) {
-		if ev, ok := ev.(node.Arrived); ok {
+		if ev, ok := ev.(node.JobArrived); ok {
 			switch name, _, _ := strings.Cut(string(ev.Job.ID), "-"); {
 			case ev.Job.NearConnectionLimit:
 				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected})
@@ -67,7 +67,7 @@
 	select {
 	case ev := <-c.told:
 		switch ev := ev.(type) {
-		case node.Arrived:
+		case node.JobArrived:
 			j := ev.Job
 			fmt.Fprintf(&c.out, "  arrived: %s track %d work %v budget %v, %s %s host %s type %q tag %q body %d bytes",
 				j.ID, j.Class, j.Work, j.Budget, j.Method, j.URI, j.Host, j.ContentType, j.IdempotencyKey, len(j.Body))
@@ -78,9 +78,9 @@
 				c.out.WriteString(", crowded")
 			}
 			c.out.WriteString("\n")
-		case node.Declined:
+		case node.JobDeclined:
 			fmt.Fprintf(&c.out, "  declined: track %d\n", ev.Class)
-		case node.Left:
+		case node.ClientLeft:
 			fmt.Fprintf(&c.out, "  left: %s\n", ev.Job)
 		default:
 			fmt.Fprintf(&c.out, "  %T\n", ev)
@@ -149,7 +149,7 @@
 	}
 	ready := "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"
 	ask("not ready yet", ready, false)
-	c.front.Ready(true)
+	c.front.SetReady(true)
 	ask("ready", ready, false)
 	ask("readiness by POST", strings.Replace(ready, "GET", "POST", 1), false)
 	ask("a batch job", job("handled", "X-Call-Cost: 2500", "Idempotency-Key: k", "Content-Type: text/plain",
--- a/internal/clients/crossings_test.go
+++ b/internal/clients/crossings_test.go
@@ -17,7 +17,7 @@
 func halted(t *testing.T, conns int) (*core, *standin.Halts) {
 	h := &standin.Halts{}
 	c := newCoreBehind(t, conns, h)
-	c.front.Ready(true)
+	c.front.SetReady(true)
 	return c, h
 }
 
@@ -260,7 +260,7 @@
 	c.t.Helper()
 	select {
 	case ev := <-c.told:
-		if ev, ok := ev.(node.Arrived); ok {
+		if ev, ok := ev.(node.JobArrived); ok {
 			return ev.Job
 		}
 		c.t.Fatalf("told of %T", ev)
--- a/internal/clients/front.go
+++ b/internal/clients/front.go
@@ -71,8 +71,8 @@
 	f.tracks.Store(&all)
 }
 
-// Ready says whether the node is to be given batch jobs.
-func (f *Front) Ready(yes bool) { f.ready.Store(yes) }
+// SetReady says whether the node is to be given batch jobs.
+func (f *Front) SetReady(yes bool) { f.ready.Store(yes) }
 
 // Answer gives a batch job's final answer to the handler that waits for it.
 func (f *Front) Answer(a node.Answer) {
@@ -134,7 +134,7 @@
 	}
 	to := f.await(job.ID)
 	if to == nil {
-		f.tell(node.Declined{Class: job.Class})
+		f.tell(node.JobDeclined{Class: job.Class})
 		inHand.write(w)
 		return
 	}
@@ -142,7 +142,7 @@
 	client := conn.awaits()
 	defer conn.replied()
 	job.Client = client
-	f.tell(node.Arrived{Job: job})
+	f.tell(node.JobArrived{Job: job})
 	a, left := f.wait(r.Context(), client, job.ID, to)
 	f.sendElsewhere(w)
 	if left {
@@ -184,6 +184,6 @@
 	if over {
 		return node.Answer{Job: id, Final: node.Rejected}, false
 	}
-	f.tell(node.Left{Job: id, Client: client})
+	f.tell(node.ClientLeft{Job: id, Client: client})
 	return node.Answer{Job: id, Final: node.Failed}, left
 }
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -72,7 +72,7 @@
 		defer cancel()
 		f.gate.endKnown(f.closeIn)
 		f.server.Shutdown(ctx)
-		f.tell(node.FrontClosed{})
+		f.tell(node.FrontendClosed{})
 	}()
 }
 
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -45,8 +45,8 @@
 	ctx    context.Context
 	stop   context.CancelFunc
 
-	clients   node.Clients
-	executors node.Executors
+	clients   node.Frontend
+	executors node.Upstream
 
 	mu      sync.Mutex
 	book    *leases.Book
@@ -122,7 +122,7 @@
 func of(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
 
 // Start stands between the reducer and its edges from now on, and takes up what the store holds.
-func (d *Durable) Start(tell func(node.Event), clients node.Clients, executors node.Executors) (node.Clients, node.Executors) {
+func (d *Durable) Start(tell func(node.Event), clients node.Frontend, executors node.Upstream) (node.Frontend, node.Upstream) {
 	d.tell, d.clients, d.executors = tell, clients, executors
 	d.recover()
 	return (*clientsSide)(d), (*executorsSide)(d)
@@ -370,7 +370,7 @@
 	d.mu.Unlock()
 	job := node.Job{Class: tr.id, Work: rec.Work, Budget: e.Budget, Request: node.Request{ID: policy.JobID(prefix + string(e.ID)), Method: http.MethodPost,
 		URI: rec.URI, Host: rec.Host, ContentType: rec.ContentType, IdempotencyKey: rec.Tag, Body: rec.Body}}
-	go d.tell(node.Arrived{Job: job})
+	go d.tell(node.JobArrived{Job: job})
 }
 
 // asks asks an executor what became of an allocation of an earlier life.
@@ -393,9 +393,9 @@
 	switch ev := ev.(type) {
 	case node.EndpointsUpdated:
 		d.listed(ev)
-	case node.Ended:
+	case node.AttemptEnded:
 		d.over(ev.Conn, ev.Outcome.NeverRan(), false)
-	case node.Closed:
+	case node.ConnClosed:
 		d.over(ev.Conn, true, true) // nothing of it had left, or its outcome would have come
 	}
 }
@@ -458,8 +458,8 @@
 	})
 }
 
-// Ready: the first time that the list has come, recovered batch jobs may go on.
-func (s *clientsSide) Ready(yes bool) {
+// SetReady: the first time that the list has come, recovered batch jobs may go on.
+func (s *clientsSide) SetReady(yes bool) {
 	d := (*Durable)(s)
 	d.mu.Lock()
 	early := d.early
@@ -471,7 +471,7 @@
 		early = append(early, d.book.Stop(now())...)
 	}
 	d.mu.Unlock()
-	d.clients.Ready(yes)
+	d.clients.SetReady(yes)
 	d.carryOut(early)
 }
 
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -181,8 +181,8 @@
 	go func() {
 		defer close(ended)
 		service.Run(ctx, service.Setup{Settings: config.Settings{Policy: p, Tracks: names, Load: config.LoadAt{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
-			Limits: node.Limits{Quantum: time.Millisecond, IdleUse: time.Minute, DialLimit: 100 * time.Millisecond, Conns: 100, Bodies: 10 << 20,
-				Work: time.Hour, RetryAfter: time.Second, StopSpell: 100 * time.Millisecond, StopLimit: 200 * time.Millisecond},
+			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: 100 * time.Millisecond, MaxConns: 100, MaxBodyBytes: 10 << 20,
+				MaxWork: time.Hour, RetryAfter: time.Second, LameDuckPeriod: 100 * time.Millisecond, ShutdownTimeout: 200 * time.Millisecond},
 			ClientConns: clients.Budget{Whole: 300}, Discovery: "127.0.0.1:8500", Start: start, Module: policy.New(p), Listener: l, Executors: dial,
 			List: func(ctx context.Context, _, addr string) (net.Conn, error) { return dial(ctx, next(), addr) }, Log: zerolog.Nop(), Durable: d}, more)
 	}()
@@ -192,7 +192,7 @@
 	kill = func() {
 		w.disk.Crash()
 		w.net.Kill(host, false)
-		more <- node.FrontClosed{}
+		more <- node.FrontendClosed{}
 		<-ended
 		stop()
 		close(more)
--- a/internal/executors/crossings_test.go
+++ b/internal/executors/crossings_test.go
@@ -57,7 +57,7 @@
 		}
 		return u.halts.Conn(c), nil
 	}, false, Probing{}, func(ev node.Event) {
-		if _, rests := ev.(node.Rested); rests && atRest != nil {
+		if _, rests := ev.(node.ConnIdle); rests && atRest != nil {
 			atRest(u)
 			atRest = nil
 		}
@@ -100,7 +100,7 @@
 func (u *used) end() {
 	u.t.Helper()
 	for {
-		if _, over := u.next(u.t).(node.Closed); over {
+		if _, over := u.next(u.t).(node.ConnClosed); over {
 			return
 		}
 	}
--- a/internal/executors/executors_test.go
+++ b/internal/executors/executors_test.go
@@ -123,30 +123,30 @@
 func (p *printer) print(ev node.Event) {
 	line, load := fmt.Sprintf("%T", ev), node.Load{}
 	switch ev := ev.(type) {
-	case node.Told:
-		line, load = fmt.Sprintf("told: %v done", ev.Share), ev.Load
-	case node.Ended:
+	case node.AttemptProgressed:
+		line, load = fmt.Sprintf("told: %v done", ev.Progress), ev.Load
+	case node.AttemptEnded:
 		load = ev.Load
 		line = "ended: " + outcomes[ev.Outcome]
 		if ev.Result != nil {
 			line += fmt.Sprintf(" with %q", ev.Result)
 		}
-		if ev.Broken {
+		if ev.ConnBroken {
 			line += ", broken"
 		}
 		if text, _, _ := strings.Cut(ev.Detail, ":"); text != "" && p.details {
 			line += ", " + text
 		}
-	case node.Closed:
+	case node.ConnClosed:
 		line = "closed"
 		if text, _, _ := strings.Cut(ev.Detail, ":"); text != "" && p.details {
 			line += ", " + text
 		}
-	case node.Rested:
+	case node.ConnIdle:
 		line = "rested"
-	case node.Unsent:
+	case node.AttemptNotSent:
 		line = "unsent"
-	case node.Dialled:
+	case node.ConnReady:
 		line = "dialled"
 	}
 	if load.Known {
@@ -206,11 +206,11 @@
 		pool.Dial(1, addr)
 		for id := 1; ; {
 			ev := p.next(t)
-			if _, ok := ev.(node.Closed); ok {
+			if _, ok := ev.(node.ConnClosed); ok {
 				break
 			}
 			switch ev.(type) {
-			case node.Dialled, node.Rested:
+			case node.ConnReady, node.ConnIdle:
 				if id <= len(c.texts) && c.texts[id-1] != "unasked" {
 					pool.Write(1, call(fmt.Sprint("j", id)))
 				}
@@ -235,7 +235,7 @@
 	}
 	end := func() {
 		for {
-			if _, ok := p.next(t).(node.Closed); ok {
+			if _, ok := p.next(t).(node.ConnClosed); ok {
 				return
 			}
 		}
--- a/internal/executors/link.go
+++ b/internal/executors/link.go
@@ -80,7 +80,7 @@
 	case gone:
 		l.carries = ""
 		l.mu.Unlock()
-		l.pool.tell(node.Unsent{Conn: l.id})
+		l.pool.tell(node.AttemptNotSent{Conn: l.id})
 		return
 	}
 	l.sending, l.sentAt = true, time.Now()
@@ -125,7 +125,7 @@
 	defer func() {
 		l.close()
 		l.pool.forget(l.id)
-		l.pool.tell(node.Closed{Conn: l.id, Detail: detail})
+		l.pool.tell(node.ConnClosed{Conn: l.id, Detail: detail})
 	}()
 	conn, err := l.pool.dial(ctx, l.id, addr)
 	if err != nil {
@@ -139,11 +139,11 @@
 	if gone {
 		return
 	}
-	l.pool.tell(node.Dialled{Conn: l.id})
+	l.pool.tell(node.ConnReady{Conn: l.id})
 	limited := &io.LimitedReader{R: conn}
 	r := bufio.NewReaderSize(limited, 4<<10)
 	for l.answer(r, limited) {
-		l.pool.tell(node.Rested{Conn: l.id})
+		l.pool.tell(node.ConnIdle{Conn: l.id})
 	}
 }
 
@@ -159,7 +159,7 @@
 	if unasked {
 		return false
 	}
-	end := node.Ended{Conn: l.id}
+	end := node.AttemptEnded{Conn: l.id}
 	var rest io.Reader
 	if err == nil {
 		if rest, err = l.read(r, limited, job, &end); err == nil && end.Outcome == policy.ExecutorFull && l.mayBeStray() {
@@ -175,7 +175,7 @@
 		if !how.any {
 			return false // nothing left: it is as if this connection had never been taken
 		}
-		end.Outcome, end.Broken, end.Detail = policy.ConnectionLost, true, err.Error()
+		end.Outcome, end.ConnBroken, end.Detail = policy.ConnectionLost, true, err.Error()
 		if !how.all {
 			end.Outcome = policy.ConnectFailed
 		}
@@ -231,7 +231,7 @@
 
 // read takes an answer in up to its outcome, and gives what is left of it, or nil where nothing can follow it on
 // its connection. An error means that the connection broke or brought what makes no sense.
-func (l *link) read(r *bufio.Reader, limited *io.LimitedReader, job policy.JobID, end *node.Ended) (io.Reader, error) {
+func (l *link) read(r *bufio.Reader, limited *io.LimitedReader, job policy.JobID, end *node.AttemptEnded) (io.Reader, error) {
 	answer, err := http.ReadResponse(r, nil)
 	for err == nil && answer.StatusCode < http.StatusOK {
 		answer, err = http.ReadResponse(r, nil)
@@ -253,7 +253,7 @@
 }
 
 // lines takes in objects up to the one that ends the allocation.
-func (l *link) lines(body io.Reader, job policy.JobID, end *node.Ended) error {
+func (l *link) lines(body io.Reader, job policy.JobID, end *node.AttemptEnded) error {
 	in := bufio.NewScanner(body)
 	in.Buffer(make([]byte, 0, 1<<10), longestLine)
 	for in.Scan() {
@@ -271,7 +271,7 @@
 			}
 			return nil
 		case object.news:
-			l.pool.tell(node.Told{Conn: l.id, Share: object.share, Load: object.load})
+			l.pool.tell(node.AttemptProgressed{Conn: l.id, Progress: object.share, Load: object.load})
 		}
 	}
 	if err := in.Err(); err != nil {
--- a/internal/executors/probe.go
+++ b/internal/executors/probe.go
@@ -26,7 +26,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), p.probing.Limit)
 		defer cancel()
 		load, answered := p.ask(ctx, addr)
-		p.tell(node.Probed{Executor: id, Answered: answered, Load: load})
+		p.tell(node.ProbeEnded{Executor: id, Answered: answered, Load: load})
 	}()
 }
 
--- a/internal/executors/probe_test.go
+++ b/internal/executors/probe_test.go
@@ -21,7 +21,7 @@
 		pool.Probe("e1", addr)
 		select {
 		case ev := <-events:
-			p := ev.(node.Probed)
+			p := ev.(node.ProbeEnded)
 			fmt.Fprintf(&out, "%s: of %s, answered %t, held %v waiting %v free %v memory %v took %v\n", name, p.Executor, p.Answered,
 				p.Load.InFlight, p.Load.Queued, p.Load.FreeSlots, p.Load.FreeMemory, p.Load.RunTime)
 		case <-time.After(20 * time.Second):
--- a/internal/lab/account_test.go
+++ b/internal/lab/account_test.go
@@ -120,7 +120,7 @@
 }
 
 // deaf is a module that is told of no executors.
-type deaf struct{ node.Module }
+type deaf struct{ node.Policy }
 
 func (deaf) UpdateEndpoints(time.Duration, policy.EndpointUpdateKind, []policy.Endpoint) {}
 
@@ -142,7 +142,7 @@
 		name   string
 		world  func(*Scenario)
 		policy Policy
-		module func(*World, *sim, node.Module) node.Module
+		module func(*World, *sim, node.Policy) node.Policy
 		causes []Cause
 	}{
 		{"all executors are slow", func(s *Scenario) { s.Fleet.Speed = 0.3 }, RandomPolicy, nil, []Cause{RunningSlow}},
@@ -154,7 +154,7 @@
 		{"one executor is full, and nodes hold what it has no place for", func(s *Scenario) {
 			s.Fleet.Executors, s.Load.Of = 1, 1.3
 		}, BestPolicy, nil, []Cause{HeldAtNode, SentTooLate, NeverSent}},
-		{"a node knows of no executor", nil, ModulePolicy, func(_ *World, n *sim, m node.Module) node.Module {
+		{"a node knows of no executor", nil, ModulePolicy, func(_ *World, n *sim, m node.Policy) node.Policy {
 			if n.id == 0 {
 				return deaf{m}
 			}
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -25,7 +25,7 @@
 var Policies = []Policy{ModulePolicy, RandomPolicy, BestPolicy}
 
 // module makes what decides at a node.
-func (n *sim) module(p policy.Settings) node.Module {
+func (n *sim) module(p policy.Settings) node.Policy {
 	if n.w.policy == ModulePolicy {
 		return policy.New(p)
 	}
@@ -67,15 +67,15 @@
 	ran   bool // an attempt of it may have run
 }
 
-func (b *baseline) Arrived(now time.Duration, in policy.Arrival) {
+func (b *baseline) JobArrived(now time.Duration, in policy.Arrival) {
 	b.jobs[in.Job] = &wanted{id: in.Job, track: b.settings.JobClasses[in.Class], try: b.n.tries[in.Job], limit: now + in.Budget}
 	b.due = append(b.due, in.Job)
 }
 
-func (b *baseline) Wait(now time.Duration) policy.Due {
+func (b *baseline) NextTask(now time.Duration) policy.DueTask {
 	if !b.asked {
 		b.asked = true
-		return policy.Due{Task: policy.WatchEndpoints}
+		return policy.DueTask{Task: policy.WatchEndpoints}
 	}
 	if len(b.held) > 0 && now >= b.next {
 		// What has least time left goes first.
@@ -86,11 +86,11 @@
 	case len(b.due) > 0:
 		id := b.due[0]
 		b.due = b.due[1:]
-		return policy.Due{Task: policy.PlaceJob, Job: id}
+		return policy.DueTask{Task: policy.PlaceJob, Job: id}
 	case len(b.held) > 0:
-		return policy.Due{At: b.next}
+		return policy.DueTask{At: b.next}
 	}
-	return policy.Due{At: now + time.Hour}
+	return policy.DueTask{At: now + time.Hour}
 }
 
 func (b *baseline) quoted(id policy.JobID) time.Duration {
@@ -125,7 +125,7 @@
 	return policy.Decision{Action: policy.Send, Executor: to}
 }
 
-func (b *baseline) Ended(now time.Duration, id policy.JobID, _ policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
+func (b *baseline) AttemptEnded(now time.Duration, id policy.JobID, _ policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
 	j := b.jobs[id]
 	if j == nil {
 		return policy.Decision{}
@@ -139,7 +139,7 @@
 	return b.Place(now, id)
 }
 
-func (b *baseline) Left(_ time.Duration, id policy.JobID) {
+func (b *baseline) ClientLeft(_ time.Duration, id policy.JobID) {
 	if j := b.jobs[id]; j != nil && !j.out {
 		delete(b.jobs, id)
 	}
@@ -229,16 +229,16 @@
 
 // What a baseline has no use for.
 
-func (b *baseline) Started(time.Duration, policy.JobID, policy.AttemptID)             {}
-func (b *baseline) Progressed(time.Duration, policy.JobID, policy.AttemptID, float64) {}
-func (b *baseline) Reported(policy.ExecutorID, policy.Load)                           {}
-func (b *baseline) Probed(time.Duration, policy.ExecutorID, bool, policy.Load)        {}
-func (b *baseline) Closing(time.Duration, time.Duration)                              {}
-func (b *baseline) CountExcluded(time.Duration) int                                   { return 0 }
-func (b *baseline) ReserveSlowStartUntil(time.Duration, time.Duration)                {}
-func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)           {}
-func (b *baseline) ExportLearned(time.Duration) policy.LearnedState                   { return policy.LearnedState{} }
-func (b *baseline) ImportLearned(time.Duration, policy.LearnedState)                  {}
+func (b *baseline) AttemptStarted(time.Duration, policy.JobID, policy.AttemptID)             {}
+func (b *baseline) AttemptProgressed(time.Duration, policy.JobID, policy.AttemptID, float64) {}
+func (b *baseline) LoadReported(policy.ExecutorID, policy.Load)                              {}
+func (b *baseline) ProbeEnded(time.Duration, policy.ExecutorID, bool, policy.Load)           {}
+func (b *baseline) ShutDownBy(time.Duration, time.Duration)                                  {}
+func (b *baseline) CountExcluded(time.Duration) int                                          { return 0 }
+func (b *baseline) ReserveSlowStartUntil(time.Duration, time.Duration)                       {}
+func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)                  {}
+func (b *baseline) ExportLearned(time.Duration) policy.LearnedState                          { return policy.LearnedState{} }
+func (b *baseline) ImportLearned(time.Duration, policy.LearnedState)                         {}
 func (b *baseline) ReceiveLeaseMessage(time.Duration, policy.NodeID, policy.LeaseMessage, policy.ExecutorHash) {
 }
 func (b *baseline) TakeLoadSummary(time.Duration) policy.LoadSummary { return policy.LoadSummary{} }
--- a/internal/lab/defects_test.go
+++ b/internal/lab/defects_test.go
@@ -98,12 +98,12 @@
 
 // stubborn is a module that sends elsewhere what the real one breaks off.
 type stubborn struct {
-	node.Module
+	node.Policy
 	executors []*executor
 }
 
-func (m *stubborn) Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
-	d := m.Module.Ended(now, id, a, how, final)
+func (m *stubborn) AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
+	d := m.Policy.AttemptEnded(now, id, a, how, final)
 	if d.Action != policy.Fail {
 		return d
 	}
@@ -115,8 +115,8 @@
 	return d
 }
 
-func onlyEnded(change func(*node.Ended)) func(*World, *sim, node.Event) []node.Event {
-	return changed(func(_ *World, _ *sim, ev node.Ended) []node.Event {
+func onlyEnded(change func(*node.AttemptEnded)) func(*World, *sim, node.Event) []node.Event {
+	return changed(func(_ *World, _ *sim, ev node.AttemptEnded) []node.Event {
 		change(&ev)
 		return []node.Event{ev}
 	})
@@ -165,7 +165,7 @@
 			return []node.Effect{a}
 		})}},
 	{"the front tells of twice the budget", rules.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Of = 1.5 }, plant{
-		event: changed(func(w *World, _ *sim, ev node.Arrived) []node.Event {
+		event: changed(func(w *World, _ *sim, ev node.JobArrived) []node.Event {
 			ev.Job.Budget *= 2
 			return []node.Event{ev}
 		}),
@@ -176,7 +176,7 @@
 			}
 		}}},
 	{"an executor's error counts as its result", rules.OneAnswer, nil, plant{
-		event: onlyEnded(func(ev *node.Ended) {
+		event: onlyEnded(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.Succeeded
 			}
@@ -194,19 +194,19 @@
 			return []node.Effect{a}
 		})}},
 	{"a cut counts as a connection that never came up", rules.NoEffectTwice, nil, plant{
-		event: onlyEnded(func(ev *node.Ended) {
+		event: onlyEnded(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ConnectionLost {
 				ev.Outcome = policy.ConnectFailed
 			}
 		})}},
 	{"an error counts as turned away", rules.NoEffectTwice, nil, plant{
-		event: onlyEnded(func(ev *node.Ended) {
+		event: onlyEnded(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.ExecutorFull
 			}
 		})}},
 	{"the module sends what it should break off", rules.NoEffectTwice, nil, plant{
-		module: func(w *World, _ *sim, m node.Module) node.Module { return &stubborn{m, w.executors} }}},
+		module: func(w *World, _ *sim, m node.Policy) node.Policy { return &stubborn{m, w.executors} }}},
 	{"what is broken off is told as pushed back", rules.NoEffectTwice, nil, plant{
 		effect: instead(func(_ *World, _ *sim, a node.Answer) []node.Effect {
 			if a.Final == node.Failed {
@@ -215,13 +215,13 @@
 			return []node.Effect{a}
 		})}},
 	{"a next allocation goes out before the last one's outcome", rules.NoEffectTwice, nil, plant{
-		effect: instead(func(_ *World, n *sim, e node.Close) []node.Effect {
+		effect: instead(func(_ *World, n *sim, e node.CloseConn) []node.Effect {
 			c := n.wires[e.Conn]
 			if c == nil || c.state != up || c.load == nil {
 				return []node.Effect{e}
 			}
-			n.later(epsilon, func() { n.tell(node.Ended{Conn: e.Conn, Outcome: policy.ConnectionLost, Broken: true}) })
-			n.later(2*epsilon, func() { n.tell(node.Closed{Conn: e.Conn}) })
+			n.later(epsilon, func() { n.tell(node.AttemptEnded{Conn: e.Conn, Outcome: policy.ConnectionLost, ConnBroken: true}) })
+			n.later(2*epsilon, func() { n.tell(node.ConnClosed{Conn: e.Conn}) })
 			return nil
 		})}},
 	{"a once-only track is taken for repeatable", rules.NoEffectTwice, nil, plant{
--- a/internal/lab/fleet_defects_test.go
+++ b/internal/lab/fleet_defects_test.go
@@ -13,7 +13,7 @@
 
 // stuck is a module whose cut line never falls again.
 type stuck struct {
-	node.Module
+	node.Policy
 	highest policy.AdmissionThreshold
 }
 
@@ -21,7 +21,7 @@
 	if l.Level >= m.highest.Level {
 		m.highest = l
 	}
-	m.Module.SetAdmissionThreshold(m.highest)
+	m.Policy.SetAdmissionThreshold(m.highest)
 }
 
 // overTold gives the first bound between nodes that broke.
@@ -77,7 +77,7 @@
 		{"a cut line that never falls again", func(s *Scenario) {
 			s.Load.Of = 0.6
 			s.Faults = []Fault{{Kind: "burst", At: Span(2 * time.Second), For: Span(5 * time.Second), Size: 4}}
-		}, plant{module: func(_ *World, _ *sim, m node.Module) node.Module { return &stuck{Module: m} }}, func(_, r Result) string {
+		}, plant{module: func(_ *World, _ *sim, m node.Policy) node.Policy { return &stuck{Policy: m} }}, func(_, r Result) string {
 			last := r.seconds[12:15]
 			asked, earned := 0.0, 0.0
 			for _, s := range last {
--- a/internal/lab/front.go
+++ b/internal/lab/front.go
@@ -158,7 +158,7 @@
 	work := t.work
 	budget := (work.Limit - w.now).Truncate(time.Millisecond)
 	w.see(rules.Seen{What: rules.Taken, Node: n.id, Job: t.job, Work: work.ID, Track: work.Track, Limit: w.now + budget})
-	n.tell(node.Arrived{Job: node.Job{Request: node.Request{ID: t.job, Method: "POST", URI: "/", IdempotencyKey: w.tag(work), Body: w.body()},
+	n.tell(node.JobArrived{Job: node.Job{Request: node.Request{ID: t.job, Method: "POST", URI: "/", IdempotencyKey: w.tag(work), Body: w.body()},
 		Class: work.Track, Work: time.Duration(work.Hint * 1e9).Truncate(time.Microsecond), Budget: budget, ClientRetry: w.s.Load.MarksAgain && work.Tries > 0, Client: t}})
 	n.mostHeld = max(n.mostHeld, n.inHand-n.out)
 	leave := min(work.Leaves, work.Limit+slack+time.Millisecond)
@@ -209,7 +209,7 @@
 		return
 	}
 	n.w.see(rules.Seen{What: rules.Left, Node: n.id, Job: t.job})
-	n.tell(node.Left{Job: t.job, Client: t})
+	n.tell(node.ClientLeft{Job: t.job, Client: t})
 }
 
 func (n *sim) answer(a node.Answer) {
--- a/internal/lab/net.go
+++ b/internal/lab/net.go
@@ -226,11 +226,11 @@
 // tell books the end of an allocation with the rules, and tells the node.
 func (c *wire) tell(ev node.Event) {
 	switch ev := ev.(type) {
-	case node.Ended:
+	case node.AttemptEnded:
 		c.n.w.account.ended(c.load.path, ev.Outcome)
 		c.n.over(c.load, ev.Outcome.NeverRan())
 		c.load = nil
-	case node.Closed:
+	case node.ConnClosed:
 		delete(c.n.wires, c.id)
 	}
 	c.n.tell(ev)
@@ -240,16 +240,16 @@
 const probeLimit = 250 * time.Millisecond
 
 // probe asks an executor for its load, beside its queue. One that answers no batch job answers no probe either.
-func (n *sim) probe(e node.Probe) {
+func (n *sim) probe(e node.ProbeExecutor) {
 	w, x, told := n.w, n.w.byAddr[e.Addr], false
-	tell := func(ev node.Probed) {
+	tell := func(ev node.ProbeEnded) {
 		if !told {
 			told = true
 			n.tell(ev)
 		}
 	}
 	w.result.Probes++
-	n.later(probeLimit, func() { tell(node.Probed{Executor: e.Executor}) })
+	n.later(probeLimit, func() { tell(node.ProbeEnded{Executor: e.Executor}) })
 	if x == nil {
 		return
 	}
@@ -264,7 +264,7 @@
 		}
 		w.at(w.passes(x.Zone, n.zone), func() {
 			if n.up && n.run == run {
-				tell(node.Probed{Executor: e.Executor, Answered: true, Load: load})
+				tell(node.ProbeEnded{Executor: e.Executor, Answered: true, Load: load})
 			}
 		})
 	})
@@ -282,7 +282,7 @@
 			if c.state == dialling {
 				c.state = closed
 				w.result.NoConnection++
-				c.tell(node.Closed{Conn: c.id, Detail: "no connection: " + why})
+				c.tell(node.ConnClosed{Conn: c.id, Detail: "no connection: " + why})
 			}
 		})
 	}
@@ -305,7 +305,7 @@
 				if c.state == dialling {
 					c.state = closed
 					w.result.NoConnection++
-					c.tell(node.Closed{Conn: c.id, Detail: "no connection: refused"})
+					c.tell(node.ConnClosed{Conn: c.id, Detail: "no connection: refused"})
 				}
 			})
 			return
@@ -321,7 +321,7 @@
 				return
 			}
 			c.state, c.upAt = up, w.now
-			c.tell(node.Dialled{Conn: c.id})
+			c.tell(node.ConnReady{Conn: c.id})
 		})
 		if !ok { // it has all the connections it takes: this one is closed as soon as it is up
 			c.bring(func() { c.broken("closed by the executor") })
@@ -340,7 +340,7 @@
 		return
 	}
 	if client := e.Attempt.Client; client != nil && client.Gone() {
-		c.tellLater(epsilon, node.Unsent{Conn: c.id})
+		c.tellLater(epsilon, node.AttemptNotSent{Conn: c.id})
 		return
 	}
 	c.uses++
@@ -405,7 +405,7 @@
 	if c.state == dialling {
 		c.state = closed
 		c.hangup()
-		c.tellLater(epsilon, node.Closed{Conn: id, Detail: "no connection: given up"})
+		c.tellLater(epsilon, node.ConnClosed{Conn: id, Detail: "no connection: given up"})
 		return
 	}
 	c.hangup()
@@ -424,7 +424,7 @@
 	c.state = closed
 	if l := c.load; l != nil && !l.ended {
 		l.ended = true
-		ev := node.Ended{Conn: c.id, Outcome: policy.ConnectionLost, Broken: true, Detail: why}
+		ev := node.AttemptEnded{Conn: c.id, Outcome: policy.ConnectionLost, ConnBroken: true, Detail: why}
 		if !l.all {
 			ev.Outcome = policy.ConnectFailed
 		}
@@ -434,7 +434,7 @@
 	if was == dialling {
 		detail = "no connection: " + why
 	}
-	c.tellLater(epsilon+epsilon/2, node.Closed{Conn: c.id, Detail: detail})
+	c.tellLater(epsilon+epsilon/2, node.ConnClosed{Conn: c.id, Detail: detail})
 }
 
 // hangup ends a wire at the executor's end, after what is in flight.
@@ -489,14 +489,14 @@
 			if sentAt-l.try.sentAt > startWaits {
 				c.n.w.result.StartsWaited++
 			}
-			c.tell(node.Told{Conn: c.id, Load: load})
+			c.tell(node.AttemptProgressed{Conn: c.id, Load: load})
 			return
 		case standin.Progress:
-			c.tell(node.Told{Conn: c.id, Share: o.Share, Load: load})
+			c.tell(node.AttemptProgressed{Conn: c.id, Progress: o.Share, Load: load})
 			return
 		}
 		l.ended = true
-		ev := node.Ended{Conn: c.id, Outcome: words[o.Word], Load: load}
+		ev := node.AttemptEnded{Conn: c.id, Outcome: words[o.Word], Load: load}
 		if o.Word == standin.Done {
 			ev.Result = []byte("done " + l.try.work.ID)
 		}
@@ -505,7 +505,7 @@
 			uses := c.uses
 			c.n.later(epsilon, func() {
 				if c.state == up {
-					c.tell(node.Rested{Conn: c.id})
+					c.tell(node.ConnIdle{Conn: c.id})
 				}
 			})
 			c.n.w.after(time.Duration(c.n.w.s.Fleet.IdleLimit), func() {
--- a/internal/lab/news_test.go
+++ b/internal/lab/news_test.go
@@ -36,7 +36,7 @@
 		})
 		caught := 0
 		w := New(s, seed, Options{Most: 1000})
-		w.plant.event = changed(func(_ *World, n *sim, ev node.Arrived) []node.Event {
+		w.plant.event = changed(func(_ *World, n *sim, ev node.JobArrived) []node.Event {
 			n.noList = true // and nobody says so
 			return []node.Event{ev}
 		})
--- a/internal/lab/wired.go
+++ b/internal/lab/wired.go
@@ -391,7 +391,7 @@
 
 // ---- Nodes ----
 
-func (v *wired) startNode(n *sim, p policy.Settings, limits node.Limits, module node.Module) {
+func (v *wired) startNode(n *sim, p policy.Settings, limits node.Limits, module node.Policy) {
 	f := &v.w.s.Fleet
 	l := &life{v: v, n: n, host: fmt.Sprintf("%s#%d", n.name, n.run), addr: fmt.Sprintf("127.2.%d.%d:%d", n.id/250, n.id%250+1, 8000+n.run),
 		more: make(chan node.Event, orders), allocs: map[node.ConnID]*load{}}
@@ -414,7 +414,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
 	setup := service.Setup{Settings: s, Limits: limits, ClientConns: clients.Budget{Whole: mostClients, Half: mostClients / 2}, Known: list.Copy{Executors: known}, Discovery: discoveryAddr,
-		Start: v.start.Add(n.started), Module: &witness{Module: module, n: n, life: l}, Listener: listener, Executors: l.dial, List: l.dialList,
+		Start: v.start.Add(n.started), Module: &witness{Policy: module, n: n, life: l}, Listener: listener, Executors: l.dial, List: l.dialList,
 		Log: zerolog.Nop(), Tap: l.tap}
 	go func() {
 		service.Run(ctx, setup, l.more)
@@ -491,14 +491,14 @@
 func (l *life) event(ev node.Event) {
 	n, w := l.n, l.n.w
 	switch ev := ev.(type) {
-	case node.Arrived:
+	case node.JobArrived:
 		if t := l.v.tries[ev.Job.ID]; t != nil {
 			n.inHand++
 			w.see(rules.Seen{What: rules.Taken, Node: n.id, Job: t.job, Work: t.work.ID, Track: t.work.Track, Limit: w.now + ev.Job.Budget})
 		} else { // what no client handed in: it was hidden in a body
 			w.result.Wrong++
 		}
-	case node.Left:
+	case node.ClientLeft:
 		n.inHand--
 		w.see(rules.Seen{What: rules.Left, Node: n.id, Job: ev.Job})
 	case node.EndpointsUpdated:
@@ -511,11 +511,11 @@
 			entries = append(entries, standin.Entry{Endpoint: e.Endpoint, Addr: e.Addr})
 		}
 		n.listed(ev.Kind, entries)
-	case node.Ended:
+	case node.AttemptEnded:
 		l.over(ev.Conn, ev.Outcome.NeverRan())
-	case node.Unsent: // what was booked as its first byte with the effect never left
+	case node.AttemptNotSent: // what was booked as its first byte with the effect never left
 		l.over(ev.Conn, true)
-	case node.Closed:
+	case node.ConnClosed:
 		l.over(ev.Conn, true) // nothing of it had left, or its outcome would have come
 	}
 }
@@ -543,11 +543,11 @@
 			return
 		}
 		l.allocs[e.Conn] = n.sends(t, x)
-	case node.Ready:
+	case node.SetReady:
 		n.ready = e.Yes
 	case node.Log:
 		n.logged(e)
-	case node.CloseFront:
+	case node.CloseFrontend:
 		n.closed = true
 	}
 	n.mostHeld = max(n.mostHeld, n.inHand-n.out)
@@ -600,7 +600,7 @@
 	l.dead = true
 	l.v.net.Kill(l.host, false)
 	go func() {
-		l.more <- node.FrontClosed{}
+		l.more <- node.FrontendClosed{}
 		close(l.more)
 		l.stop()
 	}()
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -64,7 +64,7 @@
 
 // plant holds defects that tests plant to check the checker. All are nil in use.
 type plant struct {
-	module func(*World, *sim, node.Module) node.Module
+	module func(*World, *sim, node.Policy) node.Policy
 	event  func(*World, *sim, node.Event) []node.Event
 	effect func(*World, *sim, node.Effect) []node.Effect
 
@@ -363,9 +363,9 @@
 		p.JobClasses = append(p.JobClasses, t)
 		longest = max(longest, t.Deadline)
 	}
-	return p, node.Limits{Quantum: p.Quantum, IdleUse: time.Duration(f.IdleLimit) * 4 / 5, DialLimit: time.Duration(f.DialLimit),
-		Conns: f.NodeConns, Bodies: f.NodeBodies, RetryAfter: p.MaxRetryAfter, Work: 4 * longest, StopSpell: config.StopSpell,
-		StopLimit: min(longest, 3*time.Second) + 700*time.Millisecond - config.StopSpell}
+	return p, node.Limits{Quantum: p.Quantum, MaxIdle: time.Duration(f.IdleLimit) * 4 / 5, DialTimeout: time.Duration(f.DialLimit),
+		MaxConns: f.NodeConns, MaxBodyBytes: f.NodeBodies, RetryAfter: p.MaxRetryAfter, MaxWork: 4 * longest, LameDuckPeriod: config.StopSpell,
+		ShutdownTimeout: min(longest, 3*time.Second) + 700*time.Millisecond - config.StopSpell}
 }
 
 // start starts a node: it has an old copy of the list, and asks for the list.
@@ -393,7 +393,7 @@
 	for i, t := range p.JobClasses {
 		tracks = append(tracks, node.JobClass{Name: strconv.Itoa(i), JobClass: t})
 	}
-	n.core = node.New(&witness{Module: module, n: n}, limits, tracks)
+	n.core = node.New(&witness{Policy: module, n: n}, limits, tracks)
 	if n.w.s.Fleet.Talk {
 		n.talk()
 	}
@@ -411,7 +411,7 @@
 
 // witness sees what the module decides.
 type witness struct {
-	node.Module
+	node.Policy
 	n    *sim
 	life *life // its process, where the world is wired
 }
@@ -429,14 +429,14 @@
 }
 
 func (m *witness) Place(now time.Duration, id policy.JobID) policy.Decision {
-	return m.gaveUp(id, m.Module.Place(now, id))
+	return m.gaveUp(id, m.Policy.Place(now, id))
 }
 
-func (m *witness) Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
+func (m *witness) AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
 	if t := m.n.tries[id]; how == policy.Succeeded && t != nil {
 		m.n.pace.did(m.n.w.now, cmp.Or(t.work.Hint, m.n.w.tracks[t.work.Track].Mean))
 	}
-	return m.gaveUp(id, m.Module.Ended(now, id, a, how, final))
+	return m.gaveUp(id, m.Policy.AttemptEnded(now, id, a, how, final))
 }
 
 // later does something at a node, unless it has ended by then.
@@ -486,29 +486,29 @@
 		n.dial(e)
 	case node.WriteAttempt:
 		n.write(e)
-	case node.Close:
+	case node.CloseConn:
 		n.close(e.Conn)
-	case node.Probe:
+	case node.ProbeExecutor:
 		n.probe(e)
-	case node.Ready:
+	case node.SetReady:
 		n.later(time.Millisecond, func() { n.ready = e.Yes })
 	case node.DrainClients:
 		n.later(time.Millisecond, func() { n.ready = !e.On && !n.closed })
-	case node.CloseFront:
+	case node.CloseFrontend:
 		n.closed = true
-		n.later(5*time.Millisecond, func() { n.tell(node.FrontClosed{}) })
+		n.later(5*time.Millisecond, func() { n.tell(node.FrontendClosed{}) })
 	case node.WatchEndpoints:
 		n.later(5*time.Millisecond, n.news)
 	case node.SendGossip:
 		n.say(e.Envelope)
 	case node.SendLeaseMessage:
 		n.sayPlace(e)
-	case node.Wake:
+	case node.SetTimer:
 		n.wake++
 		mine := n.wake
 		n.later(n.started+e.At-n.w.now, func() {
 			if n.wake == mine {
-				n.tell(node.Woke{})
+				n.tell(node.TimerFired{})
 			}
 		})
 	case node.Log:
@@ -520,7 +520,7 @@
 
 // logged takes in a line of the node's log.
 func (n *sim) logged(e node.Log) {
-	if strings.HasPrefix(e.Text, node.ModuleBroke) {
+	if strings.HasPrefix(e.Text, node.PolicyPanicked) {
 		n.w.result.Panics++
 	}
 	if n.w.trace != nil {
@@ -535,7 +535,7 @@
 		n.life.stop()
 		return
 	}
-	n.tell(node.Stopping{})
+	n.tell(node.ShutdownRequested{})
 }
 
 // kill ends a node without a word.
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -51,7 +51,7 @@
 
 func (n *Node) closeConn(c *conn) {
 	c.state = spent
-	n.say(Close{c.id})
+	n.say(CloseConn{c.id})
 }
 
 func (n *Node) closeResting(e *executor) {
@@ -105,8 +105,8 @@
 // what was seen to be too long, until that is as old as the idle time. Guards against executors, or something on the
 // way to them, that drop resting connections early: what is written on one may have run, for all this node knows.
 func (n *Node) restUse() time.Duration {
-	if n.now-n.shortSeen >= n.limits.IdleUse {
-		n.shortRest = n.limits.IdleUse
+	if n.now-n.shortSeen >= n.limits.MaxIdle {
+		n.shortRest = n.limits.MaxIdle
 	}
 	return n.shortRest
 }
@@ -133,11 +133,11 @@
 func (n *Node) probe(id policy.ExecutorID) {
 	e := n.executors[id]
 	if e == nil || !e.up || len(n.conns)+n.probing >= n.mostConns()-n.mostConns()/8 {
-		n.brain.Probed(n.now, id, false, policy.Load{})
+		n.brain.ProbeEnded(n.now, id, false, policy.Load{})
 		return
 	}
 	n.probing++
-	n.say(Probe{id, e.addr})
+	n.say(ProbeExecutor{id, e.addr})
 }
 
 // makeRoom closes the connection that has rested longest.
@@ -169,7 +169,7 @@
 // outOfWindow says whether a further allocation of a tagged batch job was decided on longer ago than dialling may take, which is
 // all that a dedup window was lessened by. Guards against a process that stood still meanwhile, and would repeat outside it.
 func (n *Node) outOfWindow(c *conn, j *job) bool {
-	return c.number > 0 && j.IdempotencyKey != "" && n.now-c.askedAt > n.limits.DialLimit
+	return c.number > 0 && j.IdempotencyKey != "" && n.now-c.askedAt > n.limits.DialTimeout
 }
 
 // dialled puts a connection that has come up to its use. Its executor may drain, be gone or be another by now, the client may
@@ -217,37 +217,37 @@
 		n.over(n.unlink(c), c.number, policy.ConnectFailed)
 	case !c.given:
 		c.given, c.as = true, as
-		n.say(Close{c.id})
+		n.say(CloseConn{c.id})
 	}
 }
 
-func (n *Node) told(c *conn, ev Told) {
+func (n *Node) told(c *conn, ev AttemptProgressed) {
 	if c == nil || c.job == nil {
 		return
 	}
 	c.heard = true
 	n.reported(c, ev.Load)
-	if ev.Share > 0 {
-		n.brain.Progressed(n.now, c.job.ID, c.number, ev.Share)
+	if ev.Progress > 0 {
+		n.brain.AttemptProgressed(n.now, c.job.ID, c.number, ev.Progress)
 	} else {
-		n.brain.Started(n.now, c.job.ID, c.number)
+		n.brain.AttemptStarted(n.now, c.job.ID, c.number)
 	}
 }
 
 func (n *Node) reported(c *conn, load Load) {
 	if load.Known {
-		n.brain.Reported(c.to.id, load.Load)
+		n.brain.LoadReported(c.to.id, load.Load)
 	}
 }
 
 // ended takes in an allocation's outcome.
-func (n *Node) ended(c *conn, ev Ended) {
+func (n *Node) ended(c *conn, ev AttemptEnded) {
 	if c == nil || c.state != busy {
 		return
 	}
 	c.state = spent
 	j, how := n.unlink(c), ev.Outcome
-	if ev.Broken && how == policy.ConnectFailed {
+	if ev.ConnBroken && how == policy.ConnectFailed {
 		n.figures.Attempts--
 	}
 	switch {
@@ -257,18 +257,18 @@
 		// It is the batch job's fault: elsewhere it would fare no better, and cost another executor its good name.
 		n.answer(j, Answer{Final: Failed})
 		n.say(Log{Text: ev.Detail, Executor: c.to.id, Job: j.ID})
-	case c.given && ev.Broken && how == policy.ConnectFailed:
+	case c.given && ev.ConnBroken && how == policy.ConnectFailed:
 		how = policy.NotSent // closed by us before its last byte was written
-	case c.given && ev.Broken:
+	case c.given && ev.ConnBroken:
 		how = c.as
 	case ev.Detail != "":
 		n.say(Log{Text: ev.Detail, Executor: c.to.id, Job: j.ID})
 	}
 	n.reported(c, ev.Load)
-	if ev.Broken && how == policy.ConnectionLost && c.rested && !c.heard {
+	if ev.ConnBroken && how == policy.ConnectionLost && c.rested && !c.heard {
 		n.tooLong(c.wroteAt - c.restsAt)
 	}
-	if ev.Broken && how != policy.Canceled && how != policy.NotSent {
+	if ev.ConnBroken && how != policy.Canceled && how != policy.NotSent {
 		// The others may lead nowhere as well; a new one shows before anything is written whether there is a way.
 		n.closeResting(c.to)
 	}
@@ -306,7 +306,7 @@
 	delete(n.conns, c.id)
 	if i := slices.Index(c.to.rest, c); i >= 0 {
 		n.resting.risen(c.to, i)
-		if rest := n.now - c.restsAt; rest > n.limits.DialLimit { // else it was closed with the answer
+		if rest := n.now - c.restsAt; rest > n.limits.DialTimeout { // else it was closed with the answer
 			n.tooLong(rest)
 		}
 	}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -88,10 +88,10 @@
 type Event interface{ event() }
 
 type (
-	// Arrived: a batch job is taken.
-	Arrived struct{ Job Job }
-	// Left: the client that handed the batch job in has closed its connection.
-	Left struct {
+	// JobArrived: a batch job is taken.
+	JobArrived struct{ Job Job }
+	// ClientLeft: the client that handed the batch job in has closed its connection.
+	ClientLeft struct {
 		Job    policy.JobID
 		Client Client // as in Job
 	}
@@ -105,51 +105,51 @@
 	DiscoverySwitchPending struct{ Addr, Detail string }
 	// ConfigReloaded: the configuration was read again. With a detail it makes no sense.
 	ConfigReloaded struct {
-		Discovery   string   // where the list comes from
-		NeedRestart []string // keys that changed and hold from the next start on
-		Classes     []JobClass
-		Work        time.Duration // as in Limits
-		StopLimit   time.Duration // as in Limits
-		Detail      string
+		Discovery       string   // where the list comes from
+		NeedRestart     []string // keys that changed and hold from the next start on
+		Classes         []JobClass
+		MaxWork         time.Duration // as in Limits
+		ShutdownTimeout time.Duration // as in Limits
+		Detail          string
 	}
-	// Dialled: a connection is up.
-	Dialled struct{ Conn ConnID }
-	// Told: an executor tells of an allocation that goes on. Share 0: it has started.
-	Told struct {
-		Conn  ConnID
-		Share float64
-		Load  Load
+	// ConnReady: a connection is up.
+	ConnReady struct{ Conn ConnID }
+	// AttemptProgressed: an executor tells of an allocation that goes on. Share 0: it has started.
+	AttemptProgressed struct {
+		Conn     ConnID
+		Progress float64
+		Load     Load
 	}
-	// Ended: an allocation is over, and not by its connection breaking before a byte of it was written.
-	Ended struct {
-		Conn    ConnID
-		Outcome policy.Outcome
-		Result  []byte
-		Load    Load
-		Broken  bool   // the connection broke, or brought what makes no sense
-		Detail  string // for the log
+	// AttemptEnded: an allocation is over, and not by its connection breaking before a byte of it was written.
+	AttemptEnded struct {
+		Conn       ConnID
+		Outcome    policy.Outcome
+		Result     []byte
+		Load       Load
+		ConnBroken bool   // the connection broke, or brought what makes no sense
+		Detail     string // for the log
 	}
-	// Unsent: not a byte of an attempt was written, since its client turned out to have gone; its connection rests.
-	Unsent struct{ Conn ConnID }
-	// Probed: what came of a probe; load means something only where it was answered.
-	Probed struct {
+	// AttemptNotSent: not a byte of an attempt was written, since its client turned out to have gone; its connection rests.
+	AttemptNotSent struct{ Conn ConnID }
+	// ProbeEnded: what came of a probe; load means something only where it was answered.
+	ProbeEnded struct {
 		Executor policy.ExecutorID
 		Answered bool
 		Load     policy.Load
 	}
-	// Rested: a connection may carry the next allocation.
-	Rested struct{ Conn ConnID }
-	// Closed: a connection's descriptor is given back. It is the last event of every connection.
-	Closed struct {
+	// ConnIdle: a connection may carry the next allocation.
+	ConnIdle struct{ Conn ConnID }
+	// ConnClosed: a connection's descriptor is given back. It is the last event of every connection.
+	ConnClosed struct {
 		Conn   ConnID
 		Detail string // for the log
 	}
-	// Stopping: the process is to end.
-	Stopping struct{}
-	// FrontClosed: no client waits any more, and none can come.
-	FrontClosed struct{}
-	// Declined: the front has turned a batch job of a track away as one that it can't take.
-	Declined struct{ Class policy.JobClassID }
+	// ShutdownRequested: the process is to end.
+	ShutdownRequested struct{}
+	// FrontendClosed: no client waits any more, and none can come.
+	FrontendClosed struct{}
+	// JobDeclined: the front has turned a batch job of a track away as one that it can't take.
+	JobDeclined struct{ Class policy.JobClassID }
 	// AdminCalled: an operator's call. It is answered by one Reply.
 	AdminCalled struct {
 		Caller   AdminCallID
@@ -180,26 +180,26 @@
 	}
 	// GossipUnreadable: what came from a neighbour could not be read.
 	GossipUnreadable struct{ Why string }
-	// Woke: the timer that was asked for.
-	Woke struct{}
+	// TimerFired: the timer that was asked for.
+	TimerFired struct{}
 )
 
-func (Arrived) event()                {}
-func (Left) event()                   {}
+func (JobArrived) event()             {}
+func (ClientLeft) event()             {}
 func (EndpointsUpdated) event()       {}
 func (DiscoverySwitchPending) event() {}
 func (ConfigReloaded) event()         {}
-func (Dialled) event()                {}
-func (Told) event()                   {}
-func (Ended) event()                  {}
-func (Rested) event()                 {}
-func (Unsent) event()                 {}
-func (Probed) event()                 {}
-func (Closed) event()                 {}
-func (Stopping) event()               {}
-func (FrontClosed) event()            {}
-func (Woke) event()                   {}
-func (Declined) event()               {}
+func (ConnReady) event()              {}
+func (AttemptProgressed) event()      {}
+func (AttemptEnded) event()           {}
+func (ConnIdle) event()               {}
+func (AttemptNotSent) event()         {}
+func (ProbeEnded) event()             {}
+func (ConnClosed) event()             {}
+func (ShutdownRequested) event()      {}
+func (FrontendClosed) event()         {}
+func (TimerFired) event()             {}
+func (JobDeclined) event()            {}
 func (AdminCalled) event()            {}
 func (HandoffLinkUp) event()          {}
 func (HandoffReceived) event()        {}
@@ -230,21 +230,21 @@
 		Conn    ConnID
 		Attempt Attempt
 	}
-	// Probe asks an executor for its load, on a connection of its own. One Probed event answers it.
-	Probe struct {
+	// ProbeExecutor asks an executor for its load, on a connection of its own. One Probed event answers it.
+	ProbeExecutor struct {
 		Executor policy.ExecutorID
 		Addr     string
 	}
-	// Close closes a connection, or gives up dialling it.
-	Close struct{ Conn ConnID }
+	// CloseConn closes a connection, or gives up dialling it.
+	CloseConn struct{ Conn ConnID }
 	// WatchEndpoints asks for the list again, now.
 	WatchEndpoints struct{}
 	// SwitchDiscovery takes the list from an address from now on; it may be the one that it comes from already.
 	SwitchDiscovery struct{ Addr string }
 	// UpdateJobClasses tells the front which tracks there are from now on.
 	UpdateJobClasses struct{ Classes []NumberedClass }
-	// Ready says whether the node is to be given batch jobs.
-	Ready struct{ Yes bool }
+	// SetReady says whether the node is to be given batch jobs.
+	SetReady struct{ Yes bool }
 	// DrainClients says that the node is not ready and lets clients go, until it is over; what still comes is taken.
 	DrainClients struct{ On bool }
 	// AdminReply answers an operator's call: with figures, or a no and its reason, or a yes.
@@ -273,10 +273,10 @@
 		Message policy.LeaseMessage
 		Hash    policy.ExecutorHash
 	}
-	// CloseFront lets the clients go that have their answers, and takes nothing more.
-	CloseFront struct{}
-	// Wake asks for one Woke event then; a later Wake takes its place.
-	Wake struct{ At time.Duration }
+	// CloseFrontend lets the clients go that have their answers, and takes nothing more.
+	CloseFrontend struct{}
+	// SetTimer asks for one Woke event then; a later Wake takes its place.
+	SetTimer struct{ At time.Duration }
 	// Log writes a line.
 	Log struct {
 		Text     string
@@ -290,14 +290,14 @@
 func (Answer) effect()            {}
 func (Dial) effect()              {}
 func (WriteAttempt) effect()      {}
-func (Close) effect()             {}
-func (Probe) effect()             {}
+func (CloseConn) effect()         {}
+func (ProbeExecutor) effect()     {}
 func (WatchEndpoints) effect()    {}
 func (SwitchDiscovery) effect()   {}
-func (Ready) effect()             {}
+func (SetReady) effect()          {}
 func (UpdateJobClasses) effect()  {}
-func (CloseFront) effect()        {}
-func (Wake) effect()              {}
+func (CloseFrontend) effect()     {}
+func (SetTimer) effect()          {}
 func (Log) effect()               {}
 func (Exit) effect()              {}
 func (DrainClients) effect()      {}
--- a/internal/node/pair.go
+++ b/internal/node/pair.go
@@ -164,9 +164,9 @@
 // mostConns is how many connections to executors there may be.
 func (n *Node) mostConns() int {
 	if n.halved {
-		return n.limits.HalfConns
+		return n.limits.MaxConnsShared
 	}
-	return n.limits.Conns
+	return n.limits.MaxConns
 }
 
 // heard takes in what another process says.
@@ -261,7 +261,7 @@
 		return
 	}
 	n.said = true
-	n.say(Ready{!n.stopping})
+	n.say(SetReady{!n.stopping})
 	n.say(AcceptConnections{!n.ceded})
 	if slices.Contains(n.links, Predecessor) {
 		n.yields, n.yieldBy = true, n.now+yieldLimit
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -20,37 +20,37 @@
 // Limits are the figures that the reducer needs beside the module's settings.
 type Limits struct {
 	Quantum         time.Duration // what comes so close to an outer limit counts as at it
-	IdleUse         time.Duration // a connection that has rested so long is not used any more
-	DialLimit       time.Duration // news of a close takes less
-	Conns           int           // connections to executors
-	HalfConns       int           // and while another process of the node lives
-	Bodies          int           // bytes of bodies in hand
+	MaxIdle         time.Duration // a connection that has rested so long is not used any more
+	DialTimeout     time.Duration // news of a close takes less
+	MaxConns        int           // connections to executors
+	MaxConnsShared  int           // and while another process of the node lives
+	MaxBodyBytes    int           // bytes of bodies in hand
 	RetryAfter      time.Duration // what is pushed back at the edge of the limits comes back then; 0: no advice
-	Work            time.Duration // a guess beyond it counts as this
-	StopSpell       time.Duration // after a stop is asked for, new batch jobs still come for so long
-	StopLimit       time.Duration // and all is answered within this
+	MaxWork         time.Duration // a guess beyond it counts as this
+	LameDuckPeriod  time.Duration // after a stop is asked for, new batch jobs still come for so long
+	ShutdownTimeout time.Duration // and all is answered within this
 	SlowStartWindow time.Duration // rule 4's window, and a little for what was on its way
 }
 
-// ModuleBroke begins the log line of a panic of the module.
-const ModuleBroke = "the decision module broke"
+// PolicyPanicked begins the log line of a panic of the module.
+const PolicyPanicked = "the decision module broke"
 
 // breakSpell is how soon after a panic of the module it is asked again.
 const breakSpell = 100 * time.Millisecond
 
-// Module is the decision module, as the reducer calls it: *policy.Dispatcher, or one that sees what goes between.
-type Module interface {
+// Policy is the decision module, as the reducer calls it: *policy.Dispatcher, or one that sees what goes between.
+type Policy interface {
 	UpdateEndpoints(now time.Duration, what policy.EndpointUpdateKind, entries []policy.Endpoint)
-	Arrived(now time.Duration, in policy.Arrival)
-	Started(now time.Duration, id policy.JobID, a policy.AttemptID)
-	Progressed(now time.Duration, id policy.JobID, a policy.AttemptID, share float64)
-	Reported(id policy.ExecutorID, load policy.Load)
-	Probed(now time.Duration, id policy.ExecutorID, answered bool, load policy.Load)
-	Left(now time.Duration, id policy.JobID)
-	Closing(now, by time.Duration)
+	JobArrived(now time.Duration, in policy.Arrival)
+	AttemptStarted(now time.Duration, id policy.JobID, a policy.AttemptID)
+	AttemptProgressed(now time.Duration, id policy.JobID, a policy.AttemptID, share float64)
+	LoadReported(id policy.ExecutorID, load policy.Load)
+	ProbeEnded(now time.Duration, id policy.ExecutorID, answered bool, load policy.Load)
+	ClientLeft(now time.Duration, id policy.JobID)
+	ShutDownBy(now, by time.Duration)
 	Place(now time.Duration, id policy.JobID) policy.Decision
-	Ended(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision
-	Wait(now time.Duration) policy.Due
+	AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision
+	NextTask(now time.Duration) policy.DueTask
 	CountExcluded(now time.Duration) int
 	ReserveSlowStartUntil(now, at time.Duration)
 	UpdateJobClasses(now time.Duration, tracks []policy.JobClassUpdate)
@@ -63,7 +63,7 @@
 
 // Node is the state of one node.
 type Node struct {
-	brain     Module
+	brain     Policy
 	limits    Limits
 	executors map[policy.ExecutorID]*executor
 	conns     map[ConnID]*conn
@@ -114,8 +114,8 @@
 }
 
 // New makes a node that knows nothing yet, with its tracks, numbered from 0.
-func New(brain Module, limits Limits, tracks []JobClass) *Node {
-	n := &Node{brain: brain, limits: limits, shortRest: limits.IdleUse, executors: map[policy.ExecutorID]*executor{},
+func New(brain Policy, limits Limits, tracks []JobClass) *Node {
+	n := &Node{brain: brain, limits: limits, shortRest: limits.MaxIdle, executors: map[policy.ExecutorID]*executor{},
 		conns: map[ConnID]*conn{}, jobs: map[policy.JobID]*job{},
 		outs: map[policy.ExecutorID]bool{}, backs: map[policy.ExecutorID]time.Duration{}, former: map[string]policy.JobClassID{}, pair: pair{relays: map[uint64]*relay{}}}
 	n.number(tracks)
@@ -127,7 +127,7 @@
 	n.now, n.out = now, n.out[:0]
 	defer func() {
 		if p := recover(); p != nil {
-			n.broke(fmt.Sprintf("%s: %v\n%s", ModuleBroke, p, debug.Stack()))
+			n.broke(fmt.Sprintf("%s: %v\n%s", PolicyPanicked, p, debug.Stack()))
 		}
 		out = n.out
 	}()
@@ -155,9 +155,9 @@
 
 func (n *Node) take(ev Event) {
 	switch ev := ev.(type) {
-	case Arrived:
+	case JobArrived:
 		n.arrived(ev.Job)
-	case Left:
+	case ClientLeft:
 		// Guards against word of a client that the last look had seen leave, once its id has come again from another one.
 		if j := n.jobs[ev.Job]; j != nil && j.Client == ev.Client {
 			n.left(j)
@@ -168,33 +168,33 @@
 		n.say(Log{Text: fmt.Sprintf("no list from %s yet, the old address counts: %s", ev.Addr, ev.Detail)})
 	case ConfigReloaded:
 		n.reread(ev)
-	case Dialled:
+	case ConnReady:
 		n.dialled(n.conns[ev.Conn])
-	case Told:
+	case AttemptProgressed:
 		n.told(n.conns[ev.Conn], ev)
-	case Ended:
+	case AttemptEnded:
 		n.ended(n.conns[ev.Conn], ev)
-	case Probed:
+	case ProbeEnded:
 		n.probing--
-		n.brain.Probed(n.now, ev.Executor, ev.Answered, ev.Load)
-	case Rested:
+		n.brain.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+	case ConnIdle:
 		n.rested(n.conns[ev.Conn])
-	case Unsent:
+	case AttemptNotSent:
 		n.unsent(n.conns[ev.Conn])
-	case Closed:
+	case ConnClosed:
 		n.closed(n.conns[ev.Conn], ev.Detail)
-	case Stopping:
+	case ShutdownRequested:
 		n.stop()
-	case FrontClosed:
+	case FrontendClosed:
 		if n.stopping && len(n.due) > 0 { // one has come at the last moment; it has its answer by its limit
-			n.say(CloseFront{})
+			n.say(CloseFrontend{})
 			return
 		}
 		for len(n.due) > 0 { // the front broke: nobody would learn what becomes of them
 			n.answer(n.due[0], Answer{Final: Failed})
 		}
 		n.say(Exit{})
-	case Declined:
+	case JobDeclined:
 		n.count(ev.Class, Failed)
 	case AdminCalled:
 		n.called(ev)
@@ -206,7 +206,7 @@
 		n.parted(ev.Link, ev.Detail)
 	case FleetChanged, GossipReceived, LeaseMessageReceived, GossipUnreadable:
 		n.ofFleet(ev)
-	case Woke:
+	case TimerFired:
 		n.armed = -1
 	}
 }
@@ -219,7 +219,7 @@
 		n.say(Answer{Job: in.ID, Final: Failed})
 		return
 	}
-	if in.NearConnectionLimit || n.bodies+len(in.Body) > n.limits.Bodies {
+	if in.NearConnectionLimit || n.bodies+len(in.Body) > n.limits.MaxBodyBytes {
 		n.count(in.Class, Rejected)
 		n.say(Answer{Job: in.ID, Final: Rejected, RetryAfter: n.limits.RetryAfter})
 		return
@@ -234,7 +234,7 @@
 	j.order, j.dueAt = n.order, j.limitAt-n.limits.Quantum
 	heap.Push(&n.due, j)
 	n.deciding = j
-	n.brain.Arrived(n.now, policy.Arrival{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Work: min(j.Work, n.limits.Work),
+	n.brain.JobArrived(n.now, policy.Arrival{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Work: min(j.Work, n.limits.MaxWork),
 		Budget: j.Budget, ClientRetry: j.ClientRetry})
 	n.deciding = nil
 }
@@ -268,7 +268,7 @@
 func (n *Node) left(j *job) {
 	if !j.answered {
 		n.settled(j)
-		n.brain.Left(n.now, j.ID)
+		n.brain.ClientLeft(n.now, j.ID)
 	}
 }
 
@@ -289,7 +289,7 @@
 func (n *Node) over(j *job, a policy.AttemptID, how policy.Outcome) {
 	n.drop(j)
 	n.deciding = j
-	n.carryOut(j, n.brain.Ended(n.now, j.ID, a, how, j.answered))
+	n.carryOut(j, n.brain.AttemptEnded(n.now, j.ID, a, how, j.answered))
 }
 
 // fallDue stops what is out at its outer limit. What the module has left without an answer even then is broken
@@ -299,7 +299,7 @@
 		j := n.due[0]
 		if n.now >= j.limitAt {
 			n.answer(j, Answer{Final: Failed})
-			n.brain.Left(n.now, j.ID)
+			n.brain.ClientLeft(n.now, j.ID)
 			continue
 		}
 		j.dueAt = j.limitAt
@@ -313,14 +313,14 @@
 // doDue does all that the module has due, then asks for the one timer.
 func (n *Node) doDue() {
 	for {
-		due := n.brain.Wait(n.now)
+		due := n.brain.NextTask(n.now)
 		switch due.Task {
 		case policy.PlaceJob:
 			if j := n.jobs[due.Job]; j != nil {
 				n.deciding = j
 				n.carryOut(j, n.brain.Place(n.now, due.Job))
 			} else {
-				n.brain.Left(n.now, due.Job)
+				n.brain.ClientLeft(n.now, due.Job)
 			}
 		case policy.CancelAttempt:
 			if j := n.jobs[due.Job]; j != nil {
@@ -328,7 +328,7 @@
 					n.giveUp(j.conns[i], policy.Canceled)
 				}
 			}
-		case policy.Probe:
+		case policy.ProbeExecutor:
 			n.probe(due.Executor)
 		case policy.SendLeaseMessage:
 			if n.fleet != nil { // else nobody carries it
@@ -336,7 +336,7 @@
 			}
 		case policy.WatchEndpoints:
 			n.say(WatchEndpoints{})
-		case policy.Note:
+		case policy.WriteLog:
 			n.say(Log{Text: due.Text})
 		case policy.Sleep:
 			at := min(due.At, n.nextPairDue())
@@ -358,7 +358,7 @@
 func (n *Node) wake(at time.Duration) {
 	if at != n.armed {
 		n.armed = at
-		n.say(Wake{at})
+		n.say(SetTimer{at})
 	}
 }
 
@@ -368,15 +368,15 @@
 	if n.stopping {
 		return
 	}
-	n.stopping, n.stopAt, n.stopBy = true, n.now+n.limits.StopSpell, n.now+n.limits.StopLimit
-	n.say(Ready{false})
+	n.stopping, n.stopAt, n.stopBy = true, n.now+n.limits.LameDuckPeriod, n.now+n.limits.ShutdownTimeout
+	n.say(SetReady{false})
 	n.say(Log{Text: fmt.Sprintf("told to stop with %d batch jobs in hand", len(n.due))})
 	for _, j := range n.due {
 		j.limitAt = min(j.limitAt, n.stopBy)
 		j.dueAt = min(j.dueAt, n.stopBy-n.limits.Quantum)
 	}
 	heap.Init(&n.due)
-	n.brain.Closing(n.now, n.stopBy)
+	n.brain.ShutDownBy(n.now, n.stopBy)
 }
 
 // leave closes the front once nothing is owed any more; the process ends when that is done.
@@ -384,7 +384,7 @@
 	if n.stopping && !n.leaving && n.now >= n.stopAt && len(n.due) == 0 {
 		n.leaving = true
 		n.say(Log{Text: "all is answered"})
-		n.say(CloseFront{})
+		n.say(CloseFrontend{})
 	}
 }
 
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -51,8 +51,8 @@
 		SlowStartCapacity: 1, OverloadMultiple: 4, OverloadWindow: time.Second,
 		JobClasses: []policy.JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second,
 			Value: 1, Kind: policy.AnyKind}}}
-	l := Limits{Quantum: time.Millisecond, IdleUse: 8 * time.Second, DialLimit: 100 * time.Millisecond, Conns: 8, HalfConns: 3, SlowStartWindow: time.Second, Bodies: 100,
-		Work: 10 * time.Second, RetryAfter: 2 * time.Second, StopSpell: 500 * time.Millisecond, StopLimit: 3 * time.Second}
+	l := Limits{Quantum: time.Millisecond, MaxIdle: 8 * time.Second, DialTimeout: 100 * time.Millisecond, MaxConns: 8, MaxConnsShared: 3, SlowStartWindow: time.Second, MaxBodyBytes: 100,
+		MaxWork: 10 * time.Second, RetryAfter: 2 * time.Second, LameDuckPeriod: 500 * time.Millisecond, ShutdownTimeout: 3 * time.Second}
 	for _, w := range words {
 		key, value, _ := strings.Cut(w, "=")
 		figure, _ := strconv.Atoi(value)
@@ -62,7 +62,7 @@
 		case "cold":
 			s.SlowStartCapacity, s.SlowStartDuration = 0.25, 8*time.Second
 		case "conns":
-			l.Conns = figure
+			l.MaxConns = figure
 		case "copies":
 			s.MayHedge = true
 		case "late":
@@ -161,30 +161,30 @@
 				j.Class = policy.JobClassID(id)
 			}
 		}
-		return Arrived{j}
+		return JobArrived{j}
 	case "up":
-		return Dialled{p.conn(last)}
+		return ConnReady{p.conn(last)}
 	case "rested":
-		return Rested{p.conn(last)}
+		return ConnIdle{p.conn(last)}
 	case "closed":
 		if last == "silently" {
-			return Closed{Conn: p.conn(words[1])}
+			return ConnClosed{Conn: p.conn(words[1])}
 		}
-		return Closed{Conn: p.conn(last), Detail: "it broke"}
+		return ConnClosed{Conn: p.conn(last), Detail: "it broke"}
 	case "started":
-		return Told{Conn: p.conn(last)}
+		return AttemptProgressed{Conn: p.conn(last)}
 	case "progress":
 		share, _ := strconv.ParseFloat(last, 64)
-		return Told{Conn: p.conn(words[1]), Share: share}
+		return AttemptProgressed{Conn: p.conn(words[1]), Progress: share}
 	case "ended":
-		return Ended{Conn: p.conn(words[1]), Outcome: outcomes[words[2]], Broken: last == "broken",
+		return AttemptEnded{Conn: p.conn(words[1]), Outcome: outcomes[words[2]], ConnBroken: last == "broken",
 			Result: []byte("result")}
 	case "probed":
-		return Probed{policy.ExecutorID(words[1]), last == "answered", policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}}
+		return ProbeEnded{policy.ExecutorID(words[1]), last == "answered", policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}}
 	case "unsent":
-		return Unsent{Conn: p.conn(last)}
+		return AttemptNotSent{Conn: p.conn(last)}
 	case "left":
-		l := Left{Job: policy.JobID(words[1])}
+		l := ClientLeft{Job: policy.JobID(words[1])}
 		if of, ok := strings.CutPrefix(last, "client="); ok {
 			l.Client = caller(of)
 		}
@@ -193,7 +193,7 @@
 		if last == "odd" {
 			return ConfigReloaded{Detail: "listen: missing"}
 		}
-		r := ConfigReloaded{Discovery: words[1], Work: 10 * time.Second, StopLimit: 3 * time.Second}
+		r := ConfigReloaded{Discovery: words[1], MaxWork: 10 * time.Second, ShutdownTimeout: 3 * time.Second}
 		for _, w := range words[2:] {
 			name, rule, isTrack := strings.Cut(w, ":")
 			if !isTrack {
@@ -251,11 +251,11 @@
 		}
 		return HandoffReceived{HandoffLink(link), w}
 	case "stop":
-		return Stopping{}
+		return ShutdownRequested{}
 	case "shut":
-		return FrontClosed{}
+		return FrontendClosed{}
 	case "wait":
-		return Woke{}
+		return TimerFired{}
 	case "check", "figures", "out", "back", "drain", "undrain":
 		orders := map[string]AdminCommand{"check": CheckReady, "figures": ReadMetrics, "out": ExcludeExecutor, "back": ReadmitExecutor, "drain": DrainOn, "undrain": DrainOff}
 		c := AdminCalled{Command: orders[words[0]]}
@@ -284,9 +284,9 @@
 			line = fmt.Sprintf("dial %d to %s", e.Conn, e.Addr)
 		case WriteAttempt:
 			line = fmt.Sprintf("write %s on %d, %v left", e.Attempt.ID, e.Conn, e.Attempt.Budget)
-		case Close:
+		case CloseConn:
 			line = fmt.Sprintf("close %d", e.Conn)
-		case Probe:
+		case ProbeExecutor:
 			line = fmt.Sprintf("probe %s at %s", e.Executor, e.Addr)
 		case WatchEndpoints:
 			line = "watch"
@@ -297,11 +297,11 @@
 			line = fmt.Sprintf("tell %s that %s drains, %v old", e.To, e.Message.Drains[0].Executor, e.Message.Drains[0].Age)
 		case SwitchDiscovery:
 			line = "follow " + e.Addr
-		case Ready:
+		case SetReady:
 			line = fmt.Sprint("ready: ", e.Yes)
-		case CloseFront:
+		case CloseFrontend:
 			line = "close the front"
-		case Wake:
+		case SetTimer:
 			p.armed = e.At
 			continue
 		case Log:
@@ -375,7 +375,7 @@
 				for p.armed > 0 && p.armed < now && !still {
 					at := p.armed
 					p.armed = 0
-					p.step(at, Woke{})
+					p.step(at, TimerFired{})
 				}
 				p.lines = append(p.lines, line)
 				p.step(now, p.event(now, words[1:]))
--- a/internal/node/retune.go
+++ b/internal/node/retune.go
@@ -48,7 +48,7 @@
 
 // retune takes up the tracks of another configuration. The module, this node and the front change in one step.
 func (n *Node) retune(ev ConfigReloaded) {
-	n.limits.Work, n.limits.StopLimit = ev.Work, ev.StopLimit
+	n.limits.MaxWork, n.limits.ShutdownTimeout = ev.MaxWork, ev.ShutdownTimeout
 	if slices.EqualFunc(n.tracks, ev.Classes, func(a NumberedClass, b JobClass) bool { return a.JobClass == b }) {
 		return
 	}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -9,10 +9,10 @@
 	"birchstair/policy"
 )
 
-// Clients gives answers to those who wait for them. None of its calls blocks, nor do the others'.
-type Clients interface {
+// Frontend gives answers to those who wait for them. None of its calls blocks, nor do the others'.
+type Frontend interface {
 	Answer(Answer)
-	Ready(bool)
+	SetReady(bool)
 	UpdateJobClasses([]NumberedClass)
 	DrainClients(bool)
 	AcceptConnections(bool)
@@ -20,53 +20,53 @@
 	Close()
 }
 
-// Executors holds the connections to executors.
-type Executors interface {
+// Upstream holds the connections to executors.
+type Upstream interface {
 	Dial(ConnID, string)
 	Write(ConnID, Attempt)
 	Close(ConnID)
 	Probe(id policy.ExecutorID, addr string)
 }
 
-// List follows the list.
-type List interface {
+// Discovery follows the list.
+type Discovery interface {
 	WatchEndpoints()
 	SwitchDiscovery(addr string)
 }
 
-// Operators answers those who call at the door.
-type Operators interface{ Reply(AdminReply) }
+// Admin answers those who call at the door.
+type Admin interface{ Reply(AdminReply) }
 
-// Others are the other processes of this node.
-type Others interface {
+// Handoff are the other processes of this node.
+type Handoff interface {
 	Send(HandoffLink, HandoffMessage)
 	CloseLink(HandoffLink)
 	AcceptConnections(bool)
 }
 
-// Fleet says words to neighbours.
-type Fleet interface {
+// Gossip says words to neighbours.
+type Gossip interface {
 	SendGossip(fleet.Envelope)
 	SendLeaseMessage(SendLeaseMessage)
 }
 
 // Edges are the packages by peer that carry effects out.
 type Edges struct {
-	Clients   Clients
-	Executors Executors
-	List      List
-	Operators Operators       // nil where there is no door
-	Others    Others          // nil where no other process of the node can join
-	Fleet     Fleet           // nil where this node talks with no others
-	Memory    func(half bool) // told what this process may use of it; nil where Others is
+	Frontend    Frontend
+	Upstream    Upstream
+	Discovery   Discovery
+	Admin       Admin           // nil where there is no door
+	Handoff     Handoff         // nil where no other process of the node can join
+	Gossip      Gossip          // nil where this node talks with no others
+	LimitMemory func(half bool) // told what this process may use of it; nil where Others is
 }
 
-// Tap is told of every step: its time, the event and the effects, before they are carried out. It must not keep them.
-type Tap func(now time.Duration, ev Event, effects []Effect)
+// Observer is told of every step: its time, the event and the effects, before they are carried out. It must not keep them.
+type Observer func(now time.Duration, ev Event, effects []Effect)
 
 // Loop feeds events to the reducer, one at a time, and carries out its effects.
 type Loop struct {
-	Tap Tap // nil for nobody; set before Run
+	Observe Observer // nil for nobody; set before Run
 
 	start  time.Time
 	events chan Event
@@ -79,16 +79,16 @@
 	return &Loop{start: start, events: make(chan Event, 256), first: make(chan Event, 16), done: make(chan struct{})}
 }
 
-// Tell hands an event to the reducer; after the end it goes nowhere.
-func (l *Loop) Tell(ev Event) {
+// Post hands an event to the reducer; after the end it goes nowhere.
+func (l *Loop) Post(ev Event) {
 	select {
 	case l.events <- ev:
 	case <-l.done:
 	}
 }
 
-// TellFirst hands over an event that goes before all that wait.
-func (l *Loop) TellFirst(ev Event) {
+// PostUrgent hands over an event that goes before all that wait.
+func (l *Loop) PostUrgent(ev Event) {
 	select {
 	case l.first <- ev:
 	case <-l.done:
@@ -108,7 +108,7 @@
 	case ev := <-l.events:
 		return ev
 	case <-timer.C:
-		return Woke{}
+		return TimerFired{}
 	}
 }
 
@@ -120,52 +120,52 @@
 		ev := l.next(timer)
 		now := time.Since(l.start)
 		effects := n.Step(now, ev)
-		if l.Tap != nil {
-			l.Tap(now, ev, effects)
+		if l.Observe != nil {
+			l.Observe(now, ev, effects)
 		}
 		for _, e := range effects {
 			switch e := e.(type) {
 			case Answer:
-				to.Clients.Answer(e)
-			case Ready:
-				to.Clients.Ready(e.Yes)
+				to.Frontend.Answer(e)
+			case SetReady:
+				to.Frontend.SetReady(e.Yes)
 			case Dial:
-				to.Executors.Dial(e.Conn, e.Addr)
+				to.Upstream.Dial(e.Conn, e.Addr)
 			case WriteAttempt:
-				to.Executors.Write(e.Conn, e.Attempt)
-			case Close:
-				to.Executors.Close(e.Conn)
-			case Probe:
-				to.Executors.Probe(e.Executor, e.Addr)
+				to.Upstream.Write(e.Conn, e.Attempt)
+			case CloseConn:
+				to.Upstream.Close(e.Conn)
+			case ProbeExecutor:
+				to.Upstream.Probe(e.Executor, e.Addr)
 			case WatchEndpoints:
-				to.List.WatchEndpoints()
+				to.Discovery.WatchEndpoints()
 			case SwitchDiscovery:
-				to.List.SwitchDiscovery(e.Addr)
+				to.Discovery.SwitchDiscovery(e.Addr)
 			case UpdateJobClasses:
-				to.Clients.UpdateJobClasses(e.Classes)
+				to.Frontend.UpdateJobClasses(e.Classes)
 			case DrainClients:
-				to.Clients.DrainClients(e.On)
+				to.Frontend.DrainClients(e.On)
 			case AdminReply:
-				to.Operators.Reply(e)
+				to.Admin.Reply(e)
 			case SendHandoff:
-				to.Others.Send(e.Link, e.Message)
+				to.Handoff.Send(e.Link, e.Message)
 			case CloseHandoffLink:
-				to.Others.CloseLink(e.Link)
+				to.Handoff.CloseLink(e.Link)
 			case AcceptConnections:
-				to.Clients.AcceptConnections(e.Yes)
-				if to.Others != nil {
-					to.Others.AcceptConnections(e.Yes)
+				to.Frontend.AcceptConnections(e.Yes)
+				if to.Handoff != nil {
+					to.Handoff.AcceptConnections(e.Yes)
 				}
 			case HalveLimits:
-				to.Clients.HalveLimits(e.Half)
-				to.Memory(e.Half)
+				to.Frontend.HalveLimits(e.Half)
+				to.LimitMemory(e.Half)
 			case SendGossip:
-				to.Fleet.SendGossip(e.Envelope)
+				to.Gossip.SendGossip(e.Envelope)
 			case SendLeaseMessage:
-				to.Fleet.SendLeaseMessage(e)
-			case CloseFront:
-				to.Clients.Close()
-			case Wake:
+				to.Gossip.SendLeaseMessage(e)
+			case CloseFrontend:
+				to.Frontend.Close()
+			case SetTimer:
 				timer.Reset(e.At - time.Since(l.start))
 			case Log:
 				write(log, e)
--- a/internal/rig/proc.go
+++ b/internal/rig/proc.go
@@ -190,7 +190,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.note("%s: %s", p.name, line)
-	if strings.Contains(line, node.ModuleBroke) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
+	if strings.Contains(line, node.PolicyPanicked) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
 		r.wrong("node %s: %.200s", p.name, line)
 	}
 }
--- a/internal/scale/module.go
+++ b/internal/scale/module.go
@@ -123,7 +123,7 @@
 			if m.Tenants > 0 {
 				tenant = policy.TenantID(arrivals % m.Tenants)
 			}
-			p.d.Arrived(p.now, policy.Arrival{Job: policy.JobID(fmt.Sprint("j", arrivals)), Tenant: tenant, Work: m.Work, Budget: m.budget()})
+			p.d.JobArrived(p.now, policy.Arrival{Job: policy.JobID(fmt.Sprint("j", arrivals)), Tenant: tenant, Work: m.Work, Budget: m.budget()})
 			arrivals++
 		}
 		p.due()
@@ -153,7 +153,7 @@
 // due does what the module has due, as the reducer does.
 func (p *player) due() {
 	for {
-		switch due := p.d.Wait(p.now); due.Task {
+		switch due := p.d.NextTask(p.now); due.Task {
 		case policy.PlaceJob:
 			p.does(due.Job, p.d.Place(p.now, due.Job))
 		case policy.CancelAttempt:
@@ -179,7 +179,7 @@
 	out := moduleOut{id, n}
 	p.out[out] = what.Executor
 	heap.Push(&p.ends, moduleEnd{p.now + p.m.Work, out})
-	p.d.Started(p.now, id, n)
+	p.d.AttemptStarted(p.now, id, n)
 }
 
 // end ends an allocation, unless it has ended before.
@@ -193,8 +193,8 @@
 	p.running[on]--
 	if how == policy.Succeeded {
 		p.handled++
-		p.d.Reported(on, policy.Load{InFlight: float64(p.running[on]), FreeSlots: float64(100 - p.running[on]), FreeMemory: -1, RunTime: -1})
+		p.d.LoadReported(on, policy.Load{InFlight: float64(p.running[on]), FreeSlots: float64(100 - p.running[on]), FreeMemory: -1, RunTime: -1})
 		delete(p.sent, id)
 	}
-	p.does(id, p.d.Ended(p.now, id, n, how, how == policy.Succeeded))
+	p.does(id, p.d.AttemptEnded(p.now, id, n, how, how == policy.Succeeded))
 }
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -94,13 +94,13 @@
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				switch ev.(type) {
-				case node.Left:
+				case node.ClientLeft:
 					w.left++
 				case node.EndpointsUpdated:
 					w.lists++
-				case node.Dialled:
+				case node.ConnReady:
 					w.up++
-				case node.Unsent:
+				case node.AttemptNotSent:
 					w.unsent++
 				}
 				for _, e := range effects {
@@ -109,8 +109,8 @@
 					}
 				}
 			},
-			Limits: node.Limits{Quantum: time.Millisecond, IdleUse: time.Minute, DialLimit: 10 * time.Second, Conns: 100, HalfConns: 50, Bodies: 1 << 20,
-				Work: time.Hour, StopSpell: 10 * time.Millisecond, StopLimit: 10 * time.Second}}, nil)
+			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: 10 * time.Second, MaxConns: 100, MaxConnsShared: 50, MaxBodyBytes: 1 << 20,
+				MaxWork: time.Hour, LameDuckPeriod: 10 * time.Millisecond, ShutdownTimeout: 10 * time.Second}}, nil)
 	}()
 	w.until("it is ready", func() bool {
 		a, err := http.Get("http://" + w.listen + "/-/ready")
--- a/internal/service/ready_test.go
+++ b/internal/service/ready_test.go
@@ -94,8 +94,8 @@
 			Executors: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				return dial("x")(ctx, "", addr)
 			},
-			Limits: node.Limits{Quantum: time.Millisecond, IdleUse: time.Minute, DialLimit: time.Second, Conns: 10, HalfConns: 5, Bodies: 1 << 20,
-				Work: time.Hour, StopSpell: 10 * time.Millisecond, StopLimit: time.Second}}, more)
+			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: time.Second, MaxConns: 10, MaxConnsShared: 5, MaxBodyBytes: 1 << 20,
+				MaxWork: time.Hour, LameDuckPeriod: 10 * time.Millisecond, ShutdownTimeout: time.Second}}, more)
 	}()
 	time.AfterFunc(8*time.Second, func() {
 		silent.Store(false)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -31,13 +31,13 @@
 	Discovery   string         // where the list comes from
 	Start       time.Time      // times of the reducer count from then
 
-	Module    node.Module
+	Module    node.Policy
 	Listener  net.Listener
 	Door      net.Listener // for operators; nil where there is none
 	Executors executors.Dialer
 	List      list.Dialer
 	Log       zerolog.Logger
-	Tap       node.Tap // told of every step; nil for nobody
+	Tap       node.Observer // told of every step; nil for nobody
 
 	Heirs string          // the directory by which a new process joins; empty where none can
 	Elder net.Conn        // the link to the process that this one takes over from, or nil
@@ -71,28 +71,28 @@
 // by more, which its owner closes, if at all, only after the end.
 func Run(ctx context.Context, s Setup, more <-chan node.Event) error {
 	loop := node.NewLoop(s.Start)
-	loop.Tap = s.Tap
+	loop.Observe = s.Tap
 	core := node.New(s.Module, s.Limits, Tracks(s.Settings))
-	front := clients.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Tell)
+	front := clients.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Post)
 	pool := executors.New(s.Executors, s.Settings.TellsLoad(), executors.Probing{Path: s.Settings.Probe.Path,
-		Limit: s.Settings.Probe.Limit, Told: s.Settings.Told()}, loop.Tell)
+		Limit: s.Settings.Probe.Limit, Told: s.Settings.Told()}, loop.Post)
 	patience := list.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
 	patience.Seed = uint64(s.Settings.Policy.Seed)<<32 | uint64(uint32(s.Settings.Policy.Node))
-	watcher := list.New(list.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Tell)
+	watcher := list.New(list.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Post)
 	watcher.Copy = s.Known
-	door := operators.New(config.DoorCallers, loop.TellFirst)
-	edges := node.Edges{List: watcher, Operators: door}
+	door := operators.New(config.DoorCallers, loop.PostUrgent)
+	edges := node.Edges{Discovery: watcher, Admin: door}
 	if s.Heirs != "" {
-		others := succession.New(s.Heirs, loop.TellFirst)
+		others := succession.New(s.Heirs, loop.PostUrgent)
 		defer others.Close()
 		front.AcceptConnections(s.Elder == nil)
-		edges.Others, edges.Memory = others, s.Share
+		edges.Handoff, edges.LimitMemory = others, s.Share
 		others.Start(s.Elder)
 	}
 	if s.Fleet != nil {
 		core.JoinFleet(s.Fleet.Settings)
-		others := members.New(s.Fleet.Options, loop.Tell, s.Log)
-		edges.Fleet = others
+		others := members.New(s.Fleet.Options, loop.Post, s.Log)
+		edges.Gossip = others
 		among, out := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
@@ -104,12 +104,12 @@
 			<-ended
 		}()
 	}
-	var fromClients node.Clients = front
-	var toExecutors node.Executors = pool
+	var fromClients node.Frontend = front
+	var toExecutors node.Upstream = pool
 	if s.Durable != nil {
-		fromClients, toExecutors = s.Durable.Start(loop.Tell, front, pool)
+		fromClients, toExecutors = s.Durable.Start(loop.Post, front, pool)
 		front.Aside(durable.Path, s.Durable)
-		loop.Tap = func(now time.Duration, ev node.Event, effects []node.Effect) {
+		loop.Observe = func(now time.Duration, ev node.Event, effects []node.Effect) {
 			s.Durable.Tap(now, ev, effects)
 			if s.Tap != nil {
 				s.Tap(now, ev, effects)
@@ -121,30 +121,30 @@
 	go func() {
 		if err := front.Serve(s.Listener); err != nil {
 			broken <- fmt.Errorf("listen: %v", err)
-			loop.Tell(node.FrontClosed{})
+			loop.Post(node.FrontendClosed{})
 		}
 	}()
 	watching, enough := context.WithCancel(context.Background())
 	defer enough()
 	go func() {
-		loop.Tell(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Executors})
+		loop.Post(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Executors})
 		watcher.Run(watching, s.Discovery)
 	}()
 	go func() {
 		<-ctx.Done()
 		front.Ending()
-		loop.Tell(node.Stopping{})
+		loop.Post(node.ShutdownRequested{})
 	}()
 	go func() {
 		for ev := range more {
-			loop.Tell(ev)
+			loop.Post(ev)
 		}
 	}()
 	if s.Door != nil {
 		go door.Serve(s.Door)
 		defer door.Close()
 	}
-	edges.Clients, edges.Executors = fromClients, toExecutors
+	edges.Frontend, edges.Upstream = fromClients, toExecutors
 	loop.Run(core, edges, s.Log)
 	front.End()
 	var err error
--- a/policy/books.go
+++ b/policy/books.go
@@ -37,7 +37,7 @@
 
 // note writes a line to the log.
 func (d *Dispatcher) note(format string, args ...any) {
-	d.words = append(d.words, Due{Task: Note, Text: fmt.Sprintf(format, args...)})
+	d.words = append(d.words, DueTask{Task: WriteLog, Text: fmt.Sprintf(format, args...)})
 }
 
 // at notes a due time of a batch job, of a token that is to come free, or of neither: a look at everything.
@@ -166,9 +166,9 @@
 	}
 }
 
-// Closing tells that this node ends: all in hand must be over by then, and what can't be gets its answer at
+// ShutDownBy tells that this node ends: all in hand must be over by then, and what can't be gets its answer at
 // once.
-func (d *Dispatcher) Closing(now, by time.Duration) {
+func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
 	d.closing = by
 	for _, j := range d.jobs {
 		d.closeBy(j)
@@ -355,7 +355,7 @@
 		d.ReceiveLeaseMessage(now, to, word, sum)
 		return
 	}
-	d.words = append(d.words, Due{Task: SendLeaseMessage, Node: to, Message: word, Hash: sum})
+	d.words = append(d.words, DueTask{Task: SendLeaseMessage, Node: to, Message: word, Hash: sum})
 }
 
 // giveBack tells the keeper that a place it lent is free again.
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -54,7 +54,7 @@
 	if !reflect.DeepEqual(got, k) {
 		t.Errorf("learnt\n%+v\nof\n%+v", got, k)
 	}
-	if next.Wait(last); next.byID["a"].quota != k.Executors[0].Quota {
+	if next.NextTask(last); next.byID["a"].quota != k.Executors[0].Quota {
 		t.Errorf("a got a quota of %d", next.byID["a"].quota)
 	}
 	if e := next.byID["c"]; e.known != 0 {
@@ -68,7 +68,7 @@
 	old := New(settings([]string{"ask"}))
 	old.UpdateEndpoints(0, CompleteUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	rest := func(d *Dispatcher) {
-		for d.Wait(0).Task != Sleep {
+		for d.NextTask(0).Task != Sleep {
 		}
 	}
 	rest(old)
@@ -94,14 +94,14 @@
 	sent := map[ExecutorID]int{}
 	for i := range 40 {
 		now := time.Duration(i) * 50 * time.Millisecond
-		next.Arrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Work: 300 * time.Millisecond, Budget: 5 * time.Second})
-		for due := next.Wait(now); due.Task != Sleep; due = next.Wait(now) {
+		next.JobArrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Work: 300 * time.Millisecond, Budget: 5 * time.Second})
+		for due := next.NextTask(now); due.Task != Sleep; due = next.NextTask(now) {
 			if due.Task != PlaceJob {
 				continue
 			}
 			if what := next.Place(now, due.Job); what.Action == Send {
 				sent[what.Executor]++
-				next.Started(now, due.Job, 0)
+				next.AttemptStarted(now, due.Job, 0)
 			}
 		}
 	}
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -279,19 +279,19 @@
 		if w.r.IntN(3) == 0 {
 			w.compare()
 		}
-		due := w.Wait(w.now)
+		due := w.NextTask(w.now)
 		switch due.Task {
 		case PlaceJob:
 			w.Place(w.now, due.Job)
 		case CancelAttempt:
-			w.Ended(w.now, due.Job, due.Attempt, [...]Outcome{Canceled, NotSent, Succeeded}[w.r.IntN(3)], false)
+			w.AttemptEnded(w.now, due.Job, due.Attempt, [...]Outcome{Canceled, NotSent, Succeeded}[w.r.IntN(3)], false)
 		case SendLeaseMessage:
 			if w.r.IntN(3) > 0 {
 				w.ReceiveLeaseMessage(w.now, due.Node, [...]LeaseMessage{LeaseGrant, LeaseGrant, LeaseWait}[w.r.IntN(3)], due.Hash)
 			}
-		case Probe:
+		case ProbeExecutor:
 			if w.r.IntN(3) > 0 {
-				w.Probed(w.now, due.Executor, w.r.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.r.IntN(3))})
+				w.ProbeEnded(w.now, due.Executor, w.r.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.r.IntN(3))})
 			}
 		case Sleep:
 			if w.r.IntN(4) == 0 { // picked anew, or found to be as it was
@@ -324,16 +324,16 @@
 		if w.r.IntN(4) > 0 {
 			in.Work = time.Duration(1+w.r.IntN(600)) * time.Millisecond
 		}
-		w.Arrived(w.now, in)
+		w.JobArrived(w.now, in)
 	case what < 11 && s != nil:
-		w.Started(w.now, s.id, s.n)
+		w.AttemptStarted(w.now, s.id, s.n)
 	case what < 15 && s != nil:
 		how := [...]Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, ExecutorError, ExecutorFull, TimedOut, ConnectFailed, ConnectionLost, NotSent}[w.r.IntN(12)]
-		w.Ended(w.now, s.id, s.n, how, how == Succeeded)
+		w.AttemptEnded(w.now, s.id, s.n, how, how == Succeeded)
 	case what == 15 && s != nil:
-		w.Progressed(w.now, s.id, s.n, w.r.Float64())
+		w.AttemptProgressed(w.now, s.id, s.n, w.r.Float64())
 	case what == 16 && s != nil:
-		w.Reported(s.on.id, Load{InFlight: float64(w.r.IntN(4)), FreeSlots: float64(w.r.IntN(4))})
+		w.LoadReported(s.on.id, Load{InFlight: float64(w.r.IntN(4)), FreeSlots: float64(w.r.IntN(4))})
 	case what == 17:
 		var entries []Endpoint
 		for range 1 + w.r.IntN(4) {
@@ -346,7 +346,7 @@
 		}
 		w.UpdateEndpoints(w.now, IncrementalUpdate, entries)
 	case what == 18 && s != nil && w.r.IntN(4) == 0:
-		w.Left(w.now, s.id)
+		w.ClientLeft(w.now, s.id)
 	case what == 19:
 		w.rare()
 	}
@@ -419,12 +419,12 @@
 	d := New(s)
 	d.UpdateEndpoints(0, CompleteUpdate, []Endpoint{{Executor: "far", Zone: 1, StartedLongAgo: true, Weight: 1}, {Executor: "moves", Zone: 1, StartedLongAgo: true, Weight: 1}})
 	now := time.Second
-	for d.Wait(now).Task != Sleep {
+	for d.NextTask(now).Task != Sleep {
 	}
 	e := d.byID["moves"]
 	e.free = nil
 	d.touch(e)
-	d.Arrived(now, Arrival{Job: "j", Tenant: -1, Work: 100 * time.Millisecond, Budget: 5 * time.Second})
+	d.JobArrived(now, Arrival{Job: "j", Tenant: -1, Work: 100 * time.Millisecond, Budget: 5 * time.Second})
 	if got := d.pick(d.jobs["j"], now, false); got == nil || got.id != "far" {
 		t.Fatal("with both in another zone: ", name(got))
 	}
@@ -528,15 +528,15 @@
 		case 0:
 			w.jobs++
 			id := JobID(fmt.Sprint("j", w.jobs))
-			w.Arrived(w.now, Arrival{Job: id, Class: JobClassID(w.jobs % 2), Tenant: -1, Work: w.work(id), Budget: 5 * time.Second})
+			w.JobArrived(w.now, Arrival{Job: id, Class: JobClassID(w.jobs % 2), Tenant: -1, Work: w.work(id), Budget: 5 * time.Second})
 			w.push(steadyItem{at: w.now + w.gap})
 		case 1:
-			w.Started(w.now, it.job, it.n)
+			w.AttemptStarted(w.now, it.job, it.n)
 		case 2:
-			w.decided(it.job, w.Ended(w.now, it.job, it.n, Succeeded, true))
+			w.decided(it.job, w.AttemptEnded(w.now, it.job, it.n, Succeeded, true))
 		}
 		for {
-			due := w.Wait(w.now)
+			due := w.NextTask(w.now)
 			if due.Task == Sleep {
 				if due.At < w.queue[0].at {
 					w.push(steadyItem{at: due.At, what: 3})
@@ -587,24 +587,24 @@
 		}
 		d.UpdateEndpoints(0, CompleteUpdate, entries)
 		for _, e := range entries {
-			d.Reported(e.Executor, Load{InFlight: 1}) // one place
+			d.LoadReported(e.Executor, Load{InFlight: 1}) // one place
 		}
 		sent := []JobID{}
 		settle := func() {
-			for due := d.Wait(now); due.Task != Sleep; due = d.Wait(now) {
+			for due := d.NextTask(now); due.Task != Sleep; due = d.NextTask(now) {
 				if due.Task != PlaceJob {
 					continue
 				}
 				if to := d.Place(now, due.Job); to.Action == Send {
 					sent = append(sent, due.Job)
 					if len(d.byID[to.Executor].out) == 1 { // it has a place only
-						d.Started(now, due.Job, 0)
+						d.AttemptStarted(now, due.Job, 0)
 					}
 				}
 			}
 		}
 		for i := range 2 * n {
-			d.Arrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Tenant: -1, Work: 4 * time.Second, Budget: 60 * time.Second})
+			d.JobArrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Tenant: -1, Work: 4 * time.Second, Budget: 60 * time.Second})
 			settle()
 		}
 		if len(sent) != n || len(d.held) != n {
@@ -612,7 +612,7 @@
 		}
 		now += time.Millisecond
 		weighed := d.weighed
-		d.Ended(now, sent[n/2], 0, Succeeded, true)
+		d.AttemptEnded(now, sent[n/2], 0, Succeeded, true)
 		settle()
 		per[n] = d.weighed - weighed
 		if t.Logf("%d executors: %d weighed when one is done", n, per[n]); len(sent) == n || len(sent) > n+2 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -350,8 +350,8 @@
 
 // ---- Placing ----
 
-// Arrived tells of a batch job that this node has taken. A work of 0 means that no hint came.
-func (d *Dispatcher) Arrived(now time.Duration, in Arrival) {
+// JobArrived tells of a batch job that this node has taken. A work of 0 means that no hint came.
+func (d *Dispatcher) JobArrived(now time.Duration, in Arrival) {
 	d.turn(now)
 	t := d.tracks[min(max(0, int(in.Class)), len(d.tracks)-1)]
 	j := &job{id: in.Job, track: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, margin: margin,
@@ -563,8 +563,8 @@
 
 // ---- News of allocations ----
 
-// Ended says what to do after an allocation's outcome. Final: the batch job is over by it or before it.
-func (d *Dispatcher) Ended(now time.Duration, id JobID, n AttemptID, how Outcome, final bool) Decision {
+// AttemptEnded says what to do after an allocation's outcome. Final: the batch job is over by it or before it.
+func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, n AttemptID, how Outcome, final bool) Decision {
 	d.turn(now)
 	s := d.out(id, n)
 	if s == nil {
@@ -985,8 +985,8 @@
 
 // ---- Due times ----
 
-// Wait says what has fallen due, or until when nothing will.
-func (d *Dispatcher) Wait(now time.Duration) Due {
+// NextTask says what has fallen due, or until when nothing will.
+func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.turn(now)
 	for now >= d.tick {
 		d.tick += d.interval
@@ -995,10 +995,10 @@
 	mustSubscribe := d.mustAsk && !d.subscribed && !d.asking
 	if mustSubscribe && now >= d.askAt {
 		d.asking = true
-		return Due{Task: WatchEndpoints}
+		return DueTask{Task: WatchEndpoints}
 	}
 	if j := d.next(now); j != nil {
-		return Due{Task: PlaceJob, Job: j.id}
+		return DueTask{Task: PlaceJob, Job: j.id}
 	}
 	for len(d.due) > 0 && d.due[0].at <= now {
 		it := heap.Pop(&d.due).(dueItem)
@@ -1008,16 +1008,16 @@
 			d.release(it.token, now, false)
 		case s != nil && s.turn == it.turn && d.look(s, now):
 			s.stopping = true
-			return Due{Task: CancelAttempt, Job: s.id, Attempt: s.n}
+			return DueTask{Task: CancelAttempt, Job: s.id, Attempt: s.n}
 		case j != nil && j.turn == it.turn && len(j.out) == 0:
-			return Due{Task: PlaceJob, Job: j.id}
+			return DueTask{Task: PlaceJob, Job: j.id}
 		case s == nil && j == nil:
 			d.unanswered(now)
 			d.stale, d.freed, d.wants = true, true, true
 		}
 	}
 	if j := d.next(now); j != nil {
-		return Due{Task: PlaceJob, Job: j.id}
+		return DueTask{Task: PlaceJob, Job: j.id}
 	}
 	d.askKeepers(now)
 	if len(d.words) > 0 {
@@ -1033,7 +1033,7 @@
 		at = min(at, d.askAt)
 	}
 	d.sleepTo = at
-	return Due{At: at}
+	return DueTask{At: at}
 }
 
 // next is the first in the release order that a free token is open to, copies last. It is asked once after
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -23,8 +23,8 @@
 // took is the time since an allocation was sent, without what this node stood still just now: its news may be that old.
 func (d *Dispatcher) took(s *shot) time.Duration { return max(0, d.now-s.sentAt-d.stood) }
 
-// Started tells that an executor has begun on an allocation.
-func (d *Dispatcher) Started(now time.Duration, id JobID, n AttemptID) {
+// AttemptStarted tells that an executor has begun on an allocation.
+func (d *Dispatcher) AttemptStarted(now time.Duration, id JobID, n AttemptID) {
 	d.turn(now)
 	s := d.out(id, n)
 	if s == nil || s.running {
@@ -42,8 +42,8 @@
 	e.startedOther = e.startedOther || !e.full || s.tenantID != e.fullFrom
 }
 
-// Progressed tells how much of an allocation is done.
-func (d *Dispatcher) Progressed(now time.Duration, id JobID, n AttemptID, share float64) {
+// AttemptProgressed tells how much of an allocation is done.
+func (d *Dispatcher) AttemptProgressed(now time.Duration, id JobID, n AttemptID, share float64) {
 	if s := d.out(id, n); s != nil {
 		s.share, s.shareAt = share, now
 		d.alive(s.on, now)
@@ -56,15 +56,15 @@
 	e.news, e.broke, e.mute, e.silences, e.turned = now, false, false, 0, 0
 }
 
-// Left tells that the client has gone: nothing more is owed.
-func (d *Dispatcher) Left(now time.Duration, id JobID) {
+// ClientLeft tells that the client has gone: nothing more is owed.
+func (d *Dispatcher) ClientLeft(now time.Duration, id JobID) {
 	if j := d.jobs[id]; j != nil {
 		d.end(j, now)
 	}
 }
 
-// Reported tells what an executor says of its load with an answer: batch jobs held, those that wait, and places free.
-func (d *Dispatcher) Reported(id ExecutorID, load Load) {
+// LoadReported tells what an executor says of its load with an answer: batch jobs held, those that wait, and places free.
+func (d *Dispatcher) LoadReported(id ExecutorID, load Load) {
 	e, places := d.byID[id], load.InFlight-load.Queued+load.FreeSlots
 	if e == nil || places < 0.5 || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
 		return
@@ -305,8 +305,8 @@
 	}
 }
 
-// Probed tells what came of a probe; load means something only where it was answered.
-func (d *Dispatcher) Probed(now time.Duration, id ExecutorID, answered bool, load Load) {
+// ProbeEnded tells what came of a probe; load means something only where it was answered.
+func (d *Dispatcher) ProbeEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
 	d.turn(now)
 	e := d.byID[id]
 	if e == nil {
@@ -334,7 +334,7 @@
 	if d.probes && !e.probing && (e.probed == 0 || now-e.probed >= within) {
 		e.probing, e.probed = true, now
 		d.watch(e)
-		d.words = append(d.words, Due{Task: Probe, Executor: e.id})
+		d.words = append(d.words, DueTask{Task: ProbeExecutor, Executor: e.id})
 		d.at(now+d.shortestQuoted, nil, nil)
 	}
 }
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -17,21 +17,21 @@
 	}
 	d.UpdateEndpoints(0, CompleteUpdate, list)
 	now := time.Duration(0)
-	d.Wait(now) // the slice is picked
+	d.NextTask(now) // the slice is picked
 	for i := range 20 {
 		id := JobID(fmt.Sprint(i))
 		now += 300 * time.Millisecond
-		d.Arrived(now, Arrival{Job: id, Tenant: TenantID(5000 * i), Work: 100 * time.Millisecond, Budget: 2 * time.Second})
+		d.JobArrived(now, Arrival{Job: id, Tenant: TenantID(5000 * i), Work: 100 * time.Millisecond, Budget: 2 * time.Second})
 		if got := d.Place(now, id); got.Action != Send {
 			t.Fatalf("batch job %d: %+v", i, got)
 		}
-		d.Started(now, id, 0)
-		d.Ended(now+100*time.Millisecond, id, 0, Succeeded, true)
-		for due := d.Wait(now + 100*time.Millisecond); due.Task != 0; due = d.Wait(now + 100*time.Millisecond) {
+		d.AttemptStarted(now, id, 0)
+		d.AttemptEnded(now+100*time.Millisecond, id, 0, Succeeded, true)
+		for due := d.NextTask(now + 100*time.Millisecond); due.Task != 0; due = d.NextTask(now + 100*time.Millisecond) {
 		}
 	}
 	d.UpdateEndpoints(now, CompleteUpdate, nil) // and all of them gone at once
-	d.Arrived(now, Arrival{Job: "late", Tenant: 1, Work: 100 * time.Millisecond, Budget: 2 * time.Second})
+	d.JobArrived(now, Arrival{Job: "late", Tenant: 1, Work: 100 * time.Millisecond, Budget: 2 * time.Second})
 	if got := d.Place(now, "late"); got.Action != Enqueue {
 		t.Fatalf("with no executor left: %+v", got)
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -86,7 +86,7 @@
 	bySum   map[ExecutorHash]*executor // by the id that nodes use among each other
 	kept    map[ExecutorHash]*keep     // what this node keeps for all
 	keeps   []*keep
-	words   []Due // to be said; probes and notes among them
+	words   []DueTask // to be said; probes and notes among them
 }
 
 // track holds a track's derived figures and running averages.
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -97,7 +97,7 @@
 func (p *player) run(until time.Duration) {
 	now := until
 	for guard := 0; guard < 10000; guard++ {
-		due := p.d.Wait(now)
+		due := p.d.NextTask(now)
 		switch due.Task {
 		case PlaceJob:
 			p.decided(now, due.Job, p.d.Place(now, due.Job))
@@ -107,9 +107,9 @@
 			p.say(now, "subscribe")
 		case SendLeaseMessage:
 			p.say(now, "tell node %d: %s %s", due.Node, wordNames[due.Message], p.names[due.Hash])
-		case Probe:
+		case ProbeExecutor:
 			p.say(now, "probe %s", due.Executor)
-		case Note:
+		case WriteLog:
 			p.say(now, "note: %s", due.Text)
 		case Sleep:
 			return
@@ -121,7 +121,7 @@
 // pass steps through all due times up to then.
 func (p *player) pass(from, until time.Duration) {
 	for now := from; now < until; {
-		due := p.d.Wait(now)
+		due := p.d.NextTask(now)
 		if due.Task != Sleep {
 			p.t.Fatalf("something was left due at %v: %+v", now, due)
 		}
@@ -211,15 +211,15 @@
 		track, _ := strconv.Atoi(args["track"])
 		tenant, _ := strconv.Atoi(args["tenant"])
 		work, budget := kept.Span(p.t, args["work"]), kept.Span(p.t, args["budget"])
-		p.d.Arrived(now, Arrival{id, JobClassID(track), TenantID(tenant), work, budget, args["again"] != ""})
+		p.d.JobArrived(now, Arrival{id, JobClassID(track), TenantID(tenant), work, budget, args["again"] != ""})
 	case "started":
-		p.d.Started(now, id, n)
+		p.d.AttemptStarted(now, id, n)
 	case "progress":
 		share, _ := strconv.ParseFloat(words[1], 64)
-		p.d.Progressed(now, id, n, share)
+		p.d.AttemptProgressed(now, id, n, share)
 	case "ended":
 		final := words[1] == "handled" || len(words) > 2
-		p.decided(now, id, p.d.Ended(now, id, n, outcomeWords[words[1]], final))
+		p.decided(now, id, p.d.AttemptEnded(now, id, n, outcomeWords[words[1]], final))
 	case "heard":
 		from, _ := strconv.Atoi(words[0])
 		for word, name := range wordNames {
@@ -232,17 +232,17 @@
 		for i := range load {
 			load[i], _ = strconv.ParseFloat(words[1+i], 64)
 		}
-		p.d.Reported(ExecutorID(words[0]), Load{InFlight: load[0], Queued: load[1], FreeSlots: load[2], FreeMemory: -1, RunTime: -1})
+		p.d.LoadReported(ExecutorID(words[0]), Load{InFlight: load[0], Queued: load[1], FreeSlots: load[2], FreeMemory: -1, RunTime: -1})
 	case "probed":
 		load := Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
 		for _, w := range words[2:] {
 			load.FreeSlots, _ = strconv.ParseFloat(strings.TrimPrefix(w, "free="), 64)
 		}
-		p.d.Probed(now, ExecutorID(words[0]), words[1] == "answered", load)
+		p.d.ProbeEnded(now, ExecutorID(words[0]), words[1] == "answered", load)
 	case "left":
-		p.d.Left(now, id)
+		p.d.ClientLeft(now, id)
 	case "closing":
-		p.d.Closing(now, kept.Span(p.t, words[0]))
+		p.d.ShutDownBy(now, kept.Span(p.t, words[0]))
 	case "quotas":
 		for _, e := range p.d.met {
 			p.say(now, "%s has a quota of %d", e.id, e.quota)
--- a/policy/types.go
+++ b/policy/types.go
@@ -224,12 +224,12 @@
 	CancelAttempt                // stop waiting for Due.Allocation of Due.Job
 	WatchEndpoints               // ask for the list and its changes
 	SendLeaseMessage             // say Due.Word of the executor of Due.Sum to Due.Node
-	Note                         // write Due.Text to the log
-	Probe                        // ask Due.Executor for its load
+	WriteLog                     // write Due.Text to the log
+	ProbeExecutor                // ask Due.Executor for its load
 )
 
-// Due is the answer to how long to wait.
-type Due struct {
+// DueTask is the answer to how long to wait.
+type DueTask struct {
 	Task     Task
 	At       time.Duration
 	Job      JobID
