--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 # The lab plays some of its worlds in part, or fewer of them, while the race detector watches: all of them without it.
 test:
 	go test -race ./...
-	go test ./internal/lab
+	go test ./internal/simulation
 
 lint:
 	@test -z "$$(gofmt -l cmd internal lab policy)" || { gofmt -l cmd internal lab policy; echo 'not gofmt-formatted'; exit 1; }
--- a/cmd/birchlab/fleet.go
+++ b/cmd/birchlab/fleet.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"sync"
 
-	"birchstair/internal/lab"
-	"birchstair/internal/rig"
+	"birchstair/internal/harness"
+	"birchstair/internal/simulation"
 )
 
 // fleetCmd plays scenarios with real processes.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	if err := rig.Fits(s); err != nil {
+	if err := harness.Fits(s); err != nil {
 		return fmt.Errorf("%s: %w", c.Scenario, err)
 	}
 	wrong := 0
@@ -64,7 +64,7 @@
 			if c.JSON != "" {
 				if err := appendLine(c.JSON, struct {
 					Talk bool
-					rig.Result
+					harness.Result
 				}{talk, r}); err != nil {
 					return err
 				}
@@ -92,10 +92,10 @@
 }
 
 // play plays one run, and drops its folder where nothing was wrong and nobody wants it.
-func (c *fleetOptions) play(s lab.Scenario, seed uint64) (rig.Result, string, error) {
+func (c *fleetOptions) play(s simulation.Scenario, seed uint64) (harness.Result, string, error) {
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
-		return rig.Result{}, "", err
+		return harness.Result{}, "", err
 	}
 	dir := filepath.Join(c.Keep, fmt.Sprintf("%s-%d-talk-%t", s.Name, seed, s.Fleet.Talk))
 	if c.Keep == "" {
@@ -104,16 +104,16 @@
 		err = os.MkdirAll(dir, 0o755)
 	}
 	if err != nil {
-		return rig.Result{}, "", err
+		return harness.Result{}, "", err
 	}
-	r, err := rig.Play(s, rig.Options{Binary: binary, Dir: dir, Seed: seed})
+	r, err := harness.Play(s, harness.Options{Binary: binary, Dir: dir, Seed: seed})
 	if err == nil && len(r.Wrong) == 0 && c.Keep == "" {
 		os.RemoveAll(dir)
 	}
 	return r, dir, err
 }
 
-func printFleet(s lab.Scenario, r rig.Result, dir string) {
+func printFleet(s simulation.Scenario, r harness.Result, dir string) {
 	fmt.Printf("%s, seed %d, %d nodes, talk %t: earned %.3f, of the best that could be had %.3f; work sent over work finished %.2f; %d works, tries %v, allocations %d\n",
 		s.Name, r.Seed, s.Fleet.Nodes, s.Fleet.Talk, r.Earned/max(r.Asked, 1e-9), r.Earned/max(r.Best, 1e-9), r.Work/max(r.Finished, 1e-9), r.Works, r.Tries, r.Allocations)
 	if r.Late > 0 {
@@ -143,7 +143,7 @@
 		free <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-free }()
-			s := rig.Draw(seed, c.Nodes)
+			s := harness.Draw(seed, c.Nodes)
 			r, dir, err := c.play(s, seed)
 			mu.Lock()
 			defer mu.Unlock()
--- a/cmd/birchlab/hunt.go
+++ b/cmd/birchlab/hunt.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"birchstair/internal/lab"
+	"birchstair/internal/simulation"
 )
 
 type huntCmd struct {
@@ -45,8 +45,8 @@
 
 // outcome is what a hunt keeps of a world.
 type outcome struct {
-	s lab.Scenario
-	r lab.Result
+	s simulation.Scenario
+	r simulation.Result
 }
 
 func (c *huntCmd) Run() error {
@@ -64,8 +64,8 @@
 	var broken, worst []outcome
 	var against versus
 	var failed error
-	size := lab.Size{Nodes: c.Nodes, Executors: c.Executors, Length: c.Length, Cold: c.Cold}
-	lab.Hunt(c.Seeds.first, c.Seeds.last, size, c.Parallel, func(s lab.Scenario, r lab.Result) bool {
+	size := simulation.Size{Nodes: c.Nodes, Executors: c.Executors, Length: c.Length, Cold: c.Cold}
+	simulation.Hunt(c.Seeds.first, c.Seeds.last, size, c.Parallel, func(s simulation.Scenario, r simulation.Result) bool {
 		done++
 		works += r.Works()
 		steps += r.Steps
@@ -128,9 +128,9 @@
 	allocations, allAlone int
 }
 
-func (v *versus) add(s lab.Scenario, r lab.Result) {
+func (v *versus) add(s simulation.Scenario, r simulation.Result) {
 	s.Fleet.Talk = false
-	o := lab.New(s, r.Seed, lab.Options{}).Play()
+	o := simulation.New(s, r.Seed, simulation.Options{}).Play()
 	v.pairs = append(v.pairs, pair{r.Seed, r.Earned, o.Earned, r.Best, r.Allocations, o.Allocations})
 }
 
@@ -161,7 +161,7 @@
 // shortfall is how far a world stayed under what could have been earned in it, with the nodes and executors that were there.
 func shortfall(o outcome) float64 { return o.r.Best - o.r.Earned }
 
-func keep(dir string, s lab.Scenario, why string) error {
+func keep(dir string, s simulation.Scenario, why string) error {
 	s.About = strings.TrimSuffix(s.About, ".") + "; " + why + "."
 	text, err := s.Text()
 	if err != nil {
@@ -182,18 +182,18 @@
 		return err
 	}
 	seed := seedOf(s, c.Seed)
-	r := lab.New(s, seed, lab.Options{}).Play()
+	r := simulation.New(s, seed, simulation.Options{}).Play()
 	if len(r.Broken) == 0 {
 		return fmt.Errorf("%s breaks no rule with seed %d: there is nothing to shrink", s.Name, seed)
 	}
 	rule := r.Broken[0].Rule
 	fmt.Fprintf(os.Stderr, "%s breaks the rule %q; looking for less that does\n", s.Name, rule)
-	small := lab.Shrink(s, seed, rule, func(s lab.Scenario) {
+	small := simulation.Shrink(s, seed, rule, func(s simulation.Scenario) {
 		fmt.Fprintf(os.Stderr, "  %d faults, %v, %d nodes, %d executors, %d tracks\n", len(s.Faults), time.Duration(s.Length), s.Fleet.Nodes,
 			s.Fleet.Executors, len(s.Tracks))
 	})
 	small.Seed = seed
-	r = lab.New(small, seed, lab.Options{}).Play()
+	r = simulation.New(small, seed, simulation.Options{}).Play()
 	for _, b := range r.Broken {
 		if b.Rule == rule {
 			fmt.Fprintln(os.Stderr, b)
@@ -212,4 +212,4 @@
 }
 
 // seedOf is the seed that was asked for, or the scenario's own, or 1.
-func seedOf(s lab.Scenario, asked uint64) uint64 { return cmp.Or(asked, s.Seed, 1) }
+func seedOf(s simulation.Scenario, asked uint64) uint64 { return cmp.Or(asked, s.Seed, 1) }
--- a/cmd/birchlab/kill.go
+++ b/cmd/birchlab/kill.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"birchstair/internal/lab"
+	"birchstair/internal/simulation"
 )
 
 type killCmd struct {
@@ -43,9 +43,9 @@
 		wait.Go(func() {
 			defer func() { <-free }()
 			dir, err := os.MkdirTemp("", "birchlab-kill-")
-			var r lab.Killed
+			var r simulation.Killed
 			if err == nil {
-				r, err = lab.Killing{Binary: binary, Seed: c.Seed + uint64(i), Jobs: c.Jobs, Kills: c.Kills, Leases: c.Leases, Dir: dir}.Play()
+				r, err = simulation.Killing{Binary: binary, Seed: c.Seed + uint64(i), Jobs: c.Jobs, Kills: c.Kills, Leases: c.Leases, Dir: dir}.Play()
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/cmd/birchlab/main.go
+++ b/cmd/birchlab/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"birchstair/internal/scale"
+	"birchstair/internal/scaletest"
 )
 
 var commands struct {
@@ -28,8 +28,8 @@
 var errBroken = errors.New("a rule broke")
 
 func main() {
-	if os.Getenv(scale.HollowEnv) != "" { // started by birchlab scale
-		if err := scale.Hollow(os.Stdin, os.Stdout); err != nil {
+	if os.Getenv(scaletest.HollowEnv) != "" { // started by birchlab scale
+		if err := scaletest.Hollow(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "birchlab, a hollow process:", err)
 			os.Exit(2)
 		}
--- a/cmd/birchlab/run.go
+++ b/cmd/birchlab/run.go
@@ -14,8 +14,8 @@
 	"text/tabwriter"
 	"time"
 
-	"birchstair/internal/lab"
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
+	"birchstair/internal/simulation"
 	"birchstair/lab/scenarios"
 )
 
@@ -28,7 +28,7 @@
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, f := range files {
-		s, err := lab.LoadFrom(scenarios.Files, f)
+		s, err := simulation.LoadFrom(scenarios.Files, f)
 		if err != nil {
 			return err
 		}
@@ -38,13 +38,13 @@
 }
 
 // load reads a scenario by its file, or by the name of a kept one.
-func load(name string) (lab.Scenario, error) {
+func load(name string) (simulation.Scenario, error) {
 	if text, err := os.ReadFile(name); err == nil {
-		return lab.Read(name, text)
+		return simulation.Read(name, text)
 	} else if strings.ContainsAny(name, "/.") {
-		return lab.Scenario{}, err
+		return simulation.Scenario{}, err
 	}
-	s, err := lab.LoadFrom(scenarios.Files, name+".toml")
+	s, err := simulation.LoadFrom(scenarios.Files, name+".toml")
 	if errors.Is(err, fs.ErrNotExist) {
 		return s, fmt.Errorf("%s: neither a file nor a kept scenario; birchlab list names those", name)
 	}
@@ -68,7 +68,7 @@
 	if c.Runs > 0 {
 		return c.many(s)
 	}
-	o := lab.Options{}
+	o := simulation.Options{}
 	if c.Trace != "" {
 		trace, finish, err := writeTrace(c.Trace)
 		if err != nil {
@@ -78,13 +78,13 @@
 		o.Trace = trace
 	}
 	began := time.Now()
-	r := lab.New(s, seedOf(s, c.Seed), o).Play()
+	r := simulation.New(s, seedOf(s, c.Seed), o).Play()
 	r.Print(os.Stdout)
 	fmt.Printf("  %d steps in %v\n", r.Steps, time.Since(began).Round(time.Millisecond))
 	if c.Against {
 		other := s
 		other.Fleet.Talk = !s.Fleet.Talk
-		o := lab.New(other, seedOf(s, c.Seed), lab.Options{}).Play()
+		o := simulation.New(other, seedOf(s, c.Seed), simulation.Options{}).Play()
 		with, without := r, o
 		if other.Fleet.Talk {
 			with, without = o, r
@@ -96,7 +96,7 @@
 }
 
 // report writes what came of a world to a file, if one is named, and says whether a rule broke.
-func report(path string, what any, r lab.Result) error {
+func report(path string, what any, r simulation.Result) error {
 	if path != "" {
 		text, err := json.MarshalIndent(what, "", "  ")
 		if err != nil {
@@ -113,14 +113,14 @@
 }
 
 // writeTrace gives what writes a trace to a file, and what finishes it.
-func writeTrace(path string) (func(rules.Seen), func() error, error) {
+func writeTrace(path string) (func(invariants.Seen), func() error, error) {
 	f, err := os.Create(filepath.Clean(path))
 	if err != nil {
 		return nil, nil, err
 	}
 	w := bufio.NewWriterSize(f, 1<<20)
 	var failed error
-	return func(s rules.Seen) {
+	return func(s invariants.Seen) {
 			line, err := s.Line()
 			if err == nil {
 				w.Write(line)
@@ -136,18 +136,18 @@
 const near = 0.02
 
 // many plays a scenario with many seeds, with nodes that talk and with each alone.
-func (c *runCmd) many(s lab.Scenario) error {
+func (c *runCmd) many(s simulation.Scenario) error {
 	broken := 0
 	for _, talk := range []bool{true, false} {
 		s.Fleet.Talk = talk
-		results := make([]lab.Result, c.Runs)
+		results := make([]simulation.Result, c.Runs)
 		var wait sync.WaitGroup
 		free := make(chan struct{}, runtime.GOMAXPROCS(0))
 		for i := range results {
 			free <- struct{}{}
 			wait.Go(func() {
 				defer func() { <-free }()
-				results[i] = lab.New(s, seedOf(s, c.Seed)+uint64(i), lab.Options{}).Play()
+				results[i] = simulation.New(s, seedOf(s, c.Seed)+uint64(i), simulation.Options{}).Play()
 			})
 		}
 		wait.Wait()
--- a/cmd/birchlab/scale.go
+++ b/cmd/birchlab/scale.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"birchstair/internal/scale"
+	"birchstair/internal/scaletest"
 )
 
 // scaleCmd measures slopes.
@@ -40,8 +40,8 @@
 	Keep      string        `type:"path" placeholder:"DIR" help:"Keep logs and configurations there."`
 }
 
-func (c *scaleCmd) sweep() (scale.Sweep, error) {
-	s := scale.Sweep{Executors: c.Executors, Of: c.Of, Nodes: c.Nodes, Real: c.Real, Rungs: c.Rungs, Rates: c.Rates, Running: c.Running, Held: c.Held, Tenants: c.Tenants, Rounds: c.Rounds,
+func (c *scaleCmd) sweep() (scaletest.Sweep, error) {
+	s := scaletest.Sweep{Executors: c.Executors, Of: c.Of, Nodes: c.Nodes, Real: c.Real, Rungs: c.Rungs, Rates: c.Rates, Running: c.Running, Held: c.Held, Tenants: c.Tenants, Rounds: c.Rounds,
 		BaseExecutors: c.At, BaseNodes: c.Among, BaseRate: c.Rate, Work: c.Work, Span: c.Span, Sockets: c.Sockets, Against: c.Against != ""}
 	dims := map[string]*[]int{"executors": &s.Executors, "nodes": &s.Nodes, "rungs": &s.Rungs, "rates": &s.Rates, "running": &s.Running, "held": &s.Held, "tenants": &s.Tenants}
 	for _, name := range c.Skip {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	o := scale.Options{Settle: c.Settle, Dir: c.Keep}
+	o := scaletest.Options{Settle: c.Settle, Dir: c.Keep}
 	if o.Binary, err = filepath.Abs(c.Binary); err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 		}()
 	}
 	fmt.Printf("all points take about %v\n", s.Long().Round(10*time.Second))
-	var rows []scale.Row
+	var rows []scaletest.Row
 	wrong := 0
 	var failed error
 	write := func(v any) {
@@ -94,7 +94,7 @@
 			failed = appendLine(c.JSON, v)
 		}
 	}
-	if err := s.Run(o, func(r scale.Row) {
+	if err := s.Run(o, func(r scaletest.Row) {
 		fmt.Println(r)
 		rows, wrong = append(rows, r), wrong+len(r.Wrong)
 		write(r)
@@ -102,7 +102,7 @@
 		return err
 	}
 	flat := 0
-	for _, f := range scale.Fits(rows) {
+	for _, f := range scaletest.Fits(rows) {
 		write(f)
 		if f.Flat {
 			flat++
--- a/cmd/birchlab/trace.go
+++ b/cmd/birchlab/trace.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
@@ -33,7 +33,7 @@
 	row, shown := 0, 0
 	for in.Scan() {
 		row++
-		var s rules.Seen
+		var s invariants.Seen
 		if err := s.Read(in.Bytes()); err != nil {
 			out.Flush()
 			return fmt.Errorf("%s:%d: not a line of a trace, or cut off: %v", c.File, row, err)
@@ -52,11 +52,11 @@
 	return nil
 }
 
-func (c *traceCmd) wants(s rules.Seen) bool {
+func (c *traceCmd) wants(s invariants.Seen) bool {
 	if s.At < c.From || c.To > 0 && s.At > c.To {
 		return false
 	}
-	fault := s.What == rules.Note && s.Node == rules.Nobody // where one looks is often where a fault began
+	fault := s.What == invariants.Note && s.Node == invariants.Nobody // where one looks is often where a fault began
 	if c.Node >= 0 && int(s.Node) != c.Node && !fault {
 		return false
 	}
--- a/cmd/birchstair/crowd_test.go
+++ b/cmd/birchstair/crowd_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
+	"birchstair/internal/admin"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
 	"birchstair/policy"
 )
 
@@ -150,7 +150,7 @@
 		}
 	}
 	figures := func() error {
-		_, err := operators.Call(door, node.ReadMetrics, "", 5*time.Second)
+		_, err := admin.Call(door, node.ReadMetrics, "", 5*time.Second)
 		return err
 	}
 	until("the door answers", func() bool { return figures() == nil })
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	defer up.Close()
-	go (&platform.Discovery{Zones: []string{"z"}, Entries: []standin.Entry{{Addr: work.Addr().String(),
+	go (&platform.Discovery{Zones: []string{"z"}, Entries: []emulator.Entry{{Addr: work.Addr().String(),
 		Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true}}}}).Serve(up)
 	came, began := idle.letGo.Load(), time.Now()
 	asked := 0
--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog/diode"
 
 	"birchstair/internal/config"
-	"birchstair/internal/list"
+	"birchstair/internal/discovery"
 	"birchstair/internal/reload"
 	"birchstair/internal/site"
 )
@@ -130,8 +130,8 @@
 // told is all that a node is told: its configuration, and the list as it had it last.
 type told struct {
 	config.Config
-	names list.Names
-	known list.Copy
+	names discovery.Names
+	known discovery.Copy
 }
 
 // readSite reads the operator's own file, for that configuration.
@@ -147,7 +147,7 @@
 	if t.Config, err = config.Read(env); err != nil {
 		return t, err
 	}
-	t.names = list.Names{Zones: t.Settings.Zones, Kinds: t.Settings.Kinds, Start: start}
+	t.names = discovery.Names{Zones: t.Settings.Zones, Kinds: t.Settings.Kinds, Start: start}
 	t.known, err = t.names.Known(t.Known)
 	return t, err
 }
--- a/cmd/birchstair/main_test.go
+++ b/cmd/birchstair/main_test.go
@@ -5,7 +5,7 @@
 	"sync"
 	"testing"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 )
 
 var programDir string // empty until the program is built
@@ -15,7 +15,7 @@
 	if programDir, err = os.MkdirTemp("", "birchstair-test-"); err != nil {
 		return "", err
 	}
-	return kept.Program(programDir)
+	return golden.Program(programDir)
 })
 
 // program is the program's file.
--- a/cmd/birchstair/ops.go
+++ b/cmd/birchstair/ops.go
@@ -7,9 +7,9 @@
 	"os"
 	"time"
 
+	"birchstair/internal/admin"
 	"birchstair/internal/config"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
 	"birchstair/policy"
 )
 
@@ -43,7 +43,7 @@
 }
 
 func (c *opsCmd) order(name commandName, id policy.ExecutorID) error {
-	if _, err := c.call(operators.Named(string(name)), id); err != nil {
+	if _, err := c.call(admin.Named(string(name)), id); err != nil {
 		return err
 	}
 	fmt.Println("ok")
@@ -78,5 +78,5 @@
 	if addr == "" {
 		return nil, errors.New("no management address: name it by --at or ROUTER_MANAGEMENT, or in the file that ROUTER_CONFIG names")
 	}
-	return operators.Call(addr, order, id, c.Wait)
+	return admin.Call(addr, order, id, c.Wait)
 }
--- a/cmd/birchstair/reload_test.go
+++ b/cmd/birchstair/reload_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"birchstair/internal/admin"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
 )
 
 // initLine ends with the trace's line of the package that catches SIGHUP: Go tells of each package that it has initialised.
@@ -64,7 +64,7 @@
 			var figures []string
 			for by := time.Now().Add(15 * time.Second); !slices.Contains(figures, "reloads_ok=1"); time.Sleep(5 * time.Millisecond) {
 				var err error
-				if figures, err = operators.Call(pr.door, node.ReadMetrics, "", time.Second); err != nil {
+				if figures, err = admin.Call(pr.door, node.ReadMetrics, "", time.Second); err != nil {
 					t.Fatal(err)
 				}
 				if time.Now().After(by) {
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -13,18 +13,18 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/clients"
+	"birchstair/internal/cluster"
 	"birchstair/internal/config"
 	"birchstair/internal/durable"
-	"birchstair/internal/executors"
-	"birchstair/internal/fleet"
+	"birchstair/internal/frontend"
+	"birchstair/internal/gossip"
+	"birchstair/internal/hotrestart"
 	"birchstair/internal/leases"
-	"birchstair/internal/members"
 	"birchstair/internal/node"
 	"birchstair/internal/service"
 	"birchstair/internal/site"
 	"birchstair/internal/store"
-	"birchstair/internal/succession"
+	"birchstair/internal/upstream"
 	"birchstair/policy"
 )
 
@@ -47,7 +47,7 @@
 	}
 	var elder net.Conn
 	if c.Shared != "" {
-		if elder, err = succession.Join(c.Shared); err != nil {
+		if elder, err = hotrestart.Join(c.Shared); err != nil {
 			log.Info().Str("because", err.Error()).Msg("no older process of this node is joined")
 			elder = nil
 		}
@@ -89,8 +89,8 @@
 	}()
 	log.Info().Str("listen", c.Listen).Int("known", len(c.known.Executors)).Int("clients", fromClients).
 		Int("executors", toExecutors).Msg("the node is up")
-	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: clients.Budget{Whole: fromClients, Half: fromFewer}, Known: c.known, Discovery: c.Discovery,
-		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.Shared, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: executors.TCP(c.Settings.DialLimit), Log: log,
+	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: frontend.Budget{Whole: fromClients, Half: fromFewer}, Known: c.known, Discovery: c.Discovery,
+		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.Shared, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: upstream.TCP(c.Settings.DialLimit), Log: log,
 		Limits: node.Limits{Quantum: p.Quantum, MaxIdle: c.Settings.IdleLimit * 4 / 5, DialTimeout: c.Settings.DialLimit,
 			MaxConns: toExecutors, MaxConnsShared: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, MaxBodyBytes: int(c.Memory / 4), RetryAfter: p.MaxRetryAfter,
 			MaxWork: c.LongestWork(), LameDuckPeriod: config.StopSpell, ShutdownTimeout: c.StopLimit()}}, more)
@@ -99,7 +99,7 @@
 // setAside keeps descriptors for what the operator's own file turns on.
 func (t *told) setAside(own site.Site) {
 	if own.Fleet != nil {
-		t.Neighbours = members.Descriptors
+		t.Neighbours = gossip.Descriptors
 	}
 }
 
@@ -135,7 +135,7 @@
 		return nil, fmt.Errorf("durable.dir: %w", err)
 	}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
-		return executors.TCP(c.Settings.DialLimit)(ctx, 0, addr)
+		return upstream.TCP(c.Settings.DialLimit)(ctx, 0, addr)
 	}
 	return durable.New(durable.Options{OuterLimit: time.Duration(own.OuterLimit), Leases: leases.Settings{Room: own.InHand,
 		Keep: time.Duration(own.Keep), Leases: own.Leases, AskEvery: time.Duration(own.AskEvery)}}, s, c.Settings.Tracks, c.Settings.Policy.JobClasses, dial, log), nil
@@ -146,10 +146,10 @@
 	if own == nil {
 		return nil, nil
 	}
-	name := fleet.NodeName(cmp.Or(own.Name, c.Name))
-	s := fleet.Defaults(name, uint64(start.UnixMilli()), c.Settings.Policy.Seed)
+	name := cluster.NodeName(cmp.Or(own.Name, c.Name))
+	s := cluster.Defaults(name, uint64(start.UnixMilli()), c.Settings.Policy.Seed)
 	s.GossipInterval, s.Fanout, s.PeerStateTTL, s.DrainTTL = time.Duration(own.Every), own.Tell, time.Duration(own.ViewFor), time.Duration(own.DrainFor)
-	o, err := members.Parse(name, policy.NodeID(c.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
+	o, err := gossip.Parse(name, policy.NodeID(c.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
 	return &service.Fleet{Settings: s, Options: o}, err
 }
 
--- a/cmd/birchstair/serve_test.go
+++ b/cmd/birchstair/serve_test.go
@@ -18,9 +18,9 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/golden"
 	"birchstair/internal/site"
-	"birchstair/internal/standin/platform"
 )
 
 // executor stands in for one: a batch job is done when its body says so, and "wait" when the test says so.
@@ -89,7 +89,7 @@
 }
 
 // discovery stands in for one whose list never changes; news of who watches it comes on watched.
-func discovery(t *testing.T, work *httptest.Server, name string, watched chan string) string {
+func startDiscovery(t *testing.T, work *httptest.Server, name string, watched chan string) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("from") {
 			watched <- name + " is watched"
@@ -111,7 +111,7 @@
 	started, finish := make(chan string, 1), make(chan string)
 	work := executor(t, started, finish)
 	watched := make(chan string, 100)
-	c := newConfiguration(t, discovery(t, work, "the first", watched))
+	c := newConfiguration(t, startDiscovery(t, work, "the first", watched))
 	ctx, stop := context.WithCancel(context.Background())
 	ended, again := make(chan error, 1), make(chan os.Signal)
 	go func() { ended <- c.serve(ctx, again) }()
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	again <- syscall.SIGHUP
-	c.rewrite(discovery(t, work, "the second", watched))
+	c.rewrite(startDiscovery(t, work, "the second", watched))
 	again <- syscall.SIGHUP // the one before has been looked at, and changed nothing
 	news := []string{<-watched, <-watched}
 	slices.Sort(news) // in whatever order
@@ -162,7 +162,7 @@
 	finish <- ""
 	out.WriteString(<-waited + "\n")
 	fmt.Fprintln(&out, "ended:", <-ended)
-	kept.Compare(t, "serve.txt", out.String())
+	golden.Compare(t, "serve.txt", out.String())
 }
 
 // An address that is taken ends the start with a message.
--- a/cmd/birchstair/store_test.go
+++ b/cmd/birchstair/store_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/internal/store"
 )
 
@@ -91,5 +91,5 @@
 		t.Fatal(err)
 	}
 	say("a flipped bit", printed(t, storeCheckCmd{dir}.Run))
-	kept.Compare(t, "store.txt", out.String())
+	golden.Compare(t, "store.txt", out.String())
 }
--- a/cmd/birchstair/upgrade_test.go
+++ b/cmd/birchstair/upgrade_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
+	"birchstair/internal/admin"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
 	"birchstair/policy"
 )
 
@@ -54,11 +54,11 @@
 func newPlatform(t *testing.T, binary string) *platformHere {
 	p := &platformHere{t: t, binary: binary, dir: t.TempDir(), ran: map[policy.JobID]int{}, barred: map[policy.JobID]bool{},
 		answers: map[policy.JobID]int{}}
-	var entries []standin.Entry
+	var entries []emulator.Entry
 	for i := range 4 {
 		id := policy.ExecutorID(fmt.Sprint("e", i))
 		l := freeListener(p.t)
-		entries = append(entries, standin.Entry{Addr: l.Addr().String(), Endpoint: policy.Endpoint{Executor: id, Weight: 1, StartedLongAgo: true}})
+		entries = append(entries, emulator.Entry{Addr: l.Addr().String(), Endpoint: policy.Endpoint{Executor: id, Weight: 1, StartedLongAgo: true}})
 		x := &platform.Executor{ID: id, Takes: func() time.Duration { return 5 * time.Millisecond }, Ran: func(job policy.JobID) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -142,7 +142,7 @@
 }
 
 func (pr *process) call(order node.AdminCommand, id policy.ExecutorID) error {
-	_, err := operators.Call(pr.door, order, id, time.Second)
+	_, err := admin.Call(pr.door, order, id, time.Second)
 	return err
 }
 
@@ -281,7 +281,7 @@
 		}
 	}
 	for _, door := range p.doors {
-		lines, err := operators.Call(door, node.ReadMetrics, "", time.Second)
+		lines, err := admin.Call(door, node.ReadMetrics, "", time.Second)
 		p.t.Log(door, lines, err)
 	}
 	for i := range p.started {
--- a/internal/operators/call.go
+++ b/internal/admin/call.go
@@ -1,4 +1,4 @@
-package operators
+package admin
 
 import (
 	"bufio"
--- a/internal/operators/door.go
+++ b/internal/admin/door.go
@@ -1,6 +1,6 @@
-// Package operators is the door for the staff that runs a node: one line to a connection, one answer, closed. Calls go
+// Package admin is the door for the staff that runs a node: one line to a connection, one answer, closed. Calls go
 // to the reducer as events, answers come back as effects. door.go holds the callers, codec.go the words.
-package operators
+package admin
 
 import (
 	"bufio"
--- a/internal/operators/door_test.go
+++ b/internal/admin/door_test.go
@@ -1,4 +1,4 @@
-package operators
+package admin
 
 import (
 	"context"
@@ -8,17 +8,17 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/bubble"
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/internal/memnet"
 	"birchstair/internal/node"
+	"birchstair/internal/synctesting"
 )
 
 // A door on connections in memory, with a core that says yes, or no to one executor, and one call that it never answers.
 // Two callers have a place at a time.
 func TestDoor(t *testing.T) {
 	var out strings.Builder
-	bubble.Test(t, func(t *testing.T) {
+	synctesting.Test(t, func(t *testing.T) {
 		net := memnet.New(1, func(string, string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
 		on, err := net.Listen("n0", "door")
 		if err != nil {
@@ -78,5 +78,5 @@
 		read("at the end", last)
 		fmt.Fprintln(&out, "ended:", <-ended)
 	})
-	kept.Compare(t, "door.txt", out.String())
+	golden.Compare(t, "door.txt", out.String())
 }
--- a/internal/fleet/fleet.go
+++ b/internal/cluster/cluster.go
@@ -1,10 +1,10 @@
-// Package fleet decides what a node makes of the other nodes that it talks with: which of their figures still count, where the cut line lies for all of
+// Package cluster decides what a node makes of the other nodes that it talks with: which of their figures still count, where the cut line lies for all of
 // them together, and which executors count as draining because a neighbour's list says so. It does no input or output and reads no clock. What it
 // says goes out as words to neighbours, a bounded number each spell however large the fleet is; nothing waits for an answer.
 //
 // Its words: a neighbour is another node of the fleet, a word what one tells another, a view what this node knows of a neighbour. An age is a span,
 // counted on by who holds the figure.
-package fleet
+package cluster
 
 import (
 	"cmp"
--- a/internal/fleet/fleet_test.go
+++ b/internal/cluster/cluster_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/policy"
 )
 
@@ -26,15 +26,15 @@
 }
 
 func TestTraces(t *testing.T) {
-	kept.Replay(t, func(t *testing.T, lines []string) string {
+	golden.Replay(t, func(t *testing.T, lines []string) string {
 		s := Defaults("me", 5, 1)
 		s.Epoch, s.DrainTTL = 0, 30*time.Second
 		p, out := &player{t: t, f: New(s)}, []string{}
 		for _, line := range lines {
 			out = append(out, line)
 			if words := strings.Fields(line); len(words) > 0 && words[0] != "#" {
-				for _, text := range p.play(kept.Span(t, words[0]), words[1:]) {
-					out = append(out, kept.Arrow+text)
+				for _, text := range p.play(golden.Span(t, words[0]), words[1:]) {
+					out = append(out, golden.Arrow+text)
 				}
 			}
 		}
@@ -126,7 +126,7 @@
 		}
 		for _, text := range words[2:] {
 			if part := strings.Split(text, ":"); len(part) == 3 && !strings.Contains(text, "=") {
-				w.Drains = append(w.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: kept.Span(p.t, part[1]), Incarnation: kept.Span(p.t, part[2]).Milliseconds()})
+				w.Drains = append(w.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: golden.Span(p.t, part[1]), Incarnation: golden.Span(p.t, part[2]).Milliseconds()})
 			}
 		}
 		for _, id := range p.f.Receive(now, w) {
@@ -136,11 +136,11 @@
 		state := policy.EndpointState(slices.Index([]string{"up", "draining", "gone"}, words[2]))
 		born := time.Duration(0)
 		if v := value["born"]; v != "" {
-			born = kept.Span(p.t, v)
+			born = golden.Span(p.t, v)
 		}
 		p.f.ObserveEndpoint(now, policy.ExecutorID(words[1]), born, born == 0, state)
 	case "drains":
-		born := kept.Span(p.t, value["born"])
+		born := golden.Span(p.t, value["born"])
 		out = append(out, fmt.Sprint(p.f.IsDraining(policy.ExecutorID(words[1]), born, born == 0)))
 	case "old":
 		for _, id := range p.f.ExpireDrains(now, words[1] == "follows") {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 )
 
 const whole = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","seed":"8c1f",
@@ -120,7 +120,7 @@
 		}
 		fmt.Fprintf(&out, "read again with %.60q for %.30q: %v\n", change[1], change[0], err)
 	}
-	kept.Compare(t, "read.txt", out.String())
+	golden.Compare(t, "read.txt", out.String())
 }
 
 // What is set aside stands beside what clients and executors may fill, however few descriptors there are: an upgrade's halves from 128
--- a/internal/list/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bufio"
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/bubble"
 	"birchstair/internal/config"
-	"birchstair/internal/kept"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/golden"
 	"birchstair/internal/memnet"
 	"birchstair/internal/node"
-	"birchstair/internal/standin/platform"
+	"birchstair/internal/synctesting"
 	"birchstair/policy"
 )
 
@@ -459,7 +459,7 @@
 			}
 			for _, order := range worst {
 				for _, slow := range []time.Duration{0, slowAnswer} {
-					bubble.Test(t, func(t *testing.T) {
+					synctesting.Test(t, func(t *testing.T) {
 						span, most := longestSpan(p, slow, order.do)
 						if span > min(by, p.sum()+50*time.Millisecond) || most > config.DiscoveryConns {
 							t.Errorf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
@@ -470,14 +470,14 @@
 			}
 		}
 	}
-	kept.Compare(t, "sums.txt", out.String())
+	golden.Compare(t, "sums.txt", out.String())
 }
 
 // Discovery answers each call in 1.5 s, for good: once that was seen, no call is late any more.
 func TestSlowForGood(t *testing.T) {
 	for _, grace := range []time.Duration{150 * time.Millisecond, time.Second, 2 * time.Second} {
 		for _, pushed := range []bool{true, false} {
-			bubble.Test(t, func(t *testing.T) {
+			synctesting.Test(t, func(t *testing.T) {
 				d := newService(slowAnswer)
 				d.up()
 				var mu sync.Mutex
@@ -512,7 +512,7 @@
 // once, and told within 6 s all the same.
 func TestVersionsAnew(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
-		bubble.Test(t, func(t *testing.T) {
+		synctesting.Test(t, func(t *testing.T) {
 			var mu sync.Mutex
 			var all []*service
 			span, _ := longestSpan(PatienceFor(time.Second, pushed), slowAnswer, func(d *service, _ *Watcher) time.Time {
@@ -543,7 +543,7 @@
 func TestReadyInTime(t *testing.T) {
 	for _, down := range []string{"is up", "refuses", "is cut off", "is silent"} {
 		for _, pushed := range []bool{true, false} {
-			bubble.Test(t, func(t *testing.T) {
+			synctesting.Test(t, func(t *testing.T) {
 				nodes, each := 50, time.Duration(0) // each has an agent of its own
 				if !pushed {
 					nodes = 300
@@ -562,7 +562,7 @@
 // A service that all share takes one call a second for each node, too few for all that ask anew at once: it is not kept slow by
 // the calls that were given up.
 func TestReadyFromSlowService(t *testing.T) {
-	bubble.Test(t, func(t *testing.T) {
+	synctesting.Test(t, func(t *testing.T) {
 		const nodes = 100
 		span, calls := readyAfter(nodes, "is silent", PatienceFor(time.Second, false), time.Second/nodes, 40*time.Second)
 		text := fmt.Sprintf("nine in ten have the list after %v, %.1f calls each in 40 s", span, calls)
@@ -577,7 +577,7 @@
 // The figures are those of the bench's day on which the rule on drains broke (docs/incidents/one-quay.md).
 func TestServiceThatTurnsAway(t *testing.T) {
 	for _, grace := range []time.Duration{150 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
-		bubble.Test(t, func(t *testing.T) {
+		synctesting.Test(t, func(t *testing.T) {
 			const nodes = 32
 			shared := &queue{each: 8 * time.Second / nodes}
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/list/codec.go
+++ b/internal/discovery/codec.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"encoding/json"
--- a/internal/list/list.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package list follows discovery: the whole list once, then a watch that is renewed at once each time.
-package list
+// Package discovery follows discovery: the whole list once, then a watch that is renewed at once each time.
+package discovery
 
 import (
 	"context"
--- a/internal/list/list_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
 	"birchstair/policy"
 )
@@ -43,7 +43,7 @@
 		"error",
 		`{"seq":50,"whole":true,"hosts":[{"host":"h","dial":"127.0.0.1:81","health":"ready","site":"new","class":"new"}]}`,
 	}
-	kept.Compare(t, "watch.txt", played(t, PatienceFor(time.Second, true), Copy{}, answers))
+	golden.Compare(t, "watch.txt", played(t, PatienceFor(time.Second, true), Copy{}, answers))
 }
 
 // Where nodes ask, the first watch goes on from the version of the copy, and what it brings makes the whole list of it. Versions
@@ -77,7 +77,7 @@
 		}
 		out.WriteString("-- " + c.name + "\n" + played(t, PatienceFor(time.Second, c.pushed), from, c.answers))
 	}
-	kept.Compare(t, "copy.txt", out.String())
+	golden.Compare(t, "copy.txt", out.String())
 }
 
 var traceNames = Names{Zones: []string{"tallinn", "tartu"}, Kinds: []string{"large", "small"}, Start: time.UnixMilli(5000)}
@@ -199,7 +199,7 @@
 	w.SwitchDiscovery(to)
 	answer("new", newAnswers, entry("8", "false", "d"))
 	expect(1)
-	kept.Compare(t, "follow.txt", out.String())
+	golden.Compare(t, "follow.txt", out.String())
 }
 
 // The copy that a node is handed at its start has discovery's form; none is no fault.
@@ -261,7 +261,7 @@
 	<-over
 	mu.Lock()
 	defer mu.Unlock()
-	kept.Compare(t, "silence.txt", asked.String()+told.String())
+	golden.Compare(t, "silence.txt", asked.String()+told.String())
 }
 
 // What a hang, the backoff after it and the next call take together, for drain grace after drain grace.
@@ -278,5 +278,5 @@
 			}
 		}
 	}
-	kept.Compare(t, "patience.txt", out.String())
+	golden.Compare(t, "patience.txt", out.String())
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -17,17 +17,17 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/bubble"
-	"birchstair/internal/clients"
 	"birchstair/internal/config"
 	"birchstair/internal/durable"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/frontend"
 	"birchstair/internal/leases"
 	"birchstair/internal/memnet"
 	"birchstair/internal/node"
 	"birchstair/internal/service"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
 	"birchstair/internal/store"
+	"birchstair/internal/synctesting"
 	"birchstair/policy"
 )
 
@@ -54,7 +54,7 @@
 	t    *testing.T
 	rand *rand.Rand
 	net  *memnet.Net
-	disk *standin.Disk
+	disk *emulator.Disk
 
 	mu     sync.Mutex
 	runs   map[string]int    // by batch job: effects
@@ -127,9 +127,9 @@
 	if err != nil {
 		panic(err)
 	}
-	var entries []standin.Entry
+	var entries []emulator.Entry
 	for i := range 3 {
-		entries = append(entries, standin.Entry{Addr: fmt.Sprintf("127.1.0.%d:9000", i+1),
+		entries = append(entries, emulator.Entry{Addr: fmt.Sprintf("127.1.0.%d:9000", i+1),
 			Endpoint: policy.Endpoint{Executor: policy.ExecutorID(fmt.Sprint("e", i)), Weight: 1, StartedLongAgo: true}})
 	}
 	go (&platform.Discovery{Entries: entries, Zones: []string{"z"}}).Serve(l)
@@ -183,7 +183,7 @@
 		service.Run(ctx, service.Setup{Settings: config.Settings{Policy: p, Tracks: names, Load: config.LoadAt{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
 			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: 100 * time.Millisecond, MaxConns: 100, MaxBodyBytes: 10 << 20,
 				MaxWork: time.Hour, RetryAfter: time.Second, LameDuckPeriod: 100 * time.Millisecond, ShutdownTimeout: 200 * time.Millisecond},
-			ClientConns: clients.Budget{Whole: 300}, Discovery: "127.0.0.1:8500", Start: start, Module: policy.New(p), Listener: l, Executors: dial,
+			ClientConns: frontend.Budget{Whole: 300}, Discovery: "127.0.0.1:8500", Start: start, Module: policy.New(p), Listener: l, Executors: dial,
 			List: func(ctx context.Context, _, addr string) (net.Conn, error) { return dial(ctx, next(), addr) }, Log: zerolog.Nop(), Durable: d}, more)
 	}()
 	w.mu.Lock()
@@ -288,7 +288,7 @@
 func newWorld(t *testing.T, seed uint64, p plan) *world {
 	w := &world{plan: p, t: t, rand: rand.New(rand.NewPCG(seed, 2)), runs: map[string]int{}, finals: map[string]string{}, acked: map[string]bool{}}
 	w.net = memnet.New(seed, func(_, _ string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
-	w.disk = standin.NewDisk(rand.New(rand.NewPCG(seed, 3)))
+	w.disk = emulator.NewDisk(rand.New(rand.NewPCG(seed, 3)))
 	for i := range 3 {
 		w.executor(i)
 	}
@@ -299,7 +299,7 @@
 // play plays a world and gives what is wrong with it.
 func play(t *testing.T, seed uint64, p plan) (wrong []string, finals map[string]int) {
 	finals = map[string]int{}
-	bubble.Test(t, func(t *testing.T) {
+	synctesting.Test(t, func(t *testing.T) {
 		w := newWorld(t, seed, p)
 		w.disk.Lies = p.lyingDisk
 		w.disk.Slow(p.slow)
@@ -441,7 +441,7 @@
 // The ordinary front does not wait for the disk: while each sync takes ten seconds ordinary batch jobs are answered as ever, and durable ones are not
 // acknowledged.
 func TestSlowDisk(t *testing.T) {
-	bubble.Test(t, func(t *testing.T) {
+	synctesting.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, plan{})
 		kill, _ := w.node()
 		time.Sleep(time.Second)
@@ -479,7 +479,7 @@
 
 // A message that is no durable batch job, and an id that is taken.
 func TestFront(t *testing.T) {
-	bubble.Test(t, func(t *testing.T) {
+	synctesting.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, plan{})
 		kill, _ := w.node()
 		time.Sleep(time.Second)
--- a/internal/standin/clients.go
+++ b/internal/emulator/clients.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
@@ -44,7 +44,7 @@
 
 // Work is what a client wants done, over all its tries.
 type Work struct {
-	ID     rules.WorkID
+	ID     invariants.WorkID
 	Client int // of a loop; -1
 	Track  policy.JobClassID
 	Cost   float64
@@ -113,7 +113,7 @@
 	if c.rand.Float64() < c.Tail.Part {
 		cost *= c.Tail.Times // no hint tells it
 	}
-	w := &Work{ID: rules.WorkID(fmt.Sprintf("%s%d", c.Name, c.count)), Client: client, Track: id, Cost: cost, Hint: hint,
+	w := &Work{ID: invariants.WorkID(fmt.Sprintf("%s%d", c.Name, c.count)), Client: client, Track: id, Cost: cost, Hint: hint,
 		Came: now, Limit: now + t.Deadline, Leaves: Never, first: now, Earns: t.Value}
 	if c.perWork {
 		w.Earns *= cost
--- a/internal/standin/discovery.go
+++ b/internal/emulator/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
@@ -23,8 +23,8 @@
 	silent  bool          // it tells nobody anything
 	entries map[policy.ExecutorID]Entry
 	changes []change
-	told    map[rules.NodeID]int // changes that a node has
-	whole   map[rules.NodeID]bool
+	told    map[invariants.NodeID]int // changes that a node has
+	whole   map[invariants.NodeID]bool
 }
 
 type change struct {
@@ -34,8 +34,8 @@
 
 // NewDiscovery makes one that knows of no executor.
 func NewDiscovery(lag time.Duration) *Discovery {
-	return &Discovery{lag: lag, entries: map[policy.ExecutorID]Entry{}, told: map[rules.NodeID]int{},
-		whole: map[rules.NodeID]bool{}}
+	return &Discovery{lag: lag, entries: map[policy.ExecutorID]Entry{}, told: map[invariants.NodeID]int{},
+		whole: map[invariants.NodeID]bool{}}
 }
 
 // Change books a change of one entry, and says when nodes may be told of it.
@@ -70,7 +70,7 @@
 func (d *Discovery) Silent() bool { return d.silent }
 
 // Watch makes a node's next news the whole list.
-func (d *Discovery) Watch(n rules.NodeID) {
+func (d *Discovery) Watch(n invariants.NodeID) {
 	d.whole[n] = true
 	if _, ok := d.told[n]; !ok {
 		d.told[n] = 0
@@ -95,7 +95,7 @@
 
 // News is what a node is told now: nothing, the changes since it was told last, or the whole list, both as they were a
 // lag ago.
-func (d *Discovery) News(now time.Duration, n rules.NodeID) (kind policy.EndpointUpdateKind, entries []Entry) {
+func (d *Discovery) News(now time.Duration, n invariants.NodeID) (kind policy.EndpointUpdateKind, entries []Entry) {
 	if d.silent {
 		return policy.WatchFailed, nil
 	}
--- a/internal/standin/executor.go
+++ b/internal/emulator/executor.go
@@ -1,7 +1,7 @@
-// Package standin is a model of the systems around a node: executors, discovery, clients, and what goes wrong with
+// Package emulator is a model of the systems around a node: executors, discovery, clients, and what goes wrong with
 // them. It is pure: time and what happens go in, what follows comes out. The lab runs it on a virtual clock, with the
 // reducer alone and with the network code on connections in memory.
-package standin
+package emulator
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
@@ -55,9 +55,9 @@
 // Allocation is what reaches an executor.
 type Allocation struct {
 	Conn     ConnID
-	Node     rules.NodeID
+	Node     invariants.NodeID
 	Job      policy.JobID
-	Work     rules.WorkID
+	Work     invariants.WorkID
 	Track    policy.JobClassID
 	Tag      string        // a tagged one's; empty for others
 	Window   time.Duration // how long its repeats are dropped
@@ -487,7 +487,7 @@
 		most = max(most, c.cost)
 	}
 	budget := e.FallMultiple * e.Capacity(now) * e.FallWindow.Seconds()
-	if budget == 0 || !rules.TopplesCold(sum, most, budget, e.MeanWork) {
+	if budget == 0 || !invariants.TopplesCold(sum, most, budget, e.MeanWork) {
 		return false
 	}
 	e.out = append(e.out, Fell{})
--- a/internal/standin/leaser.go
+++ b/internal/emulator/leaser.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import "birchstair/policy"
 
--- a/internal/standin/platform/codec.go
+++ b/internal/emulator/platform/codec.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
 	"birchstair/policy"
 )
 
@@ -89,11 +89,11 @@
 // Answer writes an executor's words as one answer in chunks. The zero value has not begun.
 type Answer struct{ begun bool }
 
-var states = map[standin.Word]string{standin.Began: "started", standin.Progress: "running", standin.Done: "done", standin.Errored: "failed"}
+var states = map[emulator.Word]string{emulator.Began: "started", emulator.Progress: "running", emulator.Done: "done", emulator.Errored: "failed"}
 
 // Append writes the next word, and says whether it ends the answer.
-func (a *Answer) Append(b []byte, say standin.Say, from policy.ExecutorID, result string) (_ []byte, ended bool) {
-	if say.Word == standin.NoRoom && !a.begun {
+func (a *Answer) Append(b []byte, say emulator.Say, from policy.ExecutorID, result string) (_ []byte, ended bool) {
+	if say.Word == emulator.NoRoom && !a.begun {
 		b = append(b, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\n"...)
 		if say.Load.Known {
 			b = fmt.Appendf(b, "X-Load-Report: TEXT inflight=%g, queue=%g, x0=%g\r\n", say.Load.Held, say.Load.Waiting, say.Load.Free)
@@ -113,14 +113,14 @@
 		Load   map[string]float64 `json:"load,omitempty"`
 	}{ID: say.Job, From: from, State: states[say.Word]}
 	switch say.Word {
-	case standin.Progress:
+	case emulator.Progress:
 		line.Share = say.Share
-	case standin.Done:
+	case emulator.Done:
 		line.Result = result
-	case standin.NoRoom:
+	case emulator.NoRoom:
 		line.State = "returned"
 	}
-	ended = say.Word != standin.Began && say.Word != standin.Progress
+	ended = say.Word != emulator.Began && say.Word != emulator.Progress
 	if ended && say.Load.Known {
 		line.Load = map[string]float64{"inflight": say.Load.Held, "queue": say.Load.Waiting, "x0": say.Load.Free}
 	}
@@ -138,7 +138,7 @@
 
 // Final is a node's answer as a client reads it.
 type Final struct {
-	How      standin.End
+	How      emulator.End
 	Result   []byte
 	ComeBack time.Duration
 	Status   int
@@ -154,14 +154,14 @@
 	f.Status, f.Last = in.StatusCode, in.Close
 	switch in.StatusCode {
 	case http.StatusOK:
-		f.How = standin.EndHandled
+		f.How = emulator.EndHandled
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		f.How = standin.EndPushedBack
+		f.How = emulator.EndPushedBack
 		if s, err := strconv.ParseFloat(in.Header.Get("Retry-After"), 64); err == nil {
 			f.ComeBack = time.Duration(s * 1e9)
 		}
 	default:
-		f.How = standin.EndBrokenOff
+		f.How = emulator.EndBrokenOff
 	}
 	f.Result, err = io.ReadAll(in.Body)
 	return f, err
@@ -199,7 +199,7 @@
 var health = map[policy.EndpointState]string{policy.Available: "ready", policy.Draining: "draining", policy.Removed: "gone"}
 
 // AppendList writes discovery's answer. Times of day count from epoch.
-func AppendList(b []byte, version int, whole bool, entries []standin.Entry, zones []string, epoch time.Time) []byte {
+func AppendList(b []byte, version int, whole bool, entries []emulator.Entry, zones []string, epoch time.Time) []byte {
 	type host struct {
 		Host   policy.ExecutorID `json:"host"`
 		Dial   string            `json:"dial"`
@@ -232,7 +232,7 @@
 
 // IsHandled says whether a body is the result of that work: what no executor made is no result.
 func IsHandled(f Final, work string) bool {
-	return f.How == standin.EndHandled && bytes.Equal(f.Result, []byte(Result(work)))
+	return f.How == emulator.EndHandled && bytes.Equal(f.Result, []byte(Result(work)))
 }
 
 // Result is what an executor makes of a work.
--- a/internal/standin/platform/server.go
+++ b/internal/emulator/platform/server.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
 	"birchstair/policy"
 )
 
@@ -22,7 +22,7 @@
 	Reports   bool                 // its answers tell its load, where there is a bound
 
 	mu      sync.Mutex
-	lease   *standin.Leaser
+	lease   *emulator.Leaser
 	running int
 	most    int
 }
@@ -39,7 +39,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.lease == nil {
-		e.lease = standin.NewLeaser()
+		e.lease = emulator.NewLeaser()
 	}
 	e.lease.Restart()
 }
@@ -48,7 +48,7 @@
 func (e *Executor) Serve(l net.Listener) {
 	e.mu.Lock()
 	if e.lease == nil {
-		e.lease = standin.NewLeaser()
+		e.lease = emulator.NewLeaser()
 	}
 	e.mu.Unlock()
 	for {
@@ -73,7 +73,7 @@
 			return
 		case !e.take(m):
 			var a Answer
-			b, _ := a.Append(nil, standin.Say{Job: m.Job, Word: standin.NoRoom, Load: e.load()}, e.ID, "")
+			b, _ := a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.NoRoom, Load: e.load()}, e.ID, "")
 			c.Write(b)
 		default:
 			if !e.run(c, m) {
@@ -108,19 +108,19 @@
 }
 
 // load is what it tells of itself.
-func (e *Executor) load() standin.Load {
+func (e *Executor) load() emulator.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.Reports || e.Places == 0 {
-		return standin.Load{}
+		return emulator.Load{}
 	}
-	return standin.Load{Held: float64(e.running), Free: float64(e.Places - e.running), Known: true}
+	return emulator.Load{Held: float64(e.running), Free: float64(e.Places - e.running), Known: true}
 }
 
 func (e *Executor) run(c net.Conn, m Message) bool {
 	e.Ran(m.Job)
 	var a Answer
-	b, _ := a.Append(nil, standin.Say{Job: m.Job, Word: standin.Began}, e.ID, "")
+	b, _ := a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.Began}, e.ID, "")
 	c.Write(b)
 	time.Sleep(e.Takes())
 	result := Result(string(m.Job))
@@ -128,28 +128,28 @@
 	e.lease.Finish(m.Job, m.Epoch, []byte(result))
 	e.running--
 	e.mu.Unlock()
-	b, _ = a.Append(nil, standin.Say{Job: m.Job, Word: standin.Done, Load: e.load()}, e.ID, result)
+	b, _ = a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.Done, Load: e.load()}, e.ID, result)
 	_, err := c.Write(b)
 	return err == nil
 }
 
 // Discovery names the same executors to all nodes, and at once.
 type Discovery struct {
-	Entries []standin.Entry // at the start
+	Entries []emulator.Entry // at the start
 	Zones   []string
 	Epoch   time.Time // at which the entries' starts count from 0; the present where it is left out
 
 	mu    sync.Mutex
-	model *standin.Discovery
+	model *emulator.Discovery
 	news  chan struct{} // closed with the next change
 }
 
 const never = time.Duration(1<<63 - 1) // discovery tells at once, so all that has changed may be told
 
 // list is the model behind it. It is called with d.mu held.
-func (d *Discovery) list() *standin.Discovery {
+func (d *Discovery) list() *emulator.Discovery {
 	if d.model == nil {
-		d.model, d.news = standin.NewDiscovery(0), make(chan struct{})
+		d.model, d.news = emulator.NewDiscovery(0), make(chan struct{})
 		for _, e := range d.Entries {
 			d.model.Change(0, e)
 		}
@@ -158,7 +158,7 @@
 }
 
 // Change changes entries, all in one step.
-func (d *Discovery) Change(entries ...standin.Entry) {
+func (d *Discovery) Change(entries ...emulator.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := d.list()
--- a/internal/clients/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"fmt"
@@ -8,20 +8,20 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/emulator"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
-	"birchstair/internal/standin"
 )
 
 // halted is a core behind a listener whose calls can be stopped.
-func halted(t *testing.T, conns int) (*core, *standin.Halts) {
-	h := &standin.Halts{}
+func halted(t *testing.T, conns int) (*core, *emulator.Halts) {
+	h := &emulator.Halts{}
 	c := newCoreBehind(t, conns, h)
 	c.front.SetReady(true)
 	return c, h
 }
 
-func (c *core) reached(s *standin.Stop) {
+func (c *core) reached(s *emulator.Stop) {
 	c.t.Helper()
 	select {
 	case <-s.Reached:
@@ -87,10 +87,10 @@
 			c.until("both rest", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 2 })
 		}
 		// The read that waits brings the first byte alone, and the next one is stopped.
-		waits := h.On(1, standin.AfterRead, 0)
+		waits := h.On(1, emulator.AfterRead, 0)
 		io.WriteString(first, job("handled-2")[:1])
 		c.reached(waits)
-		stop := h.On(1, standin.BeforeRead, 0)
+		stop := h.On(1, emulator.BeforeRead, 0)
 		waits.Go()
 		c.reached(stop)
 		io.WriteString(first, job("handled-2")[1:])
@@ -103,7 +103,7 @@
 		c.event()
 		c.answer(first)
 		c.front.server.Close()
-		kept.Compare(t, "let-go-"+strings.Fields(let.name)[0]+".txt", c.out.String())
+		golden.Compare(t, "let-go-"+strings.Fields(let.name)[0]+".txt", c.out.String())
 	}
 }
 
@@ -115,14 +115,14 @@
 	c.event()
 	c.answer(first)
 	c.until("it rests", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 1 })
-	stop := h.At(standin.AfterRead, 0)
+	stop := h.At(emulator.AfterRead, 0)
 	c.front.gate.end()
 	c.reached(stop) // the read has ended by the deadline, with nothing
 	io.WriteString(first, job("handled-2"))
 	stop.Go()
 	c.event()
 	c.answer(first)
-	kept.Compare(t, "last-look.txt", c.out.String())
+	golden.Compare(t, "last-look.txt", c.out.String())
 }
 
 // The front closes while a connection that is let go holds a message that its owner has not come to: it is answered first.
@@ -134,8 +134,8 @@
 	c.event()
 	c.answer(first)
 	c.until("it rests", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 1 })
-	late := h.On(1, standin.AfterRead, 0)
-	closes := h.On(1, standin.BeforeClose, 0)
+	late := h.On(1, emulator.AfterRead, 0)
+	closes := h.On(1, emulator.BeforeClose, 0)
 	c.front.gate.end()
 	c.reached(late) // the read has ended by the deadline, with nothing
 	io.WriteString(first, job("handled-2"))
@@ -156,14 +156,14 @@
 	c.event()
 	c.answer(first)
 	c.event()
-	kept.Compare(t, "front-closes.txt", c.out.String())
+	golden.Compare(t, "front-closes.txt", c.out.String())
 }
 
 // The connection is at rest when the node ends, and its client's next message is there before its owner comes to that.
 func TestRestAtTheEnd(t *testing.T) {
 	c, h := halted(t, 10)
 	first := c.dial()
-	stop := h.At(standin.AfterWrite, 0)
+	stop := h.At(emulator.AfterWrite, 0)
 	io.WriteString(first, job("handled-1"))
 	c.event()
 	c.answer(first) // it says nothing of a close
@@ -173,7 +173,7 @@
 	stop.Go()
 	c.event()
 	c.answer(first)
-	kept.Compare(t, "rest-at-end.txt", c.out.String())
+	golden.Compare(t, "rest-at-end.txt", c.out.String())
 }
 
 // A newcomer's message is half here when clients are sent away: its rest is waited for.
@@ -203,7 +203,7 @@
 	io.WriteString(from, "dy")
 	c.event()
 	c.answer(from)
-	kept.Compare(t, "sent-away-body.txt", c.out.String())
+	golden.Compare(t, "sent-away-body.txt", c.out.String())
 }
 
 // Clients that have sent more than their message when they leave, in one piece or later, are seen to leave, and nothing more
@@ -252,7 +252,7 @@
 	c.answer(from)
 	c.event()
 	c.answer(from)
-	kept.Compare(t, "left-behind-more.txt", c.out.String())
+	golden.Compare(t, "left-behind-more.txt", c.out.String())
 }
 
 // arrives gives the next batch job that the front tells of.
@@ -295,7 +295,7 @@
 			if client.Gone() {
 				t.Fatal("it has gone before it left")
 			}
-			stop := h.On(1, standin.AfterRead, 0)
+			stop := h.On(1, emulator.AfterRead, 0)
 			far := len(leave.early) >= 1<<20
 			if len(leave.early) > longestRun {
 				stop.Go()
@@ -395,7 +395,7 @@
 // never read is as well.
 func TestEnd(t *testing.T) {
 	c, h := halted(t, 10)
-	stop := h.On(2, standin.BeforeRead, 0)
+	stop := h.On(2, emulator.BeforeRead, 0)
 	told := c.dial()
 	io.WriteString(told, job("wait-1"))
 	c.event() // the reducer has ended: it does not look at it
@@ -412,5 +412,5 @@
 	c.event() // told to nobody
 	c.answer(late)
 	<-over
-	kept.Compare(t, "end.txt", c.out.String())
+	golden.Compare(t, "end.txt", c.out.String())
 }
--- a/internal/clients/front.go
+++ b/internal/frontend/front.go
@@ -1,6 +1,6 @@
-// Package clients is the side that batch jobs come in from: net/http's server, a handler for each batch job that
+// Package frontend is the side that batch jobs come in from: net/http's server, a handler for each batch job that
 // waits for its final answer. front.go holds those that wait, server.go the connections, codec.go the protocol.
-package clients
+package frontend
 
 import (
 	"context"
--- a/internal/clients/clients_test.go
+++ b/internal/frontend/frontend_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/emulator"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
@@ -27,11 +27,11 @@
 }
 
 func newCore(t *testing.T, conns int, change ...func(*http.Server)) *core {
-	return newCoreBehind(t, conns, &standin.Halts{}, change...)
+	return newCoreBehind(t, conns, &emulator.Halts{}, change...)
 }
 
 // newCoreBehind makes one whose listener and connections can be stopped.
-func newCoreBehind(t *testing.T, conns int, halts *standin.Halts, change ...func(*http.Server)) *core {
+func newCoreBehind(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *core {
 	c := &core{t: t, told: make(chan node.Event, 100)}
 	c.front = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
 		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, Budget{conns, conns / 2}, func(ev node.Event) {
@@ -234,7 +234,7 @@
 	io.WriteString(first, job("handled", "Content-Length: 9")+"half")
 	first.Conn.(*net.TCPConn).CloseWrite()
 	c.answer(first)
-	kept.Compare(t, "messages.txt", c.out.String())
+	golden.Compare(t, "messages.txt", c.out.String())
 }
 
 // What stalls is ended by the server's one spell for a whole message; a batch job that is in hand, and a connection
@@ -264,7 +264,7 @@
 	io.WriteString(resting, job("handled-3"))
 	c.event()
 	c.answer(resting)
-	kept.Compare(t, "stalls.txt", c.out.String())
+	golden.Compare(t, "stalls.txt", c.out.String())
 }
 
 // The end: clients that rest are let go, those in hand get their answers and are told to go elsewhere, what still
@@ -291,7 +291,7 @@
 	if _, err := net.Dial("tcp", c.addr); err == nil {
 		t.Error("connections are taken after the end")
 	}
-	kept.Compare(t, "ending.txt", c.out.String())
+	golden.Compare(t, "ending.txt", c.out.String())
 }
 
 func (g *gate) opened() int {
@@ -324,7 +324,7 @@
 	fourth := c.dial()
 	say(fourth, "wait-4")
 	c.answer(fourth)
-	kept.Compare(t, "edge.txt", c.out.String())
+	golden.Compare(t, "edge.txt", c.out.String())
 }
 
 // Connections that say nothing, ask for little or send half a message, and stay, cost no usual client its place, however
@@ -351,5 +351,5 @@
 	c.answer(newcomer)
 	c.front.Answer(node.Answer{Job: "wait", Result: []byte("the result")})
 	c.answer(waits)
-	kept.Compare(t, "strangers.txt", c.out.String())
+	golden.Compare(t, "strangers.txt", c.out.String())
 }
--- a/internal/clients/gate_test.go
+++ b/internal/frontend/gate_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"net"
--- a/internal/kept/kept.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package kept compares what a test prints with a trace that is kept in testdata and read by people. It is the
+// Package golden compares what a test prints with a trace that is kept in testdata and read by people. It is the
 // tests' one file of helpers.
-package kept
+package golden
 
 import (
 	"flag"
--- a/internal/members/codec.go
+++ b/internal/gossip/codec.go
@@ -1,4 +1,4 @@
-package members
+package gossip
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/internal/node"
 	"birchstair/policy"
 )
@@ -55,7 +55,7 @@
 }
 
 // encode writes a word; drains that find no room are left out, the next word has them.
-func encode(w fleet.Message) ([]byte, error) {
+func encode(w cluster.Message) ([]byte, error) {
 	text := wordText{Version: version, From: string(w.From), Life: w.Incarnation, Seq: w.Seq, Done: float32(w.Rates.Completed), Lost: float32(w.Rates.Expired), Waiting: float32(w.Rates.Waiting), Admitted: float32(w.Rates.Admitted),
 		Moves: float32(w.Rates.Migrations)}
 	if len(w.Rates.Offered) > 0 {
@@ -82,7 +82,7 @@
 }
 
 // decode reads a word. What its figures and ages may be, the decider checks.
-func decode(b []byte) (w fleet.Message, err error) {
+func decode(b []byte) (w cluster.Message, err error) {
 	var text wordText
 	if len(b) > mostBytes {
 		return w, fmt.Errorf("longer than a word may be")
@@ -96,8 +96,8 @@
 	if text.Version > version {
 		return w, fmt.Errorf("of a newer version")
 	}
-	w = fleet.Message{From: fleet.NodeName(text.From), Incarnation: text.Life, Seq: text.Seq,
-		Rates: fleet.Rates{Offered: map[int]float64{}, Completed: float64(text.Done), Expired: float64(text.Lost), Waiting: float64(text.Waiting), Admitted: float64(text.Admitted), Migrations: float64(text.Moves)}}
+	w = cluster.Message{From: cluster.NodeName(text.From), Incarnation: text.Life, Seq: text.Seq,
+		Rates: cluster.Rates{Offered: map[int]float64{}, Completed: float64(text.Done), Expired: float64(text.Lost), Waiting: float64(text.Waiting), Admitted: float64(text.Admitted), Migrations: float64(text.Moves)}}
 	for rung, x := range text.Offered {
 		w.Rates.Offered[rung] = float64(x)
 	}
@@ -105,7 +105,7 @@
 		if d.AgeMs < 0 || d.AgeMs > math.MaxInt64/int64(time.Millisecond) {
 			return w, fmt.Errorf("with an age that makes no sense")
 		}
-		w.Drains = append(w.Drains, fleet.Drain{Executor: policy.ExecutorID(d.Executor), Incarnation: d.Born, Age: time.Duration(d.AgeMs) * time.Millisecond})
+		w.Drains = append(w.Drains, cluster.Drain{Executor: policy.ExecutorID(d.Executor), Incarnation: d.Born, Age: time.Duration(d.AgeMs) * time.Millisecond})
 	}
 	return w, nil
 }
--- a/internal/members/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -1,4 +1,4 @@
-package members
+package gossip
 
 import (
 	"fmt"
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/internal/node"
 	"birchstair/policy"
 )
 
 // What is written is read as it was, in one datagram; drains that find no room are left out, ages never grow younger.
 func TestWords(t *testing.T) {
-	w := fleet.Message{From: "n7", Incarnation: 12, Seq: 3, Rates: fleet.Rates{Offered: map[int]float64{38: 1.5, 34: 0.25}, Admitted: 3, Completed: 2, Expired: 0.5, Waiting: 0.125, Migrations: 0.75},
-		Drains: []fleet.Drain{{Executor: "e1", Incarnation: 1764600000123, Age: 1500*time.Millisecond + time.Microsecond}}}
+	w := cluster.Message{From: "n7", Incarnation: 12, Seq: 3, Rates: cluster.Rates{Offered: map[int]float64{38: 1.5, 34: 0.25}, Admitted: 3, Completed: 2, Expired: 0.5, Waiting: 0.125, Migrations: 0.75},
+		Drains: []cluster.Drain{{Executor: "e1", Incarnation: 1764600000123, Age: 1500*time.Millisecond + time.Microsecond}}}
 	b, err := encode(w)
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 		t.Errorf("%+v came as %+v", w, got)
 	}
 	for i := range 100 {
-		w.Drains = append(w.Drains, fleet.Drain{Executor: policy.ExecutorID(fmt.Sprintf("%0100d", i))})
+		w.Drains = append(w.Drains, cluster.Drain{Executor: policy.ExecutorID(fmt.Sprintf("%0100d", i))})
 	}
 	if b, err = encode(w); err != nil || len(b) > mostBytes {
 		t.Errorf("%d bytes, %v", len(b), err)
@@ -49,8 +49,8 @@
 
 // Whatever comes, nothing breaks, and what is read is sound once the decider has looked at it.
 func FuzzWord(f *testing.F) {
-	for _, w := range []fleet.Message{{}, {From: "a", Incarnation: 1, Seq: 1, Rates: fleet.Rates{Offered: map[int]float64{63: math.MaxFloat32, -1: math.Inf(1)}, Completed: math.NaN()},
-		Drains: []fleet.Drain{{Executor: "e", Age: time.Hour}}}} {
+	for _, w := range []cluster.Message{{}, {From: "a", Incarnation: 1, Seq: 1, Rates: cluster.Rates{Offered: map[int]float64{63: math.MaxFloat32, -1: math.Inf(1)}, Completed: math.NaN()},
+		Drains: []cluster.Drain{{Executor: "e", Age: time.Hour}}}} {
 		b, err := encode(w)
 		if err != nil {
 			f.Fatal(err)
@@ -71,8 +71,8 @@
 		if err != nil {
 			return
 		}
-		s := fleet.New(fleet.Defaults("me", 1, 1))
-		s.SetAlive([]fleet.NodeName{w.From})
+		s := cluster.New(cluster.Defaults("me", 1, 1))
+		s.SetAlive([]cluster.NodeName{w.From})
 		s.Receive(time.Millisecond, w)
 		told, _ := s.Tick(250*time.Millisecond, policy.LoadSummary{})
 		for _, to := range told {
--- a/internal/members/members.go
+++ b/internal/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package members is the edge to the other nodes of a fleet: who is in it and alive, and small words between them that may get lost. Membership is
+// Package gossip is the edge to the other nodes of a fleet: who is in it and alive, and small words between them that may get lost. Membership is
 // memberlist's, by gossip with suspicion; it has goroutines and chance of its own, so nothing here decides: events go to the reducer, its effects come
 // back. members.go holds the fleet, transport.go the sockets, codec.go the words.
-package members
+package gossip
 
 import (
 	"context"
@@ -15,14 +15,14 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/internal/node"
 	"birchstair/policy"
 )
 
 // Options say where a node listens for its neighbours, and where the first ones are found.
 type Options struct {
-	Name      fleet.NodeName
+	Name      cluster.NodeName
 	Number    policy.NodeID // by which nodes name each other where they lend places
 	Listen    netip.AddrPort
 	Advertise netip.AddrPort // where neighbours reach it
@@ -63,7 +63,7 @@
 }
 
 // SendGossip says a word to a neighbour, or drops it where too many wait.
-func (m *Members) SendGossip(to fleet.Envelope) { m.queue(to) }
+func (m *Members) SendGossip(to cluster.Envelope) { m.queue(to) }
 
 // SendLeaseMessage says a word about an executor's places to the neighbour of that number.
 func (m *Members) SendLeaseMessage(to node.SendLeaseMessage) { m.queue(to) }
@@ -206,7 +206,7 @@
 			var b []byte
 			var err error
 			switch to := to.(type) {
-			case fleet.Envelope:
+			case cluster.Envelope:
 				n = m.at(string(to.To))
 				b, err = encode(to.Message)
 			case node.SendLeaseMessage:
@@ -241,10 +241,10 @@
 		case <-m.told:
 		}
 		m.mu.Lock()
-		var names []fleet.NodeName
+		var names []cluster.NodeName
 		for key, n := range m.nodes {
 			if key == n.Name {
-				names = append(names, fleet.NodeName(n.Name))
+				names = append(names, cluster.NodeName(n.Name))
 			}
 		}
 		m.mu.Unlock()
@@ -322,7 +322,7 @@
 func (m *Members) MergeRemoteState([]byte, bool) {}
 
 // Parse reads the addresses of an operator's file, which has been checked.
-func Parse(name fleet.NodeName, number policy.NodeID, listen, advertise string, seeds []string) (o Options, err error) {
+func Parse(name cluster.NodeName, number policy.NodeID, listen, advertise string, seeds []string) (o Options, err error) {
 	o = Options{Name: name, Number: number}
 	if o.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return o, fmt.Errorf("fleet.listen: %w", err)
--- a/internal/members/members_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package members
+package gossip
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/internal/node"
 )
 
@@ -108,6 +108,6 @@
 	until(false, "the neighbour did not take the node for dead", func() { c.Write(deadMessage("node", "neighbour")) })
 	until(true, "the node sends messages and stays taken for dead", func() {
 		seq++
-		n.SendGossip(fleet.Envelope{To: "neighbour", Message: fleet.Message{From: "node", Incarnation: 1, Seq: seq}})
+		n.SendGossip(cluster.Envelope{To: "neighbour", Message: cluster.Message{From: "node", Incarnation: 1, Seq: seq}})
 	})
 }
--- a/internal/members/traffic.go
+++ b/internal/gossip/traffic.go
@@ -1,4 +1,4 @@
-package members
+package gossip
 
 import (
 	"net"
--- a/internal/members/traffic_test.go
+++ b/internal/gossip/traffic_test.go
@@ -1,4 +1,4 @@
-package members
+package gossip
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/internal/node"
 )
 
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	heard := make(chan node.GossipReceived, 1)
-	member := func(name fleet.NodeName, number int, listen netip.AddrPort, traffic *Traffic, tell func(node.Event)) *Members {
+	member := func(name cluster.NodeName, number int, listen netip.AddrPort, traffic *Traffic, tell func(node.Event)) *Members {
 		m := New(Options{Name: name, Listen: listen, Advertise: listen, Seeds: []netip.AddrPort{there}, Traffic: traffic}, tell, zerolog.Nop())
 		wait.Go(func() { m.Run(ctx) })
 		return m
@@ -42,7 +42,7 @@
 	for came := false; !came; {
 		select {
 		case <-again.C:
-			a.SendGossip(fleet.Envelope{To: "b", Message: fleet.Message{From: "a", Incarnation: 1, Seq: 1}})
+			a.SendGossip(cluster.Envelope{To: "b", Message: cluster.Message{From: "a", Incarnation: 1, Seq: 1}})
 		case h := <-heard:
 			came = h.Message.From == "a"
 		case <-limit:
--- a/internal/members/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -1,4 +1,4 @@
-package members
+package gossip
 
 import (
 	"net"
@@ -6,13 +6,13 @@
 	"testing"
 	"testing/synctest"
 
-	"birchstair/internal/bubble"
+	"birchstair/internal/synctesting"
 )
 
 // Callers open many connections at a neighbours' address and say nothing: so many are taken as are set aside, and the next once one
 // of them is closed.
 func TestStreamsBounded(t *testing.T) {
-	bubble.Test(t, func(t *testing.T) {
+	synctesting.Test(t, func(t *testing.T) {
 		come := make(chan net.Conn, 2*mostStreams)
 		tr := &transport{come: come, streams: make(chan net.Conn), ending: make(chan struct{}), ended: make(chan struct{})}
 		go tr.take()
--- a/internal/rig/draw.go
+++ b/internal/harness/draw.go
@@ -1,30 +1,30 @@
-package rig
+package harness
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"birchstair/internal/lab"
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
+	"birchstair/internal/simulation"
 )
 
 // Draw draws a short scenario for so many nodes from a seed: the load, and two to five faults, some of them at the same time.
-func Draw(seed uint64, nodes int) lab.Scenario {
+func Draw(seed uint64, nodes int) simulation.Scenario {
 	r := rand.New(rand.NewPCG(seed, 77))
-	s := lab.Base()
-	s.Name, s.Seed, s.Length = fmt.Sprint("fleet-", seed), seed, lab.Span(10*time.Second)
+	s := simulation.Base()
+	s.Name, s.Seed, s.Length = fmt.Sprint("fleet-", seed), seed, simulation.Span(10*time.Second)
 	s.About = fmt.Sprintf("Drawn from seed %d for %d real processes.", seed, nodes)
 	f, l := &s.Fleet, &s.Load
 	f.Nodes, f.Executors, f.Talk = nodes, max(6, nodes), true
-	f.ListLag = lab.Span(300 * time.Millisecond)
+	f.ListLag = simulation.Span(300 * time.Millisecond)
 	f.WeightsEvery = 0
-	f.WarmWithin = lab.Span(4 * time.Second)
+	f.WarmWithin = simulation.Span(4 * time.Second)
 	l.Of = []float64{0.4, 0.6, 0.8, 1.5, 2, 4}[r.IntN(6)]
-	l.Retries, l.RetryWait, l.HeedsBack = r.IntN(4), lab.Span(time.Duration(50*r.IntN(4))*time.Millisecond), r.IntN(2) == 0
+	l.Retries, l.RetryWait, l.HeedsBack = r.IntN(4), simulation.Span(time.Duration(50*r.IntN(4))*time.Millisecond), r.IntN(2) == 0
 	f.WordsLost = []float64{0, 0, 0.3}[r.IntN(3)]
 	f.WordsDoubled = []float64{0, 0.2}[r.IntN(2)]
-	f.WordsLate = lab.Span([]time.Duration{0, 500 * time.Millisecond}[r.IntN(2)])
+	f.WordsLate = simulation.Span([]time.Duration{0, 500 * time.Millisecond}[r.IntN(2)])
 	pick := func(letter string, of, most int) (where []string) {
 		for range 1 + r.IntN(most) {
 			where = append(where, fmt.Sprint(letter, r.IntN(of)))
@@ -32,21 +32,21 @@
 		return where
 	}
 	for range 2 + r.IntN(4) {
-		x := lab.Fault{At: lab.Span(time.Duration(500+r.IntN(6000)) * time.Millisecond), For: lab.Span(time.Duration(1000+r.IntN(4000)) * time.Millisecond)}
+		x := simulation.Fault{At: simulation.Span(time.Duration(500+r.IntN(6000)) * time.Millisecond), For: simulation.Span(time.Duration(1000+r.IntN(4000)) * time.Millisecond)}
 		x.Kind = played[r.IntN(len(played))]
 		switch on, _ := x.Kind.On(); on {
-		case standin.OnExecutors:
+		case emulator.OnExecutors:
 			x.Where = pick("e", f.Executors, max(1, f.Executors/3))
-		case standin.OnNodes:
+		case emulator.OnNodes:
 			x.Where = pick("n", nodes, max(1, nodes/2))
 		}
 		if least, most, ok := x.Kind.Sized(); ok {
 			switch x.Kind {
-			case standin.ListLate:
+			case emulator.ListLate:
 				most = 4
-			case standin.Burst:
+			case emulator.Burst:
 				most = 4
-			case standin.Slow, standin.HeavyTail:
+			case emulator.Slow, emulator.HeavyTail:
 				most = 12
 			}
 			x.Size = least + (most-least)*r.Float64()
--- a/internal/rig/ends.go
+++ b/internal/harness/ends.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -6,20 +6,20 @@
 	"net"
 	"time"
 
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
 // executor is a stand-in executor on sockets: the lab's model, on this machine's clock. Each node reaches it at an address of its own.
 type executor struct {
-	*standin.Executor
+	*emulator.Executor
 	r      *Rig
 	lives  int
-	socks  map[standin.ConnID]*sock
+	socks  map[emulator.ConnID]*sock
 	downs  int
-	faults []standin.Fault
+	faults []emulator.Fault
 	timer  *time.Timer
 }
 
@@ -30,15 +30,15 @@
 }
 
 func (r *Rig) newExecutor(id string, number int, speed float64) *executor {
-	x := &executor{r: r, socks: map[standin.ConnID]*sock{}}
-	x.Executor = standin.NewExecutor(r.s.Spec(id, number, speed), rand.New(rand.NewPCG(r.o.Seed, uint64(1000+number))))
+	x := &executor{r: r, socks: map[emulator.ConnID]*sock{}}
+	x.Executor = emulator.NewExecutor(r.s.Spec(id, number, speed), rand.New(rand.NewPCG(r.o.Seed, uint64(1000+number))))
 	x.Started -= time.Hour
 	r.executors = append(r.executors, x)
 	return x
 }
 
-func (x *executor) entry(state policy.EndpointState) standin.Entry {
-	return standin.Entry{Endpoint: policy.Endpoint{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state, Weight: float64(x.Cores) * x.Speed,
+func (x *executor) entry(state policy.EndpointState) emulator.Entry {
+	return emulator.Entry{Endpoint: policy.Endpoint{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state, Weight: float64(x.Cores) * x.Speed,
 		StartedAt: x.Started, StartedLongAgo: x.Started < 0}}
 }
 
@@ -65,7 +65,7 @@
 func (x *executor) serve(p *proc, c net.Conn) {
 	defer c.Close()
 	r := x.r
-	var key standin.ConnID
+	var key emulator.ConnID
 	lives, taken := 0, false
 	r.mu.Lock()
 	if !r.over && x.Up {
@@ -103,7 +103,7 @@
 }
 
 // came takes in an allocation, whole.
-func (x *executor) came(p *proc, key standin.ConnID, m platform.Message) {
+func (x *executor) came(p *proc, key emulator.ConnID, m platform.Message) {
 	r := x.r
 	r.awaited(p, x, m.Job)
 	t := r.tries[m.Job]
@@ -125,9 +125,9 @@
 		r.wrong("%s was sent to %s by %s %v after that node was told that it drains or is gone", m.Job, x.ID, p.name, r.now()-known.At)
 	}
 	if late, yes := r.checker.Uninformed(r.now(), p.id, x.ID); yes && late > slack+r.stood() && !p.wasStopped() && !t.void {
-		r.wrong("%v: %s was sent to %s by %s %v after that node could have heard for %v that it drains or is gone", rules.Informed, m.Job, x.ID, p.name, late, rules.InformedWithin)
+		r.wrong("%v: %s was sent to %s by %s %v after that node could have heard for %v that it drains or is gone", invariants.Informed, m.Job, x.ID, p.name, late, invariants.InformedWithin)
 	}
-	a := standin.Allocation{Conn: key, Node: p.id, Job: m.Job, Work: t.work.ID, Track: t.work.Track, Priority: r.tracks[t.work.Track].Priority,
+	a := emulator.Allocation{Conn: key, Node: p.id, Job: m.Job, Work: t.work.ID, Track: t.work.Track, Priority: r.tracks[t.work.Track].Priority,
 		Cost: t.work.Cost, Hint: t.work.Hint}
 	if a.Hint == 0 {
 		a.Hint = r.tracks[a.Track].Mean
@@ -142,40 +142,40 @@
 // what reaches an executor. That its node's process stood still is no excuse: what was written before that is here before it goes on.
 func (r *Rig) awaited(p *proc, x *executor, job policy.JobID) {
 	at, went := r.went[job]
-	if !went || r.now() <= at+rules.AwaitedFor+lookLate {
+	if !went || r.now() <= at+invariants.AwaitedFor+lookLate {
 		return
 	}
 	late := r.now() - at
 	r.result.SentLate++
 	r.note("%s reached %s by %s %v after its client had left", job, x.ID, p.name, late)
-	if r.result.SentLate > rules.LateSpared || late >= rules.AwaitedMost+slack {
+	if r.result.SentLate > invariants.LateSpared || late >= invariants.AwaitedMost+slack {
 		r.wrong("%s reached %s by %s %v after its client had left, late attempt %d", job, x.ID, p.name, late, r.result.SentLate)
 	}
 }
 
 // does hands on what follows from something that happened to an executor, and sets its timer. It is called with the rig's mutex held.
-func (x *executor) does(outs []standin.Out) {
+func (x *executor) does(outs []emulator.Out) {
 	r := x.r
 	for _, o := range outs {
 		switch o := o.(type) {
-		case standin.Say:
+		case emulator.Say:
 			x.say(o)
-		case standin.Ran:
+		case emulator.Ran:
 			if t := r.tries[o.Job]; t != nil {
 				t.ran++
 			}
-			r.see(rules.Seen{What: rules.Ran, Node: o.Node, Job: o.Job, Work: o.Work, Track: o.Track, Executor: x.ID})
-		case standin.Reached:
+			r.see(invariants.Seen{What: invariants.Ran, Node: o.Node, Job: o.Job, Work: o.Work, Track: o.Track, Executor: x.ID})
+		case emulator.Reached:
 			if x.Cold(r.now()) {
-				r.see(rules.Seen{What: rules.Reached, Node: o.Node, Job: o.Job, Executor: x.ID, Cost: o.Hint, Capacity: o.Capacity})
+				r.see(invariants.Seen{What: invariants.Reached, Node: o.Node, Job: o.Job, Executor: x.ID, Cost: o.Hint, Capacity: o.Capacity})
 			}
-		case standin.Reset:
+		case emulator.Reset:
 			if s := x.socks[o.Conn]; s != nil {
 				delete(x.socks, o.Conn)
 				s.c.(*net.TCPConn).SetLinger(0)
 				s.c.Close()
 			}
-		case standin.Fell:
+		case emulator.Fell:
 			r.result.Fell++
 			r.note("%s fell over", x.ID)
 		}
@@ -183,7 +183,7 @@
 	if x.timer != nil {
 		x.timer.Stop()
 	}
-	if next := x.Next(); next != standin.Never && !r.over {
+	if next := x.Next(); next != emulator.Never && !r.over {
 		x.timer = time.AfterFunc(next-r.now(), func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -195,10 +195,10 @@
 }
 
 // say writes an executor's word. Words are short: the kernel takes them at once.
-func (x *executor) say(o standin.Say) {
+func (x *executor) say(o emulator.Say) {
 	s := x.socks[o.Conn]
 	t := x.r.tries[o.Job]
-	if o.Word == standin.Done {
+	if o.Word == emulator.Done {
 		if t != nil {
 			x.r.result.Finished += t.work.Cost
 		}
@@ -226,7 +226,7 @@
 	r := x.r
 	x.does(x.Start(r.now()))
 	delete(r.firstTold, x.ID)
-	r.see(rules.Seen{What: rules.Started, Node: rules.Nobody, Executor: x.ID, Start: x.Started}) // as the list says it, or no node would count as told
+	r.see(invariants.Seen{What: invariants.Started, Node: invariants.Nobody, Executor: x.ID, Start: x.Started}) // as the list says it, or no node would count as told
 	r.change(x.entry(policy.Available))
 }
 
@@ -244,7 +244,7 @@
 // ---- Discovery ----
 
 // change books a change of the list and lets nodes know in time.
-func (r *Rig) change(e standin.Entry) {
+func (r *Rig) change(e emulator.Entry) {
 	at := r.discovery.Change(r.now(), e)
 	r.checker.Listed(at, e.Executor, e.State)
 	r.after(at-r.now()+time.Millisecond, r.changed)
@@ -319,10 +319,10 @@
 }
 
 // tell books what a node is told, with the addresses that are its own.
-func (p *proc) tell(version int, whole bool, entries []standin.Entry) []byte {
+func (p *proc) tell(version int, whole bool, entries []emulator.Entry) []byte {
 	r := p.r
 	named := map[policy.ExecutorID]bool{}
-	own := make([]standin.Entry, 0, len(entries))
+	own := make([]emulator.Entry, 0, len(entries))
 	for _, e := range entries {
 		named[e.Executor] = true
 		l := p.reach[e.Executor]
@@ -335,20 +335,20 @@
 		if e.StartedLongAgo {
 			start = -time.Hour
 		}
-		p.told(rules.Seen{Executor: e.Executor, State: e.State, Start: start})
+		p.told(invariants.Seen{Executor: e.Executor, State: e.State, Start: start})
 	}
 	if whole {
 		for id, was := range p.known {
 			if !named[id] && was.State != policy.Removed {
-				p.told(rules.Seen{Executor: id, State: policy.Removed, Start: was.Start})
+				p.told(invariants.Seen{Executor: id, State: policy.Removed, Start: was.Start})
 			}
 		}
 	}
 	return platform.AppendList(nil, version, whole, own, r.s.Fleet.Zones, r.start)
 }
 
-func (p *proc) told(s rules.Seen) {
-	s.What, s.Node, s.At = rules.Told, p.id, p.r.now()
+func (p *proc) told(s invariants.Seen) {
+	s.What, s.Node, s.At = invariants.Told, p.id, p.r.now()
 	was, ok := p.known[s.Executor]
 	if ok && was.State == s.State && was.Start == s.Start {
 		return
--- a/internal/rig/faults.go
+++ b/internal/harness/faults.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
@@ -6,18 +6,18 @@
 	"syscall"
 	"time"
 
-	"birchstair/internal/lab"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
+	"birchstair/internal/simulation"
 	"birchstair/policy"
 )
 
 // played are the kinds of fault that the rig can do.
-var played = []standin.Kind{standin.Slow, standin.Errors, standin.Mute, standin.Crash, standin.DrainOff, standin.ListLate, standin.ListLost, standin.ListCut,
-	standin.NodeKilled, standin.NodeRestart, standin.NodeStopped, standin.NodesApart, standin.WordsLost, standin.Burst, standin.HeavyTail}
+var played = []emulator.Kind{emulator.Slow, emulator.Errors, emulator.Mute, emulator.Crash, emulator.DrainOff, emulator.ListLate, emulator.ListLost, emulator.ListCut,
+	emulator.NodeKilled, emulator.NodeRestart, emulator.NodeStopped, emulator.NodesApart, emulator.WordsLost, emulator.Burst, emulator.HeavyTail}
 
 // Fits says what of a scenario the rig can't play.
-func Fits(s lab.Scenario) error {
+func Fits(s simulation.Scenario) error {
 	for i, f := range s.Faults {
 		if !slices.Contains(played, f.Kind) {
 			return fmt.Errorf("fault[%d].kind: %q is not played with real processes, only %v", i, f.Kind, played)
@@ -35,7 +35,7 @@
 }
 
 // script puts a fault on the clock.
-func (r *Rig) script(f standin.Fault) {
+func (r *Rig) script(f emulator.Fault) {
 	r.after(warmUp+f.At, func() {
 		r.note("FAULT: %s for %v, %.3g, at %v", f.Kind, f.For, f.Size, f.Where)
 		r.begin(f)
@@ -48,7 +48,7 @@
 	})
 }
 
-func (r *Rig) onExecutors(f standin.Fault, what func(*executor)) {
+func (r *Rig) onExecutors(f emulator.Fault, what func(*executor)) {
 	for _, x := range r.executors {
 		if f.Touches(string(x.ID), r.s.Fleet.Zones[x.Zone]) {
 			what(x)
@@ -56,7 +56,7 @@
 	}
 }
 
-func (r *Rig) onNodes(f standin.Fault, what func(*proc)) {
+func (r *Rig) onNodes(f emulator.Fault, what func(*proc)) {
 	for _, p := range r.nodes {
 		if f.Touches(p.name, r.s.Fleet.Zones[p.zone]) {
 			what(p)
@@ -64,104 +64,104 @@
 	}
 }
 
-func (r *Rig) begin(f standin.Fault) {
+func (r *Rig) begin(f emulator.Fault) {
 	switch f.Kind {
-	case standin.Slow, standin.Errors, standin.Mute:
+	case emulator.Slow, emulator.Errors, emulator.Mute:
 		r.onExecutors(f, func(x *executor) {
 			x.faults = append(x.faults, f)
 			x.suffer()
 		})
-	case standin.Crash:
+	case emulator.Crash:
 		r.onExecutors(f, func(x *executor) {
 			if x.downs++; x.Up {
 				x.crash()
 				r.change(x.entry(policy.Removed))
 			}
 		})
-	case standin.DrainOff:
+	case emulator.DrainOff:
 		r.onExecutors(f, func(x *executor) { r.drain(x, f) })
-	case standin.ListLate:
+	case emulator.ListLate:
 		r.discovery.Late(time.Duration(f.Size * 1e9))
-		r.checker.Apart(rules.Nobody, r.now()+time.Duration(r.s.Fleet.ListLag)+time.Duration(f.Size*1e9))
-	case standin.ListLost:
+		r.checker.Apart(invariants.Nobody, r.now()+time.Duration(r.s.Fleet.ListLag)+time.Duration(f.Size*1e9))
+	case emulator.ListLost:
 		r.discovery.Silence(true)
-		r.checker.Cut(r.now(), rules.Nobody, true)
-	case standin.ListCut:
+		r.checker.Cut(r.now(), invariants.Nobody, true)
+	case emulator.ListCut:
 		r.onNodes(f, func(p *proc) { p.deaf = true; r.checker.Cut(r.now(), p.id, true) })
-	case standin.NodeKilled:
+	case emulator.NodeKilled:
 		r.onNodes(f, func(p *proc) {
 			if p.downs++; p.up {
 				p.lose()
 				p.cmd.Process.Kill()
 			}
 		})
-	case standin.NodeRestart:
+	case emulator.NodeRestart:
 		r.onNodes(f, func(p *proc) {
 			p.downs++
 			p.leaving = r.now()
 			p.signal(syscall.SIGTERM)
 		})
-	case standin.NodeStopped:
+	case emulator.NodeStopped:
 		r.onNodes(f, func(p *proc) {
 			p.signal(syscall.SIGSTOP)
 			p.stopped = true
-			r.see(rules.Seen{What: rules.StoodStill, Node: p.id})
+			r.see(invariants.Seen{What: invariants.StoodStill, Node: p.id})
 			r.voidAt(p)
 		})
-	case standin.NodesApart:
+	case emulator.NodesApart:
 		r.onNodes(f, func(p *proc) { p.apart = true })
-	case standin.WordsLost:
+	case emulator.WordsLost:
 		r.wordsLost = f.Size
-	case standin.Burst:
+	case emulator.Burst:
 		for _, c := range r.clients {
 			c.Burst = f.Size
 		}
-	case standin.HeavyTail:
+	case emulator.HeavyTail:
 		for _, c := range r.clients {
-			c.Tail = standin.TailOf(f.Size)
+			c.Tail = emulator.TailOf(f.Size)
 		}
 	}
 }
 
-func (r *Rig) endFault(f standin.Fault) {
+func (r *Rig) endFault(f emulator.Fault) {
 	switch f.Kind {
-	case standin.Slow, standin.Errors, standin.Mute:
+	case emulator.Slow, emulator.Errors, emulator.Mute:
 		r.onExecutors(f, func(x *executor) {
-			x.faults = standin.Without(x.faults, f)
+			x.faults = emulator.Without(x.faults, f)
 			x.suffer()
 		})
-	case standin.Crash:
+	case emulator.Crash:
 		r.onExecutors(f, func(x *executor) { x.back() })
-	case standin.ListLate:
+	case emulator.ListLate:
 		r.discovery.Late(0)
 		r.changed()
-	case standin.ListLost:
+	case emulator.ListLost:
 		r.discovery.Silence(false)
-		r.checker.Cut(r.now(), rules.Nobody, false)
+		r.checker.Cut(r.now(), invariants.Nobody, false)
 		r.changed()
-	case standin.ListCut:
+	case emulator.ListCut:
 		r.onNodes(f, func(p *proc) { p.deaf = false; r.checker.Cut(r.now(), p.id, false) })
 		r.changed()
-	case standin.NodeKilled, standin.NodeRestart:
+	case emulator.NodeKilled, emulator.NodeRestart:
 		r.onNodes(f, func(p *proc) { p.back() })
-	case standin.NodeStopped:
+	case emulator.NodeStopped:
 		r.onNodes(f, func(p *proc) {
 			p.stopped, p.stoppedA = false, r.now()+2*slack
-			r.see(rules.Seen{What: rules.WentOn, Node: p.id})
+			r.see(invariants.Seen{What: invariants.WentOn, Node: p.id})
 			r.voidAt(p)
 			p.signal(syscall.SIGCONT)
 		})
-	case standin.NodesApart:
+	case emulator.NodesApart:
 		r.onNodes(f, func(p *proc) { p.apart = false })
-	case standin.WordsLost:
+	case emulator.WordsLost:
 		r.wordsLost = r.s.Fleet.WordsLost
-	case standin.Burst:
+	case emulator.Burst:
 		for _, c := range r.clients {
 			c.Burst = 0
 		}
-	case standin.HeavyTail:
+	case emulator.HeavyTail:
 		for _, c := range r.clients {
-			c.Tail = standin.Tail{}
+			c.Tail = emulator.Tail{}
 		}
 	}
 }
@@ -178,7 +178,7 @@
 // wasStopped says whether a node stands still or did just now.
 func (p *proc) wasStopped() bool { return p.stopped || p.r.now() < p.stoppedA }
 
-func (x *executor) suffer() { x.does(x.Suffer(x.r.now(), standin.Together(x.faults))) }
+func (x *executor) suffer() { x.does(x.Suffer(x.r.now(), emulator.Together(x.faults))) }
 
 // back ends one fault that keeps an executor down.
 func (x *executor) back() {
@@ -205,7 +205,7 @@
 }
 
 // drain: the list says so first; later the executor takes nothing new, ends, and starts again cold when the fault is over.
-func (r *Rig) drain(x *executor, f standin.Fault) {
+func (r *Rig) drain(x *executor, f emulator.Fault) {
 	if !x.Up || x.downs > 0 {
 		return
 	}
--- a/internal/rig/front.go
+++ b/internal/harness/front.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -8,16 +8,16 @@
 	"os"
 	"time"
 
-	"birchstair/internal/lab"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/invariants"
+	"birchstair/internal/simulation"
 	"birchstair/policy"
 )
 
 // clients are the clients of a zone and the front layer that spreads them over its nodes.
 type clients struct {
-	*standin.Clients
+	*emulator.Clients
 	r     *Rig
 	zone  policy.ZoneID
 	turn  int
@@ -27,7 +27,7 @@
 // try is one handing in of a work at a node.
 type try struct {
 	from *clients
-	work *standin.Work
+	work *emulator.Work
 	job  policy.JobID
 	p    *proc
 	ran  int
@@ -44,7 +44,7 @@
 	rates := r.s.Rates(capacity)
 	for i, zone := range f.Zones {
 		c := &clients{r: r, zone: policy.ZoneID(i), until: until}
-		c.Clients = standin.NewClients(zone+"-", r.tracks, standin.Habits{Rate: rates[i], Retries: l.Retries,
+		c.Clients = emulator.NewClients(zone+"-", r.tracks, emulator.Habits{Rate: rates[i], Retries: l.Retries,
 			RetryWait: time.Duration(l.RetryWait), HeedsBack: l.HeedsBack, Leaves: l.Leaves, HintNoise: l.HintNoise}, f.PerWork, rand.New(rand.NewPCG(r.o.Seed, uint64(5000+i))))
 		r.clients = append(r.clients, c)
 		r.after(c.Gap(), c.arrive)
@@ -59,7 +59,7 @@
 	work := c.New(r.now(), -1)
 	r.result.Works++
 	r.result.Asked += work.Earns
-	r.offers = append(r.offers, lab.Offer{Came: work.Came, Until: work.Quoted, Work: work.Cost, Earns: work.Earns})
+	r.offers = append(r.offers, simulation.Offer{Came: work.Came, Until: work.Quoted, Work: work.Cost, Earns: work.Earns})
 	c.handIn(work)
 	r.after(c.Gap(), c.arrive)
 }
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func (c *clients) handIn(work *standin.Work) {
+func (c *clients) handIn(work *emulator.Work) {
 	r := c.r
 	if r.closing {
 		return
@@ -92,7 +92,7 @@
 	t := &try{from: c, work: work, job: work.Job(), p: c.pick()}
 	t.void = t.p != nil && t.p.wasStopped()
 	if t.p == nil {
-		r.after(time.Millisecond, func() { c.ended(t, standin.EndUnreached, platform.Final{}) })
+		r.after(time.Millisecond, func() { c.ended(t, emulator.EndUnreached, platform.Final{}) })
 		return
 	}
 	r.tries[t.job] = t
@@ -111,24 +111,24 @@
 }
 
 // call hands a try in and waits for its answer.
-func (r *Rig) call(t *try, m platform.Message) (standin.End, platform.Final) {
+func (r *Rig) call(t *try, m platform.Message) (emulator.End, platform.Final) {
 	run := 0
 	for again := false; ; again = true {
 		c, reused, now, err := r.connect(t.p, again)
 		switch {
 		case again && (err != nil || now != run):
-			return standin.EndLost, platform.Final{} // its process is gone, and may have read the first
+			return emulator.EndLost, platform.Final{} // its process is gone, and may have read the first
 		case err != nil:
-			return standin.EndUnreached, platform.Final{}
+			return emulator.EndUnreached, platform.Final{}
 		}
 		run = now
 		m.Budget = (t.work.Limit - r.now()).Truncate(time.Millisecond)
 		if m.Budget <= 0 {
 			c.Close()
-			return standin.EndUnreached, platform.Final{}
+			return emulator.EndUnreached, platform.Final{}
 		}
 		r.mu.Lock()
-		r.see(rules.Seen{What: rules.Taken, Node: t.p.id, Job: t.job, Work: t.work.ID, Track: t.work.Track, Limit: r.now() + m.Budget})
+		r.see(invariants.Seen{What: invariants.Taken, Node: t.p.id, Job: t.job, Work: t.work.ID, Track: t.work.Track, Limit: r.now() + m.Budget})
 		r.mu.Unlock()
 		until := m.Budget + slack + 500*time.Millisecond
 		leaves := t.work.Leaves < t.work.Limit
@@ -152,14 +152,14 @@
 			c.Close()
 			if leaves {
 				r.mu.Lock()
-				r.see(rules.Seen{What: rules.Went, Node: t.p.id, Job: t.job})
+				r.see(invariants.Seen{What: invariants.Went, Node: t.p.id, Job: t.job})
 				r.went[t.job] = r.now()
 				r.mu.Unlock()
 			}
-			return standin.EndBrokenOff, f
+			return emulator.EndBrokenOff, f
 		case err != nil:
 			c.Close()
-			return standin.EndLost, f
+			return emulator.EndLost, f
 		case f.Last:
 			c.Close()
 		default:
@@ -198,51 +198,51 @@
 func (r *Rig) left(t *try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.see(rules.Seen{What: rules.Left, Node: t.p.id, Job: t.job})
+	r.see(invariants.Seen{What: invariants.Left, Node: t.p.id, Job: t.job})
 }
 
 // ended is how a try ended, and what its client does then.
-func (c *clients) ended(t *try, how standin.End, f platform.Final) {
+func (c *clients) ended(t *try, how emulator.End, f platform.Final) {
 	r, work := c.r, t.work
 	delete(r.tries, t.job)
 	r.forgotten[t.job] = r.now()
 	r.result.Tries[[...]string{"handled", "pushed back", "broken off", "unreached", "lost"}[how]]++
-	whole := how == standin.EndHandled || how == standin.EndPushedBack
+	whole := how == emulator.EndHandled || how == emulator.EndPushedBack
 	switch {
-	case how == standin.EndUnreached || t.void:
+	case how == emulator.EndUnreached || t.void:
 		// Its node was killed or stood still meanwhile: nothing is owed. An answer that came all the same is looked at.
 		if t.p != nil {
-			r.see(rules.Seen{What: rules.Left, Node: t.p.id, Job: t.job})
+			r.see(invariants.Seen{What: invariants.Left, Node: t.p.id, Job: t.job})
 		}
 		if whole {
 			r.check(t, how, f)
 		}
-	case how == standin.EndLost:
+	case how == emulator.EndLost:
 		r.wrong("%s: node %s ended its connection with no whole answer", t.job, t.p.name)
 	case f.Status == 0 && work.Leaves <= r.now(): // its client has left
 	case f.Status == 0:
 		r.wrong("%s: node %s gave no answer by its outer limit", t.job, t.p.name)
 	default:
-		r.see(rules.Seen{What: rules.Answered, Node: t.p.id, Job: t.job, Final: rules.Final(how)})
+		r.see(invariants.Seen{What: invariants.Answered, Node: t.p.id, Job: t.job, Final: invariants.Final(how)})
 		r.check(t, how, f)
 	}
-	if how == standin.EndHandled && r.now() <= work.Quoted {
+	if how == emulator.EndHandled && r.now() <= work.Quoted {
 		r.result.Earned += work.Earns
 	}
-	if at, again := c.After(r.now(), work, how, f.ComeBack); again && (how != standin.EndLost || r.module[work.Track].Idempotency != policy.AtMostOnce) {
+	if at, again := c.After(r.now(), work, how, f.ComeBack); again && (how != emulator.EndLost || r.module[work.Track].Idempotency != policy.AtMostOnce) {
 		r.after(at-r.now(), func() { c.handIn(work) })
 	}
 }
 
 // check looks at an answer from both ends.
-func (r *Rig) check(t *try, how standin.End, f platform.Final) {
+func (r *Rig) check(t *try, how emulator.End, f platform.Final) {
 	m := r.module[t.work.Track]
 	switch {
-	case how == standin.EndHandled && !platform.IsHandled(f, string(t.work.ID)):
+	case how == emulator.EndHandled && !platform.IsHandled(f, string(t.work.ID)):
 		r.wrong("%s was answered with what no executor made for it", t.job)
-	case how == standin.EndPushedBack && t.ran > 0 && (m.Idempotency == policy.AtMostOnce || m.Idempotency == policy.IdempotentWithKey && m.DedupGroup != policy.DedupAllExecutors):
+	case how == emulator.EndPushedBack && t.ran > 0 && (m.Idempotency == policy.AtMostOnce || m.Idempotency == policy.IdempotentWithKey && m.DedupGroup != policy.DedupAllExecutors):
 		r.wrong("%s was pushed back, and ran", t.job)
-	case how == standin.EndBrokenOff && f.Status < 500:
+	case how == emulator.EndBrokenOff && f.Status < 500:
 		r.wrong("%s: node %s finds fault with a sound message: status %d", t.job, t.p.name, f.Status)
 	}
 }
--- a/internal/rig/rig.go
+++ b/internal/harness/harness.go
@@ -1,11 +1,11 @@
-// Package rig plays a scenario of the lab with real processes: nodes of the program on loopback, each with ports, a directory and files of its own, and in
+// Package harness plays a scenario of the lab with real processes: nodes of the program on loopback, each with ports, a directory and files of its own, and in
 // this process the stand-ins for executors, discovery and clients. All that goes between nodes passes links that can be cut, and the stand-ins can fall
 // silent for some nodes alone. The rules are checked from both ends, by what clients got and what executors ran, over all processes. Draws and scripts
 // repeat by their seed, the processes' own timing does not: what a run says are invariants and counts.
 //
 // rig.go holds a run and its end, proc.go the processes, link.go what lies between nodes, ends.go executors and discovery, front.go the clients, faults.go
 // the script.
-package rig
+package harness
 
 import (
 	"fmt"
@@ -17,9 +17,9 @@
 	"sync"
 	"time"
 
-	"birchstair/internal/lab"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
+	"birchstair/internal/simulation"
 	"birchstair/policy"
 )
 
@@ -54,7 +54,7 @@
 
 // Rig is a run.
 type Rig struct {
-	s     lab.Scenario
+	s     simulation.Scenario
 	o     Options
 	start time.Time
 
@@ -62,23 +62,23 @@
 	over      bool
 	closing   bool
 	rand      *rand.Rand
-	tracks    []standin.Track
+	tracks    []emulator.Track
 	module    []policy.JobClass
-	checker   *rules.Checker
+	checker   *invariants.Checker
 	result    Result
 	nodes     []*proc
 	executors []*executor
-	discovery *standin.Discovery
+	discovery *emulator.Discovery
 	news      chan struct{} // closed when discovery may have something new
 	tries     map[policy.JobID]*try
 	forgotten map[policy.JobID]time.Duration // when a try ended
 	went      map[policy.JobID]time.Duration // when a client left before its answer
 	clients   []*clients
-	memories  standin.Memories
+	memories  emulator.Memories
 	firstTold map[policy.ExecutorID]time.Duration // when any node was first told that it drains
-	conns     standin.ConnID
+	conns     emulator.ConnID
 	timeline  *os.File
-	offers    []lab.Offer
+	offers    []simulation.Offer
 	capacity  []float64    // what executors could do, by bins of the run
 	held      net.Listener // the run's addresses are its own
 	timers    []*time.Timer
@@ -106,12 +106,12 @@
 )
 
 // Play plays a run. An error means that it could not be played.
-func Play(s lab.Scenario, o Options) (Result, error) {
+func Play(s simulation.Scenario, o Options) (Result, error) {
 	r := &Rig{s: s, o: o, start: time.Now(), rand: rand.New(rand.NewPCG(o.Seed, 9)),
-		discovery: standin.NewDiscovery(time.Duration(s.Fleet.ListLag)), news: make(chan struct{}), tries: map[policy.JobID]*try{}, forgotten: map[policy.JobID]time.Duration{}, went: map[policy.JobID]time.Duration{},
-		memories: standin.Memories{}, firstTold: map[policy.ExecutorID]time.Duration{}, result: Result{Seed: o.Seed, Tries: map[string]int{}}}
+		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)), news: make(chan struct{}), tries: map[policy.JobID]*try{}, forgotten: map[policy.JobID]time.Duration{}, went: map[policy.JobID]time.Duration{},
+		memories: emulator.Memories{}, firstTold: map[policy.ExecutorID]time.Duration{}, result: Result{Seed: o.Seed, Tries: map[string]int{}}}
 	r.tracks, r.module = s.Takes()
-	r.checker = rules.New(rules.Settings{Tracks: r.module, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace) + slack, Prompt: time.Hour,
+	r.checker = invariants.New(invariants.Settings{Tracks: r.module, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace) + slack, Prompt: time.Hour,
 		WarmWithin: time.Duration(s.Fleet.WarmWithin), FallMultiple: busy * s.Fleet.FallMultiple, FallWindow: time.Duration(s.Fleet.FallWindow), MeanWork: s.MeanWork(), Copies: s.Fleet.Copies})
 	var err error
 	if r.timeline, err = os.Create(filepath.Join(o.Dir, "timeline.txt")); err != nil {
@@ -143,7 +143,7 @@
 }
 
 // see hands a thing seen to the rules. It is called with r.mu held.
-func (r *Rig) see(s rules.Seen) {
+func (r *Rig) see(s invariants.Seen) {
 	s.At = r.now()
 	for _, b := range r.checker.See(s) {
 		r.wrong("%s", b.String())
@@ -264,10 +264,10 @@
 			can += x.Capacity(r.now()) * (1 - t.Errors) / max(1, t.Slow)
 		}
 	}
-	for len(r.capacity) <= int(r.now()/lab.Bin) {
-		r.capacity = append(r.capacity, can*lab.Bin.Seconds())
+	for len(r.capacity) <= int(r.now()/simulation.Bin) {
+		r.capacity = append(r.capacity, can*simulation.Bin.Seconds())
 	}
-	r.after(lab.Bin, r.sampleCapacity)
+	r.after(simulation.Bin, r.sampleCapacity)
 }
 
 // finish ends the processes and says what came of the run.
@@ -297,7 +297,7 @@
 			r.wrong("%s", text)
 		}
 	}
-	r.result.Best = lab.Best(r.offers, r.capacity)
+	r.result.Best = simulation.Best(r.offers, r.capacity)
 	return r.result
 }
 
--- a/internal/rig/rig_test.go
+++ b/internal/harness/harness_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
@@ -8,17 +8,17 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
-	"birchstair/internal/lab"
-	"birchstair/internal/rules"
+	"birchstair/internal/golden"
+	"birchstair/internal/invariants"
+	"birchstair/internal/simulation"
 	"birchstair/lab/scenarios"
 )
 
 var binary string
 
-func TestMain(m *testing.M) { kept.Main(m, &binary) }
+func TestMain(m *testing.M) { golden.Main(m, &binary) }
 
-func play(t *testing.T, s lab.Scenario, seed uint64) Result {
+func play(t *testing.T, s simulation.Scenario, seed uint64) Result {
 	t.Helper()
 	dir := t.TempDir()
 	r := playWith(t, s, Options{Binary: binary, Dir: dir, Seed: seed})
@@ -32,7 +32,7 @@
 	return r
 }
 
-func playWith(t *testing.T, s lab.Scenario, o Options) Result {
+func playWith(t *testing.T, s simulation.Scenario, o Options) Result {
 	t.Helper()
 	if err := Fits(s); err != nil {
 		t.Fatal(err)
@@ -44,9 +44,9 @@
 	return r
 }
 
-func keptScenario(t *testing.T, name string) lab.Scenario {
+func keptScenario(t *testing.T, name string) simulation.Scenario {
 	t.Helper()
-	s, err := lab.LoadFrom(scenarios.Files, name+".toml")
+	s, err := simulation.LoadFrom(scenarios.Files, name+".toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,8 +59,8 @@
 	t.Parallel()
 	s := keptScenario(t, "fleet-one-hears-of-drain")
 	// e0 alone is hardly used by the nodes that are not told: without messages so little went there that none could have. They use e3 and e4 most.
-	s.Length, s.Load.Of = lab.Span(12*time.Second), 0.4
-	s.Faults[1].For, s.Faults[2].For, s.Faults[2].Where = lab.Span(12*time.Second), lab.Span(20*time.Second), []string{"e0", "e3", "e4"}
+	s.Length, s.Load.Of = simulation.Span(12*time.Second), 0.4
+	s.Faults[1].For, s.Faults[2].For, s.Faults[2].Where = simulation.Span(12*time.Second), simulation.Span(20*time.Second), []string{"e0", "e3", "e4"}
 	if r := play(t, s, 1); r.Late > 0 {
 		t.Errorf("%d attempts went to an executor of whose drain a neighbour had told", r.Late)
 	}
@@ -76,9 +76,9 @@
 func TestUninformed(t *testing.T) {
 	t.Parallel()
 	s := keptScenario(t, "fleet-one-hears-of-drain")
-	s.Fleet.Talk, s.Length = false, lab.Span(12*time.Second)
-	s.Faults = []lab.Fault{{Kind: "drain", At: lab.Span(time.Second), For: lab.Span(40 * time.Second), Where: []string{"e1", "e3", "e5"}},
-		{Kind: "list-cut", At: lab.Span(500 * time.Millisecond), For: lab.Span(11 * time.Second), Where: []string{"n1"}}}
+	s.Fleet.Talk, s.Length = false, simulation.Span(12*time.Second)
+	s.Faults = []simulation.Fault{{Kind: "drain", At: simulation.Span(time.Second), For: simulation.Span(40 * time.Second), Where: []string{"e1", "e3", "e5"}},
+		{Kind: "list-cut", At: simulation.Span(500 * time.Millisecond), For: simulation.Span(11 * time.Second), Where: []string{"n1"}}}
 	play(t, s, 1)
 	s.Faults = s.Faults[:1]
 	r := playWith(t, s, Options{Binary: binary, Dir: t.TempDir(), Seed: 1, plant: func(r *Rig) { r.nodes[1].deaf = true }})
@@ -86,7 +86,7 @@
 		t.Error("not caught")
 	}
 	for _, w := range r.Wrong {
-		if !strings.HasPrefix(w, rules.Informed.String()) || !strings.Contains(w, "by n1 ") {
+		if !strings.HasPrefix(w, invariants.Informed.String()) || !strings.Contains(w, "by n1 ") {
 			t.Errorf("something else was wrong: %s", w)
 		}
 	}
@@ -97,10 +97,10 @@
 func TestBudgetOfMoves(t *testing.T) {
 	t.Parallel()
 	s := keptScenario(t, "fleet-overload")
-	s.Name, s.Length = "budget-of-moves", lab.Span(8*time.Second)
+	s.Name, s.Length = "budget-of-moves", simulation.Span(8*time.Second)
 	s.Fleet.Nodes, s.Fleet.Executors, s.Load.Of = 8, 24, 0.8
-	s.Faults = []lab.Fault{{Kind: "nodes-apart", At: lab.Span(2 * time.Second), For: lab.Span(3 * time.Second), Where: []string{"n0", "n1"}},
-		{Kind: "node-killed", At: lab.Span(4 * time.Second), For: lab.Span(2 * time.Second), Where: []string{"n2"}}}
+	s.Faults = []simulation.Fault{{Kind: "nodes-apart", At: simulation.Span(2 * time.Second), For: simulation.Span(3 * time.Second), Where: []string{"n0", "n1"}},
+		{Kind: "node-killed", At: simulation.Span(4 * time.Second), For: simulation.Span(2 * time.Second), Where: []string{"n2"}}}
 	talking := play(t, s, 1)
 	s.Fleet.Talk = false
 	alone := play(t, s, 1)
@@ -116,7 +116,7 @@
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			s := Draw(seed, 5)
-			s.Length = lab.Span(6 * time.Second)
+			s.Length = simulation.Span(6 * time.Second)
 			play(t, s, seed)
 		})
 	}
@@ -125,8 +125,8 @@
 // Each node names the others, how old what they told is, and says so at its door.
 func TestViews(t *testing.T) {
 	t.Parallel()
-	s := lab.Base()
-	s.Name, s.Length, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Talk, s.Fleet.WeightsEvery = "views", lab.Span(2*time.Second), 4, 4, true, 0
+	s := simulation.Base()
+	s.Name, s.Length, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Talk, s.Fleet.WeightsEvery = "views", simulation.Span(2*time.Second), 4, 4, true, 0
 	r := play(t, s, 3)
 	for i, view := range r.Views {
 		text := strings.Join(view, "\n")
@@ -145,8 +145,8 @@
 			if stopped {
 				s.Load.Of, s.Fleet.Executors = 8, 16
 				for i := range 9 {
-					s.Faults = append(s.Faults, lab.Fault{Kind: "node-stopped", At: lab.Span(time.Duration(500+600*i) * time.Millisecond),
-						For: lab.Span(400 * time.Millisecond), Where: []string{"n0", "n1"}})
+					s.Faults = append(s.Faults, simulation.Fault{Kind: "node-stopped", At: simulation.Span(time.Duration(500+600*i) * time.Millisecond),
+						For: simulation.Span(400 * time.Millisecond), Where: []string{"n0", "n1"}})
 				}
 			}
 			r := play(t, s, 3)
--- a/internal/rig/link.go
+++ b/internal/harness/link.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"io"
--- a/internal/rig/proc.go
+++ b/internal/harness/proc.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -15,16 +15,16 @@
 	"syscall"
 	"time"
 
+	"birchstair/internal/admin"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
-	"birchstair/internal/rules"
 	"birchstair/policy"
 )
 
 // proc is a node: a process, or the place of one that is down.
 type proc struct {
 	r      *Rig
-	id     rules.NodeID
+	id     invariants.NodeID
 	name   string
 	zone   policy.ZoneID
 	dir    string
@@ -46,7 +46,7 @@
 	stopped  bool
 	stoppedA time.Duration // until when it counts as just stopped
 	deaf     bool          // it hears nothing from discovery
-	known    map[policy.ExecutorID]rules.Seen
+	known    map[policy.ExecutorID]invariants.Seen
 	apart    bool // its words do not pass
 	pool     []net.Conn
 }
@@ -71,8 +71,8 @@
 )
 
 func (r *Rig) newProc(i int, slot byte) (*proc, error) {
-	p := &proc{r: r, id: rules.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(r.s.Fleet.Zones)), reach: map[policy.ExecutorID]net.Listener{},
-		own: net.IPv4(127, slot, 0, byte(i+1)), known: map[policy.ExecutorID]rules.Seen{}}
+	p := &proc{r: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(r.s.Fleet.Zones)), reach: map[policy.ExecutorID]net.Listener{},
+		own: net.IPv4(127, slot, 0, byte(i+1)), known: map[policy.ExecutorID]invariants.Seen{}}
 	p.dir = filepath.Join(r.o.Dir, p.name)
 	if err := os.Mkdir(p.dir, 0o700); err != nil {
 		return nil, err
@@ -162,7 +162,7 @@
 	p.run++
 	p.cmd, p.up, p.leaving, p.ended, p.stopped = cmd, true, 0, make(chan error, 1), false
 	clear(p.known)
-	p.r.see(rules.Seen{What: rules.NodeStarted, Node: p.id})
+	p.r.see(invariants.Seen{What: invariants.NodeStarted, Node: p.id})
 	p.r.note("%s: started, process %d", p.name, cmd.Process.Pid)
 	ended, run := p.ended, p.run
 	p.r.waits.Go(func() {
@@ -213,7 +213,7 @@
 	if p.there == nil {
 		return nil
 	}
-	lines, err := operators.Call(p.door, node.ReadFleet, "", time.Second)
+	lines, err := admin.Call(p.door, node.ReadFleet, "", time.Second)
 	if err != nil {
 		return []string{"no view: " + err.Error()}
 	}
@@ -254,7 +254,7 @@
 // lose books that the node is gone with all it had in hand.
 func (p *proc) lose() {
 	p.up = false
-	p.r.see(rules.Seen{What: rules.NodeKilled, Node: p.id})
+	p.r.see(invariants.Seen{What: invariants.NodeKilled, Node: p.id})
 	p.r.voidAt(p)
 	for _, c := range p.pool {
 		c.Close()
--- a/internal/succession/codec.go
+++ b/internal/hotrestart/codec.go
@@ -1,4 +1,4 @@
-package succession
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/succession/codec_test.go
+++ b/internal/hotrestart/codec_test.go
@@ -1,4 +1,4 @@
-package succession
+package hotrestart
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
 	"birchstair/policy"
 )
@@ -64,7 +64,7 @@
 			t.Errorf("%s is read as %+v, not %+v", line, got, message)
 		}
 	}
-	kept.Compare(t, "handoff.jsonl", string(lines))
+	golden.Compare(t, "handoff.jsonl", string(lines))
 }
 
 // TestHandoffLinesOfNewerVersion checks that fields that this version does not know are passed over.
--- a/internal/succession/succession.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,7 +1,7 @@
-// Package succession speaks between the processes of one node while one takes over from the other: a Unix socket in a
+// Package hotrestart speaks between the processes of one node while one takes over from the other: a Unix socket in a
 // directory that both have. The end of a link tells that the other process has ended, however it did. succession.go
 // holds the socket and the links, codec.go the words.
-package succession
+package hotrestart
 
 import (
 	"bufio"
--- a/internal/rules/rules.go
+++ b/internal/invariants/invariants.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"cmp"
--- a/internal/rules/rules_test.go
+++ b/internal/invariants/invariants_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/policy"
 )
 
@@ -160,7 +160,7 @@
 		}
 		fmt.Fprintf(&out, "%s\n    -> %s\n", c.name, strings.TrimSpace(verdict))
 	}
-	kept.Compare(t, "edges.txt", out.String())
+	golden.Compare(t, "edges.txt", out.String())
 }
 
 // What a broken rule shows are the lines that are about it.
@@ -176,7 +176,7 @@
 	for _, b := range all {
 		text += b.String() + "\n"
 	}
-	kept.Compare(t, "lines.txt", text)
+	golden.Compare(t, "lines.txt", text)
 }
 
 // A line of a trace reads back as it was.
--- a/internal/rules/seen.go
+++ b/internal/invariants/seen.go
@@ -1,7 +1,7 @@
-// Package rules checks the four rules, and that a batch job given up on is answered at once, from what was seen. It is
+// Package invariants checks the four rules, and that a batch job given up on is answered at once, from what was seen. It is
 // told each thing as it happens and says at once which rule broke. It knows nothing of who tells it: the lab's worlds,
 // stand-ins on sockets and kept traces do.
-package rules
+package invariants
 
 import (
 	"encoding/json"
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/policy"
 )
 
@@ -153,7 +153,7 @@
 	s.tell("and at the outer limit", s.b.Wake(at(60)))
 	s.crashed("once-only, may have run, past its outer limit, asked once all the same", asks, 70, 2, once, false)
 	s.tell("finished", s.b.Told(at(70), "j", 1, FoundFinished, []byte("r")))
-	kept.Compare(t, "stories.txt", s.out.String())
+	golden.Compare(t, "stories.txt", s.out.String())
 }
 
 func first(e []Effect, _ bool) []Effect { return e }
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -16,8 +16,8 @@
 	"testing/synctest"
 	"time"
 
-	"birchstair/internal/bubble"
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
+	"birchstair/internal/synctesting"
 )
 
 // bench is a network of two hosts, and what each end sees of a connection, with its time to the millisecond.
@@ -175,7 +175,7 @@
 			here.Close()
 		}},
 	} {
-		bubble.Test(t, func(t *testing.T) {
+		synctesting.Test(t, func(t *testing.T) {
 			b := &bench{start: time.Now(), path: Path{Delay: 10 * time.Millisecond}}
 			b.net = New(1, func(_, _ string) Path { return b.path })
 			l, err := b.net.Listen("there", "there:1")
@@ -204,7 +204,7 @@
 			fmt.Fprintf(&all, "%s\n%s", c.name, b)
 		})
 	}
-	kept.Compare(t, "connections.txt", all.String())
+	golden.Compare(t, "connections.txt", all.String())
 }
 
 // The other end's end is there once it has arrived and not before, also behind bytes; bytes alone, and an end that is held up on the way, are none.
@@ -221,7 +221,7 @@
 		{"a break", func(_ *bench, _, there *Conn) { there.Reset() }, true},
 		{"its end, held up", func(b *bench, _, there *Conn) { b.path.Hold = time.Hour; there.Close() }, false},
 	} {
-		bubble.Test(t, func(t *testing.T) {
+		synctesting.Test(t, func(t *testing.T) {
 			b := &bench{path: Path{Delay: 10 * time.Millisecond}}
 			b.net = New(1, func(_, _ string) Path { return b.path })
 			l, err := b.net.Listen("there", "there:1")
@@ -254,7 +254,7 @@
 // Dials that lead nowhere, and how long that takes to show.
 func TestDials(t *testing.T) {
 	var out strings.Builder
-	bubble.Test(t, func(t *testing.T) {
+	synctesting.Test(t, func(t *testing.T) {
 		path := Path{Delay: 10 * time.Millisecond}
 		n := New(1, func(_, _ string) Path { return path })
 		dial := func(what string, limit time.Duration) {
@@ -292,5 +292,5 @@
 		}
 		time.Sleep(time.Second)
 	})
-	kept.Compare(t, "dials.txt", out.String())
+	golden.Compare(t, "dials.txt", out.String())
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/policy"
 )
 
@@ -169,9 +169,9 @@
 		Detail string
 	}
 	// FleetChanged: the nodes of the fleet that are held for alive.
-	FleetChanged struct{ Alive []fleet.NodeName }
+	FleetChanged struct{ Alive []cluster.NodeName }
 	// GossipReceived: a neighbour's word.
-	GossipReceived struct{ Message fleet.Message }
+	GossipReceived struct{ Message cluster.Message }
 	// LeaseMessageReceived: a neighbour's word about an executor's places.
 	LeaseMessageReceived struct {
 		From    policy.NodeID
@@ -266,7 +266,7 @@
 	// HalveLimits halves what this process may use of the node's limits, or gives it all back.
 	HalveLimits struct{ Half bool }
 	// SendGossip says a word to a neighbour, which may get lost.
-	SendGossip struct{ fleet.Envelope }
+	SendGossip struct{ cluster.Envelope }
 	// SendLeaseMessage says a word about an executor's places to a neighbour; it may get lost.
 	SendLeaseMessage struct {
 		To      policy.NodeID
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/policy"
 )
 
@@ -83,7 +83,7 @@
 	backs     map[policy.ExecutorID]time.Duration // when they put one back
 	figures   Metrics
 	halved    bool
-	fleet     *fleet.Fleet // nil where this node talks with no others
+	fleet     *cluster.Fleet // nil where this node talks with no others
 	pair
 	booked   []int                        // by a track's number, where its figures stand
 	repeats  []policy.Idempotency         // by that number
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/fleet"
-	"birchstair/internal/kept"
+	"birchstair/internal/cluster"
+	"birchstair/internal/golden"
 	"birchstair/policy"
 )
 
@@ -85,7 +85,7 @@
 	n := New(brain, limits, []JobClass{{"page", policy.JobClass{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second,
 		Value: 1, Kind: policy.AnyKind}}})
 	if slices.Contains(words, "talk") {
-		n.JoinFleet(fleet.Defaults("me", 0, 1))
+		n.JoinFleet(cluster.Defaults("me", 0, 1))
 	}
 	return n
 }
@@ -110,7 +110,7 @@
 		case "D":
 			e.State = policy.Removed
 		default:
-			e.StartedLongAgo, e.StartedAt = false, now-kept.Span(p.t, state)
+			e.StartedLongAgo, e.StartedAt = false, now-golden.Span(p.t, state)
 		}
 		list = append(list, e)
 	}
@@ -130,14 +130,14 @@
 	case "copy":
 		return EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: p.executors(now, words[1:])}
 	case "alive":
-		var names []fleet.NodeName
+		var names []cluster.NodeName
 		for _, w := range words[1:] {
-			names = append(names, fleet.NodeName(w))
+			names = append(names, cluster.NodeName(w))
 		}
 		return FleetChanged{names}
 	case "word": // of a neighbour, its number, and the executor that drains there
 		seq, _ := strconv.Atoi(words[2])
-		return GossipReceived{fleet.Message{From: fleet.NodeName(words[1]), Incarnation: 1, Seq: uint64(seq), Drains: []fleet.Drain{{Executor: policy.ExecutorID(words[3])}}}}
+		return GossipReceived{cluster.Message{From: cluster.NodeName(words[1]), Incarnation: 1, Seq: uint64(seq), Drains: []cluster.Drain{{Executor: policy.ExecutorID(words[3])}}}}
 	case "lost":
 		return EndpointsUpdated{Kind: policy.WatchFailed, Detail: "no answer"}
 	case "job":
@@ -145,11 +145,11 @@
 		for _, w := range words[2:] {
 			switch key, value, _ := strings.Cut(w, "="); key {
 			case "work":
-				j.Work = kept.Span(p.t, value)
+				j.Work = golden.Span(p.t, value)
 			case "tag":
 				j.IdempotencyKey = value
 			case "budget":
-				j.Budget = kept.Span(p.t, value)
+				j.Budget = golden.Span(p.t, value)
 			case "body":
 				j.Body = []byte(value)
 			case "crowded":
@@ -334,7 +334,7 @@
 		case Exit:
 			line = "exit"
 		}
-		p.lines = append(p.lines, fmt.Sprintf(kept.Arrow+"%v %s", now, line))
+		p.lines = append(p.lines, fmt.Sprintf(golden.Arrow+"%v %s", now, line))
 	}
 }
 
@@ -355,7 +355,7 @@
 }
 
 func TestTraces(t *testing.T) {
-	kept.Replay(t, func(t *testing.T, lines []string) string {
+	golden.Replay(t, func(t *testing.T, lines []string) string {
 		p := &player{t: t}
 		p.n = fresh(nil)
 		for _, line := range lines {
@@ -367,7 +367,7 @@
 				p.n = fresh(words[1:])
 				p.lines = append(p.lines, line)
 			default:
-				now := kept.Span(p.t, words[0])
+				now := golden.Span(p.t, words[0])
 				still := words[1] == "still"
 				if still {
 					words = words[1:]
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -5,7 +5,7 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/policy"
 )
 
@@ -46,7 +46,7 @@
 
 // Gossip says words to neighbours.
 type Gossip interface {
-	SendGossip(fleet.Envelope)
+	SendGossip(cluster.Envelope)
 	SendLeaseMessage(SendLeaseMessage)
 }
 
--- a/internal/node/talk.go
+++ b/internal/node/talk.go
@@ -3,15 +3,15 @@
 import (
 	"fmt"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/policy"
 )
 
 // JoinFleet makes this node one of a fleet. It is called before the first step, or never: then nothing of this file acts.
-func (n *Node) JoinFleet(s fleet.Settings) { n.fleet = fleet.New(s) }
+func (n *Node) JoinFleet(s cluster.Settings) { n.fleet = cluster.New(s) }
 
 // Fleet is what this node knows of its fleet, to be looked at; nil where it does not talk.
-func (n *Node) Fleet() *fleet.Fleet { return n.fleet }
+func (n *Node) Fleet() *cluster.Fleet { return n.fleet }
 
 // ofFleet takes in what comes of neighbours.
 func (n *Node) ofFleet(ev Event) {
--- a/internal/scale/bounds.go
+++ b/internal/scaletest/bounds.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
--- a/internal/scale/figures.go
+++ b/internal/scaletest/figures.go
@@ -1,11 +1,11 @@
-package scale
+package scaletest
 
 import (
 	"cmp"
 	"fmt"
 	"time"
 
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
 	"birchstair/policy"
 )
 
@@ -241,7 +241,7 @@
 		return err
 	}
 	// A zone goes, all at once, and comes back cold.
-	var gone, back []standin.Entry
+	var gone, back []emulator.Entry
 	for i, e := range w.entries[:len(w.entries)-1] {
 		if i%len(zones) == 1 {
 			e.State = policy.Removed
--- a/internal/scale/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"birchstair/internal/standin/platform"
+	"birchstair/internal/emulator/platform"
 	"birchstair/policy"
 )
 
--- a/internal/scale/load.go
+++ b/internal/scaletest/load.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
 	"birchstair/policy"
 )
 
@@ -91,11 +91,11 @@
 	switch {
 	case err != nil:
 		l.wrong = append(l.wrong, fmt.Sprintf("%s: no whole answer: %v", id, err))
-	case f.How == standin.EndHandled && !platform.IsHandled(f, id):
+	case f.How == emulator.EndHandled && !platform.IsHandled(f, id):
 		l.wrong = append(l.wrong, fmt.Sprintf("%s was answered with what no executor made for it", id))
 	default:
 		l.answered++
-		if f.How == standin.EndHandled {
+		if f.How == emulator.EndHandled {
 			l.handled++
 		}
 	}
--- a/internal/scale/members.go
+++ b/internal/scaletest/members.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/fleet"
-	"birchstair/internal/members"
+	"birchstair/internal/cluster"
+	"birchstair/internal/gossip"
 	"birchstair/internal/node"
 	"birchstair/policy"
 )
@@ -43,15 +43,15 @@
 // member is a hollow node: the real edge and the real decider, as the reducer joins them, and figures that are made up.
 type member struct {
 	mu    sync.Mutex
-	fleet *fleet.Fleet
-	edge  *members.Members
+	fleet *cluster.Fleet
+	edge  *gossip.Members
 	epoch time.Time
 	alive int
 }
 
 type hollowMembers struct {
 	all     []*member
-	traffic members.Traffic
+	traffic gossip.Traffic
 	cancel  context.CancelFunc
 	wait    sync.WaitGroup
 }
@@ -72,15 +72,15 @@
 	}
 	h.traffic.Of = func(a netip.Addr) bool { return isReal[a] }
 	for i, n := range job.Nodes {
-		o, err := members.Parse(fleet.NodeName(n.Name), policy.NodeID(n.Number), n.Listen, "", job.Fleet.Seeds)
+		o, err := gossip.Parse(cluster.NodeName(n.Name), policy.NodeID(n.Number), n.Listen, "", job.Fleet.Seeds)
 		if err != nil {
 			return h, err
 		}
 		o.Traffic = &h.traffic
 		m := &member{epoch: time.Now()}
-		s := fleet.Defaults(o.Name, uint64(m.epoch.UnixMilli()), uint32(n.Number))
-		m.fleet = fleet.New(s)
-		m.edge = members.New(o, m.take, zerolog.Nop())
+		s := cluster.Defaults(o.Name, uint64(m.epoch.UnixMilli()), uint32(n.Number))
+		m.fleet = cluster.New(s)
+		m.edge = gossip.New(o, m.take, zerolog.Nop())
 		h.all = append(h.all, m)
 		h.wait.Go(func() {
 			select { // one after another, as nodes of a rollout come: all at once they would take each other for dead
--- a/internal/scale/proc.go
+++ b/internal/scaletest/proc.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"encoding/json"
@@ -15,8 +15,8 @@
 	"time"
 	"unsafe"
 
+	"birchstair/internal/admin"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
 )
 
 // proc is a real node.
@@ -120,7 +120,7 @@
 
 // vars are the figures that the node shows at its door.
 func (p *proc) vars() (map[string]int, error) {
-	lines, err := operators.Call(p.door, node.ReadMetrics, "", 5*time.Second)
+	lines, err := admin.Call(p.door, node.ReadMetrics, "", 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 
 // knowsAll says whether the node knows so many to be alive.
 func (p *proc) knowsAll(nodes int) bool {
-	lines, err := operators.Call(p.door, node.ReadFleet, "", 5*time.Second)
+	lines, err := admin.Call(p.door, node.ReadFleet, "", 5*time.Second)
 	return err == nil && slices.ContainsFunc(lines, func(line string) bool {
 		return strings.HasPrefix(line, "node=") && strings.Contains(line, fmt.Sprintf(" alive=%d ", nodes))
 	})
--- a/internal/scale/scale.go
+++ b/internal/scaletest/scaletest.go
@@ -1,11 +1,11 @@
-// Package scale measures what a node costs as its surroundings grow: real nodes of the program on loopback, among hollow executors (listeners with the
+// Package scaletest measures what a node costs as its surroundings grow: real nodes of the program on loopback, among hollow executors (listeners with the
 // platform's protocol whose work is a timer) and hollow nodes (members of the fleet that speak the real words and have no batch jobs). Points of several
 // dimensions are measured in turn, round after round, so that a machine that is noisy for a while shows as spread and not as slope; each slope is fitted by
 // least squares. CPU is the process's own time, never the clock on the wall.
 //
 // scale.go holds points and how they are set up, figures.go what is measured of them, bounds.go what is refused, proc.go the real nodes, hollow.go and members.go
 // the hollow ones, module.go the module alone, load.go the clients, fit.go the slopes.
-package scale
+package scaletest
 
 import (
 	"cmp"
@@ -19,9 +19,9 @@
 	"strings"
 	"time"
 
-	"birchstair/internal/rig"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/harness"
 	"birchstair/policy"
 )
 
@@ -212,7 +212,7 @@
 	hollow  []*hollow // with executors
 	members *hollow   // with nodes; nil where there are none
 	nodes   []*proc
-	entries []standin.Entry
+	entries []emulator.Entry
 	list    *platform.Discovery
 	lists   traffic
 	at      string // where discovery answers
@@ -278,7 +278,7 @@
 	if err := os.MkdirAll(w.dir, 0o700); err != nil {
 		return err
 	}
-	slot, held, err := rig.Claim()
+	slot, held, err := harness.Claim()
 	if err != nil {
 		return err
 	}
@@ -319,7 +319,7 @@
 		w.hollow = append(w.hollow, h)
 		w.closers = append(w.closers, h.end)
 		for i, x := range job.Executors {
-			w.entries = append(w.entries, standin.Entry{Addr: h.Addrs[i], Endpoint: policy.Endpoint{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
+			w.entries = append(w.entries, emulator.Entry{Addr: h.Addrs[i], Endpoint: policy.Endpoint{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
 				Cell: policy.CellID((first + i) / 40), State: policy.Available, Weight: float64(x.Places), StartedLongAgo: true}})
 		}
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
@@ -12,10 +12,10 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/admin"
+	"birchstair/internal/emulator"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
@@ -29,7 +29,7 @@
 		}
 		return
 	}
-	kept.Main(m, &binary)
+	golden.Main(m, &binary)
 }
 
 func smallest() Sweep {
@@ -208,9 +208,9 @@
 	}
 	w := worldOf(t, Point{Series: "far-over", Executors: 4, Of: 9, Real: 1, Sockets: 512, Memory: 192})
 	p := w.nodes[0]
-	var all []standin.Entry
+	var all []emulator.Entry
 	for i := range 100000 {
-		all = append(all, standin.Entry{Addr: "127.0.0.1:1", Endpoint: policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % len(zones)), Weight: 1, StartedLongAgo: true}})
+		all = append(all, emulator.Entry{Addr: "127.0.0.1:1", Endpoint: policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % len(zones)), Weight: 1, StartedLongAgo: true}})
 	}
 	w.list.Change(all...)
 	if err := until(readyIn, func() bool {
@@ -229,7 +229,7 @@
 // An executor that a node sends nothing to for a reason of its own does not make a drain look late: here one is taken out by hand.
 func TestDrainAmongExcluded(t *testing.T) {
 	w := worldOf(t, Point{Series: "drain", Executors: 4, Of: 9, Real: 1, Hollow: 2, Talk: true, Sockets: 512, Memory: 192})
-	if _, err := operators.Call(w.nodes[0].door, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
+	if _, err := admin.Call(w.nodes[0].door, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.drain(5); err != nil {
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -15,12 +15,12 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/clients"
 	"birchstair/internal/config"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/frontend"
 	"birchstair/internal/node"
 	"birchstair/internal/service"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
 	"birchstair/policy"
 )
 
@@ -30,7 +30,7 @@
 	listen string
 	dials  chan chan struct{} // each dial to the executor stops until its channel is closed
 	state  chan policy.EndpointState
-	halts  standin.Halts // of clients' connections
+	halts  emulator.Halts // of clients' connections
 	late   atomic.Pointer[late]
 
 	mu              sync.Mutex
@@ -60,7 +60,7 @@
 		w.ran[job]++
 	}}).Serve(at)
 	list := listener(t)
-	go w.discovery(list, standin.Entry{Addr: at.Addr().String(), Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true, State: first}})
+	go w.discovery(list, emulator.Entry{Addr: at.Addr().String(), Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true, State: first}})
 	s, err := config.ReadSettings([]byte(`{"balancers":1,"areas":["z"],"flavors":["plain"],"caps":{"max-allocations":3},"domain":{"tells-start":true},
 		"tracks":[{"name":"page","quoted-time-s":20,"outer-limit-s":40,"late-earnings":0.5,"repeat":"` + repeat + `","earnings":1}]}`))
 	if err != nil {
@@ -74,7 +74,7 @@
 	tcp := net.Dialer{}
 	go func() {
 		w.over <- service.Run(ctx, service.Setup{Settings: s, Start: time.Now(), Listener: w.halts.Listener(l), Discovery: list.Addr().String(), Log: zerolog.Nop(),
-			ClientConns: clients.Budget{Whole: 300, Half: 150}, Module: policy.New(s.Policy),
+			ClientConns: frontend.Budget{Whole: 300, Half: 150}, Module: policy.New(s.Policy),
 			Executors: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				goOn := make(chan struct{})
 				select {
@@ -124,7 +124,7 @@
 }
 
 // discovery names one executor; a watch waits for its next state.
-func (w *whole) discovery(l net.Listener, e standin.Entry) {
+func (w *whole) discovery(l net.Listener, e emulator.Entry) {
 	seq := 1
 	for {
 		c, err := l.Accept()
@@ -137,12 +137,12 @@
 			if err != nil {
 				break
 			}
-			entries := []standin.Entry{e}
+			entries := []emulator.Entry{e}
 			if !ask.Whole {
 				select {
 				case e.State = <-w.state:
 					seq++
-					entries = []standin.Entry{e}
+					entries = []emulator.Entry{e}
 				case <-time.After(ask.Hold):
 					entries = nil
 				}
@@ -250,7 +250,7 @@
 	leave func(*whole, net.Conn) (after func())
 }{
 	{"the front does not come to its end, which lies unread", func(w *whole, c net.Conn) func() {
-		stop := w.halts.At(standin.AfterRead, 0) // nobody else sends anything now
+		stop := w.halts.At(emulator.AfterRead, 0) // nobody else sends anything now
 		c.Close()
 		w.reached(stop)
 		return stop.Go
@@ -261,7 +261,7 @@
 	}},
 }
 
-func (w *whole) reached(s *standin.Stop) {
+func (w *whole) reached(s *emulator.Stop) {
 	w.t.Helper()
 	select {
 	case <-s.Reached:
@@ -350,7 +350,7 @@
 	w := start(t, policy.Available, "once")
 	leaves := w.hands("leaves")
 	goOn := <-w.dials
-	stop := w.halts.At(standin.AfterRead, 0)
+	stop := w.halts.At(emulator.AfterRead, 0)
 	leaves.Close()
 	w.reached(stop)
 	close(goOn)
--- a/internal/service/ready_test.go
+++ b/internal/service/ready_test.go
@@ -12,14 +12,14 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/bubble"
-	"birchstair/internal/clients"
 	"birchstair/internal/config"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/frontend"
 	"birchstair/internal/memnet"
 	"birchstair/internal/node"
 	"birchstair/internal/service"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
+	"birchstair/internal/synctesting"
 	"birchstair/policy"
 )
 
@@ -28,7 +28,7 @@
 func TestReadyWithSlowDiscovery(t *testing.T) {
 	for _, ask := range []bool{false, true} {
 		for _, down := range []string{"is up", "refuses", "is silent"} {
-			bubble.Test(t, func(t *testing.T) {
+			synctesting.Test(t, func(t *testing.T) {
 				after := readyAfter(t, ask, down)
 				if t.Logf("asked %v, discovery %s: ready after %v", ask, down, after); after > 10*time.Second {
 					t.Errorf("asked %v, discovery %s: ready after %v", ask, down, after)
@@ -90,7 +90,7 @@
 	began := time.Now()
 	go func() {
 		ended <- service.Run(over, service.Setup{Settings: s, Start: began, Listener: front, Discovery: discovery, Log: zerolog.Nop(),
-			ClientConns: clients.Budget{Whole: 30, Half: 15}, Module: policy.New(s.Policy), List: dial("n"),
+			ClientConns: frontend.Budget{Whole: 30, Half: 15}, Module: policy.New(s.Policy), List: dial("n"),
 			Executors: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				return dial("x")(ctx, "", addr)
 			},
@@ -140,7 +140,7 @@
 			in.ReadByte() // until the node gives it up
 			return
 		}
-		entries := []standin.Entry{{Addr: "127.0.0.1:81", Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true}}}
+		entries := []emulator.Entry{{Addr: "127.0.0.1:81", Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true}}}
 		pause := 1500 * time.Millisecond
 		if !ask.Whole {
 			entries, pause = nil, pause+ask.Hold
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -9,16 +9,16 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/clients"
+	"birchstair/internal/admin"
+	"birchstair/internal/cluster"
 	"birchstair/internal/config"
+	"birchstair/internal/discovery"
 	"birchstair/internal/durable"
-	"birchstair/internal/executors"
-	"birchstair/internal/fleet"
-	"birchstair/internal/list"
-	"birchstair/internal/members"
+	"birchstair/internal/frontend"
+	"birchstair/internal/gossip"
+	"birchstair/internal/hotrestart"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
-	"birchstair/internal/succession"
+	"birchstair/internal/upstream"
 	"birchstair/policy"
 )
 
@@ -26,16 +26,16 @@
 type Setup struct {
 	Settings    config.Settings
 	Limits      node.Limits
-	ClientConns clients.Budget // from clients, at most
-	Known       list.Copy      // the list as this node had it last
-	Discovery   string         // where the list comes from
-	Start       time.Time      // times of the reducer count from then
+	ClientConns frontend.Budget // from clients, at most
+	Known       discovery.Copy  // the list as this node had it last
+	Discovery   string          // where the list comes from
+	Start       time.Time       // times of the reducer count from then
 
 	Module    node.Policy
 	Listener  net.Listener
 	Door      net.Listener // for operators; nil where there is none
-	Executors executors.Dialer
-	List      list.Dialer
+	Executors upstream.Dialer
+	List      discovery.Dialer
 	Log       zerolog.Logger
 	Tap       node.Observer // told of every step; nil for nobody
 
@@ -49,8 +49,8 @@
 
 // Fleet is what a node is told of the nodes that it talks with.
 type Fleet struct {
-	fleet.Settings
-	members.Options
+	cluster.Settings
+	gossip.Options
 }
 
 // Tracks are the settings' tracks with their names; those beyond the names are the twins for durable batch jobs.
@@ -73,17 +73,17 @@
 	loop := node.NewLoop(s.Start)
 	loop.Observe = s.Tap
 	core := node.New(s.Module, s.Limits, Tracks(s.Settings))
-	front := clients.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Post)
-	pool := executors.New(s.Executors, s.Settings.TellsLoad(), executors.Probing{Path: s.Settings.Probe.Path,
+	front := frontend.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Post)
+	pool := upstream.New(s.Executors, s.Settings.TellsLoad(), upstream.Probing{Path: s.Settings.Probe.Path,
 		Limit: s.Settings.Probe.Limit, Told: s.Settings.Told()}, loop.Post)
-	patience := list.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
+	patience := discovery.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
 	patience.Seed = uint64(s.Settings.Policy.Seed)<<32 | uint64(uint32(s.Settings.Policy.Node))
-	watcher := list.New(list.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Post)
+	watcher := discovery.New(discovery.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Post)
 	watcher.Copy = s.Known
-	door := operators.New(config.DoorCallers, loop.PostUrgent)
+	door := admin.New(config.DoorCallers, loop.PostUrgent)
 	edges := node.Edges{Discovery: watcher, Admin: door}
 	if s.Heirs != "" {
-		others := succession.New(s.Heirs, loop.PostUrgent)
+		others := hotrestart.New(s.Heirs, loop.PostUrgent)
 		defer others.Close()
 		front.AcceptConnections(s.Elder == nil)
 		edges.Handoff, edges.LimitMemory = others, s.Share
@@ -91,7 +91,7 @@
 	}
 	if s.Fleet != nil {
 		core.JoinFleet(s.Fleet.Settings)
-		others := members.New(s.Fleet.Options, loop.Post, s.Log)
+		others := gossip.New(s.Fleet.Options, loop.Post, s.Log)
 		edges.Gossip = others
 		among, out := context.WithCancel(context.Background())
 		ended := make(chan struct{})
--- a/internal/lab/account.go
+++ b/internal/simulation/account.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"cmp"
@@ -10,8 +10,8 @@
 	"text/tabwriter"
 	"time"
 
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
@@ -97,7 +97,7 @@
 // ledger keeps what an account needs.
 type ledger struct {
 	w       *World
-	open    map[rules.WorkID]*history
+	open    map[invariants.WorkID]*history
 	tracks  []AccountRow
 	nodes   []nodeRow
 	nowhere AccountRow            // of batch jobs that no node took
@@ -117,7 +117,7 @@
 
 // history is where a batch job has been.
 type history struct {
-	work     *standin.Work
+	work     *emulator.Work
 	first    *sim
 	visits   []*visit
 	cameFree freeCores
@@ -133,7 +133,7 @@
 // visit is a try at a node.
 type visit struct {
 	from, arrived, answered, done time.Duration
-	how                           standin.End
+	how                           emulator.End
 }
 
 // attempt is one sending to an executor.
@@ -162,7 +162,7 @@
 }
 
 // handed: a client hands a batch job in at a node; nil where there is none.
-func (b *ledger) handed(work *standin.Work, n *sim) {
+func (b *ledger) handed(work *emulator.Work, n *sim) {
 	if b == nil {
 		return
 	}
@@ -240,11 +240,11 @@
 }
 
 // said: its executor says something of it.
-func (b *ledger) said(a *attempt, word standin.Word) {
+func (b *ledger) said(a *attempt, word emulator.Word) {
 	switch word {
-	case standin.Began:
+	case emulator.Began:
 		b.began(a)
-	case standin.Done, standin.Errored, standin.NoRoom:
+	case emulator.Done, emulator.Errored, emulator.NoRoom:
 		a.ended = a.x.w.now
 	}
 }
@@ -270,7 +270,7 @@
 }
 
 // closed: a batch job is over for its client, and earned so much.
-func (b *ledger) closed(work *standin.Work, earned float64) {
+func (b *ledger) closed(work *emulator.Work, earned float64) {
 	if b == nil {
 		return
 	}
@@ -293,7 +293,7 @@
 	}
 }
 
-func (r *AccountRow) book(work *standin.Work, earned float64, cause Cause, times [causes]time.Duration) {
+func (r *AccountRow) book(work *emulator.Work, earned float64, cause Cause, times [causes]time.Duration) {
 	r.Works++
 	r.work += work.Cost
 	r.Offered += work.Earns
@@ -337,7 +337,7 @@
 		}
 	}
 	own := time.Duration(work.Cost * 1e9)
-	lost := slices.ContainsFunc(h.visits, func(v *visit) bool { return v.how == standin.EndLost || v.how == standin.EndUnreached })
+	lost := slices.ContainsFunc(h.visits, func(v *visit) bool { return v.how == emulator.EndLost || v.how == emulator.EndUnreached })
 	switch {
 	case work.Leaves <= w.now:
 		return ClientLeft, times
@@ -384,7 +384,7 @@
 	}
 	put(h.work.Came, end, BetweenTries, 0)
 	for _, v := range h.visits {
-		if v.how == standin.EndLost || v.how == standin.EndUnreached {
+		if v.how == emulator.EndLost || v.how == emulator.EndUnreached {
 			put(v.from, v.done, NodeLost, 1)
 			continue
 		}
--- a/internal/lab/account_test.go
+++ b/internal/simulation/account_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/lab/scenarios"
 	"birchstair/policy"
 )
@@ -92,7 +92,7 @@
 	}
 	// One that ends at the first broken rule, with batch jobs in hand.
 	w := New(troubled(nil), 1, Options{Account: true, Most: 1})
-	w.plant.standin = func(x *standin.Executor) { x.Suffer(0, standin.Trouble{Lies: true}) }
+	w.plant.standin = func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: true}) }
 	r := w.Play()
 	if len(r.Broken) == 0 || w.open == 0 {
 		t.Errorf("%d rules broken, %d batch jobs open: it shows nothing", len(r.Broken), w.open)
@@ -110,9 +110,9 @@
 func TestAccountChangesNothing(t *testing.T) {
 	t.Parallel()
 	s, _ := keptScenario(t, "errors-and-cut").Sized(0, 0, 20*time.Second)
-	traces := map[bool][]rules.Seen{}
+	traces := map[bool][]invariants.Seen{}
 	for _, with := range []bool{false, true} {
-		New(s, 3, Options{Account: with, Trace: func(x rules.Seen) { traces[with] = append(traces[with], x) }}).Play()
+		New(s, 3, Options{Account: with, Trace: func(x invariants.Seen) { traces[with] = append(traces[with], x) }}).Play()
 	}
 	if !slices.Equal(traces[false], traces[true]) {
 		t.Errorf("%d things seen without an account, %d with one", len(traces[false]), len(traces[true]))
@@ -135,7 +135,7 @@
 			Stretch: 1, Outer: Span(5 * time.Second), Earnings: 1, Late: 0.5}}
 		s.Length = Span(20 * time.Second)
 	}
-	all := func(kind standin.Kind, size float64) []Fault {
+	all := func(kind emulator.Kind, size float64) []Fault {
 		return []Fault{{Kind: kind, At: Span(time.Millisecond), For: Span(20 * time.Second), Where: []string{"here"}, Size: size}}
 	}
 	for _, c := range []struct {
@@ -146,7 +146,7 @@
 		causes []Cause
 	}{
 		{"all executors are slow", func(s *Scenario) { s.Fleet.Speed = 0.3 }, RandomPolicy, nil, []Cause{RunningSlow}},
-		{"all of them are slowed", func(s *Scenario) { s.Faults = all(standin.Slow, 5) }, RandomPolicy, nil, []Cause{RunningSlow}},
+		{"all of them are slowed", func(s *Scenario) { s.Faults = all(emulator.Slow, 5) }, RandomPolicy, nil, []Cause{RunningSlow}},
 		{"attempts take longer than their work", func(s *Scenario) { s.Fleet.AttemptNoise = 1.5 }, RandomPolicy, nil, []Cause{RunningFast}},
 		{"one executor is full", func(s *Scenario) {
 			s.Fleet.Executors, s.Fleet.Queue, s.Load.Of = 1, 10000, 1.5
@@ -163,11 +163,11 @@
 		{"executors have no room", func(s *Scenario) {
 			s.Fleet.Queue, s.Fleet.Places, s.Fleet.Cores, s.Load.Of = 0, 1, 1, 20
 		}, RandomPolicy, nil, []Cause{TurnedAway}},
-		{"executors fail", func(s *Scenario) { s.Faults = all(standin.Errors, 1) }, RandomPolicy, nil, []Cause{Failed}},
+		{"executors fail", func(s *Scenario) { s.Faults = all(emulator.Errors, 1) }, RandomPolicy, nil, []Cause{Failed}},
 		{"it is far", func(s *Scenario) { s.Fleet.Near, s.Fleet.DialLimit = Span(30*time.Millisecond), Span(time.Second) }, RandomPolicy, nil, []Cause{OnTheWay}},
 		{"clients leave", func(s *Scenario) { s.Fleet.Speed, s.Fleet.Queue, s.Load.Leaves, s.Load.Of = 0.01, 1000, 1, 5 }, RandomPolicy, nil, []Cause{ClientLeft}},
 		{"there is no node", func(s *Scenario) {
-			s.Faults = []Fault{{Kind: standin.NodeKilled, At: Span(5 * time.Second), For: Span(10 * time.Second), Where: []string{"n0", "n1"}}}
+			s.Faults = []Fault{{Kind: emulator.NodeKilled, At: Span(5 * time.Second), For: Span(10 * time.Second), Where: []string{"n0", "n1"}}}
 		}, RandomPolicy, nil, []Cause{NodeLost}},
 	} {
 		s := Base()
@@ -198,9 +198,9 @@
 func TestAccountOfTimes(t *testing.T) {
 	t.Parallel()
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	h := &history{work: &standin.Work{Came: 0, Cost: 0.05}, visits: []*visit{
-		{from: ms(0), arrived: ms(1), answered: ms(100), done: ms(101), how: standin.EndPushedBack},
-		{from: ms(111), arrived: ms(112), answered: ms(400), done: ms(401), how: standin.EndHandled},
+	h := &history{work: &emulator.Work{Came: 0, Cost: 0.05}, visits: []*visit{
+		{from: ms(0), arrived: ms(1), answered: ms(100), done: ms(101), how: emulator.EndPushedBack},
+		{from: ms(111), arrived: ms(112), answered: ms(400), done: ms(401), how: emulator.EndHandled},
 	}, attempts: []*attempt{
 		{dialled: unseen, sent: ms(20), reached: ms(22), began: unseen, ended: ms(22), over: ms(24), how: policy.ExecutorFull},
 		{dialled: ms(114), up: ms(118), sent: ms(120), reached: ms(125), began: ms(165), ended: unseen, over: ms(400), slow: true}, // crawls
--- a/internal/lab/bad.go
+++ b/internal/simulation/bad.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"bufio"
--- a/internal/lab/bounds.go
+++ b/internal/simulation/bounds.go
@@ -1,10 +1,10 @@
-package lab
+package simulation
 
 import (
 	"math"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 )
 
 // The bounds of docs/design/fleet.md, checked whenever a node tells a word: how many words it tells, that a figure which counts is no older than is said,
@@ -19,8 +19,8 @@
 
 // bounds is what the check keeps in mind.
 type bounds struct {
-	told map[fleet.MessageID]time.Duration // when each word was told
-	old  []fleet.MessageID                 // in that order
+	told map[cluster.MessageID]time.Duration // when each word was told
+	old  []cluster.MessageID                 // in that order
 }
 
 // pace is what a node did lately, averaged as it does itself.
@@ -32,19 +32,19 @@
 }
 
 func (p *pace) did(now time.Duration, work float64) {
-	p.work = p.work*math.Exp(-float64(now-p.at)/float64(fleet.Smoothing)) + work
+	p.work = p.work*math.Exp(-float64(now-p.at)/float64(cluster.Smoothing)) + work
 	p.at = now
 }
 
 // rate is in seconds of work a second.
 func (p *pace) rate(now, since time.Duration) float64 {
-	whole := fleet.Smoothing.Seconds() * (1 - math.Exp(-float64(since)/float64(fleet.Smoothing)))
-	return p.work * math.Exp(-float64(now-p.at)/float64(fleet.Smoothing)) / max(whole, 1e-3)
+	whole := cluster.Smoothing.Seconds() * (1 - math.Exp(-float64(since)/float64(cluster.Smoothing)))
+	return p.work * math.Exp(-float64(now-p.at)/float64(cluster.Smoothing)) / max(whole, 1e-3)
 }
 
 // bounded checks a word that a node tells, before anything becomes of it on its way.
-func (n *sim) bounded(to fleet.Envelope) {
-	w, s := n.w, fleet.Defaults("", 0, 0)
+func (n *sim) bounded(to cluster.Envelope) {
+	w, s := n.w, cluster.Defaults("", 0, 0)
 	n.pace.words = append(n.pace.words, w.now)
 	for w.now-n.pace.words[0] > 4*s.GossipInterval {
 		n.pace.words = n.pace.words[1:]
@@ -73,9 +73,9 @@
 }
 
 // remember books that a word is on its way.
-func (w *World) remember(word fleet.Message) {
+func (w *World) remember(word cluster.Message) {
 	b := &w.bounds
-	key := fleet.MessageID{From: word.From, Incarnation: word.Incarnation, Seq: word.Seq}
+	key := cluster.MessageID{From: word.From, Incarnation: word.Incarnation, Seq: word.Seq}
 	if _, ok := b.told[key]; !ok {
 		b.old = append(b.old, key)
 	}
--- a/internal/lab/cold.go
+++ b/internal/simulation/cold.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
 )
 
 // drawCold makes a drawn world one for rule 4: 20 or 30 nodes, most of which share nothing, executors that start again, join or come back
@@ -29,17 +29,19 @@
 		t.Work = Span(time.Duration(5<<r.IntN(6)) * time.Millisecond * 3 / 2)
 		t.Quoted = ms(50, 400)
 	}
-	s.Faults = slices.DeleteFunc(s.Faults, func(x Fault) bool { return x.Kind == standin.HeavyTail || x.Kind == standin.Burst || len(x.Where) > 0 })
+	s.Faults = slices.DeleteFunc(s.Faults, func(x Fault) bool {
+		return x.Kind == emulator.HeavyTail || x.Kind == emulator.Burst || len(x.Where) > 0
+	})
 	s.Faults = s.Faults[:min(len(s.Faults), 2)]
-	starts := []standin.Kind{standin.Crash, standin.Vanish, standin.Replace, standin.Moved, standin.DrainOff, standin.ZoneLost}
-	beside := []standin.Kind{standin.NodeKilled, standin.NodeKilled, standin.NodeRestart, standin.NodeStopped, standin.ListLate, standin.ListCut,
-		standin.ListLost, standin.SilentNew}
+	starts := []emulator.Kind{emulator.Crash, emulator.Vanish, emulator.Replace, emulator.Moved, emulator.DrainOff, emulator.ZoneLost}
+	beside := []emulator.Kind{emulator.NodeKilled, emulator.NodeKilled, emulator.NodeRestart, emulator.NodeStopped, emulator.ListLate, emulator.ListCut,
+		emulator.ListLost, emulator.SilentNew}
 	for range 1 + r.IntN(3) {
 		x := drawFault(r, s, starts[r.IntN(len(starts))])
 		x.At, x.For = ms(1000, int(s.Length)/2e6), ms(100, 2000)
 		s.Faults = append(s.Faults, x)
 		back := x.At + x.For
-		burst := Fault{Kind: standin.Burst, At: max(0, back-ms(0, 1000)), For: ms(1000, 5000), Size: round(1.5 + 2*r.Float64())}
+		burst := Fault{Kind: emulator.Burst, At: max(0, back-ms(0, 1000)), For: ms(1000, 5000), Size: round(1.5 + 2*r.Float64())}
 		s.Faults = append(s.Faults, burst)
 		if r.IntN(3) == 0 { // it starts once more while it warms up
 			again := x
@@ -49,10 +51,10 @@
 		for range r.IntN(3) {
 			y := drawFault(r, s, beside[r.IntN(len(beside))])
 			y.At, y.For = max(0, back-ms(0, 1000)), ms(100, 1500)
-			if y.Kind == standin.ListLate {
+			if y.Kind == emulator.ListLate {
 				y.Size = round(0.1 + 3*r.Float64())
 			}
-			if r.IntN(2) == 0 && (y.Kind == standin.NodeKilled || y.Kind == standin.NodeStopped) {
+			if r.IntN(2) == 0 && (y.Kind == emulator.NodeKilled || y.Kind == emulator.NodeStopped) {
 				y.Where = nil // all nodes
 			}
 			s.Faults = append(s.Faults, y)
--- a/internal/lab/cold_test.go
+++ b/internal/simulation/cold_test.go
@@ -1,10 +1,10 @@
-package lab
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 )
 
 // Drawn worlds of 20 and 30 nodes whose executors start again under bursts: no rule breaks.
@@ -35,8 +35,8 @@
 		s.Faults = append(s.Faults, Fault{Kind: "node-killed", At: second(at), For: second(0.02)})
 	}
 	cold := 0
-	r := New(s, 1, Options{Trace: func(x rules.Seen) {
-		if x.What == rules.Reached {
+	r := New(s, 1, Options{Trace: func(x invariants.Seen) {
+		if x.What == invariants.Reached {
 			cold++
 		}
 	}}).Play()
--- a/internal/lab/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
@@ -22,11 +22,11 @@
 	s.Fleet.ListLag = Span(300 * time.Millisecond)
 	second := Span(time.Second)
 	s.Faults = []Fault{
-		{Kind: standin.DrainOff, At: 2 * second, For: 6 * second, Where: []string{"e0", "e1", "e5"}},
-		{Kind: standin.ResetOld, At: 6 * second, For: 12 * second, Size: 0.4},
-		{Kind: standin.Errors, At: 4 * second, For: 15 * second, Where: []string{"e3", "e4"}, Size: 0.4},
-		{Kind: standin.Crash, At: 9 * second, For: second, Where: []string{"e6", "e7", "e8", "e10"}},
-		{Kind: standin.Slow, At: 10 * second, For: 10 * second, Where: []string{"e9", "e2"}, Size: 15},
+		{Kind: emulator.DrainOff, At: 2 * second, For: 6 * second, Where: []string{"e0", "e1", "e5"}},
+		{Kind: emulator.ResetOld, At: 6 * second, For: 12 * second, Size: 0.4},
+		{Kind: emulator.Errors, At: 4 * second, For: 15 * second, Where: []string{"e3", "e4"}, Size: 0.4},
+		{Kind: emulator.Crash, At: 9 * second, For: second, Where: []string{"e6", "e7", "e8", "e10"}},
+		{Kind: emulator.Slow, At: 10 * second, For: 10 * second, Where: []string{"e9", "e2"}, Size: 15},
 	}
 	if change != nil {
 		change(&s)
@@ -37,7 +37,7 @@
 // defect is one that is planted, and the rule that must break by it, and no other.
 type defect struct {
 	name  string
-	rule  rules.Rule
+	rule  invariants.Rule
 	world func(*Scenario)
 	plant plant
 }
@@ -45,7 +45,7 @@
 // crawling has many executors slow down while few batch jobs come: what runs there pays for a second copy.
 func crawling(s *Scenario) {
 	s.Load.Of, s.Fleet.TellsStart = 0.4, true
-	s.Faults = []Fault{{Kind: standin.Slow, At: Span(4 * time.Second), For: Span(18 * time.Second), Where: []string{"e0", "e1", "e2", "e3", "e4"}, Size: 6}}
+	s.Faults = []Fault{{Kind: emulator.Slow, At: Span(4 * time.Second), For: Span(18 * time.Second), Where: []string{"e0", "e1", "e2", "e3", "e4"}, Size: 6}}
 }
 
 // impatient is a world whose clients leave while their batch jobs wait.
@@ -62,7 +62,7 @@
 		s.Tracks[i].Work, s.Tracks[i].Outer = Span(60*time.Millisecond), Span(2*time.Second)
 	}
 	for i := range 6 {
-		s.Faults = append(s.Faults, Fault{Kind: standin.NodeStopped, At: Span(time.Duration(2000+1000*i) * time.Millisecond),
+		s.Faults = append(s.Faults, Fault{Kind: emulator.NodeStopped, At: Span(time.Duration(2000+1000*i) * time.Millisecond),
 			For: Span(time.Duration(250+50*i) * time.Millisecond)})
 	}
 }
@@ -123,7 +123,7 @@
 }
 
 var defects = []defect{
-	{"the reducer forgets that an executor drains", rules.DrainKept, nil, plant{
+	{"the reducer forgets that an executor drains", invariants.DrainKept, nil, plant{
 		event: changed(func(_ *World, _ *sim, ev node.EndpointsUpdated) []node.Event {
 			for i := range ev.Endpoints {
 				if ev.Endpoints[i].State == policy.Draining {
@@ -132,8 +132,8 @@
 			}
 			return []node.Event{ev}
 		})}},
-	{"the reducer forgets with the next list what operators have taken out", rules.DrainKept, func(s *Scenario) {
-		s.Faults = append(s.Faults, Fault{Kind: standin.TakenOut, At: Span(3 * time.Second), For: Span(14 * time.Second), Where: []string{"e9", "e11"}})
+	{"the reducer forgets with the next list what operators have taken out", invariants.DrainKept, func(s *Scenario) {
+		s.Faults = append(s.Faults, Fault{Kind: emulator.TakenOut, At: Span(3 * time.Second), For: Span(14 * time.Second), Where: []string{"e9", "e11"}})
 	}, plant{
 		event: changed(func(w *World, n *sim, e node.EndpointsUpdated) []node.Event {
 			for _, id := range slices.Sorted(maps.Keys(n.outs)) {
@@ -143,7 +143,7 @@
 			}
 			return []node.Event{e}
 		})}},
-	{"the list's edge sits on its news", rules.DrainKept, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightsEvery = 0 }, plant{
+	{"the list's edge sits on its news", invariants.DrainKept, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightsEvery = 0 }, plant{
 		event: changed(func(w *World, n *sim, ev node.EndpointsUpdated) []node.Event {
 			if ev.Kind != policy.IncrementalUpdate {
 				return []node.Event{ev}
@@ -155,16 +155,16 @@
 			})
 			return nil
 		})}},
-	{"the reducer answers twice", rules.OneAnswer, nil, plant{
+	{"the reducer answers twice", invariants.OneAnswer, nil, plant{
 		effect: instead(func(_ *World, _ *sim, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
-	{"results are lost within the node", rules.OneAnswer, nil, plant{
+	{"results are lost within the node", invariants.OneAnswer, nil, plant{
 		effect: instead(func(w *World, _ *sim, a node.Answer) []node.Effect {
 			if a.Final == node.Succeeded && w.steps%20 == 0 {
 				return nil
 			}
 			return []node.Effect{a}
 		})}},
-	{"the front tells of twice the budget", rules.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Of = 1.5 }, plant{
+	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Of = 1.5 }, plant{
 		event: changed(func(w *World, _ *sim, ev node.JobArrived) []node.Event {
 			ev.Job.Budget *= 2
 			return []node.Event{ev}
@@ -175,13 +175,13 @@
 				p.JobClasses[i].LateValue = 1
 			}
 		}}},
-	{"an executor's error counts as its result", rules.OneAnswer, nil, plant{
+	{"an executor's error counts as its result", invariants.OneAnswer, nil, plant{
 		event: onlyEnded(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.Succeeded
 			}
 		})}},
-	{"what is answered is sent once more", rules.OneAnswer, nil, plant{
+	{"what is answered is sent once more", invariants.OneAnswer, nil, plant{
 		effect: instead(func(w *World, n *sim, a node.Answer) []node.Effect {
 			t := n.tries[a.Job]
 			if a.Final == node.Succeeded && t != nil && w.module[t.work.Track].Idempotency == policy.Idempotent {
@@ -193,28 +193,28 @@
 			}
 			return []node.Effect{a}
 		})}},
-	{"a cut counts as a connection that never came up", rules.NoEffectTwice, nil, plant{
+	{"a cut counts as a connection that never came up", invariants.NoEffectTwice, nil, plant{
 		event: onlyEnded(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ConnectionLost {
 				ev.Outcome = policy.ConnectFailed
 			}
 		})}},
-	{"an error counts as turned away", rules.NoEffectTwice, nil, plant{
+	{"an error counts as turned away", invariants.NoEffectTwice, nil, plant{
 		event: onlyEnded(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.ExecutorFull
 			}
 		})}},
-	{"the module sends what it should break off", rules.NoEffectTwice, nil, plant{
+	{"the module sends what it should break off", invariants.NoEffectTwice, nil, plant{
 		module: func(w *World, _ *sim, m node.Policy) node.Policy { return &stubborn{m, w.executors} }}},
-	{"what is broken off is told as pushed back", rules.NoEffectTwice, nil, plant{
+	{"what is broken off is told as pushed back", invariants.NoEffectTwice, nil, plant{
 		effect: instead(func(_ *World, _ *sim, a node.Answer) []node.Effect {
 			if a.Final == node.Failed {
 				a.Final = node.Rejected
 			}
 			return []node.Effect{a}
 		})}},
-	{"a next allocation goes out before the last one's outcome", rules.NoEffectTwice, nil, plant{
+	{"a next allocation goes out before the last one's outcome", invariants.NoEffectTwice, nil, plant{
 		effect: instead(func(_ *World, n *sim, e node.CloseConn) []node.Effect {
 			c := n.wires[e.Conn]
 			if c == nil || c.state != up || c.load == nil {
@@ -224,7 +224,7 @@
 			n.later(2*epsilon, func() { n.tell(node.ConnClosed{Conn: e.Conn}) })
 			return nil
 		})}},
-	{"a once-only track is taken for repeatable", rules.NoEffectTwice, nil, plant{
+	{"a once-only track is taken for repeatable", invariants.NoEffectTwice, nil, plant{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
@@ -232,9 +232,9 @@
 				}
 			}
 		}}},
-	{"a second copy where none is allowed", rules.NoEffectTwice, crawling, plant{
+	{"a second copy where none is allowed", invariants.NoEffectTwice, crawling, plant{
 		settings: func(p *policy.Settings) { p.MayHedge = true }}},
-	{"a once-only track is copied", rules.NoEffectTwice, func(s *Scenario) { crawling(s); s.Fleet.Copies = true }, plant{
+	{"a once-only track is copied", invariants.NoEffectTwice, func(s *Scenario) { crawling(s); s.Fleet.Copies = true }, plant{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
@@ -242,31 +242,31 @@
 				}
 			}
 		}}},
-	{"a zone's group is taken for all executors", rules.NoEffectTwice, tagged("zone", 5*time.Second), plant{
+	{"a zone's group is taken for all executors", invariants.NoEffectTwice, tagged("zone", 5*time.Second), plant{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				p.JobClasses[i].DedupGroup = policy.DedupAllExecutors
 			}
 		}}},
-	{"a window is taken for longer than it is", rules.NoEffectTwice, tagged("all", 300*time.Millisecond), plant{
+	{"a window is taken for longer than it is", invariants.NoEffectTwice, tagged("all", 300*time.Millisecond), plant{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				p.JobClasses[i].DedupWindow = time.Minute
 			}
 		}}},
-	{"executors say turned away, and run it", rules.NoEffectTwice, nil, plant{
-		standin: func(x *standin.Executor) { x.Suffer(0, standin.Trouble{Lies: x.Zone == 0}) }}},
-	{"executors forget the tags they have seen", rules.NoEffectTwice, tagged("all", 5*time.Second), plant{
-		allocation: func(a *standin.Allocation) { a.Window = 0 }}},
-	{"a cold executor is taken for a warm one", rules.ColdSpared, func(s *Scenario) {
+	{"executors say turned away, and run it", invariants.NoEffectTwice, nil, plant{
+		standin: func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: x.Zone == 0}) }}},
+	{"executors forget the tags they have seen", invariants.NoEffectTwice, tagged("all", 5*time.Second), plant{
+		allocation: func(a *emulator.Allocation) { a.Window = 0 }}},
+	{"a cold executor is taken for a warm one", invariants.ColdSpared, func(s *Scenario) {
 		s.Load.Of = 1.5
 		s.Fleet.ColdShare, s.Fleet.FallMultiple, s.Fleet.Queue = 0.1, 1, 10
 	}, plant{settings: func(p *policy.Settings) {
 		p.SlowStartCapacity, p.SlowStartDuration, p.OverloadMultiple = 1, time.Millisecond, 1000
 	}}},
-	{"the leaving is forgotten", rules.Awaited, impatient, plant{unheard: true, blind: true}},
-	{"nobody looks before an attempt's first byte", rules.Awaited, stoppedUnderLeaving, plant{blind: true}},
-	{"what is given up on is held for a while", rules.AtOnce, nil, plant{
+	{"the leaving is forgotten", invariants.Awaited, impatient, plant{unheard: true, blind: true}},
+	{"nobody looks before an attempt's first byte", invariants.Awaited, stoppedUnderLeaving, plant{blind: true}},
+	{"what is given up on is held for a while", invariants.AtOnce, nil, plant{
 		effect: instead(func(w *World, n *sim, a node.Answer) []node.Effect {
 			if t := n.tries[a.Job]; a.Final == node.Rejected && t != nil && t.work.Limit > w.now+time.Second {
 				n.later(300*time.Millisecond, func() { n.carryOut(a) })
@@ -299,7 +299,7 @@
 	for _, d := range defects {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
-			caught := map[rules.Rule]int{}
+			caught := map[invariants.Rule]int{}
 			for seed := range uint64(2) {
 				if underRace && caught[d.rule] > 0 {
 					break
@@ -329,8 +329,8 @@
 
 // All rules have a defect that breaks them.
 func TestEveryRuleIsPutToTheTest(t *testing.T) {
-	for r := range rules.Awaited + 1 {
-		if r < rules.OneAnswer || r == rules.Bound { // its defects are planted in fleets
+	for r := range invariants.Awaited + 1 {
+		if r < invariants.OneAnswer || r == invariants.Bound { // its defects are planted in fleets
 			continue
 		}
 		if !slices.ContainsFunc(defects, func(d defect) bool { return d.rule == r }) {
--- a/internal/lab/faults.go
+++ b/internal/simulation/faults.go
@@ -1,18 +1,18 @@
-package lab
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
 // script puts a fault on the clock: its start, and its end.
-func (w *World) script(f standin.Fault) {
+func (w *World) script(f emulator.Fault) {
 	w.at(f.At, func() {
 		w.note("fault: %v", f)
 		w.begin(f)
@@ -26,7 +26,7 @@
 }
 
 // touched are the executors that a fault is on.
-func (w *World) touched(f standin.Fault) (all []*executor) {
+func (w *World) touched(f emulator.Fault) (all []*executor) {
 	for _, x := range w.executors {
 		if f.Touches(string(x.ID), w.s.Fleet.Zones[x.Zone]) {
 			all = append(all, x)
@@ -36,7 +36,7 @@
 }
 
 // touchedNodes are the nodes that a fault is on.
-func (w *World) touchedNodes(f standin.Fault) (all []*sim) {
+func (w *World) touchedNodes(f emulator.Fault) (all []*sim) {
 	for _, n := range w.nodes {
 		if f.Touches(n.name, w.s.Fleet.Zones[n.zone]) {
 			all = append(all, n)
@@ -45,7 +45,7 @@
 	return all
 }
 
-func (w *World) cutZones(f standin.Fault, in, out bool) {
+func (w *World) cutZones(f emulator.Fault, in, out bool) {
 	for i, zone := range w.s.Fleet.Zones {
 		if !slices.Contains(f.Where, zone) {
 			continue
@@ -69,39 +69,39 @@
 }
 
 // ofTalk are the kinds that only worlds of reducers alone can play: the network's nodes talk with nobody.
-var ofTalk = []standin.Kind{standin.NodesApart, standin.NodeLies, standin.NodeStopped, standin.WordsLost, standin.ListCut}
+var ofTalk = []emulator.Kind{emulator.NodesApart, emulator.NodeLies, emulator.NodeStopped, emulator.WordsLost, emulator.ListCut}
 
-func (w *World) begin(f standin.Fault) {
+func (w *World) begin(f emulator.Fault) {
 	if w.wired != nil && slices.Contains(ofTalk, f.Kind) {
 		return
 	}
 	switch f.Kind {
-	case standin.Slow, standin.Stalls, standin.Neighbour, standin.Errors, standin.Mute:
+	case emulator.Slow, emulator.Stalls, emulator.Neighbour, emulator.Errors, emulator.Mute:
 		for _, x := range w.touched(f) {
 			x.faults = append(x.faults, f)
 			x.suffer()
 		}
-	case standin.Crash, standin.Moved, standin.Replace:
+	case emulator.Crash, emulator.Moved, emulator.Replace:
 		for _, x := range w.touched(f) {
 			x.stop(false)
 		}
-	case standin.Vanish:
+	case emulator.Vanish:
 		for _, x := range w.touched(f) {
 			x.stop(true)
 		}
-	case standin.DrainOff:
+	case emulator.DrainOff:
 		for _, x := range w.touched(f) {
 			w.drain(x, f)
 		}
-	case standin.TakenOut:
+	case emulator.TakenOut:
 		for _, x := range w.touched(f) {
 			w.takeOut(x, f)
 		}
-	case standin.SentAway:
+	case emulator.SentAway:
 		for _, n := range w.touchedNodes(f) {
 			n.order(node.DrainOn, "")
 		}
-	case standin.ZoneLost:
+	case emulator.ZoneLost:
 		for _, x := range w.touched(f) {
 			x.stop(true)
 		}
@@ -109,152 +109,152 @@
 			n.down++
 			n.kill()
 		}
-	case standin.ZoneCut:
+	case emulator.ZoneCut:
 		w.cutZones(f, true, true)
-	case standin.ZoneDeaf:
+	case emulator.ZoneDeaf:
 		w.cutZones(f, true, false)
-	case standin.ZoneMute:
+	case emulator.ZoneMute:
 		w.cutZones(f, false, true)
-	case standin.ResetNew:
+	case emulator.ResetNew:
 		w.resetNew = f.Size
-	case standin.SilentNew:
+	case emulator.SilentNew:
 		w.silentNew = f.Size
-	case standin.SilentOld:
+	case emulator.SilentOld:
 		for _, c := range w.openWires() {
 			if w.rand.Float64() < f.Size {
 				c.silence()
 			}
 		}
-	case standin.ResetOld:
+	case emulator.ResetOld:
 		w.resetOld(f, w.now+f.For)
-	case standin.ClientReset:
+	case emulator.ClientReset:
 		w.resetClients(f, w.now+f.For)
-	case standin.ListLate:
+	case emulator.ListLate:
 		w.discovery.Late(time.Duration(f.Size * 1e9))
-		w.checker.Apart(rules.Nobody, w.now+time.Duration(w.s.Fleet.ListLag)+time.Duration(f.Size*1e9))
-	case standin.ListLost:
+		w.checker.Apart(invariants.Nobody, w.now+time.Duration(w.s.Fleet.ListLag)+time.Duration(f.Size*1e9))
+	case emulator.ListLost:
 		w.discovery.Silence(true)
-		w.checker.Cut(w.now, rules.Nobody, true)
+		w.checker.Cut(w.now, invariants.Nobody, true)
 		w.tellAll(w.now + 100*time.Millisecond)
-	case standin.NodeKilled:
+	case emulator.NodeKilled:
 		for _, n := range w.touchedNodes(f) {
 			n.down++
 			n.kill()
 		}
-	case standin.NodeRestart:
+	case emulator.NodeRestart:
 		for _, n := range w.touchedNodes(f) {
 			n.down++
 			n.stop()
 		}
-	case standin.NodeStopped:
+	case emulator.NodeStopped:
 		for _, n := range w.touchedNodes(f) {
 			n.halt(f)
 		}
-	case standin.NodeLies, standin.NodesApart, standin.ListCut:
+	case emulator.NodeLies, emulator.NodesApart, emulator.ListCut:
 		for _, n := range w.touchedNodes(f) {
 			n.amiss(f.Kind, true)
 		}
-	case standin.WordsLost:
+	case emulator.WordsLost:
 		w.wordsLost = f.Size
-	case standin.Burst:
+	case emulator.Burst:
 		for _, c := range w.clients {
 			c.Burst = f.Size
 		}
-	case standin.HeavyTail:
+	case emulator.HeavyTail:
 		for _, c := range w.clients {
-			c.Tail = standin.TailOf(f.Size)
+			c.Tail = emulator.TailOf(f.Size)
 		}
-	case standin.ClockOff:
+	case emulator.ClockOff:
 		w.clockOff = time.Duration(f.Size * 1e9)
 	}
 }
 
-func (w *World) end(f standin.Fault) {
+func (w *World) end(f emulator.Fault) {
 	if w.wired != nil && slices.Contains(ofTalk, f.Kind) {
 		return
 	}
 	switch f.Kind {
-	case standin.Slow, standin.Stalls, standin.Neighbour, standin.Errors, standin.Mute:
+	case emulator.Slow, emulator.Stalls, emulator.Neighbour, emulator.Errors, emulator.Mute:
 		for _, x := range w.touched(f) {
-			x.faults = standin.Without(x.faults, f)
+			x.faults = emulator.Without(x.faults, f)
 			x.suffer()
 		}
-	case standin.Crash, standin.Vanish:
+	case emulator.Crash, emulator.Vanish:
 		for _, x := range w.touched(f) {
 			x.back()
 		}
-	case standin.Moved:
+	case emulator.Moved:
 		for _, x := range w.touched(f) {
 			if x.down == 1 {
 				x.move()
 			}
 			x.back()
 		}
-	case standin.Replace:
+	case emulator.Replace:
 		for _, x := range w.touched(f) {
 			if x.down == 1 { // it never comes back itself: down stays over 0
 				w.replace(x)
 			}
 		}
-	case standin.TakenOut:
+	case emulator.TakenOut:
 		for _, x := range w.touched(f) {
 			for _, n := range w.nodes {
 				n.order(node.ReadmitExecutor, x.ID)
 			}
 		}
-	case standin.SentAway:
+	case emulator.SentAway:
 		for _, n := range w.touchedNodes(f) {
 			n.order(node.DrainOff, "")
 		}
-	case standin.ZoneLost:
+	case emulator.ZoneLost:
 		for _, x := range w.touched(f) {
 			x.back()
 		}
 		for _, n := range w.touchedNodes(f) {
 			n.back()
 		}
-	case standin.ResetNew:
+	case emulator.ResetNew:
 		w.resetNew = 0
-	case standin.SilentNew:
+	case emulator.SilentNew:
 		w.silentNew = 0
-	case standin.ListLate:
+	case emulator.ListLate:
 		w.discovery.Late(0)
 		w.tellAll(w.now)
-	case standin.ListLost:
+	case emulator.ListLost:
 		w.discovery.Silence(false)
-		w.checker.Cut(w.now, rules.Nobody, false)
+		w.checker.Cut(w.now, invariants.Nobody, false)
 		w.tellAll(w.now)
-	case standin.NodeKilled, standin.NodeRestart:
+	case emulator.NodeKilled, emulator.NodeRestart:
 		for _, n := range w.touchedNodes(f) {
 			n.back()
 		}
-	case standin.NodeLies, standin.NodesApart, standin.ListCut:
+	case emulator.NodeLies, emulator.NodesApart, emulator.ListCut:
 		for _, n := range w.touchedNodes(f) {
 			n.amiss(f.Kind, false)
 		}
-	case standin.WordsLost:
+	case emulator.WordsLost:
 		w.wordsLost = 0
-	case standin.Burst:
+	case emulator.Burst:
 		for _, c := range w.clients {
 			c.Burst = 0
 		}
-	case standin.HeavyTail:
+	case emulator.HeavyTail:
 		for _, c := range w.clients {
-			c.Tail = standin.Tail{}
+			c.Tail = emulator.Tail{}
 		}
-	case standin.ClockOff:
+	case emulator.ClockOff:
 		w.clockOff = 0
 	}
 }
 
 // amiss begins or ends what is wrong with a node that talks.
-func (n *sim) amiss(k standin.Kind, on bool) {
+func (n *sim) amiss(k emulator.Kind, on bool) {
 	switch k {
-	case standin.NodeLies:
+	case emulator.NodeLies:
 		n.lies = one(on)
-	case standin.NodesApart:
+	case emulator.NodesApart:
 		n.apart = on
-	case standin.ListCut:
+	case emulator.ListCut:
 		n.w.checker.Cut(n.w.now, n.id, on)
 		if n.noList = on; !on && n.up {
 			n.news()
@@ -264,7 +264,7 @@
 
 // suffer puts all its troubles together.
 func (x *executor) suffer() {
-	t := standin.Together(x.faults)
+	t := emulator.Together(x.faults)
 	t.Lies = x.Trouble().Lies
 	x.does(x.Suffer(x.w.now, t))
 }
@@ -327,7 +327,7 @@
 }
 
 // drain: the list says so first; later it takes nothing new, ends, and starts again cold when the fault is over.
-func (w *World) drain(x *executor, f standin.Fault) {
+func (w *World) drain(x *executor, f emulator.Fault) {
 	if !x.Up || x.down > 0 {
 		return
 	}
@@ -352,7 +352,7 @@
 }
 
 // takeOut has operators take an executor out at each node, and restart it meanwhile. The list says nothing of the first.
-func (w *World) takeOut(x *executor, f standin.Fault) {
+func (w *World) takeOut(x *executor, f emulator.Fault) {
 	for _, n := range w.nodes {
 		n.order(node.ExcludeExecutor, x.ID)
 	}
@@ -389,7 +389,7 @@
 }
 
 // resetClients breaks some of the connections that clients wait on, each second until the fault is over.
-func (w *World) resetClients(f standin.Fault, until time.Duration) {
+func (w *World) resetClients(f emulator.Fault, until time.Duration) {
 	for _, n := range w.nodes {
 		for _, t := range n.inHandTries() {
 			if n.up && w.rand.Float64() < f.Size {
@@ -403,7 +403,7 @@
 }
 
 // resetOld breaks some of what is open, each second until the fault is over.
-func (w *World) resetOld(f standin.Fault, until time.Duration) {
+func (w *World) resetOld(f emulator.Fault, until time.Duration) {
 	for _, c := range w.openWires() {
 		if w.rand.Float64() < f.Size {
 			c.breakAt(time.Duration(w.rand.Int64N(int64(time.Second))))
--- a/internal/lab/fleet_defects_test.go
+++ b/internal/simulation/fleet_defects_test.go
@@ -1,13 +1,13 @@
-package lab
+package simulation
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
 	"birchstair/policy"
 )
 
@@ -27,7 +27,7 @@
 // overTold gives the first bound between nodes that broke.
 func overTold(_, r Result) string {
 	for _, b := range r.Broken {
-		if b.Rule == rules.Bound {
+		if b.Rule == invariants.Bound {
 			return b.Text
 		}
 	}
@@ -44,11 +44,11 @@
 		wrong func(sound, r Result) string
 	}{
 		{"a node tells its own echo as news", nil, func() plant {
-			heard := map[rules.NodeID]map[fleet.NodeName]fleet.Rates{}
+			heard := map[invariants.NodeID]map[cluster.NodeName]cluster.Rates{}
 			return plant{
 				event: changed(func(_ *World, n *sim, ev node.GossipReceived) []node.Event {
 					if heard[n.id] == nil {
-						heard[n.id] = map[fleet.NodeName]fleet.Rates{}
+						heard[n.id] = map[cluster.NodeName]cluster.Rates{}
 					}
 					heard[n.id][ev.Message.From] = ev.Message.Rates
 					return []node.Event{ev}
@@ -62,8 +62,8 @@
 		}(), overTold},
 		{"an old view counts as fresh", func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "nodes-apart", At: Span(4 * time.Second), For: Span(9 * time.Second), Where: []string{"n0", "n1"}}}
-		}, plant{fleet: func(s *fleet.Settings) { s.PeerStateTTL = time.Hour }}, overTold},
-		{"a node tells more often than it may", nil, plant{fleet: func(s *fleet.Settings) { s.GossipInterval /= 2 }}, overTold},
+		}, plant{fleet: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, overTold},
+		{"a node tells more often than it may", nil, plant{fleet: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, overTold},
 		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Of = 0.8 }, plant{
 			event: changed(func(_ *World, _ *sim, ev node.GossipReceived) []node.Event {
 				ev.Message.Rates.Migrations = 0
--- a/internal/lab/front.go
+++ b/internal/simulation/front.go
@@ -1,19 +1,19 @@
-package lab
+package simulation
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
 // callers are the clients of a zone and the front layer that spreads them over its nodes.
 type callers struct {
-	*standin.Clients
+	*emulator.Clients
 	w    *World
 	zone policy.ZoneID
 	turn int
@@ -22,7 +22,7 @@
 // try is one handing in of a work at a node.
 type try struct {
 	from   *callers
-	work   *standin.Work
+	work   *emulator.Work
 	job    policy.JobID
 	n      *sim
 	run    int
@@ -45,7 +45,7 @@
 	rates := w.s.Rates(capacity)
 	for i, zone := range f.Zones {
 		c := &callers{w: w, zone: policy.ZoneID(i)}
-		c.Clients = standin.NewClients(zone+"-", w.tracks, standin.Habits{Rate: rates[i], Loops: l.Loops,
+		c.Clients = emulator.NewClients(zone+"-", w.tracks, emulator.Habits{Rate: rates[i], Loops: l.Loops,
 			Think: time.Duration(l.Think), Retries: l.Retries, RetryWait: time.Duration(l.RetryWait), RetryMost: time.Duration(l.RetryMost), HeedsBack: l.HeedsBack,
 			Leaves: l.Leaves, RepeatsIDs: l.RepeatsIDs, HintNoise: l.HintNoise}, f.PerWork, stream(w.seed, "clients "+zone))
 		w.clients = append(w.clients, c)
@@ -62,7 +62,7 @@
 // arrive takes in what comes by itself.
 func (c *callers) arrive() {
 	gap := c.Gap()
-	if gap == standin.Never || c.w.now >= time.Duration(c.w.s.Length) {
+	if gap == emulator.Never || c.w.now >= time.Duration(c.w.s.Length) {
 		return
 	}
 	c.begin(-1)
@@ -120,12 +120,12 @@
 	return all[len(all)-1]
 }
 
-func (c *callers) handIn(work *standin.Work) {
+func (c *callers) handIn(work *emulator.Work) {
 	w, n := c.w, c.pick()
 	t := &try{from: c, work: work, job: work.Job(), n: n}
 	w.account.handed(work, n)
 	if n == nil {
-		w.after(time.Millisecond, func() { t.end(standin.EndUnreached, 0) })
+		w.after(time.Millisecond, func() { t.end(emulator.EndUnreached, 0) })
 		return
 	}
 	t.run = n.run
@@ -137,9 +137,9 @@
 	w.after(hop, func() {
 		switch {
 		case !n.up || n.run != t.run || n.closed:
-			w.after(hop, func() { t.end(standin.EndUnreached, 0) })
+			w.after(hop, func() { t.end(emulator.EndUnreached, 0) })
 		case w.now >= work.Limit-time.Millisecond:
-			t.end(standin.EndBrokenOff, 0) // it has given up by now
+			t.end(emulator.EndBrokenOff, 0) // it has given up by now
 		default:
 			n.arrived(t)
 		}
@@ -157,7 +157,7 @@
 	w.account.visit(t).arrived = w.now
 	work := t.work
 	budget := (work.Limit - w.now).Truncate(time.Millisecond)
-	w.see(rules.Seen{What: rules.Taken, Node: n.id, Job: t.job, Work: work.ID, Track: work.Track, Limit: w.now + budget})
+	w.see(invariants.Seen{What: invariants.Taken, Node: n.id, Job: t.job, Work: work.ID, Track: work.Track, Limit: w.now + budget})
 	n.tell(node.JobArrived{Job: node.Job{Request: node.Request{ID: t.job, Method: "POST", URI: "/", IdempotencyKey: w.tag(work), Body: w.body()},
 		Class: work.Track, Work: time.Duration(work.Hint * 1e9).Truncate(time.Microsecond), Budget: budget, ClientRetry: w.s.Load.MarksAgain && work.Tries > 0, Client: t}})
 	n.mostHeld = max(n.mostHeld, n.inHand-n.out)
@@ -194,7 +194,7 @@
 	if t.work.Leaves <= n.w.now {
 		n.w.result.Left++
 	}
-	t.done(standin.EndBrokenOff, 0)
+	t.done(emulator.EndBrokenOff, 0)
 }
 
 // Gone is the last look before an attempt: what the node's system knows of the client, also where the process has not read it.
@@ -204,17 +204,17 @@
 func (n *sim) forget(t *try) {
 	t.over = true
 	n.inHand--
-	n.w.see(rules.Seen{What: rules.Went, Node: n.id, Job: t.job})
+	n.w.see(invariants.Seen{What: invariants.Went, Node: n.id, Job: t.job})
 	if n.w.plant.unheard {
 		return
 	}
-	n.w.see(rules.Seen{What: rules.Left, Node: n.id, Job: t.job})
+	n.w.see(invariants.Seen{What: invariants.Left, Node: n.id, Job: t.job})
 	n.tell(node.ClientLeft{Job: t.job, Client: t})
 }
 
 func (n *sim) answer(a node.Answer) {
 	w := n.w
-	w.see(rules.Seen{What: rules.Answered, Node: n.id, Job: a.Job, Final: rules.Final(a.Final)})
+	w.see(invariants.Seen{What: invariants.Answered, Node: n.id, Job: a.Job, Final: invariants.Final(a.Final)})
 	t := n.tries[a.Job]
 	if t == nil || t.over {
 		return
@@ -225,7 +225,7 @@
 	if t.cut {
 		return
 	}
-	w.after(w.oneWay(n.zone, t.from.zone)/2, func() { t.done(standin.End(a.Final), a.RetryAfter) })
+	w.after(w.oneWay(n.zone, t.from.zone)/2, func() { t.done(emulator.End(a.Final), a.RetryAfter) })
 }
 
 // loseClients: the node is gone, and all its clients' connections with it.
@@ -233,7 +233,7 @@
 	for _, t := range n.inHandTries() {
 		t.over = true
 		if !t.cut {
-			n.w.after(n.w.oneWay(n.zone, t.from.zone)/2, func() { t.done(standin.EndLost, 0) })
+			n.w.after(n.w.oneWay(n.zone, t.from.zone)/2, func() { t.done(emulator.EndLost, 0) })
 		}
 	}
 }
@@ -262,7 +262,7 @@
 		return
 	}
 	t.cut = true
-	n.w.after(epsilon, func() { t.done(standin.EndLost, 0) })
+	n.w.after(epsilon, func() { t.done(emulator.EndLost, 0) })
 	n.later(time.Duration(n.w.rand.Int64N(int64(time.Second))), func() {
 		if !t.over {
 			n.forget(t)
@@ -271,13 +271,13 @@
 }
 
 // end ends a try that no node has taken.
-func (t *try) end(how standin.End, comeBack time.Duration) {
+func (t *try) end(how emulator.End, comeBack time.Duration) {
 	t.over = true
 	t.done(how, comeBack)
 }
 
 // done is how a try ended for its client, and what the client does.
-func (t *try) done(how standin.End, comeBack time.Duration) {
+func (t *try) done(how emulator.End, comeBack time.Duration) {
 	w, work := t.from.w, t.work
 	if work.Over || t.job != work.Job() {
 		return // a repeat of an id whose try is over
--- a/internal/lab/hard_test.go
+++ b/internal/simulation/hard_test.go
@@ -1,18 +1,18 @@
-package lab
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
 // sighting looks for the hard cases in what is seen.
 type sighting struct {
-	out      map[string]rules.Seen // allocations that are out, by node and batch job
-	over     map[string]bool       // that the node counts as over, by node, batch job and executor
-	held     map[rules.WorkID]rules.NodeID
+	out      map[string]invariants.Seen // allocations that are out, by node and batch job
+	over     map[string]bool            // that the node counts as over, by node, batch job and executor
+	held     map[invariants.WorkID]invariants.NodeID
 	twoHold  int // a second node takes what a first one still holds
 	lateRun  int // an executor begins on what its node counts as over: it saw the break first
 	killed   int // a node dies with a last byte gone and no word of it
@@ -20,30 +20,30 @@
 	notFresh int // a node is told of a start long after it
 }
 
-func (x *sighting) see(s rules.Seen) {
+func (x *sighting) see(s invariants.Seen) {
 	key := string(rune(s.Node)) + string(s.Job)
 	switch s.What {
-	case rules.Taken:
+	case invariants.Taken:
 		if n, ok := x.held[s.Work]; ok && n != s.Node {
 			x.twoHold++
 		}
 		x.held[s.Work] = s.Node
-	case rules.Answered, rules.Left:
+	case invariants.Answered, invariants.Left:
 		for w, n := range x.held {
 			if n == s.Node && len(s.Job) > len(w) && string(s.Job[:len(w)]) == string(w) && s.Job[len(w)] == '/' {
 				delete(x.held, w)
 			}
 		}
-	case rules.LastByte:
+	case invariants.LastByte:
 		x.out[key] = s
-	case rules.Over:
+	case invariants.Over:
 		delete(x.out, key)
 		x.over[key+string(s.Executor)] = true
-	case rules.Ran:
+	case invariants.Ran:
 		if x.over[key+string(s.Executor)] {
 			x.lateRun++
 		}
-	case rules.NodeKilled:
+	case invariants.NodeKilled:
 		for k, o := range x.out {
 			if o.Node == s.Node {
 				x.killed++
@@ -55,9 +55,9 @@
 				delete(x.held, w)
 			}
 		}
-	case rules.Reached:
+	case invariants.Reached:
 		x.cold++
-	case rules.Told:
+	case invariants.Told:
 		if s.State == policy.Available && s.Start > 0 && s.At > s.Start+2*time.Second {
 			x.notFresh++
 		}
@@ -67,7 +67,7 @@
 // The worlds of the tests hold the hard cases: each happens, many times over, and no rule breaks by it.
 func TestHardCasesHappen(t *testing.T) {
 	t.Parallel()
-	x := &sighting{out: map[string]rules.Seen{}, over: map[string]bool{}, held: map[rules.WorkID]rules.NodeID{}}
+	x := &sighting{out: map[string]invariants.Seen{}, over: map[string]bool{}, held: map[invariants.WorkID]invariants.NodeID{}}
 	ties, orphans := 0, 0
 	play := func(s Scenario, seed uint64) {
 		clear(x.out)
--- a/internal/lab/hunt.go
+++ b/internal/simulation/hunt.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
 )
 
 // Size bounds the worlds that are drawn.
@@ -45,8 +45,8 @@
 	if r.IntN(6) == 0 { // closed loops beside what comes by itself
 		l.Loops, l.Think = 1+r.IntN(6), Span(time.Duration(r.IntN(300))*time.Millisecond)
 	}
-	byHand := []standin.Kind{standin.TakenOut, standin.SentAway}
-	kinds := slices.DeleteFunc(standin.Kinds(), func(k standin.Kind) bool { return slices.Contains(byHand, k) || slices.Contains(ofTalk, k) })
+	byHand := []emulator.Kind{emulator.TakenOut, emulator.SentAway}
+	kinds := slices.DeleteFunc(emulator.Kinds(), func(k emulator.Kind) bool { return slices.Contains(byHand, k) || slices.Contains(ofTalk, k) })
 	for range r.IntN(7) {
 		s.Faults = append(s.Faults, drawFault(r, &s, kinds[r.IntN(len(kinds))]))
 	}
@@ -134,29 +134,29 @@
 	}
 }
 
-func drawFault(r *rand.Rand, s *Scenario, k standin.Kind) Fault {
+func drawFault(r *rand.Rand, s *Scenario, k emulator.Kind) Fault {
 	ms := func(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
 	length := int(time.Duration(s.Length) / time.Millisecond)
 	f := Fault{Kind: k, At: ms(r.IntN(length * 9 / 10)), For: ms(100 + r.IntN(length/2))}
 	on, _ := k.On()
 	zone := s.Fleet.Zones[r.IntN(len(s.Fleet.Zones))]
 	switch on {
-	case standin.OnZone:
+	case emulator.OnZone:
 		f.Where = []string{zone}
-	case standin.OnExecutors:
+	case emulator.OnExecutors:
 		f.Where = drawSome(r, "e", s.Fleet.Executors, zone)
-	case standin.OnNodes:
+	case emulator.OnNodes:
 		f.Where = drawSome(r, "n", s.Fleet.Nodes, zone)
 	}
 	if least, most, ok := k.Sized(); ok {
 		switch k {
-		case standin.Slow, standin.HeavyTail:
+		case emulator.Slow, emulator.HeavyTail:
 			most = 20
-		case standin.Burst:
+		case emulator.Burst:
 			most = 4
-		case standin.ListLate:
+		case emulator.ListLate:
 			most = 10
-		case standin.ClockOff:
+		case emulator.ClockOff:
 			least, most = -30, 30
 		}
 		f.Size = round(max(least, least+(most-least)*r.Float64()))
--- a/internal/lab/killing.go
+++ b/internal/simulation/killing.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"bytes"
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
 	"birchstair/policy"
 )
 
@@ -161,10 +161,10 @@
 		open = append(open, l)
 		return l.Addr().String()
 	}
-	var entries []standin.Entry
+	var entries []emulator.Entry
 	for i := range 3 {
 		id := policy.ExecutorID(fmt.Sprint("e", i))
-		entries = append(entries, standin.Entry{Addr: listen(), Endpoint: policy.Endpoint{Executor: id, Weight: 1, StartedLongAgo: true}})
+		entries = append(entries, emulator.Entry{Addr: listen(), Endpoint: policy.Endpoint{Executor: id, Weight: 1, StartedLongAgo: true}})
 		if err != nil {
 			return closeAll, err
 		}
--- a/internal/lab/killing_test.go
+++ b/internal/simulation/killing_test.go
@@ -1,11 +1,11 @@
-package lab
+package simulation
 
 import (
 	"fmt"
 	"sync"
 	"testing"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 )
 
 // Real processes, killed by SIGKILL at random points: what was acknowledged is never lost, each batch job has one final answer, and no once-only one runs
@@ -13,7 +13,7 @@
 func TestKilling(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	binary, err := kept.Program(dir)
+	binary, err := golden.Program(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/net.go
+++ b/internal/simulation/net.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"cmp"
@@ -8,32 +8,32 @@
 	"slices"
 	"time"
 
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
 // executor is a stand-in executor and where it is reached.
 type executor struct {
-	*standin.Executor
+	*emulator.Executor
 	w      *World
 	number int
 	addr   string
 	moves  int
-	wires  map[standin.ConnID]*wire
-	faults []standin.Fault // that make it suffer now
-	down   int             // faults that keep it down
-	gone   bool            // it is not there: nothing answers, nothing is refused
+	wires  map[emulator.ConnID]*wire
+	faults []emulator.Fault // that make it suffer now
+	down   int              // faults that keep it down
+	gone   bool             // it is not there: nothing answers, nothing is refused
 	wake   int
 	booked []*wanted // that the best choice has sent there and that have not come yet
 	lives  int       // its processes so far, where the world is wired
-	socks  map[standin.ConnID]*sock
+	socks  map[emulator.ConnID]*sock
 }
 
 func (w *World) addExecutor(id string, number int, speed float64) *executor {
-	x := &executor{w: w, number: number, addr: w.newAddr(), wires: map[standin.ConnID]*wire{}}
-	x.Executor = standin.NewExecutor(w.s.Spec(id, number, speed),
+	x := &executor{w: w, number: number, addr: w.newAddr(), wires: map[emulator.ConnID]*wire{}}
+	x.Executor = emulator.NewExecutor(w.s.Spec(id, number, speed),
 		stream(w.seed, "executor "+id))
 	w.executors = append(w.executors, x)
 	w.byAddr[x.addr] = x
@@ -47,8 +47,8 @@
 }
 
 // entry is its entry in the list.
-func (x *executor) entry(state policy.EndpointState) standin.Entry {
-	e := standin.Entry{Addr: x.addr, Endpoint: policy.Endpoint{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state,
+func (x *executor) entry(state policy.EndpointState) emulator.Entry {
+	e := emulator.Entry{Addr: x.addr, Endpoint: policy.Endpoint{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state,
 		Weight: x.size(), StartedAt: x.Started, StartedLongAgo: x.Started < 0}}
 	if x.w.s.Fleet.NoWeights {
 		e.Weight = 1
@@ -57,34 +57,34 @@
 }
 
 // does hands on what follows from something that happened to an executor.
-func (x *executor) does(outs []standin.Out) {
+func (x *executor) does(outs []emulator.Out) {
 	for _, o := range outs {
 		switch o := o.(type) {
-		case standin.Say:
+		case emulator.Say:
 			if x.w.wired != nil {
 				x.w.wired.say(x, o)
 			} else if c := x.wires[o.Conn]; c != nil {
 				c.say(o)
 			}
-		case standin.Ran:
+		case emulator.Ran:
 			if c := x.wires[o.Conn]; c != nil && c.load != nil && c.load.try.job == o.Job {
 				x.w.account.began(c.load.path)
 			}
-			x.w.see(rules.Seen{What: rules.Ran, Node: o.Node, Job: o.Job, Work: o.Work, Track: o.Track, Executor: x.ID})
-		case standin.Reached:
+			x.w.see(invariants.Seen{What: invariants.Ran, Node: o.Node, Job: o.Job, Work: o.Work, Track: o.Track, Executor: x.ID})
+		case emulator.Reached:
 			if x.Cold(x.w.now) {
-				x.w.see(rules.Seen{What: rules.Reached, Node: o.Node, Job: o.Job, Executor: x.ID, Cost: o.Hint, Capacity: o.Capacity})
+				x.w.see(invariants.Seen{What: invariants.Reached, Node: o.Node, Job: o.Job, Executor: x.ID, Cost: o.Hint, Capacity: o.Capacity})
 			}
-		case standin.Reset:
+		case emulator.Reset:
 			if c := x.wires[o.Conn]; c != nil {
 				c.resetByExecutor()
 			}
 			if s := x.socks[o.Conn]; s != nil {
 				s.conn.Reset()
 			}
-		case standin.Fell:
+		case emulator.Fell:
 			x.w.result.Fell++
-			x.w.see(rules.Seen{What: rules.Fell, Node: rules.Nobody, Executor: x.ID})
+			x.w.see(invariants.Seen{What: invariants.Fell, Node: invariants.Nobody, Executor: x.ID})
 			x.w.change(x.entry(policy.Removed))
 			if x.w.wired != nil {
 				x.w.wired.endExecutor(x, false)
@@ -93,7 +93,7 @@
 	}
 	x.wake++
 	mine, next := x.wake, x.Next()
-	if next == standin.Never {
+	if next == emulator.Never {
 		return
 	}
 	x.w.at(next, func() {
@@ -115,7 +115,7 @@
 // wire is a connection between a node and an executor.
 type wire struct {
 	id     node.ConnID
-	key    standin.ConnID
+	key    emulator.ConnID
 	n      *sim
 	x      *executor
 	state  wireState
@@ -155,7 +155,7 @@
 	if x.Zone != n.zone {
 		w.result.Crossings++
 	}
-	w.see(rules.Seen{What: rules.FirstByte, Node: n.id, Job: t.job, Work: t.work.ID, Allocation: l.number, Executor: x.ID,
+	w.see(invariants.Seen{What: invariants.FirstByte, Node: n.id, Job: t.job, Work: t.work.ID, Allocation: l.number, Executor: x.ID,
 		Zone: x.Zone, Cell: x.Cell})
 	return l
 }
@@ -164,7 +164,7 @@
 func (n *sim) over(l *load, proof bool) {
 	n.out--
 	l.try.out--
-	n.w.see(rules.Seen{What: rules.Over, Node: n.id, Job: l.try.job, Allocation: l.number, Executor: l.x.ID, Proof: proof})
+	n.w.see(invariants.Seen{What: invariants.Over, Node: n.id, Job: l.try.job, Allocation: l.number, Executor: l.x.ID, Proof: proof})
 }
 
 // epsilon is how long something takes within a process.
@@ -359,7 +359,7 @@
 			return
 		}
 		l.all = true
-		w.see(rules.Seen{What: rules.LastByte, Node: n.id, Job: t.job, Allocation: l.number, Executor: c.x.ID})
+		w.see(invariants.Seen{What: invariants.LastByte, Node: n.id, Job: t.job, Allocation: l.number, Executor: c.x.ID})
 		a := w.allocation(t, n.id, c.key, c.x)
 		c.send(func() {
 			t.landed = true
@@ -370,7 +370,7 @@
 }
 
 // tag is what a work of a tagged track carries; others have none.
-func (w *World) tag(work *standin.Work) string {
+func (w *World) tag(work *emulator.Work) string {
 	if w.module[work.Track].Idempotency == policy.IdempotentWithKey {
 		return string(work.ID)
 	}
@@ -378,8 +378,8 @@
 }
 
 // allocation is what reaches an executor for a try.
-func (w *World) allocation(t *try, from rules.NodeID, key standin.ConnID, x *executor) standin.Allocation {
-	a := standin.Allocation{Conn: key, Node: from, Job: t.job, Work: t.work.ID, Track: t.work.Track, Priority: w.tracks[t.work.Track].Priority,
+func (w *World) allocation(t *try, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Allocation {
+	a := emulator.Allocation{Conn: key, Node: from, Job: t.job, Work: t.work.ID, Track: t.work.Track, Priority: w.tracks[t.work.Track].Priority,
 		Cost: t.work.Cost, Hint: cmp.Or(t.work.Hint, w.tracks[t.work.Track].Mean)}
 	if noise := w.s.Fleet.AttemptNoise; noise > 0 {
 		a.Cost *= math.Exp(w.noise.NormFloat64()*noise - noise*noise/2)
@@ -470,10 +470,10 @@
 	})
 }
 
-var words = map[standin.Word]policy.Outcome{standin.Done: policy.Succeeded, standin.Errored: policy.ExecutorError, standin.NoRoom: policy.ExecutorFull}
+var words = map[emulator.Word]policy.Outcome{emulator.Done: policy.Succeeded, emulator.Errored: policy.ExecutorError, emulator.NoRoom: policy.ExecutorFull}
 
 // say brings an executor's word to the node.
-func (c *wire) say(o standin.Say) {
+func (c *wire) say(o emulator.Say) {
 	load := node.Load{Load: policy.Load{InFlight: o.Load.Held, Queued: o.Load.Waiting, FreeSlots: o.Load.Free, FreeMemory: -1, RunTime: -1}, Known: o.Load.Known}
 	sentAt := c.n.w.now
 	if l := c.load; l != nil && !l.ended && l.try.job == o.Job {
@@ -485,19 +485,19 @@
 			return
 		}
 		switch o.Word {
-		case standin.Began:
+		case emulator.Began:
 			if sentAt-l.try.sentAt > startWaits {
 				c.n.w.result.StartsWaited++
 			}
 			c.tell(node.AttemptProgressed{Conn: c.id, Load: load})
 			return
-		case standin.Progress:
+		case emulator.Progress:
 			c.tell(node.AttemptProgressed{Conn: c.id, Progress: o.Share, Load: load})
 			return
 		}
 		l.ended = true
 		ev := node.AttemptEnded{Conn: c.id, Outcome: words[o.Word], Load: load}
-		if o.Word == standin.Done {
+		if o.Word == emulator.Done {
 			ev.Result = []byte("done " + l.try.work.ID)
 		}
 		c.tell(ev)
@@ -525,11 +525,11 @@
 	return slices.SortedFunc(maps.Values(wires), func(a, b *wire) int { return cmp.Compare(a.id, b.id) })
 }
 
-func sortedByKey(wires map[standin.ConnID]*wire) []*wire {
+func sortedByKey(wires map[emulator.ConnID]*wire) []*wire {
 	return slices.SortedFunc(maps.Values(wires), func(a, b *wire) int { return cmp.Compare(a.key, b.key) })
 }
 
-func sortedSeen(known map[policy.ExecutorID]rules.Seen) []rules.Seen {
+func sortedSeen(known map[policy.ExecutorID]invariants.Seen) []invariants.Seen {
 	return slices.SortedFunc(maps.Values(known), compareIDs)
 }
 
@@ -545,7 +545,7 @@
 		x.w.wired.startExecutor(x)
 	}
 	x.suffer()
-	x.w.see(rules.Seen{What: rules.Started, Node: rules.Nobody, Executor: x.ID})
+	x.w.see(invariants.Seen{What: invariants.Started, Node: invariants.Nobody, Executor: x.ID})
 	e := x.entry(policy.Available)
 	e.StartedAt += x.w.clockOff
 	x.w.change(e)
--- a/internal/lab/news_test.go
+++ b/internal/simulation/news_test.go
@@ -1,20 +1,20 @@
-package lab
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"birchstair/internal/bubble"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
+	"birchstair/internal/synctesting"
 )
 
 // drained is a world in which executors drain for long.
 func drained() Scenario {
 	return troubled(func(s *Scenario) {
 		s.Length = Span(20 * time.Second)
-		s.Faults = []Fault{{Kind: standin.DrainOff, At: Span(4 * time.Second), For: Span(30 * time.Second), Where: []string{"e0", "e1", "e5"}}}
+		s.Faults = []Fault{{Kind: emulator.DrainOff, At: Span(4 * time.Second), For: Span(30 * time.Second), Where: []string{"e0", "e1", "e5"}}}
 	})
 }
 
@@ -29,7 +29,7 @@
 		if r := New(s, seed, Options{}).Play(); len(r.Broken) > 0 {
 			t.Errorf("seed %d breaks a rule with nothing planted: %v", seed, r.Broken[0])
 		}
-		bubble.Test(t, func(t *testing.T) {
+		synctesting.Test(t, func(t *testing.T) {
 			if r := New(s, seed, Options{}).PlayWired(); len(r.Broken) > 0 {
 				t.Errorf("seed %d, wired, breaks a rule with nothing planted: %v", seed, r.Broken[0])
 			}
@@ -41,7 +41,7 @@
 			return []node.Event{ev}
 		})
 		for _, b := range w.Play().Broken {
-			if caught++; b.Rule != rules.Informed {
+			if caught++; b.Rule != invariants.Informed {
 				t.Errorf("seed %d: another rule broke: %v", seed, b)
 			}
 		}
