--- a/internal/lab/result.go
+++ b/internal/simulation/result.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"cmp"
@@ -8,21 +8,21 @@
 	"strings"
 	"time"
 
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 )
 
 // Result is what came of a world.
 type Result struct {
-	Scenario string         `json:"scenario"`
-	Seed     uint64         `json:"seed"`
-	Length   Span           `json:"length"`
-	Earned   float64        `json:"earned"` // part of the earnings asked for that was answered in the quoted time
-	Best     float64        `json:"best"`   // the most of it that could have been, by what nodes and executors were there; 0 where it is not reckoned
-	Worst    float64        `json:"worst"`  // the same over the worst 10 s
-	WorstAt  Span           `json:"worst_at"`
-	Tracks   []TrackResult  `json:"tracks"`
-	Broken   []rules.Broken `json:"broken"`
+	Scenario string              `json:"scenario"`
+	Seed     uint64              `json:"seed"`
+	Length   Span                `json:"length"`
+	Earned   float64             `json:"earned"` // part of the earnings asked for that was answered in the quoted time
+	Best     float64             `json:"best"`   // the most of it that could have been, by what nodes and executors were there; 0 where it is not reckoned
+	Worst    float64             `json:"worst"`  // the same over the worst 10 s
+	WorstAt  Span                `json:"worst_at"`
+	Tracks   []TrackResult       `json:"tracks"`
+	Broken   []invariants.Broken `json:"broken"`
 
 	Allocations  int `json:"allocations"`
 	Crossings    int `json:"crossings"` // allocations to another zone
@@ -90,7 +90,7 @@
 	return &r.seconds[min(int(at/time.Second), len(r.seconds)-1)]
 }
 
-func (r *Result) asked(w *World, work *standin.Work) {
+func (r *Result) asked(w *World, work *emulator.Work) {
 	t := &r.Tracks[work.Track]
 	t.Works++
 	t.asked += work.Earns
@@ -146,11 +146,11 @@
 }
 
 // ended books the end of a try, and gives what it earned.
-func (r *Result) ended(w *World, work *standin.Work, how standin.End) (earned float64) {
+func (r *Result) ended(w *World, work *emulator.Work, how emulator.End) (earned float64) {
 	t := &r.Tracks[work.Track]
 	t.Tries++
 	switch how {
-	case standin.EndHandled:
+	case emulator.EndHandled:
 		t.Handled++
 		earns := work.Earns
 		if w.now > work.Quoted {
@@ -159,13 +159,13 @@
 		t.earned += earns
 		r.second(work.Came).earned += earns
 		return earns
-	case standin.EndPushedBack:
+	case emulator.EndPushedBack:
 		t.PushedBack++
-	case standin.EndBrokenOff:
+	case emulator.EndBrokenOff:
 		t.BrokenOff++
-	case standin.EndUnreached:
+	case emulator.EndUnreached:
 		t.Unreached++
-	case standin.EndLost:
+	case emulator.EndLost:
 		t.Lost++
 	}
 	return 0
--- a/internal/lab/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,10 +1,10 @@
-// Package lab plays worlds: nodes, executors, discovery and clients on a virtual clock, with faults from a script, and the
+// Package simulation plays worlds: nodes, executors, discovery and clients on a virtual clock, with faults from a script, and the
 // rules checked at every step. The same seed gives the same trace.
 //
 // scenario.go reads a world's description, world.go builds it, net.go is what goes between nodes and executors,
 // front.go what goes between clients and nodes, faults.go the script, result.go what came of it; hunt.go draws worlds
 // from seeds, shrink.go makes them small.
-package lab
+package simulation
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
 	"birchstair/internal/tomlfile"
 	"birchstair/policy"
 )
@@ -129,16 +129,16 @@
 
 // Fault is an entry of the script.
 type Fault struct {
-	Kind  standin.Kind `toml:"kind"`
-	At    Span         `toml:"at"`
-	For   Span         `toml:"for"`
-	Where []string     `toml:"where,omitempty"`
-	Size  float64      `toml:"size,omitempty"`
+	Kind  emulator.Kind `toml:"kind"`
+	At    Span          `toml:"at"`
+	For   Span          `toml:"for"`
+	Where []string      `toml:"where,omitempty"`
+	Size  float64       `toml:"size,omitempty"`
 }
 
 // Standin is the fault as the stand-ins know it.
-func (f Fault) Standin() standin.Fault {
-	return standin.Fault{Kind: f.Kind, At: time.Duration(f.At), For: time.Duration(f.For), Where: f.Where, Size: f.Size}
+func (f Fault) Standin() emulator.Fault {
+	return emulator.Fault{Kind: f.Kind, At: time.Duration(f.At), For: time.Duration(f.For), Where: f.Where, Size: f.Size}
 }
 
 // base is what a scenario leaves out.
@@ -304,7 +304,7 @@
 		at := func(key string) tomlfile.Place { return tomlfile.Place{Table: "fault", Index: i, Key: key} }
 		on, ok := x.Kind.On()
 		if !ok {
-			return at("kind"), fmt.Errorf("%q is none of %v", x.Kind, standin.Kinds())
+			return at("kind"), fmt.Errorf("%q is none of %v", x.Kind, emulator.Kinds())
 		}
 		if err := x.Kind.CheckSize(x.Size); err != nil {
 			return at("size"), err
@@ -312,7 +312,7 @@
 		if x.At >= s.Length {
 			return at("at"), fmt.Errorf("it is not before the end, at %v", time.Duration(s.Length))
 		}
-		if on == standin.OnZone && len(x.Where) == 0 {
+		if on == emulator.OnZone && len(x.Where) == 0 {
 			return at("where"), errors.New("a zone is missing")
 		}
 		for _, w := range x.Where {
@@ -325,32 +325,32 @@
 }
 
 // knows says what is wrong with a name that a fault is to be put on.
-func (s *Scenario) knows(on standin.Sort, name string) error {
+func (s *Scenario) knows(on emulator.Sort, name string) error {
 	numbered := func(letter string, count int) bool {
 		n, err := strconv.Atoi(strings.TrimPrefix(name, letter))
 		return err == nil && strings.HasPrefix(name, letter) && n >= 0 && n < count
 	}
 	zone := slices.Contains(s.Fleet.Zones, name)
 	switch {
-	case on == standin.OnExecutors && !zone && !numbered("e", s.Fleet.Executors):
+	case on == emulator.OnExecutors && !zone && !numbered("e", s.Fleet.Executors):
 		return fmt.Errorf("%q is neither an executor, e0 to e%d, nor a zone", name, s.Fleet.Executors-1)
-	case on == standin.OnNodes && !zone && !numbered("n", s.Fleet.Nodes):
+	case on == emulator.OnNodes && !zone && !numbered("n", s.Fleet.Nodes):
 		return fmt.Errorf("%q is neither a node, n0 to n%d, nor a zone", name, s.Fleet.Nodes-1)
-	case on == standin.OnZone && !zone:
+	case on == emulator.OnZone && !zone:
 		return fmt.Errorf("%q is none of the zones %v", name, s.Fleet.Zones)
-	case on == standin.OnAll:
+	case on == emulator.OnAll:
 		return fmt.Errorf("this kind is on all; %q can't be picked", name)
 	}
 	return nil
 }
 
 // Takes are the tracks as clients, module and rules take them.
-func (s *Scenario) Takes() (own []standin.Track, module []policy.JobClass) {
+func (s *Scenario) Takes() (own []emulator.Track, module []policy.JobClass) {
 	for _, t := range s.Tracks {
 		p := policy.JobClass{Idempotency: repeats[t.Repeat], DedupGroup: groups[t.Group], DedupWindow: time.Duration(t.Window),
 			LatencyObjective: time.Duration(t.Quoted), RunTimeFactor: t.Stretch, Deadline: time.Duration(t.Outer), Value: t.Earnings,
 			LateValue: t.Late, Kind: policy.AnyKind}
-		own = append(own, standin.Track{JobClass: p, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
+		own = append(own, emulator.Track{JobClass: p, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
 			Priority: t.Priority})
 		module = append(module, p)
 	}
@@ -382,14 +382,14 @@
 }
 
 // Spec is how the scenario's executor of that number is built; speed is what it has unless it is of the slower kind.
-func (s *Scenario) Spec(id string, number int, speed float64) standin.ExecutorSpec {
+func (s *Scenario) Spec(id string, number int, speed float64) emulator.ExecutorSpec {
 	f := &s.Fleet
 	kind := policy.KindID(0)
 	// In each zone alike: its nth executor is slow where the slow ones due by then are one more.
 	if n := float64(number / len(f.Zones)); int((n+1)*f.SlowPart) > int(n*f.SlowPart) {
 		kind, speed = 1, speed*f.SlowSpeed/f.Speed
 	}
-	return standin.ExecutorSpec{ID: policy.ExecutorID(id), Kind: kind, Zone: policy.ZoneID(number % len(f.Zones)),
+	return emulator.ExecutorSpec{ID: policy.ExecutorID(id), Kind: kind, Zone: policy.ZoneID(number % len(f.Zones)),
 		Cell: policy.CellID(number / f.CellOf), Cores: f.Cores, Speed: speed, Places: f.Places, Queue: f.Queue, ByPriority: f.ByPriority,
 		StopsWork: f.StopsWork, KeepsWaiting: f.KeepsWaiting, ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
 		FallWindow: time.Duration(f.FallWindow), MeanWork: s.MeanWork(), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery), Reports: f.Reports,
--- a/internal/lab/shrink.go
+++ b/internal/simulation/shrink.go
@@ -1,18 +1,18 @@
-package lab
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 )
 
 // Shrink looks for the smallest world, in faults first and then in all else, that with the same seed still breaks the
 // same rule. It tells of each step that helped.
-func Shrink(s Scenario, seed uint64, rule rules.Rule, tell func(Scenario)) Scenario {
+func Shrink(s Scenario, seed uint64, rule invariants.Rule, tell func(Scenario)) Scenario {
 	return shrink(s, func(try Scenario) bool {
 		r := New(try, seed, Options{Most: 1}).Play()
-		return slices.ContainsFunc(r.Broken, func(b rules.Broken) bool { return b.Rule == rule })
+		return slices.ContainsFunc(r.Broken, func(b invariants.Broken) bool { return b.Rule == rule })
 	}, tell)
 }
 
--- a/internal/lab/lab_test.go
+++ b/internal/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
+	"birchstair/internal/golden"
+	"birchstair/internal/invariants"
 	"birchstair/lab/scenarios"
 )
 
@@ -29,7 +29,7 @@
 		s := Draw(seed, size)
 		s.Load.Leaves, s.Load.Of = 0.5, max(1, s.Load.Of)
 		for i := range 4 {
-			s.Faults = append(s.Faults, Fault{Kind: standin.NodeStopped, At: Span(time.Duration(1500+3000*i) * time.Millisecond),
+			s.Faults = append(s.Faults, Fault{Kind: emulator.NodeStopped, At: Span(time.Duration(1500+3000*i) * time.Millisecond),
 				For: Span(time.Duration(150+300*i) * time.Millisecond)})
 		}
 		return s
@@ -50,7 +50,7 @@
 	for seed := uint64(1); seed <= uint64(*seeds/50); seed++ {
 		s := leaving(seed, Size{Nodes: 3, Executors: 6, Length: 10 * time.Second})
 		// A node that is killed while it sends clients away leaves a goroutine behind that never ends here, as it need not in a process.
-		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.Kind == standin.SentAway })
+		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.Kind == emulator.SentAway })
 		look(seed, playWired(t, s, seed, Options{}))
 	}
 	if t.Logf("%d clients left while their batch jobs waited", waiting); waiting < 2**seeds {
@@ -148,7 +148,7 @@
 	lines := 0
 	for seed := uint64(1); seed <= 8; seed++ {
 		s := Draw(seed, Size{Nodes: 4, Executors: 8, Length: 10 * time.Second})
-		New(s, seed, Options{Trace: func(x rules.Seen) {
+		New(s, seed, Options{Trace: func(x invariants.Seen) {
 			line, err := x.Line()
 			if err != nil {
 				panic(err)
@@ -251,7 +251,7 @@
 		_, err := Read("x.toml", []byte(text))
 		fmt.Fprintf(&out, "%s\n    -> %v\n", strings.ReplaceAll(text, "\n", "\n  "), err)
 	}
-	kept.Compare(t, "broken-scenarios.txt", out.String())
+	golden.Compare(t, "broken-scenarios.txt", out.String())
 }
 
 // A world that breaks a rule becomes a smaller one that breaks it still, by the fault that it takes and none besides.
@@ -270,7 +270,7 @@
 	if !breaks(small) || steps == 0 {
 		t.Fatalf("what is left after %d steps breaks nothing", steps)
 	}
-	if len(small.Faults) != 1 || small.Faults[0].Kind != standin.DrainOff || len(small.Faults[0].Where) != 1 || small.Length > s.Length/2 ||
+	if len(small.Faults) != 1 || small.Faults[0].Kind != emulator.DrainOff || len(small.Faults[0].Where) != 1 || small.Length > s.Length/2 ||
 		small.Fleet.Nodes != 1 || len(small.Tracks) != 1 {
 		text, _ := small.Text()
 		t.Errorf("still large:\n%s", text)
--- a/internal/lab/talk.go
+++ b/internal/simulation/talk.go
@@ -1,14 +1,14 @@
-package lab
+package simulation
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
@@ -22,20 +22,20 @@
 
 // talk makes a node that has just started one of the fleet.
 func (n *sim) talk() {
-	s := fleet.Defaults(fleet.NodeName(n.name), uint64(n.started.Milliseconds())<<8+uint64(n.run), uint32(mix(n.w.seed+uint64(n.id))))
+	s := cluster.Defaults(cluster.NodeName(n.name), uint64(n.started.Milliseconds())<<8+uint64(n.run), uint32(mix(n.w.seed+uint64(n.id))))
 	s.Epoch = n.started.Milliseconds()
 	if n.w.plant.fleet != nil {
 		n.w.plant.fleet(&s)
 	}
 	n.pace = pace{at: n.w.now}
 	n.core.JoinFleet(s)
-	n.reached, n.alive = map[rules.NodeID]time.Duration{}, nil
+	n.reached, n.alive = map[invariants.NodeID]time.Duration{}, nil
 	n.later(time.Duration(n.w.talks.Int64N(int64(memberSpell))), n.look)
 }
 
 // look finds out who is alive.
 func (n *sim) look() {
-	var alive []fleet.NodeName
+	var alive []cluster.NodeName
 	for _, o := range n.w.nodes {
 		if o == n {
 			continue
@@ -44,7 +44,7 @@
 			n.reached[o.id] = n.w.now
 		}
 		if at, ok := n.reached[o.id]; ok && n.w.now-at < deadAfter {
-			alive = append(alive, fleet.NodeName(o.name))
+			alive = append(alive, cluster.NodeName(o.name))
 		}
 	}
 	if !slices.Equal(alive, n.alive) {
@@ -68,7 +68,7 @@
 }
 
 // say sends a word on its way.
-func (n *sim) say(to fleet.Envelope) {
+func (n *sim) say(to cluster.Envelope) {
 	n.bounded(to)
 	to.Message = n.lie(to.Message)
 	n.w.remember(to.Message)
@@ -121,7 +121,7 @@
 }
 
 // lie makes nonsense of what a node tells, while it lies: each word another kind of it.
-func (n *sim) lie(w fleet.Message) fleet.Message {
+func (n *sim) lie(w cluster.Message) cluster.Message {
 	if n.lies == 0 {
 		return w
 	}
@@ -138,7 +138,7 @@
 	case 2: // all is lost
 		g.Expired += 10 * g.Completed
 	case 3:
-		w.From = fleet.NodeName(n.w.nodes[(int(n.id)+1)%len(n.w.nodes)].name) // another's name
+		w.From = cluster.NodeName(n.w.nodes[(int(n.id)+1)%len(n.w.nodes)].name) // another's name
 	}
 	w.Rates = g
 	return w
@@ -168,16 +168,16 @@
 }
 
 // halt stops a node's process for a while, as SIGSTOP does: what comes meanwhile waits unread.
-func (n *sim) halt(f standin.Fault) {
+func (n *sim) halt(f emulator.Fault) {
 	if !n.up || n.stopped {
 		return
 	}
 	n.stopped = true
-	n.w.see(rules.Seen{What: rules.StoodStill, Node: n.id})
+	n.w.see(invariants.Seen{What: invariants.StoodStill, Node: n.id})
 	n.later(f.For, func() {
 		n.stopped = false
 		n.pace.stood = n.w.now + afterStop
-		n.w.see(rules.Seen{What: rules.WentOn, Node: n.id})
+		n.w.see(invariants.Seen{What: invariants.WentOn, Node: n.id})
 		waiting := n.unread
 		n.unread = nil
 		for _, ev := range waiting {
--- a/internal/lab/wired.go
+++ b/internal/simulation/wired.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"bufio"
@@ -14,15 +14,15 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/clients"
 	"birchstair/internal/config"
-	"birchstair/internal/list"
+	"birchstair/internal/discovery"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/frontend"
+	"birchstair/internal/invariants"
 	"birchstair/internal/memnet"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
 	"birchstair/internal/service"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
 	"birchstair/policy"
 )
 
@@ -53,7 +53,7 @@
 type seenBy struct {
 	by    string
 	order int
-	rules.Seen
+	invariants.Seen
 }
 
 // life is a node's process.
@@ -66,7 +66,7 @@
 	more   chan node.Event
 	stop   context.CancelFunc
 	dead   bool
-	gave   []rules.Seen // by the module, in this step
+	gave   []invariants.Seen // by the module, in this step
 	allocs map[node.ConnID]*load
 }
 
@@ -148,7 +148,7 @@
 }
 
 // see keeps what is seen until its instant is over.
-func (v *wired) see(by string, s rules.Seen) {
+func (v *wired) see(by string, s invariants.Seen) {
 	if len(v.instant) > 0 && v.instant[0].At != s.At {
 		v.flush()
 	}
@@ -222,7 +222,7 @@
 // startExecutor lets an executor take connections.
 func (v *wired) startExecutor(x *executor) {
 	x.lives++
-	x.socks = map[standin.ConnID]*sock{}
+	x.socks = map[emulator.ConnID]*sock{}
 	v.place(x.host(), x.Zone)
 	v.place(x.addr, x.Zone)
 	v.setLost(x.addr, false)
@@ -248,14 +248,14 @@
 		v.setLost(x.addr, true)
 	}
 	host := x.host()
-	x.socks = map[standin.ConnID]*sock{}
+	x.socks = map[emulator.ConnID]*sock{}
 	v.net.Kill(host, silently)
 }
 
 // serveExecutor reads allocations from a connection until it ends.
 func (v *wired) serveExecutor(x *executor, lives int, c *memnet.Conn) {
 	defer c.Close()
-	var key standin.ConnID
+	var key emulator.ConnID
 	taken := false
 	v.enter(func() {
 		if x.lives != lives {
@@ -297,14 +297,14 @@
 }
 
 // say writes an executor's word.
-func (v *wired) say(x *executor, o standin.Say) {
+func (v *wired) say(x *executor, o emulator.Say) {
 	s, t := x.socks[o.Conn], v.tries[o.Job]
 	if s == nil || t == nil {
 		return
 	}
 	b, ended := s.answer.Append(nil, o, x.ID, platform.Result(string(t.work.ID)))
 	s.conn.Write(b)
-	if o.Word == standin.Began && v.w.now-t.sentAt > startWaits {
+	if o.Word == emulator.Began && v.w.now-t.sentAt > startWaits {
 		v.w.result.StartsWaited++
 	}
 	if ended {
@@ -413,7 +413,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
-	setup := service.Setup{Settings: s, Limits: limits, ClientConns: clients.Budget{Whole: mostClients, Half: mostClients / 2}, Known: list.Copy{Executors: known}, Discovery: discoveryAddr,
+	setup := service.Setup{Settings: s, Limits: limits, ClientConns: frontend.Budget{Whole: mostClients, Half: mostClients / 2}, Known: discovery.Copy{Executors: known}, Discovery: discoveryAddr,
 		Start: v.start.Add(n.started), Module: &witness{Policy: module, n: n, life: l}, Listener: listener, Executors: l.dial, List: l.dialList,
 		Log: zerolog.Nop(), Tap: l.tap}
 	go func() {
@@ -494,21 +494,21 @@
 	case node.JobArrived:
 		if t := l.v.tries[ev.Job.ID]; t != nil {
 			n.inHand++
-			w.see(rules.Seen{What: rules.Taken, Node: n.id, Job: t.job, Work: t.work.ID, Track: t.work.Track, Limit: w.now + ev.Job.Budget})
+			w.see(invariants.Seen{What: invariants.Taken, Node: n.id, Job: t.job, Work: t.work.ID, Track: t.work.Track, Limit: w.now + ev.Job.Budget})
 		} else { // what no client handed in: it was hidden in a body
 			w.result.Wrong++
 		}
 	case node.ClientLeft:
 		n.inHand--
-		w.see(rules.Seen{What: rules.Left, Node: n.id, Job: ev.Job})
+		w.see(invariants.Seen{What: invariants.Left, Node: n.id, Job: ev.Job})
 	case node.EndpointsUpdated:
 		if ev.Kind == policy.WatchFailed || ev.Kind == policy.CachedUpdate {
 			return
 		}
-		var entries []standin.Entry
+		var entries []emulator.Entry
 		for _, e := range ev.Endpoints {
 			e.StartedAt += n.started
-			entries = append(entries, standin.Entry{Endpoint: e.Endpoint, Addr: e.Addr})
+			entries = append(entries, emulator.Entry{Endpoint: e.Endpoint, Addr: e.Addr})
 		}
 		n.listed(ev.Kind, entries)
 	case node.AttemptEnded:
@@ -532,7 +532,7 @@
 	switch e := e.(type) {
 	case node.Answer:
 		n.inHand--
-		w.see(rules.Seen{What: rules.Answered, Node: n.id, Job: e.Job, Final: rules.Final(e.Final)})
+		w.see(invariants.Seen{What: invariants.Answered, Node: n.id, Job: e.Job, Final: invariants.Final(e.Final)})
 	case node.Dial:
 		if x := w.byAddr[e.Addr]; x != nil {
 			n.dials[e.Conn] = x
@@ -630,7 +630,7 @@
 	go func() {
 		how, comeBack := v.call(from, l.addr, m, t)
 		v.enter(func() {
-			if how == standin.EndBrokenOff && work.Leaves <= v.w.now {
+			if how == emulator.EndBrokenOff && work.Leaves <= v.w.now {
 				v.w.result.Left++
 				v.went(t, from, l.host)
 			}
@@ -643,38 +643,38 @@
 // look there could find it.
 func (v *wired) went(t *try, from, host string) {
 	if p := v.path(from, host); !p.Lost {
-		v.w.after(p.Hold+p.Delay, func() { v.w.see(rules.Seen{What: rules.Went, Node: t.n.id, Job: t.job}) })
+		v.w.after(p.Hold+p.Delay, func() { v.w.see(invariants.Seen{What: invariants.Went, Node: t.n.id, Job: t.job}) })
 	}
 }
 
 // call is a client's call.
-func (v *wired) call(from, addr string, m platform.Message, t *try) (standin.End, time.Duration) {
+func (v *wired) call(from, addr string, m platform.Message, t *try) (emulator.End, time.Duration) {
 	work := t.work
 	until := v.start.Add(min(work.Leaves, work.Limit+slack+time.Millisecond))
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	c, err := v.net.Dial(ctx, from, string(m.Job), addr)
 	if err != nil {
-		return standin.EndUnreached, 0
+		return emulator.EndUnreached, 0
 	}
 	defer c.Close()
 	if m.Budget = (work.Limit - time.Since(v.start)).Truncate(time.Millisecond); m.Budget <= 0 {
-		return standin.EndBrokenOff, 0
+		return emulator.EndBrokenOff, 0
 	}
 	v.enter(func() { t.conn = c })
 	c.SetDeadline(until)
 	if _, err := c.Write(m.Append(nil)); err != nil {
-		return standin.EndLost, 0
+		return emulator.EndLost, 0
 	}
 	f, err := platform.ReadFinal(bufio.NewReader(c))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return standin.EndBrokenOff, 0
+		return emulator.EndBrokenOff, 0
 	case err != nil:
-		return standin.EndLost, 0
-	case f.How == standin.EndHandled && !platform.IsHandled(f, string(work.ID)):
+		return emulator.EndLost, 0
+	case f.How == emulator.EndHandled && !platform.IsHandled(f, string(work.ID)):
 		v.enter(func() { v.w.result.Wrong++ })
-	case f.How == standin.EndBrokenOff && f.Status < 500:
+	case f.How == emulator.EndBrokenOff && f.Status < 500:
 		v.enter(func() { v.w.result.Wrong++ }) // a node that finds fault with a sound message
 	}
 	return f.How, f.ComeBack
--- a/internal/lab/wired_test.go
+++ b/internal/simulation/wired_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"crypto/sha256"
@@ -12,14 +12,14 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/bubble"
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
+	"birchstair/internal/synctesting"
 	"birchstair/lab/scenarios"
 )
 
 // playWired plays a world on connections in memory, on a virtual clock.
 func playWired(t *testing.T, s Scenario, seed uint64, o Options) (r Result) {
-	bubble.Test(t, func(*testing.T) { r = New(s, seed, o).PlayWired() })
+	synctesting.Test(t, func(*testing.T) { r = New(s, seed, o).PlayWired() })
 	if r.Wrong > 0 {
 		t.Errorf("%s, seed %d: %d answers that no node should give", s.Name, seed, r.Wrong)
 	}
@@ -29,7 +29,7 @@
 const ownProcess = "BIRCHLAB_OWN_PROCESS"
 
 // inOwnProcess runs a test in a process of its own while the race detector watches, and says whether it did: a bubble has one processor
-// then (internal/bubble), and so worlds are still played beside each other. A child that did not run the test fails it.
+// then (internal/synctesting), and so worlds are still played beside each other. A child that did not run the test fails it.
 func inOwnProcess(t *testing.T) bool {
 	if !underRace || os.Getenv(ownProcess) != "" {
 		return false
@@ -109,7 +109,7 @@
 		world.Faults = slices.DeleteFunc(world.Faults, func(f Fault) bool { return f.Kind == "sent-away" })
 		world.Faults = append(world.Faults, Fault{Kind: "node-killed", At: Span(2 * time.Second), For: Span(time.Second)},
 			Fault{Kind: "zone-lost", At: Span(5 * time.Second), For: Span(time.Second), Where: world.Fleet.Zones[:1]})
-		playWired(t, world, seed, Options{Trace: func(s rules.Seen) {
+		playWired(t, world, seed, Options{Trace: func(s invariants.Seen) {
 			line, err := s.Line()
 			if err != nil {
 				t.Error(err)
@@ -125,7 +125,7 @@
 }
 
 // The same seed gives the same trace with the network code, too: in several processes, with one thread and with eight. Under the race
-// detector all have one (internal/bubble), so that part is the run's without it (make test).
+// detector all have one (internal/synctesting), so that part is the run's without it (make test).
 func TestWiredSameSeedSameTrace(t *testing.T) {
 	t.Parallel()
 	want := ""
--- a/internal/lab/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"cmp"
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
+	"birchstair/internal/cluster"
 	"birchstair/internal/config"
-	"birchstair/internal/fleet"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
@@ -30,7 +30,7 @@
 	talks   *rand.Rand // of words between nodes
 	noise   *rand.Rand // of attempts' work
 	front   *rand.Rand // of the front layer, where nodes get unlike parts
-	tracks  []standin.Track
+	tracks  []emulator.Track
 	orders  int // that operators have given to wired nodes
 	module  []policy.JobClass
 	policy  Policy
@@ -39,10 +39,10 @@
 	nodes     []*sim
 	executors []*executor
 	byAddr    map[string]*executor
-	discovery *standin.Discovery
+	discovery *emulator.Discovery
 	clients   []*callers
-	memories  standin.Memories
-	wires     standin.ConnID
+	memories  emulator.Memories
+	wires     emulator.ConnID
 	open      int // tries that clients wait for
 
 	cuts      []cut // by zone
@@ -51,8 +51,8 @@
 	silentNew float64
 	clockOff  time.Duration
 
-	checker *rules.Checker
-	trace   func(rules.Seen)
+	checker *invariants.Checker
+	trace   func(invariants.Seen)
 	result  Result
 	steps   int
 	ties    int    // steps at the instant of the step before
@@ -69,9 +69,9 @@
 	effect func(*World, *sim, node.Effect) []node.Effect
 
 	settings   func(*policy.Settings)
-	fleet      func(*fleet.Settings)
-	standin    func(*standin.Executor)
-	allocation func(*standin.Allocation)
+	fleet      func(*cluster.Settings)
+	standin    func(*emulator.Executor)
+	allocation func(*emulator.Allocation)
 	unheard    bool // nodes are not told that a client has left
 	blind      bool // and don't see it at the last look before an attempt
 }
@@ -81,8 +81,8 @@
 
 // Options say how a world is played.
 type Options struct {
-	Trace func(rules.Seen) // told of everything that is seen; nil for nothing
-	Most  int              // broken rules after which it ends; 0 for 20
+	Trace func(invariants.Seen) // told of everything that is seen; nil for nothing
+	Most  int                   // broken rules after which it ends; 0 for 20
 	// What decides at the nodes; the module where it is empty. Others are for worlds of events alone.
 	Policy  Policy
 	Account bool // keep an account of lost earnings, likewise
@@ -97,13 +97,13 @@
 // New makes a world in which nothing has happened yet.
 func New(s Scenario, seed uint64, o Options) *World {
 	w := &World{s: s, seed: seed, rand: stream(seed, "network"), talks: stream(seed, "words"), noise: stream(seed, "attempts"), front: stream(seed, "front"), byAddr: map[string]*executor{},
-		memories: standin.Memories{}, bounds: bounds{told: map[fleet.MessageID]time.Duration{}}, trace: o.Trace, cuts: make([]cut, len(s.Fleet.Zones)),
-		discovery: standin.NewDiscovery(time.Duration(s.Fleet.ListLag)), most: cmp.Or(o.Most, mostBroken), policy: cmp.Or(o.Policy, ModulePolicy)}
+		memories: emulator.Memories{}, bounds: bounds{told: map[cluster.MessageID]time.Duration{}}, trace: o.Trace, cuts: make([]cut, len(s.Fleet.Zones)),
+		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)), most: cmp.Or(o.Most, mostBroken), policy: cmp.Or(o.Policy, ModulePolicy)}
 	if o.Account {
-		w.account = &ledger{w: w, open: map[rules.WorkID]*history{}}
+		w.account = &ledger{w: w, open: map[invariants.WorkID]*history{}}
 	}
 	w.tracks, w.module = s.Takes()
-	w.checker = rules.New(rules.Settings{Tracks: w.module, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace),
+	w.checker = invariants.New(invariants.Settings{Tracks: w.module, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace),
 		Prompt: prompt, WarmWithin: time.Duration(s.Fleet.WarmWithin), FallMultiple: s.Fleet.FallMultiple,
 		FallWindow: time.Duration(s.Fleet.FallWindow), MeanWork: s.MeanWork(), Copies: s.Fleet.Copies})
 	w.result = newResult(s, seed)
@@ -194,7 +194,7 @@
 func (w *World) after(span time.Duration, what func()) { w.at(w.now+span, what) }
 
 // see hands on what is seen, to the rules and to the trace.
-func (w *World) see(s rules.Seen) {
+func (w *World) see(s invariants.Seen) {
 	s.At = w.now
 	if w.wired == nil {
 		w.check(s)
@@ -202,29 +202,29 @@
 	}
 	by := "" // the script and what hangs on it come first
 	switch {
-	case s.What == rules.Ran || s.What == rules.Reached:
+	case s.What == invariants.Ran || s.What == invariants.Reached:
 		by = "x" + string(s.Executor)
-	case s.Node != rules.Nobody:
+	case s.Node != invariants.Nobody:
 		by = fmt.Sprintf("n%04d", s.Node)
 	}
 	w.wired.see(by, s)
 }
 
 // check hands a thing seen to the rules and to the trace.
-func (w *World) check(s rules.Seen) {
+func (w *World) check(s invariants.Seen) {
 	if w.trace != nil {
 		w.trace(s)
 	}
 	for _, b := range w.checker.See(s) {
 		w.result.Broken = append(w.result.Broken, b)
 		if w.trace != nil {
-			w.trace(rules.Seen{At: w.now, What: rules.Note, Node: rules.Nobody, Text: "BROKEN: " + b.Rule.String() + ": " + b.Text})
+			w.trace(invariants.Seen{At: w.now, What: invariants.Note, Node: invariants.Nobody, Text: "BROKEN: " + b.Rule.String() + ": " + b.Text})
 		}
 	}
 }
 
 func (w *World) note(format string, args ...any) {
-	w.see(rules.Seen{What: rules.Note, Node: rules.Nobody, Text: fmt.Sprintf(format, args...)})
+	w.see(invariants.Seen{What: invariants.Note, Node: invariants.Nobody, Text: fmt.Sprintf(format, args...)})
 }
 
 // Play plays the world to its end: until all that clients wait for is over.
@@ -290,7 +290,7 @@
 		}
 	}
 	for i := range f.Nodes {
-		n := &sim{w: w, id: rules.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(f.Zones)), part: 1}
+		n := &sim{w: w, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(f.Zones)), part: 1}
 		if skew := w.s.Load.NodeSkew; skew > 0 {
 			n.part = math.Exp(w.front.NormFloat64() * skew)
 		}
@@ -315,7 +315,7 @@
 // sim is a node in the world: the reducer, and what stands around it in a process.
 type sim struct {
 	w        *World
-	id       rules.NodeID
+	id       invariants.NodeID
 	name     string
 	zone     policy.ZoneID
 	part     float64 // of its zone's traffic, against the others'
@@ -329,17 +329,17 @@
 	diedAt   time.Duration
 	wires    map[node.ConnID]*wire
 	tries    map[policy.JobID]*try
-	known    map[policy.ExecutorID]rules.Seen // what it was told last of each
-	outs     map[policy.ExecutorID]rules.Seen // taken out by operators, with what the list says of them
-	wake     int                              // the last Wake; older ones are void
+	known    map[policy.ExecutorID]invariants.Seen // what it was told last of each
+	outs     map[policy.ExecutorID]invariants.Seen // taken out by operators, with what the list says of them
+	wake     int                                   // the last Wake; older ones are void
 	inHand   int
 	out      int
 	mostHeld int
 	life     *life // its process, where the world is wired
 	dials    map[node.ConnID]*executor
 
-	alive   []fleet.NodeName // neighbours that it holds for alive, where nodes talk
-	reached map[rules.NodeID]time.Duration
+	alive   []cluster.NodeName // neighbours that it holds for alive, where nodes talk
+	reached map[invariants.NodeID]time.Duration
 	pace    pace         // of what it does, to check what it tells
 	lies    int          // words told while it tells nonsense; 0 while it does not
 	apart   bool         // no words pass between it and those that are not
@@ -372,10 +372,10 @@
 func (n *sim) start() {
 	n.run++
 	n.up, n.ready, n.closed, n.started = true, false, false, n.w.now
-	n.wires, n.tries, n.known = map[node.ConnID]*wire{}, map[policy.JobID]*try{}, map[policy.ExecutorID]rules.Seen{}
+	n.wires, n.tries, n.known = map[node.ConnID]*wire{}, map[policy.JobID]*try{}, map[policy.ExecutorID]invariants.Seen{}
 	n.lies, n.stopped, n.unread = 0, false, nil
-	n.inHand, n.out, n.outs = 0, 0, map[policy.ExecutorID]rules.Seen{}
-	n.w.see(rules.Seen{What: rules.NodeStarted, Node: n.id})
+	n.inHand, n.out, n.outs = 0, 0, map[policy.ExecutorID]invariants.Seen{}
+	n.w.see(invariants.Seen{What: invariants.NodeStarted, Node: n.id})
 	p, limits := n.settings()
 	if n.w.plant.settings != nil {
 		n.w.plant.settings(&p)
@@ -418,7 +418,7 @@
 
 func (m *witness) gaveUp(id policy.JobID, d policy.Decision) policy.Decision {
 	if d.Action == policy.Reject || d.Action == policy.Fail {
-		gave := rules.Seen{What: rules.GaveUp, Node: m.n.id, Job: id}
+		gave := invariants.Seen{What: invariants.GaveUp, Node: m.n.id, Job: id}
 		if l := m.life; l != nil {
 			l.gave = append(l.gave, gave) // the step's tap sees it
 		} else {
@@ -525,7 +525,7 @@
 	}
 	if n.w.trace != nil {
 		text, _, _ := strings.Cut(e.Text, "\n") // a stack has addresses, which differ
-		n.w.see(rules.Seen{What: rules.Note, Node: n.id, Job: e.Job, Executor: e.Executor, Text: text})
+		n.w.see(invariants.Seen{What: invariants.Note, Node: n.id, Job: e.Job, Executor: e.Executor, Text: text})
 	}
 }
 
@@ -543,7 +543,7 @@
 	if !n.up {
 		return
 	}
-	n.w.see(rules.Seen{What: rules.NodeKilled, Node: n.id})
+	n.w.see(invariants.Seen{What: invariants.NodeKilled, Node: n.id})
 	if n.life != nil {
 		n.life.kill()
 	}
@@ -564,7 +564,7 @@
 }
 
 // listed makes an event of the list, and books what it tells the node.
-func (n *sim) listed(kind policy.EndpointUpdateKind, entries []standin.Entry) node.EndpointsUpdated {
+func (n *sim) listed(kind policy.EndpointUpdateKind, entries []emulator.Entry) node.EndpointsUpdated {
 	ev := node.EndpointsUpdated{Kind: kind}
 	if kind == policy.WatchFailed {
 		ev.Detail = "no answer"
@@ -581,7 +581,7 @@
 		if e.StartedLongAgo {
 			start = -time.Hour
 		}
-		n.told(rules.Seen{What: rules.Told, Node: n.id, Executor: e.Executor, State: e.State, Start: start})
+		n.told(invariants.Seen{What: invariants.Told, Node: n.id, Executor: e.Executor, State: e.State, Start: start})
 	}
 	if kind == policy.CompleteUpdate {
 		for _, was := range sortedSeen(n.known) {
@@ -626,7 +626,7 @@
 
 // told books what the node is told of an executor, unless it is what it was told before. One that operators have taken
 // out drains, whatever the list says.
-func (n *sim) told(s rules.Seen) {
+func (n *sim) told(s invariants.Seen) {
 	s.At = 0
 	if _, out := n.outs[s.Executor]; out {
 		n.outs[s.Executor] = s
@@ -657,7 +657,7 @@
 }
 
 // change books a change of an executor's entry; nodes hear of it in time.
-func (w *World) change(e standin.Entry) {
+func (w *World) change(e emulator.Entry) {
 	at := w.discovery.Change(w.now, e)
 	w.checker.Listed(at, e.Executor, e.State)
 	w.tellAll(at)
@@ -693,8 +693,8 @@
 func (x *executor) size() float64 { return float64(x.Cores) * x.Speed }
 
 // memory is what remembers the tags of a track's batch jobs at an executor.
-func (w *World) memory(x *executor, id policy.JobClassID) *standin.Memory {
+func (w *World) memory(x *executor, id policy.JobClassID) *emulator.Memory {
 	return w.memories.Of(id, w.module[id].DedupGroup, x.ExecutorSpec)
 }
 
-func compareIDs(a, b rules.Seen) int { return cmp.Compare(a.Executor, b.Executor) }
+func compareIDs(a, b invariants.Seen) int { return cmp.Compare(a.Executor, b.Executor) }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -9,7 +9,7 @@
 	"os"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/internal/tomlfile"
 )
 
@@ -33,7 +33,7 @@
 }
 
 func fleetDefaults() Fleet {
-	d := fleet.Defaults("", 0, 0)
+	d := cluster.Defaults("", 0, 0)
 	return Fleet{Every: tomlfile.Span(d.GossipInterval), Tell: d.Fanout, ViewFor: tomlfile.Span(d.PeerStateTTL), DrainFor: tomlfile.Span(d.DrainTTL)}
 }
 
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 )
 
 // What is wrong with an operator's file is said by file, line and key, and what was probably meant.
@@ -54,7 +54,7 @@
 		}
 		fmt.Fprintf(&out, "%s\n    -> %s\n", strings.ReplaceAll(text, "\n", "\n  "), verdict)
 	}
-	kept.Compare(t, "broken-files.txt", out.String())
+	golden.Compare(t, "broken-files.txt", out.String())
 }
 
 // The example is sound, and within the memory that a node has where nothing else is said.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"birchstair/internal/standin"
+	"birchstair/internal/emulator"
 	"birchstair/internal/store"
 )
 
@@ -49,7 +49,7 @@
 // not there, or one that is there and was never written.
 func crashing(seed uint64, lies bool) error {
 	r := rand.New(rand.NewPCG(seed, 1))
-	disk := standin.NewDisk(r)
+	disk := emulator.NewDisk(r)
 	disk.Lies = lies
 	type sure struct{ accepted, sent, over, final, gone bool }
 	acked, tried := map[string]*sure{}, map[string]bool{}
@@ -154,7 +154,7 @@
 
 // A failed sync is final: nothing is acknowledged after it, and what was before it is there at the next start.
 func TestFailedSync(t *testing.T) {
-	disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
+	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	s, err := store.Open(disk, store.Options{Segment: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 // A disk without room: what does not fit is not acknowledged, and all before it stands. A store that has reached its bound pushes back what is new,
 // and takes the rest of what it has.
 func TestRoom(t *testing.T) {
-	disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
+	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	s, _ := store.Open(disk, store.Options{Segment: 1 << 20, Most: 2000})
 	var err error
 	count := 0
@@ -290,7 +290,7 @@
 
 // FuzzSegment: no bytes make the scan panic, and none bring back a record that was never written.
 func FuzzSegment(f *testing.F) {
-	disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
+	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	s, err := store.Open(disk, store.Options{Segment: 1 << 20})
 	if err != nil {
 		f.Fatal(err)
--- a/internal/bubble/bubble.go
+++ b/internal/synctesting/synctesting.go
@@ -1,5 +1,5 @@
-// Package bubble plays tests on testing/synctest's virtual clock.
-package bubble
+// Package synctesting plays tests on testing/synctest's virtual clock.
+package synctesting
 
 import (
 	"runtime"
--- a/internal/bubble/bubble_test.go
+++ b/internal/synctesting/synctesting_test.go
@@ -1,4 +1,4 @@
-package bubble
+package synctesting
 
 import (
 	"runtime"
--- a/internal/executors/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -1,4 +1,4 @@
-package executors
+package upstream
 
 import (
 	"bufio"
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/emulator"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
-	"birchstair/internal/standin"
 )
 
 // used is a connection that has carried one allocation and rests; its calls can be stopped.
 type used struct {
 	printer
 	t        *testing.T
-	halts    standin.Halts
+	halts    emulator.Halts
 	pool     *Pool
 	executor net.Conn
 	in       *bufio.Reader
@@ -87,7 +87,7 @@
 
 func (u *used) says(text string) { io.WriteString(u.executor, text) }
 
-func (u *used) reached(s *standin.Stop) {
+func (u *used) reached(s *emulator.Stop) {
 	u.t.Helper()
 	select {
 	case <-s.Reached:
@@ -127,11 +127,11 @@
 		}},
 		{"a second answer", func(u *used) { u.says(answer(stray)) }},
 	} {
-		var stop *standin.Stop
-		u := use(t, c.title, func(u *used) { stop = u.halts.On(1, standin.BeforeRead, 0) })
+		var stop *emulator.Stop
+		u := use(t, c.title, func(u *used) { stop = u.halts.On(1, emulator.BeforeRead, 0) })
 		u.reached(stop)
 		c.do(u)
-		wrote := u.halts.On(1, standin.BeforeClose, 0) // the writer gives up by closing
+		wrote := u.halts.On(1, emulator.BeforeClose, 0) // the writer gives up by closing
 		u.pool.Write(1, onceOnly("j2"))
 		u.reached(wrote)
 		wrote.Go()
@@ -139,7 +139,7 @@
 		u.end()
 		text += u.out.String()
 	}
-	kept.Compare(t, "rest-disturbed.txt", text)
+	golden.Compare(t, "rest-disturbed.txt", text)
 }
 
 // A second answer to the allocation before arrives when the next one is about to be written, or has just been: for what must
@@ -151,10 +151,10 @@
 		follow bool
 	}{{"the allocation's own answer follows", true}, {"nothing follows", false}} {
 		u := use(t, c.title, nil)
-		writes := u.halts.On(1, standin.BeforeWrite, 0)
+		writes := u.halts.On(1, emulator.BeforeWrite, 0)
 		u.pool.Write(1, onceOnly("j2"))
 		u.reached(writes)
-		reads := u.halts.On(1, standin.BeforeRead, 0)
+		reads := u.halts.On(1, emulator.BeforeRead, 0)
 		u.says(answer(stray))
 		u.reached(reads) // the answer has been read, and more is waited for
 		writes.Go()
@@ -175,7 +175,7 @@
 		}
 		text += u.out.String()
 	}
-	kept.Compare(t, "stray-answer.txt", text)
+	golden.Compare(t, "stray-answer.txt", text)
 }
 
 // Something comes on a connection that is taken for an allocation of which no byte has left: it answers nothing.
@@ -191,7 +191,7 @@
 	if how := <-l.written; how.any {
 		t.Error("a byte of it left all the same")
 	}
-	kept.Compare(t, "answer-before.txt", u.out.String())
+	golden.Compare(t, "answer-before.txt", u.out.String())
 }
 
 // caller is a client that has gone or not when it is looked at, after what the test does at that moment.
@@ -238,7 +238,7 @@
 		<-goOn
 	}))
 	<-looks
-	stop := u.halts.On(1, standin.BeforeClose, 0)
+	stop := u.halts.On(1, emulator.BeforeClose, 0)
 	u.executor.Close()
 	u.reached(stop)
 	stop.Go()
@@ -253,5 +253,5 @@
 	if m := u.takes(); m.Header.Get("X-Call-Id") != "j3" {
 		t.Errorf("%s went out", m.Header.Get("X-Call-Id"))
 	}
-	kept.Compare(t, "client-gone.txt", text+u.out.String())
+	golden.Compare(t, "client-gone.txt", text+u.out.String())
 }
--- a/internal/executors/probe.go
+++ b/internal/upstream/probe.go
@@ -1,4 +1,4 @@
-package executors
+package upstream
 
 import (
 	"bufio"
--- a/internal/executors/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -1,4 +1,4 @@
-package executors
+package upstream
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
 )
 
@@ -56,5 +56,5 @@
 	ask("never", silent.Addr().String(), 50*time.Millisecond)
 	silent.Close()
 	ask("nobody there", silent.Addr().String(), 10*time.Second)
-	kept.Compare(t, "probes.txt", out.String())
+	golden.Compare(t, "probes.txt", out.String())
 }
--- a/internal/executors/executors.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package executors speaks to executors: connections, allocations written on them, and what comes back.
+// Package upstream speaks to executors: connections, allocations written on them, and what comes back.
 // Each connection is owned by the goroutine that reads it, which also gives it back.
-package executors
+package upstream
 
 import (
 	"context"
--- a/internal/executors/executors_test.go
+++ b/internal/upstream/upstream_test.go
@@ -1,4 +1,4 @@
-package executors
+package upstream
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
 	"birchstair/policy"
 )
@@ -221,7 +221,7 @@
 			p.out.WriteString("  came: " + strings.Join(*got, "\n  came: ") + "\n")
 		}
 	}
-	kept.Compare(t, "outcomes.txt", p.out.String())
+	golden.Compare(t, "outcomes.txt", p.out.String())
 }
 
 // Whether a batch job may have run hangs on its last byte: before that is written it never ran.
@@ -283,5 +283,5 @@
 	l.Close()
 	dial(5, l.Addr().String(), "no executor there")
 	pool.Write(5, call("j1")) // what is given back carries nothing
-	kept.Compare(t, "last-byte.txt", p.out.String())
+	golden.Compare(t, "last-byte.txt", p.out.String())
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 )
 
-func TestTraces(t *testing.T) { kept.Replay(t, play) }
+func TestTraces(t *testing.T) { golden.Replay(t, play) }
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 )
 
 // A trace file in testdata holds what is told to a dispatcher and, behind arrows, what it decided:
@@ -77,7 +77,7 @@
 }
 
 func (p *player) say(now time.Duration, format string, args ...any) {
-	p.lines = append(p.lines, fmt.Sprintf(kept.Arrow+"%v ", now)+fmt.Sprintf(format, args...))
+	p.lines = append(p.lines, fmt.Sprintf(golden.Arrow+"%v ", now)+fmt.Sprintf(format, args...))
 }
 
 func (p *player) decided(now time.Duration, id JobID, what Decision) {
@@ -139,7 +139,7 @@
 	kind, _ := strconv.Atoi(parts[2])
 	n.Zone, n.Kind, n.Cell = ZoneID(zone), KindID(kind), CellID(zone)
 	if parts[3] != "" && parts[3] != "-" {
-		n.StartedAt, n.StartedLongAgo = now-kept.Span(t, parts[3]), false
+		n.StartedAt, n.StartedLongAgo = now-golden.Span(t, parts[3]), false
 	}
 	n.State = map[string]EndpointState{"": Available, "L": Draining, "D": Removed}[parts[4]]
 	if parts[5] != "" {
@@ -170,7 +170,7 @@
 			continue
 		}
 		at, stood := strings.CutSuffix(words[0], "!")
-		now := kept.Span(t, at)
+		now := golden.Span(t, at)
 		if !stood {
 			p.pass(last, now)
 		}
@@ -210,7 +210,7 @@
 		}
 		track, _ := strconv.Atoi(args["track"])
 		tenant, _ := strconv.Atoi(args["tenant"])
-		work, budget := kept.Span(p.t, args["work"]), kept.Span(p.t, args["budget"])
+		work, budget := golden.Span(p.t, args["work"]), golden.Span(p.t, args["budget"])
 		p.d.JobArrived(now, Arrival{id, JobClassID(track), TenantID(tenant), work, budget, args["again"] != ""})
 	case "started":
 		p.d.AttemptStarted(now, id, n)
@@ -242,7 +242,7 @@
 	case "left":
 		p.d.ClientLeft(now, id)
 	case "closing":
-		p.d.ShutDownBy(now, kept.Span(p.t, words[0]))
+		p.d.ShutDownBy(now, golden.Span(p.t, words[0]))
 	case "quotas":
 		for _, e := range p.d.met {
 			p.say(now, "%s has a quota of %d", e.id, e.quota)
