--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 
 # The kept scenarios, each played once.
 lab: build
-	@for s in lab/scenarios/*.toml; do bin/birchlab run $$s || exit 1; done
+	@for s in lab/scenarios/*.toml; do bin/birchstair-sim run $$s || exit 1; done
 
 # One node, in the foreground; CONFIG names its configuration file.
 run: build
--- a/cmd/birchlab/fleet.go
+++ b/cmd/birchstair-sim/fleet.go
@@ -99,7 +99,7 @@
 	}
 	dir := filepath.Join(c.Keep, fmt.Sprintf("%s-%d-talk-%t", s.Name, seed, s.Fleet.Talk))
 	if c.Keep == "" {
-		dir, err = os.MkdirTemp("", "birchlab-fleet-")
+		dir, err = os.MkdirTemp("", "birchstair-sim-fleet-")
 	} else {
 		err = os.MkdirAll(dir, 0o755)
 	}
--- a/cmd/birchlab/kill.go
+++ b/cmd/birchstair-sim/kill.go
@@ -42,7 +42,7 @@
 		free <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-free }()
-			dir, err := os.MkdirTemp("", "birchlab-kill-")
+			dir, err := os.MkdirTemp("", "birchstair-sim-kill-")
 			var r simulation.Killed
 			if err == nil {
 				r, err = simulation.Killing{Binary: binary, Seed: c.Seed + uint64(i), Jobs: c.Jobs, Kills: c.Kills, Leases: c.Leases, Dir: dir}.Play()
--- a/cmd/birchlab/main.go
+++ b/cmd/birchstair-sim/main.go
@@ -28,18 +28,18 @@
 var errBroken = errors.New("a rule broke")
 
 func main() {
-	if os.Getenv(scaletest.HollowEnv) != "" { // started by birchlab scale
+	if os.Getenv(scaletest.HollowEnv) != "" { // started by birchstair-sim scale
 		if err := scaletest.Hollow(os.Stdin, os.Stdout); err != nil {
-			fmt.Fprintln(os.Stderr, "birchlab, a hollow process:", err)
+			fmt.Fprintln(os.Stderr, "birchstair-sim, a hollow process:", err)
 			os.Exit(2)
 		}
 		return
 	}
-	ctx := kong.Parse(&commands, kong.Name("birchlab"), kong.Description("Worlds on a virtual clock, with faults and the rules checked."),
+	ctx := kong.Parse(&commands, kong.Name("birchstair-sim"), kong.Description("Worlds on a virtual clock, with faults and the rules checked."),
 		kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
 		if !errors.Is(err, errBroken) {
-			fmt.Fprintln(os.Stderr, "birchlab:", err)
+			fmt.Fprintln(os.Stderr, "birchstair-sim:", err)
 			os.Exit(2)
 		}
 		os.Exit(1)
--- a/cmd/birchlab/run.go
+++ b/cmd/birchstair-sim/run.go
@@ -46,7 +46,7 @@
 	}
 	s, err := simulation.LoadFrom(scenarios.Files, name+".toml")
 	if errors.Is(err, fs.ErrNotExist) {
-		return s, fmt.Errorf("%s: neither a file nor a kept scenario; birchlab list names those", name)
+		return s, fmt.Errorf("%s: neither a file nor a kept scenario; birchstair-sim list names those", name)
 	}
 	return s, err
 }
--- a/cmd/birchlab/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -73,7 +73,7 @@
 	}
 	o.Hollow = []string{self}
 	if c.Keep == "" {
-		if o.Dir, err = os.MkdirTemp("", "birchlab-scale-"); err != nil {
+		if o.Dir, err = os.MkdirTemp("", "birchstair-sim-scale-"); err != nil {
 			return err
 		}
 		defer os.RemoveAll(o.Dir)
