--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 # The lab plays some of its worlds in part, or fewer of them, while the race detector watches: all of them without it.
 test:
 	go test -race ./...
-	go test ./internal/lab
+	go test ./internal/simulation
 
 lint:
 	@test -z "$$(gofmt -l cmd internal lab policy)" || { gofmt -l cmd internal lab policy; echo 'not gofmt-formatted'; exit 1; }
@@ -18,7 +18,7 @@
 
 # The kept scenarios, each played once.
 lab: build
-	@for s in lab/scenarios/*.toml; do bin/birchlab run $$s || exit 1; done
+	@for s in lab/scenarios/*.toml; do bin/birchstair-sim run $$s || exit 1; done
 
 # One node, in the foreground; CONFIG names its configuration file.
 run: build
--- a/internal/operators/door_test.go
+++ b/internal/admin/door_test.go
@@ -1,4 +1,4 @@
-package operators
+package admin
 
 import (
 	"context"
@@ -8,17 +8,17 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/bubble"
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/internal/memnet"
 	"birchstair/internal/node"
+	"birchstair/internal/synctesting"
 )
 
 // A door on connections in memory, with a core that says yes, or no to one executor, and one call that it never answers.
 // Two callers have a place at a time.
 func TestDoor(t *testing.T) {
 	var out strings.Builder
-	bubble.Test(t, func(t *testing.T) {
+	synctesting.Test(t, func(t *testing.T) {
 		net := memnet.New(1, func(string, string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
 		on, err := net.Listen("n0", "door")
 		if err != nil {
@@ -26,14 +26,14 @@
 		}
 		var d *Door
 		d = New(2, func(ev node.Event) {
-			c := ev.(node.Called)
-			r := node.Reply{Caller: c.Caller}
+			c := ev.(node.AdminCalled)
+			r := node.AdminReply{Caller: c.Caller}
 			switch {
-			case c.Order == node.ReadFigures:
-				r.Figures = &node.Figures{Tracks: []node.TrackFigures{{Name: "page", Handled: 3, PushedBack: 1}}, Allocations: 5, InFlight: 2,
-					Known: 4, Avoided: 1, Taken: 6, TurnedDown: 7}
+			case c.Command == node.ReadMetrics:
+				r.Metrics = &node.Metrics{Classes: []node.ClassMetrics{{Name: "page", Succeeded: 3, Rejected: 1}}, Attempts: 5, InFlight: 2,
+					KnownExecutors: 4, ExcludedExecutors: 1, ReloadsApplied: 6, ReloadsRejected: 7}
 			case c.Executor == "nobody":
-				r.No = "not\nhere"
+				r.Refusal = "not\nhere"
 			case c.Executor == "never":
 				return
 			}
@@ -78,5 +78,5 @@
 		read("at the end", last)
 		fmt.Fprintln(&out, "ended:", <-ended)
 	})
-	kept.Compare(t, "door.txt", out.String())
+	golden.Compare(t, "door.txt", out.String())
 }
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -37,7 +37,7 @@
 	nodes map[string]*instance
 	order []*instance // those with an event in this batch, in the order of their first one
 	f     fields
-	list  []policy.Entry
+	list  []policy.Endpoint
 }
 
 // Run answers batches until the input ends.
@@ -151,7 +151,7 @@
 	case "CANCELLED_BY_CLIENT":
 		id, err := f.need("id")
 		if err == nil {
-			n.guard(func() { n.brain.Left(now, policy.JobID(id)) })
+			n.guard(func() { n.brain.ClientLeft(now, policy.JobID(id)) })
 		}
 		return err
 	case "HEARD":
@@ -189,11 +189,11 @@
 	return nil
 }
 
-var listKinds = map[string]policy.ListKind{
-	"incr": policy.Changes, "total": policy.Whole, "warm_copy": policy.WarmCopy, "lost": policy.Lost,
+var listKinds = map[string]policy.EndpointUpdateKind{
+	"incr": policy.IncrementalUpdate, "total": policy.CompleteUpdate, "warm_copy": policy.CachedUpdate, "lost": policy.WatchFailed,
 }
 
-var states = map[string]policy.State{"U": policy.Up, "L": policy.Draining, "D": policy.Gone}
+var states = map[string]policy.EndpointState{"U": policy.Available, "L": policy.Draining, "D": policy.Removed}
 
 func (a *adapter) membership(who string) error {
 	f := &a.f
@@ -237,13 +237,13 @@
 		a.list = append(a.list, entry)
 	}
 	if n != nil {
-		n.guard(func() { n.brain.Listed(a.now-base, what, a.list) })
+		n.guard(func() { n.brain.UpdateEndpoints(a.now-base, what, a.list) })
 	}
 	return nil
 }
 
-func readEntry(f *fields, base time.Duration) (policy.Entry, error) {
-	var n policy.Entry
+func readEntry(f *fields, base time.Duration) (policy.Endpoint, error) {
+	var n policy.Endpoint
 	id, err := f.need("executor")
 	if err != nil {
 		return n, err
@@ -262,7 +262,7 @@
 	started, err4 := f.secondsOr0("start-time-s")
 	weight, err5 := f.number("power-hint")
 	n.Executor, n.Zone, n.Kind = policy.ExecutorID(id), policy.ZoneID(zone), policy.KindID(kind)
-	n.Cell, n.Started, n.LongAgo = policy.CellID(cell), started-base, started == 0
+	n.Cell, n.StartedAt, n.StartedLongAgo = policy.CellID(cell), started-base, started == 0
 	n.Weight = weight
 	return n, errors.Join(err1, err2, err3, err4, err5)
 }
@@ -293,15 +293,15 @@
 		return err
 	}
 	n.guard(func() {
-		n.brain.Arrived(now, policy.Arrival{Job: policy.JobID(id), Track: policy.TrackID(track), Tenant: policy.TenantID(tenant),
-			Work: work, Budget: budget, Again: again == 1})
+		n.brain.JobArrived(now, policy.Arrival{Job: policy.JobID(id), Class: policy.JobClassID(track), Tenant: policy.TenantID(tenant),
+			Work: work, Budget: budget, ClientRetry: again == 1})
 	})
 	return nil
 }
 
 var outcomes = map[string]policy.Outcome{
-	"pass": policy.Handled, "fault": policy.Errored, "no_room": policy.NoRoom, "too_slow": policy.TooSlow,
-	"no_route": policy.NoRoute, "cut": policy.Cut, "undone": policy.CalledOff, "stale_send": policy.NotSent,
+	"pass": policy.Succeeded, "fault": policy.ExecutorError, "no_room": policy.ExecutorFull, "too_slow": policy.TimedOut,
+	"no_route": policy.ConnectFailed, "cut": policy.ConnectionLost, "undone": policy.Canceled, "stale_send": policy.NotSent,
 }
 
 func (n *instance) done(now time.Duration, f *fields) error {
@@ -325,10 +325,10 @@
 	executor, _ := f.get("executor")
 	n.guard(func() {
 		if reported {
-			n.brain.Reported(policy.ExecutorID(executor), load)
+			n.brain.LoadReported(policy.ExecutorID(executor), load)
 		}
 		job := policy.JobID(id)
-		n.carryOut(job, n.brain.Ended(now, job, policy.AllocationID(shot), how, settled == 1))
+		n.carryOut(job, n.brain.AttemptEnded(now, job, policy.AttemptID(shot), how, settled == 1))
 	})
 	return nil
 }
@@ -343,22 +343,22 @@
 		return err
 	}
 	load, ok := f.report(n.load)
-	n.guard(func() { n.brain.Probed(now, policy.ExecutorID(executor), ok && string(text) == "pass", load) })
+	n.guard(func() { n.brain.ProbeEnded(now, policy.ExecutorID(executor), ok && string(text) == "pass", load) })
 	return nil
 }
 
 // What one node says to another: the word and the executor's sum, as five bytes.
 const wordBytes = 5
 
-func (n *instance) tell(due policy.Due) {
+func (n *instance) tell(due policy.DueTask) {
 	n.out = append(n.out, "SHARE who="...)
 	n.out = append(n.out, n.who...)
 	n.out = append(n.out, " dest="...)
 	n.out = strconv.AppendInt(n.out, int64(due.Node), 10)
 	n.out = append(n.out, " content="...)
 	var b [wordBytes]byte
-	b[0] = byte(due.Word)
-	binary.BigEndian.PutUint32(b[1:], uint32(due.Sum))
+	b[0] = byte(due.Message)
+	binary.BigEndian.PutUint32(b[1:], uint32(due.Hash))
 	n.out = base64.StdEncoding.AppendEncode(n.out, b[:])
 	n.out = append(n.out, '\n')
 }
@@ -379,8 +379,8 @@
 	if err != nil || len(b) != wordBytes {
 		return nil // from a node that speaks otherwise: passed over
 	}
-	sum := policy.Sum(binary.BigEndian.Uint32(b[1:]))
-	n.guard(func() { n.brain.Heard(now, policy.NodeID(from), policy.Word(b[0]), sum) })
+	sum := policy.ExecutorHash(binary.BigEndian.Uint32(b[1:]))
+	n.guard(func() { n.brain.ReceiveLeaseMessage(now, policy.NodeID(from), policy.LeaseMessage(b[0]), sum) })
 	return nil
 }
 
@@ -402,9 +402,9 @@
 	n.guard(func() {
 		switch what {
 		case 1:
-			n.brain.Started(now, policy.JobID(id), policy.AllocationID(shot))
+			n.brain.AttemptStarted(now, policy.JobID(id), policy.AttemptID(shot))
 		case 2:
-			n.brain.Progressed(now, policy.JobID(id), policy.AllocationID(shot), level)
+			n.brain.AttemptProgressed(now, policy.JobID(id), policy.AttemptID(shot), level)
 		}
 	})
 	return nil
@@ -414,24 +414,24 @@
 func (n *instance) doDue(now time.Duration) {
 	now -= n.base
 	for {
-		due := n.brain.Wait(now)
+		due := n.brain.NextTask(now)
 		switch due.Task {
 		case policy.PlaceJob:
 			n.carryOut(due.Job, n.brain.Place(now, due.Job))
-		case policy.StopJob:
+		case policy.CancelAttempt:
 			n.say("STOP_ATTEMPT", "id", string(due.Job))
 			n.out = append(n.out, " shot="...)
-			n.out = strconv.AppendInt(n.out, int64(due.Allocation), 10)
+			n.out = strconv.AppendInt(n.out, int64(due.Attempt), 10)
 			n.out = append(n.out, '\n')
-		case policy.Subscribe:
+		case policy.WatchEndpoints:
 			n.say("WATCH", "enable", "1")
 			n.out = append(n.out, '\n')
-		case policy.Tell:
+		case policy.SendLeaseMessage:
 			n.tell(due)
-		case policy.Probe:
+		case policy.ProbeExecutor:
 			n.say("ASK_LOAD", "executor", string(due.Executor))
 			n.out = append(n.out, '\n')
-		case policy.Note:
+		case policy.WriteLog:
 			n.say("PRINT", "msg", due.Text)
 			n.out = append(n.out, '\n')
 		case policy.Sleep:
@@ -447,17 +447,17 @@
 }
 
 func (n *instance) carryOut(job policy.JobID, what policy.Decision) {
-	switch what.Act {
+	switch what.Action {
 	case policy.Send:
 		n.say("ISSUE", "id", string(job))
 		n.out = append(n.out, " executor="...)
 		n.out = append(n.out, what.Executor...)
-	case policy.PushBack:
+	case policy.Reject:
 		n.say("TURN_AWAY", "id", string(job))
-		if what.ComeBack > 0 {
-			n.time(" wait-s=", what.ComeBack)
+		if what.RetryAfter > 0 {
+			n.time(" wait-s=", what.RetryAfter)
 		}
-	case policy.BreakOff:
+	case policy.Fail:
 		n.say("RESPOND_ERROR", "id", string(job))
 	default:
 		return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -69,8 +69,8 @@
 func (c *Config) LongestWork() time.Duration { return quickest * c.longest() }
 
 func (c *Config) longest() (longest time.Duration) {
-	for _, t := range c.Settings.Policy.Tracks {
-		longest = max(longest, t.OuterLimit)
+	for _, t := range c.Settings.Policy.JobClasses {
+		longest = max(longest, t.Deadline)
 	}
 	return longest
 }
@@ -167,16 +167,16 @@
 		c.Shared = env("TMPDIR")
 	}
 	c.Settings.Policy.Seed = crc32.ChecksumIEEE([]byte(w.Seed))
-	for i := range c.Settings.Policy.Tracks {
+	for i := range c.Settings.Policy.JobClasses {
 		// A connection may take so long to come up after the module has decided on a further allocation.
-		window := &c.Settings.Policy.Tracks[i].GroupWindow
+		window := &c.Settings.Policy.JobClasses[i].DedupWindow
 		*window = max(0, *window-c.Settings.DialLimit)
 	}
 	p := &c.Settings.Policy
 	c.Settings.Probe = Probe{w.Probe.Path, Seconds(orElse(w.Probe.Timeout, defaultProbe))}
 	// The protocol has no call for a probe and no link between nodes: the settings' leave alone makes neither. Words need the operator's file as well.
 	p.MayProbe = p.MayProbe && c.Settings.Probe.Path != ""
-	c.Settings.Peers, p.MayTell = p.MayTell, false
+	c.Settings.Peers, p.MayLease = p.MayLease, false
 	return c, c.check()
 }
 
@@ -224,8 +224,8 @@
 func (c *Config) Waits(other Config) (keys []string) {
 	other.Settings.Policy.Seed = c.Settings.Policy.Seed
 	// The tracks are taken up at once.
-	other.Settings.Tracks, other.Settings.Policy.Tracks = c.Settings.Tracks, c.Settings.Policy.Tracks
-	other.Settings.Policy.MaxAllocations = c.Settings.Policy.MaxAllocations
+	other.Settings.Tracks, other.Settings.Policy.JobClasses = c.Settings.Tracks, c.Settings.Policy.JobClasses
+	other.Settings.Policy.MaxAttempts = c.Settings.Policy.MaxAttempts
 	probe := other.Settings.Probe
 	other.Settings.Probe = c.Settings.Probe
 	for _, k := range [...]struct {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 )
 
 const whole = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","seed":"8c1f",
@@ -30,8 +30,8 @@
 		fmt.Fprintf(&out, "%s: %s on %s of %s, %v cores, %d MB, %d sockets (%d clients, %d executors), idle %v, "+
 			"dial %v, stop %v, loads %v", title, c.Name, c.Listen, c.Discovery, c.Cores, c.Memory>>20, c.Sockets,
 			clients, executors, c.Settings.IdleLimit, c.Settings.DialLimit, c.StopLimit(), c.Settings.TellsLoad())
-		if p := c.Settings.Policy; p.MayProbe || p.MayCopy || p.MayTell || p.MarksAgain {
-			fmt.Fprintf(&out, ", probes %v by %s within %v, copies %v, words %v, marks %v", p.MayProbe, c.Settings.Probe.Path, c.Settings.Probe.Limit, p.MayCopy, p.MayTell, p.MarksAgain)
+		if p := c.Settings.Policy; p.MayProbe || p.MayHedge || p.MayLease || p.ClientsMarkRetries {
+			fmt.Fprintf(&out, ", probes %v by %s within %v, copies %v, words %v, marks %v", p.MayProbe, c.Settings.Probe.Path, c.Settings.Probe.Limit, p.MayHedge, p.MayLease, p.ClientsMarkRetries)
 		}
 		out.WriteString("\n")
 	}
@@ -120,7 +120,7 @@
 		}
 		fmt.Fprintf(&out, "read again with %.60q for %.30q: %v\n", change[1], change[0], err)
 	}
-	kept.Compare(t, "read.txt", out.String())
+	golden.Compare(t, "read.txt", out.String())
 }
 
 // What is set aside stands beside what clients and executors may fill, however few descriptors there are: an upgrade's halves from 128
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -71,9 +71,9 @@
 			ok = true
 		}
 	}
-	load = policy.Load{Held: x[0], Waiting: x[1], Free: x[2], Memory: x[3], Took: -1}
+	load = policy.Load{InFlight: x[0], Queued: x[1], FreeSlots: x[2], FreeMemory: x[3], RunTime: -1}
 	if x[4] >= 0 {
-		load.Took = Seconds(x[4] / 1000)
+		load.RunTime = Seconds(x[4] / 1000)
 	}
 	return load, ok
 }
@@ -81,12 +81,12 @@
 // Seconds turns seconds into a span, rounded to the microsecond.
 func Seconds(x float64) time.Duration { return time.Duration(math.Round(x*1e6)) * time.Microsecond }
 
-var repeats = map[string]policy.Repeat{
-	"repeatable": policy.Repeatable, "by_key": policy.Tagged, "once": policy.OnceOnly,
+var repeats = map[string]policy.Idempotency{
+	"repeatable": policy.Idempotent, "by_key": policy.IdempotentWithKey, "once": policy.AtMostOnce,
 }
 
-var groups = map[string]policy.Group{
-	"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell,
+var groups = map[string]policy.DedupGroup{
+	"": policy.DedupAllExecutors, "all": policy.DedupAllExecutors, "zone": policy.DedupZone, "cell": policy.DedupCell,
 }
 
 // reportHows are the ways in which executors tell their load.
@@ -186,39 +186,39 @@
 	}
 	s.Policy = policy.Settings{
 		Node: w.Number, Nodes: w.Balancers, Zone: policy.ZoneID(w.Locality),
-		Quantum:     max(Seconds(w.Quantum), leastQuantum),
-		LiveWeights: w.Weights == "live", MustAsk: w.Discovery == "ask", AskWithin: Seconds(w.Rules.AskWithin),
-		EarnPerWork: w.PerWork == "work", OverageEarnings: w.Overage, CrossZonePrice: w.Prices.CrossZone,
-		WholeWeight:    w.ScoreParts["whole"] + w.ScoreParts["worst-window"],
-		TrackWeight:    w.ScoreParts["worst-class"],
-		MaxAllocations: w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayTell: w.Caps.Peers,
-		MayCopy: w.Caps.Copies, MayProbe: w.Caps.Probes && w.Report.How == "on_probe", MarksAgain: w.Clients.MarksRetry,
-		ColdShare: w.Rules.ColdShare, WarmWithin: Seconds(w.Rules.WarmWithin),
-		FallMultiple: w.Rules.FallMultiple, FallWindow: Seconds(w.Rules.FallS),
-		TellsStart: w.Domain.TellsStart, TellsEvery: Seconds(w.Domain.TellsEvery),
+		Quantum:             max(Seconds(w.Quantum), leastQuantum),
+		LoadAdjustedWeights: w.Weights == "live", EndpointsPolled: w.Discovery == "ask", PollWithin: Seconds(w.Rules.AskWithin),
+		ValuePerWork: w.PerWork == "work", OverQuotaValue: w.Overage, CrossZoneCost: w.Prices.CrossZone,
+		TotalWeight:      w.ScoreParts["whole"] + w.ScoreParts["worst-window"],
+		WorstClassWeight: w.ScoreParts["worst-class"],
+		MaxAttempts:      w.Caps.Allocations, MayCancel: w.Caps.Cancel, MayLease: w.Caps.Peers,
+		MayHedge: w.Caps.Copies, MayProbe: w.Caps.Probes && w.Report.How == "on_probe", ClientsMarkRetries: w.Clients.MarksRetry,
+		SlowStartCapacity: w.Rules.ColdShare, SlowStartDuration: Seconds(w.Rules.WarmWithin),
+		OverloadMultiple: w.Rules.FallMultiple, OverloadWindow: Seconds(w.Rules.FallS),
+		StartNotices: w.Domain.TellsStart, ProgressInterval: Seconds(w.Domain.TellsEvery),
 	}
 	if w.Caps.RetryAfter {
-		s.Policy.MaxComeBack = Seconds(w.Caps.MaxComeBackS)
+		s.Policy.MaxRetryAfter = Seconds(w.Caps.MaxComeBackS)
 	}
 	for i, p := range w.Projects {
 		if !(p.Quota >= 0 && p.Quota <= mostQuota) { // what is left of a sum with one under 0 divides rates
 			return s, fmt.Errorf("settings.projects[%d].quota-per-s: not between 0 and %g", i, mostQuota)
 		}
-		s.Policy.Tenant = append(s.Policy.Tenant, policy.Tenant{QuotaPerS: p.Quota})
+		s.Policy.Tenants = append(s.Policy.Tenants, policy.Tenant{QuotaPerSecond: p.Quota})
 	}
 	for i, t := range w.Tracks {
 		track, err := t.track(i)
 		if err != nil {
 			return s, err
 		}
-		track.Allocations = w.Caps.Allocations
+		track.MaxAttempts = w.Caps.Allocations
 		if i < len(w.Domain.Kind) {
 			track.Kind = policy.KindID(w.Domain.Kind[i])
 		}
 		if i < len(w.Domain.Stretch) {
-			track.Stretch = w.Domain.Stretch[i]
+			track.RunTimeFactor = w.Domain.Stretch[i]
 		}
-		s.Policy.Tracks = append(s.Policy.Tracks, track)
+		s.Policy.JobClasses = append(s.Policy.JobClasses, track)
 		s.Tracks = append(s.Tracks, t.Name)
 	}
 	return s, nil
@@ -268,25 +268,25 @@
 	return nil
 }
 
-func (t trackText) track(i int) (policy.Track, error) {
+func (t trackText) track(i int) (policy.JobClass, error) {
 	repeat, ok := repeats[t.Repeat]
 	if !ok {
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d].repeat: %.40q is none of the kinds", i, t.Repeat)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d].repeat: %.40q is none of the kinds", i, t.Repeat)
 	}
 	group, ok := groups[t.Scope]
 	if !ok {
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d].dedup-scope: %.40q is none of the groups", i, t.Scope)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d].dedup-scope: %.40q is none of the groups", i, t.Scope)
 	}
 	switch {
 	case t.Quoted <= 0:
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d].quoted-time-s: missing, or not over 0", i)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d].quoted-time-s: missing, or not over 0", i)
 	case t.Limit <= 0:
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d].outer-limit-s: missing, or not over 0", i)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d].outer-limit-s: missing, or not over 0", i)
 	}
 	if max(t.Quoted, t.Limit, t.Window) > longestLimit {
-		return policy.Track{}, fmt.Errorf("settings.tracks[%d]: a time over %g s", i, longestLimit)
+		return policy.JobClass{}, fmt.Errorf("settings.tracks[%d]: a time over %g s", i, longestLimit)
 	}
-	return policy.Track{Repeat: repeat, Group: group, GroupWindow: Seconds(t.Window),
-		Quoted: Seconds(t.Quoted), Stretch: t.Stretch, OuterLimit: Seconds(t.Limit), Earnings: t.Earnings,
-		LateEarnings: t.Late, Kind: policy.AnyKind}, nil
+	return policy.JobClass{Idempotency: repeat, DedupGroup: group, DedupWindow: Seconds(t.Window),
+		LatencyObjective: Seconds(t.Quoted), RunTimeFactor: t.Stretch, Deadline: Seconds(t.Limit), Value: t.Earnings,
+		LateValue: t.Late, Kind: policy.AnyKind}, nil
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -45,8 +45,8 @@
 	ctx    context.Context
 	stop   context.CancelFunc
 
-	clients   node.Clients
-	executors node.Executors
+	clients   node.Frontend
+	executors node.Upstream
 
 	mu      sync.Mutex
 	book    *leases.Book
@@ -74,9 +74,9 @@
 
 // track is a track's part.
 type track struct {
-	id      policy.TrackID
+	id      policy.JobClassID
 	tagged  bool
-	lease   leases.Track
+	lease   leases.JobClass
 	dropped bool // by another configuration: those on the disk go on, no new ones come
 }
 
@@ -84,7 +84,7 @@
 type pending struct {
 	id    leases.ID
 	epoch leases.Epoch
-	alloc node.Allocation
+	alloc node.Attempt
 }
 
 // Twin begins the name of a track's twin for durable batch jobs.
@@ -92,29 +92,29 @@
 
 // Tracks adds a twin of each track for durable batch jobs: with their outer limit, and in time as long as that lasts.
 func Tracks(s policy.Settings, limit time.Duration) policy.Settings {
-	for _, t := range slices.Clone(s.Tracks) {
-		t.Work = t.Quoted // hours to be in time say nothing of the work
-		t.OuterLimit, t.Quoted, t.Stretch, t.LateEarnings = limit, limit, 0, 0
-		s.Tracks = append(s.Tracks, t)
+	for _, t := range slices.Clone(s.JobClasses) {
+		t.ExpectedWork = t.LatencyObjective // hours to be in time say nothing of the work
+		t.Deadline, t.LatencyObjective, t.RunTimeFactor, t.LateValue = limit, limit, 0, 0
+		s.JobClasses = append(s.JobClasses, t)
 	}
 	return s
 }
 
 // New takes up a store: names and tracks are those of the settings, without their twins. Nothing goes to the reducer before Start.
-func New(o Options, s *store.Store, names []string, tracks []policy.Track, dial func(context.Context, string) (net.Conn, error), log zerolog.Logger) *Durable {
+func New(o Options, s *store.Store, names []string, tracks []policy.JobClass, dial func(context.Context, string) (net.Conn, error), log zerolog.Logger) *Durable {
 	d := &Durable{o: o, store: s, tracks: map[string]track{}, log: log, http: dialer(dial), book: leases.NewBook(o.Leases),
 		records: map[leases.ID]*store.Record{}, waits: map[leases.ID]chan struct{}{}, kept: map[leases.ID]chan error{},
 		writes: map[node.ConnID]*pending{}, out: map[leases.ID]node.ConnID{}, addrs: map[node.ConnID]string{}, at: map[string]policy.ExecutorID{}, where: map[policy.ExecutorID]string{}}
 	for i, name := range names {
-		d.tracks[name] = twin(policy.TrackID(len(names)+i), tracks[i])
+		d.tracks[name] = twin(policy.JobClassID(len(names)+i), tracks[i])
 	}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	return d
 }
 
 // twin is what a track's twin of that number asks of its batch jobs.
-func twin(id policy.TrackID, t policy.Track) track {
-	return track{id: id, tagged: t.Repeat == policy.Tagged, lease: leases.Track{Repeat: t.Repeat, Group: t.Group, Window: t.GroupWindow}}
+func twin(id policy.JobClassID, t policy.JobClass) track {
+	return track{id: id, tagged: t.Idempotency == policy.IdempotentWithKey, lease: leases.JobClass{Idempotency: t.Idempotency, DedupGroup: t.DedupGroup, DedupWindow: t.DedupWindow}}
 }
 
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
@@ -122,7 +122,7 @@
 func of(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
 
 // Start stands between the reducer and its edges from now on, and takes up what the store holds.
-func (d *Durable) Start(tell func(node.Event), clients node.Clients, executors node.Executors) (node.Clients, node.Executors) {
+func (d *Durable) Start(tell func(node.Event), clients node.Frontend, executors node.Upstream) (node.Frontend, node.Upstream) {
 	d.tell, d.clients, d.executors = tell, clients, executors
 	d.recover()
 	return (*clientsSide)(d), (*executorsSide)(d)
@@ -154,7 +154,7 @@
 		tr, ok := d.tracks[st.Accepted.Track]
 		if !ok {
 			unknown++ // its track is gone from the settings: nothing is known of what it allows
-			tr.lease.Repeat = policy.OnceOnly
+			tr.lease.Idempotency = policy.AtMostOnce
 		}
 		var sends []leases.Send
 		for _, s := range st.Sends {
@@ -368,9 +368,9 @@
 	d.mu.Lock()
 	tr := d.tracks[rec.Track]
 	d.mu.Unlock()
-	job := node.Job{Track: tr.id, Work: rec.Work, Budget: e.Budget, Call: node.Call{ID: policy.JobID(prefix + string(e.ID)), Method: http.MethodPost,
-		URI: rec.URI, Host: rec.Host, ContentType: rec.ContentType, Tag: rec.Tag, Body: rec.Body}}
-	go d.tell(node.Arrived{Job: job})
+	job := node.Job{Class: tr.id, Work: rec.Work, Budget: e.Budget, Request: node.Request{ID: policy.JobID(prefix + string(e.ID)), Method: http.MethodPost,
+		URI: rec.URI, Host: rec.Host, ContentType: rec.ContentType, IdempotencyKey: rec.Tag, Body: rec.Body}}
+	go d.tell(node.JobArrived{Job: job})
 }
 
 // asks asks an executor what became of an allocation of an earlier life.
@@ -391,20 +391,20 @@
 // Tap sees the reducer's steps: what the list says of addresses, and how allocations end.
 func (d *Durable) Tap(_ time.Duration, ev node.Event, _ []node.Effect) {
 	switch ev := ev.(type) {
-	case node.Listed:
+	case node.EndpointsUpdated:
 		d.listed(ev)
-	case node.Ended:
+	case node.AttemptEnded:
 		d.over(ev.Conn, ev.Outcome.NeverRan(), false)
-	case node.Closed:
+	case node.ConnClosed:
 		d.over(ev.Conn, true, true) // nothing of it had left, or its outcome would have come
 	}
 }
 
-func (d *Durable) listed(ev node.Listed) {
+func (d *Durable) listed(ev node.EndpointsUpdated) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, e := range ev.Executors {
-		if e.State == policy.Gone {
+	for _, e := range ev.Endpoints {
+		if e.State == policy.Removed {
 			delete(d.where, e.Executor)
 			continue
 		}
@@ -458,8 +458,8 @@
 	})
 }
 
-// Ready: the first time that the list has come, recovered batch jobs may go on.
-func (s *clientsSide) Ready(yes bool) {
+// SetReady: the first time that the list has come, recovered batch jobs may go on.
+func (s *clientsSide) SetReady(yes bool) {
 	d := (*Durable)(s)
 	d.mu.Lock()
 	early := d.early
@@ -471,33 +471,33 @@
 		early = append(early, d.book.Stop(now())...)
 	}
 	d.mu.Unlock()
-	d.clients.Ready(yes)
+	d.clients.SetReady(yes)
 	d.carryOut(early)
 }
 
-// Retune takes up the twins, and leaves them out of what ordinary batch jobs can name.
-func (s *clientsSide) Retune(tracks []node.Numbered) {
+// UpdateJobClasses takes up the twins, and leaves them out of what ordinary batch jobs can name.
+func (s *clientsSide) UpdateJobClasses(tracks []node.NumberedClass) {
 	d := (*Durable)(s)
 	d.mu.Lock()
 	for name, t := range d.tracks {
 		t.dropped = true
 		d.tracks[name] = t
 	}
-	var plain []node.Numbered
+	var plain []node.NumberedClass
 	for _, t := range tracks {
 		if name, ok := strings.CutPrefix(t.Name, Twin); ok {
-			d.tracks[name] = twin(t.ID, t.Track.Track)
+			d.tracks[name] = twin(t.ID, t.JobClass.JobClass)
 		} else {
 			plain = append(plain, t)
 		}
 	}
 	d.mu.Unlock()
-	s.clients.Retune(plain)
+	s.clients.UpdateJobClasses(plain)
 }
 
-func (s *clientsSide) SendAway(on bool) { s.clients.SendAway(on) }
-func (s *clientsSide) Take(yes bool)    { s.clients.Take(yes) }
-func (s *clientsSide) Halve(half bool)  { s.clients.Halve(half) }
+func (s *clientsSide) DrainClients(on bool)       { s.clients.DrainClients(on) }
+func (s *clientsSide) AcceptConnections(yes bool) { s.clients.AcceptConnections(yes) }
+func (s *clientsSide) HalveLimits(half bool)      { s.clients.HalveLimits(half) }
 
 func (s *clientsSide) Close() { s.clients.Close() }
 
@@ -513,7 +513,7 @@
 }
 
 // Write lets an allocation of a durable batch job out once its record stands on the disk.
-func (s *executorsSide) Write(c node.ConnID, a node.Allocation) {
+func (s *executorsSide) Write(c node.ConnID, a node.Attempt) {
 	d := (*Durable)(s)
 	id, ok := strings.CutPrefix(string(a.ID), prefix)
 	if !ok {
@@ -523,12 +523,12 @@
 	d.mu.Lock()
 	epoch, effects := d.book.Send(now(), leases.ID(id), d.at[d.addrs[c]])
 	if epoch > 0 {
-		call := *a.Call
+		call := *a.Request
 		call.Epoch = uint32(epoch)
 		if d.plant.noEpoch {
 			call.Epoch = 0
 		}
-		a.Call = &call
+		a.Request = &call
 		d.writes[c] = &pending{id: leases.ID(id), epoch: epoch, alloc: a}
 		d.out[leases.ID(id)] = c
 	}
--- a/internal/standin/clients.go
+++ b/internal/emulator/clients.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"fmt"
@@ -6,13 +6,13 @@
 	"math/rand/v2"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
 // Track is a track as its clients use it.
 type Track struct {
-	policy.Track
+	policy.JobClass
 	Share    float64 // of the batch jobs
 	Mean     float64 // seconds on a standard core
 	Spread   float64 // how far single ones are from that: the sigma of a lognormal
@@ -44,9 +44,9 @@
 
 // Work is what a client wants done, over all its tries.
 type Work struct {
-	ID     rules.WorkID
+	ID     invariants.WorkID
 	Client int // of a loop; -1
-	Track  policy.TrackID
+	Track  policy.JobClassID
 	Cost   float64
 	Hint   float64 // 0: none
 	Came   time.Duration
@@ -113,27 +113,27 @@
 	if c.rand.Float64() < c.Tail.Part {
 		cost *= c.Tail.Times // no hint tells it
 	}
-	w := &Work{ID: rules.WorkID(fmt.Sprintf("%s%d", c.Name, c.count)), Client: client, Track: id, Cost: cost, Hint: hint,
-		Came: now, Limit: now + t.OuterLimit, Leaves: Never, first: now, Earns: t.Earnings}
+	w := &Work{ID: invariants.WorkID(fmt.Sprintf("%s%d", c.Name, c.count)), Client: client, Track: id, Cost: cost, Hint: hint,
+		Came: now, Limit: now + t.Deadline, Leaves: Never, first: now, Earns: t.Value}
 	if c.perWork {
 		w.Earns *= cost
 	}
-	w.Quoted = now + min(t.OuterLimit, t.Quoted+time.Duration(t.Stretch*cost*1e9))
+	w.Quoted = now + min(t.Deadline, t.LatencyObjective+time.Duration(t.RunTimeFactor*cost*1e9))
 	if c.rand.Float64() < c.Habits.Leaves {
-		w.Leaves = now + time.Duration(c.rand.Float64()*float64(t.OuterLimit))
+		w.Leaves = now + time.Duration(c.rand.Float64()*float64(t.Deadline))
 	}
 	w.repeatID = c.rand.Float64() < c.Habits.RepeatsIDs
 	return w
 }
 
-func (c *Clients) track() policy.TrackID {
+func (c *Clients) track() policy.JobClassID {
 	x := c.rand.Float64()
 	for i, t := range c.Tracks {
 		if x -= t.Share; x < 0 {
-			return policy.TrackID(i)
+			return policy.JobClassID(i)
 		}
 	}
-	return policy.TrackID(len(c.Tracks) - 1)
+	return policy.JobClassID(len(c.Tracks) - 1)
 }
 
 // End is how a try ended for its client.
@@ -151,8 +151,8 @@
 // likewise where all executors drop its repeats and within its window; others only where nothing can have run.
 func (c *Clients) After(now time.Duration, w *Work, how End, comeBack time.Duration) (time.Duration, bool) {
 	t := &c.Tracks[w.Track]
-	may := how == EndPushedBack || how == EndUnreached || t.Repeat == policy.Repeatable ||
-		t.Repeat == policy.Tagged && t.Group == policy.GroupAll && now < w.first+t.GroupWindow/2
+	may := how == EndPushedBack || how == EndUnreached || t.Idempotency == policy.Idempotent ||
+		t.Idempotency == policy.IdempotentWithKey && t.DedupGroup == policy.DedupAllExecutors && now < w.first+t.DedupWindow/2
 	if how == EndHandled || !may || w.Tries >= c.Habits.Retries {
 		return 0, false
 	}
--- a/internal/standin/discovery.go
+++ b/internal/emulator/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"cmp"
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
 // Entry is an executor in the list, and where it is reached.
 type Entry struct {
-	policy.Entry
+	policy.Endpoint
 	Addr string
 }
 
@@ -23,8 +23,8 @@
 	silent  bool          // it tells nobody anything
 	entries map[policy.ExecutorID]Entry
 	changes []change
-	told    map[rules.NodeID]int // changes that a node has
-	whole   map[rules.NodeID]bool
+	told    map[invariants.NodeID]int // changes that a node has
+	whole   map[invariants.NodeID]bool
 }
 
 type change struct {
@@ -34,13 +34,13 @@
 
 // NewDiscovery makes one that knows of no executor.
 func NewDiscovery(lag time.Duration) *Discovery {
-	return &Discovery{lag: lag, entries: map[policy.ExecutorID]Entry{}, told: map[rules.NodeID]int{},
-		whole: map[rules.NodeID]bool{}}
+	return &Discovery{lag: lag, entries: map[policy.ExecutorID]Entry{}, told: map[invariants.NodeID]int{},
+		whole: map[invariants.NodeID]bool{}}
 }
 
 // Change books a change of one entry, and says when nodes may be told of it.
 func (d *Discovery) Change(now time.Duration, e Entry) time.Duration {
-	if e.State == policy.Gone {
+	if e.State == policy.Removed {
 		delete(d.entries, e.Executor)
 	} else {
 		d.entries[e.Executor] = e
@@ -70,7 +70,7 @@
 func (d *Discovery) Silent() bool { return d.silent }
 
 // Watch makes a node's next news the whole list.
-func (d *Discovery) Watch(n rules.NodeID) {
+func (d *Discovery) Watch(n invariants.NodeID) {
 	d.whole[n] = true
 	if _, ok := d.told[n]; !ok {
 		d.told[n] = 0
@@ -84,7 +84,7 @@
 		if c.at > at {
 			break
 		}
-		if c.State == policy.Gone {
+		if c.State == policy.Removed {
 			delete(byID, c.Executor)
 		} else {
 			byID[c.Executor] = c.Entry
@@ -95,16 +95,16 @@
 
 // News is what a node is told now: nothing, the changes since it was told last, or the whole list, both as they were a
 // lag ago.
-func (d *Discovery) News(now time.Duration, n rules.NodeID) (kind policy.ListKind, entries []Entry) {
+func (d *Discovery) News(now time.Duration, n invariants.NodeID) (kind policy.EndpointUpdateKind, entries []Entry) {
 	if d.silent {
-		return policy.Lost, nil
+		return policy.WatchFailed, nil
 	}
 	d.told[n], entries = d.Since(now, d.told[n])
 	if d.whole[n] {
 		delete(d.whole, n)
-		return policy.Whole, d.Whole(now)
+		return policy.CompleteUpdate, d.Whole(now)
 	}
-	return policy.Changes, entries
+	return policy.IncrementalUpdate, entries
 }
 
 // Since is what may be told now of the changes after a version, the last of each executor, and the version after them.
--- a/internal/standin/executor.go
+++ b/internal/emulator/executor.go
@@ -1,7 +1,7 @@
-// Package standin is a model of the systems around a node: executors, discovery, clients, and what goes wrong with
+// Package emulator is a model of the systems around a node: executors, discovery, clients, and what goes wrong with
 // them. It is pure: time and what happens go in, what follows comes out. The lab runs it on a virtual clock, with the
 // reducer alone and with the network code on connections in memory.
-package standin
+package emulator
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"birchstair/internal/rules"
+	"birchstair/internal/invariants"
 	"birchstair/policy"
 )
 
@@ -55,10 +55,10 @@
 // Allocation is what reaches an executor.
 type Allocation struct {
 	Conn     ConnID
-	Node     rules.NodeID
+	Node     invariants.NodeID
 	Job      policy.JobID
-	Work     rules.WorkID
-	Track    policy.TrackID
+	Work     invariants.WorkID
+	Track    policy.JobClassID
 	Tag      string        // a tagged one's; empty for others
 	Window   time.Duration // how long its repeats are dropped
 	Memory   *Memory       // by whom
@@ -77,19 +77,19 @@
 type Memories map[memoryKey]*Memory
 
 type memoryKey struct {
-	group policy.Group
+	group policy.DedupGroup
 	zone  policy.ZoneID
 	cell  policy.CellID
-	track policy.TrackID
+	track policy.JobClassID
 }
 
 // Of is what remembers the tags of a track's batch jobs at an executor; an empty one where there was none.
-func (all Memories) Of(track policy.TrackID, group policy.Group, at ExecutorSpec) *Memory {
+func (all Memories) Of(track policy.JobClassID, group policy.DedupGroup, at ExecutorSpec) *Memory {
 	k := memoryKey{group: group, track: track}
 	switch group {
-	case policy.GroupZone:
+	case policy.DedupZone:
 		k.zone = at.Zone
-	case policy.GroupCell:
+	case policy.DedupCell:
 		k.cell = at.Cell
 	}
 	if all[k] == nil {
@@ -487,7 +487,7 @@
 		most = max(most, c.cost)
 	}
 	budget := e.FallMultiple * e.Capacity(now) * e.FallWindow.Seconds()
-	if budget == 0 || !rules.TopplesCold(sum, most, budget, e.MeanWork) {
+	if budget == 0 || !invariants.TopplesCold(sum, most, budget, e.MeanWork) {
 		return false
 	}
 	e.out = append(e.out, Fell{})
--- a/internal/clients/codec.go
+++ b/internal/frontend/codec.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"fmt"
@@ -81,8 +81,8 @@
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return job, bad("the path is missing")
 	}
-	job.Call = node.Call{ID: policy.JobID(h.Get("X-Call-Id")), Method: r.Method, URI: r.RequestURI, Host: r.Host,
-		ContentType: h.Get("Content-Type"), Tag: h.Get("Idempotency-Key")}
+	job.Request = node.Request{ID: policy.JobID(h.Get("X-Call-Id")), Method: r.Method, URI: r.RequestURI, Host: r.Host,
+		ContentType: h.Get("Content-Type"), IdempotencyKey: h.Get("Idempotency-Key")}
 	if job.ID == "" || len(job.ID) > longestID {
 		return job, bad("X-Call-Id: missing, or over %d bytes", longestID)
 	}
@@ -90,7 +90,7 @@
 	if !ok {
 		return job, bad("X-Call-Class: no track is called %.40q", h.Get("X-Call-Class"))
 	}
-	if job.Track = track.id; len(job.Tag) > longestID || track.tagged && job.Tag == "" {
+	if job.Class = track.id; len(job.IdempotencyKey) > longestID || track.tagged && job.IdempotencyKey == "" {
 		return job, bad("Idempotency-Key: missing, or over %d bytes", longestID)
 	}
 	text := h.Get("X-Budget-Ms")
@@ -107,7 +107,7 @@
 		}
 		job.Work = time.Duration(cost * float64(time.Microsecond))
 	}
-	job.Again = h.Get("X-Again") == "1"
+	job.ClientRetry = h.Get("X-Again") == "1"
 	job.Body, no = readBody(w, r)
 	return job, no
 }
@@ -136,16 +136,16 @@
 func write(w http.ResponseWriter, a node.Answer) {
 	h := w.Header()
 	switch a.Final {
-	case node.Handled:
+	case node.Succeeded:
 		h.Set("Content-Type", "application/octet-stream")
 		h.Set("Content-Length", strconv.Itoa(len(a.Result)))
 		w.Write(a.Result)
-	case node.PushedBack:
-		if a.ComeBack > 0 {
-			h.Set("Retry-After", strconv.FormatFloat(a.ComeBack.Seconds(), 'f', -1, 64))
+	case node.Rejected:
+		if a.RetryAfter > 0 {
+			h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
 		}
 		http.Error(w, "pushed back", http.StatusServiceUnavailable)
-	case node.BrokenOff:
+	case node.Failed:
 		http.Error(w, "broken off", http.StatusBadGateway)
 	}
 }
--- a/internal/clients/front.go
+++ b/internal/frontend/front.go
@@ -1,6 +1,6 @@
-// Package clients is the side that batch jobs come in from: net/http's server, a handler for each batch job that
+// Package frontend is the side that batch jobs come in from: net/http's server, a handler for each batch job that
 // waits for its final answer. front.go holds those that wait, server.go the connections, codec.go the protocol.
-package clients
+package frontend
 
 import (
 	"context"
@@ -36,16 +36,16 @@
 
 // track is what a batch job's track asks of it.
 type track struct {
-	id     policy.TrackID
+	id     policy.JobClassID
 	limit  time.Duration // its outer limit
 	tagged bool          // it comes with a tag
 }
 
 // New makes a front for tracks, with a budget of connections.
-func New(tracks []node.Numbered, conns Budget, tell func(node.Event)) *Front {
+func New(tracks []node.NumberedClass, conns Budget, tell func(node.Event)) *Front {
 	f := &Front{tell: tell, gate: newGate(conns), over: make(chan struct{}), closeIn: closeSpell,
 		waiting: map[policy.JobID]chan node.Answer{}}
-	f.Retune(tracks)
+	f.UpdateJobClasses(tracks)
 	f.server = http.Server{Handler: http.HandlerFunc(f.handle), ConnState: f.gate.turned,
 		DisableGeneralOptionsHandler: true, // so that the handler sees every message
 		// Together from the first moment on, so that nobody holds a place by sending ever less.
@@ -62,17 +62,17 @@
 	f.aside[path] = to
 }
 
-// Retune says which tracks there are from now on. What has been read under those before goes on under them.
-func (f *Front) Retune(tracks []node.Numbered) {
+// UpdateJobClasses says which tracks there are from now on. What has been read under those before goes on under them.
+func (f *Front) UpdateJobClasses(tracks []node.NumberedClass) {
 	all := map[string]track{}
 	for _, t := range tracks {
-		all[t.Name] = track{t.ID, t.OuterLimit, t.Repeat == policy.Tagged}
+		all[t.Name] = track{t.ID, t.Deadline, t.Idempotency == policy.IdempotentWithKey}
 	}
 	f.tracks.Store(&all)
 }
 
-// Ready says whether the node is to be given batch jobs.
-func (f *Front) Ready(yes bool) { f.ready.Store(yes) }
+// SetReady says whether the node is to be given batch jobs.
+func (f *Front) SetReady(yes bool) { f.ready.Store(yes) }
 
 // Answer gives a batch job's final answer to the handler that waits for it.
 func (f *Front) Answer(a node.Answer) {
@@ -134,15 +134,15 @@
 	}
 	to := f.await(job.ID)
 	if to == nil {
-		f.tell(node.Declined{Track: job.Track})
+		f.tell(node.JobDeclined{Class: job.Class})
 		inHand.write(w)
 		return
 	}
-	job.Crowded = f.gate.came(conn)
+	job.NearConnectionLimit = f.gate.came(conn)
 	client := conn.awaits()
 	defer conn.replied()
 	job.Client = client
-	f.tell(node.Arrived{Job: job})
+	f.tell(node.JobArrived{Job: job})
 	a, left := f.wait(r.Context(), client, job.ID, to)
 	f.sendElsewhere(w)
 	if left {
@@ -182,8 +182,8 @@
 	default:
 	}
 	if over {
-		return node.Answer{Job: id, Final: node.PushedBack}, false
+		return node.Answer{Job: id, Final: node.Rejected}, false
 	}
-	f.tell(node.Left{Job: id, Client: client})
-	return node.Answer{Job: id, Final: node.BrokenOff}, left
+	f.tell(node.ClientLeft{Job: id, Client: client})
+	return node.Answer{Job: id, Final: node.Failed}, left
 }
--- a/internal/clients/clients_test.go
+++ b/internal/frontend/frontend_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/emulator"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
@@ -27,24 +27,24 @@
 }
 
 func newCore(t *testing.T, conns int, change ...func(*http.Server)) *core {
-	return newCoreBehind(t, conns, &standin.Halts{}, change...)
+	return newCoreBehind(t, conns, &emulator.Halts{}, change...)
 }
 
 // newCoreBehind makes one whose listener and connections can be stopped.
-func newCoreBehind(t *testing.T, conns int, halts *standin.Halts, change ...func(*http.Server)) *core {
+func newCoreBehind(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *core {
 	c := &core{t: t, told: make(chan node.Event, 100)}
-	c.front = New([]node.Numbered{{Track: node.Track{Name: "board-read"}}, {ID: 1, Track: node.Track{Name: "run-verify", Track: policy.Track{OuterLimit: time.Second}}},
-		{ID: 2, Track: node.Track{Name: "split-record", Track: policy.Track{Repeat: policy.Tagged}}}}, Budget{conns, conns / 2}, func(ev node.Event) {
-		if ev, ok := ev.(node.Arrived); ok {
+	c.front = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
+		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, Budget{conns, conns / 2}, func(ev node.Event) {
+		if ev, ok := ev.(node.JobArrived); ok {
 			switch name, _, _ := strings.Cut(string(ev.Job.ID), "-"); {
-			case ev.Job.Crowded:
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.PushedBack})
+			case ev.Job.NearConnectionLimit:
+				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected})
 			case name == "handled":
 				c.front.Answer(node.Answer{Job: ev.Job.ID, Result: []byte("the result")})
 			case name == "back":
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.PushedBack, ComeBack: 1500 * time.Millisecond})
+				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected, RetryAfter: 1500 * time.Millisecond})
 			case name == "off":
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.BrokenOff})
+				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Failed})
 			}
 		}
 		c.told <- ev
@@ -67,20 +67,20 @@
 	select {
 	case ev := <-c.told:
 		switch ev := ev.(type) {
-		case node.Arrived:
+		case node.JobArrived:
 			j := ev.Job
 			fmt.Fprintf(&c.out, "  arrived: %s track %d work %v budget %v, %s %s host %s type %q tag %q body %d bytes",
-				j.ID, j.Track, j.Work, j.Budget, j.Method, j.URI, j.Host, j.ContentType, j.Tag, len(j.Body))
-			if j.Again {
+				j.ID, j.Class, j.Work, j.Budget, j.Method, j.URI, j.Host, j.ContentType, j.IdempotencyKey, len(j.Body))
+			if j.ClientRetry {
 				c.out.WriteString(", again")
 			}
-			if j.Crowded {
+			if j.NearConnectionLimit {
 				c.out.WriteString(", crowded")
 			}
 			c.out.WriteString("\n")
-		case node.Declined:
-			fmt.Fprintf(&c.out, "  declined: track %d\n", ev.Track)
-		case node.Left:
+		case node.JobDeclined:
+			fmt.Fprintf(&c.out, "  declined: track %d\n", ev.Class)
+		case node.ClientLeft:
 			fmt.Fprintf(&c.out, "  left: %s\n", ev.Job)
 		default:
 			fmt.Fprintf(&c.out, "  %T\n", ev)
@@ -149,7 +149,7 @@
 	}
 	ready := "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"
 	ask("not ready yet", ready, false)
-	c.front.Ready(true)
+	c.front.SetReady(true)
 	ask("ready", ready, false)
 	ask("readiness by POST", strings.Replace(ready, "GET", "POST", 1), false)
 	ask("a batch job", job("handled", "X-Call-Cost: 2500", "Idempotency-Key: k", "Content-Type: text/plain",
@@ -234,7 +234,7 @@
 	io.WriteString(first, job("handled", "Content-Length: 9")+"half")
 	first.Conn.(*net.TCPConn).CloseWrite()
 	c.answer(first)
-	kept.Compare(t, "messages.txt", c.out.String())
+	golden.Compare(t, "messages.txt", c.out.String())
 }
 
 // What stalls is ended by the server's one spell for a whole message; a batch job that is in hand, and a connection
@@ -264,7 +264,7 @@
 	io.WriteString(resting, job("handled-3"))
 	c.event()
 	c.answer(resting)
-	kept.Compare(t, "stalls.txt", c.out.String())
+	golden.Compare(t, "stalls.txt", c.out.String())
 }
 
 // The end: clients that rest are let go, those in hand get their answers and are told to go elsewhere, what still
@@ -291,7 +291,7 @@
 	if _, err := net.Dial("tcp", c.addr); err == nil {
 		t.Error("connections are taken after the end")
 	}
-	kept.Compare(t, "ending.txt", c.out.String())
+	golden.Compare(t, "ending.txt", c.out.String())
 }
 
 func (g *gate) opened() int {
@@ -324,7 +324,7 @@
 	fourth := c.dial()
 	say(fourth, "wait-4")
 	c.answer(fourth)
-	kept.Compare(t, "edge.txt", c.out.String())
+	golden.Compare(t, "edge.txt", c.out.String())
 }
 
 // Connections that say nothing, ask for little or send half a message, and stay, cost no usual client its place, however
@@ -351,5 +351,5 @@
 	c.answer(newcomer)
 	c.front.Answer(node.Answer{Job: "wait", Result: []byte("the result")})
 	c.answer(waits)
-	kept.Compare(t, "strangers.txt", c.out.String())
+	golden.Compare(t, "strangers.txt", c.out.String())
 }
--- a/internal/clients/server.go
+++ b/internal/frontend/server.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"container/list"
@@ -50,9 +50,9 @@
 	}()
 }
 
-// SendAway is not ready and ends clients' connections, until it is over: each with its next answer, and those that rest
+// DrainClients is not ready and ends clients' connections, until it is over: each with its next answer, and those that rest
 // once clients have had time to go elsewhere. Guards against closing under a batch job that is just being sent.
-func (f *Front) SendAway(on bool) {
+func (f *Front) DrainClients(on bool) {
 	if !f.gate.sendAway(on) {
 		return
 	}
@@ -72,7 +72,7 @@
 		defer cancel()
 		f.gate.endKnown(f.closeIn)
 		f.server.Shutdown(ctx)
-		f.tell(node.FrontClosed{})
+		f.tell(node.FrontendClosed{})
 	}()
 }
 
@@ -139,14 +139,14 @@
 	return g
 }
 
-// Take says whether this process takes new connections; another process of the node takes them where it does not.
-func (f *Front) Take(yes bool) { f.gate.take(yes) }
+// AcceptConnections says whether this process takes new connections; another process of the node takes them where it does not.
+func (f *Front) AcceptConnections(yes bool) { f.gate.take(yes) }
 
 // Budget is how many connections from clients there may be: Half of them while another process of the node lives.
 type Budget struct{ Whole, Half int }
 
-// Halve lets this process hold half of its connections, or all again.
-func (f *Front) Halve(half bool) { f.gate.halve(half) }
+// HalveLimits lets this process hold half of its connections, or all again.
+func (f *Front) HalveLimits(half bool) { f.gate.halve(half) }
 
 // Accept waits for room, and for this process's turn, first.
 func (g *gate) Accept() (net.Conn, error) {
--- a/internal/rig/proc.go
+++ b/internal/harness/proc.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -15,16 +15,16 @@
 	"syscall"
 	"time"
 
+	"birchstair/internal/admin"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
-	"birchstair/internal/rules"
 	"birchstair/policy"
 )
 
 // proc is a node: a process, or the place of one that is down.
 type proc struct {
 	r      *Rig
-	id     rules.NodeID
+	id     invariants.NodeID
 	name   string
 	zone   policy.ZoneID
 	dir    string
@@ -46,7 +46,7 @@
 	stopped  bool
 	stoppedA time.Duration // until when it counts as just stopped
 	deaf     bool          // it hears nothing from discovery
-	known    map[policy.ExecutorID]rules.Seen
+	known    map[policy.ExecutorID]invariants.Seen
 	apart    bool // its words do not pass
 	pool     []net.Conn
 }
@@ -71,8 +71,8 @@
 )
 
 func (r *Rig) newProc(i int, slot byte) (*proc, error) {
-	p := &proc{r: r, id: rules.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(r.s.Fleet.Zones)), reach: map[policy.ExecutorID]net.Listener{},
-		own: net.IPv4(127, slot, 0, byte(i+1)), known: map[policy.ExecutorID]rules.Seen{}}
+	p := &proc{r: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(r.s.Fleet.Zones)), reach: map[policy.ExecutorID]net.Listener{},
+		own: net.IPv4(127, slot, 0, byte(i+1)), known: map[policy.ExecutorID]invariants.Seen{}}
 	p.dir = filepath.Join(r.o.Dir, p.name)
 	if err := os.Mkdir(p.dir, 0o700); err != nil {
 		return nil, err
@@ -104,14 +104,14 @@
 	var tracks []any
 	for i, t := range r.s.Tracks {
 		m := r.module[i]
-		track := map[string]any{"name": t.Name, "quoted-time-s": secs(m.Quoted), "outer-limit-s": secs(m.OuterLimit), "earnings": m.Earnings,
-			"repeat": map[policy.Repeat]string{policy.Repeatable: "repeatable", policy.Tagged: "by_key", policy.OnceOnly: "once"}[m.Repeat], "aim-stretch": m.Stretch}
-		if m.Repeat == policy.Tagged {
-			track["dedup-scope"] = map[policy.Group]string{policy.GroupAll: "all", policy.GroupZone: "zone", policy.GroupCell: "cell"}[m.Group]
-			track["dedup-window-s"] = secs(m.GroupWindow)
+		track := map[string]any{"name": t.Name, "quoted-time-s": secs(m.LatencyObjective), "outer-limit-s": secs(m.Deadline), "earnings": m.Value,
+			"repeat": map[policy.Idempotency]string{policy.Idempotent: "repeatable", policy.IdempotentWithKey: "by_key", policy.AtMostOnce: "once"}[m.Idempotency], "aim-stretch": m.RunTimeFactor}
+		if m.Idempotency == policy.IdempotentWithKey {
+			track["dedup-scope"] = map[policy.DedupGroup]string{policy.DedupAllExecutors: "all", policy.DedupZone: "zone", policy.DedupCell: "cell"}[m.DedupGroup]
+			track["dedup-window-s"] = secs(m.DedupWindow)
 		}
-		if m.LateEarnings > 0 {
-			track["late-earnings"] = m.LateEarnings
+		if m.LateValue > 0 {
+			track["late-earnings"] = m.LateValue
 		}
 		tracks = append(tracks, track)
 	}
@@ -162,7 +162,7 @@
 	p.run++
 	p.cmd, p.up, p.leaving, p.ended, p.stopped = cmd, true, 0, make(chan error, 1), false
 	clear(p.known)
-	p.r.see(rules.Seen{What: rules.NodeStarted, Node: p.id})
+	p.r.see(invariants.Seen{What: invariants.NodeStarted, Node: p.id})
 	p.r.note("%s: started, process %d", p.name, cmd.Process.Pid)
 	ended, run := p.ended, p.run
 	p.r.waits.Go(func() {
@@ -190,7 +190,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.note("%s: %s", p.name, line)
-	if strings.Contains(line, node.ModuleBroke) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
+	if strings.Contains(line, node.PolicyPanicked) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
 		r.wrong("node %s: %.200s", p.name, line)
 	}
 }
@@ -213,7 +213,7 @@
 	if p.there == nil {
 		return nil
 	}
-	lines, err := operators.Call(p.door, node.ReadFleet, "", time.Second)
+	lines, err := admin.Call(p.door, node.ReadFleet, "", time.Second)
 	if err != nil {
 		return []string{"no view: " + err.Error()}
 	}
@@ -254,7 +254,7 @@
 // lose books that the node is gone with all it had in hand.
 func (p *proc) lose() {
 	p.up = false
-	p.r.see(rules.Seen{What: rules.NodeKilled, Node: p.id})
+	p.r.see(invariants.Seen{What: invariants.NodeKilled, Node: p.id})
 	p.r.voidAt(p)
 	for _, c := range p.pool {
 		c.Close()
--- /dev/null
+++ b/internal/hotrestart/codec.go
@@ -0,0 +1,220 @@
+package hotrestart
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// What two processes of a node send each other: one JSON object a line. The wire types below are the only place where its
+// field names stand; they are part of the protocol between versions and don't change with the names in package node.
+
+// version goes up when what is sent changes its meaning.
+const version = 1
+
+// The names on the wire of kinds of messages and of operators' commands, by their values in package node.
+var (
+	kindNames    = []string{node.StateTransfer: "state", node.SuccessorReady: "ready", node.PredecessorYielded: "ceded", node.RelayCommand: "order", node.RelayDone: "done"}
+	commandNames = []string{node.ExcludeExecutor: "take-out", node.ReadmitExecutor: "put-back", node.DrainOn: "drain-on", node.DrainOff: "drain-off"}
+)
+
+// wireMessage is one line.
+type wireMessage struct {
+	Version  int               `json:"Version"`
+	Kind     string            `json:"Kind"`
+	Seq      uint64            `json:"Seq,omitempty"`
+	Command  string            `json:"Order,omitempty"`
+	Executor policy.ExecutorID `json:"Executor,omitempty"`
+	State    *wireState        `json:"State,omitempty"`
+}
+
+// wireState is what a process hands to its successor. Spans are nanoseconds; moments are ages.
+type wireState struct {
+	Excluded   []policy.ExecutorID `json:"Outs"`
+	Readmitted []wireReadmitted    `json:"Backs"`
+	Drained    bool                `json:"Drained"`
+	Endpoints  []wireEndpoint      `json:"List"`
+	Learned    wireLearned         `json:"Known"`
+	ClassNames []string            `json:"Names"`
+}
+
+type wireReadmitted struct {
+	Executor policy.ExecutorID `json:"Executor"`
+	Age      time.Duration     `json:"Ago"`
+}
+
+type wireEndpoint struct {
+	Executor policy.ExecutorID    `json:"Executor"`
+	Zone     policy.ZoneID        `json:"Zone"`
+	Kind     policy.KindID        `json:"Kind"`
+	Cell     policy.CellID        `json:"Cell"`
+	State    policy.EndpointState `json:"State"`
+	Weight   float64              `json:"Weight"`
+	Age      time.Duration        `json:"Started"`
+	LongAgo  bool                 `json:"LongAgo"`
+	Addr     string               `json:"Addr"`
+}
+
+type wireLearned struct {
+	Nodes       int            `json:"Nodes"`
+	Classes     []wireClass    `json:"Tracks"`
+	Kinds       []wireKind     `json:"Kinds"`
+	Executors   []wireExecutor `json:"Executors"`
+	MeanValue   float64        `json:"MeanEarnings"`
+	MeanDensity float64        `json:"MeanDensity"`
+}
+
+type wireClass struct {
+	ID         policy.JobClassID `json:"ID"`
+	MeanWork   time.Duration     `json:"MeanWork"`
+	Samples    int               `json:"Learnt"`
+	FullBudget time.Duration     `json:"FullBudget"`
+	Requested  float64           `json:"Asked"`
+	Earned     float64           `json:"Given"`
+	UnitValue  float64           `json:"Unit"`
+}
+
+type wireKind struct {
+	ID       policy.KindID `json:"ID"`
+	Pace     float64       `json:"Pace"`
+	Size     float64       `json:"Size"`
+	Slots    float64       `json:"Places"`
+	Parallel int           `json:"Parallel"`
+}
+
+type wireExecutor struct {
+	ID          policy.ExecutorID `json:"ID"`
+	Quota       int               `json:"Quota"`
+	RunTime     float64           `json:"Runs"`
+	Work        float64           `json:"Works"`
+	StartWait   time.Duration     `json:"StartWait"`
+	EjectedFor  time.Duration     `json:"HeldFor"`
+	InFlightCap int               `json:"InCap"`
+	Timeouts    int               `json:"Silences"`
+}
+
+// encode writes a message as one line.
+func encode(message node.HandoffMessage) ([]byte, error) {
+	wire := wireMessage{Version: version, Kind: kindNames[message.Kind], Seq: message.Seq, Executor: message.Executor}
+	if message.State != nil {
+		wire.State = stateToWire(message.State)
+	}
+	if message.Kind == node.RelayCommand {
+		wire.Command = commandNames[message.Command]
+	}
+	line, err := json.Marshal(wire)
+	return append(line, '\n'), err
+}
+
+// decode reads one line. Fields that this version doesn't know are passed over.
+func decode(line []byte) (message node.HandoffMessage, err error) {
+	var wire wireMessage
+	if err := json.Unmarshal(line, &wire); err != nil {
+		return message, fmt.Errorf("a word that makes no sense: %w", err)
+	}
+	if wire.Version != version {
+		return message, fmt.Errorf("it speaks version %d, and this process version %d", wire.Version, version)
+	}
+	kind := slices.Index(kindNames, wire.Kind)
+	if kind < 0 || wire.Kind == kindNames[node.StateTransfer] && wire.State == nil {
+		return message, fmt.Errorf("no word is named %.40q", wire.Kind)
+	}
+	message = node.HandoffMessage{Kind: node.HandoffKind(kind), Seq: wire.Seq, Executor: wire.Executor}
+	if wire.State != nil {
+		message.State = stateFromWire(wire.State)
+	}
+	if message.Kind == node.RelayCommand {
+		command := slices.Index(commandNames, wire.Command)
+		if command < 0 || wire.Command == "" {
+			return message, fmt.Errorf("no order is named %.40q", wire.Command)
+		}
+		message.Command = node.AdminCommand(command)
+	}
+	return message, nil
+}
+
+// convert maps a slice and keeps nil apart from empty, which differ on the wire.
+func convert[From, To any](list []From, each func(From) To) []To {
+	if list == nil {
+		return nil
+	}
+	out := make([]To, len(list))
+	for i, v := range list {
+		out[i] = each(v)
+	}
+	return out
+}
+
+func stateToWire(state *node.HandoffState) *wireState {
+	return &wireState{
+		Excluded: state.Excluded,
+		Readmitted: convert(state.Readmitted, func(r node.ReadmittedExecutor) wireReadmitted {
+			return wireReadmitted{Executor: r.Executor, Age: r.Age}
+		}),
+		Drained: state.Drained,
+		Endpoints: convert(state.Endpoints, func(e node.Endpoint) wireEndpoint {
+			return wireEndpoint{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Weight: e.Weight,
+				Age: e.StartedAt, LongAgo: e.StartedLongAgo, Addr: e.Addr}
+		}),
+		Learned:    learnedToWire(state.Learned),
+		ClassNames: state.ClassNames,
+	}
+}
+
+func stateFromWire(wire *wireState) *node.HandoffState {
+	return &node.HandoffState{
+		Excluded: wire.Excluded,
+		Readmitted: convert(wire.Readmitted, func(r wireReadmitted) node.ReadmittedExecutor {
+			return node.ReadmittedExecutor{Executor: r.Executor, Age: r.Age}
+		}),
+		Drained: wire.Drained,
+		Endpoints: convert(wire.Endpoints, func(e wireEndpoint) node.Endpoint {
+			return node.Endpoint{Addr: e.Addr, Endpoint: policy.Endpoint{Executor: e.Executor, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+				State: e.State, Weight: e.Weight, StartedAt: e.Age, StartedLongAgo: e.LongAgo}}
+		}),
+		Learned:    learnedFromWire(wire.Learned),
+		ClassNames: wire.ClassNames,
+	}
+}
+
+func learnedToWire(learned policy.LearnedState) wireLearned {
+	return wireLearned{
+		Nodes: learned.Nodes,
+		Classes: convert(learned.Classes, func(c policy.LearnedClass) wireClass {
+			return wireClass{ID: c.ID, MeanWork: c.MeanWork, Samples: c.Samples, FullBudget: c.FullBudget, Requested: c.RequestedValue,
+				Earned: c.EarnedValue, UnitValue: c.UnitValue}
+		}),
+		Kinds: convert(learned.Kinds, func(k policy.LearnedKind) wireKind {
+			return wireKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Slots: k.Slots, Parallel: k.Parallel}
+		}),
+		Executors: convert(learned.Executors, func(e policy.LearnedExecutor) wireExecutor {
+			return wireExecutor{ID: e.ID, Quota: e.Quota, RunTime: e.RunTime, Work: e.Work, StartWait: e.StartWait,
+				EjectedFor: e.EjectedFor, InFlightCap: e.InFlightCap, Timeouts: e.Timeouts}
+		}),
+		MeanValue:   learned.MeanValue,
+		MeanDensity: learned.MeanDensity,
+	}
+}
+
+func learnedFromWire(wire wireLearned) policy.LearnedState {
+	return policy.LearnedState{
+		Nodes: wire.Nodes,
+		Classes: convert(wire.Classes, func(c wireClass) policy.LearnedClass {
+			return policy.LearnedClass{ID: c.ID, MeanWork: c.MeanWork, Samples: c.Samples, FullBudget: c.FullBudget, RequestedValue: c.Requested,
+				EarnedValue: c.Earned, UnitValue: c.UnitValue}
+		}),
+		Kinds: convert(wire.Kinds, func(k wireKind) policy.LearnedKind {
+			return policy.LearnedKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Slots: k.Slots, Parallel: k.Parallel}
+		}),
+		Executors: convert(wire.Executors, func(e wireExecutor) policy.LearnedExecutor {
+			return policy.LearnedExecutor{ID: e.ID, Quota: e.Quota, RunTime: e.RunTime, Work: e.Work, StartWait: e.StartWait,
+				EjectedFor: e.EjectedFor, InFlightCap: e.InFlightCap, Timeouts: e.Timeouts}
+		}),
+		MeanValue:   wire.MeanValue,
+		MeanDensity: wire.MeanDensity,
+	}
+}
--- a/internal/rules/rules.go
+++ b/internal/invariants/invariants.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"cmp"
@@ -33,10 +33,10 @@
 
 // Settings are what the rules mean at a site.
 type Settings struct {
-	Tracks       []policy.Track // windows as the executors keep them
-	Slack        time.Duration  // after a limit an answer still counts for so long
-	Grace        time.Duration  // after being told of a drain
-	Prompt       time.Duration  // an answer is at once within it
+	Tracks       []policy.JobClass // windows as the executors keep them
+	Slack        time.Duration     // after a limit an answer still counts for so long
+	Grace        time.Duration     // after being told of a drain
+	Prompt       time.Duration     // an answer is at once within it
 	WarmWithin   time.Duration
 	FallMultiple float64
 	FallWindow   time.Duration
@@ -94,7 +94,7 @@
 // job is a batch job at a node, from its being taken until nothing of it is open.
 type job struct {
 	work     WorkID
-	track    policy.TrackID
+	track    policy.JobClassID
 	limit    time.Duration
 	gaveUp   time.Duration
 	given    bool // the module has given up
@@ -106,7 +106,7 @@
 }
 
 type sent struct {
-	number   policy.AllocationID
+	number   policy.AttemptID
 	executor policy.ExecutorID
 	zone     policy.ZoneID
 	cell     policy.CellID
@@ -123,7 +123,7 @@
 }
 
 type told struct {
-	state policy.State
+	state policy.EndpointState
 	at    time.Duration
 	start time.Duration
 }
@@ -149,7 +149,7 @@
 
 // listed is what discovery has of an executor, and since when it may tell of it.
 type listed struct {
-	state policy.State
+	state policy.EndpointState
 	at    time.Duration
 }
 
@@ -178,9 +178,9 @@
 }
 
 // Listed says that discovery has an executor in a state, and tells of it from a time on. It is no thing seen by a node.
-func (c *Checker) Listed(from time.Duration, e policy.ExecutorID, state policy.State) {
+func (c *Checker) Listed(from time.Duration, e policy.ExecutorID, state policy.EndpointState) {
 	was, known := c.listed[e]
-	if known && was.state != policy.Up && state != policy.Up {
+	if known && was.state != policy.Available && state != policy.Available {
 		return // it binds since then
 	}
 	c.listed[e] = listed{state, from}
@@ -198,7 +198,7 @@
 // Uninformed says how long ago a node should have known that an executor takes nothing new.
 func (c *Checker) Uninformed(now time.Duration, n NodeID, e policy.ExecutorID) (time.Duration, bool) {
 	l, known := c.listed[e]
-	if !known || l.state == policy.Up || c.apart[n] || c.apart[Nobody] {
+	if !known || l.state == policy.Available || c.apart[n] || c.apart[Nobody] {
 		return 0, false
 	}
 	late := now - max(l.at, c.reachable[n], c.reachable[Nobody]) - InformedWithin
@@ -325,7 +325,7 @@
 	}
 	was, known := of[s.Executor]
 	t := told{s.State, s.At, s.Start}
-	if known && was.state != policy.Up && s.State != policy.Up {
+	if known && was.state != policy.Available && s.State != policy.Available {
 		t.at = was.at // it was told so before
 	}
 	of[s.Executor] = t
@@ -363,7 +363,7 @@
 		c.breaks(OneAnswer, s.At, key, s.Work, s.Executor, "%s was sent to %s after its end", s.Job, s.Executor)
 		return
 	}
-	if t, ok := c.nodes[s.Node][s.Executor]; ok && t.state != policy.Up && s.At > t.at+c.s.Grace {
+	if t, ok := c.nodes[s.Node][s.Executor]; ok && t.state != policy.Available && s.At > t.at+c.s.Grace {
 		c.breaks(DrainKept, s.At, key, j.work, s.Executor, "%s was sent to %s %v after node %d was told that it drains or is gone",
 			s.Job, s.Executor, s.At-t.at, s.Node)
 	}
@@ -384,18 +384,18 @@
 	switch {
 	case out > 1:
 		c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s has three allocations out at once", s.Job)
-	case out == 1 && !(c.s.Copies && track.Repeat == policy.Repeatable):
+	case out == 1 && !(c.s.Copies && track.Idempotency == policy.Idempotent):
 		c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s has two allocations out at once", s.Job)
 	}
 	if first >= 0 {
 		a := j.sent[first]
 		switch {
-		case track.Repeat == policy.OnceOnly:
+		case track.Idempotency == policy.AtMostOnce:
 			c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s, once-only, was sent again though allocation %d may have run", s.Job, a.number)
-		case track.Repeat == policy.Tagged && (track.Group == policy.GroupZone && a.zone != s.Zone ||
-			track.Group == policy.GroupCell && a.cell != s.Cell):
+		case track.Idempotency == policy.IdempotentWithKey && (track.DedupGroup == policy.DedupZone && a.zone != s.Zone ||
+			track.DedupGroup == policy.DedupCell && a.cell != s.Cell):
 			c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s, tagged, was sent outside the group that drops its repeats", s.Job)
-		case track.Repeat == policy.Tagged && s.At > a.at+track.GroupWindow:
+		case track.Idempotency == policy.IdempotentWithKey && s.At > a.at+track.DedupWindow:
 			c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s, tagged, was sent again %v after allocation %d, outside the window", s.Job, s.At-a.at, a.number)
 		}
 	}
@@ -430,7 +430,7 @@
 	track := c.s.Tracks[j.track]
 	may := slices.ContainsFunc(j.sent, func(a sent) bool { return !(a.over && a.proof) })
 	switch {
-	case s.Final == PushedBack && may && (track.Repeat == policy.OnceOnly || track.Repeat == policy.Tagged && track.Group != policy.GroupAll):
+	case s.Final == PushedBack && may && (track.Idempotency == policy.AtMostOnce || track.Idempotency == policy.IdempotentWithKey && track.DedupGroup != policy.DedupAllExecutors):
 		c.breaks(NoEffectTwice, s.At, key, j.work, "", "%s was pushed back, though it may have run", s.Job)
 	case s.Final == Handled && len(c.works[j.work]) == 0:
 		c.breaks(OneAnswer, s.At, key, j.work, "", "%s was answered as handled, and never ran", s.Job)
@@ -449,11 +449,11 @@
 	track := c.s.Tracks[s.Track]
 	for _, r := range c.works[s.Work] {
 		switch {
-		case track.Repeat == policy.OnceOnly:
+		case track.Idempotency == policy.AtMostOnce:
 			c.breaks(NoEffectTwice, s.At, key, s.Work, s.Executor, "%s, once-only, ran at %s and at %s", s.Work, r.executor, s.Executor)
-		case track.Repeat == policy.Tagged && s.At > r.at+track.GroupWindow:
+		case track.Idempotency == policy.IdempotentWithKey && s.At > r.at+track.DedupWindow:
 			c.lateTwice++
-		case track.Repeat == policy.Tagged && r.job == key:
+		case track.Idempotency == policy.IdempotentWithKey && r.job == key:
 			c.breaks(NoEffectTwice, s.At, key, s.Work, s.Executor, "%s, tagged, ran at %s and at %s for one batch job", s.Work, r.executor, s.Executor)
 		}
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/invariants/invariants_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/policy"
 )
 
@@ -14,9 +14,9 @@
 
 // Tracks 0 to 4: repeatable, once-only, tagged within all, a zone, a cell.
 var site = Settings{Slack: 16 * ms, Grace: 1500 * ms, Prompt: ms, WarmWithin: 9000 * ms, FallMultiple: 2, FallWindow: 1000 * ms,
-	Tracks: []policy.Track{{}, {Repeat: policy.OnceOnly}, {Repeat: policy.Tagged, GroupWindow: 7500 * ms},
-		{Repeat: policy.Tagged, Group: policy.GroupZone, GroupWindow: 7500 * ms},
-		{Repeat: policy.Tagged, Group: policy.GroupCell, GroupWindow: 7500 * ms}}}
+	Tracks: []policy.JobClass{{}, {Idempotency: policy.AtMostOnce}, {Idempotency: policy.IdempotentWithKey, DedupWindow: 7500 * ms},
+		{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupZone, DedupWindow: 7500 * ms},
+		{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupCell, DedupWindow: 7500 * ms}}}
 
 func at(t time.Duration, what What, with func(*Seen)) Seen {
 	s := Seen{At: t, What: what, Job: "j", Work: "w", Executor: "a"}
@@ -26,19 +26,19 @@
 	return s
 }
 
-func taken(track policy.TrackID) Seen {
+func taken(track policy.JobClassID) Seen {
 	return at(0, Taken, func(s *Seen) { s.Track, s.Limit = track, 10000*ms })
 }
 
-func sentTo(t time.Duration, n policy.AllocationID, e policy.ExecutorID, zone policy.ZoneID) Seen {
+func sentTo(t time.Duration, n policy.AttemptID, e policy.ExecutorID, zone policy.ZoneID) Seen {
 	return at(t, FirstByte, func(s *Seen) { s.Allocation, s.Executor, s.Zone, s.Cell = n, e, zone, policy.CellID(zone) })
 }
 
-func over(t time.Duration, n policy.AllocationID, proof bool) Seen {
+func over(t time.Duration, n policy.AttemptID, proof bool) Seen {
 	return at(t, Over, func(s *Seen) { s.Allocation, s.Proof = n, proof })
 }
 
-func ranAt(t time.Duration, track policy.TrackID, e policy.ExecutorID) Seen {
+func ranAt(t time.Duration, track policy.JobClassID, e policy.ExecutorID) Seen {
 	return at(t, Ran, func(s *Seen) { s.Track, s.Executor = track, e })
 }
 
@@ -55,12 +55,12 @@
 
 func answer(t time.Duration, f Final) Seen { return at(t, Answered, func(s *Seen) { s.Final = f }) }
 
-func toldOf(t time.Duration, state policy.State) Seen {
+func toldOf(t time.Duration, state policy.EndpointState) Seen {
 	return at(t, Told, func(s *Seen) { s.State = state })
 }
 
 func toldFrom(t, start time.Duration) Seen {
-	return at(t, Told, func(s *Seen) { s.State, s.Start = policy.Up, start })
+	return at(t, Told, func(s *Seen) { s.State, s.Start = policy.Available, start })
 }
 
 func reached(t time.Duration, cost float64) Seen {
@@ -127,18 +127,18 @@
 		{"tagged, held up for longer than its window", []Seen{taken(2), ranAt(1*ms, 2, "a"), ranAt(7600*ms, 2, "b")}},
 		{"sent within the grace of a drain", []Seen{toldOf(0, policy.Draining), taken(0), sentTo(1500*ms, 0, "a", 0)}},
 		{"sent after the grace of a drain", []Seen{toldOf(0, policy.Draining), taken(0), sentTo(1501*ms, 0, "a", 0)}},
-		{"the grace counts from the first word", []Seen{toldOf(0, policy.Draining), toldOf(1000*ms, policy.Gone), taken(0), sentTo(1501*ms, 0, "a", 0)}},
-		{"up again after a drain", []Seen{toldOf(0, policy.Draining), toldOf(1000*ms, policy.Up), taken(0), sentTo(3000*ms, 0, "a", 0)}},
+		{"the grace counts from the first word", []Seen{toldOf(0, policy.Draining), toldOf(1000*ms, policy.Removed), taken(0), sentTo(1501*ms, 0, "a", 0)}},
+		{"up again after a drain", []Seen{toldOf(0, policy.Draining), toldOf(1000*ms, policy.Available), taken(0), sentTo(3000*ms, 0, "a", 0)}},
 		{"a new start of the node knows of no drain", []Seen{toldOf(0, policy.Draining), at(5*ms, NodeStarted, nil), taken(0), sentTo(3000*ms, 0, "a", 0)}},
-		{"cold, within its budget and the slack", []Seen{at(0, Started, nil), toldOf(0, policy.Up), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1)}},
-		{"cold, over its budget", []Seen{at(0, Started, nil), toldOf(0, policy.Up), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1), reached(40*ms, 1.1)}},
-		{"cold, the window has passed", []Seen{at(0, Started, nil), toldOf(0, policy.Up), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1), reached(1040*ms, 1.1)}},
-		{"cold, by nodes that were not told of its start", []Seen{toldOf(0, policy.Up), at(5*ms, Started, nil), reached(10*ms, 5), reached(20*ms, 5), reached(30*ms, 5)}},
-		{"cold, sent by a node before it was told of its start", []Seen{toldOf(0, policy.Up), at(5*ms, Started, nil), taken(0), sentTo(6*ms, 0, "a", 0),
+		{"cold, within its budget and the slack", []Seen{at(0, Started, nil), toldOf(0, policy.Available), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1)}},
+		{"cold, over its budget", []Seen{at(0, Started, nil), toldOf(0, policy.Available), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1), reached(40*ms, 1.1)}},
+		{"cold, the window has passed", []Seen{at(0, Started, nil), toldOf(0, policy.Available), reached(10*ms, 1.1), reached(20*ms, 1.1), reached(30*ms, 1.1), reached(1040*ms, 1.1)}},
+		{"cold, by nodes that were not told of its start", []Seen{toldOf(0, policy.Available), at(5*ms, Started, nil), reached(10*ms, 5), reached(20*ms, 5), reached(30*ms, 5)}},
+		{"cold, sent by a node before it was told of its start", []Seen{toldOf(0, policy.Available), at(5*ms, Started, nil), taken(0), sentTo(6*ms, 0, "a", 0),
 			toldFrom(7*ms, 5*ms), reached(10*ms, 5), reached(20*ms, 5)}},
-		{"cold, sent by a node after it was told of its start", []Seen{toldOf(0, policy.Up), at(5*ms, Started, nil), taken(0), toldFrom(6*ms, 5*ms),
+		{"cold, sent by a node after it was told of its start", []Seen{toldOf(0, policy.Available), at(5*ms, Started, nil), taken(0), toldFrom(6*ms, 5*ms),
 			sentTo(7*ms, 0, "a", 0), reached(10*ms, 5), reached(20*ms, 5)}},
-		{"warm", []Seen{at(0, Started, nil), toldOf(0, policy.Up), reached(9001*ms, 9), reached(9002*ms, 9), reached(9003*ms, 9)}},
+		{"warm", []Seen{at(0, Started, nil), toldOf(0, policy.Available), reached(9001*ms, 9), reached(9002*ms, 9), reached(9003*ms, 9)}},
 		{"given up on, answered at once", []Seen{taken(0), at(5*ms, GaveUp, nil), answer(5*ms, PushedBack)}},
 		{"given up on, answered late", []Seen{taken(0), at(5*ms, GaveUp, nil), answer(7*ms, PushedBack)}},
 	} {
@@ -160,7 +160,7 @@
 		}
 		fmt.Fprintf(&out, "%s\n    -> %s\n", c.name, strings.TrimSpace(verdict))
 	}
-	kept.Compare(t, "edges.txt", out.String())
+	golden.Compare(t, "edges.txt", out.String())
 }
 
 // What a broken rule shows are the lines that are about it.
@@ -176,13 +176,13 @@
 	for _, b := range all {
 		text += b.String() + "\n"
 	}
-	kept.Compare(t, "lines.txt", text)
+	golden.Compare(t, "lines.txt", text)
 }
 
 // A line of a trace reads back as it was.
 func TestLine(t *testing.T) {
 	s := Seen{At: 5 * ms, What: Over, Node: 3, Job: "j", Work: "w", Track: 1, Allocation: 2, Executor: "e", Zone: 1, Cell: 4,
-		State: policy.Gone, Start: -3, Limit: 7, Proof: true, Final: BrokenOff, Cost: 0.5, Capacity: 2, Text: "x"}
+		State: policy.Removed, Start: -3, Limit: 7, Proof: true, Final: BrokenOff, Cost: 0.5, Capacity: 2, Text: "x"}
 	line, err := s.Line()
 	if err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 	allowed.Copies = true
 	for _, c := range []struct {
 		name  string
-		track policy.TrackID
+		track policy.JobClassID
 		seen  []Seen
 		want  bool
 	}{
@@ -258,7 +258,7 @@
 		checker := New(of)
 		start := at(5*ms, Started, nil)
 		start.Node = Nobody
-		untold, told := toldOf(0, policy.Up), toldFrom(6*ms, 5*ms)
+		untold, told := toldOf(0, policy.Available), toldFrom(6*ms, 5*ms)
 		untold.Node = 1
 		for _, s := range []Seen{untold, start, told} {
 			checker.See(s)
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -45,22 +45,22 @@
 type Final int
 
 const (
-	Handled Final = iota
-	PushedBack
-	BrokenOff
+	Succeeded Final = iota
+	Rejected
+	Failed
 )
 
-// Track is what a track allows after an allocation that may have run.
-type Track struct {
-	Repeat policy.Repeat
-	Group  policy.Group
-	Window time.Duration // of a tagged one, less what a connection takes to come up
+// JobClass is what a track allows after an allocation that may have run.
+type JobClass struct {
+	Idempotency policy.Idempotency
+	DedupGroup  policy.DedupGroup
+	DedupWindow time.Duration // of a tagged one, less what a connection takes to come up
 }
 
 // Job is a batch job as it is handed in. Times are times of day, as spans since 1970.
 type Job struct {
 	ID    ID
-	Track Track
+	Track JobClass
 	Limit time.Duration // the outer limit
 }
 
@@ -278,11 +278,11 @@
 // node has sent, so it is given that much time only.
 func (b *Book) repeatUntil(j *job) time.Duration {
 	first := j.mayHaveRun()
-	if first == nil || j.Track.Repeat == policy.Repeatable {
+	if first == nil || j.Track.Idempotency == policy.Idempotent {
 		return never
 	}
-	if j.Track.Repeat == policy.Tagged && j.Track.Group == policy.GroupAll {
-		return first.At + j.Track.Window
+	if j.Track.Idempotency == policy.IdempotentWithKey && j.Track.DedupGroup == policy.DedupAllExecutors {
+		return first.At + j.Track.DedupWindow
 	}
 	return 0
 }
@@ -336,10 +336,10 @@
 		return b.give(now)
 	}
 	b.inHand--
-	if how == PushedBack && j.Track.Repeat != policy.Repeatable && j.mayHaveRun() != nil {
-		how = BrokenOff // the module knows nothing of what an earlier life has sent
+	if how == Rejected && j.Track.Idempotency != policy.Idempotent && j.mayHaveRun() != nil {
+		how = Failed // the module knows nothing of what an earlier life has sent
 	}
-	if b.stopped && how != Handled {
+	if b.stopped && how != Succeeded {
 		b.wait(j)
 		return b.give(now)
 	}
@@ -355,9 +355,9 @@
 
 // expire answers what nothing was handled of by its outer limit. A pushback promises that it did not run.
 func (b *Book) expire(now time.Duration, j *job) {
-	how := BrokenOff
-	if j.mayHaveRun() == nil || j.Track.Repeat == policy.Repeatable {
-		how = PushedBack
+	how := Failed
+	if j.mayHaveRun() == nil || j.Track.Idempotency == policy.Idempotent {
+		how = Rejected
 	}
 	b.close(j, how, nil)
 }
@@ -410,8 +410,8 @@
 		b.at(max(now, finalAt+b.s.Keep), j)
 		return b.give(now)
 	}
-	if now < last && j.Track.Repeat == policy.Tagged {
-		j.Track.Window = 0
+	if now < last && j.Track.Idempotency == policy.IdempotentWithKey {
+		j.Track.DedupWindow = 0
 	}
 	switch {
 	case now >= j.Limit && (!b.s.Leases || j.mayHaveRun() == nil):
@@ -428,7 +428,7 @@
 func (b *Book) ask(now time.Duration, j *job) {
 	first := j.mayHaveRun()
 	if !b.s.Leases {
-		b.close(j, BrokenOff, nil)
+		b.close(j, Failed, nil)
 		return
 	}
 	j.state, j.asked = Asking, true
@@ -446,7 +446,7 @@
 	j.asked = false
 	switch what {
 	case FoundFinished:
-		b.close(j, Handled, result)
+		b.close(j, Succeeded, result)
 	case FoundNever:
 		j.sends[e-1].NeverRan = true
 		b.say(KeepOver{id, e})
@@ -459,10 +459,10 @@
 			b.ask(now, j)
 		}
 	case FoundMute, FoundLost:
-		b.close(j, BrokenOff, nil)
+		b.close(j, Failed, nil)
 	case FoundNothing, FoundRunning:
 		if now >= j.Limit {
-			b.close(j, BrokenOff, nil)
+			b.close(j, Failed, nil)
 			break
 		}
 		j.turn++
@@ -486,7 +486,7 @@
 			b.expire(now, j)
 		case Asking:
 			if now >= j.Limit {
-				b.close(j, BrokenOff, nil)
+				b.close(j, Failed, nil)
 			} else {
 				b.ask(now, j)
 			}
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/policy"
 )
 
 var (
-	repeatable = Track{}
-	once       = Track{Repeat: policy.OnceOnly}
-	taggedAll  = Track{Repeat: policy.Tagged, Window: 7 * time.Second}
-	taggedZone = Track{Repeat: policy.Tagged, Group: policy.GroupZone, Window: 7 * time.Second}
+	repeatable = JobClass{}
+	once       = JobClass{Idempotency: policy.AtMostOnce}
+	taggedAll  = JobClass{Idempotency: policy.IdempotentWithKey, DedupWindow: 7 * time.Second}
+	taggedZone = JobClass{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupZone, DedupWindow: 7 * time.Second}
 )
 
 func text(e Effect) string {
@@ -61,7 +61,7 @@
 func at(s float64) time.Duration { return time.Duration(s * 1e9) }
 
 // crashed is a start of a node with a batch job on the disk that has gone out, and did or did not prove not to have run.
-func (s *story) crashed(name string, set Settings, now, last float64, t Track, never bool) {
+func (s *story) crashed(name string, set Settings, now, last float64, t JobClass, never bool) {
 	s.b = NewBook(set)
 	s.tell(fmt.Sprintf("# %s, found at %.0f s, out at 2 s", name, now), s.b.Recover(at(now), at(last), Job{"j", t, at(60)},
 		[]Send{{Epoch: 1, Executor: "e", At: at(2), NeverRan: never}}, nil, nil, 0))
@@ -73,7 +73,7 @@
 	asks := set
 	asks.Leases = true
 	s := &story{b: NewBook(set)}
-	hand := func(id ID, t Track, now, limit float64) {
+	hand := func(id ID, t JobClass, now, limit float64) {
 		effects, ok := s.b.HandIn(at(now), Job{id, t, at(limit)})
 		s.tell(fmt.Sprintf("%s is handed in at %v s: %v", id, now, ok), effects)
 	}
@@ -98,8 +98,8 @@
 	s.tell("the record of the first comes late", s.b.SendKept(at(3), "a", 1))
 	s.tell("that of the second comes", s.b.SendKept(at(3), "a", 2))
 	s.tell("a is let go too soon", first(s.b.LetGo(at(3), "a")))
-	s.tell("the module says handled", s.b.Answered(at(4), "a", Handled, []byte("r")))
-	s.tell("and again", s.b.Answered(at(4), "a", BrokenOff, nil))
+	s.tell("the module says handled", s.b.Answered(at(4), "a", Succeeded, []byte("r")))
+	s.tell("and again", s.b.Answered(at(4), "a", Failed, nil))
 	s.tell("the answer stands on the disk", s.b.FinalKept(at(4), "a"))
 	s.tell("a is let go", first(s.b.LetGo(at(5), "a")))
 
@@ -124,9 +124,9 @@
 	}
 	send("y", 2)
 	s.tell("it is told to stop", s.b.Stop(at(3)))
-	s.tell("x is pushed back", s.b.Answered(at(3), "x", PushedBack, nil))
-	s.tell("y is broken off", s.b.Answered(at(3), "y", BrokenOff, nil))
-	s.tell("z is handled", s.b.Answered(at(3), "z", Handled, nil))
+	s.tell("x is pushed back", s.b.Answered(at(3), "x", Rejected, nil))
+	s.tell("y is broken off", s.b.Answered(at(3), "y", Failed, nil))
+	s.tell("z is handled", s.b.Answered(at(3), "z", Succeeded, nil))
 
 	s.crashed("repeatable, may have run", set, 5, 2, repeatable, false)
 	s.crashed("once-only, provably never ran", set, 5, 2, once, true)
@@ -134,7 +134,7 @@
 	s.crashed("once-only, may have run, past its outer limit", set, 70, 2, once, false)
 	s.crashed("once-only, never ran, past its outer limit", set, 70, 2, once, true)
 	s.crashed("tagged within all, inside its window", set, 5, 2, taggedAll, false)
-	s.tell("pushed back when the window passes: the module does not know that it may have run", s.b.Answered(at(9), "j", PushedBack, nil))
+	s.tell("pushed back when the window passes: the module does not know that it may have run", s.b.Answered(at(9), "j", Rejected, nil))
 	s.crashed("tagged within all, outside its window", set, 10, 2, taggedAll, false)
 	s.crashed("tagged within a zone", set, 5, 2, taggedZone, false)
 	s.crashed("tagged within all, and the clock was set back", set, 5, 8, taggedAll, false)
@@ -153,7 +153,7 @@
 	s.tell("and at the outer limit", s.b.Wake(at(60)))
 	s.crashed("once-only, may have run, past its outer limit, asked once all the same", asks, 70, 2, once, false)
 	s.tell("finished", s.b.Told(at(70), "j", 1, FoundFinished, []byte("r")))
-	kept.Compare(t, "stories.txt", s.out.String())
+	golden.Compare(t, "stories.txt", s.out.String())
 }
 
 func first(e []Effect, _ bool) []Effect { return e }
@@ -176,7 +176,7 @@
 		t.Fatalf("%d at once", arrived)
 	}
 	for i := range 10000 {
-		count(b.Answered(at(1), ID(fmt.Sprint(i)), Handled, nil))
+		count(b.Answered(at(1), ID(fmt.Sprint(i)), Succeeded, nil))
 		count(b.FinalKept(at(1), ID(fmt.Sprint(i))))
 	}
 	if n := b.Counts(); arrived+n[Waiting] != 10000 {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -3,35 +3,35 @@
 import (
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/policy"
 )
 
 // ConnID names a connection to an executor, from its dialling on.
 type ConnID uint64
 
-// Call is what of a batch job goes on to an executor unchanged.
-type Call struct {
-	ID          policy.JobID
-	Method      string
-	URI         string // path and query, as they came
-	Host        string
-	ContentType string
-	Tag         string // by which executors know a repeat
-	Epoch       uint32 // of a durable batch job's allocation; 0 for all others
-	Body        []byte
+// Request is what of a batch job goes on to an executor unchanged.
+type Request struct {
+	ID             policy.JobID
+	Method         string
+	URI            string // path and query, as they came
+	Host           string
+	ContentType    string
+	IdempotencyKey string // by which executors know a repeat
+	Epoch          uint32 // of a durable batch job's allocation; 0 for all others
+	Body           []byte
 }
 
 // Job is a batch job as a client handed it in.
 type Job struct {
-	Call
-	Track  policy.TrackID
-	Tenant policy.TenantID
-	Work   time.Duration // a guess; 0 for none
-	Budget time.Duration // how long the client waits
-	Again  bool          // the client marks it as a repeat of its own
+	Request
+	Class       policy.JobClassID
+	Tenant      policy.TenantID
+	Work        time.Duration // a guess; 0 for none
+	Budget      time.Duration // how long the client waits
+	ClientRetry bool          // the client marks it as a repeat of its own
 
-	Crowded bool // it came when the front was at the edge of its descriptors
+	NearConnectionLimit bool // it came when the front was at the edge of its descriptors
 
 	Client Client // nil where nobody waits on a connection
 }
@@ -43,21 +43,21 @@
 	Gone() bool
 }
 
-// Track is a track and its name.
-type Track struct {
+// JobClass is a track and its name.
+type JobClass struct {
 	Name string
-	policy.Track
+	policy.JobClass
 }
 
-// Numbered is a track by the number that batch jobs of it bear.
-type Numbered struct {
-	ID policy.TrackID
-	Track
+// NumberedClass is a track by the number that batch jobs of it bear.
+type NumberedClass struct {
+	ID policy.JobClassID
+	JobClass
 }
 
-// Executor is an entry of the list and where the executor is reached.
-type Executor struct {
-	policy.Entry
+// Endpoint is an entry of the list and where the executor is reached.
+type Endpoint struct {
+	policy.Endpoint
 	Addr string
 }
 
@@ -67,147 +67,147 @@
 	Known bool
 }
 
-// Allocation is one sending of a batch job.
-type Allocation struct {
-	*Call
-	Budget time.Duration // how long this node waits for it
-	Once   bool          // it must not run again unless it provably never ran
-	Client Client        // looked at right before the first byte; nil where nobody waits
+// Attempt is one sending of a batch job.
+type Attempt struct {
+	*Request
+	Budget     time.Duration // how long this node waits for it
+	AtMostOnce bool          // it must not run again unless it provably never ran
+	Client     Client        // looked at right before the first byte; nil where nobody waits
 }
 
 // Final is the kind of a final answer.
 type Final int
 
 const (
-	Handled Final = iota
-	PushedBack
-	BrokenOff
+	Succeeded Final = iota
+	Rejected
+	Failed
 )
 
 // Event is what a peer or the clock tells the reducer: one of the types below.
 type Event interface{ event() }
 
 type (
-	// Arrived: a batch job is taken.
-	Arrived struct{ Job Job }
-	// Left: the client that handed the batch job in has closed its connection.
-	Left struct {
+	// JobArrived: a batch job is taken.
+	JobArrived struct{ Job Job }
+	// ClientLeft: the client that handed the batch job in has closed its connection.
+	ClientLeft struct {
 		Job    policy.JobID
 		Client Client // as in Job
 	}
-	// Listed: the list has news, or, with a detail, could not be had.
-	Listed struct {
-		Kind      policy.ListKind
-		Executors []Executor
+	// EndpointsUpdated: the list has news, or, with a detail, could not be had.
+	EndpointsUpdated struct {
+		Kind      policy.EndpointUpdateKind
+		Endpoints []Endpoint
 		Detail    string
 	}
-	// NotFollowed: the address that the list is to come from now has brought none yet; the old one still counts.
-	NotFollowed struct{ Addr, Detail string }
-	// Reread: the configuration was read again. With a detail it makes no sense.
-	Reread struct {
-		Discovery string   // where the list comes from
-		Waits     []string // keys that changed and hold from the next start on
-		Tracks    []Track
-		Work      time.Duration // as in Limits
-		StopLimit time.Duration // as in Limits
-		Detail    string
+	// DiscoverySwitchPending: the address that the list is to come from now has brought none yet; the old one still counts.
+	DiscoverySwitchPending struct{ Addr, Detail string }
+	// ConfigReloaded: the configuration was read again. With a detail it makes no sense.
+	ConfigReloaded struct {
+		Discovery       string   // where the list comes from
+		NeedRestart     []string // keys that changed and hold from the next start on
+		Classes         []JobClass
+		MaxWork         time.Duration // as in Limits
+		ShutdownTimeout time.Duration // as in Limits
+		Detail          string
 	}
-	// Dialled: a connection is up.
-	Dialled struct{ Conn ConnID }
-	// Told: an executor tells of an allocation that goes on. Share 0: it has started.
-	Told struct {
-		Conn  ConnID
-		Share float64
-		Load  Load
+	// ConnReady: a connection is up.
+	ConnReady struct{ Conn ConnID }
+	// AttemptProgressed: an executor tells of an allocation that goes on. Share 0: it has started.
+	AttemptProgressed struct {
+		Conn     ConnID
+		Progress float64
+		Load     Load
 	}
-	// Ended: an allocation is over, and not by its connection breaking before a byte of it was written.
-	Ended struct {
-		Conn    ConnID
-		Outcome policy.Outcome
-		Result  []byte
-		Load    Load
-		Broken  bool   // the connection broke, or brought what makes no sense
-		Detail  string // for the log
+	// AttemptEnded: an allocation is over, and not by its connection breaking before a byte of it was written.
+	AttemptEnded struct {
+		Conn       ConnID
+		Outcome    policy.Outcome
+		Result     []byte
+		Load       Load
+		ConnBroken bool   // the connection broke, or brought what makes no sense
+		Detail     string // for the log
 	}
-	// Unsent: not a byte of an attempt was written, since its client turned out to have gone; its connection rests.
-	Unsent struct{ Conn ConnID }
-	// Probed: what came of a probe; load means something only where it was answered.
-	Probed struct {
+	// AttemptNotSent: not a byte of an attempt was written, since its client turned out to have gone; its connection rests.
+	AttemptNotSent struct{ Conn ConnID }
+	// ProbeEnded: what came of a probe; load means something only where it was answered.
+	ProbeEnded struct {
 		Executor policy.ExecutorID
 		Answered bool
 		Load     policy.Load
 	}
-	// Rested: a connection may carry the next allocation.
-	Rested struct{ Conn ConnID }
-	// Closed: a connection's descriptor is given back. It is the last event of every connection.
-	Closed struct {
+	// ConnIdle: a connection may carry the next allocation.
+	ConnIdle struct{ Conn ConnID }
+	// ConnClosed: a connection's descriptor is given back. It is the last event of every connection.
+	ConnClosed struct {
 		Conn   ConnID
 		Detail string // for the log
 	}
-	// Stopping: the process is to end.
-	Stopping struct{}
-	// FrontClosed: no client waits any more, and none can come.
-	FrontClosed struct{}
-	// Declined: the front has turned a batch job of a track away as one that it can't take.
-	Declined struct{ Track policy.TrackID }
-	// Called: an operator's call. It is answered by one Reply.
-	Called struct {
-		Caller   CallerID
-		Order    Order
+	// ShutdownRequested: the process is to end.
+	ShutdownRequested struct{}
+	// FrontendClosed: no client waits any more, and none can come.
+	FrontendClosed struct{}
+	// JobDeclined: the front has turned a batch job of a track away as one that it can't take.
+	JobDeclined struct{ Class policy.JobClassID }
+	// AdminCalled: an operator's call. It is answered by one Reply.
+	AdminCalled struct {
+		Caller   AdminCallID
+		Command  AdminCommand
 		Executor policy.ExecutorID
 	}
-	// Joined: a link to another process of this node is up.
-	Joined struct{ Link LinkID }
-	// Heard: that process says something.
-	Heard struct {
-		Link LinkID
-		Word Word
+	// HandoffLinkUp: a link to another process of this node is up.
+	HandoffLinkUp struct{ Link HandoffLink }
+	// HandoffReceived: that process says something.
+	HandoffReceived struct {
+		Link    HandoffLink
+		Message HandoffMessage
 	}
-	// Parted: the link has ended, and its process most likely.
-	Parted struct {
-		Link   LinkID
+	// HandoffLinkDown: the link has ended, and its process most likely.
+	HandoffLinkDown struct {
+		Link   HandoffLink
 		Detail string
 	}
-	// Neighbours: the nodes of the fleet that are held for alive.
-	Neighbours struct{ Alive []fleet.Name }
-	// Hears: a neighbour's word.
-	Hears struct{ Word fleet.Word }
-	// HearsPlace: a neighbour's word about an executor's places.
-	HearsPlace struct {
-		From policy.NodeID
-		Word policy.Word
-		Sum  policy.Sum
+	// FleetChanged: the nodes of the fleet that are held for alive.
+	FleetChanged struct{ Alive []cluster.NodeName }
+	// GossipReceived: a neighbour's word.
+	GossipReceived struct{ Message cluster.Message }
+	// LeaseMessageReceived: a neighbour's word about an executor's places.
+	LeaseMessageReceived struct {
+		From    policy.NodeID
+		Message policy.LeaseMessage
+		Hash    policy.ExecutorHash
 	}
-	// Garbled: what came from a neighbour could not be read.
-	Garbled struct{ Why string }
-	// Woke: the timer that was asked for.
-	Woke struct{}
+	// GossipUnreadable: what came from a neighbour could not be read.
+	GossipUnreadable struct{ Why string }
+	// TimerFired: the timer that was asked for.
+	TimerFired struct{}
 )
 
-func (Arrived) event()     {}
-func (Left) event()        {}
-func (Listed) event()      {}
-func (NotFollowed) event() {}
-func (Reread) event()      {}
-func (Dialled) event()     {}
-func (Told) event()        {}
-func (Ended) event()       {}
-func (Rested) event()      {}
-func (Unsent) event()      {}
-func (Probed) event()      {}
-func (Closed) event()      {}
-func (Stopping) event()    {}
-func (FrontClosed) event() {}
-func (Woke) event()        {}
-func (Declined) event()    {}
-func (Called) event()      {}
-func (Joined) event()      {}
-func (Heard) event()       {}
-func (Parted) event()      {}
-func (Neighbours) event()  {}
-func (Hears) event()       {}
-func (HearsPlace) event()  {}
-func (Garbled) event()     {}
+func (JobArrived) event()             {}
+func (ClientLeft) event()             {}
+func (EndpointsUpdated) event()       {}
+func (DiscoverySwitchPending) event() {}
+func (ConfigReloaded) event()         {}
+func (ConnReady) event()              {}
+func (AttemptProgressed) event()      {}
+func (AttemptEnded) event()           {}
+func (ConnIdle) event()               {}
+func (AttemptNotSent) event()         {}
+func (ProbeEnded) event()             {}
+func (ConnClosed) event()             {}
+func (ShutdownRequested) event()      {}
+func (FrontendClosed) event()         {}
+func (TimerFired) event()             {}
+func (JobDeclined) event()            {}
+func (AdminCalled) event()            {}
+func (HandoffLinkUp) event()          {}
+func (HandoffReceived) event()        {}
+func (HandoffLinkDown) event()        {}
+func (FleetChanged) event()           {}
+func (GossipReceived) event()         {}
+func (LeaseMessageReceived) event()   {}
+func (GossipUnreadable) event()       {}
 
 // Effect is what the reducer asks for: one of the types below.
 type Effect interface{ effect() }
@@ -215,68 +215,68 @@
 type (
 	// Answer gives a client its final answer.
 	Answer struct {
-		Job      policy.JobID
-		Final    Final
-		Result   []byte
-		ComeBack time.Duration // 0: no advice
+		Job        policy.JobID
+		Final      Final
+		Result     []byte
+		RetryAfter time.Duration // 0: no advice
 	}
 	// Dial opens a connection.
 	Dial struct {
 		Conn ConnID
 		Addr string
 	}
-	// Write sends an allocation on a connection that rests or has just come up.
-	Write struct {
-		Conn       ConnID
-		Allocation Allocation
+	// WriteAttempt sends an allocation on a connection that rests or has just come up.
+	WriteAttempt struct {
+		Conn    ConnID
+		Attempt Attempt
 	}
-	// Probe asks an executor for its load, on a connection of its own. One Probed event answers it.
-	Probe struct {
+	// ProbeExecutor asks an executor for its load, on a connection of its own. One Probed event answers it.
+	ProbeExecutor struct {
 		Executor policy.ExecutorID
 		Addr     string
 	}
-	// Close closes a connection, or gives up dialling it.
-	Close struct{ Conn ConnID }
-	// Watch asks for the list again, now.
-	Watch struct{}
-	// Follow takes the list from an address from now on; it may be the one that it comes from already.
-	Follow struct{ Addr string }
-	// Retune tells the front which tracks there are from now on.
-	Retune struct{ Tracks []Numbered }
-	// Ready says whether the node is to be given batch jobs.
-	Ready struct{ Yes bool }
-	// SendAway says that the node is not ready and lets clients go, until it is over; what still comes is taken.
-	SendAway struct{ On bool }
-	// Reply answers an operator's call: with figures, or a no and its reason, or a yes.
-	Reply struct {
-		Caller  CallerID
-		No      string
-		Figures *Figures
+	// CloseConn closes a connection, or gives up dialling it.
+	CloseConn struct{ Conn ConnID }
+	// WatchEndpoints asks for the list again, now.
+	WatchEndpoints struct{}
+	// SwitchDiscovery takes the list from an address from now on; it may be the one that it comes from already.
+	SwitchDiscovery struct{ Addr string }
+	// UpdateJobClasses tells the front which tracks there are from now on.
+	UpdateJobClasses struct{ Classes []NumberedClass }
+	// SetReady says whether the node is to be given batch jobs.
+	SetReady struct{ Yes bool }
+	// DrainClients says that the node is not ready and lets clients go, until it is over; what still comes is taken.
+	DrainClients struct{ On bool }
+	// AdminReply answers an operator's call: with figures, or a no and its reason, or a yes.
+	AdminReply struct {
+		Caller  AdminCallID
+		Refusal string
+		Metrics *Metrics
 		Lines   []string // or what there is to see, a thing a line
 	}
-	// Pass says something to another process of this node.
-	Pass struct {
-		Link LinkID
-		Word Word
+	// SendHandoff says something to another process of this node.
+	SendHandoff struct {
+		Link    HandoffLink
+		Message HandoffMessage
 	}
-	// Part ends the link to it.
-	Part struct{ Link LinkID }
-	// Take says whether this process takes clients' new connections.
-	Take struct{ Yes bool }
-	// Share halves what this process may use of the node's limits, or gives it all back.
-	Share struct{ Half bool }
-	// TellNeighbour says a word to a neighbour, which may get lost.
-	TellNeighbour struct{ fleet.To }
-	// TellPlace says a word about an executor's places to a neighbour; it may get lost.
-	TellPlace struct {
-		To   policy.NodeID
-		Word policy.Word
-		Sum  policy.Sum
+	// CloseHandoffLink ends the link to it.
+	CloseHandoffLink struct{ Link HandoffLink }
+	// AcceptConnections says whether this process takes clients' new connections.
+	AcceptConnections struct{ Yes bool }
+	// HalveLimits halves what this process may use of the node's limits, or gives it all back.
+	HalveLimits struct{ Half bool }
+	// SendGossip says a word to a neighbour, which may get lost.
+	SendGossip struct{ cluster.Envelope }
+	// SendLeaseMessage says a word about an executor's places to a neighbour; it may get lost.
+	SendLeaseMessage struct {
+		To      policy.NodeID
+		Message policy.LeaseMessage
+		Hash    policy.ExecutorHash
 	}
-	// CloseFront lets the clients go that have their answers, and takes nothing more.
-	CloseFront struct{}
-	// Wake asks for one Woke event then; a later Wake takes its place.
-	Wake struct{ At time.Duration }
+	// CloseFrontend lets the clients go that have their answers, and takes nothing more.
+	CloseFrontend struct{}
+	// SetTimer asks for one Woke event then; a later Wake takes its place.
+	SetTimer struct{ At time.Duration }
 	// Log writes a line.
 	Log struct {
 		Text     string
@@ -287,24 +287,24 @@
 	Exit struct{}
 )
 
-func (Answer) effect()        {}
-func (Dial) effect()          {}
-func (Write) effect()         {}
-func (Close) effect()         {}
-func (Probe) effect()         {}
-func (Watch) effect()         {}
-func (Follow) effect()        {}
-func (Ready) effect()         {}
-func (Retune) effect()        {}
-func (CloseFront) effect()    {}
-func (Wake) effect()          {}
-func (Log) effect()           {}
-func (Exit) effect()          {}
-func (SendAway) effect()      {}
-func (Reply) effect()         {}
-func (Pass) effect()          {}
-func (Part) effect()          {}
-func (Take) effect()          {}
-func (Share) effect()         {}
-func (TellNeighbour) effect() {}
-func (TellPlace) effect()     {}
+func (Answer) effect()            {}
+func (Dial) effect()              {}
+func (WriteAttempt) effect()      {}
+func (CloseConn) effect()         {}
+func (ProbeExecutor) effect()     {}
+func (WatchEndpoints) effect()    {}
+func (SwitchDiscovery) effect()   {}
+func (SetReady) effect()          {}
+func (UpdateJobClasses) effect()  {}
+func (CloseFrontend) effect()     {}
+func (SetTimer) effect()          {}
+func (Log) effect()               {}
+func (Exit) effect()              {}
+func (DrainClients) effect()      {}
+func (AdminReply) effect()        {}
+func (SendHandoff) effect()       {}
+func (CloseHandoffLink) effect()  {}
+func (AcceptConnections) effect() {}
+func (HalveLimits) effect()       {}
+func (SendGossip) effect()        {}
+func (SendLeaseMessage) effect()  {}
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -2,7 +2,7 @@
 // in, state changes, effects come out. It reads no clock and does no input or output; the packages by peer do
 // that and tell in events how it ended. What is decided is decided in package policy.
 //
-// The reducer stands in reducer.go, connections in conns.go, the list in listed.go, events and effects in
+// The reducer stands in reducer.go, connections in conns.go, the list in endpoints.go, events and effects in
 // events.go; run.go feeds it and carries out its effects.
 package node
 
@@ -13,57 +13,57 @@
 	"slices"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/policy"
 )
 
 // Limits are the figures that the reducer needs beside the module's settings.
 type Limits struct {
-	Quantum   time.Duration // what comes so close to an outer limit counts as at it
-	IdleUse   time.Duration // a connection that has rested so long is not used any more
-	DialLimit time.Duration // news of a close takes less
-	Conns     int           // connections to executors
-	HalfConns int           // and while another process of the node lives
-	Bodies    int           // bytes of bodies in hand
-	ComeBack  time.Duration // what is pushed back at the edge of the limits comes back then; 0: no advice
-	Work      time.Duration // a guess beyond it counts as this
-	StopSpell time.Duration // after a stop is asked for, new batch jobs still come for so long
-	StopLimit time.Duration // and all is answered within this
-	ColdSpell time.Duration // rule 4's window, and a little for what was on its way
+	Quantum         time.Duration // what comes so close to an outer limit counts as at it
+	MaxIdle         time.Duration // a connection that has rested so long is not used any more
+	DialTimeout     time.Duration // news of a close takes less
+	MaxConns        int           // connections to executors
+	MaxConnsShared  int           // and while another process of the node lives
+	MaxBodyBytes    int           // bytes of bodies in hand
+	RetryAfter      time.Duration // what is pushed back at the edge of the limits comes back then; 0: no advice
+	MaxWork         time.Duration // a guess beyond it counts as this
+	LameDuckPeriod  time.Duration // after a stop is asked for, new batch jobs still come for so long
+	ShutdownTimeout time.Duration // and all is answered within this
+	SlowStartWindow time.Duration // rule 4's window, and a little for what was on its way
 }
 
-// ModuleBroke begins the log line of a panic of the module.
-const ModuleBroke = "the decision module broke"
+// PolicyPanicked begins the log line of a panic of the module.
+const PolicyPanicked = "the decision module broke"
 
 // breakSpell is how soon after a panic of the module it is asked again.
 const breakSpell = 100 * time.Millisecond
 
-// Module is the decision module, as the reducer calls it: *policy.Dispatcher, or one that sees what goes between.
-type Module interface {
-	Listed(now time.Duration, what policy.ListKind, entries []policy.Entry)
-	Arrived(now time.Duration, in policy.Arrival)
-	Started(now time.Duration, id policy.JobID, a policy.AllocationID)
-	Progressed(now time.Duration, id policy.JobID, a policy.AllocationID, share float64)
-	Reported(id policy.ExecutorID, load policy.Load)
-	Probed(now time.Duration, id policy.ExecutorID, answered bool, load policy.Load)
-	Left(now time.Duration, id policy.JobID)
-	Closing(now, by time.Duration)
+// Policy is the decision module, as the reducer calls it: *policy.Dispatcher, or one that sees what goes between.
+type Policy interface {
+	UpdateEndpoints(now time.Duration, what policy.EndpointUpdateKind, entries []policy.Endpoint)
+	JobArrived(now time.Duration, in policy.Arrival)
+	AttemptStarted(now time.Duration, id policy.JobID, a policy.AttemptID)
+	AttemptProgressed(now time.Duration, id policy.JobID, a policy.AttemptID, share float64)
+	LoadReported(id policy.ExecutorID, load policy.Load)
+	ProbeEnded(now time.Duration, id policy.ExecutorID, answered bool, load policy.Load)
+	ClientLeft(now time.Duration, id policy.JobID)
+	ShutDownBy(now, by time.Duration)
 	Place(now time.Duration, id policy.JobID) policy.Decision
-	Ended(now time.Duration, id policy.JobID, a policy.AllocationID, how policy.Outcome, final bool) policy.Decision
-	Wait(now time.Duration) policy.Due
-	Avoided(now time.Duration) int
-	ColdFrom(now, at time.Duration)
-	Retuned(now time.Duration, tracks []policy.Change)
-	Knows(now time.Duration) policy.Knowledge
-	Learn(now time.Duration, k policy.Knowledge)
-	Heard(now time.Duration, from policy.NodeID, word policy.Word, sum policy.Sum)
-	Tally(now time.Duration) policy.Tally
-	Cut(policy.CutLine)
+	AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision
+	NextTask(now time.Duration) policy.DueTask
+	CountExcluded(now time.Duration) int
+	ReserveSlowStartUntil(now, at time.Duration)
+	UpdateJobClasses(now time.Duration, tracks []policy.JobClassUpdate)
+	ExportLearned(now time.Duration) policy.LearnedState
+	ImportLearned(now time.Duration, k policy.LearnedState)
+	ReceiveLeaseMessage(now time.Duration, from policy.NodeID, word policy.LeaseMessage, sum policy.ExecutorHash)
+	TakeLoadSummary(now time.Duration) policy.LoadSummary
+	SetAdmissionThreshold(policy.AdmissionThreshold)
 }
 
 // Node is the state of one node.
 type Node struct {
-	brain     Module
+	brain     Policy
 	limits    Limits
 	executors map[policy.ExecutorID]*executor
 	conns     map[ConnID]*conn
@@ -81,14 +81,14 @@
 	drained   bool                                // by operators
 	outs      map[policy.ExecutorID]bool          // taken out by them
 	backs     map[policy.ExecutorID]time.Duration // when they put one back
-	figures   Figures
+	figures   Metrics
 	halved    bool
-	fleet     *fleet.Fleet // nil where this node talks with no others
+	fleet     *cluster.Fleet // nil where this node talks with no others
 	pair
-	booked   []int                     // by a track's number, where its figures stand
-	repeats  []policy.Repeat           // by that number
-	tracks   []Numbered                // the current ones
-	former   map[string]policy.TrackID // by name, the last number that it bore
+	booked   []int                        // by a track's number, where its figures stand
+	repeats  []policy.Idempotency         // by that number
+	tracks   []NumberedClass              // the current ones
+	former   map[string]policy.JobClassID // by name, the last number that it bore
 	lists    int
 	listLost bool
 	losts    int // calls for the list that brought nothing
@@ -114,10 +114,10 @@
 }
 
 // New makes a node that knows nothing yet, with its tracks, numbered from 0.
-func New(brain Module, limits Limits, tracks []Track) *Node {
-	n := &Node{brain: brain, limits: limits, shortRest: limits.IdleUse, executors: map[policy.ExecutorID]*executor{},
+func New(brain Policy, limits Limits, tracks []JobClass) *Node {
+	n := &Node{brain: brain, limits: limits, shortRest: limits.MaxIdle, executors: map[policy.ExecutorID]*executor{},
 		conns: map[ConnID]*conn{}, jobs: map[policy.JobID]*job{},
-		outs: map[policy.ExecutorID]bool{}, backs: map[policy.ExecutorID]time.Duration{}, former: map[string]policy.TrackID{}, pair: pair{relays: map[uint64]*relay{}}}
+		outs: map[policy.ExecutorID]bool{}, backs: map[policy.ExecutorID]time.Duration{}, former: map[string]policy.JobClassID{}, pair: pair{relays: map[uint64]*relay{}}}
 	n.number(tracks)
 	return n
 }
@@ -127,7 +127,7 @@
 	n.now, n.out = now, n.out[:0]
 	defer func() {
 		if p := recover(); p != nil {
-			n.broke(fmt.Sprintf("%s: %v\n%s", ModuleBroke, p, debug.Stack()))
+			n.broke(fmt.Sprintf("%s: %v\n%s", PolicyPanicked, p, debug.Stack()))
 		}
 		out = n.out
 	}()
@@ -145,7 +145,7 @@
 func (n *Node) broke(text string) {
 	n.say(Log{Text: text})
 	if j := n.deciding; j != nil && len(j.conns) == 0 {
-		n.answer(j, Answer{Final: BrokenOff})
+		n.answer(j, Answer{Final: Failed})
 	}
 	n.deciding = nil
 	n.wake(n.now + breakSpell)
@@ -155,58 +155,58 @@
 
 func (n *Node) take(ev Event) {
 	switch ev := ev.(type) {
-	case Arrived:
+	case JobArrived:
 		n.arrived(ev.Job)
-	case Left:
+	case ClientLeft:
 		// Guards against word of a client that the last look had seen leave, once its id has come again from another one.
 		if j := n.jobs[ev.Job]; j != nil && j.Client == ev.Client {
 			n.left(j)
 		}
-	case Listed:
+	case EndpointsUpdated:
 		n.listed(ev)
-	case NotFollowed:
+	case DiscoverySwitchPending:
 		n.say(Log{Text: fmt.Sprintf("no list from %s yet, the old address counts: %s", ev.Addr, ev.Detail)})
-	case Reread:
+	case ConfigReloaded:
 		n.reread(ev)
-	case Dialled:
+	case ConnReady:
 		n.dialled(n.conns[ev.Conn])
-	case Told:
+	case AttemptProgressed:
 		n.told(n.conns[ev.Conn], ev)
-	case Ended:
+	case AttemptEnded:
 		n.ended(n.conns[ev.Conn], ev)
-	case Probed:
+	case ProbeEnded:
 		n.probing--
-		n.brain.Probed(n.now, ev.Executor, ev.Answered, ev.Load)
-	case Rested:
+		n.brain.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+	case ConnIdle:
 		n.rested(n.conns[ev.Conn])
-	case Unsent:
+	case AttemptNotSent:
 		n.unsent(n.conns[ev.Conn])
-	case Closed:
+	case ConnClosed:
 		n.closed(n.conns[ev.Conn], ev.Detail)
-	case Stopping:
+	case ShutdownRequested:
 		n.stop()
-	case FrontClosed:
+	case FrontendClosed:
 		if n.stopping && len(n.due) > 0 { // one has come at the last moment; it has its answer by its limit
-			n.say(CloseFront{})
+			n.say(CloseFrontend{})
 			return
 		}
 		for len(n.due) > 0 { // the front broke: nobody would learn what becomes of them
-			n.answer(n.due[0], Answer{Final: BrokenOff})
+			n.answer(n.due[0], Answer{Final: Failed})
 		}
 		n.say(Exit{})
-	case Declined:
-		n.count(ev.Track, BrokenOff)
-	case Called:
+	case JobDeclined:
+		n.count(ev.Class, Failed)
+	case AdminCalled:
 		n.called(ev)
-	case Joined:
+	case HandoffLinkUp:
 		n.joined(ev.Link)
-	case Heard:
-		n.heard(ev.Link, ev.Word)
-	case Parted:
+	case HandoffReceived:
+		n.heard(ev.Link, ev.Message)
+	case HandoffLinkDown:
 		n.parted(ev.Link, ev.Detail)
-	case Neighbours, Hears, HearsPlace, Garbled:
+	case FleetChanged, GossipReceived, LeaseMessageReceived, GossipUnreadable:
 		n.ofFleet(ev)
-	case Woke:
+	case TimerFired:
 		n.armed = -1
 	}
 }
@@ -215,13 +215,13 @@
 func (n *Node) arrived(in Job) {
 	if n.jobs[in.ID] != nil {
 		// Its client left it, and came again under the same id while an allocation of it is still out.
-		n.count(in.Track, BrokenOff)
-		n.say(Answer{Job: in.ID, Final: BrokenOff})
+		n.count(in.Class, Failed)
+		n.say(Answer{Job: in.ID, Final: Failed})
 		return
 	}
-	if in.Crowded || n.bodies+len(in.Body) > n.limits.Bodies {
-		n.count(in.Track, PushedBack)
-		n.say(Answer{Job: in.ID, Final: PushedBack, ComeBack: n.limits.ComeBack})
+	if in.NearConnectionLimit || n.bodies+len(in.Body) > n.limits.MaxBodyBytes {
+		n.count(in.Class, Rejected)
+		n.say(Answer{Job: in.ID, Final: Rejected, RetryAfter: n.limits.RetryAfter})
 		return
 	}
 	j := &job{Job: in, limitAt: n.now + in.Budget}
@@ -234,8 +234,8 @@
 	j.order, j.dueAt = n.order, j.limitAt-n.limits.Quantum
 	heap.Push(&n.due, j)
 	n.deciding = j
-	n.brain.Arrived(n.now, policy.Arrival{Job: j.ID, Track: j.Track, Tenant: j.Tenant, Work: min(j.Work, n.limits.Work),
-		Budget: j.Budget, Again: j.Again})
+	n.brain.JobArrived(n.now, policy.Arrival{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Work: min(j.Work, n.limits.MaxWork),
+		Budget: j.Budget, ClientRetry: j.ClientRetry})
 	n.deciding = nil
 }
 
@@ -251,7 +251,7 @@
 func (n *Node) answer(j *job, a Answer) {
 	if !j.answered {
 		a.Job = j.ID
-		n.count(j.Track, a.Final)
+		n.count(j.Class, a.Final)
 		n.say(a)
 		n.settled(j)
 	}
@@ -268,28 +268,28 @@
 func (n *Node) left(j *job) {
 	if !j.answered {
 		n.settled(j)
-		n.brain.Left(n.now, j.ID)
+		n.brain.ClientLeft(n.now, j.ID)
 	}
 }
 
 // carryOut does what the module decided for a batch job.
 func (n *Node) carryOut(j *job, what policy.Decision) {
 	n.deciding = nil
-	switch what.Act {
+	switch what.Action {
 	case policy.Send:
 		n.send(j, what.Executor)
-	case policy.PushBack:
-		n.answer(j, Answer{Final: PushedBack, ComeBack: what.ComeBack})
-	case policy.BreakOff:
-		n.answer(j, Answer{Final: BrokenOff})
+	case policy.Reject:
+		n.answer(j, Answer{Final: Rejected, RetryAfter: what.RetryAfter})
+	case policy.Fail:
+		n.answer(j, Answer{Final: Failed})
 	}
 }
 
 // over tells the module of an allocation's end and does what follows.
-func (n *Node) over(j *job, a policy.AllocationID, how policy.Outcome) {
+func (n *Node) over(j *job, a policy.AttemptID, how policy.Outcome) {
 	n.drop(j)
 	n.deciding = j
-	n.carryOut(j, n.brain.Ended(n.now, j.ID, a, how, j.answered))
+	n.carryOut(j, n.brain.AttemptEnded(n.now, j.ID, a, how, j.answered))
 }
 
 // fallDue stops what is out at its outer limit. What the module has left without an answer even then is broken
@@ -298,14 +298,14 @@
 	for len(n.due) > 0 && n.due[0].dueAt <= n.now {
 		j := n.due[0]
 		if n.now >= j.limitAt {
-			n.answer(j, Answer{Final: BrokenOff})
-			n.brain.Left(n.now, j.ID)
+			n.answer(j, Answer{Final: Failed})
+			n.brain.ClientLeft(n.now, j.ID)
 			continue
 		}
 		j.dueAt = j.limitAt
 		heap.Fix(&n.due, 0)
 		for _, c := range slices.Clone(j.conns) {
-			n.giveUp(c, policy.TooSlow)
+			n.giveUp(c, policy.TimedOut)
 		}
 	}
 }
@@ -313,30 +313,30 @@
 // doDue does all that the module has due, then asks for the one timer.
 func (n *Node) doDue() {
 	for {
-		due := n.brain.Wait(n.now)
+		due := n.brain.NextTask(n.now)
 		switch due.Task {
 		case policy.PlaceJob:
 			if j := n.jobs[due.Job]; j != nil {
 				n.deciding = j
 				n.carryOut(j, n.brain.Place(n.now, due.Job))
 			} else {
-				n.brain.Left(n.now, due.Job)
+				n.brain.ClientLeft(n.now, due.Job)
 			}
-		case policy.StopJob:
+		case policy.CancelAttempt:
 			if j := n.jobs[due.Job]; j != nil {
-				if i := slices.IndexFunc(j.conns, func(c *conn) bool { return c.number == due.Allocation }); i >= 0 {
-					n.giveUp(j.conns[i], policy.CalledOff)
+				if i := slices.IndexFunc(j.conns, func(c *conn) bool { return c.number == due.Attempt }); i >= 0 {
+					n.giveUp(j.conns[i], policy.Canceled)
 				}
 			}
-		case policy.Probe:
+		case policy.ProbeExecutor:
 			n.probe(due.Executor)
-		case policy.Tell:
+		case policy.SendLeaseMessage:
 			if n.fleet != nil { // else nobody carries it
-				n.say(TellPlace{To: due.Node, Word: due.Word, Sum: due.Sum})
+				n.say(SendLeaseMessage{To: due.Node, Message: due.Message, Hash: due.Hash})
 			}
-		case policy.Subscribe:
-			n.say(Watch{})
-		case policy.Note:
+		case policy.WatchEndpoints:
+			n.say(WatchEndpoints{})
+		case policy.WriteLog:
 			n.say(Log{Text: due.Text})
 		case policy.Sleep:
 			at := min(due.At, n.nextPairDue())
@@ -358,7 +358,7 @@
 func (n *Node) wake(at time.Duration) {
 	if at != n.armed {
 		n.armed = at
-		n.say(Wake{at})
+		n.say(SetTimer{at})
 	}
 }
 
@@ -368,15 +368,15 @@
 	if n.stopping {
 		return
 	}
-	n.stopping, n.stopAt, n.stopBy = true, n.now+n.limits.StopSpell, n.now+n.limits.StopLimit
-	n.say(Ready{false})
+	n.stopping, n.stopAt, n.stopBy = true, n.now+n.limits.LameDuckPeriod, n.now+n.limits.ShutdownTimeout
+	n.say(SetReady{false})
 	n.say(Log{Text: fmt.Sprintf("told to stop with %d batch jobs in hand", len(n.due))})
 	for _, j := range n.due {
 		j.limitAt = min(j.limitAt, n.stopBy)
 		j.dueAt = min(j.dueAt, n.stopBy-n.limits.Quantum)
 	}
 	heap.Init(&n.due)
-	n.brain.Closing(n.now, n.stopBy)
+	n.brain.ShutDownBy(n.now, n.stopBy)
 }
 
 // leave closes the front once nothing is owed any more; the process ends when that is done.
@@ -384,7 +384,7 @@
 	if n.stopping && !n.leaving && n.now >= n.stopAt && len(n.due) == 0 {
 		n.leaving = true
 		n.say(Log{Text: "all is answered"})
-		n.say(CloseFront{})
+		n.say(CloseFrontend{})
 	}
 }
 
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/fleet"
-	"birchstair/internal/kept"
+	"birchstair/internal/cluster"
+	"birchstair/internal/golden"
 	"birchstair/policy"
 )
 
@@ -46,33 +46,33 @@
 func (c caller) Gone() bool { panic("the reducer looked at the connection of " + c) }
 
 func settings(words []string) (*policy.Dispatcher, Limits) {
-	s := policy.Settings{Seed: 7, Nodes: 1, WholeWeight: 1, MaxAllocations: 3, MayCancel: true,
-		MaxComeBack: 2 * time.Second, Quantum: time.Millisecond, TellsStart: true, EarnPerWork: true,
-		ColdShare: 1, FallMultiple: 4, FallWindow: time.Second,
-		Tracks: []policy.Track{{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
-			Earnings: 1, Kind: policy.AnyKind}}}
-	l := Limits{Quantum: time.Millisecond, IdleUse: 8 * time.Second, DialLimit: 100 * time.Millisecond, Conns: 8, HalfConns: 3, ColdSpell: time.Second, Bodies: 100,
-		Work: 10 * time.Second, ComeBack: 2 * time.Second, StopSpell: 500 * time.Millisecond, StopLimit: 3 * time.Second}
+	s := policy.Settings{Seed: 7, Nodes: 1, TotalWeight: 1, MaxAttempts: 3, MayCancel: true,
+		MaxRetryAfter: 2 * time.Second, Quantum: time.Millisecond, StartNotices: true, ValuePerWork: true,
+		SlowStartCapacity: 1, OverloadMultiple: 4, OverloadWindow: time.Second,
+		JobClasses: []policy.JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second,
+			Value: 1, Kind: policy.AnyKind}}}
+	l := Limits{Quantum: time.Millisecond, MaxIdle: 8 * time.Second, DialTimeout: 100 * time.Millisecond, MaxConns: 8, MaxConnsShared: 3, SlowStartWindow: time.Second, MaxBodyBytes: 100,
+		MaxWork: 10 * time.Second, RetryAfter: 2 * time.Second, LameDuckPeriod: 500 * time.Millisecond, ShutdownTimeout: 3 * time.Second}
 	for _, w := range words {
 		key, value, _ := strings.Cut(w, "=")
 		figure, _ := strconv.Atoi(value)
 		switch key {
 		case "once":
-			s.Tracks[0].Repeat = policy.OnceOnly
+			s.JobClasses[0].Idempotency = policy.AtMostOnce
 		case "cold":
-			s.ColdShare, s.WarmWithin = 0.25, 8*time.Second
+			s.SlowStartCapacity, s.SlowStartDuration = 0.25, 8*time.Second
 		case "conns":
-			l.Conns = figure
+			l.MaxConns = figure
 		case "copies":
-			s.MayCopy = true
+			s.MayHedge = true
 		case "late":
-			s.Tracks[0].LateEarnings = 0.5
+			s.JobClasses[0].LateValue = 0.5
 		case "tagged":
-			s.Tracks[0].Repeat, s.Tracks[0].GroupWindow = policy.Tagged, 2*time.Second
+			s.JobClasses[0].Idempotency, s.JobClasses[0].DedupWindow = policy.IdempotentWithKey, 2*time.Second
 		case "probes":
 			s.MayProbe = true
 		case "live":
-			s.LiveWeights = true
+			s.LoadAdjustedWeights = true
 		case "broken":
 			return nil, l
 		}
@@ -82,10 +82,10 @@
 
 func fresh(words []string) *Node {
 	brain, limits := settings(words)
-	n := New(brain, limits, []Track{{"page", policy.Track{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second,
-		Earnings: 1, Kind: policy.AnyKind}}})
+	n := New(brain, limits, []JobClass{{"page", policy.JobClass{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second,
+		Value: 1, Kind: policy.AnyKind}}})
 	if slices.Contains(words, "talk") {
-		n.Talk(fleet.Defaults("me", 0, 1))
+		n.JoinFleet(cluster.Defaults("me", 0, 1))
 	}
 	return n
 }
@@ -98,167 +98,167 @@
 	return ConnID(id)
 }
 
-func (p *player) executors(now time.Duration, words []string) (list []Executor) {
+func (p *player) executors(now time.Duration, words []string) (list []Endpoint) {
 	for _, w := range words {
 		name, state, _ := strings.Cut(w, ":")
 		name, at, _ := strings.Cut(name, "@")
-		e := Executor{Addr: name + at, Entry: policy.Entry{Executor: policy.ExecutorID(name), Weight: 1, LongAgo: true}}
+		e := Endpoint{Addr: name + at, Endpoint: policy.Endpoint{Executor: policy.ExecutorID(name), Weight: 1, StartedLongAgo: true}}
 		switch state {
 		case "":
 		case "L":
 			e.State = policy.Draining
 		case "D":
-			e.State = policy.Gone
+			e.State = policy.Removed
 		default:
-			e.LongAgo, e.Started = false, now-kept.Span(p.t, state)
+			e.StartedLongAgo, e.StartedAt = false, now-golden.Span(p.t, state)
 		}
 		list = append(list, e)
 	}
 	return list
 }
 
-var outcomes = map[string]policy.Outcome{"handled": policy.Handled, "errored": policy.Errored,
-	"no-room": policy.NoRoom, "no-route": policy.NoRoute, "cut": policy.Cut, "unfit": policy.Unfit}
+var outcomes = map[string]policy.Outcome{"handled": policy.Succeeded, "errored": policy.ExecutorError,
+	"no-room": policy.ExecutorFull, "no-route": policy.ConnectFailed, "cut": policy.ConnectionLost, "unfit": policy.InvalidRequest}
 
 func (p *player) event(now time.Duration, words []string) Event {
 	last := words[len(words)-1]
 	switch words[0] {
 	case "list":
-		return Listed{Kind: policy.Whole, Executors: p.executors(now, words[1:])}
+		return EndpointsUpdated{Kind: policy.CompleteUpdate, Endpoints: p.executors(now, words[1:])}
 	case "change":
-		return Listed{Kind: policy.Changes, Executors: p.executors(now, words[1:])}
+		return EndpointsUpdated{Kind: policy.IncrementalUpdate, Endpoints: p.executors(now, words[1:])}
 	case "copy":
-		return Listed{Kind: policy.WarmCopy, Executors: p.executors(now, words[1:])}
+		return EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: p.executors(now, words[1:])}
 	case "alive":
-		var names []fleet.Name
+		var names []cluster.NodeName
 		for _, w := range words[1:] {
-			names = append(names, fleet.Name(w))
+			names = append(names, cluster.NodeName(w))
 		}
-		return Neighbours{names}
+		return FleetChanged{names}
 	case "word": // of a neighbour, its number, and the executor that drains there
 		seq, _ := strconv.Atoi(words[2])
-		return Hears{fleet.Word{From: fleet.Name(words[1]), Life: 1, Seq: uint64(seq), Drains: []fleet.Drain{{Executor: policy.ExecutorID(words[3])}}}}
+		return GossipReceived{cluster.Message{From: cluster.NodeName(words[1]), Incarnation: 1, Seq: uint64(seq), Drains: []cluster.Drain{{Executor: policy.ExecutorID(words[3])}}}}
 	case "lost":
-		return Listed{Kind: policy.Lost, Detail: "no answer"}
+		return EndpointsUpdated{Kind: policy.WatchFailed, Detail: "no answer"}
 	case "job":
-		j := Job{Call: Call{ID: policy.JobID(words[1])}, Work: 300 * time.Millisecond, Budget: 5 * time.Second}
+		j := Job{Request: Request{ID: policy.JobID(words[1])}, Work: 300 * time.Millisecond, Budget: 5 * time.Second}
 		for _, w := range words[2:] {
 			switch key, value, _ := strings.Cut(w, "="); key {
 			case "work":
-				j.Work = kept.Span(p.t, value)
+				j.Work = golden.Span(p.t, value)
 			case "tag":
-				j.Tag = value
+				j.IdempotencyKey = value
 			case "budget":
-				j.Budget = kept.Span(p.t, value)
+				j.Budget = golden.Span(p.t, value)
 			case "body":
 				j.Body = []byte(value)
 			case "crowded":
-				j.Crowded = true
+				j.NearConnectionLimit = true
 			case "client":
 				j.Client = caller(value)
 			case "track":
 				id, _ := strconv.Atoi(value)
-				j.Track = policy.TrackID(id)
+				j.Class = policy.JobClassID(id)
 			}
 		}
-		return Arrived{j}
+		return JobArrived{j}
 	case "up":
-		return Dialled{p.conn(last)}
+		return ConnReady{p.conn(last)}
 	case "rested":
-		return Rested{p.conn(last)}
+		return ConnIdle{p.conn(last)}
 	case "closed":
 		if last == "silently" {
-			return Closed{Conn: p.conn(words[1])}
+			return ConnClosed{Conn: p.conn(words[1])}
 		}
-		return Closed{Conn: p.conn(last), Detail: "it broke"}
+		return ConnClosed{Conn: p.conn(last), Detail: "it broke"}
 	case "started":
-		return Told{Conn: p.conn(last)}
+		return AttemptProgressed{Conn: p.conn(last)}
 	case "progress":
 		share, _ := strconv.ParseFloat(last, 64)
-		return Told{Conn: p.conn(words[1]), Share: share}
+		return AttemptProgressed{Conn: p.conn(words[1]), Progress: share}
 	case "ended":
-		return Ended{Conn: p.conn(words[1]), Outcome: outcomes[words[2]], Broken: last == "broken",
+		return AttemptEnded{Conn: p.conn(words[1]), Outcome: outcomes[words[2]], ConnBroken: last == "broken",
 			Result: []byte("result")}
 	case "probed":
-		return Probed{policy.ExecutorID(words[1]), last == "answered", policy.Load{Held: -1, Waiting: -1, Free: -1, Memory: -1, Took: -1}}
+		return ProbeEnded{policy.ExecutorID(words[1]), last == "answered", policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}}
 	case "unsent":
-		return Unsent{Conn: p.conn(last)}
+		return AttemptNotSent{Conn: p.conn(last)}
 	case "left":
-		l := Left{Job: policy.JobID(words[1])}
+		l := ClientLeft{Job: policy.JobID(words[1])}
 		if of, ok := strings.CutPrefix(last, "client="); ok {
 			l.Client = caller(of)
 		}
 		return l
 	case "reread":
 		if last == "odd" {
-			return Reread{Detail: "listen: missing"}
+			return ConfigReloaded{Detail: "listen: missing"}
 		}
-		r := Reread{Discovery: words[1], Work: 10 * time.Second, StopLimit: 3 * time.Second}
+		r := ConfigReloaded{Discovery: words[1], MaxWork: 10 * time.Second, ShutdownTimeout: 3 * time.Second}
 		for _, w := range words[2:] {
 			name, rule, isTrack := strings.Cut(w, ":")
 			if !isTrack {
-				r.Waits = append(r.Waits, w)
+				r.NeedRestart = append(r.NeedRestart, w)
 				continue
 			}
-			t := p.n.tracks[0].Track.Track
-			t.Repeat, t.Allocations = policy.Repeatable, 0
+			t := p.n.tracks[0].JobClass.JobClass
+			t.Idempotency, t.MaxAttempts = policy.Idempotent, 0
 			switch rule {
 			case "once":
-				t.Repeat = policy.OnceOnly
+				t.Idempotency = policy.AtMostOnce
 			case "1", "2":
-				t.Allocations, _ = strconv.Atoi(rule)
+				t.MaxAttempts, _ = strconv.Atoi(rule)
 			}
-			r.Tracks = append(r.Tracks, Track{name, t})
+			r.Classes = append(r.Classes, JobClass{name, t})
 		}
-		if r.Tracks == nil {
+		if r.Classes == nil {
 			for _, t := range p.n.tracks {
-				r.Tracks = append(r.Tracks, t.Track)
+				r.Classes = append(r.Classes, t.JobClass)
 			}
 		}
 		return r
 	case "notfollowed":
-		return NotFollowed{Addr: last, Detail: "no answer"}
+		return DiscoverySwitchPending{Addr: last, Detail: "no answer"}
 	case "joined", "parted", "heard":
 		link, _ := strconv.Atoi(words[1])
 		switch words[0] {
 		case "joined":
-			return Joined{LinkID(link)}
+			return HandoffLinkUp{HandoffLink(link)}
 		case "parted":
-			return Parted{LinkID(link), "it ended"}
+			return HandoffLinkDown{HandoffLink(link), "it ended"}
 		}
-		kinds := map[string]WordKind{"yes": Yes, "ceded": Ceded, "done": Done, "out": Relay, "back": Relay, "state": Hand}
-		w := Word{Kind: kinds[words[2]]}
+		kinds := map[string]HandoffKind{"yes": SuccessorReady, "ceded": PredecessorYielded, "done": RelayDone, "out": RelayCommand, "back": RelayCommand, "state": StateTransfer}
+		w := HandoffMessage{Kind: kinds[words[2]]}
 		switch words[2] {
 		case "done":
 			seq, _ := strconv.Atoi(last)
 			w.Seq = uint64(seq)
 		case "out", "back":
-			w.Seq, w.Order, w.Executor = 9, map[string]Order{"out": TakeOut, "back": PutBack}[words[2]], policy.ExecutorID(last)
+			w.Seq, w.Command, w.Executor = 9, map[string]AdminCommand{"out": ExcludeExecutor, "back": ReadmitExecutor}[words[2]], policy.ExecutorID(last)
 		case "state":
-			w.State = &State{}
+			w.State = &HandoffState{}
 			for _, word := range words[3:] {
 				switch what, name, _ := strings.Cut(word, "="); what {
 				case "out":
-					w.State.Outs = append(w.State.Outs, policy.ExecutorID(name))
+					w.State.Excluded = append(w.State.Excluded, policy.ExecutorID(name))
 				case "back":
-					w.State.Backs = append(w.State.Backs, Back{policy.ExecutorID(name), time.Second})
+					w.State.Readmitted = append(w.State.Readmitted, ReadmittedExecutor{policy.ExecutorID(name), time.Second})
 				case "listed":
-					w.State.List = append(w.State.List, p.executors(now, []string{name})...)
+					w.State.Endpoints = append(w.State.Endpoints, p.executors(now, []string{name})...)
 				case "drained":
 					w.State.Drained = true
 				}
 			}
 		}
-		return Heard{LinkID(link), w}
+		return HandoffReceived{HandoffLink(link), w}
 	case "stop":
-		return Stopping{}
+		return ShutdownRequested{}
 	case "shut":
-		return FrontClosed{}
+		return FrontendClosed{}
 	case "wait":
-		return Woke{}
+		return TimerFired{}
 	case "check", "figures", "out", "back", "drain", "undrain":
-		orders := map[string]Order{"check": Check, "figures": ReadFigures, "out": TakeOut, "back": PutBack, "drain": DrainOn, "undrain": DrainOff}
-		c := Called{Order: orders[words[0]]}
+		orders := map[string]AdminCommand{"check": CheckReady, "figures": ReadMetrics, "out": ExcludeExecutor, "back": ReadmitExecutor, "drain": DrainOn, "undrain": DrainOff}
+		c := AdminCalled{Command: orders[words[0]]}
 		if len(words) > 1 {
 			c.Executor = policy.ExecutorID(last)
 		}
@@ -274,88 +274,88 @@
 		switch e := e.(type) {
 		case Answer:
 			line = [...]string{"handled", "pushed back", "broken off"}[e.Final] + " " + string(e.Job)
-			if e.Final == Handled {
+			if e.Final == Succeeded {
 				line += " with " + string(e.Result)
 			}
-			if e.ComeBack > 0 {
-				line += ", come back in " + e.ComeBack.String()
+			if e.RetryAfter > 0 {
+				line += ", come back in " + e.RetryAfter.String()
 			}
 		case Dial:
 			line = fmt.Sprintf("dial %d to %s", e.Conn, e.Addr)
-		case Write:
-			line = fmt.Sprintf("write %s on %d, %v left", e.Allocation.ID, e.Conn, e.Allocation.Budget)
-		case Close:
+		case WriteAttempt:
+			line = fmt.Sprintf("write %s on %d, %v left", e.Attempt.ID, e.Conn, e.Attempt.Budget)
+		case CloseConn:
 			line = fmt.Sprintf("close %d", e.Conn)
-		case Probe:
+		case ProbeExecutor:
 			line = fmt.Sprintf("probe %s at %s", e.Executor, e.Addr)
-		case Watch:
+		case WatchEndpoints:
 			line = "watch"
-		case TellNeighbour:
-			if len(e.Word.Drains) == 0 {
+		case SendGossip:
+			if len(e.Message.Drains) == 0 {
 				continue
 			}
-			line = fmt.Sprintf("tell %s that %s drains, %v old", e.Name, e.Word.Drains[0].Executor, e.Word.Drains[0].Age)
-		case Follow:
+			line = fmt.Sprintf("tell %s that %s drains, %v old", e.To, e.Message.Drains[0].Executor, e.Message.Drains[0].Age)
+		case SwitchDiscovery:
 			line = "follow " + e.Addr
-		case Ready:
+		case SetReady:
 			line = fmt.Sprint("ready: ", e.Yes)
-		case CloseFront:
+		case CloseFrontend:
 			line = "close the front"
-		case Wake:
+		case SetTimer:
 			p.armed = e.At
 			continue
 		case Log:
 			text, _, _ := strings.Cut(e.Text, "\n") // without a stack
 			line = strings.TrimRight(fmt.Sprintf("log: %s %s %s", text, e.Executor, e.Job), " ")
-		case Retune:
+		case UpdateJobClasses:
 			line = "tracks:"
-			for _, t := range e.Tracks {
+			for _, t := range e.Classes {
 				line += fmt.Sprintf(" %d %s", t.ID, t.Name)
 			}
-		case SendAway:
+		case DrainClients:
 			line = fmt.Sprint("send clients away: ", e.On)
-		case Take:
+		case AcceptConnections:
 			line = fmt.Sprint("take new connections: ", e.Yes)
-		case Share:
+		case HalveLimits:
 			line = fmt.Sprint("half of the limits: ", e.Half)
-		case Pass:
-			line = fmt.Sprintf("to process %d: ", e.Link) + wordText(e.Word)
-		case Part:
+		case SendHandoff:
+			line = fmt.Sprintf("to process %d: ", e.Link) + wordText(e.Message)
+		case CloseHandoffLink:
 			line = fmt.Sprintf("part from process %d", e.Link)
-		case Reply:
+		case AdminReply:
 			switch {
-			case e.No != "":
-				line = "no: " + e.No
-			case e.Figures != nil:
-				line = fmt.Sprintf("figures: %+v", *e.Figures)
+			case e.Refusal != "":
+				line = "no: " + e.Refusal
+			case e.Metrics != nil:
+				line = fmt.Sprintf("figures: %+v", *e.Metrics)
 			default:
 				line = "yes"
 			}
 		case Exit:
 			line = "exit"
 		}
-		p.lines = append(p.lines, fmt.Sprintf(kept.Arrow+"%v %s", now, line))
+		p.lines = append(p.lines, fmt.Sprintf(golden.Arrow+"%v %s", now, line))
 	}
 }
 
-func wordText(w Word) string {
+func wordText(w HandoffMessage) string {
 	switch w.Kind {
-	case Hand:
-		text := fmt.Sprintf("state, out %v, back %v, drained %t, listed", w.State.Outs, w.State.Backs, w.State.Drained)
-		for _, e := range w.State.List {
+	case StateTransfer:
+		text := fmt.Sprintf("state, out %v, back %v, drained %t, listed", w.State.Excluded, w.State.Readmitted, w.State.Drained)
+		for _, e := range w.State.Endpoints {
 			text += fmt.Sprintf(" %s@%s:%d", e.Executor, e.Addr, e.State)
 		}
 		return text
-	case Relay:
-		return fmt.Sprintf("order %d: %d %s", w.Seq, w.Order, w.Executor)
-	case Done:
+	case RelayCommand:
+		return fmt.Sprintf("order %d: %d %s", w.Seq, w.Command, w.Executor)
+	case RelayDone:
 		return fmt.Sprintf("done %d", w.Seq)
 	}
-	return map[WordKind]string{Yes: "yes", Ceded: "ceded"}[w.Kind]
+	return map[HandoffKind]string{SuccessorReady: "yes", PredecessorYielded: "ceded"}[w.Kind]
 }
 
 func TestTraces(t *testing.T) {
-	kept.Replay(t, func(t *testing.T, lines []string) string {
+	golden.Replay(t, func(t *testing.T, lines []string) string {
 		p := &player{t: t}
 		p.n = fresh(nil)
 		for _, line := range lines {
@@ -367,7 +367,7 @@
 				p.n = fresh(words[1:])
 				p.lines = append(p.lines, line)
 			default:
-				now := kept.Span(p.t, words[0])
+				now := golden.Span(p.t, words[0])
 				still := words[1] == "still"
 				if still {
 					words = words[1:]
@@ -375,7 +375,7 @@
 				for p.armed > 0 && p.armed < now && !still {
 					at := p.armed
 					p.armed = 0
-					p.step(at, Woke{})
+					p.step(at, TimerFired{})
 				}
 				p.lines = append(p.lines, line)
 				p.step(now, p.event(now, words[1:]))
--- a/internal/scale/module.go
+++ b/internal/scaletest/module.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"container/heap"
@@ -36,7 +36,7 @@
 
 type moduleOut struct {
 	id policy.JobID
-	n  policy.AllocationID
+	n  policy.AttemptID
 }
 
 type moduleEnd struct {
@@ -60,11 +60,11 @@
 func (m *moduleJob) budget() time.Duration { return max(5*time.Second, 5*m.Work) }
 
 func (m *moduleJob) settings() policy.Settings {
-	s := policy.Settings{Seed: 7, Nodes: m.Of, WholeWeight: 1, MaxAllocations: 3, MayCancel: true, MaxComeBack: 2 * time.Second, Quantum: 4 * time.Millisecond,
-		EarnPerWork: true, ColdShare: 0.3, WarmWithin: 9 * time.Second, FallMultiple: 4, FallWindow: 1500 * time.Millisecond, TellsStart: true,
-		Tracks: []policy.Track{{Quoted: max(time.Second, 3*m.Work), OuterLimit: m.budget(), Earnings: 2}}}
+	s := policy.Settings{Seed: 7, Nodes: m.Of, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Quantum: 4 * time.Millisecond,
+		ValuePerWork: true, SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond, StartNotices: true,
+		JobClasses: []policy.JobClass{{LatencyObjective: max(time.Second, 3*m.Work), Deadline: m.budget(), Value: 2}}}
 	for range m.Tenants {
-		s.Tenant = append(s.Tenant, policy.Tenant{QuotaPerS: m.Rate * float64(m.Of) / float64(m.Tenants)})
+		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerSecond: m.Rate * float64(m.Of) / float64(m.Tenants)})
 	}
 	return s
 }
@@ -75,7 +75,7 @@
 	d        *policy.Dispatcher
 	now      time.Duration
 	ends     moduleEnds
-	sent     map[policy.JobID]policy.AllocationID
+	sent     map[policy.JobID]policy.AttemptID
 	out      map[moduleOut]policy.ExecutorID
 	running  map[policy.ExecutorID]int
 	starts   int
@@ -86,12 +86,12 @@
 
 func (m *moduleJob) play() (f moduleFigures) {
 	before := heapNow()
-	p := &player{m: m, d: policy.New(m.settings()), sent: map[policy.JobID]policy.AllocationID{}, running: map[policy.ExecutorID]int{}, out: map[moduleOut]policy.ExecutorID{}}
-	var entries []policy.Entry
+	p := &player{m: m, d: policy.New(m.settings()), sent: map[policy.JobID]policy.AttemptID{}, running: map[policy.ExecutorID]int{}, out: map[moduleOut]policy.ExecutorID{}}
+	var entries []policy.Endpoint
 	for i := range m.Executors {
-		entries = append(entries, policy.Entry{Executor: executorID(i), Zone: policy.ZoneID(i % 4), Cell: policy.CellID(i / 40), Weight: float64(places(i)), LongAgo: true})
+		entries = append(entries, policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % 4), Cell: policy.CellID(i / 40), Weight: float64(places(i)), StartedLongAgo: true})
 	}
-	p.d.Listed(0, policy.Whole, entries)
+	p.d.UpdateEndpoints(0, policy.CompleteUpdate, entries)
 	p.due()
 	arrivals, began, err := 0, time.Duration(0), error(nil)
 	first := -1
@@ -117,13 +117,13 @@
 		switch {
 		case len(p.ends) > 0 && p.ends[0].at == p.now:
 			e := heap.Pop(&p.ends).(moduleEnd)
-			p.end(e.id, e.n, policy.Handled)
+			p.end(e.id, e.n, policy.Succeeded)
 		case arrives == p.now:
 			tenant := policy.TenantID(-1)
 			if m.Tenants > 0 {
 				tenant = policy.TenantID(arrivals % m.Tenants)
 			}
-			p.d.Arrived(p.now, policy.Arrival{Job: policy.JobID(fmt.Sprint("j", arrivals)), Tenant: tenant, Work: m.Work, Budget: m.budget()})
+			p.d.JobArrived(p.now, policy.Arrival{Job: policy.JobID(fmt.Sprint("j", arrivals)), Tenant: tenant, Work: m.Work, Budget: m.budget()})
 			arrivals++
 		}
 		p.due()
@@ -153,11 +153,11 @@
 // due does what the module has due, as the reducer does.
 func (p *player) due() {
 	for {
-		switch due := p.d.Wait(p.now); due.Task {
+		switch due := p.d.NextTask(p.now); due.Task {
 		case policy.PlaceJob:
 			p.does(due.Job, p.d.Place(p.now, due.Job))
-		case policy.StopJob:
-			p.end(due.Job, due.Allocation, policy.CalledOff)
+		case policy.CancelAttempt:
+			p.end(due.Job, due.Attempt, policy.Canceled)
 		case policy.Sleep:
 			p.next = max(due.At, p.now+1)
 			return
@@ -166,10 +166,10 @@
 }
 
 func (p *player) does(id policy.JobID, what policy.Decision) {
-	if what.Act == policy.PushBack || what.Act == policy.BreakOff {
+	if what.Action == policy.Reject || what.Action == policy.Fail {
 		p.rejected++
 	}
-	if what.Act != policy.Send {
+	if what.Action != policy.Send {
 		return
 	}
 	n := p.sent[id]
@@ -179,11 +179,11 @@
 	out := moduleOut{id, n}
 	p.out[out] = what.Executor
 	heap.Push(&p.ends, moduleEnd{p.now + p.m.Work, out})
-	p.d.Started(p.now, id, n)
+	p.d.AttemptStarted(p.now, id, n)
 }
 
 // end ends an allocation, unless it has ended before.
-func (p *player) end(id policy.JobID, n policy.AllocationID, how policy.Outcome) {
+func (p *player) end(id policy.JobID, n policy.AttemptID, how policy.Outcome) {
 	out := moduleOut{id, n}
 	on, is := p.out[out]
 	if !is {
@@ -191,10 +191,10 @@
 	}
 	delete(p.out, out)
 	p.running[on]--
-	if how == policy.Handled {
+	if how == policy.Succeeded {
 		p.handled++
-		p.d.Reported(on, policy.Load{Held: float64(p.running[on]), Free: float64(100 - p.running[on]), Memory: -1, Took: -1})
+		p.d.LoadReported(on, policy.Load{InFlight: float64(p.running[on]), FreeSlots: float64(100 - p.running[on]), FreeMemory: -1, RunTime: -1})
 		delete(p.sent, id)
 	}
-	p.does(id, p.d.Ended(p.now, id, n, how, how == policy.Handled))
+	p.does(id, p.d.AttemptEnded(p.now, id, n, how, how == policy.Succeeded))
 }
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -15,12 +15,12 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/clients"
 	"birchstair/internal/config"
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/frontend"
 	"birchstair/internal/node"
 	"birchstair/internal/service"
-	"birchstair/internal/standin"
-	"birchstair/internal/standin/platform"
 	"birchstair/policy"
 )
 
@@ -29,8 +29,8 @@
 	t      *testing.T
 	listen string
 	dials  chan chan struct{} // each dial to the executor stops until its channel is closed
-	state  chan policy.State
-	halts  standin.Halts // of clients' connections
+	state  chan policy.EndpointState
+	halts  emulator.Halts // of clients' connections
 	late   atomic.Pointer[late]
 
 	mu              sync.Mutex
@@ -51,8 +51,8 @@
 	return l
 }
 
-func start(t *testing.T, first policy.State, repeat string) *whole {
-	w := &whole{t: t, ran: map[policy.JobID]int{}, over: make(chan error, 1), state: make(chan policy.State, 1), dials: make(chan chan struct{}, 10)}
+func start(t *testing.T, first policy.EndpointState, repeat string) *whole {
+	w := &whole{t: t, ran: map[policy.JobID]int{}, over: make(chan error, 1), state: make(chan policy.EndpointState, 1), dials: make(chan chan struct{}, 10)}
 	at := listener(t)
 	go (&platform.Executor{ID: "e", Takes: func() time.Duration { return time.Millisecond }, Ran: func(job policy.JobID) {
 		w.mu.Lock()
@@ -60,7 +60,7 @@
 		w.ran[job]++
 	}}).Serve(at)
 	list := listener(t)
-	go w.discovery(list, standin.Entry{Addr: at.Addr().String(), Entry: policy.Entry{Executor: "e", Weight: 1, LongAgo: true, State: first}})
+	go w.discovery(list, emulator.Entry{Addr: at.Addr().String(), Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true, State: first}})
 	s, err := config.ReadSettings([]byte(`{"balancers":1,"areas":["z"],"flavors":["plain"],"caps":{"max-allocations":3},"domain":{"tells-start":true},
 		"tracks":[{"name":"page","quoted-time-s":20,"outer-limit-s":40,"late-earnings":0.5,"repeat":"` + repeat + `","earnings":1}]}`))
 	if err != nil {
@@ -74,7 +74,7 @@
 	tcp := net.Dialer{}
 	go func() {
 		w.over <- service.Run(ctx, service.Setup{Settings: s, Start: time.Now(), Listener: w.halts.Listener(l), Discovery: list.Addr().String(), Log: zerolog.Nop(),
-			ClientConns: clients.Budget{Whole: 300, Half: 150}, Module: policy.New(s.Policy),
+			ClientConns: frontend.Budget{Whole: 300, Half: 150}, Module: policy.New(s.Policy),
 			Executors: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				goOn := make(chan struct{})
 				select {
@@ -85,7 +85,7 @@
 				return tcp.DialContext(ctx, "tcp", addr)
 			},
 			Tap: func(_ time.Duration, ev node.Event, effects []node.Effect) {
-				if slices.ContainsFunc(effects, func(e node.Effect) bool { _, ok := e.(node.Write); return ok }) {
+				if slices.ContainsFunc(effects, func(e node.Effect) bool { _, ok := e.(node.WriteAttempt); return ok }) {
 					if l := w.late.Swap(nil); l != nil {
 						close(l.reached)
 						<-l.goOn
@@ -94,23 +94,23 @@
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				switch ev.(type) {
-				case node.Left:
+				case node.ClientLeft:
 					w.left++
-				case node.Listed:
+				case node.EndpointsUpdated:
 					w.lists++
-				case node.Dialled:
+				case node.ConnReady:
 					w.up++
-				case node.Unsent:
+				case node.AttemptNotSent:
 					w.unsent++
 				}
 				for _, e := range effects {
-					if _, ok := e.(node.Write); ok {
+					if _, ok := e.(node.WriteAttempt); ok {
 						w.writes++
 					}
 				}
 			},
-			Limits: node.Limits{Quantum: time.Millisecond, IdleUse: time.Minute, DialLimit: 10 * time.Second, Conns: 100, HalfConns: 50, Bodies: 1 << 20,
-				Work: time.Hour, StopSpell: 10 * time.Millisecond, StopLimit: 10 * time.Second}}, nil)
+			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: 10 * time.Second, MaxConns: 100, MaxConnsShared: 50, MaxBodyBytes: 1 << 20,
+				MaxWork: time.Hour, LameDuckPeriod: 10 * time.Millisecond, ShutdownTimeout: 10 * time.Second}}, nil)
 	}()
 	w.until("it is ready", func() bool {
 		a, err := http.Get("http://" + w.listen + "/-/ready")
@@ -124,7 +124,7 @@
 }
 
 // discovery names one executor; a watch waits for its next state.
-func (w *whole) discovery(l net.Listener, e standin.Entry) {
+func (w *whole) discovery(l net.Listener, e emulator.Entry) {
 	seq := 1
 	for {
 		c, err := l.Accept()
@@ -137,12 +137,12 @@
 			if err != nil {
 				break
 			}
-			entries := []standin.Entry{e}
+			entries := []emulator.Entry{e}
 			if !ask.Whole {
 				select {
 				case e.State = <-w.state:
 					seq++
-					entries = []standin.Entry{e}
+					entries = []emulator.Entry{e}
 				case <-time.After(ask.Hold):
 					entries = nil
 				}
@@ -229,7 +229,7 @@
 		stays := w.hands("stays")
 		end(leave, more)
 		w.heard(100)
-		w.state <- policy.Up
+		w.state <- policy.Available
 		go func() {
 			for goOn := range w.dials {
 				close(goOn)
@@ -250,7 +250,7 @@
 	leave func(*whole, net.Conn) (after func())
 }{
 	{"the front does not come to its end, which lies unread", func(w *whole, c net.Conn) func() {
-		stop := w.halts.At(standin.AfterRead, 0) // nobody else sends anything now
+		stop := w.halts.At(emulator.AfterRead, 0) // nobody else sends anything now
 		c.Close()
 		w.reached(stop)
 		return stop.Go
@@ -261,7 +261,7 @@
 	}},
 }
 
-func (w *whole) reached(s *standin.Stop) {
+func (w *whole) reached(s *emulator.Stop) {
 	w.t.Helper()
 	select {
 	case <-s.Reached:
@@ -302,7 +302,7 @@
 func TestClientLeavesUnderWrite(t *testing.T) {
 	for _, l := range leaving {
 		t.Run(l.name, func(t *testing.T) {
-			w := start(t, policy.Up, "once")
+			w := start(t, policy.Available, "once")
 			loop := w.isLate()
 			leaves := w.hands("leaves")
 			close(<-w.dials)
@@ -324,7 +324,7 @@
 
 // Clients leave in one instant while the loop stands before the first write: none of them is sent on.
 func TestClientsLeaveUnderLateLoop(t *testing.T) {
-	w := start(t, policy.Up, "once")
+	w := start(t, policy.Available, "once")
 	loop := w.isLate()
 	var leave []net.Conn
 	for i := range 100 {
@@ -347,10 +347,10 @@
 
 // The connection comes up after the client has left, which the front has not come to: nothing of it is written.
 func TestClientLeavesUnreadWhileDialling(t *testing.T) {
-	w := start(t, policy.Up, "once")
+	w := start(t, policy.Available, "once")
 	leaves := w.hands("leaves")
 	goOn := <-w.dials
-	stop := w.halts.At(standin.AfterRead, 0)
+	stop := w.halts.At(emulator.AfterRead, 0)
 	leaves.Close()
 	w.reached(stop)
 	close(goOn)
@@ -362,7 +362,7 @@
 
 // The client leaves while the connection for its batch job is being dialled: nothing of it is written.
 func TestClientLeavesWhileDialling(t *testing.T) {
-	w := start(t, policy.Up, "once")
+	w := start(t, policy.Available, "once")
 	leaves := w.hands("leaves")
 	goOn := <-w.dials
 	leaves.Close()
@@ -380,7 +380,7 @@
 // Discovery names the executor as draining while the connection is being dialled: nothing goes out on it when it comes up, and
 // the batch job goes there once the executor is up again.
 func TestDrainWhileDialling(t *testing.T) {
-	w := start(t, policy.Up, "once")
+	w := start(t, policy.Available, "once")
 	stays := w.hands("stays")
 	goOn := <-w.dials
 	w.mu.Lock()
@@ -408,7 +408,7 @@
 			close(goOn)
 		}
 	}()
-	w.state <- policy.Up
+	w.state <- policy.Available
 	w.handled(stays)
 	w.ranOnly("stays")
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -9,16 +9,16 @@
 
 	"github.com/rs/zerolog"
 
-	"birchstair/internal/clients"
+	"birchstair/internal/admin"
+	"birchstair/internal/cluster"
 	"birchstair/internal/config"
+	"birchstair/internal/discovery"
 	"birchstair/internal/durable"
-	"birchstair/internal/executors"
-	"birchstair/internal/fleet"
-	"birchstair/internal/list"
-	"birchstair/internal/members"
+	"birchstair/internal/frontend"
+	"birchstair/internal/gossip"
+	"birchstair/internal/hotrestart"
 	"birchstair/internal/node"
-	"birchstair/internal/operators"
-	"birchstair/internal/succession"
+	"birchstair/internal/upstream"
 	"birchstair/policy"
 )
 
@@ -26,18 +26,18 @@
 type Setup struct {
 	Settings    config.Settings
 	Limits      node.Limits
-	ClientConns clients.Budget // from clients, at most
-	Known       list.Copy      // the list as this node had it last
-	Discovery   string         // where the list comes from
-	Start       time.Time      // times of the reducer count from then
+	ClientConns frontend.Budget // from clients, at most
+	Known       discovery.Copy  // the list as this node had it last
+	Discovery   string          // where the list comes from
+	Start       time.Time       // times of the reducer count from then
 
-	Module    node.Module
+	Module    node.Policy
 	Listener  net.Listener
 	Door      net.Listener // for operators; nil where there is none
-	Executors executors.Dialer
-	List      list.Dialer
+	Executors upstream.Dialer
+	List      discovery.Dialer
 	Log       zerolog.Logger
-	Tap       node.Tap // told of every step; nil for nobody
+	Tap       node.Observer // told of every step; nil for nobody
 
 	Heirs string          // the directory by which a new process joins; empty where none can
 	Elder net.Conn        // the link to the process that this one takes over from, or nil
@@ -49,20 +49,20 @@
 
 // Fleet is what a node is told of the nodes that it talks with.
 type Fleet struct {
-	fleet.Settings
-	members.Options
+	cluster.Settings
+	gossip.Options
 }
 
 // Tracks are the settings' tracks with their names; those beyond the names are the twins for durable batch jobs.
-func Tracks(s config.Settings) (all []node.Track) {
-	for i, t := range s.Policy.Tracks {
+func Tracks(s config.Settings) (all []node.JobClass) {
+	for i, t := range s.Policy.JobClasses {
 		name := ""
 		if n := len(s.Tracks); i < n {
 			name = s.Tracks[i]
 		} else {
 			name = durable.Twin + s.Tracks[i-n]
 		}
-		all = append(all, node.Track{Name: name, Track: t})
+		all = append(all, node.JobClass{Name: name, JobClass: t})
 	}
 	return all
 }
@@ -71,28 +71,28 @@
 // by more, which its owner closes, if at all, only after the end.
 func Run(ctx context.Context, s Setup, more <-chan node.Event) error {
 	loop := node.NewLoop(s.Start)
-	loop.Tap = s.Tap
+	loop.Observe = s.Tap
 	core := node.New(s.Module, s.Limits, Tracks(s.Settings))
-	front := clients.New(core.Tracks()[:len(s.Settings.Tracks)], s.ClientConns, loop.Tell)
-	pool := executors.New(s.Executors, s.Settings.TellsLoad(), executors.Probing{Path: s.Settings.Probe.Path,
-		Limit: s.Settings.Probe.Limit, Told: s.Settings.Told()}, loop.Tell)
-	patience := list.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.MustAsk)
+	front := frontend.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Post)
+	pool := upstream.New(s.Executors, s.Settings.TellsLoad(), upstream.Probing{Path: s.Settings.Probe.Path,
+		Limit: s.Settings.Probe.Limit, Told: s.Settings.Told()}, loop.Post)
+	patience := discovery.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
 	patience.Seed = uint64(s.Settings.Policy.Seed)<<32 | uint64(uint32(s.Settings.Policy.Node))
-	watcher := list.New(list.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Tell)
+	watcher := discovery.New(discovery.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Post)
 	watcher.Copy = s.Known
-	door := operators.New(config.DoorCallers, loop.TellFirst)
-	edges := node.Edges{List: watcher, Operators: door}
+	door := admin.New(config.DoorCallers, loop.PostUrgent)
+	edges := node.Edges{Discovery: watcher, Admin: door}
 	if s.Heirs != "" {
-		others := succession.New(s.Heirs, loop.TellFirst)
+		others := hotrestart.New(s.Heirs, loop.PostUrgent)
 		defer others.Close()
-		front.Take(s.Elder == nil)
-		edges.Others, edges.Memory = others, s.Share
+		front.AcceptConnections(s.Elder == nil)
+		edges.Handoff, edges.LimitMemory = others, s.Share
 		others.Start(s.Elder)
 	}
 	if s.Fleet != nil {
-		core.Talk(s.Fleet.Settings)
-		others := members.New(s.Fleet.Options, loop.Tell, s.Log)
-		edges.Fleet = others
+		core.JoinFleet(s.Fleet.Settings)
+		others := gossip.New(s.Fleet.Options, loop.Post, s.Log)
+		edges.Gossip = others
 		among, out := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
@@ -104,12 +104,12 @@
 			<-ended
 		}()
 	}
-	var fromClients node.Clients = front
-	var toExecutors node.Executors = pool
+	var fromClients node.Frontend = front
+	var toExecutors node.Upstream = pool
 	if s.Durable != nil {
-		fromClients, toExecutors = s.Durable.Start(loop.Tell, front, pool)
+		fromClients, toExecutors = s.Durable.Start(loop.Post, front, pool)
 		front.Aside(durable.Path, s.Durable)
-		loop.Tap = func(now time.Duration, ev node.Event, effects []node.Effect) {
+		loop.Observe = func(now time.Duration, ev node.Event, effects []node.Effect) {
 			s.Durable.Tap(now, ev, effects)
 			if s.Tap != nil {
 				s.Tap(now, ev, effects)
@@ -121,30 +121,30 @@
 	go func() {
 		if err := front.Serve(s.Listener); err != nil {
 			broken <- fmt.Errorf("listen: %v", err)
-			loop.Tell(node.FrontClosed{})
+			loop.Post(node.FrontendClosed{})
 		}
 	}()
 	watching, enough := context.WithCancel(context.Background())
 	defer enough()
 	go func() {
-		loop.Tell(node.Listed{Kind: policy.WarmCopy, Executors: s.Known.Executors})
+		loop.Post(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Executors})
 		watcher.Run(watching, s.Discovery)
 	}()
 	go func() {
 		<-ctx.Done()
 		front.Ending()
-		loop.Tell(node.Stopping{})
+		loop.Post(node.ShutdownRequested{})
 	}()
 	go func() {
 		for ev := range more {
-			loop.Tell(ev)
+			loop.Post(ev)
 		}
 	}()
 	if s.Door != nil {
 		go door.Serve(s.Door)
 		defer door.Close()
 	}
-	edges.Clients, edges.Executors = fromClients, toExecutors
+	edges.Frontend, edges.Upstream = fromClients, toExecutors
 	loop.Run(core, edges, s.Log)
 	front.End()
 	var err error
--- /dev/null
+++ b/internal/simulation/defects_test.go
@@ -0,0 +1,340 @@
+package simulation
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// troubled is a world in which every rule is put to the test.
+func troubled(change func(*Scenario)) Scenario {
+	s := base()
+	s.Name, s.Length, s.Tracks = "troubled", Span(25*time.Second), baseTracks()
+	s.Load.Of, s.Load.HintNoise = 0.8, 0
+	s.Fleet.ListLag = Span(300 * time.Millisecond)
+	second := Span(time.Second)
+	s.Faults = []Fault{
+		{Kind: emulator.DrainOff, At: 2 * second, For: 6 * second, Where: []string{"e0", "e1", "e5"}},
+		{Kind: emulator.ResetOld, At: 6 * second, For: 12 * second, Size: 0.4},
+		{Kind: emulator.Errors, At: 4 * second, For: 15 * second, Where: []string{"e3", "e4"}, Size: 0.4},
+		{Kind: emulator.Crash, At: 9 * second, For: second, Where: []string{"e6", "e7", "e8", "e10"}},
+		{Kind: emulator.Slow, At: 10 * second, For: 10 * second, Where: []string{"e9", "e2"}, Size: 15},
+	}
+	if change != nil {
+		change(&s)
+	}
+	return s
+}
+
+// defect is one that is planted, and the rule that must break by it, and no other.
+type defect struct {
+	name  string
+	rule  invariants.Rule
+	world func(*Scenario)
+	plant plant
+}
+
+// crawling has many executors slow down while few batch jobs come: what runs there pays for a second copy.
+func crawling(s *Scenario) {
+	s.Load.Of, s.Fleet.TellsStart = 0.4, true
+	s.Faults = []Fault{{Kind: emulator.Slow, At: Span(4 * time.Second), For: Span(18 * time.Second), Where: []string{"e0", "e1", "e2", "e3", "e4"}, Size: 6}}
+}
+
+// impatient is a world whose clients leave while their batch jobs wait.
+func impatient(s *Scenario) {
+	s.Load.Of, s.Load.Leaves, s.Faults = 1.6, 0.5, nil
+}
+
+// stoppedUnderLeaving is one whose nodes stand still again and again meanwhile: what they are told when they go on is old, and what they
+// read first is not that a client has left.
+func stoppedUnderLeaving(s *Scenario) {
+	impatient(s)
+	s.Load.Of, s.Load.Leaves, s.Length = 3, 0.9, Span(8*time.Second)
+	for i := range s.Tracks {
+		s.Tracks[i].Work, s.Tracks[i].Outer = Span(60*time.Millisecond), Span(2*time.Second)
+	}
+	for i := range 6 {
+		s.Faults = append(s.Faults, Fault{Kind: emulator.NodeStopped, At: Span(time.Duration(2000+1000*i) * time.Millisecond),
+			For: Span(time.Duration(250+50*i) * time.Millisecond)})
+	}
+}
+
+// fewSeconds is for tagged tracks whose window passes soon.
+func tagged(group string, window time.Duration) func(*Scenario) {
+	return func(s *Scenario) {
+		for i := range s.Tracks {
+			s.Tracks[i].Repeat, s.Tracks[i].Group, s.Tracks[i].Window = "tagged", group, Span(window)
+		}
+	}
+}
+
+// changed changes events of one kind on their way to the reducer.
+func changed[E node.Event](change func(*World, *sim, E) []node.Event) func(*World, *sim, node.Event) []node.Event {
+	return func(w *World, n *sim, ev node.Event) []node.Event {
+		if e, ok := ev.(E); ok {
+			return change(w, n, e)
+		}
+		return []node.Event{ev}
+	}
+}
+
+// instead changes effects of one kind on their way out.
+func instead[E node.Effect](change func(*World, *sim, E) []node.Effect) func(*World, *sim, node.Effect) []node.Effect {
+	return func(w *World, n *sim, e node.Effect) []node.Effect {
+		if e, ok := e.(E); ok {
+			return change(w, n, e)
+		}
+		return []node.Effect{e}
+	}
+}
+
+// stubborn is a module that sends elsewhere what the real one breaks off.
+type stubborn struct {
+	node.Policy
+	executors []*executor
+}
+
+func (m *stubborn) AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
+	d := m.Policy.AttemptEnded(now, id, a, how, final)
+	if d.Action != policy.Fail {
+		return d
+	}
+	for _, x := range m.executors {
+		if x.Up && !x.Drains && !x.Cold(now) && x.down == 0 {
+			return policy.Decision{Action: policy.Send, Executor: x.ID}
+		}
+	}
+	return d
+}
+
+func onlyEnded(change func(*node.AttemptEnded)) func(*World, *sim, node.Event) []node.Event {
+	return changed(func(_ *World, _ *sim, ev node.AttemptEnded) []node.Event {
+		change(&ev)
+		return []node.Event{ev}
+	})
+}
+
+var defects = []defect{
+	{"the reducer forgets that an executor drains", invariants.DrainKept, nil, plant{
+		event: changed(func(_ *World, _ *sim, ev node.EndpointsUpdated) []node.Event {
+			for i := range ev.Endpoints {
+				if ev.Endpoints[i].State == policy.Draining {
+					ev.Endpoints[i].State = policy.Available
+				}
+			}
+			return []node.Event{ev}
+		})}},
+	{"the reducer forgets with the next list what operators have taken out", invariants.DrainKept, func(s *Scenario) {
+		s.Faults = append(s.Faults, Fault{Kind: emulator.TakenOut, At: Span(3 * time.Second), For: Span(14 * time.Second), Where: []string{"e9", "e11"}})
+	}, plant{
+		event: changed(func(w *World, n *sim, e node.EndpointsUpdated) []node.Event {
+			for _, id := range slices.Sorted(maps.Keys(n.outs)) {
+				for _, e := range n.core.Step(w.now-n.started, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
+					n.carryOut(e)
+				}
+			}
+			return []node.Event{e}
+		})}},
+	{"the list's edge sits on its news", invariants.DrainKept, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightsEvery = 0 }, plant{
+		event: changed(func(w *World, n *sim, ev node.EndpointsUpdated) []node.Event {
+			if ev.Kind != policy.IncrementalUpdate {
+				return []node.Event{ev}
+			}
+			n.later(3*time.Second, func() {
+				for _, e := range n.core.Step(w.now-n.started, ev) {
+					n.carryOut(e)
+				}
+			})
+			return nil
+		})}},
+	{"the reducer answers twice", invariants.OneAnswer, nil, plant{
+		effect: instead(func(_ *World, _ *sim, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
+	{"results are lost within the node", invariants.OneAnswer, nil, plant{
+		effect: instead(func(w *World, _ *sim, a node.Answer) []node.Effect {
+			if a.Final == node.Succeeded && w.steps%20 == 0 {
+				return nil
+			}
+			return []node.Effect{a}
+		})}},
+	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Of = 1.5 }, plant{
+		event: changed(func(w *World, _ *sim, ev node.JobArrived) []node.Event {
+			ev.Job.Budget *= 2
+			return []node.Event{ev}
+		}),
+		settings: func(p *policy.Settings) {
+			for i := range p.JobClasses {
+				p.JobClasses[i].LatencyObjective, p.JobClasses[i].Deadline = 4*p.JobClasses[i].LatencyObjective, 2*p.JobClasses[i].Deadline
+				p.JobClasses[i].LateValue = 1
+			}
+		}}},
+	{"an executor's error counts as its result", invariants.OneAnswer, nil, plant{
+		event: onlyEnded(func(ev *node.AttemptEnded) {
+			if ev.Outcome == policy.ExecutorError {
+				ev.Outcome = policy.Succeeded
+			}
+		})}},
+	{"what is answered is sent once more", invariants.OneAnswer, nil, plant{
+		effect: instead(func(w *World, n *sim, a node.Answer) []node.Effect {
+			t := n.tries[a.Job]
+			if a.Final == node.Succeeded && t != nil && w.module[t.work.Track].Idempotency == policy.Idempotent {
+				for _, c := range sortedByID(n.wires) {
+					if c.state == up && c.load == nil && !c.x.Cold(w.now) && c.x.down == 0 {
+						return []node.Effect{a, node.WriteAttempt{Conn: c.id, Attempt: node.Attempt{Request: &node.Request{ID: a.Job}}}}
+					}
+				}
+			}
+			return []node.Effect{a}
+		})}},
+	{"a cut counts as a connection that never came up", invariants.NoEffectTwice, nil, plant{
+		event: onlyEnded(func(ev *node.AttemptEnded) {
+			if ev.Outcome == policy.ConnectionLost {
+				ev.Outcome = policy.ConnectFailed
+			}
+		})}},
+	{"an error counts as turned away", invariants.NoEffectTwice, nil, plant{
+		event: onlyEnded(func(ev *node.AttemptEnded) {
+			if ev.Outcome == policy.ExecutorError {
+				ev.Outcome = policy.ExecutorFull
+			}
+		})}},
+	{"the module sends what it should break off", invariants.NoEffectTwice, nil, plant{
+		module: func(w *World, _ *sim, m node.Policy) node.Policy { return &stubborn{m, w.executors} }}},
+	{"what is broken off is told as pushed back", invariants.NoEffectTwice, nil, plant{
+		effect: instead(func(_ *World, _ *sim, a node.Answer) []node.Effect {
+			if a.Final == node.Failed {
+				a.Final = node.Rejected
+			}
+			return []node.Effect{a}
+		})}},
+	{"a next allocation goes out before the last one's outcome", invariants.NoEffectTwice, nil, plant{
+		effect: instead(func(_ *World, n *sim, e node.CloseConn) []node.Effect {
+			c := n.wires[e.Conn]
+			if c == nil || c.state != up || c.load == nil {
+				return []node.Effect{e}
+			}
+			n.later(epsilon, func() { n.tell(node.AttemptEnded{Conn: e.Conn, Outcome: policy.ConnectionLost, ConnBroken: true}) })
+			n.later(2*epsilon, func() { n.tell(node.ConnClosed{Conn: e.Conn}) })
+			return nil
+		})}},
+	{"a once-only track is taken for repeatable", invariants.NoEffectTwice, nil, plant{
+		settings: func(p *policy.Settings) {
+			for i := range p.JobClasses {
+				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
+					p.JobClasses[i].Idempotency = policy.Idempotent
+				}
+			}
+		}}},
+	{"a second copy where none is allowed", invariants.NoEffectTwice, crawling, plant{
+		settings: func(p *policy.Settings) { p.MayHedge = true }}},
+	{"a once-only track is copied", invariants.NoEffectTwice, func(s *Scenario) { crawling(s); s.Fleet.Copies = true }, plant{
+		settings: func(p *policy.Settings) {
+			for i := range p.JobClasses {
+				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
+					p.JobClasses[i].Idempotency = policy.Idempotent
+				}
+			}
+		}}},
+	{"a zone's group is taken for all executors", invariants.NoEffectTwice, tagged("zone", 5*time.Second), plant{
+		settings: func(p *policy.Settings) {
+			for i := range p.JobClasses {
+				p.JobClasses[i].DedupGroup = policy.DedupAllExecutors
+			}
+		}}},
+	{"a window is taken for longer than it is", invariants.NoEffectTwice, tagged("all", 300*time.Millisecond), plant{
+		settings: func(p *policy.Settings) {
+			for i := range p.JobClasses {
+				p.JobClasses[i].DedupWindow = time.Minute
+			}
+		}}},
+	{"executors say turned away, and run it", invariants.NoEffectTwice, nil, plant{
+		standin: func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: x.Zone == 0}) }}},
+	{"executors forget the tags they have seen", invariants.NoEffectTwice, tagged("all", 5*time.Second), plant{
+		allocation: func(a *emulator.Allocation) { a.Window = 0 }}},
+	{"a cold executor is taken for a warm one", invariants.ColdSpared, func(s *Scenario) {
+		s.Load.Of = 1.5
+		s.Fleet.ColdShare, s.Fleet.FallMultiple, s.Fleet.Queue = 0.1, 1, 10
+	}, plant{settings: func(p *policy.Settings) {
+		p.SlowStartCapacity, p.SlowStartDuration, p.OverloadMultiple = 1, time.Millisecond, 1000
+	}}},
+	{"the leaving is forgotten", invariants.Awaited, impatient, plant{unheard: true, blind: true}},
+	{"nobody looks before an attempt's first byte", invariants.Awaited, stoppedUnderLeaving, plant{blind: true}},
+	{"what is given up on is held for a while", invariants.AtOnce, nil, plant{
+		effect: instead(func(w *World, n *sim, a node.Answer) []node.Effect {
+			if t := n.tries[a.Job]; a.Final == node.Rejected && t != nil && t.work.Limit > w.now+time.Second {
+				n.later(300*time.Millisecond, func() { n.carryOut(a) })
+				return nil
+			}
+			return []node.Effect{a}
+		})}},
+}
+
+// sound plays a world with nothing planted, each once however many defects are planted in it, and gives the first rule that breaks.
+func sound(s Scenario, seed uint64) string {
+	text, err := s.Text()
+	if err != nil {
+		return err.Error()
+	}
+	play, _ := sounds.LoadOrStore(fmt.Sprint(seed, "\n", string(text)), sync.OnceValue(func() string {
+		if r := New(s, seed, Options{}).Play(); len(r.Broken) > 0 {
+			return r.Broken[0].String()
+		}
+		return ""
+	}))
+	return play.(func() string)()
+}
+
+var sounds sync.Map // by seed and world
+
+// Each planted defect is caught by the rule that it breaks, and by none other; taken out, nothing is caught.
+func TestPlantedDefects(t *testing.T) {
+	t.Parallel()
+	for _, d := range defects {
+		t.Run(d.name, func(t *testing.T) {
+			t.Parallel()
+			caught := map[invariants.Rule]int{}
+			for seed := range uint64(2) {
+				if underRace && caught[d.rule] > 0 {
+					break
+				}
+				s := troubled(d.world)
+				if _, err := s.check(); err != nil {
+					t.Fatal(err)
+				}
+				if broken := sound(s, seed); broken != "" {
+					t.Fatalf("seed %d breaks a rule with nothing planted: %s", seed, broken)
+				}
+				w := New(s, seed, Options{Most: 1000})
+				w.plant = d.plant
+				for _, b := range w.Play().Broken {
+					if caught[b.Rule]++; b.Rule != d.rule && caught[b.Rule] == 1 {
+						t.Errorf("seed %d: another rule broke: %v", seed, b)
+					}
+				}
+			}
+			t.Logf("caught %d times", caught[d.rule])
+			if caught[d.rule] == 0 {
+				t.Errorf("not caught")
+			}
+		})
+	}
+}
+
+// All rules have a defect that breaks them.
+func TestEveryRuleIsPutToTheTest(t *testing.T) {
+	for r := range invariants.Awaited + 1 {
+		if r < invariants.OneAnswer || r == invariants.Bound { // its defects are planted in fleets
+			continue
+		}
+		if !slices.ContainsFunc(defects, func(d defect) bool { return d.rule == r }) {
+			t.Errorf("no defect breaks %q", r)
+		}
+	}
+}
--- a/internal/lab/fleet_defects_test.go
+++ b/internal/simulation/fleet_defects_test.go
@@ -1,33 +1,33 @@
-package lab
+package simulation
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
 	"birchstair/policy"
 )
 
 // stuck is a module whose cut line never falls again.
 type stuck struct {
-	node.Module
-	highest policy.CutLine
+	node.Policy
+	highest policy.AdmissionThreshold
 }
 
-func (m *stuck) Cut(l policy.CutLine) {
-	if l.Rung >= m.highest.Rung {
+func (m *stuck) SetAdmissionThreshold(l policy.AdmissionThreshold) {
+	if l.Level >= m.highest.Level {
 		m.highest = l
 	}
-	m.Module.Cut(m.highest)
+	m.Policy.SetAdmissionThreshold(m.highest)
 }
 
 // overTold gives the first bound between nodes that broke.
 func overTold(_, r Result) string {
 	for _, b := range r.Broken {
-		if b.Rule == rules.Bound {
+		if b.Rule == invariants.Bound {
 			return b.Text
 		}
 	}
@@ -44,29 +44,29 @@
 		wrong func(sound, r Result) string
 	}{
 		{"a node tells its own echo as news", nil, func() plant {
-			heard := map[rules.NodeID]map[fleet.Name]fleet.Figures{}
+			heard := map[invariants.NodeID]map[cluster.NodeName]cluster.Rates{}
 			return plant{
-				event: changed(func(_ *World, n *sim, ev node.Hears) []node.Event {
+				event: changed(func(_ *World, n *sim, ev node.GossipReceived) []node.Event {
 					if heard[n.id] == nil {
-						heard[n.id] = map[fleet.Name]fleet.Figures{}
+						heard[n.id] = map[cluster.NodeName]cluster.Rates{}
 					}
-					heard[n.id][ev.Word.From] = ev.Word.Figures
+					heard[n.id][ev.Message.From] = ev.Message.Rates
 					return []node.Event{ev}
 				}),
-				effect: instead(func(_ *World, n *sim, to node.TellNeighbour) []node.Effect {
+				effect: instead(func(_ *World, n *sim, to node.SendGossip) []node.Effect {
 					for _, g := range heard[n.id] {
-						to.Word.Figures.Done += g.Done
+						to.Message.Rates.Completed += g.Completed
 					}
 					return []node.Effect{to}
 				})}
 		}(), overTold},
 		{"an old view counts as fresh", func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "nodes-apart", At: Span(4 * time.Second), For: Span(9 * time.Second), Where: []string{"n0", "n1"}}}
-		}, plant{fleet: func(s *fleet.Settings) { s.ViewFor = time.Hour }}, overTold},
-		{"a node tells more often than it may", nil, plant{fleet: func(s *fleet.Settings) { s.Every /= 2 }}, overTold},
+		}, plant{fleet: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, overTold},
+		{"a node tells more often than it may", nil, plant{fleet: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, overTold},
 		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Of = 0.8 }, plant{
-			event: changed(func(_ *World, _ *sim, ev node.Hears) []node.Event {
-				ev.Word.Figures.Moves = 0
+			event: changed(func(_ *World, _ *sim, ev node.GossipReceived) []node.Event {
+				ev.Message.Rates.Migrations = 0
 				return []node.Event{ev}
 			})}, func(sound, r Result) string {
 			if float64(r.Allocations) > 1.2*float64(sound.Allocations) {
@@ -77,7 +77,7 @@
 		{"a cut line that never falls again", func(s *Scenario) {
 			s.Load.Of = 0.6
 			s.Faults = []Fault{{Kind: "burst", At: Span(2 * time.Second), For: Span(5 * time.Second), Size: 4}}
-		}, plant{module: func(_ *World, _ *sim, m node.Module) node.Module { return &stuck{Module: m} }}, func(_, r Result) string {
+		}, plant{module: func(_ *World, _ *sim, m node.Policy) node.Policy { return &stuck{Policy: m} }}, func(_, r Result) string {
 			last := r.seconds[12:15]
 			asked, earned := 0.0, 0.0
 			for _, s := range last {
--- a/internal/lab/net.go
+++ b/internal/simulation/net.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"cmp"
@@ -8,32 +8,32 @@
 	"slices"
 	"time"
 
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
 // executor is a stand-in executor and where it is reached.
 type executor struct {
-	*standin.Executor
+	*emulator.Executor
 	w      *World
 	number int
 	addr   string
 	moves  int
-	wires  map[standin.ConnID]*wire
-	faults []standin.Fault // that make it suffer now
-	down   int             // faults that keep it down
-	gone   bool            // it is not there: nothing answers, nothing is refused
+	wires  map[emulator.ConnID]*wire
+	faults []emulator.Fault // that make it suffer now
+	down   int              // faults that keep it down
+	gone   bool             // it is not there: nothing answers, nothing is refused
 	wake   int
 	booked []*wanted // that the best choice has sent there and that have not come yet
 	lives  int       // its processes so far, where the world is wired
-	socks  map[standin.ConnID]*sock
+	socks  map[emulator.ConnID]*sock
 }
 
 func (w *World) addExecutor(id string, number int, speed float64) *executor {
-	x := &executor{w: w, number: number, addr: w.newAddr(), wires: map[standin.ConnID]*wire{}}
-	x.Executor = standin.NewExecutor(w.s.Spec(id, number, speed),
+	x := &executor{w: w, number: number, addr: w.newAddr(), wires: map[emulator.ConnID]*wire{}}
+	x.Executor = emulator.NewExecutor(w.s.Spec(id, number, speed),
 		stream(w.seed, "executor "+id))
 	w.executors = append(w.executors, x)
 	w.byAddr[x.addr] = x
@@ -47,9 +47,9 @@
 }
 
 // entry is its entry in the list.
-func (x *executor) entry(state policy.State) standin.Entry {
-	e := standin.Entry{Addr: x.addr, Entry: policy.Entry{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state,
-		Weight: x.size(), Started: x.Started, LongAgo: x.Started < 0}}
+func (x *executor) entry(state policy.EndpointState) emulator.Entry {
+	e := emulator.Entry{Addr: x.addr, Endpoint: policy.Endpoint{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state,
+		Weight: x.size(), StartedAt: x.Started, StartedLongAgo: x.Started < 0}}
 	if x.w.s.Fleet.NoWeights {
 		e.Weight = 1
 	}
@@ -57,35 +57,35 @@
 }
 
 // does hands on what follows from something that happened to an executor.
-func (x *executor) does(outs []standin.Out) {
+func (x *executor) does(outs []emulator.Out) {
 	for _, o := range outs {
 		switch o := o.(type) {
-		case standin.Say:
+		case emulator.Say:
 			if x.w.wired != nil {
 				x.w.wired.say(x, o)
 			} else if c := x.wires[o.Conn]; c != nil {
 				c.say(o)
 			}
-		case standin.Ran:
+		case emulator.Ran:
 			if c := x.wires[o.Conn]; c != nil && c.load != nil && c.load.try.job == o.Job {
 				x.w.account.began(c.load.path)
 			}
-			x.w.see(rules.Seen{What: rules.Ran, Node: o.Node, Job: o.Job, Work: o.Work, Track: o.Track, Executor: x.ID})
-		case standin.Reached:
+			x.w.see(invariants.Seen{What: invariants.Ran, Node: o.Node, Job: o.Job, Work: o.Work, Track: o.Track, Executor: x.ID})
+		case emulator.Reached:
 			if x.Cold(x.w.now) {
-				x.w.see(rules.Seen{What: rules.Reached, Node: o.Node, Job: o.Job, Executor: x.ID, Cost: o.Hint, Capacity: o.Capacity})
+				x.w.see(invariants.Seen{What: invariants.Reached, Node: o.Node, Job: o.Job, Executor: x.ID, Cost: o.Hint, Capacity: o.Capacity})
 			}
-		case standin.Reset:
+		case emulator.Reset:
 			if c := x.wires[o.Conn]; c != nil {
 				c.resetByExecutor()
 			}
 			if s := x.socks[o.Conn]; s != nil {
 				s.conn.Reset()
 			}
-		case standin.Fell:
+		case emulator.Fell:
 			x.w.result.Fell++
-			x.w.see(rules.Seen{What: rules.Fell, Node: rules.Nobody, Executor: x.ID})
-			x.w.change(x.entry(policy.Gone))
+			x.w.see(invariants.Seen{What: invariants.Fell, Node: invariants.Nobody, Executor: x.ID})
+			x.w.change(x.entry(policy.Removed))
 			if x.w.wired != nil {
 				x.w.wired.endExecutor(x, false)
 			}
@@ -93,7 +93,7 @@
 	}
 	x.wake++
 	mine, next := x.wake, x.Next()
-	if next == standin.Never {
+	if next == emulator.Never {
 		return
 	}
 	x.w.at(next, func() {
@@ -115,7 +115,7 @@
 // wire is a connection between a node and an executor.
 type wire struct {
 	id     node.ConnID
-	key    standin.ConnID
+	key    emulator.ConnID
 	n      *sim
 	x      *executor
 	state  wireState
@@ -135,7 +135,7 @@
 type load struct {
 	try    *try
 	x      *executor
-	number policy.AllocationID
+	number policy.AttemptID
 	path   *attempt
 	all    bool // its last byte has left the node
 	ended  bool // the node is told, or about to be told, that it is over
@@ -144,7 +144,7 @@
 // sends books that an allocation of a try goes out.
 func (n *sim) sends(t *try, x *executor) *load {
 	w := n.w
-	l := &load{try: t, x: x, number: policy.AllocationID(t.sent), path: w.account.sent(t, x)}
+	l := &load{try: t, x: x, number: policy.AttemptID(t.sent), path: w.account.sent(t, x)}
 	t.sent++
 	t.sentAt = w.now
 	if t.out++; t.out > 1 {
@@ -155,7 +155,7 @@
 	if x.Zone != n.zone {
 		w.result.Crossings++
 	}
-	w.see(rules.Seen{What: rules.FirstByte, Node: n.id, Job: t.job, Work: t.work.ID, Allocation: l.number, Executor: x.ID,
+	w.see(invariants.Seen{What: invariants.FirstByte, Node: n.id, Job: t.job, Work: t.work.ID, Allocation: l.number, Executor: x.ID,
 		Zone: x.Zone, Cell: x.Cell})
 	return l
 }
@@ -164,7 +164,7 @@
 func (n *sim) over(l *load, proof bool) {
 	n.out--
 	l.try.out--
-	n.w.see(rules.Seen{What: rules.Over, Node: n.id, Job: l.try.job, Allocation: l.number, Executor: l.x.ID, Proof: proof})
+	n.w.see(invariants.Seen{What: invariants.Over, Node: n.id, Job: l.try.job, Allocation: l.number, Executor: l.x.ID, Proof: proof})
 }
 
 // epsilon is how long something takes within a process.
@@ -226,11 +226,11 @@
 // tell books the end of an allocation with the rules, and tells the node.
 func (c *wire) tell(ev node.Event) {
 	switch ev := ev.(type) {
-	case node.Ended:
+	case node.AttemptEnded:
 		c.n.w.account.ended(c.load.path, ev.Outcome)
 		c.n.over(c.load, ev.Outcome.NeverRan())
 		c.load = nil
-	case node.Closed:
+	case node.ConnClosed:
 		delete(c.n.wires, c.id)
 	}
 	c.n.tell(ev)
@@ -240,16 +240,16 @@
 const probeLimit = 250 * time.Millisecond
 
 // probe asks an executor for its load, beside its queue. One that answers no batch job answers no probe either.
-func (n *sim) probe(e node.Probe) {
+func (n *sim) probe(e node.ProbeExecutor) {
 	w, x, told := n.w, n.w.byAddr[e.Addr], false
-	tell := func(ev node.Probed) {
+	tell := func(ev node.ProbeEnded) {
 		if !told {
 			told = true
 			n.tell(ev)
 		}
 	}
 	w.result.Probes++
-	n.later(probeLimit, func() { tell(node.Probed{Executor: e.Executor}) })
+	n.later(probeLimit, func() { tell(node.ProbeEnded{Executor: e.Executor}) })
 	if x == nil {
 		return
 	}
@@ -258,13 +258,13 @@
 		if x.gone || !x.Up || x.Mute() {
 			return
 		}
-		load := policy.Load{Held: -1, Waiting: -1, Free: -1, Memory: -1, Took: -1}
+		load := policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
 		if says := x.Says(w.now); says.Known {
-			load.Held, load.Waiting, load.Free = says.Held, says.Waiting, says.Free
+			load.InFlight, load.Queued, load.FreeSlots = says.Held, says.Waiting, says.Free
 		}
 		w.at(w.passes(x.Zone, n.zone), func() {
 			if n.up && n.run == run {
-				tell(node.Probed{Executor: e.Executor, Answered: true, Load: load})
+				tell(node.ProbeEnded{Executor: e.Executor, Answered: true, Load: load})
 			}
 		})
 	})
@@ -282,7 +282,7 @@
 			if c.state == dialling {
 				c.state = closed
 				w.result.NoConnection++
-				c.tell(node.Closed{Conn: c.id, Detail: "no connection: " + why})
+				c.tell(node.ConnClosed{Conn: c.id, Detail: "no connection: " + why})
 			}
 		})
 	}
@@ -305,7 +305,7 @@
 				if c.state == dialling {
 					c.state = closed
 					w.result.NoConnection++
-					c.tell(node.Closed{Conn: c.id, Detail: "no connection: refused"})
+					c.tell(node.ConnClosed{Conn: c.id, Detail: "no connection: refused"})
 				}
 			})
 			return
@@ -321,7 +321,7 @@
 				return
 			}
 			c.state, c.upAt = up, w.now
-			c.tell(node.Dialled{Conn: c.id})
+			c.tell(node.ConnReady{Conn: c.id})
 		})
 		if !ok { // it has all the connections it takes: this one is closed as soon as it is up
 			c.bring(func() { c.broken("closed by the executor") })
@@ -330,17 +330,17 @@
 	})
 }
 
-func (n *sim) write(e node.Write) {
+func (n *sim) write(e node.WriteAttempt) {
 	w, c := n.w, n.wires[e.Conn]
 	if c == nil || c.state != up || c.load != nil {
 		return // it is closed already, and the node about to be told
 	}
-	t := n.tries[e.Allocation.ID]
+	t := n.tries[e.Attempt.ID]
 	if t == nil {
 		return
 	}
-	if client := e.Allocation.Client; client != nil && client.Gone() {
-		c.tellLater(epsilon, node.Unsent{Conn: c.id})
+	if client := e.Attempt.Client; client != nil && client.Gone() {
+		c.tellLater(epsilon, node.AttemptNotSent{Conn: c.id})
 		return
 	}
 	c.uses++
@@ -349,7 +349,7 @@
 	if c.uses == 1 {
 		l.path.dialled, l.path.up = c.dialled, c.upAt
 	}
-	writing := epsilon + time.Duration(len(e.Allocation.Body))*bytesPerSecond
+	writing := epsilon + time.Duration(len(e.Attempt.Body))*bytesPerSecond
 	if c.breaks {
 		c.breaks = false
 		c.breakAt(time.Duration(w.rand.Int64N(int64(3 * writing))))
@@ -359,7 +359,7 @@
 			return
 		}
 		l.all = true
-		w.see(rules.Seen{What: rules.LastByte, Node: n.id, Job: t.job, Allocation: l.number, Executor: c.x.ID})
+		w.see(invariants.Seen{What: invariants.LastByte, Node: n.id, Job: t.job, Allocation: l.number, Executor: c.x.ID})
 		a := w.allocation(t, n.id, c.key, c.x)
 		c.send(func() {
 			t.landed = true
@@ -370,22 +370,22 @@
 }
 
 // tag is what a work of a tagged track carries; others have none.
-func (w *World) tag(work *standin.Work) string {
-	if w.module[work.Track].Repeat == policy.Tagged {
+func (w *World) tag(work *emulator.Work) string {
+	if w.module[work.Track].Idempotency == policy.IdempotentWithKey {
 		return string(work.ID)
 	}
 	return ""
 }
 
 // allocation is what reaches an executor for a try.
-func (w *World) allocation(t *try, from rules.NodeID, key standin.ConnID, x *executor) standin.Allocation {
-	a := standin.Allocation{Conn: key, Node: from, Job: t.job, Work: t.work.ID, Track: t.work.Track, Priority: w.tracks[t.work.Track].Priority,
+func (w *World) allocation(t *try, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Allocation {
+	a := emulator.Allocation{Conn: key, Node: from, Job: t.job, Work: t.work.ID, Track: t.work.Track, Priority: w.tracks[t.work.Track].Priority,
 		Cost: t.work.Cost, Hint: cmp.Or(t.work.Hint, w.tracks[t.work.Track].Mean)}
 	if noise := w.s.Fleet.AttemptNoise; noise > 0 {
 		a.Cost *= math.Exp(w.noise.NormFloat64()*noise - noise*noise/2)
 	}
 	if a.Tag = w.tag(t.work); a.Tag != "" {
-		a.Window, a.Memory = w.module[a.Track].GroupWindow, w.memory(x, a.Track)
+		a.Window, a.Memory = w.module[a.Track].DedupWindow, w.memory(x, a.Track)
 	}
 	if w.plant.allocation != nil {
 		w.plant.allocation(&a)
@@ -405,7 +405,7 @@
 	if c.state == dialling {
 		c.state = closed
 		c.hangup()
-		c.tellLater(epsilon, node.Closed{Conn: id, Detail: "no connection: given up"})
+		c.tellLater(epsilon, node.ConnClosed{Conn: id, Detail: "no connection: given up"})
 		return
 	}
 	c.hangup()
@@ -424,9 +424,9 @@
 	c.state = closed
 	if l := c.load; l != nil && !l.ended {
 		l.ended = true
-		ev := node.Ended{Conn: c.id, Outcome: policy.Cut, Broken: true, Detail: why}
+		ev := node.AttemptEnded{Conn: c.id, Outcome: policy.ConnectionLost, ConnBroken: true, Detail: why}
 		if !l.all {
-			ev.Outcome = policy.NoRoute
+			ev.Outcome = policy.ConnectFailed
 		}
 		c.tellLater(epsilon, ev)
 	}
@@ -434,7 +434,7 @@
 	if was == dialling {
 		detail = "no connection: " + why
 	}
-	c.tellLater(epsilon+epsilon/2, node.Closed{Conn: c.id, Detail: detail})
+	c.tellLater(epsilon+epsilon/2, node.ConnClosed{Conn: c.id, Detail: detail})
 }
 
 // hangup ends a wire at the executor's end, after what is in flight.
@@ -470,11 +470,11 @@
 	})
 }
 
-var words = map[standin.Word]policy.Outcome{standin.Done: policy.Handled, standin.Errored: policy.Errored, standin.NoRoom: policy.NoRoom}
+var words = map[emulator.Word]policy.Outcome{emulator.Done: policy.Succeeded, emulator.Errored: policy.ExecutorError, emulator.NoRoom: policy.ExecutorFull}
 
 // say brings an executor's word to the node.
-func (c *wire) say(o standin.Say) {
-	load := node.Load{Load: policy.Load{Held: o.Load.Held, Waiting: o.Load.Waiting, Free: o.Load.Free, Memory: -1, Took: -1}, Known: o.Load.Known}
+func (c *wire) say(o emulator.Say) {
+	load := node.Load{Load: policy.Load{InFlight: o.Load.Held, Queued: o.Load.Waiting, FreeSlots: o.Load.Free, FreeMemory: -1, RunTime: -1}, Known: o.Load.Known}
 	sentAt := c.n.w.now
 	if l := c.load; l != nil && !l.ended && l.try.job == o.Job {
 		c.n.w.account.said(l.path, o.Word)
@@ -485,19 +485,19 @@
 			return
 		}
 		switch o.Word {
-		case standin.Began:
+		case emulator.Began:
 			if sentAt-l.try.sentAt > startWaits {
 				c.n.w.result.StartsWaited++
 			}
-			c.tell(node.Told{Conn: c.id, Load: load})
+			c.tell(node.AttemptProgressed{Conn: c.id, Load: load})
 			return
-		case standin.Progress:
-			c.tell(node.Told{Conn: c.id, Share: o.Share, Load: load})
+		case emulator.Progress:
+			c.tell(node.AttemptProgressed{Conn: c.id, Progress: o.Share, Load: load})
 			return
 		}
 		l.ended = true
-		ev := node.Ended{Conn: c.id, Outcome: words[o.Word], Load: load}
-		if o.Word == standin.Done {
+		ev := node.AttemptEnded{Conn: c.id, Outcome: words[o.Word], Load: load}
+		if o.Word == emulator.Done {
 			ev.Result = []byte("done " + l.try.work.ID)
 		}
 		c.tell(ev)
@@ -505,7 +505,7 @@
 			uses := c.uses
 			c.n.later(epsilon, func() {
 				if c.state == up {
-					c.tell(node.Rested{Conn: c.id})
+					c.tell(node.ConnIdle{Conn: c.id})
 				}
 			})
 			c.n.w.after(time.Duration(c.n.w.s.Fleet.IdleLimit), func() {
@@ -525,11 +525,11 @@
 	return slices.SortedFunc(maps.Values(wires), func(a, b *wire) int { return cmp.Compare(a.id, b.id) })
 }
 
-func sortedByKey(wires map[standin.ConnID]*wire) []*wire {
+func sortedByKey(wires map[emulator.ConnID]*wire) []*wire {
 	return slices.SortedFunc(maps.Values(wires), func(a, b *wire) int { return cmp.Compare(a.key, b.key) })
 }
 
-func sortedSeen(known map[policy.ExecutorID]rules.Seen) []rules.Seen {
+func sortedSeen(known map[policy.ExecutorID]invariants.Seen) []invariants.Seen {
 	return slices.SortedFunc(maps.Values(known), compareIDs)
 }
 
@@ -545,9 +545,9 @@
 		x.w.wired.startExecutor(x)
 	}
 	x.suffer()
-	x.w.see(rules.Seen{What: rules.Started, Node: rules.Nobody, Executor: x.ID})
-	e := x.entry(policy.Up)
-	e.Started += x.w.clockOff
+	x.w.see(invariants.Seen{What: invariants.Started, Node: invariants.Nobody, Executor: x.ID})
+	e := x.entry(policy.Available)
+	e.StartedAt += x.w.clockOff
 	x.w.change(e)
 }
 
--- a/internal/lab/talk.go
+++ b/internal/simulation/talk.go
@@ -1,14 +1,14 @@
-package lab
+package simulation
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
@@ -22,20 +22,20 @@
 
 // talk makes a node that has just started one of the fleet.
 func (n *sim) talk() {
-	s := fleet.Defaults(fleet.Name(n.name), uint64(n.started.Milliseconds())<<8+uint64(n.run), uint32(mix(n.w.seed+uint64(n.id))))
+	s := cluster.Defaults(cluster.NodeName(n.name), uint64(n.started.Milliseconds())<<8+uint64(n.run), uint32(mix(n.w.seed+uint64(n.id))))
 	s.Epoch = n.started.Milliseconds()
 	if n.w.plant.fleet != nil {
 		n.w.plant.fleet(&s)
 	}
 	n.pace = pace{at: n.w.now}
-	n.core.Talk(s)
-	n.reached, n.alive = map[rules.NodeID]time.Duration{}, nil
+	n.core.JoinFleet(s)
+	n.reached, n.alive = map[invariants.NodeID]time.Duration{}, nil
 	n.later(time.Duration(n.w.talks.Int64N(int64(memberSpell))), n.look)
 }
 
 // look finds out who is alive.
 func (n *sim) look() {
-	var alive []fleet.Name
+	var alive []cluster.NodeName
 	for _, o := range n.w.nodes {
 		if o == n {
 			continue
@@ -44,12 +44,12 @@
 			n.reached[o.id] = n.w.now
 		}
 		if at, ok := n.reached[o.id]; ok && n.w.now-at < deadAfter {
-			alive = append(alive, fleet.Name(o.name))
+			alive = append(alive, cluster.NodeName(o.name))
 		}
 	}
 	if !slices.Equal(alive, n.alive) {
 		n.alive = alive
-		n.tell(node.Neighbours{Alive: slices.Clone(alive)})
+		n.tell(node.FleetChanged{Alive: slices.Clone(alive)})
 	}
 	n.later(memberSpell, n.look)
 }
@@ -68,20 +68,20 @@
 }
 
 // say sends a word on its way.
-func (n *sim) say(to fleet.To) {
+func (n *sim) say(to cluster.Envelope) {
 	n.bounded(to)
-	to.Word = n.lie(to.Word)
-	n.w.remember(to.Word)
-	i := slices.IndexFunc(n.w.nodes, func(o *sim) bool { return o.name == string(to.Name) })
+	to.Message = n.lie(to.Message)
+	n.w.remember(to.Message)
+	i := slices.IndexFunc(n.w.nodes, func(o *sim) bool { return o.name == string(to.To) })
 	if i >= 0 {
-		n.carryWord(n.w.nodes[i], node.Hears{Word: to.Word})
+		n.carryWord(n.w.nodes[i], node.GossipReceived{Message: to.Message})
 	}
 }
 
 // sayPlace sends a word about an executor's places on its way.
-func (n *sim) sayPlace(to node.TellPlace) {
+func (n *sim) sayPlace(to node.SendLeaseMessage) {
 	if int(to.To) < len(n.w.nodes) {
-		n.carryWord(n.w.nodes[to.To], node.HearsPlace{From: policy.NodeID(n.id), Word: to.Word, Sum: to.Sum})
+		n.carryWord(n.w.nodes[to.To], node.LeaseMessageReceived{From: policy.NodeID(n.id), Message: to.Message, Hash: to.Hash})
 	}
 }
 
@@ -121,26 +121,26 @@
 }
 
 // lie makes nonsense of what a node tells, while it lies: each word another kind of it.
-func (n *sim) lie(w fleet.Word) fleet.Word {
+func (n *sim) lie(w cluster.Message) cluster.Message {
 	if n.lies == 0 {
 		return w
 	}
 	n.lies++
-	g := w.Figures.Clone()
+	g := w.Rates.Clone()
 	switch n.lies % 4 {
 	case 0: // ten times the truth
 		for rung := range g.Offered {
 			g.Offered[rung] *= 10
 		}
-		g.Done *= 10
+		g.Completed *= 10
 	case 1:
-		g.Done = -1
+		g.Completed = -1
 	case 2: // all is lost
-		g.Lost += 10 * g.Done
+		g.Expired += 10 * g.Completed
 	case 3:
-		w.From = fleet.Name(n.w.nodes[(int(n.id)+1)%len(n.w.nodes)].name) // another's name
+		w.From = cluster.NodeName(n.w.nodes[(int(n.id)+1)%len(n.w.nodes)].name) // another's name
 	}
-	w.Figures = g
+	w.Rates = g
 	return w
 }
 
@@ -152,7 +152,7 @@
 		if !ok {
 			continue
 		}
-		state, was := policy.Draining, policy.Up
+		state, was := policy.Draining, policy.Available
 		switch {
 		case strings.HasPrefix(l.Text, "counts as draining"):
 		case strings.HasPrefix(l.Text, "no longer counts as draining"):
@@ -168,16 +168,16 @@
 }
 
 // halt stops a node's process for a while, as SIGSTOP does: what comes meanwhile waits unread.
-func (n *sim) halt(f standin.Fault) {
+func (n *sim) halt(f emulator.Fault) {
 	if !n.up || n.stopped {
 		return
 	}
 	n.stopped = true
-	n.w.see(rules.Seen{What: rules.StoodStill, Node: n.id})
+	n.w.see(invariants.Seen{What: invariants.StoodStill, Node: n.id})
 	n.later(f.For, func() {
 		n.stopped = false
 		n.pace.stood = n.w.now + afterStop
-		n.w.see(rules.Seen{What: rules.WentOn, Node: n.id})
+		n.w.see(invariants.Seen{What: invariants.WentOn, Node: n.id})
 		waiting := n.unread
 		n.unread = nil
 		for _, ev := range waiting {
