--- a/internal/lab/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"cmp"
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
+	"birchstair/internal/cluster"
 	"birchstair/internal/config"
-	"birchstair/internal/fleet"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/internal/rules"
-	"birchstair/internal/standin"
 	"birchstair/policy"
 )
 
@@ -30,19 +30,19 @@
 	talks   *rand.Rand // of words between nodes
 	noise   *rand.Rand // of attempts' work
 	front   *rand.Rand // of the front layer, where nodes get unlike parts
-	tracks  []standin.Track
+	tracks  []emulator.Track
 	orders  int // that operators have given to wired nodes
-	module  []policy.Track
+	module  []policy.JobClass
 	policy  Policy
 	account *ledger // nil where none is kept
 
 	nodes     []*sim
 	executors []*executor
 	byAddr    map[string]*executor
-	discovery *standin.Discovery
+	discovery *emulator.Discovery
 	clients   []*callers
-	memories  standin.Memories
-	wires     standin.ConnID
+	memories  emulator.Memories
+	wires     emulator.ConnID
 	open      int // tries that clients wait for
 
 	cuts      []cut // by zone
@@ -51,8 +51,8 @@
 	silentNew float64
 	clockOff  time.Duration
 
-	checker *rules.Checker
-	trace   func(rules.Seen)
+	checker *invariants.Checker
+	trace   func(invariants.Seen)
 	result  Result
 	steps   int
 	ties    int    // steps at the instant of the step before
@@ -64,14 +64,14 @@
 
 // plant holds defects that tests plant to check the checker. All are nil in use.
 type plant struct {
-	module func(*World, *sim, node.Module) node.Module
+	module func(*World, *sim, node.Policy) node.Policy
 	event  func(*World, *sim, node.Event) []node.Event
 	effect func(*World, *sim, node.Effect) []node.Effect
 
 	settings   func(*policy.Settings)
-	fleet      func(*fleet.Settings)
-	standin    func(*standin.Executor)
-	allocation func(*standin.Allocation)
+	fleet      func(*cluster.Settings)
+	standin    func(*emulator.Executor)
+	allocation func(*emulator.Allocation)
 	unheard    bool // nodes are not told that a client has left
 	blind      bool // and don't see it at the last look before an attempt
 }
@@ -81,8 +81,8 @@
 
 // Options say how a world is played.
 type Options struct {
-	Trace func(rules.Seen) // told of everything that is seen; nil for nothing
-	Most  int              // broken rules after which it ends; 0 for 20
+	Trace func(invariants.Seen) // told of everything that is seen; nil for nothing
+	Most  int                   // broken rules after which it ends; 0 for 20
 	// What decides at the nodes; the module where it is empty. Others are for worlds of events alone.
 	Policy  Policy
 	Account bool // keep an account of lost earnings, likewise
@@ -97,13 +97,13 @@
 // New makes a world in which nothing has happened yet.
 func New(s Scenario, seed uint64, o Options) *World {
 	w := &World{s: s, seed: seed, rand: stream(seed, "network"), talks: stream(seed, "words"), noise: stream(seed, "attempts"), front: stream(seed, "front"), byAddr: map[string]*executor{},
-		memories: standin.Memories{}, bounds: bounds{told: map[fleet.WordID]time.Duration{}}, trace: o.Trace, cuts: make([]cut, len(s.Fleet.Zones)),
-		discovery: standin.NewDiscovery(time.Duration(s.Fleet.ListLag)), most: cmp.Or(o.Most, mostBroken), policy: cmp.Or(o.Policy, ModulePolicy)}
+		memories: emulator.Memories{}, bounds: bounds{told: map[cluster.MessageID]time.Duration{}}, trace: o.Trace, cuts: make([]cut, len(s.Fleet.Zones)),
+		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)), most: cmp.Or(o.Most, mostBroken), policy: cmp.Or(o.Policy, ModulePolicy)}
 	if o.Account {
-		w.account = &ledger{w: w, open: map[rules.WorkID]*history{}}
+		w.account = &ledger{w: w, open: map[invariants.WorkID]*history{}}
 	}
 	w.tracks, w.module = s.Takes()
-	w.checker = rules.New(rules.Settings{Tracks: w.module, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace),
+	w.checker = invariants.New(invariants.Settings{Tracks: w.module, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace),
 		Prompt: prompt, WarmWithin: time.Duration(s.Fleet.WarmWithin), FallMultiple: s.Fleet.FallMultiple,
 		FallWindow: time.Duration(s.Fleet.FallWindow), MeanWork: s.MeanWork(), Copies: s.Fleet.Copies})
 	w.result = newResult(s, seed)
@@ -194,7 +194,7 @@
 func (w *World) after(span time.Duration, what func()) { w.at(w.now+span, what) }
 
 // see hands on what is seen, to the rules and to the trace.
-func (w *World) see(s rules.Seen) {
+func (w *World) see(s invariants.Seen) {
 	s.At = w.now
 	if w.wired == nil {
 		w.check(s)
@@ -202,29 +202,29 @@
 	}
 	by := "" // the script and what hangs on it come first
 	switch {
-	case s.What == rules.Ran || s.What == rules.Reached:
+	case s.What == invariants.Ran || s.What == invariants.Reached:
 		by = "x" + string(s.Executor)
-	case s.Node != rules.Nobody:
+	case s.Node != invariants.Nobody:
 		by = fmt.Sprintf("n%04d", s.Node)
 	}
 	w.wired.see(by, s)
 }
 
 // check hands a thing seen to the rules and to the trace.
-func (w *World) check(s rules.Seen) {
+func (w *World) check(s invariants.Seen) {
 	if w.trace != nil {
 		w.trace(s)
 	}
 	for _, b := range w.checker.See(s) {
 		w.result.Broken = append(w.result.Broken, b)
 		if w.trace != nil {
-			w.trace(rules.Seen{At: w.now, What: rules.Note, Node: rules.Nobody, Text: "BROKEN: " + b.Rule.String() + ": " + b.Text})
+			w.trace(invariants.Seen{At: w.now, What: invariants.Note, Node: invariants.Nobody, Text: "BROKEN: " + b.Rule.String() + ": " + b.Text})
 		}
 	}
 }
 
 func (w *World) note(format string, args ...any) {
-	w.see(rules.Seen{What: rules.Note, Node: rules.Nobody, Text: fmt.Sprintf(format, args...)})
+	w.see(invariants.Seen{What: invariants.Note, Node: invariants.Nobody, Text: fmt.Sprintf(format, args...)})
 }
 
 // Play plays the world to its end: until all that clients wait for is over.
@@ -263,7 +263,7 @@
 func (w *World) longestEnd() time.Duration {
 	end := time.Duration(w.s.Length)
 	for _, t := range w.tracks {
-		end = max(end, time.Duration(w.s.Length)+t.OuterLimit+time.Second)
+		end = max(end, time.Duration(w.s.Length)+t.Deadline+time.Second)
 	}
 	return end
 }
@@ -284,13 +284,13 @@
 		if w.plant.standin != nil {
 			w.plant.standin(x.Executor)
 		}
-		w.discovery.Change(-time.Duration(f.ListLag)-time.Hour+time.Duration(i), x.entry(policy.Up))
+		w.discovery.Change(-time.Duration(f.ListLag)-time.Hour+time.Duration(i), x.entry(policy.Available))
 		if w.wired != nil {
 			w.wired.startExecutor(x)
 		}
 	}
 	for i := range f.Nodes {
-		n := &sim{w: w, id: rules.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(f.Zones)), part: 1}
+		n := &sim{w: w, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(f.Zones)), part: 1}
 		if skew := w.s.Load.NodeSkew; skew > 0 {
 			n.part = math.Exp(w.front.NormFloat64() * skew)
 		}
@@ -315,7 +315,7 @@
 // sim is a node in the world: the reducer, and what stands around it in a process.
 type sim struct {
 	w        *World
-	id       rules.NodeID
+	id       invariants.NodeID
 	name     string
 	zone     policy.ZoneID
 	part     float64 // of its zone's traffic, against the others'
@@ -329,17 +329,17 @@
 	diedAt   time.Duration
 	wires    map[node.ConnID]*wire
 	tries    map[policy.JobID]*try
-	known    map[policy.ExecutorID]rules.Seen // what it was told last of each
-	outs     map[policy.ExecutorID]rules.Seen // taken out by operators, with what the list says of them
-	wake     int                              // the last Wake; older ones are void
+	known    map[policy.ExecutorID]invariants.Seen // what it was told last of each
+	outs     map[policy.ExecutorID]invariants.Seen // taken out by operators, with what the list says of them
+	wake     int                                   // the last Wake; older ones are void
 	inHand   int
 	out      int
 	mostHeld int
 	life     *life // its process, where the world is wired
 	dials    map[node.ConnID]*executor
 
-	alive   []fleet.Name // neighbours that it holds for alive, where nodes talk
-	reached map[rules.NodeID]time.Duration
+	alive   []cluster.NodeName // neighbours that it holds for alive, where nodes talk
+	reached map[invariants.NodeID]time.Duration
 	pace    pace         // of what it does, to check what it tells
 	lies    int          // words told while it tells nonsense; 0 while it does not
 	apart   bool         // no words pass between it and those that are not
@@ -352,30 +352,30 @@
 func (n *sim) settings() (policy.Settings, node.Limits) {
 	f := &n.w.s.Fleet
 	p := policy.Settings{Seed: uint32(mix(n.w.seed + uint64(n.id)<<20 + uint64(n.run))), Node: int(n.id), Nodes: f.Nodes, Zone: n.zone,
-		EarnPerWork: f.PerWork, CrossZonePrice: f.CrossPrice, WholeWeight: 0.8, TrackWeight: 0.2, MaxAllocations: f.Allocations,
-		MayCancel: true, MaxComeBack: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LiveWeights: f.WeightsEvery > 0,
-		ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
-		FallWindow: time.Duration(f.FallWindow), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery),
-		MayTell: f.Talk && f.Keepers && n.w.wired == nil, MayCopy: f.Copies, MarksAgain: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
+		ValuePerWork: f.PerWork, CrossZoneCost: f.CrossPrice, TotalWeight: 0.8, WorstClassWeight: 0.2, MaxAttempts: f.Allocations,
+		MayCancel: true, MaxRetryAfter: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LoadAdjustedWeights: f.WeightsEvery > 0,
+		SlowStartCapacity: f.ColdShare, SlowStartDuration: time.Duration(f.WarmWithin), OverloadMultiple: f.FallMultiple,
+		OverloadWindow: time.Duration(f.FallWindow), StartNotices: f.TellsStart, ProgressInterval: time.Duration(f.TellsEvery),
+		MayLease: f.Talk && f.Keepers && n.w.wired == nil, MayHedge: f.Copies, ClientsMarkRetries: n.w.s.Load.MarksAgain && n.w.wired == nil, MayProbe: f.Probes && n.w.wired == nil}
 	longest := time.Duration(0)
 	for _, t := range n.w.module {
-		t.GroupWindow = max(0, t.GroupWindow-time.Duration(f.DialLimit)) // as config does
-		p.Tracks = append(p.Tracks, t)
-		longest = max(longest, t.OuterLimit)
+		t.DedupWindow = max(0, t.DedupWindow-time.Duration(f.DialLimit)) // as config does
+		p.JobClasses = append(p.JobClasses, t)
+		longest = max(longest, t.Deadline)
 	}
-	return p, node.Limits{Quantum: p.Quantum, IdleUse: time.Duration(f.IdleLimit) * 4 / 5, DialLimit: time.Duration(f.DialLimit),
-		Conns: f.NodeConns, Bodies: f.NodeBodies, ComeBack: p.MaxComeBack, Work: 4 * longest, StopSpell: config.StopSpell,
-		StopLimit: min(longest, 3*time.Second) + 700*time.Millisecond - config.StopSpell}
+	return p, node.Limits{Quantum: p.Quantum, MaxIdle: time.Duration(f.IdleLimit) * 4 / 5, DialTimeout: time.Duration(f.DialLimit),
+		MaxConns: f.NodeConns, MaxBodyBytes: f.NodeBodies, RetryAfter: p.MaxRetryAfter, MaxWork: 4 * longest, LameDuckPeriod: config.StopSpell,
+		ShutdownTimeout: min(longest, 3*time.Second) + 700*time.Millisecond - config.StopSpell}
 }
 
 // start starts a node: it has an old copy of the list, and asks for the list.
 func (n *sim) start() {
 	n.run++
 	n.up, n.ready, n.closed, n.started = true, false, false, n.w.now
-	n.wires, n.tries, n.known = map[node.ConnID]*wire{}, map[policy.JobID]*try{}, map[policy.ExecutorID]rules.Seen{}
+	n.wires, n.tries, n.known = map[node.ConnID]*wire{}, map[policy.JobID]*try{}, map[policy.ExecutorID]invariants.Seen{}
 	n.lies, n.stopped, n.unread = 0, false, nil
-	n.inHand, n.out, n.outs = 0, 0, map[policy.ExecutorID]rules.Seen{}
-	n.w.see(rules.Seen{What: rules.NodeStarted, Node: n.id})
+	n.inHand, n.out, n.outs = 0, 0, map[policy.ExecutorID]invariants.Seen{}
+	n.w.see(invariants.Seen{What: invariants.NodeStarted, Node: n.id})
 	p, limits := n.settings()
 	if n.w.plant.settings != nil {
 		n.w.plant.settings(&p)
@@ -389,15 +389,15 @@
 		n.w.wired.startNode(n, p, limits, module)
 		return
 	}
-	var tracks []node.Track
-	for i, t := range p.Tracks {
-		tracks = append(tracks, node.Track{Name: strconv.Itoa(i), Track: t})
+	var tracks []node.JobClass
+	for i, t := range p.JobClasses {
+		tracks = append(tracks, node.JobClass{Name: strconv.Itoa(i), JobClass: t})
 	}
-	n.core = node.New(&witness{Module: module, n: n}, limits, tracks)
+	n.core = node.New(&witness{Policy: module, n: n}, limits, tracks)
 	if n.w.s.Fleet.Talk {
 		n.talk()
 	}
-	n.tell(n.listed(policy.WarmCopy, n.w.discovery.Copy(n.w.now-copyAge)))
+	n.tell(n.listed(policy.CachedUpdate, n.w.discovery.Copy(n.w.now-copyAge)))
 	n.later(firstList, func() {
 		n.w.discovery.Watch(n.id)
 		n.news()
@@ -411,14 +411,14 @@
 
 // witness sees what the module decides.
 type witness struct {
-	node.Module
+	node.Policy
 	n    *sim
 	life *life // its process, where the world is wired
 }
 
 func (m *witness) gaveUp(id policy.JobID, d policy.Decision) policy.Decision {
-	if d.Act == policy.PushBack || d.Act == policy.BreakOff {
-		gave := rules.Seen{What: rules.GaveUp, Node: m.n.id, Job: id}
+	if d.Action == policy.Reject || d.Action == policy.Fail {
+		gave := invariants.Seen{What: invariants.GaveUp, Node: m.n.id, Job: id}
 		if l := m.life; l != nil {
 			l.gave = append(l.gave, gave) // the step's tap sees it
 		} else {
@@ -429,14 +429,14 @@
 }
 
 func (m *witness) Place(now time.Duration, id policy.JobID) policy.Decision {
-	return m.gaveUp(id, m.Module.Place(now, id))
+	return m.gaveUp(id, m.Policy.Place(now, id))
 }
 
-func (m *witness) Ended(now time.Duration, id policy.JobID, a policy.AllocationID, how policy.Outcome, final bool) policy.Decision {
-	if t := m.n.tries[id]; how == policy.Handled && t != nil {
+func (m *witness) AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
+	if t := m.n.tries[id]; how == policy.Succeeded && t != nil {
 		m.n.pace.did(m.n.w.now, cmp.Or(t.work.Hint, m.n.w.tracks[t.work.Track].Mean))
 	}
-	return m.gaveUp(id, m.Module.Ended(now, id, a, how, final))
+	return m.gaveUp(id, m.Policy.AttemptEnded(now, id, a, how, final))
 }
 
 // later does something at a node, unless it has ended by then.
@@ -484,31 +484,31 @@
 		n.answer(e)
 	case node.Dial:
 		n.dial(e)
-	case node.Write:
+	case node.WriteAttempt:
 		n.write(e)
-	case node.Close:
+	case node.CloseConn:
 		n.close(e.Conn)
-	case node.Probe:
+	case node.ProbeExecutor:
 		n.probe(e)
-	case node.Ready:
+	case node.SetReady:
 		n.later(time.Millisecond, func() { n.ready = e.Yes })
-	case node.SendAway:
+	case node.DrainClients:
 		n.later(time.Millisecond, func() { n.ready = !e.On && !n.closed })
-	case node.CloseFront:
+	case node.CloseFrontend:
 		n.closed = true
-		n.later(5*time.Millisecond, func() { n.tell(node.FrontClosed{}) })
-	case node.Watch:
+		n.later(5*time.Millisecond, func() { n.tell(node.FrontendClosed{}) })
+	case node.WatchEndpoints:
 		n.later(5*time.Millisecond, n.news)
-	case node.TellNeighbour:
-		n.say(e.To)
-	case node.TellPlace:
+	case node.SendGossip:
+		n.say(e.Envelope)
+	case node.SendLeaseMessage:
 		n.sayPlace(e)
-	case node.Wake:
+	case node.SetTimer:
 		n.wake++
 		mine := n.wake
 		n.later(n.started+e.At-n.w.now, func() {
 			if n.wake == mine {
-				n.tell(node.Woke{})
+				n.tell(node.TimerFired{})
 			}
 		})
 	case node.Log:
@@ -520,12 +520,12 @@
 
 // logged takes in a line of the node's log.
 func (n *sim) logged(e node.Log) {
-	if strings.HasPrefix(e.Text, node.ModuleBroke) {
+	if strings.HasPrefix(e.Text, node.PolicyPanicked) {
 		n.w.result.Panics++
 	}
 	if n.w.trace != nil {
 		text, _, _ := strings.Cut(e.Text, "\n") // a stack has addresses, which differ
-		n.w.see(rules.Seen{What: rules.Note, Node: n.id, Job: e.Job, Executor: e.Executor, Text: text})
+		n.w.see(invariants.Seen{What: invariants.Note, Node: n.id, Job: e.Job, Executor: e.Executor, Text: text})
 	}
 }
 
@@ -535,7 +535,7 @@
 		n.life.stop()
 		return
 	}
-	n.tell(node.Stopping{})
+	n.tell(node.ShutdownRequested{})
 }
 
 // kill ends a node without a word.
@@ -543,7 +543,7 @@
 	if !n.up {
 		return
 	}
-	n.w.see(rules.Seen{What: rules.NodeKilled, Node: n.id})
+	n.w.see(invariants.Seen{What: invariants.NodeKilled, Node: n.id})
 	if n.life != nil {
 		n.life.kill()
 	}
@@ -564,29 +564,29 @@
 }
 
 // listed makes an event of the list, and books what it tells the node.
-func (n *sim) listed(kind policy.ListKind, entries []standin.Entry) node.Listed {
-	ev := node.Listed{Kind: kind}
-	if kind == policy.Lost {
+func (n *sim) listed(kind policy.EndpointUpdateKind, entries []emulator.Entry) node.EndpointsUpdated {
+	ev := node.EndpointsUpdated{Kind: kind}
+	if kind == policy.WatchFailed {
 		ev.Detail = "no answer"
 		return ev
 	}
 	named := map[policy.ExecutorID]bool{}
 	for _, e := range entries {
 		named[e.Executor] = true
-		if !e.LongAgo {
-			e.Started -= n.started
+		if !e.StartedLongAgo {
+			e.StartedAt -= n.started
 		}
-		ev.Executors = append(ev.Executors, node.Executor{Entry: e.Entry, Addr: e.Addr})
-		start := e.Started + n.started
-		if e.LongAgo {
+		ev.Endpoints = append(ev.Endpoints, node.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
+		start := e.StartedAt + n.started
+		if e.StartedLongAgo {
 			start = -time.Hour
 		}
-		n.told(rules.Seen{What: rules.Told, Node: n.id, Executor: e.Executor, State: e.State, Start: start})
+		n.told(invariants.Seen{What: invariants.Told, Node: n.id, Executor: e.Executor, State: e.State, Start: start})
 	}
-	if kind == policy.Whole {
+	if kind == policy.CompleteUpdate {
 		for _, was := range sortedSeen(n.known) {
-			if !named[was.Executor] && was.State != policy.Gone {
-				was.State = policy.Gone
+			if !named[was.Executor] && was.State != policy.Removed {
+				was.State = policy.Removed
 				n.told(was)
 			}
 		}
@@ -595,8 +595,8 @@
 }
 
 // order has an operator call at a node.
-func (n *sim) order(o node.Order, id policy.ExecutorID) {
-	ev := node.Called{Order: o, Executor: id}
+func (n *sim) order(o node.AdminCommand, id policy.ExecutorID) {
+	ev := node.AdminCalled{Command: o, Executor: id}
 	switch {
 	case !n.up:
 	case n.life != nil:
@@ -608,17 +608,17 @@
 
 // ordered books what the node is told by an operator, once it has said yes.
 func (n *sim) ordered(ev node.Event, effects []node.Effect) {
-	c, ok := ev.(node.Called)
-	if !ok || !slices.ContainsFunc(effects, func(e node.Effect) bool { r, ok := e.(node.Reply); return ok && r.No == "" }) {
+	c, ok := ev.(node.AdminCalled)
+	if !ok || !slices.ContainsFunc(effects, func(e node.Effect) bool { r, ok := e.(node.AdminReply); return ok && r.Refusal == "" }) {
 		return
 	}
 	raw, out := n.outs[c.Executor]
 	switch {
-	case c.Order == node.TakeOut && !out:
+	case c.Command == node.ExcludeExecutor && !out:
 		raw = n.known[c.Executor]
 		n.outs[c.Executor] = raw
 		n.told(raw)
-	case c.Order == node.PutBack && out:
+	case c.Command == node.ReadmitExecutor && out:
 		delete(n.outs, c.Executor)
 		n.told(raw)
 	}
@@ -626,11 +626,11 @@
 
 // told books what the node is told of an executor, unless it is what it was told before. One that operators have taken
 // out drains, whatever the list says.
-func (n *sim) told(s rules.Seen) {
+func (n *sim) told(s invariants.Seen) {
 	s.At = 0
 	if _, out := n.outs[s.Executor]; out {
 		n.outs[s.Executor] = s
-		if s.State == policy.Up {
+		if s.State == policy.Available {
 			s.State = policy.Draining
 		}
 	}
@@ -650,14 +650,14 @@
 		return
 	}
 	kind, entries := n.w.discovery.News(n.w.now, n.id)
-	if kind == policy.Changes && len(entries) == 0 {
+	if kind == policy.IncrementalUpdate && len(entries) == 0 {
 		return
 	}
 	n.tell(n.listed(kind, entries))
 }
 
 // change books a change of an executor's entry; nodes hear of it in time.
-func (w *World) change(e standin.Entry) {
+func (w *World) change(e emulator.Entry) {
 	at := w.discovery.Change(w.now, e)
 	w.checker.Listed(at, e.Executor, e.State)
 	w.tellAll(at)
@@ -693,8 +693,8 @@
 func (x *executor) size() float64 { return float64(x.Cores) * x.Speed }
 
 // memory is what remembers the tags of a track's batch jobs at an executor.
-func (w *World) memory(x *executor, id policy.TrackID) *standin.Memory {
-	return w.memories.Of(id, w.module[id].Group, x.ExecutorSpec)
+func (w *World) memory(x *executor, id policy.JobClassID) *emulator.Memory {
+	return w.memories.Of(id, w.module[id].DedupGroup, x.ExecutorSpec)
 }
 
-func compareIDs(a, b rules.Seen) int { return cmp.Compare(a.Executor, b.Executor) }
+func compareIDs(a, b invariants.Seen) int { return cmp.Compare(a.Executor, b.Executor) }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -9,7 +9,7 @@
 	"os"
 	"time"
 
-	"birchstair/internal/fleet"
+	"birchstair/internal/cluster"
 	"birchstair/internal/tomlfile"
 )
 
@@ -33,8 +33,8 @@
 }
 
 func fleetDefaults() Fleet {
-	d := fleet.Defaults("", 0, 0)
-	return Fleet{Every: tomlfile.Span(d.Every), Tell: d.Tell, ViewFor: tomlfile.Span(d.ViewFor), DrainFor: tomlfile.Span(d.DrainFor)}
+	d := cluster.Defaults("", 0, 0)
+	return Fleet{Every: tomlfile.Span(d.GossipInterval), Tell: d.Fanout, ViewFor: tomlfile.Span(d.PeerStateTTL), DrainFor: tomlfile.Span(d.DrainTTL)}
 }
 
 // Durable turns durable batch jobs on.
--- a/internal/executors/codec.go
+++ b/internal/upstream/codec.go
@@ -1,4 +1,4 @@
-package executors
+package upstream
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 // The protocol's words; none of them goes beyond this file.
 
 // encode writes an allocation as it goes over the wire.
-func encode(a node.Allocation) []byte {
+func encode(a node.Attempt) []byte {
 	b := make([]byte, 0, 320+len(a.URI)+len(a.Body))
 	b = append(b, a.Method...)
 	b = append(b, ' ')
@@ -22,7 +22,7 @@
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = field(b, "Host", a.Host)
 	b = field(b, "X-Call-Id", string(a.ID))
-	b = field(b, "Idempotency-Key", a.Tag)
+	b = field(b, "Idempotency-Key", a.IdempotencyKey)
 	b = field(b, "Content-Type", a.ContentType)
 	if a.Epoch > 0 {
 		b = field(b, "X-Lease-Epoch", strconv.FormatUint(uint64(a.Epoch), 10))
@@ -56,7 +56,7 @@
 }
 
 var ends = map[string]policy.Outcome{
-	"done": policy.Handled, "failed": policy.Errored, "returned": policy.NoRoom, "lost": policy.Cut,
+	"done": policy.Succeeded, "failed": policy.ExecutorError, "returned": policy.ExecutorFull, "lost": policy.ConnectionLost,
 }
 
 // decode reads a line. A state that is not known is passed over: another line ends the answer.
@@ -83,7 +83,7 @@
 	default:
 		o.outcome, o.ended = ends[w.State]
 	}
-	if o.ended && o.outcome == policy.Handled {
+	if o.ended && o.outcome == policy.Succeeded {
 		if len(w.Result) == 0 {
 			return o, fmt.Errorf("done, without a result")
 		}
@@ -102,15 +102,15 @@
 	switch answer.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if answer.Header.Get("X-Rejected") == "1" {
-			return policy.NoRoom, ""
+			return policy.ExecutorFull, ""
 		}
 	case http.StatusInternalServerError:
-		return policy.Errored, ""
+		return policy.ExecutorError, ""
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity,
 		http.StatusRequestHeaderFieldsTooLarge:
-		return policy.Unfit, "the executor can't use it: " + answer.Status
+		return policy.InvalidRequest, "the executor can't use it: " + answer.Status
 	}
-	return policy.Errored, "an answer that is not in the protocol: " + answer.Status
+	return policy.ExecutorError, "an answer that is not in the protocol: " + answer.Status
 }
 
 // A load report's values may go by the settings' names or by the protocol's. One that no executor could have makes
@@ -135,7 +135,7 @@
 			return load
 		}
 	}
-	return node.Load{Load: policy.Load{Held: x[0], Waiting: x[1], Free: x[2], Memory: -1, Took: -1}, Known: true}
+	return node.Load{Load: policy.Load{InFlight: x[0], Queued: x[1], FreeSlots: x[2], FreeMemory: -1, RunTime: -1}, Known: true}
 }
 
 // loadOf reads a load report in an answer's head.
--- a/internal/executors/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -1,4 +1,4 @@
-package executors
+package upstream
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
 )
 
@@ -21,9 +21,9 @@
 		pool.Probe("e1", addr)
 		select {
 		case ev := <-events:
-			p := ev.(node.Probed)
+			p := ev.(node.ProbeEnded)
 			fmt.Fprintf(&out, "%s: of %s, answered %t, held %v waiting %v free %v memory %v took %v\n", name, p.Executor, p.Answered,
-				p.Load.Held, p.Load.Waiting, p.Load.Free, p.Load.Memory, p.Load.Took)
+				p.Load.InFlight, p.Load.Queued, p.Load.FreeSlots, p.Load.FreeMemory, p.Load.RunTime)
 		case <-time.After(20 * time.Second):
 			t.Fatalf("%s: nothing came of it", name)
 		}
@@ -56,5 +56,5 @@
 	ask("never", silent.Addr().String(), 50*time.Millisecond)
 	silent.Close()
 	ask("nobody there", silent.Addr().String(), 10*time.Second)
-	kept.Compare(t, "probes.txt", out.String())
+	golden.Compare(t, "probes.txt", out.String())
 }
--- a/internal/executors/executors.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package executors speaks to executors: connections, allocations written on them, and what comes back.
+// Package upstream speaks to executors: connections, allocations written on them, and what comes back.
 // Each connection is owned by the goroutine that reads it, which also gives it back.
-package executors
+package upstream
 
 import (
 	"context"
@@ -50,7 +50,7 @@
 }
 
 // Write sends an allocation in the background.
-func (p *Pool) Write(id node.ConnID, a node.Allocation) {
+func (p *Pool) Write(id node.ConnID, a node.Attempt) {
 	if l := p.link(id); l != nil && l.begin(a) {
 		go l.write(a)
 	}
--- a/internal/executors/executors_test.go
+++ b/internal/upstream/upstream_test.go
@@ -1,4 +1,4 @@
-package executors
+package upstream
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 	"birchstair/internal/node"
 	"birchstair/policy"
 )
@@ -98,8 +98,8 @@
 
 func answer(head string) string { return "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n" }
 
-var outcomes = map[policy.Outcome]string{policy.Handled: "handled", policy.Errored: "errored",
-	policy.Unfit: "unfit", policy.NoRoom: "no room", policy.NoRoute: "no route", policy.Cut: "cut"}
+var outcomes = map[policy.Outcome]string{policy.Succeeded: "handled", policy.ExecutorError: "errored",
+	policy.InvalidRequest: "unfit", policy.ExecutorFull: "no room", policy.ConnectFailed: "no route", policy.ConnectionLost: "cut"}
 
 // printer prints events until a connection is given back.
 type printer struct {
@@ -123,41 +123,41 @@
 func (p *printer) print(ev node.Event) {
 	line, load := fmt.Sprintf("%T", ev), node.Load{}
 	switch ev := ev.(type) {
-	case node.Told:
-		line, load = fmt.Sprintf("told: %v done", ev.Share), ev.Load
-	case node.Ended:
+	case node.AttemptProgressed:
+		line, load = fmt.Sprintf("told: %v done", ev.Progress), ev.Load
+	case node.AttemptEnded:
 		load = ev.Load
 		line = "ended: " + outcomes[ev.Outcome]
 		if ev.Result != nil {
 			line += fmt.Sprintf(" with %q", ev.Result)
 		}
-		if ev.Broken {
+		if ev.ConnBroken {
 			line += ", broken"
 		}
 		if text, _, _ := strings.Cut(ev.Detail, ":"); text != "" && p.details {
 			line += ", " + text
 		}
-	case node.Closed:
+	case node.ConnClosed:
 		line = "closed"
 		if text, _, _ := strings.Cut(ev.Detail, ":"); text != "" && p.details {
 			line += ", " + text
 		}
-	case node.Rested:
+	case node.ConnIdle:
 		line = "rested"
-	case node.Unsent:
+	case node.AttemptNotSent:
 		line = "unsent"
-	case node.Dialled:
+	case node.ConnReady:
 		line = "dialled"
 	}
 	if load.Known {
-		line += fmt.Sprintf(", held %v waiting %v free %v", load.Held, load.Waiting, load.Free)
+		line += fmt.Sprintf(", held %v waiting %v free %v", load.InFlight, load.Queued, load.FreeSlots)
 	}
 	p.out.WriteString("  " + line + "\n")
 }
 
-func call(id string) node.Allocation {
-	return node.Allocation{Budget: 1500 * time.Millisecond, Call: &node.Call{ID: policy.JobID(id), Method: "POST",
-		URI: "/api/a%20b?c=d&e", Host: "backend.local", Tag: "tag-1", ContentType: "text/plain", Body: []byte("body")}}
+func call(id string) node.Attempt {
+	return node.Attempt{Budget: 1500 * time.Millisecond, Request: &node.Request{ID: policy.JobID(id), Method: "POST",
+		URI: "/api/a%20b?c=d&e", Host: "backend.local", IdempotencyKey: "tag-1", ContentType: "text/plain", Body: []byte("body")}}
 }
 
 // What comes back from executors, whole, cut and senseless, and the outcome that each stands for.
@@ -206,11 +206,11 @@
 		pool.Dial(1, addr)
 		for id := 1; ; {
 			ev := p.next(t)
-			if _, ok := ev.(node.Closed); ok {
+			if _, ok := ev.(node.ConnClosed); ok {
 				break
 			}
 			switch ev.(type) {
-			case node.Dialled, node.Rested:
+			case node.ConnReady, node.ConnIdle:
 				if id <= len(c.texts) && c.texts[id-1] != "unasked" {
 					pool.Write(1, call(fmt.Sprint("j", id)))
 				}
@@ -221,7 +221,7 @@
 			p.out.WriteString("  came: " + strings.Join(*got, "\n  came: ") + "\n")
 		}
 	}
-	kept.Compare(t, "outcomes.txt", p.out.String())
+	golden.Compare(t, "outcomes.txt", p.out.String())
 }
 
 // Whether a batch job may have run hangs on its last byte: before that is written it never ran.
@@ -235,7 +235,7 @@
 	}
 	end := func() {
 		for {
-			if _, ok := p.next(t).(node.Closed); ok {
+			if _, ok := p.next(t).(node.ConnClosed); ok {
 				return
 			}
 		}
@@ -283,5 +283,5 @@
 	l.Close()
 	dial(5, l.Addr().String(), "no executor there")
 	pool.Write(5, call("j1")) // what is given back carries nothing
-	kept.Compare(t, "last-byte.txt", p.out.String())
+	golden.Compare(t, "last-byte.txt", p.out.String())
 }
--- a/policy/books.go
+++ b/policy/books.go
@@ -37,7 +37,7 @@
 
 // note writes a line to the log.
 func (d *Dispatcher) note(format string, args ...any) {
-	d.words = append(d.words, Due{Task: Note, Text: fmt.Sprintf(format, args...)})
+	d.words = append(d.words, DueTask{Task: WriteLog, Text: fmt.Sprintf(format, args...)})
 }
 
 // at notes a due time of a batch job, of a token that is to come free, or of neither: a look at everything.
@@ -166,9 +166,9 @@
 	}
 }
 
-// Closing tells that this node ends: all in hand must be over by then, and what can't be gets its answer at
+// ShutDownBy tells that this node ends: all in hand must be over by then, and what can't be gets its answer at
 // once.
-func (d *Dispatcher) Closing(now, by time.Duration) {
+func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
 	d.closing = by
 	for _, j := range d.jobs {
 		d.closeBy(j)
@@ -212,7 +212,7 @@
 }
 
 // out is a batch job's allocation n, if it is out now.
-func (d *Dispatcher) out(id JobID, n AllocationID) *shot {
+func (d *Dispatcher) out(id JobID, n AttemptID) *shot {
 	if j := d.jobs[id]; j != nil {
 		for _, s := range j.out {
 			if s.n == n {
@@ -247,7 +247,7 @@
 	if len(e.out) == 0 {
 		e.news = now
 	}
-	s := &shot{job: j, n: AllocationID(j.sent), on: e, zone: e.zone, cell: e.cell, sentAt: now}
+	s := &shot{job: j, n: AttemptID(j.sent), on: e, zone: e.zone, cell: e.cell, sentAt: now}
 	d.take(e, s)
 	if now < e.coldUntil {
 		e.colds = append(e.colds, spend{now, j.coldWork()})
@@ -255,7 +255,7 @@
 	j.sent++
 	j.turn++
 	d.lookAt(now+d.lookAfter, s)
-	return Decision{Act: Send, Executor: e.id}
+	return Decision{Action: Send, Executor: e.id}
 }
 
 // take uses the oldest free token.
@@ -350,28 +350,28 @@
 
 // ---- Places that nodes lend each other ----
 
-func (d *Dispatcher) tell(now time.Duration, to NodeID, word Word, sum Sum) {
+func (d *Dispatcher) tell(now time.Duration, to NodeID, word LeaseMessage, sum ExecutorHash) {
 	if to == d.node {
-		d.Heard(now, to, word, sum)
+		d.ReceiveLeaseMessage(now, to, word, sum)
 		return
 	}
-	d.words = append(d.words, Due{Task: Tell, Node: to, Word: word, Sum: sum})
+	d.words = append(d.words, DueTask{Task: SendLeaseMessage, Node: to, Message: word, Hash: sum})
 }
 
 // giveBack tells the keeper that a place it lent is free again.
 func (d *Dispatcher) giveBack(e *executor, now time.Duration, late bool) {
 	if e.lent > 0 {
 		e.lent--
-		word := Back
+		word := LeaseReturn
 		if late {
-			word = BackLate
+			word = LeaseReturnLate
 		}
 		d.tell(now, e.keeper, word, e.sum)
 	}
 }
 
 // keepOf is the book that this node keeps of an executor's places.
-func (d *Dispatcher) keepOf(sum Sum) *keep {
+func (d *Dispatcher) keepOf(sum ExecutorHash) *keep {
 	k := d.kept[sum]
 	if k == nil {
 		k = &keep{sum: sum, quota: firstQuota}
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -11,7 +11,7 @@
 // What one process has learnt, another of the same list knows, quotas and hold-backs too; what makes no sense is passed
 // over, and a cold executor's figures are not taken.
 func TestHandover(t *testing.T) {
-	player := &player{t: t, d: New(settings(nil)), shot: map[JobID]AllocationID{}, on: map[JobID][]ExecutorID{}, names: map[Sum]ExecutorID{}}
+	player := &player{t: t, d: New(settings(nil)), shot: map[JobID]AttemptID{}, on: map[JobID][]ExecutorID{}, names: map[ExecutorHash]ExecutorID{}}
 	last := time.Duration(0)
 	for _, line := range strings.Split(strings.TrimSpace(`
 0s list a b:0:1
@@ -31,30 +31,30 @@
 		player.run(now)
 		last = now
 	}
-	k := player.d.Knows(last)
-	if len(k.Executors) != 2 || len(k.Kinds) != 2 || len(k.Tracks) != 2 {
+	k := player.d.ExportLearned(last)
+	if len(k.Executors) != 2 || len(k.Kinds) != 2 || len(k.Classes) != 2 {
 		t.Fatalf("too little is known: %+v", k)
 	}
 	next := New(settings(nil))
-	list := []Entry{entry(t, last, "a"), entry(t, last, "b:0:1"), entry(t, last, "c:0:0:1s")}
-	next.Listed(last, Whole, list)
-	odd := Knowledge{Tracks: []KnownTrack{{ID: 9, MeanWork: 1, Unit: 1}, {ID: -1}, {ID: 0}}, Kinds: []KnownKind{{ID: 7}, {ID: 0}},
-		Executors: []KnownExecutor{{ID: "nobody", Quota: 3}, {ID: "a"}, {ID: "b", Quota: 3, Runs: -1}, {ID: "c", Quota: 5}}}
-	before := next.Knows(last)
-	next.Learn(last, odd)
-	if after := next.Knows(last); !reflect.DeepEqual(before, after) {
+	list := []Endpoint{entry(t, last, "a"), entry(t, last, "b:0:1"), entry(t, last, "c:0:0:1s")}
+	next.UpdateEndpoints(last, CompleteUpdate, list)
+	odd := LearnedState{Classes: []LearnedClass{{ID: 9, MeanWork: 1, UnitValue: 1}, {ID: -1}, {ID: 0}}, Kinds: []LearnedKind{{ID: 7}, {ID: 0}},
+		Executors: []LearnedExecutor{{ID: "nobody", Quota: 3}, {ID: "a"}, {ID: "b", Quota: 3, RunTime: -1}, {ID: "c", Quota: 5}}}
+	before := next.ExportLearned(last)
+	next.ImportLearned(last, odd)
+	if after := next.ExportLearned(last); !reflect.DeepEqual(before, after) {
 		t.Errorf("learnt what makes no sense: %+v", after)
 	}
-	next.Learn(last, k)
-	got := next.Knows(last)
+	next.ImportLearned(last, k)
+	got := next.ExportLearned(last)
 	for _, in := range k.Executors { // those that are held back have no tokens yet
 		e := next.byID[in.ID]
-		got.Executors = append(got.Executors, KnownExecutor{e.id, e.known, e.runs, e.works, e.startWait, max(0, e.held-last), e.inCap, e.silences})
+		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.known, e.runs, e.works, e.startWait, max(0, e.held-last), e.inCap, e.silences})
 	}
 	if !reflect.DeepEqual(got, k) {
 		t.Errorf("learnt\n%+v\nof\n%+v", got, k)
 	}
-	if next.Wait(last); next.byID["a"].quota != k.Executors[0].Quota {
+	if next.NextTask(last); next.byID["a"].quota != k.Executors[0].Quota {
 		t.Errorf("a got a quota of %d", next.byID["a"].quota)
 	}
 	if e := next.byID["c"]; e.known != 0 {
@@ -66,9 +66,9 @@
 // afresh: in its first seconds it sends no burst on what it took for its own, and nothing to the one that crawls.
 func TestMove(t *testing.T) {
 	old := New(settings([]string{"ask"}))
-	old.Listed(0, Whole, []Entry{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
+	old.UpdateEndpoints(0, CompleteUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	rest := func(d *Dispatcher) {
-		for d.Wait(0).Task != Sleep {
+		for d.NextTask(0).Task != Sleep {
 		}
 	}
 	rest(old)
@@ -82,8 +82,8 @@
 	among := settings([]string{"ask"})
 	among.Nodes = 5
 	next := New(among)
-	next.Listed(0, WarmCopy, []Entry{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
-	next.Learn(0, old.Knows(0))
+	next.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
+	next.ImportLearned(0, old.ExportLearned(0))
 	rest(next)
 	if b := next.byID["b"]; b.runs != 40 || b.startWait != 0 || b.known != 0 {
 		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runs, b.works, b.startWait, b.known)
@@ -94,14 +94,14 @@
 	sent := map[ExecutorID]int{}
 	for i := range 40 {
 		now := time.Duration(i) * 50 * time.Millisecond
-		next.Arrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Work: 300 * time.Millisecond, Budget: 5 * time.Second})
-		for due := next.Wait(now); due.Task != Sleep; due = next.Wait(now) {
+		next.JobArrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Work: 300 * time.Millisecond, Budget: 5 * time.Second})
+		for due := next.NextTask(now); due.Task != Sleep; due = next.NextTask(now) {
 			if due.Task != PlaceJob {
 				continue
 			}
-			if what := next.Place(now, due.Job); what.Act == Send {
+			if what := next.Place(now, due.Job); what.Action == Send {
 				sent[what.Executor]++
-				next.Started(now, due.Job, 0)
+				next.AttemptStarted(now, due.Job, 0)
 			}
 		}
 	}
@@ -115,8 +115,8 @@
 		t.Errorf("sent %v", sent)
 	}
 	again := New(settings([]string{"ask"}))
-	again.Listed(0, WarmCopy, []Entry{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
-	again.Learn(0, old.Knows(0))
+	again.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
+	again.ImportLearned(0, old.ExportLearned(0))
 	rest(again)
 	if a := again.byID["a"]; a.quota != 7 {
 		t.Errorf("among as many nodes as before the quota is %d", a.quota)
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -36,7 +36,7 @@
 		pace := d.pace(e, now)
 		wait := d.waitAt(e, pace, now)
 		queue := wait
-		if j.track.repeat == OnceOnly {
+		if j.track.repeat == AtMostOnce {
 			queue = max(wait, times(j.track.meanWork, (e.load-1)*pace))
 		}
 		if !late && now+times(queue+times(j.work, pace), j.margin) > j.quotedAt {
@@ -120,47 +120,47 @@
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
 	s.Node = r.IntN(s.Nodes)
 	yes := func() bool { return r.IntN(2) == 0 }
-	s.MayTell, s.MayCopy, s.MayProbe, s.LiveWeights, s.TellsStart = yes(), yes(), yes(), yes(), r.IntN(4) > 0
-	s.EarnPerWork, s.MarksAgain = yes(), yes()
+	s.MayLease, s.MayHedge, s.MayProbe, s.LoadAdjustedWeights, s.StartNotices = yes(), yes(), yes(), yes(), r.IntN(4) > 0
+	s.ValuePerWork, s.ClientsMarkRetries = yes(), yes()
 	if yes() {
-		s.CrossZonePrice = 0.5 * r.Float64()
+		s.CrossZoneCost = 0.5 * r.Float64()
 	}
 	if yes() {
-		s.TellsEvery = time.Second
+		s.ProgressInterval = time.Second
 	}
-	s.Tracks = nil
+	s.JobClasses = nil
 	for range 1 + r.IntN(3) {
-		t := Track{Repeat: Repeat(r.IntN(3)), Group: Group(r.IntN(3)), GroupWindow: time.Duration(r.IntN(4000)) * time.Millisecond,
-			Quoted: time.Duration(50+r.IntN(900)) * time.Millisecond, Stretch: float64(r.IntN(3)), OuterLimit: time.Duration(1+r.IntN(8)) * time.Second,
-			Earnings: 1 + 4*r.Float64(), Kind: KindID(r.IntN(3) - 1)}
+		t := JobClass{Idempotency: Idempotency(r.IntN(3)), DedupGroup: DedupGroup(r.IntN(3)), DedupWindow: time.Duration(r.IntN(4000)) * time.Millisecond,
+			LatencyObjective: time.Duration(50+r.IntN(900)) * time.Millisecond, RunTimeFactor: float64(r.IntN(3)), Deadline: time.Duration(1+r.IntN(8)) * time.Second,
+			Value: 1 + 4*r.Float64(), Kind: KindID(r.IntN(3) - 1)}
 		if yes() {
-			t.LateEarnings = r.Float64()
+			t.LateValue = r.Float64()
 		}
-		s.Tracks = append(s.Tracks, t)
+		s.JobClasses = append(s.JobClasses, t)
 	}
 	w := &drawn{Dispatcher: New(s), t: t, r: r, seed: seed, kinds: map[ExecutorID]KindID{}, found: map[string]int{}}
-	var entries []Entry
+	var entries []Endpoint
 	for i := range 2 + r.IntN(50) {
 		w.ids = append(w.ids, ExecutorID(fmt.Sprint("e", i)))
 		entries = append(entries, w.entry(w.ids[i], true))
 	}
-	w.Listed(0, Whole, entries)
+	w.UpdateEndpoints(0, CompleteUpdate, entries)
 	return w
 }
 
-func (w *drawn) entry(id ExecutorID, calm bool) Entry {
+func (w *drawn) entry(id ExecutorID, calm bool) Endpoint {
 	if _, ok := w.kinds[id]; !ok || w.r.IntN(30) == 0 {
 		w.kinds[id] = KindID(w.r.IntN(2))
 	}
 	sum := len(id) + int(id[len(id)-1])
-	n := Entry{Executor: id, Zone: ZoneID(sum % 3), Kind: w.kinds[id], Cell: CellID(sum % 5), LongAgo: true, Weight: 1}
+	n := Endpoint{Executor: id, Zone: ZoneID(sum % 3), Kind: w.kinds[id], Cell: CellID(sum % 5), StartedLongAgo: true, Weight: 1}
 	if w.r.IntN(3) > 0 {
 		n.Weight = [...]float64{0.5, 1, 2, 3 * w.r.Float64()}[w.r.IntN(4)]
 	}
 	if !calm {
-		n.State = [...]State{Up, Up, Up, Draining, Gone}[w.r.IntN(5)]
+		n.State = [...]EndpointState{Available, Available, Available, Draining, Removed}[w.r.IntN(5)]
 		if w.r.IntN(3) == 0 {
-			n.LongAgo, n.Started = false, w.now-time.Duration(w.r.IntN(9000))*time.Millisecond
+			n.StartedLongAgo, n.StartedAt = false, w.now-time.Duration(w.r.IntN(9000))*time.Millisecond
 		}
 		if w.r.IntN(4) == 0 {
 			n.Zone = ZoneID(w.r.IntN(3))
@@ -279,19 +279,19 @@
 		if w.r.IntN(3) == 0 {
 			w.compare()
 		}
-		due := w.Wait(w.now)
+		due := w.NextTask(w.now)
 		switch due.Task {
 		case PlaceJob:
 			w.Place(w.now, due.Job)
-		case StopJob:
-			w.Ended(w.now, due.Job, due.Allocation, [...]Outcome{CalledOff, NotSent, Handled}[w.r.IntN(3)], false)
-		case Tell:
+		case CancelAttempt:
+			w.AttemptEnded(w.now, due.Job, due.Attempt, [...]Outcome{Canceled, NotSent, Succeeded}[w.r.IntN(3)], false)
+		case SendLeaseMessage:
 			if w.r.IntN(3) > 0 {
-				w.Heard(w.now, due.Node, [...]Word{Lend, Lend, Later}[w.r.IntN(3)], due.Sum)
+				w.ReceiveLeaseMessage(w.now, due.Node, [...]LeaseMessage{LeaseGrant, LeaseGrant, LeaseWait}[w.r.IntN(3)], due.Hash)
 			}
-		case Probe:
+		case ProbeExecutor:
 			if w.r.IntN(3) > 0 {
-				w.Probed(w.now, due.Executor, w.r.IntN(4) > 0, Load{Held: 1, Free: float64(w.r.IntN(3))})
+				w.ProbeEnded(w.now, due.Executor, w.r.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.r.IntN(3))})
 			}
 		case Sleep:
 			if w.r.IntN(4) == 0 { // picked anew, or found to be as it was
@@ -319,23 +319,23 @@
 	switch what := w.r.IntN(20); {
 	case what < 8:
 		w.jobs++
-		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Track: TrackID(w.r.IntN(len(w.tracks))), Tenant: -1,
-			Budget: time.Duration(w.r.IntN(8000)) * time.Millisecond, Again: w.r.IntN(4) == 0}
+		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Class: JobClassID(w.r.IntN(len(w.tracks))), Tenant: -1,
+			Budget: time.Duration(w.r.IntN(8000)) * time.Millisecond, ClientRetry: w.r.IntN(4) == 0}
 		if w.r.IntN(4) > 0 {
 			in.Work = time.Duration(1+w.r.IntN(600)) * time.Millisecond
 		}
-		w.Arrived(w.now, in)
+		w.JobArrived(w.now, in)
 	case what < 11 && s != nil:
-		w.Started(w.now, s.id, s.n)
+		w.AttemptStarted(w.now, s.id, s.n)
 	case what < 15 && s != nil:
-		how := [...]Outcome{Handled, Handled, Handled, Handled, Handled, Handled, Errored, NoRoom, TooSlow, NoRoute, Cut, NotSent}[w.r.IntN(12)]
-		w.Ended(w.now, s.id, s.n, how, how == Handled)
+		how := [...]Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, ExecutorError, ExecutorFull, TimedOut, ConnectFailed, ConnectionLost, NotSent}[w.r.IntN(12)]
+		w.AttemptEnded(w.now, s.id, s.n, how, how == Succeeded)
 	case what == 15 && s != nil:
-		w.Progressed(w.now, s.id, s.n, w.r.Float64())
+		w.AttemptProgressed(w.now, s.id, s.n, w.r.Float64())
 	case what == 16 && s != nil:
-		w.Reported(s.on.id, Load{Held: float64(w.r.IntN(4)), Free: float64(w.r.IntN(4))})
+		w.LoadReported(s.on.id, Load{InFlight: float64(w.r.IntN(4)), FreeSlots: float64(w.r.IntN(4))})
 	case what == 17:
-		var entries []Entry
+		var entries []Endpoint
 		for range 1 + w.r.IntN(4) {
 			id := w.ids[w.r.IntN(len(w.ids))]
 			if w.r.IntN(10) == 0 {
@@ -344,9 +344,9 @@
 			}
 			entries = append(entries, w.entry(id, w.r.IntN(2) == 0))
 		}
-		w.Listed(w.now, Changes, entries)
+		w.UpdateEndpoints(w.now, IncrementalUpdate, entries)
 	case what == 18 && s != nil && w.r.IntN(4) == 0:
-		w.Left(w.now, s.id)
+		w.ClientLeft(w.now, s.id)
 	case what == 19:
 		w.rare()
 	}
@@ -356,12 +356,12 @@
 func (w *drawn) rare() {
 	switch w.r.IntN(6) {
 	case 0:
-		w.ColdFrom(w.now, w.now+time.Duration(w.r.IntN(2000))*time.Millisecond)
+		w.ReserveSlowStartUntil(w.now, w.now+time.Duration(w.r.IntN(2000))*time.Millisecond)
 	case 1:
-		w.Cut(CutLine{Rung: w.r.IntN(3) * 16, Part: w.r.Float64(), Wait: w.r.Float64()})
+		w.SetAdmissionThreshold(AdmissionThreshold{Level: w.r.IntN(3) * 16, AdmitFraction: w.r.Float64(), MigrationDelay: w.r.Float64()})
 	case 2:
 		if w.r.IntN(10) == 0 {
-			w.Listed(w.now, Whole, []Entry{w.entry(w.ids[0], true), w.entry(w.ids[len(w.ids)-1], true)})
+			w.UpdateEndpoints(w.now, CompleteUpdate, []Endpoint{w.entry(w.ids[0], true), w.entry(w.ids[len(w.ids)-1], true)})
 		}
 	case 3: // as another process of this node may tell
 		for _, s := range w.shelves {
@@ -415,20 +415,20 @@
 // An executor that the list has moved to the own zone counts as there before the slice is picked anew.
 func TestMovedHome(t *testing.T) {
 	s := base
-	s.CrossZonePrice = 0.25
+	s.CrossZoneCost = 0.25
 	d := New(s)
-	d.Listed(0, Whole, []Entry{{Executor: "far", Zone: 1, LongAgo: true, Weight: 1}, {Executor: "moves", Zone: 1, LongAgo: true, Weight: 1}})
+	d.UpdateEndpoints(0, CompleteUpdate, []Endpoint{{Executor: "far", Zone: 1, StartedLongAgo: true, Weight: 1}, {Executor: "moves", Zone: 1, StartedLongAgo: true, Weight: 1}})
 	now := time.Second
-	for d.Wait(now).Task != Sleep {
+	for d.NextTask(now).Task != Sleep {
 	}
 	e := d.byID["moves"]
 	e.free = nil
 	d.touch(e)
-	d.Arrived(now, Arrival{Job: "j", Tenant: -1, Work: 100 * time.Millisecond, Budget: 5 * time.Second})
+	d.JobArrived(now, Arrival{Job: "j", Tenant: -1, Work: 100 * time.Millisecond, Budget: 5 * time.Second})
 	if got := d.pick(d.jobs["j"], now, false); got == nil || got.id != "far" {
 		t.Fatal("with both in another zone: ", name(got))
 	}
-	d.Listed(now, Changes, []Entry{{Executor: "moves", Zone: 0, LongAgo: true, Weight: 1}})
+	d.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Executor: "moves", Zone: 0, StartedLongAgo: true, Weight: 1}})
 	if got, want := d.pick(d.jobs["j"], now, false), d.scanned(d.jobs["j"], now, false); got != want || want != nil {
 		t.Fatalf("with one at home: %s, the scan %s", name(got), name(want))
 	}
@@ -454,7 +454,7 @@
 	order int
 	what  int // 0: a batch job comes; 1: one has begun; 2: one is done; 3: what is due
 	job   JobID
-	n     AllocationID
+	n     AttemptID
 }
 
 type steadyHeap []steadyItem
@@ -475,17 +475,17 @@
 // newSteady loads executors of two places each to that part, or with so many batch jobs a second.
 func newSteady(executors int, load, perS float64) *steady {
 	s := base
-	s.LiveWeights = false
-	s.Tracks = slices.Clone(base.Tracks)
-	s.Tracks[1].Kind = AnyKind
+	s.LoadAdjustedWeights = false
+	s.JobClasses = slices.Clone(base.JobClasses)
+	s.JobClasses[1].Kind = AnyKind
 	w := &steady{Dispatcher: New(s), r: rand.New(rand.NewPCG(1, uint64(executors))), paces: map[ExecutorID]float64{}}
-	var entries []Entry
+	var entries []Endpoint
 	for i := range executors {
 		id := ExecutorID(fmt.Sprint("e", i))
 		w.paces[id] = 0.8 + 0.4*w.r.Float64()
-		entries = append(entries, Entry{Executor: id, Zone: ZoneID(i % 4), LongAgo: true, Weight: 1})
+		entries = append(entries, Endpoint{Executor: id, Zone: ZoneID(i % 4), StartedLongAgo: true, Weight: 1})
 	}
-	w.Listed(0, Whole, entries)
+	w.UpdateEndpoints(0, CompleteUpdate, entries)
 	if perS == 0 {
 		perS = load * float64(executors) * 2 / 0.3
 	}
@@ -509,11 +509,11 @@
 }
 
 func (w *steady) decided(id JobID, what Decision) {
-	if what.Act != Send {
+	if what.Action != Send {
 		return
 	}
 	w.starts++
-	n := AllocationID(w.Dispatcher.jobs[id].sent - 1)
+	n := AttemptID(w.Dispatcher.jobs[id].sent - 1)
 	w.push(steadyItem{at: w.now + time.Millisecond, what: 1, job: id, n: n})
 	ran := time.Duration(float64(w.work(id)) * w.paces[what.Executor] * (0.6 + 0.8*w.r.Float64()))
 	w.push(steadyItem{at: w.now + 2*time.Millisecond + ran, what: 2, job: id, n: n})
@@ -528,15 +528,15 @@
 		case 0:
 			w.jobs++
 			id := JobID(fmt.Sprint("j", w.jobs))
-			w.Arrived(w.now, Arrival{Job: id, Track: TrackID(w.jobs % 2), Tenant: -1, Work: w.work(id), Budget: 5 * time.Second})
+			w.JobArrived(w.now, Arrival{Job: id, Class: JobClassID(w.jobs % 2), Tenant: -1, Work: w.work(id), Budget: 5 * time.Second})
 			w.push(steadyItem{at: w.now + w.gap})
 		case 1:
-			w.Started(w.now, it.job, it.n)
+			w.AttemptStarted(w.now, it.job, it.n)
 		case 2:
-			w.decided(it.job, w.Ended(w.now, it.job, it.n, Handled, true))
+			w.decided(it.job, w.AttemptEnded(w.now, it.job, it.n, Succeeded, true))
 		}
 		for {
-			due := w.Wait(w.now)
+			due := w.NextTask(w.now)
 			if due.Task == Sleep {
 				if due.At < w.queue[0].at {
 					w.push(steadyItem{at: due.At, what: 3})
@@ -579,32 +579,32 @@
 	per := map[int]int{}
 	for _, n := range [...]int{100, 400} {
 		s := base
-		s.Tracks = []Track{{Quoted: 300 * time.Millisecond, Stretch: 1.2, OuterLimit: 60 * time.Second, Earnings: 1, Kind: AnyKind}}
+		s.JobClasses = []JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 1.2, Deadline: 60 * time.Second, Value: 1, Kind: AnyKind}}
 		d, now := New(s), time.Second
-		var entries []Entry
+		var entries []Endpoint
 		for i := range n {
-			entries = append(entries, Entry{Executor: ExecutorID(fmt.Sprint("e", i)), LongAgo: true, Weight: 1})
+			entries = append(entries, Endpoint{Executor: ExecutorID(fmt.Sprint("e", i)), StartedLongAgo: true, Weight: 1})
 		}
-		d.Listed(0, Whole, entries)
+		d.UpdateEndpoints(0, CompleteUpdate, entries)
 		for _, e := range entries {
-			d.Reported(e.Executor, Load{Held: 1}) // one place
+			d.LoadReported(e.Executor, Load{InFlight: 1}) // one place
 		}
 		sent := []JobID{}
 		settle := func() {
-			for due := d.Wait(now); due.Task != Sleep; due = d.Wait(now) {
+			for due := d.NextTask(now); due.Task != Sleep; due = d.NextTask(now) {
 				if due.Task != PlaceJob {
 					continue
 				}
-				if to := d.Place(now, due.Job); to.Act == Send {
+				if to := d.Place(now, due.Job); to.Action == Send {
 					sent = append(sent, due.Job)
 					if len(d.byID[to.Executor].out) == 1 { // it has a place only
-						d.Started(now, due.Job, 0)
+						d.AttemptStarted(now, due.Job, 0)
 					}
 				}
 			}
 		}
 		for i := range 2 * n {
-			d.Arrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Tenant: -1, Work: 4 * time.Second, Budget: 60 * time.Second})
+			d.JobArrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Tenant: -1, Work: 4 * time.Second, Budget: 60 * time.Second})
 			settle()
 		}
 		if len(sent) != n || len(d.held) != n {
@@ -612,7 +612,7 @@
 		}
 		now += time.Millisecond
 		weighed := d.weighed
-		d.Ended(now, sent[n/2], 0, Handled, true)
+		d.AttemptEnded(now, sent[n/2], 0, Succeeded, true)
 		settle()
 		per[n] = d.weighed - weighed
 		if t.Logf("%d executors: %d weighed when one is done", n, per[n]); len(sent) == n || len(sent) > n+2 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -79,35 +79,35 @@
 	}
 }
 
-// Listed tells what discovery brought.
-func (d *Dispatcher) Listed(now time.Duration, what ListKind, entries []Entry) {
+// UpdateEndpoints tells what discovery brought.
+func (d *Dispatcher) UpdateEndpoints(now time.Duration, what EndpointUpdateKind, entries []Endpoint) {
 	d.asking = false
-	if what == Lost {
+	if what == WatchFailed {
 		// Calls load a service that all nodes share: ask again after a spell that differs by node.
 		d.subscribed = false
 		d.askAt = now + times(d.askEvery, 0.5+d.chance())
 		return
 	}
-	d.subscribed = d.subscribed || what != WarmCopy
+	d.subscribed = d.subscribed || what != CachedUpdate
 	d.lists++
 	for _, n := range entries {
 		d.listed(now, n)
 	}
 	d.enlist()
-	d.dropGone(what != Changes)
+	d.dropGone(what != IncrementalUpdate)
 	d.stale, d.moved, d.freed = true, true, true
 	d.zoneLoads(now)
 }
 
-func (d *Dispatcher) listed(now time.Duration, n Entry) {
+func (d *Dispatcher) listed(now time.Duration, n Endpoint) {
 	e := d.byID[n.Executor]
 	fresh := e == nil
 	if fresh {
-		e = &executor{id: n.Executor, started: n.Started, news: now, rank: d.rankOf(n.Executor), place: -1}
-		e.sum = Sum(crc32.ChecksumIEEE([]byte(n.Executor)))
+		e = &executor{id: n.Executor, started: n.StartedAt, news: now, rank: d.rankOf(n.Executor), place: -1}
+		e.sum = ExecutorHash(crc32.ChecksumIEEE([]byte(n.Executor)))
 		e.keeper = d.keeperOf(e.sum)
 		// The nodes that carry a cold executor follow its number: all reckon the same ones, without asking.
-		place := (int(d.node) + d.nodes - int(e.sum%Sum(d.nodes))) % d.nodes
+		place := (int(d.node) + d.nodes - int(e.sum%ExecutorHash(d.nodes))) % d.nodes
 		e.carried = place < d.carriers
 		d.fresh = append(d.fresh, e)
 		d.byID[e.id], d.bySum[e.sum] = e, e
@@ -115,16 +115,16 @@
 	d.touch(e)
 	d.rezoned = d.rezoned || e.place >= 0 && (e.zone != n.Zone || e.kind != n.Kind)
 	d.knowKind(n.Kind, max(n.Weight, 1e-3))
-	restarted := !n.LongAgo && (fresh || n.Started > e.started)
+	restarted := !n.StartedLongAgo && (fresh || n.StartedAt > e.started)
 	e.zone, e.kind, e.cell, e.listed = n.Zone, n.Kind, n.Cell, d.lists
-	e.up, e.gone = n.State == Up, n.State == Gone
+	e.up, e.gone = n.State == Available, n.State == Removed
 	d.anyGone = d.anyGone || e.gone
 	d.weigh(e, max(n.Weight, 1e-3))
 	if !restarted {
 		return
 	}
-	e.started = n.Started
-	if until := n.Started + d.warmWithin; until > now {
+	e.started = n.StartedAt
+	if until := n.StartedAt + d.warmWithin; until > now {
 		// A fresh executor can do part of its work only, and what we knew of it no longer holds.
 		if e.carried && now >= e.coldUntil {
 			d.cold = append(d.cold, e)
@@ -307,15 +307,15 @@
 	if j.track.kind != AnyKind && j.track.kind != e.kind {
 		return false
 	}
-	group := j.ran == nil || j.track.repeat == Repeatable || j.track.group == GroupAll ||
-		j.track.group == GroupZone && e.zone == j.ran.zone || j.track.group == GroupCell && e.cell == j.ran.cell
+	group := j.ran == nil || j.track.repeat == Idempotent || j.track.group == DedupAllExecutors ||
+		j.track.group == DedupZone && e.zone == j.ran.zone || j.track.group == DedupCell && e.cell == j.ran.cell
 	return group && d.mayRepeat(j, now)
 }
 
 // mayRepeat is rule 2 for a further allocation.
 func (d *Dispatcher) mayRepeat(j *job, now time.Duration) bool {
-	return j.ran == nil || j.track.repeat == Repeatable ||
-		j.track.repeat == Tagged && now < j.ran.sentAt+j.track.groupWindow-d.quantum
+	return j.ran == nil || j.track.repeat == Idempotent ||
+		j.track.repeat == IdempotentWithKey && now < j.ran.sentAt+j.track.groupWindow-d.quantum
 }
 
 func (d *Dispatcher) late(j *job, now time.Duration) bool { return j.quotedAt < now+j.work/2 }
@@ -350,10 +350,10 @@
 
 // ---- Placing ----
 
-// Arrived tells of a batch job that this node has taken. A work of 0 means that no hint came.
-func (d *Dispatcher) Arrived(now time.Duration, in Arrival) {
+// JobArrived tells of a batch job that this node has taken. A work of 0 means that no hint came.
+func (d *Dispatcher) JobArrived(now time.Duration, in Arrival) {
 	d.turn(now)
-	t := d.tracks[min(max(0, int(in.Track)), len(d.tracks)-1)]
+	t := d.tracks[min(max(0, int(in.Class)), len(d.tracks)-1)]
 	j := &job{id: in.Job, track: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, margin: margin,
 		need: 1, came: now, limitAt: now + in.Budget, spread: d.chance()}
 	if !j.hinted {
@@ -370,9 +370,9 @@
 	// clients lose patience early, and a try that can't be done by then is not to be sent.
 	t.fullBudget = max(t.fullBudget, in.Budget)
 	lacks, spent := t.fullBudget-in.Budget, time.Duration(0)
-	first := !in.Again && lacks > d.gap
+	first := !in.ClientRetry && lacks > d.gap
 	t.came(lacks > d.quantum)
-	curt := d.marks && (j.tenant.firstTries(in.Again, first) > mostCurt || first)
+	curt := d.marks && (j.tenant.firstTries(in.ClientRetry, first) > mostCurt || first)
 	switch {
 	case lacks <= d.quantum:
 	case !d.marks && lacks > d.heldFor(j)+d.comeBack+max(0, d.stood) && t.short > fewCame+mostAgain*t.lost:
@@ -385,7 +385,7 @@
 	}
 	j.quotedAt = min(now-spent+j.quoted(), j.limitAt)
 	d.closeBy(j)
-	j.fresh = spent == 0 && !in.Again
+	j.fresh = spent == 0 && !in.ClientRetry
 	d.asked(j, j.fresh)
 	j.cut = d.talks && d.below(j)
 	d.jobs[in.Job] = j
@@ -436,7 +436,7 @@
 	}
 	d.hold(j, now)
 	// In the fleet's overload a further allocation of what never ran and is below the line by now is too much.
-	j.cut = j.cut || j.sent > 0 && j.ran == nil && d.line.Rung > d.rung(j)
+	j.cut = j.cut || j.sent > 0 && j.ran == nil && d.line.Level > d.rung(j)
 	if j.cut || now >= j.limitAt-d.quantum || j.sent >= j.track.allocations || !d.mayRepeat(j, now) {
 		return d.giveUp(j)
 	}
@@ -461,7 +461,7 @@
 	}
 	j.turn++
 	d.at(max(next, now+d.quantum), j, nil)
-	return Decision{Act: Hold}
+	return Decision{Action: Enqueue}
 }
 
 // lastStart is when an executor of that pace must begin on j at the latest.
@@ -478,8 +478,8 @@
 // Guards against low earners taken here while dearer ones find no token elsewhere.
 func (d *Dispatcher) below(j *job) bool {
 	rung, line := d.offered(j), d.line
-	marginal := rung == line.Rung && !j.tight && d.chance() < line.Part
-	return !d.admitted(j, line.Rung == 0 || rung > line.Rung || marginal)
+	marginal := rung == line.Level && !j.tight && d.chance() < line.AdmitFraction
+	return !d.admitted(j, line.Level == 0 || rung > line.Level || marginal)
 }
 
 // giveUp answers at once. A pushback says that nothing happened or that trying again is harmless: rule 2.
@@ -487,18 +487,18 @@
 	d.forget(j)
 	j.track.lost += flag(j.fresh)
 	if j.cut { // they come back at times of their own, not all together
-		return Decision{Act: PushBack, ComeBack: times(d.comeBack, (1+d.chance())/2)}
+		return Decision{Action: Reject, RetryAfter: times(d.comeBack, (1+d.chance())/2)}
 	}
 	d.lost(j)
-	if j.ran == nil || j.track.repeat == Repeatable || j.track.repeat == Tagged && j.track.group == GroupAll {
-		return Decision{Act: PushBack, ComeBack: d.comeBack}
+	if j.ran == nil || j.track.repeat == Idempotent || j.track.repeat == IdempotentWithKey && j.track.group == DedupAllExecutors {
+		return Decision{Action: Reject, RetryAfter: d.comeBack}
 	}
-	return Decision{Act: BreakOff}
+	return Decision{Action: Fail}
 }
 
 // inGroup says whether j may only be repeated in its dedup group.
 func (d *Dispatcher) inGroup(j *job) bool {
-	return j.ran != nil && j.track.repeat == Tagged && j.track.group != GroupAll
+	return j.ran != nil && j.track.repeat == IdempotentWithKey && j.track.group != DedupAllExecutors
 }
 
 // pick finds the executor with the oldest free token that j may take now, or, asking, whose keeper is to be
@@ -551,7 +551,7 @@
 	pace := d.pace(e, now)
 	wait := d.waitAt(e, pace, now)
 	queue := wait
-	if j.track.repeat == OnceOnly {
+	if j.track.repeat == AtMostOnce {
 		// What can't be taken back counts the list's news as well: its like, held over one a core, go first.
 		queue = max(wait, times(j.track.meanWork, (e.load-1)*pace))
 	}
@@ -563,8 +563,8 @@
 
 // ---- News of allocations ----
 
-// Ended says what to do after an allocation's outcome. Final: the batch job is over by it or before it.
-func (d *Dispatcher) Ended(now time.Duration, id JobID, n AllocationID, how Outcome, final bool) Decision {
+// AttemptEnded says what to do after an allocation's outcome. Final: the batch job is over by it or before it.
+func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, n AttemptID, how Outcome, final bool) Decision {
 	d.turn(now)
 	s := d.out(id, n)
 	if s == nil {
@@ -599,26 +599,26 @@
 	d.touch(e)
 	est := times(j.work, d.pace(e, now))
 	switch how {
-	case Handled:
+	case Succeeded:
 		d.handled(j, e, now)
-	case NoRoom, Errored, Unfit, NoRoute, Cut:
-		if how == NoRoom {
+	case ExecutorFull, ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
+		if how == ExecutorFull {
 			// Full counts as queuing at the executor, unless only one tenant meets it.
 			e.fullMany = e.fullMany || e.full && e.fullFrom != j.tenantID
 			e.full, e.fullFrom, e.fullWait, j.startedLate = true, j.tenantID, e.fullWait+est, true
 		}
-		if d.probes && (how == NoRoute || how == Cut) {
+		if d.probes && (how == ConnectFailed || how == ConnectionLost) {
 			d.mute(e, max(1, e.silences)) // until it answers
 			d.askLoad(e, now, 0)
 		}
 		// One may be the network's or the batch job's; a second, with no sign of life between, is the executor's.
-		if how == Errored || e.broke && (how != NoRoom || j.tenant == nil || e.fullMany) {
+		if how == ExecutorError || e.broke && (how != ExecutorFull || j.tenant == nil || e.fullMany) {
 			d.holdBack(e, now, "after an outcome that was no result")
-			e.errors += int(flag(how == Errored))
+			e.errors += int(flag(how == ExecutorError))
 		}
 		e.broke = true
-	case TooSlow, CalledOff:
-		if j.curt && how == TooSlow {
+	case TimedOut, Canceled:
+		if j.curt && how == TimedOut {
 			j.tenant.need = min(j.tenant.need+4*needStep, 1.5)
 		}
 		// The executor may still be on it: the token stays taken until the work would be over.
@@ -634,7 +634,7 @@
 		d.at(max(now, begun+est), nil, e)
 		return
 	}
-	if how == NoRoom { // guards against a token that is turned away again and again, in overload by the hundred
+	if how == ExecutorFull { // guards against a token that is turned away again and again, in overload by the hundred
 		d.giveBack(e, now, true)
 		e.turned++
 		d.at(now+times(est, fullRest*float64(e.turned)), nil, e)
@@ -692,13 +692,13 @@
 	e := j.on
 	quiet := times(j.work, d.kinds[e.kind].pace)
 	if !j.running { // how long it is left there anyway, where moves have a budget
-		quiet = max(quiet, times(j.quotedAt-j.sentAt-j.work, d.line.Wait))
+		quiet = max(quiet, times(j.quotedAt-j.sentAt-j.work, d.line.MigrationDelay))
 	}
 	if !e.mute && now-max(e.news, j.sentAt) > quiet {
 		d.askLoad(e, now, d.shortestQuoted)
 	}
 	if j.over {
-		return !j.running || j.track.repeat == Repeatable // it may be stopped at no cost
+		return !j.running || j.track.repeat == Idempotent // it may be stopped at no cost
 	}
 	usual, left := d.kinds[e.kind].pace, time.Duration(0)
 	if j.running { // it can't crawl sooner
@@ -710,7 +710,7 @@
 		pace = d.pace(e, now)
 	}
 	crawls := (e.held > now || j.lost || pace >= crawl*usual) && left < 0 || e.mute
-	begun, repeatable := j.running || !d.tellsStart, j.track.repeat == Repeatable
+	begun, repeatable := j.running || !d.tellsStart, j.track.repeat == Idempotent
 	if repeatable && (e.mute || !begun) && j.track.late == 0 && now > j.quotedAt-times(j.work, pace) {
 		return true // it can earn nothing more
 	}
@@ -729,7 +729,7 @@
 		d.wishes(j)
 		slack := j.quotedAt - j.sentAt - times(j.work, pace)
 		blind := flag(!d.liveWeights && d.kinds[to.kind].places == 0) // nothing tells that another has less to do
-		from := j.sentAt + max(times(slack, d.line.Wait), times(d.longestMean(), pace*blind))
+		from := j.sentAt + max(times(slack, d.line.MigrationDelay), times(d.longestMean(), pace*blind))
 		if now < from {
 			d.lookAt(from, j)
 			return false
@@ -748,7 +748,7 @@
 
 // wantsCopy says whether a second allocation of j may still earn something.
 func (d *Dispatcher) wantsCopy(j *job, now time.Duration) bool {
-	return !j.over && len(j.out) == 1 && j.sent < j.track.allocations && d.line.Rung == 0 &&
+	return !j.over && len(j.out) == 1 && j.sent < j.track.allocations && d.line.Level == 0 &&
 		now < j.limitAt-d.quantum && (!d.late(j, now) || j.track.late > 0)
 }
 
@@ -766,7 +766,7 @@
 // Where nodes are many and may talk, one keeps each executor's places for all: a place is asked for before a
 // token there is used, and given back with it. A keeper that does not answer is done without for a while.
 
-func (d *Dispatcher) keeperOf(sum Sum) NodeID { return NodeID(sum % Sum(d.nodes)) }
+func (d *Dispatcher) keeperOf(sum ExecutorHash) NodeID { return NodeID(sum % ExecutorHash(d.nodes)) }
 
 // cleared says whether e's keeper has given a place there, or, asking, may be asked for one.
 func (d *Dispatcher) cleared(e *executor, now time.Duration, asking bool) bool {
@@ -785,7 +785,7 @@
 		if e.given {
 			e.given = false
 			d.touch(e)
-			d.tell(now, e.keeper, Back, e.sum)
+			d.tell(now, e.keeper, LeaseReturn, e.sum)
 		}
 	}
 	d.givens = d.givens[:0]
@@ -793,7 +793,7 @@
 		if e.place >= 0 && e.queued && len(d.held)+len(d.heldLate)+len(d.copies) == 0 {
 			e.asked = false
 			d.touch(e)
-			d.tell(now, e.keeper, Never, e.sum)
+			d.tell(now, e.keeper, LeaseCancel, e.sum)
 		}
 	}
 	if !d.wants || !d.mayTell || !d.many() {
@@ -818,9 +818,9 @@
 	j.asked, e.asked, e.queued, e.askedAt = e, true, false, now
 	d.awaits(e)
 	d.at(now+d.shortestQuoted/4, nil, nil)
-	word := Want
+	word := LeaseRequest
 	if d.late(j, now) {
-		word = WantLate
+		word = LeaseRequestLate
 	}
 	d.tell(now, e.keeper, word, e.sum)
 }
@@ -855,38 +855,38 @@
 	}
 }
 
-// Heard tells of a word from another node about an executor's places.
-func (d *Dispatcher) Heard(now time.Duration, from NodeID, word Word, sum Sum) {
+// ReceiveLeaseMessage tells of a word from another node about an executor's places.
+func (d *Dispatcher) ReceiveLeaseMessage(now time.Duration, from NodeID, word LeaseMessage, sum ExecutorHash) {
 	switch word {
-	case Lend, Later:
+	case LeaseGrant, LeaseWait:
 		e := d.bySum[sum]
 		if e == nil || !e.asked || e.keeper != from {
-			if word == Lend {
-				d.tell(now, from, Back, sum)
+			if word == LeaseGrant {
+				d.tell(now, from, LeaseReturn, sum)
 			}
 			return
 		}
-		d.freed, d.wants, e.queued = true, true, word == Later
-		if word == Lend {
+		d.freed, d.wants, e.queued = true, true, word == LeaseWait
+		if word == LeaseGrant {
 			e.asked, e.given = false, true
 			d.touch(e)
 			d.givens = append(d.givens, e)
 		}
-	case Want, WantLate:
+	case LeaseRequest, LeaseRequestLate:
 		k := d.keepOf(sum)
-		k.wait(from, word == WantLate)
+		k.wait(from, word == LeaseRequestLate)
 		if d.lend(k, k.quota, now); k.waits(from) {
 			k.dry = true
-			d.tell(now, from, Later, sum)
+			d.tell(now, from, LeaseWait, sum)
 			if e := d.bySum[sum]; e != nil {
 				d.askLoad(e, now, d.shortestQuoted)
 			}
 		}
-	case Never:
+	case LeaseCancel:
 		d.keepOf(sum).leave(from)
-	case Back, BackLate:
+	case LeaseReturn, LeaseReturnLate:
 		k := d.keepOf(sum)
-		k.back(from, word == BackLate)
+		k.back(from, word == LeaseReturnLate)
 		d.lend(k, k.quota, now)
 	}
 }
@@ -899,7 +899,7 @@
 		to := k.first()
 		k.lentAt = now
 		k.lent = append(k.lent, lease{to, now + 2*d.interval})
-		d.tell(now, to, Lend, k.sum)
+		d.tell(now, to, LeaseGrant, k.sum)
 	}
 }
 
@@ -985,8 +985,8 @@
 
 // ---- Due times ----
 
-// Wait says what has fallen due, or until when nothing will.
-func (d *Dispatcher) Wait(now time.Duration) Due {
+// NextTask says what has fallen due, or until when nothing will.
+func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.turn(now)
 	for now >= d.tick {
 		d.tick += d.interval
@@ -995,10 +995,10 @@
 	mustSubscribe := d.mustAsk && !d.subscribed && !d.asking
 	if mustSubscribe && now >= d.askAt {
 		d.asking = true
-		return Due{Task: Subscribe}
+		return DueTask{Task: WatchEndpoints}
 	}
 	if j := d.next(now); j != nil {
-		return Due{Task: PlaceJob, Job: j.id}
+		return DueTask{Task: PlaceJob, Job: j.id}
 	}
 	for len(d.due) > 0 && d.due[0].at <= now {
 		it := heap.Pop(&d.due).(dueItem)
@@ -1008,16 +1008,16 @@
 			d.release(it.token, now, false)
 		case s != nil && s.turn == it.turn && d.look(s, now):
 			s.stopping = true
-			return Due{Task: StopJob, Job: s.id, Allocation: s.n}
+			return DueTask{Task: CancelAttempt, Job: s.id, Attempt: s.n}
 		case j != nil && j.turn == it.turn && len(j.out) == 0:
-			return Due{Task: PlaceJob, Job: j.id}
+			return DueTask{Task: PlaceJob, Job: j.id}
 		case s == nil && j == nil:
 			d.unanswered(now)
 			d.stale, d.freed, d.wants = true, true, true
 		}
 	}
 	if j := d.next(now); j != nil {
-		return Due{Task: PlaceJob, Job: j.id}
+		return DueTask{Task: PlaceJob, Job: j.id}
 	}
 	d.askKeepers(now)
 	if len(d.words) > 0 {
@@ -1033,7 +1033,7 @@
 		at = min(at, d.askAt)
 	}
 	d.sleepTo = at
-	return Due{At: at}
+	return DueTask{At: at}
 }
 
 // next is the first in the release order that a free token is open to, copies last. It is asked once after
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -23,8 +23,8 @@
 // took is the time since an allocation was sent, without what this node stood still just now: its news may be that old.
 func (d *Dispatcher) took(s *shot) time.Duration { return max(0, d.now-s.sentAt-d.stood) }
 
-// Started tells that an executor has begun on an allocation.
-func (d *Dispatcher) Started(now time.Duration, id JobID, n AllocationID) {
+// AttemptStarted tells that an executor has begun on an allocation.
+func (d *Dispatcher) AttemptStarted(now time.Duration, id JobID, n AttemptID) {
 	d.turn(now)
 	s := d.out(id, n)
 	if s == nil || s.running {
@@ -42,8 +42,8 @@
 	e.startedOther = e.startedOther || !e.full || s.tenantID != e.fullFrom
 }
 
-// Progressed tells how much of an allocation is done.
-func (d *Dispatcher) Progressed(now time.Duration, id JobID, n AllocationID, share float64) {
+// AttemptProgressed tells how much of an allocation is done.
+func (d *Dispatcher) AttemptProgressed(now time.Duration, id JobID, n AttemptID, share float64) {
 	if s := d.out(id, n); s != nil {
 		s.share, s.shareAt = share, now
 		d.alive(s.on, now)
@@ -56,17 +56,17 @@
 	e.news, e.broke, e.mute, e.silences, e.turned = now, false, false, 0, 0
 }
 
-// Left tells that the client has gone: nothing more is owed.
-func (d *Dispatcher) Left(now time.Duration, id JobID) {
+// ClientLeft tells that the client has gone: nothing more is owed.
+func (d *Dispatcher) ClientLeft(now time.Duration, id JobID) {
 	if j := d.jobs[id]; j != nil {
 		d.end(j, now)
 	}
 }
 
-// Reported tells what an executor says of its load with an answer: batch jobs held, those that wait, and places free.
-func (d *Dispatcher) Reported(id ExecutorID, load Load) {
-	e, places := d.byID[id], load.Held-load.Waiting+load.Free
-	if e == nil || places < 0.5 || min(load.Held, load.Waiting, load.Free) < 0 {
+// LoadReported tells what an executor says of its load with an answer: batch jobs held, those that wait, and places free.
+func (d *Dispatcher) LoadReported(id ExecutorID, load Load) {
+	e, places := d.byID[id], load.InFlight-load.Queued+load.FreeSlots
+	if e == nil || places < 0.5 || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
 		return
 	}
 	k := d.kinds[e.kind]
@@ -75,7 +75,7 @@
 	}
 	k.places += (places - k.places) * (1 - fade)
 	k.parallel = max(1, int(k.places+0.5))
-	if load.Waiting < 0.5 { // how many wait is told roughly: where many do, the rest swings
+	if load.Queued < 0.5 { // how many wait is told roughly: where many do, the rest swings
 		k.sure = cmp.Or(k.sure, places)
 		k.sure += (places - k.sure) * (1 - fade)
 	}
@@ -180,7 +180,7 @@
 
 // learn books a running time.
 func (d *Dispatcher) learn(j *job, e *executor, ran time.Duration) {
-	if j.track.repeat == Tagged && ran < times(j.work, remembered*d.kinds[e.kind].pace) {
+	if j.track.repeat == IdempotentWithKey && ran < times(j.work, remembered*d.kinds[e.kind].pace) {
 		return // it was remembered there, not run: guards against executors that look quick, and are rushed while cold
 	}
 	if !j.hinted {
@@ -286,8 +286,8 @@
 	}
 }
 
-// Avoided counts the executors on the list that get nothing new from this node now, whoever says so.
-func (d *Dispatcher) Avoided(now time.Duration) (n int) {
+// CountExcluded counts the executors on the list that get nothing new from this node now, whoever says so.
+func (d *Dispatcher) CountExcluded(now time.Duration) (n int) {
 	for _, e := range d.ranked {
 		if !e.gone && !d.usable(e, now) {
 			n++
@@ -296,17 +296,17 @@
 	return n
 }
 
-// ColdFrom tells from when on cold executors are this process's to use: another process of this node has their budget
+// ReserveSlowStartUntil tells from when on cold executors are this process's to use: another process of this node has their budget
 // until then.
-func (d *Dispatcher) ColdFrom(now, at time.Duration) {
+func (d *Dispatcher) ReserveSlowStartUntil(now, at time.Duration) {
 	d.coldFrom, d.stale, d.moved, d.freed = at, true, true, true
 	if at != Endless {
 		d.at(max(at, now), nil, nil)
 	}
 }
 
-// Probed tells what came of a probe; load means something only where it was answered.
-func (d *Dispatcher) Probed(now time.Duration, id ExecutorID, answered bool, load Load) {
+// ProbeEnded tells what came of a probe; load means something only where it was answered.
+func (d *Dispatcher) ProbeEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
 	d.turn(now)
 	e := d.byID[id]
 	if e == nil {
@@ -322,7 +322,7 @@
 		d.moved = d.moved || e.mute
 		d.stale, d.freed = d.stale || e.mute, true
 		e.news, e.mute, e.silences = now, false, 0
-		if k := d.kept[e.sum]; k != nil && load.Free >= 0.5 && now-k.lentAt >= d.shortestQuoted {
+		if k := d.kept[e.sum]; k != nil && load.FreeSlots >= 0.5 && now-k.lentAt >= d.shortestQuoted {
 			k.more = k.more || len(k.lent) >= k.quota
 			d.lend(k, len(k.lent)+1, now)
 		}
@@ -334,17 +334,17 @@
 	if d.probes && !e.probing && (e.probed == 0 || now-e.probed >= within) {
 		e.probing, e.probed = true, now
 		d.watch(e)
-		d.words = append(d.words, Due{Task: Probe, Executor: e.id})
+		d.words = append(d.words, DueTask{Task: ProbeExecutor, Executor: e.id})
 		d.at(now+d.shortestQuoted, nil, nil)
 	}
 }
 
 // ---- For nodes that talk ----
 
-// Tally is what this node saw since it was asked last; from the first asking on it is kept.
-func (d *Dispatcher) Tally(now time.Duration) Tally {
+// TakeLoadSummary is what this node saw since it was asked last; from the first asking on it is kept.
+func (d *Dispatcher) TakeLoadSummary(now time.Duration) LoadSummary {
 	t := d.tally
-	d.talks, d.tally = true, Tally{}
+	d.talks, d.tally = true, LoadSummary{}
 	for _, j := range d.held {
 		t.Waiting += j.pressing()
 	}
@@ -367,21 +367,21 @@
 	return t
 }
 
-// Cut tells where the cut line of nodes that talk is from now on. Batch jobs in hand stay.
-func (d *Dispatcher) Cut(line CutLine) { d.line = line }
+// SetAdmissionThreshold tells where the cut line of nodes that talk is from now on. Batch jobs in hand stay.
+func (d *Dispatcher) SetAdmissionThreshold(line AdmissionThreshold) { d.line = line }
 
 // rung is the step of what j earns for its work. A tenant over its share is weighed down as in value.
 func (d *Dispatcher) rung(j *job) int {
 	density := d.earnings(j) / max(j.work.Seconds(), 1e-6) * d.counts(j.tenant)
-	rung := Rungs/2 + int(math.Round(2*math.Log2(max(density, 1e-9))))
-	return min(max(0, rung), Rungs-1)
+	rung := PriorityLevels/2 + int(math.Round(2*math.Log2(max(density, 1e-9))))
+	return min(max(0, rung), PriorityLevels-1)
 }
 
 // wishes books, once, that an allocation would be moved if moves were free.
 func (d *Dispatcher) wishes(s *shot) {
 	if !s.wished {
 		s.wished = true
-		d.tally.Moves += s.work.Seconds()
+		d.tally.Migrations += s.work.Seconds()
 	}
 }
 
@@ -412,7 +412,7 @@
 // booked books an answer, in its quoted time or not.
 func (d *Dispatcher) booked(s *shot, now time.Duration) {
 	s.on.errors = 0
-	d.tally.Done += s.work.Seconds()
+	d.tally.Completed += s.work.Seconds()
 	if now <= s.quotedAt {
 		s.track.given += d.earnings(s.job)
 	}
@@ -422,6 +422,6 @@
 // it would cut more and more, to no end.
 func (d *Dispatcher) lost(j *job) {
 	if !j.tight && d.now-j.came > d.quantum && j.sent < j.track.allocations {
-		d.tally.Lost += j.work.Seconds()
+		d.tally.Expired += j.work.Seconds()
 	}
 }
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -11,35 +11,35 @@
 	d := &Dispatcher{
 		seed: s.Seed, node: NodeID(s.Node), nodes: s.Nodes, zone: s.Zone,
 		kinds: map[KindID]*kind{}, byID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
-		index: index{until: pile{by: byUntil}}, bySum: map[Sum]*executor{}, kept: map[Sum]*keep{}, mayTell: s.MayTell, mayCopy: s.MayCopy, probes: s.MayProbe, marks: s.MarksAgain,
-		perWork: s.EarnPerWork, overage: s.OverageEarnings, crossPrice: s.CrossZonePrice,
-		wholeWeight: s.WholeWeight, trackWeight: s.TrackWeight,
-		maxAllocations: s.MaxAllocations, mayCancel: s.MayCancel, comeBack: s.MaxComeBack,
-		quantum: s.Quantum, tellsStart: s.TellsStart, tellsEvery: s.TellsEvery, mustAsk: s.MustAsk,
-		liveWeights: s.LiveWeights,
-		coldShare:   s.ColdShare, warmWithin: s.WarmWithin, fallWindow: s.FallWindow,
+		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, mayCopy: s.MayHedge, probes: s.MayProbe, marks: s.ClientsMarkRetries,
+		perWork: s.ValuePerWork, overage: s.OverQuotaValue, crossPrice: s.CrossZoneCost,
+		wholeWeight: s.TotalWeight, trackWeight: s.WorstClassWeight,
+		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
+		quantum: s.Quantum, tellsStart: s.StartNotices, tellsEvery: s.ProgressInterval, mustAsk: s.EndpointsPolled,
+		liveWeights: s.LoadAdjustedWeights,
+		coldShare:   s.SlowStartCapacity, warmWithin: s.SlowStartDuration, fallWindow: s.OverloadWindow,
 	}
-	for i, t := range s.Tracks {
-		d.add(Change{TrackID(i), NoTrack, t})
+	for i, t := range s.JobClasses {
+		d.add(JobClassUpdate{JobClassID(i), NoJobClass, t})
 	}
 	d.derive()
 	d.tick = d.interval
-	d.shareCold(s.FallMultiple)
-	d.spreadAsks(s.AskWithin)
+	d.shareCold(s.OverloadMultiple)
+	d.spreadAsks(s.PollWithin)
 	d.at(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
-	for _, t := range s.Tenant {
-		d.tenants = append(d.tenants, tenant{perS: t.QuotaPerS / float64(s.Nodes)})
+	for _, t := range s.Tenants {
+		d.tenants = append(d.tenants, tenant{perS: t.QuotaPerSecond / float64(s.Nodes)})
 	}
 	return d
 }
 
 // add takes up a track as it is from now on, with what is known of the one that it comes from.
-func (d *Dispatcher) add(c Change) {
-	t := &track{repeat: c.Repeat, group: c.Group, groupWindow: c.GroupWindow, allocations: cmp.Or(c.Allocations, d.maxAllocations),
-		quoted: c.Quoted, outerLimit: c.OuterLimit, stretch: c.Stretch, earnings: c.Earnings,
-		late: c.LateEarnings, kind: c.Kind, meanWork: cmp.Or(c.Work, firstGuess(c.Track)), unit: c.Earnings}
-	if c.From != NoTrack {
-		from := d.tracks[c.From]
+func (d *Dispatcher) add(c JobClassUpdate) {
+	t := &track{repeat: c.Idempotency, group: c.DedupGroup, groupWindow: c.DedupWindow, allocations: cmp.Or(c.MaxAttempts, d.maxAllocations),
+		quoted: c.LatencyObjective, outerLimit: c.Deadline, stretch: c.RunTimeFactor, earnings: c.Value,
+		late: c.LateValue, kind: c.Kind, meanWork: cmp.Or(c.ExpectedWork, firstGuess(c.JobClass)), unit: c.Value}
+	if c.Replaces != NoJobClass {
+		from := d.tracks[c.Replaces]
 		if from.learnt > 0 || from.fullBudget > 0 {
 			t.meanWork, t.learnt = from.meanWork, from.learnt
 		}
@@ -67,9 +67,9 @@
 	d.lookAfter = max(d.shortestQuoted/8, d.quantum)
 }
 
-// Retuned tells what the tracks are from now on. Numbers that are new go on from the last. Rule 4's parts stay as they
+// UpdateJobClasses tells what the tracks are from now on. Numbers that are new go on from the last. Rule 4's parts stay as they
 // are: other nodes may still reckon with the figures before.
-func (d *Dispatcher) Retuned(now time.Duration, tracks []Change) {
+func (d *Dispatcher) UpdateJobClasses(now time.Duration, tracks []JobClassUpdate) {
 	d.current = nil
 	for _, c := range tracks {
 		if int(c.ID) < len(d.tracks) {
@@ -86,9 +86,9 @@
 
 // firstGuess is a track's mean work as long as nothing is known of it. Guards against a guess as long as the quoted time where that does not grow with
 // the work: no executor could be in time for it, all would be pushed back, and nothing ever learned.
-func firstGuess(t Track) time.Duration {
-	if t.Stretch == 0 {
-		return t.Quoted / 2
+func firstGuess(t JobClass) time.Duration {
+	if t.RunTimeFactor == 0 {
+		return t.LatencyObjective / 2
 	}
-	return t.Quoted
+	return t.LatencyObjective
 }
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -8,31 +8,31 @@
 
 // What is larger than any installation is served: 100,000 tenants without shares, and a list of 100,000 executors.
 func TestSizes(t *testing.T) {
-	d := New(Settings{Nodes: 9, Node: 4, Quantum: time.Millisecond, MaxAllocations: 2, OverageEarnings: 0.5,
-		Tenant: make([]Tenant, 100_000),
-		Tracks: []Track{{Quoted: time.Second, OuterLimit: 2 * time.Second, Stretch: 2, Earnings: 1, Kind: AnyKind}}})
-	list := make([]Entry, 100_000)
+	d := New(Settings{Nodes: 9, Node: 4, Quantum: time.Millisecond, MaxAttempts: 2, OverQuotaValue: 0.5,
+		Tenants:    make([]Tenant, 100_000),
+		JobClasses: []JobClass{{LatencyObjective: time.Second, Deadline: 2 * time.Second, RunTimeFactor: 2, Value: 1, Kind: AnyKind}}})
+	list := make([]Endpoint, 100_000)
 	for i := range list {
-		list[i] = Entry{Executor: ExecutorID(fmt.Sprint("e", i)), State: Up, Weight: 1, LongAgo: true}
+		list[i] = Endpoint{Executor: ExecutorID(fmt.Sprint("e", i)), State: Available, Weight: 1, StartedLongAgo: true}
 	}
-	d.Listed(0, Whole, list)
+	d.UpdateEndpoints(0, CompleteUpdate, list)
 	now := time.Duration(0)
-	d.Wait(now) // the slice is picked
+	d.NextTask(now) // the slice is picked
 	for i := range 20 {
 		id := JobID(fmt.Sprint(i))
 		now += 300 * time.Millisecond
-		d.Arrived(now, Arrival{Job: id, Tenant: TenantID(5000 * i), Work: 100 * time.Millisecond, Budget: 2 * time.Second})
-		if got := d.Place(now, id); got.Act != Send {
+		d.JobArrived(now, Arrival{Job: id, Tenant: TenantID(5000 * i), Work: 100 * time.Millisecond, Budget: 2 * time.Second})
+		if got := d.Place(now, id); got.Action != Send {
 			t.Fatalf("batch job %d: %+v", i, got)
 		}
-		d.Started(now, id, 0)
-		d.Ended(now+100*time.Millisecond, id, 0, Handled, true)
-		for due := d.Wait(now + 100*time.Millisecond); due.Task != 0; due = d.Wait(now + 100*time.Millisecond) {
+		d.AttemptStarted(now, id, 0)
+		d.AttemptEnded(now+100*time.Millisecond, id, 0, Succeeded, true)
+		for due := d.NextTask(now + 100*time.Millisecond); due.Task != 0; due = d.NextTask(now + 100*time.Millisecond) {
 		}
 	}
-	d.Listed(now, Whole, nil) // and all of them gone at once
-	d.Arrived(now, Arrival{Job: "late", Tenant: 1, Work: 100 * time.Millisecond, Budget: 2 * time.Second})
-	if got := d.Place(now, "late"); got.Act != Hold {
+	d.UpdateEndpoints(now, CompleteUpdate, nil) // and all of them gone at once
+	d.JobArrived(now, Arrival{Job: "late", Tenant: 1, Work: 100 * time.Millisecond, Budget: 2 * time.Second})
+	if got := d.Place(now, "late"); got.Action != Enqueue {
 		t.Fatalf("with no executor left: %+v", got)
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -74,25 +74,25 @@
 	closing        time.Duration // when all must be over, once this node ends; 0 before
 
 	talks bool // nodes reckon a cut line together
-	line  CutLine
-	tally Tally // since it was asked for last
+	line  AdmissionThreshold
+	tally LoadSummary // since it was asked for last
 
 	mayTell bool
 	mayCopy bool
 	probes  bool
 	marks   bool
-	wants   bool              // a batch job may want to ask for a place
-	givens  []*executor       // where a place was given
-	bySum   map[Sum]*executor // by the id that nodes use among each other
-	kept    map[Sum]*keep     // what this node keeps for all
+	wants   bool                       // a batch job may want to ask for a place
+	givens  []*executor                // where a place was given
+	bySum   map[ExecutorHash]*executor // by the id that nodes use among each other
+	kept    map[ExecutorHash]*keep     // what this node keeps for all
 	keeps   []*keep
-	words   []Due // to be said; probes and notes among them
+	words   []DueTask // to be said; probes and notes among them
 }
 
 // track holds a track's derived figures and running averages.
 type track struct {
-	repeat       Repeat
-	group        Group
+	repeat       Idempotency
+	group        DedupGroup
 	groupWindow  time.Duration
 	allocations  int
 	quoted       time.Duration
@@ -133,7 +133,7 @@
 // executor is what this node knows of one executor.
 type executor struct {
 	id        ExecutorID
-	sum       Sum
+	sum       ExecutorHash
 	zone      ZoneID
 	kind      KindID
 	cell      CellID
@@ -200,7 +200,7 @@
 
 // keep is what this node keeps for all: an executor's places.
 type keep struct {
-	sum        Sum
+	sum        ExecutorHash
 	quota      int
 	lent       []lease
 	queue      []NodeID // those that wait for a place
@@ -258,7 +258,7 @@
 // shot is one allocation of a batch job, from its sending to its outcome.
 type shot struct {
 	*job
-	n           AllocationID
+	n           AttemptID
 	on          *executor
 	zone        ZoneID
 	cell        CellID
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"birchstair/internal/kept"
+	"birchstair/internal/golden"
 )
 
 // A trace file in testdata holds what is told to a dispatcher and, behind arrows, what it decided:
@@ -28,47 +28,47 @@
 type player struct {
 	t     *testing.T
 	d     *Dispatcher
-	shot  map[JobID]AllocationID
+	shot  map[JobID]AttemptID
 	on    map[JobID][]ExecutorID
-	names map[Sum]ExecutorID
+	names map[ExecutorHash]ExecutorID
 	lines []string
 }
 
 var base = Settings{
-	Seed: 7, Nodes: 1, WholeWeight: 1, MaxAllocations: 3, MayCancel: true, MaxComeBack: 2 * time.Second,
-	Quantum: time.Millisecond, AskWithin: 8 * time.Second, ColdShare: 0.25, WarmWithin: 8 * time.Second,
-	FallMultiple: 4, FallWindow: time.Second, TellsStart: true, OverageEarnings: 0.1, EarnPerWork: true,
-	Tracks: []Track{
-		{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second, Earnings: 1, Kind: AnyKind,
-			GroupWindow: 2 * time.Second},
-		{Quoted: 300 * time.Millisecond, Stretch: 2, OuterLimit: 5 * time.Second, Earnings: 4, Kind: 1},
+	Seed: 7, Nodes: 1, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second,
+	Quantum: time.Millisecond, PollWithin: 8 * time.Second, SlowStartCapacity: 0.25, SlowStartDuration: 8 * time.Second,
+	OverloadMultiple: 4, OverloadWindow: time.Second, StartNotices: true, OverQuotaValue: 0.1, ValuePerWork: true,
+	JobClasses: []JobClass{
+		{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second, Value: 1, Kind: AnyKind,
+			DedupWindow: 2 * time.Second},
+		{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second, Value: 4, Kind: 1},
 	},
 }
 
 func settings(words []string) Settings {
 	s := base
-	s.Tracks = append([]Track(nil), base.Tracks...)
-	first := &s.Tracks[0]
+	s.JobClasses = append([]JobClass(nil), base.JobClasses...)
+	first := &s.JobClasses[0]
 	change := map[string]func(){
-		"once":     func() { first.Repeat, s.Tracks[1].Repeat = OnceOnly, OnceOnly },
-		"tagged":   func() { first.Repeat = Tagged },
-		"zone":     func() { first.Group = GroupZone },
-		"cell":     func() { first.Group = GroupCell },
-		"late":     func() { first.LateEarnings = 0.5 },
-		"flat":     func() { first.Stretch = 0 },
-		"ask":      func() { s.MustAsk = true },
-		"progress": func() { s.TellsEvery = time.Second },
-		"mute":     func() { s.TellsStart = false },
+		"once":     func() { first.Idempotency, s.JobClasses[1].Idempotency = AtMostOnce, AtMostOnce },
+		"tagged":   func() { first.Idempotency = IdempotentWithKey },
+		"zone":     func() { first.DedupGroup = DedupZone },
+		"cell":     func() { first.DedupGroup = DedupCell },
+		"late":     func() { first.LateValue = 0.5 },
+		"flat":     func() { first.RunTimeFactor = 0 },
+		"ask":      func() { s.EndpointsPolled = true },
+		"progress": func() { s.ProgressInterval = time.Second },
+		"mute":     func() { s.StartNotices = false },
 		"nocancel": func() { s.MayCancel = false },
-		"price":    func() { s.CrossZonePrice = 0.25 },
+		"price":    func() { s.CrossZoneCost = 0.25 },
 		"nodes8":   func() { s.Nodes = 8 },
 		"nodes30":  func() { s.Nodes, s.Node = 30, 7 },
-		"talk":     func() { s.MayTell = true },
-		"copies":   func() { s.MayCopy = true },
+		"talk":     func() { s.MayLease = true },
+		"copies":   func() { s.MayHedge = true },
 		"probes":   func() { s.MayProbe = true },
-		"marks":    func() { s.MarksAgain = true },
-		"live":     func() { s.LiveWeights = true },
-		"tenants":  func() { s.Tenant = []Tenant{{10}, {10}} },
+		"marks":    func() { s.ClientsMarkRetries = true },
+		"live":     func() { s.LoadAdjustedWeights = true },
+		"tenants":  func() { s.Tenants = []Tenant{{10}, {10}} },
 	}
 	for _, w := range words {
 		change[w]()
@@ -77,18 +77,18 @@
 }
 
 func (p *player) say(now time.Duration, format string, args ...any) {
-	p.lines = append(p.lines, fmt.Sprintf(kept.Arrow+"%v ", now)+fmt.Sprintf(format, args...))
+	p.lines = append(p.lines, fmt.Sprintf(golden.Arrow+"%v ", now)+fmt.Sprintf(format, args...))
 }
 
 func (p *player) decided(now time.Duration, id JobID, what Decision) {
-	switch what.Act {
+	switch what.Action {
 	case Send:
 		p.shot[id]++
 		p.on[id] = append(p.on[id], what.Executor)
 		p.say(now, "send %s to %s", id, what.Executor)
-	case PushBack:
-		p.say(now, "push back %s, come back in %v", id, what.ComeBack)
-	case BreakOff:
+	case Reject:
+		p.say(now, "push back %s, come back in %v", id, what.RetryAfter)
+	case Fail:
 		p.say(now, "break off %s", id)
 	}
 }
@@ -97,19 +97,19 @@
 func (p *player) run(until time.Duration) {
 	now := until
 	for guard := 0; guard < 10000; guard++ {
-		due := p.d.Wait(now)
+		due := p.d.NextTask(now)
 		switch due.Task {
 		case PlaceJob:
 			p.decided(now, due.Job, p.d.Place(now, due.Job))
-		case StopJob:
-			p.say(now, "stop waiting for %s on %s", due.Job, p.on[due.Job][due.Allocation])
-		case Subscribe:
+		case CancelAttempt:
+			p.say(now, "stop waiting for %s on %s", due.Job, p.on[due.Job][due.Attempt])
+		case WatchEndpoints:
 			p.say(now, "subscribe")
-		case Tell:
-			p.say(now, "tell node %d: %s %s", due.Node, wordNames[due.Word], p.names[due.Sum])
-		case Probe:
+		case SendLeaseMessage:
+			p.say(now, "tell node %d: %s %s", due.Node, wordNames[due.Message], p.names[due.Hash])
+		case ProbeExecutor:
 			p.say(now, "probe %s", due.Executor)
-		case Note:
+		case WriteLog:
 			p.say(now, "note: %s", due.Text)
 		case Sleep:
 			return
@@ -121,7 +121,7 @@
 // pass steps through all due times up to then.
 func (p *player) pass(from, until time.Duration) {
 	for now := from; now < until; {
-		due := p.d.Wait(now)
+		due := p.d.NextTask(now)
 		if due.Task != Sleep {
 			p.t.Fatalf("something was left due at %v: %+v", now, due)
 		}
@@ -132,31 +132,31 @@
 	}
 }
 
-func entry(t *testing.T, now time.Duration, text string) Entry {
+func entry(t *testing.T, now time.Duration, text string) Endpoint {
 	parts := append(strings.Split(text, ":"), make([]string, 6)...)
-	n := Entry{Executor: ExecutorID(parts[0]), LongAgo: true, Weight: 1}
+	n := Endpoint{Executor: ExecutorID(parts[0]), StartedLongAgo: true, Weight: 1}
 	zone, _ := strconv.Atoi(parts[1])
 	kind, _ := strconv.Atoi(parts[2])
 	n.Zone, n.Kind, n.Cell = ZoneID(zone), KindID(kind), CellID(zone)
 	if parts[3] != "" && parts[3] != "-" {
-		n.Started, n.LongAgo = now-kept.Span(t, parts[3]), false
+		n.StartedAt, n.StartedLongAgo = now-golden.Span(t, parts[3]), false
 	}
-	n.State = map[string]State{"": Up, "L": Draining, "D": Gone}[parts[4]]
+	n.State = map[string]EndpointState{"": Available, "L": Draining, "D": Removed}[parts[4]]
 	if parts[5] != "" {
 		n.Weight, _ = strconv.ParseFloat(parts[5], 64)
 	}
 	return n
 }
 
-var wordNames = map[Word]string{Want: "want", WantLate: "want-late", Lend: "lend", Later: "later",
-	Back: "back", BackLate: "back-late"}
+var wordNames = map[LeaseMessage]string{LeaseRequest: "want", LeaseRequestLate: "want-late", LeaseGrant: "lend", LeaseWait: "later",
+	LeaseReturn: "back", LeaseReturnLate: "back-late"}
 
-var outcomeWords = map[string]Outcome{"handled": Handled, "errored": Errored, "unfit": Unfit, "no-room": NoRoom,
-	"too-slow": TooSlow, "no-route": NoRoute, "cut": Cut, "called-off": CalledOff, "not-sent": NotSent}
+var outcomeWords = map[string]Outcome{"handled": Succeeded, "errored": ExecutorError, "unfit": InvalidRequest, "no-room": ExecutorFull,
+	"too-slow": TimedOut, "no-route": ConnectFailed, "cut": ConnectionLost, "called-off": Canceled, "not-sent": NotSent}
 
 // play runs a trace file's own lines and gives the file as it should be.
 func play(t *testing.T, lines []string) string {
-	p := &player{t: t, shot: map[JobID]AllocationID{}, on: map[JobID][]ExecutorID{}, names: map[Sum]ExecutorID{}}
+	p := &player{t: t, shot: map[JobID]AttemptID{}, on: map[JobID][]ExecutorID{}, names: map[ExecutorHash]ExecutorID{}}
 	last := time.Duration(0)
 	for _, line := range lines {
 		words := strings.Fields(line)
@@ -170,7 +170,7 @@
 			continue
 		}
 		at, stood := strings.CutSuffix(words[0], "!")
-		now := kept.Span(t, at)
+		now := golden.Span(t, at)
 		if !stood {
 			p.pass(last, now)
 		}
@@ -183,25 +183,25 @@
 }
 
 func (p *player) tell(now time.Duration, what string, words []string) {
-	id, n := JobID(""), AllocationID(0)
+	id, n := JobID(""), AttemptID(0)
 	if len(words) > 0 {
 		name, number, told := strings.Cut(words[0], "/")
 		id = JobID(name)
 		if n = p.shot[id] - 1; told {
 			shot, _ := strconv.Atoi(number)
-			n = AllocationID(shot)
+			n = AttemptID(shot)
 		}
 	}
 	switch what {
 	case "list", "change", "lost", "copy":
-		var entries []Entry
+		var entries []Endpoint
 		for _, w := range words {
 			entries = append(entries, entry(p.t, now, w))
 			name := entries[len(entries)-1].Executor
-			p.names[Sum(crc32.ChecksumIEEE([]byte(name)))] = name
+			p.names[ExecutorHash(crc32.ChecksumIEEE([]byte(name)))] = name
 		}
-		kinds := map[string]ListKind{"list": Whole, "change": Changes, "lost": Lost, "copy": WarmCopy}
-		p.d.Listed(now, kinds[what], entries)
+		kinds := map[string]EndpointUpdateKind{"list": CompleteUpdate, "change": IncrementalUpdate, "lost": WatchFailed, "copy": CachedUpdate}
+		p.d.UpdateEndpoints(now, kinds[what], entries)
 	case "job":
 		args := map[string]string{"track": "0", "tenant": "0", "work": "300ms", "budget": "5s"}
 		for _, w := range words[1:] {
@@ -210,21 +210,21 @@
 		}
 		track, _ := strconv.Atoi(args["track"])
 		tenant, _ := strconv.Atoi(args["tenant"])
-		work, budget := kept.Span(p.t, args["work"]), kept.Span(p.t, args["budget"])
-		p.d.Arrived(now, Arrival{id, TrackID(track), TenantID(tenant), work, budget, args["again"] != ""})
+		work, budget := golden.Span(p.t, args["work"]), golden.Span(p.t, args["budget"])
+		p.d.JobArrived(now, Arrival{id, JobClassID(track), TenantID(tenant), work, budget, args["again"] != ""})
 	case "started":
-		p.d.Started(now, id, n)
+		p.d.AttemptStarted(now, id, n)
 	case "progress":
 		share, _ := strconv.ParseFloat(words[1], 64)
-		p.d.Progressed(now, id, n, share)
+		p.d.AttemptProgressed(now, id, n, share)
 	case "ended":
 		final := words[1] == "handled" || len(words) > 2
-		p.decided(now, id, p.d.Ended(now, id, n, outcomeWords[words[1]], final))
+		p.decided(now, id, p.d.AttemptEnded(now, id, n, outcomeWords[words[1]], final))
 	case "heard":
 		from, _ := strconv.Atoi(words[0])
 		for word, name := range wordNames {
 			if name == words[1] {
-				p.d.Heard(now, NodeID(from), word, Sum(crc32.ChecksumIEEE([]byte(words[2]))))
+				p.d.ReceiveLeaseMessage(now, NodeID(from), word, ExecutorHash(crc32.ChecksumIEEE([]byte(words[2]))))
 			}
 		}
 	case "reported":
@@ -232,17 +232,17 @@
 		for i := range load {
 			load[i], _ = strconv.ParseFloat(words[1+i], 64)
 		}
-		p.d.Reported(ExecutorID(words[0]), Load{Held: load[0], Waiting: load[1], Free: load[2], Memory: -1, Took: -1})
+		p.d.LoadReported(ExecutorID(words[0]), Load{InFlight: load[0], Queued: load[1], FreeSlots: load[2], FreeMemory: -1, RunTime: -1})
 	case "probed":
-		load := Load{Held: -1, Waiting: -1, Free: -1, Memory: -1, Took: -1}
+		load := Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
 		for _, w := range words[2:] {
-			load.Free, _ = strconv.ParseFloat(strings.TrimPrefix(w, "free="), 64)
+			load.FreeSlots, _ = strconv.ParseFloat(strings.TrimPrefix(w, "free="), 64)
 		}
-		p.d.Probed(now, ExecutorID(words[0]), words[1] == "answered", load)
+		p.d.ProbeEnded(now, ExecutorID(words[0]), words[1] == "answered", load)
 	case "left":
-		p.d.Left(now, id)
+		p.d.ClientLeft(now, id)
 	case "closing":
-		p.d.Closing(now, kept.Span(p.t, words[0]))
+		p.d.ShutDownBy(now, golden.Span(p.t, words[0]))
 	case "quotas":
 		for _, e := range p.d.met {
 			p.say(now, "%s has a quota of %d", e.id, e.quota)
@@ -262,10 +262,10 @@
 		for i := range x {
 			x[i], _ = strconv.ParseFloat(words[i], 64)
 		}
-		p.d.Cut(CutLine{int(x[0]), x[1], x[2]})
+		p.d.SetAdmissionThreshold(AdmissionThreshold{int(x[0]), x[1], x[2]})
 	case "tally":
-		t := p.d.Tally(now)
-		p.say(now, "done %.2f, lost %.2f, would be moved %.2f", t.Done, t.Lost, t.Moves)
+		t := p.d.TakeLoadSummary(now)
+		p.say(now, "done %.2f, lost %.2f, would be moved %.2f", t.Completed, t.Expired, t.Migrations)
 	case "wait":
 	default:
 		p.t.Fatalf("unknown word %q", what)
