--- a/policy/books.go
+++ b/policy/books.go
@@ -129,30 +129,30 @@
 	})
 }
 
-// earnings is what a batch job earns, by its work or whatever it is.
-func (d *Dispatcher) earnings(j *job) float64 {
-	if d.perWork {
-		return j.track.earnings * j.work.Seconds()
+// valueOf is what a batch job earns, by its work or whatever it is.
+func (d *Dispatcher) valueOf(j *job) float64 {
+	if d.valuePerWork {
+		return j.class.value * j.work.Seconds()
 	}
-	return j.track.earnings
+	return j.class.value
 }
 
-// counts is what a tenant's earnings count for: less over its share.
-func (d *Dispatcher) counts(t *tenant) float64 {
-	if t != nil && t.over > 1 {
-		return d.overage + (1-d.overage)/t.over
+// tenantFactor is what a tenant's earnings count for: less over its share.
+func (d *Dispatcher) tenantFactor(t *tenant) float64 {
+	if t != nil && t.overQuota > 1 {
+		return d.overQuotaValue + (1-d.overQuotaValue)/t.overQuota
 	}
 	return 1
 }
 
 // quoted is the span of j's quoted time, counted from its first try.
 func (j *job) quoted() time.Duration {
-	return min(j.track.quoted+times(j.work, j.track.stretch), j.track.outerLimit)
+	return min(j.class.latencyObjective+times(j.work, j.class.runTimeFactor), j.class.deadline)
 }
 
 // abroad is 1 for an executor of another zone, where that has a price.
 func (d *Dispatcher) abroad(e *executor) int {
-	if d.crossPrice > 0 && e.zone != d.zone {
+	if d.crossZoneCost > 0 && e.zone != d.zone {
 		return 1
 	}
 	return 0
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -48,10 +48,10 @@
 
 // ExportLearned gives what was learnt, in the order of ids.
 func (d *Dispatcher) ExportLearned(now time.Duration) (k LearnedState) {
-	k.Nodes, k.MeanValue, k.MeanDensity = d.nodes, d.meanEarnings, d.meanDensity
-	for id, t := range d.tracks {
-		if slices.Contains(d.current, t) {
-			k.Classes = append(k.Classes, LearnedClass{JobClassID(id), t.meanWork, t.learnt, t.fullBudget, t.asked, t.given, t.unit})
+	k.Nodes, k.MeanValue, k.MeanDensity = d.nodes, d.meanValue, d.meanDensity
+	for id, t := range d.classes {
+		if slices.Contains(d.currentClasses, t) {
+			k.Classes = append(k.Classes, LearnedClass{JobClassID(id), t.meanWork, t.samples, t.fullBudget, t.requestedValue, t.earnedValue, t.unitValue})
 		}
 	}
 	for id, kind := range d.kinds {
@@ -75,17 +75,17 @@
 func (d *Dispatcher) ImportLearned(now time.Duration, k LearnedState) {
 	among := k.Nodes == 0 || k.Nodes == d.nodes
 	if k.MeanValue > 0 && k.MeanDensity > 0 {
-		d.meanEarnings, d.meanDensity = k.MeanValue, k.MeanDensity
+		d.meanValue, d.meanDensity = k.MeanValue, k.MeanDensity
 	}
 	for _, in := range k.Classes {
-		if in.ID < 0 || int(in.ID) >= len(d.tracks) || in.MeanWork <= 0 || in.UnitValue <= 0 {
+		if in.ID < 0 || int(in.ID) >= len(d.classes) || in.MeanWork <= 0 || in.UnitValue <= 0 {
 			continue
 		}
-		t := d.tracks[in.ID]
-		t.meanWork, t.learnt, t.fullBudget = in.MeanWork, in.Samples, min(in.FullBudget, t.outerLimit)
-		t.unit = in.UnitValue
+		t := d.classes[in.ID]
+		t.meanWork, t.samples, t.fullBudget = in.MeanWork, in.Samples, min(in.FullBudget, t.deadline)
+		t.unitValue = in.UnitValue
 		if among {
-			t.asked, t.given = max(0, in.RequestedValue), max(0, in.EarnedValue)
+			t.requestedValue, t.earnedValue = max(0, in.RequestedValue), max(0, in.EarnedValue)
 		}
 	}
 	for _, in := range k.Kinds {
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -77,7 +77,7 @@
 	}
 	crawls := old.byID["b"]
 	crawls.runs, crawls.works, crawls.startWait = 40, 10, 3*time.Second
-	old.tracks[0].meanWork, old.tracks[0].asked = 700*time.Millisecond, 50
+	old.classes[0].meanWork, old.classes[0].requestedValue = 700*time.Millisecond, 50
 
 	among := settings([]string{"ask"})
 	among.Nodes = 5
@@ -88,8 +88,8 @@
 	if b := next.byID["b"]; b.runs != 40 || b.startWait != 0 || b.known != 0 {
 		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runs, b.works, b.startWait, b.known)
 	}
-	if got := next.tracks[0]; got.meanWork != 700*time.Millisecond || got.asked != 0 {
-		t.Errorf("of the track it knows work %v and %v asked for", got.meanWork, got.asked)
+	if got := next.classes[0]; got.meanWork != 700*time.Millisecond || got.requestedValue != 0 {
+		t.Errorf("of the track it knows work %v and %v asked for", got.meanWork, got.requestedValue)
 	}
 	sent := map[ExecutorID]int{}
 	for i := range 40 {
--- a/policy/index.go
+++ b/policy/index.go
@@ -336,7 +336,7 @@
 // ones are never full, so leastWait makes nothing of the pace.
 func (d *Dispatcher) rateOf(e *executor, s *shelf, now time.Duration) (rate float64, until time.Duration) {
 	wait, until := d.leastWait(e, e.limitPace(), s.most, now)
-	return hair * e.weight / (e.limitPace() * (d.shortestQuoted + wait).Seconds()), until
+	return hair * e.weight / (e.limitPace() * (d.shortestObjective + wait).Seconds()), until
 }
 
 // limitPace is the pace that e's rate is reckoned with.
@@ -377,7 +377,7 @@
 	wait = max(0, queued/time.Duration(places)-time.Duration(len(e.out)+2)) // each figure is cut to a whole one
 	if left := first - now - 1; first < Endless && left > 0 {
 		// It shrinks as time goes by: reckoned as what it will be by then, an eighth of all less.
-		until = now + max(min(left, (d.shortestQuoted+wait+left)/8), 1)
+		until = now + max(min(left, (d.shortestObjective+wait+left)/8), 1)
 		return max(e.startWait, wait+first-1-until), until
 	}
 	return max(e.startWait, wait), Endless
@@ -450,7 +450,7 @@
 // likely gives executors with an open token that may be of use, by bounds alone: what it leaves out is of none.
 func (d *Dispatcher) likely(w *wish) iter.Seq[*executor] {
 	return func(yield func(*executor) bool) {
-		if d.inGroup(w.job) && w.track.group != DedupZone {
+		if d.inGroup(w.job) && w.class.dedupGroup != DedupZone {
 			for _, e := range d.ranked {
 				d.looks++
 				if (d.abroad(e) > 0) == w.far && !yield(e) {
@@ -498,7 +498,7 @@
 func (d *Dispatcher) suiting(w *wish) iter.Seq[*group] {
 	return func(yield func(*group) bool) {
 		for _, s := range d.shelves {
-			if w.track.kind != AnyKind && w.track.kind != s.id {
+			if w.class.kind != AnyKind && w.class.kind != s.id {
 				continue
 			}
 			for _, g := range s.groups {
@@ -522,7 +522,7 @@
 	if d.inGroup(w.job) {
 		return !w.late || g.load != loaded
 	}
-	return g.inSlice && (!w.late || g.load == spare || g.load == idle && w.track.late == 0)
+	return g.inSlice && (!w.late || g.load == spare || g.load == idle && w.class.lateValue == 0)
 }
 
 // walk goes through a step from its i-th on, and leaves out what is too young, with all that is younger, or too slow.
@@ -554,7 +554,7 @@
 	}
 	d.refile(now)
 	for _, s := range d.shelves {
-		if j.track.kind != AnyKind && j.track.kind != s.id {
+		if j.class.kind != AnyKind && j.class.kind != s.id {
 			continue
 		}
 		for _, g := range s.groups {
@@ -598,7 +598,7 @@
 		return slices.ContainsFunc(d.candidates(j), near)
 	}
 	for _, s := range d.shelves {
-		if (j.track.kind == AnyKind || j.track.kind == s.id) && slices.ContainsFunc(s.near, near) {
+		if (j.class.kind == AnyKind || j.class.kind == s.id) && slices.ContainsFunc(s.near, near) {
 			return true
 		}
 	}
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -26,7 +26,7 @@
 			side = 1 - side
 		}
 		home = home || side == 0
-		if late && (len(e.out) > 0 || i >= d.lateSlice && j.track.late > 0) {
+		if late && (len(e.out) > 0 || i >= d.lateSlice && j.class.lateValue > 0) {
 			continue
 		}
 		taken := len(j.out) > 0 && j.out[0].on == e || best != nil && side > bestSide
@@ -36,13 +36,13 @@
 		pace := d.pace(e, now)
 		wait := d.waitAt(e, pace, now)
 		queue := wait
-		if j.track.repeat == AtMostOnce {
-			queue = max(wait, times(j.track.meanWork, (e.load-1)*pace))
+		if j.class.idempotency == AtMostOnce {
+			queue = max(wait, times(j.class.meanWork, (e.load-1)*pace))
 		}
 		if !late && now+times(queue+times(j.work, pace), j.margin) > j.quotedAt {
 			continue
 		}
-		age := e.weight * float64(now-e.free[0]) / (pace * (d.shortestQuoted + wait).Seconds())
+		age := e.weight * float64(now-e.free[0]) / (pace * (d.shortestObjective + wait).Seconds())
 		if best == nil || side < bestSide || age > bestAge {
 			best, bestSide, bestAge = e, side, age
 		}
@@ -81,11 +81,11 @@
 			slice = append(slice, e)
 		}
 	}
-	counts := make([]int, 2*len(d.needs))
+	counts := make([]int, 2*len(d.requiredKinds))
 	for _, e := range d.ranked {
 		near := false
-		for i, need := range d.needs {
-			n := &counts[d.abroad(e)*len(d.needs)+i]
+		for i, need := range d.requiredKinds {
+			n := &counts[d.abroad(e)*len(d.requiredKinds)+i]
 			if now >= e.coldUntil && d.usable(e, now) && (need == AnyKind || need == e.kind) && *n < size {
 				near = true
 				*n++
@@ -319,7 +319,7 @@
 	switch what := w.r.IntN(20); {
 	case what < 8:
 		w.jobs++
-		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Class: JobClassID(w.r.IntN(len(w.tracks))), Tenant: -1,
+		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Class: JobClassID(w.r.IntN(len(w.classes))), Tenant: -1,
 			Budget: time.Duration(w.r.IntN(8000)) * time.Millisecond, ClientRetry: w.r.IntN(4) == 0}
 		if w.r.IntN(4) > 0 {
 			in.Work = time.Duration(1+w.r.IntN(600)) * time.Millisecond
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -157,7 +157,7 @@
 			d.grant(e, now, means)
 		}
 	}
-	counts := make([]int, 2*len(d.needs))
+	counts := make([]int, 2*len(d.requiredKinds))
 	missing := len(counts)
 	for _, e := range d.ranked {
 		if missing == 0 {
@@ -165,8 +165,8 @@
 		}
 		near := false
 		d.standsTo(e, now)
-		for i, need := range d.needs {
-			n := &counts[d.abroad(e)*len(d.needs)+i]
+		for i, need := range d.requiredKinds {
+			n := &counts[d.abroad(e)*len(d.requiredKinds)+i]
 			if now < e.coldUntil || !d.usable(e, now) || need != AnyKind && need != e.kind || *n >= size {
 				continue
 			}
@@ -263,7 +263,7 @@
 // shareCold derives this node's part of the cold budget. Divided among many nodes it would be less than a
 // batch job: so the same few carry it all, as many as could each send something to one place of it.
 func (d *Dispatcher) shareCold(multiple float64) {
-	d.carriers = int(multiple * d.coldShare * d.fallWindow.Seconds() / d.shortestQuoted.Seconds())
+	d.carriers = int(multiple * d.coldShare * d.fallWindow.Seconds() / d.shortestObjective.Seconds())
 	d.carriers = max(1, min(d.carriers, d.nodes))
 	d.coldWork = multiple * d.fallWindow.Seconds() / float64(d.carriers)
 }
@@ -295,7 +295,7 @@
 func (j *job) coldWork() time.Duration {
 	m := hintMargin
 	if !j.hinted {
-		m *= 1 + 2/float64(1+j.track.learnt)
+		m *= 1 + 2/float64(1+j.class.samples)
 	}
 	return times(j.work, m)
 }
@@ -304,37 +304,37 @@
 
 // fits says whether e is of the bound kind and, after an allocation that may have run, in the dedup group.
 func (d *Dispatcher) fits(e *executor, j *job, now time.Duration) bool {
-	if j.track.kind != AnyKind && j.track.kind != e.kind {
+	if j.class.kind != AnyKind && j.class.kind != e.kind {
 		return false
 	}
-	group := j.ran == nil || j.track.repeat == Idempotent || j.track.group == DedupAllExecutors ||
-		j.track.group == DedupZone && e.zone == j.ran.zone || j.track.group == DedupCell && e.cell == j.ran.cell
+	group := j.ran == nil || j.class.idempotency == Idempotent || j.class.dedupGroup == DedupAllExecutors ||
+		j.class.dedupGroup == DedupZone && e.zone == j.ran.zone || j.class.dedupGroup == DedupCell && e.cell == j.ran.cell
 	return group && d.mayRepeat(j, now)
 }
 
 // mayRepeat is rule 2 for a further allocation.
 func (d *Dispatcher) mayRepeat(j *job, now time.Duration) bool {
-	return j.ran == nil || j.track.repeat == Idempotent ||
-		j.track.repeat == IdempotentWithKey && now < j.ran.sentAt+j.track.groupWindow-d.quantum
+	return j.ran == nil || j.class.idempotency == Idempotent ||
+		j.class.idempotency == IdempotentWithKey && now < j.ran.sentAt+j.class.dedupWindow-d.quantum
 }
 
 func (d *Dispatcher) late(j *job, now time.Duration) bool { return j.quotedAt < now+j.work/2 }
 
-// value is what handling j in its quoted time adds to the operators' measure, in mean batch jobs: its part
+// marginalValue is what handling j in its quoted time adds to the operators' measure, in mean batch jobs: its part
 // of all earnings, and, in the track that fares worst, its part of that track's.
-func (d *Dispatcher) value(j *job) float64 {
-	e := d.earnings(j)
-	v := d.wholeWeight * e / d.meanEarnings
-	if j.track == d.worst {
-		v += d.trackWeight * e / d.worstUnit
+func (d *Dispatcher) marginalValue(j *job) float64 {
+	e := d.valueOf(j)
+	v := d.totalWeight * e / d.meanValue
+	if j.class == d.worstClass {
+		v += d.worstClassWeight * e / d.worstClassUnitValue
 	}
-	return max(v*d.counts(j.tenant), 1e-9)
+	return max(v*d.tenantFactor(j.tenant), 1e-9)
 }
 
 // patience is how long j waits for its own zone before another zone's tokens open to it: the part of its
 // slack that the price of crossing is of its value. Below its price it never crosses.
 func (d *Dispatcher) patience(j *job) time.Duration {
-	if part := d.crossPrice / d.value(j); part < 1 {
+	if part := d.crossZoneCost / d.marginalValue(j); part < 1 {
 		return times(max(0, j.quotedAt-j.heldAt-j.work), part)
 	}
 	return Endless / 4
@@ -344,8 +344,8 @@
 // together, each by a chance of its own, so that nodes don't turn with one list. Guards against a zone with
 // far more traffic than executors, where a token is always free.
 func (d *Dispatcher) crosses(j *job) bool {
-	return d.crossPrice > 0 && d.homeLoad > 1 &&
-		j.spread < (d.homeLoad-d.awayLoad)/d.homeLoad-d.crossPrice/d.value(j)
+	return d.crossZoneCost > 0 && d.homeLoad > 1 &&
+		j.spread < (d.homeLoad-d.awayLoad)/d.homeLoad-d.crossZoneCost/d.marginalValue(j)
 }
 
 // ---- Placing ----
@@ -353,8 +353,8 @@
 // JobArrived tells of a batch job that this node has taken. A work of 0 means that no hint came.
 func (d *Dispatcher) JobArrived(now time.Duration, in Arrival) {
 	d.turn(now)
-	t := d.tracks[min(max(0, int(in.Class)), len(d.tracks)-1)]
-	j := &job{id: in.Job, track: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, margin: margin,
+	t := d.classes[min(max(0, int(in.Class)), len(d.classes)-1)]
+	j := &job{id: in.Job, class: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, margin: margin,
 		need: 1, came: now, limitAt: now + in.Budget, spread: d.chance()}
 	if !j.hinted {
 		j.work, j.margin = t.meanWork, hintMargin
@@ -363,7 +363,7 @@
 	}
 	if in.Tenant >= 0 && int(in.Tenant) < len(d.tenants) {
 		j.tenant = &d.tenants[in.Tenant]
-		j.tenant.came++
+		j.tenant.arrivals++
 	}
 	// What a budget lacks was spent before: by tries until this one, or while this node stood still. But no
 	// budget tells what is spent where clients mark their repeats and first tries lack much as well: those
@@ -371,22 +371,22 @@
 	t.fullBudget = max(t.fullBudget, in.Budget)
 	lacks, spent := t.fullBudget-in.Budget, time.Duration(0)
 	first := !in.ClientRetry && lacks > d.gap
-	t.came(lacks > d.quantum)
-	curt := d.marks && (j.tenant.firstTries(in.ClientRetry, first) > mostCurt || first)
+	t.recordArrival(lacks > d.quantum)
+	curt := d.marks && (j.tenant.recordFirstTry(in.ClientRetry, first) > mostCurt || first)
 	switch {
 	case lacks <= d.quantum:
-	case !d.marks && lacks > d.heldFor(j)+d.comeBack+max(0, d.stood) && t.short > fewCame+mostAgain*t.lost:
+	case !d.marks && lacks > d.heldFor(j)+d.comeBack+max(0, d.stood) && t.shortBudgets > fewCame+mostAgain*t.rejectedFirstTries:
 		// One try before can't have spent so much, and more such come than were turned away: clients wait for less.
 	case !curt:
-		spent = max(0, t.outerLimit-in.Budget)
-	case j.tenant != nil && in.Budget < t.outerLimit/2:
-		j.curt, j.need = true, 1+j.tenant.need
+		spent = max(0, t.deadline-in.Budget)
+	case j.tenant != nil && in.Budget < t.deadline/2:
+		j.curt, j.need = true, 1+j.tenant.budgetMargin
 		j.margin = max(j.margin, j.need)
 	}
 	j.quotedAt = min(now-spent+j.quoted(), j.limitAt)
 	d.closeBy(j)
 	j.fresh = spent == 0 && !in.ClientRetry
-	d.asked(j, j.fresh)
+	d.recordRequested(j, j.fresh)
 	j.cut = d.talks && d.below(j)
 	d.jobs[in.Job] = j
 	d.hold(j, now)
@@ -396,8 +396,8 @@
 
 // heldFor is how long a node keeps a batch job at most for want of a token, before its client may come again.
 func (d *Dispatcher) heldFor(j *job) time.Duration {
-	if j.track.late > 0 {
-		return times(j.track.outerLimit, lateWait)
+	if j.class.lateValue > 0 {
+		return times(j.class.deadline, lateWait)
 	}
 	return j.quoted()
 }
@@ -413,10 +413,10 @@
 		j.heldAt = now
 	}
 	d.unhold(j)
-	density := d.value(j) / j.work.Seconds() / d.meanDensity
+	density := d.marginalValue(j) / j.work.Seconds() / d.meanDensity
 	j.isHeld, j.heldLate = true, slack < 0
 	if j.heldLate {
-		slack = times(j.track.outerLimit, 1/max(j.track.late, 1e-3))
+		slack = times(j.class.deadline, 1/max(j.class.lateValue, 1e-3))
 	}
 	j.key = now + times(slack, 1/max(density, 1e-3))
 	d.insert(j)
@@ -437,7 +437,7 @@
 	d.hold(j, now)
 	// In the fleet's overload a further allocation of what never ran and is below the line by now is too much.
 	j.cut = j.cut || j.sent > 0 && j.ran == nil && d.line.Level > d.rung(j)
-	if j.cut || now >= j.limitAt-d.quantum || j.sent >= j.track.allocations || !d.mayRepeat(j, now) {
+	if j.cut || now >= j.limitAt-d.quantum || j.sent >= j.class.maxAttempts || !d.mayRepeat(j, now) {
 		return d.giveUp(j)
 	}
 	to, lastStart := d.pick(j, now, false), time.Duration(0)
@@ -467,7 +467,7 @@
 // lastStart is when an executor of that pace must begin on j at the latest.
 func (d *Dispatcher) lastStart(j *job, pace float64) time.Duration {
 	end := j.quotedAt
-	if j.track.late > 0 {
+	if j.class.lateValue > 0 {
 		// Not to the outer limit: who has waited half of it with nothing out is told to come back instead.
 		end = min(j.limitAt, j.heldAt+d.heldFor(j))
 	}
@@ -485,12 +485,12 @@
 // giveUp answers at once. A pushback says that nothing happened or that trying again is harmless: rule 2.
 func (d *Dispatcher) giveUp(j *job) Decision {
 	d.forget(j)
-	j.track.lost += flag(j.fresh)
+	j.class.rejectedFirstTries += flag(j.fresh)
 	if j.cut { // they come back at times of their own, not all together
 		return Decision{Action: Reject, RetryAfter: times(d.comeBack, (1+d.chance())/2)}
 	}
 	d.lost(j)
-	if j.ran == nil || j.track.repeat == Idempotent || j.track.repeat == IdempotentWithKey && j.track.group == DedupAllExecutors {
+	if j.ran == nil || j.class.idempotency == Idempotent || j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors {
 		return Decision{Action: Reject, RetryAfter: d.comeBack}
 	}
 	return Decision{Action: Fail}
@@ -498,7 +498,7 @@
 
 // inGroup says whether j may only be repeated in its dedup group.
 func (d *Dispatcher) inGroup(j *job) bool {
-	return j.ran != nil && j.track.repeat == IdempotentWithKey && j.track.group != DedupAllExecutors
+	return j.ran != nil && j.class.idempotency == IdempotentWithKey && j.class.dedupGroup != DedupAllExecutors
 }
 
 // pick finds the executor with the oldest free token that j may take now, or, asking, whose keeper is to be
@@ -511,7 +511,7 @@
 	}
 	late, crosses := d.late(j, now), d.crosses(j)
 	w := wish{job: j, now: now, late: late, asks: asking, mostPace: j.mostPace(now, late)}
-	if !d.inGroup(j) && d.atLeast(j.track.kind, now) > w.mostPace {
+	if !d.inGroup(j) && d.atLeast(j.class.kind, now) > w.mostPace {
 		return nil
 	}
 	for side := range 2 {
@@ -542,7 +542,7 @@
 	}
 	// Late ones must not fill the places of those still to come: they go where nothing of ours is out, and,
 	// where they may be held for long, where few nodes send theirs.
-	if w.late && (len(e.out) > 0 || j.track.late > 0 && d.among(e, j) >= d.lateSlice) {
+	if w.late && (len(e.out) > 0 || j.class.lateValue > 0 && d.among(e, j) >= d.lateSlice) {
 		return -1
 	}
 	if len(j.out) > 0 && j.out[0].on == e || !d.cleared(e, now, w.asks) || !d.open(e, j, now) {
@@ -551,14 +551,14 @@
 	pace := d.pace(e, now)
 	wait := d.waitAt(e, pace, now)
 	queue := wait
-	if j.track.repeat == AtMostOnce {
+	if j.class.idempotency == AtMostOnce {
 		// What can't be taken back counts the list's news as well: its like, held over one a core, go first.
-		queue = max(wait, times(j.track.meanWork, (e.load-1)*pace))
+		queue = max(wait, times(j.class.meanWork, (e.load-1)*pace))
 	}
 	if !w.late && now+times(queue+times(j.work, pace), j.margin) > j.quotedAt {
 		return -1
 	}
-	return e.weight * float64(now-e.free[0]) / (pace * (d.shortestQuoted + wait).Seconds())
+	return e.weight * float64(now-e.free[0]) / (pace * (d.shortestObjective + wait).Seconds())
 }
 
 // ---- News of allocations ----
@@ -619,7 +619,7 @@
 		e.broke = true
 	case TimedOut, Canceled:
 		if j.curt && how == TimedOut {
-			j.tenant.need = min(j.tenant.need+4*needStep, 1.5)
+			j.tenant.budgetMargin = min(j.tenant.budgetMargin+4*needStep, 1.5)
 		}
 		// The executor may still be on it: the token stays taken until the work would be over.
 		begun := now
@@ -646,9 +646,9 @@
 func (d *Dispatcher) handled(j *shot, e *executor, now time.Duration) {
 	d.alive(e, now)
 	if j.curt {
-		j.tenant.need = max(j.tenant.need-needStep, 0)
+		j.tenant.budgetMargin = max(j.tenant.budgetMargin-needStep, 0)
 	}
-	d.booked(j, now)
+	d.recordCompletion(j, now)
 	if e.inCap > 0 {
 		if e.inCap++; e.inCap > e.quota {
 			e.inCap = 0
@@ -673,7 +673,7 @@
 	if e.held > now {
 		return
 	}
-	span := d.longestMean() * time.Duration(max(1+e.silences, min(1<<min(e.errors, mostSilences), mostSilences)))
+	span := d.longestMeanWork() * time.Duration(max(1+e.silences, min(1<<min(e.errors, mostSilences), mostSilences)))
 	if e.inCap == 0 {
 		d.note("%s held back for %v %s", e.id, span.Round(time.Millisecond), why)
 	}
@@ -695,10 +695,10 @@
 		quiet = max(quiet, times(j.quotedAt-j.sentAt-j.work, d.line.MigrationDelay))
 	}
 	if !e.mute && now-max(e.news, j.sentAt) > quiet {
-		d.askLoad(e, now, d.shortestQuoted)
+		d.askLoad(e, now, d.shortestObjective)
 	}
 	if j.over {
-		return !j.running || j.track.repeat == Idempotent // it may be stopped at no cost
+		return !j.running || j.class.idempotency == Idempotent // it may be stopped at no cost
 	}
 	usual, left := d.kinds[e.kind].pace, time.Duration(0)
 	if j.running { // it can't crawl sooner
@@ -710,11 +710,11 @@
 		pace = d.pace(e, now)
 	}
 	crawls := (e.held > now || j.lost || pace >= crawl*usual) && left < 0 || e.mute
-	begun, repeatable := j.running || !d.tellsStart, j.track.repeat == Idempotent
-	if repeatable && (e.mute || !begun) && j.track.late == 0 && now > j.quotedAt-times(j.work, pace) {
+	begun, repeatable := j.running || !d.tellsStart, j.class.idempotency == Idempotent
+	if repeatable && (e.mute || !begun) && j.class.lateValue == 0 && now > j.quotedAt-times(j.work, pace) {
 		return true // it can earn nothing more
 	}
-	if j.sent >= j.track.allocations || len(j.job.out) > 1 || begun && !crawls {
+	if j.sent >= j.class.maxAttempts || len(j.job.out) > 1 || begun && !crawls {
 		return false
 	}
 	if begun && repeatable && d.mayCopy {
@@ -729,7 +729,7 @@
 		d.wishes(j)
 		slack := j.quotedAt - j.sentAt - times(j.work, pace)
 		blind := flag(!d.liveWeights && d.kinds[to.kind].places == 0) // nothing tells that another has less to do
-		from := j.sentAt + max(times(slack, d.line.MigrationDelay), times(d.longestMean(), pace*blind))
+		from := j.sentAt + max(times(slack, d.line.MigrationDelay), times(d.longestMeanWork(), pace*blind))
 		if now < from {
 			d.lookAt(from, j)
 			return false
@@ -737,7 +737,7 @@
 	}
 	if to == nil || !j.running {
 		// A move pays the price of crossing again, so it must be small change.
-		return to != nil && (d.abroad(to) == 0 || d.crossPrice < smallChange*d.value(j.job))
+		return to != nil && (d.abroad(to) == 0 || d.crossZoneCost < smallChange*d.marginalValue(j.job))
 	}
 	left = now - j.startedAt
 	if j.share > 0.02 {
@@ -748,8 +748,8 @@
 
 // wantsCopy says whether a second allocation of j may still earn something.
 func (d *Dispatcher) wantsCopy(j *job, now time.Duration) bool {
-	return !j.over && len(j.out) == 1 && j.sent < j.track.allocations && d.line.Level == 0 &&
-		now < j.limitAt-d.quantum && (!d.late(j, now) || j.track.late > 0)
+	return !j.over && len(j.out) == 1 && j.sent < j.class.maxAttempts && d.line.Level == 0 &&
+		now < j.limitAt-d.quantum && (!d.late(j, now) || j.class.lateValue > 0)
 }
 
 // elsewhere is the executor that j would go to if it were stopped now, as one that may have run.
@@ -817,7 +817,7 @@
 	}
 	j.asked, e.asked, e.queued, e.askedAt = e, true, false, now
 	d.awaits(e)
-	d.at(now+d.shortestQuoted/4, nil, nil)
+	d.at(now+d.shortestObjective/4, nil, nil)
 	word := LeaseRequest
 	if d.late(j, now) {
 		word = LeaseRequestLate
@@ -831,18 +831,18 @@
 	for _, e := range d.silentOnes() {
 		if e.metAs == 0 {
 			continue
-		} else if e.probing && now-e.probed-d.stood >= d.shortestQuoted {
+		} else if e.probing && now-e.probed-d.stood >= d.shortestObjective {
 			if e.probing = false; !e.mute {
 				d.note("%s held back until it answers a probe", e.id)
 			}
 			d.mute(e, min(e.silences+1, mostSilences))
-			d.at(now+d.longestMean()*time.Duration(e.silences), nil, nil)
+			d.at(now+d.longestMeanWork()*time.Duration(e.silences), nil, nil)
 		} else if e.mute {
-			d.askLoad(e, now, d.longestMean()*time.Duration(e.silences))
+			d.askLoad(e, now, d.longestMeanWork()*time.Duration(e.silences))
 		}
 	}
 	for _, e := range d.askedOnes() {
-		if e.place < 0 || e.queued || now-e.askedAt < d.shortestQuoted/4 {
+		if e.place < 0 || e.queued || now-e.askedAt < d.shortestObjective/4 {
 			continue
 		}
 		e.asked, e.lent = false, 0
@@ -879,7 +879,7 @@
 			k.dry = true
 			d.tell(now, from, LeaseWait, sum)
 			if e := d.bySum[sum]; e != nil {
-				d.askLoad(e, now, d.shortestQuoted)
+				d.askLoad(e, now, d.shortestObjective)
 			}
 		}
 	case LeaseCancel:
@@ -942,7 +942,7 @@
 	d.keepInterval(now)
 	d.forgetPlaces()
 	d.waited, d.freed, d.stale, d.wants = len(d.held) > 0, true, true, true
-	d.averages()
+	d.decayAverages()
 }
 
 // adjust is the design's single step.
@@ -967,7 +967,7 @@
 		return
 	}
 	pace := (e.runs + d.kinds[e.kind].pace) / (e.works + 1)
-	span := 2*times(e.longest(), pace) + 2*e.startWait + d.shortestQuoted
+	span := 2*times(e.longest(), pace) + 2*e.startWait + d.shortestObjective
 	if now-e.news > span && e.held <= now {
 		d.holdBack(e, now, fmt.Sprintf("after silence of %v", (now-e.news).Round(time.Millisecond)))
 		e.silences++ // each try costs a batch job: the next comes later
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -139,39 +139,39 @@
 	if d.tellsStart {
 		*load += (flag(wait > d.lookAfter)/fullPart - *load) * 0.1
 	} else {
-		*load += (wait.Seconds()/d.shortestQuoted.Seconds()/fullWait - *load) * 0.1
+		*load += (wait.Seconds()/d.shortestObjective.Seconds()/fullWait - *load) * 0.1
 	}
 }
 
-// firstTries books whether a tenant's first try lacked budget, and gives the part of them that do.
-func (t *tenant) firstTries(again, lacks bool) float64 {
+// recordFirstTry books whether a tenant's first try lacked budget, and gives the part of them that do.
+func (t *tenant) recordFirstTry(again, lacks bool) float64 {
 	if t == nil {
 		return 0
 	}
 	if !again {
-		t.curt = t.curt*fade + flag(lacks)*(1-fade)
+		t.shortBudgetRatio = t.shortBudgetRatio*fade + flag(lacks)*(1-fade)
 	}
-	return t.curt
+	return t.shortBudgetRatio
 }
 
-// came books a batch job, and whether it brought less than the full budget.
-func (t *track) came(short bool) {
+// recordArrival books a batch job, and whether it brought less than the full budget.
+func (t *jobClass) recordArrival(short bool) {
 	const keeps = 1 - (1-fade)/8
-	t.short, t.lost = t.short*keeps+flag(short), t.lost*keeps
+	t.shortBudgets, t.rejectedFirstTries = t.shortBudgets*keeps+flag(short), t.rejectedFirstTries*keeps
 }
 
-// asked books what a batch job that came is worth; first: it is not a repeat by the client.
-func (d *Dispatcher) asked(j *job, first bool) {
-	e := d.earnings(j)
-	j.track.unit = j.track.unit*fade + e*(1-fade)
-	if d.meanEarnings == 0 {
-		d.meanEarnings = e
+// recordRequested books what a batch job that came is worth; first: it is not a repeat by the client.
+func (d *Dispatcher) recordRequested(j *job, first bool) {
+	e := d.valueOf(j)
+	j.class.unitValue = j.class.unitValue*fade + e*(1-fade)
+	if d.meanValue == 0 {
+		d.meanValue = e
 	}
-	d.meanEarnings += (e - d.meanEarnings) * (1 - fade) / 4
+	d.meanValue += (e - d.meanValue) * (1 - fade) / 4
 	if first {
-		j.track.asked += e
+		j.class.requestedValue += e
 	}
-	density := d.value(j) / j.work.Seconds()
+	density := d.marginalValue(j) / j.work.Seconds()
 	if d.meanDensity == 0 {
 		d.meanDensity = density
 	}
@@ -180,14 +180,14 @@
 
 // learn books a running time.
 func (d *Dispatcher) learn(j *job, e *executor, ran time.Duration) {
-	if j.track.repeat == IdempotentWithKey && ran < times(j.work, remembered*d.kinds[e.kind].pace) {
+	if j.class.idempotency == IdempotentWithKey && ran < times(j.work, remembered*d.kinds[e.kind].pace) {
 		return // it was remembered there, not run: guards against executors that look quick, and are rushed while cold
 	}
 	if !j.hinted {
 		// The first guess is the quoted time, which may be far off: the first outcomes count as much as it does.
-		j.track.learnt++
-		new := max(0.05, 1/float64(1+j.track.learnt))
-		j.track.meanWork = times(j.track.meanWork, 1-new) + times(ran, new)
+		j.class.samples++
+		new := max(0.05, 1/float64(1+j.class.samples))
+		j.class.meanWork = times(j.class.meanWork, 1-new) + times(ran, new)
 	}
 	e.runs = e.runs*fade + ran.Seconds()
 	e.works = e.works*fade + j.work.Seconds()
@@ -221,10 +221,10 @@
 	return work
 }
 
-// longestMean is the mean work of the track that has the most, or the shortest quoted time.
-func (d *Dispatcher) longestMean() time.Duration {
-	work := d.shortestQuoted
-	for _, t := range d.current {
+// longestMeanWork is the mean work of the track that has the most, or the shortest quoted time.
+func (d *Dispatcher) longestMeanWork() time.Duration {
+	work := d.shortestObjective
+	for _, t := range d.currentClasses {
 		work = max(work, t.meanWork)
 	}
 	return work
@@ -241,7 +241,7 @@
 			}
 		}
 	case d.mayRepeat(j, now):
-		best = d.quickest(j.track.kind, now)
+		best = d.quickest(j.class.kind, now)
 	}
 	if math.IsInf(best, 1) {
 		return 1
@@ -249,40 +249,40 @@
 	return best
 }
 
-// averages fades the tracks' and tenants' figures, each interval.
-func (d *Dispatcher) averages() {
+// decayAverages fades the tracks' and tenants' figures, each interval.
+func (d *Dispatcher) decayAverages() {
 	if !d.liveWeights {
 		d.awayLoad *= fade // seldom seen while nothing crosses
 	}
-	d.worst = nil
+	d.worstClass = nil
 	least, came := math.Inf(1), 0.0
-	for _, t := range d.current {
-		t.asked *= 0.95
-		t.given *= 0.95
-		if part := t.given / t.asked; t.asked > 0 && part < least {
-			least, d.worst = part, t
+	for _, t := range d.currentClasses {
+		t.requestedValue *= 0.95
+		t.earnedValue *= 0.95
+		if part := t.earnedValue / t.requestedValue; t.requestedValue > 0 && part < least {
+			least, d.worstClass = part, t
 		}
-		came += t.asked / max(t.unit, 1e-9)
+		came += t.requestedValue / max(t.unitValue, 1e-9)
 	}
-	if d.worst != nil {
-		part := d.worst.asked / max(d.worst.unit, 1e-9) / came
-		d.worstUnit = max(d.worst.unit, 1e-9) * max(part, 0.05)
+	if d.worstClass != nil {
+		part := d.worstClass.requestedValue / max(d.worstClass.unitValue, 1e-9) / came
+		d.worstClassUnitValue = max(d.worstClass.unitValue, 1e-9) * max(part, 0.05)
 	}
 	rates, quotas := 0.0, 0.0
 	for i := range d.tenants {
 		t := &d.tenants[i]
-		t.rate = t.rate*0.8 + float64(t.came)/d.interval.Seconds()*0.2
-		t.came = 0
+		t.rate = t.rate*0.8 + float64(t.arrivals)/d.interval.Seconds()*0.2
+		t.arrivals = 0
 		rates += t.rate
-		quotas += t.perS
+		quotas += t.quotaPerSecond
 	}
 	// A node with more traffic than the others sees every tenant over its share of the nodes' mean: so a
 	// tenant is measured against the others at this node.
 	for i := range d.tenants {
 		t := &d.tenants[i]
-		part := t.perS * max(rates/max(quotas, 1e-9), 1)
+		part := t.quotaPerSecond * max(rates/max(quotas, 1e-9), 1)
 		few := fewCame / (5 * d.interval.Seconds()) // what a rate remembers
-		t.over = (t.rate + few) / (part + few)
+		t.overQuota = (t.rate + few) / (part + few)
 	}
 }
 
@@ -322,7 +322,7 @@
 		d.moved = d.moved || e.mute
 		d.stale, d.freed = d.stale || e.mute, true
 		e.news, e.mute, e.silences = now, false, 0
-		if k := d.kept[e.sum]; k != nil && load.FreeSlots >= 0.5 && now-k.lentAt >= d.shortestQuoted {
+		if k := d.kept[e.sum]; k != nil && load.FreeSlots >= 0.5 && now-k.lentAt >= d.shortestObjective {
 			k.more = k.more || len(k.lent) >= k.quota
 			d.lend(k, len(k.lent)+1, now)
 		}
@@ -335,7 +335,7 @@
 		e.probing, e.probed = true, now
 		d.watch(e)
 		d.words = append(d.words, DueTask{Task: ProbeExecutor, Executor: e.id})
-		d.at(now+d.shortestQuoted, nil, nil)
+		d.at(now+d.shortestObjective, nil, nil)
 	}
 }
 
@@ -372,7 +372,7 @@
 
 // rung is the step of what j earns for its work. A tenant over its share is weighed down as in value.
 func (d *Dispatcher) rung(j *job) int {
-	density := d.earnings(j) / max(j.work.Seconds(), 1e-6) * d.counts(j.tenant)
+	density := d.valueOf(j) / max(j.work.Seconds(), 1e-6) * d.tenantFactor(j.tenant)
 	rung := PriorityLevels/2 + int(math.Round(2*math.Log2(max(density, 1e-9))))
 	return min(max(0, rung), PriorityLevels-1)
 }
@@ -409,19 +409,19 @@
 // pressing is j's work against its slack.
 func (j *job) pressing() float64 { return j.work.Seconds() / max(j.slack().Seconds(), 1e-3) }
 
-// booked books an answer, in its quoted time or not.
-func (d *Dispatcher) booked(s *shot, now time.Duration) {
+// recordCompletion books an answer, in its quoted time or not.
+func (d *Dispatcher) recordCompletion(s *shot, now time.Duration) {
 	s.on.errors = 0
 	d.tally.Completed += s.work.Seconds()
 	if now <= s.quotedAt {
-		s.track.given += d.earnings(s.job)
+		s.class.earnedValue += d.valueOf(s.job)
 	}
 }
 
 // lost books a batch job that is given up on. What could not be done when it came has not waited: a line that fell for
 // it would cut more and more, to no end.
 func (d *Dispatcher) lost(j *job) {
-	if !j.tight && d.now-j.came > d.quantum && j.sent < j.track.allocations {
+	if !j.tight && d.now-j.came > d.quantum && j.sent < j.class.maxAttempts {
 		d.tally.Expired += j.work.Seconds()
 	}
 }
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -12,15 +12,15 @@
 		seed: s.Seed, node: NodeID(s.Node), nodes: s.Nodes, zone: s.Zone,
 		kinds: map[KindID]*kind{}, byID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
 		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, mayCopy: s.MayHedge, probes: s.MayProbe, marks: s.ClientsMarkRetries,
-		perWork: s.ValuePerWork, overage: s.OverQuotaValue, crossPrice: s.CrossZoneCost,
-		wholeWeight: s.TotalWeight, trackWeight: s.WorstClassWeight,
+		valuePerWork: s.ValuePerWork, overQuotaValue: s.OverQuotaValue, crossZoneCost: s.CrossZoneCost,
+		totalWeight: s.TotalWeight, worstClassWeight: s.WorstClassWeight,
 		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
 		quantum: s.Quantum, tellsStart: s.StartNotices, tellsEvery: s.ProgressInterval, mustAsk: s.EndpointsPolled,
 		liveWeights: s.LoadAdjustedWeights,
 		coldShare:   s.SlowStartCapacity, warmWithin: s.SlowStartDuration, fallWindow: s.OverloadWindow,
 	}
 	for i, t := range s.JobClasses {
-		d.add(JobClassUpdate{JobClassID(i), NoJobClass, t})
+		d.addClass(JobClassUpdate{JobClassID(i), NoJobClass, t})
 	}
 	d.derive()
 	d.tick = d.interval
@@ -28,58 +28,58 @@
 	d.spreadAsks(s.PollWithin)
 	d.at(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
 	for _, t := range s.Tenants {
-		d.tenants = append(d.tenants, tenant{perS: t.QuotaPerSecond / float64(s.Nodes)})
+		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(s.Nodes)})
 	}
 	return d
 }
 
-// add takes up a track as it is from now on, with what is known of the one that it comes from.
-func (d *Dispatcher) add(c JobClassUpdate) {
-	t := &track{repeat: c.Idempotency, group: c.DedupGroup, groupWindow: c.DedupWindow, allocations: cmp.Or(c.MaxAttempts, d.maxAllocations),
-		quoted: c.LatencyObjective, outerLimit: c.Deadline, stretch: c.RunTimeFactor, earnings: c.Value,
-		late: c.LateValue, kind: c.Kind, meanWork: cmp.Or(c.ExpectedWork, firstGuess(c.JobClass)), unit: c.Value}
+// addClass takes up a track as it is from now on, with what is known of the one that it comes from.
+func (d *Dispatcher) addClass(c JobClassUpdate) {
+	t := &jobClass{idempotency: c.Idempotency, dedupGroup: c.DedupGroup, dedupWindow: c.DedupWindow, maxAttempts: cmp.Or(c.MaxAttempts, d.maxAllocations),
+		latencyObjective: c.LatencyObjective, deadline: c.Deadline, runTimeFactor: c.RunTimeFactor, value: c.Value,
+		lateValue: c.LateValue, kind: c.Kind, meanWork: cmp.Or(c.ExpectedWork, firstGuess(c.JobClass)), unitValue: c.Value}
 	if c.Replaces != NoJobClass {
-		from := d.tracks[c.Replaces]
-		if from.learnt > 0 || from.fullBudget > 0 {
-			t.meanWork, t.learnt = from.meanWork, from.learnt
+		from := d.classes[c.Replaces]
+		if from.samples > 0 || from.fullBudget > 0 {
+			t.meanWork, t.samples = from.meanWork, from.samples
 		}
-		t.fullBudget = min(from.fullBudget, t.outerLimit)
-		t.asked, t.given, from.asked, from.given = from.asked, from.given, 0, 0
+		t.fullBudget = min(from.fullBudget, t.deadline)
+		t.requestedValue, t.earnedValue, from.requestedValue, from.earnedValue = from.requestedValue, from.earnedValue, 0, 0
 	}
-	d.tracks = append(d.tracks, t)
-	d.current = append(d.current, t)
+	d.classes = append(d.classes, t)
+	d.currentClasses = append(d.currentClasses, t)
 }
 
 // derive reckons what hangs on all tracks together.
 func (d *Dispatcher) derive() {
-	d.needs, d.interval, d.shortestQuoted = d.needs[:0], 0, 0
-	for _, t := range d.current {
-		if !slices.Contains(d.needs, t.kind) {
-			d.needs = append(d.needs, t.kind)
+	d.requiredKinds, d.interval, d.shortestObjective = d.requiredKinds[:0], 0, 0
+	for _, t := range d.currentClasses {
+		if !slices.Contains(d.requiredKinds, t.kind) {
+			d.requiredKinds = append(d.requiredKinds, t.kind)
 		}
-		if by := times(t.outerLimit, intervals); d.interval == 0 || by < d.interval {
+		if by := times(t.deadline, intervals); d.interval == 0 || by < d.interval {
 			d.interval = by
 		}
-		if d.shortestQuoted == 0 || t.quoted < d.shortestQuoted {
-			d.shortestQuoted = t.quoted
+		if d.shortestObjective == 0 || t.latencyObjective < d.shortestObjective {
+			d.shortestObjective = t.latencyObjective
 		}
 	}
-	d.lookAfter = max(d.shortestQuoted/8, d.quantum)
+	d.lookAfter = max(d.shortestObjective/8, d.quantum)
 }
 
 // UpdateJobClasses tells what the tracks are from now on. Numbers that are new go on from the last. Rule 4's parts stay as they
 // are: other nodes may still reckon with the figures before.
 func (d *Dispatcher) UpdateJobClasses(now time.Duration, tracks []JobClassUpdate) {
-	d.current = nil
+	d.currentClasses = nil
 	for _, c := range tracks {
-		if int(c.ID) < len(d.tracks) {
-			d.current = append(d.current, d.tracks[c.ID])
+		if int(c.ID) < len(d.classes) {
+			d.currentClasses = append(d.currentClasses, d.classes[c.ID])
 		} else {
-			d.add(c)
+			d.addClass(c)
 		}
 	}
 	d.derive()
-	d.worst, d.stale, d.moved, d.freed = nil, true, true, true
+	d.worstClass, d.stale, d.moved, d.freed = nil, true, true, true
 	d.touchAll(d.ranked) // their rates hang on the quoted times
 	d.tick = min(d.tick, now+d.interval)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,72 +6,72 @@
 
 // Dispatcher is one node's decisions.
 type Dispatcher struct {
-	seed, count uint32
-	node        NodeID
-	nodes       int
-	zone        ZoneID
-	tracks      []*track // by number, those of the past among them
-	current     []*track
-	tenants     []tenant
-	kinds       map[KindID]*kind
-	byID        map[ExecutorID]*executor
-	ranked      []*executor // all on the list, highest rank first
-	slice       []*executor // those that this node uses, in the same order
-	cold        []*executor // cold ones that this node carries
-	met         []*executor // those that have been in a slice and have tokens
-	needs       []KindID    // bound kinds of the tracks
-	lateSlice   int         // executors of the slice that late batch jobs may use
-	jobs        map[JobID]*job
-	held        []*job // in time still
-	heldLate    []*job // and not
-	copies      []*job // that want a second allocation
-	due         dueHeap
-	order       int
-	tick        time.Duration // when the interval ends
-	interval    time.Duration
-	lookAfter   time.Duration // after it an allocation that is out gets its next look
-	lists       int
-	anyGone     bool // some executor is gone from the list
-	stale       bool // the slice must be picked anew
-	waited      bool // batch jobs were held in this interval
-	freed       bool // a token has come free since the last look
+	seed, count    uint32
+	node           NodeID
+	nodes          int
+	zone           ZoneID
+	classes        []*jobClass // by number, those of the past among them
+	currentClasses []*jobClass
+	tenants        []tenant
+	kinds          map[KindID]*kind
+	byID           map[ExecutorID]*executor
+	ranked         []*executor // all on the list, highest rank first
+	slice          []*executor // those that this node uses, in the same order
+	cold           []*executor // cold ones that this node carries
+	met            []*executor // those that have been in a slice and have tokens
+	requiredKinds  []KindID    // bound kinds of the tracks
+	lateSlice      int         // executors of the slice that late batch jobs may use
+	jobs           map[JobID]*job
+	held           []*job // in time still
+	heldLate       []*job // and not
+	copies         []*job // that want a second allocation
+	due            dueHeap
+	order          int
+	tick           time.Duration // when the interval ends
+	interval       time.Duration
+	lookAfter      time.Duration // after it an allocation that is out gets its next look
+	lists          int
+	anyGone        bool // some executor is gone from the list
+	stale          bool // the slice must be picked anew
+	waited         bool // batch jobs were held in this interval
+	freed          bool // a token has come free since the last look
 	index
 
-	perWork        bool
-	overage        float64
-	crossPrice     float64
-	wholeWeight    float64
-	trackWeight    float64
-	worst          *track
-	worstUnit      float64 // its earnings for each batch job of any track
-	meanEarnings   float64
-	meanDensity    float64 // value of a mean batch job for its work
-	maxAllocations int     // of tracks that have no number of their own
-	mayCancel      bool
-	liveWeights    bool
-	homeLoad       float64 // how full this zone and the others are, by the list or by start waits
-	awayLoad       float64
-	comeBack       time.Duration
-	quantum        time.Duration
-	tellsStart     bool
-	tellsEvery     time.Duration
-	mustAsk        bool
-	subscribed     bool
-	asking         bool
-	askAt          time.Duration
-	askEvery       time.Duration
-	coldShare      float64
-	warmWithin     time.Duration
-	carriers       int
-	coldFrom       time.Duration // before it cold executors are another process's
-	coldWork       float64       // this node's part of the cold budget, for each unit of capacity
-	fallWindow     time.Duration
-	shortestQuoted time.Duration
-	now            time.Duration // the last moment that this node had its turn
-	sleepTo        time.Duration // when it wanted the next
-	gap            time.Duration // from its turn before until this one
-	stood          time.Duration // so much of it it stood still, though something was due
-	closing        time.Duration // when all must be over, once this node ends; 0 before
+	valuePerWork        bool
+	overQuotaValue      float64
+	crossZoneCost       float64
+	totalWeight         float64
+	worstClassWeight    float64
+	worstClass          *jobClass
+	worstClassUnitValue float64 // its earnings for each batch job of any track
+	meanValue           float64
+	meanDensity         float64 // value of a mean batch job for its work
+	maxAllocations      int     // of tracks that have no number of their own
+	mayCancel           bool
+	liveWeights         bool
+	homeLoad            float64 // how full this zone and the others are, by the list or by start waits
+	awayLoad            float64
+	comeBack            time.Duration
+	quantum             time.Duration
+	tellsStart          bool
+	tellsEvery          time.Duration
+	mustAsk             bool
+	subscribed          bool
+	asking              bool
+	askAt               time.Duration
+	askEvery            time.Duration
+	coldShare           float64
+	warmWithin          time.Duration
+	carriers            int
+	coldFrom            time.Duration // before it cold executors are another process's
+	coldWork            float64       // this node's part of the cold budget, for each unit of capacity
+	fallWindow          time.Duration
+	shortestObjective   time.Duration
+	now                 time.Duration // the last moment that this node had its turn
+	sleepTo             time.Duration // when it wanted the next
+	gap                 time.Duration // from its turn before until this one
+	stood               time.Duration // so much of it it stood still, though something was due
+	closing             time.Duration // when all must be over, once this node ends; 0 before
 
 	talks bool // nodes reckon a cut line together
 	line  AdmissionThreshold
@@ -89,34 +89,34 @@
 	words   []DueTask // to be said; probes and notes among them
 }
 
-// track holds a track's derived figures and running averages.
-type track struct {
-	repeat       Idempotency
-	group        DedupGroup
-	groupWindow  time.Duration
-	allocations  int
-	quoted       time.Duration
-	outerLimit   time.Duration
-	stretch      float64
-	earnings     float64
-	late         float64
-	kind         KindID
-	fullBudget   time.Duration // largest budget seen: that of a batch job's first try
-	short, lost  float64       // batch jobs that came with less than it, and fresh ones turned away, fading
-	meanWork     time.Duration // running average, as time on a standard core
-	learnt       int           // running times that it stems from, where no hints come
-	asked, given float64       // earnings asked for and handled in quoted time, fading
-	unit         float64       // mean earnings of one batch job
+// jobClass holds a track's derived figures and running averages.
+type jobClass struct {
+	idempotency                      Idempotency
+	dedupGroup                       DedupGroup
+	dedupWindow                      time.Duration
+	maxAttempts                      int
+	latencyObjective                 time.Duration
+	deadline                         time.Duration
+	runTimeFactor                    float64
+	value                            float64
+	lateValue                        float64
+	kind                             KindID
+	fullBudget                       time.Duration // largest budget seen: that of a batch job's first try
+	shortBudgets, rejectedFirstTries float64       // batch jobs that came with less than it, and fresh ones turned away, fading
+	meanWork                         time.Duration // running average, as time on a standard core
+	samples                          int           // running times that it stems from, where no hints come
+	requestedValue, earnedValue      float64       // earnings asked for and handled in quoted time, fading
+	unitValue                        float64       // mean earnings of one batch job
 }
 
 // tenant holds a tenant's quota and how fast it is asking at this node.
 type tenant struct {
-	perS float64 // this node's part of the quota
-	rate float64
-	over float64 // its part of this node's traffic against its part of all quotas, scaled by the load
-	came int
-	need float64 // times its foretold running time, over one, that a try of its impatient clients is to have
-	curt float64 // part of its marked first tries that came with less than the full budget
+	quotaPerSecond   float64 // this node's part of the quota
+	rate             float64
+	overQuota        float64 // its part of this node's traffic against its part of all quotas, scaled by the load
+	arrivals         int
+	budgetMargin     float64 // times its foretold running time, over one, that a try of its impatient clients is to have
+	shortBudgetRatio float64 // part of its marked first tries that came with less than the full budget
 }
 
 // kind holds what warm executors of one kind were seen to take.
@@ -228,7 +228,7 @@
 	cut      bool // below the cut line when it came
 	tight    bool // it came with less than half of its slack
 	id       JobID
-	track    *track
+	class    *jobClass
 	tenant   *tenant
 	tenantID TenantID
 	work     time.Duration
--- a/policy/takers.go
+++ b/policy/takers.go
@@ -13,7 +13,7 @@
 // leave out pick would not find either. Guards against a cost with the square of the slice, where tokens are open and of no
 // use yet: their executors are full, and as many batch jobs are held.
 type takers struct {
-	track *track
+	track *jobClass
 	late  bool
 	easy  job // as easy as any of them
 	found []*executor
@@ -46,12 +46,12 @@
 			continue
 		}
 		late := d.late(j, now)
-		if t := d.takersOf(j.track, late); t != nil {
+		if t := d.takersOf(j.class, late); t != nil {
 			t.ease(j)
 			continue
 		}
-		d.takers = append(d.takers, takers{track: j.track, late: late,
-			easy: job{track: j.track, work: j.work, hinted: j.hinted, margin: j.margin, quotedAt: j.quotedAt}})
+		d.takers = append(d.takers, takers{track: j.class, late: late,
+			easy: job{class: j.class, work: j.work, hinted: j.hinted, margin: j.margin, quotedAt: j.quotedAt}})
 	}
 	for i := range d.takers {
 		d.findFor(&d.takers[i], now)
@@ -76,7 +76,7 @@
 	}
 }
 
-func (d *Dispatcher) takersOf(track *track, late bool) *takers {
+func (d *Dispatcher) takersOf(track *jobClass, late bool) *takers {
 	for i := range d.takers {
 		if t := &d.takers[i]; t.track == track && t.late == late {
 			return t
@@ -91,7 +91,7 @@
 		return true
 	}
 	w := wish{job: j, now: now, late: d.late(j, now)}
-	t := d.takersOf(j.track, w.late)
+	t := d.takersOf(j.class, w.late)
 	if len(t.found) == 0 || !w.late && j.quotedAt < max(t.ends, now+times(t.wait+times(j.work, t.pace), j.margin)) {
 		return false
 	}
