--- a/policy/books.go
+++ b/policy/books.go
@@ -40,21 +40,21 @@
 	d.words = append(d.words, DueTask{Task: WriteLog, Text: fmt.Sprintf(format, args...)})
 }
 
-// at notes a due time of a batch job, of a token that is to come free, or of neither: a look at everything.
-func (d *Dispatcher) at(at time.Duration, j *job, token *executor) {
-	d.order++
-	it := dueItem{at: at, order: d.order, job: j, token: token}
+// schedule notes a due time of a batch job, of a token that is to come free, or of neither: a look at everything.
+func (d *Dispatcher) schedule(at time.Duration, j *job, token *executor) {
+	d.timerSequence++
+	it := timer{at: at, sequence: d.timerSequence, job: j, tokenOf: token}
 	if j != nil {
-		it.turn = j.turn
+		it.generation = j.generation
 	}
-	heap.Push(&d.due, it)
+	heap.Push(&d.timers, it)
 }
 
-// lookAt notes when an allocation that is out gets its next look; a look noted before falls away.
-func (d *Dispatcher) lookAt(at time.Duration, s *shot) {
-	d.order++
-	s.turn++
-	heap.Push(&d.due, dueItem{at: at, order: d.order, turn: s.turn, shot: s})
+// scheduleCheck notes when an allocation that is out gets its next look; a look noted before falls away.
+func (d *Dispatcher) scheduleCheck(at time.Duration, s *attempt) {
+	d.timerSequence++
+	s.generation++
+	heap.Push(&d.timers, timer{at: at, sequence: d.timerSequence, generation: s.generation, attempt: s})
 }
 
 // knowKind makes room for a kind's figures: a known executor may come back as another kind, too.
@@ -145,8 +145,8 @@
 	return 1
 }
 
-// quoted is the span of j's quoted time, counted from its first try.
-func (j *job) quoted() time.Duration {
+// latencyObjective is the span of j's quoted time, counted from its first try.
+func (j *job) latencyObjective() time.Duration {
 	return min(j.class.latencyObjective+times(j.work, j.class.runTimeFactor), j.class.deadline)
 }
 
@@ -161,8 +161,8 @@
 // closeBy cuts what a batch job has left to the end of its node.
 func (d *Dispatcher) closeBy(j *job) {
 	if d.closing > 0 {
-		j.limitAt = min(j.limitAt, d.closing)
-		j.quotedAt = min(j.quotedAt, d.closing)
+		j.deadlineAt = min(j.deadlineAt, d.closing)
+		j.objectiveAt = min(j.objectiveAt, d.closing)
 	}
 }
 
@@ -174,13 +174,15 @@
 		d.closeBy(j)
 	}
 	for _, j := range slices.Concat(d.held, d.heldLate) {
-		d.at(now, j, nil)
+		d.schedule(now, j, nil)
 	}
 }
 
 // ---- Held batch jobs, in the order of their keys, late ones apart ----
 
-func byKey(a, b *job) int { return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.id, b.id)) }
+func byKey(a, b *job) int {
+	return cmp.Or(cmp.Compare(a.queueKey, b.queueKey), cmp.Compare(a.id, b.id))
+}
 
 func (d *Dispatcher) heldList(late bool) *[]*job {
 	if late {
@@ -190,32 +192,32 @@
 }
 
 func (d *Dispatcher) insert(j *job) {
-	list := d.heldList(j.heldLate)
+	list := d.heldList(j.queuedLate)
 	i, _ := slices.BinarySearchFunc(*list, j, byKey)
 	*list = slices.Insert(*list, i, j)
 }
 
 func (d *Dispatcher) unhold(j *job) {
-	if j.isHeld {
-		j.isHeld = false
-		list := d.heldList(j.heldLate)
+	if j.isQueued {
+		j.isQueued = false
+		list := d.heldList(j.queuedLate)
 		i, _ := slices.BinarySearchFunc(*list, j, byKey)
 		*list = slices.Delete(*list, i, i+1)
 	}
 }
 
-func (d *Dispatcher) forget(j *job) {
+func (d *Dispatcher) removeJob(j *job) {
 	d.unhold(j)
-	j.over = true
-	j.turn++
+	j.finished = true
+	j.generation++
 	delete(d.jobs, j.id)
 }
 
-// out is a batch job's allocation n, if it is out now.
-func (d *Dispatcher) out(id JobID, n AttemptID) *shot {
+// findAttempt is a batch job's allocation n, if it is out now.
+func (d *Dispatcher) findAttempt(id JobID, n AttemptID) *attempt {
 	if j := d.jobs[id]; j != nil {
-		for _, s := range j.out {
-			if s.n == n {
+		for _, s := range j.attempts {
+			if s.number == n {
 				return s
 			}
 		}
@@ -223,43 +225,43 @@
 	return nil
 }
 
-// end books a batch job that is over: what is still out of it gets its look at once.
-func (d *Dispatcher) end(j *job, now time.Duration) {
-	if len(j.out) == 0 {
-		d.forget(j)
+// finish books a batch job that is over: what is still out of it gets its look at once.
+func (d *Dispatcher) finish(j *job, now time.Duration) {
+	if len(j.attempts) == 0 {
+		d.removeJob(j)
 		return
 	}
 	d.unhold(j)
-	j.over = true
-	j.turn++
-	for _, s := range j.out {
-		d.lookAt(now, s)
+	j.finished = true
+	j.generation++
+	for _, s := range j.attempts {
+		d.scheduleCheck(now, s)
 	}
 }
 
 // ---- Tokens ----
 
-// send books that an allocation of j goes out to e.
-func (d *Dispatcher) send(j *job, e *executor, now time.Duration) Decision {
+// dispatch books that an allocation of j goes out to e.
+func (d *Dispatcher) dispatch(j *job, e *executor, now time.Duration) Decision {
 	d.unhold(j)
 	// A late batch job waits because others go first, not for want of tokens: its time until then counts.
-	e.ourWait += max(0, min(now, j.quotedAt-j.work)-j.heldAt)
-	if len(e.out) == 0 {
+	e.ourWait += max(0, min(now, j.objectiveAt-j.work)-j.queuedAt)
+	if len(e.attempts) == 0 {
 		e.news = now
 	}
-	s := &shot{job: j, n: AttemptID(j.sent), on: e, zone: e.zone, cell: e.cell, sentAt: now}
+	s := &attempt{job: j, number: AttemptID(j.attemptCount), executor: e, zone: e.zone, cell: e.cell, sentAt: now}
 	d.take(e, s)
 	if now < e.coldUntil {
-		e.colds = append(e.colds, spend{now, j.coldWork()})
+		e.colds = append(e.colds, spend{now, j.slowStartWork()})
 	}
-	j.sent++
-	j.turn++
-	d.lookAt(now+d.lookAfter, s)
+	j.attemptCount++
+	j.generation++
+	d.scheduleCheck(now+d.checkInterval, s)
 	return Decision{Action: Send, Executor: e.id}
 }
 
 // take uses the oldest free token.
-func (d *Dispatcher) take(e *executor, s *shot) {
+func (d *Dispatcher) take(e *executor, s *attempt) {
 	e.free = e.free[1:]
 	e.taken++
 	e.dry = e.dry || len(e.free) == 0
@@ -267,8 +269,8 @@
 		e.given = false
 		e.lent++
 	}
-	e.out = append(e.out, s)
-	s.job.out = append(s.job.out, s)
+	e.attempts = append(e.attempts, s)
+	s.job.attempts = append(s.job.attempts, s)
 	d.touch(e)
 }
 
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -102,7 +102,7 @@
 		d.touch(e)
 		if in.EjectedFor > 0 || in.InFlightCap > 0 {
 			e.held, e.inCap = now+in.EjectedFor, max(1, in.InFlightCap)
-			d.at(e.held, nil, nil)
+			d.schedule(e.held, nil, nil)
 		}
 		if !among {
 			continue
--- a/policy/index.go
+++ b/policy/index.go
@@ -281,8 +281,8 @@
 		}
 		return
 	}
-	of := sort{far: d.abroad(e) > 0, inSlice: e.place >= 0, load: loaded, keeper: cleared, scaled: e.works <= 1 && len(e.out) < s.most}
-	if len(e.out) == 0 {
+	of := sort{far: d.abroad(e) > 0, inSlice: e.place >= 0, load: loaded, keeper: cleared, scaled: e.works <= 1 && len(e.attempts) < s.most}
+	if len(e.attempts) == 0 {
 		of.load = idle
 		if of.inSlice && e.place < d.lateSlice {
 			of.load = spare
@@ -363,18 +363,18 @@
 // leastWait is the least that a batch job sent to e would wait there, until then. It follows waitAt: where as many
 // are out as there are places, no less than what waits there needs, and what the first to end has left.
 func (d *Dispatcher) leastWait(e *executor, pace float64, places int, now time.Duration) (wait, until time.Duration) {
-	if len(e.out) < places {
+	if len(e.attempts) < places {
 		return e.startWait, Endless
 	}
 	first, queued := Endless, time.Duration(0)
-	for _, s := range e.out {
+	for _, s := range e.attempts {
 		if s.running {
 			first = min(first, s.startedAt+times(s.work, pace))
 		} else {
 			queued += times(s.work, pace)
 		}
 	}
-	wait = max(0, queued/time.Duration(places)-time.Duration(len(e.out)+2)) // each figure is cut to a whole one
+	wait = max(0, queued/time.Duration(places)-time.Duration(len(e.attempts)+2)) // each figure is cut to a whole one
 	if left := first - now - 1; first < Endless && left > 0 {
 		// It shrinks as time goes by: reckoned as what it will be by then, an eighth of all less.
 		until = now + max(min(left, (d.shortestObjective+wait+left)/8), 1)
@@ -491,7 +491,7 @@
 	if late {
 		return math.Inf(1)
 	}
-	return (float64(max(0, j.quotedAt-now)+2)/j.margin + 2) / float64(max(1, j.work)) * hair
+	return (float64(max(0, j.objectiveAt-now)+2)/j.predictionMargin + 2) / float64(max(1, j.work)) * hair
 }
 
 // suiting gives the groups whose executors may be candidates at all.
@@ -638,7 +638,7 @@
 		}
 		e.place = i
 		g := e.group
-		if e.places[byPace].in == nil || g == nil || !g.inSlice || (g.load == spare) != (len(e.out) == 0 && i < d.lateSlice) {
+		if e.places[byPace].in == nil || g == nil || !g.inSlice || (g.load == spare) != (len(e.attempts) == 0 && i < d.lateSlice) {
 			d.touch(e)
 		}
 		if d.abroad(e) == 0 {
@@ -747,7 +747,7 @@
 	pace := (e.runs + k) / (e.works + 1)
 	switch {
 	case !e.up:
-	case len(e.out) == 0:
+	case len(e.attempts) == 0:
 		*best = min(*best, pace)
 	case pace*hairPace < *best:
 		d.weighed++
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -26,10 +26,10 @@
 			side = 1 - side
 		}
 		home = home || side == 0
-		if late && (len(e.out) > 0 || i >= d.lateSlice && j.class.lateValue > 0) {
+		if late && (len(e.attempts) > 0 || i >= d.lateSlice && j.class.lateValue > 0) {
 			continue
 		}
-		taken := len(j.out) > 0 && j.out[0].on == e || best != nil && side > bestSide
+		taken := len(j.attempts) > 0 && j.attempts[0].executor == e || best != nil && side > bestSide
 		if taken || !d.cleared(e, now, asking) || !d.open(e, j, now) {
 			continue
 		}
@@ -39,7 +39,7 @@
 		if j.class.idempotency == AtMostOnce {
 			queue = max(wait, times(j.class.meanWork, (e.load-1)*pace))
 		}
-		if !late && now+times(queue+times(j.work, pace), j.margin) > j.quotedAt {
+		if !late && now+times(queue+times(j.work, pace), j.predictionMargin) > j.objectiveAt {
 			continue
 		}
 		age := e.weight * float64(now-e.free[0]) / (pace * (d.shortestObjective + wait).Seconds())
@@ -47,7 +47,7 @@
 			best, bestSide, bestAge = e, side, age
 		}
 	}
-	if bestSide > 0 && home && !crosses && now-j.heldAt < d.patience(j) {
+	if bestSide > 0 && home && !crosses && now-j.queuedAt < d.patience(j) {
 		return nil
 	}
 	return best
@@ -172,7 +172,7 @@
 // compareTakers looks for batch jobs that could go and that takers leave out, however few are held.
 func (w *drawn) compareTakers() {
 	d := w.Dispatcher
-	for _, list := range [...][]*job{d.held, d.heldLate, d.copies} {
+	for _, list := range [...][]*job{d.held, d.heldLate, d.hedgeQueue} {
 		d.takers = d.takers[:0]
 		d.fileTakers(list, w.now)
 		for _, j := range list {
@@ -201,10 +201,10 @@
 	for _, id := range ids {
 		j := d.jobs[id]
 		w.compareJob(j, "")
-		if j.ran == nil && len(j.out) > 0 { // as elsewhere asks
-			j.ran = j.out[0]
+		if j.mayHaveRun == nil && len(j.attempts) > 0 { // as elsewhere asks
+			j.mayHaveRun = j.attempts[0]
 			w.compareJob(j, "moved ")
-			j.ran = nil
+			j.mayHaveRun = nil
 		}
 	}
 	for _, e := range d.slice {
@@ -254,13 +254,13 @@
 		return "crossing"
 	case d.late(j, w.now):
 		return "late"
-	case len(j.out) > 0 && as == "":
+	case len(j.attempts) > 0 && as == "":
 		return "a copy"
 	case d.mayTell && d.many():
 		return "with a place"
 	case e.inCap > 0:
 		return "under a cap"
-	case len(e.out) >= d.kinds[e.kind].parallel:
+	case len(e.attempts) >= d.kinds[e.kind].parallel:
 		return "full of ours"
 	}
 	return "plain"
@@ -308,11 +308,11 @@
 
 // happen lets something happen.
 func (w *drawn) happen() {
-	var shots []*shot
+	var shots []*attempt
 	for _, e := range w.met {
-		shots = append(shots, e.out...)
+		shots = append(shots, e.attempts...)
 	}
-	var s *shot
+	var s *attempt
 	if len(shots) > 0 {
 		s = shots[w.r.IntN(len(shots))]
 	}
@@ -326,14 +326,14 @@
 		}
 		w.JobArrived(w.now, in)
 	case what < 11 && s != nil:
-		w.AttemptStarted(w.now, s.id, s.n)
+		w.AttemptStarted(w.now, s.id, s.number)
 	case what < 15 && s != nil:
 		how := [...]Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, ExecutorError, ExecutorFull, TimedOut, ConnectFailed, ConnectionLost, NotSent}[w.r.IntN(12)]
-		w.AttemptEnded(w.now, s.id, s.n, how, how == Succeeded)
+		w.AttemptEnded(w.now, s.id, s.number, how, how == Succeeded)
 	case what == 15 && s != nil:
-		w.AttemptProgressed(w.now, s.id, s.n, w.r.Float64())
+		w.AttemptProgressed(w.now, s.id, s.number, w.r.Float64())
 	case what == 16 && s != nil:
-		w.LoadReported(s.on.id, Load{InFlight: float64(w.r.IntN(4)), FreeSlots: float64(w.r.IntN(4))})
+		w.LoadReported(s.executor.id, Load{InFlight: float64(w.r.IntN(4)), FreeSlots: float64(w.r.IntN(4))})
 	case what == 17:
 		var entries []Endpoint
 		for range 1 + w.r.IntN(4) {
@@ -513,7 +513,7 @@
 		return
 	}
 	w.starts++
-	n := AttemptID(w.Dispatcher.jobs[id].sent - 1)
+	n := AttemptID(w.Dispatcher.jobs[id].attemptCount - 1)
 	w.push(steadyItem{at: w.now + time.Millisecond, what: 1, job: id, n: n})
 	ran := time.Duration(float64(w.work(id)) * w.paces[what.Executor] * (0.6 + 0.8*w.r.Float64()))
 	w.push(steadyItem{at: w.now + 2*time.Millisecond + ran, what: 2, job: id, n: n})
@@ -597,7 +597,7 @@
 				}
 				if to := d.Place(now, due.Job); to.Action == Send {
 					sent = append(sent, due.Job)
-					if len(d.byID[to.Executor].out) == 1 { // it has a place only
+					if len(d.byID[to.Executor].attempts) == 1 { // it has a place only
 						d.AttemptStarted(now, due.Job, 0)
 					}
 				}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -205,13 +205,13 @@
 // are over their time already show (guards against executors slowed or stalled since their last answer).
 func (d *Dispatcher) pace(e *executor, now time.Duration) float64 {
 	runs, works := e.runs+d.kinds[e.kind].pace, e.works+1
-	for _, j := range e.out {
+	for _, j := range e.attempts {
 		if !j.running {
 			continue
 		}
 		ran := now - j.startedAt
-		if j.share > 0.02 {
-			ran = max(times(j.shareAt-j.startedAt, 1/j.share), ran)
+		if j.progress > 0.02 {
+			ran = max(times(j.progressAt-j.startedAt, 1/j.progress), ran)
 		}
 		if w := j.work.Seconds(); ran.Seconds() > w*runs/works {
 			runs += ran.Seconds()
@@ -226,11 +226,11 @@
 func (d *Dispatcher) waitAt(e *executor, pace float64, now time.Duration) time.Duration {
 	places := d.kinds[e.kind].parallel
 	wait, first, queued := e.startWait, time.Duration(math.MaxInt64), time.Duration(0)
-	for _, o := range e.out {
+	for _, o := range e.attempts {
 		left := times(o.work, pace)
 		if !o.running {
 			queued += left
-			if out := now - o.sentAt; d.tellsStart && out > e.startWait+d.lookAfter {
+			if out := now - o.sentAt; d.tellsStart && out > e.startWait+d.checkInterval {
 				// One of ours that has not begun there yet shows that the others have filled it.
 				wait = max(wait, out+left/time.Duration(places))
 			}
@@ -240,7 +240,7 @@
 		left -= now - o.startedAt
 		first = min(first, max(left, -left))
 	}
-	if len(e.out) < places {
+	if len(e.attempts) < places {
 		return wait
 	}
 	if first == math.MaxInt64 {
@@ -287,12 +287,12 @@
 	for _, s := range e.colds {
 		budget -= s.work.Seconds()
 	}
-	return j.coldWork().Seconds() <= budget
+	return j.slowStartWork().Seconds() <= budget
 }
 
-// coldWork is what j counts for at a cold executor: more than it is thought to be, the more so without a hint
+// slowStartWork is what j counts for at a cold executor: more than it is thought to be, the more so without a hint
 // the fewer of its track are known.
-func (j *job) coldWork() time.Duration {
+func (j *job) slowStartWork() time.Duration {
 	m := hintMargin
 	if !j.hinted {
 		m *= 1 + 2/float64(1+j.class.samples)
@@ -307,18 +307,18 @@
 	if j.class.kind != AnyKind && j.class.kind != e.kind {
 		return false
 	}
-	group := j.ran == nil || j.class.idempotency == Idempotent || j.class.dedupGroup == DedupAllExecutors ||
-		j.class.dedupGroup == DedupZone && e.zone == j.ran.zone || j.class.dedupGroup == DedupCell && e.cell == j.ran.cell
+	group := j.mayHaveRun == nil || j.class.idempotency == Idempotent || j.class.dedupGroup == DedupAllExecutors ||
+		j.class.dedupGroup == DedupZone && e.zone == j.mayHaveRun.zone || j.class.dedupGroup == DedupCell && e.cell == j.mayHaveRun.cell
 	return group && d.mayRepeat(j, now)
 }
 
 // mayRepeat is rule 2 for a further allocation.
 func (d *Dispatcher) mayRepeat(j *job, now time.Duration) bool {
-	return j.ran == nil || j.class.idempotency == Idempotent ||
-		j.class.idempotency == IdempotentWithKey && now < j.ran.sentAt+j.class.dedupWindow-d.quantum
+	return j.mayHaveRun == nil || j.class.idempotency == Idempotent ||
+		j.class.idempotency == IdempotentWithKey && now < j.mayHaveRun.sentAt+j.class.dedupWindow-d.quantum
 }
 
-func (d *Dispatcher) late(j *job, now time.Duration) bool { return j.quotedAt < now+j.work/2 }
+func (d *Dispatcher) late(j *job, now time.Duration) bool { return j.objectiveAt < now+j.work/2 }
 
 // marginalValue is what handling j in its quoted time adds to the operators' measure, in mean batch jobs: its part
 // of all earnings, and, in the track that fares worst, its part of that track's.
@@ -335,7 +335,7 @@
 // slack that the price of crossing is of its value. Below its price it never crosses.
 func (d *Dispatcher) patience(j *job) time.Duration {
 	if part := d.crossZoneCost / d.marginalValue(j); part < 1 {
-		return times(max(0, j.quotedAt-j.heldAt-j.work), part)
+		return times(max(0, j.objectiveAt-j.queuedAt-j.work), part)
 	}
 	return Endless / 4
 }
@@ -345,7 +345,7 @@
 // far more traffic than executors, where a token is always free.
 func (d *Dispatcher) crosses(j *job) bool {
 	return d.crossZoneCost > 0 && d.homeLoad > 1 &&
-		j.spread < (d.homeLoad-d.awayLoad)/d.homeLoad-d.crossZoneCost/d.marginalValue(j)
+		j.crossChance < (d.homeLoad-d.awayLoad)/d.homeLoad-d.crossZoneCost/d.marginalValue(j)
 }
 
 // ---- Placing ----
@@ -354,10 +354,10 @@
 func (d *Dispatcher) JobArrived(now time.Duration, in Arrival) {
 	d.turn(now)
 	t := d.classes[min(max(0, int(in.Class)), len(d.classes)-1)]
-	j := &job{id: in.Job, class: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, margin: margin,
-		need: 1, came: now, limitAt: now + in.Budget, spread: d.chance()}
+	j := &job{id: in.Job, class: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, predictionMargin: margin,
+		startMargin: 1, arrivedAt: now, deadlineAt: now + in.Budget, crossChance: d.chance()}
 	if !j.hinted {
-		j.work, j.margin = t.meanWork, hintMargin
+		j.work, j.predictionMargin = t.meanWork, hintMargin
 	} else {
 		t.meanWork = times(t.meanWork, fade) + times(in.Work, 1-fade)
 	}
@@ -380,17 +380,17 @@
 	case !curt:
 		spent = max(0, t.deadline-in.Budget)
 	case j.tenant != nil && in.Budget < t.deadline/2:
-		j.curt, j.need = true, 1+j.tenant.budgetMargin
-		j.margin = max(j.margin, j.need)
+		j.shortBudget, j.startMargin = true, 1+j.tenant.budgetMargin
+		j.predictionMargin = max(j.predictionMargin, j.startMargin)
 	}
-	j.quotedAt = min(now-spent+j.quoted(), j.limitAt)
+	j.objectiveAt = min(now-spent+j.latencyObjective(), j.deadlineAt)
 	d.closeBy(j)
-	j.fresh = spent == 0 && !in.ClientRetry
-	d.recordRequested(j, j.fresh)
-	j.cut = d.talks && d.below(j)
+	j.firstTry = spent == 0 && !in.ClientRetry
+	d.recordRequested(j, j.firstTry)
+	j.shed = d.talks && d.below(j)
 	d.jobs[in.Job] = j
 	d.hold(j, now)
-	d.at(now, j, nil)
+	d.schedule(now, j, nil)
 	d.wants = true // it has its own look; of those held none can go that could not before
 }
 
@@ -399,45 +399,45 @@
 	if j.class.lateValue > 0 {
 		return times(j.class.deadline, lateWait)
 	}
-	return j.quoted()
+	return j.latencyObjective()
 }
 
 // hold puts j among the held ones: least slack to the quoted time over what is earned for the work goes
 // first, late ones after all others.
 func (d *Dispatcher) hold(j *job, now time.Duration) {
-	slack := j.quotedAt - now - j.work
-	if j.isHeld && j.heldLate == (slack < 0) {
+	slack := j.objectiveAt - now - j.work
+	if j.isQueued && j.queuedLate == (slack < 0) {
 		return
 	}
-	if !j.isHeld {
-		j.heldAt = now
+	if !j.isQueued {
+		j.queuedAt = now
 	}
 	d.unhold(j)
 	density := d.marginalValue(j) / j.work.Seconds() / d.meanDensity
-	j.isHeld, j.heldLate = true, slack < 0
-	if j.heldLate {
+	j.isQueued, j.queuedLate = true, slack < 0
+	if j.queuedLate {
 		slack = times(j.class.deadline, 1/max(j.class.lateValue, 1e-3))
 	}
-	j.key = now + times(slack, 1/max(density, 1e-3))
+	j.queueKey = now + times(slack, 1/max(density, 1e-3))
 	d.insert(j)
 }
 
 // Place says where to send a batch job, or not yet, or never.
 func (d *Dispatcher) Place(now time.Duration, id JobID) Decision {
 	j := d.jobs[id]
-	if j == nil || j.over || len(j.out) > 0 && !j.copied {
+	if j == nil || j.finished || len(j.attempts) > 0 && !j.hedgeWanted {
 		return Decision{}
 	}
-	if len(j.out) > 0 {
+	if len(j.attempts) > 0 {
 		if e := d.pick(j, now, false); e != nil {
-			return d.send(j, e, now)
+			return d.dispatch(j, e, now)
 		}
 		return Decision{}
 	}
 	d.hold(j, now)
 	// In the fleet's overload a further allocation of what never ran and is below the line by now is too much.
-	j.cut = j.cut || j.sent > 0 && j.ran == nil && d.line.Level > d.rung(j)
-	if j.cut || now >= j.limitAt-d.quantum || j.sent >= j.class.maxAttempts || !d.mayRepeat(j, now) {
+	j.shed = j.shed || j.attemptCount > 0 && j.mayHaveRun == nil && d.line.Level > d.rung(j)
+	if j.shed || now >= j.deadlineAt-d.quantum || j.attemptCount >= j.class.maxAttempts || !d.mayRepeat(j, now) {
 		return d.giveUp(j)
 	}
 	to, lastStart := d.pick(j, now, false), time.Duration(0)
@@ -450,47 +450,47 @@
 		}
 	}
 	if to != nil {
-		return d.send(j, to, now)
+		return d.dispatch(j, to, now)
 	}
-	d.waited = d.waited || !j.heldLate
-	next := min(max(lastStart, now)+d.quantum, j.limitAt-d.quantum)
-	for _, turn := range [...]time.Duration{j.heldAt + d.patience(j), j.quotedAt - j.work + d.quantum} {
+	d.waited = d.waited || !j.queuedLate
+	next := min(max(lastStart, now)+d.quantum, j.deadlineAt-d.quantum)
+	for _, turn := range [...]time.Duration{j.queuedAt + d.patience(j), j.objectiveAt - j.work + d.quantum} {
 		if turn > now {
 			next = min(next, turn)
 		}
 	}
-	j.turn++
-	d.at(max(next, now+d.quantum), j, nil)
+	j.generation++
+	d.schedule(max(next, now+d.quantum), j, nil)
 	return Decision{Action: Enqueue}
 }
 
 // lastStart is when an executor of that pace must begin on j at the latest.
 func (d *Dispatcher) lastStart(j *job, pace float64) time.Duration {
-	end := j.quotedAt
+	end := j.objectiveAt
 	if j.class.lateValue > 0 {
 		// Not to the outer limit: who has waited half of it with nothing out is told to come back instead.
-		end = min(j.limitAt, j.heldAt+d.heldFor(j))
+		end = min(j.deadlineAt, j.queuedAt+d.heldFor(j))
 	}
-	return end - times(j.work, pace*j.need)
+	return end - times(j.work, pace*j.startMargin)
 }
 
 // below says whether j earns less for its work than the cut line: what the fleet has no capacity for.
 // Guards against low earners taken here while dearer ones find no token elsewhere.
 func (d *Dispatcher) below(j *job) bool {
 	rung, line := d.offered(j), d.line
-	marginal := rung == line.Level && !j.tight && d.chance() < line.AdmitFraction
+	marginal := rung == line.Level && !j.lowSlack && d.chance() < line.AdmitFraction
 	return !d.admitted(j, line.Level == 0 || rung > line.Level || marginal)
 }
 
 // giveUp answers at once. A pushback says that nothing happened or that trying again is harmless: rule 2.
 func (d *Dispatcher) giveUp(j *job) Decision {
-	d.forget(j)
-	j.class.rejectedFirstTries += flag(j.fresh)
-	if j.cut { // they come back at times of their own, not all together
+	d.removeJob(j)
+	j.class.rejectedFirstTries += flag(j.firstTry)
+	if j.shed { // they come back at times of their own, not all together
 		return Decision{Action: Reject, RetryAfter: times(d.comeBack, (1+d.chance())/2)}
 	}
 	d.lost(j)
-	if j.ran == nil || j.class.idempotency == Idempotent || j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors {
+	if j.mayHaveRun == nil || j.class.idempotency == Idempotent || j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors {
 		return Decision{Action: Reject, RetryAfter: d.comeBack}
 	}
 	return Decision{Action: Fail}
@@ -498,7 +498,7 @@
 
 // inGroup says whether j may only be repeated in its dedup group.
 func (d *Dispatcher) inGroup(j *job) bool {
-	return j.ran != nil && j.class.idempotency == IdempotentWithKey && j.class.dedupGroup != DedupAllExecutors
+	return j.mayHaveRun != nil && j.class.idempotency == IdempotentWithKey && j.class.dedupGroup != DedupAllExecutors
 }
 
 // pick finds the executor with the oldest free token that j may take now, or, asking, whose keeper is to be
@@ -515,7 +515,7 @@
 		return nil
 	}
 	for side := range 2 {
-		if side > 0 && !crosses && now-j.heldAt < d.patience(j) && d.anyNear(j, now) {
+		if side > 0 && !crosses && now-j.queuedAt < d.patience(j) && d.anyNear(j, now) {
 			return nil
 		}
 		var best *executor
@@ -542,10 +542,10 @@
 	}
 	// Late ones must not fill the places of those still to come: they go where nothing of ours is out, and,
 	// where they may be held for long, where few nodes send theirs.
-	if w.late && (len(e.out) > 0 || j.class.lateValue > 0 && d.among(e, j) >= d.lateSlice) {
+	if w.late && (len(e.attempts) > 0 || j.class.lateValue > 0 && d.among(e, j) >= d.lateSlice) {
 		return -1
 	}
-	if len(j.out) > 0 && j.out[0].on == e || !d.cleared(e, now, w.asks) || !d.open(e, j, now) {
+	if len(j.attempts) > 0 && j.attempts[0].executor == e || !d.cleared(e, now, w.asks) || !d.open(e, j, now) {
 		return -1
 	}
 	pace := d.pace(e, now)
@@ -555,7 +555,7 @@
 		// What can't be taken back counts the list's news as well: its like, held over one a core, go first.
 		queue = max(wait, times(j.class.meanWork, (e.load-1)*pace))
 	}
-	if !w.late && now+times(queue+times(j.work, pace), j.margin) > j.quotedAt {
+	if !w.late && now+times(queue+times(j.work, pace), j.predictionMargin) > j.objectiveAt {
 		return -1
 	}
 	return e.weight * float64(now-e.free[0]) / (pace * (d.shortestObjective + wait).Seconds())
@@ -566,41 +566,41 @@
 // AttemptEnded says what to do after an allocation's outcome. Final: the batch job is over by it or before it.
 func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, n AttemptID, how Outcome, final bool) Decision {
 	d.turn(now)
-	s := d.out(id, n)
+	s := d.findAttempt(id, n)
 	if s == nil {
 		return Decision{}
 	}
 	j := s.job
-	j.out = slices.DeleteFunc(j.out, func(o *shot) bool { return o == s })
-	s.turn++
-	d.settle(s, how, now)
-	if final || j.over {
-		d.end(j, now)
+	j.attempts = slices.DeleteFunc(j.attempts, func(o *attempt) bool { return o == s })
+	s.generation++
+	d.recordOutcome(s, how, now)
+	if final || j.finished {
+		d.finish(j, now)
 		return Decision{}
 	}
-	if !how.NeverRan() && j.ran == nil {
-		j.ran = s
+	if !how.NeverRan() && j.mayHaveRun == nil {
+		j.mayHaveRun = s
 	}
-	if len(j.out) > 0 { // the other one goes on
+	if len(j.attempts) > 0 { // the other one goes on
 		return Decision{}
 	}
-	j.turn++
+	j.generation++
 	d.wants = true
 	return d.Place(now, id)
 }
 
-// settle draws from an outcome what it says of the executor, and frees the token now or later.
-func (d *Dispatcher) settle(j *shot, how Outcome, now time.Duration) {
-	e := j.on
-	if j.lost { // its token is free already
+// recordOutcome draws from an outcome what it says of the executor, and frees the token now or later.
+func (d *Dispatcher) recordOutcome(j *attempt, how Outcome, now time.Duration) {
+	e := j.executor
+	if j.tokenReleased { // its token is free already
 		return
 	}
-	e.out = slices.DeleteFunc(e.out, func(o *shot) bool { return o == j })
+	e.attempts = slices.DeleteFunc(e.attempts, func(o *attempt) bool { return o == j })
 	d.touch(e)
 	est := times(j.work, d.pace(e, now))
 	switch how {
 	case Succeeded:
-		d.handled(j, e, now)
+		d.recordSuccess(j, e, now)
 	case ExecutorFull, ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
 		if how == ExecutorFull {
 			// Full counts as queuing at the executor, unless only one tenant meets it.
@@ -618,7 +618,7 @@
 		}
 		e.broke = true
 	case TimedOut, Canceled:
-		if j.curt && how == TimedOut {
+		if j.shortBudget && how == TimedOut {
 			j.tenant.budgetMargin = min(j.tenant.budgetMargin+4*needStep, 1.5)
 		}
 		// The executor may still be on it: the token stays taken until the work would be over.
@@ -628,24 +628,24 @@
 		} else {
 			d.giveBack(e, now, true)
 			if d.tellsStart {
-				d.zoneWait(e, d.took(j))
+				d.zoneWait(e, d.elapsed(j))
 			}
 		}
-		d.at(max(now, begun+est), nil, e)
+		d.schedule(max(now, begun+est), nil, e)
 		return
 	}
 	if how == ExecutorFull { // guards against a token that is turned away again and again, in overload by the hundred
 		d.giveBack(e, now, true)
 		e.turned++
-		d.at(now+times(est, fullRest*float64(e.turned)), nil, e)
+		d.schedule(now+times(est, fullRest*float64(e.turned)), nil, e)
 		return
 	}
 	d.release(e, now, j.startedLate)
 }
 
-func (d *Dispatcher) handled(j *shot, e *executor, now time.Duration) {
+func (d *Dispatcher) recordSuccess(j *attempt, e *executor, now time.Duration) {
 	d.alive(e, now)
-	if j.curt {
+	if j.shortBudget {
 		j.tenant.budgetMargin = max(j.tenant.budgetMargin-needStep, 0)
 	}
 	d.recordCompletion(j, now)
@@ -657,12 +657,12 @@
 	ran := now - j.startedAt
 	if !j.running {
 		// Without start notices: latency against what the pace foretells.
-		ran = min(d.took(j), times(j.work, d.pace(e, now)))
+		ran = min(d.elapsed(j), times(j.work, d.pace(e, now)))
 		if !j.hinted { // of what waiting does not explain half is running time, or a low guess would never rise
-			ran += max(0, d.took(j)-ran-e.startWait) / 2
+			ran += max(0, d.elapsed(j)-ran-e.startWait) / 2
 		}
-		d.queued(e, j, d.took(j)-ran)
-		j.startedLate = d.took(j) > times(ran, lateTimes) // hints are rough
+		d.queued(e, j, d.elapsed(j)-ran)
+		j.startedLate = d.elapsed(j) > times(ran, lateTimes) // hints are rough
 	}
 	d.learn(j.job, e, ran)
 }
@@ -680,58 +680,58 @@
 	e.held, e.inCap = now+span, 1
 	d.stale, d.moved = true, true
 	d.touch(e)
-	d.at(e.held, nil, nil)
+	d.schedule(e.held, nil, nil)
 }
 
-// look says whether to stop waiting for an allocation: the client has left, it has not started and another
+// shouldCancel says whether to stop waiting for an allocation: the client has left, it has not started and another
 // token is open to it, or the executor crawls and another token would answer sooner.
-func (d *Dispatcher) look(j *shot, now time.Duration) bool {
-	if j.stopping || !d.mayCancel {
+func (d *Dispatcher) shouldCancel(j *attempt, now time.Duration) bool {
+	if j.canceling || !d.canCancel {
 		return false
 	}
-	e := j.on
+	e := j.executor
 	quiet := times(j.work, d.kinds[e.kind].pace)
 	if !j.running { // how long it is left there anyway, where moves have a budget
-		quiet = max(quiet, times(j.quotedAt-j.sentAt-j.work, d.line.MigrationDelay))
+		quiet = max(quiet, times(j.objectiveAt-j.sentAt-j.work, d.line.MigrationDelay))
 	}
 	if !e.mute && now-max(e.news, j.sentAt) > quiet {
 		d.askLoad(e, now, d.shortestObjective)
 	}
-	if j.over {
+	if j.finished {
 		return !j.running || j.class.idempotency == Idempotent // it may be stopped at no cost
 	}
 	usual, left := d.kinds[e.kind].pace, time.Duration(0)
 	if j.running { // it can't crawl sooner
 		left = times(j.work, crawl*usual) - (now - j.startedAt)
 	}
-	d.lookAt(now+max(left, d.lookAfter), j)
+	d.scheduleCheck(now+max(left, d.checkInterval), j)
 	pace := (e.runs + usual) / (e.works + 1)
 	if j.hinted { // without a hint, its own long run tells nothing of the executor
 		pace = d.pace(e, now)
 	}
-	crawls := (e.held > now || j.lost || pace >= crawl*usual) && left < 0 || e.mute
+	crawls := (e.held > now || j.tokenReleased || pace >= crawl*usual) && left < 0 || e.mute
 	begun, repeatable := j.running || !d.tellsStart, j.class.idempotency == Idempotent
-	if repeatable && (e.mute || !begun) && j.class.lateValue == 0 && now > j.quotedAt-times(j.work, pace) {
+	if repeatable && (e.mute || !begun) && j.class.lateValue == 0 && now > j.objectiveAt-times(j.work, pace) {
 		return true // it can earn nothing more
 	}
-	if j.sent >= j.class.maxAttempts || len(j.job.out) > 1 || begun && !crawls {
+	if j.attemptCount >= j.class.maxAttempts || len(j.job.attempts) > 1 || begun && !crawls {
 		return false
 	}
-	if begun && repeatable && d.mayCopy {
-		if !j.copied && d.wantsCopy(j.job, now) {
-			j.copied, d.freed, d.wants, d.copies = true, true, true, append(d.copies, j.job)
+	if begun && repeatable && d.canHedge {
+		if !j.hedgeWanted && d.wantsHedge(j.job, now) {
+			j.hedgeWanted, d.freed, d.wants, d.hedgeQueue = true, true, true, append(d.hedgeQueue, j.job)
 		}
 		return false
 	}
-	to := d.elsewhere(j, now)
+	to := d.migrationTarget(j, now)
 	if to != nil && !j.running && !e.mute && e.held <= now {
 		// Where nodes talk, more moves than their budget wait for some of their slack: most start by themselves.
-		d.wishes(j)
-		slack := j.quotedAt - j.sentAt - times(j.work, pace)
+		d.countMigration(j)
+		slack := j.objectiveAt - j.sentAt - times(j.work, pace)
 		blind := flag(!d.liveWeights && d.kinds[to.kind].places == 0) // nothing tells that another has less to do
 		from := j.sentAt + max(times(slack, d.line.MigrationDelay), times(d.longestMeanWork(), pace*blind))
 		if now < from {
-			d.lookAt(from, j)
+			d.scheduleCheck(from, j)
 			return false
 		}
 	}
@@ -740,23 +740,23 @@
 		return to != nil && (d.abroad(to) == 0 || d.crossZoneCost < smallChange*d.marginalValue(j.job))
 	}
 	left = now - j.startedAt
-	if j.share > 0.02 {
-		left = times(j.shareAt-j.startedAt, (1-j.share)/j.share)
+	if j.progress > 0.02 {
+		left = times(j.progressAt-j.startedAt, (1-j.progress)/j.progress)
 	}
 	return left > 2*times(j.work, d.pace(to, now))
 }
 
-// wantsCopy says whether a second allocation of j may still earn something.
-func (d *Dispatcher) wantsCopy(j *job, now time.Duration) bool {
-	return !j.over && len(j.out) == 1 && j.sent < j.class.maxAttempts && d.line.Level == 0 &&
-		now < j.limitAt-d.quantum && (!d.late(j, now) || j.class.lateValue > 0)
+// wantsHedge says whether a second allocation of j may still earn something.
+func (d *Dispatcher) wantsHedge(j *job, now time.Duration) bool {
+	return !j.finished && len(j.attempts) == 1 && j.attemptCount < j.class.maxAttempts && d.line.Level == 0 &&
+		now < j.deadlineAt-d.quantum && (!d.late(j, now) || j.class.lateValue > 0)
 }
 
-// elsewhere is the executor that j would go to if it were stopped now, as one that may have run.
-func (d *Dispatcher) elsewhere(j *shot, now time.Duration) *executor {
-	if j.ran == nil {
-		j.ran = j
-		defer func() { j.ran = nil }()
+// migrationTarget is the executor that j would go to if it were stopped now, as one that may have run.
+func (d *Dispatcher) migrationTarget(j *attempt, now time.Duration) *executor {
+	if j.mayHaveRun == nil {
+		j.mayHaveRun = j
+		defer func() { j.mayHaveRun = nil }()
 	}
 	return d.pick(j.job, now, false)
 }
@@ -790,7 +790,7 @@
 	}
 	d.givens = d.givens[:0]
 	for _, e := range d.askedOnes() {
-		if e.place >= 0 && e.queued && len(d.held)+len(d.heldLate)+len(d.copies) == 0 {
+		if e.place >= 0 && e.queued && len(d.held)+len(d.heldLate)+len(d.hedgeQueue) == 0 {
 			e.asked = false
 			d.touch(e)
 			d.tell(now, e.keeper, LeaseCancel, e.sum)
@@ -800,9 +800,9 @@
 		return
 	}
 	d.wants = false
-	for _, list := range [...][]*job{d.held, d.heldLate, d.copies} {
+	for _, list := range [...][]*job{d.held, d.heldLate, d.hedgeQueue} {
 		for _, j := range list[:min(len(list), len(d.slice))] {
-			if j.asked == nil || !j.asked.asked || j.asked.queued {
+			if j.leaseRequestedFrom == nil || !j.leaseRequestedFrom.asked || j.leaseRequestedFrom.queued {
 				d.ask(j, d.pick(j, now, true), now)
 			}
 		}
@@ -815,9 +815,9 @@
 	} else if now >= e.firstAt && e.lent == 0 {
 		e.keeper = d.keeperOf(e.sum)
 	}
-	j.asked, e.asked, e.queued, e.askedAt = e, true, false, now
+	j.leaseRequestedFrom, e.asked, e.queued, e.askedAt = e, true, false, now
 	d.awaits(e)
-	d.at(now+d.shortestObjective/4, nil, nil)
+	d.schedule(now+d.shortestObjective/4, nil, nil)
 	word := LeaseRequest
 	if d.late(j, now) {
 		word = LeaseRequestLate
@@ -836,7 +836,7 @@
 				d.note("%s held back until it answers a probe", e.id)
 			}
 			d.mute(e, min(e.silences+1, mostSilences))
-			d.at(now+d.longestMeanWork()*time.Duration(e.silences), nil, nil)
+			d.schedule(now+d.longestMeanWork()*time.Duration(e.silences), nil, nil)
 		} else if e.mute {
 			d.askLoad(e, now, d.longestMeanWork()*time.Duration(e.silences))
 		}
@@ -925,7 +925,7 @@
 	d.leaveGone()
 	for _, e := range d.met {
 		d.touch(e) // what was seen grows old
-		for _, j := range e.out {
+		for _, j := range e.attempts {
 			if !j.running && d.tellsStart {
 				e.workerWait += max(0, now-max(j.sentAt, now-d.interval)-d.quantum)
 			}
@@ -963,23 +963,23 @@
 // out there should take, and against a connection that falls silent: an allocation of which as long nothing
 // is told shows nothing of its executor any more; its token comes free, or it would shut it out for long.
 func (d *Dispatcher) watchSilence(e *executor, now time.Duration) {
-	if len(e.out) == 0 || !e.up {
+	if len(e.attempts) == 0 || !e.up {
 		return
 	}
 	pace := (e.runs + d.kinds[e.kind].pace) / (e.works + 1)
-	span := 2*times(e.longest(), pace) + 2*e.startWait + d.shortestObjective
+	span := 2*times(e.longestWork(), pace) + 2*e.startWait + d.shortestObjective
 	if now-e.news > span && e.held <= now {
 		d.holdBack(e, now, fmt.Sprintf("after silence of %v", (now-e.news).Round(time.Millisecond)))
 		e.silences++ // each try costs a batch job: the next comes later
 	}
 	// Where its executor was held back one missing notice is enough, or the next try would find no token free.
 	notices := d.tellsEvery * time.Duration(2-min(e.silences, 1))
-	e.out = slices.DeleteFunc(e.out, func(j *shot) bool {
-		j.lost = d.tellsEvery > 0 && now-max(j.sentAt, j.shareAt) > max(span, notices)
-		if j.lost {
+	e.attempts = slices.DeleteFunc(e.attempts, func(j *attempt) bool {
+		j.tokenReleased = d.tellsEvery > 0 && now-max(j.sentAt, j.progressAt) > max(span, notices)
+		if j.tokenReleased {
 			d.release(e, now, true)
 		}
-		return j.lost
+		return j.tokenReleased
 	})
 }
 
@@ -1000,16 +1000,16 @@
 	if j := d.next(now); j != nil {
 		return DueTask{Task: PlaceJob, Job: j.id}
 	}
-	for len(d.due) > 0 && d.due[0].at <= now {
-		it := heap.Pop(&d.due).(dueItem)
-		j, s := it.job, it.shot
+	for len(d.timers) > 0 && d.timers[0].at <= now {
+		it := heap.Pop(&d.timers).(timer)
+		j, s := it.job, it.attempt
 		switch {
-		case it.token != nil:
-			d.release(it.token, now, false)
-		case s != nil && s.turn == it.turn && d.look(s, now):
-			s.stopping = true
-			return DueTask{Task: CancelAttempt, Job: s.id, Attempt: s.n}
-		case j != nil && j.turn == it.turn && len(j.out) == 0:
+		case it.tokenOf != nil:
+			d.release(it.tokenOf, now, false)
+		case s != nil && s.generation == it.generation && d.shouldCancel(s, now):
+			s.canceling = true
+			return DueTask{Task: CancelAttempt, Job: s.id, Attempt: s.number}
+		case j != nil && j.generation == it.generation && len(j.attempts) == 0:
 			return DueTask{Task: PlaceJob, Job: j.id}
 		case s == nil && j == nil:
 			d.unanswered(now)
@@ -1026,8 +1026,8 @@
 		return w
 	}
 	at := d.tick
-	if len(d.due) > 0 {
-		at = min(at, d.due[0].at)
+	if len(d.timers) > 0 {
+		at = min(at, d.timers[0].at)
 	}
 	if mustSubscribe {
 		at = min(at, d.askAt)
@@ -1042,12 +1042,12 @@
 	if d.stale {
 		d.reslice(now)
 	}
-	d.copies = slices.DeleteFunc(d.copies, func(j *job) bool {
-		j.copied = d.wantsCopy(j, now)
-		return !j.copied
+	d.hedgeQueue = slices.DeleteFunc(d.hedgeQueue, func(j *job) bool {
+		j.hedgeWanted = d.wantsHedge(j, now)
+		return !j.hedgeWanted
 	})
-	d.freed = d.freed && len(d.held)+len(d.heldLate)+len(d.copies) > 0 && d.anyOpen(now)
-	for _, list := range [...][]*job{d.held, d.heldLate, d.copies} {
+	d.freed = d.freed && len(d.held)+len(d.heldLate)+len(d.hedgeQueue) > 0 && d.anyOpen(now)
+	for _, list := range [...][]*job{d.held, d.heldLate, d.hedgeQueue} {
 		list = list[:min(len(list), int(flag(d.freed))*2*len(d.slice))]
 		d.findTakers(list, now)
 		for _, j := range list {
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -14,39 +14,39 @@
 		return
 	}
 	d.gap, d.stood = now-d.now, now-d.sleepTo
-	if d.stood < d.lookAfter {
+	if d.stood < d.checkInterval {
 		d.stood = 0
 	}
 	d.now, d.sleepTo = now, now
 }
 
-// took is the time since an allocation was sent, without what this node stood still just now: its news may be that old.
-func (d *Dispatcher) took(s *shot) time.Duration { return max(0, d.now-s.sentAt-d.stood) }
+// elapsed is the time since an allocation was sent, without what this node stood still just now: its news may be that old.
+func (d *Dispatcher) elapsed(s *attempt) time.Duration { return max(0, d.now-s.sentAt-d.stood) }
 
 // AttemptStarted tells that an executor has begun on an allocation.
 func (d *Dispatcher) AttemptStarted(now time.Duration, id JobID, n AttemptID) {
 	d.turn(now)
-	s := d.out(id, n)
+	s := d.findAttempt(id, n)
 	if s == nil || s.running {
 		return
 	}
-	e := s.on
-	s.running, s.startedAt, s.shareAt = true, now, now
+	e := s.executor
+	s.running, s.startedAt, s.progressAt = true, now, now
 	d.alive(e, now)
 	d.touch(e)
-	s.startedLate = d.took(s) > d.lookAfter
-	d.queued(e, s, d.took(s))
+	s.startedLate = d.elapsed(s) > d.checkInterval
+	d.queued(e, s, d.elapsed(s))
 	if k := d.kinds[e.kind]; now >= e.coldUntil {
-		k.parallel = max(k.parallel, e.running())
+		k.parallel = max(k.parallel, e.runningCount())
 	}
 	e.startedOther = e.startedOther || !e.full || s.tenantID != e.fullFrom
 }
 
 // AttemptProgressed tells how much of an allocation is done.
 func (d *Dispatcher) AttemptProgressed(now time.Duration, id JobID, n AttemptID, share float64) {
-	if s := d.out(id, n); s != nil {
-		s.share, s.shareAt = share, now
-		d.alive(s.on, now)
+	if s := d.findAttempt(id, n); s != nil {
+		s.progress, s.progressAt = share, now
+		d.alive(s.executor, now)
 	}
 }
 
@@ -59,7 +59,7 @@
 // ClientLeft tells that the client has gone: nothing more is owed.
 func (d *Dispatcher) ClientLeft(now time.Duration, id JobID) {
 	if j := d.jobs[id]; j != nil {
-		d.end(j, now)
+		d.finish(j, now)
 	}
 }
 
@@ -117,12 +117,12 @@
 }
 
 // queued books an allocation's wait at the executor.
-func (d *Dispatcher) queued(e *executor, s *shot, wait time.Duration) {
+func (d *Dispatcher) queued(e *executor, s *attempt, wait time.Duration) {
 	wait = max(0, wait-d.quantum)
 	e.startWait = (e.startWait + wait) / 2 // quick to follow: a jam must be seen before it is fed
 	e.workerWait += wait
 	d.zoneWait(e, wait)
-	if s.sentAt-s.heldAt+wait > times(s.quotedAt-s.came-s.work, slackTarget) {
+	if s.sentAt-s.queuedAt+wait > times(s.objectiveAt-s.arrivedAt-s.work, slackTarget) {
 		e.slow = true
 	}
 }
@@ -137,7 +137,7 @@
 		load = &d.awayLoad
 	}
 	if d.tellsStart {
-		*load += (flag(wait > d.lookAfter)/fullPart - *load) * 0.1
+		*load += (flag(wait > d.checkInterval)/fullPart - *load) * 0.1
 	} else {
 		*load += (wait.Seconds()/d.shortestObjective.Seconds()/fullWait - *load) * 0.1
 	}
@@ -193,7 +193,7 @@
 	e.works = e.works*fade + j.work.Seconds()
 	k := d.kinds[e.kind]
 	with := 1
-	for _, o := range e.out {
+	for _, o := range e.attempts {
 		if o.running && o.startedAt <= d.now-ran/2 {
 			with++
 		}
@@ -203,9 +203,9 @@
 	k.pace = max(k.pace, 0.05)
 }
 
-// running counts our batch jobs that run at an executor.
-func (e *executor) running() (n int) {
-	for _, j := range e.out {
+// runningCount counts our batch jobs that run at an executor.
+func (e *executor) runningCount() (n int) {
+	for _, j := range e.attempts {
 		if j.running {
 			n++
 		}
@@ -213,9 +213,9 @@
 	return n
 }
 
-// longest is the most work that one of ours has at an executor.
-func (e *executor) longest() (work time.Duration) {
-	for _, j := range e.out {
+// longestWork is the most work that one of ours has at an executor.
+func (e *executor) longestWork() (work time.Duration) {
+	for _, j := range e.attempts {
 		work = max(work, j.work)
 	}
 	return work
@@ -301,7 +301,7 @@
 func (d *Dispatcher) ReserveSlowStartUntil(now, at time.Duration) {
 	d.coldFrom, d.stale, d.moved, d.freed = at, true, true, true
 	if at != Endless {
-		d.at(max(at, now), nil, nil)
+		d.schedule(max(at, now), nil, nil)
 	}
 }
 
@@ -335,7 +335,7 @@
 		e.probing, e.probed = true, now
 		d.watch(e)
 		d.words = append(d.words, DueTask{Task: ProbeExecutor, Executor: e.id})
-		d.at(now+d.shortestObjective, nil, nil)
+		d.schedule(now+d.shortestObjective, nil, nil)
 	}
 }
 
@@ -346,7 +346,7 @@
 	t := d.tally
 	d.talks, d.tally = true, LoadSummary{}
 	for _, j := range d.held {
-		t.Waiting += j.pressing()
+		t.Waiting += j.pressure()
 	}
 	for _, e := range d.ranked {
 		if k := d.kinds[e.kind]; e.up {
@@ -358,9 +358,9 @@
 		}
 	}
 	for _, e := range d.met {
-		for _, s := range e.out {
-			if !s.running && d.tellsStart && !s.over {
-				t.Waiting += s.pressing()
+		for _, s := range e.attempts {
+			if !s.running && d.tellsStart && !s.finished {
+				t.Waiting += s.pressure()
 			}
 		}
 	}
@@ -377,10 +377,10 @@
 	return min(max(0, rung), PriorityLevels-1)
 }
 
-// wishes books, once, that an allocation would be moved if moves were free.
-func (d *Dispatcher) wishes(s *shot) {
-	if !s.wished {
-		s.wished = true
+// countMigration books, once, that an allocation would be moved if moves were free.
+func (d *Dispatcher) countMigration(s *attempt) {
+	if !s.migrationCounted {
+		s.migrationCounted = true
 		d.tally.Migrations += s.work.Seconds()
 	}
 }
@@ -389,7 +389,7 @@
 // no measure of what the fleet is short of: it may find no token in time where most are free.
 func (d *Dispatcher) offered(j *job) int {
 	rung, work := d.rung(j), max(j.work.Seconds(), 1e-6)
-	if j.tight = j.quotedAt-d.now-j.work < j.slack()/2; !j.tight {
+	if j.lowSlack = j.objectiveAt-d.now-j.work < j.slack()/2; !j.lowSlack {
 		d.tally.Offered[rung] += work
 	}
 	return rung
@@ -397,23 +397,23 @@
 
 // admitted books a batch job that is not below the cut line, and gives that on.
 func (d *Dispatcher) admitted(j *job, yes bool) bool {
-	if yes && !j.tight {
+	if yes && !j.lowSlack {
 		d.tally.Admitted += j.work.Seconds()
 	}
 	return yes
 }
 
 // slack is what j's quoted time leaves beyond its work, counted from its first try.
-func (j *job) slack() time.Duration { return j.quoted() - j.work }
+func (j *job) slack() time.Duration { return j.latencyObjective() - j.work }
 
-// pressing is j's work against its slack.
-func (j *job) pressing() float64 { return j.work.Seconds() / max(j.slack().Seconds(), 1e-3) }
+// pressure is j's work against its slack.
+func (j *job) pressure() float64 { return j.work.Seconds() / max(j.slack().Seconds(), 1e-3) }
 
 // recordCompletion books an answer, in its quoted time or not.
-func (d *Dispatcher) recordCompletion(s *shot, now time.Duration) {
-	s.on.errors = 0
+func (d *Dispatcher) recordCompletion(s *attempt, now time.Duration) {
+	s.executor.errors = 0
 	d.tally.Completed += s.work.Seconds()
-	if now <= s.quotedAt {
+	if now <= s.objectiveAt {
 		s.class.earnedValue += d.valueOf(s.job)
 	}
 }
@@ -421,7 +421,7 @@
 // lost books a batch job that is given up on. What could not be done when it came has not waited: a line that fell for
 // it would cut more and more, to no end.
 func (d *Dispatcher) lost(j *job) {
-	if !j.tight && d.now-j.came > d.quantum && j.sent < j.class.maxAttempts {
+	if !j.lowSlack && d.now-j.arrivedAt > d.quantum && j.attemptCount < j.class.maxAttempts {
 		d.tally.Expired += j.work.Seconds()
 	}
 }
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -11,10 +11,10 @@
 	d := &Dispatcher{
 		seed: s.Seed, node: NodeID(s.Node), nodes: s.Nodes, zone: s.Zone,
 		kinds: map[KindID]*kind{}, byID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
-		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, mayCopy: s.MayHedge, probes: s.MayProbe, marks: s.ClientsMarkRetries,
+		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, canHedge: s.MayHedge, probes: s.MayProbe, marks: s.ClientsMarkRetries,
 		valuePerWork: s.ValuePerWork, overQuotaValue: s.OverQuotaValue, crossZoneCost: s.CrossZoneCost,
 		totalWeight: s.TotalWeight, worstClassWeight: s.WorstClassWeight,
-		maxAllocations: s.MaxAttempts, mayCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
+		maxAttempts: s.MaxAttempts, canCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
 		quantum: s.Quantum, tellsStart: s.StartNotices, tellsEvery: s.ProgressInterval, mustAsk: s.EndpointsPolled,
 		liveWeights: s.LoadAdjustedWeights,
 		coldShare:   s.SlowStartCapacity, warmWithin: s.SlowStartDuration, fallWindow: s.OverloadWindow,
@@ -26,7 +26,7 @@
 	d.tick = d.interval
 	d.shareCold(s.OverloadMultiple)
 	d.spreadAsks(s.PollWithin)
-	d.at(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
+	d.schedule(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
 	for _, t := range s.Tenants {
 		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(s.Nodes)})
 	}
@@ -35,7 +35,7 @@
 
 // addClass takes up a track as it is from now on, with what is known of the one that it comes from.
 func (d *Dispatcher) addClass(c JobClassUpdate) {
-	t := &jobClass{idempotency: c.Idempotency, dedupGroup: c.DedupGroup, dedupWindow: c.DedupWindow, maxAttempts: cmp.Or(c.MaxAttempts, d.maxAllocations),
+	t := &jobClass{idempotency: c.Idempotency, dedupGroup: c.DedupGroup, dedupWindow: c.DedupWindow, maxAttempts: cmp.Or(c.MaxAttempts, d.maxAttempts),
 		latencyObjective: c.LatencyObjective, deadline: c.Deadline, runTimeFactor: c.RunTimeFactor, value: c.Value,
 		lateValue: c.LateValue, kind: c.Kind, meanWork: cmp.Or(c.ExpectedWork, firstGuess(c.JobClass)), unitValue: c.Value}
 	if c.Replaces != NoJobClass {
@@ -64,7 +64,7 @@
 			d.shortestObjective = t.latencyObjective
 		}
 	}
-	d.lookAfter = max(d.shortestObjective/8, d.quantum)
+	d.checkInterval = max(d.shortestObjective/8, d.quantum)
 }
 
 // UpdateJobClasses tells what the tracks are from now on. Numbers that are new go on from the last. Rule 4's parts stay as they
--- a/policy/state.go
+++ b/policy/state.go
@@ -24,12 +24,12 @@
 	jobs           map[JobID]*job
 	held           []*job // in time still
 	heldLate       []*job // and not
-	copies         []*job // that want a second allocation
-	due            dueHeap
-	order          int
+	hedgeQueue     []*job // that want a second allocation
+	timers         timerHeap
+	timerSequence  int
 	tick           time.Duration // when the interval ends
 	interval       time.Duration
-	lookAfter      time.Duration // after it an allocation that is out gets its next look
+	checkInterval  time.Duration // after it an allocation that is out gets its next look
 	lists          int
 	anyGone        bool // some executor is gone from the list
 	stale          bool // the slice must be picked anew
@@ -46,8 +46,8 @@
 	worstClassUnitValue float64 // its earnings for each batch job of any track
 	meanValue           float64
 	meanDensity         float64 // value of a mean batch job for its work
-	maxAllocations      int     // of tracks that have no number of their own
-	mayCancel           bool
+	maxAttempts         int     // of tracks that have no number of their own
+	canCancel           bool
 	liveWeights         bool
 	homeLoad            float64 // how full this zone and the others are, by the list or by start waits
 	awayLoad            float64
@@ -77,16 +77,16 @@
 	line  AdmissionThreshold
 	tally LoadSummary // since it was asked for last
 
-	mayTell bool
-	mayCopy bool
-	probes  bool
-	marks   bool
-	wants   bool                       // a batch job may want to ask for a place
-	givens  []*executor                // where a place was given
-	bySum   map[ExecutorHash]*executor // by the id that nodes use among each other
-	kept    map[ExecutorHash]*keep     // what this node keeps for all
-	keeps   []*keep
-	words   []DueTask // to be said; probes and notes among them
+	mayTell  bool
+	canHedge bool
+	probes   bool
+	marks    bool
+	wants    bool                       // a batch job may want to ask for a place
+	givens   []*executor                // where a place was given
+	bySum    map[ExecutorHash]*executor // by the id that nodes use among each other
+	kept     map[ExecutorHash]*keep     // what this node keeps for all
+	keeps    []*keep
+	words    []DueTask // to be said; probes and notes among them
 }
 
 // jobClass holds a track's derived figures and running averages.
@@ -152,7 +152,7 @@
 	known    int             // the quota that another process of this node gave it; 0 for none
 	free     []time.Duration // since when each free token is free, oldest first
 	taken    int             // tokens taken by allocations out and by those stopped
-	out      []*shot         // allocations out
+	attempts []*attempt      // allocations out
 	inCap    int             // cap in flight that grows with answers; 0 for none
 	colds    []spend         // work sent while cold, within the window
 	held     time.Duration   // tokens are held back until then
@@ -225,73 +225,73 @@
 
 // job is a batch job in hand.
 type job struct {
-	cut      bool // below the cut line when it came
-	tight    bool // it came with less than half of its slack
-	id       JobID
-	class    *jobClass
-	tenant   *tenant
-	tenantID TenantID
-	work     time.Duration
-	hinted   bool
-	fresh    bool    // nothing of its budget was spent by tries before, for all this node knows
-	curt     bool    // its client waits for less than the outer limit leaves
-	need     float64 // what its last start must leave over
-	margin   float64 // what a prediction for it must leave over
-	came     time.Duration
-	quotedAt time.Duration
-	limitAt  time.Duration
-	heldAt   time.Duration // since when it is held
-	isHeld   bool
-	heldLate bool
-	key      time.Duration // its place in the release order
-	spread   float64       // its own chance, so that not all cross at once
-	over     bool          // the client has its answer or has left
-	asked    *executor     // of whose keeper a place was asked for it
+	shed               bool // below the cut line when it came
+	lowSlack           bool // it came with less than half of its slack
+	id                 JobID
+	class              *jobClass
+	tenant             *tenant
+	tenantID           TenantID
+	work               time.Duration
+	hinted             bool
+	firstTry           bool    // nothing of its budget was spent by tries before, for all this node knows
+	shortBudget        bool    // its client waits for less than the outer limit leaves
+	startMargin        float64 // what its last start must leave over
+	predictionMargin   float64 // what a prediction for it must leave over
+	arrivedAt          time.Duration
+	objectiveAt        time.Duration
+	deadlineAt         time.Duration
+	queuedAt           time.Duration // since when it is held
+	isQueued           bool
+	queuedLate         bool
+	queueKey           time.Duration // its place in the release order
+	crossChance        float64       // its own chance, so that not all cross at once
+	finished           bool          // the client has its answer or has left
+	leaseRequestedFrom *executor     // of whose keeper a place was asked for it
 
-	out    []*shot // its allocations that are out; a second one only where the settings allow it
-	copied bool    // a second one is wanted
-	sent   int
-	ran    *shot // the first of those over that may have run
-	turn   int   // guards due times that are no longer wanted
+	attempts     []*attempt // its allocations that are out; a second one only where the settings allow it
+	hedgeWanted  bool       // a second one is wanted
+	attemptCount int
+	mayHaveRun   *attempt // the first of those over that may have run
+	generation   int      // guards due times that are no longer wanted
 }
 
-// shot is one allocation of a batch job, from its sending to its outcome.
-type shot struct {
+// attempt is one allocation of a batch job, from its sending to its outcome.
+type attempt struct {
 	*job
-	n           AttemptID
-	on          *executor
-	zone        ZoneID
-	cell        CellID
-	sentAt      time.Duration
-	startedAt   time.Duration
-	running     bool
-	startedLate bool
-	share       float64
-	shareAt     time.Duration
-	stopping    bool
-	wished      bool // it would have been moved
-	lost        bool // silent for so long that its token is free again
-	turn        int
+	number           AttemptID
+	executor         *executor
+	zone             ZoneID
+	cell             CellID
+	sentAt           time.Duration
+	startedAt        time.Duration
+	running          bool
+	startedLate      bool
+	progress         float64
+	progressAt       time.Duration
+	canceling        bool
+	migrationCounted bool // it would have been moved
+	tokenReleased    bool // silent for so long that its token is free again
+	generation       int
 }
 
-type dueItem struct {
-	at    time.Duration
-	order int
-	turn  int
-	job   *job
-	shot  *shot
-	token *executor // whose token comes free
+type timer struct {
+	at         time.Duration
+	sequence   int
+	generation int
+	job        *job
+	attempt    *attempt
+	tokenOf    *executor // whose token comes free
 }
 
-type dueHeap []dueItem
+type timerHeap []timer
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueItem)) }
-func (h *dueHeap) Pop() any {
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/policy/takers.go
+++ b/policy/takers.go
@@ -25,12 +25,12 @@
 // ease makes the easiest as easy as j at least.
 func (t *takers) ease(j *job) {
 	easy := &t.easy
-	easy.work, easy.margin = min(easy.work, j.work), min(easy.margin, j.margin)
-	easy.quotedAt, easy.hinted = max(easy.quotedAt, j.quotedAt), easy.hinted || j.hinted
+	easy.work, easy.predictionMargin = min(easy.work, j.work), min(easy.predictionMargin, j.predictionMargin)
+	easy.objectiveAt, easy.hinted = max(easy.objectiveAt, j.objectiveAt), easy.hinted || j.hinted
 }
 
 // alone says whether j is looked at by itself: its candidates are others than those of its class.
-func (d *Dispatcher) alone(j *job) bool { return d.inGroup(j) || len(j.out) > 0 }
+func (d *Dispatcher) alone(j *job) bool { return d.inGroup(j) || len(j.attempts) > 0 }
 
 // findTakers finds them for a list of held batch jobs, where they are many.
 func (d *Dispatcher) findTakers(list []*job, now time.Duration) {
@@ -51,7 +51,7 @@
 			continue
 		}
 		d.takers = append(d.takers, takers{track: j.class, late: late,
-			easy: job{class: j.class, work: j.work, hinted: j.hinted, margin: j.margin, quotedAt: j.quotedAt}})
+			easy: job{class: j.class, work: j.work, hinted: j.hinted, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}})
 	}
 	for i := range d.takers {
 		d.findFor(&d.takers[i], now)
@@ -71,7 +71,7 @@
 			pace := d.pace(e, now)
 			wait := d.waitAt(e, pace, now)
 			t.wait, t.pace = min(t.wait, wait), min(t.pace, pace)
-			t.ends = min(t.ends, now+times(wait+times(easy.work, pace), easy.margin))
+			t.ends = min(t.ends, now+times(wait+times(easy.work, pace), easy.predictionMargin))
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	w := wish{job: j, now: now, late: d.late(j, now)}
 	t := d.takersOf(j.class, w.late)
-	if len(t.found) == 0 || !w.late && j.quotedAt < max(t.ends, now+times(t.wait+times(j.work, t.pace), j.margin)) {
+	if len(t.found) == 0 || !w.late && j.objectiveAt < max(t.ends, now+times(t.wait+times(j.work, t.pace), j.predictionMargin)) {
 		return false
 	}
 	crosses, other := d.crosses(j), false
@@ -104,5 +104,5 @@
 			other = true
 		}
 	}
-	return other && (crosses || now-j.heldAt >= d.patience(j) || !d.anyNear(j, now))
+	return other && (crosses || now-j.queuedAt >= d.patience(j) || !d.anyNear(j, now))
 }
