--- a/policy/books.go
+++ b/policy/books.go
@@ -150,64 +150,64 @@
 	return min(j.class.latencyObjective+times(j.work, j.class.runTimeFactor), j.class.deadline)
 }
 
-// abroad is 1 for an executor of another zone, where that has a price.
-func (d *Dispatcher) abroad(e *executor) int {
+// remoteSide is 1 for an executor of another zone, where that has a price.
+func (d *Dispatcher) remoteSide(e *executor) int {
 	if d.crossZoneCost > 0 && e.zone != d.zone {
 		return 1
 	}
 	return 0
 }
 
-// closeBy cuts what a batch job has left to the end of its node.
-func (d *Dispatcher) closeBy(j *job) {
-	if d.closing > 0 {
-		j.deadlineAt = min(j.deadlineAt, d.closing)
-		j.objectiveAt = min(j.objectiveAt, d.closing)
+// capToShutdown cuts what a batch job has left to the end of its node.
+func (d *Dispatcher) capToShutdown(j *job) {
+	if d.shutdownBy > 0 {
+		j.deadlineAt = min(j.deadlineAt, d.shutdownBy)
+		j.objectiveAt = min(j.objectiveAt, d.shutdownBy)
 	}
 }
 
 // ShutDownBy tells that this node ends: all in hand must be over by then, and what can't be gets its answer at
 // once.
 func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
-	d.closing = by
+	d.shutdownBy = by
 	for _, j := range d.jobs {
-		d.closeBy(j)
+		d.capToShutdown(j)
 	}
-	for _, j := range slices.Concat(d.held, d.heldLate) {
+	for _, j := range slices.Concat(d.queue, d.lateQueue) {
 		d.schedule(now, j, nil)
 	}
 }
 
 // ---- Held batch jobs, in the order of their keys, late ones apart ----
 
-func byKey(a, b *job) int {
+func compareQueueKeys(a, b *job) int {
 	return cmp.Or(cmp.Compare(a.queueKey, b.queueKey), cmp.Compare(a.id, b.id))
 }
 
-func (d *Dispatcher) heldList(late bool) *[]*job {
+func (d *Dispatcher) queueOf(late bool) *[]*job {
 	if late {
-		return &d.heldLate
+		return &d.lateQueue
 	}
-	return &d.held
+	return &d.queue
 }
 
-func (d *Dispatcher) insert(j *job) {
-	list := d.heldList(j.queuedLate)
-	i, _ := slices.BinarySearchFunc(*list, j, byKey)
+func (d *Dispatcher) enqueue(j *job) {
+	list := d.queueOf(j.queuedLate)
+	i, _ := slices.BinarySearchFunc(*list, j, compareQueueKeys)
 	*list = slices.Insert(*list, i, j)
 }
 
-func (d *Dispatcher) unhold(j *job) {
+func (d *Dispatcher) dequeue(j *job) {
 	if j.isQueued {
 		j.isQueued = false
-		list := d.heldList(j.queuedLate)
-		i, _ := slices.BinarySearchFunc(*list, j, byKey)
+		list := d.queueOf(j.queuedLate)
+		i, _ := slices.BinarySearchFunc(*list, j, compareQueueKeys)
 		*list = slices.Delete(*list, i, i+1)
 	}
 }
 
 func (d *Dispatcher) removeJob(j *job) {
-	d.unhold(j)
+	d.dequeue(j)
 	j.finished = true
 	j.generation++
 	delete(d.jobs, j.id)
@@ -231,7 +231,7 @@
 		d.removeJob(j)
 		return
 	}
-	d.unhold(j)
+	d.dequeue(j)
 	j.finished = true
 	j.generation++
 	for _, s := range j.attempts {
@@ -243,7 +243,7 @@
 
 // dispatch books that an allocation of j goes out to e.
 func (d *Dispatcher) dispatch(j *job, e *executor, now time.Duration) Decision {
-	d.unhold(j)
+	d.dequeue(j)
 	// A late batch job waits because others go first, not for want of tokens: its time until then counts.
 	e.ourWait += max(0, min(now, j.objectiveAt-j.work)-j.queuedAt)
 	if len(e.attempts) == 0 {
@@ -281,7 +281,7 @@
 	if e.taken+len(e.free) < e.quota {
 		e.free = append(e.free, now)
 	}
-	d.freed = true
+	d.tokenFreed = true
 	d.touch(e)
 }
 
@@ -343,7 +343,7 @@
 	if by > 0 {
 		if e.taken+len(e.free) < e.quota {
 			e.free = append(e.free, now)
-			d.freed = true
+			d.tokenFreed = true
 		}
 	} else if e.taken+len(e.free) > e.quota && len(e.free) > 0 {
 		e.free = e.free[:len(e.free)-1]
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -112,5 +112,5 @@
 			d.step(e, 1, now)
 		}
 	}
-	d.stale, d.moved, d.freed = true, true, true
+	d.stale, d.moved, d.tokenFreed = true, true, true
 }
--- a/policy/index.go
+++ b/policy/index.go
@@ -281,7 +281,7 @@
 		}
 		return
 	}
-	of := sort{far: d.abroad(e) > 0, inSlice: e.place >= 0, load: loaded, keeper: cleared, scaled: e.works <= 1 && len(e.attempts) < s.most}
+	of := sort{far: d.remoteSide(e) > 0, inSlice: e.place >= 0, load: loaded, keeper: cleared, scaled: e.works <= 1 && len(e.attempts) < s.most}
 	if len(e.attempts) == 0 {
 		of.load = idle
 		if of.inSlice && e.place < d.lateSlice {
@@ -450,10 +450,10 @@
 // likely gives executors with an open token that may be of use, by bounds alone: what it leaves out is of none.
 func (d *Dispatcher) likely(w *wish) iter.Seq[*executor] {
 	return func(yield func(*executor) bool) {
-		if d.inGroup(w.job) && w.class.dedupGroup != DedupZone {
+		if d.boundToDedupGroup(w.job) && w.class.dedupGroup != DedupZone {
 			for _, e := range d.ranked {
 				d.looks++
-				if (d.abroad(e) > 0) == w.far && !yield(e) {
+				if (d.remoteSide(e) > 0) == w.far && !yield(e) {
 					return
 				}
 			}
@@ -519,7 +519,7 @@
 	if g.far != w.far || g.keeper != keeper {
 		return false
 	}
-	if d.inGroup(w.job) {
+	if d.boundToDedupGroup(w.job) {
 		return !w.late || g.load != loaded
 	}
 	return g.inSlice && (!w.late || g.load == spare || g.load == idle && w.class.lateValue == 0)
@@ -549,7 +549,7 @@
 
 // openTo says whether any token is open that j may use: without one there is nothing to look for.
 func (d *Dispatcher) openTo(j *job, now time.Duration, asks bool) bool {
-	if d.inGroup(j) {
+	if d.boundToDedupGroup(j) {
 		return true
 	}
 	d.refile(now)
@@ -576,7 +576,7 @@
 
 // ahead says whether a stands before b among j's candidates.
 func (d *Dispatcher) ahead(a, b *executor, j *job) bool {
-	if d.inGroup(j) {
+	if d.boundToDedupGroup(j) {
 		return byRank(a, b) < 0
 	}
 	return a.place < b.place
@@ -584,7 +584,7 @@
 
 // among is e's place among j's candidates.
 func (d *Dispatcher) among(e *executor, j *job) int {
-	if d.inGroup(j) {
+	if d.boundToDedupGroup(j) {
 		i, _ := slices.BinarySearchFunc(d.ranked, e, byRank)
 		return i
 	}
@@ -593,8 +593,11 @@
 
 // anyNear says whether some executor of the own zone that j may use takes something new, free token or not.
 func (d *Dispatcher) anyNear(j *job, now time.Duration) bool {
-	near := func(e *executor) bool { d.looks++; return d.abroad(e) == 0 && d.usable(e, now) && d.fits(e, j, now) }
-	if d.inGroup(j) || d.rezoned {
+	near := func(e *executor) bool {
+		d.looks++
+		return d.remoteSide(e) == 0 && d.usable(e, now) && d.isEligible(e, j, now)
+	}
+	if d.boundToDedupGroup(j) || d.rezoned {
 		return slices.ContainsFunc(d.candidates(j), near)
 	}
 	for _, s := range d.shelves {
@@ -641,7 +644,7 @@
 		if e.places[byPace].in == nil || g == nil || !g.inSlice || (g.load == spare) != (len(e.attempts) == 0 && i < d.lateSlice) {
 			d.touch(e)
 		}
-		if d.abroad(e) == 0 {
+		if d.remoteSide(e) == 0 {
 			s := d.kinds[e.kind].shelf
 			s.near = append(s.near, e)
 		}
@@ -798,7 +801,7 @@
 
 // candidates are the slice's executors, or, for what may only be repeated in its dedup group, all of them.
 func (d *Dispatcher) candidates(j *job) []*executor {
-	if d.inGroup(j) {
+	if d.boundToDedupGroup(j) {
 		return d.ranked
 	}
 	return d.slice
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -14,14 +14,14 @@
 
 // scanned is pick as a pass over all candidates.
 func (d *Dispatcher) scanned(j *job, now time.Duration, asking bool) *executor {
-	late, crosses, home := d.late(j, now), d.crosses(j), false
+	late, crosses, home := d.isLate(j, now), d.crossesNow(j), false
 	var best *executor
 	bestSide, bestAge := 0, 0.0
 	for i, e := range d.candidates(j) {
-		if !d.usable(e, now) || !d.fits(e, j, now) {
+		if !d.usable(e, now) || !d.isEligible(e, j, now) {
 			continue
 		}
-		side := d.abroad(e)
+		side := d.remoteSide(e)
 		if crosses {
 			side = 1 - side
 		}
@@ -47,7 +47,7 @@
 			best, bestSide, bestAge = e, side, age
 		}
 	}
-	if bestSide > 0 && home && !crosses && now-j.queuedAt < d.patience(j) {
+	if bestSide > 0 && home && !crosses && now-j.queuedAt < d.crossZoneDelay(j) {
 		return nil
 	}
 	return best
@@ -57,7 +57,7 @@
 func (d *Dispatcher) scannedPace(j *job, now time.Duration) float64 {
 	best := math.Inf(1)
 	for _, e := range d.candidates(j) {
-		if e.up && d.fits(e, j, now) {
+		if e.up && d.isEligible(e, j, now) {
 			best = min(best, d.pace(e, now))
 		}
 	}
@@ -85,7 +85,7 @@
 	for _, e := range d.ranked {
 		near := false
 		for i, need := range d.requiredKinds {
-			n := &counts[d.abroad(e)*len(d.requiredKinds)+i]
+			n := &counts[d.remoteSide(e)*len(d.requiredKinds)+i]
 			if now >= e.coldUntil && d.usable(e, now) && (need == AnyKind || need == e.kind) && *n < size {
 				near = true
 				*n++
@@ -172,7 +172,7 @@
 // compareTakers looks for batch jobs that could go and that takers leave out, however few are held.
 func (w *drawn) compareTakers() {
 	d := w.Dispatcher
-	for _, list := range [...][]*job{d.held, d.heldLate, d.hedgeQueue} {
+	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
 		d.takers = d.takers[:0]
 		d.fileTakers(list, w.now)
 		for _, j := range list {
@@ -225,7 +225,7 @@
 		if asks && !(d.mayTell && d.many()) {
 			continue
 		}
-		got, want := d.pick(j, w.now, asks), d.scanned(j, w.now, asks)
+		got, want := d.pickExecutor(j, w.now, asks), d.scanned(j, w.now, asks)
 		w.check++
 		if got != want {
 			w.t.Fatalf("seed %d, %v: %s%s asking=%v: the index gives %v, the scan %v", w.seed, w.now, as, j.id, asks, name(got), name(want))
@@ -237,7 +237,7 @@
 			w.found[w.sort(j, want, as, asks)]++
 		}
 	}
-	if got, want := d.bestPace(j, w.now), d.scannedPace(j, w.now); got != want {
+	if got, want := d.bestPaceFor(j, w.now), d.scannedPace(j, w.now); got != want {
 		w.t.Fatalf("seed %d, %v: %s%s: the index gives a pace of %v, the scan %v", w.seed, w.now, as, j.id, got, want)
 	}
 }
@@ -246,13 +246,13 @@
 	switch d := w.Dispatcher; {
 	case asks:
 		return "of a keeper"
-	case d.inGroup(j):
+	case d.boundToDedupGroup(j):
 		return "in a dedup group"
 	case w.now < e.coldUntil:
 		return "cold"
-	case d.crosses(j) && d.abroad(e) > 0:
+	case d.crossesNow(j) && d.remoteSide(e) > 0:
 		return "crossing"
-	case d.late(j, w.now):
+	case d.isLate(j, w.now):
 		return "late"
 	case len(j.attempts) > 0 && as == "":
 		return "a copy"
@@ -425,11 +425,11 @@
 	e.free = nil
 	d.touch(e)
 	d.JobArrived(now, Arrival{Job: "j", Tenant: -1, Work: 100 * time.Millisecond, Budget: 5 * time.Second})
-	if got := d.pick(d.jobs["j"], now, false); got == nil || got.id != "far" {
+	if got := d.pickExecutor(d.jobs["j"], now, false); got == nil || got.id != "far" {
 		t.Fatal("with both in another zone: ", name(got))
 	}
 	d.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Executor: "moves", Zone: 0, StartedLongAgo: true, Weight: 1}})
-	if got, want := d.pick(d.jobs["j"], now, false), d.scanned(d.jobs["j"], now, false); got != want || want != nil {
+	if got, want := d.pickExecutor(d.jobs["j"], now, false), d.scanned(d.jobs["j"], now, false); got != want || want != nil {
 		t.Fatalf("with one at home: %s, the scan %s", name(got), name(want))
 	}
 }
@@ -607,8 +607,8 @@
 			d.JobArrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Tenant: -1, Work: 4 * time.Second, Budget: 60 * time.Second})
 			settle()
 		}
-		if len(sent) != n || len(d.held) != n {
-			t.Fatalf("%d executors: %d are out, %d held", n, len(sent), len(d.held))
+		if len(sent) != n || len(d.queue) != n {
+			t.Fatalf("%d executors: %d are out, %d held", n, len(sent), len(d.queue))
 		}
 		now += time.Millisecond
 		weighed := d.weighed
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -34,35 +34,35 @@
 
 // The matters that the design leaves open, as plain ratios.
 const (
-	theta        = 0.3  // worker-side share of queuing above which the executor's queue is to blame
-	heldEmpty    = 0.5  // over this r, what waits here counts as an empty held queue at the tail
-	slackTarget  = 0.5  // slowdown target: this part of the slack in the quoted time spent queuing
-	firstQuota   = 2    // the design's start
-	quotaCap     = 8    // the design's finite cap
-	intervals    = 0.4  // the interval, as a part of the shortest outer limit
-	lateWait     = 0.5  // part of the outer limit that a late batch job is held
-	lateSharers  = 2    // nodes that send an executor their late batch jobs
-	manyNodes    = 6    // from so many on a node uses a part of the executors
-	sharers      = 3    // nodes whose slices an executor is in, while that leaves a node leastSlice of them
-	leastSlice   = 3    // executors of each zone side and bound kind in a slice at least; with keepers twice
-	fullZone     = 1.3  // batch jobs held a core from which a zone counts as full, where the list tells
-	fullPart     = 0.3  // part of allocations that do not start at once from which a zone counts as full
-	fullWait     = 2.0  // and elsewhere: what starts take there, in shortest quoted times
-	smallChange  = 0.1  // part of a batch job's value that the price of moving it may be
-	fade         = 0.85 // weight that an older observation keeps when a new one comes
-	crawl        = 2.0  // times the usual pace from which an executor counts as crawling
-	margin       = 1.1  // what a prediction leaves over for a hinted batch job
-	hintMargin   = 1.25 // and for one without a hint, and for work sent to a cold executor
-	lateTimes    = 5.0  // times its foretold running time from which one without a start notice had to wait
-	fewLate      = 0.1  // part of starts that may be late where a keeper lends one place more
-	mostSilences = 8    // times the usual span at most until one that is silent, or errs, is tried again
-	restAfter    = 4    // intervals that a keeper leaves a lowered quota
-	fullRest     = 2.0  // running times that a full executor's token rests, for each turned away in a row
-	remembered   = 0.1  // of what is foretold: a tagged batch job done in less was done before
-	needStep     = 0.05 // by which a try that was too short teaches
-	mostCurt     = 0.3  // part of a tenant's first tries with short budgets from which budgets tell nothing
-	fewCame      = 2.0  // batch jobs of a tenant by which chance may bring it over its part here
-	mostAgain    = 3.0  // times that a batch job which was turned away comes again, here and elsewhere
+	theta               = 0.3  // worker-side share of queuing above which the executor's queue is to blame
+	heldEmpty           = 0.5  // over this r, what waits here counts as an empty held queue at the tail
+	slackTarget         = 0.5  // slowdown target: this part of the slack in the quoted time spent queuing
+	firstQuota          = 2    // the design's start
+	quotaCap            = 8    // the design's finite cap
+	intervals           = 0.4  // the interval, as a part of the shortest outer limit
+	lateQueueFraction   = 0.5  // part of the outer limit that a late batch job is held
+	lateSharers         = 2    // nodes that send an executor their late batch jobs
+	manyNodes           = 6    // from so many on a node uses a part of the executors
+	sharers             = 3    // nodes whose slices an executor is in, while that leaves a node leastSlice of them
+	leastSlice          = 3    // executors of each zone side and bound kind in a slice at least; with keepers twice
+	fullZone            = 1.3  // batch jobs held a core from which a zone counts as full, where the list tells
+	fullPart            = 0.3  // part of allocations that do not start at once from which a zone counts as full
+	fullWait            = 2.0  // and elsewhere: what starts take there, in shortest quoted times
+	maxMigrationCost    = 0.1  // part of a batch job's value that the price of moving it may be
+	fade                = 0.85 // weight that an older observation keeps when a new one comes
+	crawl               = 2.0  // times the usual pace from which an executor counts as crawling
+	hintedMargin        = 1.1  // what a prediction leaves over for a hinted batch job
+	unhintedMargin      = 1.25 // and for one without a hint, and for work sent to a cold executor
+	lateTimes           = 5.0  // times its foretold running time from which one without a start notice had to wait
+	fewLate             = 0.1  // part of starts that may be late where a keeper lends one place more
+	mostSilences        = 8    // times the usual span at most until one that is silent, or errs, is tried again
+	restAfter           = 4    // intervals that a keeper leaves a lowered quota
+	fullRest            = 2.0  // running times that a full executor's token rests, for each turned away in a row
+	remembered          = 0.1  // of what is foretold: a tagged batch job done in less was done before
+	budgetMarginStep    = 0.05 // by which a try that was too short teaches
+	maxShortBudgetRatio = 0.3  // part of a tenant's first tries with short budgets from which budgets tell nothing
+	minTenantArrivals   = 2.0  // batch jobs of a tenant by which chance may bring it over its part here
+	maxClientRetries    = 3.0  // times that a batch job which was turned away comes again, here and elsewhere
 )
 
 // many says whether the nodes are so many that one can't use all executors: then it uses a part of them.
@@ -95,7 +95,7 @@
 	}
 	d.enlist()
 	d.dropGone(what != IncrementalUpdate)
-	d.stale, d.moved, d.freed = true, true, true
+	d.stale, d.moved, d.tokenFreed = true, true, true
 	d.zoneLoads(now)
 }
 
@@ -166,7 +166,7 @@
 		near := false
 		d.standsTo(e, now)
 		for i, need := range d.requiredKinds {
-			n := &counts[d.abroad(e)*len(d.requiredKinds)+i]
+			n := &counts[d.remoteSide(e)*len(d.requiredKinds)+i]
 			if now < e.coldUntil || !d.usable(e, now) || need != AnyKind && need != e.kind || *n >= size {
 				continue
 			}
@@ -281,7 +281,7 @@
 	part := d.warmth(e, now) * min(1, max(e.size, e.weight)/k.size)
 	budget := d.coldWork * part * k.surePlaces() / max(k.pace, d.pace(e, now))
 	if e.started < 0 && now < d.fallWindow { // Guards against a process that starts again:
-		budget *= hintMargin - 1 // the one before may have spent all but what the margin on work leaves over.
+		budget *= unhintedMargin - 1 // the one before may have spent all but what the margin on work leaves over.
 	}
 	e.colds = slices.DeleteFunc(e.colds, func(s spend) bool { return s.at+d.fallWindow <= now })
 	for _, s := range e.colds {
@@ -293,7 +293,7 @@
 // slowStartWork is what j counts for at a cold executor: more than it is thought to be, the more so without a hint
 // the fewer of its track are known.
 func (j *job) slowStartWork() time.Duration {
-	m := hintMargin
+	m := unhintedMargin
 	if !j.hinted {
 		m *= 1 + 2/float64(1+j.class.samples)
 	}
@@ -302,23 +302,23 @@
 
 // ---- What a batch job may do and is worth ----
 
-// fits says whether e is of the bound kind and, after an allocation that may have run, in the dedup group.
-func (d *Dispatcher) fits(e *executor, j *job, now time.Duration) bool {
+// isEligible says whether e is of the bound kind and, after an allocation that may have run, in the dedup group.
+func (d *Dispatcher) isEligible(e *executor, j *job, now time.Duration) bool {
 	if j.class.kind != AnyKind && j.class.kind != e.kind {
 		return false
 	}
 	group := j.mayHaveRun == nil || j.class.idempotency == Idempotent || j.class.dedupGroup == DedupAllExecutors ||
 		j.class.dedupGroup == DedupZone && e.zone == j.mayHaveRun.zone || j.class.dedupGroup == DedupCell && e.cell == j.mayHaveRun.cell
-	return group && d.mayRepeat(j, now)
+	return group && d.retryAllowed(j, now)
 }
 
-// mayRepeat is rule 2 for a further allocation.
-func (d *Dispatcher) mayRepeat(j *job, now time.Duration) bool {
+// retryAllowed is rule 2 for a further allocation.
+func (d *Dispatcher) retryAllowed(j *job, now time.Duration) bool {
 	return j.mayHaveRun == nil || j.class.idempotency == Idempotent ||
 		j.class.idempotency == IdempotentWithKey && now < j.mayHaveRun.sentAt+j.class.dedupWindow-d.quantum
 }
 
-func (d *Dispatcher) late(j *job, now time.Duration) bool { return j.objectiveAt < now+j.work/2 }
+func (d *Dispatcher) isLate(j *job, now time.Duration) bool { return j.objectiveAt < now+j.work/2 }
 
 // marginalValue is what handling j in its quoted time adds to the operators' measure, in mean batch jobs: its part
 // of all earnings, and, in the track that fares worst, its part of that track's.
@@ -331,21 +331,21 @@
 	return max(v*d.tenantFactor(j.tenant), 1e-9)
 }
 
-// patience is how long j waits for its own zone before another zone's tokens open to it: the part of its
+// crossZoneDelay is how long j waits for its own zone before another zone's tokens open to it: the part of its
 // slack that the price of crossing is of its value. Below its price it never crosses.
-func (d *Dispatcher) patience(j *job) time.Duration {
+func (d *Dispatcher) crossZoneDelay(j *job) time.Duration {
 	if part := d.crossZoneCost / d.marginalValue(j); part < 1 {
 		return times(max(0, j.objectiveAt-j.queuedAt-j.work), part)
 	}
 	return Endless / 4
 }
 
-// crosses says whether j goes to another zone at once: so many of those that gain by it as bring the loads
+// crossesNow says whether j goes to another zone at once: so many of those that gain by it as bring the loads
 // together, each by a chance of its own, so that nodes don't turn with one list. Guards against a zone with
 // far more traffic than executors, where a token is always free.
-func (d *Dispatcher) crosses(j *job) bool {
-	return d.crossZoneCost > 0 && d.homeLoad > 1 &&
-		j.crossChance < (d.homeLoad-d.awayLoad)/d.homeLoad-d.crossZoneCost/d.marginalValue(j)
+func (d *Dispatcher) crossesNow(j *job) bool {
+	return d.crossZoneCost > 0 && d.localLoad > 1 &&
+		j.crossChance < (d.localLoad-d.remoteLoad)/d.localLoad-d.crossZoneCost/d.marginalValue(j)
 }
 
 // ---- Placing ----
@@ -354,10 +354,10 @@
 func (d *Dispatcher) JobArrived(now time.Duration, in Arrival) {
 	d.turn(now)
 	t := d.classes[min(max(0, int(in.Class)), len(d.classes)-1)]
-	j := &job{id: in.Job, class: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, predictionMargin: margin,
+	j := &job{id: in.Job, class: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, predictionMargin: hintedMargin,
 		startMargin: 1, arrivedAt: now, deadlineAt: now + in.Budget, crossChance: d.chance()}
 	if !j.hinted {
-		j.work, j.predictionMargin = t.meanWork, hintMargin
+		j.work, j.predictionMargin = t.meanWork, unhintedMargin
 	} else {
 		t.meanWork = times(t.meanWork, fade) + times(in.Work, 1-fade)
 	}
@@ -372,10 +372,10 @@
 	lacks, spent := t.fullBudget-in.Budget, time.Duration(0)
 	first := !in.ClientRetry && lacks > d.gap
 	t.recordArrival(lacks > d.quantum)
-	curt := d.marks && (j.tenant.recordFirstTry(in.ClientRetry, first) > mostCurt || first)
+	curt := d.clientsMarkRetries && (j.tenant.recordFirstTry(in.ClientRetry, first) > maxShortBudgetRatio || first)
 	switch {
 	case lacks <= d.quantum:
-	case !d.marks && lacks > d.heldFor(j)+d.comeBack+max(0, d.stood) && t.shortBudgets > fewCame+mostAgain*t.rejectedFirstTries:
+	case !d.clientsMarkRetries && lacks > d.maxQueueTime(j)+d.retryAfter+max(0, d.stood) && t.shortBudgets > minTenantArrivals+maxClientRetries*t.rejectedFirstTries:
 		// One try before can't have spent so much, and more such come than were turned away: clients wait for less.
 	case !curt:
 		spent = max(0, t.deadline-in.Budget)
@@ -384,27 +384,27 @@
 		j.predictionMargin = max(j.predictionMargin, j.startMargin)
 	}
 	j.objectiveAt = min(now-spent+j.latencyObjective(), j.deadlineAt)
-	d.closeBy(j)
+	d.capToShutdown(j)
 	j.firstTry = spent == 0 && !in.ClientRetry
 	d.recordRequested(j, j.firstTry)
 	j.shed = d.talks && d.below(j)
 	d.jobs[in.Job] = j
-	d.hold(j, now)
+	d.queueJob(j, now)
 	d.schedule(now, j, nil)
 	d.wants = true // it has its own look; of those held none can go that could not before
 }
 
-// heldFor is how long a node keeps a batch job at most for want of a token, before its client may come again.
-func (d *Dispatcher) heldFor(j *job) time.Duration {
+// maxQueueTime is how long a node keeps a batch job at most for want of a token, before its client may come again.
+func (d *Dispatcher) maxQueueTime(j *job) time.Duration {
 	if j.class.lateValue > 0 {
-		return times(j.class.deadline, lateWait)
+		return times(j.class.deadline, lateQueueFraction)
 	}
 	return j.latencyObjective()
 }
 
-// hold puts j among the held ones: least slack to the quoted time over what is earned for the work goes
+// queueJob puts j among the held ones: least slack to the quoted time over what is earned for the work goes
 // first, late ones after all others.
-func (d *Dispatcher) hold(j *job, now time.Duration) {
+func (d *Dispatcher) queueJob(j *job, now time.Duration) {
 	slack := j.objectiveAt - now - j.work
 	if j.isQueued && j.queuedLate == (slack < 0) {
 		return
@@ -412,14 +412,14 @@
 	if !j.isQueued {
 		j.queuedAt = now
 	}
-	d.unhold(j)
+	d.dequeue(j)
 	density := d.marginalValue(j) / j.work.Seconds() / d.meanDensity
 	j.isQueued, j.queuedLate = true, slack < 0
 	if j.queuedLate {
 		slack = times(j.class.deadline, 1/max(j.class.lateValue, 1e-3))
 	}
 	j.queueKey = now + times(slack, 1/max(density, 1e-3))
-	d.insert(j)
+	d.enqueue(j)
 }
 
 // Place says where to send a batch job, or not yet, or never.
@@ -429,32 +429,32 @@
 		return Decision{}
 	}
 	if len(j.attempts) > 0 {
-		if e := d.pick(j, now, false); e != nil {
+		if e := d.pickExecutor(j, now, false); e != nil {
 			return d.dispatch(j, e, now)
 		}
 		return Decision{}
 	}
-	d.hold(j, now)
+	d.queueJob(j, now)
 	// In the fleet's overload a further allocation of what never ran and is below the line by now is too much.
 	j.shed = j.shed || j.attemptCount > 0 && j.mayHaveRun == nil && d.line.Level > d.rung(j)
-	if j.shed || now >= j.deadlineAt-d.quantum || j.attemptCount >= j.class.maxAttempts || !d.mayRepeat(j, now) {
-		return d.giveUp(j)
+	if j.shed || now >= j.deadlineAt-d.quantum || j.attemptCount >= j.class.maxAttempts || !d.retryAllowed(j, now) {
+		return d.rejectOrFail(j)
 	}
-	to, lastStart := d.pick(j, now, false), time.Duration(0)
+	to, lastStart := d.pickExecutor(j, now, false), time.Duration(0)
 	if to != nil {
-		lastStart = d.lastStart(j, d.pace(to, now))
+		lastStart = d.latestStart(j, d.pace(to, now))
 	}
 	if to == nil || now > lastStart { // else there is time for the quickest as well
-		if lastStart = d.lastStart(j, d.bestPace(j, now)); now > lastStart {
-			return d.giveUp(j)
+		if lastStart = d.latestStart(j, d.bestPaceFor(j, now)); now > lastStart {
+			return d.rejectOrFail(j)
 		}
 	}
 	if to != nil {
 		return d.dispatch(j, to, now)
 	}
-	d.waited = d.waited || !j.queuedLate
+	d.queuedThisInterval = d.queuedThisInterval || !j.queuedLate
 	next := min(max(lastStart, now)+d.quantum, j.deadlineAt-d.quantum)
-	for _, turn := range [...]time.Duration{j.queuedAt + d.patience(j), j.objectiveAt - j.work + d.quantum} {
+	for _, turn := range [...]time.Duration{j.queuedAt + d.crossZoneDelay(j), j.objectiveAt - j.work + d.quantum} {
 		if turn > now {
 			next = min(next, turn)
 		}
@@ -464,12 +464,12 @@
 	return Decision{Action: Enqueue}
 }
 
-// lastStart is when an executor of that pace must begin on j at the latest.
-func (d *Dispatcher) lastStart(j *job, pace float64) time.Duration {
+// latestStart is when an executor of that pace must begin on j at the latest.
+func (d *Dispatcher) latestStart(j *job, pace float64) time.Duration {
 	end := j.objectiveAt
 	if j.class.lateValue > 0 {
 		// Not to the outer limit: who has waited half of it with nothing out is told to come back instead.
-		end = min(j.deadlineAt, j.queuedAt+d.heldFor(j))
+		end = min(j.deadlineAt, j.queuedAt+d.maxQueueTime(j))
 	}
 	return end - times(j.work, pace*j.startMargin)
 }
@@ -482,46 +482,46 @@
 	return !d.admitted(j, line.Level == 0 || rung > line.Level || marginal)
 }
 
-// giveUp answers at once. A pushback says that nothing happened or that trying again is harmless: rule 2.
-func (d *Dispatcher) giveUp(j *job) Decision {
+// rejectOrFail answers at once. A pushback says that nothing happened or that trying again is harmless: rule 2.
+func (d *Dispatcher) rejectOrFail(j *job) Decision {
 	d.removeJob(j)
 	j.class.rejectedFirstTries += flag(j.firstTry)
 	if j.shed { // they come back at times of their own, not all together
-		return Decision{Action: Reject, RetryAfter: times(d.comeBack, (1+d.chance())/2)}
+		return Decision{Action: Reject, RetryAfter: times(d.retryAfter, (1+d.chance())/2)}
 	}
 	d.lost(j)
 	if j.mayHaveRun == nil || j.class.idempotency == Idempotent || j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors {
-		return Decision{Action: Reject, RetryAfter: d.comeBack}
+		return Decision{Action: Reject, RetryAfter: d.retryAfter}
 	}
 	return Decision{Action: Fail}
 }
 
-// inGroup says whether j may only be repeated in its dedup group.
-func (d *Dispatcher) inGroup(j *job) bool {
+// boundToDedupGroup says whether j may only be repeated in its dedup group.
+func (d *Dispatcher) boundToDedupGroup(j *job) bool {
 	return j.mayHaveRun != nil && j.class.idempotency == IdempotentWithKey && j.class.dedupGroup != DedupAllExecutors
 }
 
-// pick finds the executor with the oldest free token that j may take now, or, asking, whose keeper is to be
+// pickExecutor finds the executor with the oldest free token that j may take now, or, asking, whose keeper is to be
 // asked for a place. A token is passed over where its executor can't answer in time, unless j is late anyway,
 // and ages at its weight in the list, over its pace and the wait there: many nodes have one token at least
 // each.
-func (d *Dispatcher) pick(j *job, now time.Duration, asking bool) *executor {
-	if !d.mayRepeat(j, now) || !d.openTo(j, now, asking) {
+func (d *Dispatcher) pickExecutor(j *job, now time.Duration, asking bool) *executor {
+	if !d.retryAllowed(j, now) || !d.openTo(j, now, asking) {
 		return nil
 	}
-	late, crosses := d.late(j, now), d.crosses(j)
+	late, crosses := d.isLate(j, now), d.crossesNow(j)
 	w := wish{job: j, now: now, late: late, asks: asking, mostPace: j.mostPace(now, late)}
-	if !d.inGroup(j) && d.atLeast(j.class.kind, now) > w.mostPace {
+	if !d.boundToDedupGroup(j) && d.atLeast(j.class.kind, now) > w.mostPace {
 		return nil
 	}
 	for side := range 2 {
-		if side > 0 && !crosses && now-j.queuedAt < d.patience(j) && d.anyNear(j, now) {
+		if side > 0 && !crosses && now-j.queuedAt < d.crossZoneDelay(j) && d.anyNear(j, now) {
 			return nil
 		}
 		var best *executor
 		w.far, w.least = side > 0 != crosses, -1
 		for e := range d.likely(&w) {
-			age := d.age(e, &w)
+			age := d.tokenAge(e, &w)
 			if age > w.least || age == w.least && best != nil && d.ahead(e, best, j) {
 				best, w.least = e, age
 			}
@@ -533,11 +533,11 @@
 	return nil
 }
 
-// age is that of e's oldest free token, or -1 where w's batch job may not take it now.
-func (d *Dispatcher) age(e *executor, w *wish) float64 {
+// tokenAge is that of e's oldest free token, or -1 where w's batch job may not take it now.
+func (d *Dispatcher) tokenAge(e *executor, w *wish) float64 {
 	j, now := w.job, w.now
 	d.weighed++
-	if !d.usable(e, now) || !d.fits(e, j, now) {
+	if !d.usable(e, now) || !d.isEligible(e, j, now) {
 		return -1
 	}
 	// Late ones must not fill the places of those still to come: they go where nothing of ours is out, and,
@@ -619,7 +619,7 @@
 		e.broke = true
 	case TimedOut, Canceled:
 		if j.shortBudget && how == TimedOut {
-			j.tenant.budgetMargin = min(j.tenant.budgetMargin+4*needStep, 1.5)
+			j.tenant.budgetMargin = min(j.tenant.budgetMargin+4*budgetMarginStep, 1.5)
 		}
 		// The executor may still be on it: the token stays taken until the work would be over.
 		begun := now
@@ -646,7 +646,7 @@
 func (d *Dispatcher) recordSuccess(j *attempt, e *executor, now time.Duration) {
 	d.alive(e, now)
 	if j.shortBudget {
-		j.tenant.budgetMargin = max(j.tenant.budgetMargin-needStep, 0)
+		j.tenant.budgetMargin = max(j.tenant.budgetMargin-budgetMarginStep, 0)
 	}
 	d.recordCompletion(j, now)
 	if e.inCap > 0 {
@@ -719,7 +719,7 @@
 	}
 	if begun && repeatable && d.canHedge {
 		if !j.hedgeWanted && d.wantsHedge(j.job, now) {
-			j.hedgeWanted, d.freed, d.wants, d.hedgeQueue = true, true, true, append(d.hedgeQueue, j.job)
+			j.hedgeWanted, d.tokenFreed, d.wants, d.hedgeQueue = true, true, true, append(d.hedgeQueue, j.job)
 		}
 		return false
 	}
@@ -737,7 +737,7 @@
 	}
 	if to == nil || !j.running {
 		// A move pays the price of crossing again, so it must be small change.
-		return to != nil && (d.abroad(to) == 0 || d.crossZoneCost < smallChange*d.marginalValue(j.job))
+		return to != nil && (d.remoteSide(to) == 0 || d.crossZoneCost < maxMigrationCost*d.marginalValue(j.job))
 	}
 	left = now - j.startedAt
 	if j.progress > 0.02 {
@@ -749,7 +749,7 @@
 // wantsHedge says whether a second allocation of j may still earn something.
 func (d *Dispatcher) wantsHedge(j *job, now time.Duration) bool {
 	return !j.finished && len(j.attempts) == 1 && j.attemptCount < j.class.maxAttempts && d.line.Level == 0 &&
-		now < j.deadlineAt-d.quantum && (!d.late(j, now) || j.class.lateValue > 0)
+		now < j.deadlineAt-d.quantum && (!d.isLate(j, now) || j.class.lateValue > 0)
 }
 
 // migrationTarget is the executor that j would go to if it were stopped now, as one that may have run.
@@ -758,7 +758,7 @@
 		j.mayHaveRun = j
 		defer func() { j.mayHaveRun = nil }()
 	}
-	return d.pick(j.job, now, false)
+	return d.pickExecutor(j.job, now, false)
 }
 
 // ---- Keepers ----
@@ -790,7 +790,7 @@
 	}
 	d.givens = d.givens[:0]
 	for _, e := range d.askedOnes() {
-		if e.place >= 0 && e.queued && len(d.held)+len(d.heldLate)+len(d.hedgeQueue) == 0 {
+		if e.place >= 0 && e.queued && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) == 0 {
 			e.asked = false
 			d.touch(e)
 			d.tell(now, e.keeper, LeaseCancel, e.sum)
@@ -800,10 +800,10 @@
 		return
 	}
 	d.wants = false
-	for _, list := range [...][]*job{d.held, d.heldLate, d.hedgeQueue} {
+	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
 		for _, j := range list[:min(len(list), len(d.slice))] {
 			if j.leaseRequestedFrom == nil || !j.leaseRequestedFrom.asked || j.leaseRequestedFrom.queued {
-				d.ask(j, d.pick(j, now, true), now)
+				d.ask(j, d.pickExecutor(j, now, true), now)
 			}
 		}
 	}
@@ -819,7 +819,7 @@
 	d.awaits(e)
 	d.schedule(now+d.shortestObjective/4, nil, nil)
 	word := LeaseRequest
-	if d.late(j, now) {
+	if d.isLate(j, now) {
 		word = LeaseRequestLate
 	}
 	d.tell(now, e.keeper, word, e.sum)
@@ -866,7 +866,7 @@
 			}
 			return
 		}
-		d.freed, d.wants, e.queued = true, true, word == LeaseWait
+		d.tokenFreed, d.wants, e.queued = true, true, word == LeaseWait
 		if word == LeaseGrant {
 			e.asked, e.given = false, true
 			d.touch(e)
@@ -941,7 +941,7 @@
 	}
 	d.keepInterval(now)
 	d.forgetPlaces()
-	d.waited, d.freed, d.stale, d.wants = len(d.held) > 0, true, true, true
+	d.queuedThisInterval, d.tokenFreed, d.stale, d.wants = len(d.queue) > 0, true, true, true
 	d.decayAverages()
 }
 
@@ -952,9 +952,9 @@
 		r = float64(e.workerWait) / float64(sum)
 	}
 	switch {
-	case e.slow && r > theta && (!d.waited || r > heldEmpty) && e.quota > 1:
+	case e.slow && r > theta && (!d.queuedThisInterval || r > heldEmpty) && e.quota > 1:
 		d.step(e, -1, now)
-	case d.waited && e.dry && r < theta && e.quota < quotaCap:
+	case d.queuedThisInterval && e.dry && r < theta && e.quota < quotaCap:
 		d.step(e, 1, now)
 	}
 }
@@ -997,7 +997,7 @@
 		d.asking = true
 		return DueTask{Task: WatchEndpoints}
 	}
-	if j := d.next(now); j != nil {
+	if j := d.nextPlaceable(now); j != nil {
 		return DueTask{Task: PlaceJob, Job: j.id}
 	}
 	for len(d.timers) > 0 && d.timers[0].at <= now {
@@ -1013,10 +1013,10 @@
 			return DueTask{Task: PlaceJob, Job: j.id}
 		case s == nil && j == nil:
 			d.unanswered(now)
-			d.stale, d.freed, d.wants = true, true, true
+			d.stale, d.tokenFreed, d.wants = true, true, true
 		}
 	}
-	if j := d.next(now); j != nil {
+	if j := d.nextPlaceable(now); j != nil {
 		return DueTask{Task: PlaceJob, Job: j.id}
 	}
 	d.askKeepers(now)
@@ -1036,9 +1036,9 @@
 	return DueTask{At: at}
 }
 
-// next is the first in the release order that a free token is open to, copies last. It is asked once after
+// nextPlaceable is the first in the release order that a free token is open to, copies last. It is asked once after
 // each change that may have opened a token, and looks at no more batch jobs than the slice has tokens for.
-func (d *Dispatcher) next(now time.Duration) *job {
+func (d *Dispatcher) nextPlaceable(now time.Duration) *job {
 	if d.stale {
 		d.reslice(now)
 	}
@@ -1046,16 +1046,16 @@
 		j.hedgeWanted = d.wantsHedge(j, now)
 		return !j.hedgeWanted
 	})
-	d.freed = d.freed && len(d.held)+len(d.heldLate)+len(d.hedgeQueue) > 0 && d.anyOpen(now)
-	for _, list := range [...][]*job{d.held, d.heldLate, d.hedgeQueue} {
-		list = list[:min(len(list), int(flag(d.freed))*2*len(d.slice))]
+	d.tokenFreed = d.tokenFreed && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) > 0 && d.anyOpen(now)
+	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
+		list = list[:min(len(list), int(flag(d.tokenFreed))*2*len(d.slice))]
 		d.findTakers(list, now)
 		for _, j := range list {
-			if d.mayGo(j, now) && d.pick(j, now, false) != nil {
+			if d.mayGo(j, now) && d.pickExecutor(j, now, false) != nil {
 				return j
 			}
 		}
 	}
-	d.freed = false
+	d.tokenFreed = false
 	return nil
 }
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -108,12 +108,12 @@
 	}
 	held, size := [2]float64{}, [2]float64{1e-9, 1e-9}
 	for _, e := range d.ranked {
-		if side := d.abroad(e); d.usable(e, now) {
+		if side := d.remoteSide(e); d.usable(e, now) {
 			held[side] += e.load * e.size
 			size[side] += e.size
 		}
 	}
-	d.homeLoad, d.awayLoad = held[0]/size[0]/fullZone, held[1]/size[1]/fullZone
+	d.localLoad, d.remoteLoad = held[0]/size[0]/fullZone, held[1]/size[1]/fullZone
 }
 
 // queued books an allocation's wait at the executor.
@@ -132,9 +132,9 @@
 	if d.liveWeights {
 		return
 	}
-	load := &d.homeLoad
-	if d.abroad(e) > 0 {
-		load = &d.awayLoad
+	load := &d.localLoad
+	if d.remoteSide(e) > 0 {
+		load = &d.remoteLoad
 	}
 	if d.tellsStart {
 		*load += (flag(wait > d.checkInterval)/fullPart - *load) * 0.1
@@ -230,17 +230,17 @@
 	return work
 }
 
-// bestPace is the pace of the quickest executor that may take j at all, or a standard one's where there is none.
-func (d *Dispatcher) bestPace(j *job, now time.Duration) float64 {
+// bestPaceFor is the pace of the quickest executor that may take j at all, or a standard one's where there is none.
+func (d *Dispatcher) bestPaceFor(j *job, now time.Duration) float64 {
 	best := math.Inf(1)
 	switch {
-	case d.inGroup(j):
+	case d.boundToDedupGroup(j):
 		for _, e := range d.ranked {
-			if e.up && d.fits(e, j, now) {
+			if e.up && d.isEligible(e, j, now) {
 				best = min(best, d.pace(e, now))
 			}
 		}
-	case d.mayRepeat(j, now):
+	case d.retryAllowed(j, now):
 		best = d.quickest(j.class.kind, now)
 	}
 	if math.IsInf(best, 1) {
@@ -252,7 +252,7 @@
 // decayAverages fades the tracks' and tenants' figures, each interval.
 func (d *Dispatcher) decayAverages() {
 	if !d.liveWeights {
-		d.awayLoad *= fade // seldom seen while nothing crosses
+		d.remoteLoad *= fade // seldom seen while nothing crosses
 	}
 	d.worstClass = nil
 	least, came := math.Inf(1), 0.0
@@ -281,7 +281,7 @@
 	for i := range d.tenants {
 		t := &d.tenants[i]
 		part := t.quotaPerSecond * max(rates/max(quotas, 1e-9), 1)
-		few := fewCame / (5 * d.interval.Seconds()) // what a rate remembers
+		few := minTenantArrivals / (5 * d.interval.Seconds()) // what a rate remembers
 		t.overQuota = (t.rate + few) / (part + few)
 	}
 }
@@ -299,7 +299,7 @@
 // ReserveSlowStartUntil tells from when on cold executors are this process's to use: another process of this node has their budget
 // until then.
 func (d *Dispatcher) ReserveSlowStartUntil(now, at time.Duration) {
-	d.coldFrom, d.stale, d.moved, d.freed = at, true, true, true
+	d.coldFrom, d.stale, d.moved, d.tokenFreed = at, true, true, true
 	if at != Endless {
 		d.schedule(max(at, now), nil, nil)
 	}
@@ -320,7 +320,7 @@
 	}
 	if answered {
 		d.moved = d.moved || e.mute
-		d.stale, d.freed = d.stale || e.mute, true
+		d.stale, d.tokenFreed = d.stale || e.mute, true
 		e.news, e.mute, e.silences = now, false, 0
 		if k := d.kept[e.sum]; k != nil && load.FreeSlots >= 0.5 && now-k.lentAt >= d.shortestObjective {
 			k.more = k.more || len(k.lent) >= k.quota
@@ -345,7 +345,7 @@
 func (d *Dispatcher) TakeLoadSummary(now time.Duration) LoadSummary {
 	t := d.tally
 	d.talks, d.tally = true, LoadSummary{}
-	for _, j := range d.held {
+	for _, j := range d.queue {
 		t.Waiting += j.pressure()
 	}
 	for _, e := range d.ranked {
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -11,10 +11,10 @@
 	d := &Dispatcher{
 		seed: s.Seed, node: NodeID(s.Node), nodes: s.Nodes, zone: s.Zone,
 		kinds: map[KindID]*kind{}, byID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
-		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, canHedge: s.MayHedge, probes: s.MayProbe, marks: s.ClientsMarkRetries,
+		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, canHedge: s.MayHedge, probes: s.MayProbe, clientsMarkRetries: s.ClientsMarkRetries,
 		valuePerWork: s.ValuePerWork, overQuotaValue: s.OverQuotaValue, crossZoneCost: s.CrossZoneCost,
 		totalWeight: s.TotalWeight, worstClassWeight: s.WorstClassWeight,
-		maxAttempts: s.MaxAttempts, canCancel: s.MayCancel, comeBack: s.MaxRetryAfter,
+		maxAttempts: s.MaxAttempts, canCancel: s.MayCancel, retryAfter: s.MaxRetryAfter,
 		quantum: s.Quantum, tellsStart: s.StartNotices, tellsEvery: s.ProgressInterval, mustAsk: s.EndpointsPolled,
 		liveWeights: s.LoadAdjustedWeights,
 		coldShare:   s.SlowStartCapacity, warmWithin: s.SlowStartDuration, fallWindow: s.OverloadWindow,
@@ -79,7 +79,7 @@
 		}
 	}
 	d.derive()
-	d.worstClass, d.stale, d.moved, d.freed = nil, true, true, true
+	d.worstClass, d.stale, d.moved, d.tokenFreed = nil, true, true, true
 	d.touchAll(d.ranked) // their rates hang on the quoted times
 	d.tick = min(d.tick, now+d.interval)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,35 +6,35 @@
 
 // Dispatcher is one node's decisions.
 type Dispatcher struct {
-	seed, count    uint32
-	node           NodeID
-	nodes          int
-	zone           ZoneID
-	classes        []*jobClass // by number, those of the past among them
-	currentClasses []*jobClass
-	tenants        []tenant
-	kinds          map[KindID]*kind
-	byID           map[ExecutorID]*executor
-	ranked         []*executor // all on the list, highest rank first
-	slice          []*executor // those that this node uses, in the same order
-	cold           []*executor // cold ones that this node carries
-	met            []*executor // those that have been in a slice and have tokens
-	requiredKinds  []KindID    // bound kinds of the tracks
-	lateSlice      int         // executors of the slice that late batch jobs may use
-	jobs           map[JobID]*job
-	held           []*job // in time still
-	heldLate       []*job // and not
-	hedgeQueue     []*job // that want a second allocation
-	timers         timerHeap
-	timerSequence  int
-	tick           time.Duration // when the interval ends
-	interval       time.Duration
-	checkInterval  time.Duration // after it an allocation that is out gets its next look
-	lists          int
-	anyGone        bool // some executor is gone from the list
-	stale          bool // the slice must be picked anew
-	waited         bool // batch jobs were held in this interval
-	freed          bool // a token has come free since the last look
+	seed, count        uint32
+	node               NodeID
+	nodes              int
+	zone               ZoneID
+	classes            []*jobClass // by number, those of the past among them
+	currentClasses     []*jobClass
+	tenants            []tenant
+	kinds              map[KindID]*kind
+	byID               map[ExecutorID]*executor
+	ranked             []*executor // all on the list, highest rank first
+	slice              []*executor // those that this node uses, in the same order
+	cold               []*executor // cold ones that this node carries
+	met                []*executor // those that have been in a slice and have tokens
+	requiredKinds      []KindID    // bound kinds of the tracks
+	lateSlice          int         // executors of the slice that late batch jobs may use
+	jobs               map[JobID]*job
+	queue              []*job // in time still
+	lateQueue          []*job // and not
+	hedgeQueue         []*job // that want a second allocation
+	timers             timerHeap
+	timerSequence      int
+	tick               time.Duration // when the interval ends
+	interval           time.Duration
+	checkInterval      time.Duration // after it an allocation that is out gets its next look
+	lists              int
+	anyGone            bool // some executor is gone from the list
+	stale              bool // the slice must be picked anew
+	queuedThisInterval bool // batch jobs were held in this interval
+	tokenFreed         bool // a token has come free since the last look
 	index
 
 	valuePerWork        bool
@@ -49,9 +49,9 @@
 	maxAttempts         int     // of tracks that have no number of their own
 	canCancel           bool
 	liveWeights         bool
-	homeLoad            float64 // how full this zone and the others are, by the list or by start waits
-	awayLoad            float64
-	comeBack            time.Duration
+	localLoad           float64 // how full this zone and the others are, by the list or by start waits
+	remoteLoad          float64
+	retryAfter          time.Duration
 	quantum             time.Duration
 	tellsStart          bool
 	tellsEvery          time.Duration
@@ -71,22 +71,22 @@
 	sleepTo             time.Duration // when it wanted the next
 	gap                 time.Duration // from its turn before until this one
 	stood               time.Duration // so much of it it stood still, though something was due
-	closing             time.Duration // when all must be over, once this node ends; 0 before
+	shutdownBy          time.Duration // when all must be over, once this node ends; 0 before
 
 	talks bool // nodes reckon a cut line together
 	line  AdmissionThreshold
 	tally LoadSummary // since it was asked for last
 
-	mayTell  bool
-	canHedge bool
-	probes   bool
-	marks    bool
-	wants    bool                       // a batch job may want to ask for a place
-	givens   []*executor                // where a place was given
-	bySum    map[ExecutorHash]*executor // by the id that nodes use among each other
-	kept     map[ExecutorHash]*keep     // what this node keeps for all
-	keeps    []*keep
-	words    []DueTask // to be said; probes and notes among them
+	mayTell            bool
+	canHedge           bool
+	probes             bool
+	clientsMarkRetries bool
+	wants              bool                       // a batch job may want to ask for a place
+	givens             []*executor                // where a place was given
+	bySum              map[ExecutorHash]*executor // by the id that nodes use among each other
+	kept               map[ExecutorHash]*keep     // what this node keeps for all
+	keeps              []*keep
+	words              []DueTask // to be said; probes and notes among them
 }
 
 // jobClass holds a track's derived figures and running averages.
--- a/policy/takers.go
+++ b/policy/takers.go
@@ -30,7 +30,7 @@
 }
 
 // alone says whether j is looked at by itself: its candidates are others than those of its class.
-func (d *Dispatcher) alone(j *job) bool { return d.inGroup(j) || len(j.attempts) > 0 }
+func (d *Dispatcher) alone(j *job) bool { return d.boundToDedupGroup(j) || len(j.attempts) > 0 }
 
 // findTakers finds them for a list of held batch jobs, where they are many.
 func (d *Dispatcher) findTakers(list []*job, now time.Duration) {
@@ -45,7 +45,7 @@
 		if d.alone(j) {
 			continue
 		}
-		late := d.late(j, now)
+		late := d.isLate(j, now)
 		if t := d.takersOf(j.class, late); t != nil {
 			t.ease(j)
 			continue
@@ -64,7 +64,7 @@
 	w := wish{job: easy, now: now, late: t.late, mostPace: easy.mostPace(now, t.late), least: math.Inf(-1)}
 	for _, w.far = range [...]bool{false, true} {
 		for e := range d.likely(&w) {
-			if d.age(e, &w) <= -1 {
+			if d.tokenAge(e, &w) <= -1 {
 				continue
 			}
 			t.found = append(t.found, e)
@@ -90,19 +90,19 @@
 	if len(d.takers) == 0 || d.alone(j) {
 		return true
 	}
-	w := wish{job: j, now: now, late: d.late(j, now)}
+	w := wish{job: j, now: now, late: d.isLate(j, now)}
 	t := d.takersOf(j.class, w.late)
 	if len(t.found) == 0 || !w.late && j.objectiveAt < max(t.ends, now+times(t.wait+times(j.work, t.pace), j.predictionMargin)) {
 		return false
 	}
-	crosses, other := d.crosses(j), false
+	crosses, other := d.crossesNow(j), false
 	for _, e := range t.found {
-		if d.age(e, &w) > -1 {
-			if (d.abroad(e) > 0) == crosses {
+		if d.tokenAge(e, &w) > -1 {
+			if (d.remoteSide(e) > 0) == crosses {
 				return true
 			}
 			other = true
 		}
 	}
-	return other && (crosses || now-j.queuedAt >= d.patience(j) || !d.anyNear(j, now))
+	return other && (crosses || now-j.queuedAt >= d.crossZoneDelay(j) || !d.anyNear(j, now))
 }
