--- a/policy/books.go
+++ b/policy/books.go
@@ -57,8 +57,8 @@
 	heap.Push(&d.timers, timer{at: at, sequence: d.timerSequence, generation: s.generation, attempt: s})
 }
 
-// knowKind makes room for a kind's figures: a known executor may come back as another kind, too.
-func (d *Dispatcher) knowKind(id KindID, weight float64) {
+// addKind makes room for a kind's figures: a known executor may come back as another kind, too.
+func (d *Dispatcher) addKind(id KindID, weight float64) {
 	if d.kinds[id] == nil {
 		d.kinds[id] = &kind{pace: 1, parallel: 1, size: weight}
 		d.newShelf(id, d.kinds[id])
@@ -76,7 +76,7 @@
 
 // rankOf is an executor's rank at this node: a hash of both, reckoned once.
 func (d *Dispatcher) rankOf(id ExecutorID) uint32 {
-	b := binary.LittleEndian.AppendUint32([]byte(id), uint32(d.node))
+	b := binary.LittleEndian.AppendUint32([]byte(id), uint32(d.nodeID))
 	// A checksum alone is linear in the node; the golden ratio's odd multiplier mends that.
 	return crc32.ChecksumIEEE(b) * 0x9e3779b1
 }
@@ -89,9 +89,9 @@
 	return cmp.Compare(b.rank, a.rank)
 }
 
-// enlist puts new executors where their ranks belong: a list of hundreds that grows by few is not sorted anew.
-func (d *Dispatcher) enlist() {
-	if fresh := d.fresh; len(fresh) > 8 {
+// insertRanked puts new executors where their ranks belong: a list of hundreds that grows by few is not sorted anew.
+func (d *Dispatcher) insertRanked() {
+	if fresh := d.unranked; len(fresh) > 8 {
 		d.ranked = append(d.ranked, fresh...)
 		slices.SortFunc(d.ranked, byRank)
 	} else {
@@ -100,31 +100,31 @@
 			d.ranked = slices.Insert(d.ranked, i, e)
 		}
 	}
-	d.fresh = nil
+	d.unranked = nil
 }
 
-// dropGone drops executors that are gone, those that a whole list does not name among them, once nothing of ours is
+// dropRemoved drops executors that are gone, those that a whole list does not name among them, once nothing of ours is
 // there: machines that are replaced come under new ids.
-func (d *Dispatcher) dropGone(whole bool) {
+func (d *Dispatcher) dropRemoved(whole bool) {
 	if whole {
 		for _, e := range d.ranked {
-			if e.listed != d.lists {
-				e.up, e.gone, d.anyGone = false, true, true
+			if e.listedIn != d.listCount {
+				e.available, e.removed, d.anyRemoved = false, true, true
 				d.touch(e)
 			}
 		}
 	}
-	if !d.anyGone {
+	if !d.anyRemoved {
 		return
 	}
-	d.anyGone = false
+	d.anyRemoved = false
 	d.ranked = slices.DeleteFunc(d.ranked, func(e *executor) bool {
-		drop := e.gone && e.taken == 0
+		drop := e.removed && e.taken == 0
 		if drop {
-			delete(d.byID, e.id)
+			delete(d.executorsByID, e.id)
 			delete(d.bySum, e.sum)
 		}
-		d.anyGone = d.anyGone || e.gone && !drop
+		d.anyRemoved = d.anyRemoved || e.removed && !drop
 		return drop
 	})
 }
@@ -152,7 +152,7 @@
 
 // remoteSide is 1 for an executor of another zone, where that has a price.
 func (d *Dispatcher) remoteSide(e *executor) int {
-	if d.crossZoneCost > 0 && e.zone != d.zone {
+	if d.crossZoneCost > 0 && e.zone != d.ownZone {
 		return 1
 	}
 	return 0
@@ -303,27 +303,27 @@
 		return
 	}
 	means[AnyKind] = mean{} // reckoned, though none is met yet
-	for _, e := range d.met {
-		if e.up {
+	for _, e := range d.withTokens {
+		if e.available {
 			means[e.kind] = means[e.kind].with(e.quota)
 		}
 	}
 }
 
-// meet takes an executor among those met.
-func (d *Dispatcher) meet(e *executor) {
-	d.mets++
-	e.metAs = d.mets
-	d.met = append(d.met, e)
+// addWithTokens takes an executor among those met.
+func (d *Dispatcher) addWithTokens(e *executor) {
+	d.tokenOrders++
+	e.tokenOrder = d.tokenOrders
+	d.withTokens = append(d.withTokens, e)
 	d.touch(e)
 }
 
-// leaveGone takes those that are gone from among those met, once nothing of ours is there.
-func (d *Dispatcher) leaveGone() {
-	d.met = slices.DeleteFunc(d.met, func(e *executor) bool {
-		drop := e.gone && e.taken == 0
+// dropRemovedWithTokens takes those that are gone from among those met, once nothing of ours is there.
+func (d *Dispatcher) dropRemovedWithTokens() {
+	d.withTokens = slices.DeleteFunc(d.withTokens, func(e *executor) bool {
+		drop := e.removed && e.taken == 0
 		if drop {
-			e.metAs = 0
+			e.tokenOrder = 0
 		}
 		return drop
 	})
@@ -332,7 +332,7 @@
 // mute lets nothing go to an executor until it answers.
 func (d *Dispatcher) mute(e *executor, silences int) {
 	e.mute, e.silences = true, silences
-	d.stale, d.moved = true, true
+	d.subsetStale, d.subsetChanged = true, true
 	d.watch(e)
 }
 
@@ -353,7 +353,7 @@
 // ---- Places that nodes lend each other ----
 
 func (d *Dispatcher) tell(now time.Duration, to NodeID, word LeaseMessage, sum ExecutorHash) {
-	if to == d.node {
+	if to == d.nodeID {
 		d.ReceiveLeaseMessage(now, to, word, sum)
 		return
 	}
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -48,7 +48,7 @@
 
 // ExportLearned gives what was learnt, in the order of ids.
 func (d *Dispatcher) ExportLearned(now time.Duration) (k LearnedState) {
-	k.Nodes, k.MeanValue, k.MeanDensity = d.nodes, d.meanValue, d.meanDensity
+	k.Nodes, k.MeanValue, k.MeanDensity = d.nodeCount, d.meanValue, d.meanDensity
 	for id, t := range d.classes {
 		if slices.Contains(d.currentClasses, t) {
 			k.Classes = append(k.Classes, LearnedClass{JobClassID(id), t.meanWork, t.samples, t.fullBudget, t.requestedValue, t.earnedValue, t.unitValue})
@@ -58,8 +58,8 @@
 		k.Kinds = append(k.Kinds, LearnedKind{id, kind.pace, kind.size, kind.places, kind.parallel})
 	}
 	slices.SortFunc(k.Kinds, func(a, b LearnedKind) int { return cmp.Compare(a.ID, b.ID) })
-	for _, e := range d.met {
-		if !e.gone {
+	for _, e := range d.withTokens {
+		if !e.removed {
 			k.Executors = append(k.Executors, LearnedExecutor{e.id, e.quota, e.runs, e.works, e.startWait, max(0, e.held-now), e.inCap, e.silences})
 		}
 	}
@@ -73,7 +73,7 @@
 // waits and how the tracks fare are of the nodes together, and begin afresh: carried over, each of many nodes would send
 // what one of a few did.
 func (d *Dispatcher) ImportLearned(now time.Duration, k LearnedState) {
-	among := k.Nodes == 0 || k.Nodes == d.nodes
+	among := k.Nodes == 0 || k.Nodes == d.nodeCount
 	if k.MeanValue > 0 && k.MeanDensity > 0 {
 		d.meanValue, d.meanDensity = k.MeanValue, k.MeanDensity
 	}
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, in := range k.Executors {
-		e := d.byID[in.ID]
+		e := d.executorsByID[in.ID]
 		if e == nil || now < e.coldUntil || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
 			continue
 		}
@@ -112,5 +112,5 @@
 			d.step(e, 1, now)
 		}
 	}
-	d.stale, d.moved, d.tokenFreed = true, true, true
+	d.subsetStale, d.subsetChanged, d.tokenFreed = true, true, true
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -48,16 +48,16 @@
 	next.ImportLearned(last, k)
 	got := next.ExportLearned(last)
 	for _, in := range k.Executors { // those that are held back have no tokens yet
-		e := next.byID[in.ID]
+		e := next.executorsByID[in.ID]
 		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.known, e.runs, e.works, e.startWait, max(0, e.held-last), e.inCap, e.silences})
 	}
 	if !reflect.DeepEqual(got, k) {
 		t.Errorf("learnt\n%+v\nof\n%+v", got, k)
 	}
-	if next.NextTask(last); next.byID["a"].quota != k.Executors[0].Quota {
-		t.Errorf("a got a quota of %d", next.byID["a"].quota)
+	if next.NextTask(last); next.executorsByID["a"].quota != k.Executors[0].Quota {
+		t.Errorf("a got a quota of %d", next.executorsByID["a"].quota)
 	}
-	if e := next.byID["c"]; e.known != 0 {
+	if e := next.executorsByID["c"]; e.known != 0 {
 		t.Error("a cold executor took another start's quota")
 	}
 }
@@ -72,10 +72,10 @@
 		}
 	}
 	rest(old)
-	for _, e := range old.met {
+	for _, e := range old.withTokens {
 		e.quota = 7
 	}
-	crawls := old.byID["b"]
+	crawls := old.executorsByID["b"]
 	crawls.runs, crawls.works, crawls.startWait = 40, 10, 3*time.Second
 	old.classes[0].meanWork, old.classes[0].requestedValue = 700*time.Millisecond, 50
 
@@ -85,7 +85,7 @@
 	next.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	next.ImportLearned(0, old.ExportLearned(0))
 	rest(next)
-	if b := next.byID["b"]; b.runs != 40 || b.startWait != 0 || b.known != 0 {
+	if b := next.executorsByID["b"]; b.runs != 40 || b.startWait != 0 || b.known != 0 {
 		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runs, b.works, b.startWait, b.known)
 	}
 	if got := next.classes[0]; got.meanWork != 700*time.Millisecond || got.requestedValue != 0 {
@@ -118,7 +118,7 @@
 	again.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	again.ImportLearned(0, old.ExportLearned(0))
 	rest(again)
-	if a := again.byID["a"]; a.quota != 7 {
+	if a := again.executorsByID["a"]; a.quota != 7 {
 		t.Errorf("among as many nodes as before the quota is %d", a.quota)
 	}
 }
--- a/policy/index.go
+++ b/policy/index.go
@@ -155,11 +155,11 @@
 
 // sort is what all of a group have alike.
 type sort struct {
-	far     bool
-	inSlice bool
-	load    int
-	keeper  int
-	scaled  bool // rates are for a pace of the kind of 1
+	far      bool
+	inSubset bool
+	load     int
+	keeper   int
+	scaled   bool // rates are for a pace of the kind of 1
 }
 
 // group holds the open tokens of executors of one sort, by steps of their rates.
@@ -186,22 +186,22 @@
 
 // index is what the dispatcher keeps of all.
 type index struct {
-	shelves []*shelf
-	until   pile
-	touched []*executor
-	spare   []*executor // the slice as it was before, for its memory
-	looks   int         // executors looked at, for tests
-	bounds  int         // steps whose bounds were
-	weighed int         // and those weighed in full
-	filed   int         // times that an open token was filed
-	moved   bool        // what the slice hangs on has changed
-	sliceTo time.Duration
-	rezoned bool // an executor of the slice has another zone or kind than when it was picked
-	watched []*executor
-	askeds  []*executor
-	mets    int         // executors met so far
-	fresh   []*executor // that have no rank yet
-	takers  []takers    // of the list that is looked through
+	shelves          []*shelf
+	until            pile
+	touched          []*executor
+	spareSubset      []*executor // the slice as it was before, for its memory
+	looks            int         // executors looked at, for tests
+	bounds           int         // steps whose bounds were
+	weighed          int         // and those weighed in full
+	filed            int         // times that an open token was filed
+	subsetChanged    bool        // what the slice hangs on has changed
+	subsetValidUntil time.Duration
+	rezoned          bool // an executor of the slice has another zone or kind than when it was picked
+	watched          []*executor
+	askeds           []*executor
+	tokenOrders      int         // executors met so far
+	unranked         []*executor // that have no rank yet
+	takers           []takers    // of the list that is looked through
 }
 
 // newShelf makes room in the index for a kind.
@@ -272,7 +272,7 @@
 	s := d.kinds[e.kind].shelf
 	d.filePace(e, s)
 	old := e.places[byAge].in
-	if len(e.free) == 0 || e.gone || e.inCap > 0 && e.taken >= e.inCap {
+	if len(e.free) == 0 || e.removed || e.inCap > 0 && e.taken >= e.inCap {
 		if old != nil {
 			e.unfile(byAge)
 			e.unfile(byDrift)
@@ -281,15 +281,15 @@
 		}
 		return
 	}
-	of := sort{far: d.remoteSide(e) > 0, inSlice: e.place >= 0, load: loaded, keeper: cleared, scaled: e.works <= 1 && len(e.attempts) < s.most}
+	of := sort{far: d.remoteSide(e) > 0, inSubset: e.subsetRank >= 0, load: loaded, keeper: cleared, scaled: e.works <= 1 && len(e.attempts) < s.most}
 	if len(e.attempts) == 0 {
 		of.load = idle
-		if of.inSlice && e.place < d.lateSlice {
+		if of.inSubset && e.subsetRank < d.lateSubsetSize {
 			of.load = spare
 		}
 	}
 	until := Endless
-	if d.mayTell && d.many() && !e.given {
+	if d.mayTell && d.usesSubset() && !e.given {
 		switch {
 		case e.alone > now:
 			until = e.alone
@@ -522,7 +522,7 @@
 	if d.boundToDedupGroup(w.job) {
 		return !w.late || g.load != loaded
 	}
-	return g.inSlice && (!w.late || g.load == spare || g.load == idle && w.class.lateValue == 0)
+	return g.inSubset && (!w.late || g.load == spare || g.load == idle && w.class.lateValue == 0)
 }
 
 // walk goes through a step from its i-th on, and leaves out what is too young, with all that is younger, or too slow.
@@ -558,7 +558,7 @@
 			continue
 		}
 		for _, g := range s.groups {
-			if len(g.list) > 0 && g.inSlice && (g.keeper == unasked) == asks && g.keeper != awaited {
+			if len(g.list) > 0 && g.inSubset && (g.keeper == unasked) == asks && g.keeper != awaited {
 				return true
 			}
 		}
@@ -579,7 +579,7 @@
 	if d.boundToDedupGroup(j) {
 		return byRank(a, b) < 0
 	}
-	return a.place < b.place
+	return a.subsetRank < b.subsetRank
 }
 
 // among is e's place among j's candidates.
@@ -588,17 +588,17 @@
 		i, _ := slices.BinarySearchFunc(d.ranked, e, byRank)
 		return i
 	}
-	return e.place
+	return e.subsetRank
 }
 
-// anyNear says whether some executor of the own zone that j may use takes something new, free token or not.
-func (d *Dispatcher) anyNear(j *job, now time.Duration) bool {
+// anyLocalUsable says whether some executor of the own zone that j may use takes something new, free token or not.
+func (d *Dispatcher) anyLocalUsable(j *job, now time.Duration) bool {
 	near := func(e *executor) bool {
 		d.looks++
 		return d.remoteSide(e) == 0 && d.usable(e, now) && d.isEligible(e, j, now)
 	}
 	if d.boundToDedupGroup(j) || d.rezoned {
-		return slices.ContainsFunc(d.candidates(j), near)
+		return slices.ContainsFunc(d.eligibleExecutors(j), near)
 	}
 	for _, s := range d.shelves {
 		if (j.class.kind == AnyKind || j.class.kind == s.id) && slices.ContainsFunc(s.near, near) {
@@ -610,38 +610,38 @@
 
 // ---- The slice ----
 
-// startSlice begins the slice anew, and gives the one before.
-func (d *Dispatcher) startSlice() []*executor {
-	was := d.slice
+// beginSubset begins the slice anew, and gives the one before.
+func (d *Dispatcher) beginSubset() []*executor {
+	was := d.subset
 	for _, e := range was {
-		e.place = -1
+		e.subsetRank = -1
 	}
-	d.slice, d.spare = d.spare[:0], was
-	d.moved, d.rezoned, d.sliceTo = false, false, Endless
+	d.subset, d.spareSubset = d.spareSubset[:0], was
+	d.subsetChanged, d.rezoned, d.subsetValidUntil = false, false, Endless
 	return was
 }
 
-// standsTo books until when an executor that the slice was picked by stands as it does, if nothing else comes.
-func (d *Dispatcher) standsTo(e *executor, now time.Duration) {
+// limitSubsetValidity books until when an executor that the slice was picked by stands as it does, if nothing else comes.
+func (d *Dispatcher) limitSubsetValidity(e *executor, now time.Duration) {
 	for _, at := range [...]time.Duration{e.held, e.coldUntil, d.coldFrom} {
 		if at > now {
-			d.sliceTo = min(d.sliceTo, at)
+			d.subsetValidUntil = min(d.subsetValidUntil, at)
 		}
 	}
 }
 
-// endSlice gives the slice's executors their places, and files those that came, went or are for late ones no more.
-func (d *Dispatcher) endSlice(was []*executor) {
+// finishSubset gives the slice's executors their places, and files those that came, went or are for late ones no more.
+func (d *Dispatcher) finishSubset(was []*executor) {
 	for _, s := range d.shelves {
 		s.near = s.near[:0]
 	}
-	for i, e := range d.slice {
-		if e.place >= 0 {
+	for i, e := range d.subset {
+		if e.subsetRank >= 0 {
 			continue
 		}
-		e.place = i
+		e.subsetRank = i
 		g := e.group
-		if e.places[byPace].in == nil || g == nil || !g.inSlice || (g.load == spare) != (len(e.attempts) == 0 && i < d.lateSlice) {
+		if e.places[byPace].in == nil || g == nil || !g.inSubset || (g.load == spare) != (len(e.attempts) == 0 && i < d.lateSubsetSize) {
 			d.touch(e)
 		}
 		if d.remoteSide(e) == 0 {
@@ -650,11 +650,11 @@
 		}
 	}
 	for _, e := range was {
-		if e.place < 0 {
+		if e.subsetRank < 0 {
 			d.touch(e)
 		}
 	}
-	clear(d.spare[len(d.spare):cap(d.spare)]) // what is gone is not to be kept
+	clear(d.spareSubset[len(d.spareSubset):cap(d.spareSubset)]) // what is gone is not to be kept
 }
 
 // ---- Paces ----
@@ -662,7 +662,7 @@
 // filePace files an executor of the slice by its pace without what runs: that is its kind's, plus the difference
 // of its own times the part that was seen of it.
 func (d *Dispatcher) filePace(e *executor, s *shelf) {
-	if e.place < 0 {
+	if e.subsetRank < 0 {
 		e.unfile(byPace)
 		return
 	}
@@ -749,7 +749,7 @@
 	e, k := s.paces[step].list[i], s.kind.pace
 	pace := (e.runs + k) / (e.works + 1)
 	switch {
-	case !e.up:
+	case !e.available:
 	case len(e.attempts) == 0:
 		*best = min(*best, pace)
 	case pace*hairPace < *best:
@@ -776,7 +776,7 @@
 		e.watched = e.probing || e.mute
 		return !e.watched
 	})
-	slices.SortFunc(d.watched, func(a, b *executor) int { return a.metAs - b.metAs })
+	slices.SortFunc(d.watched, func(a, b *executor) int { return a.tokenOrder - b.tokenOrder })
 	return d.watched
 }
 
@@ -795,14 +795,14 @@
 		e.isAsked = e.asked
 		return !e.isAsked
 	})
-	slices.SortFunc(d.askeds, func(a, b *executor) int { return a.place - b.place })
+	slices.SortFunc(d.askeds, func(a, b *executor) int { return a.subsetRank - b.subsetRank })
 	return d.askeds
 }
 
-// candidates are the slice's executors, or, for what may only be repeated in its dedup group, all of them.
-func (d *Dispatcher) candidates(j *job) []*executor {
+// eligibleExecutors are the slice's executors, or, for what may only be repeated in its dedup group, all of them.
+func (d *Dispatcher) eligibleExecutors(j *job) []*executor {
 	if d.boundToDedupGroup(j) {
 		return d.ranked
 	}
-	return d.slice
+	return d.subset
 }
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -17,7 +17,7 @@
 	late, crosses, home := d.isLate(j, now), d.crossesNow(j), false
 	var best *executor
 	bestSide, bestAge := 0, 0.0
-	for i, e := range d.candidates(j) {
+	for i, e := range d.eligibleExecutors(j) {
 		if !d.usable(e, now) || !d.isEligible(e, j, now) {
 			continue
 		}
@@ -26,7 +26,7 @@
 			side = 1 - side
 		}
 		home = home || side == 0
-		if late && (len(e.attempts) > 0 || i >= d.lateSlice && j.class.lateValue > 0) {
+		if late && (len(e.attempts) > 0 || i >= d.lateSubsetSize && j.class.lateValue > 0) {
 			continue
 		}
 		taken := len(j.attempts) > 0 && j.attempts[0].executor == e || best != nil && side > bestSide
@@ -37,7 +37,7 @@
 		wait := d.waitAt(e, pace, now)
 		queue := wait
 		if j.class.idempotency == AtMostOnce {
-			queue = max(wait, times(j.class.meanWork, (e.load-1)*pace))
+			queue = max(wait, times(j.class.meanWork, (e.listedLoad-1)*pace))
 		}
 		if !late && now+times(queue+times(j.work, pace), j.predictionMargin) > j.objectiveAt {
 			continue
@@ -56,8 +56,8 @@
 // scannedPace is bestPace as a pass over all candidates.
 func (d *Dispatcher) scannedPace(j *job, now time.Duration) float64 {
 	best := math.Inf(1)
-	for _, e := range d.candidates(j) {
-		if e.up && d.isEligible(e, j, now) {
+	for _, e := range d.eligibleExecutors(j) {
+		if e.available && d.isEligible(e, j, now) {
 			best = min(best, d.pace(e, now))
 		}
 	}
@@ -70,14 +70,14 @@
 // scannedSlice is the slice as reslice picks it, without its tokens.
 func (d *Dispatcher) scannedSlice(now time.Duration) (slice []*executor) {
 	size := len(d.ranked)
-	if d.many() {
-		size = max(leastSlice, (sharers*size+d.nodes-1)/d.nodes)
+	if d.usesSubset() {
+		size = max(minSubsetSize, (subsetSharers*size+d.nodeCount-1)/d.nodeCount)
 		if d.mayTell {
-			size = max(size, 2*leastSlice)
+			size = max(size, 2*minSubsetSize)
 		}
 	}
 	for _, e := range d.cold {
-		if !e.gone && now < e.coldUntil && d.usable(e, now) {
+		if !e.removed && now < e.coldUntil && d.usable(e, now) {
 			slice = append(slice, e)
 		}
 	}
@@ -207,12 +207,12 @@
 			j.mayHaveRun = nil
 		}
 	}
-	for _, e := range d.slice {
+	for _, e := range d.subset {
 		if e.asked && !slices.Contains(d.askeds, e) {
 			w.t.Fatalf("seed %d, %v: a place of %s was asked for and is not awaited", w.seed, w.now, e.id)
 		}
 	}
-	for _, e := range d.met {
+	for _, e := range d.withTokens {
 		if (e.probing || e.mute) && !slices.Contains(d.watched, e) {
 			w.t.Fatalf("seed %d, %v: %s is asked for a sign of life and not watched", w.seed, w.now, e.id)
 		}
@@ -222,7 +222,7 @@
 func (w *drawn) compareJob(j *job, as string) {
 	d := w.Dispatcher
 	for _, asks := range [...]bool{false, true} {
-		if asks && !(d.mayTell && d.many()) {
+		if asks && !(d.mayTell && d.usesSubset()) {
 			continue
 		}
 		got, want := d.pickExecutor(j, w.now, asks), d.scanned(j, w.now, asks)
@@ -256,7 +256,7 @@
 		return "late"
 	case len(j.attempts) > 0 && as == "":
 		return "a copy"
-	case d.mayTell && d.many():
+	case d.mayTell && d.usesSubset():
 		return "with a place"
 	case e.inCap > 0:
 		return "under a cap"
@@ -295,9 +295,9 @@
 			}
 		case Sleep:
 			if w.r.IntN(4) == 0 { // picked anew, or found to be as it was
-				w.reslice(w.now)
-				if want := w.scannedSlice(w.now); !slices.Equal(w.slice, want) {
-					w.t.Fatalf("seed %d, %v: a slice of %d, picked anew it has %d", w.seed, w.now, len(w.slice), len(want))
+				w.rebuildSubset(w.now)
+				if want := w.scannedSlice(w.now); !slices.Equal(w.subset, want) {
+					w.t.Fatalf("seed %d, %v: a slice of %d, picked anew it has %d", w.seed, w.now, len(w.subset), len(want))
 				}
 			}
 			return
@@ -309,7 +309,7 @@
 // happen lets something happen.
 func (w *drawn) happen() {
 	var shots []*attempt
-	for _, e := range w.met {
+	for _, e := range w.withTokens {
 		shots = append(shots, e.attempts...)
 	}
 	var s *attempt
@@ -368,7 +368,7 @@
 			s.kind.pace *= 0.6 + 0.8*w.r.Float64()
 		}
 	default:
-		for _, e := range w.met {
+		for _, e := range w.withTokens {
 			for i := range e.free {
 				e.free[i] = w.now / 2
 			}
@@ -421,7 +421,7 @@
 	now := time.Second
 	for d.NextTask(now).Task != Sleep {
 	}
-	e := d.byID["moves"]
+	e := d.executorsByID["moves"]
 	e.free = nil
 	d.touch(e)
 	d.JobArrived(now, Arrival{Job: "j", Tenant: -1, Work: 100 * time.Millisecond, Budget: 5 * time.Second})
@@ -597,7 +597,7 @@
 				}
 				if to := d.Place(now, due.Job); to.Action == Send {
 					sent = append(sent, due.Job)
-					if len(d.byID[to.Executor].attempts) == 1 { // it has a place only
+					if len(d.executorsByID[to.Executor].attempts) == 1 { // it has a place only
 						d.AttemptStarted(now, due.Job, 0)
 					}
 				}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -41,10 +41,10 @@
 	quotaCap            = 8    // the design's finite cap
 	intervals           = 0.4  // the interval, as a part of the shortest outer limit
 	lateQueueFraction   = 0.5  // part of the outer limit that a late batch job is held
-	lateSharers         = 2    // nodes that send an executor their late batch jobs
-	manyNodes           = 6    // from so many on a node uses a part of the executors
-	sharers             = 3    // nodes whose slices an executor is in, while that leaves a node leastSlice of them
-	leastSlice          = 3    // executors of each zone side and bound kind in a slice at least; with keepers twice
+	lateSubsetSharers   = 2    // nodes that send an executor their late batch jobs
+	subsetMinNodes      = 6    // from so many on a node uses a part of the executors
+	subsetSharers       = 3    // nodes whose slices an executor is in, while that leaves a node leastSlice of them
+	minSubsetSize       = 3    // executors of each zone side and bound kind in a slice at least; with keepers twice
 	fullZone            = 1.3  // batch jobs held a core from which a zone counts as full, where the list tells
 	fullPart            = 0.3  // part of allocations that do not start at once from which a zone counts as full
 	fullWait            = 2.0  // and elsewhere: what starts take there, in shortest quoted times
@@ -65,61 +65,61 @@
 	maxClientRetries    = 3.0  // times that a batch job which was turned away comes again, here and elsewhere
 )
 
-// many says whether the nodes are so many that one can't use all executors: then it uses a part of them.
-func (d *Dispatcher) many() bool { return d.nodes >= manyNodes }
+// usesSubset says whether the nodes are so many that one can't use all executors: then it uses a part of them.
+func (d *Dispatcher) usesSubset() bool { return d.nodeCount >= subsetMinNodes }
 
 // ---- The list ----
 
-// spreadAsks lets many nodes ask one after another: the list's service doesn't grow with them. Until then the
+// spreadPolls lets many nodes ask one after another: the list's service doesn't grow with them. Until then the
 // copy at hand serves; the last asks while that still counts.
-func (d *Dispatcher) spreadAsks(within time.Duration) {
-	d.askEvery = within / 8
-	if d.many() {
-		d.askAt = times(within/2, float64(d.node)/float64(d.nodes))
+func (d *Dispatcher) spreadPolls(within time.Duration) {
+	d.pollInterval = within / 8
+	if d.usesSubset() {
+		d.pollAt = times(within/2, float64(d.nodeID)/float64(d.nodeCount))
 	}
 }
 
 // UpdateEndpoints tells what discovery brought.
 func (d *Dispatcher) UpdateEndpoints(now time.Duration, what EndpointUpdateKind, entries []Endpoint) {
-	d.asking = false
+	d.polling = false
 	if what == WatchFailed {
 		// Calls load a service that all nodes share: ask again after a spell that differs by node.
 		d.subscribed = false
-		d.askAt = now + times(d.askEvery, 0.5+d.chance())
+		d.pollAt = now + times(d.pollInterval, 0.5+d.chance())
 		return
 	}
 	d.subscribed = d.subscribed || what != CachedUpdate
-	d.lists++
+	d.listCount++
 	for _, n := range entries {
-		d.listed(now, n)
+		d.updateEndpoint(now, n)
 	}
-	d.enlist()
-	d.dropGone(what != IncrementalUpdate)
-	d.stale, d.moved, d.tokenFreed = true, true, true
+	d.insertRanked()
+	d.dropRemoved(what != IncrementalUpdate)
+	d.subsetStale, d.subsetChanged, d.tokenFreed = true, true, true
 	d.zoneLoads(now)
 }
 
-func (d *Dispatcher) listed(now time.Duration, n Endpoint) {
-	e := d.byID[n.Executor]
+func (d *Dispatcher) updateEndpoint(now time.Duration, n Endpoint) {
+	e := d.executorsByID[n.Executor]
 	fresh := e == nil
 	if fresh {
-		e = &executor{id: n.Executor, started: n.StartedAt, news: now, rank: d.rankOf(n.Executor), place: -1}
+		e = &executor{id: n.Executor, started: n.StartedAt, news: now, rank: d.rankOf(n.Executor), subsetRank: -1}
 		e.sum = ExecutorHash(crc32.ChecksumIEEE([]byte(n.Executor)))
 		e.keeper = d.keeperOf(e.sum)
 		// The nodes that carry a cold executor follow its number: all reckon the same ones, without asking.
-		place := (int(d.node) + d.nodes - int(e.sum%ExecutorHash(d.nodes))) % d.nodes
+		place := (int(d.nodeID) + d.nodeCount - int(e.sum%ExecutorHash(d.nodeCount))) % d.nodeCount
 		e.carried = place < d.carriers
-		d.fresh = append(d.fresh, e)
-		d.byID[e.id], d.bySum[e.sum] = e, e
+		d.unranked = append(d.unranked, e)
+		d.executorsByID[e.id], d.bySum[e.sum] = e, e
 	}
 	d.touch(e)
-	d.rezoned = d.rezoned || e.place >= 0 && (e.zone != n.Zone || e.kind != n.Kind)
-	d.knowKind(n.Kind, max(n.Weight, 1e-3))
+	d.rezoned = d.rezoned || e.subsetRank >= 0 && (e.zone != n.Zone || e.kind != n.Kind)
+	d.addKind(n.Kind, max(n.Weight, 1e-3))
 	restarted := !n.StartedLongAgo && (fresh || n.StartedAt > e.started)
-	e.zone, e.kind, e.cell, e.listed = n.Zone, n.Kind, n.Cell, d.lists
-	e.up, e.gone = n.State == Available, n.State == Removed
-	d.anyGone = d.anyGone || e.gone
-	d.weigh(e, max(n.Weight, 1e-3))
+	e.zone, e.kind, e.cell, e.listedIn = n.Zone, n.Kind, n.Cell, d.listCount
+	e.available, e.removed = n.State == Available, n.State == Removed
+	d.anyRemoved = d.anyRemoved || e.removed
+	d.recordWeight(e, max(n.Weight, 1e-3))
 	if !restarted {
 		return
 	}
@@ -133,28 +133,28 @@
 	}
 }
 
-// reslice picks the executors that this node uses: where it can't use all, those that rank highest, in its
+// rebuildSubset picks the executors that this node uses: where it can't use all, those that rank highest, in its
 // own zone and beyond it, for each bound kind. Guards against many nodes, whose least quotas add up to a jam.
-func (d *Dispatcher) reslice(now time.Duration) {
+func (d *Dispatcher) rebuildSubset(now time.Duration) {
 	size := len(d.ranked)
-	if d.stale = false; !d.moved && now < d.sliceTo { // it would come out the same
+	if d.subsetStale = false; !d.subsetChanged && now < d.subsetValidUntil { // it would come out the same
 		return
 	}
-	d.lateSlice = max(1, (lateSharers*size+d.nodes-1)/d.nodes)
-	if d.many() {
-		size = max(leastSlice, (sharers*size+d.nodes-1)/d.nodes)
+	d.lateSubsetSize = max(1, (lateSubsetSharers*size+d.nodeCount-1)/d.nodeCount)
+	if d.usesSubset() {
+		size = max(minSubsetSize, (subsetSharers*size+d.nodeCount-1)/d.nodeCount)
 		if d.mayTell {
-			size = max(size, 2*leastSlice)
+			size = max(size, 2*minSubsetSize)
 		}
 	}
-	was := d.startSlice()
-	defer func() { d.endSlice(was) }()
+	was := d.beginSubset()
+	defer func() { d.finishSubset(was) }()
 	// Cold ones that this node carries stand beside the others, whatever their rank: they do part of their work.
-	d.cold = slices.DeleteFunc(d.cold, func(e *executor) bool { return e.gone || now >= e.coldUntil })
+	d.cold = slices.DeleteFunc(d.cold, func(e *executor) bool { return e.removed || now >= e.coldUntil })
 	means := map[KindID]mean{}
 	for _, e := range d.cold {
-		if d.standsTo(e, now); d.usable(e, now) {
-			d.grant(e, now, means)
+		if d.limitSubsetValidity(e, now); d.usable(e, now) {
+			d.addToSubset(e, now, means)
 		}
 	}
 	counts := make([]int, 2*len(d.requiredKinds))
@@ -164,7 +164,7 @@
 			break
 		}
 		near := false
-		d.standsTo(e, now)
+		d.limitSubsetValidity(e, now)
 		for i, need := range d.requiredKinds {
 			n := &counts[d.remoteSide(e)*len(d.requiredKinds)+i]
 			if now < e.coldUntil || !d.usable(e, now) || need != AnyKind && need != e.kind || *n >= size {
@@ -176,15 +176,15 @@
 			}
 		}
 		if near {
-			d.grant(e, now, means)
+			d.addToSubset(e, now, means)
 		}
 	}
 }
 
-// grant takes an executor into the slice and gives it its first tokens: its slice's mean quota, or the
+// addToSubset takes an executor into the slice and gives it its first tokens: its slice's mean quota, or the
 // design's start. Their ages are strewn so that nodes don't start on the same one.
-func (d *Dispatcher) grant(e *executor, now time.Duration, means map[KindID]mean) {
-	d.slice = append(d.slice, e)
+func (d *Dispatcher) addToSubset(e *executor, now time.Duration, means map[KindID]mean) {
+	d.subset = append(d.subset, e)
 	if e.quota > 0 {
 		return
 	}
@@ -192,7 +192,7 @@
 	m := means[e.kind]
 	e.quota = cmp.Or(e.known, m.of(firstQuota))
 	means[e.kind] = m.with(e.quota)
-	d.meet(e)
+	d.addWithTokens(e)
 	for range e.quota {
 		e.free = append(e.free, now-times(d.interval, d.chance()))
 	}
@@ -251,7 +251,7 @@
 
 // usable says whether e takes anything new at all, free token or not.
 func (d *Dispatcher) usable(e *executor, now time.Duration) bool {
-	return e.up && !e.mute && e.held <= now && (e.carried && now >= d.coldFrom || now >= e.coldUntil)
+	return e.available && !e.mute && e.held <= now && (e.carried && now >= d.coldFrom || now >= e.coldUntil)
 }
 
 // open says whether e may take j now: a free token, the cap in flight and rule 4.
@@ -264,7 +264,7 @@
 // batch job: so the same few carry it all, as many as could each send something to one place of it.
 func (d *Dispatcher) shareCold(multiple float64) {
 	d.carriers = int(multiple * d.coldShare * d.fallWindow.Seconds() / d.shortestObjective.Seconds())
-	d.carriers = max(1, min(d.carriers, d.nodes))
+	d.carriers = max(1, min(d.carriers, d.nodeCount))
 	d.coldWork = multiple * d.fallWindow.Seconds() / float64(d.carriers)
 }
 
@@ -515,7 +515,7 @@
 		return nil
 	}
 	for side := range 2 {
-		if side > 0 && !crosses && now-j.queuedAt < d.crossZoneDelay(j) && d.anyNear(j, now) {
+		if side > 0 && !crosses && now-j.queuedAt < d.crossZoneDelay(j) && d.anyLocalUsable(j, now) {
 			return nil
 		}
 		var best *executor
@@ -542,7 +542,7 @@
 	}
 	// Late ones must not fill the places of those still to come: they go where nothing of ours is out, and,
 	// where they may be held for long, where few nodes send theirs.
-	if w.late && (len(e.attempts) > 0 || j.class.lateValue > 0 && d.among(e, j) >= d.lateSlice) {
+	if w.late && (len(e.attempts) > 0 || j.class.lateValue > 0 && d.among(e, j) >= d.lateSubsetSize) {
 		return -1
 	}
 	if len(j.attempts) > 0 && j.attempts[0].executor == e || !d.cleared(e, now, w.asks) || !d.open(e, j, now) {
@@ -553,7 +553,7 @@
 	queue := wait
 	if j.class.idempotency == AtMostOnce {
 		// What can't be taken back counts the list's news as well: its like, held over one a core, go first.
-		queue = max(wait, times(j.class.meanWork, (e.load-1)*pace))
+		queue = max(wait, times(j.class.meanWork, (e.listedLoad-1)*pace))
 	}
 	if !w.late && now+times(queue+times(j.work, pace), j.predictionMargin) > j.objectiveAt {
 		return -1
@@ -678,7 +678,7 @@
 		d.note("%s held back for %v %s", e.id, span.Round(time.Millisecond), why)
 	}
 	e.held, e.inCap = now+span, 1
-	d.stale, d.moved = true, true
+	d.subsetStale, d.subsetChanged = true, true
 	d.touch(e)
 	d.schedule(e.held, nil, nil)
 }
@@ -728,7 +728,7 @@
 		// Where nodes talk, more moves than their budget wait for some of their slack: most start by themselves.
 		d.countMigration(j)
 		slack := j.objectiveAt - j.sentAt - times(j.work, pace)
-		blind := flag(!d.liveWeights && d.kinds[to.kind].places == 0) // nothing tells that another has less to do
+		blind := flag(!d.loadAdjustedWeights && d.kinds[to.kind].places == 0) // nothing tells that another has less to do
 		from := j.sentAt + max(times(slack, d.line.MigrationDelay), times(d.longestMeanWork(), pace*blind))
 		if now < from {
 			d.scheduleCheck(from, j)
@@ -766,12 +766,14 @@
 // Where nodes are many and may talk, one keeps each executor's places for all: a place is asked for before a
 // token there is used, and given back with it. A keeper that does not answer is done without for a while.
 
-func (d *Dispatcher) keeperOf(sum ExecutorHash) NodeID { return NodeID(sum % ExecutorHash(d.nodes)) }
+func (d *Dispatcher) keeperOf(sum ExecutorHash) NodeID {
+	return NodeID(sum % ExecutorHash(d.nodeCount))
+}
 
 // cleared says whether e's keeper has given a place there, or, asking, may be asked for one.
 func (d *Dispatcher) cleared(e *executor, now time.Duration, asking bool) bool {
 	switch {
-	case !d.mayTell || !d.many():
+	case !d.mayTell || !d.usesSubset():
 		return !asking
 	case asking:
 		return !e.given && !e.asked && e.alone <= now
@@ -790,18 +792,18 @@
 	}
 	d.givens = d.givens[:0]
 	for _, e := range d.askedOnes() {
-		if e.place >= 0 && e.queued && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) == 0 {
+		if e.subsetRank >= 0 && e.queued && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) == 0 {
 			e.asked = false
 			d.touch(e)
 			d.tell(now, e.keeper, LeaseCancel, e.sum)
 		}
 	}
-	if !d.wants || !d.mayTell || !d.many() {
+	if !d.wants || !d.mayTell || !d.usesSubset() {
 		return
 	}
 	d.wants = false
 	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
-		for _, j := range list[:min(len(list), len(d.slice))] {
+		for _, j := range list[:min(len(list), len(d.subset))] {
 			if j.leaseRequestedFrom == nil || !j.leaseRequestedFrom.asked || j.leaseRequestedFrom.queued {
 				d.ask(j, d.pickExecutor(j, now, true), now)
 			}
@@ -829,7 +831,7 @@
 // more rarely the longer; for a keeper the next node in line stands in, then none does.
 func (d *Dispatcher) unanswered(now time.Duration) {
 	for _, e := range d.silentOnes() {
-		if e.metAs == 0 {
+		if e.tokenOrder == 0 {
 			continue
 		} else if e.probing && now-e.probed-d.stood >= d.shortestObjective {
 			if e.probing = false; !e.mute {
@@ -842,7 +844,7 @@
 		}
 	}
 	for _, e := range d.askedOnes() {
-		if e.place < 0 || e.queued || now-e.askedAt < d.shortestObjective/4 {
+		if e.subsetRank < 0 || e.queued || now-e.askedAt < d.shortestObjective/4 {
 			continue
 		}
 		e.asked, e.lent = false, 0
@@ -922,8 +924,8 @@
 // ---- The interval ----
 
 func (d *Dispatcher) everyInterval(now time.Duration) {
-	d.leaveGone()
-	for _, e := range d.met {
+	d.dropRemovedWithTokens()
+	for _, e := range d.withTokens {
 		d.touch(e) // what was seen grows old
 		for _, j := range e.attempts {
 			if !j.running && d.tellsStart {
@@ -941,7 +943,7 @@
 	}
 	d.keepInterval(now)
 	d.forgetPlaces()
-	d.queuedThisInterval, d.tokenFreed, d.stale, d.wants = len(d.queue) > 0, true, true, true
+	d.queuedThisInterval, d.tokenFreed, d.subsetStale, d.wants = len(d.queue) > 0, true, true, true
 	d.decayAverages()
 }
 
@@ -963,7 +965,7 @@
 // out there should take, and against a connection that falls silent: an allocation of which as long nothing
 // is told shows nothing of its executor any more; its token comes free, or it would shut it out for long.
 func (d *Dispatcher) watchSilence(e *executor, now time.Duration) {
-	if len(e.attempts) == 0 || !e.up {
+	if len(e.attempts) == 0 || !e.available {
 		return
 	}
 	pace := (e.runs + d.kinds[e.kind].pace) / (e.works + 1)
@@ -992,9 +994,9 @@
 		d.tick += d.interval
 		d.everyInterval(now)
 	}
-	mustSubscribe := d.mustAsk && !d.subscribed && !d.asking
-	if mustSubscribe && now >= d.askAt {
-		d.asking = true
+	mustSubscribe := d.polled && !d.subscribed && !d.polling
+	if mustSubscribe && now >= d.pollAt {
+		d.polling = true
 		return DueTask{Task: WatchEndpoints}
 	}
 	if j := d.nextPlaceable(now); j != nil {
@@ -1013,7 +1015,7 @@
 			return DueTask{Task: PlaceJob, Job: j.id}
 		case s == nil && j == nil:
 			d.unanswered(now)
-			d.stale, d.tokenFreed, d.wants = true, true, true
+			d.subsetStale, d.tokenFreed, d.wants = true, true, true
 		}
 	}
 	if j := d.nextPlaceable(now); j != nil {
@@ -1030,7 +1032,7 @@
 		at = min(at, d.timers[0].at)
 	}
 	if mustSubscribe {
-		at = min(at, d.askAt)
+		at = min(at, d.pollAt)
 	}
 	d.sleepTo = at
 	return DueTask{At: at}
@@ -1039,8 +1041,8 @@
 // nextPlaceable is the first in the release order that a free token is open to, copies last. It is asked once after
 // each change that may have opened a token, and looks at no more batch jobs than the slice has tokens for.
 func (d *Dispatcher) nextPlaceable(now time.Duration) *job {
-	if d.stale {
-		d.reslice(now)
+	if d.subsetStale {
+		d.rebuildSubset(now)
 	}
 	d.hedgeQueue = slices.DeleteFunc(d.hedgeQueue, func(j *job) bool {
 		j.hedgeWanted = d.wantsHedge(j, now)
@@ -1048,7 +1050,7 @@
 	})
 	d.tokenFreed = d.tokenFreed && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) > 0 && d.anyOpen(now)
 	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
-		list = list[:min(len(list), int(flag(d.tokenFreed))*2*len(d.slice))]
+		list = list[:min(len(list), int(flag(d.tokenFreed))*2*len(d.subset))]
 		d.findTakers(list, now)
 		for _, j := range list {
 			if d.mayGo(j, now) && d.pickExecutor(j, now, false) != nil {
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -52,7 +52,7 @@
 
 // alive books a sign of life, which is as good as an answer to a probe.
 func (d *Dispatcher) alive(e *executor, now time.Duration) {
-	d.moved = d.moved || e.mute
+	d.subsetChanged = d.subsetChanged || e.mute
 	e.news, e.broke, e.mute, e.silences, e.turned = now, false, false, 0, 0
 }
 
@@ -65,7 +65,7 @@
 
 // LoadReported tells what an executor says of its load with an answer: batch jobs held, those that wait, and places free.
 func (d *Dispatcher) LoadReported(id ExecutorID, load Load) {
-	e, places := d.byID[id], load.InFlight-load.Queued+load.FreeSlots
+	e, places := d.executorsByID[id], load.InFlight-load.Queued+load.FreeSlots
 	if e == nil || places < 0.5 || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
 		return
 	}
@@ -81,13 +81,13 @@
 	}
 }
 
-// weigh books what the list weighs an executor.
-func (d *Dispatcher) weigh(e *executor, weight float64) {
+// recordWeight books what the list weighs an executor.
+func (d *Dispatcher) recordWeight(e *executor, weight float64) {
 	e.weight = weight
-	if d.liveWeights {
+	if d.loadAdjustedWeights {
 		// Live weights are the size over one and the batch jobs held a core; an idle one shows its size.
 		e.size = max(e.size, weight)
-		e.load = e.size/weight - 1
+		e.listedLoad = e.size/weight - 1
 	}
 	k := d.kinds[e.kind]
 	k.size += (max(e.size, weight) - k.size) * (1 - fade)
@@ -103,13 +103,13 @@
 
 // zoneLoads books how full the list shows this zone and the others.
 func (d *Dispatcher) zoneLoads(now time.Duration) {
-	if !d.liveWeights {
+	if !d.loadAdjustedWeights {
 		return
 	}
 	held, size := [2]float64{}, [2]float64{1e-9, 1e-9}
 	for _, e := range d.ranked {
 		if side := d.remoteSide(e); d.usable(e, now) {
-			held[side] += e.load * e.size
+			held[side] += e.listedLoad * e.size
 			size[side] += e.size
 		}
 	}
@@ -129,7 +129,7 @@
 
 // zoneWait books how full a start that took so long shows a zone.
 func (d *Dispatcher) zoneWait(e *executor, wait time.Duration) {
-	if d.liveWeights {
+	if d.loadAdjustedWeights {
 		return
 	}
 	load := &d.localLoad
@@ -236,7 +236,7 @@
 	switch {
 	case d.boundToDedupGroup(j):
 		for _, e := range d.ranked {
-			if e.up && d.isEligible(e, j, now) {
+			if e.available && d.isEligible(e, j, now) {
 				best = min(best, d.pace(e, now))
 			}
 		}
@@ -251,7 +251,7 @@
 
 // decayAverages fades the tracks' and tenants' figures, each interval.
 func (d *Dispatcher) decayAverages() {
-	if !d.liveWeights {
+	if !d.loadAdjustedWeights {
 		d.remoteLoad *= fade // seldom seen while nothing crosses
 	}
 	d.worstClass = nil
@@ -289,7 +289,7 @@
 // CountExcluded counts the executors on the list that get nothing new from this node now, whoever says so.
 func (d *Dispatcher) CountExcluded(now time.Duration) (n int) {
 	for _, e := range d.ranked {
-		if !e.gone && !d.usable(e, now) {
+		if !e.removed && !d.usable(e, now) {
 			n++
 		}
 	}
@@ -299,7 +299,7 @@
 // ReserveSlowStartUntil tells from when on cold executors are this process's to use: another process of this node has their budget
 // until then.
 func (d *Dispatcher) ReserveSlowStartUntil(now, at time.Duration) {
-	d.coldFrom, d.stale, d.moved, d.tokenFreed = at, true, true, true
+	d.coldFrom, d.subsetStale, d.subsetChanged, d.tokenFreed = at, true, true, true
 	if at != Endless {
 		d.schedule(max(at, now), nil, nil)
 	}
@@ -308,19 +308,19 @@
 // ProbeEnded tells what came of a probe; load means something only where it was answered.
 func (d *Dispatcher) ProbeEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
 	d.turn(now)
-	e := d.byID[id]
+	e := d.executorsByID[id]
 	if e == nil {
 		return
 	}
 	prompt := e.probing
 	e.probing = false
 	if !answered && prompt && e.broke { // it is there, or its machine is: the next break will tell
-		d.moved = d.moved || e.mute
-		e.mute, d.stale = false, true
+		d.subsetChanged = d.subsetChanged || e.mute
+		e.mute, d.subsetStale = false, true
 	}
 	if answered {
-		d.moved = d.moved || e.mute
-		d.stale, d.tokenFreed = d.stale || e.mute, true
+		d.subsetChanged = d.subsetChanged || e.mute
+		d.subsetStale, d.tokenFreed = d.subsetStale || e.mute, true
 		e.news, e.mute, e.silences = now, false, 0
 		if k := d.kept[e.sum]; k != nil && load.FreeSlots >= 0.5 && now-k.lentAt >= d.shortestObjective {
 			k.more = k.more || len(k.lent) >= k.quota
@@ -349,7 +349,7 @@
 		t.Waiting += j.pressure()
 	}
 	for _, e := range d.ranked {
-		if k := d.kinds[e.kind]; e.up {
+		if k := d.kinds[e.kind]; e.available {
 			part := 1.0
 			if now < e.coldUntil {
 				part = d.warmth(e, now)
@@ -357,7 +357,7 @@
 			t.Capacity += part * float64(k.parallel) * (e.works + 1) / max(e.runs+k.pace, 1e-9)
 		}
 	}
-	for _, e := range d.met {
+	for _, e := range d.withTokens {
 		for _, s := range e.attempts {
 			if !s.running && d.tellsStart && !s.finished {
 				t.Waiting += s.pressure()
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -9,15 +9,15 @@
 // New turns settings, which have been checked, into the figures that decisions use.
 func New(s Settings) *Dispatcher {
 	d := &Dispatcher{
-		seed: s.Seed, node: NodeID(s.Node), nodes: s.Nodes, zone: s.Zone,
-		kinds: map[KindID]*kind{}, byID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
+		seed: s.Seed, nodeID: NodeID(s.Node), nodeCount: s.Nodes, ownZone: s.Zone,
+		kinds: map[KindID]*kind{}, executorsByID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
 		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, canHedge: s.MayHedge, probes: s.MayProbe, clientsMarkRetries: s.ClientsMarkRetries,
 		valuePerWork: s.ValuePerWork, overQuotaValue: s.OverQuotaValue, crossZoneCost: s.CrossZoneCost,
 		totalWeight: s.TotalWeight, worstClassWeight: s.WorstClassWeight,
 		maxAttempts: s.MaxAttempts, canCancel: s.MayCancel, retryAfter: s.MaxRetryAfter,
-		quantum: s.Quantum, tellsStart: s.StartNotices, tellsEvery: s.ProgressInterval, mustAsk: s.EndpointsPolled,
-		liveWeights: s.LoadAdjustedWeights,
-		coldShare:   s.SlowStartCapacity, warmWithin: s.SlowStartDuration, fallWindow: s.OverloadWindow,
+		quantum: s.Quantum, tellsStart: s.StartNotices, tellsEvery: s.ProgressInterval, polled: s.EndpointsPolled,
+		loadAdjustedWeights: s.LoadAdjustedWeights,
+		coldShare:           s.SlowStartCapacity, warmWithin: s.SlowStartDuration, fallWindow: s.OverloadWindow,
 	}
 	for i, t := range s.JobClasses {
 		d.addClass(JobClassUpdate{JobClassID(i), NoJobClass, t})
@@ -25,7 +25,7 @@
 	d.derive()
 	d.tick = d.interval
 	d.shareCold(s.OverloadMultiple)
-	d.spreadAsks(s.PollWithin)
+	d.spreadPolls(s.PollWithin)
 	d.schedule(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
 	for _, t := range s.Tenants {
 		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(s.Nodes)})
@@ -79,7 +79,7 @@
 		}
 	}
 	d.derive()
-	d.worstClass, d.stale, d.moved, d.tokenFreed = nil, true, true, true
+	d.worstClass, d.subsetStale, d.subsetChanged, d.tokenFreed = nil, true, true, true
 	d.touchAll(d.ranked) // their rates hang on the quoted times
 	d.tick = min(d.tick, now+d.interval)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -7,20 +7,20 @@
 // Dispatcher is one node's decisions.
 type Dispatcher struct {
 	seed, count        uint32
-	node               NodeID
-	nodes              int
-	zone               ZoneID
+	nodeID             NodeID
+	nodeCount          int
+	ownZone            ZoneID
 	classes            []*jobClass // by number, those of the past among them
 	currentClasses     []*jobClass
 	tenants            []tenant
 	kinds              map[KindID]*kind
-	byID               map[ExecutorID]*executor
+	executorsByID      map[ExecutorID]*executor
 	ranked             []*executor // all on the list, highest rank first
-	slice              []*executor // those that this node uses, in the same order
+	subset             []*executor // those that this node uses, in the same order
 	cold               []*executor // cold ones that this node carries
-	met                []*executor // those that have been in a slice and have tokens
+	withTokens         []*executor // those that have been in a slice and have tokens
 	requiredKinds      []KindID    // bound kinds of the tracks
-	lateSlice          int         // executors of the slice that late batch jobs may use
+	lateSubsetSize     int         // executors of the slice that late batch jobs may use
 	jobs               map[JobID]*job
 	queue              []*job // in time still
 	lateQueue          []*job // and not
@@ -30,9 +30,9 @@
 	tick               time.Duration // when the interval ends
 	interval           time.Duration
 	checkInterval      time.Duration // after it an allocation that is out gets its next look
-	lists              int
-	anyGone            bool // some executor is gone from the list
-	stale              bool // the slice must be picked anew
+	listCount          int
+	anyRemoved         bool // some executor is gone from the list
+	subsetStale        bool // the slice must be picked anew
 	queuedThisInterval bool // batch jobs were held in this interval
 	tokenFreed         bool // a token has come free since the last look
 	index
@@ -48,18 +48,18 @@
 	meanDensity         float64 // value of a mean batch job for its work
 	maxAttempts         int     // of tracks that have no number of their own
 	canCancel           bool
-	liveWeights         bool
+	loadAdjustedWeights bool
 	localLoad           float64 // how full this zone and the others are, by the list or by start waits
 	remoteLoad          float64
 	retryAfter          time.Duration
 	quantum             time.Duration
 	tellsStart          bool
 	tellsEvery          time.Duration
-	mustAsk             bool
+	polled              bool
 	subscribed          bool
-	asking              bool
-	askAt               time.Duration
-	askEvery            time.Duration
+	polling             bool
+	pollAt              time.Duration
+	pollInterval        time.Duration
 	coldShare           float64
 	warmWithin          time.Duration
 	carriers            int
@@ -132,21 +132,21 @@
 
 // executor is what this node knows of one executor.
 type executor struct {
-	id        ExecutorID
-	sum       ExecutorHash
-	zone      ZoneID
-	kind      KindID
-	cell      CellID
-	rank      uint32
-	carried   bool    // while it is cold, this node is one of the few that may use it
-	weight    float64 // what the list weighs it
-	size      float64 // the largest weight the list gave it
-	load      float64 // batch jobs held a core, by the list
-	up        bool
-	gone      bool // taken off the list
-	listed    int  // the list that named it last
-	started   time.Duration
-	coldUntil time.Duration
+	id         ExecutorID
+	sum        ExecutorHash
+	zone       ZoneID
+	kind       KindID
+	cell       CellID
+	rank       uint32
+	carried    bool    // while it is cold, this node is one of the few that may use it
+	weight     float64 // what the list weighs it
+	size       float64 // the largest weight the list gave it
+	listedLoad float64 // batch jobs held a core, by the list
+	available  bool
+	removed    bool // taken off the list
+	listedIn   int  // the list that named it last
+	started    time.Duration
+	coldUntil  time.Duration
 
 	quota    int
 	known    int             // the quota that another process of this node gave it; 0 for none
@@ -187,15 +187,15 @@
 	lent    int  // places to give back
 
 	// Where the index has it.
-	place   int // in the slice; -1: not in it
-	metAs   int // its turn among those met; 0: not among them
-	touched bool
-	watched bool
-	isAsked bool
-	group   *group
-	places  [allPiles]place
-	rate    float64 // at which its tokens age at the most, while its kind's pace keeps to the limit
-	limit   float64
+	subsetRank int // in the slice; -1: not in it
+	tokenOrder int // its turn among those met; 0: not among them
+	touched    bool
+	watched    bool
+	isAsked    bool
+	group      *group
+	places     [allPiles]place
+	rate       float64 // at which its tokens age at the most, while its kind's pace keeps to the limit
+	limit      float64
 }
 
 // keep is what this node keeps for all: an executor's places.
--- a/policy/takers.go
+++ b/policy/takers.go
@@ -104,5 +104,5 @@
 			other = true
 		}
 	}
-	return other && (crosses || now-j.queuedAt >= d.crossZoneDelay(j) || !d.anyNear(j, now))
+	return other && (crosses || now-j.queuedAt >= d.crossZoneDelay(j) || !d.anyLocalUsable(j, now))
 }
