--- a/policy/books.go
+++ b/policy/books.go
@@ -119,7 +119,7 @@
 	}
 	d.anyRemoved = false
 	d.ranked = slices.DeleteFunc(d.ranked, func(e *executor) bool {
-		drop := e.removed && e.taken == 0
+		drop := e.removed && e.takenTokens == 0
 		if drop {
 			delete(d.executorsByID, e.id)
 			delete(d.bySum, e.sum)
@@ -245,12 +245,12 @@
 func (d *Dispatcher) dispatch(j *job, e *executor, now time.Duration) Decision {
 	d.dequeue(j)
 	// A late batch job waits because others go first, not for want of tokens: its time until then counts.
-	e.ourWait += max(0, min(now, j.objectiveAt-j.work)-j.queuedAt)
+	e.queueWait += max(0, min(now, j.objectiveAt-j.work)-j.queuedAt)
 	if len(e.attempts) == 0 {
 		e.news = now
 	}
 	s := &attempt{job: j, number: AttemptID(j.attemptCount), executor: e, zone: e.zone, cell: e.cell, sentAt: now}
-	d.take(e, s)
+	d.takeToken(e, s)
 	if now < e.coldUntil {
 		e.colds = append(e.colds, spend{now, j.slowStartWork()})
 	}
@@ -260,11 +260,11 @@
 	return Decision{Action: Send, Executor: e.id}
 }
 
-// take uses the oldest free token.
-func (d *Dispatcher) take(e *executor, s *attempt) {
-	e.free = e.free[1:]
-	e.taken++
-	e.dry = e.dry || len(e.free) == 0
+// takeToken uses the oldest free token.
+func (d *Dispatcher) takeToken(e *executor, s *attempt) {
+	e.freeTokens = e.freeTokens[1:]
+	e.takenTokens++
+	e.outOfTokens = e.outOfTokens || len(e.freeTokens) == 0
 	if e.given {
 		e.given = false
 		e.lent++
@@ -274,35 +274,35 @@
 	d.touch(e)
 }
 
-// release frees a token. Late: the batch job did not start there at once.
-func (d *Dispatcher) release(e *executor, now time.Duration, late bool) {
+// releaseToken frees a token. Late: the batch job did not start there at once.
+func (d *Dispatcher) releaseToken(e *executor, now time.Duration, late bool) {
 	d.giveBack(e, now, late)
-	e.taken--
-	if e.taken+len(e.free) < e.quota {
-		e.free = append(e.free, now)
+	e.takenTokens--
+	if e.takenTokens+len(e.freeTokens) < e.quota {
+		e.freeTokens = append(e.freeTokens, now)
 	}
 	d.tokenFreed = true
 	d.touch(e)
 }
 
-// mean is that of quotas.
-type mean struct{ sum, count int }
+// meanQuota is that of quotas.
+type meanQuota struct{ sum, count int }
 
-func (m mean) of(none int) int {
+func (m meanQuota) of(none int) int {
 	if m.count == 0 {
 		return none
 	}
 	return (m.sum + m.count/2) / m.count
 }
 
-func (m mean) with(quota int) mean { return mean{m.sum + quota, m.count + 1} }
+func (m meanQuota) with(quota int) meanQuota { return meanQuota{m.sum + quota, m.count + 1} }
 
-// quotas reckons the kinds' mean quotas, once for all executors that come into the slice together.
-func (d *Dispatcher) quotas(means map[KindID]mean) {
+// meanQuotas reckons the kinds' mean quotas, once for all executors that come into the slice together.
+func (d *Dispatcher) meanQuotas(means map[KindID]meanQuota) {
 	if len(means) > 0 {
 		return
 	}
-	means[AnyKind] = mean{} // reckoned, though none is met yet
+	means[AnyKind] = meanQuota{} // reckoned, though none is met yet
 	for _, e := range d.withTokens {
 		if e.available {
 			means[e.kind] = means[e.kind].with(e.quota)
@@ -321,7 +321,7 @@
 // dropRemovedWithTokens takes those that are gone from among those met, once nothing of ours is there.
 func (d *Dispatcher) dropRemovedWithTokens() {
 	d.withTokens = slices.DeleteFunc(d.withTokens, func(e *executor) bool {
-		drop := e.removed && e.taken == 0
+		drop := e.removed && e.takenTokens == 0
 		if drop {
 			e.tokenOrder = 0
 		}
@@ -336,17 +336,17 @@
 	d.watch(e)
 }
 
-// step moves a quota.
-func (d *Dispatcher) step(e *executor, by int, now time.Duration) {
+// stepQuota moves a quota.
+func (d *Dispatcher) stepQuota(e *executor, by int, now time.Duration) {
 	e.quota += by
 	d.touch(e)
 	if by > 0 {
-		if e.taken+len(e.free) < e.quota {
-			e.free = append(e.free, now)
+		if e.takenTokens+len(e.freeTokens) < e.quota {
+			e.freeTokens = append(e.freeTokens, now)
 			d.tokenFreed = true
 		}
-	} else if e.taken+len(e.free) > e.quota && len(e.free) > 0 {
-		e.free = e.free[:len(e.free)-1]
+	} else if e.takenTokens+len(e.freeTokens) > e.quota && len(e.freeTokens) > 0 {
+		e.freeTokens = e.freeTokens[:len(e.freeTokens)-1]
 	}
 }
 
@@ -376,7 +376,7 @@
 func (d *Dispatcher) keepOf(sum ExecutorHash) *keep {
 	k := d.kept[sum]
 	if k == nil {
-		k = &keep{sum: sum, quota: firstQuota}
+		k = &keep{sum: sum, quota: initialQuota}
 		d.kept[sum] = k
 		d.keeps = append(d.keeps, k)
 	}
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -107,9 +107,9 @@
 		if !among {
 			continue
 		}
-		e.startWait, e.known = max(0, in.StartWait), min(in.Quota, quotaCap)
-		for e.quota > 0 && e.quota < e.known {
-			d.step(e, 1, now)
+		e.startWait, e.inheritedQuota = max(0, in.StartWait), min(in.Quota, maxQuota)
+		for e.quota > 0 && e.quota < e.inheritedQuota {
+			d.stepQuota(e, 1, now)
 		}
 	}
 	d.subsetStale, d.subsetChanged, d.tokenFreed = true, true, true
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -49,7 +49,7 @@
 	got := next.ExportLearned(last)
 	for _, in := range k.Executors { // those that are held back have no tokens yet
 		e := next.executorsByID[in.ID]
-		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.known, e.runs, e.works, e.startWait, max(0, e.held-last), e.inCap, e.silences})
+		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.inheritedQuota, e.runs, e.works, e.startWait, max(0, e.held-last), e.inCap, e.silences})
 	}
 	if !reflect.DeepEqual(got, k) {
 		t.Errorf("learnt\n%+v\nof\n%+v", got, k)
@@ -57,7 +57,7 @@
 	if next.NextTask(last); next.executorsByID["a"].quota != k.Executors[0].Quota {
 		t.Errorf("a got a quota of %d", next.executorsByID["a"].quota)
 	}
-	if e := next.executorsByID["c"]; e.known != 0 {
+	if e := next.executorsByID["c"]; e.inheritedQuota != 0 {
 		t.Error("a cold executor took another start's quota")
 	}
 }
@@ -85,8 +85,8 @@
 	next.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	next.ImportLearned(0, old.ExportLearned(0))
 	rest(next)
-	if b := next.executorsByID["b"]; b.runs != 40 || b.startWait != 0 || b.known != 0 {
-		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runs, b.works, b.startWait, b.known)
+	if b := next.executorsByID["b"]; b.runs != 40 || b.startWait != 0 || b.inheritedQuota != 0 {
+		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runs, b.works, b.startWait, b.inheritedQuota)
 	}
 	if got := next.classes[0]; got.meanWork != 700*time.Millisecond || got.requestedValue != 0 {
 		t.Errorf("of the track it knows work %v and %v asked for", got.meanWork, got.requestedValue)
@@ -107,7 +107,7 @@
 	}
 	// None ended in these two seconds: at most a first quota each, and a step more for each interval.
 	for id, n := range sent {
-		if n > firstQuota+1 {
+		if n > initialQuota+1 {
 			t.Errorf("%s got %d in its first two seconds", id, n)
 		}
 	}
--- a/policy/index.go
+++ b/policy/index.go
@@ -272,7 +272,7 @@
 	s := d.kinds[e.kind].shelf
 	d.filePace(e, s)
 	old := e.places[byAge].in
-	if len(e.free) == 0 || e.removed || e.inCap > 0 && e.taken >= e.inCap {
+	if len(e.freeTokens) == 0 || e.removed || e.inCap > 0 && e.takenTokens >= e.inCap {
 		if old != nil {
 			e.unfile(byAge)
 			e.unfile(byDrift)
@@ -301,7 +301,7 @@
 	}
 	k := s.kind.pace
 	if old != nil && e.group.sort == of && e.group.shelf == s && until == Endless && e.places[byUntil].in == nil &&
-		e.places[byAge].key == int64(e.free[0]) && (e.limit <= k || of.scaled) && (e.limit >= k || !of.scaled) {
+		e.places[byAge].key == int64(e.freeTokens[0]) && (e.limit <= k || of.scaled) && (e.limit >= k || !of.scaled) {
 		// What it was reckoned with still holds, and little has changed: most of those that only grow older stay.
 		rate, to := d.rateOf(e, s, now)
 		if to == Endless && rate <= e.rate && rate >= e.rate*(1-drift) && e.tight(k)*(1+3*drift) >= e.rate*e.group.scale() {
@@ -320,7 +320,7 @@
 	rate, to := d.rateOf(e, s, now)
 	e.rate, until = rate, min(until, to)
 	t := e.group.step(e.rate)
-	t.put(e, int64(e.free[0]))
+	t.put(e, int64(e.freeTokens[0]))
 	if t.show(); old != nil && old != &t.pile {
 		old.step.show()
 	}
@@ -532,7 +532,7 @@
 	}
 	d.looks++
 	e, k := t.list[i], t.of.shelf.kind.pace
-	age := float64(max(0, w.now-e.free[0]))
+	age := float64(max(0, w.now-e.freeTokens[0]))
 	scale := t.of.scale()
 	if scale*t.top*age < w.least {
 		return true
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -42,7 +42,7 @@
 		if !late && now+times(queue+times(j.work, pace), j.predictionMargin) > j.objectiveAt {
 			continue
 		}
-		age := e.weight * float64(now-e.free[0]) / (pace * (d.shortestObjective + wait).Seconds())
+		age := e.weight * float64(now-e.freeTokens[0]) / (pace * (d.shortestObjective + wait).Seconds())
 		if best == nil || side < bestSide || age > bestAge {
 			best, bestSide, bestAge = e, side, age
 		}
@@ -369,8 +369,8 @@
 		}
 	default:
 		for _, e := range w.withTokens {
-			for i := range e.free {
-				e.free[i] = w.now / 2
+			for i := range e.freeTokens {
+				e.freeTokens[i] = w.now / 2
 			}
 			if w.r.IntN(2) == 0 {
 				e.runs, e.works, e.startWait = 0, 0, 0
@@ -422,7 +422,7 @@
 	for d.NextTask(now).Task != Sleep {
 	}
 	e := d.executorsByID["moves"]
-	e.free = nil
+	e.freeTokens = nil
 	d.touch(e)
 	d.JobArrived(now, Arrival{Job: "j", Tenant: -1, Work: 100 * time.Millisecond, Budget: 5 * time.Second})
 	if got := d.pickExecutor(d.jobs["j"], now, false); got == nil || got.id != "far" {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -34,35 +34,35 @@
 
 // The matters that the design leaves open, as plain ratios.
 const (
-	theta               = 0.3  // worker-side share of queuing above which the executor's queue is to blame
-	heldEmpty           = 0.5  // over this r, what waits here counts as an empty held queue at the tail
-	slackTarget         = 0.5  // slowdown target: this part of the slack in the quoted time spent queuing
-	firstQuota          = 2    // the design's start
-	quotaCap            = 8    // the design's finite cap
-	intervals           = 0.4  // the interval, as a part of the shortest outer limit
-	lateQueueFraction   = 0.5  // part of the outer limit that a late batch job is held
-	lateSubsetSharers   = 2    // nodes that send an executor their late batch jobs
-	subsetMinNodes      = 6    // from so many on a node uses a part of the executors
-	subsetSharers       = 3    // nodes whose slices an executor is in, while that leaves a node leastSlice of them
-	minSubsetSize       = 3    // executors of each zone side and bound kind in a slice at least; with keepers twice
-	fullZone            = 1.3  // batch jobs held a core from which a zone counts as full, where the list tells
-	fullPart            = 0.3  // part of allocations that do not start at once from which a zone counts as full
-	fullWait            = 2.0  // and elsewhere: what starts take there, in shortest quoted times
-	maxMigrationCost    = 0.1  // part of a batch job's value that the price of moving it may be
-	fade                = 0.85 // weight that an older observation keeps when a new one comes
-	crawl               = 2.0  // times the usual pace from which an executor counts as crawling
-	hintedMargin        = 1.1  // what a prediction leaves over for a hinted batch job
-	unhintedMargin      = 1.25 // and for one without a hint, and for work sent to a cold executor
-	lateTimes           = 5.0  // times its foretold running time from which one without a start notice had to wait
-	fewLate             = 0.1  // part of starts that may be late where a keeper lends one place more
-	mostSilences        = 8    // times the usual span at most until one that is silent, or errs, is tried again
-	restAfter           = 4    // intervals that a keeper leaves a lowered quota
-	fullRest            = 2.0  // running times that a full executor's token rests, for each turned away in a row
-	remembered          = 0.1  // of what is foretold: a tagged batch job done in less was done before
-	budgetMarginStep    = 0.05 // by which a try that was too short teaches
-	maxShortBudgetRatio = 0.3  // part of a tenant's first tries with short budgets from which budgets tell nothing
-	minTenantArrivals   = 2.0  // batch jobs of a tenant by which chance may bring it over its part here
-	maxClientRetries    = 3.0  // times that a batch job which was turned away comes again, here and elsewhere
+	executorQueuingThreshold = 0.3  // worker-side share of queuing above which the executor's queue is to blame
+	emptyQueueThreshold      = 0.5  // over this r, what waits here counts as an empty held queue at the tail
+	slackTarget              = 0.5  // slowdown target: this part of the slack in the quoted time spent queuing
+	initialQuota             = 2    // the design's start
+	maxQuota                 = 8    // the design's finite cap
+	intervalFraction         = 0.4  // the interval, as a part of the shortest outer limit
+	lateQueueFraction        = 0.5  // part of the outer limit that a late batch job is held
+	lateSubsetSharers        = 2    // nodes that send an executor their late batch jobs
+	subsetMinNodes           = 6    // from so many on a node uses a part of the executors
+	subsetSharers            = 3    // nodes whose slices an executor is in, while that leaves a node leastSlice of them
+	minSubsetSize            = 3    // executors of each zone side and bound kind in a slice at least; with keepers twice
+	fullZone                 = 1.3  // batch jobs held a core from which a zone counts as full, where the list tells
+	fullPart                 = 0.3  // part of allocations that do not start at once from which a zone counts as full
+	fullWait                 = 2.0  // and elsewhere: what starts take there, in shortest quoted times
+	maxMigrationCost         = 0.1  // part of a batch job's value that the price of moving it may be
+	smoothing                = 0.85 // weight that an older observation keeps when a new one comes
+	crawl                    = 2.0  // times the usual pace from which an executor counts as crawling
+	hintedMargin             = 1.1  // what a prediction leaves over for a hinted batch job
+	unhintedMargin           = 1.25 // and for one without a hint, and for work sent to a cold executor
+	lateTimes                = 5.0  // times its foretold running time from which one without a start notice had to wait
+	fewLate                  = 0.1  // part of starts that may be late where a keeper lends one place more
+	mostSilences             = 8    // times the usual span at most until one that is silent, or errs, is tried again
+	restAfter                = 4    // intervals that a keeper leaves a lowered quota
+	fullTokenRest            = 2.0  // running times that a full executor's token rests, for each turned away in a row
+	remembered               = 0.1  // of what is foretold: a tagged batch job done in less was done before
+	budgetMarginStep         = 0.05 // by which a try that was too short teaches
+	maxShortBudgetRatio      = 0.3  // part of a tenant's first tries with short budgets from which budgets tell nothing
+	minTenantArrivals        = 2.0  // batch jobs of a tenant by which chance may bring it over its part here
+	maxClientRetries         = 3.0  // times that a batch job which was turned away comes again, here and elsewhere
 )
 
 // usesSubset says whether the nodes are so many that one can't use all executors: then it uses a part of them.
@@ -151,7 +151,7 @@
 	defer func() { d.finishSubset(was) }()
 	// Cold ones that this node carries stand beside the others, whatever their rank: they do part of their work.
 	d.cold = slices.DeleteFunc(d.cold, func(e *executor) bool { return e.removed || now >= e.coldUntil })
-	means := map[KindID]mean{}
+	means := map[KindID]meanQuota{}
 	for _, e := range d.cold {
 		if d.limitSubsetValidity(e, now); d.usable(e, now) {
 			d.addToSubset(e, now, means)
@@ -183,20 +183,20 @@
 
 // addToSubset takes an executor into the slice and gives it its first tokens: its slice's mean quota, or the
 // design's start. Their ages are strewn so that nodes don't start on the same one.
-func (d *Dispatcher) addToSubset(e *executor, now time.Duration, means map[KindID]mean) {
+func (d *Dispatcher) addToSubset(e *executor, now time.Duration, means map[KindID]meanQuota) {
 	d.subset = append(d.subset, e)
 	if e.quota > 0 {
 		return
 	}
-	d.quotas(means)
+	d.meanQuotas(means)
 	m := means[e.kind]
-	e.quota = cmp.Or(e.known, m.of(firstQuota))
+	e.quota = cmp.Or(e.inheritedQuota, m.of(initialQuota))
 	means[e.kind] = m.with(e.quota)
 	d.addWithTokens(e)
 	for range e.quota {
-		e.free = append(e.free, now-times(d.interval, d.chance()))
+		e.freeTokens = append(e.freeTokens, now-times(d.quotaInterval, d.chance()))
 	}
-	slices.Sort(e.free)
+	slices.Sort(e.freeTokens)
 }
 
 // ---- What an executor can take ----
@@ -256,7 +256,7 @@
 
 // open says whether e may take j now: a free token, the cap in flight and rule 4.
 func (d *Dispatcher) open(e *executor, j *job, now time.Duration) bool {
-	return len(e.free) > 0 && (e.inCap == 0 || e.taken < e.inCap) &&
+	return len(e.freeTokens) > 0 && (e.inCap == 0 || e.takenTokens < e.inCap) &&
 		(now >= e.coldUntil || d.withinCold(e, j, now))
 }
 
@@ -359,7 +359,7 @@
 	if !j.hinted {
 		j.work, j.predictionMargin = t.meanWork, unhintedMargin
 	} else {
-		t.meanWork = times(t.meanWork, fade) + times(in.Work, 1-fade)
+		t.meanWork = times(t.meanWork, smoothing) + times(in.Work, 1-smoothing)
 	}
 	if in.Tenant >= 0 && int(in.Tenant) < len(d.tenants) {
 		j.tenant = &d.tenants[in.Tenant]
@@ -558,7 +558,7 @@
 	if !w.late && now+times(queue+times(j.work, pace), j.predictionMargin) > j.objectiveAt {
 		return -1
 	}
-	return e.weight * float64(now-e.free[0]) / (pace * (d.shortestObjective + wait).Seconds())
+	return e.weight * float64(now-e.freeTokens[0]) / (pace * (d.shortestObjective + wait).Seconds())
 }
 
 // ---- News of allocations ----
@@ -604,15 +604,15 @@
 	case ExecutorFull, ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
 		if how == ExecutorFull {
 			// Full counts as queuing at the executor, unless only one tenant meets it.
-			e.fullMany = e.fullMany || e.full && e.fullFrom != j.tenantID
-			e.full, e.fullFrom, e.fullWait, j.startedLate = true, j.tenantID, e.fullWait+est, true
+			e.fullForMany = e.fullForMany || e.sawFull && e.fullTenant != j.tenantID
+			e.sawFull, e.fullTenant, e.fullWait, j.startedLate = true, j.tenantID, e.fullWait+est, true
 		}
 		if d.probes && (how == ConnectFailed || how == ConnectionLost) {
 			d.mute(e, max(1, e.silences)) // until it answers
 			d.askLoad(e, now, 0)
 		}
 		// One may be the network's or the batch job's; a second, with no sign of life between, is the executor's.
-		if how == ExecutorError || e.broke && (how != ExecutorFull || j.tenant == nil || e.fullMany) {
+		if how == ExecutorError || e.broke && (how != ExecutorFull || j.tenant == nil || e.fullForMany) {
 			d.holdBack(e, now, "after an outcome that was no result")
 			e.errors += int(flag(how == ExecutorError))
 		}
@@ -636,11 +636,11 @@
 	}
 	if how == ExecutorFull { // guards against a token that is turned away again and again, in overload by the hundred
 		d.giveBack(e, now, true)
-		e.turned++
-		d.schedule(now+times(est, fullRest*float64(e.turned)), nil, e)
+		e.rejections++
+		d.schedule(now+times(est, fullTokenRest*float64(e.rejections)), nil, e)
 		return
 	}
-	d.release(e, now, j.startedLate)
+	d.releaseToken(e, now, j.startedLate)
 }
 
 func (d *Dispatcher) recordSuccess(j *attempt, e *executor, now time.Duration) {
@@ -850,9 +850,9 @@
 		e.asked, e.lent = false, 0
 		d.touch(e)
 		if first := d.keeperOf(e.sum); e.keeper == first {
-			e.keeper, e.firstAt = d.keeperOf((e.sum^e.sum>>16)*0x9e3779b1>>8), now+2*d.interval
+			e.keeper, e.firstAt = d.keeperOf((e.sum^e.sum>>16)*0x9e3779b1>>8), now+2*d.quotaInterval
 		} else {
-			e.alone = now + d.interval
+			e.alone = now + d.quotaInterval
 		}
 	}
 }
@@ -900,7 +900,7 @@
 	for len(k.queue)+len(k.late) > 0 && len(k.lent) < most {
 		to := k.first()
 		k.lentAt = now
-		k.lent = append(k.lent, lease{to, now + 2*d.interval})
+		k.lent = append(k.lent, lease{to, now + 2*d.quotaInterval})
 		d.tell(now, to, LeaseGrant, k.sum)
 	}
 }
@@ -910,10 +910,10 @@
 	for _, k := range d.keeps {
 		k.rest--
 		switch r := float64(k.lateStarts) / max(float64(k.backs), 1); {
-		case r > theta && k.quota > 1:
+		case r > executorQueuingThreshold && k.quota > 1:
 			k.quota--
 			k.rest = restAfter
-		case r < fewLate && k.dry && k.quota < quotaCap && k.rest <= 0 && (!d.probes || k.more):
+		case r < fewLate && k.dry && k.quota < maxQuota && k.rest <= 0 && (!d.probes || k.more):
 			k.quota++
 		}
 		k.lateStarts, k.backs, k.dry, k.more = 0, 0, len(k.queue) > 0, false
@@ -923,23 +923,23 @@
 
 // ---- The interval ----
 
-func (d *Dispatcher) everyInterval(now time.Duration) {
+func (d *Dispatcher) onInterval(now time.Duration) {
 	d.dropRemovedWithTokens()
 	for _, e := range d.withTokens {
 		d.touch(e) // what was seen grows old
 		for _, j := range e.attempts {
 			if !j.running && d.tellsStart {
-				e.workerWait += max(0, now-max(j.sentAt, now-d.interval)-d.quantum)
+				e.executorWait += max(0, now-max(j.sentAt, now-d.quotaInterval)-d.quantum)
 			}
 		}
-		if e.fullMany || e.full && !e.startedOther {
-			e.workerWait += e.fullWait
-			e.slow = true
+		if e.fullForMany || e.sawFull && !e.startedOthers {
+			e.executorWait += e.fullWait
+			e.overTarget = true
 		}
-		d.adjust(e, now)
+		d.adjustQuota(e, now)
 		d.watchSilence(e, now)
-		e.growOld()
-		e.asked = e.asked && now-e.askedAt <= d.interval
+		e.decay()
+		e.asked = e.asked && now-e.askedAt <= d.quotaInterval
 	}
 	d.keepInterval(now)
 	d.forgetPlaces()
@@ -947,17 +947,17 @@
 	d.decayAverages()
 }
 
-// adjust is the design's single step.
-func (d *Dispatcher) adjust(e *executor, now time.Duration) {
+// adjustQuota is the design's single step.
+func (d *Dispatcher) adjustQuota(e *executor, now time.Duration) {
 	r := 0.0
-	if sum := e.workerWait + e.ourWait; sum > 0 {
-		r = float64(e.workerWait) / float64(sum)
+	if sum := e.executorWait + e.queueWait; sum > 0 {
+		r = float64(e.executorWait) / float64(sum)
 	}
 	switch {
-	case e.slow && r > theta && (!d.queuedThisInterval || r > heldEmpty) && e.quota > 1:
-		d.step(e, -1, now)
-	case d.queuedThisInterval && e.dry && r < theta && e.quota < quotaCap:
-		d.step(e, 1, now)
+	case e.overTarget && r > executorQueuingThreshold && (!d.queuedThisInterval || r > emptyQueueThreshold) && e.quota > 1:
+		d.stepQuota(e, -1, now)
+	case d.queuedThisInterval && e.outOfTokens && r < executorQueuingThreshold && e.quota < maxQuota:
+		d.stepQuota(e, 1, now)
 	}
 }
 
@@ -979,7 +979,7 @@
 	e.attempts = slices.DeleteFunc(e.attempts, func(j *attempt) bool {
 		j.tokenReleased = d.tellsEvery > 0 && now-max(j.sentAt, j.progressAt) > max(span, notices)
 		if j.tokenReleased {
-			d.release(e, now, true)
+			d.releaseToken(e, now, true)
 		}
 		return j.tokenReleased
 	})
@@ -990,9 +990,9 @@
 // NextTask says what has fallen due, or until when nothing will.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.turn(now)
-	for now >= d.tick {
-		d.tick += d.interval
-		d.everyInterval(now)
+	for now >= d.intervalEnd {
+		d.intervalEnd += d.quotaInterval
+		d.onInterval(now)
 	}
 	mustSubscribe := d.polled && !d.subscribed && !d.polling
 	if mustSubscribe && now >= d.pollAt {
@@ -1007,7 +1007,7 @@
 		j, s := it.job, it.attempt
 		switch {
 		case it.tokenOf != nil:
-			d.release(it.tokenOf, now, false)
+			d.releaseToken(it.tokenOf, now, false)
 		case s != nil && s.generation == it.generation && d.shouldCancel(s, now):
 			s.canceling = true
 			return DueTask{Task: CancelAttempt, Job: s.id, Attempt: s.number}
@@ -1027,7 +1027,7 @@
 		d.words = d.words[1:]
 		return w
 	}
-	at := d.tick
+	at := d.intervalEnd
 	if len(d.timers) > 0 {
 		at = min(at, d.timers[0].at)
 	}
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -39,7 +39,7 @@
 	if k := d.kinds[e.kind]; now >= e.coldUntil {
 		k.parallel = max(k.parallel, e.runningCount())
 	}
-	e.startedOther = e.startedOther || !e.full || s.tenantID != e.fullFrom
+	e.startedOthers = e.startedOthers || !e.sawFull || s.tenantID != e.fullTenant
 }
 
 // AttemptProgressed tells how much of an allocation is done.
@@ -53,7 +53,7 @@
 // alive books a sign of life, which is as good as an answer to a probe.
 func (d *Dispatcher) alive(e *executor, now time.Duration) {
 	d.subsetChanged = d.subsetChanged || e.mute
-	e.news, e.broke, e.mute, e.silences, e.turned = now, false, false, 0, 0
+	e.news, e.broke, e.mute, e.silences, e.rejections = now, false, false, 0, 0
 }
 
 // ClientLeft tells that the client has gone: nothing more is owed.
@@ -73,11 +73,11 @@
 	if k.places == 0 {
 		k.places = places
 	}
-	k.places += (places - k.places) * (1 - fade)
+	k.places += (places - k.places) * (1 - smoothing)
 	k.parallel = max(1, int(k.places+0.5))
 	if load.Queued < 0.5 { // how many wait is told roughly: where many do, the rest swings
 		k.sure = cmp.Or(k.sure, places)
-		k.sure += (places - k.sure) * (1 - fade)
+		k.sure += (places - k.sure) * (1 - smoothing)
 	}
 }
 
@@ -90,15 +90,15 @@
 		e.listedLoad = e.size/weight - 1
 	}
 	k := d.kinds[e.kind]
-	k.size += (max(e.size, weight) - k.size) * (1 - fade)
+	k.size += (max(e.size, weight) - k.size) * (1 - smoothing)
 }
 
-// growOld lets what was seen of an executor grow old at an interval's end, or one passed over would never be tried again.
-func (e *executor) growOld() {
-	e.workerWait, e.ourWait, e.slow, e.dry = 0, 0, false, len(e.free) == 0
-	e.startWait = times(e.startWait, fade)
-	e.runs, e.works = e.runs*fade, e.works*fade
-	e.full, e.fullMany, e.startedOther, e.fullWait = false, false, false, 0
+// decay lets what was seen of an executor grow old at an interval's end, or one passed over would never be tried again.
+func (e *executor) decay() {
+	e.executorWait, e.queueWait, e.overTarget, e.outOfTokens = 0, 0, false, len(e.freeTokens) == 0
+	e.startWait = times(e.startWait, smoothing)
+	e.runs, e.works = e.runs*smoothing, e.works*smoothing
+	e.sawFull, e.fullForMany, e.startedOthers, e.fullWait = false, false, false, 0
 }
 
 // zoneLoads books how full the list shows this zone and the others.
@@ -120,10 +120,10 @@
 func (d *Dispatcher) queued(e *executor, s *attempt, wait time.Duration) {
 	wait = max(0, wait-d.quantum)
 	e.startWait = (e.startWait + wait) / 2 // quick to follow: a jam must be seen before it is fed
-	e.workerWait += wait
+	e.executorWait += wait
 	d.zoneWait(e, wait)
 	if s.sentAt-s.queuedAt+wait > times(s.objectiveAt-s.arrivedAt-s.work, slackTarget) {
-		e.slow = true
+		e.overTarget = true
 	}
 }
 
@@ -149,25 +149,25 @@
 		return 0
 	}
 	if !again {
-		t.shortBudgetRatio = t.shortBudgetRatio*fade + flag(lacks)*(1-fade)
+		t.shortBudgetRatio = t.shortBudgetRatio*smoothing + flag(lacks)*(1-smoothing)
 	}
 	return t.shortBudgetRatio
 }
 
 // recordArrival books a batch job, and whether it brought less than the full budget.
 func (t *jobClass) recordArrival(short bool) {
-	const keeps = 1 - (1-fade)/8
+	const keeps = 1 - (1-smoothing)/8
 	t.shortBudgets, t.rejectedFirstTries = t.shortBudgets*keeps+flag(short), t.rejectedFirstTries*keeps
 }
 
 // recordRequested books what a batch job that came is worth; first: it is not a repeat by the client.
 func (d *Dispatcher) recordRequested(j *job, first bool) {
 	e := d.valueOf(j)
-	j.class.unitValue = j.class.unitValue*fade + e*(1-fade)
+	j.class.unitValue = j.class.unitValue*smoothing + e*(1-smoothing)
 	if d.meanValue == 0 {
 		d.meanValue = e
 	}
-	d.meanValue += (e - d.meanValue) * (1 - fade) / 4
+	d.meanValue += (e - d.meanValue) * (1 - smoothing) / 4
 	if first {
 		j.class.requestedValue += e
 	}
@@ -175,7 +175,7 @@
 	if d.meanDensity == 0 {
 		d.meanDensity = density
 	}
-	d.meanDensity += (density - d.meanDensity) * (1 - fade) / 4
+	d.meanDensity += (density - d.meanDensity) * (1 - smoothing) / 4
 }
 
 // learn books a running time.
@@ -189,8 +189,8 @@
 		new := max(0.05, 1/float64(1+j.class.samples))
 		j.class.meanWork = times(j.class.meanWork, 1-new) + times(ran, new)
 	}
-	e.runs = e.runs*fade + ran.Seconds()
-	e.works = e.works*fade + j.work.Seconds()
+	e.runs = e.runs*smoothing + ran.Seconds()
+	e.works = e.works*smoothing + j.work.Seconds()
 	k := d.kinds[e.kind]
 	with := 1
 	for _, o := range e.attempts {
@@ -252,7 +252,7 @@
 // decayAverages fades the tracks' and tenants' figures, each interval.
 func (d *Dispatcher) decayAverages() {
 	if !d.loadAdjustedWeights {
-		d.remoteLoad *= fade // seldom seen while nothing crosses
+		d.remoteLoad *= smoothing // seldom seen while nothing crosses
 	}
 	d.worstClass = nil
 	least, came := math.Inf(1), 0.0
@@ -271,7 +271,7 @@
 	rates, quotas := 0.0, 0.0
 	for i := range d.tenants {
 		t := &d.tenants[i]
-		t.rate = t.rate*0.8 + float64(t.arrivals)/d.interval.Seconds()*0.2
+		t.rate = t.rate*0.8 + float64(t.arrivals)/d.quotaInterval.Seconds()*0.2
 		t.arrivals = 0
 		rates += t.rate
 		quotas += t.quotaPerSecond
@@ -281,7 +281,7 @@
 	for i := range d.tenants {
 		t := &d.tenants[i]
 		part := t.quotaPerSecond * max(rates/max(quotas, 1e-9), 1)
-		few := minTenantArrivals / (5 * d.interval.Seconds()) // what a rate remembers
+		few := minTenantArrivals / (5 * d.quotaInterval.Seconds()) // what a rate remembers
 		t.overQuota = (t.rate + few) / (part + few)
 	}
 }
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -23,7 +23,7 @@
 		d.addClass(JobClassUpdate{JobClassID(i), NoJobClass, t})
 	}
 	d.derive()
-	d.tick = d.interval
+	d.intervalEnd = d.quotaInterval
 	d.shareCold(s.OverloadMultiple)
 	d.spreadPolls(s.PollWithin)
 	d.schedule(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
@@ -52,13 +52,13 @@
 
 // derive reckons what hangs on all tracks together.
 func (d *Dispatcher) derive() {
-	d.requiredKinds, d.interval, d.shortestObjective = d.requiredKinds[:0], 0, 0
+	d.requiredKinds, d.quotaInterval, d.shortestObjective = d.requiredKinds[:0], 0, 0
 	for _, t := range d.currentClasses {
 		if !slices.Contains(d.requiredKinds, t.kind) {
 			d.requiredKinds = append(d.requiredKinds, t.kind)
 		}
-		if by := times(t.deadline, intervals); d.interval == 0 || by < d.interval {
-			d.interval = by
+		if by := times(t.deadline, intervalFraction); d.quotaInterval == 0 || by < d.quotaInterval {
+			d.quotaInterval = by
 		}
 		if d.shortestObjective == 0 || t.latencyObjective < d.shortestObjective {
 			d.shortestObjective = t.latencyObjective
@@ -81,7 +81,7 @@
 	d.derive()
 	d.worstClass, d.subsetStale, d.subsetChanged, d.tokenFreed = nil, true, true, true
 	d.touchAll(d.ranked) // their rates hang on the quoted times
-	d.tick = min(d.tick, now+d.interval)
+	d.intervalEnd = min(d.intervalEnd, now+d.quotaInterval)
 }
 
 // firstGuess is a track's mean work as long as nothing is known of it. Guards against a guess as long as the quoted time where that does not grow with
--- a/policy/state.go
+++ b/policy/state.go
@@ -27,8 +27,8 @@
 	hedgeQueue         []*job // that want a second allocation
 	timers             timerHeap
 	timerSequence      int
-	tick               time.Duration // when the interval ends
-	interval           time.Duration
+	intervalEnd        time.Duration // when the interval ends
+	quotaInterval      time.Duration
 	checkInterval      time.Duration // after it an allocation that is out gets its next look
 	listCount          int
 	anyRemoved         bool // some executor is gone from the list
@@ -148,30 +148,30 @@
 	started    time.Duration
 	coldUntil  time.Duration
 
-	quota    int
-	known    int             // the quota that another process of this node gave it; 0 for none
-	free     []time.Duration // since when each free token is free, oldest first
-	taken    int             // tokens taken by allocations out and by those stopped
-	attempts []*attempt      // allocations out
-	inCap    int             // cap in flight that grows with answers; 0 for none
-	colds    []spend         // work sent while cold, within the window
-	held     time.Duration   // tokens are held back until then
-	news     time.Duration   // last sign of life
-	silences int             // hold-backs for silence since then
-	errors   int             // errors since it handled something
-	turned   int             // allocations turned away since then
-	broke    bool            // an outcome since then was no result
+	quota          int
+	inheritedQuota int             // the quota that another process of this node gave it; 0 for none
+	freeTokens     []time.Duration // since when each free token is free, oldest first
+	takenTokens    int             // tokens taken by allocations out and by those stopped
+	attempts       []*attempt      // allocations out
+	inCap          int             // cap in flight that grows with answers; 0 for none
+	colds          []spend         // work sent while cold, within the window
+	held           time.Duration   // tokens are held back until then
+	news           time.Duration   // last sign of life
+	silences       int             // hold-backs for silence since then
+	errors         int             // errors since it handled something
+	rejections     int             // allocations turned away since then
+	broke          bool            // an outcome since then was no result
 
-	runs, works  float64 // running time seen and work done, fading
-	startWait    time.Duration
-	workerWait   time.Duration // this interval's queuing at the executor and here
-	ourWait      time.Duration
-	slow, dry    bool // this interval: slowdown over target; no free token left
-	full         bool // this interval: met 'full', by many tenants, while others were started
-	fullFrom     TenantID
-	fullMany     bool
-	fullWait     time.Duration
-	startedOther bool
+	runs, works             float64 // running time seen and work done, fading
+	startWait               time.Duration
+	executorWait            time.Duration // this interval's queuing at the executor and here
+	queueWait               time.Duration
+	overTarget, outOfTokens bool // this interval: slowdown over target; no free token left
+	sawFull                 bool // this interval: met 'full', by many tenants, while others were started
+	fullTenant              TenantID
+	fullForMany             bool
+	fullWait                time.Duration
+	startedOthers           bool
 
 	probing bool          // a probe is out
 	mute    bool          // a probe went without answer, and none was answered since
