--- a/policy/books.go
+++ b/policy/books.go
@@ -60,18 +60,18 @@
 // addKind makes room for a kind's figures: a known executor may come back as another kind, too.
 func (d *Dispatcher) addKind(id KindID, weight float64) {
 	if d.kinds[id] == nil {
-		d.kinds[id] = &kind{pace: 1, parallel: 1, size: weight}
+		d.kinds[id] = &kindStats{pace: 1, concurrency: 1, size: weight}
 		d.newShelf(id, d.kinds[id])
 	}
 }
 
-// surePlaces are a kind's places, for rule 4: by reports that are exact enough, or by what ran beside each other for long enough. Guards
+// safeSlots are a kind's places, for rule 4: by reports that are exact enough, or by what ran beside each other for long enough. Guards
 // against the notice of a start that passes that of the end before it, by which an executor with one place looks as if it had two.
-func (k *kind) surePlaces() float64 {
-	if k.sure > 0 {
-		return max(1, math.Round(k.sure))
+func (k *kindStats) safeSlots() float64 {
+	if k.exactSlots > 0 {
+		return max(1, math.Round(k.exactSlots))
 	}
-	return float64(max(1, min(k.parallel, k.together)))
+	return float64(max(1, min(k.concurrency, k.observedConcurrency)))
 }
 
 // rankOf is an executor's rank at this node: a hash of both, reckoned once.
@@ -247,12 +247,12 @@
 	// A late batch job waits because others go first, not for want of tokens: its time until then counts.
 	e.queueWait += max(0, min(now, j.objectiveAt-j.work)-j.queuedAt)
 	if len(e.attempts) == 0 {
-		e.news = now
+		e.lastSeen = now
 	}
 	s := &attempt{job: j, number: AttemptID(j.attemptCount), executor: e, zone: e.zone, cell: e.cell, sentAt: now}
 	d.takeToken(e, s)
-	if now < e.coldUntil {
-		e.colds = append(e.colds, spend{now, j.slowStartWork()})
+	if now < e.slowStartUntil {
+		e.slowStartSpend = append(e.slowStartSpend, spend{now, j.slowStartWork()})
 	}
 	j.attemptCount++
 	j.generation++
@@ -329,11 +329,11 @@
 	})
 }
 
-// mute lets nothing go to an executor until it answers.
-func (d *Dispatcher) mute(e *executor, silences int) {
-	e.mute, e.silences = true, silences
+// markUnresponsive lets nothing go to an executor until it answers.
+func (d *Dispatcher) markUnresponsive(e *executor, silences int) {
+	e.unresponsive, e.timeouts = true, silences
 	d.subsetStale, d.subsetChanged = true, true
-	d.watch(e)
+	d.awaitReply(e)
 }
 
 // stepQuota moves a quota.
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -55,12 +55,12 @@
 		}
 	}
 	for id, kind := range d.kinds {
-		k.Kinds = append(k.Kinds, LearnedKind{id, kind.pace, kind.size, kind.places, kind.parallel})
+		k.Kinds = append(k.Kinds, LearnedKind{id, kind.pace, kind.size, kind.reportedSlots, kind.concurrency})
 	}
 	slices.SortFunc(k.Kinds, func(a, b LearnedKind) int { return cmp.Compare(a.ID, b.ID) })
 	for _, e := range d.withTokens {
 		if !e.removed {
-			k.Executors = append(k.Executors, LearnedExecutor{e.id, e.quota, e.runs, e.works, e.startWait, max(0, e.held-now), e.inCap, e.silences})
+			k.Executors = append(k.Executors, LearnedExecutor{e.id, e.quota, e.runTimeSeen, e.workSeen, e.startWait, max(0, e.ejectedUntil-now), e.inFlightCap, e.timeouts})
 		}
 	}
 	slices.SortFunc(k.Executors, func(a, b LearnedExecutor) int { return cmp.Compare(a.ID, b.ID) })
@@ -90,19 +90,19 @@
 	}
 	for _, in := range k.Kinds {
 		if kind := d.kinds[in.ID]; kind != nil && in.Pace > 0 && in.Parallel > 0 && in.Size > 0 {
-			kind.pace, kind.size, kind.places, kind.parallel = in.Pace, in.Size, max(0, in.Slots), in.Parallel
+			kind.pace, kind.size, kind.reportedSlots, kind.concurrency = in.Pace, in.Size, max(0, in.Slots), in.Parallel
 		}
 	}
 	for _, in := range k.Executors {
 		e := d.executorsByID[in.ID]
-		if e == nil || now < e.coldUntil || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
+		if e == nil || now < e.slowStartUntil || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
 			continue
 		}
-		e.runs, e.works, e.silences = in.RunTime, in.Work, in.Timeouts
+		e.runTimeSeen, e.workSeen, e.timeouts = in.RunTime, in.Work, in.Timeouts
 		d.touch(e)
 		if in.EjectedFor > 0 || in.InFlightCap > 0 {
-			e.held, e.inCap = now+in.EjectedFor, max(1, in.InFlightCap)
-			d.schedule(e.held, nil, nil)
+			e.ejectedUntil, e.inFlightCap = now+in.EjectedFor, max(1, in.InFlightCap)
+			d.schedule(e.ejectedUntil, nil, nil)
 		}
 		if !among {
 			continue
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -49,7 +49,7 @@
 	got := next.ExportLearned(last)
 	for _, in := range k.Executors { // those that are held back have no tokens yet
 		e := next.executorsByID[in.ID]
-		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.inheritedQuota, e.runs, e.works, e.startWait, max(0, e.held-last), e.inCap, e.silences})
+		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.inheritedQuota, e.runTimeSeen, e.workSeen, e.startWait, max(0, e.ejectedUntil-last), e.inFlightCap, e.timeouts})
 	}
 	if !reflect.DeepEqual(got, k) {
 		t.Errorf("learnt\n%+v\nof\n%+v", got, k)
@@ -76,7 +76,7 @@
 		e.quota = 7
 	}
 	crawls := old.executorsByID["b"]
-	crawls.runs, crawls.works, crawls.startWait = 40, 10, 3*time.Second
+	crawls.runTimeSeen, crawls.workSeen, crawls.startWait = 40, 10, 3*time.Second
 	old.classes[0].meanWork, old.classes[0].requestedValue = 700*time.Millisecond, 50
 
 	among := settings([]string{"ask"})
@@ -85,8 +85,8 @@
 	next.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	next.ImportLearned(0, old.ExportLearned(0))
 	rest(next)
-	if b := next.executorsByID["b"]; b.runs != 40 || b.startWait != 0 || b.inheritedQuota != 0 {
-		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runs, b.works, b.startWait, b.inheritedQuota)
+	if b := next.executorsByID["b"]; b.runTimeSeen != 40 || b.startWait != 0 || b.inheritedQuota != 0 {
+		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runTimeSeen, b.workSeen, b.startWait, b.inheritedQuota)
 	}
 	if got := next.classes[0]; got.meanWork != 700*time.Millisecond || got.requestedValue != 0 {
 		t.Errorf("of the track it knows work %v and %v asked for", got.meanWork, got.requestedValue)
--- a/policy/index.go
+++ b/policy/index.go
@@ -130,7 +130,7 @@
 // shelf is a kind's part of the index.
 type shelf struct {
 	id     KindID
-	kind   *kind
+	kind   *kindStats
 	most   int // the most places that bounds are reckoned with: no fewer than the kind has now
 	groups []*group
 	floors pile                            // whose rates hold while the kind's pace is not under a floor, the highest first
@@ -197,7 +197,7 @@
 	subsetChanged    bool        // what the slice hangs on has changed
 	subsetValidUntil time.Duration
 	rezoned          bool // an executor of the slice has another zone or kind than when it was picked
-	watched          []*executor
+	awaitingReply    []*executor
 	askeds           []*executor
 	tokenOrders      int         // executors met so far
 	unranked         []*executor // that have no rank yet
@@ -205,8 +205,8 @@
 }
 
 // newShelf makes room in the index for a kind.
-func (d *Dispatcher) newShelf(id KindID, k *kind) {
-	s := &shelf{id: id, kind: k, most: k.parallel, floors: pile{by: byDrift}, tops: pile{by: byDrift}}
+func (d *Dispatcher) newShelf(id KindID, k *kindStats) {
+	s := &shelf{id: id, kind: k, most: k.concurrency, floors: pile{by: byDrift}, tops: pile{by: byDrift}}
 	for i := range s.paces {
 		s.paces[i].by = byPace
 	}
@@ -231,7 +231,7 @@
 // refile files what was touched, and what has stood longer than its bound holds.
 func (d *Dispatcher) refile(now time.Duration) {
 	for _, s := range d.shelves {
-		if s.kind.parallel > s.most {
+		if s.kind.concurrency > s.most {
 			d.setMost(s)
 		}
 		for e := s.floors.first(); e != nil && e.limit > s.kind.pace; e = s.floors.first() {
@@ -254,7 +254,7 @@
 // forgetPlaces lets the most places of the kinds fall to what they are now, at an interval's end.
 func (d *Dispatcher) forgetPlaces() {
 	for _, s := range d.shelves {
-		if s.most != s.kind.parallel {
+		if s.most != s.kind.concurrency {
 			d.setMost(s)
 		}
 	}
@@ -262,7 +262,7 @@
 
 // setMost takes the places of a kind as they are now, which all its bounds hang on.
 func (d *Dispatcher) setMost(s *shelf) {
-	s.most = s.kind.parallel
+	s.most = s.kind.concurrency
 	d.touchAll(s.floors.list)
 	d.touchAll(s.tops.list)
 }
@@ -272,7 +272,7 @@
 	s := d.kinds[e.kind].shelf
 	d.filePace(e, s)
 	old := e.places[byAge].in
-	if len(e.freeTokens) == 0 || e.removed || e.inCap > 0 && e.takenTokens >= e.inCap {
+	if len(e.freeTokens) == 0 || e.removed || e.inFlightCap > 0 && e.takenTokens >= e.inFlightCap {
 		if old != nil {
 			e.unfile(byAge)
 			e.unfile(byDrift)
@@ -281,7 +281,7 @@
 		}
 		return
 	}
-	of := sort{far: d.remoteSide(e) > 0, inSubset: e.subsetRank >= 0, load: loaded, keeper: cleared, scaled: e.works <= 1 && len(e.attempts) < s.most}
+	of := sort{far: d.remoteSide(e) > 0, inSubset: e.subsetRank >= 0, load: loaded, keeper: cleared, scaled: e.workSeen <= 1 && len(e.attempts) < s.most}
 	if len(e.attempts) == 0 {
 		of.load = idle
 		if of.inSubset && e.subsetRank < d.lateSubsetSize {
@@ -310,7 +310,7 @@
 	}
 	d.filed++
 	e.group = s.group(of)
-	if part := e.works / (e.works + 1); of.scaled {
+	if part := e.workSeen / (e.workSeen + 1); of.scaled {
 		e.limit = k * (1 + min(mostDrift, drift/part))
 		s.tops.put(e, order(e.limit))
 	} else {
@@ -342,14 +342,14 @@
 // limitPace is the pace that e's rate is reckoned with.
 func (e *executor) limitPace() float64 {
 	if e.group.scaled {
-		return (1 + e.runs/e.limit) / (e.works + 1)
+		return (1 + e.runTimeSeen/e.limit) / (e.workSeen + 1)
 	}
-	return (e.runs + e.limit) / (e.works + 1)
+	return (e.runTimeSeen + e.limit) / (e.workSeen + 1)
 }
 
 // tight is the bound of e's rate with its kind's pace as it is.
 func (e *executor) tight(pace float64) float64 {
-	return hair * e.rate * e.limitPace() * (e.works + 1) / (e.runs + pace)
+	return hair * e.rate * e.limitPace() * (e.workSeen + 1) / (e.runTimeSeen + pace)
 }
 
 // scale is what the group's rates are to be taken times.
@@ -541,7 +541,7 @@
 	if scale*e.rate > rate*(1+3*drift) { // its kind's pace has drifted: guards against bounds that are ever looser
 		d.touch(e)
 	}
-	if !(rate*age < w.least) && !((e.runs+k)/(e.works+1)*hairPace > w.mostPace) && !yield(e) {
+	if !(rate*age < w.least) && !((e.runTimeSeen+k)/(e.workSeen+1)*hairPace > w.mostPace) && !yield(e) {
 		return false
 	}
 	return d.walk(t, 2*i+1, w, yield) && d.walk(t, 2*i+2, w, yield)
@@ -595,7 +595,7 @@
 func (d *Dispatcher) anyLocalUsable(j *job, now time.Duration) bool {
 	near := func(e *executor) bool {
 		d.looks++
-		return d.remoteSide(e) == 0 && d.usable(e, now) && d.isEligible(e, j, now)
+		return d.remoteSide(e) == 0 && d.isUsable(e, now) && d.isEligible(e, j, now)
 	}
 	if d.boundToDedupGroup(j) || d.rezoned {
 		return slices.ContainsFunc(d.eligibleExecutors(j), near)
@@ -623,7 +623,7 @@
 
 // limitSubsetValidity books until when an executor that the slice was picked by stands as it does, if nothing else comes.
 func (d *Dispatcher) limitSubsetValidity(e *executor, now time.Duration) {
-	for _, at := range [...]time.Duration{e.held, e.coldUntil, d.coldFrom} {
+	for _, at := range [...]time.Duration{e.ejectedUntil, e.slowStartUntil, d.slowStartReservedUntil} {
 		if at > now {
 			d.subsetValidUntil = min(d.subsetValidUntil, at)
 		}
@@ -666,16 +666,16 @@
 		e.unfile(byPace)
 		return
 	}
-	seen, key := e.works/(e.works+1), order(e.runs)
+	seen, key := e.workSeen/(e.workSeen+1), order(e.runTimeSeen)
 	at := int(seen * paceSteps)
 	switch {
-	case e.works <= 0:
+	case e.workSeen <= 0:
 		at = len(s.paces) - 1
 	case at > 0:
-		at, key = min(at, paceSteps-1), order(e.runs/e.works)
+		at, key = min(at, paceSteps-1), order(e.runTimeSeen/e.workSeen)
 	default:
 		_, exp := math.Frexp(seen) // it is from half of that power on, and less than it
-		at, key = min(paceSteps-4-exp, paceSteps+paceTails-1), order(e.runs/e.works)
+		at, key = min(paceSteps-4-exp, paceSteps+paceTails-1), order(e.runTimeSeen/e.workSeen)
 	}
 	s.paces[at].put(e, key)
 }
@@ -747,7 +747,7 @@
 	}
 	d.looks++
 	e, k := s.paces[step].list[i], s.kind.pace
-	pace := (e.runs + k) / (e.works + 1)
+	pace := (e.runTimeSeen + k) / (e.workSeen + 1)
 	switch {
 	case !e.available:
 	case len(e.attempts) == 0:
@@ -762,22 +762,22 @@
 
 // ---- Those asked ----
 
-// watch notes an executor that is asked for a sign of life, or owes one.
-func (d *Dispatcher) watch(e *executor) {
-	if !e.watched {
-		e.watched = true
-		d.watched = append(d.watched, e)
+// awaitReply notes an executor that is asked for a sign of life, or owes one.
+func (d *Dispatcher) awaitReply(e *executor) {
+	if !e.awaited {
+		e.awaited = true
+		d.awaitingReply = append(d.awaitingReply, e)
 	}
 }
 
-// silentOnes are those of which an answer is awaited, in the order in which they were met.
-func (d *Dispatcher) silentOnes() []*executor {
-	d.watched = slices.DeleteFunc(d.watched, func(e *executor) bool {
-		e.watched = e.probing || e.mute
-		return !e.watched
+// awaitingReplies are those of which an answer is awaited, in the order in which they were met.
+func (d *Dispatcher) awaitingReplies() []*executor {
+	d.awaitingReply = slices.DeleteFunc(d.awaitingReply, func(e *executor) bool {
+		e.awaited = e.probeOut || e.unresponsive
+		return !e.awaited
 	})
-	slices.SortFunc(d.watched, func(a, b *executor) int { return a.tokenOrder - b.tokenOrder })
-	return d.watched
+	slices.SortFunc(d.awaitingReply, func(a, b *executor) int { return a.tokenOrder - b.tokenOrder })
+	return d.awaitingReply
 }
 
 // awaits notes an executor of which a place was asked for.
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -18,7 +18,7 @@
 	var best *executor
 	bestSide, bestAge := 0, 0.0
 	for i, e := range d.eligibleExecutors(j) {
-		if !d.usable(e, now) || !d.isEligible(e, j, now) {
+		if !d.isUsable(e, now) || !d.isEligible(e, j, now) {
 			continue
 		}
 		side := d.remoteSide(e)
@@ -30,11 +30,11 @@
 			continue
 		}
 		taken := len(j.attempts) > 0 && j.attempts[0].executor == e || best != nil && side > bestSide
-		if taken || !d.cleared(e, now, asking) || !d.open(e, j, now) {
+		if taken || !d.cleared(e, now, asking) || !d.canAccept(e, j, now) {
 			continue
 		}
 		pace := d.pace(e, now)
-		wait := d.waitAt(e, pace, now)
+		wait := d.expectedWait(e, pace, now)
 		queue := wait
 		if j.class.idempotency == AtMostOnce {
 			queue = max(wait, times(j.class.meanWork, (e.listedLoad-1)*pace))
@@ -76,8 +76,8 @@
 			size = max(size, 2*minSubsetSize)
 		}
 	}
-	for _, e := range d.cold {
-		if !e.removed && now < e.coldUntil && d.usable(e, now) {
+	for _, e := range d.slowStarting {
+		if !e.removed && now < e.slowStartUntil && d.isUsable(e, now) {
 			slice = append(slice, e)
 		}
 	}
@@ -86,7 +86,7 @@
 		near := false
 		for i, need := range d.requiredKinds {
 			n := &counts[d.remoteSide(e)*len(d.requiredKinds)+i]
-			if now >= e.coldUntil && d.usable(e, now) && (need == AnyKind || need == e.kind) && *n < size {
+			if now >= e.slowStartUntil && d.isUsable(e, now) && (need == AnyKind || need == e.kind) && *n < size {
 				near = true
 				*n++
 			}
@@ -213,7 +213,7 @@
 		}
 	}
 	for _, e := range d.withTokens {
-		if (e.probing || e.mute) && !slices.Contains(d.watched, e) {
+		if (e.probeOut || e.unresponsive) && !slices.Contains(d.awaitingReply, e) {
 			w.t.Fatalf("seed %d, %v: %s is asked for a sign of life and not watched", w.seed, w.now, e.id)
 		}
 	}
@@ -248,7 +248,7 @@
 		return "of a keeper"
 	case d.boundToDedupGroup(j):
 		return "in a dedup group"
-	case w.now < e.coldUntil:
+	case w.now < e.slowStartUntil:
 		return "cold"
 	case d.crossesNow(j) && d.remoteSide(e) > 0:
 		return "crossing"
@@ -258,9 +258,9 @@
 		return "a copy"
 	case d.mayTell && d.usesSubset():
 		return "with a place"
-	case e.inCap > 0:
+	case e.inFlightCap > 0:
 		return "under a cap"
-	case len(e.attempts) >= d.kinds[e.kind].parallel:
+	case len(e.attempts) >= d.kinds[e.kind].concurrency:
 		return "full of ours"
 	}
 	return "plain"
@@ -373,7 +373,7 @@
 				e.freeTokens[i] = w.now / 2
 			}
 			if w.r.IntN(2) == 0 {
-				e.runs, e.works, e.startWait = 0, 0, 0
+				e.runTimeSeen, e.workSeen, e.startWait = 0, 0, 0
 			}
 			w.touch(e)
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -36,7 +36,7 @@
 const (
 	executorQueuingThreshold = 0.3  // worker-side share of queuing above which the executor's queue is to blame
 	emptyQueueThreshold      = 0.5  // over this r, what waits here counts as an empty held queue at the tail
-	slackTarget              = 0.5  // slowdown target: this part of the slack in the quoted time spent queuing
+	slackTargetFraction      = 0.5  // slowdown target: this part of the slack in the quoted time spent queuing
 	initialQuota             = 2    // the design's start
 	maxQuota                 = 8    // the design's finite cap
 	intervalFraction         = 0.4  // the interval, as a part of the shortest outer limit
@@ -45,20 +45,20 @@
 	subsetMinNodes           = 6    // from so many on a node uses a part of the executors
 	subsetSharers            = 3    // nodes whose slices an executor is in, while that leaves a node leastSlice of them
 	minSubsetSize            = 3    // executors of each zone side and bound kind in a slice at least; with keepers twice
-	fullZone                 = 1.3  // batch jobs held a core from which a zone counts as full, where the list tells
-	fullPart                 = 0.3  // part of allocations that do not start at once from which a zone counts as full
-	fullWait                 = 2.0  // and elsewhere: what starts take there, in shortest quoted times
+	zoneFullLoad             = 1.3  // batch jobs held a core from which a zone counts as full, where the list tells
+	zoneFullLateStarts       = 0.3  // part of allocations that do not start at once from which a zone counts as full
+	zoneFullWait             = 2.0  // and elsewhere: what starts take there, in shortest quoted times
 	maxMigrationCost         = 0.1  // part of a batch job's value that the price of moving it may be
 	smoothing                = 0.85 // weight that an older observation keeps when a new one comes
-	crawl                    = 2.0  // times the usual pace from which an executor counts as crawling
+	slowProgressFactor       = 2.0  // times the usual pace from which an executor counts as crawling
 	hintedMargin             = 1.1  // what a prediction leaves over for a hinted batch job
 	unhintedMargin           = 1.25 // and for one without a hint, and for work sent to a cold executor
-	lateTimes                = 5.0  // times its foretold running time from which one without a start notice had to wait
+	waitedFactor             = 5.0  // times its foretold running time from which one without a start notice had to wait
 	fewLate                  = 0.1  // part of starts that may be late where a keeper lends one place more
-	mostSilences             = 8    // times the usual span at most until one that is silent, or errs, is tried again
+	maxBackoffFactor         = 8    // times the usual span at most until one that is silent, or errs, is tried again
 	restAfter                = 4    // intervals that a keeper leaves a lowered quota
 	fullTokenRest            = 2.0  // running times that a full executor's token rests, for each turned away in a row
-	remembered               = 0.1  // of what is foretold: a tagged batch job done in less was done before
+	dedupReplyFraction       = 0.1  // of what is foretold: a tagged batch job done in less was done before
 	budgetMarginStep         = 0.05 // by which a try that was too short teaches
 	maxShortBudgetRatio      = 0.3  // part of a tenant's first tries with short budgets from which budgets tell nothing
 	minTenantArrivals        = 2.0  // batch jobs of a tenant by which chance may bring it over its part here
@@ -96,19 +96,19 @@
 	d.insertRanked()
 	d.dropRemoved(what != IncrementalUpdate)
 	d.subsetStale, d.subsetChanged, d.tokenFreed = true, true, true
-	d.zoneLoads(now)
+	d.updateZoneLoads(now)
 }
 
 func (d *Dispatcher) updateEndpoint(now time.Duration, n Endpoint) {
 	e := d.executorsByID[n.Executor]
 	fresh := e == nil
 	if fresh {
-		e = &executor{id: n.Executor, started: n.StartedAt, news: now, rank: d.rankOf(n.Executor), subsetRank: -1}
+		e = &executor{id: n.Executor, started: n.StartedAt, lastSeen: now, rank: d.rankOf(n.Executor), subsetRank: -1}
 		e.sum = ExecutorHash(crc32.ChecksumIEEE([]byte(n.Executor)))
 		e.keeper = d.keeperOf(e.sum)
 		// The nodes that carry a cold executor follow its number: all reckon the same ones, without asking.
 		place := (int(d.nodeID) + d.nodeCount - int(e.sum%ExecutorHash(d.nodeCount))) % d.nodeCount
-		e.carried = place < d.carriers
+		e.slowStartSender = place < d.slowStartSenders
 		d.unranked = append(d.unranked, e)
 		d.executorsByID[e.id], d.bySum[e.sum] = e, e
 	}
@@ -124,12 +124,12 @@
 		return
 	}
 	e.started = n.StartedAt
-	if until := n.StartedAt + d.warmWithin; until > now {
+	if until := n.StartedAt + d.slowStartDuration; until > now {
 		// A fresh executor can do part of its work only, and what we knew of it no longer holds.
-		if e.carried && now >= e.coldUntil {
-			d.cold = append(d.cold, e)
+		if e.slowStartSender && now >= e.slowStartUntil {
+			d.slowStarting = append(d.slowStarting, e)
 		}
-		e.coldUntil, e.inCap, e.held, e.startWait, e.colds = until, 1, 0, 0, e.colds[:0]
+		e.slowStartUntil, e.inFlightCap, e.ejectedUntil, e.startWait, e.slowStartSpend = until, 1, 0, 0, e.slowStartSpend[:0]
 	}
 }
 
@@ -150,10 +150,10 @@
 	was := d.beginSubset()
 	defer func() { d.finishSubset(was) }()
 	// Cold ones that this node carries stand beside the others, whatever their rank: they do part of their work.
-	d.cold = slices.DeleteFunc(d.cold, func(e *executor) bool { return e.removed || now >= e.coldUntil })
+	d.slowStarting = slices.DeleteFunc(d.slowStarting, func(e *executor) bool { return e.removed || now >= e.slowStartUntil })
 	means := map[KindID]meanQuota{}
-	for _, e := range d.cold {
-		if d.limitSubsetValidity(e, now); d.usable(e, now) {
+	for _, e := range d.slowStarting {
+		if d.limitSubsetValidity(e, now); d.isUsable(e, now) {
 			d.addToSubset(e, now, means)
 		}
 	}
@@ -167,7 +167,7 @@
 		d.limitSubsetValidity(e, now)
 		for i, need := range d.requiredKinds {
 			n := &counts[d.remoteSide(e)*len(d.requiredKinds)+i]
-			if now < e.coldUntil || !d.usable(e, now) || need != AnyKind && need != e.kind || *n >= size {
+			if now < e.slowStartUntil || !d.isUsable(e, now) || need != AnyKind && need != e.kind || *n >= size {
 				continue
 			}
 			near = true
@@ -204,7 +204,7 @@
 // pace is the running time that e needs for a unit of work: what was seen, and what running batch jobs that
 // are over their time already show (guards against executors slowed or stalled since their last answer).
 func (d *Dispatcher) pace(e *executor, now time.Duration) float64 {
-	runs, works := e.runs+d.kinds[e.kind].pace, e.works+1
+	runs, works := e.runTimeSeen+d.kinds[e.kind].pace, e.workSeen+1
 	for _, j := range e.attempts {
 		if !j.running {
 			continue
@@ -221,16 +221,16 @@
 	return runs / works
 }
 
-// waitAt is how long a batch job sent to e now would wait there: what starts were seen to take, or, where
+// expectedWait is how long a batch job sent to e now would wait there: what starts were seen to take, or, where
 // ours alone fill as many places as its kind was seen to have, until the first of those is done.
-func (d *Dispatcher) waitAt(e *executor, pace float64, now time.Duration) time.Duration {
-	places := d.kinds[e.kind].parallel
+func (d *Dispatcher) expectedWait(e *executor, pace float64, now time.Duration) time.Duration {
+	places := d.kinds[e.kind].concurrency
 	wait, first, queued := e.startWait, time.Duration(math.MaxInt64), time.Duration(0)
 	for _, o := range e.attempts {
 		left := times(o.work, pace)
 		if !o.running {
 			queued += left
-			if out := now - o.sentAt; d.tellsStart && out > e.startWait+d.checkInterval {
+			if out := now - o.sentAt; d.startNotices && out > e.startWait+d.checkInterval {
 				// One of ours that has not begun there yet shows that the others have filled it.
 				wait = max(wait, out+left/time.Duration(places))
 			}
@@ -249,42 +249,42 @@
 	return max(e.startWait, first+queued/time.Duration(places))
 }
 
-// usable says whether e takes anything new at all, free token or not.
-func (d *Dispatcher) usable(e *executor, now time.Duration) bool {
-	return e.available && !e.mute && e.held <= now && (e.carried && now >= d.coldFrom || now >= e.coldUntil)
+// isUsable says whether e takes anything new at all, free token or not.
+func (d *Dispatcher) isUsable(e *executor, now time.Duration) bool {
+	return e.available && !e.unresponsive && e.ejectedUntil <= now && (e.slowStartSender && now >= d.slowStartReservedUntil || now >= e.slowStartUntil)
 }
 
-// open says whether e may take j now: a free token, the cap in flight and rule 4.
-func (d *Dispatcher) open(e *executor, j *job, now time.Duration) bool {
-	return len(e.freeTokens) > 0 && (e.inCap == 0 || e.takenTokens < e.inCap) &&
-		(now >= e.coldUntil || d.withinCold(e, j, now))
+// canAccept says whether e may take j now: a free token, the cap in flight and rule 4.
+func (d *Dispatcher) canAccept(e *executor, j *job, now time.Duration) bool {
+	return len(e.freeTokens) > 0 && (e.inFlightCap == 0 || e.takenTokens < e.inFlightCap) &&
+		(now >= e.slowStartUntil || d.withinSlowStartBudget(e, j, now))
 }
 
-// shareCold derives this node's part of the cold budget. Divided among many nodes it would be less than a
+// deriveSlowStart derives this node's part of the cold budget. Divided among many nodes it would be less than a
 // batch job: so the same few carry it all, as many as could each send something to one place of it.
-func (d *Dispatcher) shareCold(multiple float64) {
-	d.carriers = int(multiple * d.coldShare * d.fallWindow.Seconds() / d.shortestObjective.Seconds())
-	d.carriers = max(1, min(d.carriers, d.nodeCount))
-	d.coldWork = multiple * d.fallWindow.Seconds() / float64(d.carriers)
+func (d *Dispatcher) deriveSlowStart(multiple float64) {
+	d.slowStartSenders = int(multiple * d.slowStartCapacity * d.overloadWindow.Seconds() / d.shortestObjective.Seconds())
+	d.slowStartSenders = max(1, min(d.slowStartSenders, d.nodeCount))
+	d.slowStartBudget = multiple * d.overloadWindow.Seconds() / float64(d.slowStartSenders)
 }
 
-// warmth is the least part of its work that e can do at its age, while it is cold.
-func (d *Dispatcher) warmth(e *executor, now time.Duration) float64 {
-	return d.coldShare + (1-d.coldShare)*min(1, max(0, float64(now-e.started)/float64(d.warmWithin)))
+// slowStartFraction is the least part of its work that e can do at its age, while it is cold.
+func (d *Dispatcher) slowStartFraction(e *executor, now time.Duration) float64 {
+	return d.slowStartCapacity + (1-d.slowStartCapacity)*min(1, max(0, float64(now-e.started)/float64(d.slowStartDuration)))
 }
 
-// withinCold is rule 4: this node's part of the budget of work for a cold executor, judged by what warm
+// withinSlowStartBudget is rule 4: this node's part of the budget of work for a cold executor, judged by what warm
 // executors of its kind take and the least it can do at its age.
-func (d *Dispatcher) withinCold(e *executor, j *job, now time.Duration) bool {
+func (d *Dispatcher) withinSlowStartBudget(e *executor, j *job, now time.Duration) bool {
 	k := d.kinds[e.kind]
 	// One that is smaller than its kind, or was slower before its start, takes less.
-	part := d.warmth(e, now) * min(1, max(e.size, e.weight)/k.size)
-	budget := d.coldWork * part * k.surePlaces() / max(k.pace, d.pace(e, now))
-	if e.started < 0 && now < d.fallWindow { // Guards against a process that starts again:
+	part := d.slowStartFraction(e, now) * min(1, max(e.size, e.weight)/k.size)
+	budget := d.slowStartBudget * part * k.safeSlots() / max(k.pace, d.pace(e, now))
+	if e.started < 0 && now < d.overloadWindow { // Guards against a process that starts again:
 		budget *= unhintedMargin - 1 // the one before may have spent all but what the margin on work leaves over.
 	}
-	e.colds = slices.DeleteFunc(e.colds, func(s spend) bool { return s.at+d.fallWindow <= now })
-	for _, s := range e.colds {
+	e.slowStartSpend = slices.DeleteFunc(e.slowStartSpend, func(s spend) bool { return s.at+d.overloadWindow <= now })
+	for _, s := range e.slowStartSpend {
 		budget -= s.work.Seconds()
 	}
 	return j.slowStartWork().Seconds() <= budget
@@ -537,7 +537,7 @@
 func (d *Dispatcher) tokenAge(e *executor, w *wish) float64 {
 	j, now := w.job, w.now
 	d.weighed++
-	if !d.usable(e, now) || !d.isEligible(e, j, now) {
+	if !d.isUsable(e, now) || !d.isEligible(e, j, now) {
 		return -1
 	}
 	// Late ones must not fill the places of those still to come: they go where nothing of ours is out, and,
@@ -545,11 +545,11 @@
 	if w.late && (len(e.attempts) > 0 || j.class.lateValue > 0 && d.among(e, j) >= d.lateSubsetSize) {
 		return -1
 	}
-	if len(j.attempts) > 0 && j.attempts[0].executor == e || !d.cleared(e, now, w.asks) || !d.open(e, j, now) {
+	if len(j.attempts) > 0 && j.attempts[0].executor == e || !d.cleared(e, now, w.asks) || !d.canAccept(e, j, now) {
 		return -1
 	}
 	pace := d.pace(e, now)
-	wait := d.waitAt(e, pace, now)
+	wait := d.expectedWait(e, pace, now)
 	queue := wait
 	if j.class.idempotency == AtMostOnce {
 		// What can't be taken back counts the list's news as well: its like, held over one a core, go first.
@@ -607,16 +607,16 @@
 			e.fullForMany = e.fullForMany || e.sawFull && e.fullTenant != j.tenantID
 			e.sawFull, e.fullTenant, e.fullWait, j.startedLate = true, j.tenantID, e.fullWait+est, true
 		}
-		if d.probes && (how == ConnectFailed || how == ConnectionLost) {
-			d.mute(e, max(1, e.silences)) // until it answers
-			d.askLoad(e, now, 0)
+		if d.canProbe && (how == ConnectFailed || how == ConnectionLost) {
+			d.markUnresponsive(e, max(1, e.timeouts)) // until it answers
+			d.requestProbe(e, now, 0)
 		}
 		// One may be the network's or the batch job's; a second, with no sign of life between, is the executor's.
-		if how == ExecutorError || e.broke && (how != ExecutorFull || j.tenant == nil || e.fullForMany) {
-			d.holdBack(e, now, "after an outcome that was no result")
-			e.errors += int(flag(how == ExecutorError))
+		if how == ExecutorError || e.suspect && (how != ExecutorFull || j.tenant == nil || e.fullForMany) {
+			d.eject(e, now, "after an outcome that was no result")
+			e.consecutiveErrors += int(flag(how == ExecutorError))
 		}
-		e.broke = true
+		e.suspect = true
 	case TimedOut, Canceled:
 		if j.shortBudget && how == TimedOut {
 			j.tenant.budgetMargin = min(j.tenant.budgetMargin+4*budgetMarginStep, 1.5)
@@ -627,8 +627,8 @@
 			begun = j.startedAt
 		} else {
 			d.giveBack(e, now, true)
-			if d.tellsStart {
-				d.zoneWait(e, d.elapsed(j))
+			if d.startNotices {
+				d.recordZoneWait(e, d.elapsed(j))
 			}
 		}
 		d.schedule(max(now, begun+est), nil, e)
@@ -644,14 +644,14 @@
 }
 
 func (d *Dispatcher) recordSuccess(j *attempt, e *executor, now time.Duration) {
-	d.alive(e, now)
+	d.recordAlive(e, now)
 	if j.shortBudget {
 		j.tenant.budgetMargin = max(j.tenant.budgetMargin-budgetMarginStep, 0)
 	}
 	d.recordCompletion(j, now)
-	if e.inCap > 0 {
-		if e.inCap++; e.inCap > e.quota {
-			e.inCap = 0
+	if e.inFlightCap > 0 {
+		if e.inFlightCap++; e.inFlightCap > e.quota {
+			e.inFlightCap = 0
 		}
 	}
 	ran := now - j.startedAt
@@ -661,26 +661,26 @@
 		if !j.hinted { // of what waiting does not explain half is running time, or a low guess would never rise
 			ran += max(0, d.elapsed(j)-ran-e.startWait) / 2
 		}
-		d.queued(e, j, d.elapsed(j)-ran)
-		j.startedLate = d.elapsed(j) > times(ran, lateTimes) // hints are rough
+		d.recordStartWait(e, j, d.elapsed(j)-ran)
+		j.startedLate = d.elapsed(j) > times(ran, waitedFactor) // hints are rough
 	}
-	d.learn(j.job, e, ran)
+	d.recordRunTime(j.job, e, ran)
 }
 
-// holdBack holds an executor's tokens back for as long as a batch job takes: a quick error frees a token at
+// eject holds an executor's tokens back for as long as a batch job takes: a quick error frees a token at
 // once and would draw more. After that it is tried with one in flight.
-func (d *Dispatcher) holdBack(e *executor, now time.Duration, why string) {
-	if e.held > now {
+func (d *Dispatcher) eject(e *executor, now time.Duration, why string) {
+	if e.ejectedUntil > now {
 		return
 	}
-	span := d.longestMeanWork() * time.Duration(max(1+e.silences, min(1<<min(e.errors, mostSilences), mostSilences)))
-	if e.inCap == 0 {
+	span := d.longestMeanWork() * time.Duration(max(1+e.timeouts, min(1<<min(e.consecutiveErrors, maxBackoffFactor), maxBackoffFactor)))
+	if e.inFlightCap == 0 {
 		d.note("%s held back for %v %s", e.id, span.Round(time.Millisecond), why)
 	}
-	e.held, e.inCap = now+span, 1
+	e.ejectedUntil, e.inFlightCap = now+span, 1
 	d.subsetStale, d.subsetChanged = true, true
 	d.touch(e)
-	d.schedule(e.held, nil, nil)
+	d.schedule(e.ejectedUntil, nil, nil)
 }
 
 // shouldCancel says whether to stop waiting for an allocation: the client has left, it has not started and another
@@ -694,24 +694,24 @@
 	if !j.running { // how long it is left there anyway, where moves have a budget
 		quiet = max(quiet, times(j.objectiveAt-j.sentAt-j.work, d.line.MigrationDelay))
 	}
-	if !e.mute && now-max(e.news, j.sentAt) > quiet {
-		d.askLoad(e, now, d.shortestObjective)
+	if !e.unresponsive && now-max(e.lastSeen, j.sentAt) > quiet {
+		d.requestProbe(e, now, d.shortestObjective)
 	}
 	if j.finished {
 		return !j.running || j.class.idempotency == Idempotent // it may be stopped at no cost
 	}
 	usual, left := d.kinds[e.kind].pace, time.Duration(0)
 	if j.running { // it can't crawl sooner
-		left = times(j.work, crawl*usual) - (now - j.startedAt)
+		left = times(j.work, slowProgressFactor*usual) - (now - j.startedAt)
 	}
 	d.scheduleCheck(now+max(left, d.checkInterval), j)
-	pace := (e.runs + usual) / (e.works + 1)
+	pace := (e.runTimeSeen + usual) / (e.workSeen + 1)
 	if j.hinted { // without a hint, its own long run tells nothing of the executor
 		pace = d.pace(e, now)
 	}
-	crawls := (e.held > now || j.tokenReleased || pace >= crawl*usual) && left < 0 || e.mute
-	begun, repeatable := j.running || !d.tellsStart, j.class.idempotency == Idempotent
-	if repeatable && (e.mute || !begun) && j.class.lateValue == 0 && now > j.objectiveAt-times(j.work, pace) {
+	crawls := (e.ejectedUntil > now || j.tokenReleased || pace >= slowProgressFactor*usual) && left < 0 || e.unresponsive
+	begun, repeatable := j.running || !d.startNotices, j.class.idempotency == Idempotent
+	if repeatable && (e.unresponsive || !begun) && j.class.lateValue == 0 && now > j.objectiveAt-times(j.work, pace) {
 		return true // it can earn nothing more
 	}
 	if j.attemptCount >= j.class.maxAttempts || len(j.job.attempts) > 1 || begun && !crawls {
@@ -724,11 +724,11 @@
 		return false
 	}
 	to := d.migrationTarget(j, now)
-	if to != nil && !j.running && !e.mute && e.held <= now {
+	if to != nil && !j.running && !e.unresponsive && e.ejectedUntil <= now {
 		// Where nodes talk, more moves than their budget wait for some of their slack: most start by themselves.
 		d.countMigration(j)
 		slack := j.objectiveAt - j.sentAt - times(j.work, pace)
-		blind := flag(!d.loadAdjustedWeights && d.kinds[to.kind].places == 0) // nothing tells that another has less to do
+		blind := flag(!d.loadAdjustedWeights && d.kinds[to.kind].reportedSlots == 0) // nothing tells that another has less to do
 		from := j.sentAt + max(times(slack, d.line.MigrationDelay), times(d.longestMeanWork(), pace*blind))
 		if now < from {
 			d.scheduleCheck(from, j)
@@ -827,20 +827,20 @@
 	d.tell(now, e.keeper, word, e.sum)
 }
 
-// unanswered finds the executors and keepers that have not answered. A silent executor is asked again, the
+// checkUnanswered finds the executors and keepers that have not answered. A silent executor is asked again, the
 // more rarely the longer; for a keeper the next node in line stands in, then none does.
-func (d *Dispatcher) unanswered(now time.Duration) {
-	for _, e := range d.silentOnes() {
+func (d *Dispatcher) checkUnanswered(now time.Duration) {
+	for _, e := range d.awaitingReplies() {
 		if e.tokenOrder == 0 {
 			continue
-		} else if e.probing && now-e.probed-d.stood >= d.shortestObjective {
-			if e.probing = false; !e.mute {
+		} else if e.probeOut && now-e.probedAt-d.stood >= d.shortestObjective {
+			if e.probeOut = false; !e.unresponsive {
 				d.note("%s held back until it answers a probe", e.id)
 			}
-			d.mute(e, min(e.silences+1, mostSilences))
-			d.schedule(now+d.longestMeanWork()*time.Duration(e.silences), nil, nil)
-		} else if e.mute {
-			d.askLoad(e, now, d.longestMeanWork()*time.Duration(e.silences))
+			d.markUnresponsive(e, min(e.timeouts+1, maxBackoffFactor))
+			d.schedule(now+d.longestMeanWork()*time.Duration(e.timeouts), nil, nil)
+		} else if e.unresponsive {
+			d.requestProbe(e, now, d.longestMeanWork()*time.Duration(e.timeouts))
 		}
 	}
 	for _, e := range d.askedOnes() {
@@ -881,7 +881,7 @@
 			k.dry = true
 			d.tell(now, from, LeaseWait, sum)
 			if e := d.bySum[sum]; e != nil {
-				d.askLoad(e, now, d.shortestObjective)
+				d.requestProbe(e, now, d.shortestObjective)
 			}
 		}
 	case LeaseCancel:
@@ -913,7 +913,7 @@
 		case r > executorQueuingThreshold && k.quota > 1:
 			k.quota--
 			k.rest = restAfter
-		case r < fewLate && k.dry && k.quota < maxQuota && k.rest <= 0 && (!d.probes || k.more):
+		case r < fewLate && k.dry && k.quota < maxQuota && k.rest <= 0 && (!d.canProbe || k.more):
 			k.quota++
 		}
 		k.lateStarts, k.backs, k.dry, k.more = 0, 0, len(k.queue) > 0, false
@@ -928,7 +928,7 @@
 	for _, e := range d.withTokens {
 		d.touch(e) // what was seen grows old
 		for _, j := range e.attempts {
-			if !j.running && d.tellsStart {
+			if !j.running && d.startNotices {
 				e.executorWait += max(0, now-max(j.sentAt, now-d.quotaInterval)-d.quantum)
 			}
 		}
@@ -937,7 +937,7 @@
 			e.overTarget = true
 		}
 		d.adjustQuota(e, now)
-		d.watchSilence(e, now)
+		d.detectSilence(e, now)
 		e.decay()
 		e.asked = e.asked && now-e.askedAt <= d.quotaInterval
 	}
@@ -961,23 +961,23 @@
 	}
 }
 
-// watchSilence guards against an executor that takes batch jobs and tells nothing for longer than all that is
+// detectSilence guards against an executor that takes batch jobs and tells nothing for longer than all that is
 // out there should take, and against a connection that falls silent: an allocation of which as long nothing
 // is told shows nothing of its executor any more; its token comes free, or it would shut it out for long.
-func (d *Dispatcher) watchSilence(e *executor, now time.Duration) {
+func (d *Dispatcher) detectSilence(e *executor, now time.Duration) {
 	if len(e.attempts) == 0 || !e.available {
 		return
 	}
-	pace := (e.runs + d.kinds[e.kind].pace) / (e.works + 1)
+	pace := (e.runTimeSeen + d.kinds[e.kind].pace) / (e.workSeen + 1)
 	span := 2*times(e.longestWork(), pace) + 2*e.startWait + d.shortestObjective
-	if now-e.news > span && e.held <= now {
-		d.holdBack(e, now, fmt.Sprintf("after silence of %v", (now-e.news).Round(time.Millisecond)))
-		e.silences++ // each try costs a batch job: the next comes later
+	if now-e.lastSeen > span && e.ejectedUntil <= now {
+		d.eject(e, now, fmt.Sprintf("after silence of %v", (now-e.lastSeen).Round(time.Millisecond)))
+		e.timeouts++ // each try costs a batch job: the next comes later
 	}
 	// Where its executor was held back one missing notice is enough, or the next try would find no token free.
-	notices := d.tellsEvery * time.Duration(2-min(e.silences, 1))
+	notices := d.progressInterval * time.Duration(2-min(e.timeouts, 1))
 	e.attempts = slices.DeleteFunc(e.attempts, func(j *attempt) bool {
-		j.tokenReleased = d.tellsEvery > 0 && now-max(j.sentAt, j.progressAt) > max(span, notices)
+		j.tokenReleased = d.progressInterval > 0 && now-max(j.sentAt, j.progressAt) > max(span, notices)
 		if j.tokenReleased {
 			d.releaseToken(e, now, true)
 		}
@@ -1014,7 +1014,7 @@
 		case j != nil && j.generation == it.generation && len(j.attempts) == 0:
 			return DueTask{Task: PlaceJob, Job: j.id}
 		case s == nil && j == nil:
-			d.unanswered(now)
+			d.checkUnanswered(now)
 			d.subsetStale, d.tokenFreed, d.wants = true, true, true
 		}
 	}
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -32,12 +32,12 @@
 	}
 	e := s.executor
 	s.running, s.startedAt, s.progressAt = true, now, now
-	d.alive(e, now)
+	d.recordAlive(e, now)
 	d.touch(e)
 	s.startedLate = d.elapsed(s) > d.checkInterval
-	d.queued(e, s, d.elapsed(s))
-	if k := d.kinds[e.kind]; now >= e.coldUntil {
-		k.parallel = max(k.parallel, e.runningCount())
+	d.recordStartWait(e, s, d.elapsed(s))
+	if k := d.kinds[e.kind]; now >= e.slowStartUntil {
+		k.concurrency = max(k.concurrency, e.runningCount())
 	}
 	e.startedOthers = e.startedOthers || !e.sawFull || s.tenantID != e.fullTenant
 }
@@ -46,14 +46,14 @@
 func (d *Dispatcher) AttemptProgressed(now time.Duration, id JobID, n AttemptID, share float64) {
 	if s := d.findAttempt(id, n); s != nil {
 		s.progress, s.progressAt = share, now
-		d.alive(s.executor, now)
+		d.recordAlive(s.executor, now)
 	}
 }
 
-// alive books a sign of life, which is as good as an answer to a probe.
-func (d *Dispatcher) alive(e *executor, now time.Duration) {
-	d.subsetChanged = d.subsetChanged || e.mute
-	e.news, e.broke, e.mute, e.silences, e.rejections = now, false, false, 0, 0
+// recordAlive books a sign of life, which is as good as an answer to a probe.
+func (d *Dispatcher) recordAlive(e *executor, now time.Duration) {
+	d.subsetChanged = d.subsetChanged || e.unresponsive
+	e.lastSeen, e.suspect, e.unresponsive, e.timeouts, e.rejections = now, false, false, 0, 0
 }
 
 // ClientLeft tells that the client has gone: nothing more is owed.
@@ -70,14 +70,14 @@
 		return
 	}
 	k := d.kinds[e.kind]
-	if k.places == 0 {
-		k.places = places
+	if k.reportedSlots == 0 {
+		k.reportedSlots = places
 	}
-	k.places += (places - k.places) * (1 - smoothing)
-	k.parallel = max(1, int(k.places+0.5))
+	k.reportedSlots += (places - k.reportedSlots) * (1 - smoothing)
+	k.concurrency = max(1, int(k.reportedSlots+0.5))
 	if load.Queued < 0.5 { // how many wait is told roughly: where many do, the rest swings
-		k.sure = cmp.Or(k.sure, places)
-		k.sure += (places - k.sure) * (1 - smoothing)
+		k.exactSlots = cmp.Or(k.exactSlots, places)
+		k.exactSlots += (places - k.exactSlots) * (1 - smoothing)
 	}
 }
 
@@ -97,38 +97,38 @@
 func (e *executor) decay() {
 	e.executorWait, e.queueWait, e.overTarget, e.outOfTokens = 0, 0, false, len(e.freeTokens) == 0
 	e.startWait = times(e.startWait, smoothing)
-	e.runs, e.works = e.runs*smoothing, e.works*smoothing
+	e.runTimeSeen, e.workSeen = e.runTimeSeen*smoothing, e.workSeen*smoothing
 	e.sawFull, e.fullForMany, e.startedOthers, e.fullWait = false, false, false, 0
 }
 
-// zoneLoads books how full the list shows this zone and the others.
-func (d *Dispatcher) zoneLoads(now time.Duration) {
+// updateZoneLoads books how full the list shows this zone and the others.
+func (d *Dispatcher) updateZoneLoads(now time.Duration) {
 	if !d.loadAdjustedWeights {
 		return
 	}
 	held, size := [2]float64{}, [2]float64{1e-9, 1e-9}
 	for _, e := range d.ranked {
-		if side := d.remoteSide(e); d.usable(e, now) {
+		if side := d.remoteSide(e); d.isUsable(e, now) {
 			held[side] += e.listedLoad * e.size
 			size[side] += e.size
 		}
 	}
-	d.localLoad, d.remoteLoad = held[0]/size[0]/fullZone, held[1]/size[1]/fullZone
+	d.localLoad, d.remoteLoad = held[0]/size[0]/zoneFullLoad, held[1]/size[1]/zoneFullLoad
 }
 
-// queued books an allocation's wait at the executor.
-func (d *Dispatcher) queued(e *executor, s *attempt, wait time.Duration) {
+// recordStartWait books an allocation's wait at the executor.
+func (d *Dispatcher) recordStartWait(e *executor, s *attempt, wait time.Duration) {
 	wait = max(0, wait-d.quantum)
 	e.startWait = (e.startWait + wait) / 2 // quick to follow: a jam must be seen before it is fed
 	e.executorWait += wait
-	d.zoneWait(e, wait)
-	if s.sentAt-s.queuedAt+wait > times(s.objectiveAt-s.arrivedAt-s.work, slackTarget) {
+	d.recordZoneWait(e, wait)
+	if s.sentAt-s.queuedAt+wait > times(s.objectiveAt-s.arrivedAt-s.work, slackTargetFraction) {
 		e.overTarget = true
 	}
 }
 
-// zoneWait books how full a start that took so long shows a zone.
-func (d *Dispatcher) zoneWait(e *executor, wait time.Duration) {
+// recordZoneWait books how full a start that took so long shows a zone.
+func (d *Dispatcher) recordZoneWait(e *executor, wait time.Duration) {
 	if d.loadAdjustedWeights {
 		return
 	}
@@ -136,10 +136,10 @@
 	if d.remoteSide(e) > 0 {
 		load = &d.remoteLoad
 	}
-	if d.tellsStart {
-		*load += (flag(wait > d.checkInterval)/fullPart - *load) * 0.1
+	if d.startNotices {
+		*load += (flag(wait > d.checkInterval)/zoneFullLateStarts - *load) * 0.1
 	} else {
-		*load += (wait.Seconds()/d.shortestObjective.Seconds()/fullWait - *load) * 0.1
+		*load += (wait.Seconds()/d.shortestObjective.Seconds()/zoneFullWait - *load) * 0.1
 	}
 }
 
@@ -178,9 +178,9 @@
 	d.meanDensity += (density - d.meanDensity) * (1 - smoothing) / 4
 }
 
-// learn books a running time.
-func (d *Dispatcher) learn(j *job, e *executor, ran time.Duration) {
-	if j.class.idempotency == IdempotentWithKey && ran < times(j.work, remembered*d.kinds[e.kind].pace) {
+// recordRunTime books a running time.
+func (d *Dispatcher) recordRunTime(j *job, e *executor, ran time.Duration) {
+	if j.class.idempotency == IdempotentWithKey && ran < times(j.work, dedupReplyFraction*d.kinds[e.kind].pace) {
 		return // it was remembered there, not run: guards against executors that look quick, and are rushed while cold
 	}
 	if !j.hinted {
@@ -189,8 +189,8 @@
 		new := max(0.05, 1/float64(1+j.class.samples))
 		j.class.meanWork = times(j.class.meanWork, 1-new) + times(ran, new)
 	}
-	e.runs = e.runs*smoothing + ran.Seconds()
-	e.works = e.works*smoothing + j.work.Seconds()
+	e.runTimeSeen = e.runTimeSeen*smoothing + ran.Seconds()
+	e.workSeen = e.workSeen*smoothing + j.work.Seconds()
 	k := d.kinds[e.kind]
 	with := 1
 	for _, o := range e.attempts {
@@ -198,7 +198,7 @@
 			with++
 		}
 	}
-	k.together = max(k.together, with)
+	k.observedConcurrency = max(k.observedConcurrency, with)
 	k.pace += 0.05 * min(1, j.work.Seconds()) * (ran.Seconds()/j.work.Seconds() - k.pace)
 	k.pace = max(k.pace, 0.05)
 }
@@ -289,7 +289,7 @@
 // CountExcluded counts the executors on the list that get nothing new from this node now, whoever says so.
 func (d *Dispatcher) CountExcluded(now time.Duration) (n int) {
 	for _, e := range d.ranked {
-		if !e.removed && !d.usable(e, now) {
+		if !e.removed && !d.isUsable(e, now) {
 			n++
 		}
 	}
@@ -299,7 +299,7 @@
 // ReserveSlowStartUntil tells from when on cold executors are this process's to use: another process of this node has their budget
 // until then.
 func (d *Dispatcher) ReserveSlowStartUntil(now, at time.Duration) {
-	d.coldFrom, d.subsetStale, d.subsetChanged, d.tokenFreed = at, true, true, true
+	d.slowStartReservedUntil, d.subsetStale, d.subsetChanged, d.tokenFreed = at, true, true, true
 	if at != Endless {
 		d.schedule(max(at, now), nil, nil)
 	}
@@ -312,16 +312,16 @@
 	if e == nil {
 		return
 	}
-	prompt := e.probing
-	e.probing = false
-	if !answered && prompt && e.broke { // it is there, or its machine is: the next break will tell
-		d.subsetChanged = d.subsetChanged || e.mute
-		e.mute, d.subsetStale = false, true
+	prompt := e.probeOut
+	e.probeOut = false
+	if !answered && prompt && e.suspect { // it is there, or its machine is: the next break will tell
+		d.subsetChanged = d.subsetChanged || e.unresponsive
+		e.unresponsive, d.subsetStale = false, true
 	}
 	if answered {
-		d.subsetChanged = d.subsetChanged || e.mute
-		d.subsetStale, d.tokenFreed = d.subsetStale || e.mute, true
-		e.news, e.mute, e.silences = now, false, 0
+		d.subsetChanged = d.subsetChanged || e.unresponsive
+		d.subsetStale, d.tokenFreed = d.subsetStale || e.unresponsive, true
+		e.lastSeen, e.unresponsive, e.timeouts = now, false, 0
 		if k := d.kept[e.sum]; k != nil && load.FreeSlots >= 0.5 && now-k.lentAt >= d.shortestObjective {
 			k.more = k.more || len(k.lent) >= k.quota
 			d.lend(k, len(k.lent)+1, now)
@@ -329,11 +329,11 @@
 	}
 }
 
-// askLoad has an executor asked for its load, unless it was within that span.
-func (d *Dispatcher) askLoad(e *executor, now, within time.Duration) {
-	if d.probes && !e.probing && (e.probed == 0 || now-e.probed >= within) {
-		e.probing, e.probed = true, now
-		d.watch(e)
+// requestProbe has an executor asked for its load, unless it was within that span.
+func (d *Dispatcher) requestProbe(e *executor, now, within time.Duration) {
+	if d.canProbe && !e.probeOut && (e.probedAt == 0 || now-e.probedAt >= within) {
+		e.probeOut, e.probedAt = true, now
+		d.awaitReply(e)
 		d.words = append(d.words, DueTask{Task: ProbeExecutor, Executor: e.id})
 		d.schedule(now+d.shortestObjective, nil, nil)
 	}
@@ -351,15 +351,15 @@
 	for _, e := range d.ranked {
 		if k := d.kinds[e.kind]; e.available {
 			part := 1.0
-			if now < e.coldUntil {
-				part = d.warmth(e, now)
+			if now < e.slowStartUntil {
+				part = d.slowStartFraction(e, now)
 			}
-			t.Capacity += part * float64(k.parallel) * (e.works + 1) / max(e.runs+k.pace, 1e-9)
+			t.Capacity += part * float64(k.concurrency) * (e.workSeen + 1) / max(e.runTimeSeen+k.pace, 1e-9)
 		}
 	}
 	for _, e := range d.withTokens {
 		for _, s := range e.attempts {
-			if !s.running && d.tellsStart && !s.finished {
+			if !s.running && d.startNotices && !s.finished {
 				t.Waiting += s.pressure()
 			}
 		}
@@ -411,7 +411,7 @@
 
 // recordCompletion books an answer, in its quoted time or not.
 func (d *Dispatcher) recordCompletion(s *attempt, now time.Duration) {
-	s.executor.errors = 0
+	s.executor.consecutiveErrors = 0
 	d.tally.Completed += s.work.Seconds()
 	if now <= s.objectiveAt {
 		s.class.earnedValue += d.valueOf(s.job)
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -10,23 +10,23 @@
 func New(s Settings) *Dispatcher {
 	d := &Dispatcher{
 		seed: s.Seed, nodeID: NodeID(s.Node), nodeCount: s.Nodes, ownZone: s.Zone,
-		kinds: map[KindID]*kind{}, executorsByID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
-		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, canHedge: s.MayHedge, probes: s.MayProbe, clientsMarkRetries: s.ClientsMarkRetries,
+		kinds: map[KindID]*kindStats{}, executorsByID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
+		index: index{until: pile{by: byUntil}}, bySum: map[ExecutorHash]*executor{}, kept: map[ExecutorHash]*keep{}, mayTell: s.MayLease, canHedge: s.MayHedge, canProbe: s.MayProbe, clientsMarkRetries: s.ClientsMarkRetries,
 		valuePerWork: s.ValuePerWork, overQuotaValue: s.OverQuotaValue, crossZoneCost: s.CrossZoneCost,
 		totalWeight: s.TotalWeight, worstClassWeight: s.WorstClassWeight,
 		maxAttempts: s.MaxAttempts, canCancel: s.MayCancel, retryAfter: s.MaxRetryAfter,
-		quantum: s.Quantum, tellsStart: s.StartNotices, tellsEvery: s.ProgressInterval, polled: s.EndpointsPolled,
+		quantum: s.Quantum, startNotices: s.StartNotices, progressInterval: s.ProgressInterval, polled: s.EndpointsPolled,
 		loadAdjustedWeights: s.LoadAdjustedWeights,
-		coldShare:           s.SlowStartCapacity, warmWithin: s.SlowStartDuration, fallWindow: s.OverloadWindow,
+		slowStartCapacity:   s.SlowStartCapacity, slowStartDuration: s.SlowStartDuration, overloadWindow: s.OverloadWindow,
 	}
 	for i, t := range s.JobClasses {
 		d.addClass(JobClassUpdate{JobClassID(i), NoJobClass, t})
 	}
 	d.derive()
 	d.intervalEnd = d.quotaInterval
-	d.shareCold(s.OverloadMultiple)
+	d.deriveSlowStart(s.OverloadMultiple)
 	d.spreadPolls(s.PollWithin)
-	d.schedule(d.fallWindow, nil, nil) // a process that starts again may send more to cold executors from then on
+	d.schedule(d.overloadWindow, nil, nil) // a process that starts again may send more to cold executors from then on
 	for _, t := range s.Tenants {
 		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(s.Nodes)})
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -13,11 +13,11 @@
 	classes            []*jobClass // by number, those of the past among them
 	currentClasses     []*jobClass
 	tenants            []tenant
-	kinds              map[KindID]*kind
+	kinds              map[KindID]*kindStats
 	executorsByID      map[ExecutorID]*executor
 	ranked             []*executor // all on the list, highest rank first
 	subset             []*executor // those that this node uses, in the same order
-	cold               []*executor // cold ones that this node carries
+	slowStarting       []*executor // cold ones that this node carries
 	withTokens         []*executor // those that have been in a slice and have tokens
 	requiredKinds      []KindID    // bound kinds of the tracks
 	lateSubsetSize     int         // executors of the slice that late batch jobs may use
@@ -37,41 +37,41 @@
 	tokenFreed         bool // a token has come free since the last look
 	index
 
-	valuePerWork        bool
-	overQuotaValue      float64
-	crossZoneCost       float64
-	totalWeight         float64
-	worstClassWeight    float64
-	worstClass          *jobClass
-	worstClassUnitValue float64 // its earnings for each batch job of any track
-	meanValue           float64
-	meanDensity         float64 // value of a mean batch job for its work
-	maxAttempts         int     // of tracks that have no number of their own
-	canCancel           bool
-	loadAdjustedWeights bool
-	localLoad           float64 // how full this zone and the others are, by the list or by start waits
-	remoteLoad          float64
-	retryAfter          time.Duration
-	quantum             time.Duration
-	tellsStart          bool
-	tellsEvery          time.Duration
-	polled              bool
-	subscribed          bool
-	polling             bool
-	pollAt              time.Duration
-	pollInterval        time.Duration
-	coldShare           float64
-	warmWithin          time.Duration
-	carriers            int
-	coldFrom            time.Duration // before it cold executors are another process's
-	coldWork            float64       // this node's part of the cold budget, for each unit of capacity
-	fallWindow          time.Duration
-	shortestObjective   time.Duration
-	now                 time.Duration // the last moment that this node had its turn
-	sleepTo             time.Duration // when it wanted the next
-	gap                 time.Duration // from its turn before until this one
-	stood               time.Duration // so much of it it stood still, though something was due
-	shutdownBy          time.Duration // when all must be over, once this node ends; 0 before
+	valuePerWork           bool
+	overQuotaValue         float64
+	crossZoneCost          float64
+	totalWeight            float64
+	worstClassWeight       float64
+	worstClass             *jobClass
+	worstClassUnitValue    float64 // its earnings for each batch job of any track
+	meanValue              float64
+	meanDensity            float64 // value of a mean batch job for its work
+	maxAttempts            int     // of tracks that have no number of their own
+	canCancel              bool
+	loadAdjustedWeights    bool
+	localLoad              float64 // how full this zone and the others are, by the list or by start waits
+	remoteLoad             float64
+	retryAfter             time.Duration
+	quantum                time.Duration
+	startNotices           bool
+	progressInterval       time.Duration
+	polled                 bool
+	subscribed             bool
+	polling                bool
+	pollAt                 time.Duration
+	pollInterval           time.Duration
+	slowStartCapacity      float64
+	slowStartDuration      time.Duration
+	slowStartSenders       int
+	slowStartReservedUntil time.Duration // before it cold executors are another process's
+	slowStartBudget        float64       // this node's part of the cold budget, for each unit of capacity
+	overloadWindow         time.Duration
+	shortestObjective      time.Duration
+	now                    time.Duration // the last moment that this node had its turn
+	sleepTo                time.Duration // when it wanted the next
+	gap                    time.Duration // from its turn before until this one
+	stood                  time.Duration // so much of it it stood still, though something was due
+	shutdownBy             time.Duration // when all must be over, once this node ends; 0 before
 
 	talks bool // nodes reckon a cut line together
 	line  AdmissionThreshold
@@ -79,7 +79,7 @@
 
 	mayTell            bool
 	canHedge           bool
-	probes             bool
+	canProbe           bool
 	clientsMarkRetries bool
 	wants              bool                       // a batch job may want to ask for a place
 	givens             []*executor                // where a place was given
@@ -119,50 +119,50 @@
 	shortBudgetRatio float64 // part of its marked first tries that came with less than the full budget
 }
 
-// kind holds what warm executors of one kind were seen to take.
-type kind struct {
-	pace     float64 // running time for each unit of work
-	size     float64 // by the list's weights, fading
-	places   float64 // by reports, fading
-	parallel int     // places, by reports or the most batch jobs of ours running at once
-	sure     float64 // places, by reports that tell of none waiting, fading
-	together int     // the most of ours that ran beside each other for half of a running time
-	shelf    *shelf  // its part of the index
+// kindStats holds what warm executors of one kind were seen to take.
+type kindStats struct {
+	pace                float64 // running time for each unit of work
+	size                float64 // by the list's weights, fading
+	reportedSlots       float64 // by reports, fading
+	concurrency         int     // places, by reports or the most batch jobs of ours running at once
+	exactSlots          float64 // places, by reports that tell of none waiting, fading
+	observedConcurrency int     // the most of ours that ran beside each other for half of a running time
+	shelf               *shelf  // its part of the index
 }
 
 // executor is what this node knows of one executor.
 type executor struct {
-	id         ExecutorID
-	sum        ExecutorHash
-	zone       ZoneID
-	kind       KindID
-	cell       CellID
-	rank       uint32
-	carried    bool    // while it is cold, this node is one of the few that may use it
-	weight     float64 // what the list weighs it
-	size       float64 // the largest weight the list gave it
-	listedLoad float64 // batch jobs held a core, by the list
-	available  bool
-	removed    bool // taken off the list
-	listedIn   int  // the list that named it last
-	started    time.Duration
-	coldUntil  time.Duration
+	id              ExecutorID
+	sum             ExecutorHash
+	zone            ZoneID
+	kind            KindID
+	cell            CellID
+	rank            uint32
+	slowStartSender bool    // while it is cold, this node is one of the few that may use it
+	weight          float64 // what the list weighs it
+	size            float64 // the largest weight the list gave it
+	listedLoad      float64 // batch jobs held a core, by the list
+	available       bool
+	removed         bool // taken off the list
+	listedIn        int  // the list that named it last
+	started         time.Duration
+	slowStartUntil  time.Duration
 
-	quota          int
-	inheritedQuota int             // the quota that another process of this node gave it; 0 for none
-	freeTokens     []time.Duration // since when each free token is free, oldest first
-	takenTokens    int             // tokens taken by allocations out and by those stopped
-	attempts       []*attempt      // allocations out
-	inCap          int             // cap in flight that grows with answers; 0 for none
-	colds          []spend         // work sent while cold, within the window
-	held           time.Duration   // tokens are held back until then
-	news           time.Duration   // last sign of life
-	silences       int             // hold-backs for silence since then
-	errors         int             // errors since it handled something
-	rejections     int             // allocations turned away since then
-	broke          bool            // an outcome since then was no result
+	quota             int
+	inheritedQuota    int             // the quota that another process of this node gave it; 0 for none
+	freeTokens        []time.Duration // since when each free token is free, oldest first
+	takenTokens       int             // tokens taken by allocations out and by those stopped
+	attempts          []*attempt      // allocations out
+	inFlightCap       int             // cap in flight that grows with answers; 0 for none
+	slowStartSpend    []spend         // work sent while cold, within the window
+	ejectedUntil      time.Duration   // tokens are held back until then
+	lastSeen          time.Duration   // last sign of life
+	timeouts          int             // hold-backs for silence since then
+	consecutiveErrors int             // errors since it handled something
+	rejections        int             // allocations turned away since then
+	suspect           bool            // an outcome since then was no result
 
-	runs, works             float64 // running time seen and work done, fading
+	runTimeSeen, workSeen   float64 // running time seen and work done, fading
 	startWait               time.Duration
 	executorWait            time.Duration // this interval's queuing at the executor and here
 	queueWait               time.Duration
@@ -173,9 +173,9 @@
 	fullWait                time.Duration
 	startedOthers           bool
 
-	probing bool          // a probe is out
-	mute    bool          // a probe went without answer, and none was answered since
-	probed  time.Duration // when the last one was sent
+	probeOut     bool          // a probe is out
+	unresponsive bool          // a probe went without answer, and none was answered since
+	probedAt     time.Duration // when the last one was sent
 
 	keeper  NodeID
 	firstAt time.Duration // from then on the first keeper in line is asked again
@@ -190,7 +190,7 @@
 	subsetRank int // in the slice; -1: not in it
 	tokenOrder int // its turn among those met; 0: not among them
 	touched    bool
-	watched    bool
+	awaited    bool
 	isAsked    bool
 	group      *group
 	places     [allPiles]place
--- a/policy/takers.go
+++ b/policy/takers.go
@@ -69,7 +69,7 @@
 			}
 			t.found = append(t.found, e)
 			pace := d.pace(e, now)
-			wait := d.waitAt(e, pace, now)
+			wait := d.expectedWait(e, pace, now)
 			t.wait, t.pace = min(t.wait, wait), min(t.pace, pace)
 			t.ends = min(t.ends, now+times(wait+times(easy.work, pace), easy.predictionMargin))
 		}
