--- a/policy/books.go
+++ b/policy/books.go
@@ -37,7 +37,7 @@
 
 // note writes a line to the log.
 func (d *Dispatcher) note(format string, args ...any) {
-	d.words = append(d.words, DueTask{Task: WriteLog, Text: fmt.Sprintf(format, args...)})
+	d.outbox = append(d.outbox, DueTask{Task: WriteLog, Text: fmt.Sprintf(format, args...)})
 }
 
 // schedule notes a due time of a batch job, of a token that is to come free, or of neither: a look at everything.
@@ -122,7 +122,7 @@
 		drop := e.removed && e.takenTokens == 0
 		if drop {
 			delete(d.executorsByID, e.id)
-			delete(d.bySum, e.sum)
+			delete(d.executorsByHash, e.hash)
 		}
 		d.anyRemoved = d.anyRemoved || e.removed && !drop
 		return drop
@@ -265,9 +265,9 @@
 	e.freeTokens = e.freeTokens[1:]
 	e.takenTokens++
 	e.outOfTokens = e.outOfTokens || len(e.freeTokens) == 0
-	if e.given {
-		e.given = false
-		e.lent++
+	if e.leaseGranted {
+		e.leaseGranted = false
+		e.leasesHeld++
 	}
 	e.attempts = append(e.attempts, s)
 	s.job.attempts = append(s.job.attempts, s)
@@ -276,7 +276,7 @@
 
 // releaseToken frees a token. Late: the batch job did not start there at once.
 func (d *Dispatcher) releaseToken(e *executor, now time.Duration, late bool) {
-	d.giveBack(e, now, late)
+	d.returnLease(e, now, late)
 	e.takenTokens--
 	if e.takenTokens+len(e.freeTokens) < e.quota {
 		e.freeTokens = append(e.freeTokens, now)
@@ -352,70 +352,72 @@
 
 // ---- Places that nodes lend each other ----
 
-func (d *Dispatcher) tell(now time.Duration, to NodeID, word LeaseMessage, sum ExecutorHash) {
+func (d *Dispatcher) sendLease(now time.Duration, to NodeID, word LeaseMessage, sum ExecutorHash) {
 	if to == d.nodeID {
 		d.ReceiveLeaseMessage(now, to, word, sum)
 		return
 	}
-	d.words = append(d.words, DueTask{Task: SendLeaseMessage, Node: to, Message: word, Hash: sum})
+	d.outbox = append(d.outbox, DueTask{Task: SendLeaseMessage, Node: to, Message: word, Hash: sum})
 }
 
-// giveBack tells the keeper that a place it lent is free again.
-func (d *Dispatcher) giveBack(e *executor, now time.Duration, late bool) {
-	if e.lent > 0 {
-		e.lent--
+// returnLease tells the keeper that a place it lent is free again.
+func (d *Dispatcher) returnLease(e *executor, now time.Duration, late bool) {
+	if e.leasesHeld > 0 {
+		e.leasesHeld--
 		word := LeaseReturn
 		if late {
 			word = LeaseReturnLate
 		}
-		d.tell(now, e.keeper, word, e.sum)
+		d.sendLease(now, e.leaseHolder, word, e.hash)
 	}
 }
 
-// keepOf is the book that this node keeps of an executor's places.
-func (d *Dispatcher) keepOf(sum ExecutorHash) *keep {
-	k := d.kept[sum]
+// ledgerFor is the book that this node keeps of an executor's places.
+func (d *Dispatcher) ledgerFor(sum ExecutorHash) *leaseLedger {
+	k := d.ledgers[sum]
 	if k == nil {
-		k = &keep{sum: sum, quota: initialQuota}
-		d.kept[sum] = k
-		d.keeps = append(d.keeps, k)
+		k = &leaseLedger{hash: sum, quota: initialQuota}
+		d.ledgers[sum] = k
+		d.ledgerList = append(d.ledgerList, k)
 	}
 	return k
 }
 
-// wait puts a node into the queue, or into that of those with late batch jobs.
-func (k *keep) wait(n NodeID, late bool) {
-	if k.waits(n) {
+// addWaiting puts a node into the queue, or into that of those with late batch jobs.
+func (k *leaseLedger) addWaiting(n NodeID, late bool) {
+	if k.isWaiting(n) {
 		return
 	}
-	list := &k.queue
+	list := &k.waiting
 	if late {
-		list = &k.late
+		list = &k.waitingLate
 	}
 	*list = append(*list, n)
 }
 
-func (k *keep) leave(n NodeID) {
+func (k *leaseLedger) removeWaiting(n NodeID) {
 	is := func(o NodeID) bool { return o == n }
-	k.queue, k.late = slices.DeleteFunc(k.queue, is), slices.DeleteFunc(k.late, is)
+	k.waiting, k.waitingLate = slices.DeleteFunc(k.waiting, is), slices.DeleteFunc(k.waitingLate, is)
 }
 
-func (k *keep) waits(n NodeID) bool { return slices.Contains(k.queue, n) || slices.Contains(k.late, n) }
+func (k *leaseLedger) isWaiting(n NodeID) bool {
+	return slices.Contains(k.waiting, n) || slices.Contains(k.waitingLate, n)
+}
 
-// back takes a place back; one that has been given up for lost is passed over. Late: the batch job had to wait there.
-func (k *keep) back(from NodeID, late bool) {
-	k.backs++
+// recordReturn takes a place back; one that has been given up for lost is passed over. Late: the batch job had to wait there.
+func (k *leaseLedger) recordReturn(from NodeID, late bool) {
+	k.returns++
 	k.lateStarts += int(flag(late))
-	if i := slices.IndexFunc(k.lent, func(l lease) bool { return l.to == from }); i >= 0 {
-		k.lent = slices.Delete(k.lent, i, i+1)
+	if i := slices.IndexFunc(k.granted, func(l lease) bool { return l.holder == from }); i >= 0 {
+		k.granted = slices.Delete(k.granted, i, i+1)
 	}
 }
 
-// first takes the node that has waited longest out of the queue, those with late batch jobs last.
-func (k *keep) first() NodeID {
-	from := &k.queue
-	if len(k.queue) == 0 {
-		from = &k.late
+// popWaiting takes the node that has waited longest out of the queue, those with late batch jobs last.
+func (k *leaseLedger) popWaiting() NodeID {
+	from := &k.waiting
+	if len(k.waiting) == 0 {
+		from = &k.waitingLate
 	}
 	n := (*from)[0]
 	*from = (*from)[1:]
--- a/policy/index.go
+++ b/policy/index.go
@@ -198,7 +198,7 @@
 	subsetValidUntil time.Duration
 	rezoned          bool // an executor of the slice has another zone or kind than when it was picked
 	awaitingReply    []*executor
-	askeds           []*executor
+	leaseRequests    []*executor
 	tokenOrders      int         // executors met so far
 	unranked         []*executor // that have no rank yet
 	takers           []takers    // of the list that is looked through
@@ -289,11 +289,11 @@
 		}
 	}
 	until := Endless
-	if d.mayTell && d.usesSubset() && !e.given {
+	if d.canLease && d.usesSubset() && !e.leaseGranted {
 		switch {
-		case e.alone > now:
-			until = e.alone
-		case e.asked:
+		case e.leaseBypassUntil > now:
+			until = e.leaseBypassUntil
+		case e.leaseRequested:
 			of.keeper = awaited
 		default:
 			of.keeper = unasked
@@ -780,23 +780,23 @@
 	return d.awaitingReply
 }
 
-// awaits notes an executor of which a place was asked for.
-func (d *Dispatcher) awaits(e *executor) {
+// addLeaseRequest notes an executor of which a place was asked for.
+func (d *Dispatcher) addLeaseRequest(e *executor) {
 	d.touch(e)
-	if !e.isAsked {
-		e.isAsked = true
-		d.askeds = append(d.askeds, e)
+	if !e.inLeaseRequests {
+		e.inLeaseRequests = true
+		d.leaseRequests = append(d.leaseRequests, e)
 	}
 }
 
-// askedOnes are those of the slice of which a place was asked for, in its order.
-func (d *Dispatcher) askedOnes() []*executor {
-	d.askeds = slices.DeleteFunc(d.askeds, func(e *executor) bool {
-		e.isAsked = e.asked
-		return !e.isAsked
+// pendingLeaseRequests are those of the slice of which a place was asked for, in its order.
+func (d *Dispatcher) pendingLeaseRequests() []*executor {
+	d.leaseRequests = slices.DeleteFunc(d.leaseRequests, func(e *executor) bool {
+		e.inLeaseRequests = e.leaseRequested
+		return !e.inLeaseRequests
 	})
-	slices.SortFunc(d.askeds, func(a, b *executor) int { return a.subsetRank - b.subsetRank })
-	return d.askeds
+	slices.SortFunc(d.leaseRequests, func(a, b *executor) int { return a.subsetRank - b.subsetRank })
+	return d.leaseRequests
 }
 
 // eligibleExecutors are the slice's executors, or, for what may only be repeated in its dedup group, all of them.
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		taken := len(j.attempts) > 0 && j.attempts[0].executor == e || best != nil && side > bestSide
-		if taken || !d.cleared(e, now, asking) || !d.canAccept(e, j, now) {
+		if taken || !d.leaseAllows(e, now, asking) || !d.canAccept(e, j, now) {
 			continue
 		}
 		pace := d.pace(e, now)
@@ -72,7 +72,7 @@
 	size := len(d.ranked)
 	if d.usesSubset() {
 		size = max(minSubsetSize, (subsetSharers*size+d.nodeCount-1)/d.nodeCount)
-		if d.mayTell {
+		if d.canLease {
 			size = max(size, 2*minSubsetSize)
 		}
 	}
@@ -208,7 +208,7 @@
 		}
 	}
 	for _, e := range d.subset {
-		if e.asked && !slices.Contains(d.askeds, e) {
+		if e.leaseRequested && !slices.Contains(d.leaseRequests, e) {
 			w.t.Fatalf("seed %d, %v: a place of %s was asked for and is not awaited", w.seed, w.now, e.id)
 		}
 	}
@@ -222,7 +222,7 @@
 func (w *drawn) compareJob(j *job, as string) {
 	d := w.Dispatcher
 	for _, asks := range [...]bool{false, true} {
-		if asks && !(d.mayTell && d.usesSubset()) {
+		if asks && !(d.canLease && d.usesSubset()) {
 			continue
 		}
 		got, want := d.pickExecutor(j, w.now, asks), d.scanned(j, w.now, asks)
@@ -256,7 +256,7 @@
 		return "late"
 	case len(j.attempts) > 0 && as == "":
 		return "a copy"
-	case d.mayTell && d.usesSubset():
+	case d.canLease && d.usesSubset():
 		return "with a place"
 	case e.inFlightCap > 0:
 		return "under a cap"
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -54,9 +54,9 @@
 	hintedMargin             = 1.1  // what a prediction leaves over for a hinted batch job
 	unhintedMargin           = 1.25 // and for one without a hint, and for work sent to a cold executor
 	waitedFactor             = 5.0  // times its foretold running time from which one without a start notice had to wait
-	fewLate                  = 0.1  // part of starts that may be late where a keeper lends one place more
+	maxLateStarts            = 0.1  // part of starts that may be late where a keeper lends one place more
 	maxBackoffFactor         = 8    // times the usual span at most until one that is silent, or errs, is tried again
-	restAfter                = 4    // intervals that a keeper leaves a lowered quota
+	leaseQuotaCooldown       = 4    // intervals that a keeper leaves a lowered quota
 	fullTokenRest            = 2.0  // running times that a full executor's token rests, for each turned away in a row
 	dedupReplyFraction       = 0.1  // of what is foretold: a tagged batch job done in less was done before
 	budgetMarginStep         = 0.05 // by which a try that was too short teaches
@@ -104,13 +104,13 @@
 	fresh := e == nil
 	if fresh {
 		e = &executor{id: n.Executor, started: n.StartedAt, lastSeen: now, rank: d.rankOf(n.Executor), subsetRank: -1}
-		e.sum = ExecutorHash(crc32.ChecksumIEEE([]byte(n.Executor)))
-		e.keeper = d.keeperOf(e.sum)
+		e.hash = ExecutorHash(crc32.ChecksumIEEE([]byte(n.Executor)))
+		e.leaseHolder = d.leaseHolderOf(e.hash)
 		// The nodes that carry a cold executor follow its number: all reckon the same ones, without asking.
-		place := (int(d.nodeID) + d.nodeCount - int(e.sum%ExecutorHash(d.nodeCount))) % d.nodeCount
+		place := (int(d.nodeID) + d.nodeCount - int(e.hash%ExecutorHash(d.nodeCount))) % d.nodeCount
 		e.slowStartSender = place < d.slowStartSenders
 		d.unranked = append(d.unranked, e)
-		d.executorsByID[e.id], d.bySum[e.sum] = e, e
+		d.executorsByID[e.id], d.executorsByHash[e.hash] = e, e
 	}
 	d.touch(e)
 	d.rezoned = d.rezoned || e.subsetRank >= 0 && (e.zone != n.Zone || e.kind != n.Kind)
@@ -143,7 +143,7 @@
 	d.lateSubsetSize = max(1, (lateSubsetSharers*size+d.nodeCount-1)/d.nodeCount)
 	if d.usesSubset() {
 		size = max(minSubsetSize, (subsetSharers*size+d.nodeCount-1)/d.nodeCount)
-		if d.mayTell {
+		if d.canLease {
 			size = max(size, 2*minSubsetSize)
 		}
 	}
@@ -391,7 +391,7 @@
 	d.jobs[in.Job] = j
 	d.queueJob(j, now)
 	d.schedule(now, j, nil)
-	d.wants = true // it has its own look; of those held none can go that could not before
+	d.leaseWanted = true // it has its own look; of those held none can go that could not before
 }
 
 // maxQueueTime is how long a node keeps a batch job at most for want of a token, before its client may come again.
@@ -545,7 +545,7 @@
 	if w.late && (len(e.attempts) > 0 || j.class.lateValue > 0 && d.among(e, j) >= d.lateSubsetSize) {
 		return -1
 	}
-	if len(j.attempts) > 0 && j.attempts[0].executor == e || !d.cleared(e, now, w.asks) || !d.canAccept(e, j, now) {
+	if len(j.attempts) > 0 && j.attempts[0].executor == e || !d.leaseAllows(e, now, w.asks) || !d.canAccept(e, j, now) {
 		return -1
 	}
 	pace := d.pace(e, now)
@@ -585,7 +585,7 @@
 		return Decision{}
 	}
 	j.generation++
-	d.wants = true
+	d.leaseWanted = true
 	return d.Place(now, id)
 }
 
@@ -626,7 +626,7 @@
 		if j.running {
 			begun = j.startedAt
 		} else {
-			d.giveBack(e, now, true)
+			d.returnLease(e, now, true)
 			if d.startNotices {
 				d.recordZoneWait(e, d.elapsed(j))
 			}
@@ -635,7 +635,7 @@
 		return
 	}
 	if how == ExecutorFull { // guards against a token that is turned away again and again, in overload by the hundred
-		d.giveBack(e, now, true)
+		d.returnLease(e, now, true)
 		e.rejections++
 		d.schedule(now+times(est, fullTokenRest*float64(e.rejections)), nil, e)
 		return
@@ -719,7 +719,7 @@
 	}
 	if begun && repeatable && d.canHedge {
 		if !j.hedgeWanted && d.wantsHedge(j.job, now) {
-			j.hedgeWanted, d.tokenFreed, d.wants, d.hedgeQueue = true, true, true, append(d.hedgeQueue, j.job)
+			j.hedgeWanted, d.tokenFreed, d.leaseWanted, d.hedgeQueue = true, true, true, append(d.hedgeQueue, j.job)
 		}
 		return false
 	}
@@ -766,65 +766,65 @@
 // Where nodes are many and may talk, one keeps each executor's places for all: a place is asked for before a
 // token there is used, and given back with it. A keeper that does not answer is done without for a while.
 
-func (d *Dispatcher) keeperOf(sum ExecutorHash) NodeID {
+func (d *Dispatcher) leaseHolderOf(sum ExecutorHash) NodeID {
 	return NodeID(sum % ExecutorHash(d.nodeCount))
 }
 
-// cleared says whether e's keeper has given a place there, or, asking, may be asked for one.
-func (d *Dispatcher) cleared(e *executor, now time.Duration, asking bool) bool {
+// leaseAllows says whether e's keeper has given a place there, or, asking, may be asked for one.
+func (d *Dispatcher) leaseAllows(e *executor, now time.Duration, asking bool) bool {
 	switch {
-	case !d.mayTell || !d.usesSubset():
+	case !d.canLease || !d.usesSubset():
 		return !asking
 	case asking:
-		return !e.given && !e.asked && e.alone <= now
+		return !e.leaseGranted && !e.leaseRequested && e.leaseBypassUntil <= now
 	}
-	return e.given || e.alone > now
+	return e.leaseGranted || e.leaseBypassUntil > now
 }
 
-// askKeepers gives back places that nothing wants any more, and asks for one for each batch job that waits.
-func (d *Dispatcher) askKeepers(now time.Duration) {
-	for _, e := range d.givens {
-		if e.given {
-			e.given = false
+// exchangeLeases gives back places that nothing wants any more, and asks for one for each batch job that waits.
+func (d *Dispatcher) exchangeLeases(now time.Duration) {
+	for _, e := range d.grantedTo {
+		if e.leaseGranted {
+			e.leaseGranted = false
 			d.touch(e)
-			d.tell(now, e.keeper, LeaseReturn, e.sum)
+			d.sendLease(now, e.leaseHolder, LeaseReturn, e.hash)
 		}
 	}
-	d.givens = d.givens[:0]
-	for _, e := range d.askedOnes() {
-		if e.subsetRank >= 0 && e.queued && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) == 0 {
-			e.asked = false
+	d.grantedTo = d.grantedTo[:0]
+	for _, e := range d.pendingLeaseRequests() {
+		if e.subsetRank >= 0 && e.leaseQueued && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) == 0 {
+			e.leaseRequested = false
 			d.touch(e)
-			d.tell(now, e.keeper, LeaseCancel, e.sum)
+			d.sendLease(now, e.leaseHolder, LeaseCancel, e.hash)
 		}
 	}
-	if !d.wants || !d.mayTell || !d.usesSubset() {
+	if !d.leaseWanted || !d.canLease || !d.usesSubset() {
 		return
 	}
-	d.wants = false
+	d.leaseWanted = false
 	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
 		for _, j := range list[:min(len(list), len(d.subset))] {
-			if j.leaseRequestedFrom == nil || !j.leaseRequestedFrom.asked || j.leaseRequestedFrom.queued {
-				d.ask(j, d.pickExecutor(j, now, true), now)
+			if j.leaseRequestedFrom == nil || !j.leaseRequestedFrom.leaseRequested || j.leaseRequestedFrom.leaseQueued {
+				d.requestLease(j, d.pickExecutor(j, now, true), now)
 			}
 		}
 	}
 }
 
-func (d *Dispatcher) ask(j *job, e *executor, now time.Duration) {
+func (d *Dispatcher) requestLease(j *job, e *executor, now time.Duration) {
 	if e == nil {
 		return
-	} else if now >= e.firstAt && e.lent == 0 {
-		e.keeper = d.keeperOf(e.sum)
+	} else if now >= e.primaryRetryAt && e.leasesHeld == 0 {
+		e.leaseHolder = d.leaseHolderOf(e.hash)
 	}
-	j.leaseRequestedFrom, e.asked, e.queued, e.askedAt = e, true, false, now
-	d.awaits(e)
+	j.leaseRequestedFrom, e.leaseRequested, e.leaseQueued, e.leaseRequestedAt = e, true, false, now
+	d.addLeaseRequest(e)
 	d.schedule(now+d.shortestObjective/4, nil, nil)
 	word := LeaseRequest
 	if d.isLate(j, now) {
 		word = LeaseRequestLate
 	}
-	d.tell(now, e.keeper, word, e.sum)
+	d.sendLease(now, e.leaseHolder, word, e.hash)
 }
 
 // checkUnanswered finds the executors and keepers that have not answered. A silent executor is asked again, the
@@ -843,16 +843,16 @@
 			d.requestProbe(e, now, d.longestMeanWork()*time.Duration(e.timeouts))
 		}
 	}
-	for _, e := range d.askedOnes() {
-		if e.subsetRank < 0 || e.queued || now-e.askedAt < d.shortestObjective/4 {
+	for _, e := range d.pendingLeaseRequests() {
+		if e.subsetRank < 0 || e.leaseQueued || now-e.leaseRequestedAt < d.shortestObjective/4 {
 			continue
 		}
-		e.asked, e.lent = false, 0
+		e.leaseRequested, e.leasesHeld = false, 0
 		d.touch(e)
-		if first := d.keeperOf(e.sum); e.keeper == first {
-			e.keeper, e.firstAt = d.keeperOf((e.sum^e.sum>>16)*0x9e3779b1>>8), now+2*d.quotaInterval
+		if first := d.leaseHolderOf(e.hash); e.leaseHolder == first {
+			e.leaseHolder, e.primaryRetryAt = d.leaseHolderOf((e.hash^e.hash>>16)*0x9e3779b1>>8), now+2*d.quotaInterval
 		} else {
-			e.alone = now + d.quotaInterval
+			e.leaseBypassUntil = now + d.quotaInterval
 		}
 	}
 }
@@ -861,63 +861,63 @@
 func (d *Dispatcher) ReceiveLeaseMessage(now time.Duration, from NodeID, word LeaseMessage, sum ExecutorHash) {
 	switch word {
 	case LeaseGrant, LeaseWait:
-		e := d.bySum[sum]
-		if e == nil || !e.asked || e.keeper != from {
+		e := d.executorsByHash[sum]
+		if e == nil || !e.leaseRequested || e.leaseHolder != from {
 			if word == LeaseGrant {
-				d.tell(now, from, LeaseReturn, sum)
+				d.sendLease(now, from, LeaseReturn, sum)
 			}
 			return
 		}
-		d.tokenFreed, d.wants, e.queued = true, true, word == LeaseWait
+		d.tokenFreed, d.leaseWanted, e.leaseQueued = true, true, word == LeaseWait
 		if word == LeaseGrant {
-			e.asked, e.given = false, true
+			e.leaseRequested, e.leaseGranted = false, true
 			d.touch(e)
-			d.givens = append(d.givens, e)
+			d.grantedTo = append(d.grantedTo, e)
 		}
 	case LeaseRequest, LeaseRequestLate:
-		k := d.keepOf(sum)
-		k.wait(from, word == LeaseRequestLate)
-		if d.lend(k, k.quota, now); k.waits(from) {
-			k.dry = true
-			d.tell(now, from, LeaseWait, sum)
-			if e := d.bySum[sum]; e != nil {
+		k := d.ledgerFor(sum)
+		k.addWaiting(from, word == LeaseRequestLate)
+		if d.grantLeases(k, k.quota, now); k.isWaiting(from) {
+			k.shortage = true
+			d.sendLease(now, from, LeaseWait, sum)
+			if e := d.executorsByHash[sum]; e != nil {
 				d.requestProbe(e, now, d.shortestObjective)
 			}
 		}
 	case LeaseCancel:
-		d.keepOf(sum).leave(from)
+		d.ledgerFor(sum).removeWaiting(from)
 	case LeaseReturn, LeaseReturnLate:
-		k := d.keepOf(sum)
-		k.back(from, word == LeaseReturnLate)
-		d.lend(k, k.quota, now)
+		k := d.ledgerFor(sum)
+		k.recordReturn(from, word == LeaseReturnLate)
+		d.grantLeases(k, k.quota, now)
 	}
 }
 
-// lend gives free places to the nodes that have waited longest. A place that does not come back within two
+// grantLeases gives free places to the nodes that have waited longest. A place that does not come back within two
 // intervals is free again: its node is dead or its word was lost.
-func (d *Dispatcher) lend(k *keep, most int, now time.Duration) {
-	k.lent = slices.DeleteFunc(k.lent, func(l lease) bool { return l.until <= now })
-	for len(k.queue)+len(k.late) > 0 && len(k.lent) < most {
-		to := k.first()
-		k.lentAt = now
-		k.lent = append(k.lent, lease{to, now + 2*d.quotaInterval})
-		d.tell(now, to, LeaseGrant, k.sum)
+func (d *Dispatcher) grantLeases(k *leaseLedger, most int, now time.Duration) {
+	k.granted = slices.DeleteFunc(k.granted, func(l lease) bool { return l.expiresAt <= now })
+	for len(k.waiting)+len(k.waitingLate) > 0 && len(k.granted) < most {
+		to := k.popWaiting()
+		k.grantedAt = now
+		k.granted = append(k.granted, lease{to, now + 2*d.quotaInterval})
+		d.sendLease(now, to, LeaseGrant, k.hash)
 	}
 }
 
-// keepInterval is the design's single step for the places that this node keeps.
-func (d *Dispatcher) keepInterval(now time.Duration) {
-	for _, k := range d.keeps {
-		k.rest--
-		switch r := float64(k.lateStarts) / max(float64(k.backs), 1); {
+// adjustLeaseQuotas is the design's single step for the places that this node keeps.
+func (d *Dispatcher) adjustLeaseQuotas(now time.Duration) {
+	for _, k := range d.ledgerList {
+		k.cooldown--
+		switch r := float64(k.lateStarts) / max(float64(k.returns), 1); {
 		case r > executorQueuingThreshold && k.quota > 1:
 			k.quota--
-			k.rest = restAfter
-		case r < fewLate && k.dry && k.quota < maxQuota && k.rest <= 0 && (!d.canProbe || k.more):
+			k.cooldown = leaseQuotaCooldown
+		case r < maxLateStarts && k.shortage && k.quota < maxQuota && k.cooldown <= 0 && (!d.canProbe || k.spareSeen):
 			k.quota++
 		}
-		k.lateStarts, k.backs, k.dry, k.more = 0, 0, len(k.queue) > 0, false
-		d.lend(k, k.quota, now)
+		k.lateStarts, k.returns, k.shortage, k.spareSeen = 0, 0, len(k.waiting) > 0, false
+		d.grantLeases(k, k.quota, now)
 	}
 }
 
@@ -939,11 +939,11 @@
 		d.adjustQuota(e, now)
 		d.detectSilence(e, now)
 		e.decay()
-		e.asked = e.asked && now-e.askedAt <= d.quotaInterval
+		e.leaseRequested = e.leaseRequested && now-e.leaseRequestedAt <= d.quotaInterval
 	}
-	d.keepInterval(now)
+	d.adjustLeaseQuotas(now)
 	d.forgetPlaces()
-	d.queuedThisInterval, d.tokenFreed, d.subsetStale, d.wants = len(d.queue) > 0, true, true, true
+	d.queuedThisInterval, d.tokenFreed, d.subsetStale, d.leaseWanted = len(d.queue) > 0, true, true, true
 	d.decayAverages()
 }
 
@@ -1015,16 +1015,16 @@
 			return DueTask{Task: PlaceJob, Job: j.id}
 		case s == nil && j == nil:
 			d.checkUnanswered(now)
-			d.subsetStale, d.tokenFreed, d.wants = true, true, true
+			d.subsetStale, d.tokenFreed, d.leaseWanted = true, true, true
 		}
 	}
 	if j := d.nextPlaceable(now); j != nil {
 		return DueTask{Task: PlaceJob, Job: j.id}
 	}
-	d.askKeepers(now)
-	if len(d.words) > 0 {
-		w := d.words[0]
-		d.words = d.words[1:]
+	d.exchangeLeases(now)
+	if len(d.outbox) > 0 {
+		w := d.outbox[0]
+		d.outbox = d.outbox[1:]
 		return w
 	}
 	at := d.intervalEnd
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -322,9 +322,9 @@
 		d.subsetChanged = d.subsetChanged || e.unresponsive
 		d.subsetStale, d.tokenFreed = d.subsetStale || e.unresponsive, true
 		e.lastSeen, e.unresponsive, e.timeouts = now, false, 0
-		if k := d.kept[e.sum]; k != nil && load.FreeSlots >= 0.5 && now-k.lentAt >= d.shortestObjective {
-			k.more = k.more || len(k.lent) >= k.quota
-			d.lend(k, len(k.lent)+1, now)
+		if k := d.ledgers[e.hash]; k != nil && load.FreeSlots >= 0.5 && now-k.grantedAt >= d.shortestObjective {
+			k.spareSeen = k.spareSeen || len(k.granted) >= k.quota
+			d.grantLeases(k, len(k.granted)+1, now)
 		}
 	}
 }
@@ -334,7 +334,7 @@
 	if d.canProbe && !e.probeOut && (e.probedAt == 0 || now-e.probedAt >= within) {
 		e.probeOut, e.probedAt = true, now
 		d.awaitReply(e)
-		d.words = append(d.words, DueTask{Task: ProbeExecutor, Executor: e.id})
+		d.outbox = append(d.outbox, DueTask{Task: ProbeExecutor, Executor: e.id})
 		d.schedule(now+d.shortestObjective, nil, nil)
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -77,16 +77,16 @@
 	line  AdmissionThreshold
 	tally LoadSummary // since it was asked for last
 
-	mayTell            bool
+	canLease           bool
 	canHedge           bool
 	canProbe           bool
 	clientsMarkRetries bool
-	wants              bool                       // a batch job may want to ask for a place
-	givens             []*executor                // where a place was given
-	bySum              map[ExecutorHash]*executor // by the id that nodes use among each other
-	kept               map[ExecutorHash]*keep     // what this node keeps for all
-	keeps              []*keep
-	words              []DueTask // to be said; probes and notes among them
+	leaseWanted        bool                          // a batch job may want to ask for a place
+	grantedTo          []*executor                   // where a place was given
+	executorsByHash    map[ExecutorHash]*executor    // by the id that nodes use among each other
+	ledgers            map[ExecutorHash]*leaseLedger // what this node keeps for all
+	ledgerList         []*leaseLedger
+	outbox             []DueTask // to be said; probes and notes among them
 }
 
 // jobClass holds a track's derived figures and running averages.
@@ -133,7 +133,7 @@
 // executor is what this node knows of one executor.
 type executor struct {
 	id              ExecutorID
-	sum             ExecutorHash
+	hash            ExecutorHash
 	zone            ZoneID
 	kind            KindID
 	cell            CellID
@@ -177,45 +177,45 @@
 	unresponsive bool          // a probe went without answer, and none was answered since
 	probedAt     time.Duration // when the last one was sent
 
-	keeper  NodeID
-	firstAt time.Duration // from then on the first keeper in line is asked again
-	alone   time.Duration // no keeper answers: done without until then
-	asked   bool          // a place was asked for
-	askedAt time.Duration
-	queued  bool // the keeper has none free yet
-	given   bool // a place was given
-	lent    int  // places to give back
+	leaseHolder      NodeID
+	primaryRetryAt   time.Duration // from then on the first keeper in line is asked again
+	leaseBypassUntil time.Duration // no keeper answers: done without until then
+	leaseRequested   bool          // a place was asked for
+	leaseRequestedAt time.Duration
+	leaseQueued      bool // the keeper has none free yet
+	leaseGranted     bool // a place was given
+	leasesHeld       int  // places to give back
 
 	// Where the index has it.
-	subsetRank int // in the slice; -1: not in it
-	tokenOrder int // its turn among those met; 0: not among them
-	touched    bool
-	awaited    bool
-	isAsked    bool
-	group      *group
-	places     [allPiles]place
-	rate       float64 // at which its tokens age at the most, while its kind's pace keeps to the limit
-	limit      float64
+	subsetRank      int // in the slice; -1: not in it
+	tokenOrder      int // its turn among those met; 0: not among them
+	touched         bool
+	awaited         bool
+	inLeaseRequests bool
+	group           *group
+	places          [allPiles]place
+	rate            float64 // at which its tokens age at the most, while its kind's pace keeps to the limit
+	limit           float64
 }
 
-// keep is what this node keeps for all: an executor's places.
-type keep struct {
-	sum        ExecutorHash
-	quota      int
-	lent       []lease
-	queue      []NodeID // those that wait for a place
-	late       []NodeID // those that wait with a late batch job
-	backs      int      // this interval: places given back
-	lateStarts int      // those of them where the batch job had to wait at the executor
-	dry        bool     // somebody waited
-	rest       int      // intervals before the quota may rise
-	lentAt     time.Duration
-	more       bool // this interval: a probe showed a free place while all were lent
+// leaseLedger is what this node keeps for all: an executor's places.
+type leaseLedger struct {
+	hash        ExecutorHash
+	quota       int
+	granted     []lease
+	waiting     []NodeID // those that wait for a place
+	waitingLate []NodeID // those that wait with a late batch job
+	returns     int      // this interval: places given back
+	lateStarts  int      // those of them where the batch job had to wait at the executor
+	shortage    bool     // somebody waited
+	cooldown    int      // intervals before the quota may rise
+	grantedAt   time.Duration
+	spareSeen   bool // this interval: a probe showed a free place while all were lent
 }
 
 type lease struct {
-	to    NodeID
-	until time.Duration
+	holder    NodeID
+	expiresAt time.Duration
 }
 
 type spend struct {
