--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -139,7 +139,7 @@
 
 func (f *Fleet) chance() float64 {
 	f.count++
-	return policy.Chance(f.s.Seed, f.count)
+	return policy.Random(f.s.Seed, f.count)
 }
 
 // Next is when Tick is due.
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -98,7 +98,7 @@
 	if link == Predecessor {
 		n.waits, n.waitsBy = true, n.now+handSpell
 		n.say(Log{Text: "an older process of this node runs: its state is waited for"})
-		n.brain.ReserveSlowStartUntil(n.now, policy.Endless) // the elder may use all of it until it cedes
+		n.brain.ReserveSlowStartUntil(n.now, policy.Forever) // the elder may use all of it until it cedes
 		n.share()
 		return
 	}
@@ -183,7 +183,7 @@
 		n.ceded, n.heir = true, from
 		n.say(Log{Text: "the newer process takes over"})
 		n.say(AcceptConnections{false})
-		n.brain.ReserveSlowStartUntil(n.now, policy.Endless)
+		n.brain.ReserveSlowStartUntil(n.now, policy.Forever)
 		n.share()
 		n.say(SendHandoff{from, HandoffMessage{Kind: PredecessorYielded}})
 	case PredecessorYielded:
@@ -343,7 +343,7 @@
 
 // nextPairDue is when something is due between processes next.
 func (n *Node) nextPairDue() time.Duration {
-	next := policy.Endless
+	next := policy.Forever
 	if n.waits {
 		next = n.waitsBy
 	}
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -176,7 +176,7 @@
 		return "" // nothing has come free since
 	}
 	var free *executor
-	firstFree, first := policy.Endless, policy.Endless
+	firstFree, first := policy.Forever, policy.Forever
 	for _, x := range w.executors {
 		if t := x.Trouble(); !b.live[x.ID] || !x.Up || x.gone || x.Drains || t.Mute || t.Errors > 0 || !w.connected(n.zone, x.Zone) {
 			continue
--- a/policy/books.go
+++ b/policy/books.go
@@ -13,30 +13,30 @@
 
 // Upkeep of what state.go holds, without decisions.
 
-func times(t time.Duration, f float64) time.Duration { return time.Duration(float64(t) * f) }
+func scaled(t time.Duration, f float64) time.Duration { return time.Duration(float64(t) * f) }
 
-func flag(is bool) float64 {
+func oneIf(is bool) float64 {
 	if is {
 		return 1
 	}
 	return 0
 }
 
-// Chance is a number from 0 to 1 drawn from a seed and a counter.
-func Chance(seed, count uint32) float64 {
+// Random is a number from 0 to 1 drawn from a seed and a counter.
+func Random(seed, count uint32) float64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint32(b[:4], seed)
 	binary.LittleEndian.PutUint32(b[4:], count)
 	return float64(crc32.ChecksumIEEE(b[:])) / math.MaxUint32
 }
 
-func (d *Dispatcher) chance() float64 {
-	d.count++
-	return Chance(d.seed, d.count)
+func (d *Dispatcher) random() float64 {
+	d.randomCount++
+	return Random(d.seed, d.randomCount)
 }
 
-// note writes a line to the log.
-func (d *Dispatcher) note(format string, args ...any) {
+// logf writes a line to the log.
+func (d *Dispatcher) logf(format string, args ...any) {
 	d.outbox = append(d.outbox, DueTask{Task: WriteLog, Text: fmt.Sprintf(format, args...)})
 }
 
@@ -147,7 +147,7 @@
 
 // latencyObjective is the span of j's quoted time, counted from its first try.
 func (j *job) latencyObjective() time.Duration {
-	return min(j.class.latencyObjective+times(j.work, j.class.runTimeFactor), j.class.deadline)
+	return min(j.class.latencyObjective+scaled(j.work, j.class.runTimeFactor), j.class.deadline)
 }
 
 // remoteSide is 1 for an executor of another zone, where that has a price.
@@ -407,7 +407,7 @@
 // recordReturn takes a place back; one that has been given up for lost is passed over. Late: the batch job had to wait there.
 func (k *leaseLedger) recordReturn(from NodeID, late bool) {
 	k.returns++
-	k.lateStarts += int(flag(late))
+	k.lateStarts += int(oneIf(late))
 	if i := slices.IndexFunc(k.granted, func(l lease) bool { return l.holder == from }); i >= 0 {
 		k.granted = slices.Delete(k.granted, i, i+1)
 	}
--- a/policy/index.go
+++ b/policy/index.go
@@ -288,7 +288,7 @@
 			of.load = spare
 		}
 	}
-	until := Endless
+	until := Forever
 	if d.canLease && d.usesSubset() && !e.leaseGranted {
 		switch {
 		case e.leaseBypassUntil > now:
@@ -300,11 +300,11 @@
 		}
 	}
 	k := s.kind.pace
-	if old != nil && e.group.sort == of && e.group.shelf == s && until == Endless && e.places[byUntil].in == nil &&
+	if old != nil && e.group.sort == of && e.group.shelf == s && until == Forever && e.places[byUntil].in == nil &&
 		e.places[byAge].key == int64(e.freeTokens[0]) && (e.limit <= k || of.scaled) && (e.limit >= k || !of.scaled) {
 		// What it was reckoned with still holds, and little has changed: most of those that only grow older stay.
 		rate, to := d.rateOf(e, s, now)
-		if to == Endless && rate <= e.rate && rate >= e.rate*(1-drift) && e.tight(k)*(1+3*drift) >= e.rate*e.group.scale() {
+		if to == Forever && rate <= e.rate && rate >= e.rate*(1-drift) && e.tight(k)*(1+3*drift) >= e.rate*e.group.scale() {
 			return
 		}
 	}
@@ -324,7 +324,7 @@
 	if t.show(); old != nil && old != &t.pile {
 		old.step.show()
 	}
-	if until < Endless {
+	if until < Forever {
 		d.until.put(e, int64(until))
 	} else {
 		e.unfile(byUntil)
@@ -364,23 +364,23 @@
 // are out as there are places, no less than what waits there needs, and what the first to end has left.
 func (d *Dispatcher) leastWait(e *executor, pace float64, places int, now time.Duration) (wait, until time.Duration) {
 	if len(e.attempts) < places {
-		return e.startWait, Endless
+		return e.startWait, Forever
 	}
-	first, queued := Endless, time.Duration(0)
+	first, queued := Forever, time.Duration(0)
 	for _, s := range e.attempts {
 		if s.running {
-			first = min(first, s.startedAt+times(s.work, pace))
+			first = min(first, s.startedAt+scaled(s.work, pace))
 		} else {
-			queued += times(s.work, pace)
+			queued += scaled(s.work, pace)
 		}
 	}
 	wait = max(0, queued/time.Duration(places)-time.Duration(len(e.attempts)+2)) // each figure is cut to a whole one
-	if left := first - now - 1; first < Endless && left > 0 {
+	if left := first - now - 1; first < Forever && left > 0 {
 		// It shrinks as time goes by: reckoned as what it will be by then, an eighth of all less.
 		until = now + max(min(left, (d.shortestObjective+wait+left)/8), 1)
 		return max(e.startWait, wait+first-1-until), until
 	}
-	return max(e.startWait, wait), Endless
+	return max(e.startWait, wait), Forever
 }
 
 // group is the kind's group of that sort.
@@ -617,7 +617,7 @@
 		e.subsetRank = -1
 	}
 	d.subset, d.spareSubset = d.spareSubset[:0], was
-	d.subsetChanged, d.rezoned, d.subsetValidUntil = false, false, Endless
+	d.subsetChanged, d.rezoned, d.subsetValidUntil = false, false, Forever
 	return was
 }
 
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -37,9 +37,9 @@
 		wait := d.expectedWait(e, pace, now)
 		queue := wait
 		if j.class.idempotency == AtMostOnce {
-			queue = max(wait, times(j.class.meanWork, (e.listedLoad-1)*pace))
+			queue = max(wait, scaled(j.class.meanWork, (e.listedLoad-1)*pace))
 		}
-		if !late && now+times(queue+times(j.work, pace), j.predictionMargin) > j.objectiveAt {
+		if !late && now+scaled(queue+scaled(j.work, pace), j.predictionMargin) > j.objectiveAt {
 			continue
 		}
 		age := e.weight * float64(now-e.freeTokens[0]) / (pace * (d.shortestObjective + wait).Seconds())
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -75,7 +75,7 @@
 func (d *Dispatcher) spreadPolls(within time.Duration) {
 	d.pollInterval = within / 8
 	if d.usesSubset() {
-		d.pollAt = times(within/2, float64(d.nodeID)/float64(d.nodeCount))
+		d.pollAt = scaled(within/2, float64(d.nodeID)/float64(d.nodeCount))
 	}
 }
 
@@ -85,7 +85,7 @@
 	if what == WatchFailed {
 		// Calls load a service that all nodes share: ask again after a spell that differs by node.
 		d.subscribed = false
-		d.pollAt = now + times(d.pollInterval, 0.5+d.chance())
+		d.pollAt = now + scaled(d.pollInterval, 0.5+d.random())
 		return
 	}
 	d.subscribed = d.subscribed || what != CachedUpdate
@@ -194,7 +194,7 @@
 	means[e.kind] = m.with(e.quota)
 	d.addWithTokens(e)
 	for range e.quota {
-		e.freeTokens = append(e.freeTokens, now-times(d.quotaInterval, d.chance()))
+		e.freeTokens = append(e.freeTokens, now-scaled(d.quotaInterval, d.random()))
 	}
 	slices.Sort(e.freeTokens)
 }
@@ -211,7 +211,7 @@
 		}
 		ran := now - j.startedAt
 		if j.progress > 0.02 {
-			ran = max(times(j.progressAt-j.startedAt, 1/j.progress), ran)
+			ran = max(scaled(j.progressAt-j.startedAt, 1/j.progress), ran)
 		}
 		if w := j.work.Seconds(); ran.Seconds() > w*runs/works {
 			runs += ran.Seconds()
@@ -227,7 +227,7 @@
 	places := d.kinds[e.kind].concurrency
 	wait, first, queued := e.startWait, time.Duration(math.MaxInt64), time.Duration(0)
 	for _, o := range e.attempts {
-		left := times(o.work, pace)
+		left := scaled(o.work, pace)
 		if !o.running {
 			queued += left
 			if out := now - o.sentAt; d.startNotices && out > e.startWait+d.checkInterval {
@@ -297,7 +297,7 @@
 	if !j.hinted {
 		m *= 1 + 2/float64(1+j.class.samples)
 	}
-	return times(j.work, m)
+	return scaled(j.work, m)
 }
 
 // ---- What a batch job may do and is worth ----
@@ -335,9 +335,9 @@
 // slack that the price of crossing is of its value. Below its price it never crosses.
 func (d *Dispatcher) crossZoneDelay(j *job) time.Duration {
 	if part := d.crossZoneCost / d.marginalValue(j); part < 1 {
-		return times(max(0, j.objectiveAt-j.queuedAt-j.work), part)
+		return scaled(max(0, j.objectiveAt-j.queuedAt-j.work), part)
 	}
-	return Endless / 4
+	return Forever / 4
 }
 
 // crossesNow says whether j goes to another zone at once: so many of those that gain by it as bring the loads
@@ -352,14 +352,14 @@
 
 // JobArrived tells of a batch job that this node has taken. A work of 0 means that no hint came.
 func (d *Dispatcher) JobArrived(now time.Duration, in Arrival) {
-	d.turn(now)
+	d.beginTurn(now)
 	t := d.classes[min(max(0, int(in.Class)), len(d.classes)-1)]
 	j := &job{id: in.Job, class: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, predictionMargin: hintedMargin,
-		startMargin: 1, arrivedAt: now, deadlineAt: now + in.Budget, crossChance: d.chance()}
+		startMargin: 1, arrivedAt: now, deadlineAt: now + in.Budget, crossChance: d.random()}
 	if !j.hinted {
 		j.work, j.predictionMargin = t.meanWork, unhintedMargin
 	} else {
-		t.meanWork = times(t.meanWork, smoothing) + times(in.Work, 1-smoothing)
+		t.meanWork = scaled(t.meanWork, smoothing) + scaled(in.Work, 1-smoothing)
 	}
 	if in.Tenant >= 0 && int(in.Tenant) < len(d.tenants) {
 		j.tenant = &d.tenants[in.Tenant]
@@ -370,12 +370,12 @@
 	// clients lose patience early, and a try that can't be done by then is not to be sent.
 	t.fullBudget = max(t.fullBudget, in.Budget)
 	lacks, spent := t.fullBudget-in.Budget, time.Duration(0)
-	first := !in.ClientRetry && lacks > d.gap
+	first := !in.ClientRetry && lacks > d.turnGap
 	t.recordArrival(lacks > d.quantum)
 	curt := d.clientsMarkRetries && (j.tenant.recordFirstTry(in.ClientRetry, first) > maxShortBudgetRatio || first)
 	switch {
 	case lacks <= d.quantum:
-	case !d.clientsMarkRetries && lacks > d.maxQueueTime(j)+d.retryAfter+max(0, d.stood) && t.shortBudgets > minTenantArrivals+maxClientRetries*t.rejectedFirstTries:
+	case !d.clientsMarkRetries && lacks > d.maxQueueTime(j)+d.retryAfter+max(0, d.stalledFor) && t.shortBudgets > minTenantArrivals+maxClientRetries*t.rejectedFirstTries:
 		// One try before can't have spent so much, and more such come than were turned away: clients wait for less.
 	case !curt:
 		spent = max(0, t.deadline-in.Budget)
@@ -387,7 +387,7 @@
 	d.capToShutdown(j)
 	j.firstTry = spent == 0 && !in.ClientRetry
 	d.recordRequested(j, j.firstTry)
-	j.shed = d.talks && d.below(j)
+	j.shed = d.reportsLoad && d.belowThreshold(j)
 	d.jobs[in.Job] = j
 	d.queueJob(j, now)
 	d.schedule(now, j, nil)
@@ -397,7 +397,7 @@
 // maxQueueTime is how long a node keeps a batch job at most for want of a token, before its client may come again.
 func (d *Dispatcher) maxQueueTime(j *job) time.Duration {
 	if j.class.lateValue > 0 {
-		return times(j.class.deadline, lateQueueFraction)
+		return scaled(j.class.deadline, lateQueueFraction)
 	}
 	return j.latencyObjective()
 }
@@ -416,9 +416,9 @@
 	density := d.marginalValue(j) / j.work.Seconds() / d.meanDensity
 	j.isQueued, j.queuedLate = true, slack < 0
 	if j.queuedLate {
-		slack = times(j.class.deadline, 1/max(j.class.lateValue, 1e-3))
+		slack = scaled(j.class.deadline, 1/max(j.class.lateValue, 1e-3))
 	}
-	j.queueKey = now + times(slack, 1/max(density, 1e-3))
+	j.queueKey = now + scaled(slack, 1/max(density, 1e-3))
 	d.enqueue(j)
 }
 
@@ -436,7 +436,7 @@
 	}
 	d.queueJob(j, now)
 	// In the fleet's overload a further allocation of what never ran and is below the line by now is too much.
-	j.shed = j.shed || j.attemptCount > 0 && j.mayHaveRun == nil && d.line.Level > d.rung(j)
+	j.shed = j.shed || j.attemptCount > 0 && j.mayHaveRun == nil && d.threshold.Level > d.priorityLevel(j)
 	if j.shed || now >= j.deadlineAt-d.quantum || j.attemptCount >= j.class.maxAttempts || !d.retryAllowed(j, now) {
 		return d.rejectOrFail(j)
 	}
@@ -471,25 +471,25 @@
 		// Not to the outer limit: who has waited half of it with nothing out is told to come back instead.
 		end = min(j.deadlineAt, j.queuedAt+d.maxQueueTime(j))
 	}
-	return end - times(j.work, pace*j.startMargin)
+	return end - scaled(j.work, pace*j.startMargin)
 }
 
-// below says whether j earns less for its work than the cut line: what the fleet has no capacity for.
+// belowThreshold says whether j earns less for its work than the cut line: what the fleet has no capacity for.
 // Guards against low earners taken here while dearer ones find no token elsewhere.
-func (d *Dispatcher) below(j *job) bool {
-	rung, line := d.offered(j), d.line
-	marginal := rung == line.Level && !j.lowSlack && d.chance() < line.AdmitFraction
-	return !d.admitted(j, line.Level == 0 || rung > line.Level || marginal)
+func (d *Dispatcher) belowThreshold(j *job) bool {
+	rung, line := d.recordOffered(j), d.threshold
+	marginal := rung == line.Level && !j.lowSlack && d.random() < line.AdmitFraction
+	return !d.recordAdmitted(j, line.Level == 0 || rung > line.Level || marginal)
 }
 
 // rejectOrFail answers at once. A pushback says that nothing happened or that trying again is harmless: rule 2.
 func (d *Dispatcher) rejectOrFail(j *job) Decision {
 	d.removeJob(j)
-	j.class.rejectedFirstTries += flag(j.firstTry)
+	j.class.rejectedFirstTries += oneIf(j.firstTry)
 	if j.shed { // they come back at times of their own, not all together
-		return Decision{Action: Reject, RetryAfter: times(d.retryAfter, (1+d.chance())/2)}
+		return Decision{Action: Reject, RetryAfter: scaled(d.retryAfter, (1+d.random())/2)}
 	}
-	d.lost(j)
+	d.recordExpired(j)
 	if j.mayHaveRun == nil || j.class.idempotency == Idempotent || j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors {
 		return Decision{Action: Reject, RetryAfter: d.retryAfter}
 	}
@@ -553,9 +553,9 @@
 	queue := wait
 	if j.class.idempotency == AtMostOnce {
 		// What can't be taken back counts the list's news as well: its like, held over one a core, go first.
-		queue = max(wait, times(j.class.meanWork, (e.listedLoad-1)*pace))
+		queue = max(wait, scaled(j.class.meanWork, (e.listedLoad-1)*pace))
 	}
-	if !w.late && now+times(queue+times(j.work, pace), j.predictionMargin) > j.objectiveAt {
+	if !w.late && now+scaled(queue+scaled(j.work, pace), j.predictionMargin) > j.objectiveAt {
 		return -1
 	}
 	return e.weight * float64(now-e.freeTokens[0]) / (pace * (d.shortestObjective + wait).Seconds())
@@ -565,7 +565,7 @@
 
 // AttemptEnded says what to do after an allocation's outcome. Final: the batch job is over by it or before it.
 func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, n AttemptID, how Outcome, final bool) Decision {
-	d.turn(now)
+	d.beginTurn(now)
 	s := d.findAttempt(id, n)
 	if s == nil {
 		return Decision{}
@@ -597,7 +597,7 @@
 	}
 	e.attempts = slices.DeleteFunc(e.attempts, func(o *attempt) bool { return o == j })
 	d.touch(e)
-	est := times(j.work, d.pace(e, now))
+	est := scaled(j.work, d.pace(e, now))
 	switch how {
 	case Succeeded:
 		d.recordSuccess(j, e, now)
@@ -614,7 +614,7 @@
 		// One may be the network's or the batch job's; a second, with no sign of life between, is the executor's.
 		if how == ExecutorError || e.suspect && (how != ExecutorFull || j.tenant == nil || e.fullForMany) {
 			d.eject(e, now, "after an outcome that was no result")
-			e.consecutiveErrors += int(flag(how == ExecutorError))
+			e.consecutiveErrors += int(oneIf(how == ExecutorError))
 		}
 		e.suspect = true
 	case TimedOut, Canceled:
@@ -637,7 +637,7 @@
 	if how == ExecutorFull { // guards against a token that is turned away again and again, in overload by the hundred
 		d.returnLease(e, now, true)
 		e.rejections++
-		d.schedule(now+times(est, fullTokenRest*float64(e.rejections)), nil, e)
+		d.schedule(now+scaled(est, fullTokenRest*float64(e.rejections)), nil, e)
 		return
 	}
 	d.releaseToken(e, now, j.startedLate)
@@ -657,12 +657,12 @@
 	ran := now - j.startedAt
 	if !j.running {
 		// Without start notices: latency against what the pace foretells.
-		ran = min(d.elapsed(j), times(j.work, d.pace(e, now)))
+		ran = min(d.elapsed(j), scaled(j.work, d.pace(e, now)))
 		if !j.hinted { // of what waiting does not explain half is running time, or a low guess would never rise
 			ran += max(0, d.elapsed(j)-ran-e.startWait) / 2
 		}
 		d.recordStartWait(e, j, d.elapsed(j)-ran)
-		j.startedLate = d.elapsed(j) > times(ran, waitedFactor) // hints are rough
+		j.startedLate = d.elapsed(j) > scaled(ran, waitedFactor) // hints are rough
 	}
 	d.recordRunTime(j.job, e, ran)
 }
@@ -675,7 +675,7 @@
 	}
 	span := d.longestMeanWork() * time.Duration(max(1+e.timeouts, min(1<<min(e.consecutiveErrors, maxBackoffFactor), maxBackoffFactor)))
 	if e.inFlightCap == 0 {
-		d.note("%s held back for %v %s", e.id, span.Round(time.Millisecond), why)
+		d.logf("%s held back for %v %s", e.id, span.Round(time.Millisecond), why)
 	}
 	e.ejectedUntil, e.inFlightCap = now+span, 1
 	d.subsetStale, d.subsetChanged = true, true
@@ -690,9 +690,9 @@
 		return false
 	}
 	e := j.executor
-	quiet := times(j.work, d.kinds[e.kind].pace)
+	quiet := scaled(j.work, d.kinds[e.kind].pace)
 	if !j.running { // how long it is left there anyway, where moves have a budget
-		quiet = max(quiet, times(j.objectiveAt-j.sentAt-j.work, d.line.MigrationDelay))
+		quiet = max(quiet, scaled(j.objectiveAt-j.sentAt-j.work, d.threshold.MigrationDelay))
 	}
 	if !e.unresponsive && now-max(e.lastSeen, j.sentAt) > quiet {
 		d.requestProbe(e, now, d.shortestObjective)
@@ -702,7 +702,7 @@
 	}
 	usual, left := d.kinds[e.kind].pace, time.Duration(0)
 	if j.running { // it can't crawl sooner
-		left = times(j.work, slowProgressFactor*usual) - (now - j.startedAt)
+		left = scaled(j.work, slowProgressFactor*usual) - (now - j.startedAt)
 	}
 	d.scheduleCheck(now+max(left, d.checkInterval), j)
 	pace := (e.runTimeSeen + usual) / (e.workSeen + 1)
@@ -711,7 +711,7 @@
 	}
 	crawls := (e.ejectedUntil > now || j.tokenReleased || pace >= slowProgressFactor*usual) && left < 0 || e.unresponsive
 	begun, repeatable := j.running || !d.startNotices, j.class.idempotency == Idempotent
-	if repeatable && (e.unresponsive || !begun) && j.class.lateValue == 0 && now > j.objectiveAt-times(j.work, pace) {
+	if repeatable && (e.unresponsive || !begun) && j.class.lateValue == 0 && now > j.objectiveAt-scaled(j.work, pace) {
 		return true // it can earn nothing more
 	}
 	if j.attemptCount >= j.class.maxAttempts || len(j.job.attempts) > 1 || begun && !crawls {
@@ -727,9 +727,9 @@
 	if to != nil && !j.running && !e.unresponsive && e.ejectedUntil <= now {
 		// Where nodes talk, more moves than their budget wait for some of their slack: most start by themselves.
 		d.countMigration(j)
-		slack := j.objectiveAt - j.sentAt - times(j.work, pace)
-		blind := flag(!d.loadAdjustedWeights && d.kinds[to.kind].reportedSlots == 0) // nothing tells that another has less to do
-		from := j.sentAt + max(times(slack, d.line.MigrationDelay), times(d.longestMeanWork(), pace*blind))
+		slack := j.objectiveAt - j.sentAt - scaled(j.work, pace)
+		blind := oneIf(!d.loadAdjustedWeights && d.kinds[to.kind].reportedSlots == 0) // nothing tells that another has less to do
+		from := j.sentAt + max(scaled(slack, d.threshold.MigrationDelay), scaled(d.longestMeanWork(), pace*blind))
 		if now < from {
 			d.scheduleCheck(from, j)
 			return false
@@ -741,14 +741,14 @@
 	}
 	left = now - j.startedAt
 	if j.progress > 0.02 {
-		left = times(j.progressAt-j.startedAt, (1-j.progress)/j.progress)
+		left = scaled(j.progressAt-j.startedAt, (1-j.progress)/j.progress)
 	}
-	return left > 2*times(j.work, d.pace(to, now))
+	return left > 2*scaled(j.work, d.pace(to, now))
 }
 
 // wantsHedge says whether a second allocation of j may still earn something.
 func (d *Dispatcher) wantsHedge(j *job, now time.Duration) bool {
-	return !j.finished && len(j.attempts) == 1 && j.attemptCount < j.class.maxAttempts && d.line.Level == 0 &&
+	return !j.finished && len(j.attempts) == 1 && j.attemptCount < j.class.maxAttempts && d.threshold.Level == 0 &&
 		now < j.deadlineAt-d.quantum && (!d.isLate(j, now) || j.class.lateValue > 0)
 }
 
@@ -833,9 +833,9 @@
 	for _, e := range d.awaitingReplies() {
 		if e.tokenOrder == 0 {
 			continue
-		} else if e.probeOut && now-e.probedAt-d.stood >= d.shortestObjective {
+		} else if e.probeOut && now-e.probedAt-d.stalledFor >= d.shortestObjective {
 			if e.probeOut = false; !e.unresponsive {
-				d.note("%s held back until it answers a probe", e.id)
+				d.logf("%s held back until it answers a probe", e.id)
 			}
 			d.markUnresponsive(e, min(e.timeouts+1, maxBackoffFactor))
 			d.schedule(now+d.longestMeanWork()*time.Duration(e.timeouts), nil, nil)
@@ -969,7 +969,7 @@
 		return
 	}
 	pace := (e.runTimeSeen + d.kinds[e.kind].pace) / (e.workSeen + 1)
-	span := 2*times(e.longestWork(), pace) + 2*e.startWait + d.shortestObjective
+	span := 2*scaled(e.longestWork(), pace) + 2*e.startWait + d.shortestObjective
 	if now-e.lastSeen > span && e.ejectedUntil <= now {
 		d.eject(e, now, fmt.Sprintf("after silence of %v", (now-e.lastSeen).Round(time.Millisecond)))
 		e.timeouts++ // each try costs a batch job: the next comes later
@@ -989,7 +989,7 @@
 
 // NextTask says what has fallen due, or until when nothing will.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
-	d.turn(now)
+	d.beginTurn(now)
 	for now >= d.intervalEnd {
 		d.intervalEnd += d.quotaInterval
 		d.onInterval(now)
@@ -1034,7 +1034,7 @@
 	if mustSubscribe {
 		at = min(at, d.pollAt)
 	}
-	d.sleepTo = at
+	d.wakeAt = at
 	return DueTask{At: at}
 }
 
@@ -1050,7 +1050,7 @@
 	})
 	d.tokenFreed = d.tokenFreed && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) > 0 && d.anyOpen(now)
 	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
-		list = list[:min(len(list), int(flag(d.tokenFreed))*2*len(d.subset))]
+		list = list[:min(len(list), int(oneIf(d.tokenFreed))*2*len(d.subset))]
 		d.findTakers(list, now)
 		for _, j := range list {
 			if d.mayGo(j, now) && d.pickExecutor(j, now, false) != nil {
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -8,24 +8,24 @@
 
 // What is seen, written down: running figures without decisions.
 
-// turn books when this node has its turn, and for how long it stood still before it.
-func (d *Dispatcher) turn(now time.Duration) {
+// beginTurn books when this node has its turn, and for how long it stood still before it.
+func (d *Dispatcher) beginTurn(now time.Duration) {
 	if now == d.now {
 		return
 	}
-	d.gap, d.stood = now-d.now, now-d.sleepTo
-	if d.stood < d.checkInterval {
-		d.stood = 0
+	d.turnGap, d.stalledFor = now-d.now, now-d.wakeAt
+	if d.stalledFor < d.checkInterval {
+		d.stalledFor = 0
 	}
-	d.now, d.sleepTo = now, now
+	d.now, d.wakeAt = now, now
 }
 
 // elapsed is the time since an allocation was sent, without what this node stood still just now: its news may be that old.
-func (d *Dispatcher) elapsed(s *attempt) time.Duration { return max(0, d.now-s.sentAt-d.stood) }
+func (d *Dispatcher) elapsed(s *attempt) time.Duration { return max(0, d.now-s.sentAt-d.stalledFor) }
 
 // AttemptStarted tells that an executor has begun on an allocation.
 func (d *Dispatcher) AttemptStarted(now time.Duration, id JobID, n AttemptID) {
-	d.turn(now)
+	d.beginTurn(now)
 	s := d.findAttempt(id, n)
 	if s == nil || s.running {
 		return
@@ -96,7 +96,7 @@
 // decay lets what was seen of an executor grow old at an interval's end, or one passed over would never be tried again.
 func (e *executor) decay() {
 	e.executorWait, e.queueWait, e.overTarget, e.outOfTokens = 0, 0, false, len(e.freeTokens) == 0
-	e.startWait = times(e.startWait, smoothing)
+	e.startWait = scaled(e.startWait, smoothing)
 	e.runTimeSeen, e.workSeen = e.runTimeSeen*smoothing, e.workSeen*smoothing
 	e.sawFull, e.fullForMany, e.startedOthers, e.fullWait = false, false, false, 0
 }
@@ -122,7 +122,7 @@
 	e.startWait = (e.startWait + wait) / 2 // quick to follow: a jam must be seen before it is fed
 	e.executorWait += wait
 	d.recordZoneWait(e, wait)
-	if s.sentAt-s.queuedAt+wait > times(s.objectiveAt-s.arrivedAt-s.work, slackTargetFraction) {
+	if s.sentAt-s.queuedAt+wait > scaled(s.objectiveAt-s.arrivedAt-s.work, slackTargetFraction) {
 		e.overTarget = true
 	}
 }
@@ -137,7 +137,7 @@
 		load = &d.remoteLoad
 	}
 	if d.startNotices {
-		*load += (flag(wait > d.checkInterval)/zoneFullLateStarts - *load) * 0.1
+		*load += (oneIf(wait > d.checkInterval)/zoneFullLateStarts - *load) * 0.1
 	} else {
 		*load += (wait.Seconds()/d.shortestObjective.Seconds()/zoneFullWait - *load) * 0.1
 	}
@@ -149,7 +149,7 @@
 		return 0
 	}
 	if !again {
-		t.shortBudgetRatio = t.shortBudgetRatio*smoothing + flag(lacks)*(1-smoothing)
+		t.shortBudgetRatio = t.shortBudgetRatio*smoothing + oneIf(lacks)*(1-smoothing)
 	}
 	return t.shortBudgetRatio
 }
@@ -157,7 +157,7 @@
 // recordArrival books a batch job, and whether it brought less than the full budget.
 func (t *jobClass) recordArrival(short bool) {
 	const keeps = 1 - (1-smoothing)/8
-	t.shortBudgets, t.rejectedFirstTries = t.shortBudgets*keeps+flag(short), t.rejectedFirstTries*keeps
+	t.shortBudgets, t.rejectedFirstTries = t.shortBudgets*keeps+oneIf(short), t.rejectedFirstTries*keeps
 }
 
 // recordRequested books what a batch job that came is worth; first: it is not a repeat by the client.
@@ -180,14 +180,14 @@
 
 // recordRunTime books a running time.
 func (d *Dispatcher) recordRunTime(j *job, e *executor, ran time.Duration) {
-	if j.class.idempotency == IdempotentWithKey && ran < times(j.work, dedupReplyFraction*d.kinds[e.kind].pace) {
+	if j.class.idempotency == IdempotentWithKey && ran < scaled(j.work, dedupReplyFraction*d.kinds[e.kind].pace) {
 		return // it was remembered there, not run: guards against executors that look quick, and are rushed while cold
 	}
 	if !j.hinted {
 		// The first guess is the quoted time, which may be far off: the first outcomes count as much as it does.
 		j.class.samples++
 		new := max(0.05, 1/float64(1+j.class.samples))
-		j.class.meanWork = times(j.class.meanWork, 1-new) + times(ran, new)
+		j.class.meanWork = scaled(j.class.meanWork, 1-new) + scaled(ran, new)
 	}
 	e.runTimeSeen = e.runTimeSeen*smoothing + ran.Seconds()
 	e.workSeen = e.workSeen*smoothing + j.work.Seconds()
@@ -300,14 +300,14 @@
 // until then.
 func (d *Dispatcher) ReserveSlowStartUntil(now, at time.Duration) {
 	d.slowStartReservedUntil, d.subsetStale, d.subsetChanged, d.tokenFreed = at, true, true, true
-	if at != Endless {
+	if at != Forever {
 		d.schedule(max(at, now), nil, nil)
 	}
 }
 
 // ProbeEnded tells what came of a probe; load means something only where it was answered.
 func (d *Dispatcher) ProbeEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
-	d.turn(now)
+	d.beginTurn(now)
 	e := d.executorsByID[id]
 	if e == nil {
 		return
@@ -343,8 +343,8 @@
 
 // TakeLoadSummary is what this node saw since it was asked last; from the first asking on it is kept.
 func (d *Dispatcher) TakeLoadSummary(now time.Duration) LoadSummary {
-	t := d.tally
-	d.talks, d.tally = true, LoadSummary{}
+	t := d.summary
+	d.reportsLoad, d.summary = true, LoadSummary{}
 	for _, j := range d.queue {
 		t.Waiting += j.pressure()
 	}
@@ -368,10 +368,10 @@
 }
 
 // SetAdmissionThreshold tells where the cut line of nodes that talk is from now on. Batch jobs in hand stay.
-func (d *Dispatcher) SetAdmissionThreshold(line AdmissionThreshold) { d.line = line }
+func (d *Dispatcher) SetAdmissionThreshold(line AdmissionThreshold) { d.threshold = line }
 
-// rung is the step of what j earns for its work. A tenant over its share is weighed down as in value.
-func (d *Dispatcher) rung(j *job) int {
+// priorityLevel is the step of what j earns for its work. A tenant over its share is weighed down as in value.
+func (d *Dispatcher) priorityLevel(j *job) int {
 	density := d.valueOf(j) / max(j.work.Seconds(), 1e-6) * d.tenantFactor(j.tenant)
 	rung := PriorityLevels/2 + int(math.Round(2*math.Log2(max(density, 1e-9))))
 	return min(max(0, rung), PriorityLevels-1)
@@ -381,24 +381,24 @@
 func (d *Dispatcher) countMigration(s *attempt) {
 	if !s.migrationCounted {
 		s.migrationCounted = true
-		d.tally.Migrations += s.work.Seconds()
+		d.summary.Migrations += s.work.Seconds()
 	}
 }
 
-// offered books a batch job that came, and gives its rung. One that came with less than half of its slack, as repeats do, is
+// recordOffered books a batch job that came, and gives its rung. One that came with less than half of its slack, as repeats do, is
 // no measure of what the fleet is short of: it may find no token in time where most are free.
-func (d *Dispatcher) offered(j *job) int {
-	rung, work := d.rung(j), max(j.work.Seconds(), 1e-6)
+func (d *Dispatcher) recordOffered(j *job) int {
+	rung, work := d.priorityLevel(j), max(j.work.Seconds(), 1e-6)
 	if j.lowSlack = j.objectiveAt-d.now-j.work < j.slack()/2; !j.lowSlack {
-		d.tally.Offered[rung] += work
+		d.summary.Offered[rung] += work
 	}
 	return rung
 }
 
-// admitted books a batch job that is not below the cut line, and gives that on.
-func (d *Dispatcher) admitted(j *job, yes bool) bool {
+// recordAdmitted books a batch job that is not below the cut line, and gives that on.
+func (d *Dispatcher) recordAdmitted(j *job, yes bool) bool {
 	if yes && !j.lowSlack {
-		d.tally.Admitted += j.work.Seconds()
+		d.summary.Admitted += j.work.Seconds()
 	}
 	return yes
 }
@@ -412,16 +412,16 @@
 // recordCompletion books an answer, in its quoted time or not.
 func (d *Dispatcher) recordCompletion(s *attempt, now time.Duration) {
 	s.executor.consecutiveErrors = 0
-	d.tally.Completed += s.work.Seconds()
+	d.summary.Completed += s.work.Seconds()
 	if now <= s.objectiveAt {
 		s.class.earnedValue += d.valueOf(s.job)
 	}
 }
 
-// lost books a batch job that is given up on. What could not be done when it came has not waited: a line that fell for
+// recordExpired books a batch job that is given up on. What could not be done when it came has not waited: a line that fell for
 // it would cut more and more, to no end.
-func (d *Dispatcher) lost(j *job) {
+func (d *Dispatcher) recordExpired(j *job) {
 	if !j.lowSlack && d.now-j.arrivedAt > d.quantum && j.attemptCount < j.class.maxAttempts {
-		d.tally.Expired += j.work.Seconds()
+		d.summary.Expired += j.work.Seconds()
 	}
 }
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -57,7 +57,7 @@
 		if !slices.Contains(d.requiredKinds, t.kind) {
 			d.requiredKinds = append(d.requiredKinds, t.kind)
 		}
-		if by := times(t.deadline, intervalFraction); d.quotaInterval == 0 || by < d.quotaInterval {
+		if by := scaled(t.deadline, intervalFraction); d.quotaInterval == 0 || by < d.quotaInterval {
 			d.quotaInterval = by
 		}
 		if d.shortestObjective == 0 || t.latencyObjective < d.shortestObjective {
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,7 +6,7 @@
 
 // Dispatcher is one node's decisions.
 type Dispatcher struct {
-	seed, count        uint32
+	seed, randomCount  uint32
 	nodeID             NodeID
 	nodeCount          int
 	ownZone            ZoneID
@@ -68,14 +68,14 @@
 	overloadWindow         time.Duration
 	shortestObjective      time.Duration
 	now                    time.Duration // the last moment that this node had its turn
-	sleepTo                time.Duration // when it wanted the next
-	gap                    time.Duration // from its turn before until this one
-	stood                  time.Duration // so much of it it stood still, though something was due
+	wakeAt                 time.Duration // when it wanted the next
+	turnGap                time.Duration // from its turn before until this one
+	stalledFor             time.Duration // so much of it it stood still, though something was due
 	shutdownBy             time.Duration // when all must be over, once this node ends; 0 before
 
-	talks bool // nodes reckon a cut line together
-	line  AdmissionThreshold
-	tally LoadSummary // since it was asked for last
+	reportsLoad bool // nodes reckon a cut line together
+	threshold   AdmissionThreshold
+	summary     LoadSummary // since it was asked for last
 
 	canLease           bool
 	canHedge           bool
--- a/policy/takers.go
+++ b/policy/takers.go
@@ -60,7 +60,7 @@
 
 func (d *Dispatcher) findFor(t *takers, now time.Duration) {
 	easy := &t.easy
-	t.ends, t.wait, t.pace = Endless, Endless, math.Inf(1)
+	t.ends, t.wait, t.pace = Forever, Forever, math.Inf(1)
 	w := wish{job: easy, now: now, late: t.late, mostPace: easy.mostPace(now, t.late), least: math.Inf(-1)}
 	for _, w.far = range [...]bool{false, true} {
 		for e := range d.likely(&w) {
@@ -71,7 +71,7 @@
 			pace := d.pace(e, now)
 			wait := d.expectedWait(e, pace, now)
 			t.wait, t.pace = min(t.wait, wait), min(t.pace, pace)
-			t.ends = min(t.ends, now+times(wait+times(easy.work, pace), easy.predictionMargin))
+			t.ends = min(t.ends, now+scaled(wait+scaled(easy.work, pace), easy.predictionMargin))
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	w := wish{job: j, now: now, late: d.isLate(j, now)}
 	t := d.takersOf(j.class, w.late)
-	if len(t.found) == 0 || !w.late && j.objectiveAt < max(t.ends, now+times(t.wait+times(j.work, t.pace), j.predictionMargin)) {
+	if len(t.found) == 0 || !w.late && j.objectiveAt < max(t.ends, now+scaled(t.wait+scaled(j.work, t.pace), j.predictionMargin)) {
 		return false
 	}
 	crosses, other := d.crossesNow(j), false
--- a/policy/types.go
+++ b/policy/types.go
@@ -19,8 +19,8 @@
 	CellID       int
 )
 
-// Endless is longer than anything.
-const Endless time.Duration = math.MaxInt64
+// Forever is longer than anything.
+const Forever time.Duration = math.MaxInt64
 
 // AnyKind is the bound kind of a track that every executor may run.
 const AnyKind KindID = -1
