--- a/policy/books.go
+++ b/policy/books.go
@@ -61,7 +61,7 @@
 func (d *Dispatcher) addKind(id KindID, weight float64) {
 	if d.kinds[id] == nil {
 		d.kinds[id] = &kindStats{pace: 1, concurrency: 1, size: weight}
-		d.newShelf(id, d.kinds[id])
+		d.addKindIndex(id, d.kinds[id])
 	}
 }
 
@@ -110,7 +110,7 @@
 		for _, e := range d.ranked {
 			if e.listedIn != d.listCount {
 				e.available, e.removed, d.anyRemoved = false, true, true
-				d.touch(e)
+				d.markDirty(e)
 			}
 		}
 	}
@@ -271,7 +271,7 @@
 	}
 	e.attempts = append(e.attempts, s)
 	s.job.attempts = append(s.job.attempts, s)
-	d.touch(e)
+	d.markDirty(e)
 }
 
 // releaseToken frees a token. Late: the batch job did not start there at once.
@@ -282,7 +282,7 @@
 		e.freeTokens = append(e.freeTokens, now)
 	}
 	d.tokenFreed = true
-	d.touch(e)
+	d.markDirty(e)
 }
 
 // meanQuota is that of quotas.
@@ -315,7 +315,7 @@
 	d.tokenOrders++
 	e.tokenOrder = d.tokenOrders
 	d.withTokens = append(d.withTokens, e)
-	d.touch(e)
+	d.markDirty(e)
 }
 
 // dropRemovedWithTokens takes those that are gone from among those met, once nothing of ours is there.
@@ -339,7 +339,7 @@
 // stepQuota moves a quota.
 func (d *Dispatcher) stepQuota(e *executor, by int, now time.Duration) {
 	e.quota += by
-	d.touch(e)
+	d.markDirty(e)
 	if by > 0 {
 		if e.takenTokens+len(e.freeTokens) < e.quota {
 			e.freeTokens = append(e.freeTokens, now)
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -99,7 +99,7 @@
 			continue
 		}
 		e.runTimeSeen, e.workSeen, e.timeouts = in.RunTime, in.Work, in.Timeouts
-		d.touch(e)
+		d.markDirty(e)
 		if in.EjectedFor > 0 || in.InFlightCap > 0 {
 			e.ejectedUntil, e.inFlightCap = now+in.EjectedFor, max(1, in.InFlightCap)
 			d.schedule(e.ejectedUntil, nil, nil)
--- a/policy/index.go
+++ b/policy/index.go
@@ -16,276 +16,276 @@
 // by its age. The slice is filed by pace as well: by how much of it was seen, and then by what was.
 
 const (
-	rateSteps = 256       // steps of the rate for each factor of e
-	paceSteps = 16        // even steps of how much of a pace was seen
-	paceTails = 24        // and halvings below the first of them
-	hair      = 1 + 1e-9  // room for rounding: what is as good must not be cut off
-	hairPace  = 1 - 1e-12 // and below a pace
-	drift     = 1.0 / 512 // by which a rate may be too high as its kind's pace drifts
-	mostDrift = 1.0 / 8   // and by which that may drift at the most before its executors are filed anew
+	rateBucketsPerE    = 256       // steps of the rate for each factor of e
+	evenPaceBuckets    = 16        // even steps of how much of a pace was seen
+	halvingPaceBuckets = 24        // and halvings below the first of them
+	roundingUp         = 1 + 1e-9  // room for rounding: what is as good must not be cut off
+	roundingDown       = 1 - 1e-12 // and below a pace
+	rateTolerance      = 1.0 / 512 // by which a rate may be too high as its kind's pace drifts
+	maxPaceDrift       = 1.0 / 8   // and by which that may drift at the most before its executors are filed anew
 )
 
 // The piles that an executor can be in.
 const (
-	byAge   = iota // of its rate's step, its oldest free token's first
-	byDrift        // of its kind: by the pace of the kind from which its rate no longer holds
-	byUntil        // how long its place there holds
-	byPace         // of its step of pace, the quickest first
-	allPiles
+	keyTokenAge  = iota // of its rate's step, its oldest free token's first
+	keyPaceDrift        // of its kind: by the pace of the kind from which its rate no longer holds
+	keyExpiry           // how long its place there holds
+	keyPace             // of its step of pace, the quickest first
+	keyKinds
 )
 
-// place is an executor's place in a pile.
-type place struct {
-	in  *pile
-	at  int
-	key int64
+// heapPosition is an executor's place in a pile.
+type heapPosition struct {
+	heap  *executorHeap
+	index int
+	key   int64
 }
 
-// pile is a heap of executors, the least key first; each knows its place in it.
-type pile struct {
-	by   int
-	list []*executor
-	step *step // that it is of, where it is by age
+// executorHeap is a heap of executors, the least key first; each knows its place in it.
+type executorHeap struct {
+	keyKind   int
+	executors []*executor
+	bucket    *rateBucket // that it is of, where it is by age
 }
 
-// order makes keys of figures that are not under 0.
-func order(x float64) int64 { return int64(math.Float64bits(x)) }
+// floatKey makes keys of figures that are not under 0.
+func floatKey(x float64) int64 { return int64(math.Float64bits(x)) }
 
-func (p *pile) first() *executor {
-	if len(p.list) == 0 {
+func (p *executorHeap) min() *executor {
+	if len(p.executors) == 0 {
 		return nil
 	}
-	return p.list[0]
+	return p.executors[0]
 }
 
-func (p *pile) set(i int, e *executor) { p.list[i], e.places[p.by].at = e, i }
+func (p *executorHeap) place(i int, e *executor) { p.executors[i], e.positions[p.keyKind].index = e, i }
 
-func (p *pile) key(i int) int64 { return p.list[i].places[p.by].key }
+func (p *executorHeap) key(i int) int64 { return p.executors[i].positions[p.keyKind].key }
 
-func (p *pile) up(i int) {
-	for e := p.list[i]; i > 0; {
+func (p *executorHeap) siftUp(i int) {
+	for e := p.executors[i]; i > 0; {
 		parent := (i - 1) / 2
-		if p.key(parent) <= e.places[p.by].key {
+		if p.key(parent) <= e.positions[p.keyKind].key {
 			break
 		}
-		p.set(i, p.list[parent])
-		p.set(parent, e)
+		p.place(i, p.executors[parent])
+		p.place(parent, e)
 		i = parent
 	}
 }
 
-func (p *pile) down(i int) {
-	for e := p.list[i]; ; {
+func (p *executorHeap) siftDown(i int) {
+	for e := p.executors[i]; ; {
 		child := 2*i + 1
-		if child >= len(p.list) {
+		if child >= len(p.executors) {
 			return
 		}
-		if child+1 < len(p.list) && p.key(child+1) < p.key(child) {
+		if child+1 < len(p.executors) && p.key(child+1) < p.key(child) {
 			child++
 		}
-		if p.key(child) >= e.places[p.by].key {
+		if p.key(child) >= e.positions[p.keyKind].key {
 			return
 		}
-		p.set(i, p.list[child])
-		p.set(child, e)
+		p.place(i, p.executors[child])
+		p.place(child, e)
 		i = child
 	}
 }
 
-// put puts an executor into a pile of its sort, and out of the one that it was in.
-func (p *pile) put(e *executor, key int64) {
-	at := &e.places[p.by]
-	if at.in == p {
+// update puts an executor into a pile of its sort, and out of the one that it was in.
+func (p *executorHeap) update(e *executor, key int64) {
+	at := &e.positions[p.keyKind]
+	if at.heap == p {
 		was := at.key
 		if at.key = key; key < was {
-			p.up(at.at)
+			p.siftUp(at.index)
 		} else if key > was {
-			p.down(at.at)
+			p.siftDown(at.index)
 		}
 		return
 	}
-	e.unfile(p.by)
-	*at = place{p, len(p.list), key}
-	p.list = append(p.list, e)
-	p.up(at.at)
+	e.removeFrom(p.keyKind)
+	*at = heapPosition{p, len(p.executors), key}
+	p.executors = append(p.executors, e)
+	p.siftUp(at.index)
 }
 
-// unfile takes an executor out of its pile of that sort.
-func (e *executor) unfile(by int) {
-	p, at := e.places[by].in, e.places[by].at
+// removeFrom takes an executor out of its pile of that sort.
+func (e *executor) removeFrom(by int) {
+	p, at := e.positions[by].heap, e.positions[by].index
 	if p == nil {
 		return
 	}
-	e.places[by].in = nil
-	last := len(p.list) - 1
-	moved := p.list[last]
-	p.list[last], p.list = nil, p.list[:last]
+	e.positions[by].heap = nil
+	last := len(p.executors) - 1
+	moved := p.executors[last]
+	p.executors[last], p.executors = nil, p.executors[:last]
 	if at < last {
-		p.set(at, moved)
-		p.up(at)
-		p.down(moved.places[by].at)
+		p.place(at, moved)
+		p.siftUp(at)
+		p.siftDown(moved.positions[by].index)
 	}
 }
 
-// shelf is a kind's part of the index.
-type shelf struct {
-	id     KindID
-	kind   *kindStats
-	most   int // the most places that bounds are reckoned with: no fewer than the kind has now
-	groups []*group
-	floors pile                            // whose rates hold while the kind's pace is not under a floor, the highest first
-	tops   pile                            // and not over a top, the lowest first
-	paces  [paceSteps + paceTails + 1]pile // the last one's have no pace of their own
-	near   []*executor                     // the slice's of the own zone, as it was picked last
+// kindIndex is a kind's part of the index.
+type kindIndex struct {
+	id             KindID
+	stats          *kindStats
+	maxConcurrency int // the most places that bounds are reckoned with: no fewer than the kind has now
+	groups         []*tokenGroup
+	paceFloors     executorHeap                                           // whose rates hold while the kind's pace is not under a floor, the highest first
+	paceCeilings   executorHeap                                           // and not over a top, the lowest first
+	paceBuckets    [evenPaceBuckets + halvingPaceBuckets + 1]executorHeap // the last one's have no pace of their own
+	localSubset    []*executor                                            // the slice's of the own zone, as it was picked last
 }
 
 // How loaded an executor is, for late batch jobs: nothing of ours is out and they may use it, nothing is out, something is.
 const (
-	spare = iota
-	idle
-	loaded
+	loadSpare = iota
+	loadIdle
+	loadBusy
 )
 
 // What keepers say: nothing, a place is given or none is needed, it is asked for.
 const (
-	unasked = iota
-	cleared
-	awaited
+	leaseNeeded = iota
+	leaseReady
+	leasePending
 )
 
-// sort is what all of a group have alike.
-type sort struct {
-	far      bool
-	inSubset bool
-	load     int
-	keeper   int
-	scaled   bool // rates are for a pace of the kind of 1
+// groupKey is what all of a group have alike.
+type groupKey struct {
+	remote     bool
+	inSubset   bool
+	load       int
+	lease      int
+	normalized bool // rates are for a pace of the kind of 1
 }
 
-// group holds the open tokens of executors of one sort, by steps of their rates.
-type group struct {
-	sort
-	shelf *shelf
-	steps map[int]*step
-	list  []*step // those that are not empty
-	heads []head  // and what a bound for each is reckoned from
+// tokenGroup holds the open tokens of executors of one sort, by steps of their rates.
+type tokenGroup struct {
+	groupKey
+	kind          *kindIndex
+	bucketsByRate map[int]*rateBucket
+	buckets       []*rateBucket // those that are not empty
+	heads         []bucketHead  // and what a bound for each is reckoned from
 }
 
-// step is the executors of a group whose rates are nearly alike.
-type step struct {
-	pile
-	of  *group
-	top float64 // no rate is higher
-	at  int     // in the group's list; -1 while it is empty
+// rateBucket is the executors of a group whose rates are nearly alike.
+type rateBucket struct {
+	executorHeap
+	group    *tokenGroup
+	maxRate  float64 // no rate is higher
+	position int     // in the group's list; -1 while it is empty
 }
 
-type head struct {
-	top  float64
-	free int64
+type bucketHead struct {
+	maxRate    float64
+	oldestFree int64
 }
 
 // index is what the dispatcher keeps of all.
 type index struct {
-	shelves          []*shelf
-	until            pile
-	touched          []*executor
+	kindIndexes      []*kindIndex
+	expiries         executorHeap
+	dirty            []*executor
 	spareSubset      []*executor // the slice as it was before, for its memory
-	looks            int         // executors looked at, for tests
-	bounds           int         // steps whose bounds were
-	weighed          int         // and those weighed in full
-	filed            int         // times that an open token was filed
+	visited          int         // executors looked at, for tests
+	bounded          int         // steps whose bounds were
+	evaluated        int         // and those weighed in full
+	reindexed        int         // times that an open token was filed
 	subsetChanged    bool        // what the slice hangs on has changed
 	subsetValidUntil time.Duration
 	rezoned          bool // an executor of the slice has another zone or kind than when it was picked
 	awaitingReply    []*executor
 	leaseRequests    []*executor
-	tokenOrders      int         // executors met so far
-	unranked         []*executor // that have no rank yet
-	takers           []takers    // of the list that is looked through
+	tokenOrders      int               // executors met so far
+	unranked         []*executor       // that have no rank yet
+	classCandidates  []classCandidates // of the list that is looked through
 }
 
-// newShelf makes room in the index for a kind.
-func (d *Dispatcher) newShelf(id KindID, k *kindStats) {
-	s := &shelf{id: id, kind: k, most: k.concurrency, floors: pile{by: byDrift}, tops: pile{by: byDrift}}
-	for i := range s.paces {
-		s.paces[i].by = byPace
+// addKindIndex makes room in the index for a kind.
+func (d *Dispatcher) addKindIndex(id KindID, k *kindStats) {
+	s := &kindIndex{id: id, stats: k, maxConcurrency: k.concurrency, paceFloors: executorHeap{keyKind: keyPaceDrift}, paceCeilings: executorHeap{keyKind: keyPaceDrift}}
+	for i := range s.paceBuckets {
+		s.paceBuckets[i].keyKind = keyPace
 	}
-	k.shelf = s
-	d.shelves = append(d.shelves, s)
+	k.index = s
+	d.kindIndexes = append(d.kindIndexes, s)
 }
 
-// touch has an executor filed anew, as something changed that its place hangs on.
-func (d *Dispatcher) touch(e *executor) {
-	if !e.touched {
-		e.touched = true
-		d.touched = append(d.touched, e)
+// markDirty has an executor filed anew, as something changed that its place hangs on.
+func (d *Dispatcher) markDirty(e *executor) {
+	if !e.dirty {
+		e.dirty = true
+		d.dirty = append(d.dirty, e)
 	}
 }
 
-func (d *Dispatcher) touchAll(list []*executor) {
+func (d *Dispatcher) markAllDirty(list []*executor) {
 	for _, e := range list {
-		d.touch(e)
+		d.markDirty(e)
 	}
 }
 
-// refile files what was touched, and what has stood longer than its bound holds.
-func (d *Dispatcher) refile(now time.Duration) {
-	for _, s := range d.shelves {
-		if s.kind.concurrency > s.most {
-			d.setMost(s)
+// reindexDirty files what was touched, and what has stood longer than its bound holds.
+func (d *Dispatcher) reindexDirty(now time.Duration) {
+	for _, s := range d.kindIndexes {
+		if s.stats.concurrency > s.maxConcurrency {
+			d.setMaxConcurrency(s)
 		}
-		for e := s.floors.first(); e != nil && e.limit > s.kind.pace; e = s.floors.first() {
-			d.file(e, now)
+		for e := s.paceFloors.min(); e != nil && e.paceLimit > s.stats.pace; e = s.paceFloors.min() {
+			d.reindex(e, now)
 		}
-		for e := s.tops.first(); e != nil && e.limit < s.kind.pace; e = s.tops.first() {
-			d.file(e, now)
+		for e := s.paceCeilings.min(); e != nil && e.paceLimit < s.stats.pace; e = s.paceCeilings.min() {
+			d.reindex(e, now)
 		}
 	}
-	for e := d.until.first(); e != nil && e.places[byUntil].key <= int64(now); e = d.until.first() {
-		d.file(e, now)
+	for e := d.expiries.min(); e != nil && e.positions[keyExpiry].key <= int64(now); e = d.expiries.min() {
+		d.reindex(e, now)
 	}
-	for _, e := range d.touched {
-		e.touched = false
-		d.file(e, now)
+	for _, e := range d.dirty {
+		e.dirty = false
+		d.reindex(e, now)
 	}
-	d.touched = d.touched[:0]
+	d.dirty = d.dirty[:0]
 }
 
-// forgetPlaces lets the most places of the kinds fall to what they are now, at an interval's end.
-func (d *Dispatcher) forgetPlaces() {
-	for _, s := range d.shelves {
-		if s.most != s.kind.concurrency {
-			d.setMost(s)
+// resetMaxConcurrency lets the most places of the kinds fall to what they are now, at an interval's end.
+func (d *Dispatcher) resetMaxConcurrency() {
+	for _, s := range d.kindIndexes {
+		if s.maxConcurrency != s.stats.concurrency {
+			d.setMaxConcurrency(s)
 		}
 	}
 }
 
-// setMost takes the places of a kind as they are now, which all its bounds hang on.
-func (d *Dispatcher) setMost(s *shelf) {
-	s.most = s.kind.concurrency
-	d.touchAll(s.floors.list)
-	d.touchAll(s.tops.list)
+// setMaxConcurrency takes the places of a kind as they are now, which all its bounds hang on.
+func (d *Dispatcher) setMaxConcurrency(s *kindIndex) {
+	s.maxConcurrency = s.stats.concurrency
+	d.markAllDirty(s.paceFloors.executors)
+	d.markAllDirty(s.paceCeilings.executors)
 }
 
-// file files an executor as it is now.
-func (d *Dispatcher) file(e *executor, now time.Duration) {
-	s := d.kinds[e.kind].shelf
-	d.filePace(e, s)
-	old := e.places[byAge].in
+// reindex files an executor as it is now.
+func (d *Dispatcher) reindex(e *executor, now time.Duration) {
+	s := d.kinds[e.kind].index
+	d.indexPace(e, s)
+	old := e.positions[keyTokenAge].heap
 	if len(e.freeTokens) == 0 || e.removed || e.inFlightCap > 0 && e.takenTokens >= e.inFlightCap {
 		if old != nil {
-			e.unfile(byAge)
-			e.unfile(byDrift)
-			e.unfile(byUntil)
-			old.step.show()
+			e.removeFrom(keyTokenAge)
+			e.removeFrom(keyPaceDrift)
+			e.removeFrom(keyExpiry)
+			old.bucket.syncHead()
 		}
 		return
 	}
-	of := sort{far: d.remoteSide(e) > 0, inSubset: e.subsetRank >= 0, load: loaded, keeper: cleared, scaled: e.workSeen <= 1 && len(e.attempts) < s.most}
+	of := groupKey{remote: d.remoteSide(e) > 0, inSubset: e.subsetRank >= 0, load: loadBusy, lease: leaseReady, normalized: e.workSeen <= 1 && len(e.attempts) < s.maxConcurrency}
 	if len(e.attempts) == 0 {
-		of.load = idle
+		of.load = loadIdle
 		if of.inSubset && e.subsetRank < d.lateSubsetSize {
-			of.load = spare
+			of.load = loadSpare
 		}
 	}
 	until := Forever
@@ -294,75 +294,75 @@
 		case e.leaseBypassUntil > now:
 			until = e.leaseBypassUntil
 		case e.leaseRequested:
-			of.keeper = awaited
+			of.lease = leasePending
 		default:
-			of.keeper = unasked
+			of.lease = leaseNeeded
 		}
 	}
-	k := s.kind.pace
-	if old != nil && e.group.sort == of && e.group.shelf == s && until == Forever && e.places[byUntil].in == nil &&
-		e.places[byAge].key == int64(e.freeTokens[0]) && (e.limit <= k || of.scaled) && (e.limit >= k || !of.scaled) {
+	k := s.stats.pace
+	if old != nil && e.group.groupKey == of && e.group.kind == s && until == Forever && e.positions[keyExpiry].heap == nil &&
+		e.positions[keyTokenAge].key == int64(e.freeTokens[0]) && (e.paceLimit <= k || of.normalized) && (e.paceLimit >= k || !of.normalized) {
 		// What it was reckoned with still holds, and little has changed: most of those that only grow older stay.
-		rate, to := d.rateOf(e, s, now)
-		if to == Forever && rate <= e.rate && rate >= e.rate*(1-drift) && e.tight(k)*(1+3*drift) >= e.rate*e.group.scale() {
+		rate, to := d.maxAgingRate(e, s, now)
+		if to == Forever && rate <= e.agingRate && rate >= e.agingRate*(1-rateTolerance) && e.tightRate(k)*(1+3*rateTolerance) >= e.agingRate*e.group.rateScale() {
 			return
 		}
 	}
-	d.filed++
-	e.group = s.group(of)
-	if part := e.workSeen / (e.workSeen + 1); of.scaled {
-		e.limit = k * (1 + min(mostDrift, drift/part))
-		s.tops.put(e, order(e.limit))
+	d.reindexed++
+	e.group = s.groupFor(of)
+	if part := e.workSeen / (e.workSeen + 1); of.normalized {
+		e.paceLimit = k * (1 + min(maxPaceDrift, rateTolerance/part))
+		s.paceCeilings.update(e, floatKey(e.paceLimit))
 	} else {
-		e.limit = k * (1 - min(mostDrift, drift/(1-part)))
-		s.floors.put(e, -order(e.limit))
+		e.paceLimit = k * (1 - min(maxPaceDrift, rateTolerance/(1-part)))
+		s.paceFloors.update(e, -floatKey(e.paceLimit))
 	}
-	rate, to := d.rateOf(e, s, now)
-	e.rate, until = rate, min(until, to)
-	t := e.group.step(e.rate)
-	t.put(e, int64(e.freeTokens[0]))
-	if t.show(); old != nil && old != &t.pile {
-		old.step.show()
+	rate, to := d.maxAgingRate(e, s, now)
+	e.agingRate, until = rate, min(until, to)
+	t := e.group.bucketFor(e.agingRate)
+	t.update(e, int64(e.freeTokens[0]))
+	if t.syncHead(); old != nil && old != &t.executorHeap {
+		old.bucket.syncHead()
 	}
 	if until < Forever {
-		d.until.put(e, int64(until))
+		d.expiries.update(e, int64(until))
 	} else {
-		e.unfile(byUntil)
+		e.removeFrom(keyExpiry)
 	}
 }
 
-// rateOf is the rate at which e's tokens age at the most, until then, while its kind's pace keeps to the limit: where
+// maxAgingRate is the rate at which e's tokens age at the most, until then, while its kind's pace keeps to the limit: where
 // little of e's own pace was seen, for a pace of the kind of 1, as most of its pace goes up and down with that. Such
 // ones are never full, so leastWait makes nothing of the pace.
-func (d *Dispatcher) rateOf(e *executor, s *shelf, now time.Duration) (rate float64, until time.Duration) {
-	wait, until := d.leastWait(e, e.limitPace(), s.most, now)
-	return hair * e.weight / (e.limitPace() * (d.shortestObjective + wait).Seconds()), until
+func (d *Dispatcher) maxAgingRate(e *executor, s *kindIndex, now time.Duration) (rate float64, until time.Duration) {
+	wait, until := d.minWait(e, e.limitPace(), s.maxConcurrency, now)
+	return roundingUp * e.weight / (e.limitPace() * (d.shortestObjective + wait).Seconds()), until
 }
 
 // limitPace is the pace that e's rate is reckoned with.
 func (e *executor) limitPace() float64 {
-	if e.group.scaled {
-		return (1 + e.runTimeSeen/e.limit) / (e.workSeen + 1)
+	if e.group.normalized {
+		return (1 + e.runTimeSeen/e.paceLimit) / (e.workSeen + 1)
 	}
-	return (e.runTimeSeen + e.limit) / (e.workSeen + 1)
+	return (e.runTimeSeen + e.paceLimit) / (e.workSeen + 1)
 }
 
-// tight is the bound of e's rate with its kind's pace as it is.
-func (e *executor) tight(pace float64) float64 {
-	return hair * e.rate * e.limitPace() * (e.workSeen + 1) / (e.runTimeSeen + pace)
+// tightRate is the bound of e's rate with its kind's pace as it is.
+func (e *executor) tightRate(pace float64) float64 {
+	return roundingUp * e.agingRate * e.limitPace() * (e.workSeen + 1) / (e.runTimeSeen + pace)
 }
 
-// scale is what the group's rates are to be taken times.
-func (g *group) scale() float64 {
-	if g.scaled {
-		return hair / g.shelf.kind.pace
+// rateScale is what the group's rates are to be taken times.
+func (g *tokenGroup) rateScale() float64 {
+	if g.normalized {
+		return roundingUp / g.kind.stats.pace
 	}
 	return 1
 }
 
-// leastWait is the least that a batch job sent to e would wait there, until then. It follows waitAt: where as many
+// minWait is the least that a batch job sent to e would wait there, until then. It follows waitAt: where as many
 // are out as there are places, no less than what waits there needs, and what the first to end has left.
-func (d *Dispatcher) leastWait(e *executor, pace float64, places int, now time.Duration) (wait, until time.Duration) {
+func (d *Dispatcher) minWait(e *executor, pace float64, places int, now time.Duration) (wait, until time.Duration) {
 	if len(e.attempts) < places {
 		return e.startWait, Forever
 	}
@@ -383,101 +383,103 @@
 	return max(e.startWait, wait), Forever
 }
 
-// group is the kind's group of that sort.
-func (s *shelf) group(of sort) *group {
+// groupFor is the kind's group of that sort.
+func (s *kindIndex) groupFor(of groupKey) *tokenGroup {
 	for _, g := range s.groups {
-		if g.sort == of {
+		if g.groupKey == of {
 			return g
 		}
 	}
-	g := &group{sort: of, shelf: s, steps: map[int]*step{}}
+	g := &tokenGroup{groupKey: of, kind: s, bucketsByRate: map[int]*rateBucket{}}
 	s.groups = append(s.groups, g)
 	return g
 }
 
-// step is the group's step that a rate is in.
-func (g *group) step(rate float64) *step {
+// bucketFor is the group's step that a rate is in.
+func (g *tokenGroup) bucketFor(rate float64) *rateBucket {
 	at, top := 0, math.Inf(1)
-	if log := math.Floor(math.Log(rate) * rateSteps); math.Abs(log) < 1e6 {
+	if log := math.Floor(math.Log(rate) * rateBucketsPerE); math.Abs(log) < 1e6 {
 		at = int(log)
-		top = hair * math.Exp((log+1)/rateSteps)
+		top = roundingUp * math.Exp((log+1)/rateBucketsPerE)
 	} else {
 		at = 1e6
 	}
-	t := g.steps[at]
+	t := g.bucketsByRate[at]
 	if t == nil {
-		if len(g.steps) > 2*len(g.list)+64 { // most are empty by now
-			maps.DeleteFunc(g.steps, func(_ int, t *step) bool { return t.at < 0 })
+		if len(g.bucketsByRate) > 2*len(g.buckets)+64 { // most are empty by now
+			maps.DeleteFunc(g.bucketsByRate, func(_ int, t *rateBucket) bool { return t.position < 0 })
 		}
-		t = &step{pile: pile{by: byAge}, of: g, top: top, at: -1}
-		t.pile.step = t
-		g.steps[at] = t
+		t = &rateBucket{executorHeap: executorHeap{keyKind: keyTokenAge}, group: g, maxRate: top, position: -1}
+		t.executorHeap.bucket = t
+		g.bucketsByRate[at] = t
 	}
 	return t
 }
 
-// show keeps the group's list of steps as the step is now.
-func (t *step) show() {
-	g := t.of
-	switch e := t.first(); {
-	case e == nil && t.at < 0:
+// syncHead keeps the group's list of steps as the step is now.
+func (t *rateBucket) syncHead() {
+	g := t.group
+	switch e := t.min(); {
+	case e == nil && t.position < 0:
 	case e == nil:
-		last := len(g.list) - 1
-		g.list[t.at], g.heads[t.at] = g.list[last], g.heads[last]
-		g.list[t.at].at = t.at
-		g.list, g.heads, t.at = g.list[:last], g.heads[:last], -1
-	case t.at < 0:
-		t.at = len(g.list)
-		g.list, g.heads = append(g.list, t), append(g.heads, head{t.top, e.places[byAge].key})
+		last := len(g.buckets) - 1
+		g.buckets[t.position], g.heads[t.position] = g.buckets[last], g.heads[last]
+		g.buckets[t.position].position = t.position
+		g.buckets, g.heads, t.position = g.buckets[:last], g.heads[:last], -1
+	case t.position < 0:
+		t.position = len(g.buckets)
+		g.buckets, g.heads = append(g.buckets, t), append(g.heads, bucketHead{t.maxRate, e.positions[keyTokenAge].key})
 	default:
-		g.heads[t.at].free = e.places[byAge].key
+		g.heads[t.position].oldestFree = e.positions[keyTokenAge].key
 	}
 }
 
-// oldest is the most that a token's age can be by now.
-func (h head) oldest(now time.Duration) float64 { return h.top * float64(max(0, int64(now)-h.free)) }
+// maxAge is the most that a token's age can be by now.
+func (h bucketHead) maxAge(now time.Duration) float64 {
+	return h.maxRate * float64(max(0, int64(now)-h.oldestFree))
+}
 
-// wish is what candidates are wanted for.
-type wish struct {
+// query is what candidates are wanted for.
+type query struct {
 	*job
-	now        time.Duration
-	far        bool    // in another zone
-	late, asks bool    // it is late; a keeper is to be asked
-	mostPace   float64 // a higher pace is no use
-	least      float64 // nor is a lower age
+	now            time.Duration
+	remote         bool    // in another zone
+	late, forLease bool    // it is late; a keeper is to be asked
+	maxPace        float64 // a higher pace is no use
+	minAge         float64 // nor is a lower age
 }
 
-// likely gives executors with an open token that may be of use, by bounds alone: what it leaves out is of none.
-func (d *Dispatcher) likely(w *wish) iter.Seq[*executor] {
+// candidates gives executors with an open token that may be of use, by bounds alone: what it leaves out is of none.
+func (d *Dispatcher) candidates(w *query) iter.Seq[*executor] {
 	return func(yield func(*executor) bool) {
 		if d.boundToDedupGroup(w.job) && w.class.dedupGroup != DedupZone {
 			for _, e := range d.ranked {
-				d.looks++
-				if (d.remoteSide(e) > 0) == w.far && !yield(e) {
+				d.visited++
+				if (d.remoteSide(e) > 0) == w.remote && !yield(e) {
 					return
 				}
 			}
 			return
 		}
-		d.refile(w.now)
-		var first *step
+		d.reindexDirty(w.now)
+		var first *rateBucket
 		oldest := -1.0
-		for g := range d.suiting(w) {
-			scale := g.scale()
-			d.bounds += len(g.heads)
+		for g := range d.matchingGroups(w) {
+			scale := g.rateScale()
+			d.bounded += len(g.heads)
 			for i, h := range g.heads {
-				if age := scale * h.oldest(w.now); !(age <= oldest) {
-					first, oldest = g.list[i], age
+				if age := scale * h.maxAge(w.now); !(age <= oldest) {
+					first, oldest = g.buckets[i], age
 				}
 			}
 		}
-		if first == nil || !d.walk(first, 0, w, yield) {
+		if first == nil || !d.walkBucket(first, 0, w, yield) {
 			return
 		}
-		for g := range d.suiting(w) {
-			scale := g.scale()
+		for g := range d.matchingGroups(w) {
+			scale := g.rateScale()
 			for i, h := range g.heads {
-				if t := g.list[i]; t != first && !(scale*h.oldest(w.now) < w.least) && !d.walk(t, 0, w, yield) {
+				if t := g.buckets[i]; t != first && !(scale*h.maxAge(w.now) < w.minAge) && !d.walkBucket(t, 0, w, yield) {
 					return
 				}
 			}
@@ -485,24 +487,24 @@
 	}
 }
 
-// mostPace is the pace with which no executor could answer j in time, however short the wait; any is good for
+// maxPace is the pace with which no executor could answer j in time, however short the wait; any is good for
 // a late one. It has room for rounding: whether one can is judged by age.
-func (j *job) mostPace(now time.Duration, late bool) float64 {
+func (j *job) maxPace(now time.Duration, late bool) float64 {
 	if late {
 		return math.Inf(1)
 	}
-	return (float64(max(0, j.objectiveAt-now)+2)/j.predictionMargin + 2) / float64(max(1, j.work)) * hair
+	return (float64(max(0, j.objectiveAt-now)+2)/j.predictionMargin + 2) / float64(max(1, j.work)) * roundingUp
 }
 
-// suiting gives the groups whose executors may be candidates at all.
-func (d *Dispatcher) suiting(w *wish) iter.Seq[*group] {
-	return func(yield func(*group) bool) {
-		for _, s := range d.shelves {
+// matchingGroups gives the groups whose executors may be candidates at all.
+func (d *Dispatcher) matchingGroups(w *query) iter.Seq[*tokenGroup] {
+	return func(yield func(*tokenGroup) bool) {
+		for _, s := range d.kindIndexes {
 			if w.class.kind != AnyKind && w.class.kind != s.id {
 				continue
 			}
 			for _, g := range s.groups {
-				if len(g.list) > 0 && d.suits(g, w) && !yield(g) {
+				if len(g.buckets) > 0 && d.matches(g, w) && !yield(g) {
 					return
 				}
 			}
@@ -510,55 +512,55 @@
 	}
 }
 
-// suits says whether a group's executors may be candidates at all.
-func (d *Dispatcher) suits(g *group, w *wish) bool {
-	keeper := cleared
-	if w.asks {
-		keeper = unasked
+// matches says whether a group's executors may be candidates at all.
+func (d *Dispatcher) matches(g *tokenGroup, w *query) bool {
+	keeper := leaseReady
+	if w.forLease {
+		keeper = leaseNeeded
 	}
-	if g.far != w.far || g.keeper != keeper {
+	if g.remote != w.remote || g.lease != keeper {
 		return false
 	}
 	if d.boundToDedupGroup(w.job) {
-		return !w.late || g.load != loaded
+		return !w.late || g.load != loadBusy
 	}
-	return g.inSubset && (!w.late || g.load == spare || g.load == idle && w.class.lateValue == 0)
+	return g.inSubset && (!w.late || g.load == loadSpare || g.load == loadIdle && w.class.lateValue == 0)
 }
 
-// walk goes through a step from its i-th on, and leaves out what is too young, with all that is younger, or too slow.
-func (d *Dispatcher) walk(t *step, i int, w *wish, yield func(*executor) bool) bool {
-	if i >= len(t.list) {
+// walkBucket goes through a step from its i-th on, and leaves out what is too young, with all that is younger, or too slow.
+func (d *Dispatcher) walkBucket(t *rateBucket, i int, w *query, yield func(*executor) bool) bool {
+	if i >= len(t.executors) {
 		return true
 	}
-	d.looks++
-	e, k := t.list[i], t.of.shelf.kind.pace
+	d.visited++
+	e, k := t.executors[i], t.group.kind.stats.pace
 	age := float64(max(0, w.now-e.freeTokens[0]))
-	scale := t.of.scale()
-	if scale*t.top*age < w.least {
+	scale := t.group.rateScale()
+	if scale*t.maxRate*age < w.minAge {
 		return true
 	}
-	rate := e.tight(k)
-	if scale*e.rate > rate*(1+3*drift) { // its kind's pace has drifted: guards against bounds that are ever looser
-		d.touch(e)
+	rate := e.tightRate(k)
+	if scale*e.agingRate > rate*(1+3*rateTolerance) { // its kind's pace has drifted: guards against bounds that are ever looser
+		d.markDirty(e)
 	}
-	if !(rate*age < w.least) && !((e.runTimeSeen+k)/(e.workSeen+1)*hairPace > w.mostPace) && !yield(e) {
+	if !(rate*age < w.minAge) && !((e.runTimeSeen+k)/(e.workSeen+1)*roundingDown > w.maxPace) && !yield(e) {
 		return false
 	}
-	return d.walk(t, 2*i+1, w, yield) && d.walk(t, 2*i+2, w, yield)
+	return d.walkBucket(t, 2*i+1, w, yield) && d.walkBucket(t, 2*i+2, w, yield)
 }
 
-// openTo says whether any token is open that j may use: without one there is nothing to look for.
-func (d *Dispatcher) openTo(j *job, now time.Duration, asks bool) bool {
+// anyTokenFor says whether any token is open that j may use: without one there is nothing to look for.
+func (d *Dispatcher) anyTokenFor(j *job, now time.Duration, asks bool) bool {
 	if d.boundToDedupGroup(j) {
 		return true
 	}
-	d.refile(now)
-	for _, s := range d.shelves {
+	d.reindexDirty(now)
+	for _, s := range d.kindIndexes {
 		if j.class.kind != AnyKind && j.class.kind != s.id {
 			continue
 		}
 		for _, g := range s.groups {
-			if len(g.list) > 0 && g.inSubset && (g.keeper == unasked) == asks && g.keeper != awaited {
+			if len(g.buckets) > 0 && g.inSubset && (g.lease == leaseNeeded) == asks && g.lease != leasePending {
 				return true
 			}
 		}
@@ -566,24 +568,24 @@
 	return false
 }
 
-// anyOpen says whether any token is open at all, to whatever is held.
-func (d *Dispatcher) anyOpen(now time.Duration) bool {
-	d.refile(now)
-	return slices.ContainsFunc(d.shelves, func(s *shelf) bool {
-		return slices.ContainsFunc(s.groups, func(g *group) bool { return len(g.list) > 0 && g.keeper == cleared })
+// anyTokenOpen says whether any token is open at all, to whatever is held.
+func (d *Dispatcher) anyTokenOpen(now time.Duration) bool {
+	d.reindexDirty(now)
+	return slices.ContainsFunc(d.kindIndexes, func(s *kindIndex) bool {
+		return slices.ContainsFunc(s.groups, func(g *tokenGroup) bool { return len(g.buckets) > 0 && g.lease == leaseReady })
 	})
 }
 
-// ahead says whether a stands before b among j's candidates.
-func (d *Dispatcher) ahead(a, b *executor, j *job) bool {
+// ranksBefore says whether a stands before b among j's candidates.
+func (d *Dispatcher) ranksBefore(a, b *executor, j *job) bool {
 	if d.boundToDedupGroup(j) {
 		return byRank(a, b) < 0
 	}
 	return a.subsetRank < b.subsetRank
 }
 
-// among is e's place among j's candidates.
-func (d *Dispatcher) among(e *executor, j *job) int {
+// rankAmong is e's place among j's candidates.
+func (d *Dispatcher) rankAmong(e *executor, j *job) int {
 	if d.boundToDedupGroup(j) {
 		i, _ := slices.BinarySearchFunc(d.ranked, e, byRank)
 		return i
@@ -594,14 +596,14 @@
 // anyLocalUsable says whether some executor of the own zone that j may use takes something new, free token or not.
 func (d *Dispatcher) anyLocalUsable(j *job, now time.Duration) bool {
 	near := func(e *executor) bool {
-		d.looks++
+		d.visited++
 		return d.remoteSide(e) == 0 && d.isUsable(e, now) && d.isEligible(e, j, now)
 	}
 	if d.boundToDedupGroup(j) || d.rezoned {
 		return slices.ContainsFunc(d.eligibleExecutors(j), near)
 	}
-	for _, s := range d.shelves {
-		if (j.class.kind == AnyKind || j.class.kind == s.id) && slices.ContainsFunc(s.near, near) {
+	for _, s := range d.kindIndexes {
+		if (j.class.kind == AnyKind || j.class.kind == s.id) && slices.ContainsFunc(s.localSubset, near) {
 			return true
 		}
 	}
@@ -632,8 +634,8 @@
 
 // finishSubset gives the slice's executors their places, and files those that came, went or are for late ones no more.
 func (d *Dispatcher) finishSubset(was []*executor) {
-	for _, s := range d.shelves {
-		s.near = s.near[:0]
+	for _, s := range d.kindIndexes {
+		s.localSubset = s.localSubset[:0]
 	}
 	for i, e := range d.subset {
 		if e.subsetRank >= 0 {
@@ -641,17 +643,17 @@
 		}
 		e.subsetRank = i
 		g := e.group
-		if e.places[byPace].in == nil || g == nil || !g.inSubset || (g.load == spare) != (len(e.attempts) == 0 && i < d.lateSubsetSize) {
-			d.touch(e)
+		if e.positions[keyPace].heap == nil || g == nil || !g.inSubset || (g.load == loadSpare) != (len(e.attempts) == 0 && i < d.lateSubsetSize) {
+			d.markDirty(e)
 		}
 		if d.remoteSide(e) == 0 {
-			s := d.kinds[e.kind].shelf
-			s.near = append(s.near, e)
+			s := d.kinds[e.kind].index
+			s.localSubset = append(s.localSubset, e)
 		}
 	}
 	for _, e := range was {
 		if e.subsetRank < 0 {
-			d.touch(e)
+			d.markDirty(e)
 		}
 	}
 	clear(d.spareSubset[len(d.spareSubset):cap(d.spareSubset)]) // what is gone is not to be kept
@@ -659,105 +661,105 @@
 
 // ---- Paces ----
 
-// filePace files an executor of the slice by its pace without what runs: that is its kind's, plus the difference
+// indexPace files an executor of the slice by its pace without what runs: that is its kind's, plus the difference
 // of its own times the part that was seen of it.
-func (d *Dispatcher) filePace(e *executor, s *shelf) {
+func (d *Dispatcher) indexPace(e *executor, s *kindIndex) {
 	if e.subsetRank < 0 {
-		e.unfile(byPace)
+		e.removeFrom(keyPace)
 		return
 	}
-	seen, key := e.workSeen/(e.workSeen+1), order(e.runTimeSeen)
-	at := int(seen * paceSteps)
+	seen, key := e.workSeen/(e.workSeen+1), floatKey(e.runTimeSeen)
+	at := int(seen * evenPaceBuckets)
 	switch {
 	case e.workSeen <= 0:
-		at = len(s.paces) - 1
+		at = len(s.paceBuckets) - 1
 	case at > 0:
-		at, key = min(at, paceSteps-1), order(e.runTimeSeen/e.workSeen)
+		at, key = min(at, evenPaceBuckets-1), floatKey(e.runTimeSeen/e.workSeen)
 	default:
 		_, exp := math.Frexp(seen) // it is from half of that power on, and less than it
-		at, key = min(paceSteps-4-exp, paceSteps+paceTails-1), order(e.runTimeSeen/e.workSeen)
+		at, key = min(evenPaceBuckets-4-exp, evenPaceBuckets+halvingPaceBuckets-1), floatKey(e.runTimeSeen/e.workSeen)
 	}
-	s.paces[at].put(e, key)
+	s.paceBuckets[at].update(e, key)
 }
 
-// leastPace is the least that the pace of an executor, and of those after it in its step, can be.
-func (s *shelf) leastPace(step, i int) float64 {
-	k := s.kind.pace
-	own := math.Float64frombits(uint64(s.paces[step].key(i)))
-	if step == len(s.paces)-1 {
-		return (k + own) * hairPace
+// minPace is the least that the pace of an executor, and of those after it in its step, can be.
+func (s *kindIndex) minPace(step, i int) float64 {
+	k := s.stats.pace
+	own := math.Float64frombits(uint64(s.paceBuckets[step].key(i)))
+	if step == len(s.paceBuckets)-1 {
+		return (k + own) * roundingDown
 	}
-	from, to := float64(step)/paceSteps, float64(step+1)/paceSteps
-	if step >= paceSteps {
-		to = math.Ldexp(1, paceSteps-4-step)
-		if from = to / 2; step == len(s.paces)-2 {
+	from, to := float64(step)/evenPaceBuckets, float64(step+1)/evenPaceBuckets
+	if step >= evenPaceBuckets {
+		to = math.Ldexp(1, evenPaceBuckets-4-step)
+		if from = to / 2; step == len(s.paceBuckets)-2 {
 			from = 0
 		}
 	}
 	if own < k {
 		from = to
 	}
-	return (k + (own-k)*from) * hairPace
+	return (k + (own-k)*from) * roundingDown
 }
 
-// atLeast is a pace that none of the slice is under.
-func (d *Dispatcher) atLeast(id KindID, now time.Duration) float64 {
-	d.refile(now)
+// paceLowerBound is a pace that none of the slice is under.
+func (d *Dispatcher) paceLowerBound(id KindID, now time.Duration) float64 {
+	d.reindexDirty(now)
 	least := math.Inf(1)
-	for _, s := range d.shelves {
-		for step := range s.paces {
-			if (id == AnyKind || id == s.id) && len(s.paces[step].list) > 0 {
-				least = min(least, s.leastPace(step, 0))
+	for _, s := range d.kindIndexes {
+		for step := range s.paceBuckets {
+			if (id == AnyKind || id == s.id) && len(s.paceBuckets[step].executors) > 0 {
+				least = min(least, s.minPace(step, 0))
 			}
 		}
 	}
 	return least
 }
 
-// quickest is the least pace of those of the slice that are up, infinite where there is none.
-func (d *Dispatcher) quickest(id KindID, now time.Duration) float64 {
-	d.refile(now)
+// lowestPace is the least pace of those of the slice that are up, infinite where there is none.
+func (d *Dispatcher) lowestPace(id KindID, now time.Duration) float64 {
+	d.reindexDirty(now)
 	best := math.Inf(1)
-	for _, s := range d.shelves {
+	for _, s := range d.kindIndexes {
 		if id != AnyKind && id != s.id {
 			continue
 		}
 		first, least := 0, math.Inf(1)
-		for step := range s.paces {
-			if len(s.paces[step].list) > 0 {
-				if to := s.leastPace(step, 0); to < least {
+		for step := range s.paceBuckets {
+			if len(s.paceBuckets[step].executors) > 0 {
+				if to := s.minPace(step, 0); to < least {
 					first, least = step, to
 				}
 			}
 		}
-		d.quicker(s, first, 0, &best, now)
-		for step := range s.paces {
+		d.searchLowestPace(s, first, 0, &best, now)
+		for step := range s.paceBuckets {
 			if step != first {
-				d.quicker(s, step, 0, &best, now)
+				d.searchLowestPace(s, step, 0, &best, now)
 			}
 		}
 	}
 	return best
 }
 
-// quicker goes through a step of paces from its i-th on.
-func (d *Dispatcher) quicker(s *shelf, step, i int, best *float64, now time.Duration) {
-	if i >= len(s.paces[step].list) || s.leastPace(step, i) >= *best {
+// searchLowestPace goes through a step of paces from its i-th on.
+func (d *Dispatcher) searchLowestPace(s *kindIndex, step, i int, best *float64, now time.Duration) {
+	if i >= len(s.paceBuckets[step].executors) || s.minPace(step, i) >= *best {
 		return
 	}
-	d.looks++
-	e, k := s.paces[step].list[i], s.kind.pace
+	d.visited++
+	e, k := s.paceBuckets[step].executors[i], s.stats.pace
 	pace := (e.runTimeSeen + k) / (e.workSeen + 1)
 	switch {
 	case !e.available:
 	case len(e.attempts) == 0:
 		*best = min(*best, pace)
-	case pace*hairPace < *best:
-		d.weighed++
+	case pace*roundingDown < *best:
+		d.evaluated++
 		*best = min(*best, d.pace(e, now))
 	}
-	d.quicker(s, step, 2*i+1, best, now)
-	d.quicker(s, step, 2*i+2, best, now)
+	d.searchLowestPace(s, step, 2*i+1, best, now)
+	d.searchLowestPace(s, step, 2*i+2, best, now)
 }
 
 // ---- Those asked ----
@@ -782,7 +784,7 @@
 
 // addLeaseRequest notes an executor of which a place was asked for.
 func (d *Dispatcher) addLeaseRequest(e *executor) {
-	d.touch(e)
+	d.markDirty(e)
 	if !e.inLeaseRequests {
 		e.inLeaseRequests = true
 		d.leaseRequests = append(d.leaseRequests, e)
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -173,11 +173,11 @@
 func (w *drawn) compareTakers() {
 	d := w.Dispatcher
 	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
-		d.takers = d.takers[:0]
-		d.fileTakers(list, w.now)
+		d.classCandidates = d.classCandidates[:0]
+		d.groupByClass(list, w.now)
 		for _, j := range list {
 			to := d.scanned(j, w.now, false)
-			switch may := d.mayGo(j, w.now); {
+			switch may := d.mayBePlaced(j, w.now); {
 			case to != nil && !may:
 				w.t.Fatalf("seed %d, %v: %s may go to %s, and is left out", w.seed, w.now, j.id, to.id)
 			case to != nil:
@@ -186,7 +186,7 @@
 				w.found["held and left out"]++
 			}
 		}
-		d.takers = d.takers[:0]
+		d.classCandidates = d.classCandidates[:0]
 	}
 }
 
@@ -230,7 +230,7 @@
 		if got != want {
 			w.t.Fatalf("seed %d, %v: %s%s asking=%v: the index gives %v, the scan %v", w.seed, w.now, as, j.id, asks, name(got), name(want))
 		}
-		if want != nil && !asks && !d.anyOpen(w.now) {
+		if want != nil && !asks && !d.anyTokenOpen(w.now) {
 			w.t.Fatalf("seed %d, %v: %s%s may go to %s, and no token is said to be open", w.seed, w.now, as, j.id, want.id)
 		}
 		if want != nil {
@@ -364,8 +364,8 @@
 			w.UpdateEndpoints(w.now, CompleteUpdate, []Endpoint{w.entry(w.ids[0], true), w.entry(w.ids[len(w.ids)-1], true)})
 		}
 	case 3: // as another process of this node may tell
-		for _, s := range w.shelves {
-			s.kind.pace *= 0.6 + 0.8*w.r.Float64()
+		for _, s := range w.kindIndexes {
+			s.stats.pace *= 0.6 + 0.8*w.r.Float64()
 		}
 	default:
 		for _, e := range w.withTokens {
@@ -375,7 +375,7 @@
 			if w.r.IntN(2) == 0 {
 				e.runTimeSeen, e.workSeen, e.startWait = 0, 0, 0
 			}
-			w.touch(e)
+			w.markDirty(e)
 		}
 	}
 }
@@ -423,7 +423,7 @@
 	}
 	e := d.executorsByID["moves"]
 	e.freeTokens = nil
-	d.touch(e)
+	d.markDirty(e)
 	d.JobArrived(now, Arrival{Job: "j", Tenant: -1, Work: 100 * time.Millisecond, Budget: 5 * time.Second})
 	if got := d.pickExecutor(d.jobs["j"], now, false); got == nil || got.id != "far" {
 		t.Fatal("with both in another zone: ", name(got))
@@ -560,12 +560,12 @@
 		for _, n := range [...]int{12, 3200} {
 			w := newSteady(n, c.load, c.perS)
 			w.run(2 * n)
-			looks, bounds, weighed, filed, from := w.looks, w.bounds, w.weighed, w.filed, w.starts
+			looks, bounds, weighed, filed, from := w.visited, w.bounded, w.evaluated, w.reindexed, w.starts
 			w.run(2000)
 			starts := float64(w.starts - from)
-			per[n], steps = float64(w.looks-looks)/starts, float64(w.bounds-bounds)/starts
+			per[n], steps = float64(w.visited-looks)/starts, float64(w.bounded-bounds)/starts
 			t.Logf("%s, %d executors: %.1f looks for a start, %.1f of them in full, %.1f bounds of steps, %.1f filings", c.name, n, per[n],
-				float64(w.weighed-weighed)/starts, float64(w.bounds-bounds)/starts, float64(w.filed-filed)/starts)
+				float64(w.evaluated-weighed)/starts, float64(w.bounded-bounds)/starts, float64(w.reindexed-filed)/starts)
 		}
 		if per[3200] > 1.3*per[12]+96 || steps > 256 {
 			t.Errorf("%s: %.1f looks for a start at 12 executors, %.1f at 3200, and %.1f at steps", c.name, per[12], per[3200], steps)
@@ -611,10 +611,10 @@
 			t.Fatalf("%d executors: %d are out, %d held", n, len(sent), len(d.queue))
 		}
 		now += time.Millisecond
-		weighed := d.weighed
+		weighed := d.evaluated
 		d.AttemptEnded(now, sent[n/2], 0, Succeeded, true)
 		settle()
-		per[n] = d.weighed - weighed
+		per[n] = d.evaluated - weighed
 		if t.Logf("%d executors: %d weighed when one is done", n, per[n]); len(sent) == n || len(sent) > n+2 {
 			t.Errorf("%d executors: %d were sent then", n, len(sent)-n)
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -112,7 +112,7 @@
 		d.unranked = append(d.unranked, e)
 		d.executorsByID[e.id], d.executorsByHash[e.hash] = e, e
 	}
-	d.touch(e)
+	d.markDirty(e)
 	d.rezoned = d.rezoned || e.subsetRank >= 0 && (e.zone != n.Zone || e.kind != n.Kind)
 	d.addKind(n.Kind, max(n.Weight, 1e-3))
 	restarted := !n.StartedLongAgo && (fresh || n.StartedAt > e.started)
@@ -506,12 +506,12 @@
 // and ages at its weight in the list, over its pace and the wait there: many nodes have one token at least
 // each.
 func (d *Dispatcher) pickExecutor(j *job, now time.Duration, asking bool) *executor {
-	if !d.retryAllowed(j, now) || !d.openTo(j, now, asking) {
+	if !d.retryAllowed(j, now) || !d.anyTokenFor(j, now, asking) {
 		return nil
 	}
 	late, crosses := d.isLate(j, now), d.crossesNow(j)
-	w := wish{job: j, now: now, late: late, asks: asking, mostPace: j.mostPace(now, late)}
-	if !d.boundToDedupGroup(j) && d.atLeast(j.class.kind, now) > w.mostPace {
+	w := query{job: j, now: now, late: late, forLease: asking, maxPace: j.maxPace(now, late)}
+	if !d.boundToDedupGroup(j) && d.paceLowerBound(j.class.kind, now) > w.maxPace {
 		return nil
 	}
 	for side := range 2 {
@@ -519,11 +519,11 @@
 			return nil
 		}
 		var best *executor
-		w.far, w.least = side > 0 != crosses, -1
-		for e := range d.likely(&w) {
+		w.remote, w.minAge = side > 0 != crosses, -1
+		for e := range d.candidates(&w) {
 			age := d.tokenAge(e, &w)
-			if age > w.least || age == w.least && best != nil && d.ahead(e, best, j) {
-				best, w.least = e, age
+			if age > w.minAge || age == w.minAge && best != nil && d.ranksBefore(e, best, j) {
+				best, w.minAge = e, age
 			}
 		}
 		if best != nil {
@@ -534,18 +534,18 @@
 }
 
 // tokenAge is that of e's oldest free token, or -1 where w's batch job may not take it now.
-func (d *Dispatcher) tokenAge(e *executor, w *wish) float64 {
+func (d *Dispatcher) tokenAge(e *executor, w *query) float64 {
 	j, now := w.job, w.now
-	d.weighed++
+	d.evaluated++
 	if !d.isUsable(e, now) || !d.isEligible(e, j, now) {
 		return -1
 	}
 	// Late ones must not fill the places of those still to come: they go where nothing of ours is out, and,
 	// where they may be held for long, where few nodes send theirs.
-	if w.late && (len(e.attempts) > 0 || j.class.lateValue > 0 && d.among(e, j) >= d.lateSubsetSize) {
+	if w.late && (len(e.attempts) > 0 || j.class.lateValue > 0 && d.rankAmong(e, j) >= d.lateSubsetSize) {
 		return -1
 	}
-	if len(j.attempts) > 0 && j.attempts[0].executor == e || !d.leaseAllows(e, now, w.asks) || !d.canAccept(e, j, now) {
+	if len(j.attempts) > 0 && j.attempts[0].executor == e || !d.leaseAllows(e, now, w.forLease) || !d.canAccept(e, j, now) {
 		return -1
 	}
 	pace := d.pace(e, now)
@@ -596,7 +596,7 @@
 		return
 	}
 	e.attempts = slices.DeleteFunc(e.attempts, func(o *attempt) bool { return o == j })
-	d.touch(e)
+	d.markDirty(e)
 	est := scaled(j.work, d.pace(e, now))
 	switch how {
 	case Succeeded:
@@ -679,7 +679,7 @@
 	}
 	e.ejectedUntil, e.inFlightCap = now+span, 1
 	d.subsetStale, d.subsetChanged = true, true
-	d.touch(e)
+	d.markDirty(e)
 	d.schedule(e.ejectedUntil, nil, nil)
 }
 
@@ -786,7 +786,7 @@
 	for _, e := range d.grantedTo {
 		if e.leaseGranted {
 			e.leaseGranted = false
-			d.touch(e)
+			d.markDirty(e)
 			d.sendLease(now, e.leaseHolder, LeaseReturn, e.hash)
 		}
 	}
@@ -794,7 +794,7 @@
 	for _, e := range d.pendingLeaseRequests() {
 		if e.subsetRank >= 0 && e.leaseQueued && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) == 0 {
 			e.leaseRequested = false
-			d.touch(e)
+			d.markDirty(e)
 			d.sendLease(now, e.leaseHolder, LeaseCancel, e.hash)
 		}
 	}
@@ -848,7 +848,7 @@
 			continue
 		}
 		e.leaseRequested, e.leasesHeld = false, 0
-		d.touch(e)
+		d.markDirty(e)
 		if first := d.leaseHolderOf(e.hash); e.leaseHolder == first {
 			e.leaseHolder, e.primaryRetryAt = d.leaseHolderOf((e.hash^e.hash>>16)*0x9e3779b1>>8), now+2*d.quotaInterval
 		} else {
@@ -871,7 +871,7 @@
 		d.tokenFreed, d.leaseWanted, e.leaseQueued = true, true, word == LeaseWait
 		if word == LeaseGrant {
 			e.leaseRequested, e.leaseGranted = false, true
-			d.touch(e)
+			d.markDirty(e)
 			d.grantedTo = append(d.grantedTo, e)
 		}
 	case LeaseRequest, LeaseRequestLate:
@@ -926,7 +926,7 @@
 func (d *Dispatcher) onInterval(now time.Duration) {
 	d.dropRemovedWithTokens()
 	for _, e := range d.withTokens {
-		d.touch(e) // what was seen grows old
+		d.markDirty(e) // what was seen grows old
 		for _, j := range e.attempts {
 			if !j.running && d.startNotices {
 				e.executorWait += max(0, now-max(j.sentAt, now-d.quotaInterval)-d.quantum)
@@ -942,7 +942,7 @@
 		e.leaseRequested = e.leaseRequested && now-e.leaseRequestedAt <= d.quotaInterval
 	}
 	d.adjustLeaseQuotas(now)
-	d.forgetPlaces()
+	d.resetMaxConcurrency()
 	d.queuedThisInterval, d.tokenFreed, d.subsetStale, d.leaseWanted = len(d.queue) > 0, true, true, true
 	d.decayAverages()
 }
@@ -1048,12 +1048,12 @@
 		j.hedgeWanted = d.wantsHedge(j, now)
 		return !j.hedgeWanted
 	})
-	d.tokenFreed = d.tokenFreed && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) > 0 && d.anyOpen(now)
+	d.tokenFreed = d.tokenFreed && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) > 0 && d.anyTokenOpen(now)
 	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
 		list = list[:min(len(list), int(oneIf(d.tokenFreed))*2*len(d.subset))]
-		d.findTakers(list, now)
+		d.findCandidates(list, now)
 		for _, j := range list {
-			if d.mayGo(j, now) && d.pickExecutor(j, now, false) != nil {
+			if d.mayBePlaced(j, now) && d.pickExecutor(j, now, false) != nil {
 				return j
 			}
 		}
--- a/policy/seen.go
+++ b/policy/seen.go
@@ -33,7 +33,7 @@
 	e := s.executor
 	s.running, s.startedAt, s.progressAt = true, now, now
 	d.recordAlive(e, now)
-	d.touch(e)
+	d.markDirty(e)
 	s.startedLate = d.elapsed(s) > d.checkInterval
 	d.recordStartWait(e, s, d.elapsed(s))
 	if k := d.kinds[e.kind]; now >= e.slowStartUntil {
@@ -241,7 +241,7 @@
 			}
 		}
 	case d.retryAllowed(j, now):
-		best = d.quickest(j.class.kind, now)
+		best = d.lowestPace(j.class.kind, now)
 	}
 	if math.IsInf(best, 1) {
 		return 1
--- a/policy/setup.go
+++ b/policy/setup.go
@@ -11,7 +11,7 @@
 	d := &Dispatcher{
 		seed: s.Seed, nodeID: NodeID(s.Node), nodeCount: s.Nodes, ownZone: s.Zone,
 		kinds: map[KindID]*kindStats{}, executorsByID: map[ExecutorID]*executor{}, jobs: map[JobID]*job{},
-		index: index{until: pile{by: byUntil}}, executorsByHash: map[ExecutorHash]*executor{}, ledgers: map[ExecutorHash]*leaseLedger{}, canLease: s.MayLease, canHedge: s.MayHedge, canProbe: s.MayProbe, clientsMarkRetries: s.ClientsMarkRetries,
+		index: index{expiries: executorHeap{keyKind: keyExpiry}}, executorsByHash: map[ExecutorHash]*executor{}, ledgers: map[ExecutorHash]*leaseLedger{}, canLease: s.MayLease, canHedge: s.MayHedge, canProbe: s.MayProbe, clientsMarkRetries: s.ClientsMarkRetries,
 		valuePerWork: s.ValuePerWork, overQuotaValue: s.OverQuotaValue, crossZoneCost: s.CrossZoneCost,
 		totalWeight: s.TotalWeight, worstClassWeight: s.WorstClassWeight,
 		maxAttempts: s.MaxAttempts, canCancel: s.MayCancel, retryAfter: s.MaxRetryAfter,
@@ -80,7 +80,7 @@
 	}
 	d.derive()
 	d.worstClass, d.subsetStale, d.subsetChanged, d.tokenFreed = nil, true, true, true
-	d.touchAll(d.ranked) // their rates hang on the quoted times
+	d.markAllDirty(d.ranked) // their rates hang on the quoted times
 	d.intervalEnd = min(d.intervalEnd, now+d.quotaInterval)
 }
 
--- a/policy/state.go
+++ b/policy/state.go
@@ -121,13 +121,13 @@
 
 // kindStats holds what warm executors of one kind were seen to take.
 type kindStats struct {
-	pace                float64 // running time for each unit of work
-	size                float64 // by the list's weights, fading
-	reportedSlots       float64 // by reports, fading
-	concurrency         int     // places, by reports or the most batch jobs of ours running at once
-	exactSlots          float64 // places, by reports that tell of none waiting, fading
-	observedConcurrency int     // the most of ours that ran beside each other for half of a running time
-	shelf               *shelf  // its part of the index
+	pace                float64    // running time for each unit of work
+	size                float64    // by the list's weights, fading
+	reportedSlots       float64    // by reports, fading
+	concurrency         int        // places, by reports or the most batch jobs of ours running at once
+	exactSlots          float64    // places, by reports that tell of none waiting, fading
+	observedConcurrency int        // the most of ours that ran beside each other for half of a running time
+	index               *kindIndex // its part of the index
 }
 
 // executor is what this node knows of one executor.
@@ -189,13 +189,13 @@
 	// Where the index has it.
 	subsetRank      int // in the slice; -1: not in it
 	tokenOrder      int // its turn among those met; 0: not among them
-	touched         bool
+	dirty           bool
 	awaited         bool
 	inLeaseRequests bool
-	group           *group
-	places          [allPiles]place
-	rate            float64 // at which its tokens age at the most, while its kind's pace keeps to the limit
-	limit           float64
+	group           *tokenGroup
+	positions       [keyKinds]heapPosition
+	agingRate       float64 // at which its tokens age at the most, while its kind's pace keeps to the limit
+	paceLimit       float64
 }
 
 // leaseLedger is what this node keeps for all: an executor's places.
