--- a/policy/books.go
+++ b/policy/books.go
@@ -30,9 +30,13 @@
 	return float64(crc32.ChecksumIEEE(b[:])) / math.MaxUint32
 }
 
-func (d *Dispatcher) random() float64 {
-	d.randomCount++
-	return Random(d.seed, d.randomCount)
+// randomSource draws the dispatcher's random numbers.
+type randomSource struct{ seed, count uint32 }
+
+// next is the next number from 0 to 1.
+func (r *randomSource) next() float64 {
+	r.count++
+	return Random(r.seed, r.count)
 }
 
 // logf writes a line to the log.
@@ -42,26 +46,26 @@
 
 // schedule notes a due time of a batch job, of a token that is to come free, or of neither: a look at everything.
 func (d *Dispatcher) schedule(at time.Duration, j *job, token *executor) {
-	d.timerSequence++
-	it := timer{at: at, sequence: d.timerSequence, job: j, tokenOf: token}
+	d.timers.sequence++
+	it := timer{at: at, sequence: d.timers.sequence, job: j, tokenOf: token}
 	if j != nil {
 		it.generation = j.generation
 	}
-	heap.Push(&d.timers, it)
+	heap.Push(&d.timers.heap, it)
 }
 
 // scheduleCheck notes when an allocation that is out gets its next look; a look noted before falls away.
 func (d *Dispatcher) scheduleCheck(at time.Duration, s *attempt) {
-	d.timerSequence++
+	d.timers.sequence++
 	s.generation++
-	heap.Push(&d.timers, timer{at: at, sequence: d.timerSequence, generation: s.generation, attempt: s})
+	heap.Push(&d.timers.heap, timer{at: at, sequence: d.timers.sequence, generation: s.generation, attempt: s})
 }
 
 // addKind makes room for a kind's figures: a known executor may come back as another kind, too.
 func (d *Dispatcher) addKind(id KindID, weight float64) {
-	if d.kinds[id] == nil {
-		d.kinds[id] = &kindStats{pace: 1, concurrency: 1, size: weight}
-		d.addKindIndex(id, d.kinds[id])
+	if d.endpoints.kinds[id] == nil {
+		d.endpoints.kinds[id] = &kindStats{pace: 1, concurrency: 1, size: weight}
+		d.addKindIndex(id, d.endpoints.kinds[id])
 	}
 }
 
@@ -76,7 +80,7 @@
 
 // rankOf is an executor's rank at this node: a hash of both, reckoned once.
 func (d *Dispatcher) rankOf(id ExecutorID) uint32 {
-	b := binary.LittleEndian.AppendUint32([]byte(id), uint32(d.nodeID))
+	b := binary.LittleEndian.AppendUint32([]byte(id), uint32(d.config.nodeID))
 	// A checksum alone is linear in the node; the golden ratio's odd multiplier mends that.
 	return crc32.ChecksumIEEE(b) * 0x9e3779b1
 }
@@ -91,47 +95,47 @@
 
 // insertRanked puts new executors where their ranks belong: a list of hundreds that grows by few is not sorted anew.
 func (d *Dispatcher) insertRanked() {
-	if fresh := d.unranked; len(fresh) > 8 {
-		d.ranked = append(d.ranked, fresh...)
-		slices.SortFunc(d.ranked, byRank)
+	if fresh := d.endpoints.unranked; len(fresh) > 8 {
+		d.endpoints.ranked = append(d.endpoints.ranked, fresh...)
+		slices.SortFunc(d.endpoints.ranked, byRank)
 	} else {
 		for _, e := range fresh {
-			i, _ := slices.BinarySearchFunc(d.ranked, e, byRank)
-			d.ranked = slices.Insert(d.ranked, i, e)
+			i, _ := slices.BinarySearchFunc(d.endpoints.ranked, e, byRank)
+			d.endpoints.ranked = slices.Insert(d.endpoints.ranked, i, e)
 		}
 	}
-	d.unranked = nil
+	d.endpoints.unranked = nil
 }
 
 // dropRemoved drops executors that are gone, those that a whole list does not name among them, once nothing of ours is
 // there: machines that are replaced come under new ids.
 func (d *Dispatcher) dropRemoved(whole bool) {
 	if whole {
-		for _, e := range d.ranked {
-			if e.listedIn != d.listCount {
-				e.available, e.removed, d.anyRemoved = false, true, true
+		for _, e := range d.endpoints.ranked {
+			if e.listedIn != d.endpoints.updates {
+				e.available, e.removed, d.endpoints.anyRemoved = false, true, true
 				d.markDirty(e)
 			}
 		}
 	}
-	if !d.anyRemoved {
+	if !d.endpoints.anyRemoved {
 		return
 	}
-	d.anyRemoved = false
-	d.ranked = slices.DeleteFunc(d.ranked, func(e *executor) bool {
-		drop := e.removed && e.takenTokens == 0
+	d.endpoints.anyRemoved = false
+	d.endpoints.ranked = slices.DeleteFunc(d.endpoints.ranked, func(e *executor) bool {
+		drop := e.removed && e.tokens.taken == 0
 		if drop {
-			delete(d.executorsByID, e.id)
-			delete(d.executorsByHash, e.hash)
+			delete(d.endpoints.byID, e.id)
+			delete(d.endpoints.byHash, e.hash)
 		}
-		d.anyRemoved = d.anyRemoved || e.removed && !drop
+		d.endpoints.anyRemoved = d.endpoints.anyRemoved || e.removed && !drop
 		return drop
 	})
 }
 
 // valueOf is what a batch job earns, by its work or whatever it is.
 func (d *Dispatcher) valueOf(j *job) float64 {
-	if d.valuePerWork {
+	if d.config.valuePerWork {
 		return j.class.value * j.work.Seconds()
 	}
 	return j.class.value
@@ -140,7 +144,7 @@
 // tenantFactor is what a tenant's earnings count for: less over its share.
 func (d *Dispatcher) tenantFactor(t *tenant) float64 {
 	if t != nil && t.overQuota > 1 {
-		return d.overQuotaValue + (1-d.overQuotaValue)/t.overQuota
+		return d.config.overQuotaValue + (1-d.config.overQuotaValue)/t.overQuota
 	}
 	return 1
 }
@@ -152,7 +156,7 @@
 
 // remoteSide is 1 for an executor of another zone, where that has a price.
 func (d *Dispatcher) remoteSide(e *executor) int {
-	if d.crossZoneCost > 0 && e.zone != d.ownZone {
+	if d.config.crossZoneCost > 0 && e.zone != d.config.zone {
 		return 1
 	}
 	return 0
@@ -160,20 +164,20 @@
 
 // capToShutdown cuts what a batch job has left to the end of its node.
 func (d *Dispatcher) capToShutdown(j *job) {
-	if d.shutdownBy > 0 {
-		j.deadlineAt = min(j.deadlineAt, d.shutdownBy)
-		j.objectiveAt = min(j.objectiveAt, d.shutdownBy)
+	if d.clock.shutdownBy > 0 {
+		j.deadlineAt = min(j.deadlineAt, d.clock.shutdownBy)
+		j.objectiveAt = min(j.objectiveAt, d.clock.shutdownBy)
 	}
 }
 
 // ShutDownBy tells that this node ends: all in hand must be over by then, and what can't be gets its answer at
 // once.
 func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
-	d.shutdownBy = by
+	d.clock.shutdownBy = by
 	for _, j := range d.jobs {
 		d.capToShutdown(j)
 	}
-	for _, j := range slices.Concat(d.queue, d.lateQueue) {
+	for _, j := range slices.Concat(d.queue.onTime, d.queue.late) {
 		d.schedule(now, j, nil)
 	}
 }
@@ -186,9 +190,9 @@
 
 func (d *Dispatcher) queueOf(late bool) *[]*job {
 	if late {
-		return &d.lateQueue
+		return &d.queue.late
 	}
-	return &d.queue
+	return &d.queue.onTime
 }
 
 func (d *Dispatcher) enqueue(j *job) {
@@ -245,29 +249,29 @@
 func (d *Dispatcher) dispatch(j *job, e *executor, now time.Duration) Decision {
 	d.dequeue(j)
 	// A late batch job waits because others go first, not for want of tokens: its time until then counts.
-	e.queueWait += max(0, min(now, j.objectiveAt-j.work)-j.queuedAt)
+	e.queuing.here += max(0, min(now, j.objectiveAt-j.work)-j.queuedAt)
 	if len(e.attempts) == 0 {
-		e.lastSeen = now
+		e.health.lastSeen = now
 	}
 	s := &attempt{job: j, number: AttemptID(j.attemptCount), executor: e, zone: e.zone, cell: e.cell, sentAt: now}
 	d.takeToken(e, s)
-	if now < e.slowStartUntil {
-		e.slowStartSpend = append(e.slowStartSpend, spend{now, j.slowStartWork()})
+	if now < e.slowStart.until {
+		e.slowStart.spent = append(e.slowStart.spent, spend{now, j.slowStartWork()})
 	}
 	j.attemptCount++
 	j.generation++
-	d.scheduleCheck(now+d.checkInterval, s)
+	d.scheduleCheck(now+d.classes.checkInterval, s)
 	return Decision{Action: Send, Executor: e.id}
 }
 
 // takeToken uses the oldest free token.
 func (d *Dispatcher) takeToken(e *executor, s *attempt) {
-	e.freeTokens = e.freeTokens[1:]
-	e.takenTokens++
-	e.outOfTokens = e.outOfTokens || len(e.freeTokens) == 0
-	if e.leaseGranted {
-		e.leaseGranted = false
-		e.leasesHeld++
+	e.tokens.free = e.tokens.free[1:]
+	e.tokens.taken++
+	e.queuing.outOfTokens = e.queuing.outOfTokens || len(e.tokens.free) == 0
+	if e.lease.granted {
+		e.lease.granted = false
+		e.lease.held++
 	}
 	e.attempts = append(e.attempts, s)
 	s.job.attempts = append(s.job.attempts, s)
@@ -277,11 +281,11 @@
 // releaseToken frees a token. Late: the batch job did not start there at once.
 func (d *Dispatcher) releaseToken(e *executor, now time.Duration, late bool) {
 	d.returnLease(e, now, late)
-	e.takenTokens--
-	if e.takenTokens+len(e.freeTokens) < e.quota {
-		e.freeTokens = append(e.freeTokens, now)
+	e.tokens.taken--
+	if e.tokens.taken+len(e.tokens.free) < e.tokens.quota {
+		e.tokens.free = append(e.tokens.free, now)
 	}
-	d.tokenFreed = true
+	d.queue.tokenFreed = true
 	d.markDirty(e)
 }
 
@@ -303,27 +307,27 @@
 		return
 	}
 	means[AnyKind] = meanQuota{} // reckoned, though none is met yet
-	for _, e := range d.withTokens {
+	for _, e := range d.quota.executors {
 		if e.available {
-			means[e.kind] = means[e.kind].with(e.quota)
+			means[e.kind] = means[e.kind].with(e.tokens.quota)
 		}
 	}
 }
 
 // addWithTokens takes an executor among those met.
 func (d *Dispatcher) addWithTokens(e *executor) {
-	d.tokenOrders++
-	e.tokenOrder = d.tokenOrders
-	d.withTokens = append(d.withTokens, e)
+	d.quota.joined++
+	e.tokens.joined = d.quota.joined
+	d.quota.executors = append(d.quota.executors, e)
 	d.markDirty(e)
 }
 
 // dropRemovedWithTokens takes those that are gone from among those met, once nothing of ours is there.
 func (d *Dispatcher) dropRemovedWithTokens() {
-	d.withTokens = slices.DeleteFunc(d.withTokens, func(e *executor) bool {
-		drop := e.removed && e.takenTokens == 0
+	d.quota.executors = slices.DeleteFunc(d.quota.executors, func(e *executor) bool {
+		drop := e.removed && e.tokens.taken == 0
 		if drop {
-			e.tokenOrder = 0
+			e.tokens.joined = 0
 		}
 		return drop
 	})
@@ -331,29 +335,29 @@
 
 // markUnresponsive lets nothing go to an executor until it answers.
 func (d *Dispatcher) markUnresponsive(e *executor, silences int) {
-	e.unresponsive, e.timeouts = true, silences
-	d.subsetStale, d.subsetChanged = true, true
+	e.health.unresponsive, e.health.timeouts = true, silences
+	d.subset.stale, d.subset.changed = true, true
 	d.awaitReply(e)
 }
 
 // stepQuota moves a quota.
 func (d *Dispatcher) stepQuota(e *executor, by int, now time.Duration) {
-	e.quota += by
+	e.tokens.quota += by
 	d.markDirty(e)
 	if by > 0 {
-		if e.takenTokens+len(e.freeTokens) < e.quota {
-			e.freeTokens = append(e.freeTokens, now)
-			d.tokenFreed = true
+		if e.tokens.taken+len(e.tokens.free) < e.tokens.quota {
+			e.tokens.free = append(e.tokens.free, now)
+			d.queue.tokenFreed = true
 		}
-	} else if e.takenTokens+len(e.freeTokens) > e.quota && len(e.freeTokens) > 0 {
-		e.freeTokens = e.freeTokens[:len(e.freeTokens)-1]
+	} else if e.tokens.taken+len(e.tokens.free) > e.tokens.quota && len(e.tokens.free) > 0 {
+		e.tokens.free = e.tokens.free[:len(e.tokens.free)-1]
 	}
 }
 
 // ---- Places that nodes lend each other ----
 
 func (d *Dispatcher) sendLease(now time.Duration, to NodeID, word LeaseMessage, sum ExecutorHash) {
-	if to == d.nodeID {
+	if to == d.config.nodeID {
 		d.ReceiveLeaseMessage(now, to, word, sum)
 		return
 	}
@@ -362,23 +366,23 @@
 
 // returnLease tells the keeper that a place it lent is free again.
 func (d *Dispatcher) returnLease(e *executor, now time.Duration, late bool) {
-	if e.leasesHeld > 0 {
-		e.leasesHeld--
+	if e.lease.held > 0 {
+		e.lease.held--
 		word := LeaseReturn
 		if late {
 			word = LeaseReturnLate
 		}
-		d.sendLease(now, e.leaseHolder, word, e.hash)
+		d.sendLease(now, e.lease.holder, word, e.hash)
 	}
 }
 
 // ledgerFor is the book that this node keeps of an executor's places.
 func (d *Dispatcher) ledgerFor(sum ExecutorHash) *leaseLedger {
-	k := d.ledgers[sum]
+	k := d.leases.ledgers[sum]
 	if k == nil {
 		k = &leaseLedger{hash: sum, quota: initialQuota}
-		d.ledgers[sum] = k
-		d.ledgerList = append(d.ledgerList, k)
+		d.leases.ledgers[sum] = k
+		d.leases.ledgerList = append(d.leases.ledgerList, k)
 	}
 	return k
 }
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -48,19 +48,19 @@
 
 // ExportLearned gives what was learnt, in the order of ids.
 func (d *Dispatcher) ExportLearned(now time.Duration) (k LearnedState) {
-	k.Nodes, k.MeanValue, k.MeanDensity = d.nodeCount, d.meanValue, d.meanDensity
-	for id, t := range d.classes {
-		if slices.Contains(d.currentClasses, t) {
+	k.Nodes, k.MeanValue, k.MeanDensity = d.config.nodeCount, d.values.mean, d.values.meanDensity
+	for id, t := range d.classes.all {
+		if slices.Contains(d.classes.current, t) {
 			k.Classes = append(k.Classes, LearnedClass{JobClassID(id), t.meanWork, t.samples, t.fullBudget, t.requestedValue, t.earnedValue, t.unitValue})
 		}
 	}
-	for id, kind := range d.kinds {
+	for id, kind := range d.endpoints.kinds {
 		k.Kinds = append(k.Kinds, LearnedKind{id, kind.pace, kind.size, kind.reportedSlots, kind.concurrency})
 	}
 	slices.SortFunc(k.Kinds, func(a, b LearnedKind) int { return cmp.Compare(a.ID, b.ID) })
-	for _, e := range d.withTokens {
+	for _, e := range d.quota.executors {
 		if !e.removed {
-			k.Executors = append(k.Executors, LearnedExecutor{e.id, e.quota, e.runTimeSeen, e.workSeen, e.startWait, max(0, e.ejectedUntil-now), e.inFlightCap, e.timeouts})
+			k.Executors = append(k.Executors, LearnedExecutor{e.id, e.tokens.quota, e.estimate.runTime, e.estimate.work, e.estimate.startWait, max(0, e.health.ejectedUntil-now), e.health.inFlightCap, e.health.timeouts})
 		}
 	}
 	slices.SortFunc(k.Executors, func(a, b LearnedExecutor) int { return cmp.Compare(a.ID, b.ID) })
@@ -73,15 +73,15 @@
 // waits and how the tracks fare are of the nodes together, and begin afresh: carried over, each of many nodes would send
 // what one of a few did.
 func (d *Dispatcher) ImportLearned(now time.Duration, k LearnedState) {
-	among := k.Nodes == 0 || k.Nodes == d.nodeCount
+	among := k.Nodes == 0 || k.Nodes == d.config.nodeCount
 	if k.MeanValue > 0 && k.MeanDensity > 0 {
-		d.meanValue, d.meanDensity = k.MeanValue, k.MeanDensity
+		d.values.mean, d.values.meanDensity = k.MeanValue, k.MeanDensity
 	}
 	for _, in := range k.Classes {
-		if in.ID < 0 || int(in.ID) >= len(d.classes) || in.MeanWork <= 0 || in.UnitValue <= 0 {
+		if in.ID < 0 || int(in.ID) >= len(d.classes.all) || in.MeanWork <= 0 || in.UnitValue <= 0 {
 			continue
 		}
-		t := d.classes[in.ID]
+		t := d.classes.all[in.ID]
 		t.meanWork, t.samples, t.fullBudget = in.MeanWork, in.Samples, min(in.FullBudget, t.deadline)
 		t.unitValue = in.UnitValue
 		if among {
@@ -89,28 +89,28 @@
 		}
 	}
 	for _, in := range k.Kinds {
-		if kind := d.kinds[in.ID]; kind != nil && in.Pace > 0 && in.Parallel > 0 && in.Size > 0 {
+		if kind := d.endpoints.kinds[in.ID]; kind != nil && in.Pace > 0 && in.Parallel > 0 && in.Size > 0 {
 			kind.pace, kind.size, kind.reportedSlots, kind.concurrency = in.Pace, in.Size, max(0, in.Slots), in.Parallel
 		}
 	}
 	for _, in := range k.Executors {
-		e := d.executorsByID[in.ID]
-		if e == nil || now < e.slowStartUntil || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
+		e := d.endpoints.byID[in.ID]
+		if e == nil || now < e.slowStart.until || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
 			continue
 		}
-		e.runTimeSeen, e.workSeen, e.timeouts = in.RunTime, in.Work, in.Timeouts
+		e.estimate.runTime, e.estimate.work, e.health.timeouts = in.RunTime, in.Work, in.Timeouts
 		d.markDirty(e)
 		if in.EjectedFor > 0 || in.InFlightCap > 0 {
-			e.ejectedUntil, e.inFlightCap = now+in.EjectedFor, max(1, in.InFlightCap)
-			d.schedule(e.ejectedUntil, nil, nil)
+			e.health.ejectedUntil, e.health.inFlightCap = now+in.EjectedFor, max(1, in.InFlightCap)
+			d.schedule(e.health.ejectedUntil, nil, nil)
 		}
 		if !among {
 			continue
 		}
-		e.startWait, e.inheritedQuota = max(0, in.StartWait), min(in.Quota, maxQuota)
-		for e.quota > 0 && e.quota < e.inheritedQuota {
+		e.estimate.startWait, e.tokens.inheritedQuota = max(0, in.StartWait), min(in.Quota, maxQuota)
+		for e.tokens.quota > 0 && e.tokens.quota < e.tokens.inheritedQuota {
 			d.stepQuota(e, 1, now)
 		}
 	}
-	d.subsetStale, d.subsetChanged, d.tokenFreed = true, true, true
+	d.subset.stale, d.subset.changed, d.queue.tokenFreed = true, true, true
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -48,16 +48,16 @@
 	next.ImportLearned(last, k)
 	got := next.ExportLearned(last)
 	for _, in := range k.Executors { // those that are held back have no tokens yet
-		e := next.executorsByID[in.ID]
-		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.inheritedQuota, e.runTimeSeen, e.workSeen, e.startWait, max(0, e.ejectedUntil-last), e.inFlightCap, e.timeouts})
+		e := next.endpoints.byID[in.ID]
+		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.tokens.inheritedQuota, e.estimate.runTime, e.estimate.work, e.estimate.startWait, max(0, e.health.ejectedUntil-last), e.health.inFlightCap, e.health.timeouts})
 	}
 	if !reflect.DeepEqual(got, k) {
 		t.Errorf("learnt\n%+v\nof\n%+v", got, k)
 	}
-	if next.NextTask(last); next.executorsByID["a"].quota != k.Executors[0].Quota {
-		t.Errorf("a got a quota of %d", next.executorsByID["a"].quota)
+	if next.NextTask(last); next.endpoints.byID["a"].tokens.quota != k.Executors[0].Quota {
+		t.Errorf("a got a quota of %d", next.endpoints.byID["a"].tokens.quota)
 	}
-	if e := next.executorsByID["c"]; e.inheritedQuota != 0 {
+	if e := next.endpoints.byID["c"]; e.tokens.inheritedQuota != 0 {
 		t.Error("a cold executor took another start's quota")
 	}
 }
@@ -72,12 +72,12 @@
 		}
 	}
 	rest(old)
-	for _, e := range old.withTokens {
-		e.quota = 7
+	for _, e := range old.quota.executors {
+		e.tokens.quota = 7
 	}
-	crawls := old.executorsByID["b"]
-	crawls.runTimeSeen, crawls.workSeen, crawls.startWait = 40, 10, 3*time.Second
-	old.classes[0].meanWork, old.classes[0].requestedValue = 700*time.Millisecond, 50
+	crawls := old.endpoints.byID["b"]
+	crawls.estimate.runTime, crawls.estimate.work, crawls.estimate.startWait = 40, 10, 3*time.Second
+	old.classes.all[0].meanWork, old.classes.all[0].requestedValue = 700*time.Millisecond, 50
 
 	among := settings([]string{"ask"})
 	among.Nodes = 5
@@ -85,10 +85,10 @@
 	next.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	next.ImportLearned(0, old.ExportLearned(0))
 	rest(next)
-	if b := next.executorsByID["b"]; b.runTimeSeen != 40 || b.startWait != 0 || b.inheritedQuota != 0 {
-		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runTimeSeen, b.workSeen, b.startWait, b.inheritedQuota)
+	if b := next.endpoints.byID["b"]; b.estimate.runTime != 40 || b.estimate.startWait != 0 || b.tokens.inheritedQuota != 0 {
+		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.estimate.runTime, b.estimate.work, b.estimate.startWait, b.tokens.inheritedQuota)
 	}
-	if got := next.classes[0]; got.meanWork != 700*time.Millisecond || got.requestedValue != 0 {
+	if got := next.classes.all[0]; got.meanWork != 700*time.Millisecond || got.requestedValue != 0 {
 		t.Errorf("of the track it knows work %v and %v asked for", got.meanWork, got.requestedValue)
 	}
 	sent := map[ExecutorID]int{}
@@ -118,7 +118,7 @@
 	again.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	again.ImportLearned(0, old.ExportLearned(0))
 	rest(again)
-	if a := again.executorsByID["a"]; a.quota != 7 {
-		t.Errorf("among as many nodes as before the quota is %d", a.quota)
+	if a := again.endpoints.byID["a"]; a.tokens.quota != 7 {
+		t.Errorf("among as many nodes as before the quota is %d", a.tokens.quota)
 	}
 }
--- a/policy/index.go
+++ b/policy/index.go
@@ -58,14 +58,16 @@
 	return p.executors[0]
 }
 
-func (p *executorHeap) place(i int, e *executor) { p.executors[i], e.positions[p.keyKind].index = e, i }
+func (p *executorHeap) place(i int, e *executor) {
+	p.executors[i], e.indexed.positions[p.keyKind].index = e, i
+}
 
-func (p *executorHeap) key(i int) int64 { return p.executors[i].positions[p.keyKind].key }
+func (p *executorHeap) key(i int) int64 { return p.executors[i].indexed.positions[p.keyKind].key }
 
 func (p *executorHeap) siftUp(i int) {
 	for e := p.executors[i]; i > 0; {
 		parent := (i - 1) / 2
-		if p.key(parent) <= e.positions[p.keyKind].key {
+		if p.key(parent) <= e.indexed.positions[p.keyKind].key {
 			break
 		}
 		p.place(i, p.executors[parent])
@@ -83,7 +85,7 @@
 		if child+1 < len(p.executors) && p.key(child+1) < p.key(child) {
 			child++
 		}
-		if p.key(child) >= e.positions[p.keyKind].key {
+		if p.key(child) >= e.indexed.positions[p.keyKind].key {
 			return
 		}
 		p.place(i, p.executors[child])
@@ -94,7 +96,7 @@
 
 // update puts an executor into a pile of its sort, and out of the one that it was in.
 func (p *executorHeap) update(e *executor, key int64) {
-	at := &e.positions[p.keyKind]
+	at := &e.indexed.positions[p.keyKind]
 	if at.heap == p {
 		was := at.key
 		if at.key = key; key < was {
@@ -112,18 +114,18 @@
 
 // removeFrom takes an executor out of its pile of that sort.
 func (e *executor) removeFrom(by int) {
-	p, at := e.positions[by].heap, e.positions[by].index
+	p, at := e.indexed.positions[by].heap, e.indexed.positions[by].index
 	if p == nil {
 		return
 	}
-	e.positions[by].heap = nil
+	e.indexed.positions[by].heap = nil
 	last := len(p.executors) - 1
 	moved := p.executors[last]
 	p.executors[last], p.executors = nil, p.executors[:last]
 	if at < last {
 		p.place(at, moved)
 		p.siftUp(at)
-		p.siftDown(moved.positions[by].index)
+		p.siftDown(moved.indexed.positions[by].index)
 	}
 }
 
@@ -184,24 +186,18 @@
 	oldestFree int64
 }
 
-// index is what the dispatcher keeps of all.
-type index struct {
-	kindIndexes      []*kindIndex
-	expiries         executorHeap
-	dirty            []*executor
-	spareSubset      []*executor // the slice as it was before, for its memory
-	visited          int         // executors looked at, for tests
-	bounded          int         // steps whose bounds were
-	evaluated        int         // and those weighed in full
-	reindexed        int         // times that an open token was filed
-	subsetChanged    bool        // what the slice hangs on has changed
-	subsetValidUntil time.Duration
-	rezoned          bool // an executor of the slice has another zone or kind than when it was picked
-	awaitingReply    []*executor
-	leaseRequests    []*executor
-	tokenOrders      int               // executors met so far
-	unranked         []*executor       // that have no rank yet
-	classCandidates  []classCandidates // of the list that is looked through
+// candidateIndex is what the dispatcher keeps of all kinds.
+type candidateIndex struct {
+	kinds           []*kindIndex
+	expiries        executorHeap      // entries that hold for a while only, by when they cease to
+	dirty           []*executor       // to be indexed anew
+	classCandidates []classCandidates // of the part of the queue that is looked through
+
+	// Work done, for tests.
+	visited   int // executors looked at
+	bounded   int // buckets whose bounds were
+	evaluated int // executors evaluated in full
+	reindexed int // times that an open token was indexed anew
 }
 
 // addKindIndex makes room in the index for a kind.
@@ -211,14 +207,14 @@
 		s.paceBuckets[i].keyKind = keyPace
 	}
 	k.index = s
-	d.kindIndexes = append(d.kindIndexes, s)
+	d.index.kinds = append(d.index.kinds, s)
 }
 
 // markDirty has an executor filed anew, as something changed that its place hangs on.
 func (d *Dispatcher) markDirty(e *executor) {
-	if !e.dirty {
-		e.dirty = true
-		d.dirty = append(d.dirty, e)
+	if !e.indexed.dirty {
+		e.indexed.dirty = true
+		d.index.dirty = append(d.index.dirty, e)
 	}
 }
 
@@ -230,30 +226,30 @@
 
 // reindexDirty files what was touched, and what has stood longer than its bound holds.
 func (d *Dispatcher) reindexDirty(now time.Duration) {
-	for _, s := range d.kindIndexes {
+	for _, s := range d.index.kinds {
 		if s.stats.concurrency > s.maxConcurrency {
 			d.setMaxConcurrency(s)
 		}
-		for e := s.paceFloors.min(); e != nil && e.paceLimit > s.stats.pace; e = s.paceFloors.min() {
+		for e := s.paceFloors.min(); e != nil && e.indexed.paceLimit > s.stats.pace; e = s.paceFloors.min() {
 			d.reindex(e, now)
 		}
-		for e := s.paceCeilings.min(); e != nil && e.paceLimit < s.stats.pace; e = s.paceCeilings.min() {
+		for e := s.paceCeilings.min(); e != nil && e.indexed.paceLimit < s.stats.pace; e = s.paceCeilings.min() {
 			d.reindex(e, now)
 		}
 	}
-	for e := d.expiries.min(); e != nil && e.positions[keyExpiry].key <= int64(now); e = d.expiries.min() {
+	for e := d.index.expiries.min(); e != nil && e.indexed.positions[keyExpiry].key <= int64(now); e = d.index.expiries.min() {
 		d.reindex(e, now)
 	}
-	for _, e := range d.dirty {
-		e.dirty = false
+	for _, e := range d.index.dirty {
+		e.indexed.dirty = false
 		d.reindex(e, now)
 	}
-	d.dirty = d.dirty[:0]
+	d.index.dirty = d.index.dirty[:0]
 }
 
 // resetMaxConcurrency lets the most places of the kinds fall to what they are now, at an interval's end.
 func (d *Dispatcher) resetMaxConcurrency() {
-	for _, s := range d.kindIndexes {
+	for _, s := range d.index.kinds {
 		if s.maxConcurrency != s.stats.concurrency {
 			d.setMaxConcurrency(s)
 		}
@@ -269,10 +265,10 @@
 
 // reindex files an executor as it is now.
 func (d *Dispatcher) reindex(e *executor, now time.Duration) {
-	s := d.kinds[e.kind].index
+	s := d.endpoints.kinds[e.kind].index
 	d.indexPace(e, s)
-	old := e.positions[keyTokenAge].heap
-	if len(e.freeTokens) == 0 || e.removed || e.inFlightCap > 0 && e.takenTokens >= e.inFlightCap {
+	old := e.indexed.positions[keyTokenAge].heap
+	if len(e.tokens.free) == 0 || e.removed || e.health.inFlightCap > 0 && e.tokens.taken >= e.health.inFlightCap {
 		if old != nil {
 			e.removeFrom(keyTokenAge)
 			e.removeFrom(keyPaceDrift)
@@ -281,51 +277,51 @@
 		}
 		return
 	}
-	of := groupKey{remote: d.remoteSide(e) > 0, inSubset: e.subsetRank >= 0, load: loadBusy, lease: leaseReady, normalized: e.workSeen <= 1 && len(e.attempts) < s.maxConcurrency}
+	of := groupKey{remote: d.remoteSide(e) > 0, inSubset: e.indexed.subsetRank >= 0, load: loadBusy, lease: leaseReady, normalized: e.estimate.work <= 1 && len(e.attempts) < s.maxConcurrency}
 	if len(e.attempts) == 0 {
 		of.load = loadIdle
-		if of.inSubset && e.subsetRank < d.lateSubsetSize {
+		if of.inSubset && e.indexed.subsetRank < d.subset.lateSize {
 			of.load = loadSpare
 		}
 	}
 	until := Forever
-	if d.canLease && d.usesSubset() && !e.leaseGranted {
+	if d.config.canLease && d.usesSubset() && !e.lease.granted {
 		switch {
-		case e.leaseBypassUntil > now:
-			until = e.leaseBypassUntil
-		case e.leaseRequested:
+		case e.lease.bypassUntil > now:
+			until = e.lease.bypassUntil
+		case e.lease.requested:
 			of.lease = leasePending
 		default:
 			of.lease = leaseNeeded
 		}
 	}
 	k := s.stats.pace
-	if old != nil && e.group.groupKey == of && e.group.kind == s && until == Forever && e.positions[keyExpiry].heap == nil &&
-		e.positions[keyTokenAge].key == int64(e.freeTokens[0]) && (e.paceLimit <= k || of.normalized) && (e.paceLimit >= k || !of.normalized) {
+	if old != nil && e.indexed.group.groupKey == of && e.indexed.group.kind == s && until == Forever && e.indexed.positions[keyExpiry].heap == nil &&
+		e.indexed.positions[keyTokenAge].key == int64(e.tokens.free[0]) && (e.indexed.paceLimit <= k || of.normalized) && (e.indexed.paceLimit >= k || !of.normalized) {
 		// What it was reckoned with still holds, and little has changed: most of those that only grow older stay.
 		rate, to := d.maxAgingRate(e, s, now)
-		if to == Forever && rate <= e.agingRate && rate >= e.agingRate*(1-rateTolerance) && e.tightRate(k)*(1+3*rateTolerance) >= e.agingRate*e.group.rateScale() {
+		if to == Forever && rate <= e.indexed.agingRate && rate >= e.indexed.agingRate*(1-rateTolerance) && e.tightRate(k)*(1+3*rateTolerance) >= e.indexed.agingRate*e.indexed.group.rateScale() {
 			return
 		}
 	}
-	d.reindexed++
-	e.group = s.groupFor(of)
-	if part := e.workSeen / (e.workSeen + 1); of.normalized {
-		e.paceLimit = k * (1 + min(maxPaceDrift, rateTolerance/part))
-		s.paceCeilings.update(e, floatKey(e.paceLimit))
+	d.index.reindexed++
+	e.indexed.group = s.groupFor(of)
+	if part := e.estimate.work / (e.estimate.work + 1); of.normalized {
+		e.indexed.paceLimit = k * (1 + min(maxPaceDrift, rateTolerance/part))
+		s.paceCeilings.update(e, floatKey(e.indexed.paceLimit))
 	} else {
-		e.paceLimit = k * (1 - min(maxPaceDrift, rateTolerance/(1-part)))
-		s.paceFloors.update(e, -floatKey(e.paceLimit))
+		e.indexed.paceLimit = k * (1 - min(maxPaceDrift, rateTolerance/(1-part)))
+		s.paceFloors.update(e, -floatKey(e.indexed.paceLimit))
 	}
 	rate, to := d.maxAgingRate(e, s, now)
-	e.agingRate, until = rate, min(until, to)
-	t := e.group.bucketFor(e.agingRate)
-	t.update(e, int64(e.freeTokens[0]))
+	e.indexed.agingRate, until = rate, min(until, to)
+	t := e.indexed.group.bucketFor(e.indexed.agingRate)
+	t.update(e, int64(e.tokens.free[0]))
 	if t.syncHead(); old != nil && old != &t.executorHeap {
 		old.bucket.syncHead()
 	}
 	if until < Forever {
-		d.expiries.update(e, int64(until))
+		d.index.expiries.update(e, int64(until))
 	} else {
 		e.removeFrom(keyExpiry)
 	}
@@ -336,20 +332,20 @@
 // ones are never full, so leastWait makes nothing of the pace.
 func (d *Dispatcher) maxAgingRate(e *executor, s *kindIndex, now time.Duration) (rate float64, until time.Duration) {
 	wait, until := d.minWait(e, e.limitPace(), s.maxConcurrency, now)
-	return roundingUp * e.weight / (e.limitPace() * (d.shortestObjective + wait).Seconds()), until
+	return roundingUp * e.weight / (e.limitPace() * (d.classes.shortestObjective + wait).Seconds()), until
 }
 
 // limitPace is the pace that e's rate is reckoned with.
 func (e *executor) limitPace() float64 {
-	if e.group.normalized {
-		return (1 + e.runTimeSeen/e.paceLimit) / (e.workSeen + 1)
+	if e.indexed.group.normalized {
+		return (1 + e.estimate.runTime/e.indexed.paceLimit) / (e.estimate.work + 1)
 	}
-	return (e.runTimeSeen + e.paceLimit) / (e.workSeen + 1)
+	return (e.estimate.runTime + e.indexed.paceLimit) / (e.estimate.work + 1)
 }
 
 // tightRate is the bound of e's rate with its kind's pace as it is.
 func (e *executor) tightRate(pace float64) float64 {
-	return roundingUp * e.agingRate * e.limitPace() * (e.workSeen + 1) / (e.runTimeSeen + pace)
+	return roundingUp * e.indexed.agingRate * e.limitPace() * (e.estimate.work + 1) / (e.estimate.runTime + pace)
 }
 
 // rateScale is what the group's rates are to be taken times.
@@ -364,7 +360,7 @@
 // are out as there are places, no less than what waits there needs, and what the first to end has left.
 func (d *Dispatcher) minWait(e *executor, pace float64, places int, now time.Duration) (wait, until time.Duration) {
 	if len(e.attempts) < places {
-		return e.startWait, Forever
+		return e.estimate.startWait, Forever
 	}
 	first, queued := Forever, time.Duration(0)
 	for _, s := range e.attempts {
@@ -377,10 +373,10 @@
 	wait = max(0, queued/time.Duration(places)-time.Duration(len(e.attempts)+2)) // each figure is cut to a whole one
 	if left := first - now - 1; first < Forever && left > 0 {
 		// It shrinks as time goes by: reckoned as what it will be by then, an eighth of all less.
-		until = now + max(min(left, (d.shortestObjective+wait+left)/8), 1)
-		return max(e.startWait, wait+first-1-until), until
+		until = now + max(min(left, (d.classes.shortestObjective+wait+left)/8), 1)
+		return max(e.estimate.startWait, wait+first-1-until), until
 	}
-	return max(e.startWait, wait), Forever
+	return max(e.estimate.startWait, wait), Forever
 }
 
 // groupFor is the kind's group of that sort.
@@ -428,9 +424,9 @@
 		g.buckets, g.heads, t.position = g.buckets[:last], g.heads[:last], -1
 	case t.position < 0:
 		t.position = len(g.buckets)
-		g.buckets, g.heads = append(g.buckets, t), append(g.heads, bucketHead{t.maxRate, e.positions[keyTokenAge].key})
+		g.buckets, g.heads = append(g.buckets, t), append(g.heads, bucketHead{t.maxRate, e.indexed.positions[keyTokenAge].key})
 	default:
-		g.heads[t.position].oldestFree = e.positions[keyTokenAge].key
+		g.heads[t.position].oldestFree = e.indexed.positions[keyTokenAge].key
 	}
 }
 
@@ -453,8 +449,8 @@
 func (d *Dispatcher) candidates(w *query) iter.Seq[*executor] {
 	return func(yield func(*executor) bool) {
 		if d.boundToDedupGroup(w.job) && w.class.dedupGroup != DedupZone {
-			for _, e := range d.ranked {
-				d.visited++
+			for _, e := range d.endpoints.ranked {
+				d.index.visited++
 				if (d.remoteSide(e) > 0) == w.remote && !yield(e) {
 					return
 				}
@@ -466,7 +462,7 @@
 		oldest := -1.0
 		for g := range d.matchingGroups(w) {
 			scale := g.rateScale()
-			d.bounded += len(g.heads)
+			d.index.bounded += len(g.heads)
 			for i, h := range g.heads {
 				if age := scale * h.maxAge(w.now); !(age <= oldest) {
 					first, oldest = g.buckets[i], age
@@ -499,7 +495,7 @@
 // matchingGroups gives the groups whose executors may be candidates at all.
 func (d *Dispatcher) matchingGroups(w *query) iter.Seq[*tokenGroup] {
 	return func(yield func(*tokenGroup) bool) {
-		for _, s := range d.kindIndexes {
+		for _, s := range d.index.kinds {
 			if w.class.kind != AnyKind && w.class.kind != s.id {
 				continue
 			}
@@ -532,18 +528,18 @@
 	if i >= len(t.executors) {
 		return true
 	}
-	d.visited++
+	d.index.visited++
 	e, k := t.executors[i], t.group.kind.stats.pace
-	age := float64(max(0, w.now-e.freeTokens[0]))
+	age := float64(max(0, w.now-e.tokens.free[0]))
 	scale := t.group.rateScale()
 	if scale*t.maxRate*age < w.minAge {
 		return true
 	}
 	rate := e.tightRate(k)
-	if scale*e.agingRate > rate*(1+3*rateTolerance) { // its kind's pace has drifted: guards against bounds that are ever looser
+	if scale*e.indexed.agingRate > rate*(1+3*rateTolerance) { // its kind's pace has drifted: guards against bounds that are ever looser
 		d.markDirty(e)
 	}
-	if !(rate*age < w.minAge) && !((e.runTimeSeen+k)/(e.workSeen+1)*roundingDown > w.maxPace) && !yield(e) {
+	if !(rate*age < w.minAge) && !((e.estimate.runTime+k)/(e.estimate.work+1)*roundingDown > w.maxPace) && !yield(e) {
 		return false
 	}
 	return d.walkBucket(t, 2*i+1, w, yield) && d.walkBucket(t, 2*i+2, w, yield)
@@ -555,7 +551,7 @@
 		return true
 	}
 	d.reindexDirty(now)
-	for _, s := range d.kindIndexes {
+	for _, s := range d.index.kinds {
 		if j.class.kind != AnyKind && j.class.kind != s.id {
 			continue
 		}
@@ -571,7 +567,7 @@
 // anyTokenOpen says whether any token is open at all, to whatever is held.
 func (d *Dispatcher) anyTokenOpen(now time.Duration) bool {
 	d.reindexDirty(now)
-	return slices.ContainsFunc(d.kindIndexes, func(s *kindIndex) bool {
+	return slices.ContainsFunc(d.index.kinds, func(s *kindIndex) bool {
 		return slices.ContainsFunc(s.groups, func(g *tokenGroup) bool { return len(g.buckets) > 0 && g.lease == leaseReady })
 	})
 }
@@ -581,28 +577,28 @@
 	if d.boundToDedupGroup(j) {
 		return byRank(a, b) < 0
 	}
-	return a.subsetRank < b.subsetRank
+	return a.indexed.subsetRank < b.indexed.subsetRank
 }
 
 // rankAmong is e's place among j's candidates.
 func (d *Dispatcher) rankAmong(e *executor, j *job) int {
 	if d.boundToDedupGroup(j) {
-		i, _ := slices.BinarySearchFunc(d.ranked, e, byRank)
+		i, _ := slices.BinarySearchFunc(d.endpoints.ranked, e, byRank)
 		return i
 	}
-	return e.subsetRank
+	return e.indexed.subsetRank
 }
 
 // anyLocalUsable says whether some executor of the own zone that j may use takes something new, free token or not.
 func (d *Dispatcher) anyLocalUsable(j *job, now time.Duration) bool {
 	near := func(e *executor) bool {
-		d.visited++
+		d.index.visited++
 		return d.remoteSide(e) == 0 && d.isUsable(e, now) && d.isEligible(e, j, now)
 	}
-	if d.boundToDedupGroup(j) || d.rezoned {
+	if d.boundToDedupGroup(j) || d.subset.rezoned {
 		return slices.ContainsFunc(d.eligibleExecutors(j), near)
 	}
-	for _, s := range d.kindIndexes {
+	for _, s := range d.index.kinds {
 		if (j.class.kind == AnyKind || j.class.kind == s.id) && slices.ContainsFunc(s.localSubset, near) {
 			return true
 		}
@@ -614,49 +610,49 @@
 
 // beginSubset begins the slice anew, and gives the one before.
 func (d *Dispatcher) beginSubset() []*executor {
-	was := d.subset
+	was := d.subset.members
 	for _, e := range was {
-		e.subsetRank = -1
+		e.indexed.subsetRank = -1
 	}
-	d.subset, d.spareSubset = d.spareSubset[:0], was
-	d.subsetChanged, d.rezoned, d.subsetValidUntil = false, false, Forever
+	d.subset.members, d.subset.previous = d.subset.previous[:0], was
+	d.subset.changed, d.subset.rezoned, d.subset.validUntil = false, false, Forever
 	return was
 }
 
 // limitSubsetValidity books until when an executor that the slice was picked by stands as it does, if nothing else comes.
 func (d *Dispatcher) limitSubsetValidity(e *executor, now time.Duration) {
-	for _, at := range [...]time.Duration{e.ejectedUntil, e.slowStartUntil, d.slowStartReservedUntil} {
+	for _, at := range [...]time.Duration{e.health.ejectedUntil, e.slowStart.until, d.slowStart.reservedUntil} {
 		if at > now {
-			d.subsetValidUntil = min(d.subsetValidUntil, at)
+			d.subset.validUntil = min(d.subset.validUntil, at)
 		}
 	}
 }
 
 // finishSubset gives the slice's executors their places, and files those that came, went or are for late ones no more.
 func (d *Dispatcher) finishSubset(was []*executor) {
-	for _, s := range d.kindIndexes {
+	for _, s := range d.index.kinds {
 		s.localSubset = s.localSubset[:0]
 	}
-	for i, e := range d.subset {
-		if e.subsetRank >= 0 {
+	for i, e := range d.subset.members {
+		if e.indexed.subsetRank >= 0 {
 			continue
 		}
-		e.subsetRank = i
-		g := e.group
-		if e.positions[keyPace].heap == nil || g == nil || !g.inSubset || (g.load == loadSpare) != (len(e.attempts) == 0 && i < d.lateSubsetSize) {
+		e.indexed.subsetRank = i
+		g := e.indexed.group
+		if e.indexed.positions[keyPace].heap == nil || g == nil || !g.inSubset || (g.load == loadSpare) != (len(e.attempts) == 0 && i < d.subset.lateSize) {
 			d.markDirty(e)
 		}
 		if d.remoteSide(e) == 0 {
-			s := d.kinds[e.kind].index
+			s := d.endpoints.kinds[e.kind].index
 			s.localSubset = append(s.localSubset, e)
 		}
 	}
 	for _, e := range was {
-		if e.subsetRank < 0 {
+		if e.indexed.subsetRank < 0 {
 			d.markDirty(e)
 		}
 	}
-	clear(d.spareSubset[len(d.spareSubset):cap(d.spareSubset)]) // what is gone is not to be kept
+	clear(d.subset.previous[len(d.subset.previous):cap(d.subset.previous)]) // what is gone is not to be kept
 }
 
 // ---- Paces ----
@@ -664,20 +660,20 @@
 // indexPace files an executor of the slice by its pace without what runs: that is its kind's, plus the difference
 // of its own times the part that was seen of it.
 func (d *Dispatcher) indexPace(e *executor, s *kindIndex) {
-	if e.subsetRank < 0 {
+	if e.indexed.subsetRank < 0 {
 		e.removeFrom(keyPace)
 		return
 	}
-	seen, key := e.workSeen/(e.workSeen+1), floatKey(e.runTimeSeen)
+	seen, key := e.estimate.work/(e.estimate.work+1), floatKey(e.estimate.runTime)
 	at := int(seen * evenPaceBuckets)
 	switch {
-	case e.workSeen <= 0:
+	case e.estimate.work <= 0:
 		at = len(s.paceBuckets) - 1
 	case at > 0:
-		at, key = min(at, evenPaceBuckets-1), floatKey(e.runTimeSeen/e.workSeen)
+		at, key = min(at, evenPaceBuckets-1), floatKey(e.estimate.runTime/e.estimate.work)
 	default:
 		_, exp := math.Frexp(seen) // it is from half of that power on, and less than it
-		at, key = min(evenPaceBuckets-4-exp, evenPaceBuckets+halvingPaceBuckets-1), floatKey(e.runTimeSeen/e.workSeen)
+		at, key = min(evenPaceBuckets-4-exp, evenPaceBuckets+halvingPaceBuckets-1), floatKey(e.estimate.runTime/e.estimate.work)
 	}
 	s.paceBuckets[at].update(e, key)
 }
@@ -706,7 +702,7 @@
 func (d *Dispatcher) paceLowerBound(id KindID, now time.Duration) float64 {
 	d.reindexDirty(now)
 	least := math.Inf(1)
-	for _, s := range d.kindIndexes {
+	for _, s := range d.index.kinds {
 		for step := range s.paceBuckets {
 			if (id == AnyKind || id == s.id) && len(s.paceBuckets[step].executors) > 0 {
 				least = min(least, s.minPace(step, 0))
@@ -720,7 +716,7 @@
 func (d *Dispatcher) lowestPace(id KindID, now time.Duration) float64 {
 	d.reindexDirty(now)
 	best := math.Inf(1)
-	for _, s := range d.kindIndexes {
+	for _, s := range d.index.kinds {
 		if id != AnyKind && id != s.id {
 			continue
 		}
@@ -747,15 +743,15 @@
 	if i >= len(s.paceBuckets[step].executors) || s.minPace(step, i) >= *best {
 		return
 	}
-	d.visited++
+	d.index.visited++
 	e, k := s.paceBuckets[step].executors[i], s.stats.pace
-	pace := (e.runTimeSeen + k) / (e.workSeen + 1)
+	pace := (e.estimate.runTime + k) / (e.estimate.work + 1)
 	switch {
 	case !e.available:
 	case len(e.attempts) == 0:
 		*best = min(*best, pace)
 	case pace*roundingDown < *best:
-		d.evaluated++
+		d.index.evaluated++
 		*best = min(*best, d.pace(e, now))
 	}
 	d.searchLowestPace(s, step, 2*i+1, best, now)
@@ -766,45 +762,45 @@
 
 // awaitReply notes an executor that is asked for a sign of life, or owes one.
 func (d *Dispatcher) awaitReply(e *executor) {
-	if !e.awaited {
-		e.awaited = true
-		d.awaitingReply = append(d.awaitingReply, e)
+	if !e.health.awaited {
+		e.health.awaited = true
+		d.health.awaitingReply = append(d.health.awaitingReply, e)
 	}
 }
 
 // awaitingReplies are those of which an answer is awaited, in the order in which they were met.
 func (d *Dispatcher) awaitingReplies() []*executor {
-	d.awaitingReply = slices.DeleteFunc(d.awaitingReply, func(e *executor) bool {
-		e.awaited = e.probeOut || e.unresponsive
-		return !e.awaited
+	d.health.awaitingReply = slices.DeleteFunc(d.health.awaitingReply, func(e *executor) bool {
+		e.health.awaited = e.health.probeOut || e.health.unresponsive
+		return !e.health.awaited
 	})
-	slices.SortFunc(d.awaitingReply, func(a, b *executor) int { return a.tokenOrder - b.tokenOrder })
-	return d.awaitingReply
+	slices.SortFunc(d.health.awaitingReply, func(a, b *executor) int { return a.tokens.joined - b.tokens.joined })
+	return d.health.awaitingReply
 }
 
 // addLeaseRequest notes an executor of which a place was asked for.
 func (d *Dispatcher) addLeaseRequest(e *executor) {
 	d.markDirty(e)
-	if !e.inLeaseRequests {
-		e.inLeaseRequests = true
-		d.leaseRequests = append(d.leaseRequests, e)
+	if !e.lease.listed {
+		e.lease.listed = true
+		d.leases.requests = append(d.leases.requests, e)
 	}
 }
 
 // pendingLeaseRequests are those of the slice of which a place was asked for, in its order.
 func (d *Dispatcher) pendingLeaseRequests() []*executor {
-	d.leaseRequests = slices.DeleteFunc(d.leaseRequests, func(e *executor) bool {
-		e.inLeaseRequests = e.leaseRequested
-		return !e.inLeaseRequests
+	d.leases.requests = slices.DeleteFunc(d.leases.requests, func(e *executor) bool {
+		e.lease.listed = e.lease.requested
+		return !e.lease.listed
 	})
-	slices.SortFunc(d.leaseRequests, func(a, b *executor) int { return a.subsetRank - b.subsetRank })
-	return d.leaseRequests
+	slices.SortFunc(d.leases.requests, func(a, b *executor) int { return a.indexed.subsetRank - b.indexed.subsetRank })
+	return d.leases.requests
 }
 
 // eligibleExecutors are the slice's executors, or, for what may only be repeated in its dedup group, all of them.
 func (d *Dispatcher) eligibleExecutors(j *job) []*executor {
 	if d.boundToDedupGroup(j) {
-		return d.ranked
+		return d.endpoints.ranked
 	}
-	return d.subset
+	return d.subset.members
 }
--- a/policy/index_test.go
+++ b/policy/index_test.go
@@ -26,7 +26,7 @@
 			side = 1 - side
 		}
 		home = home || side == 0
-		if late && (len(e.attempts) > 0 || i >= d.lateSubsetSize && j.class.lateValue > 0) {
+		if late && (len(e.attempts) > 0 || i >= d.subset.lateSize && j.class.lateValue > 0) {
 			continue
 		}
 		taken := len(j.attempts) > 0 && j.attempts[0].executor == e || best != nil && side > bestSide
@@ -42,7 +42,7 @@
 		if !late && now+scaled(queue+scaled(j.work, pace), j.predictionMargin) > j.objectiveAt {
 			continue
 		}
-		age := e.weight * float64(now-e.freeTokens[0]) / (pace * (d.shortestObjective + wait).Seconds())
+		age := e.weight * float64(now-e.tokens.free[0]) / (pace * (d.classes.shortestObjective + wait).Seconds())
 		if best == nil || side < bestSide || age > bestAge {
 			best, bestSide, bestAge = e, side, age
 		}
@@ -69,24 +69,24 @@
 
 // scannedSlice is the slice as reslice picks it, without its tokens.
 func (d *Dispatcher) scannedSlice(now time.Duration) (slice []*executor) {
-	size := len(d.ranked)
+	size := len(d.endpoints.ranked)
 	if d.usesSubset() {
-		size = max(minSubsetSize, (subsetSharers*size+d.nodeCount-1)/d.nodeCount)
-		if d.canLease {
+		size = max(minSubsetSize, (subsetSharers*size+d.config.nodeCount-1)/d.config.nodeCount)
+		if d.config.canLease {
 			size = max(size, 2*minSubsetSize)
 		}
 	}
-	for _, e := range d.slowStarting {
-		if !e.removed && now < e.slowStartUntil && d.isUsable(e, now) {
+	for _, e := range d.slowStart.executors {
+		if !e.removed && now < e.slowStart.until && d.isUsable(e, now) {
 			slice = append(slice, e)
 		}
 	}
-	counts := make([]int, 2*len(d.requiredKinds))
-	for _, e := range d.ranked {
+	counts := make([]int, 2*len(d.classes.requiredKinds))
+	for _, e := range d.endpoints.ranked {
 		near := false
-		for i, need := range d.requiredKinds {
-			n := &counts[d.remoteSide(e)*len(d.requiredKinds)+i]
-			if now >= e.slowStartUntil && d.isUsable(e, now) && (need == AnyKind || need == e.kind) && *n < size {
+		for i, need := range d.classes.requiredKinds {
+			n := &counts[d.remoteSide(e)*len(d.classes.requiredKinds)+i]
+			if now >= e.slowStart.until && d.isUsable(e, now) && (need == AnyKind || need == e.kind) && *n < size {
 				near = true
 				*n++
 			}
@@ -172,8 +172,8 @@
 // compareTakers looks for batch jobs that could go and that takers leave out, however few are held.
 func (w *drawn) compareTakers() {
 	d := w.Dispatcher
-	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
-		d.classCandidates = d.classCandidates[:0]
+	for _, list := range [...][]*job{d.queue.onTime, d.queue.late, d.queue.hedges} {
+		d.index.classCandidates = d.index.classCandidates[:0]
 		d.groupByClass(list, w.now)
 		for _, j := range list {
 			to := d.scanned(j, w.now, false)
@@ -186,7 +186,7 @@
 				w.found["held and left out"]++
 			}
 		}
-		d.classCandidates = d.classCandidates[:0]
+		d.index.classCandidates = d.index.classCandidates[:0]
 	}
 }
 
@@ -207,13 +207,13 @@
 			j.mayHaveRun = nil
 		}
 	}
-	for _, e := range d.subset {
-		if e.leaseRequested && !slices.Contains(d.leaseRequests, e) {
+	for _, e := range d.subset.members {
+		if e.lease.requested && !slices.Contains(d.leases.requests, e) {
 			w.t.Fatalf("seed %d, %v: a place of %s was asked for and is not awaited", w.seed, w.now, e.id)
 		}
 	}
-	for _, e := range d.withTokens {
-		if (e.probeOut || e.unresponsive) && !slices.Contains(d.awaitingReply, e) {
+	for _, e := range d.quota.executors {
+		if (e.health.probeOut || e.health.unresponsive) && !slices.Contains(d.health.awaitingReply, e) {
 			w.t.Fatalf("seed %d, %v: %s is asked for a sign of life and not watched", w.seed, w.now, e.id)
 		}
 	}
@@ -222,7 +222,7 @@
 func (w *drawn) compareJob(j *job, as string) {
 	d := w.Dispatcher
 	for _, asks := range [...]bool{false, true} {
-		if asks && !(d.canLease && d.usesSubset()) {
+		if asks && !(d.config.canLease && d.usesSubset()) {
 			continue
 		}
 		got, want := d.pickExecutor(j, w.now, asks), d.scanned(j, w.now, asks)
@@ -248,7 +248,7 @@
 		return "of a keeper"
 	case d.boundToDedupGroup(j):
 		return "in a dedup group"
-	case w.now < e.slowStartUntil:
+	case w.now < e.slowStart.until:
 		return "cold"
 	case d.crossesNow(j) && d.remoteSide(e) > 0:
 		return "crossing"
@@ -256,11 +256,11 @@
 		return "late"
 	case len(j.attempts) > 0 && as == "":
 		return "a copy"
-	case d.canLease && d.usesSubset():
+	case d.config.canLease && d.usesSubset():
 		return "with a place"
-	case e.inFlightCap > 0:
+	case e.health.inFlightCap > 0:
 		return "under a cap"
-	case len(e.attempts) >= d.kinds[e.kind].concurrency:
+	case len(e.attempts) >= d.endpoints.kinds[e.kind].concurrency:
 		return "full of ours"
 	}
 	return "plain"
@@ -296,8 +296,8 @@
 		case Sleep:
 			if w.r.IntN(4) == 0 { // picked anew, or found to be as it was
 				w.rebuildSubset(w.now)
-				if want := w.scannedSlice(w.now); !slices.Equal(w.subset, want) {
-					w.t.Fatalf("seed %d, %v: a slice of %d, picked anew it has %d", w.seed, w.now, len(w.subset), len(want))
+				if want := w.scannedSlice(w.now); !slices.Equal(w.subset.members, want) {
+					w.t.Fatalf("seed %d, %v: a slice of %d, picked anew it has %d", w.seed, w.now, len(w.subset.members), len(want))
 				}
 			}
 			return
@@ -309,7 +309,7 @@
 // happen lets something happen.
 func (w *drawn) happen() {
 	var shots []*attempt
-	for _, e := range w.withTokens {
+	for _, e := range w.quota.executors {
 		shots = append(shots, e.attempts...)
 	}
 	var s *attempt
@@ -319,7 +319,7 @@
 	switch what := w.r.IntN(20); {
 	case what < 8:
 		w.jobs++
-		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Class: JobClassID(w.r.IntN(len(w.classes))), Tenant: -1,
+		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Class: JobClassID(w.r.IntN(len(w.classes.all))), Tenant: -1,
 			Budget: time.Duration(w.r.IntN(8000)) * time.Millisecond, ClientRetry: w.r.IntN(4) == 0}
 		if w.r.IntN(4) > 0 {
 			in.Work = time.Duration(1+w.r.IntN(600)) * time.Millisecond
@@ -364,16 +364,16 @@
 			w.UpdateEndpoints(w.now, CompleteUpdate, []Endpoint{w.entry(w.ids[0], true), w.entry(w.ids[len(w.ids)-1], true)})
 		}
 	case 3: // as another process of this node may tell
-		for _, s := range w.kindIndexes {
+		for _, s := range w.index.kinds {
 			s.stats.pace *= 0.6 + 0.8*w.r.Float64()
 		}
 	default:
-		for _, e := range w.withTokens {
-			for i := range e.freeTokens {
-				e.freeTokens[i] = w.now / 2
+		for _, e := range w.quota.executors {
+			for i := range e.tokens.free {
+				e.tokens.free[i] = w.now / 2
 			}
 			if w.r.IntN(2) == 0 {
-				e.runTimeSeen, e.workSeen, e.startWait = 0, 0, 0
+				e.estimate.runTime, e.estimate.work, e.estimate.startWait = 0, 0, 0
 			}
 			w.markDirty(e)
 		}
@@ -421,8 +421,8 @@
 	now := time.Second
 	for d.NextTask(now).Task != Sleep {
 	}
-	e := d.executorsByID["moves"]
-	e.freeTokens = nil
+	e := d.endpoints.byID["moves"]
+	e.tokens.free = nil
 	d.markDirty(e)
 	d.JobArrived(now, Arrival{Job: "j", Tenant: -1, Work: 100 * time.Millisecond, Budget: 5 * time.Second})
 	if got := d.pickExecutor(d.jobs["j"], now, false); got == nil || got.id != "far" {
@@ -560,12 +560,12 @@
 		for _, n := range [...]int{12, 3200} {
 			w := newSteady(n, c.load, c.perS)
 			w.run(2 * n)
-			looks, bounds, weighed, filed, from := w.visited, w.bounded, w.evaluated, w.reindexed, w.starts
+			looks, bounds, weighed, filed, from := w.index.visited, w.index.bounded, w.index.evaluated, w.index.reindexed, w.starts
 			w.run(2000)
 			starts := float64(w.starts - from)
-			per[n], steps = float64(w.visited-looks)/starts, float64(w.bounded-bounds)/starts
+			per[n], steps = float64(w.index.visited-looks)/starts, float64(w.index.bounded-bounds)/starts
 			t.Logf("%s, %d executors: %.1f looks for a start, %.1f of them in full, %.1f bounds of steps, %.1f filings", c.name, n, per[n],
-				float64(w.evaluated-weighed)/starts, float64(w.bounded-bounds)/starts, float64(w.reindexed-filed)/starts)
+				float64(w.index.evaluated-weighed)/starts, float64(w.index.bounded-bounds)/starts, float64(w.index.reindexed-filed)/starts)
 		}
 		if per[3200] > 1.3*per[12]+96 || steps > 256 {
 			t.Errorf("%s: %.1f looks for a start at 12 executors, %.1f at 3200, and %.1f at steps", c.name, per[12], per[3200], steps)
@@ -597,7 +597,7 @@
 				}
 				if to := d.Place(now, due.Job); to.Action == Send {
 					sent = append(sent, due.Job)
-					if len(d.executorsByID[to.Executor].attempts) == 1 { // it has a place only
+					if len(d.endpoints.byID[to.Executor].attempts) == 1 { // it has a place only
 						d.AttemptStarted(now, due.Job, 0)
 					}
 				}
@@ -607,14 +607,14 @@
 			d.JobArrived(now, Arrival{Job: JobID(fmt.Sprint("j", i)), Tenant: -1, Work: 4 * time.Second, Budget: 60 * time.Second})
 			settle()
 		}
-		if len(sent) != n || len(d.queue) != n {
-			t.Fatalf("%d executors: %d are out, %d held", n, len(sent), len(d.queue))
+		if len(sent) != n || len(d.queue.onTime) != n {
+			t.Fatalf("%d executors: %d are out, %d held", n, len(sent), len(d.queue.onTime))
 		}
 		now += time.Millisecond
-		weighed := d.evaluated
+		weighed := d.index.evaluated
 		d.AttemptEnded(now, sent[n/2], 0, Succeeded, true)
 		settle()
-		per[n] = d.evaluated - weighed
+		per[n] = d.index.evaluated - weighed
 		if t.Logf("%d executors: %d weighed when one is done", n, per[n]); len(sent) == n || len(sent) > n+2 {
 			t.Errorf("%d executors: %d were sent then", n, len(sent)-n)
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -66,108 +66,110 @@
 )
 
 // usesSubset says whether the nodes are so many that one can't use all executors: then it uses a part of them.
-func (d *Dispatcher) usesSubset() bool { return d.nodeCount >= subsetMinNodes }
+func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
 // ---- The list ----
 
 // spreadPolls lets many nodes ask one after another: the list's service doesn't grow with them. Until then the
 // copy at hand serves; the last asks while that still counts.
 func (d *Dispatcher) spreadPolls(within time.Duration) {
-	d.pollInterval = within / 8
+	d.poll.interval = within / 8
 	if d.usesSubset() {
-		d.pollAt = scaled(within/2, float64(d.nodeID)/float64(d.nodeCount))
+		d.poll.nextAt = scaled(within/2, float64(d.config.nodeID)/float64(d.config.nodeCount))
 	}
 }
 
 // UpdateEndpoints tells what discovery brought.
 func (d *Dispatcher) UpdateEndpoints(now time.Duration, what EndpointUpdateKind, entries []Endpoint) {
-	d.polling = false
+	d.poll.outstanding = false
 	if what == WatchFailed {
 		// Calls load a service that all nodes share: ask again after a spell that differs by node.
-		d.subscribed = false
-		d.pollAt = now + scaled(d.pollInterval, 0.5+d.random())
+		d.poll.watching = false
+		d.poll.nextAt = now + scaled(d.poll.interval, 0.5+d.rng.next())
 		return
 	}
-	d.subscribed = d.subscribed || what != CachedUpdate
-	d.listCount++
+	d.poll.watching = d.poll.watching || what != CachedUpdate
+	d.endpoints.updates++
 	for _, n := range entries {
 		d.updateEndpoint(now, n)
 	}
 	d.insertRanked()
 	d.dropRemoved(what != IncrementalUpdate)
-	d.subsetStale, d.subsetChanged, d.tokenFreed = true, true, true
+	d.subset.stale, d.subset.changed, d.queue.tokenFreed = true, true, true
 	d.updateZoneLoads(now)
 }
 
 func (d *Dispatcher) updateEndpoint(now time.Duration, n Endpoint) {
-	e := d.executorsByID[n.Executor]
+	e := d.endpoints.byID[n.Executor]
 	fresh := e == nil
 	if fresh {
-		e = &executor{id: n.Executor, started: n.StartedAt, lastSeen: now, rank: d.rankOf(n.Executor), subsetRank: -1}
+		e = &executor{id: n.Executor, started: n.StartedAt, rank: d.rankOf(n.Executor)}
+		e.health.lastSeen = now
+		e.indexed.subsetRank = -1
 		e.hash = ExecutorHash(crc32.ChecksumIEEE([]byte(n.Executor)))
-		e.leaseHolder = d.leaseHolderOf(e.hash)
+		e.lease.holder = d.leaseHolderOf(e.hash)
 		// The nodes that carry a cold executor follow its number: all reckon the same ones, without asking.
-		place := (int(d.nodeID) + d.nodeCount - int(e.hash%ExecutorHash(d.nodeCount))) % d.nodeCount
-		e.slowStartSender = place < d.slowStartSenders
-		d.unranked = append(d.unranked, e)
-		d.executorsByID[e.id], d.executorsByHash[e.hash] = e, e
+		place := (int(d.config.nodeID) + d.config.nodeCount - int(e.hash%ExecutorHash(d.config.nodeCount))) % d.config.nodeCount
+		e.slowStart.sender = place < d.slowStart.senders
+		d.endpoints.unranked = append(d.endpoints.unranked, e)
+		d.endpoints.byID[e.id], d.endpoints.byHash[e.hash] = e, e
 	}
 	d.markDirty(e)
-	d.rezoned = d.rezoned || e.subsetRank >= 0 && (e.zone != n.Zone || e.kind != n.Kind)
+	d.subset.rezoned = d.subset.rezoned || e.indexed.subsetRank >= 0 && (e.zone != n.Zone || e.kind != n.Kind)
 	d.addKind(n.Kind, max(n.Weight, 1e-3))
 	restarted := !n.StartedLongAgo && (fresh || n.StartedAt > e.started)
-	e.zone, e.kind, e.cell, e.listedIn = n.Zone, n.Kind, n.Cell, d.listCount
+	e.zone, e.kind, e.cell, e.listedIn = n.Zone, n.Kind, n.Cell, d.endpoints.updates
 	e.available, e.removed = n.State == Available, n.State == Removed
-	d.anyRemoved = d.anyRemoved || e.removed
+	d.endpoints.anyRemoved = d.endpoints.anyRemoved || e.removed
 	d.recordWeight(e, max(n.Weight, 1e-3))
 	if !restarted {
 		return
 	}
 	e.started = n.StartedAt
-	if until := n.StartedAt + d.slowStartDuration; until > now {
+	if until := n.StartedAt + d.slowStart.duration; until > now {
 		// A fresh executor can do part of its work only, and what we knew of it no longer holds.
-		if e.slowStartSender && now >= e.slowStartUntil {
-			d.slowStarting = append(d.slowStarting, e)
+		if e.slowStart.sender && now >= e.slowStart.until {
+			d.slowStart.executors = append(d.slowStart.executors, e)
 		}
-		e.slowStartUntil, e.inFlightCap, e.ejectedUntil, e.startWait, e.slowStartSpend = until, 1, 0, 0, e.slowStartSpend[:0]
+		e.slowStart.until, e.health.inFlightCap, e.health.ejectedUntil, e.estimate.startWait, e.slowStart.spent = until, 1, 0, 0, e.slowStart.spent[:0]
 	}
 }
 
 // rebuildSubset picks the executors that this node uses: where it can't use all, those that rank highest, in its
 // own zone and beyond it, for each bound kind. Guards against many nodes, whose least quotas add up to a jam.
 func (d *Dispatcher) rebuildSubset(now time.Duration) {
-	size := len(d.ranked)
-	if d.subsetStale = false; !d.subsetChanged && now < d.subsetValidUntil { // it would come out the same
+	size := len(d.endpoints.ranked)
+	if d.subset.stale = false; !d.subset.changed && now < d.subset.validUntil { // it would come out the same
 		return
 	}
-	d.lateSubsetSize = max(1, (lateSubsetSharers*size+d.nodeCount-1)/d.nodeCount)
+	d.subset.lateSize = max(1, (lateSubsetSharers*size+d.config.nodeCount-1)/d.config.nodeCount)
 	if d.usesSubset() {
-		size = max(minSubsetSize, (subsetSharers*size+d.nodeCount-1)/d.nodeCount)
-		if d.canLease {
+		size = max(minSubsetSize, (subsetSharers*size+d.config.nodeCount-1)/d.config.nodeCount)
+		if d.config.canLease {
 			size = max(size, 2*minSubsetSize)
 		}
 	}
 	was := d.beginSubset()
 	defer func() { d.finishSubset(was) }()
 	// Cold ones that this node carries stand beside the others, whatever their rank: they do part of their work.
-	d.slowStarting = slices.DeleteFunc(d.slowStarting, func(e *executor) bool { return e.removed || now >= e.slowStartUntil })
+	d.slowStart.executors = slices.DeleteFunc(d.slowStart.executors, func(e *executor) bool { return e.removed || now >= e.slowStart.until })
 	means := map[KindID]meanQuota{}
-	for _, e := range d.slowStarting {
+	for _, e := range d.slowStart.executors {
 		if d.limitSubsetValidity(e, now); d.isUsable(e, now) {
 			d.addToSubset(e, now, means)
 		}
 	}
-	counts := make([]int, 2*len(d.requiredKinds))
+	counts := make([]int, 2*len(d.classes.requiredKinds))
 	missing := len(counts)
-	for _, e := range d.ranked {
+	for _, e := range d.endpoints.ranked {
 		if missing == 0 {
 			break
 		}
 		near := false
 		d.limitSubsetValidity(e, now)
-		for i, need := range d.requiredKinds {
-			n := &counts[d.remoteSide(e)*len(d.requiredKinds)+i]
-			if now < e.slowStartUntil || !d.isUsable(e, now) || need != AnyKind && need != e.kind || *n >= size {
+		for i, need := range d.classes.requiredKinds {
+			n := &counts[d.remoteSide(e)*len(d.classes.requiredKinds)+i]
+			if now < e.slowStart.until || !d.isUsable(e, now) || need != AnyKind && need != e.kind || *n >= size {
 				continue
 			}
 			near = true
@@ -184,19 +186,19 @@
 // addToSubset takes an executor into the slice and gives it its first tokens: its slice's mean quota, or the
 // design's start. Their ages are strewn so that nodes don't start on the same one.
 func (d *Dispatcher) addToSubset(e *executor, now time.Duration, means map[KindID]meanQuota) {
-	d.subset = append(d.subset, e)
-	if e.quota > 0 {
+	d.subset.members = append(d.subset.members, e)
+	if e.tokens.quota > 0 {
 		return
 	}
 	d.meanQuotas(means)
 	m := means[e.kind]
-	e.quota = cmp.Or(e.inheritedQuota, m.of(initialQuota))
-	means[e.kind] = m.with(e.quota)
+	e.tokens.quota = cmp.Or(e.tokens.inheritedQuota, m.of(initialQuota))
+	means[e.kind] = m.with(e.tokens.quota)
 	d.addWithTokens(e)
-	for range e.quota {
-		e.freeTokens = append(e.freeTokens, now-scaled(d.quotaInterval, d.random()))
+	for range e.tokens.quota {
+		e.tokens.free = append(e.tokens.free, now-scaled(d.classes.quotaInterval, d.rng.next()))
 	}
-	slices.Sort(e.freeTokens)
+	slices.Sort(e.tokens.free)
 }
 
 // ---- What an executor can take ----
@@ -204,7 +206,7 @@
 // pace is the running time that e needs for a unit of work: what was seen, and what running batch jobs that
 // are over their time already show (guards against executors slowed or stalled since their last answer).
 func (d *Dispatcher) pace(e *executor, now time.Duration) float64 {
-	runs, works := e.runTimeSeen+d.kinds[e.kind].pace, e.workSeen+1
+	runs, works := e.estimate.runTime+d.endpoints.kinds[e.kind].pace, e.estimate.work+1
 	for _, j := range e.attempts {
 		if !j.running {
 			continue
@@ -224,13 +226,13 @@
 // expectedWait is how long a batch job sent to e now would wait there: what starts were seen to take, or, where
 // ours alone fill as many places as its kind was seen to have, until the first of those is done.
 func (d *Dispatcher) expectedWait(e *executor, pace float64, now time.Duration) time.Duration {
-	places := d.kinds[e.kind].concurrency
-	wait, first, queued := e.startWait, time.Duration(math.MaxInt64), time.Duration(0)
+	places := d.endpoints.kinds[e.kind].concurrency
+	wait, first, queued := e.estimate.startWait, time.Duration(math.MaxInt64), time.Duration(0)
 	for _, o := range e.attempts {
 		left := scaled(o.work, pace)
 		if !o.running {
 			queued += left
-			if out := now - o.sentAt; d.startNotices && out > e.startWait+d.checkInterval {
+			if out := now - o.sentAt; d.config.startNotices && out > e.estimate.startWait+d.classes.checkInterval {
 				// One of ours that has not begun there yet shows that the others have filled it.
 				wait = max(wait, out+left/time.Duration(places))
 			}
@@ -244,47 +246,47 @@
 		return wait
 	}
 	if first == math.MaxInt64 {
-		first = e.startWait
+		first = e.estimate.startWait
 	}
-	return max(e.startWait, first+queued/time.Duration(places))
+	return max(e.estimate.startWait, first+queued/time.Duration(places))
 }
 
 // isUsable says whether e takes anything new at all, free token or not.
 func (d *Dispatcher) isUsable(e *executor, now time.Duration) bool {
-	return e.available && !e.unresponsive && e.ejectedUntil <= now && (e.slowStartSender && now >= d.slowStartReservedUntil || now >= e.slowStartUntil)
+	return e.available && !e.health.unresponsive && e.health.ejectedUntil <= now && (e.slowStart.sender && now >= d.slowStart.reservedUntil || now >= e.slowStart.until)
 }
 
 // canAccept says whether e may take j now: a free token, the cap in flight and rule 4.
 func (d *Dispatcher) canAccept(e *executor, j *job, now time.Duration) bool {
-	return len(e.freeTokens) > 0 && (e.inFlightCap == 0 || e.takenTokens < e.inFlightCap) &&
-		(now >= e.slowStartUntil || d.withinSlowStartBudget(e, j, now))
+	return len(e.tokens.free) > 0 && (e.health.inFlightCap == 0 || e.tokens.taken < e.health.inFlightCap) &&
+		(now >= e.slowStart.until || d.withinSlowStartBudget(e, j, now))
 }
 
 // deriveSlowStart derives this node's part of the cold budget. Divided among many nodes it would be less than a
 // batch job: so the same few carry it all, as many as could each send something to one place of it.
 func (d *Dispatcher) deriveSlowStart(multiple float64) {
-	d.slowStartSenders = int(multiple * d.slowStartCapacity * d.overloadWindow.Seconds() / d.shortestObjective.Seconds())
-	d.slowStartSenders = max(1, min(d.slowStartSenders, d.nodeCount))
-	d.slowStartBudget = multiple * d.overloadWindow.Seconds() / float64(d.slowStartSenders)
+	d.slowStart.senders = int(multiple * d.slowStart.capacity * d.slowStart.overloadWindow.Seconds() / d.classes.shortestObjective.Seconds())
+	d.slowStart.senders = max(1, min(d.slowStart.senders, d.config.nodeCount))
+	d.slowStart.budget = multiple * d.slowStart.overloadWindow.Seconds() / float64(d.slowStart.senders)
 }
 
 // slowStartFraction is the least part of its work that e can do at its age, while it is cold.
 func (d *Dispatcher) slowStartFraction(e *executor, now time.Duration) float64 {
-	return d.slowStartCapacity + (1-d.slowStartCapacity)*min(1, max(0, float64(now-e.started)/float64(d.slowStartDuration)))
+	return d.slowStart.capacity + (1-d.slowStart.capacity)*min(1, max(0, float64(now-e.started)/float64(d.slowStart.duration)))
 }
 
 // withinSlowStartBudget is rule 4: this node's part of the budget of work for a cold executor, judged by what warm
 // executors of its kind take and the least it can do at its age.
 func (d *Dispatcher) withinSlowStartBudget(e *executor, j *job, now time.Duration) bool {
-	k := d.kinds[e.kind]
+	k := d.endpoints.kinds[e.kind]
 	// One that is smaller than its kind, or was slower before its start, takes less.
 	part := d.slowStartFraction(e, now) * min(1, max(e.size, e.weight)/k.size)
-	budget := d.slowStartBudget * part * k.safeSlots() / max(k.pace, d.pace(e, now))
-	if e.started < 0 && now < d.overloadWindow { // Guards against a process that starts again:
+	budget := d.slowStart.budget * part * k.safeSlots() / max(k.pace, d.pace(e, now))
+	if e.started < 0 && now < d.slowStart.overloadWindow { // Guards against a process that starts again:
 		budget *= unhintedMargin - 1 // the one before may have spent all but what the margin on work leaves over.
 	}
-	e.slowStartSpend = slices.DeleteFunc(e.slowStartSpend, func(s spend) bool { return s.at+d.overloadWindow <= now })
-	for _, s := range e.slowStartSpend {
+	e.slowStart.spent = slices.DeleteFunc(e.slowStart.spent, func(s spend) bool { return s.at+d.slowStart.overloadWindow <= now })
+	for _, s := range e.slowStart.spent {
 		budget -= s.work.Seconds()
 	}
 	return j.slowStartWork().Seconds() <= budget
@@ -315,7 +317,7 @@
 // retryAllowed is rule 2 for a further allocation.
 func (d *Dispatcher) retryAllowed(j *job, now time.Duration) bool {
 	return j.mayHaveRun == nil || j.class.idempotency == Idempotent ||
-		j.class.idempotency == IdempotentWithKey && now < j.mayHaveRun.sentAt+j.class.dedupWindow-d.quantum
+		j.class.idempotency == IdempotentWithKey && now < j.mayHaveRun.sentAt+j.class.dedupWindow-d.config.quantum
 }
 
 func (d *Dispatcher) isLate(j *job, now time.Duration) bool { return j.objectiveAt < now+j.work/2 }
@@ -324,9 +326,9 @@
 // of all earnings, and, in the track that fares worst, its part of that track's.
 func (d *Dispatcher) marginalValue(j *job) float64 {
 	e := d.valueOf(j)
-	v := d.totalWeight * e / d.meanValue
-	if j.class == d.worstClass {
-		v += d.worstClassWeight * e / d.worstClassUnitValue
+	v := d.config.totalWeight * e / d.values.mean
+	if j.class == d.values.worstClass {
+		v += d.config.worstClassWeight * e / d.values.worstClassUnit
 	}
 	return max(v*d.tenantFactor(j.tenant), 1e-9)
 }
@@ -334,7 +336,7 @@
 // crossZoneDelay is how long j waits for its own zone before another zone's tokens open to it: the part of its
 // slack that the price of crossing is of its value. Below its price it never crosses.
 func (d *Dispatcher) crossZoneDelay(j *job) time.Duration {
-	if part := d.crossZoneCost / d.marginalValue(j); part < 1 {
+	if part := d.config.crossZoneCost / d.marginalValue(j); part < 1 {
 		return scaled(max(0, j.objectiveAt-j.queuedAt-j.work), part)
 	}
 	return Forever / 4
@@ -344,8 +346,8 @@
 // together, each by a chance of its own, so that nodes don't turn with one list. Guards against a zone with
 // far more traffic than executors, where a token is always free.
 func (d *Dispatcher) crossesNow(j *job) bool {
-	return d.crossZoneCost > 0 && d.localLoad > 1 &&
-		j.crossChance < (d.localLoad-d.remoteLoad)/d.localLoad-d.crossZoneCost/d.marginalValue(j)
+	return d.config.crossZoneCost > 0 && d.zoneLoad.local > 1 &&
+		j.crossChance < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
 }
 
 // ---- Placing ----
@@ -353,9 +355,9 @@
 // JobArrived tells of a batch job that this node has taken. A work of 0 means that no hint came.
 func (d *Dispatcher) JobArrived(now time.Duration, in Arrival) {
 	d.beginTurn(now)
-	t := d.classes[min(max(0, int(in.Class)), len(d.classes)-1)]
+	t := d.classes.all[min(max(0, int(in.Class)), len(d.classes.all)-1)]
 	j := &job{id: in.Job, class: t, tenantID: in.Tenant, work: in.Work, hinted: in.Work > 0, predictionMargin: hintedMargin,
-		startMargin: 1, arrivedAt: now, deadlineAt: now + in.Budget, crossChance: d.random()}
+		startMargin: 1, arrivedAt: now, deadlineAt: now + in.Budget, crossChance: d.rng.next()}
 	if !j.hinted {
 		j.work, j.predictionMargin = t.meanWork, unhintedMargin
 	} else {
@@ -370,12 +372,12 @@
 	// clients lose patience early, and a try that can't be done by then is not to be sent.
 	t.fullBudget = max(t.fullBudget, in.Budget)
 	lacks, spent := t.fullBudget-in.Budget, time.Duration(0)
-	first := !in.ClientRetry && lacks > d.turnGap
-	t.recordArrival(lacks > d.quantum)
-	curt := d.clientsMarkRetries && (j.tenant.recordFirstTry(in.ClientRetry, first) > maxShortBudgetRatio || first)
+	first := !in.ClientRetry && lacks > d.clock.turnGap
+	t.recordArrival(lacks > d.config.quantum)
+	curt := d.config.clientsMarkRetries && (j.tenant.recordFirstTry(in.ClientRetry, first) > maxShortBudgetRatio || first)
 	switch {
-	case lacks <= d.quantum:
-	case !d.clientsMarkRetries && lacks > d.maxQueueTime(j)+d.retryAfter+max(0, d.stalledFor) && t.shortBudgets > minTenantArrivals+maxClientRetries*t.rejectedFirstTries:
+	case lacks <= d.config.quantum:
+	case !d.config.clientsMarkRetries && lacks > d.maxQueueTime(j)+d.config.retryAfter+max(0, d.clock.stalledFor) && t.shortBudgets > minTenantArrivals+maxClientRetries*t.rejectedFirstTries:
 		// One try before can't have spent so much, and more such come than were turned away: clients wait for less.
 	case !curt:
 		spent = max(0, t.deadline-in.Budget)
@@ -387,11 +389,11 @@
 	d.capToShutdown(j)
 	j.firstTry = spent == 0 && !in.ClientRetry
 	d.recordRequested(j, j.firstTry)
-	j.shed = d.reportsLoad && d.belowThreshold(j)
+	j.shed = d.shedding.reportsLoad && d.belowThreshold(j)
 	d.jobs[in.Job] = j
 	d.queueJob(j, now)
 	d.schedule(now, j, nil)
-	d.leaseWanted = true // it has its own look; of those held none can go that could not before
+	d.leases.wanted = true // it has its own look; of those held none can go that could not before
 }
 
 // maxQueueTime is how long a node keeps a batch job at most for want of a token, before its client may come again.
@@ -413,7 +415,7 @@
 		j.queuedAt = now
 	}
 	d.dequeue(j)
-	density := d.marginalValue(j) / j.work.Seconds() / d.meanDensity
+	density := d.marginalValue(j) / j.work.Seconds() / d.values.meanDensity
 	j.isQueued, j.queuedLate = true, slack < 0
 	if j.queuedLate {
 		slack = scaled(j.class.deadline, 1/max(j.class.lateValue, 1e-3))
@@ -436,8 +438,8 @@
 	}
 	d.queueJob(j, now)
 	// In the fleet's overload a further allocation of what never ran and is below the line by now is too much.
-	j.shed = j.shed || j.attemptCount > 0 && j.mayHaveRun == nil && d.threshold.Level > d.priorityLevel(j)
-	if j.shed || now >= j.deadlineAt-d.quantum || j.attemptCount >= j.class.maxAttempts || !d.retryAllowed(j, now) {
+	j.shed = j.shed || j.attemptCount > 0 && j.mayHaveRun == nil && d.shedding.threshold.Level > d.priorityLevel(j)
+	if j.shed || now >= j.deadlineAt-d.config.quantum || j.attemptCount >= j.class.maxAttempts || !d.retryAllowed(j, now) {
 		return d.rejectOrFail(j)
 	}
 	to, lastStart := d.pickExecutor(j, now, false), time.Duration(0)
@@ -452,15 +454,15 @@
 	if to != nil {
 		return d.dispatch(j, to, now)
 	}
-	d.queuedThisInterval = d.queuedThisInterval || !j.queuedLate
-	next := min(max(lastStart, now)+d.quantum, j.deadlineAt-d.quantum)
-	for _, turn := range [...]time.Duration{j.queuedAt + d.crossZoneDelay(j), j.objectiveAt - j.work + d.quantum} {
+	d.queue.usedThisInterval = d.queue.usedThisInterval || !j.queuedLate
+	next := min(max(lastStart, now)+d.config.quantum, j.deadlineAt-d.config.quantum)
+	for _, turn := range [...]time.Duration{j.queuedAt + d.crossZoneDelay(j), j.objectiveAt - j.work + d.config.quantum} {
 		if turn > now {
 			next = min(next, turn)
 		}
 	}
 	j.generation++
-	d.schedule(max(next, now+d.quantum), j, nil)
+	d.schedule(max(next, now+d.config.quantum), j, nil)
 	return Decision{Action: Enqueue}
 }
 
@@ -477,8 +479,8 @@
 // belowThreshold says whether j earns less for its work than the cut line: what the fleet has no capacity for.
 // Guards against low earners taken here while dearer ones find no token elsewhere.
 func (d *Dispatcher) belowThreshold(j *job) bool {
-	rung, line := d.recordOffered(j), d.threshold
-	marginal := rung == line.Level && !j.lowSlack && d.random() < line.AdmitFraction
+	rung, line := d.recordOffered(j), d.shedding.threshold
+	marginal := rung == line.Level && !j.lowSlack && d.rng.next() < line.AdmitFraction
 	return !d.recordAdmitted(j, line.Level == 0 || rung > line.Level || marginal)
 }
 
@@ -487,11 +489,11 @@
 	d.removeJob(j)
 	j.class.rejectedFirstTries += oneIf(j.firstTry)
 	if j.shed { // they come back at times of their own, not all together
-		return Decision{Action: Reject, RetryAfter: scaled(d.retryAfter, (1+d.random())/2)}
+		return Decision{Action: Reject, RetryAfter: scaled(d.config.retryAfter, (1+d.rng.next())/2)}
 	}
 	d.recordExpired(j)
 	if j.mayHaveRun == nil || j.class.idempotency == Idempotent || j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors {
-		return Decision{Action: Reject, RetryAfter: d.retryAfter}
+		return Decision{Action: Reject, RetryAfter: d.config.retryAfter}
 	}
 	return Decision{Action: Fail}
 }
@@ -536,13 +538,13 @@
 // tokenAge is that of e's oldest free token, or -1 where w's batch job may not take it now.
 func (d *Dispatcher) tokenAge(e *executor, w *query) float64 {
 	j, now := w.job, w.now
-	d.evaluated++
+	d.index.evaluated++
 	if !d.isUsable(e, now) || !d.isEligible(e, j, now) {
 		return -1
 	}
 	// Late ones must not fill the places of those still to come: they go where nothing of ours is out, and,
 	// where they may be held for long, where few nodes send theirs.
-	if w.late && (len(e.attempts) > 0 || j.class.lateValue > 0 && d.rankAmong(e, j) >= d.lateSubsetSize) {
+	if w.late && (len(e.attempts) > 0 || j.class.lateValue > 0 && d.rankAmong(e, j) >= d.subset.lateSize) {
 		return -1
 	}
 	if len(j.attempts) > 0 && j.attempts[0].executor == e || !d.leaseAllows(e, now, w.forLease) || !d.canAccept(e, j, now) {
@@ -558,7 +560,7 @@
 	if !w.late && now+scaled(queue+scaled(j.work, pace), j.predictionMargin) > j.objectiveAt {
 		return -1
 	}
-	return e.weight * float64(now-e.freeTokens[0]) / (pace * (d.shortestObjective + wait).Seconds())
+	return e.weight * float64(now-e.tokens.free[0]) / (pace * (d.classes.shortestObjective + wait).Seconds())
 }
 
 // ---- News of allocations ----
@@ -585,7 +587,7 @@
 		return Decision{}
 	}
 	j.generation++
-	d.leaseWanted = true
+	d.leases.wanted = true
 	return d.Place(now, id)
 }
 
@@ -604,19 +606,19 @@
 	case ExecutorFull, ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
 		if how == ExecutorFull {
 			// Full counts as queuing at the executor, unless only one tenant meets it.
-			e.fullForMany = e.fullForMany || e.sawFull && e.fullTenant != j.tenantID
-			e.sawFull, e.fullTenant, e.fullWait, j.startedLate = true, j.tenantID, e.fullWait+est, true
+			e.queuing.fullForMany = e.queuing.fullForMany || e.queuing.sawFull && e.queuing.fullTenant != j.tenantID
+			e.queuing.sawFull, e.queuing.fullTenant, e.queuing.fullWait, j.startedLate = true, j.tenantID, e.queuing.fullWait+est, true
 		}
-		if d.canProbe && (how == ConnectFailed || how == ConnectionLost) {
-			d.markUnresponsive(e, max(1, e.timeouts)) // until it answers
+		if d.config.canProbe && (how == ConnectFailed || how == ConnectionLost) {
+			d.markUnresponsive(e, max(1, e.health.timeouts)) // until it answers
 			d.requestProbe(e, now, 0)
 		}
 		// One may be the network's or the batch job's; a second, with no sign of life between, is the executor's.
-		if how == ExecutorError || e.suspect && (how != ExecutorFull || j.tenant == nil || e.fullForMany) {
+		if how == ExecutorError || e.health.suspect && (how != ExecutorFull || j.tenant == nil || e.queuing.fullForMany) {
 			d.eject(e, now, "after an outcome that was no result")
-			e.consecutiveErrors += int(oneIf(how == ExecutorError))
+			e.health.consecutiveErrors += int(oneIf(how == ExecutorError))
 		}
-		e.suspect = true
+		e.health.suspect = true
 	case TimedOut, Canceled:
 		if j.shortBudget && how == TimedOut {
 			j.tenant.budgetMargin = min(j.tenant.budgetMargin+4*budgetMarginStep, 1.5)
@@ -627,7 +629,7 @@
 			begun = j.startedAt
 		} else {
 			d.returnLease(e, now, true)
-			if d.startNotices {
+			if d.config.startNotices {
 				d.recordZoneWait(e, d.elapsed(j))
 			}
 		}
@@ -636,8 +638,8 @@
 	}
 	if how == ExecutorFull { // guards against a token that is turned away again and again, in overload by the hundred
 		d.returnLease(e, now, true)
-		e.rejections++
-		d.schedule(now+scaled(est, fullTokenRest*float64(e.rejections)), nil, e)
+		e.health.rejections++
+		d.schedule(now+scaled(est, fullTokenRest*float64(e.health.rejections)), nil, e)
 		return
 	}
 	d.releaseToken(e, now, j.startedLate)
@@ -649,9 +651,9 @@
 		j.tenant.budgetMargin = max(j.tenant.budgetMargin-budgetMarginStep, 0)
 	}
 	d.recordCompletion(j, now)
-	if e.inFlightCap > 0 {
-		if e.inFlightCap++; e.inFlightCap > e.quota {
-			e.inFlightCap = 0
+	if e.health.inFlightCap > 0 {
+		if e.health.inFlightCap++; e.health.inFlightCap > e.tokens.quota {
+			e.health.inFlightCap = 0
 		}
 	}
 	ran := now - j.startedAt
@@ -659,7 +661,7 @@
 		// Without start notices: latency against what the pace foretells.
 		ran = min(d.elapsed(j), scaled(j.work, d.pace(e, now)))
 		if !j.hinted { // of what waiting does not explain half is running time, or a low guess would never rise
-			ran += max(0, d.elapsed(j)-ran-e.startWait) / 2
+			ran += max(0, d.elapsed(j)-ran-e.estimate.startWait) / 2
 		}
 		d.recordStartWait(e, j, d.elapsed(j)-ran)
 		j.startedLate = d.elapsed(j) > scaled(ran, waitedFactor) // hints are rough
@@ -670,66 +672,66 @@
 // eject holds an executor's tokens back for as long as a batch job takes: a quick error frees a token at
 // once and would draw more. After that it is tried with one in flight.
 func (d *Dispatcher) eject(e *executor, now time.Duration, why string) {
-	if e.ejectedUntil > now {
+	if e.health.ejectedUntil > now {
 		return
 	}
-	span := d.longestMeanWork() * time.Duration(max(1+e.timeouts, min(1<<min(e.consecutiveErrors, maxBackoffFactor), maxBackoffFactor)))
-	if e.inFlightCap == 0 {
+	span := d.longestMeanWork() * time.Duration(max(1+e.health.timeouts, min(1<<min(e.health.consecutiveErrors, maxBackoffFactor), maxBackoffFactor)))
+	if e.health.inFlightCap == 0 {
 		d.logf("%s held back for %v %s", e.id, span.Round(time.Millisecond), why)
 	}
-	e.ejectedUntil, e.inFlightCap = now+span, 1
-	d.subsetStale, d.subsetChanged = true, true
+	e.health.ejectedUntil, e.health.inFlightCap = now+span, 1
+	d.subset.stale, d.subset.changed = true, true
 	d.markDirty(e)
-	d.schedule(e.ejectedUntil, nil, nil)
+	d.schedule(e.health.ejectedUntil, nil, nil)
 }
 
 // shouldCancel says whether to stop waiting for an allocation: the client has left, it has not started and another
 // token is open to it, or the executor crawls and another token would answer sooner.
 func (d *Dispatcher) shouldCancel(j *attempt, now time.Duration) bool {
-	if j.canceling || !d.canCancel {
+	if j.canceling || !d.config.canCancel {
 		return false
 	}
 	e := j.executor
-	quiet := scaled(j.work, d.kinds[e.kind].pace)
+	quiet := scaled(j.work, d.endpoints.kinds[e.kind].pace)
 	if !j.running { // how long it is left there anyway, where moves have a budget
-		quiet = max(quiet, scaled(j.objectiveAt-j.sentAt-j.work, d.threshold.MigrationDelay))
+		quiet = max(quiet, scaled(j.objectiveAt-j.sentAt-j.work, d.shedding.threshold.MigrationDelay))
 	}
-	if !e.unresponsive && now-max(e.lastSeen, j.sentAt) > quiet {
-		d.requestProbe(e, now, d.shortestObjective)
+	if !e.health.unresponsive && now-max(e.health.lastSeen, j.sentAt) > quiet {
+		d.requestProbe(e, now, d.classes.shortestObjective)
 	}
 	if j.finished {
 		return !j.running || j.class.idempotency == Idempotent // it may be stopped at no cost
 	}
-	usual, left := d.kinds[e.kind].pace, time.Duration(0)
+	usual, left := d.endpoints.kinds[e.kind].pace, time.Duration(0)
 	if j.running { // it can't crawl sooner
 		left = scaled(j.work, slowProgressFactor*usual) - (now - j.startedAt)
 	}
-	d.scheduleCheck(now+max(left, d.checkInterval), j)
-	pace := (e.runTimeSeen + usual) / (e.workSeen + 1)
+	d.scheduleCheck(now+max(left, d.classes.checkInterval), j)
+	pace := (e.estimate.runTime + usual) / (e.estimate.work + 1)
 	if j.hinted { // without a hint, its own long run tells nothing of the executor
 		pace = d.pace(e, now)
 	}
-	crawls := (e.ejectedUntil > now || j.tokenReleased || pace >= slowProgressFactor*usual) && left < 0 || e.unresponsive
-	begun, repeatable := j.running || !d.startNotices, j.class.idempotency == Idempotent
-	if repeatable && (e.unresponsive || !begun) && j.class.lateValue == 0 && now > j.objectiveAt-scaled(j.work, pace) {
+	crawls := (e.health.ejectedUntil > now || j.tokenReleased || pace >= slowProgressFactor*usual) && left < 0 || e.health.unresponsive
+	begun, repeatable := j.running || !d.config.startNotices, j.class.idempotency == Idempotent
+	if repeatable && (e.health.unresponsive || !begun) && j.class.lateValue == 0 && now > j.objectiveAt-scaled(j.work, pace) {
 		return true // it can earn nothing more
 	}
 	if j.attemptCount >= j.class.maxAttempts || len(j.job.attempts) > 1 || begun && !crawls {
 		return false
 	}
-	if begun && repeatable && d.canHedge {
+	if begun && repeatable && d.config.canHedge {
 		if !j.hedgeWanted && d.wantsHedge(j.job, now) {
-			j.hedgeWanted, d.tokenFreed, d.leaseWanted, d.hedgeQueue = true, true, true, append(d.hedgeQueue, j.job)
+			j.hedgeWanted, d.queue.tokenFreed, d.leases.wanted, d.queue.hedges = true, true, true, append(d.queue.hedges, j.job)
 		}
 		return false
 	}
 	to := d.migrationTarget(j, now)
-	if to != nil && !j.running && !e.unresponsive && e.ejectedUntil <= now {
+	if to != nil && !j.running && !e.health.unresponsive && e.health.ejectedUntil <= now {
 		// Where nodes talk, more moves than their budget wait for some of their slack: most start by themselves.
 		d.countMigration(j)
 		slack := j.objectiveAt - j.sentAt - scaled(j.work, pace)
-		blind := oneIf(!d.loadAdjustedWeights && d.kinds[to.kind].reportedSlots == 0) // nothing tells that another has less to do
-		from := j.sentAt + max(scaled(slack, d.threshold.MigrationDelay), scaled(d.longestMeanWork(), pace*blind))
+		blind := oneIf(!d.config.loadAdjustedWeights && d.endpoints.kinds[to.kind].reportedSlots == 0) // nothing tells that another has less to do
+		from := j.sentAt + max(scaled(slack, d.shedding.threshold.MigrationDelay), scaled(d.longestMeanWork(), pace*blind))
 		if now < from {
 			d.scheduleCheck(from, j)
 			return false
@@ -737,7 +739,7 @@
 	}
 	if to == nil || !j.running {
 		// A move pays the price of crossing again, so it must be small change.
-		return to != nil && (d.remoteSide(to) == 0 || d.crossZoneCost < maxMigrationCost*d.marginalValue(j.job))
+		return to != nil && (d.remoteSide(to) == 0 || d.config.crossZoneCost < maxMigrationCost*d.marginalValue(j.job))
 	}
 	left = now - j.startedAt
 	if j.progress > 0.02 {
@@ -748,8 +750,8 @@
 
 // wantsHedge says whether a second allocation of j may still earn something.
 func (d *Dispatcher) wantsHedge(j *job, now time.Duration) bool {
-	return !j.finished && len(j.attempts) == 1 && j.attemptCount < j.class.maxAttempts && d.threshold.Level == 0 &&
-		now < j.deadlineAt-d.quantum && (!d.isLate(j, now) || j.class.lateValue > 0)
+	return !j.finished && len(j.attempts) == 1 && j.attemptCount < j.class.maxAttempts && d.shedding.threshold.Level == 0 &&
+		now < j.deadlineAt-d.config.quantum && (!d.isLate(j, now) || j.class.lateValue > 0)
 }
 
 // migrationTarget is the executor that j would go to if it were stopped now, as one that may have run.
@@ -767,44 +769,44 @@
 // token there is used, and given back with it. A keeper that does not answer is done without for a while.
 
 func (d *Dispatcher) leaseHolderOf(sum ExecutorHash) NodeID {
-	return NodeID(sum % ExecutorHash(d.nodeCount))
+	return NodeID(sum % ExecutorHash(d.config.nodeCount))
 }
 
 // leaseAllows says whether e's keeper has given a place there, or, asking, may be asked for one.
 func (d *Dispatcher) leaseAllows(e *executor, now time.Duration, asking bool) bool {
 	switch {
-	case !d.canLease || !d.usesSubset():
+	case !d.config.canLease || !d.usesSubset():
 		return !asking
 	case asking:
-		return !e.leaseGranted && !e.leaseRequested && e.leaseBypassUntil <= now
+		return !e.lease.granted && !e.lease.requested && e.lease.bypassUntil <= now
 	}
-	return e.leaseGranted || e.leaseBypassUntil > now
+	return e.lease.granted || e.lease.bypassUntil > now
 }
 
 // exchangeLeases gives back places that nothing wants any more, and asks for one for each batch job that waits.
 func (d *Dispatcher) exchangeLeases(now time.Duration) {
-	for _, e := range d.grantedTo {
-		if e.leaseGranted {
-			e.leaseGranted = false
+	for _, e := range d.leases.unused {
+		if e.lease.granted {
+			e.lease.granted = false
 			d.markDirty(e)
-			d.sendLease(now, e.leaseHolder, LeaseReturn, e.hash)
+			d.sendLease(now, e.lease.holder, LeaseReturn, e.hash)
 		}
 	}
-	d.grantedTo = d.grantedTo[:0]
+	d.leases.unused = d.leases.unused[:0]
 	for _, e := range d.pendingLeaseRequests() {
-		if e.subsetRank >= 0 && e.leaseQueued && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) == 0 {
-			e.leaseRequested = false
+		if e.indexed.subsetRank >= 0 && e.lease.queued && len(d.queue.onTime)+len(d.queue.late)+len(d.queue.hedges) == 0 {
+			e.lease.requested = false
 			d.markDirty(e)
-			d.sendLease(now, e.leaseHolder, LeaseCancel, e.hash)
+			d.sendLease(now, e.lease.holder, LeaseCancel, e.hash)
 		}
 	}
-	if !d.leaseWanted || !d.canLease || !d.usesSubset() {
+	if !d.leases.wanted || !d.config.canLease || !d.usesSubset() {
 		return
 	}
-	d.leaseWanted = false
-	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
-		for _, j := range list[:min(len(list), len(d.subset))] {
-			if j.leaseRequestedFrom == nil || !j.leaseRequestedFrom.leaseRequested || j.leaseRequestedFrom.leaseQueued {
+	d.leases.wanted = false
+	for _, list := range [...][]*job{d.queue.onTime, d.queue.late, d.queue.hedges} {
+		for _, j := range list[:min(len(list), len(d.subset.members))] {
+			if j.leaseRequestedFrom == nil || !j.leaseRequestedFrom.lease.requested || j.leaseRequestedFrom.lease.queued {
 				d.requestLease(j, d.pickExecutor(j, now, true), now)
 			}
 		}
@@ -814,45 +816,45 @@
 func (d *Dispatcher) requestLease(j *job, e *executor, now time.Duration) {
 	if e == nil {
 		return
-	} else if now >= e.primaryRetryAt && e.leasesHeld == 0 {
-		e.leaseHolder = d.leaseHolderOf(e.hash)
+	} else if now >= e.lease.primaryRetryAt && e.lease.held == 0 {
+		e.lease.holder = d.leaseHolderOf(e.hash)
 	}
-	j.leaseRequestedFrom, e.leaseRequested, e.leaseQueued, e.leaseRequestedAt = e, true, false, now
+	j.leaseRequestedFrom, e.lease.requested, e.lease.queued, e.lease.requestedAt = e, true, false, now
 	d.addLeaseRequest(e)
-	d.schedule(now+d.shortestObjective/4, nil, nil)
+	d.schedule(now+d.classes.shortestObjective/4, nil, nil)
 	word := LeaseRequest
 	if d.isLate(j, now) {
 		word = LeaseRequestLate
 	}
-	d.sendLease(now, e.leaseHolder, word, e.hash)
+	d.sendLease(now, e.lease.holder, word, e.hash)
 }
 
 // checkUnanswered finds the executors and keepers that have not answered. A silent executor is asked again, the
 // more rarely the longer; for a keeper the next node in line stands in, then none does.
 func (d *Dispatcher) checkUnanswered(now time.Duration) {
 	for _, e := range d.awaitingReplies() {
-		if e.tokenOrder == 0 {
+		if e.tokens.joined == 0 {
 			continue
-		} else if e.probeOut && now-e.probedAt-d.stalledFor >= d.shortestObjective {
-			if e.probeOut = false; !e.unresponsive {
+		} else if e.health.probeOut && now-e.health.probedAt-d.clock.stalledFor >= d.classes.shortestObjective {
+			if e.health.probeOut = false; !e.health.unresponsive {
 				d.logf("%s held back until it answers a probe", e.id)
 			}
-			d.markUnresponsive(e, min(e.timeouts+1, maxBackoffFactor))
-			d.schedule(now+d.longestMeanWork()*time.Duration(e.timeouts), nil, nil)
-		} else if e.unresponsive {
-			d.requestProbe(e, now, d.longestMeanWork()*time.Duration(e.timeouts))
+			d.markUnresponsive(e, min(e.health.timeouts+1, maxBackoffFactor))
+			d.schedule(now+d.longestMeanWork()*time.Duration(e.health.timeouts), nil, nil)
+		} else if e.health.unresponsive {
+			d.requestProbe(e, now, d.longestMeanWork()*time.Duration(e.health.timeouts))
 		}
 	}
 	for _, e := range d.pendingLeaseRequests() {
-		if e.subsetRank < 0 || e.leaseQueued || now-e.leaseRequestedAt < d.shortestObjective/4 {
+		if e.indexed.subsetRank < 0 || e.lease.queued || now-e.lease.requestedAt < d.classes.shortestObjective/4 {
 			continue
 		}
-		e.leaseRequested, e.leasesHeld = false, 0
+		e.lease.requested, e.lease.held = false, 0
 		d.markDirty(e)
-		if first := d.leaseHolderOf(e.hash); e.leaseHolder == first {
-			e.leaseHolder, e.primaryRetryAt = d.leaseHolderOf((e.hash^e.hash>>16)*0x9e3779b1>>8), now+2*d.quotaInterval
+		if first := d.leaseHolderOf(e.hash); e.lease.holder == first {
+			e.lease.holder, e.lease.primaryRetryAt = d.leaseHolderOf((e.hash^e.hash>>16)*0x9e3779b1>>8), now+2*d.classes.quotaInterval
 		} else {
-			e.leaseBypassUntil = now + d.quotaInterval
+			e.lease.bypassUntil = now + d.classes.quotaInterval
 		}
 	}
 }
@@ -861,18 +863,18 @@
 func (d *Dispatcher) ReceiveLeaseMessage(now time.Duration, from NodeID, word LeaseMessage, sum ExecutorHash) {
 	switch word {
 	case LeaseGrant, LeaseWait:
-		e := d.executorsByHash[sum]
-		if e == nil || !e.leaseRequested || e.leaseHolder != from {
+		e := d.endpoints.byHash[sum]
+		if e == nil || !e.lease.requested || e.lease.holder != from {
 			if word == LeaseGrant {
 				d.sendLease(now, from, LeaseReturn, sum)
 			}
 			return
 		}
-		d.tokenFreed, d.leaseWanted, e.leaseQueued = true, true, word == LeaseWait
+		d.queue.tokenFreed, d.leases.wanted, e.lease.queued = true, true, word == LeaseWait
 		if word == LeaseGrant {
-			e.leaseRequested, e.leaseGranted = false, true
+			e.lease.requested, e.lease.granted = false, true
 			d.markDirty(e)
-			d.grantedTo = append(d.grantedTo, e)
+			d.leases.unused = append(d.leases.unused, e)
 		}
 	case LeaseRequest, LeaseRequestLate:
 		k := d.ledgerFor(sum)
@@ -880,8 +882,8 @@
 		if d.grantLeases(k, k.quota, now); k.isWaiting(from) {
 			k.shortage = true
 			d.sendLease(now, from, LeaseWait, sum)
-			if e := d.executorsByHash[sum]; e != nil {
-				d.requestProbe(e, now, d.shortestObjective)
+			if e := d.endpoints.byHash[sum]; e != nil {
+				d.requestProbe(e, now, d.classes.shortestObjective)
 			}
 		}
 	case LeaseCancel:
@@ -900,20 +902,20 @@
 	for len(k.waiting)+len(k.waitingLate) > 0 && len(k.granted) < most {
 		to := k.popWaiting()
 		k.grantedAt = now
-		k.granted = append(k.granted, lease{to, now + 2*d.quotaInterval})
+		k.granted = append(k.granted, lease{to, now + 2*d.classes.quotaInterval})
 		d.sendLease(now, to, LeaseGrant, k.hash)
 	}
 }
 
 // adjustLeaseQuotas is the design's single step for the places that this node keeps.
 func (d *Dispatcher) adjustLeaseQuotas(now time.Duration) {
-	for _, k := range d.ledgerList {
+	for _, k := range d.leases.ledgerList {
 		k.cooldown--
 		switch r := float64(k.lateStarts) / max(float64(k.returns), 1); {
 		case r > executorQueuingThreshold && k.quota > 1:
 			k.quota--
 			k.cooldown = leaseQuotaCooldown
-		case r < maxLateStarts && k.shortage && k.quota < maxQuota && k.cooldown <= 0 && (!d.canProbe || k.spareSeen):
+		case r < maxLateStarts && k.shortage && k.quota < maxQuota && k.cooldown <= 0 && (!d.config.canProbe || k.spareSeen):
 			k.quota++
 		}
 		k.lateStarts, k.returns, k.shortage, k.spareSeen = 0, 0, len(k.waiting) > 0, false
@@ -925,38 +927,38 @@
 
 func (d *Dispatcher) onInterval(now time.Duration) {
 	d.dropRemovedWithTokens()
-	for _, e := range d.withTokens {
+	for _, e := range d.quota.executors {
 		d.markDirty(e) // what was seen grows old
 		for _, j := range e.attempts {
-			if !j.running && d.startNotices {
-				e.executorWait += max(0, now-max(j.sentAt, now-d.quotaInterval)-d.quantum)
+			if !j.running && d.config.startNotices {
+				e.queuing.atExecutor += max(0, now-max(j.sentAt, now-d.classes.quotaInterval)-d.config.quantum)
 			}
 		}
-		if e.fullForMany || e.sawFull && !e.startedOthers {
-			e.executorWait += e.fullWait
-			e.overTarget = true
+		if e.queuing.fullForMany || e.queuing.sawFull && !e.queuing.startedOthers {
+			e.queuing.atExecutor += e.queuing.fullWait
+			e.queuing.overTarget = true
 		}
 		d.adjustQuota(e, now)
 		d.detectSilence(e, now)
 		e.decay()
-		e.leaseRequested = e.leaseRequested && now-e.leaseRequestedAt <= d.quotaInterval
+		e.lease.requested = e.lease.requested && now-e.lease.requestedAt <= d.classes.quotaInterval
 	}
 	d.adjustLeaseQuotas(now)
 	d.resetMaxConcurrency()
-	d.queuedThisInterval, d.tokenFreed, d.subsetStale, d.leaseWanted = len(d.queue) > 0, true, true, true
+	d.queue.usedThisInterval, d.queue.tokenFreed, d.subset.stale, d.leases.wanted = len(d.queue.onTime) > 0, true, true, true
 	d.decayAverages()
 }
 
 // adjustQuota is the design's single step.
 func (d *Dispatcher) adjustQuota(e *executor, now time.Duration) {
 	r := 0.0
-	if sum := e.executorWait + e.queueWait; sum > 0 {
-		r = float64(e.executorWait) / float64(sum)
+	if sum := e.queuing.atExecutor + e.queuing.here; sum > 0 {
+		r = float64(e.queuing.atExecutor) / float64(sum)
 	}
 	switch {
-	case e.overTarget && r > executorQueuingThreshold && (!d.queuedThisInterval || r > emptyQueueThreshold) && e.quota > 1:
+	case e.queuing.overTarget && r > executorQueuingThreshold && (!d.queue.usedThisInterval || r > emptyQueueThreshold) && e.tokens.quota > 1:
 		d.stepQuota(e, -1, now)
-	case d.queuedThisInterval && e.outOfTokens && r < executorQueuingThreshold && e.quota < maxQuota:
+	case d.queue.usedThisInterval && e.queuing.outOfTokens && r < executorQueuingThreshold && e.tokens.quota < maxQuota:
 		d.stepQuota(e, 1, now)
 	}
 }
@@ -968,16 +970,16 @@
 	if len(e.attempts) == 0 || !e.available {
 		return
 	}
-	pace := (e.runTimeSeen + d.kinds[e.kind].pace) / (e.workSeen + 1)
-	span := 2*scaled(e.longestWork(), pace) + 2*e.startWait + d.shortestObjective
-	if now-e.lastSeen > span && e.ejectedUntil <= now {
-		d.eject(e, now, fmt.Sprintf("after silence of %v", (now-e.lastSeen).Round(time.Millisecond)))
-		e.timeouts++ // each try costs a batch job: the next comes later
+	pace := (e.estimate.runTime + d.endpoints.kinds[e.kind].pace) / (e.estimate.work + 1)
+	span := 2*scaled(e.longestWork(), pace) + 2*e.estimate.startWait + d.classes.shortestObjective
+	if now-e.health.lastSeen > span && e.health.ejectedUntil <= now {
+		d.eject(e, now, fmt.Sprintf("after silence of %v", (now-e.health.lastSeen).Round(time.Millisecond)))
+		e.health.timeouts++ // each try costs a batch job: the next comes later
 	}
 	// Where its executor was held back one missing notice is enough, or the next try would find no token free.
-	notices := d.progressInterval * time.Duration(2-min(e.timeouts, 1))
+	notices := d.config.progressInterval * time.Duration(2-min(e.health.timeouts, 1))
 	e.attempts = slices.DeleteFunc(e.attempts, func(j *attempt) bool {
-		j.tokenReleased = d.progressInterval > 0 && now-max(j.sentAt, j.progressAt) > max(span, notices)
+		j.tokenReleased = d.config.progressInterval > 0 && now-max(j.sentAt, j.progressAt) > max(span, notices)
 		if j.tokenReleased {
 			d.releaseToken(e, now, true)
 		}
@@ -990,20 +992,20 @@
 // NextTask says what has fallen due, or until when nothing will.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.beginTurn(now)
-	for now >= d.intervalEnd {
-		d.intervalEnd += d.quotaInterval
+	for now >= d.quota.intervalEnd {
+		d.quota.intervalEnd += d.classes.quotaInterval
 		d.onInterval(now)
 	}
-	mustSubscribe := d.polled && !d.subscribed && !d.polling
-	if mustSubscribe && now >= d.pollAt {
-		d.polling = true
+	mustSubscribe := d.config.endpointsPolled && !d.poll.watching && !d.poll.outstanding
+	if mustSubscribe && now >= d.poll.nextAt {
+		d.poll.outstanding = true
 		return DueTask{Task: WatchEndpoints}
 	}
 	if j := d.nextPlaceable(now); j != nil {
 		return DueTask{Task: PlaceJob, Job: j.id}
 	}
-	for len(d.timers) > 0 && d.timers[0].at <= now {
-		it := heap.Pop(&d.timers).(timer)
+	for len(d.timers.heap) > 0 && d.timers.heap[0].at <= now {
+		it := heap.Pop(&d.timers.heap).(timer)
 		j, s := it.job, it.attempt
 		switch {
 		case it.tokenOf != nil:
@@ -1015,7 +1017,7 @@
 			return DueTask{Task: PlaceJob, Job: j.id}
 		case s == nil && j == nil:
 			d.checkUnanswered(now)
-			d.subsetStale, d.tokenFreed, d.leaseWanted = true, true, true
+			d.subset.stale, d.queue.tokenFreed, d.leases.wanted = true, true, true
 		}
 	}
 	if j := d.nextPlaceable(now); j != nil {
@@ -1027,30 +1029,30 @@
 		d.outbox = d.outbox[1:]
 		return w
 	}
-	at := d.intervalEnd
-	if len(d.timers) > 0 {
-		at = min(at, d.timers[0].at)
+	at := d.quota.intervalEnd
+	if len(d.timers.heap) > 0 {
+		at = min(at, d.timers.heap[0].at)
 	}
 	if mustSubscribe {
-		at = min(at, d.pollAt)
+		at = min(at, d.poll.nextAt)
 	}
-	d.wakeAt = at
+	d.clock.wakeAt = at
 	return DueTask{At: at}
 }
 
 // nextPlaceable is the first in the release order that a free token is open to, copies last. It is asked once after
 // each change that may have opened a token, and looks at no more batch jobs than the slice has tokens for.
 func (d *Dispatcher) nextPlaceable(now time.Duration) *job {
-	if d.subsetStale {
+	if d.subset.stale {
 		d.rebuildSubset(now)
 	}
-	d.hedgeQueue = slices.DeleteFunc(d.hedgeQueue, func(j *job) bool {
+	d.queue.hedges = slices.DeleteFunc(d.queue.hedges, func(j *job) bool {
 		j.hedgeWanted = d.wantsHedge(j, now)
 		return !j.hedgeWanted
 	})
-	d.tokenFreed = d.tokenFreed && len(d.queue)+len(d.lateQueue)+len(d.hedgeQueue) > 0 && d.anyTokenOpen(now)
-	for _, list := range [...][]*job{d.queue, d.lateQueue, d.hedgeQueue} {
-		list = list[:min(len(list), int(oneIf(d.tokenFreed))*2*len(d.subset))]
+	d.queue.tokenFreed = d.queue.tokenFreed && len(d.queue.onTime)+len(d.queue.late)+len(d.queue.hedges) > 0 && d.anyTokenOpen(now)
+	for _, list := range [...][]*job{d.queue.onTime, d.queue.late, d.queue.hedges} {
+		list = list[:min(len(list), int(oneIf(d.queue.tokenFreed))*2*len(d.subset.members))]
 		d.findCandidates(list, now)
 		for _, j := range list {
 			if d.mayBePlaced(j, now) && d.pickExecutor(j, now, false) != nil {
@@ -1058,6 +1060,6 @@
 			}
 		}
 	}
-	d.tokenFreed = false
+	d.queue.tokenFreed = false
 	return nil
 }
--- a/policy/takers.go
+++ b/policy/takers.go
@@ -34,7 +34,7 @@
 
 // findCandidates finds them for a list of held batch jobs, where they are many.
 func (d *Dispatcher) findCandidates(list []*job, now time.Duration) {
-	d.classCandidates = d.classCandidates[:0]
+	d.index.classCandidates = d.index.classCandidates[:0]
 	if len(list) > minQueuedForGrouping {
 		d.groupByClass(list, now)
 	}
@@ -50,11 +50,11 @@
 			t.widen(j)
 			continue
 		}
-		d.classCandidates = append(d.classCandidates, classCandidates{class: j.class, late: late,
+		d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late,
 			easiest: job{class: j.class, work: j.work, hinted: j.hinted, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}})
 	}
-	for i := range d.classCandidates {
-		d.findForClass(&d.classCandidates[i], now)
+	for i := range d.index.classCandidates {
+		d.findForClass(&d.index.classCandidates[i], now)
 	}
 }
 
@@ -77,8 +77,8 @@
 }
 
 func (d *Dispatcher) candidatesOf(track *jobClass, late bool) *classCandidates {
-	for i := range d.classCandidates {
-		if t := &d.classCandidates[i]; t.class == track && t.late == late {
+	for i := range d.index.classCandidates {
+		if t := &d.index.classCandidates[i]; t.class == track && t.late == late {
 			return t
 		}
 	}
@@ -87,7 +87,7 @@
 
 // mayBePlaced says whether pick may find something for j, of the list that takers were found for last: where it says no, it finds nothing.
 func (d *Dispatcher) mayBePlaced(j *job, now time.Duration) bool {
-	if len(d.classCandidates) == 0 || d.isSingular(j) {
+	if len(d.index.classCandidates) == 0 || d.isSingular(j) {
 		return true
 	}
 	w := query{job: j, now: now, late: d.isLate(j, now)}
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -244,16 +244,16 @@
 	case "closing":
 		p.d.ShutDownBy(now, golden.Span(p.t, words[0]))
 	case "quotas":
-		for _, e := range p.d.withTokens {
-			p.say(now, "%s has a quota of %d", e.id, e.quota)
+		for _, e := range p.d.quota.executors {
+			p.say(now, "%s has a quota of %d", e.id, e.tokens.quota)
 		}
 	case "paces":
-		for _, e := range p.d.withTokens {
-			p.say(now, "%s has a pace of %.2f, its kind of %.2f", e.id, p.d.pace(e, now), p.d.kinds[e.kind].pace)
+		for _, e := range p.d.quota.executors {
+			p.say(now, "%s has a pace of %.2f, its kind of %.2f", e.id, p.d.pace(e, now), p.d.endpoints.kinds[e.kind].pace)
 		}
 	case "slice":
 		names := []string{}
-		for _, e := range p.d.subset {
+		for _, e := range p.d.subset.members {
 			names = append(names, string(e.id))
 		}
 		p.say(now, "the slice is %s", strings.Join(names, " "))
