--- a/policy/setup.go
+++ b/policy/job_class.go
@@ -6,58 +6,43 @@
 	"time"
 )
 
-// New turns settings, which have been checked, into the figures that decisions use.
-func New(s Settings) *Dispatcher {
-	d := &Dispatcher{
-		config: config{
-			nodeID:              NodeID(s.Node),
-			nodeCount:           s.Nodes,
-			zone:                s.Zone,
-			quantum:             s.Quantum,
-			valuePerWork:        s.ValuePerWork,
-			overQuotaValue:      s.OverQuotaValue,
-			crossZoneCost:       s.CrossZoneCost,
-			totalWeight:         s.TotalWeight,
-			worstClassWeight:    s.WorstClassWeight,
-			maxAttempts:         s.MaxAttempts,
-			retryAfter:          s.MaxRetryAfter,
-			canCancel:           s.MayCancel,
-			canHedge:            s.MayHedge,
-			canProbe:            s.MayProbe,
-			canLease:            s.MayLease,
-			clientsMarkRetries:  s.ClientsMarkRetries,
-			loadAdjustedWeights: s.LoadAdjustedWeights,
-			endpointsPolled:     s.EndpointsPolled,
-			startNotices:        s.StartNotices,
-			progressInterval:    s.ProgressInterval,
-		},
-		rng:  randomSource{seed: s.Seed},
-		jobs: map[JobID]*job{},
-		endpoints: endpointTable{
-			byID:   map[ExecutorID]*executor{},
-			byHash: map[ExecutorHash]*executor{},
-			kinds:  map[KindID]*kindStats{},
-		},
-		index:  candidateIndex{expiries: executorHeap{keyKind: keyExpiry}},
-		leases: leaseTable{ledgers: map[ExecutorHash]*leaseLedger{}},
-		slowStart: slowStart{
-			capacity:       s.SlowStartCapacity,
-			duration:       s.SlowStartDuration,
-			overloadWindow: s.OverloadWindow,
-		},
-	}
-	for i, t := range s.JobClasses {
-		d.addClass(JobClassUpdate{JobClassID(i), NoJobClass, t})
-	}
-	d.derive()
-	d.quota.intervalEnd = d.classes.quotaInterval
-	d.deriveSlowStart(s.OverloadMultiple)
-	d.spreadPolls(s.PollWithin)
-	d.schedule(d.slowStart.overloadWindow, nil, nil) // a process that starts again may send more to cold executors from then on
-	for _, t := range s.Tenants {
-		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(s.Nodes)})
-	}
-	return d
+// jobClass holds a class's rules and its running averages.
+type jobClass struct {
+	idempotency      Idempotency
+	dedupGroup       DedupGroup
+	dedupWindow      time.Duration
+	maxAttempts      int
+	latencyObjective time.Duration
+	deadline         time.Duration
+	runTimeFactor    float64 // the objective grows by this multiple of a job's own running time
+	value            float64
+	lateValue        float64 // fraction of the value paid between objective and deadline
+	kind             KindID
+
+	fullBudget         time.Duration // largest budget seen: that of a job's first try
+	shortBudgets       float64       // jobs that came with less than it, decaying
+	rejectedFirstTries float64       // first tries that were rejected, decaying
+	meanWork           time.Duration // running average, as time on a standard core
+	samples            int           // running times behind meanWork, where clients give no estimates
+	requestedValue     float64       // of jobs that came, decaying
+	earnedValue        float64       // of those of them that were done within their objective, decaying
+	unitValue          float64       // mean value of one job
+}
+
+// classTable holds the job classes and what follows from all of them together.
+type classTable struct {
+	all               []*jobClass // by number; those of the past stay, for the jobs that came with them
+	current           []*jobClass
+	requiredKinds     []KindID      // executor kinds that some class is bound to
+	shortestObjective time.Duration // the shortest latency objective
+	quotaInterval     time.Duration // between two steps of the quotas
+	checkInterval     time.Duration // from an attempt's sending to its first check
+}
+
+// recordArrival books a batch job, and whether it brought less than the full budget.
+func (t *jobClass) recordArrival(short bool) {
+	const keeps = 1 - (1-smoothing)/8
+	t.shortBudgets, t.rejectedFirstTries = t.shortBudgets*keeps+oneIf(short), t.rejectedFirstTries*keeps
 }
 
 // addClass takes up a track as it is from now on, with what is known of the one that it comes from.
@@ -119,3 +104,12 @@
 	}
 	return t.LatencyObjective
 }
+
+// longestMeanWork is the mean work of the track that has the most, or the shortest quoted time.
+func (d *Dispatcher) longestMeanWork() time.Duration {
+	work := d.classes.shortestObjective
+	for _, t := range d.classes.current {
+		work = max(work, t.meanWork)
+	}
+	return work
+}
