--- a/policy/admission.go
+++ b/policy/admission.go
@@ -88,4 +88,11 @@
 	return end - scaled(j.work, pace*j.startMargin)
 }
 
+// isLate reports whether j is past its objective for the choice of executors: less than half of its work fits before it.
 func (d *Dispatcher) isLate(j *job, now time.Duration) bool { return j.objectiveAt < now+j.work/2 }
+
+// outOfAttempts reports whether j can't have another attempt: its deadline is reached, its class allows no more attempts,
+// or rule 2 refuses a retry.
+func (d *Dispatcher) outOfAttempts(j *job, now time.Duration) bool {
+	return now >= j.deadlineAt-d.config.quantum || j.attemptCount >= j.class.maxAttempts || !d.retryAllowed(j, now)
+}
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -142,6 +142,68 @@
 	return d
 }
 
+// Place decides where to send a job, or that it waits, is rejected or fails. The caller asks after NextTask returned
+// PlaceJob for it; for a job that is over or has its attempts out there is nothing to do.
+func (d *Dispatcher) Place(now time.Duration, id JobID) Decision {
+	j := d.jobs[id]
+	if j == nil || j.finished {
+		return Decision{}
+	}
+	if len(j.attempts) > 0 {
+		return d.placeHedge(j, now)
+	}
+	d.queueJob(j, now)
+	j.shed = j.shed || d.shedsRetry(j)
+	if j.shed || d.outOfAttempts(j, now) {
+		return d.rejectOrFail(j)
+	}
+	e := d.pickExecutor(j, now, false)
+	var latestStart time.Duration
+	if e != nil {
+		latestStart = d.latestStart(j, d.pace(e, now))
+	}
+	if e == nil || now > latestStart {
+		// No executor, or one that is too slow by now: the fastest one decides whether there is time left.
+		latestStart = d.latestStart(j, d.bestPaceFor(j, now))
+		if now > latestStart {
+			return d.rejectOrFail(j)
+		}
+	}
+	if e != nil {
+		return d.dispatch(j, e, now)
+	}
+	d.queue.noteWait(j)
+	d.schedulePlacement(j, latestStart, now)
+	return Decision{Action: Enqueue}
+}
+
+// placeHedge sends a second attempt of j, if one is wanted and an executor has a token for it.
+func (d *Dispatcher) placeHedge(j *job, now time.Duration) Decision {
+	if !j.hedgeWanted {
+		return Decision{}
+	}
+	e := d.pickExecutor(j, now, false)
+	if e == nil {
+		return Decision{}
+	}
+	return d.dispatch(j, e, now)
+}
+
+// schedulePlacement schedules the next time at which a queued job's answer may change though no token comes free: when
+// it may cross zones, when it is past its objective, after its latest start, and at its deadline.
+func (d *Dispatcher) schedulePlacement(j *job, latestStart, now time.Duration) {
+	next := min(max(latestStart, now)+d.config.quantum, j.deadlineAt-d.config.quantum)
+	crossesAt := j.queuedAt + d.crossZoneDelay(j)
+	pastObjectiveAt := j.objectiveAt - j.work + d.config.quantum
+	for _, at := range [...]time.Duration{crossesAt, pastObjectiveAt} {
+		if at > now {
+			next = min(next, at)
+		}
+	}
+	j.generation++
+	d.schedule(max(next, now+d.config.quantum), j, nil)
+}
+
 // NextTask says what has fallen due, or until when nothing will.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.beginTurn(now)
--- a/policy/job.go
+++ b/policy/job.go
@@ -23,11 +23,11 @@
 	lowSlack         bool    // it came with less than half of its slack
 	shed             bool    // it was below the admission threshold when it came
 
-	isQueued    bool
-	queuedLate  bool // in the queue of those past their objective
-	queuedAt    time.Duration
-	queueKey    time.Duration // its place in the queue
-	crossChance float64       // its own random number, so that not all jobs cross zones at once
+	isQueued            bool
+	queuedPastObjective bool // in the queue of those past their objective
+	queuedAt            time.Duration
+	queueKey            time.Duration // its place in the queue
+	crossChance         float64       // its own random number, so that not all jobs cross zones at once
 
 	attempts           []*attempt // that are out; a second one is a hedge
 	attemptCount       int
@@ -47,7 +47,7 @@
 	sentAt           time.Duration
 	startedAt        time.Duration
 	running          bool
-	startedLate      bool    // it had to wait at the executor
+	waitedAtExecutor bool    // it had to wait at the executor
 	progress         float64 // fraction done, by the last notice
 	progressAt       time.Duration
 	canceling        bool
@@ -57,7 +57,7 @@
 }
 
 func (d *Dispatcher) removeJob(j *job) {
-	d.dequeue(j)
+	d.queue.remove(j)
 	j.finished = true
 	j.generation++
 	delete(d.jobs, j.id)
@@ -81,7 +81,7 @@
 		d.removeJob(j)
 		return
 	}
-	d.dequeue(j)
+	d.queue.remove(j)
 	j.finished = true
 	j.generation++
 	for _, s := range j.attempts {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -137,7 +137,7 @@
 	s.running, s.startedAt, s.progressAt = true, now, now
 	d.recordAlive(e, now)
 	d.markDirty(e)
-	s.startedLate = d.elapsed(s) > d.classes.checkInterval
+	s.waitedAtExecutor = d.elapsed(s) > d.classes.checkInterval
 	d.recordStartWait(e, s, d.elapsed(s))
 	if k := d.endpoints.kinds[e.kind]; now >= e.slowStart.until {
 		k.concurrency = max(k.concurrency, e.runningCount())
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -20,6 +20,12 @@
 	return !d.recordAdmitted(j, line.Level == 0 || rung > line.Level || marginal)
 }
 
+// shedsRetry reports whether j, after attempts that all provably never ran, is below the admission threshold by now: in an
+// overload of the fleet a retry of such a job costs capacity that jobs of a higher value need.
+func (d *Dispatcher) shedsRetry(j *job) bool {
+	return j.attemptCount > 0 && j.mayHaveRun == nil && d.shedding.threshold.Level > d.priorityLevel(j)
+}
+
 // TakeLoadSummary is what this node saw since it was asked last; from the first asking on it is kept.
 func (d *Dispatcher) TakeLoadSummary(now time.Duration) LoadSummary {
 	t := d.shedding.summary
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -21,7 +21,7 @@
 		if how == ExecutorFull {
 			// Full counts as queuing at the executor, unless only one tenant meets it.
 			e.queuing.fullForMany = e.queuing.fullForMany || e.queuing.sawFull && e.queuing.fullTenant != j.tenantID
-			e.queuing.sawFull, e.queuing.fullTenant, e.queuing.fullWait, j.startedLate = true, j.tenantID, e.queuing.fullWait+est, true
+			e.queuing.sawFull, e.queuing.fullTenant, e.queuing.fullWait, j.waitedAtExecutor = true, j.tenantID, e.queuing.fullWait+est, true
 		}
 		if d.config.canProbe && (how == ConnectFailed || how == ConnectionLost) {
 			d.markUnresponsive(e, max(1, e.health.timeouts)) // until it answers
@@ -56,7 +56,7 @@
 		d.schedule(now+scaled(est, fullTokenRest*float64(e.health.rejections)), nil, e)
 		return
 	}
-	d.releaseToken(e, now, j.startedLate)
+	d.releaseToken(e, now, j.waitedAtExecutor)
 }
 
 func (d *Dispatcher) recordSuccess(j *attempt, e *executor, now time.Duration) {
@@ -78,7 +78,7 @@
 			ran += max(0, d.elapsed(j)-ran-e.estimate.startWait) / 2
 		}
 		d.recordStartWait(e, j, d.elapsed(j)-ran)
-		j.startedLate = d.elapsed(j) > scaled(ran, waitedFactor) // hints are rough
+		j.waitedAtExecutor = d.elapsed(j) > scaled(ran, waitedFactor) // hints are rough
 	}
 	d.recordRunTime(j.job, e, ran)
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -11,6 +11,23 @@
 		j.class.idempotency == IdempotentWithKey && now < j.mayHaveRun.sentAt+j.class.dedupWindow-d.config.quantum
 }
 
+// inDedupGroup reports whether e is in the dedup group of j's attempt that may have run, so that a retry there has no
+// second effect. It always is where no attempt may have run and where retries are harmless.
+func (j *job) inDedupGroup(e *executor) bool {
+	if j.mayHaveRun == nil || j.class.idempotency == Idempotent {
+		return true
+	}
+	switch j.class.dedupGroup {
+	case DedupAllExecutors:
+		return true
+	case DedupZone:
+		return e.zone == j.mayHaveRun.zone
+	case DedupCell:
+		return e.cell == j.mayHaveRun.cell
+	}
+	return false
+}
+
 // boundToDedupGroup says whether j may only be repeated in its dedup group.
 func (d *Dispatcher) boundToDedupGroup(j *job) bool {
 	return j.mayHaveRun != nil && j.class.idempotency == IdempotentWithKey && j.class.dedupGroup != DedupAllExecutors
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -24,6 +24,11 @@
 	spent  []spend // work sent to it within the window
 }
 
+// spend books work that is sent to the executor now.
+func (s *executorSlowStart) spend(now, work time.Duration) {
+	s.spent = append(s.spent, spend{now, work})
+}
+
 // spend is work that was sent at some moment.
 type spend struct {
 	at   time.Duration
--- a/policy/value.go
+++ b/policy/value.go
@@ -87,7 +87,7 @@
 // decayAverages fades the tracks' and tenants' figures, each interval.
 func (d *Dispatcher) decayAverages() {
 	if !d.config.loadAdjustedWeights {
-		d.zoneLoad.remote *= smoothing // seldom seen while nothing crosses
+		d.zoneLoad.decayRemote()
 	}
 	d.values.worstClass = nil
 	least, came := math.Inf(1), 0.0
