--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -142,6 +142,24 @@
 	return d
 }
 
+// JobArrived admits a job that a client sent to this node: it is queued, and decided on by the Place that NextTask asks
+// for in the same turn. A Work of 0 means that the client gave no estimate.
+func (d *Dispatcher) JobArrived(now time.Duration, arrival Arrival) {
+	d.beginTurn(now)
+	j := d.newJob(now, arrival)
+	spent := d.spentBudget(j, arrival)
+	j.objectiveAt = min(now-spent+j.latencyObjective(), j.deadlineAt)
+	d.capToShutdown(j)
+	j.firstTry = spent == 0 && !arrival.ClientRetry
+	d.recordRequested(j, j.firstTry)
+	j.shed = d.shedding.reportsLoad && d.belowThreshold(j)
+	d.jobs[j.id] = j
+	d.queueJob(j, now)
+	// No scan of the queue is needed: the timer places this job, and no other became placeable.
+	d.schedule(now, j, nil)
+	d.leases.requestWanted()
+}
+
 // Place decides where to send a job, or that it waits, is rejected or fails. The caller asks after NextTask returned
 // PlaceJob for it; for a job that is over or has its attempts out there is nothing to do.
 func (d *Dispatcher) Place(now time.Duration, id JobID) Decision {
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -39,6 +39,16 @@
 	checkInterval     time.Duration // from an attempt's sending to its first check
 }
 
+// lookup returns the class of that number, and the nearest one for a number out of range.
+func (t *classTable) lookup(id JobClassID) *jobClass {
+	return t.all[min(max(0, int(id)), len(t.all)-1)]
+}
+
+// recordHint updates the mean work by a client's estimate.
+func (t *jobClass) recordHint(work time.Duration) {
+	t.meanWork = scaled(t.meanWork, smoothing) + scaled(work, 1-smoothing)
+}
+
 // recordArrival books a batch job, and whether it brought less than the full budget.
 func (t *jobClass) recordArrival(short bool) {
 	const keeps = 1 - (1-smoothing)/8
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -59,6 +59,9 @@
 	expiresAt time.Duration
 }
 
+// requestWanted has the end of this turn request leases for jobs that wait.
+func (t *leaseTable) requestWanted() { t.wanted = true }
+
 func (d *Dispatcher) leaseHolderOf(sum ExecutorHash) NodeID {
 	return NodeID(sum % ExecutorHash(d.config.nodeCount))
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -35,7 +35,7 @@
 		e.health.suspect = true
 	case TimedOut, Canceled:
 		if j.shortBudget && how == TimedOut {
-			j.tenant.budgetMargin = min(j.tenant.budgetMargin+4*budgetMarginStep, maxBudgetMargin)
+			j.tenant.budgetMargin = min(j.tenant.budgetMargin+budgetMarginRise*budgetMarginStep, maxBudgetMargin)
 		}
 		// The executor may still be on it: the token stays taken until the work would be over.
 		begun := now
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -11,6 +11,13 @@
 		j.class.idempotency == IdempotentWithKey && now < j.mayHaveRun.sentAt+j.class.dedupWindow-d.config.quantum
 }
 
+// rejectionAllowed reports whether j may be answered with a rejection, which invites its client to try again: no attempt
+// may have run, or a further one is harmless wherever it runs.
+func (j *job) rejectionAllowed() bool {
+	return j.mayHaveRun == nil || j.class.idempotency == Idempotent ||
+		j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors
+}
+
 // inDedupGroup reports whether e is in the dedup group of j's attempt that may have run, so that a retry there has no
 // second effect. It always is where no attempt may have run and where retries are harmless.
 func (j *job) inDedupGroup(e *executor) bool {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -24,6 +24,15 @@
 	rezoned    bool // a member has another zone or kind than when it was picked
 }
 
+// recheck has the next turn rebuild the subset, if it may come out differently by now.
+func (s *subset) recheck() { s.stale = true }
+
+// invalidate has the next turn rebuild the subset: something that it depends on has changed.
+func (s *subset) invalidate() {
+	s.stale = true
+	s.changed = true
+}
+
 // usesSubset says whether the nodes are so many that one can't use all executors: then it uses a part of them.
 func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
