--- a/policy/latency.go
+++ b/policy/latency.go
@@ -34,6 +34,16 @@
 	startWait time.Duration
 }
 
+// observeStartWait updates the start wait. It follows quickly, since a jam must be seen before it is fed.
+func (s *estimate) observeStartWait(wait time.Duration) { s.startWait = (s.startWait + wait) / 2 }
+
+// decay lowers the weight of what was observed, at an interval's end.
+func (s *estimate) decay() {
+	s.startWait = scaled(s.startWait, smoothing)
+	s.runTime *= smoothing
+	s.work *= smoothing
+}
+
 // pace is the running time that e needs for a unit of work: what was seen, and what running batch jobs that
 // are over their time already show (guards against executors slowed or stalled since their last answer).
 func (d *Dispatcher) pace(e *executor, now time.Duration) float64 {
@@ -142,7 +152,7 @@
 	if k := d.endpoints.kinds[e.kind]; now >= e.slowStart.until {
 		k.concurrency = max(k.concurrency, e.runningCount())
 	}
-	e.queuing.startedOthers = e.queuing.startedOthers || !e.queuing.sawFull || s.tenantID != e.queuing.fullTenant
+	e.queuing.recordStart(s.tenantID)
 }
 
 // AttemptProgressed tells how much of an allocation is done.
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -109,7 +109,7 @@
 		}
 		e.estimate.startWait, e.tokens.inheritedQuota = max(0, in.StartWait), min(in.Quota, maxQuota)
 		for e.tokens.quota > 0 && e.tokens.quota < e.tokens.inheritedQuota {
-			d.stepQuota(e, 1, now)
+			d.raiseQuota(e, now)
 		}
 	}
 	d.subset.stale, d.subset.changed, d.queue.tokenFreed = true, true, true
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -38,6 +38,19 @@
 	listed         bool // it is in leaseTable.requests
 }
 
+// use turns a granted lease into one that an attempt uses.
+func (l *leaseState) use() {
+	if l.granted {
+		l.granted = false
+		l.held++
+	}
+}
+
+// expireRequest gives up a request that was not answered within the timeout.
+func (l *leaseState) expireRequest(now, timeout time.Duration) {
+	l.requested = l.requested && now-l.requestedAt <= timeout
+}
+
 // leaseLedger is what this node keeps for all nodes as the lease holder of an executor.
 type leaseLedger struct {
 	hash        ExecutorHash
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -20,8 +20,8 @@
 	case ExecutorFull, ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
 		if how == ExecutorFull {
 			// Full counts as queuing at the executor, unless only one tenant meets it.
-			e.queuing.fullForMany = e.queuing.fullForMany || e.queuing.sawFull && e.queuing.fullTenant != j.tenantID
-			e.queuing.sawFull, e.queuing.fullTenant, e.queuing.fullWait, j.waitedAtExecutor = true, j.tenantID, e.queuing.fullWait+est, true
+			e.queuing.recordFull(j.tenantID, est)
+			j.waitedAtExecutor = true
 		}
 		if d.config.canProbe && (how == ConnectFailed || how == ConnectionLost) {
 			d.markUnresponsive(e, max(1, e.health.timeouts)) // until it answers
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -22,6 +22,24 @@
 	intervalEnd time.Duration
 }
 
+// add gives an executor its number among those that got tokens.
+func (q *quotaState) add(e *executor) {
+	q.joined++
+	e.tokens.joined = q.joined
+	q.executors = append(q.executors, e)
+}
+
+// dropRemoved drops the executors that were removed from the endpoint list, once no attempt of this node is there.
+func (q *quotaState) dropRemoved() {
+	q.executors = slices.DeleteFunc(q.executors, func(e *executor) bool {
+		drop := e.removed && e.tokens.taken == 0
+		if drop {
+			e.tokens.joined = 0
+		}
+		return drop
+	})
+}
+
 // tokens are an executor's quota and the tokens under it.
 type tokens struct {
 	quota          int             // 0: it has not been in the subset yet
@@ -31,6 +49,41 @@
 	joined         int             // its number among those that got tokens; 0: it has none
 }
 
+// total returns the number of tokens, free and taken. It may exceed a quota that was lowered.
+func (t *tokens) total() int { return t.taken + len(t.free) }
+
+// take uses the oldest free token.
+func (t *tokens) take() {
+	t.free = t.free[1:]
+	t.taken++
+}
+
+// release returns a taken token. It is dropped where the quota was lowered meanwhile.
+func (t *tokens) release(now time.Duration) {
+	t.taken--
+	if t.total() < t.quota {
+		t.free = append(t.free, now)
+	}
+}
+
+// raise increases the quota by one and reports whether that gave a free token.
+func (t *tokens) raise(now time.Duration) bool {
+	t.quota++
+	if t.total() >= t.quota {
+		return false
+	}
+	t.free = append(t.free, now)
+	return true
+}
+
+// lower reduces the quota by one, and drops the token that came free last if there is one too many.
+func (t *tokens) lower() {
+	t.quota--
+	if t.total() > t.quota && len(t.free) > 0 {
+		t.free = t.free[:len(t.free)-1]
+	}
+}
+
 // queuing is what this interval showed of waiting for an executor, for the step of its quota.
 type queuing struct {
 	atExecutor    time.Duration // waiting at the executor
@@ -44,57 +97,89 @@
 	startedOthers bool          // others were started meanwhile
 }
 
-// decay lets what was seen of an executor grow old at an interval's end, or one passed over would never be tried again.
-func (e *executor) decay() {
-	e.queuing.atExecutor, e.queuing.here, e.queuing.overTarget, e.queuing.outOfTokens = 0, 0, false, len(e.tokens.free) == 0
-	e.estimate.startWait = scaled(e.estimate.startWait, smoothing)
-	e.estimate.runTime, e.estimate.work = e.estimate.runTime*smoothing, e.estimate.work*smoothing
-	e.queuing.sawFull, e.queuing.fullForMany, e.queuing.startedOthers, e.queuing.fullWait = false, false, false, 0
+// recordFull records an attempt that the executor rejected as full, though it would have run for that long.
+func (q *queuing) recordFull(tenant TenantID, runTime time.Duration) {
+	q.fullForMany = q.fullForMany || q.sawFull && q.fullTenant != tenant
+	q.sawFull = true
+	q.fullTenant = tenant
+	q.fullWait += runTime
 }
 
-// takeToken uses the oldest free token.
-func (d *Dispatcher) takeToken(e *executor, s *attempt) {
-	e.tokens.free = e.tokens.free[1:]
-	e.tokens.taken++
-	e.queuing.outOfTokens = e.queuing.outOfTokens || len(e.tokens.free) == 0
-	if e.lease.granted {
-		e.lease.granted = false
-		e.lease.held++
+// recordStart records an attempt that the executor started: after a rejection, one of another tenant shows that only
+// the rejected tenant's quota there was full.
+func (q *queuing) recordStart(tenant TenantID) {
+	q.startedOthers = q.startedOthers || !q.sawFull || tenant != q.fullTenant
+}
+
+// chargeFull counts the rejected attempts as waiting at the executor, unless only one tenant was rejected.
+func (q *queuing) chargeFull() {
+	if q.fullForMany || q.sawFull && !q.startedOthers {
+		q.atExecutor += q.fullWait
+		q.overTarget = true
+	}
+}
+
+// executorShare returns the fraction of all waiting that was at the executor: the design's r.
+func (q *queuing) executorShare() float64 {
+	total := q.atExecutor + q.here
+	if total <= 0 {
+		return 0
 	}
-	e.attempts = append(e.attempts, s)
-	s.job.attempts = append(s.job.attempts, s)
+	return float64(q.atExecutor) / float64(total)
+}
+
+// takeToken uses e's oldest free token, and the lease if one is granted, for an attempt.
+func (d *Dispatcher) takeToken(e *executor, a *attempt) {
+	e.tokens.take()
+	e.queuing.outOfTokens = e.queuing.outOfTokens || len(e.tokens.free) == 0
+	e.lease.use()
+	e.attempts = append(e.attempts, a)
+	a.job.attempts = append(a.job.attempts, a)
+	d.markDirty(e)
+}
+
+// releaseToken returns an attempt's token and lease. The lease holder is notified whether the job had to wait at e.
+func (d *Dispatcher) releaseToken(e *executor, now time.Duration, waitedAtExecutor bool) {
+	d.returnLease(e, now, waitedAtExecutor)
+	e.tokens.release(now)
+	d.queue.rescan()
 	d.markDirty(e)
 }
 
-// releaseToken frees a token. Late: the batch job did not start there at once.
-func (d *Dispatcher) releaseToken(e *executor, now time.Duration, late bool) {
-	d.returnLease(e, now, late)
-	e.tokens.taken--
-	if e.tokens.taken+len(e.tokens.free) < e.tokens.quota {
-		e.tokens.free = append(e.tokens.free, now)
+// raiseQuota increases e's quota by one.
+func (d *Dispatcher) raiseQuota(e *executor, now time.Duration) {
+	d.markDirty(e)
+	if e.tokens.raise(now) {
+		d.queue.rescan()
 	}
-	d.queue.tokenFreed = true
+}
+
+// lowerQuota reduces e's quota by one.
+func (d *Dispatcher) lowerQuota(e *executor) {
 	d.markDirty(e)
+	e.tokens.lower()
 }
 
-// meanQuota is that of quotas.
+// meanQuota is the mean of some quotas.
 type meanQuota struct{ sum, count int }
 
-func (m meanQuota) of(none int) int {
+// or returns the mean, rounded, or the given quota where there are none.
+func (m meanQuota) or(quota int) int {
 	if m.count == 0 {
-		return none
+		return quota
 	}
 	return (m.sum + m.count/2) / m.count
 }
 
+// with returns the mean with another quota added.
 func (m meanQuota) with(quota int) meanQuota { return meanQuota{m.sum + quota, m.count + 1} }
 
-// meanQuotas reckons the kinds' mean quotas, once for all executors that come into the slice together.
-func (d *Dispatcher) meanQuotas(means map[KindID]meanQuota) {
+// fillMeanQuotas computes the mean quota of each executor kind, once for all executors that join the subset together.
+func (d *Dispatcher) fillMeanQuotas(means map[KindID]meanQuota) {
 	if len(means) > 0 {
 		return
 	}
-	means[AnyKind] = meanQuota{} // reckoned, though none is met yet
+	means[AnyKind] = meanQuota{} // marks the means as computed, even if there are none
 	for _, e := range d.quota.executors {
 		if e.available {
 			means[e.kind] = means[e.kind].with(e.tokens.quota)
@@ -102,84 +187,68 @@
 	}
 }
 
-// addWithTokens takes an executor among those met.
-func (d *Dispatcher) addWithTokens(e *executor) {
-	d.quota.joined++
-	e.tokens.joined = d.quota.joined
-	d.quota.executors = append(d.quota.executors, e)
-	d.markDirty(e)
-}
-
-// dropRemovedWithTokens takes those that are gone from among those met, once nothing of ours is there.
-func (d *Dispatcher) dropRemovedWithTokens() {
-	d.quota.executors = slices.DeleteFunc(d.quota.executors, func(e *executor) bool {
-		drop := e.removed && e.tokens.taken == 0
-		if drop {
-			e.tokens.joined = 0
-		}
-		return drop
-	})
-}
-
-// stepQuota moves a quota.
-func (d *Dispatcher) stepQuota(e *executor, by int, now time.Duration) {
-	e.tokens.quota += by
-	d.markDirty(e)
-	if by > 0 {
-		if e.tokens.taken+len(e.tokens.free) < e.tokens.quota {
-			e.tokens.free = append(e.tokens.free, now)
-			d.queue.tokenFreed = true
-		}
-	} else if e.tokens.taken+len(e.tokens.free) > e.tokens.quota && len(e.tokens.free) > 0 {
-		e.tokens.free = e.tokens.free[:len(e.tokens.free)-1]
-	}
-}
-
-// adjustQuota is the design's single step.
+// adjustQuota moves e's quota by one at most, by the design's rule: down if its own queue is to blame for slow jobs and
+// nothing waits here, up if jobs waited here for its tokens and its own queue is short.
 func (d *Dispatcher) adjustQuota(e *executor, now time.Duration) {
-	r := 0.0
-	if sum := e.queuing.atExecutor + e.queuing.here; sum > 0 {
-		r = float64(e.queuing.atExecutor) / float64(sum)
-	}
+	share := e.queuing.executorShare()
+	queueEmpty := !d.queue.usedThisInterval || share > emptyQueueThreshold
 	switch {
-	case e.queuing.overTarget && r > executorQueuingThreshold && (!d.queue.usedThisInterval || r > emptyQueueThreshold) && e.tokens.quota > 1:
-		d.stepQuota(e, -1, now)
-	case d.queue.usedThisInterval && e.queuing.outOfTokens && r < executorQueuingThreshold && e.tokens.quota < maxQuota:
-		d.stepQuota(e, 1, now)
+	case e.queuing.overTarget && share > executorQueuingThreshold && queueEmpty && e.tokens.quota > 1:
+		d.lowerQuota(e)
+	case d.queue.usedThisInterval && e.queuing.outOfTokens && share < executorQueuingThreshold && e.tokens.quota < maxQuota:
+		d.raiseQuota(e, now)
 	}
 }
 
+// onInterval ends an interval: each quota takes its step, silent executors are ejected, averages decay.
 func (d *Dispatcher) onInterval(now time.Duration) {
-	d.dropRemovedWithTokens()
+	d.quota.dropRemoved()
 	for _, e := range d.quota.executors {
-		d.markDirty(e) // what was seen grows old
-		for _, j := range e.attempts {
-			if !j.running && d.config.startNotices {
-				e.queuing.atExecutor += max(0, now-max(j.sentAt, now-d.classes.quotaInterval)-d.config.quantum)
-			}
-		}
-		if e.queuing.fullForMany || e.queuing.sawFull && !e.queuing.startedOthers {
-			e.queuing.atExecutor += e.queuing.fullWait
-			e.queuing.overTarget = true
-		}
+		d.markDirty(e) // its estimate and its queuing change below
+		d.chargeUnstarted(e, now)
+		e.queuing.chargeFull()
 		d.adjustQuota(e, now)
 		d.detectSilence(e, now)
 		e.decay()
-		e.lease.requested = e.lease.requested && now-e.lease.requestedAt <= d.classes.quotaInterval
+		e.lease.expireRequest(now, d.classes.quotaInterval)
 	}
 	d.adjustLeaseQuotas(now)
 	d.resetMaxConcurrency()
-	d.queue.usedThisInterval, d.queue.tokenFreed, d.subset.stale, d.leases.wanted = len(d.queue.onTime) > 0, true, true, true
+	d.queue.startInterval()
+	d.subset.recheck()
+	d.leases.requestWanted()
 	d.decayAverages()
 }
 
-// recordStartWait books an allocation's wait at the executor.
-func (d *Dispatcher) recordStartWait(e *executor, s *attempt, wait time.Duration) {
+// chargeUnstarted counts what attempts that have not started waited at e in this interval.
+func (d *Dispatcher) chargeUnstarted(e *executor, now time.Duration) {
+	if !d.config.startNotices {
+		return
+	}
+	intervalStart := now - d.classes.quotaInterval
+	for _, a := range e.attempts {
+		if !a.running {
+			e.queuing.atExecutor += max(0, now-max(a.sentAt, intervalStart)-d.config.quantum)
+		}
+	}
+}
+
+// decay begins a new interval with no waiting counted and an older estimate. An estimate that stayed would keep an
+// executor that is passed over from ever being tried again.
+func (e *executor) decay() {
+	e.queuing = queuing{outOfTokens: len(e.tokens.free) == 0}
+	e.estimate.decay()
+}
+
+// recordStartWait records how long an attempt waited at e before it started. The quantum of the node's clock is no wait.
+func (d *Dispatcher) recordStartWait(e *executor, a *attempt, wait time.Duration) {
 	wait = max(0, wait-d.config.quantum)
-	e.estimate.startWait = (e.estimate.startWait + wait) / 2 // quick to follow: a jam must be seen before it is fed
+	e.estimate.observeStartWait(wait)
 	e.queuing.atExecutor += wait
 	d.recordZoneWait(e, wait)
-	if s.sentAt-s.queuedAt+wait > scaled(s.objectiveAt-s.arrivedAt-s.work, slackTargetFraction) {
+	totalWait := a.sentAt - a.queuedAt + wait
+	slack := a.objectiveAt - a.arrivedAt - a.work
+	if totalWait > scaled(slack, slackTargetFraction) {
 		e.queuing.overTarget = true
 	}
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -91,11 +91,12 @@
 	if e.tokens.quota > 0 {
 		return
 	}
-	d.meanQuotas(means)
+	d.fillMeanQuotas(means)
 	m := means[e.kind]
-	e.tokens.quota = cmp.Or(e.tokens.inheritedQuota, m.of(initialQuota))
+	e.tokens.quota = cmp.Or(e.tokens.inheritedQuota, m.or(initialQuota))
 	means[e.kind] = m.with(e.tokens.quota)
-	d.addWithTokens(e)
+	d.quota.add(e)
+	d.markDirty(e)
 	for range e.tokens.quota {
 		e.tokens.free = append(e.tokens.free, now-scaled(d.classes.quotaInterval, d.rng.next()))
 	}
