--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -133,7 +133,7 @@
 	}
 	d.derive()
 	d.quota.intervalEnd = d.classes.quotaInterval
-	d.deriveSlowStart(s.OverloadMultiple)
+	d.slowStart.derive(s.OverloadMultiple, d.classes.shortestObjective, d.config.nodeCount)
 	d.spreadPolls(s.PollWithin)
 	d.schedule(d.slowStart.overloadWindow, nil, nil) // a process that starts again may send more to cold executors from then on
 	for _, t := range s.Tenants {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -120,10 +120,10 @@
 	e.started = n.StartedAt
 	if until := n.StartedAt + d.slowStart.duration; until > now {
 		// A fresh executor can do part of its work only, and what we knew of it no longer holds.
-		if e.slowStart.sender && now >= e.slowStart.until {
-			d.slowStart.executors = append(d.slowStart.executors, e)
-		}
-		e.slowStart.until, e.health.inFlightCap, e.health.ejectedUntil, e.estimate.startWait, e.slowStart.spent = until, 1, 0, 0, e.slowStart.spent[:0]
+		d.slowStart.add(e, now)
+		e.slowStart.begin(until)
+		e.health.restart()
+		e.estimate.startWait = 0
 	}
 }
 
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -37,7 +37,7 @@
 		if k := d.endpoints.kinds[e.kind]; e.available {
 			part := 1.0
 			if now < e.slowStart.until {
-				part = d.slowStartFraction(e, now)
+				part = d.slowStart.capacityFraction(e, now)
 			}
 			t.Capacity += part * float64(k.concurrency) * (e.estimate.work + 1) / max(e.estimate.runTime+k.pace, 1e-9)
 		}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -23,6 +23,12 @@
 	awaited           bool // it is in healthChecks.awaitingReply
 }
 
+// restart is for an executor that has started again: no ejection holds any more, and it begins with one attempt in flight.
+func (h *health) restart() {
+	h.ejectedUntil = 0
+	h.inFlightCap = 1
+}
+
 // eject holds an executor's tokens back for as long as a batch job takes: a quick error frees a token at
 // once and would draw more. After that it is tried with one in flight.
 func (d *Dispatcher) eject(e *executor, now time.Duration, why string) {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -53,7 +53,7 @@
 	was := d.beginSubset()
 	defer func() { d.finishSubset(was) }()
 	// Cold ones that this node carries stand beside the others, whatever their rank: they do part of their work.
-	d.slowStart.executors = slices.DeleteFunc(d.slowStart.executors, func(e *executor) bool { return e.removed || now >= e.slowStart.until })
+	d.slowStart.dropEnded(now)
 	means := map[KindID]meanQuota{}
 	for _, e := range d.slowStart.executors {
 		if d.limitSubsetValidity(e, now); d.isUsable(e, now) {
