--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -8,6 +8,10 @@
 	"time"
 )
 
+// goldenRatio32 is the odd number next to 2^32 over the golden ratio: multiplied by it, hashes that differ in few bits
+// differ in many.
+const goldenRatio32 = 0x9e3779b1
+
 // endpointTable holds the executors that the endpoint list names.
 type endpointTable struct {
 	byID       map[ExecutorID]*executor
@@ -140,7 +144,7 @@
 func (d *Dispatcher) rankOf(id ExecutorID) uint32 {
 	b := binary.LittleEndian.AppendUint32([]byte(id), uint32(d.config.nodeID))
 	// A checksum alone is linear in the node; the golden ratio's odd multiplier mends that.
-	return crc32.ChecksumIEEE(b) * 0x9e3779b1
+	return crc32.ChecksumIEEE(b) * goldenRatio32
 }
 
 // byRank is the order of executors by their rank at this node, the highest first.
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -10,91 +10,109 @@
 	awaitingReply []*executor
 }
 
-// markUnresponsive lets nothing go to an executor until it answers.
-func (d *Dispatcher) markUnresponsive(e *executor, silences int) {
-	e.health.unresponsive, e.health.timeouts = true, silences
-	d.subset.stale, d.subset.changed = true, true
-	d.awaitReply(e)
+// await adds an executor that has a health check out, or is unresponsive.
+func (c *healthChecks) await(e *executor) {
+	if !e.health.awaited {
+		e.health.awaited = true
+		c.awaitingReply = append(c.awaitingReply, e)
+	}
+}
+
+// pending returns the executors that still owe a sign of life, in the order in which they got tokens.
+func (c *healthChecks) pending() []*executor {
+	c.awaitingReply = slices.DeleteFunc(c.awaitingReply, func(e *executor) bool {
+		e.health.awaited = e.health.probeOut || e.health.unresponsive
+		return !e.health.awaited
+	})
+	slices.SortFunc(c.awaitingReply, func(a, b *executor) int { return a.tokens.joined - b.tokens.joined })
+	return c.awaitingReply
 }
 
-// ProbeEnded tells what came of a probe; load means something only where it was answered.
+// markUnresponsive lets no new attempt go to an executor until it answers. The number of timeouts in a row sets how soon
+// it is checked again.
+func (d *Dispatcher) markUnresponsive(e *executor, timeouts int) {
+	e.health.unresponsive = true
+	e.health.timeouts = timeouts
+	d.subset.invalidate()
+	d.health.await(e)
+}
+
+// ProbeEnded tells what came of a health check. The load is valid only if it was answered.
 func (d *Dispatcher) ProbeEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
 	d.beginTurn(now)
 	e := d.endpoints.byID[id]
 	if e == nil {
 		return
 	}
-	prompt := e.health.probeOut
+	inTime := e.health.probeOut
 	e.health.probeOut = false
-	if !answered && prompt && e.health.suspect { // it is there, or its machine is: the next break will tell
-		d.subset.changed = d.subset.changed || e.health.unresponsive
-		e.health.unresponsive, d.subset.stale = false, true
-	}
 	if answered {
+		d.recordProbeAnswer(e, load, now)
+	} else if inTime && e.health.suspect {
+		// The check was refused at once, so the machine is up: the next attempt that fails will tell.
 		d.subset.changed = d.subset.changed || e.health.unresponsive
-		d.subset.stale, d.queue.tokenFreed = d.subset.stale || e.health.unresponsive, true
-		e.health.lastSeen, e.health.unresponsive, e.health.timeouts = now, false, 0
-		if k := d.leases.ledgers[e.hash]; k != nil && load.FreeSlots >= 0.5 && now-k.grantedAt >= d.classes.shortestObjective {
-			k.spareSeen = k.spareSeen || len(k.granted) >= k.quota
-			d.grantLeases(k, len(k.granted)+1, now)
-		}
+		e.health.unresponsive = false
+		d.subset.recheck()
 	}
 }
 
-// requestProbe has an executor asked for its load, unless it was within that span.
-func (d *Dispatcher) requestProbe(e *executor, now, within time.Duration) {
-	if d.config.canProbe && !e.health.probeOut && (e.health.probedAt == 0 || now-e.health.probedAt >= within) {
-		e.health.probeOut, e.health.probedAt = true, now
-		d.awaitReply(e)
-		d.outbox = append(d.outbox, DueTask{Task: ProbeExecutor, Executor: e.id})
-		d.schedule(now+d.classes.shortestObjective, nil, nil)
+// recordProbeAnswer makes e usable again, and lets its lease holder grant a lease more if e has a slot free.
+func (d *Dispatcher) recordProbeAnswer(e *executor, load Load, now time.Duration) {
+	if e.health.unresponsive {
+		d.subset.invalidate()
+	}
+	d.queue.rescan()
+	e.health.lastSeen = now
+	e.health.unresponsive = false
+	e.health.timeouts = 0
+	if load.FreeSlots >= oneSlot {
+		d.grantSpareSlot(e.hash, now)
 	}
 }
 
-// awaitReply notes an executor that is asked for a sign of life, or owes one.
-func (d *Dispatcher) awaitReply(e *executor) {
-	if !e.health.awaited {
-		e.health.awaited = true
-		d.health.awaitingReply = append(d.health.awaitingReply, e)
+// requestProbe sends e a health check, unless one is out or the last one was sent less than the interval ago.
+func (d *Dispatcher) requestProbe(e *executor, now, interval time.Duration) {
+	if !d.config.canProbe || e.health.probeOut {
+		return
+	}
+	if e.health.probedAt != 0 && now-e.health.probedAt < interval {
+		return
 	}
+	e.health.probeOut = true
+	e.health.probedAt = now
+	d.health.await(e)
+	d.outbox = append(d.outbox, DueTask{Task: ProbeExecutor, Executor: e.id})
+	d.schedule(now+d.classes.shortestObjective, nil, nil)
 }
 
-// awaitingReplies are those of which an answer is awaited, in the order in which they were met.
-func (d *Dispatcher) awaitingReplies() []*executor {
-	d.health.awaitingReply = slices.DeleteFunc(d.health.awaitingReply, func(e *executor) bool {
-		e.health.awaited = e.health.probeOut || e.health.unresponsive
-		return !e.health.awaited
-	})
-	slices.SortFunc(d.health.awaitingReply, func(a, b *executor) int { return a.tokens.joined - b.tokens.joined })
-	return d.health.awaitingReply
+// checkUnanswered finds the health checks and the lease requests that were not answered in time.
+func (d *Dispatcher) checkUnanswered(now time.Duration) {
+	d.checkProbes(now)
+	d.checkLeaseRequests(now)
 }
 
-// checkUnanswered finds the executors and keepers that have not answered. A silent executor is asked again, the
-// more rarely the longer; for a keeper the next node in line stands in, then none does.
-func (d *Dispatcher) checkUnanswered(now time.Duration) {
-	for _, e := range d.awaitingReplies() {
+// checkProbes marks executors that did not answer a health check within the shortest objective as unresponsive, and
+// checks those again: each timeout in a row makes the interval longer by one mean running time, up to maxBackoffFactor.
+func (d *Dispatcher) checkProbes(now time.Duration) {
+	for _, e := range d.health.pending() {
 		if e.tokens.joined == 0 {
 			continue
-		} else if e.health.probeOut && now-e.health.probedAt-d.clock.stalledFor >= d.classes.shortestObjective {
-			if e.health.probeOut = false; !e.health.unresponsive {
-				d.logf("%s held back until it answers a probe", e.id)
+		}
+		waited := now - e.health.probedAt - d.clock.stalledFor
+		if e.health.probeOut && waited >= d.classes.shortestObjective {
+			e.health.probeOut = false
+			if !e.health.unresponsive {
+				d.logf("%s ejected until it answers a health check", e.id)
 			}
 			d.markUnresponsive(e, min(e.health.timeouts+1, maxBackoffFactor))
-			d.schedule(now+d.longestMeanWork()*time.Duration(e.health.timeouts), nil, nil)
+			d.schedule(now+d.probeInterval(e), nil, nil)
 		} else if e.health.unresponsive {
-			d.requestProbe(e, now, d.longestMeanWork()*time.Duration(e.health.timeouts))
-		}
-	}
-	for _, e := range d.pendingLeaseRequests() {
-		if e.indexed.subsetRank < 0 || e.lease.queued || now-e.lease.requestedAt < d.classes.shortestObjective/leaseAnswerPart {
-			continue
-		}
-		e.lease.requested, e.lease.held = false, 0
-		d.markDirty(e)
-		if first := d.leaseHolderOf(e.hash); e.lease.holder == first {
-			e.lease.holder, e.lease.primaryRetryAt = d.leaseHolderOf((e.hash^e.hash>>16)*0x9e3779b1>>8), now+2*d.classes.quotaInterval
-		} else {
-			e.lease.bypassUntil = now + d.classes.quotaInterval
+			d.requestProbe(e, now, d.probeInterval(e))
 		}
 	}
 }
+
+// probeInterval returns how long an unresponsive executor is left alone between two health checks.
+func (d *Dispatcher) probeInterval(e *executor) time.Duration {
+	return d.longestMeanWork() * time.Duration(e.health.timeouts)
+}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -13,6 +13,7 @@
 	minPace            = 0.05 // a kind's pace is never taken to be quicker
 	waitedFactor       = 5.0  // times its predicted running time from which on an attempt without a start notice had to wait
 	dedupReplyFraction = 0.1  // of the predicted running time: a keyed job that is done in less was answered from memory
+	oneSlot            = 0.5  // reported slots or jobs from which on there is one: reports are averages
 	minProgress        = 0.02 // fraction done from which on a progress notice predicts the rest
 )
 
@@ -37,6 +38,9 @@
 // observeStartWait updates the start wait. It follows quickly, since a jam must be seen before it is fed.
 func (s *estimate) observeStartWait(wait time.Duration) { s.startWait = (s.startWait + wait) / 2 }
 
+// meanPace returns the running time for a unit of work, given the kind's pace as one observation of one unit.
+func (s *estimate) meanPace(kindPace float64) float64 { return (s.runTime + kindPace) / (s.work + 1) }
+
 // decay lowers the weight of what was observed, at an interval's end.
 func (s *estimate) decay() {
 	s.startWait = scaled(s.startWait, smoothing)
@@ -166,7 +170,7 @@
 // LoadReported tells what an executor says of its load with an answer: batch jobs held, those that wait, and places free.
 func (d *Dispatcher) LoadReported(id ExecutorID, load Load) {
 	e, places := d.endpoints.byID[id], load.InFlight-load.Queued+load.FreeSlots
-	if e == nil || places < 0.5 || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
+	if e == nil || places < oneSlot || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
 		return
 	}
 	k := d.endpoints.kinds[e.kind]
@@ -175,7 +179,7 @@
 	}
 	k.reportedSlots += (places - k.reportedSlots) * (1 - smoothing)
 	k.concurrency = max(1, int(k.reportedSlots+0.5))
-	if load.Queued < 0.5 { // how many wait is told roughly: where many do, the rest swings
+	if load.Queued < oneSlot { // how many wait is told roughly: where many do, the rest swings
 		k.exactSlots = cmp.Or(k.exactSlots, places)
 		k.exactSlots += (places - k.exactSlots) * (1 - smoothing)
 	}
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -14,6 +14,8 @@
 	leaseQuotaCooldown = 4   // intervals that a lowered lease quota stays
 	leaseLifetime      = 2   // intervals after which a lease that is not returned is free again
 	leaseAnswerPart    = 4   // a holder has the shortest objective over this to answer
+
+	primaryRetryIntervals = 2 // intervals until the first holder in line is asked again
 )
 
 // leaseTable is this node's part in leasing executors' slots between nodes: as a borrower, and as the holder for some.
@@ -75,8 +77,15 @@
 // requestWanted has the end of this turn request leases for jobs that wait.
 func (t *leaseTable) requestWanted() { t.wanted = true }
 
-func (d *Dispatcher) leaseHolderOf(sum ExecutorHash) NodeID {
-	return NodeID(sum % ExecutorHash(d.config.nodeCount))
+// leaseHolderOf returns the node that grants an executor's leases.
+func (d *Dispatcher) leaseHolderOf(hash ExecutorHash) NodeID {
+	return NodeID(hash % ExecutorHash(d.config.nodeCount))
+}
+
+// secondLeaseHolderOf returns the node that does so while the first does not answer: it follows another hash, so that a
+// node's executors are spread over all others. Both may be the same node.
+func (d *Dispatcher) secondLeaseHolderOf(hash ExecutorHash) NodeID {
+	return d.leaseHolderOf((hash ^ hash>>16) * goldenRatio32 >> 8)
 }
 
 // leaseAllows says whether e's keeper has given a place there, or, asking, may be asked for one.
@@ -172,6 +181,38 @@
 	}
 }
 
+// grantSpareSlot grants one lease more than there are, if this node holds the executor's ledger: a health check showed a
+// free slot. After a grant it waits for the shortest objective, until that lease shows in the executor's load.
+func (d *Dispatcher) grantSpareSlot(hash ExecutorHash, now time.Duration) {
+	ledger := d.leases.ledgers[hash]
+	if ledger == nil || now-ledger.grantedAt < d.classes.shortestObjective {
+		return
+	}
+	granted := len(ledger.granted)
+	ledger.spareSeen = ledger.spareSeen || granted >= ledger.quota
+	d.grantLeases(ledger, granted+1, now)
+}
+
+// checkLeaseRequests turns to the next lease holder in line where a request was not answered within the shortest
+// objective over leaseAnswerPart, and does without a lease for an interval where that one does not answer either.
+func (d *Dispatcher) checkLeaseRequests(now time.Duration) {
+	for _, e := range d.pendingLeaseRequests() {
+		unanswered := !e.lease.queued && now-e.lease.requestedAt >= d.classes.shortestObjective/leaseAnswerPart
+		if e.indexed.subsetRank < 0 || !unanswered {
+			continue
+		}
+		e.lease.requested = false
+		e.lease.held = 0
+		d.markDirty(e)
+		if e.lease.holder == d.leaseHolderOf(e.hash) {
+			e.lease.holder = d.secondLeaseHolderOf(e.hash)
+			e.lease.primaryRetryAt = now + primaryRetryIntervals*d.classes.quotaInterval
+		} else {
+			e.lease.bypassUntil = now + d.classes.quotaInterval
+		}
+	}
+}
+
 // grantLeases gives free places to the nodes that have waited longest. A place that does not come back within two
 // intervals is free again: its node is dead or its word was lost.
 func (d *Dispatcher) grantLeases(k *leaseLedger, most int, now time.Duration) {
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -29,7 +29,7 @@
 		left = scaled(j.work, slowProgressFactor*usual) - (now - j.startedAt)
 	}
 	d.scheduleCheck(now+max(left, d.classes.checkInterval), j)
-	pace := (e.estimate.runTime + usual) / (e.estimate.work + 1)
+	pace := e.estimate.meanPace(usual)
 	if j.hinted { // without a hint, its own long run tells nothing of the executor
 		pace = d.pace(e, now)
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -29,7 +29,7 @@
 		}
 		// One may be the network's or the batch job's; a second, with no sign of life between, is the executor's.
 		if how == ExecutorError || e.health.suspect && (how != ExecutorFull || j.tenant == nil || e.queuing.fullForMany) {
-			d.eject(e, now, "after an outcome that was no result")
+			d.eject(e, now, "after a failed attempt")
 			e.health.consecutiveErrors += int(oneIf(how == ExecutorError))
 		}
 		e.health.suspect = true
@@ -65,11 +65,7 @@
 		j.tenant.budgetMargin = max(j.tenant.budgetMargin-budgetMarginStep, 0)
 	}
 	d.recordCompletion(j, now)
-	if e.health.inFlightCap > 0 {
-		if e.health.inFlightCap++; e.health.inFlightCap > e.tokens.quota {
-			e.health.inFlightCap = 0
-		}
-	}
+	e.health.raiseCap(e.tokens.quota)
 	ran := now - j.startedAt
 	if !j.running {
 		// Without start notices: latency against what the pace foretells.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -6,7 +6,11 @@
 	"time"
 )
 
-const maxBackoffFactor = 8 // times the usual ejection at most, for an executor that is silent or errs again and again
+const (
+	maxBackoffFactor = 8 // times the usual ejection at most, for an executor that is silent or errs again and again
+	silenceFactor    = 2 // times what this node's attempts should take, after which an executor without a sign of life is silent
+	silentNotices    = 2 // progress notices that may be missing before an attempt is silent; one at an executor ejected for silence
+)
 
 // health is what outcomes and silence show of an executor.
 type health struct {
@@ -16,61 +20,99 @@
 	timeouts          int           // ejections for silence since then
 	consecutiveErrors int           // errors since it last completed a job
 	rejections        int           // rejected attempts since the last sign of life
-	suspect           bool          // an outcome since then was no result
-	unresponsive      bool          // a probe was not answered, and none since
-	probeOut          bool
-	probedAt          time.Duration
-	awaited           bool // it is in healthChecks.awaitingReply
+	suspect           bool          // an attempt failed since then
+	unresponsive      bool          // a health check was not answered, and none since
+	probeOut          bool          // a health check is out
+	probedAt          time.Duration // when the last one was sent; 0: none was
+	awaited           bool          // it is in healthChecks.awaitingReply
 }
 
+// isEjected reports whether an ejection is in force.
+func (h *health) isEjected(now time.Duration) bool { return h.ejectedUntil > now }
+
 // restart is for an executor that has started again: no ejection holds any more, and it begins with one attempt in flight.
 func (h *health) restart() {
 	h.ejectedUntil = 0
 	h.inFlightCap = 1
 }
 
-// eject holds an executor's tokens back for as long as a batch job takes: a quick error frees a token at
-// once and would draw more. After that it is tried with one in flight.
-func (d *Dispatcher) eject(e *executor, now time.Duration, why string) {
-	if e.health.ejectedUntil > now {
+// backoffFactor returns by how much the next ejection is longer than the usual one: by one time more for each ejection
+// for silence in a row, or twice as long for each error in a row.
+func (h *health) backoffFactor() time.Duration {
+	forErrors := min(1<<min(h.consecutiveErrors, maxBackoffFactor), maxBackoffFactor)
+	return time.Duration(max(1+h.timeouts, forErrors))
+}
+
+// raiseCap lets one more attempt be in flight after a success. Past the quota there is no cap any more.
+func (h *health) raiseCap(quota int) {
+	if h.inFlightCap == 0 {
 		return
 	}
-	span := d.longestMeanWork() * time.Duration(max(1+e.health.timeouts, min(1<<min(e.health.consecutiveErrors, maxBackoffFactor), maxBackoffFactor)))
+	h.inFlightCap++
+	if h.inFlightCap > quota {
+		h.inFlightCap = 0
+	}
+}
+
+// recordAlive records a sign of life.
+func (h *health) recordAlive(now time.Duration) {
+	h.lastSeen = now
+	h.suspect = false
+	h.unresponsive = false
+	h.timeouts = 0
+	h.rejections = 0
+}
+
+// eject has e get no new attempt for as long as a job takes, longer by backoffFactor if it failed before: an executor
+// that fails quickly frees its tokens at once and would draw more jobs. After that it is tried with one attempt in
+// flight. An ejection in force is not extended. The cause is for the log.
+func (d *Dispatcher) eject(e *executor, now time.Duration, cause string) {
+	if e.health.isEjected(now) {
+		return
+	}
+	span := d.longestMeanWork() * e.health.backoffFactor()
 	if e.health.inFlightCap == 0 {
-		d.logf("%s held back for %v %s", e.id, span.Round(time.Millisecond), why)
+		d.logf("%s ejected for %v %s", e.id, span.Round(time.Millisecond), cause)
 	}
-	e.health.ejectedUntil, e.health.inFlightCap = now+span, 1
-	d.subset.stale, d.subset.changed = true, true
+	e.health.ejectedUntil = now + span
+	e.health.inFlightCap = 1
+	d.subset.invalidate()
 	d.markDirty(e)
 	d.schedule(e.health.ejectedUntil, nil, nil)
 }
 
-// detectSilence guards against an executor that takes batch jobs and tells nothing for longer than all that is
-// out there should take, and against a connection that falls silent: an allocation of which as long nothing
-// is told shows nothing of its executor any more; its token comes free, or it would shut it out for long.
+// detectSilence ejects an executor that has attempts of this node and gave no sign of life for silenceFactor times what
+// they should take. It also releases the tokens of single attempts that are silent, as on a connection that broke
+// without notice: such an attempt shows nothing of its executor, and its token would be lost for long.
 func (d *Dispatcher) detectSilence(e *executor, now time.Duration) {
 	if len(e.attempts) == 0 || !e.available {
 		return
 	}
-	pace := (e.estimate.runTime + d.endpoints.kinds[e.kind].pace) / (e.estimate.work + 1)
-	span := 2*scaled(e.longestWork(), pace) + 2*e.estimate.startWait + d.classes.shortestObjective
-	if now-e.health.lastSeen > span && e.health.ejectedUntil <= now {
-		d.eject(e, now, fmt.Sprintf("after silence of %v", (now-e.health.lastSeen).Round(time.Millisecond)))
-		e.health.timeouts++ // each try costs a batch job: the next comes later
+	pace := e.estimate.meanPace(d.endpoints.kinds[e.kind].pace)
+	timeout := silenceFactor*scaled(e.longestWork(), pace) + silenceFactor*e.estimate.startWait + d.classes.shortestObjective
+	silentFor := now - e.health.lastSeen
+	if silentFor > timeout && !e.health.isEjected(now) {
+		d.eject(e, now, fmt.Sprintf("after silence of %v", silentFor.Round(time.Millisecond)))
+		e.health.timeouts++
 	}
-	// Where its executor was held back one missing notice is enough, or the next try would find no token free.
-	notices := d.config.progressInterval * time.Duration(2-min(e.health.timeouts, 1))
-	e.attempts = slices.DeleteFunc(e.attempts, func(j *attempt) bool {
-		j.tokenReleased = d.config.progressInterval > 0 && now-max(j.sentAt, j.progressAt) > max(span, notices)
-		if j.tokenReleased {
+	d.releaseSilentAttempts(e, now, timeout)
+}
+
+// releaseSilentAttempts gives up the tokens of attempts at e without a progress notice within the timeout. At an executor
+// ejected for silence one missing notice is enough, or its next trial would find no token free.
+func (d *Dispatcher) releaseSilentAttempts(e *executor, now, timeout time.Duration) {
+	notices := d.config.progressInterval * time.Duration(silentNotices-min(e.health.timeouts, 1))
+	e.attempts = slices.DeleteFunc(e.attempts, func(a *attempt) bool {
+		a.tokenReleased = d.config.progressInterval > 0 && now-max(a.sentAt, a.progressAt) > max(timeout, notices)
+		if a.tokenReleased {
 			d.releaseToken(e, now, true)
 		}
-		return j.tokenReleased
+		return a.tokenReleased
 	})
 }
 
-// recordAlive books a sign of life, which is as good as an answer to a probe.
+// recordAlive records a sign of life of e, which is as good as an answer to a health check.
 func (d *Dispatcher) recordAlive(e *executor, now time.Duration) {
 	d.subset.changed = d.subset.changed || e.health.unresponsive
-	e.health.lastSeen, e.health.suspect, e.health.unresponsive, e.health.timeouts, e.health.rejections = now, false, false, 0, 0
+	e.health.recordAlive(now)
 }
