--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"container/heap"
 	"encoding/binary"
 	"fmt"
 	"hash/crc32"
@@ -135,7 +134,7 @@
 	d.quota.intervalEnd = d.classes.quotaInterval
 	d.slowStart.derive(s.OverloadMultiple, d.classes.shortestObjective, d.config.nodeCount)
 	d.spreadPolls(s.PollWithin)
-	d.schedule(d.slowStart.overloadWindow, nil, nil) // a process that starts again may send more to cold executors from then on
+	d.timers.checkAll(d.slowStart.overloadWindow) // until then the slow-start budget of a restarted process is lower
 	for _, t := range s.Tenants {
 		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(s.Nodes)})
 	}
@@ -156,7 +155,7 @@
 	d.jobs[j.id] = j
 	d.queueJob(j, now)
 	// No scan of the queue is needed: the timer places this job, and no other became placeable.
-	d.schedule(now, j, nil)
+	d.timers.placeJob(now, j)
 	d.leases.requestWanted()
 }
 
@@ -219,60 +218,102 @@
 		}
 	}
 	j.generation++
-	d.schedule(max(next, now+d.config.quantum), j, nil)
+	d.timers.placeJob(max(next, now+d.config.quantum), j)
 }
 
-// NextTask says what has fallen due, or until when nothing will.
+// AttemptEnded records an attempt's outcome and decides what to do next. Final: the job is over by this outcome, or was
+// before it.
+func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, number AttemptID, outcome Outcome, final bool) Decision {
+	d.beginTurn(now)
+	a := d.findAttempt(id, number)
+	if a == nil {
+		return Decision{}
+	}
+	j := a.job
+	j.attempts = slices.DeleteFunc(j.attempts, func(other *attempt) bool { return other == a })
+	a.generation++
+	d.recordOutcome(a, outcome, now)
+	if final || j.finished {
+		d.finish(j, now)
+		return Decision{}
+	}
+	if !outcome.NeverRan() && j.mayHaveRun == nil {
+		j.mayHaveRun = a
+	}
+	if len(j.attempts) > 0 {
+		return Decision{} // the other attempt goes on
+	}
+	j.generation++
+	d.leases.requestWanted()
+	return d.Place(now, id)
+}
+
+// NextTask returns what has fallen due, or until when nothing will. The caller asks until it is told to sleep, and again
+// at that time and after each call that tells something.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.beginTurn(now)
 	for now >= d.quota.intervalEnd {
 		d.quota.intervalEnd += d.classes.quotaInterval
 		d.onInterval(now)
 	}
-	mustSubscribe := d.config.endpointsPolled && !d.poll.watching && !d.poll.outstanding
-	if mustSubscribe && now >= d.poll.nextAt {
+	mustPoll := d.config.endpointsPolled && d.poll.wanted()
+	if mustPoll && now >= d.poll.nextAt {
 		d.poll.outstanding = true
 		return DueTask{Task: WatchEndpoints}
 	}
 	if j := d.nextPlaceable(now); j != nil {
 		return DueTask{Task: PlaceJob, Job: j.id}
 	}
-	for len(d.timers.heap) > 0 && d.timers.heap[0].at <= now {
-		it := heap.Pop(&d.timers.heap).(timer)
-		j, s := it.job, it.attempt
-		switch {
-		case it.tokenOf != nil:
-			d.releaseToken(it.tokenOf, now, false)
-		case s != nil && s.generation == it.generation && d.shouldCancel(s, now):
-			s.canceling = true
-			return DueTask{Task: CancelAttempt, Job: s.id, Attempt: s.number}
-		case j != nil && j.generation == it.generation && len(j.attempts) == 0:
-			return DueTask{Task: PlaceJob, Job: j.id}
-		case s == nil && j == nil:
-			d.checkUnanswered(now)
-			d.subset.stale, d.queue.tokenFreed, d.leases.wanted = true, true, true
-		}
+	if task, found := d.runTimers(now); found {
+		return task
 	}
-	if j := d.nextPlaceable(now); j != nil {
+	if j := d.nextPlaceable(now); j != nil { // a timer may have freed a token
 		return DueTask{Task: PlaceJob, Job: j.id}
 	}
 	d.exchangeLeases(now)
 	if len(d.outbox) > 0 {
-		w := d.outbox[0]
+		task := d.outbox[0]
 		d.outbox = d.outbox[1:]
-		return w
-	}
-	at := d.quota.intervalEnd
-	if len(d.timers.heap) > 0 {
-		at = min(at, d.timers.heap[0].at)
+		return task
 	}
-	if mustSubscribe {
+	at := min(d.quota.intervalEnd, d.timers.next())
+	if mustPoll {
 		at = min(at, d.poll.nextAt)
 	}
 	d.clock.wakeAt = at
 	return DueTask{At: at}
 }
 
+// runTimers handles the timers that are due, up to the first that leaves a task for the caller.
+func (d *Dispatcher) runTimers(now time.Duration) (DueTask, bool) {
+	for {
+		due, found := d.timers.popDue(now)
+		if !found {
+			return DueTask{}, false
+		}
+		switch due.kind {
+		case releaseTokenTimer:
+			d.releaseToken(due.executor, now, false)
+		case checkAttemptTimer:
+			a := due.attempt
+			if a.generation == due.generation && d.shouldCancel(a, now) {
+				a.canceling = true
+				return DueTask{Task: CancelAttempt, Job: a.id, Attempt: a.number}, true
+			}
+		case placeJobTimer:
+			j := due.job
+			if j.generation == due.generation && len(j.attempts) == 0 {
+				return DueTask{Task: PlaceJob, Job: j.id}, true
+			}
+		case checkAllTimer:
+			d.checkUnanswered(now)
+			d.subset.recheck()
+			d.queue.rescan()
+			d.leases.requestWanted()
+		}
+	}
+}
+
 // ShutDownBy tells that this node ends: all in hand must be over by then, and what can't be gets its answer at
 // once.
 func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
@@ -281,7 +322,7 @@
 		d.capToShutdown(j)
 	}
 	for _, j := range slices.Concat(d.queue.onTime, d.queue.late) {
-		d.schedule(now, j, nil)
+		d.timers.placeJob(now, j)
 	}
 }
 
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -31,6 +31,9 @@
 	interval    time.Duration
 }
 
+// wanted reports whether the endpoint list has to be polled: no watch is in force and no poll is out.
+func (p *endpointPoll) wanted() bool { return !p.watching && !p.outstanding }
+
 // executor is what this node knows of one executor.
 type executor struct {
 	id         ExecutorID
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -82,7 +82,7 @@
 	e.health.probedAt = now
 	d.health.await(e)
 	d.outbox = append(d.outbox, DueTask{Task: ProbeExecutor, Executor: e.id})
-	d.schedule(now+d.classes.shortestObjective, nil, nil)
+	d.timers.checkAll(now + d.classes.shortestObjective)
 }
 
 // checkUnanswered finds the health checks and the lease requests that were not answered in time.
@@ -105,7 +105,7 @@
 				d.logf("%s ejected until it answers a health check", e.id)
 			}
 			d.markUnresponsive(e, min(e.health.timeouts+1, maxBackoffFactor))
-			d.schedule(now+d.probeInterval(e), nil, nil)
+			d.timers.checkAll(now + d.probeInterval(e))
 		} else if e.health.unresponsive {
 			d.requestProbe(e, now, d.probeInterval(e))
 		}
--- a/policy/job.go
+++ b/policy/job.go
@@ -85,7 +85,7 @@
 	j.finished = true
 	j.generation++
 	for _, s := range j.attempts {
-		d.scheduleCheck(now, s)
+		d.timers.checkAttempt(now, s)
 	}
 }
 
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -102,7 +102,7 @@
 		d.markDirty(e)
 		if in.EjectedFor > 0 || in.InFlightCap > 0 {
 			e.health.ejectedUntil, e.health.inFlightCap = now+in.EjectedFor, max(1, in.InFlightCap)
-			d.schedule(e.health.ejectedUntil, nil, nil)
+			d.timers.checkAll(e.health.ejectedUntil)
 		}
 		if !among {
 			continue
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -137,7 +137,7 @@
 	}
 	j.leaseRequestedFrom, e.lease.requested, e.lease.queued, e.lease.requestedAt = e, true, false, now
 	d.addLeaseRequest(e)
-	d.schedule(now+d.classes.shortestObjective/leaseAnswerPart, nil, nil)
+	d.timers.checkAll(now + d.classes.shortestObjective/leaseAnswerPart)
 	word := LeaseRequest
 	if d.isLate(j, now) {
 		word = LeaseRequestLate
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -5,76 +5,137 @@
 const (
 	slowProgressFactor = 2.0 // times the usual pace from which on an attempt counts as stuck
 	maxMigrationCost   = 0.1 // of a job's value that sending it to another zone once more may cost
+	migrationGain      = 2   // times the running time elsewhere that a started attempt must still need to be migrated
 )
 
-// shouldCancel says whether to stop waiting for an allocation: the client has left, it has not started and another
-// token is open to it, or the executor crawls and another token would answer sooner.
-func (d *Dispatcher) shouldCancel(j *attempt, now time.Duration) bool {
-	if j.canceling || !d.config.canCancel {
+// shouldCancel reports whether to stop waiting for an attempt: its job is over, it can earn nothing more, or it is
+// migrated. It also has quiet executors checked, requests hedges, and schedules the attempt's next check.
+func (d *Dispatcher) shouldCancel(a *attempt, now time.Duration) bool {
+	if a.canceling || !d.config.canCancel {
 		return false
 	}
-	e := j.executor
-	quiet := scaled(j.work, d.endpoints.kinds[e.kind].pace)
-	if !j.running { // how long it is left there anyway, where moves have a budget
-		quiet = max(quiet, scaled(j.objectiveAt-j.sentAt-j.work, d.shedding.threshold.MigrationDelay))
+	d.probeIfQuiet(a, now)
+	idempotent := a.class.idempotency == Idempotent
+	if a.finished {
+		return !a.running || idempotent // then canceling it has no cost
 	}
-	if !e.health.unresponsive && now-max(e.health.lastSeen, j.sentAt) > quiet {
-		d.requestProbe(e, now, d.classes.shortestObjective)
+	remaining := d.remainingAtSlowPace(a, now)
+	d.timers.checkAttempt(now+max(remaining, d.classes.checkInterval), a)
+	mayHaveStarted := a.running || !d.config.startNotices
+	pace := d.paceForCheck(a, now)
+	stuck := d.isStuck(a, pace, remaining, now)
+	if idempotent && (a.executor.health.unresponsive || !mayHaveStarted) && d.missesObjective(a, pace, now) {
+		return true
 	}
-	if j.finished {
-		return !j.running || j.class.idempotency == Idempotent // it may be stopped at no cost
+	if a.attemptCount >= a.class.maxAttempts || len(a.job.attempts) > 1 || mayHaveStarted && !stuck {
+		return false
 	}
-	usual, left := d.endpoints.kinds[e.kind].pace, time.Duration(0)
-	if j.running { // it can't crawl sooner
-		left = scaled(j.work, slowProgressFactor*usual) - (now - j.startedAt)
+	if mayHaveStarted && idempotent && d.config.canHedge {
+		d.requestHedge(a.job, now)
+		return false
 	}
-	d.scheduleCheck(now+max(left, d.classes.checkInterval), j)
-	pace := e.estimate.meanPace(usual)
-	if j.hinted { // without a hint, its own long run tells nothing of the executor
-		pace = d.pace(e, now)
+	return d.shouldMigrate(a, pace, now)
+}
+
+// probeIfQuiet sends a health check to the executor of an attempt that gave no sign of life for longer than the attempt
+// should take. An attempt that has not started may be quiet for as long as it is left there (MigrationDelay).
+func (d *Dispatcher) probeIfQuiet(a *attempt, now time.Duration) {
+	e := a.executor
+	quietLimit := scaled(a.work, d.endpoints.kinds[e.kind].pace)
+	if !a.running {
+		slack := a.objectiveAt - a.sentAt - a.work
+		quietLimit = max(quietLimit, scaled(slack, d.shedding.threshold.MigrationDelay))
 	}
-	crawls := (e.health.ejectedUntil > now || j.tokenReleased || pace >= slowProgressFactor*usual) && left < 0 || e.health.unresponsive
-	begun, repeatable := j.running || !d.config.startNotices, j.class.idempotency == Idempotent
-	if repeatable && (e.health.unresponsive || !begun) && j.class.lateValue == 0 && now > j.objectiveAt-scaled(j.work, pace) {
-		return true // it can earn nothing more
+	if !e.health.unresponsive && now-max(e.health.lastSeen, a.sentAt) > quietLimit {
+		d.requestProbe(e, now, d.classes.shortestObjective)
 	}
-	if j.attemptCount >= j.class.maxAttempts || len(j.job.attempts) > 1 || begun && !crawls {
-		return false
+}
+
+// remainingAtSlowPace returns how long a started attempt may still run before it counts as slow, by slowProgressFactor
+// times its kind's pace. It is negative for one that has run longer, and 0 for one that has not started.
+func (d *Dispatcher) remainingAtSlowPace(a *attempt, now time.Duration) time.Duration {
+	if !a.running {
+		return 0
 	}
-	if begun && repeatable && d.config.canHedge {
-		if !j.hedgeWanted && d.wantsHedge(j.job, now) {
-			j.hedgeWanted, d.queue.tokenFreed, d.leases.wanted, d.queue.hedges = true, true, true, append(d.queue.hedges, j.job)
-		}
+	usualPace := d.endpoints.kinds[a.executor.kind].pace
+	return scaled(a.work, slowProgressFactor*usualPace) - (now - a.startedAt)
+}
+
+// paceForCheck returns the pace that an attempt's prospects are judged by. Without the client's estimate of the work, the
+// attempt's own long run tells nothing of the executor, so what runs there now does not count.
+func (d *Dispatcher) paceForCheck(a *attempt, now time.Duration) float64 {
+	if a.hinted {
+		return d.pace(a.executor, now)
+	}
+	return a.executor.estimate.meanPace(d.endpoints.kinds[a.executor.kind].pace)
+}
+
+// isStuck reports whether an attempt makes no or slow progress: its executor is unresponsive, or the attempt has run
+// longer than it may and its executor is slow, ejected, or has not sent its progress notices.
+func (d *Dispatcher) isStuck(a *attempt, pace float64, remaining, now time.Duration) bool {
+	e := a.executor
+	if e.health.unresponsive {
+		return true
+	}
+	slow := pace >= slowProgressFactor*d.endpoints.kinds[e.kind].pace
+	return remaining < 0 && (e.health.isEjected(now) || a.tokenReleased || slow)
+}
+
+// missesObjective reports whether an attempt that begins now would end past its objective, in a class that pays nothing
+// then.
+func (d *Dispatcher) missesObjective(a *attempt, pace float64, now time.Duration) bool {
+	return a.class.lateValue == 0 && now > a.objectiveAt-scaled(a.work, pace)
+}
+
+// shouldMigrate reports whether to cancel an attempt because another executor has a token for it. One that has started
+// must need much longer where it is. One that has not waits for migrationStart first, unless its executor is ejected or
+// unresponsive. Crossing zones once more must be cheap for the job's value.
+func (d *Dispatcher) shouldMigrate(a *attempt, pace float64, now time.Duration) bool {
+	target := d.migrationTarget(a, now)
+	if target == nil {
 		return false
 	}
-	to := d.migrationTarget(j, now)
-	if to != nil && !j.running && !e.health.unresponsive && e.health.ejectedUntil <= now {
-		// Where nodes talk, more moves than their budget wait for some of their slack: most start by themselves.
-		d.countMigration(j)
-		slack := j.objectiveAt - j.sentAt - scaled(j.work, pace)
-		blind := oneIf(!d.config.loadAdjustedWeights && d.endpoints.kinds[to.kind].reportedSlots == 0) // nothing tells that another has less to do
-		from := j.sentAt + max(scaled(slack, d.shedding.threshold.MigrationDelay), scaled(d.longestMeanWork(), pace*blind))
-		if now < from {
-			d.scheduleCheck(from, j)
+	if a.running {
+		return a.remaining(now) > migrationGain*scaled(a.work, d.pace(target, now))
+	}
+	if e := a.executor; !e.health.unresponsive && !e.health.isEjected(now) {
+		d.countMigration(a)
+		if start := d.migrationStart(a, target, pace); now < start {
+			d.timers.checkAttempt(start, a)
 			return false
 		}
 	}
-	if to == nil || !j.running {
-		// A move pays the price of crossing again, so it must be small change.
-		return to != nil && (d.remoteSide(to) == 0 || d.config.crossZoneCost < maxMigrationCost*d.marginalValue(j.job))
+	return d.remoteSide(target) == 0 || d.config.crossZoneCost < maxMigrationCost*d.marginalValue(a.job)
+}
+
+// migrationStart returns from when on an attempt that has not started may be migrated: after the part of its slack that
+// the fleet's MigrationDelay says, as most attempts start by themselves, and, where nothing shows that the target has
+// less to do, after a mean running time.
+func (d *Dispatcher) migrationStart(a *attempt, target *executor, pace float64) time.Duration {
+	slack := a.objectiveAt - a.sentAt - scaled(a.work, pace)
+	delay := max(0, scaled(slack, d.shedding.threshold.MigrationDelay))
+	loadUnknown := !d.config.loadAdjustedWeights && d.endpoints.kinds[target.kind].reportedSlots == 0
+	if loadUnknown {
+		delay = max(delay, scaled(d.longestMeanWork(), pace))
 	}
-	left = now - j.startedAt
-	if j.progress > minProgress {
-		left = scaled(j.progressAt-j.startedAt, (1-j.progress)/j.progress)
+	return a.sentAt + delay
+}
+
+// migrationTarget returns the executor that the job would go to if the attempt were canceled now, as one that may have
+// run, or nil.
+func (d *Dispatcher) migrationTarget(a *attempt, now time.Duration) *executor {
+	if a.mayHaveRun == nil {
+		a.mayHaveRun = a
+		defer func() { a.mayHaveRun = nil }()
 	}
-	return left > 2*scaled(j.work, d.pace(to, now))
+	return d.pickExecutor(a.job, now, false)
 }
 
-// migrationTarget is the executor that j would go to if it were stopped now, as one that may have run.
-func (d *Dispatcher) migrationTarget(j *attempt, now time.Duration) *executor {
-	if j.mayHaveRun == nil {
-		j.mayHaveRun = j
-		defer func() { j.mayHaveRun = nil }()
+// remaining returns how much longer a started attempt runs, by its last progress notice, or else, as long again as it
+// has run.
+func (a *attempt) remaining(now time.Duration) time.Duration {
+	if a.progress > minProgress {
+		return scaled(a.progressAt-a.startedAt, (1-a.progress)/a.progress)
 	}
-	return d.pickExecutor(j.job, now, false)
+	return now - a.startedAt
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -5,76 +5,116 @@
 	"time"
 )
 
-// recordOutcome draws from an outcome what it says of the executor, and frees the token now or later.
-func (d *Dispatcher) recordOutcome(j *attempt, how Outcome, now time.Duration) {
-	e := j.executor
-	if j.tokenReleased { // its token is free already
-		return
+// recordOutcome records what an attempt's outcome says of its executor, and releases the token: at once, or later if the
+// executor may still be at work or is full.
+func (d *Dispatcher) recordOutcome(a *attempt, outcome Outcome, now time.Duration) {
+	if a.tokenReleased {
+		return // the attempt was given up as silent, and nothing of it says more of the executor
 	}
-	e.attempts = slices.DeleteFunc(e.attempts, func(o *attempt) bool { return o == j })
+	e := a.executor
+	e.removeAttempt(a)
 	d.markDirty(e)
-	est := scaled(j.work, d.pace(e, now))
-	switch how {
+	runTime := scaled(a.work, d.pace(e, now))
+	switch outcome {
 	case Succeeded:
-		d.recordSuccess(j, e, now)
-	case ExecutorFull, ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
-		if how == ExecutorFull {
-			// Full counts as queuing at the executor, unless only one tenant meets it.
-			e.queuing.recordFull(j.tenantID, est)
-			j.waitedAtExecutor = true
-		}
-		if d.config.canProbe && (how == ConnectFailed || how == ConnectionLost) {
-			d.markUnresponsive(e, max(1, e.health.timeouts)) // until it answers
-			d.requestProbe(e, now, 0)
-		}
-		// One may be the network's or the batch job's; a second, with no sign of life between, is the executor's.
-		if how == ExecutorError || e.health.suspect && (how != ExecutorFull || j.tenant == nil || e.queuing.fullForMany) {
-			d.eject(e, now, "after a failed attempt")
-			e.health.consecutiveErrors += int(oneIf(how == ExecutorError))
-		}
-		e.health.suspect = true
+		d.recordSuccess(a, now)
+	case ExecutorFull:
+		e.queuing.recordFull(a.tenantID, runTime)
+		d.recordFailure(a, outcome, now)
+		d.restToken(e, runTime, now)
+		return
+	case ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
+		d.recordFailure(a, outcome, now)
 	case TimedOut, Canceled:
-		if j.shortBudget && how == TimedOut {
-			j.tenant.budgetMargin = min(j.tenant.budgetMargin+budgetMarginRise*budgetMarginStep, maxBudgetMargin)
-		}
-		// The executor may still be on it: the token stays taken until the work would be over.
-		begun := now
-		if j.running {
-			begun = j.startedAt
-		} else {
-			d.returnLease(e, now, true)
-			if d.config.startNotices {
-				d.recordZoneWait(e, d.elapsed(j))
-			}
-		}
-		d.schedule(max(now, begun+est), nil, e)
+		d.recordAbandoned(a, outcome, runTime, now)
 		return
 	}
-	if how == ExecutorFull { // guards against a token that is turned away again and again, in overload by the hundred
+	d.releaseToken(e, now, a.waitedAtExecutor)
+}
+
+// recordFailure ejects the executor of an attempt without a result, if the failure is the executor's. Where connections
+// fail and executors answer health checks, the executor is unresponsive until it answers one.
+func (d *Dispatcher) recordFailure(a *attempt, outcome Outcome, now time.Duration) {
+	e := a.executor
+	if d.config.canProbe && (outcome == ConnectFailed || outcome == ConnectionLost) {
+		d.markUnresponsive(e, max(1, e.health.timeouts))
+		d.requestProbe(e, now, 0)
+	}
+	if blamesExecutor(a, outcome) {
+		d.eject(e, now, "after a failed attempt")
+	}
+	e.health.recordFailure(outcome)
+}
+
+// blamesExecutor reports whether a failure shows a fault of the executor. An error does. Any other failure may come from
+// the network or the job; a second one with no sign of life between does, unless the executor is full for one tenant.
+func blamesExecutor(a *attempt, outcome Outcome) bool {
+	e := a.executor
+	if outcome == ExecutorError {
+		return true
+	}
+	fullForOne := outcome == ExecutorFull && a.tenant != nil && !e.queuing.fullForMany
+	return e.health.suspect && !fullForOne
+}
+
+// restToken keeps the token of an attempt that was rejected as full for fullTokenRest running times, longer with each
+// rejection in a row. In an overload it would otherwise be taken and rejected again and again.
+func (d *Dispatcher) restToken(e *executor, runTime, now time.Duration) {
+	d.returnLease(e, now, true)
+	e.health.rejections++
+	d.timers.releaseToken(now+scaled(runTime, fullTokenRest*float64(e.health.rejections)), e)
+}
+
+// recordAbandoned records an attempt that was no longer waited for. The executor may still be at work on it, so its token
+// stays taken until the work would be done.
+func (d *Dispatcher) recordAbandoned(a *attempt, outcome Outcome, runTime, now time.Duration) {
+	e := a.executor
+	if a.shortBudget && outcome == TimedOut {
+		a.tenant.raiseBudgetMargin()
+	}
+	startedAt := a.startedAt
+	if !a.running {
+		startedAt = now
 		d.returnLease(e, now, true)
-		e.health.rejections++
-		d.schedule(now+scaled(est, fullTokenRest*float64(e.health.rejections)), nil, e)
-		return
+		if d.config.startNotices {
+			d.recordZoneWait(e, d.elapsed(a))
+		}
 	}
-	d.releaseToken(e, now, j.waitedAtExecutor)
+	d.timers.releaseToken(max(now, startedAt+runTime), e)
 }
 
-func (d *Dispatcher) recordSuccess(j *attempt, e *executor, now time.Duration) {
+// recordSuccess records a completed attempt: the executor lives, and its pace and start wait are updated.
+func (d *Dispatcher) recordSuccess(a *attempt, now time.Duration) {
+	e := a.executor
 	d.recordAlive(e, now)
-	if j.shortBudget {
-		j.tenant.budgetMargin = max(j.tenant.budgetMargin-budgetMarginStep, 0)
+	if a.shortBudget {
+		a.tenant.lowerBudgetMargin()
 	}
-	d.recordCompletion(j, now)
-	e.health.raiseCap(e.tokens.quota)
-	ran := now - j.startedAt
-	if !j.running {
-		// Without start notices: latency against what the pace foretells.
-		ran = min(d.elapsed(j), scaled(j.work, d.pace(e, now)))
-		if !j.hinted { // of what waiting does not explain half is running time, or a low guess would never rise
-			ran += max(0, d.elapsed(j)-ran-e.estimate.startWait) / 2
-		}
-		d.recordStartWait(e, j, d.elapsed(j)-ran)
-		j.waitedAtExecutor = d.elapsed(j) > scaled(ran, waitedFactor) // hints are rough
+	e.health.recordSuccess(e.tokens.quota)
+	d.recordCompletion(a, now)
+	runTime := now - a.startedAt
+	if !a.running {
+		runTime = d.inferRunTime(a, now)
+		d.recordStartWait(e, a, d.elapsed(a)-runTime)
+		a.waitedAtExecutor = d.elapsed(a) > scaled(runTime, waitedFactor)
+	}
+	d.recordRunTime(a.job, e, runTime)
+}
+
+// inferRunTime returns how long an attempt ran that sent no start notice: what its executor's pace predicts, at most the
+// time since it was sent. Without the client's estimate of the work, half of what neither the prediction nor the usual
+// start wait explains counts as running time too, or a first guess that is too low would never rise.
+func (d *Dispatcher) inferRunTime(a *attempt, now time.Duration) time.Duration {
+	e := a.executor
+	elapsed := d.elapsed(a)
+	runTime := min(elapsed, scaled(a.work, d.pace(e, now)))
+	if !a.hinted {
+		runTime += max(0, elapsed-runTime-e.estimate.startWait) / 2
 	}
-	d.recordRunTime(j.job, e, ran)
+	return runTime
+}
+
+// removeAttempt removes an attempt that is over from those that are out.
+func (e *executor) removeAttempt(a *attempt) {
+	e.attempts = slices.DeleteFunc(e.attempts, func(other *attempt) bool { return other == a })
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -43,8 +43,10 @@
 	return time.Duration(max(1+h.timeouts, forErrors))
 }
 
-// raiseCap lets one more attempt be in flight after a success. Past the quota there is no cap any more.
-func (h *health) raiseCap(quota int) {
+// recordSuccess records a completed attempt, after which one more may be in flight. Past the quota there is no cap any
+// more.
+func (h *health) recordSuccess(quota int) {
+	h.consecutiveErrors = 0
 	if h.inFlightCap == 0 {
 		return
 	}
@@ -54,6 +56,14 @@
 	}
 }
 
+// recordFailure records an attempt without a result.
+func (h *health) recordFailure(outcome Outcome) {
+	h.suspect = true
+	if outcome == ExecutorError {
+		h.consecutiveErrors++
+	}
+}
+
 // recordAlive records a sign of life.
 func (h *health) recordAlive(now time.Duration) {
 	h.lastSeen = now
@@ -78,7 +88,7 @@
 	e.health.inFlightCap = 1
 	d.subset.invalidate()
 	d.markDirty(e)
-	d.schedule(e.health.ejectedUntil, nil, nil)
+	d.timers.checkAll(e.health.ejectedUntil)
 }
 
 // detectSilence ejects an executor that has attempts of this node and gave no sign of life for silenceFactor times what
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -55,7 +55,7 @@
 	}
 	j.attemptCount++
 	j.generation++
-	d.scheduleCheck(now+d.classes.checkInterval, a)
+	d.timers.checkAttempt(now+d.classes.checkInterval, a)
 	return Decision{Action: Send, Executor: e.id}
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,14 +1,21 @@
 package policy
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
-// retryAllowed is rule 2 for a further allocation.
+// retryAllowed is rule 2: it reports whether another attempt of j can have no second effect. That holds while no attempt
+// may have run, for idempotent jobs, and, for those with an idempotency key, while executors remember the key. An
+// at-most-once job that may have run is never retried.
 func (d *Dispatcher) retryAllowed(j *job, now time.Duration) bool {
-	return j.mayHaveRun == nil || j.class.idempotency == Idempotent ||
-		j.class.idempotency == IdempotentWithKey && now < j.mayHaveRun.sentAt+j.class.dedupWindow-d.config.quantum
+	if j.mayHaveRun == nil {
+		return true
+	}
+	switch j.class.idempotency {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		return now < j.mayHaveRun.sentAt+j.class.dedupWindow-d.config.quantum
+	}
+	return false
 }
 
 // rejectionAllowed reports whether j may be answered with a rejection, which invites its client to try again: no attempt
@@ -35,33 +42,7 @@
 	return false
 }
 
-// boundToDedupGroup says whether j may only be repeated in its dedup group.
+// boundToDedupGroup reports whether j may be retried in the dedup group of its earlier attempt only.
 func (d *Dispatcher) boundToDedupGroup(j *job) bool {
 	return j.mayHaveRun != nil && j.class.idempotency == IdempotentWithKey && j.class.dedupGroup != DedupAllExecutors
 }
-
-// AttemptEnded says what to do after an allocation's outcome. Final: the batch job is over by it or before it.
-func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, n AttemptID, how Outcome, final bool) Decision {
-	d.beginTurn(now)
-	s := d.findAttempt(id, n)
-	if s == nil {
-		return Decision{}
-	}
-	j := s.job
-	j.attempts = slices.DeleteFunc(j.attempts, func(o *attempt) bool { return o == s })
-	s.generation++
-	d.recordOutcome(s, how, now)
-	if final || j.finished {
-		d.finish(j, now)
-		return Decision{}
-	}
-	if !how.NeverRan() && j.mayHaveRun == nil {
-		j.mayHaveRun = s
-	}
-	if len(j.attempts) > 0 { // the other one goes on
-		return Decision{}
-	}
-	j.generation++
-	d.leases.wanted = true
-	return d.Place(now, id)
-}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -118,7 +118,7 @@
 	d.subset.invalidate()
 	d.queue.rescan()
 	if until != Forever {
-		d.schedule(max(until, now), nil, nil)
+		d.timers.checkAll(max(until, now))
 	}
 }
 
--- a/policy/value.go
+++ b/policy/value.go
@@ -77,7 +77,6 @@
 
 // recordCompletion books an answer, in its quoted time or not.
 func (d *Dispatcher) recordCompletion(s *attempt, now time.Duration) {
-	s.executor.health.consecutiveErrors = 0
 	d.shedding.summary.Completed += s.work.Seconds()
 	if now <= s.objectiveAt {
 		s.class.earnedValue += d.valueOf(s.job)
@@ -121,6 +120,16 @@
 	}
 }
 
+// raiseBudgetMargin gives the tenant's jobs of short budgets more room, after one that timed out.
+func (t *tenant) raiseBudgetMargin() {
+	t.budgetMargin = min(t.budgetMargin+budgetMarginRise*budgetMarginStep, maxBudgetMargin)
+}
+
+// lowerBudgetMargin gives them less room, after one that was completed.
+func (t *tenant) lowerBudgetMargin() {
+	t.budgetMargin = max(t.budgetMargin-budgetMarginStep, 0)
+}
+
 // recordFirstTry books whether a tenant's first try lacked budget, and gives the part of them that do.
 func (t *tenant) recordFirstTry(again, lacks bool) float64 {
 	if t == nil {
