--- a/policy/lease.go
+++ b/policy/lease.go
@@ -40,6 +40,13 @@
 	listed         bool // it is in leaseTable.requests
 }
 
+// request records that a lease is requested of the holder now.
+func (l *leaseState) request(now time.Duration) {
+	l.requested = true
+	l.queued = false
+	l.requestedAt = now
+}
+
 // use turns a granted lease into one that an attempt uses.
 func (l *leaseState) use() {
 	if l.granted {
@@ -77,6 +84,38 @@
 // requestWanted has the end of this turn request leases for jobs that wait.
 func (t *leaseTable) requestWanted() { t.wanted = true }
 
+// addRequest adds an executor that a lease was requested for.
+func (t *leaseTable) addRequest(e *executor) {
+	if !e.lease.listed {
+		e.lease.listed = true
+		t.requests = append(t.requests, e)
+	}
+}
+
+// pending returns the executors with a lease request that was not granted yet, in the order of the subset.
+func (t *leaseTable) pending() []*executor {
+	t.requests = slices.DeleteFunc(t.requests, func(e *executor) bool {
+		e.lease.listed = e.lease.requested
+		return !e.lease.listed
+	})
+	slices.SortFunc(t.requests, func(a, b *executor) int { return a.indexed.subsetRank - b.indexed.subsetRank })
+	return t.requests
+}
+
+// ledgerFor returns the ledger of an executor that this node holds the leases of. The first request opens it.
+func (t *leaseTable) ledgerFor(hash ExecutorHash) *leaseLedger {
+	ledger := t.ledgers[hash]
+	if ledger == nil {
+		ledger = &leaseLedger{hash: hash, quota: initialQuota}
+		t.ledgers[hash] = ledger
+		t.ledgerList = append(t.ledgerList, ledger)
+	}
+	return ledger
+}
+
+// leasesSlots reports whether executors' slots are leased between nodes: nodes may message each other and are many.
+func (d *Dispatcher) leasesSlots() bool { return d.config.canLease && d.usesSubset() }
+
 // leaseHolderOf returns the node that grants an executor's leases.
 func (d *Dispatcher) leaseHolderOf(hash ExecutorHash) NodeID {
 	return NodeID(hash % ExecutorHash(d.config.nodeCount))
@@ -88,19 +127,49 @@
 	return d.leaseHolderOf((hash ^ hash>>16) * goldenRatio32 >> 8)
 }
 
-// leaseAllows says whether e's keeper has given a place there, or, asking, may be asked for one.
-func (d *Dispatcher) leaseAllows(e *executor, now time.Duration, asking bool) bool {
-	switch {
-	case !d.config.canLease || !d.usesSubset():
-		return !asking
-	case asking:
-		return !e.lease.granted && !e.lease.requested && e.lease.bypassUntil <= now
+// leaseAllows reports whether a lease allows a token of e to be used now, or, with forLease, whether one may be requested.
+func (d *Dispatcher) leaseAllows(e *executor, now time.Duration, forLease bool) bool {
+	if !d.leasesSlots() {
+		return !forLease
+	}
+	bypassed := e.lease.bypassUntil > now
+	if forLease {
+		return !e.lease.granted && !e.lease.requested && !bypassed
 	}
-	return e.lease.granted || e.lease.bypassUntil > now
+	return e.lease.granted || bypassed
 }
 
-// exchangeLeases gives back places that nothing wants any more, and asks for one for each batch job that waits.
+// exchangeLeases ends a turn: it returns leases that no job used, cancels requests when no job waits any more, and
+// requests leases for the jobs that wait.
 func (d *Dispatcher) exchangeLeases(now time.Duration) {
+	d.returnUnusedLeases(now)
+	if d.queue.empty() {
+		d.cancelLeaseRequests(now)
+	}
+	if !d.leases.wanted || !d.leasesSlots() {
+		return
+	}
+	d.leases.wanted = false
+	for _, list := range d.queue.inOrder() {
+		for _, j := range list[:min(len(list), len(d.subset.members))] {
+			if j.awaitsLease() {
+				continue
+			}
+			if e := d.pickExecutor(j, now, true); e != nil {
+				d.requestLease(j, e, now)
+			}
+		}
+	}
+}
+
+// awaitsLease reports whether a lease was requested for j and the holder has not answered yet.
+func (j *job) awaitsLease() bool {
+	from := j.leaseRequestedFrom
+	return from != nil && from.lease.requested && !from.lease.queued
+}
+
+// returnUnusedLeases returns the leases that were granted and that no attempt used in this turn.
+func (d *Dispatcher) returnUnusedLeases(now time.Duration) {
 	for _, e := range d.leases.unused {
 		if e.lease.granted {
 			e.lease.granted = false
@@ -109,75 +178,87 @@
 		}
 	}
 	d.leases.unused = d.leases.unused[:0]
-	for _, e := range d.pendingLeaseRequests() {
-		if e.indexed.subsetRank >= 0 && e.lease.queued && len(d.queue.onTime)+len(d.queue.late)+len(d.queue.hedges) == 0 {
+}
+
+// cancelLeaseRequests cancels the requests that a holder has queued.
+func (d *Dispatcher) cancelLeaseRequests(now time.Duration) {
+	for _, e := range d.leases.pending() {
+		if e.indexed.subsetRank >= 0 && e.lease.queued {
 			e.lease.requested = false
 			d.markDirty(e)
 			d.sendLease(now, e.lease.holder, LeaseCancel, e.hash)
 		}
 	}
-	if !d.leases.wanted || !d.config.canLease || !d.usesSubset() {
-		return
-	}
-	d.leases.wanted = false
-	for _, list := range [...][]*job{d.queue.onTime, d.queue.late, d.queue.hedges} {
-		for _, j := range list[:min(len(list), len(d.subset.members))] {
-			if j.leaseRequestedFrom == nil || !j.leaseRequestedFrom.lease.requested || j.leaseRequestedFrom.lease.queued {
-				d.requestLease(j, d.pickExecutor(j, now, true), now)
-			}
-		}
-	}
 }
 
+// requestLease requests a lease of one of e's slots for j. The first holder in line is asked again once primaryRetryAt has
+// passed and no lease of the other one is in use.
 func (d *Dispatcher) requestLease(j *job, e *executor, now time.Duration) {
-	if e == nil {
-		return
-	} else if now >= e.lease.primaryRetryAt && e.lease.held == 0 {
+	if now >= e.lease.primaryRetryAt && e.lease.held == 0 {
 		e.lease.holder = d.leaseHolderOf(e.hash)
 	}
-	j.leaseRequestedFrom, e.lease.requested, e.lease.queued, e.lease.requestedAt = e, true, false, now
-	d.addLeaseRequest(e)
+	j.leaseRequestedFrom = e
+	e.lease.request(now)
+	d.leases.addRequest(e)
+	d.markDirty(e)
 	d.timers.checkAll(now + d.classes.shortestObjective/leaseAnswerPart)
-	word := LeaseRequest
+	message := LeaseRequest
 	if d.isLate(j, now) {
-		word = LeaseRequestLate
+		message = LeaseRequestLate
 	}
-	d.sendLease(now, e.lease.holder, word, e.hash)
+	d.sendLease(now, e.lease.holder, message, e.hash)
 }
 
-// ReceiveLeaseMessage tells of a word from another node about an executor's places.
-func (d *Dispatcher) ReceiveLeaseMessage(now time.Duration, from NodeID, word LeaseMessage, sum ExecutorHash) {
-	switch word {
+// ReceiveLeaseMessage tells of a lease message from another node about an executor's slots.
+func (d *Dispatcher) ReceiveLeaseMessage(now time.Duration, from NodeID, message LeaseMessage, hash ExecutorHash) {
+	switch message {
 	case LeaseGrant, LeaseWait:
-		e := d.endpoints.byHash[sum]
-		if e == nil || !e.lease.requested || e.lease.holder != from {
-			if word == LeaseGrant {
-				d.sendLease(now, from, LeaseReturn, sum)
-			}
-			return
-		}
-		d.queue.tokenFreed, d.leases.wanted, e.lease.queued = true, true, word == LeaseWait
-		if word == LeaseGrant {
-			e.lease.requested, e.lease.granted = false, true
-			d.markDirty(e)
-			d.leases.unused = append(d.leases.unused, e)
-		}
+		d.receiveLeaseAnswer(now, from, message, hash)
 	case LeaseRequest, LeaseRequestLate:
-		k := d.ledgerFor(sum)
-		k.addWaiting(from, word == LeaseRequestLate)
-		if d.grantLeases(k, k.quota, now); k.isWaiting(from) {
-			k.shortage = true
-			d.sendLease(now, from, LeaseWait, sum)
-			if e := d.endpoints.byHash[sum]; e != nil {
-				d.requestProbe(e, now, d.classes.shortestObjective)
-			}
-		}
+		d.receiveLeaseRequest(now, from, message == LeaseRequestLate, hash)
 	case LeaseCancel:
-		d.ledgerFor(sum).removeWaiting(from)
+		d.leases.ledgerFor(hash).removeWaiting(from)
 	case LeaseReturn, LeaseReturnLate:
-		k := d.ledgerFor(sum)
-		k.recordReturn(from, word == LeaseReturnLate)
-		d.grantLeases(k, k.quota, now)
+		ledger := d.leases.ledgerFor(hash)
+		ledger.recordReturn(from, message == LeaseReturnLate)
+		d.grantLeases(ledger, ledger.quota, now)
+	}
+}
+
+// receiveLeaseAnswer handles a holder's answer to a request of this node. A grant that was not requested of that holder,
+// or is not wanted any more, is returned at once.
+func (d *Dispatcher) receiveLeaseAnswer(now time.Duration, from NodeID, message LeaseMessage, hash ExecutorHash) {
+	e := d.endpoints.byHash[hash]
+	if e == nil || !e.lease.requested || e.lease.holder != from {
+		if message == LeaseGrant {
+			d.sendLease(now, from, LeaseReturn, hash)
+		}
+		return
+	}
+	d.queue.rescan()
+	d.leases.requestWanted()
+	e.lease.queued = message == LeaseWait
+	if message == LeaseGrant {
+		e.lease.requested = false
+		e.lease.granted = true
+		d.markDirty(e)
+		d.leases.unused = append(d.leases.unused, e)
+	}
+}
+
+// receiveLeaseRequest handles a request as the lease holder: it grants a lease, or queues the node and has the executor
+// checked for a slot beyond the quota.
+func (d *Dispatcher) receiveLeaseRequest(now time.Duration, from NodeID, pastObjective bool, hash ExecutorHash) {
+	ledger := d.leases.ledgerFor(hash)
+	ledger.addWaiting(from, pastObjective)
+	d.grantLeases(ledger, ledger.quota, now)
+	if !ledger.isWaiting(from) {
+		return
+	}
+	ledger.shortage = true
+	d.sendLease(now, from, LeaseWait, hash)
+	if e := d.endpoints.byHash[hash]; e != nil {
+		d.requestProbe(e, now, d.classes.shortestObjective)
 	}
 }
 
@@ -196,7 +277,7 @@
 // checkLeaseRequests turns to the next lease holder in line where a request was not answered within the shortest
 // objective over leaseAnswerPart, and does without a lease for an interval where that one does not answer either.
 func (d *Dispatcher) checkLeaseRequests(now time.Duration) {
-	for _, e := range d.pendingLeaseRequests() {
+	for _, e := range d.leases.pending() {
 		unanswered := !e.lease.queued && now-e.lease.requestedAt >= d.classes.shortestObjective/leaseAnswerPart
 		if e.indexed.subsetRank < 0 || !unanswered {
 			continue
@@ -213,121 +294,114 @@
 	}
 }
 
-// grantLeases gives free places to the nodes that have waited longest. A place that does not come back within two
-// intervals is free again: its node is dead or its word was lost.
-func (d *Dispatcher) grantLeases(k *leaseLedger, most int, now time.Duration) {
-	k.granted = slices.DeleteFunc(k.granted, func(l lease) bool { return l.expiresAt <= now })
-	for len(k.waiting)+len(k.waitingLate) > 0 && len(k.granted) < most {
-		to := k.popWaiting()
-		k.grantedAt = now
-		k.granted = append(k.granted, lease{to, now + leaseLifetime*d.classes.quotaInterval})
-		d.sendLease(now, to, LeaseGrant, k.hash)
+// grantLeases grants leases to the nodes that have waited longest, until the limit is reached. A lease that does not come
+// back within leaseLifetime intervals is free again: its node has failed, or its message was lost.
+func (d *Dispatcher) grantLeases(ledger *leaseLedger, limit int, now time.Duration) {
+	ledger.granted = slices.DeleteFunc(ledger.granted, func(l lease) bool { return l.expiresAt <= now })
+	for ledger.anyWaiting() && len(ledger.granted) < limit {
+		to := ledger.popWaiting()
+		ledger.grantedAt = now
+		ledger.granted = append(ledger.granted, lease{to, now + leaseLifetime*d.classes.quotaInterval})
+		d.sendLease(now, to, LeaseGrant, ledger.hash)
 	}
 }
 
-// adjustLeaseQuotas is the design's single step for the places that this node keeps.
+// adjustLeaseQuotas ends an interval for the ledgers of this node: each quota moves by one at most.
 func (d *Dispatcher) adjustLeaseQuotas(now time.Duration) {
-	for _, k := range d.leases.ledgerList {
-		k.cooldown--
-		switch r := float64(k.lateStarts) / max(float64(k.returns), 1); {
-		case r > executorQueuingThreshold && k.quota > 1:
-			k.quota--
-			k.cooldown = leaseQuotaCooldown
-		case r < maxLateStarts && k.shortage && k.quota < maxQuota && k.cooldown <= 0 && (!d.config.canProbe || k.spareSeen):
-			k.quota++
-		}
-		k.lateStarts, k.returns, k.shortage, k.spareSeen = 0, 0, len(k.waiting) > 0, false
-		d.grantLeases(k, k.quota, now)
+	for _, ledger := range d.leases.ledgerList {
+		ledger.adjustQuota(d.config.canProbe)
+		d.grantLeases(ledger, ledger.quota, now)
 	}
 }
 
-func (d *Dispatcher) sendLease(now time.Duration, to NodeID, word LeaseMessage, sum ExecutorHash) {
+// sendLease sends a lease message. One to this node itself is handled at once.
+func (d *Dispatcher) sendLease(now time.Duration, to NodeID, message LeaseMessage, hash ExecutorHash) {
 	if to == d.config.nodeID {
-		d.ReceiveLeaseMessage(now, to, word, sum)
+		d.ReceiveLeaseMessage(now, to, message, hash)
 		return
 	}
-	d.outbox = append(d.outbox, DueTask{Task: SendLeaseMessage, Node: to, Message: word, Hash: sum})
+	d.outbox = append(d.outbox, DueTask{Task: SendLeaseMessage, Node: to, Message: message, Hash: hash})
 }
 
-// returnLease tells the keeper that a place it lent is free again.
-func (d *Dispatcher) returnLease(e *executor, now time.Duration, late bool) {
-	if e.lease.held > 0 {
-		e.lease.held--
-		word := LeaseReturn
-		if late {
-			word = LeaseReturnLate
-		}
-		d.sendLease(now, e.lease.holder, word, e.hash)
+// returnLease returns the lease that an attempt at e used, if there is one, and says whether its job had to wait there.
+func (d *Dispatcher) returnLease(e *executor, now time.Duration, waitedAtExecutor bool) {
+	if e.lease.held == 0 {
+		return
 	}
-}
-
-// ledgerFor is the book that this node keeps of an executor's places.
-func (d *Dispatcher) ledgerFor(sum ExecutorHash) *leaseLedger {
-	k := d.leases.ledgers[sum]
-	if k == nil {
-		k = &leaseLedger{hash: sum, quota: initialQuota}
-		d.leases.ledgers[sum] = k
-		d.leases.ledgerList = append(d.leases.ledgerList, k)
+	e.lease.held--
+	message := LeaseReturn
+	if waitedAtExecutor {
+		message = LeaseReturnLate
 	}
-	return k
+	d.sendLease(now, e.lease.holder, message, e.hash)
 }
 
-// addLeaseRequest notes an executor of which a place was asked for.
-func (d *Dispatcher) addLeaseRequest(e *executor) {
-	d.markDirty(e)
-	if !e.lease.listed {
-		e.lease.listed = true
-		d.leases.requests = append(d.leases.requests, e)
+// adjustQuota moves the number of slots that may be leased by one at most, by the design's rule for quotas: down if too
+// many jobs had to wait at the executor, up if nodes had to wait for a lease and few jobs did, and, where executors
+// answer health checks, one of them showed a free slot. After a step down the quota stays for leaseQuotaCooldown
+// intervals.
+func (l *leaseLedger) adjustQuota(canProbe bool) {
+	l.cooldown--
+	lateFraction := float64(l.lateStarts) / max(float64(l.returns), 1)
+	switch {
+	case lateFraction > executorQueuingThreshold && l.quota > 1:
+		l.quota--
+		l.cooldown = leaseQuotaCooldown
+	case lateFraction < maxLateStarts && l.shortage && l.quota < maxQuota && l.cooldown <= 0 && (!canProbe || l.spareSeen):
+		l.quota++
 	}
+	l.lateStarts = 0
+	l.returns = 0
+	l.shortage = len(l.waiting) > 0
+	l.spareSeen = false
 }
 
-// pendingLeaseRequests are those of the slice of which a place was asked for, in its order.
-func (d *Dispatcher) pendingLeaseRequests() []*executor {
-	d.leases.requests = slices.DeleteFunc(d.leases.requests, func(e *executor) bool {
-		e.lease.listed = e.lease.requested
-		return !e.lease.listed
-	})
-	slices.SortFunc(d.leases.requests, func(a, b *executor) int { return a.indexed.subsetRank - b.indexed.subsetRank })
-	return d.leases.requests
-}
-
-// addWaiting puts a node into the queue, or into that of those with late batch jobs.
-func (k *leaseLedger) addWaiting(n NodeID, late bool) {
-	if k.isWaiting(n) {
+// addWaiting queues a node for a lease. Nodes whose job is past its objective wait behind all others.
+func (l *leaseLedger) addWaiting(node NodeID, pastObjective bool) {
+	if l.isWaiting(node) {
 		return
 	}
-	list := &k.waiting
-	if late {
-		list = &k.waitingLate
+	if pastObjective {
+		l.waitingLate = append(l.waitingLate, node)
+	} else {
+		l.waiting = append(l.waiting, node)
 	}
-	*list = append(*list, n)
 }
 
-func (k *leaseLedger) removeWaiting(n NodeID) {
-	is := func(o NodeID) bool { return o == n }
-	k.waiting, k.waitingLate = slices.DeleteFunc(k.waiting, is), slices.DeleteFunc(k.waitingLate, is)
+// removeWaiting takes a node out of the queue.
+func (l *leaseLedger) removeWaiting(node NodeID) {
+	isNode := func(other NodeID) bool { return other == node }
+	l.waiting = slices.DeleteFunc(l.waiting, isNode)
+	l.waitingLate = slices.DeleteFunc(l.waitingLate, isNode)
 }
 
-func (k *leaseLedger) isWaiting(n NodeID) bool {
-	return slices.Contains(k.waiting, n) || slices.Contains(k.waitingLate, n)
+// isWaiting reports whether a node is queued for a lease.
+func (l *leaseLedger) isWaiting(node NodeID) bool {
+	return slices.Contains(l.waiting, node) || slices.Contains(l.waitingLate, node)
 }
 
-// recordReturn takes a place back; one that has been given up for lost is passed over. Late: the batch job had to wait there.
-func (k *leaseLedger) recordReturn(from NodeID, late bool) {
-	k.returns++
-	k.lateStarts += int(oneIf(late))
-	if i := slices.IndexFunc(k.granted, func(l lease) bool { return l.holder == from }); i >= 0 {
-		k.granted = slices.Delete(k.granted, i, i+1)
+// anyWaiting reports whether some node is.
+func (l *leaseLedger) anyWaiting() bool { return len(l.waiting)+len(l.waitingLate) > 0 }
+
+// popWaiting takes the node that has waited longest out of the queue.
+func (l *leaseLedger) popWaiting() NodeID {
+	from := &l.waiting
+	if len(l.waiting) == 0 {
+		from = &l.waitingLate
 	}
+	node := (*from)[0]
+	*from = (*from)[1:]
+	return node
 }
 
-// popWaiting takes the node that has waited longest out of the queue, those with late batch jobs last.
-func (k *leaseLedger) popWaiting() NodeID {
-	from := &k.waiting
-	if len(k.waiting) == 0 {
-		from = &k.waitingLate
+// recordReturn takes a lease back. One that had expired counts all the same for the step of the quota.
+func (l *leaseLedger) recordReturn(from NodeID, waitedAtExecutor bool) {
+	l.returns++
+	if waitedAtExecutor {
+		l.lateStarts++
+	}
+	index := slices.IndexFunc(l.granted, func(granted lease) bool { return granted.holder == from })
+	if index >= 0 {
+		l.granted = slices.Delete(l.granted, index, index+1)
 	}
-	n := (*from)[0]
-	*from = (*from)[1:]
-	return n
 }
