--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -134,7 +134,7 @@
 	switch {
 	case text.Version != version:
 		return node.LeaseMessageReceived{}, fmt.Errorf("of another version")
-	case text.From < 0 || policy.LeaseMessage(text.Word) < policy.LeaseRequest || policy.LeaseMessage(text.Word) > policy.LeaseReturnLate:
+	case text.From < 0 || policy.LeaseMessage(text.Word) < policy.LeaseRequest || policy.LeaseMessage(text.Word) > policy.LeaseReturnDelayed:
 		return node.LeaseMessageReceived{}, fmt.Errorf("that make no sense")
 	}
 	return node.LeaseMessageReceived{From: policy.NodeID(text.From), Message: policy.LeaseMessage(text.Word), Hash: policy.ExecutorHash(text.Sum)}, nil
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -10,7 +10,7 @@
 // for an interval.
 
 const (
-	maxLateStarts      = 0.1 // of starts that may have to wait at an executor for its holder to grant one lease more
+	maxDelayedStarts   = 0.1 // of starts that may have to wait at an executor for its holder to grant one lease more
 	leaseQuotaCooldown = 4   // intervals that a lowered lease quota stays
 	leaseLifetime      = 2   // intervals after which a lease that is not returned is free again
 	leaseAnswerPart    = 4   // a holder has the shortest objective over this to answer
@@ -62,17 +62,17 @@
 
 // leaseLedger is what this node keeps for all nodes as the lease holder of an executor.
 type leaseLedger struct {
-	hash        ExecutorHash
-	quota       int
-	granted     []lease
-	waiting     []NodeID // for a lease, the first at the front
-	waitingLate []NodeID // likewise with a job past its objective
-	returns     int      // leases returned in this interval
-	lateStarts  int      // those of them where the job had to wait at the executor
-	shortage    bool     // somebody had to wait in this interval
-	cooldown    int      // intervals until the quota may rise
-	grantedAt   time.Duration
-	spareSeen   bool // in this interval a probe showed a free slot while all were granted
+	hash          ExecutorHash
+	quota         int
+	granted       []lease
+	waiting       []NodeID // for a lease, the first at the front
+	waitingLate   []NodeID // likewise with a job past its objective
+	returns       int      // leases returned in this interval
+	delayedStarts int      // those of them where the job had to wait at the executor
+	shortage      bool     // somebody had to wait in this interval
+	cooldown      int      // intervals until the quota may rise
+	grantedAt     time.Duration
+	spareSeen     bool // in this interval a probe showed a free slot while all were granted
 }
 
 // lease is one slot that is granted to a node.
@@ -218,9 +218,9 @@
 		d.receiveLeaseRequest(now, from, message == LeaseRequestLate, hash)
 	case LeaseCancel:
 		d.leases.ledgerFor(hash).removeWaiting(from)
-	case LeaseReturn, LeaseReturnLate:
+	case LeaseReturn, LeaseReturnDelayed:
 		ledger := d.leases.ledgerFor(hash)
-		ledger.recordReturn(from, message == LeaseReturnLate)
+		ledger.recordReturn(from, message == LeaseReturnDelayed)
 		d.grantLeases(ledger, ledger.quota, now)
 	}
 }
@@ -331,7 +331,7 @@
 	e.lease.held--
 	message := LeaseReturn
 	if waitedAtExecutor {
-		message = LeaseReturnLate
+		message = LeaseReturnDelayed
 	}
 	d.sendLease(now, e.lease.holder, message, e.hash)
 }
@@ -342,15 +342,15 @@
 // intervals.
 func (l *leaseLedger) adjustQuota(canProbe bool) {
 	l.cooldown--
-	lateFraction := float64(l.lateStarts) / max(float64(l.returns), 1)
+	delayedFraction := float64(l.delayedStarts) / max(float64(l.returns), 1)
 	switch {
-	case lateFraction > executorQueuingThreshold && l.quota > 1:
+	case delayedFraction > executorQueuingThreshold && l.quota > 1:
 		l.quota--
 		l.cooldown = leaseQuotaCooldown
-	case lateFraction < maxLateStarts && l.shortage && l.quota < maxQuota && l.cooldown <= 0 && (!canProbe || l.spareSeen):
+	case delayedFraction < maxDelayedStarts && l.shortage && l.quota < maxQuota && l.cooldown <= 0 && (!canProbe || l.spareSeen):
 		l.quota++
 	}
-	l.lateStarts = 0
+	l.delayedStarts = 0
 	l.returns = 0
 	l.shortage = len(l.waiting) > 0
 	l.spareSeen = false
@@ -398,7 +398,7 @@
 func (l *leaseLedger) recordReturn(from NodeID, waitedAtExecutor bool) {
 	l.returns++
 	if waitedAtExecutor {
-		l.lateStarts++
+		l.delayedStarts++
 	}
 	index := slices.IndexFunc(l.granted, func(granted lease) bool { return granted.holder == from })
 	if index >= 0 {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	zoneFullLoad       = 1.3  // jobs a core from which on a zone counts as full, where the endpoint list's weights show the load
-	zoneFullLateStarts = 0.3  // fraction of attempts that do not start at once from which on it does, where there are start notices
-	zoneFullWait       = 2.0  // start wait from which on it does elsewhere, in shortest latency objectives
-	zoneLoadStep       = 0.1  // weight of a new observation of a zone's load
-	minZoneSize        = 1e-9 // least total size of a zone's executors, so that an empty zone can be divided by
-	notAUsableToken    = -1   // tokenAge of an executor that the job may not use now
+	zoneFullLoad          = 1.3  // jobs a core from which on a zone counts as full, where the endpoint list's weights show the load
+	zoneFullDelayedStarts = 0.3  // fraction of attempts that do not start at once from which on it does, where there are start notices
+	zoneFullWait          = 2.0  // start wait from which on it does elsewhere, in shortest latency objectives
+	zoneLoadStep          = 0.1  // weight of a new observation of a zone's load
+	minZoneSize           = 1e-9 // least total size of a zone's executors, so that an empty zone can be divided by
+	notAUsableToken       = -1   // tokenAge of an executor that the job may not use now
 )
 
 // neverCross is a crossZoneDelay that is never over. It can still be added to a time.
@@ -217,7 +217,7 @@
 	}
 	var observed float64
 	if d.config.startNotices {
-		observed = oneIf(wait > d.classes.checkInterval) / zoneFullLateStarts
+		observed = oneIf(wait > d.classes.checkInterval) / zoneFullDelayedStarts
 	} else {
 		observed = wait.Seconds() / d.classes.shortestObjective.Seconds() / zoneFullWait
 	}
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -149,7 +149,7 @@
 }
 
 var wordNames = map[LeaseMessage]string{LeaseRequest: "want", LeaseRequestLate: "want-late", LeaseGrant: "lend", LeaseWait: "later",
-	LeaseReturn: "back", LeaseReturnLate: "back-late"}
+	LeaseReturn: "back", LeaseReturnDelayed: "back-late"}
 
 var outcomeWords = map[string]Outcome{"handled": Succeeded, "errored": ExecutorError, "unfit": InvalidRequest, "no-room": ExecutorFull,
 	"too-slow": TimedOut, "no-route": ConnectFailed, "cut": ConnectionLost, "called-off": Canceled, "not-sent": NotSent}
--- a/policy/types.go
+++ b/policy/types.go
@@ -245,11 +245,11 @@
 type LeaseMessage byte
 
 const (
-	LeaseRequest     LeaseMessage = iota + 1 // a place is wanted
-	LeaseRequestLate                         // for a late batch job
-	LeaseGrant                               // here is one
-	LeaseWait                                // none is free yet
-	LeaseCancel                              // it is not wanted any more
-	LeaseReturn                              // the place is free again
-	LeaseReturnLate                          // likewise, and the batch job had to wait at the executor
+	LeaseRequest       LeaseMessage = iota + 1 // a place is wanted
+	LeaseRequestLate                           // for a late batch job
+	LeaseGrant                                 // here is one
+	LeaseWait                                  // none is free yet
+	LeaseCancel                                // it is not wanted any more
+	LeaseReturn                                // the place is free again
+	LeaseReturnDelayed                         // likewise, and the batch job had to wait at the executor
 )
