--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -221,6 +221,38 @@
 	d.timers.placeJob(max(next, now+d.config.quantum), j)
 }
 
+// AttemptStarted tells that an executor has started an attempt.
+func (d *Dispatcher) AttemptStarted(now time.Duration, id JobID, number AttemptID) {
+	d.beginTurn(now)
+	a := d.findAttempt(id, number)
+	if a == nil || a.running {
+		return
+	}
+	e := a.executor
+	a.start(now)
+	d.recordAlive(e, now)
+	d.markDirty(e)
+	wait := d.elapsed(a)
+	a.waitedAtExecutor = wait > d.classes.checkInterval
+	d.recordStartWait(e, a, wait)
+	if now >= e.slowStart.until {
+		kind := d.endpoints.kinds[e.kind]
+		kind.concurrency = max(kind.concurrency, e.runningCount())
+	}
+	e.queuing.recordStart(a.tenantID)
+}
+
+// AttemptProgressed tells which fraction of an attempt is done.
+func (d *Dispatcher) AttemptProgressed(now time.Duration, id JobID, number AttemptID, fraction float64) {
+	a := d.findAttempt(id, number)
+	if a == nil {
+		return
+	}
+	a.progress = fraction
+	a.progressAt = now
+	d.recordAlive(a.executor, now)
+}
+
 // AttemptEnded records an attempt's outcome and decides what to do next. Final: the job is over by this outcome, or was
 // before it.
 func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, number AttemptID, outcome Outcome, final bool) Decision {
--- a/policy/job.go
+++ b/policy/job.go
@@ -56,6 +56,13 @@
 	generation       int  // timers of another generation are void
 }
 
+// start records that the attempt runs from now on.
+func (a *attempt) start(now time.Duration) {
+	a.running = true
+	a.startedAt = now
+	a.progressAt = now
+}
+
 func (d *Dispatcher) removeJob(j *job) {
 	d.queue.remove(j)
 	j.finished = true
@@ -109,5 +116,5 @@
 // slack is what j's quoted time leaves beyond its work, counted from its first try.
 func (j *job) slack() time.Duration { return j.latencyObjective() - j.work }
 
-// pressure is j's work against its slack.
-func (j *job) pressure() float64 { return j.work.Seconds() / max(j.slack().Seconds(), 1e-3) }
+// workOverSlack returns j's work in seconds over its slack in seconds.
+func (j *job) workOverSlack() float64 { return j.work.Seconds() / max(j.slack().Seconds(), 1e-3) }
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -49,6 +49,14 @@
 	t.meanWork = scaled(t.meanWork, smoothing) + scaled(work, 1-smoothing)
 }
 
+// recordRunTime updates the mean work by a running time. The first guess may be far off, so the first samples weigh as
+// much as it does.
+func (t *jobClass) recordRunTime(ran time.Duration) {
+	t.samples++
+	weight := max(minSampleWeight, 1/float64(1+t.samples))
+	t.meanWork = scaled(t.meanWork, 1-weight) + scaled(ran, weight)
+}
+
 // recordArrival books a batch job, and whether it brought less than the full budget.
 func (t *jobClass) recordArrival(short bool) {
 	const keeps = 1 - (1-smoothing)/8
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -15,9 +15,10 @@
 	dedupReplyFraction = 0.1  // of the predicted running time: a keyed job that is done in less was answered from memory
 	oneSlot            = 0.5  // reported slots or jobs from which on there is one: reports are averages
 	minProgress        = 0.02 // fraction done from which on a progress notice predicts the rest
+	standardPace       = 1    // of an executor that nothing is known of
 )
 
-// kindStats is what warm executors of one kind were seen to do.
+// kindStats is what executors of one kind that are past slow start were seen to do.
 type kindStats struct {
 	pace                float64 // running time for each unit of work
 	size                float64 // mean weight in the endpoint list
@@ -28,6 +29,27 @@
 	index               *kindIndex
 }
 
+// observeRun updates the pace by a running time in seconds for work in seconds, and the concurrency that was seen.
+func (k *kindStats) observeRun(runTime, work float64, concurrency int) {
+	k.observedConcurrency = max(k.observedConcurrency, concurrency)
+	k.pace += paceStep * min(1, work) * (runTime/work - k.pace)
+	k.pace = max(k.pace, minPace)
+}
+
+// observeReport updates the slots by a load report. While jobs wait, the number of them is told roughly, so that only a
+// report of none is exact.
+func (k *kindStats) observeReport(slots, queued float64) {
+	if k.reportedSlots == 0 {
+		k.reportedSlots = slots
+	}
+	k.reportedSlots += (slots - k.reportedSlots) * (1 - smoothing)
+	k.concurrency = max(1, int(k.reportedSlots+0.5)) // rounded
+	if queued < oneSlot {
+		k.exactSlots = cmp.Or(k.exactSlots, slots)
+		k.exactSlots += (slots - k.exactSlots) * (1 - smoothing)
+	}
+}
+
 // estimate is what was seen of an executor's speed, decaying.
 type estimate struct {
 	runTime   float64 // seconds
@@ -35,6 +57,12 @@
 	startWait time.Duration
 }
 
+// observeRun adds a running time and the work done in it, both in seconds.
+func (s *estimate) observeRun(runTime, work float64) {
+	s.runTime = s.runTime*smoothing + runTime
+	s.work = s.work*smoothing + work
+}
+
 // observeStartWait updates the start wait. It follows quickly, since a jam must be seen before it is fed.
 func (s *estimate) observeStartWait(wait time.Duration) { s.startWait = (s.startWait + wait) / 2 }
 
@@ -48,80 +76,82 @@
 	s.work *= smoothing
 }
 
-// pace is the running time that e needs for a unit of work: what was seen, and what running batch jobs that
-// are over their time already show (guards against executors slowed or stalled since their last answer).
+// pace returns the running time that e needs for a unit of work: by its estimate and its kind's pace, and by the attempts
+// that already run longer than those predict, or an executor that slowed down since its last result would look fast.
 func (d *Dispatcher) pace(e *executor, now time.Duration) float64 {
-	runs, works := e.estimate.runTime+d.endpoints.kinds[e.kind].pace, e.estimate.work+1
-	for _, j := range e.attempts {
-		if !j.running {
+	runTime := e.estimate.runTime + d.endpoints.kinds[e.kind].pace
+	work := e.estimate.work + 1
+	for _, a := range e.attempts {
+		if !a.running {
 			continue
 		}
-		ran := now - j.startedAt
-		if j.progress > minProgress {
-			ran = max(scaled(j.progressAt-j.startedAt, 1/j.progress), ran)
+		ran := now - a.startedAt
+		if a.progress > minProgress {
+			predicted := scaled(a.progressAt-a.startedAt, 1/a.progress)
+			ran = max(predicted, ran)
 		}
-		if w := j.work.Seconds(); ran.Seconds() > w*runs/works {
-			runs += ran.Seconds()
-			works += w
+		attemptWork := a.work.Seconds()
+		if ran.Seconds() > attemptWork*runTime/work {
+			runTime += ran.Seconds()
+			work += attemptWork
 		}
 	}
-	return runs / works
+	return runTime / work
 }
 
-// expectedWait is how long a batch job sent to e now would wait there: what starts were seen to take, or, where
-// ours alone fill as many places as its kind was seen to have, until the first of those is done.
+// expectedWait returns how long a job sent to e now would wait there before it starts: as long as starts there were seen
+// to take, or, if this node's attempts alone fill the slots that the kind was seen to have, until one of them is free.
 func (d *Dispatcher) expectedWait(e *executor, pace float64, now time.Duration) time.Duration {
-	places := d.endpoints.kinds[e.kind].concurrency
-	wait, first, queued := e.estimate.startWait, time.Duration(math.MaxInt64), time.Duration(0)
-	for _, o := range e.attempts {
-		left := scaled(o.work, pace)
-		if !o.running {
-			queued += left
-			if out := now - o.sentAt; d.config.startNotices && out > e.estimate.startWait+d.classes.checkInterval {
-				// One of ours that has not begun there yet shows that the others have filled it.
-				wait = max(wait, out+left/time.Duration(places))
-			}
+	slots := d.endpoints.kinds[e.kind].concurrency
+	wait := e.estimate.startWait
+	firstFree := Forever
+	queuedTime := time.Duration(0)
+	for _, a := range e.attempts {
+		left := scaled(a.work, pace)
+		if a.running {
+			left -= now - a.startedAt
+			firstFree = min(firstFree, max(left, -left)) // one that is overdue needs as long again as it is overdue
 			continue
 		}
-		// One that is over its time already is taken to need as long again as it is over.
-		left -= now - o.startedAt
-		first = min(first, max(left, -left))
+		queuedTime += left
+		unstartedFor := now - a.sentAt
+		if d.config.startNotices && unstartedFor > e.estimate.startWait+d.classes.checkInterval {
+			// An attempt that is not started in time shows that other nodes fill the executor.
+			wait = max(wait, unstartedFor+left/time.Duration(slots))
+		}
 	}
-	if len(e.attempts) < places {
+	if len(e.attempts) < slots {
 		return wait
 	}
-	if first == math.MaxInt64 {
-		first = e.estimate.startWait
+	if firstFree == Forever {
+		firstFree = e.estimate.startWait
 	}
-	return max(e.estimate.startWait, first+queued/time.Duration(places))
+	return max(e.estimate.startWait, firstFree+queuedTime/time.Duration(slots))
 }
 
-// recordRunTime books a running time.
+// recordRunTime records how long a completed attempt of j ran at e. An answer that the executor remembered for a job's
+// idempotency key is no run: it would make the executor look fast, and a starting one be overloaded.
 func (d *Dispatcher) recordRunTime(j *job, e *executor, ran time.Duration) {
-	if j.class.idempotency == IdempotentWithKey && ran < scaled(j.work, dedupReplyFraction*d.endpoints.kinds[e.kind].pace) {
-		return // it was remembered there, not run: guards against executors that look quick, and are rushed while cold
+	kind := d.endpoints.kinds[e.kind]
+	if j.class.idempotency == IdempotentWithKey && ran < scaled(j.work, dedupReplyFraction*kind.pace) {
+		return
 	}
 	if !j.hinted {
-		// The first guess is the quoted time, which may be far off: the first outcomes count as much as it does.
-		j.class.samples++
-		new := max(minSampleWeight, 1/float64(1+j.class.samples))
-		j.class.meanWork = scaled(j.class.meanWork, 1-new) + scaled(ran, new)
+		j.class.recordRunTime(ran)
 	}
-	e.estimate.runTime = e.estimate.runTime*smoothing + ran.Seconds()
-	e.estimate.work = e.estimate.work*smoothing + j.work.Seconds()
-	k := d.endpoints.kinds[e.kind]
-	with := 1
-	for _, o := range e.attempts {
-		if o.running && o.startedAt <= d.clock.now-ran/2 {
-			with++
+	runTime := ran.Seconds()
+	work := j.work.Seconds()
+	e.estimate.observeRun(runTime, work)
+	concurrency := 1
+	for _, a := range e.attempts {
+		if a.running && a.startedAt <= d.clock.now-ran/2 {
+			concurrency++
 		}
 	}
-	k.observedConcurrency = max(k.observedConcurrency, with)
-	k.pace += paceStep * min(1, j.work.Seconds()) * (ran.Seconds()/j.work.Seconds() - k.pace)
-	k.pace = max(k.pace, minPace)
+	kind.observeRun(runTime, work, concurrency)
 }
 
-// bestPaceFor is the pace of the quickest executor that may take j at all, or a standard one's where there is none.
+// bestPaceFor returns the pace of the fastest executor that j may be sent to at all, or standardPace if there is none.
 func (d *Dispatcher) bestPaceFor(j *job, now time.Duration) float64 {
 	best := math.Inf(1)
 	switch {
@@ -135,52 +165,17 @@
 		best = d.lowestPace(j.class.kind, now)
 	}
 	if math.IsInf(best, 1) {
-		return 1
+		return standardPace
 	}
 	return best
 }
 
-// AttemptStarted tells that an executor has begun on an allocation.
-func (d *Dispatcher) AttemptStarted(now time.Duration, id JobID, n AttemptID) {
-	d.beginTurn(now)
-	s := d.findAttempt(id, n)
-	if s == nil || s.running {
-		return
-	}
-	e := s.executor
-	s.running, s.startedAt, s.progressAt = true, now, now
-	d.recordAlive(e, now)
-	d.markDirty(e)
-	s.waitedAtExecutor = d.elapsed(s) > d.classes.checkInterval
-	d.recordStartWait(e, s, d.elapsed(s))
-	if k := d.endpoints.kinds[e.kind]; now >= e.slowStart.until {
-		k.concurrency = max(k.concurrency, e.runningCount())
-	}
-	e.queuing.recordStart(s.tenantID)
-}
-
-// AttemptProgressed tells how much of an allocation is done.
-func (d *Dispatcher) AttemptProgressed(now time.Duration, id JobID, n AttemptID, share float64) {
-	if s := d.findAttempt(id, n); s != nil {
-		s.progress, s.progressAt = share, now
-		d.recordAlive(s.executor, now)
-	}
-}
-
-// LoadReported tells what an executor says of its load with an answer: batch jobs held, those that wait, and places free.
+// LoadReported tells what an executor reports of its load with an answer. A report that is incomplete is passed over.
 func (d *Dispatcher) LoadReported(id ExecutorID, load Load) {
-	e, places := d.endpoints.byID[id], load.InFlight-load.Queued+load.FreeSlots
-	if e == nil || places < oneSlot || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
+	e := d.endpoints.byID[id]
+	slots := load.InFlight - load.Queued + load.FreeSlots
+	if e == nil || slots < oneSlot || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
 		return
 	}
-	k := d.endpoints.kinds[e.kind]
-	if k.reportedSlots == 0 {
-		k.reportedSlots = places
-	}
-	k.reportedSlots += (places - k.reportedSlots) * (1 - smoothing)
-	k.concurrency = max(1, int(k.reportedSlots+0.5))
-	if load.Queued < oneSlot { // how many wait is told roughly: where many do, the rest swings
-		k.exactSlots = cmp.Or(k.exactSlots, places)
-		k.exactSlots += (places - k.exactSlots) * (1 - smoothing)
-	}
+	d.endpoints.kinds[e.kind].observeReport(slots, load.Queued)
 }
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -5,6 +5,14 @@
 	"time"
 )
 
+const (
+	levelsPerOctave   = 2    // priority levels for each doubling of a job's value for its work
+	minPriorityWork   = 1e-6 // seconds of work that a job is taken to have at least
+	minDensity        = 1e-9 // least value for a second of work that a priority level is derived from
+	minSecondsPerWork = 1e-9 // least running time that a capacity is derived from
+	lowSlackDivisor   = 2    // a job that has less than its slack over this left came with low slack
+)
+
 // loadShedding is what this node reports to the fleet, and which jobs the fleet has no capacity for.
 type loadShedding struct {
 	reportsLoad bool // the fleet asks for summaries
@@ -12,12 +20,60 @@
 	summary     LoadSummary // since it was taken last
 }
 
-// belowThreshold says whether j earns less for its work than the cut line: what the fleet has no capacity for.
-// Guards against low earners taken here while dearer ones find no token elsewhere.
+// recordOffered adds the work of a job that arrived. A job of low slack, as clients' retries often are, is no measure of
+// what the fleet has too little of: it may find no token in time where most are free.
+func (s *loadShedding) recordOffered(j *job, level int) {
+	if !j.lowSlack {
+		s.summary.Offered[level] += max(j.work.Seconds(), minPriorityWork)
+	}
+}
+
+// recordAdmitted adds the work of a job that was admitted.
+func (s *loadShedding) recordAdmitted(j *job) {
+	if !j.lowSlack {
+		s.summary.Admitted += j.work.Seconds()
+	}
+}
+
+// recordCompleted adds the work of a job that was completed.
+func (s *loadShedding) recordCompleted(j *job) { s.summary.Completed += j.work.Seconds() }
+
+// recordMigration adds the work of an attempt, once, that would be migrated if migrations were not limited.
+func (s *loadShedding) recordMigration(a *attempt) {
+	if !a.migrationCounted {
+		a.migrationCounted = true
+		s.summary.Migrations += a.work.Seconds()
+	}
+}
+
+// takeSummary returns the summary and begins a new one. From the first call on, jobs are subject to the threshold.
+func (s *loadShedding) takeSummary() LoadSummary {
+	taken := s.summary
+	s.summary = LoadSummary{}
+	s.reportsLoad = true
+	return taken
+}
+
+// belowThreshold reports whether j, which arrives now, is to be shed since the fleet has no capacity for jobs of its
+// priority level. Without a common threshold one node would take jobs of a low value while those of a high value find no
+// token at another.
 func (d *Dispatcher) belowThreshold(j *job) bool {
-	rung, line := d.recordOffered(j), d.shedding.threshold
-	marginal := rung == line.Level && !j.lowSlack && d.rng.next() < line.AdmitFraction
-	return !d.recordAdmitted(j, line.Level == 0 || rung > line.Level || marginal)
+	level := d.priorityLevel(j)
+	j.lowSlack = j.objectiveAt-d.clock.now-j.work < j.slack()/lowSlackDivisor
+	d.shedding.recordOffered(j, level)
+	if !d.admits(j, level) {
+		return true
+	}
+	d.shedding.recordAdmitted(j)
+	return false
+}
+
+// admits reports whether a job of that priority level is at or above the threshold. Of the threshold's own level a random
+// fraction is admitted, except jobs of low slack. The random number is drawn for each of them even if nothing is shed.
+func (d *Dispatcher) admits(j *job, level int) bool {
+	threshold := d.shedding.threshold
+	inAdmittedFraction := level == threshold.Level && !j.lowSlack && d.rng.next() < threshold.AdmitFraction
+	return threshold.Level == 0 || level > threshold.Level || inAdmittedFraction
 }
 
 // shedsRetry reports whether j, after attempts that all provably never ran, is below the admission threshold by now: in an
@@ -26,72 +82,71 @@
 	return j.attemptCount > 0 && j.mayHaveRun == nil && d.shedding.threshold.Level > d.priorityLevel(j)
 }
 
-// TakeLoadSummary is what this node saw since it was asked last; from the first asking on it is kept.
+// priorityLevel returns the level of j's value for a second of its work, 0 to PriorityLevels-1: the middle one stands for
+// 1, and levelsPerOctave of them for each doubling. The value counts less for a tenant over its quota.
+func (d *Dispatcher) priorityLevel(j *job) int {
+	density := d.valueOf(j) / max(j.work.Seconds(), minPriorityWork) * d.tenantFactor(j.tenant)
+	level := PriorityLevels/2 + int(math.Round(levelsPerOctave*math.Log2(max(density, minDensity))))
+	return min(max(0, level), PriorityLevels-1)
+}
+
+// TakeLoadSummary returns what this node saw since the last call, with the work that waits and the capacity as they are
+// now.
 func (d *Dispatcher) TakeLoadSummary(now time.Duration) LoadSummary {
-	t := d.shedding.summary
-	d.shedding.reportsLoad, d.shedding.summary = true, LoadSummary{}
+	summary := d.shedding.takeSummary()
+	summary.Waiting = d.waitingWork()
+	summary.Capacity = d.estimateCapacity(now)
+	return summary
+}
+
+// SetAdmissionThreshold tells the fleet's threshold from now on. Jobs that were admitted stay.
+func (d *Dispatcher) SetAdmissionThreshold(threshold AdmissionThreshold) {
+	d.shedding.threshold = threshold
+}
+
+// waitingWork returns the work of jobs that wait here or at an executor, in seconds, each over its slack: the less slack
+// they have, the more such work shows a lack of capacity.
+func (d *Dispatcher) waitingWork() float64 {
+	waiting := 0.0
 	for _, j := range d.queue.onTime {
-		t.Waiting += j.pressure()
+		waiting += j.workOverSlack()
 	}
-	for _, e := range d.endpoints.ranked {
-		if k := d.endpoints.kinds[e.kind]; e.available {
-			part := 1.0
-			if now < e.slowStart.until {
-				part = d.slowStart.capacityFraction(e, now)
-			}
-			t.Capacity += part * float64(k.concurrency) * (e.estimate.work + 1) / max(e.estimate.runTime+k.pace, 1e-9)
-		}
+	if !d.config.startNotices {
+		return waiting
 	}
 	for _, e := range d.quota.executors {
-		for _, s := range e.attempts {
-			if !s.running && d.config.startNotices && !s.finished {
-				t.Waiting += s.pressure()
+		for _, a := range e.attempts {
+			if !a.running && !a.finished {
+				waiting += a.workOverSlack()
 			}
 		}
 	}
-	return t
-}
-
-// SetAdmissionThreshold tells where the cut line of nodes that talk is from now on. Batch jobs in hand stay.
-func (d *Dispatcher) SetAdmissionThreshold(line AdmissionThreshold) { d.shedding.threshold = line }
-
-// priorityLevel is the step of what j earns for its work. A tenant over its share is weighed down as in value.
-func (d *Dispatcher) priorityLevel(j *job) int {
-	density := d.valueOf(j) / max(j.work.Seconds(), 1e-6) * d.tenantFactor(j.tenant)
-	rung := PriorityLevels/2 + int(math.Round(2*math.Log2(max(density, 1e-9))))
-	return min(max(0, rung), PriorityLevels-1)
-}
-
-// countMigration books, once, that an allocation would be moved if moves were free.
-func (d *Dispatcher) countMigration(s *attempt) {
-	if !s.migrationCounted {
-		s.migrationCounted = true
-		d.shedding.summary.Migrations += s.work.Seconds()
-	}
-}
-
-// recordOffered books a batch job that came, and gives its rung. One that came with less than half of its slack, as repeats do, is
-// no measure of what the fleet is short of: it may find no token in time where most are free.
-func (d *Dispatcher) recordOffered(j *job) int {
-	rung, work := d.priorityLevel(j), max(j.work.Seconds(), 1e-6)
-	if j.lowSlack = j.objectiveAt-d.clock.now-j.work < j.slack()/2; !j.lowSlack {
-		d.shedding.summary.Offered[rung] += work
-	}
-	return rung
+	return waiting
 }
 
-// recordAdmitted books a batch job that is not below the cut line, and gives that on.
-func (d *Dispatcher) recordAdmitted(j *job, yes bool) bool {
-	if yes && !j.lowSlack {
-		d.shedding.summary.Admitted += j.work.Seconds()
+// estimateCapacity returns the work a second that the available executors of the endpoint list can do, by their slots and
+// paces.
+func (d *Dispatcher) estimateCapacity(now time.Duration) float64 {
+	capacity := 0.0
+	for _, e := range d.endpoints.ranked {
+		if !e.available {
+			continue
+		}
+		kind := d.endpoints.kinds[e.kind]
+		fraction := 1.0
+		if now < e.slowStart.until {
+			fraction = d.slowStart.capacityFraction(e, now)
+		}
+		capacity += fraction * float64(kind.concurrency) * (e.estimate.work + 1) / max(e.estimate.runTime+kind.pace, minSecondsPerWork)
 	}
-	return yes
+	return capacity
 }
 
-// recordExpired books a batch job that is given up on. What could not be done when it came has not waited: a line that fell for
-// it would cut more and more, to no end.
+// recordExpired records a job that is given up on. One that came with too little time to be done has not waited, and does
+// not count: a threshold that rose for such jobs would rise without end.
 func (d *Dispatcher) recordExpired(j *job) {
-	if !j.lowSlack && d.clock.now-j.arrivedAt > d.config.quantum && j.attemptCount < j.class.maxAttempts {
+	waited := d.clock.now-j.arrivedAt > d.config.quantum
+	if !j.lowSlack && waited && j.attemptCount < j.class.maxAttempts {
 		d.shedding.summary.Expired += j.work.Seconds()
 	}
 }
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -99,7 +99,7 @@
 		return a.remaining(now) > migrationGain*scaled(a.work, d.pace(target, now))
 	}
 	if e := a.executor; !e.health.unresponsive && !e.health.isEjected(now) {
-		d.countMigration(a)
+		d.shedding.recordMigration(a)
 		if start := d.migrationStart(a, target, pace); now < start {
 			d.timers.checkAttempt(start, a)
 			return false
--- a/policy/value.go
+++ b/policy/value.go
@@ -77,7 +77,7 @@
 
 // recordCompletion books an answer, in its quoted time or not.
 func (d *Dispatcher) recordCompletion(s *attempt, now time.Duration) {
-	d.shedding.summary.Completed += s.work.Seconds()
+	d.shedding.recordCompleted(s.job)
 	if now <= s.objectiveAt {
 		s.class.earnedValue += d.valueOf(s.job)
 	}
