--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -8,6 +8,14 @@
 	"time"
 )
 
+const (
+	minWeight           = 1e-3 // least weight that an executor is taken to have
+	maxSingleInsertions = 8    // new executors that are inserted in order one by one; more of them are sorted in together
+	pollIntervalDivisor = 8    // the time within which a node must have the endpoint list, over this, is between two polls
+	pollSpreadDivisor   = 2    // and over this, the first polls of many nodes are spread
+	minPollJitter       = 0.5  // least factor of the interval after a failed poll; the most is one more
+)
+
 // goldenRatio32 is the odd number next to 2^32 over the golden ratio: multiplied by it, hashes that differ in few bits
 // differ in many.
 const goldenRatio32 = 0x9e3779b1
@@ -60,97 +68,140 @@
 	indexed   indexEntry
 }
 
-// runningCount counts our batch jobs that run at an executor.
-func (e *executor) runningCount() (n int) {
-	for _, j := range e.attempts {
-		if j.running {
-			n++
+// runningCount returns how many attempts of this node run at e.
+func (e *executor) runningCount() int {
+	count := 0
+	for _, a := range e.attempts {
+		if a.running {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// longestWork is the most work that one of ours has at an executor.
-func (e *executor) longestWork() (work time.Duration) {
-	for _, j := range e.attempts {
-		work = max(work, j.work)
+// longestWork returns the most work that an attempt of this node at e has.
+func (e *executor) longestWork() time.Duration {
+	longest := time.Duration(0)
+	for _, a := range e.attempts {
+		longest = max(longest, a.work)
 	}
-	return work
+	return longest
 }
 
-// UpdateEndpoints tells what discovery brought.
-func (d *Dispatcher) UpdateEndpoints(now time.Duration, what EndpointUpdateKind, entries []Endpoint) {
+// UpdateEndpoints tells what discovery brought: the complete list, changes to it, a cached list from before the start, or
+// that the watch failed.
+func (d *Dispatcher) UpdateEndpoints(now time.Duration, kind EndpointUpdateKind, entries []Endpoint) {
 	d.poll.outstanding = false
-	if what == WatchFailed {
-		// Calls load a service that all nodes share: ask again after a spell that differs by node.
-		d.poll.watching = false
-		d.poll.nextAt = now + scaled(d.poll.interval, 0.5+d.rng.next())
+	if kind == WatchFailed {
+		// All nodes poll the same service, so that each waits for another time before it tries again.
+		d.poll.retry(now, minPollJitter+d.rng.next())
 		return
 	}
-	d.poll.watching = d.poll.watching || what != CachedUpdate
+	d.poll.watching = d.poll.watching || kind != CachedUpdate
 	d.endpoints.updates++
-	for _, n := range entries {
-		d.updateEndpoint(now, n)
+	for _, entry := range entries {
+		d.updateEndpoint(now, entry)
 	}
-	d.insertRanked()
-	d.dropRemoved(what != IncrementalUpdate)
-	d.subset.stale, d.subset.changed, d.queue.tokenFreed = true, true, true
+	d.endpoints.insertRanked()
+	d.dropRemoved(kind != IncrementalUpdate)
+	d.subset.invalidate()
+	d.queue.rescan()
 	d.updateZoneLoads(now)
 }
 
-func (d *Dispatcher) updateEndpoint(now time.Duration, n Endpoint) {
-	e := d.endpoints.byID[n.Executor]
-	fresh := e == nil
-	if fresh {
-		e = &executor{id: n.Executor, started: n.StartedAt, rank: d.rankOf(n.Executor)}
-		e.health.lastSeen = now
-		e.indexed.subsetRank = -1
-		e.hash = ExecutorHash(crc32.ChecksumIEEE([]byte(n.Executor)))
-		e.lease.holder = d.leaseHolderOf(e.hash)
-		// The nodes that carry a cold executor follow its number: all reckon the same ones, without asking.
-		place := (int(d.config.nodeID) + d.config.nodeCount - int(e.hash%ExecutorHash(d.config.nodeCount))) % d.config.nodeCount
-		e.slowStart.sender = place < d.slowStart.senders
-		d.endpoints.unranked = append(d.endpoints.unranked, e)
-		d.endpoints.byID[e.id], d.endpoints.byHash[e.hash] = e, e
+// updateEndpoint takes over one entry of the endpoint list.
+func (d *Dispatcher) updateEndpoint(now time.Duration, entry Endpoint) {
+	e := d.endpoints.byID[entry.Executor]
+	isNew := e == nil
+	if isNew {
+		e = d.newExecutor(now, entry)
+		d.endpoints.add(e)
 	}
 	d.markDirty(e)
-	d.subset.rezoned = d.subset.rezoned || e.indexed.subsetRank >= 0 && (e.zone != n.Zone || e.kind != n.Kind)
-	d.addKind(n.Kind, max(n.Weight, 1e-3))
-	restarted := !n.StartedLongAgo && (fresh || n.StartedAt > e.started)
-	e.zone, e.kind, e.cell, e.listedIn = n.Zone, n.Kind, n.Cell, d.endpoints.updates
-	e.available, e.removed = n.State == Available, n.State == Removed
+	moved := e.zone != entry.Zone || e.kind != entry.Kind
+	d.subset.rezoned = d.subset.rezoned || e.indexed.subsetRank >= 0 && moved
+	weight := max(entry.Weight, minWeight)
+	d.addKind(entry.Kind, weight)
+	restarted := !entry.StartedLongAgo && (isNew || entry.StartedAt > e.started)
+	e.update(entry)
+	e.listedIn = d.endpoints.updates
 	d.endpoints.anyRemoved = d.endpoints.anyRemoved || e.removed
-	d.recordWeight(e, max(n.Weight, 1e-3))
-	if !restarted {
-		return
+	d.recordWeight(e, weight)
+	if restarted {
+		d.recordRestart(e, entry.StartedAt, now)
+	}
+}
+
+// newExecutor makes an executor that the endpoint list names for the first time.
+func (d *Dispatcher) newExecutor(now time.Duration, entry Endpoint) *executor {
+	e := &executor{
+		id:      entry.Executor,
+		hash:    ExecutorHash(crc32.ChecksumIEEE([]byte(entry.Executor))),
+		rank:    d.rankOf(entry.Executor),
+		started: entry.StartedAt,
 	}
-	e.started = n.StartedAt
-	if until := n.StartedAt + d.slowStart.duration; until > now {
-		// A fresh executor can do part of its work only, and what we knew of it no longer holds.
-		d.slowStart.add(e, now)
-		e.slowStart.begin(until)
-		e.health.restart()
-		e.estimate.startWait = 0
+	e.health.lastSeen = now
+	e.indexed.subsetRank = -1
+	e.lease.holder = d.leaseHolderOf(e.hash)
+	e.slowStart.sender = d.isSlowStartSender(e.hash)
+	return e
+}
+
+// isSlowStartSender reports whether this node may use that executor in its slow start: it is one of the few nodes whose
+// numbers follow the executor's hash. All nodes compute the same ones, without a message.
+func (d *Dispatcher) isSlowStartSender(hash ExecutorHash) bool {
+	nodes := d.config.nodeCount
+	first := int(hash % ExecutorHash(nodes))
+	place := (int(d.config.nodeID) + nodes - first) % nodes
+	return place < d.slowStart.senders
+}
+
+// update takes over what the endpoint list says of an executor, its weight aside.
+func (e *executor) update(entry Endpoint) {
+	e.zone = entry.Zone
+	e.kind = entry.Kind
+	e.cell = entry.Cell
+	e.available = entry.State == Available
+	e.removed = entry.State == Removed
+}
+
+// recordRestart begins the slow start of an executor that has started again, unless it is over by now. What was seen of
+// its health and its start waits before does not hold any more.
+func (d *Dispatcher) recordRestart(e *executor, startedAt, now time.Duration) {
+	e.started = startedAt
+	until := startedAt + d.slowStart.duration
+	if until <= now {
+		return
 	}
+	d.slowStart.add(e, now)
+	e.slowStart.begin(until)
+	e.health.restart()
+	e.estimate.startWait = 0
 }
 
-// spreadPolls lets many nodes ask one after another: the list's service doesn't grow with them. Until then the
-// copy at hand serves; the last asks while that still counts.
+// spreadPolls sets when the endpoint list is polled, given the time within which a node must have it. Many nodes begin one
+// after another, so that the load of discovery does not grow with them; a cached list serves until then.
 func (d *Dispatcher) spreadPolls(within time.Duration) {
-	d.poll.interval = within / 8
+	d.poll.interval = within / pollIntervalDivisor
 	if d.usesSubset() {
-		d.poll.nextAt = scaled(within/2, float64(d.config.nodeID)/float64(d.config.nodeCount))
+		d.poll.nextAt = scaled(within/pollSpreadDivisor, float64(d.config.nodeID)/float64(d.config.nodeCount))
 	}
 }
 
-// rankOf is an executor's rank at this node: a hash of both, reckoned once.
+// retry sets the next poll after a failed one, in that factor of the interval.
+func (p *endpointPoll) retry(now time.Duration, jitter float64) {
+	p.watching = false
+	p.nextAt = now + scaled(p.interval, jitter)
+}
+
+// rankOf returns an executor's rank at this node, a hash of both.
 func (d *Dispatcher) rankOf(id ExecutorID) uint32 {
-	b := binary.LittleEndian.AppendUint32([]byte(id), uint32(d.config.nodeID))
-	// A checksum alone is linear in the node; the golden ratio's odd multiplier mends that.
-	return crc32.ChecksumIEEE(b) * goldenRatio32
+	key := binary.LittleEndian.AppendUint32([]byte(id), uint32(d.config.nodeID))
+	// A checksum alone is linear in the node's number, so that nodes would rank executors alike.
+	return crc32.ChecksumIEEE(key) * goldenRatio32
 }
 
-// byRank is the order of executors by their rank at this node, the highest first.
+// byRank orders executors by their rank at this node, the highest first.
 func byRank(a, b *executor) int {
 	if a.rank == b.rank {
 		return cmp.Compare(a.id, b.id)
@@ -158,77 +209,96 @@
 	return cmp.Compare(b.rank, a.rank)
 }
 
-// insertRanked puts new executors where their ranks belong: a list of hundreds that grows by few is not sorted anew.
-func (d *Dispatcher) insertRanked() {
-	if fresh := d.endpoints.unranked; len(fresh) > 8 {
-		d.endpoints.ranked = append(d.endpoints.ranked, fresh...)
-		slices.SortFunc(d.endpoints.ranked, byRank)
+// add adds a new executor, which is ranked at the end of the update.
+func (t *endpointTable) add(e *executor) {
+	t.unranked = append(t.unranked, e)
+	t.byID[e.id] = e
+	t.byHash[e.hash] = e
+}
+
+// insertRanked inserts new executors by their ranks. Sorting a list of hundreds again for a few would be a waste.
+func (t *endpointTable) insertRanked() {
+	if len(t.unranked) > maxSingleInsertions {
+		t.ranked = append(t.ranked, t.unranked...)
+		slices.SortFunc(t.ranked, byRank)
 	} else {
-		for _, e := range fresh {
-			i, _ := slices.BinarySearchFunc(d.endpoints.ranked, e, byRank)
-			d.endpoints.ranked = slices.Insert(d.endpoints.ranked, i, e)
+		for _, e := range t.unranked {
+			position, _ := slices.BinarySearchFunc(t.ranked, e, byRank)
+			t.ranked = slices.Insert(t.ranked, position, e)
 		}
 	}
-	d.endpoints.unranked = nil
+	t.unranked = nil
 }
 
-// dropRemoved drops executors that are gone, those that a whole list does not name among them, once nothing of ours is
-// there: machines that are replaced come under new ids.
-func (d *Dispatcher) dropRemoved(whole bool) {
-	if whole {
+// dropRemoved drops executors that were removed, once no attempt of this node is there: a machine that is replaced comes
+// under a new id. A complete update removes those that it does not name.
+func (d *Dispatcher) dropRemoved(complete bool) {
+	if complete {
 		for _, e := range d.endpoints.ranked {
 			if e.listedIn != d.endpoints.updates {
-				e.available, e.removed, d.endpoints.anyRemoved = false, true, true
+				e.available = false
+				e.removed = true
+				d.endpoints.anyRemoved = true
 				d.markDirty(e)
 			}
 		}
 	}
-	if !d.endpoints.anyRemoved {
-		return
+	if d.endpoints.anyRemoved {
+		d.endpoints.dropUnused()
 	}
-	d.endpoints.anyRemoved = false
-	d.endpoints.ranked = slices.DeleteFunc(d.endpoints.ranked, func(e *executor) bool {
-		drop := e.removed && e.tokens.taken == 0
-		if drop {
-			delete(d.endpoints.byID, e.id)
-			delete(d.endpoints.byHash, e.hash)
+}
+
+// dropUnused drops removed executors without attempts. The others stay, and are looked at again with the next update.
+func (t *endpointTable) dropUnused() {
+	t.anyRemoved = false
+	t.ranked = slices.DeleteFunc(t.ranked, func(e *executor) bool {
+		if !e.removed {
+			return false
 		}
-		d.endpoints.anyRemoved = d.endpoints.anyRemoved || e.removed && !drop
-		return drop
+		if e.tokens.taken > 0 {
+			t.anyRemoved = true
+			return false
+		}
+		delete(t.byID, e.id)
+		delete(t.byHash, e.hash)
+		return true
 	})
 }
 
-// CountExcluded counts the executors on the list that get nothing new from this node now, whoever says so.
-func (d *Dispatcher) CountExcluded(now time.Duration) (n int) {
+// CountExcluded returns how many executors on the endpoint list get no new attempt from this node now, for any reason.
+func (d *Dispatcher) CountExcluded(now time.Duration) int {
+	count := 0
 	for _, e := range d.endpoints.ranked {
 		if !e.removed && !d.isUsable(e, now) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// addKind makes room for a kind's figures: a known executor may come back as another kind, too.
+// addKind adds the statistics and the index of an executor kind that is met for the first time.
 func (d *Dispatcher) addKind(id KindID, weight float64) {
-	if d.endpoints.kinds[id] == nil {
-		d.endpoints.kinds[id] = &kindStats{pace: 1, concurrency: 1, size: weight}
-		d.addKindIndex(id, d.endpoints.kinds[id])
+	if d.endpoints.kinds[id] != nil {
+		return
 	}
+	kind := &kindStats{pace: standardPace, concurrency: 1, size: weight}
+	d.endpoints.kinds[id] = kind
+	d.addKindIndex(id, kind)
 }
 
-// recordWeight books what the list weighs an executor.
+// recordWeight records an executor's weight in the endpoint list. A weight that falls with the load is the size over one
+// plus the jobs a core; an idle executor shows its size.
 func (d *Dispatcher) recordWeight(e *executor, weight float64) {
 	e.weight = weight
 	if d.config.loadAdjustedWeights {
-		// Live weights are the size over one and the batch jobs held a core; an idle one shows its size.
 		e.size = max(e.size, weight)
 		e.listedLoad = e.size/weight - 1
 	}
-	k := d.endpoints.kinds[e.kind]
-	k.size += (max(e.size, weight) - k.size) * (1 - smoothing)
+	kind := d.endpoints.kinds[e.kind]
+	kind.size += (max(e.size, weight) - kind.size) * (1 - smoothing)
 }
 
-// remoteSide is 1 for an executor of another zone, where that has a price.
+// remoteSide returns 1 for an executor of another zone, where crossing zones has a cost, and 0 for any other.
 func (d *Dispatcher) remoteSide(e *executor) int {
 	if d.config.crossZoneCost > 0 && e.zone != d.config.zone {
 		return 1
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -13,7 +13,7 @@
 	lateSubsetSharers = 2 // nodes that send an executor jobs past their objective
 )
 
-// subset is the executors that this node uses: where nodes are many, a part of all.
+// subset is the executors that this node uses: where nodes are many, a part of them.
 type subset struct {
 	members    []*executor // highest rank first, those in slow start before them
 	previous   []*executor // the members before, kept for its memory
@@ -33,68 +33,94 @@
 	s.changed = true
 }
 
-// usesSubset says whether the nodes are so many that one can't use all executors: then it uses a part of them.
+// usesSubset reports whether there are so many nodes that each uses a part of the executors.
 func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
-// rebuildSubset picks the executors that this node uses: where it can't use all, those that rank highest, in its
-// own zone and beyond it, for each bound kind. Guards against many nodes, whose least quotas add up to a jam.
-func (d *Dispatcher) rebuildSubset(now time.Duration) {
-	size := len(d.endpoints.ranked)
-	if d.subset.stale = false; !d.subset.changed && now < d.subset.validUntil { // it would come out the same
-		return
+// subsetSize returns how many executors of each side and required kind this node uses: all of them, or, where nodes are
+// many, so many that each executor is in the subsets of subsetSharers nodes.
+func (d *Dispatcher) subsetSize() int {
+	executors := len(d.endpoints.ranked)
+	if !d.usesSubset() {
+		return executors
 	}
-	d.subset.lateSize = max(1, (lateSubsetSharers*size+d.config.nodeCount-1)/d.config.nodeCount)
-	if d.usesSubset() {
-		size = max(minSubsetSize, (subsetSharers*size+d.config.nodeCount-1)/d.config.nodeCount)
-		if d.config.canLease {
-			size = max(size, 2*minSubsetSize)
-		}
+	size := max(minSubsetSize, dividedUp(subsetSharers*executors, d.config.nodeCount))
+	if d.config.canLease {
+		size = max(size, 2*minSubsetSize)
 	}
-	was := d.beginSubset()
-	defer func() { d.finishSubset(was) }()
-	// Cold ones that this node carries stand beside the others, whatever their rank: they do part of their work.
-	d.slowStart.dropEnded(now)
+	return size
+}
+
+// rebuildSubset picks the executors that this node uses: those that rank highest here, for each zone side and required
+// kind. With many nodes that all used all executors, the least quotas alone would add up to overload.
+func (d *Dispatcher) rebuildSubset(now time.Duration) {
+	d.subset.stale = false
+	if !d.subset.changed && now < d.subset.validUntil {
+		return // it would come out the same
+	}
+	d.subset.lateSize = max(1, dividedUp(lateSubsetSharers*len(d.endpoints.ranked), d.config.nodeCount))
+	previous := d.beginSubset()
 	means := map[KindID]meanQuota{}
+	d.addSlowStarters(now, means)
+	d.addRanked(now, d.subsetSize(), means)
+	d.finishSubset(previous)
+}
+
+// addSlowStarters adds the executors in slow start that this node may use. They come beside the others, whatever their
+// rank, since they do a part of their work only.
+func (d *Dispatcher) addSlowStarters(now time.Duration, means map[KindID]meanQuota) {
+	d.slowStart.dropEnded(now)
 	for _, e := range d.slowStart.executors {
-		if d.limitSubsetValidity(e, now); d.isUsable(e, now) {
+		d.limitSubsetValidity(e, now)
+		if d.isUsable(e, now) {
 			d.addToSubset(e, now, means)
 		}
 	}
-	counts := make([]int, 2*len(d.classes.requiredKinds))
+}
+
+// addRanked adds the usable executors past slow start in the order of their ranks, until there are that many on each
+// zone side for each required kind. One executor counts for each kind that it is required for.
+func (d *Dispatcher) addRanked(now time.Duration, size int, means map[KindID]meanQuota) {
+	required := d.classes.requiredKinds
+	counts := make([]int, 2*len(required)) // of the local side, then of the remote one
 	missing := len(counts)
 	for _, e := range d.endpoints.ranked {
 		if missing == 0 {
 			break
 		}
-		near := false
 		d.limitSubsetValidity(e, now)
-		for i, need := range d.classes.requiredKinds {
-			n := &counts[d.remoteSide(e)*len(d.classes.requiredKinds)+i]
-			if now < e.slowStart.until || !d.isUsable(e, now) || need != AnyKind && need != e.kind || *n >= size {
+		if now < e.slowStart.until || !d.isUsable(e, now) {
+			continue
+		}
+		added := false
+		for i, kind := range required {
+			count := &counts[d.remoteSide(e)*len(required)+i]
+			if kind != AnyKind && kind != e.kind || *count >= size {
 				continue
 			}
-			near = true
-			if *n++; *n == size {
+			added = true
+			*count++
+			if *count == size {
 				missing--
 			}
 		}
-		if near {
+		if added {
 			d.addToSubset(e, now, means)
 		}
 	}
 }
 
-// addToSubset takes an executor into the slice and gives it its first tokens: its slice's mean quota, or the
-// design's start. Their ages are strewn so that nodes don't start on the same one.
+// addToSubset adds an executor, and gives it its first tokens if it never had any: as many as a predecessor of this
+// process gave it, or the mean quota of its kind, or the design's first quota. The tokens' ages are spread at random over
+// one interval, so that nodes do not all start with the same executor.
 func (d *Dispatcher) addToSubset(e *executor, now time.Duration, means map[KindID]meanQuota) {
 	d.subset.members = append(d.subset.members, e)
 	if e.tokens.quota > 0 {
 		return
 	}
 	d.fillMeanQuotas(means)
-	m := means[e.kind]
-	e.tokens.quota = cmp.Or(e.tokens.inheritedQuota, m.or(initialQuota))
-	means[e.kind] = m.with(e.tokens.quota)
+	mean := means[e.kind]
+	e.tokens.quota = cmp.Or(e.tokens.inheritedQuota, mean.or(initialQuota))
+	means[e.kind] = mean.with(e.tokens.quota)
 	d.quota.add(e)
 	d.markDirty(e)
 	for range e.tokens.quota {
@@ -103,18 +129,22 @@
 	slices.Sort(e.tokens.free)
 }
 
-// beginSubset begins the slice anew, and gives the one before.
+// beginSubset empties the subset and returns its members until now.
 func (d *Dispatcher) beginSubset() []*executor {
-	was := d.subset.members
-	for _, e := range was {
+	previous := d.subset.members
+	for _, e := range previous {
 		e.indexed.subsetRank = -1
 	}
-	d.subset.members, d.subset.previous = d.subset.previous[:0], was
-	d.subset.changed, d.subset.rezoned, d.subset.validUntil = false, false, Forever
-	return was
+	d.subset.members = d.subset.previous[:0]
+	d.subset.previous = previous
+	d.subset.changed = false
+	d.subset.rezoned = false
+	d.subset.validUntil = Forever
+	return previous
 }
 
-// limitSubsetValidity books until when an executor that the slice was picked by stands as it does, if nothing else comes.
+// limitSubsetValidity limits how long the subset holds to when something that it depends on changes by time alone: an
+// ejection or a slow start of e ends, or this process may use executors in slow start.
 func (d *Dispatcher) limitSubsetValidity(e *executor, now time.Duration) {
 	for _, at := range [...]time.Duration{e.health.ejectedUntil, e.slowStart.until, d.slowStart.reservedUntil} {
 		if at > now {
@@ -123,10 +153,11 @@
 	}
 }
 
-// finishSubset gives the slice's executors their places, and files those that came, went or are for late ones no more.
-func (d *Dispatcher) finishSubset(was []*executor) {
-	for _, s := range d.index.kinds {
-		s.localSubset = s.localSubset[:0]
+// finishSubset gives the members their ranks, and has the candidate index take up those that joined, left, or may be used
+// by late jobs from now on or no more.
+func (d *Dispatcher) finishSubset(previous []*executor) {
+	for _, kind := range d.index.kinds {
+		kind.localSubset = kind.localSubset[:0]
 	}
 	for i, e := range d.subset.members {
 		if e.indexed.subsetRank >= 0 {
@@ -142,10 +173,13 @@
 			s.localSubset = append(s.localSubset, e)
 		}
 	}
-	for _, e := range was {
+	for _, e := range previous {
 		if e.indexed.subsetRank < 0 {
 			d.markDirty(e)
 		}
 	}
-	clear(d.subset.previous[len(d.subset.previous):cap(d.subset.previous)]) // what is gone is not to be kept
+	clear(d.subset.previous[len(d.subset.previous):cap(d.subset.previous)]) // or what left would be kept in memory
 }
+
+// dividedUp returns a over b, rounded up.
+func dividedUp(a, b int) int { return (a + b - 1) / b }
