--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -130,7 +130,7 @@
 	for i, t := range s.JobClasses {
 		d.addClass(JobClassUpdate{JobClassID(i), NoJobClass, t})
 	}
-	d.derive()
+	d.classes.derive(d.config.quantum)
 	d.quota.intervalEnd = d.classes.quotaInterval
 	d.slowStart.derive(s.OverloadMultiple, d.classes.shortestObjective, d.config.nodeCount)
 	d.spreadPolls(s.PollWithin)
@@ -280,6 +280,13 @@
 	return d.Place(now, id)
 }
 
+// ClientLeft tells that a job's client has left: no answer is owed any more.
+func (d *Dispatcher) ClientLeft(now time.Duration, id JobID) {
+	if j := d.jobs[id]; j != nil {
+		d.finish(j, now)
+	}
+}
+
 // NextTask returns what has fallen due, or until when nothing will. The caller asks until it is told to sleep, and again
 // at that time and after each call that tells something.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
--- a/policy/job.go
+++ b/policy/job.go
@@ -2,6 +2,9 @@
 
 import "time"
 
+// minSlack is the least slack that a job is taken to have, in seconds.
+const minSlack = 1e-3
+
 // job is a batch job in hand.
 type job struct {
 	id       JobID
@@ -63,6 +66,7 @@
 	a.progressAt = now
 }
 
+// removeJob ends a job that has its answer and no attempt out.
 func (d *Dispatcher) removeJob(j *job) {
 	d.queue.remove(j)
 	j.finished = true
@@ -70,19 +74,22 @@
 	delete(d.jobs, j.id)
 }
 
-// findAttempt is a batch job's allocation n, if it is out now.
-func (d *Dispatcher) findAttempt(id JobID, n AttemptID) *attempt {
-	if j := d.jobs[id]; j != nil {
-		for _, s := range j.attempts {
-			if s.number == n {
-				return s
-			}
+// findAttempt returns a job's attempt of that number, if it is out now, or nil.
+func (d *Dispatcher) findAttempt(id JobID, number AttemptID) *attempt {
+	j := d.jobs[id]
+	if j == nil {
+		return nil
+	}
+	for _, a := range j.attempts {
+		if a.number == number {
+			return a
 		}
 	}
 	return nil
 }
 
-// finish books a batch job that is over: what is still out of it gets its look at once.
+// finish ends a job that has its answer or whose client has left. Attempts that are still out are checked at once, since
+// they may be canceled now.
 func (d *Dispatcher) finish(j *job, now time.Duration) {
 	if len(j.attempts) == 0 {
 		d.removeJob(j)
@@ -91,30 +98,24 @@
 	d.queue.remove(j)
 	j.finished = true
 	j.generation++
-	for _, s := range j.attempts {
-		d.timers.checkAttempt(now, s)
-	}
-}
-
-// ClientLeft tells that the client has gone: nothing more is owed.
-func (d *Dispatcher) ClientLeft(now time.Duration, id JobID) {
-	if j := d.jobs[id]; j != nil {
-		d.finish(j, now)
+	for _, a := range j.attempts {
+		d.timers.checkAttempt(now, a)
 	}
 }
 
-// elapsed is the time since an allocation was sent, without what this node stood still just now: its news may be that old.
-func (d *Dispatcher) elapsed(s *attempt) time.Duration {
-	return max(0, d.clock.now-s.sentAt-d.clock.stalledFor)
+// elapsed returns the time since an attempt was sent, without the time that this node stalled before its turn: what it is
+// told now may be that old.
+func (d *Dispatcher) elapsed(a *attempt) time.Duration {
+	return max(0, d.clock.now-a.sentAt-d.clock.stalledFor)
 }
 
-// latencyObjective is the span of j's quoted time, counted from its first try.
+// latencyObjective returns the time from j's first try within which it should be completed.
 func (j *job) latencyObjective() time.Duration {
 	return min(j.class.latencyObjective+scaled(j.work, j.class.runTimeFactor), j.class.deadline)
 }
 
-// slack is what j's quoted time leaves beyond its work, counted from its first try.
+// slack returns what the latency objective leaves beyond j's work.
 func (j *job) slack() time.Duration { return j.latencyObjective() - j.work }
 
 // workOverSlack returns j's work in seconds over its slack in seconds.
-func (j *job) workOverSlack() float64 { return j.work.Seconds() / max(j.slack().Seconds(), 1e-3) }
+func (j *job) workOverSlack() float64 { return j.work.Seconds() / max(j.slack().Seconds(), minSlack) }
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -6,6 +6,12 @@
 	"time"
 )
 
+const (
+	budgetCountDecay     = 1 - (1-smoothing)/8 // of the counts of short budgets and rejected first tries, with each job
+	checkIntervalDivisor = 8                   // the shortest objective over this is between an attempt's sending and its first check
+	unknownWorkDivisor   = 2                   // the objective over this is a first guess at the work, where it is the same for all jobs
+)
+
 // jobClass holds a class's rules and its running averages.
 type jobClass struct {
 	idempotency      Idempotency
@@ -57,77 +63,105 @@
 	t.meanWork = scaled(t.meanWork, 1-weight) + scaled(ran, weight)
 }
 
-// recordArrival books a batch job, and whether it brought less than the full budget.
-func (t *jobClass) recordArrival(short bool) {
-	const keeps = 1 - (1-smoothing)/8
-	t.shortBudgets, t.rejectedFirstTries = t.shortBudgets*keeps+oneIf(short), t.rejectedFirstTries*keeps
+// recordArrival records a job, and whether it came with less than the full budget.
+func (t *jobClass) recordArrival(isShort bool) {
+	t.shortBudgets = t.shortBudgets*budgetCountDecay + oneIf(isShort)
+	t.rejectedFirstTries *= budgetCountDecay
 }
 
-// addClass takes up a track as it is from now on, with what is known of the one that it comes from.
-func (d *Dispatcher) addClass(c JobClassUpdate) {
-	t := &jobClass{idempotency: c.Idempotency, dedupGroup: c.DedupGroup, dedupWindow: c.DedupWindow, maxAttempts: cmp.Or(c.MaxAttempts, d.config.maxAttempts),
-		latencyObjective: c.LatencyObjective, deadline: c.Deadline, runTimeFactor: c.RunTimeFactor, value: c.Value,
-		lateValue: c.LateValue, kind: c.Kind, meanWork: cmp.Or(c.ExpectedWork, firstGuess(c.JobClass)), unitValue: c.Value}
-	if c.Replaces != NoJobClass {
-		from := d.classes.all[c.Replaces]
-		if from.samples > 0 || from.fullBudget > 0 {
-			t.meanWork, t.samples = from.meanWork, from.samples
-		}
-		t.fullBudget = min(from.fullBudget, t.deadline)
-		t.requestedValue, t.earnedValue, from.requestedValue, from.earnedValue = from.requestedValue, from.earnedValue, 0, 0
+// inherit takes over what was learned of the class that this one replaces. Its requested and earned values move here.
+func (t *jobClass) inherit(from *jobClass) {
+	if from.samples > 0 || from.fullBudget > 0 {
+		t.meanWork = from.meanWork
+		t.samples = from.samples
 	}
-	d.classes.all = append(d.classes.all, t)
-	d.classes.current = append(d.classes.current, t)
+	t.fullBudget = min(from.fullBudget, t.deadline)
+	t.requestedValue = from.requestedValue
+	t.earnedValue = from.earnedValue
+	from.requestedValue = 0
+	from.earnedValue = 0
 }
 
-// derive reckons what hangs on all tracks together.
-func (d *Dispatcher) derive() {
-	d.classes.requiredKinds, d.classes.quotaInterval, d.classes.shortestObjective = d.classes.requiredKinds[:0], 0, 0
-	for _, t := range d.classes.current {
-		if !slices.Contains(d.classes.requiredKinds, t.kind) {
-			d.classes.requiredKinds = append(d.classes.requiredKinds, t.kind)
-		}
-		if by := scaled(t.deadline, intervalFraction); d.classes.quotaInterval == 0 || by < d.classes.quotaInterval {
-			d.classes.quotaInterval = by
-		}
-		if d.classes.shortestObjective == 0 || t.latencyObjective < d.classes.shortestObjective {
-			d.classes.shortestObjective = t.latencyObjective
+// derive computes what follows from all current classes together.
+func (t *classTable) derive(quantum time.Duration) {
+	t.requiredKinds = t.requiredKinds[:0]
+	t.quotaInterval = 0
+	t.shortestObjective = 0
+	for _, class := range t.current {
+		if !slices.Contains(t.requiredKinds, class.kind) {
+			t.requiredKinds = append(t.requiredKinds, class.kind)
 		}
+		t.quotaInterval = smallerSet(t.quotaInterval, scaled(class.deadline, intervalFraction))
+		t.shortestObjective = smallerSet(t.shortestObjective, class.latencyObjective)
+	}
+	t.checkInterval = max(t.shortestObjective/checkIntervalDivisor, quantum)
+}
+
+// smallerSet returns the smaller of two durations, where 0 for the first one means that it is not set.
+func smallerSet(current, candidate time.Duration) time.Duration {
+	if current == 0 {
+		return candidate
+	}
+	return min(current, candidate)
+}
+
+// addClass adds a class, with what was learned of the one that it replaces.
+func (d *Dispatcher) addClass(update JobClassUpdate) {
+	class := &jobClass{
+		idempotency:      update.Idempotency,
+		dedupGroup:       update.DedupGroup,
+		dedupWindow:      update.DedupWindow,
+		maxAttempts:      cmp.Or(update.MaxAttempts, d.config.maxAttempts),
+		latencyObjective: update.LatencyObjective,
+		deadline:         update.Deadline,
+		runTimeFactor:    update.RunTimeFactor,
+		value:            update.Value,
+		lateValue:        update.LateValue,
+		kind:             update.Kind,
+		meanWork:         cmp.Or(update.ExpectedWork, firstGuess(update.JobClass)),
+		unitValue:        update.Value,
+	}
+	if update.Replaces != NoJobClass {
+		class.inherit(d.classes.all[update.Replaces])
 	}
-	d.classes.checkInterval = max(d.classes.shortestObjective/8, d.config.quantum)
+	d.classes.all = append(d.classes.all, class)
+	d.classes.current = append(d.classes.current, class)
 }
 
-// UpdateJobClasses tells what the tracks are from now on. Numbers that are new go on from the last. Rule 4's parts stay as they
-// are: other nodes may still reckon with the figures before.
-func (d *Dispatcher) UpdateJobClasses(now time.Duration, tracks []JobClassUpdate) {
+// UpdateJobClasses tells what the classes are from now on. The numbers of new ones follow the last number. The slow-start
+// budget stays as it is: other nodes may still compute with the classes before.
+func (d *Dispatcher) UpdateJobClasses(now time.Duration, updates []JobClassUpdate) {
 	d.classes.current = nil
-	for _, c := range tracks {
-		if int(c.ID) < len(d.classes.all) {
-			d.classes.current = append(d.classes.current, d.classes.all[c.ID])
+	for _, update := range updates {
+		if int(update.ID) < len(d.classes.all) {
+			d.classes.current = append(d.classes.current, d.classes.all[update.ID])
 		} else {
-			d.addClass(c)
+			d.addClass(update)
 		}
 	}
-	d.derive()
-	d.values.worstClass, d.subset.stale, d.subset.changed, d.queue.tokenFreed = nil, true, true, true
-	d.markAllDirty(d.endpoints.ranked) // their rates hang on the quoted times
+	d.classes.derive(d.config.quantum)
+	d.values.worstClass = nil
+	d.subset.invalidate()
+	d.queue.rescan()
+	d.markAllDirty(d.endpoints.ranked) // the rates at which tokens age depend on the shortest objective
 	d.quota.intervalEnd = min(d.quota.intervalEnd, now+d.classes.quotaInterval)
 }
 
-// firstGuess is a track's mean work as long as nothing is known of it. Guards against a guess as long as the quoted time where that does not grow with
-// the work: no executor could be in time for it, all would be pushed back, and nothing ever learned.
-func firstGuess(t JobClass) time.Duration {
-	if t.RunTimeFactor == 0 {
-		return t.LatencyObjective / 2
+// firstGuess returns a class's mean work while nothing is known of it. Where the objective does not grow with the work, a
+// guess as long as the objective would have all jobs rejected, since no executor could complete them in time, and nothing
+// would ever be learned.
+func firstGuess(class JobClass) time.Duration {
+	if class.RunTimeFactor == 0 {
+		return class.LatencyObjective / unknownWorkDivisor
 	}
-	return t.LatencyObjective
+	return class.LatencyObjective
 }
 
-// longestMeanWork is the mean work of the track that has the most, or the shortest quoted time.
+// longestMeanWork returns the largest mean work of the current classes, and at least the shortest objective.
 func (d *Dispatcher) longestMeanWork() time.Duration {
-	work := d.classes.shortestObjective
-	for _, t := range d.classes.current {
-		work = max(work, t.meanWork)
+	longest := d.classes.shortestObjective
+	for _, class := range d.classes.current {
+		longest = max(longest, class.meanWork)
 	}
-	return work
+	return longest
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -224,6 +224,13 @@
 	d.zoneLoad.observe(d.remoteSide(e), observed)
 }
 
+// decayZoneLoad ends an interval for the zone loads, where they are not taken from the endpoint list.
+func (d *Dispatcher) decayZoneLoad() {
+	if !d.config.loadAdjustedWeights {
+		d.zoneLoad.decayRemote()
+	}
+}
+
 // anyLocalUsable reports whether some executor of this node's zone that is eligible for j is usable, whether or not it
 // has a free token.
 func (d *Dispatcher) anyLocalUsable(j *job, now time.Duration) bool {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -217,7 +217,9 @@
 	d.queue.startInterval()
 	d.subset.recheck()
 	d.leases.requestWanted()
-	d.decayAverages()
+	d.decayZoneLoad()
+	d.updateWorstClass()
+	d.updateTenants()
 }
 
 // chargeUnstarted counts what attempts that have not started waited at e in this interval.
--- a/policy/value.go
+++ b/policy/value.go
@@ -10,6 +10,12 @@
 	valueDecay        = 0.95 // of a class's requested and earned value, each interval
 	minWorstClassPart = 0.05 // least part of all jobs that the worst class is taken to have
 	tenantRateDecay   = 0.8  // of a tenant's rate, each interval
+	minMarginalValue  = 1e-9 // least marginal value, in mean jobs, so that it can be divided by
+	minUnitValue      = 1e-9 // least mean value of a class's job, likewise
+	minTotalQuota     = 1e-9 // least sum of all tenants' quotas, likewise
+
+	rateMemoryIntervals = 5 // intervals that a tenant's rate remembers, by tenantRateDecay
+	valueMeanSlowdown   = 4 // times slower than other averages that the mean values follow
 )
 
 // valueAverages are what a job's value is measured against.
@@ -30,7 +36,7 @@
 	shortBudgetRatio float64 // fraction of its marked first tries that came with less than the full budget
 }
 
-// valueOf is what a batch job earns, by its work or whatever it is.
+// valueOf returns the value of a job: its class's, times its work in seconds where value is paid for work.
 func (d *Dispatcher) valueOf(j *job) float64 {
 	if d.config.valuePerWork {
 		return j.class.value * j.work.Seconds()
@@ -38,7 +44,7 @@
 	return j.class.value
 }
 
-// tenantFactor is what a tenant's earnings count for: less over its share.
+// tenantFactor returns the factor that the value of a tenant's jobs counts with: below 1 for a tenant over its quota.
 func (d *Dispatcher) tenantFactor(t *tenant) float64 {
 	if t != nil && t.overQuota > 1 {
 		return d.config.overQuotaValue + (1-d.config.overQuotaValue)/t.overQuota
@@ -46,80 +52,98 @@
 	return 1
 }
 
-// marginalValue is what handling j in its quoted time adds to the operators' measure, in mean batch jobs: its part
-// of all earnings, and, in the track that fares worst, its part of that track's.
+// marginalValue returns what completing j within its objective adds to the operators' measure, in mean jobs: its part of
+// the total value, and, in the class that fares worst, its part of that class's.
 func (d *Dispatcher) marginalValue(j *job) float64 {
-	e := d.valueOf(j)
-	v := d.config.totalWeight * e / d.values.mean
+	value := d.valueOf(j)
+	marginal := d.config.totalWeight * value / d.values.mean
 	if j.class == d.values.worstClass {
-		v += d.config.worstClassWeight * e / d.values.worstClassUnit
+		marginal += d.config.worstClassWeight * value / d.values.worstClassUnit
 	}
-	return max(v*d.tenantFactor(j.tenant), 1e-9)
+	return max(marginal*d.tenantFactor(j.tenant), minMarginalValue)
 }
 
-// recordRequested books what a batch job that came is worth; first: it is not a repeat by the client.
-func (d *Dispatcher) recordRequested(j *job, first bool) {
-	e := d.valueOf(j)
-	j.class.unitValue = j.class.unitValue*smoothing + e*(1-smoothing)
-	if d.values.mean == 0 {
-		d.values.mean = e
-	}
-	d.values.mean += (e - d.values.mean) * (1 - smoothing) / 4
-	if first {
-		j.class.requestedValue += e
+// recordRequested records the value of a job that arrived. Only first tries count as requested.
+func (d *Dispatcher) recordRequested(j *job, firstTry bool) {
+	value := d.valueOf(j)
+	j.class.unitValue = j.class.unitValue*smoothing + value*(1-smoothing)
+	d.values.mean = slowMean(d.values.mean, value)
+	if firstTry {
+		j.class.requestedValue += value
 	}
 	density := d.marginalValue(j) / j.work.Seconds()
-	if d.values.meanDensity == 0 {
-		d.values.meanDensity = density
-	}
-	d.values.meanDensity += (density - d.values.meanDensity) * (1 - smoothing) / 4
+	d.values.meanDensity = slowMean(d.values.meanDensity, density)
 }
 
-// recordCompletion books an answer, in its quoted time or not.
-func (d *Dispatcher) recordCompletion(s *attempt, now time.Duration) {
-	d.shedding.recordCompleted(s.job)
-	if now <= s.objectiveAt {
-		s.class.earnedValue += d.valueOf(s.job)
+// slowMean returns a running mean after another observation, which is the mean if it is the first.
+func slowMean(mean, observed float64) float64 {
+	if mean == 0 {
+		mean = observed
 	}
+	return mean + (observed-mean)*(1-smoothing)/valueMeanSlowdown
 }
 
-// decayAverages fades the tracks' and tenants' figures, each interval.
-func (d *Dispatcher) decayAverages() {
-	if !d.config.loadAdjustedWeights {
-		d.zoneLoad.decayRemote()
+// recordCompletion records a completed attempt. Its value is earned if it ended within the objective.
+func (d *Dispatcher) recordCompletion(a *attempt, now time.Duration) {
+	d.shedding.recordCompleted(a.job)
+	if now <= a.objectiveAt {
+		a.class.earnedValue += d.valueOf(a.job)
 	}
-	d.values.worstClass = nil
-	least, came := math.Inf(1), 0.0
-	for _, t := range d.classes.current {
-		t.requestedValue *= valueDecay
-		t.earnedValue *= valueDecay
-		if part := t.earnedValue / t.requestedValue; t.requestedValue > 0 && part < least {
-			least, d.values.worstClass = part, t
+}
+
+// updateWorstClass ends an interval for the classes: it lets their requested and earned values decay, and finds the class
+// that earned the least fraction of what was requested.
+func (d *Dispatcher) updateWorstClass() {
+	var worst *jobClass
+	leastFraction := math.Inf(1)
+	jobs := 0.0 // of all classes, by their requested values
+	for _, class := range d.classes.current {
+		class.requestedValue *= valueDecay
+		class.earnedValue *= valueDecay
+		fraction := class.earnedValue / class.requestedValue
+		if class.requestedValue > 0 && fraction < leastFraction {
+			leastFraction = fraction
+			worst = class
 		}
-		came += t.requestedValue / max(t.unitValue, 1e-9)
+		jobs += class.requestedJobs()
 	}
-	if d.values.worstClass != nil {
-		part := d.values.worstClass.requestedValue / max(d.values.worstClass.unitValue, 1e-9) / came
-		d.values.worstClassUnit = max(d.values.worstClass.unitValue, 1e-9) * max(part, minWorstClassPart)
+	d.values.worstClass = worst
+	if worst != nil {
+		fraction := worst.requestedJobs() / jobs
+		d.values.worstClassUnit = max(worst.unitValue, minUnitValue) * max(fraction, minWorstClassPart)
 	}
-	rates, quotas := 0.0, 0.0
+}
+
+// requestedJobs returns about how many jobs of a class were requested lately.
+func (t *jobClass) requestedJobs() float64 { return t.requestedValue / max(t.unitValue, minUnitValue) }
+
+// updateTenants ends an interval for the tenants: it updates their rates, and how far each is over its quota. A tenant is
+// measured against the others at this node: a node with more traffic than others would see all of them over their quotas.
+func (d *Dispatcher) updateTenants() {
+	interval := d.classes.quotaInterval.Seconds()
+	totalRate := 0.0
+	totalQuota := 0.0
 	for i := range d.tenants {
 		t := &d.tenants[i]
-		t.rate = t.rate*tenantRateDecay + float64(t.arrivals)/d.classes.quotaInterval.Seconds()*(1-tenantRateDecay)
-		t.arrivals = 0
-		rates += t.rate
-		quotas += t.quotaPerSecond
+		t.updateRate(interval)
+		totalRate += t.rate
+		totalQuota += t.quotaPerSecond
 	}
-	// A node with more traffic than the others sees every tenant over its share of the nodes' mean: so a
-	// tenant is measured against the others at this node.
+	overload := max(totalRate/max(totalQuota, minTotalQuota), 1)
+	fewArrivals := minTenantArrivals / (rateMemoryIntervals * interval) // a second; so few say nothing of a tenant
 	for i := range d.tenants {
 		t := &d.tenants[i]
-		part := t.quotaPerSecond * max(rates/max(quotas, 1e-9), 1)
-		few := minTenantArrivals / (5 * d.classes.quotaInterval.Seconds()) // what a rate remembers
-		t.overQuota = (t.rate + few) / (part + few)
+		fairRate := t.quotaPerSecond * overload
+		t.overQuota = (t.rate + fewArrivals) / (fairRate + fewArrivals)
 	}
 }
 
+// updateRate updates a tenant's rate by its arrivals in an interval of that many seconds.
+func (t *tenant) updateRate(interval float64) {
+	t.rate = t.rate*tenantRateDecay + float64(t.arrivals)/interval*(1-tenantRateDecay)
+	t.arrivals = 0
+}
+
 // raiseBudgetMargin gives the tenant's jobs of short budgets more room, after one that timed out.
 func (t *tenant) raiseBudgetMargin() {
 	t.budgetMargin = min(t.budgetMargin+budgetMarginRise*budgetMarginStep, maxBudgetMargin)
@@ -130,13 +154,14 @@
 	t.budgetMargin = max(t.budgetMargin-budgetMarginStep, 0)
 }
 
-// recordFirstTry books whether a tenant's first try lacked budget, and gives the part of them that do.
-func (t *tenant) recordFirstTry(again, lacks bool) float64 {
+// recordFirstTry records whether a tenant's first try came with a short budget, and returns the fraction of them that do.
+// A client's retry is not counted. There is none for a job without a tenant.
+func (t *tenant) recordFirstTry(isRetry, isShort bool) float64 {
 	if t == nil {
 		return 0
 	}
-	if !again {
-		t.shortBudgetRatio = t.shortBudgetRatio*smoothing + oneIf(lacks)*(1-smoothing)
+	if !isRetry {
+		t.shortBudgetRatio = t.shortBudgetRatio*smoothing + oneIf(isShort)*(1-smoothing)
 	}
 	return t.shortBudgetRatio
 }
