--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -1,10 +1,7 @@
 package policy
 
 import (
-	"encoding/binary"
 	"fmt"
-	"hash/crc32"
-	"math"
 	"slices"
 	"time"
 )
@@ -16,7 +13,7 @@
 	clock  clock
 	rng    randomSource
 	timers timerQueue
-	outbox []DueTask // messages, probes and log lines to be handed out by NextTask
+	outbox []DueTask // lease messages, health checks and log lines for NextTask to return
 	jobs   map[JobID]*job
 
 	classes   classTable
@@ -35,85 +32,12 @@
 	shedding  loadShedding
 }
 
-// config is what stays as the settings have it, once the process runs.
-type config struct {
-	nodeID    NodeID
-	nodeCount int
-	zone      ZoneID
-	quantum   time.Duration // what comes so close to a deadline counts as at it
-
-	valuePerWork     bool    // a job's value is its class's times its work
-	overQuotaValue   float64 // factor of the value of what a tenant sends over its quota
-	crossZoneCost    float64 // cost of sending a mean job to another zone, in mean values
-	totalWeight      float64 // of the value earned over all classes in the operators' measure
-	worstClassWeight float64 // of the class that fares worst in it
-
-	maxAttempts         int           // of classes that have no limit of their own
-	retryAfter          time.Duration // the most that a rejected client is told to wait; 0: nothing is told
-	canCancel           bool          // an attempt may be canceled
-	canHedge            bool          // an idempotent job may have a second attempt out
-	canProbe            bool          // executors answer probes with their load
-	canLease            bool          // nodes may send each other lease messages
-	clientsMarkRetries  bool          // clients mark what they send again
-	loadAdjustedWeights bool          // weights in the endpoint list fall with the load
-	endpointsPolled     bool          // the endpoint list comes only when it is polled
-	startNotices        bool          // executors tell when a job starts
-	progressInterval    time.Duration // between an executor's progress notices; 0: there are none
-}
-
-// clock is what the dispatcher knows of its own turns. A node that stood still must not take old news for fresh.
-type clock struct {
-	now        time.Duration // the start of this turn
-	wakeAt     time.Duration // when this turn was wanted
-	turnGap    time.Duration // from the turn before until this one
-	stalledFor time.Duration // the part of turnGap in which something was due and the node stood still
-	shutdownBy time.Duration // when all jobs must have their answer, once the node shuts down; 0 before
-}
-
-// randomSource draws the dispatcher's random numbers.
-type randomSource struct{ seed, count uint32 }
-
-// next is the next number from 0 to 1.
-func (r *randomSource) next() float64 {
-	r.count++
-	return Random(r.seed, r.count)
-}
-
-// Random is a number from 0 to 1 drawn from a seed and a counter.
-func Random(seed, count uint32) float64 {
-	var b [8]byte
-	binary.LittleEndian.PutUint32(b[:4], seed)
-	binary.LittleEndian.PutUint32(b[4:], count)
-	return float64(crc32.ChecksumIEEE(b[:])) / math.MaxUint32
-}
-
-// New turns settings, which have been checked, into the figures that decisions use.
-func New(s Settings) *Dispatcher {
+// New makes a dispatcher from settings, which have been checked.
+func New(settings Settings) *Dispatcher {
 	d := &Dispatcher{
-		config: config{
-			nodeID:              NodeID(s.Node),
-			nodeCount:           s.Nodes,
-			zone:                s.Zone,
-			quantum:             s.Quantum,
-			valuePerWork:        s.ValuePerWork,
-			overQuotaValue:      s.OverQuotaValue,
-			crossZoneCost:       s.CrossZoneCost,
-			totalWeight:         s.TotalWeight,
-			worstClassWeight:    s.WorstClassWeight,
-			maxAttempts:         s.MaxAttempts,
-			retryAfter:          s.MaxRetryAfter,
-			canCancel:           s.MayCancel,
-			canHedge:            s.MayHedge,
-			canProbe:            s.MayProbe,
-			canLease:            s.MayLease,
-			clientsMarkRetries:  s.ClientsMarkRetries,
-			loadAdjustedWeights: s.LoadAdjustedWeights,
-			endpointsPolled:     s.EndpointsPolled,
-			startNotices:        s.StartNotices,
-			progressInterval:    s.ProgressInterval,
-		},
-		rng:  randomSource{seed: s.Seed},
-		jobs: map[JobID]*job{},
+		config: newConfig(settings),
+		rng:    randomSource{seed: settings.Seed},
+		jobs:   map[JobID]*job{},
 		endpoints: endpointTable{
 			byID:   map[ExecutorID]*executor{},
 			byHash: map[ExecutorHash]*executor{},
@@ -122,21 +46,21 @@
 		index:  candidateIndex{expiries: executorHeap{keyKind: keyExpiry}},
 		leases: leaseTable{ledgers: map[ExecutorHash]*leaseLedger{}},
 		slowStart: slowStart{
-			capacity:       s.SlowStartCapacity,
-			duration:       s.SlowStartDuration,
-			overloadWindow: s.OverloadWindow,
+			capacity:       settings.SlowStartCapacity,
+			duration:       settings.SlowStartDuration,
+			overloadWindow: settings.OverloadWindow,
 		},
 	}
-	for i, t := range s.JobClasses {
-		d.addClass(JobClassUpdate{JobClassID(i), NoJobClass, t})
+	for i, class := range settings.JobClasses {
+		d.addClass(JobClassUpdate{ID: JobClassID(i), Replaces: NoJobClass, JobClass: class})
 	}
 	d.classes.derive(d.config.quantum)
 	d.quota.intervalEnd = d.classes.quotaInterval
-	d.slowStart.derive(s.OverloadMultiple, d.classes.shortestObjective, d.config.nodeCount)
-	d.spreadPolls(s.PollWithin)
+	d.slowStart.derive(settings.OverloadMultiple, d.classes.shortestObjective, d.config.nodeCount)
+	d.spreadPolls(settings.PollWithin)
 	d.timers.checkAll(d.slowStart.overloadWindow) // until then the slow-start budget of a restarted process is lower
-	for _, t := range s.Tenants {
-		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(s.Nodes)})
+	for _, t := range settings.Tenants {
+		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(settings.Nodes)})
 	}
 	return d
 }
@@ -353,8 +277,8 @@
 	}
 }
 
-// ShutDownBy tells that this node ends: all in hand must be over by then, and what can't be gets its answer at
-// once.
+// ShutDownBy tells that the node shuts down: all jobs must have their answers by then. Those that can't be completed in
+// time get theirs at once.
 func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
 	d.clock.shutdownBy = by
 	for _, j := range d.jobs {
@@ -365,7 +289,7 @@
 	}
 }
 
-// capToShutdown cuts what a batch job has left to the end of its node.
+// capToShutdown limits a job's objective and deadline to the end of a node that shuts down.
 func (d *Dispatcher) capToShutdown(j *job) {
 	if d.clock.shutdownBy > 0 {
 		j.deadlineAt = min(j.deadlineAt, d.clock.shutdownBy)
@@ -373,27 +297,17 @@
 	}
 }
 
-// beginTurn books when this node has its turn, and for how long it stood still before it.
-func (d *Dispatcher) beginTurn(now time.Duration) {
-	if now == d.clock.now {
-		return
-	}
-	d.clock.turnGap, d.clock.stalledFor = now-d.clock.now, now-d.clock.wakeAt
-	if d.clock.stalledFor < d.classes.checkInterval {
-		d.clock.stalledFor = 0
-	}
-	d.clock.now, d.clock.wakeAt = now, now
-}
+// beginTurn records the time of a call.
+func (d *Dispatcher) beginTurn(now time.Duration) { d.clock.beginTurn(now, d.classes.checkInterval) }
 
-// logf writes a line to the log.
+// logf has NextTask return a line for the log.
 func (d *Dispatcher) logf(format string, args ...any) {
 	d.outbox = append(d.outbox, DueTask{Task: WriteLog, Text: fmt.Sprintf(format, args...)})
 }
 
-func scaled(t time.Duration, f float64) time.Duration { return time.Duration(float64(t) * f) }
-
-func oneIf(is bool) float64 {
-	if is {
+// oneIf returns 1 for true and 0 for false.
+func oneIf(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -6,111 +6,177 @@
 	"time"
 )
 
-// What one process of a node tells the next, so that an upgrade does not begin blind. Spans are left over, not times.
-
-// LearnedState is what was learnt.
+// LearnedState is what a process has learned and hands to its successor in a hot restart. Times are left over from the
+// moment of the export, as the two processes have no common clock. internal/hotrestart has its form on the wire.
 type LearnedState struct {
-	Nodes       int // among so many; 0: as many as there are now
+	Nodes       int // number of nodes it was learned among; 0: as many as there are now
 	Classes     []LearnedClass
 	Kinds       []LearnedKind
 	Executors   []LearnedExecutor
-	MeanValue   float64
-	MeanDensity float64
+	MeanValue   float64 // of a job
+	MeanDensity float64 // of a job, for a second of work
 }
 
-// LearnedClass is what was learnt of a current track.
+// LearnedClass is what was learned of a current job class.
 type LearnedClass struct {
 	ID                          JobClassID
 	MeanWork                    time.Duration
-	Samples                     int
-	FullBudget                  time.Duration
-	RequestedValue, EarnedValue float64
-	UnitValue                   float64
+	Samples                     int           // running times behind MeanWork
+	FullBudget                  time.Duration // largest budget seen
+	RequestedValue, EarnedValue float64       // decaying
+	UnitValue                   float64       // mean value of a job
 }
 
-// LearnedKind is what warm executors of a kind take.
+// LearnedKind is what executors of a kind that are past slow start were seen to do.
 type LearnedKind struct {
-	ID                KindID
-	Pace, Size, Slots float64
-	Parallel          int
+	ID       KindID
+	Pace     float64 // running time for each unit of work
+	Size     float64 // mean weight in the endpoint list
+	Slots    float64 // by load reports, averaged; 0: none came
+	Parallel int     // slots, by reports or by what ran at once
 }
 
-// LearnedExecutor is what was learnt of one start of an executor.
+// LearnedExecutor is what was learned of an executor since its last start.
 type LearnedExecutor struct {
 	ID            ExecutorID
 	Quota         int
-	RunTime, Work float64
+	RunTime, Work float64 // seconds, decaying
 	StartWait     time.Duration
-	EjectedFor    time.Duration // its tokens are held back so long still
-	InFlightCap   int
-	Timeouts      int
+	EjectedFor    time.Duration // left of its ejection
+	InFlightCap   int           // 0: no cap
+	Timeouts      int           // ejections for silence in a row
 }
 
-// ExportLearned gives what was learnt, in the order of ids.
-func (d *Dispatcher) ExportLearned(now time.Duration) (k LearnedState) {
-	k.Nodes, k.MeanValue, k.MeanDensity = d.config.nodeCount, d.values.mean, d.values.meanDensity
-	for id, t := range d.classes.all {
-		if slices.Contains(d.classes.current, t) {
-			k.Classes = append(k.Classes, LearnedClass{JobClassID(id), t.meanWork, t.samples, t.fullBudget, t.requestedValue, t.earnedValue, t.unitValue})
+// ExportLearned returns what was learned, in the order of the ids.
+func (d *Dispatcher) ExportLearned(now time.Duration) LearnedState {
+	learned := LearnedState{
+		Nodes:       d.config.nodeCount,
+		MeanValue:   d.values.mean,
+		MeanDensity: d.values.meanDensity,
+	}
+	for id, class := range d.classes.all {
+		if slices.Contains(d.classes.current, class) {
+			learned.Classes = append(learned.Classes, class.export(JobClassID(id)))
 		}
 	}
 	for id, kind := range d.endpoints.kinds {
-		k.Kinds = append(k.Kinds, LearnedKind{id, kind.pace, kind.size, kind.reportedSlots, kind.concurrency})
+		learned.Kinds = append(learned.Kinds, kind.export(id))
 	}
-	slices.SortFunc(k.Kinds, func(a, b LearnedKind) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(learned.Kinds, func(a, b LearnedKind) int { return cmp.Compare(a.ID, b.ID) })
 	for _, e := range d.quota.executors {
 		if !e.removed {
-			k.Executors = append(k.Executors, LearnedExecutor{e.id, e.tokens.quota, e.estimate.runTime, e.estimate.work, e.estimate.startWait, max(0, e.health.ejectedUntil-now), e.health.inFlightCap, e.health.timeouts})
+			learned.Executors = append(learned.Executors, e.export(now))
 		}
 	}
-	slices.SortFunc(k.Executors, func(a, b LearnedExecutor) int { return cmp.Compare(a.ID, b.ID) })
-	return k
+	slices.SortFunc(learned.Executors, func(a, b LearnedExecutor) int { return cmp.Compare(a.ID, b.ID) })
+	return learned
 }
 
-// ImportLearned takes over what another process of this node has learnt, of tracks by this one's numbers. What makes no sense is
-// passed over; executors that are not on the list, or have started since by this one's list, are too. What was learnt
-// among another number of nodes holds where it is of executors and batch jobs: paces, places, work, hold-backs. Quotas,
-// waits and how the tracks fare are of the nodes together, and begin afresh: carried over, each of many nodes would send
-// what one of a few did.
-func (d *Dispatcher) ImportLearned(now time.Duration, k LearnedState) {
-	among := k.Nodes == 0 || k.Nodes == d.config.nodeCount
-	if k.MeanValue > 0 && k.MeanDensity > 0 {
-		d.values.mean, d.values.meanDensity = k.MeanValue, k.MeanDensity
-	}
-	for _, in := range k.Classes {
-		if in.ID < 0 || int(in.ID) >= len(d.classes.all) || in.MeanWork <= 0 || in.UnitValue <= 0 {
-			continue
-		}
-		t := d.classes.all[in.ID]
-		t.meanWork, t.samples, t.fullBudget = in.MeanWork, in.Samples, min(in.FullBudget, t.deadline)
-		t.unitValue = in.UnitValue
-		if among {
-			t.requestedValue, t.earnedValue = max(0, in.RequestedValue), max(0, in.EarnedValue)
-		}
+func (t *jobClass) export(id JobClassID) LearnedClass {
+	return LearnedClass{
+		ID:             id,
+		MeanWork:       t.meanWork,
+		Samples:        t.samples,
+		FullBudget:     t.fullBudget,
+		RequestedValue: t.requestedValue,
+		EarnedValue:    t.earnedValue,
+		UnitValue:      t.unitValue,
 	}
-	for _, in := range k.Kinds {
-		if kind := d.endpoints.kinds[in.ID]; kind != nil && in.Pace > 0 && in.Parallel > 0 && in.Size > 0 {
-			kind.pace, kind.size, kind.reportedSlots, kind.concurrency = in.Pace, in.Size, max(0, in.Slots), in.Parallel
-		}
+}
+
+func (k *kindStats) export(id KindID) LearnedKind {
+	return LearnedKind{ID: id, Pace: k.pace, Size: k.size, Slots: k.reportedSlots, Parallel: k.concurrency}
+}
+
+func (e *executor) export(now time.Duration) LearnedExecutor {
+	return LearnedExecutor{
+		ID:          e.id,
+		Quota:       e.tokens.quota,
+		RunTime:     e.estimate.runTime,
+		Work:        e.estimate.work,
+		StartWait:   e.estimate.startWait,
+		EjectedFor:  max(0, e.health.ejectedUntil-now),
+		InFlightCap: e.health.inFlightCap,
+		Timeouts:    e.health.timeouts,
 	}
-	for _, in := range k.Executors {
-		e := d.endpoints.byID[in.ID]
-		if e == nil || now < e.slowStart.until || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
-			continue
-		}
-		e.estimate.runTime, e.estimate.work, e.health.timeouts = in.RunTime, in.Work, in.Timeouts
-		d.markDirty(e)
-		if in.EjectedFor > 0 || in.InFlightCap > 0 {
-			e.health.ejectedUntil, e.health.inFlightCap = now+in.EjectedFor, max(1, in.InFlightCap)
-			d.timers.checkAll(e.health.ejectedUntil)
+}
+
+// ImportLearned takes over what another process of this node has learned, with the classes under this process's numbers.
+// Implausible values are passed over, and so are executors that are not on the endpoint list or, by it, have started since.
+//
+// What was learned among another number of nodes still holds for paces, slots, work and ejections. Quotas, start waits and
+// how the classes fare depend on all nodes together and begin anew: with quotas carried over, each of many nodes would
+// send what one of few did.
+func (d *Dispatcher) ImportLearned(now time.Duration, learned LearnedState) {
+	sameNodes := learned.Nodes == 0 || learned.Nodes == d.config.nodeCount
+	if learned.MeanValue > 0 && learned.MeanDensity > 0 {
+		d.values.mean = learned.MeanValue
+		d.values.meanDensity = learned.MeanDensity
+	}
+	for _, in := range learned.Classes {
+		if in.ID >= 0 && int(in.ID) < len(d.classes.all) {
+			d.classes.all[in.ID].adopt(in, sameNodes)
 		}
-		if !among {
-			continue
+	}
+	for _, in := range learned.Kinds {
+		if kind := d.endpoints.kinds[in.ID]; kind != nil {
+			kind.adopt(in)
 		}
-		e.estimate.startWait, e.tokens.inheritedQuota = max(0, in.StartWait), min(in.Quota, maxQuota)
-		for e.tokens.quota > 0 && e.tokens.quota < e.tokens.inheritedQuota {
-			d.raiseQuota(e, now)
+	}
+	for _, in := range learned.Executors {
+		if e := d.endpoints.byID[in.ID]; e != nil {
+			d.importExecutor(e, in, sameNodes, now)
 		}
 	}
-	d.subset.stale, d.subset.changed, d.queue.tokenFreed = true, true, true
+	d.subset.invalidate()
+	d.queue.rescan()
+}
+
+// adopt takes over what was learned of a class.
+func (t *jobClass) adopt(in LearnedClass, sameNodes bool) {
+	if in.MeanWork <= 0 || in.UnitValue <= 0 {
+		return
+	}
+	t.meanWork = in.MeanWork
+	t.samples = in.Samples
+	t.fullBudget = min(in.FullBudget, t.deadline)
+	t.unitValue = in.UnitValue
+	if sameNodes {
+		t.requestedValue = max(0, in.RequestedValue)
+		t.earnedValue = max(0, in.EarnedValue)
+	}
+}
+
+// adopt takes over what was learned of an executor kind.
+func (k *kindStats) adopt(in LearnedKind) {
+	if in.Pace > 0 && in.Parallel > 0 && in.Size > 0 {
+		k.pace = in.Pace
+		k.size = in.Size
+		k.reportedSlots = max(0, in.Slots)
+		k.concurrency = in.Parallel
+	}
+}
+
+// importExecutor takes over what was learned of an executor, unless it is in slow start.
+func (d *Dispatcher) importExecutor(e *executor, in LearnedExecutor, sameNodes bool, now time.Duration) {
+	if now < e.slowStart.until || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
+		return
+	}
+	e.estimate.runTime = in.RunTime
+	e.estimate.work = in.Work
+	e.health.timeouts = in.Timeouts
+	d.markDirty(e)
+	if in.EjectedFor > 0 || in.InFlightCap > 0 {
+		e.health.ejectedUntil = now + in.EjectedFor
+		e.health.inFlightCap = max(1, in.InFlightCap)
+		d.timers.checkAll(e.health.ejectedUntil)
+	}
+	if !sameNodes {
+		return
+	}
+	e.estimate.startWait = max(0, in.StartWait)
+	e.tokens.inheritedQuota = min(in.Quota, maxQuota)
+	for e.tokens.quota > 0 && e.tokens.quota < e.tokens.inheritedQuota {
+		d.raiseQuota(e, now)
+	}
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 // Each kind of id is a type of its own. The places of tracks, tenants, zones and kinds count from 0.
 type (
@@ -19,9 +16,6 @@
 	CellID       int
 )
 
-// Forever is longer than anything.
-const Forever time.Duration = math.MaxInt64
-
 // AnyKind is the bound kind of a track that every executor may run.
 const AnyKind KindID = -1
 
