--- a/policy/lease.go
+++ b/policy/lease.go
@@ -18,6 +18,20 @@
 	primaryRetryIntervals = 2 // intervals until the first holder in line is asked again
 )
 
+// LeaseMessage is what one node sends to another about an executor's slots. Its values are on the wire between nodes.
+type LeaseMessage byte
+
+// The lease messages. A borrower sends requests, cancels and returns, the lease holder grants and waits.
+const (
+	LeaseRequest       LeaseMessage = iota + 1 // a slot is wanted
+	LeaseRequestLate                           // likewise, for a job past its objective
+	LeaseGrant                                 // a slot is leased
+	LeaseWait                                  // none is free yet; the request is queued
+	LeaseCancel                                // a queued request is withdrawn
+	LeaseReturn                                // the slot is free again
+	LeaseReturnDelayed                         // likewise, and the job had to wait at the executor
+)
+
 // leaseTable is this node's part in leasing executors' slots between nodes: as a borrower, and as the holder for some.
 type leaseTable struct {
 	wanted     bool        // a queued job may want to request a lease
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -13,6 +13,28 @@
 	lowSlackDivisor   = 2    // a job that has less than its slack over this left came with low slack
 )
 
+// PriorityLevels is the number of levels that jobs are sorted by, by their value for a second of work.
+const PriorityLevels = 64
+
+// LoadSummary is what a node saw since the summary before, in seconds of work on a standard core.
+type LoadSummary struct {
+	Offered    [PriorityLevels]float64 // of jobs that arrived, by priority level
+	Admitted   float64                 // of those of them that were at or above the threshold
+	Completed  float64                 // of jobs that were completed
+	Migrations float64                 // of attempts that would be migrated if migrations were not limited
+	Expired    float64                 // of jobs that were given up on after they had waited for a token
+	Waiting    float64                 // of jobs that wait now, here or at an executor, each over its slack
+	Capacity   float64                 // a second, of all available executors on the endpoint list
+}
+
+// AdmissionThreshold says which jobs the fleet has no capacity for: all below Level are shed, and of Level itself all but
+// a fraction. The zero value sheds nothing.
+type AdmissionThreshold struct {
+	Level          int     // priority level
+	AdmitFraction  float64 // of jobs of that level that are admitted, 0 to 1
+	MigrationDelay float64 // fraction of its slack that an attempt waits where it is before it is migrated, 0 to 1
+}
+
 // loadShedding is what this node reports to the fleet, and which jobs the fleet has no capacity for.
 type loadShedding struct {
 	reportsLoad bool // the fleet asks for summaries
