--- a/policy/migration.go
+++ b/policy/migration.go
@@ -27,11 +27,12 @@
 	if idempotent && (a.executor.health.unresponsive || !mayHaveStarted) && d.missesObjective(a, pace, now) {
 		return true
 	}
-	if a.attemptCount >= a.class.maxAttempts || len(a.job.attempts) > 1 || mayHaveStarted && !stuck {
+	j := a.job
+	if j.attemptCount >= j.class.maxAttempts || len(j.attempts) > 1 || mayHaveStarted && !stuck {
 		return false
 	}
 	if mayHaveStarted && idempotent && d.config.canHedge {
-		d.requestHedge(a.job, now)
+		d.requestHedge(j, now)
 		return false
 	}
 	return d.shouldMigrate(a, pace, now)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -134,7 +134,8 @@
 	e.queuing.outOfTokens = e.queuing.outOfTokens || len(e.tokens.free) == 0
 	e.lease.use()
 	e.attempts = append(e.attempts, a)
-	a.job.attempts = append(a.job.attempts, a)
+	j := a.job
+	j.attempts = append(j.attempts, a)
 	d.markDirty(e)
 }
 
