--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// ---- The scan that the index stands for ----
+// ---- The reference: a scan of all executors ----
 
-// scanned is pick as a pass over all candidates.
-func (d *Dispatcher) scanned(j *job, now time.Duration, asking bool) *executor {
-	late, crosses, home := d.isLate(j, now), d.crossesNow(j), false
+// scanned is pickExecutor as a scan of all eligible executors.
+func (d *Dispatcher) scanned(j *job, now time.Duration, forLease bool) *executor {
+	late, crosses, localUsable := d.isLate(j, now), d.crossesNow(j), false
 	var best *executor
 	bestSide, bestAge := 0, 0.0
 	for i, e := range d.eligibleExecutors(j) {
@@ -25,12 +25,12 @@
 		if crosses {
 			side = 1 - side
 		}
-		home = home || side == 0
+		localUsable = localUsable || side == 0
 		if late && (len(e.attempts) > 0 || i >= d.subset.lateSize && j.class.lateValue > 0) {
 			continue
 		}
 		taken := len(j.attempts) > 0 && j.attempts[0].executor == e || best != nil && side > bestSide
-		if taken || !d.leaseAllows(e, now, asking) || !d.canAccept(e, j, now) {
+		if taken || !d.leaseAllows(e, now, forLease) || !d.canAccept(e, j, now) {
 			continue
 		}
 		pace := d.pace(e, now)
@@ -47,13 +47,13 @@
 			best, bestSide, bestAge = e, side, age
 		}
 	}
-	if bestSide > 0 && home && !crosses && now-j.queuedAt < d.crossZoneDelay(j) {
+	if bestSide > 0 && localUsable && !crosses && now-j.queuedAt < d.crossZoneDelay(j) {
 		return nil
 	}
 	return best
 }
 
-// scannedPace is bestPace as a pass over all candidates.
+// scannedPace is bestPaceFor as a scan of all eligible executors.
 func (d *Dispatcher) scannedPace(j *job, now time.Duration) float64 {
 	best := math.Inf(1)
 	for _, e := range d.eligibleExecutors(j) {
@@ -67,8 +67,8 @@
 	return best
 }
 
-// scannedSlice is the slice as reslice picks it, without its tokens.
-func (d *Dispatcher) scannedSlice(now time.Duration) (slice []*executor) {
+// scannedSubset is the subset as rebuildSubset picks it, without its tokens.
+func (d *Dispatcher) scannedSubset(now time.Duration) (members []*executor) {
 	size := len(d.endpoints.ranked)
 	if d.usesSubset() {
 		size = max(minSubsetSize, (subsetSharers*size+d.config.nodeCount-1)/d.config.nodeCount)
@@ -78,7 +78,7 @@
 	}
 	for _, e := range d.slowStart.executors {
 		if !e.removed && now < e.slowStart.until && d.isUsable(e, now) {
-			slice = append(slice, e)
+			members = append(members, e)
 		}
 	}
 	counts := make([]int, 2*len(d.classes.requiredKinds))
@@ -92,29 +92,29 @@
 			}
 		}
 		if near {
-			slice = append(slice, e)
+			members = append(members, e)
 		}
 	}
-	return slice
+	return members
 }
 
-// ---- Drawn worlds ----
+// ---- Random worlds ----
 
-// drawn is a dispatcher to which chance happens.
-type drawn struct {
+// randomWorld is a dispatcher that random events happen to.
+type randomWorld struct {
 	*Dispatcher
-	t     *testing.T
-	r     *rand.Rand
-	seed  uint64
-	now   time.Duration
-	ids   []ExecutorID
-	kinds map[ExecutorID]KindID
-	jobs  int
-	check int // comparisons
-	found map[string]int
+	t           *testing.T
+	random      *rand.Rand
+	seed        uint64
+	now         time.Duration
+	ids         []ExecutorID
+	kinds       map[ExecutorID]KindID
+	jobs        int
+	comparisons int // comparisons
+	found       map[string]int
 }
 
-func drawWorld(t *testing.T, seed uint64) *drawn {
+func newRandomWorld(t *testing.T, seed uint64) *randomWorld {
 	r := rand.New(rand.NewPCG(seed, 7))
 	s := base
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
@@ -138,7 +138,7 @@
 		}
 		s.JobClasses = append(s.JobClasses, t)
 	}
-	w := &drawn{Dispatcher: New(s), t: t, r: r, seed: seed, kinds: map[ExecutorID]KindID{}, found: map[string]int{}}
+	w := &randomWorld{Dispatcher: New(s), t: t, random: r, seed: seed, kinds: map[ExecutorID]KindID{}, found: map[string]int{}}
 	var entries []Endpoint
 	for i := range 2 + r.IntN(50) {
 		w.ids = append(w.ids, ExecutorID(fmt.Sprint("e", i)))
@@ -148,52 +148,52 @@
 	return w
 }
 
-func (w *drawn) entry(id ExecutorID, calm bool) Endpoint {
-	if _, ok := w.kinds[id]; !ok || w.r.IntN(30) == 0 {
-		w.kinds[id] = KindID(w.r.IntN(2))
+func (w *randomWorld) entry(id ExecutorID, calm bool) Endpoint {
+	if _, ok := w.kinds[id]; !ok || w.random.IntN(30) == 0 {
+		w.kinds[id] = KindID(w.random.IntN(2))
 	}
 	sum := len(id) + int(id[len(id)-1])
 	n := Endpoint{Executor: id, Zone: ZoneID(sum % 3), Kind: w.kinds[id], Cell: CellID(sum % 5), StartedLongAgo: true, Weight: 1}
-	if w.r.IntN(3) > 0 {
-		n.Weight = [...]float64{0.5, 1, 2, 3 * w.r.Float64()}[w.r.IntN(4)]
+	if w.random.IntN(3) > 0 {
+		n.Weight = [...]float64{0.5, 1, 2, 3 * w.random.Float64()}[w.random.IntN(4)]
 	}
 	if !calm {
-		n.State = [...]EndpointState{Available, Available, Available, Draining, Removed}[w.r.IntN(5)]
-		if w.r.IntN(3) == 0 {
-			n.StartedLongAgo, n.StartedAt = false, w.now-time.Duration(w.r.IntN(9000))*time.Millisecond
+		n.State = [...]EndpointState{Available, Available, Available, Draining, Removed}[w.random.IntN(5)]
+		if w.random.IntN(3) == 0 {
+			n.StartedLongAgo, n.StartedAt = false, w.now-time.Duration(w.random.IntN(9000))*time.Millisecond
 		}
-		if w.r.IntN(4) == 0 {
-			n.Zone = ZoneID(w.r.IntN(3))
+		if w.random.IntN(4) == 0 {
+			n.Zone = ZoneID(w.random.IntN(3))
 		}
 	}
 	return n
 }
 
-// compareTakers looks for batch jobs that could go and that takers leave out, however few are held.
-func (w *drawn) compareTakers() {
+// compareClassCandidates looks for jobs that could be placed and that classCandidates leave out, however few are queued.
+func (w *randomWorld) compareClassCandidates() {
 	d := w.Dispatcher
 	for _, list := range [...][]*job{d.queue.onTime, d.queue.late, d.queue.hedges} {
 		d.index.classCandidates = d.index.classCandidates[:0]
-		d.groupByClass(list, w.now)
+		d.findByClass(list, w.now)
 		for _, j := range list {
 			to := d.scanned(j, w.now, false)
 			switch may := d.mayBePlaced(j, w.now); {
 			case to != nil && !may:
-				w.t.Fatalf("seed %d, %v: %s may go to %s, and is left out", w.seed, w.now, j.id, to.id)
+				w.t.Fatalf("seed %d, %v: %s could be placed on %s, and is left out", w.seed, w.now, j.id, to.id)
 			case to != nil:
-				w.found["held that may go"]++
+				w.found["queued, may be placed"]++
 			case !may:
-				w.found["held and left out"]++
+				w.found["queued, left out"]++
 			}
 		}
 		d.index.classCandidates = d.index.classCandidates[:0]
 	}
 }
 
-// compare holds every answer of the index against the scan's.
-func (w *drawn) compare() {
+// compare checks every answer of the index against the scan's.
+func (w *randomWorld) compare() {
 	d, ids := w.Dispatcher, []JobID{}
-	w.compareTakers()
+	w.compareClassCandidates()
 	for id := range d.jobs {
 		ids = append(ids, id)
 	}
@@ -201,7 +201,7 @@
 	for _, id := range ids {
 		j := d.jobs[id]
 		w.compareJob(j, "")
-		if j.mayHaveRun == nil && len(j.attempts) > 0 { // as elsewhere asks
+		if j.mayHaveRun == nil && len(j.attempts) > 0 { // as migrationTarget asks
 			j.mayHaveRun = j.attempts[0]
 			w.compareJob(j, "moved ")
 			j.mayHaveRun = nil
@@ -209,59 +209,59 @@
 	}
 	for _, e := range d.subset.members {
 		if e.lease.requested && !slices.Contains(d.leases.requests, e) {
-			w.t.Fatalf("seed %d, %v: a place of %s was asked for and is not awaited", w.seed, w.now, e.id)
+			w.t.Fatalf("seed %d, %v: a lease of %s was requested and is not listed", w.seed, w.now, e.id)
 		}
 	}
 	for _, e := range d.quota.executors {
 		if (e.health.probeOut || e.health.unresponsive) && !slices.Contains(d.health.awaitingReply, e) {
-			w.t.Fatalf("seed %d, %v: %s is asked for a sign of life and not watched", w.seed, w.now, e.id)
+			w.t.Fatalf("seed %d, %v: %s owes a reply and is not awaited", w.seed, w.now, e.id)
 		}
 	}
 }
 
-func (w *drawn) compareJob(j *job, as string) {
+func (w *randomWorld) compareJob(j *job, prefix string) {
 	d := w.Dispatcher
-	for _, asks := range [...]bool{false, true} {
-		if asks && !(d.config.canLease && d.usesSubset()) {
+	for _, forLease := range [...]bool{false, true} {
+		if forLease && !(d.config.canLease && d.usesSubset()) {
 			continue
 		}
-		got, want := d.pickExecutor(j, w.now, asks), d.scanned(j, w.now, asks)
-		w.check++
+		got, want := d.pickExecutor(j, w.now, forLease), d.scanned(j, w.now, forLease)
+		w.comparisons++
 		if got != want {
-			w.t.Fatalf("seed %d, %v: %s%s asking=%v: the index gives %v, the scan %v", w.seed, w.now, as, j.id, asks, name(got), name(want))
+			w.t.Fatalf("seed %d, %v: %s%s forLease=%v: the index gives %v, the scan %v", w.seed, w.now, prefix, j.id, forLease, name(got), name(want))
 		}
-		if want != nil && !asks && !d.anyTokenOpen(w.now) {
-			w.t.Fatalf("seed %d, %v: %s%s may go to %s, and no token is said to be open", w.seed, w.now, as, j.id, want.id)
+		if want != nil && !forLease && !d.anyTokenOpen(w.now) {
+			w.t.Fatalf("seed %d, %v: %s%s could be placed on %s, and anyTokenOpen says no", w.seed, w.now, prefix, j.id, want.id)
 		}
 		if want != nil {
-			w.found[w.sort(j, want, as, asks)]++
+			w.found[w.situation(j, want, prefix, forLease)]++
 		}
 	}
 	if got, want := d.bestPaceFor(j, w.now), d.scannedPace(j, w.now); got != want {
-		w.t.Fatalf("seed %d, %v: %s%s: the index gives a pace of %v, the scan %v", w.seed, w.now, as, j.id, got, want)
+		w.t.Fatalf("seed %d, %v: %s%s: the index gives a pace of %v, the scan %v", w.seed, w.now, prefix, j.id, got, want)
 	}
 }
 
-func (w *drawn) sort(j *job, e *executor, as string, asks bool) string {
+func (w *randomWorld) situation(j *job, e *executor, prefix string, forLease bool) string {
 	switch d := w.Dispatcher; {
-	case asks:
-		return "of a keeper"
+	case forLease:
+		return "for a lease"
 	case d.boundToDedupGroup(j):
 		return "in a dedup group"
 	case w.now < e.slowStart.until:
-		return "cold"
+		return "slow start"
 	case d.crossesNow(j) && d.remoteSide(e) > 0:
 		return "crossing"
 	case d.isLate(j, w.now):
 		return "late"
-	case len(j.attempts) > 0 && as == "":
-		return "a copy"
+	case len(j.attempts) > 0 && prefix == "":
+		return "hedge"
 	case d.config.canLease && d.usesSubset():
-		return "with a place"
+		return "with a lease"
 	case e.health.inFlightCap > 0:
-		return "under a cap"
+		return "in-flight cap"
 	case len(e.attempts) >= d.endpoints.kinds[e.kind].concurrency:
-		return "full of ours"
+		return "all slots ours"
 	}
 	return "plain"
 }
@@ -273,10 +273,10 @@
 	return e.id
 }
 
-// run does what is due, and compares before and after some of it.
-func (w *drawn) run() {
+// run does what is due, and compares now and then.
+func (w *randomWorld) run() {
 	for range 2000 {
-		if w.r.IntN(3) == 0 {
+		if w.random.IntN(3) == 0 {
 			w.compare()
 		}
 		due := w.NextTask(w.now)
@@ -284,95 +284,95 @@
 		case PlaceJob:
 			w.Place(w.now, due.Job)
 		case CancelAttempt:
-			w.AttemptEnded(w.now, due.Job, due.Attempt, [...]Outcome{Canceled, NotSent, Succeeded}[w.r.IntN(3)], false)
+			w.AttemptEnded(w.now, due.Job, due.Attempt, [...]Outcome{Canceled, NotSent, Succeeded}[w.random.IntN(3)], false)
 		case SendLeaseMessage:
-			if w.r.IntN(3) > 0 {
-				w.ReceiveLeaseMessage(w.now, due.Node, [...]LeaseMessage{LeaseGrant, LeaseGrant, LeaseWait}[w.r.IntN(3)], due.Hash)
+			if w.random.IntN(3) > 0 {
+				w.ReceiveLeaseMessage(w.now, due.Node, [...]LeaseMessage{LeaseGrant, LeaseGrant, LeaseWait}[w.random.IntN(3)], due.Hash)
 			}
 		case ProbeExecutor:
-			if w.r.IntN(3) > 0 {
-				w.ProbeEnded(w.now, due.Executor, w.r.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.r.IntN(3))})
+			if w.random.IntN(3) > 0 {
+				w.ProbeEnded(w.now, due.Executor, w.random.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.random.IntN(3))})
 			}
 		case Sleep:
-			if w.r.IntN(4) == 0 { // picked anew, or found to be as it was
+			if w.random.IntN(4) == 0 { // rebuilt, or found to be as it was
 				w.rebuildSubset(w.now)
-				if want := w.scannedSlice(w.now); !slices.Equal(w.subset.members, want) {
-					w.t.Fatalf("seed %d, %v: a slice of %d, picked anew it has %d", w.seed, w.now, len(w.subset.members), len(want))
+				if want := w.scannedSubset(w.now); !slices.Equal(w.subset.members, want) {
+					w.t.Fatalf("seed %d, %v: a subset of %d, rebuilt it has %d", w.seed, w.now, len(w.subset.members), len(want))
 				}
 			}
 			return
 		}
 	}
-	w.t.Fatalf("seed %d: it never sleeps", w.seed)
+	w.t.Fatalf("seed %d: NextTask never says Sleep", w.seed)
 }
 
-// happen lets something happen.
-func (w *drawn) happen() {
-	var shots []*attempt
+// step makes a random event happen.
+func (w *randomWorld) step() {
+	var attempts []*attempt
 	for _, e := range w.quota.executors {
-		shots = append(shots, e.attempts...)
+		attempts = append(attempts, e.attempts...)
 	}
-	var s *attempt
-	if len(shots) > 0 {
-		s = shots[w.r.IntN(len(shots))]
+	var target *attempt
+	if len(attempts) > 0 {
+		target = attempts[w.random.IntN(len(attempts))]
 	}
-	switch what := w.r.IntN(20); {
+	switch what := w.random.IntN(20); {
 	case what < 8:
 		w.jobs++
-		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Class: JobClassID(w.r.IntN(len(w.classes.all))), Tenant: -1,
-			Budget: time.Duration(w.r.IntN(8000)) * time.Millisecond, ClientRetry: w.r.IntN(4) == 0}
-		if w.r.IntN(4) > 0 {
-			in.Work = time.Duration(1+w.r.IntN(600)) * time.Millisecond
+		in := Arrival{Job: JobID(fmt.Sprint("j", w.jobs)), Class: JobClassID(w.random.IntN(len(w.classes.all))), Tenant: -1,
+			Budget: time.Duration(w.random.IntN(8000)) * time.Millisecond, ClientRetry: w.random.IntN(4) == 0}
+		if w.random.IntN(4) > 0 {
+			in.Work = time.Duration(1+w.random.IntN(600)) * time.Millisecond
 		}
 		w.JobArrived(w.now, in)
-	case what < 11 && s != nil:
-		w.AttemptStarted(w.now, s.id, s.number)
-	case what < 15 && s != nil:
-		how := [...]Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, ExecutorError, ExecutorFull, TimedOut, ConnectFailed, ConnectionLost, NotSent}[w.r.IntN(12)]
-		w.AttemptEnded(w.now, s.id, s.number, how, how == Succeeded)
-	case what == 15 && s != nil:
-		w.AttemptProgressed(w.now, s.id, s.number, w.r.Float64())
-	case what == 16 && s != nil:
-		w.LoadReported(s.executor.id, Load{InFlight: float64(w.r.IntN(4)), FreeSlots: float64(w.r.IntN(4))})
+	case what < 11 && target != nil:
+		w.AttemptStarted(w.now, target.id, target.number)
+	case what < 15 && target != nil:
+		outcome := [...]Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, ExecutorError, ExecutorFull, TimedOut, ConnectFailed, ConnectionLost, NotSent}[w.random.IntN(12)]
+		w.AttemptEnded(w.now, target.id, target.number, outcome, outcome == Succeeded)
+	case what == 15 && target != nil:
+		w.AttemptProgressed(w.now, target.id, target.number, w.random.Float64())
+	case what == 16 && target != nil:
+		w.LoadReported(target.executor.id, Load{InFlight: float64(w.random.IntN(4)), FreeSlots: float64(w.random.IntN(4))})
 	case what == 17:
 		var entries []Endpoint
-		for range 1 + w.r.IntN(4) {
-			id := w.ids[w.r.IntN(len(w.ids))]
-			if w.r.IntN(10) == 0 {
-				id = ExecutorID(fmt.Sprint("f", w.r.IntN(20)))
+		for range 1 + w.random.IntN(4) {
+			id := w.ids[w.random.IntN(len(w.ids))]
+			if w.random.IntN(10) == 0 {
+				id = ExecutorID(fmt.Sprint("f", w.random.IntN(20)))
 				w.ids = append(w.ids, id)
 			}
-			entries = append(entries, w.entry(id, w.r.IntN(2) == 0))
+			entries = append(entries, w.entry(id, w.random.IntN(2) == 0))
 		}
 		w.UpdateEndpoints(w.now, IncrementalUpdate, entries)
-	case what == 18 && s != nil && w.r.IntN(4) == 0:
-		w.ClientLeft(w.now, s.id)
+	case what == 18 && target != nil && w.random.IntN(4) == 0:
+		w.ClientLeft(w.now, target.id)
 	case what == 19:
-		w.rare()
+		w.rareStep()
 	}
 }
 
-// rare does what seldom happens, and makes ages that tie.
-func (w *drawn) rare() {
-	switch w.r.IntN(6) {
+// rareStep makes a rare event happen, or ages that tie.
+func (w *randomWorld) rareStep() {
+	switch w.random.IntN(6) {
 	case 0:
-		w.ReserveSlowStartUntil(w.now, w.now+time.Duration(w.r.IntN(2000))*time.Millisecond)
+		w.ReserveSlowStartUntil(w.now, w.now+time.Duration(w.random.IntN(2000))*time.Millisecond)
 	case 1:
-		w.SetAdmissionThreshold(AdmissionThreshold{Level: w.r.IntN(3) * 16, AdmitFraction: w.r.Float64(), MigrationDelay: w.r.Float64()})
+		w.SetAdmissionThreshold(AdmissionThreshold{Level: w.random.IntN(3) * 16, AdmitFraction: w.random.Float64(), MigrationDelay: w.random.Float64()})
 	case 2:
-		if w.r.IntN(10) == 0 {
+		if w.random.IntN(10) == 0 {
 			w.UpdateEndpoints(w.now, CompleteUpdate, []Endpoint{w.entry(w.ids[0], true), w.entry(w.ids[len(w.ids)-1], true)})
 		}
-	case 3: // as another process of this node may tell
+	case 3: // as learned state of another process may change it
 		for _, s := range w.index.kinds {
-			s.stats.pace *= 0.6 + 0.8*w.r.Float64()
+			s.stats.pace *= 0.6 + 0.8*w.random.Float64()
 		}
 	default:
 		for _, e := range w.quota.executors {
 			for i := range e.tokens.free {
 				e.tokens.free[i] = w.now / 2
 			}
-			if w.r.IntN(2) == 0 {
+			if w.random.IntN(2) == 0 {
 				e.estimate.runTime, e.estimate.work, e.estimate.startWait = 0, 0, 0
 			}
 			w.markDirty(e)
@@ -380,40 +380,40 @@
 	}
 }
 
-// The index gives what a scan of all candidates does, in drawn worlds at moments between all that happens.
+// TestIndexGivesWhatScanDoes compares the index with a scan of all executors, in random worlds, between random events.
 func TestIndexGivesWhatScanDoes(t *testing.T) {
 	checks, found := 0, map[string]int{}
 	for seed := range uint64(60) {
-		w := drawWorld(t, seed)
+		w := newRandomWorld(t, seed)
 		for range 250 {
-			if w.r.IntN(4) > 0 {
-				w.now += time.Duration(w.r.IntN(60)) * time.Millisecond
+			if w.random.IntN(4) > 0 {
+				w.now += time.Duration(w.random.IntN(60)) * time.Millisecond
 			}
-			if w.r.IntN(60) == 0 {
+			if w.random.IntN(60) == 0 {
 				w.now += 2 * time.Second
 			}
-			w.happen()
-			if w.r.IntN(3) == 0 {
+			w.step()
+			if w.random.IntN(3) == 0 {
 				w.compare()
 			}
 			w.run()
 		}
-		checks += w.check
+		checks += w.comparisons
 		for what, n := range w.found {
 			found[what] += n
 		}
 	}
 	t.Log(checks, "comparisons; found:", found)
-	for _, what := range [...]string{"of a keeper", "in a dedup group", "cold", "crossing", "late", "a copy", "with a place", "under a cap", "full of ours", "plain",
-		"held that may go", "held and left out"} {
+	for _, what := range [...]string{"for a lease", "in a dedup group", "slow start", "crossing", "late", "hedge", "with a lease", "in-flight cap", "all slots ours", "plain",
+		"queued, may be placed", "queued, left out"} {
 		if found[what] < 20 {
 			t.Errorf("%s: compared only %d times", what, found[what])
 		}
 	}
 }
 
-// An executor that the list has moved to the own zone counts as there before the slice is picked anew.
-func TestMovedHome(t *testing.T) {
+// TestMovedToOwnZone checks that an executor whose zone has become the own one counts as local before the subset is rebuilt.
+func TestMovedToOwnZone(t *testing.T) {
 	s := base
 	s.CrossZoneCost = 0.25
 	d := New(s)
@@ -436,10 +436,10 @@
 
 // ---- Steady load ----
 
-// steady is a dispatcher under steady load, with executors that do as foretold, nearly.
+// steady is a dispatcher under steady load, with executors that nearly take the predicted time.
 type steady struct {
 	*Dispatcher
-	r      *rand.Rand
+	random *rand.Rand
 	now    time.Duration
 	queue  steadyHeap
 	gap    time.Duration
@@ -452,7 +452,7 @@
 type steadyItem struct {
 	at    time.Duration
 	order int
-	what  int // 0: a batch job comes; 1: one has begun; 2: one is done; 3: what is due
+	what  int // 0: a job arrives; 1: an attempt starts; 2: one is done; 3: a task is due
 	job   JobID
 	n     AttemptID
 }
@@ -472,17 +472,17 @@
 	return x
 }
 
-// newSteady loads executors of two places each to that part, or with so many batch jobs a second.
+// newSteady loads executors of two slots each to that fraction, or with so many jobs a second.
 func newSteady(executors int, load, perS float64) *steady {
 	s := base
 	s.LoadAdjustedWeights = false
 	s.JobClasses = slices.Clone(base.JobClasses)
 	s.JobClasses[1].Kind = AnyKind
-	w := &steady{Dispatcher: New(s), r: rand.New(rand.NewPCG(1, uint64(executors))), paces: map[ExecutorID]float64{}}
+	w := &steady{Dispatcher: New(s), random: rand.New(rand.NewPCG(1, uint64(executors))), paces: map[ExecutorID]float64{}}
 	var entries []Endpoint
 	for i := range executors {
 		id := ExecutorID(fmt.Sprint("e", i))
-		w.paces[id] = 0.8 + 0.4*w.r.Float64()
+		w.paces[id] = 0.8 + 0.4*w.random.Float64()
 		entries = append(entries, Endpoint{Executor: id, Zone: ZoneID(i % 4), StartedLongAgo: true, Weight: 1})
 	}
 	w.UpdateEndpoints(0, CompleteUpdate, entries)
@@ -515,11 +515,11 @@
 	w.starts++
 	n := AttemptID(w.Dispatcher.jobs[id].attemptCount - 1)
 	w.push(steadyItem{at: w.now + time.Millisecond, what: 1, job: id, n: n})
-	ran := time.Duration(float64(w.work(id)) * w.paces[what.Executor] * (0.6 + 0.8*w.r.Float64()))
+	ran := time.Duration(float64(w.work(id)) * w.paces[what.Executor] * (0.6 + 0.8*w.random.Float64()))
 	w.push(steadyItem{at: w.now + 2*time.Millisecond + ran, what: 2, job: id, n: n})
 }
 
-// run goes on until so many more have been started.
+// run goes on until so many more attempts were sent.
 func (w *steady) run(starts int) {
 	for most := w.starts + starts; w.starts < most; {
 		it := heap.Pop(&w.queue).(steadyItem)
@@ -550,8 +550,8 @@
 	}
 }
 
-// What is looked at for a start does not grow with the slice: a scan looks at each of its executors for every pick.
-func TestLooksDoNotGrowWithSlice(t *testing.T) {
+// TestVisitsDoNotGrowWithSubset checks that the work for a start does not grow with the subset: a scan visits each executor.
+func TestVisitsDoNotGrowWithSubset(t *testing.T) {
 	for _, c := range [...]struct {
 		name       string
 		load, perS float64
@@ -560,22 +560,22 @@
 		for _, n := range [...]int{12, 3200} {
 			w := newSteady(n, c.load, c.perS)
 			w.run(2 * n)
-			looks, bounds, weighed, filed, from := w.index.visited, w.index.bounded, w.index.evaluated, w.index.reindexed, w.starts
+			visited, bounded, evaluated, reindexed, from := w.index.visited, w.index.bounded, w.index.evaluated, w.index.reindexed, w.starts
 			w.run(2000)
 			starts := float64(w.starts - from)
-			per[n], steps = float64(w.index.visited-looks)/starts, float64(w.index.bounded-bounds)/starts
-			t.Logf("%s, %d executors: %.1f looks for a start, %.1f of them in full, %.1f bounds of steps, %.1f filings", c.name, n, per[n],
-				float64(w.index.evaluated-weighed)/starts, float64(w.index.bounded-bounds)/starts, float64(w.index.reindexed-filed)/starts)
+			per[n], steps = float64(w.index.visited-visited)/starts, float64(w.index.bounded-bounded)/starts
+			t.Logf("%s, %d executors: %.1f visits a start, %.1f evaluated in full, %.1f bucket bounds, %.1f reindexed", c.name, n, per[n],
+				float64(w.index.evaluated-evaluated)/starts, float64(w.index.bounded-bounded)/starts, float64(w.index.reindexed-reindexed)/starts)
 		}
 		if per[3200] > 1.3*per[12]+96 || steps > 256 {
-			t.Errorf("%s: %.1f looks for a start at 12 executors, %.1f at 3200, and %.1f at steps", c.name, per[12], per[3200], steps)
+			t.Errorf("%s: %.1f visits a start at 12 executors, %.1f at 3200, and %.1f buckets", c.name, per[12], per[3200], steps)
 		}
 	}
 }
 
-// Where all executors are full and their further tokens are of no use yet, as many batch jobs are held: what is weighed in full when one is
-// done grows with the slice. Each held one would look at each open token else, which is the square of it.
-func TestLooksWhereHeld(t *testing.T) {
+// TestEvaluationsWhereQueued checks the work for a completion while all executors are full, their further tokens are of no use
+// yet and as many jobs are queued: it may grow with the subset, not with its square.
+func TestEvaluationsWhereQueued(t *testing.T) {
 	per := map[int]int{}
 	for _, n := range [...]int{100, 400} {
 		s := base
@@ -587,7 +587,7 @@
 		}
 		d.UpdateEndpoints(0, CompleteUpdate, entries)
 		for _, e := range entries {
-			d.LoadReported(e.Executor, Load{InFlight: 1}) // one place
+			d.LoadReported(e.Executor, Load{InFlight: 1}) // one slot
 		}
 		sent := []JobID{}
 		settle := func() {
@@ -597,7 +597,7 @@
 				}
 				if to := d.Place(now, due.Job); to.Action == Send {
 					sent = append(sent, due.Job)
-					if len(d.endpoints.byID[to.Executor].attempts) == 1 { // it has a place only
+					if len(d.endpoints.byID[to.Executor].attempts) == 1 { // it has one slot
 						d.AttemptStarted(now, due.Job, 0)
 					}
 				}
@@ -608,19 +608,19 @@
 			settle()
 		}
 		if len(sent) != n || len(d.queue.onTime) != n {
-			t.Fatalf("%d executors: %d are out, %d held", n, len(sent), len(d.queue.onTime))
+			t.Fatalf("%d executors: %d are out, %d queued", n, len(sent), len(d.queue.onTime))
 		}
 		now += time.Millisecond
-		weighed := d.index.evaluated
+		evaluated := d.index.evaluated
 		d.AttemptEnded(now, sent[n/2], 0, Succeeded, true)
 		settle()
-		per[n] = d.index.evaluated - weighed
-		if t.Logf("%d executors: %d weighed when one is done", n, per[n]); len(sent) == n || len(sent) > n+2 {
+		per[n] = d.index.evaluated - evaluated
+		if t.Logf("%d executors: %d evaluated when one is done", n, per[n]); len(sent) == n || len(sent) > n+2 {
 			t.Errorf("%d executors: %d were sent then", n, len(sent)-n)
 		}
 	}
 	if per[400] > 5*per[100] || per[400] > 8*400 {
-		t.Errorf("weighed when one is done: %v", per)
+		t.Errorf("evaluated when one is done: %v", per)
 	}
 }
 
--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -10,53 +10,70 @@
 // query is what candidates are wanted for.
 type query struct {
 	*job
-	now            time.Duration
-	remote         bool    // in another zone
-	late, forLease bool    // it is late; a keeper is to be asked
-	maxPace        float64 // a higher pace is no use
-	minAge         float64 // nor is a lower age
+	now      time.Duration
+	remote   bool    // in other zones, not in the own one
+	late     bool    // the job is past its objective
+	forLease bool    // a lease is to be requested, not a token used
+	maxPace  float64 // an executor with a higher pace is of no use
+	minAge   float64 // nor is a token of a lower age; the caller may raise it while it goes through the candidates
 }
 
-// candidates gives executors with an open token that may be of use, by bounds alone: what it leaves out is of none.
-func (d *Dispatcher) candidates(w *query) iter.Seq[*executor] {
+// candidates gives the executors with an open token that the query's job may be able to use, the one with the highest
+// bound first. What it leaves out is of no use by a bound; what it gives may be of no use, too.
+func (d *Dispatcher) candidates(q *query) iter.Seq[*executor] {
 	return func(yield func(*executor) bool) {
-		if d.boundToDedupGroup(w.job) && w.class.dedupGroup != DedupZone {
-			for _, e := range d.endpoints.ranked {
-				d.index.visited++
-				if (d.remoteSide(e) > 0) == w.remote && !yield(e) {
-					return
-				}
-			}
+		if d.boundToDedupGroup(q.job) && q.class.dedupGroup != DedupZone {
+			d.scanRanked(q, yield)
+			return
+		}
+		d.reindexDirty(q.now)
+		first := d.mostPromising(q)
+		if first == nil || !d.walkBucket(first, 0, q, yield) {
 			return
 		}
-		d.reindexDirty(w.now)
-		var first *rateBucket
-		oldest := -1.0
-		for g := range d.matchingGroups(w) {
+		for g := range d.matchingGroups(q) {
 			scale := g.rateScale()
-			d.index.bounded += len(g.heads)
-			for i, h := range g.heads {
-				if age := scale * h.maxAge(w.now); !(age <= oldest) {
-					first, oldest = g.buckets[i], age
+			for i, head := range g.heads {
+				b := g.buckets[i]
+				if b == first || scale*head.maxAge(q.now) < q.minAge {
+					continue
+				}
+				if !d.walkBucket(b, 0, q, yield) {
+					return
 				}
 			}
 		}
-		if first == nil || !d.walkBucket(first, 0, w, yield) {
+	}
+}
+
+// scanRanked gives all executors of the query's side: a dedup group may be anywhere, and is small.
+func (d *Dispatcher) scanRanked(q *query, yield func(*executor) bool) {
+	for _, e := range d.endpoints.ranked {
+		d.index.visited++
+		if (d.remoteSide(e) > 0) == q.remote && !yield(e) {
 			return
 		}
-		for g := range d.matchingGroups(w) {
-			scale := g.rateScale()
-			for i, h := range g.heads {
-				if t := g.buckets[i]; t != first && !(scale*h.maxAge(w.now) < w.minAge) && !d.walkBucket(t, 0, w, yield) {
-					return
-				}
+	}
+}
+
+// mostPromising is the bucket with the highest bound of a token's age, nil where none has an executor.
+func (d *Dispatcher) mostPromising(q *query) *rateBucket {
+	var first *rateBucket
+	highest := -1.0
+	for g := range d.matchingGroups(q) {
+		scale := g.rateScale()
+		d.index.bounded += len(g.heads)
+		for i, head := range g.heads {
+			if age := scale * head.maxAge(q.now); !(age <= highest) { // a NaN counts as the highest
+				first, highest = g.buckets[i], age
 			}
 		}
 	}
+	return first
 }
 
-// maxPace is the pace with which no executor could answer j in time, however short the wait; any is good for
-// a late one. It has room for rounding: whether one can is judged by age.
+// maxPace is a pace with which no executor could answer j in time, however short the wait; for a job past its objective any
+// pace is good enough. It leaves room for rounding: tokenAge says whether one really can.
 func (j *job) maxPace(now time.Duration, late bool) float64 {
 	if late {
 		return math.Inf(1)
@@ -64,15 +81,15 @@
 	return (float64(max(0, j.objectiveAt-now)+2)/j.predictionMargin + 2) / float64(max(1, j.work)) * roundingUp
 }
 
-// matchingGroups gives the groups whose executors may be candidates at all.
-func (d *Dispatcher) matchingGroups(w *query) iter.Seq[*tokenGroup] {
+// matchingGroups gives the groups whose executors may be candidates.
+func (d *Dispatcher) matchingGroups(q *query) iter.Seq[*tokenGroup] {
 	return func(yield func(*tokenGroup) bool) {
-		for _, s := range d.index.kinds {
-			if w.class.kind != AnyKind && w.class.kind != s.id {
+		for _, kind := range d.index.kinds {
+			if !q.class.runsOn(kind.id) {
 				continue
 			}
-			for _, g := range s.groups {
-				if len(g.buckets) > 0 && d.matches(g, w) && !yield(g) {
+			for _, g := range kind.groups {
+				if len(g.buckets) > 0 && d.matches(g, q) && !yield(g) {
 					return
 				}
 			}
@@ -80,55 +97,62 @@
 	}
 }
 
-// matches says whether a group's executors may be candidates at all.
-func (d *Dispatcher) matches(g *tokenGroup, w *query) bool {
-	keeper := leaseReady
-	if w.forLease {
-		keeper = leaseNeeded
+// matches says whether a group's executors may be candidates.
+func (d *Dispatcher) matches(g *tokenGroup, q *query) bool {
+	lease := leaseReady
+	if q.forLease {
+		lease = leaseNeeded
 	}
-	if g.remote != w.remote || g.lease != keeper {
+	if g.remote != q.remote || g.lease != lease {
 		return false
 	}
-	if d.boundToDedupGroup(w.job) {
-		return !w.late || g.load != loadBusy
+	if d.boundToDedupGroup(q.job) {
+		return !q.late || g.load != loadBusy
+	}
+	if !g.inSubset {
+		return false
 	}
-	return g.inSubset && (!w.late || g.load == loadSpare || g.load == loadIdle && w.class.lateValue == 0)
+	return !q.late || g.load == loadSpare || g.load == loadIdle && q.class.lateValue == 0
 }
 
-// walkBucket goes through a step from its i-th on, and leaves out what is too young, with all that is younger, or too slow.
-func (d *Dispatcher) walkBucket(t *rateBucket, i int, w *query, yield func(*executor) bool) bool {
-	if i >= len(t.executors) {
+// walkBucket gives the candidates of a bucket's heap from index i downwards. Below an executor whose token is too young all
+// are; one that is too slow is left out. It returns false once the caller wants no more.
+func (d *Dispatcher) walkBucket(b *rateBucket, i int, q *query, yield func(*executor) bool) bool {
+	if i >= len(b.executors) {
 		return true
 	}
 	d.index.visited++
-	e, k := t.executors[i], t.group.kind.stats.pace
-	age := float64(max(0, w.now-e.tokens.free[0]))
-	scale := t.group.rateScale()
-	if scale*t.maxRate*age < w.minAge {
+	e := b.executors[i]
+	kindPace := b.group.kind.stats.pace
+	freeFor := float64(max(0, q.now-e.tokens.free[0]))
+	scale := b.group.rateScale()
+	if scale*b.maxRate*freeFor < q.minAge {
 		return true
 	}
-	rate := e.tightRate(k)
-	if scale*e.indexed.agingRate > rate*(1+3*rateTolerance) { // its kind's pace has drifted: guards against bounds that are ever looser
-		d.markDirty(e)
+	rate := e.tightRate(kindPace)
+	if scale*e.indexed.agingRate > rate*(1+3*rateTolerance) {
+		d.markDirty(e) // its kind's pace has drifted: the bound would get looser and looser
 	}
-	if !(rate*age < w.minAge) && !((e.estimate.runTime+k)/(e.estimate.work+1)*roundingDown > w.maxPace) && !yield(e) {
+	tooYoung := rate*freeFor < q.minAge
+	tooSlow := (e.estimate.runTime+kindPace)/(e.estimate.work+1)*roundingDown > q.maxPace
+	if !tooYoung && !tooSlow && !yield(e) {
 		return false
 	}
-	return d.walkBucket(t, 2*i+1, w, yield) && d.walkBucket(t, 2*i+2, w, yield)
+	return d.walkBucket(b, 2*i+1, q, yield) && d.walkBucket(b, 2*i+2, q, yield)
 }
 
-// anyTokenFor says whether any token is open that j may use: without one there is nothing to look for.
-func (d *Dispatcher) anyTokenFor(j *job, now time.Duration, asks bool) bool {
+// anyTokenFor says whether any token is open that j might use or, forLease, request a lease for.
+func (d *Dispatcher) anyTokenFor(j *job, now time.Duration, forLease bool) bool {
 	if d.boundToDedupGroup(j) {
 		return true
 	}
 	d.reindexDirty(now)
-	for _, s := range d.index.kinds {
-		if j.class.kind != AnyKind && j.class.kind != s.id {
+	for _, kind := range d.index.kinds {
+		if !j.class.runsOn(kind.id) {
 			continue
 		}
-		for _, g := range s.groups {
-			if len(g.buckets) > 0 && g.inSubset && (g.lease == leaseNeeded) == asks && g.lease != leasePending {
+		for _, g := range kind.groups {
+			if len(g.buckets) > 0 && g.inSubset && (g.lease == leaseNeeded) == forLease && g.lease != leasePending {
 				return true
 			}
 		}
@@ -136,10 +160,13 @@
 	return false
 }
 
-// anyTokenOpen says whether any token is open at all, to whatever is held.
+// anyTokenOpen says whether any token is open at all, for whatever job.
 func (d *Dispatcher) anyTokenOpen(now time.Duration) bool {
 	d.reindexDirty(now)
-	return slices.ContainsFunc(d.index.kinds, func(s *kindIndex) bool {
-		return slices.ContainsFunc(s.groups, func(g *tokenGroup) bool { return len(g.buckets) > 0 && g.lease == leaseReady })
+	return slices.ContainsFunc(d.index.kinds, func(kind *kindIndex) bool {
+		return slices.ContainsFunc(kind.groups, func(g *tokenGroup) bool { return len(g.buckets) > 0 && g.lease == leaseReady })
 	})
 }
+
+// runsOn says whether the class's jobs may run on executors of a kind.
+func (c *jobClass) runsOn(kind KindID) bool { return c.kind == AnyKind || c.kind == kind }
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -5,104 +5,123 @@
 	"time"
 )
 
-// minQueuedForGrouping is how many batch jobs are looked at one by one; with more of them, what none could use is left out first.
+// Where many jobs are queued, a look at each open token for each of them costs the square of the subset: the executors are
+// full, their tokens are open and of no use yet, and as many jobs wait. So the queued jobs of a class are looked at together
+// first. classCandidates are the executors that could serve a job as easy as any of them; a job for which none of those will
+// do need not be looked at by itself. It decides nothing: what it leaves out pickExecutor would not find either.
+
+// minQueuedForGrouping is the number of queued jobs up to which each is looked at by itself.
 const minQueuedForGrouping = 8
 
-// classCandidates are the executors that some of many held batch jobs of a class could go to, late ones or the others, found by the
-// easiest that there could be of them: a pass over the open tokens once, and not for each. They decide nothing: what they
-// leave out pick would not find either. Guards against a cost with the square of the slice, where tokens are open and of no
-// use yet: their executors are full, and as many batch jobs are held.
+// classCandidates are the executors for the queued jobs of one class, those past their objective or the others.
 type classCandidates struct {
 	class       *jobClass
 	late        bool
-	easiest     job // as easy as any of them
+	easiest     job // as easy as any of them: least work, latest objective
 	executors   []*executor
 	earliestEnd time.Duration // the easiest can't be done before it
-	minWait     time.Duration // nor does any wait less there
-	minPace     float64       // or is done quicker
+	minWait     time.Duration // none of the executors has a shorter wait
+	minPace     float64       // nor a lower pace
 }
 
-// widen makes the easiest as easy as j at least.
-func (t *classCandidates) widen(j *job) {
-	easy := &t.easiest
-	easy.work, easy.predictionMargin = min(easy.work, j.work), min(easy.predictionMargin, j.predictionMargin)
-	easy.objectiveAt, easy.hinted = max(easy.objectiveAt, j.objectiveAt), easy.hinted || j.hinted
+// widen makes the easiest job at least as easy as j.
+func (c *classCandidates) widen(j *job) {
+	easiest := &c.easiest
+	easiest.work = min(easiest.work, j.work)
+	easiest.predictionMargin = min(easiest.predictionMargin, j.predictionMargin)
+	easiest.objectiveAt = max(easiest.objectiveAt, j.objectiveAt)
+	easiest.hinted = easiest.hinted || j.hinted
 }
 
-// isSingular says whether j is looked at by itself: its candidates are others than those of its class.
+// isSingular says whether j has other candidates than its class, so that it is looked at by itself.
 func (d *Dispatcher) isSingular(j *job) bool { return d.boundToDedupGroup(j) || len(j.attempts) > 0 }
 
-// findCandidates finds them for a list of held batch jobs, where they are many.
-func (d *Dispatcher) findCandidates(list []*job, now time.Duration) {
+// findCandidates finds the classes' candidates for a part of the queue, where that is long.
+func (d *Dispatcher) findCandidates(queued []*job, now time.Duration) {
 	d.index.classCandidates = d.index.classCandidates[:0]
-	if len(list) > minQueuedForGrouping {
-		d.groupByClass(list, now)
+	if len(queued) <= minQueuedForGrouping {
+		return
 	}
+	d.findByClass(queued, now)
 }
 
-func (d *Dispatcher) groupByClass(list []*job, now time.Duration) {
-	for _, j := range list {
-		if d.isSingular(j) {
-			continue
-		}
-		late := d.isLate(j, now)
-		if t := d.candidatesOf(j.class, late); t != nil {
-			t.widen(j)
-			continue
+// findByClass makes the easiest job of each class and lateness among the queued ones, and finds its candidates.
+func (d *Dispatcher) findByClass(queued []*job, now time.Duration) {
+	for _, j := range queued {
+		if !d.isSingular(j) {
+			d.addToClass(j, d.isLate(j, now))
 		}
-		d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late,
-			easiest: job{class: j.class, work: j.work, hinted: j.hinted, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}})
 	}
 	for i := range d.index.classCandidates {
 		d.findForClass(&d.index.classCandidates[i], now)
 	}
 }
 
-func (d *Dispatcher) findForClass(t *classCandidates, now time.Duration) {
-	easy := &t.easiest
-	t.earliestEnd, t.minWait, t.minPace = Forever, Forever, math.Inf(1)
-	w := query{job: easy, now: now, late: t.late, maxPace: easy.maxPace(now, t.late), minAge: math.Inf(-1)}
-	for _, w.remote = range [...]bool{false, true} {
-		for e := range d.candidates(&w) {
-			if d.tokenAge(e, &w) <= -1 {
+// addToClass makes the easiest job of a class and lateness as easy as j.
+func (d *Dispatcher) addToClass(j *job, late bool) {
+	if c := d.candidatesOf(j.class, late); c != nil {
+		c.widen(j)
+		return
+	}
+	easiest := job{class: j.class, work: j.work, hinted: j.hinted, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}
+	d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late, easiest: easiest})
+}
+
+// findForClass finds the executors that could serve the easiest job, and bounds of what they could do.
+func (d *Dispatcher) findForClass(c *classCandidates, now time.Duration) {
+	easiest := &c.easiest
+	c.earliestEnd, c.minWait, c.minPace = Forever, Forever, math.Inf(1)
+	q := query{job: easiest, now: now, late: c.late, maxPace: easiest.maxPace(now, c.late), minAge: math.Inf(-1)}
+	for _, q.remote = range [...]bool{false, true} {
+		for e := range d.candidates(&q) {
+			if d.tokenAge(e, &q) <= -1 {
 				continue
 			}
-			t.executors = append(t.executors, e)
+			c.executors = append(c.executors, e)
 			pace := d.pace(e, now)
 			wait := d.expectedWait(e, pace, now)
-			t.minWait, t.minPace = min(t.minWait, wait), min(t.minPace, pace)
-			t.earliestEnd = min(t.earliestEnd, now+scaled(wait+scaled(easy.work, pace), easy.predictionMargin))
+			end := now + scaled(wait+scaled(easiest.work, pace), easiest.predictionMargin)
+			c.minWait = min(c.minWait, wait)
+			c.minPace = min(c.minPace, pace)
+			c.earliestEnd = min(c.earliestEnd, end)
 		}
 	}
 }
 
-func (d *Dispatcher) candidatesOf(track *jobClass, late bool) *classCandidates {
+// candidatesOf returns the candidates of a class and lateness, nil if they were not looked for.
+func (d *Dispatcher) candidatesOf(class *jobClass, late bool) *classCandidates {
 	for i := range d.index.classCandidates {
-		if t := &d.index.classCandidates[i]; t.class == track && t.late == late {
-			return t
+		if c := &d.index.classCandidates[i]; c.class == class && c.late == late {
+			return c
 		}
 	}
 	return nil
 }
 
-// mayBePlaced says whether pick may find something for j, of the list that takers were found for last: where it says no, it finds nothing.
+// mayBePlaced says whether pickExecutor may find an executor for j, one of the jobs that candidates were found for last.
+// Where it says no, pickExecutor finds none.
 func (d *Dispatcher) mayBePlaced(j *job, now time.Duration) bool {
 	if len(d.index.classCandidates) == 0 || d.isSingular(j) {
 		return true
 	}
-	w := query{job: j, now: now, late: d.isLate(j, now)}
-	t := d.candidatesOf(j.class, w.late)
-	if len(t.executors) == 0 || !w.late && j.objectiveAt < max(t.earliestEnd, now+scaled(t.minWait+scaled(j.work, t.minPace), j.predictionMargin)) {
+	q := query{job: j, now: now, late: d.isLate(j, now)}
+	c := d.candidatesOf(j.class, q.late)
+	if len(c.executors) == 0 {
 		return false
 	}
-	crosses, other := d.crossesNow(j), false
-	for _, e := range t.executors {
-		if d.tokenAge(e, &w) > -1 {
-			if (d.remoteSide(e) > 0) == crosses {
-				return true
-			}
-			other = true
+	earliestEnd := now + scaled(c.minWait+scaled(j.work, c.minPace), j.predictionMargin)
+	if !q.late && j.objectiveAt < max(c.earliestEnd, earliestEnd) {
+		return false
+	}
+	crosses, onOtherSide := d.crossesNow(j), false
+	for _, e := range c.executors {
+		if d.tokenAge(e, &q) <= -1 {
+			continue
+		}
+		if (d.remoteSide(e) > 0) == crosses {
+			return true
 		}
+		onOtherSide = true
 	}
-	return other && (crosses || now-j.queuedAt >= d.crossZoneDelay(j) || !d.anyLocalUsable(j, now))
+	return onOtherSide && (crosses || now-j.queuedAt >= d.crossZoneDelay(j) || !d.anyLocalUsable(j, now))
 }
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -5,108 +5,134 @@
 	"time"
 )
 
+// The pace index answers how quick the subset's quickest executor is. An executor's pace without what runs there is
+//
+//	(runTime + kind's pace) / (work + 1)  =  kind's pace + seen x (own pace - kind's pace),  seen = work / (work + 1)
+//
+// so it moves with its kind's. Executors are in buckets by how much of their pace was seen, and in each bucket in a heap by
+// their own pace: that gives a lower bound for a bucket whatever the kind's pace is.
+
 const (
-	evenPaceBuckets    = 16 // buckets of equal width for the part of a pace that was seen
-	halvingPaceBuckets = 24 // and buckets of half the width of the one before, below the first of them
+	evenPaceBuckets    = 16                                   // buckets of equal width for how much of a pace was seen
+	halvingPaceBuckets = 24                                   // buckets below the first of them, each half as wide as the one before
+	unseenPaceBucket   = evenPaceBuckets + halvingPaceBuckets // for those of which nothing was seen, by their running time
+	firstHalvingExp    = 4                                    // the even buckets' width is 2 to the minus this
 )
 
-// indexPace files an executor of the slice by its pace without what runs: that is its kind's, plus the difference
-// of its own times the part that was seen of it.
-func (d *Dispatcher) indexPace(e *executor, s *kindIndex) {
+// indexPace puts a member of the subset into its pace bucket, and takes others out of theirs.
+func (d *Dispatcher) indexPace(e *executor, kind *kindIndex) {
 	if e.indexed.subsetRank < 0 {
 		e.removeFrom(keyPace)
 		return
 	}
-	seen, key := e.estimate.work/(e.estimate.work+1), floatKey(e.estimate.runTime)
-	at := int(seen * evenPaceBuckets)
-	switch {
-	case e.estimate.work <= 0:
-		at = len(s.paceBuckets) - 1
-	case at > 0:
-		at, key = min(at, evenPaceBuckets-1), floatKey(e.estimate.runTime/e.estimate.work)
-	default:
-		_, exp := math.Frexp(seen) // it is from half of that power on, and less than it
-		at, key = min(evenPaceBuckets-4-exp, evenPaceBuckets+halvingPaceBuckets-1), floatKey(e.estimate.runTime/e.estimate.work)
+	if e.estimate.work <= 0 {
+		kind.paceBuckets[unseenPaceBucket].update(e, floatKey(e.estimate.runTime))
+		return
+	}
+	seen := e.estimate.work / (e.estimate.work + 1)
+	number := int(seen * evenPaceBuckets)
+	if number > 0 {
+		number = min(number, evenPaceBuckets-1)
+	} else {
+		_, exp := math.Frexp(seen) // seen is from half of 2^exp on, and less than it
+		number = min(evenPaceBuckets-firstHalvingExp-exp, unseenPaceBucket-1)
 	}
-	s.paceBuckets[at].update(e, key)
+	kind.paceBuckets[number].update(e, floatKey(e.estimate.runTime/e.estimate.work))
 }
 
-// minPace is the least that the pace of an executor, and of those after it in its step, can be.
-func (s *kindIndex) minPace(step, i int) float64 {
-	k := s.stats.pace
-	own := math.Float64frombits(uint64(s.paceBuckets[step].key(i)))
-	if step == len(s.paceBuckets)-1 {
-		return (k + own) * roundingDown
+// minPace is a lower bound of the pace of the executor at index i of a bucket, and of those below it in the heap.
+func (k *kindIndex) minPace(bucket, i int) float64 {
+	kindPace := k.stats.pace
+	own := math.Float64frombits(uint64(k.paceBuckets[bucket].key(i)))
+	if bucket == unseenPaceBucket {
+		return (kindPace + own) * roundingDown
 	}
-	from, to := float64(step)/evenPaceBuckets, float64(step+1)/evenPaceBuckets
-	if step >= evenPaceBuckets {
-		to = math.Ldexp(1, evenPaceBuckets-4-step)
-		if from = to / 2; step == len(s.paceBuckets)-2 {
-			from = 0
-		}
+	least, most := seenRange(bucket)
+	if own < kindPace {
+		least = most // the more of it was seen, the lower the pace
+	}
+	return (kindPace + (own-kindPace)*least) * roundingDown
+}
+
+// seenRange is how much of their paces was seen of a bucket's executors, at least and at most.
+func seenRange(bucket int) (least, most float64) {
+	if bucket < evenPaceBuckets {
+		return float64(bucket) / evenPaceBuckets, float64(bucket+1) / evenPaceBuckets
 	}
-	if own < k {
-		from = to
+	most = math.Ldexp(1, evenPaceBuckets-firstHalvingExp-bucket)
+	if bucket == unseenPaceBucket-1 {
+		return 0, most
 	}
-	return (k + (own-k)*from) * roundingDown
+	return most / 2, most
 }
 
-// paceLowerBound is a pace that none of the slice is under.
+// paceLowerBound is a pace that no member of the subset of that kind is under.
 func (d *Dispatcher) paceLowerBound(id KindID, now time.Duration) float64 {
 	d.reindexDirty(now)
-	least := math.Inf(1)
-	for _, s := range d.index.kinds {
-		for step := range s.paceBuckets {
-			if (id == AnyKind || id == s.id) && len(s.paceBuckets[step].executors) > 0 {
-				least = min(least, s.minPace(step, 0))
+	lowest := math.Inf(1)
+	for _, kind := range d.index.kinds {
+		if id != AnyKind && id != kind.id {
+			continue
+		}
+		for bucket := range kind.paceBuckets {
+			if len(kind.paceBuckets[bucket].executors) > 0 {
+				lowest = min(lowest, kind.minPace(bucket, 0))
 			}
 		}
 	}
-	return least
+	return lowest
 }
 
-// lowestPace is the least pace of those of the slice that are up, infinite where there is none.
+// lowestPace is the lowest pace of the subset's available members of that kind, infinite where there is none.
 func (d *Dispatcher) lowestPace(id KindID, now time.Duration) float64 {
 	d.reindexDirty(now)
-	best := math.Inf(1)
-	for _, s := range d.index.kinds {
-		if id != AnyKind && id != s.id {
+	lowest := math.Inf(1)
+	for _, kind := range d.index.kinds {
+		if id != AnyKind && id != kind.id {
 			continue
 		}
-		first, least := 0, math.Inf(1)
-		for step := range s.paceBuckets {
-			if len(s.paceBuckets[step].executors) > 0 {
-				if to := s.minPace(step, 0); to < least {
-					first, least = step, to
-				}
+		first := kind.mostPromisingPaceBucket()
+		d.searchLowestPace(kind, first, 0, &lowest, now)
+		for bucket := range kind.paceBuckets {
+			if bucket != first {
+				d.searchLowestPace(kind, bucket, 0, &lowest, now)
 			}
 		}
-		d.searchLowestPace(s, first, 0, &best, now)
-		for step := range s.paceBuckets {
-			if step != first {
-				d.searchLowestPace(s, step, 0, &best, now)
-			}
+	}
+	return lowest
+}
+
+// mostPromisingPaceBucket is the bucket with the lowest bound; 0 where all are empty.
+func (k *kindIndex) mostPromisingPaceBucket() int {
+	first, lowest := 0, math.Inf(1)
+	for bucket := range k.paceBuckets {
+		if len(k.paceBuckets[bucket].executors) == 0 {
+			continue
+		}
+		if bound := k.minPace(bucket, 0); bound < lowest {
+			first, lowest = bucket, bound
 		}
 	}
-	return best
+	return first
 }
 
-// searchLowestPace goes through a step of paces from its i-th on.
-func (d *Dispatcher) searchLowestPace(s *kindIndex, step, i int, best *float64, now time.Duration) {
-	if i >= len(s.paceBuckets[step].executors) || s.minPace(step, i) >= *best {
+// searchLowestPace lowers *lowest by the executors of a bucket's heap from index i downwards, as far as their bound allows.
+func (d *Dispatcher) searchLowestPace(kind *kindIndex, bucket, i int, lowest *float64, now time.Duration) {
+	executors := kind.paceBuckets[bucket].executors
+	if i >= len(executors) || kind.minPace(bucket, i) >= *lowest {
 		return
 	}
 	d.index.visited++
-	e, k := s.paceBuckets[step].executors[i], s.stats.pace
-	pace := (e.estimate.runTime + k) / (e.estimate.work + 1)
+	e := executors[i]
+	pace := (e.estimate.runTime + kind.stats.pace) / (e.estimate.work + 1)
 	switch {
 	case !e.available:
 	case len(e.attempts) == 0:
-		*best = min(*best, pace)
-	case pace*roundingDown < *best:
+		*lowest = min(*lowest, pace)
+	case pace*roundingDown < *lowest: // what runs there can only raise it
 		d.index.evaluated++
-		*best = min(*best, d.pace(e, now))
+		*lowest = min(*lowest, d.pace(e, now))
 	}
-	d.searchLowestPace(s, step, 2*i+1, best, now)
-	d.searchLowestPace(s, step, 2*i+2, best, now)
+	d.searchLowestPace(kind, bucket, 2*i+1, lowest, now)
+	d.searchLowestPace(kind, bucket, 2*i+2, lowest, now)
 }
