--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -44,7 +44,7 @@
 
 // count books a final answer.
 func (n *Node) count(track policy.JobClassID, how Final) {
-	f := &n.figures.Classes[n.booked[track]]
+	f := &n.metrics.Classes[n.metricsIndex[track]]
 	switch how {
 	case Succeeded:
 		f.Succeeded++
@@ -55,110 +55,110 @@
 	}
 }
 
-// called does what a caller wants, and answers.
-func (n *Node) called(ev AdminCalled) {
+// adminCalled does what a caller wants, and answers.
+func (n *Node) adminCalled(ev AdminCalled) {
 	r := AdminReply{Caller: ev.Caller}
 	switch ev.Command {
 	case CheckReady:
 		// Guards against a platform that ends the elder by this yes before the elder knows of its heir: it would let clients'
 		// connections go at once, some of them under their next message.
-		if !n.said || n.yields && n.now < n.yieldBy || n.stopping {
+		if !n.announced || n.awaitingYield && n.now < n.yieldDeadline || n.stopping {
 			r.Refusal = "not ready"
 		}
 	case ReadMetrics:
-		f := n.figures
+		f := n.metrics
 		f.Classes = slices.Clone(f.Classes) // the caller reads them while this goes on
-		f.InFlight, f.KnownExecutors, f.ExcludedExecutors = len(n.due), len(n.executors), n.brain.CountExcluded(n.now)
+		f.InFlight, f.KnownExecutors, f.ExcludedExecutors = len(n.unanswered), len(n.executors), n.policy.CountExcluded(n.now)
 		r.Metrics = &f
 	case ReadFleet:
 		if r.Refusal = "this node talks with no others: its [fleet] table is not there"; n.fleet != nil {
 			r.Refusal, r.Lines = "", n.fleet.Describe(n.now)
 		}
 	default:
-		if r.Refusal = n.carry(ev.Command, ev.Executor); r.Refusal == "" {
+		if r.Refusal = n.runCommand(ev.Command, ev.Executor); r.Refusal == "" {
 			w := HandoffMessage{Kind: RelayCommand, Command: ev.Command, Executor: ev.Executor}
-			n.remember(w)
-			n.pass(nobody, w, &r)
+			n.deferCommand(w)
+			n.relay(noLink, w, &r)
 			return
 		}
 	}
-	n.say(r)
+	n.emit(r)
 }
 
-// carry does what changes something, in this process alone. It gives the reason where it can't.
-func (n *Node) carry(o AdminCommand, id policy.ExecutorID) (no string) {
+// runCommand does what changes something, in this process alone. It gives the reason where it can't.
+func (n *Node) runCommand(o AdminCommand, id policy.ExecutorID) (no string) {
 	switch o {
 	case ExcludeExecutor:
-		return n.takeOut(id)
+		return n.exclude(id)
 	case ReadmitExecutor:
-		return n.putBack(id)
+		return n.readmit(id)
 	case DrainOn, DrainOff:
-		n.drain(o == DrainOn)
+		n.drainClients(o == DrainOn)
 	}
 	return ""
 }
 
-// takeOut lets an executor get nothing new, whatever the list says, until it is put back.
-func (n *Node) takeOut(id policy.ExecutorID) (no string) {
+// exclude lets an executor get nothing new, whatever the list says, until it is put back.
+func (n *Node) exclude(id policy.ExecutorID) (no string) {
 	e := n.executors[id]
 	switch {
-	case n.outs[id]:
+	case n.excluded[id]:
 		return ""
 	case e == nil:
 		return "no executor on the list has this id"
 	}
-	n.outs[id] = true
-	n.say(Log{Text: "taken out by hand", Executor: id})
-	n.showModule(e)
-	n.closeResting(e)
+	n.excluded[id] = true
+	n.emit(Log{Text: "taken out by hand", Executor: id})
+	n.refreshEndpoint(e)
+	n.closeIdleConns(e)
 	return ""
 }
 
-// putBack lets the list decide again. The executor counts as started now: operators restart it while it is out, and
+// readmit lets the list decide again. The executor counts as started now: operators restart it while it is out, and
 // discovery may tell of that later or not at all.
-func (n *Node) putBack(id policy.ExecutorID) (no string) {
+func (n *Node) readmit(id policy.ExecutorID) (no string) {
 	e := n.executors[id]
-	if !n.outs[id] {
+	if !n.excluded[id] {
 		if e == nil {
 			return "no executor on the list has this id"
 		}
 		return ""
 	}
-	delete(n.outs, id)
-	n.backs[id] = n.now
-	n.say(Log{Text: "put back by hand", Executor: id})
+	delete(n.excluded, id)
+	n.readmittedAt[id] = n.now
+	n.emit(Log{Text: "put back by hand", Executor: id})
 	if e != nil {
-		n.closeResting(e)
-		n.showModule(e)
+		n.closeIdleConns(e)
+		n.refreshEndpoint(e)
 	}
 	return ""
 }
 
-// showModule tells the module of one executor as the list and operators have it together.
-func (n *Node) showModule(e *executor) {
-	in := n.merged(e.entry)
-	e.up, e.started = in.State == policy.Available, in.StartedAt
-	n.brain.UpdateEndpoints(n.now, policy.IncrementalUpdate, []policy.Endpoint{in})
+// refreshEndpoint tells the module of one executor as the list and operators have it together.
+func (n *Node) refreshEndpoint(e *executor) {
+	in := n.effectiveEndpoint(e.entry)
+	e.available, e.startedAt = in.State == policy.Available, in.StartedAt
+	n.policy.UpdateEndpoints(n.now, policy.IncrementalUpdate, []policy.Endpoint{in})
 }
 
-// merged is an entry of the list with what operators want, and what neighbours tell of drains, put over it.
-func (n *Node) merged(in policy.Endpoint) policy.Endpoint {
+// effectiveEndpoint is an entry of the list with what operators want, and what neighbours tell of drains, put over it.
+func (n *Node) effectiveEndpoint(in policy.Endpoint) policy.Endpoint {
 	told := n.fleet != nil && n.fleet.IsDraining(in.Executor, in.StartedAt, in.StartedLongAgo)
-	if (n.outs[in.Executor] || told) && in.State == policy.Available {
+	if (n.excluded[in.Executor] || told) && in.State == policy.Available {
 		in.State = policy.Draining
 	}
-	if at, ok := n.backs[in.Executor]; ok && (in.StartedLongAgo || in.StartedAt < at) {
+	if at, ok := n.readmittedAt[in.Executor]; ok && (in.StartedLongAgo || in.StartedAt < at) {
 		in.StartedAt, in.StartedLongAgo = at, false
 	}
 	return in
 }
 
-// drain sends clients away, or lets them come again.
-func (n *Node) drain(on bool) {
-	if on == n.drained {
+// drainClients sends clients away, or lets them come again.
+func (n *Node) drainClients(on bool) {
+	if on == n.clientsDrained {
 		return
 	}
-	n.drained = on
-	n.say(Log{Text: fmt.Sprintf("told by hand to send clients away: %t", on)})
-	n.say(DrainClients{on})
+	n.clientsDrained = on
+	n.emit(Log{Text: fmt.Sprintf("told by hand to send clients away: %t", on)})
+	n.emit(DrainClients{on})
 }
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -10,195 +10,195 @@
 
 // executor is where an executor is reached, and the connections to it that rest, the latest last.
 type executor struct {
-	id      policy.ExecutorID
-	addr    string
-	entry   policy.Endpoint // as the list has it
-	started time.Duration
-	listed  int // the list that named it last
-	starts  int // how often the list told of a new one
-	moves   int // and of another address
-	up      bool
-	rest    []*conn
+	id          policy.ExecutorID
+	addr        string
+	entry       policy.Endpoint // as the list has it
+	startedAt   time.Duration
+	lastUpdate  int // the list that named it last
+	restarts    int // how often the list told of a new one
+	addrChanges int // and of another address
+	available   bool
+	idle        []*conn
 }
 
 type connState int
 
 const (
-	dialling connState = iota
-	busy
-	resting
-	spent // it reads the end of its last answer, or is being closed
+	connDialing connState = iota
+	connBusy
+	connIdle
+	connFinished // it reads the end of its last answer, or is being closed
 )
 
 // conn is a connection to an executor, from its dialling until its descriptor is given back, in closed.
 type conn struct {
-	id      ConnID
-	to      *executor
-	state   connState
-	job     *job // whose allocation it carries, or is to carry once it is up
-	number  policy.AttemptID
-	start   int            // the start of its executor that the module meant
-	moves   int            // the address that it leads to
-	given   bool           // this node has stopped waiting for that allocation
-	as      policy.Outcome // and why
-	rested  bool           // it has been up and at rest
-	heard   bool           // something of its executor came for that allocation
-	restsAt time.Duration
-	place   *list.Element // among those that rest
-	wroteAt time.Duration
-	askedAt time.Duration // when the module decided on the allocation
+	id          ConnID
+	executor    *executor
+	state       connState
+	job         *job // whose allocation it carries, or is to carry once it is up
+	attempt     policy.AttemptID
+	restarts    int            // the start of its executor that the module meant
+	addrChanges int            // the address that it leads to
+	abandoned   bool           // this node has stopped waiting for that allocation
+	abandonedAs policy.Outcome // and why
+	wasIdle     bool           // it has been up and at rest
+	progressed  bool           // something of its executor came for that allocation
+	idleSince   time.Duration
+	idleElement *list.Element // among those that rest
+	writtenAt   time.Duration
+	decidedAt   time.Duration // when the module decided on the allocation
 }
 
 func (n *Node) closeConn(c *conn) {
-	c.state = spent
-	n.say(CloseConn{c.id})
+	c.state = connFinished
+	n.emit(CloseConn{c.id})
 }
 
-func (n *Node) closeResting(e *executor) {
-	for len(e.rest) > 0 {
-		n.closeConn(n.resting.risen(e, 0))
+func (n *Node) closeIdleConns(e *executor) {
+	for len(e.idle) > 0 {
+		n.closeConn(n.idle.take(e, 0))
 	}
 }
 
-// send puts an allocation on its way.
-func (n *Node) send(j *job, id policy.ExecutorID) {
-	number := policy.AttemptID(j.sent)
-	j.sent++
-	if e := n.executors[id]; e == nil || !n.place(j, number, e, n.now) {
-		n.over(j, number, policy.NotSent)
+// startAttempt puts an allocation on its way.
+func (n *Node) startAttempt(j *job, id policy.ExecutorID) {
+	number := policy.AttemptID(j.attempts)
+	j.attempts++
+	if e := n.executors[id]; e == nil || !n.assignConn(j, number, e, n.now) {
+		n.attemptOver(j, number, policy.NotSent)
 	}
 }
 
-// place finds a connection for an allocation that was decided on then: the one that has rested least, or a new one.
-func (n *Node) place(j *job, number policy.AttemptID, e *executor, decided time.Duration) bool {
-	if !e.up {
+// assignConn finds a connection for an allocation that was decided on then: the one that has rested least, or a new one.
+func (n *Node) assignConn(j *job, number policy.AttemptID, e *executor, decided time.Duration) bool {
+	if !e.available {
 		return false
 	}
-	c := n.restingAt(e)
+	c := n.takeIdleConn(e)
 	if c == nil {
 		c = n.dial(e)
 	}
 	if c == nil {
 		return false
 	}
-	c.job, c.number, c.start, c.askedAt, j.conns = j, number, e.starts, decided, append(j.conns, c)
-	if c.state == resting {
-		n.write(c)
+	c.job, c.attempt, c.restarts, c.decidedAt, j.conns = j, number, e.restarts, decided, append(j.conns, c)
+	if c.state == connIdle {
+		n.writeAttempt(c)
 	}
 	return true
 }
 
-// restingAt takes a connection that rests, and closes those near the end of their idle time.
-func (n *Node) restingAt(e *executor) *conn {
-	if len(e.rest) == 0 {
+// takeIdleConn takes a connection that rests, and closes those near the end of their idle time.
+func (n *Node) takeIdleConn(e *executor) *conn {
+	if len(e.idle) == 0 {
 		return nil
 	}
-	c := e.rest[len(e.rest)-1]
-	if n.now-c.restsAt >= n.restUse() { // the others have rested longer
-		n.closeResting(e)
+	c := e.idle[len(e.idle)-1]
+	if n.now-c.idleSince >= n.maxIdle() { // the others have rested longer
+		n.closeIdleConns(e)
 		return nil
 	}
-	return n.resting.risen(e, len(e.rest)-1)
+	return n.idle.take(e, len(e.idle)-1)
 }
 
-// restUse is how long a connection may have rested and still be used: less than the settings' idle time, and less than
+// maxIdle is how long a connection may have rested and still be used: less than the settings' idle time, and less than
 // what was seen to be too long, until that is as old as the idle time. Guards against executors, or something on the
 // way to them, that drop resting connections early: what is written on one may have run, for all this node knows.
-func (n *Node) restUse() time.Duration {
-	if n.now-n.shortSeen >= n.limits.MaxIdle {
-		n.shortRest = n.limits.MaxIdle
+func (n *Node) maxIdle() time.Duration {
+	if n.now-n.idleLimitLoweredAt >= n.limits.MaxIdle {
+		n.idleLimit = n.limits.MaxIdle
 	}
-	return n.shortRest
+	return n.idleLimit
 }
 
-// tooLong notes that a connection did not outlive a rest. It goes for all executors: half of that is tried next.
-func (n *Node) tooLong(rest time.Duration) {
-	n.shortRest, n.shortSeen = min(n.restUse(), rest/2), n.now
+// lowerIdleLimit notes that a connection did not outlive a rest. It goes for all executors: half of that is tried next.
+func (n *Node) lowerIdleLimit(rest time.Duration) {
+	n.idleLimit, n.idleLimitLoweredAt = min(n.maxIdle(), rest/2), n.now
 }
 
 // dial opens a connection. At the edge of the descriptors one that rests elsewhere makes room.
 func (n *Node) dial(e *executor) *conn {
-	if len(n.conns)+n.probing >= n.mostConns() && !n.makeRoom() {
+	if len(n.conns)+n.probesInFlight >= n.maxConns() && !n.closeOldestIdleConn() {
 		return nil
 	}
-	n.lastConn++
-	c := &conn{id: n.lastConn, to: e, moves: e.moves}
+	n.lastConnID++
+	c := &conn{id: n.lastConnID, executor: e, addrChanges: e.addrChanges}
 	n.conns[c.id] = c
-	n.say(Dial{c.id, e.addr})
+	n.emit(Dial{c.id, e.addr})
 	return c
 }
 
-// probe has an executor asked for its load. At the edge of the descriptors, or of an executor that takes nothing new,
+// startProbe has an executor asked for its load. At the edge of the descriptors, or of an executor that takes nothing new,
 // nothing is asked: a probe makes no room and takes none of a batch job's.
-func (n *Node) probe(id policy.ExecutorID) {
+func (n *Node) startProbe(id policy.ExecutorID) {
 	e := n.executors[id]
-	if e == nil || !e.up || len(n.conns)+n.probing >= n.mostConns()-n.mostConns()/8 {
-		n.brain.ProbeEnded(n.now, id, false, policy.Load{})
+	if e == nil || !e.available || len(n.conns)+n.probesInFlight >= n.maxConns()-n.maxConns()/8 {
+		n.policy.ProbeEnded(n.now, id, false, policy.Load{})
 		return
 	}
-	n.probing++
-	n.say(ProbeExecutor{id, e.addr})
+	n.probesInFlight++
+	n.emit(ProbeExecutor{id, e.addr})
 }
 
-// makeRoom closes the connection that has rested longest.
-func (n *Node) makeRoom() bool {
-	oldest := n.resting.oldest()
+// closeOldestIdleConn closes the connection that has rested longest.
+func (n *Node) closeOldestIdleConn() bool {
+	oldest := n.idle.oldest()
 	if oldest == nil {
 		return false
 	}
-	n.resting.risen(oldest.to, 0)
+	n.idle.take(oldest.executor, 0)
 	n.closeConn(oldest)
 	return true
 }
 
-func (n *Node) write(c *conn) {
-	c.state, c.heard, c.wroteAt = busy, false, n.now
-	n.figures.Attempts++ // taken back if its last byte never leaves
-	n.say(WriteAttempt{c.id, Attempt{Request: &c.job.Request, Budget: max(c.job.limitAt-n.now, time.Millisecond),
-		AtMostOnce: n.repeats[c.job.Class] != policy.Idempotent, Client: c.job.Client}})
+func (n *Node) writeAttempt(c *conn) {
+	c.state, c.progressed, c.writtenAt = connBusy, false, n.now
+	n.metrics.Attempts++ // taken back if its last byte never leaves
+	n.emit(WriteAttempt{c.id, Attempt{Request: &c.job.Request, Budget: max(c.job.deadline-n.now, time.Millisecond),
+		AtMostOnce: n.idempotency[c.job.Class] != policy.Idempotent, Client: c.job.Client}})
 }
 
-// anew says whether the executor has started anew since the module meant it: it is cold, so the module is asked again. Guards
+// executorRestarted says whether the executor has started anew since the module meant it: it is cold, so the module is asked again. Guards
 // against a process that wakes, sends on what it knew and learns of the start while it dials.
-func (c *conn) anew() bool { return c.start != c.to.starts }
+func (c *conn) executorRestarted() bool { return c.restarts != c.executor.restarts }
 
-// astray says whether the executor has moved since this connection was dialled. Guards against one that carries an answer
+// executorMoved says whether the executor has moved since this connection was dialled. Guards against one that carries an answer
 // meanwhile, rests after it, and would carry the next allocation to whoever has the old address.
-func (c *conn) astray() bool { return c.moves != c.to.moves }
+func (c *conn) executorMoved() bool { return c.addrChanges != c.executor.addrChanges }
 
-// outOfWindow says whether a further allocation of a tagged batch job was decided on longer ago than dialling may take, which is
+// mayMissDedupWindow says whether a further allocation of a tagged batch job was decided on longer ago than dialling may take, which is
 // all that a dedup window was lessened by. Guards against a process that stood still meanwhile, and would repeat outside it.
-func (n *Node) outOfWindow(c *conn, j *job) bool {
-	return c.number > 0 && j.IdempotencyKey != "" && n.now-c.askedAt > n.limits.DialTimeout
+func (n *Node) mayMissDedupWindow(c *conn, j *job) bool {
+	return c.attempt > 0 && j.IdempotencyKey != "" && n.now-c.decidedAt > n.limits.DialTimeout
 }
 
-// dialled puts a connection that has come up to its use. Its executor may drain, be gone or be another by now, the client may
+// connReady puts a connection that has come up to its use. Its executor may drain, be gone or be another by now, the client may
 // have left, or the dedup window may be near its end: nothing goes out then.
-func (n *Node) dialled(c *conn) {
+func (n *Node) connReady(c *conn) {
 	switch {
-	case c == nil || c.state != dialling:
+	case c == nil || c.state != connDialing:
 	case c.job == nil:
-		n.rest(c)
-	case !c.to.up || c.job.answered || c.anew() || c.astray() || n.outOfWindow(c, c.job):
-		j := n.unlink(c)
-		n.rest(c)
-		n.over(j, c.number, policy.NotSent)
+		n.makeIdle(c)
+	case !c.executor.available || c.job.answered || c.executorRestarted() || c.executorMoved() || n.mayMissDedupWindow(c, c.job):
+		j := n.detachJob(c)
+		n.makeIdle(c)
+		n.attemptOver(j, c.attempt, policy.NotSent)
 	default:
-		n.write(c)
+		n.writeAttempt(c)
 	}
 }
 
-func (n *Node) rest(c *conn) {
-	if !c.to.up || c.astray() {
+func (n *Node) makeIdle(c *conn) {
+	if !c.executor.available || c.executorMoved() {
 		n.closeConn(c)
 		return
 	}
-	c.state, c.rested, c.restsAt = resting, true, n.now
-	n.resting.rests(c)
+	c.state, c.wasIdle, c.idleSince = connIdle, true, n.now
+	n.idle.add(c)
 }
 
-// unlink parts a connection and the batch job whose allocation it carries.
-func (n *Node) unlink(c *conn) *job {
+// detachJob parts a connection and the batch job whose allocation it carries.
+func (n *Node) detachJob(c *conn) *job {
 	j := c.job
 	if j != nil {
 		c.job = nil
@@ -207,48 +207,48 @@
 	return j
 }
 
-// giveUp stops waiting for an allocation. One that waits for its connection still has never left. Else its
+// abandonAttempt stops waiting for an allocation. One that waits for its connection still has never left. Else its
 // outcome comes when its connection is closed, or is on the way already: nothing else is sent before.
-func (n *Node) giveUp(c *conn, as policy.Outcome) {
+func (n *Node) abandonAttempt(c *conn, as policy.Outcome) {
 	switch {
-	case c.state == dialling && c.job.answered:
-		n.over(n.unlink(c), c.number, policy.NotSent)
-	case c.state == dialling:
-		n.over(n.unlink(c), c.number, policy.ConnectFailed)
-	case !c.given:
-		c.given, c.as = true, as
-		n.say(CloseConn{c.id})
+	case c.state == connDialing && c.job.answered:
+		n.attemptOver(n.detachJob(c), c.attempt, policy.NotSent)
+	case c.state == connDialing:
+		n.attemptOver(n.detachJob(c), c.attempt, policy.ConnectFailed)
+	case !c.abandoned:
+		c.abandoned, c.abandonedAs = true, as
+		n.emit(CloseConn{c.id})
 	}
 }
 
-func (n *Node) told(c *conn, ev AttemptProgressed) {
+func (n *Node) attemptProgressed(c *conn, ev AttemptProgressed) {
 	if c == nil || c.job == nil {
 		return
 	}
-	c.heard = true
-	n.reported(c, ev.Load)
+	c.progressed = true
+	n.reportLoad(c, ev.Load)
 	if ev.Progress > 0 {
-		n.brain.AttemptProgressed(n.now, c.job.ID, c.number, ev.Progress)
+		n.policy.AttemptProgressed(n.now, c.job.ID, c.attempt, ev.Progress)
 	} else {
-		n.brain.AttemptStarted(n.now, c.job.ID, c.number)
+		n.policy.AttemptStarted(n.now, c.job.ID, c.attempt)
 	}
 }
 
-func (n *Node) reported(c *conn, load Load) {
+func (n *Node) reportLoad(c *conn, load Load) {
 	if load.Known {
-		n.brain.LoadReported(c.to.id, load.Load)
+		n.policy.LoadReported(c.executor.id, load.Load)
 	}
 }
 
-// ended takes in an allocation's outcome.
-func (n *Node) ended(c *conn, ev AttemptEnded) {
-	if c == nil || c.state != busy {
+// attemptEnded takes in an allocation's outcome.
+func (n *Node) attemptEnded(c *conn, ev AttemptEnded) {
+	if c == nil || c.state != connBusy {
 		return
 	}
-	c.state = spent
-	j, how := n.unlink(c), ev.Outcome
+	c.state = connFinished
+	j, how := n.detachJob(c), ev.Outcome
 	if ev.ConnBroken && how == policy.ConnectFailed {
-		n.figures.Attempts--
+		n.metrics.Attempts--
 	}
 	switch {
 	case how == policy.Succeeded:
@@ -256,75 +256,75 @@
 	case how == policy.InvalidRequest:
 		// It is the batch job's fault: elsewhere it would fare no better, and cost another executor its good name.
 		n.answer(j, Answer{Final: Failed})
-		n.say(Log{Text: ev.Detail, Executor: c.to.id, Job: j.ID})
-	case c.given && ev.ConnBroken && how == policy.ConnectFailed:
+		n.emit(Log{Text: ev.Detail, Executor: c.executor.id, Job: j.ID})
+	case c.abandoned && ev.ConnBroken && how == policy.ConnectFailed:
 		how = policy.NotSent // closed by us before its last byte was written
-	case c.given && ev.ConnBroken:
-		how = c.as
+	case c.abandoned && ev.ConnBroken:
+		how = c.abandonedAs
 	case ev.Detail != "":
-		n.say(Log{Text: ev.Detail, Executor: c.to.id, Job: j.ID})
+		n.emit(Log{Text: ev.Detail, Executor: c.executor.id, Job: j.ID})
 	}
-	n.reported(c, ev.Load)
-	if ev.ConnBroken && how == policy.ConnectionLost && c.rested && !c.heard {
-		n.tooLong(c.wroteAt - c.restsAt)
+	n.reportLoad(c, ev.Load)
+	if ev.ConnBroken && how == policy.ConnectionLost && c.wasIdle && !c.progressed {
+		n.lowerIdleLimit(c.writtenAt - c.idleSince)
 	}
 	if ev.ConnBroken && how != policy.Canceled && how != policy.NotSent {
 		// The others may lead nowhere as well; a new one shows before anything is written whether there is a way.
-		n.closeResting(c.to)
+		n.closeIdleConns(c.executor)
 	}
-	n.over(j, c.number, how)
+	n.attemptOver(j, c.attempt, how)
 }
 
-// unsent takes in that the last look before an attempt's first byte found its client gone: it never ran, and the connection
+// attemptNotSent takes in that the last look before an attempt's first byte found its client gone: it never ran, and the connection
 // may carry the next one. Word of the leaving by the front may come before or after.
-func (n *Node) unsent(c *conn) {
-	if c == nil || c.state != busy {
+func (n *Node) attemptNotSent(c *conn) {
+	if c == nil || c.state != connBusy {
 		return
 	}
-	n.figures.Attempts--
-	j := n.unlink(c)
-	if c.state = spent; !c.given { // else it is being closed
-		n.rest(c)
+	n.metrics.Attempts--
+	j := n.detachJob(c)
+	if c.state = connFinished; !c.abandoned { // else it is being closed
+		n.makeIdle(c)
 	}
-	n.left(j)
-	n.over(j, c.number, policy.NotSent)
+	n.clientLeft(j)
+	n.attemptOver(j, c.attempt, policy.NotSent)
 }
 
-func (n *Node) rested(c *conn) {
-	if c != nil && c.state == spent && !c.given {
-		n.rest(c)
+func (n *Node) connIdle(c *conn) {
+	if c != nil && c.state == connFinished && !c.abandoned {
+		n.makeIdle(c)
 	}
 }
 
-// closed gives a connection back. An allocation of which nothing was written takes another one if this one had
+// connClosed gives a connection back. An allocation of which nothing was written takes another one if this one had
 // rested: the executor had closed it meanwhile. A new one that is closed at once is no way to the executor, which
 // may have all the connections it takes.
-func (n *Node) closed(c *conn, detail string) {
+func (n *Node) connClosed(c *conn, detail string) {
 	if c == nil {
 		return
 	}
 	delete(n.conns, c.id)
-	if i := slices.Index(c.to.rest, c); i >= 0 {
-		n.resting.risen(c.to, i)
-		if rest := n.now - c.restsAt; rest > n.limits.DialTimeout { // else it was closed with the answer
-			n.tooLong(rest)
+	if i := slices.Index(c.executor.idle, c); i >= 0 {
+		n.idle.take(c.executor, i)
+		if rest := n.now - c.idleSince; rest > n.limits.DialTimeout { // else it was closed with the answer
+			n.lowerIdleLimit(rest)
 		}
 	}
-	if c.state == busy { // its end never came: nothing was written
-		n.figures.Attempts--
+	if c.state == connBusy { // its end never came: nothing was written
+		n.metrics.Attempts--
 	}
-	c.state = spent
-	j := n.unlink(c)
+	c.state = connFinished
+	j := n.detachJob(c)
 	switch {
 	case j == nil:
-	case !c.rested && !c.given:
+	case !c.wasIdle && !c.abandoned:
 		if detail == "" {
 			detail = "no connection: closed as soon as it was up"
 		}
-		n.say(Log{Text: detail, Executor: c.to.id, Job: j.ID})
-		n.closeResting(c.to)
-		n.over(j, c.number, policy.ConnectFailed)
-	case c.given || j.answered || c.anew() || n.outOfWindow(c, j) || !n.place(j, c.number, c.to, c.askedAt):
-		n.over(j, c.number, policy.NotSent)
+		n.emit(Log{Text: detail, Executor: c.executor.id, Job: j.ID})
+		n.closeIdleConns(c.executor)
+		n.attemptOver(j, c.attempt, policy.ConnectFailed)
+	case c.abandoned || j.answered || c.executorRestarted() || n.mayMissDedupWindow(c, j) || !n.assignConn(j, c.attempt, c.executor, c.decidedAt):
+		n.attemptOver(j, c.attempt, policy.NotSent)
 	}
 }
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -20,8 +20,8 @@
 // Predecessor is the link to the process that this one takes over from.
 const Predecessor HandoffLink = 0
 
-// nobody is no link.
-const nobody HandoffLink = -1
+// noLink is no link.
+const noLink HandoffLink = -1
 
 // HandoffState is what a process hands to the one that joins it. Spans are ages, since the two count time from their own starts.
 type HandoffState struct {
@@ -59,64 +59,64 @@
 	State    *HandoffState
 }
 
-// relay is an operator's answer that waits until the other processes have done as well.
-type relay struct {
-	reply AdminReply
-	open  []HandoffLink
-	by    time.Duration
+// pendingRelay is an operator's answer that waits until the other processes have done as well.
+type pendingRelay struct {
+	reply    AdminReply
+	waiting  []HandoffLink
+	deadline time.Duration
 }
 
-// relaySpell is how long an operator's answer waits for the other processes: well within the second it is owed in.
-const relaySpell = 400 * time.Millisecond
-
-// yieldLimit is how long the yes at the door waits for the elder to cede.
-const yieldLimit = 2 * time.Second
-
-// handSpell is how long the new process waits for the old one's state before it goes on without.
-const handSpell = 2 * time.Second
-
-// pair is what the reducer knows of other processes of its node.
-type pair struct {
-	links   []HandoffLink // those up, the elder first
-	waits   bool          // for the elder's state
-	waitsBy time.Duration
-	ceded   bool // a younger process takes over
-	heir    HandoffLink
-	live    bool // a list has come from discovery
-	copied  bool // the elder's list has been taken up
-	said    bool // this process has said its yes
-	yields  bool // and the elder has not answered it: it may still take connections, and let them go at once if it ends
-	yieldBy time.Duration
-	relays  map[uint64]*relay
-	seq     uint64
-	orders  []HandoffMessage // of operators, obeyed here while the elder's state is on its way
+// relayTimeout is how long an operator's answer waits for the other processes: well within the second it is owed in.
+const relayTimeout = 400 * time.Millisecond
+
+// yieldTimeout is how long the yes at the door waits for the elder to cede.
+const yieldTimeout = 2 * time.Second
+
+// stateTimeout is how long the new process waits for the old one's state before it goes on without.
+const stateTimeout = 2 * time.Second
+
+// handoff is what the reducer knows of other processes of its node.
+type handoff struct {
+	links         []HandoffLink // those up, the elder first
+	awaitingState bool          // for the elder's state
+	stateDeadline time.Duration
+	yielded       bool // a younger process takes over
+	successor     HandoffLink
+	complete      bool // a list has come from discovery
+	inherited     bool // the elder's list has been taken up
+	announced     bool // this process has said its yes
+	awaitingYield bool // and the elder has not answered it: it may still take connections, and let them go at once if it ends
+	yieldDeadline time.Duration
+	relays        map[uint64]*pendingRelay
+	lastSeq       uint64
+	deferred      []HandoffMessage // of operators, obeyed here while the elder's state is on its way
 }
 
-// joined takes up a link to another process.
-func (n *Node) joined(link HandoffLink) {
+// handoffLinkUp takes up a link to another process.
+func (n *Node) handoffLinkUp(link HandoffLink) {
 	n.links = append(n.links, link)
 	if link == Predecessor {
-		n.waits, n.waitsBy = true, n.now+handSpell
-		n.say(Log{Text: "an older process of this node runs: its state is waited for"})
-		n.brain.ReserveSlowStartUntil(n.now, policy.Endless) // the elder may use all of it until it cedes
-		n.share()
+		n.awaitingState, n.stateDeadline = true, n.now+stateTimeout
+		n.emit(Log{Text: "an older process of this node runs: its state is waited for"})
+		n.policy.ReserveSlowStartUntil(n.now, policy.Endless) // the elder may use all of it until it cedes
+		n.updateLimits()
 		return
 	}
-	n.say(Log{Text: "a newer process of this node has started"})
-	n.say(SendHandoff{link, HandoffMessage{Kind: StateTransfer, State: n.state()}})
+	n.emit(Log{Text: "a newer process of this node has started"})
+	n.emit(SendHandoff{link, HandoffMessage{Kind: StateTransfer, State: n.handoffState()}})
 }
 
-// state is what a new process is handed.
-func (n *Node) state() *HandoffState {
-	s := &HandoffState{Drained: n.drained, Learned: n.brain.ExportLearned(n.now)}
+// handoffState is what a new process is handed.
+func (n *Node) handoffState() *HandoffState {
+	s := &HandoffState{Drained: n.clientsDrained, Learned: n.policy.ExportLearned(n.now)}
 	for _, t := range s.Learned.Classes {
-		s.ClassNames = append(s.ClassNames, n.figures.Classes[n.booked[t.ID]].Name)
+		s.ClassNames = append(s.ClassNames, n.metrics.Classes[n.metricsIndex[t.ID]].Name)
 	}
-	s.Excluded = slices.Sorted(maps.Keys(n.outs))
-	for _, id := range slices.Sorted(maps.Keys(n.backs)) {
-		s.Readmitted = append(s.Readmitted, ReadmittedExecutor{id, n.now - n.backs[id]})
+	s.Excluded = slices.Sorted(maps.Keys(n.excluded))
+	for _, id := range slices.Sorted(maps.Keys(n.readmittedAt)) {
+		s.Readmitted = append(s.Readmitted, ReadmittedExecutor{id, n.now - n.readmittedAt[id]})
 	}
-	for _, e := range n.inOrder() {
+	for _, e := range n.executorsByID() {
 		in := Endpoint{Endpoint: e.entry, Addr: e.addr}
 		in.StartedAt = n.now - in.StartedAt
 		s.Endpoints = append(s.Endpoints, in)
@@ -124,231 +124,233 @@
 	return s
 }
 
-// parted notes that another process has ended, or what it says makes no sense. All is this process's again.
-func (n *Node) parted(link HandoffLink, detail string) {
+// handoffLinkDown notes that another process has ended, or what it says makes no sense. All is this process's again.
+func (n *Node) handoffLinkDown(link HandoffLink, detail string) {
 	i := slices.Index(n.links, link)
 	if i < 0 {
 		return
 	}
 	n.links = slices.Delete(n.links, i, i+1)
-	for _, seq := range n.relaysInOrder() {
-		n.relayed(seq, link)
+	for _, seq := range n.relaySeqs() {
+		n.relayDone(seq, link)
 	}
 	switch {
 	case link == Predecessor:
-		n.say(Log{Text: "the older process is gone: " + detail})
-		n.waits, n.yields = false, false
-		n.mayUseCold()
-	case n.ceded && n.heir == link:
-		n.say(Log{Text: "the newer process is gone, this one goes on: " + detail})
-		n.ceded = false
-		n.say(AcceptConnections{true})
-		n.mayUseCold()
-	}
-	n.share()
-	n.becomeReady()
+		n.emit(Log{Text: "the older process is gone: " + detail})
+		n.awaitingState, n.awaitingYield = false, false
+		n.reserveSlowStart()
+	case n.yielded && n.successor == link:
+		n.emit(Log{Text: "the newer process is gone, this one goes on: " + detail})
+		n.yielded = false
+		n.emit(AcceptConnections{true})
+		n.reserveSlowStart()
+	}
+	n.updateLimits()
+	n.announceReady()
 }
 
-// mayUseCold lets cold executors be used once all that another process may have sent them is out of the window.
-func (n *Node) mayUseCold() { n.brain.ReserveSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow) }
+// reserveSlowStart lets cold executors be used once all that another process may have sent them is out of the window.
+func (n *Node) reserveSlowStart() {
+	n.policy.ReserveSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
+}
 
-// share halves the limits while another process of this node may use the other half.
-func (n *Node) share() {
-	half := n.ceded || slices.Contains(n.links, Predecessor)
-	if half != n.halved {
-		n.halved = half
-		n.say(HalveLimits{Half: half})
+// updateLimits halves the limits while another process of this node may use the other half.
+func (n *Node) updateLimits() {
+	half := n.yielded || slices.Contains(n.links, Predecessor)
+	if half != n.limitsHalved {
+		n.limitsHalved = half
+		n.emit(HalveLimits{Half: half})
 	}
 }
 
-// mostConns is how many connections to executors there may be.
-func (n *Node) mostConns() int {
-	if n.halved {
+// maxConns is how many connections to executors there may be.
+func (n *Node) maxConns() int {
+	if n.limitsHalved {
 		return n.limits.MaxConnsShared
 	}
 	return n.limits.MaxConns
 }
 
-// heard takes in what another process says.
-func (n *Node) heard(from HandoffLink, w HandoffMessage) {
+// handoffReceived takes in what another process says.
+func (n *Node) handoffReceived(from HandoffLink, w HandoffMessage) {
 	if !slices.Contains(n.links, from) {
 		return
 	}
 	switch w.Kind {
 	case StateTransfer:
-		if from == Predecessor && n.waits && w.State != nil {
-			n.handed(*w.State)
+		if from == Predecessor && n.awaitingState && w.State != nil {
+			n.stateReceived(*w.State)
 		}
 	case SuccessorReady:
-		n.ceded, n.heir = true, from
-		n.say(Log{Text: "the newer process takes over"})
-		n.say(AcceptConnections{false})
-		n.brain.ReserveSlowStartUntil(n.now, policy.Endless)
-		n.share()
-		n.say(SendHandoff{from, HandoffMessage{Kind: PredecessorYielded}})
+		n.yielded, n.successor = true, from
+		n.emit(Log{Text: "the newer process takes over"})
+		n.emit(AcceptConnections{false})
+		n.policy.ReserveSlowStartUntil(n.now, policy.Endless)
+		n.updateLimits()
+		n.emit(SendHandoff{from, HandoffMessage{Kind: PredecessorYielded}})
 	case PredecessorYielded:
-		n.yields = false
-		n.mayUseCold()
+		n.awaitingYield = false
+		n.reserveSlowStart()
 	case RelayCommand:
-		n.obey(w.Command, w.Executor)
-		n.remember(w)
-		n.pass(from, HandoffMessage{Kind: RelayCommand, Command: w.Command, Executor: w.Executor}, nil)
-		n.say(SendHandoff{from, HandoffMessage{Kind: RelayDone, Seq: w.Seq}})
+		n.runRelayed(w.Command, w.Executor)
+		n.deferCommand(w)
+		n.relay(from, HandoffMessage{Kind: RelayCommand, Command: w.Command, Executor: w.Executor}, nil)
+		n.emit(SendHandoff{from, HandoffMessage{Kind: RelayDone, Seq: w.Seq}})
 	case RelayDone:
-		n.relayed(w.Seq, from)
+		n.relayDone(w.Seq, from)
 	}
 }
 
-// handed takes over the old process's state.
-func (n *Node) handed(s HandoffState) {
-	n.waits = false
+// stateReceived takes over the old process's state.
+func (n *Node) stateReceived(s HandoffState) {
+	n.awaitingState = false
 	for _, id := range s.Excluded {
-		n.outs[id] = true
+		n.excluded[id] = true
 	}
 	for _, b := range s.Readmitted {
-		n.backs[b.Executor] = n.now - b.Age
+		n.readmittedAt[b.Executor] = n.now - b.Age
 	}
 	if s.Drained {
-		n.drain(true)
+		n.drainClients(true)
 	}
 	for i := range s.Endpoints {
 		s.Endpoints[i].StartedAt = n.now - s.Endpoints[i].StartedAt
 	}
-	if !n.live { // news of the old one's, newer than the copy that this one was started with
-		n.listed(EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Endpoints})
-		n.copied = true
-		n.goneUnlisted()
+	if !n.complete { // news of the old one's, newer than the copy that this one was started with
+		n.endpointsUpdated(EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Endpoints})
+		n.inherited = true
+		n.removeUnlisted()
 	} else {
-		for _, e := range n.inOrder() {
-			n.showModule(e)
+		for _, e := range n.executorsByID() {
+			n.refreshEndpoint(e)
 		}
 	}
-	for _, w := range n.orders {
-		n.obey(w.Command, w.Executor)
+	for _, w := range n.deferred {
+		n.runRelayed(w.Command, w.Executor)
 	}
-	n.orders = nil
-	n.learn(s)
-	n.say(Log{Text: "the older process has handed over"})
-	n.becomeReady()
+	n.deferred = nil
+	n.importLearned(s)
+	n.emit(Log{Text: "the older process has handed over"})
+	n.announceReady()
 }
 
-// learn hands the module what the old one's has learnt, with tracks by this process's numbers.
-func (n *Node) learn(s HandoffState) {
+// importLearned hands the module what the old one's has learnt, with tracks by this process's numbers.
+func (n *Node) importLearned(s HandoffState) {
 	var tracks []policy.LearnedClass
 	for i, t := range s.Learned.Classes {
 		if i >= len(s.ClassNames) {
 			break
 		}
-		if id, ok := n.former[s.ClassNames[i]]; ok {
+		if id, ok := n.lastIDByName[s.ClassNames[i]]; ok {
 			t.ID = id
 			tracks = append(tracks, t)
 		}
 	}
 	s.Learned.Classes = tracks
-	n.brain.ImportLearned(n.now, s.Learned)
+	n.policy.ImportLearned(n.now, s.Learned)
 }
 
-// inOrder are the executors by their ids.
-func (n *Node) inOrder() []*executor {
+// executorsByID are the executors by their ids.
+func (n *Node) executorsByID() []*executor {
 	all := slices.Collect(maps.Values(n.executors))
 	slices.SortFunc(all, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
 	return all
 }
 
-// becomeReady says yes once there is a list and what the old process knew.
-func (n *Node) becomeReady() {
-	if !n.ready || n.waits || n.said {
+// announceReady says yes once there is a list and what the old process knew.
+func (n *Node) announceReady() {
+	if !n.hasEndpoints || n.awaitingState || n.announced {
 		return
 	}
-	n.said = true
-	n.say(SetReady{!n.stopping})
-	n.say(AcceptConnections{!n.ceded})
+	n.announced = true
+	n.emit(SetReady{!n.stopping})
+	n.emit(AcceptConnections{!n.yielded})
 	if slices.Contains(n.links, Predecessor) {
-		n.yields, n.yieldBy = true, n.now+yieldLimit
-		n.say(SendHandoff{Predecessor, HandoffMessage{Kind: SuccessorReady}})
+		n.awaitingYield, n.yieldDeadline = true, n.now+yieldTimeout
+		n.emit(SendHandoff{Predecessor, HandoffMessage{Kind: SuccessorReady}})
 	}
 }
 
-// obey does what an operator has told another process of this node; the id was on the list there.
-func (n *Node) obey(o AdminCommand, id policy.ExecutorID) {
-	if n.carry(o, id) != "" && o == ExcludeExecutor {
-		n.outs[id] = true
+// runRelayed does what an operator has told another process of this node; the id was on the list there.
+func (n *Node) runRelayed(o AdminCommand, id policy.ExecutorID) {
+	if n.runCommand(o, id) != "" && o == ExcludeExecutor {
+		n.excluded[id] = true
 	}
 }
 
-// remember keeps an order until the older process's state is here. Guards against a state that was told before the order was
+// deferCommand keeps an order until the older process's state is here. Guards against a state that was told before the order was
 // given, comes after it, and would undo it here alone.
-func (n *Node) remember(w HandoffMessage) {
-	if n.waits {
-		n.orders = append(n.orders, w)
+func (n *Node) deferCommand(w HandoffMessage) {
+	if n.awaitingState {
+		n.deferred = append(n.deferred, w)
 	}
 }
 
-// pass hands an order on to all processes but one. The reply, if there is one, goes out once they have done.
-func (n *Node) pass(but HandoffLink, w HandoffMessage, reply *AdminReply) {
-	n.seq++
-	w.Seq = n.seq
-	r := &relay{by: n.now + relaySpell}
+// relay hands an order on to all processes but one. The reply, if there is one, goes out once they have done.
+func (n *Node) relay(but HandoffLink, w HandoffMessage, reply *AdminReply) {
+	n.lastSeq++
+	w.Seq = n.lastSeq
+	r := &pendingRelay{deadline: n.now + relayTimeout}
 	for _, link := range n.links {
 		if link != but {
-			r.open = append(r.open, link)
-			n.say(SendHandoff{link, w})
+			r.waiting = append(r.waiting, link)
+			n.emit(SendHandoff{link, w})
 		}
 	}
 	switch {
 	case reply == nil:
-	case len(r.open) == 0:
-		n.say(*reply)
+	case len(r.waiting) == 0:
+		n.emit(*reply)
 	default:
 		r.reply = *reply
 		n.relays[w.Seq] = r
 	}
 }
 
-// relaysInOrder are the answers that wait, in the order in which they were asked for.
-func (n *Node) relaysInOrder() []uint64 { return slices.Sorted(maps.Keys(n.relays)) }
+// relaySeqs are the answers that wait, in the order in which they were asked for.
+func (n *Node) relaySeqs() []uint64 { return slices.Sorted(maps.Keys(n.relays)) }
 
-// relayed notes that a process has done what was passed on, or is gone.
-func (n *Node) relayed(seq uint64, by HandoffLink) {
+// relayDone notes that a process has done what was passed on, or is gone.
+func (n *Node) relayDone(seq uint64, by HandoffLink) {
 	r := n.relays[seq]
 	if r == nil {
 		return
 	}
-	if i := slices.Index(r.open, by); i >= 0 {
-		r.open = slices.Delete(r.open, i, i+1)
+	if i := slices.Index(r.waiting, by); i >= 0 {
+		r.waiting = slices.Delete(r.waiting, i, i+1)
 	}
-	if len(r.open) == 0 {
+	if len(r.waiting) == 0 {
 		delete(n.relays, seq)
-		n.say(r.reply)
+		n.emit(r.reply)
 	}
 }
 
-// pairDue does what is due between processes.
-func (n *Node) pairDue() {
-	if n.waits && n.now >= n.waitsBy {
-		n.say(CloseHandoffLink{Predecessor})
-		n.parted(Predecessor, "it hands nothing over")
+// expireHandoff does what is due between processes.
+func (n *Node) expireHandoff() {
+	if n.awaitingState && n.now >= n.stateDeadline {
+		n.emit(CloseHandoffLink{Predecessor})
+		n.handoffLinkDown(Predecessor, "it hands nothing over")
 	}
 	if len(n.relays) == 0 { // as nearly always: this is on every batch job's way
 		return
 	}
-	for _, seq := range n.relaysInOrder() {
-		if r := n.relays[seq]; n.now >= r.by {
+	for _, seq := range n.relaySeqs() {
+		if r := n.relays[seq]; n.now >= r.deadline {
 			delete(n.relays, seq)
 			r.reply.Refusal = "another process of this node does not say that it has done so"
-			n.say(r.reply)
+			n.emit(r.reply)
 		}
 	}
 }
 
-// nextPairDue is when something is due between processes next.
-func (n *Node) nextPairDue() time.Duration {
+// nextHandoffDeadline is when something is due between processes next.
+func (n *Node) nextHandoffDeadline() time.Duration {
 	next := policy.Endless
-	if n.waits {
-		next = n.waitsBy
+	if n.awaitingState {
+		next = n.stateDeadline
 	}
 	for _, r := range n.relays {
-		next = min(next, r.by)
+		next = min(next, r.deadline)
 	}
 	return next
 }
--- a/internal/node/idle_conns_test.go
+++ b/internal/node/idle_conns_test.go
@@ -10,7 +10,7 @@
 func TestOldestResting(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		var resting restings
+		var resting idleConns
 		executors := make([]*executor, 1+r.IntN(8))
 		for i := range executors {
 			executors[i] = &executor{}
@@ -25,22 +25,22 @@
 				i := r.IntN(len(risen))
 				c := risen[i]
 				risen = append(risen[:i], risen[i+1:]...)
-				c.restsAt = now
-				resting.rests(c)
+				c.idleSince = now
+				resting.add(c)
 			case r.IntN(2) == 0:
 				last++
-				resting.rests(&conn{id: last, to: e, restsAt: now})
-			case len(e.rest) > 0:
-				risen = append(risen, resting.risen(e, r.IntN(len(e.rest))))
+				resting.add(&conn{id: last, executor: e, idleSince: now})
+			case len(e.idle) > 0:
+				risen = append(risen, resting.take(e, r.IntN(len(e.idle))))
 			}
 			var want *conn
 			count := 0
 			for _, e := range executors {
-				count += len(e.rest)
-				if len(e.rest) == 0 {
+				count += len(e.idle)
+				if len(e.idle) == 0 {
 					continue
 				}
-				if c := e.rest[0]; want == nil || c.restsAt < want.restsAt || c.restsAt == want.restsAt && c.id < want.id {
+				if c := e.idle[0]; want == nil || c.idleSince < want.idleSince || c.idleSince == want.idleSince && c.id < want.id {
 					want = c
 				}
 			}
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -35,8 +35,8 @@
 // PolicyPanicked begins the log line of a panic of the module.
 const PolicyPanicked = "the decision module broke"
 
-// breakSpell is how soon after a panic of the module it is asked again.
-const breakSpell = 100 * time.Millisecond
+// panicBackoff is how soon after a panic of the module it is asked again.
+const panicBackoff = 100 * time.Millisecond
 
 // Policy is the decision module, as the reducer calls it: *policy.Dispatcher, or one that sees what goes between.
 type Policy interface {
@@ -63,187 +63,187 @@
 
 // Node is the state of one node.
 type Node struct {
-	brain     Policy
-	limits    Limits
-	executors map[policy.ExecutorID]*executor
-	conns     map[ConnID]*conn
-	resting   restings
-	lastConn  ConnID
-	probing   int           // probes out
-	shortRest time.Duration // so long a connection may rest and still be used, by what was seen to break
-	shortSeen time.Duration // when that was seen last
-	jobs      map[policy.JobID]*job
-	bodies    int
-	due       dueHeap // batch jobs that are owed an answer, by when they are looked at next
-	order     int
-	deciding  *job // the one that the module is asked about
-	ready     bool
-	drained   bool                                // by operators
-	outs      map[policy.ExecutorID]bool          // taken out by them
-	backs     map[policy.ExecutorID]time.Duration // when they put one back
-	figures   Metrics
-	halved    bool
-	fleet     *cluster.Fleet // nil where this node talks with no others
-	pair
-	booked   []int                        // by a track's number, where its figures stand
-	repeats  []policy.Idempotency         // by that number
-	tracks   []NumberedClass              // the current ones
-	former   map[string]policy.JobClassID // by name, the last number that it bore
-	lists    int
-	listLost bool
-	losts    int // calls for the list that brought nothing
-	stopping bool
-	leaving  bool
-	stopAt   time.Duration // when no new batch jobs come any more
-	stopBy   time.Duration // when all must be answered
-	now      time.Duration
-	armed    time.Duration
-	out      []Effect
+	policy             Policy
+	limits             Limits
+	executors          map[policy.ExecutorID]*executor
+	conns              map[ConnID]*conn
+	idle               idleConns
+	lastConnID         ConnID
+	probesInFlight     int           // probes out
+	idleLimit          time.Duration // so long a connection may rest and still be used, by what was seen to break
+	idleLimitLoweredAt time.Duration // when that was seen last
+	jobs               map[policy.JobID]*job
+	bodyBytes          int
+	unanswered         jobHeap // batch jobs that are owed an answer, by when they are looked at next
+	arrivals           int
+	deciding           *job // the one that the module is asked about
+	hasEndpoints       bool
+	clientsDrained     bool                                // by operators
+	excluded           map[policy.ExecutorID]bool          // taken out by them
+	readmittedAt       map[policy.ExecutorID]time.Duration // when they put one back
+	metrics            Metrics
+	limitsHalved       bool
+	fleet              *cluster.Fleet // nil where this node talks with no others
+	handoff
+	metricsIndex    []int                        // by a track's number, where its figures stand
+	idempotency     []policy.Idempotency         // by that number
+	current         []NumberedClass              // the current ones
+	lastIDByName    map[string]policy.JobClassID // by name, the last number that it bore
+	updates         int
+	watchFailing    bool
+	failedWatches   int // calls for the list that brought nothing
+	stopping        bool
+	frontendClosing bool
+	lameDuckUntil   time.Duration // when no new batch jobs come any more
+	deadline        time.Duration // when all must be answered
+	now             time.Duration
+	timerAt         time.Duration
+	effects         []Effect
 }
 
 // job is a batch job in hand: from its arrival until it is answered and nothing of it is out.
 type job struct {
 	Job
-	limitAt  time.Duration
-	answered bool
-	conns    []*conn // of the allocations that are out: two at most, and a second one only where the module copies
-	sent     int
-	dueAt    time.Duration
-	order    int // of those due at the same time
-	place    int // in the heap
+	deadline  time.Duration
+	answered  bool
+	conns     []*conn // of the allocations that are out: two at most, and a second one only where the module copies
+	attempts  int
+	expiresAt time.Duration
+	arrival   int // of those due at the same time
+	heapIndex int // in the heap
 }
 
 // New makes a node that knows nothing yet, with its tracks, numbered from 0.
 func New(brain Policy, limits Limits, tracks []JobClass) *Node {
-	n := &Node{brain: brain, limits: limits, shortRest: limits.MaxIdle, executors: map[policy.ExecutorID]*executor{},
+	n := &Node{policy: brain, limits: limits, idleLimit: limits.MaxIdle, executors: map[policy.ExecutorID]*executor{},
 		conns: map[ConnID]*conn{}, jobs: map[policy.JobID]*job{},
-		outs: map[policy.ExecutorID]bool{}, backs: map[policy.ExecutorID]time.Duration{}, former: map[string]policy.JobClassID{}, pair: pair{relays: map[uint64]*relay{}}}
-	n.number(tracks)
+		excluded: map[policy.ExecutorID]bool{}, readmittedAt: map[policy.ExecutorID]time.Duration{}, lastIDByName: map[string]policy.JobClassID{}, handoff: handoff{relays: map[uint64]*pendingRelay{}}}
+	n.numberJobClasses(tracks)
 	return n
 }
 
 // Step takes one event in and gives the effects, which are good until the next step.
 func (n *Node) Step(now time.Duration, ev Event) (out []Effect) {
-	n.now, n.out = now, n.out[:0]
+	n.now, n.effects = now, n.effects[:0]
 	defer func() {
 		if p := recover(); p != nil {
-			n.broke(fmt.Sprintf("%s: %v\n%s", PolicyPanicked, p, debug.Stack()))
+			n.policyPanicked(fmt.Sprintf("%s: %v\n%s", PolicyPanicked, p, debug.Stack()))
 		}
-		out = n.out
+		out = n.effects
 	}()
-	n.fleetDue() // first: what came while this node stood still is not to be judged by what was before
-	n.take(ev)
-	n.fallDue()
-	n.pairDue()
-	n.doDue()
-	n.leave()
-	return n.out
+	n.tickFleet() // first: what came while this node stood still is not to be judged by what was before
+	n.handle(ev)
+	n.expireJobs()
+	n.expireHandoff()
+	n.runPolicyTasks()
+	n.closeFrontendWhenDone()
+	return n.effects
 }
 
-// broke keeps a panic of the module to the batch job that it met: that one is broken off, which promises nothing,
+// policyPanicked keeps a panic of the module to the batch job that it met: that one is broken off, which promises nothing,
 // and all others go on.
-func (n *Node) broke(text string) {
-	n.say(Log{Text: text})
+func (n *Node) policyPanicked(text string) {
+	n.emit(Log{Text: text})
 	if j := n.deciding; j != nil && len(j.conns) == 0 {
 		n.answer(j, Answer{Final: Failed})
 	}
 	n.deciding = nil
-	n.wake(n.now + breakSpell)
+	n.setTimer(n.now + panicBackoff)
 }
 
-func (n *Node) say(e Effect) { n.out = append(n.out, e) }
+func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
-func (n *Node) take(ev Event) {
+func (n *Node) handle(ev Event) {
 	switch ev := ev.(type) {
 	case JobArrived:
-		n.arrived(ev.Job)
+		n.jobArrived(ev.Job)
 	case ClientLeft:
 		// Guards against word of a client that the last look had seen leave, once its id has come again from another one.
 		if j := n.jobs[ev.Job]; j != nil && j.Client == ev.Client {
-			n.left(j)
+			n.clientLeft(j)
 		}
 	case EndpointsUpdated:
-		n.listed(ev)
+		n.endpointsUpdated(ev)
 	case DiscoverySwitchPending:
-		n.say(Log{Text: fmt.Sprintf("no list from %s yet, the old address counts: %s", ev.Addr, ev.Detail)})
+		n.emit(Log{Text: fmt.Sprintf("no list from %s yet, the old address counts: %s", ev.Addr, ev.Detail)})
 	case ConfigReloaded:
-		n.reread(ev)
+		n.configReloaded(ev)
 	case ConnReady:
-		n.dialled(n.conns[ev.Conn])
+		n.connReady(n.conns[ev.Conn])
 	case AttemptProgressed:
-		n.told(n.conns[ev.Conn], ev)
+		n.attemptProgressed(n.conns[ev.Conn], ev)
 	case AttemptEnded:
-		n.ended(n.conns[ev.Conn], ev)
+		n.attemptEnded(n.conns[ev.Conn], ev)
 	case ProbeEnded:
-		n.probing--
-		n.brain.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+		n.probesInFlight--
+		n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
 	case ConnIdle:
-		n.rested(n.conns[ev.Conn])
+		n.connIdle(n.conns[ev.Conn])
 	case AttemptNotSent:
-		n.unsent(n.conns[ev.Conn])
+		n.attemptNotSent(n.conns[ev.Conn])
 	case ConnClosed:
-		n.closed(n.conns[ev.Conn], ev.Detail)
+		n.connClosed(n.conns[ev.Conn], ev.Detail)
 	case ShutdownRequested:
-		n.stop()
+		n.beginShutdown()
 	case FrontendClosed:
-		if n.stopping && len(n.due) > 0 { // one has come at the last moment; it has its answer by its limit
-			n.say(CloseFrontend{})
+		if n.stopping && len(n.unanswered) > 0 { // one has come at the last moment; it has its answer by its limit
+			n.emit(CloseFrontend{})
 			return
 		}
-		for len(n.due) > 0 { // the front broke: nobody would learn what becomes of them
-			n.answer(n.due[0], Answer{Final: Failed})
+		for len(n.unanswered) > 0 { // the front broke: nobody would learn what becomes of them
+			n.answer(n.unanswered[0], Answer{Final: Failed})
 		}
-		n.say(Exit{})
+		n.emit(Exit{})
 	case JobDeclined:
 		n.count(ev.Class, Failed)
 	case AdminCalled:
-		n.called(ev)
+		n.adminCalled(ev)
 	case HandoffLinkUp:
-		n.joined(ev.Link)
+		n.handoffLinkUp(ev.Link)
 	case HandoffReceived:
-		n.heard(ev.Link, ev.Message)
+		n.handoffReceived(ev.Link, ev.Message)
 	case HandoffLinkDown:
-		n.parted(ev.Link, ev.Detail)
+		n.handoffLinkDown(ev.Link, ev.Detail)
 	case FleetChanged, GossipReceived, LeaseMessageReceived, GossipUnreadable:
-		n.ofFleet(ev)
+		n.handleGossip(ev)
 	case TimerFired:
-		n.armed = -1
+		n.timerAt = -1
 	}
 }
 
-// arrived takes a batch job, or, at the edge of descriptors or memory, pushes it back: nothing of it was sent.
-func (n *Node) arrived(in Job) {
+// jobArrived takes a batch job, or, at the edge of descriptors or memory, pushes it back: nothing of it was sent.
+func (n *Node) jobArrived(in Job) {
 	if n.jobs[in.ID] != nil {
 		// Its client left it, and came again under the same id while an allocation of it is still out.
 		n.count(in.Class, Failed)
-		n.say(Answer{Job: in.ID, Final: Failed})
+		n.emit(Answer{Job: in.ID, Final: Failed})
 		return
 	}
-	if in.NearConnectionLimit || n.bodies+len(in.Body) > n.limits.MaxBodyBytes {
+	if in.NearConnectionLimit || n.bodyBytes+len(in.Body) > n.limits.MaxBodyBytes {
 		n.count(in.Class, Rejected)
-		n.say(Answer{Job: in.ID, Final: Rejected, RetryAfter: n.limits.RetryAfter})
+		n.emit(Answer{Job: in.ID, Final: Rejected, RetryAfter: n.limits.RetryAfter})
 		return
 	}
-	j := &job{Job: in, limitAt: n.now + in.Budget}
+	j := &job{Job: in, deadline: n.now + in.Budget}
 	if n.stopping {
-		j.limitAt = min(j.limitAt, n.stopBy)
+		j.deadline = min(j.deadline, n.deadline)
 	}
 	n.jobs[j.ID] = j
-	n.bodies += len(j.Body)
-	n.order++
-	j.order, j.dueAt = n.order, j.limitAt-n.limits.Quantum
-	heap.Push(&n.due, j)
+	n.bodyBytes += len(j.Body)
+	n.arrivals++
+	j.arrival, j.expiresAt = n.arrivals, j.deadline-n.limits.Quantum
+	heap.Push(&n.unanswered, j)
 	n.deciding = j
-	n.brain.JobArrived(n.now, policy.Arrival{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Work: min(j.Work, n.limits.MaxWork),
+	n.policy.JobArrived(n.now, policy.Arrival{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Work: min(j.Work, n.limits.MaxWork),
 		Budget: j.Budget, ClientRetry: j.ClientRetry})
 	n.deciding = nil
 }
 
-// drop gives a batch job back, once it has its answer and nothing of it is out.
-func (n *Node) drop(j *job) {
+// release gives a batch job back, once it has its answer and nothing of it is out.
+func (n *Node) release(j *job) {
 	if j.answered && len(j.conns) == 0 && n.jobs[j.ID] == j {
 		delete(n.jobs, j.ID)
-		n.bodies -= len(j.Body)
+		n.bodyBytes -= len(j.Body)
 	}
 }
 
@@ -252,32 +252,32 @@
 	if !j.answered {
 		a.Job = j.ID
 		n.count(j.Class, a.Final)
-		n.say(a)
-		n.settled(j)
+		n.emit(a)
+		n.settle(j)
 	}
 }
 
-// settled notes that nothing more is owed for a batch job.
-func (n *Node) settled(j *job) {
+// settle notes that nothing more is owed for a batch job.
+func (n *Node) settle(j *job) {
 	j.answered = true
-	heap.Remove(&n.due, j.place)
-	n.drop(j)
+	heap.Remove(&n.unanswered, j.heapIndex)
+	n.release(j)
 }
 
-// left notes that a batch job's client has gone: it is owed no answer, and nothing of it is sent any more.
-func (n *Node) left(j *job) {
+// clientLeft notes that a batch job's client has gone: it is owed no answer, and nothing of it is sent any more.
+func (n *Node) clientLeft(j *job) {
 	if !j.answered {
-		n.settled(j)
-		n.brain.ClientLeft(n.now, j.ID)
+		n.settle(j)
+		n.policy.ClientLeft(n.now, j.ID)
 	}
 }
 
-// carryOut does what the module decided for a batch job.
-func (n *Node) carryOut(j *job, what policy.Decision) {
+// applyDecision does what the module decided for a batch job.
+func (n *Node) applyDecision(j *job, what policy.Decision) {
 	n.deciding = nil
 	switch what.Action {
 	case policy.Send:
-		n.send(j, what.Executor)
+		n.startAttempt(j, what.Executor)
 	case policy.Reject:
 		n.answer(j, Answer{Final: Rejected, RetryAfter: what.RetryAfter})
 	case policy.Fail:
@@ -285,125 +285,125 @@
 	}
 }
 
-// over tells the module of an allocation's end and does what follows.
-func (n *Node) over(j *job, a policy.AttemptID, how policy.Outcome) {
-	n.drop(j)
+// attemptOver tells the module of an allocation's end and does what follows.
+func (n *Node) attemptOver(j *job, a policy.AttemptID, how policy.Outcome) {
+	n.release(j)
 	n.deciding = j
-	n.carryOut(j, n.brain.AttemptEnded(n.now, j.ID, a, how, j.answered))
+	n.applyDecision(j, n.policy.AttemptEnded(n.now, j.ID, a, how, j.answered))
 }
 
-// fallDue stops what is out at its outer limit. What the module has left without an answer even then is broken
+// expireJobs stops what is out at its outer limit. What the module has left without an answer even then is broken
 // off here, or a batch job that was taken would be lost.
-func (n *Node) fallDue() {
-	for len(n.due) > 0 && n.due[0].dueAt <= n.now {
-		j := n.due[0]
-		if n.now >= j.limitAt {
+func (n *Node) expireJobs() {
+	for len(n.unanswered) > 0 && n.unanswered[0].expiresAt <= n.now {
+		j := n.unanswered[0]
+		if n.now >= j.deadline {
 			n.answer(j, Answer{Final: Failed})
-			n.brain.ClientLeft(n.now, j.ID)
+			n.policy.ClientLeft(n.now, j.ID)
 			continue
 		}
-		j.dueAt = j.limitAt
-		heap.Fix(&n.due, 0)
+		j.expiresAt = j.deadline
+		heap.Fix(&n.unanswered, 0)
 		for _, c := range slices.Clone(j.conns) {
-			n.giveUp(c, policy.TimedOut)
+			n.abandonAttempt(c, policy.TimedOut)
 		}
 	}
 }
 
-// doDue does all that the module has due, then asks for the one timer.
-func (n *Node) doDue() {
+// runPolicyTasks does all that the module has due, then asks for the one timer.
+func (n *Node) runPolicyTasks() {
 	for {
-		due := n.brain.NextTask(n.now)
+		due := n.policy.NextTask(n.now)
 		switch due.Task {
 		case policy.PlaceJob:
 			if j := n.jobs[due.Job]; j != nil {
 				n.deciding = j
-				n.carryOut(j, n.brain.Place(n.now, due.Job))
+				n.applyDecision(j, n.policy.Place(n.now, due.Job))
 			} else {
-				n.brain.ClientLeft(n.now, due.Job)
+				n.policy.ClientLeft(n.now, due.Job)
 			}
 		case policy.CancelAttempt:
 			if j := n.jobs[due.Job]; j != nil {
-				if i := slices.IndexFunc(j.conns, func(c *conn) bool { return c.number == due.Attempt }); i >= 0 {
-					n.giveUp(j.conns[i], policy.Canceled)
+				if i := slices.IndexFunc(j.conns, func(c *conn) bool { return c.attempt == due.Attempt }); i >= 0 {
+					n.abandonAttempt(j.conns[i], policy.Canceled)
 				}
 			}
 		case policy.ProbeExecutor:
-			n.probe(due.Executor)
+			n.startProbe(due.Executor)
 		case policy.SendLeaseMessage:
 			if n.fleet != nil { // else nobody carries it
-				n.say(SendLeaseMessage{To: due.Node, Message: due.Message, Hash: due.Hash})
+				n.emit(SendLeaseMessage{To: due.Node, Message: due.Message, Hash: due.Hash})
 			}
 		case policy.WatchEndpoints:
-			n.say(WatchEndpoints{})
+			n.emit(WatchEndpoints{})
 		case policy.WriteLog:
-			n.say(Log{Text: due.Text})
+			n.emit(Log{Text: due.Text})
 		case policy.Sleep:
-			at := min(due.At, n.nextPairDue())
+			at := min(due.At, n.nextHandoffDeadline())
 			if n.fleet != nil {
 				at = min(at, n.fleet.Next())
 			}
-			if len(n.due) > 0 {
-				at = min(at, n.due[0].dueAt)
+			if len(n.unanswered) > 0 {
+				at = min(at, n.unanswered[0].expiresAt)
 			}
-			if n.stopping && n.now < n.stopAt {
-				at = min(at, n.stopAt)
+			if n.stopping && n.now < n.lameDuckUntil {
+				at = min(at, n.lameDuckUntil)
 			}
-			n.wake(at)
+			n.setTimer(at)
 			return
 		}
 	}
 }
 
-func (n *Node) wake(at time.Duration) {
-	if at != n.armed {
-		n.armed = at
-		n.say(SetTimer{at})
+func (n *Node) setTimer(at time.Duration) {
+	if at != n.timerAt {
+		n.timerAt = at
+		n.emit(SetTimer{at})
 	}
 }
 
-// stop begins the end: no new readiness, what still comes is taken, and all is answered in time. The module is
+// beginShutdown begins the end: no new readiness, what still comes is taken, and all is answered in time. The module is
 // told, so that it sends nothing that can't be done by then.
-func (n *Node) stop() {
+func (n *Node) beginShutdown() {
 	if n.stopping {
 		return
 	}
-	n.stopping, n.stopAt, n.stopBy = true, n.now+n.limits.LameDuckPeriod, n.now+n.limits.ShutdownTimeout
-	n.say(SetReady{false})
-	n.say(Log{Text: fmt.Sprintf("told to stop with %d batch jobs in hand", len(n.due))})
-	for _, j := range n.due {
-		j.limitAt = min(j.limitAt, n.stopBy)
-		j.dueAt = min(j.dueAt, n.stopBy-n.limits.Quantum)
+	n.stopping, n.lameDuckUntil, n.deadline = true, n.now+n.limits.LameDuckPeriod, n.now+n.limits.ShutdownTimeout
+	n.emit(SetReady{false})
+	n.emit(Log{Text: fmt.Sprintf("told to stop with %d batch jobs in hand", len(n.unanswered))})
+	for _, j := range n.unanswered {
+		j.deadline = min(j.deadline, n.deadline)
+		j.expiresAt = min(j.expiresAt, n.deadline-n.limits.Quantum)
 	}
-	heap.Init(&n.due)
-	n.brain.ShutDownBy(n.now, n.stopBy)
+	heap.Init(&n.unanswered)
+	n.policy.ShutDownBy(n.now, n.deadline)
 }
 
-// leave closes the front once nothing is owed any more; the process ends when that is done.
-func (n *Node) leave() {
-	if n.stopping && !n.leaving && n.now >= n.stopAt && len(n.due) == 0 {
-		n.leaving = true
-		n.say(Log{Text: "all is answered"})
-		n.say(CloseFrontend{})
+// closeFrontendWhenDone closes the front once nothing is owed any more; the process ends when that is done.
+func (n *Node) closeFrontendWhenDone() {
+	if n.stopping && !n.frontendClosing && n.now >= n.lameDuckUntil && len(n.unanswered) == 0 {
+		n.frontendClosing = true
+		n.emit(Log{Text: "all is answered"})
+		n.emit(CloseFrontend{})
 	}
 }
 
-// dueHeap is a heap of batch jobs by when they are due; each knows its place in it.
-type dueHeap []*job
+// jobHeap is a heap of batch jobs by when they are due; each knows its place in it.
+type jobHeap []*job
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
-	return h[i].dueAt < h[j].dueAt || h[i].dueAt == h[j].dueAt && h[i].order < h[j].order
+func (h jobHeap) Len() int { return len(h) }
+func (h jobHeap) Less(i, j int) bool {
+	return h[i].expiresAt < h[j].expiresAt || h[i].expiresAt == h[j].expiresAt && h[i].arrival < h[j].arrival
 }
-func (h dueHeap) Swap(i, j int) {
+func (h jobHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *dueHeap) Push(x any) {
-	x.(*job).place = len(*h)
+func (h *jobHeap) Push(x any) {
+	x.(*job).heapIndex = len(*h)
 	*h = append(*h, x.(*job))
 }
-func (h *dueHeap) Pop() any {
+func (h *jobHeap) Pop() any {
 	old := *h
 	j := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -168,7 +168,7 @@
 			case SetTimer:
 				timer.Reset(e.At - time.Since(l.start))
 			case Log:
-				write(log, e)
+				writeLog(log, e)
 			case Exit:
 				return
 			}
@@ -176,7 +176,7 @@
 	}
 }
 
-func write(log zerolog.Logger, e Log) {
+func writeLog(log zerolog.Logger, e Log) {
 	line := log.Info()
 	if e.Executor != "" {
 		line.Str("executor", string(e.Executor))
