--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -7,199 +7,220 @@
 	"birchstair/policy"
 )
 
-// ConnID names a connection to an executor, from its dialling on.
+// ConnID names a connection to an executor from its Dial to its ConnClosed.
 type ConnID uint64
 
-// Request is what of a batch job goes on to an executor unchanged.
+// Request is the part of a job that executors receive unchanged.
 type Request struct {
 	ID             policy.JobID
 	Method         string
-	URI            string // path and query, as they came
+	URI            string // path and query, as the client sent them
 	Host           string
 	ContentType    string
-	IdempotencyKey string // by which executors know a repeat
-	Epoch          uint32 // of a durable batch job's allocation; 0 for all others
+	IdempotencyKey string // executors recognize a repeated request by it
+	Epoch          uint32 // of a durable job's attempt; 0 for all others
 	Body           []byte
 }
 
-// Job is a batch job as a client handed it in.
+// Job is a job as a client submitted it.
 type Job struct {
 	Request
 	Class       policy.JobClassID
 	Tenant      policy.TenantID
-	Work        time.Duration // a guess; 0 for none
-	Budget      time.Duration // how long the client waits
-	ClientRetry bool          // the client marks it as a repeat of its own
+	Work        time.Duration // estimated run time; 0 if unknown
+	Budget      time.Duration // how long the client waits for the answer
+	ClientRetry bool          // the client marked it as a retry of its own
 
-	NearConnectionLimit bool // it came when the front was at the edge of its descriptors
+	NearConnectionLimit bool // it arrived when the frontend was nearly out of descriptors
 
-	Client Client // nil where nobody waits on a connection
+	Client Client // nil if nobody waits on a connection
 }
 
-// Client is who waits for a batch job's answer. The reducer only hands it on.
+// Client is the client that waits for a job's answer. The state machine only passes it on.
 type Client interface {
-	// Gone says whether nobody waits for the answer any more, by what is known at this moment. It never waits, and any
-	// goroutine may ask.
+	// Gone reports whether nobody waits for the answer any more, as far as is known now. It doesn't block, and any goroutine
+	// may call it.
 	Gone() bool
 }
 
-// JobClass is a track and its name.
+// JobClass is a job class and its name.
 type JobClass struct {
 	Name string
 	policy.JobClass
 }
 
-// NumberedClass is a track by the number that batch jobs of it bear.
+// NumberedClass is a job class with the number that its jobs carry.
 type NumberedClass struct {
 	ID policy.JobClassID
 	JobClass
 }
 
-// Endpoint is an entry of the list and where the executor is reached.
+// Endpoint is an entry of the endpoint list with the executor's address.
 type Endpoint struct {
 	policy.Endpoint
 	Addr string
 }
 
-// Load is what an executor says of itself; Known says whether it does.
+// Load is an executor's load report. Known is false if the executor sent none.
 type Load struct {
 	policy.Load
 	Known bool
 }
 
-// Attempt is one sending of a batch job.
+// Attempt is one attempt of a job, as it is sent to an executor.
 type Attempt struct {
 	*Request
 	Budget     time.Duration // how long this node waits for it
 	AtMostOnce bool          // it must not run again unless it provably never ran
-	Client     Client        // looked at right before the first byte; nil where nobody waits
+	Client     Client        // checked right before the first byte; nil if nobody waits
 }
 
-// Final is the kind of a final answer.
+// Final is the kind of a job's final answer.
 type Final int
 
+// The kinds of final answers.
 const (
 	Succeeded Final = iota
-	Rejected
-	Failed
+	Rejected        // the job provably never ran, or may run again
+	Failed          // the job may have run
 )
 
-// Event is what a peer or the clock tells the reducer: one of the types below.
+// Event tells the state machine that something happened. It is one of the types below.
 type Event interface{ event() }
 
+// Events from clients, reported by package frontend.
 type (
-	// JobArrived: a batch job is taken.
+	// JobArrived reports a job that a client submitted.
 	JobArrived struct{ Job Job }
-	// ClientLeft: the client that handed the batch job in has closed its connection.
+	// ClientLeft reports that the client of a job has closed its connection.
 	ClientLeft struct {
 		Job    policy.JobID
 		Client Client // as in Job
 	}
-	// EndpointsUpdated: the list has news, or, with a detail, could not be had.
-	EndpointsUpdated struct {
-		Kind      policy.EndpointUpdateKind
-		Endpoints []Endpoint
-		Detail    string
-	}
-	// DiscoverySwitchPending: the address that the list is to come from now has brought none yet; the old one still counts.
-	DiscoverySwitchPending struct{ Addr, Detail string }
-	// ConfigReloaded: the configuration was read again. With a detail it makes no sense.
-	ConfigReloaded struct {
-		Discovery       string   // where the list comes from
-		NeedRestart     []string // keys that changed and hold from the next start on
-		Classes         []JobClass
-		MaxWork         time.Duration // as in Limits
-		ShutdownTimeout time.Duration // as in Limits
-		Detail          string
-	}
-	// ConnReady: a connection is up.
+	// JobDeclined reports that the frontend answered a job of a class itself because it can't be served.
+	JobDeclined struct{ Class policy.JobClassID }
+	// FrontendClosed reports that no client waits any more and none can connect.
+	FrontendClosed struct{}
+)
+
+// Events from executors, reported by package upstream.
+type (
+	// ConnReady reports that a connection is up.
 	ConnReady struct{ Conn ConnID }
-	// AttemptProgressed: an executor tells of an allocation that goes on. Share 0: it has started.
+	// AttemptProgressed reports that an attempt has started (Progress 0) or which share of it is done.
 	AttemptProgressed struct {
 		Conn     ConnID
 		Progress float64
 		Load     Load
 	}
-	// AttemptEnded: an allocation is over, and not by its connection breaking before a byte of it was written.
+	// AttemptEnded reports the outcome of an attempt, unless its connection broke before a byte of it was written.
 	AttemptEnded struct {
 		Conn       ConnID
 		Outcome    policy.Outcome
 		Result     []byte
 		Load       Load
-		ConnBroken bool   // the connection broke, or brought what makes no sense
+		ConnBroken bool   // the connection broke, or delivered something unreadable
 		Detail     string // for the log
 	}
-	// AttemptNotSent: not a byte of an attempt was written, since its client turned out to have gone; its connection rests.
+	// AttemptNotSent reports that no byte of an attempt was written because its client was gone; the connection is idle.
 	AttemptNotSent struct{ Conn ConnID }
-	// ProbeEnded: what came of a probe; load means something only where it was answered.
-	ProbeEnded struct {
-		Executor policy.ExecutorID
-		Answered bool
-		Load     policy.Load
-	}
-	// ConnIdle: a connection may carry the next allocation.
+	// ConnIdle reports that a connection can carry the next attempt.
 	ConnIdle struct{ Conn ConnID }
-	// ConnClosed: a connection's descriptor is given back. It is the last event of every connection.
+	// ConnClosed reports that a connection's descriptor is free. It is the last event of every connection.
 	ConnClosed struct {
 		Conn   ConnID
 		Detail string // for the log
 	}
-	// ShutdownRequested: the process is to end.
-	ShutdownRequested struct{}
-	// FrontendClosed: no client waits any more, and none can come.
-	FrontendClosed struct{}
-	// JobDeclined: the front has turned a batch job of a track away as one that it can't take.
-	JobDeclined struct{ Class policy.JobClassID }
-	// AdminCalled: an operator's call. It is answered by one Reply.
-	AdminCalled struct {
-		Caller   AdminCallID
-		Command  AdminCommand
+	// ProbeEnded reports the result of a load probe; Load is set only if it was answered.
+	ProbeEnded struct {
 		Executor policy.ExecutorID
+		Answered bool
+		Load     policy.Load
+	}
+)
+
+// Events from discovery and the configuration.
+type (
+	// EndpointsUpdated reports a watch event of the endpoint list, or, with a detail, why the list is unavailable.
+	EndpointsUpdated struct {
+		Kind      policy.EndpointUpdateKind
+		Endpoints []Endpoint
+		Detail    string
 	}
-	// HandoffLinkUp: a link to another process of this node is up.
+	// DiscoverySwitchPending reports that a new discovery address has delivered no list yet; the old one stays in use.
+	DiscoverySwitchPending struct{ Addr, Detail string }
+	// ConfigReloaded reports a configuration that was read again. With a detail it is invalid.
+	ConfigReloaded struct {
+		Discovery       string   // the address of the endpoint list
+		NeedRestart     []string // keys that changed and take effect at the next start
+		Classes         []JobClass
+		MaxWork         time.Duration // as in Limits
+		ShutdownTimeout time.Duration // as in Limits
+		Detail          string
+	}
+)
+
+// AdminCalled reports an operator's call. One AdminReply answers it.
+type AdminCalled struct {
+	Caller   AdminCallID
+	Command  AdminCommand
+	Executor policy.ExecutorID
+}
+
+// Events from other processes of this node, reported by package hotrestart.
+type (
+	// HandoffLinkUp reports that a link to another process is up.
 	HandoffLinkUp struct{ Link HandoffLink }
-	// HandoffReceived: that process says something.
+	// HandoffReceived reports a message from another process.
 	HandoffReceived struct {
 		Link    HandoffLink
 		Message HandoffMessage
 	}
-	// HandoffLinkDown: the link has ended, and its process most likely.
+	// HandoffLinkDown reports that a link has closed, most likely because its process has ended.
 	HandoffLinkDown struct {
 		Link   HandoffLink
 		Detail string
 	}
-	// FleetChanged: the nodes of the fleet that are held for alive.
+)
+
+// Events from other nodes of the fleet, reported by package gossip.
+type (
+	// FleetChanged reports which nodes of the fleet are alive, including this one.
 	FleetChanged struct{ Alive []cluster.NodeName }
-	// GossipReceived: a neighbour's word.
+	// GossipReceived reports a gossip message.
 	GossipReceived struct{ Message cluster.Message }
-	// LeaseMessageReceived: a neighbour's word about an executor's places.
+	// LeaseMessageReceived reports a message about the lease on an executor's capacity.
 	LeaseMessageReceived struct {
 		From    policy.NodeID
 		Message policy.LeaseMessage
 		Hash    policy.ExecutorHash
 	}
-	// GossipUnreadable: what came from a neighbour could not be read.
+	// GossipUnreadable reports a datagram that could not be decoded.
 	GossipUnreadable struct{ Why string }
-	// TimerFired: the timer that was asked for.
+)
+
+// Events from the process itself.
+type (
+	// ShutdownRequested reports that the process is to end.
+	ShutdownRequested struct{}
+	// TimerFired reports that the timer set by SetTimer has fired.
 	TimerFired struct{}
 )
 
 func (JobArrived) event()             {}
 func (ClientLeft) event()             {}
-func (EndpointsUpdated) event()       {}
-func (DiscoverySwitchPending) event() {}
-func (ConfigReloaded) event()         {}
+func (JobDeclined) event()            {}
+func (FrontendClosed) event()         {}
 func (ConnReady) event()              {}
 func (AttemptProgressed) event()      {}
 func (AttemptEnded) event()           {}
-func (ConnIdle) event()               {}
 func (AttemptNotSent) event()         {}
-func (ProbeEnded) event()             {}
+func (ConnIdle) event()               {}
 func (ConnClosed) event()             {}
-func (ShutdownRequested) event()      {}
-func (FrontendClosed) event()         {}
-func (TimerFired) event()             {}
-func (JobDeclined) event()            {}
+func (ProbeEnded) event()             {}
+func (EndpointsUpdated) event()       {}
+func (DiscoverySwitchPending) event() {}
+func (ConfigReloaded) event()         {}
 func (AdminCalled) event()            {}
 func (HandoffLinkUp) event()          {}
 func (HandoffReceived) event()        {}
@@ -208,103 +229,5 @@
 func (GossipReceived) event()         {}
 func (LeaseMessageReceived) event()   {}
 func (GossipUnreadable) event()       {}
-
-// Effect is what the reducer asks for: one of the types below.
-type Effect interface{ effect() }
-
-type (
-	// Answer gives a client its final answer.
-	Answer struct {
-		Job        policy.JobID
-		Final      Final
-		Result     []byte
-		RetryAfter time.Duration // 0: no advice
-	}
-	// Dial opens a connection.
-	Dial struct {
-		Conn ConnID
-		Addr string
-	}
-	// WriteAttempt sends an allocation on a connection that rests or has just come up.
-	WriteAttempt struct {
-		Conn    ConnID
-		Attempt Attempt
-	}
-	// ProbeExecutor asks an executor for its load, on a connection of its own. One Probed event answers it.
-	ProbeExecutor struct {
-		Executor policy.ExecutorID
-		Addr     string
-	}
-	// CloseConn closes a connection, or gives up dialling it.
-	CloseConn struct{ Conn ConnID }
-	// WatchEndpoints asks for the list again, now.
-	WatchEndpoints struct{}
-	// SwitchDiscovery takes the list from an address from now on; it may be the one that it comes from already.
-	SwitchDiscovery struct{ Addr string }
-	// UpdateJobClasses tells the front which tracks there are from now on.
-	UpdateJobClasses struct{ Classes []NumberedClass }
-	// SetReady says whether the node is to be given batch jobs.
-	SetReady struct{ Yes bool }
-	// DrainClients says that the node is not ready and lets clients go, until it is over; what still comes is taken.
-	DrainClients struct{ On bool }
-	// AdminReply answers an operator's call: with figures, or a no and its reason, or a yes.
-	AdminReply struct {
-		Caller  AdminCallID
-		Refusal string
-		Metrics *Metrics
-		Lines   []string // or what there is to see, a thing a line
-	}
-	// SendHandoff says something to another process of this node.
-	SendHandoff struct {
-		Link    HandoffLink
-		Message HandoffMessage
-	}
-	// CloseHandoffLink ends the link to it.
-	CloseHandoffLink struct{ Link HandoffLink }
-	// AcceptConnections says whether this process takes clients' new connections.
-	AcceptConnections struct{ Yes bool }
-	// HalveLimits halves what this process may use of the node's limits, or gives it all back.
-	HalveLimits struct{ Half bool }
-	// SendGossip says a word to a neighbour, which may get lost.
-	SendGossip struct{ cluster.Envelope }
-	// SendLeaseMessage says a word about an executor's places to a neighbour; it may get lost.
-	SendLeaseMessage struct {
-		To      policy.NodeID
-		Message policy.LeaseMessage
-		Hash    policy.ExecutorHash
-	}
-	// CloseFrontend lets the clients go that have their answers, and takes nothing more.
-	CloseFrontend struct{}
-	// SetTimer asks for one Woke event then; a later Wake takes its place.
-	SetTimer struct{ At time.Duration }
-	// Log writes a line.
-	Log struct {
-		Text     string
-		Executor policy.ExecutorID
-		Job      policy.JobID
-	}
-	// Exit: nothing is owed any more.
-	Exit struct{}
-)
-
-func (Answer) effect()            {}
-func (Dial) effect()              {}
-func (WriteAttempt) effect()      {}
-func (CloseConn) effect()         {}
-func (ProbeExecutor) effect()     {}
-func (WatchEndpoints) effect()    {}
-func (SwitchDiscovery) effect()   {}
-func (SetReady) effect()          {}
-func (UpdateJobClasses) effect()  {}
-func (CloseFrontend) effect()     {}
-func (SetTimer) effect()          {}
-func (Log) effect()               {}
-func (Exit) effect()              {}
-func (DrainClients) effect()      {}
-func (AdminReply) effect()        {}
-func (SendHandoff) effect()       {}
-func (CloseHandoffLink) effect()  {}
-func (AcceptConnections) effect() {}
-func (HalveLimits) effect()       {}
-func (SendGossip) effect()        {}
-func (SendLeaseMessage) effect()  {}
+func (ShutdownRequested) event()      {}
+func (TimerFired) event()             {}
--- a/internal/node/reducer.go
+++ b/internal/node/node.go
@@ -1,9 +1,3 @@
-// Package node is a node's core: one reducer that owns all its state and the decision module. An event goes
-// in, state changes, effects come out. It reads no clock and does no input or output; the packages by peer do
-// that and tell in events how it ended. What is decided is decided in package policy.
-//
-// The reducer stands in reducer.go, connections in conns.go, the list in endpoints.go, events and effects in
-// events.go; run.go feeds it and carries out its effects.
 package node
 
 import (
