--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,7 +9,7 @@
 	"birchstair/policy"
 )
 
-// Frontend gives answers to those who wait for them. None of its calls blocks, nor do the others'.
+// Frontend is the edge to clients. Its calls don't block, nor do those of the other edges.
 type Frontend interface {
 	Answer(Answer)
 	SetReady(bool)
@@ -20,7 +20,7 @@
 	Close()
 }
 
-// Upstream holds the connections to executors.
+// Upstream is the edge to executors.
 type Upstream interface {
 	Dial(ConnID, string)
 	Write(ConnID, Attempt)
@@ -28,58 +28,69 @@
 	Probe(id policy.ExecutorID, addr string)
 }
 
-// Discovery follows the list.
+// Discovery is the edge to the service that delivers the endpoint list.
 type Discovery interface {
 	WatchEndpoints()
 	SwitchDiscovery(addr string)
 }
 
-// Admin answers those who call at the door.
+// Admin is the edge to operators.
 type Admin interface{ Reply(AdminReply) }
 
-// Handoff are the other processes of this node.
+// Handoff is the edge to other processes of this node.
 type Handoff interface {
 	Send(HandoffLink, HandoffMessage)
 	CloseLink(HandoffLink)
 	AcceptConnections(bool)
 }
 
-// Gossip says words to neighbours.
+// Gossip is the edge to other nodes of the fleet.
 type Gossip interface {
 	SendGossip(cluster.Envelope)
 	SendLeaseMessage(SendLeaseMessage)
 }
 
-// Edges are the packages by peer that carry effects out.
+// Edges are the packages that carry out effects.
 type Edges struct {
 	Frontend    Frontend
 	Upstream    Upstream
 	Discovery   Discovery
-	Admin       Admin           // nil where there is no door
-	Handoff     Handoff         // nil where no other process of the node can join
-	Gossip      Gossip          // nil where this node talks with no others
-	LimitMemory func(half bool) // told what this process may use of it; nil where Others is
+	Admin       Admin           // nil without an operators' listener
+	Handoff     Handoff         // nil if no other process of the node can connect
+	Gossip      Gossip          // nil if this node is not part of a fleet
+	LimitMemory func(half bool) // halves this process's memory limit, or restores it; nil if Handoff is
 }
 
-// Observer is told of every step: its time, the event and the effects, before they are carried out. It must not keep them.
+// Observer is called after every step, before its effects are carried out. It must not keep them.
 type Observer func(now time.Duration, ev Event, effects []Effect)
 
-// Loop feeds events to the reducer, one at a time, and carries out its effects.
+// Sizes of the event queues: what the edges can post before they have to wait for the loop.
+const (
+	eventQueueSize       = 256
+	urgentEventQueueSize = 16
+)
+
+// Loop feeds events to a Node, one at a time, and carries out the effects.
 type Loop struct {
-	Observe Observer // nil for nobody; set before Run
+	Observe Observer // may be nil; set before Run
 
 	start  time.Time
 	events chan Event
-	first  chan Event // looked at before events
+	urgent chan Event // read before events
 	done   chan struct{}
 }
 
-// NewLoop makes the queue that peers tell their events to.
+// NewLoop creates a loop whose node counts time from start.
 func NewLoop(start time.Time) *Loop {
-	return &Loop{start: start, events: make(chan Event, 256), first: make(chan Event, 16), done: make(chan struct{})}
+	return &Loop{
+		start:  start,
+		events: make(chan Event, eventQueueSize),
+		urgent: make(chan Event, urgentEventQueueSize),
+		done:   make(chan struct{}),
+	}
 }
 
-// Post hands an event to the reducer; after the end it goes nowhere.
+// Post queues an event. After Run has returned it does nothing.
 func (l *Loop) Post(ev Event) {
 	select {
 	case l.events <- ev:
@@ -87,10 +98,10 @@
 	}
 }
 
-// PostUrgent hands over an event that goes before all that wait.
+// PostUrgent queues an event ahead of all those queued by Post.
 func (l *Loop) PostUrgent(ev Event) {
 	select {
-	case l.first <- ev:
+	case l.urgent <- ev:
 	case <-l.done:
 	}
 }
@@ -98,12 +109,12 @@
 // next waits for an event.
 func (l *Loop) next(timer *time.Timer) Event {
 	select {
-	case ev := <-l.first:
+	case ev := <-l.urgent:
 		return ev
 	default:
 	}
 	select {
-	case ev := <-l.first:
+	case ev := <-l.urgent:
 		return ev
 	case ev := <-l.events:
 		return ev
@@ -112,8 +123,8 @@
 	}
 }
 
-// Run goes on until nothing is owed any more after a stop.
-func (l *Loop) Run(n *Node, to Edges, log zerolog.Logger) {
+// Run steps the node until it asks to exit.
+func (l *Loop) Run(n *Node, edges Edges, log zerolog.Logger) {
 	defer close(l.done)
 	timer := time.NewTimer(0)
 	for {
@@ -125,57 +136,81 @@
 		}
 		for _, e := range effects {
 			switch e := e.(type) {
-			case Answer:
-				to.Frontend.Answer(e)
-			case SetReady:
-				to.Frontend.SetReady(e.Yes)
-			case Dial:
-				to.Upstream.Dial(e.Conn, e.Addr)
-			case WriteAttempt:
-				to.Upstream.Write(e.Conn, e.Attempt)
-			case CloseConn:
-				to.Upstream.Close(e.Conn)
-			case ProbeExecutor:
-				to.Upstream.Probe(e.Executor, e.Addr)
-			case WatchEndpoints:
-				to.Discovery.WatchEndpoints()
-			case SwitchDiscovery:
-				to.Discovery.SwitchDiscovery(e.Addr)
-			case UpdateJobClasses:
-				to.Frontend.UpdateJobClasses(e.Classes)
-			case DrainClients:
-				to.Frontend.DrainClients(e.On)
-			case AdminReply:
-				to.Admin.Reply(e)
-			case SendHandoff:
-				to.Handoff.Send(e.Link, e.Message)
-			case CloseHandoffLink:
-				to.Handoff.CloseLink(e.Link)
-			case AcceptConnections:
-				to.Frontend.AcceptConnections(e.Yes)
-				if to.Handoff != nil {
-					to.Handoff.AcceptConnections(e.Yes)
-				}
-			case HalveLimits:
-				to.Frontend.HalveLimits(e.Half)
-				to.LimitMemory(e.Half)
-			case SendGossip:
-				to.Gossip.SendGossip(e.Envelope)
-			case SendLeaseMessage:
-				to.Gossip.SendLeaseMessage(e)
-			case CloseFrontend:
-				to.Frontend.Close()
 			case SetTimer:
 				timer.Reset(e.At - time.Since(l.start))
 			case Log:
 				writeLog(log, e)
 			case Exit:
 				return
+			default:
+				edges.carryOut(e)
 			}
 		}
 	}
 }
 
+// carryOut hands an effect to the edge that it is for.
+func (edges *Edges) carryOut(e Effect) {
+	switch e := e.(type) {
+	case Answer, UpdateJobClasses, SetReady, DrainClients, CloseFrontend:
+		edges.carryOutFrontend(e)
+	case Dial, WriteAttempt, CloseConn, ProbeExecutor:
+		edges.carryOutUpstream(e)
+	case WatchEndpoints:
+		edges.Discovery.WatchEndpoints()
+	case SwitchDiscovery:
+		edges.Discovery.SwitchDiscovery(e.Addr)
+	case AdminReply:
+		edges.Admin.Reply(e)
+	case SendHandoff:
+		edges.Handoff.Send(e.Link, e.Message)
+	case CloseHandoffLink:
+		edges.Handoff.CloseLink(e.Link)
+	case AcceptConnections:
+		edges.Frontend.AcceptConnections(e.Yes)
+		if edges.Handoff != nil {
+			edges.Handoff.AcceptConnections(e.Yes)
+		}
+	case HalveLimits:
+		edges.Frontend.HalveLimits(e.Half)
+		edges.LimitMemory(e.Half)
+	case SendGossip:
+		edges.Gossip.SendGossip(e.Envelope)
+	case SendLeaseMessage:
+		edges.Gossip.SendLeaseMessage(e)
+	}
+}
+
+// carryOutFrontend carries out an effect that only the frontend sees.
+func (edges *Edges) carryOutFrontend(e Effect) {
+	switch e := e.(type) {
+	case Answer:
+		edges.Frontend.Answer(e)
+	case UpdateJobClasses:
+		edges.Frontend.UpdateJobClasses(e.Classes)
+	case SetReady:
+		edges.Frontend.SetReady(e.Yes)
+	case DrainClients:
+		edges.Frontend.DrainClients(e.On)
+	case CloseFrontend:
+		edges.Frontend.Close()
+	}
+}
+
+// carryOutUpstream carries out an effect on a connection to an executor.
+func (edges *Edges) carryOutUpstream(e Effect) {
+	switch e := e.(type) {
+	case Dial:
+		edges.Upstream.Dial(e.Conn, e.Addr)
+	case WriteAttempt:
+		edges.Upstream.Write(e.Conn, e.Attempt)
+	case CloseConn:
+		edges.Upstream.Close(e.Conn)
+	case ProbeExecutor:
+		edges.Upstream.Probe(e.Executor, e.Addr)
+	}
+}
+
 func writeLog(log zerolog.Logger, e Log) {
 	line := log.Info()
 	if e.Executor != "" {
