--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -25,36 +25,6 @@
 	ReadFleet // what it knows of the nodes that it talks with
 )
 
-// Metrics are what a node has done since its start, and what it holds.
-type Metrics struct {
-	Classes           []ClassMetrics // in the order in which the tracks came
-	Attempts          int            // whose last byte was written
-	InFlight          int            // batch jobs that are owed an answer
-	KnownExecutors    int            // executors on the list
-	ExcludedExecutors int            // those of them that get nothing new, by hand, by the list or by choice
-	ReloadsApplied    int            // configurations that were read again and taken
-	ReloadsRejected   int            // and those that were not
-}
-
-// ClassMetrics are the final answers to batch jobs of one track.
-type ClassMetrics struct {
-	Name                        string
-	Succeeded, Rejected, Failed int
-}
-
-// count books a final answer.
-func (n *Node) count(track policy.JobClassID, how Final) {
-	f := &n.metrics.Classes[n.metricsIndex[track]]
-	switch how {
-	case Succeeded:
-		f.Succeeded++
-	case Rejected:
-		f.Rejected++
-	case Failed:
-		f.Failed++
-	}
-}
-
 // adminCalled does what a caller wants, and answers.
 func (n *Node) adminCalled(ev AdminCalled) {
 	r := AdminReply{Caller: ev.Caller}
@@ -134,25 +104,6 @@
 	return ""
 }
 
-// refreshEndpoint tells the module of one executor as the list and operators have it together.
-func (n *Node) refreshEndpoint(e *executor) {
-	in := n.effectiveEndpoint(e.entry)
-	e.available, e.startedAt = in.State == policy.Available, in.StartedAt
-	n.policy.UpdateEndpoints(n.now, policy.IncrementalUpdate, []policy.Endpoint{in})
-}
-
-// effectiveEndpoint is an entry of the list with what operators want, and what neighbours tell of drains, put over it.
-func (n *Node) effectiveEndpoint(in policy.Endpoint) policy.Endpoint {
-	told := n.fleet != nil && n.fleet.IsDraining(in.Executor, in.StartedAt, in.StartedLongAgo)
-	if (n.excluded[in.Executor] || told) && in.State == policy.Available {
-		in.State = policy.Draining
-	}
-	if at, ok := n.readmittedAt[in.Executor]; ok && (in.StartedLongAgo || in.StartedAt < at) {
-		in.StartedAt, in.StartedLongAgo = at, false
-	}
-	return in
-}
-
 // drainClients sends clients away, or lets them come again.
 func (n *Node) drainClients(on bool) {
 	if on == n.clientsDrained {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -1,28 +1,13 @@
 package node
 
 import (
-	"strings"
+	"cmp"
+	"maps"
+	"slices"
 
 	"birchstair/policy"
 )
 
-// configReloaded takes in a configuration that was read again: the list comes from the address that it names, the tracks are
-// its, and nothing in hand is touched. One that makes no sense changes nothing.
-func (n *Node) configReloaded(ev ConfigReloaded) {
-	if ev.Detail != "" {
-		n.metrics.ReloadsRejected++
-		n.emit(Log{Text: "the configuration stays as it was: " + ev.Detail})
-		return
-	}
-	n.metrics.ReloadsApplied++
-	n.emit(Log{Text: "the configuration was read again; the list comes from " + ev.Discovery})
-	if len(ev.NeedRestart) > 0 {
-		n.emit(Log{Text: "changed, and taken up at the next start: " + strings.Join(ev.NeedRestart, ", ")})
-	}
-	n.updateJobClasses(ev)
-	n.emit(SwitchDiscovery{ev.Discovery})
-}
-
 // endpointsUpdated takes in news of the list. A first list makes the node ready; where none can be had, an old copy does.
 func (n *Node) endpointsUpdated(ev EndpointsUpdated) {
 	if ev.Kind == policy.CachedUpdate && n.inherited {
@@ -104,3 +89,29 @@
 	n.closeIdleConns(e)
 	delete(n.executors, e.id)
 }
+
+// refreshEndpoint tells the module of one executor as the list and operators have it together.
+func (n *Node) refreshEndpoint(e *executor) {
+	in := n.effectiveEndpoint(e.entry)
+	e.available, e.startedAt = in.State == policy.Available, in.StartedAt
+	n.policy.UpdateEndpoints(n.now, policy.IncrementalUpdate, []policy.Endpoint{in})
+}
+
+// effectiveEndpoint is an entry of the list with what operators want, and what neighbours tell of drains, put over it.
+func (n *Node) effectiveEndpoint(in policy.Endpoint) policy.Endpoint {
+	told := n.fleet != nil && n.fleet.IsDraining(in.Executor, in.StartedAt, in.StartedLongAgo)
+	if (n.excluded[in.Executor] || told) && in.State == policy.Available {
+		in.State = policy.Draining
+	}
+	if at, ok := n.readmittedAt[in.Executor]; ok && (in.StartedLongAgo || in.StartedAt < at) {
+		in.StartedAt, in.StartedLongAgo = at, false
+	}
+	return in
+}
+
+// executorsByID are the executors by their ids.
+func (n *Node) executorsByID() []*executor {
+	all := slices.Collect(maps.Values(n.executors))
+	slices.SortFunc(all, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
+	return all
+}
--- a/internal/node/job_classes.go
+++ b/internal/node/job_classes.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
 
 	"birchstair/policy"
 )
@@ -35,17 +36,6 @@
 // JobClasses are the current tracks with their numbers.
 func (n *Node) JobClasses() []NumberedClass { return n.current }
 
-// metricsIndexOf is where a track's figures stand; those of one that is dropped stay, and go on if it comes back.
-func (n *Node) metricsIndexOf(name string) int {
-	f := &n.metrics.Classes
-	i := slices.IndexFunc(*f, func(t ClassMetrics) bool { return t.Name == name })
-	if i < 0 {
-		i = len(*f)
-		*f = append(*f, ClassMetrics{Name: name})
-	}
-	return i
-}
-
 // updateJobClasses takes up the tracks of another configuration. The module, this node and the front change in one step.
 func (n *Node) updateJobClasses(ev ConfigReloaded) {
 	n.limits.MaxWork, n.limits.ShutdownTimeout = ev.MaxWork, ev.ShutdownTimeout
@@ -56,3 +46,20 @@
 	n.emit(Log{Text: fmt.Sprintf("there are %d tracks from now on", len(n.current))})
 	n.emit(UpdateJobClasses{n.current})
 }
+
+// configReloaded takes in a configuration that was read again: the list comes from the address that it names, the tracks are
+// its, and nothing in hand is touched. One that makes no sense changes nothing.
+func (n *Node) configReloaded(ev ConfigReloaded) {
+	if ev.Detail != "" {
+		n.metrics.ReloadsRejected++
+		n.emit(Log{Text: "the configuration stays as it was: " + ev.Detail})
+		return
+	}
+	n.metrics.ReloadsApplied++
+	n.emit(Log{Text: "the configuration was read again; the list comes from " + ev.Discovery})
+	if len(ev.NeedRestart) > 0 {
+		n.emit(Log{Text: "changed, and taken up at the next start: " + strings.Join(ev.NeedRestart, ", ")})
+	}
+	n.updateJobClasses(ev)
+	n.emit(SwitchDiscovery{ev.Discovery})
+}
