--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"birchstair/policy"
 )
@@ -36,8 +35,7 @@
 			r.Refusal = "not ready"
 		}
 	case ReadMetrics:
-		f := n.metrics
-		f.Classes = slices.Clone(f.Classes) // the caller reads them while this goes on
+		f := n.metrics.snapshot()
 		f.InFlight, f.KnownExecutors, f.ExcludedExecutors = len(n.unanswered), len(n.executors), n.policy.CountExcluded(n.now)
 		r.Metrics = &f
 	case ReadFleet:
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -153,9 +153,9 @@
 
 func (n *Node) writeAttempt(c *conn) {
 	c.state, c.progressed, c.writtenAt = connBusy, false, n.now
-	n.metrics.Attempts++ // taken back if its last byte never leaves
+	n.metrics.countAttempt()
 	n.emit(WriteAttempt{c.id, Attempt{Request: &c.job.Request, Budget: max(c.job.deadline-n.now, time.Millisecond),
-		AtMostOnce: n.idempotency[c.job.Class] != policy.Idempotent, Client: c.job.Client}})
+		AtMostOnce: n.classes.idempotency[c.job.Class] != policy.Idempotent, Client: c.job.Client}})
 }
 
 // executorRestarted says whether the executor has started anew since the module meant it: it is cold, so the module is asked again. Guards
@@ -248,7 +248,7 @@
 	c.state = connFinished
 	j, how := n.detachJob(c), ev.Outcome
 	if ev.ConnBroken && how == policy.ConnectFailed {
-		n.metrics.Attempts--
+		n.metrics.uncountAttempt()
 	}
 	switch {
 	case how == policy.Succeeded:
@@ -281,12 +281,12 @@
 	if c == nil || c.state != connBusy {
 		return
 	}
-	n.metrics.Attempts--
+	n.metrics.uncountAttempt()
 	j := n.detachJob(c)
 	if c.state = connFinished; !c.abandoned { // else it is being closed
 		n.makeIdle(c)
 	}
-	n.clientLeft(j)
+	n.clientGone(j)
 	n.attemptOver(j, c.attempt, policy.NotSent)
 }
 
@@ -311,7 +311,7 @@
 		}
 	}
 	if c.state == connBusy { // its end never came: nothing was written
-		n.metrics.Attempts--
+		n.metrics.uncountAttempt()
 	}
 	c.state = connFinished
 	j := n.detachJob(c)
@@ -328,3 +328,9 @@
 		n.attemptOver(j, c.attempt, policy.NotSent)
 	}
 }
+
+// probeEnded passes the result of a load probe on to the policy.
+func (n *Node) probeEnded(ev ProbeEnded) {
+	n.probesInFlight--
+	n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+}
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -1,42 +1,28 @@
 package node
 
 import (
-	"fmt"
-
 	"birchstair/internal/cluster"
 	"birchstair/policy"
 )
 
-// JoinFleet makes this node one of a fleet. It is called before the first step, or never: then nothing of this file acts.
+// JoinFleet makes this node part of a fleet. It is called before the first step or not at all.
 func (n *Node) JoinFleet(s cluster.Settings) { n.fleet = cluster.New(s) }
 
-// Fleet is what this node knows of its fleet, to be looked at; nil where it does not talk.
+// Fleet returns what this node knows of its fleet, for reading only; nil if it is not part of one.
 func (n *Node) Fleet() *cluster.Fleet { return n.fleet }
 
-// handleGossip takes in what comes of neighbours.
-func (n *Node) handleGossip(ev Event) {
-	if n.fleet == nil {
-		return
-	}
-	switch ev := ev.(type) {
-	case FleetChanged:
-		n.fleet.SetAlive(ev.Alive)
-		n.emit(Log{Text: fmt.Sprintf("nodes of the fleet alive: %d", len(ev.Alive))})
-	case GossipReceived:
-		for _, id := range n.fleet.Receive(n.now, ev.Message) {
-			if e := n.executors[id]; e != nil && e.available && n.fleet.IsDraining(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
-				n.emit(Log{Text: "counts as draining: " + string(ev.Message.From) + " told so", Executor: id})
-				n.refreshDraining(id)
-			}
+// gossipReceived takes in a gossip message, and applies the drains in it that are new.
+func (n *Node) gossipReceived(m cluster.Message) {
+	for _, id := range n.fleet.Receive(n.now, m) {
+		if e := n.executors[id]; e != nil && e.available && n.fleet.IsDraining(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
+			n.emit(Log{Text: "counts as draining: " + string(m.From) + " told so", Executor: id})
+			n.refreshDraining(id)
 		}
-	case LeaseMessageReceived:
-		n.policy.ReceiveLeaseMessage(n.now, ev.From, ev.Message, ev.Hash)
-	case GossipUnreadable:
-		n.fleet.CountDropped(ev.Why)
 	}
 }
 
-// tickFleet does what is due between nodes that talk.
+// tickFleet sends the gossip that is due, and applies the admission threshold and the expiry of drains that follow from what
+// was received.
 func (n *Node) tickFleet() {
 	if n.fleet == nil || n.now < n.fleet.Next() {
 		return
@@ -45,14 +31,14 @@
 		n.emit(Log{Text: "no longer counts as draining by what neighbours told", Executor: id})
 		n.refreshDraining(id)
 	}
-	words, line := n.fleet.Tick(n.now, n.policy.TakeLoadSummary(n.now))
-	n.policy.SetAdmissionThreshold(line)
-	for _, w := range words {
-		n.emit(SendGossip{w})
+	messages, threshold := n.fleet.Tick(n.now, n.policy.TakeLoadSummary(n.now))
+	n.policy.SetAdmissionThreshold(threshold)
+	for _, m := range messages {
+		n.emit(SendGossip{m})
 	}
 }
 
-// refreshDraining shows the module an executor of which neighbours have told something new.
+// refreshDraining applies what the fleet now says of an executor's drain.
 func (n *Node) refreshDraining(id policy.ExecutorID) {
 	if e := n.executors[id]; e != nil {
 		n.refreshEndpoint(e)
@@ -62,7 +48,7 @@
 	}
 }
 
-// observeEndpoint tells neighbours what this node's own list says.
+// observeEndpoint tells the fleet what this node's own endpoint list says of an executor.
 func (n *Node) observeEndpoint(in policy.Endpoint) {
 	if n.fleet != nil {
 		n.fleet.ObserveEndpoint(n.now, in.Executor, in.StartedAt, in.StartedLongAgo, in.State)
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -99,7 +99,7 @@
 func (n *Node) handoffState() *HandoffState {
 	s := &HandoffState{Drained: n.clientsDrained, Learned: n.policy.ExportLearned(n.now)}
 	for _, t := range s.Learned.Classes {
-		s.ClassNames = append(s.ClassNames, n.metrics.Classes[n.metricsIndex[t.ID]].Name)
+		s.ClassNames = append(s.ClassNames, n.metrics.className(t.ID))
 	}
 	s.Excluded = slices.Sorted(maps.Keys(n.excluded))
 	for _, id := range slices.Sorted(maps.Keys(n.readmittedAt)) {
@@ -230,7 +230,7 @@
 		if i >= len(s.ClassNames) {
 			break
 		}
-		if id, ok := n.lastIDByName[s.ClassNames[i]]; ok {
+		if id, ok := n.classes.lastIDByName[s.ClassNames[i]]; ok {
 			t.ID = id
 			tracks = append(tracks, t)
 		}
--- a/internal/node/job_classes.go
+++ b/internal/node/job_classes.go
@@ -1,65 +1,66 @@
 package node
 
 import (
-	"fmt"
 	"slices"
-	"strings"
 
 	"birchstair/policy"
 )
 
-// numberJobClasses makes these the current tracks, and gives what changes for the module. One that is as it was keeps its number;
-// any other gets the next, so that batch jobs in hand, and those still on their way from the front, keep what they came
-// with.
-func (n *Node) numberJobClasses(tracks []JobClass) (changes []policy.JobClassUpdate) {
+// jobClasses numbers the job classes of the current and of earlier configurations.
+//
+// A class that a reload leaves unchanged keeps its ID. Every other class gets the next ID, so that jobs in flight, and jobs
+// still on their way from the frontend, keep the class they arrived with.
+type jobClasses struct {
+	current      []NumberedClass
+	idempotency  []policy.Idempotency // by ID, of all classes there ever were
+	lastIDByName map[string]policy.JobClassID
+}
+
+// set makes these the current classes. It returns the update for the policy and the names of the classes that got new IDs, in
+// the order of these IDs.
+func (c *jobClasses) set(classes []JobClass) (updates []policy.JobClassUpdate, added []string) {
 	var current []NumberedClass
-	for _, t := range tracks {
-		from, known := n.lastIDByName[t.Name]
+	for _, class := range classes {
+		replaces, known := c.lastIDByName[class.Name]
 		if !known {
-			from = policy.NoJobClass
+			replaces = policy.NoJobClass
 		}
-		c := policy.JobClassUpdate{ID: policy.JobClassID(len(n.metricsIndex)), Replaces: from, JobClass: t.JobClass}
-		if i := slices.IndexFunc(n.current, func(old NumberedClass) bool { return old.JobClass == t }); i >= 0 {
-			c.ID = n.current[i].ID
-		} else {
-			n.metricsIndex = append(n.metricsIndex, n.metricsIndexOf(t.Name))
-			n.idempotency = append(n.idempotency, t.Idempotency)
+		id, unchanged := c.idOf(class)
+		if !unchanged {
+			id = policy.JobClassID(len(c.idempotency))
+			c.idempotency = append(c.idempotency, class.Idempotency)
+			added = append(added, class.Name)
 		}
-		n.lastIDByName[t.Name] = c.ID
-		changes = append(changes, c)
-		current = append(current, NumberedClass{c.ID, t})
+		c.lastIDByName[class.Name] = id
+		updates = append(updates, policy.JobClassUpdate{ID: id, Replaces: replaces, JobClass: class.JobClass})
+		current = append(current, NumberedClass{id, class})
 	}
-	n.current = current
-	return changes
+	c.current = current
+	return updates, added
 }
 
-// JobClasses are the current tracks with their numbers.
-func (n *Node) JobClasses() []NumberedClass { return n.current }
-
-// updateJobClasses takes up the tracks of another configuration. The module, this node and the front change in one step.
-func (n *Node) updateJobClasses(ev ConfigReloaded) {
-	n.limits.MaxWork, n.limits.ShutdownTimeout = ev.MaxWork, ev.ShutdownTimeout
-	if slices.EqualFunc(n.current, ev.Classes, func(a NumberedClass, b JobClass) bool { return a.JobClass == b }) {
-		return
+// idOf finds a current class with this name and these settings.
+func (c *jobClasses) idOf(class JobClass) (id policy.JobClassID, ok bool) {
+	i := slices.IndexFunc(c.current, func(old NumberedClass) bool { return old.JobClass == class })
+	if i < 0 {
+		return 0, false
 	}
-	n.policy.UpdateJobClasses(n.now, n.numberJobClasses(ev.Classes))
-	n.emit(Log{Text: fmt.Sprintf("there are %d tracks from now on", len(n.current))})
-	n.emit(UpdateJobClasses{n.current})
+	return c.current[i].ID, true
 }
 
-// configReloaded takes in a configuration that was read again: the list comes from the address that it names, the tracks are
-// its, and nothing in hand is touched. One that makes no sense changes nothing.
-func (n *Node) configReloaded(ev ConfigReloaded) {
-	if ev.Detail != "" {
-		n.metrics.ReloadsRejected++
-		n.emit(Log{Text: "the configuration stays as it was: " + ev.Detail})
-		return
-	}
-	n.metrics.ReloadsApplied++
-	n.emit(Log{Text: "the configuration was read again; the list comes from " + ev.Discovery})
-	if len(ev.NeedRestart) > 0 {
-		n.emit(Log{Text: "changed, and taken up at the next start: " + strings.Join(ev.NeedRestart, ", ")})
+// same reports whether these are the current classes.
+func (c *jobClasses) same(classes []JobClass) bool {
+	return slices.EqualFunc(c.current, classes, func(a NumberedClass, b JobClass) bool { return a.JobClass == b })
+}
+
+// JobClasses returns the current job classes with their IDs.
+func (n *Node) JobClasses() []NumberedClass { return n.classes.current }
+
+// setJobClasses makes these the current classes, here and in the metrics. It returns the update for the policy.
+func (n *Node) setJobClasses(classes []JobClass) []policy.JobClassUpdate {
+	updates, added := n.classes.set(classes)
+	for _, name := range added {
+		n.metrics.addClass(name)
 	}
-	n.updateJobClasses(ev)
-	n.emit(SwitchDiscovery{ev.Discovery})
+	return updates
 }
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -24,12 +24,12 @@
 func (n *Node) jobArrived(in Job) {
 	if n.jobs[in.ID] != nil {
 		// Its client left it, and came again under the same id while an allocation of it is still out.
-		n.count(in.Class, Failed)
+		n.metrics.countAnswer(in.Class, Failed)
 		n.emit(Answer{Job: in.ID, Final: Failed})
 		return
 	}
 	if in.NearConnectionLimit || n.bodyBytes+len(in.Body) > n.limits.MaxBodyBytes {
-		n.count(in.Class, Rejected)
+		n.metrics.countAnswer(in.Class, Rejected)
 		n.emit(Answer{Job: in.ID, Final: Rejected, RetryAfter: n.limits.RetryAfter})
 		return
 	}
@@ -52,14 +52,22 @@
 func (n *Node) answer(j *job, a Answer) {
 	if !j.answered {
 		a.Job = j.ID
-		n.count(j.Class, a.Final)
+		n.metrics.countAnswer(j.Class, a.Final)
 		n.emit(a)
 		n.settle(j)
 	}
 }
 
-// clientLeft notes that a batch job's client has gone: it is owed no answer, and nothing of it is sent any more.
-func (n *Node) clientLeft(j *job) {
+// clientLeft handles a client that has closed its connection. Its job may have ended already, and the ID may have been used
+// again by another client: the last check before an attempt's first byte can see a client leave before the frontend does.
+func (n *Node) clientLeft(ev ClientLeft) {
+	if j := n.jobs[ev.Job]; j != nil && j.Client == ev.Client {
+		n.clientGone(j)
+	}
+}
+
+// clientGone ends a job whose client has gone: it needs no answer and gets no further attempts.
+func (n *Node) clientGone(j *job) {
 	if !j.answered {
 		n.settle(j)
 		n.policy.ClientLeft(n.now, j.ID)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -73,14 +73,11 @@
 	clientsDrained     bool                                // by operators
 	excluded           map[policy.ExecutorID]bool          // taken out by them
 	readmittedAt       map[policy.ExecutorID]time.Duration // when they put one back
-	metrics            Metrics
+	metrics            counters
+	classes            jobClasses
 	limitsHalved       bool
 	fleet              *cluster.Fleet // nil where this node talks with no others
 	handoff
-	metricsIndex    []int                        // by a track's number, where its figures stand
-	idempotency     []policy.Idempotency         // by that number
-	current         []NumberedClass              // the current ones
-	lastIDByName    map[string]policy.JobClassID // by name, the last number that it bore
 	updates         int
 	watchFailing    bool
 	failedWatches   int // calls for the list that brought nothing
@@ -97,8 +94,8 @@
 func New(brain Policy, limits Limits, tracks []JobClass) *Node {
 	n := &Node{policy: brain, limits: limits, idleLimit: limits.MaxIdle, executors: map[policy.ExecutorID]*executor{},
 		conns: map[ConnID]*conn{}, jobs: map[policy.JobID]*job{},
-		excluded: map[policy.ExecutorID]bool{}, readmittedAt: map[policy.ExecutorID]time.Duration{}, lastIDByName: map[string]policy.JobClassID{}, handoff: handoff{relays: map[uint64]*pendingRelay{}}}
-	n.numberJobClasses(tracks)
+		excluded: map[policy.ExecutorID]bool{}, readmittedAt: map[policy.ExecutorID]time.Duration{}, classes: jobClasses{lastIDByName: map[string]policy.JobClassID{}}, handoff: handoff{relays: map[uint64]*pendingRelay{}}}
+	n.setJobClasses(tracks)
 	return n
 }
 
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -200,7 +200,7 @@
 				r.NeedRestart = append(r.NeedRestart, w)
 				continue
 			}
-			t := p.n.current[0].JobClass.JobClass
+			t := p.n.classes.current[0].JobClass.JobClass
 			t.Idempotency, t.MaxAttempts = policy.Idempotent, 0
 			switch rule {
 			case "once":
@@ -211,7 +211,7 @@
 			r.Classes = append(r.Classes, JobClass{name, t})
 		}
 		if r.Classes == nil {
-			for _, t := range p.n.current {
+			for _, t := range p.n.classes.current {
 				r.Classes = append(r.Classes, t.JobClass)
 			}
 		}
--- /dev/null
+++ b/internal/node/reload.go
@@ -0,0 +1,34 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+)
+
+// configReloaded applies a configuration that was read again: its discovery address, job classes and limits. Jobs in flight
+// are not touched. An invalid configuration changes nothing.
+func (n *Node) configReloaded(ev ConfigReloaded) {
+	if ev.Detail != "" {
+		n.metrics.countReload(false)
+		n.emit(Log{Text: "the configuration stays as it was: " + ev.Detail})
+		return
+	}
+	n.metrics.countReload(true)
+	n.emit(Log{Text: "the configuration was read again; the list comes from " + ev.Discovery})
+	if len(ev.NeedRestart) > 0 {
+		n.emit(Log{Text: "changed, and taken up at the next start: " + strings.Join(ev.NeedRestart, ", ")})
+	}
+	n.reloadJobClasses(ev)
+	n.emit(SwitchDiscovery{ev.Discovery})
+}
+
+// reloadJobClasses applies the job classes of a reload. The policy, this node and the frontend change in one step.
+func (n *Node) reloadJobClasses(ev ConfigReloaded) {
+	n.limits.MaxWork, n.limits.ShutdownTimeout = ev.MaxWork, ev.ShutdownTimeout
+	if n.classes.same(ev.Classes) {
+		return
+	}
+	n.policy.UpdateJobClasses(n.now, n.setJobClasses(ev.Classes))
+	n.emit(Log{Text: fmt.Sprintf("there are %d tracks from now on", len(n.classes.current))})
+	n.emit(UpdateJobClasses{n.classes.current})
+}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -30,3 +30,15 @@
 		n.emit(CloseFrontend{})
 	}
 }
+
+// frontendClosed exits once the frontend has closed.
+func (n *Node) frontendClosed() {
+	if n.stopping && len(n.unanswered) > 0 { // one has come at the last moment; it has its answer by its limit
+		n.emit(CloseFrontend{})
+		return
+	}
+	for len(n.unanswered) > 0 { // the front broke: nobody would learn what becomes of them
+		n.answer(n.unanswered[0], Answer{Final: Failed})
+	}
+	n.emit(Exit{})
+}
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -58,3 +58,6 @@
 		n.emit(SetTimer{at})
 	}
 }
+
+// timerFired notes that the timer has fired: the next step sets it anew even for the same time.
+func (n *Node) timerFired() { n.timerAt = -1 }
