--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -31,12 +31,12 @@
 	case CheckReady:
 		// Guards against a platform that ends the elder by this yes before the elder knows of its heir: it would let clients'
 		// connections go at once, some of them under their next message.
-		if !n.announced || n.awaitingYield && n.now < n.yieldDeadline || n.stopping {
+		if !n.announced || n.awaitingYield && n.now < n.yieldDeadline || n.shutdown.requested {
 			r.Refusal = "not ready"
 		}
 	case ReadMetrics:
 		f := n.metrics.snapshot()
-		f.InFlight, f.KnownExecutors, f.ExcludedExecutors = len(n.unanswered), len(n.executors), n.policy.CountExcluded(n.now)
+		f.InFlight, f.KnownExecutors, f.ExcludedExecutors = n.jobs.inFlight(), len(n.executors), n.policy.CountExcluded(n.now)
 		r.Metrics = &f
 	case ReadFleet:
 		if r.Refusal = "this node talks with no others: its [fleet] table is not there"; n.fleet != nil {
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -62,10 +62,9 @@
 
 // startAttempt puts an allocation on its way.
 func (n *Node) startAttempt(j *job, id policy.ExecutorID) {
-	number := policy.AttemptID(j.attempts)
-	j.attempts++
-	if e := n.executors[id]; e == nil || !n.assignConn(j, number, e, n.now) {
-		n.attemptOver(j, number, policy.NotSent)
+	attempt := j.startAttempt()
+	if e := n.executors[id]; e == nil || !n.assignConn(j, attempt, e, n.now) {
+		n.attemptOver(j, attempt, policy.NotSent)
 	}
 }
 
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -245,7 +245,7 @@
 		return
 	}
 	n.announced = true
-	n.emit(SetReady{!n.stopping})
+	n.emit(SetReady{!n.shutdown.requested})
 	n.emit(AcceptConnections{!n.yielded})
 	if slices.Contains(n.links, Predecessor) {
 		n.awaitingYield, n.yieldDeadline = true, n.now+yieldTimeout
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,54 +9,60 @@
 	"birchstair/policy"
 )
 
-// Limits are the figures that the reducer needs beside the module's settings.
+// Limits are the settings that the state machine needs besides those of the policy.
 type Limits struct {
-	Quantum         time.Duration // what comes so close to an outer limit counts as at it
-	MaxIdle         time.Duration // a connection that has rested so long is not used any more
-	DialTimeout     time.Duration // news of a close takes less
+	Quantum         time.Duration // how long before a job's deadline its attempts are abandoned
+	MaxIdle         time.Duration // a connection that has been idle for so long is not used any more
+	DialTimeout     time.Duration // an upper bound on dialing, and on learning that the peer has closed a connection
 	MaxConns        int           // connections to executors
-	MaxConnsShared  int           // and while another process of the node lives
-	MaxBodyBytes    int           // bytes of bodies in hand
-	RetryAfter      time.Duration // what is pushed back at the edge of the limits comes back then; 0: no advice
-	MaxWork         time.Duration // a guess beyond it counts as this
-	LameDuckPeriod  time.Duration // after a stop is asked for, new batch jobs still come for so long
-	ShutdownTimeout time.Duration // and all is answered within this
-	SlowStartWindow time.Duration // rule 4's window, and a little for what was on its way
+	MaxConnsShared  int           // the same while another process of the node shares the limits
+	MaxBodyBytes    int           // of the bodies of all jobs
+	RetryAfter      time.Duration // advice for jobs rejected at a resource limit; 0 for none
+	MaxWork         time.Duration // a longer estimate of a job's run time counts as this
+	LameDuckPeriod  time.Duration // how long new jobs are taken after a shutdown was requested
+	ShutdownTimeout time.Duration // all jobs are answered so long after a shutdown was requested
+	SlowStartWindow time.Duration // the window of the slow-start limit, with a margin for attempts in flight
 }
 
-// PolicyPanicked begins the log line of a panic of the module.
+// PolicyPanicked begins the log line of a panic of the policy.
 const PolicyPanicked = "the decision module broke"
 
-// panicBackoff is how soon after a panic of the module it is asked again.
+// panicBackoff is how soon after a panic the policy is called again.
 const panicBackoff = 100 * time.Millisecond
 
-// Policy is the decision module, as the reducer calls it: *policy.Dispatcher, or one that sees what goes between.
+// Policy decides about jobs. It is *policy.Dispatcher, or a wrapper that observes the calls; see there for the contract of
+// each method.
 type Policy interface {
-	UpdateEndpoints(now time.Duration, what policy.EndpointUpdateKind, entries []policy.Endpoint)
-	JobArrived(now time.Duration, in policy.Arrival)
-	AttemptStarted(now time.Duration, id policy.JobID, a policy.AttemptID)
-	AttemptProgressed(now time.Duration, id policy.JobID, a policy.AttemptID, share float64)
-	LoadReported(id policy.ExecutorID, load policy.Load)
-	ProbeEnded(now time.Duration, id policy.ExecutorID, answered bool, load policy.Load)
-	ClientLeft(now time.Duration, id policy.JobID)
-	ShutDownBy(now, by time.Duration)
-	Place(now time.Duration, id policy.JobID) policy.Decision
-	AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision
+	UpdateEndpoints(now time.Duration, kind policy.EndpointUpdateKind, entries []policy.Endpoint)
+	JobArrived(now time.Duration, arrival policy.Arrival)
+	AttemptStarted(now time.Duration, job policy.JobID, attempt policy.AttemptID)
+	AttemptProgressed(now time.Duration, job policy.JobID, attempt policy.AttemptID, progress float64)
+	LoadReported(executor policy.ExecutorID, load policy.Load)
+	ProbeEnded(now time.Duration, executor policy.ExecutorID, answered bool, load policy.Load)
+	ClientLeft(now time.Duration, job policy.JobID)
+	ShutDownBy(now, deadline time.Duration)
+	Place(now time.Duration, job policy.JobID) policy.Decision
+	AttemptEnded(now time.Duration, job policy.JobID, attempt policy.AttemptID, outcome policy.Outcome, final bool) policy.Decision
 	NextTask(now time.Duration) policy.DueTask
 	CountExcluded(now time.Duration) int
-	ReserveSlowStartUntil(now, at time.Duration)
-	UpdateJobClasses(now time.Duration, tracks []policy.JobClassUpdate)
+	ReserveSlowStartUntil(now, until time.Duration)
+	UpdateJobClasses(now time.Duration, classes []policy.JobClassUpdate)
 	ExportLearned(now time.Duration) policy.LearnedState
-	ImportLearned(now time.Duration, k policy.LearnedState)
-	ReceiveLeaseMessage(now time.Duration, from policy.NodeID, word policy.LeaseMessage, sum policy.ExecutorHash)
+	ImportLearned(now time.Duration, learned policy.LearnedState)
+	ReceiveLeaseMessage(now time.Duration, from policy.NodeID, message policy.LeaseMessage, hash policy.ExecutorHash)
 	TakeLoadSummary(now time.Duration) policy.LoadSummary
 	SetAdmissionThreshold(policy.AdmissionThreshold)
 }
 
-// Node is the state of one node.
+// Node is the state of one node. Its methods are not safe for concurrent use.
 type Node struct {
-	policy             Policy
-	limits             Limits
+	policy Policy
+	limits Limits
+
+	jobs               jobTable
+	metrics            counters
+	classes            jobClasses
+	shutdown           shutdown
 	executors          map[policy.ExecutorID]*executor
 	conns              map[ConnID]*conn
 	idle               idleConns
@@ -64,51 +70,52 @@
 	probesInFlight     int           // probes out
 	idleLimit          time.Duration // so long a connection may rest and still be used, by what was seen to break
 	idleLimitLoweredAt time.Duration // when that was seen last
-	jobs               map[policy.JobID]*job
-	bodyBytes          int
-	unanswered         jobHeap // batch jobs that are owed an answer, by when they are looked at next
-	arrivals           int
-	deciding           *job // the one that the module is asked about
 	hasEndpoints       bool
 	clientsDrained     bool                                // by operators
 	excluded           map[policy.ExecutorID]bool          // taken out by them
 	readmittedAt       map[policy.ExecutorID]time.Duration // when they put one back
-	metrics            counters
-	classes            jobClasses
 	limitsHalved       bool
-	fleet              *cluster.Fleet // nil where this node talks with no others
 	handoff
-	updates         int
-	watchFailing    bool
-	failedWatches   int // calls for the list that brought nothing
-	stopping        bool
-	frontendClosing bool
-	lameDuckUntil   time.Duration // when no new batch jobs come any more
-	deadline        time.Duration // when all must be answered
-	now             time.Duration
-	timerAt         time.Duration
-	effects         []Effect
+	updates       int
+	watchFailing  bool
+	failedWatches int            // calls for the list that brought nothing
+	fleet         *cluster.Fleet // nil if this node is not part of a fleet
+
+	now     time.Duration // of the current step
+	timerAt time.Duration // what the timer is set to, or timerNotSet
+	effects []Effect      // of the current step
 }
 
-// New makes a node that knows nothing yet, with its tracks, numbered from 0.
-func New(brain Policy, limits Limits, tracks []JobClass) *Node {
-	n := &Node{policy: brain, limits: limits, idleLimit: limits.MaxIdle, executors: map[policy.ExecutorID]*executor{},
-		conns: map[ConnID]*conn{}, jobs: map[policy.JobID]*job{},
-		excluded: map[policy.ExecutorID]bool{}, readmittedAt: map[policy.ExecutorID]time.Duration{}, classes: jobClasses{lastIDByName: map[string]policy.JobClassID{}}, handoff: handoff{relays: map[uint64]*pendingRelay{}}}
-	n.setJobClasses(tracks)
+// New creates a node that knows no executors yet, with its job classes numbered from 0.
+func New(p Policy, limits Limits, classes []JobClass) *Node {
+	n := &Node{
+		policy:       p,
+		limits:       limits,
+		jobs:         jobTable{byID: map[policy.JobID]*job{}},
+		classes:      jobClasses{lastIDByName: map[string]policy.JobClassID{}},
+		idleLimit:    limits.MaxIdle,
+		executors:    map[policy.ExecutorID]*executor{},
+		conns:        map[ConnID]*conn{},
+		excluded:     map[policy.ExecutorID]bool{},
+		readmittedAt: map[policy.ExecutorID]time.Duration{},
+		handoff:      handoff{relays: map[uint64]*pendingRelay{}},
+	}
+	n.setJobClasses(classes)
 	return n
 }
 
-// Step takes one event in and gives the effects, which are good until the next step.
-func (n *Node) Step(now time.Duration, ev Event) (out []Effect) {
+// Step handles one event and returns the effects, which are valid until the next call. Time is counted from the node's start
+// and never goes back.
+func (n *Node) Step(now time.Duration, ev Event) (effects []Effect) {
 	n.now, n.effects = now, n.effects[:0]
 	defer func() {
 		if p := recover(); p != nil {
 			n.policyPanicked(fmt.Sprintf("%s: %v\n%s", PolicyPanicked, p, debug.Stack()))
 		}
-		out = n.effects
+		effects = n.effects
 	}()
-	n.tickFleet() // first: what came while this node stood still is not to be judged by what was before
+	// The fleet's tick comes first: if this process was suspended, the tick must see that before older messages are read.
+	n.tickFleet()
 	n.handle(ev)
 	n.expireJobs()
 	n.expireHandoff()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -1,44 +1,64 @@
 package node
 
 import (
-	"container/heap"
 	"fmt"
+	"time"
 )
 
-// beginShutdown begins the end: no new readiness, what still comes is taken, and all is answered in time. The module is
-// told, so that it sends nothing that can't be done by then.
+// shutdown is the state of a graceful shutdown. After the request the node reports not ready. Jobs that still arrive in the
+// lame-duck period are taken, and all jobs are answered by the deadline.
+type shutdown struct {
+	requested       bool
+	lameDuckUntil   time.Duration
+	deadline        time.Duration
+	frontendClosing bool // every job is answered, and the frontend has been told to close
+}
+
+// limitDeadline brings a job's deadline forward to the deadline of the shutdown.
+func (s *shutdown) limitDeadline(deadline time.Duration) time.Duration {
+	if s.requested {
+		return min(deadline, s.deadline)
+	}
+	return deadline
+}
+
+// inLameDuck reports whether the lame-duck period is running.
+func (s *shutdown) inLameDuck(now time.Duration) bool { return s.requested && now < s.lameDuckUntil }
+
+// beginShutdown starts a graceful shutdown. The policy learns the deadline, so that it sends nothing that can't end by then.
 func (n *Node) beginShutdown() {
-	if n.stopping {
+	if n.shutdown.requested {
 		return
 	}
-	n.stopping, n.lameDuckUntil, n.deadline = true, n.now+n.limits.LameDuckPeriod, n.now+n.limits.ShutdownTimeout
+	n.shutdown.requested = true
+	n.shutdown.lameDuckUntil = n.now + n.limits.LameDuckPeriod
+	n.shutdown.deadline = n.now + n.limits.ShutdownTimeout
 	n.emit(SetReady{false})
-	n.emit(Log{Text: fmt.Sprintf("told to stop with %d batch jobs in hand", len(n.unanswered))})
-	for _, j := range n.unanswered {
-		j.deadline = min(j.deadline, n.deadline)
-		j.expiresAt = min(j.expiresAt, n.deadline-n.limits.Quantum)
-	}
-	heap.Init(&n.unanswered)
-	n.policy.ShutDownBy(n.now, n.deadline)
+	n.emit(Log{Text: fmt.Sprintf("told to stop with %d batch jobs in hand", n.jobs.inFlight())})
+	n.jobs.limitDeadlines(n.shutdown.deadline, n.limits.Quantum)
+	n.policy.ShutDownBy(n.now, n.shutdown.deadline)
 }
 
-// closeFrontendWhenDone closes the front once nothing is owed any more; the process ends when that is done.
+// closeFrontendWhenDone closes the frontend once the lame-duck period is over and every job is answered.
 func (n *Node) closeFrontendWhenDone() {
-	if n.stopping && !n.frontendClosing && n.now >= n.lameDuckUntil && len(n.unanswered) == 0 {
-		n.frontendClosing = true
-		n.emit(Log{Text: "all is answered"})
-		n.emit(CloseFrontend{})
+	s := &n.shutdown
+	if !s.requested || s.frontendClosing || n.now < s.lameDuckUntil || n.jobs.inFlight() > 0 {
+		return
 	}
+	s.frontendClosing = true
+	n.emit(Log{Text: "all is answered"})
+	n.emit(CloseFrontend{})
 }
 
-// frontendClosed exits once the frontend has closed.
+// frontendClosed ends the process. A job that arrived while the frontend was closing is answered first; the frontend is told
+// to close again and reports when it has. Without a shutdown the frontend has failed, and no client would get an answer.
 func (n *Node) frontendClosed() {
-	if n.stopping && len(n.unanswered) > 0 { // one has come at the last moment; it has its answer by its limit
+	if n.shutdown.requested && n.jobs.inFlight() > 0 {
 		n.emit(CloseFrontend{})
 		return
 	}
-	for len(n.unanswered) > 0 { // the front broke: nobody would learn what becomes of them
-		n.answer(n.unanswered[0], Answer{Final: Failed})
+	for n.jobs.inFlight() > 0 {
+		n.answer(n.jobs.first(), Answer{Final: Failed})
 	}
 	n.emit(Exit{})
 }
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -1,57 +1,61 @@
 package node
 
 import (
-	"slices"
 	"time"
 
 	"birchstair/policy"
 )
 
-// runPolicyTasks does all that the module has due, then asks for the one timer.
+// timerNotSet is no time that a timer is ever set to.
+const timerNotSet time.Duration = -1
+
+// runPolicyTasks does everything that the policy has due, then sets the timer for whatever is due next.
 func (n *Node) runPolicyTasks() {
 	for {
 		due := n.policy.NextTask(n.now)
-		switch due.Task {
-		case policy.PlaceJob:
-			if j := n.jobs[due.Job]; j != nil {
-				n.deciding = j
-				n.applyDecision(j, n.policy.Place(n.now, due.Job))
-			} else {
-				n.policy.ClientLeft(n.now, due.Job)
-			}
-		case policy.CancelAttempt:
-			if j := n.jobs[due.Job]; j != nil {
-				if i := slices.IndexFunc(j.conns, func(c *conn) bool { return c.attempt == due.Attempt }); i >= 0 {
-					n.abandonAttempt(j.conns[i], policy.Canceled)
-				}
-			}
-		case policy.ProbeExecutor:
-			n.startProbe(due.Executor)
-		case policy.SendLeaseMessage:
-			if n.fleet != nil { // else nobody carries it
-				n.emit(SendLeaseMessage{To: due.Node, Message: due.Message, Hash: due.Hash})
-			}
-		case policy.WatchEndpoints:
-			n.emit(WatchEndpoints{})
-		case policy.WriteLog:
-			n.emit(Log{Text: due.Text})
-		case policy.Sleep:
-			at := min(due.At, n.nextHandoffDeadline())
-			if n.fleet != nil {
-				at = min(at, n.fleet.Next())
-			}
-			if len(n.unanswered) > 0 {
-				at = min(at, n.unanswered[0].expiresAt)
-			}
-			if n.stopping && n.now < n.lameDuckUntil {
-				at = min(at, n.lameDuckUntil)
-			}
-			n.setTimer(at)
+		if due.Task == policy.Sleep {
+			n.setTimer(n.nextWake(due.At))
 			return
 		}
+		n.runPolicyTask(due)
+	}
+}
+
+func (n *Node) runPolicyTask(due policy.DueTask) {
+	switch due.Task {
+	case policy.PlaceJob:
+		n.placeJob(due.Job)
+	case policy.CancelAttempt:
+		n.cancelAttempt(due.Job, due.Attempt)
+	case policy.ProbeExecutor:
+		n.startProbe(due.Executor)
+	case policy.SendLeaseMessage:
+		if n.fleet != nil { // without a fleet there is no edge to carry it
+			n.emit(SendLeaseMessage{To: due.Node, Message: due.Message, Hash: due.Hash})
+		}
+	case policy.WatchEndpoints:
+		n.emit(WatchEndpoints{})
+	case policy.WriteLog:
+		n.emit(Log{Text: due.Text})
+	}
+}
+
+// nextWake is when the next step is due even without an event: for the policy, or earlier for another area.
+func (n *Node) nextWake(policyTaskAt time.Duration) time.Duration {
+	at := min(policyTaskAt, n.nextHandoffDeadline())
+	if n.fleet != nil {
+		at = min(at, n.fleet.Next())
+	}
+	if j := n.jobs.first(); j != nil {
+		at = min(at, j.expiresAt)
+	}
+	if n.shutdown.inLameDuck(n.now) {
+		at = min(at, n.shutdown.lameDuckUntil)
 	}
+	return at
 }
 
+// setTimer asks for a TimerFired event, unless the timer is set to this time already.
 func (n *Node) setTimer(at time.Duration) {
 	if at != n.timerAt {
 		n.timerAt = at
@@ -59,5 +63,5 @@
 	}
 }
 
-// timerFired notes that the timer has fired: the next step sets it anew even for the same time.
-func (n *Node) timerFired() { n.timerAt = -1 }
+// timerFired notes that the timer has fired. The next setTimer takes effect whatever its time.
+func (n *Node) timerFired() { n.timerAt = timerNotSet }
