--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -2,98 +2,147 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
+	"time"
 
 	"birchstair/policy"
 )
 
-// What operators do to a node: calls at its door, executors taken out by hand, the drain, figures.
-
-// AdminCallID names a caller at the door.
+// AdminCallID names an operator's call, so that the reply finds its way back.
 type AdminCallID uint64
 
-// AdminCommand is what a caller wants.
+// AdminCommand is what an operator's call asks for.
 type AdminCommand int
 
+// The commands. Those from ExcludeExecutor to DrainOff change the node's state and are relayed to its other processes.
 const (
-	CheckReady      AdminCommand = iota // can this process take batch jobs?
-	ReadMetrics                         // what it has done
-	ExcludeExecutor                     // an executor gets nothing new until it is put back
+	CheckReady      AdminCommand = iota // whether this process takes jobs
+	ReadMetrics                         // the counters
+	ExcludeExecutor                     // an executor gets no new work until it is readmitted
 	ReadmitExecutor
-	DrainOn // clients are sent away
+	DrainOn // clients' connections are closed after their answers
 	DrainOff
-	ReadFleet // what it knows of the nodes that it talks with
+	ReadFleet // what the node knows of its fleet
 )
 
-// adminCalled does what a caller wants, and answers.
+// Refusals. Operators' tools match these texts.
+const (
+	refusalNotReady        = "not ready"
+	refusalNoFleet         = "this node talks with no others: its [fleet] table is not there"
+	refusalUnknownExecutor = "no executor on the list has this id"
+)
+
+// adminState is what operators have changed.
+type adminState struct {
+	clientsDrained bool
+	excluded       map[policy.ExecutorID]bool
+	readmittedAt   map[policy.ExecutorID]time.Duration // the last time, of each executor ever readmitted
+}
+
+// inherit takes over the exclusions and readmissions of the predecessor.
+func (a *adminState) inherit(now time.Duration, state HandoffState) {
+	for _, id := range state.Excluded {
+		a.excluded[id] = true
+	}
+	for _, r := range state.Readmitted {
+		a.readmittedAt[r.Executor] = now - r.Age
+	}
+}
+
+// export adds the exclusions and readmissions to the state for a successor.
+func (a *adminState) export(now time.Duration, state *HandoffState) {
+	state.Drained = a.clientsDrained
+	state.Excluded = slices.Sorted(maps.Keys(a.excluded))
+	for _, id := range slices.Sorted(maps.Keys(a.readmittedAt)) {
+		state.Readmitted = append(state.Readmitted, ReadmittedExecutor{id, now - a.readmittedAt[id]})
+	}
+}
+
+// adminCalled runs an operator's command and replies.
 func (n *Node) adminCalled(ev AdminCalled) {
-	r := AdminReply{Caller: ev.Caller}
+	reply := AdminReply{Caller: ev.Caller}
 	switch ev.Command {
 	case CheckReady:
-		// Guards against a platform that ends the elder by this yes before the elder knows of its heir: it would let clients'
-		// connections go at once, some of them under their next message.
-		if !n.announced || n.awaitingYield && n.now < n.yieldDeadline || n.shutdown.requested {
-			r.Refusal = "not ready"
+		if !n.ready() {
+			reply.Refusal = refusalNotReady
 		}
 	case ReadMetrics:
-		f := n.metrics.snapshot()
-		f.InFlight, f.KnownExecutors, f.ExcludedExecutors = n.jobs.inFlight(), len(n.executors), n.policy.CountExcluded(n.now)
-		r.Metrics = &f
+		reply.Metrics = n.readMetrics()
 	case ReadFleet:
-		if r.Refusal = "this node talks with no others: its [fleet] table is not there"; n.fleet != nil {
-			r.Refusal, r.Lines = "", n.fleet.Describe(n.now)
+		if n.fleet == nil {
+			reply.Refusal = refusalNoFleet
+		} else {
+			reply.Lines = n.fleet.Describe(n.now)
 		}
 	default:
-		if r.Refusal = n.runCommand(ev.Command, ev.Executor); r.Refusal == "" {
-			w := HandoffMessage{Kind: RelayCommand, Command: ev.Command, Executor: ev.Executor}
-			n.deferCommand(w)
-			n.relay(noLink, w, &r)
+		reply.Refusal = n.runCommand(ev.Command, ev.Executor)
+		if reply.Refusal == "" {
+			n.relayCommand(ev, reply)
 			return
 		}
 	}
-	n.emit(r)
+	n.emit(reply)
+}
+
+// readMetrics returns the counters and what the node holds now.
+func (n *Node) readMetrics() *Metrics {
+	m := n.metrics.snapshot()
+	m.InFlight = n.jobs.inFlight()
+	m.KnownExecutors = len(n.endpoints.byID)
+	m.ExcludedExecutors = n.policy.CountExcluded(n.now)
+	return &m
 }
 
-// runCommand does what changes something, in this process alone. It gives the reason where it can't.
-func (n *Node) runCommand(o AdminCommand, id policy.ExecutorID) (no string) {
-	switch o {
+// runCommand runs a command that changes the node's state, in this process alone. It returns a refusal if it can't.
+func (n *Node) runCommand(command AdminCommand, id policy.ExecutorID) (refusal string) {
+	switch command {
 	case ExcludeExecutor:
 		return n.exclude(id)
 	case ReadmitExecutor:
 		return n.readmit(id)
 	case DrainOn, DrainOff:
-		n.drainClients(o == DrainOn)
+		n.drainClients(command == DrainOn)
 	}
 	return ""
 }
 
-// exclude lets an executor get nothing new, whatever the list says, until it is put back.
-func (n *Node) exclude(id policy.ExecutorID) (no string) {
-	e := n.executors[id]
-	switch {
-	case n.excluded[id]:
+// runRelayedCommand runs a command that another process of this node has run already. An executor that is not on this
+// process's list, as yet, is excluded all the same.
+func (n *Node) runRelayedCommand(command AdminCommand, id policy.ExecutorID) {
+	if n.runCommand(command, id) != "" && command == ExcludeExecutor {
+		n.admin.excluded[id] = true
+	}
+}
+
+// exclude stops new work for an executor until it is readmitted, whatever the endpoint list says.
+func (n *Node) exclude(id policy.ExecutorID) (refusal string) {
+	if n.admin.excluded[id] {
 		return ""
-	case e == nil:
-		return "no executor on the list has this id"
 	}
-	n.excluded[id] = true
+	e := n.endpoints.get(id)
+	if e == nil {
+		return refusalUnknownExecutor
+	}
+	n.admin.excluded[id] = true
 	n.emit(Log{Text: "taken out by hand", Executor: id})
 	n.refreshEndpoint(e)
 	n.closeIdleConns(e)
 	return ""
 }
 
-// readmit lets the list decide again. The executor counts as started now: operators restart it while it is out, and
-// discovery may tell of that later or not at all.
-func (n *Node) readmit(id policy.ExecutorID) (no string) {
-	e := n.executors[id]
-	if !n.excluded[id] {
+// readmit ends an exclusion. The executor counts as started now: operators restart executors while they are excluded, and
+// discovery may report the restart later or not at all.
+func (n *Node) readmit(id policy.ExecutorID) (refusal string) {
+	e := n.endpoints.get(id)
+	if !n.admin.excluded[id] {
 		if e == nil {
-			return "no executor on the list has this id"
+			return refusalUnknownExecutor
 		}
 		return ""
 	}
-	delete(n.excluded, id)
-	n.readmittedAt[id] = n.now
+	delete(n.admin.excluded, id)
+	n.admin.readmittedAt[id] = n.now
 	n.emit(Log{Text: "put back by hand", Executor: id})
 	if e != nil {
 		n.closeIdleConns(e)
@@ -102,12 +151,12 @@
 	return ""
 }
 
-// drainClients sends clients away, or lets them come again.
+// drainClients starts or ends a drain of clients.
 func (n *Node) drainClients(on bool) {
-	if on == n.clientsDrained {
+	if on == n.admin.clientsDrained {
 		return
 	}
-	n.clientsDrained = on
+	n.admin.clientsDrained = on
 	n.emit(Log{Text: fmt.Sprintf("told by hand to send clients away: %t", on)})
 	n.emit(DrainClients{on})
 }
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -8,68 +8,121 @@
 	"birchstair/policy"
 )
 
-// executor is where an executor is reached, and the connections to it that rest, the latest last.
-type executor struct {
-	id          policy.ExecutorID
-	addr        string
-	entry       policy.Endpoint // as the list has it
-	startedAt   time.Duration
-	lastUpdate  int // the list that named it last
-	restarts    int // how often the list told of a new one
-	addrChanges int // and of another address
-	available   bool
-	idle        []*conn
-}
+// probeReserve is the share of the connection limit, one in so many, that load probes leave free for attempts.
+const probeReserve = 8
+
+// minAttemptBudget is the least time that an executor is told it has for an attempt.
+const minAttemptBudget = time.Millisecond
 
 type connState int
 
 const (
-	connDialing connState = iota
-	connBusy
-	connIdle
-	connFinished // it reads the end of its last answer, or is being closed
+	connDialing  connState = iota
+	connBusy               // carries an attempt
+	connIdle               // can carry the next attempt
+	connFinished           // its attempt has ended; it is reading the rest of the answer or being closed
 )
 
-// conn is a connection to an executor, from its dialling until its descriptor is given back, in closed.
+// conn is a connection to an executor, from its Dial to its ConnClosed.
 type conn struct {
-	id          ConnID
-	executor    *executor
-	state       connState
-	job         *job // whose allocation it carries, or is to carry once it is up
+	id       ConnID
+	executor *executor
+	state    connState
+
+	// The attempt that it carries, or is to carry once it is up.
+	job         *job // nil if there is none
 	attempt     policy.AttemptID
-	restarts    int            // the start of its executor that the module meant
-	addrChanges int            // the address that it leads to
-	abandoned   bool           // this node has stopped waiting for that allocation
-	abandonedAs policy.Outcome // and why
-	wasIdle     bool           // it has been up and at rest
-	progressed  bool           // something of its executor came for that allocation
-	idleSince   time.Duration
-	idleElement *list.Element // among those that rest
+	decidedAt   time.Duration // when the policy decided on the attempt
 	writtenAt   time.Duration
-	decidedAt   time.Duration // when the module decided on the allocation
+	progressed  bool           // the executor has sent something about the attempt
+	abandoned   bool           // this node no longer waits for it
+	abandonedAs policy.Outcome // the outcome of an abandoned attempt that may have run
+
+	// Executor counters at the time of the decision and of the dial, to see whether it has restarted or moved since.
+	restarts    int
+	addrChanges int
+
+	wasIdle     bool // it has been idle before
+	idleSince   time.Duration
+	idleElement *list.Element // in idleConns; nil unless it is idle
 }
 
-func (n *Node) closeConn(c *conn) {
-	c.state = connFinished
-	n.emit(CloseConn{c.id})
+// executorRestarted reports whether the executor has restarted since the policy chose it. The new process is in slow start,
+// which the policy's decision did not take into account.
+func (c *conn) executorRestarted() bool { return c.restarts != c.executor.restarts }
+
+// executorMoved reports whether the executor's address has changed since this connection was dialed. The old address may
+// belong to another executor by now.
+func (c *conn) executorMoved() bool { return c.addrChanges != c.executor.addrChanges }
+
+// connTable holds all connections to executors.
+type connTable struct {
+	byID           map[ConnID]*conn
+	idle           idleConns
+	lastID         ConnID
+	probesInFlight int
+
+	// How long a connection may be idle and still be used, as far as was observed, and when that was lowered last.
+	idleLimit          time.Duration
+	idleLimitLoweredAt time.Duration
 }
 
-func (n *Node) closeIdleConns(e *executor) {
-	for len(e.idle) > 0 {
-		n.closeConn(n.idle.take(e, 0))
+// get finds a connection, or nil.
+func (t *connTable) get(id ConnID) *conn { return t.byID[id] }
+
+// open is the number of connections that count against the limit.
+func (t *connTable) open() int { return len(t.byID) + t.probesInFlight }
+
+// add makes a connection that is to be dialed.
+func (t *connTable) add(e *executor) *conn {
+	t.lastID++
+	c := &conn{id: t.lastID, executor: e, addrChanges: e.addrChanges}
+	t.byID[c.id] = c
+	return c
+}
+
+// maxIdle is how long a connection may have been idle and still be used: the configured time, or less if connections were
+// seen to break earlier. Executors, or something on the way to them, may drop idle connections without notice, and an attempt
+// written on such a connection counts as possibly run. An observation is forgotten once it is as old as the configured time.
+func (t *connTable) maxIdle(now, configured time.Duration) time.Duration {
+	if now-t.idleLimitLoweredAt >= configured {
+		t.idleLimit = configured
 	}
+	return t.idleLimit
+}
+
+// lowerIdleLimit notes that a connection broke after being idle for so long. The limit for all executors becomes half of that.
+func (t *connTable) lowerIdleLimit(now, configured, idle time.Duration) {
+	t.idleLimit = min(t.maxIdle(now, configured), idle/2)
+	t.idleLimitLoweredAt = now
 }
 
-// startAttempt puts an allocation on its way.
+// addIdle adds a connection to those that are idle.
+func (t *connTable) addIdle(c *conn, now time.Duration) {
+	c.state, c.wasIdle, c.idleSince = connIdle, true, now
+	t.idle.add(c)
+}
+
+// detachJob separates a connection and the job whose attempt it carries. It returns the job, or nil if there was none.
+func (t *connTable) detachJob(c *conn) *job {
+	j := c.job
+	if j != nil {
+		c.job = nil
+		j.removeConn(c)
+	}
+	return j
+}
+
+// startAttempt sends an attempt of a job to an executor. If it can't be sent, the policy is told so at once.
 func (n *Node) startAttempt(j *job, id policy.ExecutorID) {
 	attempt := j.startAttempt()
-	if e := n.executors[id]; e == nil || !n.assignConn(j, attempt, e, n.now) {
+	if e := n.endpoints.get(id); e == nil || !n.assignConn(j, attempt, e, n.now) {
 		n.attemptOver(j, attempt, policy.NotSent)
 	}
 }
 
-// assignConn finds a connection for an allocation that was decided on then: the one that has rested least, or a new one.
-func (n *Node) assignConn(j *job, number policy.AttemptID, e *executor, decided time.Duration) bool {
+// assignConn finds a connection for an attempt: the one that became idle last, or a new one. It reports whether there is one.
+func (n *Node) assignConn(j *job, attempt policy.AttemptID, e *executor, decidedAt time.Duration) bool {
 	if !e.available {
 		return false
 	}
@@ -80,146 +133,151 @@
 	if c == nil {
 		return false
 	}
-	c.job, c.attempt, c.restarts, c.decidedAt, j.conns = j, number, e.restarts, decided, append(j.conns, c)
+	c.job, c.attempt, c.decidedAt, c.restarts = j, attempt, decidedAt, e.restarts
+	j.addConn(c)
 	if c.state == connIdle {
 		n.writeAttempt(c)
 	}
 	return true
 }
 
-// takeIdleConn takes a connection that rests, and closes those near the end of their idle time.
+// takeIdleConn takes the executor's connection that became idle last, or returns nil. If that one has been idle for too long,
+// so have the others, and all are closed.
 func (n *Node) takeIdleConn(e *executor) *conn {
 	if len(e.idle) == 0 {
 		return nil
 	}
-	c := e.idle[len(e.idle)-1]
-	if n.now-c.idleSince >= n.maxIdle() { // the others have rested longer
+	last := len(e.idle) - 1
+	if n.now-e.idle[last].idleSince >= n.conns.maxIdle(n.now, n.limits.MaxIdle) {
 		n.closeIdleConns(e)
 		return nil
 	}
-	return n.idle.take(e, len(e.idle)-1)
-}
-
-// maxIdle is how long a connection may have rested and still be used: less than the settings' idle time, and less than
-// what was seen to be too long, until that is as old as the idle time. Guards against executors, or something on the
-// way to them, that drop resting connections early: what is written on one may have run, for all this node knows.
-func (n *Node) maxIdle() time.Duration {
-	if n.now-n.idleLimitLoweredAt >= n.limits.MaxIdle {
-		n.idleLimit = n.limits.MaxIdle
-	}
-	return n.idleLimit
+	return n.conns.idle.take(e, last)
 }
 
-// lowerIdleLimit notes that a connection did not outlive a rest. It goes for all executors: half of that is tried next.
-func (n *Node) lowerIdleLimit(rest time.Duration) {
-	n.idleLimit, n.idleLimitLoweredAt = min(n.maxIdle(), rest/2), n.now
-}
-
-// dial opens a connection. At the edge of the descriptors one that rests elsewhere makes room.
+// dial opens a connection, or returns nil. At the connection limit an idle connection of any executor is closed for it.
 func (n *Node) dial(e *executor) *conn {
-	if len(n.conns)+n.probesInFlight >= n.maxConns() && !n.closeOldestIdleConn() {
+	if n.conns.open() >= n.maxConns() && !n.closeOldestIdleConn() {
 		return nil
 	}
-	n.lastConnID++
-	c := &conn{id: n.lastConnID, executor: e, addrChanges: e.addrChanges}
-	n.conns[c.id] = c
+	c := n.conns.add(e)
 	n.emit(Dial{c.id, e.addr})
 	return c
 }
 
-// startProbe has an executor asked for its load. At the edge of the descriptors, or of an executor that takes nothing new,
-// nothing is asked: a probe makes no room and takes none of a batch job's.
+// maxConns is the limit on connections to executors.
+func (n *Node) maxConns() int {
+	if n.handoff.limitsHalved {
+		return n.limits.MaxConnsShared
+	}
+	return n.limits.MaxConns
+}
+
+// startProbe asks an executor for its load. A probe fails at once if the executor takes no new work, or if the connection
+// limit is near: probes leave room for attempts.
 func (n *Node) startProbe(id policy.ExecutorID) {
-	e := n.executors[id]
-	if e == nil || !e.available || len(n.conns)+n.probesInFlight >= n.maxConns()-n.maxConns()/8 {
+	e := n.endpoints.get(id)
+	limit := n.maxConns()
+	if e == nil || !e.available || n.conns.open() >= limit-limit/probeReserve {
 		n.policy.ProbeEnded(n.now, id, false, policy.Load{})
 		return
 	}
-	n.probesInFlight++
+	n.conns.probesInFlight++
 	n.emit(ProbeExecutor{id, e.addr})
 }
 
-// closeOldestIdleConn closes the connection that has rested longest.
+// probeEnded passes the result of a load probe on to the policy.
+func (n *Node) probeEnded(ev ProbeEnded) {
+	n.conns.probesInFlight--
+	n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+}
+
+func (n *Node) closeConn(c *conn) {
+	c.state = connFinished
+	n.emit(CloseConn{c.id})
+}
+
+// closeIdleConns closes all idle connections of an executor.
+func (n *Node) closeIdleConns(e *executor) {
+	for len(e.idle) > 0 {
+		n.closeConn(n.conns.idle.take(e, 0))
+	}
+}
+
+// closeOldestIdleConn closes the connection that has been idle for longest. It reports whether there is one.
 func (n *Node) closeOldestIdleConn() bool {
-	oldest := n.idle.oldest()
+	oldest := n.conns.idle.oldest()
 	if oldest == nil {
 		return false
 	}
-	n.idle.take(oldest.executor, 0)
+	n.conns.idle.take(oldest.executor, 0)
 	n.closeConn(oldest)
 	return true
 }
 
+// writeAttempt sends the attempt of a connection that is up. The attempt is counted now, and taken back if its last byte is
+// never written.
 func (n *Node) writeAttempt(c *conn) {
 	c.state, c.progressed, c.writtenAt = connBusy, false, n.now
 	n.metrics.countAttempt()
-	n.emit(WriteAttempt{c.id, Attempt{Request: &c.job.Request, Budget: max(c.job.deadline-n.now, time.Millisecond),
-		AtMostOnce: n.classes.idempotency[c.job.Class] != policy.Idempotent, Client: c.job.Client}})
+	n.emit(WriteAttempt{c.id, Attempt{
+		Request:    &c.job.Request,
+		Budget:     max(c.job.deadline-n.now, minAttemptBudget),
+		AtMostOnce: n.classes.idempotency[c.job.Class] != policy.Idempotent,
+		Client:     c.job.Client,
+	}})
 }
 
-// executorRestarted says whether the executor has started anew since the module meant it: it is cold, so the module is asked again. Guards
-// against a process that wakes, sends on what it knew and learns of the start while it dials.
-func (c *conn) executorRestarted() bool { return c.restarts != c.executor.restarts }
-
-// executorMoved says whether the executor has moved since this connection was dialled. Guards against one that carries an answer
-// meanwhile, rests after it, and would carry the next allocation to whoever has the old address.
-func (c *conn) executorMoved() bool { return c.addrChanges != c.executor.addrChanges }
-
-// mayMissDedupWindow says whether a further allocation of a tagged batch job was decided on longer ago than dialling may take, which is
-// all that a dedup window was lessened by. Guards against a process that stood still meanwhile, and would repeat outside it.
+// mayMissDedupWindow reports whether a retry with an idempotency key was decided on longer ago than a dial may take. The policy
+// subtracts only that much from the executors' dedup window, so a later retry might not be recognized as a repeat.
 func (n *Node) mayMissDedupWindow(c *conn, j *job) bool {
 	return c.attempt > 0 && j.IdempotencyKey != "" && n.now-c.decidedAt > n.limits.DialTimeout
 }
 
-// connReady puts a connection that has come up to its use. Its executor may drain, be gone or be another by now, the client may
-// have left, or the dedup window may be near its end: nothing goes out then.
+// stillWanted reports whether the attempt that a connection was dialed for may go out now that it is up.
+func (n *Node) stillWanted(c *conn) bool {
+	return c.executor.available && !c.job.answered && !c.executorRestarted() && !c.executorMoved() && !n.mayMissDedupWindow(c, c.job)
+}
+
+// connReady writes the attempt that a connection was dialed for.
 func (n *Node) connReady(c *conn) {
 	switch {
 	case c == nil || c.state != connDialing:
 	case c.job == nil:
-		n.makeIdle(c)
-	case !c.executor.available || c.job.answered || c.executorRestarted() || c.executorMoved() || n.mayMissDedupWindow(c, c.job):
-		j := n.detachJob(c)
-		n.makeIdle(c)
-		n.attemptOver(j, c.attempt, policy.NotSent)
-	default:
+		n.keepConn(c)
+	case n.stillWanted(c):
 		n.writeAttempt(c)
+	default:
+		j := n.conns.detachJob(c)
+		n.keepConn(c)
+		n.attemptOver(j, c.attempt, policy.NotSent)
 	}
 }
 
-func (n *Node) makeIdle(c *conn) {
+// keepConn keeps a connection for the next attempt, unless its executor takes no new work or has moved.
+func (n *Node) keepConn(c *conn) {
 	if !c.executor.available || c.executorMoved() {
 		n.closeConn(c)
 		return
 	}
-	c.state, c.wasIdle, c.idleSince = connIdle, true, n.now
-	n.idle.add(c)
+	n.conns.addIdle(c, n.now)
 }
 
-// detachJob parts a connection and the batch job whose allocation it carries.
-func (n *Node) detachJob(c *conn) *job {
-	j := c.job
-	if j != nil {
-		c.job = nil
-		j.conns = slices.DeleteFunc(j.conns, func(o *conn) bool { return o == c })
-	}
-	return j
-}
-
-// abandonAttempt stops waiting for an allocation. One that waits for its connection still has never left. Else its
-// outcome comes when its connection is closed, or is on the way already: nothing else is sent before.
-func (n *Node) abandonAttempt(c *conn, as policy.Outcome) {
+// abandonAttempt stops waiting for an attempt. If its connection is still being dialed, the attempt was never sent and is over
+// now. Otherwise the connection is closed, and the attempt is over when its AttemptEnded or ConnClosed arrives.
+func (n *Node) abandonAttempt(c *conn, outcome policy.Outcome) {
 	switch {
 	case c.state == connDialing && c.job.answered:
-		n.attemptOver(n.detachJob(c), c.attempt, policy.NotSent)
+		n.attemptOver(n.conns.detachJob(c), c.attempt, policy.NotSent)
 	case c.state == connDialing:
-		n.attemptOver(n.detachJob(c), c.attempt, policy.ConnectFailed)
+		n.attemptOver(n.conns.detachJob(c), c.attempt, policy.ConnectFailed)
 	case !c.abandoned:
-		c.abandoned, c.abandonedAs = true, as
+		c.abandoned, c.abandonedAs = true, outcome
 		n.emit(CloseConn{c.id})
 	}
 }
 
+// attemptProgressed tells the policy that an attempt has started or how far it is.
 func (n *Node) attemptProgressed(c *conn, ev AttemptProgressed) {
 	if c == nil || c.job == nil {
 		return
@@ -239,81 +297,92 @@
 	}
 }
 
-// attemptEnded takes in an allocation's outcome.
+// attemptEnded handles the outcome of an attempt.
 func (n *Node) attemptEnded(c *conn, ev AttemptEnded) {
 	if c == nil || c.state != connBusy {
 		return
 	}
 	c.state = connFinished
-	j, how := n.detachJob(c), ev.Outcome
-	if ev.ConnBroken && how == policy.ConnectFailed {
+	j := n.conns.detachJob(c)
+	if ev.ConnBroken && ev.Outcome == policy.ConnectFailed {
 		n.metrics.uncountAttempt()
 	}
+	outcome := n.settleOutcome(c, j, ev)
+	n.reportLoad(c, ev.Load)
+	if ev.ConnBroken {
+		n.connBroken(c, outcome)
+	}
+	n.attemptOver(j, c.attempt, outcome)
+}
+
+// settleOutcome answers the job if the outcome of its attempt is final, and writes the log. It returns the outcome that counts
+// for the policy, which differs from the reported one if this node closed the connection.
+func (n *Node) settleOutcome(c *conn, j *job, ev AttemptEnded) policy.Outcome {
 	switch {
-	case how == policy.Succeeded:
+	case ev.Outcome == policy.Succeeded:
 		n.answer(j, Answer{Final: Succeeded, Result: ev.Result})
-	case how == policy.InvalidRequest:
-		// It is the batch job's fault: elsewhere it would fare no better, and cost another executor its good name.
+	case ev.Outcome == policy.InvalidRequest:
+		// The request is at fault. A retry elsewhere would fail as well, and count against a healthy executor.
 		n.answer(j, Answer{Final: Failed})
 		n.emit(Log{Text: ev.Detail, Executor: c.executor.id, Job: j.ID})
-	case c.abandoned && ev.ConnBroken && how == policy.ConnectFailed:
-		how = policy.NotSent // closed by us before its last byte was written
+	case c.abandoned && ev.ConnBroken && ev.Outcome == policy.ConnectFailed:
+		return policy.NotSent // closed by this node before the last byte was written
 	case c.abandoned && ev.ConnBroken:
-		how = c.abandonedAs
+		return c.abandonedAs
 	case ev.Detail != "":
 		n.emit(Log{Text: ev.Detail, Executor: c.executor.id, Job: j.ID})
 	}
-	n.reportLoad(c, ev.Load)
-	if ev.ConnBroken && how == policy.ConnectionLost && c.wasIdle && !c.progressed {
-		n.lowerIdleLimit(c.writtenAt - c.idleSince)
+	return ev.Outcome
+}
+
+// connBroken draws conclusions from a connection that broke under an attempt.
+func (n *Node) connBroken(c *conn, outcome policy.Outcome) {
+	if outcome == policy.ConnectionLost && c.wasIdle && !c.progressed {
+		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, c.writtenAt-c.idleSince)
 	}
-	if ev.ConnBroken && how != policy.Canceled && how != policy.NotSent {
-		// The others may lead nowhere as well; a new one shows before anything is written whether there is a way.
+	if outcome != policy.Canceled && outcome != policy.NotSent {
+		// The executor's idle connections may be broken as well. A new connection shows that before anything is written.
 		n.closeIdleConns(c.executor)
 	}
-	n.attemptOver(j, c.attempt, how)
 }
 
-// attemptNotSent takes in that the last look before an attempt's first byte found its client gone: it never ran, and the connection
-// may carry the next one. Word of the leaving by the front may come before or after.
+// attemptNotSent handles an attempt that was not written because its client was gone. The attempt never ran, and the connection
+// is idle. The frontend's ClientLeft may come before or after this.
 func (n *Node) attemptNotSent(c *conn) {
 	if c == nil || c.state != connBusy {
 		return
 	}
 	n.metrics.uncountAttempt()
-	j := n.detachJob(c)
-	if c.state = connFinished; !c.abandoned { // else it is being closed
-		n.makeIdle(c)
+	j := n.conns.detachJob(c)
+	c.state = connFinished
+	if !c.abandoned { // an abandoned one is being closed
+		n.keepConn(c)
 	}
 	n.clientGone(j)
 	n.attemptOver(j, c.attempt, policy.NotSent)
 }
 
-func (n *Node) connIdle(c *conn) {
+// connBecameIdle keeps a connection whose answer has been read to its end.
+func (n *Node) connBecameIdle(c *conn) {
 	if c != nil && c.state == connFinished && !c.abandoned {
-		n.makeIdle(c)
+		n.keepConn(c)
 	}
 }
 
-// connClosed gives a connection back. An allocation of which nothing was written takes another one if this one had
-// rested: the executor had closed it meanwhile. A new one that is closed at once is no way to the executor, which
-// may have all the connections it takes.
+// connClosed forgets a connection, and decides about an attempt of which nothing was written. If the connection had been idle
+// before, the executor closed it for its age, and the attempt gets another connection. A new connection that is closed
+// at once means that the executor accepts no more, and counts as a failure to connect.
 func (n *Node) connClosed(c *conn, detail string) {
 	if c == nil {
 		return
 	}
-	delete(n.conns, c.id)
-	if i := slices.Index(c.executor.idle, c); i >= 0 {
-		n.idle.take(c.executor, i)
-		if rest := n.now - c.idleSince; rest > n.limits.DialTimeout { // else it was closed with the answer
-			n.lowerIdleLimit(rest)
-		}
-	}
-	if c.state == connBusy { // its end never came: nothing was written
+	delete(n.conns.byID, c.id)
+	n.forgetIdleConn(c)
+	if c.state == connBusy { // there was no AttemptEnded: nothing was written
 		n.metrics.uncountAttempt()
 	}
 	c.state = connFinished
-	j := n.detachJob(c)
+	j := n.conns.detachJob(c)
 	switch {
 	case j == nil:
 	case !c.wasIdle && !c.abandoned:
@@ -323,13 +392,29 @@
 		n.emit(Log{Text: detail, Executor: c.executor.id, Job: j.ID})
 		n.closeIdleConns(c.executor)
 		n.attemptOver(j, c.attempt, policy.ConnectFailed)
-	case c.abandoned || j.answered || c.executorRestarted() || n.mayMissDedupWindow(c, j) || !n.assignConn(j, c.attempt, c.executor, c.decidedAt):
+	case n.reassignConn(c, j):
+	default:
 		n.attemptOver(j, c.attempt, policy.NotSent)
 	}
 }
 
-// probeEnded passes the result of a load probe on to the policy.
-func (n *Node) probeEnded(ev ProbeEnded) {
-	n.probesInFlight--
-	n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+// forgetIdleConn takes a closed connection out of the idle ones, and learns from it how long executors keep them.
+func (n *Node) forgetIdleConn(c *conn) {
+	i := slices.Index(c.executor.idle, c)
+	if i < 0 {
+		return
+	}
+	n.conns.idle.take(c.executor, i)
+	if idle := n.now - c.idleSince; idle > n.limits.DialTimeout { // a shorter time means that it was closed with its answer
+		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, idle)
+	}
+}
+
+// reassignConn gives the unwritten attempt of a closed connection another connection to the same executor, unless it is no
+// longer wanted. It reports whether it did.
+func (n *Node) reassignConn(closed *conn, j *job) bool {
+	if closed.abandoned || j.answered || closed.executorRestarted() || n.mayMissDedupWindow(closed, j) {
+		return false
+	}
+	return n.assignConn(j, closed.attempt, closed.executor, closed.decidedAt)
 }
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -40,17 +40,17 @@
 func (n *Node) handleUpstream(ev Event) {
 	switch ev := ev.(type) {
 	case ConnReady:
-		n.connReady(n.conns[ev.Conn])
+		n.connReady(n.conns.get(ev.Conn))
 	case AttemptProgressed:
-		n.attemptProgressed(n.conns[ev.Conn], ev)
+		n.attemptProgressed(n.conns.get(ev.Conn), ev)
 	case AttemptEnded:
-		n.attemptEnded(n.conns[ev.Conn], ev)
+		n.attemptEnded(n.conns.get(ev.Conn), ev)
 	case AttemptNotSent:
-		n.attemptNotSent(n.conns[ev.Conn])
+		n.attemptNotSent(n.conns.get(ev.Conn))
 	case ConnIdle:
-		n.connIdle(n.conns[ev.Conn])
+		n.connBecameIdle(n.conns.get(ev.Conn))
 	case ConnClosed:
-		n.connClosed(n.conns[ev.Conn], ev.Detail)
+		n.connClosed(n.conns.get(ev.Conn), ev.Detail)
 	case ProbeEnded:
 		n.probeEnded(ev)
 	}
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -14,7 +14,7 @@
 // gossipReceived takes in a gossip message, and applies the drains in it that are new.
 func (n *Node) gossipReceived(m cluster.Message) {
 	for _, id := range n.fleet.Receive(n.now, m) {
-		if e := n.executors[id]; e != nil && e.available && n.fleet.IsDraining(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
+		if e := n.endpoints.get(id); e != nil && e.available && n.fleet.IsDraining(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
 			n.emit(Log{Text: "counts as draining: " + string(m.From) + " told so", Executor: id})
 			n.refreshDraining(id)
 		}
@@ -27,7 +27,7 @@
 	if n.fleet == nil || n.now < n.fleet.Next() {
 		return
 	}
-	for _, id := range n.fleet.ExpireDrains(n.now, n.complete && !n.watchFailing) {
+	for _, id := range n.fleet.ExpireDrains(n.now, n.endpoints.upToDate()) {
 		n.emit(Log{Text: "no longer counts as draining by what neighbours told", Executor: id})
 		n.refreshDraining(id)
 	}
@@ -40,7 +40,7 @@
 
 // refreshDraining applies what the fleet now says of an executor's drain.
 func (n *Node) refreshDraining(id policy.ExecutorID) {
-	if e := n.executors[id]; e != nil {
+	if e := n.endpoints.get(id); e != nil {
 		n.refreshEndpoint(e)
 		if !e.available {
 			n.closeIdleConns(e)
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -1,136 +1,154 @@
 package node
 
 import (
-	"maps"
 	"slices"
 	"time"
 
 	"birchstair/policy"
 )
 
-// An upgrade: a new process of this node joins the old one, and both are one node until the old one ends. The old one
-// hands over what operators want and the list; the new one takes clients' new connections from its yes on, and the old
-// one finishes what it has. Limits are halved while both live. A cold executor's budget is one process's alone: the old
-// one gives it up, and the new one uses it when all that the old one has sent is out of the window.
-
 // HandoffLink names a link to another process of this node.
 type HandoffLink int
 
 // Predecessor is the link to the process that this one takes over from.
 const Predecessor HandoffLink = 0
 
-// noLink is no link.
+// noLink is no process's link.
 const noLink HandoffLink = -1
 
-// HandoffState is what a process hands to the one that joins it. Spans are ages, since the two count time from their own starts.
+const (
+	// stateTimeout is how long a successor waits for the predecessor's state before it goes on without.
+	stateTimeout = 2 * time.Second
+	// yieldTimeout is how long a successor reports not ready while it waits for the predecessor to yield.
+	yieldTimeout = 2 * time.Second
+)
+
+// HandoffState is what a process hands to its successor. Each process counts time from its own start, so times are sent as
+// ages.
 type HandoffState struct {
-	Excluded   []policy.ExecutorID // taken out by operators
+	Excluded   []policy.ExecutorID // by operators
 	Readmitted []ReadmittedExecutor
-	Drained    bool
-	Endpoints  []Endpoint // Started is an age
+	Drained    bool       // clients are being drained
+	Endpoints  []Endpoint // StartedAt is an age
 	Learned    policy.LearnedState
-	ClassNames []string // of the tracks in Known, in the same order
+	ClassNames []string // of Learned.Classes, in the same order
 }
 
-// ReadmittedExecutor is an executor that operators have put back, and how long ago.
+// ReadmittedExecutor is an executor that operators have readmitted, and how long ago.
 type ReadmittedExecutor struct {
 	Executor policy.ExecutorID
 	Age      time.Duration
 }
 
-// HandoffKind is what a word between two processes of a node is about.
+// HandoffKind is the kind of a message between two processes of a node.
 type HandoffKind int
 
+// The kinds of handoff messages.
 const (
-	StateTransfer      HandoffKind = iota // the old one's state
-	SuccessorReady                        // the new one can serve
-	PredecessorYielded                    // the old one takes no new connections and sends nothing to cold executors any more
-	RelayCommand                          // an operator's order, to be done there too
-	RelayDone                             // it is done
+	StateTransfer      HandoffKind = iota // predecessor to successor: its state
+	SuccessorReady                        // successor to predecessor: it can serve
+	PredecessorYielded                    // predecessor to successor: it accepts no connections and uses no executors in slow start any more
+	RelayCommand                          // an operator's command, to be run there too
+	RelayDone                             // the command of this Seq has been run
 )
 
-// HandoffMessage is what one process of a node says to another.
+// HandoffMessage is a message between two processes of a node.
 type HandoffMessage struct {
 	Kind     HandoffKind
-	Seq      uint64 // of Relay and Done
+	Seq      uint64 // of RelayCommand and RelayDone
 	Command  AdminCommand
 	Executor policy.ExecutorID
 	State    *HandoffState
 }
 
-// yieldTimeout is how long the yes at the door waits for the elder to cede.
-const yieldTimeout = 2 * time.Second
-
-// stateTimeout is how long the new process waits for the old one's state before it goes on without.
-const stateTimeout = 2 * time.Second
-
-// handoff is what the reducer knows of other processes of its node.
+// handoff is the state of a handoff between processes of this node; see the package comment for the way it goes. A process can
+// be the successor of one process and the predecessor of another.
 type handoff struct {
-	links         []HandoffLink // those up, the elder first
-	awaitingState bool          // for the elder's state
+	links        []HandoffLink // that are up, the predecessor's first
+	announced    bool          // this process has announced that it can serve
+	limitsHalved bool          // another process uses the other half of the limits
+
+	// As a successor.
+	awaitingState bool // the predecessor's state is on its way
 	stateDeadline time.Duration
-	yielded       bool // a younger process takes over
-	successor     HandoffLink
-	complete      bool // a list has come from discovery
-	inherited     bool // the elder's list has been taken up
-	announced     bool // this process has said its yes
-	awaitingYield bool // and the elder has not answered it: it may still take connections, and let them go at once if it ends
+	deferred      []HandoffMessage // operators' commands run meanwhile, to be run again on that state
+	awaitingYield bool             // SuccessorReady is sent; the predecessor may still accept connections
 	yieldDeadline time.Duration
-	relays        map[uint64]*pendingRelay
-	lastSeq       uint64
-	deferred      []HandoffMessage // of operators, obeyed here while the elder's state is on its way
+
+	// As a predecessor.
+	yielded   bool // the successor accepts connections, this process does not
+	successor HandoffLink
 }
 
-// handoffLinkUp takes up a link to another process.
-func (n *Node) handoffLinkUp(link HandoffLink) {
-	n.links = append(n.links, link)
-	if link == Predecessor {
-		n.awaitingState, n.stateDeadline = true, n.now+stateTimeout
-		n.emit(Log{Text: "an older process of this node runs: its state is waited for"})
-		n.policy.ReserveSlowStartUntil(n.now, policy.Endless) // the elder may use all of it until it cedes
-		n.updateLimits()
-		return
+// connected reports whether a link is up.
+func (h *handoff) connected(link HandoffLink) bool { return slices.Contains(h.links, link) }
+
+// disconnect removes a link. It reports whether the link was up.
+func (h *handoff) disconnect(link HandoffLink) bool {
+	i := slices.Index(h.links, link)
+	if i < 0 {
+		return false
+	}
+	h.links = slices.Delete(h.links, i, i+1)
+	return true
+}
+
+// ready reports whether this process takes jobs, as it says to the platform. While the predecessor may still accept connections
+// it says no: the platform may end the predecessor on a yes, and one that has not yielded closes its clients' connections at
+// once, some of them under their next request.
+func (n *Node) ready() bool {
+	if n.shutdown.requested || !n.handoff.announced {
+		return false
 	}
-	n.emit(Log{Text: "a newer process of this node has started"})
-	n.emit(SendHandoff{link, HandoffMessage{Kind: StateTransfer, State: n.handoffState()}})
+	return !n.handoff.awaitingYield || n.now >= n.handoff.yieldDeadline
 }
 
-// handoffState is what a new process is handed.
-func (n *Node) handoffState() *HandoffState {
-	s := &HandoffState{Drained: n.clientsDrained, Learned: n.policy.ExportLearned(n.now)}
-	for _, t := range s.Learned.Classes {
-		s.ClassNames = append(s.ClassNames, n.metrics.className(t.ID))
+// announceReady announces once that this process can serve: it has endpoints, and what the predecessor knew.
+func (n *Node) announceReady() {
+	h := &n.handoff
+	if !n.endpoints.usable || h.awaitingState || h.announced {
+		return
 	}
-	s.Excluded = slices.Sorted(maps.Keys(n.excluded))
-	for _, id := range slices.Sorted(maps.Keys(n.readmittedAt)) {
-		s.Readmitted = append(s.Readmitted, ReadmittedExecutor{id, n.now - n.readmittedAt[id]})
+	h.announced = true
+	n.emit(SetReady{!n.shutdown.requested})
+	n.emit(AcceptConnections{!h.yielded})
+	if h.connected(Predecessor) {
+		h.awaitingYield, h.yieldDeadline = true, n.now+yieldTimeout
+		n.emit(SendHandoff{Predecessor, HandoffMessage{Kind: SuccessorReady}})
 	}
-	for _, e := range n.executorsByID() {
-		in := Endpoint{Endpoint: e.entry, Addr: e.addr}
-		in.StartedAt = n.now - in.StartedAt
-		s.Endpoints = append(s.Endpoints, in)
+}
+
+// handoffLinkUp starts a handoff: a successor gets this process's state, and the predecessor's state is awaited.
+func (n *Node) handoffLinkUp(link HandoffLink) {
+	h := &n.handoff
+	h.links = append(h.links, link)
+	if link != Predecessor {
+		n.emit(Log{Text: "a newer process of this node has started"})
+		n.emit(SendHandoff{link, HandoffMessage{Kind: StateTransfer, State: n.exportState()}})
+		return
 	}
-	return s
+	h.awaitingState, h.stateDeadline = true, n.now+stateTimeout
+	n.emit(Log{Text: "an older process of this node runs: its state is waited for"})
+	n.policy.ReserveSlowStartUntil(n.now, policy.Endless) // the predecessor's until it yields
+	n.updateLimits()
 }
 
-// handoffLinkDown notes that another process has ended, or what it says makes no sense. All is this process's again.
+// handoffLinkDown ends the handoff with a process that has ended or sends nothing readable. This process gets back what it
+// shared with it.
 func (n *Node) handoffLinkDown(link HandoffLink, detail string) {
-	i := slices.Index(n.links, link)
-	if i < 0 {
+	h := &n.handoff
+	if !h.disconnect(link) {
 		return
 	}
-	n.links = slices.Delete(n.links, i, i+1)
-	for _, seq := range n.relaySeqs() {
-		n.relayDone(seq, link)
-	}
+	n.relayLinkDown(link)
 	switch {
 	case link == Predecessor:
 		n.emit(Log{Text: "the older process is gone: " + detail})
-		n.awaitingState, n.awaitingYield = false, false
+		h.awaitingState, h.awaitingYield = false, false
 		n.reserveSlowStart()
-	case n.yielded && n.successor == link:
+	case h.yielded && h.successor == link:
 		n.emit(Log{Text: "the newer process is gone, this one goes on: " + detail})
-		n.yielded = false
+		h.yielded = false
 		n.emit(AcceptConnections{true})
 		n.reserveSlowStart()
 	}
@@ -138,147 +156,116 @@
 	n.announceReady()
 }
 
-// reserveSlowStart lets cold executors be used once all that another process may have sent them is out of the window.
-func (n *Node) reserveSlowStart() {
-	n.policy.ReserveSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
-}
-
-// updateLimits halves the limits while another process of this node may use the other half.
-func (n *Node) updateLimits() {
-	half := n.yielded || slices.Contains(n.links, Predecessor)
-	if half != n.limitsHalved {
-		n.limitsHalved = half
-		n.emit(HalveLimits{Half: half})
-	}
-}
-
-// maxConns is how many connections to executors there may be.
-func (n *Node) maxConns() int {
-	if n.limitsHalved {
-		return n.limits.MaxConnsShared
-	}
-	return n.limits.MaxConns
-}
-
-// handoffReceived takes in what another process says.
-func (n *Node) handoffReceived(from HandoffLink, w HandoffMessage) {
-	if !slices.Contains(n.links, from) {
+// handoffReceived handles a message from another process.
+func (n *Node) handoffReceived(from HandoffLink, m HandoffMessage) {
+	if !n.handoff.connected(from) {
 		return
 	}
-	switch w.Kind {
+	switch m.Kind {
 	case StateTransfer:
-		if from == Predecessor && n.awaitingState && w.State != nil {
-			n.stateReceived(*w.State)
+		if from == Predecessor && n.handoff.awaitingState && m.State != nil {
+			n.stateReceived(*m.State)
 		}
 	case SuccessorReady:
-		n.yielded, n.successor = true, from
-		n.emit(Log{Text: "the newer process takes over"})
-		n.emit(AcceptConnections{false})
-		n.policy.ReserveSlowStartUntil(n.now, policy.Endless)
-		n.updateLimits()
-		n.emit(SendHandoff{from, HandoffMessage{Kind: PredecessorYielded}})
+		n.yieldTo(from)
 	case PredecessorYielded:
-		n.awaitingYield = false
+		n.handoff.awaitingYield = false
 		n.reserveSlowStart()
 	case RelayCommand:
-		n.runRelayed(w.Command, w.Executor)
-		n.deferCommand(w)
-		n.relay(from, HandoffMessage{Kind: RelayCommand, Command: w.Command, Executor: w.Executor}, nil)
-		n.emit(SendHandoff{from, HandoffMessage{Kind: RelayDone, Seq: w.Seq}})
+		n.commandRelayed(from, m)
 	case RelayDone:
-		n.relayDone(w.Seq, from)
+		n.relayDone(m.Seq, from)
 	}
 }
 
-// stateReceived takes over the old process's state.
-func (n *Node) stateReceived(s HandoffState) {
-	n.awaitingState = false
-	for _, id := range s.Excluded {
-		n.excluded[id] = true
-	}
-	for _, b := range s.Readmitted {
-		n.readmittedAt[b.Executor] = n.now - b.Age
+// yieldTo lets a successor accept connections and use executors in slow start. This process finishes the jobs it has.
+func (n *Node) yieldTo(successor HandoffLink) {
+	n.handoff.yielded, n.handoff.successor = true, successor
+	n.emit(Log{Text: "the newer process takes over"})
+	n.emit(AcceptConnections{false})
+	n.policy.ReserveSlowStartUntil(n.now, policy.Endless)
+	n.updateLimits()
+	n.emit(SendHandoff{successor, HandoffMessage{Kind: PredecessorYielded}})
+}
+
+// reserveSlowStart keeps the policy from executors in slow start until everything that another process may have sent them is
+// out of the slow-start limit's window.
+func (n *Node) reserveSlowStart() {
+	n.policy.ReserveSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
+}
+
+// updateLimits halves the limits of this process while another one of this node uses the other half.
+func (n *Node) updateLimits() {
+	half := n.handoff.yielded || n.handoff.connected(Predecessor)
+	if half != n.handoff.limitsHalved {
+		n.handoff.limitsHalved = half
+		n.emit(HalveLimits{Half: half})
 	}
-	if s.Drained {
-		n.drainClients(true)
+}
+
+// exportState is the state for a successor.
+func (n *Node) exportState() *HandoffState {
+	state := &HandoffState{Learned: n.policy.ExportLearned(n.now)}
+	for _, class := range state.Learned.Classes {
+		state.ClassNames = append(state.ClassNames, n.metrics.className(class.ID))
 	}
-	for i := range s.Endpoints {
-		s.Endpoints[i].StartedAt = n.now - s.Endpoints[i].StartedAt
+	n.admin.export(n.now, state)
+	for _, e := range n.endpoints.sorted() {
+		endpoint := Endpoint{Endpoint: e.entry, Addr: e.addr}
+		endpoint.StartedAt = n.now - endpoint.StartedAt
+		state.Endpoints = append(state.Endpoints, endpoint)
 	}
-	if !n.complete { // news of the old one's, newer than the copy that this one was started with
-		n.endpointsUpdated(EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Endpoints})
-		n.inherited = true
-		n.removeUnlisted()
-	} else {
-		for _, e := range n.executorsByID() {
-			n.refreshEndpoint(e)
-		}
+	return state
+}
+
+// stateReceived takes over the predecessor's state.
+func (n *Node) stateReceived(state HandoffState) {
+	n.handoff.awaitingState = false
+	n.admin.inherit(n.now, state)
+	if state.Drained {
+		n.drainClients(true)
 	}
-	for _, w := range n.deferred {
-		n.runRelayed(w.Command, w.Executor)
+	for i := range state.Endpoints {
+		state.Endpoints[i].StartedAt = n.now - state.Endpoints[i].StartedAt
 	}
-	n.deferred = nil
-	n.importLearned(s)
+	n.inheritEndpoints(state.Endpoints)
+	n.runDeferredCommands()
+	n.importLearned(state)
 	n.emit(Log{Text: "the older process has handed over"})
 	n.announceReady()
 }
 
-// importLearned hands the module what the old one's has learnt, with tracks by this process's numbers.
-func (n *Node) importLearned(s HandoffState) {
-	var tracks []policy.LearnedClass
-	for i, t := range s.Learned.Classes {
-		if i >= len(s.ClassNames) {
+// importLearned gives the policy the predecessor's estimates. Job classes have different IDs in the two processes and are
+// matched by name; those that this process doesn't have are left out.
+func (n *Node) importLearned(state HandoffState) {
+	var classes []policy.LearnedClass
+	for i, class := range state.Learned.Classes {
+		if i >= len(state.ClassNames) {
 			break
 		}
-		if id, ok := n.classes.lastIDByName[s.ClassNames[i]]; ok {
-			t.ID = id
-			tracks = append(tracks, t)
+		if id, ok := n.classes.lastIDByName[state.ClassNames[i]]; ok {
+			class.ID = id
+			classes = append(classes, class)
 		}
 	}
-	s.Learned.Classes = tracks
-	n.policy.ImportLearned(n.now, s.Learned)
+	state.Learned.Classes = classes
+	n.policy.ImportLearned(n.now, state.Learned)
 }
 
-// announceReady says yes once there is a list and what the old process knew.
-func (n *Node) announceReady() {
-	if !n.hasEndpoints || n.awaitingState || n.announced {
-		return
-	}
-	n.announced = true
-	n.emit(SetReady{!n.shutdown.requested})
-	n.emit(AcceptConnections{!n.yielded})
-	if slices.Contains(n.links, Predecessor) {
-		n.awaitingYield, n.yieldDeadline = true, n.now+yieldTimeout
-		n.emit(SendHandoff{Predecessor, HandoffMessage{Kind: SuccessorReady}})
-	}
-}
-
-// expireHandoff does what is due between processes.
+// expireHandoff ends what has waited too long for another process.
 func (n *Node) expireHandoff() {
-	if n.awaitingState && n.now >= n.stateDeadline {
+	if n.handoff.awaitingState && n.now >= n.handoff.stateDeadline {
 		n.emit(CloseHandoffLink{Predecessor})
 		n.handoffLinkDown(Predecessor, "it hands nothing over")
 	}
-	if len(n.relays) == 0 { // as nearly always: this is on every batch job's way
-		return
-	}
-	for _, seq := range n.relaySeqs() {
-		if r := n.relays[seq]; n.now >= r.deadline {
-			delete(n.relays, seq)
-			r.reply.Refusal = "another process of this node does not say that it has done so"
-			n.emit(r.reply)
-		}
-	}
+	n.expireRelays()
 }
 
-// nextHandoffDeadline is when something is due between processes next.
+// nextHandoffDeadline is when expireHandoff has something to do next, or policy.Endless.
 func (n *Node) nextHandoffDeadline() time.Duration {
-	next := policy.Endless
-	if n.awaitingState {
-		next = n.stateDeadline
-	}
-	for _, r := range n.relays {
-		next = min(next, r.deadline)
+	next := n.relays.nextDeadline()
+	if n.handoff.awaitingState {
+		next = min(next, n.handoff.stateDeadline)
 	}
 	return next
 }
--- a/internal/node/idle_conns.go
+++ b/internal/node/idle_conns.go
@@ -5,35 +5,36 @@
 	"slices"
 )
 
-// idleConns are all connections that rest, the longest first, so that making room takes no look at every executor.
+// idleConns lists all idle connections, the longest idle first, so that the oldest is found without a pass over all
+// executors. It also maintains each executor's own list, executor.idle, in the same order.
 type idleConns struct{ byAge list.List }
 
-// add puts a connection to those that rest, at its executor as well.
-func (r *idleConns) add(c *conn) {
+// add appends a connection that becomes idle now.
+func (l *idleConns) add(c *conn) {
 	c.executor.idle = append(c.executor.idle, c)
-	c.idleElement = r.byAge.PushBack(c)
+	c.idleElement = l.byAge.PushBack(c)
 }
 
-// take takes one out of them: the i-th of its executor.
-func (r *idleConns) take(e *executor, i int) *conn {
+// take removes and returns the i-th idle connection of an executor.
+func (l *idleConns) take(e *executor, i int) *conn {
 	c := e.idle[i]
 	e.idle = slices.Delete(e.idle, i, i+1)
-	r.byAge.Remove(c.idleElement)
+	l.byAge.Remove(c.idleElement)
 	c.idleElement = nil
 	return c
 }
 
-// oldest is the one that has rested longest: of those since one moment that are the first of their executor, the one
-// that was dialled first. Nil where none rests.
-func (r *idleConns) oldest() (c *conn) {
-	for at := r.byAge.Front(); at != nil; at = at.Next() {
-		o := at.Value.(*conn)
-		if c != nil && o.idleSince != c.idleSince {
+// oldest returns the connection that has been idle for longest, or nil. Of several since the same time it is the one that was
+// dialed first among those that are the first of their executor.
+func (l *idleConns) oldest() (oldest *conn) {
+	for element := l.byAge.Front(); element != nil; element = element.Next() {
+		c := element.Value.(*conn)
+		if oldest != nil && c.idleSince != oldest.idleSince {
 			break
 		}
-		if o.executor.idle[0] == o && (c == nil || o.id < c.id) {
-			c = o
+		if c.executor.idle[0] == c && (oldest == nil || c.id < oldest.id) {
+			oldest = c
 		}
 	}
-	return c
+	return oldest
 }
--- a/internal/node/idle_conns_test.go
+++ b/internal/node/idle_conns_test.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// The connection that makes room is the one that a pass over all executors finds, whatever rested and rose before.
-func TestOldestResting(t *testing.T) {
+// The connection closed at the limit is the one that a pass over all executors finds, whatever became idle and was taken before.
+func TestOldestIdle(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		var resting idleConns
+		var idle idleConns
 		executors := make([]*executor, 1+r.IntN(8))
 		for i := range executors {
 			executors[i] = &executor{}
 		}
 		now, last := time.Duration(0), ConnID(0)
-		var risen []*conn
+		var taken []*conn
 		for range 500 {
 			now += time.Duration(r.IntN(2)) // many at one instant
 			e := executors[r.IntN(len(executors))]
 			switch {
-			case len(risen) > 0 && r.IntN(2) == 0: // one dialled earlier rests again
-				i := r.IntN(len(risen))
-				c := risen[i]
-				risen = append(risen[:i], risen[i+1:]...)
+			case len(taken) > 0 && r.IntN(2) == 0: // one dialed earlier becomes idle again
+				i := r.IntN(len(taken))
+				c := taken[i]
+				taken = append(taken[:i], taken[i+1:]...)
 				c.idleSince = now
-				resting.add(c)
+				idle.add(c)
 			case r.IntN(2) == 0:
 				last++
-				resting.add(&conn{id: last, executor: e, idleSince: now})
+				idle.add(&conn{id: last, executor: e, idleSince: now})
 			case len(e.idle) > 0:
-				risen = append(risen, resting.take(e, r.IntN(len(e.idle))))
+				taken = append(taken, idle.take(e, r.IntN(len(e.idle))))
 			}
 			var want *conn
 			count := 0
@@ -44,7 +44,7 @@
 					want = c
 				}
 			}
-			if got := resting.oldest(); got != want || resting.byAge.Len() != count {
+			if got := idle.oldest(); got != want || idle.byAge.Len() != count {
 				t.Fatalf("seed %d: %+v is taken, %+v is the oldest of %d", seed, got, want, count)
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,27 +59,16 @@
 	policy Policy
 	limits Limits
 
-	jobs               jobTable
-	metrics            counters
-	classes            jobClasses
-	shutdown           shutdown
-	executors          map[policy.ExecutorID]*executor
-	conns              map[ConnID]*conn
-	idle               idleConns
-	lastConnID         ConnID
-	probesInFlight     int           // probes out
-	idleLimit          time.Duration // so long a connection may rest and still be used, by what was seen to break
-	idleLimitLoweredAt time.Duration // when that was seen last
-	hasEndpoints       bool
-	clientsDrained     bool                                // by operators
-	excluded           map[policy.ExecutorID]bool          // taken out by them
-	readmittedAt       map[policy.ExecutorID]time.Duration // when they put one back
-	limitsHalved       bool
-	handoff
-	updates       int
-	watchFailing  bool
-	failedWatches int            // calls for the list that brought nothing
-	fleet         *cluster.Fleet // nil if this node is not part of a fleet
+	jobs      jobTable
+	metrics   counters
+	classes   jobClasses
+	shutdown  shutdown
+	conns     connTable
+	endpoints endpointTable
+	admin     adminState
+	handoff   handoff
+	relays    commandRelays
+	fleet     *cluster.Fleet // nil if this node is not part of a fleet
 
 	now     time.Duration // of the current step
 	timerAt time.Duration // what the timer is set to, or timerNotSet
@@ -89,16 +78,14 @@
 // New creates a node that knows no executors yet, with its job classes numbered from 0.
 func New(p Policy, limits Limits, classes []JobClass) *Node {
 	n := &Node{
-		policy:       p,
-		limits:       limits,
-		jobs:         jobTable{byID: map[policy.JobID]*job{}},
-		classes:      jobClasses{lastIDByName: map[string]policy.JobClassID{}},
-		idleLimit:    limits.MaxIdle,
-		executors:    map[policy.ExecutorID]*executor{},
-		conns:        map[ConnID]*conn{},
-		excluded:     map[policy.ExecutorID]bool{},
-		readmittedAt: map[policy.ExecutorID]time.Duration{},
-		handoff:      handoff{relays: map[uint64]*pendingRelay{}},
+		policy:    p,
+		limits:    limits,
+		jobs:      jobTable{byID: map[policy.JobID]*job{}},
+		classes:   jobClasses{lastIDByName: map[string]policy.JobClassID{}},
+		conns:     connTable{byID: map[ConnID]*conn{}, idleLimit: limits.MaxIdle},
+		endpoints: endpointTable{byID: map[policy.ExecutorID]*executor{}},
+		admin:     adminState{excluded: map[policy.ExecutorID]bool{}, readmittedAt: map[policy.ExecutorID]time.Duration{}},
+		relays:    commandRelays{pending: map[uint64]*pendingRelay{}},
 	}
 	n.setJobClasses(classes)
 	return n
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -8,66 +8,119 @@
 	"birchstair/policy"
 )
 
-// pendingRelay is an operator's answer that waits until the other processes have done as well.
+// relayTimeout is how long the reply to an operator waits for the node's other processes. The reply is owed within a second.
+const relayTimeout = 400 * time.Millisecond
+
+// refusalRelayTimeout replaces the reply if another process doesn't confirm in time.
+const refusalRelayTimeout = "another process of this node does not say that it has done so"
+
+// commandRelays are the operators' commands that were passed on to other processes of this node and are not confirmed by all
+// of them.
+type commandRelays struct {
+	pending map[uint64]*pendingRelay // by Seq
+	lastSeq uint64
+}
+
+// pendingRelay is a reply to an operator that waits for the other processes.
 type pendingRelay struct {
 	reply    AdminReply
-	waiting  []HandoffLink
+	waiting  []HandoffLink // processes that have not confirmed
 	deadline time.Duration
 }
 
-// relayTimeout is how long an operator's answer waits for the other processes: well within the second it is owed in.
-const relayTimeout = 400 * time.Millisecond
+// seqs returns the pending relays in the order of their commands.
+func (r *commandRelays) seqs() []uint64 { return slices.Sorted(maps.Keys(r.pending)) }
 
-// runRelayed does what an operator has told another process of this node; the id was on the list there.
-func (n *Node) runRelayed(o AdminCommand, id policy.ExecutorID) {
-	if n.runCommand(o, id) != "" && o == ExcludeExecutor {
-		n.excluded[id] = true
+// nextDeadline is when the first relay times out, or policy.Endless.
+func (r *commandRelays) nextDeadline() time.Duration {
+	next := policy.Endless
+	for _, p := range r.pending {
+		next = min(next, p.deadline)
 	}
+	return next
 }
 
-// deferCommand keeps an order until the older process's state is here. Guards against a state that was told before the order was
-// given, comes after it, and would undo it here alone.
-func (n *Node) deferCommand(w HandoffMessage) {
-	if n.awaitingState {
-		n.deferred = append(n.deferred, w)
+// relayCommand passes a command that an operator gave this process on to the others. The reply is sent once all of them have
+// run it.
+func (n *Node) relayCommand(ev AdminCalled, reply AdminReply) {
+	m := HandoffMessage{Kind: RelayCommand, Command: ev.Command, Executor: ev.Executor}
+	n.deferCommand(m)
+	seq, waiting := n.forwardCommand(m, noLink)
+	if len(waiting) == 0 {
+		n.emit(reply)
+		return
 	}
+	n.relays.pending[seq] = &pendingRelay{reply: reply, waiting: waiting, deadline: n.now + relayTimeout}
+}
+
+// commandRelayed runs a command that another process passed on, and passes it on to the rest.
+func (n *Node) commandRelayed(from HandoffLink, m HandoffMessage) {
+	n.runRelayedCommand(m.Command, m.Executor)
+	n.deferCommand(m)
+	n.forwardCommand(HandoffMessage{Kind: RelayCommand, Command: m.Command, Executor: m.Executor}, from)
+	n.emit(SendHandoff{from, HandoffMessage{Kind: RelayDone, Seq: m.Seq}})
 }
 
-// relay hands an order on to all processes but one. The reply, if there is one, goes out once they have done.
-func (n *Node) relay(but HandoffLink, w HandoffMessage, reply *AdminReply) {
-	n.lastSeq++
-	w.Seq = n.lastSeq
-	r := &pendingRelay{deadline: n.now + relayTimeout}
-	for _, link := range n.links {
-		if link != but {
-			r.waiting = append(r.waiting, link)
-			n.emit(SendHandoff{link, w})
+// forwardCommand sends a command to all other processes except one. It returns the sequence number of the command and the links
+// that it was sent on.
+func (n *Node) forwardCommand(m HandoffMessage, except HandoffLink) (seq uint64, sent []HandoffLink) {
+	n.relays.lastSeq++
+	m.Seq = n.relays.lastSeq
+	for _, link := range n.handoff.links {
+		if link != except {
+			sent = append(sent, link)
+			n.emit(SendHandoff{link, m})
 		}
 	}
-	switch {
-	case reply == nil:
-	case len(r.waiting) == 0:
-		n.emit(*reply)
-	default:
-		r.reply = *reply
-		n.relays[w.Seq] = r
+	return m.Seq, sent
+}
+
+// relayDone notes that a process has run a command, or has ended. The reply is sent once no process is waited for.
+func (n *Node) relayDone(seq uint64, by HandoffLink) {
+	p := n.relays.pending[seq]
+	if p == nil {
+		return
+	}
+	p.waiting = slices.DeleteFunc(p.waiting, func(link HandoffLink) bool { return link == by })
+	if len(p.waiting) == 0 {
+		delete(n.relays.pending, seq)
+		n.emit(p.reply)
 	}
 }
 
-// relaySeqs are the answers that wait, in the order in which they were asked for.
-func (n *Node) relaySeqs() []uint64 { return slices.Sorted(maps.Keys(n.relays)) }
+// relayLinkDown stops waiting for a process that has ended.
+func (n *Node) relayLinkDown(link HandoffLink) {
+	for _, seq := range n.relays.seqs() {
+		n.relayDone(seq, link)
+	}
+}
 
-// relayDone notes that a process has done what was passed on, or is gone.
-func (n *Node) relayDone(seq uint64, by HandoffLink) {
-	r := n.relays[seq]
-	if r == nil {
+// expireRelays refuses the commands that were not confirmed in time.
+func (n *Node) expireRelays() {
+	if len(n.relays.pending) == 0 { // nearly always; this runs in every step
 		return
 	}
-	if i := slices.Index(r.waiting, by); i >= 0 {
-		r.waiting = slices.Delete(r.waiting, i, i+1)
+	for _, seq := range n.relays.seqs() {
+		if p := n.relays.pending[seq]; n.now >= p.deadline {
+			delete(n.relays.pending, seq)
+			p.reply.Refusal = refusalRelayTimeout
+			n.emit(p.reply)
+		}
 	}
-	if len(r.waiting) == 0 {
-		delete(n.relays, seq)
-		n.emit(r.reply)
+}
+
+// deferCommand keeps a command while the predecessor's state is on its way, to run it again on that state. The state may have
+// been sent before the command was given, and would undo it in this process alone.
+func (n *Node) deferCommand(m HandoffMessage) {
+	if n.handoff.awaitingState {
+		n.handoff.deferred = append(n.handoff.deferred, m)
+	}
+}
+
+// runDeferredCommands runs the deferred commands on the predecessor's state.
+func (n *Node) runDeferredCommands() {
+	for _, m := range n.handoff.deferred {
+		n.runRelayedCommand(m.Command, m.Executor)
 	}
+	n.handoff.deferred = nil
 }
