--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -105,7 +105,7 @@
 		}
 		told, line := p.f.Tick(now, t)
 		for _, to := range told {
-			text := fmt.Sprintf("tell %s, word %d: offered %.1f, done %.1f", to.To, to.Message.Seq, to.Message.Rates.total(), to.Message.Rates.Completed)
+			text := fmt.Sprintf("tell %s, word %d: offered %.1f, done %.1f", to.To, to.Message.Seq, to.Message.Rates.offered(), to.Message.Rates.Completed)
 			for _, d := range to.Message.Drains {
 				text += fmt.Sprintf(", %s drains, %v old", d.Executor, d.Age)
 			}
