--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -310,7 +310,7 @@
 	outcome := n.settleOutcome(c, j, ev)
 	n.reportLoad(c, ev.Load)
 	if ev.ConnBroken {
-		n.connBroken(c, outcome)
+		n.learnFromBreak(c, outcome)
 	}
 	n.attemptOver(j, c.attempt, outcome)
 }
@@ -335,8 +335,8 @@
 	return ev.Outcome
 }
 
-// connBroken draws conclusions from a connection that broke under an attempt.
-func (n *Node) connBroken(c *conn, outcome policy.Outcome) {
+// learnFromBreak draws conclusions from a connection that broke under an attempt.
+func (n *Node) learnFromBreak(c *conn, outcome policy.Outcome) {
 	if outcome == policy.ConnectionLost && c.wasIdle && !c.progressed {
 		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, c.writtenAt-c.idleSince)
 	}
