--- /dev/null
+++ b/internal/store/record_test.go
@@ -0,0 +1,52 @@
+package store
+
+import (
+	"encoding/hex"
+	"os"
+	"strings"
+	"testing"
+)
+
+// TestGoldenFrames reads each frame of the golden segment and writes it again, byte for byte.
+func TestGoldenFrames(t *testing.T) {
+	text, err := os.ReadFile("testdata/written.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const columns = len("00000000  00 01 02 03 04 05 06 07  08 09 0a 0b 0c 0d 0e 0f ")
+	var segment []byte
+	for line := range strings.Lines(string(text)) {
+		if strings.HasPrefix(line, "file ") || len(line) < columns {
+			continue
+		}
+		b, err := hex.DecodeString(strings.ReplaceAll(line[8:columns], " ", ""))
+		if err != nil {
+			t.Fatal(err)
+		}
+		segment = append(segment, b...)
+	}
+	if err := readHead(segment, 1); err != nil {
+		t.Fatal(err)
+	}
+	again := appendHead(nil, 1)
+	for at := segmentHead; at < len(segment); {
+		var records []byte
+		size, err := decodeFrame(segment[at:], func(r Record, size int) {
+			before := len(records)
+			if records, err = appendRecord(records, r); err != nil {
+				t.Fatal(err)
+			}
+			if len(records)-before != size {
+				t.Errorf("%s of %s is %d bytes long, and was %d", r.Kind, r.ID, len(records)-before, size)
+			}
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		again = append(again, frame(records)...)
+		at += size
+	}
+	if string(again) != string(segment) {
+		t.Errorf("written again:\n%swas:\n%s", hex.Dump(again), hex.Dump(segment))
+	}
+}
