--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -131,7 +131,7 @@
 type told struct {
 	config.Config
 	names discovery.Names
-	known discovery.Copy
+	known discovery.CachedList
 }
 
 // readSite reads the operator's own file, for that configuration.
@@ -148,6 +148,6 @@
 		return t, err
 	}
 	t.names = discovery.Names{Zones: t.Settings.Zones, Kinds: t.Settings.Kinds, Start: start}
-	t.known, err = t.names.Known(t.Known)
+	t.known, err = t.names.DecodeCached(t.Known)
 	return t, err
 }
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -87,7 +87,7 @@
 			more <- reread(&c, own, read)
 		}
 	}()
-	log.Info().Str("listen", c.Listen).Int("known", len(c.known.Executors)).Int("clients", fromClients).
+	log.Info().Str("listen", c.Listen).Int("known", len(c.known.Endpoints)).Int("clients", fromClients).
 		Int("executors", toExecutors).Msg("the node is up")
 	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: frontend.Budget{Whole: fromClients, Half: fromFewer}, Known: c.known, Discovery: c.Discovery,
 		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.Shared, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: upstream.TCP(c.Settings.DialLimit), Log: log,
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -21,35 +21,35 @@
 	"birchstair/policy"
 )
 
-// service is a stand-in of discovery in memory: its list is a number of executors that only grows, so that what a node was told
+// fakeDiscovery is a stand-in of discovery in memory: its list is a number of executors that only grows, so that what a node was told
 // says which version it has.
-type service struct {
-	net   *memnet.Net
-	slow  time.Duration // from when it knows what it answers until it says so
-	queue *queue        // what it shares with others; nil for none
-	agent *agent        // its way to a service that turns calls away; nil for none
-
-	mu      sync.Mutex
-	size    int
-	changed chan struct{} // closed when it grows
-	at      *memnet.Listener
-	moved   bool      // it is reached where nobody was before, and where it was nobody is
-	lost    bool      // nothing gets through to it
-	silent  bool      // calls that come now are never answered
-	anew    bool      // its versions begin anew: it makes nothing of those that it is asked for
-	faults  []string  // of the next calls, one each
-	asked   int       // calls
-	oddAt   time.Time // its first odd answer left
-	wholeAt time.Time // the first call after that for the whole list came
-	open    int       // connections to it, as the node sees them
-	most    int
-	over    chan struct{}
+type fakeDiscovery struct {
+	net          *memnet.Net
+	responseTime time.Duration // from when it knows what it answers until it says so
+	queue        *queue        // what it shares with others; nil for none
+	agent        *agent        // its way to a service that turns calls away; nil for none
+
+	mu                sync.Mutex
+	size              int
+	changed           chan struct{} // closed when it grows
+	at                *memnet.Listener
+	moved             bool      // it is reached where nobody was before, and where it was nobody is
+	lost              bool      // nothing gets through to it
+	silent            bool      // calls that come now are never answered
+	versionsRestarted bool      // its versions begin anew: it makes nothing of those that it is asked for
+	faults            []string  // of the next calls, one each
+	requests          int       // calls
+	malformedAt       time.Time // its first odd answer left
+	completeRequestAt time.Time // the first call after that for the whole list came
+	open              int       // connections to it, as the node sees them
+	maxOpen           int
+	closed            chan struct{}
 }
 
-const at = "127.0.0.1:8500"
+const fakeAddr = "127.0.0.1:8500"
 
-func newService(slow time.Duration) *service {
-	d := &service{slow: slow, size: 1, changed: make(chan struct{}), over: make(chan struct{})}
+func newFakeDiscovery(slow time.Duration) *fakeDiscovery {
+	d := &fakeDiscovery{responseTime: slow, size: 1, changed: make(chan struct{}), closed: make(chan struct{})}
 	d.net = memnet.New(1, func(_, to string) memnet.Path {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -58,18 +58,18 @@
 	return d
 }
 
-func (d *service) do(what func()) {
+func (d *fakeDiscovery) locked(what func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	what()
 }
 
-func (d *service) up() {
-	l, err := d.net.Listen("d", at)
+func (d *fakeDiscovery) up() {
+	l, err := d.net.Listen("d", fakeAddr)
 	if err != nil {
 		panic(err)
 	}
-	d.do(func() { d.at = l })
+	d.locked(func() { d.at = l })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -81,65 +81,65 @@
 	}()
 }
 
-func (d *service) end() {
-	close(d.over)
+func (d *fakeDiscovery) close() {
+	close(d.closed)
 	d.net.Shut()
 }
 
-// wait lets time pass, unless all is over.
-func (d *service) wait(t time.Duration) {
+// sleep lets time pass, unless all is over.
+func (d *fakeDiscovery) sleep(t time.Duration) {
 	select {
 	case <-time.After(t):
-	case <-d.over:
+	case <-d.closed:
 	}
 }
 
-func (d *service) down() { d.net.Kill("d", false) }
+func (d *fakeDiscovery) down() { d.net.Kill("d", false) }
 
 // dial opens a connection to it, and counts it until it is closed.
-func (d *service) dial() Dialer {
+func (d *fakeDiscovery) dial() Dialer {
 	n := 0
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		var id string
-		d.do(func() {
+		d.locked(func() {
 			n++
 			id = fmt.Sprint(n)
 			d.open++
-			d.most = max(d.most, d.open)
-			if (addr == at) == d.moved {
+			d.maxOpen = max(d.maxOpen, d.open)
+			if (addr == fakeAddr) == d.moved {
 				addr = "nowhere"
 			} else {
-				addr = at
+				addr = fakeAddr
 			}
 		})
 		c, err := d.net.Dial(ctx, "n", id, addr)
 		if err != nil {
-			d.do(func() { d.open-- })
+			d.locked(func() { d.open-- })
 			return nil, err
 		}
-		return &counted{Conn: c, d: d}, nil
+		return &countedConn{Conn: c, d: d}, nil
 	}
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
-	d    *service
+	d    *fakeDiscovery
 	once sync.Once
 }
 
-func (c *counted) Close() error {
-	c.once.Do(func() { c.d.do(func() { c.d.open-- }) })
+func (c *countedConn) Close() error {
+	c.once.Do(func() { c.d.locked(func() { c.d.open-- }) })
 	return c.Conn.Close()
 }
 
 // halfOpen makes all connections silent that are open: neither end notices.
-func (d *service) halfOpen() {
+func (d *fakeDiscovery) halfOpen() {
 	for _, c := range append(d.net.Conns("d"), d.net.Conns("n")...) {
 		c.Silence()
 	}
 }
 
-func (d *service) grow() {
+func (d *fakeDiscovery) addExecutor() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.size++
@@ -147,7 +147,7 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *service) serve(c net.Conn) {
+func (d *fakeDiscovery) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -158,10 +158,10 @@
 		var fault string
 		var size int
 		var changed chan struct{}
-		d.do(func() {
-			d.asked++
-			if ask.Whole && !d.oddAt.IsZero() && d.wholeAt.IsZero() {
-				d.wholeAt = time.Now()
+		d.locked(func() {
+			d.requests++
+			if ask.Whole && !d.malformedAt.IsZero() && d.completeRequestAt.IsZero() {
+				d.completeRequestAt = time.Now()
 			}
 			if len(d.faults) > 0 {
 				fault, d.faults = d.faults[0], d.faults[1:]
@@ -169,12 +169,12 @@
 			if d.silent {
 				fault = "silent"
 			}
-			if d.anew && !ask.Whole {
+			if d.versionsRestarted && !ask.Whole {
 				fault = "odd"
 			}
 			size, changed = d.size, d.changed
 		})
-		if d.agent != nil && !d.agent.take(d.wait) {
+		if d.agent != nil && !d.agent.admit(d.sleep) {
 			fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
@@ -186,10 +186,10 @@
 			c.(*memnet.Conn).Reset()
 			return
 		case "odd":
-			d.wait(d.slow)
-			d.do(func() {
-				if d.oddAt.IsZero() {
-					d.oddAt = time.Now()
+			d.sleep(d.responseTime)
+			d.locked(func() {
+				if d.malformedAt.IsZero() {
+					d.malformedAt = time.Now()
 				}
 			})
 			fmt.Fprint(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
@@ -197,7 +197,7 @@
 		case "trickle":
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
 			for {
-				d.wait(100 * time.Millisecond)
+				d.sleep(100 * time.Millisecond)
 				if _, err := c.Write([]byte(" ")); err != nil {
 					return
 				}
@@ -206,14 +206,14 @@
 		if !ask.Whole && ask.From == size {
 			select {
 			case <-changed:
-				d.do(func() { size = d.size })
+				d.locked(func() { size = d.size })
 			case <-time.After(ask.Hold):
 			}
 		}
 		if d.queue != nil {
-			d.wait(d.queue.turn())
+			d.sleep(d.queue.turn())
 		}
-		d.wait(d.slow)
+		d.sleep(d.responseTime)
 		if d.agent != nil {
 			d.agent.answered()
 		}
@@ -230,13 +230,13 @@
 
 // queue has calls wait for their turn, first come, first served, also those that nobody waits for any more.
 type queue struct {
-	mu    sync.Mutex
-	each  time.Duration
-	until time.Time
+	mu          sync.Mutex
+	serviceTime time.Duration
+	until       time.Time
 }
 
 func (q *queue) turn() time.Duration {
-	span, _ := q.takeWithin(math.MaxInt64, 0)
+	span, _ := q.turnWithin(math.MaxInt64, 0)
 	return span
 }
 
@@ -244,17 +244,17 @@
 // refusal takes of the service's work too. The first call is answered with a copy that is at hand; a watch that goes on costs
 // nothing. So it was seen on the bench, where lists are asked for.
 type agent struct {
-	queue   *queue
-	room    time.Duration
-	refusal time.Duration // of the service's work
-
-	mu    sync.Mutex
-	calls int
-	last  time.Time // the last answer that was no refusal; zero where the watch has ended
-	away  int       // refused
+	queue        *queue
+	maxQueueTime time.Duration
+	refusal      time.Duration // of the service's work
+
+	mu       sync.Mutex
+	calls    int
+	last     time.Time // the last answer that was no refusal; zero where the watch has ended
+	rejected int       // refused
 }
 
-func (a *agent) take(wait func(time.Duration)) bool {
+func (a *agent) admit(wait func(time.Duration)) bool {
 	a.mu.Lock()
 	a.calls++
 	free := a.calls == 1 || !a.last.IsZero() && time.Since(a.last) < 200*time.Millisecond
@@ -263,11 +263,11 @@
 	if free {
 		return true
 	}
-	span, ok := a.queue.takeWithin(a.room, a.refusal)
+	span, ok := a.queue.turnWithin(a.maxQueueTime, a.refusal)
 	if !ok {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.away++
+		a.rejected++
 		return false
 	}
 	wait(span)
@@ -283,156 +283,156 @@
 	}
 }
 
-// takeWithin is turn for a service that turns away what would wait for longer than room.
-func (q *queue) takeWithin(room, refusal time.Duration) (time.Duration, bool) {
+// turnWithin is turn for a service that turns away what would wait for longer than room.
+func (q *queue) turnWithin(room, refusal time.Duration) (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
 	if q.until.Before(now) {
 		q.until = now
 	}
-	if q.until.Add(q.each).Sub(now) > room {
+	if q.until.Add(q.serviceTime).Sub(now) > room {
 		q.until = q.until.Add(refusal)
 		return 0, false
 	}
-	q.until = q.until.Add(q.each)
+	q.until = q.until.Add(q.serviceTime)
 	return q.until.Sub(now), true
 }
 
-// heard notes when a list of a size was first told.
-type heard struct {
-	mu sync.Mutex
-	at map[int]time.Time
+// notifications notes when a list of a size was first told.
+type notifications struct {
+	mu        sync.Mutex
+	firstSeen map[int]time.Time
 }
 
-func (h *heard) tell(ev node.Event) {
+func (h *notifications) notify(ev node.Event) {
 	if l, ok := ev.(node.EndpointsUpdated); ok && l.Kind == policy.CompleteUpdate {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		for size := len(l.Endpoints); size > 0 && h.at[size].IsZero(); size-- {
-			h.at[size] = time.Now()
+		for size := len(l.Endpoints); size > 0 && h.firstSeen[size].IsZero(); size-- {
+			h.firstSeen[size] = time.Now()
 		}
 	}
 }
 
-// worst are orders of events before discovery can be reached; each ends with a change that discovery has, and gives when
+// faultOrders are orders of events before discovery can be reached; each ends with a change that discovery has, and gives when
 // both were so.
-var worst = []struct {
+var faultOrders = []struct {
 	name string
-	do   func(d *service, w *Watcher) (reached time.Time)
+	do   func(d *fakeDiscovery, w *Watcher) (reached time.Time)
 }{
-	{"half-open", func(d *service, _ *Watcher) time.Time {
+	{"half-open", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
 		return time.Now()
 	}},
-	{"half-open, the next call is reset", func(d *service, _ *Watcher) time.Time {
+	{"half-open, the next call is reset", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.do(func() { d.faults = []string{"reset"} })
+		d.locked(func() { d.faults = []string{"reset"} })
 		return time.Now()
 	}},
-	{"half-open, the next call gets no answer", func(d *service, _ *Watcher) time.Time {
+	{"half-open, the next call gets no answer", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.do(func() { d.faults = []string{"silent"} })
+		d.locked(func() { d.faults = []string{"silent"} })
 		return time.Now()
 	}},
-	{"half-open, the next answer trickles", func(d *service, _ *Watcher) time.Time {
+	{"half-open, the next answer trickles", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.do(func() { d.faults = []string{"trickle"} })
+		d.locked(func() { d.faults = []string{"trickle"} })
 		return time.Now()
 	}},
-	{"half-open, the next answer is odd", func(d *service, _ *Watcher) time.Time {
+	{"half-open, the next answer is odd", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.do(func() { d.faults = []string{"odd"} })
+		d.locked(func() { d.faults = []string{"odd"} })
 		return time.Now()
 	}},
-	{"cut off for 7 s", func(d *service, _ *Watcher) time.Time {
+	{"cut off for 7 s", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.do(func() { d.lost = true })
+		d.locked(func() { d.lost = true })
 		time.Sleep(7 * time.Second)
-		d.do(func() { d.lost = false })
+		d.locked(func() { d.lost = false })
 		return time.Now()
 	}},
-	{"silent for 7 s", func(d *service, _ *Watcher) time.Time {
+	{"silent for 7 s", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.do(func() { d.silent = true })
+		d.locked(func() { d.silent = true })
 		time.Sleep(7 * time.Second)
-		d.do(func() { d.silent = false })
+		d.locked(func() { d.silent = false })
 		return time.Now()
 	}},
-	{"down for 7 s", func(d *service, _ *Watcher) time.Time {
+	{"down for 7 s", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.down()
 		time.Sleep(7 * time.Second)
 		d.up()
 		return time.Now()
 	}},
-	{"half-open, moved to where nobody is", func(d *service, w *Watcher) time.Time {
+	{"half-open, moved to where nobody is", func(d *fakeDiscovery, w *Watcher) time.Time {
 		d.halfOpen()
 		w.SwitchDiscovery("nowhere:1")
 		return time.Now()
 	}},
-	{"half-open, moved there and back", func(d *service, w *Watcher) time.Time {
+	{"half-open, moved there and back", func(d *fakeDiscovery, w *Watcher) time.Time {
 		d.halfOpen()
 		w.SwitchDiscovery("nowhere:1")
 		time.Sleep(time.Second)
-		w.SwitchDiscovery(at)
+		w.SwitchDiscovery(fakeAddr)
 		return time.Now().Add(-time.Second)
 	}},
-	{"half-open, moved to where it comes up 15 s later", func(d *service, w *Watcher) time.Time {
+	{"half-open, moved to where it comes up 15 s later", func(d *fakeDiscovery, w *Watcher) time.Time {
 		d.halfOpen()
-		d.do(func() { d.lost = true })
+		d.locked(func() { d.lost = true })
 		w.SwitchDiscovery("127.0.0.1:8501")
 		time.Sleep(15 * time.Second)
-		d.do(func() { d.lost, d.moved = false, true })
+		d.locked(func() { d.lost, d.moved = false, true })
 		return time.Now()
 	}},
-	{"moved there, back while it is cut off", func(d *service, w *Watcher) time.Time {
+	{"moved there, back while it is cut off", func(d *fakeDiscovery, w *Watcher) time.Time {
 		w.SwitchDiscovery("nowhere:1")
 		d.halfOpen()
-		d.do(func() { d.lost = true })
+		d.locked(func() { d.lost = true })
 		time.Sleep(time.Second)
-		w.SwitchDiscovery(at)
+		w.SwitchDiscovery(fakeAddr)
 		time.Sleep(time.Second)
-		d.do(func() { d.lost = false })
+		d.locked(func() { d.lost = false })
 		return time.Now()
 	}},
 }
 
-// longestSpan is the longest from when discovery has a change and can be reached until the node is told, over moments at which
+// maxUpdateDelay is the longest from when discovery has a change and can be reached until the node is told, over moments at which
 // an order of events begins, and the most connections that were open or dialled.
-func longestSpan(p Patience, slow time.Duration, do func(*service, *Watcher) time.Time) (span time.Duration, most int) {
+func maxUpdateDelay(p Timing, slow time.Duration, do func(*fakeDiscovery, *Watcher) time.Time) (span time.Duration, most int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range 5 {
 		all.Go(func() {
-			d, h := newService(slow), &heard{at: map[int]time.Time{}}
+			d, h := newFakeDiscovery(slow), &notifications{firstSeen: map[int]time.Time{}}
 			d.up()
 			p := p
 			p.Seed = uint64(i)
-			w := New(Names{}, p, d.dial(), h.tell)
-			go w.Run(ctx, at)
+			w := New(Names{}, p, d.dial(), h.notify)
+			go w.Run(ctx, fakeAddr)
 			time.Sleep(5*time.Second + time.Duration(i)*537*time.Millisecond)
 			var reached time.Time
 			grown := make(chan struct{})
 			go func() { // discovery has the change just as the trouble begins, or while it is away
 				time.Sleep(1)
-				d.grow()
+				d.addExecutor()
 				close(grown)
 			}()
 			reached = do(d, w)
 			<-grown
 			time.Sleep(20 * time.Second)
-			d.end()
+			d.close()
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			took := h.at[2].Sub(reached)
-			if h.at[2].IsZero() {
+			took := h.firstSeen[2].Sub(reached)
+			if h.firstSeen[2].IsZero() {
 				took = time.Hour
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			span = max(span, took)
-			d.do(func() { most = max(most, d.most) })
+			d.locked(func() { most = max(most, d.maxOpen) })
 		})
 	}
 	all.Wait()
@@ -448,20 +448,20 @@
 	for _, grace := range []time.Duration{50, 150, 400, 1000, 1500, 2000, 10000} {
 		grace *= time.Millisecond
 		for _, pushed := range []bool{true, false} {
-			p := PatienceFor(grace, pushed)
-			by := told - min(grace, mostGrace)
-			fmt.Fprintf(&out, "grace %v pushed %v: hold %v, answer %v, backoffs up to %v, sum %v of %v\n", grace, pushed, p.hold, p.answer, p.lastBackoff, p.sum(), by)
-			if p.sum() > by {
-				t.Errorf("grace %v, pushed %v: the sum is %v", grace, pushed, p.sum())
+			p := NewTiming(grace, pushed)
+			by := updateDeadline - min(grace, maxDrainGrace)
+			fmt.Fprintf(&out, "grace %v pushed %v: hold %v, answer %v, backoffs up to %v, sum %v of %v\n", grace, pushed, p.LongPoll, p.HedgeDelay, p.MaxBackoff, p.worstCaseDelay(), by)
+			if p.worstCaseDelay() > by {
+				t.Errorf("grace %v, pushed %v: the sum is %v", grace, pushed, p.worstCaseDelay())
 			}
 			if grace != time.Second && grace != 150*time.Millisecond && grace != 2*time.Second {
 				continue // the sum says it all
 			}
-			for _, order := range worst {
-				for _, slow := range []time.Duration{0, slowAnswer} {
+			for _, order := range faultOrders {
+				for _, slow := range []time.Duration{0, slowResponse} {
 					synctesting.Test(t, func(t *testing.T) {
-						span, most := longestSpan(p, slow, order.do)
-						if span > min(by, p.sum()+50*time.Millisecond) || most > config.DiscoveryConns {
+						span, most := maxUpdateDelay(p, slow, order.do)
+						if span > min(by, p.worstCaseDelay()+50*time.Millisecond) || most > config.DiscoveryConns {
 							t.Errorf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
 						}
 						t.Logf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
@@ -478,11 +478,11 @@
 	for _, grace := range []time.Duration{150 * time.Millisecond, time.Second, 2 * time.Second} {
 		for _, pushed := range []bool{true, false} {
 			synctesting.Test(t, func(t *testing.T) {
-				d := newService(slowAnswer)
+				d := newFakeDiscovery(slowResponse)
 				d.up()
 				var mu sync.Mutex
 				late, whole := 0, false
-				w := New(Names{}, PatienceFor(grace, pushed), d.dial(), func(ev node.Event) {
+				w := New(Names{}, NewTiming(grace, pushed), d.dial(), func(ev node.Event) {
 					mu.Lock()
 					defer mu.Unlock()
 					if l := ev.(node.EndpointsUpdated); l.Kind != policy.WatchFailed {
@@ -492,17 +492,17 @@
 					}
 				})
 				ctx, cancel := context.WithCancel(context.Background())
-				go w.Run(ctx, at)
+				go w.Run(ctx, fakeAddr)
 				time.Sleep(time.Minute)
 				cancel()
-				d.end()
+				d.close()
 				time.Sleep(time.Minute)
 				mu.Lock()
 				defer mu.Unlock()
 				if !whole || late > 0 {
 					t.Errorf("grace %v, pushed %v: the list came: %v; then %d calls were late", grace, pushed, whole, late)
 				}
-				d.do(func() { t.Logf("grace %v, pushed %v: %d calls in a minute", grace, pushed, d.asked) })
+				d.locked(func() { t.Logf("grace %v, pushed %v: %d calls in a minute", grace, pushed, d.requests) })
 			})
 		}
 	}
@@ -514,22 +514,22 @@
 	for _, pushed := range []bool{true, false} {
 		synctesting.Test(t, func(t *testing.T) {
 			var mu sync.Mutex
-			var all []*service
-			span, _ := longestSpan(PatienceFor(time.Second, pushed), slowAnswer, func(d *service, _ *Watcher) time.Time {
+			var all []*fakeDiscovery
+			span, _ := maxUpdateDelay(NewTiming(time.Second, pushed), slowResponse, func(d *fakeDiscovery, _ *Watcher) time.Time {
 				d.halfOpen()
-				d.do(func() { d.anew = true })
+				d.locked(func() { d.versionsRestarted = true })
 				mu.Lock()
 				defer mu.Unlock()
 				all = append(all, d)
 				return time.Now()
 			})
-			if t.Logf("pushed %v: told after %v", pushed, span); span > told {
+			if t.Logf("pushed %v: told after %v", pushed, span); span > updateDeadline {
 				t.Errorf("pushed %v: told after %v", pushed, span)
 			}
 			for _, d := range all {
 				// A new connection, there and back, and nothing else in between.
-				d.do(func() {
-					if gap := d.wholeAt.Sub(d.oddAt); gap > 10*time.Millisecond {
+				d.locked(func() {
+					if gap := d.completeRequestAt.Sub(d.malformedAt); gap > 10*time.Millisecond {
 						t.Errorf("pushed %v: the whole list is asked for %v after the odd answer", pushed, gap)
 					}
 				})
@@ -549,7 +549,7 @@
 					nodes = 300
 					each = time.Second / time.Duration(3*nodes)
 				}
-				span, calls := readyAfter(nodes, down, PatienceFor(time.Second, pushed), each, 12*time.Second)
+				span, calls := readyAfter(nodes, down, NewTiming(time.Second, pushed), each, 12*time.Second)
 				text := fmt.Sprintf("discovery %s, pushed %v: nine in ten of %d have the list after %v, %.1f calls each in 12 s", down, pushed, nodes, span, calls)
 				if t.Log(text); span > 10*time.Second {
 					t.Error(text)
@@ -564,7 +564,7 @@
 func TestReadyFromSlowService(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
 		const nodes = 100
-		span, calls := readyAfter(nodes, "is silent", PatienceFor(time.Second, false), time.Second/nodes, 40*time.Second)
+		span, calls := readyAfter(nodes, "is silent", NewTiming(time.Second, false), time.Second/nodes, 40*time.Second)
 		text := fmt.Sprintf("nine in ten have the list after %v, %.1f calls each in 40 s", span, calls)
 		if t.Log(text); span > 30*time.Second {
 			t.Error(text)
@@ -579,33 +579,33 @@
 	for _, grace := range []time.Duration{150 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
 		synctesting.Test(t, func(t *testing.T) {
 			const nodes = 32
-			shared := &queue{each: 8 * time.Second / nodes}
+			shared := &queue{serviceTime: 8 * time.Second / nodes}
 			ctx, cancel := context.WithCancel(context.Background())
 			began := time.Now()
-			var services []*service
-			var hearers []*heard
+			var services []*fakeDiscovery
+			var hearers []*notifications
 			for i := range nodes {
-				d, h := newService(0), &heard{at: map[int]time.Time{}}
-				d.agent = &agent{queue: shared, room: 2 * time.Second, refusal: shared.each / 20}
+				d, h := newFakeDiscovery(0), &notifications{firstSeen: map[int]time.Time{}}
+				d.agent = &agent{queue: shared, maxQueueTime: 2 * time.Second, refusal: shared.serviceTime / 20}
 				d.up()
-				p := PatienceFor(grace, false)
+				p := NewTiming(grace, false)
 				p.Seed = uint64(i)
-				go New(Names{}, p, d.dial(), h.tell).Run(ctx, at)
+				go New(Names{}, p, d.dial(), h.notify).Run(ctx, fakeAddr)
 				services, hearers = append(services, d), append(hearers, h)
 			}
 			time.Sleep(10 * time.Second)
 			for _, d := range services {
-				d.grow()
+				d.addExecutor()
 			}
 			time.Sleep(20 * time.Second)
 			var last time.Duration
 			away, heardIn := 0, 0
 			for i, d := range services {
 				d.agent.mu.Lock()
-				away += d.agent.away
+				away += d.agent.rejected
 				d.agent.mu.Unlock()
 				hearers[i].mu.Lock()
-				if news := hearers[i].at[2]; !news.IsZero() {
+				if news := hearers[i].firstSeen[2]; !news.IsZero() {
 					heardIn++
 					last = max(last, news.Sub(began)-10*time.Second)
 				}
@@ -618,7 +618,7 @@
 			}
 			cancel()
 			for _, d := range services {
-				d.end()
+				d.close()
 			}
 			time.Sleep(time.Minute)
 		})
@@ -627,15 +627,15 @@
 
 // readyAfter is when nine in ten nodes have the list, and how many calls each made in 12 s. Each takes so long of a service that all
 // share; 0 if none is.
-func readyAfter(nodes int, down string, p Patience, each, length time.Duration) (span time.Duration, calls float64) {
+func readyAfter(nodes int, down string, p Timing, each, length time.Duration) (span time.Duration, calls float64) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var spans []time.Duration
-	shared := &queue{each: each}
+	shared := &queue{serviceTime: each}
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range nodes {
 		all.Go(func() {
-			d, h := newService(slowAnswer), &heard{at: map[int]time.Time{}}
+			d, h := newFakeDiscovery(slowResponse), &notifications{firstSeen: map[int]time.Time{}}
 			d.queue = shared
 			d.lost, d.silent = down == "is cut off", down == "is silent"
 			if down != "refuses" {
@@ -643,26 +643,26 @@
 			}
 			p := p
 			p.Seed = uint64(i)
-			w := New(Names{}, p, d.dial(), h.tell)
+			w := New(Names{}, p, d.dial(), h.notify)
 			began := time.Now()
-			go w.Run(ctx, at)
+			go w.Run(ctx, fakeAddr)
 			time.Sleep(8 * time.Second)
-			d.do(func() { d.lost, d.silent = false, false })
+			d.locked(func() { d.lost, d.silent = false, false })
 			if down == "refuses" {
 				d.up()
 			}
 			time.Sleep(length - 8*time.Second)
-			d.end()
+			d.close()
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			mu.Lock()
 			defer mu.Unlock()
-			took := h.at[1].Sub(began)
-			if h.at[1].IsZero() {
+			took := h.firstSeen[1].Sub(began)
+			if h.firstSeen[1].IsZero() {
 				took = time.Hour
 			}
 			spans = append(spans, took)
-			d.do(func() { calls += float64(d.asked) / float64(nodes) })
+			d.locked(func() { calls += float64(d.requests) / float64(nodes) })
 		})
 	}
 	all.Wait()
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -20,8 +20,8 @@
 // update is what a call brought.
 type update struct {
 	version   int64
-	whole     bool
-	executors []node.Endpoint
+	complete  bool
+	endpoints []node.Endpoint
 }
 
 var states = map[string]policy.EndpointState{"ready": policy.Available, "draining": policy.Draining, "gone": policy.Removed}
@@ -43,23 +43,23 @@
 		}
 	}
 	if err := json.Unmarshal(text, &w); err != nil {
-		return update{}, oddError{fmt.Errorf("the list makes no sense: %v", err)}
+		return update{}, malformedError{fmt.Errorf("the list makes no sense: %v", err)}
 	}
 	if w.Seq == nil {
-		return update{}, oddError{fmt.Errorf("the list has no seq")}
+		return update{}, malformedError{fmt.Errorf("the list has no seq")}
 	}
-	got := update{version: *w.Seq, whole: w.Whole, executors: make([]node.Endpoint, 0, len(w.Hosts))}
+	got := update{version: *w.Seq, complete: w.Whole, endpoints: make([]node.Endpoint, 0, len(w.Hosts))}
 	for _, h := range w.Hosts {
 		state, ok := states[h.Health]
 		_, err := netip.ParseAddrPort(h.Dial)
 		if !ok || h.Host == "" || err != nil && state != policy.Removed {
-			return update{}, oddError{fmt.Errorf("the list's entry %.40q makes no sense", h.Host)}
+			return update{}, malformedError{fmt.Errorf("the list's entry %.40q makes no sense", h.Host)}
 		}
 		weight := 1.0
 		if h.Share != nil {
 			weight = *h.Share
 		}
-		got.executors = append(got.executors, node.Endpoint{Addr: h.Dial, Endpoint: policy.Endpoint{
+		got.endpoints = append(got.endpoints, node.Endpoint{Addr: h.Dial, Endpoint: policy.Endpoint{
 			Executor: h.Host, Zone: policy.ZoneID(number(n.Zones, h.Site)), Cell: h.Block,
 			Kind: policy.KindID(number(n.Kinds, h.Class)), State: state, Weight: weight,
 			StartedAt: time.UnixMilli(h.Born).Sub(n.Start), StartedLongAgo: h.Born == 0}})
--- a/internal/discovery/codec_test.go
+++ b/internal/discovery/codec_test.go
@@ -46,7 +46,7 @@
 		go serve(server)
 		return client, nil
 	}
-	w := New(Names{}, PatienceFor(time.Second, true), dial, func(node.Event) {})
+	w := New(Names{}, NewTiming(time.Second, true), dial, func(node.Event) {})
 	go w.Run(ctx, "127.0.0.1:8500")
 	var out strings.Builder
 	for range 2 {
@@ -84,8 +84,8 @@
 			fmt.Fprintln(&out, "  error:", err)
 			continue
 		}
-		fmt.Fprintf(&out, "  version %d, complete %v\n", got.version, got.whole)
-		for _, e := range got.executors {
+		fmt.Fprintf(&out, "  version %d, complete %v\n", got.version, got.complete)
+		for _, e := range got.endpoints {
 			fmt.Fprintf(&out, "  %s at %q: zone %d, kind %d, cell %d, state %d, weight %v, started %v, long ago %v\n", e.Executor, e.Addr,
 				e.Zone, e.Kind, e.Cell, e.State, e.Weight, e.StartedAt, e.StartedLongAgo)
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -20,75 +20,75 @@
 const (
 	// By the operators' page a change counts as told 6 s after discovery had it and could be reached, whatever else went
 	// wrong. The drain grace is left of that for what is on its way.
-	told         = 6 * time.Second
-	mostGrace    = 2 * time.Second // of a longer one no more is left
-	mostHold     = 2 * time.Second
-	shortHold    = 20 * time.Millisecond // the wait of a call that only asks whether discovery is back
-	firstBackoff = 50 * time.Millisecond // after a call that brought nothing usable, doubled up to lastBackoff
-	breath       = 20 * time.Millisecond // between calls that are answered at once; the page lets a watch go on for 200 ms
-	longest      = 4 << 20               // bytes of an answer
+	updateDeadline   = 6 * time.Second
+	maxDrainGrace    = 2 * time.Second // of a longer one no more is left
+	maxLongPoll      = 2 * time.Second
+	probeLongPoll    = 20 * time.Millisecond // the wait of a call that only asks whether discovery is back
+	baseBackoff      = 50 * time.Millisecond // after a call that brought nothing usable, doubled up to lastBackoff
+	minPollInterval  = 20 * time.Millisecond // between calls that are answered at once; the page lets a watch go on for 200 ms
+	maxResponseBytes = 4 << 20               // bytes of an answer
 
 	// By the operators' page a node is ready 10 s after its start with discovery down for 8 s of them, or slow: it may take
 	// 1.5 s to answer. So a call is waited for so long, and while the whole list is owed calls begin so far apart at most.
-	slowAnswer = 1500 * time.Millisecond
-	readyIn    = 10 * time.Second
-	patience   = 2 * time.Second
-	owedEvery  = 400 * time.Millisecond
-	owedAnswer = 300 * time.Millisecond // and so long after a call began the next may begin beside it
-	hedgeEvery = 300 * time.Millisecond // calls that are waited for beside later ones begin so far apart at least
+	slowResponse         = 1500 * time.Millisecond
+	initialDeadline      = 10 * time.Second
+	requestTimeout       = 2 * time.Second
+	initialInterval      = 400 * time.Millisecond
+	maxInitialHedgeDelay = 300 * time.Millisecond // and so long after a call began the next may begin beside it
+	minHedgeInterval     = 300 * time.Millisecond // calls that are waited for beside later ones begin so far apart at least
 
 	// After that, where nodes ask: fewer calls, and longer ones. Guards against a service that is slow because of the calls that
 	// were given up: it would stay so.
-	overdueBackoff  = 2 * time.Second
-	overduePatience = 3 * patience
+	overdueBackoff        = 2 * time.Second
+	overdueRequestTimeout = 3 * requestTimeout
 
 	// Where nodes ask and the service turns calls away (503, 429): it is there, and has no room. Each refusal takes of the work that
 	// it could do, so the backoff doubles from owedEvery to refusedBackoff; and a call that it has taken may stand in its queue
 	// for patience, where another one beside it would only be refused. Guards against nodes that keep a service busy refusing.
-	refusedBackoff = 2 * time.Second
-	busyRefusals   = 2 // refusals in a row from which a service counts as busy: one alone may be a spoilt answer
+	maxRejectedBackoff = 2 * time.Second
+	busyRejections     = 2 // refusals in a row from which a service counts as busy: one alone may be a spoilt answer
 
 	// Bounds of what is derived from the drain grace: an answer takes some time where the core is shared, and calls cost.
-	leastAnswer, mostAnswer   = 100 * time.Millisecond, 500 * time.Millisecond
-	leastBackoff, mostBackoff = firstBackoff, 800 * time.Millisecond
+	minHedgeDelay, maxHedgeDelay = 100 * time.Millisecond, 500 * time.Millisecond
+	minMaxBackoff, maxMaxBackoff = baseBackoff, 800 * time.Millisecond
 )
 
-// Patience is how long calls may take, and how far apart they are, while discovery is silent.
-type Patience struct {
+// Timing is how long calls may take, and how far apart they are, while discovery is silent.
+type Timing struct {
 	Seed uint64 // differs from node to node, so that many that begin at one moment don't go on calling at one moment
 
-	hold        time.Duration // how long a call waits for news
-	answer      time.Duration // beyond it: after that a call is late, and the next begins beside it
-	owed        time.Duration // the same while the whole list is owed
-	lastBackoff time.Duration
-	shared      bool // all nodes ask one service
+	LongPoll          time.Duration // how long a call waits for news
+	HedgeDelay        time.Duration // beyond it: after that a call is late, and the next begins beside it
+	InitialHedgeDelay time.Duration // the same while the whole list is owed
+	MaxBackoff        time.Duration
+	SharedService     bool // all nodes ask one service
 }
 
-// PatienceFor fits it to the drain grace. Where lists are pushed, what discovery has when it is back counts as told at once,
+// NewTiming fits it to the drain grace. Where lists are pushed, what discovery has when it is back counts as told at once,
 // whoever asks: a call that hangs, the backoff after it and the next call together take no more than three quarters of the
 // grace. Where nodes ask, calls load a service that all share, and the settings name another time.
 //
 // The wait for news is what 6 s less the grace leave beside the rest of the worst order: see sum.
-func PatienceFor(drainGrace time.Duration, pushed bool) Patience {
-	p := Patience{answer: mostAnswer, lastBackoff: mostBackoff, shared: !pushed}
+func NewTiming(drainGrace time.Duration, pushed bool) Timing {
+	p := Timing{HedgeDelay: maxHedgeDelay, MaxBackoff: maxMaxBackoff, SharedService: !pushed}
 	if pushed {
 		part := drainGrace / 4
-		p.answer, p.lastBackoff = min(max(part, leastAnswer), mostAnswer), min(max(part, leastBackoff), mostBackoff)
+		p.HedgeDelay, p.MaxBackoff = min(max(part, minHedgeDelay), maxHedgeDelay), min(max(part, minMaxBackoff), maxMaxBackoff)
 	}
-	p.owed = min(p.answer, owedAnswer)
-	p.hold = min(told-min(drainGrace, mostGrace)-p.sum(), mostHold)
+	p.InitialHedgeDelay = min(p.HedgeDelay, maxInitialHedgeDelay)
+	p.LongPoll = min(updateDeadline-min(drainGrace, maxDrainGrace)-p.worstCaseDelay(), maxLongPoll)
 	return p
 }
 
-// sum is the longest that a node goes without news which discovery has and could give, in the worst order of events: a watch
+// worstCaseDelay is the longest that a node goes without news which discovery has and could give, in the worst order of events: a watch
 // falls silent as it begins, the next call fails late, and discovery takes its time for the one after.
-func (p Patience) sum() time.Duration {
-	first := p.hold + p.answer + firstBackoff
-	second := shortHold + p.answer + min(2*firstBackoff, p.lastBackoff)
-	if second < hedgeEvery {
-		second += hedgeEvery // calls that begin sooner are not waited for
+func (p Timing) worstCaseDelay() time.Duration {
+	first := p.LongPoll + p.HedgeDelay + baseBackoff
+	second := probeLongPoll + p.HedgeDelay + min(2*baseBackoff, p.MaxBackoff)
+	if second < minHedgeInterval {
+		second += minHedgeInterval // calls that begin sooner are not waited for
 	}
-	return first + second + shortHold + slowAnswer
+	return first + second + probeLongPoll + slowResponse
 }
 
 // Names are the settings' names of zones and kinds, by number.
@@ -99,40 +99,40 @@
 
 // Watcher follows discovery, at one address after another.
 type Watcher struct {
-	Patience
+	Timing
 	// Copy is the list as this node last had it. Where nodes ask, the first watch goes on from its version: a call for the whole
 	// list would be one more for the service, and what it brings late, with no call open, would still count as told.
-	Copy    Copy
+	Cached  CachedList
 	names   Names
-	tell    func(node.Event)
+	notify  func(node.Event)
 	again   chan struct{}
 	follow  chan string
 	news    chan news
-	dial    Dialer
+	dialer  Dialer
 	watches uint64
 }
 
-// Copy is a list as discovery told it once; it may be old.
-type Copy struct {
-	Executors []node.Endpoint
+// CachedList is a list as discovery told it once; it may be old.
+type CachedList struct {
+	Endpoints []node.Endpoint
 
-	version int64
-	whole   bool // it says that it is whole, so that changes since its version make it the list of now
+	version  int64
+	complete bool // it says that it is whole, so that changes since its version make it the list of now
 }
 
-// with is the whole list that comes of it by what has changed since.
-func (c Copy) with(changes update) update {
-	all := update{version: changes.version, whole: true}
+// apply is the whole list that comes of it by what has changed since.
+func (c CachedList) apply(changes update) update {
+	all := update{version: changes.version, complete: true}
 	changed := map[policy.ExecutorID]bool{}
-	for _, e := range changes.executors {
+	for _, e := range changes.endpoints {
 		changed[e.Executor] = true
 		if e.State != policy.Removed {
-			all.executors = append(all.executors, e)
+			all.endpoints = append(all.endpoints, e)
 		}
 	}
-	for _, e := range c.Executors {
+	for _, e := range c.Endpoints {
 		if !changed[e.Executor] {
-			all.executors = append(all.executors, e)
+			all.endpoints = append(all.endpoints, e)
 		}
 	}
 	return all
@@ -157,12 +157,12 @@
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // New makes a watcher; without a dialer it uses the system's.
-func New(names Names, patience Patience, dial Dialer, tell func(node.Event)) *Watcher {
+func New(names Names, patience Timing, dial Dialer, tell func(node.Event)) *Watcher {
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
 	}
-	return &Watcher{Patience: patience, names: names, tell: tell,
-		again: make(chan struct{}, 1), follow: make(chan string, 1), news: make(chan news), dial: dial}
+	return &Watcher{Timing: patience, names: names, notify: tell,
+		again: make(chan struct{}, 1), follow: make(chan string, 1), news: make(chan news), dialer: dial}
 }
 
 // WatchEndpoints cuts a backoff between two calls short.
@@ -187,7 +187,7 @@
 // nothing.
 func (w *Watcher) Run(ctx context.Context, addr string) {
 	var counts *watch
-	last := w.start(ctx, addr, w.Copy) // another address may count its versions otherwise
+	last := w.start(ctx, addr, w.Cached) // another address may count its versions otherwise
 	for {
 		select {
 		case <-ctx.Done():
@@ -199,7 +199,7 @@
 			if last != counts {
 				last.stop()
 			}
-			last = w.start(ctx, addr, Copy{})
+			last = w.start(ctx, addr, CachedList{})
 		case n := <-w.news:
 			if n.from == last && n.err == nil && last != counts { // a watch's first news is the whole list
 				if counts != nil {
@@ -212,14 +212,14 @@
 				w.bring(n)
 			case n.from == last && !last.mute:
 				last.mute = true
-				w.tell(node.DiscoverySwitchPending{Addr: last.addr, Detail: n.err.Error()})
+				w.notify(node.DiscoverySwitchPending{Addr: last.addr, Detail: n.err.Error()})
 			}
 			n.from.told <- struct{}{}
 		}
 	}
 }
 
-func (w *Watcher) start(ctx context.Context, addr string, from Copy) *watch {
+func (w *Watcher) start(ctx context.Context, addr string, from CachedList) *watch {
 	ctx, stop := context.WithCancel(ctx)
 	on := &watch{addr: addr, stop: stop, told: make(chan struct{}, 1)}
 	w.watches++
@@ -250,17 +250,17 @@
 // A call that is late is waited for beside the next ones: discovery may be slow, and then giving up each call would bring
 // nothing ever; or its connection may be dead, and then only another call brings anything. Whichever brings something first
 // ends the others.
-func (w *Watcher) run(ctx context.Context, on *watch, from Copy, chance *rand.Rand) {
+func (w *Watcher) run(ctx context.Context, on *watch, from CachedList, chance *rand.Rand) {
 	client := w.client()
 	defer client.CloseIdleConnections()
 	var (
 		version = from.version
-		known   = from.whole && w.shared // the version counts
-		first   = true                   // no list has come
-		lost    = known                  // the last call brought nothing; or it is not known yet whether discovery is there
-		refused int                      // calls that a service which all share turned away, in a row
-		backoff = firstBackoff           // after the next one that brings nothing
-		took    time.Duration            // what the last answer took beyond its call's wait
+		known   = from.complete && w.SharedService // the version counts
+		first   = true                             // no list has come
+		lost    = known                            // the last call brought nothing; or it is not known yet whether discovery is there
+		refused int                                // calls that a service which all share turned away, in a row
+		backoff = baseBackoff                      // after the next one that brings nothing
+		took    time.Duration                      // what the last answer took beyond its call's wait
 
 		out     []*call
 		current *call // the one that is not late yet; nil between two
@@ -270,12 +270,12 @@
 		next    = time.NewTimer(time.Hour) // the current call is late, or the next one is due
 	)
 	begin := func() {
-		busy := refused >= busyRefusals
+		busy := refused >= busyRejections
 		current = w.next(known, lost, busy, took)
 		out = append(out, current)
-		limit := patience
+		limit := requestTimeout
 		if busy || !known && w.overdue(began) {
-			limit = overduePatience
+			limit = overdueRequestTimeout
 		}
 		w.begin(ctx, client, current, limit, on.addr, version, ends)
 		next.Reset(current.hold + current.late)
@@ -297,22 +297,22 @@
 			return false
 		}
 		pause := backoff
-		if w.shared && errors.As(err, new(refusedError)) {
+		if w.SharedService && errors.As(err, new(rejectedError)) {
 			refused++
 		} else {
 			refused = 0
 		}
 		switch {
 		case refused > 0:
-			pause = min(owedEvery<<min(refused-1, 8), refusedBackoff)
+			pause = min(initialInterval<<min(refused-1, 8), maxRejectedBackoff)
 		case known:
 		case w.overdue(began):
 			pause = overdueBackoff
 		default:
-			pause = max(0, min(pause, owedEvery-time.Since(call)))
+			pause = max(0, min(pause, initialInterval-time.Since(call)))
 		}
 		beginIn(pause/2 + time.Duration(chance.Float64()*float64(pause-pause/2)))
-		backoff = min(2*backoff, w.lastBackoff)
+		backoff = min(2*backoff, w.MaxBackoff)
 		return true
 	}
 	begin()
@@ -332,7 +332,7 @@
 				continue
 			}
 			late := current
-			if late.began.Sub(hedged) >= hedgeEvery {
+			if late.began.Sub(hedged) >= minHedgeInterval {
 				hedged = late.began
 			} else {
 				giveUp(late)
@@ -348,7 +348,7 @@
 			}
 			out = slices.Delete(out, i, i+1)
 			if e.err != nil {
-				var odd oddError
+				var odd malformedError
 				senseless := errors.As(e.err, &odd)
 				known = known && !senseless
 				switch {
@@ -375,21 +375,23 @@
 				took = all - e.hold
 			}
 			out, current = nil, nil
-			if first && !e.update.whole {
-				e.update = from.with(e.update)
+			if first && !e.update.complete {
+				e.update = from.apply(e.update)
 			}
 			first = false
-			version, known, lost, backoff, refused = e.version, true, false, firstBackoff, 0
+			version, known, lost, backoff, refused = e.version, true, false, baseBackoff, 0
 			if !w.brought(ctx, news{on, e.update, nil}) {
 				return
 			}
-			beginIn(breath - time.Since(e.began))
+			beginIn(minPollInterval - time.Since(e.began))
 		}
 	}
 }
 
 // overdue says whether the whole list has been owed for longer than a node may take to be ready, by a service that all share.
-func (w *Watcher) overdue(began time.Time) bool { return w.shared && time.Since(began) >= readyIn }
+func (w *Watcher) overdue(began time.Time) bool {
+	return w.SharedService && time.Since(began) >= initialDeadline
+}
 
 // brought hands over what a watch brought, and waits until it has been dealt with.
 func (w *Watcher) brought(ctx context.Context, n news) bool {
@@ -409,15 +411,15 @@
 	c := &call{whole: !known, began: time.Now()}
 	switch {
 	case busy:
-		c.late = patience + w.answer
+		c.late = requestTimeout + w.HedgeDelay
 	case !known:
-		c.late = w.owed
+		c.late = w.InitialHedgeDelay
 	case lost:
-		c.hold, c.late = min(w.hold, shortHold), w.answer
+		c.hold, c.late = min(w.LongPoll, probeLongPoll), w.HedgeDelay
 	default:
-		wait := min(w.hold, shortHold)
-		c.late = max(w.answer, min(took*5/4, w.hold+w.answer-wait))
-		c.hold = w.hold + w.answer - c.late
+		wait := min(w.LongPoll, probeLongPoll)
+		c.late = max(w.HedgeDelay, min(took*5/4, w.LongPoll+w.HedgeDelay-wait))
+		c.hold = w.LongPoll + w.HedgeDelay - c.late
 	}
 	return c
 }
@@ -433,11 +435,11 @@
 	go func() {
 		got, err := w.call(ctx, client, url)
 		switch {
-		case err != nil || got.whole:
+		case err != nil || got.complete:
 		case c.whole:
-			err = oddError{errors.New("changes where the whole list is due")}
+			err = malformedError{errors.New("changes where the whole list is due")}
 		case got.version < version:
-			err = oddError{fmt.Errorf("changes up to version %d, asked for from %d on", got.version, version)}
+			err = malformedError{fmt.Errorf("changes up to version %d, asked for from %d on", got.version, version)}
 		}
 		select {
 		case ends <- ended{c, got, err}:
@@ -450,11 +452,11 @@
 func (w *Watcher) bring(n news) {
 	switch {
 	case n.err != nil:
-		w.tell(node.EndpointsUpdated{Kind: policy.WatchFailed, Detail: n.err.Error()})
-	case n.whole:
-		w.tell(node.EndpointsUpdated{Kind: policy.CompleteUpdate, Endpoints: n.executors})
-	case len(n.executors) > 0:
-		w.tell(node.EndpointsUpdated{Kind: policy.IncrementalUpdate, Endpoints: n.executors})
+		w.notify(node.EndpointsUpdated{Kind: policy.WatchFailed, Detail: n.err.Error()})
+	case n.complete:
+		w.notify(node.EndpointsUpdated{Kind: policy.CompleteUpdate, Endpoints: n.endpoints})
+	case len(n.endpoints) > 0:
+		w.notify(node.EndpointsUpdated{Kind: policy.IncrementalUpdate, Endpoints: n.endpoints})
 	}
 }
 
@@ -469,7 +471,7 @@
 			ctx, cancel := context.WithCancel(ctx)
 			defer cancel()
 			defer context.AfterFunc(ctx.Value(callKey{}).(context.Context), cancel)()
-			return w.dial(ctx, network, addr)
+			return w.dialer(ctx, network, addr)
 		}}}
 }
 
@@ -483,34 +485,34 @@
 		return update{}, err
 	}
 	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, longest+1))
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes+1))
 	switch {
 	case err != nil:
 		return update{}, err
 	case answer.StatusCode == http.StatusServiceUnavailable, answer.StatusCode == http.StatusTooManyRequests:
-		return update{}, refusedError{fmt.Errorf("discovery answered %s", answer.Status)}
+		return update{}, rejectedError{fmt.Errorf("discovery answered %s", answer.Status)}
 	case answer.StatusCode != http.StatusOK:
-		return update{}, oddError{fmt.Errorf("discovery answered %s", answer.Status)}
-	case len(text) > longest:
-		return update{}, oddError{errors.New("discovery's answer is too long")}
+		return update{}, malformedError{fmt.Errorf("discovery answered %s", answer.Status)}
+	case len(text) > maxResponseBytes:
+		return update{}, malformedError{errors.New("discovery's answer is too long")}
 	}
 	return w.names.decode(text)
 }
 
-// refusedError is a call that discovery turned away for now. It says nothing of the list: the version that is known still counts.
-type refusedError struct{ error }
+// rejectedError is a call that discovery turned away for now. It says nothing of the list: the version that is known still counts.
+type rejectedError struct{ error }
 
-// oddError is an answer that makes no sense: after it the whole list is asked for anew.
-type oddError struct{ error }
+// malformedError is an answer that makes no sense: after it the whole list is asked for anew.
+type malformedError struct{ error }
 
-// Known reads a copy of the list in discovery's form.
-func (n Names) Known(text json.RawMessage) (Copy, error) {
+// DecodeCached reads a copy of the list in discovery's form.
+func (n Names) DecodeCached(text json.RawMessage) (CachedList, error) {
 	if len(text) == 0 || string(text) == "null" {
-		return Copy{}, nil
+		return CachedList{}, nil
 	}
 	got, err := n.decode(text)
 	if err != nil {
-		return Copy{}, fmt.Errorf("known: %w", err)
+		return CachedList{}, fmt.Errorf("known: %w", err)
 	}
-	return Copy{Executors: got.executors, version: got.version, whole: got.whole}, nil
+	return CachedList{Endpoints: got.endpoints, version: got.version, complete: got.complete}, nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -43,7 +43,7 @@
 		"error",
 		`{"seq":50,"whole":true,"hosts":[{"host":"h","dial":"127.0.0.1:81","health":"ready","site":"new","class":"new"}]}`,
 	}
-	golden.Compare(t, "watch.txt", played(t, PatienceFor(time.Second, true), Copy{}, answers))
+	golden.Compare(t, "watch.txt", playAnswers(t, NewTiming(time.Second, true), CachedList{}, answers))
 }
 
 // Where nodes ask, the first watch goes on from the version of the copy, and what it brings makes the whole list of it. Versions
@@ -71,19 +71,19 @@
 		{"pushed", `{"seq":41,"whole":true,` + entries, true, []string{whole}},
 		{"no copy", ``, false, []string{whole}},
 	} {
-		from, err := traceNames.Known([]byte(c.copy))
+		from, err := traceNames.DecodeCached([]byte(c.copy))
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString("-- " + c.name + "\n" + played(t, PatienceFor(time.Second, c.pushed), from, c.answers))
+		out.WriteString("-- " + c.name + "\n" + playAnswers(t, NewTiming(time.Second, c.pushed), from, c.answers))
 	}
 	golden.Compare(t, "copy.txt", out.String())
 }
 
 var traceNames = Names{Zones: []string{"tallinn", "tartu"}, Kinds: []string{"large", "small"}, Start: time.UnixMilli(5000)}
 
-// played is what is asked of a discovery that gives these answers, and what the node is told.
-func played(t *testing.T, p Patience, from Copy, answers []string) string {
+// playAnswers is what is asked of a discovery that gives these answers, and what the node is told.
+func playAnswers(t *testing.T, p Timing, from CachedList, answers []string) string {
 	var out strings.Builder
 	steps := make(chan string)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -124,8 +124,8 @@
 		}
 		steps <- "  -> " + line
 	})
-	w.Copy = from
-	w.hold, w.answer, w.owed = 20*time.Millisecond, time.Second, time.Second
+	w.Cached = from
+	w.LongPoll, w.HedgeDelay, w.InitialHedgeDelay = 20*time.Millisecond, time.Second, time.Second
 	go func() {
 		w.Run(ctx, discovery.Listener.Addr().String())
 		close(steps)
@@ -160,7 +160,7 @@
 	from, to := stand("old", oldAnswers), stand("new", newAnswers)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w := New(Names{}, PatienceFor(time.Second, true), nil, func(ev node.Event) {
+	w := New(Names{}, NewTiming(time.Second, true), nil, func(ev node.Event) {
 		switch ev := ev.(type) {
 		case node.EndpointsUpdated:
 			steps <- fmt.Sprintf("  -> list %d: %s", ev.Kind, ev.Endpoints[0].Executor)
@@ -168,7 +168,7 @@
 			steps <- "  -> " + strings.ReplaceAll(ev.Detail, to, "new") + " of " + strings.ReplaceAll(ev.Addr, to, "new")
 		}
 	})
-	w.answer, w.owed = 20*time.Second, 20*time.Second // nothing here goes by time: a busy machine's answer may be late
+	w.HedgeDelay, w.InitialHedgeDelay = 20*time.Second, 20*time.Second // nothing here goes by time: a busy machine's answer may be late
 	go w.Run(ctx, from)
 	var out strings.Builder
 	expect := func(n int) {
@@ -210,8 +210,8 @@
 		`{"seq":1,"whole":true,"hosts":[` + host("a", `"health":"ready"`) + `]}`: "1 <nil>",
 		`{"seq":1,"hosts":[{}]}`: `0 known: the list's entry "" makes no sense`,
 	} {
-		got, err := Names{}.Known([]byte(text))
-		if s := fmt.Sprint(len(got.Executors), " ", err); s != want {
+		got, err := Names{}.DecodeCached([]byte(text))
+		if s := fmt.Sprint(len(got.Endpoints), " ", err); s != want {
 			t.Errorf("%s: %s, want %s", text, s, want)
 		}
 	}
@@ -247,7 +247,7 @@
 	}))
 	defer discovery.Close()
 	defer cancel()
-	w := New(Names{}, PatienceFor(400*time.Millisecond, true), nil, func(ev node.Event) {
+	w := New(Names{}, NewTiming(400*time.Millisecond, true), nil, func(ev node.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		if news := ev.(node.EndpointsUpdated); news.Kind == policy.WatchFailed {
@@ -256,7 +256,7 @@
 			fmt.Fprintf(&told, "told: list %d: %s %d\n", news.Kind, news.Endpoints[0].Executor, news.Endpoints[0].State)
 		}
 	})
-	w.hold, w.answer = 50*time.Millisecond, 2*time.Second // so long that no call is given up before it is heard, however busy the machine
+	w.LongPoll, w.HedgeDelay = 50*time.Millisecond, 2*time.Second // so long that no call is given up before it is heard, however busy the machine
 	go w.Run(ctx, discovery.Listener.Addr().String())
 	<-over
 	mu.Lock()
@@ -270,10 +270,10 @@
 	for _, grace := range []time.Duration{50, 150, 400, 1000, 1500, 2000, 10000} {
 		grace *= time.Millisecond
 		for _, pushed := range []bool{true, false} {
-			p := PatienceFor(grace, pushed)
-			fmt.Fprintf(&out, "grace %v pushed %v: answer %v, backoffs up to %v, together %v\n", grace, pushed, p.answer, p.lastBackoff,
-				2*(shortHold+p.answer)+p.lastBackoff)
-			if whole := 2*(shortHold+p.answer) + p.lastBackoff; pushed && grace >= 400*time.Millisecond && whole > grace {
+			p := NewTiming(grace, pushed)
+			fmt.Fprintf(&out, "grace %v pushed %v: answer %v, backoffs up to %v, together %v\n", grace, pushed, p.HedgeDelay, p.MaxBackoff,
+				2*(probeLongPoll+p.HedgeDelay)+p.MaxBackoff)
+			if whole := 2*(probeLongPoll+p.HedgeDelay) + p.MaxBackoff; pushed && grace >= 400*time.Millisecond && whole > grace {
 				t.Errorf("%v is over the grace %v", whole, grace)
 			}
 		}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -26,10 +26,10 @@
 type Setup struct {
 	Settings    config.Settings
 	Limits      node.Limits
-	ClientConns frontend.Budget // from clients, at most
-	Known       discovery.Copy  // the list as this node had it last
-	Discovery   string          // where the list comes from
-	Start       time.Time       // times of the reducer count from then
+	ClientConns frontend.Budget      // from clients, at most
+	Known       discovery.CachedList // the list as this node had it last
+	Discovery   string               // where the list comes from
+	Start       time.Time            // times of the reducer count from then
 
 	Module    node.Policy
 	Listener  net.Listener
@@ -76,10 +76,10 @@
 	front := frontend.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Post)
 	pool := upstream.New(s.Executors, s.Settings.TellsLoad(), upstream.Probing{Path: s.Settings.Probe.Path,
 		Limit: s.Settings.Probe.Limit, Told: s.Settings.Told()}, loop.Post)
-	patience := discovery.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
+	patience := discovery.NewTiming(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
 	patience.Seed = uint64(s.Settings.Policy.Seed)<<32 | uint64(uint32(s.Settings.Policy.Node))
 	watcher := discovery.New(discovery.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Post)
-	watcher.Copy = s.Known
+	watcher.Cached = s.Known
 	door := admin.New(config.DoorCallers, loop.PostUrgent)
 	edges := node.Edges{Discovery: watcher, Admin: door}
 	if s.Heirs != "" {
@@ -127,7 +127,7 @@
 	watching, enough := context.WithCancel(context.Background())
 	defer enough()
 	go func() {
-		loop.Post(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Executors})
+		loop.Post(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Endpoints})
 		watcher.Run(watching, s.Discovery)
 	}()
 	go func() {
