--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -48,6 +48,8 @@
 
 const fakeAddr = "127.0.0.1:8500"
 
+var defaults = defaultTiming()
+
 func newFakeDiscovery(slow time.Duration) *fakeDiscovery {
 	d := &fakeDiscovery{responseTime: slow, size: 1, changed: make(chan struct{}), closed: make(chan struct{})}
 	d.net = memnet.New(1, func(_, to string) memnet.Path {
@@ -180,7 +182,9 @@
 		}
 		switch fault {
 		case "silent":
-			in.ReadByte() // until the node gives it up
+			if _, err := in.ReadByte(); err == nil { // it blocks until the node cancels the request
+				panic("data behind a request that was not answered")
+			}
 			return
 		case "reset":
 			c.(*memnet.Conn).Reset()
@@ -415,7 +419,7 @@
 			var reached time.Time
 			grown := make(chan struct{})
 			go func() { // discovery has the change just as the trouble begins, or while it is away
-				time.Sleep(1)
+				time.Sleep(time.Nanosecond)
 				d.addExecutor()
 				close(grown)
 			}()
@@ -449,19 +453,19 @@
 		grace *= time.Millisecond
 		for _, pushed := range []bool{true, false} {
 			p := NewTiming(grace, pushed)
-			by := updateDeadline - min(grace, maxDrainGrace)
-			fmt.Fprintf(&out, "grace %v pushed %v: hold %v, answer %v, backoffs up to %v, sum %v of %v\n", grace, pushed, p.LongPoll, p.HedgeDelay, p.MaxBackoff, p.worstCaseDelay(), by)
-			if p.worstCaseDelay() > by {
-				t.Errorf("grace %v, pushed %v: the sum is %v", grace, pushed, p.worstCaseDelay())
+			by := defaults.UpdateDeadline - min(grace, defaults.MaxDrainGrace)
+			fmt.Fprintf(&out, "grace %v pushed %v: hold %v, answer %v, backoffs up to %v, sum %v of %v\n", grace, pushed, p.LongPoll, p.HedgeDelay, p.MaxBackoff, p.MaxUpdateDelay(), by)
+			if p.MaxUpdateDelay() > by {
+				t.Errorf("grace %v, pushed %v: the sum is %v", grace, pushed, p.MaxUpdateDelay())
 			}
 			if grace != time.Second && grace != 150*time.Millisecond && grace != 2*time.Second {
 				continue // the sum says it all
 			}
 			for _, order := range faultOrders {
-				for _, slow := range []time.Duration{0, slowResponse} {
+				for _, slow := range []time.Duration{0, defaults.SlowResponse} {
 					synctesting.Test(t, func(t *testing.T) {
 						span, most := maxUpdateDelay(p, slow, order.do)
-						if span > min(by, p.worstCaseDelay()+50*time.Millisecond) || most > config.DiscoveryConns {
+						if span > min(by, p.MaxUpdateDelay()+50*time.Millisecond) || most > config.DiscoveryConns {
 							t.Errorf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
 						}
 						t.Logf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
@@ -478,7 +482,7 @@
 	for _, grace := range []time.Duration{150 * time.Millisecond, time.Second, 2 * time.Second} {
 		for _, pushed := range []bool{true, false} {
 			synctesting.Test(t, func(t *testing.T) {
-				d := newFakeDiscovery(slowResponse)
+				d := newFakeDiscovery(defaults.SlowResponse)
 				d.up()
 				var mu sync.Mutex
 				late, whole := 0, false
@@ -515,7 +519,7 @@
 		synctesting.Test(t, func(t *testing.T) {
 			var mu sync.Mutex
 			var all []*fakeDiscovery
-			span, _ := maxUpdateDelay(NewTiming(time.Second, pushed), slowResponse, func(d *fakeDiscovery, _ *Watcher) time.Time {
+			span, _ := maxUpdateDelay(NewTiming(time.Second, pushed), defaults.SlowResponse, func(d *fakeDiscovery, _ *Watcher) time.Time {
 				d.halfOpen()
 				d.locked(func() { d.versionsRestarted = true })
 				mu.Lock()
@@ -523,7 +527,7 @@
 				all = append(all, d)
 				return time.Now()
 			})
-			if t.Logf("pushed %v: told after %v", pushed, span); span > updateDeadline {
+			if t.Logf("pushed %v: told after %v", pushed, span); span > defaults.UpdateDeadline {
 				t.Errorf("pushed %v: told after %v", pushed, span)
 			}
 			for _, d := range all {
@@ -635,7 +639,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range nodes {
 		all.Go(func() {
-			d, h := newFakeDiscovery(slowResponse), &notifications{firstSeen: map[int]time.Time{}}
+			d, h := newFakeDiscovery(defaults.SlowResponse), &notifications{firstSeen: map[int]time.Time{}}
 			d.queue = shared
 			d.lost, d.silent = down == "is cut off", down == "is silent"
 			if down != "refuses" {
--- /dev/null
+++ b/internal/discovery/client.go
@@ -0,0 +1,82 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+)
+
+// Dialer opens connections to discovery.
+type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
+
+// requestContextKey is where a dial's context has that of its request.
+type requestContextKey struct{}
+
+// client sends requests to one address of discovery.
+type client struct {
+	addr  string
+	names Names
+	http  *http.Client
+}
+
+// newClient makes a client. A dial ends with the request that it is for: net/http would let it go on, and where nothing answers, each
+// request would leave a descriptor behind for as long as the system tries.
+func newClient(addr string, names Names, dialer Dialer) *client {
+	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
+		ctx, cancel := context.WithCancel(ctx)
+		defer cancel()
+		stop := context.AfterFunc(ctx.Value(requestContextKey{}).(context.Context), cancel)
+		defer stop()
+		return dialer(ctx, network, addr)
+	}
+	transport := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true, DialContext: dial}
+	return &client{addr: addr, names: names, http: &http.Client{Transport: transport}}
+}
+
+// close closes the connections that carry no request.
+func (c *client) close() { c.http.CloseIdleConnections() }
+
+// do sends a request and reads its response. A response must fit the request: the complete list if that was requested, and no version
+// older than the requested one.
+func (c *client) do(ctx context.Context, r *request) (update, error) {
+	u, err := c.get(ctx, r.url(c.addr))
+	switch {
+	case err != nil:
+		return update{}, err
+	case u.complete:
+		return u, nil
+	case r.complete:
+		return update{}, malformedf("changes where the whole list is due")
+	case u.version < r.version:
+		return update{}, malformedf("changes up to version %d, asked for from %d on", u.version, r.version)
+	}
+	return u, nil
+}
+
+func (c *client) get(ctx context.Context, url string) (update, error) {
+	httpRequest, err := http.NewRequestWithContext(context.WithValue(ctx, requestContextKey{}, ctx), http.MethodGet, url, nil)
+	if err != nil {
+		return update{}, err
+	}
+	response, err := c.http.Do(httpRequest)
+	if err != nil {
+		return update{}, err
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err != nil {
+		return update{}, err
+	}
+	switch response.StatusCode {
+	case http.StatusOK:
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		return update{}, &rejectedError{response.Status}
+	default:
+		return update{}, malformedf("discovery answered %s", response.Status)
+	}
+	if len(text) > maxResponseBytes {
+		return update{}, malformedf("discovery's answer is too long")
+	}
+	return c.names.decode(text)
+}
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -11,64 +11,99 @@
 	"birchstair/policy"
 )
 
-const path = "/api/targets"
+const (
+	targetsPath      = "/api/targets"
+	maxResponseBytes = 4 << 20
+)
+
+// url is the request's URL at an address of discovery.
+func (r *request) url(addr string) string {
+	url := "http://" + addr + targetsPath
+	if r.complete {
+		return url
+	}
+	return url + fmt.Sprintf("?from=%d&hold_ms=%d", r.version, r.longPoll.Milliseconds())
+}
+
+// wireList is a response of discovery: the complete list, or what has changed since the requested version.
+type wireList struct {
+	Version  *int64         `json:"seq"`
+	Complete bool           `json:"whole"`
+	Hosts    []wireEndpoint `json:"hosts"`
+}
+
+// wireEndpoint is an entry of it.
+type wireEndpoint struct {
+	Executor    policy.ExecutorID `json:"host"`
+	Addr        string            `json:"dial"`
+	Zone        string            `json:"site"`
+	Kind        string            `json:"class"`
+	Cell        policy.CellID     `json:"block"`
+	State       string            `json:"health"`
+	Weight      *float64          `json:"share"`   // 1 if missing
+	StartedAtMS int64             `json:"born_ms"` // Unix time in milliseconds; 0 for long ago
+}
+
+var statesByName = map[string]policy.EndpointState{"ready": policy.Available, "draining": policy.Draining, "gone": policy.Removed}
 
-func since(version int64, hold time.Duration) string {
-	return fmt.Sprintf("?from=%d&hold_ms=%d", version, hold.Milliseconds())
+// Names are the names of zones and executor kinds in the settings, by number.
+type Names struct {
+	Zones, Kinds []string
+	Start        time.Time // the reducer's times count from here
 }
 
-// update is what a call brought.
+// update is what a response brought.
 type update struct {
 	version   int64
 	complete  bool
 	endpoints []node.Endpoint
 }
 
-var states = map[string]policy.EndpointState{"ready": policy.Available, "draining": policy.Draining, "gone": policy.Removed}
-
-// decode reads an answer of discovery; its words go no further.
+// decode reads a response of discovery. Its wire form ends here.
 func (n Names) decode(text []byte) (update, error) {
-	var w struct {
-		Seq   *int64
-		Whole bool
-		Hosts []struct {
-			Host   policy.ExecutorID
-			Dial   string
-			Site   string
-			Class  string
-			Block  policy.CellID
-			Health string
-			Share  *float64
-			Born   int64 `json:"born_ms"`
-		}
+	var list wireList
+	if err := json.Unmarshal(text, &list); err != nil {
+		return update{}, malformedf("the list makes no sense: %w", err)
 	}
-	if err := json.Unmarshal(text, &w); err != nil {
-		return update{}, malformedError{fmt.Errorf("the list makes no sense: %v", err)}
+	if list.Version == nil {
+		return update{}, malformedf("the list has no seq")
 	}
-	if w.Seq == nil {
-		return update{}, malformedError{fmt.Errorf("the list has no seq")}
-	}
-	got := update{version: *w.Seq, complete: w.Whole, endpoints: make([]node.Endpoint, 0, len(w.Hosts))}
-	for _, h := range w.Hosts {
-		state, ok := states[h.Health]
-		_, err := netip.ParseAddrPort(h.Dial)
-		if !ok || h.Host == "" || err != nil && state != policy.Removed {
-			return update{}, malformedError{fmt.Errorf("the list's entry %.40q makes no sense", h.Host)}
-		}
-		weight := 1.0
-		if h.Share != nil {
-			weight = *h.Share
+	u := update{version: *list.Version, complete: list.Complete, endpoints: make([]node.Endpoint, 0, len(list.Hosts))}
+	for _, host := range list.Hosts {
+		endpoint, err := n.endpoint(host)
+		if err != nil {
+			return update{}, err
 		}
-		got.endpoints = append(got.endpoints, node.Endpoint{Addr: h.Dial, Endpoint: policy.Endpoint{
-			Executor: h.Host, Zone: policy.ZoneID(number(n.Zones, h.Site)), Cell: h.Block,
-			Kind: policy.KindID(number(n.Kinds, h.Class)), State: state, Weight: weight,
-			StartedAt: time.UnixMilli(h.Born).Sub(n.Start), StartedLongAgo: h.Born == 0}})
+		u.endpoints = append(u.endpoints, endpoint)
+	}
+	return u, nil
+}
+
+// endpoint converts an entry. Only one that was removed may lack an address.
+func (n Names) endpoint(host wireEndpoint) (node.Endpoint, error) {
+	state, known := statesByName[host.State]
+	_, err := netip.ParseAddrPort(host.Addr)
+	if !known || host.Executor == "" || err != nil && state != policy.Removed {
+		return node.Endpoint{}, malformedf("the list's entry %.40q makes no sense", host.Executor)
+	}
+	weight := 1.0
+	if host.Weight != nil {
+		weight = *host.Weight
 	}
-	return got, nil
+	return node.Endpoint{Addr: host.Addr, Endpoint: policy.Endpoint{
+		Executor:       host.Executor,
+		Zone:           policy.ZoneID(index(n.Zones, host.Zone)),
+		Cell:           host.Cell,
+		Kind:           policy.KindID(index(n.Kinds, host.Kind)),
+		State:          state,
+		Weight:         weight,
+		StartedAt:      time.UnixMilli(host.StartedAtMS).Sub(n.Start),
+		StartedLongAgo: host.StartedAtMS == 0,
+	}}, nil
 }
 
-// number is a name's place; one that the settings do not know comes after all of them.
-func number(names []string, name string) int {
+// index is the number of a name; one that the settings don't know comes after all of them.
+func index(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -125,7 +125,7 @@
 		steps <- "  -> " + line
 	})
 	w.Cached = from
-	w.LongPoll, w.HedgeDelay, w.InitialHedgeDelay = 20*time.Millisecond, time.Second, time.Second
+	w.timing.LongPoll, w.timing.HedgeDelay, w.timing.InitialHedgeDelay = 20*time.Millisecond, time.Second, time.Second
 	go func() {
 		w.Run(ctx, discovery.Listener.Addr().String())
 		close(steps)
@@ -168,7 +168,7 @@
 			steps <- "  -> " + strings.ReplaceAll(ev.Detail, to, "new") + " of " + strings.ReplaceAll(ev.Addr, to, "new")
 		}
 	})
-	w.HedgeDelay, w.InitialHedgeDelay = 20*time.Second, 20*time.Second // nothing here goes by time: a busy machine's answer may be late
+	w.timing.HedgeDelay, w.timing.InitialHedgeDelay = 20*time.Second, 20*time.Second // nothing here goes by time: a busy machine's answer may be late
 	go w.Run(ctx, from)
 	var out strings.Builder
 	expect := func(n int) {
@@ -256,7 +256,7 @@
 			fmt.Fprintf(&told, "told: list %d: %s %d\n", news.Kind, news.Endpoints[0].Executor, news.Endpoints[0].State)
 		}
 	})
-	w.LongPoll, w.HedgeDelay = 50*time.Millisecond, 2*time.Second // so long that no call is given up before it is heard, however busy the machine
+	w.timing.LongPoll, w.timing.HedgeDelay = 50*time.Millisecond, 2*time.Second // so long that no call is given up before it is heard, however busy the machine
 	go w.Run(ctx, discovery.Listener.Addr().String())
 	<-over
 	mu.Lock()
@@ -272,8 +272,8 @@
 		for _, pushed := range []bool{true, false} {
 			p := NewTiming(grace, pushed)
 			fmt.Fprintf(&out, "grace %v pushed %v: answer %v, backoffs up to %v, together %v\n", grace, pushed, p.HedgeDelay, p.MaxBackoff,
-				2*(probeLongPoll+p.HedgeDelay)+p.MaxBackoff)
-			if whole := 2*(probeLongPoll+p.HedgeDelay) + p.MaxBackoff; pushed && grace >= 400*time.Millisecond && whole > grace {
+				2*(defaults.ProbeLongPoll+p.HedgeDelay)+p.MaxBackoff)
+			if whole := 2*(defaults.ProbeLongPoll+p.HedgeDelay) + p.MaxBackoff; pushed && grace >= 400*time.Millisecond && whole > grace {
 				t.Errorf("%v is over the grace %v", whole, grace)
 			}
 		}
