--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -47,9 +47,9 @@
 	case u.complete:
 		return u, nil
 	case r.complete:
-		return update{}, malformedf("changes where the whole list is due")
+		return update{}, malformedf("got changes where the complete list was requested")
 	case u.version < r.version:
-		return update{}, malformedf("changes up to version %d, asked for from %d on", u.version, r.version)
+		return update{}, malformedf("got changes up to version %d where those since version %d were requested", u.version, r.version)
 	}
 	return u, nil
 }
@@ -76,7 +76,7 @@
 		return update{}, malformedf("discovery answered %s", response.Status)
 	}
 	if len(text) > maxResponseBytes {
-		return update{}, malformedf("discovery's answer is too long")
+		return update{}, malformedf("response of over %d bytes", maxResponseBytes)
 	}
 	return c.names.decode(text)
 }
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -63,10 +63,10 @@
 func (n Names) decode(text []byte) (update, error) {
 	var list wireList
 	if err := json.Unmarshal(text, &list); err != nil {
-		return update{}, malformedf("the list makes no sense: %w", err)
+		return update{}, malformedf("malformed list: %w", err)
 	}
 	if list.Version == nil {
-		return update{}, malformedf("the list has no seq")
+		return update{}, malformedf("malformed list: no seq")
 	}
 	u := update{version: *list.Version, complete: list.Complete, endpoints: make([]node.Endpoint, 0, len(list.Hosts))}
 	for _, host := range list.Hosts {
@@ -84,7 +84,7 @@
 	state, known := statesByName[host.State]
 	_, err := netip.ParseAddrPort(host.Addr)
 	if !known || host.Executor == "" || err != nil && state != policy.Removed {
-		return node.Endpoint{}, malformedf("the list's entry %.40q makes no sense", host.Executor)
+		return node.Endpoint{}, malformedf("malformed list: entry %.40q", host.Executor)
 	}
 	weight := 1.0
 	if host.Weight != nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -208,7 +208,7 @@
 		"":     "0 <nil>",
 		"null": "0 <nil>",
 		`{"seq":1,"whole":true,"hosts":[` + host("a", `"health":"ready"`) + `]}`: "1 <nil>",
-		`{"seq":1,"hosts":[{}]}`: `0 known: the list's entry "" makes no sense`,
+		`{"seq":1,"hosts":[{}]}`: `0 known: malformed list: entry ""`,
 	} {
 		got, err := Names{}.DecodeCached([]byte(text))
 		if s := fmt.Sprint(len(got.Endpoints), " ", err); s != want {
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -8,11 +8,9 @@
 //
 // A watch on one address is a state machine (machine.go), stepped by one goroutine (poller.go) that owns the timer and the requests:
 //
-//	            send                      hedge delay passed, or request failed
-//	backingOff ------> awaitingResponse --------------------------------------> backingOff
-//	    ^                     |
-//	    +---------------------+
-//	      response: pause up to the minimum poll interval
+//	backingOff       --- timer, or wake ----------> awaitingResponse   send the next request
+//	awaitingResponse --- response ----------------> backingOff         report the update; pause up to MinPollInterval, or not at all
+//	awaitingResponse --- failure, or hedge delay -> backingOff         report the error; pause by the backoff
 //
 // What the next request asks for follows from its mode:
 //
