--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -47,7 +47,7 @@
 	}
 	var elder net.Conn
 	if c.Shared != "" {
-		if elder, err = hotrestart.Join(c.Shared); err != nil {
+		if elder, err = hotrestart.Dial(c.Shared); err != nil {
 			log.Info().Str("because", err.Error()).Msg("no older process of this node is joined")
 			elder = nil
 		}
--- a/internal/hotrestart/codec_test.go
+++ b/internal/hotrestart/codec_test.go
@@ -11,8 +11,8 @@
 	"birchstair/policy"
 )
 
-// every is one message of each kind, with each field set to a value of its own.
-func every() []node.HandoffMessage {
+// everyKind is one message of each kind, with each field set to a value of its own.
+func everyKind() []node.HandoffMessage {
 	return []node.HandoffMessage{
 		{Kind: node.StateTransfer, State: &node.HandoffState{
 			Excluded:   []policy.ExecutorID{"executor-1", "executor-2"},
@@ -50,7 +50,7 @@
 // version before the wire had types of its own, and older processes write and read them still.
 func TestHandoffLines(t *testing.T) {
 	var lines []byte
-	for _, message := range every() {
+	for _, message := range everyKind() {
 		line, err := encode(message)
 		if err != nil {
 			t.Fatal(err)
