--- a/internal/hotrestart/codec.go
+++ b/internal/hotrestart/codec.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -10,16 +11,27 @@
 	"birchstair/policy"
 )
 
-// What two processes of a node send each other: one JSON object a line. The wire types below are the only place where its
-// field names stand; they are part of the protocol between versions and don't change with the names in package node.
+// The wire form is one JSON object a line. The wire types below are the only place where its field names stand: they are part of the
+// protocol between versions, and don't follow the names in package node.
 
-// version goes up when what is sent changes its meaning.
+// version is the protocol's. It goes up when a message changes its meaning.
 const version = 1
 
 // The names on the wire of kinds of messages and of operators' commands, by their values in package node.
 var (
-	kindNames    = []string{node.StateTransfer: "state", node.SuccessorReady: "ready", node.PredecessorYielded: "ceded", node.RelayCommand: "order", node.RelayDone: "done"}
-	commandNames = []string{node.ExcludeExecutor: "take-out", node.ReadmitExecutor: "put-back", node.DrainOn: "drain-on", node.DrainOff: "drain-off"}
+	kindNames = []string{
+		node.StateTransfer:      "state",
+		node.SuccessorReady:     "ready",
+		node.PredecessorYielded: "ceded",
+		node.RelayCommand:       "order",
+		node.RelayDone:          "done",
+	}
+	commandNames = []string{
+		node.ExcludeExecutor: "take-out",
+		node.ReadmitExecutor: "put-back",
+		node.DrainOn:         "drain-on",
+		node.DrainOff:        "drain-off",
+	}
 )
 
 // wireMessage is one line.
@@ -32,7 +44,7 @@
 	State    *wireState        `json:"State,omitempty"`
 }
 
-// wireState is what a process hands to its successor. Spans are nanoseconds; moments are ages.
+// wireState is what a process hands over to its successor. Durations are in nanoseconds; points in time are sent as ages.
 type wireState struct {
 	Excluded   []policy.ExecutorID `json:"Outs"`
 	Readmitted []wireReadmitted    `json:"Backs"`
@@ -114,14 +126,17 @@
 func decode(line []byte) (message node.HandoffMessage, err error) {
 	var wire wireMessage
 	if err := json.Unmarshal(line, &wire); err != nil {
-		return message, fmt.Errorf("a word that makes no sense: %w", err)
+		return message, fmt.Errorf("malformed message: %w", err)
 	}
 	if wire.Version != version {
-		return message, fmt.Errorf("it speaks version %d, and this process version %d", wire.Version, version)
+		return message, fmt.Errorf("protocol version %d, this process speaks version %d", wire.Version, version)
 	}
 	kind := slices.Index(kindNames, wire.Kind)
-	if kind < 0 || wire.Kind == kindNames[node.StateTransfer] && wire.State == nil {
-		return message, fmt.Errorf("no word is named %.40q", wire.Kind)
+	if kind < 0 {
+		return message, fmt.Errorf("unknown message kind %.40q", wire.Kind)
+	}
+	if wire.Kind == kindNames[node.StateTransfer] && wire.State == nil {
+		return message, errors.New("message without the state that it should transfer")
 	}
 	message = node.HandoffMessage{Kind: node.HandoffKind(kind), Seq: wire.Seq, Executor: wire.Executor}
 	if wire.State != nil {
@@ -130,7 +145,7 @@
 	if message.Kind == node.RelayCommand {
 		command := slices.Index(commandNames, wire.Command)
 		if command < 0 || wire.Command == "" {
-			return message, fmt.Errorf("no order is named %.40q", wire.Command)
+			return message, fmt.Errorf("unknown command %.40q", wire.Command)
 		}
 		message.Command = node.AdminCommand(command)
 	}
--- a/internal/hotrestart/transport.go
+++ b/internal/hotrestart/transport.go
@@ -15,7 +15,7 @@
 	sendQueueLen       = 64       // messages to a process that does not read
 	maxLinks           = 2        // at which no further successor is taken: descriptors are few
 	writeTimeout       = time.Second
-	detailLinkClosed   = "its link has ended"
+	detailLinkClosed   = "link closed"
 	firstSuccessorLink = node.Predecessor + 1
 )
 
