--- /dev/null
+++ b/internal/config/wire_test.go
@@ -0,0 +1,191 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+// everyKey is a configuration that holds every key a node reads, none at its default.
+const everyKey = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","management":"127.0.0.3:7000","seed":"8c1f",
+ "limits":{"cores":1.5,"memory_mb":256,"sockets":2048},"known":{"seq":1,"whole":true,"hosts":[]},
+ "probe":{"path":"/load","timeout_s":0.1},
+ "settings":{"areas":["a","b"],"flavors":["m","n"],"balancers":3,"my-number":2,"locality":1,"quantum-s":0.004,"discovery":"ask","weights":"live",
+  "earnings-per":"work","overage-earnings":0.25,"prices":{"cross-zone":0.125},"score-parts":{"whole":0.5,"worst-window":0.25,"worst-class":0.75},
+  "caps":{"cancel":true,"peers":true,"second-copies":true,"probes":true,"max-allocations":6,"retry-after":true,"max-retry-after-s":7,"conn-idle-s":30,"dial-timeout-s":0.2},
+  "rules":{"ask-within-s":1.5,"cold-share":0.4,"warm-within-s":20,"fall-multiple":3,"fall-s":2.5,"drain-grace-s":0.7},
+  "clients":{"marks-retry":true},
+  "domain":{"class-kind":[1,0],"class-stretch":[1.25,1.75],"tells-start":true,"progress-s":0.35,"report-x0":"free slots","report-x1":"free memory"},
+  "report":{"how":"on_probe","fields":["avg_ms","x1","cpu","waiting","x0","active"]},
+  "projects":[{"quota-per-s":40},{"quota-per-s":60.5}],
+  "tracks":[
+   {"name":"t","aim-stretch":1.1,"quoted-time-s":0.3,"outer-limit-s":20,"repeat":"by_key","dedup-scope":"zone","dedup-window-s":9,"late-earnings":0.2,"earnings":1.5},
+   {"name":"u","aim-stretch":1.2,"quoted-time-s":0.6,"outer-limit-s":30,"repeat":"repeatable","dedup-scope":"cell","dedup-window-s":8,"late-earnings":0.3,"earnings":2.5}]}}`
+
+// printed writes each value of a configuration beside the key that it comes from.
+func printed(t *testing.T, c *Config) string {
+	t.Helper()
+	var out strings.Builder
+	s, p := &c.Settings, &c.Settings.Policy
+	for _, line := range [...]struct {
+		key   string
+		value any
+	}{
+		{"name", c.Name},
+		{"listen", c.Listen},
+		{"discovery", c.Discovery},
+		{"management", c.Management},
+		{"limits.cores", c.Cores},
+		{"limits.memory_mb, in bytes", c.Memory},
+		{"limits.sockets", c.Sockets},
+		{"known", string(c.Known)},
+		{"seed", p.Seed},
+		{"probe.path", s.Probe.Path},
+		{"probe.timeout_s", s.Probe.Limit},
+		{"settings.areas", s.Zones},
+		{"settings.flavors", s.Kinds},
+		{"settings.balancers", p.Nodes},
+		{"settings.my-number", p.Node},
+		{"settings.locality", p.Zone},
+		{"settings.quantum-s", p.Quantum},
+		{"settings.discovery is ask", p.EndpointsPolled},
+		{"settings.weights is live", p.LoadAdjustedWeights},
+		{"settings.earnings-per is work", p.ValuePerWork},
+		{"settings.overage-earnings", p.OverQuotaValue},
+		{"settings.prices.cross-zone", p.CrossZoneCost},
+		{"settings.score-parts, whole and worst-window", p.TotalWeight},
+		{"settings.score-parts.worst-class", p.WorstClassWeight},
+		{"settings.caps.cancel", p.MayCancel},
+		{"settings.caps.peers, for the node", s.Peers},
+		{"settings.caps.peers, for the module", p.MayLease},
+		{"settings.caps.second-copies", p.MayHedge},
+		{"settings.caps.probes", p.MayProbe},
+		{"settings.caps.max-allocations", p.MaxAttempts},
+		{"settings.caps.max-retry-after-s", p.MaxRetryAfter},
+		{"settings.caps.conn-idle-s", s.IdleLimit},
+		{"settings.caps.dial-timeout-s", s.DialLimit},
+		{"settings.rules.ask-within-s", p.PollWithin},
+		{"settings.rules.cold-share", p.SlowStartCapacity},
+		{"settings.rules.warm-within-s", p.SlowStartDuration},
+		{"settings.rules.fall-multiple", p.OverloadMultiple},
+		{"settings.rules.fall-s", p.OverloadWindow},
+		{"settings.rules.drain-grace-s", s.DrainGrace},
+		{"settings.clients.marks-retry", p.ClientsMarkRetries},
+		{"settings.domain.tells-start", p.StartNotices},
+		{"settings.domain.progress-s", p.ProgressInterval},
+		{"settings.report.fields, where each stands", s.Load},
+		{"settings.tracks[].name", s.Tracks},
+	} {
+		fmt.Fprintf(&out, "%s: %v\n", line.key, line.value)
+	}
+	for i, tenant := range p.Tenants {
+		fmt.Fprintf(&out, "settings.projects[%d].quota-per-s: %v\n", i, tenant.QuotaPerSecond)
+	}
+	for i, class := range p.JobClasses {
+		for _, line := range [...]struct {
+			key   string
+			value any
+		}{
+			{"aim-stretch or domain.class-stretch", class.RunTimeFactor},
+			{"domain.class-kind", class.Kind},
+			{"quoted-time-s", class.LatencyObjective},
+			{"outer-limit-s", class.Deadline},
+			{"repeat", int(class.Idempotency)},
+			{"dedup-scope", int(class.DedupGroup)},
+			{"dedup-window-s, less the time to dial", class.DedupWindow},
+			{"late-earnings", class.LateValue},
+			{"earnings", class.Value},
+			{"caps.max-allocations", class.MaxAttempts},
+		} {
+			fmt.Fprintf(&out, "settings.tracks[%d], %s: %v\n", i, line.key, line.value)
+		}
+	}
+	fmt.Fprintf(&out, "load values told: %v, all that are wanted: %v\n", s.Told(), s.TellsLoad())
+	return out.String()
+}
+
+// everyKeyOf gathers the keys of an object, and of those in it, with what stands there.
+func everyKeyOf(v any, visit func(path []string, value any), path ...string) {
+	switch v := v.(type) {
+	case map[string]any:
+		for key, in := range v {
+			everyKeyOf(in, visit, append(path[:len(path):len(path)], key)...)
+		}
+	default:
+		visit(path, v)
+	}
+}
+
+// A configuration with every key is decoded completely: each value stands beside its key in the golden file, and a value of another
+// type in place of each is refused by its key.
+func TestEveryKey(t *testing.T) {
+	var out strings.Builder
+	none := func(string) string { return "" }
+	c, err := parse([]byte(everyKey), none)
+	if err != nil {
+		t.Fatal(err)
+	}
+	out.WriteString(printed(t, &c))
+	// Keys are matched in any case, as encoding/json does.
+	upper, err := parse([]byte(strings.ToUpper(everyKey[:strings.Index(everyKey, `"known"`)])+everyKey[strings.Index(everyKey, `"known"`):]), none)
+	fmt.Fprintf(&out, "keys in upper case: %s on %s, %v cores, %d sockets, %v\n", upper.Name, upper.Listen, upper.Cores, upper.Sockets, err)
+	var whole any
+	if err := json.Unmarshal([]byte(everyKey), &whole); err != nil {
+		t.Fatal(err)
+	}
+	refusals := map[string]string{}
+	everyKeyOf(whole, func(path []string, _ any) {
+		if path[0] == "known" {
+			return
+		}
+		refusals[strings.Join(path, ".")] = refusal(t, path)
+	})
+	for _, i := range [...]string{"projects", "tracks"} {
+		for key := range whole.(map[string]any)["settings"].(map[string]any)[i].([]any)[0].(map[string]any) {
+			refusals["settings."+i+"[]."+key] = refusal(t, []string{"settings", i, "[]", key})
+		}
+	}
+	keys := make([]string, 0, len(refusals))
+	for key := range refusals {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	for _, key := range keys {
+		fmt.Fprintf(&out, "an object at %s: %s\n", key, refusals[key])
+	}
+	golden.Compare(t, "every-key.txt", out.String())
+}
+
+// refusal is what a configuration is refused with that has an object at a path.
+func refusal(t *testing.T, path []string) string {
+	t.Helper()
+	var whole any
+	if err := json.Unmarshal([]byte(everyKey), &whole); err != nil {
+		t.Fatal(err)
+	}
+	object := whole.(map[string]any)
+	for _, key := range path[:len(path)-1] {
+		if key == "[]" {
+			continue
+		}
+		switch in := object[key].(type) {
+		case map[string]any:
+			object = in
+		case []any:
+			object = in[0].(map[string]any)
+		}
+	}
+	object[path[len(path)-1]] = map[string]any{"no": "value"}
+	text, err := json.Marshal(whole)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err = parse(text, func(string) string { return "" }); err != nil {
+		return err.Error()
+	}
+	return "taken"
+}
--- /dev/null
+++ b/internal/site/wire_test.go
@@ -0,0 +1,95 @@
+package site
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"birchstair/internal/golden"
+)
+
+// everyKey is an operator's file with every key, none at its default.
+const everyKey = `
+[durable]
+dir = "/d"
+outer-limit = "36h"
+keep = "48h"
+segment = "2MiB"
+most = "32MiB"
+in-hand = 128
+leases = true
+ask-every = "3s"
+
+[fleet]
+name = "n7"
+listen = "10.0.0.7:7946"
+advertise = "10.1.0.7:7947"
+seeds = ["10.0.0.1:7946", "10.0.0.2:7946"]
+trusted-network = true
+every = "300ms"
+tell = 5
+view-for = "2s"
+drain-for = "90s"
+`
+
+func printed(s Site) string {
+	var out strings.Builder
+	d, f := s.Durable, s.Fleet
+	for _, line := range [...]struct {
+		key   string
+		value any
+	}{
+		{"durable.dir", d.Dir},
+		{"durable.outer-limit", time.Duration(d.OuterLimit)},
+		{"durable.keep", time.Duration(d.Keep)},
+		{"durable.segment", int64(d.Segment)},
+		{"durable.most", int64(d.Most)},
+		{"durable.in-hand", d.InHand},
+		{"durable.leases", d.Leases},
+		{"durable.ask-every", time.Duration(d.AskEvery)},
+		{"fleet.name", f.Name},
+		{"fleet.listen", f.Listen},
+		{"fleet.advertise", f.Advertise},
+		{"fleet.seeds", f.Seeds},
+		{"fleet.trusted-network", f.TrustedNetwork},
+		{"fleet.every", time.Duration(f.Every)},
+		{"fleet.tell", f.Tell},
+		{"fleet.view-for", time.Duration(f.ViewFor)},
+		{"fleet.drain-for", time.Duration(f.DrainFor)},
+	} {
+		fmt.Fprintf(&out, "%s: %v\n", line.key, line.value)
+	}
+	return out.String()
+}
+
+// An operator's file with every key is decoded completely, and one with none but those that must be there gets the defaults; a table
+// in place of each value is refused by its key.
+func TestEveryKey(t *testing.T) {
+	var out strings.Builder
+	for _, c := range []struct{ title, text string }{
+		{"every key", everyKey},
+		{"defaults", "[durable]\ndir = \"/d\"\n[fleet]\nlisten = \"127.0.0.1:7946\""},
+	} {
+		s, err := Parse("own.toml", []byte(c.text))
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "%s\n%s\n", c.title, printed(s))
+	}
+	for line := range strings.Lines(everyKey) {
+		key, _, is := strings.Cut(strings.TrimSpace(line), " = ")
+		if !is {
+			continue
+		}
+		_, err := Parse("own.toml", []byte(strings.Replace(everyKey, line, key+" = { no = 1 }\n", 1)))
+		refusal, _, _ := strings.Cut(fmt.Sprint(err), " into ") // what follows names Go's types
+		fmt.Fprintf(&out, "a table at %s: %s\n", key, refusal)
+	}
+	s, err := Parse("own.toml", []byte(everyKey))
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&out, "a node of 192 MiB: %v\n", s.Fits(192<<20))
+	golden.Compare(t, "every-key.txt", out.String())
+}
