--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -66,13 +66,13 @@
 	p := c.Settings.Policy
 	p.MayLease = c.Settings.Peers && own.Fleet != nil // else nobody carries words
 	c.Settings.Policy = p
-	var lasting *durable.Durable
+	var lasting *durable.Manager
 	if own.Durable != nil {
 		if lasting, err = openDurable(own.Durable, c, log); err != nil {
 			listener.Close()
 			return err
 		}
-		p = durable.Tracks(p, time.Duration(own.Durable.OuterLimit))
+		p = durable.AddClasses(p, time.Duration(own.Durable.OuterLimit))
 		p.MayHedge = false // a lease is one executor's
 		c.Settings.Policy = p
 	}
@@ -129,7 +129,7 @@
 }
 
 // openDurable opens the store of durable batch jobs.
-func openDurable(own *site.Durable, c told, log zerolog.Logger) (*durable.Durable, error) {
+func openDurable(own *site.Durable, c told, log zerolog.Logger) (*durable.Manager, error) {
 	s, err := store.Open(store.Directory(own.Dir), store.Options{Segment: int64(own.Segment), Most: int64(own.Most)})
 	if err != nil {
 		return nil, fmt.Errorf("durable.dir: %w", err)
@@ -137,7 +137,7 @@
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
 		return upstream.TCP(c.Settings.DialLimit)(ctx, 0, addr)
 	}
-	return durable.New(durable.Options{OuterLimit: time.Duration(own.OuterLimit), Leases: leases.Settings{Room: own.InHand,
+	return durable.New(durable.Options{MaxDeadline: time.Duration(own.OuterLimit), Leases: leases.Settings{Room: own.InHand,
 		Keep: time.Duration(own.Keep), Leases: own.Leases, AskEvery: time.Duration(own.AskEvery)}}, s, c.Settings.Tracks, c.Settings.Policy.JobClasses, dial, log), nil
 }
 
@@ -164,7 +164,7 @@
 	}
 	waits := c.Waits(t.Config)
 	if own.Durable != nil {
-		t.Settings.Policy = durable.Tracks(t.Settings.Policy, time.Duration(own.Durable.OuterLimit))
+		t.Settings.Policy = durable.AddClasses(t.Settings.Policy, time.Duration(own.Durable.OuterLimit))
 	}
 	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.Tracks(t.Settings), MaxWork: t.LongestWork(), ShutdownTimeout: t.StopLimit()}
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -167,10 +167,10 @@
 		asks++
 		return asks
 	}
-	d := durable.New(durable.Options{OuterLimit: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: w.leases, AskEvery: 300 * time.Millisecond}},
+	d := durable.New(durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: w.leases, AskEvery: 300 * time.Millisecond}},
 		s, names, tracks, func(ctx context.Context, addr string) (net.Conn, error) { return dial(ctx, next(), addr) }, zerolog.Nop())
-	d.Plant(w.plant)
-	p := durable.Tracks(base, time.Hour)
+	d.InjectFault(w.plant)
+	p := durable.AddClasses(base, time.Hour)
 	l, err := w.net.Listen(host, addr)
 	if err != nil {
 		panic(err)
@@ -180,11 +180,14 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		service.Run(ctx, service.Setup{Settings: config.Settings{Policy: p, Tracks: names, Load: config.LoadAt{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
+		err := service.Run(ctx, service.Setup{Settings: config.Settings{Policy: p, Tracks: names, Load: config.LoadAt{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
 			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: 100 * time.Millisecond, MaxConns: 100, MaxBodyBytes: 10 << 20,
 				MaxWork: time.Hour, RetryAfter: time.Second, LameDuckPeriod: 100 * time.Millisecond, ShutdownTimeout: 200 * time.Millisecond},
 			ClientConns: frontend.Budget{Whole: 300}, Discovery: "127.0.0.1:8500", Start: start, Module: policy.New(p), Listener: l, Executors: dial,
 			List: func(ctx context.Context, _, addr string) (net.Conn, error) { return dial(ctx, next(), addr) }, Log: zerolog.Nop(), Durable: d}, more)
+		if err != nil {
+			w.t.Log("the node ended with an error, as a killed one may: ", err)
+		}
 	}()
 	w.mu.Lock()
 	w.addr = addr
@@ -212,10 +215,11 @@
 	w.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	c, err := w.net.Dial(ctx, "client", id, addr)
+	dialed, err := w.net.Dial(ctx, "client", id, addr)
 	if err != nil {
 		return 0, "", err
 	}
+	var c net.Conn = dialed
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	body := "body of " + strings.SplitN(path, "?", 2)[0]
@@ -542,9 +546,9 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				d := durable.New(durable.Options{OuterLimit: time.Hour, Leases: leases.Settings{Room: 256, Keep: time.Hour}}, s, names, tracks, nil, zerolog.Nop())
+				d := durable.New(durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{Room: 256, Keep: time.Hour}}, s, names, tracks, nil, zerolog.Nop())
 				d.Start(func(node.Event) {}, nil, nil)
-				if err := d.End(); err != nil {
+				if err := d.Close(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- /dev/null
+++ b/internal/durable/http.go
@@ -0,0 +1,174 @@
+package durable
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"birchstair/internal/leases"
+	"birchstair/internal/store"
+)
+
+// Path begins the paths of the HTTP handler:
+//
+//	PUT    /-/jobs/ID          submit a job: 201 once it is synced to the disk, 200 where it was already there.
+//	                           Headers as for ordinary jobs: X-Call-Class, X-Budget-Ms, Idempotency-Key, X-Call-Cost, Content-Type;
+//	                           and X-Path, the path that the executor sees
+//	GET    /-/jobs/ID?wait_ms= its state, or its final answer if it comes within that time
+//	DELETE /-/jobs/ID          remove a job that has its final answer
+const Path = "/-/jobs/"
+
+const (
+	maxIDBytes   = 100
+	maxKeyBytes  = 100 // of an idempotency key
+	maxBodyBytes = 64 << 10
+	maxWait      = 5 * time.Minute
+	writeTimeout = 5 * time.Second // of a response
+	maxCost      = 1e12            // microseconds
+)
+
+// ServeHTTP answers a request of a client.
+func (m *Manager) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	id := strings.TrimPrefix(r.URL.Path, Path)
+	if id == "" || len(id) > maxIDBytes || strings.ContainsAny(id, "/ \t") {
+		writeError(w, badRequest("the id: missing, over %d bytes, or with a slash or a space in it", maxIDBytes))
+		return
+	}
+	status, err := m.handle(w, r, id)
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	setWriteDeadline(w, time.Now().Add(writeTimeout))
+	if status == http.StatusNoContent {
+		w.WriteHeader(status)
+		return
+	}
+	writeStatus(w, status, m.status(leases.ID(id)))
+}
+
+// handle carries out a request and gives the status of its response.
+func (m *Manager) handle(w http.ResponseWriter, r *http.Request, id string) (status int, err error) {
+	switch r.Method {
+	case http.MethodPut:
+		return m.handlePut(w, r, id)
+	case http.MethodGet:
+		timeout, err := waitTimeout(r)
+		if err != nil {
+			return 0, err
+		}
+		return http.StatusOK, m.wait(r.Context(), leases.ID(id), timeout)
+	case http.MethodDelete:
+		return http.StatusNoContent, m.remove(leases.ID(id))
+	}
+	return 0, &statusError{
+		status:  http.StatusMethodNotAllowed,
+		message: "durable batch jobs come by PUT, are asked for by GET and let go by DELETE",
+	}
+}
+
+func (m *Manager) handlePut(w http.ResponseWriter, r *http.Request, id string) (status int, err error) {
+	job, err := m.readSubmission(r, id)
+	if err != nil {
+		return 0, err
+	}
+	setReadDeadline(w, time.Time{}) // from now on the client waits
+	created, err := m.submit(r.Context(), job)
+	if created {
+		return http.StatusCreated, err
+	}
+	return http.StatusOK, err
+}
+
+// readSubmission checks the headers of a submission in their order, and reads its body.
+func (m *Manager) readSubmission(r *http.Request, id string) (job submission, err error) {
+	header := r.Header
+	job.record = store.Record{
+		Kind:        store.Accepted,
+		ID:          id,
+		Track:       header.Get("X-Call-Class"),
+		Tag:         header.Get("Idempotency-Key"),
+		Host:        r.Host,
+		ContentType: header.Get("Content-Type"),
+		URI:         header.Get("X-Path"),
+	}
+	if job.record.URI == "" {
+		job.record.URI = "/"
+	}
+	if uri := job.record.URI; !strings.HasPrefix(uri, "/") || strings.ContainsAny(uri, " \r\n") {
+		return job, badRequest("X-Path: %.40q is no path", uri)
+	}
+	m.mu.Lock()
+	class, ok := m.classes[job.record.Track]
+	m.mu.Unlock()
+	if !ok || class.dropped {
+		return job, badRequest("X-Call-Class: no track is called %.40q", job.record.Track)
+	}
+	if key := job.record.Tag; len(key) > maxKeyBytes || class.keyRequired && key == "" {
+		return job, badRequest("Idempotency-Key: missing, or over %d bytes", maxKeyBytes)
+	}
+	if job.budget, err = m.readBudget(header.Get("X-Budget-Ms")); err != nil {
+		return job, err
+	}
+	if job.record.Work, err = readCost(header.Get("X-Call-Cost")); err != nil {
+		return job, err
+	}
+	job.record.Body, err = readBody(r)
+	return job, err
+}
+
+// readBudget reads the time until the deadline, in milliseconds.
+func (m *Manager) readBudget(text string) (time.Duration, error) {
+	maxBudget := m.options.MaxDeadline.Milliseconds()
+	budget, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || budget <= 0 || budget > maxBudget {
+		return 0, badRequest("X-Budget-Ms: %.40q is not a whole number from 1 to %d", text, maxBudget)
+	}
+	return time.Duration(budget) * time.Millisecond, nil
+}
+
+// readCost reads the expected work, in microseconds; 0 where the client says none.
+func readCost(text string) (time.Duration, error) {
+	if text == "" {
+		return 0, nil
+	}
+	cost, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(cost >= 0 && cost < maxCost) { // the negation refuses NaN as well
+		return 0, badRequest("X-Call-Cost: %.40q is not a number of microseconds", text)
+	}
+	return time.Duration(cost * float64(time.Microsecond)), nil
+}
+
+func readBody(r *http.Request) ([]byte, error) {
+	if r.ContentLength > maxBodyBytes {
+		return nil, &statusError{status: http.StatusRequestEntityTooLarge, message: "the body is over 64 KiB"}
+	}
+	body := make([]byte, r.ContentLength)
+	if _, err := io.ReadFull(r.Body, body); err != nil {
+		return nil, badRequest("the body did not come whole")
+	}
+	return body, nil
+}
+
+// waitTimeout reads how long a client wants to wait for a final answer, in milliseconds.
+func waitTimeout(r *http.Request) (time.Duration, error) {
+	text := r.URL.Query().Get("wait_ms")
+	if text == "" {
+		return 0, nil
+	}
+	wait, err := strconv.ParseInt(text, 10, 32)
+	if err != nil || wait < 0 {
+		return 0, badRequest("wait_ms: %.40q is not a whole number", text)
+	}
+	return min(time.Duration(wait)*time.Millisecond, maxWait), nil
+}
+
+func setReadDeadline(w http.ResponseWriter, deadline time.Time) {
+	http.NewResponseController(w).SetReadDeadline(deadline) //nolint:errcheck // fails on a closed connection only: the next read tells
+}
+
+func setWriteDeadline(w http.ResponseWriter, deadline time.Time) {
+	http.NewResponseController(w).SetWriteDeadline(deadline) //nolint:errcheck // fails on a closed connection only: the write tells
+}
--- /dev/null
+++ b/internal/durable/submit.go
@@ -0,0 +1,143 @@
+package durable
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"birchstair/internal/leases"
+	"birchstair/internal/store"
+)
+
+// Errors of the operations that clients ask for. The HTTP handler answers each with a status of its own; see errorResponses.
+var (
+	errNotReady = errors.New("the node is not ready")
+	errWriting  = errors.New("the submission is being written")
+	errConflict = errors.New("another job has this id")
+	errNotFound = errors.New("no such job")
+	errNotFinal = errors.New("the job has no final answer")
+	errStore    = errors.New("the submission could not be written")
+)
+
+// submission is a job that a client submits.
+type submission struct {
+	record store.Record  // all but the times
+	budget time.Duration // until the deadline
+}
+
+// submit accepts a job and waits until its record is synced; created is false for one that was there already. It returns
+// errNotReady, errWriting, errConflict, or errStore with the store's error.
+func (m *Manager) submit(client context.Context, job submission) (created bool, err error) {
+	id := leases.ID(job.record.ID)
+	record := &job.record
+	record.At = time.Now()
+	record.Limit = record.At.Add(job.budget)
+	m.mu.Lock()
+	if !m.ready {
+		m.mu.Unlock()
+		return false, errNotReady
+	}
+	if state, ok := m.book.State(id); ok {
+		previous, known := m.unwritten[id]
+		m.mu.Unlock()
+		return false, m.repeated(record, state, previous, known)
+	}
+	m.unwritten[id] = record
+	written := make(chan error, 1)
+	m.ackWaiters[id] = written
+	effects, _ := m.book.HandIn(sinceEpoch(record.At), leases.Job{ID: id, Track: m.classes[record.Track].lease, Limit: sinceEpoch(record.Limit)})
+	m.mu.Unlock()
+	m.apply(effects)
+	select {
+	case err := <-written:
+		if err != nil {
+			return false, fmt.Errorf("%w: %w", errStore, err)
+		}
+		return true, nil
+	case <-client.Done(): // nobody reads the acknowledgement; a repeat finds the job
+		return true, nil
+	}
+}
+
+// repeated checks a submission whose id is in use: the same content is the same job. previous is the record that is not in the store yet,
+// where known.
+func (m *Manager) repeated(record *store.Record, state leases.State, previous *store.Record, known bool) error {
+	if stored, ok := m.store.Get(record.ID); !known && ok {
+		previous, known = stored.Accepted, true
+	}
+	switch {
+	case !known || !sameJob(previous, record):
+		return errConflict
+	case state == leases.Keeping:
+		return errWriting
+	}
+	return nil
+}
+
+// sameJob compares what a client chooses, but for the deadline.
+func sameJob(a, b *store.Record) bool {
+	return a.Track == b.Track && a.Tag == b.Tag && a.URI == b.URI && bytes.Equal(a.Body, b.Body)
+}
+
+// wait waits until a job has its final answer, for at most the timeout; errNotFound where there is no such job.
+func (m *Manager) wait(client context.Context, id leases.ID, timeout time.Duration) error {
+	m.mu.Lock()
+	state, ok := m.book.State(id)
+	if !ok {
+		m.mu.Unlock()
+		return errNotFound
+	}
+	if state == leases.Done || timeout == 0 {
+		m.mu.Unlock()
+		return nil
+	}
+	done := m.doneWaiters[id]
+	if done == nil {
+		done = make(chan struct{})
+		m.doneWaiters[id] = done
+	}
+	m.mu.Unlock()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case <-done:
+	case <-timer.C:
+	case <-client.Done():
+	case <-m.ctx.Done():
+	}
+	return nil
+}
+
+// remove drops a job that has its final answer; errNotFound or errNotFinal where that can't be.
+func (m *Manager) remove(id leases.ID) error {
+	m.mu.Lock()
+	_, known := m.book.State(id)
+	effects, ok := m.book.LetGo(now(), id)
+	m.mu.Unlock()
+	m.apply(effects)
+	switch {
+	case !known:
+		return errNotFound
+	case !ok:
+		return errNotFinal
+	}
+	return nil
+}
+
+// status is where a job stands, as it is sent to clients.
+func (m *Manager) status(id leases.ID) jobStatus {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	state, ok := m.book.State(id)
+	if !ok {
+		return jobStatus{ID: string(id), State: removedState}
+	}
+	status := jobStatus{ID: string(id), State: stateNames[state]}
+	if state == leases.Done {
+		final, result := m.book.Answer(id)
+		status.Final, status.Result = finalNames[final], result
+	}
+	return status
+}
--- a/internal/durable/wire_test.go
+++ b/internal/durable/wire_test.go
@@ -52,7 +52,7 @@
 type frontWorld struct {
 	t       *testing.T
 	out     strings.Builder
-	durable *durable.Durable
+	durable *durable.Manager
 	front   node.Frontend
 	up      node.Upstream
 	events  chan node.Event
@@ -130,7 +130,7 @@
 func TestWire(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
 		disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 3)))
-		options := durable.Options{OuterLimit: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: true, AskEvery: 300 * time.Millisecond}}
+		options := durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: true, AskEvery: 300 * time.Millisecond}}
 		w := newFrontWorld(t, disk, 10<<20, options)
 		class, budget := "X-Call-Class: page", "X-Budget-Ms: 60000"
 		w.call("before it is ready", http.MethodPut, "/-/jobs/a", "body", class, budget)
@@ -187,7 +187,7 @@
 			w.up.Write(node.ConnID(i+1), node.Attempt{Request: &node.Request{ID: policy.JobID("durable-" + job.id), URI: "/u", Host: "h", IdempotencyKey: "k", Body: []byte("body")}})
 			time.Sleep(time.Second)
 			synctest.Wait()
-			w.durable.Tap(0, node.AttemptEnded{Conn: node.ConnID(i + 1), Outcome: policy.TimedOut}, nil)
+			w.durable.Observe(0, node.AttemptEnded{Conn: node.ConnID(i + 1), Outcome: policy.TimedOut}, nil)
 			w.front.Answer(node.Answer{Job: policy.JobID("durable-" + job.id), Final: job.final, Result: []byte("result " + job.id)})
 			w.call("its final answer", http.MethodGet, target+"?wait_ms=5000", "")
 			w.call("let go", http.MethodDelete, target, "")
@@ -215,7 +215,7 @@
 		w.call("its state while it is written", http.MethodGet, "/-/jobs/f", "")
 		w.print("handed in, on a slow disk", <-acknowledged)
 		w.arrived()
-		if err := w.durable.End(); err != nil {
+		if err := w.durable.Close(); err != nil {
 			t.Error(err)
 		}
 		full := newFrontWorld(t, emulator.NewDisk(rand.New(rand.NewPCG(1, 3))), 20, options)
@@ -223,7 +223,7 @@
 		full.call("the last that finds room", http.MethodPut, "/-/jobs/a", "body", class, budget)
 		full.arrived()
 		full.call("a store that is full", http.MethodPut, "/-/jobs/b", "body", class, budget)
-		if err := full.durable.End(); err != nil {
+		if err := full.durable.Close(); err != nil {
 			t.Error(err)
 		}
 		broken := emulator.NewDisk(rand.New(rand.NewPCG(1, 3)))
@@ -231,7 +231,7 @@
 		last.front.SetReady(true)
 		broken.FailSync = 1
 		last.call("a store that is broken", http.MethodPut, "/-/jobs/a", "body", class, budget)
-		fmt.Fprintf(&last.out, "its end: %v\n", last.durable.End())
+		fmt.Fprintf(&last.out, "its end: %v\n", last.durable.Close())
 		golden.Compare(t, "wire.txt", w.out.String()+full.out.String()+last.out.String())
 	})
 }
@@ -242,10 +242,10 @@
 	for _, addr := range []string{"never:1", "finished:1", "lost:1", "mute:1", "nothing:1"} {
 		synctesting.Test(t, func(t *testing.T) {
 			disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 3)))
-			options := durable.Options{OuterLimit: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: true, AskEvery: 30 * time.Second}}
+			options := durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: true, AskEvery: 30 * time.Second}}
 			w := newFrontWorld(t, disk, 10<<20, options)
 			endpoints := node.EndpointsUpdated{Endpoints: []node.Endpoint{{Endpoint: policy.Endpoint{Executor: "e0"}, Addr: addr}}}
-			w.durable.Tap(0, endpoints, nil)
+			w.durable.Observe(0, endpoints, nil)
 			w.front.SetReady(true)
 			w.call("handed in", http.MethodPut, "/-/jobs/a", "body", "X-Call-Class: order", "X-Budget-Ms: 60000")
 			w.arrived()
@@ -254,15 +254,15 @@
 			time.Sleep(time.Second)
 			synctest.Wait()
 			disk.Crash()
-			fmt.Fprintf(&w.out, "its end after the crash: %v\n", w.durable.End())
+			fmt.Fprintf(&w.out, "its end after the crash: %v\n", w.durable.Close())
 			next := newFrontWorld(t, disk, 10<<20, options)
-			next.durable.Tap(0, endpoints, nil)
+			next.durable.Observe(0, endpoints, nil)
 			next.front.SetReady(true)
 			time.Sleep(time.Second)
 			synctest.Wait()
 			next.call("its state after a restart", http.MethodGet, "/-/jobs/a", "")
 			fmt.Fprintf(&out, "an executor at %s\n%s%s", addr, w.out.String(), next.out.String())
-			if err := next.durable.End(); err != nil {
+			if err := next.durable.Close(); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -44,7 +44,7 @@
 	Share func(half bool) // told what the process may use of the node's memory
 
 	Fleet   *Fleet           // nil where the node talks with no others
-	Durable *durable.Durable // nil where durable batch jobs are off; it ends with the node
+	Durable *durable.Manager // nil where durable batch jobs are off; it ends with the node
 }
 
 // Fleet is what a node is told of the nodes that it talks with.
@@ -60,7 +60,7 @@
 		if n := len(s.Tracks); i < n {
 			name = s.Tracks[i]
 		} else {
-			name = durable.Twin + s.Tracks[i-n]
+			name = durable.ClassPrefix + s.Tracks[i-n]
 		}
 		all = append(all, node.JobClass{Name: name, JobClass: t})
 	}
@@ -110,7 +110,7 @@
 		fromClients, toExecutors = s.Durable.Start(loop.Post, front, pool)
 		front.Aside(durable.Path, s.Durable)
 		loop.Observe = func(now time.Duration, ev node.Event, effects []node.Effect) {
-			s.Durable.Tap(now, ev, effects)
+			s.Durable.Observe(now, ev, effects)
 			if s.Tap != nil {
 				s.Tap(now, ev, effects)
 			}
@@ -149,7 +149,7 @@
 	front.End()
 	var err error
 	if s.Durable != nil {
-		err = s.Durable.End()
+		err = s.Durable.Close()
 	}
 	select {
 	case err := <-broken:
