--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -99,7 +99,7 @@
 // setAside keeps descriptors for what the operator's own file turns on.
 func (t *told) setAside(own site.Site) {
 	if own.Fleet != nil {
-		t.Neighbours = gossip.Descriptors
+		t.Neighbours = gossip.MaxDescriptors
 	}
 }
 
@@ -149,7 +149,7 @@
 	name := cluster.NodeName(cmp.Or(own.Name, c.Name))
 	s := cluster.Defaults(name, uint64(start.UnixMilli()), c.Settings.Policy.Seed)
 	s.GossipInterval, s.Fanout, s.PeerStateTTL, s.DrainTTL = time.Duration(own.Every), own.Tell, time.Duration(own.ViewFor), time.Duration(own.DrainFor)
-	o, err := gossip.Parse(name, policy.NodeID(c.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
+	o, err := gossip.ParseOptions(name, policy.NodeID(c.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
 	return &service.Fleet{Settings: s, Options: o}, err
 }
 
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -17,11 +17,11 @@
 func TestWords(t *testing.T) {
 	w := cluster.Message{From: "n7", Incarnation: 12, Seq: 3, Rates: cluster.Rates{Offered: map[int]float64{38: 1.5, 34: 0.25}, Admitted: 3, Completed: 2, Expired: 0.5, Waiting: 0.125, Migrations: 0.75},
 		Drains: []cluster.Drain{{Executor: "e1", Incarnation: 1764600000123, Age: 1500*time.Millisecond + time.Microsecond}}}
-	b, err := encode(w)
+	b, err := encodeGossip(w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decode(b)
+	got, err := decodeGossip(b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,14 +35,14 @@
 	for i := range 100 {
 		w.Drains = append(w.Drains, cluster.Drain{Executor: policy.ExecutorID(fmt.Sprintf("%0100d", i))})
 	}
-	if b, err = encode(w); err != nil || len(b) > mostBytes {
+	if b, err = encodeGossip(w); err != nil || len(b) > maxMessageBytes {
 		t.Errorf("%d bytes, %v", len(b), err)
 	}
 	p := node.SendLeaseMessage{To: 3, Message: policy.LeaseGrant, Hash: 0xfffffff0}
-	if b, err = encodePlace(5, p); err != nil || !isPlace(b) {
+	if b, err = encodeLeaseMessage(5, p); err != nil || !isLeaseMessage(b) {
 		t.Fatal(b, err)
 	}
-	if got, err := decodePlace(b); err != nil || got != (node.LeaseMessageReceived{From: 5, Message: policy.LeaseGrant, Hash: 0xfffffff0}) {
+	if got, err := decodeLeaseMessage(b); err != nil || got != (node.LeaseMessageReceived{From: 5, Message: policy.LeaseGrant, Hash: 0xfffffff0}) {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -51,23 +51,23 @@
 func FuzzWord(f *testing.F) {
 	for _, w := range []cluster.Message{{}, {From: "a", Incarnation: 1, Seq: 1, Rates: cluster.Rates{Offered: map[int]float64{63: math.MaxFloat32, -1: math.Inf(1)}, Completed: math.NaN()},
 		Drains: []cluster.Drain{{Executor: "e", Age: time.Hour}}}} {
-		b, err := encode(w)
+		b, err := encodeGossip(w)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(b)
 	}
-	b, _ := encodePlace(1, node.SendLeaseMessage{Message: policy.LeaseRequest})
+	b, _ := encodeLeaseMessage(1, node.SendLeaseMessage{Message: policy.LeaseRequest})
 	f.Add(b)
 	f.Add([]byte{0xa1, 0x00, 0x02})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if isPlace(b) {
-			if p, err := decodePlace(b); err == nil && p.From < 0 {
+		if isLeaseMessage(b) {
+			if p, err := decodeLeaseMessage(b); err == nil && p.From < 0 {
 				t.Errorf("%+v", p)
 			}
 			return
 		}
-		w, err := decode(b)
+		w, err := decodeGossip(b)
 		if err != nil {
 			return
 		}
@@ -81,10 +81,10 @@
 					t.Errorf("rung %d: %v", rung, x)
 				}
 			}
-			again, err := encode(to.Message)
+			again, err := encodeGossip(to.Message)
 			if err != nil {
 				t.Error(err)
-			} else if got, err := decode(again); err != nil || !maps.Equal(got.Rates.Offered, to.Message.Rates.Offered) {
+			} else if got, err := decodeGossip(again); err != nil || !maps.Equal(got.Rates.Offered, to.Message.Rates.Offered) {
 				t.Errorf("%+v, %v", got, err)
 			}
 		}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -23,60 +23,60 @@
 // Options say where a node listens for its neighbours, and where the first ones are found.
 type Options struct {
 	Name      cluster.NodeName
-	Number    policy.NodeID // by which nodes name each other where they lend places
+	Node      policy.NodeID // by which nodes name each other where they lend places
 	Listen    netip.AddrPort
 	Advertise netip.AddrPort // where neighbours reach it
 	Seeds     []netip.AddrPort
 	Traffic   *Traffic // counts its traffic; nil: nobody does
 }
 
-// Members is a node's place in its fleet. Run owns it.
-type Members struct {
-	o    Options
-	tell func(node.Event)
-	log  zerolog.Logger
-	out  chan any // fleet.To and node.TellPlace
-
-	exchanges time.Duration // between two exchanges of all that is known with a neighbour by chance; 0 for none
-
-	mu      sync.Mutex
-	nodes   map[string]*memberlist.Node // those alive, by their names and by what they say of their numbers
-	down    map[string]string           // addresses of those that were alive and are not, by their names
-	resumed map[string]bool             // those of them that have sent a message since
-	told    chan struct{}               // that alive has changed
-	resumes chan struct{}               // that resumed has grown
+// Membership is a node's place in its fleet. Run owns it.
+type Membership struct {
+	options Options
+	post    func(node.Event)
+	log     zerolog.Logger
+	outbox  chan any // fleet.To and node.TellPlace
+
+	pushPullInterval time.Duration // between two exchanges of all that is known with a neighbour by chance; 0 for none
+
+	mu           sync.Mutex
+	peers        map[string]*memberlist.Node // those alive, by their names and by what they say of their numbers
+	deadAddrs    map[string]string           // addresses of those that were alive and are not, by their names
+	resumed      map[string]bool             // those of them that have sent a message since
+	peersChanged chan struct{}               // that alive has changed
+	peerResumed  chan struct{}               // that resumed has grown
 }
 
 const (
-	waiting    = 64                     // words that may wait to go out; more are dropped
-	againSpell = time.Second            // between two tries to bind, and to join who is missing
-	probeSpell = 500 * time.Millisecond // a neighbour is asked for a sign of life so often
-	probeLimit = 200 * time.Millisecond
-	goodBye    = 200 * time.Millisecond // the longest that a planned end waits for its word to go round
-	mostDown   = 1024                   // nodes that are not alive, in mind
+	maxQueued     = 64                     // words that may wait to go out; more are dropped
+	retryInterval = time.Second            // between two tries to bind, and to join who is missing
+	probeInterval = 500 * time.Millisecond // a neighbour is asked for a sign of life so often
+	probeTimeout  = 200 * time.Millisecond
+	leaveTimeout  = 200 * time.Millisecond // the longest that a planned end waits for its word to go round
+	maxDeadPeers  = 1024                   // nodes that are not alive, in mind
 )
 
 // New makes a node's place; tell takes its events.
-func New(o Options, tell func(node.Event), log zerolog.Logger) *Members {
-	return &Members{o: o, tell: tell, log: log, out: make(chan any, waiting), exchanges: 10 * time.Second, nodes: map[string]*memberlist.Node{},
-		down: map[string]string{}, resumed: map[string]bool{}, told: make(chan struct{}, 1), resumes: make(chan struct{}, 1)}
+func New(o Options, tell func(node.Event), log zerolog.Logger) *Membership {
+	return &Membership{options: o, post: tell, log: log, outbox: make(chan any, maxQueued), pushPullInterval: 10 * time.Second, peers: map[string]*memberlist.Node{},
+		deadAddrs: map[string]string{}, resumed: map[string]bool{}, peersChanged: make(chan struct{}, 1), peerResumed: make(chan struct{}, 1)}
 }
 
 // SendGossip says a word to a neighbour, or drops it where too many wait.
-func (m *Members) SendGossip(to cluster.Envelope) { m.queue(to) }
+func (m *Membership) SendGossip(to cluster.Envelope) { m.queue(to) }
 
 // SendLeaseMessage says a word about an executor's places to the neighbour of that number.
-func (m *Members) SendLeaseMessage(to node.SendLeaseMessage) { m.queue(to) }
+func (m *Membership) SendLeaseMessage(to node.SendLeaseMessage) { m.queue(to) }
 
-func (m *Members) queue(to any) {
+func (m *Membership) queue(to any) {
 	select {
-	case m.out <- to:
+	case m.outbox <- to:
 	default:
 	}
 }
 
 // Run keeps the node in its fleet until the context ends. A process that takes over from another one of the same node waits for its address.
-func (m *Members) Run(ctx context.Context) {
+func (m *Membership) Run(ctx context.Context) {
 	var list *memberlist.Memberlist
 	for said := ""; list == nil; {
 		var err error
@@ -87,23 +87,23 @@
 			said = err.Error()
 			m.log.Warn().Str("because", said).Msg("not in the fleet yet")
 		}
-		if !rest(ctx, againSpell) {
+		if !sleep(ctx, retryInterval) {
 			return
 		}
 	}
-	m.log.Info().Str("listen", m.o.Listen.String()).Msg("in the fleet; what nodes say to each other is neither encrypted nor signed")
+	m.log.Info().Str("listen", m.options.Listen.String()).Msg("in the fleet; what nodes say to each other is neither encrypted nor signed")
 	var wait sync.WaitGroup
 	wait.Go(func() { m.join(ctx, list) })
 	wait.Go(func() { m.rejoin(ctx, list) })
-	wait.Go(func() { m.changes(ctx) })
-	m.say(ctx, list)
-	list.Leave(goodBye)
+	wait.Go(func() { m.reportPeers(ctx) })
+	m.sendQueued(ctx, list)
+	list.Leave(leaveTimeout)
 	list.Shutdown()
 	wait.Wait()
 }
 
-// rest waits, and says whether the context goes on.
-func rest(ctx context.Context, span time.Duration) bool {
+// sleep waits, and says whether the context goes on.
+func sleep(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -112,20 +112,20 @@
 	}
 }
 
-func (m *Members) create() (*memberlist.Memberlist, error) {
-	t, err := newTransport(m.o.Listen)
+func (m *Membership) create() (*memberlist.Memberlist, error) {
+	t, err := newTransport(m.options.Listen)
 	if err != nil {
 		return nil, err
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.LogOutput, c.Logger = string(m.o.Name), t, nil, t.logger(m.log)
-	if m.o.Traffic != nil {
-		c.Transport = count(t, m.o.Traffic)
+	c.Name, c.Transport, c.LogOutput, c.Logger = string(m.options.Name), t, nil, t.logger(m.log)
+	if m.options.Traffic != nil {
+		c.Transport = newCountingTransport(t, m.options.Traffic)
 	}
-	c.BindAddr, c.BindPort = m.o.Listen.Addr().String(), int(m.o.Listen.Port())
-	c.AdvertiseAddr, c.AdvertisePort = m.o.Advertise.Addr().String(), int(m.o.Advertise.Port())
-	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult, c.SuspicionMaxTimeoutMult = probeSpell, probeLimit, 3, 2
-	c.TCPTimeout, c.PushPullInterval, c.DeadNodeReclaimTime = 2*time.Second, m.exchanges, time.Millisecond
+	c.BindAddr, c.BindPort = m.options.Listen.Addr().String(), int(m.options.Listen.Port())
+	c.AdvertiseAddr, c.AdvertisePort = m.options.Advertise.Addr().String(), int(m.options.Advertise.Port())
+	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult, c.SuspicionMaxTimeoutMult = probeInterval, probeTimeout, 3, 2
+	c.TCPTimeout, c.PushPullInterval, c.DeadNodeReclaimTime = 2*time.Second, m.pushPullInterval, time.Millisecond
 	c.EnableCompression = false
 	c.Delegate, c.Events, c.Conflict = m, m, m
 	list, err := memberlist.Create(c)
@@ -136,18 +136,18 @@
 }
 
 // join goes to seeds that are not alive, again and again: after a link was cut for long both sides have given each other up.
-func (m *Members) join(ctx context.Context, list *memberlist.Memberlist) {
+func (m *Membership) join(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		known := map[string]bool{}
 		for _, n := range list.Members() {
 			known[n.Address()] = true
 		}
-		for _, seed := range m.o.Seeds {
-			if ctx.Err() == nil && seed != m.o.Advertise && seed != m.o.Listen && !known[seed.String()] {
+		for _, seed := range m.options.Seeds {
+			if ctx.Err() == nil && seed != m.options.Advertise && seed != m.options.Listen && !known[seed.String()] {
 				list.Join([]string{seed.String()})
 			}
 		}
-		if !rest(ctx, againSpell) {
+		if !sleep(ctx, retryInterval) {
 			return
 		}
 	}
@@ -156,17 +156,17 @@
 // rejoin exchanges state, over TCP, with nodes that count as dead here and have sent a message since. Guards against a node that was taken for dead wrongly
 // and does not know: it holds all others for alive and joins nobody, and those send it nothing; memberlist tells it, and takes its refutation, in a few
 // datagrams, and once these are lost nothing brings it back but an exchange by chance, of which there is one in 10 s.
-func (m *Members) rejoin(ctx context.Context, list *memberlist.Memberlist) {
+func (m *Membership) rejoin(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.resumes:
+		case <-m.peerResumed:
 		}
 		m.mu.Lock()
 		var addrs []string
 		for name := range m.resumed {
-			addrs = append(addrs, m.down[name])
+			addrs = append(addrs, m.deadAddrs[name])
 		}
 		clear(m.resumed)
 		m.mu.Unlock()
@@ -175,43 +175,43 @@
 				list.Join([]string{addr})
 			}
 		}
-		if !rest(ctx, againSpell) {
+		if !sleep(ctx, retryInterval) {
 			return
 		}
 	}
 }
 
-// heardOf notes that a message of that name has come.
-func (m *Members) heardOf(name string) {
+// messageFrom notes that a message of that name has come.
+func (m *Membership) messageFrom(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, down := m.down[name]; !down {
+	if _, down := m.deadAddrs[name]; !down {
 		return
 	}
 	m.resumed[name] = true
 	select {
-	case m.resumes <- struct{}{}:
+	case m.peerResumed <- struct{}{}:
 	default:
 	}
 }
 
-// say sends what is to be told.
-func (m *Members) say(ctx context.Context, list *memberlist.Memberlist) {
+// sendQueued sends what is to be told.
+func (m *Membership) sendQueued(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case to := <-m.out:
+		case to := <-m.outbox:
 			var n *memberlist.Node
 			var b []byte
 			var err error
 			switch to := to.(type) {
 			case cluster.Envelope:
-				n = m.at(string(to.To))
-				b, err = encode(to.Message)
+				n = m.peer(string(to.To))
+				b, err = encodeGossip(to.Message)
 			case node.SendLeaseMessage:
-				n = m.at(meta(to.To))
-				b, err = encodePlace(m.o.Number, to)
+				n = m.peer(metadata(to.To))
+				b, err = encodeLeaseMessage(m.options.Node, to)
 			}
 			if err != nil {
 				m.log.Error().Err(err).Msg("a word that can't be written")
@@ -222,108 +222,108 @@
 	}
 }
 
-// meta is a node's number as its neighbours are told it.
-func meta(number policy.NodeID) string { return fmt.Sprint("#", number) }
+// metadata is a node's number as its neighbours are told it.
+func metadata(number policy.NodeID) string { return fmt.Sprint("#", number) }
 
-// at is the neighbour of a name, or of what it says of its number; nil where none is alive.
-func (m *Members) at(key string) *memberlist.Node {
+// peer is the neighbour of a name, or of what it says of its number; nil where none is alive.
+func (m *Membership) peer(key string) *memberlist.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.nodes[key]
+	return m.peers[key]
 }
 
-// changes tells the reducer who is alive. Its queue may be full, and memberlist must not wait for it.
-func (m *Members) changes(ctx context.Context) {
+// reportPeers tells the reducer who is alive. Its queue may be full, and memberlist must not wait for it.
+func (m *Membership) reportPeers(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.told:
+		case <-m.peersChanged:
 		}
 		m.mu.Lock()
 		var names []cluster.NodeName
-		for key, n := range m.nodes {
+		for key, n := range m.peers {
 			if key == n.Name {
 				names = append(names, cluster.NodeName(n.Name))
 			}
 		}
 		m.mu.Unlock()
 		slices.Sort(names)
-		m.tell(node.FleetChanged{Alive: names})
+		m.post(node.FleetChanged{Alive: names})
 	}
 }
 
-func (m *Members) set(n *memberlist.Node, alive bool) {
+func (m *Membership) setAlive(n *memberlist.Node, alive bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, key := range [...]string{n.Name, string(n.Meta)} {
 		if alive {
-			m.nodes[key] = n
-		} else if o := m.nodes[key]; o != nil && o.Name == n.Name {
-			delete(m.nodes, key)
+			m.peers[key] = n
+		} else if o := m.peers[key]; o != nil && o.Name == n.Name {
+			delete(m.peers, key)
 		}
 	}
 	if alive {
-		delete(m.down, n.Name)
+		delete(m.deadAddrs, n.Name)
 		delete(m.resumed, n.Name)
-	} else if n.Name != string(m.o.Name) && len(m.down) < mostDown {
-		m.down[n.Name] = n.Address()
+	} else if n.Name != string(m.options.Name) && len(m.deadAddrs) < maxDeadPeers {
+		m.deadAddrs[n.Name] = n.Address()
 	}
 	select {
-	case m.told <- struct{}{}:
+	case m.peersChanged <- struct{}{}:
 	default:
 	}
 }
 
 // NotifyJoin is memberlist's call when a node comes.
-func (m *Members) NotifyJoin(n *memberlist.Node) { m.set(n, true) }
+func (m *Membership) NotifyJoin(n *memberlist.Node) { m.setAlive(n, true) }
 
 // NotifyLeave is its call when one goes.
-func (m *Members) NotifyLeave(n *memberlist.Node) { m.set(n, false) }
+func (m *Membership) NotifyLeave(n *memberlist.Node) { m.setAlive(n, false) }
 
 // NotifyUpdate is its call when one tells something else of itself, which no node does.
-func (m *Members) NotifyUpdate(*memberlist.Node) {}
+func (m *Membership) NotifyUpdate(*memberlist.Node) {}
 
 // NotifyConflict is its call when two nodes bear one name.
-func (m *Members) NotifyConflict(here, other *memberlist.Node) {
+func (m *Membership) NotifyConflict(here, other *memberlist.Node) {
 	m.log.Error().Str("name", here.Name).Str("at", here.Address()).Str("and_at", other.Address()).Msg("two nodes of the fleet bear one name: the second is not taken in")
-	m.tell(node.GossipUnreadable{Why: "of a second node of the same name"})
+	m.post(node.GossipUnreadable{Why: "of a second node of the same name"})
 }
 
 // NotifyMsg is its call when a word has come.
-func (m *Members) NotifyMsg(b []byte) {
-	if isPlace(b) {
-		p, err := decodePlace(b)
+func (m *Membership) NotifyMsg(b []byte) {
+	if isLeaseMessage(b) {
+		p, err := decodeLeaseMessage(b)
 		if err != nil {
-			m.tell(node.GossipUnreadable{Why: err.Error()})
+			m.post(node.GossipUnreadable{Why: err.Error()})
 			return
 		}
-		m.tell(p)
+		m.post(p)
 		return
 	}
-	w, err := decode(b)
+	w, err := decodeGossip(b)
 	if err != nil {
-		m.tell(node.GossipUnreadable{Why: err.Error()})
+		m.post(node.GossipUnreadable{Why: err.Error()})
 		return
 	}
-	m.heardOf(string(w.From))
-	m.tell(node.GossipReceived{Message: w})
+	m.messageFrom(string(w.From))
+	m.post(node.GossipReceived{Message: w})
 }
 
 // NodeMeta is its call for what neighbours are told of this node: its number.
-func (m *Members) NodeMeta(int) []byte { return []byte(meta(m.o.Number)) }
+func (m *Membership) NodeMeta(int) []byte { return []byte(metadata(m.options.Node)) }
 
 // GetBroadcasts, LocalState and MergeRemoteState are calls for what memberlist could carry besides; nothing is given to it.
 
-func (m *Members) GetBroadcasts(int, int) [][]byte { return nil }
+func (m *Membership) GetBroadcasts(int, int) [][]byte { return nil }
 
-func (m *Members) LocalState(bool) []byte { return nil }
+func (m *Membership) LocalState(bool) []byte { return nil }
 
-func (m *Members) MergeRemoteState([]byte, bool) {}
+func (m *Membership) MergeRemoteState([]byte, bool) {}
 
-// Parse reads the addresses of an operator's file, which has been checked.
-func Parse(name cluster.NodeName, number policy.NodeID, listen, advertise string, seeds []string) (o Options, err error) {
-	o = Options{Name: name, Number: number}
+// ParseOptions reads the addresses of an operator's file, which has been checked.
+func ParseOptions(name cluster.NodeName, number policy.NodeID, listen, advertise string, seeds []string) (o Options, err error) {
+	o = Options{Name: name, Node: number}
 	if o.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return o, fmt.Errorf("fleet.listen: %w", err)
 	}
@@ -343,8 +343,8 @@
 	return o, nil
 }
 
-// worthALine says whether a line of memberlist's log is one for operators: its warnings and errors, not each packet that got lost or came by another way.
-func worthALine(line string) bool {
+// relevantToOperators says whether a line of memberlist's log is one for operators: its warnings and errors, not each packet that got lost or came by another way.
+func relevantToOperators(line string) bool {
 	usual := []string{"Failed to send", "Push/Pull with", "fallback", "Was able to connect"}
 	return (strings.Contains(line, "[WARN]") || strings.Contains(line, "[ERR]")) &&
 		!slices.ContainsFunc(usual, func(part string) bool { return strings.Contains(line, part) })
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -66,9 +66,9 @@
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	defer cancel()
-	member := func(o Options, tell func(node.Event)) *Members {
+	member := func(o Options, tell func(node.Event)) *Membership {
 		m := New(o, tell, zerolog.Nop())
-		m.exchanges = 0
+		m.pushPullInterval = 0
 		wait.Go(func() { m.Run(ctx) })
 		return m
 	}
@@ -79,7 +79,7 @@
 			alive <- slices.Contains(n.Alive, "node")
 		}
 	})
-	n := member(Options{Name: "node", Number: 1, Listen: here, Advertise: link, Seeds: seeds}, func(node.Event) {})
+	n := member(Options{Name: "node", Node: 1, Listen: here, Advertise: link, Seeds: seeds}, func(node.Event) {})
 	again := time.NewTicker(50 * time.Millisecond)
 	defer again.Stop()
 	limit := time.After(20 * time.Second)
--- a/internal/gossip/traffic_test.go
+++ b/internal/gossip/traffic_test.go
@@ -17,12 +17,12 @@
 func TestTraffic(t *testing.T) {
 	there := netip.MustParseAddrPort("127.77.1.1:7951")
 	var all, none Traffic
-	all.Of = func(a netip.Addr) bool { return a == there.Addr() }
-	none.Of = func(netip.Addr) bool { return false }
+	all.Counts = func(a netip.Addr) bool { return a == there.Addr() }
+	none.Counts = func(netip.Addr) bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	heard := make(chan node.GossipReceived, 1)
-	member := func(name cluster.NodeName, number int, listen netip.AddrPort, traffic *Traffic, tell func(node.Event)) *Members {
+	member := func(name cluster.NodeName, number int, listen netip.AddrPort, traffic *Traffic, tell func(node.Event)) *Membership {
 		m := New(Options{Name: name, Listen: listen, Advertise: listen, Seeds: []netip.AddrPort{there}, Traffic: traffic}, tell, zerolog.Nop())
 		wait.Go(func() { m.Run(ctx) })
 		return m
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -19,19 +19,19 @@
 // It takes so many connections at a time as are set aside for them; the others wait.
 type transport struct {
 	*memberlist.NetTransport
-	from    netip.Addr
-	come    <-chan net.Conn
-	streams chan net.Conn
-	ending  chan struct{}
-	ended   chan struct{}
-	once    sync.Once
+	source   netip.Addr
+	accepted <-chan net.Conn
+	streams  chan net.Conn
+	closing  chan struct{}
+	closed   chan struct{}
+	once     sync.Once
 }
 
-// Descriptors are those that neighbours take at most: the two sockets that they are heard by, connections that they open, one
+// MaxDescriptors are those that neighbours take at most: the two sockets that they are heard by, connections that they open, one
 // that waits to be taken, and those that this node opens.
-const Descriptors = 2 + mostStreams + 1 + 5
+const MaxDescriptors = 2 + maxStreams + 1 + 5
 
-const mostStreams = 16
+const maxStreams = 16
 
 func newTransport(listen netip.AddrPort) (*transport, error) {
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{listen.Addr().String()}, BindPort: int(listen.Port()),
@@ -39,17 +39,17 @@
 	if err != nil {
 		return nil, err
 	}
-	to := &transport{NetTransport: t, from: listen.Addr(), come: t.StreamCh(), streams: make(chan net.Conn), ending: make(chan struct{}), ended: make(chan struct{})}
-	go to.take()
+	to := &transport{NetTransport: t, source: listen.Addr(), accepted: t.StreamCh(), streams: make(chan net.Conn), closing: make(chan struct{}), closed: make(chan struct{})}
+	go to.limitStreams()
 	return to, nil
 }
 
 // Shutdown ends it; a connection that waits to be taken doesn't hold that up.
 func (t *transport) Shutdown() (err error) {
 	t.once.Do(func() {
-		close(t.ending)
+		close(t.closing)
 		err = t.NetTransport.Shutdown()
-		close(t.ended)
+		close(t.closed)
 	})
 	return err
 }
@@ -57,36 +57,36 @@
 // StreamCh gives the connections that are taken.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// take hands connections on as long as there is room. Guards against callers that open many and say nothing: they would take the
+// limitStreams hands connections on as long as there is room. Guards against callers that open many and say nothing: they would take the
 // descriptors of clients and discovery.
-func (t *transport) take() {
-	room := make(chan struct{}, mostStreams)
+func (t *transport) limitStreams() {
+	room := make(chan struct{}, maxStreams)
 	for {
 		select {
 		case room <- struct{}{}:
-		case <-t.ending:
-			t.drop()
+		case <-t.closing:
+			t.closeAccepted()
 			return
 		}
 		select {
-		case c := <-t.come:
+		case c := <-t.accepted:
 			select {
-			case t.streams <- &stream{Conn: c, room: room}:
-			case <-t.ending:
+			case t.streams <- &stream{Conn: c, slots: room}:
+			case <-t.closing:
 				c.Close()
 			}
-		case <-t.ending:
+		case <-t.closing:
 		}
 	}
 }
 
-// drop closes what still comes, until the listener is closed.
-func (t *transport) drop() {
+// closeAccepted closes what still comes, until the listener is closed.
+func (t *transport) closeAccepted() {
 	for {
 		select {
-		case c := <-t.come:
+		case c := <-t.accepted:
 			c.Close()
-		case <-t.ended:
+		case <-t.closed:
 			return
 		}
 	}
@@ -95,19 +95,19 @@
 // stream gives its place back when it is closed.
 type stream struct {
 	net.Conn
-	once sync.Once
-	room chan struct{}
+	once  sync.Once
+	slots chan struct{}
 }
 
 func (s *stream) Close() error {
 	err := s.Conn.Close()
-	s.once.Do(func() { <-s.room })
+	s.once.Do(func() { <-s.slots })
 	return err
 }
 
 // DialTimeout opens a connection to a neighbour.
 func (t *transport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: limit, LocalAddr: &net.TCPAddr{IP: t.from.AsSlice()}}
+	d := net.Dialer{Timeout: limit, LocalAddr: &net.TCPAddr{IP: t.source.AsSlice()}}
 	return d.Dial("tcp", addr)
 }
 
@@ -118,13 +118,13 @@
 
 // logger hands memberlist's warnings to the node's log.
 func (t *transport) logger(log zerolog.Logger) *stdlog.Logger {
-	return stdlog.New(lines{log}, "", 0)
+	return stdlog.New(logWriter{log}, "", 0)
 }
 
-type lines struct{ log zerolog.Logger }
+type logWriter struct{ log zerolog.Logger }
 
-func (l lines) Write(b []byte) (int, error) {
-	if text := strings.TrimSpace(string(b)); worthALine(text) {
+func (l logWriter) Write(b []byte) (int, error) {
+	if text := strings.TrimSpace(string(b)); relevantToOperators(text) {
 		l.log.Warn().Msg(text)
 	}
 	return len(b), nil
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -13,10 +13,10 @@
 // of them is closed.
 func TestStreamsBounded(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
-		come := make(chan net.Conn, 2*mostStreams)
-		tr := &transport{come: come, streams: make(chan net.Conn), ending: make(chan struct{}), ended: make(chan struct{})}
-		go tr.take()
-		for range 2 * mostStreams {
+		come := make(chan net.Conn, 2*maxStreams)
+		tr := &transport{accepted: come, streams: make(chan net.Conn), closing: make(chan struct{}), closed: make(chan struct{})}
+		go tr.limitStreams()
+		for range 2 * maxStreams {
 			c, _ := net.Pipe()
 			come <- c
 		}
@@ -33,14 +33,14 @@
 				return
 			}
 		}
-		for _, want := range []int{mostStreams, mostStreams + 1, mostStreams + 1} {
+		for _, want := range []int{maxStreams, maxStreams + 1, maxStreams + 1} {
 			if takes(); len(taken) != want {
 				t.Errorf("%d were taken, want %d", len(taken), want)
 			}
 			taken[0].Close() // the second time it gives no place back
 		}
-		close(tr.ending)
-		close(tr.ended)
+		close(tr.closing)
+		close(tr.closed)
 	})
 }
 
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -25,31 +25,31 @@
 			Offered: map[int]float64{38: 1.5, 34: 0.25}, Completed: 2, Expired: 0.5, Waiting: 0.125, Admitted: 3, Migrations: 0.75},
 			Drains: []cluster.Drain{{Executor: "e1", Incarnation: 1764600000123, Age: 1500 * time.Millisecond}, {Executor: "e2"}}}},
 	} {
-		b, err := encode(c.message)
+		b, err := encodeGossip(c.message)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&out, "gossip, %s: %x\n", c.title, b)
-		got, err := decode(b)
+		got, err := decodeGossip(b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := encode(got)
+		again, err := encodeGossip(got)
 		if err != nil || !bytes.Equal(again, b) {
 			t.Errorf("%s: %x was read and written again as %x, %v", c.title, b, again, err)
 		}
 	}
 	for kind := policy.LeaseRequest; kind <= policy.LeaseReturnLate; kind++ {
-		b, err := encodePlace(5, node.SendLeaseMessage{To: 3, Message: kind, Hash: 0xfffffff0})
+		b, err := encodeLeaseMessage(5, node.SendLeaseMessage{To: 3, Message: kind, Hash: 0xfffffff0})
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&out, "lease message %d: %x\n", kind, b)
-		got, err := decodePlace(b)
+		got, err := decodeLeaseMessage(b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := encodePlace(got.From, node.SendLeaseMessage{Message: got.Message, Hash: got.Hash})
+		again, err := encodeLeaseMessage(got.From, node.SendLeaseMessage{Message: got.Message, Hash: got.Hash})
 		if err != nil || !bytes.Equal(again, b) {
 			t.Errorf("lease message %d: %x was read and written again as %x, %v", kind, b, again, err)
 		}
@@ -73,10 +73,10 @@
 		{"a lease message of no kind", []byte{0x84, 0x01, 0x05, 0x00, 0x00}},
 	} {
 		var err error
-		if isPlace(c.bytes) {
-			_, err = decodePlace(c.bytes)
+		if isLeaseMessage(c.bytes) {
+			_, err = decodeLeaseMessage(c.bytes)
 		} else {
-			_, err = decode(c.bytes)
+			_, err = decodeGossip(c.bytes)
 		}
 		fmt.Fprintf(&out, "read, %s: %v\n", c.title, err)
 	}
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -44,7 +44,7 @@
 type member struct {
 	mu    sync.Mutex
 	fleet *cluster.Fleet
-	edge  *gossip.Members
+	edge  *gossip.Membership
 	epoch time.Time
 	alive int
 }
@@ -70,9 +70,9 @@
 		}
 		isReal[a] = true
 	}
-	h.traffic.Of = func(a netip.Addr) bool { return isReal[a] }
+	h.traffic.Counts = func(a netip.Addr) bool { return isReal[a] }
 	for i, n := range job.Nodes {
-		o, err := gossip.Parse(cluster.NodeName(n.Name), policy.NodeID(n.Number), n.Listen, "", job.Fleet.Seeds)
+		o, err := gossip.ParseOptions(cluster.NodeName(n.Name), policy.NodeID(n.Number), n.Listen, "", job.Fleet.Seeds)
 		if err != nil {
 			return h, err
 		}
