--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -13,8 +13,8 @@
 	"birchstair/policy"
 )
 
-// What is written is read as it was, in one datagram; drains that find no room are left out, ages never grow younger.
-func TestWords(t *testing.T) {
+// What is written is read as it was, in one datagram; drains that don't fit are left out, ages never grow younger.
+func TestMessages(t *testing.T) {
 	w := cluster.Message{From: "n7", Incarnation: 12, Seq: 3, Rates: cluster.Rates{Offered: map[int]float64{38: 1.5, 34: 0.25}, Admitted: 3, Completed: 2, Expired: 0.5, Waiting: 0.125, Migrations: 0.75},
 		Drains: []cluster.Drain{{Executor: "e1", Incarnation: 1764600000123, Age: 1500*time.Millisecond + time.Microsecond}}}
 	b, err := encodeGossip(w)
@@ -47,8 +47,8 @@
 	}
 }
 
-// Whatever comes, nothing breaks, and what is read is sound once the decider has looked at it.
-func FuzzWord(f *testing.F) {
+// Whatever is received, nothing panics, and what is decoded is sound once package cluster has checked it.
+func FuzzMessage(f *testing.F) {
 	for _, w := range []cluster.Message{{}, {From: "a", Incarnation: 1, Seq: 1, Rates: cluster.Rates{Offered: map[int]float64{63: math.MaxFloat32, -1: math.Inf(1)}, Completed: math.NaN()},
 		Drains: []cluster.Drain{{Executor: "e", Age: time.Hour}}}} {
 		b, err := encodeGossip(w)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/membership_test.go
@@ -27,7 +27,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { udp.Close(); tcp.Close() })
+	for _, socket := range []io.Closer{udp, tcp} {
+		t.Cleanup(func() {
+			if err := socket.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+	}
 	go func() {
 		for {
 			c, err := tcp.Accept()
@@ -42,16 +48,20 @@
 				}
 				defer d.Close()
 				go func() {
-					io.Copy(d, c)
-					d.(*net.TCPConn).CloseWrite()
+					_, copied := io.Copy(d, c)
+					if err := d.(*net.TCPConn).CloseWrite(); err != nil || copied != nil {
+						d.Close()
+					}
 				}()
-				io.Copy(c, d)
+				if _, err := io.Copy(c, d); err != nil {
+					return
+				}
 			}()
 		}
 	}()
 }
 
-// deadMessage is memberlist's datagram by which one node tells that another is dead: its kind, and a map of three fields.
+// deadMessage is memberlist's datagram by which one node announces that another is dead: its kind, and a map of three fields.
 func deadMessage(name, from string) []byte {
 	text := func(s string) []byte { return append([]byte{0xa0 | byte(len(s))}, s...) }
 	return slices.Concat([]byte{5, 0x83}, text("Incarnation"), []byte{7}, text("Node"), text(name), text("From"), text(from))
@@ -105,7 +115,11 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	until(false, "the neighbour did not take the node for dead", func() { c.Write(deadMessage("node", "neighbour")) })
+	until(false, "the neighbour did not take the node for dead", func() {
+		if _, err := c.Write(deadMessage("node", "neighbour")); err != nil {
+			t.Error(err)
+		}
+	})
 	until(true, "the node sends messages and stays taken for dead", func() {
 		seq++
 		n.SendGossip(cluster.Envelope{To: "neighbour", Message: cluster.Message{From: "node", Incarnation: 1, Seq: seq}})
--- a/internal/gossip/traffic.go
+++ b/internal/gossip/traffic.go
@@ -10,14 +10,17 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Traffic counts what members send to some addresses and get from them, for those who measure. Bytes are those of the messages, without heads of IP.
+// Traffic counts what is sent to some peers and received from them, for measurements. Bytes are those of the messages, without
+// IP headers.
 type Traffic struct {
-	Counts func(netip.Addr) bool // which neighbours count
+	Counts func(netip.Addr) bool // whether a peer's traffic is counted
 
-	PacketsIn, PacketsOut, StreamsIn, StreamsOut, BytesIn, BytesOut atomic.Int64
+	PacketsIn, PacketsOut atomic.Int64 // UDP
+	StreamsIn, StreamsOut atomic.Int64 // TCP connections
+	BytesIn, BytesOut     atomic.Int64 // of both
 }
 
-// countingTransport is a transport whose traffic is counted.
+// countingTransport is a transport that counts its traffic.
 type countingTransport struct {
 	*transport
 	traffic *Traffic
@@ -27,51 +30,59 @@
 	once    sync.Once
 }
 
-func newCountingTransport(inner *transport, t *Traffic) *countingTransport {
-	c := &countingTransport{transport: inner, traffic: t, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), closed: make(chan struct{})}
+func newCountingTransport(inner *transport, traffic *Traffic) *countingTransport {
+	c := &countingTransport{
+		transport: inner,
+		traffic:   traffic,
+		packets:   make(chan *memberlist.Packet),
+		streams:   make(chan net.Conn),
+		closed:    make(chan struct{}),
+	}
 	go c.forward()
 	return c
 }
 
 func (c *countingTransport) counts(addr string) bool {
-	a, err := netip.ParseAddrPort(addr)
-	return err == nil && c.traffic.Counts(a.Addr().Unmap())
+	peer, err := netip.ParseAddrPort(addr)
+	return err == nil && c.traffic.Counts(peer.Addr().Unmap())
 }
 
-// forward hands on what comes, counted.
+// forward counts what is received and hands it on, until Shutdown.
 func (c *countingTransport) forward() {
 	for {
 		select {
 		case <-c.closed:
 			return
-		case p := <-c.transport.PacketCh():
-			if c.counts(p.From.String()) {
+		case packet := <-c.transport.PacketCh():
+			if c.counts(packet.From.String()) {
 				c.traffic.PacketsIn.Add(1)
-				c.traffic.BytesIn.Add(int64(len(p.Buf)))
+				c.traffic.BytesIn.Add(int64(len(packet.Buf)))
 			}
 			select {
-			case c.packets <- p:
+			case c.packets <- packet:
 			case <-c.closed:
 			}
-		case s := <-c.transport.StreamCh():
-			if c.counts(s.RemoteAddr().String()) {
+		case conn := <-c.transport.StreamCh():
+			if c.counts(conn.RemoteAddr().String()) {
 				c.traffic.StreamsIn.Add(1)
-				s = countingConn{s, c.traffic}
+				conn = countingConn{conn, c.traffic}
 			}
 			select {
-			case c.streams <- s:
+			case c.streams <- conn:
 			case <-c.closed:
-				s.Close()
+				conn.Close()
 			}
 		}
 	}
 }
 
+// PacketCh gives memberlist the received packets.
 func (c *countingTransport) PacketCh() <-chan *memberlist.Packet { return c.packets }
 
+// StreamCh gives memberlist the accepted connections.
 func (c *countingTransport) StreamCh() <-chan net.Conn { return c.streams }
 
-// Shutdown ends the transport.
+// Shutdown closes the sockets.
 func (c *countingTransport) Shutdown() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.transport.Shutdown()
@@ -84,18 +95,21 @@
 	}
 }
 
+// WriteTo sends a packet.
 func (c *countingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	c.countSent(addr, b)
 	return c.transport.WriteTo(b, addr)
 }
 
-func (c *countingTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	c.countSent(a.Addr, b)
-	return c.transport.WriteToAddress(b, a)
+// WriteToAddress sends a packet to a peer by its address.
+func (c *countingTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+	c.countSent(to.Addr, b)
+	return c.transport.WriteToAddress(b, to)
 }
 
-func (c *countingTransport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
-	conn, err := c.transport.DialTimeout(addr, limit)
+// DialTimeout opens a connection to a peer.
+func (c *countingTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	conn, err := c.transport.DialTimeout(addr, timeout)
 	if err == nil && c.counts(addr) {
 		c.traffic.StreamsOut.Add(1)
 		conn = countingConn{conn, c.traffic}
@@ -103,21 +117,25 @@
 	return conn, err
 }
 
-func (c *countingTransport) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
-	return c.DialTimeout(a.Addr, limit)
+// DialAddressTimeout opens a connection to a peer by its address.
+func (c *countingTransport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return c.DialTimeout(to.Addr, timeout)
 }
 
+// countingConn is a connection that counts its bytes.
 type countingConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
+// Read reads from the peer.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.BytesIn.Add(int64(n))
 	return n, err
 }
 
+// Write writes to the peer.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.BytesOut.Add(int64(n))
--- a/internal/gossip/traffic_test.go
+++ b/internal/gossip/traffic_test.go
@@ -46,7 +46,7 @@
 		case h := <-heard:
 			came = h.Message.From == "a"
 		case <-limit:
-			t.Fatal("no word came")
+			t.Fatal("no message came")
 		}
 	}
 	cancel()
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -5,18 +5,14 @@
 	stdlog "log"
 	"net"
 	"net/netip"
-	"strings"
 	"sync"
 	"time"
 
 	"github.com/hashicorp/memberlist"
-	"github.com/rs/zerolog"
 )
 
-// transport is memberlist's own, but for the address that its connections come from: that of its listener, so that a neighbour, and what stands between, can
-// tell who calls.
-//
-// It takes so many connections at a time as are set aside for them; the others wait.
+// transport is memberlist's, with two changes. Its connections to peers come from the address that it listens on, so that a peer, or a firewall
+// between, can tell who connects. And it holds at most maxStreams accepted connections at a time; further ones wait.
 type transport struct {
 	*memberlist.NetTransport
 	source   netip.Addr
@@ -27,24 +23,38 @@
 	once     sync.Once
 }
 
-// MaxDescriptors are those that neighbours take at most: the two sockets that they are heard by, connections that they open, one
-// that waits to be taken, and those that this node opens.
-const MaxDescriptors = 2 + maxStreams + 1 + 5
-
+// maxStreams is how many connections that peers have opened are held at a time.
 const maxStreams = 16
 
+// MaxDescriptors are the descriptors that gossip takes at most: the UDP socket and the listener, the connections that peers have opened,
+// one that waits, and those that this node opens.
+const MaxDescriptors = 2 + maxStreams + 1 + maxDialed
+
+// maxDialed is how many connections memberlist opens to peers at a time.
+const maxDialed = 5
+
 func newTransport(listen netip.AddrPort) (*transport, error) {
-	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{listen.Addr().String()}, BindPort: int(listen.Port()),
-		Logger: stdlog.New(io.Discard, "", 0)})
+	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{listen.Addr().String()},
+		BindPort:  int(listen.Port()),
+		Logger:    stdlog.New(io.Discard, "", 0),
+	})
 	if err != nil {
 		return nil, err
 	}
-	to := &transport{NetTransport: t, source: listen.Addr(), accepted: t.StreamCh(), streams: make(chan net.Conn), closing: make(chan struct{}), closed: make(chan struct{})}
-	go to.limitStreams()
-	return to, nil
+	t := &transport{
+		NetTransport: inner,
+		source:       listen.Addr(),
+		accepted:     inner.StreamCh(),
+		streams:      make(chan net.Conn),
+		closing:      make(chan struct{}),
+		closed:       make(chan struct{}),
+	}
+	go t.limitStreams()
+	return t, nil
 }
 
-// Shutdown ends it; a connection that waits to be taken doesn't hold that up.
+// Shutdown closes the sockets. It does not wait for accepted connections that nobody has taken.
 func (t *transport) Shutdown() (err error) {
 	t.once.Do(func() {
 		close(t.closing)
@@ -54,16 +64,16 @@
 	return err
 }
 
-// StreamCh gives the connections that are taken.
+// StreamCh gives memberlist the accepted connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// limitStreams hands connections on as long as there is room. Guards against callers that open many and say nothing: they would take the
-// descriptors of clients and discovery.
+// limitStreams hands accepted connections on while fewer than maxStreams are open. Guards against hosts that open many and send nothing: they would
+// exhaust the descriptors of clients and discovery.
 func (t *transport) limitStreams() {
-	room := make(chan struct{}, maxStreams)
+	slots := make(chan struct{}, maxStreams)
 	for {
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-t.closing:
 			t.closeAccepted()
 			return
@@ -71,7 +81,7 @@
 		select {
 		case c := <-t.accepted:
 			select {
-			case t.streams <- &stream{Conn: c, slots: room}:
+			case t.streams <- &stream{Conn: c, slots: slots}:
 			case <-t.closing:
 				c.Close()
 			}
@@ -80,7 +90,7 @@
 	}
 }
 
-// closeAccepted closes what still comes, until the listener is closed.
+// closeAccepted closes connections that are still accepted, until the listener is closed: its goroutine must not block.
 func (t *transport) closeAccepted() {
 	for {
 		select {
@@ -92,40 +102,27 @@
 	}
 }
 
-// stream gives its place back when it is closed.
+// stream is an accepted connection that frees its slot when it is closed.
 type stream struct {
 	net.Conn
 	once  sync.Once
 	slots chan struct{}
 }
 
+// Close closes the connection and frees its slot, once.
 func (s *stream) Close() error {
 	err := s.Conn.Close()
 	s.once.Do(func() { <-s.slots })
 	return err
 }
 
-// DialTimeout opens a connection to a neighbour.
-func (t *transport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: limit, LocalAddr: &net.TCPAddr{IP: t.source.AsSlice()}}
-	return d.Dial("tcp", addr)
+// DialTimeout opens a connection to a peer.
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.source.AsSlice()}}
+	return dialer.Dial("tcp", addr)
 }
 
-// DialAddressTimeout opens a connection to a neighbour, named as memberlist names it.
-func (t *transport) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
-	return t.DialTimeout(a.Addr, limit)
-}
-
-// logger hands memberlist's warnings to the node's log.
-func (t *transport) logger(log zerolog.Logger) *stdlog.Logger {
-	return stdlog.New(logWriter{log}, "", 0)
-}
-
-type logWriter struct{ log zerolog.Logger }
-
-func (l logWriter) Write(b []byte) (int, error) {
-	if text := strings.TrimSpace(string(b)); relevantToOperators(text) {
-		l.log.Warn().Msg(text)
-	}
-	return len(b), nil
+// DialAddressTimeout opens a connection to a peer by its address.
+func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(a.Addr, timeout)
 }
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -9,8 +9,7 @@
 	"birchstair/internal/synctesting"
 )
 
-// Callers open many connections at a neighbours' address and say nothing: so many are taken as are set aside, and the next once one
-// of them is closed.
+// Hosts open many connections and send nothing: maxStreams are accepted, and a further one once one of them is closed.
 func TestStreamsBounded(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
 		come := make(chan net.Conn, 2*maxStreams)
@@ -37,14 +36,14 @@
 			if takes(); len(taken) != want {
 				t.Errorf("%d were taken, want %d", len(taken), want)
 			}
-			taken[0].Close() // the second time it gives no place back
+			taken[0].Close() // the second time it frees no slot
 		}
 		close(tr.closing)
 		close(tr.closed)
 	})
 }
 
-// The end doesn't wait for connections that are not taken.
+// Shutdown doesn't wait for connections that nobody takes.
 func TestStreamsAtTheEnd(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.77.1:0")
 	if err != nil {
