--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -100,12 +100,12 @@
 		fmt.Printf("%s is sound: durable batch jobs are %s, nodes that talk are %s\n", own.Site, onOff[s.Durable != nil], onOff[s.Fleet != nil])
 	}
 	c.setAside(s)
-	clients, executors := c.Descriptors()
+	clients, executors := c.ConnLimits()
 	fmt.Printf("%s is sound: %d tracks, at most %d connections from clients and %d to executors\n",
 		os.Getenv("ROUTER_CONFIG"), len(c.Settings.Tracks), clients, executors)
 	probes := "off"
 	if c.Settings.Policy.MayProbe {
-		probes = fmt.Sprintf("by GET %s within %v", c.Settings.Probe.Path, c.Settings.Probe.Limit)
+		probes = fmt.Sprintf("by GET %s within %v", c.Settings.Probe.Path, c.Settings.Probe.Timeout)
 	}
 	fmt.Printf("probes are %s; second copies of repeatable batch jobs are %s; marks of clients' repeats are %s\n", probes,
 		onOff[c.Settings.Policy.MayHedge && s.Durable == nil], map[bool]string{true: "taken", false: "passed over"}[c.Settings.Policy.ClientsMarkRetries])
@@ -138,7 +138,7 @@
 func readSite(name string, t told) (site.Site, error) {
 	s, err := site.Read(name)
 	if err == nil {
-		err = s.Fits(t.Memory)
+		err = s.Fits(t.MemoryBytes)
 	}
 	return s, err
 }
@@ -148,6 +148,6 @@
 		return t, err
 	}
 	t.names = discovery.Names{Zones: t.Settings.Zones, Kinds: t.Settings.Kinds, Start: start}
-	t.known, err = t.names.Known(t.Known)
+	t.known, err = t.names.Known(t.CachedEndpoints)
 	return t, err
 }
--- a/cmd/birchstair/ops.go
+++ b/cmd/birchstair/ops.go
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		addr = told.Management
+		addr = told.AdminAddr
 	}
 	if addr == "" {
 		return nil, errors.New("no management address: name it by --at or ROUTER_MANAGEMENT, or in the file that ROUTER_CONFIG names")
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -38,7 +38,7 @@
 		if half {
 			parts = 2
 		}
-		debug.SetMemoryLimit(c.Memory * 3 / 4 / parts)
+		debug.SetMemoryLimit(c.MemoryBytes * 3 / 4 / parts)
 	}
 	share(false)
 	listener, err := listen(c)
@@ -46,25 +46,25 @@
 		return err // it names the address
 	}
 	var elder net.Conn
-	if c.Shared != "" {
-		if elder, err = hotrestart.Join(c.Shared); err != nil {
+	if c.SharedDir != "" {
+		if elder, err = hotrestart.Join(c.SharedDir); err != nil {
 			log.Info().Str("because", err.Error()).Msg("no older process of this node is joined")
 			elder = nil
 		}
 	}
 	var door net.Listener
-	if c.Management != "" {
-		if door, err = net.Listen("tcp", c.Management); err != nil {
+	if c.AdminAddr != "" {
+		if door, err = net.Listen("tcp", c.AdminAddr); err != nil {
 			listener.Close()
 			return fmt.Errorf("management: %w", err)
 		}
 	}
 
 	c.setAside(own)
-	fromClients, toExecutors := c.Descriptors()
-	fromFewer, toFewer := c.HalfDescriptors()
+	fromClients, toExecutors := c.ConnLimits()
+	fromFewer, toFewer := c.HandoffConnLimits()
 	p := c.Settings.Policy
-	p.MayLease = c.Settings.Peers && own.Fleet != nil // else nobody carries words
+	p.MayLease = c.Settings.MayGossip && own.Fleet != nil // else nobody carries words
 	c.Settings.Policy = p
 	var lasting *durable.Manager
 	if own.Durable != nil {
@@ -90,16 +90,16 @@
 	log.Info().Str("listen", c.Listen).Int("known", len(c.known.Executors)).Int("clients", fromClients).
 		Int("executors", toExecutors).Msg("the node is up")
 	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: frontend.Budget{Whole: fromClients, Half: fromFewer}, Known: c.known, Discovery: c.Discovery,
-		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.Shared, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: upstream.TCP(c.Settings.DialLimit), Log: log,
-		Limits: node.Limits{Quantum: p.Quantum, MaxIdle: c.Settings.IdleLimit * 4 / 5, DialTimeout: c.Settings.DialLimit,
-			MaxConns: toExecutors, MaxConnsShared: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, MaxBodyBytes: int(c.Memory / 4), RetryAfter: p.MaxRetryAfter,
-			MaxWork: c.LongestWork(), LameDuckPeriod: config.StopSpell, ShutdownTimeout: c.StopLimit()}}, more)
+		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.SharedDir, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: upstream.TCP(c.Settings.DialTimeout), Log: log,
+		Limits: node.Limits{Quantum: p.Quantum, MaxIdle: c.Settings.IdleTimeout * 4 / 5, DialTimeout: c.Settings.DialTimeout,
+			MaxConns: toExecutors, MaxConnsShared: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, MaxBodyBytes: int(c.MemoryBytes / 4), RetryAfter: p.MaxRetryAfter,
+			MaxWork: c.MaxWork(), LameDuckPeriod: config.LameDuckPeriod, ShutdownTimeout: c.ShutdownTimeout()}}, more)
 }
 
 // setAside keeps descriptors for what the operator's own file turns on.
 func (t *told) setAside(own site.Site) {
 	if own.Fleet != nil {
-		t.Neighbours = gossip.MaxDescriptors
+		t.PeerDescriptors = gossip.MaxDescriptors
 	}
 }
 
@@ -111,19 +111,19 @@
 
 // listen takes the socket that the process was given, or makes its own.
 func listen(c told) (net.Listener, error) {
-	if c.ListenOn == 0 {
+	if c.ListenFD == 0 {
 		return net.Listen("tcp", c.Listen)
 	}
-	given := os.NewFile(uintptr(c.ListenOn), "ROUTER_LISTEN_FD")
+	given := os.NewFile(uintptr(c.ListenFD), "ROUTER_LISTEN_FD")
 	defer given.Close() // the listener has a descriptor of its own
 	// Who else holds the socket may have made it blocking: whether it is belongs to all. Guards against a thread that
 	// waits in accept for good and takes one more connection when this process takes none any more.
-	if err := syscall.SetsockoptTimeval(c.ListenOn, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Usec: int64(acceptSpell / time.Microsecond)}); err != nil {
-		return nil, fmt.Errorf("ROUTER_LISTEN_FD: %d is no socket: %w", c.ListenOn, err)
+	if err := syscall.SetsockoptTimeval(c.ListenFD, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Usec: int64(acceptSpell / time.Microsecond)}); err != nil {
+		return nil, fmt.Errorf("ROUTER_LISTEN_FD: %d is no socket: %w", c.ListenFD, err)
 	}
 	l, err := net.FileListener(given)
 	if err != nil {
-		return nil, fmt.Errorf("ROUTER_LISTEN_FD: %d is no socket that listens: %w", c.ListenOn, err)
+		return nil, fmt.Errorf("ROUTER_LISTEN_FD: %d is no socket that listens: %w", c.ListenFD, err)
 	}
 	return l, nil
 }
@@ -135,7 +135,7 @@
 		return nil, fmt.Errorf("durable.dir: %w", err)
 	}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
-		return upstream.TCP(c.Settings.DialLimit)(ctx, 0, addr)
+		return upstream.TCP(c.Settings.DialTimeout)(ctx, 0, addr)
 	}
 	return durable.New(durable.Options{MaxDeadline: time.Duration(own.OuterLimit), Leases: leases.Settings{Room: own.InHand,
 		Keep: time.Duration(own.Keep), Leases: own.Leases, AskEvery: time.Duration(own.AskEvery)}}, s, c.Settings.Tracks, c.Settings.Policy.JobClasses, dial, log), nil
@@ -157,14 +157,14 @@
 func reread(c *told, own site.Site, read func() (told, error)) node.ConfigReloaded {
 	t, err := read()
 	if err == nil {
-		err = c.Lacks(&t.Config)
+		err = c.MissingKey(&t.Config)
 	}
 	if err != nil {
 		return node.ConfigReloaded{Detail: err.Error()}
 	}
-	waits := c.Waits(t.Config)
+	waits := c.RestartKeys(t.Config)
 	if own.Durable != nil {
 		t.Settings.Policy = durable.AddClasses(t.Settings.Policy, time.Duration(own.Durable.OuterLimit))
 	}
-	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.Tracks(t.Settings), MaxWork: t.LongestWork(), ShutdownTimeout: t.StopLimit()}
+	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.Tracks(t.Settings), MaxWork: t.MaxWork(), ShutdownTimeout: t.ShutdownTimeout()}
 }
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -26,7 +26,7 @@
 	armed time.Duration // when its timer is due; 0 for none
 	brain *policy.Dispatcher
 	out   []byte // this batch's actions
-	load  config.LoadAt
+	load  config.LoadFields
 	busy  bool // it has had an event in this batch
 }
 
@@ -178,7 +178,7 @@
 	a.nodes[who] = n
 	a.touch(n)
 	settings, err := config.ReadSettings(text)
-	n.load = settings.Load
+	n.load = settings.LoadFields
 	if err == nil {
 		settings.Policy.Seed = uint32(seed) ^ uint32(uint64(seed)>>32)
 		n.guard(func() { n.brain = policy.New(settings.Policy) })
--- a/internal/benchwire/fields.go
+++ b/internal/benchwire/fields.go
@@ -110,7 +110,7 @@
 }
 
 // report reads the values of a load report that are known, if one came along whole.
-func (f *fields) report(at config.LoadAt) (load policy.Load, ok bool) {
+func (f *fields) report(at config.LoadFields) (load policy.Load, ok bool) {
 	text, ok := f.get("gauge")
 	if !ok || len(text) == 0 {
 		return load, false
@@ -125,7 +125,7 @@
 		}
 		values[n] = x
 	}
-	return at.Load(values[:n])
+	return at.Decode(values[:n])
 }
 
 func (f *fields) seconds(key string) (time.Duration, error) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,38 +20,38 @@
 
 // Config is what a node is told at its start.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Management string // where operators call; empty for no door
-	ListenOn   int    // the descriptor of a socket that listens already; 0 for none
-	Shared     string // a directory that all processes of the node have; empty for none
-	Cores      float64
-	Memory     int64           // bytes; over them the node is killed
-	Sockets    int             // descriptors
-	Neighbours int             // of them, those set aside for nodes that this one talks with
-	Known      json.RawMessage // the list as this node last had it, in discovery's form; may be absent
-	Settings   Settings
+	Name            string
+	Listen          string
+	Discovery       string
+	AdminAddr       string // where operators call; empty for no door
+	ListenFD        int    // the descriptor of a socket that listens already; 0 for none
+	SharedDir       string // a directory that all processes of the node have; empty for none
+	Cores           float64
+	MemoryBytes     int64           // bytes; over them the node is killed
+	MaxDescriptors  int             // descriptors
+	PeerDescriptors int             // of them, those set aside for nodes that this one talks with
+	CachedEndpoints json.RawMessage // the list as this node last had it, in discovery's form; may be absent
+	Settings        Settings
 
 	keys map[string]bool // that stand in the file
 }
 
-// Descriptors says how many connections of each kind the node may hold, within its descriptors and its memory. What is set
+// ConnLimits says how many connections of each kind the node may hold, within its descriptors and its memory. What is set
 // aside is for the process itself, discovery, operators and neighbours: clients that fill theirs take none of it.
-func (c *Config) Descriptors() (clients, executors int) {
-	return c.split(c.Sockets, c.Memory, ownDescriptors+DiscoveryConns)
+func (c *Config) ConnLimits() (clients, executors int) {
+	return c.connLimits(c.MaxDescriptors, c.MemoryBytes, ownDescriptors+MaxDiscoveryConns)
 }
 
-// HalfDescriptors says the same while another process of the node lives. Both may not follow a move of the list at that time to where
+// HandoffConnLimits says the same while another process of the node lives. Both may not follow a move of the list at that time to where
 // nobody is, which takes most.
-func (c *Config) HalfDescriptors() (clients, executors int) {
-	return c.split(c.Sockets/2, c.Memory/2, ownDescriptors+DiscoveryConns/2)
+func (c *Config) HandoffConnLimits() (clients, executors int) {
+	return c.connLimits(c.MaxDescriptors/2, c.MemoryBytes/2, ownDescriptors+MaxDiscoveryConns/2)
 }
 
-func (c *Config) split(sockets int, memory int64, least int) (clients, executors int) {
-	usable := sockets - max(least, sockets/reserve) - c.Neighbours
-	if c.Management != "" {
-		usable -= 1 + DoorCallers
+func (c *Config) connLimits(sockets int, memory int64, least int) (clients, executors int) {
+	usable := sockets - max(least, sockets/reserve) - c.PeerDescriptors
+	if c.AdminAddr != "" {
+		usable -= 1 + MaxAdminCalls
 	}
 	usable = max(usable, leastUsable)
 	executors = usable / 4
@@ -59,30 +59,30 @@
 	return min(clients, int(memory/2/clientMemory)), executors
 }
 
-// StopLimit is how long after being told to stop a node has answered everything. It is killed no sooner than
+// ShutdownTimeout is how long after being told to stop a node has answered everything. It is killed no sooner than
 // the longest outer limit, or 3 s, and 0.7 s more after that.
-func (c *Config) StopLimit() time.Duration {
-	return min(c.longest(), killAfter) + killGrace - StopSpell
+func (c *Config) ShutdownTimeout() time.Duration {
+	return min(c.maxDeadline(), killAfter) + killGrace - LameDuckPeriod
 }
 
-// LongestWork is more than any executor could do within an outer limit: a client's guess beyond it tells nothing.
-func (c *Config) LongestWork() time.Duration { return quickest * c.longest() }
+// MaxWork is more than any executor could do within an outer limit: a client's guess beyond it tells nothing.
+func (c *Config) MaxWork() time.Duration { return quickest * c.maxDeadline() }
 
-func (c *Config) longest() (longest time.Duration) {
+func (c *Config) maxDeadline() (longest time.Duration) {
 	for _, t := range c.Settings.Policy.JobClasses {
 		longest = max(longest, t.Deadline)
 	}
 	return longest
 }
 
-// StopSpell is how long new connections go on coming after a node is told to stop, and a little more.
-const StopSpell = 500 * time.Millisecond
+// LameDuckPeriod is how long new connections go on coming after a node is told to stop, and a little more.
+const LameDuckPeriod = 500 * time.Millisecond
 
-// DiscoveryConns is how many connections to discovery there are at a time, at most.
-const DiscoveryConns = 16
+// MaxDiscoveryConns is how many connections to discovery there are at a time, at most.
+const MaxDiscoveryConns = 16
 
-// DoorCallers is how many operators' calls are in hand at a time, at most.
-const DoorCallers = 8
+// MaxAdminCalls is how many operators' calls are in hand at a time, at most.
+const MaxAdminCalls = 8
 
 // What holds where neither the file nor the environment says it.
 const (
@@ -90,7 +90,7 @@
 	defaultMemory  = 192 // MB
 	defaultSockets = 1024
 	leastMemory    = 32
-	leastSockets   = 64
+	minDescriptors = 64
 	defaultIdle    = 60 * time.Second
 	defaultDial    = 100 * time.Millisecond
 	defaultGrace   = time.Second
@@ -145,9 +145,9 @@
 		return c, misread("configuration", err)
 	}
 	c = Config{Name: cmp.Or(w.Name, env("ROUTER_NAME")), Listen: cmp.Or(w.Listen, env("ROUTER_LISTEN")),
-		Discovery: cmp.Or(w.Discovery, env("ROUTER_DISCOVERY")), Management: cmp.Or(w.Management, env("ROUTER_MANAGEMENT")), Known: w.Known,
-		Cores: orElse(w.Limits.Cores, defaultCores), Sockets: orElse(w.Limits.Sockets, defaultSockets),
-		Memory: int64(orElse(w.Limits.Memory, defaultMemory)) << 20}
+		Discovery: cmp.Or(w.Discovery, env("ROUTER_DISCOVERY")), AdminAddr: cmp.Or(w.Management, env("ROUTER_MANAGEMENT")), CachedEndpoints: w.Known,
+		Cores: orElse(w.Limits.Cores, defaultCores), MaxDescriptors: orElse(w.Limits.Sockets, defaultSockets),
+		MemoryBytes: int64(orElse(w.Limits.Memory, defaultMemory)) << 20}
 	if len(w.Settings) == 0 {
 		return c, errors.New("settings: missing")
 	}
@@ -161,28 +161,28 @@
 		return c, err
 	}
 	if text := env("ROUTER_LISTEN_FD"); text != "" {
-		if c.ListenOn, err = strconv.Atoi(text); err != nil || c.ListenOn < 3 {
+		if c.ListenFD, err = strconv.Atoi(text); err != nil || c.ListenFD < 3 {
 			return c, fmt.Errorf("ROUTER_LISTEN_FD: %.40q is not a descriptor over 2", text)
 		}
-		c.Shared = env("TMPDIR")
+		c.SharedDir = env("TMPDIR")
 	}
 	c.Settings.Policy.Seed = crc32.ChecksumIEEE([]byte(w.Seed))
 	for i := range c.Settings.Policy.JobClasses {
 		// A connection may take so long to come up after the module has decided on a further allocation.
 		window := &c.Settings.Policy.JobClasses[i].DedupWindow
-		*window = max(0, *window-c.Settings.DialLimit)
+		*window = max(0, *window-c.Settings.DialTimeout)
 	}
 	p := &c.Settings.Policy
 	c.Settings.Probe = Probe{w.Probe.Path, Seconds(orElse(w.Probe.Timeout, defaultProbe))}
 	// The protocol has no call for a probe and no link between nodes: the settings' leave alone makes neither. Words need the operator's file as well.
 	p.MayProbe = p.MayProbe && c.Settings.Probe.Path != ""
-	c.Settings.Peers, p.MayLease = p.MayLease, false
+	c.Settings.MayGossip, p.MayLease = p.MayLease, false
 	return c, c.check()
 }
 
-// Lacks says what another configuration lacks that this one has. One that is read again is to be as whole as the one
+// MissingKey says what another configuration lacks that this one has. One that is read again is to be as whole as the one
 // before: a key that stood there and does not any more is a fault, even one with a default.
-func (c *Config) Lacks(other *Config) error {
+func (c *Config) MissingKey(other *Config) error {
 	for _, key := range slices.Sorted(maps.Keys(c.keys)) {
 		if !other.keys[key] {
 			return fmt.Errorf("%s: missing, and it was there before", key)
@@ -219,9 +219,9 @@
 // trackKeys are those that every track has; the others come and go with its repeat rule.
 var trackKeys = map[string]bool{"name": true, "quoted-time-s": true, "outer-limit-s": true, "repeat": true, "earnings": true}
 
-// Waits names the keys in which another configuration differs that hold from the next start on only. The seed is
+// RestartKeys names the keys in which another configuration differs that hold from the next start on only. The seed is
 // new with each start, and the list at hand newer than a known one.
-func (c *Config) Waits(other Config) (keys []string) {
+func (c *Config) RestartKeys(other Config) (keys []string) {
 	other.Settings.Policy.Seed = c.Settings.Policy.Seed
 	// The tracks are taken up at once.
 	other.Settings.Tracks, other.Settings.Policy.JobClasses = c.Settings.Tracks, c.Settings.Policy.JobClasses
@@ -234,10 +234,10 @@
 	}{
 		{c.Name == other.Name, "name"},
 		{c.Listen == other.Listen, "listen"},
-		{c.Management == other.Management, "management"},
+		{c.AdminAddr == other.AdminAddr, "management"},
 		{c.Cores == other.Cores, "limits.cores"},
-		{c.Memory == other.Memory, "limits.memory_mb"},
-		{c.Sockets == other.Sockets, "limits.sockets"},
+		{c.MemoryBytes == other.MemoryBytes, "limits.memory_mb"},
+		{c.MaxDescriptors == other.MaxDescriptors, "limits.sockets"},
 		{c.Settings.Probe == probe, "probe"},
 		{reflect.DeepEqual(c.Settings, other.Settings), "settings"},
 	} {
@@ -252,7 +252,7 @@
 	if c.Name == "" {
 		return errors.New("name: missing")
 	}
-	for _, a := range [...]struct{ key, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"management", c.Management}} {
+	for _, a := range [...]struct{ key, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"management", c.AdminAddr}} {
 		if a.addr == "" && a.key == "management" {
 			continue
 		}
@@ -266,15 +266,15 @@
 	switch {
 	case c.Cores <= 0:
 		return fmt.Errorf("limits.cores: %v is not over 0", c.Cores)
-	case c.Memory < leastMemory<<20:
-		return fmt.Errorf("limits.memory_mb: %d is under %d", c.Memory>>20, leastMemory)
-	case c.Sockets < leastSockets:
-		return fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, leastSockets)
+	case c.MemoryBytes < leastMemory<<20:
+		return fmt.Errorf("limits.memory_mb: %d is under %d", c.MemoryBytes>>20, leastMemory)
+	case c.MaxDescriptors < minDescriptors:
+		return fmt.Errorf("limits.sockets: %d is under %d", c.MaxDescriptors, minDescriptors)
 	}
 	switch probe := c.Settings.Probe; {
 	case probe.Path != "" && (probe.Path[0] != '/' || strings.ContainsAny(probe.Path, " \t\r\n")):
 		return fmt.Errorf("probe.path: %.40q is no path that begins with /", probe.Path)
-	case !(probe.Limit > 0 && probe.Limit <= longestProbe):
+	case !(probe.Timeout > 0 && probe.Timeout <= longestProbe):
 		return fmt.Errorf("probe.timeout_s: not over 0, or over %g", longestProbe.Seconds())
 	case probe.Path != "" && !c.Settings.Policy.MayProbe:
 		return errors.New("probe.path: set, but settings.caps.probes is not true or settings.report.how is not on_probe")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,12 +26,12 @@
 			out.WriteString(title + ": " + err.Error() + "\n")
 			return
 		}
-		clients, executors := c.Descriptors()
+		clients, executors := c.ConnLimits()
 		fmt.Fprintf(&out, "%s: %s on %s of %s, %v cores, %d MB, %d sockets (%d clients, %d executors), idle %v, "+
-			"dial %v, stop %v, loads %v", title, c.Name, c.Listen, c.Discovery, c.Cores, c.Memory>>20, c.Sockets,
-			clients, executors, c.Settings.IdleLimit, c.Settings.DialLimit, c.StopLimit(), c.Settings.TellsLoad())
+			"dial %v, stop %v, loads %v", title, c.Name, c.Listen, c.Discovery, c.Cores, c.MemoryBytes>>20, c.MaxDescriptors,
+			clients, executors, c.Settings.IdleTimeout, c.Settings.DialTimeout, c.ShutdownTimeout(), c.Settings.ReportsLoad())
 		if p := c.Settings.Policy; p.MayProbe || p.MayHedge || p.MayLease || p.ClientsMarkRetries {
-			fmt.Fprintf(&out, ", probes %v by %s within %v, copies %v, words %v, marks %v", p.MayProbe, c.Settings.Probe.Path, c.Settings.Probe.Limit, p.MayHedge, p.MayLease, p.ClientsMarkRetries)
+			fmt.Fprintf(&out, ", probes %v by %s within %v, copies %v, words %v, marks %v", p.MayProbe, c.Settings.Probe.Path, c.Settings.Probe.Timeout, p.MayHedge, p.MayLease, p.ClientsMarkRetries)
 		}
 		out.WriteString("\n")
 	}
@@ -104,7 +104,7 @@
 	for _, change := range [...][2]string{{"8c1f", "9"}, {"127.0.0.2", "127.0.0.3"}, {"n3", "n4"}, {"127.0.0.1", "127.0.0.9"},
 		{"1.0", "0.5"}, {"192", "64"}, {"1024", "512"}, {"0.3", "0.4"}} {
 		other, err := parse([]byte(strings.Replace(whole, change[0], change[1], 1)), func(string) string { return "" })
-		fmt.Fprintln(&out, "read again with", change[1], "for", change[0], "waits:", same.Waits(other), err)
+		fmt.Fprintln(&out, "read again with", change[1], "for", change[0], "waits:", same.RestartKeys(other), err)
 	}
 	for _, change := range [...][2]string{{`"seed":"8c1f",`, ""}, {`"name":"n3",`, ""}, {`"sockets":1024`, `"socket":1024`}, {`"cancel"`, ``}, {`"quantum-s":0.004,`, ``},
 		{`"conn-idle-s":30,`, ``}, {`"earnings":1}`, `"earnings":1},{"name":"u","quoted-time-s":1,"outer-limit-s":2,"repeat":"once"}`}, {`,"earnings":1`, ``},
@@ -116,7 +116,7 @@
 			return map[string]string{"ROUTER_NAME": "n3"}[key]
 		})
 		if err == nil {
-			err = same.Lacks(&other)
+			err = same.MissingKey(&other)
 		}
 		fmt.Fprintf(&out, "read again with %.60q for %.30q: %v\n", change[1], change[0], err)
 	}
@@ -126,13 +126,13 @@
 // What is set aside stands beside what clients and executors may fill, however few descriptors there are: an upgrade's halves from 128
 // on, from 256 with neighbours.
 func TestDescriptorsSetAside(t *testing.T) {
-	for sockets := leastSockets; sockets <= 4096; sockets++ {
+	for sockets := minDescriptors; sockets <= 4096; sockets++ {
 		for _, management := range []string{"", "127.0.0.1:1"} {
 			for _, neighbours := range []int{0, 24} {
-				c := Config{Sockets: sockets, Memory: 1 << 30, Management: management, Neighbours: neighbours}
+				c := Config{MaxDescriptors: sockets, MemoryBytes: 1 << 30, AdminAddr: management, PeerDescriptors: neighbours}
 				aside := ownDescriptors + neighbours
 				if management != "" {
-					aside += 1 + DoorCallers
+					aside += 1 + MaxAdminCalls
 				}
 				fits := func(what string, clients, executors, discovery, most int) {
 					beyond := max(1, clients/8) // connections that wait at the front
@@ -140,11 +140,11 @@
 						t.Errorf("%s of %d, door %q, neighbours %d: %d clients, %d executors, %d in all", what, sockets, management, neighbours, clients, executors, all)
 					}
 				}
-				clients, executors := c.Descriptors()
-				fits("all", clients, executors, DiscoveryConns, sockets)
+				clients, executors := c.ConnLimits()
+				fits("all", clients, executors, MaxDiscoveryConns, sockets)
 				if sockets >= 128 && (neighbours == 0 || sockets >= 256) {
-					clients, executors = c.HalfDescriptors()
-					fits("half", clients, executors, DiscoveryConns/2, sockets/2)
+					clients, executors = c.HandoffConnLimits()
+					fits("half", clients, executors, MaxDiscoveryConns/2, sockets/2)
 				}
 			}
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -15,40 +15,42 @@
 type Settings struct {
 	Policy policy.Settings
 
-	Load   LoadAt
-	Probe  Probe
-	Peers  bool     // nodes may talk with each other
-	Tracks []string // names, by number
-	Zones  []string
-	Kinds  []string
+	LoadFields LoadFields
+	Probe      Probe
+	MayGossip  bool     // nodes may talk with each other
+	Tracks     []string // names, by number
+	Zones      []string
+	Kinds      []string
 
-	IdleLimit time.Duration // an executor closes a connection that has stood idle so long
-	DialLimit time.Duration // a connection that is not up by then counts as none
+	IdleTimeout time.Duration // an executor closes a connection that has stood idle so long
+	DialTimeout time.Duration // a connection that is not up by then counts as none
 
 	DrainGrace time.Duration // after this node counts as told of a drain, nothing new goes there
 }
 
 // Probe is how executors may be asked for their load; no path: they are not.
 type Probe struct {
-	Path  string
-	Limit time.Duration
+	Path    string
+	Timeout time.Duration
 }
 
-// Told says which values the settings name that the module can use, by the protocol's names.
-func (s *Settings) Told() map[string]bool {
+// ReportedValues says which values the settings name that the module can use, by the protocol's names.
+func (s *Settings) ReportedValues() map[string]bool {
 	told := map[string]bool{}
 	for i, name := range [...]string{"inflight", "queue", "x0", "x1", "latency_ms"} {
-		told[name] = s.Load[i] >= 0
+		told[name] = s.LoadFields[i] >= 0
 	}
 	return told
 }
 
-// TellsLoad says whether load reports have all that the module wants of an answer.
-func (s *Settings) TellsLoad() bool { return min(s.Load[0], s.Load[1], s.Load[2]) >= 0 }
+// ReportsLoad says whether load reports have all that the module wants of an answer.
+func (s *Settings) ReportsLoad() bool {
+	return min(s.LoadFields[0], s.LoadFields[1], s.LoadFields[2]) >= 0
+}
 
-// LoadAt is where a load report has batch jobs held, waiting, places free, memory free and the running time of the
+// LoadFields is where a load report has batch jobs held, waiting, places free, memory free and the running time of the
 // last in ms; -1 where it has not.
-type LoadAt [len(loadNames)]int
+type LoadFields [len(loadNames)]int
 
 // loadNames are those values by the names of the settings, and what the settings must say of two of them.
 var (
@@ -59,8 +61,8 @@
 // mostLoad is more than any executor could say: such a report counts as none.
 const mostLoad = 1e6
 
-// Load turns a report's values into what the module takes. One of them that makes no sense makes the report count as none.
-func (at LoadAt) Load(values []float64) (load policy.Load, ok bool) {
+// Decode turns a report's values into what the module takes. One of them that makes no sense makes the report count as none.
+func (at LoadFields) Decode(values []float64) (load policy.Load, ok bool) {
 	var x [len(loadNames)]float64
 	for i, place := range at {
 		x[i] = -1
@@ -176,12 +178,12 @@
 		return Settings{}, err
 	}
 	s := Settings{Zones: w.Areas, Kinds: w.Flavors,
-		IdleLimit: cmp.Or(Seconds(w.Caps.IdleS), defaultIdle), DialLimit: cmp.Or(Seconds(w.Caps.DialS), defaultDial),
+		IdleTimeout: cmp.Or(Seconds(w.Caps.IdleS), defaultIdle), DialTimeout: cmp.Or(Seconds(w.Caps.DialS), defaultDial),
 		DrainGrace: cmp.Or(Seconds(w.Rules.DrainGrace), defaultGrace)}
 	for i, name := range loadNames {
-		s.Load[i] = slices.Index(w.Report.Fields, name)
+		s.LoadFields[i] = slices.Index(w.Report.Fields, name)
 		if means := loadMeans[name]; means != "" && means != map[string]string{"x0": w.Domain.X0, "x1": w.Domain.X1}[name] {
-			s.Load[i] = -1
+			s.LoadFields[i] = -1
 		}
 	}
 	s.Policy = policy.Settings{
--- a/internal/config/wire_test.go
+++ b/internal/config/wire_test.go
@@ -38,14 +38,14 @@
 		{"name", c.Name},
 		{"listen", c.Listen},
 		{"discovery", c.Discovery},
-		{"management", c.Management},
+		{"management", c.AdminAddr},
 		{"limits.cores", c.Cores},
-		{"limits.memory_mb, in bytes", c.Memory},
-		{"limits.sockets", c.Sockets},
-		{"known", string(c.Known)},
+		{"limits.memory_mb, in bytes", c.MemoryBytes},
+		{"limits.sockets", c.MaxDescriptors},
+		{"known", string(c.CachedEndpoints)},
 		{"seed", p.Seed},
 		{"probe.path", s.Probe.Path},
-		{"probe.timeout_s", s.Probe.Limit},
+		{"probe.timeout_s", s.Probe.Timeout},
 		{"settings.areas", s.Zones},
 		{"settings.flavors", s.Kinds},
 		{"settings.balancers", p.Nodes},
@@ -60,14 +60,14 @@
 		{"settings.score-parts, whole and worst-window", p.TotalWeight},
 		{"settings.score-parts.worst-class", p.WorstClassWeight},
 		{"settings.caps.cancel", p.MayCancel},
-		{"settings.caps.peers, for the node", s.Peers},
+		{"settings.caps.peers, for the node", s.MayGossip},
 		{"settings.caps.peers, for the module", p.MayLease},
 		{"settings.caps.second-copies", p.MayHedge},
 		{"settings.caps.probes", p.MayProbe},
 		{"settings.caps.max-allocations", p.MaxAttempts},
 		{"settings.caps.max-retry-after-s", p.MaxRetryAfter},
-		{"settings.caps.conn-idle-s", s.IdleLimit},
-		{"settings.caps.dial-timeout-s", s.DialLimit},
+		{"settings.caps.conn-idle-s", s.IdleTimeout},
+		{"settings.caps.dial-timeout-s", s.DialTimeout},
 		{"settings.rules.ask-within-s", p.PollWithin},
 		{"settings.rules.cold-share", p.SlowStartCapacity},
 		{"settings.rules.warm-within-s", p.SlowStartDuration},
@@ -77,7 +77,7 @@
 		{"settings.clients.marks-retry", p.ClientsMarkRetries},
 		{"settings.domain.tells-start", p.StartNotices},
 		{"settings.domain.progress-s", p.ProgressInterval},
-		{"settings.report.fields, where each stands", s.Load},
+		{"settings.report.fields, where each stands", s.LoadFields},
 		{"settings.tracks[].name", s.Tracks},
 	} {
 		fmt.Fprintf(&out, "%s: %v\n", line.key, line.value)
@@ -104,7 +104,7 @@
 			fmt.Fprintf(&out, "settings.tracks[%d], %s: %v\n", i, line.key, line.value)
 		}
 	}
-	fmt.Fprintf(&out, "load values told: %v, all that are wanted: %v\n", s.Told(), s.TellsLoad())
+	fmt.Fprintf(&out, "load values told: %v, all that are wanted: %v\n", s.ReportedValues(), s.ReportsLoad())
 	return out.String()
 }
 
@@ -132,7 +132,7 @@
 	out.WriteString(printed(t, &c))
 	// Keys are matched in any case, as encoding/json does.
 	upper, err := parse([]byte(strings.ToUpper(everyKey[:strings.Index(everyKey, `"known"`)])+everyKey[strings.Index(everyKey, `"known"`):]), none)
-	fmt.Fprintf(&out, "keys in upper case: %s on %s, %v cores, %d sockets, %v\n", upper.Name, upper.Listen, upper.Cores, upper.Sockets, err)
+	fmt.Fprintf(&out, "keys in upper case: %s on %s, %v cores, %d sockets, %v\n", upper.Name, upper.Listen, upper.Cores, upper.MaxDescriptors, err)
 	var whole any
 	if err := json.Unmarshal([]byte(everyKey), &whole); err != nil {
 		t.Fatal(err)
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -461,7 +461,7 @@
 				for _, slow := range []time.Duration{0, slowAnswer} {
 					synctesting.Test(t, func(t *testing.T) {
 						span, most := longestSpan(p, slow, order.do)
-						if span > min(by, p.sum()+50*time.Millisecond) || most > config.DiscoveryConns {
+						if span > min(by, p.sum()+50*time.Millisecond) || most > config.MaxDiscoveryConns {
 							t.Errorf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
 						}
 						t.Logf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -180,7 +180,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		err := service.Run(ctx, service.Setup{Settings: config.Settings{Policy: p, Tracks: names, Load: config.LoadAt{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
+		err := service.Run(ctx, service.Setup{Settings: config.Settings{Policy: p, Tracks: names, LoadFields: config.LoadFields{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
 			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: 100 * time.Millisecond, MaxConns: 100, MaxBodyBytes: 10 << 20,
 				MaxWork: time.Hour, RetryAfter: time.Second, LameDuckPeriod: 100 * time.Millisecond, ShutdownTimeout: 200 * time.Millisecond},
 			ClientConns: frontend.Budget{Whole: 300}, Discovery: "127.0.0.1:8500", Start: start, Module: policy.New(p), Listener: l, Executors: dial,
--- a/internal/simulation/wired.go
+++ b/internal/simulation/wired.go
@@ -403,10 +403,10 @@
 		panic(err) // the address has its start in it
 	}
 	known := n.listed(policy.CachedUpdate, v.w.discovery.Copy(v.w.now-copyAge)).Endpoints
-	s := config.Settings{Policy: p, Load: config.LoadAt{0, 1, 2, -1, -1}, Zones: f.Zones, Kinds: []string{"plain"},
-		IdleLimit: time.Duration(f.IdleLimit), DialLimit: time.Duration(f.DialLimit)}
+	s := config.Settings{Policy: p, LoadFields: config.LoadFields{0, 1, 2, -1, -1}, Zones: f.Zones, Kinds: []string{"plain"},
+		IdleTimeout: time.Duration(f.IdleLimit), DialTimeout: time.Duration(f.DialLimit)}
 	if !f.Reports {
-		s.Load = config.LoadAt{-1, -1, -1, -1, -1}
+		s.LoadFields = config.LoadFields{-1, -1, -1, -1, -1}
 	}
 	for _, t := range v.w.s.Tracks {
 		s.Tracks = append(s.Tracks, t.Name)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -364,8 +364,8 @@
 		longest = max(longest, t.Deadline)
 	}
 	return p, node.Limits{Quantum: p.Quantum, MaxIdle: time.Duration(f.IdleLimit) * 4 / 5, DialTimeout: time.Duration(f.DialLimit),
-		MaxConns: f.NodeConns, MaxBodyBytes: f.NodeBodies, RetryAfter: p.MaxRetryAfter, MaxWork: 4 * longest, LameDuckPeriod: config.StopSpell,
-		ShutdownTimeout: min(longest, 3*time.Second) + 700*time.Millisecond - config.StopSpell}
+		MaxConns: f.NodeConns, MaxBodyBytes: f.NodeBodies, RetryAfter: p.MaxRetryAfter, MaxWork: 4 * longest, LameDuckPeriod: config.LameDuckPeriod,
+		ShutdownTimeout: min(longest, 3*time.Second) + 700*time.Millisecond - config.LameDuckPeriod}
 }
 
 // start starts a node: it has an old copy of the list, and asks for the list.
