--- /dev/null
+++ b/internal/config/reload.go
@@ -0,0 +1,95 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+)
+
+// MissingKey is the error where another configuration lacks a key that this one has. A configuration that is read again is to be as
+// complete as the one before: a key that is gone is a fault, even one with a default.
+func (c *Config) MissingKey(other *Config) error {
+	for _, key := range slices.Sorted(maps.Keys(c.keys)) {
+		if !other.keys[key] {
+			return fmt.Errorf("%s: missing, and it was there before", key)
+		}
+	}
+	return nil
+}
+
+// keysOf gathers the keys of a configuration file, with those of the objects in it.
+func keysOf(text []byte) (map[string]bool, error) {
+	var object any
+	if err := json.Unmarshal(text, &object); err != nil {
+		return nil, decodeError("configuration", err)
+	}
+	keys := map[string]bool{}
+	collectKeys("", object, keys)
+	return keys, nil
+}
+
+// collectKeys gathers the keys of an object whose own key, with its separator, is the prefix. A key of a list's objects counts where all of them
+// have it.
+func collectKeys(prefix string, value any, keys map[string]bool) {
+	switch value := value.(type) {
+	case map[string]any:
+		for key, inner := range value {
+			if prefix+key == "known" || prefix == "settings.tracks[]." && !jobClassKeys[key] {
+				continue
+			}
+			keys[prefix+key] = true
+			collectKeys(prefix+key+".", inner, keys)
+		}
+	case []any:
+		maps.Copy(keys, commonKeys(strings.TrimSuffix(prefix, ".")+"[].", value))
+	}
+}
+
+// commonKeys are the keys that all objects of a list have.
+func commonKeys(prefix string, list []any) map[string]bool {
+	var common map[string]bool
+	for _, element := range list {
+		keys := map[string]bool{}
+		collectKeys(prefix, element, keys)
+		if common == nil {
+			common = keys
+		}
+		maps.DeleteFunc(common, func(key string, _ bool) bool { return !keys[key] })
+	}
+	return common
+}
+
+// jobClassKeys are those that every job class has; the others depend on its idempotency.
+var jobClassKeys = map[string]bool{"name": true, "quoted-time-s": true, "outer-limit-s": true, "repeat": true, "earnings": true}
+
+// RestartKeys names the keys in which another configuration differs and that take effect at the next start only. Not among them are
+// the job classes, which take effect at once; the seed, which is new at each start; and the known list, which discovery replaces.
+func (c *Config) RestartKeys(other Config) (keys []string) {
+	other.Settings.Policy.Seed = c.Settings.Policy.Seed
+	other.Settings.Tracks = c.Settings.Tracks
+	other.Settings.Policy.JobClasses = c.Settings.Policy.JobClasses
+	other.Settings.Policy.MaxAttempts = c.Settings.Policy.MaxAttempts
+	probe := other.Settings.Probe
+	other.Settings.Probe = c.Settings.Probe
+	for _, part := range [...]struct {
+		key  string
+		same bool
+	}{
+		{"name", c.Name == other.Name},
+		{"listen", c.Listen == other.Listen},
+		{"management", c.AdminAddr == other.AdminAddr},
+		{"limits.cores", c.Cores == other.Cores},
+		{"limits.memory_mb", c.MemoryBytes == other.MemoryBytes},
+		{"limits.sockets", c.MaxDescriptors == other.MaxDescriptors},
+		{"probe", c.Settings.Probe == probe},
+		{"settings", reflect.DeepEqual(c.Settings, other.Settings)},
+	} {
+		if !part.same {
+			keys = append(keys, part.key)
+		}
+	}
+	return keys
+}
