--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -97,7 +97,7 @@
 	}
 	onOff := map[bool]string{true: "on", false: "off"}
 	if own.Site != "" {
-		fmt.Printf("%s is sound: durable batch jobs are %s, nodes that talk are %s\n", own.Site, onOff[s.Durable != nil], onOff[s.Fleet != nil])
+		fmt.Printf("%s is sound: durable batch jobs are %s, nodes that talk are %s\n", own.Site, onOff[s.Durable != nil], onOff[s.Cluster != nil])
 	}
 	c.setAside(s)
 	clients, executors := c.ConnLimits()
@@ -135,10 +135,10 @@
 }
 
 // readSite reads the operator's own file, for that configuration.
-func readSite(name string, t told) (site.Site, error) {
+func readSite(name string, t told) (site.Config, error) {
 	s, err := site.Read(name)
 	if err == nil {
-		err = s.Fits(t.MemoryBytes)
+		err = s.FitsMemory(t.MemoryBytes)
 	}
 	return s, err
 }
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -30,7 +30,7 @@
 
 // serve puts a node together and runs it until the context ends and all is answered. Each time again brings
 // something, the configuration is read anew.
-func serve(ctx context.Context, c told, own site.Site, again <-chan os.Signal, read func() (told, error), start time.Time,
+func serve(ctx context.Context, c told, own site.Config, again <-chan os.Signal, read func() (told, error), start time.Time,
 	log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
 	share := func(half bool) {
@@ -64,7 +64,7 @@
 	fromClients, toExecutors := c.ConnLimits()
 	fromFewer, toFewer := c.HandoffConnLimits()
 	p := c.Settings.Policy
-	p.MayLease = c.Settings.MayGossip && own.Fleet != nil // else nobody carries words
+	p.MayLease = c.Settings.MayGossip && own.Cluster != nil // else nobody carries words
 	c.Settings.Policy = p
 	var lasting *durable.Manager
 	if own.Durable != nil {
@@ -72,11 +72,11 @@
 			listener.Close()
 			return err
 		}
-		p = durable.AddClasses(p, time.Duration(own.Durable.OuterLimit))
+		p = durable.AddClasses(p, time.Duration(own.Durable.MaxDeadline))
 		p.MayHedge = false // a lease is one executor's
 		c.Settings.Policy = p
 	}
-	talks, err := fleetOf(own.Fleet, c, start)
+	talks, err := fleetOf(own.Cluster, c, start)
 	if err != nil {
 		listener.Close()
 		return err
@@ -97,8 +97,8 @@
 }
 
 // setAside keeps descriptors for what the operator's own file turns on.
-func (t *told) setAside(own site.Site) {
-	if own.Fleet != nil {
+func (t *told) setAside(own site.Config) {
+	if own.Cluster != nil {
 		t.PeerDescriptors = gossip.MaxDescriptors
 	}
 }
@@ -130,31 +130,31 @@
 
 // openDurable opens the store of durable batch jobs.
 func openDurable(own *site.Durable, c told, log zerolog.Logger) (*durable.Manager, error) {
-	s, err := store.Open(store.Directory(own.Dir), store.Options{Segment: int64(own.Segment), Most: int64(own.Most)})
+	s, err := store.Open(store.Directory(own.Dir), store.Options{Segment: int64(own.SegmentSize), Most: int64(own.MaxSize)})
 	if err != nil {
 		return nil, fmt.Errorf("durable.dir: %w", err)
 	}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
 		return upstream.TCP(c.Settings.DialTimeout)(ctx, 0, addr)
 	}
-	return durable.New(durable.Options{MaxDeadline: time.Duration(own.OuterLimit), Leases: leases.Settings{Room: own.InHand,
-		Keep: time.Duration(own.Keep), Leases: own.Leases, AskEvery: time.Duration(own.AskEvery)}}, s, c.Settings.Tracks, c.Settings.Policy.JobClasses, dial, log), nil
+	return durable.New(durable.Options{MaxDeadline: time.Duration(own.MaxDeadline), Leases: leases.Settings{Room: own.MaxConcurrent,
+		Keep: time.Duration(own.Retention), Leases: own.ExecutorLeases, AskEvery: time.Duration(own.PollInterval)}}, s, c.Settings.Tracks, c.Settings.Policy.JobClasses, dial, log), nil
 }
 
 // fleetOf is what the node is told of its fleet; nil without the table.
-func fleetOf(own *site.Fleet, c told, start time.Time) (*service.Fleet, error) {
+func fleetOf(own *site.Cluster, c told, start time.Time) (*service.Fleet, error) {
 	if own == nil {
 		return nil, nil
 	}
 	name := cluster.NodeName(cmp.Or(own.Name, c.Name))
 	s := cluster.Defaults(name, uint64(start.UnixMilli()), c.Settings.Policy.Seed)
-	s.GossipInterval, s.Fanout, s.PeerStateTTL, s.DrainTTL = time.Duration(own.Every), own.Tell, time.Duration(own.ViewFor), time.Duration(own.DrainFor)
+	s.GossipInterval, s.Fanout, s.PeerStateTTL, s.DrainTTL = time.Duration(own.GossipInterval), own.Fanout, time.Duration(own.PeerStateTTL), time.Duration(own.DrainTTL)
 	o, err := gossip.ParseOptions(name, policy.NodeID(c.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
 	return &service.Fleet{Settings: s, Options: o}, err
 }
 
 // reread reads the configuration anew, whole: what would not do for a start changes nothing.
-func reread(c *told, own site.Site, read func() (told, error)) node.ConfigReloaded {
+func reread(c *told, own site.Config, read func() (told, error)) node.ConfigReloaded {
 	t, err := read()
 	if err == nil {
 		err = c.MissingKey(&t.Config)
@@ -164,7 +164,7 @@
 	}
 	waits := c.RestartKeys(t.Config)
 	if own.Durable != nil {
-		t.Settings.Policy = durable.AddClasses(t.Settings.Policy, time.Duration(own.Durable.OuterLimit))
+		t.Settings.Policy = durable.AddClasses(t.Settings.Policy, time.Duration(own.Durable.MaxDeadline))
 	}
 	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.Tracks(t.Settings), MaxWork: t.MaxWork(), ShutdownTimeout: t.ShutdownTimeout()}
 }
--- a/cmd/birchstair/serve_test.go
+++ b/cmd/birchstair/serve_test.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return serve(ctx, t, site.Site{}, again, c.read, time.Now(), zerolog.Nop())
+	return serve(ctx, t, site.Config{}, again, c.read, time.Now(), zerolog.Nop())
 }
 
 // discovery stands in for one whose list never changes; news of who watches it comes on watched.
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -26,7 +26,7 @@
 )
 
 // Span is a span of time with its unit.
-type Span = tomlfile.Span
+type Span = tomlfile.Duration
 
 // Scenario is a world and its faults.
 type Scenario struct {
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -50,7 +50,7 @@
 		s, err := Parse("own.toml", []byte(text))
 		verdict := fmt.Sprint(err)
 		if err == nil {
-			verdict = fmt.Sprintf("fine, durable %v, fleet %v", s.Durable != nil, s.Fleet != nil)
+			verdict = fmt.Sprintf("fine, durable %v, fleet %v", s.Durable != nil, s.Cluster != nil)
 		}
 		fmt.Fprintf(&out, "%s\n    -> %s\n", strings.ReplaceAll(text, "\n", "\n  "), verdict)
 	}
@@ -67,10 +67,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Fits(192 << 20); err != nil || s.Durable == nil {
+	if err := s.FitsMemory(192 << 20); err != nil || s.Durable == nil {
 		t.Error(err)
 	}
-	if err := s.Fits(32 << 20); err == nil {
+	if err := s.FitsMemory(32 << 20); err == nil {
 		t.Error("16 MiB of log fit a node of 32 MB")
 	}
 	if s, err := Read(""); err != nil || s.Durable != nil {
--- a/internal/site/wire_test.go
+++ b/internal/site/wire_test.go
@@ -33,30 +33,30 @@
 drain-for = "90s"
 `
 
-func printed(s Site) string {
+func printed(s Config) string {
 	var out strings.Builder
-	d, f := s.Durable, s.Fleet
+	d, f := s.Durable, s.Cluster
 	for _, line := range [...]struct {
 		key   string
 		value any
 	}{
 		{"durable.dir", d.Dir},
-		{"durable.outer-limit", time.Duration(d.OuterLimit)},
-		{"durable.keep", time.Duration(d.Keep)},
-		{"durable.segment", int64(d.Segment)},
-		{"durable.most", int64(d.Most)},
-		{"durable.in-hand", d.InHand},
-		{"durable.leases", d.Leases},
-		{"durable.ask-every", time.Duration(d.AskEvery)},
+		{"durable.outer-limit", time.Duration(d.MaxDeadline)},
+		{"durable.keep", time.Duration(d.Retention)},
+		{"durable.segment", int64(d.SegmentSize)},
+		{"durable.most", int64(d.MaxSize)},
+		{"durable.in-hand", d.MaxConcurrent},
+		{"durable.leases", d.ExecutorLeases},
+		{"durable.ask-every", time.Duration(d.PollInterval)},
 		{"fleet.name", f.Name},
 		{"fleet.listen", f.Listen},
 		{"fleet.advertise", f.Advertise},
 		{"fleet.seeds", f.Seeds},
 		{"fleet.trusted-network", f.TrustedNetwork},
-		{"fleet.every", time.Duration(f.Every)},
-		{"fleet.tell", f.Tell},
-		{"fleet.view-for", time.Duration(f.ViewFor)},
-		{"fleet.drain-for", time.Duration(f.DrainFor)},
+		{"fleet.every", time.Duration(f.GossipInterval)},
+		{"fleet.tell", f.Fanout},
+		{"fleet.view-for", time.Duration(f.PeerStateTTL)},
+		{"fleet.drain-for", time.Duration(f.DrainTTL)},
 	} {
 		fmt.Fprintf(&out, "%s: %v\n", line.key, line.value)
 	}
@@ -90,6 +90,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&out, "a node of 192 MiB: %v\n", s.Fits(192<<20))
+	fmt.Fprintf(&out, "a node of 192 MiB: %v\n", s.FitsMemory(192<<20))
 	golden.Compare(t, "every-key.txt", out.String())
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -15,11 +15,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Span is a span of time with its unit.
-type Span time.Duration
+// Duration is a span of time with its unit.
+type Duration time.Duration
 
 // UnmarshalText reads a span with its unit.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no span of time, such as \"1.5s\"", text)
@@ -27,15 +27,15 @@
 	if d < 0 {
 		return fmt.Errorf("%q is under 0", text)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalText writes a span with its unit.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// Size is a number of bytes with its unit.
-type Size int64
+// ByteSize is a number of bytes with its unit.
+type ByteSize int64
 
 var sizeUnits = []struct {
 	name  string
@@ -43,7 +43,7 @@
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
 // UnmarshalText reads a size with its unit.
-func (s *Size) UnmarshalText(text []byte) error {
+func (s *ByteSize) UnmarshalText(text []byte) error {
 	for _, u := range sizeUnits {
 		number, ok := strings.CutSuffix(string(text), u.name)
 		if !ok {
@@ -53,14 +53,14 @@
 		if err != nil || n < 0 || n > (1<<62)/u.bytes {
 			break
 		}
-		*s = Size(n * u.bytes)
+		*s = ByteSize(n * u.bytes)
 		return nil
 	}
 	return fmt.Errorf("%q is no size, such as \"64MiB\"; units are B, KiB, MiB and GiB", text)
 }
 
 // MarshalText writes a size with its largest whole unit.
-func (s Size) MarshalText() ([]byte, error) {
+func (s ByteSize) MarshalText() ([]byte, error) {
 	for _, u := range []int{2, 1, 0} {
 		if s != 0 && int64(s)%sizeUnits[u].bytes == 0 {
 			return fmt.Appendf(nil, "%d%s", int64(s)/sizeUnits[u].bytes, sizeUnits[u].name), nil
@@ -74,13 +74,13 @@
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(to); err != nil {
-		return misread(file, err, reflect.TypeOf(to).Elem())
+		return decodeError(file, err, reflect.TypeOf(to).Elem())
 	}
 	tables := map[string]any{}
 	if err := toml.Unmarshal(text, &tables); err != nil {
-		return misread(file, err, reflect.TypeOf(to).Elem())
+		return decodeError(file, err, reflect.TypeOf(to).Elem())
 	}
-	at, value, unit := bare(reflect.TypeOf(to).Elem(), tables, Place{Index: -1})
+	at, value, unit := missingUnit(reflect.TypeOf(to).Elem(), tables, Place{Index: -1})
 	if value == nil {
 		return nil
 	}
@@ -89,13 +89,13 @@
 
 var mismatch = regexp.MustCompile(`cannot decode TOML (\w+) into .* of type (\S+)`)
 
-func misread(file string, err error, t reflect.Type) error {
+func decodeError(file string, err error, t reflect.Type) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := &strict.Errors[0]
 		row, _ := e.Position()
 		key := strings.Join(e.Key(), ".")
-		if near := nearest(e.Key()[len(e.Key())-1], t); near != "" {
+		if near := nearestKey(e.Key()[len(e.Key())-1], t); near != "" {
 			return fmt.Errorf("%s:%d: %s: no such key; %q was probably meant", file, row, key, near)
 		}
 		return fmt.Errorf("%s:%d: %s: no such key", file, row, key)
@@ -116,8 +116,8 @@
 	return fmt.Errorf("%s: %v", file, err)
 }
 
-// bare finds a number without a unit where one belongs, which the decoder takes for nanoseconds or bytes.
-func bare(t reflect.Type, table map[string]any, at Place) (Place, any, string) {
+// missingUnit finds a number without a unit where one belongs, which the decoder takes for nanoseconds or bytes.
+func missingUnit(t reflect.Type, table map[string]any, at Place) (Place, any, string) {
 	for i := range t.NumField() {
 		f := t.Field(i)
 		key, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
@@ -128,9 +128,9 @@
 		if _, isText := value.(string); !isText {
 			at.Key = key
 			switch f.Type {
-			case reflect.TypeFor[Span]():
+			case reflect.TypeFor[Duration]():
 				return at, value, "s"
-			case reflect.TypeFor[Size]():
+			case reflect.TypeFor[ByteSize]():
 				return at, value, "MiB"
 			}
 		}
@@ -144,13 +144,13 @@
 		}
 		switch value := value.(type) {
 		case map[string]any:
-			if at, value, unit := bare(of, value, Place{Table: name, Index: -1}); value != nil {
+			if at, value, unit := missingUnit(of, value, Place{Table: name, Index: -1}); value != nil {
 				return at, value, unit
 			}
 		case []any:
 			for j, one := range value {
 				if one, ok := one.(map[string]any); ok {
-					if at, value, unit := bare(of, one, Place{Table: name, Index: j}); value != nil {
+					if at, value, unit := missingUnit(of, one, Place{Table: name, Index: j}); value != nil {
 						return at, value, unit
 					}
 				}
@@ -160,8 +160,8 @@
 	return Place{}, nil, ""
 }
 
-// nearest is the key of a type's that one which is not known was probably meant to be.
-func nearest(word string, t reflect.Type) string {
+// nearestKey is the key of a type's that one which is not known was probably meant to be.
+func nearestKey(word string, t reflect.Type) string {
 	best, least := "", 3
 	var look func(reflect.Type)
 	look = func(t reflect.Type) {
@@ -176,7 +176,7 @@
 			if key == "" || key == "-" {
 				continue
 			}
-			if d := distance(word, key); d < least {
+			if d := editDistance(word, key); d < least {
 				best, least = key, d
 			}
 			look(t.Field(i).Type)
@@ -186,8 +186,8 @@
 	return best
 }
 
-// distance is how many letters must be put in, taken out or changed to make one word the other.
-func distance(a, b string) int {
+// editDistance is how many letters must be put in, taken out or changed to make one word the other.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -10,20 +10,20 @@
 )
 
 type sample struct {
-	Wait  Span    `toml:"wait"`
-	Room  Size    `toml:"room"`
-	Count int     `toml:"count"`
-	Rows  []row   `toml:"rows"`
-	Inner *nested `toml:"inner"`
+	Wait  Duration `toml:"wait"`
+	Room  ByteSize `toml:"room"`
+	Count int      `toml:"count"`
+	Rows  []row    `toml:"rows"`
+	Inner *nested  `toml:"inner"`
 }
 
 type row struct {
-	Wait Span `toml:"wait"`
+	Wait Duration `toml:"wait"`
 	Name string
 }
 
 type nested struct {
-	Room Size `toml:"room"`
+	Room ByteSize `toml:"room"`
 }
 
 // Values with units are read and written, and what is wrong is said by file, line and key.
