--- /dev/null
+++ b/internal/tomlfile/units.go
@@ -0,0 +1,76 @@
+package tomlfile
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Duration is a time with its unit, such as "1.5s".
+type Duration time.Duration
+
+// UnmarshalText reads a duration with its unit; one under 0 is refused.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err != nil {
+		return fmt.Errorf("%q is no span of time, such as \"1.5s\"", text)
+	}
+	if parsed < 0 {
+		return fmt.Errorf("%q is under 0", text)
+	}
+	*d = Duration(parsed)
+	return nil
+}
+
+// MarshalText writes a duration with its unit.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
+
+// Within says whether the duration is from low to high, both included.
+func (d Duration) Within(low, high time.Duration) bool {
+	return time.Duration(d) >= low && time.Duration(d) <= high
+}
+
+// ByteSize is a number of bytes with its unit, such as "64MiB".
+type ByteSize int64
+
+// maxByteSize leaves room for sums of sizes.
+const maxByteSize = 1 << 62
+
+// sizeUnits are in the order in which a text's end is compared: B ends the others as well.
+var sizeUnits = []sizeUnit{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
+
+// largestFirst are the units of MarshalText, but for bytes.
+var largestFirst = []sizeUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}}
+
+type sizeUnit struct {
+	name  string
+	bytes int64
+}
+
+// UnmarshalText reads a size with its unit.
+func (s *ByteSize) UnmarshalText(text []byte) error {
+	for _, unit := range sizeUnits {
+		number, ok := strings.CutSuffix(string(text), unit.name)
+		if !ok {
+			continue
+		}
+		n, err := strconv.ParseInt(strings.TrimSpace(number), 10, 64)
+		if err != nil || n < 0 || n > maxByteSize/unit.bytes {
+			break
+		}
+		*s = ByteSize(n * unit.bytes)
+		return nil
+	}
+	return fmt.Errorf("%q is no size, such as \"64MiB\"; units are B, KiB, MiB and GiB", text)
+}
+
+// MarshalText writes a size with the largest unit of which it is a whole number.
+func (s ByteSize) MarshalText() ([]byte, error) {
+	for _, unit := range largestFirst {
+		if s != 0 && int64(s)%unit.bytes == 0 {
+			return fmt.Appendf(nil, "%d%s", int64(s)/unit.bytes, unit.name), nil
+		}
+	}
+	return fmt.Appendf(nil, "%dB", int64(s)), nil
+}
