--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/adapter_test.go
@@ -87,7 +87,7 @@
 }
 
 // Words between nodes are five bytes; those that are not are passed over. A load report's values go by name.
-func TestWordsAndReports(t *testing.T) {
+func TestPeerMessagesAndReports(t *testing.T) {
 	many := strings.Replace(start, `"balancers":1,`, `"balancers":30,"my-number":3,"report":{"fields":["x0","active",`+
 		`"cpu","waiting"]},`, 1)
 	many = strings.Replace(many, `"cancel":true`, `"cancel":true,"peers":true`, 1)
--- /dev/null
+++ b/internal/benchwire/doc.go
@@ -0,0 +1,9 @@
+// Package benchwire runs the decision module on the simulator's wire. It decodes lines into calls of the module, keeps the instances
+// and their timers, and encodes what the module decides. It decides nothing.
+//
+//   - adapter.go: batches, and which instance an event is for
+//   - instance.go: one instance of the module
+//   - line.go: a line's name and fields
+//   - decode.go: the messages received, by the wire's names
+//   - encode.go: the actions sent, by the wire's names
+package benchwire
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -110,11 +110,11 @@
 	for _, name := range slices.Sorted(maps.Keys(outcomes)) {
 		fmt.Fprintf(&out, "disposition=%s: outcome %d\n", name, outcomes[name])
 	}
-	for _, name := range slices.Sorted(maps.Keys(listKinds)) {
-		fmt.Fprintf(&out, "kind=%s: update %d\n", name, listKinds[name])
+	for _, name := range slices.Sorted(maps.Keys(updateKinds)) {
+		fmt.Fprintf(&out, "kind=%s: update %d\n", name, updateKinds[name])
 	}
-	for _, name := range slices.Sorted(maps.Keys(states)) {
-		fmt.Fprintf(&out, "stage-state=%s: state %d\n", name, states[name])
+	for _, name := range slices.Sorted(maps.Keys(endpointStates)) {
+		fmt.Fprintf(&out, "stage-state=%s: state %d\n", name, endpointStates[name])
 	}
 	golden.Compare(t, "wire.txt", out.String())
 }
