--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -465,7 +465,7 @@
 				for _, slow := range []time.Duration{0, defaults.SlowResponse} {
 					synctesting.Test(t, func(t *testing.T) {
 						span, most := maxUpdateDelay(p, slow, order.do)
-						if span > min(by, p.MaxUpdateDelay()+50*time.Millisecond) || most > config.DiscoveryConns {
+						if span > min(by, p.MaxUpdateDelay()+50*time.Millisecond) || most > config.MaxDiscoveryConns {
 							t.Errorf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
 						}
 						t.Logf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
