--- /dev/null
+++ b/cmd/birchstair-sim/help_test.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"os"
+	"os/exec"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+
+	"birchstair/internal/golden"
+)
+
+// asProgram names the environment variable by which the test binary runs as the program.
+const asProgram = "BIRCHSTAIR_SIM_AS_PROGRAM"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(asProgram) != "" {
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// TestHelp pins the help of the program and of each of its commands: names of flags follow from Go fields.
+func TestHelp(t *testing.T) {
+	var out strings.Builder
+	var print func(n *kong.Node, path []string)
+	print = func(n *kong.Node, path []string) {
+		cmd := exec.Command(os.Args[0], append(path, "--help")...)
+		cmd.Env = append(os.Environ(), asProgram+"=1")
+		text, err := cmd.CombinedOutput()
+		if err != nil {
+			t.Fatalf("%q --help: %v\n%s", path, err, text)
+		}
+		out.WriteString("$ " + strings.Join(append([]string{"birchstair-sim"}, append(path, "--help")...), " ") + "\n" + string(text) + "\n")
+		for _, child := range n.Children {
+			print(child, append(path[:len(path):len(path)], child.Name))
+		}
+	}
+	print(kong.Must(&commands).Model.Node, nil)
+	golden.Compare(t, "help.txt", out.String())
+}
--- /dev/null
+++ b/internal/frontend/answers_test.go
@@ -0,0 +1,98 @@
+package frontend
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net/http"
+	"regexp"
+	"strings"
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+// dateHead is the only part of an answer that differs from run to run.
+var dateHead = regexp.MustCompile(`Date: [^\r]*\r\n`)
+
+// rawAnswer reads one answer, with those of status 1xx before it, and returns its bytes without the date's value.
+func rawAnswer(t *testing.T, c client, method string) string {
+	t.Helper()
+	var raw bytes.Buffer
+	in := bufio.NewReader(io.TeeReader(c.Conn, &raw))
+	a, err := http.ReadResponse(in, &http.Request{Method: method})
+	for err == nil && a.StatusCode < http.StatusOK {
+		a, err = http.ReadResponse(in, &http.Request{Method: method})
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.Copy(io.Discard, a.Body); err != nil {
+		t.Fatal(err)
+	}
+	return dateHead.ReplaceAllString(raw.String(), "Date: -\r\n")
+}
+
+// TestAnswerBytes pins each kind of answer to a client, byte for byte with all heads.
+func TestAnswerBytes(t *testing.T) {
+	c := newCore(t, 100)
+	c.front.Aside("/durable/", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusAccepted)
+	}))
+	var out strings.Builder
+	send := func(name, message string) {
+		t.Helper()
+		conn := c.dial()
+		if _, err := io.WriteString(conn, message); err != nil {
+			t.Fatal(err)
+		}
+		method, _, _ := strings.Cut(message, " ")
+		fmt.Fprintf(&out, "%s:\n%s%q\n", name, golden.Arrow, rawAnswer(t, conn, method))
+	}
+	ready := " /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"
+	withHeads := func(id string, heads ...string) string {
+		return "POST /x HTTP/1.1\r\nHost: n\r\nX-Call-Id: " + id + "\r\n" + strings.Join(heads, "\r\n") + "\r\n\r\n"
+	}
+	send("not ready", "GET"+ready)
+	c.front.SetReady(true)
+	send("ready", "GET"+ready)
+	send("ready, only the head", "HEAD"+ready)
+	send("ready, by POST", "POST"+ready)
+	send("succeeded", job("handled-1"))
+	send("succeeded, and the client closes", job("handled-2", "Connection: close"))
+	send("succeeded, sent in chunks", job("handled-3", "Transfer-Encoding: chunked")+"1\r\nx\r\n0\r\n\r\n")
+	send("succeeded, with Expect", job("handled-4", "Expect: 100-continue", "Content-Length: 1")+"x")
+	send("rejected, with Retry-After", job("back-1"))
+	send("failed", job("off-1"))
+	send("another handler", "POST /durable/1 HTTP/1.1\r\nHost: n\r\n\r\n")
+	send("another handler, in chunks", "POST /durable/1 HTTP/1.1\r\nHost: n\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+	send("by GET", "GET /x HTTP/1.1\r\nHost: n\r\n\r\n")
+	send("by HTTP/1.0", strings.Replace(job("handled-5"), "HTTP/1.1", "HTTP/1.0", 1))
+	send("length and chunks", job("handled-6", "Content-Length: 1", "Transfer-Encoding: chunked")+"0\r\n\r\n")
+	send("body too long", job("handled-7", "Content-Length: 65537"))
+	send("a head twice", job("handled-8", "X-Call-Cost: 1", "X-Call-Cost: 2"))
+	send("no path", strings.Replace(job("handled-9"), "/api/7f?q=%20", "http://n", 1))
+	send("no id", withHeads(""))
+	send("id too long", withHeads(strings.Repeat("x", 129)))
+	send("unknown class", withHeads("handled-10", "X-Call-Class: other"))
+	send("key missing", withHeads("handled-11", "X-Call-Class: split-record"))
+	send("no budget", withHeads("handled-12", "X-Call-Class: run-verify"))
+	send("budget of nothing", withHeads("handled-13", "X-Call-Class: run-verify", "X-Budget-Ms: 0"))
+	send("cost below nothing", job("handled-14", "X-Call-Cost: -1"))
+	send("no HTTP", "nonsense\r\n\r\n")
+	if _, err := io.WriteString(c.dial(), job("wait-1")); err != nil {
+		t.Fatal(err)
+	}
+	for ev := range c.told {
+		if strings.Contains(fmt.Sprintf("%+v", ev), "wait-1") {
+			break
+		}
+	}
+	send("id in flight", job("wait-1"))
+	c.front.DrainClients(true)
+	send("not ready while clients are drained", "GET"+ready)
+	send("succeeded while clients are drained", job("handled-15"))
+	send("rejected while clients are drained", job("back-2"))
+	golden.Compare(t, "answers.txt", out.String())
+}
