--- a/cmd/birchstair-sim/fleet.go
+++ b/cmd/birchstair-sim/fleet.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -86,9 +87,8 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
 	_, err = f.Write(append(text, '\n'))
-	return err
+	return errors.Join(err, f.Close())
 }
 
 // play plays one run, and drops its folder where nothing was wrong and nobody wants it.
@@ -108,7 +108,7 @@
 	}
 	r, err := harness.Play(s, harness.Options{Binary: binary, Dir: dir, Seed: seed})
 	if err == nil && len(r.Wrong) == 0 && c.Keep == "" {
-		os.RemoveAll(dir)
+		err = os.RemoveAll(dir)
 	}
 	return r, dir, err
 }
@@ -156,7 +156,7 @@
 			printFleet(s, r, dir)
 			if len(r.Wrong) > 0 {
 				if text, err := s.Text(); err == nil {
-					os.WriteFile(filepath.Join(dir, "scenario.toml"), text, 0o644)
+					failed = errors.Join(failed, os.WriteFile(filepath.Join(dir, "scenario.toml"), text, 0o644))
 				}
 			}
 		})
--- a/cmd/birchstair-sim/kill.go
+++ b/cmd/birchstair-sim/kill.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -60,7 +61,7 @@
 				fmt.Printf("seed %d: %s (see %s)\n", c.Seed+uint64(i), text, dir)
 			}
 			if wrong += len(r.Wrong); len(r.Wrong) == 0 {
-				os.RemoveAll(dir)
+				failed = errors.Join(failed, os.RemoveAll(dir))
 			}
 			if time.Since(said) > 2*time.Second {
 				said = time.Now()
--- a/cmd/birchstair-sim/run.go
+++ b/cmd/birchstair-sim/run.go
@@ -123,8 +123,7 @@
 	return func(s invariants.Seen) {
 			line, err := s.Line()
 			if err == nil {
-				w.Write(line)
-				err = w.WriteByte('\n')
+				_, err = w.Write(append(line, '\n'))
 			}
 			failed = errors.Join(failed, err)
 		}, func() error {
--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"os"
@@ -53,7 +54,7 @@
 	return s, s.Check()
 }
 
-func (c *scaleCmd) Run() error {
+func (c *scaleCmd) Run() (err error) {
 	s, err := c.sweep()
 	if err != nil {
 		return err
@@ -76,12 +77,14 @@
 		if o.Dir, err = os.MkdirTemp("", "birchstair-sim-scale-"); err != nil {
 			return err
 		}
-		defer os.RemoveAll(o.Dir)
+		defer func() { err = errors.Join(err, os.RemoveAll(o.Dir)) }()
 		cut := make(chan os.Signal, 1)
 		signal.Notify(cut, os.Interrupt, syscall.SIGTERM)
 		go func() {
 			<-cut
-			os.RemoveAll(o.Dir)
+			if err := os.RemoveAll(o.Dir); err != nil {
+				fmt.Fprintln(os.Stderr, "birchstair-sim:", err)
+			}
 			os.Exit(2) // and with it all that was started
 		}()
 	}
--- a/cmd/birchstair-sim/trace.go
+++ b/cmd/birchstair-sim/trace.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -20,14 +21,14 @@
 	To       time.Duration     `help:"Only until then."`
 }
 
-func (c *traceCmd) Run() error {
+func (c *traceCmd) Run() (err error) {
 	f, err := os.Open(c.File)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { err = errors.Join(err, f.Close()) }()
 	out := bufio.NewWriter(os.Stdout)
-	defer out.Flush()
+	defer func() { err = errors.Join(err, out.Flush()) }()
 	in := bufio.NewScanner(f)
 	in.Buffer(make([]byte, 0, 1<<16), 1<<20)
 	row, shown := 0, 0
@@ -35,8 +36,7 @@
 		row++
 		var s invariants.Seen
 		if err := s.Read(in.Bytes()); err != nil {
-			out.Flush()
-			return fmt.Errorf("%s:%d: not a line of a trace, or cut off: %v", c.File, row, err)
+			return fmt.Errorf("%s:%d: not a line of a trace, or cut off: %w", c.File, row, err)
 		}
 		if c.wants(s) {
 			shown++
@@ -44,7 +44,7 @@
 		}
 	}
 	if err := in.Err(); err != nil {
-		return fmt.Errorf("%s:%d: %v", c.File, row+1, err)
+		return fmt.Errorf("%s:%d: %w", c.File, row+1, err)
 	}
 	if shown == 0 {
 		return fmt.Errorf("%s: none of its %d lines is about that", c.File, row)
--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (c serveCmd) Run() error {
+func (c serveCmd) Run() (err error) {
 	start := time.Now()
 	read := func() (told, error) { return readTold(os.Getenv, start) }
 	t, err := read()
@@ -70,7 +70,7 @@
 	out := diode.NewWriter(onlyWriter{os.Stderr}, 1000, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "%d lines of the log were left out\n", missed)
 	})
-	defer out.Close()
+	defer func() { err = errors.Join(err, out.Close()) }()
 	log := zerolog.New(out).With().Timestamp().Str("node", t.Name).Logger()
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(log) // what the standard library has to say of connections
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -115,7 +115,7 @@
 		return net.Listen("tcp", c.Listen)
 	}
 	given := os.NewFile(uintptr(c.ListenOn), "ROUTER_LISTEN_FD")
-	defer given.Close() // the listener has a descriptor of its own
+	defer given.Close() //nolint:errcheck // the listener has a descriptor of its own
 	// Who else holds the socket may have made it blocking: whether it is belongs to all. Guards against a thread that
 	// waits in accept for good and takes one more connection when this process takes none any more.
 	if err := syscall.SetsockoptTimeval(c.ListenOn, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Usec: int64(acceptSpell / time.Microsecond)}); err != nil {
--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -50,7 +50,7 @@
 }
 
 // Serve takes calls until the door is closed.
-func (d *Door) Serve(on net.Listener) error {
+func (d *Door) Serve(on net.Listener) {
 	d.mu.Lock()
 	d.on = on
 	if d.ended {
@@ -61,7 +61,7 @@
 		conn, err := on.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
-			return nil
+			return
 		case err != nil: // no descriptor is left, or the caller has gone: the next may come through
 			time.Sleep(againSpell)
 			continue
@@ -138,7 +138,7 @@
 		answer = d.ask(id, c, line)
 	}
 	c.conn.SetWriteDeadline(time.Now().Add(writeSpell))
-	c.conn.Write(answer)
+	c.conn.Write(answer) //nolint:errcheck // a caller that has left needs no answer
 }
 
 // ask hands a call to the reducer and waits for what it says.
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -40,7 +40,10 @@
 			d.Reply(r)
 		})
 		ended := make(chan error)
-		go func() { ended <- d.Serve(on) }()
+		go func() {
+			d.Serve(on)
+			close(ended)
+		}()
 		callers := 0
 		call := func(pieces ...string) *memnet.Conn {
 			callers++
@@ -49,7 +52,9 @@
 				t.Fatal(err)
 			}
 			for _, p := range pieces {
-				io.WriteString(c, p)
+				if _, err := io.WriteString(c, p); err != nil {
+					t.Error(err)
+				}
 				time.Sleep(10 * time.Millisecond)
 			}
 			return c
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -139,12 +139,13 @@
 // End is how a try ended for its client.
 type End int
 
+// The ends of a try.
 const (
-	EndHandled End = iota
-	EndPushedBack
-	EndBrokenOff
-	EndUnreached // no connection to the node
-	EndLost      // the connection to the node broke
+	EndHandled    End = iota // served
+	EndPushedBack            // rejected: nothing of it ran
+	EndBrokenOff             // failed, or not answered in time
+	EndUnreached             // no connection to the node
+	EndLost                  // the connection to the node broke
 )
 
 // After says when the client tries again, or that it does not. A repeatable one is tried after anything, a tagged one
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -114,6 +114,7 @@
 	return nil
 }
 
+// Lock implements store.Disk. A lock ends with the process that holds it.
 func (d *Disk) Lock() (io.Closer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,6 +125,7 @@
 	return diskLock{d, d.life}, nil
 }
 
+// List implements store.Disk.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,6 +142,7 @@
 	return slices.Clone(f.whole), nil
 }
 
+// Create implements store.Disk. The file outlives a power failure only after SyncDir.
 func (d *Disk) Create(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,6 +154,7 @@
 	return &openFile{d, f, d.life}, nil
 }
 
+// Remove implements store.Disk. The file is gone for good only after SyncDir.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,6 +164,7 @@
 	return nil
 }
 
+// Truncate implements store.Disk; what is left of the file counts as synced.
 func (d *Disk) Truncate(name string, size int64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -169,6 +174,7 @@
 	return nil
 }
 
+// SyncDir implements store.Disk: files that were created or removed outlive a power failure from now on.
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -109,12 +109,13 @@
 // Word is what an executor says of an allocation.
 type Word int
 
+// What an executor says of an allocation.
 const (
-	Began Word = iota
-	Progress
-	Done
-	Errored
-	NoRoom
+	Began    Word = iota // it runs
+	Progress             // the part Share of it is done
+	Done                 // it has ended, with its result
+	Errored              // it has ended with an error; it may have had its effect
+	NoRoom               // it was rejected and never ran
 )
 
 // Load is a load report.
@@ -135,16 +136,16 @@
 		Share float64
 		Load  Load
 	}
-	// Ran: an effect has begun.
+	// Ran means that an effect has begun.
 	Ran struct{ Allocation }
-	// Reached: work has come in, against the capacity that there is.
+	// Reached means that work has come in, against the capacity that there is.
 	Reached struct {
 		Allocation
 		Capacity float64
 	}
-	// Reset: the connection is broken by the executor.
+	// Reset means that the executor breaks the connection.
 	Reset struct{ Conn ConnID }
-	// Fell: it has fallen over.
+	// Fell means that it has fallen over.
 	Fell struct{}
 )
 
@@ -394,8 +395,10 @@
 // Mute says whether it answers nobody.
 func (e *Executor) Mute() bool { return e.trouble.Mute }
 
-// Held is how many batch jobs are there, and Running how many of them run.
-func (e *Executor) Held() int    { return len(e.running) + len(e.waiting) }
+// Held returns how many batch jobs run or wait there.
+func (e *Executor) Held() int { return len(e.running) + len(e.waiting) }
+
+// Running returns how many batch jobs run there.
 func (e *Executor) Running() int { return len(e.running) }
 
 // Frees is when a place is free for one that comes after all that is held here and after what is on its way, in seconds on a standard core,
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -49,11 +49,12 @@
 // Sort says what a fault is put on.
 type Sort int
 
+// What faults are put on.
 const (
-	OnExecutors Sort = iota
-	OnZone
-	OnNodes
-	OnAll // connections, discovery or clients
+	OnExecutors Sort = iota // executors that the fault names, or some by chance
+	OnZone                  // a whole zone
+	OnNodes                 // nodes that the fault names, or some by chance
+	OnAll                   // connections, discovery or clients
 )
 
 // sized says what the size of a kind must be; a kind with no bounds takes none.
--- a/internal/emulator/halt.go
+++ b/internal/emulator/halt.go
@@ -11,15 +11,16 @@
 // Step is a moment in a connection's or a listener's life at which it can be stopped.
 type Step int
 
+// The moments at which a call can be stopped.
 const (
-	BeforeRead Step = iota
-	AfterRead
-	BeforeWrite
-	AfterWrite
-	BeforeClose
-	AfterClose
-	BeforeAccept
-	AfterAccept
+	BeforeRead   Step = iota // a read is about to begin
+	AfterRead                // a read has ended, and its caller does not know yet
+	BeforeWrite              // a write is about to begin
+	AfterWrite               // a write has ended, and its caller does not know yet
+	BeforeClose              // a close is about to begin
+	AfterClose               // a close has ended, and its caller does not know yet
+	BeforeAccept             // an accept is about to begin
+	AfterAccept              // an accept has ended, and its caller does not know yet
 )
 
 // Halts stops the calls of connections and listeners at named moments, until they are let go. A test orders two events by
--- a/internal/emulator/platform/server.go
+++ b/internal/emulator/platform/server.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"net"
 	"sync"
 	"time"
@@ -69,12 +70,14 @@
 		case err != nil:
 			return
 		case m.Ask:
-			c.Write(e.found(m))
+			c.Write(e.found(m)) //nolint:errcheck // the connection ends here either way
 			return
 		case !e.take(m):
 			var a Answer
 			b, _ := a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.NoRoom, Load: e.load()}, e.ID, "")
-			c.Write(b)
+			if _, err := c.Write(b); err != nil {
+				return
+			}
 		default:
 			if !e.run(c, m) {
 				return
@@ -121,7 +124,7 @@
 	e.Ran(m.Job)
 	var a Answer
 	b, _ := a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.Began}, e.ID, "")
-	c.Write(b)
+	_, began := c.Write(b)
 	time.Sleep(e.Takes())
 	result := Result(string(m.Job))
 	e.mu.Lock()
@@ -129,8 +132,8 @@
 	e.running--
 	e.mu.Unlock()
 	b, _ = a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.Done, Load: e.load()}, e.ID, result)
-	_, err := c.Write(b)
-	return err == nil
+	_, done := c.Write(b)
+	return errors.Join(began, done) == nil
 }
 
 // Discovery names the same executors to all nodes, and at once.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -71,7 +71,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), f.closeIn)
 		defer cancel()
 		f.gate.endKnown(f.closeIn)
-		f.server.Shutdown(ctx)
+		f.server.Shutdown(ctx) //nolint:errcheck // End closes what is left by the deadline
 		f.tell(node.FrontendClosed{})
 	}()
 }
@@ -175,9 +175,12 @@
 	g.room.Broadcast()
 }
 
+// deadliner is a listener whose accept can be given up, as net.TCPListener.
+type deadliner interface{ SetDeadline(time.Time) error }
+
 // wakeAccept has the listener wait as long as it is to.
 func (g *gate) wakeAccept() {
-	if l, ok := g.Listener.(interface{ SetDeadline(time.Time) error }); ok {
+	if l, ok := g.Listener.(deadliner); ok {
 		at := time.Time{}
 		if g.idle {
 			at = time.Unix(1, 0)
--- a/internal/frontend/watched.go
+++ b/internal/frontend/watched.go
@@ -77,16 +77,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.due = t
-	return c.limit()
+	return c.Conn.SetReadDeadline(c.readDeadline())
 }
 
-// limit has the reader wait as long as it is to.
-func (c *watched) limit() error {
+// limit applies the read deadline after a change of what it follows from.
+func (c *watched) limit() { c.Conn.SetReadDeadline(c.readDeadline()) }
+
+// readDeadline is how long the reader waits now: not at all where it is to stop, else as long as net/http does.
+func (c *watched) readDeadline() time.Time {
 	stopping := c.ahead != nil && c.ahead.stop && !c.ahead.done
 	if stopping || c.going != stays && c.mayGo() && !c.looked {
-		return c.Conn.SetReadDeadline(past)
+		return past
 	}
-	return c.Conn.SetReadDeadline(c.due)
+	return c.due
 }
 
 var past = time.Unix(1, 0)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -81,7 +81,7 @@
 func Program(dir string) (string, error) {
 	binary := filepath.Join(dir, "birchstair")
 	if out, err := exec.Command("go", "build", "-o", binary, "birchstair/cmd/birchstair").CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%v\n%s", err, out)
+		return "", fmt.Errorf("%w\n%s", err, out)
 	}
 	return binary, nil
 }
@@ -96,6 +96,8 @@
 		panic(err)
 	}
 	code := m.Run()
-	os.RemoveAll(dir)
+	if err := os.RemoveAll(dir); err != nil {
+		panic(err)
+	}
 	os.Exit(code)
 }
--- a/internal/harness/ends.go
+++ b/internal/harness/ends.go
@@ -212,7 +212,7 @@
 	}
 	b, _ := s.answer.Append(nil, o, x.ID, platform.Result(work))
 	s.c.SetWriteDeadline(time.Now().Add(time.Second))
-	s.c.Write(b)
+	s.c.Write(b) //nolint:errcheck // a broken connection is seen by its reader, which books it
 }
 
 // crash ends an executor's process.
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -8,6 +8,7 @@
 package harness
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -106,18 +107,17 @@
 )
 
 // Play plays a run. An error means that it could not be played.
-func Play(s simulation.Scenario, o Options) (Result, error) {
+func Play(s simulation.Scenario, o Options) (result Result, err error) {
 	r := &Rig{s: s, o: o, start: time.Now(), rand: rand.New(rand.NewPCG(o.Seed, 9)),
 		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)), news: make(chan struct{}), tries: map[policy.JobID]*try{}, forgotten: map[policy.JobID]time.Duration{}, went: map[policy.JobID]time.Duration{},
 		memories: emulator.Memories{}, firstTold: map[policy.ExecutorID]time.Duration{}, result: Result{Seed: o.Seed, Tries: map[string]int{}}}
 	r.tracks, r.module = s.Takes()
 	r.checker = invariants.New(invariants.Settings{Tracks: r.module, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace) + slack, Prompt: time.Hour,
 		WarmWithin: time.Duration(s.Fleet.WarmWithin), FallMultiple: busy * s.Fleet.FallMultiple, FallWindow: time.Duration(s.Fleet.FallWindow), MeanWork: s.MeanWork(), Copies: s.Fleet.Copies})
-	var err error
 	if r.timeline, err = os.Create(filepath.Join(o.Dir, "timeline.txt")); err != nil {
 		return Result{}, err
 	}
-	defer r.timeline.Close()
+	defer func() { err = errors.Join(err, r.timeline.Close()) }()
 	defer r.end()
 	if err := r.setUp(); err != nil {
 		return Result{}, err
--- a/internal/harness/link.go
+++ b/internal/harness/link.go
@@ -1,6 +1,7 @@
 package harness
 
 import (
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -159,7 +160,7 @@
 					}
 				}
 				if err != nil {
-					if err == io.EOF && !silent {
+					if errors.Is(err, io.EOF) && !silent {
 						if w, ok := way[1].(*net.TCPConn); ok {
 							w.CloseWrite()
 							return
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -16,6 +16,7 @@
 // Rule is one of the four, or the fifth thing that must hold.
 type Rule int
 
+// The rules, in the order of their names.
 const (
 	OneAnswer     Rule = iota + 1 // exactly one final answer before the outer limit, nothing sent afterwards
 	NoEffectTwice                 // no effect twice, and no two allocations out at once but where copies are allowed
@@ -377,14 +378,14 @@
 		if !a.over {
 			out++
 		}
-		if first < 0 && !(a.over && a.proof) {
+		if first < 0 && (!a.over || !a.proof) {
 			first = i
 		}
 	}
 	switch {
 	case out > 1:
 		c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s has three allocations out at once", s.Job)
-	case out == 1 && !(c.s.Copies && track.Idempotency == policy.Idempotent):
+	case out == 1 && (!c.s.Copies || track.Idempotency != policy.Idempotent):
 		c.breaks(NoEffectTwice, s.At, key, j.work, s.Executor, "%s has two allocations out at once", s.Job)
 	}
 	if first >= 0 {
@@ -428,7 +429,7 @@
 		return
 	}
 	track := c.s.Tracks[j.track]
-	may := slices.ContainsFunc(j.sent, func(a sent) bool { return !(a.over && a.proof) })
+	may := slices.ContainsFunc(j.sent, func(a sent) bool { return !a.over || !a.proof })
 	switch {
 	case s.Final == PushedBack && may && (track.Idempotency == policy.AtMostOnce || track.Idempotency == policy.IdempotentWithKey && track.DedupGroup != policy.DedupAllExecutors):
 		c.breaks(NoEffectTwice, s.At, key, j.work, "", "%s was pushed back, though it may have run", s.Job)
--- a/internal/invariants/seen.go
+++ b/internal/invariants/seen.go
@@ -15,14 +15,16 @@
 // WorkID names what a client wants done, over all its tries; an effect belongs to it.
 type WorkID string
 
-// NodeID names a node. Nobody stands for what no node did.
+// NodeID names a node.
 type NodeID int
 
+// Nobody stands for what no node did.
 const Nobody NodeID = -1
 
 // What is the kind of thing that was seen.
 type What int
 
+// The kinds of things that are seen, in the order of their names in traces.
 const (
 	Note        What = iota // nothing that a rule is about: Text says it
 	NodeStarted             // Node is up and knows nothing
@@ -66,10 +68,11 @@
 // Final is the kind of a final answer.
 type Final int
 
+// The kinds of final answers, in the order of their names in traces.
 const (
-	Handled Final = iota
-	PushedBack
-	BrokenOff
+	Handled    Final = iota // served
+	PushedBack              // rejected: nothing of it ran
+	BrokenOff               // failed: it may have run
 )
 
 var finals = [...]string{"handled", "pushed back", "broken off"}
--- a/internal/memnet/conn.go
+++ b/internal/memnet/conn.go
@@ -35,6 +35,7 @@
 // Break says how a connection breaks at its next use.
 type Break int
 
+// The ways in which a connection breaks.
 const (
 	Whole   Break = iota // it does not
 	Within               // after half of what is written has left: neither end gets more
@@ -48,7 +49,10 @@
 	over  bool
 }
 
-func (c *Conn) LocalAddr() net.Addr  { return c.local }
+// LocalAddr implements net.Conn.
+func (c *Conn) LocalAddr() net.Addr { return c.local }
+
+// RemoteAddr implements net.Conn.
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
 func (c *Conn) fail(op string, err error) error {
@@ -286,11 +290,13 @@
 	c.changed.Broadcast()
 }
 
+// SetDeadline implements net.Conn.
 func (c *Conn) SetDeadline(at time.Time) error {
-	c.SetReadDeadline(at)
+	c.SetReadDeadline(at) // fails only where the next one does
 	return c.SetWriteDeadline(at)
 }
 
+// SetReadDeadline implements net.Conn. It fails where this end is closed.
 func (c *Conn) SetReadDeadline(at time.Time) error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
@@ -301,6 +307,7 @@
 	return nil
 }
 
+// SetWriteDeadline implements net.Conn. It fails where this end is closed.
 func (c *Conn) SetWriteDeadline(at time.Time) error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -70,7 +70,10 @@
 // Addr is an address.
 type Addr string
 
-func (Addr) Network() string  { return "memory" }
+// Network implements net.Addr.
+func (Addr) Network() string { return "memory" }
+
+// String implements net.Addr.
 func (a Addr) String() string { return string(a) }
 
 // Listener takes connections at an address.
@@ -95,6 +98,7 @@
 	return l, nil
 }
 
+// Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.addr }
 
 // Accept waits for a connection.
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -27,7 +27,7 @@
 	signal.Stop(asked) // one that is on its way here arrives first
 	select {
 	case <-asked:
-		syscall.Kill(os.Getpid(), syscall.SIGHUP)
+		syscall.Kill(os.Getpid(), syscall.SIGHUP) //nolint:errcheck // a process may always signal itself
 	default:
 	}
 }
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -152,8 +152,7 @@
 		return nil, err
 	}
 	if ready.Wrong != "" {
-		h.end()
-		return nil, errors.New(ready.Wrong)
+		return nil, errors.Join(errors.New(ready.Wrong), h.end())
 	}
 	h.Addrs = ready.Addrs
 	return h, nil
@@ -177,8 +176,7 @@
 	}
 	h.out = json.NewDecoder(bufio.NewReader(out))
 	if err := errors.Join(json.NewEncoder(h.in).Encode(job), h.out.Decode(answer)); err != nil {
-		h.end()
-		return fmt.Errorf("a hollow process does not begin: %w", err)
+		return fmt.Errorf("a hollow process does not begin: %w", errors.Join(err, h.end()))
 	}
 	return nil
 }
@@ -191,9 +189,10 @@
 	return c, h.out.Decode(&c)
 }
 
-func (h *hollow) end() {
-	h.in.Close()
+// end ends the process by the end of its input, or kills it after a while, and returns how it ended.
+func (h *hollow) end() error {
+	closed := h.in.Close()
 	late := time.AfterFunc(5*time.Second, func() { h.cmd.Process.Kill() })
-	h.cmd.Wait()
-	late.Stop()
+	defer late.Stop()
+	return errors.Join(closed, h.cmd.Wait())
 }
--- a/internal/scaletest/load.go
+++ b/internal/scaletest/load.go
@@ -17,7 +17,6 @@
 type load struct {
 	nodes   []*proc
 	rate    float64
-	hint    time.Duration
 	classes []class
 	due     int // handed in by now
 	waits   sync.WaitGroup
--- a/internal/scaletest/proc.go
+++ b/internal/scaletest/proc.go
@@ -92,19 +92,18 @@
 }
 
 // end ends the process as a planned end does.
-func (p *proc) end() error {
+func (p *proc) end() (err error) {
 	if p.ended == nil {
 		return nil
 	}
-	defer p.log.Close()
+	defer func() { err = errors.Join(err, p.log.Close()) }()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-p.ended:
 		return err
 	case <-time.After(10 * time.Second):
 		p.cmd.Process.Kill()
-		<-p.ended
-		return errors.New("it has not ended 10 s after SIGTERM")
+		return errors.Join(errors.New("it has not ended 10 s after SIGTERM"), <-p.ended)
 	}
 }
 
--- a/internal/scaletest/scaletest.go
+++ b/internal/scaletest/scaletest.go
@@ -264,10 +264,13 @@
 	if err := h.begin(w.o.Hollow, job, &f); err != nil {
 		return err
 	}
-	h.end()
+	ended := h.end()
 	if f.Wrong != "" {
 		return errors.New(f.Wrong)
 	}
+	if ended != nil {
+		return fmt.Errorf("a hollow process: %w", ended)
+	}
 	w.row.Figures["out"], w.row.Figures["held"] = float64(f.Out), float64(f.Held)
 	w.row.Figures["cpu_us_start"], w.row.Figures["heap_kb"], w.row.Figures["starts"] = f.PerUs, float64(f.Heap)/1e3, float64(f.Starts)
 	return nil
@@ -317,7 +320,11 @@
 			return err
 		}
 		w.hollow = append(w.hollow, h)
-		w.closers = append(w.closers, h.end)
+		w.closers = append(w.closers, func() {
+			if err := h.end(); err != nil {
+				w.wrong("a hollow process: %v", err)
+			}
+		})
 		for i, x := range job.Executors {
 			w.entries = append(w.entries, emulator.Entry{Addr: h.Addrs[i], Endpoint: policy.Endpoint{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
 				Cell: policy.CellID((first + i) / 40), State: policy.Available, Weight: float64(x.Places), StartedLongAgo: true}})
@@ -377,7 +384,11 @@
 			return err
 		}
 		w.members = h
-		w.closers = append(w.closers, h.end)
+		w.closers = append(w.closers, func() {
+			if err := h.end(); err != nil {
+				w.wrong("a hollow process: %v", err)
+			}
+		})
 	}
 	for _, p := range w.nodes {
 		if err := until(readyIn, func() bool { return p.isReady() && p.shows("executors_known", w.pt.Executors) }); err != nil {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -120,7 +120,7 @@
 	broken := make(chan error, 1)
 	go func() {
 		if err := front.Serve(s.Listener); err != nil {
-			broken <- fmt.Errorf("listen: %v", err)
+			broken <- fmt.Errorf("listen: %w", err)
 			loop.Post(node.FrontendClosed{})
 		}
 	}()
--- a/internal/simulation/bad.go
+++ b/internal/simulation/bad.go
@@ -19,20 +19,21 @@
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
 	"GET",
 	"",
-	head("POST /x", "X-Call-Id: bad", "Content-Length: 10") + "half",
-	head("POST /x", "X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: -5"),
-	head("POST /x", "X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 60000000") + strings.Repeat("x", 4096),
-	head("POST /x", "X-Call-Id: bad", "X-Call-Class: nothing", "X-Budget-Ms: 900", "Content-Length: 0"),
-	head("POST /x", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 0"),
-	head("POST /x", "X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: soon", "Content-Length: 0"),
-	head("POST /x", "X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: -1", "Content-Length: 0"),
-	head("POST /x", "X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 5", "Transfer-Encoding: chunked") +
-		"0\r\n\r\n" + head("POST /x", "X-Call-Id: hidden", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 0"),
+	head("X-Call-Id: bad", "Content-Length: 10") + "half",
+	head("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: -5"),
+	head("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 60000000") + strings.Repeat("x", 4096),
+	head("X-Call-Id: bad", "X-Call-Class: nothing", "X-Budget-Ms: 900", "Content-Length: 0"),
+	head("X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 0"),
+	head("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: soon", "Content-Length: 0"),
+	head("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: -1", "Content-Length: 0"),
+	head("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 5", "Transfer-Encoding: chunked") +
+		"0\r\n\r\n" + head("X-Call-Id: hidden", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 0"),
 	"POST /x HTTP/1.1\r\n" + strings.Repeat("X-Long: "+strings.Repeat("y", 1000)+"\r\n", 40),
 }
 
-func head(line string, fields ...string) string {
-	return line + " HTTP/1.1\r\nHost: backend.local\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
+// head makes the head of a batch job with these fields.
+func head(fields ...string) string {
+	return "POST /x HTTP/1.1\r\nHost: backend.local\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
 }
 
 // letBadCome lets bad clients come to all nodes at a steady rate, with each text in turn.
@@ -64,7 +65,7 @@
 		return
 	}
 	defer c.Close()
-	c.Write([]byte(text))
+	c.Write([]byte(text)) //nolint:errcheck // reading the answer shows what became of the connection
 	c.SetReadDeadline(time.Now().Add(badWithin))
 	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
 	v.enter(func() {
--- a/internal/simulation/front.go
+++ b/internal/simulation/front.go
@@ -78,7 +78,7 @@
 
 func (c *callers) begin(client int) {
 	work := c.New(c.w.now, client)
-	c.w.result.asked(c.w, work)
+	c.w.result.asked(work)
 	c.w.open++
 	c.handIn(work)
 }
--- a/internal/simulation/killing.go
+++ b/internal/simulation/killing.go
@@ -77,7 +77,9 @@
 		if err := node.Process.Kill(); err != nil {
 			return Killed{}, err
 		}
-		node.Wait()
+		if err := node.Wait(); err != nil && !errors.As(err, new(*exec.ExitError)) {
+			return Killed{}, err
+		}
 		if node, err = r.start(); err != nil {
 			return Killed{}, err
 		}
@@ -207,11 +209,10 @@
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
 	cmd := exec.Command(r.Binary, "serve", "--site", r.site)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.config)
 	cmd.Stderr = log
-	return cmd, cmd.Start()
+	return cmd, errors.Join(cmd.Start(), log.Close())
 }
 
 // client hands a batch job in and asks for its final answer, whatever happens to the node.
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -90,7 +90,7 @@
 	return &r.seconds[min(int(at/time.Second), len(r.seconds)-1)]
 }
 
-func (r *Result) asked(w *World, work *emulator.Work) {
+func (r *Result) asked(work *emulator.Work) {
 	t := &r.Tracks[work.Track]
 	t.Works++
 	t.asked += work.Earns
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -185,7 +185,7 @@
 	return s, nil
 }
 
-// Load reads a scenario from a file system.
+// LoadFrom reads a scenario from a file system.
 func LoadFrom(files fs.FS, file string) (Scenario, error) {
 	text, err := fs.ReadFile(files, file)
 	if err != nil {
--- a/internal/simulation/wired.go
+++ b/internal/simulation/wired.go
@@ -303,7 +303,7 @@
 		return
 	}
 	b, ended := s.answer.Append(nil, o, x.ID, platform.Result(string(t.work.ID)))
-	s.conn.Write(b)
+	s.conn.Write(b) //nolint:errcheck // a broken connection is seen by its reader, which books it
 	if o.Word == emulator.Began && v.w.now-t.sentAt > startWaits {
 		v.w.result.StartsWaited++
 	}
@@ -417,7 +417,7 @@
 		Start: v.start.Add(n.started), Module: &witness{Policy: module, n: n, life: l}, Listener: listener, Executors: l.dial, List: l.dialList,
 		Log: zerolog.Nop(), Tap: l.tap}
 	go func() {
-		service.Run(ctx, setup, l.more)
+		service.Run(ctx, setup, l.more) //nolint:errcheck // a killed node ends by its listener's error; the invariants judge what clients see
 		v.enter(l.ended)
 	}()
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -14,11 +14,11 @@
 	if raw == nil {
 		return false, false
 	}
-	raw.Control(func(fd uintptr) {
+	err := raw.Control(func(fd uintptr) {
 		bytes, end, ok := peek(fd)
 		any, known = bytes || end, ok
 	})
-	return any, known
+	return any, known && err == nil
 }
 
 // Ended says whether the other side has ended its sending on a connection, or broken it, also behind bytes that nobody has
@@ -31,14 +31,14 @@
 	if raw == nil {
 		return false, false
 	}
-	raw.Control(func(fd uintptr) {
+	err := raw.Control(func(fd uintptr) {
 		var bytes bool
 		bytes, ended, known = peek(fd)
 		if bytes {
 			ended = closeWait(fd)
 		}
 	})
-	return ended, known
+	return ended, known && err == nil
 }
 
 func rawOf(c net.Conn) syscall.RawConn {
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -69,7 +69,7 @@
 		Load   map[string]float64
 	}
 	if err := json.Unmarshal(line, &w); err != nil {
-		return o, fmt.Errorf("a line that makes no sense: %v", err)
+		return o, fmt.Errorf("a line that makes no sense: %w", err)
 	}
 	if w.ID != job {
 		return o, fmt.Errorf("a line about another batch job, %q", w.ID)
--- a/internal/upstream/link.go
+++ b/internal/upstream/link.go
@@ -210,7 +210,7 @@
 	if more, _ := socket.Pending(l.conn); sent && !more && errors.Is(err, os.ErrDeadlineExceeded) {
 		return nil
 	}
-	return fmt.Errorf("an answer that may be to the allocation before: %v", err)
+	return fmt.Errorf("an answer that may be to the allocation before: %v", err) //nolint:errorlint // nil where another answer follows
 }
 
 // readOut reads what follows an outcome to its end, or the connection is of no more use.
