--- a/internal/synctesting/race.go
+++ b/internal/synctesting/race.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package bubble
+package synctesting
 
 // UnderRace says that the race detector watches.
 const UnderRace = true
