--- a/cmd/birchstair/crowd_test.go
+++ b/cmd/birchstair/crowd_test.go
@@ -49,7 +49,7 @@
 					}
 					conn.Close()
 				}()
-				conn.Write([]byte(first))
+				conn.Write([]byte(first)) //nolint:errcheck // the node may have let it go already, which reading shows
 				for b := make([]byte, 512); ; {
 					if _, err := conn.Read(b); err != nil {
 						break
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	closeAtEnd(t, log)
 	var down net.Listener
 	if silent {
 		if down, err = net.Listen("tcp", list); err != nil {
--- a/cmd/birchstair/end_test.go
+++ b/cmd/birchstair/end_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"io"
 	"net"
 	"net/http"
 	"syscall"
@@ -30,12 +29,12 @@
 		conns = append(conns, c)
 	}
 	half := len(message("order-1")) - 2
-	io.WriteString(conns[1], message("order-1")[:half])
+	send(t, conns[1], message("order-1")[:half])
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		pr.cmd.Process.Signal(sig)
 	}
-	io.WriteString(conns[0], message("order-0"))
-	io.WriteString(conns[1], message("order-1")[half:])
+	send(t, conns[0], message("order-0"))
+	send(t, conns[1], message("order-1")[half:])
 	for i, c := range conns {
 		a, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
--- a/cmd/birchstair/main_test.go
+++ b/cmd/birchstair/main_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"io"
 	"os"
 	"sync"
 	"testing"
@@ -28,10 +29,33 @@
 	return binary
 }
 
+// closeAtEnd closes a file when the test has ended.
+func closeAtEnd(t *testing.T, f *os.File) {
+	t.Helper()
+	t.Cleanup(func() { mustClose(t, f) })
+}
+
+func mustClose(t *testing.T, f io.Closer) {
+	t.Helper()
+	if err := f.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// send writes text, which must succeed.
+func send(t *testing.T, to io.Writer, text string) {
+	t.Helper()
+	if _, err := io.WriteString(to, text); err != nil {
+		t.Errorf("sending %.40q: %v", text, err)
+	}
+}
+
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if programDir != "" {
-		os.RemoveAll(programDir)
+		if err := os.RemoveAll(programDir); err != nil {
+			panic(err)
+		}
 	}
 	os.Exit(code)
 }
--- a/cmd/birchstair/reload_test.go
+++ b/cmd/birchstair/reload_test.go
@@ -27,17 +27,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.Close() })
+	closeAtEnd(t, r)
 	start(w)
-	w.Close()
-	r.SetReadDeadline(time.Now().Add(30 * time.Second))
+	mustClose(t, w)
+	if err := r.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	for lines := bufio.NewReader(r); ; {
 		line, err := lines.ReadString('\n')
 		if err != nil {
 			t.Fatalf("it is not told that SIGHUP is caught: %v", err)
 		}
 		if strings.HasPrefix(line, initLine) {
-			r.SetReadDeadline(time.Time{})
+			if err := r.SetReadDeadline(time.Time{}); err != nil {
+				t.Fatal(err)
+			}
 			return lines
 		}
 	}
@@ -58,7 +62,9 @@
 			go func() {
 				defer close(logged)
 				text, _ := io.ReadAll(rest)
-				os.WriteFile(pr.log, text, 0o600)
+				if err := os.WriteFile(pr.log, text, 0o600); err != nil {
+					t.Error(err)
+				}
 			}()
 			p.ready(pr)
 			var figures []string
@@ -98,7 +104,7 @@
 				}
 				go func() { ended <- cmd.Wait() }()
 			})
-			go io.Copy(io.Discard, rest)
+			go io.Copy(io.Discard, rest) //nolint:errcheck // ends when the test closes it
 			t.Cleanup(func() { cmd.Process.Kill() })
 			if !early {
 				by := time.Now().Add(20 * time.Second)
@@ -109,12 +115,12 @@
 					}
 					time.Sleep(time.Millisecond)
 				}
-				defer f.Close()
+				closeAtEnd(t, f)
 			}
 			cmd.Process.Signal(syscall.SIGHUP)
 			select {
-			case <-ended:
-				if s := cmd.ProcessState.Sys().(syscall.WaitStatus); s.Signal() != syscall.SIGHUP {
+			case err := <-ended:
+				if s := cmd.ProcessState.Sys().(syscall.WaitStatus); err == nil || s.Signal() != syscall.SIGHUP {
 					t.Errorf("it ended with %v", cmd.ProcessState)
 				}
 			case <-time.After(20 * time.Second):
--- a/cmd/birchstair/store_test.go
+++ b/cmd/birchstair/store_test.go
@@ -24,7 +24,7 @@
 	os.Stdout = w
 	err = run()
 	os.Stdout = was
-	w.Close()
+	mustClose(t, w)
 	text, _ := io.ReadAll(r)
 	if err != nil {
 		return string(text) + "error: " + err.Error() + "\n"
@@ -67,7 +67,7 @@
 	}
 	say("in use", printed(t, storeCheckCmd{dir}.Run))
 	say("compact, in use", printed(t, storeCompactCmd{dir}.Run))
-	s.Close()
+	mustClose(t, s)
 	say("check", printed(t, storeCheckCmd{dir}.Run))
 	say("list", printed(t, storeListCmd{dir}.Run))
 	say("show a", printed(t, storeShowCmd{"a", dir}.Run))
--- a/cmd/birchstair/upgrade_test.go
+++ b/cmd/birchstair/upgrade_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -77,7 +78,7 @@
 		t.Fatal(err)
 	}
 	p.socket, p.listen, p.work = file, clients.Addr().String(), list.Addr().String()
-	t.Cleanup(func() { file.Close() })
+	closeAtEnd(t, file)
 	return p
 }
 
@@ -98,7 +99,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	defer log.Close()
+	defer mustClose(p.t, log)
 	p.startPrepared(pr, log)
 	return pr
 }
@@ -130,8 +131,11 @@
 
 // startPrepared starts it with its log on that file.
 func (p *platformHere) startPrepared(pr *process, log *os.File) {
-	nothing, _ := os.Open(os.DevNull)
-	defer nothing.Close()
+	nothing, err := os.Open(os.DevNull)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	defer mustClose(p.t, nothing)
 	pr.cmd.ExtraFiles = []*os.File{nothing, nothing, p.socket}
 	pr.cmd.Stderr = log
 	if err := pr.cmd.Start(); err != nil {
@@ -194,6 +198,24 @@
 	}
 }
 
+// stop ends a process by SIGTERM, which must succeed.
+func (p *platformHere) stop(pr *process) {
+	p.t.Helper()
+	if err := p.end(pr, syscall.SIGTERM); err != nil {
+		p.t.Errorf("a process ended with %v", err)
+	}
+}
+
+// kill ends a process that must not have ended before.
+func (p *platformHere) kill(pr *process) {
+	p.t.Helper()
+	err := p.end(pr, syscall.SIGKILL)
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
+		p.t.Errorf("a process was to be killed and ended with %v", err)
+	}
+}
+
 // serve hands in from some clients until stop is closed; it gives when the last of them has ended.
 func (p *platformHere) serve(stop chan struct{}) *sync.WaitGroup {
 	var wait sync.WaitGroup
@@ -305,9 +327,7 @@
 			for range 2 {
 				next := p.start(p.work, false)
 				p.ready(next)
-				if err := p.end(old, syscall.SIGTERM); err != nil {
-					p.t.Errorf("the old process ended with %v", err)
-				}
+				p.stop(old)
 				old = next
 			}
 			p.mayHave()
@@ -319,13 +339,13 @@
 			for i := range 8 {
 				next := p.start(p.work, false)
 				time.Sleep(time.Duration(4*i) * time.Millisecond)
-				p.end(next, syscall.SIGKILL)
+				p.kill(next)
 			}
 		}},
 		{"discovery is silent for the new one", false, func(p *platformHere, old *process) {
 			next := p.start(nowhere, false)
 			p.ready(next)
-			p.end(old, syscall.SIGTERM)
+			p.stop(old)
 		}},
 		{"the new one's configuration is broken", false, func(p *platformHere, old *process) {
 			if p.end(p.start(p.work, true), nil) == nil {
@@ -336,16 +356,16 @@
 			next := p.start(p.work, false)
 			p.ready(next)
 			time.Sleep(100 * time.Millisecond)
-			p.end(next, syscall.SIGKILL)
+			p.kill(next)
 			p.handledNow()
 			next = p.start(p.work, false) // the old one is found again
 			p.ready(next)
-			p.end(old, syscall.SIGTERM)
+			p.stop(old)
 		}},
 		{"the old one is killed", true, func(p *platformHere, old *process) {
 			next := p.start(p.work, false)
 			p.ready(next)
-			p.end(old, syscall.SIGKILL)
+			p.kill(old)
 		}},
 		{"a stale socket and a drain", false, func(p *platformHere, old *process) {
 			next := p.start(p.work, false)
@@ -359,9 +379,9 @@
 			if err := next.call(node.DrainOff, ""); err != nil {
 				p.t.Error(err)
 			}
-			p.end(old, syscall.SIGTERM)
+			p.stop(old)
 			p.mayHave() // nobody is left who knows
-			p.end(next, syscall.SIGKILL)
+			p.kill(next)
 			p.ready(p.start(p.work, false)) // what is left of the dead is no hindrance
 		}},
 	} {
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -44,9 +44,7 @@
 	send := func(name, message string) {
 		t.Helper()
 		conn := c.dial()
-		if _, err := io.WriteString(conn, message); err != nil {
-			t.Fatal(err)
-		}
+		conn.send(message)
 		method, _, _ := strings.Cut(message, " ")
 		fmt.Fprintf(&out, "%s:\n%s%q\n", name, golden.Arrow, rawAnswer(t, conn, method))
 	}
@@ -81,9 +79,7 @@
 	send("budget of nothing", withHeads("handled-13", "X-Call-Class: run-verify", "X-Budget-Ms: 0"))
 	send("cost below nothing", job("handled-14", "X-Call-Cost: -1"))
 	send("no HTTP", "nonsense\r\n\r\n")
-	if _, err := io.WriteString(c.dial(), job("wait-1")); err != nil {
-		t.Fatal(err)
-	}
+	c.dial().send(job("wait-1"))
 	for ev := range c.told {
 		if strings.Contains(fmt.Sprintf("%+v", ev), "wait-1") {
 			break
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"strings"
 	"testing"
@@ -74,26 +73,26 @@
 	} {
 		c, h := halted(t, 2)
 		c.say("%s", let.name)
-		first, second := c.dial(), client{}
-		io.WriteString(first, job("handled-1"))
+		first := c.dial()
+		first.send(job("handled-1"))
 		c.event()
 		c.answer(first)
 		c.until("it rests", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 1 })
 		if strings.HasPrefix(let.name, "over") {
-			second = c.dial()
-			io.WriteString(second, job("handled-0"))
+			second := c.dial()
+			second.send(job("handled-0"))
 			c.event()
 			c.answer(second)
 			c.until("both rest", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 2 })
 		}
 		// The read that waits brings the first byte alone, and the next one is stopped.
 		waits := h.On(1, emulator.AfterRead, 0)
-		io.WriteString(first, job("handled-2")[:1])
+		first.send(job("handled-2")[:1])
 		c.reached(waits)
 		stop := h.On(1, emulator.BeforeRead, 0)
 		waits.Go()
 		c.reached(stop)
-		io.WriteString(first, job("handled-2")[1:])
+		first.send(job("handled-2")[1:])
 		cut := h.Cut()
 		let.let(c)
 		if h.Cut() != cut {
@@ -111,14 +110,14 @@
 func TestMessageAtLastLook(t *testing.T) {
 	c, h := halted(t, 10)
 	first := c.dial()
-	io.WriteString(first, job("handled-1"))
+	first.send(job("handled-1"))
 	c.event()
 	c.answer(first)
 	c.until("it rests", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 1 })
 	stop := h.At(emulator.AfterRead, 0)
 	c.front.gate.end()
 	c.reached(stop) // the read has ended by the deadline, with nothing
-	io.WriteString(first, job("handled-2"))
+	first.send(job("handled-2"))
 	stop.Go()
 	c.event()
 	c.answer(first)
@@ -130,7 +129,7 @@
 	c, h := halted(t, 10)
 	c.front.closeIn = 20 * time.Second // nothing here goes by time
 	first := c.dial()
-	io.WriteString(first, job("handled-1"))
+	first.send(job("handled-1"))
 	c.event()
 	c.answer(first)
 	c.until("it rests", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 1 })
@@ -138,7 +137,7 @@
 	closes := h.On(1, emulator.BeforeClose, 0)
 	c.front.gate.end()
 	c.reached(late) // the read has ended by the deadline, with nothing
-	io.WriteString(first, job("handled-2"))
+	first.send(job("handled-2"))
 	c.front.Close()
 	c.until("the front waits for it, or closes it", func() bool {
 		select {
@@ -164,12 +163,12 @@
 	c, h := halted(t, 10)
 	first := c.dial()
 	stop := h.At(emulator.AfterWrite, 0)
-	io.WriteString(first, job("handled-1"))
+	first.send(job("handled-1"))
 	c.event()
 	c.answer(first) // it says nothing of a close
 	c.reached(stop)
 	c.front.gate.end()
-	io.WriteString(first, job("handled-2"))
+	first.send(job("handled-2"))
 	stop.Go()
 	c.event()
 	c.answer(first)
@@ -181,7 +180,7 @@
 	c, h := halted(t, 10)
 	from := c.dial()
 	text := job("handled-1", "Content-Length: 4") + "bo"
-	io.WriteString(from, text)
+	from.send(text)
 	c.until("its head is read", func() bool {
 		half := false
 		c.eachConn(func(w *watched) { half = w.framing.heads == 1 && w.framing.skip == 2 })
@@ -200,7 +199,7 @@
 	if h.Cut() != cut {
 		t.Error("its read is cut short under a message")
 	}
-	io.WriteString(from, "dy")
+	from.send("dy")
 	c.event()
 	c.answer(from)
 	golden.Compare(t, "sent-away-body.txt", c.out.String())
@@ -213,9 +212,9 @@
 	leaves := func(title, together, later string) {
 		c.say("%s", title)
 		from := c.dial()
-		io.WriteString(from, job("wait-"+title[:1])+together)
+		from.send(job("wait-"+title[:1]) + together)
 		c.event()
-		io.WriteString(from, later)
+		from.send(later)
 		from.Close()
 		c.event()
 		c.until("its connection is closed", func() bool { open, _, _ := c.front.gate.counts(); return open == 0 })
@@ -227,7 +226,7 @@
 
 	c.say("one that only ends its sending reads that it is broken off")
 	from := c.dial()
-	io.WriteString(from, job("wait-h")+"PO")
+	from.send(job("wait-h") + "PO")
 	c.event()
 	from.Conn.(*net.TCPConn).CloseWrite()
 	c.event()
@@ -236,18 +235,18 @@
 	c.say("one that stays")
 	from = c.dial()
 	next := job("handled-2", "Content-Length: 6000") + strings.Repeat("b", 6000)
-	io.WriteString(from, job("wait-s"))
+	from.send(job("wait-s"))
 	c.event()
-	io.WriteString(from, next[:3])
+	from.send(next[:3])
 	c.until("it is read ahead", func() bool {
 		ahead := false
 		c.eachConn(func(w *watched) { ahead = ahead || w.ahead != nil })
 		return ahead
 	})
-	io.WriteString(from, next[3:5000])
+	from.send(next[3:5000])
 	c.front.Answer(node.Answer{Job: "wait-s", Result: []byte("at last")})
 	c.answer(from)
-	io.WriteString(from, next[5000:]+job("handled-3"))
+	from.send(next[5000:] + job("handled-3"))
 	c.event()
 	c.answer(from)
 	c.event()
@@ -290,7 +289,7 @@
 		t.Run(leave.title, func(t *testing.T) {
 			c, h := halted(t, 10)
 			from := c.dial()
-			io.WriteString(from, job("wait-1"))
+			from.send(job("wait-1"))
 			client := c.arrives().Client
 			if client.Gone() {
 				t.Fatal("it has gone before it left")
@@ -303,7 +302,7 @@
 			if !far {
 				c.front.gate.spare.Store(0) // as where others have taken it
 			}
-			io.WriteString(from, leave.early)
+			from.send(leave.early)
 			switch {
 			case far:
 			case len(leave.early) > longestRun:
@@ -338,7 +337,7 @@
 func TestGoneStays(t *testing.T) {
 	c, _ := halted(t, 10)
 	from := c.dial()
-	io.WriteString(from, job("wait-1")+job("wait-2")[:20])
+	from.send(job("wait-1") + job("wait-2")[:20])
 	first := c.arrives().Client
 	if first.Gone() {
 		t.Error("it has gone by what it sent early")
@@ -348,7 +347,7 @@
 	if !first.Gone() {
 		t.Error("it waits with its answer")
 	}
-	io.WriteString(from, job("wait-2")[20:])
+	from.send(job("wait-2")[20:])
 	second := c.arrives().Client
 	if second.Gone() || !first.Gone() {
 		t.Errorf("the second has gone: %v, the first has not: %v", second.Gone(), !first.Gone())
@@ -365,14 +364,14 @@
 func TestFarAheadStays(t *testing.T) {
 	c, _ := halted(t, 10)
 	from := c.dial()
-	io.WriteString(from, job("wait-0"))
+	from.send(job("wait-0"))
 	if c.arrives().Client.Gone() {
 		t.Fatal("it has gone")
 	}
 	const next = 40
 	go func() {
 		for i := range next {
-			io.WriteString(from, job(fmt.Sprint("handled-", i+1), "Content-Length: 30000")+strings.Repeat("b", 30000))
+			from.send(job(fmt.Sprint("handled-", i+1), "Content-Length: 30000") + strings.Repeat("b", 30000))
 		}
 	}()
 	c.until("it is read far ahead", func() bool { return c.front.gate.spare.Load() <= spareRun-10*30000 })
@@ -397,11 +396,11 @@
 	c, h := halted(t, 10)
 	stop := h.On(2, emulator.BeforeRead, 0)
 	told := c.dial()
-	io.WriteString(told, job("wait-1"))
+	told.send(job("wait-1"))
 	c.event() // the reducer has ended: it does not look at it
 	late := c.dial()
 	c.reached(stop)
-	io.WriteString(late, job("wait-2"))
+	late.send(job("wait-2"))
 	over := make(chan struct{})
 	go func() {
 		c.front.End()
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -57,8 +57,14 @@
 		t.Fatal(err)
 	}
 	c.addr = l.Addr().String()
-	go c.front.Serve(halts.Listener(l))
-	t.Cleanup(func() { c.front.server.Close() })
+	served := make(chan error, 1)
+	go func() { served <- c.front.Serve(halts.Listener(l)) }()
+	t.Cleanup(func() {
+		c.front.server.Close()
+		if err := <-served; err != nil {
+			t.Errorf("serving: %v", err)
+		}
+	})
 	return c
 }
 
@@ -94,6 +100,15 @@
 type client struct {
 	net.Conn
 	in *bufio.Reader
+	t  *testing.T
+}
+
+// send writes text as it stands; the test fails where that cannot be done.
+func (c client) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.Conn, text); err != nil {
+		c.t.Errorf("sending %.40q: %v", text, err)
+	}
 }
 
 func (c *core) dial() client {
@@ -104,7 +119,7 @@
 	}
 	c.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
-	return client{conn, bufio.NewReader(conn)}
+	return client{conn, bufio.NewReader(conn), c.t}
 }
 
 // answer prints what comes back.
@@ -141,7 +156,7 @@
 	ask := func(title, text string, arrives bool) {
 		c.out.WriteString(title + "\n")
 		from := c.dial()
-		io.WriteString(from, text)
+		from.send(text)
 		if arrives {
 			c.event()
 		}
@@ -167,14 +182,14 @@
 	c.out.WriteString("chunks behind other messages, in pieces\n")
 	slow := c.dial()
 	for _, part := range []string{"OPTIONS * HTTP/1.1\r\nHost: n\r\n\r\n", job("handled-1", "Content-Length: 36") + "Content-Length: 4\r\n\r\nPOST / HTTP/1.1"} {
-		io.WriteString(slow, part)
+		slow.send(part)
 		if strings.HasPrefix(part, "POST") {
 			c.event()
 		}
 		c.answer(slow)
 	}
 	for _, part := range strings.SplitAfter(job("handled-2", "Transfer-Encoding: chunked")+"4\r\nbody\r\n0\r\n\r\n", "e") {
-		io.WriteString(slow, part)
+		slow.send(part)
 	}
 	c.event()
 	c.answer(slow)
@@ -208,15 +223,15 @@
 	c.out.WriteString("one connection, one after another\n")
 	from := c.dial()
 	for range 2 {
-		io.WriteString(from, job("handled-again"))
+		from.send(job("handled-again"))
 		c.event()
 		c.answer(from)
 	}
 	c.out.WriteString("an id that is in hand, and a client that leaves\n")
 	first := c.dial()
-	io.WriteString(first, job("wait"))
+	first.send(job("wait"))
 	c.event()
-	io.WriteString(from, job("wait"))
+	from.send(job("wait"))
 	c.event()
 	c.answer(from)
 	first.Close()
@@ -224,14 +239,14 @@
 	c.front.Answer(node.Answer{Job: "wait"})
 	c.out.WriteString("a client that ends its sending\n")
 	first = c.dial()
-	io.WriteString(first, job("wait"))
+	first.send(job("wait"))
 	c.event()
 	first.Conn.(*net.TCPConn).CloseWrite()
 	c.event()
 	c.answer(first)
 	c.out.WriteString("a body that is cut touches nothing else\n")
 	first = c.dial()
-	io.WriteString(first, job("handled", "Content-Length: 9")+"half")
+	first.send(job("handled", "Content-Length: 9") + "half")
 	first.Conn.(*net.TCPConn).CloseWrite()
 	c.answer(first)
 	golden.Compare(t, "messages.txt", c.out.String())
@@ -242,17 +257,17 @@
 func TestStalls(t *testing.T) {
 	c := newCore(t, 100, func(s *http.Server) { s.ReadTimeout, s.ReadHeaderTimeout = time.Second, time.Second })
 	resting, waiting := c.dial(), c.dial()
-	io.WriteString(resting, job("handled-1"))
+	resting.send(job("handled-1"))
 	c.event()
 	c.answer(resting)
-	io.WriteString(waiting, job("wait", "Content-Length: 4")+"body")
+	waiting.send(job("wait", "Content-Length: 4") + "body")
 	c.event()
 	texts := []string{"", "POST / HTTP/1.1\r\nX-Ca", job("handled-2", "Content-Length: 9") + "half",
 		job("", "Content-Length: 9") + "half"}
 	var stalls []client
 	for _, text := range texts {
 		from := c.dial()
-		io.WriteString(from, text)
+		from.send(text)
 		stalls = append(stalls, from)
 	}
 	for i, from := range stalls {
@@ -261,7 +276,7 @@
 	}
 	c.front.Answer(node.Answer{Job: "wait", Result: []byte("the result")})
 	c.answer(waiting)
-	io.WriteString(resting, job("handled-3"))
+	resting.send(job("handled-3"))
 	c.event()
 	c.answer(resting)
 	golden.Compare(t, "stalls.txt", c.out.String())
@@ -272,16 +287,16 @@
 func TestEnding(t *testing.T) {
 	c := newCore(t, 100)
 	resting, waiting := c.dial(), c.dial()
-	io.WriteString(resting, job("handled-1"))
+	resting.send(job("handled-1"))
 	c.event()
 	c.answer(resting)
-	io.WriteString(waiting, job("wait"))
+	waiting.send(job("wait"))
 	c.event()
 	c.out.WriteString("told to end\n")
 	c.front.Ending()
 	c.answer(resting)
 	late := c.dial()
-	io.WriteString(late, job("handled-2"))
+	late.send(job("handled-2"))
 	c.event()
 	c.answer(late)
 	c.front.Answer(node.Answer{Job: "wait", Result: []byte("in time")})
@@ -305,7 +320,7 @@
 func TestEdge(t *testing.T) {
 	c := newCore(t, 2)
 	say := func(from client, id string) {
-		io.WriteString(from, job(id))
+		from.send(job(id))
 		c.event()
 	}
 	first, second := c.dial(), c.dial()
@@ -332,7 +347,7 @@
 func TestStrangers(t *testing.T) {
 	c := newCore(t, 8)
 	say := func(from client, id string) {
-		io.WriteString(from, job(id))
+		from.send(job(id))
 		c.event()
 	}
 	usual, waits := c.dial(), c.dial()
@@ -340,7 +355,7 @@
 	c.answer(usual)
 	say(waits, "wait")
 	for i := range 40 {
-		io.WriteString(c.dial(), []string{"", "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n", "POST /half"}[i%3])
+		c.dial().send([]string{"", "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n", "POST /half"}[i%3])
 	}
 	for range 2 {
 		say(usual, "handled-2")
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -22,6 +22,7 @@
 
 // bench is a network of two hosts, and what each end sees of a connection, with its time to the millisecond.
 type bench struct {
+	t     *testing.T
 	net   *Net
 	path  Path
 	start time.Time
@@ -82,6 +83,14 @@
 	b.print(who, "writes %d", n)
 }
 
+// sends writes text, which must succeed.
+func (b *bench) sends(c net.Conn, text string) {
+	b.t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		b.t.Errorf("sending %q: %v", text, err)
+	}
+}
+
 // What a connection does in each kind of trouble, as both ends see it.
 func TestConnections(t *testing.T) {
 	var all strings.Builder
@@ -176,7 +185,7 @@
 		}},
 	} {
 		synctesting.Test(t, func(t *testing.T) {
-			b := &bench{start: time.Now(), path: Path{Delay: 10 * time.Millisecond}}
+			b := &bench{t: t, start: time.Now(), path: Path{Delay: 10 * time.Millisecond}}
 			b.net = New(1, func(_, _ string) Path { return b.path })
 			l, err := b.net.Listen("there", "there:1")
 			if err != nil {
@@ -215,14 +224,14 @@
 		want bool
 	}{
 		{"nothing", func(*bench, *Conn, *Conn) {}, false},
-		{"bytes", func(_ *bench, _, there *Conn) { there.Write([]byte("ab")) }, false},
+		{"bytes", func(b *bench, _, there *Conn) { b.sends(there, "ab") }, false},
 		{"the end of its sending", func(_ *bench, _, there *Conn) { there.CloseWrite() }, true},
-		{"its end, behind bytes", func(_ *bench, _, there *Conn) { there.Write([]byte("ab")); there.Close() }, true},
+		{"its end, behind bytes", func(b *bench, _, there *Conn) { b.sends(there, "ab"); there.Close() }, true},
 		{"a break", func(_ *bench, _, there *Conn) { there.Reset() }, true},
 		{"its end, held up", func(b *bench, _, there *Conn) { b.path.Hold = time.Hour; there.Close() }, false},
 	} {
 		synctesting.Test(t, func(t *testing.T) {
-			b := &bench{path: Path{Delay: 10 * time.Millisecond}}
+			b := &bench{t: t, path: Path{Delay: 10 * time.Millisecond}}
 			b.net = New(1, func(_, _ string) Path { return b.path })
 			l, err := b.net.Listen("there", "there:1")
 			if err != nil {
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -213,7 +213,9 @@
 	end := func(conns []net.Conn, more string) {
 		for _, c := range conns {
 			if more != "" {
-				c.Write([]byte(more))
+				if _, err := c.Write([]byte(more)); err != nil {
+					t.Error(err)
+				}
 			}
 		}
 		for _, c := range conns {
--- a/internal/service/ready_test.go
+++ b/internal/service/ready_test.go
@@ -68,7 +68,7 @@
 				if err != nil {
 					return
 				}
-				go slowly(over, c, &silent)
+				go slowly(t, over, c, &silent)
 			}
 		}()
 	}
@@ -128,7 +128,7 @@
 }
 
 // slowly answers calls of the list, each in 1.5 s; those that come while discovery is silent, never.
-func slowly(over context.Context, c net.Conn, silent *atomic.Bool) {
+func slowly(t *testing.T, over context.Context, c net.Conn, silent *atomic.Bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -137,7 +137,9 @@
 			return
 		}
 		if silent.Load() {
-			in.ReadByte() // until the node gives it up
+			if b, err := in.ReadByte(); err == nil { // until the node gives it up
+				t.Errorf("%q came while the list was awaited", b)
+			}
 			return
 		}
 		entries := []emulator.Entry{{Addr: "127.0.0.1:81", Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true}}}
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -27,12 +27,20 @@
 	return dialled.(*net.TCPConn), taken.(*net.TCPConn)
 }
 
+// send writes text, which must succeed.
+func send(t testing.TB, to net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(to, text); err != nil {
+		t.Errorf("sending %q: %v", text, err)
+	}
+}
+
 // What the last look costs an attempt: one call of the system, two behind bytes that nobody has read.
 func BenchmarkEnded(b *testing.B) {
 	for _, early := range []string{"", "P"} {
 		b.Run("early="+early, func(b *testing.B) {
 			near, far := pair(b)
-			io.WriteString(far, early)
+			send(b, far, early)
 			b.ReportAllocs()
 			for b.Loop() {
 				if ended, _ := Ended(near); ended {
@@ -46,7 +54,7 @@
 // peer is what the other side does, and whether a look sees something by it.
 type peer struct {
 	name string
-	do   func(*net.TCPConn)
+	do   func(testing.TB, *net.TCPConn)
 	want bool
 }
 
@@ -54,7 +62,7 @@
 func looks(t *testing.T, look func(net.Conn) (yes, known bool), peers ...peer) {
 	for _, p := range peers {
 		near, far := pair(t)
-		p.do(far)
+		p.do(t, far)
 		for range 2 { // the first took nothing of it
 			if yes, known := look(near); yes != p.want || !known {
 				t.Errorf("%s: %v, known %v", p.name, yes, known)
@@ -75,19 +83,19 @@
 // Nothing, bytes, an end and a break are told apart from nothing without being taken; what is no socket can't say.
 func TestPending(t *testing.T) {
 	looks(t, Pending,
-		peer{"nothing", func(*net.TCPConn) {}, false},
-		peer{"bytes", func(c *net.TCPConn) { io.WriteString(c, "ab") }, true},
-		peer{"its end", func(c *net.TCPConn) { c.CloseWrite() }, true},
-		peer{"a break", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, true})
+		peer{"nothing", func(testing.TB, *net.TCPConn) {}, false},
+		peer{"bytes", func(t testing.TB, c *net.TCPConn) { send(t, c, "ab") }, true},
+		peer{"its end", func(_ testing.TB, c *net.TCPConn) { c.CloseWrite() }, true},
+		peer{"a break", func(_ testing.TB, c *net.TCPConn) { c.SetLinger(0); c.Close() }, true})
 }
 
 // The other side's end is seen, also behind bytes, and bytes alone are none; nothing is taken.
 func TestEnded(t *testing.T) {
 	looks(t, Ended,
-		peer{"nothing", func(*net.TCPConn) {}, false},
-		peer{"bytes", func(c *net.TCPConn) { io.WriteString(c, "ab") }, false},
-		peer{"the end of its sending", func(c *net.TCPConn) { c.CloseWrite() }, true},
-		peer{"its end", func(c *net.TCPConn) { c.Close() }, true},
-		peer{"a break", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, true},
-		peer{"bytes, and its end", func(c *net.TCPConn) { io.WriteString(c, "ab"); c.Close() }, true})
+		peer{"nothing", func(testing.TB, *net.TCPConn) {}, false},
+		peer{"bytes", func(t testing.TB, c *net.TCPConn) { send(t, c, "ab") }, false},
+		peer{"the end of its sending", func(_ testing.TB, c *net.TCPConn) { c.CloseWrite() }, true},
+		peer{"its end", func(_ testing.TB, c *net.TCPConn) { c.Close() }, true},
+		peer{"a break", func(_ testing.TB, c *net.TCPConn) { c.SetLinger(0); c.Close() }, true},
+		peer{"bytes, and its end", func(t testing.TB, c *net.TCPConn) { send(t, c, "ab"); c.Close() }, true})
 }
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -81,11 +81,18 @@
 	if err != nil {
 		u.t.Fatalf("no allocation came after:\n%s", u.out.String())
 	}
-	io.Copy(io.Discard, m.Body)
+	if _, err := io.Copy(io.Discard, m.Body); err != nil {
+		u.t.Fatalf("the body of an allocation: %v", err)
+	}
 	return m
 }
 
-func (u *used) says(text string) { io.WriteString(u.executor, text) }
+func (u *used) says(text string) {
+	u.t.Helper()
+	if _, err := io.WriteString(u.executor, text); err != nil {
+		u.t.Errorf("the executor's answer: %v", err)
+	}
+}
 
 func (u *used) reached(s *emulator.Stop) {
 	u.t.Helper()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -37,10 +37,14 @@
 		for _, text := range texts {
 			switch text {
 			case "unread":
-				r.Peek(1)
+				if _, err := r.Peek(1); err != nil {
+					t.Errorf("no byte came: %v", err)
+				}
 				return
 			case "unasked":
-				io.WriteString(c, text)
+				if _, err := io.WriteString(c, text); err != nil {
+					t.Errorf("what nobody asked for: %v", err)
+				}
 				continue
 			}
 			m, err := http.ReadRequest(r)
@@ -54,7 +58,9 @@
 			if text == "broken" {
 				return
 			}
-			io.WriteString(c, text)
+			if _, err := io.WriteString(c, text); err != nil {
+				t.Errorf("an answer: %v", err)
+			}
 		}
 	}()
 	return l.Addr().String(), got
@@ -66,7 +72,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Close(fd) })
+	t.Cleanup(func() {
+		if err := syscall.Close(fd); err != nil {
+			t.Error(err)
+		}
+	})
 	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}),
 		syscall.Listen(fd, 0)); err != nil {
 		t.Fatal(err)
@@ -258,7 +268,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Read(make([]byte, 1))
+	if _, err := c.Read(make([]byte, 1)); err != nil {
+		t.Fatal(err)
+	}
 	pool.Close(2)
 	end()
 
@@ -267,7 +279,9 @@
 	if c, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	http.ReadRequest(bufio.NewReader(c))
+	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+		t.Fatal(err)
+	}
 	pool.Close(3)
 	end()
 
