--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -89,7 +89,7 @@
 	}()
 	log.Info().Str("listen", c.Listen).Int("known", len(c.known.Executors)).Int("clients", fromClients).
 		Int("executors", toExecutors).Msg("the node is up")
-	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: frontend.Budget{Whole: fromClients, Half: fromFewer}, Known: c.known, Discovery: c.Discovery,
+	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: frontend.ConnLimits{Max: fromClients, MaxShared: fromFewer}, Known: c.known, Discovery: c.Discovery,
 		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.Shared, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: upstream.TCP(c.Settings.DialLimit), Log: log,
 		Limits: node.Limits{Quantum: p.Quantum, MaxIdle: c.Settings.IdleLimit * 4 / 5, DialTimeout: c.Settings.DialLimit,
 			MaxConns: toExecutors, MaxConnsShared: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, MaxBodyBytes: int(c.Memory / 4), RetryAfter: p.MaxRetryAfter,
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -183,7 +183,7 @@
 		service.Run(ctx, service.Setup{Settings: config.Settings{Policy: p, Tracks: names, Load: config.LoadAt{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
 			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: 100 * time.Millisecond, MaxConns: 100, MaxBodyBytes: 10 << 20,
 				MaxWork: time.Hour, RetryAfter: time.Second, LameDuckPeriod: 100 * time.Millisecond, ShutdownTimeout: 200 * time.Millisecond},
-			ClientConns: frontend.Budget{Whole: 300}, Discovery: "127.0.0.1:8500", Start: start, Module: policy.New(p), Listener: l, Executors: dial,
+			ClientConns: frontend.ConnLimits{Max: 300}, Discovery: "127.0.0.1:8500", Start: start, Module: policy.New(p), Listener: l, Executors: dial,
 			List: func(ctx context.Context, _, addr string) (net.Conn, error) { return dial(ctx, next(), addr) }, Log: zerolog.Nop(), Durable: d}, more)
 	}()
 	w.mu.Lock()
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -37,7 +37,7 @@
 // TestAnswerBytes pins each kind of answer to a client, byte for byte with all heads.
 func TestAnswerBytes(t *testing.T) {
 	c := newCore(t, 100)
-	c.front.Aside("/durable/", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	c.front.HandlePrefix("/durable/", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusAccepted)
 	}))
 	var out strings.Builder
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -39,17 +39,17 @@
 	}
 }
 
-func (g *gate) counts() (open, resting, leaving int) {
+func (g *connTable) counts() (open, resting, leaving int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.open, g.resting.Len(), g.leaving.Len()
+	return g.open, g.idleConns.Len(), g.closingConns.Len()
 }
 
 // eachConn looks at all connections, each under its lock.
-func (c *core) eachConn(look func(*watched)) {
-	c.front.gate.mu.Lock()
-	defer c.front.gate.mu.Unlock()
-	for _, p := range c.front.gate.places {
+func (c *core) eachConn(look func(*clientConn)) {
+	c.front.conns.mu.Lock()
+	defer c.front.conns.mu.Unlock()
+	for _, p := range c.front.conns.entries {
 		p.conn.mu.Lock()
 		look(p.conn)
 		p.conn.mu.Unlock()
@@ -64,10 +64,10 @@
 		name string
 		let  func(*core)
 	}{
-		{"the node ends", func(c *core) { c.front.gate.end() }},
+		{"the node ends", func(c *core) { c.front.conns.enterLameDuck() }},
 		{"clients are sent away", func(c *core) {
-			c.front.gate.sendAway(true)
-			c.front.gate.letAwayGo()
+			c.front.conns.setDraining(true)
+			c.front.conns.closeDrained()
 		}},
 		{"over the budget", func(c *core) { c.front.HalveLimits(true) }},
 	} {
@@ -77,13 +77,13 @@
 		first.send(job("handled-1"))
 		c.event()
 		c.answer(first)
-		c.until("it rests", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 1 })
+		c.until("it rests", func() bool { _, resting, _ := c.front.conns.counts(); return resting == 1 })
 		if strings.HasPrefix(let.name, "over") {
 			second := c.dial()
 			second.send(job("handled-0"))
 			c.event()
 			c.answer(second)
-			c.until("both rest", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 2 })
+			c.until("both rest", func() bool { _, resting, _ := c.front.conns.counts(); return resting == 2 })
 		}
 		// The read that waits brings the first byte alone, and the next one is stopped.
 		waits := h.On(1, emulator.AfterRead, 0)
@@ -101,7 +101,7 @@
 		stop.Go()
 		c.event()
 		c.answer(first)
-		c.front.server.Close()
+		c.front.http.Close()
 		golden.Compare(t, "let-go-"+strings.Fields(let.name)[0]+".txt", c.out.String())
 	}
 }
@@ -113,9 +113,9 @@
 	first.send(job("handled-1"))
 	c.event()
 	c.answer(first)
-	c.until("it rests", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 1 })
+	c.until("it rests", func() bool { _, resting, _ := c.front.conns.counts(); return resting == 1 })
 	stop := h.At(emulator.AfterRead, 0)
-	c.front.gate.end()
+	c.front.conns.enterLameDuck()
 	c.reached(stop) // the read has ended by the deadline, with nothing
 	first.send(job("handled-2"))
 	stop.Go()
@@ -127,15 +127,15 @@
 // The front closes while a connection that is let go holds a message that its owner has not come to: it is answered first.
 func TestMessageWhenTheFrontCloses(t *testing.T) {
 	c, h := halted(t, 10)
-	c.front.closeIn = 20 * time.Second // nothing here goes by time
+	c.front.closeTimeout = 20 * time.Second // nothing here goes by time
 	first := c.dial()
 	first.send(job("handled-1"))
 	c.event()
 	c.answer(first)
-	c.until("it rests", func() bool { _, resting, _ := c.front.gate.counts(); return resting == 1 })
+	c.until("it rests", func() bool { _, resting, _ := c.front.conns.counts(); return resting == 1 })
 	late := h.On(1, emulator.AfterRead, 0)
 	closes := h.On(1, emulator.BeforeClose, 0)
-	c.front.gate.end()
+	c.front.conns.enterLameDuck()
 	c.reached(late) // the read has ended by the deadline, with nothing
 	first.send(job("handled-2"))
 	c.front.Close()
@@ -146,9 +146,9 @@
 			return true
 		default:
 		}
-		c.front.gate.mu.Lock()
-		defer c.front.gate.mu.Unlock()
-		return c.front.gate.closing
+		c.front.conns.mu.Lock()
+		defer c.front.conns.mu.Unlock()
+		return c.front.conns.shuttingDown
 	})
 	closes.Go()
 	late.Go()
@@ -167,7 +167,7 @@
 	c.event()
 	c.answer(first) // it says nothing of a close
 	c.reached(stop)
-	c.front.gate.end()
+	c.front.conns.enterLameDuck()
 	first.send(job("handled-2"))
 	stop.Go()
 	c.event()
@@ -183,18 +183,18 @@
 	from.send(text)
 	c.until("its head is read", func() bool {
 		half := false
-		c.eachConn(func(w *watched) { half = w.framing.heads == 1 && w.framing.skip == 2 })
+		c.eachConn(func(w *clientConn) { half = w.framer.completeHeads == 1 && w.framer.bodyRemaining == 2 })
 		return half
 	})
-	c.front.gate.mu.Lock()
-	for _, p := range c.front.gate.places {
-		p.since = time.Now().Add(-newcomer)
+	c.front.conns.mu.Lock()
+	for _, p := range c.front.conns.entries {
+		p.openedAt = time.Now().Add(-newConnGrace)
 	}
-	c.front.gate.mu.Unlock()
+	c.front.conns.mu.Unlock()
 	cut := h.Cut()
-	c.front.gate.sendAway(true)
+	c.front.conns.setDraining(true)
 	for range 3 {
-		c.front.gate.letAwayGo()
+		c.front.conns.closeDrained()
 	}
 	if h.Cut() != cut {
 		t.Error("its read is cut short under a message")
@@ -217,7 +217,7 @@
 		from.send(later)
 		from.Close()
 		c.event()
-		c.until("its connection is closed", func() bool { open, _, _ := c.front.gate.counts(); return open == 0 })
+		c.until("its connection is closed", func() bool { open, _, _ := c.front.conns.counts(); return open == 0 })
 	}
 	leaves("a byte of the next, later", "", "P")
 	leaves("both: a byte together and more later", "P", "OST")
@@ -240,7 +240,7 @@
 	from.send(next[:3])
 	c.until("it is read ahead", func() bool {
 		ahead := false
-		c.eachConn(func(w *watched) { ahead = ahead || w.ahead != nil })
+		c.eachConn(func(w *clientConn) { ahead = ahead || w.readAhead != nil })
 		return ahead
 	})
 	from.send(next[3:5000])
@@ -283,7 +283,7 @@
 		{"it only ends its sending", "", func(c *net.TCPConn) { c.CloseWrite() }},
 		{"it closes behind a byte of its next message", "P", func(c *net.TCPConn) { c.Close() }},
 		{"it closes behind a whole one", job("never-1"), func(c *net.TCPConn) { c.Close() }},
-		{"it closes behind more than is read ahead", strings.Repeat("a", longestRun+8<<10), func(c *net.TCPConn) { c.Close() }},
+		{"it closes behind more than is read ahead", strings.Repeat("a", maxReadAhead+8<<10), func(c *net.TCPConn) { c.Close() }},
 		{"it closes behind far more, and nobody else does so", strings.Repeat("a", 1<<20), func(c *net.TCPConn) { c.Close() }},
 	} {
 		t.Run(leave.title, func(t *testing.T) {
@@ -296,19 +296,19 @@
 			}
 			stop := h.On(1, emulator.AfterRead, 0)
 			far := len(leave.early) >= 1<<20
-			if len(leave.early) > longestRun {
+			if len(leave.early) > maxReadAhead {
 				stop.Go()
 			}
 			if !far {
-				c.front.gate.spare.Store(0) // as where others have taken it
+				c.front.conns.spareReadAhead.Store(0) // as where others have taken it
 			}
 			from.send(leave.early)
 			switch {
 			case far:
-			case len(leave.early) > longestRun:
+			case len(leave.early) > maxReadAhead:
 				c.until("all that is read ahead is", func() bool {
 					done := false
-					c.eachConn(func(w *watched) { done = w.ahead != nil && w.ahead.done })
+					c.eachConn(func(w *clientConn) { done = w.readAhead != nil && w.readAhead.done })
 					return done
 				})
 			case leave.early != "":
@@ -321,12 +321,12 @@
 			c.until("it is seen to have gone", client.Gone)
 			c.event()
 			stop.Go()
-			c.until("its connection is closed", func() bool { open, _, _ := c.front.gate.counts(); return open == 0 })
+			c.until("its connection is closed", func() bool { open, _, _ := c.front.conns.counts(); return open == 0 })
 			if got, want := c.out.String(), "  left: wait-1\n"; got != want || len(c.told) > 0 {
 				t.Errorf("told %q and %d more, not %q", got, len(c.told), want)
 			}
 			if far {
-				c.until("what it took of the spare bytes is given back", func() bool { return c.front.gate.spare.Load() == spareRun })
+				c.until("what it took of the spare bytes is given back", func() bool { return c.front.conns.spareReadAhead.Load() == totalSpareReadAhead })
 			}
 		})
 	}
@@ -374,7 +374,7 @@
 			from.send(job(fmt.Sprint("handled-", i+1), "Content-Length: 30000") + strings.Repeat("b", 30000))
 		}
 	}()
-	c.until("it is read far ahead", func() bool { return c.front.gate.spare.Load() <= spareRun-10*30000 })
+	c.until("it is read far ahead", func() bool { return c.front.conns.spareReadAhead.Load() <= totalSpareReadAhead-10*30000 })
 	c.front.Answer(node.Answer{Job: "wait-0", Result: []byte("the result")})
 	c.answer(from)
 	for i := range next {
@@ -387,7 +387,7 @@
 		t.Errorf("%d answers of %d", got, next+1)
 	}
 	from.Close()
-	c.until("what it took of the spare bytes is given back", func() bool { return c.front.gate.spare.Load() == spareRun })
+	c.until("what it took of the spare bytes is given back", func() bool { return c.front.conns.spareReadAhead.Load() == totalSpareReadAhead })
 }
 
 // Nobody takes batch jobs any more: what comes whole at that moment is pushed back, and what comes on a connection that was
@@ -403,7 +403,7 @@
 	late.send(job("wait-2"))
 	over := make(chan struct{})
 	go func() {
-		c.front.End()
+		c.front.Stop()
 		close(over)
 	}()
 	c.answer(told)
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -5,30 +5,30 @@
 	"strconv"
 )
 
-// framing follows what is read on a client's connection, up to the first message in chunks. Guards against a message with
+// requestFramer follows what is read on a client's connection, up to the first message in chunks. Guards against a message with
 // both a length and chunks: net/http keeps to the chunks and drops the length without a word, and what the one covers and
 // the other does not may hide a batch job.
-type framing struct {
-	heads  int    // whole ones
-	ended  bool   // nothing more is followed: a message in chunks has come, or one that makes no sense
-	chunks bool   // the last whole head says so,
-	length bool   // and has a length as well
-	body   int64  // how long this head says its body is
-	skip   int64  // bytes of a body still to come
-	begun  bool   // the line is not a head's first
-	line   []byte // what has come of it, as far as it may matter
-	field  bool   // this head has a length so far,
-	coding bool   // and a transfer coding
+type requestFramer struct {
+	completeHeads int    // whole ones
+	stopped       bool   // nothing more is followed: a message in chunks has come, or one that makes no sense
+	chunked       bool   // the last whole head says so,
+	hasLength     bool   // and has a length as well
+	contentLength int64  // how long this head says its body is
+	bodyRemaining int64  // bytes of a body still to come
+	inHead        bool   // the line is not a head's first
+	line          []byte // what has come of it, as far as it may matter
+	headHasLength bool   // this head has a length so far,
+	headHasCoding bool   // and a transfer coding
 }
 
-// longestField is more than any length takes with its name.
-const longestField = 80
+// maxFieldLine is more than any length takes with its name.
+const maxFieldLine = 80
 
-func (f *framing) follow(b []byte) {
-	for len(b) > 0 && !f.ended {
-		if f.skip > 0 {
-			n := min(f.skip, int64(len(b)))
-			f.skip -= n
+func (f *requestFramer) observe(b []byte) {
+	for len(b) > 0 && !f.stopped {
+		if f.bodyRemaining > 0 {
+			n := min(f.bodyRemaining, int64(len(b)))
+			f.bodyRemaining -= n
 			b = b[n:]
 			continue
 		}
@@ -39,7 +39,7 @@
 		} else {
 			b = nil
 		}
-		if room := longestField - len(f.line); room > 0 {
+		if room := maxFieldLine - len(f.line); room > 0 {
 			f.line = append(f.line, part[:min(room, len(part))]...)
 		}
 		if end >= 0 {
@@ -49,20 +49,20 @@
 	}
 }
 
-func (f *framing) endLine(line []byte) {
+func (f *requestFramer) endLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	switch {
-	case !f.begun:
-		f.begun = true
+	case !f.inHead:
+		f.inHead = true
 	case len(line) == 0:
-		f.heads++
-		f.chunks, f.length = f.coding, f.field
-		f.ended = f.coding
-		f.skip, f.body, f.begun, f.field, f.coding = f.body, 0, false, false, false
+		f.completeHeads++
+		f.chunked, f.hasLength = f.headHasCoding, f.headHasLength
+		f.stopped = f.headHasCoding
+		f.bodyRemaining, f.contentLength, f.inHead, f.headHasLength, f.headHasCoding = f.contentLength, 0, false, false, false
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		f.coding = true
+		f.headHasCoding = true
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		n, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
-		f.field, f.body, f.ended = true, n, err != nil || n < 0 || len(line) >= longestField-1
+		f.headHasLength, f.contentLength, f.stopped = true, n, err != nil || n < 0 || len(line) >= maxFieldLine-1
 	}
 }
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -15,112 +15,114 @@
 	"birchstair/policy"
 )
 
-// Front takes batch jobs in.
-type Front struct {
-	tell   func(node.Event)
-	tracks atomic.Pointer[map[string]track] // by name; never changed, only replaced
-	server http.Server
-	gate   *gate
-	ready  atomic.Bool
-	over   chan struct{} // closed when nobody takes batch jobs any more
-
-	closeIn time.Duration // answers on their way out have so long: closeSpell
-
-	mu      sync.Mutex
-	waiting map[policy.JobID]chan node.Answer
-	aside   map[string]http.Handler // by the path that they begin with
+// Server takes batch jobs in.
+type Server struct {
+	post       func(node.Event)
+	jobClasses atomic.Pointer[map[string]jobClass] // by name; never changed, only replaced
+	http       http.Server
+	conns      *connTable
+	ready      atomic.Bool
+	stopped    chan struct{} // closed when nobody takes batch jobs any more
+
+	closeTimeout time.Duration // answers on their way out have so long: closeSpell
+
+	mu             sync.Mutex
+	pending        map[policy.JobID]chan node.Answer
+	prefixHandlers map[string]http.Handler // by the path that they begin with
 }
 
-// connKey is where a message's context has its connection.
-type connKey struct{}
+// connContextKey is where a message's context has its connection.
+type connContextKey struct{}
 
-// track is what a batch job's track asks of it.
-type track struct {
-	id     policy.JobClassID
-	limit  time.Duration // its outer limit
-	tagged bool          // it comes with a tag
+// jobClass is what a batch job's track asks of it.
+type jobClass struct {
+	id          policy.JobClassID
+	deadline    time.Duration // its outer limit
+	requiresKey bool          // it comes with a tag
 }
 
 // New makes a front for tracks, with a budget of connections.
-func New(tracks []node.NumberedClass, conns Budget, tell func(node.Event)) *Front {
-	f := &Front{tell: tell, gate: newGate(conns), over: make(chan struct{}), closeIn: closeSpell,
-		waiting: map[policy.JobID]chan node.Answer{}}
+func New(tracks []node.NumberedClass, conns ConnLimits, tell func(node.Event)) *Server {
+	f := &Server{post: tell, conns: newConnTable(conns), stopped: make(chan struct{}), closeTimeout: defaultCloseTimeout,
+		pending: map[policy.JobID]chan node.Answer{}}
 	f.UpdateJobClasses(tracks)
-	f.server = http.Server{Handler: http.HandlerFunc(f.handle), ConnState: f.gate.turned,
+	f.http = http.Server{Handler: http.HandlerFunc(f.handle), ConnState: f.conns.onStateChange,
 		DisableGeneralOptionsHandler: true, // so that the handler sees every message
 		// Together from the first moment on, so that nobody holds a place by sending ever less.
-		ReadHeaderTimeout: headSpell, ReadTimeout: wholeSpell, IdleTimeout: idleSpell, MaxHeaderBytes: longestHead,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
+		ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, c)
+		}}
 	return f
 }
 
-// Aside hands all messages whose path begins so to another handler; it is called before Serve. Their connections and bodies keep the front's bounds.
-func (f *Front) Aside(path string, to http.Handler) {
-	if f.aside == nil {
-		f.aside = map[string]http.Handler{}
+// HandlePrefix hands all messages whose path begins so to another handler; it is called before Serve. Their connections and bodies keep the front's bounds.
+func (f *Server) HandlePrefix(path string, to http.Handler) {
+	if f.prefixHandlers == nil {
+		f.prefixHandlers = map[string]http.Handler{}
 	}
-	f.aside[path] = to
+	f.prefixHandlers[path] = to
 }
 
 // UpdateJobClasses says which tracks there are from now on. What has been read under those before goes on under them.
-func (f *Front) UpdateJobClasses(tracks []node.NumberedClass) {
-	all := map[string]track{}
+func (f *Server) UpdateJobClasses(tracks []node.NumberedClass) {
+	all := map[string]jobClass{}
 	for _, t := range tracks {
-		all[t.Name] = track{t.ID, t.Deadline, t.Idempotency == policy.IdempotentWithKey}
+		all[t.Name] = jobClass{t.ID, t.Deadline, t.Idempotency == policy.IdempotentWithKey}
 	}
-	f.tracks.Store(&all)
+	f.jobClasses.Store(&all)
 }
 
 // SetReady says whether the node is to be given batch jobs.
-func (f *Front) SetReady(yes bool) { f.ready.Store(yes) }
+func (f *Server) SetReady(yes bool) { f.ready.Store(yes) }
 
 // Answer gives a batch job's final answer to the handler that waits for it.
-func (f *Front) Answer(a node.Answer) {
+func (f *Server) Answer(a node.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if to := f.waiting[a.Job]; to != nil {
-		delete(f.waiting, a.Job)
+	if to := f.pending[a.Job]; to != nil {
+		delete(f.pending, a.Job)
 		to <- a
 	}
 }
 
-// await makes a place for a batch job's answer; there is none for one that is in hand already.
-func (f *Front) await(id policy.JobID) chan node.Answer {
+// register makes a place for a batch job's answer; there is none for one that is in hand already.
+func (f *Server) register(id policy.JobID) chan node.Answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.waiting[id] != nil {
+	if f.pending[id] != nil {
 		return nil
 	}
 	to := make(chan node.Answer, 1)
-	f.waiting[id] = to
+	f.pending[id] = to
 	return to
 }
 
-func (f *Front) forget(id policy.JobID) {
+func (f *Server) unregister(id policy.JobID) {
 	f.mu.Lock()
-	delete(f.waiting, id)
+	delete(f.pending, id)
 	f.mu.Unlock()
 }
 
-func (f *Front) handle(w http.ResponseWriter, r *http.Request) {
-	f.sendElsewhere(w)
-	conn := r.Context().Value(connKey{}).(*watched)
-	if onlyChunks := conn.next(); r.ContentLength < 0 {
+func (f *Server) handle(w http.ResponseWriter, r *http.Request) {
+	f.setConnectionClose(w)
+	conn := r.Context().Value(connContextKey{}).(*clientConn)
+	if onlyChunks := conn.nextRequest(); r.ContentLength < 0 {
 		if !onlyChunks {
-			bothWays.write(w)
+			lengthAndChunks.writeTo(w)
 			return
 		}
 		// Nothing is read behind chunks: what is followed of a connection ends with them.
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == readyPath {
-		f.isReady(w, r)
+		f.serveReadiness(w, r)
 		return
 	}
-	for path, to := range f.aside {
+	for path, to := range f.prefixHandlers {
 		if strings.HasPrefix(r.URL.Path, path) {
 			if r.ContentLength < 0 {
-				lengthDue.write(w)
+				chunksNotAllowed.writeTo(w)
 				return
 			}
 			to.ServeHTTP(w, r)
@@ -129,53 +131,53 @@
 	}
 	job, wrong := f.decode(w, r)
 	if wrong != nil {
-		wrong.write(w)
+		wrong.writeTo(w)
 		return
 	}
-	to := f.await(job.ID)
+	to := f.register(job.ID)
 	if to == nil {
-		f.tell(node.JobDeclined{Class: job.Class})
-		inHand.write(w)
+		f.post(node.JobDeclined{Class: job.Class})
+		duplicateID.writeTo(w)
 		return
 	}
-	job.NearConnectionLimit = f.gate.came(conn)
-	client := conn.awaits()
-	defer conn.replied()
+	job.NearConnectionLimit = f.conns.requestReceived(conn)
+	client := conn.beginWait()
+	defer conn.endWait()
 	job.Client = client
-	f.tell(node.JobArrived{Job: job})
-	a, left := f.wait(r.Context(), client, job.ID, to)
-	f.sendElsewhere(w)
+	f.post(node.JobArrived{Job: job})
+	a, left := f.awaitAnswer(r.Context(), client, job.ID, to)
+	f.setConnectionClose(w)
 	if left {
 		w.Header().Set("Connection", "close") // what it has sent beyond this is wanted by nobody
 	}
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeSpell))
-	write(w, a)
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	writeAnswer(w, a)
 }
 
-// sendElsewhere lets the client's connection end with this answer, where the node ends or is crowded.
-func (f *Front) sendElsewhere(w http.ResponseWriter) {
-	if f.gate.elsewhere() {
+// setConnectionClose lets the client's connection end with this answer, where the node ends or is crowded.
+func (f *Server) setConnectionClose(w http.ResponseWriter) {
+	if f.conns.closesAfterAnswer() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// wait gives the final answer, or, once the client has left, that it is broken off: one that has only ended its
+// awaitAnswer gives the final answer, or, once the client has left, that it is broken off: one that has only ended its
 // sending reads that, and not the empty answer of a handler that writes nothing. Where nobody takes batch jobs any more,
 // this one was never looked at: it is pushed back. Left: nobody wants what else has come on the connection.
-func (f *Front) wait(ctx context.Context, client *caller, id policy.JobID, to chan node.Answer) (a node.Answer, left bool) {
-	defer client.over.Store(true)
+func (f *Server) awaitAnswer(ctx context.Context, client *waitingClient, id policy.JobID, to chan node.Answer) (a node.Answer, left bool) {
+	defer client.finished.Store(true)
 	over := false
 	select {
 	case a := <-to:
 		return a, false
 	case <-ctx.Done():
-	case <-client.left:
+	case <-client.disconnected:
 		left = true
-	case <-f.over:
+	case <-f.stopped:
 		over = true
 	}
-	client.over.Store(true) // before the reducer is told: it may be late
-	f.forget(id)
+	client.finished.Store(true) // before the reducer is told: it may be late
+	f.unregister(id)
 	select {
 	case a := <-to: // it came at the same moment
 		return a, left
@@ -184,6 +186,6 @@
 	if over {
 		return node.Answer{Job: id, Final: node.Rejected}, false
 	}
-	f.tell(node.ClientLeft{Job: id, Client: client})
+	f.post(node.ClientLeft{Job: id, Client: client})
 	return node.Answer{Job: id, Final: node.Failed}, left
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -20,7 +20,7 @@
 // get no answer.
 type core struct {
 	t     *testing.T
-	front *Front
+	front *Server
 	addr  string
 	told  chan node.Event
 	out   strings.Builder
@@ -34,7 +34,7 @@
 func newCoreBehind(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *core {
 	c := &core{t: t, told: make(chan node.Event, 100)}
 	c.front = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
-		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, Budget{conns, conns / 2}, func(ev node.Event) {
+		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, ConnLimits{conns, conns / 2}, func(ev node.Event) {
 		if ev, ok := ev.(node.JobArrived); ok {
 			switch name, _, _ := strings.Cut(string(ev.Job.ID), "-"); {
 			case ev.Job.NearConnectionLimit:
@@ -50,7 +50,7 @@
 		c.told <- ev
 	})
 	for _, change := range change {
-		change(&c.front.server)
+		change(&c.front.http)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,7 +60,7 @@
 	served := make(chan error, 1)
 	go func() { served <- c.front.Serve(halts.Listener(l)) }()
 	t.Cleanup(func() {
-		c.front.server.Close()
+		c.front.http.Close()
 		if err := <-served; err != nil {
 			t.Errorf("serving: %v", err)
 		}
@@ -293,7 +293,7 @@
 	waiting.send(job("wait"))
 	c.event()
 	c.out.WriteString("told to end\n")
-	c.front.Ending()
+	c.front.BeginLameDuck()
 	c.answer(resting)
 	late := c.dial()
 	late.send(job("handled-2"))
@@ -309,7 +309,7 @@
 	golden.Compare(t, "ending.txt", c.out.String())
 }
 
-func (g *gate) opened() int {
+func (g *connTable) opened() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.open
@@ -331,7 +331,7 @@
 	c.out.WriteString("a third: the one that rests goes\n")
 	third := c.dial()
 	c.answer(first)
-	for c.front.gate.opened() > 2 { // until the front has seen its end as well
+	for c.front.conns.opened() > 2 { // until the front has seen its end as well
 		time.Sleep(time.Millisecond)
 	}
 	say(third, "wait-3")
--- a/internal/frontend/gate_test.go
+++ b/internal/frontend/gate_test.go
@@ -9,23 +9,23 @@
 // A connection is let go in a crowd, and its batch job has come just then: another that is silent goes in its place, and the batch job
 // is not pushed back for want of room.
 func TestCameAsLetGo(t *testing.T) {
-	g := newGate(Budget{Whole: 8, Half: 4})
-	var all []*watched
+	g := newConnTable(ConnLimits{Max: 8, MaxShared: 4})
+	var all []*clientConn
 	for range 9 {
 		here, there := net.Pipe()
 		defer there.Close()
-		c := &watched{Conn: here}
+		c := &clientConn{Conn: here}
 		all = append(all, c)
-		g.turned(c, http.StateNew)
+		g.onStateChange(c, http.StateNew)
 	}
-	first := g.places[all[0]]
-	if first.in != g.leaving {
+	first := g.entries[all[0]]
+	if first.list != g.closingConns {
 		t.Fatal("over the budget, the first was not let go")
 	}
-	if g.came(all[0]) {
+	if g.requestReceived(all[0]) {
 		t.Error("its batch job is pushed back, though others rest")
 	}
-	if first.in == g.leaving || g.places[all[1]].in != g.leaving {
+	if first.list == g.closingConns || g.entries[all[1]].list != g.closingConns {
 		t.Error("the next one was not let go in its place")
 	}
 }
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -74,7 +74,7 @@
 	tcp := net.Dialer{}
 	go func() {
 		w.over <- service.Run(ctx, service.Setup{Settings: s, Start: time.Now(), Listener: w.halts.Listener(l), Discovery: list.Addr().String(), Log: zerolog.Nop(),
-			ClientConns: frontend.Budget{Whole: 300, Half: 150}, Module: policy.New(s.Policy),
+			ClientConns: frontend.ConnLimits{Max: 300, MaxShared: 150}, Module: policy.New(s.Policy),
 			Executors: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				goOn := make(chan struct{})
 				select {
--- a/internal/service/ready_test.go
+++ b/internal/service/ready_test.go
@@ -90,7 +90,7 @@
 	began := time.Now()
 	go func() {
 		ended <- service.Run(over, service.Setup{Settings: s, Start: began, Listener: front, Discovery: discovery, Log: zerolog.Nop(),
-			ClientConns: frontend.Budget{Whole: 30, Half: 15}, Module: policy.New(s.Policy), List: dial("n"),
+			ClientConns: frontend.ConnLimits{Max: 30, MaxShared: 15}, Module: policy.New(s.Policy), List: dial("n"),
 			Executors: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				return dial("x")(ctx, "", addr)
 			},
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -26,10 +26,10 @@
 type Setup struct {
 	Settings    config.Settings
 	Limits      node.Limits
-	ClientConns frontend.Budget // from clients, at most
-	Known       discovery.Copy  // the list as this node had it last
-	Discovery   string          // where the list comes from
-	Start       time.Time       // times of the reducer count from then
+	ClientConns frontend.ConnLimits // from clients, at most
+	Known       discovery.Copy      // the list as this node had it last
+	Discovery   string              // where the list comes from
+	Start       time.Time           // times of the reducer count from then
 
 	Module    node.Policy
 	Listener  net.Listener
@@ -108,7 +108,7 @@
 	var toExecutors node.Upstream = pool
 	if s.Durable != nil {
 		fromClients, toExecutors = s.Durable.Start(loop.Post, front, pool)
-		front.Aside(durable.Path, s.Durable)
+		front.HandlePrefix(durable.Path, s.Durable)
 		loop.Observe = func(now time.Duration, ev node.Event, effects []node.Effect) {
 			s.Durable.Tap(now, ev, effects)
 			if s.Tap != nil {
@@ -132,7 +132,7 @@
 	}()
 	go func() {
 		<-ctx.Done()
-		front.Ending()
+		front.BeginLameDuck()
 		loop.Post(node.ShutdownRequested{})
 	}()
 	go func() {
@@ -146,7 +146,7 @@
 	}
 	edges.Frontend, edges.Upstream = fromClients, toExecutors
 	loop.Run(core, edges, s.Log)
-	front.End()
+	front.Stop()
 	var err error
 	if s.Durable != nil {
 		err = s.Durable.End()
--- a/internal/simulation/wired.go
+++ b/internal/simulation/wired.go
@@ -413,7 +413,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
-	setup := service.Setup{Settings: s, Limits: limits, ClientConns: frontend.Budget{Whole: mostClients, Half: mostClients / 2}, Known: discovery.Copy{Executors: known}, Discovery: discoveryAddr,
+	setup := service.Setup{Settings: s, Limits: limits, ClientConns: frontend.ConnLimits{Max: mostClients, MaxShared: mostClients / 2}, Known: discovery.Copy{Executors: known}, Discovery: discoveryAddr,
 		Start: v.start.Add(n.started), Module: &witness{Policy: module, n: n, life: l}, Listener: listener, Executors: l.dial, List: l.dialList,
 		Log: zerolog.Nop(), Tap: l.tap}
 	go func() {
