--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -133,7 +133,7 @@
 	}
 	d.derive()
 	d.quota.intervalEnd = d.classes.quotaInterval
-	d.deriveSlowStart(s.OverloadMultiple)
+	d.slowStart.derive(s.OverloadMultiple, d.classes.shortestObjective, d.config.nodeCount)
 	d.spreadPolls(s.PollWithin)
 	d.schedule(d.slowStart.overloadWindow, nil, nil) // a process that starts again may send more to cold executors from then on
 	for _, t := range s.Tenants {
@@ -142,6 +142,86 @@
 	return d
 }
 
+// JobArrived admits a job that a client sent to this node: it is queued, and decided on by the Place that NextTask asks
+// for in the same turn. A Work of 0 means that the client gave no estimate.
+func (d *Dispatcher) JobArrived(now time.Duration, arrival Arrival) {
+	d.beginTurn(now)
+	j := d.newJob(now, arrival)
+	spent := d.spentBudget(j, arrival)
+	j.objectiveAt = min(now-spent+j.latencyObjective(), j.deadlineAt)
+	d.capToShutdown(j)
+	j.firstTry = spent == 0 && !arrival.ClientRetry
+	d.recordRequested(j, j.firstTry)
+	j.shed = d.shedding.reportsLoad && d.belowThreshold(j)
+	d.jobs[j.id] = j
+	d.queueJob(j, now)
+	// No scan of the queue is needed: the timer places this job, and no other became placeable.
+	d.schedule(now, j, nil)
+	d.leases.requestWanted()
+}
+
+// Place decides where to send a job, or that it waits, is rejected or fails. The caller asks after NextTask returned
+// PlaceJob for it; for a job that is over or has its attempts out there is nothing to do.
+func (d *Dispatcher) Place(now time.Duration, id JobID) Decision {
+	j := d.jobs[id]
+	if j == nil || j.finished {
+		return Decision{}
+	}
+	if len(j.attempts) > 0 {
+		return d.placeHedge(j, now)
+	}
+	d.queueJob(j, now)
+	j.shed = j.shed || d.shedsRetry(j)
+	if j.shed || d.outOfAttempts(j, now) {
+		return d.rejectOrFail(j)
+	}
+	e := d.pickExecutor(j, now, false)
+	var latestStart time.Duration
+	if e != nil {
+		latestStart = d.latestStart(j, d.pace(e, now))
+	}
+	if e == nil || now > latestStart {
+		// No executor, or one that is too slow by now: the fastest one decides whether there is time left.
+		latestStart = d.latestStart(j, d.bestPaceFor(j, now))
+		if now > latestStart {
+			return d.rejectOrFail(j)
+		}
+	}
+	if e != nil {
+		return d.dispatch(j, e, now)
+	}
+	d.queue.noteWait(j)
+	d.schedulePlacement(j, latestStart, now)
+	return Decision{Action: Enqueue}
+}
+
+// placeHedge sends a second attempt of j, if one is wanted and an executor has a token for it.
+func (d *Dispatcher) placeHedge(j *job, now time.Duration) Decision {
+	if !j.hedgeWanted {
+		return Decision{}
+	}
+	e := d.pickExecutor(j, now, false)
+	if e == nil {
+		return Decision{}
+	}
+	return d.dispatch(j, e, now)
+}
+
+// schedulePlacement schedules the next time at which a queued job's answer may change though no token comes free: when
+// it may cross zones, when it is past its objective, after its latest start, and at its deadline.
+func (d *Dispatcher) schedulePlacement(j *job, latestStart, now time.Duration) {
+	next := min(max(latestStart, now)+d.config.quantum, j.deadlineAt-d.config.quantum)
+	crossesAt := j.queuedAt + d.crossZoneDelay(j)
+	pastObjectiveAt := j.objectiveAt - j.work + d.config.quantum
+	for _, at := range [...]time.Duration{crossesAt, pastObjectiveAt} {
+		if at > now {
+			next = min(next, at)
+		}
+	}
+	j.generation++
+	d.schedule(max(next, now+d.config.quantum), j, nil)
+}
+
 // NextTask says what has fallen due, or until when nothing will.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.beginTurn(now)
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -20,8 +20,8 @@
 	case ExecutorFull, ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
 		if how == ExecutorFull {
 			// Full counts as queuing at the executor, unless only one tenant meets it.
-			e.queuing.fullForMany = e.queuing.fullForMany || e.queuing.sawFull && e.queuing.fullTenant != j.tenantID
-			e.queuing.sawFull, e.queuing.fullTenant, e.queuing.fullWait, j.startedLate = true, j.tenantID, e.queuing.fullWait+est, true
+			e.queuing.recordFull(j.tenantID, est)
+			j.waitedAtExecutor = true
 		}
 		if d.config.canProbe && (how == ConnectFailed || how == ConnectionLost) {
 			d.markUnresponsive(e, max(1, e.health.timeouts)) // until it answers
@@ -35,7 +35,7 @@
 		e.health.suspect = true
 	case TimedOut, Canceled:
 		if j.shortBudget && how == TimedOut {
-			j.tenant.budgetMargin = min(j.tenant.budgetMargin+4*budgetMarginStep, maxBudgetMargin)
+			j.tenant.budgetMargin = min(j.tenant.budgetMargin+budgetMarginRise*budgetMarginStep, maxBudgetMargin)
 		}
 		// The executor may still be on it: the token stays taken until the work would be over.
 		begun := now
@@ -56,7 +56,7 @@
 		d.schedule(now+scaled(est, fullTokenRest*float64(e.health.rejections)), nil, e)
 		return
 	}
-	d.releaseToken(e, now, j.startedLate)
+	d.releaseToken(e, now, j.waitedAtExecutor)
 }
 
 func (d *Dispatcher) recordSuccess(j *attempt, e *executor, now time.Duration) {
@@ -78,7 +78,7 @@
 			ran += max(0, d.elapsed(j)-ran-e.estimate.startWait) / 2
 		}
 		d.recordStartWait(e, j, d.elapsed(j)-ran)
-		j.startedLate = d.elapsed(j) > scaled(ran, waitedFactor) // hints are rough
+		j.waitedAtExecutor = d.elapsed(j) > scaled(ran, waitedFactor) // hints are rough
 	}
 	d.recordRunTime(j.job, e, ran)
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -24,6 +24,15 @@
 	rezoned    bool // a member has another zone or kind than when it was picked
 }
 
+// recheck has the next turn rebuild the subset, if it may come out differently by now.
+func (s *subset) recheck() { s.stale = true }
+
+// invalidate has the next turn rebuild the subset: something that it depends on has changed.
+func (s *subset) invalidate() {
+	s.stale = true
+	s.changed = true
+}
+
 // usesSubset says whether the nodes are so many that one can't use all executors: then it uses a part of them.
 func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
@@ -44,7 +53,7 @@
 	was := d.beginSubset()
 	defer func() { d.finishSubset(was) }()
 	// Cold ones that this node carries stand beside the others, whatever their rank: they do part of their work.
-	d.slowStart.executors = slices.DeleteFunc(d.slowStart.executors, func(e *executor) bool { return e.removed || now >= e.slowStart.until })
+	d.slowStart.dropEnded(now)
 	means := map[KindID]meanQuota{}
 	for _, e := range d.slowStart.executors {
 		if d.limitSubsetValidity(e, now); d.isUsable(e, now) {
@@ -82,11 +91,12 @@
 	if e.tokens.quota > 0 {
 		return
 	}
-	d.meanQuotas(means)
+	d.fillMeanQuotas(means)
 	m := means[e.kind]
-	e.tokens.quota = cmp.Or(e.tokens.inheritedQuota, m.of(initialQuota))
+	e.tokens.quota = cmp.Or(e.tokens.inheritedQuota, m.or(initialQuota))
 	means[e.kind] = m.with(e.tokens.quota)
-	d.addWithTokens(e)
+	d.quota.add(e)
+	d.markDirty(e)
 	for range e.tokens.quota {
 		e.tokens.free = append(e.tokens.free, now-scaled(d.classes.quotaInterval, d.rng.next()))
 	}
