--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (c serveCmd) Run() error {
+func (c serveCmd) Run() (err error) {
 	start := time.Now()
 	read := func() (told, error) { return readTold(os.Getenv, start) }
 	t, err := read()
@@ -70,7 +70,7 @@
 	out := diode.NewWriter(onlyWriter{os.Stderr}, 1000, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "%d lines of the log were left out\n", missed)
 	})
-	defer out.Close()
+	defer func() { err = errors.Join(err, out.Close()) }()
 	log := zerolog.New(out).With().Timestamp().Str("node", t.Name).Logger()
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(log) // what the standard library has to say of connections
@@ -131,7 +131,7 @@
 type told struct {
 	config.Config
 	names discovery.Names
-	known discovery.Copy
+	known discovery.CachedList
 }
 
 // readSite reads the operator's own file, for that configuration.
@@ -148,6 +148,6 @@
 		return t, err
 	}
 	t.names = discovery.Names{Zones: t.Settings.Zones, Kinds: t.Settings.Kinds, Start: start}
-	t.known, err = t.names.Known(t.CachedEndpoints)
+	t.known, err = t.names.DecodeCached(t.CachedEndpoints)
 	return t, err
 }
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -47,7 +47,7 @@
 	}
 	var elder net.Conn
 	if c.SharedDir != "" {
-		if elder, err = hotrestart.Join(c.SharedDir); err != nil {
+		if elder, err = hotrestart.Dial(c.SharedDir); err != nil {
 			log.Info().Str("because", err.Error()).Msg("no older process of this node is joined")
 			elder = nil
 		}
@@ -87,9 +87,9 @@
 			more <- reread(&c, own, read)
 		}
 	}()
-	log.Info().Str("listen", c.Listen).Int("known", len(c.known.Executors)).Int("clients", fromClients).
+	log.Info().Str("listen", c.Listen).Int("known", len(c.known.Endpoints)).Int("clients", fromClients).
 		Int("executors", toExecutors).Msg("the node is up")
-	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: frontend.Budget{Whole: fromClients, Half: fromFewer}, Known: c.known, Discovery: c.Discovery,
+	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: frontend.ConnLimits{Max: fromClients, MaxShared: fromFewer}, Known: c.known, Discovery: c.Discovery,
 		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.SharedDir, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: upstream.TCP(c.Settings.DialTimeout), Log: log,
 		Limits: node.Limits{Quantum: p.Quantum, MaxIdle: c.Settings.IdleTimeout * 4 / 5, DialTimeout: c.Settings.DialTimeout,
 			MaxConns: toExecutors, MaxConnsShared: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, MaxBodyBytes: int(c.MemoryBytes / 4), RetryAfter: p.MaxRetryAfter,
@@ -115,7 +115,7 @@
 		return net.Listen("tcp", c.Listen)
 	}
 	given := os.NewFile(uintptr(c.ListenFD), "ROUTER_LISTEN_FD")
-	defer given.Close() // the listener has a descriptor of its own
+	defer given.Close() //nolint:errcheck // the listener has a descriptor of its own
 	// Who else holds the socket may have made it blocking: whether it is belongs to all. Guards against a thread that
 	// waits in accept for good and takes one more connection when this process takes none any more.
 	if err := syscall.SetsockoptTimeval(c.ListenFD, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Usec: int64(acceptSpell / time.Microsecond)}); err != nil {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -26,10 +26,10 @@
 type Setup struct {
 	Settings    config.Settings
 	Limits      node.Limits
-	ClientConns frontend.Budget // from clients, at most
-	Known       discovery.Copy  // the list as this node had it last
-	Discovery   string          // where the list comes from
-	Start       time.Time       // times of the reducer count from then
+	ClientConns frontend.ConnLimits  // from clients, at most
+	Known       discovery.CachedList // the list as this node had it last
+	Discovery   string               // where the list comes from
+	Start       time.Time            // times of the reducer count from then
 
 	Module    node.Policy
 	Listener  net.Listener
@@ -76,10 +76,10 @@
 	front := frontend.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Post)
 	pool := upstream.New(s.Executors, s.Settings.ReportsLoad(), upstream.Probing{Path: s.Settings.Probe.Path,
 		Limit: s.Settings.Probe.Timeout, Told: s.Settings.ReportedValues()}, loop.Post)
-	patience := discovery.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
+	patience := discovery.NewTiming(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
 	patience.Seed = uint64(s.Settings.Policy.Seed)<<32 | uint64(uint32(s.Settings.Policy.Node))
 	watcher := discovery.New(discovery.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Post)
-	watcher.Copy = s.Known
+	watcher.Cached = s.Known
 	door := admin.New(config.MaxAdminCalls, loop.PostUrgent)
 	edges := node.Edges{Discovery: watcher, Admin: door}
 	if s.Heirs != "" {
@@ -108,7 +108,7 @@
 	var toExecutors node.Upstream = pool
 	if s.Durable != nil {
 		fromClients, toExecutors = s.Durable.Start(loop.Post, front, pool)
-		front.Aside(durable.Path, s.Durable)
+		front.HandlePrefix(durable.Path, s.Durable)
 		loop.Observe = func(now time.Duration, ev node.Event, effects []node.Effect) {
 			s.Durable.Observe(now, ev, effects)
 			if s.Tap != nil {
@@ -120,19 +120,19 @@
 	broken := make(chan error, 1)
 	go func() {
 		if err := front.Serve(s.Listener); err != nil {
-			broken <- fmt.Errorf("listen: %v", err)
+			broken <- fmt.Errorf("listen: %w", err)
 			loop.Post(node.FrontendClosed{})
 		}
 	}()
 	watching, enough := context.WithCancel(context.Background())
 	defer enough()
 	go func() {
-		loop.Post(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Executors})
+		loop.Post(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Endpoints})
 		watcher.Run(watching, s.Discovery)
 	}()
 	go func() {
 		<-ctx.Done()
-		front.Ending()
+		front.BeginLameDuck()
 		loop.Post(node.ShutdownRequested{})
 	}()
 	go func() {
@@ -146,7 +146,7 @@
 	}
 	edges.Frontend, edges.Upstream = fromClients, toExecutors
 	loop.Run(core, edges, s.Log)
-	front.End()
+	front.Stop()
 	var err error
 	if s.Durable != nil {
 		err = s.Durable.Close()
