--- a/internal/durable/export_test.go
+++ b/internal/durable/export_test.go
@@ -1,15 +1,27 @@
 package durable
 
-// InjectFault injects a fault by its name.
-func (m *Manager) InjectFault(name string) {
-	switch name {
-	case "acknowledges first":
+// Fault is a fault that tests inject.
+type Fault int
+
+// The faults.
+const (
+	NoFault           Fault = iota
+	AckBeforeWrite          // acknowledges before the record is synced
+	SendBeforeWrite         // sends an attempt before its record is synced
+	OmitEpoch               // sends attempts without an epoch
+	AllEndsAsNeverRan       // takes any end of an attempt for proof that it never ran
+)
+
+// InjectFault injects a fault.
+func (m *Manager) InjectFault(fault Fault) {
+	switch fault {
+	case AckBeforeWrite:
 		m.faults.ackBeforeWrite = true
-	case "sends first":
+	case SendBeforeWrite:
 		m.faults.sendBeforeWrite = true
-	case "sends without an epoch":
+	case OmitEpoch:
 		m.faults.omitEpoch = true
-	case "takes any end for a proof":
+	case AllEndsAsNeverRan:
 		m.faults.allEndsAsNeverRan = true
 	}
 }
--- a/internal/durable/wire_test.go
+++ b/internal/durable/wire_test.go
@@ -27,29 +27,30 @@
 	"birchstair/policy"
 )
 
-// edges stand where the ordinary front and the connections to executors do, and print what comes to them.
-type edges struct{ out *strings.Builder }
+// frontendStub stands for the frontend of ordinary batch jobs; nothing that it is sent counts here.
+type frontendStub struct{}
 
-func (e edges) Answer(node.Answer)                    {}
-func (e edges) SetReady(bool)                         {}
-func (e edges) UpdateJobClasses([]node.NumberedClass) {}
-func (e edges) DrainClients(bool)                     {}
-func (e edges) AcceptConnections(bool)                {}
-func (e edges) HalveLimits(bool)                      {}
-func (e edges) Close()                                {}
+func (frontendStub) Answer(node.Answer)                    {}
+func (frontendStub) SetReady(bool)                         {}
+func (frontendStub) UpdateJobClasses([]node.NumberedClass) {}
+func (frontendStub) DrainClients(bool)                     {}
+func (frontendStub) AcceptConnections(bool)                {}
+func (frontendStub) HalveLimits(bool)                      {}
+func (frontendStub) Close()                                {}
 
-type executorEdge struct{ out *strings.Builder }
+// upstreamStub stands for the connections to executors, and prints what is written to them.
+type upstreamStub struct{ out *strings.Builder }
 
-func (e executorEdge) Dial(node.ConnID, string)        {}
-func (e executorEdge) Close(c node.ConnID)             { fmt.Fprintf(e.out, "    to executors: close %d\n", c) }
-func (e executorEdge) Probe(policy.ExecutorID, string) {}
-func (e executorEdge) Write(c node.ConnID, a node.Attempt) {
+func (e upstreamStub) Dial(node.ConnID, string)        {}
+func (e upstreamStub) Close(c node.ConnID)             { fmt.Fprintf(e.out, "    to executors: close %d\n", c) }
+func (e upstreamStub) Probe(policy.ExecutorID, string) {}
+func (e upstreamStub) Write(c node.ConnID, a node.Attempt) {
 	fmt.Fprintf(e.out, "    to executors: on %d, %s %s, host %q, content type %q, key %q, epoch %d, body %q\n",
 		c, a.ID, a.URI, a.Host, a.ContentType, a.IdempotencyKey, a.Epoch, a.Body)
 }
 
-// frontWorld is the edge alone, with nothing behind it that answers by itself.
-type frontWorld struct {
+// fixture is a manager with nothing behind it that answers by itself.
+type fixture struct {
 	t       *testing.T
 	out     strings.Builder
 	durable *durable.Manager
@@ -58,22 +59,22 @@
 	events  chan node.Event
 }
 
-func newFrontWorld(t *testing.T, disk *emulator.Disk, most int64, o durable.Options) *frontWorld {
+func newFixture(t *testing.T, disk *emulator.Disk, most int64, o durable.Options) *fixture {
 	t.Helper()
 	s, err := store.Open(disk, store.Options{Segment: 20000, Most: most})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &frontWorld{t: t, events: make(chan node.Event, 16)}
+	w := &fixture{t: t, events: make(chan node.Event, 16)}
 	keyed := policy.JobClass{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupAllExecutors, DedupWindow: time.Minute, LatencyObjective: time.Second, Deadline: 5 * time.Second}
 	dial := func(_ context.Context, addr string) (net.Conn, error) { return w.dial(addr) }
-	w.durable = durable.New(o, s, []string{"page", "order", "bill"}, append(tracks[:2:2], keyed), dial, zerolog.Nop())
-	w.front, w.up = w.durable.Start(func(ev node.Event) { w.events <- ev }, edges{&w.out}, executorEdge{&w.out})
+	w.durable = durable.New(o, s, []string{"page", "order", "bill"}, append(classes[:2:2], keyed), dial, zerolog.Nop())
+	w.front, w.up = w.durable.Start(func(ev node.Event) { w.events <- ev }, frontendStub{}, upstreamStub{&w.out})
 	return w
 }
 
-// dial is an executor that answers a call about an epoch; its address says how.
-func (w *frontWorld) dial(addr string) (net.Conn, error) {
+// dial opens a connection to an executor that answers a lease poll as its address says.
+func (w *fixture) dial(addr string) (net.Conn, error) {
 	here, there := net.Pipe()
 	go func() {
 		defer there.Close()
@@ -93,8 +94,8 @@
 	return here, nil
 }
 
-// call makes a call of the front and prints status, heads and body.
-func (w *frontWorld) call(title, method, target, body string, heads ...string) {
+// call makes a request and prints the response: status, headers and body.
+func (w *fixture) call(title, method, target, body string, heads ...string) {
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
 	for _, head := range heads {
 		key, value, _ := strings.Cut(head, ": ")
@@ -105,7 +106,7 @@
 	w.print(title, answer)
 }
 
-func (w *frontWorld) print(title string, answer *httptest.ResponseRecorder) {
+func (w *fixture) print(title string, answer *httptest.ResponseRecorder) {
 	fmt.Fprintf(&w.out, "%s: %d", title, answer.Code)
 	heads := answer.Header()
 	keys := make([]string, 0, len(heads))
@@ -120,18 +121,18 @@
 }
 
 // arrived prints the batch job that the reducer is handed next.
-func (w *frontWorld) arrived() {
+func (w *fixture) arrived() {
 	j := (<-w.events).(node.JobArrived).Job
 	fmt.Fprintf(&w.out, "    to the reducer: class %d, work %v, budget %v, %s %s %s, host %q, content type %q, key %q, body %q\n",
 		j.Class, j.Work, j.Budget, j.ID, j.Method, j.URI, j.Host, j.ContentType, j.IdempotencyKey, j.Body)
 }
 
-// The front's answers: status, heads and body of each, and what goes to the reducer, to executors and about epochs.
+// The responses of the HTTP handler, each with status, headers and body, and what the reducer and executors are handed.
 func TestWire(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
 		disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 3)))
 		options := durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: true, AskEvery: 300 * time.Millisecond}}
-		w := newFrontWorld(t, disk, 10<<20, options)
+		w := newFixture(t, disk, 10<<20, options)
 		class, budget := "X-Call-Class: page", "X-Budget-Ms: 60000"
 		w.call("before it is ready", http.MethodPut, "/-/jobs/a", "body", class, budget)
 		w.front.SetReady(true)
@@ -218,7 +219,7 @@
 		if err := w.durable.Close(); err != nil {
 			t.Error(err)
 		}
-		full := newFrontWorld(t, emulator.NewDisk(rand.New(rand.NewPCG(1, 3))), 20, options)
+		full := newFixture(t, emulator.NewDisk(rand.New(rand.NewPCG(1, 3))), 20, options)
 		full.front.SetReady(true)
 		full.call("the last that finds room", http.MethodPut, "/-/jobs/a", "body", class, budget)
 		full.arrived()
@@ -227,7 +228,7 @@
 			t.Error(err)
 		}
 		broken := emulator.NewDisk(rand.New(rand.NewPCG(1, 3)))
-		last := newFrontWorld(t, broken, 10<<20, options)
+		last := newFixture(t, broken, 10<<20, options)
 		last.front.SetReady(true)
 		broken.FailSync = 1
 		last.call("a store that is broken", http.MethodPut, "/-/jobs/a", "body", class, budget)
@@ -236,14 +237,14 @@
 	})
 }
 
-// What executors are asked about attempts of an earlier incarnation, and what their answers come to.
+// How executors are polled about attempts of an earlier incarnation, and what their answers come to.
 func TestLeaseWire(t *testing.T) {
 	var out strings.Builder
 	for _, addr := range []string{"never:1", "finished:1", "lost:1", "mute:1", "nothing:1"} {
 		synctesting.Test(t, func(t *testing.T) {
 			disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 3)))
 			options := durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: true, AskEvery: 30 * time.Second}}
-			w := newFrontWorld(t, disk, 10<<20, options)
+			w := newFixture(t, disk, 10<<20, options)
 			endpoints := node.EndpointsUpdated{Endpoints: []node.Endpoint{{Endpoint: policy.Endpoint{Executor: "e0"}, Addr: addr}}}
 			w.durable.Observe(0, endpoints, nil)
 			w.front.SetReady(true)
@@ -255,7 +256,7 @@
 			synctest.Wait()
 			disk.Crash()
 			fmt.Fprintf(&w.out, "its end after the crash: %v\n", w.durable.Close())
-			next := newFrontWorld(t, disk, 10<<20, options)
+			next := newFixture(t, disk, 10<<20, options)
 			next.durable.Observe(0, endpoints, nil)
 			next.front.SetReady(true)
 			time.Sleep(time.Second)
