--- a/internal/benchwire/adapter_test.go
+++ b/internal/benchwire/adapter_test.go
@@ -15,7 +15,7 @@
 ENTRY executor=executor-a stage-state=U new-key=5
 `
 
-// replies plays batches and gives what the adapter wrote, and its last word if it stopped.
+// replies plays batches and gives what the adapter wrote, and its error if it stopped.
 func replies(batches ...string) string {
 	var in strings.Builder
 	for _, b := range batches {
@@ -29,6 +29,7 @@
 	return out.String()
 }
 
+// Batches are answered in order; late events and those for instances that are not running are skipped.
 func TestBatches(t *testing.T) {
 	got := replies(
 		"SYNC time-s=10\n"+start,
@@ -61,7 +62,8 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+// Malformed input stops the adapter with the line at fault; refused settings fail the instance.
+func TestMalformedInput(t *testing.T) {
 	for _, c := range []struct{ batch, want string }{
 		{"SYNC time-s=1\nWHAT who=node/0\n", "stopped: line 2: unknown message \"WHAT\"\n"},
 		{"SYNC time-s=x\n", "stopped: line 1: field time-s: bad number \"x\"\n"},
@@ -86,7 +88,7 @@
 	}
 }
 
-// Words between nodes are five bytes; those that are not are passed over. A load report's values go by name.
+// Messages between nodes are five bytes; others are skipped. A load report's values go by name.
 func TestPeerMessagesAndReports(t *testing.T) {
 	many := strings.Replace(start, `"balancers":1,`, `"balancers":30,"my-number":3,"report":{"fields":["x0","active",`+
 		`"cpu","waiting"]},`, 1)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,14 +10,14 @@
 	"birchstair/internal/golden"
 )
 
-const whole = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","seed":"8c1f",
+const completeConfig = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","seed":"8c1f",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"seq":1,"whole":true,"hosts":[]},
  "settings":{"balancers":3,"my-number":2,"quantum-s":0.004,"new-key":[1],"areas":["a"],"flavors":["m"],
   "caps":{"max-allocations":6,"conn-idle-s":30,"dial-timeout-s":0.2},
   "report":{"fields":["active","cpu","waiting","x0"]},"domain":{"report-x0":"free slots"},
   "tracks":[{"name":"t","quoted-time-s":0.3,"outer-limit-s":20,"repeat":"once","earnings":1}]}}`
 
-// What a configuration lacks gets a default or a message that names its key.
+// A key that a configuration lacks gets its default, or an error that names it.
 func TestRead(t *testing.T) {
 	var out strings.Builder
 	try := func(title string, env map[string]string) {
@@ -37,8 +37,8 @@
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
 	with := func(title string, changes ...string) {
-		text := strings.NewReplacer(changes...).Replace(whole)
-		if text == whole && len(changes) > 0 {
+		text := strings.NewReplacer(changes...).Replace(completeConfig)
+		if text == completeConfig && len(changes) > 0 {
 			t.Fatalf("%s changes nothing", title)
 		}
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -100,19 +100,19 @@
 	with("an unknown group", `"once"`, `"by_key","dedup-scope":"house"`)
 	with("a track without a name", `"name":"t",`, ``)
 
-	same, _ := parse([]byte(whole), func(string) string { return "" })
+	same, _ := parse([]byte(completeConfig), func(string) string { return "" })
 	for _, change := range [...][2]string{{"8c1f", "9"}, {"127.0.0.2", "127.0.0.3"}, {"n3", "n4"}, {"127.0.0.1", "127.0.0.9"},
 		{"1.0", "0.5"}, {"192", "64"}, {"1024", "512"}, {"0.3", "0.4"}} {
-		other, err := parse([]byte(strings.Replace(whole, change[0], change[1], 1)), func(string) string { return "" })
+		other, err := parse([]byte(strings.Replace(completeConfig, change[0], change[1], 1)), func(string) string { return "" })
 		fmt.Fprintln(&out, "read again with", change[1], "for", change[0], "waits:", same.RestartKeys(other), err)
 	}
 	for _, change := range [...][2]string{{`"seed":"8c1f",`, ""}, {`"name":"n3",`, ""}, {`"sockets":1024`, `"socket":1024`}, {`"cancel"`, ``}, {`"quantum-s":0.004,`, ``},
 		{`"conn-idle-s":30,`, ``}, {`"earnings":1}`, `"earnings":1},{"name":"u","quoted-time-s":1,"outer-limit-s":2,"repeat":"once"}`}, {`,"earnings":1`, ``},
-		{`"repeat":"once"`, `"repeat":"by_key","dedup-scope":"all","dedup-window-s":2`}, {whole, ""}, {whole, whole[:300]}, {`"outer-limit-s":20`, `"outer-limit-s":-20`},
+		{`"repeat":"once"`, `"repeat":"by_key","dedup-scope":"all","dedup-window-s":2`}, {completeConfig, ""}, {completeConfig, completeConfig[:300]}, {`"outer-limit-s":20`, `"outer-limit-s":-20`},
 		{`"outer-limit-s":20`, `"outer-limit-s":1e300`}, {`"outer-limit-s":20`, `"outer-limit-s":NaN`}, {`"outer-limit-s":20`, `"outer-limit-s":"20"`},
 		{`"max-allocations":6`, `"max-allocations":0`}, {`"max-allocations":6`, `"max-allocations":2.5`}, {`"max-allocations":6`, `"max-allocations":null`}} {
 		// The environment stands in for what is left out at a start; what is read again is to be whole.
-		other, err := parse([]byte(strings.Replace(whole, change[0], change[1], 1)), func(key string) string {
+		other, err := parse([]byte(strings.Replace(completeConfig, change[0], change[1], 1)), func(key string) string {
 			return map[string]string{"ROUTER_NAME": "n3"}[key]
 		})
 		if err == nil {
@@ -123,26 +123,25 @@
 	golden.Compare(t, "read.txt", out.String())
 }
 
-// What is set aside stands beside what clients and executors may fill, however few descriptors there are: an upgrade's halves from 128
-// on, from 256 with neighbours.
+// Connection limits leave the reserved descriptors free, however few there are; during a handoff from 128 on, and from 256 with gossip.
 func TestDescriptorsSetAside(t *testing.T) {
 	for sockets := minDescriptors; sockets <= 4096; sockets++ {
 		for _, management := range []string{"", "127.0.0.1:1"} {
-			for _, neighbours := range []int{0, 24} {
-				c := Config{MaxDescriptors: sockets, MemoryBytes: 1 << 30, AdminAddr: management, PeerDescriptors: neighbours}
-				aside := ownDescriptors + neighbours
+			for _, peers := range []int{0, 24} {
+				c := Config{MaxDescriptors: sockets, MemoryBytes: 1 << 30, AdminAddr: management, PeerDescriptors: peers}
+				aside := ownDescriptors + peers
 				if management != "" {
 					aside += 1 + MaxAdminCalls
 				}
 				fits := func(what string, clients, executors, discovery, most int) {
 					beyond := max(1, clients/8) // connections that wait at the front
 					if all := clients + beyond + executors + discovery + aside; clients < 1 || executors < 1 || all > most {
-						t.Errorf("%s of %d, door %q, neighbours %d: %d clients, %d executors, %d in all", what, sockets, management, neighbours, clients, executors, all)
+						t.Errorf("%s of %d, door %q, peers %d: %d clients, %d executors, %d in all", what, sockets, management, peers, clients, executors, all)
 					}
 				}
 				clients, executors := c.ConnLimits()
 				fits("all", clients, executors, MaxDiscoveryConns, sockets)
-				if sockets >= 128 && (neighbours == 0 || sockets >= 256) {
+				if sockets >= 128 && (peers == 0 || sockets >= 256) {
 					clients, executors = c.HandoffConnLimits()
 					fits("half", clients, executors, MaxDiscoveryConns/2, sockets/2)
 				}
--- a/internal/config/wire_test.go
+++ b/internal/config/wire_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 	"testing"
@@ -108,12 +109,12 @@
 	return out.String()
 }
 
-// everyKeyOf gathers the keys of an object, and of those in it, with what stands there.
-func everyKeyOf(v any, visit func(path []string, value any), path ...string) {
+// visitValues visits the values of an object, and of those in it, with their paths.
+func visitValues(v any, visit func(path []string, value any), path ...string) {
 	switch v := v.(type) {
 	case map[string]any:
 		for key, in := range v {
-			everyKeyOf(in, visit, append(path[:len(path):len(path)], key)...)
+			visitValues(in, visit, append(path[:len(path):len(path)], key)...)
 		}
 	default:
 		visit(path, v)
@@ -133,28 +134,23 @@
 	// Keys are matched in any case, as encoding/json does.
 	upper, err := parse([]byte(strings.ToUpper(everyKey[:strings.Index(everyKey, `"known"`)])+everyKey[strings.Index(everyKey, `"known"`):]), none)
 	fmt.Fprintf(&out, "keys in upper case: %s on %s, %v cores, %d sockets, %v\n", upper.Name, upper.Listen, upper.Cores, upper.MaxDescriptors, err)
-	var whole any
-	if err := json.Unmarshal([]byte(everyKey), &whole); err != nil {
+	var object any
+	if err := json.Unmarshal([]byte(everyKey), &object); err != nil {
 		t.Fatal(err)
 	}
 	refusals := map[string]string{}
-	everyKeyOf(whole, func(path []string, _ any) {
+	visitValues(object, func(path []string, _ any) {
 		if path[0] == "known" {
 			return
 		}
 		refusals[strings.Join(path, ".")] = refusal(t, path)
 	})
 	for _, i := range [...]string{"projects", "tracks"} {
-		for key := range whole.(map[string]any)["settings"].(map[string]any)[i].([]any)[0].(map[string]any) {
+		for key := range object.(map[string]any)["settings"].(map[string]any)[i].([]any)[0].(map[string]any) {
 			refusals["settings."+i+"[]."+key] = refusal(t, []string{"settings", i, "[]", key})
 		}
 	}
-	keys := make([]string, 0, len(refusals))
-	for key := range refusals {
-		keys = append(keys, key)
-	}
-	slices.Sort(keys)
-	for _, key := range keys {
+	for _, key := range slices.Sorted(maps.Keys(refusals)) {
 		fmt.Fprintf(&out, "an object at %s: %s\n", key, refusals[key])
 	}
 	golden.Compare(t, "every-key.txt", out.String())
@@ -163,11 +159,11 @@
 // refusal is what a configuration is refused with that has an object at a path.
 func refusal(t *testing.T, path []string) string {
 	t.Helper()
-	var whole any
-	if err := json.Unmarshal([]byte(everyKey), &whole); err != nil {
+	var root map[string]any
+	if err := json.Unmarshal([]byte(everyKey), &root); err != nil {
 		t.Fatal(err)
 	}
-	object := whole.(map[string]any)
+	object := root
 	for _, key := range path[:len(path)-1] {
 		if key == "[]" {
 			continue
@@ -180,7 +176,7 @@
 		}
 	}
 	object[path[len(path)-1]] = map[string]any{"no": "value"}
-	text, err := json.Marshal(whole)
+	text, err := json.Marshal(root)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/durable/wire_test.go
+++ b/internal/durable/wire_test.go
@@ -5,11 +5,12 @@
 	"context"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"sort"
+	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -109,12 +110,7 @@
 func (w *fixture) print(title string, answer *httptest.ResponseRecorder) {
 	fmt.Fprintf(&w.out, "%s: %d", title, answer.Code)
 	heads := answer.Header()
-	keys := make([]string, 0, len(heads))
-	for key := range heads {
-		keys = append(keys, key)
-	}
-	sort.Strings(keys)
-	for _, key := range keys {
+	for _, key := range slices.Sorted(maps.Keys(heads)) {
 		fmt.Fprintf(&w.out, ", %s: %s", key, strings.Join(heads[key], " | "))
 	}
 	fmt.Fprintf(&w.out, ", %q\n", answer.Body.String())
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -13,7 +13,7 @@
 	"birchstair/policy"
 )
 
-// What is written is read as it was, in one datagram; drains that don't fit are left out, ages never grow younger.
+// Messages are decoded as they were encoded, in one datagram; drains that don't fit are left out, and ages never shrink.
 func TestMessages(t *testing.T) {
 	w := cluster.Message{From: "n7", Incarnation: 12, Seq: 3, Rates: cluster.Rates{Offered: map[int]float64{38: 1.5, 34: 0.25}, Admitted: 3, Completed: 2, Expired: 0.5, Waiting: 0.125, Migrations: 0.75},
 		Drains: []cluster.Drain{{Executor: "e1", Incarnation: 1764600000123, Age: 1500*time.Millisecond + time.Microsecond}}}
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -67,8 +67,8 @@
 	return slices.Concat([]byte{5, 0x83}, text("Incarnation"), []byte{7}, text("Node"), text(name), text("From"), text(from))
 }
 
-// A node that lives and hears no datagrams is taken for dead by its neighbour, and never told. It holds the neighbour for alive, so it joins nobody: it comes
-// back because it goes on sending messages, by connections alone. Whole exchanges by chance, which would bring it back some time, are off.
+// A node that is alive and receives no datagrams is taken for dead by its peer, and never notified. It takes the peer for alive, so it joins nobody: it comes
+// back because it goes on sending messages. Exchanges with random peers, which would bring it back some time, are off.
 func TestTakenForDeadComesBack(t *testing.T) {
 	there, here, link := netip.MustParseAddrPort("127.77.2.1:7951"), netip.MustParseAddrPort("127.77.2.2:7951"), netip.MustParseAddrPort("127.77.2.3:7951")
 	relay(t, link, here)
--- a/internal/gossip/traffic_test.go
+++ b/internal/gossip/traffic_test.go
@@ -13,7 +13,7 @@
 	"birchstair/internal/node"
 )
 
-// Two members meet and talk, and one counts what goes between them: only what goes to the neighbour that is asked about.
+// Two nodes join and exchange messages, and one counts its traffic with the peer that Counts selects.
 func TestTraffic(t *testing.T) {
 	there := netip.MustParseAddrPort("127.77.1.1:7951")
 	var all, none Traffic
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -9,8 +9,8 @@
 	"birchstair/internal/golden"
 )
 
-// What is wrong with an operator's file is said by file, line and key, and what was probably meant.
-func TestBrokenFiles(t *testing.T) {
+// Errors in an operator's file say file, line and key, and what was probably meant.
+func TestRefusedFiles(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
 		"",
@@ -57,7 +57,7 @@
 	golden.Compare(t, "broken-files.txt", out.String())
 }
 
-// The example is sound, and within the memory that a node has where nothing else is said.
+// The example is accepted, and fits the default memory of a node.
 func TestExample(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/site.example.toml")
 	if err != nil {
