--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -14,7 +14,7 @@
 // The division of a node's descriptors and memory.
 const (
 	reserveDivisor    = 16       // one part of so many of the descriptors is a reserve
-	ownDescriptors    = 8        // the reserve is at least these: standard streams, the two by which Go waits, the listener, one just accepted, one just closed
+	ownDescriptors    = 8        // the process's: standard streams, Go's poller (2), the listener, one just accepted, one just closed
 	minConns          = 7        // for clients and executors together, however few descriptors there are
 	executorDivisor   = 4        // one part of so many of the rest is for executors
 	clientConnBytes   = 96 << 10 // of memory that a client's connection takes at most: a body, buffers, a stack
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -27,8 +27,8 @@
 // maxLoad is more than any executor could report: such a report counts as none.
 const maxLoad = 1e6
 
-// LoadFields says where in a load report these values stand: jobs in flight, jobs queued, free slots, free memory, and the running time of the last job in
-// milliseconds; -1 for one that is not there.
+// LoadFields says where in a load report these values stand: jobs in flight, jobs queued, free slots, free memory, and the
+// running time of the last job in milliseconds; -1 for one that is not there.
 type LoadFields [loadValues]int
 
 // Decode takes the load out of a report's values; ok is false where no value is there, or one is not plausible.
--- a/internal/durable/lease_poll.go
+++ b/internal/durable/lease_poll.go
@@ -72,8 +72,8 @@
 	return leases.FoundNothing, nil
 }
 
-// leasePath is the path at which executors that support leases are polled: GET /-/leases/JOB?epoch=N. An executor that is asked about an epoch that it
-// has not begun must refuse it from then on.
+// leasePath is the path at which executors that support leases are polled: GET /-/leases/JOB?epoch=N. An executor that is asked
+// about an epoch that it has not begun must refuse it from then on.
 const leasePath = "/-/leases/"
 
 // maxLeaseBytes is the longest response: a result in base64, and what stands round it.
--- a/internal/durable/manager.go
+++ b/internal/durable/manager.go
@@ -72,8 +72,8 @@
 	request node.Attempt
 }
 
-// New makes a manager of the jobs in a store. classNames and classes are those of the settings, without the durable ones that AddClasses appends. Nothing reaches the
-// reducer before Start. The manager owns the store from now on.
+// New makes a manager of the jobs in a store, which it owns from now on. classNames and classes are those of the settings, without
+// the durable ones that AddClasses appends. Nothing reaches the reducer before Start.
 func New(options Options, jobs *store.Store, classNames []string, classes []policy.JobClass, dial DialFunc, log zerolog.Logger) *Manager {
 	m := &Manager{
 		options:        options,
--- a/internal/durable/submit.go
+++ b/internal/durable/submit.go
@@ -29,7 +29,7 @@
 
 // submit accepts a job and waits until its record is synced; created is false for one that was there already. It returns
 // errNotReady, errWriting, errConflict, or errStore with the store's error.
-func (m *Manager) submit(client context.Context, job submission) (created bool, err error) {
+func (m *Manager) submit(ctx context.Context, job submission) (created bool, err error) {
 	id := leases.ID(job.record.ID)
 	record := &job.record
 	record.At = time.Now()
@@ -40,14 +40,15 @@
 		return false, errNotReady
 	}
 	if state, ok := m.book.State(id); ok {
-		previous, known := m.unwritten[id]
+		unwritten := m.unwritten[id]
 		m.mu.Unlock()
-		return false, m.repeated(record, state, previous, known)
+		return false, m.checkRepeat(record, state, unwritten)
 	}
 	m.unwritten[id] = record
 	written := make(chan error, 1)
 	m.ackWaiters[id] = written
-	effects, _ := m.book.HandIn(sinceEpoch(record.At), leases.Job{ID: id, Track: m.classes[record.Track].lease, Limit: sinceEpoch(record.Limit)})
+	accepted := leases.Job{ID: id, Track: m.classes[record.Track].lease, Limit: sinceEpoch(record.Limit)}
+	effects, _ := m.book.HandIn(sinceEpoch(record.At), accepted) // it is new: the book was asked above
 	m.mu.Unlock()
 	m.apply(effects)
 	select {
@@ -56,19 +57,19 @@
 			return false, fmt.Errorf("%w: %w", errStore, err)
 		}
 		return true, nil
-	case <-client.Done(): // nobody reads the acknowledgement; a repeat finds the job
+	case <-ctx.Done(): // the client has left, and nobody reads the acknowledgement; a repeat finds the job
 		return true, nil
 	}
 }
 
-// repeated checks a submission whose id is in use: the same content is the same job. previous is the record that is not in the store yet,
-// where known.
-func (m *Manager) repeated(record *store.Record, state leases.State, previous *store.Record, known bool) error {
-	if stored, ok := m.store.Get(record.ID); !known && ok {
-		previous, known = stored.Accepted, true
+// checkRepeat checks a submission whose id is in use: the same content is the same job. previous is the job's record if
+// it is not in the store yet, or else nil.
+func (m *Manager) checkRepeat(record *store.Record, state leases.State, previous *store.Record) error {
+	if stored, ok := m.store.Get(record.ID); previous == nil && ok {
+		previous = stored.Accepted
 	}
 	switch {
-	case !known || !sameJob(previous, record):
+	case previous == nil || !sameJob(previous, record):
 		return errConflict
 	case state == leases.Keeping:
 		return errWriting
@@ -82,7 +83,7 @@
 }
 
 // wait waits until a job has its final answer, for at most the timeout; errNotFound where there is no such job.
-func (m *Manager) wait(client context.Context, id leases.ID, timeout time.Duration) error {
+func (m *Manager) wait(ctx context.Context, id leases.ID, timeout time.Duration) error {
 	m.mu.Lock()
 	state, ok := m.book.State(id)
 	if !ok {
@@ -104,7 +105,7 @@
 	select {
 	case <-done:
 	case <-timer.C:
-	case <-client.Done():
+	case <-ctx.Done():
 	case <-m.ctx.Done():
 	}
 	return nil
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// Run keeps the node in its cluster until the context ends, and leaves then. While the address is in use, as by the predecessor in a handoff, it retries.
+// Run keeps the node in its cluster until the context ends, and leaves then. While its address is in use, as by the
+// predecessor in a handoff, it retries.
 func (m *Membership) Run(ctx context.Context) {
 	list := m.listen(ctx)
 	if list == nil {
@@ -269,8 +270,8 @@
 	return m.peers[key]
 }
 
-// reportPeers posts which nodes are alive after each change, from a goroutine of its own: the reducer's queue may be full, and memberlist's callbacks must not
-// wait for it.
+// reportPeers posts which nodes are alive after each change, from a goroutine of its own: the reducer's queue may be full, and
+// memberlist's callbacks must not wait for it.
 func (m *Membership) reportPeers(ctx context.Context) {
 	for {
 		select {
--- a/internal/site/cluster.go
+++ b/internal/site/cluster.go
@@ -16,7 +16,7 @@
 	Listen         string            `toml:"listen"`          // address and port, TCP and UDP, for peers; required
 	Advertise      string            `toml:"advertise"`       // address and port where peers reach it; default listen
 	Seeds          []string          `toml:"seeds"`           // addresses of some nodes of the cluster, its own may be among them; default none
-	TrustedNetwork bool              `toml:"trusted-network"` // allows other than loopback addresses, since messages are neither encrypted nor signed; default false
+	TrustedNetwork bool              `toml:"trusted-network"` // allows other than loopback addresses: messages are not encrypted; default false
 	GossipInterval tomlfile.Duration `toml:"every"`           // between two gossip messages; default 250ms
 	Fanout         int               `toml:"tell"`            // peers that each message goes to; default 3
 	PeerStateTTL   tomlfile.Duration `toml:"view-for"`        // the age to which a peer's rates count; default 4s
--- a/internal/site/durable.go
+++ b/internal/site/durable.go
@@ -44,8 +44,8 @@
 // FitsMemory is the error where the file does not fit the node's memory, in bytes.
 func (c Config) FitsMemory(memory int64) error {
 	if d := c.Durable; d != nil && int64(d.MaxSize) > memory/memoryDivisor {
-		return fmt.Errorf("durable.most: %d MiB is over an eighth of limits.memory_mb, %d: what the log holds stands in memory as well, up to four times as large",
-			d.MaxSize>>20, memory>>20)
+		return fmt.Errorf("durable.most: %d MiB is over an eighth of limits.memory_mb, %d: "+
+			"what the log holds stands in memory as well, up to four times as large", d.MaxSize>>20, memory>>20)
 	}
 	return nil
 }
