--- a/Makefile
+++ b/Makefile
@@ -2,22 +2,22 @@
 
 CONFIG ?= deploy/node.example.json
 
-.PHONY: build test lint run lab
+.PHONY: build test lint run sim
 
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
 
-# The lab plays some of its worlds in part, or fewer of them, while the race detector watches: all of them without it.
+# Under the race detector the simulation plays fewer worlds, and some in part: all of them without it.
 test:
 	go test -race ./...
 	go test ./internal/simulation
 
 lint:
-	@test -z "$$(gofmt -l cmd internal lab policy)" || { gofmt -l cmd internal lab policy; echo 'not gofmt-formatted'; exit 1; }
+	@test -z "$$(gofmt -l cmd docs internal lab policy)" || { gofmt -l cmd docs internal lab policy; echo 'not gofmt-formatted'; exit 1; }
 	go vet ./...
 
-# The kept scenarios, each played once.
-lab: build
+# All scenarios, each played once.
+sim: build
 	@for s in lab/scenarios/*.toml; do bin/birchstair-sim run $$s || exit 1; done
 
 # One node, in the foreground; CONFIG names its configuration file.
