--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (c serveCmd) Run() error {
+func (c serveCmd) Run() (err error) {
 	start := time.Now()
 	read := func() (told, error) { return readTold(os.Getenv, start) }
 	t, err := read()
@@ -70,7 +70,7 @@
 	out := diode.NewWriter(onlyWriter{os.Stderr}, 1000, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "%d lines of the log were left out\n", missed)
 	})
-	defer out.Close()
+	defer func() { err = errors.Join(err, out.Close()) }()
 	log := zerolog.New(out).With().Timestamp().Str("node", t.Name).Logger()
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(log) // what the standard library has to say of connections
@@ -97,15 +97,15 @@
 	}
 	onOff := map[bool]string{true: "on", false: "off"}
 	if own.Site != "" {
-		fmt.Printf("%s is sound: durable batch jobs are %s, nodes that talk are %s\n", own.Site, onOff[s.Durable != nil], onOff[s.Fleet != nil])
+		fmt.Printf("%s is sound: durable batch jobs are %s, nodes that talk are %s\n", own.Site, onOff[s.Durable != nil], onOff[s.Cluster != nil])
 	}
 	c.setAside(s)
-	clients, executors := c.Descriptors()
+	clients, executors := c.ConnLimits()
 	fmt.Printf("%s is sound: %d tracks, at most %d connections from clients and %d to executors\n",
 		os.Getenv("ROUTER_CONFIG"), len(c.Settings.Tracks), clients, executors)
 	probes := "off"
 	if c.Settings.Policy.MayProbe {
-		probes = fmt.Sprintf("by GET %s within %v", c.Settings.Probe.Path, c.Settings.Probe.Limit)
+		probes = fmt.Sprintf("by GET %s within %v", c.Settings.Probe.Path, c.Settings.Probe.Timeout)
 	}
 	fmt.Printf("probes are %s; second copies of repeatable batch jobs are %s; marks of clients' repeats are %s\n", probes,
 		onOff[c.Settings.Policy.MayHedge && s.Durable == nil], map[bool]string{true: "taken", false: "passed over"}[c.Settings.Policy.ClientsMarkRetries])
@@ -131,14 +131,14 @@
 type told struct {
 	config.Config
 	names discovery.Names
-	known discovery.Copy
+	known discovery.CachedList
 }
 
 // readSite reads the operator's own file, for that configuration.
-func readSite(name string, t told) (site.Site, error) {
+func readSite(name string, t told) (site.Config, error) {
 	s, err := site.Read(name)
 	if err == nil {
-		err = s.Fits(t.Memory)
+		err = s.FitsMemory(t.MemoryBytes)
 	}
 	return s, err
 }
@@ -148,6 +148,6 @@
 		return t, err
 	}
 	t.names = discovery.Names{Zones: t.Settings.Zones, Kinds: t.Settings.Kinds, Start: start}
-	t.known, err = t.names.Known(t.Known)
+	t.known, err = t.names.DecodeCached(t.CachedEndpoints)
 	return t, err
 }
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -9,14 +9,13 @@
 	"birchstair/internal/synctesting"
 )
 
-// Callers open many connections at a neighbours' address and say nothing: so many are taken as are set aside, and the next once one
-// of them is closed.
+// Hosts open many connections and send nothing: maxStreams are accepted, and a further one once one of them is closed.
 func TestStreamsBounded(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
-		come := make(chan net.Conn, 2*mostStreams)
-		tr := &transport{come: come, streams: make(chan net.Conn), ending: make(chan struct{}), ended: make(chan struct{})}
-		go tr.take()
-		for range 2 * mostStreams {
+		come := make(chan net.Conn, 2*maxStreams)
+		tr := &transport{accepted: come, streams: make(chan net.Conn), closing: make(chan struct{}), closed: make(chan struct{})}
+		go tr.limitStreams()
+		for range 2 * maxStreams {
 			c, _ := net.Pipe()
 			come <- c
 		}
@@ -33,18 +32,18 @@
 				return
 			}
 		}
-		for _, want := range []int{mostStreams, mostStreams + 1, mostStreams + 1} {
+		for _, want := range []int{maxStreams, maxStreams + 1, maxStreams + 1} {
 			if takes(); len(taken) != want {
 				t.Errorf("%d were taken, want %d", len(taken), want)
 			}
-			taken[0].Close() // the second time it gives no place back
+			taken[0].Close() // the second time it frees no slot
 		}
-		close(tr.ending)
-		close(tr.ended)
+		close(tr.closing)
+		close(tr.closed)
 	})
 }
 
-// The end doesn't wait for connections that are not taken.
+// Shutdown doesn't wait for connections that nobody takes.
 func TestStreamsAtTheEnd(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.77.1:0")
 	if err != nil {
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -1,354 +1,271 @@
 package node
 
 import (
-	"cmp"
-	"maps"
 	"slices"
 	"time"
 
 	"birchstair/policy"
 )
 
-// An upgrade: a new process of this node joins the old one, and both are one node until the old one ends. The old one
-// hands over what operators want and the list; the new one takes clients' new connections from its yes on, and the old
-// one finishes what it has. Limits are halved while both live. A cold executor's budget is one process's alone: the old
-// one gives it up, and the new one uses it when all that the old one has sent is out of the window.
-
 // HandoffLink names a link to another process of this node.
 type HandoffLink int
 
 // Predecessor is the link to the process that this one takes over from.
 const Predecessor HandoffLink = 0
 
-// nobody is no link.
-const nobody HandoffLink = -1
+// noLink is no process's link.
+const noLink HandoffLink = -1
+
+const (
+	// stateTimeout is how long a successor waits for the predecessor's state before it goes on without.
+	stateTimeout = 2 * time.Second
+	// yieldTimeout is how long a successor reports not ready while it waits for the predecessor to yield.
+	yieldTimeout = 2 * time.Second
+)
 
-// HandoffState is what a process hands to the one that joins it. Spans are ages, since the two count time from their own starts.
+// HandoffState is what a process hands to its successor. Each process counts time from its own start, so times are sent as
+// ages.
 type HandoffState struct {
-	Excluded   []policy.ExecutorID // taken out by operators
+	Excluded   []policy.ExecutorID // by operators
 	Readmitted []ReadmittedExecutor
-	Drained    bool
-	Endpoints  []Endpoint // Started is an age
+	Drained    bool       // clients are being drained
+	Endpoints  []Endpoint // StartedAt is an age
 	Learned    policy.LearnedState
-	ClassNames []string // of the tracks in Known, in the same order
+	ClassNames []string // of Learned.Classes, in the same order
 }
 
-// ReadmittedExecutor is an executor that operators have put back, and how long ago.
+// ReadmittedExecutor is an executor that operators have readmitted, and how long ago.
 type ReadmittedExecutor struct {
 	Executor policy.ExecutorID
 	Age      time.Duration
 }
 
-// HandoffKind is what a word between two processes of a node is about.
+// HandoffKind is the kind of a message between two processes of a node.
 type HandoffKind int
 
+// The kinds of handoff messages.
 const (
-	StateTransfer      HandoffKind = iota // the old one's state
-	SuccessorReady                        // the new one can serve
-	PredecessorYielded                    // the old one takes no new connections and sends nothing to cold executors any more
-	RelayCommand                          // an operator's order, to be done there too
-	RelayDone                             // it is done
+	StateTransfer      HandoffKind = iota // predecessor to successor: its state
+	SuccessorReady                        // successor to predecessor: it can serve
+	PredecessorYielded                    // predecessor to successor: it accepts no connections and uses no executors in slow start any more
+	RelayCommand                          // an operator's command, to be run there too
+	RelayDone                             // the command of this Seq has been run
 )
 
-// HandoffMessage is what one process of a node says to another.
+// HandoffMessage is a message between two processes of a node.
 type HandoffMessage struct {
 	Kind     HandoffKind
-	Seq      uint64 // of Relay and Done
+	Seq      uint64 // of RelayCommand and RelayDone
 	Command  AdminCommand
 	Executor policy.ExecutorID
 	State    *HandoffState
 }
 
-// relay is an operator's answer that waits until the other processes have done as well.
-type relay struct {
-	reply AdminReply
-	open  []HandoffLink
-	by    time.Duration
+// handoff is the state of a handoff between processes of this node; see the package comment for the way it goes. A process can
+// be the successor of one process and the predecessor of another.
+type handoff struct {
+	links        []HandoffLink // that are up, the predecessor's first
+	announced    bool          // this process has announced that it can serve
+	limitsHalved bool          // another process uses the other half of the limits
+
+	// As a successor.
+	awaitingState bool // the predecessor's state is on its way
+	stateDeadline time.Duration
+	deferred      []HandoffMessage // operators' commands run meanwhile, to be run again on that state
+	awaitingYield bool             // SuccessorReady is sent; the predecessor may still accept connections
+	yieldDeadline time.Duration
+
+	// As a predecessor.
+	yielded   bool // the successor accepts connections, this process does not
+	successor HandoffLink
 }
 
-// relaySpell is how long an operator's answer waits for the other processes: well within the second it is owed in.
-const relaySpell = 400 * time.Millisecond
-
-// yieldLimit is how long the yes at the door waits for the elder to cede.
-const yieldLimit = 2 * time.Second
-
-// handSpell is how long the new process waits for the old one's state before it goes on without.
-const handSpell = 2 * time.Second
-
-// pair is what the reducer knows of other processes of its node.
-type pair struct {
-	links   []HandoffLink // those up, the elder first
-	waits   bool          // for the elder's state
-	waitsBy time.Duration
-	ceded   bool // a younger process takes over
-	heir    HandoffLink
-	live    bool // a list has come from discovery
-	copied  bool // the elder's list has been taken up
-	said    bool // this process has said its yes
-	yields  bool // and the elder has not answered it: it may still take connections, and let them go at once if it ends
-	yieldBy time.Duration
-	relays  map[uint64]*relay
-	seq     uint64
-	orders  []HandoffMessage // of operators, obeyed here while the elder's state is on its way
-}
+// connected reports whether a link is up.
+func (h *handoff) connected(link HandoffLink) bool { return slices.Contains(h.links, link) }
 
-// joined takes up a link to another process.
-func (n *Node) joined(link HandoffLink) {
-	n.links = append(n.links, link)
-	if link == Predecessor {
-		n.waits, n.waitsBy = true, n.now+handSpell
-		n.say(Log{Text: "an older process of this node runs: its state is waited for"})
-		n.brain.ReserveSlowStartUntil(n.now, policy.Forever) // the elder may use all of it until it cedes
-		n.share()
-		return
+// disconnect removes a link. It reports whether the link was up.
+func (h *handoff) disconnect(link HandoffLink) bool {
+	i := slices.Index(h.links, link)
+	if i < 0 {
+		return false
 	}
-	n.say(Log{Text: "a newer process of this node has started"})
-	n.say(SendHandoff{link, HandoffMessage{Kind: StateTransfer, State: n.state()}})
+	h.links = slices.Delete(h.links, i, i+1)
+	return true
 }
 
-// state is what a new process is handed.
-func (n *Node) state() *HandoffState {
-	s := &HandoffState{Drained: n.drained, Learned: n.brain.ExportLearned(n.now)}
-	for _, t := range s.Learned.Classes {
-		s.ClassNames = append(s.ClassNames, n.figures.Classes[n.booked[t.ID]].Name)
-	}
-	s.Excluded = slices.Sorted(maps.Keys(n.outs))
-	for _, id := range slices.Sorted(maps.Keys(n.backs)) {
-		s.Readmitted = append(s.Readmitted, ReadmittedExecutor{id, n.now - n.backs[id]})
+// ready reports whether this process takes jobs, as it says to the platform. While the predecessor may still accept connections
+// it says no: the platform may end the predecessor on a yes, and one that has not yielded closes its clients' connections at
+// once, some of them under their next request.
+func (n *Node) ready() bool {
+	if n.shutdown.requested || !n.handoff.announced {
+		return false
 	}
-	for _, e := range n.inOrder() {
-		in := Endpoint{Endpoint: e.entry, Addr: e.addr}
-		in.StartedAt = n.now - in.StartedAt
-		s.Endpoints = append(s.Endpoints, in)
-	}
-	return s
+	return !n.handoff.awaitingYield || n.now >= n.handoff.yieldDeadline
 }
 
-// parted notes that another process has ended, or what it says makes no sense. All is this process's again.
-func (n *Node) parted(link HandoffLink, detail string) {
-	i := slices.Index(n.links, link)
-	if i < 0 {
+// announceReady announces once that this process can serve: it has endpoints, and what the predecessor knew.
+func (n *Node) announceReady() {
+	h := &n.handoff
+	if !n.endpoints.usable || h.awaitingState || h.announced {
 		return
 	}
-	n.links = slices.Delete(n.links, i, i+1)
-	for _, seq := range n.relaysInOrder() {
-		n.relayed(seq, link)
+	h.announced = true
+	n.emit(SetReady{!n.shutdown.requested})
+	n.emit(AcceptConnections{!h.yielded})
+	if h.connected(Predecessor) {
+		h.awaitingYield, h.yieldDeadline = true, n.now+yieldTimeout
+		n.emit(SendHandoff{Predecessor, HandoffMessage{Kind: SuccessorReady}})
 	}
-	switch {
-	case link == Predecessor:
-		n.say(Log{Text: "the older process is gone: " + detail})
-		n.waits, n.yields = false, false
-		n.mayUseCold()
-	case n.ceded && n.heir == link:
-		n.say(Log{Text: "the newer process is gone, this one goes on: " + detail})
-		n.ceded = false
-		n.say(AcceptConnections{true})
-		n.mayUseCold()
-	}
-	n.share()
-	n.becomeReady()
 }
 
-// mayUseCold lets cold executors be used once all that another process may have sent them is out of the window.
-func (n *Node) mayUseCold() { n.brain.ReserveSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow) }
-
-// share halves the limits while another process of this node may use the other half.
-func (n *Node) share() {
-	half := n.ceded || slices.Contains(n.links, Predecessor)
-	if half != n.halved {
-		n.halved = half
-		n.say(HalveLimits{Half: half})
+// handoffLinkUp starts a handoff: a successor gets this process's state, and the predecessor's state is awaited.
+func (n *Node) handoffLinkUp(link HandoffLink) {
+	h := &n.handoff
+	h.links = append(h.links, link)
+	if link != Predecessor {
+		n.emit(Log{Text: "a newer process of this node has started"})
+		n.emit(SendHandoff{link, HandoffMessage{Kind: StateTransfer, State: n.exportState()}})
+		return
 	}
+	h.awaitingState, h.stateDeadline = true, n.now+stateTimeout
+	n.emit(Log{Text: "an older process of this node runs: its state is waited for"})
+	n.policy.ReserveSlowStartUntil(n.now, policy.Forever) // the predecessor's until it yields
+	n.updateLimits()
 }
 
-// mostConns is how many connections to executors there may be.
-func (n *Node) mostConns() int {
-	if n.halved {
-		return n.limits.MaxConnsShared
+// handoffLinkDown ends the handoff with a process that has ended or sends nothing readable. This process gets back what it
+// shared with it.
+func (n *Node) handoffLinkDown(link HandoffLink, detail string) {
+	h := &n.handoff
+	if !h.disconnect(link) {
+		return
 	}
-	return n.limits.MaxConns
+	n.relayLinkDown(link)
+	switch {
+	case link == Predecessor:
+		n.emit(Log{Text: "the older process is gone: " + detail})
+		h.awaitingState, h.awaitingYield = false, false
+		n.reserveSlowStart()
+	case h.yielded && h.successor == link:
+		n.emit(Log{Text: "the newer process is gone, this one goes on: " + detail})
+		h.yielded = false
+		n.emit(AcceptConnections{true})
+		n.reserveSlowStart()
+	}
+	n.updateLimits()
+	n.announceReady()
 }
 
-// heard takes in what another process says.
-func (n *Node) heard(from HandoffLink, w HandoffMessage) {
-	if !slices.Contains(n.links, from) {
+// handoffReceived handles a message from another process.
+func (n *Node) handoffReceived(from HandoffLink, m HandoffMessage) {
+	if !n.handoff.connected(from) {
 		return
 	}
-	switch w.Kind {
+	switch m.Kind {
 	case StateTransfer:
-		if from == Predecessor && n.waits && w.State != nil {
-			n.handed(*w.State)
+		if from == Predecessor && n.handoff.awaitingState && m.State != nil {
+			n.stateReceived(*m.State)
 		}
 	case SuccessorReady:
-		n.ceded, n.heir = true, from
-		n.say(Log{Text: "the newer process takes over"})
-		n.say(AcceptConnections{false})
-		n.brain.ReserveSlowStartUntil(n.now, policy.Forever)
-		n.share()
-		n.say(SendHandoff{from, HandoffMessage{Kind: PredecessorYielded}})
+		n.yieldTo(from)
 	case PredecessorYielded:
-		n.yields = false
-		n.mayUseCold()
+		n.handoff.awaitingYield = false
+		n.reserveSlowStart()
 	case RelayCommand:
-		n.obey(w.Command, w.Executor)
-		n.remember(w)
-		n.pass(from, HandoffMessage{Kind: RelayCommand, Command: w.Command, Executor: w.Executor}, nil)
-		n.say(SendHandoff{from, HandoffMessage{Kind: RelayDone, Seq: w.Seq}})
+		n.commandRelayed(from, m)
 	case RelayDone:
-		n.relayed(w.Seq, from)
-	}
-}
-
-// handed takes over the old process's state.
-func (n *Node) handed(s HandoffState) {
-	n.waits = false
-	for _, id := range s.Excluded {
-		n.outs[id] = true
-	}
-	for _, b := range s.Readmitted {
-		n.backs[b.Executor] = n.now - b.Age
-	}
-	if s.Drained {
-		n.drain(true)
-	}
-	for i := range s.Endpoints {
-		s.Endpoints[i].StartedAt = n.now - s.Endpoints[i].StartedAt
+		n.relayDone(m.Seq, from)
 	}
-	if !n.live { // news of the old one's, newer than the copy that this one was started with
-		n.listed(EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Endpoints})
-		n.copied = true
-		n.goneUnlisted()
-	} else {
-		for _, e := range n.inOrder() {
-			n.showModule(e)
-		}
-	}
-	for _, w := range n.orders {
-		n.obey(w.Command, w.Executor)
-	}
-	n.orders = nil
-	n.learn(s)
-	n.say(Log{Text: "the older process has handed over"})
-	n.becomeReady()
 }
 
-// learn hands the module what the old one's has learnt, with tracks by this process's numbers.
-func (n *Node) learn(s HandoffState) {
-	var tracks []policy.LearnedClass
-	for i, t := range s.Learned.Classes {
-		if i >= len(s.ClassNames) {
-			break
-		}
-		if id, ok := n.former[s.ClassNames[i]]; ok {
-			t.ID = id
-			tracks = append(tracks, t)
-		}
-	}
-	s.Learned.Classes = tracks
-	n.brain.ImportLearned(n.now, s.Learned)
+// yieldTo lets a successor accept connections and use executors in slow start. This process finishes the jobs it has.
+func (n *Node) yieldTo(successor HandoffLink) {
+	n.handoff.yielded, n.handoff.successor = true, successor
+	n.emit(Log{Text: "the newer process takes over"})
+	n.emit(AcceptConnections{false})
+	n.policy.ReserveSlowStartUntil(n.now, policy.Forever)
+	n.updateLimits()
+	n.emit(SendHandoff{successor, HandoffMessage{Kind: PredecessorYielded}})
 }
 
-// inOrder are the executors by their ids.
-func (n *Node) inOrder() []*executor {
-	all := slices.Collect(maps.Values(n.executors))
-	slices.SortFunc(all, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
-	return all
+// reserveSlowStart keeps the policy from executors in slow start until everything that another process may have sent them is
+// out of the slow-start limit's window.
+func (n *Node) reserveSlowStart() {
+	n.policy.ReserveSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
 }
 
-// becomeReady says yes once there is a list and what the old process knew.
-func (n *Node) becomeReady() {
-	if !n.ready || n.waits || n.said {
-		return
-	}
-	n.said = true
-	n.say(SetReady{!n.stopping})
-	n.say(AcceptConnections{!n.ceded})
-	if slices.Contains(n.links, Predecessor) {
-		n.yields, n.yieldBy = true, n.now+yieldLimit
-		n.say(SendHandoff{Predecessor, HandoffMessage{Kind: SuccessorReady}})
+// updateLimits halves the limits of this process while another one of this node uses the other half.
+func (n *Node) updateLimits() {
+	half := n.handoff.yielded || n.handoff.connected(Predecessor)
+	if half != n.handoff.limitsHalved {
+		n.handoff.limitsHalved = half
+		n.emit(HalveLimits{Half: half})
 	}
 }
 
-// obey does what an operator has told another process of this node; the id was on the list there.
-func (n *Node) obey(o AdminCommand, id policy.ExecutorID) {
-	if n.carry(o, id) != "" && o == ExcludeExecutor {
-		n.outs[id] = true
+// exportState is the state for a successor.
+func (n *Node) exportState() *HandoffState {
+	state := &HandoffState{Learned: n.policy.ExportLearned(n.now)}
+	for _, class := range state.Learned.Classes {
+		state.ClassNames = append(state.ClassNames, n.metrics.className(class.ID))
 	}
-}
-
-// remember keeps an order until the older process's state is here. Guards against a state that was told before the order was
-// given, comes after it, and would undo it here alone.
-func (n *Node) remember(w HandoffMessage) {
-	if n.waits {
-		n.orders = append(n.orders, w)
+	n.admin.export(n.now, state)
+	for _, e := range n.endpoints.sorted() {
+		endpoint := Endpoint{Endpoint: e.entry, Addr: e.addr}
+		endpoint.StartedAt = n.now - endpoint.StartedAt
+		state.Endpoints = append(state.Endpoints, endpoint)
 	}
+	return state
 }
 
-// pass hands an order on to all processes but one. The reply, if there is one, goes out once they have done.
-func (n *Node) pass(but HandoffLink, w HandoffMessage, reply *AdminReply) {
-	n.seq++
-	w.Seq = n.seq
-	r := &relay{by: n.now + relaySpell}
-	for _, link := range n.links {
-		if link != but {
-			r.open = append(r.open, link)
-			n.say(SendHandoff{link, w})
-		}
-	}
-	switch {
-	case reply == nil:
-	case len(r.open) == 0:
-		n.say(*reply)
-	default:
-		r.reply = *reply
-		n.relays[w.Seq] = r
-	}
+// stateReceived takes over the predecessor's state.
+func (n *Node) stateReceived(state HandoffState) {
+	n.handoff.awaitingState = false
+	n.admin.inherit(n.now, state)
+	if state.Drained {
+		n.drainClients(true)
+	}
+	for i := range state.Endpoints {
+		state.Endpoints[i].StartedAt = n.now - state.Endpoints[i].StartedAt
+	}
+	n.inheritEndpoints(state.Endpoints)
+	n.runDeferredCommands()
+	n.importLearned(state)
+	n.emit(Log{Text: "the older process has handed over"})
+	n.announceReady()
 }
 
-// relaysInOrder are the answers that wait, in the order in which they were asked for.
-func (n *Node) relaysInOrder() []uint64 { return slices.Sorted(maps.Keys(n.relays)) }
-
-// relayed notes that a process has done what was passed on, or is gone.
-func (n *Node) relayed(seq uint64, by HandoffLink) {
-	r := n.relays[seq]
-	if r == nil {
-		return
-	}
-	if i := slices.Index(r.open, by); i >= 0 {
-		r.open = slices.Delete(r.open, i, i+1)
-	}
-	if len(r.open) == 0 {
-		delete(n.relays, seq)
-		n.say(r.reply)
+// importLearned gives the policy the predecessor's estimates. Job classes have different IDs in the two processes and are
+// matched by name; those that this process doesn't have are left out.
+func (n *Node) importLearned(state HandoffState) {
+	var classes []policy.LearnedClass
+	for i, class := range state.Learned.Classes {
+		if i >= len(state.ClassNames) {
+			break
+		}
+		if id, ok := n.classes.lastIDByName[state.ClassNames[i]]; ok {
+			class.ID = id
+			classes = append(classes, class)
+		}
 	}
+	state.Learned.Classes = classes
+	n.policy.ImportLearned(n.now, state.Learned)
 }
 
-// pairDue does what is due between processes.
-func (n *Node) pairDue() {
-	if n.waits && n.now >= n.waitsBy {
-		n.say(CloseHandoffLink{Predecessor})
-		n.parted(Predecessor, "it hands nothing over")
-	}
-	if len(n.relays) == 0 { // as nearly always: this is on every batch job's way
-		return
-	}
-	for _, seq := range n.relaysInOrder() {
-		if r := n.relays[seq]; n.now >= r.by {
-			delete(n.relays, seq)
-			r.reply.Refusal = "another process of this node does not say that it has done so"
-			n.say(r.reply)
-		}
+// expireHandoff ends what has waited too long for another process.
+func (n *Node) expireHandoff() {
+	if n.handoff.awaitingState && n.now >= n.handoff.stateDeadline {
+		n.emit(CloseHandoffLink{Predecessor})
+		n.handoffLinkDown(Predecessor, "it hands nothing over")
 	}
+	n.expireRelays()
 }
 
-// nextPairDue is when something is due between processes next.
-func (n *Node) nextPairDue() time.Duration {
-	next := policy.Forever
-	if n.waits {
-		next = n.waitsBy
-	}
-	for _, r := range n.relays {
-		next = min(next, r.by)
+// nextHandoffDeadline is when expireHandoff has something to do next, or policy.Forever.
+func (n *Node) nextHandoffDeadline() time.Duration {
+	next := n.relays.nextDeadline()
+	if n.handoff.awaitingState {
+		next = min(next, n.handoff.stateDeadline)
 	}
 	return next
 }
--- /dev/null
+++ b/internal/node/loop.go
@@ -0,0 +1,223 @@
+package node
+
+import (
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"birchstair/internal/cluster"
+	"birchstair/policy"
+)
+
+// Frontend is the edge to clients. Its calls don't block, nor do those of the other edges.
+type Frontend interface {
+	Answer(Answer)
+	SetReady(bool)
+	UpdateJobClasses([]NumberedClass)
+	DrainClients(bool)
+	AcceptConnections(bool)
+	HalveLimits(bool)
+	Close()
+}
+
+// Upstream is the edge to executors.
+type Upstream interface {
+	Dial(ConnID, string)
+	Write(ConnID, Attempt)
+	Close(ConnID)
+	Probe(id policy.ExecutorID, addr string)
+}
+
+// Discovery is the edge to the service that delivers the endpoint list.
+type Discovery interface {
+	WatchEndpoints()
+	SwitchDiscovery(addr string)
+}
+
+// Admin is the edge to operators.
+type Admin interface{ Reply(AdminReply) }
+
+// Handoff is the edge to other processes of this node.
+type Handoff interface {
+	Send(HandoffLink, HandoffMessage)
+	CloseLink(HandoffLink)
+	AcceptConnections(bool)
+}
+
+// Gossip is the edge to other nodes of the fleet.
+type Gossip interface {
+	SendGossip(cluster.Envelope)
+	SendLeaseMessage(SendLeaseMessage)
+}
+
+// Edges are the packages that carry out effects.
+type Edges struct {
+	Frontend    Frontend
+	Upstream    Upstream
+	Discovery   Discovery
+	Admin       Admin           // nil without an operators' listener
+	Handoff     Handoff         // nil if no other process of the node can connect
+	Gossip      Gossip          // nil if this node is not part of a fleet
+	LimitMemory func(half bool) // halves this process's memory limit, or restores it; nil if Handoff is
+}
+
+// Observer is called after every step, before its effects are carried out. It must not keep them.
+type Observer func(now time.Duration, ev Event, effects []Effect)
+
+// Sizes of the event queues: what the edges can post before they have to wait for the loop.
+const (
+	eventQueueSize       = 256
+	urgentEventQueueSize = 16
+)
+
+// Loop feeds events to a Node, one at a time, and carries out the effects.
+type Loop struct {
+	Observe Observer // may be nil; set before Run
+
+	start  time.Time
+	events chan Event
+	urgent chan Event // read before events
+	done   chan struct{}
+}
+
+// NewLoop creates a loop whose node counts time from start.
+func NewLoop(start time.Time) *Loop {
+	return &Loop{
+		start:  start,
+		events: make(chan Event, eventQueueSize),
+		urgent: make(chan Event, urgentEventQueueSize),
+		done:   make(chan struct{}),
+	}
+}
+
+// Post queues an event. After Run has returned it does nothing.
+func (l *Loop) Post(ev Event) {
+	select {
+	case l.events <- ev:
+	case <-l.done:
+	}
+}
+
+// PostUrgent queues an event ahead of all those queued by Post.
+func (l *Loop) PostUrgent(ev Event) {
+	select {
+	case l.urgent <- ev:
+	case <-l.done:
+	}
+}
+
+// next waits for an event.
+func (l *Loop) next(timer *time.Timer) Event {
+	select {
+	case ev := <-l.urgent:
+		return ev
+	default:
+	}
+	select {
+	case ev := <-l.urgent:
+		return ev
+	case ev := <-l.events:
+		return ev
+	case <-timer.C:
+		return TimerFired{}
+	}
+}
+
+// Run steps the node until it asks to exit.
+func (l *Loop) Run(n *Node, edges Edges, log zerolog.Logger) {
+	defer close(l.done)
+	timer := time.NewTimer(0)
+	for {
+		ev := l.next(timer)
+		now := time.Since(l.start)
+		effects := n.Step(now, ev)
+		if l.Observe != nil {
+			l.Observe(now, ev, effects)
+		}
+		for _, e := range effects {
+			switch e := e.(type) {
+			case SetTimer:
+				timer.Reset(e.At - time.Since(l.start))
+			case Log:
+				writeLog(log, e)
+			case Exit:
+				return
+			default:
+				edges.carryOut(e)
+			}
+		}
+	}
+}
+
+// carryOut hands an effect to the edge that it is for.
+func (edges *Edges) carryOut(e Effect) {
+	switch e := e.(type) {
+	case Answer, UpdateJobClasses, SetReady, DrainClients, CloseFrontend:
+		edges.carryOutFrontend(e)
+	case Dial, WriteAttempt, CloseConn, ProbeExecutor:
+		edges.carryOutUpstream(e)
+	case WatchEndpoints:
+		edges.Discovery.WatchEndpoints()
+	case SwitchDiscovery:
+		edges.Discovery.SwitchDiscovery(e.Addr)
+	case AdminReply:
+		edges.Admin.Reply(e)
+	case SendHandoff:
+		edges.Handoff.Send(e.Link, e.Message)
+	case CloseHandoffLink:
+		edges.Handoff.CloseLink(e.Link)
+	case AcceptConnections:
+		edges.Frontend.AcceptConnections(e.Yes)
+		if edges.Handoff != nil {
+			edges.Handoff.AcceptConnections(e.Yes)
+		}
+	case HalveLimits:
+		edges.Frontend.HalveLimits(e.Half)
+		edges.LimitMemory(e.Half)
+	case SendGossip:
+		edges.Gossip.SendGossip(e.Envelope)
+	case SendLeaseMessage:
+		edges.Gossip.SendLeaseMessage(e)
+	}
+}
+
+// carryOutFrontend carries out an effect that only the frontend sees.
+func (edges *Edges) carryOutFrontend(e Effect) {
+	switch e := e.(type) {
+	case Answer:
+		edges.Frontend.Answer(e)
+	case UpdateJobClasses:
+		edges.Frontend.UpdateJobClasses(e.Classes)
+	case SetReady:
+		edges.Frontend.SetReady(e.Yes)
+	case DrainClients:
+		edges.Frontend.DrainClients(e.On)
+	case CloseFrontend:
+		edges.Frontend.Close()
+	}
+}
+
+// carryOutUpstream carries out an effect on a connection to an executor.
+func (edges *Edges) carryOutUpstream(e Effect) {
+	switch e := e.(type) {
+	case Dial:
+		edges.Upstream.Dial(e.Conn, e.Addr)
+	case WriteAttempt:
+		edges.Upstream.Write(e.Conn, e.Attempt)
+	case CloseConn:
+		edges.Upstream.Close(e.Conn)
+	case ProbeExecutor:
+		edges.Upstream.Probe(e.Executor, e.Addr)
+	}
+}
+
+func writeLog(log zerolog.Logger, e Log) {
+	line := log.Info()
+	if e.Executor != "" {
+		line.Str("executor", string(e.Executor))
+	}
+	if e.Job != "" {
+		line.Str("batch_job", string(e.Job))
+	}
+	line.Msg(e.Text)
+}
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -26,7 +26,7 @@
 )
 
 // Span is a span of time with its unit.
-type Span = tomlfile.Span
+type Span = tomlfile.Duration
 
 // Scenario is a world and its faults.
 type Scenario struct {
@@ -185,7 +185,7 @@
 	return s, nil
 }
 
-// Load reads a scenario from a file system.
+// LoadFrom reads a scenario from a file system.
 func LoadFrom(files fs.FS, file string) (Scenario, error) {
 	text, err := fs.ReadFile(files, file)
 	if err != nil {
--- a/internal/simulation/wired.go
+++ b/internal/simulation/wired.go
@@ -303,7 +303,7 @@
 		return
 	}
 	b, ended := s.answer.Append(nil, o, x.ID, platform.Result(string(t.work.ID)))
-	s.conn.Write(b)
+	s.conn.Write(b) //nolint:errcheck // a broken connection is seen by its reader, which books it
 	if o.Word == emulator.Began && v.w.now-t.sentAt > startWaits {
 		v.w.result.StartsWaited++
 	}
@@ -403,21 +403,21 @@
 		panic(err) // the address has its start in it
 	}
 	known := n.listed(policy.CachedUpdate, v.w.discovery.Copy(v.w.now-copyAge)).Endpoints
-	s := config.Settings{Policy: p, Load: config.LoadAt{0, 1, 2, -1, -1}, Zones: f.Zones, Kinds: []string{"plain"},
-		IdleLimit: time.Duration(f.IdleLimit), DialLimit: time.Duration(f.DialLimit)}
+	s := config.Settings{Policy: p, LoadFields: config.LoadFields{0, 1, 2, -1, -1}, Zones: f.Zones, Kinds: []string{"plain"},
+		IdleTimeout: time.Duration(f.IdleLimit), DialTimeout: time.Duration(f.DialLimit)}
 	if !f.Reports {
-		s.Load = config.LoadAt{-1, -1, -1, -1, -1}
+		s.LoadFields = config.LoadFields{-1, -1, -1, -1, -1}
 	}
 	for _, t := range v.w.s.Tracks {
 		s.Tracks = append(s.Tracks, t.Name)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
-	setup := service.Setup{Settings: s, Limits: limits, ClientConns: frontend.Budget{Whole: mostClients, Half: mostClients / 2}, Known: discovery.Copy{Executors: known}, Discovery: discoveryAddr,
+	setup := service.Setup{Settings: s, Limits: limits, ClientConns: frontend.ConnLimits{Max: mostClients, MaxShared: mostClients / 2}, Known: discovery.CachedList{Endpoints: known}, Discovery: discoveryAddr,
 		Start: v.start.Add(n.started), Module: &witness{Policy: module, n: n, life: l}, Listener: listener, Executors: l.dial, List: l.dialList,
 		Log: zerolog.Nop(), Tap: l.tap}
 	go func() {
-		service.Run(ctx, setup, l.more)
+		service.Run(ctx, setup, l.more) //nolint:errcheck // a killed node ends by its listener's error; the invariants judge what clients see
 		v.enter(l.ended)
 	}()
 }
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -9,8 +9,8 @@
 	"birchstair/internal/golden"
 )
 
-// What is wrong with an operator's file is said by file, line and key, and what was probably meant.
-func TestBrokenFiles(t *testing.T) {
+// Errors in an operator's file say file, line and key, and what was probably meant.
+func TestRefusedFiles(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
 		"",
@@ -50,14 +50,14 @@
 		s, err := Parse("own.toml", []byte(text))
 		verdict := fmt.Sprint(err)
 		if err == nil {
-			verdict = fmt.Sprintf("fine, durable %v, fleet %v", s.Durable != nil, s.Fleet != nil)
+			verdict = fmt.Sprintf("fine, durable %v, fleet %v", s.Durable != nil, s.Cluster != nil)
 		}
 		fmt.Fprintf(&out, "%s\n    -> %s\n", strings.ReplaceAll(text, "\n", "\n  "), verdict)
 	}
 	golden.Compare(t, "broken-files.txt", out.String())
 }
 
-// The example is sound, and within the memory that a node has where nothing else is said.
+// The example is accepted, and fits the default memory of a node.
 func TestExample(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/site.example.toml")
 	if err != nil {
@@ -67,10 +67,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Fits(192 << 20); err != nil || s.Durable == nil {
+	if err := s.FitsMemory(192 << 20); err != nil || s.Durable == nil {
 		t.Error(err)
 	}
-	if err := s.Fits(32 << 20); err == nil {
+	if err := s.FitsMemory(32 << 20); err == nil {
 		t.Error("16 MiB of log fit a node of 32 MB")
 	}
 	if s, err := Read(""); err != nil || s.Durable != nil {
