--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -22,7 +22,14 @@
 
 // Replay plays each trace in testdata from its own input and compares.
 func Replay(t *testing.T, play func(t *testing.T, lines []string) string) {
-	files, err := filepath.Glob("testdata/*.txt")
+	t.Helper()
+	ReplayDir(t, "", play)
+}
+
+// ReplayDir plays each trace in a directory within testdata.
+func ReplayDir(t *testing.T, dir string, play func(t *testing.T, lines []string) string) {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join("testdata", dir, "*.txt"))
 	if err != nil || len(files) == 0 {
 		t.Fatal("no traces: ", err)
 	}
--- /dev/null
+++ b/policy/health_check_test.go
@@ -0,0 +1,9 @@
+package policy
+
+import (
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+func TestHealthCheckTraces(t *testing.T) { golden.ReplayDir(t, "health_check", play) }
--- /dev/null
+++ b/policy/hedge_test.go
@@ -0,0 +1,9 @@
+package policy
+
+import (
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+func TestHedgeTraces(t *testing.T) { golden.ReplayDir(t, "hedge", play) }
--- /dev/null
+++ b/policy/latency_test.go
@@ -0,0 +1,9 @@
+package policy
+
+import (
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+func TestLatencyTraces(t *testing.T) { golden.ReplayDir(t, "latency", play) }
--- /dev/null
+++ b/policy/lease_test.go
@@ -0,0 +1,9 @@
+package policy
+
+import (
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+func TestLeaseTraces(t *testing.T) { golden.ReplayDir(t, "lease", play) }
--- /dev/null
+++ b/policy/migration_test.go
@@ -0,0 +1,9 @@
+package policy
+
+import (
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+func TestMigrationTraces(t *testing.T) { golden.ReplayDir(t, "migration", play) }
--- /dev/null
+++ b/policy/placement_test.go
@@ -0,0 +1,9 @@
+package policy
+
+import (
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+func TestPlacementTraces(t *testing.T) { golden.ReplayDir(t, "placement", play) }
--- /dev/null
+++ b/policy/queue_test.go
@@ -0,0 +1,9 @@
+package policy
+
+import (
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+func TestQueueTraces(t *testing.T) { golden.ReplayDir(t, "queue", play) }
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,9 @@
+package policy
+
+import (
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+func TestRetryTraces(t *testing.T) { golden.ReplayDir(t, "retry", play) }
--- /dev/null
+++ b/policy/subset_test.go
@@ -0,0 +1,9 @@
+package policy
+
+import (
+	"testing"
+
+	"birchstair/internal/golden"
+)
+
+func TestSubsetTraces(t *testing.T) { golden.ReplayDir(t, "subset", play) }
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"hash/crc32"
+	"os"
 	"strconv"
 	"strings"
 	"testing"
@@ -11,6 +12,25 @@
 	"birchstair/internal/golden"
 )
 
+// TestEveryTraceReplayed checks that each directory of traces is replayed by the test file of its rule, and that no trace
+// lies beside them.
+func TestEveryTraceReplayed(t *testing.T) {
+	entries, err := os.ReadDir("testdata")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range entries {
+		if !entry.IsDir() {
+			t.Errorf("testdata/%s is in no rule's directory", entry.Name())
+			continue
+		}
+		text, err := os.ReadFile(entry.Name() + "_test.go")
+		if err != nil || !strings.Contains(string(text), fmt.Sprintf("golden.ReplayDir(t, %q, play)", entry.Name())) {
+			t.Errorf("testdata/%s is not replayed by %s_test.go: %v", entry.Name(), entry.Name(), err)
+		}
+	}
+}
+
 // A trace file in testdata holds what is told to a dispatcher and, behind arrows, what it decided:
 //
 //	settings once zones          words that change the base settings
