--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,53 +1,72 @@
-// Package policy decides for one node which executor gets which batch job, and when. It does no I/O and reads no clock:
-// the reducer (internal/node) and the simulator's adapter (internal/benchwire) call it with the time since the start.
+// Package policy decides for one node which executor gets which job, and when. It does no I/O and reads no clock: the
+// reducer (internal/node) and the simulator's adapter (internal/benchwire) call it with the time since the start.
 //
 // # Calls
 //
 // The caller tells what it sees:
 //
 //	UpdateEndpoints                        what discovery brought
-//	JobArrived, ClientLeft                 a job came; its client has gone
+//	JobArrived, ClientLeft                 a job came; its client has left
 //	AttemptStarted, AttemptProgressed      notices of an executor
-//	LoadReported, ProbeEnded               load reports, with an answer or a probe
+//	LoadReported, ProbeEnded               load reports, with an answer or by a health check
 //	ReceiveLeaseMessage                    another node's lease message
-//	SetAdmissionThreshold                  what the fleet has capacity for
-//	UpdateJobClasses, ShutDownBy           a new configuration; the node ends
+//	SetAdmissionThreshold                  which jobs the fleet has no capacity for
+//	UpdateJobClasses, ShutDownBy           a new configuration; the node shuts down
 //
-// and asks three things: Place (where to send this job, or not yet, or never), AttemptEnded (what to do after this outcome)
-// and NextTask (what has fallen due, or until when nothing will). Plain values come back; their types are in types.go.
+// and asks three things: Place (where to send this job, or that it waits, is rejected or fails), AttemptEnded (what to do
+// after this outcome) and NextTask (what has fallen due, or until when nothing will). Calls and answers are plain values;
+// their types are in ids.go, settings.go, events.go and decisions.go.
 //
-// # The design, and what stands beside it
+// Dispatcher (dispatcher.go) holds the state of each rule in a struct of its own, and the calls that ask several rules, in
+// the order in which it asks them. A call that concerns one rule stands in that rule's file.
 //
-// The design (RAIN) decides the ordinary path. Jobs wait in a queue until an executor has a free token under its quota
-// (queue.go, quota.go); they take the oldest free token of the node's subset (placement.go, subset.go); a quota moves by
-// one once an interval, by the slowdown at the tail and the executor's share of the waiting. Six mechanisms answer the ways
-// in which that breaks:
+// # The ordinary path
+//
+// The design (RAIN) decides the ordinary path:
+//
+//  1. A job arrives (admission.go): its work is estimated, and its objective is set. It is shed at once if the fleet has
+//     no capacity for its priority level (load_shedding.go).
+//  2. It waits in the queue, by its slack and its value for the work (queue.go, value.go), until an executor has a free
+//     token under its quota.
+//  3. It takes the oldest token among those of the subset (placement.go, subset.go), and an attempt goes out.
+//  4. The outcome frees the token, or causes a retry (outcome.go, retry.go).
+//  5. Once an interval each quota moves by one at most, by the waiting at the executor and here (quota.go).
+//
+// # Where the ordinary path fails
+//
+// Six mechanisms answer the ways in which it does:
 //
 //  1. Slow start: an executor that has just started has a cap in flight that grows with its answers, and a budget of work
-//     that a few nodes have for all (slow_start.go).
-//  2. Ejection: errors, lost connections and silence keep an executor's tokens back for a while, or until it answers a probe;
-//     it returns under a cap of one (outlier.go, health_check.go).
-//  3. Pace: a token is passed over where its executor can't meet the objective by what was seen of it, and ages the slower the
-//     less its executor can take (latency.go, tokenAge in placement.go).
+//     that a few nodes share (slow_start.go).
+//  2. Ejection: an executor that errs, loses connections or is silent gets nothing for a while, or until it answers a
+//     health check; it returns with a cap of one attempt in flight (outlier.go, health_check.go).
+//  3. Pace: a token is passed over where its executor can't meet the objective by what was seen of it, and ages the slower
+//     the less its executor can take (latency.go, tokenAge in placement.go).
 //  4. Migration and hedging: an attempt that does not start, or makes slow progress, is canceled and sent elsewhere where
 //     rule 2 allows it, or a second attempt is sent beside it (migration.go, hedge.go).
-//  5. Early rejection: a job that can earn nothing more, or that the fleet has no capacity for, is answered at once
-//     (admission.go, load_shedding.go).
-//  6. Leases: where nodes are many and may message each other, one of them grants an executor's slots to all (lease.go).
+//  5. Early rejection: a job that can earn nothing more, or that the fleet has no capacity for, gets its answer at once
+//     (latestStart in admission.go, load_shedding.go).
+//  6. Leases: where nodes are many and may message each other, one of them leases an executor's slots to all (lease.go).
 //
 // # Rules
 //
-// Rule 1 (one final answer before the deadline) is Place's and the reducer's; rule 2 (no effect twice) is retryAllowed and
-// isEligible; rule 3 (nothing new to a draining executor) is isUsable; rule 4 (no overload in slow start) is
-// withinSlowStartBudget.
+// Rule 1 (one final answer before the deadline) is kept by Place and the reducer; rule 2 (no effect twice) by retryAllowed
+// and inDedupGroup in retry.go, which isEligible asks; rule 3 (nothing new to a draining executor) by isUsable; rule 4 (no
+// overload in slow start) by withinSlowStartBudget.
 //
 // # Finding an executor
 //
 // The candidate index (candidate_index.go, candidate_query.go, pace_index.go, executor_heap.go, class_candidates.go) decides
 // nothing: it gives candidates in an order, and leaves out only what provably can't be chosen.
 //
+// # Names
+//
+// Throughout the package d is the dispatcher, j a job, a an attempt and e an executor. Late is a job past its latency
+// objective. A value that can earn something is in the unit of the class's value; work is running time on a standard core,
+// and pace the running time that an executor needs for a unit of work.
+//
 // # Time and determinism
 //
-// Times are spans since the node's start. Random numbers come from a seed and a counter, so the same calls give the same
-// decisions, which golden traces in testdata and the simulator rely on.
+// Times are spans since the node's start. Random numbers come from a seed and a counter, so that the same calls give the
+// same decisions, on which the golden traces in testdata, a directory a rule, and the simulator rely.
 package policy
