--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -6,7 +6,7 @@
 // may be lost, late or duplicated. From what it has received a Fleet answers two questions:
 //
 //   - Is the fleet as a whole overloaded, and if so, jobs of which priority level are to be rejected? The answer is a
-//     policy.AdmissionThreshold. It depends only on rates that nodes measured, never on an earlier threshold, so that nodes that
+//     policy.AdmissionThreshold. It depends only on rates that nodes have seen, never on an earlier threshold, so that nodes that
 //     have received the same messages compute the same one.
 //   - Is an executor draining or gone, although this node's own endpoint list doesn't say so yet? Such a report counts for
 //     Settings.DrainTTL from the last time that some node's own list said so.
--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -25,7 +25,7 @@
 	Completed  float64
 	Expired    float64 // given up after waiting for a token of an executor
 	Migrations float64 // that would be migrated if migrations had no budget
-	Waiting    float64 // not a rate: work that waits, weighted by the share of its slack that it has waited
+	Waiting    float64 // not a rate: of the jobs that wait, the sum of work divided by slack
 }
 
 // Clone returns a copy that shares nothing with the original.
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -154,32 +154,32 @@
 
 // Book is all that a node knows of its durable batch jobs.
 type Book struct {
-	s       Settings
-	jobs    map[ID]*job
-	queue   []*job // that wait, in the order of their outer limits
-	inHand  int
-	stopped bool // the node ends: what is answered now for that reason is no final answer
-	due     dueHeap
-	order   int
-	armed   time.Duration
-	out     []Effect
+	settings Settings
+	jobs     map[ID]*job
+	waiting  []*job // that wait, in the order of their outer limits
+	inHand   int
+	stopped  bool // the node ends: what is answered now for that reason is no final answer
+	timers   timerHeap
+	sequence int
+	wakeAt   time.Duration
+	effects  []Effect
 }
 
 type job struct {
 	Job
-	state  State
-	sends  []Send
-	asked  bool // an answer to Ask is awaited
-	until  time.Duration
-	final  Final
-	result []byte
-	order  int
-	turn   int
-	place  int // in the queue
+	state           State
+	sends           []Send
+	queryInFlight   bool // an answer to Ask is awaited
+	until           time.Duration
+	final           Final
+	result          []byte
+	sequence        int
+	timerGeneration int
+	heapIndex       int // in the queue
 }
 
 // NewBook makes an empty book.
-func NewBook(s Settings) *Book { return &Book{s: s, jobs: map[ID]*job{}, armed: -1} }
+func NewBook(s Settings) *Book { return &Book{settings: s, jobs: map[ID]*job{}, wakeAt: -1} }
 
 // State is where a batch job stands, and whether there is one.
 func (b *Book) State(id ID) (State, bool) {
@@ -204,17 +204,17 @@
 	return n
 }
 
-func (b *Book) say(e Effect) { b.out = append(b.out, e) }
+func (b *Book) emit(e Effect) { b.effects = append(b.effects, e) }
 
-// give ends a call: it fills the room at the module, arms the timer and gives the effects, good until the next call.
-func (b *Book) give(now time.Duration) []Effect {
-	b.fill(now)
-	if len(b.due) > 0 && b.due[0].at != b.armed {
-		b.armed = b.due[0].at
-		b.say(Wake{b.armed})
+// finish ends a call: it fills the room at the module, arms the timer and gives the effects, good until the next call.
+func (b *Book) finish(now time.Duration) []Effect {
+	b.submitWaiting(now)
+	if len(b.timers) > 0 && b.timers[0].at != b.wakeAt {
+		b.wakeAt = b.timers[0].at
+		b.emit(Wake{b.wakeAt})
 	}
-	out := b.out
-	b.out = nil
+	out := b.effects
+	b.effects = nil
 	return out
 }
 
@@ -224,15 +224,15 @@
 		return nil, false
 	}
 	b.add(in)
-	b.say(KeepJob{in.ID})
-	return b.give(now), true
+	b.emit(KeepJob{in.ID})
+	return b.finish(now), true
 }
 
 func (b *Book) add(in Job) *job {
-	b.order++
-	j := &job{Job: in, order: b.order, place: -1}
+	b.sequence++
+	j := &job{Job: in, sequence: b.sequence, heapIndex: -1}
 	b.jobs[in.ID] = j
-	b.at(in.Limit, j)
+	b.schedule(in.Limit, j)
 	return j
 }
 
@@ -240,46 +240,46 @@
 func (b *Book) NotKept(now time.Duration, id ID) []Effect {
 	if j := b.jobs[id]; j != nil && j.state == Keeping {
 		delete(b.jobs, id)
-		j.turn++
+		j.timerGeneration++
 	}
-	return b.give(now)
+	return b.finish(now)
 }
 
 // Kept: the batch job stands on the disk. Only now it is acknowledged, and only now the module may have it.
 func (b *Book) Kept(now time.Duration, id ID) []Effect {
 	if j := b.jobs[id]; j != nil && j.state == Keeping {
-		b.say(Acknowledge{id})
-		b.wait(j)
+		b.emit(Acknowledge{id})
+		b.enqueue(j)
 	}
-	return b.give(now)
+	return b.finish(now)
 }
 
-func (b *Book) wait(j *job) {
+func (b *Book) enqueue(j *job) {
 	j.state = Waiting
-	heap.Push((*waitHeap)(&b.queue), j)
+	heap.Push((*waitHeap)(&b.waiting), j)
 }
 
-// fill hands as many to the module as there is room for, those with the nearest outer limits first.
-func (b *Book) fill(now time.Duration) {
-	for !b.stopped && b.inHand < b.s.Room && len(b.queue) > 0 {
-		j := heap.Pop((*waitHeap)(&b.queue)).(*job)
-		until := min(j.Limit, b.repeatUntil(j))
+// submitWaiting hands as many to the module as there is room for, those with the nearest outer limits first.
+func (b *Book) submitWaiting(now time.Duration) {
+	for !b.stopped && b.inHand < b.settings.Room && len(b.waiting) > 0 {
+		j := heap.Pop((*waitHeap)(&b.waiting)).(*job)
+		until := min(j.Limit, b.retryUntil(j))
 		if now >= until {
 			b.expire(now, j)
 			continue
 		}
 		j.state = InHand
 		b.inHand++
-		b.say(Arrive{j.ID, until - now})
+		b.emit(Arrive{j.ID, until - now})
 	}
 }
 
-// repeatUntil is until when a batch job of which an allocation may have run may be sent again: the module knows nothing of what an earlier life of its
+// retryUntil is until when a batch job of which an allocation may have run may be sent again: the module knows nothing of what an earlier life of its
 // node has sent, so it is given that much time only.
-func (b *Book) repeatUntil(j *job) time.Duration {
-	first := j.mayHaveRun()
+func (b *Book) retryUntil(j *job) time.Duration {
+	first := j.firstPossibleRun()
 	if first == nil || j.Track.Idempotency == policy.Idempotent {
-		return never
+		return forever
 	}
 	if j.Track.Idempotency == policy.IdempotentWithKey && j.Track.DedupGroup == policy.DedupAllExecutors {
 		return first.At + j.Track.DedupWindow
@@ -287,10 +287,10 @@
 	return 0
 }
 
-const never = time.Duration(1<<63 - 1)
+const forever = time.Duration(1<<63 - 1)
 
-// mayHaveRun is the first allocation that may have run, if there is one.
-func (j *job) mayHaveRun() *Send {
+// firstPossibleRun is the first allocation that may have run, if there is one.
+func (j *job) firstPossibleRun() *Send {
 	for i := range j.sends {
 		if !j.sends[i].NeverRan {
 			return &j.sends[i]
@@ -303,29 +303,29 @@
 func (b *Book) Send(now time.Duration, id ID, to policy.ExecutorID) (Epoch, []Effect) {
 	j := b.jobs[id]
 	if j == nil || j.state != InHand {
-		return 0, b.give(now)
+		return 0, b.finish(now)
 	}
 	s := Send{Epoch: Epoch(len(j.sends) + 1), Executor: to, At: now}
 	j.sends = append(j.sends, s)
-	b.say(KeepSend{id, s})
-	return s.Epoch, b.give(now)
+	b.emit(KeepSend{id, s})
+	return s.Epoch, b.finish(now)
 }
 
 // SendKept: an allocation's record stands on the disk: it may go out, unless the batch job is over by now.
 func (b *Book) SendKept(now time.Duration, id ID, e Epoch) []Effect {
 	if j := b.jobs[id]; j != nil && j.state == InHand && int(e) == len(j.sends) {
-		b.say(LetOut{id, e})
+		b.emit(LetOut{id, e})
 	}
-	return b.give(now)
+	return b.finish(now)
 }
 
 // Over: an allocation is over. What provably never ran is recorded as such, or a crash would leave it in doubt.
 func (b *Book) Over(now time.Duration, id ID, e Epoch, neverRan bool) []Effect {
 	if j := b.jobs[id]; j != nil && neverRan && e >= 1 && int(e) <= len(j.sends) && !j.sends[e-1].NeverRan {
 		j.sends[e-1].NeverRan = true
-		b.say(KeepOver{id, e})
+		b.emit(KeepOver{id, e})
 	}
-	return b.give(now)
+	return b.finish(now)
 }
 
 // Answered: the module has given its answer. It is final, unless the node ends: then what is pushed back stays on the disk for the next life, and what is
@@ -333,48 +333,48 @@
 func (b *Book) Answered(now time.Duration, id ID, how Final, result []byte) []Effect {
 	j := b.jobs[id]
 	if j == nil || j.state != InHand {
-		return b.give(now)
+		return b.finish(now)
 	}
 	b.inHand--
-	if how == Rejected && j.Track.Idempotency != policy.Idempotent && j.mayHaveRun() != nil {
+	if how == Rejected && j.Track.Idempotency != policy.Idempotent && j.firstPossibleRun() != nil {
 		how = Failed // the module knows nothing of what an earlier life has sent
 	}
 	if b.stopped && how != Succeeded {
-		b.wait(j)
-		return b.give(now)
+		b.enqueue(j)
+		return b.finish(now)
 	}
-	b.close(j, how, result)
-	return b.give(now)
+	b.finalize(j, how, result)
+	return b.finish(now)
 }
 
-func (b *Book) close(j *job, how Final, result []byte) {
+func (b *Book) finalize(j *job, how Final, result []byte) {
 	j.state, j.final, j.result = Closing, how, result
-	j.turn++
-	b.say(KeepFinal{j.ID, how, result})
+	j.timerGeneration++
+	b.emit(KeepFinal{j.ID, how, result})
 }
 
 // expire answers what nothing was handled of by its outer limit. A pushback promises that it did not run.
 func (b *Book) expire(now time.Duration, j *job) {
 	how := Failed
-	if j.mayHaveRun() == nil || j.Track.Idempotency == policy.Idempotent {
+	if j.firstPossibleRun() == nil || j.Track.Idempotency == policy.Idempotent {
 		how = Rejected
 	}
-	b.close(j, how, nil)
+	b.finalize(j, how, nil)
 }
 
 // FinalKept: the final answer stands on the disk, and is given to whoever asks for as long as it is kept.
 func (b *Book) FinalKept(now time.Duration, id ID) []Effect {
 	if j := b.jobs[id]; j != nil && j.state == Closing {
-		b.done(now, j)
-		b.say(Publish{id, j.final, j.result})
+		b.retain(now, j)
+		b.emit(Publish{id, j.final, j.result})
 	}
-	return b.give(now)
+	return b.finish(now)
 }
 
-func (b *Book) done(now time.Duration, j *job) {
+func (b *Book) retain(now time.Duration, j *job) {
 	j.state = Done
-	j.turn++
-	b.at(now+b.s.Keep, j)
+	j.timerGeneration++
+	b.schedule(now+b.settings.Keep, j)
 }
 
 // LetGo: nothing of it is wanted any more. Only one that is done can go.
@@ -384,19 +384,19 @@
 		return nil, false
 	}
 	b.forget(j)
-	return b.give(now), true
+	return b.finish(now), true
 }
 
 func (b *Book) forget(j *job) {
-	j.turn++
+	j.timerGeneration++
 	delete(b.jobs, j.ID)
-	b.say(KeepLetGo{j.ID})
+	b.emit(KeepLetGo{j.ID})
 }
 
 // Stop: the node ends. Nothing more goes to the module.
 func (b *Book) Stop(now time.Duration) []Effect {
 	b.stopped = true
-	return b.give(now)
+	return b.finish(now)
 }
 
 // Recover takes in what the disk says of a batch job at a start. last is the latest time that stands on the disk: a clock that is behind it was set back,
@@ -406,121 +406,121 @@
 	j.sends = sends
 	if final != nil {
 		j.state, j.final, j.result = Done, *final, result
-		j.turn++
-		b.at(max(now, finalAt+b.s.Keep), j)
-		return b.give(now)
+		j.timerGeneration++
+		b.schedule(max(now, finalAt+b.settings.Keep), j)
+		return b.finish(now)
 	}
 	if now < last && j.Track.Idempotency == policy.IdempotentWithKey {
 		j.Track.DedupWindow = 0
 	}
 	switch {
-	case now >= j.Limit && (!b.s.Leases || j.mayHaveRun() == nil):
+	case now >= j.Limit && (!b.settings.Leases || j.firstPossibleRun() == nil):
 		b.expire(now, j)
-	case b.repeatUntil(j) > now:
-		b.wait(j)
+	case b.retryUntil(j) > now:
+		b.enqueue(j)
 	default:
-		b.ask(now, j)
+		b.query(now, j)
 	}
-	return b.give(now)
+	return b.finish(now)
 }
 
-// ask finds out what became of an allocation that was out when the node died. Where executors can't be asked that is never known: it is broken off.
-func (b *Book) ask(now time.Duration, j *job) {
-	first := j.mayHaveRun()
-	if !b.s.Leases {
-		b.close(j, Failed, nil)
+// query finds out what became of an allocation that was out when the node died. Where executors can't be asked that is never known: it is broken off.
+func (b *Book) query(now time.Duration, j *job) {
+	first := j.firstPossibleRun()
+	if !b.settings.Leases {
+		b.finalize(j, Failed, nil)
 		return
 	}
-	j.state, j.asked = Asking, true
-	j.turn++
-	b.at(max(j.Limit, now+b.s.AskEvery), j) // one that comes back late is asked once all the same
-	b.say(Ask{j.ID, first.Epoch, first.Executor})
+	j.state, j.queryInFlight = Asking, true
+	j.timerGeneration++
+	b.schedule(max(j.Limit, now+b.settings.AskEvery), j) // one that comes back late is asked once all the same
+	b.emit(Ask{j.ID, first.Epoch, first.Executor})
 }
 
 // Told: an executor was asked.
 func (b *Book) Told(now time.Duration, id ID, e Epoch, what Found, result []byte) []Effect {
 	j := b.jobs[id]
-	if j == nil || j.state != Asking || !j.asked {
-		return b.give(now)
+	if j == nil || j.state != Asking || !j.queryInFlight {
+		return b.finish(now)
 	}
-	j.asked = false
+	j.queryInFlight = false
 	switch what {
 	case FoundFinished:
-		b.close(j, Succeeded, result)
+		b.finalize(j, Succeeded, result)
 	case FoundNever:
 		j.sends[e-1].NeverRan = true
-		b.say(KeepOver{id, e})
+		b.emit(KeepOver{id, e})
 		switch {
 		case now >= j.Limit:
 			b.expire(now, j)
-		case b.repeatUntil(j) > now:
-			b.wait(j)
+		case b.retryUntil(j) > now:
+			b.enqueue(j)
 		default:
-			b.ask(now, j)
+			b.query(now, j)
 		}
 	case FoundMute, FoundLost:
-		b.close(j, Failed, nil)
+		b.finalize(j, Failed, nil)
 	case FoundNothing, FoundRunning:
 		if now >= j.Limit {
-			b.close(j, Failed, nil)
+			b.finalize(j, Failed, nil)
 			break
 		}
-		j.turn++
-		b.at(min(j.Limit, now+b.s.AskEvery), j)
+		j.timerGeneration++
+		b.schedule(min(j.Limit, now+b.settings.AskEvery), j)
 	}
-	return b.give(now)
+	return b.finish(now)
 }
 
 // Wake does what is due: outer limits that have passed, executors that are to be asked again, answers that nobody is kept for any more.
 func (b *Book) Wake(now time.Duration) []Effect {
-	b.armed = -1
-	for len(b.due) > 0 && b.due[0].at <= now {
-		d := heap.Pop(&b.due).(due)
+	b.wakeAt = -1
+	for len(b.timers) > 0 && b.timers[0].at <= now {
+		d := heap.Pop(&b.timers).(timer)
 		j := d.job
-		if d.turn != j.turn {
+		if d.generation != j.timerGeneration {
 			continue
 		}
 		switch j.state {
 		case Waiting:
-			heap.Remove((*waitHeap)(&b.queue), j.place)
+			heap.Remove((*waitHeap)(&b.waiting), j.heapIndex)
 			b.expire(now, j)
 		case Asking:
 			if now >= j.Limit {
-				b.close(j, Failed, nil)
+				b.finalize(j, Failed, nil)
 			} else {
-				b.ask(now, j)
+				b.query(now, j)
 			}
 		case Done:
 			b.forget(j)
 		}
 	}
-	return b.give(now)
+	return b.finish(now)
 }
 
-func (b *Book) at(at time.Duration, j *job) {
-	b.order++
-	heap.Push(&b.due, due{at, b.order, j.turn, j})
+func (b *Book) schedule(at time.Duration, j *job) {
+	b.sequence++
+	heap.Push(&b.timers, timer{at, b.sequence, j.timerGeneration, j})
 }
 
-type due struct {
-	at    time.Duration
-	order int
-	turn  int
-	job   *job
+type timer struct {
+	at         time.Duration
+	sequence   int
+	generation int
+	job        *job
 }
 
-type dueHeap []due
+type timerHeap []timer
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(x any)   { *h = append(*h, x.(due)) }
-func (h *dueHeap) Pop() any {
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any {
 	old := *h
 	d := old[len(old)-1]
-	old[len(old)-1] = due{}
+	old[len(old)-1] = timer{}
 	*h = old[:len(old)-1]
 	return d
 }
@@ -530,14 +530,14 @@
 
 func (h waitHeap) Len() int { return len(h) }
 func (h waitHeap) Less(i, j int) bool {
-	return h[i].Limit < h[j].Limit || h[i].Limit == h[j].Limit && h[i].order < h[j].order
+	return h[i].Limit < h[j].Limit || h[i].Limit == h[j].Limit && h[i].sequence < h[j].sequence
 }
 func (h waitHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *waitHeap) Push(x any) {
-	x.(*job).place = len(*h)
+	x.(*job).heapIndex = len(*h)
 	*h = append(*h, x.(*job))
 }
 func (h *waitHeap) Pop() any {
