--- /dev/null
+++ b/internal/leases/book.go
@@ -0,0 +1,262 @@
+package leases
+
+import (
+	"container/heap"
+	"time"
+
+	"birchstair/policy"
+)
+
+// Settings are the operator's settings for durable jobs.
+type Settings struct {
+	Room     int           // the most jobs that the policy has at a time
+	Keep     time.Duration // how long a final answer is kept
+	Leases   bool          // executors take part in leases and can be asked
+	AskEvery time.Duration // the interval between two questions about an attempt
+}
+
+// Book is the state of all durable jobs of a node. Its methods return effects that are to be carried out in order; they are not
+// safe for concurrent use.
+type Book struct {
+	settings Settings
+	jobs     map[ID]*job
+	waiting  waitHeap // jobs in state Waiting
+	inHand   int      // jobs in state InHand
+	stopped  bool     // the node is shutting down
+
+	timers   timerHeap
+	wakeAt   time.Duration // the time of the last Wake effect, or wakeNotSet
+	sequence int
+
+	effects []Effect // of the current call
+}
+
+// NewBook creates an empty book.
+func NewBook(s Settings) *Book { return &Book{settings: s, jobs: map[ID]*job{}, wakeAt: wakeNotSet} }
+
+// State returns the state of a job, and false if there is none of this ID.
+func (b *Book) State(id ID) (State, bool) {
+	j := b.jobs[id]
+	if j == nil {
+		return 0, false
+	}
+	return j.state, true
+}
+
+// Answer returns the final answer of a job that is Done.
+func (b *Book) Answer(id ID) (Final, []byte) {
+	j := b.jobs[id]
+	return j.final, j.result
+}
+
+// Counts returns the number of jobs by state.
+func (b *Book) Counts() (counts [len(stateNames)]int) {
+	for _, j := range b.jobs {
+		counts[j.state]++
+	}
+	return counts
+}
+
+func (b *Book) emit(e Effect) { b.effects = append(b.effects, e) }
+
+// finish ends a call: it gives waiting jobs to the policy and returns the effects.
+func (b *Book) finish(now time.Duration) []Effect {
+	b.submitWaiting(now)
+	b.setWake()
+	effects := b.effects
+	b.effects = nil
+	return effects
+}
+
+// HandIn takes in a new job. It returns false if there is a job of this ID already.
+func (b *Book) HandIn(now time.Duration, in Job) ([]Effect, bool) {
+	if b.jobs[in.ID] != nil {
+		return nil, false
+	}
+	b.add(in)
+	b.emit(KeepJob{in.ID})
+	return b.finish(now), true
+}
+
+func (b *Book) add(in Job) *job {
+	b.sequence++
+	j := &job{Job: in, sequence: b.sequence, heapIndex: -1}
+	b.jobs[in.ID] = j
+	b.schedule(in.Limit, j)
+	return j
+}
+
+// NotKept reports that a job's record could not be written. The job is forgotten; the caller tells the client.
+func (b *Book) NotKept(now time.Duration, id ID) []Effect {
+	if j := b.jobs[id]; j != nil && j.state == Keeping {
+		delete(b.jobs, id)
+		j.cancelTimers()
+	}
+	return b.finish(now)
+}
+
+// Kept reports that a job's record is on disk. Only now it is acknowledged and may be given to the policy.
+func (b *Book) Kept(now time.Duration, id ID) []Effect {
+	if j := b.jobs[id]; j != nil && j.state == Keeping {
+		b.emit(Acknowledge{id})
+		b.enqueue(j)
+	}
+	return b.finish(now)
+}
+
+// enqueue lets a job wait for the policy.
+func (b *Book) enqueue(j *job) {
+	j.state = Waiting
+	heap.Push(&b.waiting, j)
+}
+
+// submitWaiting gives the policy as many jobs as it has room for, those with the nearest deadlines first.
+func (b *Book) submitWaiting(now time.Duration) {
+	for !b.stopped && b.inHand < b.settings.Room && len(b.waiting) > 0 {
+		j := heap.Pop(&b.waiting).(*job)
+		until := min(j.Limit, j.retryUntil())
+		if now >= until {
+			b.expire(j)
+			continue
+		}
+		j.state = InHand
+		b.inHand++
+		b.emit(Arrive{j.ID, until - now})
+	}
+}
+
+// Send reports that the policy sends a job to an executor. It returns the epoch of the attempt, which goes out once its record is
+// on disk, or 0 if the policy doesn't have the job.
+func (b *Book) Send(now time.Duration, id ID, to policy.ExecutorID) (Epoch, []Effect) {
+	j := b.jobs[id]
+	if j == nil || j.state != InHand {
+		return 0, b.finish(now)
+	}
+	s := Send{Epoch: Epoch(len(j.sends) + 1), Executor: to, At: now}
+	j.sends = append(j.sends, s)
+	b.emit(KeepSend{id, s})
+	return s.Epoch, b.finish(now)
+}
+
+// SendKept reports that the record of an attempt is on disk. The attempt goes out, unless the job has its answer or a later
+// attempt by now.
+func (b *Book) SendKept(now time.Duration, id ID, e Epoch) []Effect {
+	if j := b.jobs[id]; j != nil && j.state == InHand && int(e) == len(j.sends) {
+		b.emit(LetOut{id, e})
+	}
+	return b.finish(now)
+}
+
+// Over reports that an attempt is over. If it provably never ran, that is recorded, so that a crash doesn't leave it in doubt.
+func (b *Book) Over(now time.Duration, id ID, e Epoch, neverRan bool) []Effect {
+	if j := b.jobs[id]; j != nil && neverRan && e >= 1 && int(e) <= len(j.sends) && !j.sends[e-1].NeverRan {
+		j.markNeverRan(e)
+		b.emit(KeepOver{id, e})
+	}
+	return b.finish(now)
+}
+
+// Answered reports the policy's answer, which becomes final. During a shutdown only a result is final: a job that was rejected
+// stays on disk for the next start, and one that failed is asked about then.
+func (b *Book) Answered(now time.Duration, id ID, answer Final, result []byte) []Effect {
+	j := b.jobs[id]
+	if j == nil || j.state != InHand {
+		return b.finish(now)
+	}
+	b.inHand--
+	if answer == Rejected && j.Track.Idempotency != policy.Idempotent && j.firstPossibleRun() != nil {
+		answer = Failed // the policy doesn't know of attempts from before a restart
+	}
+	if b.stopped && answer != Succeeded {
+		b.enqueue(j)
+		return b.finish(now)
+	}
+	b.finalize(j, answer, result)
+	return b.finish(now)
+}
+
+// finalize gives a job its final answer, to be written to disk.
+func (b *Book) finalize(j *job, final Final, result []byte) {
+	j.state, j.final, j.result = Closing, final, result
+	j.cancelTimers()
+	b.emit(KeepFinal{j.ID, final, result})
+}
+
+// expire answers a job that was not done by its deadline. A rejection promises that it did not run.
+func (b *Book) expire(j *job) {
+	final := Failed
+	if j.firstPossibleRun() == nil || j.Track.Idempotency == policy.Idempotent {
+		final = Rejected
+	}
+	b.finalize(j, final, nil)
+}
+
+// FinalKept reports that a final answer is on disk. Only now clients are told.
+func (b *Book) FinalKept(now time.Duration, id ID) []Effect {
+	if j := b.jobs[id]; j != nil && j.state == Closing {
+		b.retain(j, now+b.settings.Keep)
+		b.emit(Publish{id, j.final, j.result})
+	}
+	return b.finish(now)
+}
+
+// retain keeps a job that is done until a time.
+func (b *Book) retain(j *job, until time.Duration) {
+	j.state = Done
+	j.cancelTimers()
+	b.schedule(until, j)
+}
+
+// LetGo forgets a job that the client is done with. It returns false if the job is not Done.
+func (b *Book) LetGo(now time.Duration, id ID) ([]Effect, bool) {
+	j := b.jobs[id]
+	if j == nil || j.state != Done {
+		return nil, false
+	}
+	b.forget(j)
+	return b.finish(now), true
+}
+
+func (b *Book) forget(j *job) {
+	j.cancelTimers()
+	delete(b.jobs, j.ID)
+	b.emit(KeepLetGo{j.ID})
+}
+
+// Stop reports that the node is shutting down. The policy is given no more jobs.
+func (b *Book) Stop(now time.Duration) []Effect {
+	b.stopped = true
+	return b.finish(now)
+}
+
+// waitHeap is a heap of jobs by their deadlines, for container/heap; each job knows its index.
+type waitHeap []*job
+
+// Len implements heap.Interface.
+func (h waitHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
+func (h waitHeap) Less(i, j int) bool {
+	return h[i].Limit < h[j].Limit || h[i].Limit == h[j].Limit && h[i].sequence < h[j].sequence
+}
+
+// Swap implements heap.Interface.
+func (h waitHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
+}
+
+// Push implements heap.Interface.
+func (h *waitHeap) Push(x any) {
+	x.(*job).heapIndex = len(*h)
+	*h = append(*h, x.(*job))
+}
+
+// Pop implements heap.Interface.
+func (h *waitHeap) Pop() any {
+	old := *h
+	j := old[len(old)-1]
+	old[len(old)-1] = nil
+	*h = old[:len(old)-1]
+	return j
+}
--- /dev/null
+++ b/internal/leases/doc.go
@@ -0,0 +1,37 @@
+// Package leases is the state machine of durable jobs: jobs that a node acknowledges only once their record is on disk, answers
+// exactly once however often it crashes, and never runs twice if their class forbids it.
+//
+// A Book holds the state of all durable jobs of a node. It reads no clock and does no input or output: each method takes what
+// happened and when, and returns the effects to carry out. Package durable carries them out and keeps the records. Where a
+// job is sent and when it is retried is decided by package policy; a Book decides when the policy is given a job, for how long,
+// and what its decisions mean for the records.
+//
+// Every attempt of a job has an epoch, which is on disk before the attempt goes out. An executor that takes part in leases
+// refuses epochs that are not newer than all it has seen of the job, and can be asked what became of an epoch. So a node that has
+// crashed can find out whether an attempt ran.
+//
+// # States
+//
+//	HandIn --> Keeping --Kept--> Waiting --room--> InHand --Answered--> Closing --FinalKept--> Done --> forgotten
+//	                                ^  |                                   ^
+//	                                |  +------------ deadline -------------+
+//	                                |                                      |
+//	           Recover -------------+-- may run (again)                    |
+//	              |                 |                                      |
+//	              +-----------> Asking --Told: finished, lost, deadline ---+
+//
+//	Keeping   the job's record is being written
+//	Waiting   the record is on disk; the job waits until the policy has room for it
+//	InHand    the policy has it
+//	Asking    an attempt was in flight when the node crashed, and its executor is asked what became of it
+//	Closing   the final answer is being written
+//	Done      the final answer is on disk, and is kept for clients to fetch
+//
+// Files:
+//
+//	job.go       jobs, their states, attempts and what executors say of them
+//	effects.go   what a Book asks its caller to do
+//	book.go      Book, and the way of a job without a crash
+//	recovery.go  what becomes of a job after a crash
+//	timers.go    deadlines and other times at which a Book acts
+package leases
