--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -125,7 +125,7 @@
 		return refusalUnknownExecutor
 	}
 	n.admin.excluded[id] = true
-	n.emit(Log{Text: "taken out by hand", Executor: id})
+	n.emit(Log{Text: "excluded by an operator", Executor: id})
 	n.refreshEndpoint(e)
 	n.closeIdleConns(e)
 	return ""
@@ -143,7 +143,7 @@
 	}
 	delete(n.admin.excluded, id)
 	n.admin.readmittedAt[id] = n.now
-	n.emit(Log{Text: "put back by hand", Executor: id})
+	n.emit(Log{Text: "readmitted by an operator", Executor: id})
 	if e != nil {
 		n.closeIdleConns(e)
 		n.refreshEndpoint(e)
@@ -157,6 +157,6 @@
 		return
 	}
 	n.admin.clientsDrained = on
-	n.emit(Log{Text: fmt.Sprintf("told by hand to send clients away: %t", on)})
+	n.emit(Log{Text: fmt.Sprintf("client drain set by an operator: %t", on)})
 	n.emit(DrainClients{on})
 }
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -61,7 +61,7 @@
 	case EndpointsUpdated:
 		n.endpointsUpdated(ev)
 	case DiscoverySwitchPending:
-		n.emit(Log{Text: fmt.Sprintf("no list from %s yet, the old address counts: %s", ev.Addr, ev.Detail)})
+		n.emit(Log{Text: fmt.Sprintf("no endpoint list from %s yet, still using the old address: %s", ev.Addr, ev.Detail)})
 	case ConfigReloaded:
 		n.configReloaded(ev)
 	}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -97,9 +97,9 @@
 	}
 	n.endpoints.watchFailing = failing
 	if failing {
-		n.emit(Log{Text: "the list could not be had: " + ev.Detail})
+		n.emit(Log{Text: "endpoint list unavailable: " + ev.Detail})
 	} else {
-		n.emit(Log{Text: "the list is back"})
+		n.emit(Log{Text: "endpoint list available again"})
 	}
 }
 
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -15,7 +15,7 @@
 func (n *Node) gossipReceived(m cluster.Message) {
 	for _, id := range n.fleet.Receive(n.now, m) {
 		if e := n.endpoints.get(id); e != nil && e.available && n.fleet.IsDraining(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
-			n.emit(Log{Text: "counts as draining: " + string(m.From) + " told so", Executor: id})
+			n.emit(Log{Text: "counts as draining: reported by " + string(m.From), Executor: id})
 			n.refreshDraining(id)
 		}
 	}
@@ -28,7 +28,7 @@
 		return
 	}
 	for _, id := range n.fleet.ExpireDrains(n.now, n.endpoints.upToDate()) {
-		n.emit(Log{Text: "no longer counts as draining by what neighbours told", Executor: id})
+		n.emit(Log{Text: "no longer counts as draining: the peers' reports have expired", Executor: id})
 		n.refreshDraining(id)
 	}
 	messages, threshold := n.fleet.Tick(n.now, n.policy.TakeLoadSummary(n.now))
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -123,12 +123,12 @@
 	h := &n.handoff
 	h.links = append(h.links, link)
 	if link != Predecessor {
-		n.emit(Log{Text: "a newer process of this node has started"})
+		n.emit(Log{Text: "handoff: a successor has started"})
 		n.emit(SendHandoff{link, HandoffMessage{Kind: StateTransfer, State: n.exportState()}})
 		return
 	}
 	h.awaitingState, h.stateDeadline = true, n.now+stateTimeout
-	n.emit(Log{Text: "an older process of this node runs: its state is waited for"})
+	n.emit(Log{Text: "handoff: waiting for the predecessor's state"})
 	n.policy.ReserveSlowStartUntil(n.now, policy.Endless) // the predecessor's until it yields
 	n.updateLimits()
 }
@@ -143,11 +143,11 @@
 	n.relayLinkDown(link)
 	switch {
 	case link == Predecessor:
-		n.emit(Log{Text: "the older process is gone: " + detail})
+		n.emit(Log{Text: "handoff: the predecessor has ended: " + detail})
 		h.awaitingState, h.awaitingYield = false, false
 		n.reserveSlowStart()
 	case h.yielded && h.successor == link:
-		n.emit(Log{Text: "the newer process is gone, this one goes on: " + detail})
+		n.emit(Log{Text: "handoff: the successor has ended, accepting connections again: " + detail})
 		h.yielded = false
 		n.emit(AcceptConnections{true})
 		n.reserveSlowStart()
@@ -181,7 +181,7 @@
 // yieldTo lets a successor accept connections and use executors in slow start. This process finishes the jobs it has.
 func (n *Node) yieldTo(successor HandoffLink) {
 	n.handoff.yielded, n.handoff.successor = true, successor
-	n.emit(Log{Text: "the newer process takes over"})
+	n.emit(Log{Text: "handoff: yielded to the successor"})
 	n.emit(AcceptConnections{false})
 	n.policy.ReserveSlowStartUntil(n.now, policy.Endless)
 	n.updateLimits()
@@ -231,7 +231,7 @@
 	n.inheritEndpoints(state.Endpoints)
 	n.runDeferredCommands()
 	n.importLearned(state)
-	n.emit(Log{Text: "the older process has handed over"})
+	n.emit(Log{Text: "handoff: took over the predecessor's state"})
 	n.announceReady()
 }
 
@@ -256,7 +256,7 @@
 func (n *Node) expireHandoff() {
 	if n.handoff.awaitingState && n.now >= n.handoff.stateDeadline {
 		n.emit(CloseHandoffLink{Predecessor})
-		n.handoffLinkDown(Predecessor, "it hands nothing over")
+		n.handoffLinkDown(Predecessor, "no state received in time")
 	}
 	n.expireRelays()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,7 +25,7 @@
 }
 
 // PolicyPanicked begins the log line of a panic of the policy.
-const PolicyPanicked = "the decision module broke"
+const PolicyPanicked = "the policy panicked"
 
 // panicBackoff is how soon after a panic the policy is called again.
 const panicBackoff = 100 * time.Millisecond
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,13 +10,13 @@
 func (n *Node) configReloaded(ev ConfigReloaded) {
 	if ev.Detail != "" {
 		n.metrics.countReload(false)
-		n.emit(Log{Text: "the configuration stays as it was: " + ev.Detail})
+		n.emit(Log{Text: "configuration reload rejected: " + ev.Detail})
 		return
 	}
 	n.metrics.countReload(true)
-	n.emit(Log{Text: "the configuration was read again; the list comes from " + ev.Discovery})
+	n.emit(Log{Text: "configuration reloaded; endpoint list from " + ev.Discovery})
 	if len(ev.NeedRestart) > 0 {
-		n.emit(Log{Text: "changed, and taken up at the next start: " + strings.Join(ev.NeedRestart, ", ")})
+		n.emit(Log{Text: "changed, effective after a restart: " + strings.Join(ev.NeedRestart, ", ")})
 	}
 	n.reloadJobClasses(ev)
 	n.emit(SwitchDiscovery{ev.Discovery})
@@ -29,6 +29,6 @@
 		return
 	}
 	n.policy.UpdateJobClasses(n.now, n.setJobClasses(ev.Classes))
-	n.emit(Log{Text: fmt.Sprintf("there are %d tracks from now on", len(n.classes.current))})
+	n.emit(Log{Text: fmt.Sprintf("job classes updated: %d", len(n.classes.current))})
 	n.emit(UpdateJobClasses{n.classes.current})
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -34,7 +34,7 @@
 	n.shutdown.lameDuckUntil = n.now + n.limits.LameDuckPeriod
 	n.shutdown.deadline = n.now + n.limits.ShutdownTimeout
 	n.emit(SetReady{false})
-	n.emit(Log{Text: fmt.Sprintf("told to stop with %d batch jobs in hand", n.jobs.inFlight())})
+	n.emit(Log{Text: fmt.Sprintf("shutdown requested, batch jobs in flight: %d", n.jobs.inFlight())})
 	n.jobs.limitDeadlines(n.shutdown.deadline, n.limits.Quantum)
 	n.policy.ShutDownBy(n.now, n.shutdown.deadline)
 }
@@ -46,7 +46,7 @@
 		return
 	}
 	s.frontendClosing = true
-	n.emit(Log{Text: "all is answered"})
+	n.emit(Log{Text: "shutdown: every batch job is answered"})
 	n.emit(CloseFrontend{})
 }
 
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -215,7 +215,7 @@
 	w.list.Change(all...)
 	if err := until(readyIn, func() bool {
 		log, err := os.ReadFile(filepath.Join(p.dir, "log"))
-		return p.shows("executors_known", len(all)) || err == nil && strings.Contains(string(log), "the list could not be had")
+		return p.shows("executors_known", len(all)) || err == nil && strings.Contains(string(log), "endpoint list unavailable")
 	}); err != nil {
 		t.Errorf("a list of %d is neither served nor turned down: %v", len(all), err)
 	}
