--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -46,22 +46,24 @@
 // In a hot restart the new process (the successor) and the old one (the predecessor) serve side by side until the predecessor
 // has answered its last job. Each of the two goes through these states:
 //
-//	successor                                        predecessor
+//	successor                                          predecessor
 //
-//	 starting                                         serving
-//	    | HandoffLinkUp                                  | HandoffLinkUp
-//	    v                                                v
-//	 awaiting state  <-------- StateTransfer --------  serving
-//	    | has state and endpoints                        |
-//	    v                                                |
-//	 awaiting yield  --------- SuccessorReady ------->   | stops accepting connections,
-//	    |                                                v halves its limits
-//	 serving         <------- PredecessorYielded ----  yielded
-//	    |                                                | ShutdownRequested, last job answered
-//	    v HandoffLinkDown: takes back all limits         v
-//	 serving alone                                    exited
+//	starting                                           serving
+//	   | HandoffLinkUp                                    | HandoffLinkUp
+//	   v                                                  v
+//	awaiting state  <--------- StateTransfer ---------  serving
+//	   | has the state and endpoints:                     |
+//	   v accepts connections                              |
+//	awaiting yield  --------- SuccessorReady -------->    | stops accepting connections,
+//	   |                                                  v halves its limits
+//	ready           <------- PredecessorYielded ------  yielded
+//	   | HandoffLinkDown:                                 | ShutdownRequested, last job answered
+//	   v takes back the whole limits                      v
+//	serving alone                                       exited
 //
-// If the state doesn't arrive within stateTimeout, or the link goes down first, the successor serves without it. If the link
-// to the successor goes down, the predecessor accepts connections again. Both processes use half of the node's limits
-// while they run side by side, and only one of them may send work to executors that are in slow start.
+// The successor's limits are halved from the start. Until its state has arrived it is not ready, and until the predecessor has
+// yielded it accepts connections but tells operators that it is not ready; both waits are bounded (stateTimeout, yieldTimeout).
+// If a link goes down early, the process that remains goes on alone: a successor without the state, a predecessor by
+// accepting connections again. Only one of the two may send work to executors in slow start: the predecessor until it yields,
+// and the successor once everything that the predecessor may have sent is out of the slow-start limit's window.
 package node
