--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -68,7 +68,7 @@
 // random returns the next number of the node's random sequence, in [0, 1).
 func (f *Fleet) random() float64 {
 	f.draws++
-	return policy.Chance(f.settings.Seed, f.draws)
+	return policy.Random(f.settings.Seed, f.draws)
 }
 
 // Next returns when Tick is due.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/membership_test.go
@@ -27,7 +27,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { udp.Close(); tcp.Close() })
+	for _, socket := range []io.Closer{udp, tcp} {
+		t.Cleanup(func() {
+			if err := socket.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+	}
 	go func() {
 		for {
 			c, err := tcp.Accept()
@@ -42,23 +48,27 @@
 				}
 				defer d.Close()
 				go func() {
-					io.Copy(d, c)
-					d.(*net.TCPConn).CloseWrite()
+					_, copied := io.Copy(d, c)
+					if err := d.(*net.TCPConn).CloseWrite(); err != nil || copied != nil {
+						d.Close()
+					}
 				}()
-				io.Copy(c, d)
+				if _, err := io.Copy(c, d); err != nil {
+					return
+				}
 			}()
 		}
 	}()
 }
 
-// deadMessage is memberlist's datagram by which one node tells that another is dead: its kind, and a map of three fields.
+// deadMessage is memberlist's datagram by which one node announces that another is dead: its kind, and a map of three fields.
 func deadMessage(name, from string) []byte {
 	text := func(s string) []byte { return append([]byte{0xa0 | byte(len(s))}, s...) }
 	return slices.Concat([]byte{5, 0x83}, text("Incarnation"), []byte{7}, text("Node"), text(name), text("From"), text(from))
 }
 
-// A node that lives and hears no datagrams is taken for dead by its neighbour, and never told. It holds the neighbour for alive, so it joins nobody: it comes
-// back because it goes on sending messages, by connections alone. Whole exchanges by chance, which would bring it back some time, are off.
+// A node that is alive and receives no datagrams is taken for dead by its peer, and never notified. It takes the peer for alive, so it joins nobody: it comes
+// back because it goes on sending messages. Exchanges with random peers, which would bring it back some time, are off.
 func TestTakenForDeadComesBack(t *testing.T) {
 	there, here, link := netip.MustParseAddrPort("127.77.2.1:7951"), netip.MustParseAddrPort("127.77.2.2:7951"), netip.MustParseAddrPort("127.77.2.3:7951")
 	relay(t, link, here)
@@ -66,9 +76,9 @@
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	defer cancel()
-	member := func(o Options, tell func(node.Event)) *Members {
+	member := func(o Options, tell func(node.Event)) *Membership {
 		m := New(o, tell, zerolog.Nop())
-		m.exchanges = 0
+		m.pushPullInterval = 0
 		wait.Go(func() { m.Run(ctx) })
 		return m
 	}
@@ -79,7 +89,7 @@
 			alive <- slices.Contains(n.Alive, "node")
 		}
 	})
-	n := member(Options{Name: "node", Number: 1, Listen: here, Advertise: link, Seeds: seeds}, func(node.Event) {})
+	n := member(Options{Name: "node", Node: 1, Listen: here, Advertise: link, Seeds: seeds}, func(node.Event) {})
 	again := time.NewTicker(50 * time.Millisecond)
 	defer again.Stop()
 	limit := time.After(20 * time.Second)
@@ -105,7 +115,11 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	until(false, "the neighbour did not take the node for dead", func() { c.Write(deadMessage("node", "neighbour")) })
+	until(false, "the neighbour did not take the node for dead", func() {
+		if _, err := c.Write(deadMessage("node", "neighbour")); err != nil {
+			t.Error(err)
+		}
+	})
 	until(true, "the node sends messages and stays taken for dead", func() {
 		seq++
 		n.SendGossip(cluster.Envelope{To: "neighbour", Message: cluster.Message{From: "node", Incarnation: 1, Seq: seq}})
--- a/internal/gossip/traffic.go
+++ b/internal/gossip/traffic.go
@@ -10,116 +10,134 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Traffic counts what members send to some addresses and get from them, for those who measure. Bytes are those of the messages, without heads of IP.
+// Traffic counts what is sent to some peers and received from them, for measurements. Bytes are those of the messages, without
+// IP headers.
 type Traffic struct {
-	Of func(netip.Addr) bool // which neighbours count
+	Counts func(netip.Addr) bool // whether a peer's traffic is counted
 
-	PacketsIn, PacketsOut, StreamsIn, StreamsOut, BytesIn, BytesOut atomic.Int64
+	PacketsIn, PacketsOut atomic.Int64 // UDP
+	StreamsIn, StreamsOut atomic.Int64 // TCP connections
+	BytesIn, BytesOut     atomic.Int64 // of both
 }
 
-// counted is a transport whose traffic is counted.
-type counted struct {
+// countingTransport is a transport that counts its traffic.
+type countingTransport struct {
 	*transport
-	t       *Traffic
+	traffic *Traffic
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	ended   chan struct{}
+	closed  chan struct{}
 	once    sync.Once
 }
 
-func count(inner *transport, t *Traffic) *counted {
-	c := &counted{transport: inner, t: t, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), ended: make(chan struct{})}
-	go c.pass()
+func newCountingTransport(inner *transport, traffic *Traffic) *countingTransport {
+	c := &countingTransport{
+		transport: inner,
+		traffic:   traffic,
+		packets:   make(chan *memberlist.Packet),
+		streams:   make(chan net.Conn),
+		closed:    make(chan struct{}),
+	}
+	go c.forward()
 	return c
 }
 
-func (c *counted) of(addr string) bool {
-	a, err := netip.ParseAddrPort(addr)
-	return err == nil && c.t.Of(a.Addr().Unmap())
+func (c *countingTransport) counts(addr string) bool {
+	peer, err := netip.ParseAddrPort(addr)
+	return err == nil && c.traffic.Counts(peer.Addr().Unmap())
 }
 
-// pass hands on what comes, counted.
-func (c *counted) pass() {
+// forward counts what is received and hands it on, until Shutdown.
+func (c *countingTransport) forward() {
 	for {
 		select {
-		case <-c.ended:
+		case <-c.closed:
 			return
-		case p := <-c.transport.PacketCh():
-			if c.of(p.From.String()) {
-				c.t.PacketsIn.Add(1)
-				c.t.BytesIn.Add(int64(len(p.Buf)))
+		case packet := <-c.transport.PacketCh():
+			if c.counts(packet.From.String()) {
+				c.traffic.PacketsIn.Add(1)
+				c.traffic.BytesIn.Add(int64(len(packet.Buf)))
 			}
 			select {
-			case c.packets <- p:
-			case <-c.ended:
+			case c.packets <- packet:
+			case <-c.closed:
 			}
-		case s := <-c.transport.StreamCh():
-			if c.of(s.RemoteAddr().String()) {
-				c.t.StreamsIn.Add(1)
-				s = countedConn{s, c.t}
+		case conn := <-c.transport.StreamCh():
+			if c.counts(conn.RemoteAddr().String()) {
+				c.traffic.StreamsIn.Add(1)
+				conn = countingConn{conn, c.traffic}
 			}
 			select {
-			case c.streams <- s:
-			case <-c.ended:
-				s.Close()
+			case c.streams <- conn:
+			case <-c.closed:
+				conn.Close()
 			}
 		}
 	}
 }
 
-func (c *counted) PacketCh() <-chan *memberlist.Packet { return c.packets }
+// PacketCh gives memberlist the received packets.
+func (c *countingTransport) PacketCh() <-chan *memberlist.Packet { return c.packets }
 
-func (c *counted) StreamCh() <-chan net.Conn { return c.streams }
+// StreamCh gives memberlist the accepted connections.
+func (c *countingTransport) StreamCh() <-chan net.Conn { return c.streams }
 
-// Shutdown ends the transport.
-func (c *counted) Shutdown() error {
-	c.once.Do(func() { close(c.ended) })
+// Shutdown closes the sockets.
+func (c *countingTransport) Shutdown() error {
+	c.once.Do(func() { close(c.closed) })
 	return c.transport.Shutdown()
 }
 
-func (c *counted) sent(addr string, b []byte) {
-	if c.of(addr) {
-		c.t.PacketsOut.Add(1)
-		c.t.BytesOut.Add(int64(len(b)))
+func (c *countingTransport) countSent(addr string, b []byte) {
+	if c.counts(addr) {
+		c.traffic.PacketsOut.Add(1)
+		c.traffic.BytesOut.Add(int64(len(b)))
 	}
 }
 
-func (c *counted) WriteTo(b []byte, addr string) (time.Time, error) {
-	c.sent(addr, b)
+// WriteTo sends a packet.
+func (c *countingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
+	c.countSent(addr, b)
 	return c.transport.WriteTo(b, addr)
 }
 
-func (c *counted) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	c.sent(a.Addr, b)
-	return c.transport.WriteToAddress(b, a)
+// WriteToAddress sends a packet to a peer by its address.
+func (c *countingTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+	c.countSent(to.Addr, b)
+	return c.transport.WriteToAddress(b, to)
 }
 
-func (c *counted) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
-	conn, err := c.transport.DialTimeout(addr, limit)
-	if err == nil && c.of(addr) {
-		c.t.StreamsOut.Add(1)
-		conn = countedConn{conn, c.t}
+// DialTimeout opens a connection to a peer.
+func (c *countingTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	conn, err := c.transport.DialTimeout(addr, timeout)
+	if err == nil && c.counts(addr) {
+		c.traffic.StreamsOut.Add(1)
+		conn = countingConn{conn, c.traffic}
 	}
 	return conn, err
 }
 
-func (c *counted) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
-	return c.DialTimeout(a.Addr, limit)
+// DialAddressTimeout opens a connection to a peer by its address.
+func (c *countingTransport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return c.DialTimeout(to.Addr, timeout)
 }
 
-type countedConn struct {
+// countingConn is a connection that counts its bytes.
+type countingConn struct {
 	net.Conn
-	t *Traffic
+	traffic *Traffic
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+// Read reads from the peer.
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.t.BytesIn.Add(int64(n))
+	c.traffic.BytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+// Write writes to the peer.
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.t.BytesOut.Add(int64(n))
+	c.traffic.BytesOut.Add(int64(n))
 	return n, err
 }
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -129,7 +129,7 @@
 	}
 	h.awaitingState, h.stateDeadline = true, n.now+stateTimeout
 	n.emit(Log{Text: "handoff: waiting for the predecessor's state"})
-	n.policy.ReserveSlowStartUntil(n.now, policy.Endless) // the predecessor's until it yields
+	n.policy.ReserveSlowStartUntil(n.now, policy.Forever) // the predecessor's until it yields
 	n.updateLimits()
 }
 
@@ -183,7 +183,7 @@
 	n.handoff.yielded, n.handoff.successor = true, successor
 	n.emit(Log{Text: "handoff: yielded to the successor"})
 	n.emit(AcceptConnections{false})
-	n.policy.ReserveSlowStartUntil(n.now, policy.Endless)
+	n.policy.ReserveSlowStartUntil(n.now, policy.Forever)
 	n.updateLimits()
 	n.emit(SendHandoff{successor, HandoffMessage{Kind: PredecessorYielded}})
 }
@@ -261,7 +261,7 @@
 	n.expireRelays()
 }
 
-// nextHandoffDeadline is when expireHandoff has something to do next, or policy.Endless.
+// nextHandoffDeadline is when expireHandoff has something to do next, or policy.Forever.
 func (n *Node) nextHandoffDeadline() time.Duration {
 	next := n.relays.nextDeadline()
 	if n.handoff.awaitingState {
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -31,9 +31,9 @@
 // seqs returns the pending relays in the order of their commands.
 func (r *commandRelays) seqs() []uint64 { return slices.Sorted(maps.Keys(r.pending)) }
 
-// nextDeadline is when the first relay times out, or policy.Endless.
+// nextDeadline is when the first relay times out, or policy.Forever.
 func (r *commandRelays) nextDeadline() time.Duration {
-	next := policy.Endless
+	next := policy.Forever
 	for _, p := range r.pending {
 		next = min(next, p.deadline)
 	}
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -74,7 +74,7 @@
 	tcp := net.Dialer{}
 	go func() {
 		w.over <- service.Run(ctx, service.Setup{Settings: s, Start: time.Now(), Listener: w.halts.Listener(l), Discovery: list.Addr().String(), Log: zerolog.Nop(),
-			ClientConns: frontend.Budget{Whole: 300, Half: 150}, Module: policy.New(s.Policy),
+			ClientConns: frontend.ConnLimits{Max: 300, MaxShared: 150}, Module: policy.New(s.Policy),
 			Executors: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				goOn := make(chan struct{})
 				select {
@@ -213,7 +213,9 @@
 	end := func(conns []net.Conn, more string) {
 		for _, c := range conns {
 			if more != "" {
-				c.Write([]byte(more))
+				if _, err := c.Write([]byte(more)); err != nil {
+					t.Error(err)
+				}
 			}
 		}
 		for _, c := range conns {
--- a/policy/handover.go
+++ b/policy/learned_state.go
@@ -48,19 +48,19 @@
 
 // ExportLearned gives what was learnt, in the order of ids.
 func (d *Dispatcher) ExportLearned(now time.Duration) (k LearnedState) {
-	k.Nodes, k.MeanValue, k.MeanDensity = d.nodes, d.meanEarnings, d.meanDensity
-	for id, t := range d.tracks {
-		if slices.Contains(d.current, t) {
-			k.Classes = append(k.Classes, LearnedClass{JobClassID(id), t.meanWork, t.learnt, t.fullBudget, t.asked, t.given, t.unit})
+	k.Nodes, k.MeanValue, k.MeanDensity = d.config.nodeCount, d.values.mean, d.values.meanDensity
+	for id, t := range d.classes.all {
+		if slices.Contains(d.classes.current, t) {
+			k.Classes = append(k.Classes, LearnedClass{JobClassID(id), t.meanWork, t.samples, t.fullBudget, t.requestedValue, t.earnedValue, t.unitValue})
 		}
 	}
-	for id, kind := range d.kinds {
-		k.Kinds = append(k.Kinds, LearnedKind{id, kind.pace, kind.size, kind.places, kind.parallel})
+	for id, kind := range d.endpoints.kinds {
+		k.Kinds = append(k.Kinds, LearnedKind{id, kind.pace, kind.size, kind.reportedSlots, kind.concurrency})
 	}
 	slices.SortFunc(k.Kinds, func(a, b LearnedKind) int { return cmp.Compare(a.ID, b.ID) })
-	for _, e := range d.met {
-		if !e.gone {
-			k.Executors = append(k.Executors, LearnedExecutor{e.id, e.quota, e.runs, e.works, e.startWait, max(0, e.held-now), e.inCap, e.silences})
+	for _, e := range d.quota.executors {
+		if !e.removed {
+			k.Executors = append(k.Executors, LearnedExecutor{e.id, e.tokens.quota, e.estimate.runTime, e.estimate.work, e.estimate.startWait, max(0, e.health.ejectedUntil-now), e.health.inFlightCap, e.health.timeouts})
 		}
 	}
 	slices.SortFunc(k.Executors, func(a, b LearnedExecutor) int { return cmp.Compare(a.ID, b.ID) })
@@ -73,44 +73,44 @@
 // waits and how the tracks fare are of the nodes together, and begin afresh: carried over, each of many nodes would send
 // what one of a few did.
 func (d *Dispatcher) ImportLearned(now time.Duration, k LearnedState) {
-	among := k.Nodes == 0 || k.Nodes == d.nodes
+	among := k.Nodes == 0 || k.Nodes == d.config.nodeCount
 	if k.MeanValue > 0 && k.MeanDensity > 0 {
-		d.meanEarnings, d.meanDensity = k.MeanValue, k.MeanDensity
+		d.values.mean, d.values.meanDensity = k.MeanValue, k.MeanDensity
 	}
 	for _, in := range k.Classes {
-		if in.ID < 0 || int(in.ID) >= len(d.tracks) || in.MeanWork <= 0 || in.UnitValue <= 0 {
+		if in.ID < 0 || int(in.ID) >= len(d.classes.all) || in.MeanWork <= 0 || in.UnitValue <= 0 {
 			continue
 		}
-		t := d.tracks[in.ID]
-		t.meanWork, t.learnt, t.fullBudget = in.MeanWork, in.Samples, min(in.FullBudget, t.outerLimit)
-		t.unit = in.UnitValue
+		t := d.classes.all[in.ID]
+		t.meanWork, t.samples, t.fullBudget = in.MeanWork, in.Samples, min(in.FullBudget, t.deadline)
+		t.unitValue = in.UnitValue
 		if among {
-			t.asked, t.given = max(0, in.RequestedValue), max(0, in.EarnedValue)
+			t.requestedValue, t.earnedValue = max(0, in.RequestedValue), max(0, in.EarnedValue)
 		}
 	}
 	for _, in := range k.Kinds {
-		if kind := d.kinds[in.ID]; kind != nil && in.Pace > 0 && in.Parallel > 0 && in.Size > 0 {
-			kind.pace, kind.size, kind.places, kind.parallel = in.Pace, in.Size, max(0, in.Slots), in.Parallel
+		if kind := d.endpoints.kinds[in.ID]; kind != nil && in.Pace > 0 && in.Parallel > 0 && in.Size > 0 {
+			kind.pace, kind.size, kind.reportedSlots, kind.concurrency = in.Pace, in.Size, max(0, in.Slots), in.Parallel
 		}
 	}
 	for _, in := range k.Executors {
-		e := d.byID[in.ID]
-		if e == nil || now < e.coldUntil || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
+		e := d.endpoints.byID[in.ID]
+		if e == nil || now < e.slowStart.until || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
 			continue
 		}
-		e.runs, e.works, e.silences = in.RunTime, in.Work, in.Timeouts
-		d.touch(e)
+		e.estimate.runTime, e.estimate.work, e.health.timeouts = in.RunTime, in.Work, in.Timeouts
+		d.markDirty(e)
 		if in.EjectedFor > 0 || in.InFlightCap > 0 {
-			e.held, e.inCap = now+in.EjectedFor, max(1, in.InFlightCap)
-			d.at(e.held, nil, nil)
+			e.health.ejectedUntil, e.health.inFlightCap = now+in.EjectedFor, max(1, in.InFlightCap)
+			d.schedule(e.health.ejectedUntil, nil, nil)
 		}
 		if !among {
 			continue
 		}
-		e.startWait, e.known = max(0, in.StartWait), min(in.Quota, quotaCap)
-		for e.quota > 0 && e.quota < e.known {
-			d.step(e, 1, now)
+		e.estimate.startWait, e.tokens.inheritedQuota = max(0, in.StartWait), min(in.Quota, maxQuota)
+		for e.tokens.quota > 0 && e.tokens.quota < e.tokens.inheritedQuota {
+			d.raiseQuota(e, now)
 		}
 	}
-	d.stale, d.moved, d.freed = true, true, true
+	d.subset.stale, d.subset.changed, d.queue.tokenFreed = true, true, true
 }
