--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -12,15 +12,16 @@
 	"birchstair/policy"
 )
 
-// A trace in testdata holds what a node is told of its fleet and, behind arrows, what it makes of it:
+// tracePlayer replays a trace. A trace in testdata holds the calls of a Fleet and, behind arrows, what they return:
 //
-//	0s alive a b c                       who is held for alive
-//	1s tick offered=38:10,34:5 done=9 lost=1 waiting=2 capacity=12   a spell ends, with what the module saw in it
-//	1s word a life=1 seq=1 offered=38:10 done=9 e3:5s:0s             a word: drains as executor:age:born in s
-//	1s list e3 draining born=0s          what the own list says: up, draining, gone
-//	2s old follows                       drains that are too old are looked for; the list follows, or silent
-//	2s show                              all that it knows
-type player struct {
+//	0s alive a b c                       SetAlive
+//	1s tick offered=38:10,34:5 completed=9 expired=1 waiting=2 capacity=12   Tick, with the load since the last one
+//	1s message a incarnation=1 seq=1 offered=38:10 completed=9 e3:5s:0s      Receive; drains as executor:age:start
+//	1s endpoint e3 draining started=0s   ObserveEndpoint: available, draining or removed; 0s is long ago
+//	2s is-draining e3 started=0s         IsDraining
+//	2s expire up-to-date                 ExpireDrains; the own list is up-to-date or out-of-date
+//	2s describe                          Describe
+type tracePlayer struct {
 	t *testing.T
 	f *Fleet
 }
@@ -29,7 +30,7 @@
 	golden.Replay(t, func(t *testing.T, lines []string) string {
 		s := Defaults("me", 5, 1)
 		s.Epoch, s.DrainTTL = 0, 30*time.Second
-		p, out := &player{t: t, f: New(s)}, []string{}
+		p, out := &tracePlayer{t: t, f: New(s)}, []string{}
 		for _, line := range lines {
 			out = append(out, line)
 			if words := strings.Fields(line); len(words) > 0 && words[0] != "#" {
@@ -42,114 +43,153 @@
 	})
 }
 
-func (p *player) rungs(text string) (all map[int]float64) {
-	all = map[int]float64{}
-	for _, one := range strings.Split(text, ",") {
-		rung, x, _ := strings.Cut(one, ":")
-		r, err := strconv.Atoi(rung)
-		if err != nil {
-			p.t.Fatal(err)
+// play makes the call of one line, and returns what it returns as text.
+func (p *tracePlayer) play(now time.Duration, words []string) []string {
+	p.t.Helper()
+	values := map[string]string{}
+	for _, word := range words {
+		if key, value, ok := strings.Cut(word, "="); ok {
+			values[key] = value
 		}
-		all[r] = p.figure(x)
 	}
-	return all
+	switch words[0] {
+	case "alive":
+		p.alive(words[1:])
+	case "tick":
+		return p.tick(now, values)
+	case "message":
+		return p.message(now, words, values)
+	case "endpoint":
+		state := policy.EndpointState(slices.Index([]string{"available", "draining", "removed"}, words[2]))
+		started := p.started(values)
+		p.f.ObserveEndpoint(now, policy.ExecutorID(words[1]), started, started == 0, state)
+	case "is-draining":
+		started := golden.Span(p.t, values["started"])
+		return []string{fmt.Sprint(p.f.IsDraining(policy.ExecutorID(words[1]), started, started == 0))}
+	case "expire":
+		return p.expire(now, words[1] == "up-to-date")
+	case "describe":
+		return p.f.Describe(now)
+	default:
+		p.t.Fatalf("unknown call %q", words[0])
+	}
+	return nil
 }
 
-func (p *player) figure(text string) float64 {
-	x, err := strconv.ParseFloat(text, 64)
-	if err != nil {
-		p.t.Fatal(err)
+func (p *tracePlayer) alive(words []string) {
+	var names []NodeName
+	for _, word := range words {
+		names = append(names, NodeName(word))
 	}
-	return x
+	p.f.SetAlive(names)
+}
+
+func (p *tracePlayer) tick(now time.Duration, values map[string]string) (out []string) {
+	p.t.Helper()
+	rates := p.rates(values)
+	load := policy.LoadSummary{Admitted: rates.Admitted, Completed: rates.Completed, Expired: rates.Expired, Migrations: rates.Migrations, Waiting: rates.Waiting}
+	for level, sum := range rates.Offered {
+		load.Offered[level] = sum
+	}
+	if value := values["capacity"]; value != "" {
+		load.Capacity = p.number(value)
+	}
+	sent, threshold := p.f.Tick(now, load)
+	for _, e := range sent {
+		out = append(out, envelopeText(e))
+	}
+	text := fmt.Sprintf("threshold at level %d, %.2f of it admitted", threshold.Level, threshold.AdmitFraction)
+	if threshold.MigrationDelay > 0 {
+		text += fmt.Sprintf(", migrations wait %.2f of their slack", threshold.MigrationDelay)
+	}
+	return append(out, text)
+}
+
+func envelopeText(e Envelope) string {
+	text := fmt.Sprintf("send to %s, message %d: offered %.1f, completed %.1f", e.To, e.Message.Seq, e.Message.Rates.offered(), e.Message.Rates.Completed)
+	for _, d := range e.Message.Drains {
+		text += fmt.Sprintf(", %s draining for %v", d.Executor, d.Age)
+	}
+	return text
 }
 
-// play takes one line in.
-func (p *player) play(now time.Duration, words []string) (out []string) {
-	value := map[string]string{}
-	for _, w := range words {
-		if key, v, ok := strings.Cut(w, "="); ok {
-			value[key] = v
+func (p *tracePlayer) message(now time.Duration, words []string, values map[string]string) (out []string) {
+	p.t.Helper()
+	m := Message{From: NodeName(words[1]), Incarnation: 1, Seq: 1, Rates: p.rates(values)}
+	if value := values["incarnation"]; value != "" {
+		m.Incarnation = uint64(p.number(value))
+	}
+	if value := values["seq"]; value != "" {
+		m.Seq = uint64(p.number(value))
+	}
+	for _, word := range words[2:] {
+		if part := strings.Split(word, ":"); len(part) == 3 && !strings.Contains(word, "=") {
+			m.Drains = append(m.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: golden.Span(p.t, part[1]), Incarnation: golden.Span(p.t, part[2]).Milliseconds()})
 		}
 	}
-	figures := Rates{Offered: map[int]float64{}}
-	for key, v := range value {
+	for _, id := range p.f.Receive(now, m) {
+		out = append(out, fmt.Sprintf("%s is newly draining", id))
+	}
+	return out
+}
+
+func (p *tracePlayer) expire(now time.Duration, upToDate bool) (out []string) {
+	for _, id := range p.f.ExpireDrains(now, upToDate) {
+		out = append(out, fmt.Sprintf("%s has expired", id))
+	}
+	return out
+}
+
+func (p *tracePlayer) rates(values map[string]string) Rates {
+	p.t.Helper()
+	rates := Rates{Offered: map[int]float64{}}
+	for key, value := range values {
 		switch key {
 		case "offered":
-			figures.Offered = p.rungs(v)
+			rates.Offered = p.levels(value)
 		case "admitted":
-			figures.Admitted = p.figure(v)
-		case "done":
-			figures.Completed = p.figure(v)
-		case "lost":
-			figures.Expired = p.figure(v)
-		case "moves":
-			figures.Migrations = p.figure(v)
+			rates.Admitted = p.number(value)
+		case "completed":
+			rates.Completed = p.number(value)
+		case "expired":
+			rates.Expired = p.number(value)
+		case "migrations":
+			rates.Migrations = p.number(value)
 		case "waiting":
-			figures.Waiting = p.figure(v)
+			rates.Waiting = p.number(value)
 		}
 	}
-	switch words[0] {
-	case "alive":
-		var names []NodeName
-		for _, w := range words[1:] {
-			names = append(names, NodeName(w))
-		}
-		p.f.SetAlive(names)
-	case "tick":
-		t := policy.LoadSummary{Admitted: figures.Admitted, Completed: figures.Completed, Expired: figures.Expired, Migrations: figures.Migrations, Waiting: figures.Waiting}
-		for rung, x := range figures.Offered {
-			t.Offered[rung] = x
-		}
-		if v := value["capacity"]; v != "" {
-			t.Capacity = p.figure(v)
-		}
-		told, line := p.f.Tick(now, t)
-		for _, to := range told {
-			text := fmt.Sprintf("tell %s, word %d: offered %.1f, done %.1f", to.To, to.Message.Seq, to.Message.Rates.offered(), to.Message.Rates.Completed)
-			for _, d := range to.Message.Drains {
-				text += fmt.Sprintf(", %s drains, %v old", d.Executor, d.Age)
-			}
-			out = append(out, text)
-		}
-		text := fmt.Sprintf("cut line at rung %d, %.2f of it taken", line.Level, line.AdmitFraction)
-		if line.MigrationDelay > 0 {
-			text += fmt.Sprintf(", moves wait %.2f of their slack", line.MigrationDelay)
-		}
-		out = append(out, text)
-	case "word":
-		w := Message{From: NodeName(words[1]), Incarnation: 1, Seq: 1, Rates: figures}
-		if v := value["life"]; v != "" {
-			w.Incarnation = uint64(p.figure(v))
-		}
-		if v := value["seq"]; v != "" {
-			w.Seq = uint64(p.figure(v))
-		}
-		for _, text := range words[2:] {
-			if part := strings.Split(text, ":"); len(part) == 3 && !strings.Contains(text, "=") {
-				w.Drains = append(w.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: golden.Span(p.t, part[1]), Incarnation: golden.Span(p.t, part[2]).Milliseconds()})
-			}
-		}
-		for _, id := range p.f.Receive(now, w) {
-			out = append(out, fmt.Sprintf("%s is news", id))
-		}
-	case "list":
-		state := policy.EndpointState(slices.Index([]string{"up", "draining", "gone"}, words[2]))
-		born := time.Duration(0)
-		if v := value["born"]; v != "" {
-			born = golden.Span(p.t, v)
-		}
-		p.f.ObserveEndpoint(now, policy.ExecutorID(words[1]), born, born == 0, state)
-	case "drains":
-		born := golden.Span(p.t, value["born"])
-		out = append(out, fmt.Sprint(p.f.IsDraining(policy.ExecutorID(words[1]), born, born == 0)))
-	case "old":
-		for _, id := range p.f.ExpireDrains(now, words[1] == "follows") {
-			out = append(out, fmt.Sprintf("%s is forgotten", id))
+	return rates
+}
+
+// levels reads rates by priority level, as in 38:10,34:5.
+func (p *tracePlayer) levels(text string) map[int]float64 {
+	p.t.Helper()
+	rates := map[int]float64{}
+	for _, one := range strings.Split(text, ",") {
+		level, rate, _ := strings.Cut(one, ":")
+		number, err := strconv.Atoi(level)
+		if err != nil {
+			p.t.Fatal(err)
 		}
-	case "show":
-		out = p.f.Describe(now)
-	default:
-		p.t.Fatalf("no line begins with %q", words[0])
+		rates[number] = p.number(rate)
 	}
-	return out
+	return rates
+}
+
+func (p *tracePlayer) number(text string) float64 {
+	p.t.Helper()
+	x, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return x
+}
+
+func (p *tracePlayer) started(values map[string]string) time.Duration {
+	p.t.Helper()
+	if value := values["started"]; value != "" {
+		return golden.Span(p.t, value)
+	}
+	return 0
 }
