--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -11,175 +11,207 @@
 )
 
 var (
-	repeatable = JobClass{}
-	once       = JobClass{Idempotency: policy.AtMostOnce}
-	taggedAll  = JobClass{Idempotency: policy.IdempotentWithKey, DedupWindow: 7 * time.Second}
-	taggedZone = JobClass{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupZone, DedupWindow: 7 * time.Second}
+	idempotent = JobClass{}
+	atMostOnce = JobClass{Idempotency: policy.AtMostOnce}
+	keyedAll   = JobClass{Idempotency: policy.IdempotentWithKey, DedupWindow: 7 * time.Second}
+	keyedZone  = JobClass{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupZone, DedupWindow: 7 * time.Second}
 )
 
-func text(e Effect) string {
+func effectText(e Effect) string {
 	switch e := e.(type) {
 	case KeepJob:
-		return "keep " + string(e.ID)
+		return "store " + string(e.ID)
 	case KeepSend:
-		return fmt.Sprintf("keep that %s goes out under epoch %d to %s", e.ID, e.Send.Epoch, e.Send.Executor)
+		return fmt.Sprintf("store attempt %d of %s to %s", e.Send.Epoch, e.ID, e.Send.Executor)
 	case KeepOver:
-		return fmt.Sprintf("keep that epoch %d of %s never ran", e.Epoch, e.ID)
+		return fmt.Sprintf("store that attempt %d of %s never ran", e.Epoch, e.ID)
 	case KeepFinal:
-		return fmt.Sprintf("keep the answer of %s: %s %s", e.ID, [...]string{"handled", "pushed back", "broken off"}[e.Final], e.Result)
+		return fmt.Sprintf("store the answer of %s: %s %s", e.ID, [...]string{"succeeded", "rejected", "failed"}[e.Final], e.Result)
 	case KeepLetGo:
-		return "keep that " + string(e.ID) + " is let go"
+		return "store that " + string(e.ID) + " is forgotten"
 	case Acknowledge:
 		return "acknowledge " + string(e.ID)
 	case Arrive:
-		return fmt.Sprintf("%s goes to the module for %v", e.ID, e.Budget)
+		return fmt.Sprintf("submit %s to the policy for %v", e.ID, e.Budget)
 	case LetOut:
-		return fmt.Sprintf("let %s out under epoch %d", e.ID, e.Epoch)
+		return fmt.Sprintf("send attempt %d of %s", e.Epoch, e.ID)
 	case Ask:
-		return fmt.Sprintf("ask %s of epoch %d of %s", e.Executor, e.Epoch, e.ID)
+		return fmt.Sprintf("query %s about attempt %d of %s", e.Executor, e.Epoch, e.ID)
 	case Publish:
 		return fmt.Sprintf("publish %s", e.ID)
 	}
 	return ""
 }
 
-// story tells a book what happens, and prints it with what follows.
-type story struct {
+// trace makes the calls of a book, and writes each with the effects that it returns.
+type trace struct {
 	b   *Book
 	out strings.Builder
 }
 
-func (s *story) tell(what string, effects []Effect) {
+// call writes a call and its effects.
+func (s *trace) call(what string, effects []Effect) {
 	fmt.Fprintf(&s.out, "%s\n", what)
 	for _, e := range effects {
-		if t := text(e); t != "" {
-			fmt.Fprintf(&s.out, "    -> %s\n", t)
+		if text := effectText(e); text != "" {
+			fmt.Fprintf(&s.out, "%s%s\n", golden.Arrow, text)
 		}
 	}
 }
 
-func at(s float64) time.Duration { return time.Duration(s * 1e9) }
+func (s *trace) section(title string) { fmt.Fprintf(&s.out, "# %s\n", title) }
 
-// crashed is a start of a node with a batch job on the disk that has gone out, and did or did not prove not to have run.
-func (s *story) crashed(name string, set Settings, now, last float64, t JobClass, never bool) {
+func (s *trace) accept(id ID, class JobClass, now, deadline float64) {
+	effects, ok := s.b.HandIn(at(now), Job{id, class, at(deadline)})
+	s.call(fmt.Sprintf("%s is submitted at %v s: %v", id, now, ok), effects)
+}
+
+func (s *trace) stored(id ID, now float64) {
+	s.call(fmt.Sprintf("%s is on disk", id), s.b.Kept(at(now), id))
+}
+
+func (s *trace) send(id ID, now float64) {
+	e, effects := s.b.Send(at(now), id, "e")
+	s.call(fmt.Sprintf("the policy sends %s: attempt %d", id, e), effects)
+}
+
+// recover starts a node that finds the job j on disk, with an attempt that went out at 2 s and did or did not provably never
+// run.
+func (s *trace) recover(title string, set Settings, now, last float64, class JobClass, neverRan bool) {
 	s.b = NewBook(set)
-	s.tell(fmt.Sprintf("# %s, found at %.0f s, out at 2 s", name, now), s.b.Recover(at(now), at(last), Job{"j", t, at(60)},
-		[]Send{{Epoch: 1, Executor: "e", At: at(2), NeverRan: never}}, nil, nil, 0))
+	s.call(fmt.Sprintf("# %s, recovered at %.0f s, sent at 2 s", title, now), s.b.Recover(at(now), at(last), Job{"j", class, at(60)},
+		[]Send{{Epoch: 1, Executor: "e", At: at(2), NeverRan: neverRan}}, nil, nil, 0))
 }
 
-// Each state, and what leads from it, as a story.
-func TestStories(t *testing.T) {
+func at(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
+
+func first(e []Effect, _ bool) []Effect { return e }
+
+// Each state, and the transitions from it.
+func TestTransitions(t *testing.T) {
 	set := Settings{Room: 1, Keep: 100 * time.Second, AskEvery: time.Second}
-	asks := set
-	asks.Leases = true
-	s := &story{b: NewBook(set)}
-	hand := func(id ID, t JobClass, now, limit float64) {
-		effects, ok := s.b.HandIn(at(now), Job{id, t, at(limit)})
-		s.tell(fmt.Sprintf("%s is handed in at %v s: %v", id, now, ok), effects)
-	}
-	stands := func(id ID, now float64) { s.tell(fmt.Sprintf("%s stands on the disk", id), s.b.Kept(at(now), id)) }
-	send := func(id ID, now float64) {
-		e, effects := s.b.Send(at(now), id, "e")
-		s.tell(fmt.Sprintf("the module sends %s: epoch %d", id, e), effects)
-	}
+	queries := set
+	queries.Leases = true
+	s := &trace{b: NewBook(set)}
+	traceSuccess(s)
+	traceDeadline(s)
+	traceNotStored(s)
+	traceShutdown(s)
+	traceRecovery(s, set)
+	traceQueries(s, queries)
+	golden.Compare(t, "transitions.txt", s.out.String())
+}
 
-	s.out.WriteString("# one that goes well, and the next waits for its room\n")
-	hand("a", once, 1, 60)
-	hand("a", once, 1, 60)
-	stands("a", 1)
-	hand("b", once, 1, 50)
-	stands("b", 1)
-	send("b", 1)
-	send("a", 2)
-	s.tell("its record stands on the disk", s.b.SendKept(at(2), "a", 1))
-	s.tell("its connection never came up", s.b.Over(at(3), "a", 1, true))
-	s.tell("and is told again", s.b.Over(at(3), "a", 1, true))
-	send("a", 3)
-	s.tell("the record of the first comes late", s.b.SendKept(at(3), "a", 1))
-	s.tell("that of the second comes", s.b.SendKept(at(3), "a", 2))
-	s.tell("a is let go too soon", first(s.b.LetGo(at(3), "a")))
-	s.tell("the module says handled", s.b.Answered(at(4), "a", Succeeded, []byte("r")))
-	s.tell("and again", s.b.Answered(at(4), "a", Failed, nil))
-	s.tell("the answer stands on the disk", s.b.FinalKept(at(4), "a"))
-	s.tell("a is let go", first(s.b.LetGo(at(5), "a")))
-
-	s.out.WriteString("# waiting until its outer limit, and an answer that nobody fetches\n")
-	hand("c", once, 5, 20)
-	stands("c", 5)
-	s.tell("at 20 s", s.b.Wake(at(20)))
-	s.tell("the answer stands on the disk", s.b.FinalKept(at(20), "c"))
-	s.tell("at 119 s", s.b.Wake(at(119)))
-	s.tell("at 121 s", s.b.Wake(at(121)))
-
-	s.out.WriteString("# not kept: nothing is left of it\n")
-	hand("d", once, 130, 200)
-	s.tell("the disk is full", s.b.NotKept(at(130), "d"))
-	hand("d", once, 131, 200)
-
-	s.out.WriteString("# the node ends: only a result is final\n")
+func traceSuccess(s *trace) {
+	s.section("a job that succeeds, and the next one waits for its place")
+	s.accept("a", atMostOnce, 1, 60)
+	s.accept("a", atMostOnce, 1, 60)
+	s.stored("a", 1)
+	s.accept("b", atMostOnce, 1, 50)
+	s.stored("b", 1)
+	s.send("b", 1)
+	s.send("a", 2)
+	s.call("its record is on disk", s.b.SendKept(at(2), "a", 1))
+	s.call("its connection failed", s.b.Over(at(3), "a", 1, true))
+	s.call("and is reported again", s.b.Over(at(3), "a", 1, true))
+	s.send("a", 3)
+	s.call("the record of the first is reported late", s.b.SendKept(at(3), "a", 1))
+	s.call("that of the second is reported", s.b.SendKept(at(3), "a", 2))
+	s.call("a is forgotten too early", first(s.b.LetGo(at(3), "a")))
+	s.call("the policy says succeeded", s.b.Answered(at(4), "a", Succeeded, []byte("r")))
+	s.call("and again", s.b.Answered(at(4), "a", Failed, nil))
+	s.call("the answer is on disk", s.b.FinalKept(at(4), "a"))
+	s.call("a is forgotten", first(s.b.LetGo(at(5), "a")))
+}
+
+func traceDeadline(s *trace) {
+	s.section("waiting until the deadline, and an answer that nobody fetches")
+	s.accept("c", atMostOnce, 5, 20)
+	s.stored("c", 5)
+	s.call("at 20 s", s.b.Wake(at(20)))
+	s.call("the answer is on disk", s.b.FinalKept(at(20), "c"))
+	s.call("at 119 s", s.b.Wake(at(119)))
+	s.call("at 121 s", s.b.Wake(at(121)))
+}
+
+func traceNotStored(s *trace) {
+	s.section("not stored: nothing is left of it")
+	s.accept("d", atMostOnce, 130, 200)
+	s.call("the disk is full", s.b.NotKept(at(130), "d"))
+	s.accept("d", atMostOnce, 131, 200)
+}
+
+func traceShutdown(s *trace) {
+	s.section("a shutdown: only a result is final")
 	s.b = NewBook(Settings{Room: 3, Keep: 100 * time.Second})
 	for _, id := range []ID{"x", "y", "z"} {
-		s.b.HandIn(at(1), Job{id, once, at(60)})
+		s.b.HandIn(at(1), Job{id, atMostOnce, at(60)})
 		s.b.Kept(at(1), id)
 	}
-	send("y", 2)
-	s.tell("it is told to stop", s.b.Stop(at(3)))
-	s.tell("x is pushed back", s.b.Answered(at(3), "x", Rejected, nil))
-	s.tell("y is broken off", s.b.Answered(at(3), "y", Failed, nil))
-	s.tell("z is handled", s.b.Answered(at(3), "z", Succeeded, nil))
-
-	s.crashed("repeatable, may have run", set, 5, 2, repeatable, false)
-	s.crashed("once-only, provably never ran", set, 5, 2, once, true)
-	s.crashed("once-only, may have run, nobody to ask", set, 5, 2, once, false)
-	s.crashed("once-only, may have run, past its outer limit", set, 70, 2, once, false)
-	s.crashed("once-only, never ran, past its outer limit", set, 70, 2, once, true)
-	s.crashed("tagged within all, inside its window", set, 5, 2, taggedAll, false)
-	s.tell("pushed back when the window passes: the module does not know that it may have run", s.b.Answered(at(9), "j", Rejected, nil))
-	s.crashed("tagged within all, outside its window", set, 10, 2, taggedAll, false)
-	s.crashed("tagged within a zone", set, 5, 2, taggedZone, false)
-	s.crashed("tagged within all, and the clock was set back", set, 5, 8, taggedAll, false)
-
-	for _, f := range []struct {
-		name string
-		what Found
-	}{{"never begun, and refused from now on", FoundNever}, {"finished", FoundFinished}, {"lost", FoundLost}, {"says nothing of such things", FoundMute}} {
-		s.crashed("once-only, may have run", asks, 5, 2, once, false)
-		s.tell(f.name, s.b.Told(at(5), "j", 1, f.what, []byte("r")))
-	}
-	s.crashed("once-only, may have run", asks, 5, 2, once, false)
-	s.tell("it can't be reached", s.b.Told(at(5), "j", 1, FoundNothing, nil))
-	s.tell("a second later", s.b.Wake(at(6)))
-	s.tell("it has it still", s.b.Told(at(6), "j", 1, FoundRunning, nil))
-	s.tell("and at the outer limit", s.b.Wake(at(60)))
-	s.crashed("once-only, may have run, past its outer limit, asked once all the same", asks, 70, 2, once, false)
-	s.tell("finished", s.b.Told(at(70), "j", 1, FoundFinished, []byte("r")))
-	golden.Compare(t, "stories.txt", s.out.String())
+	s.send("y", 2)
+	s.call("shutdown is requested", s.b.Stop(at(3)))
+	s.call("x is rejected", s.b.Answered(at(3), "x", Rejected, nil))
+	s.call("y has failed", s.b.Answered(at(3), "y", Failed, nil))
+	s.call("z has succeeded", s.b.Answered(at(3), "z", Succeeded, nil))
 }
 
-func first(e []Effect, _ bool) []Effect { return e }
+func traceRecovery(s *trace, set Settings) {
+	s.recover("idempotent, may have run", set, 5, 2, idempotent, false)
+	s.recover("at most once, provably never ran", set, 5, 2, atMostOnce, true)
+	s.recover("at most once, may have run, executors can't be queried", set, 5, 2, atMostOnce, false)
+	s.recover("at most once, may have run, past its deadline", set, 70, 2, atMostOnce, false)
+	s.recover("at most once, never ran, past its deadline", set, 70, 2, atMostOnce, true)
+	s.recover("dedup group of all executors, inside its window", set, 5, 2, keyedAll, false)
+	s.call("rejected when the window ends: the policy does not know that it may have run", s.b.Answered(at(9), "j", Rejected, nil))
+	s.recover("dedup group of all executors, outside its window", set, 10, 2, keyedAll, false)
+	s.recover("dedup group of a zone", set, 5, 2, keyedZone, false)
+	s.recover("dedup group of all executors, and the clock was set back", set, 5, 8, keyedAll, false)
+}
+
+func traceQueries(s *trace, queries Settings) {
+	for _, answer := range []struct {
+		name  string
+		found Found
+	}{
+		{"never started, and refused from now on", FoundNever},
+		{"finished", FoundFinished},
+		{"lost", FoundLost},
+		{"not supported", FoundMute},
+	} {
+		s.recover("at most once, may have run", queries, 5, 2, atMostOnce, false)
+		s.call(answer.name, s.b.Told(at(5), "j", 1, answer.found, []byte("r")))
+	}
+	s.recover("at most once, may have run", queries, 5, 2, atMostOnce, false)
+	s.call("no answer", s.b.Told(at(5), "j", 1, FoundNothing, nil))
+	s.call("a second later", s.b.Wake(at(6)))
+	s.call("still running", s.b.Told(at(6), "j", 1, FoundRunning, nil))
+	s.call("and at the deadline", s.b.Wake(at(60)))
+	s.recover("at most once, may have run, past its deadline, queried once all the same", queries, 70, 2, atMostOnce, false)
+	s.call("finished", s.b.Told(at(70), "j", 1, FoundFinished, []byte("r")))
+}
 
-// Ten thousand at once: the module gets no more than there is room for, those with the nearest outer limits first.
+// Ten thousand recovered jobs: the policy gets no more than it has room for, those with the nearest deadlines first.
 func TestManyRecovered(t *testing.T) {
 	b := NewBook(Settings{Room: 50, Keep: time.Hour})
-	arrived := 0
+	submitted := 0
 	count := func(effects []Effect) {
 		for _, e := range effects {
 			if _, ok := e.(Arrive); ok {
-				arrived++
+				submitted++
 			}
 		}
 	}
 	for i := range 10000 {
-		count(b.Recover(0, 0, Job{ID(fmt.Sprint(i)), repeatable, at(float64(100 + i%7))}, nil, nil, nil, 0))
+		count(b.Recover(0, 0, Job{ID(fmt.Sprint(i)), idempotent, at(float64(100 + i%7))}, nil, nil, nil, 0))
 	}
-	if arrived != 50 {
-		t.Fatalf("%d at once", arrived)
+	if submitted != 50 {
+		t.Fatalf("submitted %d at once, want 50", submitted)
 	}
 	for i := range 10000 {
 		count(b.Answered(at(1), ID(fmt.Sprint(i)), Succeeded, nil))
 		count(b.FinalKept(at(1), ID(fmt.Sprint(i))))
 	}
-	if n := b.Counts(); arrived+n[Waiting] != 10000 {
-		t.Errorf("%d went to the module, %d wait", arrived, n[Waiting])
+	if counts := b.Counts(); submitted+counts[Waiting] != 10000 {
+		t.Errorf("submitted %d, waiting %d, want 10000 together", submitted, counts[Waiting])
 	}
 }
