--- a/internal/leases/doc.go
+++ b/internal/leases/doc.go
@@ -12,14 +12,6 @@
 //
 // # States
 //
-//	HandIn --> Keeping --Kept--> Waiting --room--> InHand --Answered--> Closing --FinalKept--> Done --> forgotten
-//	                                ^  |                                   ^
-//	                                |  +------------ deadline -------------+
-//	                                |                                      |
-//	           Recover -------------+-- may run (again)                    |
-//	              |                 |                                      |
-//	              +-----------> Asking --Told: finished, lost, deadline ---+
-//
 //	Keeping   the job's record is being written
 //	Waiting   the record is on disk; the job waits until the policy has room for it
 //	InHand    the policy has it
@@ -27,6 +19,26 @@
 //	Closing   the final answer is being written
 //	Done      the final answer is on disk, and is kept for clients to fetch
 //
+// The transitions:
+//
+//	from      on                                                      to
+//	          HandIn                                                  Keeping
+//	          Recover: no attempt may have run, or it may run again   Waiting
+//	          Recover: an attempt may have run                        Asking, or Closing if executors can't be asked
+//	          Recover: past the deadline, and nothing to ask          Closing
+//	          Recover: it has its final answer                        Done
+//	Keeping   Kept                                                    Waiting
+//	Keeping   NotKept                                                 forgotten
+//	Waiting   the policy has room                                     InHand
+//	Waiting   deadline                                                Closing
+//	InHand    Answered                                                Closing, or Waiting during a shutdown
+//	Asking    Told: the attempt never ran                             Waiting, or Asking about the next attempt
+//	Asking    Told: it has finished, or nothing is known of it        Closing
+//	Asking    Told: it is running, or no answer                       Asking again after an interval
+//	Asking    deadline                                                Closing
+//	Closing   FinalKept                                               Done
+//	Done      LetGo, or the answer was kept for long enough           forgotten
+//
 // Files:
 //
 //	job.go       jobs, their states, attempts and what executors say of them
