--- a/policy/job.go
+++ b/policy/job.go
@@ -37,7 +37,7 @@
 	mayHaveRun         *attempt // the first attempt that is over and may have run
 	hedgeWanted        bool
 	leaseRequestedFrom *executor // whose holder was asked for a lease for it
-	generation         int       // timers of another generation are void
+	generation         int32     // timers of another generation are void
 }
 
 // attempt is one sending of a batch job to an executor, until its outcome.
@@ -55,8 +55,8 @@
 	progressAt       time.Duration
 	canceling        bool
 	migrationCounted bool
-	tokenReleased    bool // it was silent for so long that its token was released
-	generation       int  // timers of another generation are void
+	tokenReleased    bool  // it was silent for so long that its token was released
+	generation       int32 // timers of another generation are void
 }
 
 // start records that the attempt runs from now on.
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -12,7 +12,7 @@
 }
 
 // timerKind says what is to be done when a timer falls due.
-type timerKind int
+type timerKind uint8
 
 const (
 	placeJobTimer     timerKind = iota // ask Place for a job
@@ -26,7 +26,7 @@
 	at         time.Duration
 	sequence   int
 	kind       timerKind
-	generation int
+	generation int32
 	job        *job
 	attempt    *attempt
 	executor   *executor
