--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -31,27 +31,30 @@
 	}
 }
 
-// A trace file in testdata holds what is told to a dispatcher and, behind arrows, what it decided:
+// tracePlayer plays a trace. A trace file in testdata holds what a dispatcher is told and, behind arrows, what it decided:
 //
-//	settings once zones          words that change the base settings
-//	1s list a b:1 c:0:2:5s       whole list: executor[:zone[:kind[:started so long ago[:state[:weight]]]]]
-//	1s change a:0:0:-:L          changes only; lost: the subscription broke
-//	2s job j1 work=300ms         a batch job comes (track, tenant, work, budget)
-//	2s started j1                then progress j1 0.5, ended j1 cut, left j1; of the last allocation, or j1/0: of the first
-//	2s heard 4 lend a            a word from node 4; reported a 4 1 0: held, waiting, free
-//	2s probed a answered free=1  what came of a probe; or unanswered
-//	9s closing 12s               the node ends; all must be over by then
-//	9s! ended j1 handled         the node had no turn since the line before
+//	settings at-most-once dedup-zone   words that change the base settings
+//	1s list a b:1 c:0:2:5s       complete list: executor[:zone[:kind[:started so long ago, or -[:STATE[:weight]]]]]; STATE: available, draining,
+//	                             removed
+//	1s change a:0:0:-:draining   an incremental update; cached-list: a cached one; watch-failed: none
+//	2s job j1 work=300ms         a job arrives (class, tenant, work, budget, retry)
+//	2s started j1                then progress j1 0.5, ended j1 OUTCOME [final], client-left j1; of the last attempt, or, as
+//	                             j1/0, of the first
+//	2s lease-message 4 grant a   a lease message from node 4 about executor a
+//	2s load-report a 4 1 0       a load report: jobs in flight, queued, slots free
+//	2s probe-ended a answered free=1   the outcome of a health check; or unanswered
+//	9s shutdown-by 12s           the node shuts down by then
+//	9s! ended j1 succeeded       the node was stalled: it had no turn since the line before
 //	9s wait                      let time pass until then
-//	9s line 36 0.5 0.8           the cut line: rung, part of it taken, part of their slack that moves wait; tally: what was seen
-//	9s quotas                    show each executor's quota; slice: the executors in use; paces: what each needs for the work
-type player struct {
-	t     *testing.T
-	d     *Dispatcher
-	shot  map[JobID]AttemptID
-	on    map[JobID][]ExecutorID
-	names map[ExecutorHash]ExecutorID
-	lines []string
+//	9s threshold 36 0.5 0.8      the admission threshold: level, fraction admitted of it, migration delay
+//	9s summary                   show the load summary; quotas, subset, paces: show each executor's
+type tracePlayer struct {
+	t         *testing.T
+	d         *Dispatcher
+	attempts  map[JobID]AttemptID // attempts sent so far
+	executors map[JobID][]ExecutorID
+	names     map[ExecutorHash]ExecutorID
+	lines     []string
 }
 
 var base = Settings{
@@ -65,72 +68,91 @@
 	},
 }
 
-func settings(words []string) Settings {
+// settings returns the base settings, changed by the words of a settings line.
+func settings(t *testing.T, words ...string) Settings {
+	t.Helper()
 	s := base
 	s.JobClasses = append([]JobClass(nil), base.JobClasses...)
 	first := &s.JobClasses[0]
 	change := map[string]func(){
-		"once":     func() { first.Idempotency, s.JobClasses[1].Idempotency = AtMostOnce, AtMostOnce },
-		"tagged":   func() { first.Idempotency = IdempotentWithKey },
-		"zone":     func() { first.DedupGroup = DedupZone },
-		"cell":     func() { first.DedupGroup = DedupCell },
-		"late":     func() { first.LateValue = 0.5 },
-		"flat":     func() { first.RunTimeFactor = 0 },
-		"ask":      func() { s.EndpointsPolled = true },
-		"progress": func() { s.ProgressInterval = time.Second },
-		"mute":     func() { s.StartNotices = false },
-		"nocancel": func() { s.MayCancel = false },
-		"price":    func() { s.CrossZoneCost = 0.25 },
-		"nodes8":   func() { s.Nodes = 8 },
-		"nodes30":  func() { s.Nodes, s.Node = 30, 7 },
-		"talk":     func() { s.MayLease = true },
-		"copies":   func() { s.MayHedge = true },
-		"probes":   func() { s.MayProbe = true },
-		"marks":    func() { s.ClientsMarkRetries = true },
-		"live":     func() { s.LoadAdjustedWeights = true },
-		"tenants":  func() { s.Tenants = []Tenant{{10}, {10}} },
+		"at-most-once":     func() { first.Idempotency, s.JobClasses[1].Idempotency = AtMostOnce, AtMostOnce },
+		"idempotency-key":  func() { first.Idempotency = IdempotentWithKey },
+		"dedup-zone":       func() { first.DedupGroup = DedupZone },
+		"late-value":       func() { first.LateValue = 0.5 },
+		"fixed-objective":  func() { first.RunTimeFactor = 0 },
+		"polled":           func() { s.EndpointsPolled = true },
+		"progress-notices": func() { s.ProgressInterval = time.Second },
+		"no-start-notices": func() { s.StartNotices = false },
+		"no-cancel":        func() { s.MayCancel = false },
+		"cross-zone-cost":  func() { s.CrossZoneCost = 0.25 },
+		"nodes8":           func() { s.Nodes = 8 },
+		"nodes30":          func() { s.Nodes, s.Node = 30, 7 },
+		"leasing":          func() { s.MayLease = true },
+		"hedging":          func() { s.MayHedge = true },
+		"probing":          func() { s.MayProbe = true },
+		"marked-retries":   func() { s.ClientsMarkRetries = true },
+		"load-adjusted":    func() { s.LoadAdjustedWeights = true },
+		"tenants":          func() { s.Tenants = []Tenant{{10}, {10}} },
 	}
-	for _, w := range words {
-		change[w]()
+	for _, word := range words {
+		apply := change[word]
+		if apply == nil {
+			t.Fatalf("unknown setting %q", word)
+		}
+		apply()
 	}
 	return s
 }
 
-func (p *player) say(now time.Duration, format string, args ...any) {
+// newTracePlayer returns a player of a new dispatcher with these settings.
+func newTracePlayer(t *testing.T, words ...string) *tracePlayer {
+	t.Helper()
+	return &tracePlayer{
+		t:         t,
+		d:         New(settings(t, words...)),
+		attempts:  map[JobID]AttemptID{},
+		executors: map[JobID][]ExecutorID{},
+		names:     map[ExecutorHash]ExecutorID{},
+	}
+}
+
+// print adds a line of what the dispatcher decided.
+func (p *tracePlayer) print(now time.Duration, format string, args ...any) {
 	p.lines = append(p.lines, fmt.Sprintf(golden.Arrow+"%v ", now)+fmt.Sprintf(format, args...))
 }
 
-func (p *player) decided(now time.Duration, id JobID, what Decision) {
-	switch what.Action {
+// decided records and prints a decision.
+func (p *tracePlayer) decided(now time.Duration, id JobID, decision Decision) {
+	switch decision.Action {
 	case Send:
-		p.shot[id]++
-		p.on[id] = append(p.on[id], what.Executor)
-		p.say(now, "send %s to %s", id, what.Executor)
+		p.attempts[id]++
+		p.executors[id] = append(p.executors[id], decision.Executor)
+		p.print(now, "send %s to %s", id, decision.Executor)
 	case Reject:
-		p.say(now, "push back %s, come back in %v", id, what.RetryAfter)
+		p.print(now, "reject %s, retry after %v", id, decision.RetryAfter)
 	case Fail:
-		p.say(now, "break off %s", id)
+		p.print(now, "fail %s", id)
 	}
 }
 
-// run lets time pass until then, doing what falls due as an adapter would.
-func (p *player) run(until time.Duration) {
-	now := until
-	for guard := 0; guard < 10000; guard++ {
+// run does what is due, as the node would.
+func (p *tracePlayer) run(now time.Duration) {
+	p.t.Helper()
+	for range 10000 {
 		due := p.d.NextTask(now)
 		switch due.Task {
 		case PlaceJob:
 			p.decided(now, due.Job, p.d.Place(now, due.Job))
 		case CancelAttempt:
-			p.say(now, "stop waiting for %s on %s", due.Job, p.on[due.Job][due.Attempt])
+			p.print(now, "cancel %s on %s", due.Job, p.executors[due.Job][due.Attempt])
 		case WatchEndpoints:
-			p.say(now, "subscribe")
+			p.print(now, "watch endpoints")
 		case SendLeaseMessage:
-			p.say(now, "tell node %d: %s %s", due.Node, wordNames[due.Message], p.names[due.Hash])
+			p.print(now, "send node %d: %s %s", due.Node, leaseMessageNames[due.Message], p.names[due.Hash])
 		case ProbeExecutor:
-			p.say(now, "probe %s", due.Executor)
+			p.print(now, "probe %s", due.Executor)
 		case WriteLog:
-			p.say(now, "note: %s", due.Text)
+			p.print(now, "log: %s", due.Text)
 		case Sleep:
 			return
 		}
@@ -139,7 +161,8 @@
 }
 
 // pass steps through all due times up to then.
-func (p *player) pass(from, until time.Duration) {
+func (p *tracePlayer) pass(from, until time.Duration) {
+	p.t.Helper()
 	for now := from; now < until; {
 		due := p.d.NextTask(now)
 		if due.Task != Sleep {
@@ -152,31 +175,65 @@
 	}
 }
 
-func entry(t *testing.T, now time.Duration, text string) Endpoint {
+// endpoint reads an entry of the endpoint list.
+func endpoint(t *testing.T, now time.Duration, text string) Endpoint {
+	t.Helper()
 	parts := append(strings.Split(text, ":"), make([]string, 6)...)
-	n := Endpoint{Executor: ExecutorID(parts[0]), StartedLongAgo: true, Weight: 1}
+	e := Endpoint{Executor: ExecutorID(parts[0]), StartedLongAgo: true, Weight: 1}
 	zone, _ := strconv.Atoi(parts[1])
 	kind, _ := strconv.Atoi(parts[2])
-	n.Zone, n.Kind, n.Cell = ZoneID(zone), KindID(kind), CellID(zone)
+	e.Zone, e.Kind, e.Cell = ZoneID(zone), KindID(kind), CellID(zone)
 	if parts[3] != "" && parts[3] != "-" {
-		n.StartedAt, n.StartedLongAgo = now-golden.Span(t, parts[3]), false
+		e.StartedAt, e.StartedLongAgo = now-golden.Span(t, parts[3]), false
+	}
+	switch parts[4] {
+	case "", "available":
+	case "draining":
+		e.State = Draining
+	case "removed":
+		e.State = Removed
+	default:
+		t.Fatalf("unknown state %q", parts[4])
 	}
-	n.State = map[string]EndpointState{"": Available, "L": Draining, "D": Removed}[parts[4]]
 	if parts[5] != "" {
-		n.Weight, _ = strconv.ParseFloat(parts[5], 64)
+		e.Weight, _ = strconv.ParseFloat(parts[5], 64)
 	}
-	return n
+	return e
+}
+
+var leaseMessageNames = map[LeaseMessage]string{
+	LeaseRequest:       "request",
+	LeaseRequestLate:   "request-late",
+	LeaseGrant:         "grant",
+	LeaseWait:          "wait",
+	LeaseCancel:        "cancel",
+	LeaseReturn:        "return",
+	LeaseReturnDelayed: "return-delayed",
 }
 
-var wordNames = map[LeaseMessage]string{LeaseRequest: "want", LeaseRequestLate: "want-late", LeaseGrant: "lend", LeaseWait: "later",
-	LeaseReturn: "back", LeaseReturnDelayed: "back-late"}
+var outcomeNames = map[string]Outcome{
+	"succeeded":       Succeeded,
+	"executor-error":  ExecutorError,
+	"invalid-request": InvalidRequest,
+	"executor-full":   ExecutorFull,
+	"timed-out":       TimedOut,
+	"connect-failed":  ConnectFailed,
+	"connection-lost": ConnectionLost,
+	"canceled":        Canceled,
+	"not-sent":        NotSent,
+}
 
-var outcomeWords = map[string]Outcome{"handled": Succeeded, "errored": ExecutorError, "unfit": InvalidRequest, "no-room": ExecutorFull,
-	"too-slow": TimedOut, "no-route": ConnectFailed, "cut": ConnectionLost, "called-off": Canceled, "not-sent": NotSent}
+var endpointUpdateNames = map[string]EndpointUpdateKind{
+	"list":         CompleteUpdate,
+	"change":       IncrementalUpdate,
+	"cached-list":  CachedUpdate,
+	"watch-failed": WatchFailed,
+}
 
-// play runs a trace file's own lines and gives the file as it should be.
+// play runs a trace file's own lines and returns the file as it should be.
 func play(t *testing.T, lines []string) string {
-	p := &player{t: t, shot: map[JobID]AttemptID{}, on: map[JobID][]ExecutorID{}, names: map[ExecutorHash]ExecutorID{}}
+	t.Helper()
+	p := newTracePlayer(t)
 	last := time.Duration(0)
 	for _, line := range lines {
 		words := strings.Fields(line)
@@ -186,108 +243,190 @@
 		}
 		if words[0] == "settings" {
 			p.lines = append(p.lines, line)
-			p.d = New(settings(words[1:]))
+			p.d = New(settings(t, words[1:]...))
 			continue
 		}
-		at, stood := strings.CutSuffix(words[0], "!")
+		at, stalled := strings.CutSuffix(words[0], "!")
 		now := golden.Span(t, at)
-		if !stood {
+		if !stalled {
 			p.pass(last, now)
 		}
 		p.lines = append(p.lines, line)
-		p.tell(now, words[1], words[2:])
+		p.event(now, words[1], words[2:])
 		p.run(now)
 		last = now
 	}
 	return strings.Join(p.lines, "\n") + "\n"
 }
 
-func (p *player) tell(now time.Duration, what string, words []string) {
-	id, n := JobID(""), AttemptID(0)
-	if len(words) > 0 {
-		name, number, told := strings.Cut(words[0], "/")
-		id = JobID(name)
-		if n = p.shot[id] - 1; told {
-			shot, _ := strconv.Atoi(number)
-			n = AttemptID(shot)
-		}
+// event tells the dispatcher the event of a line, or shows what the line asks for.
+func (p *tracePlayer) event(now time.Duration, name string, args []string) {
+	p.t.Helper()
+	if kind, isUpdate := endpointUpdateNames[name]; isUpdate {
+		p.d.UpdateEndpoints(now, kind, p.endpoints(now, args))
+		return
 	}
-	switch what {
-	case "list", "change", "lost", "copy":
-		var entries []Endpoint
-		for _, w := range words {
-			entries = append(entries, entry(p.t, now, w))
-			name := entries[len(entries)-1].Executor
-			p.names[ExecutorHash(crc32.ChecksumIEEE([]byte(name)))] = name
+	for _, tell := range []func(time.Duration, string, []string) bool{p.jobEvent, p.executorEvent, p.nodeEvent, p.show} {
+		if tell(now, name, args) {
+			return
 		}
-		kinds := map[string]EndpointUpdateKind{"list": CompleteUpdate, "change": IncrementalUpdate, "lost": WatchFailed, "copy": CachedUpdate}
-		p.d.UpdateEndpoints(now, kinds[what], entries)
+	}
+	if name != "wait" {
+		p.t.Fatalf("unknown event %q", name)
+	}
+}
+
+func (p *tracePlayer) endpoints(now time.Duration, args []string) []Endpoint {
+	var entries []Endpoint
+	for _, arg := range args {
+		e := endpoint(p.t, now, arg)
+		p.names[hashOf(string(e.Executor))] = e.Executor
+		entries = append(entries, e)
+	}
+	return entries
+}
+
+func hashOf(executor string) ExecutorHash { return ExecutorHash(crc32.ChecksumIEEE([]byte(executor))) }
+
+// jobEvent tells an event of a job, or of its last attempt unless another number is given.
+func (p *tracePlayer) jobEvent(now time.Duration, name string, args []string) bool {
+	if len(args) == 0 {
+		return false
+	}
+	job, numberText, hasNumber := strings.Cut(args[0], "/")
+	id := JobID(job)
+	number := p.attempts[id] - 1
+	if hasNumber {
+		number = AttemptID(p.number(numberText))
+	}
+	switch name {
 	case "job":
-		args := map[string]string{"track": "0", "tenant": "0", "work": "300ms", "budget": "5s"}
-		for _, w := range words[1:] {
-			key, value, _ := strings.Cut(w, "=")
-			args[key] = value
-		}
-		track, _ := strconv.Atoi(args["track"])
-		tenant, _ := strconv.Atoi(args["tenant"])
-		work, budget := golden.Span(p.t, args["work"]), golden.Span(p.t, args["budget"])
-		p.d.JobArrived(now, Arrival{id, JobClassID(track), TenantID(tenant), work, budget, args["again"] != ""})
+		p.d.JobArrived(now, p.arrival(id, args[1:]))
 	case "started":
-		p.d.AttemptStarted(now, id, n)
+		p.d.AttemptStarted(now, id, number)
 	case "progress":
-		share, _ := strconv.ParseFloat(words[1], 64)
-		p.d.AttemptProgressed(now, id, n, share)
+		fraction, _ := strconv.ParseFloat(args[1], 64)
+		p.d.AttemptProgressed(now, id, number, fraction)
 	case "ended":
-		final := words[1] == "handled" || len(words) > 2
-		p.decided(now, id, p.d.AttemptEnded(now, id, n, outcomeWords[words[1]], final))
-	case "heard":
-		from, _ := strconv.Atoi(words[0])
-		for word, name := range wordNames {
-			if name == words[1] {
-				p.d.ReceiveLeaseMessage(now, NodeID(from), word, ExecutorHash(crc32.ChecksumIEEE([]byte(words[2]))))
-			}
+		outcome, known := outcomeNames[args[1]]
+		if !known {
+			p.t.Fatalf("unknown outcome %q", args[1])
 		}
-	case "reported":
-		var load [3]float64
-		for i := range load {
-			load[i], _ = strconv.ParseFloat(words[1+i], 64)
-		}
-		p.d.LoadReported(ExecutorID(words[0]), Load{InFlight: load[0], Queued: load[1], FreeSlots: load[2], FreeMemory: -1, RunTime: -1})
-	case "probed":
+		final := outcome == Succeeded || len(args) > 2
+		p.decided(now, id, p.d.AttemptEnded(now, id, number, outcome, final))
+	case "client-left":
+		p.d.ClientLeft(now, id)
+	default:
+		return false
+	}
+	return true
+}
+
+func (p *tracePlayer) arrival(id JobID, args []string) Arrival {
+	values := map[string]string{"class": "0", "tenant": "0", "work": "300ms", "budget": "5s"}
+	for _, arg := range args {
+		key, value, _ := strings.Cut(arg, "=")
+		values[key] = value
+	}
+	return Arrival{
+		Job:         id,
+		Class:       JobClassID(p.number(values["class"])),
+		Tenant:      TenantID(p.number(values["tenant"])),
+		Work:        golden.Span(p.t, values["work"]),
+		Budget:      golden.Span(p.t, values["budget"]),
+		ClientRetry: values["retry"] != "",
+	}
+}
+
+// executorEvent tells a load report or the outcome of a health check.
+func (p *tracePlayer) executorEvent(now time.Duration, name string, args []string) bool {
+	switch name {
+	case "load-report":
+		load := p.figures(args[1:4])
+		p.d.LoadReported(ExecutorID(args[0]), Load{InFlight: load[0], Queued: load[1], FreeSlots: load[2], FreeMemory: -1, RunTime: -1})
+	case "probe-ended":
 		load := Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
-		for _, w := range words[2:] {
-			load.FreeSlots, _ = strconv.ParseFloat(strings.TrimPrefix(w, "free="), 64)
+		for _, arg := range args[2:] {
+			load.FreeSlots, _ = strconv.ParseFloat(strings.TrimPrefix(arg, "free="), 64)
 		}
-		p.d.ProbeEnded(now, ExecutorID(words[0]), words[1] == "answered", load)
-	case "left":
-		p.d.ClientLeft(now, id)
-	case "closing":
-		p.d.ShutDownBy(now, golden.Span(p.t, words[0]))
+		p.d.ProbeEnded(now, ExecutorID(args[0]), args[1] == "answered", load)
+	default:
+		return false
+	}
+	return true
+}
+
+// nodeEvent tells what other nodes, the fleet and the operators want.
+func (p *tracePlayer) nodeEvent(now time.Duration, name string, args []string) bool {
+	switch name {
+	case "lease-message":
+		p.d.ReceiveLeaseMessage(now, NodeID(p.number(args[0])), p.leaseMessage(args[1]), hashOf(args[2]))
+	case "threshold":
+		figures := p.figures(args)
+		p.d.SetAdmissionThreshold(AdmissionThreshold{Level: int(figures[0]), AdmitFraction: figures[1], MigrationDelay: figures[2]})
+	case "shutdown-by":
+		p.d.ShutDownBy(now, golden.Span(p.t, args[0]))
+	default:
+		return false
+	}
+	return true
+}
+
+func (p *tracePlayer) leaseMessage(text string) LeaseMessage {
+	p.t.Helper()
+	for message, name := range leaseMessageNames {
+		if name == text {
+			return message
+		}
+	}
+	p.t.Fatalf("unknown lease message %q", text)
+	return 0
+}
+
+// show prints a part of the dispatcher's state.
+func (p *tracePlayer) show(now time.Duration, name string, _ []string) bool {
+	switch name {
 	case "quotas":
 		for _, e := range p.d.quota.executors {
-			p.say(now, "%s has a quota of %d", e.id, e.tokens.quota)
+			p.print(now, "%s has a quota of %d", e.id, e.tokens.quota)
 		}
 	case "paces":
 		for _, e := range p.d.quota.executors {
-			p.say(now, "%s has a pace of %.2f, its kind of %.2f", e.id, p.d.pace(e, now), p.d.endpoints.kinds[e.kind].pace)
+			p.print(now, "%s has a pace of %.2f, its kind of %.2f", e.id, p.d.pace(e, now), p.d.endpoints.kinds[e.kind].pace)
 		}
-	case "slice":
-		names := []string{}
+	case "subset":
+		var names []string
 		for _, e := range p.d.subset.members {
 			names = append(names, string(e.id))
 		}
-		p.say(now, "the slice is %s", strings.Join(names, " "))
-	case "line": // rung, part, and how long moves wait
-		var x [3]float64
-		for i := range x {
-			x[i], _ = strconv.ParseFloat(words[i], 64)
-		}
-		p.d.SetAdmissionThreshold(AdmissionThreshold{int(x[0]), x[1], x[2]})
-	case "tally":
-		t := p.d.TakeLoadSummary(now)
-		p.say(now, "done %.2f, lost %.2f, would be moved %.2f", t.Completed, t.Expired, t.Migrations)
-	case "wait":
+		p.print(now, "the subset is %s", strings.Join(names, " "))
+	case "summary":
+		summary := p.d.TakeLoadSummary(now)
+		p.print(now, "completed %.2f, expired %.2f, would be migrated %.2f", summary.Completed, summary.Expired, summary.Migrations)
 	default:
-		p.t.Fatalf("unknown word %q", what)
+		return false
+	}
+	return true
+}
+
+func (p *tracePlayer) number(text string) int {
+	p.t.Helper()
+	number, err := strconv.Atoi(text)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return number
+}
+
+func (p *tracePlayer) figures(texts []string) []float64 {
+	p.t.Helper()
+	var figures []float64
+	for _, text := range texts {
+		figure, err := strconv.ParseFloat(text, 64)
+		if err != nil {
+			p.t.Fatal(err)
+		}
+		figures = append(figures, figure)
 	}
+	return figures
 }
