--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -54,7 +54,7 @@
 	size       float64 // the largest weight that it had there
 	listedLoad float64 // jobs a core, by the list's weights
 	available  bool    // it takes new jobs, by the list
-	removed    bool    // it is no longer on the list
+	removed    bool    // it is gone from the list
 	listedIn   int     // the update that named it last
 	started    time.Duration
 
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -66,7 +66,7 @@
 	e.health.unresponsive = false
 	e.health.timeouts = 0
 	if load.FreeSlots >= oneSlot {
-		d.grantSpareSlot(e.hash, now)
+		d.grantFreeSlot(e.hash, now)
 	}
 }
 
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -50,7 +50,7 @@
 	requestedAt    time.Duration
 	queued         bool // the holder has none free yet
 	granted        bool // and not used yet
-	held           int  // used by attempts, to be returned
+	inUse          int  // used by attempts, to be returned
 	listed         bool // it is in leaseTable.requests
 }
 
@@ -65,7 +65,7 @@
 func (l *leaseState) use() {
 	if l.granted {
 		l.granted = false
-		l.held++
+		l.inUse++
 	}
 }
 
@@ -86,7 +86,7 @@
 	shortage      bool     // somebody had to wait in this interval
 	cooldown      int      // intervals until the quota may rise
 	grantedAt     time.Duration
-	spareSeen     bool // in this interval a probe showed a free slot while all were granted
+	freeSlotSeen  bool // in this interval a probe showed a free slot while all were granted
 }
 
 // lease is one slot that is granted to a node.
@@ -208,7 +208,7 @@
 // requestLease requests a lease of one of e's slots for j. The first holder in line is asked again once primaryRetryAt has
 // passed and no lease of the other one is in use.
 func (d *Dispatcher) requestLease(j *job, e *executor, now time.Duration) {
-	if now >= e.lease.primaryRetryAt && e.lease.held == 0 {
+	if now >= e.lease.primaryRetryAt && e.lease.inUse == 0 {
 		e.lease.holder = d.leaseHolderOf(e.hash)
 	}
 	j.leaseRequestedFrom = e
@@ -276,15 +276,15 @@
 	}
 }
 
-// grantSpareSlot grants one lease more than there are, if this node holds the executor's ledger: a health check showed a
+// grantFreeSlot grants one lease more than there are, if this node holds the executor's ledger: a health check showed a
 // free slot. After a grant it waits for the shortest objective, until that lease shows in the executor's load.
-func (d *Dispatcher) grantSpareSlot(hash ExecutorHash, now time.Duration) {
+func (d *Dispatcher) grantFreeSlot(hash ExecutorHash, now time.Duration) {
 	ledger := d.leases.ledgers[hash]
 	if ledger == nil || now-ledger.grantedAt < d.classes.shortestObjective {
 		return
 	}
 	granted := len(ledger.granted)
-	ledger.spareSeen = ledger.spareSeen || granted >= ledger.quota
+	ledger.freeSlotSeen = ledger.freeSlotSeen || granted >= ledger.quota
 	d.grantLeases(ledger, granted+1, now)
 }
 
@@ -297,7 +297,7 @@
 			continue
 		}
 		e.lease.requested = false
-		e.lease.held = 0
+		e.lease.inUse = 0
 		d.markDirty(e)
 		if e.lease.holder == d.leaseHolderOf(e.hash) {
 			e.lease.holder = d.secondLeaseHolderOf(e.hash)
@@ -339,10 +339,10 @@
 
 // returnLease returns the lease that an attempt at e used, if there is one, and says whether its job had to wait there.
 func (d *Dispatcher) returnLease(e *executor, now time.Duration, waitedAtExecutor bool) {
-	if e.lease.held == 0 {
+	if e.lease.inUse == 0 {
 		return
 	}
-	e.lease.held--
+	e.lease.inUse--
 	message := LeaseReturn
 	if waitedAtExecutor {
 		message = LeaseReturnDelayed
@@ -361,13 +361,13 @@
 	case delayedFraction > executorQueuingThreshold && l.quota > 1:
 		l.quota--
 		l.cooldown = leaseQuotaCooldown
-	case delayedFraction < maxDelayedStarts && l.shortage && l.quota < maxQuota && l.cooldown <= 0 && (!canProbe || l.spareSeen):
+	case delayedFraction < maxDelayedStarts && l.shortage && l.quota < maxQuota && l.cooldown <= 0 && (!canProbe || l.freeSlotSeen):
 		l.quota++
 	}
 	l.delayedStarts = 0
 	l.returns = 0
 	l.shortage = len(l.waiting) > 0
-	l.spareSeen = false
+	l.freeSlotSeen = false
 }
 
 // addWaiting queues a node for a lease. Nodes whose job is past its objective wait behind all others.
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -53,7 +53,7 @@
 	if outcome == ExecutorError {
 		return true
 	}
-	fullForOne := outcome == ExecutorFull && a.tenant != nil && !e.queuing.fullForMany
+	fullForOne := outcome == ExecutorFull && a.tenant != nil && !e.queuing.fullForSeveral
 	return e.health.suspect && !fullForOne
 }
 
@@ -65,7 +65,7 @@
 	d.timers.releaseToken(now+scaled(runTime, fullTokenRest*float64(e.health.rejections)), e)
 }
 
-// recordAbandoned records an attempt that was no longer waited for. The executor may still be at work on it, so its token
+// recordAbandoned records an attempt that this node stopped waiting for. The executor may still be at work on it, so its token
 // stays taken until the work would be done.
 func (d *Dispatcher) recordAbandoned(a *attempt, outcome Outcome, runTime, now time.Duration) {
 	e := a.executor
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -44,7 +44,7 @@
 	d.queue.remove(j)
 	// A job past its objective waits because others go first, not for lack of tokens: only the time before counts.
 	waitedUntil := min(now, j.objectiveAt-j.work)
-	e.queuing.here += max(0, waitedUntil-j.queuedAt)
+	e.queuing.inQueue += max(0, waitedUntil-j.queuedAt)
 	if len(e.attempts) == 0 {
 		e.health.lastSeen = now
 	}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -86,20 +86,20 @@
 
 // queuing is what this interval showed of waiting for an executor, for the step of its quota.
 type queuing struct {
-	atExecutor    time.Duration // waiting at the executor
-	here          time.Duration // waiting in this node's queue
-	overTarget    bool          // some job waited longer than its slack allows
-	outOfTokens   bool          // no token was free at some moment
-	sawFull       bool          // an attempt was rejected as full
-	fullTenant    TenantID      // whose attempt that was
-	fullForMany   bool          // attempts of several tenants were
-	fullWait      time.Duration // running times of the rejected attempts
-	startedOthers bool          // others were started meanwhile
+	atExecutor     time.Duration // waiting at the executor
+	inQueue        time.Duration // waiting in this node's queue
+	overTarget     bool          // some job waited longer than its slack allows
+	outOfTokens    bool          // no token was free at some moment
+	sawFull        bool          // an attempt was rejected as full
+	fullTenant     TenantID      // whose attempt that was
+	fullForSeveral bool          // attempts of several tenants were
+	fullWait       time.Duration // running times of the rejected attempts
+	startedOthers  bool          // others were started meanwhile
 }
 
 // recordFull records an attempt that the executor rejected as full, though it would have run for that long.
 func (q *queuing) recordFull(tenant TenantID, runTime time.Duration) {
-	q.fullForMany = q.fullForMany || q.sawFull && q.fullTenant != tenant
+	q.fullForSeveral = q.fullForSeveral || q.sawFull && q.fullTenant != tenant
 	q.sawFull = true
 	q.fullTenant = tenant
 	q.fullWait += runTime
@@ -113,7 +113,7 @@
 
 // chargeFull counts the rejected attempts as waiting at the executor, unless only one tenant was rejected.
 func (q *queuing) chargeFull() {
-	if q.fullForMany || q.sawFull && !q.startedOthers {
+	if q.fullForSeveral || q.sawFull && !q.startedOthers {
 		q.atExecutor += q.fullWait
 		q.overTarget = true
 	}
@@ -121,7 +121,7 @@
 
 // executorShare returns the fraction of all waiting that was at the executor: the design's r.
 func (q *queuing) executorShare() float64 {
-	total := q.atExecutor + q.here
+	total := q.atExecutor + q.inQueue
 	if total <= 0 {
 		return 0
 	}
