--- a/cmd/birchstair/store.go
+++ b/cmd/birchstair/store.go
@@ -61,7 +61,7 @@
 		if s.Torn {
 			torn = ", with a torn end that the next start cuts off; nothing of it was acknowledged"
 		}
-		fmt.Printf("%s: %d records in %d bytes%s\n", s.Name, s.Records, s.Whole, torn)
+		fmt.Printf("%s: %d records in %d bytes%s\n", s.Name, s.Records, s.CompleteBytes, torn)
 	}
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 }
 
 func (c storeListCmd) Run() error {
-	states := store.States{}
+	states := store.JobStates{}
 	if _, err := scanLocked(c.Dir, states.Apply); err != nil {
 		return err
 	}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -168,7 +168,7 @@
 			t.Fatal(err)
 		}
 		for _, s := range segments {
-			fmt.Fprintf(&out, "%s: number %d, %d records, complete up to %d, torn %v\n", s.Name, s.Number, s.Records, s.Whole, s.Torn)
+			fmt.Fprintf(&out, "%s: number %d, %d records, complete up to %d, torn %v\n", s.Name, s.Number, s.Records, s.CompleteBytes, s.Torn)
 		}
 		if name == "written.txt" && !slices.EqualFunc(records, everyKind(), equal) {
 			t.Errorf("the records read are not those that were written: %+v", records)
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -55,18 +55,18 @@
 // whole or counts for nothing, so a disk that writes its pages in any order can't bring back a part of what was never acknowledged. A segment begins
 // with magic, version and number.
 const (
-	headSize      = 12
-	longestRecord = 1 << 20
-	longestFrame  = 1 << 28
-	segmentHead   = 16
-	version       = 1
+	frameHeaderBytes   = 12
+	maxRecordBytes     = 1 << 20
+	maxFrameBytes      = 1 << 28
+	segmentHeaderBytes = 16
+	formatVersion      = 1
 )
 
 var (
-	magic  = [4]byte{'b', 'r', 's', 't'}
-	mark   = [4]byte{0xf7, 'f', 'r', 0x9d}
-	table  = crc32.MakeTable(crc32.Castagnoli)
-	coding = func() cbor.EncMode {
+	segmentMagic   = [4]byte{'b', 'r', 's', 't'}
+	frameMagic     = [4]byte{0xf7, 'f', 'r', 0x9d}
+	castagnoli     = crc32.MakeTable(crc32.Castagnoli)
+	recordEncoding = func() cbor.EncMode {
 		m, err := cbor.EncOptions{Time: cbor.TimeUnixMicro}.EncMode()
 		if err != nil {
 			panic(err) // of options that never change
@@ -80,36 +80,36 @@
 
 // appendRecord writes a record behind b.
 func appendRecord(b []byte, r Record) ([]byte, error) {
-	text, err := coding.Marshal(r)
+	text, err := recordEncoding.Marshal(r)
 	if err != nil {
 		return b, err
 	}
-	if len(text) > longestRecord {
-		return b, fmt.Errorf("a record of %d bytes: over %d", len(text), longestRecord)
+	if len(text) > maxRecordBytes {
+		return b, fmt.Errorf("a record of %d bytes: over %d", len(text), maxRecordBytes)
 	}
 	return append(b, text...), nil
 }
 
-// frame puts records together.
-func frame(records []byte) []byte {
-	b := make([]byte, 0, headSize+len(records))
-	b = append(b, mark[:]...)
+// encodeFrame puts records together.
+func encodeFrame(records []byte) []byte {
+	b := make([]byte, 0, frameHeaderBytes+len(records))
+	b = append(b, frameMagic[:]...)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(records)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Update(crc32.Checksum(b[4:8], table), table, records))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Update(crc32.Checksum(b[4:8], castagnoli), castagnoli, records))
 	return append(b, records...)
 }
 
 // decodeFrame reads the frame at the front of b, hands its records on with their sizes, and says how long it is.
 func decodeFrame(b []byte, each func(Record, int)) (size int, err error) {
-	if len(b) < headSize || [4]byte(b[:4]) != mark {
+	if len(b) < frameHeaderBytes || [4]byte(b[:4]) != frameMagic {
 		return 0, errTorn
 	}
 	length := binary.LittleEndian.Uint32(b[4:])
-	if length == 0 || length > longestFrame || int(length) > len(b)-headSize {
+	if length == 0 || length > maxFrameBytes || int(length) > len(b)-frameHeaderBytes {
 		return 0, errTorn
 	}
-	rest := b[headSize : headSize+int(length)]
-	if crc32.Update(crc32.Checksum(b[4:8], table), table, rest) != binary.LittleEndian.Uint32(b[8:]) {
+	rest := b[frameHeaderBytes : frameHeaderBytes+int(length)]
+	if crc32.Update(crc32.Checksum(b[4:8], castagnoli), castagnoli, rest) != binary.LittleEndian.Uint32(b[8:]) {
 		return 0, errTorn
 	}
 	for len(rest) > 0 {
@@ -124,23 +124,23 @@
 		each(r, len(rest)-len(after))
 		rest = after
 	}
-	return headSize + int(length), nil
+	return frameHeaderBytes + int(length), nil
 }
 
-func appendHead(b []byte, number uint64) []byte {
-	b = append(b, magic[:]...)
-	b = binary.LittleEndian.AppendUint32(b, version)
+func appendSegmentHeader(b []byte, number uint64) []byte {
+	b = append(b, segmentMagic[:]...)
+	b = binary.LittleEndian.AppendUint32(b, formatVersion)
 	return binary.LittleEndian.AppendUint64(b, number)
 }
 
-func readHead(b []byte, number uint64) error {
+func checkSegmentHeader(b []byte, number uint64) error {
 	switch {
-	case len(b) < segmentHead:
+	case len(b) < segmentHeaderBytes:
 		return errTorn
-	case [4]byte(b[:4]) != magic:
+	case [4]byte(b[:4]) != segmentMagic:
 		return errors.New("it is no segment of a store")
-	case binary.LittleEndian.Uint32(b[4:]) != version:
-		return fmt.Errorf("it is of version %d, and this program reads version %d", binary.LittleEndian.Uint32(b[4:]), version)
+	case binary.LittleEndian.Uint32(b[4:]) != formatVersion:
+		return fmt.Errorf("it is of version %d, and this program reads version %d", binary.LittleEndian.Uint32(b[4:]), formatVersion)
 	case binary.LittleEndian.Uint64(b[8:]) != number:
 		return fmt.Errorf("it says that it is segment %d", binary.LittleEndian.Uint64(b[8:]))
 	}
--- a/internal/store/record_test.go
+++ b/internal/store/record_test.go
@@ -25,11 +25,11 @@
 		}
 		segment = append(segment, b...)
 	}
-	if err := readHead(segment, 1); err != nil {
+	if err := checkSegmentHeader(segment, 1); err != nil {
 		t.Fatal(err)
 	}
-	again := appendHead(nil, 1)
-	for at := segmentHead; at < len(segment); {
+	again := appendSegmentHeader(nil, 1)
+	for at := segmentHeaderBytes; at < len(segment); {
 		var records []byte
 		size, err := decodeFrame(segment[at:], func(r Record, size int) {
 			before := len(records)
@@ -43,7 +43,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again = append(again, frame(records)...)
+		again = append(again, encodeFrame(records)...)
 		at += size
 	}
 	if string(again) != string(segment) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,22 +21,22 @@
 	Most    int64 // bytes of all segments; over them nothing new is accepted
 }
 
-// Errors of Append. After ErrBroken nothing is ever written again: what a failed sync has left on the disk nobody knows.
+// Errors of Append. After ErrFailed nothing is ever written again: what a failed sync has left on the disk nobody knows.
 var (
 	ErrFull   = errors.New("the store is full")
-	ErrBroken = errors.New("the store is broken: a write or a sync has failed")
+	ErrFailed = errors.New("the store is broken: a write or a sync has failed")
 	errClosed = errors.New("the store is closed")
 )
 
 // State is what the records of a batch job come to.
 type State struct {
 	Accepted *Record // never changed
-	Sends    []Send
+	Sends    []Attempt
 	Final    *Record
 }
 
-// Send is an allocation that was recorded before it went out.
-type Send struct {
+// Attempt is an allocation that was recorded before it went out.
+type Attempt struct {
 	Epoch    uint32
 	Executor string
 	At       time.Time
@@ -46,54 +46,54 @@
 
 // Store is an open store.
 type Store struct {
-	disk Disk
-	o    Options
-	lock io.Closer
-
-	mu      sync.Mutex
-	more    *sync.Cond
-	queue   []write
-	closing bool
-	broken  error
-	states  States
-	where   map[string][]spot // live bytes by batch job and segment
-	live    map[uint64]int64  // live bytes by segment
-	size    map[uint64]int64
-	first   uint64
-	last    uint64
-	file    File
-	syncs   int
-	done    chan struct{}
+	disk    Disk
+	options Options
+	lock    io.Closer
+
+	mu           sync.Mutex
+	wakeup       *sync.Cond
+	pending      []pendingWrite
+	closing      bool
+	failed       error
+	jobs         JobStates
+	extents      map[string][]extent // live bytes by batch job and segment
+	liveBytes    map[uint64]int64    // live bytes by segment
+	segmentBytes map[uint64]int64
+	firstSegment uint64
+	lastSegment  uint64
+	file         File
+	syncs        int
+	done         chan struct{}
 }
 
-// spot is how many bytes of a batch job count in a segment.
-type spot struct {
+// extent is how many bytes of a batch job count in a segment.
+type extent struct {
 	segment uint64
 	size    int
 }
 
-// write is a record that waits to stand on the disk.
-type write struct {
+// pendingWrite is a record that waits to stand on the disk.
+type pendingWrite struct {
 	r    Record
 	done func(error)
 }
 
-func name(number uint64) string { return fmt.Sprintf("%012d.log", number) }
+func segmentName(number uint64) string { return fmt.Sprintf("%012d.log", number) }
 
-func numberOf(name string) (uint64, bool) {
+func segmentNumber(name string) (uint64, bool) {
 	digits, ok := strings.CutSuffix(name, ".log")
 	n, err := strconv.ParseUint(digits, 10, 64)
 	return n, ok && err == nil && len(digits) == 12
 }
 
-// Corrupt is damage that can't be a torn end: what was acknowledged may be lost.
-type Corrupt struct {
+// CorruptionError is damage that can't be a torn end: what was acknowledged may be lost.
+type CorruptionError struct {
 	Segment string
 	Offset  int64
 	Reason  string
 }
 
-func (c *Corrupt) Error() string {
+func (c *CorruptionError) Error() string {
 	return fmt.Sprintf("%s, at byte %d: %s; what stood there was acknowledged and is lost", c.Segment, c.Offset, c.Reason)
 }
 
@@ -103,54 +103,54 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{disk: disk, o: o, lock: lock, states: States{}, where: map[string][]spot{},
-		live: map[uint64]int64{}, size: map[uint64]int64{}, done: make(chan struct{})}
-	s.more = sync.NewCond(&s.mu)
-	if err := s.load(); err != nil {
+	s := &Store{disk: disk, options: o, lock: lock, jobs: JobStates{}, extents: map[string][]extent{},
+		liveBytes: map[uint64]int64{}, segmentBytes: map[uint64]int64{}, done: make(chan struct{})}
+	s.wakeup = sync.NewCond(&s.mu)
+	if err := s.recover(); err != nil {
 		return nil, errors.Join(err, lock.Close())
 	}
 	go s.run()
 	return s, nil
 }
 
-// load reads all segments and begins a new one: nothing is ever written behind what a crash has left.
-func (s *Store) load() error {
+// recover reads all segments and begins a new one: nothing is ever written behind what a crash has left.
+func (s *Store) recover() error {
 	segments, err := Scan(s.disk, func(segment uint64, r Record, size int) { s.apply(segment, r, size) })
 	if err != nil {
 		return err
 	}
 	for i, seg := range segments {
-		if seg.Torn && seg.Whole == 0 { // it had only just been begun
+		if seg.Torn && seg.CompleteBytes == 0 { // it had only just been begun
 			if err := errors.Join(s.disk.Remove(seg.Name), s.disk.SyncDir()); err != nil {
 				return err
 			}
-			s.last = seg.Number - 1
+			s.lastSegment = seg.Number - 1
 			continue
 		}
 		if seg.Torn {
-			if err := s.disk.Truncate(seg.Name, seg.Whole); err != nil {
+			if err := s.disk.Truncate(seg.Name, seg.CompleteBytes); err != nil {
 				return err
 			}
 		}
-		s.size[seg.Number] = seg.Whole
+		s.segmentBytes[seg.Number] = seg.CompleteBytes
 		if i == 0 {
-			s.first = seg.Number
+			s.firstSegment = seg.Number
 		}
-		s.last = seg.Number
+		s.lastSegment = seg.Number
 	}
-	if s.first == 0 {
-		s.first = s.last + 1
+	if s.firstSegment == 0 {
+		s.firstSegment = s.lastSegment + 1
 	}
-	return s.begin()
+	return s.startSegment()
 }
 
-// begin begins the next segment.
-func (s *Store) begin() error {
-	f, err := s.disk.Create(name(s.last + 1))
+// startSegment begins the next segment.
+func (s *Store) startSegment() error {
+	f, err := s.disk.Create(segmentName(s.lastSegment + 1))
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(appendHead(nil, s.last+1)); err == nil {
+	if _, err = f.Write(appendSegmentHeader(nil, s.lastSegment+1)); err == nil {
 		err = f.Sync()
 	}
 	if err == nil {
@@ -162,27 +162,27 @@
 	if s.file != nil {
 		s.file.Close()
 	}
-	s.last++
-	s.file, s.size[s.last] = f, segmentHead
+	s.lastSegment++
+	s.file, s.segmentBytes[s.lastSegment] = f, segmentHeaderBytes
 	return nil
 }
 
-// States are what the records of all batch jobs come to, by their ids.
-type States map[string]*State
+// JobStates are what the records of all batch jobs come to, by their ids.
+type JobStates map[string]*State
 
 // Apply takes a record in, in the order in which they stand. One about a batch job that is not there (any more) counts for nothing.
-func (s States) Apply(r Record) {
+func (s JobStates) Apply(r Record) {
 	st := s[r.ID]
 	switch {
 	case r.Kind == Accepted && st == nil:
 		s[r.ID] = &State{Accepted: &r}
 	case st == nil:
 	case r.Kind == Sent:
-		if i := st.send(r.Epoch); i < 0 {
-			st.Sends = append(st.Sends, Send{Epoch: r.Epoch, Executor: r.Executor, At: r.At})
+		if i := st.attempt(r.Epoch); i < 0 {
+			st.Sends = append(st.Sends, Attempt{Epoch: r.Epoch, Executor: r.Executor, At: r.At})
 		}
 	case r.Kind == Over:
-		if i := st.send(r.Epoch); i >= 0 {
+		if i := st.attempt(r.Epoch); i >= 0 {
 			st.Sends[i].Over, st.Sends[i].NeverRan = true, r.NeverRan
 		}
 	case r.Kind == Final && st.Final == nil:
@@ -194,24 +194,24 @@
 
 // apply takes a record into the states, and books its bytes where they count.
 func (s *Store) apply(segment uint64, r Record, size int) {
-	s.states.Apply(r)
-	if s.states[r.ID] == nil {
-		for _, at := range s.where[r.ID] {
-			s.live[at.segment] -= int64(at.size)
+	s.jobs.Apply(r)
+	if s.jobs[r.ID] == nil {
+		for _, at := range s.extents[r.ID] {
+			s.liveBytes[at.segment] -= int64(at.size)
 		}
-		delete(s.where, r.ID)
+		delete(s.extents, r.ID)
 		return
 	}
-	at := s.where[r.ID]
+	at := s.extents[r.ID]
 	if n := len(at); n > 0 && at[n-1].segment == segment {
 		at[n-1].size += size
 	} else {
-		s.where[r.ID] = append(at, spot{segment, size})
+		s.extents[r.ID] = append(at, extent{segment, size})
 	}
-	s.live[segment] += int64(size)
+	s.liveBytes[segment] += int64(size)
 }
 
-func (st *State) send(epoch uint32) int {
+func (st *State) attempt(epoch uint32) int {
 	for i := range st.Sends {
 		if st.Sends[i].Epoch == epoch {
 			return i
@@ -223,17 +223,17 @@
 // Append writes a record and calls done once it stands on the disk, or can't. It never waits for the disk, and done must not either.
 func (s *Store) Append(r Record, done func(error)) {
 	s.mu.Lock()
-	err := s.broken
+	err := s.failed
 	switch {
 	case err != nil:
 	case s.closing:
 		err = errClosed
-	case r.Kind == Accepted && s.o.Most > 0 && s.total()+s.waiting() > s.o.Most:
+	case r.Kind == Accepted && s.options.Most > 0 && s.totalBytes()+s.pendingBytes() > s.options.Most:
 		err = ErrFull
 	}
 	if err == nil {
-		s.queue = append(s.queue, write{r, done})
-		s.more.Signal()
+		s.pending = append(s.pending, pendingWrite{r, done})
+		s.wakeup.Signal()
 	}
 	s.mu.Unlock()
 	if err != nil {
@@ -241,15 +241,15 @@
 	}
 }
 
-func (s *Store) total() (n int64) {
-	for _, size := range s.size {
+func (s *Store) totalBytes() (n int64) {
+	for _, size := range s.segmentBytes {
 		n += size
 	}
 	return n
 }
 
-func (s *Store) waiting() (n int64) {
-	for _, w := range s.queue {
+func (s *Store) pendingBytes() (n int64) {
+	for _, w := range s.pending {
 		n += int64(len(w.r.Body)) + 256
 	}
 	return n
@@ -260,21 +260,21 @@
 	defer close(s.done)
 	for {
 		s.mu.Lock()
-		for len(s.queue) == 0 && !s.closing {
-			s.more.Wait()
+		for len(s.pending) == 0 && !s.closing {
+			s.wakeup.Wait()
 		}
-		batch := s.queue
-		s.queue = nil
-		broken, closing := s.broken, s.closing
+		batch := s.pending
+		s.pending = nil
+		broken, closing := s.failed, s.closing
 		s.mu.Unlock()
 		if len(batch) == 0 && closing {
 			return
 		}
 		if broken == nil {
 			if broken = s.commit(batch); broken != nil {
-				broken = fmt.Errorf("%w: %v", ErrBroken, broken)
+				broken = fmt.Errorf("%w: %v", ErrFailed, broken)
 				s.mu.Lock()
-				s.broken = broken
+				s.failed = broken
 				s.mu.Unlock()
 			}
 		}
@@ -285,7 +285,7 @@
 }
 
 // commit writes records, syncs, and takes them into the states; then it cleans where that is due.
-func (s *Store) commit(batch []write) (err error) {
+func (s *Store) commit(batch []pendingWrite) (err error) {
 	var b []byte
 	sizes := make([]int, len(batch))
 	for i, w := range batch {
@@ -295,30 +295,30 @@
 		}
 		sizes[i] = len(b) - before
 	}
-	b = frame(b)
-	if err := s.put(b); err != nil {
+	b = encodeFrame(b)
+	if err := s.writeAndSync(b); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	for i, w := range batch {
-		s.apply(s.last, w.r, sizes[i])
+		s.apply(s.lastSegment, w.r, sizes[i])
 	}
-	s.size[s.last] += int64(len(b))
+	s.segmentBytes[s.lastSegment] += int64(len(b))
 	s.syncs++
-	full := s.size[s.last] >= s.o.Segment
+	full := s.segmentBytes[s.lastSegment] >= s.options.Segment
 	s.mu.Unlock()
 	if full {
 		s.mu.Lock()
-		err = s.begin()
+		err = s.startSegment()
 		s.mu.Unlock()
 		if err != nil {
 			return err
 		}
 	}
-	return s.clean(false, nil)
+	return s.compact(false, nil)
 }
 
-func (s *Store) put(b []byte) error {
+func (s *Store) writeAndSync(b []byte) error {
 	if _, err := s.file.Write(b); err != nil {
 		return err
 	}
@@ -326,15 +326,15 @@
 }
 
 // Compact writes all that counts into the last segment and drops the others, whatever part of them counts. It is called while nothing else is.
-func (s *Store) Compact(tell func(done, all int)) error { return s.clean(true, tell) }
+func (s *Store) Compact(tell func(done, all int)) error { return s.compact(true, tell) }
 
-// clean drops the oldest segment if no more than half of it still counts, or all is to go: what does is written anew first.
-func (s *Store) clean(all bool, tell func(done, all int)) error {
-	from, to := s.first, s.last
+// compact drops the oldest segment if no more than half of it still counts, or all is to go: what does is written anew first.
+func (s *Store) compact(all bool, tell func(done, all int)) error {
+	from, to := s.firstSegment, s.lastSegment
 	for {
 		s.mu.Lock()
-		oldest, last := s.first, s.last
-		due := oldest < last && (all || s.live[oldest]*2 <= s.size[oldest])
+		oldest, last := s.firstSegment, s.lastSegment
+		due := oldest < last && (all || s.liveBytes[oldest]*2 <= s.segmentBytes[oldest])
 		if due && tell != nil {
 			tell(int(oldest-from)+1, int(to-from))
 		}
@@ -342,12 +342,12 @@
 		var err error
 		moved := map[string]int{}
 		if due {
-			for id, at := range s.where {
+			for id, at := range s.extents {
 				if at[0].segment != oldest { // its first record stands in the first of its segments
 					continue
 				}
 				before := len(b)
-				for _, r := range s.states[id].Records() {
+				for _, r := range s.jobs[id].Records() {
 					if b, err = appendRecord(b, r); err != nil {
 						break
 					}
@@ -360,12 +360,12 @@
 			return err
 		}
 		if len(b) > 0 {
-			b = frame(b)
-			if err := s.put(b); err != nil {
+			b = encodeFrame(b)
+			if err := s.writeAndSync(b); err != nil {
 				return err
 			}
 		}
-		if err := s.disk.Remove(name(oldest)); err != nil {
+		if err := s.disk.Remove(segmentName(oldest)); err != nil {
 			return err
 		}
 		if err := s.disk.SyncDir(); err != nil {
@@ -373,16 +373,16 @@
 		}
 		s.mu.Lock()
 		for id, size := range moved {
-			for _, was := range s.where[id] {
-				s.live[was.segment] -= int64(was.size)
+			for _, was := range s.extents[id] {
+				s.liveBytes[was.segment] -= int64(was.size)
 			}
-			s.where[id] = []spot{{last, size}}
-			s.live[last] += int64(size)
+			s.extents[id] = []extent{{last, size}}
+			s.liveBytes[last] += int64(size)
 		}
-		s.size[last] += int64(len(b))
-		delete(s.size, oldest)
-		delete(s.live, oldest)
-		s.first = oldest + 1
+		s.segmentBytes[last] += int64(len(b))
+		delete(s.segmentBytes, oldest)
+		delete(s.liveBytes, oldest)
+		s.firstSegment = oldest + 1
 		s.mu.Unlock()
 	}
 }
@@ -408,7 +408,7 @@
 func (s *Store) Get(id string) (State, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if st := s.states[id]; st != nil {
+	if st := s.jobs[id]; st != nil {
 		return st.copy(), true
 	}
 	return State{}, false
@@ -416,7 +416,7 @@
 
 func (st *State) copy() State {
 	c := *st
-	c.Sends = append([]Send(nil), st.Sends...)
+	c.Sends = append([]Attempt(nil), st.Sends...)
 	return c
 }
 
@@ -424,7 +424,7 @@
 func (s *Store) All(each func(State)) {
 	s.mu.Lock()
 	var all []State
-	for _, st := range s.states {
+	for _, st := range s.jobs {
 		all = append(all, st.copy())
 	}
 	s.mu.Unlock()
@@ -433,20 +433,20 @@
 	}
 }
 
-// Figures are what a store has to tell of itself.
-type Figures struct {
+// Stats are what a store has to tell of itself.
+type Stats struct {
 	Jobs     int
 	Bytes    int64
 	Segments int
 	Syncs    int
-	Broken   error
+	Failed   error
 }
 
 // Figures gives them.
-func (s *Store) Figures() Figures {
+func (s *Store) Figures() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Figures{len(s.states), s.total(), len(s.size), s.syncs, s.broken}
+	return Stats{len(s.jobs), s.totalBytes(), len(s.segmentBytes), s.syncs, s.failed}
 }
 
 // Close writes what waits and gives the directory back.
@@ -457,7 +457,7 @@
 		return errClosed
 	}
 	s.closing = true
-	s.more.Signal()
+	s.wakeup.Signal()
 	s.mu.Unlock()
 	<-s.done
 	return errors.Join(s.file.Close(), s.lock.Close())
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -164,11 +164,11 @@
 	}
 	disk.FailSync = 1
 	for _, id := range []string{"b", "c"} {
-		if err := appendTo(s, accepted(id, 10)); !errors.Is(err, store.ErrBroken) {
+		if err := appendTo(s, accepted(id, 10)); !errors.Is(err, store.ErrFailed) {
 			t.Errorf("%s after a failed sync: %v", id, err)
 		}
 	}
-	if !errors.Is(s.Figures().Broken, store.ErrBroken) {
+	if !errors.Is(s.Figures().Failed, store.ErrFailed) {
 		t.Error("the figures don't tell")
 	}
 	disk.Crash()
@@ -200,7 +200,7 @@
 		t.Errorf("the answer of what it has: %v", err)
 	}
 	disk.Room = 50
-	if err := appendTo(s, store.Record{Kind: store.Final, ID: "j1", At: day, Body: make([]byte, 100)}); !errors.Is(err, store.ErrBroken) {
+	if err := appendTo(s, store.Record{Kind: store.Final, ID: "j1", At: day, Body: make([]byte, 100)}); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("a full disk: %v", err)
 	}
 	disk.Crash()
