--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -10,7 +10,7 @@
 // Kind is a kind of record. The numbers are part of the format.
 type Kind uint8
 
-// The kinds of records. The first record of a job is Accepted; after LetGo there is nothing of it any more.
+// The kinds of records, in the order in which a job has them. After the last one nothing is left of the job.
 const (
 	Accepted Kind = iota + 1 // a batch job was accepted
 	Sent                     // an attempt is about to be sent, under Epoch
@@ -36,7 +36,7 @@
 	ID   string    `cbor:"2,keyasint"` // the job's
 	At   time.Time `cbor:"3,keyasint"`
 
-	// Of Accepted: the request.
+	// Of an accepted job: its request.
 	Track       string        `cbor:"4,keyasint,omitempty"` // the job class
 	Limit       time.Time     `cbor:"5,keyasint,omitzero"`  // the deadline
 	Work        time.Duration `cbor:"6,keyasint,omitempty"` // as the client estimates it
@@ -44,14 +44,14 @@
 	Host        string        `cbor:"8,keyasint,omitempty"`
 	ContentType string        `cbor:"9,keyasint,omitempty"`
 	Tag         string        `cbor:"10,keyasint,omitempty"` // the idempotency key
-	Body        []byte        `cbor:"11,keyasint,omitempty"` // of the request; of Final: of the result
+	Body        []byte        `cbor:"11,keyasint,omitempty"` // of the request, or with the final answer that of the result
 
-	// Of Sent and Over: the attempt.
+	// Of the start and the end of an attempt.
 	Epoch    uint32 `cbor:"12,keyasint,omitempty"`
 	Executor string `cbor:"13,keyasint,omitempty"`
 	NeverRan bool   `cbor:"14,keyasint,omitempty"`
 
-	Answer uint8 `cbor:"15,keyasint,omitempty"` // of Final: the outcome, as package leases numbers them
+	Answer uint8 `cbor:"15,keyasint,omitempty"` // the outcome, with the final answer: as package leases numbers them
 }
 
 const maxRecordBytes = 1 << 20
