--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -1,11 +1,8 @@
 package discovery
 
 import (
-	"bufio"
 	"context"
 	"fmt"
-	"math"
-	"net"
 	"slices"
 	"strings"
 	"sync"
@@ -13,312 +10,15 @@
 	"time"
 
 	"birchstair/internal/config"
-	"birchstair/internal/emulator/platform"
 	"birchstair/internal/golden"
-	"birchstair/internal/memnet"
 	"birchstair/internal/node"
 	"birchstair/internal/synctesting"
 	"birchstair/policy"
 )
 
-// fakeDiscovery is a stand-in of discovery in memory: its list is a number of executors that only grows, so that what a node was told
-// says which version it has.
-type fakeDiscovery struct {
-	net          *memnet.Net
-	responseTime time.Duration // from when it knows what it answers until it says so
-	queue        *queue        // what it shares with others; nil for none
-	agent        *agent        // its way to a service that turns calls away; nil for none
-
-	mu                sync.Mutex
-	size              int
-	changed           chan struct{} // closed when it grows
-	at                *memnet.Listener
-	moved             bool      // it is reached where nobody was before, and where it was nobody is
-	lost              bool      // nothing gets through to it
-	silent            bool      // calls that come now are never answered
-	versionsRestarted bool      // its versions begin anew: it makes nothing of those that it is asked for
-	faults            []string  // of the next calls, one each
-	requests          int       // calls
-	malformedAt       time.Time // its first odd answer left
-	completeRequestAt time.Time // the first call after that for the whole list came
-	open              int       // connections to it, as the node sees them
-	maxOpen           int
-	closed            chan struct{}
-}
-
-const fakeAddr = "127.0.0.1:8500"
-
+// defaults are the timings that the tests wait for.
 var defaults = defaultTiming()
 
-func newFakeDiscovery(slow time.Duration) *fakeDiscovery {
-	d := &fakeDiscovery{responseTime: slow, size: 1, changed: make(chan struct{}), closed: make(chan struct{})}
-	d.net = memnet.New(1, func(_, to string) memnet.Path {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		return memnet.Path{Delay: time.Millisecond, Lost: d.lost || to == "nowhere"}
-	})
-	return d
-}
-
-func (d *fakeDiscovery) locked(what func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	what()
-}
-
-func (d *fakeDiscovery) up() {
-	l, err := d.net.Listen("d", fakeAddr)
-	if err != nil {
-		panic(err)
-	}
-	d.locked(func() { d.at = l })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go d.serve(c)
-		}
-	}()
-}
-
-func (d *fakeDiscovery) close() {
-	close(d.closed)
-	d.net.Shut()
-}
-
-// sleep lets time pass, unless all is over.
-func (d *fakeDiscovery) sleep(t time.Duration) {
-	select {
-	case <-time.After(t):
-	case <-d.closed:
-	}
-}
-
-func (d *fakeDiscovery) down() { d.net.Kill("d", false) }
-
-// dial opens a connection to it, and counts it until it is closed.
-func (d *fakeDiscovery) dial() Dialer {
-	n := 0
-	return func(ctx context.Context, _, addr string) (net.Conn, error) {
-		var id string
-		d.locked(func() {
-			n++
-			id = fmt.Sprint(n)
-			d.open++
-			d.maxOpen = max(d.maxOpen, d.open)
-			if (addr == fakeAddr) == d.moved {
-				addr = "nowhere"
-			} else {
-				addr = fakeAddr
-			}
-		})
-		c, err := d.net.Dial(ctx, "n", id, addr)
-		if err != nil {
-			d.locked(func() { d.open-- })
-			return nil, err
-		}
-		return &countedConn{Conn: c, d: d}, nil
-	}
-}
-
-type countedConn struct {
-	net.Conn
-	d    *fakeDiscovery
-	once sync.Once
-}
-
-func (c *countedConn) Close() error {
-	c.once.Do(func() { c.d.locked(func() { c.d.open-- }) })
-	return c.Conn.Close()
-}
-
-// halfOpen makes all connections silent that are open: neither end notices.
-func (d *fakeDiscovery) halfOpen() {
-	for _, c := range append(d.net.Conns("d"), d.net.Conns("n")...) {
-		c.Silence()
-	}
-}
-
-func (d *fakeDiscovery) addExecutor() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.size++
-	close(d.changed)
-	d.changed = make(chan struct{})
-}
-
-func (d *fakeDiscovery) serve(c net.Conn) {
-	defer c.Close()
-	in := bufio.NewReader(c)
-	for {
-		ask, err := platform.ReadWatch(in)
-		if err != nil {
-			return
-		}
-		var fault string
-		var size int
-		var changed chan struct{}
-		d.locked(func() {
-			d.requests++
-			if ask.Whole && !d.malformedAt.IsZero() && d.completeRequestAt.IsZero() {
-				d.completeRequestAt = time.Now()
-			}
-			if len(d.faults) > 0 {
-				fault, d.faults = d.faults[0], d.faults[1:]
-			}
-			if d.silent {
-				fault = "silent"
-			}
-			if d.versionsRestarted && !ask.Whole {
-				fault = "odd"
-			}
-			size, changed = d.size, d.changed
-		})
-		if d.agent != nil && !d.agent.admit(d.sleep) {
-			fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-			continue
-		}
-		switch fault {
-		case "silent":
-			if _, err := in.ReadByte(); err == nil { // it blocks until the node cancels the request
-				panic("data behind a request that was not answered")
-			}
-			return
-		case "reset":
-			c.(*memnet.Conn).Reset()
-			return
-		case "odd":
-			d.sleep(d.responseTime)
-			d.locked(func() {
-				if d.malformedAt.IsZero() {
-					d.malformedAt = time.Now()
-				}
-			})
-			fmt.Fprint(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-			continue
-		case "trickle":
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
-			for {
-				d.sleep(100 * time.Millisecond)
-				if _, err := c.Write([]byte(" ")); err != nil {
-					return
-				}
-			}
-		}
-		if !ask.Whole && ask.From == size {
-			select {
-			case <-changed:
-				d.locked(func() { size = d.size })
-			case <-time.After(ask.Hold):
-			}
-		}
-		if d.queue != nil {
-			d.sleep(d.queue.turn())
-		}
-		d.sleep(d.responseTime)
-		if d.agent != nil {
-			d.agent.answered()
-		}
-		hosts := make([]string, 0, size)
-		for i := range size {
-			hosts = append(hosts, host(fmt.Sprint("e", i), `"health":"ready"`))
-		}
-		body := fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, size, strings.Join(hosts, ","))
-		if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
-			return
-		}
-	}
-}
-
-// queue has calls wait for their turn, first come, first served, also those that nobody waits for any more.
-type queue struct {
-	mu          sync.Mutex
-	serviceTime time.Duration
-	until       time.Time
-}
-
-func (q *queue) turn() time.Duration {
-	span, _ := q.turnWithin(math.MaxInt64, 0)
-	return span
-}
-
-// agent is a node's way to a service that all share and that turns calls away: what would wait for longer than room is refused, and a
-// refusal takes of the service's work too. The first call is answered with a copy that is at hand; a watch that goes on costs
-// nothing. So it was seen on the bench, where lists are asked for.
-type agent struct {
-	queue        *queue
-	maxQueueTime time.Duration
-	refusal      time.Duration // of the service's work
-
-	mu       sync.Mutex
-	calls    int
-	last     time.Time // the last answer that was no refusal; zero where the watch has ended
-	rejected int       // refused
-}
-
-func (a *agent) admit(wait func(time.Duration)) bool {
-	a.mu.Lock()
-	a.calls++
-	free := a.calls == 1 || !a.last.IsZero() && time.Since(a.last) < 200*time.Millisecond
-	a.last = time.Time{}
-	a.mu.Unlock()
-	if free {
-		return true
-	}
-	span, ok := a.queue.turnWithin(a.maxQueueTime, a.refusal)
-	if !ok {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		a.rejected++
-		return false
-	}
-	wait(span)
-	return true
-}
-
-// answered notes an answer that opens a watch, or goes on with it: any but the first, which is only a copy.
-func (a *agent) answered() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.calls > 1 {
-		a.last = time.Now()
-	}
-}
-
-// turnWithin is turn for a service that turns away what would wait for longer than room.
-func (q *queue) turnWithin(room, refusal time.Duration) (time.Duration, bool) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	now := time.Now()
-	if q.until.Before(now) {
-		q.until = now
-	}
-	if q.until.Add(q.serviceTime).Sub(now) > room {
-		q.until = q.until.Add(refusal)
-		return 0, false
-	}
-	q.until = q.until.Add(q.serviceTime)
-	return q.until.Sub(now), true
-}
-
-// notifications notes when a list of a size was first told.
-type notifications struct {
-	mu        sync.Mutex
-	firstSeen map[int]time.Time
-}
-
-func (h *notifications) notify(ev node.Event) {
-	if l, ok := ev.(node.EndpointsUpdated); ok && l.Kind == policy.CompleteUpdate {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		for size := len(l.Endpoints); size > 0 && h.firstSeen[size].IsZero(); size-- {
-			h.firstSeen[size] = time.Now()
-		}
-	}
-}
-
 // faultOrders are orders of events before discovery can be reached; each ends with a change that discovery has, and gives when
 // both were so.
 var faultOrders = []struct {
@@ -331,22 +31,22 @@
 	}},
 	{"half-open, the next call is reset", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.locked(func() { d.faults = []string{"reset"} })
+		d.locked(func() { d.faults = []fault{resetByPeer} })
 		return time.Now()
 	}},
 	{"half-open, the next call gets no answer", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.locked(func() { d.faults = []string{"silent"} })
+		d.locked(func() { d.faults = []fault{unanswered} })
 		return time.Now()
 	}},
 	{"half-open, the next answer trickles", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.locked(func() { d.faults = []string{"trickle"} })
+		d.locked(func() { d.faults = []fault{endlessAnswer} })
 		return time.Now()
 	}},
 	{"half-open, the next answer is odd", func(d *fakeDiscovery, _ *Watcher) time.Time {
 		d.halfOpen()
-		d.locked(func() { d.faults = []string{"odd"} })
+		d.locked(func() { d.faults = []fault{malformed} })
 		return time.Now()
 	}},
 	{"cut off for 7 s", func(d *fakeDiscovery, _ *Watcher) time.Time {
