--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -19,8 +19,8 @@
 // defaults are the timings that the tests wait for.
 var defaults = defaultTiming()
 
-// faultOrders are orders of events before discovery can be reached; each ends with a change that discovery has, and gives when
-// both were so.
+// faultOrders are sequences of faults, during which discovery gets a change. Each returns when discovery had the change and could be
+// reached.
 var faultOrders = []struct {
 	name string
 	do   func(d *fakeDiscovery, w *Watcher) (reached time.Time)
@@ -101,62 +101,62 @@
 	}},
 }
 
-// maxUpdateDelay is the longest from when discovery has a change and can be reached until the node is told, over moments at which
-// an order of events begins, and the most connections that were open or dialled.
-func maxUpdateDelay(p Timing, slow time.Duration, do func(*fakeDiscovery, *Watcher) time.Time) (span time.Duration, most int) {
+// maxUpdateDelay is the longest time from when discovery has a change and can be reached until the node is notified, over several
+// moments at which the faults begin, and the largest number of connections that were open or being dialed.
+func maxUpdateDelay(timing Timing, responseTime time.Duration, do func(*fakeDiscovery, *Watcher) time.Time) (longest time.Duration, connections int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range 5 {
 		all.Go(func() {
-			d, h := newFakeDiscovery(slow), &notifications{firstSeen: map[int]time.Time{}}
+			d, seen := newFakeDiscovery(responseTime), &notifications{firstSeen: map[int]time.Time{}}
 			d.up()
-			p := p
-			p.Seed = uint64(i)
-			w := New(Names{}, p, d.dial(), h.notify)
+			timing := timing
+			timing.Seed = uint64(i)
+			w := New(Names{}, timing, d.dial(), seen.notify)
 			go w.Run(ctx, fakeAddr)
 			time.Sleep(5*time.Second + time.Duration(i)*537*time.Millisecond)
 			var reached time.Time
-			grown := make(chan struct{})
-			go func() { // discovery has the change just as the trouble begins, or while it is away
+			added := make(chan struct{})
+			go func() { // discovery gets the change as the faults begin
 				time.Sleep(time.Nanosecond)
 				d.addExecutor()
-				close(grown)
+				close(added)
 			}()
 			reached = do(d, w)
-			<-grown
+			<-added
 			time.Sleep(20 * time.Second)
 			d.close()
-			h.mu.Lock()
-			defer h.mu.Unlock()
-			took := h.firstSeen[2].Sub(reached)
-			if h.firstSeen[2].IsZero() {
+			seen.mu.Lock()
+			defer seen.mu.Unlock()
+			took := seen.firstSeen[2].Sub(reached)
+			if seen.firstSeen[2].IsZero() {
 				took = time.Hour
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			span = max(span, took)
-			d.locked(func() { most = max(most, d.maxOpen) })
+			longest = max(longest, took)
+			d.locked(func() { connections = max(connections, d.maxOpen) })
 		})
 	}
 	all.Wait()
 	cancel()
 	time.Sleep(time.Minute)
-	return span, most
+	return longest, connections
 }
 
-// Whatever went wrong before: a change is told 6 s less the drain grace after discovery had it and could be reached, also where
-// discovery takes 1.5 s to answer. Of a grace over 2 s no more than 2 s is left.
+// TestNewsInTime checks the bound on update delays: whatever failed before, the node is notified of a change within 6 s less the drain
+// grace (up to 2 s) after discovery had it and could be reached, also where discovery takes 1.5 s to answer.
 func TestNewsInTime(t *testing.T) {
 	var out strings.Builder
 	for _, grace := range []time.Duration{50, 150, 400, 1000, 1500, 2000, 10000} {
 		grace *= time.Millisecond
 		for _, pushed := range []bool{true, false} {
-			p := NewTiming(grace, pushed)
-			by := defaults.UpdateDeadline - min(grace, defaults.MaxDrainGrace)
-			fmt.Fprintf(&out, "grace %v pushed %v: hold %v, answer %v, backoffs up to %v, sum %v of %v\n", grace, pushed, p.LongPoll, p.HedgeDelay, p.MaxBackoff, p.MaxUpdateDelay(), by)
-			if p.MaxUpdateDelay() > by {
-				t.Errorf("grace %v, pushed %v: the sum is %v", grace, pushed, p.MaxUpdateDelay())
+			timing := NewTiming(grace, pushed)
+			budget := defaults.UpdateDeadline - min(grace, defaults.MaxDrainGrace)
+			fmt.Fprintf(&out, "grace %v pushed %v: hold %v, answer %v, backoffs up to %v, sum %v of %v\n", grace, pushed, timing.LongPoll, timing.HedgeDelay, timing.MaxBackoff, timing.MaxUpdateDelay(), budget)
+			if timing.MaxUpdateDelay() > budget {
+				t.Errorf("grace %v, pushed %v: the sum is %v", grace, pushed, timing.MaxUpdateDelay())
 			}
 			if grace != time.Second && grace != 150*time.Millisecond && grace != 2*time.Second {
 				continue // the sum says it all
@@ -164,11 +164,11 @@
 			for _, order := range faultOrders {
 				for _, slow := range []time.Duration{0, defaults.SlowResponse} {
 					synctesting.Test(t, func(t *testing.T) {
-						span, most := maxUpdateDelay(p, slow, order.do)
-						if span > min(by, p.MaxUpdateDelay()+50*time.Millisecond) || most > config.DiscoveryConns {
-							t.Errorf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
+						delay, most := maxUpdateDelay(timing, slow, order.do)
+						if delay > min(budget, timing.MaxUpdateDelay()+50*time.Millisecond) || most > config.DiscoveryConns {
+							t.Errorf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, delay, most)
 						}
-						t.Logf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, span, most)
+						t.Logf("grace %v, pushed %v, answers in %v, %s: told after %v, %d connections", grace, pushed, slow, order.name, delay, most)
 					})
 				}
 			}
@@ -177,7 +177,7 @@
 	golden.Compare(t, "sums.txt", out.String())
 }
 
-// Discovery answers each call in 1.5 s, for good: once that was seen, no call is late any more.
+// TestSlowForGood checks a discovery that takes 1.5 s for each answer: once that was seen, no request exceeds its hedge delay.
 func TestSlowForGood(t *testing.T) {
 	for _, grace := range []time.Duration{150 * time.Millisecond, time.Second, 2 * time.Second} {
 		for _, pushed := range []bool{true, false} {
@@ -212,8 +212,8 @@
 	}
 }
 
-// Discovery takes 1.5 s to say that it makes nothing of a version, so that call is late by then: the whole list is asked for at
-// once, and told within 6 s all the same.
+// TestVersionsAnew checks a discovery that takes 1.5 s to answer that a version is malformed, after the hedge delay of that request: the
+// complete list is requested at once, and the node is notified within 6 s.
 func TestVersionsAnew(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		synctesting.Test(t, func(t *testing.T) {
@@ -242,8 +242,8 @@
 	}
 }
 
-// Nodes that start at one moment while discovery is down for 8 s, or is slow, or both: nine in ten have the list within 10 s.
-// Where they ask, they share a service that takes three calls a second for each node, and goes on with those that were given up.
+// TestReadyInTime starts nodes together while discovery is down for 8 s and slow: nine in ten have the list within 10 s. Where nodes
+// poll, they share a service that serves three requests a second for each node, and still serves those that were canceled.
 func TestReadyInTime(t *testing.T) {
 	for _, down := range []string{"is up", "refuses", "is cut off", "is silent"} {
 		for _, pushed := range []bool{true, false} {
@@ -263,8 +263,8 @@
 	}
 }
 
-// A service that all share takes one call a second for each node, too few for all that ask anew at once: it is not kept slow by
-// the calls that were given up.
+// TestReadyFromSlowService checks a shared service that serves one request a second for each node, too few for the retries of all: it is
+// not kept slow by the requests that were canceled.
 func TestReadyFromSlowService(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
 		const nodes = 100
@@ -276,9 +276,9 @@
 	})
 }
 
-// 32 nodes that start at one moment ask a service which takes 8 s for a call from each, and turns away what would wait for over 2 s.
-// Each has a watch soon after those 8 s, and hears of a change 6 s after discovery has it; no node is turned away for good.
-// The figures are those of the bench's day on which the rule on drains broke (docs/incidents/one-quay.md).
+// TestServiceThatTurnsAway starts 32 nodes together on a shared service that takes 8 s to serve one request of each, and rejects what
+// would be queued for over 2 s. Each node has a watch soon after those 8 s, and is notified of a change within 6 s; none is rejected for
+// good. The figures are those of docs/incidents/one-quay.md.
 func TestServiceThatTurnsAway(t *testing.T) {
 	for _, grace := range []time.Duration{150 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
 		synctesting.Test(t, func(t *testing.T) {
@@ -329,25 +329,25 @@
 	}
 }
 
-// readyAfter is when nine in ten nodes have the list, and how many calls each made in 12 s. Each takes so long of a service that all
-// share; 0 if none is.
-func readyAfter(nodes int, down string, p Timing, each, length time.Duration) (span time.Duration, calls float64) {
+// readyAfter is when nine in ten nodes have the list, and how many requests each sent. serviceTime is what a request takes of a shared
+// service, or 0.
+func readyAfter(nodes int, down string, timing Timing, serviceTime, length time.Duration) (span time.Duration, calls float64) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var spans []time.Duration
-	shared := &queue{serviceTime: each}
+	shared := &queue{serviceTime: serviceTime}
 	ctx, cancel := context.WithCancel(context.Background())
 	for i := range nodes {
 		all.Go(func() {
-			d, h := newFakeDiscovery(defaults.SlowResponse), &notifications{firstSeen: map[int]time.Time{}}
+			d, seen := newFakeDiscovery(defaults.SlowResponse), &notifications{firstSeen: map[int]time.Time{}}
 			d.queue = shared
 			d.lost, d.silent = down == "is cut off", down == "is silent"
 			if down != "refuses" {
 				d.up()
 			}
-			p := p
-			p.Seed = uint64(i)
-			w := New(Names{}, p, d.dial(), h.notify)
+			timing := timing
+			timing.Seed = uint64(i)
+			w := New(Names{}, timing, d.dial(), seen.notify)
 			began := time.Now()
 			go w.Run(ctx, fakeAddr)
 			time.Sleep(8 * time.Second)
@@ -357,12 +357,12 @@
 			}
 			time.Sleep(length - 8*time.Second)
 			d.close()
-			h.mu.Lock()
-			defer h.mu.Unlock()
+			seen.mu.Lock()
+			defer seen.mu.Unlock()
 			mu.Lock()
 			defer mu.Unlock()
-			took := h.firstSeen[1].Sub(began)
-			if h.firstSeen[1].IsZero() {
+			took := seen.firstSeen[1].Sub(began)
+			if seen.firstSeen[1].IsZero() {
 				took = time.Hour
 			}
 			spans = append(spans, took)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/watcher_test.go
@@ -21,7 +21,8 @@
 	return `{"host":"` + name + `","dial":"127.0.0.1:80","site":"tartu","class":"small","block":3,` + fields + `}`
 }
 
-// Discovery, whole, changing, cut, silent and senseless: what is asked, and what the node is told.
+// TestWatch pins the requests to a discovery that sends complete lists, changes, and malformed answers, closes connections and falls
+// silent, and the events that the node is notified of.
 func TestWatch(t *testing.T) {
 	ready, draining := `"health":"ready","share":1.5,"born_ms":0`, `"health":"draining","share":1,"born_ms":5500`
 	answers := []string{
@@ -46,9 +47,9 @@
 	golden.Compare(t, "watch.txt", playAnswers(t, NewTiming(time.Second, true), CachedList{}, answers))
 }
 
-// Where nodes ask, the first watch goes on from the version of the copy, and what it brings makes the whole list of it. Versions
-// that went back, or an answer that makes no sense, have the whole list asked for; a refusal doesn't. Where lists are pushed, or
-// the copy doesn't say that it is whole, the whole list is asked for.
+// TestWatchFromTheCopy checks that the first watch on a shared service resumes from the version of the cached list, and completes that
+// list by the changes. Versions that went back and malformed answers cause a request for the complete list; a rejection does not. Where
+// lists are pushed, or the cached list is not complete, the complete list is requested.
 func TestWatchFromTheCopy(t *testing.T) {
 	ready, draining := `"health":"ready","share":1.5,"born_ms":0`, `"health":"draining","share":1,"born_ms":5500`
 	entries := `"hosts":[` + host("a", ready) + `,` + host("b", ready) + `,` + host("c", ready) + `]}`
@@ -82,15 +83,15 @@
 
 var traceNames = Names{Zones: []string{"tallinn", "tartu"}, Kinds: []string{"large", "small"}, Start: time.UnixMilli(5000)}
 
-// playAnswers is what is asked of a discovery that gives these answers, and what the node is told.
-func playAnswers(t *testing.T, p Timing, from CachedList, answers []string) string {
+// playAnswers returns the requests to a discovery that gives these answers, and the events that the node is notified of.
+func playAnswers(t *testing.T, timing Timing, cached CachedList, answers []string) string {
 	var out strings.Builder
 	steps := make(chan string)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var at atomic.Int32
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		i := int(at.Add(1)) - 1
+	var requests atomic.Int32
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		i := int(requests.Add(1)) - 1
 		if i >= len(answers) {
 			cancel()
 			return
@@ -110,24 +111,15 @@
 			w.Write([]byte(answer))
 		}
 	}))
-	defer discovery.Close()
+	defer server.Close()
 
-	w := New(traceNames, p, nil, func(ev node.Event) {
-		told := ev.(node.EndpointsUpdated)
-		line := map[policy.EndpointUpdateKind]string{policy.CompleteUpdate: "whole", policy.IncrementalUpdate: "changes", policy.WatchFailed: "lost"}[told.Kind]
-		for _, e := range told.Endpoints {
-			line += fmt.Sprintf("; %s at %s zone %d kind %d cell %d state %d weight %v", e.Executor, e.Addr, e.Zone,
-				e.Kind, e.Cell, e.State, e.Weight)
-			if !e.StartedLongAgo {
-				line += " started " + e.StartedAt.String()
-			}
-		}
-		steps <- "  -> " + line
+	w := New(traceNames, timing, nil, func(ev node.Event) {
+		steps <- "  -> " + describe(ev.(node.EndpointsUpdated))
 	})
-	w.Cached = from
+	w.Cached = cached
 	w.timing.LongPoll, w.timing.HedgeDelay, w.timing.InitialHedgeDelay = 20*time.Millisecond, time.Second, time.Second
 	go func() {
-		w.Run(ctx, discovery.Listener.Addr().String())
+		w.Run(ctx, server.Listener.Addr().String())
 		close(steps)
 	}()
 	for step := range steps {
@@ -137,11 +129,25 @@
 	return out.String()
 }
 
-// A move to another address: until it brings the whole list the old one counts, and nothing of the old one after
-// that; the address that is followed already goes on.
+// describe prints an event as the golden files have it.
+func describe(updated node.EndpointsUpdated) string {
+	kinds := map[policy.EndpointUpdateKind]string{policy.CompleteUpdate: "whole", policy.IncrementalUpdate: "changes", policy.WatchFailed: "lost"}
+	line := kinds[updated.Kind]
+	for _, e := range updated.Endpoints {
+		line += fmt.Sprintf("; %s at %s zone %d kind %d cell %d state %d weight %v", e.Executor, e.Addr, e.Zone,
+			e.Kind, e.Cell, e.State, e.Weight)
+		if !e.StartedLongAgo {
+			line += " started " + e.StartedAt.String()
+		}
+	}
+	return line
+}
+
+// TestFollow switches to another address: the old one is active until the new one brings the complete list, and not longer. Switching to
+// the address that is watched already changes nothing.
 func TestFollow(t *testing.T) {
 	steps := make(chan string, 100)
-	stand := func(name string, answers chan string) string {
+	serve := func(name string, answers chan string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-r.Context().Done():
@@ -157,7 +163,7 @@
 		return s.Listener.Addr().String()
 	}
 	oldAnswers, newAnswers := make(chan string), make(chan string)
-	from, to := stand("old", oldAnswers), stand("new", newAnswers)
+	from, to := serve("old", oldAnswers), serve("new", newAnswers)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w := New(Names{}, NewTiming(time.Second, true), nil, func(ev node.Event) {
@@ -168,7 +174,8 @@
 			steps <- "  -> " + strings.ReplaceAll(ev.Detail, to, "new") + " of " + strings.ReplaceAll(ev.Addr, to, "new")
 		}
 	})
-	w.timing.HedgeDelay, w.timing.InitialHedgeDelay = 20*time.Second, 20*time.Second // nothing here goes by time: a busy machine's answer may be late
+	// Nothing here depends on time: an answer may take long on a busy machine.
+	w.timing.HedgeDelay, w.timing.InitialHedgeDelay = 20*time.Second, 20*time.Second
 	go w.Run(ctx, from)
 	var out strings.Builder
 	expect := func(n int) {
@@ -202,7 +209,7 @@
 	golden.Compare(t, "follow.txt", out.String())
 }
 
-// The copy that a node is handed at its start has discovery's form; none is no fault.
+// TestKnown checks the cached list that a node is given at its start: it has discovery's wire form, and may be missing.
 func TestKnown(t *testing.T) {
 	for text, want := range map[string]string{
 		"":     "0 <nil>",
@@ -217,20 +224,20 @@
 	}
 }
 
-// A watch that falls silent is given up, and until discovery answers calls are short: one that hangs in the silence does not keep
-// its news from the node when it is back.
+// TestSilence checks that a watch which falls silent is given up, and that requests are short until discovery answers: one that hangs
+// does not delay what discovery has when it is back.
 func TestSilence(t *testing.T) {
 	var mu sync.Mutex
-	var asked, told strings.Builder
-	at, over := 0, make(chan struct{})
+	var requests, notified strings.Builder
+	count, answered := 0, make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		at++
-		i := at
+		count++
+		i := count
 		if i <= 5 {
-			fmt.Fprintln(&asked, "asked:", r.URL)
+			fmt.Fprintln(&requests, "asked:", r.URL)
 		}
 		mu.Unlock()
 		switch i {
@@ -241,39 +248,40 @@
 		case 4:
 			w.Write([]byte(`{"seq":2,"whole":false,"hosts":[` + host("a", `"health":"draining"`) + `]}`))
 		case 5:
-			close(over)
+			close(answered)
 			<-r.Context().Done()
 		}
 	}))
-	defer discovery.Close()
+	defer server.Close()
 	defer cancel()
 	w := New(Names{}, NewTiming(400*time.Millisecond, true), nil, func(ev node.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		if news := ev.(node.EndpointsUpdated); news.Kind == policy.WatchFailed {
-			fmt.Fprintln(&told, "told: lost")
+			fmt.Fprintln(&notified, "told: lost")
 		} else {
-			fmt.Fprintf(&told, "told: list %d: %s %d\n", news.Kind, news.Endpoints[0].Executor, news.Endpoints[0].State)
+			fmt.Fprintf(&notified, "told: list %d: %s %d\n", news.Kind, news.Endpoints[0].Executor, news.Endpoints[0].State)
 		}
 	})
-	w.timing.LongPoll, w.timing.HedgeDelay = 50*time.Millisecond, 2*time.Second // so long that no call is given up before it is heard, however busy the machine
-	go w.Run(ctx, discovery.Listener.Addr().String())
-	<-over
+	// So long that no request is given up before it arrives, however busy the machine is.
+	w.timing.LongPoll, w.timing.HedgeDelay = 50*time.Millisecond, 2*time.Second
+	go w.Run(ctx, server.Listener.Addr().String())
+	<-answered
 	mu.Lock()
 	defer mu.Unlock()
-	golden.Compare(t, "silence.txt", asked.String()+told.String())
+	golden.Compare(t, "silence.txt", requests.String()+notified.String())
 }
 
-// What a hang, the backoff after it and the next call take together, for drain grace after drain grace.
+// TestPatience pins how long an unanswered request, the backoff after it and the next request take together, by drain grace.
 func TestPatience(t *testing.T) {
 	var out strings.Builder
 	for _, grace := range []time.Duration{50, 150, 400, 1000, 1500, 2000, 10000} {
 		grace *= time.Millisecond
 		for _, pushed := range []bool{true, false} {
-			p := NewTiming(grace, pushed)
-			fmt.Fprintf(&out, "grace %v pushed %v: answer %v, backoffs up to %v, together %v\n", grace, pushed, p.HedgeDelay, p.MaxBackoff,
-				2*(defaults.ProbeLongPoll+p.HedgeDelay)+p.MaxBackoff)
-			if whole := 2*(defaults.ProbeLongPoll+p.HedgeDelay) + p.MaxBackoff; pushed && grace >= 400*time.Millisecond && whole > grace {
+			timing := NewTiming(grace, pushed)
+			fmt.Fprintf(&out, "grace %v pushed %v: answer %v, backoffs up to %v, together %v\n", grace, pushed, timing.HedgeDelay, timing.MaxBackoff,
+				2*(defaults.ProbeLongPoll+timing.HedgeDelay)+timing.MaxBackoff)
+			if whole := 2*(defaults.ProbeLongPoll+timing.HedgeDelay) + timing.MaxBackoff; pushed && grace >= 400*time.Millisecond && whole > grace {
 				t.Errorf("%v is over the grace %v", whole, grace)
 			}
 		}
