--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,7 +19,7 @@
 
 var day = time.UnixMilli(1_700_000_000_000).UTC()
 
-// append appends a record and waits for it.
+// appendTo appends a record and waits until it is on disk.
 func appendTo(s *store.Store, r store.Record) error {
 	done := make(chan error, 1)
 	s.Append(r, func(err error) { done <- err })
@@ -30,7 +30,7 @@
 	return store.Record{Kind: store.Accepted, ID: id, At: day, Track: "verify", Limit: day.Add(time.Hour), Body: make([]byte, body)}
 }
 
-// describeState is what a batch job's records say, as text.
+// describeState prints the state of a batch job.
 func describeState(st store.State) string {
 	s := fmt.Sprintf("%s %d bytes", st.Accepted.ID, len(st.Accepted.Body))
 	for _, a := range st.Sends {
@@ -45,96 +45,126 @@
 	return s
 }
 
-// playCrashes plays appends, crashes and starts on a disk that loses and tears, and says what is wrong: an acknowledged record that is
-// not there, or one that is there and was never written.
+// acknowledged is what was acknowledged of a job.
+type acknowledged struct{ accepted, sent, over, final, gone bool }
+
+// crashTest appends to a store on a disk that loses and tears, through crashes, and checks what it recovers.
+type crashTest struct {
+	rand *rand.Rand
+	disk *emulator.Disk
+	jobs int // appended so far
+
+	mu    sync.Mutex
+	acked map[string]*acknowledged
+	tried map[string]bool // IDs of jobs that were appended, and "gone ID" where that was
+	wait  sync.WaitGroup  // appends that wait for their result
+}
+
+// playCrashes appends, crashes and reopens several times. It fails if an acknowledged record is missing, or one is there that was never
+// appended.
 func playCrashes(seed uint64, lies bool) error {
 	r := rand.New(rand.NewPCG(seed, 1))
-	disk := emulator.NewDisk(r)
-	disk.Lies = lies
-	type sure struct{ accepted, sent, over, final, gone bool }
-	acked, tried := map[string]*sure{}, map[string]bool{}
-	count := 0
+	c := &crashTest{rand: r, disk: emulator.NewDisk(r), acked: map[string]*acknowledged{}, tried: map[string]bool{}}
+	c.disk.Lies = lies
 	for range 6 {
-		s, err := store.Open(disk, store.Options{Segment: 1500, Most: 1 << 20})
-		if err != nil {
-			return fmt.Errorf("open: %w", err)
+		if err := c.playLife(); err != nil {
+			return err
 		}
-		for id, a := range acked {
-			st, ok := s.Get(id)
-			switch {
-			case a.gone && !ok:
-			case a.gone:
-				return fmt.Errorf("%s was let go and is back", id)
-			case !ok && tried["gone "+id]:
-			case !ok:
-				return fmt.Errorf("%s was acknowledged and is lost", id)
-			case a.sent && len(st.Sends) == 0 || a.over && !st.Sends[0].Over || a.final && st.Final == nil:
-				return fmt.Errorf("%s came back as %q, without what was acknowledged: %+v", id, describeState(st), *a)
-			}
+	}
+	return nil
+}
+
+// playLife opens the store, checks it, appends records of new jobs, and closes it or crashes.
+func (c *crashTest) playLife() error {
+	s, err := store.Open(c.disk, store.Options{Segment: 1500, Most: 1 << 20})
+	if err != nil {
+		return fmt.Errorf("open: %w", err)
+	}
+	if err := c.check(s); err != nil {
+		return err
+	}
+	for range 5 + c.rand.IntN(30) {
+		c.appendJob(s)
+		if c.rand.IntN(4) == 0 {
+			c.wait.Wait()
 		}
-		var wrong error
-		s.All(func(st store.State) {
-			if !tried[st.Accepted.ID] {
-				wrong = fmt.Errorf("%s was never written", describeState(st))
-			}
-		})
-		if wrong != nil {
-			return wrong
+	}
+	if c.rand.IntN(4) == 0 { // a planned end
+		if err := s.Close(); err != nil {
+			return err
 		}
-		var mu sync.Mutex
-		var wait sync.WaitGroup
-		do := func(rec store.Record, note func()) {
-			wait.Add(1)
-			s.Append(rec, func(err error) {
-				defer wait.Done()
-				if err == nil {
-					mu.Lock()
-					note()
-					mu.Unlock()
-				}
-			})
+		c.disk.Crash()
+		return nil
+	}
+	c.disk.Crash() // with some of it on its way
+	c.wait.Wait()
+	s.Close() //nolint:errcheck // the process that has it open has crashed, and may not close anything
+	return nil
+}
+
+// check compares what was recovered with what was acknowledged and appended.
+func (c *crashTest) check(s *store.Store) error {
+	for id, a := range c.acked {
+		st, ok := s.Get(id)
+		switch {
+		case a.gone && !ok:
+		case a.gone:
+			return fmt.Errorf("%s was let go and is back", id)
+		case !ok && c.tried["gone "+id]:
+		case !ok:
+			return fmt.Errorf("%s was acknowledged and is lost", id)
+		case a.sent && len(st.Sends) == 0 || a.over && !st.Sends[0].Over || a.final && st.Final == nil:
+			return fmt.Errorf("%s came back as %q, without what was acknowledged: %+v", id, describeState(st), *a)
 		}
-		for range 5 + r.IntN(30) {
-			count++
-			id := fmt.Sprint("j", count)
-			a := &sure{}
-			tried[id] = true
-			do(accepted(id, r.IntN(200)), func() { a.accepted = true; acked[id] = a })
-			if r.IntN(2) == 0 {
-				do(store.Record{Kind: store.Sent, ID: id, At: day, Epoch: 1, Executor: "e"}, func() { a.sent = true })
-				if r.IntN(2) == 0 {
-					do(store.Record{Kind: store.Over, ID: id, At: day, Epoch: 1, NeverRan: true}, func() { a.over = true })
-				}
-			}
-			if r.IntN(3) == 0 {
-				do(store.Record{Kind: store.Final, ID: id, At: day, Body: []byte("r")}, func() { a.final = true })
-				if r.IntN(2) == 0 {
-					mu.Lock()
-					tried["gone "+id] = true
-					mu.Unlock()
-					do(store.Record{Kind: store.LetGo, ID: id, At: day}, func() { a.gone = true })
-				}
-			}
-			if r.IntN(4) == 0 {
-				wait.Wait()
-			}
+	}
+	var wrong error
+	s.All(func(st store.State) {
+		if !c.tried[st.Accepted.ID] {
+			wrong = fmt.Errorf("%s was never written", describeState(st))
 		}
-		if r.IntN(4) == 0 { // a planned end
-			if err := s.Close(); err != nil {
-				return err
-			}
-			disk.Crash()
-			continue
+	})
+	return wrong
+}
+
+// appendJob appends some records of a new job.
+func (c *crashTest) appendJob(s *store.Store) {
+	c.jobs++
+	id := fmt.Sprint("j", c.jobs)
+	a := &acknowledged{}
+	c.tried[id] = true
+	c.append(s, accepted(id, c.rand.IntN(200)), func() { a.accepted = true; c.acked[id] = a })
+	if c.rand.IntN(2) == 0 {
+		c.append(s, store.Record{Kind: store.Sent, ID: id, At: day, Epoch: 1, Executor: "e"}, func() { a.sent = true })
+		if c.rand.IntN(2) == 0 {
+			c.append(s, store.Record{Kind: store.Over, ID: id, At: day, Epoch: 1, NeverRan: true}, func() { a.over = true })
 		}
-		disk.Crash() // with some of it on its way
-		wait.Wait()
-		s.Close() //nolint:errcheck // the process that has it open has crashed, and may not close anything
 	}
-	return nil
+	if c.rand.IntN(3) == 0 {
+		c.append(s, store.Record{Kind: store.Final, ID: id, At: day, Body: []byte("r")}, func() { a.final = true })
+		if c.rand.IntN(2) == 0 {
+			c.mu.Lock()
+			c.tried["gone "+id] = true
+			c.mu.Unlock()
+			c.append(s, store.Record{Kind: store.LetGo, ID: id, At: day}, func() { a.gone = true })
+		}
+	}
+}
+
+// append appends a record, and calls note once it is acknowledged.
+func (c *crashTest) append(s *store.Store, r store.Record, note func()) {
+	c.wait.Add(1)
+	s.Append(r, func(err error) {
+		defer c.wait.Done()
+		if err == nil {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			note()
+		}
+	})
 }
 
-// Nothing that was acknowledged is ever lost, and nothing comes back that was never written: on a disk that loses and tears what was not synced,
-// through crashes, cleaning and starts. One that lies about its syncs is caught, so the test can fail.
+// TestCrashes checks that nothing acknowledged is ever lost, and nothing is recovered that was never written, on a disk that loses and
+// tears what was not synced, through crashes, compactions and recoveries. A disk that lies about its syncs is caught, so the test can fail.
 func TestCrashes(t *testing.T) {
 	for seed := range uint64(400) {
 		if err := playCrashes(seed, false); err != nil {
@@ -152,7 +182,7 @@
 	}
 }
 
-// A failed sync is final: nothing is acknowledged after it, and what was before it is there at the next start.
+// TestFailedSync checks that a failed sync is final: nothing is acknowledged after it, and all before it is recovered.
 func TestFailedSync(t *testing.T) {
 	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	s, err := store.Open(disk, store.Options{Segment: 1 << 20})
@@ -183,8 +213,8 @@
 	}
 }
 
-// A disk without room: what does not fit is not acknowledged, and all before it stands. A store that has reached its bound pushes back what is new,
-// and takes the rest of what it has.
+// TestRoom checks a full disk: what does not fit is not acknowledged, and all before it is recovered. A store that has reached its bound
+// rejects new jobs, and still accepts records of those that it has.
 func TestRoom(t *testing.T) {
 	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	s, _ := store.Open(disk, store.Options{Segment: 1 << 20, Most: 2000})
@@ -217,7 +247,7 @@
 	}
 }
 
-// Damage that is no torn end is told by file and place, and nothing is opened over it.
+// TestDamage checks that damage other than a torn tail is reported with its place, and that the store is not opened.
 func TestDamage(t *testing.T) {
 	dir := t.TempDir()
 	fill := func(segments int) {
@@ -288,7 +318,7 @@
 	}
 }
 
-// FuzzSegment: no bytes make the scan panic, and none bring back a record that was never written.
+// FuzzSegment checks that no bytes make the scan panic, and none bring back a record that was never written.
 func FuzzSegment(f *testing.F) {
 	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	s, err := store.Open(disk, store.Options{Segment: 1 << 20})
@@ -336,8 +366,8 @@
 	})
 }
 
-// BenchmarkAppend measures this store and an embedded one, which was weighed against it, by batch jobs that are handed in by many at once and
-// acknowledged once they stand on the disk.
+// BenchmarkAppend compares this store with an embedded database, by the jobs that many clients append at once, each acknowledged once it
+// is on disk.
 func BenchmarkAppend(b *testing.B) {
 	for _, clients := range []int{1, 64, 512} {
 		each := func(b *testing.B, put func(id string) error) {
