--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -3,7 +3,7 @@
 //
 // # Format
 //
-// A directory holds segments, numbered from 1 without gaps, and a lock file. A segment is a header and a sequence of frames:
+// A directory holds consecutively numbered segments, and a lock file. A segment is a header and a sequence of frames:
 //
 //	segment = magic "brst", format version (4 bytes), segment number (8 bytes), frame ...
 //	frame   = magic (4 bytes), length of the records (4 bytes), checksum (4 bytes), record ...
