--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -137,8 +137,8 @@
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
 		return upstream.TCP(c.Settings.DialTimeout)(ctx, 0, addr)
 	}
-	return durable.New(durable.Options{MaxDeadline: time.Duration(own.MaxDeadline), Leases: leases.Settings{Room: own.MaxConcurrent,
-		Keep: time.Duration(own.Retention), Leases: own.ExecutorLeases, AskEvery: time.Duration(own.PollInterval)}}, s, c.Settings.Tracks, c.Settings.Policy.JobClasses, dial, log), nil
+	return durable.New(durable.Options{MaxDeadline: time.Duration(own.MaxDeadline), Leases: leases.Settings{MaxDispatched: own.MaxConcurrent,
+		AnswerTTL: time.Duration(own.Retention), QueryExecutors: own.ExecutorLeases, QueryInterval: time.Duration(own.PollInterval)}}, s, c.Settings.Tracks, c.Settings.Policy.JobClasses, dial, log), nil
 }
 
 // fleetOf is what the node is told of its fleet; nil without the table.
--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -8,8 +8,8 @@
 	"birchstair/policy"
 )
 
-// Smoothing is the time constant of the exponential averages that rates are.
-const Smoothing = 1500 * time.Millisecond
+// AveragingTimeConstant is the time constant of the exponential averages that rates are.
+const AveragingTimeConstant = 1500 * time.Millisecond
 
 const (
 	// maxRate is more work a second than any node could be offered.
@@ -109,6 +109,6 @@
 // weightOfOld is the weight that an exponential average over so long a time keeps when the figure of the elapsed time is added.
 // Right after the start it is less than the plain decay: an average that started at zero would be too low.
 func weightOfOld(averagedOver, elapsed time.Duration) float64 {
-	decay := func(d time.Duration) float64 { return math.Exp(-float64(d) / float64(Smoothing)) }
+	decay := func(d time.Duration) float64 { return math.Exp(-float64(d) / float64(AveragingTimeConstant)) }
 	return decay(elapsed) * (1 - decay(averagedOver)) / (1 - decay(averagedOver+elapsed))
 }
--- a/internal/durable/codec.go
+++ b/internal/durable/codec.go
@@ -25,12 +25,12 @@
 
 // stateNames are the states' names on the wire.
 var stateNames = map[leases.State]string{
-	leases.Keeping: "keeping",
-	leases.Waiting: "waiting",
-	leases.InHand:  "in hand",
-	leases.Asking:  "asking",
-	leases.Closing: "closing",
-	leases.Done:    "done",
+	leases.Storing:      "keeping",
+	leases.Waiting:      "waiting",
+	leases.Dispatched:   "in hand",
+	leases.Querying:     "asking",
+	leases.StoringFinal: "closing",
+	leases.Done:         "done",
 }
 
 // finalNames are the final answers' names on the wire.
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -286,7 +286,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				d := durable.New(durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{Room: 256, Keep: time.Hour}}, s, classNames, classes, nil, zerolog.Nop())
+				d := durable.New(durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{MaxDispatched: 256, AnswerTTL: time.Hour}}, s, classNames, classes, nil, zerolog.Nop())
 				d.Start(func(node.Event) {}, nil, nil)
 				if err := d.Close(); err != nil {
 					b.Fatal(err)
--- a/internal/durable/edges.go
+++ b/internal/durable/edges.go
@@ -48,7 +48,7 @@
 	if m.latestConn[ended.id] == conn {
 		delete(m.latestConn, ended.id)
 	}
-	effects := m.book.Over(now(), ended.id, ended.epoch, neverRan || m.faults.allEndsAsNeverRan)
+	effects := m.book.AttemptEnded(now(), ended.id, ended.epoch, neverRan || m.faults.allEndsAsNeverRan)
 	m.mu.Unlock()
 	m.apply(effects)
 }
@@ -137,7 +137,7 @@
 		return
 	}
 	m.mu.Lock()
-	epoch, effects := m.book.Send(now(), leases.ID(id), m.executorByAddr[m.connAddrs[conn]])
+	epoch, effects := m.book.AttemptStarted(now(), leases.ID(id), m.executorByAddr[m.connAddrs[conn]])
 	if epoch > 0 {
 		request.Request = m.withEpoch(request.Request, epoch)
 		m.attempts[conn] = &attempt{id: leases.ID(id), epoch: epoch, request: request}
--- a/internal/durable/effects.go
+++ b/internal/durable/effects.go
@@ -23,25 +23,25 @@
 func (m *Manager) apply(effects []leases.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
-		case leases.KeepJob:
+		case leases.StoreJob:
 			m.writeAccepted(effect.ID)
-		case leases.KeepSend:
+		case leases.StoreAttempt:
 			m.writeSend(effect)
-		case leases.KeepOver:
+		case leases.StoreNeverRan:
 			m.write(store.Record{Kind: store.Over, ID: string(effect.ID), At: time.Now(), Epoch: uint32(effect.Epoch), NeverRan: true}, nil)
-		case leases.KeepFinal:
+		case leases.StoreFinal:
 			m.writeFinal(effect)
-		case leases.KeepLetGo:
+		case leases.StoreForget:
 			m.write(store.Record{Kind: store.LetGo, ID: string(effect.ID), At: time.Now()}, nil)
 		case leases.Acknowledge:
 			m.mu.Lock()
 			m.acknowledge(effect.ID, nil)
 			m.mu.Unlock()
-		case leases.Arrive:
+		case leases.Submit:
 			m.dispatch(effect)
-		case leases.LetOut:
+		case leases.SendAttempt:
 			m.sendAttempt(effect)
-		case leases.Ask:
+		case leases.QueryAttempt:
 			go m.pollLease(effect)
 		case leases.Publish:
 			m.publish(effect.ID)
@@ -83,27 +83,27 @@
 			delete(m.unwritten, id)
 			if err != nil {
 				m.acknowledge(id, err)
-				return m.book.NotKept(now, id)
+				return m.book.JobNotStored(now, id)
 			}
-			return m.book.Kept(now, id)
+			return m.book.JobStored(now, id)
 		})
 	})
 }
 
-func (m *Manager) writeSend(effect leases.KeepSend) {
+func (m *Manager) writeSend(effect leases.StoreAttempt) {
 	record := store.Record{
 		Kind:     store.Sent,
 		ID:       string(effect.ID),
 		At:       time.Now(),
-		Epoch:    uint32(effect.Send.Epoch),
-		Executor: string(effect.Send.Executor),
+		Epoch:    uint32(effect.Attempt.Epoch),
+		Executor: string(effect.Attempt.Executor),
 	}
 	m.write(record, func(now time.Duration) []leases.Effect {
-		return m.book.SendKept(now, effect.ID, effect.Send.Epoch)
+		return m.book.AttemptStored(now, effect.ID, effect.Attempt.Epoch)
 	})
 }
 
-func (m *Manager) writeFinal(effect leases.KeepFinal) {
+func (m *Manager) writeFinal(effect leases.StoreFinal) {
 	record := store.Record{
 		Kind:   store.Final,
 		ID:     string(effect.ID),
@@ -111,7 +111,7 @@
 		Answer: uint8(effect.Final),
 		Body:   effect.Result,
 	}
-	m.write(record, func(now time.Duration) []leases.Effect { return m.book.FinalKept(now, effect.ID) })
+	m.write(record, func(now time.Duration) []leases.Effect { return m.book.FinalStored(now, effect.ID) })
 }
 
 // acknowledge answers the client that waits for its submission's record, if one does. Called with the lock held.
@@ -123,7 +123,7 @@
 }
 
 // dispatch hands a job to the reducer, from a goroutine of its own: the reducer's own goroutine, which may be the caller, would wait for itself.
-func (m *Manager) dispatch(effect leases.Arrive) {
+func (m *Manager) dispatch(effect leases.Submit) {
 	stored, ok := m.store.Get(string(effect.ID))
 	if !ok {
 		return
@@ -150,7 +150,7 @@
 }
 
 // sendAttempt writes an attempt whose record is synced to its executor, if it is still the latest on its connection.
-func (m *Manager) sendAttempt(effect leases.LetOut) {
+func (m *Manager) sendAttempt(effect leases.SendAttempt) {
 	m.mu.Lock()
 	conn := m.latestConn[effect.ID]
 	sending := m.attempts[conn]
--- a/internal/durable/lease_poll.go
+++ b/internal/durable/lease_poll.go
@@ -29,11 +29,11 @@
 }
 
 // pollLease asks an executor what became of an attempt of an earlier incarnation, and hands the answer to the book.
-func (m *Manager) pollLease(effect leases.Ask) {
+func (m *Manager) pollLease(effect leases.QueryAttempt) {
 	m.mu.Lock()
 	addr := m.addrByExecutor[effect.Executor]
 	m.mu.Unlock()
-	found, result := leases.FoundNothing, []byte(nil)
+	found, result := leases.QueryUnanswered, []byte(nil)
 	if addr != "" {
 		found, result = m.requestLease(addr, jobIDPrefix+string(effect.ID), effect.Epoch)
 	}
@@ -41,35 +41,35 @@
 		return
 	}
 	m.step(func(now time.Duration) []leases.Effect {
-		return m.book.Told(now, effect.ID, effect.Epoch, found, result)
+		return m.book.AttemptQueried(now, effect.ID, effect.Epoch, found, result)
 	})
 }
 
 // requestLease makes the request. An executor that can't be reached or answers in no known form has said nothing; one that has no such
 // path doesn't support leases.
-func (m *Manager) requestLease(addr, job string, epoch leases.Epoch) (leases.Found, []byte) {
+func (m *Manager) requestLease(addr, job string, epoch leases.Epoch) (leases.QueryResult, []byte) {
 	ctx, cancel := context.WithTimeout(m.ctx, pollTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, leaseURL(addr, job, epoch), nil)
 	if err != nil {
-		return leases.FoundNothing, nil
+		return leases.QueryUnanswered, nil
 	}
 	response, err := m.pollClient.Do(request)
 	if err != nil {
-		return leases.FoundNothing, nil
+		return leases.QueryUnanswered, nil
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxLeaseBytes))
 	if err != nil {
-		return leases.FoundNothing, nil
+		return leases.QueryUnanswered, nil
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
 		return decodeLease(body)
 	case http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusNotImplemented:
-		return leases.FoundMute, nil
+		return leases.QueryUnsupported, nil
 	}
-	return leases.FoundNothing, nil
+	return leases.QueryUnanswered, nil
 }
 
 // leasePath is the path at which executors that support leases are polled: GET /-/leases/JOB?epoch=N. An executor that is asked
@@ -90,17 +90,17 @@
 }
 
 // leaseStates are the states by their names on the wire; one that is not known counts as none.
-var leaseStates = map[string]leases.Found{
-	"never":    leases.FoundNever,
-	"running":  leases.FoundRunning,
-	"finished": leases.FoundFinished,
-	"lost":     leases.FoundLost,
+var leaseStates = map[string]leases.QueryResult{
+	"never":    leases.QueryNeverRan,
+	"running":  leases.QueryRunning,
+	"finished": leases.QueryFinished,
+	"lost":     leases.QueryLost,
 }
 
-func decodeLease(body []byte) (leases.Found, []byte) {
+func decodeLease(body []byte) (leases.QueryResult, []byte) {
 	var response leaseResponse
 	if err := json.NewDecoder(bytes.NewReader(body)).Decode(&response); err != nil {
-		return leases.FoundNothing, nil
+		return leases.QueryUnanswered, nil
 	}
 	return leaseStates[response.State], response.Result
 }
--- a/internal/durable/manager.go
+++ b/internal/durable/manager.go
@@ -122,7 +122,7 @@
 	m.mu.Unlock()
 	err := m.store.Close()
 	m.log.Info().
-		Int("waiting", counts[leases.Waiting]+counts[leases.InHand]).
+		Int("waiting", counts[leases.Waiting]+counts[leases.Dispatched]).
 		Int("done", counts[leases.Done]).
 		Err(err).
 		Msg("the store is closed")
--- a/internal/durable/recover.go
+++ b/internal/durable/recover.go
@@ -30,9 +30,9 @@
 	m.mu.Unlock()
 	figures := m.store.Figures()
 	m.log.Info().
-		Int("waiting", counts[leases.Waiting]+counts[leases.InHand]).
-		Int("asking", counts[leases.Asking]).
-		Int("closing", counts[leases.Closing]).
+		Int("waiting", counts[leases.Waiting]+counts[leases.Dispatched]).
+		Int("asking", counts[leases.Querying]).
+		Int("closing", counts[leases.StoringFinal]).
 		Int("done", counts[leases.Done]).
 		Int("unknown_tracks", unknownClasses).
 		Int64("bytes", figures.Bytes).
@@ -66,9 +66,9 @@
 		class.lease.Idempotency = policy.AtMostOnce
 		deadline = min(deadline, at)
 	}
-	var sends []leases.Send
+	var sends []leases.Attempt
 	for _, send := range job.Sends {
-		sends = append(sends, leases.Send{
+		sends = append(sends, leases.Attempt{
 			Epoch:    leases.Epoch(send.Epoch),
 			Executor: policy.ExecutorID(send.Executor),
 			At:       sinceEpoch(send.At),
@@ -82,6 +82,6 @@
 		answer := leases.Final(job.Final.Answer)
 		final, result, finalAt = &answer, job.Final.Body, sinceEpoch(job.Final.At)
 	}
-	recovered := leases.Job{ID: leases.ID(job.Accepted.ID), Track: class.lease, Limit: deadline}
+	recovered := leases.Job{ID: leases.ID(job.Accepted.ID), Class: class.lease, Deadline: deadline}
 	return m.book.Recover(at, lastWrite, recovered, sends, final, result, finalAt)
 }
--- a/internal/durable/submit.go
+++ b/internal/durable/submit.go
@@ -47,8 +47,8 @@
 	m.unwritten[id] = record
 	written := make(chan error, 1)
 	m.ackWaiters[id] = written
-	accepted := leases.Job{ID: id, Track: m.classes[record.Track].lease, Limit: sinceEpoch(record.Limit)}
-	effects, _ := m.book.HandIn(sinceEpoch(record.At), accepted) // it is new: the book was asked above
+	accepted := leases.Job{ID: id, Class: m.classes[record.Track].lease, Deadline: sinceEpoch(record.Limit)}
+	effects, _ := m.book.Accept(sinceEpoch(record.At), accepted) // it is new: the book was asked above
 	m.mu.Unlock()
 	m.apply(effects)
 	select {
@@ -71,7 +71,7 @@
 	switch {
 	case previous == nil || !sameJob(previous, record):
 		return errConflict
-	case state == leases.Keeping:
+	case state == leases.Storing:
 		return errWriting
 	}
 	return nil
@@ -115,7 +115,7 @@
 func (m *Manager) remove(id leases.ID) error {
 	m.mu.Lock()
 	_, known := m.book.State(id)
-	effects, ok := m.book.LetGo(now(), id)
+	effects, ok := m.book.Forget(now(), id)
 	m.mu.Unlock()
 	m.apply(effects)
 	switch {
--- a/internal/durable/wire_test.go
+++ b/internal/durable/wire_test.go
@@ -127,7 +127,7 @@
 func TestWire(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
 		disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 3)))
-		options := durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: true, AskEvery: 300 * time.Millisecond}}
+		options := durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{MaxDispatched: 20, AnswerTTL: time.Hour, QueryExecutors: true, QueryInterval: 300 * time.Millisecond}}
 		w := newFixture(t, disk, 10<<20, options)
 		class, budget := "X-Call-Class: page", "X-Budget-Ms: 60000"
 		w.call("before it is ready", http.MethodPut, "/-/jobs/a", "body", class, budget)
@@ -239,7 +239,7 @@
 	for _, addr := range []string{"never:1", "finished:1", "lost:1", "mute:1", "nothing:1"} {
 		synctesting.Test(t, func(t *testing.T) {
 			disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 3)))
-			options := durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: true, AskEvery: 30 * time.Second}}
+			options := durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{MaxDispatched: 20, AnswerTTL: time.Hour, QueryExecutors: true, QueryInterval: 30 * time.Second}}
 			w := newFixture(t, disk, 10<<20, options)
 			endpoints := node.EndpointsUpdated{Endpoints: []node.Endpoint{{Endpoint: policy.Endpoint{Executor: "e0"}, Addr: addr}}}
 			w.durable.Observe(0, endpoints, nil)
--- a/internal/durable/world_test.go
+++ b/internal/durable/world_test.go
@@ -202,7 +202,7 @@
 		return nil
 	}
 	p := &nodeProcess{world: w, host: fmt.Sprint("n#", incarnation), events: make(chan node.Event), ended: make(chan struct{})}
-	options := durable.Options{MaxDeadline: maxDeadline, Leases: leases.Settings{Room: 20, Keep: time.Hour, Leases: w.leases, AskEvery: 300 * time.Millisecond}}
+	options := durable.Options{MaxDeadline: maxDeadline, Leases: leases.Settings{MaxDispatched: 20, AnswerTTL: time.Hour, QueryExecutors: w.leases, QueryInterval: 300 * time.Millisecond}}
 	manager := durable.New(options, jobs, classNames, classes, p.dialApart, zerolog.Nop())
 	manager.InjectFault(w.fault)
 	addr := fmt.Sprintf("127.2.0.1:%d", 8000+incarnation)
--- a/internal/leases/book.go
+++ b/internal/leases/book.go
@@ -9,20 +9,20 @@
 
 // Settings are the operator's settings for durable jobs.
 type Settings struct {
-	Room     int           // the most jobs that the policy has at a time
-	Keep     time.Duration // how long a final answer is kept
-	Leases   bool          // executors take part in leases and can be asked
-	AskEvery time.Duration // the interval between two questions about an attempt
+	MaxDispatched  int           // the most jobs that the policy has at a time
+	AnswerTTL      time.Duration // how long a final answer is kept
+	QueryExecutors bool          // executors take part in leases and can be asked
+	QueryInterval  time.Duration // the interval between two questions about an attempt
 }
 
 // Book is the state of all durable jobs of a node. Its methods return effects that are to be carried out in order; they are not
 // safe for concurrent use.
 type Book struct {
-	settings Settings
-	jobs     map[ID]*job
-	waiting  waitHeap // jobs in state Waiting
-	inHand   int      // jobs in state InHand
-	stopped  bool     // the node is shutting down
+	settings   Settings
+	jobs       map[ID]*job
+	waiting    waitHeap // jobs in state Waiting
+	dispatched int      // jobs in state InHand
+	stopped    bool     // the node is shutting down
 
 	timers   timerHeap
 	wakeAt   time.Duration // the time of the last Wake effect, or wakeNotSet
@@ -68,13 +68,13 @@
 	return effects
 }
 
-// HandIn takes in a new job. It returns false if there is a job of this ID already.
-func (b *Book) HandIn(now time.Duration, in Job) ([]Effect, bool) {
+// Accept takes in a new job. It returns false if there is a job of this ID already.
+func (b *Book) Accept(now time.Duration, in Job) ([]Effect, bool) {
 	if b.jobs[in.ID] != nil {
 		return nil, false
 	}
 	b.add(in)
-	b.emit(KeepJob{in.ID})
+	b.emit(StoreJob{in.ID})
 	return b.finish(now), true
 }
 
@@ -82,22 +82,22 @@
 	b.sequence++
 	j := &job{Job: in, sequence: b.sequence, heapIndex: -1}
 	b.jobs[in.ID] = j
-	b.schedule(in.Limit, j)
+	b.schedule(in.Deadline, j)
 	return j
 }
 
-// NotKept reports that a job's record could not be written. The job is forgotten; the caller tells the client.
-func (b *Book) NotKept(now time.Duration, id ID) []Effect {
-	if j := b.jobs[id]; j != nil && j.state == Keeping {
+// JobNotStored reports that a job's record could not be written. The job is forgotten; the caller tells the client.
+func (b *Book) JobNotStored(now time.Duration, id ID) []Effect {
+	if j := b.jobs[id]; j != nil && j.state == Storing {
 		delete(b.jobs, id)
 		j.cancelTimers()
 	}
 	return b.finish(now)
 }
 
-// Kept reports that a job's record is on disk. Only now it is acknowledged and may be given to the policy.
-func (b *Book) Kept(now time.Duration, id ID) []Effect {
-	if j := b.jobs[id]; j != nil && j.state == Keeping {
+// JobStored reports that a job's record is on disk. Only now it is acknowledged and may be given to the policy.
+func (b *Book) JobStored(now time.Duration, id ID) []Effect {
+	if j := b.jobs[id]; j != nil && j.state == Storing {
 		b.emit(Acknowledge{id})
 		b.enqueue(j)
 	}
@@ -112,46 +112,46 @@
 
 // submitWaiting gives the policy as many jobs as it has room for, those with the nearest deadlines first.
 func (b *Book) submitWaiting(now time.Duration) {
-	for !b.stopped && b.inHand < b.settings.Room && len(b.waiting) > 0 {
+	for !b.stopped && b.dispatched < b.settings.MaxDispatched && len(b.waiting) > 0 {
 		j := heap.Pop(&b.waiting).(*job)
-		until := min(j.Limit, j.retryUntil())
+		until := min(j.Deadline, j.retryUntil())
 		if now >= until {
 			b.expire(j)
 			continue
 		}
-		j.state = InHand
-		b.inHand++
-		b.emit(Arrive{j.ID, until - now})
+		j.state = Dispatched
+		b.dispatched++
+		b.emit(Submit{j.ID, until - now})
 	}
 }
 
-// Send reports that the policy sends a job to an executor. It returns the epoch of the attempt, which goes out once its record is
+// AttemptStarted reports that the policy sends a job to an executor. It returns the epoch of the attempt, which goes out once its record is
 // on disk, or 0 if the policy doesn't have the job.
-func (b *Book) Send(now time.Duration, id ID, to policy.ExecutorID) (Epoch, []Effect) {
+func (b *Book) AttemptStarted(now time.Duration, id ID, to policy.ExecutorID) (Epoch, []Effect) {
 	j := b.jobs[id]
-	if j == nil || j.state != InHand {
+	if j == nil || j.state != Dispatched {
 		return 0, b.finish(now)
 	}
-	s := Send{Epoch: Epoch(len(j.sends) + 1), Executor: to, At: now}
-	j.sends = append(j.sends, s)
-	b.emit(KeepSend{id, s})
+	s := Attempt{Epoch: Epoch(len(j.attempts) + 1), Executor: to, At: now}
+	j.attempts = append(j.attempts, s)
+	b.emit(StoreAttempt{id, s})
 	return s.Epoch, b.finish(now)
 }
 
-// SendKept reports that the record of an attempt is on disk. The attempt goes out, unless the job has its answer or a later
+// AttemptStored reports that the record of an attempt is on disk. The attempt goes out, unless the job has its answer or a later
 // attempt by now.
-func (b *Book) SendKept(now time.Duration, id ID, e Epoch) []Effect {
-	if j := b.jobs[id]; j != nil && j.state == InHand && int(e) == len(j.sends) {
-		b.emit(LetOut{id, e})
+func (b *Book) AttemptStored(now time.Duration, id ID, e Epoch) []Effect {
+	if j := b.jobs[id]; j != nil && j.state == Dispatched && int(e) == len(j.attempts) {
+		b.emit(SendAttempt{id, e})
 	}
 	return b.finish(now)
 }
 
-// Over reports that an attempt is over. If it provably never ran, that is recorded, so that a crash doesn't leave it in doubt.
-func (b *Book) Over(now time.Duration, id ID, e Epoch, neverRan bool) []Effect {
-	if j := b.jobs[id]; j != nil && neverRan && e >= 1 && int(e) <= len(j.sends) && !j.sends[e-1].NeverRan {
+// AttemptEnded reports that an attempt is over. If it provably never ran, that is recorded, so that a crash doesn't leave it in doubt.
+func (b *Book) AttemptEnded(now time.Duration, id ID, e Epoch, neverRan bool) []Effect {
+	if j := b.jobs[id]; j != nil && neverRan && e >= 1 && int(e) <= len(j.attempts) && !j.attempts[e-1].NeverRan {
 		j.markNeverRan(e)
-		b.emit(KeepOver{id, e})
+		b.emit(StoreNeverRan{id, e})
 	}
 	return b.finish(now)
 }
@@ -160,11 +160,11 @@
 // stays on disk for the next start, and one that failed is asked about then.
 func (b *Book) Answered(now time.Duration, id ID, answer Final, result []byte) []Effect {
 	j := b.jobs[id]
-	if j == nil || j.state != InHand {
+	if j == nil || j.state != Dispatched {
 		return b.finish(now)
 	}
-	b.inHand--
-	if answer == Rejected && j.Track.Idempotency != policy.Idempotent && j.firstPossibleRun() != nil {
+	b.dispatched--
+	if answer == Rejected && j.Class.Idempotency != policy.Idempotent && j.firstPossibleRun() != nil {
 		answer = Failed // the policy doesn't know of attempts from before a restart
 	}
 	if b.stopped && answer != Succeeded {
@@ -177,24 +177,24 @@
 
 // finalize gives a job its final answer, to be written to disk.
 func (b *Book) finalize(j *job, final Final, result []byte) {
-	j.state, j.final, j.result = Closing, final, result
+	j.state, j.final, j.result = StoringFinal, final, result
 	j.cancelTimers()
-	b.emit(KeepFinal{j.ID, final, result})
+	b.emit(StoreFinal{j.ID, final, result})
 }
 
 // expire answers a job that was not done by its deadline. A rejection promises that it did not run.
 func (b *Book) expire(j *job) {
 	final := Failed
-	if j.firstPossibleRun() == nil || j.Track.Idempotency == policy.Idempotent {
+	if j.firstPossibleRun() == nil || j.Class.Idempotency == policy.Idempotent {
 		final = Rejected
 	}
 	b.finalize(j, final, nil)
 }
 
-// FinalKept reports that a final answer is on disk. Only now clients are told.
-func (b *Book) FinalKept(now time.Duration, id ID) []Effect {
-	if j := b.jobs[id]; j != nil && j.state == Closing {
-		b.retain(j, now+b.settings.Keep)
+// FinalStored reports that a final answer is on disk. Only now clients are told.
+func (b *Book) FinalStored(now time.Duration, id ID) []Effect {
+	if j := b.jobs[id]; j != nil && j.state == StoringFinal {
+		b.retain(j, now+b.settings.AnswerTTL)
 		b.emit(Publish{id, j.final, j.result})
 	}
 	return b.finish(now)
@@ -207,8 +207,8 @@
 	b.schedule(until, j)
 }
 
-// LetGo forgets a job that the client is done with. It returns false if the job is not Done.
-func (b *Book) LetGo(now time.Duration, id ID) ([]Effect, bool) {
+// Forget forgets a job that the client is done with. It returns false if the job is not Done.
+func (b *Book) Forget(now time.Duration, id ID) ([]Effect, bool) {
 	j := b.jobs[id]
 	if j == nil || j.state != Done {
 		return nil, false
@@ -220,7 +220,7 @@
 func (b *Book) forget(j *job) {
 	j.cancelTimers()
 	delete(b.jobs, j.ID)
-	b.emit(KeepLetGo{j.ID})
+	b.emit(StoreForget{j.ID})
 }
 
 // Stop reports that the node is shutting down. The policy is given no more jobs.
@@ -237,7 +237,7 @@
 
 // Less implements heap.Interface.
 func (h waitHeap) Less(i, j int) bool {
-	return h[i].Limit < h[j].Limit || h[i].Limit == h[j].Limit && h[i].sequence < h[j].sequence
+	return h[i].Deadline < h[j].Deadline || h[i].Deadline == h[j].Deadline && h[i].sequence < h[j].sequence
 }
 
 // Swap implements heap.Interface.
--- a/internal/leases/doc.go
+++ b/internal/leases/doc.go
@@ -12,32 +12,32 @@
 //
 // # States
 //
-//	Keeping   the job's record is being written
-//	Waiting   the record is on disk; the job waits until the policy has room for it
-//	InHand    the policy has it
-//	Asking    an attempt was in flight when the node crashed, and its executor is asked what became of it
-//	Closing   the final answer is being written
-//	Done      the final answer is on disk, and is kept for clients to fetch
+//	Storing       the job's record is being written
+//	Waiting       the record is on disk; the job waits until the policy has room for it
+//	Dispatched    the policy has it
+//	Querying      an attempt was in flight when the node crashed, and its executor is asked what became of it
+//	StoringFinal  the final answer is being written
+//	Done          the final answer is on disk, and is kept for clients to fetch
 //
 // The transitions:
 //
-//	from      on                                                      to
-//	          HandIn                                                  Keeping
-//	          Recover: no attempt may have run, or it may run again   Waiting
-//	          Recover: an attempt may have run                        Asking, or Closing if executors can't be asked
-//	          Recover: past the deadline, and nothing to ask          Closing
-//	          Recover: it has its final answer                        Done
-//	Keeping   Kept                                                    Waiting
-//	Keeping   NotKept                                                 forgotten
-//	Waiting   the policy has room                                     InHand
-//	Waiting   deadline                                                Closing
-//	InHand    Answered                                                Closing, or Waiting during a shutdown
-//	Asking    Told: the attempt never ran                             Waiting, or Asking about the next attempt
-//	Asking    Told: it has finished, or nothing is known of it        Closing
-//	Asking    Told: it is running, or no answer                       Asking again after an interval
-//	Asking    deadline                                                Closing
-//	Closing   FinalKept                                               Done
-//	Done      LetGo, or the answer was kept for long enough           forgotten
+//	from          on                                                      to
+//	              Accept                                                  Storing
+//	              Recover: no attempt may have run, or it may run again   Waiting
+//	              Recover: an attempt may have run                        Querying, or StoringFinal if executors can't be asked
+//	              Recover: past the deadline, and nothing to ask          StoringFinal
+//	              Recover: it has its final answer                        Done
+//	Storing       JobStored                                               Waiting
+//	Storing       JobNotStored                                            forgotten
+//	Waiting       the policy has room                                     Dispatched
+//	Waiting       deadline                                                StoringFinal
+//	Dispatched    Answered                                                StoringFinal, or Waiting during a shutdown
+//	Querying      AttemptQueried: the attempt never ran                   Waiting, or Querying about the next attempt
+//	Querying      AttemptQueried: it has finished, or nothing is known    StoringFinal
+//	Querying      AttemptQueried: it is running, or no answer             Querying again after an interval
+//	Querying      deadline                                                StoringFinal
+//	StoringFinal  FinalStored                                             Done
+//	Done          Forget, or the answer was kept for long enough          forgotten
 //
 // Files:
 //
--- a/internal/leases/effects.go
+++ b/internal/leases/effects.go
@@ -11,44 +11,44 @@
 
 // Effects on the disk.
 type (
-	// KeepJob writes a job's record. Kept or NotKept reports the result.
-	KeepJob struct{ ID ID }
-	// KeepSend writes the record of an attempt. SendKept reports it.
-	KeepSend struct {
-		ID   ID
-		Send Send
+	// StoreJob writes a job's record. Kept or NotKept reports the result.
+	StoreJob struct{ ID ID }
+	// StoreAttempt writes the record of an attempt. SendKept reports it.
+	StoreAttempt struct {
+		ID      ID
+		Attempt Attempt
 	}
-	// KeepOver writes that an attempt is over and never ran.
-	KeepOver struct {
+	// StoreNeverRan writes that an attempt is over and never ran.
+	StoreNeverRan struct {
 		ID    ID
 		Epoch Epoch
 	}
-	// KeepFinal writes a final answer. FinalKept reports it.
-	KeepFinal struct {
+	// StoreFinal writes a final answer. FinalKept reports it.
+	StoreFinal struct {
 		ID     ID
 		Final  Final
 		Result []byte
 	}
-	// KeepLetGo writes that a job is forgotten.
-	KeepLetGo struct{ ID ID }
+	// StoreForget writes that a job is forgotten.
+	StoreForget struct{ ID ID }
 )
 
 // Effects on clients, the policy and executors.
 type (
 	// Acknowledge tells the client that the job is on disk.
 	Acknowledge struct{ ID ID }
-	// Arrive gives the job to the policy, which has the budget to get it done.
-	Arrive struct {
+	// Submit gives the job to the policy, which has the budget to get it done.
+	Submit struct {
 		ID     ID
 		Budget time.Duration
 	}
-	// LetOut sends an attempt whose record is on disk.
-	LetOut struct {
+	// SendAttempt sends an attempt whose record is on disk.
+	SendAttempt struct {
 		ID    ID
 		Epoch Epoch
 	}
-	// Ask asks an executor what became of an epoch. Told reports the answer.
-	Ask struct {
+	// QueryAttempt asks an executor what became of an epoch. Told reports the answer.
+	QueryAttempt struct {
 		ID       ID
 		Epoch    Epoch
 		Executor policy.ExecutorID
@@ -64,14 +64,14 @@
 // Wake asks for a call of Book.Wake at a time. A later Wake replaces it.
 type Wake struct{ At time.Duration }
 
-func (KeepJob) effect()     {}
-func (KeepSend) effect()    {}
-func (KeepOver) effect()    {}
-func (KeepFinal) effect()   {}
-func (KeepLetGo) effect()   {}
-func (Acknowledge) effect() {}
-func (Arrive) effect()      {}
-func (LetOut) effect()      {}
-func (Ask) effect()         {}
-func (Publish) effect()     {}
-func (Wake) effect()        {}
+func (StoreJob) effect()      {}
+func (StoreAttempt) effect()  {}
+func (StoreNeverRan) effect() {}
+func (StoreFinal) effect()    {}
+func (StoreForget) effect()   {}
+func (Acknowledge) effect()   {}
+func (Submit) effect()        {}
+func (SendAttempt) effect()   {}
+func (QueryAttempt) effect()  {}
+func (Publish) effect()       {}
+func (Wake) effect()          {}
--- a/internal/leases/job.go
+++ b/internal/leases/job.go
@@ -18,11 +18,11 @@
 
 // The states.
 const (
-	Keeping State = iota
+	Storing State = iota
 	Waiting
-	InHand
-	Asking
-	Closing
+	Dispatched
+	Querying
+	StoringFinal
 	Done
 )
 
@@ -51,30 +51,30 @@
 
 // Job is a durable job as it was submitted. Times are times of day, as durations since 1970.
 type Job struct {
-	ID    ID
-	Track JobClass
-	Limit time.Duration // the deadline
+	ID       ID
+	Class    JobClass
+	Deadline time.Duration // the deadline
 }
 
-// Send is an attempt.
-type Send struct {
+// Attempt is an attempt.
+type Attempt struct {
 	Epoch    Epoch
 	Executor policy.ExecutorID
 	At       time.Duration
 	NeverRan bool // it is over, and provably never ran
 }
 
-// Found is what an executor says of an epoch.
-type Found int
+// QueryResult is what an executor says of an epoch.
+type QueryResult int
 
 // What an executor can say.
 const (
-	FoundNothing  Found = iota // no answer, or an unreadable one
-	FoundMute                  // the executor doesn't take part in leases
-	FoundNever                 // it has not started the attempt, and refuses it from now on
-	FoundRunning               // the attempt is running
-	FoundFinished              // the attempt has finished, and the result is at hand
-	FoundLost                  // the attempt may have started, but the executor has restarted since and knows nothing more
+	QueryUnanswered  QueryResult = iota // no answer, or an unreadable one
+	QueryUnsupported                    // the executor doesn't take part in leases
+	QueryNeverRan                       // it has not started the attempt, and refuses it from now on
+	QueryRunning                        // the attempt is running
+	QueryFinished                       // the attempt has finished, and the result is at hand
+	QueryLost                           // the attempt may have started, but the executor has restarted since and knows nothing more
 )
 
 // forever is a time that never comes.
@@ -84,8 +84,8 @@
 type job struct {
 	Job
 	state         State
-	sends         []Send // by epoch, from 1
-	queryInFlight bool   // while Asking: an Ask is not answered yet
+	attempts      []Attempt // by epoch, from 1
+	queryInFlight bool      // while Asking: an Ask is not answered yet
 	final         Final
 	result        []byte
 
@@ -95,10 +95,10 @@
 }
 
 // firstPossibleRun returns the first attempt that may have run, or nil.
-func (j *job) firstPossibleRun() *Send {
-	for i := range j.sends {
-		if !j.sends[i].NeverRan {
-			return &j.sends[i]
+func (j *job) firstPossibleRun() *Attempt {
+	for i := range j.attempts {
+		if !j.attempts[i].NeverRan {
+			return &j.attempts[i]
 		}
 	}
 	return nil
@@ -109,14 +109,14 @@
 // restart, so it must be given the job for no longer than this.
 func (j *job) retryUntil() time.Duration {
 	first := j.firstPossibleRun()
-	if first == nil || j.Track.Idempotency == policy.Idempotent {
+	if first == nil || j.Class.Idempotency == policy.Idempotent {
 		return forever
 	}
-	if j.Track.Idempotency == policy.IdempotentWithKey && j.Track.DedupGroup == policy.DedupAllExecutors {
-		return first.At + j.Track.DedupWindow
+	if j.Class.Idempotency == policy.IdempotentWithKey && j.Class.DedupGroup == policy.DedupAllExecutors {
+		return first.At + j.Class.DedupWindow
 	}
 	return 0
 }
 
 // markNeverRan notes that an attempt provably never ran.
-func (j *job) markNeverRan(e Epoch) { j.sends[e-1].NeverRan = true }
+func (j *job) markNeverRan(e Epoch) { j.attempts[e-1].NeverRan = true }
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -19,23 +19,23 @@
 
 func effectText(e Effect) string {
 	switch e := e.(type) {
-	case KeepJob:
+	case StoreJob:
 		return "store " + string(e.ID)
-	case KeepSend:
-		return fmt.Sprintf("store attempt %d of %s to %s", e.Send.Epoch, e.ID, e.Send.Executor)
-	case KeepOver:
+	case StoreAttempt:
+		return fmt.Sprintf("store attempt %d of %s to %s", e.Attempt.Epoch, e.ID, e.Attempt.Executor)
+	case StoreNeverRan:
 		return fmt.Sprintf("store that attempt %d of %s never ran", e.Epoch, e.ID)
-	case KeepFinal:
+	case StoreFinal:
 		return fmt.Sprintf("store the answer of %s: %s %s", e.ID, [...]string{"succeeded", "rejected", "failed"}[e.Final], e.Result)
-	case KeepLetGo:
+	case StoreForget:
 		return "store that " + string(e.ID) + " is forgotten"
 	case Acknowledge:
 		return "acknowledge " + string(e.ID)
-	case Arrive:
+	case Submit:
 		return fmt.Sprintf("submit %s to the policy for %v", e.ID, e.Budget)
-	case LetOut:
+	case SendAttempt:
 		return fmt.Sprintf("send attempt %d of %s", e.Epoch, e.ID)
-	case Ask:
+	case QueryAttempt:
 		return fmt.Sprintf("query %s about attempt %d of %s", e.Executor, e.Epoch, e.ID)
 	case Publish:
 		return fmt.Sprintf("publish %s", e.ID)
@@ -62,16 +62,16 @@
 func (s *trace) section(title string) { fmt.Fprintf(&s.out, "# %s\n", title) }
 
 func (s *trace) accept(id ID, class JobClass, now, deadline float64) {
-	effects, ok := s.b.HandIn(at(now), Job{id, class, at(deadline)})
+	effects, ok := s.b.Accept(at(now), Job{id, class, at(deadline)})
 	s.call(fmt.Sprintf("%s is submitted at %v s: %v", id, now, ok), effects)
 }
 
 func (s *trace) stored(id ID, now float64) {
-	s.call(fmt.Sprintf("%s is on disk", id), s.b.Kept(at(now), id))
+	s.call(fmt.Sprintf("%s is on disk", id), s.b.JobStored(at(now), id))
 }
 
 func (s *trace) send(id ID, now float64) {
-	e, effects := s.b.Send(at(now), id, "e")
+	e, effects := s.b.AttemptStarted(at(now), id, "e")
 	s.call(fmt.Sprintf("the policy sends %s: attempt %d", id, e), effects)
 }
 
@@ -80,7 +80,7 @@
 func (s *trace) recover(title string, set Settings, now, last float64, class JobClass, neverRan bool) {
 	s.b = NewBook(set)
 	s.call(fmt.Sprintf("# %s, recovered at %.0f s, sent at 2 s", title, now), s.b.Recover(at(now), at(last), Job{"j", class, at(60)},
-		[]Send{{Epoch: 1, Executor: "e", At: at(2), NeverRan: neverRan}}, nil, nil, 0))
+		[]Attempt{{Epoch: 1, Executor: "e", At: at(2), NeverRan: neverRan}}, nil, nil, 0))
 }
 
 func at(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
@@ -89,9 +89,9 @@
 
 // Each state, and the transitions from it.
 func TestTransitions(t *testing.T) {
-	set := Settings{Room: 1, Keep: 100 * time.Second, AskEvery: time.Second}
+	set := Settings{MaxDispatched: 1, AnswerTTL: 100 * time.Second, QueryInterval: time.Second}
 	queries := set
-	queries.Leases = true
+	queries.QueryExecutors = true
 	s := &trace{b: NewBook(set)}
 	traceSuccess(s)
 	traceDeadline(s)
@@ -111,17 +111,17 @@
 	s.stored("b", 1)
 	s.send("b", 1)
 	s.send("a", 2)
-	s.call("its record is on disk", s.b.SendKept(at(2), "a", 1))
-	s.call("its connection failed", s.b.Over(at(3), "a", 1, true))
-	s.call("and is reported again", s.b.Over(at(3), "a", 1, true))
+	s.call("its record is on disk", s.b.AttemptStored(at(2), "a", 1))
+	s.call("its connection failed", s.b.AttemptEnded(at(3), "a", 1, true))
+	s.call("and is reported again", s.b.AttemptEnded(at(3), "a", 1, true))
 	s.send("a", 3)
-	s.call("the record of the first is reported late", s.b.SendKept(at(3), "a", 1))
-	s.call("that of the second is reported", s.b.SendKept(at(3), "a", 2))
-	s.call("a is forgotten too early", first(s.b.LetGo(at(3), "a")))
+	s.call("the record of the first is reported late", s.b.AttemptStored(at(3), "a", 1))
+	s.call("that of the second is reported", s.b.AttemptStored(at(3), "a", 2))
+	s.call("a is forgotten too early", first(s.b.Forget(at(3), "a")))
 	s.call("the policy says succeeded", s.b.Answered(at(4), "a", Succeeded, []byte("r")))
 	s.call("and again", s.b.Answered(at(4), "a", Failed, nil))
-	s.call("the answer is on disk", s.b.FinalKept(at(4), "a"))
-	s.call("a is forgotten", first(s.b.LetGo(at(5), "a")))
+	s.call("the answer is on disk", s.b.FinalStored(at(4), "a"))
+	s.call("a is forgotten", first(s.b.Forget(at(5), "a")))
 }
 
 func traceDeadline(s *trace) {
@@ -129,7 +129,7 @@
 	s.accept("c", atMostOnce, 5, 20)
 	s.stored("c", 5)
 	s.call("at 20 s", s.b.Wake(at(20)))
-	s.call("the answer is on disk", s.b.FinalKept(at(20), "c"))
+	s.call("the answer is on disk", s.b.FinalStored(at(20), "c"))
 	s.call("at 119 s", s.b.Wake(at(119)))
 	s.call("at 121 s", s.b.Wake(at(121)))
 }
@@ -137,16 +137,16 @@
 func traceNotStored(s *trace) {
 	s.section("not stored: nothing is left of it")
 	s.accept("d", atMostOnce, 130, 200)
-	s.call("the disk is full", s.b.NotKept(at(130), "d"))
+	s.call("the disk is full", s.b.JobNotStored(at(130), "d"))
 	s.accept("d", atMostOnce, 131, 200)
 }
 
 func traceShutdown(s *trace) {
 	s.section("a shutdown: only a result is final")
-	s.b = NewBook(Settings{Room: 3, Keep: 100 * time.Second})
+	s.b = NewBook(Settings{MaxDispatched: 3, AnswerTTL: 100 * time.Second})
 	for _, id := range []ID{"x", "y", "z"} {
-		s.b.HandIn(at(1), Job{id, atMostOnce, at(60)})
-		s.b.Kept(at(1), id)
+		s.b.Accept(at(1), Job{id, atMostOnce, at(60)})
+		s.b.JobStored(at(1), id)
 	}
 	s.send("y", 2)
 	s.call("shutdown is requested", s.b.Stop(at(3)))
@@ -171,32 +171,32 @@
 func traceQueries(s *trace, queries Settings) {
 	for _, answer := range []struct {
 		name  string
-		found Found
+		found QueryResult
 	}{
-		{"never started, and refused from now on", FoundNever},
-		{"finished", FoundFinished},
-		{"lost", FoundLost},
-		{"not supported", FoundMute},
+		{"never started, and refused from now on", QueryNeverRan},
+		{"finished", QueryFinished},
+		{"lost", QueryLost},
+		{"not supported", QueryUnsupported},
 	} {
 		s.recover("at most once, may have run", queries, 5, 2, atMostOnce, false)
-		s.call(answer.name, s.b.Told(at(5), "j", 1, answer.found, []byte("r")))
+		s.call(answer.name, s.b.AttemptQueried(at(5), "j", 1, answer.found, []byte("r")))
 	}
 	s.recover("at most once, may have run", queries, 5, 2, atMostOnce, false)
-	s.call("no answer", s.b.Told(at(5), "j", 1, FoundNothing, nil))
+	s.call("no answer", s.b.AttemptQueried(at(5), "j", 1, QueryUnanswered, nil))
 	s.call("a second later", s.b.Wake(at(6)))
-	s.call("still running", s.b.Told(at(6), "j", 1, FoundRunning, nil))
+	s.call("still running", s.b.AttemptQueried(at(6), "j", 1, QueryRunning, nil))
 	s.call("and at the deadline", s.b.Wake(at(60)))
 	s.recover("at most once, may have run, past its deadline, queried once all the same", queries, 70, 2, atMostOnce, false)
-	s.call("finished", s.b.Told(at(70), "j", 1, FoundFinished, []byte("r")))
+	s.call("finished", s.b.AttemptQueried(at(70), "j", 1, QueryFinished, []byte("r")))
 }
 
 // Ten thousand recovered jobs: the policy gets no more than it has room for, those with the nearest deadlines first.
 func TestManyRecovered(t *testing.T) {
-	b := NewBook(Settings{Room: 50, Keep: time.Hour})
+	b := NewBook(Settings{MaxDispatched: 50, AnswerTTL: time.Hour})
 	submitted := 0
 	count := func(effects []Effect) {
 		for _, e := range effects {
-			if _, ok := e.(Arrive); ok {
+			if _, ok := e.(Submit); ok {
 				submitted++
 			}
 		}
@@ -209,7 +209,7 @@
 	}
 	for i := range 10000 {
 		count(b.Answered(at(1), ID(fmt.Sprint(i)), Succeeded, nil))
-		count(b.FinalKept(at(1), ID(fmt.Sprint(i))))
+		count(b.FinalStored(at(1), ID(fmt.Sprint(i))))
 	}
 	if counts := b.Counts(); submitted+counts[Waiting] != 10000 {
 		t.Errorf("submitted %d, waiting %d, want 10000 together", submitted, counts[Waiting])
--- a/internal/leases/recovery.go
+++ b/internal/leases/recovery.go
@@ -8,19 +8,19 @@
 
 // Recover takes in a job that the disk holds at the start of the node, with its attempts and, if it has one, its final answer.
 // last is the latest time on the disk: if the clock is behind it, it was set back, and no dedup window is counted on it.
-func (b *Book) Recover(now, last time.Duration, in Job, sends []Send, final *Final, result []byte, finalAt time.Duration) []Effect {
+func (b *Book) Recover(now, last time.Duration, in Job, sends []Attempt, final *Final, result []byte, finalAt time.Duration) []Effect {
 	j := b.add(in)
-	j.sends = sends
+	j.attempts = sends
 	if final != nil {
 		j.final, j.result = *final, result
-		b.retain(j, max(now, finalAt+b.settings.Keep))
+		b.retain(j, max(now, finalAt+b.settings.AnswerTTL))
 		return b.finish(now)
 	}
-	if now < last && j.Track.Idempotency == policy.IdempotentWithKey {
-		j.Track.DedupWindow = 0
+	if now < last && j.Class.Idempotency == policy.IdempotentWithKey {
+		j.Class.DedupWindow = 0
 	}
 	switch {
-	case now >= j.Limit && (!b.settings.Leases || j.firstPossibleRun() == nil):
+	case now >= j.Deadline && (!b.settings.QueryExecutors || j.firstPossibleRun() == nil):
 		b.expire(j)
 	case j.retryUntil() > now:
 		b.enqueue(j)
@@ -33,34 +33,34 @@
 // query asks the executor of the first attempt that may have run what became of it. If executors don't take part in leases, that
 // can't be found out, and the job has failed.
 func (b *Book) query(now time.Duration, j *job) {
-	if !b.settings.Leases {
+	if !b.settings.QueryExecutors {
 		b.finalize(j, Failed, nil)
 		return
 	}
 	first := j.firstPossibleRun()
-	j.state, j.queryInFlight = Asking, true
+	j.state, j.queryInFlight = Querying, true
 	j.cancelTimers()
-	b.schedule(max(j.Limit, now+b.settings.AskEvery), j) // a job recovered after its deadline is asked about once as well
-	b.emit(Ask{j.ID, first.Epoch, first.Executor})
+	b.schedule(max(j.Deadline, now+b.settings.QueryInterval), j) // a job recovered after its deadline is asked about once as well
+	b.emit(QueryAttempt{j.ID, first.Epoch, first.Executor})
 }
 
-// Told reports what an executor said of an epoch.
-func (b *Book) Told(now time.Duration, id ID, e Epoch, found Found, result []byte) []Effect {
+// AttemptQueried reports what an executor said of an epoch.
+func (b *Book) AttemptQueried(now time.Duration, id ID, e Epoch, found QueryResult, result []byte) []Effect {
 	j := b.jobs[id]
-	if j == nil || j.state != Asking || !j.queryInFlight {
+	if j == nil || j.state != Querying || !j.queryInFlight {
 		return b.finish(now)
 	}
 	j.queryInFlight = false
 	switch found {
-	case FoundFinished:
+	case QueryFinished:
 		b.finalize(j, Succeeded, result)
-	case FoundNever:
+	case QueryNeverRan:
 		j.markNeverRan(e)
-		b.emit(KeepOver{id, e})
+		b.emit(StoreNeverRan{id, e})
 		b.resume(now, j)
-	case FoundMute, FoundLost:
+	case QueryUnsupported, QueryLost:
 		b.finalize(j, Failed, nil)
-	case FoundNothing, FoundRunning:
+	case QueryUnanswered, QueryRunning:
 		b.queryLater(now, j)
 	}
 	return b.finish(now)
@@ -70,7 +70,7 @@
 // that may have run is asked about.
 func (b *Book) resume(now time.Duration, j *job) {
 	switch {
-	case now >= j.Limit:
+	case now >= j.Deadline:
 		b.expire(j)
 	case j.retryUntil() > now:
 		b.enqueue(j)
@@ -81,10 +81,10 @@
 
 // queryLater asks again after an interval, unless the deadline has passed.
 func (b *Book) queryLater(now time.Duration, j *job) {
-	if now >= j.Limit {
+	if now >= j.Deadline {
 		b.finalize(j, Failed, nil)
 		return
 	}
 	j.cancelTimers()
-	b.schedule(min(j.Limit, now+b.settings.AskEvery), j)
+	b.schedule(min(j.Deadline, now+b.settings.QueryInterval), j)
 }
--- a/internal/leases/timers.go
+++ b/internal/leases/timers.go
@@ -26,8 +26,8 @@
 	case Waiting:
 		heap.Remove(&b.waiting, j.heapIndex)
 		b.expire(j)
-	case Asking:
-		if now >= j.Limit {
+	case Querying:
+		if now >= j.Deadline {
 			b.finalize(j, Failed, nil)
 		} else {
 			b.query(now, j)
--- a/internal/simulation/bounds.go
+++ b/internal/simulation/bounds.go
@@ -32,14 +32,14 @@
 }
 
 func (p *pace) did(now time.Duration, work float64) {
-	p.work = p.work*math.Exp(-float64(now-p.at)/float64(cluster.Smoothing)) + work
+	p.work = p.work*math.Exp(-float64(now-p.at)/float64(cluster.AveragingTimeConstant)) + work
 	p.at = now
 }
 
 // rate is in seconds of work a second.
 func (p *pace) rate(now, since time.Duration) float64 {
-	whole := cluster.Smoothing.Seconds() * (1 - math.Exp(-float64(since)/float64(cluster.Smoothing)))
-	return p.work * math.Exp(-float64(now-p.at)/float64(cluster.Smoothing)) / max(whole, 1e-3)
+	whole := cluster.AveragingTimeConstant.Seconds() * (1 - math.Exp(-float64(since)/float64(cluster.AveragingTimeConstant)))
+	return p.work * math.Exp(-float64(now-p.at)/float64(cluster.AveragingTimeConstant)) / max(whole, 1e-3)
 }
 
 // bounded checks a word that a node tells, before anything becomes of it on its way.
