--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -130,7 +130,7 @@
 
 // openDurable opens the store of durable batch jobs.
 func openDurable(own *site.Durable, c told, log zerolog.Logger) (*durable.Manager, error) {
-	s, err := store.Open(store.Directory(own.Dir), store.Options{Segment: int64(own.SegmentSize), Most: int64(own.MaxSize)})
+	s, err := store.Open(store.Directory(own.Dir), store.Options{SegmentBytes: int64(own.SegmentSize), MaxBytes: int64(own.MaxSize)})
 	if err != nil {
 		return nil, fmt.Errorf("durable.dir: %w", err)
 	}
--- a/cmd/birchstair/store.go
+++ b/cmd/birchstair/store.go
@@ -83,7 +83,7 @@
 	for _, id := range slices.Sorted(maps.Keys(states)) {
 		st := states[id]
 		r, all := st.Accepted, st.Records()
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", id, r.Track, stamp(r.At), stamp(r.Limit), len(st.Sends), describe(all[len(all)-1]))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", id, r.JobClass, stamp(r.At), stamp(r.Deadline), len(st.Attempts), describe(all[len(all)-1]))
 	}
 	return w.Flush()
 }
@@ -95,16 +95,16 @@
 func describe(r store.Record) string {
 	s := r.Kind.String()
 	switch r.Kind {
-	case store.Sent:
+	case store.AttemptStarted:
 		s += fmt.Sprintf(" under epoch %d to %s", r.Epoch, r.Executor)
-	case store.Over:
+	case store.AttemptEnded:
 		s += fmt.Sprintf(", epoch %d", r.Epoch)
 		if r.NeverRan {
 			s += " never ran"
 		}
 	case store.Final:
-		if int(r.Answer) < len(answers) {
-			s += ": " + answers[r.Answer]
+		if int(r.Outcome) < len(answers) {
+			s += ": " + answers[r.Outcome]
 		}
 	}
 	return s
@@ -119,9 +119,9 @@
 		found = true
 		line := stamp(r.At) + "  " + describe(r)
 		if r.Kind == store.Accepted {
-			line += fmt.Sprintf(": track %s, outer limit %s, %s, %d bytes", r.Track, stamp(r.Limit), r.URI, len(r.Body))
-			if r.Tag != "" {
-				line += ", tag " + r.Tag
+			line += fmt.Sprintf(": track %s, outer limit %s, %s, %d bytes", r.JobClass, stamp(r.Deadline), r.URI, len(r.Body))
+			if r.IdempotencyKey != "" {
+				line += ", tag " + r.IdempotencyKey
 			}
 		}
 		if r.Kind == store.Final {
@@ -138,13 +138,13 @@
 }
 
 func (c storeCompactCmd) Run() error {
-	s, err := store.Open(store.Directory(c.Dir), store.Options{Segment: 1 << 30})
+	s, err := store.Open(store.Directory(c.Dir), store.Options{SegmentBytes: 1 << 30})
 	if err != nil {
 		return err
 	}
-	before := s.Figures()
+	before := s.Stats()
 	err = s.Compact(func(done, all int) { fmt.Fprintf(os.Stderr, "segment %d of %d\n", done, all) })
-	after := s.Figures()
+	after := s.Stats()
 	if err = errors.Join(err, s.Close()); err == nil {
 		fmt.Printf("%d batch jobs: %d bytes in %d segments, before %d in %d\n", after.Jobs, after.Bytes, after.Segments, before.Bytes, before.Segments)
 	}
--- a/cmd/birchstair/store_test.go
+++ b/cmd/birchstair/store_test.go
@@ -37,7 +37,7 @@
 	dir := t.TempDir()
 	day := time.UnixMilli(1_700_000_000_000).UTC()
 	open := func() *store.Store {
-		s, err := store.Open(store.Directory(dir), store.Options{Segment: 1 << 20})
+		s, err := store.Open(store.Directory(dir), store.Options{SegmentBytes: 1 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,13 +53,13 @@
 		}
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		put(store.Record{Kind: store.Accepted, ID: id, Track: "order", Limit: day.Add(time.Hour), URI: "/x", Tag: "t-" + id, Body: []byte("body")})
+		put(store.Record{Kind: store.Accepted, ID: id, JobClass: "order", Deadline: day.Add(time.Hour), URI: "/x", IdempotencyKey: "t-" + id, Body: []byte("body")})
 	}
-	put(store.Record{Kind: store.Sent, ID: "a", Epoch: 1, Executor: "e1"})
-	put(store.Record{Kind: store.Over, ID: "a", Epoch: 1, NeverRan: true})
-	put(store.Record{Kind: store.Sent, ID: "a", Epoch: 2, Executor: "e2"})
-	put(store.Record{Kind: store.Final, ID: "b", Answer: 1})
-	put(store.Record{Kind: store.LetGo, ID: "c"})
+	put(store.Record{Kind: store.AttemptStarted, ID: "a", Epoch: 1, Executor: "e1"})
+	put(store.Record{Kind: store.AttemptEnded, ID: "a", Epoch: 1, NeverRan: true})
+	put(store.Record{Kind: store.AttemptStarted, ID: "a", Epoch: 2, Executor: "e2"})
+	put(store.Record{Kind: store.Final, ID: "b", Outcome: 1})
+	put(store.Record{Kind: store.Released, ID: "c"})
 
 	var out strings.Builder
 	say := func(what, text string) {
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -267,14 +267,14 @@
 	for _, n := range []int{1000, 10000, 50000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := store.Directory(b.TempDir())
-			s, err := store.Open(dir, store.Options{Segment: 4 << 20})
+			s, err := store.Open(dir, store.Options{SegmentBytes: 4 << 20})
 			if err != nil {
 				b.Fatal(err)
 			}
 			var wait sync.WaitGroup
 			wait.Add(n)
 			for i := range n {
-				s.Append(store.Record{Kind: store.Accepted, ID: fmt.Sprint("job-", i), At: time.Now(), Limit: time.Now().Add(time.Hour), Track: "order",
+				s.Append(store.Record{Kind: store.Accepted, ID: fmt.Sprint("job-", i), At: time.Now(), Deadline: time.Now().Add(time.Hour), JobClass: "order",
 					Body: make([]byte, 1024)}, func(error) { wait.Done() })
 			}
 			wait.Wait()
@@ -282,7 +282,7 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				s, err := store.Open(dir, store.Options{Segment: 4 << 20})
+				s, err := store.Open(dir, store.Options{SegmentBytes: 4 << 20})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/durable/effects.go
+++ b/internal/durable/effects.go
@@ -28,11 +28,11 @@
 		case leases.StoreAttempt:
 			m.writeSend(effect)
 		case leases.StoreNeverRan:
-			m.write(store.Record{Kind: store.Over, ID: string(effect.ID), At: time.Now(), Epoch: uint32(effect.Epoch), NeverRan: true}, nil)
+			m.write(store.Record{Kind: store.AttemptEnded, ID: string(effect.ID), At: time.Now(), Epoch: uint32(effect.Epoch), NeverRan: true}, nil)
 		case leases.StoreFinal:
 			m.writeFinal(effect)
 		case leases.StoreForget:
-			m.write(store.Record{Kind: store.LetGo, ID: string(effect.ID), At: time.Now()}, nil)
+			m.write(store.Record{Kind: store.Released, ID: string(effect.ID), At: time.Now()}, nil)
 		case leases.Acknowledge:
 			m.mu.Lock()
 			m.acknowledge(effect.ID, nil)
@@ -92,7 +92,7 @@
 
 func (m *Manager) writeSend(effect leases.StoreAttempt) {
 	record := store.Record{
-		Kind:     store.Sent,
+		Kind:     store.AttemptStarted,
 		ID:       string(effect.ID),
 		At:       time.Now(),
 		Epoch:    uint32(effect.Attempt.Epoch),
@@ -105,11 +105,11 @@
 
 func (m *Manager) writeFinal(effect leases.StoreFinal) {
 	record := store.Record{
-		Kind:   store.Final,
-		ID:     string(effect.ID),
-		At:     time.Now(),
-		Answer: uint8(effect.Final),
-		Body:   effect.Result,
+		Kind:    store.Final,
+		ID:      string(effect.ID),
+		At:      time.Now(),
+		Outcome: uint8(effect.Final),
+		Body:    effect.Result,
 	}
 	m.write(record, func(now time.Duration) []leases.Effect { return m.book.FinalStored(now, effect.ID) })
 }
@@ -130,7 +130,7 @@
 	}
 	record := stored.Accepted
 	m.mu.Lock()
-	class := m.classes[record.Track]
+	class := m.classes[record.JobClass]
 	m.mu.Unlock()
 	job := node.Job{
 		Class:  class.id,
@@ -142,7 +142,7 @@
 			URI:            record.URI,
 			Host:           record.Host,
 			ContentType:    record.ContentType,
-			IdempotencyKey: record.Tag,
+			IdempotencyKey: record.IdempotencyKey,
 			Body:           record.Body,
 		},
 	}
--- a/internal/durable/http.go
+++ b/internal/durable/http.go
@@ -86,13 +86,13 @@
 func (m *Manager) readSubmission(r *http.Request, id string) (job submission, err error) {
 	header := r.Header
 	job.record = store.Record{
-		Kind:        store.Accepted,
-		ID:          id,
-		Track:       header.Get("X-Call-Class"),
-		Tag:         header.Get("Idempotency-Key"),
-		Host:        r.Host,
-		ContentType: header.Get("Content-Type"),
-		URI:         header.Get("X-Path"),
+		Kind:           store.Accepted,
+		ID:             id,
+		JobClass:       header.Get("X-Call-Class"),
+		IdempotencyKey: header.Get("Idempotency-Key"),
+		Host:           r.Host,
+		ContentType:    header.Get("Content-Type"),
+		URI:            header.Get("X-Path"),
 	}
 	if job.record.URI == "" {
 		job.record.URI = "/"
@@ -101,12 +101,12 @@
 		return job, badRequest("X-Path: %.40q is no path", uri)
 	}
 	m.mu.Lock()
-	class, ok := m.classes[job.record.Track]
+	class, ok := m.classes[job.record.JobClass]
 	m.mu.Unlock()
 	if !ok || class.dropped {
-		return job, badRequest("X-Call-Class: no track is called %.40q", job.record.Track)
+		return job, badRequest("X-Call-Class: no track is called %.40q", job.record.JobClass)
 	}
-	if key := job.record.Tag; len(key) > maxKeyBytes || class.keyRequired && key == "" {
+	if key := job.record.IdempotencyKey; len(key) > maxKeyBytes || class.keyRequired && key == "" {
 		return job, badRequest("Idempotency-Key: missing, or over %d bytes", maxKeyBytes)
 	}
 	if job.budget, err = m.readBudget(header.Get("X-Budget-Ms")); err != nil {
--- a/internal/durable/recover.go
+++ b/internal/durable/recover.go
@@ -21,14 +21,14 @@
 	}
 	unknownClasses := 0
 	for _, job := range jobs {
-		if _, ok := m.classes[job.Accepted.Track]; !ok {
+		if _, ok := m.classes[job.Accepted.JobClass]; !ok {
 			unknownClasses++
 		}
 		m.deferred = append(m.deferred, m.recoverJob(at, lastWrite, job)...)
 	}
 	counts := m.book.Counts()
 	m.mu.Unlock()
-	figures := m.store.Figures()
+	figures := m.store.Stats()
 	m.log.Info().
 		Int("waiting", counts[leases.Waiting]+counts[leases.Dispatched]).
 		Int("asking", counts[leases.Querying]).
@@ -42,44 +42,44 @@
 }
 
 // storedJobs gives the jobs in the store by id, and the time of the latest record.
-func (m *Manager) storedJobs() (jobs []store.State, lastWrite time.Duration) {
-	m.store.All(func(job store.State) {
+func (m *Manager) storedJobs() (jobs []store.JobState, lastWrite time.Duration) {
+	m.store.ForEach(func(job store.JobState) {
 		jobs = append(jobs, job)
 		lastWrite = max(lastWrite, sinceEpoch(job.Accepted.At))
-		for _, send := range job.Sends {
+		for _, send := range job.Attempts {
 			lastWrite = max(lastWrite, sinceEpoch(send.At))
 		}
 		if job.Final != nil {
 			lastWrite = max(lastWrite, sinceEpoch(job.Final.At))
 		}
 	})
-	slices.SortFunc(jobs, func(a, b store.State) int { return strings.Compare(a.Accepted.ID, b.Accepted.ID) })
+	slices.SortFunc(jobs, func(a, b store.JobState) int { return strings.Compare(a.Accepted.ID, b.Accepted.ID) })
 	return jobs, lastWrite
 }
 
 // recoverJob hands one job to the book. A job whose class is not configured any more must not run again, since nothing is
 // known of its idempotency, and its deadline ends now. Called with the lock held.
-func (m *Manager) recoverJob(at, lastWrite time.Duration, job store.State) []leases.Effect {
-	class, known := m.classes[job.Accepted.Track]
-	deadline := sinceEpoch(job.Accepted.Limit)
+func (m *Manager) recoverJob(at, lastWrite time.Duration, job store.JobState) []leases.Effect {
+	class, known := m.classes[job.Accepted.JobClass]
+	deadline := sinceEpoch(job.Accepted.Deadline)
 	if !known {
 		class.lease.Idempotency = policy.AtMostOnce
 		deadline = min(deadline, at)
 	}
 	var sends []leases.Attempt
-	for _, send := range job.Sends {
+	for _, send := range job.Attempts {
 		sends = append(sends, leases.Attempt{
 			Epoch:    leases.Epoch(send.Epoch),
 			Executor: policy.ExecutorID(send.Executor),
 			At:       sinceEpoch(send.At),
-			NeverRan: send.Over && send.NeverRan,
+			NeverRan: send.Ended && send.NeverRan,
 		})
 	}
 	var final *leases.Final
 	var result []byte
 	var finalAt time.Duration
 	if job.Final != nil {
-		answer := leases.Final(job.Final.Answer)
+		answer := leases.Final(job.Final.Outcome)
 		final, result, finalAt = &answer, job.Final.Body, sinceEpoch(job.Final.At)
 	}
 	recovered := leases.Job{ID: leases.ID(job.Accepted.ID), Class: class.lease, Deadline: deadline}
--- a/internal/durable/submit.go
+++ b/internal/durable/submit.go
@@ -33,7 +33,7 @@
 	id := leases.ID(job.record.ID)
 	record := &job.record
 	record.At = time.Now()
-	record.Limit = record.At.Add(job.budget)
+	record.Deadline = record.At.Add(job.budget)
 	m.mu.Lock()
 	if !m.ready {
 		m.mu.Unlock()
@@ -47,7 +47,7 @@
 	m.unwritten[id] = record
 	written := make(chan error, 1)
 	m.ackWaiters[id] = written
-	accepted := leases.Job{ID: id, Class: m.classes[record.Track].lease, Deadline: sinceEpoch(record.Limit)}
+	accepted := leases.Job{ID: id, Class: m.classes[record.JobClass].lease, Deadline: sinceEpoch(record.Deadline)}
 	effects, _ := m.book.Accept(sinceEpoch(record.At), accepted) // it is new: the book was asked above
 	m.mu.Unlock()
 	m.apply(effects)
@@ -79,7 +79,7 @@
 
 // sameJob compares what a client chooses, but for the deadline.
 func sameJob(a, b *store.Record) bool {
-	return a.Track == b.Track && a.Tag == b.Tag && a.URI == b.URI && bytes.Equal(a.Body, b.Body)
+	return a.JobClass == b.JobClass && a.IdempotencyKey == b.IdempotencyKey && a.URI == b.URI && bytes.Equal(a.Body, b.Body)
 }
 
 // wait waits until a job has its final answer, for at most the timeout; errNotFound where there is no such job.
--- a/internal/durable/wire_test.go
+++ b/internal/durable/wire_test.go
@@ -62,7 +62,7 @@
 
 func newFixture(t *testing.T, disk *emulator.Disk, most int64, o durable.Options) *fixture {
 	t.Helper()
-	s, err := store.Open(disk, store.Options{Segment: 20000, Most: most})
+	s, err := store.Open(disk, store.Options{SegmentBytes: 20000, MaxBytes: most})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/durable/world_test.go
+++ b/internal/durable/world_test.go
@@ -196,7 +196,7 @@
 	w.incarnation++
 	incarnation := w.incarnation
 	w.mu.Unlock()
-	jobs, err := store.Open(w.disk, store.Options{Segment: 20000, Most: 10 << 20})
+	jobs, err := store.Open(w.disk, store.Options{SegmentBytes: 20000, MaxBytes: 10 << 20})
 	if err != nil {
 		w.violation("the store does not open: %v", err)
 		return nil
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -27,7 +27,7 @@
 		return s.failed
 	case s.closing:
 		return ErrClosed
-	case w.record.Kind == Accepted && s.options.Most > 0 && s.totalBytes()+s.pendingBytes() > s.options.Most:
+	case w.record.Kind == Accepted && s.options.MaxBytes > 0 && s.totalBytes()+s.pendingBytes() > s.options.MaxBytes:
 		return ErrFull
 	}
 	s.pending = append(s.pending, w)
@@ -122,7 +122,7 @@
 	}
 	s.segmentBytes[s.lastSegment] += int64(frameBytes)
 	s.syncs++
-	if s.segmentBytes[s.lastSegment] < s.options.Segment {
+	if s.segmentBytes[s.lastSegment] < s.options.SegmentBytes {
 		return nil
 	}
 	return s.startSegment()
--- a/internal/store/compaction_test.go
+++ b/internal/store/compaction_test.go
@@ -16,7 +16,7 @@
 
 func openCompactionStore(t *testing.T, dir Directory) *compactionStore {
 	t.Helper()
-	s, err := Open(dir, Options{Segment: 1000})
+	s, err := Open(dir, Options{SegmentBytes: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,17 +59,17 @@
 	s := openCompactionStore(t, Directory(t.TempDir()))
 	s.append(t, Record{Kind: Accepted, ID: "kept"})
 	s.append(t, Record{Kind: Accepted, ID: "released", Body: make([]byte, 1000)}) // the first segment is full
-	s.append(t, Record{Kind: Sent, ID: "kept", Epoch: 1, Executor: "executor-1"})
+	s.append(t, Record{Kind: AttemptStarted, ID: "kept", Epoch: 1, Executor: "executor-1"})
 	if s.firstSegment != 1 {
 		t.Fatal("the first segment is gone too early")
 	}
-	s.append(t, Record{Kind: LetGo, ID: "released"})
+	s.append(t, Record{Kind: Released, ID: "released"})
 	if s.firstSegment != 2 {
 		t.Fatalf("the first segment is %d after compaction", s.firstSegment)
 	}
 	s = s.reopen(t)
 	defer s.Close() //nolint:errcheck // nothing was appended since it was opened
-	if job, ok := s.Get("kept"); !ok || len(job.Sends) != 1 || job.Sends[0].Executor != "executor-1" {
+	if job, ok := s.Get("kept"); !ok || len(job.Attempts) != 1 || job.Attempts[0].Executor != "executor-1" {
 		t.Errorf("recovered %+v, %v", job, ok)
 	}
 }
@@ -79,9 +79,9 @@
 	s := openCompactionStore(t, Directory(t.TempDir()))
 	for i := range 60 {
 		s.append(t, Record{Kind: Accepted, ID: fmt.Sprint("job-", i), Body: make([]byte, 100)})
-		s.append(t, Record{Kind: Sent, ID: fmt.Sprint("job-", i), Epoch: 1, Executor: "executor-1"})
+		s.append(t, Record{Kind: AttemptStarted, ID: fmt.Sprint("job-", i), Epoch: 1, Executor: "executor-1"})
 		if i >= 5 && i%4 != 0 {
-			s.append(t, Record{Kind: LetGo, ID: fmt.Sprint("job-", i-5)})
+			s.append(t, Record{Kind: Released, ID: fmt.Sprint("job-", i-5)})
 		}
 	}
 	if s.firstSegment == 1 {
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -21,19 +21,19 @@
 // everyKind is a record of each kind, with each field that counts for it set; the live jobs of the first segment are one, since
 // the order in which a compaction copies several is not fixed.
 func everyKind() []store.Record {
-	accepted := store.Record{Kind: store.Accepted, ID: "job-1", At: day, Track: "verify", Limit: day.Add(time.Hour), Work: 350 * time.Millisecond,
-		URI: "/call?x=1", Host: "birch.example", ContentType: "application/json", Tag: "key-1", Body: []byte("body")}
+	accepted := store.Record{Kind: store.Accepted, ID: "job-1", At: day, JobClass: "verify", Deadline: day.Add(time.Hour), Work: 350 * time.Millisecond,
+		URI: "/call?x=1", Host: "birch.example", ContentType: "application/json", IdempotencyKey: "key-1", Body: []byte("body")}
 	other := accepted
-	other.ID, other.Tag, other.ContentType, other.Body = "job-2", "", "", nil
+	other.ID, other.IdempotencyKey, other.ContentType, other.Body = "job-2", "", "", nil
 	return []store.Record{
 		accepted,
 		other,
-		{Kind: store.Sent, ID: "job-1", At: day.Add(time.Microsecond), Epoch: 1, Executor: "executor-1"},
-		{Kind: store.Over, ID: "job-1", At: day.Add(2 * time.Microsecond), Epoch: 1, NeverRan: true},
-		{Kind: store.Sent, ID: "job-1", At: day.Add(1500 * time.Millisecond), Epoch: 2, Executor: "executor-2"},
-		{Kind: store.Over, ID: "job-1", At: day.Add(1500 * time.Millisecond), Epoch: 2},
-		{Kind: store.Final, ID: "job-1", At: day.Add(2 * time.Second), Answer: 3, Body: []byte("result")},
-		{Kind: store.LetGo, ID: "job-2", At: day.Add(3 * time.Second)},
+		{Kind: store.AttemptStarted, ID: "job-1", At: day.Add(time.Microsecond), Epoch: 1, Executor: "executor-1"},
+		{Kind: store.AttemptEnded, ID: "job-1", At: day.Add(2 * time.Microsecond), Epoch: 1, NeverRan: true},
+		{Kind: store.AttemptStarted, ID: "job-1", At: day.Add(1500 * time.Millisecond), Epoch: 2, Executor: "executor-2"},
+		{Kind: store.AttemptEnded, ID: "job-1", At: day.Add(1500 * time.Millisecond), Epoch: 2},
+		{Kind: store.Final, ID: "job-1", At: day.Add(2 * time.Second), Outcome: 3, Body: []byte("result")},
+		{Kind: store.Released, ID: "job-2", At: day.Add(3 * time.Second)},
 	}
 }
 
@@ -96,7 +96,7 @@
 
 func openDirectory(t *testing.T, dir string) *store.Store {
 	t.Helper()
-	s, err := store.Open(store.Directory(dir), store.Options{Segment: 1 << 20})
+	s, err := store.Open(store.Directory(dir), store.Options{SegmentBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,8 +160,8 @@
 		var records []store.Record
 		segments, err := store.Scan(store.Directory(undump(t, stage(t, name))), func(segment uint64, r store.Record, size int) {
 			fmt.Fprintf(&out, "segment %d: %d bytes: kind %d (%s) of %s at %s, class %q, limit %s, work %v, %q at %q as %q, key %q, body %q, epoch %d on %q, never ran %v, answer %d\n",
-				segment, size, r.Kind, r.Kind, r.ID, stamp(r.At), r.Track, stamp(r.Limit), r.Work, r.URI, r.Host, r.ContentType, r.Tag, r.Body,
-				r.Epoch, r.Executor, r.NeverRan, r.Answer)
+				segment, size, r.Kind, r.Kind, r.ID, stamp(r.At), r.JobClass, stamp(r.Deadline), r.Work, r.URI, r.Host, r.ContentType, r.IdempotencyKey, r.Body,
+				r.Epoch, r.Executor, r.NeverRan, r.Outcome)
 			records = append(records, r)
 		})
 		if err != nil {
@@ -186,7 +186,7 @@
 
 // equal compares records as they are on disk: times are floating-point seconds there, rounded to microseconds.
 func equal(a, b store.Record) bool {
-	same := a.At.Round(time.Microsecond).Equal(b.At) && a.Limit.Equal(b.Limit) && bytes.Equal(a.Body, b.Body)
-	a.At, a.Limit, a.Body, b.At, b.Limit, b.Body = time.Time{}, time.Time{}, nil, time.Time{}, time.Time{}, nil
+	same := a.At.Round(time.Microsecond).Equal(b.At) && a.Deadline.Equal(b.Deadline) && bytes.Equal(a.Body, b.Body)
+	a.At, a.Deadline, a.Body, b.At, b.Deadline, b.Body = time.Time{}, time.Time{}, nil, time.Time{}, time.Time{}, nil
 	return same && fmt.Sprint(a) == fmt.Sprint(b)
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -12,11 +12,11 @@
 
 // The kinds of records, in the order in which a job has them. After the last one nothing is left of the job.
 const (
-	Accepted Kind = iota + 1 // a batch job was accepted
-	Sent                     // an attempt is about to be sent, under Epoch
-	Over                     // that attempt has ended; NeverRan: provably without having run
-	Final                    // the job's final answer
-	LetGo                    // nobody needs the job any more
+	Accepted       Kind = iota + 1 // a batch job was accepted
+	AttemptStarted                 // an attempt is about to be sent, under Epoch
+	AttemptEnded                   // that attempt has ended; NeverRan: provably without having run
+	Final                          // the job's final answer
+	Released                       // nobody needs the job any more
 )
 
 var kindNames = [...]string{"", "accepted", "sent", "over", "final", "let go"}
@@ -37,21 +37,21 @@
 	At   time.Time `cbor:"3,keyasint"`
 
 	// Of an accepted job: its request.
-	Track       string        `cbor:"4,keyasint,omitempty"` // the job class
-	Limit       time.Time     `cbor:"5,keyasint,omitzero"`  // the deadline
-	Work        time.Duration `cbor:"6,keyasint,omitempty"` // as the client estimates it
-	URI         string        `cbor:"7,keyasint,omitempty"`
-	Host        string        `cbor:"8,keyasint,omitempty"`
-	ContentType string        `cbor:"9,keyasint,omitempty"`
-	Tag         string        `cbor:"10,keyasint,omitempty"` // the idempotency key
-	Body        []byte        `cbor:"11,keyasint,omitempty"` // of the request, or with the final answer that of the result
+	JobClass       string        `cbor:"4,keyasint,omitempty"` // the job class
+	Deadline       time.Time     `cbor:"5,keyasint,omitzero"`  // the deadline
+	Work           time.Duration `cbor:"6,keyasint,omitempty"` // as the client estimates it
+	URI            string        `cbor:"7,keyasint,omitempty"`
+	Host           string        `cbor:"8,keyasint,omitempty"`
+	ContentType    string        `cbor:"9,keyasint,omitempty"`
+	IdempotencyKey string        `cbor:"10,keyasint,omitempty"` // the idempotency key
+	Body           []byte        `cbor:"11,keyasint,omitempty"` // of the request, or with the final answer that of the result
 
 	// Of the start and the end of an attempt.
 	Epoch    uint32 `cbor:"12,keyasint,omitempty"`
 	Executor string `cbor:"13,keyasint,omitempty"`
 	NeverRan bool   `cbor:"14,keyasint,omitempty"`
 
-	Answer uint8 `cbor:"15,keyasint,omitempty"` // the outcome, with the final answer: as package leases numbers them
+	Outcome uint8 `cbor:"15,keyasint,omitempty"` // the outcome, with the final answer: as package leases numbers them
 }
 
 const maxRecordBytes = 1 << 20
@@ -83,7 +83,7 @@
 	if err != nil {
 		return r, nil, fmt.Errorf("a frame whose checksum holds makes no sense: %w", err)
 	}
-	if r.Kind < Accepted || r.Kind > LetGo || r.ID == "" {
+	if r.Kind < Accepted || r.Kind > Released || r.ID == "" {
 		return r, nil, fmt.Errorf("a record whose checksum holds is of kind %d and about %q", r.Kind, r.ID)
 	}
 	return r, rest, nil
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// State is what the records of a batch job add up to.
-type State struct {
+// JobState is what the records of a batch job add up to.
+type JobState struct {
 	Accepted *Record // never changed
-	Sends    []Attempt
+	Attempts []Attempt
 	Final    *Record
 }
 
@@ -14,58 +14,58 @@
 	Epoch    uint32
 	Executor string
 	At       time.Time
-	Over     bool // it has ended
+	Ended    bool // it has ended
 	NeverRan bool // provably
 }
 
 // JobStates are the states of all batch jobs, by their IDs.
-type JobStates map[string]*State
+type JobStates map[string]*JobState
 
 // Apply applies a record; records must come in the order of the log. One about a job that is not there, or not any more, has no effect.
 func (s JobStates) Apply(r Record) {
 	job := s[r.ID]
 	if job == nil {
 		if r.Kind == Accepted {
-			s[r.ID] = &State{Accepted: &r}
+			s[r.ID] = &JobState{Accepted: &r}
 		}
 		return
 	}
 	switch r.Kind {
-	case Sent:
+	case AttemptStarted:
 		if job.attempt(r.Epoch) == nil {
-			job.Sends = append(job.Sends, Attempt{Epoch: r.Epoch, Executor: r.Executor, At: r.At})
+			job.Attempts = append(job.Attempts, Attempt{Epoch: r.Epoch, Executor: r.Executor, At: r.At})
 		}
-	case Over:
+	case AttemptEnded:
 		if attempt := job.attempt(r.Epoch); attempt != nil {
-			attempt.Over, attempt.NeverRan = true, r.NeverRan
+			attempt.Ended, attempt.NeverRan = true, r.NeverRan
 		}
 	case Final:
 		if job.Final == nil {
 			job.Final = &r
 		}
-	case LetGo:
+	case Released:
 		delete(s, r.ID)
 	}
 }
 
 // attempt is the attempt under an epoch, or nil.
-func (s *State) attempt(epoch uint32) *Attempt {
-	for i := range s.Sends {
-		if s.Sends[i].Epoch == epoch {
-			return &s.Sends[i]
+func (s *JobState) attempt(epoch uint32) *Attempt {
+	for i := range s.Attempts {
+		if s.Attempts[i].Epoch == epoch {
+			return &s.Attempts[i]
 		}
 	}
 	return nil
 }
 
 // Records are records that add up to the state, in order.
-func (s *State) Records() []Record {
+func (s *JobState) Records() []Record {
 	records := []Record{*s.Accepted}
-	for _, a := range s.Sends {
-		r := Record{Kind: Sent, ID: s.Accepted.ID, At: a.At, Epoch: a.Epoch, Executor: a.Executor}
+	for _, a := range s.Attempts {
+		r := Record{Kind: AttemptStarted, ID: s.Accepted.ID, At: a.At, Epoch: a.Epoch, Executor: a.Executor}
 		records = append(records, r)
-		if a.Over {
-			r.Kind, r.NeverRan = Over, a.NeverRan
+		if a.Ended {
+			r.Kind, r.NeverRan = AttemptEnded, a.NeverRan
 			records = append(records, r)
 		}
 	}
@@ -76,8 +76,8 @@
 }
 
 // clone is a copy whose attempts are its own.
-func (s *State) clone() State {
+func (s *JobState) clone() JobState {
 	c := *s
-	c.Sends = append([]Attempt(nil), s.Sends...)
+	c.Attempts = append([]Attempt(nil), s.Attempts...)
 	return c
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -8,8 +8,8 @@
 
 // Options bound a store.
 type Options struct {
-	Segment int64 // size of a segment in bytes, about: one that has reached it gets no more frames
-	Most    int64 // size of all segments in bytes, over which no new job is accepted; 0 for no bound
+	SegmentBytes int64 // size of a segment in bytes, about: one that has reached it gets no more frames
+	MaxBytes     int64 // size of all segments in bytes, over which no new job is accepted; 0 for no bound
 }
 
 // Store is an open store. Its methods are safe for concurrent use, but for Compact.
@@ -82,19 +82,19 @@
 }
 
 // Get is the state of a batch job on disk.
-func (s *Store) Get(id string) (State, bool) {
+func (s *Store) Get(id string) (JobState, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if job := s.jobs[id]; job != nil {
 		return job.clone(), true
 	}
-	return State{}, false
+	return JobState{}, false
 }
 
-// All calls each with the state of every batch job, in no order.
-func (s *Store) All(each func(State)) {
+// ForEach calls each with the state of every batch job, in no order.
+func (s *Store) ForEach(each func(JobState)) {
 	s.mu.Lock()
-	var jobs []State
+	var jobs []JobState
 	for _, job := range s.jobs {
 		jobs = append(jobs, job.clone())
 	}
@@ -113,8 +113,8 @@
 	Failed   error // wraps ErrFailed; nil while all is well
 }
 
-// Figures are the store's current stats.
-func (s *Store) Figures() Stats {
+// Stats are the store's current stats.
+func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Stats{
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -27,20 +27,20 @@
 }
 
 func accepted(id string, body int) store.Record {
-	return store.Record{Kind: store.Accepted, ID: id, At: day, Track: "verify", Limit: day.Add(time.Hour), Body: make([]byte, body)}
+	return store.Record{Kind: store.Accepted, ID: id, At: day, JobClass: "verify", Deadline: day.Add(time.Hour), Body: make([]byte, body)}
 }
 
 // describeState prints the state of a batch job.
-func describeState(st store.State) string {
+func describeState(st store.JobState) string {
 	s := fmt.Sprintf("%s %d bytes", st.Accepted.ID, len(st.Accepted.Body))
-	for _, a := range st.Sends {
+	for _, a := range st.Attempts {
 		s += fmt.Sprintf(" sent %d", a.Epoch)
-		if a.Over {
+		if a.Ended {
 			s += fmt.Sprintf(" over %v", a.NeverRan)
 		}
 	}
 	if st.Final != nil {
-		s += fmt.Sprintf(" final %d", st.Final.Answer)
+		s += fmt.Sprintf(" final %d", st.Final.Outcome)
 	}
 	return s
 }
@@ -76,7 +76,7 @@
 
 // playLife opens the store, checks it, appends records of new jobs, and closes it or crashes.
 func (c *crashTest) playLife() error {
-	s, err := store.Open(c.disk, store.Options{Segment: 1500, Most: 1 << 20})
+	s, err := store.Open(c.disk, store.Options{SegmentBytes: 1500, MaxBytes: 1 << 20})
 	if err != nil {
 		return fmt.Errorf("open: %w", err)
 	}
@@ -113,12 +113,12 @@
 		case !ok && c.tried["gone "+id]:
 		case !ok:
 			return fmt.Errorf("%s was acknowledged and is lost", id)
-		case a.sent && len(st.Sends) == 0 || a.over && !st.Sends[0].Over || a.final && st.Final == nil:
+		case a.sent && len(st.Attempts) == 0 || a.over && !st.Attempts[0].Ended || a.final && st.Final == nil:
 			return fmt.Errorf("%s came back as %q, without what was acknowledged: %+v", id, describeState(st), *a)
 		}
 	}
 	var wrong error
-	s.All(func(st store.State) {
+	s.ForEach(func(st store.JobState) {
 		if !c.tried[st.Accepted.ID] {
 			wrong = fmt.Errorf("%s was never written", describeState(st))
 		}
@@ -134,9 +134,9 @@
 	c.tried[id] = true
 	c.append(s, accepted(id, c.rand.IntN(200)), func() { a.accepted = true; c.acked[id] = a })
 	if c.rand.IntN(2) == 0 {
-		c.append(s, store.Record{Kind: store.Sent, ID: id, At: day, Epoch: 1, Executor: "e"}, func() { a.sent = true })
+		c.append(s, store.Record{Kind: store.AttemptStarted, ID: id, At: day, Epoch: 1, Executor: "e"}, func() { a.sent = true })
 		if c.rand.IntN(2) == 0 {
-			c.append(s, store.Record{Kind: store.Over, ID: id, At: day, Epoch: 1, NeverRan: true}, func() { a.over = true })
+			c.append(s, store.Record{Kind: store.AttemptEnded, ID: id, At: day, Epoch: 1, NeverRan: true}, func() { a.over = true })
 		}
 	}
 	if c.rand.IntN(3) == 0 {
@@ -145,7 +145,7 @@
 			c.mu.Lock()
 			c.tried["gone "+id] = true
 			c.mu.Unlock()
-			c.append(s, store.Record{Kind: store.LetGo, ID: id, At: day}, func() { a.gone = true })
+			c.append(s, store.Record{Kind: store.Released, ID: id, At: day}, func() { a.gone = true })
 		}
 	}
 }
@@ -185,7 +185,7 @@
 // TestFailedSync checks that a failed sync is final: nothing is acknowledged after it, and all before it is recovered.
 func TestFailedSync(t *testing.T) {
 	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
-	s, err := store.Open(disk, store.Options{Segment: 1 << 20})
+	s, err := store.Open(disk, store.Options{SegmentBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,11 +198,11 @@
 			t.Errorf("%s after a failed sync: %v", id, err)
 		}
 	}
-	if !errors.Is(s.Figures().Failed, store.ErrFailed) {
+	if !errors.Is(s.Stats().Failed, store.ErrFailed) {
 		t.Error("the figures don't tell")
 	}
 	disk.Crash()
-	if s, err = store.Open(disk, store.Options{Segment: 1 << 20}); err != nil {
+	if s, err = store.Open(disk, store.Options{SegmentBytes: 1 << 20}); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := s.Get("a"); !ok {
@@ -217,7 +217,7 @@
 // rejects new jobs, and still accepts records of those that it has.
 func TestRoom(t *testing.T) {
 	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
-	s, _ := store.Open(disk, store.Options{Segment: 1 << 20, Most: 2000})
+	s, _ := store.Open(disk, store.Options{SegmentBytes: 1 << 20, MaxBytes: 2000})
 	var err error
 	count := 0
 	for ; err == nil && count < 100; count++ {
@@ -234,12 +234,12 @@
 		t.Errorf("a full disk: %v", err)
 	}
 	disk.Crash()
-	if _, err = store.Open(disk, store.Options{Segment: 1 << 20}); err == nil {
+	if _, err = store.Open(disk, store.Options{SegmentBytes: 1 << 20}); err == nil {
 		t.Error("a disk without room lets a store open")
 	}
 	disk.Crash()
 	disk.Room = -1
-	if s, err = store.Open(disk, store.Options{Segment: 1 << 20}); err != nil {
+	if s, err = store.Open(disk, store.Options{SegmentBytes: 1 << 20}); err != nil {
 		t.Fatal(err)
 	}
 	if st, ok := s.Get("j0"); !ok || st.Final == nil {
@@ -252,7 +252,7 @@
 	dir := t.TempDir()
 	fill := func(segments int) {
 		for i := range segments {
-			s, err := store.Open(store.Directory(dir), store.Options{Segment: 1 << 20})
+			s, err := store.Open(store.Directory(dir), store.Options{SegmentBytes: 1 << 20})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -267,7 +267,7 @@
 		}
 	}
 	open := func() error {
-		s, err := store.Open(store.Directory(dir), store.Options{Segment: 1 << 20})
+		s, err := store.Open(store.Directory(dir), store.Options{SegmentBytes: 1 << 20})
 		if err != nil {
 			return err
 		}
@@ -321,7 +321,7 @@
 // FuzzSegment checks that no bytes make the scan panic, and none bring back a record that was never written.
 func FuzzSegment(f *testing.F) {
 	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
-	s, err := store.Open(disk, store.Options{Segment: 1 << 20})
+	s, err := store.Open(disk, store.Options{SegmentBytes: 1 << 20})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -330,7 +330,7 @@
 			f.Fatal(err)
 		}
 	}
-	if err := appendTo(s, store.Record{Kind: store.Sent, ID: "a", At: day, Epoch: 1, Executor: "e"}); err != nil {
+	if err := appendTo(s, store.Record{Kind: store.AttemptStarted, ID: "a", At: day, Epoch: 1, Executor: "e"}); err != nil {
 		f.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -388,12 +388,12 @@
 			})
 		}
 		b.Run(fmt.Sprintf("log/clients=%d", clients), func(b *testing.B) {
-			s, err := store.Open(store.Directory(b.TempDir()), store.Options{Segment: 64 << 20, Most: 4 << 30})
+			s, err := store.Open(store.Directory(b.TempDir()), store.Options{SegmentBytes: 64 << 20, MaxBytes: 4 << 30})
 			if err != nil {
 				b.Fatal(err)
 			}
 			each(b, func(id string) error { return appendTo(s, accepted(id, 1024)) })
-			b.ReportMetric(float64(s.Figures().Syncs)/float64(b.N), "syncs/job")
+			b.ReportMetric(float64(s.Stats().Syncs)/float64(b.N), "syncs/job")
 			if err := s.Close(); err != nil {
 				b.Fatal(err)
 			}
