--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,10 +8,10 @@
 	unhintedMargin      = 1.25 // likewise without an estimate, and for work sent to an executor in slow start
 	budgetMarginStep    = 0.05 // by which a tenant's budgetMargin falls with each success
 	budgetMarginRise    = 4    // steps by which it rises with each timeout
-	maxBudgetMargin     = 1.5
-	maxShortBudgetRatio = 0.3 // of a tenant's first tries with short budgets, from which on a short budget tells of no earlier try
-	maxClientRetries    = 3.0 // times that a rejected job is taken to come again
-	shortBudgetDivisor  = 2   // a budget under the deadline over this is short
+	maxBudgetMargin     = 1.5  // of the predicted running time
+	maxShortBudgetRatio = 0.3  // of a tenant's first tries with short budgets, from which on a short budget tells of no earlier try
+	maxClientRetries    = 3.0  // times that a rejected job is taken to come again
+	shortBudgetDivisor  = 2    // a budget under the deadline over this is short
 )
 
 // newJob makes a job of an arrival. Without the client's estimate its work is the class's running average.
@@ -37,7 +37,7 @@
 	}
 	if arrival.Tenant >= 0 && int(arrival.Tenant) < len(d.tenants) {
 		j.tenant = &d.tenants[arrival.Tenant]
-		j.tenant.arrivals++
+		j.tenant.recordArrival()
 	}
 	return j
 }
@@ -51,8 +51,7 @@
 // gives up is wasted.
 func (d *Dispatcher) spentBudget(j *job, arrival Arrival) time.Duration {
 	class := j.class
-	class.fullBudget = max(class.fullBudget, arrival.Budget)
-	lacking := class.fullBudget - arrival.Budget
+	lacking := class.recordBudget(arrival.Budget)
 	isShort := lacking > d.config.quantum
 	class.recordArrival(isShort)
 	impatient := d.config.clientsMarkRetries && d.fromImpatientClient(j, arrival, lacking)
@@ -91,7 +90,7 @@
 // The Retry-After of shed jobs is spread over the upper half of its range, so that they do not come back together.
 func (d *Dispatcher) rejectOrFail(j *job) Decision {
 	d.removeJob(j)
-	j.class.rejectedFirstTries += oneIf(j.firstTry)
+	j.class.recordRejected(j.firstTry)
 	if j.shed {
 		return Decision{Action: Reject, RetryAfter: scaled(d.config.retryAfter, (1+d.rng.next())/2)}
 	}
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Dispatcher decides for one node which executor gets which batch job, and when. It is not safe for concurrent use: one
+// Dispatcher decides for one node which executor gets which job, and when. It is not safe for concurrent use: one
 // goroutine, the reducer's, owns it. Each field below belongs to one rule, which stands in the file of the same name.
 type Dispatcher struct {
 	config config
@@ -65,7 +65,7 @@
 	return d
 }
 
-// JobArrived admits a job that a client sent to this node: it is queued, and decided on by the Place that NextTask asks
+// JobArrived takes up a job that a client sent to this node: it is queued, and decided on by the Place that NextTask asks
 // for in the same turn. A Work of 0 means that the client gave no estimate.
 func (d *Dispatcher) JobArrived(now time.Duration, arrival Arrival) {
 	d.beginTurn(now)
@@ -160,8 +160,7 @@
 	a.waitedAtExecutor = wait > d.classes.checkInterval
 	d.recordStartWait(e, a, wait)
 	if now >= e.slowStart.until {
-		kind := d.endpoints.kinds[e.kind]
-		kind.concurrency = max(kind.concurrency, e.runningCount())
+		d.endpoints.kinds[e.kind].observeConcurrency(e.runningCount())
 	}
 	e.queuing.recordStart(a.tenantID)
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -118,8 +118,9 @@
 		d.endpoints.add(e)
 	}
 	d.markDirty(e)
-	moved := e.zone != entry.Zone || e.kind != entry.Kind
-	d.subset.rezoned = d.subset.rezoned || e.indexed.subsetRank >= 0 && moved
+	if e.zone != entry.Zone || e.kind != entry.Kind {
+		d.subset.noteMoved(e)
+	}
 	weight := max(entry.Weight, minWeight)
 	d.addKind(entry.Kind, weight)
 	restarted := !entry.StartedLongAgo && (isNew || entry.StartedAt > e.started)
@@ -176,7 +177,7 @@
 	d.slowStart.add(e, now)
 	e.slowStart.begin(until)
 	e.health.restart()
-	e.estimate.startWait = 0
+	e.estimate.forgetStartWait()
 }
 
 // spreadPolls sets when the endpoint list is polled, given the time within which a node must have it. Many nodes begin one
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -50,7 +50,7 @@
 		d.recordProbeAnswer(e, load, now)
 	} else if inTime && e.health.suspect {
 		// The check was refused at once, so the machine is up: the next attempt that fails will tell.
-		d.subset.changed = d.subset.changed || e.health.unresponsive
+		d.subset.noteRecovery(e.health.unresponsive)
 		e.health.unresponsive = false
 		d.subset.recheck()
 	}
--- a/policy/job.go
+++ b/policy/job.go
@@ -5,7 +5,7 @@
 // minSlack is the least slack that a job is taken to have, in seconds.
 const minSlack = 1e-3
 
-// job is a batch job in hand.
+// job is a batch job that this node has in hand.
 type job struct {
 	id       JobID
 	class    *jobClass
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -63,6 +63,15 @@
 	t.meanWork = scaled(t.meanWork, 1-weight) + scaled(ran, weight)
 }
 
+// recordBudget records the budget of a job that arrived, and returns what it lacks of the full budget.
+func (t *jobClass) recordBudget(budget time.Duration) time.Duration {
+	t.fullBudget = max(t.fullBudget, budget)
+	return t.fullBudget - budget
+}
+
+// recordRejected records a job that is rejected or fails.
+func (t *jobClass) recordRejected(firstTry bool) { t.rejectedFirstTries += oneIf(firstTry) }
+
 // recordArrival records a job, and whether it came with less than the full budget.
 func (t *jobClass) recordArrival(isShort bool) {
 	t.shortBudgets = t.shortBudgets*budgetCountDecay + oneIf(isShort)
@@ -140,11 +149,11 @@
 		}
 	}
 	d.classes.derive(d.config.quantum)
-	d.values.worstClass = nil
+	d.values.forgetWorstClass()
 	d.subset.invalidate()
 	d.queue.rescan()
 	d.markAllDirty(d.endpoints.ranked) // the rates at which tokens age depend on the shortest objective
-	d.quota.intervalEnd = min(d.quota.intervalEnd, now+d.classes.quotaInterval)
+	d.quota.endIntervalBy(now + d.classes.quotaInterval)
 }
 
 // firstGuess returns a class's mean work while nothing is known of it. Where the objective does not grow with the work, a
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -36,6 +36,9 @@
 	k.pace = max(k.pace, minPace)
 }
 
+// observeConcurrency records how many jobs of this node run at once at an executor of the kind.
+func (k *kindStats) observeConcurrency(running int) { k.concurrency = max(k.concurrency, running) }
+
 // observeReport updates the slots by a load report. While jobs wait, the number of them is told roughly, so that only a
 // report of none is exact.
 func (k *kindStats) observeReport(slots, queued float64) {
@@ -66,6 +69,9 @@
 // observeStartWait updates the start wait. It follows quickly, since a jam must be seen before it is fed.
 func (s *estimate) observeStartWait(wait time.Duration) { s.startWait = (s.startWait + wait) / 2 }
 
+// forgetStartWait drops the start wait, when the executor has started again.
+func (s *estimate) forgetStartWait() { s.startWait = 0 }
+
 // meanPace returns the running time for a unit of work, given the kind's pace as one observation of one unit.
 func (s *estimate) meanPace(kindPace float64) float64 { return (s.runTime + kindPace) / (s.work + 1) }
 
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -109,10 +109,7 @@
 // send what one of few did.
 func (d *Dispatcher) ImportLearned(now time.Duration, learned LearnedState) {
 	sameNodes := learned.Nodes == 0 || learned.Nodes == d.config.nodeCount
-	if learned.MeanValue > 0 && learned.MeanDensity > 0 {
-		d.values.mean = learned.MeanValue
-		d.values.meanDensity = learned.MeanDensity
-	}
+	d.values.adopt(learned.MeanValue, learned.MeanDensity)
 	for _, in := range learned.Classes {
 		if in.ID >= 0 && int(in.ID) < len(d.classes.all) {
 			d.classes.all[in.ID].adopt(in, sameNodes)
@@ -164,11 +161,8 @@
 	}
 	e.estimate.runTime = in.RunTime
 	e.estimate.work = in.Work
-	e.health.timeouts = in.Timeouts
 	d.markDirty(e)
-	if in.EjectedFor > 0 || in.InFlightCap > 0 {
-		e.health.ejectedUntil = now + in.EjectedFor
-		e.health.inFlightCap = max(1, in.InFlightCap)
+	if e.health.adopt(in.Timeouts, in.InFlightCap, in.EjectedFor, now) {
 		d.timers.checkAll(e.health.ejectedUntil)
 	}
 	if !sameNodes {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -61,8 +61,8 @@
 // rejection in a row. In an overload it would otherwise be taken and rejected again and again.
 func (d *Dispatcher) restToken(e *executor, runTime, now time.Duration) {
 	d.returnLease(e, now, true)
-	e.health.rejections++
-	d.timers.releaseToken(now+scaled(runTime, fullTokenRest*float64(e.health.rejections)), e)
+	inRow := e.health.recordRejection()
+	d.timers.releaseToken(now+scaled(runTime, fullTokenRest*float64(inRow)), e)
 }
 
 // recordAbandoned records an attempt that this node stopped waiting for. The executor may still be at work on it, so its token
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -27,6 +27,9 @@
 	awaited           bool          // it is in healthChecks.awaitingReply
 }
 
+// awaitSign begins to wait for a sign of life, when the first attempt goes out.
+func (h *health) awaitSign(now time.Duration) { h.lastSeen = now }
+
 // isEjected reports whether an ejection is in force.
 func (h *health) isEjected(now time.Duration) bool { return h.ejectedUntil > now }
 
@@ -64,6 +67,23 @@
 	}
 }
 
+// recordRejection counts an attempt that was rejected as full, and returns how many were in a row.
+func (h *health) recordRejection() int {
+	h.rejections++
+	return h.rejections
+}
+
+// adopt takes over what another process of this node knows, and reports whether an ejection or a cap comes with it.
+func (h *health) adopt(timeouts, inFlightCap int, ejectedFor, now time.Duration) bool {
+	h.timeouts = timeouts
+	if ejectedFor <= 0 && inFlightCap <= 0 {
+		return false
+	}
+	h.ejectedUntil = now + ejectedFor
+	h.inFlightCap = max(1, inFlightCap)
+	return true
+}
+
 // recordAlive records a sign of life.
 func (h *health) recordAlive(now time.Duration) {
 	h.lastSeen = now
@@ -123,6 +143,6 @@
 
 // recordAlive records a sign of life of e, which is as good as an answer to a health check.
 func (d *Dispatcher) recordAlive(e *executor, now time.Duration) {
-	d.subset.changed = d.subset.changed || e.health.unresponsive
+	d.subset.noteRecovery(e.health.unresponsive)
 	e.health.recordAlive(now)
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -44,9 +44,9 @@
 	d.queue.remove(j)
 	// A job past its objective waits because others go first, not for lack of tokens: only the time before counts.
 	waitedUntil := min(now, j.objectiveAt-j.work)
-	e.queuing.inQueue += max(0, waitedUntil-j.queuedAt)
+	e.queuing.recordQueued(max(0, waitedUntil-j.queuedAt))
 	if len(e.attempts) == 0 {
-		e.health.lastSeen = now
+		e.health.awaitSign(now)
 	}
 	a := &attempt{job: j, number: AttemptID(j.attemptCount), executor: e, zone: e.zone, cell: e.cell, sentAt: now}
 	d.takeToken(e, a)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -22,6 +22,9 @@
 	intervalEnd time.Duration
 }
 
+// endIntervalBy lets the running interval end at that time, unless it ends before.
+func (q *quotaState) endIntervalBy(at time.Duration) { q.intervalEnd = min(q.intervalEnd, at) }
+
 // add gives an executor its number among those that got tokens.
 func (q *quotaState) add(e *executor) {
 	q.joined++
@@ -49,6 +52,13 @@
 	joined         int             // its number among those that got tokens; 0: it has none
 }
 
+// begin sets the first quota: a token for each given time, since when it is free.
+func (t *tokens) begin(freeSince []time.Duration) {
+	t.quota = len(freeSince)
+	t.free = freeSince
+	slices.Sort(t.free)
+}
+
 // total returns the number of tokens, free and taken. It may exceed a quota that was lowered.
 func (t *tokens) total() int { return t.taken + len(t.free) }
 
@@ -97,6 +107,16 @@
 	startedOthers  bool          // others were started meanwhile
 }
 
+// recordQueued adds the time that a job waited in this node's queue.
+func (q *queuing) recordQueued(wait time.Duration) { q.inQueue += wait }
+
+// recordStartWait adds the time that an attempt waited at the executor, and whether its job waited longer than its slack
+// allows.
+func (q *queuing) recordStartWait(wait time.Duration, overTarget bool) {
+	q.atExecutor += wait
+	q.overTarget = q.overTarget || overTarget
+}
+
 // recordFull records an attempt that the executor rejected as full, though it would have run for that long.
 func (q *queuing) recordFull(tenant TenantID, runTime time.Duration) {
 	q.fullForSeveral = q.fullForSeveral || q.sawFull && q.fullTenant != tenant
@@ -247,11 +267,8 @@
 func (d *Dispatcher) recordStartWait(e *executor, a *attempt, wait time.Duration) {
 	wait = max(0, wait-d.config.quantum)
 	e.estimate.observeStartWait(wait)
-	e.queuing.atExecutor += wait
 	d.recordZoneWait(e, wait)
 	totalWait := a.sentAt - a.queuedAt + wait
 	slack := a.objectiveAt - a.arrivedAt - a.work
-	if totalWait > scaled(slack, slackTargetFraction) {
-		e.queuing.overTarget = true
-	}
+	e.queuing.recordStartWait(wait, totalWait > scaled(slack, slackTargetFraction))
 }
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What is larger than any installation is served: 100,000 tenants without shares, and a list of 100,000 executors.
+// TestSizes checks sizes beyond any installation: 100,000 tenants without quotas, and an endpoint list of 100,000 executors.
 func TestSizes(t *testing.T) {
 	d := New(Settings{Nodes: 9, Node: 4, Quantum: time.Millisecond, MaxAttempts: 2, OverQuotaValue: 0.5,
 		Tenants:    make([]Tenant, 100_000),
@@ -17,13 +17,13 @@
 	}
 	d.UpdateEndpoints(0, CompleteUpdate, list)
 	now := time.Duration(0)
-	d.NextTask(now) // the slice is picked
+	d.NextTask(now) // the subset is picked
 	for i := range 20 {
 		id := JobID(fmt.Sprint(i))
 		now += 300 * time.Millisecond
 		d.JobArrived(now, Arrival{Job: id, Tenant: TenantID(5000 * i), Work: 100 * time.Millisecond, Budget: 2 * time.Second})
 		if got := d.Place(now, id); got.Action != Send {
-			t.Fatalf("batch job %d: %+v", i, got)
+			t.Fatalf("job %d: %+v", i, got)
 		}
 		d.AttemptStarted(now, id, 0)
 		d.AttemptEnded(now+100*time.Millisecond, id, 0, Succeeded, true)
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"slices"
 	"time"
 )
 
@@ -33,6 +32,16 @@
 	s.changed = true
 }
 
+// noteRecovery records that an executor shows a sign of life, which changes the subset if it was unresponsive.
+func (s *subset) noteRecovery(wasUnresponsive bool) { s.changed = s.changed || wasUnresponsive }
+
+// noteMoved records that an executor has another zone or kind by the endpoint list.
+func (s *subset) noteMoved(e *executor) {
+	if e.indexed.subsetRank >= 0 {
+		s.rezoned = true
+	}
+}
+
 // usesSubset reports whether there are so many nodes that each uses a part of the executors.
 func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
@@ -119,14 +128,15 @@
 	}
 	d.fillMeanQuotas(means)
 	mean := means[e.kind]
-	e.tokens.quota = cmp.Or(e.tokens.inheritedQuota, mean.or(initialQuota))
-	means[e.kind] = mean.with(e.tokens.quota)
+	quota := cmp.Or(e.tokens.inheritedQuota, mean.or(initialQuota))
+	means[e.kind] = mean.with(quota)
 	d.quota.add(e)
 	d.markDirty(e)
-	for range e.tokens.quota {
-		e.tokens.free = append(e.tokens.free, now-scaled(d.classes.quotaInterval, d.rng.next()))
+	freeSince := make([]time.Duration, quota)
+	for i := range freeSince {
+		freeSince[i] = now - scaled(d.classes.quotaInterval, d.rng.next())
 	}
-	slices.Sort(e.tokens.free)
+	e.tokens.begin(freeSince)
 }
 
 // beginSubset empties the subset and returns its members until now.
--- a/policy/value.go
+++ b/policy/value.go
@@ -36,6 +36,17 @@
 	shortBudgetRatio float64 // fraction of its marked first tries that came with less than the full budget
 }
 
+// forgetWorstClass is for a change of the classes: until the next interval ends, no class counts as the worst.
+func (v *valueAverages) forgetWorstClass() { v.worstClass = nil }
+
+// adopt takes over the mean values that another process has learned, if there are any.
+func (v *valueAverages) adopt(mean, meanDensity float64) {
+	if mean > 0 && meanDensity > 0 {
+		v.mean = mean
+		v.meanDensity = meanDensity
+	}
+}
+
 // valueOf returns the value of a job: its class's, times its work in seconds where value is paid for work.
 func (d *Dispatcher) valueOf(j *job) float64 {
 	if d.config.valuePerWork {
@@ -138,6 +149,9 @@
 	}
 }
 
+// recordArrival counts a job of the tenant.
+func (t *tenant) recordArrival() { t.arrivals++ }
+
 // updateRate updates a tenant's rate by its arrivals in an interval of that many seconds.
 func (t *tenant) updateRate(interval float64) {
 	t.rate = t.rate*tenantRateDecay + float64(t.arrivals)/interval*(1-tenantRateDecay)
