--- a/policy/latency.go
+++ b/policy/latency.go
@@ -69,6 +69,15 @@
 // observeStartWait updates the start wait. It follows quickly, since a jam must be seen before it is fed.
 func (s *estimate) observeStartWait(wait time.Duration) { s.startWait = (s.startWait + wait) / 2 }
 
+// adopt takes over a running time and the work done in it, both in seconds, that another process has seen.
+func (s *estimate) adopt(runTime, work float64) {
+	s.runTime = runTime
+	s.work = work
+}
+
+// adoptStartWait takes over the start wait that another process has seen.
+func (s *estimate) adoptStartWait(wait time.Duration) { s.startWait = max(0, wait) }
+
 // forgetStartWait drops the start wait, when the executor has started again.
 func (s *estimate) forgetStartWait() { s.startWait = 0 }
 
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -159,8 +159,7 @@
 	if now < e.slowStart.until || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
 		return
 	}
-	e.estimate.runTime = in.RunTime
-	e.estimate.work = in.Work
+	e.estimate.adopt(in.RunTime, in.Work)
 	d.markDirty(e)
 	if e.health.adopt(in.Timeouts, in.InFlightCap, in.EjectedFor, now) {
 		d.timers.checkAll(e.health.ejectedUntil)
@@ -168,8 +167,8 @@
 	if !sameNodes {
 		return
 	}
-	e.estimate.startWait = max(0, in.StartWait)
-	e.tokens.inheritedQuota = min(in.Quota, maxQuota)
+	e.estimate.adoptStartWait(in.StartWait)
+	e.tokens.inherit(in.Quota)
 	for e.tokens.quota > 0 && e.tokens.quota < e.tokens.inheritedQuota {
 		d.raiseQuota(e, now)
 	}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -52,6 +52,9 @@
 	joined         int             // its number among those that got tokens; 0: it has none
 }
 
+// inherit records the quota that another process gave the executor, for when it joins the subset here.
+func (t *tokens) inherit(quota int) { t.inheritedQuota = min(quota, maxQuota) }
+
 // begin sets the first quota: a token for each given time, since when it is free.
 func (t *tokens) begin(freeSince []time.Duration) {
 	t.quota = len(freeSince)
