--- a/internal/frontend/codec.go
+++ b/internal/frontend/codec.go
@@ -12,34 +12,36 @@
 	"birchstair/policy"
 )
 
-// The protocol's words; none of them goes beyond this file.
+// The protocol between clients and the node. Its headers and texts occur in this file alone.
 
 const (
-	readyPath         = "/-/ready"
-	maxHeaderBytes    = 16 << 10
-	maxBodyBytes      = 64 << 10
-	maxIDBytes        = 128
-	readHeaderTimeout = 2500 * time.Millisecond // a message's head that has not come by then does not come
-	readTimeout       = 2700 * time.Millisecond // nor does its body
-	writeTimeout      = 5 * time.Second         // an answer that has not gone out by then does not
-	idleTimeout       = 5 * time.Minute         // a connection that rests so long is let go
+	readyPath = "/-/ready"
+
+	maxHeaderBytes = 16 << 10
+	maxBodyBytes   = 64 << 10
+	maxIDBytes     = 128
+
+	readHeaderTimeout = 2500 * time.Millisecond // from a request's first byte to the end of its head
+	readTimeout       = 2700 * time.Millisecond // from a request's first byte to the end of its body
+	writeTimeout      = 5 * time.Second         // for an answer
+	idleTimeout       = 5 * time.Minute         // between requests on a connection
 )
 
-// singleHeaders are the words that may stand in a head once only: a second one could mean something else to an executor.
+// singleHeaders may occur once in a request: an executor could go by another value of a header that occurs twice.
 var singleHeaders = [...]string{"X-Call-Id", "X-Call-Class", "X-Budget-Ms", "X-Call-Cost", "X-Again", "Idempotency-Key"}
 
-// requestError is why a message is no batch job.
+// requestError is the answer to a request that is not a valid batch job.
 type requestError struct {
 	status    int
 	reason    string
-	closeConn bool // what stands behind its head may be a body or the next message: nothing of it is read as either
+	closeConn bool // it is not certain where the request ends: nothing more may be read from its connection
 }
 
-func (w *requestError) writeTo(to http.ResponseWriter) {
-	if w.closeConn {
-		to.Header().Set("Connection", "close")
+func (e *requestError) writeTo(w http.ResponseWriter) {
+	if e.closeConn {
+		w.Header().Set("Connection", "close")
 	}
-	http.Error(to, w.reason, w.status)
+	http.Error(w, e.reason, e.status)
 }
 
 func badRequest(format string, args ...any) *requestError {
@@ -55,61 +57,91 @@
 	unsupportedVersion = &requestError{http.StatusHTTPVersionNotSupported, "batch jobs come by HTTP/1.1", true}
 )
 
-func (f *Server) serveReadiness(w http.ResponseWriter, r *http.Request) {
+// serveReadiness answers load balancers.
+func (s *Server) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead:
 		http.Error(w, "readiness is asked for by GET", http.StatusMethodNotAllowed)
-	case !f.ready.Load() || f.conns.isDraining():
+	case !s.ready.Load() || s.conns.isDraining():
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 	}
 }
 
-// decode reads a batch job.
-func (f *Server) decode(w http.ResponseWriter, r *http.Request) (job node.Job, no *requestError) {
+// decode reads a batch job, its body included.
+func (s *Server) decode(w http.ResponseWriter, r *http.Request) (job node.Job, invalid *requestError) {
 	if r.Method != http.MethodPost {
 		return job, &requestError{http.StatusMethodNotAllowed, "batch jobs come by POST", false}
 	}
-	if !r.ProtoAtLeast(1, 1) { // net/http drops its chunks and keeps to the Content-Length
+	if !r.ProtoAtLeast(1, 1) { // net/http ignores chunks in HTTP/1.0 and goes by the Content-Length
 		return job, unsupportedVersion
 	}
-	h := r.Header
 	for _, name := range singleHeaders {
-		if len(h[name]) > 1 {
+		if len(r.Header[name]) > 1 {
 			return job, badRequest("%s: there more than once", name)
 		}
 	}
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return job, badRequest("the path is missing")
 	}
-	job.Request = node.Request{ID: policy.JobID(h.Get("X-Call-Id")), Method: r.Method, URI: r.RequestURI, Host: r.Host,
-		ContentType: h.Get("Content-Type"), IdempotencyKey: h.Get("Idempotency-Key")}
+	if job, invalid = s.decodeHeader(r); invalid != nil {
+		return job, invalid
+	}
+	job.Body, invalid = readBody(w, r)
+	return job, invalid
+}
+
+// decodeHeader reads all of a batch job but its body.
+func (s *Server) decodeHeader(r *http.Request) (job node.Job, invalid *requestError) {
+	h := r.Header
+	job.Request = node.Request{
+		ID:             policy.JobID(h.Get("X-Call-Id")),
+		Method:         r.Method,
+		URI:            r.RequestURI,
+		Host:           r.Host,
+		ContentType:    h.Get("Content-Type"),
+		IdempotencyKey: h.Get("Idempotency-Key"),
+	}
 	if job.ID == "" || len(job.ID) > maxIDBytes {
 		return job, badRequest("X-Call-Id: missing, or over %d bytes", maxIDBytes)
 	}
-	track, ok := (*f.jobClasses.Load())[h.Get("X-Call-Class")]
+	class, ok := (*s.jobClasses.Load())[h.Get("X-Call-Class")]
 	if !ok {
 		return job, badRequest("X-Call-Class: no track is called %.40q", h.Get("X-Call-Class"))
 	}
-	if job.Class = track.id; len(job.IdempotencyKey) > maxIDBytes || track.requiresKey && job.IdempotencyKey == "" {
+	job.Class = class.id
+	if len(job.IdempotencyKey) > maxIDBytes || class.requiresKey && job.IdempotencyKey == "" {
 		return job, badRequest("Idempotency-Key: missing, or over %d bytes", maxIDBytes)
 	}
-	text := h.Get("X-Budget-Ms")
-	budget, err := strconv.ParseInt(text, 10, 32)
-	if err != nil || budget <= 0 {
-		return job, badRequest("X-Budget-Ms: %.40q is not a whole number over 0", text)
-	}
-	// A client that waits longer than the outer limit gets its answer by then all the same.
-	job.Budget = min(time.Duration(budget)*time.Millisecond, track.deadline)
-	if text = h.Get("X-Call-Cost"); text != "" {
-		cost, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(cost >= 0 && cost < 1e12) {
-			return job, badRequest("X-Call-Cost: %.40q is not a number of microseconds", text)
-		}
-		job.Work = time.Duration(cost * float64(time.Microsecond))
+	if job.Budget, invalid = decodeBudget(h.Get("X-Budget-Ms"), class.deadline); invalid != nil {
+		return job, invalid
+	}
+	if job.Work, invalid = decodeCost(h.Get("X-Call-Cost")); invalid != nil {
+		return job, invalid
 	}
 	job.ClientRetry = h.Get("X-Again") == "1"
-	job.Body, no = readBody(w, r)
-	return job, no
+	return job, nil
+}
+
+// decodeBudget reads how long a client waits. One that waits longer than the class's deadline is answered by then all the
+// same.
+func decodeBudget(text string, deadline time.Duration) (time.Duration, *requestError) {
+	ms, err := strconv.ParseInt(text, 10, 32)
+	if err != nil || ms <= 0 {
+		return 0, badRequest("X-Budget-Ms: %.40q is not a whole number over 0", text)
+	}
+	return min(time.Duration(ms)*time.Millisecond, deadline), nil
+}
+
+// decodeCost reads the client's estimate of the work, which may be missing.
+func decodeCost(text string) (time.Duration, *requestError) {
+	if text == "" {
+		return 0, nil
+	}
+	us, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(us >= 0 && us < 1e12) { // NaN is neither
+		return 0, badRequest("X-Call-Cost: %.40q is not a number of microseconds", text)
+	}
+	return time.Duration(us * float64(time.Microsecond)), nil
 }
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *requestError) {
@@ -127,12 +159,12 @@
 	case len(body) > maxBodyBytes:
 		return nil, bodyTooLarge
 	}
-	// From here on reading tells of nothing but the client's leaving.
+	// From here on a read ends only by the client's close or its next request.
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// writeAnswer gives the final answer.
+// writeAnswer writes a final answer.
 func writeAnswer(w http.ResponseWriter, a node.Answer) {
 	h := w.Header()
 	switch a.Final {
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -300,7 +300,7 @@
 				stop.Go()
 			}
 			if !far {
-				c.front.conns.spareReadAhead.Store(0) // as where others have taken it
+				c.front.conns.sharedReadAhead.Store(0) // as where others have taken it
 			}
 			from.send(leave.early)
 			switch {
@@ -326,7 +326,7 @@
 				t.Errorf("told %q and %d more, not %q", got, len(c.told), want)
 			}
 			if far {
-				c.until("what it took of the spare bytes is given back", func() bool { return c.front.conns.spareReadAhead.Load() == totalSpareReadAhead })
+				c.until("what it took of the spare bytes is given back", func() bool { return c.front.conns.sharedReadAhead.Load() == maxSharedReadAhead })
 			}
 		})
 	}
@@ -374,7 +374,7 @@
 			from.send(job(fmt.Sprint("handled-", i+1), "Content-Length: 30000") + strings.Repeat("b", 30000))
 		}
 	}()
-	c.until("it is read far ahead", func() bool { return c.front.conns.spareReadAhead.Load() <= totalSpareReadAhead-10*30000 })
+	c.until("it is read far ahead", func() bool { return c.front.conns.sharedReadAhead.Load() <= maxSharedReadAhead-10*30000 })
 	c.front.Answer(node.Answer{Job: "wait-0", Result: []byte("the result")})
 	c.answer(from)
 	for i := range next {
@@ -387,7 +387,7 @@
 		t.Errorf("%d answers of %d", got, next+1)
 	}
 	from.Close()
-	c.until("what it took of the spare bytes is given back", func() bool { return c.front.conns.spareReadAhead.Load() == totalSpareReadAhead })
+	c.until("what it took of the spare bytes is given back", func() bool { return c.front.conns.sharedReadAhead.Load() == maxSharedReadAhead })
 }
 
 // Nobody takes batch jobs any more: what comes whole at that moment is pushed back, and what comes on a connection that was
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,381 +1,224 @@
+// Package frontend serves clients: it reads batch jobs from their connections, passes them to the reducer, and writes
+// the final answers.
+//
+// Each request is handled in net/http's goroutine of its connection, which waits for the final answer (server.go).
+// connTable (conn_table.go) keeps the number of connections within its limits and closes idle ones when the node drains
+// or shuts down (shutdown.go). clientConn (client_conn.go) wraps each connection so that it is closed only where that
+// loses no request, and so that a client that disconnects is noticed. The protocol's text is in codec.go alone.
 package frontend
 
 import (
-	"container/list"
 	"context"
-	"errors"
 	"net"
 	"net/http"
-	"os"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"birchstair/internal/node"
+	"birchstair/policy"
 )
 
-const (
-	defaultCloseTimeout = 300 * time.Millisecond // answers on their way out have so long, and again what comes when nobody takes any more
-	closeIdleInterval   = 20 * time.Millisecond
-	handoffGrace        = 400 * time.Millisecond // clients' connections that rest are left to them for so long in an upgrade
+// Server reads batch jobs from clients and answers them. Its exported methods may be called from any goroutine, unless
+// they say otherwise; those of node.Frontend are called by the reducer's loop and do not block.
+type Server struct {
+	post       func(node.Event)
+	jobClasses atomic.Pointer[map[string]jobClass] // by name; replaced as a whole, never changed
+	http       http.Server
+	conns      *connTable
+	ready      atomic.Bool
+	stopped    chan struct{} // closed when the reducer has ended: nobody answers any more
 
-	// While clients are sent away: the front stops new connections within 0.3 s, and clients' own next batch jobs end
-	// theirs; after 4 s none may rest or hold a batch job of the last 2 s.
-	drainGrace   = 1600 * time.Millisecond // what rests by then is let go
-	newConnGrace = 200 * time.Millisecond  // and what comes later without a message
-)
-
-// Serve takes connections until the front is closed.
-func (f *Server) Serve(l net.Listener) error {
-	if err := f.http.Serve(f.conns.wrapListener(l)); !errors.Is(err, http.ErrServerClosed) {
-		return err
-	}
-	return nil
-}
-
-// BeginLameDuck tells clients with every answer to go elsewhere from now on, and lets those go that rest. What still
-// comes is taken. Where another process has taken over, clients first have time to end theirs with their next batch job.
-func (f *Server) BeginLameDuck() {
-	over := f.conns.isAcceptPaused()
-	if !over && f.conns.enterLameDuck() == 0 {
-		return
-	}
-	go func() {
-		if over {
-			time.Sleep(handoffGrace)
-		}
-		for f.conns.enterLameDuck() > 0 { // one that has just begun to rest may have missed it
-			time.Sleep(closeIdleInterval)
-		}
-	}()
-}
+	closeTimeout time.Duration // how long Close waits for answers that are being written
 
-// DrainClients is not ready and ends clients' connections, until it is over: each with its next answer, and those that rest
-// once clients have had time to go elsewhere. Guards against closing under a batch job that is just being sent.
-func (f *Server) DrainClients(on bool) {
-	if !f.conns.setDraining(on) {
-		return
-	}
-	go func() {
-		time.Sleep(drainGrace)
-		for f.conns.closeDrained() {
-			time.Sleep(closeIdleInterval)
-		}
-	}()
+	mu             sync.Mutex
+	pending        map[policy.JobID]chan node.Answer // batch jobs whose handler waits
+	prefixHandlers map[string]http.Handler           // by path prefix; read-only once Serve is called
 }
 
-// Close waits for the answers on their way out, then tells that nothing is left. Connections that are let go are waited for first:
-// Shutdown closes those that rest outright. Guards against a message that has arrived on one whose owner is late to look.
-func (f *Server) Close() {
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), f.closeTimeout)
-		defer cancel()
-		f.conns.closeIdleAndWait(f.closeTimeout)
-		f.http.Shutdown(ctx) //nolint:errcheck // End closes what is left by the deadline
-		f.post(node.FrontendClosed{})
-	}()
-}
-
-// Stop is called when nobody takes batch jobs any more: what still comes is pushed back, since nothing of it was sent, and
-// the process must not end under it. Guards against clients that send their first message just then.
-func (f *Server) Stop() {
-	f.conns.enterLameDuck() // first: from here on each answer says that its connection closes
-	close(f.stopped)
-	f.conns.closeNewAndWait(defaultCloseTimeout)
-	f.http.Close()
-}
-
-// connTable keeps the connections from clients within their budget. Strangers, on which no batch job has come whole yet, may
-// hold a quarter of it while others want it. Over the budget the stranger goes that came first, or, where they are few,
-// the connection that has rested longest; only where none rests batch jobs are pushed back. From an eighth beyond it on,
-// connections wait to be taken. Guards against floods of connections that say nothing, or ask once and stay: they must
-// not cost usual clients their places.
-type connTable struct {
-	net.Listener
-	limits                        ConnLimits
-	maxConns, acceptLimit, maxNew int
-	spareReadAhead                atomic.Int64 // bytes that may be read ahead beyond what each connection may
-
-	mu           sync.Mutex
-	changed      *sync.Cond
-	open         int
-	entries      map[net.Conn]*connEntry
-	newConns     *list.List // of *place, those that came first at the front
-	idleConns    *list.List // of those that are known and rest, those that have rested longest at the front
-	closingConns *list.List // of those that are let go and not closed yet
+// connContextKey is the key of a request's clientConn in its context.
+type connContextKey struct{}
 
-	lameDuck         bool // the node ends: no connection rests any more
-	shuttingDown     bool // and nothing is in hand any more: the front closes
-	draining         bool // clients are sent away
-	acceptPaused     bool // another process takes new connections
-	drainLoopRunning bool // somebody lets them go, one after another
-	closed           bool
+// jobClass is what the server has to know of a job class to read its batch jobs.
+type jobClass struct {
+	id          policy.JobClassID
+	deadline    time.Duration // a longer budget of a client is cut to it
+	requiresKey bool          // its batch jobs carry an idempotency key
 }
 
-// connEntry is a connection's place at the gate.
-type connEntry struct {
-	conn       *clientConn
-	list       *list.List // which of them it is in, or nil while it is owed an answer
-	element    *list.Element
-	hadRequest bool // a batch job has come on it
-	openedAt   time.Time
-}
-
-func newConnTable(all ConnLimits) *connTable {
-	g := &connTable{limits: all, entries: map[net.Conn]*connEntry{},
-		newConns: list.New(), idleConns: list.New(), closingConns: list.New()}
-	g.changed = sync.NewCond(&g.mu)
-	g.spareReadAhead.Store(totalSpareReadAhead)
-	g.setShared(false)
-	return g
-}
-
-// wrapListener takes a listener over. Whether this process takes new connections may be known already, or change just now.
-func (g *connTable) wrapListener(l net.Listener) net.Listener {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.Listener = l
-	g.updateAcceptDeadline()
-	return g
-}
-
-// AcceptConnections says whether this process takes new connections; another process of the node takes them where it does not.
-func (f *Server) AcceptConnections(yes bool) { f.conns.setAccepting(yes) }
-
-// ConnLimits is how many connections from clients there may be: Half of them while another process of the node lives.
-type ConnLimits struct{ Max, MaxShared int }
-
-// HalveLimits lets this process hold half of its connections, or all again.
-func (f *Server) HalveLimits(half bool) { f.conns.setShared(half) }
-
-// Accept waits for room, and for this process's turn, first.
-func (g *connTable) Accept() (net.Conn, error) {
-	for {
-		g.mu.Lock()
-		for (g.open >= g.acceptLimit || g.acceptPaused) && !g.closed {
-			g.changed.Wait()
-		}
-		g.mu.Unlock()
-		c, err := g.Listener.Accept()
-		if err == nil {
-			return &clientConn{Conn: c, spareReadAhead: &g.spareReadAhead}, nil
-		}
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // else it is to look again
-			return nil, err
-		}
+// New returns a server for these job classes that keeps to these limits. It passes what happens to post, which must not
+// block.
+func New(classes []node.NumberedClass, limits ConnLimits, post func(node.Event)) *Server {
+	s := &Server{
+		post:         post,
+		conns:        newConnTable(limits),
+		stopped:      make(chan struct{}),
+		closeTimeout: defaultCloseTimeout,
+		pending:      map[policy.JobID]chan node.Answer{},
 	}
-}
-
-// setAccepting begins or ends taking connections. A socket that both processes listen on keeps those that wait for the other.
-func (g *connTable) setAccepting(yes bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.acceptPaused = !yes
-	g.updateAcceptDeadline()
-	g.changed.Broadcast()
-}
-
-// deadliner is a listener whose accept can be given up, as net.TCPListener.
-type deadliner interface{ SetDeadline(time.Time) error }
-
-// updateAcceptDeadline has the listener wait as long as it is to.
-func (g *connTable) updateAcceptDeadline() {
-	if l, ok := g.Listener.(deadliner); ok {
-		at := time.Time{}
-		if g.acceptPaused {
-			at = time.Unix(1, 0)
-		}
-		l.SetDeadline(at)
+	s.UpdateJobClasses(classes)
+	s.http = http.Server{
+		Handler:                      http.HandlerFunc(s.handle),
+		ConnState:                    s.conns.onStateChange,
+		DisableGeneralOptionsHandler: true, // OPTIONS * must reach handle, which counts each request
+		// Both count from the first byte on, so that a client cannot hold a connection by sending ever more slowly.
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, c)
+		},
 	}
+	return s
 }
 
-func (g *connTable) setShared(half bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.maxConns = g.limits.Max
-	if half {
-		g.maxConns = g.limits.MaxShared
+// HandlePrefix passes requests whose path begins with prefix to another handler. It must be called before Serve. Limits
+// on connections, header and time apply to them as to batch jobs.
+func (s *Server) HandlePrefix(prefix string, handler http.Handler) {
+	if s.prefixHandlers == nil {
+		s.prefixHandlers = map[string]http.Handler{}
 	}
-	g.acceptLimit, g.maxNew = g.maxConns+max(1, g.maxConns/8), max(1, g.maxConns/4)
-	g.changed.Broadcast()
-	g.evict(g.open - g.closingConns.Len() - g.maxConns)
-}
-
-func (g *connTable) Close() error {
-	g.mu.Lock()
-	g.closed = true
-	g.changed.Broadcast()
-	g.mu.Unlock()
-	return g.Listener.Close()
+	s.prefixHandlers[prefix] = handler
 }
 
-// onStateChange follows a connection from its start to its end.
-func (g *connTable) onStateChange(c net.Conn, state http.ConnState) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	p := g.entries[c]
-	switch state {
-	case http.StateNew:
-		p = &connEntry{conn: c.(*clientConn), openedAt: time.Now()}
-		g.entries[c] = p
-		g.open++
-		g.moveTo(p, g.newConns)
-	case http.StateActive: // a message's head has come
-		if p.hadRequest {
-			g.moveTo(p, nil)
-		}
-	case http.StateIdle:
-		p.conn.becameIdle()
-		if g.lameDuck || p.list == g.closingConns {
-			g.startClosing(p, closeIfIdle) // what its client may have sent by now is still taken
-		} else if p.hadRequest {
-			g.moveTo(p, g.idleConns)
-		}
-	case http.StateClosed, http.StateHijacked:
-		p.conn.markClosed()
-		g.moveTo(p, nil)
-		delete(g.entries, c)
-		g.open--
-		g.changed.Broadcast()
+// UpdateJobClasses replaces the job classes. A batch job that has been read keeps the class that it was read with.
+func (s *Server) UpdateJobClasses(classes []node.NumberedClass) {
+	byName := map[string]jobClass{}
+	for _, c := range classes {
+		byName[c.Name] = jobClass{c.ID, c.Deadline, c.Idempotency == policy.IdempotentWithKey}
 	}
-	g.evict(g.open - g.closingConns.Len() - g.maxConns)
+	s.jobClasses.Store(&byName)
 }
 
-func (g *connTable) moveTo(p *connEntry, in *list.List) {
-	if p.list != nil {
-		p.list.Remove(p.element)
-	}
-	if p.list = in; in != nil {
-		p.element = in.PushBack(p)
-	}
-	if in != g.closingConns {
-		p.conn.keepOpen()
-	}
-}
+// SetReady sets what the readiness endpoint answers, unless clients are being drained: then it is not ready.
+func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// startClosing lets a connection go.
-func (g *connTable) startClosing(p *connEntry, how closeMode) {
-	g.moveTo(p, g.closingConns)
-	p.conn.closeWhenSafe(how)
-}
-
-// requestReceived says that a batch job has come whole on a connection: it keeps its place until it has its answer. It gives
-// whether there are too many of those.
-func (g *connTable) requestReceived(c net.Conn) (crowded bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if p := g.entries[c]; p != nil {
-		p.hadRequest = true
-		g.moveTo(p, nil) // it may have been let go just before: another goes in its place
-		g.evict(g.open - g.closingConns.Len() - g.maxConns)
-	}
-	return g.overLimit()
-}
+// AcceptConnections starts or stops accepting connections. While this process does not, another process of the node
+// accepts them from the same socket.
+func (s *Server) AcceptConnections(accept bool) { s.conns.setAccepting(accept) }
 
-func (g *connTable) overLimit() bool { return g.open-g.closingConns.Len() > g.maxConns }
+// HalveLimits switches to the limits for two processes of the node (ConnLimits.MaxShared), or back.
+func (s *Server) HalveLimits(half bool) { s.conns.setShared(half) }
 
-// closesAfterAnswer says whether clients are to go elsewhere with their next batch job.
-func (g *connTable) closesAfterAnswer() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.lameDuck || g.draining || g.acceptPaused || g.overLimit()
-}
-
-// isAcceptPaused says whether another process takes new connections.
-func (g *connTable) isAcceptPaused() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.acceptPaused
+// Answer passes a final answer to the handler that waits for it, if one still does.
+func (s *Server) Answer(a node.Answer) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if handler := s.pending[a.Job]; handler != nil {
+		delete(s.pending, a.Job)
+		handler <- a
+	}
 }
 
-// evict lets connections go that are silent, by their owner: a read that is over wakes it up, and it closes them.
-func (g *connTable) evict(n int) {
-	for ; n > 0; n-- {
-		from, how := g.idleConns, closeIfIdle
-		if g.newConns.Len() > g.maxNew {
-			from, how = g.newConns, closeIfIncomplete
-		}
-		if from.Len() == 0 {
-			break
-		}
-		g.startClosing(from.Front().Value.(*connEntry), how)
+// register returns the channel that a batch job's final answer comes on, or nil where one of this id is pending already.
+func (s *Server) register(id policy.JobID) chan node.Answer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.pending[id] != nil {
+		return nil
 	}
-}
+	answer := make(chan node.Answer, 1)
+	s.pending[id] = answer
+	return answer
+}
 
-// isDraining says whether clients are sent away.
-func (g *connTable) isDraining() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.draining
+func (s *Server) unregister(id policy.JobID) {
+	s.mu.Lock()
+	delete(s.pending, id)
+	s.mu.Unlock()
 }
 
-// closeIdleLocked moves all that are known and rest to those that leave.
-func (g *connTable) closeIdleLocked() {
-	for g.idleConns.Len() > 0 {
-		g.startClosing(g.idleConns.Front().Value.(*connEntry), closeIfIdle)
+// handle serves one request, in the goroutine of its connection.
+func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
+	s.setConnectionClose(w)
+	conn := r.Context().Value(connContextKey{}).(*clientConn)
+	if chunksOnly := conn.nextRequest(); r.ContentLength < 0 {
+		if !chunksOnly {
+			lengthAndChunks.writeTo(w)
+			return
+		}
+		// The framer does not follow chunks, so nothing may be read behind them.
+		w.Header().Set("Connection", "close")
 	}
-}
-
-// closeNewAndWait lets strangers go as well, after end, and waits until they have or the spell is over.
-func (g *connTable) closeNewAndWait(spell time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for g.newConns.Len() > 0 {
-		g.startClosing(g.newConns.Front().Value.(*connEntry), closeIfIdle)
+	if r.URL.Path == readyPath {
+		s.serveReadiness(w, r)
+		return
 	}
-	by := time.Now().Add(spell)
-	defer time.AfterFunc(spell, g.changed.Broadcast).Stop()
-	for g.open > 0 && time.Now().Before(by) {
-		g.changed.Wait()
+	for prefix, handler := range s.prefixHandlers {
+		if strings.HasPrefix(r.URL.Path, prefix) {
+			if r.ContentLength < 0 {
+				chunksNotAllowed.writeTo(w)
+				return
+			}
+			handler.ServeHTTP(w, r)
+			return
+		}
 	}
-}
-
-// closeIdleAndWait lets all go that are known and rest, and waits until they have or the time is over.
-func (g *connTable) closeIdleAndWait(within time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.lameDuck, g.shuttingDown = true, true
-	g.closeIdleLocked()
-	by := time.Now().Add(within)
-	defer time.AfterFunc(within, g.changed.Broadcast).Stop()
-	for g.closingConns.Len() > 0 && time.Now().Before(by) {
-		g.changed.Wait()
+	job, invalid := s.decode(w, r)
+	if invalid != nil {
+		invalid.writeTo(w)
+		return
 	}
+	s.serveJob(w, r, conn, job)
 }
 
-// enterLameDuck lets all go that are known and rest, and says how many there are still.
-func (g *connTable) enterLameDuck() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.lameDuck = true
-	g.closeIdleLocked()
-	return g.closingConns.Len()
-}
-
-// setDraining begins to send clients away, or ends that. It says whether somebody is to let them go from now on.
-func (g *connTable) setDraining(on bool) (begin bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.draining = on
-	begin = on && !g.drainLoopRunning
-	g.drainLoopRunning = g.drainLoopRunning || on
-	return begin
-}
-
-// closeDrained lets all go that rest, or have come and said nothing; it says whether that goes on.
-func (g *connTable) closeDrained() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.draining {
-		g.drainLoopRunning = false
-		return false
-	}
-	g.closeIdleLocked()
-	for e := g.newConns.Front(); e != nil; {
-		p := e.Value.(*connEntry)
-		if e = e.Next(); time.Since(p.openedAt) >= newConnGrace {
-			g.startClosing(p, closeIfIdle)
-		}
+// serveJob passes a batch job on and writes its final answer.
+func (s *Server) serveJob(w http.ResponseWriter, r *http.Request, conn *clientConn, job node.Job) {
+	answer := s.register(job.ID)
+	if answer == nil {
+		s.post(node.JobDeclined{Class: job.Class})
+		duplicateID.writeTo(w)
+		return
 	}
-	return true
+	job.NearConnectionLimit = s.conns.requestReceived(conn)
+	client := conn.beginWait()
+	defer conn.endWait()
+	job.Client = client
+	s.post(node.JobArrived{Job: job})
+	final, left := s.awaitAnswer(r.Context(), client, job.ID, answer)
+	s.setConnectionClose(w)
+	if left {
+		w.Header().Set("Connection", "close") // nobody wants an answer to what it has sent beyond this
+	}
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	writeAnswer(w, final)
+}
+
+// setConnectionClose ends the connection with this answer where the node drains, shuts down or has too many connections.
+func (s *Server) setConnectionClose(w http.ResponseWriter) {
+	if s.conns.closesAfterAnswer() {
+		w.Header().Set("Connection", "close")
+	}
+}
+
+// awaitAnswer returns the final answer. Where the client leaves first, it is a failure: a client that has only half-closed
+// its connection reads that, rather than the empty answer of a handler that writes nothing. Where the reducer has ended,
+// it never looked at the batch job, which is rejected. left: the client has left, and whatever else it has sent on the
+// connection is dropped.
+func (s *Server) awaitAnswer(ctx context.Context, client *waitingClient, id policy.JobID, answer chan node.Answer) (a node.Answer, left bool) {
+	defer client.finished.Store(true)
+	stopped := false
+	select {
+	case a := <-answer:
+		return a, false
+	case <-ctx.Done():
+	case <-client.disconnected:
+		left = true
+	case <-s.stopped:
+		stopped = true
+	}
+	client.finished.Store(true) // before the event is posted: the reducer may be late to read it
+	s.unregister(id)
+	select {
+	case a := <-answer: // it came at the same moment
+		return a, left
+	default:
+	}
+	if stopped {
+		return node.Answer{Job: id, Final: node.Rejected}, false
+	}
+	s.post(node.ClientLeft{Job: id, Client: client})
+	return node.Answer{Job: id, Final: node.Failed}, left
 }
