--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -74,8 +74,8 @@
 	loop.Observe = s.Tap
 	core := node.New(s.Module, s.Limits, Tracks(s.Settings))
 	front := frontend.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Post)
-	pool := upstream.New(s.Executors, s.Settings.TellsLoad(), upstream.Probing{Path: s.Settings.Probe.Path,
-		Limit: s.Settings.Probe.Limit, Told: s.Settings.Told()}, loop.Post)
+	pool := upstream.New(s.Executors, s.Settings.TellsLoad(), upstream.ProbeConfig{Path: s.Settings.Probe.Path,
+		Timeout: s.Settings.Probe.Limit, Fields: s.Settings.Told()}, loop.Post)
 	patience := discovery.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
 	patience.Seed = uint64(s.Settings.Policy.Seed)<<32 | uint64(uint32(s.Settings.Policy.Node))
 	watcher := discovery.New(discovery.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Post)
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -13,19 +13,19 @@
 
 // The protocol's words; none of them goes beyond this file.
 
-// encode writes an allocation as it goes over the wire.
-func encode(a node.Attempt) []byte {
+// encodeRequest writes an allocation as it goes over the wire.
+func encodeRequest(a node.Attempt) []byte {
 	b := make([]byte, 0, 320+len(a.URI)+len(a.Body))
 	b = append(b, a.Method...)
 	b = append(b, ' ')
 	b = append(b, a.URI...)
 	b = append(b, " HTTP/1.1\r\n"...)
-	b = field(b, "Host", a.Host)
-	b = field(b, "X-Call-Id", string(a.ID))
-	b = field(b, "Idempotency-Key", a.IdempotencyKey)
-	b = field(b, "Content-Type", a.ContentType)
+	b = appendHeader(b, "Host", a.Host)
+	b = appendHeader(b, "X-Call-Id", string(a.ID))
+	b = appendHeader(b, "Idempotency-Key", a.IdempotencyKey)
+	b = appendHeader(b, "Content-Type", a.ContentType)
 	if a.Epoch > 0 {
-		b = field(b, "X-Lease-Epoch", strconv.FormatUint(uint64(a.Epoch), 10))
+		b = appendHeader(b, "X-Lease-Epoch", strconv.FormatUint(uint64(a.Epoch), 10))
 	}
 	b = append(b, "X-Budget-Ms: "...)
 	b = strconv.AppendInt(b, max(1, a.Budget.Milliseconds()), 10)
@@ -35,7 +35,7 @@
 	return append(b, a.Body...)
 }
 
-func field(b []byte, name, value string) []byte {
+func appendHeader(b []byte, name, value string) []byte {
 	if value == "" {
 		return b
 	}
@@ -45,22 +45,22 @@
 	return append(b, '\r', '\n')
 }
 
-// object is a line of an answer.
-type object struct {
-	news    bool // it has started or goes on
-	share   float64
-	ended   bool
-	outcome policy.Outcome
-	result  []byte
-	load    node.Load
+// responseLine is a line of an answer.
+type responseLine struct {
+	progressed bool // it has started or goes on
+	progress   float64
+	ended      bool
+	outcome    policy.Outcome
+	result     []byte
+	load       node.Load
 }
 
-var ends = map[string]policy.Outcome{
+var finalStates = map[string]policy.Outcome{
 	"done": policy.Succeeded, "failed": policy.ExecutorError, "returned": policy.ExecutorFull, "lost": policy.ConnectionLost,
 }
 
-// decode reads a line. A state that is not known is passed over: another line ends the answer.
-func (p *Pool) decode(line []byte, job policy.JobID) (o object, err error) {
+// decodeLine reads a line. A state that is not known is passed over: another line ends the answer.
+func (p *Pool) decodeLine(line []byte, job policy.JobID) (o responseLine, err error) {
 	var w struct {
 		ID     policy.JobID
 		State  string
@@ -74,14 +74,14 @@
 	if w.ID != job {
 		return o, fmt.Errorf("a line about another batch job, %q", w.ID)
 	}
-	o.load = p.loadFrom(w.Load)
+	o.load = p.loadFromValues(w.Load)
 	switch w.State {
 	case "started":
-		o.news = true
+		o.progressed = true
 	case "running":
-		o.news, o.share = true, min(max(w.Share, 0), 1)
+		o.progressed, o.progress = true, min(max(w.Share, 0), 1)
 	default:
-		o.outcome, o.ended = ends[w.State]
+		o.outcome, o.ended = finalStates[w.State]
 	}
 	if o.ended && o.outcome == policy.Succeeded {
 		if len(w.Result) == 0 {
@@ -97,8 +97,8 @@
 	return o, nil
 }
 
-// outcomeOf reads an answer that is no stream of lines. One that the protocol does not know may have run.
-func outcomeOf(answer *http.Response) (policy.Outcome, string) {
+// outcomeOfStatus reads an answer that is no stream of lines. One that the protocol does not know may have run.
+func outcomeOfStatus(answer *http.Response) (policy.Outcome, string) {
 	switch answer.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if answer.Header.Get("X-Rejected") == "1" {
@@ -115,34 +115,36 @@
 
 // A load report's values may go by the settings' names or by the protocol's. One that no executor could have makes
 // the report count as none.
-const mostLoad = 1e6
+const maxLoadValue = 1e6
 
-var loadNames = [3][2]string{{"inflight", "active"}, {"queue", "waiting"}, {"x0", "x0"}}
+var loadFields = [3][2]string{{"inflight", "active"}, {"queue", "waiting"}, {"x0", "x0"}}
 
-func (p *Pool) loadFrom(values map[string]float64) (load node.Load) {
-	if !p.reports {
+func (p *Pool) loadFromValues(values map[string]float64) (load node.Load) {
+	if !p.usesReports {
 		return load
 	}
 	var x [3]float64
-	for i, names := range loadNames {
+	for i, names := range loadFields {
 		ok := false
 		if x[i], ok = values[names[0]]; !ok {
 			if x[i], ok = values[names[1]]; !ok {
 				return load
 			}
 		}
-		if !(x[i] >= 0 && x[i] <= mostLoad) {
+		if !(x[i] >= 0 && x[i] <= maxLoadValue) {
 			return load
 		}
 	}
 	return node.Load{Load: policy.Load{InFlight: x[0], Queued: x[1], FreeSlots: x[2], FreeMemory: -1, RunTime: -1}, Known: true}
 }
 
-// loadOf reads a load report in an answer's head.
-func (p *Pool) loadOf(header string) node.Load { return p.loadFrom(reportOf(header)) }
+// loadFromHeader reads a load report in an answer's head.
+func (p *Pool) loadFromHeader(header string) node.Load {
+	return p.loadFromValues(parseLoadReport(header))
+}
 
-// reportOf reads a load report in a head: TEXT name=value, name=value.
-func reportOf(header string) map[string]float64 {
+// parseLoadReport reads a load report in a head: TEXT name=value, name=value.
+func parseLoadReport(header string) map[string]float64 {
 	text, ok := strings.CutPrefix(header, "TEXT ")
 	if !ok {
 		return nil
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -33,7 +33,7 @@
 			Epoch: 4294967295, Body: []byte("x")}, Budget: time.Hour}},
 		{"no host, past its deadline", node.Attempt{Request: &node.Request{ID: "page-2", Method: "POST", URI: "/"}, Budget: -time.Second}},
 	} {
-		fmt.Fprintf(&out, "%s: %q\n", c.name, encode(c.attempt))
+		fmt.Fprintf(&out, "%s: %q\n", c.name, encodeRequest(c.attempt))
 	}
 	fmt.Fprintf(&out, "load probe: %q\n", probeBytes(t))
 	golden.Compare(t, "request.txt", out.String())
@@ -60,7 +60,7 @@
 			}
 		}()
 		return here, nil
-	}, true, Probing{Path: "/load?now", Limit: 20 * time.Second}, func(ev node.Event) { ended <- ev })
+	}, true, ProbeConfig{Path: "/load?now", Timeout: 20 * time.Second}, func(ev node.Event) { ended <- ev })
 	pool.Probe("executor-1", "10.0.0.1:80")
 	<-ended // comes after the executor's close, and so after its last read
 	return string(read)
@@ -70,7 +70,7 @@
 func TestDecode(t *testing.T) {
 	var out strings.Builder
 	for _, reports := range []bool{true, false} {
-		p := New(nil, reports, Probing{}, nil)
+		p := New(nil, reports, ProbeConfig{}, nil)
 		fmt.Fprintf(&out, "load reports wanted: %t\n", reports)
 		for _, line := range []string{
 			`{"id":"j","state":"started"}`,
@@ -94,8 +94,8 @@
 			`{"id":1}`,
 			`not JSON`,
 		} {
-			o, err := p.decode([]byte(line), "j")
-			fmt.Fprintf(&out, "%s\n%sprogress %t %v, ended %t %s, result %q, %s", line, golden.Arrow, o.news, o.share, o.ended, outcomes[o.outcome], o.result,
+			o, err := p.decodeLine([]byte(line), "j")
+			fmt.Fprintf(&out, "%s\n%sprogress %t %v, ended %t %s, result %q, %s", line, golden.Arrow, o.progressed, o.progress, o.ended, outcomes[o.outcome], o.result,
 				printLoad(o.load))
 			if err != nil {
 				fmt.Fprintf(&out, ", error %v", err)
@@ -104,7 +104,7 @@
 		}
 		for _, head := range []string{"TEXT active=1,waiting=2,x0=3", "TEXT inflight=1, queue=2, x0=3.5, more=4", "TEXT active=1", "TEXT active=a,waiting=2,x0=3",
 			"TEXT active=NaN,waiting=2,x0=3", "active=1,waiting=2,x0=3", ""} {
-			fmt.Fprintf(&out, "X-Load-Report: %s\n%s%s\n", head, golden.Arrow, printLoad(p.loadOf(head)))
+			fmt.Fprintf(&out, "X-Load-Report: %s\n%s%s\n", head, golden.Arrow, printLoad(p.loadFromHeader(head)))
 		}
 	}
 	for code := 200; code < 600; code++ {
@@ -117,7 +117,7 @@
 			if rejected != "" {
 				a.Header.Set("X-Rejected", rejected)
 			}
-			outcome, detail := outcomeOf(a)
+			outcome, detail := outcomeOfStatus(a)
 			if rejected != "" && outcome != policy.ExecutorFull {
 				continue // as without the head
 			}
@@ -167,7 +167,7 @@
 				}
 			}()
 			return here, nil
-		}, true, Probing{Path: "/load", Limit: 20 * time.Second, Told: c.told}, func(ev node.Event) { ended <- ev })
+		}, true, ProbeConfig{Path: "/load", Timeout: 20 * time.Second, Fields: c.told}, func(ev node.Event) { ended <- ev })
 		pool.Probe("executor-1", "10.0.0.1:80")
 		ev := (<-ended).(node.ProbeEnded)
 		fmt.Fprintf(&out, "%s: executor %s, answered %t, %s\n", c.name, ev.Executor, ev.Answered, printLoad(node.Load{Load: ev.Load, Known: true}))
@@ -178,7 +178,7 @@
 // TestDecodedStates holds the states that end an attempt to those that decode knows.
 func TestDecodedStates(t *testing.T) {
 	var states []string
-	for state := range ends {
+	for state := range finalStates {
 		states = append(states, state)
 	}
 	slices.Sort(states)
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -56,7 +56,7 @@
 			return nil, err
 		}
 		return u.halts.Conn(c), nil
-	}, false, Probing{}, func(ev node.Event) {
+	}, false, ProbeConfig{}, func(ev node.Event) {
 		if _, rests := ev.(node.ConnIdle); rests && atRest != nil {
 			atRest(u)
 			atRest = nil
@@ -169,9 +169,9 @@
 		if c.follow {
 			u.says(lines(`{"id":"j2","state":"started"}`))
 		}
-		for l, sent := u.pool.link(1), false; !sent; time.Sleep(time.Millisecond) {
+		for l, sent := u.pool.conn(1), false; !sent; time.Sleep(time.Millisecond) {
 			l.mu.Lock()
-			sent = l.sent
+			sent = l.writeDone
 			l.mu.Unlock()
 		}
 		reads.Go()
@@ -188,14 +188,14 @@
 // Something comes on a connection that is taken for an allocation of which no byte has left: it answers nothing.
 func TestAnswerBeforeAllocation(t *testing.T) {
 	u := use(t, "taken, and not begun", nil)
-	l := u.pool.link(1)
-	if !l.begin(onceOnly("j2")) {
+	l := u.pool.conn(1)
+	if !l.claim(onceOnly("j2")) {
 		t.Fatal("it does not rest")
 	}
 	u.says(answer(stray))
 	u.end()
 	l.write(onceOnly("j2"))
-	if how := <-l.written; how.any {
+	if how := <-l.written; how.started {
 		t.Error("a byte of it left all the same")
 	}
 	golden.Compare(t, "answer-before.txt", u.out.String())
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -17,7 +17,7 @@
 	told := map[string]bool{"inflight": true, "x0": true, "latency_ms": true}
 	ask := func(name, addr string, limit time.Duration) {
 		events := make(chan node.Event, 1)
-		pool := New(TCP(limit), false, Probing{Path: "/load", Limit: limit, Told: told}, func(ev node.Event) { events <- ev })
+		pool := New(TCP(limit), false, ProbeConfig{Path: "/load", Timeout: limit, Fields: told}, func(ev node.Event) { events <- ev })
 		pool.Probe("e1", addr)
 		select {
 		case ev := <-events:
@@ -39,7 +39,7 @@
 		{"nothing at that path", answer("404 Not Found\r\nX-Load-Report: TEXT x0=9")},
 		{"no room for probes", answer("503 Service Unavailable")},
 		{"no HTTP at all", "SSH-2.0-x\r\n\r\n"},
-		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", longestHead/8)},
+		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", maxHeadBytes/8)},
 		{"half a head", "HTTP/1.1 200 O"},
 		{"closed without a word", ""},
 	} {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -13,13 +13,13 @@
 
 // Pool holds the connections by their names. What rests and what is used next the reducer says.
 type Pool struct {
-	tell    func(node.Event)
-	dial    Dialer
-	reports bool // load reports hold what the module wants
-	probing Probing
+	post        func(node.Event)
+	dial        Dialer
+	usesReports bool // load reports hold what the module wants
+	probe       ProbeConfig
 
 	mu    sync.Mutex
-	links map[node.ConnID]*link
+	conns map[node.ConnID]*executorConn
 }
 
 // Dialer opens the connection that is to be called id.
@@ -35,42 +35,42 @@
 }
 
 // New makes an empty pool.
-func New(dial Dialer, reports bool, probing Probing, tell func(node.Event)) *Pool {
-	return &Pool{tell: tell, dial: dial, reports: reports, probing: probing, links: map[node.ConnID]*link{}}
+func New(dial Dialer, reports bool, probing ProbeConfig, tell func(node.Event)) *Pool {
+	return &Pool{post: tell, dial: dial, usesReports: reports, probe: probing, conns: map[node.ConnID]*executorConn{}}
 }
 
 // Dial opens a connection in the background.
 func (p *Pool) Dial(id node.ConnID, addr string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &link{id: id, pool: p, cancel: cancel}
+	l := &executorConn{id: id, pool: p, cancel: cancel}
 	p.mu.Lock()
-	p.links[id] = l
+	p.conns[id] = l
 	p.mu.Unlock()
 	go l.run(ctx, addr)
 }
 
 // Write sends an allocation in the background.
 func (p *Pool) Write(id node.ConnID, a node.Attempt) {
-	if l := p.link(id); l != nil && l.begin(a) {
+	if l := p.conn(id); l != nil && l.claim(a) {
 		go l.write(a)
 	}
 }
 
 // Close ends a connection; what it carried ends with it.
 func (p *Pool) Close(id node.ConnID) {
-	if l := p.link(id); l != nil {
+	if l := p.conn(id); l != nil {
 		l.close()
 	}
 }
 
-func (p *Pool) link(id node.ConnID) *link {
+func (p *Pool) conn(id node.ConnID) *executorConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.links[id]
+	return p.conns[id]
 }
 
 func (p *Pool) forget(id node.ConnID) {
 	p.mu.Lock()
-	delete(p.links, id)
+	delete(p.conns, id)
 	p.mu.Unlock()
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -203,8 +203,8 @@
 		{"a line that is no object", []string{lines(`{"id":`)}},
 		{"a line about another batch job", []string{lines(`{"id":"j9","state":"done","result":"r"}`)}},
 		{"done without a result", []string{lines(`{"id":"j1","state":"done"}`)}},
-		{"a line without end", []string{"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", longestLine+1)}},
-		{"a head without end", []string{"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", longestHead/8)}},
+		{"a line without end", []string{"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxLineBytes+1)}},
+		{"a head without end", []string{"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", maxHeadBytes/8)}},
 		{"no HTTP at all", []string{"SSH-2.0-x\r\n\r\n"}},
 		{"closed while it rests", []string{lines(done)}},
 		{"something that nothing asked for", []string{lines(done), "unasked"}},
@@ -212,7 +212,7 @@
 		p.out.WriteString(c.name + "\n")
 		p.events = make(chan node.Event, 100)
 		addr, got := standIn(t, c.texts...)
-		pool := New(TCP(10*time.Second), true, Probing{}, func(ev node.Event) { p.events <- ev })
+		pool := New(TCP(10*time.Second), true, ProbeConfig{}, func(ev node.Event) { p.events <- ev })
 		pool.Dial(1, addr)
 		for id := 1; ; {
 			ev := p.next(t)
@@ -237,7 +237,7 @@
 // Whether a batch job may have run hangs on its last byte: before that is written it never ran.
 func TestLastByte(t *testing.T) {
 	p := printer{events: make(chan node.Event, 100)}
-	pool := New(TCP(10*time.Second), false, Probing{}, func(ev node.Event) { p.events <- ev })
+	pool := New(TCP(10*time.Second), false, ProbeConfig{}, func(ev node.Event) { p.events <- ev })
 	dial := func(id node.ConnID, addr, what string) {
 		p.out.WriteString(what + "\n")
 		pool.Dial(id, addr)
