--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/http"
 	"strconv"
@@ -11,11 +12,14 @@
 	"birchstair/policy"
 )
 
-// The protocol's words; none of them goes beyond this file.
+// The protocol between the node and executors. Its headers and texts occur in this file alone.
 
-// encodeRequest writes an allocation as it goes over the wire.
+const loadReportHeader = "X-Load-Report"
+
+// encodeRequest returns the bytes of an attempt.
 func encodeRequest(a node.Attempt) []byte {
-	b := make([]byte, 0, 320+len(a.URI)+len(a.Body))
+	const headersSize = 320 // about
+	b := make([]byte, 0, headersSize+len(a.URI)+len(a.Body))
 	b = append(b, a.Method...)
 	b = append(b, ' ')
 	b = append(b, a.URI...)
@@ -35,6 +39,7 @@
 	return append(b, a.Body...)
 }
 
+// appendHeader appends a header, unless it is empty.
 func appendHeader(b []byte, name, value string) []byte {
 	if value == "" {
 		return b
@@ -45,105 +50,140 @@
 	return append(b, '\r', '\n')
 }
 
-// responseLine is a line of an answer.
+// encodeProbe returns the bytes of a load probe.
+func encodeProbe(path, addr string) []byte {
+	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", path, addr)
+}
+
+// responseLine is a decoded line of a response.
 type responseLine struct {
-	progressed bool // it has started or goes on
-	progress   float64
+	progressed bool    // the attempt runs
+	progress   float64 // the part done, from 0 to 1
 	ended      bool
-	outcome    policy.Outcome
-	result     []byte
+	outcome    policy.Outcome // where it has ended
+	result     []byte         // where it has succeeded
 	load       node.Load
 }
 
+// finalStates are the states that end an attempt.
 var finalStates = map[string]policy.Outcome{
-	"done": policy.Succeeded, "failed": policy.ExecutorError, "returned": policy.ExecutorFull, "lost": policy.ConnectionLost,
+	"done":     policy.Succeeded,
+	"failed":   policy.ExecutorError,
+	"returned": policy.ExecutorFull,
+	"lost":     policy.ConnectionLost,
 }
 
-// decodeLine reads a line. A state that is not known is passed over: another line ends the answer.
-func (p *Pool) decodeLine(line []byte, job policy.JobID) (o responseLine, err error) {
-	var w struct {
+// decodeLine decodes a line of the response to an attempt of job. A state that is not known is neither progress nor an
+// end: another line ends the response.
+func (p *Pool) decodeLine(text []byte, job policy.JobID) (line responseLine, err error) {
+	var wire struct { // keys are matched to these names without regard to case
 		ID     policy.JobID
 		State  string
 		Share  float64
 		Result json.RawMessage
 		Load   map[string]float64
 	}
-	if err := json.Unmarshal(line, &w); err != nil {
-		return o, fmt.Errorf("a line that makes no sense: %w", err)
+	if err := json.Unmarshal(text, &wire); err != nil {
+		return line, fmt.Errorf("a line that makes no sense: %w", err)
 	}
-	if w.ID != job {
-		return o, fmt.Errorf("a line about another batch job, %q", w.ID)
+	if wire.ID != job {
+		return line, fmt.Errorf("a line about another batch job, %q", wire.ID)
 	}
-	o.load = p.loadFromValues(w.Load)
-	switch w.State {
+	line.load = p.loadFromValues(wire.Load)
+	switch wire.State {
 	case "started":
-		o.progressed = true
+		line.progressed = true
 	case "running":
-		o.progressed, o.progress = true, min(max(w.Share, 0), 1)
+		line.progressed, line.progress = true, min(max(wire.Share, 0), 1)
 	default:
-		o.outcome, o.ended = finalStates[w.State]
+		line.outcome, line.ended = finalStates[wire.State]
 	}
-	if o.ended && o.outcome == policy.Succeeded {
-		if len(w.Result) == 0 {
-			return o, fmt.Errorf("done, without a result")
-		}
-		var text string
-		if json.Unmarshal(w.Result, &text) == nil {
-			o.result = []byte(text)
-		} else {
-			o.result = w.Result
+	if line.ended && line.outcome == policy.Succeeded {
+		if len(wire.Result) == 0 {
+			return line, errors.New("done, without a result")
 		}
+		line.result = decodeResult(wire.Result)
 	}
-	return o, nil
+	return line, nil
 }
 
-// outcomeOfStatus reads an answer that is no stream of lines. One that the protocol does not know may have run.
-func outcomeOfStatus(answer *http.Response) (policy.Outcome, string) {
-	switch answer.StatusCode {
+// decodeResult returns the text of a result that is a string, and the JSON of any other.
+func decodeResult(result json.RawMessage) []byte {
+	var text string
+	if json.Unmarshal(result, &text) == nil {
+		return []byte(text)
+	}
+	return result
+}
+
+// outcomeOfStatus returns the outcome that a response other than 200 stands for, and a detail for the log. After one that
+// the protocol does not know the attempt may have run.
+func outcomeOfStatus(response *http.Response) (outcome policy.Outcome, detail string) {
+	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if answer.Header.Get("X-Rejected") == "1" {
+		if response.Header.Get("X-Rejected") == "1" {
 			return policy.ExecutorFull, ""
 		}
 	case http.StatusInternalServerError:
 		return policy.ExecutorError, ""
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity,
 		http.StatusRequestHeaderFieldsTooLarge:
-		return policy.InvalidRequest, "the executor can't use it: " + answer.Status
+		return policy.InvalidRequest, "the executor can't use it: " + response.Status
 	}
-	return policy.ExecutorError, "an answer that is not in the protocol: " + answer.Status
+	return policy.ExecutorError, "an answer that is not in the protocol: " + response.Status
 }
 
-// A load report's values may go by the settings' names or by the protocol's. One that no executor could have makes
-// the report count as none.
+// maxLoadValue is more than any value of a load report can be.
 const maxLoadValue = 1e6
 
-var loadFields = [3][2]string{{"inflight", "active"}, {"queue", "waiting"}, {"x0", "x0"}}
+// loadField is a value of a load report, which has two names.
+type loadField struct {
+	setting string // in the settings
+	wire    string // in the protocol
+}
 
-func (p *Pool) loadFromValues(values map[string]float64) (load node.Load) {
+// value returns the value, which may go by either name. ok: there is one that an executor can have.
+func (f loadField) value(values map[string]float64) (value float64, ok bool) {
+	value, ok = values[f.setting]
+	if !ok {
+		value, ok = values[f.wire]
+	}
+	return value, ok && value >= 0 && value <= maxLoadValue
+}
+
+var (
+	loadInFlight   = loadField{"inflight", "active"}
+	loadQueued     = loadField{"queue", "waiting"}
+	loadFreeSlots  = loadField{"x0", "x0"}
+	loadFreeMemory = loadField{"x1", "x1"}
+	loadRunTime    = loadField{"latency_ms", "avg_ms"}
+)
+
+// loadFromValues returns the load that a report with a response tells. A report where a value is missing or out of bounds
+// counts as none.
+func (p *Pool) loadFromValues(values map[string]float64) node.Load {
 	if !p.usesReports {
-		return load
+		return node.Load{}
 	}
-	var x [3]float64
-	for i, names := range loadFields {
-		ok := false
-		if x[i], ok = values[names[0]]; !ok {
-			if x[i], ok = values[names[1]]; !ok {
-				return load
-			}
-		}
-		if !(x[i] >= 0 && x[i] <= maxLoadValue) {
-			return load
-		}
+	inFlight, ok1 := loadInFlight.value(values)
+	queued, ok2 := loadQueued.value(values)
+	freeSlots, ok3 := loadFreeSlots.value(values)
+	if !ok1 || !ok2 || !ok3 {
+		return node.Load{}
+	}
+	return node.Load{
+		Load:  policy.Load{InFlight: inFlight, Queued: queued, FreeSlots: freeSlots, FreeMemory: unknownLoad, RunTime: unknownLoad},
+		Known: true,
 	}
-	return node.Load{Load: policy.Load{InFlight: x[0], Queued: x[1], FreeSlots: x[2], FreeMemory: -1, RunTime: -1}, Known: true}
 }
 
-// loadFromHeader reads a load report in an answer's head.
+// loadFromHeader returns the load that the header of a response tells.
 func (p *Pool) loadFromHeader(header string) node.Load {
 	return p.loadFromValues(parseLoadReport(header))
 }
 
-// parseLoadReport reads a load report in a head: TEXT name=value, name=value.
+// parseLoadReport parses the value of a load report's header, such as "TEXT active=1, waiting=2". Pairs that are no
+// numbers are left out.
 func parseLoadReport(header string) map[string]float64 {
 	text, ok := strings.CutPrefix(header, "TEXT ")
 	if !ok {
@@ -151,9 +191,9 @@
 	}
 	values := map[string]float64{}
 	for pair := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		if x, err := strconv.ParseFloat(value, 64); err == nil {
-			values[name] = x
+		name, number, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		if value, err := strconv.ParseFloat(number, 64); err == nil {
+			values[name] = value
 		}
 	}
 	return values
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"fmt"
 	"io"
 	"net/http"
 	"time"
@@ -12,15 +11,18 @@
 	"birchstair/policy"
 )
 
-// ProbeConfig is how executors are asked for their load: by GET on a path of theirs, answered 200 with the load report in a
-// head. The operators' protocol has no such call: off where no path is set.
+// unknownLoad stands for a value of a load that the executor did not tell.
+const unknownLoad = -1
+
+// ProbeConfig is how executors are probed for their load: by GET on a path of theirs, which they answer by 200 with a load
+// report in a header. Probes are off where there is no path.
 type ProbeConfig struct {
 	Path    string
-	Timeout time.Duration   // for connection, call and answer together
-	Fields  map[string]bool // the values that the settings say a report has, by the protocol's names
+	Timeout time.Duration   // for dial, request and response together
+	Fields  map[string]bool // the values that reports have, by the settings' names; others are ignored
 }
 
-// Probe asks an executor for its load, in the background and on a connection of its own.
+// Probe probes an executor in the background, on a connection of its own, and posts node.ProbeEnded.
 func (p *Pool) Probe(id policy.ExecutorID, addr string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), p.probe.Timeout)
@@ -30,10 +32,10 @@
 	}()
 }
 
-// probeLoad makes one probe. Any answer shows that the executor is there, or a wrong path would shut all of them out; one without a
-// report, or with values that make no sense, shows no more.
+// probeLoad makes one probe. Any response shows that the executor is there, whatever its status: a wrong path in the
+// configuration must not make all executors appear dead. Without a valid report the load is unknown.
 func (p *Pool) probeLoad(ctx context.Context, addr string) (load policy.Load, answered bool) {
-	load = policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
+	load = policy.Load{InFlight: unknownLoad, Queued: unknownLoad, FreeSlots: unknownLoad, FreeMemory: unknownLoad, RunTime: unknownLoad}
 	conn, err := p.dial(ctx, 0, addr)
 	if err != nil {
 		return load, false
@@ -41,31 +43,32 @@
 	defer conn.Close()
 	deadline, _ := ctx.Deadline()
 	conn.SetDeadline(deadline)
-	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", p.probe.Path, addr); err != nil {
+	if _, err := conn.Write(encodeProbe(p.probe.Path, addr)); err != nil {
 		return load, false
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(io.LimitReader(conn, maxHeadBytes)), nil)
+	response, err := http.ReadResponse(bufio.NewReader(io.LimitReader(conn, maxHeadBytes)), nil)
 	if err != nil {
 		return load, false
 	}
 	var values map[string]float64
-	if answer.StatusCode == http.StatusOK {
-		values = parseLoadReport(answer.Header.Get("X-Load-Report"))
-	}
-	tell := func(name, other string) float64 {
-		x, ok := values[name]
-		if !ok {
-			x, ok = values[other]
-		}
-		if !ok || !p.probe.Fields[name] || !(x >= 0 && x <= maxLoadValue) {
-			return -1
-		}
-		return x
+	if response.StatusCode == http.StatusOK {
+		values = parseLoadReport(response.Header.Get(loadReportHeader))
 	}
-	load.InFlight, load.Queued = tell("inflight", "active"), tell("queue", "waiting")
-	load.FreeSlots, load.FreeMemory = tell("x0", "x0"), tell("x1", "x1")
-	if took := tell("latency_ms", "avg_ms"); took >= 0 {
-		load.RunTime = time.Duration(took * float64(time.Millisecond))
+	load.InFlight = p.probe.value(loadInFlight, values)
+	load.Queued = p.probe.value(loadQueued, values)
+	load.FreeSlots = p.probe.value(loadFreeSlots, values)
+	load.FreeMemory = p.probe.value(loadFreeMemory, values)
+	if ms := p.probe.value(loadRunTime, values); ms != unknownLoad {
+		load.RunTime = time.Duration(ms * float64(time.Millisecond))
 	}
 	return load, true
 }
+
+// value returns a value of a report, or unknownLoad.
+func (c *ProbeConfig) value(field loadField, values map[string]float64) float64 {
+	value, ok := field.value(values)
+	if !ok || !c.Fields[field.setting] {
+		return unknownLoad
+	}
+	return value
+}
