--- a/cmd/birchstair/ops.go
+++ b/cmd/birchstair/ops.go
@@ -43,7 +43,7 @@
 }
 
 func (c *opsCmd) order(name commandName, id policy.ExecutorID) error {
-	if _, err := c.call(admin.Named(string(name)), id); err != nil {
+	if _, err := c.call(admin.CommandByName(string(name)), id); err != nil {
 		return err
 	}
 	fmt.Println("ok")
--- a/internal/admin/codec.go
+++ b/internal/admin/codec.go
@@ -1,6 +1,7 @@
 package admin
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strconv"
@@ -11,75 +12,122 @@
 	"birchstair/policy"
 )
 
-// The door's words; none of them goes beyond this file.
+// The protocol between operators and the node. Its text occurs in this file alone. A reply is a line, "ok" or "fail" and
+// a reason, or lines and an end mark.
 
 const (
-	longestLine = 256 // bytes of a call
-	longestID   = 128 // bytes of an executor's id
+	maxLineBytes = 256 // of a command
+	maxIDBytes   = 128 // of an executor's id
+
+	replyOK   = "ok"
+	replyFail = "fail"
+	replyEnd  = "eof" // behind lines, so that a reply that was cut off is seen
 )
 
-var orders = []string{node.CheckReady: "check", node.ReadMetrics: "vars", node.ExcludeExecutor: "set-down", node.ReadmitExecutor: "set-up",
-	node.DrainOn: "drain-on", node.DrainOff: "drain-off", node.ReadFleet: "fleet"}
+var commandNames = []string{
+	node.CheckReady:      "check",
+	node.ReadMetrics:     "vars",
+	node.ExcludeExecutor: "set-down",
+	node.ReadmitExecutor: "set-up",
+	node.DrainOn:         "drain-on",
+	node.DrainOff:        "drain-off",
+	node.ReadFleet:       "fleet",
+}
 
-// Named is the order of a name; -1 where no call is named so.
-func Named(name string) node.AdminCommand { return node.AdminCommand(slices.Index(orders, name)) }
+// CommandByName returns the command of this name, or -1 where there is none.
+func CommandByName(name string) node.AdminCommand {
+	return node.AdminCommand(slices.Index(commandNames, name))
+}
 
-// aboutOne are the orders that name an executor.
-func aboutOne(o node.AdminCommand) bool {
-	return o == node.ExcludeExecutor || o == node.ReadmitExecutor
+// takesExecutor returns whether a command names an executor.
+func takesExecutor(command node.AdminCommand) bool {
+	return command == node.ExcludeExecutor || command == node.ReadmitExecutor
 }
 
-// decode reads a call. Its error is the reason that the caller gets.
-func decode(line string) (order node.AdminCommand, executor policy.ExecutorID, err error) {
+// repliesLines returns whether the reply to a command is lines.
+func repliesLines(command node.AdminCommand) bool {
+	return command == node.ReadMetrics || command == node.ReadFleet
+}
+
+// decode decodes a command. Its error is the reason that the caller gets.
+func decode(line string) (command node.AdminCommand, executor policy.ExecutorID, err error) {
 	if !utf8.ValidString(line) {
-		return 0, "", fmt.Errorf("the line is no text")
+		return 0, "", errors.New("the line is no text")
 	}
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return 0, "", fmt.Errorf("the line is empty")
+		return 0, "", errors.New("the line is empty")
 	}
-	order = Named(words[0])
+	command = CommandByName(words[0])
 	switch {
-	case order < 0:
+	case command < 0:
 		return 0, "", fmt.Errorf("no call is named %.40q", words[0])
-	case aboutOne(order) && (len(words) != 2 || len(words[1]) > longestID):
-		return 0, "", fmt.Errorf("%s takes the id of one executor, of %d bytes at most", words[0], longestID)
-	case !aboutOne(order) && len(words) > 1:
+	case takesExecutor(command) && (len(words) != 2 || len(words[1]) > maxIDBytes):
+		return 0, "", fmt.Errorf("%s takes the id of one executor, of %d bytes at most", words[0], maxIDBytes)
+	case !takesExecutor(command) && len(words) > 1:
 		return 0, "", fmt.Errorf("%s takes nothing behind it", words[0])
 	}
-	if aboutOne(order) {
+	if takesExecutor(command) {
 		executor = policy.ExecutorID(words[1])
 	}
-	return order, executor, nil
+	return command, executor, nil
 }
 
-// encode writes an answer.
+// encode encodes a reply.
 func encode(r node.AdminReply) []byte {
 	switch {
 	case r.Refusal != "":
-		return no(r.Refusal)
+		return encodeFailure(r.Refusal)
 	case r.Lines != nil:
-		return []byte(strings.Join(r.Lines, "\n") + "\neof\n")
-	case r.Metrics == nil:
-		return []byte("ok\n")
+		return []byte(strings.Join(r.Lines, "\n") + "\n" + replyEnd + "\n")
+	case r.Metrics != nil:
+		return encodeMetrics(r.Metrics)
 	}
-	f, b := r.Metrics, make([]byte, 0, 1024)
-	figure := func(name string, x int) {
+	return []byte(replyOK + "\n")
+}
+
+func encodeFailure(reason string) []byte {
+	return []byte(replyFail + " " + strings.ReplaceAll(reason, "\n", " ") + "\n")
+}
+
+func encodeMetrics(m *node.Metrics) []byte {
+	b := make([]byte, 0, 1024)
+	metric := func(name string, value int) {
 		b = append(append(b, name...), '=')
-		b = append(strconv.AppendInt(b, int64(x), 10), '\n')
+		b = append(strconv.AppendInt(b, int64(value), 10), '\n')
 	}
-	for _, t := range f.Classes {
-		figure("requests."+t.Name+".served", t.Succeeded)
-		figure("requests."+t.Name+".refused", t.Rejected)
-		figure("requests."+t.Name+".failed", t.Failed)
+	for _, c := range m.Classes {
+		metric("requests."+c.Name+".served", c.Succeeded)
+		metric("requests."+c.Name+".refused", c.Rejected)
+		metric("requests."+c.Name+".failed", c.Failed)
 	}
-	figure("attempts", f.Attempts)
-	figure("in_flight", f.InFlight)
-	figure("executors_known", f.KnownExecutors)
-	figure("executors_excluded", f.ExcludedExecutors)
-	figure("reloads_ok", f.ReloadsApplied)
-	figure("reloads_failed", f.ReloadsRejected)
-	return append(b, "eof\n"...)
+	metric("attempts", m.Attempts)
+	metric("in_flight", m.InFlight)
+	metric("executors_known", m.KnownExecutors)
+	metric("executors_excluded", m.ExcludedExecutors)
+	metric("reloads_ok", m.ReloadsApplied)
+	metric("reloads_failed", m.ReloadsRejected)
+	return append(b, replyEnd+"\n"...)
 }
 
-func no(reason string) []byte { return []byte("fail " + strings.ReplaceAll(reason, "\n", " ") + "\n") }
+// decodeReply decodes the lines of a reply to a command. Its error says what the node refused, or what is wrong with the
+// reply.
+func decodeReply(command node.AdminCommand, lines []string) ([]string, error) {
+	if len(lines) == 0 {
+		return nil, errors.New("the node closed without an answer: it has too many callers, or ends")
+	}
+	if reason, failed := strings.CutPrefix(lines[0], replyFail); failed {
+		return nil, fmt.Errorf("the node says no: %s", strings.TrimSpace(reason))
+	}
+	if repliesLines(command) {
+		end := slices.Index(lines, replyEnd)
+		if end < 0 {
+			return nil, errors.New("the figures have no end: the answer was cut off")
+		}
+		return lines[:end], nil
+	}
+	if lines[0] != replyOK {
+		return nil, fmt.Errorf("an answer that makes no sense: %.40q", lines[0])
+	}
+	return nil, nil
+}
--- a/internal/admin/codec_test.go
+++ b/internal/admin/codec_test.go
@@ -21,9 +21,9 @@
 			fmt.Fprintf(&out, "refused: %v\n", err)
 			continue
 		}
-		fmt.Fprintf(&out, "command %d, executor %q, named %d\n", command, executor, Named(strings.Fields(call)[0]))
+		fmt.Fprintf(&out, "command %d, executor %q, named %d\n", command, executor, CommandByName(strings.Fields(call)[0]))
 	}
-	fmt.Fprintf(&out, "no command: %d\n", Named("nothing"))
+	fmt.Fprintf(&out, "no command: %d\n", CommandByName("nothing"))
 	metrics := &node.Metrics{
 		Classes: []node.ClassMetrics{
 			{Name: "page", Succeeded: 1, Rejected: 2, Failed: 3},
@@ -55,7 +55,7 @@
 		if a.answer == "" {
 			lines = nil
 		}
-		got, err := answered(a.command, lines)
+		got, err := decodeReply(a.command, lines)
 		fmt.Fprintf(&out, "answer %q to %d: %q, error %v\n", a.answer, a.command, got, err)
 	}
 	for _, command := range []node.AdminCommand{node.ExcludeExecutor, node.ReadmitExecutor} {
--- a/internal/admin/door_test.go
+++ b/internal/admin/server_test.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var d *Door
+		var d *Server
 		d = New(2, func(ev node.Event) {
 			c := ev.(node.AdminCalled)
 			r := node.AdminReply{Caller: c.Caller}
