--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -2,163 +2,161 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
+	"time"
 
 	"birchstair/policy"
 )
 
-// What operators do to a node: calls at its door, executors taken out by hand, the drain, figures.
-
-// AdminCallID names a caller at the door.
+// AdminCallID names an operator's call, so that the reply finds its way back.
 type AdminCallID uint64
 
-// AdminCommand is what a caller wants.
+// AdminCommand is what an operator's call asks for.
 type AdminCommand int
 
+// The commands. Those from ExcludeExecutor to DrainOff change the node's state and are relayed to its other processes.
 const (
-	CheckReady      AdminCommand = iota // can this process take batch jobs?
-	ReadMetrics                         // what it has done
-	ExcludeExecutor                     // an executor gets nothing new until it is put back
+	CheckReady      AdminCommand = iota // whether this process takes jobs
+	ReadMetrics                         // the counters
+	ExcludeExecutor                     // an executor gets no new work until it is readmitted
 	ReadmitExecutor
-	DrainOn // clients are sent away
+	DrainOn // clients' connections are closed after their answers
 	DrainOff
-	ReadFleet // what it knows of the nodes that it talks with
+	ReadFleet // what the node knows of its fleet
 )
 
-// Metrics are what a node has done since its start, and what it holds.
-type Metrics struct {
-	Classes           []ClassMetrics // in the order in which the tracks came
-	Attempts          int            // whose last byte was written
-	InFlight          int            // batch jobs that are owed an answer
-	KnownExecutors    int            // executors on the list
-	ExcludedExecutors int            // those of them that get nothing new, by hand, by the list or by choice
-	ReloadsApplied    int            // configurations that were read again and taken
-	ReloadsRejected   int            // and those that were not
+// Refusals. Operators' tools match these texts.
+const (
+	refusalNotReady        = "not ready"
+	refusalNoFleet         = "this node talks with no others: its [fleet] table is not there"
+	refusalUnknownExecutor = "no executor on the list has this id"
+)
+
+// adminState is what operators have changed.
+type adminState struct {
+	clientsDrained bool
+	excluded       map[policy.ExecutorID]bool
+	readmittedAt   map[policy.ExecutorID]time.Duration // the last time, of each executor ever readmitted
 }
 
-// ClassMetrics are the final answers to batch jobs of one track.
-type ClassMetrics struct {
-	Name                        string
-	Succeeded, Rejected, Failed int
+// inherit takes over the exclusions and readmissions of the predecessor.
+func (a *adminState) inherit(now time.Duration, state HandoffState) {
+	for _, id := range state.Excluded {
+		a.excluded[id] = true
+	}
+	for _, r := range state.Readmitted {
+		a.readmittedAt[r.Executor] = now - r.Age
+	}
 }
 
-// count books a final answer.
-func (n *Node) count(track policy.JobClassID, how Final) {
-	f := &n.figures.Classes[n.booked[track]]
-	switch how {
-	case Succeeded:
-		f.Succeeded++
-	case Rejected:
-		f.Rejected++
-	case Failed:
-		f.Failed++
+// export adds the exclusions and readmissions to the state for a successor.
+func (a *adminState) export(now time.Duration, state *HandoffState) {
+	state.Drained = a.clientsDrained
+	state.Excluded = slices.Sorted(maps.Keys(a.excluded))
+	for _, id := range slices.Sorted(maps.Keys(a.readmittedAt)) {
+		state.Readmitted = append(state.Readmitted, ReadmittedExecutor{id, now - a.readmittedAt[id]})
 	}
 }
 
-// called does what a caller wants, and answers.
-func (n *Node) called(ev AdminCalled) {
-	r := AdminReply{Caller: ev.Caller}
+// adminCalled runs an operator's command and replies.
+func (n *Node) adminCalled(ev AdminCalled) {
+	reply := AdminReply{Caller: ev.Caller}
 	switch ev.Command {
 	case CheckReady:
-		// Guards against a platform that ends the elder by this yes before the elder knows of its heir: it would let clients'
-		// connections go at once, some of them under their next message.
-		if !n.said || n.yields && n.now < n.yieldBy || n.stopping {
-			r.Refusal = "not ready"
+		if !n.ready() {
+			reply.Refusal = refusalNotReady
 		}
 	case ReadMetrics:
-		f := n.figures
-		f.Classes = slices.Clone(f.Classes) // the caller reads them while this goes on
-		f.InFlight, f.KnownExecutors, f.ExcludedExecutors = len(n.due), len(n.executors), n.brain.CountExcluded(n.now)
-		r.Metrics = &f
+		reply.Metrics = n.readMetrics()
 	case ReadFleet:
-		if r.Refusal = "this node talks with no others: its [fleet] table is not there"; n.fleet != nil {
-			r.Refusal, r.Lines = "", n.fleet.Describe(n.now)
+		if n.fleet == nil {
+			reply.Refusal = refusalNoFleet
+		} else {
+			reply.Lines = n.fleet.Describe(n.now)
 		}
 	default:
-		if r.Refusal = n.carry(ev.Command, ev.Executor); r.Refusal == "" {
-			w := HandoffMessage{Kind: RelayCommand, Command: ev.Command, Executor: ev.Executor}
-			n.remember(w)
-			n.pass(nobody, w, &r)
+		reply.Refusal = n.runCommand(ev.Command, ev.Executor)
+		if reply.Refusal == "" {
+			n.relayCommand(ev, reply)
 			return
 		}
 	}
-	n.say(r)
+	n.emit(reply)
+}
+
+// readMetrics returns the counters and what the node holds now.
+func (n *Node) readMetrics() *Metrics {
+	m := n.metrics.snapshot()
+	m.InFlight = n.jobs.inFlight()
+	m.KnownExecutors = len(n.endpoints.byID)
+	m.ExcludedExecutors = n.policy.CountExcluded(n.now)
+	return &m
 }
 
-// carry does what changes something, in this process alone. It gives the reason where it can't.
-func (n *Node) carry(o AdminCommand, id policy.ExecutorID) (no string) {
-	switch o {
+// runCommand runs a command that changes the node's state, in this process alone. It returns a refusal if it can't.
+func (n *Node) runCommand(command AdminCommand, id policy.ExecutorID) (refusal string) {
+	switch command {
 	case ExcludeExecutor:
-		return n.takeOut(id)
+		return n.exclude(id)
 	case ReadmitExecutor:
-		return n.putBack(id)
+		return n.readmit(id)
 	case DrainOn, DrainOff:
-		n.drain(o == DrainOn)
+		n.drainClients(command == DrainOn)
 	}
 	return ""
 }
 
-// takeOut lets an executor get nothing new, whatever the list says, until it is put back.
-func (n *Node) takeOut(id policy.ExecutorID) (no string) {
-	e := n.executors[id]
-	switch {
-	case n.outs[id]:
+// runRelayedCommand runs a command that another process of this node has run already. An executor that is not on this
+// process's list, as yet, is excluded all the same.
+func (n *Node) runRelayedCommand(command AdminCommand, id policy.ExecutorID) {
+	if n.runCommand(command, id) != "" && command == ExcludeExecutor {
+		n.admin.excluded[id] = true
+	}
+}
+
+// exclude stops new work for an executor until it is readmitted, whatever the endpoint list says.
+func (n *Node) exclude(id policy.ExecutorID) (refusal string) {
+	if n.admin.excluded[id] {
 		return ""
-	case e == nil:
-		return "no executor on the list has this id"
 	}
-	n.outs[id] = true
-	n.say(Log{Text: "taken out by hand", Executor: id})
-	n.showModule(e)
-	n.closeResting(e)
+	e := n.endpoints.get(id)
+	if e == nil {
+		return refusalUnknownExecutor
+	}
+	n.admin.excluded[id] = true
+	n.emit(Log{Text: "taken out by hand", Executor: id})
+	n.refreshEndpoint(e)
+	n.closeIdleConns(e)
 	return ""
 }
 
-// putBack lets the list decide again. The executor counts as started now: operators restart it while it is out, and
-// discovery may tell of that later or not at all.
-func (n *Node) putBack(id policy.ExecutorID) (no string) {
-	e := n.executors[id]
-	if !n.outs[id] {
+// readmit ends an exclusion. The executor counts as started now: operators restart executors while they are excluded, and
+// discovery may report the restart later or not at all.
+func (n *Node) readmit(id policy.ExecutorID) (refusal string) {
+	e := n.endpoints.get(id)
+	if !n.admin.excluded[id] {
 		if e == nil {
-			return "no executor on the list has this id"
+			return refusalUnknownExecutor
 		}
 		return ""
 	}
-	delete(n.outs, id)
-	n.backs[id] = n.now
-	n.say(Log{Text: "put back by hand", Executor: id})
+	delete(n.admin.excluded, id)
+	n.admin.readmittedAt[id] = n.now
+	n.emit(Log{Text: "put back by hand", Executor: id})
 	if e != nil {
-		n.closeResting(e)
-		n.showModule(e)
+		n.closeIdleConns(e)
+		n.refreshEndpoint(e)
 	}
 	return ""
 }
 
-// showModule tells the module of one executor as the list and operators have it together.
-func (n *Node) showModule(e *executor) {
-	in := n.merged(e.entry)
-	e.up, e.started = in.State == policy.Available, in.StartedAt
-	n.brain.UpdateEndpoints(n.now, policy.IncrementalUpdate, []policy.Endpoint{in})
-}
-
-// merged is an entry of the list with what operators want, and what neighbours tell of drains, put over it.
-func (n *Node) merged(in policy.Endpoint) policy.Endpoint {
-	told := n.fleet != nil && n.fleet.IsDraining(in.Executor, in.StartedAt, in.StartedLongAgo)
-	if (n.outs[in.Executor] || told) && in.State == policy.Available {
-		in.State = policy.Draining
-	}
-	if at, ok := n.backs[in.Executor]; ok && (in.StartedLongAgo || in.StartedAt < at) {
-		in.StartedAt, in.StartedLongAgo = at, false
-	}
-	return in
-}
-
-// drain sends clients away, or lets them come again.
-func (n *Node) drain(on bool) {
-	if on == n.drained {
+// drainClients starts or ends a drain of clients.
+func (n *Node) drainClients(on bool) {
+	if on == n.admin.clientsDrained {
 		return
 	}
-	n.drained = on
-	n.say(Log{Text: fmt.Sprintf("told by hand to send clients away: %t", on)})
-	n.say(DrainClients{on})
+	n.admin.clientsDrained = on
+	n.emit(Log{Text: fmt.Sprintf("told by hand to send clients away: %t", on)})
+	n.emit(DrainClients{on})
 }
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -8,323 +8,413 @@
 	"birchstair/policy"
 )
 
-// executor is where an executor is reached, and the connections to it that rest, the latest last.
-type executor struct {
-	id      policy.ExecutorID
-	addr    string
-	entry   policy.Endpoint // as the list has it
-	started time.Duration
-	listed  int // the list that named it last
-	starts  int // how often the list told of a new one
-	moves   int // and of another address
-	up      bool
-	rest    []*conn
-}
+// probeReserve is the share of the connection limit, one in so many, that load probes leave free for attempts.
+const probeReserve = 8
+
+// minAttemptBudget is the least time that an executor is told it has for an attempt.
+const minAttemptBudget = time.Millisecond
 
 type connState int
 
 const (
-	dialling connState = iota
-	busy
-	resting
-	spent // it reads the end of its last answer, or is being closed
+	connDialing  connState = iota
+	connBusy               // carries an attempt
+	connIdle               // can carry the next attempt
+	connFinished           // its attempt has ended; it is reading the rest of the answer or being closed
 )
 
-// conn is a connection to an executor, from its dialling until its descriptor is given back, in closed.
+// conn is a connection to an executor, from its Dial to its ConnClosed.
 type conn struct {
-	id      ConnID
-	to      *executor
-	state   connState
-	job     *job // whose allocation it carries, or is to carry once it is up
-	number  policy.AttemptID
-	start   int            // the start of its executor that the module meant
-	moves   int            // the address that it leads to
-	given   bool           // this node has stopped waiting for that allocation
-	as      policy.Outcome // and why
-	rested  bool           // it has been up and at rest
-	heard   bool           // something of its executor came for that allocation
-	restsAt time.Duration
-	place   *list.Element // among those that rest
-	wroteAt time.Duration
-	askedAt time.Duration // when the module decided on the allocation
+	id       ConnID
+	executor *executor
+	state    connState
+
+	// The attempt that it carries, or is to carry once it is up.
+	job         *job // nil if there is none
+	attempt     policy.AttemptID
+	decidedAt   time.Duration // when the policy decided on the attempt
+	writtenAt   time.Duration
+	progressed  bool           // the executor has sent something about the attempt
+	abandoned   bool           // this node no longer waits for it
+	abandonedAs policy.Outcome // the outcome of an abandoned attempt that may have run
+
+	// Executor counters at the time of the decision and of the dial, to see whether it has restarted or moved since.
+	restarts    int
+	addrChanges int
+
+	wasIdle     bool // it has been idle before
+	idleSince   time.Duration
+	idleElement *list.Element // in idleConns; nil unless it is idle
 }
 
-func (n *Node) closeConn(c *conn) {
-	c.state = spent
-	n.say(CloseConn{c.id})
+// executorRestarted reports whether the executor has restarted since the policy chose it. The new process is in slow start,
+// which the policy's decision did not take into account.
+func (c *conn) executorRestarted() bool { return c.restarts != c.executor.restarts }
+
+// executorMoved reports whether the executor's address has changed since this connection was dialed. The old address may
+// belong to another executor by now.
+func (c *conn) executorMoved() bool { return c.addrChanges != c.executor.addrChanges }
+
+// connTable holds all connections to executors.
+type connTable struct {
+	byID           map[ConnID]*conn
+	idle           idleConns
+	lastID         ConnID
+	probesInFlight int
+
+	// How long a connection may be idle and still be used, as far as was observed, and when that was lowered last.
+	idleLimit          time.Duration
+	idleLimitLoweredAt time.Duration
 }
 
-func (n *Node) closeResting(e *executor) {
-	for len(e.rest) > 0 {
-		n.closeConn(n.resting.risen(e, 0))
+// get finds a connection, or nil.
+func (t *connTable) get(id ConnID) *conn { return t.byID[id] }
+
+// open is the number of connections that count against the limit.
+func (t *connTable) open() int { return len(t.byID) + t.probesInFlight }
+
+// add makes a connection that is to be dialed.
+func (t *connTable) add(e *executor) *conn {
+	t.lastID++
+	c := &conn{id: t.lastID, executor: e, addrChanges: e.addrChanges}
+	t.byID[c.id] = c
+	return c
+}
+
+// maxIdle is how long a connection may have been idle and still be used: the configured time, or less if connections were
+// seen to break earlier. Executors, or something on the way to them, may drop idle connections without notice, and an attempt
+// written on such a connection counts as possibly run. An observation is forgotten once it is as old as the configured time.
+func (t *connTable) maxIdle(now, configured time.Duration) time.Duration {
+	if now-t.idleLimitLoweredAt >= configured {
+		t.idleLimit = configured
 	}
+	return t.idleLimit
+}
+
+// lowerIdleLimit notes that a connection broke after being idle for so long. The limit for all executors becomes half of that.
+func (t *connTable) lowerIdleLimit(now, configured, idle time.Duration) {
+	t.idleLimit = min(t.maxIdle(now, configured), idle/2)
+	t.idleLimitLoweredAt = now
 }
 
-// send puts an allocation on its way.
-func (n *Node) send(j *job, id policy.ExecutorID) {
-	number := policy.AttemptID(j.sent)
-	j.sent++
-	if e := n.executors[id]; e == nil || !n.place(j, number, e, n.now) {
-		n.over(j, number, policy.NotSent)
+// addIdle adds a connection to those that are idle.
+func (t *connTable) addIdle(c *conn, now time.Duration) {
+	c.state, c.wasIdle, c.idleSince = connIdle, true, now
+	t.idle.add(c)
+}
+
+// detachJob separates a connection and the job whose attempt it carries. It returns the job, or nil if there was none.
+func (t *connTable) detachJob(c *conn) *job {
+	j := c.job
+	if j != nil {
+		c.job = nil
+		j.removeConn(c)
+	}
+	return j
+}
+
+// startAttempt sends an attempt of a job to an executor. If it can't be sent, the policy is told so at once.
+func (n *Node) startAttempt(j *job, id policy.ExecutorID) {
+	attempt := j.startAttempt()
+	if e := n.endpoints.get(id); e == nil || !n.assignConn(j, attempt, e, n.now) {
+		n.attemptOver(j, attempt, policy.NotSent)
 	}
 }
 
-// place finds a connection for an allocation that was decided on then: the one that has rested least, or a new one.
-func (n *Node) place(j *job, number policy.AttemptID, e *executor, decided time.Duration) bool {
-	if !e.up {
+// assignConn finds a connection for an attempt: the one that became idle last, or a new one. It reports whether there is one.
+func (n *Node) assignConn(j *job, attempt policy.AttemptID, e *executor, decidedAt time.Duration) bool {
+	if !e.available {
 		return false
 	}
-	c := n.restingAt(e)
+	c := n.takeIdleConn(e)
 	if c == nil {
 		c = n.dial(e)
 	}
 	if c == nil {
 		return false
 	}
-	c.job, c.number, c.start, c.askedAt, j.conns = j, number, e.starts, decided, append(j.conns, c)
-	if c.state == resting {
-		n.write(c)
+	c.job, c.attempt, c.decidedAt, c.restarts = j, attempt, decidedAt, e.restarts
+	j.addConn(c)
+	if c.state == connIdle {
+		n.writeAttempt(c)
 	}
 	return true
 }
 
-// restingAt takes a connection that rests, and closes those near the end of their idle time.
-func (n *Node) restingAt(e *executor) *conn {
-	if len(e.rest) == 0 {
+// takeIdleConn takes the executor's connection that became idle last, or returns nil. If that one has been idle for too long,
+// so have the others, and all are closed.
+func (n *Node) takeIdleConn(e *executor) *conn {
+	if len(e.idle) == 0 {
 		return nil
 	}
-	c := e.rest[len(e.rest)-1]
-	if n.now-c.restsAt >= n.restUse() { // the others have rested longer
-		n.closeResting(e)
+	last := len(e.idle) - 1
+	if n.now-e.idle[last].idleSince >= n.conns.maxIdle(n.now, n.limits.MaxIdle) {
+		n.closeIdleConns(e)
 		return nil
 	}
-	return n.resting.risen(e, len(e.rest)-1)
+	return n.conns.idle.take(e, last)
 }
 
-// restUse is how long a connection may have rested and still be used: less than the settings' idle time, and less than
-// what was seen to be too long, until that is as old as the idle time. Guards against executors, or something on the
-// way to them, that drop resting connections early: what is written on one may have run, for all this node knows.
-func (n *Node) restUse() time.Duration {
-	if n.now-n.shortSeen >= n.limits.MaxIdle {
-		n.shortRest = n.limits.MaxIdle
+// dial opens a connection, or returns nil. At the connection limit an idle connection of any executor is closed for it.
+func (n *Node) dial(e *executor) *conn {
+	if n.conns.open() >= n.maxConns() && !n.closeOldestIdleConn() {
+		return nil
 	}
-	return n.shortRest
+	c := n.conns.add(e)
+	n.emit(Dial{c.id, e.addr})
+	return c
 }
 
-// tooLong notes that a connection did not outlive a rest. It goes for all executors: half of that is tried next.
-func (n *Node) tooLong(rest time.Duration) {
-	n.shortRest, n.shortSeen = min(n.restUse(), rest/2), n.now
+// maxConns is the limit on connections to executors.
+func (n *Node) maxConns() int {
+	if n.handoff.limitsHalved {
+		return n.limits.MaxConnsShared
+	}
+	return n.limits.MaxConns
 }
 
-// dial opens a connection. At the edge of the descriptors one that rests elsewhere makes room.
-func (n *Node) dial(e *executor) *conn {
-	if len(n.conns)+n.probing >= n.mostConns() && !n.makeRoom() {
-		return nil
+// startProbe asks an executor for its load. A probe fails at once if the executor takes no new work, or if the connection
+// limit is near: probes leave room for attempts.
+func (n *Node) startProbe(id policy.ExecutorID) {
+	e := n.endpoints.get(id)
+	limit := n.maxConns()
+	if e == nil || !e.available || n.conns.open() >= limit-limit/probeReserve {
+		n.policy.ProbeEnded(n.now, id, false, policy.Load{})
+		return
 	}
-	n.lastConn++
-	c := &conn{id: n.lastConn, to: e, moves: e.moves}
-	n.conns[c.id] = c
-	n.say(Dial{c.id, e.addr})
-	return c
+	n.conns.probesInFlight++
+	n.emit(ProbeExecutor{id, e.addr})
 }
 
-// probe has an executor asked for its load. At the edge of the descriptors, or of an executor that takes nothing new,
-// nothing is asked: a probe makes no room and takes none of a batch job's.
-func (n *Node) probe(id policy.ExecutorID) {
-	e := n.executors[id]
-	if e == nil || !e.up || len(n.conns)+n.probing >= n.mostConns()-n.mostConns()/8 {
-		n.brain.ProbeEnded(n.now, id, false, policy.Load{})
-		return
+// probeEnded passes the result of a load probe on to the policy.
+func (n *Node) probeEnded(ev ProbeEnded) {
+	n.conns.probesInFlight--
+	n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+}
+
+func (n *Node) closeConn(c *conn) {
+	c.state = connFinished
+	n.emit(CloseConn{c.id})
+}
+
+// closeIdleConns closes all idle connections of an executor.
+func (n *Node) closeIdleConns(e *executor) {
+	for len(e.idle) > 0 {
+		n.closeConn(n.conns.idle.take(e, 0))
 	}
-	n.probing++
-	n.say(ProbeExecutor{id, e.addr})
 }
 
-// makeRoom closes the connection that has rested longest.
-func (n *Node) makeRoom() bool {
-	oldest := n.resting.oldest()
+// closeOldestIdleConn closes the connection that has been idle for longest. It reports whether there is one.
+func (n *Node) closeOldestIdleConn() bool {
+	oldest := n.conns.idle.oldest()
 	if oldest == nil {
 		return false
 	}
-	n.resting.risen(oldest.to, 0)
+	n.conns.idle.take(oldest.executor, 0)
 	n.closeConn(oldest)
 	return true
 }
 
-func (n *Node) write(c *conn) {
-	c.state, c.heard, c.wroteAt = busy, false, n.now
-	n.figures.Attempts++ // taken back if its last byte never leaves
-	n.say(WriteAttempt{c.id, Attempt{Request: &c.job.Request, Budget: max(c.job.limitAt-n.now, time.Millisecond),
-		AtMostOnce: n.repeats[c.job.Class] != policy.Idempotent, Client: c.job.Client}})
+// writeAttempt sends the attempt of a connection that is up. The attempt is counted now, and taken back if its last byte is
+// never written.
+func (n *Node) writeAttempt(c *conn) {
+	c.state, c.progressed, c.writtenAt = connBusy, false, n.now
+	n.metrics.countAttempt()
+	n.emit(WriteAttempt{c.id, Attempt{
+		Request:    &c.job.Request,
+		Budget:     max(c.job.deadline-n.now, minAttemptBudget),
+		AtMostOnce: n.classes.idempotency[c.job.Class] != policy.Idempotent,
+		Client:     c.job.Client,
+	}})
 }
 
-// anew says whether the executor has started anew since the module meant it: it is cold, so the module is asked again. Guards
-// against a process that wakes, sends on what it knew and learns of the start while it dials.
-func (c *conn) anew() bool { return c.start != c.to.starts }
-
-// astray says whether the executor has moved since this connection was dialled. Guards against one that carries an answer
-// meanwhile, rests after it, and would carry the next allocation to whoever has the old address.
-func (c *conn) astray() bool { return c.moves != c.to.moves }
+// mayMissDedupWindow reports whether a retry with an idempotency key was decided on longer ago than a dial may take. The policy
+// subtracts only that much from the executors' dedup window, so a later retry might not be recognized as a repeat.
+func (n *Node) mayMissDedupWindow(c *conn, j *job) bool {
+	return c.attempt > 0 && j.IdempotencyKey != "" && n.now-c.decidedAt > n.limits.DialTimeout
+}
 
-// outOfWindow says whether a further allocation of a tagged batch job was decided on longer ago than dialling may take, which is
-// all that a dedup window was lessened by. Guards against a process that stood still meanwhile, and would repeat outside it.
-func (n *Node) outOfWindow(c *conn, j *job) bool {
-	return c.number > 0 && j.IdempotencyKey != "" && n.now-c.askedAt > n.limits.DialTimeout
+// stillWanted reports whether the attempt that a connection was dialed for may go out now that it is up.
+func (n *Node) stillWanted(c *conn) bool {
+	return c.executor.available && !c.job.answered && !c.executorRestarted() && !c.executorMoved() && !n.mayMissDedupWindow(c, c.job)
 }
 
-// dialled puts a connection that has come up to its use. Its executor may drain, be gone or be another by now, the client may
-// have left, or the dedup window may be near its end: nothing goes out then.
-func (n *Node) dialled(c *conn) {
+// connReady writes the attempt that a connection was dialed for.
+func (n *Node) connReady(c *conn) {
 	switch {
-	case c == nil || c.state != dialling:
+	case c == nil || c.state != connDialing:
 	case c.job == nil:
-		n.rest(c)
-	case !c.to.up || c.job.answered || c.anew() || c.astray() || n.outOfWindow(c, c.job):
-		j := n.unlink(c)
-		n.rest(c)
-		n.over(j, c.number, policy.NotSent)
+		n.keepConn(c)
+	case n.stillWanted(c):
+		n.writeAttempt(c)
 	default:
-		n.write(c)
+		j := n.conns.detachJob(c)
+		n.keepConn(c)
+		n.attemptOver(j, c.attempt, policy.NotSent)
 	}
 }
 
-func (n *Node) rest(c *conn) {
-	if !c.to.up || c.astray() {
+// keepConn keeps a connection for the next attempt, unless its executor takes no new work or has moved.
+func (n *Node) keepConn(c *conn) {
+	if !c.executor.available || c.executorMoved() {
 		n.closeConn(c)
 		return
 	}
-	c.state, c.rested, c.restsAt = resting, true, n.now
-	n.resting.rests(c)
+	n.conns.addIdle(c, n.now)
 }
 
-// unlink parts a connection and the batch job whose allocation it carries.
-func (n *Node) unlink(c *conn) *job {
-	j := c.job
-	if j != nil {
-		c.job = nil
-		j.conns = slices.DeleteFunc(j.conns, func(o *conn) bool { return o == c })
-	}
-	return j
-}
-
-// giveUp stops waiting for an allocation. One that waits for its connection still has never left. Else its
-// outcome comes when its connection is closed, or is on the way already: nothing else is sent before.
-func (n *Node) giveUp(c *conn, as policy.Outcome) {
+// abandonAttempt stops waiting for an attempt. If its connection is still being dialed, the attempt was never sent and is over
+// now. Otherwise the connection is closed, and the attempt is over when its AttemptEnded or ConnClosed arrives.
+func (n *Node) abandonAttempt(c *conn, outcome policy.Outcome) {
 	switch {
-	case c.state == dialling && c.job.answered:
-		n.over(n.unlink(c), c.number, policy.NotSent)
-	case c.state == dialling:
-		n.over(n.unlink(c), c.number, policy.ConnectFailed)
-	case !c.given:
-		c.given, c.as = true, as
-		n.say(CloseConn{c.id})
+	case c.state == connDialing && c.job.answered:
+		n.attemptOver(n.conns.detachJob(c), c.attempt, policy.NotSent)
+	case c.state == connDialing:
+		n.attemptOver(n.conns.detachJob(c), c.attempt, policy.ConnectFailed)
+	case !c.abandoned:
+		c.abandoned, c.abandonedAs = true, outcome
+		n.emit(CloseConn{c.id})
 	}
 }
 
-func (n *Node) told(c *conn, ev AttemptProgressed) {
+// attemptProgressed tells the policy that an attempt has started or how far it is.
+func (n *Node) attemptProgressed(c *conn, ev AttemptProgressed) {
 	if c == nil || c.job == nil {
 		return
 	}
-	c.heard = true
-	n.reported(c, ev.Load)
+	c.progressed = true
+	n.reportLoad(c, ev.Load)
 	if ev.Progress > 0 {
-		n.brain.AttemptProgressed(n.now, c.job.ID, c.number, ev.Progress)
+		n.policy.AttemptProgressed(n.now, c.job.ID, c.attempt, ev.Progress)
 	} else {
-		n.brain.AttemptStarted(n.now, c.job.ID, c.number)
+		n.policy.AttemptStarted(n.now, c.job.ID, c.attempt)
 	}
 }
 
-func (n *Node) reported(c *conn, load Load) {
+func (n *Node) reportLoad(c *conn, load Load) {
 	if load.Known {
-		n.brain.LoadReported(c.to.id, load.Load)
+		n.policy.LoadReported(c.executor.id, load.Load)
 	}
 }
 
-// ended takes in an allocation's outcome.
-func (n *Node) ended(c *conn, ev AttemptEnded) {
-	if c == nil || c.state != busy {
+// attemptEnded handles the outcome of an attempt.
+func (n *Node) attemptEnded(c *conn, ev AttemptEnded) {
+	if c == nil || c.state != connBusy {
 		return
 	}
-	c.state = spent
-	j, how := n.unlink(c), ev.Outcome
-	if ev.ConnBroken && how == policy.ConnectFailed {
-		n.figures.Attempts--
+	c.state = connFinished
+	j := n.conns.detachJob(c)
+	if ev.ConnBroken && ev.Outcome == policy.ConnectFailed {
+		n.metrics.uncountAttempt()
+	}
+	outcome := n.settleOutcome(c, j, ev)
+	n.reportLoad(c, ev.Load)
+	if ev.ConnBroken {
+		n.learnFromBreak(c, outcome)
 	}
+	n.attemptOver(j, c.attempt, outcome)
+}
+
+// settleOutcome answers the job if the outcome of its attempt is final, and writes the log. It returns the outcome that counts
+// for the policy, which differs from the reported one if this node closed the connection.
+func (n *Node) settleOutcome(c *conn, j *job, ev AttemptEnded) policy.Outcome {
 	switch {
-	case how == policy.Succeeded:
+	case ev.Outcome == policy.Succeeded:
 		n.answer(j, Answer{Final: Succeeded, Result: ev.Result})
-	case how == policy.InvalidRequest:
-		// It is the batch job's fault: elsewhere it would fare no better, and cost another executor its good name.
+	case ev.Outcome == policy.InvalidRequest:
+		// The request is at fault. A retry elsewhere would fail as well, and count against a healthy executor.
 		n.answer(j, Answer{Final: Failed})
-		n.say(Log{Text: ev.Detail, Executor: c.to.id, Job: j.ID})
-	case c.given && ev.ConnBroken && how == policy.ConnectFailed:
-		how = policy.NotSent // closed by us before its last byte was written
-	case c.given && ev.ConnBroken:
-		how = c.as
+		n.emit(Log{Text: ev.Detail, Executor: c.executor.id, Job: j.ID})
+	case c.abandoned && ev.ConnBroken && ev.Outcome == policy.ConnectFailed:
+		return policy.NotSent // closed by this node before the last byte was written
+	case c.abandoned && ev.ConnBroken:
+		return c.abandonedAs
 	case ev.Detail != "":
-		n.say(Log{Text: ev.Detail, Executor: c.to.id, Job: j.ID})
+		n.emit(Log{Text: ev.Detail, Executor: c.executor.id, Job: j.ID})
 	}
-	n.reported(c, ev.Load)
-	if ev.ConnBroken && how == policy.ConnectionLost && c.rested && !c.heard {
-		n.tooLong(c.wroteAt - c.restsAt)
+	return ev.Outcome
+}
+
+// learnFromBreak draws conclusions from a connection that broke under an attempt.
+func (n *Node) learnFromBreak(c *conn, outcome policy.Outcome) {
+	if outcome == policy.ConnectionLost && c.wasIdle && !c.progressed {
+		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, c.writtenAt-c.idleSince)
 	}
-	if ev.ConnBroken && how != policy.Canceled && how != policy.NotSent {
-		// The others may lead nowhere as well; a new one shows before anything is written whether there is a way.
-		n.closeResting(c.to)
+	if outcome != policy.Canceled && outcome != policy.NotSent {
+		// The executor's idle connections may be broken as well. A new connection shows that before anything is written.
+		n.closeIdleConns(c.executor)
 	}
-	n.over(j, c.number, how)
 }
 
-// unsent takes in that the last look before an attempt's first byte found its client gone: it never ran, and the connection
-// may carry the next one. Word of the leaving by the front may come before or after.
-func (n *Node) unsent(c *conn) {
-	if c == nil || c.state != busy {
+// attemptNotSent handles an attempt that was not written because its client was gone. The attempt never ran, and the connection
+// is idle. The frontend's ClientLeft may come before or after this.
+func (n *Node) attemptNotSent(c *conn) {
+	if c == nil || c.state != connBusy {
 		return
 	}
-	n.figures.Attempts--
-	j := n.unlink(c)
-	if c.state = spent; !c.given { // else it is being closed
-		n.rest(c)
+	n.metrics.uncountAttempt()
+	j := n.conns.detachJob(c)
+	c.state = connFinished
+	if !c.abandoned { // an abandoned one is being closed
+		n.keepConn(c)
 	}
-	n.left(j)
-	n.over(j, c.number, policy.NotSent)
+	n.clientGone(j)
+	n.attemptOver(j, c.attempt, policy.NotSent)
 }
 
-func (n *Node) rested(c *conn) {
-	if c != nil && c.state == spent && !c.given {
-		n.rest(c)
+// connBecameIdle keeps a connection whose answer has been read to its end.
+func (n *Node) connBecameIdle(c *conn) {
+	if c != nil && c.state == connFinished && !c.abandoned {
+		n.keepConn(c)
 	}
 }
 
-// closed gives a connection back. An allocation of which nothing was written takes another one if this one had
-// rested: the executor had closed it meanwhile. A new one that is closed at once is no way to the executor, which
-// may have all the connections it takes.
-func (n *Node) closed(c *conn, detail string) {
+// connClosed forgets a connection, and decides about an attempt of which nothing was written. If the connection had been idle
+// before, the executor closed it for its age, and the attempt gets another connection. A new connection that is closed
+// at once means that the executor accepts no more, and counts as a failure to connect.
+func (n *Node) connClosed(c *conn, detail string) {
 	if c == nil {
 		return
 	}
-	delete(n.conns, c.id)
-	if i := slices.Index(c.to.rest, c); i >= 0 {
-		n.resting.risen(c.to, i)
-		if rest := n.now - c.restsAt; rest > n.limits.DialTimeout { // else it was closed with the answer
-			n.tooLong(rest)
-		}
-	}
-	if c.state == busy { // its end never came: nothing was written
-		n.figures.Attempts--
+	delete(n.conns.byID, c.id)
+	n.forgetIdleConn(c)
+	if c.state == connBusy { // there was no AttemptEnded: nothing was written
+		n.metrics.uncountAttempt()
 	}
-	c.state = spent
-	j := n.unlink(c)
+	c.state = connFinished
+	j := n.conns.detachJob(c)
 	switch {
 	case j == nil:
-	case !c.rested && !c.given:
+	case !c.wasIdle && !c.abandoned:
 		if detail == "" {
 			detail = "no connection: closed as soon as it was up"
 		}
-		n.say(Log{Text: detail, Executor: c.to.id, Job: j.ID})
-		n.closeResting(c.to)
-		n.over(j, c.number, policy.ConnectFailed)
-	case c.given || j.answered || c.anew() || n.outOfWindow(c, j) || !n.place(j, c.number, c.to, c.askedAt):
-		n.over(j, c.number, policy.NotSent)
+		n.emit(Log{Text: detail, Executor: c.executor.id, Job: j.ID})
+		n.closeIdleConns(c.executor)
+		n.attemptOver(j, c.attempt, policy.ConnectFailed)
+	case n.reassignConn(c, j):
+	default:
+		n.attemptOver(j, c.attempt, policy.NotSent)
+	}
+}
+
+// forgetIdleConn takes a closed connection out of the idle ones, and learns from it how long executors keep them.
+func (n *Node) forgetIdleConn(c *conn) {
+	i := slices.Index(c.executor.idle, c)
+	if i < 0 {
+		return
+	}
+	n.conns.idle.take(c.executor, i)
+	if idle := n.now - c.idleSince; idle > n.limits.DialTimeout { // a shorter time means that it was closed with its answer
+		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, idle)
+	}
+}
+
+// reassignConn gives the unwritten attempt of a closed connection another connection to the same executor, unless it is no
+// longer wanted. It reports whether it did.
+func (n *Node) reassignConn(closed *conn, j *job) bool {
+	if closed.abandoned || j.answered || closed.executorRestarted() || n.mayMissDedupWindow(closed, j) {
+		return false
 	}
+	return n.assignConn(j, closed.attempt, closed.executor, closed.decidedAt)
 }
--- a/internal/node/job_classes.go
+++ b/internal/node/job_classes.go
@@ -1,58 +1,66 @@
 package node
 
 import (
-	"fmt"
 	"slices"
 
 	"birchstair/policy"
 )
 
-// number makes these the current tracks, and gives what changes for the module. One that is as it was keeps its number;
-// any other gets the next, so that batch jobs in hand, and those still on their way from the front, keep what they came
-// with.
-func (n *Node) number(tracks []JobClass) (changes []policy.JobClassUpdate) {
+// jobClasses numbers the job classes of the current and of earlier configurations.
+//
+// A class that a reload leaves unchanged keeps its ID. Every other class gets the next ID, so that jobs in flight, and jobs
+// still on their way from the frontend, keep the class they arrived with.
+type jobClasses struct {
+	current      []NumberedClass
+	idempotency  []policy.Idempotency // by ID, of all classes there ever were
+	lastIDByName map[string]policy.JobClassID
+}
+
+// set makes these the current classes. It returns the update for the policy and the names of the classes that got new IDs, in
+// the order of these IDs.
+func (c *jobClasses) set(classes []JobClass) (updates []policy.JobClassUpdate, added []string) {
 	var current []NumberedClass
-	for _, t := range tracks {
-		from, known := n.former[t.Name]
+	for _, class := range classes {
+		replaces, known := c.lastIDByName[class.Name]
 		if !known {
-			from = policy.NoJobClass
+			replaces = policy.NoJobClass
 		}
-		c := policy.JobClassUpdate{ID: policy.JobClassID(len(n.booked)), Replaces: from, JobClass: t.JobClass}
-		if i := slices.IndexFunc(n.tracks, func(old NumberedClass) bool { return old.JobClass == t }); i >= 0 {
-			c.ID = n.tracks[i].ID
-		} else {
-			n.booked = append(n.booked, n.figuresOf(t.Name))
-			n.repeats = append(n.repeats, t.Idempotency)
+		id, unchanged := c.idOf(class)
+		if !unchanged {
+			id = policy.JobClassID(len(c.idempotency))
+			c.idempotency = append(c.idempotency, class.Idempotency)
+			added = append(added, class.Name)
 		}
-		n.former[t.Name] = c.ID
-		changes = append(changes, c)
-		current = append(current, NumberedClass{c.ID, t})
+		c.lastIDByName[class.Name] = id
+		updates = append(updates, policy.JobClassUpdate{ID: id, Replaces: replaces, JobClass: class.JobClass})
+		current = append(current, NumberedClass{id, class})
 	}
-	n.tracks = current
-	return changes
+	c.current = current
+	return updates, added
 }
 
-// JobClasses are the current tracks with their numbers.
-func (n *Node) JobClasses() []NumberedClass { return n.tracks }
-
-// figuresOf is where a track's figures stand; those of one that is dropped stay, and go on if it comes back.
-func (n *Node) figuresOf(name string) int {
-	f := &n.figures.Classes
-	i := slices.IndexFunc(*f, func(t ClassMetrics) bool { return t.Name == name })
+// idOf finds a current class with this name and these settings.
+func (c *jobClasses) idOf(class JobClass) (id policy.JobClassID, ok bool) {
+	i := slices.IndexFunc(c.current, func(old NumberedClass) bool { return old.JobClass == class })
 	if i < 0 {
-		i = len(*f)
-		*f = append(*f, ClassMetrics{Name: name})
+		return 0, false
 	}
-	return i
+	return c.current[i].ID, true
 }
 
-// retune takes up the tracks of another configuration. The module, this node and the front change in one step.
-func (n *Node) retune(ev ConfigReloaded) {
-	n.limits.MaxWork, n.limits.ShutdownTimeout = ev.MaxWork, ev.ShutdownTimeout
-	if slices.EqualFunc(n.tracks, ev.Classes, func(a NumberedClass, b JobClass) bool { return a.JobClass == b }) {
-		return
+// same reports whether these are the current classes.
+func (c *jobClasses) same(classes []JobClass) bool {
+	return slices.EqualFunc(c.current, classes, func(a NumberedClass, b JobClass) bool { return a.JobClass == b })
+}
+
+// JobClasses returns the current job classes with their IDs.
+func (n *Node) JobClasses() []NumberedClass { return n.classes.current }
+
+// setJobClasses makes these the current classes, here and in the metrics. It returns the update for the policy.
+func (n *Node) setJobClasses(classes []JobClass) []policy.JobClassUpdate {
+	updates, added := n.classes.set(classes)
+	for _, name := range added {
+		n.metrics.addClass(name)
 	}
-	n.brain.UpdateJobClasses(n.now, n.number(ev.Classes))
-	n.say(Log{Text: fmt.Sprintf("there are %d tracks from now on", len(n.tracks))})
-	n.say(UpdateJobClasses{n.tracks})
+	return updates
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -26,10 +26,10 @@
 type Setup struct {
 	Settings    config.Settings
 	Limits      node.Limits
-	ClientConns frontend.ConnLimits // from clients, at most
-	Known       discovery.Copy      // the list as this node had it last
-	Discovery   string              // where the list comes from
-	Start       time.Time           // times of the reducer count from then
+	ClientConns frontend.ConnLimits  // from clients, at most
+	Known       discovery.CachedList // the list as this node had it last
+	Discovery   string               // where the list comes from
+	Start       time.Time            // times of the reducer count from then
 
 	Module    node.Policy
 	Listener  net.Listener
@@ -44,7 +44,7 @@
 	Share func(half bool) // told what the process may use of the node's memory
 
 	Fleet   *Fleet           // nil where the node talks with no others
-	Durable *durable.Durable // nil where durable batch jobs are off; it ends with the node
+	Durable *durable.Manager // nil where durable batch jobs are off; it ends with the node
 }
 
 // Fleet is what a node is told of the nodes that it talks with.
@@ -60,7 +60,7 @@
 		if n := len(s.Tracks); i < n {
 			name = s.Tracks[i]
 		} else {
-			name = durable.Twin + s.Tracks[i-n]
+			name = durable.ClassPrefix + s.Tracks[i-n]
 		}
 		all = append(all, node.JobClass{Name: name, JobClass: t})
 	}
@@ -74,13 +74,13 @@
 	loop.Observe = s.Tap
 	core := node.New(s.Module, s.Limits, Tracks(s.Settings))
 	front := frontend.New(core.JobClasses()[:len(s.Settings.Tracks)], s.ClientConns, loop.Post)
-	pool := upstream.New(s.Executors, s.Settings.TellsLoad(), upstream.ProbeConfig{Path: s.Settings.Probe.Path,
-		Timeout: s.Settings.Probe.Limit, Fields: s.Settings.Told()}, loop.Post)
-	patience := discovery.PatienceFor(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
+	pool := upstream.New(s.Executors, s.Settings.ReportsLoad(), upstream.ProbeConfig{Path: s.Settings.Probe.Path,
+		Timeout: s.Settings.Probe.Timeout, Fields: s.Settings.ReportedValues()}, loop.Post)
+	patience := discovery.NewTiming(s.Settings.DrainGrace, !s.Settings.Policy.EndpointsPolled)
 	patience.Seed = uint64(s.Settings.Policy.Seed)<<32 | uint64(uint32(s.Settings.Policy.Node))
 	watcher := discovery.New(discovery.Names{Zones: s.Settings.Zones, Kinds: s.Settings.Kinds, Start: s.Start}, patience, s.List, loop.Post)
-	watcher.Copy = s.Known
-	door := admin.New(config.DoorCallers, loop.PostUrgent)
+	watcher.Cached = s.Known
+	door := admin.New(config.MaxAdminCalls, loop.PostUrgent)
 	edges := node.Edges{Discovery: watcher, Admin: door}
 	if s.Heirs != "" {
 		others := hotrestart.New(s.Heirs, loop.PostUrgent)
@@ -110,7 +110,7 @@
 		fromClients, toExecutors = s.Durable.Start(loop.Post, front, pool)
 		front.HandlePrefix(durable.Path, s.Durable)
 		loop.Observe = func(now time.Duration, ev node.Event, effects []node.Effect) {
-			s.Durable.Tap(now, ev, effects)
+			s.Durable.Observe(now, ev, effects)
 			if s.Tap != nil {
 				s.Tap(now, ev, effects)
 			}
@@ -127,7 +127,7 @@
 	watching, enough := context.WithCancel(context.Background())
 	defer enough()
 	go func() {
-		loop.Post(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Executors})
+		loop.Post(node.EndpointsUpdated{Kind: policy.CachedUpdate, Endpoints: s.Known.Endpoints})
 		watcher.Run(watching, s.Discovery)
 	}()
 	go func() {
@@ -149,7 +149,7 @@
 	front.Stop()
 	var err error
 	if s.Durable != nil {
-		err = s.Durable.End()
+		err = s.Durable.Close()
 	}
 	select {
 	case err := <-broken:
--- a/policy/handover_test.go
+++ b/policy/learned_state_test.go
@@ -48,16 +48,16 @@
 	next.ImportLearned(last, k)
 	got := next.ExportLearned(last)
 	for _, in := range k.Executors { // those that are held back have no tokens yet
-		e := next.byID[in.ID]
-		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.known, e.runs, e.works, e.startWait, max(0, e.held-last), e.inCap, e.silences})
+		e := next.endpoints.byID[in.ID]
+		got.Executors = append(got.Executors, LearnedExecutor{e.id, e.tokens.inheritedQuota, e.estimate.runTime, e.estimate.work, e.estimate.startWait, max(0, e.health.ejectedUntil-last), e.health.inFlightCap, e.health.timeouts})
 	}
 	if !reflect.DeepEqual(got, k) {
 		t.Errorf("learnt\n%+v\nof\n%+v", got, k)
 	}
-	if next.NextTask(last); next.byID["a"].quota != k.Executors[0].Quota {
-		t.Errorf("a got a quota of %d", next.byID["a"].quota)
+	if next.NextTask(last); next.endpoints.byID["a"].tokens.quota != k.Executors[0].Quota {
+		t.Errorf("a got a quota of %d", next.endpoints.byID["a"].tokens.quota)
 	}
-	if e := next.byID["c"]; e.known != 0 {
+	if e := next.endpoints.byID["c"]; e.tokens.inheritedQuota != 0 {
 		t.Error("a cold executor took another start's quota")
 	}
 }
@@ -72,12 +72,12 @@
 		}
 	}
 	rest(old)
-	for _, e := range old.met {
-		e.quota = 7
+	for _, e := range old.quota.executors {
+		e.tokens.quota = 7
 	}
-	crawls := old.byID["b"]
-	crawls.runs, crawls.works, crawls.startWait = 40, 10, 3*time.Second
-	old.tracks[0].meanWork, old.tracks[0].asked = 700*time.Millisecond, 50
+	crawls := old.endpoints.byID["b"]
+	crawls.estimate.runTime, crawls.estimate.work, crawls.estimate.startWait = 40, 10, 3*time.Second
+	old.classes.all[0].meanWork, old.classes.all[0].requestedValue = 700*time.Millisecond, 50
 
 	among := settings([]string{"ask"})
 	among.Nodes = 5
@@ -85,11 +85,11 @@
 	next.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	next.ImportLearned(0, old.ExportLearned(0))
 	rest(next)
-	if b := next.byID["b"]; b.runs != 40 || b.startWait != 0 || b.known != 0 {
-		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.runs, b.works, b.startWait, b.known)
+	if b := next.endpoints.byID["b"]; b.estimate.runTime != 40 || b.estimate.startWait != 0 || b.tokens.inheritedQuota != 0 {
+		t.Errorf("of the executor that crawls it knows pace %v over %v, wait %v, quota %d", b.estimate.runTime, b.estimate.work, b.estimate.startWait, b.tokens.inheritedQuota)
 	}
-	if got := next.tracks[0]; got.meanWork != 700*time.Millisecond || got.asked != 0 {
-		t.Errorf("of the track it knows work %v and %v asked for", got.meanWork, got.asked)
+	if got := next.classes.all[0]; got.meanWork != 700*time.Millisecond || got.requestedValue != 0 {
+		t.Errorf("of the track it knows work %v and %v asked for", got.meanWork, got.requestedValue)
 	}
 	sent := map[ExecutorID]int{}
 	for i := range 40 {
@@ -107,7 +107,7 @@
 	}
 	// None ended in these two seconds: at most a first quota each, and a step more for each interval.
 	for id, n := range sent {
-		if n > firstQuota+1 {
+		if n > initialQuota+1 {
 			t.Errorf("%s got %d in its first two seconds", id, n)
 		}
 	}
@@ -118,7 +118,7 @@
 	again.UpdateEndpoints(0, CachedUpdate, []Endpoint{entry(t, 0, "a"), entry(t, 0, "b"), entry(t, 0, "c")})
 	again.ImportLearned(0, old.ExportLearned(0))
 	rest(again)
-	if a := again.byID["a"]; a.quota != 7 {
-		t.Errorf("among as many nodes as before the quota is %d", a.quota)
+	if a := again.endpoints.byID["a"]; a.tokens.quota != 7 {
+		t.Errorf("among as many nodes as before the quota is %d", a.tokens.quota)
 	}
 }
