--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -89,8 +89,8 @@
 	}()
 	log.Info().Str("listen", c.Listen).Int("known", len(c.known.Endpoints)).Int("clients", fromClients).
 		Int("executors", toExecutors).Msg("the node is up")
-	return service.Run(ctx, service.Setup{Settings: c.Settings, ClientConns: frontend.ConnLimits{Max: fromClients, MaxShared: fromFewer}, Known: c.known, Discovery: c.Discovery,
-		Start: start, Module: policy.New(p), Listener: listener, Door: door, Heirs: c.SharedDir, Elder: elder, Share: share, Durable: lasting, Fleet: talks, Executors: upstream.TCP(c.Settings.DialTimeout), Log: log,
+	return service.Run(ctx, service.Options{Settings: c.Settings, ClientLimits: frontend.ConnLimits{Max: fromClients, MaxShared: fromFewer}, CachedEndpoints: c.known, DiscoveryAddr: c.Discovery,
+		StartTime: start, Policy: policy.New(p), Listener: listener, AdminListener: door, HandoffDir: c.SharedDir, Predecessor: elder, LimitMemory: share, Durable: lasting, Cluster: talks, DialExecutor: upstream.TCP(c.Settings.DialTimeout), Log: log,
 		Limits: node.Limits{Quantum: p.Quantum, MaxIdle: c.Settings.IdleTimeout * 4 / 5, DialTimeout: c.Settings.DialTimeout,
 			MaxConns: toExecutors, MaxConnsShared: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, MaxBodyBytes: int(c.MemoryBytes / 4), RetryAfter: p.MaxRetryAfter,
 			MaxWork: c.MaxWork(), LameDuckPeriod: config.LameDuckPeriod, ShutdownTimeout: c.ShutdownTimeout()}}, more)
@@ -142,7 +142,7 @@
 }
 
 // fleetOf is what the node is told of its fleet; nil without the table.
-func fleetOf(own *site.Cluster, c told, start time.Time) (*service.Fleet, error) {
+func fleetOf(own *site.Cluster, c told, start time.Time) (*service.Cluster, error) {
 	if own == nil {
 		return nil, nil
 	}
@@ -150,7 +150,7 @@
 	s := cluster.Defaults(name, uint64(start.UnixMilli()), c.Settings.Policy.Seed)
 	s.GossipInterval, s.Fanout, s.PeerStateTTL, s.DrainTTL = time.Duration(own.GossipInterval), own.Fanout, time.Duration(own.PeerStateTTL), time.Duration(own.DrainTTL)
 	o, err := gossip.ParseOptions(name, policy.NodeID(c.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
-	return &service.Fleet{Settings: s, Options: o}, err
+	return &service.Cluster{Settings: s, Options: o}, err
 }
 
 // reread reads the configuration anew, whole: what would not do for a start changes nothing.
@@ -166,5 +166,5 @@
 	if own.Durable != nil {
 		t.Settings.Policy = durable.AddClasses(t.Settings.Policy, time.Duration(own.Durable.MaxDeadline))
 	}
-	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.Tracks(t.Settings), MaxWork: t.MaxWork(), ShutdownTimeout: t.ShutdownTimeout()}
+	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.JobClasses(t.Settings), MaxWork: t.MaxWork(), ShutdownTimeout: t.ShutdownTimeout()}
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -180,11 +180,11 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		err := service.Run(ctx, service.Setup{Settings: config.Settings{Policy: p, Tracks: names, LoadFields: config.LoadFields{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
+		err := service.Run(ctx, service.Options{Settings: config.Settings{Policy: p, Tracks: names, LoadFields: config.LoadFields{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
 			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: 100 * time.Millisecond, MaxConns: 100, MaxBodyBytes: 10 << 20,
 				MaxWork: time.Hour, RetryAfter: time.Second, LameDuckPeriod: 100 * time.Millisecond, ShutdownTimeout: 200 * time.Millisecond},
-			ClientConns: frontend.ConnLimits{Max: 300}, Discovery: "127.0.0.1:8500", Start: start, Module: policy.New(p), Listener: l, Executors: dial,
-			List: func(ctx context.Context, _, addr string) (net.Conn, error) { return dial(ctx, next(), addr) }, Log: zerolog.Nop(), Durable: d}, more)
+			ClientLimits: frontend.ConnLimits{Max: 300}, DiscoveryAddr: "127.0.0.1:8500", StartTime: start, Policy: policy.New(p), Listener: l, DialExecutor: dial,
+			DialDiscovery: func(ctx context.Context, _, addr string) (net.Conn, error) { return dial(ctx, next(), addr) }, Log: zerolog.Nop(), Durable: d}, more)
 		if err != nil {
 			w.t.Log("the node ended with an error, as a killed one may: ", err)
 		}
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -73,9 +73,9 @@
 	t.Cleanup(w.stop)
 	tcp := net.Dialer{}
 	go func() {
-		w.over <- service.Run(ctx, service.Setup{Settings: s, Start: time.Now(), Listener: w.halts.Listener(l), Discovery: list.Addr().String(), Log: zerolog.Nop(),
-			ClientConns: frontend.ConnLimits{Max: 300, MaxShared: 150}, Module: policy.New(s.Policy),
-			Executors: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
+		w.over <- service.Run(ctx, service.Options{Settings: s, StartTime: time.Now(), Listener: w.halts.Listener(l), DiscoveryAddr: list.Addr().String(), Log: zerolog.Nop(),
+			ClientLimits: frontend.ConnLimits{Max: 300, MaxShared: 150}, Policy: policy.New(s.Policy),
+			DialExecutor: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				goOn := make(chan struct{})
 				select {
 				case w.dials <- goOn:
@@ -84,7 +84,7 @@
 				}
 				return tcp.DialContext(ctx, "tcp", addr)
 			},
-			Tap: func(_ time.Duration, ev node.Event, effects []node.Effect) {
+			Observer: func(_ time.Duration, ev node.Event, effects []node.Effect) {
 				if slices.ContainsFunc(effects, func(e node.Effect) bool { _, ok := e.(node.WriteAttempt); return ok }) {
 					if l := w.late.Swap(nil); l != nil {
 						close(l.reached)
--- a/internal/service/ready_test.go
+++ b/internal/service/ready_test.go
@@ -89,9 +89,9 @@
 	ended, more := make(chan error, 1), make(chan node.Event)
 	began := time.Now()
 	go func() {
-		ended <- service.Run(over, service.Setup{Settings: s, Start: began, Listener: front, Discovery: discovery, Log: zerolog.Nop(),
-			ClientConns: frontend.ConnLimits{Max: 30, MaxShared: 15}, Module: policy.New(s.Policy), List: dial("n"),
-			Executors: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
+		ended <- service.Run(over, service.Options{Settings: s, StartTime: began, Listener: front, DiscoveryAddr: discovery, Log: zerolog.Nop(),
+			ClientLimits: frontend.ConnLimits{Max: 30, MaxShared: 15}, Policy: policy.New(s.Policy), DialDiscovery: dial("n"),
+			DialExecutor: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				return dial("x")(ctx, "", addr)
 			},
 			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: time.Second, MaxConns: 10, MaxConnsShared: 5, MaxBodyBytes: 1 << 20,
--- a/internal/simulation/wired.go
+++ b/internal/simulation/wired.go
@@ -413,9 +413,9 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
-	setup := service.Setup{Settings: s, Limits: limits, ClientConns: frontend.ConnLimits{Max: mostClients, MaxShared: mostClients / 2}, Known: discovery.CachedList{Endpoints: known}, Discovery: discoveryAddr,
-		Start: v.start.Add(n.started), Module: &witness{Policy: module, n: n, life: l}, Listener: listener, Executors: l.dial, List: l.dialList,
-		Log: zerolog.Nop(), Tap: l.tap}
+	setup := service.Options{Settings: s, Limits: limits, ClientLimits: frontend.ConnLimits{Max: mostClients, MaxShared: mostClients / 2}, CachedEndpoints: discovery.CachedList{Endpoints: known}, DiscoveryAddr: discoveryAddr,
+		StartTime: v.start.Add(n.started), Policy: &witness{Policy: module, n: n, life: l}, Listener: listener, DialExecutor: l.dial, DialDiscovery: l.dialList,
+		Log: zerolog.Nop(), Observer: l.tap}
 	go func() {
 		service.Run(ctx, setup, l.more) //nolint:errcheck // a killed node ends by its listener's error; the invariants judge what clients see
 		v.enter(l.ended)
