--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -51,7 +51,7 @@
 	c := kong.Parse(&commands, kong.Name("birchstair"), kong.Description(
 		"A dispatcher that pushes batch jobs to executors. ROUTER_CONFIG names its configuration file."))
 	if c.Command() != "serve" {
-		reload.Release()
+		reload.RestoreDefault()
 	}
 	if err := c.Run(&commands.Ops, commandName(c.Selected().Name)); err != nil {
 		fmt.Fprintln(os.Stderr, "birchstair:", err)
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	return serve(ctx, t, own, reload.Asked(), read, start, log)
+	return serve(ctx, t, own, reload.Requests(), read, start, log)
 }
 
 // onlyWriter keeps the log's end from closing what it writes to: a last word may follow.
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -1,6 +1,8 @@
-// Package reload catches SIGHUP, by which a node is told to read its configuration again. It does so when it is initialised, which
-// Go does for this package among the first: it needs nothing but package os/signal, and its path sorts before nearly all others.
-// Before that the signal ends the process.
+// Package reload catches SIGHUP, which tells a node to read its configuration again.
+//
+// It catches the signal when the package is initialized, so that one that comes while the process still starts does not
+// end it. Go initializes this package among the first: it imports nothing but package os/signal, and its path sorts before
+// nearly all others. A signal before that ends the process.
 package reload
 
 import (
@@ -9,24 +11,25 @@
 	"syscall"
 )
 
-// asked holds one: whoever reads the configuration later than a second one came finds the file as it is then.
-var asked = catch()
+// pending has room for one signal: whoever reads the configuration after a second one reads the file as it is then.
+var pending = catch()
 
 func catch() chan os.Signal {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGHUP)
-	return asked
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	return signals
 }
 
-// Asked brings something once SIGHUP has come, also where that was before this was called.
-func Asked() <-chan os.Signal { return asked }
+// Requests returns the channel that gets a value after each SIGHUP, also after one that came before this call. Signals in
+// quick succession may count as one.
+func Requests() <-chan os.Signal { return pending }
 
-// Release gives SIGHUP its usual effect back, also to one that has come already. Guards against commands that go on when their
-// terminal is gone.
-func Release() {
-	signal.Stop(asked) // one that is on its way here arrives first
+// RestoreDefault gives SIGHUP its usual effect back, which is to end the process, also to one that has come already.
+// Commands that do not reload anything call it: they are to end with their terminal.
+func RestoreDefault() {
+	signal.Stop(pending) // after it returns, no signal is on its way to the channel
 	select {
-	case <-asked:
+	case <-pending:
 		syscall.Kill(os.Getpid(), syscall.SIGHUP) //nolint:errcheck // a process may always signal itself
 	default:
 	}
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,47 +1,53 @@
-// Package socket asks the system about a connection's socket.
+// Package socket asks the operating system about the state of a connection's socket, without reading from it.
 package socket
 
 import (
+	"errors"
 	"net"
 	"syscall"
 	"unsafe"
 )
 
-// Pending says whether something has arrived on a connection that nobody has read yet: bytes, its end or a break. It takes
-// nothing of it, and may be asked beside a reader. Known is false where the system can't say.
-func Pending(c net.Conn) (any, known bool) {
-	raw := rawOf(c)
+// peerEnder is a connection that knows by itself whether its peer has ended, such as memnet.Conn.
+type peerEnder interface{ PeerEnded() bool }
+
+// Pending returns whether a read from a connection would return at once: bytes, the peer's close or an error have
+// arrived. It may be called while another goroutine reads. known is false where the system cannot tell, as for a
+// connection that is no socket.
+func Pending(c net.Conn) (pending, known bool) {
+	raw := rawConn(c)
 	if raw == nil {
 		return false, false
 	}
 	err := raw.Control(func(fd uintptr) {
-		bytes, end, ok := peek(fd)
-		any, known = bytes || end, ok
+		data, end, ok := peek(fd)
+		pending, known = data || end, ok
 	})
-	return any, known && err == nil
+	return pending, known && err == nil
 }
 
-// Ended says whether the other side has ended its sending on a connection, or broken it, also behind bytes that nobody has
-// read yet. It neither takes anything nor waits, and may be asked beside a reader. What is no socket may answer by itself.
+// Ended returns whether the peer has closed, half-closed or reset a connection, also where bytes before that are unread.
+// It does not block, and may be called while another goroutine reads. known is false where the system cannot tell.
 func Ended(c net.Conn) (ended, known bool) {
-	if c, ok := c.(interface{ PeerEnded() bool }); ok {
+	if c, ok := c.(peerEnder); ok {
 		return c.PeerEnded(), true
 	}
-	raw := rawOf(c)
+	raw := rawConn(c)
 	if raw == nil {
 		return false, false
 	}
 	err := raw.Control(func(fd uintptr) {
-		var bytes bool
-		bytes, ended, known = peek(fd)
-		if bytes {
-			ended = closeWait(fd)
+		var data bool
+		data, ended, known = peek(fd)
+		if data {
+			ended = inCloseWait(fd)
 		}
 	})
 	return ended, known && err == nil
 }
 
-func rawOf(c net.Conn) syscall.RawConn {
+// rawConn returns the connection's socket, or nil where it has none.
+func rawConn(c net.Conn) syscall.RawConn {
 	sys, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
@@ -53,26 +59,27 @@
 	return raw
 }
 
-// peek says what a read would find: bytes, or the end or a break. Known is false where it can't say.
-func peek(fd uintptr) (bytes, end, known bool) {
+// peek returns what a read would find: data, or the end or an error of the connection. known is false where the system
+// cannot tell.
+func peek(fd uintptr) (data, end, known bool) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	switch err {
-	case nil:
+	switch {
+	case err == nil:
 		return n > 0, n <= 0, true
-	case syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT:
+	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE), errors.Is(err, syscall.ETIMEDOUT):
 		return false, true, true
 	}
-	return false, false, err == syscall.EAGAIN
+	return false, false, errors.Is(err, syscall.EAGAIN)
 }
 
-// closeWait says whether a socket's other side has ended its sending, by the state that the system has it in. One that it
-// says nothing of counts as open: only what is certain may call a batch job off.
-func closeWait(fd uintptr) bool {
-	const state = 8 // TCP_CLOSE_WAIT, in the first byte of struct tcp_info
+// inCloseWait returns whether the peer has ended its sending, by the TCP state of the socket. Where the system does not
+// tell, the peer counts as open: a batch job may be canceled only for a client that has certainly left.
+func inCloseWait(fd uintptr) bool {
+	const tcpCloseWait = 8 // TCP_CLOSE_WAIT of tcpi_state, the first byte of struct tcp_info
 	var info [8]byte
 	size := uint32(len(info))
-	_, _, failed := syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
+	_, _, errno := syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
 		uintptr(unsafe.Pointer(&info[0])), uintptr(unsafe.Pointer(&size)), 0)
-	return failed == 0 && size > 0 && info[0] == state
+	return errno == 0 && size > 0 && info[0] == tcpCloseWait
 }
