--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -3,15 +3,20 @@
 import (
 	"cmp"
 	"context"
+	"errors"
 	"fmt"
+	"io"
+	stdlog "log"
 	"net"
 	"os"
+	"os/signal"
 	"runtime"
 	"runtime/debug"
 	"syscall"
 	"time"
 
 	"github.com/rs/zerolog"
+	"github.com/rs/zerolog/diode"
 
 	"birchstair/internal/cluster"
 	"birchstair/internal/config"
@@ -21,6 +26,7 @@
 	"birchstair/internal/hotrestart"
 	"birchstair/internal/leases"
 	"birchstair/internal/node"
+	"birchstair/internal/reload"
 	"birchstair/internal/service"
 	"birchstair/internal/site"
 	"birchstair/internal/store"
@@ -28,143 +34,205 @@
 	"birchstair/policy"
 )
 
-// serve puts a node together and runs it until the context ends and all is answered. Each time again brings
-// something, the configuration is read anew.
-func serve(ctx context.Context, c told, own site.Config, again <-chan os.Signal, read func() (told, error), start time.Time,
-	log zerolog.Logger) error {
-	runtime.GOMAXPROCS(max(1, int(c.Cores)))
-	share := func(half bool) {
-		parts := int64(1)
-		if half {
-			parts = 2
-		}
-		debug.SetMemoryLimit(c.MemoryBytes * 3 / 4 / parts)
-	}
-	share(false)
-	listener, err := listen(c)
+const (
+	// logBuffer is how many log lines may wait to be written; lines beyond that are dropped and counted.
+	logBuffer = 1000
+	// maxSendDelay is how long an attempt may take from its decision to its first byte.
+	maxSendDelay = 100 * time.Millisecond
+)
+
+type serveCmd struct {
+	Site string `type:"path" placeholder:"FILE" help:"The operator's own file: what is beyond the platform's configuration."`
+}
+
+// Run runs a node until SIGTERM or SIGINT, and reloads its configuration on SIGHUP.
+func (c serveCmd) Run() (err error) {
+	start := time.Now()
+	read := func() (nodeConfig, error) { return readNodeConfig(os.Getenv, start) }
+	conf, err := read()
 	if err != nil {
-		return err // it names the address
-	}
-	var elder net.Conn
-	if c.SharedDir != "" {
-		if elder, err = hotrestart.Dial(c.SharedDir); err != nil {
-			log.Info().Str("because", err.Error()).Msg("no older process of this node is joined")
-			elder = nil
-		}
+		return err
 	}
-	var door net.Listener
-	if c.AdminAddr != "" {
-		if door, err = net.Listen("tcp", c.AdminAddr); err != nil {
-			listener.Close()
-			return fmt.Errorf("management: %w", err)
-		}
+	// The reducer logs and must not wait for standard error.
+	out := diode.NewWriter(unclosable{os.Stderr}, logBuffer, 0, func(missed int) {
+		fmt.Fprintf(os.Stderr, "%d lines of the log were left out\n", missed)
+	})
+	defer func() { err = errors.Join(err, out.Close()) }()
+	log := zerolog.New(out).With().Timestamp().Str("node", conf.Name).Logger()
+	stdlog.SetFlags(0)
+	stdlog.SetOutput(log) // net/http logs there
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	own, err := readSite(c.Site, conf)
+	if err != nil {
+		return err
 	}
+	return serve(ctx, conf, own, reload.Requests(), read, start, log)
+}
 
-	c.setAside(own)
-	fromClients, toExecutors := c.ConnLimits()
-	fromFewer, toFewer := c.HandoffConnLimits()
-	p := c.Settings.Policy
-	p.MayLease = c.Settings.MayGossip && own.Cluster != nil // else nobody carries words
-	c.Settings.Policy = p
-	var lasting *durable.Manager
-	if own.Durable != nil {
-		if lasting, err = openDurable(own.Durable, c, log); err != nil {
-			listener.Close()
-			return err
-		}
-		p = durable.AddClasses(p, time.Duration(own.Durable.MaxDeadline))
-		p.MayHedge = false // a lease is one executor's
-		c.Settings.Policy = p
-	}
-	talks, err := fleetOf(own.Cluster, c, start)
+// unclosable hides the Close of a writer: standard error is still written to after the log is closed.
+type unclosable struct{ io.Writer }
+
+// serve runs a node until the context ends and all batch jobs are answered. On each value of reloads it reads its
+// configuration again by read.
+func serve(ctx context.Context, conf nodeConfig, own site.Config, reloads <-chan os.Signal, read func() (nodeConfig, error),
+	start time.Time, log zerolog.Logger) error {
+	runtime.GOMAXPROCS(max(1, int(conf.Cores)))
+	limitMemory(conf.MemoryBytes, false)
+	listener, err := listen(conf)
 	if err != nil {
+		return err // it names the address
+	}
+	o := service.Options{
+		DiscoveryAddr:   conf.Discovery,
+		CachedEndpoints: conf.cached,
+		StartTime:       start,
+		Listener:        listener,
+		DialExecutor:    upstream.TCP(conf.Settings.DialTimeout),
+		Log:             log,
+		HandoffDir:      conf.SharedDir,
+		Predecessor:     dialPredecessor(conf.SharedDir, log),
+		LimitMemory:     func(half bool) { limitMemory(conf.MemoryBytes, half) },
+	}
+	if err := addParts(&o, &conf, own); err != nil {
 		listener.Close()
 		return err
 	}
-	more := make(chan node.Event)
+	o.Settings = conf.Settings
+	o.Policy = policy.New(conf.Settings.Policy)
+	addLimits(&o, conf)
+	events := make(chan node.Event)
 	go func() {
-		for range again {
-			more <- reread(&c, own, read)
+		for range reloads {
+			events <- reloadConfig(&conf, own, read)
 		}
 	}()
-	log.Info().Str("listen", c.Listen).Int("known", len(c.known.Endpoints)).Int("clients", fromClients).
-		Int("executors", toExecutors).Msg("the node is up")
-	return service.Run(ctx, service.Options{Settings: c.Settings, ClientLimits: frontend.ConnLimits{Max: fromClients, MaxShared: fromFewer}, CachedEndpoints: c.known, DiscoveryAddr: c.Discovery,
-		StartTime: start, Policy: policy.New(p), Listener: listener, AdminListener: door, HandoffDir: c.SharedDir, Predecessor: elder, LimitMemory: share, Durable: lasting, Cluster: talks, DialExecutor: upstream.TCP(c.Settings.DialTimeout), Log: log,
-		Limits: node.Limits{Quantum: p.Quantum, MaxIdle: c.Settings.IdleTimeout * 4 / 5, DialTimeout: c.Settings.DialTimeout,
-			MaxConns: toExecutors, MaxConnsShared: toFewer, SlowStartWindow: p.OverloadWindow + coldSlack, MaxBodyBytes: int(c.MemoryBytes / 4), RetryAfter: p.MaxRetryAfter,
-			MaxWork: c.MaxWork(), LameDuckPeriod: config.LameDuckPeriod, ShutdownTimeout: c.ShutdownTimeout()}}, more)
+	log.Info().Str("listen", conf.Listen).Int("known", len(conf.cached.Endpoints)).Int("clients", o.ClientLimits.Max).
+		Int("executors", o.Limits.MaxConns).Msg("the node is up")
+	return service.Run(ctx, o, events)
 }
 
-// setAside keeps descriptors for what the operator's own file turns on.
-func (t *told) setAside(own site.Config) {
-	if own.Cluster != nil {
-		t.PeerDescriptors = gossip.MaxDescriptors
-	}
+// limitMemory sets the soft limit of Go's memory to three quarters of what the node may use, or to half of that while
+// another process of the node lives.
+func limitMemory(bytes int64, half bool) {
+	processes := int64(1)
+	if half {
+		processes = 2
+	}
+	debug.SetMemoryLimit(bytes * 3 / 4 / processes)
 }
 
-// coldSlack is how long an allocation may be on its way after it was decided on.
-const coldSlack = 100 * time.Millisecond
+// dialPredecessor connects to the process of this node that runs already. It returns nil where there is none.
+func dialPredecessor(dir string, log zerolog.Logger) net.Conn {
+	if dir == "" {
+		return nil
+	}
+	predecessor, err := hotrestart.Dial(dir)
+	if err != nil {
+		log.Info().Str("because", err.Error()).Msg("no older process of this node is joined")
+		return nil
+	}
+	return predecessor
+}
 
-// acceptSpell is how long an accept may block where it should not block at all.
-const acceptSpell = 50 * time.Millisecond
+// addParts adds the parts that the configuration and the operator's own file turn on, and changes the policy's settings
+// by them.
+func addParts(o *service.Options, conf *nodeConfig, own site.Config) (err error) {
+	if conf.AdminAddr != "" {
+		if o.AdminListener, err = net.Listen("tcp", conf.AdminAddr); err != nil {
+			return fmt.Errorf("management: %w", err)
+		}
+	}
+	conf.reservePeerDescriptors(own)
+	p := &conf.Settings.Policy
+	p.MayLease = conf.Settings.MayGossip && own.Cluster != nil // leases are agreed on by gossip
+	if own.Durable != nil {
+		if o.Durable, err = openDurable(own.Durable, *conf, o.Log); err != nil {
+			return err
+		}
+		*p = durable.AddClasses(*p, time.Duration(own.Durable.MaxDeadline))
+		p.MayHedge = false // an executor's lease on a job is exclusive
+	}
+	o.Cluster, err = clusterOptions(own.Cluster, *conf, o.StartTime)
+	return err
+}
 
-// listen takes the socket that the process was given, or makes its own.
-func listen(c told) (net.Listener, error) {
-	if c.ListenFD == 0 {
-		return net.Listen("tcp", c.Listen)
-	}
-	given := os.NewFile(uintptr(c.ListenFD), "ROUTER_LISTEN_FD")
-	defer given.Close() //nolint:errcheck // the listener has a descriptor of its own
-	// Who else holds the socket may have made it blocking: whether it is belongs to all. Guards against a thread that
-	// waits in accept for good and takes one more connection when this process takes none any more.
-	if err := syscall.SetsockoptTimeval(c.ListenFD, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Usec: int64(acceptSpell / time.Microsecond)}); err != nil {
-		return nil, fmt.Errorf("ROUTER_LISTEN_FD: %d is no socket: %w", c.ListenFD, err)
-	}
-	l, err := net.FileListener(given)
-	if err != nil {
-		return nil, fmt.Errorf("ROUTER_LISTEN_FD: %d is no socket that listens: %w", c.ListenFD, err)
+// addLimits adds the node's limits.
+func addLimits(o *service.Options, conf nodeConfig) {
+	clients, executors := conf.ConnLimits()
+	clientsShared, executorsShared := conf.HandoffConnLimits()
+	s := &conf.Settings
+	o.ClientLimits = frontend.ConnLimits{Max: clients, MaxShared: clientsShared}
+	o.Limits = node.Limits{
+		Quantum:         s.Policy.Quantum,
+		MaxIdle:         s.IdleTimeout * 4 / 5,
+		DialTimeout:     s.DialTimeout,
+		MaxConns:        executors,
+		MaxConnsShared:  executorsShared,
+		SlowStartWindow: s.Policy.OverloadWindow + maxSendDelay,
+		MaxBodyBytes:    int(conf.MemoryBytes / 4),
+		RetryAfter:      s.Policy.MaxRetryAfter,
+		MaxWork:         conf.MaxWork(),
+		LameDuckPeriod:  config.LameDuckPeriod,
+		ShutdownTimeout: conf.ShutdownTimeout(),
 	}
-	return l, nil
 }
 
 // openDurable opens the store of durable batch jobs.
-func openDurable(own *site.Durable, c told, log zerolog.Logger) (*durable.Manager, error) {
+func openDurable(own *site.Durable, conf nodeConfig, log zerolog.Logger) (*durable.Manager, error) {
 	s, err := store.Open(store.Directory(own.Dir), store.Options{Segment: int64(own.SegmentSize), Most: int64(own.MaxSize)})
 	if err != nil {
 		return nil, fmt.Errorf("durable.dir: %w", err)
 	}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
-		return upstream.TCP(c.Settings.DialTimeout)(ctx, 0, addr)
-	}
-	return durable.New(durable.Options{MaxDeadline: time.Duration(own.MaxDeadline), Leases: leases.Settings{Room: own.MaxConcurrent,
-		Keep: time.Duration(own.Retention), Leases: own.ExecutorLeases, AskEvery: time.Duration(own.PollInterval)}}, s, c.Settings.Tracks, c.Settings.Policy.JobClasses, dial, log), nil
+		return upstream.TCP(conf.Settings.DialTimeout)(ctx, 0, addr)
+	}
+	o := durable.Options{
+		MaxDeadline: time.Duration(own.MaxDeadline),
+		Leases: leases.Settings{
+			Room:     own.MaxConcurrent,
+			Keep:     time.Duration(own.Retention),
+			Leases:   own.ExecutorLeases,
+			AskEvery: time.Duration(own.PollInterval),
+		},
+	}
+	return durable.New(o, s, conf.Settings.Tracks, conf.Settings.Policy.JobClasses, dial, log), nil
 }
 
-// fleetOf is what the node is told of its fleet; nil without the table.
-func fleetOf(own *site.Cluster, c told, start time.Time) (*service.Cluster, error) {
+// clusterOptions returns how the node gossips with others; nil where the operator's own file does not turn that on.
+func clusterOptions(own *site.Cluster, conf nodeConfig, start time.Time) (*service.Cluster, error) {
 	if own == nil {
 		return nil, nil
 	}
-	name := cluster.NodeName(cmp.Or(own.Name, c.Name))
-	s := cluster.Defaults(name, uint64(start.UnixMilli()), c.Settings.Policy.Seed)
-	s.GossipInterval, s.Fanout, s.PeerStateTTL, s.DrainTTL = time.Duration(own.GossipInterval), own.Fanout, time.Duration(own.PeerStateTTL), time.Duration(own.DrainTTL)
-	o, err := gossip.ParseOptions(name, policy.NodeID(c.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
+	name := cluster.NodeName(cmp.Or(own.Name, conf.Name))
+	s := cluster.Defaults(name, uint64(start.UnixMilli()), conf.Settings.Policy.Seed)
+	s.GossipInterval = time.Duration(own.GossipInterval)
+	s.Fanout = own.Fanout
+	s.PeerStateTTL = time.Duration(own.PeerStateTTL)
+	s.DrainTTL = time.Duration(own.DrainTTL)
+	o, err := gossip.ParseOptions(name, policy.NodeID(conf.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
 	return &service.Cluster{Settings: s, Options: o}, err
 }
 
-// reread reads the configuration anew, whole: what would not do for a start changes nothing.
-func reread(c *told, own site.Config, read func() (told, error)) node.ConfigReloaded {
-	t, err := read()
+// reloadConfig reads the configuration again. One that a start would refuse changes nothing; changes that need a restart
+// are named in the event.
+func reloadConfig(conf *nodeConfig, own site.Config, read func() (nodeConfig, error)) node.ConfigReloaded {
+	next, err := read()
 	if err == nil {
-		err = c.MissingKey(&t.Config)
+		err = conf.MissingKey(&next.Config)
 	}
 	if err != nil {
 		return node.ConfigReloaded{Detail: err.Error()}
 	}
-	waits := c.RestartKeys(t.Config)
+	needRestart := conf.RestartKeys(next.Config)
 	if own.Durable != nil {
-		t.Settings.Policy = durable.AddClasses(t.Settings.Policy, time.Duration(own.Durable.MaxDeadline))
+		next.Settings.Policy = durable.AddClasses(next.Settings.Policy, time.Duration(own.Durable.MaxDeadline))
+	}
+	return node.ConfigReloaded{
+		Discovery:       next.Discovery,
+		NeedRestart:     needRestart,
+		Classes:         service.JobClasses(next.Settings),
+		MaxWork:         next.MaxWork(),
+		ShutdownTimeout: next.ShutdownTimeout(),
 	}
-	return node.ConfigReloaded{Discovery: t.Discovery, NeedRestart: waits, Classes: service.JobClasses(t.Settings), MaxWork: t.MaxWork(), ShutdownTimeout: t.ShutdownTimeout()}
 }
--- a/cmd/birchstair/serve_test.go
+++ b/cmd/birchstair/serve_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-func (c configuration) read() (told, error) {
-	return readTold(func(name string) string { return map[string]string{"ROUTER_CONFIG": c.file}[name] }, time.Now())
+func (c configuration) read() (nodeConfig, error) {
+	return readNodeConfig(func(name string) string { return map[string]string{"ROUTER_CONFIG": c.file}[name] }, time.Now())
 }
 
 func (c configuration) serve(ctx context.Context, again chan os.Signal) error {
--- a/cmd/birchstair/store.go
+++ b/cmd/birchstair/store.go
@@ -36,7 +36,10 @@
 	}
 )
 
-// scanLocked reads all records of a directory that no node uses, with a word on standard error now and then.
+// progressInterval is how often a scan reports on standard error.
+const progressInterval = time.Second
+
+// scanLocked calls each for all records of a store, which no node may use meanwhile. It reports progress on standard error.
 func scanLocked(dir string, each func(store.Record)) (segments []store.Segment, err error) {
 	disk := store.Directory(dir)
 	lock, err := disk.Lock()
@@ -44,16 +47,17 @@
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, lock.Close()) }()
-	said, records := time.Now(), 0
+	reported, records := time.Now(), 0
 	return store.Scan(disk, func(segment uint64, r store.Record, _ int) {
-		if records++; time.Since(said) > time.Second {
-			said = time.Now()
+		if records++; time.Since(reported) > progressInterval {
+			reported = time.Now()
 			fmt.Fprintf(os.Stderr, "%d records, in segment %d\n", records, segment)
 		}
 		each(r)
 	})
 }
 
+// Run reads all records, prints the segments and says what is damaged.
 func (c storeCheckCmd) Run() error {
 	segments, err := scanLocked(c.Dir, func(store.Record) {})
 	for _, s := range segments {
@@ -73,6 +77,7 @@
 	return nil
 }
 
+// Run prints a line for each batch job.
 func (c storeListCmd) Run() error {
 	states := store.States{}
 	if _, err := scanLocked(c.Dir, states.Apply); err != nil {
@@ -88,10 +93,13 @@
 	return w.Flush()
 }
 
+// stamp formats a time of a record.
 func stamp(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05.000") }
 
+// answers are the names of final answers by their number in a record.
 var answers = [...]string{"handled", "pushed back", "broken off"}
 
+// describe returns a record's kind and what matters most of it.
 func describe(r store.Record) string {
 	s := r.Kind.String()
 	switch r.Kind {
@@ -110,6 +118,7 @@
 	return s
 }
 
+// Run prints the records of one batch job.
 func (c storeShowCmd) Run() error {
 	found := false
 	if _, err := scanLocked(c.Dir, func(r store.Record) {
@@ -137,6 +146,7 @@
 	return nil
 }
 
+// Run compacts the store and prints its size before and after.
 func (c storeCompactCmd) Run() error {
 	s, err := store.Open(store.Directory(c.Dir), store.Options{Segment: 1 << 30})
 	if err != nil {
