--- a/cmd/birchstair-sim/account.go
+++ b/cmd/birchstair-sim/account.go
@@ -19,6 +19,7 @@
 	JSON      string            `name:"json" type:"path" placeholder:"FILE" help:"Write the account there."`
 }
 
+// Run plays the scenario and prints the account.
 func (c *accountCmd) Run() error {
 	s, err := load(c.Scenario)
 	if err != nil {
--- a/cmd/birchstair-sim/fleet.go
+++ b/cmd/birchstair-sim/fleet.go
@@ -39,6 +39,7 @@
 	Parallel int   `default:"2" help:"Runs at a time."`
 }
 
+// Run plays the runs and prints each.
 func (c *fleetRunCmd) Run() error {
 	s, err := load(c.Scenario)
 	if err != nil {
@@ -49,13 +50,13 @@
 	}
 	wrong := 0
 	for i := range c.Runs {
-		talks := []bool{s.Fleet.Talk}
+		variants := []bool{s.Fleet.Talk}
 		if c.Against {
-			talks = []bool{true, false}
+			variants = []bool{true, false}
 		}
-		for _, talk := range talks {
+		for _, gossip := range variants {
 			one := s
-			one.Fleet.Talk = talk
+			one.Fleet.Talk = gossip
 			r, dir, err := c.play(one, c.Seed+uint64(i))
 			if err != nil {
 				return err
@@ -64,20 +65,21 @@
 			wrong += len(r.Wrong)
 			if c.JSON != "" {
 				if err := appendLine(c.JSON, struct {
-					Talk bool
+					Gossip bool `json:"Talk"`
 					harness.Result
-				}{talk, r}); err != nil {
+				}{gossip, r}); err != nil {
 					return err
 				}
 			}
 		}
 	}
 	if wrong > 0 {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
 
+// appendLine appends a value to a file, as a line of JSON.
 func appendLine(path string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -113,6 +115,7 @@
 	return r, dir, err
 }
 
+// printFleet prints the result of a run.
 func printFleet(s simulation.Scenario, r harness.Result, dir string) {
 	fmt.Printf("%s, seed %d, %d nodes, talk %t: earned %.3f, of the best that could be had %.3f; work sent over work finished %.2f; %d works, tries %v, allocations %d\n",
 		s.Name, r.Seed, s.Fleet.Nodes, s.Fleet.Talk, r.Earned/max(r.Asked, 1e-9), r.Earned/max(r.Best, 1e-9), r.Work/max(r.Finished, 1e-9), r.Works, r.Tries, r.Allocations)
@@ -130,44 +133,46 @@
 	}
 }
 
+// Run plays a run for each seed and prints each.
 func (c *fleetHuntCmd) Run() error {
 	if c.Nodes < 3 || c.Nodes > 60 {
 		return fmt.Errorf("--nodes %d: from 3 to 60", c.Nodes)
 	}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	free := make(chan struct{}, max(1, c.Parallel))
 	runs, wrong := 0, 0
 	var failed error
-	for seed := c.Seeds.first; seed <= c.Seeds.last; seed++ {
-		free <- struct{}{}
-		wait.Go(func() {
-			defer func() { <-free }()
-			s := harness.Draw(seed, c.Nodes)
-			r, dir, err := c.play(s, seed)
-			mu.Lock()
-			defer mu.Unlock()
-			if err != nil {
-				failed = err
-				return
-			}
-			runs++
-			wrong += len(r.Wrong)
-			printFleet(s, r, dir)
-			if len(r.Wrong) > 0 {
-				if text, err := s.Text(); err == nil {
-					failed = errors.Join(failed, os.WriteFile(filepath.Join(dir, "scenario.toml"), text, 0o644))
-				}
-			}
-		})
-	}
-	wait.Wait()
+	inParallel(c.Seeds.count(), max(1, c.Parallel), func(i int) {
+		seed := c.Seeds.first + uint64(i)
+		s := harness.Draw(seed, c.Nodes)
+		r, dir, err := c.play(s, seed)
+		mu.Lock()
+		defer mu.Unlock()
+		if err != nil {
+			failed = err
+			return
+		}
+		runs++
+		wrong += len(r.Wrong)
+		printFleet(s, r, dir)
+		if len(r.Wrong) > 0 {
+			failed = errors.Join(failed, keepScenario(dir, s))
+		}
+	})
 	fmt.Printf("%d runs, %d things wrong\n", runs, wrong)
 	if failed != nil {
 		return failed
 	}
 	if wrong > 0 {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
+
+// keepScenario writes the scenario of a run beside the run's logs.
+func keepScenario(dir string, s simulation.Scenario) error {
+	text, err := s.Text()
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(dir, "scenario.toml"), text, 0o644)
+}
--- a/cmd/birchstair-sim/hunt.go
+++ b/cmd/birchstair-sim/hunt.go
@@ -19,13 +19,13 @@
 	Nodes     int           `default:"4" help:"Nodes in a world, at most."`
 	Executors int           `default:"8" help:"Executors in a world, at most."`
 	Length    time.Duration `default:"15s" help:"How long batch jobs come in a world."`
-	Cold      bool          `help:"Draw worlds about cold executors, with 20 or 30 nodes."`
+	SlowStart bool          `name:"cold" help:"Draw worlds about cold executors, with 20 or 30 nodes."`
 	Parallel  int           `help:"Worlds at a time; as many as there are cores if it is left out."`
 	Keep      string        `type:"path" placeholder:"DIR" help:"Keep what breaks a rule, and what does worst, as scenarios there."`
 	Worst     int           `default:"5" help:"How many of those that do worst are named."`
 }
 
-// seeds is a span of seeds.
+// seeds is a range of seeds, both ends included.
 type seeds struct{ first, last uint64 }
 
 // UnmarshalText reads FIRST..LAST, or one seed.
@@ -43,12 +43,38 @@
 	return nil
 }
 
-// outcome is what a hunt keeps of a world.
-type outcome struct {
-	s simulation.Scenario
-	r simulation.Result
+// count returns how many seeds there are.
+func (s seeds) count() int { return int(s.last - s.first + 1) }
+
+// huntProgressInterval is how often progress is reported on standard error.
+const huntProgressInterval = time.Second
+
+// world is a scenario that was played, and its result.
+type world struct {
+	scenario simulation.Scenario
+	result   simulation.Result
+}
+
+// shortfall is by how much a world earned less than it could have with the nodes and executors that were there.
+func (w world) shortfall() float64 { return w.result.Best - w.result.Earned }
+
+// hunt is the state of a running hunt.
+type hunt struct {
+	*huntCmd
+	began, reported time.Time
+
+	done       uint64
+	works      int
+	steps      int
+	panics     int
+	lateTwice  int
+	violations int
+	worst      []world // the largest shortfall first
+	comparison comparison
+	err        error
 }
 
+// Run plays a world for each seed, and prints and keeps those that violate an invariant or do worst.
 func (c *huntCmd) Run() error {
 	if c.Nodes < 1 || c.Executors < 2 || c.Length < time.Second {
 		return fmt.Errorf("a world has at least 1 node, 2 executors and 1s: --nodes %d, --executors %d, --length %v", c.Nodes, c.Executors, c.Length)
@@ -58,109 +84,127 @@
 			return err
 		}
 	}
-	began, said := time.Now(), time.Now()
-	total := c.Seeds.last - c.Seeds.first + 1
-	done, works, steps, panics, late := uint64(0), 0, 0, 0, 0
-	var broken, worst []outcome
-	var against versus
-	var failed error
-	size := simulation.Size{Nodes: c.Nodes, Executors: c.Executors, Length: c.Length, Cold: c.Cold}
+	h := hunt{huntCmd: c, began: time.Now(), reported: time.Now()}
+	size := simulation.Size{Nodes: c.Nodes, Executors: c.Executors, Length: c.Length, Cold: c.SlowStart}
 	simulation.Hunt(c.Seeds.first, c.Seeds.last, size, c.Parallel, func(s simulation.Scenario, r simulation.Result) bool {
-		done++
-		works += r.Works()
-		steps += r.Steps
-		panics += r.Panics
-		late += r.LateTwice
-		if len(r.Broken) > 0 {
-			broken = append(broken, outcome{s, r})
-			fmt.Printf("seed %d: %v\n", r.Seed, r.Broken[0])
-			if c.Keep != "" {
-				failed = keep(c.Keep, s, "breaks: "+r.Broken[0].Rule.String())
-			}
-		}
-		if r.Panics > 0 {
-			fmt.Printf("seed %d: the module broke %d times\n", r.Seed, r.Panics)
-		}
-		if c.Against && s.Fleet.Talk {
-			against.add(s, r)
-		}
-		worst = append(worst, outcome{s, r})
-		slices.SortStableFunc(worst, func(a, b outcome) int { return cmp.Compare(shortfall(b), shortfall(a)) })
-		worst = worst[:min(len(worst), c.Worst)]
-		if time.Since(said) > time.Second {
-			said = time.Now()
-			rate := float64(done) / time.Since(began).Seconds()
-			fmt.Fprintf(os.Stderr, "%d of %d worlds, %d broken, %.0f a second, %v to go\n", done, total, len(broken), rate,
-				time.Duration(float64(total-done)/rate*1e9).Round(time.Second))
-		}
-		return failed == nil
+		h.add(world{s, r})
+		h.reportProgress()
+		return h.err == nil
 	})
-	if failed != nil {
-		return failed
+	if h.err != nil {
+		return h.err
+	}
+	return h.printSummary()
+}
+
+// add counts a world, and prints and keeps it where it violates an invariant.
+func (h *hunt) add(w world) {
+	r := w.result
+	h.done++
+	h.works += r.Works()
+	h.steps += r.Steps
+	h.panics += r.Panics
+	h.lateTwice += r.LateTwice
+	if len(r.Broken) > 0 {
+		h.violations++
+		fmt.Printf("seed %d: %v\n", r.Seed, r.Broken[0])
+		if h.Keep != "" {
+			h.err = keep(h.Keep, w.scenario, "breaks: "+r.Broken[0].Rule.String())
+		}
+	}
+	if r.Panics > 0 {
+		fmt.Printf("seed %d: the module broke %d times\n", r.Seed, r.Panics)
+	}
+	if h.Against && w.scenario.Fleet.Talk {
+		h.comparison.add(w)
+	}
+	h.worst = append(h.worst, w)
+	slices.SortStableFunc(h.worst, func(a, b world) int { return cmp.Compare(b.shortfall(), a.shortfall()) })
+	h.worst = h.worst[:min(len(h.worst), h.Worst)]
+}
+
+// reportProgress reports progress on standard error now and then.
+func (h *hunt) reportProgress() {
+	if time.Since(h.reported) <= huntProgressInterval {
+		return
 	}
+	h.reported = time.Now()
+	total := uint64(h.Seeds.count())
+	rate := float64(h.done) / time.Since(h.began).Seconds()
+	remaining := time.Duration(float64(total-h.done) / rate * 1e9)
+	fmt.Fprintf(os.Stderr, "%d of %d worlds, %d broken, %.0f a second, %v to go\n", h.done, total, h.violations, rate, remaining.Round(time.Second))
+}
+
+// printSummary prints sums and the worlds that did worst, and keeps those.
+func (h *hunt) printSummary() error {
 	fmt.Printf("%d worlds, %d things wanted, %d steps in %v: %d broke a rule, the module broke %d times, %d tagged ran again too late to be dropped\n",
-		done, works, steps, time.Since(began).Round(time.Millisecond), len(broken), panics, late)
-	for _, o := range worst {
-		fmt.Printf("  seed %d earned %.3f where %.3f could have been; faults: %d\n", o.r.Seed, o.r.Earned, o.r.Best, len(o.s.Faults))
-		if c.Keep != "" {
-			if err := keep(c.Keep, o.s, fmt.Sprintf("earned %.3f", o.r.Earned)); err != nil {
+		h.done, h.works, h.steps, time.Since(h.began).Round(time.Millisecond), h.violations, h.panics, h.lateTwice)
+	for _, w := range h.worst {
+		r := w.result
+		fmt.Printf("  seed %d earned %.3f where %.3f could have been; faults: %d\n", r.Seed, r.Earned, r.Best, len(w.scenario.Faults))
+		if h.Keep != "" {
+			if err := keep(h.Keep, w.scenario, fmt.Sprintf("earned %.3f", r.Earned)); err != nil {
 				return err
 			}
 		}
 	}
-	if c.Against {
-		against.print(c.Worst)
+	if h.Against {
+		h.comparison.print(h.Worst)
 	}
-	if len(broken) > 0 {
-		return errBroken
+	if h.violations > 0 {
+		return errViolation
 	}
 	return nil
 }
 
-// versus are worlds played with nodes that talk and with each alone.
-type versus struct {
-	pairs []pair
+// comparison is of worlds that were played with nodes that gossip, and with each node alone.
+type comparison struct {
+	pairs []worldPair
 }
 
-type pair struct {
-	seed                  uint64
-	talking, alone, best  float64
-	allocations, allAlone int
+type worldPair struct {
+	seed                          uint64
+	gossip, alone, best           float64 // earned, and what could have been
+	gossipAttempts, aloneAttempts int
 }
 
-func (v *versus) add(s simulation.Scenario, r simulation.Result) {
+// notable is the difference from which on one of a pair counts as better.
+const notable = 0.02
+
+// add plays a world whose nodes gossip once more with each node alone.
+func (c *comparison) add(w world) {
+	s, r := w.scenario, w.result
 	s.Fleet.Talk = false
-	o := simulation.New(s, r.Seed, simulation.Options{}).Play()
-	v.pairs = append(v.pairs, pair{r.Seed, r.Earned, o.Earned, r.Best, r.Allocations, o.Allocations})
+	alone := simulation.New(s, r.Seed, simulation.Options{}).Play()
+	c.pairs = append(c.pairs, worldPair{r.Seed, r.Earned, alone.Earned, r.Best, r.Allocations, alone.Allocations})
 }
 
-// print prints sums, and the worlds in which talking did worst.
-func (v *versus) print(worst int) {
-	slices.SortStableFunc(v.pairs, func(a, b pair) int { return cmp.Compare(a.talking-a.alone, b.talking-b.alone) })
-	sum, alone, better, worse, allocations, allAlone := 0.0, 0.0, 0, 0, 0, 0
-	for _, p := range v.pairs {
-		sum += p.talking
-		alone += p.alone
-		allocations += p.allocations
-		allAlone += p.allAlone
+// print prints sums, and the worlds in which gossip did worst.
+func (c *comparison) print(worst int) {
+	slices.SortStableFunc(c.pairs, func(a, b worldPair) int { return cmp.Compare(a.gossip-a.alone, b.gossip-b.alone) })
+	var sum worldPair
+	better, worse := 0, 0
+	for _, p := range c.pairs {
+		sum.gossip += p.gossip
+		sum.alone += p.alone
+		sum.gossipAttempts += p.gossipAttempts
+		sum.aloneAttempts += p.aloneAttempts
 		switch {
-		case p.talking > p.alone+0.02:
+		case p.gossip > p.alone+notable:
 			better++
-		case p.talking < p.alone-0.02:
+		case p.gossip < p.alone-notable:
 			worse++
 		}
 	}
-	n := float64(max(1, len(v.pairs)))
+	n := float64(max(1, len(c.pairs)))
 	fmt.Printf("%d worlds whose nodes talk earned %.4f on average, each node alone %.4f; better by over 0.02 in %d, worse in %d; allocations %d and %d\n",
-		len(v.pairs), sum/n, alone/n, better, worse, allocations, allAlone)
-	for _, p := range v.pairs[:min(worst, len(v.pairs))] {
-		fmt.Printf("  seed %d: talking %.3f, each alone %.3f, at the most %.3f\n", p.seed, p.talking, p.alone, p.best)
+		len(c.pairs), sum.gossip/n, sum.alone/n, better, worse, sum.gossipAttempts, sum.aloneAttempts)
+	for _, p := range c.pairs[:min(worst, len(c.pairs))] {
+		fmt.Printf("  seed %d: talking %.3f, each alone %.3f, at the most %.3f\n", p.seed, p.gossip, p.alone, p.best)
 	}
 }
 
-// shortfall is how far a world stayed under what could have been earned in it, with the nodes and executors that were there.
-func shortfall(o outcome) float64 { return o.r.Best - o.r.Earned }
-
+// keep writes a scenario to a directory, with the reason in its description.
 func keep(dir string, s simulation.Scenario, why string) error {
 	s.About = strings.TrimSuffix(s.About, ".") + "; " + why + "."
 	text, err := s.Text()
@@ -176,6 +220,7 @@
 	To       string `type:"path" placeholder:"FILE" help:"Where the small scenario goes; else it is printed."`
 }
 
+// Run prints the smallest scenario that still violates the same invariant, or writes it to a file.
 func (c *shrinkCmd) Run() error {
 	s, err := load(c.Scenario)
 	if err != nil {
@@ -211,5 +256,5 @@
 	return err
 }
 
-// seedOf is the seed that was asked for, or the scenario's own, or 1.
-func seedOf(s simulation.Scenario, asked uint64) uint64 { return cmp.Or(asked, s.Seed, 1) }
+// seedOf returns the seed of the flag, or the scenario's own, or 1.
+func seedOf(s simulation.Scenario, flag uint64) uint64 { return cmp.Or(flag, s.Seed, 1) }
--- a/cmd/birchstair-sim/kill.go
+++ b/cmd/birchstair-sim/kill.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"runtime"
 	"sync"
 	"time"
 
@@ -22,6 +21,20 @@
 	Parallel int    `help:"Runs at a time; as many as there are cores if it is left out."`
 }
 
+// killProgressInterval is how often progress is reported on standard error.
+const killProgressInterval = 2 * time.Second
+
+// killTotals are the sums over all runs.
+type killTotals struct {
+	mu       sync.Mutex
+	finals   map[string]int // final answers by kind
+	done     int
+	wrong    int
+	err      error
+	reported time.Time
+}
+
+// Run plays the runs and prints what became of all batch jobs.
 func (c *killCmd) Run() error {
 	if c.Runs < 1 || c.Jobs < 1 || c.Kills < 0 {
 		return fmt.Errorf("at least one run and one batch job: --runs %d, --jobs %d, --kills %d", c.Runs, c.Jobs, c.Kills)
@@ -30,53 +43,53 @@
 	if err != nil {
 		return err
 	}
-	parallel := c.Parallel
-	if parallel < 1 {
-		parallel = runtime.NumCPU()
+	totals := killTotals{finals: map[string]int{}, reported: time.Now()}
+	inParallel(c.Runs, c.Parallel, func(i int) {
+		seed := c.Seed + uint64(i)
+		result, dir, err := c.play(binary, seed)
+		c.add(&totals, seed, result, dir, err)
+	})
+	if totals.err != nil {
+		return totals.err
+	}
+	fmt.Printf("%d runs with %d kills each: %d handled, %d pushed back, %d broken off; %d things wrong\n", totals.done, c.Kills,
+		totals.finals["handled"], totals.finals["pushed back"], totals.finals["broken off"], totals.wrong)
+	if totals.wrong > 0 {
+		return errViolation
+	}
+	return nil
+}
+
+// play plays one run in a directory of its own.
+func (c *killCmd) play(binary string, seed uint64) (result simulation.Killed, dir string, err error) {
+	dir, err = os.MkdirTemp("", "birchstair-sim-kill-")
+	if err != nil {
+		return result, dir, err
+	}
+	result, err = simulation.Killing{Binary: binary, Seed: seed, Jobs: c.Jobs, Kills: c.Kills, Leases: c.Leases, Dir: dir}.Play()
+	return result, dir, err
+}
+
+// add adds a run to the totals, prints what was wrong in it, and removes its directory where nothing was.
+func (c *killCmd) add(totals *killTotals, seed uint64, result simulation.Killed, dir string, err error) {
+	totals.mu.Lock()
+	defer totals.mu.Unlock()
+	totals.done++
+	if totals.err == nil {
+		totals.err = err
 	}
-	var mu sync.Mutex
-	var wait sync.WaitGroup
-	free := make(chan struct{}, parallel)
-	finals, done, wrong, said := map[string]int{}, 0, 0, time.Now()
-	var failed error
-	for i := range c.Runs {
-		free <- struct{}{}
-		wait.Go(func() {
-			defer func() { <-free }()
-			dir, err := os.MkdirTemp("", "birchstair-sim-kill-")
-			var r simulation.Killed
-			if err == nil {
-				r, err = simulation.Killing{Binary: binary, Seed: c.Seed + uint64(i), Jobs: c.Jobs, Kills: c.Kills, Leases: c.Leases, Dir: dir}.Play()
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			done++
-			if err != nil && failed == nil {
-				failed = err
-			}
-			for f, n := range r.Finals {
-				finals[f] += n
-			}
-			for _, text := range r.Wrong {
-				fmt.Printf("seed %d: %s (see %s)\n", c.Seed+uint64(i), text, dir)
-			}
-			if wrong += len(r.Wrong); len(r.Wrong) == 0 {
-				failed = errors.Join(failed, os.RemoveAll(dir))
-			}
-			if time.Since(said) > 2*time.Second {
-				said = time.Now()
-				fmt.Fprintf(os.Stderr, "%d of %d runs, %d things wrong\n", done, c.Runs, wrong)
-			}
-		})
+	for kind, n := range result.Finals {
+		totals.finals[kind] += n
 	}
-	wait.Wait()
-	if failed != nil {
-		return failed
+	for _, text := range result.Wrong {
+		fmt.Printf("seed %d: %s (see %s)\n", seed, text, dir)
 	}
-	fmt.Printf("%d runs with %d kills each: %d handled, %d pushed back, %d broken off; %d things wrong\n", done, c.Kills, finals["handled"],
-		finals["pushed back"], finals["broken off"], wrong)
-	if wrong > 0 {
-		return errBroken
+	totals.wrong += len(result.Wrong)
+	if len(result.Wrong) == 0 {
+		totals.err = errors.Join(totals.err, os.RemoveAll(dir))
+	}
+	if time.Since(totals.reported) > killProgressInterval {
+		totals.reported = time.Now()
+		fmt.Fprintf(os.Stderr, "%d of %d runs, %d things wrong\n", totals.done, c.Runs, totals.wrong)
 	}
-	return nil
 }
--- a/cmd/birchstair-sim/main.go
+++ b/cmd/birchstair-sim/main.go
@@ -1,5 +1,5 @@
-// Birchlab is the lab: it plays worlds of nodes, executors and clients on a virtual clock, puts faults on them, and
-// checks the rules at every step.
+// Birchstair-sim simulates nodes, executors and clients on a virtual clock, injects faults, and checks the invariants at
+// every step. Some of its commands do the same with real processes on loopback.
 package main
 
 import (
@@ -24,8 +24,8 @@
 	Trace   traceCmd   `cmd:"" help:"Print a trace as people read it."`
 }
 
-// errBroken: a rule broke; what it was has been printed.
-var errBroken = errors.New("a rule broke")
+// errViolation means that an invariant was violated, or something else was wrong, which has been printed.
+var errViolation = errors.New("a rule broke")
 
 func main() {
 	if os.Getenv(scaletest.HollowEnv) != "" { // started by birchstair-sim scale
@@ -38,7 +38,7 @@
 	ctx := kong.Parse(&commands, kong.Name("birchstair-sim"), kong.Description("Worlds on a virtual clock, with faults and the rules checked."),
 		kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
-		if !errors.Is(err, errBroken) {
+		if !errors.Is(err, errViolation) {
 			fmt.Fprintln(os.Stderr, "birchstair-sim:", err)
 			os.Exit(2)
 		}
--- a/cmd/birchstair-sim/run.go
+++ b/cmd/birchstair-sim/run.go
@@ -10,7 +10,6 @@
 	"path/filepath"
 	"runtime"
 	"strings"
-	"sync"
 	"text/tabwriter"
 	"time"
 
@@ -21,6 +20,7 @@
 
 type listCmd struct{}
 
+// Run prints a line for each scenario of the repository.
 func (listCmd) Run() error {
 	files, err := fs.Glob(scenarios.Files, "*.toml")
 	if err != nil {
@@ -37,7 +37,7 @@
 	return w.Flush()
 }
 
-// load reads a scenario by its file, or by the name of a kept one.
+// load reads a scenario from a file, or one of the repository by its name.
 func load(name string) (simulation.Scenario, error) {
 	if text, err := os.ReadFile(name); err == nil {
 		return simulation.Read(name, text)
@@ -60,19 +60,20 @@
 	JSON     string `name:"json" type:"path" placeholder:"FILE" help:"Write the result there."`
 }
 
+// Run plays the scenario and prints the result.
 func (c *runCmd) Run() (err error) {
 	s, err := load(c.Scenario)
 	if err != nil {
 		return err
 	}
 	if c.Runs > 0 {
-		return c.many(s)
+		return c.runSeeds(s)
 	}
 	o := simulation.Options{}
 	if c.Trace != "" {
-		trace, finish, err := writeTrace(c.Trace)
-		if err != nil {
-			return err
+		trace, finish, failed := writeTrace(c.Trace)
+		if failed != nil {
+			return failed
 		}
 		defer func() { err = errors.Join(err, finish()) }()
 		o.Trace = trace
@@ -82,20 +83,24 @@
 	r.Print(os.Stdout)
 	fmt.Printf("  %d steps in %v\n", r.Steps, time.Since(began).Round(time.Millisecond))
 	if c.Against {
-		other := s
-		other.Fleet.Talk = !s.Fleet.Talk
-		o := simulation.New(other, seedOf(s, c.Seed), simulation.Options{}).Play()
-		with, without := r, o
-		if other.Fleet.Talk {
-			with, without = o, r
-		}
-		fmt.Printf("  talking %.3f, each alone %.3f, at the most %.3f; allocations %d and %d; rules broken %d and %d\n",
-			with.Earned, without.Earned, with.Best, with.Allocations, without.Allocations, len(with.Broken), len(without.Broken))
+		c.compare(s, r)
 	}
 	return report(c.JSON, r, r)
 }
 
-// report writes what came of a world to a file, if one is named, and says whether a rule broke.
+// compare plays the scenario once more, with gossip turned the other way, and prints both.
+func (c *runCmd) compare(s simulation.Scenario, r simulation.Result) {
+	other := s
+	other.Fleet.Talk = !s.Fleet.Talk
+	gossip, alone := r, simulation.New(other, seedOf(s, c.Seed), simulation.Options{}).Play()
+	if other.Fleet.Talk {
+		gossip, alone = alone, gossip
+	}
+	fmt.Printf("  talking %.3f, each alone %.3f, at the most %.3f; allocations %d and %d; rules broken %d and %d\n",
+		gossip.Earned, alone.Earned, gossip.Best, gossip.Allocations, alone.Allocations, len(gossip.Broken), len(alone.Broken))
+}
+
+// report writes what to a file, if one is named, and returns errViolation where the result has a violation.
 func report(path string, what any, r simulation.Result) error {
 	if path != "" {
 		text, err := json.MarshalIndent(what, "", "  ")
@@ -107,13 +112,13 @@
 		}
 	}
 	if len(r.Broken) > 0 {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
 
-// writeTrace gives what writes a trace to a file, and what finishes it.
-func writeTrace(path string) (func(invariants.Seen), func() error, error) {
+// writeTrace creates a file for a trace. write appends a line; finish closes the file and returns all errors.
+func writeTrace(path string) (write func(invariants.Seen), finish func() error, err error) {
 	f, err := os.Create(filepath.Clean(path))
 	if err != nil {
 		return nil, nil, err
@@ -131,48 +136,50 @@
 		}, nil
 }
 
-// near is how close to before service has to be to count as back.
-const near = 0.02
+const (
+	recoveredWithin = 0.02            // of the rate before a fault, to count as recovered
+	quickRecovery   = 5 * time.Second // recoveries within it are counted apart
+)
 
-// many plays a scenario with many seeds, with nodes that talk and with each alone.
-func (c *runCmd) many(s simulation.Scenario) error {
-	broken := 0
-	for _, talk := range []bool{true, false} {
-		s.Fleet.Talk = talk
+// runSeeds plays a scenario with several seeds, once with nodes that gossip and once with each alone, and prints means.
+func (c *runCmd) runSeeds(s simulation.Scenario) error {
+	violations := 0
+	for _, gossip := range []bool{true, false} {
+		s.Fleet.Talk = gossip
 		results := make([]simulation.Result, c.Runs)
-		var wait sync.WaitGroup
-		free := make(chan struct{}, runtime.GOMAXPROCS(0))
-		for i := range results {
-			free <- struct{}{}
-			wait.Go(func() {
-				defer func() { <-free }()
-				results[i] = simulation.New(s, seedOf(s, c.Seed)+uint64(i), simulation.Options{}).Play()
-			})
-		}
-		wait.Wait()
-		earned, best, allocations, back, within := 0.0, 0.0, 0, 0, 0
-		longest := time.Duration(0)
-		for i := range results {
-			r := &results[i]
-			earned += r.Earned
-			best += r.Best
-			allocations += r.Allocations
-			broken += len(r.Broken)
-			if span, ok := r.Recovery(s.Faults, near); ok {
-				back++
-				longest = max(longest, span)
-				if span <= 5*time.Second {
-					within++
-				}
-			}
-		}
-		n := float64(c.Runs)
-		fmt.Printf("%s, %d seeds, talk %t: earned %.3f of at the most %.3f on average, %.0f allocations; back within %.2f of before: %d, in 5 s %d, the longest %v\n",
-			s.Name, c.Runs, talk, earned/n, best/n, float64(allocations)/n, near, back, within, longest)
+		inParallel(c.Runs, runtime.GOMAXPROCS(0), func(i int) {
+			results[i] = simulation.New(s, seedOf(s, c.Seed)+uint64(i), simulation.Options{}).Play()
+		})
+		violations += printMeans(s, results)
 	}
-	if broken > 0 {
-		fmt.Printf("%d rules broken\n", broken)
-		return errBroken
+	if violations > 0 {
+		fmt.Printf("%d rules broken\n", violations)
+		return errViolation
 	}
 	return nil
 }
+
+// printMeans prints the means of a scenario's results and how many recovered after the faults. It returns the number of
+// violations.
+func printMeans(s simulation.Scenario, results []simulation.Result) (violations int) {
+	earned, best, attempts, recovered, quickly := 0.0, 0.0, 0, 0, 0
+	longest := time.Duration(0)
+	for i := range results {
+		r := &results[i]
+		earned += r.Earned
+		best += r.Best
+		attempts += r.Allocations
+		violations += len(r.Broken)
+		if recovery, ok := r.Recovery(s.Faults, recoveredWithin); ok {
+			recovered++
+			longest = max(longest, recovery)
+			if recovery <= quickRecovery {
+				quickly++
+			}
+		}
+	}
+	n := float64(len(results))
+	fmt.Printf("%s, %d seeds, talk %t: earned %.3f of at the most %.3f on average, %.0f allocations; back within %.2f of before: %d, in 5 s %d, the longest %v\n",
+		s.Name, len(results), s.Fleet.Talk, earned/n, best/n, float64(attempts)/n, recoveredWithin, recovered, quickly, longest)
+	return violations
+}
--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -26,7 +26,7 @@
 	Rungs     []int         `default:"1,16,64" help:"Figures in a message between nodes: classes of batch jobs that earn differently for their work."`
 	Rates     []int         `default:"50,200,800" help:"Starts a second at one node."`
 	Running   []int         `default:"100,400,800" help:"Tasks at a time at one node, of 4 s each."`
-	Held      []int         `default:"100,400,800" help:"Executors, at one node of nine with more tasks of 4 s than it has tokens for."`
+	Queued    []int         `name:"held" default:"100,400,800" help:"Executors, at one node of nine with more tasks of 4 s than it has tokens for."`
 	Tenants   []int         `default:"1,75,750" help:"Tenants, with the module alone: the platform's protocol names none."`
 	Rounds    int           `default:"3" help:"How often each point is measured, in turn."`
 	Skip      []string      `placeholder:"DIM,..." help:"Dimensions that are left out: executors, nodes, rungs, rates, running, held, tenants."`
@@ -41,8 +41,9 @@
 	Keep      string        `type:"path" placeholder:"DIR" help:"Keep logs and configurations there."`
 }
 
+// sweep returns the points to measure.
 func (c *scaleCmd) sweep() (scaletest.Sweep, error) {
-	s := scaletest.Sweep{Executors: c.Executors, Of: c.Of, Nodes: c.Nodes, Real: c.Real, Rungs: c.Rungs, Rates: c.Rates, Running: c.Running, Held: c.Held, Tenants: c.Tenants, Rounds: c.Rounds,
+	s := scaletest.Sweep{Executors: c.Executors, Of: c.Of, Nodes: c.Nodes, Real: c.Real, Rungs: c.Rungs, Rates: c.Rates, Running: c.Running, Held: c.Queued, Tenants: c.Tenants, Rounds: c.Rounds,
 		BaseExecutors: c.At, BaseNodes: c.Among, BaseRate: c.Rate, Work: c.Work, Span: c.Span, Sockets: c.Sockets, Against: c.Against != ""}
 	dims := map[string]*[]int{"executors": &s.Executors, "nodes": &s.Nodes, "rungs": &s.Rungs, "rates": &s.Rates, "running": &s.Running, "held": &s.Held, "tenants": &s.Tenants}
 	for _, name := range c.Skip {
@@ -54,39 +55,22 @@
 	return s, s.Check()
 }
 
+// Run measures all points and prints them, and what follows from them.
 func (c *scaleCmd) Run() (err error) {
 	s, err := c.sweep()
 	if err != nil {
 		return err
 	}
-	o := scaletest.Options{Settle: c.Settle, Dir: c.Keep}
-	if o.Binary, err = filepath.Abs(c.Binary); err != nil {
-		return err
-	}
-	if c.Against != "" {
-		if o.Against, err = filepath.Abs(c.Against); err != nil {
-			return err
-		}
-	}
-	self, err := os.Executable()
+	o, err := c.options()
 	if err != nil {
 		return err
 	}
-	o.Hollow = []string{self}
 	if c.Keep == "" {
 		if o.Dir, err = os.MkdirTemp("", "birchstair-sim-scale-"); err != nil {
 			return err
 		}
 		defer func() { err = errors.Join(err, os.RemoveAll(o.Dir)) }()
-		cut := make(chan os.Signal, 1)
-		signal.Notify(cut, os.Interrupt, syscall.SIGTERM)
-		go func() {
-			<-cut
-			if err := os.RemoveAll(o.Dir); err != nil {
-				fmt.Fprintln(os.Stderr, "birchstair-sim:", err)
-			}
-			os.Exit(2) // and with it all that was started
-		}()
+		removeOnSignal(o.Dir)
 	}
 	fmt.Printf("all points take about %v\n", s.Long().Round(10*time.Second))
 	var rows []scaletest.Row
@@ -104,6 +88,48 @@
 	}); err != nil {
 		return err
 	}
+	printFits(rows, write)
+	if failed == nil && wrong > 0 {
+		failed = errViolation
+	}
+	return failed
+}
+
+// options returns the options of a measurement but for its directory, unless it is kept.
+func (c *scaleCmd) options() (o scaletest.Options, err error) {
+	o = scaletest.Options{Settle: c.Settle, Dir: c.Keep}
+	if o.Binary, err = filepath.Abs(c.Binary); err != nil {
+		return o, err
+	}
+	if c.Against != "" {
+		if o.Against, err = filepath.Abs(c.Against); err != nil {
+			return o, err
+		}
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return o, err
+	}
+	o.Hollow = []string{self}
+	return o, nil
+}
+
+// removeOnSignal removes a directory and ends the program when it is interrupted. All processes that it started end with
+// it.
+func removeOnSignal(dir string) {
+	interrupted := make(chan os.Signal, 1)
+	signal.Notify(interrupted, os.Interrupt, syscall.SIGTERM)
+	go func() {
+		<-interrupted
+		if err := os.RemoveAll(dir); err != nil {
+			fmt.Fprintln(os.Stderr, "birchstair-sim:", err)
+		}
+		os.Exit(2)
+	}()
+}
+
+// printFits prints the slopes that differ from none, and writes all.
+func printFits(rows []scaletest.Row, write func(any)) {
 	flat := 0
 	for _, f := range scaletest.Fits(rows) {
 		write(f)
@@ -114,8 +140,4 @@
 		}
 	}
 	fmt.Printf("%d further slopes are within twice their spread of none\n", flat)
-	if failed == nil && wrong > 0 {
-		failed = errBroken
-	}
-	return failed
 }
--- a/cmd/birchstair-sim/trace.go
+++ b/cmd/birchstair-sim/trace.go
@@ -21,6 +21,7 @@
 	To       time.Duration     `help:"Only until then."`
 }
 
+// Run prints the lines of a trace that the flags select.
 func (c *traceCmd) Run() (err error) {
 	f, err := os.Open(c.File)
 	if err != nil {
@@ -52,6 +53,7 @@
 	return nil
 }
 
+// wants returns whether the flags select a line.
 func (c *traceCmd) wants(s invariants.Seen) bool {
 	if s.At < c.From || c.To > 0 && s.At > c.To {
 		return false
