--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -129,7 +129,7 @@
 	}
 	predecessor, err := hotrestart.Dial(dir)
 	if err != nil {
-		log.Info().Str("because", err.Error()).Msg("no older process of this node is joined")
+		log.Info().Str("because", err.Error()).Msg("handoff: no predecessor found")
 		return nil
 	}
 	return predecessor
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -84,10 +84,10 @@
 		Load   map[string]float64
 	}
 	if err := json.Unmarshal(text, &wire); err != nil {
-		return line, fmt.Errorf("a line that makes no sense: %w", err)
+		return line, fmt.Errorf("malformed response line: %w", err)
 	}
 	if wire.ID != job {
-		return line, fmt.Errorf("a line about another batch job, %q", wire.ID)
+		return line, fmt.Errorf("response line of another batch job, %q", wire.ID)
 	}
 	line.load = p.loadFromValues(wire.Load)
 	switch wire.State {
@@ -100,7 +100,7 @@
 	}
 	if line.ended && line.outcome == policy.Succeeded {
 		if len(wire.Result) == 0 {
-			return line, errors.New("done, without a result")
+			return line, errors.New("state done without a result")
 		}
 		line.result = decodeResult(wire.Result)
 	}
@@ -130,7 +130,7 @@
 		http.StatusRequestHeaderFieldsTooLarge:
 		return policy.InvalidRequest, "the executor can't use it: " + response.Status
 	}
-	return policy.ExecutorError, "an answer that is not in the protocol: " + response.Status
+	return policy.ExecutorError, "unexpected response: " + response.Status
 }
 
 // maxLoadValue is more than any value of a load report can be.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -49,7 +49,7 @@
 			err = c.confirmRejection(r, rest)
 		}
 	} else {
-		err = fmt.Errorf("no answer: %w", err)
+		err = fmt.Errorf("no response: %w", err)
 	}
 	if err != nil && !c.fail(err, &ended) {
 		return false
@@ -81,7 +81,7 @@
 		response, err = http.ReadResponse(r, nil)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("an answer without a head: %w", err)
+		return nil, fmt.Errorf("malformed response head: %w", err)
 	}
 	limited.N = math.MaxInt64 // the body is bounded line by line
 	ended.Load = c.pool.loadFromHeader(response.Header.Get(loadReportHeader))
@@ -119,9 +119,9 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return fmt.Errorf("an answer without an end: %w", err)
+		return fmt.Errorf("incomplete response: %w", err)
 	}
-	return errors.New("an answer without an end")
+	return errors.New("incomplete response")
 }
 
 // mayBeStale returns whether a rejection could be a second response to the attempt before this one; a head, unlike a
@@ -136,7 +136,7 @@
 // says that it may have run.
 func (c *executorConn) confirmRejection(r *bufio.Reader, rest io.Reader) error {
 	if rest == nil {
-		return errors.New("an answer that may be to the allocation before, on a connection that ends")
+		return errors.New("response may belong to the previous attempt, and the connection ends")
 	}
 	c.conn.SetReadDeadline(time.Now().Add(staleWindow))
 	_, err := io.Copy(io.Discard, io.LimitReader(rest, maxHeadBytes))
@@ -151,7 +151,7 @@
 	if unread, _ := socket.Pending(c.conn); writeDone && !unread && errors.Is(err, os.ErrDeadlineExceeded) {
 		return nil
 	}
-	return fmt.Errorf("an answer that may be to the allocation before: %v", err) //nolint:errorlint // nil where another answer follows
+	return fmt.Errorf("response may belong to the previous attempt: %v", err) //nolint:errorlint // nil where another answer follows
 }
 
 // finishResponse reads what follows the outcome and makes the connection idle. It returns false where that does not come
