--- a/cmd/birchstair/end_test.go
+++ b/cmd/birchstair/end_test.go
@@ -11,10 +11,10 @@
 
 // A real process is told to end, twice, with SIGHUP in between: a client that has only connected, and one whose message is half here,
 // still get their answers, and the process ends well.
-func TestEndUnderStrangers(t *testing.T) {
+func TestShutdownWithNewConns(t *testing.T) {
 	p := newPlatform(t, program(t))
 	pr := p.start(p.work, false)
-	p.ready(pr)
+	p.awaitReady(pr)
 	message := func(id string) string {
 		return "POST /x HTTP/1.1\r\nHost: n\r\nX-Call-Id: " + id + "\r\nX-Call-Class: order\r\nX-Budget-Ms: 2000\r\nContent-Length: 4\r\n\r\nbody"
 	}
@@ -44,7 +44,7 @@
 			t.Errorf("connection %d: status %d, closing %t", i, a.StatusCode, a.Close)
 		}
 	}
-	if err := p.end(pr, nil); err != nil {
+	if err := p.awaitEnd(pr, nil); err != nil {
 		t.Errorf("the process ended with %v", err)
 	}
 	p.mu.Lock()
--- a/cmd/birchstair/reload_test.go
+++ b/cmd/birchstair/reload_test.go
@@ -66,7 +66,7 @@
 					t.Error(err)
 				}
 			}()
-			p.ready(pr)
+			p.awaitReady(pr)
 			var figures []string
 			for by := time.Now().Add(15 * time.Second); !slices.Contains(figures, "reloads_ok=1"); time.Sleep(5 * time.Millisecond) {
 				var err error
@@ -77,7 +77,7 @@
 					t.Fatalf("it was never read again: %v", figures)
 				}
 			}
-			if err := p.end(pr, syscall.SIGTERM); err != nil {
+			if err := p.awaitEnd(pr, syscall.SIGTERM); err != nil {
 				t.Errorf("the process ended with %v", err)
 			}
 			<-logged // or it is written while the directory is removed
--- a/cmd/birchstair/upgrade_test.go
+++ b/cmd/birchstair/upgrade_test.go
@@ -24,9 +24,9 @@
 	"birchstair/policy"
 )
 
-// platformHere is the operators' platform for one node on loopback: the clients' listening socket, stand-in executors and
+// testPlatform is the operators' platform for one node on loopback: the clients' listening socket, stand-in executors and
 // discovery, the processes of the node, and clients that hand in without a pause.
-type platformHere struct {
+type testPlatform struct {
 	t       *testing.T
 	binary  string
 	dir     string
@@ -36,12 +36,12 @@
 	started int
 	doors   []string
 
-	mu      sync.Mutex
-	ran     map[policy.JobID]int
-	out     policy.ExecutorID     // taken out by an operator who has the yes
-	barred  map[policy.JobID]bool // handed in since that yes
-	strayed []policy.JobID        // of those, what reached that executor all the same
-	answers map[policy.JobID]int  // status; 0 for a connection that broke
+	mu             sync.Mutex
+	ran            map[policy.JobID]int
+	excluded       policy.ExecutorID     // taken out by an operator who has the yes
+	submittedSince map[policy.JobID]bool // handed in since that yes
+	strayed        []policy.JobID        // of those, what reached that executor all the same
+	answers        map[policy.JobID]int  // status; 0 for a connection that broke
 }
 
 // process is one of the node's.
@@ -52,8 +52,8 @@
 	over chan error
 }
 
-func newPlatform(t *testing.T, binary string) *platformHere {
-	p := &platformHere{t: t, binary: binary, dir: t.TempDir(), ran: map[policy.JobID]int{}, barred: map[policy.JobID]bool{},
+func newPlatform(t *testing.T, binary string) *testPlatform {
+	p := &testPlatform{t: t, binary: binary, dir: t.TempDir(), ran: map[policy.JobID]int{}, submittedSince: map[policy.JobID]bool{},
 		answers: map[policy.JobID]int{}}
 	var entries []emulator.Entry
 	for i := range 4 {
@@ -64,7 +64,7 @@
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.ran[job]++
-			if id == p.out && p.barred[job] {
+			if id == p.excluded && p.submittedSince[job] {
 				p.strayed = append(p.strayed, job)
 			}
 		}}
@@ -93,7 +93,7 @@
 }
 
 // start starts a process of the node; a discovery that leads nowhere keeps it from getting ready.
-func (p *platformHere) start(discovery string, broken bool) *process {
+func (p *testPlatform) start(discovery string, broken bool) *process {
 	pr := p.prepare(discovery, broken)
 	log, err := os.Create(pr.log)
 	if err != nil {
@@ -105,7 +105,7 @@
 }
 
 // prepare makes one that is not started yet.
-func (p *platformHere) prepare(discovery string, broken bool) *process {
+func (p *testPlatform) prepare(discovery string, broken bool) *process {
 	p.started++
 	pr := &process{door: freePort(p.t), log: filepath.Join(p.dir, fmt.Sprint("log", p.started)), over: make(chan error, 1)}
 	tracks := []any{}
@@ -130,7 +130,7 @@
 }
 
 // startPrepared starts it with its log on that file.
-func (p *platformHere) startPrepared(pr *process, log *os.File) {
+func (p *testPlatform) startPrepared(pr *process, log *os.File) {
 	nothing, err := os.Open(os.DevNull)
 	if err != nil {
 		p.t.Fatal(err)
@@ -150,8 +150,8 @@
 	return err
 }
 
-// ready waits for a yes, for a while.
-func (p *platformHere) ready(pr *process) {
+// awaitReady waits for a yes, for a while.
+func (p *testPlatform) awaitReady(pr *process) {
 	for until := time.Now().Add(15 * time.Second); pr.call(node.CheckReady, "") != nil; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
 			text, _ := os.ReadFile(pr.log)
@@ -160,32 +160,32 @@
 	}
 }
 
-// setDown has an operator take an executor out: from the yes on nothing that is handed in may reach it. What was in hand then
+// exclude has an operator take an executor out: from the yes on nothing that is handed in may reach it. What was in hand then
 // may have been decided on before, however late its bytes arrive there; what the reducer does with it is in its kept traces.
-func (p *platformHere) setDown(pr *process, id policy.ExecutorID) {
+func (p *testPlatform) exclude(pr *process, id policy.ExecutorID) {
 	if err := pr.call(node.ExcludeExecutor, id); err != nil {
 		p.t.Error(err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out = id
+	p.excluded = id
 }
 
-// mayHave ends that: the executor is about to be put back, or the node to forget what operators told it.
-func (p *platformHere) mayHave() {
+// endExclusion ends that: the executor is about to be put back, or the node to forget what operators told it.
+func (p *testPlatform) endExclusion() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.strayed) > 0 {
-		p.t.Errorf("%s got %v, which were handed in after it was taken out", p.out, p.strayed)
+		p.t.Errorf("%s got %v, which were handed in after it was taken out", p.excluded, p.strayed)
 	}
-	if p.out != "" && len(p.barred) == 0 {
-		p.t.Errorf("nothing was handed in after %s was taken out", p.out)
+	if p.excluded != "" && len(p.submittedSince) == 0 {
+		p.t.Errorf("nothing was handed in after %s was taken out", p.excluded)
 	}
-	p.out, p.barred, p.strayed = "", map[policy.JobID]bool{}, nil
+	p.excluded, p.submittedSince, p.strayed = "", map[policy.JobID]bool{}, nil
 }
 
-// end waits for a process's end and says how it ended.
-func (p *platformHere) end(pr *process, sig os.Signal) error {
+// awaitEnd waits for a process's end and says how it ended.
+func (p *testPlatform) awaitEnd(pr *process, sig os.Signal) error {
 	if sig != nil {
 		pr.cmd.Process.Signal(sig)
 	}
@@ -199,25 +199,25 @@
 }
 
 // stop ends a process by SIGTERM, which must succeed.
-func (p *platformHere) stop(pr *process) {
+func (p *testPlatform) stop(pr *process) {
 	p.t.Helper()
-	if err := p.end(pr, syscall.SIGTERM); err != nil {
+	if err := p.awaitEnd(pr, syscall.SIGTERM); err != nil {
 		p.t.Errorf("a process ended with %v", err)
 	}
 }
 
 // kill ends a process that must not have ended before.
-func (p *platformHere) kill(pr *process) {
+func (p *testPlatform) kill(pr *process) {
 	p.t.Helper()
-	err := p.end(pr, syscall.SIGKILL)
+	err := p.awaitEnd(pr, syscall.SIGKILL)
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
 		p.t.Errorf("a process was to be killed and ended with %v", err)
 	}
 }
 
-// serve hands in from some clients until stop is closed; it gives when the last of them has ended.
-func (p *platformHere) serve(stop chan struct{}) *sync.WaitGroup {
+// submitAll hands in from some clients until stop is closed; it gives when the last of them has ended.
+func (p *testPlatform) submitAll(stop chan struct{}) *sync.WaitGroup {
 	var wait sync.WaitGroup
 	for c := range 6 {
 		wait.Go(func() {
@@ -230,17 +230,17 @@
 				case <-time.After(2 * time.Millisecond):
 				}
 				id := fmt.Sprintf("%s-%d-%d", [...]string{"page", "order"}[c%2], c, i)
-				p.hand(&client, id)
+				p.submit(&client, id)
 			}
 		})
 	}
 	return &wait
 }
 
-func (p *platformHere) hand(client *http.Client, id string) {
+func (p *testPlatform) submit(client *http.Client, id string) {
 	p.mu.Lock()
-	if p.out != "" {
-		p.barred[policy.JobID(id)] = true
+	if p.excluded != "" {
+		p.submittedSince[policy.JobID(id)] = true
 	}
 	p.mu.Unlock()
 	m, _ := http.NewRequest("POST", "http://"+p.listen+"/x", strings.NewReader("body"))
@@ -264,8 +264,8 @@
 	p.mu.Unlock()
 }
 
-// count checks what came of all batch jobs; lost is whether a process was killed with some in hand.
-func (p *platformHere) count(lost bool) {
+// checkAll checks what came of all batch jobs; lost is whether a process was killed with some in hand.
+func (p *testPlatform) checkAll(lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	statuses := map[int]int{}
@@ -288,13 +288,13 @@
 	}
 }
 
-// handledNow says whether the node, whoever it is by now, handles a new one.
-func (p *platformHere) handledNow() {
+// checkHandles says whether the node, whoever it is by now, handles a new one.
+func (p *testPlatform) checkHandles() {
 	client := http.Client{Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
 	for i := range 20 {
 		id := fmt.Sprint("page-last-", i)
-		p.hand(&client, id)
+		p.submit(&client, id)
 		p.mu.Lock()
 		status := p.answers[policy.JobID(id)]
 		p.mu.Unlock()
@@ -321,55 +321,55 @@
 	for _, c := range []struct {
 		name string
 		lost bool
-		do   func(p *platformHere, old *process)
+		do   func(p *testPlatform, old *process)
 	}{
-		{"two in a row", false, func(p *platformHere, old *process) {
+		{"two in a row", false, func(p *testPlatform, old *process) {
 			for range 2 {
 				next := p.start(p.work, false)
-				p.ready(next)
+				p.awaitReady(next)
 				p.stop(old)
 				old = next
 			}
-			p.mayHave()
+			p.endExclusion()
 			if err := old.call(node.ReadmitExecutor, "e3"); err != nil {
 				p.t.Errorf("e3 is not known as out: %v", err)
 			}
 		}},
-		{"new ones are killed while they start", true, func(p *platformHere, old *process) {
+		{"new ones are killed while they start", true, func(p *testPlatform, old *process) {
 			for i := range 8 {
 				next := p.start(p.work, false)
 				time.Sleep(time.Duration(4*i) * time.Millisecond)
 				p.kill(next)
 			}
 		}},
-		{"discovery is silent for the new one", false, func(p *platformHere, old *process) {
+		{"discovery is silent for the new one", false, func(p *testPlatform, old *process) {
 			next := p.start(nowhere, false)
-			p.ready(next)
+			p.awaitReady(next)
 			p.stop(old)
 		}},
-		{"the new one's configuration is broken", false, func(p *platformHere, old *process) {
-			if p.end(p.start(p.work, true), nil) == nil {
+		{"the new one's configuration is broken", false, func(p *testPlatform, old *process) {
+			if p.awaitEnd(p.start(p.work, true), nil) == nil {
 				p.t.Error("it ended well")
 			}
 		}},
-		{"the new one is killed after its yes", true, func(p *platformHere, old *process) {
+		{"the new one is killed after its yes", true, func(p *testPlatform, old *process) {
 			next := p.start(p.work, false)
-			p.ready(next)
+			p.awaitReady(next)
 			time.Sleep(100 * time.Millisecond)
 			p.kill(next)
-			p.handledNow()
+			p.checkHandles()
 			next = p.start(p.work, false) // the old one is found again
-			p.ready(next)
+			p.awaitReady(next)
 			p.stop(old)
 		}},
-		{"the old one is killed", true, func(p *platformHere, old *process) {
+		{"the old one is killed", true, func(p *testPlatform, old *process) {
 			next := p.start(p.work, false)
-			p.ready(next)
+			p.awaitReady(next)
 			p.kill(old)
 		}},
-		{"a stale socket and a drain", false, func(p *platformHere, old *process) {
+		{"a stale socket and a drain", false, func(p *testPlatform, old *process) {
 			next := p.start(p.work, false)
-			p.ready(next)
+			p.awaitReady(next)
 			if err := old.call(node.DrainOn, ""); err != nil {
 				p.t.Error(err)
 			}
@@ -380,27 +380,27 @@
 				p.t.Error(err)
 			}
 			p.stop(old)
-			p.mayHave() // nobody is left who knows
+			p.endExclusion() // nobody is left who knows
 			p.kill(next)
-			p.ready(p.start(p.work, false)) // what is left of the dead is no hindrance
+			p.awaitReady(p.start(p.work, false)) // what is left of the dead is no hindrance
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			p := newPlatform(t, binary)
 			old := p.start(p.work, false)
-			p.ready(old)
+			p.awaitReady(old)
 			stop := make(chan struct{})
-			wait := p.serve(stop)
+			wait := p.submitAll(stop)
 			time.Sleep(200 * time.Millisecond)
-			p.setDown(old, "e3")
+			p.exclude(old, "e3")
 			c.do(p, old)
 			time.Sleep(100 * time.Millisecond)
-			p.handledNow()
+			p.checkHandles()
 			close(stop)
 			wait.Wait()
-			p.mayHave() // all have their answers, so all that reached an executor is noted
-			p.count(c.lost || c.name == "a stale socket and a drain")
+			p.endExclusion() // all have their answers, so all that reached an executor is noted
+			p.checkAll(c.lost || c.name == "a stale socket and a drain")
 		})
 	}
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -16,7 +16,7 @@
 
 // A door on connections in memory, with a core that says yes, or no to one executor, and one call that it never answers.
 // Two callers have a place at a time.
-func TestDoor(t *testing.T) {
+func TestServer(t *testing.T) {
 	var out strings.Builder
 	synctesting.Test(t, func(t *testing.T) {
 		net := memnet.New(1, func(string, string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -36,8 +36,8 @@
 
 // TestAnswerBytes pins each kind of answer to a client, byte for byte with all heads.
 func TestAnswerBytes(t *testing.T) {
-	c := newCore(t, 100)
-	c.front.HandlePrefix("/durable/", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	c := newFakeReducer(t, 100)
+	c.server.HandlePrefix("/durable/", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusAccepted)
 	}))
 	var out strings.Builder
@@ -53,42 +53,42 @@
 		return "POST /x HTTP/1.1\r\nHost: n\r\nX-Call-Id: " + id + "\r\n" + strings.Join(heads, "\r\n") + "\r\n\r\n"
 	}
 	send("not ready", "GET"+ready)
-	c.front.SetReady(true)
+	c.server.SetReady(true)
 	send("ready", "GET"+ready)
 	send("ready, only the head", "HEAD"+ready)
 	send("ready, by POST", "POST"+ready)
-	send("succeeded", job("handled-1"))
-	send("succeeded, and the client closes", job("handled-2", "Connection: close"))
-	send("succeeded, sent in chunks", job("handled-3", "Transfer-Encoding: chunked")+"1\r\nx\r\n0\r\n\r\n")
-	send("succeeded, with Expect", job("handled-4", "Expect: 100-continue", "Content-Length: 1")+"x")
-	send("rejected, with Retry-After", job("back-1"))
-	send("failed", job("off-1"))
+	send("succeeded", jobRequest("handled-1"))
+	send("succeeded, and the client closes", jobRequest("handled-2", "Connection: close"))
+	send("succeeded, sent in chunks", jobRequest("handled-3", "Transfer-Encoding: chunked")+"1\r\nx\r\n0\r\n\r\n")
+	send("succeeded, with Expect", jobRequest("handled-4", "Expect: 100-continue", "Content-Length: 1")+"x")
+	send("rejected, with Retry-After", jobRequest("back-1"))
+	send("failed", jobRequest("off-1"))
 	send("another handler", "POST /durable/1 HTTP/1.1\r\nHost: n\r\n\r\n")
 	send("another handler, in chunks", "POST /durable/1 HTTP/1.1\r\nHost: n\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 	send("by GET", "GET /x HTTP/1.1\r\nHost: n\r\n\r\n")
-	send("by HTTP/1.0", strings.Replace(job("handled-5"), "HTTP/1.1", "HTTP/1.0", 1))
-	send("length and chunks", job("handled-6", "Content-Length: 1", "Transfer-Encoding: chunked")+"0\r\n\r\n")
-	send("body too long", job("handled-7", "Content-Length: 65537"))
-	send("a head twice", job("handled-8", "X-Call-Cost: 1", "X-Call-Cost: 2"))
-	send("no path", strings.Replace(job("handled-9"), "/api/7f?q=%20", "http://n", 1))
+	send("by HTTP/1.0", strings.Replace(jobRequest("handled-5"), "HTTP/1.1", "HTTP/1.0", 1))
+	send("length and chunks", jobRequest("handled-6", "Content-Length: 1", "Transfer-Encoding: chunked")+"0\r\n\r\n")
+	send("body too long", jobRequest("handled-7", "Content-Length: 65537"))
+	send("a head twice", jobRequest("handled-8", "X-Call-Cost: 1", "X-Call-Cost: 2"))
+	send("no path", strings.Replace(jobRequest("handled-9"), "/api/7f?q=%20", "http://n", 1))
 	send("no id", withHeads(""))
 	send("id too long", withHeads(strings.Repeat("x", 129)))
 	send("unknown class", withHeads("handled-10", "X-Call-Class: other"))
 	send("key missing", withHeads("handled-11", "X-Call-Class: split-record"))
 	send("no budget", withHeads("handled-12", "X-Call-Class: run-verify"))
 	send("budget of nothing", withHeads("handled-13", "X-Call-Class: run-verify", "X-Budget-Ms: 0"))
-	send("cost below nothing", job("handled-14", "X-Call-Cost: -1"))
+	send("cost below nothing", jobRequest("handled-14", "X-Call-Cost: -1"))
 	send("no HTTP", "nonsense\r\n\r\n")
-	c.dial().send(job("wait-1"))
-	for ev := range c.told {
+	c.dial().send(jobRequest("wait-1"))
+	for ev := range c.events {
 		if strings.Contains(fmt.Sprintf("%+v", ev), "wait-1") {
 			break
 		}
 	}
-	send("id in flight", job("wait-1"))
-	c.front.DrainClients(true)
+	send("id in flight", jobRequest("wait-1"))
+	c.server.DrainClients(true)
 	send("not ready while clients are drained", "GET"+ready)
-	send("succeeded while clients are drained", job("handled-15"))
-	send("rejected while clients are drained", job("back-2"))
+	send("succeeded while clients are drained", jobRequest("handled-15"))
+	send("rejected while clients are drained", jobRequest("back-2"))
 	golden.Compare(t, "answers.txt", out.String())
 }
--- a/internal/frontend/conn_table_test.go
+++ b/internal/frontend/conn_table_test.go
@@ -8,7 +8,7 @@
 
 // A connection is let go in a crowd, and its batch job has come just then: another that is silent goes in its place, and the batch job
 // is not pushed back for want of room.
-func TestCameAsLetGo(t *testing.T) {
+func TestRequestWhileEvicted(t *testing.T) {
 	g := newConnTable(ConnLimits{Max: 8, MaxShared: 4})
 	var all []*clientConn
 	for range 9 {
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -12,15 +12,15 @@
 	"birchstair/internal/node"
 )
 
-// halted is a core behind a listener whose calls can be stopped.
-func halted(t *testing.T, conns int) (*core, *emulator.Halts) {
+// newHaltable is a core behind a listener whose calls can be stopped.
+func newHaltable(t *testing.T, conns int) (*fakeReducer, *emulator.Halts) {
 	h := &emulator.Halts{}
-	c := newCoreBehind(t, conns, h)
-	c.front.SetReady(true)
+	c := newFakeReducerWithHalts(t, conns, h)
+	c.server.SetReady(true)
 	return c, h
 }
 
-func (c *core) reached(s *emulator.Stop) {
+func (c *fakeReducer) awaitStop(s *emulator.Stop) {
 	c.t.Helper()
 	select {
 	case <-s.Reached:
@@ -30,7 +30,7 @@
 }
 
 // until waits for something that another goroutine brings about.
-func (c *core) until(what string, so func() bool) {
+func (c *fakeReducer) until(what string, so func() bool) {
 	c.t.Helper()
 	for by := time.Now().Add(20 * time.Second); !so(); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
@@ -46,99 +46,99 @@
 }
 
 // eachConn looks at all connections, each under its lock.
-func (c *core) eachConn(look func(*clientConn)) {
-	c.front.conns.mu.Lock()
-	defer c.front.conns.mu.Unlock()
-	for _, p := range c.front.conns.entries {
+func (c *fakeReducer) eachConn(look func(*clientConn)) {
+	c.server.conns.mu.Lock()
+	defer c.server.conns.mu.Unlock()
+	for _, p := range c.server.conns.entries {
 		p.conn.mu.Lock()
 		look(p.conn)
 		p.conn.mu.Unlock()
 	}
 }
 
-func (c *core) say(format string, args ...any) { fmt.Fprintf(&c.out, format+"\n", args...) }
+func (c *fakeReducer) printf(format string, args ...any) { fmt.Fprintf(&c.out, format+"\n", args...) }
 
 // A message that has arrived and is not read yet, when its connection is let go: it is answered.
-func TestLetGoUnderMessage(t *testing.T) {
+func TestCloseUnderRequest(t *testing.T) {
 	for _, let := range []struct {
 		name string
-		let  func(*core)
+		let  func(*fakeReducer)
 	}{
-		{"the node ends", func(c *core) { c.front.conns.enterLameDuck() }},
-		{"clients are sent away", func(c *core) {
-			c.front.conns.setDraining(true)
-			c.front.conns.closeDrained()
+		{"the node ends", func(c *fakeReducer) { c.server.conns.enterLameDuck() }},
+		{"clients are sent away", func(c *fakeReducer) {
+			c.server.conns.setDraining(true)
+			c.server.conns.closeDrained()
 		}},
-		{"over the budget", func(c *core) { c.front.HalveLimits(true) }},
+		{"over the budget", func(c *fakeReducer) { c.server.HalveLimits(true) }},
 	} {
-		c, h := halted(t, 2)
-		c.say("%s", let.name)
+		c, h := newHaltable(t, 2)
+		c.printf("%s", let.name)
 		first := c.dial()
-		first.send(job("handled-1"))
-		c.event()
-		c.answer(first)
-		c.until("it rests", func() bool { _, resting, _ := c.front.conns.counts(); return resting == 1 })
+		first.send(jobRequest("handled-1"))
+		c.printEvent()
+		c.printAnswer(first)
+		c.until("it rests", func() bool { _, resting, _ := c.server.conns.counts(); return resting == 1 })
 		if strings.HasPrefix(let.name, "over") {
 			second := c.dial()
-			second.send(job("handled-0"))
-			c.event()
-			c.answer(second)
-			c.until("both rest", func() bool { _, resting, _ := c.front.conns.counts(); return resting == 2 })
+			second.send(jobRequest("handled-0"))
+			c.printEvent()
+			c.printAnswer(second)
+			c.until("both rest", func() bool { _, resting, _ := c.server.conns.counts(); return resting == 2 })
 		}
 		// The read that waits brings the first byte alone, and the next one is stopped.
 		waits := h.On(1, emulator.AfterRead, 0)
-		first.send(job("handled-2")[:1])
-		c.reached(waits)
+		first.send(jobRequest("handled-2")[:1])
+		c.awaitStop(waits)
 		stop := h.On(1, emulator.BeforeRead, 0)
 		waits.Go()
-		c.reached(stop)
-		first.send(job("handled-2")[1:])
+		c.awaitStop(stop)
+		first.send(jobRequest("handled-2")[1:])
 		cut := h.Cut()
 		let.let(c)
 		if h.Cut() != cut {
 			t.Errorf("%s: its read is cut short under a message", let.name)
 		}
 		stop.Go()
-		c.event()
-		c.answer(first)
-		c.front.http.Close()
+		c.printEvent()
+		c.printAnswer(first)
+		c.server.http.Close()
 		golden.Compare(t, "let-go-"+strings.Fields(let.name)[0]+".txt", c.out.String())
 	}
 }
 
 // A message that arrives whole between the deadline that is to wake its connection's owner and the owner's look.
-func TestMessageAtLastLook(t *testing.T) {
-	c, h := halted(t, 10)
+func TestRequestAtLastRead(t *testing.T) {
+	c, h := newHaltable(t, 10)
 	first := c.dial()
-	first.send(job("handled-1"))
-	c.event()
-	c.answer(first)
-	c.until("it rests", func() bool { _, resting, _ := c.front.conns.counts(); return resting == 1 })
+	first.send(jobRequest("handled-1"))
+	c.printEvent()
+	c.printAnswer(first)
+	c.until("it rests", func() bool { _, resting, _ := c.server.conns.counts(); return resting == 1 })
 	stop := h.At(emulator.AfterRead, 0)
-	c.front.conns.enterLameDuck()
-	c.reached(stop) // the read has ended by the deadline, with nothing
-	first.send(job("handled-2"))
+	c.server.conns.enterLameDuck()
+	c.awaitStop(stop) // the read has ended by the deadline, with nothing
+	first.send(jobRequest("handled-2"))
 	stop.Go()
-	c.event()
-	c.answer(first)
+	c.printEvent()
+	c.printAnswer(first)
 	golden.Compare(t, "last-look.txt", c.out.String())
 }
 
 // The front closes while a connection that is let go holds a message that its owner has not come to: it is answered first.
-func TestMessageWhenTheFrontCloses(t *testing.T) {
-	c, h := halted(t, 10)
-	c.front.closeTimeout = 20 * time.Second // nothing here goes by time
+func TestRequestWhenServerCloses(t *testing.T) {
+	c, h := newHaltable(t, 10)
+	c.server.closeTimeout = 20 * time.Second // nothing here goes by time
 	first := c.dial()
-	first.send(job("handled-1"))
-	c.event()
-	c.answer(first)
-	c.until("it rests", func() bool { _, resting, _ := c.front.conns.counts(); return resting == 1 })
+	first.send(jobRequest("handled-1"))
+	c.printEvent()
+	c.printAnswer(first)
+	c.until("it rests", func() bool { _, resting, _ := c.server.conns.counts(); return resting == 1 })
 	late := h.On(1, emulator.AfterRead, 0)
 	closes := h.On(1, emulator.BeforeClose, 0)
-	c.front.conns.enterLameDuck()
-	c.reached(late) // the read has ended by the deadline, with nothing
-	first.send(job("handled-2"))
-	c.front.Close()
+	c.server.conns.enterLameDuck()
+	c.awaitStop(late) // the read has ended by the deadline, with nothing
+	first.send(jobRequest("handled-2"))
+	c.server.Close()
 	c.until("the front waits for it, or closes it", func() bool {
 		select {
 		case <-closes.Reached:
@@ -146,97 +146,97 @@
 			return true
 		default:
 		}
-		c.front.conns.mu.Lock()
-		defer c.front.conns.mu.Unlock()
-		return c.front.conns.shuttingDown
+		c.server.conns.mu.Lock()
+		defer c.server.conns.mu.Unlock()
+		return c.server.conns.shuttingDown
 	})
 	closes.Go()
 	late.Go()
-	c.event()
-	c.answer(first)
-	c.event()
+	c.printEvent()
+	c.printAnswer(first)
+	c.printEvent()
 	golden.Compare(t, "front-closes.txt", c.out.String())
 }
 
 // The connection is at rest when the node ends, and its client's next message is there before its owner comes to that.
-func TestRestAtTheEnd(t *testing.T) {
-	c, h := halted(t, 10)
+func TestIdleAtShutdown(t *testing.T) {
+	c, h := newHaltable(t, 10)
 	first := c.dial()
 	stop := h.At(emulator.AfterWrite, 0)
-	first.send(job("handled-1"))
-	c.event()
-	c.answer(first) // it says nothing of a close
-	c.reached(stop)
-	c.front.conns.enterLameDuck()
-	first.send(job("handled-2"))
+	first.send(jobRequest("handled-1"))
+	c.printEvent()
+	c.printAnswer(first) // it says nothing of a close
+	c.awaitStop(stop)
+	c.server.conns.enterLameDuck()
+	first.send(jobRequest("handled-2"))
 	stop.Go()
-	c.event()
-	c.answer(first)
+	c.printEvent()
+	c.printAnswer(first)
 	golden.Compare(t, "rest-at-end.txt", c.out.String())
 }
 
 // A newcomer's message is half here when clients are sent away: its rest is waited for.
-func TestSentAwayUnderBody(t *testing.T) {
-	c, h := halted(t, 10)
+func TestDrainUnderBody(t *testing.T) {
+	c, h := newHaltable(t, 10)
 	from := c.dial()
-	text := job("handled-1", "Content-Length: 4") + "bo"
+	text := jobRequest("handled-1", "Content-Length: 4") + "bo"
 	from.send(text)
 	c.until("its head is read", func() bool {
 		half := false
 		c.eachConn(func(w *clientConn) { half = w.framer.completeHeads == 1 && w.framer.bodyRemaining == 2 })
 		return half
 	})
-	c.front.conns.mu.Lock()
-	for _, p := range c.front.conns.entries {
+	c.server.conns.mu.Lock()
+	for _, p := range c.server.conns.entries {
 		p.openedAt = time.Now().Add(-newConnGrace)
 	}
-	c.front.conns.mu.Unlock()
+	c.server.conns.mu.Unlock()
 	cut := h.Cut()
-	c.front.conns.setDraining(true)
+	c.server.conns.setDraining(true)
 	for range 3 {
-		c.front.conns.closeDrained()
+		c.server.conns.closeDrained()
 	}
 	if h.Cut() != cut {
 		t.Error("its read is cut short under a message")
 	}
 	from.send("dy")
-	c.event()
-	c.answer(from)
+	c.printEvent()
+	c.printAnswer(from)
 	golden.Compare(t, "sent-away-body.txt", c.out.String())
 }
 
 // Clients that have sent more than their message when they leave, in one piece or later, are seen to leave, and nothing more
 // of their connection is taken. One that stays gets all its answers.
-func TestLeftBehindMore(t *testing.T) {
-	c, _ := halted(t, 10)
+func TestClientLeavesBehindNextRequest(t *testing.T) {
+	c, _ := newHaltable(t, 10)
 	leaves := func(title, together, later string) {
-		c.say("%s", title)
+		c.printf("%s", title)
 		from := c.dial()
-		from.send(job("wait-"+title[:1]) + together)
-		c.event()
+		from.send(jobRequest("wait-"+title[:1]) + together)
+		c.printEvent()
 		from.send(later)
 		from.Close()
-		c.event()
-		c.until("its connection is closed", func() bool { open, _, _ := c.front.conns.counts(); return open == 0 })
+		c.printEvent()
+		c.until("its connection is closed", func() bool { open, _, _ := c.server.conns.counts(); return open == 0 })
 	}
 	leaves("a byte of the next, later", "", "P")
 	leaves("both: a byte together and more later", "P", "OST")
-	leaves("c: the next message whole, and one more", job("never-1"), job("never-2"))
-	leaves("d: more than is read at a time", "", job("never", "X-A: "+strings.Repeat("a", 9000))+job("never"))
+	leaves("c: the next message whole, and one more", jobRequest("never-1"), jobRequest("never-2"))
+	leaves("d: more than is read at a time", "", jobRequest("never", "X-A: "+strings.Repeat("a", 9000))+jobRequest("never"))
 
-	c.say("one that only ends its sending reads that it is broken off")
+	c.printf("one that only ends its sending reads that it is broken off")
 	from := c.dial()
-	from.send(job("wait-h") + "PO")
-	c.event()
+	from.send(jobRequest("wait-h") + "PO")
+	c.printEvent()
 	from.Conn.(*net.TCPConn).CloseWrite()
-	c.event()
-	c.answer(from)
+	c.printEvent()
+	c.printAnswer(from)
 
-	c.say("one that stays")
+	c.printf("one that stays")
 	from = c.dial()
-	next := job("handled-2", "Content-Length: 6000") + strings.Repeat("b", 6000)
-	from.send(job("wait-s"))
-	c.event()
+	next := jobRequest("handled-2", "Content-Length: 6000") + strings.Repeat("b", 6000)
+	from.send(jobRequest("wait-s"))
+	c.printEvent()
 	from.send(next[:3])
 	c.until("it is read ahead", func() bool {
 		ahead := false
@@ -244,21 +244,21 @@
 		return ahead
 	})
 	from.send(next[3:5000])
-	c.front.Answer(node.Answer{Job: "wait-s", Result: []byte("at last")})
-	c.answer(from)
-	from.send(next[5000:] + job("handled-3"))
-	c.event()
-	c.answer(from)
-	c.event()
-	c.answer(from)
+	c.server.Answer(node.Answer{Job: "wait-s", Result: []byte("at last")})
+	c.printAnswer(from)
+	from.send(next[5000:] + jobRequest("handled-3"))
+	c.printEvent()
+	c.printAnswer(from)
+	c.printEvent()
+	c.printAnswer(from)
 	golden.Compare(t, "left-behind-more.txt", c.out.String())
 }
 
-// arrives gives the next batch job that the front tells of.
-func (c *core) arrives() node.Job {
+// nextJob gives the next batch job that the front tells of.
+func (c *fakeReducer) nextJob() node.Job {
 	c.t.Helper()
 	select {
-	case ev := <-c.told:
+	case ev := <-c.events:
 		if ev, ok := ev.(node.JobArrived); ok {
 			return ev.Job
 		}
@@ -282,15 +282,15 @@
 		{"it resets", "", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
 		{"it only ends its sending", "", func(c *net.TCPConn) { c.CloseWrite() }},
 		{"it closes behind a byte of its next message", "P", func(c *net.TCPConn) { c.Close() }},
-		{"it closes behind a whole one", job("never-1"), func(c *net.TCPConn) { c.Close() }},
+		{"it closes behind a whole one", jobRequest("never-1"), func(c *net.TCPConn) { c.Close() }},
 		{"it closes behind more than is read ahead", strings.Repeat("a", maxReadAhead+8<<10), func(c *net.TCPConn) { c.Close() }},
 		{"it closes behind far more, and nobody else does so", strings.Repeat("a", 1<<20), func(c *net.TCPConn) { c.Close() }},
 	} {
 		t.Run(leave.title, func(t *testing.T) {
-			c, h := halted(t, 10)
+			c, h := newHaltable(t, 10)
 			from := c.dial()
-			from.send(job("wait-1"))
-			client := c.arrives().Client
+			from.send(jobRequest("wait-1"))
+			client := c.nextJob().Client
 			if client.Gone() {
 				t.Fatal("it has gone before it left")
 			}
@@ -300,7 +300,7 @@
 				stop.Go()
 			}
 			if !far {
-				c.front.conns.sharedReadAhead.Store(0) // as where others have taken it
+				c.server.conns.sharedReadAhead.Store(0) // as where others have taken it
 			}
 			from.send(leave.early)
 			switch {
@@ -312,21 +312,21 @@
 					return done
 				})
 			case leave.early != "":
-				c.reached(stop)
+				c.awaitStop(stop)
 			}
 			if client.Gone() {
 				t.Error("it has gone by what it sent early")
 			}
 			leave.end(from.Conn.(*net.TCPConn))
 			c.until("it is seen to have gone", client.Gone)
-			c.event()
+			c.printEvent()
 			stop.Go()
-			c.until("its connection is closed", func() bool { open, _, _ := c.front.conns.counts(); return open == 0 })
-			if got, want := c.out.String(), "  left: wait-1\n"; got != want || len(c.told) > 0 {
-				t.Errorf("told %q and %d more, not %q", got, len(c.told), want)
+			c.until("its connection is closed", func() bool { open, _, _ := c.server.conns.counts(); return open == 0 })
+			if got, want := c.out.String(), "  left: wait-1\n"; got != want || len(c.events) > 0 {
+				t.Errorf("told %q and %d more, not %q", got, len(c.events), want)
 			}
 			if far {
-				c.until("what it took of the spare bytes is given back", func() bool { return c.front.conns.sharedReadAhead.Load() == maxSharedReadAhead })
+				c.until("what it took of the spare bytes is given back", func() bool { return c.server.conns.sharedReadAhead.Load() == maxSharedReadAhead })
 			}
 		})
 	}
@@ -334,26 +334,26 @@
 
 // A client that stays is not taken for gone by what it sends early, nor by the answer to its next batch job; with its own
 // answer it waits no more.
-func TestGoneStays(t *testing.T) {
-	c, _ := halted(t, 10)
+func TestGoneClientStays(t *testing.T) {
+	c, _ := newHaltable(t, 10)
 	from := c.dial()
-	from.send(job("wait-1") + job("wait-2")[:20])
-	first := c.arrives().Client
+	from.send(jobRequest("wait-1") + jobRequest("wait-2")[:20])
+	first := c.nextJob().Client
 	if first.Gone() {
 		t.Error("it has gone by what it sent early")
 	}
-	c.front.Answer(node.Answer{Job: "wait-1", Result: []byte("one")})
-	c.answer(from)
+	c.server.Answer(node.Answer{Job: "wait-1", Result: []byte("one")})
+	c.printAnswer(from)
 	if !first.Gone() {
 		t.Error("it waits with its answer")
 	}
-	from.send(job("wait-2")[20:])
-	second := c.arrives().Client
+	from.send(jobRequest("wait-2")[20:])
+	second := c.nextJob().Client
 	if second.Gone() || !first.Gone() {
 		t.Errorf("the second has gone: %v, the first has not: %v", second.Gone(), !first.Gone())
 	}
-	c.front.Answer(node.Answer{Job: "wait-2", Result: []byte("two")})
-	c.answer(from)
+	c.server.Answer(node.Answer{Job: "wait-2", Result: []byte("two")})
+	c.printAnswer(from)
 	if got, want := c.out.String(), "  answer: 200 \"one\"\n  answer: 200 \"two\"\n"; got != want {
 		t.Errorf("%s, not %s", got, want)
 	}
@@ -361,55 +361,55 @@
 
 // A client that stays has sent far more of its next messages than a connection's own part of the reading ahead: each is answered, in its
 // order.
-func TestFarAheadStays(t *testing.T) {
-	c, _ := halted(t, 10)
+func TestReadAheadClientStays(t *testing.T) {
+	c, _ := newHaltable(t, 10)
 	from := c.dial()
-	from.send(job("wait-0"))
-	if c.arrives().Client.Gone() {
+	from.send(jobRequest("wait-0"))
+	if c.nextJob().Client.Gone() {
 		t.Fatal("it has gone")
 	}
 	const next = 40
 	go func() {
 		for i := range next {
-			from.send(job(fmt.Sprint("handled-", i+1), "Content-Length: 30000") + strings.Repeat("b", 30000))
+			from.send(jobRequest(fmt.Sprint("handled-", i+1), "Content-Length: 30000") + strings.Repeat("b", 30000))
 		}
 	}()
-	c.until("it is read far ahead", func() bool { return c.front.conns.sharedReadAhead.Load() <= maxSharedReadAhead-10*30000 })
-	c.front.Answer(node.Answer{Job: "wait-0", Result: []byte("the result")})
-	c.answer(from)
+	c.until("it is read far ahead", func() bool { return c.server.conns.sharedReadAhead.Load() <= maxSharedReadAhead-10*30000 })
+	c.server.Answer(node.Answer{Job: "wait-0", Result: []byte("the result")})
+	c.printAnswer(from)
 	for i := range next {
-		if j := c.arrives(); string(j.ID) != fmt.Sprint("handled-", i+1) || len(j.Body) != 30000 {
+		if j := c.nextJob(); string(j.ID) != fmt.Sprint("handled-", i+1) || len(j.Body) != 30000 {
 			t.Fatalf("%s with %d bytes is the next after %d", j.ID, len(j.Body), i)
 		}
-		c.answer(from)
+		c.printAnswer(from)
 	}
 	if got := strings.Count(c.out.String(), "answer: 200 \"the result\"\n"); got != next+1 {
 		t.Errorf("%d answers of %d", got, next+1)
 	}
 	from.Close()
-	c.until("what it took of the spare bytes is given back", func() bool { return c.front.conns.sharedReadAhead.Load() == maxSharedReadAhead })
+	c.until("what it took of the spare bytes is given back", func() bool { return c.server.conns.sharedReadAhead.Load() == maxSharedReadAhead })
 }
 
 // Nobody takes batch jobs any more: what comes whole at that moment is pushed back, and what comes on a connection that was
 // never read is as well.
-func TestEnd(t *testing.T) {
-	c, h := halted(t, 10)
+func TestStop(t *testing.T) {
+	c, h := newHaltable(t, 10)
 	stop := h.On(2, emulator.BeforeRead, 0)
 	told := c.dial()
-	told.send(job("wait-1"))
-	c.event() // the reducer has ended: it does not look at it
+	told.send(jobRequest("wait-1"))
+	c.printEvent() // the reducer has ended: it does not look at it
 	late := c.dial()
-	c.reached(stop)
-	late.send(job("wait-2"))
+	c.awaitStop(stop)
+	late.send(jobRequest("wait-2"))
 	over := make(chan struct{})
 	go func() {
-		c.front.Stop()
+		c.server.Stop()
 		close(over)
 	}()
-	c.answer(told)
+	c.printAnswer(told)
 	stop.Go()
-	c.event() // told to nobody
-	c.answer(late)
+	c.printEvent() // told to nobody
+	c.printAnswer(late)
 	<-over
 	golden.Compare(t, "end.txt", c.out.String())
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -16,41 +16,41 @@
 	"birchstair/policy"
 )
 
-// core stands in for the reducer: it prints what it is told and answers by a batch job's id. Those called "wait"
+// fakeReducer stands in for the reducer: it prints what it is told and answers by a batch job's id. Those called "wait"
 // get no answer.
-type core struct {
-	t     *testing.T
-	front *Server
-	addr  string
-	told  chan node.Event
-	out   strings.Builder
+type fakeReducer struct {
+	t      *testing.T
+	server *Server
+	addr   string
+	events chan node.Event
+	out    strings.Builder
 }
 
-func newCore(t *testing.T, conns int, change ...func(*http.Server)) *core {
-	return newCoreBehind(t, conns, &emulator.Halts{}, change...)
+func newFakeReducer(t *testing.T, conns int, change ...func(*http.Server)) *fakeReducer {
+	return newFakeReducerWithHalts(t, conns, &emulator.Halts{}, change...)
 }
 
-// newCoreBehind makes one whose listener and connections can be stopped.
-func newCoreBehind(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *core {
-	c := &core{t: t, told: make(chan node.Event, 100)}
-	c.front = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
+// newFakeReducerWithHalts makes one whose listener and connections can be stopped.
+func newFakeReducerWithHalts(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *fakeReducer {
+	c := &fakeReducer{t: t, events: make(chan node.Event, 100)}
+	c.server = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
 		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, ConnLimits{conns, conns / 2}, func(ev node.Event) {
 		if ev, ok := ev.(node.JobArrived); ok {
 			switch name, _, _ := strings.Cut(string(ev.Job.ID), "-"); {
 			case ev.Job.NearConnectionLimit:
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected})
+				c.server.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected})
 			case name == "handled":
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Result: []byte("the result")})
+				c.server.Answer(node.Answer{Job: ev.Job.ID, Result: []byte("the result")})
 			case name == "back":
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected, RetryAfter: 1500 * time.Millisecond})
+				c.server.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected, RetryAfter: 1500 * time.Millisecond})
 			case name == "off":
-				c.front.Answer(node.Answer{Job: ev.Job.ID, Final: node.Failed})
+				c.server.Answer(node.Answer{Job: ev.Job.ID, Final: node.Failed})
 			}
 		}
-		c.told <- ev
+		c.events <- ev
 	})
 	for _, change := range change {
-		change(&c.front.http)
+		change(&c.server.http)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,9 +58,9 @@
 	}
 	c.addr = l.Addr().String()
 	served := make(chan error, 1)
-	go func() { served <- c.front.Serve(halts.Listener(l)) }()
+	go func() { served <- c.server.Serve(halts.Listener(l)) }()
 	t.Cleanup(func() {
-		c.front.http.Close()
+		c.server.http.Close()
 		if err := <-served; err != nil {
 			t.Errorf("serving: %v", err)
 		}
@@ -68,10 +68,10 @@
 	return c
 }
 
-func (c *core) event() {
+func (c *fakeReducer) printEvent() {
 	c.t.Helper()
 	select {
-	case ev := <-c.told:
+	case ev := <-c.events:
 		switch ev := ev.(type) {
 		case node.JobArrived:
 			j := ev.Job
@@ -111,7 +111,7 @@
 	}
 }
 
-func (c *core) dial() client {
+func (c *fakeReducer) dial() client {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.addr)
 	if err != nil {
@@ -122,8 +122,8 @@
 	return client{conn, bufio.NewReader(conn), c.t}
 }
 
-// answer prints what comes back.
-func (c *core) answer(from client) {
+// printAnswer prints what comes back.
+func (c *fakeReducer) printAnswer(from client) {
 	c.t.Helper()
 	a, err := http.ReadResponse(from.in, nil)
 	if err != nil {
@@ -141,7 +141,7 @@
 	c.out.WriteString("\n")
 }
 
-func job(id string, more ...string) string {
+func jobRequest(id string, more ...string) string {
 	s := "POST /api/7f?q=%20 HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: " + id +
 		"\r\nX-Call-Class: run-verify\r\nX-Budget-Ms: 480\r\n"
 	for _, m := range more {
@@ -151,119 +151,119 @@
 }
 
 // What clients hand in, whole, cut and senseless, and what they are told.
-func TestMessages(t *testing.T) {
-	c := newCore(t, 100)
+func TestRequests(t *testing.T) {
+	c := newFakeReducer(t, 100)
 	ask := func(title, text string, arrives bool) {
 		c.out.WriteString(title + "\n")
 		from := c.dial()
 		from.send(text)
 		if arrives {
-			c.event()
+			c.printEvent()
 		}
-		c.answer(from)
+		c.printAnswer(from)
 	}
 	ready := "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"
 	ask("not ready yet", ready, false)
-	c.front.SetReady(true)
+	c.server.SetReady(true)
 	ask("ready", ready, false)
 	ask("readiness by POST", strings.Replace(ready, "GET", "POST", 1), false)
-	ask("a batch job", job("handled", "X-Call-Cost: 2500", "Idempotency-Key: k", "Content-Type: text/plain",
+	ask("a batch job", jobRequest("handled", "X-Call-Cost: 2500", "Idempotency-Key: k", "Content-Type: text/plain",
 		"X-Call-Info: slots=1", "Content-Length: 4")+"body", true)
-	ask("a repeat that its client marks", job("handled", "X-Again: 1"), true)
-	ask("a mark that is none", job("handled", "X-Again: 0"), true)
-	ask("marked twice", job("handled", "X-Again: 1", "X-Again: 1"), false)
-	chunks := "0\r\n\r\n" + job("handled-hidden")
-	ask("a body in chunks, and nothing is read behind it", job("handled", "Transfer-Encoding: chunked")+"2;x=1\r\nbo\r\n2\r\ndy\r\n"+chunks, true)
-	ask("chunks of more than a body", job("handled", "Transfer-Encoding: chunked")+"10001\r\n"+strings.Repeat("x", 65537)+"\r\n0\r\n\r\n", false)
-	ask("chunks without sense", job("handled", "Transfer-Encoding: chunked")+"body\r\n", false)
+	ask("a repeat that its client marks", jobRequest("handled", "X-Again: 1"), true)
+	ask("a mark that is none", jobRequest("handled", "X-Again: 0"), true)
+	ask("marked twice", jobRequest("handled", "X-Again: 1", "X-Again: 1"), false)
+	chunks := "0\r\n\r\n" + jobRequest("handled-hidden")
+	ask("a body in chunks, and nothing is read behind it", jobRequest("handled", "Transfer-Encoding: chunked")+"2;x=1\r\nbo\r\n2\r\ndy\r\n"+chunks, true)
+	ask("chunks of more than a body", jobRequest("handled", "Transfer-Encoding: chunked")+"10001\r\n"+strings.Repeat("x", 65537)+"\r\n0\r\n\r\n", false)
+	ask("chunks without sense", jobRequest("handled", "Transfer-Encoding: chunked")+"body\r\n", false)
 	for _, odd := range []string{"content-length:4", "Content-Length: 4", "Content-Length:" + strings.Repeat(" ", 200) + "4", "Content-Length:\r\n 4"} {
-		ask(fmt.Sprintf("%.40q behind chunks", odd), job("handled", "Transfer-Encoding: chunked", odd)+chunks, false)
+		ask(fmt.Sprintf("%.40q behind chunks", odd), jobRequest("handled", "Transfer-Encoding: chunked", odd)+chunks, false)
 	}
 	c.out.WriteString("chunks behind other messages, in pieces\n")
 	slow := c.dial()
-	for _, part := range []string{"OPTIONS * HTTP/1.1\r\nHost: n\r\n\r\n", job("handled-1", "Content-Length: 36") + "Content-Length: 4\r\n\r\nPOST / HTTP/1.1"} {
+	for _, part := range []string{"OPTIONS * HTTP/1.1\r\nHost: n\r\n\r\n", jobRequest("handled-1", "Content-Length: 36") + "Content-Length: 4\r\n\r\nPOST / HTTP/1.1"} {
 		slow.send(part)
 		if strings.HasPrefix(part, "POST") {
-			c.event()
+			c.printEvent()
 		}
-		c.answer(slow)
+		c.printAnswer(slow)
 	}
-	for _, part := range strings.SplitAfter(job("handled-2", "Transfer-Encoding: chunked")+"4\r\nbody\r\n0\r\n\r\n", "e") {
+	for _, part := range strings.SplitAfter(jobRequest("handled-2", "Transfer-Encoding: chunked")+"4\r\nbody\r\n0\r\n\r\n", "e") {
 		slow.send(part)
 	}
-	c.event()
-	c.answer(slow)
-	ask("a length and chunks", job("handled", "Content-Length: 4", "Transfer-Encoding: chunked")+chunks, false)
+	c.printEvent()
+	c.printAnswer(slow)
+	ask("a length and chunks", jobRequest("handled", "Content-Length: 4", "Transfer-Encoding: chunked")+chunks, false)
 	ask("the same to readiness", strings.Replace(ready, "Host", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\nHost", 1)+
 		chunks, false)
-	ask("the same by GET", strings.Replace(job("handled", "Content-Length: 4", "Transfer-Encoding: chunked"), "POST", "GET", 1)+
+	ask("the same by GET", strings.Replace(jobRequest("handled", "Content-Length: 4", "Transfer-Encoding: chunked"), "POST", "GET", 1)+
 		chunks, false)
-	ask("the same by HTTP/1.0", strings.Replace(job("handled", fmt.Sprint("Content-Length: ", len(chunks)),
+	ask("the same by HTTP/1.0", strings.Replace(jobRequest("handled", fmt.Sprint("Content-Length: ", len(chunks)),
 		"Transfer-Encoding: chunked"), "1.1", "1.0", 1)+chunks, false)
-	ask("two lengths", job("handled", "Content-Length: 4", "Content-Length: 5")+"bodyPOST", false)
-	ask("a budget beyond the outer limit", strings.Replace(job("handled"), "480", "2000000000", 1), true)
-	ask("pushed back", job("back"), true)
-	ask("broken off", job("off"), true)
-	ask("no id", job(""), false)
-	ask("a long id", job(strings.Repeat("x", 200)), false)
-	ask("an unknown track", strings.Replace(job("handled"), "run-verify", "render", 1), false)
-	ask("no budget", strings.Replace(job("handled"), "X-Budget-Ms: 480", "X-Other: 1", 1), false)
-	ask("a budget that is over", strings.Replace(job("handled"), "480", "0", 1), false)
-	ask("a budget without sense", strings.Replace(job("handled"), "480", "1e9", 1), false)
-	ask("a guess without sense", job("handled", "X-Call-Cost: NaN"), false)
-	ask("no tag where one is due", strings.Replace(job("handled"), "run-verify", "split-record", 1), false)
-	ask("two ids", job("handled", "X-Call-Id: other"), false)
-	ask("no path", strings.Replace(job("handled"), "/api", "http://other/api", 1), false)
-	ask("by GET", strings.Replace(job("handled"), "POST", "GET", 1), false)
-	ask("the longest body", job("handled", "Content-Length: 65536")+strings.Repeat("x", 65536), true)
-	ask("a longer one", job("handled", "Content-Length: 65537")+strings.Repeat("x", 65537), false)
-	ask("a long head", job("handled", "X-Long: "+strings.Repeat("x", 30000)), false)
+	ask("two lengths", jobRequest("handled", "Content-Length: 4", "Content-Length: 5")+"bodyPOST", false)
+	ask("a budget beyond the outer limit", strings.Replace(jobRequest("handled"), "480", "2000000000", 1), true)
+	ask("pushed back", jobRequest("back"), true)
+	ask("broken off", jobRequest("off"), true)
+	ask("no id", jobRequest(""), false)
+	ask("a long id", jobRequest(strings.Repeat("x", 200)), false)
+	ask("an unknown track", strings.Replace(jobRequest("handled"), "run-verify", "render", 1), false)
+	ask("no budget", strings.Replace(jobRequest("handled"), "X-Budget-Ms: 480", "X-Other: 1", 1), false)
+	ask("a budget that is over", strings.Replace(jobRequest("handled"), "480", "0", 1), false)
+	ask("a budget without sense", strings.Replace(jobRequest("handled"), "480", "1e9", 1), false)
+	ask("a guess without sense", jobRequest("handled", "X-Call-Cost: NaN"), false)
+	ask("no tag where one is due", strings.Replace(jobRequest("handled"), "run-verify", "split-record", 1), false)
+	ask("two ids", jobRequest("handled", "X-Call-Id: other"), false)
+	ask("no path", strings.Replace(jobRequest("handled"), "/api", "http://other/api", 1), false)
+	ask("by GET", strings.Replace(jobRequest("handled"), "POST", "GET", 1), false)
+	ask("the longest body", jobRequest("handled", "Content-Length: 65536")+strings.Repeat("x", 65536), true)
+	ask("a longer one", jobRequest("handled", "Content-Length: 65537")+strings.Repeat("x", 65537), false)
+	ask("a long head", jobRequest("handled", "X-Long: "+strings.Repeat("x", 30000)), false)
 	ask("no HTTP", "SSH-2.0-x\r\n\r\n", false)
 
 	c.out.WriteString("one connection, one after another\n")
 	from := c.dial()
 	for range 2 {
-		from.send(job("handled-again"))
-		c.event()
-		c.answer(from)
+		from.send(jobRequest("handled-again"))
+		c.printEvent()
+		c.printAnswer(from)
 	}
 	c.out.WriteString("an id that is in hand, and a client that leaves\n")
 	first := c.dial()
-	first.send(job("wait"))
-	c.event()
-	from.send(job("wait"))
-	c.event()
-	c.answer(from)
+	first.send(jobRequest("wait"))
+	c.printEvent()
+	from.send(jobRequest("wait"))
+	c.printEvent()
+	c.printAnswer(from)
 	first.Close()
-	c.event()
-	c.front.Answer(node.Answer{Job: "wait"})
+	c.printEvent()
+	c.server.Answer(node.Answer{Job: "wait"})
 	c.out.WriteString("a client that ends its sending\n")
 	first = c.dial()
-	first.send(job("wait"))
-	c.event()
+	first.send(jobRequest("wait"))
+	c.printEvent()
 	first.Conn.(*net.TCPConn).CloseWrite()
-	c.event()
-	c.answer(first)
+	c.printEvent()
+	c.printAnswer(first)
 	c.out.WriteString("a body that is cut touches nothing else\n")
 	first = c.dial()
-	first.send(job("handled", "Content-Length: 9") + "half")
+	first.send(jobRequest("handled", "Content-Length: 9") + "half")
 	first.Conn.(*net.TCPConn).CloseWrite()
-	c.answer(first)
+	c.printAnswer(first)
 	golden.Compare(t, "messages.txt", c.out.String())
 }
 
 // What stalls is ended by the server's one spell for a whole message; a batch job that is in hand, and a connection
 // that rests, are not touched by it.
-func TestStalls(t *testing.T) {
-	c := newCore(t, 100, func(s *http.Server) { s.ReadTimeout, s.ReadHeaderTimeout = time.Second, time.Second })
+func TestTimeouts(t *testing.T) {
+	c := newFakeReducer(t, 100, func(s *http.Server) { s.ReadTimeout, s.ReadHeaderTimeout = time.Second, time.Second })
 	resting, waiting := c.dial(), c.dial()
-	resting.send(job("handled-1"))
-	c.event()
-	c.answer(resting)
-	waiting.send(job("wait", "Content-Length: 4") + "body")
-	c.event()
-	texts := []string{"", "POST / HTTP/1.1\r\nX-Ca", job("handled-2", "Content-Length: 9") + "half",
-		job("", "Content-Length: 9") + "half"}
+	resting.send(jobRequest("handled-1"))
+	c.printEvent()
+	c.printAnswer(resting)
+	waiting.send(jobRequest("wait", "Content-Length: 4") + "body")
+	c.printEvent()
+	texts := []string{"", "POST / HTTP/1.1\r\nX-Ca", jobRequest("handled-2", "Content-Length: 9") + "half",
+		jobRequest("", "Content-Length: 9") + "half"}
 	var stalls []client
 	for _, text := range texts {
 		from := c.dial()
@@ -272,37 +272,37 @@
 	}
 	for i, from := range stalls {
 		fmt.Fprintf(&c.out, "%q\n", texts[i])
-		c.answer(from)
+		c.printAnswer(from)
 	}
-	c.front.Answer(node.Answer{Job: "wait", Result: []byte("the result")})
-	c.answer(waiting)
-	resting.send(job("handled-3"))
-	c.event()
-	c.answer(resting)
+	c.server.Answer(node.Answer{Job: "wait", Result: []byte("the result")})
+	c.printAnswer(waiting)
+	resting.send(jobRequest("handled-3"))
+	c.printEvent()
+	c.printAnswer(resting)
 	golden.Compare(t, "stalls.txt", c.out.String())
 }
 
 // The end: clients that rest are let go, those in hand get their answers and are told to go elsewhere, what still
 // comes is taken.
-func TestEnding(t *testing.T) {
-	c := newCore(t, 100)
+func TestShutdown(t *testing.T) {
+	c := newFakeReducer(t, 100)
 	resting, waiting := c.dial(), c.dial()
-	resting.send(job("handled-1"))
-	c.event()
-	c.answer(resting)
-	waiting.send(job("wait"))
-	c.event()
+	resting.send(jobRequest("handled-1"))
+	c.printEvent()
+	c.printAnswer(resting)
+	waiting.send(jobRequest("wait"))
+	c.printEvent()
 	c.out.WriteString("told to end\n")
-	c.front.BeginLameDuck()
-	c.answer(resting)
+	c.server.BeginLameDuck()
+	c.printAnswer(resting)
 	late := c.dial()
-	late.send(job("handled-2"))
-	c.event()
-	c.answer(late)
-	c.front.Answer(node.Answer{Job: "wait", Result: []byte("in time")})
-	c.answer(waiting)
-	c.front.Close()
-	c.event()
+	late.send(jobRequest("handled-2"))
+	c.printEvent()
+	c.printAnswer(late)
+	c.server.Answer(node.Answer{Job: "wait", Result: []byte("in time")})
+	c.printAnswer(waiting)
+	c.server.Close()
+	c.printEvent()
 	if _, err := net.Dial("tcp", c.addr); err == nil {
 		t.Error("connections are taken after the end")
 	}
@@ -317,54 +317,54 @@
 
 // At the edge of the descriptors the connection that has rested longest goes; where none rests, batch jobs are
 // pushed back; and beyond that connections wait.
-func TestEdge(t *testing.T) {
-	c := newCore(t, 2)
+func TestConnLimit(t *testing.T) {
+	c := newFakeReducer(t, 2)
 	say := func(from client, id string) {
-		from.send(job(id))
-		c.event()
+		from.send(jobRequest(id))
+		c.printEvent()
 	}
 	first, second := c.dial(), c.dial()
 	c.out.WriteString("two connections are the budget\n")
 	say(first, "handled-1")
-	c.answer(first)
+	c.printAnswer(first)
 	say(second, "wait-2")
 	c.out.WriteString("a third: the one that rests goes\n")
 	third := c.dial()
-	c.answer(first)
-	for c.front.conns.opened() > 2 { // until the front has seen its end as well
+	c.printAnswer(first)
+	for c.server.conns.opened() > 2 { // until the front has seen its end as well
 		time.Sleep(time.Millisecond)
 	}
 	say(third, "wait-3")
 	c.out.WriteString("a fourth: none rests\n")
 	fourth := c.dial()
 	say(fourth, "wait-4")
-	c.answer(fourth)
+	c.printAnswer(fourth)
 	golden.Compare(t, "edge.txt", c.out.String())
 }
 
 // Connections that say nothing, ask for little or send half a message, and stay, cost no usual client its place, however
 // many they are.
-func TestStrangers(t *testing.T) {
-	c := newCore(t, 8)
+func TestNewConns(t *testing.T) {
+	c := newFakeReducer(t, 8)
 	say := func(from client, id string) {
-		from.send(job(id))
-		c.event()
+		from.send(jobRequest(id))
+		c.printEvent()
 	}
 	usual, waits := c.dial(), c.dial()
 	say(usual, "handled-1")
-	c.answer(usual)
+	c.printAnswer(usual)
 	say(waits, "wait")
 	for i := range 40 {
 		c.dial().send([]string{"", "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n", "POST /half"}[i%3])
 	}
 	for range 2 {
 		say(usual, "handled-2")
-		c.answer(usual)
+		c.printAnswer(usual)
 	}
 	newcomer := c.dial()
 	say(newcomer, "handled-3")
-	c.answer(newcomer)
-	c.front.Answer(node.Answer{Job: "wait", Result: []byte("the result")})
-	c.answer(waits)
+	c.printAnswer(newcomer)
+	c.server.Answer(node.Answer{Job: "wait", Result: []byte("the result")})
+	c.printAnswer(waits)
 	golden.Compare(t, "strangers.txt", c.out.String())
 }
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -24,14 +24,14 @@
 	"birchstair/policy"
 )
 
-// whole is a whole node on real connections, with one executor that discovery names in a state that the test sets.
-type whole struct {
-	t      *testing.T
-	listen string
-	dials  chan chan struct{} // each dial to the executor stops until its channel is closed
-	state  chan policy.EndpointState
-	halts  emulator.Halts // of clients' connections
-	late   atomic.Pointer[late]
+// testNode is a whole node on real connections, with one executor that discovery names in a state that the test sets.
+type testNode struct {
+	t        *testing.T
+	listen   string
+	dials    chan chan struct{} // each dial to the executor stops until its channel is closed
+	state    chan policy.EndpointState
+	halts    emulator.Halts // of clients' connections
+	loopStop atomic.Pointer[loopStop]
 
 	mu              sync.Mutex
 	ran             map[policy.JobID]int
@@ -51,8 +51,8 @@
 	return l
 }
 
-func start(t *testing.T, first policy.EndpointState, repeat string) *whole {
-	w := &whole{t: t, ran: map[policy.JobID]int{}, over: make(chan error, 1), state: make(chan policy.EndpointState, 1), dials: make(chan chan struct{}, 10)}
+func start(t *testing.T, first policy.EndpointState, repeat string) *testNode {
+	w := &testNode{t: t, ran: map[policy.JobID]int{}, over: make(chan error, 1), state: make(chan policy.EndpointState, 1), dials: make(chan chan struct{}, 10)}
 	at := listener(t)
 	go (&platform.Executor{ID: "e", Takes: func() time.Duration { return time.Millisecond }, Ran: func(job policy.JobID) {
 		w.mu.Lock()
@@ -86,7 +86,7 @@
 			},
 			Observer: func(_ time.Duration, ev node.Event, effects []node.Effect) {
 				if slices.ContainsFunc(effects, func(e node.Effect) bool { _, ok := e.(node.WriteAttempt); return ok }) {
-					if l := w.late.Swap(nil); l != nil {
+					if l := w.loopStop.Swap(nil); l != nil {
 						close(l.reached)
 						<-l.goOn
 					}
@@ -124,7 +124,7 @@
 }
 
 // discovery names one executor; a watch waits for its next state.
-func (w *whole) discovery(l net.Listener, e emulator.Entry) {
+func (w *testNode) discovery(l net.Listener, e emulator.Entry) {
 	seq := 1
 	for {
 		c, err := l.Accept()
@@ -155,7 +155,7 @@
 	}
 }
 
-func (w *whole) until(what string, so func() bool) {
+func (w *testNode) until(what string, so func() bool) {
 	w.t.Helper()
 	for by := time.Now().Add(20 * time.Second); !so(); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
@@ -164,8 +164,8 @@
 	}
 }
 
-// hands writes a batch job on a connection of its own.
-func (w *whole) hands(id string) net.Conn {
+// submit writes a batch job on a connection of its own.
+func (w *testNode) submit(id string) net.Conn {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.listen)
 	if err != nil {
@@ -177,8 +177,8 @@
 	return c
 }
 
-// handled waits for the answer.
-func (w *whole) handled(c net.Conn) {
+// awaitHandled waits for the answer.
+func (w *testNode) awaitHandled(c net.Conn) {
 	w.t.Helper()
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || a.StatusCode != http.StatusOK {
@@ -187,7 +187,7 @@
 }
 
 // ranOnly says that nothing ran but what a client still waited for.
-func (w *whole) ranOnly(id policy.JobID) {
+func (w *testNode) ranOnly(id policy.JobID) {
 	w.t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -198,7 +198,7 @@
 	}
 }
 
-func (w *whole) heard(n int) {
+func (w *testNode) awaitLeft(n int) {
 	w.t.Helper()
 	w.until("the node has heard that its clients left", func() bool {
 		w.mu.Lock()
@@ -209,7 +209,7 @@
 
 // A hundred clients leave in one instant while their batch jobs wait for a token: none of those is sent on, the one whose client
 // stays is.
-func TestClientsLeaveWhileHeld(t *testing.T) {
+func TestClientsLeaveWhileQueued(t *testing.T) {
 	end := func(conns []net.Conn, more string) {
 		for _, c := range conns {
 			if more != "" {
@@ -226,18 +226,18 @@
 		w := start(t, policy.Draining, "repeatable")
 		var leave []net.Conn
 		for i := range 100 {
-			leave = append(leave, w.hands(fmt.Sprint("leaves-", i)))
+			leave = append(leave, w.submit(fmt.Sprint("leaves-", i)))
 		}
-		stays := w.hands("stays")
+		stays := w.submit("stays")
 		end(leave, more)
-		w.heard(100)
+		w.awaitLeft(100)
 		w.state <- policy.Available
 		go func() {
 			for goOn := range w.dials {
 				close(goOn)
 			}
 		}()
-		w.handled(stays)
+		w.awaitHandled(stays)
 		w.ranOnly("stays")
 		w.stop()
 		if err := <-w.over; err != nil {
@@ -249,21 +249,21 @@
 // leaving are the ways in which a node may come to know late that a client has left.
 var leaving = []struct {
 	name  string
-	leave func(*whole, net.Conn) (after func())
+	leave func(*testNode, net.Conn) (after func())
 }{
-	{"the front does not come to its end, which lies unread", func(w *whole, c net.Conn) func() {
+	{"the front does not come to its end, which lies unread", func(w *testNode, c net.Conn) func() {
 		stop := w.halts.At(emulator.AfterRead, 0) // nobody else sends anything now
 		c.Close()
-		w.reached(stop)
+		w.awaitStop(stop)
 		return stop.Go
 	}},
-	{"it only ends its sending, and has read that it is broken off", func(w *whole, c net.Conn) func() {
+	{"it only ends its sending, and has read that it is broken off", func(w *testNode, c net.Conn) func() {
 		w.endsSending(c)
 		return func() {}
 	}},
 }
 
-func (w *whole) reached(s *emulator.Stop) {
+func (w *testNode) awaitStop(s *emulator.Stop) {
 	w.t.Helper()
 	select {
 	case <-s.Reached:
@@ -273,7 +273,7 @@
 }
 
 // endsSending has a client end its sending and read that its batch job is broken off: the front has told the loop by then.
-func (w *whole) endsSending(c net.Conn) {
+func (w *testNode) endsSending(c net.Conn) {
 	w.t.Helper()
 	c.(*net.TCPConn).CloseWrite()
 	if a, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || a.StatusCode < 500 {
@@ -281,16 +281,16 @@
 	}
 }
 
-// late is a loop that stops before it carries out the next write.
-type late struct{ reached, goOn chan struct{} }
+// loopStop is a loop that stops before it carries out the next write.
+type loopStop struct{ reached, goOn chan struct{} }
 
-func (w *whole) isLate() *late {
-	l := &late{make(chan struct{}), make(chan struct{})}
-	w.late.Store(l)
+func (w *testNode) stopLoopBeforeWrite() *loopStop {
+	l := &loopStop{make(chan struct{}), make(chan struct{})}
+	w.loopStop.Store(l)
 	return l
 }
 
-func (w *whole) stands(l *late) {
+func (w *testNode) awaitLoopStop(l *loopStop) {
 	w.t.Helper()
 	select {
 	case <-l.reached:
@@ -305,15 +305,15 @@
 	for _, l := range leaving {
 		t.Run(l.name, func(t *testing.T) {
 			w := start(t, policy.Available, "once")
-			loop := w.isLate()
-			leaves := w.hands("leaves")
+			loop := w.stopLoopBeforeWrite()
+			leaves := w.submit("leaves")
 			close(<-w.dials)
-			w.stands(loop)
+			w.awaitLoopStop(loop)
 			after := l.leave(w, leaves)
 			close(loop.goOn)
-			w.handled(w.hands("stays"))
+			w.awaitHandled(w.submit("stays"))
 			after()
-			w.heard(1)
+			w.awaitLeft(1)
 			w.ranOnly("stays")
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -325,57 +325,57 @@
 }
 
 // Clients leave in one instant while the loop stands before the first write: none of them is sent on.
-func TestClientsLeaveUnderLateLoop(t *testing.T) {
+func TestClientsLeaveUnderStoppedLoop(t *testing.T) {
 	w := start(t, policy.Available, "once")
-	loop := w.isLate()
+	loop := w.stopLoopBeforeWrite()
 	var leave []net.Conn
 	for i := range 100 {
-		leave = append(leave, w.hands(fmt.Sprint("leaves-", i)))
+		leave = append(leave, w.submit(fmt.Sprint("leaves-", i)))
 	}
 	go func() {
 		for goOn := range w.dials {
 			close(goOn)
 		}
 	}()
-	w.stands(loop)
+	w.awaitLoopStop(loop)
 	for _, c := range leave {
 		w.endsSending(c)
 	}
 	close(loop.goOn)
-	w.handled(w.hands("stays"))
-	w.heard(100)
+	w.awaitHandled(w.submit("stays"))
+	w.awaitLeft(100)
 	w.ranOnly("stays")
 }
 
 // The connection comes up after the client has left, which the front has not come to: nothing of it is written.
 func TestClientLeavesUnreadWhileDialling(t *testing.T) {
 	w := start(t, policy.Available, "once")
-	leaves := w.hands("leaves")
+	leaves := w.submit("leaves")
 	goOn := <-w.dials
 	stop := w.halts.At(emulator.AfterRead, 0)
 	leaves.Close()
-	w.reached(stop)
+	w.awaitStop(stop)
 	close(goOn)
-	w.handled(w.hands("stays"))
+	w.awaitHandled(w.submit("stays"))
 	stop.Go()
-	w.heard(1)
+	w.awaitLeft(1)
 	w.ranOnly("stays")
 }
 
 // The client leaves while the connection for its batch job is being dialled: nothing of it is written.
 func TestClientLeavesWhileDialling(t *testing.T) {
 	w := start(t, policy.Available, "once")
-	leaves := w.hands("leaves")
+	leaves := w.submit("leaves")
 	goOn := <-w.dials
 	leaves.Close()
-	w.heard(1)
+	w.awaitLeft(1)
 	close(goOn)
 	go func() {
 		for goOn := range w.dials {
 			close(goOn)
 		}
 	}()
-	w.handled(w.hands("stays"))
+	w.awaitHandled(w.submit("stays"))
 	w.ranOnly("stays")
 }
 
@@ -383,7 +383,7 @@
 // the batch job goes there once the executor is up again.
 func TestDrainWhileDialling(t *testing.T) {
 	w := start(t, policy.Available, "once")
-	stays := w.hands("stays")
+	stays := w.submit("stays")
 	goOn := <-w.dials
 	w.mu.Lock()
 	lists := w.lists
@@ -411,6 +411,6 @@
 		}
 	}()
 	w.state <- policy.Available
-	w.handled(stays)
+	w.awaitHandled(stays)
 	w.ranOnly("stays")
 }
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -14,8 +14,8 @@
 	"birchstair/internal/node"
 )
 
-// used is a connection that has carried one allocation and rests; its calls can be stopped.
-type used struct {
+// usedConn is a connection that has carried one allocation and rests; its calls can be stopped.
+type usedConn struct {
 	printer
 	t        *testing.T
 	halts    emulator.Halts
@@ -30,19 +30,19 @@
 )
 
 // use makes one. What it is to do when the connection rests is done before its reader goes on.
-func use(t *testing.T, title string, atRest func(*used)) *used {
+func use(t *testing.T, title string, atRest func(*usedConn)) *usedConn {
 	u := dialled(t, title, atRest)
-	u.pool.Write(1, call("j1"))
-	u.takes()
-	u.says(lines(handled))
+	u.pool.Write(1, attempt("j1"))
+	u.readAttempt()
+	u.respond(okResponse(handled))
 	u.next(t)
 	u.next(t)
 	return u
 }
 
 // dialled makes one that has just come up and carried nothing yet.
-func dialled(t *testing.T, title string, atRest func(*used)) *used {
-	u := &used{t: t, printer: printer{events: make(chan node.Event, 100), details: true}}
+func dialled(t *testing.T, title string, atRest func(*usedConn)) *usedConn {
+	u := &usedConn{t: t, printer: printer{events: make(chan node.Event, 100), details: true}}
 	u.out.WriteString(title + "\n")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,8 +73,8 @@
 	return u
 }
 
-// takes reads an allocation whole.
-func (u *used) takes() *http.Request {
+// readAttempt reads an allocation whole.
+func (u *usedConn) readAttempt() *http.Request {
 	u.t.Helper()
 	u.executor.SetReadDeadline(time.Now().Add(20 * time.Second))
 	m, err := http.ReadRequest(u.in)
@@ -87,14 +87,14 @@
 	return m
 }
 
-func (u *used) says(text string) {
+func (u *usedConn) respond(text string) {
 	u.t.Helper()
 	if _, err := io.WriteString(u.executor, text); err != nil {
 		u.t.Errorf("the executor's answer: %v", err)
 	}
 }
 
-func (u *used) reached(s *emulator.Stop) {
+func (u *usedConn) awaitStop(s *emulator.Stop) {
 	u.t.Helper()
 	select {
 	case <-s.Reached:
@@ -104,7 +104,7 @@
 }
 
 // end prints what is told until the connection is given back.
-func (u *used) end() {
+func (u *usedConn) end() {
 	u.t.Helper()
 	for {
 		if _, over := u.next(u.t).(node.ConnClosed); over {
@@ -113,34 +113,34 @@
 	}
 }
 
-func onceOnly(id string) node.Attempt {
-	a := call(id)
+func atMostOnce(id string) node.Attempt {
+	a := attempt(id)
 	a.AtMostOnce = true
 	return a
 }
 
 // What an executor has done on a connection at rest has arrived, and its reader has not come to it, when the next allocation
 // is to go out: nothing of it does.
-func TestRestDisturbed(t *testing.T) {
+func TestIdleConnDisturbed(t *testing.T) {
 	text := ""
 	for _, c := range []struct {
 		title string
-		do    func(*used)
+		do    func(*usedConn)
 	}{
-		{"the executor closes", func(u *used) { u.executor.Close() }},
-		{"the executor resets", func(u *used) {
+		{"the executor closes", func(u *usedConn) { u.executor.Close() }},
+		{"the executor resets", func(u *usedConn) {
 			u.executor.(*net.TCPConn).SetLinger(0)
 			u.executor.Close()
 		}},
-		{"a second answer", func(u *used) { u.says(answer(stray)) }},
+		{"a second answer", func(u *usedConn) { u.respond(emptyResponse(stray)) }},
 	} {
 		var stop *emulator.Stop
-		u := use(t, c.title, func(u *used) { stop = u.halts.On(1, emulator.BeforeRead, 0) })
-		u.reached(stop)
+		u := use(t, c.title, func(u *usedConn) { stop = u.halts.On(1, emulator.BeforeRead, 0) })
+		u.awaitStop(stop)
 		c.do(u)
 		wrote := u.halts.On(1, emulator.BeforeClose, 0) // the writer gives up by closing
-		u.pool.Write(1, onceOnly("j2"))
-		u.reached(wrote)
+		u.pool.Write(1, atMostOnce("j2"))
+		u.awaitStop(wrote)
 		wrote.Go()
 		stop.Go()
 		u.end()
@@ -151,7 +151,7 @@
 
 // A second answer to the allocation before arrives when the next one is about to be written, or has just been: for what must
 // not run twice it proves nothing. Where nothing follows it, it is this allocation's own.
-func TestStrayAnswer(t *testing.T) {
+func TestStaleResponse(t *testing.T) {
 	text := ""
 	for _, c := range []struct {
 		title  string
@@ -159,15 +159,15 @@
 	}{{"the allocation's own answer follows", true}, {"nothing follows", false}} {
 		u := use(t, c.title, nil)
 		writes := u.halts.On(1, emulator.BeforeWrite, 0)
-		u.pool.Write(1, onceOnly("j2"))
-		u.reached(writes)
+		u.pool.Write(1, atMostOnce("j2"))
+		u.awaitStop(writes)
 		reads := u.halts.On(1, emulator.BeforeRead, 0)
-		u.says(answer(stray))
-		u.reached(reads) // the answer has been read, and more is waited for
+		u.respond(emptyResponse(stray))
+		u.awaitStop(reads) // the answer has been read, and more is waited for
 		writes.Go()
-		u.takes()
+		u.readAttempt()
 		if c.follow {
-			u.says(lines(`{"id":"j2","state":"started"}`))
+			u.respond(okResponse(`{"id":"j2","state":"started"}`))
 		}
 		for l, sent := u.pool.conn(1), false; !sent; time.Sleep(time.Millisecond) {
 			l.mu.Lock()
@@ -186,15 +186,15 @@
 }
 
 // Something comes on a connection that is taken for an allocation of which no byte has left: it answers nothing.
-func TestAnswerBeforeAllocation(t *testing.T) {
+func TestResponseBeforeAttempt(t *testing.T) {
 	u := use(t, "taken, and not begun", nil)
 	l := u.pool.conn(1)
-	if !l.claim(onceOnly("j2")) {
+	if !l.claim(atMostOnce("j2")) {
 		t.Fatal("it does not rest")
 	}
-	u.says(answer(stray))
+	u.respond(emptyResponse(stray))
 	u.end()
-	l.write(onceOnly("j2"))
+	l.write(atMostOnce("j2"))
 	if how := <-l.written; how.started {
 		t.Error("a byte of it left all the same")
 	}
@@ -219,20 +219,20 @@
 // meanwhile, it is given back.
 func TestClientGoneAtWrite(t *testing.T) {
 	left := func(id string, look func()) node.Attempt {
-		a := onceOnly(id)
+		a := atMostOnce(id)
 		a.Client = caller{true, look}
 		return a
 	}
 	u := use(t, "at rest", nil)
 	u.pool.Write(1, left("j2", nil))
 	u.next(t)
-	stays := call("j3")
+	stays := attempt("j3")
 	stays.Client = caller{}
 	u.pool.Write(1, stays)
-	if m := u.takes(); m.Header.Get("X-Call-Id") != "j3" {
+	if m := u.readAttempt(); m.Header.Get("X-Call-Id") != "j3" {
 		t.Errorf("%s went out", m.Header.Get("X-Call-Id"))
 	}
-	u.says(lines(`{"id":"j3","state":"done","result":"r"}`))
+	u.respond(okResponse(`{"id":"j3","state":"done","result":"r"}`))
 	u.next(t)
 	u.next(t)
 	text := u.out.String()
@@ -247,7 +247,7 @@
 	<-looks
 	stop := u.halts.On(1, emulator.BeforeClose, 0)
 	u.executor.Close()
-	u.reached(stop)
+	u.awaitStop(stop)
 	stop.Go()
 	close(goOn)
 	u.end()
@@ -257,7 +257,7 @@
 	u.pool.Write(1, left("j1", nil))
 	u.next(t)
 	u.pool.Write(1, stays)
-	if m := u.takes(); m.Header.Get("X-Call-Id") != "j3" {
+	if m := u.readAttempt(); m.Header.Get("X-Call-Id") != "j3" {
 		t.Errorf("%s went out", m.Header.Get("X-Call-Id"))
 	}
 	golden.Compare(t, "client-gone.txt", text+u.out.String())
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -29,21 +29,21 @@
 		}
 	}
 	for _, c := range []struct{ name, text string }{
-		{"a whole report", answer("200 OK\r\nX-Load-Report: TEXT inflight=7, x0=2, latency_ms=12.5")},
-		{"by the settings' names", answer("200 OK\r\nX-Load-Report: TEXT active=7, x0=0, avg_ms=3")},
-		{"values that the settings don't name", answer("200 OK\r\nX-Load-Report: TEXT x0=1, queue=4, x1=3, odd=5")},
-		{"half a report", answer("200 OK\r\nX-Load-Report: TEXT x0=1, inflight")},
-		{"no report", answer("200 OK")},
-		{"another form", answer("200 OK\r\nX-Load-Report: JSON {}")},
-		{"numbers that make no sense", answer("200 OK\r\nX-Load-Report: TEXT x0=NaN, inflight=-1, latency_ms=1e300")},
-		{"nothing at that path", answer("404 Not Found\r\nX-Load-Report: TEXT x0=9")},
-		{"no room for probes", answer("503 Service Unavailable")},
+		{"a whole report", emptyResponse("200 OK\r\nX-Load-Report: TEXT inflight=7, x0=2, latency_ms=12.5")},
+		{"by the settings' names", emptyResponse("200 OK\r\nX-Load-Report: TEXT active=7, x0=0, avg_ms=3")},
+		{"values that the settings don't name", emptyResponse("200 OK\r\nX-Load-Report: TEXT x0=1, queue=4, x1=3, odd=5")},
+		{"half a report", emptyResponse("200 OK\r\nX-Load-Report: TEXT x0=1, inflight")},
+		{"no report", emptyResponse("200 OK")},
+		{"another form", emptyResponse("200 OK\r\nX-Load-Report: JSON {}")},
+		{"numbers that make no sense", emptyResponse("200 OK\r\nX-Load-Report: TEXT x0=NaN, inflight=-1, latency_ms=1e300")},
+		{"nothing at that path", emptyResponse("404 Not Found\r\nX-Load-Report: TEXT x0=9")},
+		{"no room for probes", emptyResponse("503 Service Unavailable")},
 		{"no HTTP at all", "SSH-2.0-x\r\n\r\n"},
 		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", maxHeadBytes/8)},
 		{"half a head", "HTTP/1.1 200 O"},
 		{"closed without a word", ""},
 	} {
-		addr, got := standIn(t, c.text)
+		addr, got := fakeExecutor(t, c.text)
 		ask(c.name, addr, 10*time.Second)
 		if c.name == "a whole report" {
 			out.WriteString("  came: " + strings.ReplaceAll(strings.Join(*got, " "), addr, "EXECUTOR") + "\n")
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,10 +17,10 @@
 	"birchstair/policy"
 )
 
-// standIn is an executor that reads allocations and answers each with the next of its texts, as it stands. It
+// fakeExecutor is an executor that reads allocations and answers each with the next of its texts, as it stands. It
 // closes the connection at the end of them, and where one says so: unread, after an allocation's first byte, or
 // broken, after its last.
-func standIn(t *testing.T, texts ...string) (addr string, got *[]string) {
+func fakeExecutor(t *testing.T, texts ...string) (addr string, got *[]string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -66,8 +66,8 @@
 	return l.Addr().String(), got
 }
 
-// full is an address that takes no connection any more, and says so to nobody.
-func full(t *testing.T) string {
+// fullBacklog is an address that takes no connection any more, and says so to nobody.
+func fullBacklog(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -97,8 +97,8 @@
 	return ""
 }
 
-// lines makes a whole answer of objects in chunks.
-func lines(objects ...string) string {
+// okResponse makes a whole answer of objects in chunks.
+func okResponse(objects ...string) string {
 	s := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, o := range objects {
 		s += fmt.Sprintf("%x\r\n%s\n\r\n", len(o)+1, o)
@@ -106,7 +106,7 @@
 	return s + "0\r\n\r\n"
 }
 
-func answer(head string) string { return "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n" }
+func emptyResponse(head string) string { return "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n" }
 
 var outcomes = map[policy.Outcome]string{policy.Succeeded: "handled", policy.ExecutorError: "errored",
 	policy.InvalidRequest: "unfit", policy.ExecutorFull: "no room", policy.ConnectFailed: "no route", policy.ConnectionLost: "cut"}
@@ -165,7 +165,7 @@
 	p.out.WriteString("  " + line + "\n")
 }
 
-func call(id string) node.Attempt {
+func attempt(id string) node.Attempt {
 	return node.Attempt{Budget: 1500 * time.Millisecond, Request: &node.Request{ID: policy.JobID(id), Method: "POST",
 		URI: "/api/a%20b?c=d&e", Host: "backend.local", IdempotencyKey: "tag-1", ContentType: "text/plain", Body: []byte("body")}}
 }
@@ -179,39 +179,39 @@
 		texts []string
 	}{
 		{"notices, a load report, and the connection carries another", []string{
-			lines(`{"id":"j1","from":"s","state":"started"}`, `{"id":"j1","from":"s","state":"running","share":0.4}`, "",
+			okResponse(`{"id":"j1","from":"s","state":"started"}`, `{"id":"j1","from":"s","state":"running","share":0.4}`, "",
 				`{"id":"j1","from":"s","state":"done","result":"r\n\u00f5","load":{"inflight":3,"queue":1,"x0":2,"util":0.5}}`),
-			strings.ReplaceAll(lines(done), "j1", "j2")}},
-		{"a result that is no text", []string{lines(`{"id":"j1","state":"done","result":{"a":[1]}}`)}},
-		{"a state that is not known yet", []string{lines(`{"id":"j1","state":"paused"}`, done)}},
-		{"failed", []string{lines(`{"id":"j1","state":"failed"}`)}},
-		{"returned", []string{lines(`{"id":"j1","state":"started"}`, `{"id":"j1","state":"returned"}`)}},
-		{"lost", []string{lines(`{"id":"j1","state":"lost"}`)}},
-		{"500", []string{answer("500 Internal Server Error\r\nX-Load-Report: TEXT inflight=7, queue=2, x0=0")}},
-		{"503 turned away", []string{answer("503 Service Unavailable\r\nX-Rejected: 1\r\nX-Load-Report: TEXT queue=x")}},
-		{"500 with a load that makes no sense", []string{answer("500 Internal Server Error\r\n" +
+			strings.ReplaceAll(okResponse(done), "j1", "j2")}},
+		{"a result that is no text", []string{okResponse(`{"id":"j1","state":"done","result":{"a":[1]}}`)}},
+		{"a state that is not known yet", []string{okResponse(`{"id":"j1","state":"paused"}`, done)}},
+		{"failed", []string{okResponse(`{"id":"j1","state":"failed"}`)}},
+		{"returned", []string{okResponse(`{"id":"j1","state":"started"}`, `{"id":"j1","state":"returned"}`)}},
+		{"lost", []string{okResponse(`{"id":"j1","state":"lost"}`)}},
+		{"500", []string{emptyResponse("500 Internal Server Error\r\nX-Load-Report: TEXT inflight=7, queue=2, x0=0")}},
+		{"503 turned away", []string{emptyResponse("503 Service Unavailable\r\nX-Rejected: 1\r\nX-Load-Report: TEXT queue=x")}},
+		{"500 with a load that makes no sense", []string{emptyResponse("500 Internal Server Error\r\n" +
 			"X-Load-Report: TEXT inflight=NaN, queue=2, x0=0")}},
-		{"504 turned away", []string{answer("504 Gateway Timeout\r\nX-Rejected: 1")}},
-		{"503 of something in between", []string{answer("503 Service Unavailable")}},
-		{"404", []string{answer("404 Not Found")}},
-		{"a notice that something else comes first", []string{"HTTP/1.1 102 Processing\r\n\r\n" + lines(done)}},
+		{"504 turned away", []string{emptyResponse("504 Gateway Timeout\r\nX-Rejected: 1")}},
+		{"503 of something in between", []string{emptyResponse("503 Service Unavailable")}},
+		{"404", []string{emptyResponse("404 Not Found")}},
+		{"a notice that something else comes first", []string{"HTTP/1.1 102 Processing\r\n\r\n" + okResponse(done)}},
 		{"the executor closes after its answer", []string{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + done + "\n"}},
 		{"broken before an answer", []string{"broken"}},
 		{"broken in the head", []string{"HTTP/1.1 200 O"}},
 		{"broken in a line", []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30\r\n" + done[:20]}},
-		{"an end without a last line", []string{lines(`{"id":"j1","state":"started"}`)}},
-		{"a line that is no object", []string{lines(`{"id":`)}},
-		{"a line about another batch job", []string{lines(`{"id":"j9","state":"done","result":"r"}`)}},
-		{"done without a result", []string{lines(`{"id":"j1","state":"done"}`)}},
+		{"an end without a last line", []string{okResponse(`{"id":"j1","state":"started"}`)}},
+		{"a line that is no object", []string{okResponse(`{"id":`)}},
+		{"a line about another batch job", []string{okResponse(`{"id":"j9","state":"done","result":"r"}`)}},
+		{"done without a result", []string{okResponse(`{"id":"j1","state":"done"}`)}},
 		{"a line without end", []string{"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxLineBytes+1)}},
 		{"a head without end", []string{"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", maxHeadBytes/8)}},
 		{"no HTTP at all", []string{"SSH-2.0-x\r\n\r\n"}},
-		{"closed while it rests", []string{lines(done)}},
-		{"something that nothing asked for", []string{lines(done), "unasked"}},
+		{"closed while it rests", []string{okResponse(done)}},
+		{"something that nothing asked for", []string{okResponse(done), "unasked"}},
 	} {
 		p.out.WriteString(c.name + "\n")
 		p.events = make(chan node.Event, 100)
-		addr, got := standIn(t, c.texts...)
+		addr, got := fakeExecutor(t, c.texts...)
 		pool := New(TCP(10*time.Second), true, ProbeConfig{}, func(ev node.Event) { p.events <- ev })
 		pool.Dial(1, addr)
 		for id := 1; ; {
@@ -222,7 +222,7 @@
 			switch ev.(type) {
 			case node.ConnReady, node.ConnIdle:
 				if id <= len(c.texts) && c.texts[id-1] != "unasked" {
-					pool.Write(1, call(fmt.Sprint("j", id)))
+					pool.Write(1, attempt(fmt.Sprint("j", id)))
 				}
 				id++
 			}
@@ -250,10 +250,10 @@
 			}
 		}
 	}
-	long := call("j1")
+	long := attempt("j1")
 	long.Body = make([]byte, 64<<20) // more than the system takes in for a peer that does not read
 
-	addr, _ := standIn(t, "unread")
+	addr, _ := fakeExecutor(t, "unread")
 	dial(1, addr, "broken by the executor before its last byte")
 	pool.Write(1, long)
 	end()
@@ -275,7 +275,7 @@
 	end()
 
 	dial(3, l.Addr().String(), "closed by this node after its last byte")
-	pool.Write(3, call("j1"))
+	pool.Write(3, attempt("j1"))
 	if c, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
@@ -287,15 +287,15 @@
 
 	dial(4, l.Addr().String(), "closed before it was to carry anything")
 	pool.Close(4)
-	pool.Write(4, call("j1"))
+	pool.Write(4, attempt("j1"))
 	end()
 
 	pool.dial = TCP(50 * time.Millisecond)
-	dial(6, full(t), "a connection that never comes up")
+	dial(6, fullBacklog(t), "a connection that never comes up")
 	pool.dial = TCP(10 * time.Second)
 
 	l.Close()
 	dial(5, l.Addr().String(), "no executor there")
-	pool.Write(5, call("j1")) // what is given back carries nothing
+	pool.Write(5, attempt("j1")) // what is given back carries nothing
 	golden.Compare(t, "last-byte.txt", p.out.String())
 }
