--- a/cmd/birchstair/crowd_test.go
+++ b/cmd/birchstair/crowd_test.go
@@ -22,13 +22,13 @@
 	"birchstair/policy"
 )
 
-// crowd are clients that connect, say nothing, and come again as soon as they are let go.
+// crowd are clients that connect, send little or nothing, and connect again as soon as their connection is closed.
 type crowd struct {
 	addr  string
 	stop  chan struct{}
 	wait  sync.WaitGroup
-	up    atomic.Int64 // connections that came up
-	letGo atomic.Int64 // and that the node ended
+	up    atomic.Int64 // connections that opened
+	letGo atomic.Int64 // connections that the node closed
 }
 
 func (c *crowd) come(n int, first string) {
@@ -49,7 +49,7 @@
 					}
 					conn.Close()
 				}()
-				conn.Write([]byte(first)) //nolint:errcheck // the node may have let it go already, which reading shows
+				conn.Write([]byte(first)) //nolint:errcheck // the node may have closed it already, which reading shows
 				for b := make([]byte, 512); ; {
 					if _, err := conn.Read(b); err != nil {
 						break
@@ -72,14 +72,14 @@
 	c.wait.Wait()
 }
 
-// Idle clients, more than the node has descriptors, come before discovery is up and come again whenever they are let go. Once it is
-// up the node has the list with the first call that is answered, is ready, reaches executors, answers clients, and operators at the
-// door; the system's own limit on descriptors stands at the node's, so that one too many would show.
+// TestCrowdBeforeDiscovery has more idle clients than the node has descriptors connect before discovery is up, again and again.
+// Once discovery is up the node has the list by the first call that is answered, is ready, reaches executors, and answers clients
+// and operators. The system's limit on descriptors is the node's, so that one too many would show.
 func TestCrowdBeforeDiscovery(t *testing.T) {
 	binary := program(t)
 	for _, c := range []struct {
 		name, first string
-		silent      bool // discovery takes connections while it is down, and says nothing
+		silent      bool // discovery accepts connections while it is down, and never answers
 		sockets     int
 		clients     int
 	}{
@@ -193,7 +193,7 @@
 		return a.StatusCode == http.StatusOK
 	})
 	t.Logf("ready after %v, %d calls, %d of the crowd let go meanwhile, %d descriptors", time.Since(began), asked, idle.letGo.Load()-came, most)
-	// A new connection may be closed before it is read; a client hands in once more then.
+	// A new connection may be closed before it is read; the client tries again then.
 	var status int
 	until("a batch job is answered", func() bool {
 		client := http.Client{Timeout: 20 * time.Second}
--- a/cmd/birchstair/end_test.go
+++ b/cmd/birchstair/end_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A real process is told to end, twice, with SIGHUP in between: a client that has only connected, and one whose message is half here,
-// still get their answers, and the process ends well.
+// TestShutdownWithNewConns sends a process SIGTERM, SIGHUP and SIGTERM: a client that has only connected, and one whose request
+// has come in half, still get their answers, and the process exits with status 0.
 func TestShutdownWithNewConns(t *testing.T) {
 	p := newPlatform(t, program(t))
 	pr := p.start(p.work, false)
--- a/cmd/birchstair/main_test.go
+++ b/cmd/birchstair/main_test.go
@@ -19,7 +19,7 @@
 	return golden.Program(programDir)
 })
 
-// program is the program's file.
+// program returns the program's file.
 func program(t *testing.T) string {
 	t.Helper()
 	binary, err := build()
--- a/cmd/birchstair/reload_test.go
+++ b/cmd/birchstair/reload_test.go
@@ -17,10 +17,10 @@
 	"birchstair/internal/node"
 )
 
-// initLine ends with the trace's line of the package that catches SIGHUP: Go tells of each package that it has initialised.
+// initLine begins the line by which GODEBUG=inittrace=1 tells that the package that catches SIGHUP is initialized.
 const initLine = "init birchstair/internal/reload @"
 
-// untilCaught starts a command with that trace on its standard error, and gives the rest of it once SIGHUP is caught.
+// untilCaught starts a command with that trace on its standard error, and returns the rest of it once SIGHUP is caught.
 func untilCaught(t *testing.T, start func(stderr *os.File)) io.Reader {
 	t.Helper()
 	r, w, err := os.Pipe()
@@ -47,8 +47,8 @@
 	}
 }
 
-// A real process is sent SIGHUP as soon as Go has initialised the package that catches it, long before it has read its command line: it
-// does not end, and reads its configuration again once it serves.
+// TestReloadAtTheStart sends a process SIGHUP as soon as it catches that, long before it has read its command line: it does not
+// end, and reloads its configuration once it serves.
 func TestReloadAtTheStart(t *testing.T) {
 	for range 12 {
 		t.Run("", func(t *testing.T) {
@@ -80,12 +80,13 @@
 			if err := p.awaitEnd(pr, syscall.SIGTERM); err != nil {
 				t.Errorf("the process ended with %v", err)
 			}
-			<-logged // or it is written while the directory is removed
+			<-logged // otherwise it would be written while the directory is removed
 		})
 	}
 }
 
-// Commands other than serve end by SIGHUP, as soon as it has been caught and while they read the configuration.
+// TestOtherCommandsEndByHangup checks that commands other than serve end by SIGHUP, right after it is caught and while they read
+// the configuration.
 func TestOtherCommandsEndByHangup(t *testing.T) {
 	for _, early := range []bool{true, false} {
 		t.Run(fmt.Sprintf("early %t", early), func(t *testing.T) {
--- a/cmd/birchstair/serve_test.go
+++ b/cmd/birchstair/serve_test.go
@@ -43,14 +43,14 @@
 	return s
 }
 
-// configuration is a node's, in a file that rewrite writes anew with another discovery.
+// configuration is a node's configuration file, which rewrite writes with another discovery.
 type configuration struct {
 	t      *testing.T
 	file   string
 	listen string
 }
 
-// freePort is an address and port that is nobody's but this test's.
+// freePort returns an address and port that no one else uses.
 func freePort(t *testing.T) string {
 	addr, err := platform.Unused()
 	if err != nil {
@@ -88,7 +88,7 @@
 	return serve(ctx, t, site.Config{}, again, c.read, time.Now(), zerolog.Nop())
 }
 
-// discovery stands in for one whose list never changes; news of who watches it comes on watched.
+// startDiscovery starts a discovery whose list never changes; watched tells who watches it.
 func startDiscovery(t *testing.T, work *httptest.Server, name string, watched chan string) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("from") {
@@ -104,8 +104,8 @@
 	return s.Listener.Addr().String()
 }
 
-// A node from its start to its planned end: ready once the list is there, batch jobs handled, the configuration
-// read again with one in hand, and what is in hand when it is told to stop answered before it ends.
+// TestServe runs a node from its start to its graceful shutdown: it becomes ready with the list, handles batch jobs, reloads its
+// configuration with one in flight, and answers that before it ends.
 func TestServe(t *testing.T) {
 	var out strings.Builder
 	started, finish := make(chan string, 1), make(chan string)
@@ -154,7 +154,7 @@
 	}
 	again <- syscall.SIGHUP
 	c.rewrite(startDiscovery(t, work, "the second", watched))
-	again <- syscall.SIGHUP // the one before has been looked at, and changed nothing
+	again <- syscall.SIGHUP // the reload before has been handled, and changed nothing
 	news := []string{<-watched, <-watched}
 	slices.Sort(news) // in whatever order
 	fmt.Fprintln(&out, "read again:", news)
@@ -165,7 +165,7 @@
 	golden.Compare(t, "serve.txt", out.String())
 }
 
-// An address that is taken ends the start with a message.
+// TestServeWithoutAddress checks that an address that is in use ends the start with an error.
 func TestServeWithoutAddress(t *testing.T) {
 	c := newConfiguration(t, "127.0.0.1:1")
 	l, err := net.Listen("tcp", c.listen)
--- a/cmd/birchstair/store_test.go
+++ b/cmd/birchstair/store_test.go
@@ -13,7 +13,7 @@
 	"birchstair/internal/store"
 )
 
-// printed is what a command prints, and its error.
+// printed returns what a command prints, and its error.
 func printed(t *testing.T, run func() error) string {
 	t.Helper()
 	r, w, err := os.Pipe()
@@ -32,7 +32,7 @@
 	return string(text)
 }
 
-// What the commands say of a store, sound, in use, torn and damaged.
+// TestStoreCommands checks what the commands print of a store that is valid, in use, torn or damaged.
 func TestStoreCommands(t *testing.T) {
 	dir := t.TempDir()
 	day := time.UnixMilli(1_700_000_000_000).UTC()
--- a/cmd/birchstair/upgrade_test.go
+++ b/cmd/birchstair/upgrade_test.go
@@ -24,8 +24,8 @@
 	"birchstair/policy"
 )
 
-// testPlatform is the operators' platform for one node on loopback: the clients' listening socket, stand-in executors and
-// discovery, the processes of the node, and clients that hand in without a pause.
+// testPlatform is the platform of one node on loopback: the clients' listening socket, executors, discovery, the processes of the
+// node, and clients that send batch jobs without a pause.
 type testPlatform struct {
 	t       *testing.T
 	binary  string
@@ -38,13 +38,13 @@
 
 	mu             sync.Mutex
 	ran            map[policy.JobID]int
-	excluded       policy.ExecutorID     // taken out by an operator who has the yes
-	submittedSince map[policy.JobID]bool // handed in since that yes
-	strayed        []policy.JobID        // of those, what reached that executor all the same
+	excluded       policy.ExecutorID     // excluded by an operator, which the node has acknowledged
+	submittedSince map[policy.JobID]bool // submitted since then
+	strayed        []policy.JobID        // of those, what reached the excluded executor
 	answers        map[policy.JobID]int  // status; 0 for a connection that broke
 }
 
-// process is one of the node's.
+// process is a process of the node.
 type process struct {
 	cmd  *exec.Cmd
 	door string
@@ -92,7 +92,7 @@
 	return l
 }
 
-// start starts a process of the node; a discovery that leads nowhere keeps it from getting ready.
+// start starts a process. Where discovery is an address that nobody serves, it does not become ready by itself.
 func (p *testPlatform) start(discovery string, broken bool) *process {
 	pr := p.prepare(discovery, broken)
 	log, err := os.Create(pr.log)
@@ -104,7 +104,7 @@
 	return pr
 }
 
-// prepare makes one that is not started yet.
+// prepare returns a process that is not started yet.
 func (p *testPlatform) prepare(discovery string, broken bool) *process {
 	p.started++
 	pr := &process{door: freePort(p.t), log: filepath.Join(p.dir, fmt.Sprint("log", p.started)), over: make(chan error, 1)}
@@ -129,7 +129,7 @@
 	return pr
 }
 
-// startPrepared starts it with its log on that file.
+// startPrepared starts a process with its log in this file.
 func (p *testPlatform) startPrepared(pr *process, log *os.File) {
 	nothing, err := os.Open(os.DevNull)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return err
 }
 
-// awaitReady waits for a yes, for a while.
+// awaitReady waits until a process is ready.
 func (p *testPlatform) awaitReady(pr *process) {
 	for until := time.Now().Add(15 * time.Second); pr.call(node.CheckReady, "") != nil; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
@@ -160,8 +160,8 @@
 	}
 }
 
-// exclude has an operator take an executor out: from the yes on nothing that is handed in may reach it. What was in hand then
-// may have been decided on before, however late its bytes arrive there; what the reducer does with it is in its kept traces.
+// exclude has an operator exclude an executor: nothing that is submitted after the acknowledgment may reach it. What was in
+// flight then may have been decided before; how the reducer treats that is in its golden traces.
 func (p *testPlatform) exclude(pr *process, id policy.ExecutorID) {
 	if err := pr.call(node.ExcludeExecutor, id); err != nil {
 		p.t.Error(err)
@@ -171,7 +171,7 @@
 	p.excluded = id
 }
 
-// endExclusion ends that: the executor is about to be put back, or the node to forget what operators told it.
+// endExclusion checks the exclusion and ends it: the executor is about to be readmitted, or the node to forget.
 func (p *testPlatform) endExclusion() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +184,7 @@
 	p.excluded, p.submittedSince, p.strayed = "", map[policy.JobID]bool{}, nil
 }
 
-// awaitEnd waits for a process's end and says how it ended.
+// awaitEnd sends a process a signal, if one is given, and returns how it ended.
 func (p *testPlatform) awaitEnd(pr *process, sig os.Signal) error {
 	if sig != nil {
 		pr.cmd.Process.Signal(sig)
@@ -216,7 +216,7 @@
 	}
 }
 
-// submitAll hands in from some clients until stop is closed; it gives when the last of them has ended.
+// submitAll submits batch jobs by several clients until stop is closed. The result is done when the last of them has ended.
 func (p *testPlatform) submitAll(stop chan struct{}) *sync.WaitGroup {
 	var wait sync.WaitGroup
 	for c := range 6 {
@@ -244,7 +244,7 @@
 	}
 	p.mu.Unlock()
 	m, _ := http.NewRequest("POST", "http://"+p.listen+"/x", strings.NewReader("body"))
-	m.GetBody = nil // what breaks is not sent again
+	m.GetBody = nil // net/http must not retry it
 	track, _, _ := strings.Cut(id, "-")
 	m.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {track}, "X-Budget-Ms": {"2000"}}
 	status, on := 0, httptrace.GotConnInfo{}
@@ -264,7 +264,7 @@
 	p.mu.Unlock()
 }
 
-// checkAll checks what came of all batch jobs; lost is whether a process was killed with some in hand.
+// checkAll checks what became of all batch jobs. lost: a process was killed with some in flight.
 func (p *testPlatform) checkAll(lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -288,7 +288,7 @@
 	}
 }
 
-// checkHandles says whether the node, whoever it is by now, handles a new one.
+// checkHandles checks that the node handles a new batch job, whichever process serves it.
 func (p *testPlatform) checkHandles() {
 	client := http.Client{Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
@@ -313,8 +313,8 @@
 	p.t.Error("the node handles nothing at the end")
 }
 
-// Upgrades with two real processes under load, one of them killed at each step. What an operator has taken out before
-// gets nothing new all along.
+// TestUpgrade upgrades a node with two real processes under load, one of which is killed at each step. An executor that an
+// operator has excluded gets nothing new meanwhile.
 func TestUpgrade(t *testing.T) {
 	binary := program(t)
 	nowhere := "127.0.0.1:1"
@@ -358,7 +358,7 @@
 			time.Sleep(100 * time.Millisecond)
 			p.kill(next)
 			p.checkHandles()
-			next = p.start(p.work, false) // the old one is found again
+			next = p.start(p.work, false) // the predecessor is found again
 			p.awaitReady(next)
 			p.stop(old)
 		}},
@@ -380,9 +380,9 @@
 				p.t.Error(err)
 			}
 			p.stop(old)
-			p.endExclusion() // nobody is left who knows
+			p.endExclusion() // no process is left that knows of it
 			p.kill(next)
-			p.awaitReady(p.start(p.work, false)) // what is left of the dead is no hindrance
+			p.awaitReady(p.start(p.work, false)) // files that the killed processes left do not matter
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -399,7 +399,7 @@
 			p.checkHandles()
 			close(stop)
 			wait.Wait()
-			p.endExclusion() // all have their answers, so all that reached an executor is noted
+			p.endExclusion() // all are answered, so all that reached an executor is recorded
 			p.checkAll(c.lost || c.name == "a stale socket and a drain")
 		})
 	}
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -14,8 +14,8 @@
 	"birchstair/internal/synctesting"
 )
 
-// A door on connections in memory, with a core that says yes, or no to one executor, and one call that it never answers.
-// Two callers have a place at a time.
+// TestServer runs a server with room for two callers on connections in memory. Its reducer accepts commands, refuses one
+// executor, and never answers one command.
 func TestServer(t *testing.T) {
 	var out strings.Builder
 	synctesting.Test(t, func(t *testing.T) {
--- a/internal/frontend/conn_table_test.go
+++ b/internal/frontend/conn_table_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A connection is let go in a crowd, and its batch job has come just then: another that is silent goes in its place, and the batch job
-// is not pushed back for want of room.
+// TestRequestWhileEvicted has a batch job come on a connection that is just being evicted: another connection is evicted in its
+// place, and the batch job is not over the limit.
 func TestRequestWhileEvicted(t *testing.T) {
 	g := newConnTable(ConnLimits{Max: 8, MaxShared: 4})
 	var all []*clientConn
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -12,7 +12,7 @@
 	"birchstair/internal/node"
 )
 
-// newHaltable is a core behind a listener whose calls can be stopped.
+// newHaltable returns a fake reducer behind a listener whose calls can be stopped.
 func newHaltable(t *testing.T, conns int) (*fakeReducer, *emulator.Halts) {
 	h := &emulator.Halts{}
 	c := newFakeReducerWithHalts(t, conns, h)
@@ -29,7 +29,7 @@
 	}
 }
 
-// until waits for something that another goroutine brings about.
+// until waits until a condition holds that another goroutine brings about.
 func (c *fakeReducer) until(what string, so func() bool) {
 	c.t.Helper()
 	for by := time.Now().Add(20 * time.Second); !so(); time.Sleep(time.Millisecond) {
@@ -45,7 +45,7 @@
 	return g.open, g.idleConns.Len(), g.closingConns.Len()
 }
 
-// eachConn looks at all connections, each under its lock.
+// eachConn calls look for each connection, with its lock held.
 func (c *fakeReducer) eachConn(look func(*clientConn)) {
 	c.server.conns.mu.Lock()
 	defer c.server.conns.mu.Unlock()
@@ -58,7 +58,7 @@
 
 func (c *fakeReducer) printf(format string, args ...any) { fmt.Fprintf(&c.out, format+"\n", args...) }
 
-// A message that has arrived and is not read yet, when its connection is let go: it is answered.
+// TestCloseUnderRequest has a connection closed on which a request has arrived that is not read yet: it is answered.
 func TestCloseUnderRequest(t *testing.T) {
 	for _, let := range []struct {
 		name string
@@ -85,7 +85,7 @@
 			c.printAnswer(second)
 			c.until("both rest", func() bool { _, resting, _ := c.server.conns.counts(); return resting == 2 })
 		}
-		// The read that waits brings the first byte alone, and the next one is stopped.
+		// The waiting read returns the first byte alone, and the next read is stopped.
 		waits := h.On(1, emulator.AfterRead, 0)
 		first.send(jobRequest("handled-2")[:1])
 		c.awaitStop(waits)
@@ -106,7 +106,7 @@
 	}
 }
 
-// A message that arrives whole between the deadline that is to wake its connection's owner and the owner's look.
+// TestRequestAtLastRead sends a request between the deadline that wakes the reader of a closing connection and its probe.
 func TestRequestAtLastRead(t *testing.T) {
 	c, h := newHaltable(t, 10)
 	first := c.dial()
@@ -124,10 +124,10 @@
 	golden.Compare(t, "last-look.txt", c.out.String())
 }
 
-// The front closes while a connection that is let go holds a message that its owner has not come to: it is answered first.
+// TestRequestWhenServerCloses closes the server while a request lies unread on a closing connection: it is answered first.
 func TestRequestWhenServerCloses(t *testing.T) {
 	c, h := newHaltable(t, 10)
-	c.server.closeTimeout = 20 * time.Second // nothing here goes by time
+	c.server.closeTimeout = 20 * time.Second // the test must not depend on time
 	first := c.dial()
 	first.send(jobRequest("handled-1"))
 	c.printEvent()
@@ -158,14 +158,14 @@
 	golden.Compare(t, "front-closes.txt", c.out.String())
 }
 
-// The connection is at rest when the node ends, and its client's next message is there before its owner comes to that.
+// TestIdleAtShutdown shuts the node down while a connection becomes idle whose next request has arrived already.
 func TestIdleAtShutdown(t *testing.T) {
 	c, h := newHaltable(t, 10)
 	first := c.dial()
 	stop := h.At(emulator.AfterWrite, 0)
 	first.send(jobRequest("handled-1"))
 	c.printEvent()
-	c.printAnswer(first) // it says nothing of a close
+	c.printAnswer(first) // without Connection: close
 	c.awaitStop(stop)
 	c.server.conns.enterLameDuck()
 	first.send(jobRequest("handled-2"))
@@ -175,7 +175,7 @@
 	golden.Compare(t, "rest-at-end.txt", c.out.String())
 }
 
-// A newcomer's message is half here when clients are sent away: its rest is waited for.
+// TestDrainUnderBody drains clients while half of a request has come on a new connection: the rest is waited for.
 func TestDrainUnderBody(t *testing.T) {
 	c, h := newHaltable(t, 10)
 	from := c.dial()
@@ -205,8 +205,8 @@
 	golden.Compare(t, "sent-away-body.txt", c.out.String())
 }
 
-// Clients that have sent more than their message when they leave, in one piece or later, are seen to leave, and nothing more
-// of their connection is taken. One that stays gets all its answers.
+// TestClientLeavesBehindNextRequest has clients leave that have sent part of their next requests, at once or later: they are
+// seen to leave, and nothing more of their connection is served. One that stays gets all its answers.
 func TestClientLeavesBehindNextRequest(t *testing.T) {
 	c, _ := newHaltable(t, 10)
 	leaves := func(title, together, later string) {
@@ -254,7 +254,7 @@
 	golden.Compare(t, "left-behind-more.txt", c.out.String())
 }
 
-// nextJob gives the next batch job that the front tells of.
+// nextJob returns the next batch job that the server posts.
 func (c *fakeReducer) nextJob() node.Job {
 	c.t.Helper()
 	select {
@@ -269,9 +269,8 @@
 	return node.Job{}
 }
 
-// The client leaves and the reader of its connection does not come to that: whoever looks right before an attempt sees it all
-// the same, by what the system knows, and by the look the front learns of it, once. Also where more lies unread before its
-// end than is read ahead.
+// TestGoneUnread has a client leave while the reader of its connection is stopped: Gone sees it by the state of the socket,
+// also behind more bytes than are read ahead, and the server posts ClientLeft once.
 func TestGoneUnread(t *testing.T) {
 	for _, leave := range []struct {
 		title string
@@ -300,7 +299,7 @@
 				stop.Go()
 			}
 			if !far {
-				c.server.conns.sharedReadAhead.Store(0) // as where others have taken it
+				c.server.conns.sharedReadAhead.Store(0) // as if other connections had taken it
 			}
 			from.send(leave.early)
 			switch {
@@ -332,8 +331,8 @@
 	}
 }
 
-// A client that stays is not taken for gone by what it sends early, nor by the answer to its next batch job; with its own
-// answer it waits no more.
+// TestGoneClientStays checks that a client that stays is not gone by what it sends early, nor by the answer to its next batch
+// job. With its own answer it no longer waits.
 func TestGoneClientStays(t *testing.T) {
 	c, _ := newHaltable(t, 10)
 	from := c.dial()
@@ -359,8 +358,8 @@
 	}
 }
 
-// A client that stays has sent far more of its next messages than a connection's own part of the reading ahead: each is answered, in its
-// order.
+// TestReadAheadClientStays has a client that stays send more requests than its connection may read ahead by itself: each is
+// answered, in order.
 func TestReadAheadClientStays(t *testing.T) {
 	c, _ := newHaltable(t, 10)
 	from := c.dial()
@@ -390,14 +389,14 @@
 	c.until("what it took of the spare bytes is given back", func() bool { return c.server.conns.sharedReadAhead.Load() == maxSharedReadAhead })
 }
 
-// Nobody takes batch jobs any more: what comes whole at that moment is pushed back, and what comes on a connection that was
-// never read is as well.
+// TestStop checks that once the reducer has ended a pending batch job is rejected, and one on a connection that was never
+// read as well.
 func TestStop(t *testing.T) {
 	c, h := newHaltable(t, 10)
 	stop := h.On(2, emulator.BeforeRead, 0)
 	told := c.dial()
 	told.send(jobRequest("wait-1"))
-	c.printEvent() // the reducer has ended: it does not look at it
+	c.printEvent() // nobody answers it: the reducer has ended
 	late := c.dial()
 	c.awaitStop(stop)
 	late.send(jobRequest("wait-2"))
@@ -408,7 +407,7 @@
 	}()
 	c.printAnswer(told)
 	stop.Go()
-	c.printEvent() // told to nobody
+	c.printEvent() // nobody reads it
 	c.printAnswer(late)
 	<-over
 	golden.Compare(t, "end.txt", c.out.String())
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -16,8 +16,8 @@
 	"birchstair/policy"
 )
 
-// fakeReducer stands in for the reducer: it prints what it is told and answers by a batch job's id. Those called "wait"
-// get no answer.
+// fakeReducer stands in for the reducer: it prints the events that the server posts and answers batch jobs by the prefix of
+// their id. Those with the prefix "wait" get no answer.
 type fakeReducer struct {
 	t      *testing.T
 	server *Server
@@ -30,7 +30,7 @@
 	return newFakeReducerWithHalts(t, conns, &emulator.Halts{}, change...)
 }
 
-// newFakeReducerWithHalts makes one whose listener and connections can be stopped.
+// newFakeReducerWithHalts returns one whose listener and connections can be stopped.
 func newFakeReducerWithHalts(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *fakeReducer {
 	c := &fakeReducer{t: t, events: make(chan node.Event, 100)}
 	c.server = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
@@ -96,7 +96,7 @@
 	}
 }
 
-// client is a connection to the front.
+// client is a connection to the server.
 type client struct {
 	net.Conn
 	in *bufio.Reader
@@ -122,7 +122,7 @@
 	return client{conn, bufio.NewReader(conn), c.t}
 }
 
-// printAnswer prints what comes back.
+// printAnswer reads an answer and prints it.
 func (c *fakeReducer) printAnswer(from client) {
 	c.t.Helper()
 	a, err := http.ReadResponse(from.in, nil)
@@ -150,7 +150,7 @@
 	return s + "\r\n"
 }
 
-// What clients hand in, whole, cut and senseless, and what they are told.
+// TestRequests checks what becomes of valid, incomplete and invalid requests.
 func TestRequests(t *testing.T) {
 	c := newFakeReducer(t, 100)
 	ask := func(title, text string, arrives bool) {
@@ -252,8 +252,8 @@
 	golden.Compare(t, "messages.txt", c.out.String())
 }
 
-// What stalls is ended by the server's one spell for a whole message; a batch job that is in hand, and a connection
-// that rests, are not touched by it.
+// TestTimeouts checks that an incomplete request ends by the read timeout, which touches neither a pending batch job nor an
+// idle connection.
 func TestTimeouts(t *testing.T) {
 	c := newFakeReducer(t, 100, func(s *http.Server) { s.ReadTimeout, s.ReadHeaderTimeout = time.Second, time.Second })
 	resting, waiting := c.dial(), c.dial()
@@ -282,8 +282,8 @@
 	golden.Compare(t, "stalls.txt", c.out.String())
 }
 
-// The end: clients that rest are let go, those in hand get their answers and are told to go elsewhere, what still
-// comes is taken.
+// TestShutdown checks that idle connections are closed, pending batch jobs get their answers with Connection: close, and new
+// requests are still served.
 func TestShutdown(t *testing.T) {
 	c := newFakeReducer(t, 100)
 	resting, waiting := c.dial(), c.dial()
@@ -315,8 +315,8 @@
 	return g.open
 }
 
-// At the edge of the descriptors the connection that has rested longest goes; where none rests, batch jobs are
-// pushed back; and beyond that connections wait.
+// TestConnLimit checks that at the limit the connection that has been idle the longest is closed, that batch jobs are
+// rejected where none is idle, and that further connections wait to be accepted.
 func TestConnLimit(t *testing.T) {
 	c := newFakeReducer(t, 2)
 	say := func(from client, id string) {
@@ -331,7 +331,7 @@
 	c.out.WriteString("a third: the one that rests goes\n")
 	third := c.dial()
 	c.printAnswer(first)
-	for c.server.conns.opened() > 2 { // until the front has seen its end as well
+	for c.server.conns.opened() > 2 { // until the server has seen its end as well
 		time.Sleep(time.Millisecond)
 	}
 	say(third, "wait-3")
@@ -342,8 +342,8 @@
 	golden.Compare(t, "edge.txt", c.out.String())
 }
 
-// Connections that say nothing, ask for little or send half a message, and stay, cost no usual client its place, however
-// many they are.
+// TestNewConns checks that connections that send nothing, little or half a request cost no other client its connection,
+// however many they are.
 func TestNewConns(t *testing.T) {
 	c := newFakeReducer(t, 8)
 	say := func(from client, id string) {
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -24,7 +24,7 @@
 	"birchstair/policy"
 )
 
-// testNode is a whole node on real connections, with one executor that discovery names in a state that the test sets.
+// testNode is a complete node on real connections, with one executor that discovery lists in a state that the test sets.
 type testNode struct {
 	t        *testing.T
 	listen   string
@@ -35,9 +35,9 @@
 
 	mu              sync.Mutex
 	ran             map[policy.JobID]int
-	left, lists, up int // events that the reducer has taken
-	writes          int // allocations that it has sent out
-	unsent          int // of those, called off by the last look
+	left, lists, up int // events that the reducer has handled
+	writes          int // attempts that it has sent
+	unsent          int // of those, not sent as the client had gone
 	over            chan error
 	stop            context.CancelFunc
 }
@@ -123,7 +123,7 @@
 	return w
 }
 
-// discovery names one executor; a watch waits for its next state.
+// discovery lists one executor; a watch waits for its next state.
 func (w *testNode) discovery(l net.Listener, e emulator.Entry) {
 	seq := 1
 	for {
@@ -186,7 +186,7 @@
 	}
 }
 
-// ranOnly says that nothing ran but what a client still waited for.
+// ranOnly checks that nothing ran but the batch jobs of clients that still waited.
 func (w *testNode) ranOnly(id policy.JobID) {
 	w.t.Helper()
 	w.mu.Lock()
@@ -207,8 +207,8 @@
 	})
 }
 
-// A hundred clients leave in one instant while their batch jobs wait for a token: none of those is sent on, the one whose client
-// stays is.
+// TestClientsLeaveWhileQueued has a hundred clients leave at once while their batch jobs are queued: none of those is sent, the
+// one of a client that stays is.
 func TestClientsLeaveWhileQueued(t *testing.T) {
 	end := func(conns []net.Conn, more string) {
 		for _, c := range conns {
@@ -246,7 +246,7 @@
 	}
 }
 
-// leaving are the ways in which a node may come to know late that a client has left.
+// leaving are the ways in which a node may learn late that a client has left.
 var leaving = []struct {
 	name  string
 	leave func(*testNode, net.Conn) (after func())
@@ -272,7 +272,7 @@
 	}
 }
 
-// endsSending has a client end its sending and read that its batch job is broken off: the front has told the loop by then.
+// endsSending has a client half-close its connection and read the failure: the server has posted the event by then.
 func (w *testNode) endsSending(c net.Conn) {
 	w.t.Helper()
 	c.(*net.TCPConn).CloseWrite()
@@ -281,7 +281,7 @@
 	}
 }
 
-// loopStop is a loop that stops before it carries out the next write.
+// loopStop stops the reducer's loop before it carries out the next write.
 type loopStop struct{ reached, goOn chan struct{} }
 
 func (w *testNode) stopLoopBeforeWrite() *loopStop {
@@ -299,8 +299,8 @@
 	}
 }
 
-// The client leaves when the write of its batch job is decided and not carried out: not a byte of it goes out, and what comes
-// next goes out on the same connection, with the same token.
+// TestClientLeavesUnderWrite has a client leave when the write of its batch job is decided and not carried out: no byte is
+// sent, and the next batch job goes out on the same connection.
 func TestClientLeavesUnderWrite(t *testing.T) {
 	for _, l := range leaving {
 		t.Run(l.name, func(t *testing.T) {
@@ -324,7 +324,8 @@
 	}
 }
 
-// Clients leave in one instant while the loop stands before the first write: none of them is sent on.
+// TestClientsLeaveUnderStoppedLoop has clients leave at once while the loop is stopped before the first write: none of their
+// batch jobs is sent.
 func TestClientsLeaveUnderStoppedLoop(t *testing.T) {
 	w := start(t, policy.Available, "once")
 	loop := w.stopLoopBeforeWrite()
@@ -347,7 +348,8 @@
 	w.ranOnly("stays")
 }
 
-// The connection comes up after the client has left, which the front has not come to: nothing of it is written.
+// TestClientLeavesUnreadWhileDialling has a connection open after the client has left, which the server has not read: nothing is
+// sent.
 func TestClientLeavesUnreadWhileDialling(t *testing.T) {
 	w := start(t, policy.Available, "once")
 	leaves := w.submit("leaves")
@@ -362,7 +364,7 @@
 	w.ranOnly("stays")
 }
 
-// The client leaves while the connection for its batch job is being dialled: nothing of it is written.
+// TestClientLeavesWhileDialling has a client leave while the connection for its batch job is dialed: nothing is sent.
 func TestClientLeavesWhileDialling(t *testing.T) {
 	w := start(t, policy.Available, "once")
 	leaves := w.submit("leaves")
@@ -379,8 +381,8 @@
 	w.ranOnly("stays")
 }
 
-// Discovery names the executor as draining while the connection is being dialled: nothing goes out on it when it comes up, and
-// the batch job goes there once the executor is up again.
+// TestDrainWhileDialling has discovery list the executor as draining while the connection is dialed: nothing is sent on it, and
+// the batch job goes there once the executor is available again.
 func TestDrainWhileDialling(t *testing.T) {
 	w := start(t, policy.Available, "once")
 	stays := w.submit("stays")
--- a/internal/service/ready_test.go
+++ b/internal/service/ready_test.go
@@ -23,8 +23,8 @@
 	"birchstair/policy"
 )
 
-// A whole node, of its real parts, starts while discovery is down for 8 s, answers each call in 1.5 s, or both, where lists are pushed and
-// where nodes ask: it is ready within 10 s.
+// TestReadyWithSlowDiscovery starts a complete node while discovery is down for 8 s, answers each call in 1.5 s, or both, where
+// lists are pushed and where nodes poll: it is ready within 10 s.
 func TestReadyWithSlowDiscovery(t *testing.T) {
 	for _, ask := range []bool{false, true} {
 		for _, down := range []string{"is up", "refuses", "is silent"} {
@@ -127,7 +127,7 @@
 	return after
 }
 
-// slowly answers calls of the list, each in 1.5 s; those that come while discovery is silent, never.
+// slowly answers calls of discovery in 1.5 s each, and those that come while discovery is silent never.
 func slowly(t *testing.T, over context.Context, c net.Conn, silent *atomic.Bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// pair is both ends of a connection.
+// pair returns both ends of a connection.
 func pair(t testing.TB) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 	}
 }
 
-// What the last look costs an attempt: one call of the system, two behind bytes that nobody has read.
+// BenchmarkEnded measures the check before an attempt: one system call, or two where unread bytes lie before the end.
 func BenchmarkEnded(b *testing.B) {
 	for _, early := range []string{"", "P"} {
 		b.Run("early="+early, func(b *testing.B) {
@@ -51,14 +51,14 @@
 	}
 }
 
-// peer is what the other side does, and whether a look sees something by it.
+// peer is what the peer does, and whether that is to be seen.
 type peer struct {
 	name string
 	do   func(testing.TB, *net.TCPConn)
 	want bool
 }
 
-// looks holds a look against what the other side does: it takes nothing, and what is no socket can't say.
+// looks checks what is seen of what the peer does, that it consumes nothing, and that a pipe is unknown.
 func looks(t *testing.T, look func(net.Conn) (yes, known bool), peers ...peer) {
 	for _, p := range peers {
 		near, far := pair(t)
@@ -80,7 +80,7 @@
 	}
 }
 
-// Nothing, bytes, an end and a break are told apart from nothing without being taken; what is no socket can't say.
+// TestPending checks that bytes, an end and a reset are pending and nothing else is.
 func TestPending(t *testing.T) {
 	looks(t, Pending,
 		peer{"nothing", func(testing.TB, *net.TCPConn) {}, false},
@@ -89,7 +89,7 @@
 		peer{"a break", func(_ testing.TB, c *net.TCPConn) { c.SetLinger(0); c.Close() }, true})
 }
 
-// The other side's end is seen, also behind bytes, and bytes alone are none; nothing is taken.
+// TestEnded checks that the peer's end is seen, also behind bytes, and that bytes alone are no end.
 func TestEnded(t *testing.T) {
 	looks(t, Ended,
 		peer{"nothing", func(testing.TB, *net.TCPConn) {}, false},
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -14,7 +14,7 @@
 	"birchstair/internal/node"
 )
 
-// usedConn is a connection that has carried one allocation and rests; its calls can be stopped.
+// usedConn is an idle connection that has carried one attempt; its calls can be stopped.
 type usedConn struct {
 	printer
 	t        *testing.T
@@ -73,7 +73,7 @@
 	return u
 }
 
-// readAttempt reads an allocation whole.
+// readAttempt reads an attempt.
 func (u *usedConn) readAttempt() *http.Request {
 	u.t.Helper()
 	u.executor.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -103,7 +103,7 @@
 	}
 }
 
-// end prints what is told until the connection is given back.
+// end prints events up to the end of the connection.
 func (u *usedConn) end() {
 	u.t.Helper()
 	for {
@@ -119,8 +119,8 @@
 	return a
 }
 
-// What an executor has done on a connection at rest has arrived, and its reader has not come to it, when the next allocation
-// is to go out: nothing of it does.
+// TestIdleConnDisturbed has the executor close, reset or write on an idle connection, unread, when the next attempt is to be
+// written: no byte of it is sent.
 func TestIdleConnDisturbed(t *testing.T) {
 	text := ""
 	for _, c := range []struct {
@@ -149,8 +149,8 @@
 	golden.Compare(t, "rest-disturbed.txt", text)
 }
 
-// A second answer to the allocation before arrives when the next one is about to be written, or has just been: for what must
-// not run twice it proves nothing. Where nothing follows it, it is this allocation's own.
+// TestStaleResponse has a second response to the previous attempt arrive when the next one is about to be written, or has just
+// been: for an at-most-once job it proves nothing. Where nothing follows it, it is that attempt's own.
 func TestStaleResponse(t *testing.T) {
 	text := ""
 	for _, c := range []struct {
@@ -163,7 +163,7 @@
 		u.awaitStop(writes)
 		reads := u.halts.On(1, emulator.BeforeRead, 0)
 		u.respond(emptyResponse(stray))
-		u.awaitStop(reads) // the answer has been read, and more is waited for
+		u.awaitStop(reads) // the response has been read, and the reader waits for more
 		writes.Go()
 		u.readAttempt()
 		if c.follow {
@@ -185,7 +185,8 @@
 	golden.Compare(t, "stray-answer.txt", text)
 }
 
-// Something comes on a connection that is taken for an allocation of which no byte has left: it answers nothing.
+// TestResponseBeforeAttempt has a response come on a connection that is claimed for an attempt of which no byte is written: it
+// answers nothing.
 func TestResponseBeforeAttempt(t *testing.T) {
 	u := use(t, "taken, and not begun", nil)
 	l := u.pool.conn(1)
@@ -201,7 +202,7 @@
 	golden.Compare(t, "answer-before.txt", u.out.String())
 }
 
-// caller is a client that has gone or not when it is looked at, after what the test does at that moment.
+// caller is a client that has gone or not when it is checked, after what the test does at that moment.
 type caller struct {
 	gone bool
 	look func()
@@ -214,9 +215,8 @@
 	return c.gone
 }
 
-// A client turns out to have gone at the last look before its attempt's first byte, on a connection that has just come up and
-// on one at rest: no byte of it goes out, and the same connection carries the next one. Where the executor has closed it
-// meanwhile, it is given back.
+// TestClientGoneAtWrite has a client be gone at the check before its attempt's first byte, on a new connection and on an idle
+// one: no byte is sent, and the same connection carries the next attempt, unless the executor has closed it meanwhile.
 func TestClientGoneAtWrite(t *testing.T) {
 	left := func(id string, look func()) node.Attempt {
 		a := atMostOnce(id)
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -11,7 +11,7 @@
 	"birchstair/internal/node"
 )
 
-// What comes of a probe, from executors that answer in time, late, never, wrongly or with half a report.
+// TestProbes probes executors that reply in time, late, never, with something invalid or with half a report.
 func TestProbes(t *testing.T) {
 	var out strings.Builder
 	told := map[string]bool{"inflight": true, "x0": true, "latency_ms": true}
@@ -49,7 +49,7 @@
 			out.WriteString("  came: " + strings.ReplaceAll(strings.Join(*got, " "), addr, "EXECUTOR") + "\n")
 		}
 	}
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes connections, and says nothing
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never replies
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,9 +17,8 @@
 	"birchstair/policy"
 )
 
-// fakeExecutor is an executor that reads allocations and answers each with the next of its texts, as it stands. It
-// closes the connection at the end of them, and where one says so: unread, after an allocation's first byte, or
-// broken, after its last.
+// fakeExecutor reads attempts and writes the next of its texts as the response to each. It closes the connection at the end
+// of them, or where a text says so: "unread" after an attempt's first byte, "broken" after its last.
 func fakeExecutor(t *testing.T, texts ...string) (addr string, got *[]string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +65,7 @@
 	return l.Addr().String(), got
 }
 
-// fullBacklog is an address that takes no connection any more, and says so to nobody.
+// fullBacklog returns an address where a connection neither opens nor fails.
 func fullBacklog(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -97,7 +96,7 @@
 	return ""
 }
 
-// okResponse makes a whole answer of objects in chunks.
+// okResponse returns a complete response of these lines, in chunks.
 func okResponse(objects ...string) string {
 	s := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, o := range objects {
@@ -111,7 +110,7 @@
 var outcomes = map[policy.Outcome]string{policy.Succeeded: "handled", policy.ExecutorError: "errored",
 	policy.InvalidRequest: "unfit", policy.ExecutorFull: "no room", policy.ConnectFailed: "no route", policy.ConnectionLost: "cut"}
 
-// printer prints events until a connection is given back.
+// printer prints events up to the end of a connection.
 type printer struct {
 	events  chan node.Event
 	out     strings.Builder
@@ -170,7 +169,7 @@
 		URI: "/api/a%20b?c=d&e", Host: "backend.local", IdempotencyKey: "tag-1", ContentType: "text/plain", Body: []byte("body")}}
 }
 
-// What comes back from executors, whole, cut and senseless, and the outcome that each stands for.
+// TestOutcomes checks which outcomes complete, incomplete and invalid responses stand for.
 func TestOutcomes(t *testing.T) {
 	done := `{"id":"j1","state":"done","result":"r"}`
 	p := printer{details: true}
@@ -234,7 +233,7 @@
 	golden.Compare(t, "outcomes.txt", p.out.String())
 }
 
-// Whether a batch job may have run hangs on its last byte: before that is written it never ran.
+// TestLastByte checks that an attempt whose last byte was not written counts as never run.
 func TestLastByte(t *testing.T) {
 	p := printer{events: make(chan node.Event, 100)}
 	pool := New(TCP(10*time.Second), false, ProbeConfig{}, func(ev node.Event) { p.events <- ev })
@@ -251,7 +250,7 @@
 		}
 	}
 	long := attempt("j1")
-	long.Body = make([]byte, 64<<20) // more than the system takes in for a peer that does not read
+	long.Body = make([]byte, 64<<20) // more than the system buffers for a peer that does not read
 
 	addr, _ := fakeExecutor(t, "unread")
 	dial(1, addr, "broken by the executor before its last byte")
@@ -296,6 +295,6 @@
 
 	l.Close()
 	dial(5, l.Addr().String(), "no executor there")
-	pool.Write(5, attempt("j1")) // what is given back carries nothing
+	pool.Write(5, attempt("j1")) // does nothing: the connection has ended
 	golden.Compare(t, "last-byte.txt", p.out.String())
 }
