--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -207,7 +207,7 @@
 	switch {
 	case wire.Version != version:
 		return node.LeaseMessageReceived{}, errOtherVersion
-	case wire.From < 0 || kind < policy.LeaseRequest || kind > policy.LeaseReturnLate:
+	case wire.From < 0 || kind < policy.LeaseRequest || kind > policy.LeaseReturnDelayed:
 		return node.LeaseMessageReceived{}, errMalformed
 	}
 	return node.LeaseMessageReceived{
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%s: %x was read and written again as %x, %v", c.title, b, again, err)
 		}
 	}
-	for kind := policy.LeaseRequest; kind <= policy.LeaseReturnLate; kind++ {
+	for kind := policy.LeaseRequest; kind <= policy.LeaseReturnDelayed; kind++ {
 		b, err := encodeLeaseMessage(5, node.SendLeaseMessage{To: 3, Message: kind, Hash: 0xfffffff0})
 		if err != nil {
 			t.Fatal(err)
