--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -108,7 +108,7 @@
 		}
 	}()
 	log.Info().Str("listen", conf.Listen).Int("known", len(conf.cached.Endpoints)).Int("clients", o.ClientLimits.Max).
-		Int("executors", o.Limits.MaxConns).Msg("the node is up")
+		Int("executors", o.Limits.MaxConns).Msg("node started")
 	return service.Run(ctx, o, events)
 }
 
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -128,7 +128,7 @@
 		return policy.ExecutorError, ""
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity,
 		http.StatusRequestHeaderFieldsTooLarge:
-		return policy.InvalidRequest, "the executor can't use it: " + response.Status
+		return policy.InvalidRequest, "executor refused the request: " + response.Status
 	}
 	return policy.ExecutorError, "unexpected response: " + response.Status
 }
