--- a/internal/admin/door_test.go
+++ b/internal/admin/server_test.go
@@ -14,9 +14,9 @@
 	"birchstair/internal/synctesting"
 )
 
-// A door on connections in memory, with a core that says yes, or no to one executor, and one call that it never answers.
-// Two callers have a place at a time.
-func TestDoor(t *testing.T) {
+// TestServer runs a server with room for two callers on connections in memory. Its reducer accepts commands, refuses one
+// executor, and never answers one command.
+func TestServer(t *testing.T) {
 	var out strings.Builder
 	synctesting.Test(t, func(t *testing.T) {
 		net := memnet.New(1, func(string, string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
@@ -24,7 +24,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var d *Door
+		var d *Server
 		d = New(2, func(ev node.Event) {
 			c := ev.(node.AdminCalled)
 			r := node.AdminReply{Caller: c.Caller}
--- a/internal/durable/world_test.go
+++ b/internal/durable/world_test.go
@@ -212,7 +212,7 @@
 	}
 	var ctx context.Context
 	ctx, p.cancel = context.WithCancel(context.Background())
-	setup := p.setup(uint32(incarnation), listener, manager)
+	setup := p.options(uint32(incarnation), listener, manager)
 	go func() {
 		defer close(p.ended)
 		if err := service.Run(ctx, setup, p.events); err != nil {
@@ -225,8 +225,8 @@
 	return p
 }
 
-// setup is the node's configuration.
-func (p *nodeProcess) setup(seed uint32, listener net.Listener, manager *durable.Manager) service.Setup {
+// options are the node's.
+func (p *nodeProcess) options(seed uint32, listener net.Listener, manager *durable.Manager) service.Options {
 	settings := durable.AddClasses(policy.Settings{
 		Seed:              seed,
 		Nodes:             1,
@@ -241,8 +241,8 @@
 		OverloadWindow:    time.Second,
 		JobClasses:        classes,
 	}, maxDeadline)
-	return service.Setup{
-		Settings: config.Settings{Policy: settings, Tracks: classNames, LoadFields: config.LoadFields{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
+	return service.Options{
+		Settings: config.Settings{Policy: settings, JobClassNames: classNames, LoadFields: config.LoadFields{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
 		Limits: node.Limits{
 			Quantum:         time.Millisecond,
 			MaxIdle:         time.Minute,
@@ -254,15 +254,15 @@
 			LameDuckPeriod:  100 * time.Millisecond,
 			ShutdownTimeout: 200 * time.Millisecond,
 		},
-		ClientConns: frontend.ConnLimits{Max: 300},
-		Discovery:   discoveryAddr,
-		Start:       time.Now(),
-		Module:      policy.New(settings),
-		Listener:    listener,
-		Executors:   p.dial,
-		List:        func(ctx context.Context, _, addr string) (net.Conn, error) { return p.dialApart(ctx, addr) },
-		Log:         zerolog.Nop(),
-		Durable:     manager,
+		ClientLimits:  frontend.ConnLimits{Max: 300},
+		DiscoveryAddr: discoveryAddr,
+		StartTime:     time.Now(),
+		Policy:        policy.New(settings),
+		Listener:      listener,
+		DialExecutor:  p.dial,
+		DialDiscovery: func(ctx context.Context, _, addr string) (net.Conn, error) { return p.dialApart(ctx, addr) },
+		Log:           zerolog.Nop(),
+		Durable:       manager,
 	}
 }
 
