--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	names := map[string]bool{}
-	for i, name := range c.Settings.Tracks {
+	for i, name := range c.Settings.JobClassNames {
 		if name == "" || names[name] {
 			return fmt.Errorf("settings.tracks[%d].name: %q is empty or there twice", i, name)
 		}
--- a/internal/config/wire_test.go
+++ b/internal/config/wire_test.go
@@ -79,7 +79,7 @@
 		{"settings.domain.tells-start", p.StartNotices},
 		{"settings.domain.progress-s", p.ProgressInterval},
 		{"settings.report.fields, where each stands", s.LoadFields},
-		{"settings.tracks[].name", s.Tracks},
+		{"settings.tracks[].name", s.JobClassNames},
 	} {
 		fmt.Fprintf(&out, "%s: %v\n", line.key, line.value)
 	}
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -223,7 +223,7 @@
 )
 
 // check names the first place where a scenario makes no sense.
-func (s *Scenario) check() (tomlfile.Place, error) {
+func (s *Scenario) check() (tomlfile.Position, error) {
 	f, l := &s.Fleet, &s.Load
 	for _, c := range []struct {
 		bad        bool
@@ -267,12 +267,12 @@
 		{l.Body < 0 || l.Body > 64<<10, "load", "body", "from 0 to 65536"},
 	} {
 		if c.bad {
-			return tomlfile.Place{Table: c.table, Index: -1, Key: c.key}, fmt.Errorf("it must be %s", c.why)
+			return tomlfile.Position{Table: c.table, Index: -1, Key: c.key}, fmt.Errorf("it must be %s", c.why)
 		}
 	}
 	sum := 0.0
 	for i, t := range s.Tracks {
-		at := func(key string) tomlfile.Place { return tomlfile.Place{Table: "track", Index: i, Key: key} }
+		at := func(key string) tomlfile.Position { return tomlfile.Position{Table: "track", Index: i, Key: key} }
 		sum += t.Share
 		_, isRepeat := repeats[t.Repeat]
 		_, isGroup := groups[t.Group]
@@ -298,10 +298,10 @@
 		}
 	}
 	if sum < 0.999 || sum > 1.001 {
-		return tomlfile.Place{Table: "track", Index: 0, Key: "share"}, fmt.Errorf("the shares of all tracks come to %.3g and not to 1", sum)
+		return tomlfile.Position{Table: "track", Index: 0, Key: "share"}, fmt.Errorf("the shares of all tracks come to %.3g and not to 1", sum)
 	}
 	for i, x := range s.Faults {
-		at := func(key string) tomlfile.Place { return tomlfile.Place{Table: "fault", Index: i, Key: key} }
+		at := func(key string) tomlfile.Position { return tomlfile.Position{Table: "fault", Index: i, Key: key} }
 		on, ok := x.Kind.On()
 		if !ok {
 			return at("kind"), fmt.Errorf("%q is none of %v", x.Kind, emulator.Kinds())
@@ -321,7 +321,7 @@
 			}
 		}
 	}
-	return tomlfile.Place{}, nil
+	return tomlfile.Position{}, nil
 }
 
 // knows says what is wrong with a name that a fault is to be put on.
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -24,7 +24,7 @@
 	if err := toml.Unmarshal(text, &tables); err != nil {
 		return decodeError(file, err, targetType)
 	}
-	if bare := findBareNumber(targetType, tables, Place{Index: NoIndex}); bare != nil {
+	if bare := findBareNumber(targetType, tables, Position{Index: NoIndex}); bare != nil {
 		return bare.place.Wrap(file, text, fmt.Errorf("a unit is missing; \"%v%s\" was probably meant", bare.value, bare.unit))
 	}
 	return nil
@@ -73,13 +73,13 @@
 
 // bareNumber is a number without a unit where one belongs. The decoder would take it for nanoseconds or bytes.
 type bareNumber struct {
-	place Place
+	place Position
 	value any
 	unit  string // that was probably meant
 }
 
 // findBareNumber finds the first in a decoded table, whose keys are those of type t; nil where there is none.
-func findBareNumber(t reflect.Type, table map[string]any, at Place) *bareNumber {
+func findBareNumber(t reflect.Type, table map[string]any, at Position) *bareNumber {
 	for i := range t.NumField() {
 		field := t.Field(i)
 		key := keyOf(field)
@@ -88,7 +88,7 @@
 			continue
 		}
 		if unit := missingUnit(field.Type, value); unit != "" {
-			return &bareNumber{place: Place{Table: at.Table, Index: at.Index, Key: key}, value: value, unit: unit}
+			return &bareNumber{place: Position{Table: at.Table, Index: at.Index, Key: key}, value: value, unit: unit}
 		}
 		inner := key
 		if at.Table != "" {
@@ -105,14 +105,14 @@
 func findInnerBareNumber(t reflect.Type, value any, table string) *bareNumber {
 	switch value := value.(type) {
 	case map[string]any:
-		return findBareNumber(t, value, Place{Table: table, Index: NoIndex})
+		return findBareNumber(t, value, Position{Table: table, Index: NoIndex})
 	case []any:
 		for i, element := range value {
 			element, ok := element.(map[string]any)
 			if !ok {
 				continue
 			}
-			if bare := findBareNumber(t, element, Place{Table: table, Index: i}); bare != nil {
+			if bare := findBareNumber(t, element, Position{Table: table, Index: i}); bare != nil {
 				return bare
 			}
 		}
--- a/internal/tomlfile/place.go
+++ b/internal/tomlfile/place.go
@@ -9,15 +9,15 @@
 // NoIndex is the index of a place in a table that is there once.
 const NoIndex = -1
 
-// Place is a key of a file.
-type Place struct {
+// Position is a key of a file.
+type Position struct {
 	Table string // empty for the file's own keys
 	Index int    // of the table in an array of tables; NoIndex for one that is there once
 	Key   string
 }
 
 // String names the key with its table.
-func (p Place) String() string {
+func (p Position) String() string {
 	switch {
 	case p.Table == "":
 		return p.Key
@@ -28,13 +28,13 @@
 }
 
 // Wrap puts file, line and key before an error.
-func (p Place) Wrap(file string, text []byte, err error) error {
+func (p Position) Wrap(file string, text []byte, err error) error {
 	return fmt.Errorf("%s:%d: %s: %w", file, p.line(string(text)), p, err)
 }
 
 // KeyError is an error in the value of a key.
 type KeyError struct {
-	Place Place
+	Place Position
 	Err   error
 }
 
@@ -54,7 +54,7 @@
 }
 
 // line finds a place's line in a text: the key's, or else its table's, or else the first.
-func (p Place) line(text string) int {
+func (p Position) line(text string) int {
 	index, inTable := -1, p.Table == ""
 	found, row := 1, 0
 	for line := range strings.Lines(text) {
