--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -88,21 +88,21 @@
 	Slice   float64            `json:"slice,omitzero"` // executors that a node used, on average: as many as would be used alike
 	Load    float64            `json:"load,omitzero"`  // work that reached those, against what they could do
 
-	lost, time [causes]float64
-	work, sent float64 // in seconds on a standard core
-	slice      float64
-	load       float64
+	lostByCause, timeByCause [causes]float64
+	workOffered, workSent    float64 // in seconds on a standard core
+	subsetSize               float64
+	subsetLoad               float64
 }
 
-// ledger keeps what an account needs.
-type ledger struct {
-	w       *World
-	open    map[invariants.WorkID]*history
-	tracks  []AccountRow
-	nodes   []nodeRow
-	nowhere AccountRow            // of batch jobs that no node took
-	coming  map[*executor]int     // by executor, attempts on their way
-	works   map[*executor]float64 // and the work that reached it
+// accountLedger keeps what an account needs.
+type accountLedger struct {
+	world        *World
+	open         map[invariants.WorkID]*jobHistory
+	tracks       []AccountRow
+	nodes        []nodeRow
+	unreached    AccountRow            // of batch jobs that no node took
+	approaching  map[*executor]int     // by executor, attempts on their way
+	workReceived map[*executor]float64 // and the work that reached it
 
 	attempts, waited, freeUsed, freeZone, freeAny int
 
@@ -112,89 +112,89 @@
 // nodeRow is a node's part.
 type nodeRow struct {
 	AccountRow
-	used map[*executor]int // attempts by executor
+	attemptsTo map[*executor]int // attempts by executor
 }
 
-// history is where a batch job has been.
-type history struct {
-	work     *emulator.Work
-	first    *sim
-	visits   []*visit
-	cameFree freeCores
-	attempts []*attempt
+// jobHistory is where a batch job has been.
+type jobHistory struct {
+	work          *emulator.Work
+	firstNode     *simNode
+	requests      []*requestHistory
+	idleAtArrival idleCores
+	attempts      []*attemptHistory
 }
 
-// waits is from when on a start counts as having waited: new connections cost an executor as much.
-const waits = 5 * time.Millisecond
+// attemptWaits is from when on a start counts as having waited: new connections cost an executor as much.
+const attemptWaits = 5 * time.Millisecond
 
-// unseen is when what did not happen did.
-const unseen = time.Duration(-1)
+// notSeen is when what did not happen did.
+const notSeen = time.Duration(-1)
 
-// visit is a try at a node.
-type visit struct {
+// requestHistory is a try at a node.
+type requestHistory struct {
 	from, arrived, answered, done time.Duration
-	how                           emulator.End
+	end                           emulator.End
 }
 
-// attempt is one sending to an executor.
-type attempt struct {
-	x                                 *executor
-	sent, reached, began, ended, over time.Duration
-	how                               policy.Outcome
-	slow                              bool
-	dialled, up                       time.Duration // its connection, where it is the first one on it
-	calledOff                         bool          // by its node, which has closed its connection
+// attemptHistory is one sending to an executor.
+type attemptHistory struct {
+	executor                                 *executor
+	sent, reached, began, ended, endedAtNode time.Duration
+	outcome                                  policy.Outcome
+	slow                                     bool
+	dialedAt, connUpAt                       time.Duration // its connection, where it is the first one on it
+	canceled                                 bool          // by its node, which has closed its connection
 
-	free freeCores
+	idle idleCores
 }
 
-// freeCores says where a core stood free at a moment: at an executor that the node had used, in its zone, anywhere.
-type freeCores struct{ used, zone, any bool }
+// idleCores says where a core stood free at a moment: at an executor that the node had used, in its zone, anywhere.
+type idleCores struct{ used, zone, any bool }
 
-func (b *ledger) build() {
-	b.coming, b.works = map[*executor]int{}, map[*executor]float64{}
-	for _, t := range b.w.s.Tracks {
+func (b *accountLedger) init() {
+	b.approaching, b.workReceived = map[*executor]int{}, map[*executor]float64{}
+	for _, t := range b.world.scenario.Tracks {
 		b.tracks = append(b.tracks, AccountRow{Name: t.Name})
 	}
-	for _, n := range b.w.nodes {
-		b.nodes = append(b.nodes, nodeRow{AccountRow: AccountRow{Name: n.name}, used: map[*executor]int{}})
+	for _, n := range b.world.nodes {
+		b.nodes = append(b.nodes, nodeRow{AccountRow: AccountRow{Name: n.name}, attemptsTo: map[*executor]int{}})
 	}
 }
 
-// handed: a client hands a batch job in at a node; nil where there is none.
-func (b *ledger) handed(work *emulator.Work, n *sim) {
+// recordSubmit: a client hands a batch job in at a node; nil where there is none.
+func (b *accountLedger) recordSubmit(work *emulator.Work, n *simNode) {
 	if b == nil {
 		return
 	}
 	h := b.open[work.ID]
 	if h == nil {
-		h = &history{work: work}
+		h = &jobHistory{work: work}
 		b.open[work.ID] = h
 	}
-	if h.first == nil && n != nil {
-		h.first, h.cameFree = n, b.free(n, nil)
+	if h.firstNode == nil && n != nil {
+		h.firstNode, h.idleAtArrival = n, b.idleCores(n, nil)
 	}
-	h.visits = append(h.visits, &visit{from: b.w.now, arrived: unseen, answered: unseen, done: unseen})
+	h.requests = append(h.requests, &requestHistory{from: b.world.now, arrived: notSeen, answered: notSeen, done: notSeen})
 }
 
-// visit is the present try of a batch job, where it is open still.
-func (b *ledger) visit(t *try) *visit {
+// request is the present try of a batch job, where it is open still.
+func (b *accountLedger) request(t *clientRequest) *requestHistory {
 	if b == nil || b.open[t.work.ID] == nil || t.job != t.work.Job() {
-		return &visit{}
+		return &requestHistory{}
 	}
 	h := b.open[t.work.ID]
-	return h.visits[len(h.visits)-1]
+	return h.requests[len(h.requests)-1]
 }
 
-// sent: an attempt's first byte leaves. It gives what the rest is written into.
-func (b *ledger) sent(t *try, x *executor) *attempt {
-	a := &attempt{x: x, sent: t.n.w.now, reached: unseen, began: unseen, ended: unseen, over: unseen, dialled: unseen, up: unseen}
+// recordSent: an attempt's first byte leaves. It gives what the rest is written into.
+func (b *accountLedger) recordSent(t *clientRequest, x *executor) *attemptHistory {
+	a := &attemptHistory{executor: x, sent: t.simNode.world.now, reached: notSeen, began: notSeen, ended: notSeen, endedAtNode: notSeen, dialedAt: notSeen, connUpAt: notSeen}
 	if b == nil {
 		return a
 	}
-	a.free = b.free(t.n, x)
-	b.nodes[t.n.id].used[x]++
-	b.coming[x]++
+	a.idle = b.idleCores(t.simNode, x)
+	b.nodes[t.simNode.id].attemptsTo[x]++
+	b.approaching[x]++
 	b.attempts++
 	if h := b.open[t.work.ID]; h != nil {
 		h.attempts = append(h.attempts, a)
@@ -202,100 +202,100 @@
 	return a
 }
 
-// free says where a core stands free for a node now, but for one executor.
-func (b *ledger) free(n *sim, but *executor) (f freeCores) {
-	for _, x := range b.w.executors {
-		if x == but || x.Held()+b.coming[x] >= x.Cores || !x.Up || x.gone || x.Drains {
+// idleCores says where a core stands free for a node now, but for one executor.
+func (b *accountLedger) idleCores(n *simNode, but *executor) (f idleCores) {
+	for _, x := range b.world.executors {
+		if x == but || x.Held()+b.approaching[x] >= x.Cores || !x.Up || x.unreachable || x.Drains {
 			continue
 		}
 		f.any = true
 		f.zone = f.zone || x.Zone == n.zone
-		f.used = f.used || b.nodes[n.id].used[x] > 0
+		f.used = f.used || b.nodes[n.id].attemptsTo[x] > 0
 	}
 	return f
 }
 
-// reached: it has come to its executor, with so much work.
-func (b *ledger) reached(a *attempt, work float64) {
-	a.reached = a.x.w.now
+// recordReached: it has come to its executor, with so much work.
+func (b *accountLedger) recordReached(a *attemptHistory, work float64) {
+	a.reached = a.executor.world.now
 	if b != nil {
-		b.coming[a.x]--
-		b.works[a.x] += work
+		b.approaching[a.executor]--
+		b.workReceived[a.executor] += work
 	}
 }
 
-// began: its executor has begun on it.
-func (b *ledger) began(a *attempt) {
-	if a.began != unseen {
+// recordBegan: its executor has begun on it.
+func (b *accountLedger) recordBegan(a *attemptHistory) {
+	if a.began != notSeen {
 		return
 	}
-	a.began = a.x.w.now
-	a.slow = a.x.Speed/max(1, a.x.Trouble().Slow) < slowUnder
-	if b != nil && a.began-a.reached > waits {
+	a.began = a.executor.world.now
+	a.slow = a.executor.Speed/max(1, a.executor.Trouble().Slow) < slowUnder
+	if b != nil && a.began-a.reached > attemptWaits {
 		b.waited++
-		b.freeUsed += count(a.free.used)
-		b.freeZone += count(a.free.zone)
-		b.freeAny += count(a.free.any)
+		b.freeUsed += countTrue(a.idle.used)
+		b.freeZone += countTrue(a.idle.zone)
+		b.freeAny += countTrue(a.idle.any)
 	}
 }
 
-// said: its executor says something of it.
-func (b *ledger) said(a *attempt, word emulator.Word) {
+// recordAnswer: its executor says something of it.
+func (b *accountLedger) recordAnswer(a *attemptHistory, word emulator.Word) {
 	switch word {
 	case emulator.Began:
-		b.began(a)
+		b.recordBegan(a)
 	case emulator.Done, emulator.Errored, emulator.NoRoom:
-		a.ended = a.x.w.now
+		a.ended = a.executor.world.now
 	}
 }
 
-func count(yes bool) int {
+func countTrue(yes bool) int {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// ended: its node is told that it is over.
-func (b *ledger) ended(a *attempt, how policy.Outcome) {
-	a.over, a.how = a.x.w.now, how
-	if a.calledOff {
-		a.how = policy.Canceled
+// recordEnded: its node is told that it is over.
+func (b *accountLedger) recordEnded(a *attemptHistory, how policy.Outcome) {
+	a.endedAtNode, a.outcome = a.executor.world.now, how
+	if a.canceled {
+		a.outcome = policy.Canceled
 	}
-	if b != nil && a.reached == unseen {
+	if b != nil && a.reached == notSeen {
 		// It may still come there, as a break does not stop what is under way; then it is counted off once only.
-		b.coming[a.x]--
-		a.reached = a.over
+		b.approaching[a.executor]--
+		a.reached = a.endedAtNode
 	}
 }
 
-// closed: a batch job is over for its client, and earned so much.
-func (b *ledger) closed(work *emulator.Work, earned float64) {
+// recordFinished: a batch job is over for its client, and earned so much.
+func (b *accountLedger) recordFinished(work *emulator.Work, earned float64) {
 	if b == nil {
 		return
 	}
 	h := b.open[work.ID]
 	delete(b.open, work.ID)
-	cause, times := h.cause(b.w)
-	if cause <= HeldAtNode && h.cameFree.zone {
+	cause, times := h.cause(b.world)
+	if cause <= HeldAtNode && h.idleAtArrival.zone {
 		b.heldZone += work.Earns - earned
 	}
-	if cause <= HeldAtNode && h.cameFree.any {
+	if cause <= HeldAtNode && h.idleAtArrival.any {
 		b.heldAny += work.Earns - earned
 	}
-	rows := []*AccountRow{&b.tracks[work.Track], &b.nowhere}
-	if h.first != nil {
-		rows[1] = &b.nodes[h.first.id].AccountRow
+	rows := []*AccountRow{&b.tracks[work.Track], &b.unreached}
+	if h.firstNode != nil {
+		rows[1] = &b.nodes[h.firstNode.id].AccountRow
 	}
 	for _, r := range rows {
-		r.book(work, earned, cause, times)
-		r.sent += work.Cost * float64(len(h.attempts))
+		r.record(work, earned, cause, times)
+		r.workSent += work.Cost * float64(len(h.attempts))
 	}
 }
 
-func (r *AccountRow) book(work *emulator.Work, earned float64, cause Cause, times [causes]time.Duration) {
+func (r *AccountRow) record(work *emulator.Work, earned float64, cause Cause, times [causes]time.Duration) {
 	r.Works++
-	r.work += work.Cost
+	r.workOffered += work.Cost
 	r.Offered += work.Earns
 	r.Earned += earned
 	if earned >= work.Earns {
@@ -305,9 +305,9 @@
 	if earned == 0 {
 		r.Never++
 	}
-	r.lost[cause] += work.Earns - earned
+	r.lostByCause[cause] += work.Earns - earned
 	for c, t := range times {
-		r.time[c] += t.Seconds()
+		r.timeByCause[c] += t.Seconds()
 	}
 }
 
@@ -318,32 +318,32 @@
 	r.Offered += o.Offered
 	r.Earned += o.Earned
 	for c := range causes {
-		r.lost[c] += o.lost[c]
-		r.time[c] += o.time[c]
+		r.lostByCause[c] += o.lostByCause[c]
+		r.timeByCause[c] += o.timeByCause[c]
 	}
-	r.work += o.work
-	r.sent += o.sent
-	r.slice += o.slice
-	r.load += o.load
+	r.workOffered += o.workOffered
+	r.workSent += o.workSent
+	r.subsetSize += o.subsetSize
+	r.subsetLoad += o.subsetLoad
 }
 
 // cause says what a batch job lost to, had it lost anything, and where its time went.
-func (h *history) cause(w *World) (Cause, [causes]time.Duration) {
+func (h *jobHistory) cause(w *World) (Cause, [causes]time.Duration) {
 	work, times := h.work, h.times(w.now)
-	first := unseen
+	first := notSeen
 	for _, a := range h.attempts {
-		if first == unseen || a.sent < first {
+		if first == notSeen || a.sent < first {
 			first = a.sent
 		}
 	}
 	own := time.Duration(work.Cost * 1e9)
-	lost := slices.ContainsFunc(h.visits, func(v *visit) bool { return v.how == emulator.EndLost || v.how == emulator.EndUnreached })
+	lost := slices.ContainsFunc(h.requests, func(v *requestHistory) bool { return v.end == emulator.EndLost || v.end == emulator.EndUnreached })
 	switch {
 	case work.Leaves <= w.now:
 		return ClientLeft, times
-	case first == unseen && lost:
+	case first == notSeen && lost:
 		return NodeLost, times
-	case first == unseen:
+	case first == notSeen:
 		return NeverSent, times
 	case first > work.Quoted-own:
 		return SentTooLate, times
@@ -364,27 +364,27 @@
 
 func scaled(t time.Duration, part float64) time.Duration { return time.Duration(float64(t) * part) }
 
-// span is a stretch of a batch job's time.
-type span struct {
-	from, to time.Duration
-	cause    Cause
-	rank     int // of those at one time, the highest counts
+// timeSpan is a stretch of a batch job's time.
+type timeSpan struct {
+	from, to   time.Duration
+	cause      Cause
+	precedence int // of those at one time, the highest counts
 }
 
 // times says where a batch job's time went, up to an instant. Where several attempts are out, the one that is furthest counts.
-func (h *history) times(end time.Duration) (times [causes]time.Duration) {
-	var spans []span
+func (h *jobHistory) times(end time.Duration) (times [causes]time.Duration) {
+	var spans []timeSpan
 	put := func(from, to time.Duration, cause Cause, rank int) {
-		if to == unseen || to > end {
+		if to == notSeen || to > end {
 			to = end
 		}
-		if from != unseen && from < to {
-			spans = append(spans, span{from, to, cause, rank})
+		if from != notSeen && from < to {
+			spans = append(spans, timeSpan{from, to, cause, rank})
 		}
 	}
 	put(h.work.Came, end, BetweenTries, 0)
-	for _, v := range h.visits {
-		if v.how == emulator.EndLost || v.how == emulator.EndUnreached {
+	for _, v := range h.requests {
+		if v.end == emulator.EndLost || v.end == emulator.EndUnreached {
 			put(v.from, v.done, NodeLost, 1)
 			continue
 		}
@@ -392,12 +392,12 @@
 		put(v.arrived, cmp.Or(max(v.answered, 0), max(v.done, 0), end), HeldAtNode, 2)
 	}
 	for _, a := range h.attempts {
-		put(a.dialled, a.up, Connecting, 3)
-		until := a.over
-		if until == unseen {
+		put(a.dialedAt, a.connUpAt, Connecting, 3)
+		until := a.endedAtNode
+		if until == notSeen {
 			until = end
 		}
-		switch a.how {
+		switch a.outcome {
 		case policy.ExecutorFull:
 			put(a.sent, until, TurnedAway, 3)
 			continue
@@ -406,14 +406,14 @@
 			continue
 		}
 		put(a.sent, until, OnTheWay, 4)
-		if a.reached == unseen || a.reached >= until {
+		if a.reached == notSeen || a.reached >= until {
 			continue
 		}
 		began, ended := a.began, a.ended
-		if ended == unseen {
+		if ended == notSeen {
 			ended = until
 		}
-		if began == unseen {
+		if began == notSeen {
 			began = ended
 		}
 		put(a.reached, min(began, until), InQueue, 5)
@@ -430,13 +430,13 @@
 	slices.Sort(edges)
 	edges = slices.Compact(edges)
 	for i := 1; i < len(edges); i++ {
-		best := span{rank: -1}
+		best := timeSpan{precedence: -1}
 		for _, s := range spans {
-			if s.from <= edges[i-1] && edges[i] <= s.to && s.rank > best.rank {
+			if s.from <= edges[i-1] && edges[i] <= s.to && s.precedence > best.precedence {
 				best = s
 			}
 		}
-		if best.rank >= 0 {
+		if best.precedence >= 0 {
 			times[best.cause] += edges[i] - edges[i-1]
 		}
 	}
@@ -444,12 +444,12 @@
 }
 
 // finish makes the account of all.
-func (b *ledger) finish() *Account {
-	w := b.w
+func (b *accountLedger) finish() *Account {
+	w := b.world
 	for _, id := range slices.Sorted(maps.Keys(b.open)) {
-		b.closed(b.open[id].work, 0)
+		b.recordFinished(b.open[id].work, 0)
 	}
-	a := &Account{Scenario: w.s.Name, Seed: w.seed, Policy: w.policy, Nodes: len(w.nodes), Executors: len(w.executors), Length: w.s.Length,
+	a := &Account{Scenario: w.scenario.Name, Seed: w.seed, Policy: w.policy, Nodes: len(w.nodes), Executors: len(w.executors), Length: w.scenario.Length,
 		Attempts: b.attempts, Crossings: w.result.Crossings, Waited: part(float64(b.waited), float64(b.attempts)),
 		FreeUsed: part(float64(b.freeUsed), float64(b.waited)), FreeZone: part(float64(b.freeZone), float64(b.waited)),
 		FreeAny: part(float64(b.freeAny), float64(b.waited)), Broken: len(w.result.Broken)}
@@ -460,28 +460,28 @@
 	}
 	var busy []float64
 	for _, x := range w.executors {
-		busy = append(busy, b.works[x]/(float64(min(x.Cores, x.Places))*x.Speed*time.Duration(w.s.Length).Seconds()))
+		busy = append(busy, b.workReceived[x]/(float64(min(x.Cores, x.Places))*x.Speed*time.Duration(w.scenario.Length).Seconds()))
 	}
 	for i := range b.nodes {
 		n := &b.nodes[i]
-		n.slice, n.load = use(n.used, w.executors, busy)
+		n.subsetSize, n.subsetLoad = use(n.attemptsTo, w.executors, busy)
 	}
 	for _, n := range b.nodes {
-		a.All.Slice += n.slice / float64(len(b.nodes))
-		a.All.Load += n.load / float64(len(b.nodes))
+		a.All.Slice += n.subsetSize / float64(len(b.nodes))
+		a.All.Load += n.subsetLoad / float64(len(b.nodes))
 	}
-	a.Traffic = quarters(b.nodes, func(n nodeRow) float64 { return n.work }, "nodes by traffic")
-	a.Slices = quarters(b.nodes, func(n nodeRow) float64 { return n.load }, "nodes by slice")
-	if b.nowhere.Works > 0 {
-		b.nowhere.Name = "no node"
-		a.Traffic, a.Slices = append(a.Traffic, b.nowhere), append(a.Slices, b.nowhere)
+	a.Traffic = quarters(b.nodes, func(n nodeRow) float64 { return n.workOffered }, "nodes by traffic")
+	a.Slices = quarters(b.nodes, func(n nodeRow) float64 { return n.subsetLoad }, "nodes by slice")
+	if b.unreached.Works > 0 {
+		b.unreached.Name = "no node"
+		a.Traffic, a.Slices = append(a.Traffic, b.unreached), append(a.Slices, b.unreached)
 	}
 	slices.Sort(busy)
 	for q := range 5 {
 		a.Busy = append(a.Busy, busy[q*(len(busy)-1)/4])
 	}
 	a.All.finish()
-	held := a.All.lost[NeverSent] + a.All.lost[SentTooLate] + a.All.lost[HeldAtNode]
+	held := a.All.lostByCause[NeverSent] + a.All.lostByCause[SentTooLate] + a.All.lostByCause[HeldAtNode]
 	a.HeldZone, a.HeldAny = part(b.heldZone, held), part(b.heldAny, held)
 	a.Worst, a.WorstTrack = w.result.Worst, 1
 	for _, t := range a.Tracks {
@@ -522,21 +522,21 @@
 			row.add(n.AccountRow)
 		}
 		row.Name = fmt.Sprintf("%s, %d of %d", name, q+1, parts)
-		row.Slice, row.Load = row.slice/float64(len(group)), row.load/float64(len(group))
+		row.Slice, row.Load = row.subsetSize/float64(len(group)), row.subsetLoad/float64(len(group))
 		rows = append(rows, row)
 	}
 	return rows
 }
 
 func (r *AccountRow) finish() {
-	r.Sent = part(r.sent, r.work)
+	r.Sent = part(r.workSent, r.workOffered)
 	r.Lost, r.TimeMS = map[string]float64{}, map[string]float64{}
 	for c := range causes {
-		if r.lost[c] > 0 {
-			r.Lost[c.String()] = r.lost[c]
+		if r.lostByCause[c] > 0 {
+			r.Lost[c.String()] = r.lostByCause[c]
 		}
-		if r.time[c] > 0 {
-			r.TimeMS[c.String()] = r.time[c] * 1e3 / float64(r.Less)
+		if r.timeByCause[c] > 0 {
+			r.TimeMS[c.String()] = r.timeByCause[c] * 1e3 / float64(r.Less)
 		}
 	}
 }
@@ -571,7 +571,7 @@
 	fmt.Fprintln(to, "Lost, by cause, in parts of what was offered; sent: work sent to executors, against what was offered:")
 	table("\tbatch jobs\tless\tnothing\tsent\toffered\tearned\tlost", func(r AccountRow) string {
 		return fmt.Sprintf("%d\t%d\t%d\t%.3f\t%.0f\t%.4f\t%.4f", r.Works, r.Less, r.Never, r.Sent, r.Offered, part(r.Earned, r.Offered), 1-part(r.Earned, r.Offered))
-	}, func(r AccountRow, c Cause) float64 { return r.lost[c] / max(r.Offered, 1e-9) }, "%.4f")
+	}, func(r AccountRow, c Cause) float64 { return r.lostByCause[c] / max(r.Offered, 1e-9) }, "%.4f")
 	fmt.Fprintln(to, "Where the time of those that earned less went, in ms; slice: executors that a node used, load: how busy those were:")
 	table("\tslice\tload", func(r AccountRow) string {
 		if r.Slice == 0 {
@@ -579,11 +579,11 @@
 		}
 		return fmt.Sprintf("%.1f\t%.3f", r.Slice, r.Load)
 	},
-		func(r AccountRow, c Cause) float64 { return r.time[c] * 1e3 / float64(max(r.Less, 1)) }, "%.0f")
+		func(r AccountRow, c Cause) float64 { return r.timeByCause[c] * 1e3 / float64(max(r.Less, 1)) }, "%.0f")
 	fmt.Fprintf(to, "Executors' load, least, quarters, most: %s\n", strings.Trim(fmt.Sprintf("%.3f", a.Busy), "[]"))
 	fmt.Fprintf(to, "%d attempts, %d to another zone; %.3f of them waited at the executor; when those left, a core stood free at another executor\n"+
 		"that the node had used for %.3f, in its zone for %.3f, anywhere for %.3f\n", a.Attempts, a.Crossings, a.Waited, a.FreeUsed, a.FreeZone, a.FreeAny)
-	if a.All.lost[NeverSent]+a.All.lost[SentTooLate]+a.All.lost[HeldAtNode] > 0 {
+	if a.All.lostByCause[NeverSent]+a.All.lostByCause[SentTooLate]+a.All.lostByCause[HeldAtNode] > 0 {
 		fmt.Fprintf(to, "Of what was lost at nodes (never sent, sent too late, held) a core had stood free when the batch job came for %.3f in the node's zone, for %.3f anywhere\n",
 			a.HeldZone, a.HeldAny)
 	}
--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -92,10 +92,10 @@
 	}
 	// One that ends at the first broken rule, with batch jobs in hand.
 	w := New(troubled(nil), 1, Options{Account: true, Most: 1})
-	w.plant.standin = func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: true}) }
+	w.defects.executor = func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: true}) }
 	r := w.Play()
-	if len(r.Broken) == 0 || w.open == 0 {
-		t.Errorf("%d rules broken, %d batch jobs open: it shows nothing", len(r.Broken), w.open)
+	if len(r.Broken) == 0 || w.openWorks == 0 {
+		t.Errorf("%d rules broken, %d batch jobs open: it shows nothing", len(r.Broken), w.openWorks)
 	}
 	closes(t, r, r.Account)
 	// Worlds with all kinds of faults.
@@ -142,7 +142,7 @@
 		name   string
 		world  func(*Scenario)
 		policy Policy
-		module func(*World, *sim, node.Policy) node.Policy
+		module func(*World, *simNode, node.Policy) node.Policy
 		causes []Cause
 	}{
 		{"all executors are slow", func(s *Scenario) { s.Fleet.Speed = 0.3 }, RandomPolicy, nil, []Cause{RunningSlow}},
@@ -154,7 +154,7 @@
 		{"one executor is full, and nodes hold what it has no place for", func(s *Scenario) {
 			s.Fleet.Executors, s.Load.Of = 1, 1.3
 		}, BestPolicy, nil, []Cause{HeldAtNode, SentTooLate, NeverSent}},
-		{"a node knows of no executor", nil, ModulePolicy, func(_ *World, n *sim, m node.Policy) node.Policy {
+		{"a node knows of no executor", nil, ModulePolicy, func(_ *World, n *simNode, m node.Policy) node.Policy {
 			if n.id == 0 {
 				return deaf{m}
 			}
@@ -180,7 +180,7 @@
 			t.Fatal(c.name, at, err)
 		}
 		w := New(s, 5, Options{Policy: c.policy, Account: true})
-		w.plant.module = c.module
+		w.defects.policy = c.module
 		r := w.Play()
 		closes(t, r, r.Account)
 		lost, here := r.Account.All.Offered-r.Account.All.Earned, 0.0
@@ -198,13 +198,13 @@
 func TestAccountOfTimes(t *testing.T) {
 	t.Parallel()
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	h := &history{work: &emulator.Work{Came: 0, Cost: 0.05}, visits: []*visit{
-		{from: ms(0), arrived: ms(1), answered: ms(100), done: ms(101), how: emulator.EndPushedBack},
-		{from: ms(111), arrived: ms(112), answered: ms(400), done: ms(401), how: emulator.EndHandled},
-	}, attempts: []*attempt{
-		{dialled: unseen, sent: ms(20), reached: ms(22), began: unseen, ended: ms(22), over: ms(24), how: policy.ExecutorFull},
-		{dialled: ms(114), up: ms(118), sent: ms(120), reached: ms(125), began: ms(165), ended: unseen, over: ms(400), slow: true}, // crawls
-		{dialled: unseen, sent: ms(200), reached: ms(205), began: ms(305), ended: ms(395), over: ms(400), how: policy.Succeeded},
+	h := &jobHistory{work: &emulator.Work{Came: 0, Cost: 0.05}, requests: []*requestHistory{
+		{from: ms(0), arrived: ms(1), answered: ms(100), done: ms(101), end: emulator.EndPushedBack},
+		{from: ms(111), arrived: ms(112), answered: ms(400), done: ms(401), end: emulator.EndHandled},
+	}, attempts: []*attemptHistory{
+		{dialedAt: notSeen, sent: ms(20), reached: ms(22), began: notSeen, ended: ms(22), endedAtNode: ms(24), outcome: policy.ExecutorFull},
+		{dialedAt: ms(114), connUpAt: ms(118), sent: ms(120), reached: ms(125), began: ms(165), ended: notSeen, endedAtNode: ms(400), slow: true}, // crawls
+		{dialedAt: notSeen, sent: ms(200), reached: ms(205), began: ms(305), ended: ms(395), endedAtNode: ms(400), outcome: policy.Succeeded},
 	}}
 	got := h.times(ms(401))
 	want := [causes]time.Duration{TurnedAway: ms(4), Connecting: ms(4), BetweenTries: ms(10), OnTheWay: ms(1 + 1 + 1 + 5 + 1), HeldAtNode: ms(19 + 76 + 4),
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -24,104 +24,104 @@
 // Policies are all of them.
 var Policies = []Policy{ModulePolicy, RandomPolicy, BestPolicy}
 
-// module makes what decides at a node.
-func (n *sim) module(p policy.Settings) node.Policy {
-	if n.w.policy == ModulePolicy {
+// newPolicy makes what decides at a node.
+func (n *simNode) newPolicy(p policy.Settings) node.Policy {
+	if n.world.policy == ModulePolicy {
 		return policy.New(p)
 	}
-	b := &baseline{n: n, settings: p, live: map[policy.ExecutorID]bool{}, jobs: map[policy.JobID]*wanted{}}
-	if b.choose = b.soonest; n.w.policy == RandomPolicy {
-		r := stream(n.w.seed+uint64(n.run)<<32, "random choice at "+n.name)
-		b.choose = func(time.Duration, *wanted) policy.ExecutorID { return b.random(r) }
+	b := &baseline{simNode: n, settings: p, available: map[policy.ExecutorID]bool{}, jobs: map[policy.JobID]*baselineJob{}}
+	if b.choose = b.soonest; n.world.policy == RandomPolicy {
+		r := stream(n.world.seed+uint64(n.incarnation)<<32, "random choice at "+n.name)
+		b.choose = func(time.Duration, *baselineJob) policy.ExecutorID { return b.random(r) }
 	}
 	return b
 }
 
-// holdStep is how soon a baseline looks again at what it holds.
-const holdStep = time.Millisecond
+// baselineRetryDelay is how soon a baseline looks again at what it holds.
+const baselineRetryDelay = time.Millisecond
 
 // baseline is what nodes decide by where they don't use the module: an executor for each batch job by a choice of its own, and the next one where
 // the last attempt certainly did not run, or may be repeated.
 type baseline struct {
-	n        *sim
-	settings policy.Settings
-	choose   func(now time.Duration, j *wanted) policy.ExecutorID // none: it is held
-	live     map[policy.ExecutorID]bool
-	order    []policy.ExecutorID // of those, by name
-	jobs     map[policy.JobID]*wanted
-	due      []policy.JobID
-	held     []policy.JobID
-	next     time.Duration // when those are looked at again
-	fullAt   time.Duration // when there was last no place free anywhere
-	asked    bool          // for the list
+	simNode   *simNode
+	settings  policy.Settings
+	choose    func(now time.Duration, j *baselineJob) policy.ExecutorID // none: it is held
+	available map[policy.ExecutorID]bool
+	order     []policy.ExecutorID // of those, by name
+	jobs      map[policy.JobID]*baselineJob
+	due       []policy.JobID
+	queued    []policy.JobID
+	retryAt   time.Duration // when those are looked at again
+	fullAt    time.Duration // when there was last no place free anywhere
+	watching  bool          // for the list
 }
 
-// wanted is a batch job at a baseline.
-type wanted struct {
-	id    policy.JobID
-	track policy.JobClass
-	try   *try
-	limit time.Duration // of the process
-	sent  int
-	out   bool
-	ran   bool // an attempt of it may have run
+// baselineJob is a batch job at a baseline.
+type baselineJob struct {
+	id         policy.JobID
+	class      policy.JobClass
+	request    *clientRequest
+	limit      time.Duration // of the process
+	attempts   int
+	attemptOut bool
+	mayHaveRun bool // an attempt of it may have run
 }
 
 func (b *baseline) JobArrived(now time.Duration, in policy.Arrival) {
-	b.jobs[in.Job] = &wanted{id: in.Job, track: b.settings.JobClasses[in.Class], try: b.n.tries[in.Job], limit: now + in.Budget}
+	b.jobs[in.Job] = &baselineJob{id: in.Job, class: b.settings.JobClasses[in.Class], request: b.simNode.requests[in.Job], limit: now + in.Budget}
 	b.due = append(b.due, in.Job)
 }
 
 func (b *baseline) NextTask(now time.Duration) policy.DueTask {
-	if !b.asked {
-		b.asked = true
+	if !b.watching {
+		b.watching = true
 		return policy.DueTask{Task: policy.WatchEndpoints}
 	}
-	if len(b.held) > 0 && now >= b.next {
+	if len(b.queued) > 0 && now >= b.retryAt {
 		// What has least time left goes first.
-		slices.SortStableFunc(b.held, func(x, y policy.JobID) int { return cmp.Compare(b.quoted(x), b.quoted(y)) })
-		b.due, b.held = append(b.due, b.held...), b.held[:0]
+		slices.SortStableFunc(b.queued, func(x, y policy.JobID) int { return cmp.Compare(b.quoted(x), b.quoted(y)) })
+		b.due, b.queued = append(b.due, b.queued...), b.queued[:0]
 	}
 	switch {
 	case len(b.due) > 0:
 		id := b.due[0]
 		b.due = b.due[1:]
 		return policy.DueTask{Task: policy.PlaceJob, Job: id}
-	case len(b.held) > 0:
-		return policy.DueTask{At: b.next}
+	case len(b.queued) > 0:
+		return policy.DueTask{At: b.retryAt}
 	}
 	return policy.DueTask{At: now + time.Hour}
 }
 
 func (b *baseline) quoted(id policy.JobID) time.Duration {
-	if j := b.jobs[id]; j != nil && j.try != nil {
-		return j.try.work.Quoted
+	if j := b.jobs[id]; j != nil && j.request != nil {
+		return j.request.work.Quoted
 	}
 	return 0
 }
 
 func (b *baseline) Place(now time.Duration, id policy.JobID) policy.Decision {
 	j := b.jobs[id]
-	if j == nil || j.out {
+	if j == nil || j.attemptOut {
 		return policy.Decision{}
 	}
-	if now >= j.limit-b.settings.Quantum || j.sent >= b.settings.MaxAttempts || j.ran && j.track.Idempotency != policy.Idempotent {
+	if now >= j.limit-b.settings.Quantum || j.attempts >= b.settings.MaxAttempts || j.mayHaveRun && j.class.Idempotency != policy.Idempotent {
 		delete(b.jobs, id)
-		if j.ran && j.track.Idempotency != policy.Idempotent {
+		if j.mayHaveRun && j.class.Idempotency != policy.Idempotent {
 			return policy.Decision{Action: policy.Fail}
 		}
 		return policy.Decision{Action: policy.Reject, RetryAfter: b.settings.MaxRetryAfter}
 	}
 	to := b.choose(now, j)
 	if to == "" {
-		if len(b.held) == 0 {
-			b.next = now + holdStep
+		if len(b.queued) == 0 {
+			b.retryAt = now + baselineRetryDelay
 		}
-		b.held = append(b.held, id)
+		b.queued = append(b.queued, id)
 		return policy.Decision{Action: policy.Enqueue}
 	}
-	j.sent++
-	j.out = true
+	j.attempts++
+	j.attemptOut = true
 	return policy.Decision{Action: policy.Send, Executor: to}
 }
 
@@ -130,31 +130,31 @@
 	if j == nil {
 		return policy.Decision{}
 	}
-	j.out = false
+	j.attemptOut = false
 	if final {
 		delete(b.jobs, id)
 		return policy.Decision{}
 	}
-	j.ran = j.ran || !how.NeverRan()
+	j.mayHaveRun = j.mayHaveRun || !how.NeverRan()
 	return b.Place(now, id)
 }
 
 func (b *baseline) ClientLeft(_ time.Duration, id policy.JobID) {
-	if j := b.jobs[id]; j != nil && !j.out {
+	if j := b.jobs[id]; j != nil && !j.attemptOut {
 		delete(b.jobs, id)
 	}
 }
 
 func (b *baseline) UpdateEndpoints(_ time.Duration, what policy.EndpointUpdateKind, entries []policy.Endpoint) {
 	if what == policy.CompleteUpdate {
-		clear(b.live)
+		clear(b.available)
 	}
 	for _, e := range entries {
-		b.live[e.Executor] = e.State == policy.Available
+		b.available[e.Executor] = e.State == policy.Available
 	}
 	b.order = b.order[:0]
-	for _, x := range b.n.w.executors {
-		if b.live[x.ID] {
+	for _, x := range b.simNode.world.executors {
+		if b.available[x.ID] {
 			b.order = append(b.order, x.ID)
 		}
 	}
@@ -170,24 +170,24 @@
 
 // soonest is the executor that would answer first of those with a place free when it would come, by what is true of all of them, their queues and what is on
 // its way there. None, so that it is held, where none has one, or where waiting for a place elsewhere would bring an answer in time and going now would not.
-func (b *baseline) soonest(_ time.Duration, j *wanted) policy.ExecutorID {
-	w, n := b.n.w, b.n
+func (b *baseline) soonest(_ time.Duration, j *baselineJob) policy.ExecutorID {
+	w, n := b.simNode.world, b.simNode
 	if b.fullAt == w.now {
 		return "" // nothing has come free since
 	}
 	var free *executor
 	firstFree, first := policy.Forever, policy.Forever
 	for _, x := range w.executors {
-		if t := x.Trouble(); !b.live[x.ID] || !x.Up || x.gone || x.Drains || t.Mute || t.Errors > 0 || !w.connected(n.zone, x.Zone) {
+		if t := x.Trouble(); !b.available[x.ID] || !x.Up || x.unreachable || x.Drains || t.Mute || t.Errors > 0 || !w.linked(n.zone, x.Zone) {
 			continue
 		}
-		way := w.way(n.zone, x.Zone)
+		way := w.minDelay(n.zone, x.Zone)
 		there := w.now + way
-		if !n.rests(x) {
+		if !n.hasIdleConn(x) {
 			there += 2 * way // it has to be dialled first
 		}
-		at, rate := x.Frees(w.now, w.booked(x))
-		done := max(at, there) + time.Duration(j.try.work.Cost/rate*1e9) + way
+		at, rate := x.Frees(w.now, w.assignedWork(x))
+		done := max(at, there) + time.Duration(j.request.work.Cost/rate*1e9) + way
 		first = min(first, done)
 		if at <= there && done < firstFree {
 			free, firstFree = x, done
@@ -196,31 +196,31 @@
 	if free == nil {
 		b.fullAt = w.now
 	}
-	quoted := j.try.work.Quoted
+	quoted := j.request.work.Quoted
 	if free == nil || firstFree > quoted && first <= quoted {
 		return ""
 	}
-	free.booked = append(free.booked, j)
-	j.try.landed = false
+	free.assigned = append(free.assigned, j)
+	j.request.delivered = false
 	return free.ID
 }
 
-// booked is the work that is on its way to an executor, by what the best choice sent there.
-func (w *World) booked(x *executor) (work []float64) {
-	x.booked = slices.DeleteFunc(x.booked, func(j *wanted) bool {
-		n := j.try.n
-		return j.try.landed || !j.out || !n.up || n.run != j.try.run
+// assignedWork is the work that is on its way to an executor, by what the best choice sent there.
+func (w *World) assignedWork(x *executor) (work []float64) {
+	x.assigned = slices.DeleteFunc(x.assigned, func(j *baselineJob) bool {
+		n := j.request.simNode
+		return j.request.delivered || !j.attemptOut || !n.up || n.incarnation != j.request.incarnation
 	})
-	for _, j := range x.booked {
-		work = append(work, j.try.work.Cost)
+	for _, j := range x.assigned {
+		work = append(work, j.request.work.Cost)
 	}
 	return work
 }
 
-// rests says whether a node has a connection to an executor that nothing is on.
-func (n *sim) rests(x *executor) bool {
-	for _, c := range n.wires {
-		if c.x == x && c.state == up && c.load == nil {
+// hasIdleConn says whether a node has a connection to an executor that nothing is on.
+func (n *simNode) hasIdleConn(x *executor) bool {
+	for _, c := range n.conns {
+		if c.executor == x && c.state == connUp && c.attempt == nil {
 			return true
 		}
 	}
--- a/internal/simulation/cold.go
+++ b/internal/simulation/cold.go
@@ -9,10 +9,10 @@
 	"birchstair/internal/emulator"
 )
 
-// drawCold makes a drawn world one for rule 4: 20 or 30 nodes, most of which share nothing, executors that start again, join or come back
+// drawSlowStart makes a drawn world one for rule 4: 20 or 30 nodes, most of which share nothing, executors that start again, join or come back
 // under a burst, and nodes that start again, stand still or hear late just then. Batch jobs are small enough for budgets of one to some
 // hundreds.
-func drawCold(s *Scenario) {
+func drawSlowStart(s *Scenario) {
 	r := stream(s.Seed, "cold")
 	ms := func(least, most int) Span { return Span(time.Duration(least+r.IntN(most-least)) * time.Millisecond) }
 	f, l := &s.Fleet, &s.Load
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -39,7 +39,7 @@
 	name  string
 	rule  invariants.Rule
 	world func(*Scenario)
-	plant plant
+	plant injectedDefects
 }
 
 // crawling has many executors slow down while few batch jobs come: what runs there pays for a second copy.
@@ -77,8 +77,8 @@
 }
 
 // changed changes events of one kind on their way to the reducer.
-func changed[E node.Event](change func(*World, *sim, E) []node.Event) func(*World, *sim, node.Event) []node.Event {
-	return func(w *World, n *sim, ev node.Event) []node.Event {
+func changed[E node.Event](change func(*World, *simNode, E) []node.Event) func(*World, *simNode, node.Event) []node.Event {
+	return func(w *World, n *simNode, ev node.Event) []node.Event {
 		if e, ok := ev.(E); ok {
 			return change(w, n, e)
 		}
@@ -87,8 +87,8 @@
 }
 
 // instead changes effects of one kind on their way out.
-func instead[E node.Effect](change func(*World, *sim, E) []node.Effect) func(*World, *sim, node.Effect) []node.Effect {
-	return func(w *World, n *sim, e node.Effect) []node.Effect {
+func instead[E node.Effect](change func(*World, *simNode, E) []node.Effect) func(*World, *simNode, node.Effect) []node.Effect {
+	return func(w *World, n *simNode, e node.Effect) []node.Effect {
 		if e, ok := e.(E); ok {
 			return change(w, n, e)
 		}
@@ -108,23 +108,23 @@
 		return d
 	}
 	for _, x := range m.executors {
-		if x.Up && !x.Drains && !x.Cold(now) && x.down == 0 {
+		if x.Up && !x.Drains && !x.Cold(now) && x.activeDownFaults == 0 {
 			return policy.Decision{Action: policy.Send, Executor: x.ID}
 		}
 	}
 	return d
 }
 
-func onlyEnded(change func(*node.AttemptEnded)) func(*World, *sim, node.Event) []node.Event {
-	return changed(func(_ *World, _ *sim, ev node.AttemptEnded) []node.Event {
+func onlyEnded(change func(*node.AttemptEnded)) func(*World, *simNode, node.Event) []node.Event {
+	return changed(func(_ *World, _ *simNode, ev node.AttemptEnded) []node.Event {
 		change(&ev)
 		return []node.Event{ev}
 	})
 }
 
 var defects = []defect{
-	{"the reducer forgets that an executor drains", invariants.DrainKept, nil, plant{
-		event: changed(func(_ *World, _ *sim, ev node.EndpointsUpdated) []node.Event {
+	{"the reducer forgets that an executor drains", invariants.DrainKept, nil, injectedDefects{
+		event: changed(func(_ *World, _ *simNode, ev node.EndpointsUpdated) []node.Event {
 			for i := range ev.Endpoints {
 				if ev.Endpoints[i].State == policy.Draining {
 					ev.Endpoints[i].State = policy.Available
@@ -134,38 +134,38 @@
 		})}},
 	{"the reducer forgets with the next list what operators have taken out", invariants.DrainKept, func(s *Scenario) {
 		s.Faults = append(s.Faults, Fault{Kind: emulator.TakenOut, At: Span(3 * time.Second), For: Span(14 * time.Second), Where: []string{"e9", "e11"}})
-	}, plant{
-		event: changed(func(w *World, n *sim, e node.EndpointsUpdated) []node.Event {
-			for _, id := range slices.Sorted(maps.Keys(n.outs)) {
-				for _, e := range n.core.Step(w.now-n.started, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
-					n.carryOut(e)
+	}, injectedDefects{
+		event: changed(func(w *World, n *simNode, e node.EndpointsUpdated) []node.Event {
+			for _, id := range slices.Sorted(maps.Keys(n.excluded)) {
+				for _, e := range n.reducer.Step(w.now-n.started, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
+					n.execute(e)
 				}
 			}
 			return []node.Event{e}
 		})}},
-	{"the list's edge sits on its news", invariants.DrainKept, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightsEvery = 0 }, plant{
-		event: changed(func(w *World, n *sim, ev node.EndpointsUpdated) []node.Event {
+	{"the list's edge sits on its news", invariants.DrainKept, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightsEvery = 0 }, injectedDefects{
+		event: changed(func(w *World, n *simNode, ev node.EndpointsUpdated) []node.Event {
 			if ev.Kind != policy.IncrementalUpdate {
 				return []node.Event{ev}
 			}
 			n.later(3*time.Second, func() {
-				for _, e := range n.core.Step(w.now-n.started, ev) {
-					n.carryOut(e)
+				for _, e := range n.reducer.Step(w.now-n.started, ev) {
+					n.execute(e)
 				}
 			})
 			return nil
 		})}},
-	{"the reducer answers twice", invariants.OneAnswer, nil, plant{
-		effect: instead(func(_ *World, _ *sim, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
-	{"results are lost within the node", invariants.OneAnswer, nil, plant{
-		effect: instead(func(w *World, _ *sim, a node.Answer) []node.Effect {
+	{"the reducer answers twice", invariants.OneAnswer, nil, injectedDefects{
+		effect: instead(func(_ *World, _ *simNode, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
+	{"results are lost within the node", invariants.OneAnswer, nil, injectedDefects{
+		effect: instead(func(w *World, _ *simNode, a node.Answer) []node.Effect {
 			if a.Final == node.Succeeded && w.steps%20 == 0 {
 				return nil
 			}
 			return []node.Effect{a}
 		})}},
-	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Of = 1.5 }, plant{
-		event: changed(func(w *World, _ *sim, ev node.JobArrived) []node.Event {
+	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Of = 1.5 }, injectedDefects{
+		event: changed(func(w *World, _ *simNode, ev node.JobArrived) []node.Event {
 			ev.Job.Budget *= 2
 			return []node.Event{ev}
 		}),
@@ -175,56 +175,56 @@
 				p.JobClasses[i].LateValue = 1
 			}
 		}}},
-	{"an executor's error counts as its result", invariants.OneAnswer, nil, plant{
+	{"an executor's error counts as its result", invariants.OneAnswer, nil, injectedDefects{
 		event: onlyEnded(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.Succeeded
 			}
 		})}},
-	{"what is answered is sent once more", invariants.OneAnswer, nil, plant{
-		effect: instead(func(w *World, n *sim, a node.Answer) []node.Effect {
-			t := n.tries[a.Job]
-			if a.Final == node.Succeeded && t != nil && w.module[t.work.Track].Idempotency == policy.Idempotent {
-				for _, c := range sortedByID(n.wires) {
-					if c.state == up && c.load == nil && !c.x.Cold(w.now) && c.x.down == 0 {
+	{"what is answered is sent once more", invariants.OneAnswer, nil, injectedDefects{
+		effect: instead(func(w *World, n *simNode, a node.Answer) []node.Effect {
+			t := n.requests[a.Job]
+			if a.Final == node.Succeeded && t != nil && w.jobClasses[t.work.Track].Idempotency == policy.Idempotent {
+				for _, c := range sortedByID(n.conns) {
+					if c.state == connUp && c.attempt == nil && !c.executor.Cold(w.now) && c.executor.activeDownFaults == 0 {
 						return []node.Effect{a, node.WriteAttempt{Conn: c.id, Attempt: node.Attempt{Request: &node.Request{ID: a.Job}}}}
 					}
 				}
 			}
 			return []node.Effect{a}
 		})}},
-	{"a cut counts as a connection that never came up", invariants.NoEffectTwice, nil, plant{
+	{"a cut counts as a connection that never came up", invariants.NoEffectTwice, nil, injectedDefects{
 		event: onlyEnded(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ConnectionLost {
 				ev.Outcome = policy.ConnectFailed
 			}
 		})}},
-	{"an error counts as turned away", invariants.NoEffectTwice, nil, plant{
+	{"an error counts as turned away", invariants.NoEffectTwice, nil, injectedDefects{
 		event: onlyEnded(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.ExecutorFull
 			}
 		})}},
-	{"the module sends what it should break off", invariants.NoEffectTwice, nil, plant{
-		module: func(w *World, _ *sim, m node.Policy) node.Policy { return &stubborn{m, w.executors} }}},
-	{"what is broken off is told as pushed back", invariants.NoEffectTwice, nil, plant{
-		effect: instead(func(_ *World, _ *sim, a node.Answer) []node.Effect {
+	{"the module sends what it should break off", invariants.NoEffectTwice, nil, injectedDefects{
+		policy: func(w *World, _ *simNode, m node.Policy) node.Policy { return &stubborn{m, w.executors} }}},
+	{"what is broken off is told as pushed back", invariants.NoEffectTwice, nil, injectedDefects{
+		effect: instead(func(_ *World, _ *simNode, a node.Answer) []node.Effect {
 			if a.Final == node.Failed {
 				a.Final = node.Rejected
 			}
 			return []node.Effect{a}
 		})}},
-	{"a next allocation goes out before the last one's outcome", invariants.NoEffectTwice, nil, plant{
-		effect: instead(func(_ *World, n *sim, e node.CloseConn) []node.Effect {
-			c := n.wires[e.Conn]
-			if c == nil || c.state != up || c.load == nil {
+	{"a next allocation goes out before the last one's outcome", invariants.NoEffectTwice, nil, injectedDefects{
+		effect: instead(func(_ *World, n *simNode, e node.CloseConn) []node.Effect {
+			c := n.conns[e.Conn]
+			if c == nil || c.state != connUp || c.attempt == nil {
 				return []node.Effect{e}
 			}
-			n.later(epsilon, func() { n.tell(node.AttemptEnded{Conn: e.Conn, Outcome: policy.ConnectionLost, ConnBroken: true}) })
-			n.later(2*epsilon, func() { n.tell(node.ConnClosed{Conn: e.Conn}) })
+			n.later(processingDelay, func() { n.deliver(node.AttemptEnded{Conn: e.Conn, Outcome: policy.ConnectionLost, ConnBroken: true}) })
+			n.later(2*processingDelay, func() { n.deliver(node.ConnClosed{Conn: e.Conn}) })
 			return nil
 		})}},
-	{"a once-only track is taken for repeatable", invariants.NoEffectTwice, nil, plant{
+	{"a once-only track is taken for repeatable", invariants.NoEffectTwice, nil, injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
@@ -232,9 +232,9 @@
 				}
 			}
 		}}},
-	{"a second copy where none is allowed", invariants.NoEffectTwice, crawling, plant{
+	{"a second copy where none is allowed", invariants.NoEffectTwice, crawling, injectedDefects{
 		settings: func(p *policy.Settings) { p.MayHedge = true }}},
-	{"a once-only track is copied", invariants.NoEffectTwice, func(s *Scenario) { crawling(s); s.Fleet.Copies = true }, plant{
+	{"a once-only track is copied", invariants.NoEffectTwice, func(s *Scenario) { crawling(s); s.Fleet.Copies = true }, injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
@@ -242,34 +242,34 @@
 				}
 			}
 		}}},
-	{"a zone's group is taken for all executors", invariants.NoEffectTwice, tagged("zone", 5*time.Second), plant{
+	{"a zone's group is taken for all executors", invariants.NoEffectTwice, tagged("zone", 5*time.Second), injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				p.JobClasses[i].DedupGroup = policy.DedupAllExecutors
 			}
 		}}},
-	{"a window is taken for longer than it is", invariants.NoEffectTwice, tagged("all", 300*time.Millisecond), plant{
+	{"a window is taken for longer than it is", invariants.NoEffectTwice, tagged("all", 300*time.Millisecond), injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				p.JobClasses[i].DedupWindow = time.Minute
 			}
 		}}},
-	{"executors say turned away, and run it", invariants.NoEffectTwice, nil, plant{
-		standin: func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: x.Zone == 0}) }}},
-	{"executors forget the tags they have seen", invariants.NoEffectTwice, tagged("all", 5*time.Second), plant{
-		allocation: func(a *emulator.Allocation) { a.Window = 0 }}},
+	{"executors say turned away, and run it", invariants.NoEffectTwice, nil, injectedDefects{
+		executor: func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: x.Zone == 0}) }}},
+	{"executors forget the tags they have seen", invariants.NoEffectTwice, tagged("all", 5*time.Second), injectedDefects{
+		attempt: func(a *emulator.Allocation) { a.Window = 0 }}},
 	{"a cold executor is taken for a warm one", invariants.ColdSpared, func(s *Scenario) {
 		s.Load.Of = 1.5
 		s.Fleet.ColdShare, s.Fleet.FallMultiple, s.Fleet.Queue = 0.1, 1, 10
-	}, plant{settings: func(p *policy.Settings) {
+	}, injectedDefects{settings: func(p *policy.Settings) {
 		p.SlowStartCapacity, p.SlowStartDuration, p.OverloadMultiple = 1, time.Millisecond, 1000
 	}}},
-	{"the leaving is forgotten", invariants.Awaited, impatient, plant{unheard: true, blind: true}},
-	{"nobody looks before an attempt's first byte", invariants.Awaited, stoppedUnderLeaving, plant{blind: true}},
-	{"what is given up on is held for a while", invariants.AtOnce, nil, plant{
-		effect: instead(func(w *World, n *sim, a node.Answer) []node.Effect {
-			if t := n.tries[a.Job]; a.Final == node.Rejected && t != nil && t.work.Limit > w.now+time.Second {
-				n.later(300*time.Millisecond, func() { n.carryOut(a) })
+	{"the leaving is forgotten", invariants.Awaited, impatient, injectedDefects{hideClientLeft: true, hideClientGone: true}},
+	{"nobody looks before an attempt's first byte", invariants.Awaited, stoppedUnderLeaving, injectedDefects{hideClientGone: true}},
+	{"what is given up on is held for a while", invariants.AtOnce, nil, injectedDefects{
+		effect: instead(func(w *World, n *simNode, a node.Answer) []node.Effect {
+			if t := n.requests[a.Job]; a.Final == node.Rejected && t != nil && t.work.Limit > w.now+time.Second {
+				n.later(300*time.Millisecond, func() { n.execute(a) })
 				return nil
 			}
 			return []node.Effect{a}
@@ -312,7 +312,7 @@
 					t.Fatalf("seed %d breaks a rule with nothing planted: %s", seed, broken)
 				}
 				w := New(s, seed, Options{Most: 1000})
-				w.plant = d.plant
+				w.defects = d.plant
 				for _, b := range w.Play().Broken {
 					if caught[b.Rule]++; b.Rule != d.rule && caught[b.Rule] == 1 {
 						t.Errorf("seed %d: another rule broke: %v", seed, b)
--- a/internal/simulation/fleet_defects_test.go
+++ b/internal/simulation/fleet_defects_test.go
@@ -40,20 +40,20 @@
 	for _, d := range []struct {
 		name  string
 		world func(*Scenario)
-		plant plant
+		plant injectedDefects
 		wrong func(sound, r Result) string
 	}{
-		{"a node tells its own echo as news", nil, func() plant {
+		{"a node tells its own echo as news", nil, func() injectedDefects {
 			heard := map[invariants.NodeID]map[cluster.NodeName]cluster.Rates{}
-			return plant{
-				event: changed(func(_ *World, n *sim, ev node.GossipReceived) []node.Event {
+			return injectedDefects{
+				event: changed(func(_ *World, n *simNode, ev node.GossipReceived) []node.Event {
 					if heard[n.id] == nil {
 						heard[n.id] = map[cluster.NodeName]cluster.Rates{}
 					}
 					heard[n.id][ev.Message.From] = ev.Message.Rates
 					return []node.Event{ev}
 				}),
-				effect: instead(func(_ *World, n *sim, to node.SendGossip) []node.Effect {
+				effect: instead(func(_ *World, n *simNode, to node.SendGossip) []node.Effect {
 					for _, g := range heard[n.id] {
 						to.Message.Rates.Completed += g.Completed
 					}
@@ -62,10 +62,10 @@
 		}(), overTold},
 		{"an old view counts as fresh", func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "nodes-apart", At: Span(4 * time.Second), For: Span(9 * time.Second), Where: []string{"n0", "n1"}}}
-		}, plant{fleet: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, overTold},
-		{"a node tells more often than it may", nil, plant{fleet: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, overTold},
-		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Of = 0.8 }, plant{
-			event: changed(func(_ *World, _ *sim, ev node.GossipReceived) []node.Event {
+		}, injectedDefects{fleet: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, overTold},
+		{"a node tells more often than it may", nil, injectedDefects{fleet: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, overTold},
+		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Of = 0.8 }, injectedDefects{
+			event: changed(func(_ *World, _ *simNode, ev node.GossipReceived) []node.Event {
 				ev.Message.Rates.Migrations = 0
 				return []node.Event{ev}
 			})}, func(sound, r Result) string {
@@ -77,11 +77,11 @@
 		{"a cut line that never falls again", func(s *Scenario) {
 			s.Load.Of = 0.6
 			s.Faults = []Fault{{Kind: "burst", At: Span(2 * time.Second), For: Span(5 * time.Second), Size: 4}}
-		}, plant{module: func(_ *World, _ *sim, m node.Policy) node.Policy { return &stuck{Policy: m} }}, func(_, r Result) string {
+		}, injectedDefects{policy: func(_ *World, _ *simNode, m node.Policy) node.Policy { return &stuck{Policy: m} }}, func(_, r Result) string {
 			last := r.seconds[12:15]
 			asked, earned := 0.0, 0.0
 			for _, s := range last {
-				asked, earned = asked+s.asked, earned+s.earned
+				asked, earned = asked+s.valueOffered, earned+s.valueEarned
 			}
 			if earned < 0.9*asked {
 				return fmt.Sprintf("earns %.2f long after the burst", earned/asked)
@@ -106,7 +106,7 @@
 				t.Fatal("with nothing planted: ", text)
 			}
 			w := New(s, 3, Options{Most: 1000})
-			w.plant = d.plant
+			w.defects = d.plant
 			text := d.wrong(sound, w.Play())
 			if text == "" {
 				t.Error("not caught")
--- a/internal/simulation/hard_test.go
+++ b/internal/simulation/hard_test.go
@@ -75,7 +75,7 @@
 		clear(x.held)
 		w := New(s, seed, Options{Trace: x.see})
 		r := w.Play()
-		ties += w.ties
+		ties += w.sameInstantSteps
 		for _, e := range w.executors {
 			orphans += e.Orphans
 		}
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -46,7 +46,7 @@
 		l.Loops, l.Think = 1+r.IntN(6), Span(time.Duration(r.IntN(300))*time.Millisecond)
 	}
 	byHand := []emulator.Kind{emulator.TakenOut, emulator.SentAway}
-	kinds := slices.DeleteFunc(emulator.Kinds(), func(k emulator.Kind) bool { return slices.Contains(byHand, k) || slices.Contains(ofTalk, k) })
+	kinds := slices.DeleteFunc(emulator.Kinds(), func(k emulator.Kind) bool { return slices.Contains(byHand, k) || slices.Contains(gossipFaults, k) })
 	for range r.IntN(7) {
 		s.Faults = append(s.Faults, drawFault(r, &s, kinds[r.IntN(len(kinds))]))
 	}
@@ -63,12 +63,12 @@
 		f.WordsLost, f.WordsDoubled = [...]float64{0, 0, 0.3}[r.IntN(3)], [...]float64{0, 0.2}[r.IntN(2)]
 		f.WordsLate = Span([...]time.Duration{0, 500 * time.Millisecond}[r.IntN(2)])
 		for range r.IntN(4) {
-			s.Faults = append(s.Faults, drawFault(r, &s, ofTalk[r.IntN(len(ofTalk))]))
+			s.Faults = append(s.Faults, drawFault(r, &s, gossipFaults[r.IntN(len(gossipFaults))]))
 		}
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	if size.Cold {
-		drawCold(&s)
+		drawSlowStart(&s)
 	}
 	return s
 }
--- a/internal/simulation/killing.go
+++ b/internal/simulation/killing.go
@@ -39,23 +39,23 @@
 	Wrong  []string
 }
 
-// killed is a run that goes on.
-type killed struct {
+// killRun is a run that goes on.
+type killRun struct {
 	Killing
 	listen string
 	site   string
 	config string
 
-	mu     sync.Mutex
-	runs   map[string]int
-	finals map[string]string
-	wrong  []string
-	rand   *rand.Rand
+	mu        sync.Mutex
+	runsOfJob map[string]int
+	finals    map[string]string
+	wrong     []string
+	rand      *rand.Rand
 }
 
 // Play plays a run. An error means that it could not be played.
 func (k Killing) Play() (Killed, error) {
-	r := &killed{Killing: k, runs: map[string]int{}, finals: map[string]string{}, rand: rand.New(rand.NewPCG(k.Seed, 4))}
+	r := &killRun{Killing: k, runsOfJob: map[string]int{}, finals: map[string]string{}, rand: rand.New(rand.NewPCG(k.Seed, 4))}
 	closeAll, err := r.setUp()
 	defer closeAll()
 	if err != nil {
@@ -69,11 +69,11 @@
 	for i := range k.Jobs {
 		wait.Go(func() {
 			time.Sleep(time.Duration(i) * 15 * time.Millisecond)
-			r.client(fmt.Sprint("job", i), killingTracks[i%2].name)
+			r.client(fmt.Sprint("job", i), killClasses[i%2].name)
 		})
 	}
 	for range k.Kills {
-		time.Sleep(time.Duration(20+r.number(400)) * time.Millisecond)
+		time.Sleep(time.Duration(20+r.randomN(400)) * time.Millisecond)
 		if err := node.Process.Kill(); err != nil {
 			return Killed{}, err
 		}
@@ -89,13 +89,13 @@
 	node.Process.Signal(syscall.SIGTERM)
 	if err := node.Wait(); err != nil {
 		log, _ := os.ReadFile(filepath.Join(r.Dir, "log"))
-		r.fail("a planned end: %v; its log ends with %s", err, log[max(0, len(log)-500):])
+		r.violation("a planned end: %v; its log ends with %s", err, log[max(0, len(log)-500):])
 	}
-	return r.count(), nil
+	return r.verdict(), nil
 }
 
 // awaitReady waits until the node says that it is ready.
-func (r *killed) awaitReady() {
+func (r *killRun) awaitReady() {
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		answer, err := http.Get("http://" + r.listen + "/-/ready")
 		if err != nil {
@@ -106,17 +106,17 @@
 			return
 		}
 	}
-	r.fail("the node is not ready again")
+	r.violation("the node is not ready again")
 }
 
-// count says what is wrong with what was seen.
-func (r *killed) count() Killed {
+// verdict says what is wrong with what was seen.
+func (r *killRun) verdict() Killed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := Killed{Finals: map[string]int{}, Wrong: r.wrong}
 	for i := range r.Jobs {
-		id, once := fmt.Sprint("job", i), killingTracks[i%2].repeat == "once"
-		final, n := r.finals[id], r.runs[id]
+		id, once := fmt.Sprint("job", i), killClasses[i%2].repeat == "once"
+		final, n := r.finals[id], r.runsOfJob[id]
 		out.Finals[final]++
 		switch {
 		case final == "":
@@ -132,22 +132,22 @@
 	return out
 }
 
-func (r *killed) fail(format string, args ...any) {
+func (r *killRun) violation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wrong = append(r.wrong, fmt.Sprintf(format, args...))
 }
 
-func (r *killed) number(n int) int {
+func (r *killRun) randomN(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rand.IntN(n)
 }
 
-var killingTracks = [2]struct{ name, repeat string }{{"page", "repeatable"}, {"order", "once"}}
+var killClasses = [2]struct{ name, repeat string }{{"page", "repeatable"}, {"order", "once"}}
 
 // setUp starts the stand-ins and writes the node's files.
-func (r *killed) setUp() (closeAll func(), err error) {
+func (r *killRun) setUp() (closeAll func(), err error) {
 	var open []net.Listener
 	closeAll = func() {
 		for _, l := range open {
@@ -170,11 +170,11 @@
 		if err != nil {
 			return closeAll, err
 		}
-		x := &platform.Executor{ID: id, Leases: r.Leases, Takes: func() time.Duration { return time.Duration(r.number(120)) * time.Millisecond },
+		x := &platform.Executor{ID: id, Leases: r.Leases, Takes: func() time.Duration { return time.Duration(r.randomN(120)) * time.Millisecond },
 			Ran: func(job policy.JobID) {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				r.runs[strings.TrimPrefix(string(job), "durable-")]++
+				r.runsOfJob[strings.TrimPrefix(string(job), "durable-")]++
 			}}
 		go x.Serve(open[i])
 	}
@@ -189,7 +189,7 @@
 	go (&platform.Discovery{Entries: entries, Zones: []string{"z"}}).Serve(open[3])
 	r.listen, r.config, r.site = own, filepath.Join(r.Dir, "config.json"), filepath.Join(r.Dir, "site.toml")
 	var tracks []any
-	for _, t := range killingTracks {
+	for _, t := range killClasses {
 		tracks = append(tracks, map[string]any{"name": t.name, "quoted-time-s": 0.3, "outer-limit-s": 5, "repeat": t.repeat, "earnings": 1})
 	}
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": own, "discovery": discovery, "settings": map[string]any{"balancers": 1,
@@ -204,7 +204,7 @@
 }
 
 // start starts the node.
-func (r *killed) start() (*exec.Cmd, error) {
+func (r *killRun) start() (*exec.Cmd, error) {
 	log, err := os.OpenFile(filepath.Join(r.Dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -216,7 +216,7 @@
 }
 
 // client hands a batch job in and asks for its final answer, whatever happens to the node.
-func (r *killed) client(id, track string) {
+func (r *killRun) client(id, track string) {
 	c := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	url := "http://" + r.listen + "/-/jobs/" + id
 	until := time.Now().Add(90 * time.Second)
@@ -234,7 +234,7 @@
 		case !acknowledged && (status == http.StatusCreated || status == http.StatusOK):
 			acknowledged = true
 		case status != http.StatusOK:
-			r.fail("%s: %s answered with status %d: %s", id, method, status, text)
+			r.violation("%s: %s answered with status %d: %s", id, method, status, text)
 			return
 		case json.Unmarshal(text, &told) == nil && told.Final != "":
 			r.mu.Lock()
@@ -245,7 +245,7 @@
 				return
 			}
 			if was != "" {
-				r.fail("%s has two final answers, %s and %s", id, was, told.Final)
+				r.violation("%s has two final answers, %s and %s", id, was, told.Final)
 				return
 			}
 			time.Sleep(500 * time.Millisecond) // and asks again, perhaps another life
@@ -253,7 +253,7 @@
 	}
 }
 
-func (r *killed) call(c *http.Client, method, url, track string, body []byte) (int, []byte, error) {
+func (r *killRun) call(c *http.Client, method, url, track string, body []byte) (int, []byte, error) {
 	m, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
--- a/internal/simulation/news_test.go
+++ b/internal/simulation/news_test.go
@@ -36,8 +36,8 @@
 		})
 		caught := 0
 		w := New(s, seed, Options{Most: 1000})
-		w.plant.event = changed(func(_ *World, n *sim, ev node.JobArrived) []node.Event {
-			n.noList = true // and nobody says so
+		w.defects.event = changed(func(_ *World, n *simNode, ev node.JobArrived) []node.Event {
+			n.watchCut = true // and nobody says so
 			return []node.Event{ev}
 		})
 		for _, b := range w.Play().Broken {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -45,10 +45,10 @@
 
 	Account *Account `json:"account,omitempty"`
 
-	seconds  []second
-	offers   []Offer
-	capacity []float64 // work that could be done in each bin
-	body     []byte
+	seconds     []resultSecond
+	offers      []Offer
+	capacity    []float64 // work that could be done in each bin
+	requestBody []byte
 }
 
 // Offer is work that was wanted, from when until when it earned.
@@ -72,38 +72,38 @@
 	Unreached  int     `json:"unreached"`
 	Lost       int     `json:"lost"` // with their node
 
-	asked, earned float64
+	valueOffered, valueEarned float64
 }
 
-// second is what was asked for in a second, and what of that was earned.
-type second struct{ asked, earned float64 }
+// resultSecond is what was asked for in a second, and what of that was earned.
+type resultSecond struct{ valueOffered, valueEarned float64 }
 
 func newResult(s Scenario, seed uint64) Result {
-	r := Result{Scenario: s.Name, Seed: seed, Length: s.Length, seconds: make([]second, int(time.Duration(s.Length)/time.Second)+1)}
+	r := Result{Scenario: s.Name, Seed: seed, Length: s.Length, seconds: make([]resultSecond, int(time.Duration(s.Length)/time.Second)+1)}
 	for _, t := range s.Tracks {
 		r.Tracks = append(r.Tracks, TrackResult{Name: t.Name})
 	}
 	return r
 }
 
-func (r *Result) second(at time.Duration) *second {
+func (r *Result) secondOf(at time.Duration) *resultSecond {
 	return &r.seconds[min(int(at/time.Second), len(r.seconds)-1)]
 }
 
-func (r *Result) asked(work *emulator.Work) {
+func (r *Result) recordWork(work *emulator.Work) {
 	t := &r.Tracks[work.Track]
 	t.Works++
-	t.asked += work.Earns
-	r.second(work.Came).asked += work.Earns
+	t.valueOffered += work.Earns
+	r.secondOf(work.Came).valueOffered += work.Earns
 	r.offers = append(r.offers, Offer{work.Came, work.Quoted, work.Cost, work.Earns})
 }
 
-// sample books what could be done in the bin that begins now: by executors that take and answer, that some node which lives can reach.
-func (r *Result) sample(w *World) {
+// sampleCapacity books what could be done in the bin that begins now: by executors that take and answer, that some node which lives can reach.
+func (r *Result) sampleCapacity(w *World) {
 	can := 0.0
 	for _, x := range w.executors {
 		t := x.Trouble()
-		if !x.Up || x.gone || x.Drains || t.Mute || !w.reachable(x) {
+		if !x.Up || x.unreachable || x.Drains || t.Mute || !w.reachable(x) {
 			continue
 		}
 		part := (1 - t.Errors) * (1 - t.Neighbour/2) / max(1, t.Slow)
@@ -118,8 +118,8 @@
 // reachable says whether a node lives that may send to an executor: there is a way, and operators have not taken it out there.
 func (w *World) reachable(x *executor) bool {
 	for _, n := range w.nodes {
-		_, out := n.outs[x.ID]
-		if n.up && !n.stopped && !out && w.connected(n.zone, x.Zone) {
+		_, out := n.excluded[x.ID]
+		if n.up && !n.suspended && !out && w.linked(n.zone, x.Zone) {
 			return true
 		}
 	}
@@ -145,8 +145,8 @@
 	return sum
 }
 
-// ended books the end of a try, and gives what it earned.
-func (r *Result) ended(w *World, work *emulator.Work, how emulator.End) (earned float64) {
+// recordRequestEnd books the end of a try, and gives what it earned.
+func (r *Result) recordRequestEnd(w *World, work *emulator.Work, how emulator.End) (earned float64) {
 	t := &r.Tracks[work.Track]
 	t.Tries++
 	switch how {
@@ -154,10 +154,10 @@
 		t.Handled++
 		earns := work.Earns
 		if w.now > work.Quoted {
-			earns *= w.module[work.Track].LateValue
+			earns *= w.jobClasses[work.Track].LateValue
 		}
-		t.earned += earns
-		r.second(work.Came).earned += earns
+		t.valueEarned += earns
+		r.secondOf(work.Came).valueEarned += earns
 		return earns
 	case emulator.EndPushedBack:
 		t.PushedBack++
@@ -171,21 +171,21 @@
 	return 0
 }
 
-func (r *Result) held(n *sim) { r.MostHeld = max(r.MostHeld, n.mostHeld) }
+func (r *Result) recordMaxQueued(n *simNode) { r.MostHeld = max(r.MostHeld, n.maxQueued) }
 
 const worstSeconds = 10
 
 func (r *Result) finish(w *World) {
 	for _, n := range w.nodes {
-		r.held(n)
+		r.recordMaxQueued(n)
 	}
 	r.Steps, r.LateTwice, r.WentWaiting, r.SentLate = w.steps, w.checker.LateTwice(), w.checker.WentWaiting(), w.checker.SentLate()
 	asked, earned := 0.0, 0.0
 	for i := range r.Tracks {
 		t := &r.Tracks[i]
-		t.Earned = part(t.earned, t.asked)
-		asked += t.asked
-		earned += t.earned
+		t.Earned = part(t.valueEarned, t.valueOffered)
+		asked += t.valueOffered
+		earned += t.valueEarned
 	}
 	r.Earned, r.Worst = part(earned, asked), 2
 	if len(r.capacity) > 0 {
@@ -195,14 +195,14 @@
 	for i := 0; i+min(worstSeconds, len(r.seconds)) <= len(r.seconds); i++ {
 		a, e := 0.0, 0.0
 		for _, s := range r.seconds[i:min(i+worstSeconds, len(r.seconds))] {
-			a += s.asked
-			e += s.earned
+			a += s.valueOffered
+			e += s.valueEarned
 		}
 		if p := part(e, a); p < r.Worst {
 			r.Worst, r.WorstAt = p, Span(time.Duration(i)*time.Second)
 		}
 	}
-	r.body = nil
+	r.requestBody = nil
 	if w.account != nil {
 		r.Account = w.account.finish()
 	}
@@ -225,15 +225,15 @@
 	over := func(from, to int) float64 {
 		a, e := 0.0, 0.0
 		for _, s := range r.seconds[max(0, from):min(to, len(r.seconds))] {
-			a += s.asked
-			e += s.earned
+			a += s.valueOffered
+			e += s.valueEarned
 		}
 		return part(e, a)
 	}
 	from := int((last + time.Second - 1) / time.Second)
-	before := over(int(settled/time.Second), int(first/time.Second))
-	for at := from; at+recoverySpell <= int(time.Duration(r.Length)/time.Second); at++ {
-		if over(at, at+recoverySpell) >= before-near {
+	before := over(int(settlingTime/time.Second), int(first/time.Second))
+	for at := from; at+recoveryWindow <= int(time.Duration(r.Length)/time.Second); at++ {
+		if over(at, at+recoveryWindow) >= before-near {
 			return time.Duration(at)*time.Second - last, true
 		}
 	}
@@ -241,8 +241,8 @@
 }
 
 const (
-	settled       = 3 * time.Second // a world has found its feet by then
-	recoverySpell = 3               // seconds
+	settlingTime   = 3 * time.Second // a world has found its feet by then
+	recoveryWindow = 3               // seconds
 )
 
 // Works is how many things clients wanted.
@@ -253,8 +253,8 @@
 	return n
 }
 
-// tries is how many batch jobs nodes were handed.
-func (r *Result) tries() (n int) {
+// totalRequests is how many batch jobs nodes were handed.
+func (r *Result) totalRequests() (n int) {
 	for _, t := range r.Tracks {
 		n += t.Tries
 	}
@@ -273,7 +273,7 @@
 		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", t.Name, t.Earned, t.Works, t.Tries, t.Handled, t.PushedBack, t.BrokenOff, t.Unreached, t.Lost)
 	}
 	fmt.Fprintf(to, "  allocations %d, %.3f a batch job; %d to another zone; %d dials, %d led nowhere; %d starts waited\n",
-		r.Allocations, part(float64(r.Allocations), float64(r.tries())), r.Crossings, r.Dials, r.NoConnection, r.StartsWaited)
+		r.Allocations, part(float64(r.Allocations), float64(r.totalRequests())), r.Crossings, r.Dials, r.NoConnection, r.StartsWaited)
 	fmt.Fprintf(to, "  most held by a node %d; %d clients left, %d of them while their batch jobs waited, %d attempts too late after that; %d executors fell over; %d tagged ran again too late to be dropped\n",
 		r.MostHeld, r.Left, r.WentWaiting, r.SentLate, r.Fell, r.LateTwice)
 	if r.Words > 0 {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -202,8 +202,8 @@
 	return b.Bytes(), err
 }
 
-var repeats = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "tagged": policy.IdempotentWithKey, "once-only": policy.AtMostOnce}
-var groups = map[string]policy.DedupGroup{"": policy.DedupAllExecutors, "all": policy.DedupAllExecutors, "zone": policy.DedupZone, "cell": policy.DedupCell}
+var idempotencyNames = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "tagged": policy.IdempotentWithKey, "once-only": policy.AtMostOnce}
+var dedupGroupNames = map[string]policy.DedupGroup{"": policy.DedupAllExecutors, "all": policy.DedupAllExecutors, "zone": policy.DedupZone, "cell": policy.DedupCell}
 
 // Sized is the scenario with another number of nodes and executors, and another length; 0 leaves one as it is. Faults that come later are left out.
 func (s Scenario) Sized(nodes, executors int, length time.Duration) (Scenario, error) {
@@ -217,9 +217,9 @@
 }
 
 const (
-	longest       = 24 * time.Hour
-	mostNodes     = 1000
-	mostExecutors = 20000
+	maxLength    = 24 * time.Hour
+	maxNodes     = 1000
+	maxExecutors = 20000
 )
 
 // check names the first place where a scenario makes no sense.
@@ -230,10 +230,10 @@
 		table, key string
 		why        string
 	}{
-		{s.Length <= 0 || time.Duration(s.Length) > longest, "", "length", "over 0 and at most 24h"},
+		{s.Length <= 0 || time.Duration(s.Length) > maxLength, "", "length", "over 0 and at most 24h"},
 		{len(f.Zones) == 0, "fleet", "zones", "at least one"},
-		{f.Nodes < 1 || f.Nodes > mostNodes, "fleet", "nodes", fmt.Sprint("from 1 to ", mostNodes)},
-		{f.Executors < 1 || f.Executors > mostExecutors, "fleet", "executors", fmt.Sprint("from 1 to ", mostExecutors)},
+		{f.Nodes < 1 || f.Nodes > maxNodes, "fleet", "nodes", fmt.Sprint("from 1 to ", maxNodes)},
+		{f.Executors < 1 || f.Executors > maxExecutors, "fleet", "executors", fmt.Sprint("from 1 to ", maxExecutors)},
 		{f.Cores < 1, "fleet", "cores", "at least 1"},
 		{f.Places < 1, "fleet", "places", "at least 1"},
 		{f.Queue < 0, "fleet", "queue", "not under 0"},
@@ -274,8 +274,8 @@
 	for i, t := range s.Tracks {
 		at := func(key string) tomlfile.Place { return tomlfile.Place{Table: "track", Index: i, Key: key} }
 		sum += t.Share
-		_, isRepeat := repeats[t.Repeat]
-		_, isGroup := groups[t.Group]
+		_, isRepeat := idempotencyNames[t.Repeat]
+		_, isGroup := dedupGroupNames[t.Group]
 		switch {
 		case t.Share < 0:
 			return at("share"), errors.New("under 0")
@@ -347,7 +347,7 @@
 // Takes are the tracks as clients, module and rules take them.
 func (s *Scenario) Takes() (own []emulator.Track, module []policy.JobClass) {
 	for _, t := range s.Tracks {
-		p := policy.JobClass{Idempotency: repeats[t.Repeat], DedupGroup: groups[t.Group], DedupWindow: time.Duration(t.Window),
+		p := policy.JobClass{Idempotency: idempotencyNames[t.Repeat], DedupGroup: dedupGroupNames[t.Group], DedupWindow: time.Duration(t.Window),
 			LatencyObjective: time.Duration(t.Quoted), RunTimeFactor: t.Stretch, Deadline: time.Duration(t.Outer), Value: t.Earnings,
 			LateValue: t.Late, Kind: policy.AnyKind}
 		own = append(own, emulator.Track{JobClass: p, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -31,7 +31,7 @@
 	}
 	for again := true; again; {
 		again = fewerFaults(&s, take)
-		for _, smaller := range steps(s) {
+		for _, smaller := range smallerScenarios(s) {
 			if take(smaller) {
 				again = true
 				break
@@ -64,8 +64,8 @@
 	return any
 }
 
-// steps are worlds that are a step smaller, those that save most first.
-func steps(s Scenario) (all []Scenario) {
+// smallerScenarios are worlds that are a step smaller, those that save most first.
+func smallerScenarios(s Scenario) (all []Scenario) {
 	with := func(change func(*Scenario)) {
 		try := s
 		try.Faults, try.Tracks = slices.Clone(s.Faults), slices.Clone(s.Tracks)
@@ -83,7 +83,7 @@
 	}
 	for i, f := range s.Faults {
 		if f.For > second/10 {
-			with(func(t *Scenario) { t.Faults[i].For = wholeMs(f.For / 2) })
+			with(func(t *Scenario) { t.Faults[i].For = roundToMillisecond(f.For / 2) })
 		}
 		if len(f.Where) > 1 {
 			for j := range f.Where {
@@ -112,13 +112,13 @@
 	} {
 		with(simpler)
 	}
-	return slices.DeleteFunc(all, func(t Scenario) bool { return same(t, s) })
+	return slices.DeleteFunc(all, func(t Scenario) bool { return sameText(t, s) })
 }
 
-func wholeMs(s Span) Span { return Span(time.Duration(s).Round(time.Millisecond)) }
+func roundToMillisecond(s Span) Span { return Span(time.Duration(s).Round(time.Millisecond)) }
 
-// same says whether two worlds are written alike.
-func same(a, b Scenario) bool {
+// sameText says whether two worlds are written alike.
+func sameText(a, b Scenario) bool {
 	x, _ := a.Text()
 	y, _ := b.Text()
 	return string(x) == string(y)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -261,7 +261,7 @@
 	const seed = 1
 	breaks := func(s Scenario) bool {
 		w := New(s, seed, Options{Most: 1})
-		w.plant = forgets.plant
+		w.defects = forgets.plant
 		r := w.Play()
 		return len(r.Broken) > 0 && r.Broken[0].Rule == forgets.rule
 	}
@@ -275,7 +275,7 @@
 		text, _ := small.Text()
 		t.Errorf("still large:\n%s", text)
 	}
-	if whole := shrink(s, func(Scenario) bool { return false }, func(Scenario) { t.Error("a step that helped nothing") }); !same(whole, s) {
+	if whole := shrink(s, func(Scenario) bool { return false }, func(Scenario) { t.Error("a step that helped nothing") }); !sameText(whole, s) {
 		t.Error("a world that breaks nothing was changed")
 	}
 }
