--- a/internal/simulation/front.go
+++ b/internal/simulation/clients.go
@@ -255,23 +255,6 @@
 	return all
 }
 
-// resetClient breaks a client's connection: the client may try again at once, elsewhere, while this node goes on.
-func (n *simNode) resetClient(t *clientRequest) {
-	if n.process != nil {
-		if t.conn != nil {
-			t.conn.Reset()
-		}
-		return
-	}
-	t.connLost = true
-	n.world.after(processingDelay, func() { t.finish(emulator.EndLost, 0) })
-	n.later(time.Duration(n.world.networkRand.Int64N(int64(time.Second))), func() {
-		if !t.answered {
-			n.clientGone(t)
-		}
-	})
-}
-
 // finishUnsent ends a try that no node has taken.
 func (t *clientRequest) finishUnsent(how emulator.End, comeBack time.Duration) {
 	t.answered = true
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,14 +1,12 @@
 package simulation
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
 	"birchstair/internal/emulator"
 	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/policy"
 )
 
 // scheduleFault puts a fault on the clock: its start, and its end.
@@ -45,29 +43,6 @@
 	return all
 }
 
-func (w *World) partitionZones(f emulator.Fault, in, out bool) {
-	for i, zone := range w.scenario.Fleet.Zones {
-		if !slices.Contains(f.Where, zone) {
-			continue
-		}
-		until := w.now + f.For
-		if in {
-			w.partitions[i].inboundUntil = max(w.partitions[i].inboundUntil, until)
-			for _, n := range w.nodes {
-				if n.zone == policy.ZoneID(i) {
-					w.checker.Apart(n.id, until)
-				}
-			}
-		}
-		if out {
-			w.partitions[i].outboundUntil = max(w.partitions[i].outboundUntil, until)
-		}
-	}
-	if w.wired != nil {
-		w.wired.setPartitions(w.partitions)
-	}
-}
-
 // gossipFaults are the kinds that only worlds of reducers alone can play: the network's nodes talk with nobody.
 var gossipFaults = []emulator.Kind{emulator.NodesApart, emulator.NodeLies, emulator.NodeStopped, emulator.WordsLost, emulator.ListCut}
 
@@ -261,155 +236,3 @@
 		}
 	}
 }
-
-// updateFault puts all its troubles together.
-func (x *executor) updateFault() {
-	t := emulator.Together(x.faults)
-	t.Lies = x.Trouble().Lies
-	x.apply(x.Suffer(x.world.now, t))
-}
-
-// stop ends an executor. Silently: its machine is gone, and nothing says so to those connected to it; the list, which
-// asks it, notices later.
-func (x *executor) stop(silently bool) {
-	x.activeDownFaults++
-	if !x.Up {
-		x.unreachable = x.unreachable || silently
-		return
-	}
-	outs := x.Crash(x.world.now)
-	if x.world.wired != nil {
-		x.world.wired.endExecutor(x, silently)
-	}
-	if !silently {
-		x.apply(outs)
-		x.world.updateEndpoint(x.entry(policy.Removed))
-		return
-	}
-	x.unreachable = true
-	x.timerSeq++
-	x.world.after(vanishDetection, func() {
-		if x.unreachable {
-			x.world.updateEndpoint(x.entry(policy.Removed))
-		}
-	})
-}
-
-// vanishDetection is how long the list service takes to notice that an executor which said nothing is gone.
-const vanishDetection = 2 * time.Second
-
-// endDownFault ends one fault that keeps an executor down; with the last it starts again.
-func (x *executor) endDownFault() {
-	if x.activeDownFaults--; x.activeDownFaults > 0 {
-		return
-	}
-	x.activeDownFaults = 0
-	x.restart()
-}
-
-// endDownFault ends one fault that keeps a node down.
-func (n *simNode) endDownFault() {
-	if n.activeDownFaults--; n.activeDownFaults > 0 {
-		return
-	}
-	n.activeDownFaults = 0
-	if n.up { // it is still on its way out
-		n.activeDownFaults = 1
-		n.later(100*time.Millisecond, n.endDownFault)
-		n.world.after(100*time.Millisecond, func() {
-			if !n.up && n.activeDownFaults == 1 {
-				n.endDownFault()
-			}
-		})
-		return
-	}
-	n.start()
-}
-
-// drain: the list says so first; later it takes nothing new, ends, and starts again cold when the fault is over.
-func (w *World) drain(x *executor, f emulator.Fault) {
-	if !x.Up || x.activeDownFaults > 0 {
-		return
-	}
-	x.activeDownFaults++
-	born := x.Started
-	w.updateEndpoint(x.entry(policy.Draining))
-	w.after(time.Duration(w.scenario.Fleet.ListLag+w.scenario.Fleet.DrainGrace), func() {
-		if x.Up && x.Started == born {
-			x.Drains = true
-		}
-	})
-	w.after(f.For*3/4, func() {
-		if x.Up && x.Started == born {
-			x.apply(x.Crash(w.now))
-			if w.wired != nil {
-				w.wired.endExecutor(x, false)
-			}
-			w.updateEndpoint(x.entry(policy.Removed))
-		}
-	})
-	w.after(f.For, x.endDownFault)
-}
-
-// excludeAndRestart has operators take an executor out at each node, and restart it meanwhile. The list says nothing of the first.
-func (w *World) excludeAndRestart(x *executor, f emulator.Fault) {
-	for _, n := range w.nodes {
-		n.adminCall(node.ExcludeExecutor, x.ID)
-	}
-	w.after(f.For/2, func() { x.stop(false) })
-	w.after(f.For*3/4, x.endDownFault)
-}
-
-// replace puts another executor, cold, in the place of one that is gone for good.
-func (w *World) replace(x *executor) {
-	x.replacements++
-	y := w.addExecutor(fmt.Sprintf("%s-%d", x.ID, x.replacements), x.number, x.Speed)
-	y.Up = false
-	y.restart()
-}
-
-// faultableConn is an open connection between a node and an executor that a fault can be put on.
-type faultableConn interface {
-	silence()                    // nothing comes back on it any more
-	breakAt(after time.Duration) // it breaks
-}
-
-func (w *World) openConns() (all []faultableConn) {
-	for _, n := range w.nodes {
-		if n.process != nil && n.up {
-			all = append(all, n.process.openConns()...)
-		}
-		for _, c := range sortedByID(n.conns) {
-			if n.up && c.state == connUp {
-				all = append(all, c)
-			}
-		}
-	}
-	return all
-}
-
-// resetClientConns breaks some of the connections that clients wait on, each second until the fault is over.
-func (w *World) resetClientConns(f emulator.Fault, until time.Duration) {
-	for _, n := range w.nodes {
-		for _, t := range n.openRequests() {
-			if n.up && w.networkRand.Float64() < f.Size {
-				n.resetClient(t)
-			}
-		}
-	}
-	if w.now+time.Second < until {
-		w.after(time.Second, func() { w.resetClientConns(f, until) })
-	}
-}
-
-// resetOpenConns breaks some of what is open, each second until the fault is over.
-func (w *World) resetOpenConns(f emulator.Fault, until time.Duration) {
-	for _, c := range w.openConns() {
-		if w.networkRand.Float64() < f.Size {
-			c.breakAt(time.Duration(w.networkRand.Int64N(int64(time.Second))))
-		}
-	}
-	if w.now+time.Second < until {
-		w.after(time.Second, func() { w.resetOpenConns(f, until) })
-	}
-}
--- a/internal/simulation/talk.go
+++ b/internal/simulation/gossip.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"birchstair/internal/cluster"
-	"birchstair/internal/emulator"
 	"birchstair/internal/invariants"
 	"birchstair/internal/node"
 	"birchstair/policy"
@@ -54,19 +53,6 @@
 	n.later(membershipInterval, n.updateMembership)
 }
 
-// linked says whether words go both ways between two zones.
-func (w *World) linked(a, b policy.ZoneID) bool {
-	if a == b {
-		return true
-	}
-	for _, z := range [...]policy.ZoneID{a, b} {
-		if w.partitions[z].inboundUntil > w.now || w.partitions[z].outboundUntil > w.now {
-			return false
-		}
-	}
-	return true
-}
-
 // sendGossip sends a word on its way.
 func (n *simNode) sendGossip(to cluster.Envelope) {
 	n.checkGossipBounds(to)
@@ -166,23 +152,3 @@
 		}
 	}
 }
-
-// suspend stops a node's process for a while, as SIGSTOP does: what comes meanwhile waits unread.
-func (n *simNode) suspend(f emulator.Fault) {
-	if !n.up || n.suspended {
-		return
-	}
-	n.suspended = true
-	n.world.observe(invariants.Seen{What: invariants.StoodStill, Node: n.id})
-	n.later(f.For, func() {
-		n.suspended = false
-		n.workRate.suspendedUntil = n.world.now + suspendGrace
-		n.world.observe(invariants.Seen{What: invariants.WentOn, Node: n.id})
-		waiting := n.pendingEvents
-		n.pendingEvents = nil
-		for _, ev := range waiting {
-			n.deliver(ev)
-		}
-		n.deliverEndpoints()
-	})
-}
--- /dev/null
+++ b/internal/simulation/result_print.go
@@ -0,0 +1,37 @@
+package simulation
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"time"
+)
+
+// Print writes it for people.
+func (r *Result) Print(to io.Writer) {
+	fmt.Fprintf(to, "%s, seed %d, %v\n", r.Scenario, r.Seed, time.Duration(r.Length))
+	fmt.Fprintf(to, "  earned in the quoted time  %.3f, in the worst 10 s %.3f (from %v)\n", r.Earned, r.Worst, time.Duration(r.WorstAt))
+	if r.Best > 0 {
+		fmt.Fprintf(to, "  at the most %.3f could have been, by what nodes and executors were there\n", r.Best)
+	}
+	fmt.Fprintf(to, "  %-10s %7s %7s %7s %8s %8s %7s %7s %6s\n", "track", "earned", "works", "tries", "handled", "pushed", "broken", "no node", "lost")
+	for _, t := range r.Tracks {
+		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", t.Name, t.Earned, t.Works, t.Tries, t.Handled, t.PushedBack, t.BrokenOff, t.Unreached, t.Lost)
+	}
+	fmt.Fprintf(to, "  allocations %d, %.3f a batch job; %d to another zone; %d dials, %d led nowhere; %d starts waited\n",
+		r.Allocations, part(float64(r.Allocations), float64(r.totalRequests())), r.Crossings, r.Dials, r.NoConnection, r.StartsWaited)
+	fmt.Fprintf(to, "  most held by a node %d; %d clients left, %d of them while their batch jobs waited, %d attempts too late after that; %d executors fell over; %d tagged ran again too late to be dropped\n",
+		r.MostHeld, r.Left, r.WentWaiting, r.SentLate, r.Fell, r.LateTwice)
+	if r.Words > 0 {
+		fmt.Fprintf(to, "  %d words between nodes\n", r.Words)
+	}
+	if r.Copies+r.Probes > 0 {
+		fmt.Fprintf(to, "  %d copies; %d probes\n", r.Copies, r.Probes)
+	}
+	if r.Panics > 0 {
+		fmt.Fprintf(to, "  the module broke %d times\n", r.Panics)
+	}
+	for _, b := range r.Broken {
+		fmt.Fprintf(to, "  BROKEN %s\n", strings.ReplaceAll(b.String(), "\n", "\n  "))
+	}
+}
