--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -31,7 +31,7 @@
 	}
 	b := &baseline{simNode: n, settings: p, available: map[policy.ExecutorID]bool{}, jobs: map[policy.JobID]*baselineJob{}}
 	if b.choose = b.soonest; n.world.policy == RandomPolicy {
-		r := stream(n.world.seed+uint64(n.incarnation)<<32, "random choice at "+n.name)
+		r := stream(n.world.seed+uint64(n.incarnation)<<32, randomPolicyStream+n.name)
 		b.choose = func(time.Duration, *baselineJob) policy.ExecutorID { return b.random(r) }
 	}
 	return b
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -47,7 +47,7 @@
 		c := &zoneClients{world: w, zone: policy.ZoneID(i)}
 		c.Clients = emulator.NewClients(zone+"-", w.classes, emulator.Habits{Rate: rates[i], Loops: l.Loops,
 			Think: time.Duration(l.Think), Retries: l.Retries, RetryWait: time.Duration(l.RetryWait), RetryMost: time.Duration(l.RetryMost), HeedsBack: l.HeedsBack,
-			Leaves: l.Leaves, RepeatsIDs: l.RepeatsIDs, HintNoise: l.HintNoise}, f.PerWork, stream(w.seed, "clients "+zone))
+			Leaves: l.Leaves, RepeatsIDs: l.RepeatsIDs, HintNoise: l.HintNoise}, f.PerWork, stream(w.seed, clientStream+zone))
 		w.clients = append(w.clients, c)
 		w.at(clientsStartAfter+c.Gap()/2, c.arrivals)
 		for client := range l.Loops {
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -21,7 +21,7 @@
 
 // Draw draws a world and its faults from a seed.
 func Draw(seed uint64, size Size) Scenario {
-	r := stream(seed, "draw")
+	r := stream(seed, drawStream)
 	s := base()
 	s.Name, s.Seed, s.Length = fmt.Sprint("seed-", seed), seed, Span(size.Length)
 	s.About = fmt.Sprintf("Drawn from seed %d.", seed)
@@ -48,13 +48,13 @@
 		s.Faults = append(s.Faults, drawFault(r, &s, kinds[r.IntN(len(kinds))]))
 	}
 	// What operators do comes from a stream of its own: the rest of a seed's world is as it was before they could.
-	r = stream(seed, "operators")
+	r = stream(seed, drawAdminStream)
 	for range r.IntN(3) {
 		s.Faults = append(s.Faults, drawFault(r, &s, byHand[r.IntN(len(byHand))]))
 	}
-	r = stream(seed, "beside") // likewise what is allowed beside one allocation at a time
+	r = stream(seed, drawFeatureStream) // likewise what is allowed beside one allocation at a time
 	s.Fleet.Copies, s.Fleet.Probes = r.IntN(2) == 0, r.IntN(2) == 0
-	r = stream(seed, "words") // and what nodes that talk meet
+	r = stream(seed, drawGossipStream) // and what nodes that talk meet
 	if f := &s.Fleet; r.IntN(2) == 0 {
 		f.Talk, f.Keepers = true, r.IntN(3) == 0
 		f.WordsLost, f.WordsDoubled = [...]float64{0, 0, 0.3}[r.IntN(3)], [...]float64{0, 0.2}[r.IntN(2)]
--- a/internal/simulation/draw_slow_start.go
+++ b/internal/simulation/draw_slow_start.go
@@ -13,7 +13,7 @@
 // under a burst, and nodes that start again, stand still or hear late just then. Batch jobs are small enough for budgets of one to some
 // hundreds.
 func drawSlowStart(s *Scenario) {
-	r := stream(s.Seed, "cold")
+	r := stream(s.Seed, drawSlowStartStream)
 	ms := func(least, most int) Span { return Span(time.Duration(least+r.IntN(most-least)) * time.Millisecond) }
 	f, l := &s.Fleet, &s.Load
 	s.About = fmt.Sprintf("Drawn from seed %d for cold executors among many nodes.", s.Seed)
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -1,91 +1,72 @@
 package simulation
 
-import (
-	"math/rand/v2"
-	"time"
-)
+import "time"
 
-// scheduledEvent is something that is to happen. Those of one instant go in an order that only the seed decides.
+// scheduledEvent is a function that runs at a time. Events of one instant run in an order that only the seed decides.
 type scheduledEvent struct {
 	at       time.Duration
 	tieBreak uint64
 	run      func()
 }
 
-func (a *scheduledEvent) before(b *scheduledEvent) bool {
-	return a.at < b.at || a.at == b.at && a.tieBreak < b.tieBreak
+func (e *scheduledEvent) before(other *scheduledEvent) bool {
+	return e.at < other.at || e.at == other.at && e.tieBreak < other.tieBreak
 }
 
-// eventHeap is a binary heap, the next item first. It is not container/heap: that makes a value of each item and calls by interface,
-// which costs a large part of a world.
+// eventHeap is a binary min-heap, the next event first. It is not a container/heap, which allocates an interface value an event and
+// calls by interface: that takes a large part of a world's time.
 type eventHeap []scheduledEvent
 
-func (h *eventHeap) push(x scheduledEvent) {
-	all := append(*h, x)
+func (h *eventHeap) push(event scheduledEvent) {
+	all := append(*h, event)
 	i := len(all) - 1
 	for i > 0 {
-		up := (i - 1) / 2
-		if !x.before(&all[up]) {
+		parent := (i - 1) / 2
+		if !event.before(&all[parent]) {
 			break
 		}
-		all[i], i = all[up], up
+		all[i], i = all[parent], parent
 	}
-	all[i] = x
+	all[i] = event
 	*h = all
 }
 
 func (h *eventHeap) pop() scheduledEvent {
 	all := *h
-	first, end := all[0], len(all)-1
-	x := all[end]
-	all[end] = scheduledEvent{}
-	all = all[:end]
+	first, last := all[0], len(all)-1
+	moved := all[last]
+	all[last] = scheduledEvent{}
+	all = all[:last]
 	*h = all
-	if end == 0 {
+	if last == 0 {
 		return first
 	}
 	i := 0
 	for {
-		next := 2*i + 1
-		if next >= end {
+		child := 2*i + 1
+		if child >= last {
 			break
 		}
-		if next+1 < end && all[next+1].before(&all[next]) {
-			next++
+		if child+1 < last && all[child+1].before(&all[child]) {
+			child++
 		}
-		if !all[next].before(&x) {
+		if !all[child].before(&moved) {
 			break
 		}
-		all[i], i = all[next], next
+		all[i], i = all[child], child
 	}
-	all[i] = x
+	all[i] = moved
 	return first
 }
 
-func (w *World) at(at time.Duration, what func()) {
+// at schedules a function; one in the past runs now.
+func (w *World) at(at time.Duration, run func()) {
 	w.scheduled++
-	w.events.push(scheduledEvent{max(at, w.now), permute(w.seed ^ w.scheduled*0x9e3779b97f4a7c15), what})
+	w.events.push(scheduledEvent{max(at, w.now), permute(w.seed ^ w.scheduled*scheduleGamma), run})
 	if w.wired != nil {
 		w.wired.eventScheduled()
 	}
 }
 
-func (w *World) after(span time.Duration, what func()) { w.at(w.now+span, what) }
-
-// stream is a source of chance of its own for each use, so that a fault taken out changes as little else as can be.
-func stream(seed uint64, use string) *rand.Rand {
-	h := uint64(14695981039346656037)
-	for i := range len(use) {
-		h = (h ^ uint64(use[i])) * 1099511628211
-	}
-	return rand.New(rand.NewPCG(seed, h))
-}
-
-// permute is a permutation of all numbers that looks like chance.
-func permute(x uint64) uint64 {
-	x ^= x >> 30
-	x *= 0xbf58476d1ce4e5b9
-	x ^= x >> 27
-	x *= 0x94d049bb133111eb
-	return x ^ x>>31
-}
+// after schedules a function after a delay.
+func (w *World) after(delay time.Duration, run func()) { w.at(w.now+delay, run) }
--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -30,7 +30,7 @@
 func (w *World) addExecutor(id string, number int, speed float64) *executor {
 	x := &executor{world: w, number: number, addr: w.newAddr(), conns: map[emulator.ConnID]*executorConn{}}
 	x.Executor = emulator.NewExecutor(w.scenario.Spec(id, number, speed),
-		stream(w.seed, "executor "+id))
+		stream(w.seed, executorStream+id))
 	w.executors = append(w.executors, x)
 	w.byAddr[x.addr] = x
 	return x
--- a/internal/simulation/observe.go
+++ b/internal/simulation/observe.go
@@ -7,30 +7,33 @@
 	"birchstair/internal/invariants"
 )
 
-// slack is how long after an outer limit an answer still counts, and prompt what counts as at once.
 const (
-	slack  = 16 * time.Millisecond
-	prompt = time.Millisecond
+	slack  = 16 * time.Millisecond // an answer so long after the deadline still counts as in time
+	prompt = time.Millisecond      // what happens within this counts as at once
 )
 
-// observe hands on what is seen, to the rules and to the trace.
+// observe reports an observation of now to the checker and the trace. In a wired world it is buffered until its instant is over.
 func (w *World) observe(s invariants.Seen) {
 	s.At = w.now
 	if w.wired == nil {
 		w.report(s)
 		return
 	}
-	by := "" // the script and what hangs on it come first
+	w.wired.buffer(observer(s), s)
+}
+
+// observer is the sort key of who saw something: the script first, then nodes, then executors.
+func observer(s invariants.Seen) string {
 	switch {
 	case s.What == invariants.Ran || s.What == invariants.Reached:
-		by = "x" + string(s.Executor)
+		return "x" + string(s.Executor)
 	case s.Node != invariants.Nobody:
-		by = fmt.Sprintf("n%04d", s.Node)
+		return fmt.Sprintf("n%04d", s.Node)
 	}
-	w.wired.buffer(by, s)
+	return ""
 }
 
-// report hands a thing seen to the rules and to the trace.
+// report reports an observation to the trace and the checker.
 func (w *World) report(s invariants.Seen) {
 	if w.traceFunc != nil {
 		w.traceFunc(s)
@@ -43,11 +46,12 @@
 	}
 }
 
+// note writes a line of text into the trace.
 func (w *World) note(format string, args ...any) {
 	w.observe(invariants.Seen{What: invariants.Note, Node: invariants.Nobody, Text: fmt.Sprintf(format, args...)})
 }
 
-// advanceChecker lets the checker see what was due by now.
+// advanceChecker lets the checker judge what was due by now.
 func (w *World) advanceChecker() {
 	w.checker.Pass(w.now)
 	w.result.Broken = append(w.result.Broken, w.checker.Broken()[len(w.result.Broken):]...)
--- /dev/null
+++ b/internal/simulation/random.go
@@ -0,0 +1,47 @@
+package simulation
+
+import "math/rand/v2"
+
+// Names of the random streams. They seed the streams: another name is another trace.
+const (
+	networkStream       = "network"
+	gossipStream        = "words"
+	workNoiseStream     = "attempts"
+	frontLayerStream    = "front"
+	speedStream         = "speeds"
+	executorStream      = "executor "         // followed by the executor's ID
+	clientStream        = "clients "          // followed by the zone's name
+	randomPolicyStream  = "random choice at " // followed by the node's name
+	drawStream          = "draw"
+	drawAdminStream     = "operators"
+	drawFeatureStream   = "beside"
+	drawGossipStream    = "words"
+	drawSlowStartStream = "cold"
+)
+
+// The 64-bit FNV-1a hash.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
+// scheduleGamma is the odd increment by which splitmix64 walks over all numbers.
+const scheduleGamma = 0x9e3779b97f4a7c15
+
+// stream returns the random stream of one use. Each use has its own, so that removing a fault changes as little else as possible.
+func stream(seed uint64, use string) *rand.Rand {
+	hash := uint64(fnvOffset)
+	for i := range len(use) {
+		hash = (hash ^ uint64(use[i])) * fnvPrime
+	}
+	return rand.New(rand.NewPCG(seed, hash))
+}
+
+// permute is the finalizer of splitmix64: a permutation of all numbers that looks random.
+func permute(x uint64) uint64 {
+	x ^= x >> 30
+	x *= 0xbf58476d1ce4e5b9
+	x ^= x >> 27
+	x *= 0x94d049bb133111eb
+	return x ^ x>>31
+}
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,9 +1,5 @@
-// Package simulation plays worlds: nodes, executors, discovery and clients on a virtual clock, with faults from a script, and the
-// rules checked at every step. The same seed gives the same trace.
-//
-// scenario.go reads a world's description, world.go builds it, net.go is what goes between nodes and executors,
-// front.go what goes between clients and nodes, faults.go the script, result.go what came of it; hunt.go draws worlds
-// from seeds, shrink.go makes them small.
+// Package simulation plays scenarios of nodes, executors, discovery and clients on a virtual clock, with faults from a script, and checks
+// the invariants at every step.
 package simulation
 
 import (
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -14,51 +14,56 @@
 	"birchstair/policy"
 )
 
-// World is a scenario being played with a seed.
+// World is a scenario that is played with a seed. It is used by one goroutine, or in a wired world under the lock of wiredWorld.
 type World struct {
-	scenario       Scenario
-	seed           uint64
-	gossipBounds   gossipBounds
-	now            time.Duration
-	events         eventHeap
-	scheduled      uint64
-	networkRand    *rand.Rand // of the network
-	gossipRand     *rand.Rand // of words between nodes
-	workNoiseRand  *rand.Rand // of attempts' work
-	frontLayerRand *rand.Rand // of the front layer, where nodes get unlike parts
-	classes        []emulator.Track
-	adminCalls     int // that operators have given to wired nodes
-	jobClasses     []policy.JobClass
-	policy         Policy
-	account        *accountLedger // nil where none is kept
+	scenario   Scenario
+	seed       uint64
+	classes    []emulator.Track  // the scenario's job classes, as clients know them
+	jobClasses []policy.JobClass // the same, as nodes and the checker know them
+	policy     Policy
+	defects    injectedDefects
+
+	// The clock and the event heap.
+	now              time.Duration
+	events           eventHeap
+	scheduled        uint64 // events so far
+	steps            int    // events that have run
+	sameInstantSteps int    // of those, events at the instant of the one before
+	maxViolations    int    // the world ends at this number of violations
+
+	// Random streams, one a use.
+	networkRand    *rand.Rand
+	gossipRand     *rand.Rand
+	workNoiseRand  *rand.Rand
+	frontLayerRand *rand.Rand // of the front layer in front of nodes with unequal shares of the traffic
 
 	nodes      []*simNode
 	executors  []*executor
 	byAddr     map[string]*executor
 	discovery  *emulator.Discovery
-	clients    []*zoneClients
+	clients    []*zoneClients // by zone
 	memories   emulator.Memories
 	lastConnID emulator.ConnID
-	openWorks  int // tries that clients wait for
+	lastAddr   int
+	openWorks  int         // works whose clients still wait
+	wired      *wiredWorld // nil where state machines are stepped event by event
+	adminCalls int         // to nodes of a wired world
 
+	// Faults that are on the network or on everything.
 	partitions        []partition // by zone
-	gossipLoss        float64
-	newConnResetRate  float64
-	newConnSilentRate float64
+	gossipLoss        float64     // probability
+	newConnResetRate  float64     // probability
+	newConnSilentRate float64     // probability
 	clockOffset       time.Duration
 
-	checker          *invariants.Checker
-	traceFunc        func(invariants.Seen)
-	result           Result
-	steps            int
-	sameInstantSteps int         // steps at the instant of the step before
-	wired            *wiredWorld // nil where reducers are stepped event by event
-	lastAddr         int
-	maxViolations    int // broken rules after which it ends
-	defects          injectedDefects
+	checker      *invariants.Checker
+	gossipBounds gossipBounds
+	traceFunc    func(invariants.Seen) // nil without a trace
+	account      *accountLedger        // nil without an account
+	result       Result
 }
 
-// injectedDefects holds defects that tests plant to check the checker. All are nil in use.
+// injectedDefects are defects that tests inject to check the checker. All are zero in use.
 type injectedDefects struct {
 	policy func(*World, *simNode, node.Policy) node.Policy
 	event  func(*World, *simNode, node.Event) []node.Event
@@ -68,110 +73,145 @@
 	fleet          func(*cluster.Settings)
 	executor       func(*emulator.Executor)
 	attempt        func(*emulator.Allocation)
-	hideClientLeft bool // nodes are not told that a client has left
-	hideClientGone bool // and don't see it at the last look before an attempt
+	hideClientLeft bool // nodes are not notified that a client has left
+	hideClientGone bool // and don't see it when they check right before an attempt
 }
 
 // Options say how a world is played.
 type Options struct {
-	Trace func(invariants.Seen) // told of everything that is seen; nil for nothing
-	Most  int                   // broken rules after which it ends; 0 for 20
-	// What decides at the nodes; the module where it is empty. Others are for worlds of events alone.
-	Policy  Policy
-	Account bool // keep an account of lost earnings, likewise
+	Trace   func(invariants.Seen) // called with each observation; nil for no trace
+	Most    int                   // violations after which the world ends; 0 for 20
+	Policy  Policy                // what decides at the nodes; "" for ModulePolicy, the only one for wired worlds
+	Account bool                  // keep an account of the value that was not earned; not for wired worlds
 }
 
 // New makes a world in which nothing has happened yet.
 func New(s Scenario, seed uint64, o Options) *World {
-	w := &World{scenario: s, seed: seed, networkRand: stream(seed, "network"), gossipRand: stream(seed, "words"), workNoiseRand: stream(seed, "attempts"), frontLayerRand: stream(seed, "front"), byAddr: map[string]*executor{},
-		memories: emulator.Memories{}, gossipBounds: gossipBounds{sentAt: map[cluster.MessageID]time.Duration{}}, traceFunc: o.Trace, partitions: make([]partition, len(s.Fleet.Zones)),
-		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)), maxViolations: cmp.Or(o.Most, defaultMaxViolations), policy: cmp.Or(o.Policy, ModulePolicy)}
+	w := &World{
+		scenario:       s,
+		seed:           seed,
+		policy:         cmp.Or(o.Policy, ModulePolicy),
+		maxViolations:  cmp.Or(o.Most, defaultMaxViolations),
+		networkRand:    stream(seed, networkStream),
+		gossipRand:     stream(seed, gossipStream),
+		workNoiseRand:  stream(seed, workNoiseStream),
+		frontLayerRand: stream(seed, frontLayerStream),
+		byAddr:         map[string]*executor{},
+		discovery:      emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)),
+		memories:       emulator.Memories{},
+		partitions:     make([]partition, len(s.Fleet.Zones)),
+		gossipBounds:   gossipBounds{sentAt: map[cluster.MessageID]time.Duration{}},
+		traceFunc:      o.Trace,
+		result:         newResult(s, seed),
+	}
 	if o.Account {
 		w.account = &accountLedger{world: w, open: map[invariants.WorkID]*jobHistory{}}
 	}
 	w.classes, w.jobClasses = s.Takes()
-	w.checker = invariants.New(invariants.Settings{Tracks: w.jobClasses, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace),
-		Prompt: prompt, WarmWithin: time.Duration(s.Fleet.WarmWithin), FallMultiple: s.Fleet.FallMultiple,
-		FallWindow: time.Duration(s.Fleet.FallWindow), MeanWork: s.MeanWork(), Copies: s.Fleet.Copies})
-	w.result = newResult(s, seed)
+	w.checker = invariants.New(invariants.Settings{
+		Tracks:       w.jobClasses,
+		Slack:        slack,
+		Grace:        time.Duration(s.Fleet.DrainGrace),
+		Prompt:       prompt,
+		WarmWithin:   time.Duration(s.Fleet.WarmWithin),
+		FallMultiple: s.Fleet.FallMultiple,
+		FallWindow:   time.Duration(s.Fleet.FallWindow),
+		MeanWork:     s.MeanWork(),
+		Copies:       s.Fleet.Copies,
+	})
 	return w
 }
 
-// Play plays the world to its end: until all that clients wait for is over.
+const (
+	settleTime           = 2 * time.Second // after the last answer; whatever is left over shows by then
+	defaultMaxViolations = 20              // more of them show nothing new
+)
+
+// Play plays the world until no client waits any more, or too many invariants are violated. A world is played once.
 func (w *World) Play() Result {
 	w.build()
 	length, end := time.Duration(w.scenario.Length), w.lastDeadline()
 	for len(w.events) > 0 && len(w.result.Broken) < w.maxViolations {
-		it := w.events.pop()
-		if it.at > end || w.openWorks == 0 && it.at > length+settleTime {
+		event := w.events.pop()
+		if event.at > end || w.openWorks == 0 && event.at > length+settleTime {
 			break
 		}
-		if it.at == w.now {
+		if event.at == w.now {
 			w.sameInstantSteps++
 		}
-		// Not by an item of its own: what falls on one instant goes by the count of items.
-		for at := time.Duration(len(w.result.capacity)) * Bin; at <= it.at && at < end; at += Bin {
-			w.now = at
-			w.result.sampleCapacity(w)
-		}
-		w.now = it.at
+		w.sampleCapacity(min(event.at, end-1))
+		w.now = event.at
 		w.steps++
-		it.run()
+		event.run()
 	}
 	w.advanceChecker()
 	w.result.finish(w)
 	return w.result
 }
 
-// lastDeadline is when all that clients wait for is over at the latest.
+// sampleCapacity samples all bins that begin by a time. This is not an event of its own, because the order of events at one instant
+// depends on the number of events before them.
+func (w *World) sampleCapacity(until time.Duration) {
+	for at := time.Duration(len(w.result.capacity)) * Bin; at <= until; at += Bin {
+		w.now = at
+		w.result.sampleCapacity(w)
+	}
+}
+
+// lastDeadline is when the last client has given up at the latest.
 func (w *World) lastDeadline() time.Duration {
-	end := time.Duration(w.scenario.Length)
-	for _, t := range w.classes {
-		end = max(end, time.Duration(w.scenario.Length)+t.Deadline+time.Second)
+	length := time.Duration(w.scenario.Length)
+	end := length
+	for _, class := range w.classes {
+		end = max(end, length+class.Deadline+time.Second)
 	}
 	return end
 }
 
-const (
-	settleTime           = 2 * time.Second // what is left over after the last answer shows by then
-	defaultMaxViolations = 20              // more say nothing new
-)
-
-// build sets all up: executors that have run for long, nodes that have the list, clients.
+// build sets up executors that have run for long, nodes that have the endpoint list, clients and the script of faults.
 func (w *World) build() {
-	f := &w.scenario.Fleet
-	speeds := stream(w.seed, "speeds")
-	for i := range f.Executors {
-		w.addExecutor(fmt.Sprint("e", i), i, f.Speed*(1+f.Spread*(2*speeds.Float64()-1)))
+	w.buildExecutors()
+	w.buildNodes()
+	if w.account != nil {
+		w.account.init()
+	}
+	if every := time.Duration(w.scenario.Fleet.WeightsEvery); every > 0 {
+		w.after(every, w.updateWeights)
+	}
+	w.buildClients()
+	if w.wired != nil && w.scenario.Load.Bad > 0 {
+		w.wired.startMalformedClients()
+	}
+	for _, fault := range w.scenario.Faults {
+		w.scheduleFault(fault.Standin())
+	}
+}
+
+func (w *World) buildExecutors() {
+	fleet := &w.scenario.Fleet
+	speeds := stream(w.seed, speedStream)
+	for i := range fleet.Executors {
+		w.addExecutor(fmt.Sprint("e", i), i, fleet.Speed*(1+fleet.Spread*(2*speeds.Float64()-1)))
 	}
 	for i, x := range w.executors {
 		if w.defects.executor != nil {
 			w.defects.executor(x.Executor)
 		}
-		w.discovery.Change(-time.Duration(f.ListLag)-time.Hour+time.Duration(i), x.entry(policy.Available))
+		w.discovery.Change(-time.Duration(fleet.ListLag)-time.Hour+time.Duration(i), x.entry(policy.Available))
 		if w.wired != nil {
 			w.wired.startExecutor(x)
 		}
 	}
-	for i := range f.Nodes {
-		n := &simNode{world: w, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(f.Zones)), trafficShare: 1}
+}
+
+func (w *World) buildNodes() {
+	fleet := &w.scenario.Fleet
+	for i := range fleet.Nodes {
+		n := &simNode{world: w, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(fleet.Zones)), trafficShare: 1}
 		if skew := w.scenario.Load.NodeSkew; skew > 0 {
 			n.trafficShare = math.Exp(w.frontLayerRand.NormFloat64() * skew)
 		}
 		w.nodes = append(w.nodes, n)
 		n.start()
 	}
-	if w.account != nil {
-		w.account.init()
-	}
-	if f.WeightsEvery > 0 {
-		w.after(time.Duration(f.WeightsEvery), w.updateWeights)
-	}
-	w.buildClients()
-	if w.wired != nil && w.scenario.Load.Bad > 0 {
-		w.wired.startMalformedClients()
-	}
-	for _, f := range w.scenario.Faults {
-		w.scheduleFault(f.Standin())
-	}
 }
