--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -68,12 +68,12 @@
 
 // recordSent: an attempt's first byte leaves. It gives what the rest is written into.
 func (b *accountLedger) recordSent(t *clientRequest, x *executor) *attemptHistory {
-	a := &attemptHistory{executor: x, sent: t.simNode.world.now, reached: notSeen, began: notSeen, ended: notSeen, endedAtNode: notSeen, dialedAt: notSeen, connUpAt: notSeen}
+	a := &attemptHistory{executor: x, sent: t.node.world.now, reached: notSeen, began: notSeen, ended: notSeen, endedAtNode: notSeen, dialedAt: notSeen, connUpAt: notSeen}
 	if b == nil {
 		return a
 	}
-	a.idle = b.idleCores(t.simNode, x)
-	b.nodes[t.simNode.id].attemptsTo[x]++
+	a.idle = b.idleCores(t.node, x)
+	b.nodes[t.node.id].attemptsTo[x]++
 	b.approaching[x]++
 	b.attempts++
 	if h := b.open[t.work.ID]; h != nil {
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -71,7 +71,7 @@
 		c.resetsAtFirstUse = false
 		c.breakAt(time.Duration(w.networkRand.Int64N(int64(3 * writing))))
 	}
-	n.later(writing, func() {
+	n.after(writing, func() {
 		if c.state != connUp || c.attempt != l {
 			return
 		}
@@ -118,9 +118,9 @@
 // answer brings an executor's word to the node.
 func (c *executorConn) answer(o emulator.Say) {
 	load := node.Load{Load: policy.Load{InFlight: o.Load.Held, Queued: o.Load.Waiting, FreeSlots: o.Load.Free, FreeMemory: -1, RunTime: -1}, Known: o.Load.Known}
-	sentAt := c.simNode.world.now
+	sentAt := c.node.world.now
 	if l := c.attempt; l != nil && !l.ended && l.request.job == o.Job {
-		c.simNode.world.account.recordAnswer(l.history, o.Word)
+		c.node.world.account.recordAnswer(l.history, o.Word)
 	}
 	c.toNode(func() {
 		l := c.attempt
@@ -129,8 +129,8 @@
 		}
 		switch o.Word {
 		case emulator.Began:
-			if sentAt-l.request.sentAt > slowStartNotice {
-				c.simNode.world.result.StartsWaited++
+			if sentAt-l.request.sentAt > queuedStart {
+				c.node.world.result.StartsWaited++
 			}
 			c.deliver(node.AttemptProgressed{Conn: c.id, Load: load})
 			return
@@ -146,14 +146,14 @@
 		c.deliver(ev)
 		if c.state == connUp {
 			uses := c.uses
-			c.simNode.later(processingDelay, func() {
+			c.node.after(processingDelay, func() {
 				if c.state == connUp {
 					c.deliver(node.ConnIdle{Conn: c.id})
 				}
 			})
-			c.simNode.world.after(time.Duration(c.simNode.world.scenario.Fleet.IdleLimit), func() {
+			c.node.world.after(time.Duration(c.node.world.scenario.Fleet.IdleLimit), func() {
 				if c.uses == uses && c.executor.conns[c.key] == c {
-					c.executor.apply(c.executor.Hangup(c.simNode.world.now, c.key))
+					c.executor.apply(c.executor.Hangup(c.node.world.now, c.key))
 					c.resetByExecutor()
 				}
 			})
@@ -161,5 +161,5 @@
 	})
 }
 
-// slowStartNotice is from when on a start counts as having waited at the executor.
-const slowStartNotice = 50 * time.Millisecond
+// queuedStart is from when on a start counts as having waited at the executor.
+const queuedStart = 50 * time.Millisecond
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -29,7 +29,7 @@
 	if n.world.policy == ModulePolicy {
 		return policy.New(p)
 	}
-	b := &baseline{simNode: n, settings: p, available: map[policy.ExecutorID]bool{}, jobs: map[policy.JobID]*baselineJob{}}
+	b := &baseline{node: n, settings: p, available: map[policy.ExecutorID]bool{}, jobs: map[policy.JobID]*baselineJob{}}
 	if b.choose = b.soonest; n.world.policy == RandomPolicy {
 		r := stream(n.world.seed+uint64(n.incarnation)<<32, randomPolicyStream+n.name)
 		b.choose = func(time.Duration, *baselineJob) policy.ExecutorID { return b.random(r) }
@@ -43,7 +43,7 @@
 // baseline is what nodes decide by where they don't use the module: an executor for each batch job by a choice of its own, and the next one where
 // the last attempt certainly did not run, or may be repeated.
 type baseline struct {
-	simNode   *simNode
+	node      *simNode
 	settings  policy.Settings
 	choose    func(now time.Duration, j *baselineJob) policy.ExecutorID // none: it is held
 	available map[policy.ExecutorID]bool
@@ -68,7 +68,7 @@
 }
 
 func (b *baseline) JobArrived(now time.Duration, in policy.Arrival) {
-	b.jobs[in.Job] = &baselineJob{id: in.Job, class: b.settings.JobClasses[in.Class], request: b.simNode.requests[in.Job], limit: now + in.Budget}
+	b.jobs[in.Job] = &baselineJob{id: in.Job, class: b.settings.JobClasses[in.Class], request: b.node.requests[in.Job], limit: now + in.Budget}
 	b.due = append(b.due, in.Job)
 }
 
@@ -153,7 +153,7 @@
 		b.available[e.Executor] = e.State == policy.Available
 	}
 	b.order = b.order[:0]
-	for _, x := range b.simNode.world.executors {
+	for _, x := range b.node.world.executors {
 		if b.available[x.ID] {
 			b.order = append(b.order, x.ID)
 		}
@@ -171,7 +171,7 @@
 // soonest is the executor that would answer first of those with a place free when it would come, by what is true of all of them, their queues and what is on
 // its way there. None, so that it is held, where none has one, or where waiting for a place elsewhere would bring an answer in time and going now would not.
 func (b *baseline) soonest(_ time.Duration, j *baselineJob) policy.ExecutorID {
-	w, n := b.simNode.world, b.simNode
+	w, n := b.node.world, b.node
 	if b.fullAt == w.now {
 		return "" // nothing has come free since
 	}
@@ -208,7 +208,7 @@
 // assignedWork is the work that is on its way to an executor, by what the best choice sent there.
 func (w *World) assignedWork(x *executor) (work []float64) {
 	x.assigned = slices.DeleteFunc(x.assigned, func(j *baselineJob) bool {
-		n := j.request.simNode
+		n := j.request.node
 		return j.request.delivered || !j.attemptOut || !n.up || n.incarnation != j.request.incarnation
 	})
 	for _, j := range x.assigned {
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -24,7 +24,7 @@
 	clients     *zoneClients
 	work        *emulator.Work
 	job         policy.JobID
-	simNode     *simNode
+	node        *simNode
 	incarnation int
 	attempts    int
 	sentAt      time.Duration
@@ -122,7 +122,7 @@
 
 func (c *zoneClients) submit(work *emulator.Work) {
 	w, n := c.world, c.pickNode()
-	t := &clientRequest{clients: c, work: work, job: work.Job(), simNode: n}
+	t := &clientRequest{clients: c, work: work, job: work.Job(), node: n}
 	w.account.recordSubmit(work, n)
 	if n == nil {
 		w.after(time.Millisecond, func() { t.finishUnsent(emulator.EndUnreached, 0) })
@@ -162,9 +162,9 @@
 		Class: work.Track, Work: time.Duration(work.Hint * 1e9).Truncate(time.Microsecond), Budget: budget, ClientRetry: w.scenario.Load.MarksAgain && work.Tries > 0, Client: t}})
 	n.maxQueued = max(n.maxQueued, n.openJobs-n.attemptsOut)
 	leave := min(work.Leaves, work.Limit+slack+time.Millisecond)
-	n.later(leave-w.now, func() { n.clientLeaves(t) })
+	n.after(leave-w.now, func() { n.clientLeaves(t) })
 	if work.RepeatsID() && w.jobClasses[work.Track].Idempotency == policy.Idempotent {
-		n.later(time.Duration(w.networkRand.Int64N(int64(time.Second))), func() { n.repeatID(t) })
+		n.after(time.Duration(w.networkRand.Int64N(int64(time.Second))), func() { n.repeatID(t) })
 	}
 }
 
@@ -174,8 +174,8 @@
 		return
 	}
 	n.clientGone(t)
-	n.later(processingDelay, func() {
-		n.receive(&clientRequest{clients: t.clients, work: t.work, job: t.job, simNode: n, incarnation: t.incarnation})
+	n.after(processingDelay, func() {
+		n.receive(&clientRequest{clients: t.clients, work: t.work, job: t.job, node: n, incarnation: t.incarnation})
 	})
 }
 
@@ -200,7 +200,7 @@
 }
 
 // Gone is the last look before an attempt: what the node's system knows of the client, also where the process has not read it.
-func (t *clientRequest) Gone() bool { return t.answered && !t.simNode.world.defects.hideClientGone }
+func (t *clientRequest) Gone() bool { return t.answered && !t.node.world.defects.hideClientGone }
 
 // clientGone tells the node that a client waits no more.
 func (n *simNode) clientGone(t *clientRequest) {
@@ -247,7 +247,7 @@
 		tries = n.world.wired.requests
 	}
 	for _, t := range tries {
-		if !t.answered && !t.connLost && t.simNode == n && t.incarnation == n.incarnation {
+		if !t.answered && !t.connLost && t.node == n && t.incarnation == n.incarnation {
 			all = append(all, t)
 		}
 	}
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -24,7 +24,7 @@
 type executorConn struct {
 	id               node.ConnID
 	key              emulator.ConnID
-	simNode          *simNode
+	node             *simNode
 	executor         *executor
 	state            connState
 	accepted         bool // the executor has it
@@ -41,9 +41,9 @@
 
 // toExecutor brings something to the executor's end, in order.
 func (c *executorConn) toExecutor(what func()) {
-	c.nextToExecutor = max(c.nextToExecutor+1, c.simNode.world.arrivalTime(c.simNode.zone, c.executor.Zone))
+	c.nextToExecutor = max(c.nextToExecutor+1, c.node.world.arrivalTime(c.node.zone, c.executor.Zone))
 	born := c.executor.Started
-	c.simNode.world.at(c.nextToExecutor, func() {
+	c.node.world.at(c.nextToExecutor, func() {
 		if !c.executor.unreachable && c.executor.Up && c.executor.Started == born {
 			what()
 		}
@@ -55,10 +55,10 @@
 	if c.silent {
 		return
 	}
-	c.nextToNode = max(c.nextToNode+1, c.simNode.world.arrivalTime(c.executor.Zone, c.simNode.zone))
-	run := c.simNode.incarnation
-	c.simNode.world.at(c.nextToNode, func() {
-		if c.simNode.up && c.simNode.incarnation == run && c.state != connClosed {
+	c.nextToNode = max(c.nextToNode+1, c.node.world.arrivalTime(c.executor.Zone, c.node.zone))
+	run := c.node.incarnation
+	c.node.world.at(c.nextToNode, func() {
+		if c.node.up && c.node.incarnation == run && c.state != connClosed {
 			what()
 		}
 	})
@@ -66,31 +66,31 @@
 
 // deliverAfter tells the node in a moment, in order.
 func (c *executorConn) deliverAfter(after time.Duration, ev node.Event) {
-	c.simNode.later(after, func() { c.deliver(ev) })
+	c.node.after(after, func() { c.deliver(ev) })
 }
 
 // deliver books the end of an allocation with the rules, and tells the node.
 func (c *executorConn) deliver(ev node.Event) {
 	switch ev := ev.(type) {
 	case node.AttemptEnded:
-		c.simNode.world.account.recordEnded(c.attempt.history, ev.Outcome)
-		c.simNode.recordAttemptEnd(c.attempt, ev.Outcome.NeverRan())
+		c.node.world.account.recordEnded(c.attempt.history, ev.Outcome)
+		c.node.recordAttemptEnd(c.attempt, ev.Outcome.NeverRan())
 		c.attempt = nil
 	case node.ConnClosed:
-		delete(c.simNode.conns, c.id)
+		delete(c.node.conns, c.id)
 	}
-	c.simNode.deliver(ev)
+	c.node.deliver(ev)
 }
 
 func (n *simNode) dial(e node.Dial) {
 	w := n.world
 	w.lastConnID++
-	c := &executorConn{id: e.Conn, key: w.lastConnID, simNode: n, executor: w.byAddr[e.Addr], dialedAt: w.now}
+	c := &executorConn{id: e.Conn, key: w.lastConnID, node: n, executor: w.byAddr[e.Addr], dialedAt: w.now}
 	n.conns[c.id] = c
 	w.result.Dials++
 	limit := time.Duration(w.scenario.Fleet.DialLimit)
 	fail := func(after time.Duration, why string) {
-		n.later(after, func() {
+		n.after(after, func() {
 			if c.state == connDialing {
 				c.state = connClosed
 				w.result.NoConnection++
@@ -193,7 +193,7 @@
 func (c *executorConn) dropAtExecutor() {
 	if c.executor.conns[c.key] == c {
 		delete(c.executor.conns, c.key)
-		c.executor.apply(c.executor.Hangup(c.simNode.world.now, c.key))
+		c.executor.apply(c.executor.Hangup(c.node.world.now, c.key))
 	}
 }
 
--- a/internal/simulation/conn_faults.go
+++ b/internal/simulation/conn_faults.go
@@ -62,7 +62,7 @@
 	}
 	t.connLost = true
 	n.world.after(processingDelay, func() { t.finish(emulator.EndLost, 0) })
-	n.later(time.Duration(n.world.networkRand.Int64N(int64(time.Second))), func() {
+	n.after(time.Duration(n.world.networkRand.Int64N(int64(time.Second))), func() {
 		if !t.answered {
 			n.clientGone(t)
 		}
@@ -73,8 +73,8 @@
 
 // breakAt breaks a wire in between: each end sees it in its own time, and what is in flight may still come.
 func (c *executorConn) breakAt(after time.Duration) {
-	w := c.simNode.world
-	c.simNode.later(after, func() { c.breakConn("reset on the way") })
+	w := c.node.world
+	c.node.after(after, func() { c.breakConn("reset on the way") })
 	w.after(after+time.Duration(w.networkRand.Int64N(int64(4*time.Duration(w.scenario.Fleet.Near)))), func() {
 		if !c.executor.unreachable && c.executor.Up {
 			c.dropAtExecutor()
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -137,7 +137,7 @@
 	}, injectedDefects{
 		event: changed(func(w *World, n *simNode, e node.EndpointsUpdated) []node.Event {
 			for _, id := range slices.Sorted(maps.Keys(n.excluded)) {
-				for _, e := range n.reducer.Step(w.now-n.started, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
+				for _, e := range n.reducer.Step(w.now-n.startedAt, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
 					n.execute(e)
 				}
 			}
@@ -148,8 +148,8 @@
 			if ev.Kind != policy.IncrementalUpdate {
 				return []node.Event{ev}
 			}
-			n.later(3*time.Second, func() {
-				for _, e := range n.reducer.Step(w.now-n.started, ev) {
+			n.after(3*time.Second, func() {
+				for _, e := range n.reducer.Step(w.now-n.startedAt, ev) {
 					n.execute(e)
 				}
 			})
@@ -220,8 +220,8 @@
 			if c == nil || c.state != connUp || c.attempt == nil {
 				return []node.Effect{e}
 			}
-			n.later(processingDelay, func() { n.deliver(node.AttemptEnded{Conn: e.Conn, Outcome: policy.ConnectionLost, ConnBroken: true}) })
-			n.later(2*processingDelay, func() { n.deliver(node.ConnClosed{Conn: e.Conn}) })
+			n.after(processingDelay, func() { n.deliver(node.AttemptEnded{Conn: e.Conn, Outcome: policy.ConnectionLost, ConnBroken: true}) })
+			n.after(2*processingDelay, func() { n.deliver(node.ConnClosed{Conn: e.Conn}) })
 			return nil
 		})}},
 	{"a once-only track is taken for repeatable", invariants.NoEffectTwice, nil, injectedDefects{
@@ -269,7 +269,7 @@
 	{"what is given up on is held for a while", invariants.AtOnce, nil, injectedDefects{
 		effect: instead(func(w *World, n *simNode, a node.Answer) []node.Effect {
 			if t := n.requests[a.Job]; a.Final == node.Rejected && t != nil && t.work.Limit > w.now+time.Second {
-				n.later(300*time.Millisecond, func() { n.execute(a) })
+				n.after(300*time.Millisecond, func() { n.execute(a) })
 				return nil
 			}
 			return []node.Effect{a}
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -23,10 +23,10 @@
 	for _, e := range entries {
 		named[e.Executor] = true
 		if !e.StartedLongAgo {
-			e.StartedAt -= n.started
+			e.StartedAt -= n.startedAt
 		}
 		ev.Endpoints = append(ev.Endpoints, node.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
-		start := e.StartedAt + n.started
+		start := e.StartedAt + n.startedAt
 		if e.StartedLongAgo {
 			start = -time.Hour
 		}
@@ -92,7 +92,7 @@
 // deliverEndpoints hands a node what discovery has for it, unless its zone hears nothing.
 func (n *simNode) deliverEndpoints() {
 	if until := n.world.partitions[n.zone].inboundUntil; until > n.world.now {
-		n.later(until-n.world.now+time.Millisecond, n.deliverEndpoints)
+		n.after(until-n.world.now+time.Millisecond, n.deliverEndpoints)
 		return
 	}
 	if n.watchCut || n.suspended {
@@ -119,7 +119,7 @@
 	}
 	for _, n := range w.nodes {
 		if n.up {
-			n.later(at-w.now+time.Duration(w.networkRand.IntN(20000))*time.Microsecond, n.deliverEndpoints)
+			n.after(at-w.now+time.Duration(w.networkRand.IntN(20000))*time.Microsecond, n.deliverEndpoints)
 		}
 	}
 }
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -21,15 +21,15 @@
 
 // joinFleet makes a node that has just started one of the fleet.
 func (n *simNode) joinFleet() {
-	s := cluster.Defaults(cluster.NodeName(n.name), uint64(n.started.Milliseconds())<<8+uint64(n.incarnation), uint32(permute(n.world.seed+uint64(n.id))))
-	s.Epoch = n.started.Milliseconds()
+	s := cluster.Defaults(cluster.NodeName(n.name), uint64(n.startedAt.Milliseconds())<<8+uint64(n.incarnation), uint32(permute(n.world.seed+uint64(n.id))))
+	s.Epoch = n.startedAt.Milliseconds()
 	if n.world.defects.fleet != nil {
 		n.world.defects.fleet(&s)
 	}
 	n.workRate = workRate{at: n.world.now}
 	n.reducer.JoinFleet(s)
 	n.peerReachedAt, n.alivePeers = map[invariants.NodeID]time.Duration{}, nil
-	n.later(time.Duration(n.world.gossipRand.Int64N(int64(membershipInterval))), n.updateMembership)
+	n.after(time.Duration(n.world.gossipRand.Int64N(int64(membershipInterval))), n.updateMembership)
 }
 
 // updateMembership finds out who is alive.
@@ -50,7 +50,7 @@
 		n.alivePeers = alive
 		n.deliver(node.FleetChanged{Alive: slices.Clone(alive)})
 	}
-	n.later(membershipInterval, n.updateMembership)
+	n.after(membershipInterval, n.updateMembership)
 }
 
 // sendGossip sends a word on its way.
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -52,7 +52,7 @@
 	if most := s.Fanout * (5 + extraRounds); len(n.workRate.sentAt) > most {
 		w.violateBound(n, "%s told %d words in %v where %d are the most", n.name, len(n.workRate.sentAt), 4*s.GossipInterval, most)
 	}
-	if done, did := to.Message.Rates.Completed, n.workRate.rate(w.now, w.now-n.started); n.world.scenario.Load.HintNoise >= 0 && n.world.scenario.Load.HintNoise < 0.3 && w.now >= n.workRate.suspendedUntil && done > workRateFactor*did+workRateSlack {
+	if done, did := to.Message.Rates.Completed, n.workRate.rate(w.now, w.now-n.startedAt); n.world.scenario.Load.HintNoise >= 0 && n.world.scenario.Load.HintNoise < 0.3 && w.now >= n.workRate.suspendedUntil && done > workRateFactor*did+workRateSlack {
 		w.violateBound(n, "%s tells that it does %.2f, and did %.2f", n.name, done, did)
 	}
 	if len(n.workRate.sentAt) > 1 && n.workRate.sentAt[len(n.workRate.sentAt)-2] == w.now {
@@ -62,7 +62,7 @@
 	if w.now < n.workRate.suspendedUntil+s.PeerStateTTL {
 		longest += 3 * s.GossipInterval // a shorter stand-still than that shows nowhere
 	}
-	for _, c := range n.reducer.Fleet().FreshPeers(w.now - n.started) {
+	for _, c := range n.reducer.Fleet().FreshPeers(w.now - n.startedAt) {
 		at, ok := w.gossipBounds.sentAt[c]
 		if !ok {
 			w.violateBound(n, "%s counts word %d of %s, which was never told", n.name, c.Seq, c.From)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"cmp"
 	"strconv"
 	"strings"
 	"time"
@@ -14,194 +13,259 @@
 	"birchstair/policy"
 )
 
-// simNode is a node in the world: the reducer, and what stands around it in a process.
+// simNode is a node of the world: its state machine, and a model of the process around it.
 type simNode struct {
-	world            *World
-	id               invariants.NodeID
-	name             string
-	zone             policy.ZoneID
-	trafficShare     float64 // of its zone's traffic, against the others'
-	reducer          *node.Node
-	incarnation      int // its starts so far
+	world        *World
+	id           invariants.NodeID
+	name         string
+	zone         policy.ZoneID
+	trafficShare float64 // of its zone's traffic, relative to the zone's other nodes
+
+	reducer     *node.Node
+	incarnation int // starts so far
+	startedAt   time.Duration
+	diedAt      time.Duration
+	timerSeq    int // of the timer that is set; earlier ones are void
+
 	up               bool
 	ready            bool
-	frontendClosed   bool // the front takes nothing any more
-	activeDownFaults int  // faults that keep it down
-	started          time.Duration
-	diedAt           time.Duration
-	conns            map[node.ConnID]*executorConn
-	requests         map[policy.JobID]*clientRequest
-	endpoints        map[policy.ExecutorID]invariants.Seen // what it was told last of each
-	excluded         map[policy.ExecutorID]invariants.Seen // taken out by operators, with what the list says of them
-	timerSeq         int                                   // the last Wake; older ones are void
-	openJobs         int
-	attemptsOut      int
-	maxQueued        int
-	process          *nodeProcess // its process, where the world is wired
-	dialed           map[node.ConnID]*executor
+	frontendClosed   bool         // no new requests are taken
+	activeDownFaults int          // faults that keep it down
+	suspended        bool         // the process is stopped, as by SIGSTOP
+	pendingEvents    []node.Event // events for a suspended process
+
+	conns     map[node.ConnID]*executorConn
+	requests  map[policy.JobID]*clientRequest
+	endpoints map[policy.ExecutorID]invariants.Seen // what it was last notified of each executor
+	excluded  map[policy.ExecutorID]invariants.Seen // by operators, with what the endpoint list says of them
+	watchCut  bool                                  // nothing reaches it from discovery
+
+	openJobs    int
+	attemptsOut int
+	maxQueued   int
+
+	// In a wired world.
+	process *nodeProcess
+	dialed  map[node.ConnID]*executor
 
-	alivePeers    []cluster.NodeName // neighbours that it holds for alive, where nodes talk
+	// In a world with gossip.
+	alivePeers    []cluster.NodeName
 	peerReachedAt map[invariants.NodeID]time.Duration
-	workRate      workRate     // of what it does, to check what it tells
-	corruption    int          // words told while it tells nonsense; 0 while it does not
-	partitioned   bool         // no words pass between it and those that are not
-	watchCut      bool         // it hears nothing from discovery
-	suspended     bool         // its process stands still
-	pendingEvents []node.Event // and this waits for it
+	partitioned   bool     // no messages between it and nodes that are not partitioned
+	corruption    int      // messages sent while it sends corrupt ones, counted from 1; 0 while it does not
+	workRate      workRate // to check the rates that it sends
 }
 
-// settings are what a node is told at its start.
+// Fixed settings of all nodes.
+const (
+	totalWeight       = 0.8 // of the value of all classes in what the policy optimizes
+	worstClassWeight  = 0.2 // of the value of the worst class
+	quantum           = 4 * time.Millisecond
+	maxShutdown       = 3 * time.Second
+	shutdownMargin    = 700 * time.Millisecond
+	cachedListAge     = 10 * time.Second // of the endpoint list that a node starts with
+	firstWatchDelay   = 20 * time.Millisecond
+	readinessDelay    = time.Millisecond // until the front layer sees a change of readiness
+	nodeIODelay       = 5 * time.Millisecond
+	restartPollPeriod = 100 * time.Millisecond
+)
+
+// settings are the policy settings and limits with which a node starts.
 func (n *simNode) settings() (policy.Settings, node.Limits) {
-	f := &n.world.scenario.Fleet
-	p := policy.Settings{Seed: uint32(permute(n.world.seed + uint64(n.id)<<20 + uint64(n.incarnation))), Node: int(n.id), Nodes: f.Nodes, Zone: n.zone,
-		ValuePerWork: f.PerWork, CrossZoneCost: f.CrossPrice, TotalWeight: 0.8, WorstClassWeight: 0.2, MaxAttempts: f.Allocations,
-		MayCancel: true, MaxRetryAfter: time.Duration(f.ComeBack), Quantum: 4 * time.Millisecond, LoadAdjustedWeights: f.WeightsEvery > 0,
-		SlowStartCapacity: f.ColdShare, SlowStartDuration: time.Duration(f.WarmWithin), OverloadMultiple: f.FallMultiple,
-		OverloadWindow: time.Duration(f.FallWindow), StartNotices: f.TellsStart, ProgressInterval: time.Duration(f.TellsEvery),
-		MayLease: f.Talk && f.Keepers && n.world.wired == nil, MayHedge: f.Copies, ClientsMarkRetries: n.world.scenario.Load.MarksAgain && n.world.wired == nil, MayProbe: f.Probes && n.world.wired == nil}
+	fleet := &n.world.scenario.Fleet
+	wired := n.world.wired != nil
+	settings := policy.Settings{
+		Seed:                uint32(permute(n.world.seed + uint64(n.id)<<20 + uint64(n.incarnation))),
+		Node:                int(n.id),
+		Nodes:               fleet.Nodes,
+		Zone:                n.zone,
+		ValuePerWork:        fleet.PerWork,
+		CrossZoneCost:       fleet.CrossPrice,
+		TotalWeight:         totalWeight,
+		WorstClassWeight:    worstClassWeight,
+		MaxAttempts:         fleet.Allocations,
+		MayCancel:           true,
+		MaxRetryAfter:       time.Duration(fleet.ComeBack),
+		Quantum:             quantum,
+		LoadAdjustedWeights: fleet.WeightsEvery > 0,
+		SlowStartCapacity:   fleet.ColdShare,
+		SlowStartDuration:   time.Duration(fleet.WarmWithin),
+		OverloadMultiple:    fleet.FallMultiple,
+		OverloadWindow:      time.Duration(fleet.FallWindow),
+		StartNotices:        fleet.TellsStart,
+		ProgressInterval:    time.Duration(fleet.TellsEvery),
+		MayLease:            fleet.Talk && fleet.Keepers && !wired,
+		MayHedge:            fleet.Copies,
+		ClientsMarkRetries:  n.world.scenario.Load.MarksAgain && !wired,
+		MayProbe:            fleet.Probes && !wired,
+	}
 	longest := time.Duration(0)
-	for _, t := range n.world.jobClasses {
-		t.DedupWindow = max(0, t.DedupWindow-time.Duration(f.DialLimit)) // as config does
-		p.JobClasses = append(p.JobClasses, t)
-		longest = max(longest, t.Deadline)
+	for _, class := range n.world.jobClasses {
+		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialLimit)) // as config does
+		settings.JobClasses = append(settings.JobClasses, class)
+		longest = max(longest, class.Deadline)
+	}
+	return settings, node.Limits{
+		Quantum:         settings.Quantum,
+		MaxIdle:         time.Duration(fleet.IdleLimit) * 4 / 5,
+		DialTimeout:     time.Duration(fleet.DialLimit),
+		MaxConns:        fleet.NodeConns,
+		MaxBodyBytes:    fleet.NodeBodies,
+		RetryAfter:      settings.MaxRetryAfter,
+		MaxWork:         4 * longest,
+		LameDuckPeriod:  config.LameDuckPeriod,
+		ShutdownTimeout: min(longest, maxShutdown) + shutdownMargin - config.LameDuckPeriod,
 	}
-	return p, node.Limits{Quantum: p.Quantum, MaxIdle: time.Duration(f.IdleLimit) * 4 / 5, DialTimeout: time.Duration(f.DialLimit),
-		MaxConns: f.NodeConns, MaxBodyBytes: f.NodeBodies, RetryAfter: p.MaxRetryAfter, MaxWork: 4 * longest, LameDuckPeriod: config.LameDuckPeriod,
-		ShutdownTimeout: min(longest, 3*time.Second) + 700*time.Millisecond - config.LameDuckPeriod}
 }
 
-// start starts a node: it has an old copy of the list, and asks for the list.
+// start starts the node's process: it has a cached endpoint list, and watches discovery soon.
 func (n *simNode) start() {
-	n.incarnation++
-	n.up, n.ready, n.frontendClosed, n.started = true, false, false, n.world.now
-	n.conns, n.requests, n.endpoints = map[node.ConnID]*executorConn{}, map[policy.JobID]*clientRequest{}, map[policy.ExecutorID]invariants.Seen{}
-	n.corruption, n.suspended, n.pendingEvents = 0, false, nil
-	n.openJobs, n.attemptsOut, n.excluded = 0, 0, map[policy.ExecutorID]invariants.Seen{}
+	n.reset()
 	n.world.observe(invariants.Seen{What: invariants.NodeStarted, Node: n.id})
-	p, limits := n.settings()
+	settings, limits := n.settings()
 	if n.world.defects.settings != nil {
-		n.world.defects.settings(&p)
+		n.world.defects.settings(&settings)
 	}
-	module := n.newPolicy(p)
+	decider := n.newPolicy(settings)
 	if n.world.defects.policy != nil {
-		module = n.world.defects.policy(n.world, n, module)
+		decider = n.world.defects.policy(n.world, n, decider)
 	}
 	if n.world.wired != nil {
 		n.dialed = map[node.ConnID]*executor{}
-		n.world.wired.startNode(n, p, limits, module)
+		n.world.wired.startNode(n, settings, limits, decider)
 		return
 	}
-	var tracks []node.JobClass
-	for i, t := range p.JobClasses {
-		tracks = append(tracks, node.JobClass{Name: strconv.Itoa(i), JobClass: t})
+	var classes []node.JobClass
+	for i, class := range settings.JobClasses {
+		classes = append(classes, node.JobClass{Name: strconv.Itoa(i), JobClass: class})
 	}
-	n.reducer = node.New(&policyRecorder{Policy: module, simNode: n}, limits, tracks)
+	n.reducer = node.New(&policyRecorder{Policy: decider, node: n}, limits, classes)
 	if n.world.scenario.Fleet.Talk {
 		n.joinFleet()
 	}
 	n.deliver(n.endpointsUpdate(policy.CachedUpdate, n.world.discovery.Copy(n.world.now-cachedListAge)))
-	n.later(firstWatchDelay, func() {
+	n.after(firstWatchDelay, func() {
 		n.world.discovery.Watch(n.id)
 		n.deliverEndpoints()
 	})
 }
 
-const (
-	cachedListAge   = 10 * time.Second // how old the copy of the list is that a node starts with
-	firstWatchDelay = 20 * time.Millisecond
-)
+// reset forgets the state of the process before.
+func (n *simNode) reset() {
+	n.incarnation++
+	n.startedAt = n.world.now
+	n.up, n.ready, n.frontendClosed = true, false, false
+	n.suspended, n.pendingEvents = false, nil
+	n.corruption = 0
+	n.openJobs, n.attemptsOut = 0, 0
+	n.conns = map[node.ConnID]*executorConn{}
+	n.requests = map[policy.JobID]*clientRequest{}
+	n.endpoints = map[policy.ExecutorID]invariants.Seen{}
+	n.excluded = map[policy.ExecutorID]invariants.Seen{}
+}
 
-// later does something at a node, unless it has ended by then.
-func (n *simNode) later(span time.Duration, what func()) {
-	run := n.incarnation
-	n.world.after(span, func() {
-		if n.up && n.incarnation == run {
-			what()
+// after runs a function after a delay, unless the process has ended by then.
+func (n *simNode) after(delay time.Duration, run func()) {
+	incarnation := n.incarnation
+	n.world.after(delay, func() {
+		if n.up && n.incarnation == incarnation {
+			run()
 		}
 	})
 }
 
-// deliver hands an event to the reducer and carries out its effects.
-func (n *simNode) deliver(ev node.Event) {
+// deliver steps the state machine with an event and carries out its effects.
+func (n *simNode) deliver(event node.Event) {
 	if !n.up {
 		return
 	}
 	if n.suspended {
-		n.pendingEvents = append(n.pendingEvents, ev)
+		n.pendingEvents = append(n.pendingEvents, event)
 		return
 	}
-	events := []node.Event{ev}
+	events := []node.Event{event}
 	if n.world.defects.event != nil {
-		events = n.world.defects.event(n.world, n, ev)
+		events = n.world.defects.event(n.world, n, event)
 	}
-	for _, ev := range events {
-		effects := n.reducer.Step(n.world.now-n.started, ev)
-		n.recordAdminCall(ev, effects)
+	for _, event := range events {
+		effects := n.reducer.Step(n.world.now-n.startedAt, event)
+		n.recordAdminCall(event, effects)
 		n.recordPeerDrains(effects)
-		for _, e := range effects {
-			if n.world.defects.effect == nil {
-				n.execute(e)
-				continue
-			}
-			for _, e := range n.world.defects.effect(n.world, n, e) {
-				n.execute(e)
-			}
+		for _, effect := range effects {
+			n.executeWithDefects(effect)
 		}
 	}
 }
 
-func (n *simNode) execute(e node.Effect) {
-	switch e := e.(type) {
+func (n *simNode) executeWithDefects(effect node.Effect) {
+	if n.world.defects.effect == nil {
+		n.execute(effect)
+		return
+	}
+	for _, effect := range n.world.defects.effect(n.world, n, effect) {
+		n.execute(effect)
+	}
+}
+
+// execute carries out an effect of the state machine.
+func (n *simNode) execute(effect node.Effect) {
+	switch effect := effect.(type) {
 	case node.Answer:
-		n.answer(e)
+		n.answer(effect)
 	case node.Dial:
-		n.dial(e)
+		n.dial(effect)
 	case node.WriteAttempt:
-		n.writeAttempt(e)
+		n.writeAttempt(effect)
 	case node.CloseConn:
-		n.closeConn(e.Conn)
+		n.closeConn(effect.Conn)
 	case node.ProbeExecutor:
-		n.probe(e)
+		n.probe(effect)
 	case node.SetReady:
-		n.later(time.Millisecond, func() { n.ready = e.Yes })
+		n.after(readinessDelay, func() { n.ready = effect.Yes })
 	case node.DrainClients:
-		n.later(time.Millisecond, func() { n.ready = !e.On && !n.frontendClosed })
+		n.after(readinessDelay, func() { n.ready = !effect.On && !n.frontendClosed })
 	case node.CloseFrontend:
 		n.frontendClosed = true
-		n.later(5*time.Millisecond, func() { n.deliver(node.FrontendClosed{}) })
+		n.after(nodeIODelay, func() { n.deliver(node.FrontendClosed{}) })
 	case node.WatchEndpoints:
-		n.later(5*time.Millisecond, n.deliverEndpoints)
+		n.after(nodeIODelay, n.deliverEndpoints)
 	case node.SendGossip:
-		n.sendGossip(e.Envelope)
+		n.sendGossip(effect.Envelope)
 	case node.SendLeaseMessage:
-		n.sendLeaseMessage(e)
+		n.sendLeaseMessage(effect)
 	case node.SetTimer:
-		n.timerSeq++
-		mine := n.timerSeq
-		n.later(n.started+e.At-n.world.now, func() {
-			if n.timerSeq == mine {
-				n.deliver(node.TimerFired{})
-			}
-		})
+		n.setTimer(effect)
 	case node.Log:
-		n.recordLog(e)
+		n.recordLog(effect)
 	case node.Exit:
 		n.exit()
 	}
 }
 
-// recordLog takes in a line of the node's log.
-func (n *simNode) recordLog(e node.Log) {
-	if strings.HasPrefix(e.Text, node.PolicyPanicked) {
+// setTimer sets the node's one timer.
+func (n *simNode) setTimer(effect node.SetTimer) {
+	n.timerSeq++
+	seq := n.timerSeq
+	n.after(n.startedAt+effect.At-n.world.now, func() {
+		if n.timerSeq == seq {
+			n.deliver(node.TimerFired{})
+		}
+	})
+}
+
+// recordLog counts panics of the policy, and writes the first line of a log message into the trace: a stack has addresses, which differ
+// from run to run.
+func (n *simNode) recordLog(message node.Log) {
+	if strings.HasPrefix(message.Text, node.PolicyPanicked) {
 		n.world.result.Panics++
 	}
 	if n.world.traceFunc != nil {
-		text, _, _ := strings.Cut(e.Text, "\n") // a stack has addresses, which differ
-		n.world.observe(invariants.Seen{What: invariants.Note, Node: n.id, Job: e.Job, Executor: e.Executor, Text: text})
+		text, _, _ := strings.Cut(message.Text, "\n")
+		n.world.observe(invariants.Seen{What: invariants.Note, Node: n.id, Job: message.Job, Executor: message.Executor, Text: text})
 	}
 }
 
-// shutDown tells a node to end.
+// shutDown requests a graceful shutdown.
 func (n *simNode) shutDown() {
 	if n.process != nil {
 		n.process.stop()
@@ -210,7 +274,7 @@
 	n.deliver(node.ShutdownRequested{})
 }
 
-// kill ends a node without a word.
+// kill ends the process at once, as SIGKILL does.
 func (n *simNode) kill() {
 	if !n.up {
 		return
@@ -222,84 +286,57 @@
 	n.exit()
 }
 
-// exit ends a node's process: its connections go, both ways. What is in flight to executors still comes.
+// exit ends the process: its connections close. What is in flight to executors still arrives.
 func (n *simNode) exit() {
 	n.up, n.ready, n.diedAt = false, false, n.world.now
 	n.world.result.recordMaxQueued(n)
-	for _, x := range sortedByID(n.conns) {
-		if x.state != connClosed {
-			x.state = connClosed
-			x.closeAtExecutor()
+	for _, conn := range sortedByID(n.conns) {
+		if conn.state != connClosed {
+			conn.state = connClosed
+			conn.closeAtExecutor()
 		}
 	}
 	n.loseClients()
 }
 
-// endDownFault ends one fault that keeps a node down.
+// endDownFault ends one of the faults that keep the node down; with the last one it starts, once its old process has ended.
 func (n *simNode) endDownFault() {
 	if n.activeDownFaults--; n.activeDownFaults > 0 {
 		return
 	}
 	n.activeDownFaults = 0
-	if n.up { // it is still on its way out
-		n.activeDownFaults = 1
-		n.later(100*time.Millisecond, n.endDownFault)
-		n.world.after(100*time.Millisecond, func() {
-			if !n.up && n.activeDownFaults == 1 {
-				n.endDownFault()
-			}
-		})
+	if !n.up {
+		n.start()
 		return
 	}
-	n.start()
+	n.activeDownFaults = 1
+	n.after(restartPollPeriod, n.endDownFault)
+	n.world.after(restartPollPeriod, func() {
+		if !n.up && n.activeDownFaults == 1 {
+			n.endDownFault()
+		}
+	})
 }
 
-// suspend stops a node's process for a while, as SIGSTOP does: what comes meanwhile waits unread.
-func (n *simNode) suspend(f emulator.Fault) {
+// suspend stops the process for a while, as SIGSTOP does: events wait unread.
+func (n *simNode) suspend(fault emulator.Fault) {
 	if !n.up || n.suspended {
 		return
 	}
 	n.suspended = true
 	n.world.observe(invariants.Seen{What: invariants.StoodStill, Node: n.id})
-	n.later(f.For, func() {
-		n.suspended = false
-		n.workRate.suspendedUntil = n.world.now + suspendGrace
-		n.world.observe(invariants.Seen{What: invariants.WentOn, Node: n.id})
-		waiting := n.pendingEvents
-		n.pendingEvents = nil
-		for _, ev := range waiting {
-			n.deliver(ev)
-		}
-		n.deliverEndpoints()
-	})
-}
-
-// policyRecorder sees what the module decides.
-type policyRecorder struct {
-	node.Policy
-	simNode *simNode
-	process *nodeProcess // its process, where the world is wired
-}
-
-func (m *policyRecorder) recordDecision(id policy.JobID, d policy.Decision) policy.Decision {
-	if d.Action == policy.Reject || d.Action == policy.Fail {
-		gave := invariants.Seen{What: invariants.GaveUp, Node: m.simNode.id, Job: id}
-		if l := m.process; l != nil {
-			l.gaveUp = append(l.gaveUp, gave) // the step's tap sees it
-		} else {
-			m.simNode.world.observe(gave)
-		}
-	}
-	return d
-}
-
-func (m *policyRecorder) Place(now time.Duration, id policy.JobID) policy.Decision {
-	return m.recordDecision(id, m.Policy.Place(now, id))
+	n.after(fault.For, n.resume)
 }
 
-func (m *policyRecorder) AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
-	if t := m.simNode.requests[id]; how == policy.Succeeded && t != nil {
-		m.simNode.workRate.add(m.simNode.world.now, cmp.Or(t.work.Hint, m.simNode.world.classes[t.work.Track].Mean))
+// resume lets a suspended process go on with the events that have waited.
+func (n *simNode) resume() {
+	n.suspended = false
+	n.workRate.suspendedUntil = n.world.now + suspendGrace
+	n.world.observe(invariants.Seen{What: invariants.WentOn, Node: n.id})
+	events := n.pendingEvents
+	n.pendingEvents = nil
+	for _, event := range events {
+		n.deliver(event)
 	}
-	return m.recordDecision(id, m.Policy.AttemptEnded(now, id, a, how, final))
+	n.deliverEndpoints()
 }
--- /dev/null
+++ b/internal/simulation/policy_recorder.go
@@ -0,0 +1,45 @@
+package simulation
+
+import (
+	"cmp"
+	"time"
+
+	"birchstair/internal/invariants"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// policyRecorder is a node's policy with its decisions observed.
+type policyRecorder struct {
+	node.Policy
+	node    *simNode
+	process *nodeProcess // in a wired world
+}
+
+// Place places a job and records whether it was given up.
+func (r *policyRecorder) Place(now time.Duration, id policy.JobID) policy.Decision {
+	return r.recordDecision(id, r.Policy.Place(now, id))
+}
+
+// AttemptEnded records the work done and whether the job was given up.
+func (r *policyRecorder) AttemptEnded(now time.Duration, id policy.JobID, attempt policy.AttemptID, outcome policy.Outcome, final bool) policy.Decision {
+	w := r.node.world
+	if request := r.node.requests[id]; outcome == policy.Succeeded && request != nil {
+		r.node.workRate.add(w.now, cmp.Or(request.work.Hint, w.classes[request.work.Track].Mean))
+	}
+	return r.recordDecision(id, r.Policy.AttemptEnded(now, id, attempt, outcome, final))
+}
+
+// recordDecision observes that a job is given up. In a wired world the tap of the step does that.
+func (r *policyRecorder) recordDecision(id policy.JobID, decision policy.Decision) policy.Decision {
+	if decision.Action != policy.Reject && decision.Action != policy.Fail {
+		return decision
+	}
+	gaveUp := invariants.Seen{What: invariants.GaveUp, Node: r.node.id, Job: id}
+	if r.process != nil {
+		r.process.gaveUp = append(r.process.gaveUp, gaveUp)
+	} else {
+		r.node.world.observe(gaveUp)
+	}
+	return decision
+}
--- a/internal/simulation/probe.go
+++ b/internal/simulation/probe.go
@@ -20,7 +20,7 @@
 		}
 	}
 	w.result.Probes++
-	n.later(probeLimit, func() { tell(node.ProbeEnded{Executor: e.Executor}) })
+	n.after(probeLimit, func() { tell(node.ProbeEnded{Executor: e.Executor}) })
 	if x == nil {
 		return
 	}
--- a/internal/simulation/wired_clients.go
+++ b/internal/simulation/wired_clients.go
@@ -14,7 +14,7 @@
 
 // submit hands a try in at its node and waits for what comes.
 func (v *wiredWorld) submit(t *clientRequest) {
-	l, work := t.simNode.process, t.work
+	l, work := t.node.process, t.work
 	from := "clients-" + v.world.scenario.Fleet.Zones[t.clients.zone]
 	v.setZone(from, t.clients.zone)
 	v.requests[t.job] = t
@@ -35,7 +35,7 @@
 // look there could find it.
 func (v *wiredWorld) recordClientGone(t *clientRequest, from, host string) {
 	if p := v.path(from, host); !p.Lost {
-		v.world.after(p.Hold+p.Delay, func() { v.world.observe(invariants.Seen{What: invariants.Went, Node: t.simNode.id, Job: t.job}) })
+		v.world.after(p.Hold+p.Delay, func() { v.world.observe(invariants.Seen{What: invariants.Went, Node: t.node.id, Job: t.job}) })
 	}
 }
 
--- a/internal/simulation/wired_executor.go
+++ b/internal/simulation/wired_executor.go
@@ -87,7 +87,7 @@
 			}
 			c.SetReadDeadline(time.Time{})
 			if t := v.requests[m.Job]; t != nil {
-				x.apply(x.Take(v.world.now, v.world.newAttempt(t, t.simNode.id, key, x)))
+				x.apply(x.Take(v.world.now, v.world.newAttempt(t, t.node.id, key, x)))
 			}
 		})
 		if err != nil {
@@ -104,7 +104,7 @@
 	}
 	b, ended := s.response.Append(nil, o, x.ID, platform.Result(string(t.work.ID)))
 	s.conn.Write(b) //nolint:errcheck // a broken connection is seen by its reader, which books it
-	if o.Word == emulator.Began && v.world.now-t.sentAt > slowStartNotice {
+	if o.Word == emulator.Began && v.world.now-t.sentAt > queuedStart {
 		v.world.result.StartsWaited++
 	}
 	if ended {
--- a/internal/simulation/wired_node.go
+++ b/internal/simulation/wired_node.go
@@ -22,7 +22,7 @@
 type nodeProcess struct {
 	watchDials  int // connections to discovery
 	world       *wiredWorld
-	simNode     *simNode
+	node        *simNode
 	host        string
 	addr        string
 	adminEvents chan node.Event
@@ -34,7 +34,7 @@
 
 func (v *wiredWorld) startNode(n *simNode, p policy.Settings, limits node.Limits, module node.Policy) {
 	f := &v.world.scenario.Fleet
-	l := &nodeProcess{world: v, simNode: n, host: fmt.Sprintf("%s#%d", n.name, n.incarnation), addr: fmt.Sprintf("127.2.%d.%d:%d", n.id/250, n.id%250+1, 8000+n.incarnation),
+	l := &nodeProcess{world: v, node: n, host: fmt.Sprintf("%s#%d", n.name, n.incarnation), addr: fmt.Sprintf("127.2.%d.%d:%d", n.id/250, n.id%250+1, 8000+n.incarnation),
 		adminEvents: make(chan node.Event, maxAdminCalls), attempts: map[node.ConnID]*connAttempt{}}
 	n.process = l
 	v.setZone(l.host, n.zone)
@@ -55,7 +55,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
 	setup := service.Setup{Settings: s, Limits: limits, ClientConns: frontend.ConnLimits{Max: maxClientConns, MaxShared: maxClientConns / 2}, Known: discovery.CachedList{Endpoints: known}, Discovery: discoveryAddress,
-		Start: v.start.Add(n.started), Module: &policyRecorder{Policy: module, simNode: n, process: l}, Listener: listener, Executors: l.dial, List: l.dialList,
+		Start: v.start.Add(n.startedAt), Module: &policyRecorder{Policy: module, node: n, process: l}, Listener: listener, Executors: l.dial, List: l.dialList,
 		Log: zerolog.Nop(), Tap: l.tap}
 	go func() {
 		service.Run(ctx, setup, l.adminEvents) //nolint:errcheck // a killed node ends by its listener's error; the invariants judge what clients see
@@ -122,8 +122,8 @@
 
 func (l *nodeProcess) openConns() (all []faultableConn) {
 	for _, c := range l.world.net.Conns(l.host) {
-		if l.simNode.world.byAddr[c.RemoteAddr().String()] != nil {
-			all = append(all, wiredConn{c, l.simNode.world})
+		if l.node.world.byAddr[c.RemoteAddr().String()] != nil {
+			all = append(all, wiredConn{c, l.node.world})
 		}
 	}
 	return all
@@ -171,6 +171,6 @@
 	l.dead = true
 	close(l.adminEvents)
 	l.stop()
-	l.simNode.exit()
+	l.node.exit()
 	l.world.net.Kill(l.host, false)
 }
--- a/internal/simulation/wired_tap.go
+++ b/internal/simulation/wired_tap.go
@@ -18,9 +18,9 @@
 			return
 		}
 		l.recordEvent(ev)
-		l.simNode.recordAdminCall(ev, effects)
+		l.node.recordAdminCall(ev, effects)
 		for _, s := range gave {
-			l.simNode.world.observe(s)
+			l.node.world.observe(s)
 		}
 		for _, e := range effects {
 			l.recordEffect(e)
@@ -29,7 +29,7 @@
 }
 
 func (l *nodeProcess) recordEvent(ev node.Event) {
-	n, w := l.simNode, l.simNode.world
+	n, w := l.node, l.node.world
 	switch ev := ev.(type) {
 	case node.JobArrived:
 		if t := l.world.requests[ev.Job.ID]; t != nil {
@@ -47,7 +47,7 @@
 		}
 		var entries []emulator.Entry
 		for _, e := range ev.Endpoints {
-			e.StartedAt += n.started
+			e.StartedAt += n.startedAt
 			entries = append(entries, emulator.Entry{Endpoint: e.Endpoint, Addr: e.Addr})
 		}
 		n.endpointsUpdate(ev.Kind, entries)
@@ -63,12 +63,12 @@
 func (l *nodeProcess) attemptEnded(id node.ConnID, proof bool) {
 	if o := l.attempts[id]; o != nil {
 		delete(l.attempts, id)
-		l.simNode.recordAttemptEnd(o, proof)
+		l.node.recordAttemptEnd(o, proof)
 	}
 }
 
 func (l *nodeProcess) recordEffect(e node.Effect) {
-	n, w := l.simNode, l.simNode.world
+	n, w := l.node, l.node.world
 	switch e := e.(type) {
 	case node.Answer:
 		n.openJobs--
