--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -11,23 +11,29 @@
 	"birchstair/policy"
 )
 
-// connAttempt is an allocation on a wire.
+const (
+	timePerByte = 8 * time.Nanosecond   // of a body that is written: 64 KiB take half a millisecond
+	queuedStart = 50 * time.Millisecond // a start later than this after sending has waited in the executor's queue
+)
+
+// connAttempt is an attempt that is out on a connection.
 type connAttempt struct {
 	request  *clientRequest
 	executor *executor
 	number   policy.AttemptID
 	history  *attemptHistory
 	written  bool // its last byte has left the node
-	ended    bool // the node is told, or about to be told, that it is over
+	ended    bool // the node is notified of its end, or about to be
 }
 
-// recordAttempt books that an allocation of a try goes out.
-func (n *simNode) recordAttempt(t *clientRequest, x *executor) *connAttempt {
+// recordAttempt records that an attempt's first byte is sent.
+func (n *simNode) recordAttempt(request *clientRequest, x *executor) *connAttempt {
 	w := n.world
-	l := &connAttempt{request: t, executor: x, number: policy.AttemptID(t.attempts), history: w.account.recordSent(t, x)}
-	t.attempts++
-	t.sentAt = w.now
-	if t.attemptsOut++; t.attemptsOut > 1 {
+	attempt := &connAttempt{request: request, executor: x, number: policy.AttemptID(request.attempts), history: w.account.recordSent(request, x)}
+	request.attempts++
+	request.sentAt = w.now
+	request.attemptsOut++
+	if request.attemptsOut > 1 {
 		w.result.Copies++
 	}
 	n.attemptsOut++
@@ -35,58 +41,64 @@
 	if x.Zone != n.zone {
 		w.result.Crossings++
 	}
-	w.observe(invariants.Seen{What: invariants.FirstByte, Node: n.id, Job: t.job, Work: t.work.ID, Allocation: l.number, Executor: x.ID,
-		Zone: x.Zone, Cell: x.Cell})
-	return l
+	w.observe(invariants.Seen{What: invariants.FirstByte, Node: n.id, Job: request.job, Work: request.work.ID, Allocation: attempt.number,
+		Executor: x.ID, Zone: x.Zone, Cell: x.Cell})
+	return attempt
 }
 
-// recordAttemptEnd books that the node is told of an allocation's end.
-func (n *simNode) recordAttemptEnd(l *connAttempt, proof bool) {
+// recordAttemptEnd records that the node is notified of an attempt's end; neverRan says that the notice proves that it never ran.
+func (n *simNode) recordAttemptEnd(attempt *connAttempt, neverRan bool) {
 	n.attemptsOut--
-	l.request.attemptsOut--
-	n.world.observe(invariants.Seen{What: invariants.Over, Node: n.id, Job: l.request.job, Allocation: l.number, Executor: l.executor.ID, Proof: proof})
+	attempt.request.attemptsOut--
+	n.world.observe(invariants.Seen{What: invariants.Over, Node: n.id, Job: attempt.request.job, Allocation: attempt.number,
+		Executor: attempt.executor.ID, Proof: neverRan})
 }
 
-func (n *simNode) writeAttempt(e node.WriteAttempt) {
-	w, c := n.world, n.conns[e.Conn]
-	if c == nil || c.state != connUp || c.attempt != nil {
-		return // it is closed already, and the node about to be told
+// writeAttempt writes an attempt to its connection, unless that has closed or the client has gone.
+func (n *simNode) writeAttempt(effect node.WriteAttempt) {
+	conn := n.conns[effect.Conn]
+	if conn == nil || conn.state != connUp || conn.attempt != nil {
+		return // closed already; the node is about to be notified
 	}
-	t := n.requests[e.Attempt.ID]
-	if t == nil {
+	request := n.requests[effect.Attempt.ID]
+	if request == nil {
 		return
 	}
-	if client := e.Attempt.Client; client != nil && client.Gone() {
-		c.deliverAfter(processingDelay, node.AttemptNotSent{Conn: c.id})
+	if client := effect.Attempt.Client; client != nil && client.Gone() {
+		conn.deliverAfter(processingDelay, node.AttemptNotSent{Conn: conn.id})
 		return
 	}
-	c.uses++
-	l := n.recordAttempt(t, c.executor)
-	c.attempt = l
-	if c.uses == 1 {
-		l.history.dialedAt, l.history.connUpAt = c.dialedAt, c.upAt
+	conn.uses++
+	attempt := n.recordAttempt(request, conn.executor)
+	conn.attempt = attempt
+	if conn.uses == 1 {
+		attempt.history.dialedAt, attempt.history.connUpAt = conn.dialedAt, conn.upAt
 	}
-	writing := processingDelay + time.Duration(len(e.Attempt.Body))*timePerByte
-	if c.resetsAtFirstUse {
-		c.resetsAtFirstUse = false
-		c.breakAt(time.Duration(w.networkRand.Int64N(int64(3 * writing))))
+	writing := processingDelay + time.Duration(len(effect.Attempt.Body))*timePerByte
+	if conn.resetsAtFirstUse {
+		conn.resetsAtFirstUse = false
+		conn.breakAt(time.Duration(n.world.networkRand.Int64N(int64(3 * writing))))
 	}
-	n.after(writing, func() {
-		if c.state != connUp || c.attempt != l {
-			return
-		}
-		l.written = true
-		w.observe(invariants.Seen{What: invariants.LastByte, Node: n.id, Job: t.job, Allocation: l.number, Executor: c.executor.ID})
-		a := w.newAttempt(t, n.id, c.key, c.executor)
-		c.toExecutor(func() {
-			t.delivered = true
-			w.account.recordReached(l.history, a.Cost)
-			c.executor.apply(c.executor.Take(w.now, a))
-		})
+	n.after(writing, func() { conn.finishWrite(attempt) })
+}
+
+// finishWrite is the last byte of an attempt leaving the node.
+func (c *executorConn) finishWrite(attempt *connAttempt) {
+	if c.state != connUp || c.attempt != attempt {
+		return
+	}
+	w, x, request := c.node.world, c.executor, attempt.request
+	attempt.written = true
+	w.observe(invariants.Seen{What: invariants.LastByte, Node: c.node.id, Job: request.job, Allocation: attempt.number, Executor: x.ID})
+	allocation := w.newAttempt(request, c.node.id, c.key, x)
+	c.toExecutor(func() {
+		request.delivered = true
+		w.account.recordReached(attempt.history, allocation.Cost)
+		x.apply(x.Take(w.now, allocation))
 	})
 }
 
-// idempotencyKey is what a work of a tagged track carries; others have none.
+// idempotencyKey is what the jobs of a work carry if its class has keys; "" otherwise.
 func (w *World) idempotencyKey(work *emulator.Work) string {
 	if w.jobClasses[work.Track].Idempotency == policy.IdempotentWithKey {
 		return string(work.ID)
@@ -94,72 +106,83 @@
 	return ""
 }
 
-// newAttempt is what reaches an executor for a try.
-func (w *World) newAttempt(t *clientRequest, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Allocation {
-	a := emulator.Allocation{Conn: key, Node: from, Job: t.job, Work: t.work.ID, Track: t.work.Track, Priority: w.classes[t.work.Track].Priority,
-		Cost: t.work.Cost, Hint: cmp.Or(t.work.Hint, w.classes[t.work.Track].Mean)}
+// newAttempt is what an executor receives for a request's attempt.
+func (w *World) newAttempt(request *clientRequest, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Allocation {
+	work := request.work
+	class := &w.classes[work.Track]
+	attempt := emulator.Allocation{Conn: key, Node: from, Job: request.job, Work: work.ID, Track: work.Track, Priority: class.Priority,
+		Cost: work.Cost, Hint: cmp.Or(work.Hint, class.Mean)}
 	if noise := w.scenario.Fleet.AttemptNoise; noise > 0 {
-		a.Cost *= math.Exp(w.workNoiseRand.NormFloat64()*noise - noise*noise/2)
+		attempt.Cost *= math.Exp(w.workNoiseRand.NormFloat64()*noise - noise*noise/2)
 	}
-	if a.Tag = w.idempotencyKey(t.work); a.Tag != "" {
-		a.Window, a.Memory = w.jobClasses[a.Track].DedupWindow, w.dedupMemory(x, a.Track)
+	if attempt.Tag = w.idempotencyKey(work); attempt.Tag != "" {
+		attempt.Window, attempt.Memory = class.DedupWindow, w.dedupMemory(x, work.Track)
 	}
 	if w.defects.attempt != nil {
-		w.defects.attempt(&a)
+		w.defects.attempt(&attempt)
 	}
-	return a
+	return attempt
 }
 
-// timePerByte: a body of 64 KiB takes half a millisecond to leave.
-const timePerByte = 8 * time.Nanosecond
+// attemptOutcomes are the outcomes of an executor's final answers.
+var attemptOutcomes = map[emulator.Word]policy.Outcome{
+	emulator.Done:    policy.Succeeded,
+	emulator.Errored: policy.ExecutorError,
+	emulator.NoRoom:  policy.ExecutorFull,
+}
 
-var attemptOutcomes = map[emulator.Word]policy.Outcome{emulator.Done: policy.Succeeded, emulator.Errored: policy.ExecutorError, emulator.NoRoom: policy.ExecutorFull}
+// answer sends an executor's answer or notice to the node.
+func (c *executorConn) answer(answer emulator.Say) {
+	w := c.node.world
+	sentAt := w.now
+	if attempt := c.attempt; attempt != nil && !attempt.ended && attempt.request.job == answer.Job {
+		w.account.recordAnswer(attempt.history, answer.Word)
+	}
+	c.toNode(func() { c.receiveAnswer(answer, sentAt) })
+}
 
-// answer brings an executor's word to the node.
-func (c *executorConn) answer(o emulator.Say) {
-	load := node.Load{Load: policy.Load{InFlight: o.Load.Held, Queued: o.Load.Waiting, FreeSlots: o.Load.Free, FreeMemory: -1, RunTime: -1}, Known: o.Load.Known}
-	sentAt := c.node.world.now
-	if l := c.attempt; l != nil && !l.ended && l.request.job == o.Job {
-		c.node.world.account.recordAnswer(l.history, o.Word)
-	}
-	c.toNode(func() {
-		l := c.attempt
-		if l == nil || l.ended || l.request.job != o.Job {
-			return
-		}
-		switch o.Word {
-		case emulator.Began:
-			if sentAt-l.request.sentAt > queuedStart {
-				c.node.world.result.StartsWaited++
-			}
-			c.deliver(node.AttemptProgressed{Conn: c.id, Load: load})
-			return
-		case emulator.Progress:
-			c.deliver(node.AttemptProgressed{Conn: c.id, Progress: o.Share, Load: load})
-			return
-		}
-		l.ended = true
-		ev := node.AttemptEnded{Conn: c.id, Outcome: attemptOutcomes[o.Word], Load: load}
-		if o.Word == emulator.Done {
-			ev.Result = []byte("done " + l.request.work.ID)
+// receiveAnswer is the arrival of an executor's answer or notice at the node.
+func (c *executorConn) receiveAnswer(answer emulator.Say, sentAt time.Duration) {
+	attempt := c.attempt
+	if attempt == nil || attempt.ended || attempt.request.job != answer.Job {
+		return
+	}
+	load := node.Load{Load: policy.Load{InFlight: answer.Load.Held, Queued: answer.Load.Waiting, FreeSlots: answer.Load.Free,
+		FreeMemory: -1, RunTime: -1}, Known: answer.Load.Known}
+	switch answer.Word {
+	case emulator.Began:
+		if sentAt-attempt.request.sentAt > queuedStart {
+			c.node.world.result.StartsWaited++
 		}
-		c.deliver(ev)
+		c.deliver(node.AttemptProgressed{Conn: c.id, Load: load})
+		return
+	case emulator.Progress:
+		c.deliver(node.AttemptProgressed{Conn: c.id, Progress: answer.Share, Load: load})
+		return
+	}
+	attempt.ended = true
+	event := node.AttemptEnded{Conn: c.id, Outcome: attemptOutcomes[answer.Word], Load: load}
+	if answer.Word == emulator.Done {
+		event.Result = []byte("done " + attempt.request.work.ID)
+	}
+	c.deliver(event)
+	if c.state == connUp {
+		c.becomeIdle()
+	}
+}
+
+// becomeIdle notifies the node that a connection is idle. The executor closes one that is not used within its idle timeout.
+func (c *executorConn) becomeIdle() {
+	w, x, uses := c.node.world, c.executor, c.uses
+	c.node.after(processingDelay, func() {
 		if c.state == connUp {
-			uses := c.uses
-			c.node.after(processingDelay, func() {
-				if c.state == connUp {
-					c.deliver(node.ConnIdle{Conn: c.id})
-				}
-			})
-			c.node.world.after(time.Duration(c.node.world.scenario.Fleet.IdleLimit), func() {
-				if c.uses == uses && c.executor.conns[c.key] == c {
-					c.executor.apply(c.executor.Hangup(c.node.world.now, c.key))
-					c.resetByExecutor()
-				}
-			})
+			c.deliver(node.ConnIdle{Conn: c.id})
+		}
+	})
+	w.after(time.Duration(w.scenario.Fleet.IdleLimit), func() {
+		if c.uses == uses && x.conns[c.key] == c {
+			x.apply(x.Hangup(w.now, c.key))
+			c.resetByExecutor()
 		}
 	})
 }
-
-// queuedStart is from when on a start counts as having waited at the executor.
-const queuedStart = 50 * time.Millisecond
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -217,16 +217,6 @@
 	return work
 }
 
-// hasIdleConn says whether a node has a connection to an executor that nothing is on.
-func (n *simNode) hasIdleConn(x *executor) bool {
-	for _, c := range n.conns {
-		if c.executor == x && c.state == connUp && c.attempt == nil {
-			return true
-		}
-	}
-	return false
-}
-
 // What a baseline has no use for.
 
 func (b *baseline) AttemptStarted(time.Duration, policy.JobID, policy.AttemptID)             {}
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -20,176 +20,121 @@
 	connClosed
 )
 
-// executorConn is a connection between a node and an executor.
+// executorConn is a modeled connection between a node and an executor.
 type executorConn struct {
-	id               node.ConnID
-	key              emulator.ConnID
-	node             *simNode
-	executor         *executor
-	state            connState
-	accepted         bool // the executor has it
-	silent           bool // nothing comes back on it
-	resetsAtFirstUse bool // it breaks at its first use
-	uses             int
-
-	dialedAt, upAt time.Duration // when its dial began, and was over
-
-	attempt        *connAttempt
-	nextToExecutor time.Duration // when what was sent last arrives, each way
+	id       node.ConnID     // at the node
+	key      emulator.ConnID // at the executor
+	node     *simNode
+	executor *executor // nil if nobody has the address
+	state    connState
+	accepted bool // by the executor
+	uses     int
+	attempt  *connAttempt // nil while idle
+
+	silent           bool // nothing comes back
+	resetsAtFirstUse bool
+
+	dialedAt, upAt time.Duration
+
+	// When the message before arrives, each way: messages stay in order.
+	nextToExecutor time.Duration
 	nextToNode     time.Duration
 }
 
-// toExecutor brings something to the executor's end, in order.
-func (c *executorConn) toExecutor(what func()) {
-	c.nextToExecutor = max(c.nextToExecutor+1, c.node.world.arrivalTime(c.node.zone, c.executor.Zone))
-	born := c.executor.Started
-	c.node.world.at(c.nextToExecutor, func() {
-		if !c.executor.unreachable && c.executor.Up && c.executor.Started == born {
-			what()
+// toExecutor runs a function when a message that is sent now reaches the executor, if its process still runs then.
+func (c *executorConn) toExecutor(run func()) {
+	w, x := c.node.world, c.executor
+	c.nextToExecutor = max(c.nextToExecutor+1, w.arrivalTime(c.node.zone, x.Zone))
+	started := x.Started
+	w.at(c.nextToExecutor, func() {
+		if !x.unreachable && x.Up && x.Started == started {
+			run()
 		}
 	})
 }
 
-// toNode brings something to the node's end, in order, unless it is closed there by then.
-func (c *executorConn) toNode(what func()) {
+// toNode runs a function when a message that is sent now reaches the node, if the connection is not closed there by then.
+func (c *executorConn) toNode(run func()) {
 	if c.silent {
 		return
 	}
-	c.nextToNode = max(c.nextToNode+1, c.node.world.arrivalTime(c.executor.Zone, c.node.zone))
-	run := c.node.incarnation
-	c.node.world.at(c.nextToNode, func() {
-		if c.node.up && c.node.incarnation == run && c.state != connClosed {
-			what()
+	w, n := c.node.world, c.node
+	c.nextToNode = max(c.nextToNode+1, w.arrivalTime(c.executor.Zone, n.zone))
+	incarnation := n.incarnation
+	w.at(c.nextToNode, func() {
+		if n.up && n.incarnation == incarnation && c.state != connClosed {
+			run()
 		}
 	})
 }
 
-// deliverAfter tells the node in a moment, in order.
-func (c *executorConn) deliverAfter(after time.Duration, ev node.Event) {
-	c.node.after(after, func() { c.deliver(ev) })
+// deliverAfter delivers an event to the node after a delay.
+func (c *executorConn) deliverAfter(delay time.Duration, event node.Event) {
+	c.node.after(delay, func() { c.deliver(event) })
 }
 
-// deliver books the end of an allocation with the rules, and tells the node.
-func (c *executorConn) deliver(ev node.Event) {
-	switch ev := ev.(type) {
+// deliver records what an event of the connection ends, and delivers it to the node.
+func (c *executorConn) deliver(event node.Event) {
+	n := c.node
+	switch event := event.(type) {
 	case node.AttemptEnded:
-		c.node.world.account.recordEnded(c.attempt.history, ev.Outcome)
-		c.node.recordAttemptEnd(c.attempt, ev.Outcome.NeverRan())
+		n.world.account.recordEnded(c.attempt.history, event.Outcome)
+		n.recordAttemptEnd(c.attempt, event.Outcome.NeverRan())
 		c.attempt = nil
 	case node.ConnClosed:
-		delete(c.node.conns, c.id)
+		delete(n.conns, c.id)
 	}
-	c.node.deliver(ev)
+	n.deliver(event)
 }
 
-func (n *simNode) dial(e node.Dial) {
-	w := n.world
-	w.lastConnID++
-	c := &executorConn{id: e.Conn, key: w.lastConnID, node: n, executor: w.byAddr[e.Addr], dialedAt: w.now}
-	n.conns[c.id] = c
-	w.result.Dials++
-	limit := time.Duration(w.scenario.Fleet.DialLimit)
-	fail := func(after time.Duration, why string) {
-		n.after(after, func() {
-			if c.state == connDialing {
-				c.state = connClosed
-				w.result.NoConnection++
-				c.deliver(node.ConnClosed{Conn: c.id, Detail: "no connection: " + why})
-			}
-		})
-	}
-	fail(limit, "no answer in time")
-	if c.executor == nil {
-		fail(2*time.Duration(w.scenario.Fleet.Near), "nobody there")
-		return
-	}
-	c.silent = w.networkRand.Float64() < w.newConnSilentRate
-	c.resetsAtFirstUse = w.networkRand.Float64() < w.newConnResetRate
-	silent := c.silent
-	c.silent = false // it comes up all the same
-	at := w.arrivalTime(n.zone, c.executor.Zone)
-	w.at(at, func() {
-		if c.executor.unreachable || n.conns[c.id] != c || !n.up {
-			return
-		}
-		if !c.executor.Up {
-			c.toNode(func() {
-				if c.state == connDialing {
-					c.state = connClosed
-					w.result.NoConnection++
-					c.deliver(node.ConnClosed{Conn: c.id, Detail: "no connection: refused"})
-				}
-			})
-			return
-		}
-		ok, outs := c.executor.Open(w.now, c.key)
-		if ok {
-			c.accepted = true
-			c.executor.conns[c.key] = c
-		}
-		c.executor.apply(outs)
-		c.toNode(func() {
-			if c.state != connDialing {
-				return
-			}
-			c.state, c.upAt = connUp, w.now
-			c.deliver(node.ConnReady{Conn: c.id})
-		})
-		if !ok { // it has all the connections it takes: this one is closed as soon as it is up
-			c.toNode(func() { c.breakConn("closed by the executor") })
-		}
-		c.silent = silent
-	})
-}
-
-// closeConn closes a wire at the node's end.
+// closeConn closes a connection at the node's end.
 func (n *simNode) closeConn(id node.ConnID) {
-	c := n.conns[id]
-	if c == nil || c.state == connClosed {
+	conn := n.conns[id]
+	if conn == nil || conn.state == connClosed {
 		return
 	}
-	if c.state == connDialing {
-		c.state = connClosed
-		c.closeAtExecutor()
-		c.deliverAfter(processingDelay, node.ConnClosed{Conn: id, Detail: "no connection: given up"})
+	if conn.state == connDialing {
+		conn.state = connClosed
+		conn.closeAtExecutor()
+		conn.deliverAfter(processingDelay, node.ConnClosed{Conn: id, Detail: noConnection + "given up"})
 		return
 	}
-	c.closeAtExecutor()
-	if l := c.attempt; l != nil {
-		l.history.canceled = true
+	conn.closeAtExecutor()
+	if conn.attempt != nil {
+		conn.attempt.history.canceled = true
 	}
-	c.breakConn("closed here")
+	conn.breakConn("closed here")
 }
 
-// breakConn ends a wire at the node's end, and tells the node.
-func (c *executorConn) breakConn(why string) {
+// breakConn ends a connection at the node's end, and notifies the node soon.
+func (c *executorConn) breakConn(reason string) {
 	if c.state == connClosed {
 		return
 	}
-	was := c.state
+	detail := ""
+	if c.state == connDialing {
+		detail = noConnection + reason
+	}
 	c.state = connClosed
-	if l := c.attempt; l != nil && !l.ended {
-		l.ended = true
-		ev := node.AttemptEnded{Conn: c.id, Outcome: policy.ConnectionLost, ConnBroken: true, Detail: why}
-		if !l.written {
-			ev.Outcome = policy.ConnectFailed
+	if attempt := c.attempt; attempt != nil && !attempt.ended {
+		attempt.ended = true
+		event := node.AttemptEnded{Conn: c.id, Outcome: policy.ConnectionLost, ConnBroken: true, Detail: reason}
+		if !attempt.written {
+			event.Outcome = policy.ConnectFailed
 		}
-		c.deliverAfter(processingDelay, ev)
-	}
-	detail := ""
-	if was == connDialing {
-		detail = "no connection: " + why
+		c.deliverAfter(processingDelay, event)
 	}
 	c.deliverAfter(processingDelay+processingDelay/2, node.ConnClosed{Conn: c.id, Detail: detail})
 }
 
-// closeAtExecutor ends a wire at the executor's end, after what is in flight.
+// closeAtExecutor ends a connection at the executor's end, after what is in flight.
 func (c *executorConn) closeAtExecutor() {
 	if c.executor != nil && c.accepted {
-		c.toExecutor(func() { c.dropAtExecutor() })
+		c.toExecutor(c.dropAtExecutor)
 	}
 }
 
+// dropAtExecutor is the executor's notice that a connection has ended.
 func (c *executorConn) dropAtExecutor() {
 	if c.executor.conns[c.key] == c {
 		delete(c.executor.conns, c.key)
@@ -197,16 +142,26 @@
 	}
 }
 
-// resetByExecutor: the executor has broken the connection.
+// resetByExecutor is a reset of the connection by its executor.
 func (c *executorConn) resetByExecutor() {
 	delete(c.executor.conns, c.key)
 	c.toNode(func() { c.breakConn("reset by the executor") })
 }
 
-func sortedByID(wires map[node.ConnID]*executorConn) []*executorConn {
-	return slices.SortedFunc(maps.Values(wires), func(a, b *executorConn) int { return cmp.Compare(a.id, b.id) })
+// hasIdleConn says whether a node has an idle connection to an executor.
+func (n *simNode) hasIdleConn(x *executor) bool {
+	for _, conn := range n.conns {
+		if conn.executor == x && conn.state == connUp && conn.attempt == nil {
+			return true
+		}
+	}
+	return false
+}
+
+func sortedByID(conns map[node.ConnID]*executorConn) []*executorConn {
+	return slices.SortedFunc(maps.Values(conns), func(a, b *executorConn) int { return cmp.Compare(a.id, b.id) })
 }
 
-func sortedByKey(wires map[emulator.ConnID]*executorConn) []*executorConn {
-	return slices.SortedFunc(maps.Values(wires), func(a, b *executorConn) int { return cmp.Compare(a.key, b.key) })
+func sortedByKey(conns map[emulator.ConnID]*executorConn) []*executorConn {
+	return slices.SortedFunc(maps.Values(conns), func(a, b *executorConn) int { return cmp.Compare(a.key, b.key) })
 }
--- /dev/null
+++ b/internal/simulation/dial.go
@@ -0,0 +1,69 @@
+package simulation
+
+import (
+	"time"
+
+	"birchstair/internal/node"
+)
+
+// noConnection begins the detail of a dial that failed.
+const noConnection = "no connection: "
+
+// dial opens a connection to an executor, with the faults that new connections have now.
+func (n *simNode) dial(effect node.Dial) {
+	w := n.world
+	w.lastConnID++
+	conn := &executorConn{id: effect.Conn, key: w.lastConnID, node: n, executor: w.byAddr[effect.Addr], dialedAt: w.now}
+	n.conns[conn.id] = conn
+	w.result.Dials++
+	n.after(time.Duration(w.scenario.Fleet.DialLimit), func() { conn.failDial("no answer in time") })
+	if conn.executor == nil {
+		n.after(2*time.Duration(w.scenario.Fleet.Near), func() { conn.failDial("nobody there") })
+		return
+	}
+	silent := w.networkRand.Float64() < w.newConnSilentRate // takes effect once the connection is open
+	conn.resetsAtFirstUse = w.networkRand.Float64() < w.newConnResetRate
+	w.at(w.arrivalTime(n.zone, conn.executor.Zone), func() { conn.reachExecutor(silent) })
+}
+
+// failDial ends a dial that is still going on.
+func (c *executorConn) failDial(reason string) {
+	if c.state != connDialing {
+		return
+	}
+	c.state = connClosed
+	c.node.world.result.NoConnection++
+	c.deliver(node.ConnClosed{Conn: c.id, Detail: noConnection + reason})
+}
+
+// reachExecutor is the arrival of the dial at the executor's machine.
+func (c *executorConn) reachExecutor(silent bool) {
+	x, n := c.executor, c.node
+	if x.unreachable || n.conns[c.id] != c || !n.up {
+		return
+	}
+	if !x.Up {
+		c.toNode(func() { c.failDial("refused") })
+		return
+	}
+	ok, outputs := x.Open(n.world.now, c.key)
+	if ok {
+		c.accepted = true
+		x.conns[c.key] = c
+	}
+	x.apply(outputs)
+	c.toNode(c.open)
+	if !ok { // the executor has as many connections as it takes: it closes this one as soon as it is open
+		c.toNode(func() { c.breakConn("closed by the executor") })
+	}
+	c.silent = silent
+}
+
+// open is the arrival of the executor's answer to the dial.
+func (c *executorConn) open() {
+	if c.state != connDialing {
+		return
+	}
+	c.state, c.upAt = connUp, c.node.world.now
+	c.deliver(node.ConnReady{Conn: c.id})
+}
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -12,72 +12,52 @@
 	"birchstair/policy"
 )
 
-// endpointsUpdate makes an event of the list, and books what it tells the node.
+const (
+	watchRetryDelay = time.Millisecond // after a partition's end
+	maxNotifyJitter = 20000            // microseconds by which nodes are notified at different times
+	startedLongAgo  = -time.Hour       // start of an executor that discovery only knows to have started long ago
+)
+
+// endpointsUpdate makes the event of an update of the endpoint list, and records what the node is notified of.
 func (n *simNode) endpointsUpdate(kind policy.EndpointUpdateKind, entries []emulator.Entry) node.EndpointsUpdated {
-	ev := node.EndpointsUpdated{Kind: kind}
+	event := node.EndpointsUpdated{Kind: kind}
 	if kind == policy.WatchFailed {
-		ev.Detail = "no answer"
-		return ev
-	}
-	named := map[policy.ExecutorID]bool{}
-	for _, e := range entries {
-		named[e.Executor] = true
-		if !e.StartedLongAgo {
-			e.StartedAt -= n.startedAt
-		}
-		ev.Endpoints = append(ev.Endpoints, node.Endpoint{Endpoint: e.Endpoint, Addr: e.Addr})
-		start := e.StartedAt + n.startedAt
-		if e.StartedLongAgo {
-			start = -time.Hour
-		}
-		n.recordEndpoint(invariants.Seen{What: invariants.Told, Node: n.id, Executor: e.Executor, State: e.State, Start: start})
+		event.Detail = "no answer"
+		return event
 	}
-	if kind == policy.CompleteUpdate {
-		for _, was := range sortedSeen(n.endpoints) {
-			if !named[was.Executor] && was.State != policy.Removed {
-				was.State = policy.Removed
-				n.recordEndpoint(was)
-			}
+	listed := map[policy.ExecutorID]bool{}
+	for _, entry := range entries {
+		listed[entry.Executor] = true
+		start := entry.StartedAt
+		if entry.StartedLongAgo {
+			start = startedLongAgo
+		} else {
+			entry.StartedAt -= n.startedAt // the node's clock begins with its process
 		}
+		event.Endpoints = append(event.Endpoints, node.Endpoint{Endpoint: entry.Endpoint, Addr: entry.Addr})
+		n.recordEndpoint(invariants.Seen{What: invariants.Told, Node: n.id, Executor: entry.Executor, State: entry.State, Start: start})
 	}
-	return ev
-}
-
-// adminCall has an operator call at a node.
-func (n *simNode) adminCall(o node.AdminCommand, id policy.ExecutorID) {
-	ev := node.AdminCalled{Command: o, Executor: id}
-	switch {
-	case !n.up:
-	case n.process != nil:
-		n.process.adminCall(ev)
-	default:
-		n.deliver(ev)
+	if kind == policy.CompleteUpdate {
+		n.recordRemoved(listed)
 	}
+	return event
 }
 
-// recordAdminCall books what the node is told by an operator, once it has said yes.
-func (n *simNode) recordAdminCall(ev node.Event, effects []node.Effect) {
-	c, ok := ev.(node.AdminCalled)
-	if !ok || !slices.ContainsFunc(effects, func(e node.Effect) bool { r, ok := e.(node.AdminReply); return ok && r.Refusal == "" }) {
-		return
-	}
-	raw, out := n.excluded[c.Executor]
-	switch {
-	case c.Command == node.ExcludeExecutor && !out:
-		raw = n.endpoints[c.Executor]
-		n.excluded[c.Executor] = raw
-		n.recordEndpoint(raw)
-	case c.Command == node.ReadmitExecutor && out:
-		delete(n.excluded, c.Executor)
-		n.recordEndpoint(raw)
+// recordRemoved records that a complete update removes what it does not list.
+func (n *simNode) recordRemoved(listed map[policy.ExecutorID]bool) {
+	for _, known := range sortedByExecutor(n.endpoints) {
+		if !listed[known.Executor] && known.State != policy.Removed {
+			known.State = policy.Removed
+			n.recordEndpoint(known)
+		}
 	}
 }
 
-// recordEndpoint books what the node is told of an executor, unless it is what it was told before. One that operators have taken
-// out drains, whatever the list says.
+// recordEndpoint observes what the node is notified of an executor, unless it knows that already. An excluded executor counts as
+// draining, whatever the endpoint list says.
 func (n *simNode) recordEndpoint(s invariants.Seen) {
 	s.At = 0
-	if _, out := n.excluded[s.Executor]; out {
+	if _, excluded := n.excluded[s.Executor]; excluded {
 		n.excluded[s.Executor] = s
 		if s.State == policy.Available {
 			s.State = policy.Draining
@@ -89,10 +69,45 @@
 	}
 }
 
-// deliverEndpoints hands a node what discovery has for it, unless its zone hears nothing.
+// adminCall has an operator call a node.
+func (n *simNode) adminCall(command node.AdminCommand, id policy.ExecutorID) {
+	event := node.AdminCalled{Command: command, Executor: id}
+	switch {
+	case !n.up:
+	case n.process != nil:
+		n.process.adminCall(event)
+	default:
+		n.deliver(event)
+	}
+}
+
+// recordAdminCall records an exclusion or readmission that the node has accepted.
+func (n *simNode) recordAdminCall(event node.Event, effects []node.Effect) {
+	call, ok := event.(node.AdminCalled)
+	if !ok || !slices.ContainsFunc(effects, isAcceptance) {
+		return
+	}
+	listed, excluded := n.excluded[call.Executor]
+	switch {
+	case call.Command == node.ExcludeExecutor && !excluded:
+		listed = n.endpoints[call.Executor]
+		n.excluded[call.Executor] = listed
+		n.recordEndpoint(listed)
+	case call.Command == node.ReadmitExecutor && excluded:
+		delete(n.excluded, call.Executor)
+		n.recordEndpoint(listed)
+	}
+}
+
+func isAcceptance(effect node.Effect) bool {
+	reply, ok := effect.(node.AdminReply)
+	return ok && reply.Refusal == ""
+}
+
+// deliverEndpoints delivers to the node what discovery has for it. A node in a zone that nothing gets into is served after that.
 func (n *simNode) deliverEndpoints() {
 	if until := n.world.partitions[n.zone].inboundUntil; until > n.world.now {
-		n.after(until-n.world.now+time.Millisecond, n.deliverEndpoints)
+		n.after(until-n.world.now+watchRetryDelay, n.deliverEndpoints)
 		return
 	}
 	if n.watchCut || n.suspended {
@@ -105,13 +120,14 @@
 	n.deliver(n.endpointsUpdate(kind, entries))
 }
 
-// updateEndpoint books a change of an executor's entry; nodes hear of it in time.
-func (w *World) updateEndpoint(e emulator.Entry) {
-	at := w.discovery.Change(w.now, e)
-	w.checker.Listed(at, e.Executor, e.State)
+// updateEndpoint changes an executor's entry at discovery; nodes are notified once discovery has it.
+func (w *World) updateEndpoint(entry emulator.Entry) {
+	at := w.discovery.Change(w.now, entry)
+	w.checker.Listed(at, entry.Executor, entry.State)
 	w.notifyNodes(at)
 }
 
+// notifyNodes lets all nodes read discovery's updates, each at a time of its own soon after the given one.
 func (w *World) notifyNodes(at time.Duration) {
 	if w.wired != nil {
 		w.at(at, w.wired.notifyWatches)
@@ -119,18 +135,19 @@
 	}
 	for _, n := range w.nodes {
 		if n.up {
-			n.after(at-w.now+time.Duration(w.networkRand.IntN(20000))*time.Microsecond, n.deliverEndpoints)
+			jitter := time.Duration(w.networkRand.IntN(maxNotifyJitter)) * time.Microsecond
+			n.after(at-w.now+jitter, n.deliverEndpoints)
 		}
 	}
 }
 
-// updateWeights renews the live weights.
+// updateWeights sets all weights by the executors' load, again and again.
 func (w *World) updateWeights() {
 	at := time.Duration(0)
 	for _, x := range w.executors {
-		if e, ok := w.discovery.Entry(x.ID); ok {
-			e.Weight = x.relativeCapacity() / (1 + float64(x.Held())/float64(x.Cores))
-			at = w.discovery.Change(w.now, e)
+		if entry, ok := w.discovery.Entry(x.ID); ok {
+			entry.Weight = x.relativeCapacity() / (1 + float64(x.Held())/float64(x.Cores))
+			at = w.discovery.Change(w.now, entry)
 		}
 	}
 	if at > 0 {
@@ -139,8 +156,8 @@
 	w.after(time.Duration(w.scenario.Fleet.WeightsEvery), w.updateWeights)
 }
 
-func sortedSeen(known map[policy.ExecutorID]invariants.Seen) []invariants.Seen {
-	return slices.SortedFunc(maps.Values(known), compareByExecutor)
+func sortedByExecutor(endpoints map[policy.ExecutorID]invariants.Seen) []invariants.Seen {
+	return slices.SortedFunc(maps.Values(endpoints), compareByExecutor)
 }
 
 func compareByExecutor(a, b invariants.Seen) int { return cmp.Compare(a.Executor, b.Executor) }
--- a/internal/simulation/link.go
+++ b/internal/simulation/link.go
@@ -8,10 +8,13 @@
 	"birchstair/policy"
 )
 
-// processingDelay is how long something takes within a process.
+// processingDelay is how long a step within a process takes.
 const processingDelay = 20 * time.Microsecond
 
-// minDelay is the least that something takes between zones.
+// partition says until when nothing gets into a zone from other zones, and out of it.
+type partition struct{ inboundUntil, outboundUntil time.Duration }
+
+// minDelay is the least delay between two zones, or within one.
 func (w *World) minDelay(from, to policy.ZoneID) time.Duration {
 	if from != to {
 		return time.Duration(w.scenario.Fleet.Far)
@@ -19,56 +22,60 @@
 	return time.Duration(w.scenario.Fleet.Near)
 }
 
-// randomDelay is how long something takes between zones, with a little chance.
+// randomDelay is a delay between two zones, up to a fifth over the least.
 func (w *World) randomDelay(from, to policy.ZoneID) time.Duration {
-	d := w.minDelay(from, to)
-	return d + time.Duration(w.networkRand.Int64N(int64(d)/5+1))
+	least := w.minDelay(from, to)
+	return least + time.Duration(w.networkRand.Int64N(int64(least)/5+1))
 }
 
-// arrivalTime is when something sent now arrives: where a zone is cut off it is sent again until it gets through.
+// arrivalTime is when something that is sent now arrives. Through a partition it is sent again until it gets through.
 func (w *World) arrivalTime(from, to policy.ZoneID) time.Duration {
-	at := w.now
+	sent := w.now
 	if from != to {
-		at = max(at, w.partitions[from].outboundUntil, w.partitions[to].inboundUntil)
+		sent = max(sent, w.partitions[from].outboundUntil, w.partitions[to].inboundUntil)
 	}
-	return at + w.randomDelay(from, to)
+	return sent + w.randomDelay(from, to)
 }
 
-// linked says whether words go both ways between two zones.
+// linked says whether messages pass both ways between two zones.
 func (w *World) linked(a, b policy.ZoneID) bool {
 	if a == b {
 		return true
 	}
-	for _, z := range [...]policy.ZoneID{a, b} {
-		if w.partitions[z].inboundUntil > w.now || w.partitions[z].outboundUntil > w.now {
+	for _, zone := range [...]policy.ZoneID{a, b} {
+		if w.partitions[zone].inboundUntil > w.now || w.partitions[zone].outboundUntil > w.now {
 			return false
 		}
 	}
 	return true
 }
 
-// partition says until when nothing gets into a zone from others, and out of it.
-type partition struct{ inboundUntil, outboundUntil time.Duration }
-
-func (w *World) partitionZones(f emulator.Fault, in, out bool) {
-	for i, zone := range w.scenario.Fleet.Zones {
-		if !slices.Contains(f.Where, zone) {
+// partitionZones lets nothing into a fault's zones, or out of them, until the fault ends.
+func (w *World) partitionZones(fault emulator.Fault, inbound, outbound bool) {
+	until := w.now + fault.For
+	for i, name := range w.scenario.Fleet.Zones {
+		if !slices.Contains(fault.Where, name) {
 			continue
 		}
-		until := w.now + f.For
-		if in {
-			w.partitions[i].inboundUntil = max(w.partitions[i].inboundUntil, until)
-			for _, n := range w.nodes {
-				if n.zone == policy.ZoneID(i) {
-					w.checker.Apart(n.id, until)
-				}
-			}
+		p := &w.partitions[i]
+		if inbound {
+			p.inboundUntil = max(p.inboundUntil, until)
+			w.isolateNodes(policy.ZoneID(i), until)
 		}
-		if out {
-			w.partitions[i].outboundUntil = max(w.partitions[i].outboundUntil, until)
+		if outbound {
+			p.outboundUntil = max(p.outboundUntil, until)
 		}
 	}
 	if w.wired != nil {
 		w.wired.setPartitions(w.partitions)
 	}
 }
+
+// isolateNodes lets the checker know that nothing reaches the nodes of a zone.
+func (w *World) isolateNodes(zone policy.ZoneID, until time.Duration) {
+	for _, n := range w.nodes {
+		if n.zone == zone {
+			w.checker.Apart(n.id, until)
+		}
+	}
+}
--- a/internal/simulation/probe.go
+++ b/internal/simulation/probe.go
@@ -7,36 +7,42 @@
 	"birchstair/policy"
 )
 
-// probeLimit is how long a node waits for an executor to answer a probe.
-const probeLimit = 250 * time.Millisecond
+// probeTimeout is how long a node waits for an executor to answer a probe.
+const probeTimeout = 250 * time.Millisecond
 
-// probe asks an executor for its load, beside its queue. One that answers no batch job answers no probe either.
-func (n *simNode) probe(e node.ProbeExecutor) {
-	w, x, told := n.world, n.world.byAddr[e.Addr], false
-	tell := func(ev node.ProbeEnded) {
-		if !told {
-			told = true
-			n.deliver(ev)
+// probe asks an executor for its load, past its queue. An executor that does not answer jobs does not answer probes either.
+func (n *simNode) probe(effect node.ProbeExecutor) {
+	w, x, ended := n.world, n.world.byAddr[effect.Addr], false
+	end := func(event node.ProbeEnded) {
+		if !ended {
+			ended = true
+			n.deliver(event)
 		}
 	}
 	w.result.Probes++
-	n.after(probeLimit, func() { tell(node.ProbeEnded{Executor: e.Executor}) })
+	n.after(probeTimeout, func() { end(node.ProbeEnded{Executor: effect.Executor}) })
 	if x == nil {
 		return
 	}
-	run := n.incarnation
+	incarnation := n.incarnation
 	w.at(w.arrivalTime(n.zone, x.Zone), func() {
 		if x.unreachable || !x.Up || x.Mute() {
 			return
 		}
-		load := policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
-		if says := x.Says(w.now); says.Known {
-			load.InFlight, load.Queued, load.FreeSlots = says.Held, says.Waiting, says.Free
-		}
+		load := x.probedLoad()
 		w.at(w.arrivalTime(x.Zone, n.zone), func() {
-			if n.up && n.incarnation == run {
-				tell(node.ProbeEnded{Executor: e.Executor, Answered: true, Load: load})
+			if n.up && n.incarnation == incarnation {
+				end(node.ProbeEnded{Executor: effect.Executor, Answered: true, Load: load})
 			}
 		})
 	})
 }
+
+// probedLoad is the load that the executor answers a probe with; values that it does not report are -1.
+func (x *executor) probedLoad() policy.Load {
+	load := policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
+	if reported := x.Says(x.world.now); reported.Known {
+		load.InFlight, load.Queued, load.FreeSlots = reported.Held, reported.Waiting, reported.Free
+	}
+	return load
+}
