--- /dev/null
+++ b/internal/simulation/executor_faults.go
@@ -0,0 +1,143 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// vanishDetection is how long discovery takes to notice that an executor has vanished with its machine.
+const vanishDetection = 2 * time.Second
+
+// beginFault begins a fault on the executor.
+func (x *executor) beginFault(fault emulator.Fault) {
+	switch fault.Kind {
+	case emulator.Crash, emulator.Moved, emulator.Replace:
+		x.stop(false)
+	case emulator.Vanish, emulator.ZoneLost:
+		x.stop(true)
+	case emulator.DrainOff:
+		x.drainAndRestart(fault)
+	case emulator.TakenOut:
+		x.excludeAndRestart(fault)
+	default:
+		x.faults = append(x.faults, fault)
+		x.updateTrouble()
+	}
+}
+
+// endFault ends a fault on the executor. A drain restarts it by itself.
+func (x *executor) endFault(fault emulator.Fault) {
+	switch fault.Kind {
+	case emulator.Crash, emulator.Vanish, emulator.ZoneLost:
+		x.endDownFault()
+	case emulator.Moved:
+		if x.activeDownFaults == 1 {
+			x.changeAddress()
+		}
+		x.endDownFault()
+	case emulator.Replace:
+		if x.activeDownFaults == 1 { // it never comes back: the count stays over 0
+			x.replace()
+		}
+	case emulator.DrainOff:
+	case emulator.TakenOut:
+		for _, n := range x.world.nodes {
+			n.adminCall(node.ReadmitExecutor, x.ID)
+		}
+	default:
+		x.faults = emulator.Without(x.faults, fault)
+		x.updateTrouble()
+	}
+}
+
+// updateTrouble combines the faults that slow the executor down or make it fail.
+func (x *executor) updateTrouble() {
+	trouble := emulator.Together(x.faults)
+	trouble.Lies = x.Trouble().Lies
+	x.apply(x.Suffer(x.world.now, trouble))
+}
+
+// stop ends the executor's process. If its machine vanishes, nothing notifies those connected to it, and discovery notices later.
+func (x *executor) stop(vanishes bool) {
+	w := x.world
+	x.activeDownFaults++
+	if !x.Up {
+		x.unreachable = x.unreachable || vanishes
+		return
+	}
+	outputs := x.Crash(w.now)
+	if w.wired != nil {
+		w.wired.endExecutor(x, vanishes)
+	}
+	if !vanishes {
+		x.apply(outputs)
+		w.updateEndpoint(x.entry(policy.Removed))
+		return
+	}
+	x.unreachable = true
+	x.timerSeq++
+	w.after(vanishDetection, func() {
+		if x.unreachable {
+			w.updateEndpoint(x.entry(policy.Removed))
+		}
+	})
+}
+
+// endDownFault ends one of the faults that keep the executor down; with the last one it restarts.
+func (x *executor) endDownFault() {
+	if x.activeDownFaults--; x.activeDownFaults > 0 {
+		return
+	}
+	x.activeDownFaults = 0
+	x.restart()
+}
+
+// drainAndRestart drains the executor: the endpoint list says so first, after a grace period it takes nothing new, it ends at three
+// quarters of the fault, and restarts at its end.
+func (x *executor) drainAndRestart(fault emulator.Fault) {
+	w := x.world
+	if !x.Up || x.activeDownFaults > 0 {
+		return
+	}
+	x.activeDownFaults++
+	started := x.Started
+	w.updateEndpoint(x.entry(policy.Draining))
+	w.after(time.Duration(w.scenario.Fleet.ListLag+w.scenario.Fleet.DrainGrace), func() {
+		if x.Up && x.Started == started {
+			x.Drains = true
+		}
+	})
+	w.after(fault.For*3/4, func() {
+		if x.Up && x.Started == started {
+			x.apply(x.Crash(w.now))
+			if w.wired != nil {
+				w.wired.endExecutor(x, false)
+			}
+			w.updateEndpoint(x.entry(policy.Removed))
+		}
+	})
+	w.after(fault.For, x.endDownFault)
+}
+
+// excludeAndRestart has operators exclude the executor at each node, and restarts it meanwhile. The endpoint list does not show the
+// exclusion.
+func (x *executor) excludeAndRestart(fault emulator.Fault) {
+	w := x.world
+	for _, n := range w.nodes {
+		n.adminCall(node.ExcludeExecutor, x.ID)
+	}
+	w.after(fault.For/2, func() { x.stop(false) })
+	w.after(fault.For*3/4, x.endDownFault)
+}
+
+// replace starts another executor in the place of one that does not come back.
+func (x *executor) replace() {
+	x.replacements++
+	replacement := x.world.addExecutor(fmt.Sprintf("%s-%d", x.ID, x.replacements), x.number, x.Speed)
+	replacement.Up = false
+	replacement.restart()
+}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,229 +9,187 @@
 	"birchstair/internal/node"
 )
 
-// scheduleFault puts a fault on the clock: its start, and its end.
-func (w *World) scheduleFault(f emulator.Fault) {
-	w.at(f.At, func() {
-		w.note("fault: %v", f)
-		w.beginFault(f)
-		if f.For > 0 {
-			w.after(f.For, func() {
-				w.note("over: %v", f)
-				w.endFault(f)
+// watchLossDelay is how soon nodes see that discovery is silent.
+const watchLossDelay = 100 * time.Millisecond
+
+// gossipFaults are the kinds that are not played in wired worlds, whose nodes have no gossip and run in the test's own process.
+var gossipFaults = []emulator.Kind{emulator.NodesApart, emulator.NodeLies, emulator.NodeStopped, emulator.WordsLost, emulator.ListCut}
+
+// scheduleFault schedules a fault's begin and end.
+func (w *World) scheduleFault(fault emulator.Fault) {
+	w.at(fault.At, func() {
+		w.note("fault: %v", fault)
+		w.setFault(fault, true)
+		if fault.For > 0 {
+			w.after(fault.For, func() {
+				w.note("over: %v", fault)
+				w.setFault(fault, false)
 			})
 		}
 	})
 }
 
-// faultedExecutors are the executors that a fault is on.
-func (w *World) faultedExecutors(f emulator.Fault) (all []*executor) {
+// setFault begins or ends a fault.
+func (w *World) setFault(fault emulator.Fault, on bool) {
+	if w.wired != nil && slices.Contains(gossipFaults, fault.Kind) {
+		return
+	}
+	size := fault.Size
+	if !on {
+		size = 0
+	}
+	switch fault.Kind {
+	case emulator.ZoneCut, emulator.ZoneDeaf, emulator.ZoneMute:
+		if on { // a partition knows when it ends
+			w.partitionZones(fault, fault.Kind != emulator.ZoneMute, fault.Kind != emulator.ZoneDeaf)
+		}
+	case emulator.ResetNew:
+		w.newConnResetRate = size
+	case emulator.SilentNew:
+		w.newConnSilentRate = size
+	case emulator.SilentOld, emulator.ResetOld, emulator.ClientReset:
+		if on {
+			w.beginConnFault(fault)
+		}
+	case emulator.ListLate:
+		w.setDiscoveryLate(secondsOf(size), on)
+	case emulator.ListLost:
+		w.setDiscoverySilent(on)
+	case emulator.WordsLost:
+		w.gossipLoss = size
+	case emulator.Burst, emulator.HeavyTail:
+		w.setClientFault(fault, on)
+	case emulator.ClockOff:
+		w.clockOffset = secondsOf(size)
+	default:
+		w.setProcessFault(fault, on)
+	}
+}
+
+func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
+
+// setProcessFault begins or ends a fault on each executor, and each node, that it is on.
+func (w *World) setProcessFault(fault emulator.Fault, on bool) {
+	for _, x := range w.faultedExecutors(fault) {
+		if on {
+			x.beginFault(fault)
+		} else {
+			x.endFault(fault)
+		}
+	}
+	for _, n := range w.faultedNodes(fault) {
+		if on {
+			n.beginFault(fault)
+		} else {
+			n.endFault(fault)
+		}
+	}
+}
+
+// faultedExecutors are the executors that a fault is on; none if its kind is not on executors.
+func (w *World) faultedExecutors(fault emulator.Fault) (all []*executor) {
+	if on, _ := fault.Kind.On(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
+		return nil
+	}
 	for _, x := range w.executors {
-		if f.Touches(string(x.ID), w.scenario.Fleet.Zones[x.Zone]) {
+		if fault.Touches(string(x.ID), w.scenario.Fleet.Zones[x.Zone]) {
 			all = append(all, x)
 		}
 	}
 	return all
 }
 
-// faultedNodes are the nodes that a fault is on.
-func (w *World) faultedNodes(f emulator.Fault) (all []*simNode) {
+// faultedNodes are the nodes that a fault is on; none if its kind is not on nodes.
+func (w *World) faultedNodes(fault emulator.Fault) (all []*simNode) {
+	if on, _ := fault.Kind.On(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
+		return nil
+	}
 	for _, n := range w.nodes {
-		if f.Touches(n.name, w.scenario.Fleet.Zones[n.zone]) {
+		if fault.Touches(n.name, w.scenario.Fleet.Zones[n.zone]) {
 			all = append(all, n)
 		}
 	}
 	return all
 }
 
-// gossipFaults are the kinds that only worlds of reducers alone can play: the network's nodes talk with nobody.
-var gossipFaults = []emulator.Kind{emulator.NodesApart, emulator.NodeLies, emulator.NodeStopped, emulator.WordsLost, emulator.ListCut}
+// setDiscoveryLate delays all updates of the endpoint list, or ends the delay.
+func (w *World) setDiscoveryLate(delay time.Duration, on bool) {
+	w.discovery.Late(delay)
+	if on {
+		w.checker.Apart(invariants.Nobody, w.now+time.Duration(w.scenario.Fleet.ListLag)+delay)
+	} else {
+		w.notifyNodes(w.now)
+	}
+}
 
-func (w *World) beginFault(f emulator.Fault) {
-	if w.wired != nil && slices.Contains(gossipFaults, f.Kind) {
-		return
+// setDiscoverySilent stops discovery from answering, or lets it answer again.
+func (w *World) setDiscoverySilent(silent bool) {
+	w.discovery.Silence(silent)
+	w.checker.Cut(w.now, invariants.Nobody, silent)
+	at := w.now
+	if silent {
+		at += watchLossDelay
 	}
-	switch f.Kind {
-	case emulator.Slow, emulator.Stalls, emulator.Neighbour, emulator.Errors, emulator.Mute:
-		for _, x := range w.faultedExecutors(f) {
-			x.faults = append(x.faults, f)
-			x.updateFault()
-		}
-	case emulator.Crash, emulator.Moved, emulator.Replace:
-		for _, x := range w.faultedExecutors(f) {
-			x.stop(false)
-		}
-	case emulator.Vanish:
-		for _, x := range w.faultedExecutors(f) {
-			x.stop(true)
-		}
-	case emulator.DrainOff:
-		for _, x := range w.faultedExecutors(f) {
-			w.drain(x, f)
-		}
-	case emulator.TakenOut:
-		for _, x := range w.faultedExecutors(f) {
-			w.excludeAndRestart(x, f)
+	w.notifyNodes(at)
+}
+
+// setClientFault begins or ends a fault of the clients' traffic.
+func (w *World) setClientFault(fault emulator.Fault, on bool) {
+	for _, c := range w.clients {
+		switch {
+		case fault.Kind == emulator.Burst && on:
+			c.Burst = fault.Size
+		case fault.Kind == emulator.Burst:
+			c.Burst = 0
+		case on:
+			c.Tail = emulator.TailOf(fault.Size)
+		default:
+			c.Tail = emulator.Tail{}
 		}
+	}
+}
+
+// beginFault begins a fault on the node.
+func (n *simNode) beginFault(fault emulator.Fault) {
+	switch fault.Kind {
 	case emulator.SentAway:
-		for _, n := range w.faultedNodes(f) {
-			n.adminCall(node.DrainOn, "")
-		}
-	case emulator.ZoneLost:
-		for _, x := range w.faultedExecutors(f) {
-			x.stop(true)
-		}
-		for _, n := range w.faultedNodes(f) {
-			n.activeDownFaults++
-			n.kill()
-		}
-	case emulator.ZoneCut:
-		w.partitionZones(f, true, true)
-	case emulator.ZoneDeaf:
-		w.partitionZones(f, true, false)
-	case emulator.ZoneMute:
-		w.partitionZones(f, false, true)
-	case emulator.ResetNew:
-		w.newConnResetRate = f.Size
-	case emulator.SilentNew:
-		w.newConnSilentRate = f.Size
-	case emulator.SilentOld:
-		for _, c := range w.openConns() {
-			if w.networkRand.Float64() < f.Size {
-				c.silence()
-			}
-		}
-	case emulator.ResetOld:
-		w.resetOpenConns(f, w.now+f.For)
-	case emulator.ClientReset:
-		w.resetClientConns(f, w.now+f.For)
-	case emulator.ListLate:
-		w.discovery.Late(time.Duration(f.Size * 1e9))
-		w.checker.Apart(invariants.Nobody, w.now+time.Duration(w.scenario.Fleet.ListLag)+time.Duration(f.Size*1e9))
-	case emulator.ListLost:
-		w.discovery.Silence(true)
-		w.checker.Cut(w.now, invariants.Nobody, true)
-		w.notifyNodes(w.now + 100*time.Millisecond)
-	case emulator.NodeKilled:
-		for _, n := range w.faultedNodes(f) {
-			n.activeDownFaults++
-			n.kill()
-		}
+		n.adminCall(node.DrainOn, "")
+	case emulator.NodeKilled, emulator.ZoneLost:
+		n.activeDownFaults++
+		n.kill()
 	case emulator.NodeRestart:
-		for _, n := range w.faultedNodes(f) {
-			n.activeDownFaults++
-			n.shutDown()
-		}
+		n.activeDownFaults++
+		n.shutDown()
 	case emulator.NodeStopped:
-		for _, n := range w.faultedNodes(f) {
-			n.suspend(f)
-		}
-	case emulator.NodeLies, emulator.NodesApart, emulator.ListCut:
-		for _, n := range w.faultedNodes(f) {
-			n.setFault(f.Kind, true)
-		}
-	case emulator.WordsLost:
-		w.gossipLoss = f.Size
-	case emulator.Burst:
-		for _, c := range w.clients {
-			c.Burst = f.Size
-		}
-	case emulator.HeavyTail:
-		for _, c := range w.clients {
-			c.Tail = emulator.TailOf(f.Size)
-		}
-	case emulator.ClockOff:
-		w.clockOffset = time.Duration(f.Size * 1e9)
+		n.suspend(fault)
+	default:
+		n.setPeerFault(fault.Kind, true)
 	}
 }
 
-func (w *World) endFault(f emulator.Fault) {
-	if w.wired != nil && slices.Contains(gossipFaults, f.Kind) {
-		return
-	}
-	switch f.Kind {
-	case emulator.Slow, emulator.Stalls, emulator.Neighbour, emulator.Errors, emulator.Mute:
-		for _, x := range w.faultedExecutors(f) {
-			x.faults = emulator.Without(x.faults, f)
-			x.updateFault()
-		}
-	case emulator.Crash, emulator.Vanish:
-		for _, x := range w.faultedExecutors(f) {
-			x.endDownFault()
-		}
-	case emulator.Moved:
-		for _, x := range w.faultedExecutors(f) {
-			if x.activeDownFaults == 1 {
-				x.changeAddress()
-			}
-			x.endDownFault()
-		}
-	case emulator.Replace:
-		for _, x := range w.faultedExecutors(f) {
-			if x.activeDownFaults == 1 { // it never comes back itself: down stays over 0
-				w.replace(x)
-			}
-		}
-	case emulator.TakenOut:
-		for _, x := range w.faultedExecutors(f) {
-			for _, n := range w.nodes {
-				n.adminCall(node.ReadmitExecutor, x.ID)
-			}
-		}
+// endFault ends a fault on the node. A suspended one resumes by itself.
+func (n *simNode) endFault(fault emulator.Fault) {
+	switch fault.Kind {
 	case emulator.SentAway:
-		for _, n := range w.faultedNodes(f) {
-			n.adminCall(node.DrainOff, "")
-		}
-	case emulator.ZoneLost:
-		for _, x := range w.faultedExecutors(f) {
-			x.endDownFault()
-		}
-		for _, n := range w.faultedNodes(f) {
-			n.endDownFault()
-		}
-	case emulator.ResetNew:
-		w.newConnResetRate = 0
-	case emulator.SilentNew:
-		w.newConnSilentRate = 0
-	case emulator.ListLate:
-		w.discovery.Late(0)
-		w.notifyNodes(w.now)
-	case emulator.ListLost:
-		w.discovery.Silence(false)
-		w.checker.Cut(w.now, invariants.Nobody, false)
-		w.notifyNodes(w.now)
-	case emulator.NodeKilled, emulator.NodeRestart:
-		for _, n := range w.faultedNodes(f) {
-			n.endDownFault()
-		}
-	case emulator.NodeLies, emulator.NodesApart, emulator.ListCut:
-		for _, n := range w.faultedNodes(f) {
-			n.setFault(f.Kind, false)
-		}
-	case emulator.WordsLost:
-		w.gossipLoss = 0
-	case emulator.Burst:
-		for _, c := range w.clients {
-			c.Burst = 0
-		}
-	case emulator.HeavyTail:
-		for _, c := range w.clients {
-			c.Tail = emulator.Tail{}
-		}
-	case emulator.ClockOff:
-		w.clockOffset = 0
+		n.adminCall(node.DrainOff, "")
+	case emulator.NodeKilled, emulator.NodeRestart, emulator.ZoneLost:
+		n.endDownFault()
+	default:
+		n.setPeerFault(fault.Kind, false)
 	}
 }
 
-// setFault begins or ends what is wrong with a node that talks.
-func (n *simNode) setFault(k emulator.Kind, on bool) {
-	switch k {
+// setPeerFault begins or ends a fault of a node in a world with gossip.
+func (n *simNode) setPeerFault(kind emulator.Kind, on bool) {
+	switch kind {
 	case emulator.NodeLies:
-		n.corruption = indicator(on)
+		n.corruption = countTrue(on)
 	case emulator.NodesApart:
 		n.partitioned = on
 	case emulator.ListCut:
 		n.world.checker.Cut(n.world.now, n.id, on)
-		if n.watchCut = on; !on && n.up {
+		n.watchCut = on
+		if !on && n.up {
 			n.deliverEndpoints()
 		}
 	}
