--- a/internal/simulation/wired_clients.go
+++ b/internal/simulation/wired_clients.go
@@ -18,7 +18,7 @@
 	from := "clients-" + v.world.scenario.Fleet.Zones[t.clients.zone]
 	v.setZone(from, t.clients.zone)
 	v.requests[t.job] = t
-	m := platform.Message{Job: t.job, Track: v.world.scenario.Tracks[work.Track].Name, Tag: v.world.idempotencyKey(work), Work: time.Duration(work.Hint * 1e9), Body: v.world.body()}
+	m := platform.Message{Job: t.job, Track: v.world.scenario.Tracks[work.Track].Name, Tag: v.world.idempotencyKey(work), Work: time.Duration(work.Hint * 1e9), Body: v.world.requestBody()}
 	go func() {
 		how, comeBack := v.call(from, l.addr, m, t)
 		v.update(func() {
