--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -11,39 +11,46 @@
 	"birchstair/policy"
 )
 
-// Nodes that talk: a model of what carries their words. Membership comes as memberlist brings it, late and by each node's own ways; words get lost,
-// doubled and late as the scenario says, and not through a cut.
+// Membership is modeled as memberlist brings it: late, and by what each node could reach itself.
+const (
+	membershipInterval = 500 * time.Millisecond  // between two looks at who is alive
+	memberTimeout      = 2500 * time.Millisecond // a node that could not be reached for so long counts as dead
+)
 
+// Beginnings of the node's log messages about drains that it heard of from peers.
 const (
-	membershipInterval = 500 * time.Millisecond  // a node looks so often who is alive
-	memberTimeout      = 2500 * time.Millisecond // and holds for dead who could not be reached for so long
+	logPeerDrain    = "counts as draining"
+	logPeerDrainEnd = "no longer counts as draining"
 )
 
-// joinFleet makes a node that has just started one of the fleet.
+// joinFleet lets a node that has just started gossip with its peers.
 func (n *simNode) joinFleet() {
-	s := cluster.Defaults(cluster.NodeName(n.name), uint64(n.startedAt.Milliseconds())<<8+uint64(n.incarnation), uint32(permute(n.world.seed+uint64(n.id))))
-	s.Epoch = n.startedAt.Milliseconds()
-	if n.world.defects.fleet != nil {
-		n.world.defects.fleet(&s)
+	w := n.world
+	incarnation := uint64(n.startedAt.Milliseconds())<<8 + uint64(n.incarnation)
+	settings := cluster.Defaults(cluster.NodeName(n.name), incarnation, uint32(permute(w.seed+uint64(n.id))))
+	settings.Epoch = n.startedAt.Milliseconds()
+	if w.defects.fleet != nil {
+		w.defects.fleet(&settings)
 	}
-	n.workRate = workRate{at: n.world.now}
-	n.reducer.JoinFleet(s)
+	n.workRate = workRate{at: w.now}
+	n.reducer.JoinFleet(settings)
 	n.peerReachedAt, n.alivePeers = map[invariants.NodeID]time.Duration{}, nil
-	n.after(time.Duration(n.world.gossipRand.Int64N(int64(membershipInterval))), n.updateMembership)
+	n.after(time.Duration(w.gossipRand.Int64N(int64(membershipInterval))), n.updateMembership)
 }
 
-// updateMembership finds out who is alive.
+// updateMembership finds out which peers are alive, again and again.
 func (n *simNode) updateMembership() {
+	w := n.world
 	var alive []cluster.NodeName
-	for _, o := range n.world.nodes {
-		if o == n {
+	for _, peer := range w.nodes {
+		if peer == n {
 			continue
 		}
-		if o.up && !o.suspended && o.partitioned == n.partitioned && n.world.linked(n.zone, o.zone) {
-			n.peerReachedAt[o.id] = n.world.now
+		if peer.up && !peer.suspended && peer.partitioned == n.partitioned && w.linked(n.zone, peer.zone) {
+			n.peerReachedAt[peer.id] = w.now
 		}
-		if at, ok := n.peerReachedAt[o.id]; ok && n.world.now-at < memberTimeout {
-			alive = append(alive, cluster.NodeName(o.name))
+		if at, ok := n.peerReachedAt[peer.id]; ok && w.now-at < memberTimeout {
+			alive = append(alive, cluster.NodeName(peer.name))
 		}
 	}
 	if !slices.Equal(alive, n.alivePeers) {
@@ -53,101 +60,92 @@
 	n.after(membershipInterval, n.updateMembership)
 }
 
-// sendGossip sends a word on its way.
-func (n *simNode) sendGossip(to cluster.Envelope) {
-	n.checkGossipBounds(to)
-	to.Message = n.corrupt(to.Message)
-	n.world.recordGossip(to.Message)
-	i := slices.IndexFunc(n.world.nodes, func(o *simNode) bool { return o.name == string(to.To) })
-	if i >= 0 {
-		n.deliverPeerMessage(n.world.nodes[i], node.GossipReceived{Message: to.Message})
+// sendGossip checks a gossip message against the bounds and sends it.
+func (n *simNode) sendGossip(envelope cluster.Envelope) {
+	n.checkGossipBounds(envelope)
+	message := n.corrupt(envelope.Message)
+	n.world.recordGossip(message)
+	to := slices.IndexFunc(n.world.nodes, func(peer *simNode) bool { return peer.name == string(envelope.To) })
+	if to >= 0 {
+		n.sendToPeer(n.world.nodes[to], node.GossipReceived{Message: message})
 	}
 }
 
-// sendLeaseMessage sends a word about an executor's places on its way.
-func (n *simNode) sendLeaseMessage(to node.SendLeaseMessage) {
-	if int(to.To) < len(n.world.nodes) {
-		n.deliverPeerMessage(n.world.nodes[to.To], node.LeaseMessageReceived{From: policy.NodeID(n.id), Message: to.Message, Hash: to.Hash})
+// sendLeaseMessage sends a message about leases.
+func (n *simNode) sendLeaseMessage(effect node.SendLeaseMessage) {
+	if int(effect.To) < len(n.world.nodes) {
+		event := node.LeaseMessageReceived{From: policy.NodeID(n.id), Message: effect.Message, Hash: effect.Hash}
+		n.sendToPeer(n.world.nodes[effect.To], event)
 	}
 }
 
-// deliverPeerMessage is what becomes of a word on its way.
-func (n *simNode) deliverPeerMessage(o *simNode, ev node.Event) {
-	w, f := n.world, &n.world.scenario.Fleet
+// sendToPeer sends a message that may be lost, late or doubled. A partition loses it.
+func (n *simNode) sendToPeer(peer *simNode, event node.Event) {
+	w, fleet := n.world, &n.world.scenario.Fleet
 	w.result.Words++
-	if n.partitioned != o.partitioned || n.zone != o.zone && (w.partitions[n.zone].outboundUntil > w.now || w.partitions[o.zone].inboundUntil > w.now) {
+	blocked := n.zone != peer.zone && (w.partitions[n.zone].outboundUntil > w.now || w.partitions[peer.zone].inboundUntil > w.now)
+	if n.partitioned != peer.partitioned || blocked {
 		return
 	}
-	for range 1 + indicator(w.gossipRand.Float64() < f.WordsDoubled) {
-		if w.gossipRand.Float64() < max(f.WordsLost, w.gossipLoss) {
+	for range 1 + countTrue(w.gossipRand.Float64() < fleet.WordsDoubled) {
+		if w.gossipRand.Float64() < max(fleet.WordsLost, w.gossipLoss) {
 			continue
 		}
 		late := time.Duration(0)
-		if f.WordsLate > 0 {
-			late = time.Duration(w.gossipRand.Int64N(int64(f.WordsLate)))
-		}
-		near := time.Duration(f.Near)
-		if n.zone != o.zone {
-			near = time.Duration(f.Far)
+		if fleet.WordsLate > 0 {
+			late = time.Duration(w.gossipRand.Int64N(int64(fleet.WordsLate)))
 		}
-		run := o.incarnation
-		w.after(near+late, func() {
-			if o.up && o.incarnation == run {
-				o.deliver(ev)
+		incarnation := peer.incarnation
+		w.after(w.minDelay(n.zone, peer.zone)+late, func() {
+			if peer.up && peer.incarnation == incarnation {
+				peer.deliver(event)
 			}
 		})
 	}
 }
 
-func indicator(is bool) int {
-	if is {
-		return 1
-	}
-	return 0
-}
-
-// corrupt makes nonsense of what a node tells, while it lies: each word another kind of it.
-func (n *simNode) corrupt(w cluster.Message) cluster.Message {
+// corrupt corrupts what a faulty node says of itself, each message in another way.
+func (n *simNode) corrupt(message cluster.Message) cluster.Message {
 	if n.corruption == 0 {
-		return w
+		return message
 	}
 	n.corruption++
-	g := w.Rates.Clone()
+	rates := message.Rates.Clone()
 	switch n.corruption % 4 {
-	case 0: // ten times the truth
-		for rung := range g.Offered {
-			g.Offered[rung] *= 10
+	case 0: // ten times the true rates
+		for level := range rates.Offered {
+			rates.Offered[level] *= 10
 		}
-		g.Completed *= 10
+		rates.Completed *= 10
 	case 1:
-		g.Completed = -1
-	case 2: // all is lost
-		g.Expired += 10 * g.Completed
-	case 3:
-		w.From = cluster.NodeName(n.world.nodes[(int(n.id)+1)%len(n.world.nodes)].name) // another's name
+		rates.Completed = -1
+	case 2: // nearly all expires
+		rates.Expired += 10 * rates.Completed
+	case 3: // in a peer's name
+		message.From = cluster.NodeName(n.world.nodes[(int(n.id)+1)%len(n.world.nodes)].name)
 	}
-	w.Rates = g
-	return w
+	message.Rates = rates
+	return message
 }
 
-// recordPeerDrains books the drains that a node counts as told by a neighbour: rule 3 binds for them as for the list's, until the own list, which follows, has not
-// borne them out for so long that the node gives them up.
+// recordPeerDrains records the drains of which a node has heard from a peer: it must respect them like the endpoint list's, until it
+// gives them up because its own list has not confirmed them in time.
 func (n *simNode) recordPeerDrains(effects []node.Effect) {
-	for _, e := range effects {
-		l, ok := e.(node.Log)
+	for _, effect := range effects {
+		message, ok := effect.(node.Log)
 		if !ok {
 			continue
 		}
-		state, was := policy.Draining, policy.Available
+		before, after := policy.Available, policy.Draining
 		switch {
-		case strings.HasPrefix(l.Text, "counts as draining"):
-		case strings.HasPrefix(l.Text, "no longer counts as draining"):
-			state, was = was, state
+		case strings.HasPrefix(message.Text, logPeerDrain):
+		case strings.HasPrefix(message.Text, logPeerDrainEnd):
+			before, after = after, before
 		default:
 			continue
 		}
-		if known, ok := n.endpoints[l.Executor]; ok && known.State == was {
-			known.State = state
+		if known, ok := n.endpoints[message.Executor]; ok && known.State == before {
+			known.State = after
 			n.recordEndpoint(known)
 		}
 	}
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -7,86 +7,112 @@
 	"birchstair/internal/cluster"
 )
 
-// The bounds of docs/design/fleet.md, checked whenever a node tells a word: how many words it tells, that a figure which counts is no older than is said,
-// and that what it tells of itself is what it did itself.
-
+// The bounds of docs/design/fleet.md are checked whenever a node sends a gossip message: how many it sends, that the peer states which it
+// uses are no older than promised, and that the work rate which it sends is what it did.
 const (
-	suspendGrace   = 4 * time.Second // a node's figures may begin anew after a stand-still: so long they say nothing
-	extraRounds    = 1               // more than the formula: a round that has just begun
-	workRateFactor = 2.5             // what a node tells to have done, over what it did: hints are rough
-	workRateSlack  = 1.0             // and seconds of work a second more
+	suspendGrace       = 4 * time.Second // a suspended node's rates may begin anew; for so long they are not checked
+	boundRounds        = 4               // gossip intervals over which messages are counted
+	extraRounds        = 1               // beyond the bound, as a round has just begun
+	workRateFactor     = 2.5             // by which the sent work rate may exceed the true one, as hints are rough
+	workRateSlack      = 1.0             // and seconds of work a second beyond that
+	maxCheckedNoise    = 0.3             // hint noise from which on work rates are not checked
+	suspendRounds      = 3               // gossip intervals by which a short suspension makes peer states older
+	gossipRecordLength = time.Minute     // sent messages are kept in mind for so long
 )
 
-// gossipBounds is what the check keeps in mind.
+// gossipBounds holds what the check needs of all nodes.
 type gossipBounds struct {
-	sentAt map[cluster.MessageID]time.Duration // when each word was told
-	order  []cluster.MessageID                 // in that order
+	sentAt map[cluster.MessageID]time.Duration
+	order  []cluster.MessageID // of sentAt, oldest first
 }
 
-// workRate is what a node did lately, averaged as it does itself.
+// workRate holds what the check needs of one node: the work that it did, averaged as the node itself does.
 type workRate struct {
-	work           float64
+	work           float64 // seconds, decaying
 	at             time.Duration
-	suspendedUntil time.Duration // until when a stand-still shows in its figures
-	sentAt         []time.Duration
+	suspendedUntil time.Duration   // end of the grace after a suspension
+	sentAt         []time.Duration // of the messages within boundRounds
+}
+
+// add adds finished work, in seconds.
+func (r *workRate) add(now time.Duration, work float64) {
+	r.work = r.work*math.Exp(-float64(now-r.at)/float64(cluster.Smoothing)) + work
+	r.at = now
 }
 
-func (p *workRate) add(now time.Duration, work float64) {
-	p.work = p.work*math.Exp(-float64(now-p.at)/float64(cluster.Smoothing)) + work
-	p.at = now
+// rate is the work rate, in seconds of work a second, of a process that has run for a time.
+func (r *workRate) rate(now, running time.Duration) float64 {
+	complete := cluster.Smoothing.Seconds() * (1 - math.Exp(-float64(running)/float64(cluster.Smoothing)))
+	return r.work * math.Exp(-float64(now-r.at)/float64(cluster.Smoothing)) / max(complete, 1e-3)
 }
 
-// rate is in seconds of work a second.
-func (p *workRate) rate(now, since time.Duration) float64 {
-	whole := cluster.Smoothing.Seconds() * (1 - math.Exp(-float64(since)/float64(cluster.Smoothing)))
-	return p.work * math.Exp(-float64(now-p.at)/float64(cluster.Smoothing)) / max(whole, 1e-3)
+// checkGossipBounds checks a message that a node sends, before it can be corrupted or lost.
+func (n *simNode) checkGossipBounds(envelope cluster.Envelope) {
+	settings := cluster.Defaults("", 0, 0)
+	n.checkMessageCount(settings)
+	n.checkWorkRate(envelope.Message.Rates.Completed)
+	sentAt := n.workRate.sentAt
+	if len(sentAt) > 1 && sentAt[len(sentAt)-2] == n.world.now {
+		return // the round's first message has shown the age of peer states
+	}
+	n.checkPeerStates(settings)
 }
 
-// checkGossipBounds checks a word that a node tells, before anything becomes of it on its way.
-func (n *simNode) checkGossipBounds(to cluster.Envelope) {
-	w, s := n.world, cluster.Defaults("", 0, 0)
+// checkMessageCount checks how many messages a node sends.
+func (n *simNode) checkMessageCount(settings cluster.Settings) {
+	w, window := n.world, boundRounds*settings.GossipInterval
 	n.workRate.sentAt = append(n.workRate.sentAt, w.now)
-	for w.now-n.workRate.sentAt[0] > 4*s.GossipInterval {
+	for w.now-n.workRate.sentAt[0] > window {
 		n.workRate.sentAt = n.workRate.sentAt[1:]
 	}
-	if most := s.Fanout * (5 + extraRounds); len(n.workRate.sentAt) > most {
-		w.violateBound(n, "%s told %d words in %v where %d are the most", n.name, len(n.workRate.sentAt), 4*s.GossipInterval, most)
+	if most := settings.Fanout * (boundRounds + 1 + extraRounds); len(n.workRate.sentAt) > most {
+		w.violateBound(n, "%s told %d words in %v where %d are the most", n.name, len(n.workRate.sentAt), window, most)
 	}
-	if done, did := to.Message.Rates.Completed, n.workRate.rate(w.now, w.now-n.startedAt); n.world.scenario.Load.HintNoise >= 0 && n.world.scenario.Load.HintNoise < 0.3 && w.now >= n.workRate.suspendedUntil && done > workRateFactor*did+workRateSlack {
-		w.violateBound(n, "%s tells that it does %.2f, and did %.2f", n.name, done, did)
+}
+
+// checkWorkRate checks the work rate that a node sends. Where hints say little, or it was suspended, it says little too.
+func (n *simNode) checkWorkRate(sent float64) {
+	w, noise := n.world, n.world.scenario.Load.HintNoise
+	if noise < 0 || noise >= maxCheckedNoise || w.now < n.workRate.suspendedUntil {
+		return
 	}
-	if len(n.workRate.sentAt) > 1 && n.workRate.sentAt[len(n.workRate.sentAt)-2] == w.now {
-		return // what counts was looked at with the spell's first word
+	if did := n.workRate.rate(w.now, w.now-n.startedAt); sent > workRateFactor*did+workRateSlack {
+		w.violateBound(n, "%s tells that it does %.2f, and did %.2f", n.name, sent, did)
 	}
-	longest := s.PeerStateTTL + time.Duration(w.scenario.Fleet.WordsLate) + max(time.Duration(w.scenario.Fleet.Near), time.Duration(w.scenario.Fleet.Far))
-	if w.now < n.workRate.suspendedUntil+s.PeerStateTTL {
-		longest += 3 * s.GossipInterval // a shorter stand-still than that shows nowhere
+}
+
+// checkPeerStates checks the age of the peer states that a node uses.
+func (n *simNode) checkPeerStates(settings cluster.Settings) {
+	w, fleet := n.world, &n.world.scenario.Fleet
+	longest := settings.PeerStateTTL + time.Duration(fleet.WordsLate) + time.Duration(max(fleet.Near, fleet.Far))
+	if w.now < n.workRate.suspendedUntil+settings.PeerStateTTL {
+		longest += suspendRounds * settings.GossipInterval
 	}
-	for _, c := range n.reducer.Fleet().FreshPeers(w.now - n.startedAt) {
-		at, ok := w.gossipBounds.sentAt[c]
+	for _, used := range n.reducer.Fleet().FreshPeers(w.now - n.startedAt) {
+		at, ok := w.gossipBounds.sentAt[used]
 		if !ok {
-			w.violateBound(n, "%s counts word %d of %s, which was never told", n.name, c.Seq, c.From)
+			w.violateBound(n, "%s counts word %d of %s, which was never told", n.name, used.Seq, used.From)
 		} else if w.now-at > longest {
-			w.violateBound(n, "%s counts figures of %s that are %v old where %v is the most", n.name, c.From, w.now-at, longest)
+			w.violateBound(n, "%s counts figures of %s that are %v old where %v is the most", n.name, used.From, w.now-at, longest)
 		}
 	}
 }
 
-// recordGossip books that a word is on its way.
-func (w *World) recordGossip(word cluster.Message) {
-	b := &w.gossipBounds
-	key := cluster.MessageID{From: word.From, Incarnation: word.Incarnation, Seq: word.Seq}
-	if _, ok := b.sentAt[key]; !ok {
-		b.order = append(b.order, key)
+// recordGossip records that a message was sent. A corrupted one may go by another node's name.
+func (w *World) recordGossip(message cluster.Message) {
+	bounds := &w.gossipBounds
+	id := cluster.MessageID{From: message.From, Incarnation: message.Incarnation, Seq: message.Seq}
+	if _, ok := bounds.sentAt[id]; !ok {
+		bounds.order = append(bounds.order, id)
 	}
-	b.sentAt[key] = w.now // a liar tells some in another's name
-	for len(b.order) > 0 && w.now-b.sentAt[b.order[0]] > time.Minute {
-		delete(b.sentAt, b.order[0])
-		b.order = b.order[1:]
+	bounds.sentAt[id] = w.now
+	for len(bounds.order) > 0 && w.now-bounds.sentAt[bounds.order[0]] > gossipRecordLength {
+		delete(bounds.sentAt, bounds.order[0])
+		bounds.order = bounds.order[1:]
 	}
 }
 
-// violateBound says that a bound does not hold.
+// violateBound reports that a bound does not hold.
 func (w *World) violateBound(n *simNode, text string, args ...any) {
 	w.checker.Over(w.now, n.id, text, args...)
 	w.advanceChecker()
