--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -9,34 +9,36 @@
 	"birchstair/internal/emulator"
 )
 
-// Cause is what a batch job that earned less than all lost it to.
+// Cause is why a work did not earn its full value.
 type Cause int
 
-// The first two are of batch jobs that could not be done in time any more when their first attempt left, if any did. For all others it is the
-// longest part of their time beside their own work on a standard core.
+// Causes. The first two are of works that could not be done in time any more when their first attempt was sent, if any was. For all
+// others the cause is where they spent most of their time, not counting the work itself on a standard core.
 const (
-	NeverSent    Cause = iota // no attempt ever left a node
-	SentTooLate               // the first one left when a standard core would not have done it in its quoted time
-	HeldAtNode                // at the node, with nothing out
-	TurnedAway                // with attempts that executors turned away
-	Failed                    // with attempts that broke, failed or found no connection
-	Connecting                // while a connection to the executor was made
-	OnTheWay                  // between client, node and executor
-	InQueue                   // at an executor, before it began
-	RunningSlow               // running on a slow executor, beyond its work
-	RunningFast               // running on another one, beyond its work
-	BetweenTries              // at the client, between two tries
-	NodeLost                  // at a node that was not there or was lost
-	ClientLeft                // its client left before its time
-	causes
+	NeverSent          Cause = iota // no attempt left a node
+	SentTooLate                     // the first one left when a standard core would have missed the latency objective
+	QueuedAtNode                    // at the node, with no attempt out
+	RejectedByExecutor              // with attempts that executors rejected
+	Failed                          // with attempts that failed or found no connection
+	Connecting                      // while a connection to the executor was opened
+	InTransit                       // between client, node and executor
+	InQueue                         // at an executor, before it started
+	RunningSlow                     // running on a slow executor, beyond the work
+	RunningFast                     // running on another one, beyond the work
+	BetweenRequests                 // at the client, before a retry
+	NodeLost                        // at a node that could not be reached or was lost
+	ClientLeft                      // its client left early
+	causeCount
 )
 
-var causeNames = [causes]string{"never sent", "sent too late", "held at node", "turned away", "failed", "connecting", "on the way", "in queue", "running, slow",
-	"running, fast", "between tries", "node lost", "client left"}
+var causeNames = [causeCount]string{"never sent", "sent too late", "held at node", "turned away", "failed", "connecting", "on the way", "in queue",
+	"running, slow", "running, fast", "between tries", "node lost", "client left"}
 
+// String is the cause's name in accounts and their JSON.
 func (c Cause) String() string { return causeNames[c] }
 
-// Account says where the earnings of a world went that were not earned. In each row what was offered is what was earned and what was lost, by cause.
+// Account attributes the value that a world did not earn to causes. In each row the value offered is the value earned plus the value
+// lost, by cause.
 type Account struct {
 	Scenario  string `json:"scenario"`
 	Seed      uint64 `json:"seed"`
@@ -44,48 +46,49 @@
 	Nodes     int    `json:"nodes"`
 	Executors int    `json:"executors"`
 	Length    Span   `json:"length"`
-	Broken    int    `json:"rules_broken"`
+	Broken    int    `json:"rules_broken"` // violations of invariants
 
-	Worst      float64 `json:"worst"`       // part earned in the worst 10 s
-	WorstTrack float64 `json:"worst_track"` // and in the worst track
+	Worst      float64 `json:"worst"`       // share earned in the worst 10 s
+	WorstTrack float64 `json:"worst_track"` // share earned in the worst class
 
 	All     AccountRow   `json:"all"`
-	Tracks  []AccountRow `json:"tracks"`
-	Traffic []AccountRow `json:"traffic"` // nodes, a quarter of them a row, those that least came to first
-	Slices  []AccountRow `json:"slices"`  // nodes, a quarter a row, those first whose executors had least work, by how often each was used
-	Busy    []float64    `json:"busy"`    // work that reached executors against what they could do: least, quarters, most
+	Tracks  []AccountRow `json:"tracks"`  // by class
+	Traffic []AccountRow `json:"traffic"` // by quarters of the nodes, those with least traffic first
+	Slices  []AccountRow `json:"slices"`  // by quarters of the nodes, those whose executors were least loaded first
+	Busy    []float64    `json:"busy"`    // executors' load, as a share of their capacity: minimum, quartiles, maximum
 
 	Attempts  int     `json:"attempts"`
-	Crossings int     `json:"crossings"`
-	Waited    float64 `json:"waited"`            // part of the attempts that had to wait at their executor
-	FreeUsed  float64 `json:"free_used"`         // of those, the part that left while a core stood free at another executor that their node had used so far
-	FreeZone  float64 `json:"free_in_zone"`      // at one in the node's zone
-	FreeAny   float64 `json:"free"`              // and anywhere
-	HeldZone  float64 `json:"held_free_in_zone"` // of what was lost at nodes, sent too late or never, the part for which a core stood free in the node's zone when the batch job came
-	HeldAny   float64 `json:"held_free"`         // and anywhere
+	Crossings int     `json:"crossings"`         // attempts to another zone
+	Waited    float64 `json:"waited"`            // share of the attempts that waited at their executor
+	FreeUsed  float64 `json:"free_used"`         // of those, the share for which a core was idle, when they left, at another executor that the node had used
+	FreeZone  float64 `json:"free_in_zone"`      // the same in the node's zone
+	FreeAny   float64 `json:"free"`              // the same anywhere
+	HeldZone  float64 `json:"held_free_in_zone"` // of the value lost at nodes or sent too late or never, the share for which a core was idle in the node's zone at arrival
+	HeldAny   float64 `json:"held_free"`         // the same anywhere
 }
 
-// AccountRow is the account of a part of the batch jobs.
+// AccountRow is the account of some of the works.
 type AccountRow struct {
 	Name    string             `json:"name"`
 	Works   int                `json:"works"`
-	Less    int                `json:"less"`  // of them, those that earned less than all
-	Never   int                `json:"never"` // and nothing
+	Less    int                `json:"less"`  // works that earned less than their full value
+	Never   int                `json:"never"` // works that earned nothing
 	Offered float64            `json:"offered"`
 	Earned  float64            `json:"earned"`
-	Sent    float64            `json:"sent"`           // work that was sent to executors, against what was offered: over 1 is work done more than once
-	Lost    map[string]float64 `json:"lost"`           // by cause
-	TimeMS  map[string]float64 `json:"time_ms"`        // where the time went, on average over those that earned less; all of the running, not the part beyond the work
-	Slice   float64            `json:"slice,omitzero"` // executors that a node used, on average: as many as would be used alike
-	Load    float64            `json:"load,omitzero"`  // work that reached those, against what they could do
+	Sent    float64            `json:"sent"`           // work sent to executors as a share of the work offered; over 1 if some was sent repeatedly
+	Lost    map[string]float64 `json:"lost"`           // value, by cause
+	TimeMS  map[string]float64 `json:"time_ms"`        // mean time by cause of the works that earned less; running includes the work itself
+	Slice   float64            `json:"slice,omitzero"` // effective number of executors that a node used, on average
+	Load    float64            `json:"load,omitzero"`  // load of those, as a share of their capacity
 
-	lostByCause, timeByCause [causes]float64
+	lostByCause, timeByCause [causeCount]float64
 	workOffered, workSent    float64 // in seconds on a standard core
-	subsetSize               float64
-	subsetLoad               float64
+	subsetSize               float64 // sum over the row's nodes
+	subsetLoad               float64 // sum over the row's nodes
 }
 
-func (r *AccountRow) record(work *emulator.Work, earned float64, cause Cause, times [causes]time.Duration) {
+// record adds a finished work.
+func (r *AccountRow) record(work *emulator.Work, earned float64, cause Cause, times [causeCount]time.Duration) {
 	r.Works++
 	r.workOffered += work.Cost
 	r.Offered += work.Earns
@@ -103,26 +106,28 @@
 	}
 }
 
-func (r *AccountRow) add(o AccountRow) {
-	r.Works += o.Works
-	r.Less += o.Less
-	r.Never += o.Never
-	r.Offered += o.Offered
-	r.Earned += o.Earned
-	for c := range causes {
-		r.lostByCause[c] += o.lostByCause[c]
-		r.timeByCause[c] += o.timeByCause[c]
+// add adds another row.
+func (r *AccountRow) add(other AccountRow) {
+	r.Works += other.Works
+	r.Less += other.Less
+	r.Never += other.Never
+	r.Offered += other.Offered
+	r.Earned += other.Earned
+	for c := range causeCount {
+		r.lostByCause[c] += other.lostByCause[c]
+		r.timeByCause[c] += other.timeByCause[c]
 	}
-	r.workOffered += o.workOffered
-	r.workSent += o.workSent
-	r.subsetSize += o.subsetSize
-	r.subsetLoad += o.subsetLoad
+	r.workOffered += other.workOffered
+	r.workSent += other.workSent
+	r.subsetSize += other.subsetSize
+	r.subsetLoad += other.subsetLoad
 }
 
+// finish fills in what is printed from what was recorded.
 func (r *AccountRow) finish() {
-	r.Sent = part(r.workSent, r.workOffered)
+	r.Sent = ratio(r.workSent, r.workOffered)
 	r.Lost, r.TimeMS = map[string]float64{}, map[string]float64{}
-	for c := range causes {
+	for c := range causeCount {
 		if r.lostByCause[c] > 0 {
 			r.Lost[c.String()] = r.lostByCause[c]
 		}
@@ -132,14 +137,20 @@
 	}
 }
 
-// use is how many executors a node used, as many as would be used alike, and how busy they were by how often each was used.
-func use(used map[*executor]int, all []*executor, busy []float64) (size, load float64) {
+// nodeRow is the account of a node.
+type nodeRow struct {
+	AccountRow
+	attemptsTo map[*executor]int
+}
+
+// usedSubset is the effective number of executors that a node used, and their load, both weighted by its attempts to each.
+func usedSubset(attemptsTo map[*executor]int, executors []*executor, busy []float64) (size, load float64) {
 	sum, squares := 0.0, 0.0
-	for i, x := range all {
-		n := used[x]
-		sum += float64(n)
-		squares += float64(n * n)
-		load += float64(n) * busy[i]
+	for i, x := range executors {
+		attempts := attemptsTo[x]
+		sum += float64(attempts)
+		squares += float64(attempts * attempts)
+		load += float64(attempts) * busy[i]
 	}
 	if sum == 0 {
 		return 0, 0
@@ -147,19 +158,20 @@
 	return sum * sum / squares, load / sum
 }
 
-// quarters puts the nodes into four rows by a figure, least first.
-func quarters(nodes []nodeRow, by func(nodeRow) float64, name string) (rows []AccountRow) {
+// quarters makes up to four rows of the nodes, ordered by a key.
+func quarters(nodes []nodeRow, key func(nodeRow) float64, name string) (rows []AccountRow) {
 	nodes = slices.Clone(nodes)
-	slices.SortStableFunc(nodes, func(x, y nodeRow) int { return cmp.Compare(by(x), by(y)) })
+	slices.SortStableFunc(nodes, func(a, b nodeRow) int { return cmp.Compare(key(a), key(b)) })
 	parts := min(4, len(nodes))
-	for q := range parts {
-		group := nodes[q*len(nodes)/parts : (q+1)*len(nodes)/parts]
+	for quarter := range parts {
+		group := nodes[quarter*len(nodes)/parts : (quarter+1)*len(nodes)/parts]
 		row := AccountRow{}
 		for _, n := range group {
 			row.add(n.AccountRow)
 		}
-		row.Name = fmt.Sprintf("%s, %d of %d", name, q+1, parts)
-		row.Slice, row.Load = row.subsetSize/float64(len(group)), row.subsetLoad/float64(len(group))
+		row.Name = fmt.Sprintf("%s, %d of %d", name, quarter+1, parts)
+		row.Slice = row.subsetSize / float64(len(group))
+		row.Load = row.subsetLoad / float64(len(group))
 		rows = append(rows, row)
 	}
 	return rows
--- a/internal/simulation/account_history.go
+++ b/internal/simulation/account_history.go
@@ -9,148 +9,210 @@
 	"birchstair/policy"
 )
 
-// jobHistory is where a batch job has been.
+// notSeen is the time of what did not happen.
+const notSeen = time.Duration(-1)
+
+// jobHistory is what happened to a work.
 type jobHistory struct {
 	work          *emulator.Work
-	firstNode     *simNode
+	firstNode     *simNode  // nil if no node could be reached
+	idleAtArrival idleCores // when it first arrived there
 	requests      []*requestHistory
-	idleAtArrival idleCores
 	attempts      []*attemptHistory
 }
 
-// notSeen is when what did not happen did.
-const notSeen = time.Duration(-1)
-
-// requestHistory is a try at a node.
+// requestHistory is what happened to a request.
 type requestHistory struct {
-	from, arrived, answered, done time.Duration
-	end                           emulator.End
+	submitted, arrived, answered, done time.Duration
+	end                                emulator.End
+}
+
+func newRequestHistory(submitted time.Duration) *requestHistory {
+	return &requestHistory{submitted: submitted, arrived: notSeen, answered: notSeen, done: notSeen}
 }
 
-// attemptHistory is one sending to an executor.
+// lostWithNode says whether the node could not be reached or was lost.
+func (r *requestHistory) lostWithNode() bool {
+	return r.end == emulator.EndLost || r.end == emulator.EndUnreached
+}
+
+// attemptHistory is what happened to an attempt.
 type attemptHistory struct {
-	executor                                 *executor
-	sent, reached, began, ended, endedAtNode time.Duration
-	outcome                                  policy.Outcome
-	slow                                     bool
-	dialedAt, connUpAt                       time.Duration // its connection, where it is the first one on it
-	canceled                                 bool          // by its node, which has closed its connection
+	executor           *executor
+	sent               time.Duration
+	reached            time.Duration // the executor, with its last byte
+	began, ended       time.Duration // at the executor
+	endedAtNode        time.Duration // when the node was notified
+	dialedAt, connUpAt time.Duration // of the connection, if this is its first attempt
+	outcome            policy.Outcome
+	canceled           bool      // by its node
+	slow               bool      // ran on a slow core
+	idle               idleCores // when it was sent
+}
 
-	idle idleCores
+func newAttemptHistory(x *executor) *attemptHistory {
+	return &attemptHistory{executor: x, sent: x.world.now, reached: notSeen, began: notSeen, ended: notSeen, endedAtNode: notSeen,
+		dialedAt: notSeen, connUpAt: notSeen}
 }
 
-// cause says what a batch job lost to, had it lost anything, and where its time went.
-func (h *jobHistory) cause(w *World) (Cause, [causes]time.Duration) {
-	work, times := h.work, h.times(w.now)
+// firstSent is when the first attempt was sent; notSeen without one.
+func (h *jobHistory) firstSent() time.Duration {
 	first := notSeen
-	for _, a := range h.attempts {
-		if first == notSeen || a.sent < first {
-			first = a.sent
+	for _, attempt := range h.attempts {
+		if first == notSeen || attempt.sent < first {
+			first = attempt.sent
 		}
 	}
-	own := time.Duration(work.Cost * 1e9)
-	lost := slices.ContainsFunc(h.requests, func(v *requestHistory) bool { return v.end == emulator.EndLost || v.end == emulator.EndUnreached })
+	return first
+}
+
+// cause says why a work lost value, if it did, and where its time went by now.
+func (h *jobHistory) cause(now time.Duration) (Cause, [causeCount]time.Duration) {
+	times, first, own := h.times(now), h.firstSent(), secondsOf(h.work.Cost)
 	switch {
-	case work.Leaves <= w.now:
+	case h.work.Leaves <= now:
 		return ClientLeft, times
-	case first == notSeen && lost:
+	case first == notSeen && slices.ContainsFunc(h.requests, (*requestHistory).lostWithNode):
 		return NodeLost, times
 	case first == notSeen:
 		return NeverSent, times
-	case first > work.Quoted-own:
+	case first > h.work.Quoted-own:
 		return SentTooLate, times
 	}
-	beyond := times
+	return longestCause(times, own), times
+}
+
+// longestCause is the cause with most time beyond the work's own time on a standard core.
+func longestCause(times [causeCount]time.Duration, own time.Duration) Cause {
 	if ran := times[RunningSlow] + times[RunningFast]; ran > 0 {
-		part := max(0, 1-float64(own)/float64(ran))
-		beyond[RunningSlow], beyond[RunningFast] = scaled(times[RunningSlow], part), scaled(times[RunningFast], part)
+		beyond := max(0, 1-float64(own)/float64(ran))
+		times[RunningSlow] = time.Duration(float64(times[RunningSlow]) * beyond)
+		times[RunningFast] = time.Duration(float64(times[RunningFast]) * beyond)
 	}
-	longest := HeldAtNode
-	for c := HeldAtNode; c < causes; c++ {
-		if beyond[c] > beyond[longest] {
+	longest := QueuedAtNode
+	for c := QueuedAtNode; c < causeCount; c++ {
+		if times[c] > times[longest] {
 			longest = c
 		}
 	}
-	return longest, times
+	return longest
 }
 
-func scaled(t time.Duration, part float64) time.Duration { return time.Duration(float64(t) * part) }
+// precedence orders causes at one time: the highest counts, so that of several attempts the one that is furthest does.
+type precedence int
+
+const (
+	atClient precedence = iota
+	atFrontLayer
+	atNode
+	connectingOrFailed
+	attemptInTransit
+	attemptQueued
+	attemptRunning
+)
 
-// timeSpan is a stretch of a batch job's time.
+// timeSpan is a span of a work's time with its cause.
 type timeSpan struct {
 	from, to   time.Duration
 	cause      Cause
-	precedence int // of those at one time, the highest counts
+	precedence precedence
 }
 
-// times says where a batch job's time went, up to an instant. Where several attempts are out, the one that is furthest counts.
-func (h *jobHistory) times(end time.Duration) (times [causes]time.Duration) {
-	var spans []timeSpan
-	put := func(from, to time.Duration, cause Cause, rank int) {
-		if to == notSeen || to > end {
-			to = end
-		}
-		if from != notSeen && from < to {
-			spans = append(spans, timeSpan{from, to, cause, rank})
-		}
+// timeline collects the spans of a work's time up to an end.
+type timeline struct {
+	end   time.Duration
+	spans []timeSpan
+}
+
+// add adds a span; one that has not ended lasts to the timeline's end, one that has not begun is not added.
+func (t *timeline) add(from, to time.Duration, cause Cause, precedence precedence) {
+	if to == notSeen || to > t.end {
+		to = t.end
 	}
-	put(h.work.Came, end, BetweenTries, 0)
-	for _, v := range h.requests {
-		if v.end == emulator.EndLost || v.end == emulator.EndUnreached {
-			put(v.from, v.done, NodeLost, 1)
-			continue
-		}
-		put(v.from, v.done, OnTheWay, 1)
-		put(v.arrived, cmp.Or(max(v.answered, 0), max(v.done, 0), end), HeldAtNode, 2)
-	}
-	for _, a := range h.attempts {
-		put(a.dialedAt, a.connUpAt, Connecting, 3)
-		until := a.endedAtNode
-		if until == notSeen {
-			until = end
-		}
-		switch a.outcome {
-		case policy.ExecutorFull:
-			put(a.sent, until, TurnedAway, 3)
-			continue
-		case policy.ExecutorError, policy.InvalidRequest, policy.ConnectFailed, policy.ConnectionLost:
-			put(a.sent, until, Failed, 3)
-			continue
-		}
-		put(a.sent, until, OnTheWay, 4)
-		if a.reached == notSeen || a.reached >= until {
-			continue
-		}
-		began, ended := a.began, a.ended
-		if ended == notSeen {
-			ended = until
-		}
-		if began == notSeen {
-			began = ended
-		}
-		put(a.reached, min(began, until), InQueue, 5)
-		running := RunningFast
-		if a.slow {
-			running = RunningSlow
-		}
-		put(began, min(ended, until), running, 6)
+	if from != notSeen && from < to {
+		t.spans = append(t.spans, timeSpan{from, to, cause, precedence})
+	}
+}
+
+// times says where a work's time went, up to an end.
+func (h *jobHistory) times(end time.Duration) [causeCount]time.Duration {
+	line := &timeline{end: end}
+	line.add(h.work.Came, end, BetweenRequests, atClient)
+	for _, request := range h.requests {
+		line.addRequest(request)
+	}
+	for _, attempt := range h.attempts {
+		line.addAttempt(attempt)
+	}
+	return line.total()
+}
+
+func (t *timeline) addRequest(request *requestHistory) {
+	if request.lostWithNode() {
+		t.add(request.submitted, request.done, NodeLost, atFrontLayer)
+		return
+	}
+	t.add(request.submitted, request.done, InTransit, atFrontLayer)
+	leftNode := cmp.Or(max(request.answered, 0), max(request.done, 0), t.end)
+	t.add(request.arrived, leftNode, QueuedAtNode, atNode)
+}
+
+func (t *timeline) addAttempt(attempt *attemptHistory) {
+	t.add(attempt.dialedAt, attempt.connUpAt, Connecting, connectingOrFailed)
+	until := attempt.endedAtNode
+	if until == notSeen {
+		until = t.end
 	}
+	switch attempt.outcome {
+	case policy.ExecutorFull:
+		t.add(attempt.sent, until, RejectedByExecutor, connectingOrFailed)
+		return
+	case policy.ExecutorError, policy.InvalidRequest, policy.ConnectFailed, policy.ConnectionLost:
+		t.add(attempt.sent, until, Failed, connectingOrFailed)
+		return
+	}
+	t.add(attempt.sent, until, InTransit, attemptInTransit)
+	if attempt.reached == notSeen || attempt.reached >= until {
+		return
+	}
+	began, ended := attempt.began, attempt.ended
+	if ended == notSeen {
+		ended = until
+	}
+	if began == notSeen {
+		began = ended
+	}
+	t.add(attempt.reached, min(began, until), InQueue, attemptQueued)
+	running := RunningFast
+	if attempt.slow {
+		running = RunningSlow
+	}
+	t.add(began, min(ended, until), running, attemptRunning)
+}
+
+// total sums the time of each cause, counting at each time the span with the highest precedence.
+func (t *timeline) total() (times [causeCount]time.Duration) {
 	var edges []time.Duration
-	for _, s := range spans {
-		edges = append(edges, s.from, s.to)
+	for _, span := range t.spans {
+		edges = append(edges, span.from, span.to)
 	}
 	slices.Sort(edges)
 	edges = slices.Compact(edges)
 	for i := 1; i < len(edges); i++ {
-		best := timeSpan{precedence: -1}
-		for _, s := range spans {
-			if s.from <= edges[i-1] && edges[i] <= s.to && s.precedence > best.precedence {
-				best = s
-			}
-		}
-		if best.precedence >= 0 {
-			times[best.cause] += edges[i] - edges[i-1]
+		if span := t.highest(edges[i-1], edges[i]); span != nil {
+			times[span.cause] += edges[i] - edges[i-1]
 		}
 	}
 	return times
 }
+
+// highest is the first span with the highest precedence of those that cover a stretch of time; nil if none does.
+func (t *timeline) highest(from, to time.Duration) (highest *timeSpan) {
+	for i := range t.spans {
+		span := &t.spans[i]
+		if span.from <= from && to <= span.to && (highest == nil || span.precedence > highest.precedence) {
+			highest = span
+		}
+	}
+	return highest
+}
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -10,226 +10,249 @@
 	"birchstair/policy"
 )
 
-// accountLedger keeps what an account needs.
+const (
+	attemptWaits  = 5 * time.Millisecond // a start later than this after arrival counts as having waited; a new connection takes less
+	slowCoreSpeed = 0.9                  // relative to a standard core; slower ones count as slow
+)
+
+// accountLedger records what an account needs while a world is played. It observes and changes nothing. The methods of a nil ledger,
+// which is that of a world without an account, record nothing.
 type accountLedger struct {
-	world        *World
-	open         map[invariants.WorkID]*jobHistory
-	tracks       []AccountRow
-	nodes        []nodeRow
-	unreached    AccountRow            // of batch jobs that no node took
-	approaching  map[*executor]int     // by executor, attempts on their way
-	workReceived map[*executor]float64 // and the work that reached it
+	world     *World
+	open      map[invariants.WorkID]*jobHistory
+	classes   []AccountRow
+	nodes     []nodeRow
+	unreached AccountRow // of works that no node received
 
-	attempts, waited, freeUsed, freeZone, freeAny int
+	approaching  map[*executor]int     // attempts on their way to it
+	workReceived map[*executor]float64 // in seconds
 
-	heldZone, heldAny float64
-}
+	// Attempts so far, those of them that waited, and those of these for which a core was idle elsewhere.
+	attempts, waited, idleUsed, idleZone, idleAny int
 
-// nodeRow is a node's part.
-type nodeRow struct {
-	AccountRow
-	attemptsTo map[*executor]int // attempts by executor
+	// Value lost at nodes though a core was idle at arrival.
+	queuedIdleZone, queuedIdleAny float64
 }
 
-func (b *accountLedger) init() {
-	b.approaching, b.workReceived = map[*executor]int{}, map[*executor]float64{}
-	for _, t := range b.world.scenario.Tracks {
-		b.tracks = append(b.tracks, AccountRow{Name: t.Name})
+func (l *accountLedger) init() {
+	l.approaching, l.workReceived = map[*executor]int{}, map[*executor]float64{}
+	for _, class := range l.world.scenario.Tracks {
+		l.classes = append(l.classes, AccountRow{Name: class.Name})
 	}
-	for _, n := range b.world.nodes {
-		b.nodes = append(b.nodes, nodeRow{AccountRow: AccountRow{Name: n.name}, attemptsTo: map[*executor]int{}})
+	for _, n := range l.world.nodes {
+		l.nodes = append(l.nodes, nodeRow{AccountRow: AccountRow{Name: n.name}, attemptsTo: map[*executor]int{}})
 	}
 }
 
-// recordSubmit: a client hands a batch job in at a node; nil where there is none.
-func (b *accountLedger) recordSubmit(work *emulator.Work, n *simNode) {
-	if b == nil {
+// recordSubmit records a request for a work to a node; nil if none can be reached.
+func (l *accountLedger) recordSubmit(work *emulator.Work, n *simNode) {
+	if l == nil {
 		return
 	}
-	h := b.open[work.ID]
-	if h == nil {
-		h = &jobHistory{work: work}
-		b.open[work.ID] = h
+	history := l.open[work.ID]
+	if history == nil {
+		history = &jobHistory{work: work}
+		l.open[work.ID] = history
 	}
-	if h.firstNode == nil && n != nil {
-		h.firstNode, h.idleAtArrival = n, b.idleCores(n, nil)
+	if history.firstNode == nil && n != nil {
+		history.firstNode, history.idleAtArrival = n, l.idleCores(n, nil)
 	}
-	h.requests = append(h.requests, &requestHistory{from: b.world.now, arrived: notSeen, answered: notSeen, done: notSeen})
+	history.requests = append(history.requests, newRequestHistory(l.world.now))
 }
 
-// request is the present try of a batch job, where it is open still.
-func (b *accountLedger) request(t *clientRequest) *requestHistory {
-	if b == nil || b.open[t.work.ID] == nil || t.job != t.work.Job() {
+// request is the history of a request, for the caller to write to; it is thrown away if the request is not its work's last one.
+func (l *accountLedger) request(request *clientRequest) *requestHistory {
+	if l == nil || l.open[request.work.ID] == nil || request.job != request.work.Job() {
 		return &requestHistory{}
 	}
-	h := b.open[t.work.ID]
-	return h.requests[len(h.requests)-1]
+	requests := l.open[request.work.ID].requests
+	return requests[len(requests)-1]
 }
 
-// recordSent: an attempt's first byte leaves. It gives what the rest is written into.
-func (b *accountLedger) recordSent(t *clientRequest, x *executor) *attemptHistory {
-	a := &attemptHistory{executor: x, sent: t.node.world.now, reached: notSeen, began: notSeen, ended: notSeen, endedAtNode: notSeen, dialedAt: notSeen, connUpAt: notSeen}
-	if b == nil {
-		return a
+// recordSent records an attempt's first byte and returns its history.
+func (l *accountLedger) recordSent(request *clientRequest, x *executor) *attemptHistory {
+	attempt := newAttemptHistory(x)
+	if l == nil {
+		return attempt
 	}
-	a.idle = b.idleCores(t.node, x)
-	b.nodes[t.node.id].attemptsTo[x]++
-	b.approaching[x]++
-	b.attempts++
-	if h := b.open[t.work.ID]; h != nil {
-		h.attempts = append(h.attempts, a)
+	n := request.node
+	attempt.idle = l.idleCores(n, x)
+	l.nodes[n.id].attemptsTo[x]++
+	l.approaching[x]++
+	l.attempts++
+	if history := l.open[request.work.ID]; history != nil {
+		history.attempts = append(history.attempts, attempt)
 	}
-	return a
+	return attempt
 }
 
-// idleCores says where a core stood free at a moment: at an executor that the node had used, in its zone, anywhere.
+// idleCores says where a core is idle: at an executor that the node has used, in its zone, anywhere.
 type idleCores struct{ used, zone, any bool }
 
-// idleCores says where a core stands free for a node now, but for one executor.
-func (b *accountLedger) idleCores(n *simNode, but *executor) (f idleCores) {
-	for _, x := range b.world.executors {
-		if x == but || x.Held()+b.approaching[x] >= x.Cores || !x.Up || x.unreachable || x.Drains {
+// idleCores says where a core is idle for a node now, at executors other than the given one.
+func (l *accountLedger) idleCores(n *simNode, except *executor) (idle idleCores) {
+	for _, x := range l.world.executors {
+		if x == except || x.Held()+l.approaching[x] >= x.Cores || !x.Up || x.unreachable || x.Drains {
 			continue
 		}
-		f.any = true
-		f.zone = f.zone || x.Zone == n.zone
-		f.used = f.used || b.nodes[n.id].attemptsTo[x] > 0
+		idle.any = true
+		idle.zone = idle.zone || x.Zone == n.zone
+		idle.used = idle.used || l.nodes[n.id].attemptsTo[x] > 0
 	}
-	return f
+	return idle
 }
 
-// recordReached: it has come to its executor, with so much work.
-func (b *accountLedger) recordReached(a *attemptHistory, work float64) {
-	a.reached = a.executor.world.now
-	if b != nil {
-		b.approaching[a.executor]--
-		b.workReceived[a.executor] += work
+// recordReached records an attempt's arrival at its executor.
+func (l *accountLedger) recordReached(attempt *attemptHistory, work float64) {
+	attempt.reached = attempt.executor.world.now
+	if l != nil {
+		l.approaching[attempt.executor]--
+		l.workReceived[attempt.executor] += work
 	}
 }
 
-// recordBegan: its executor has begun on it.
-func (b *accountLedger) recordBegan(a *attemptHistory) {
-	if a.began != notSeen {
+// recordBegan records that the executor has started an attempt.
+func (l *accountLedger) recordBegan(attempt *attemptHistory) {
+	if attempt.began != notSeen {
 		return
 	}
-	a.began = a.executor.world.now
-	a.slow = a.executor.Speed/max(1, a.executor.Trouble().Slow) < slowUnder
-	if b != nil && a.began-a.reached > attemptWaits {
-		b.waited++
-		b.freeUsed += countTrue(a.idle.used)
-		b.freeZone += countTrue(a.idle.zone)
-		b.freeAny += countTrue(a.idle.any)
+	x := attempt.executor
+	attempt.began = x.world.now
+	attempt.slow = x.Speed/max(1, x.Trouble().Slow) < slowCoreSpeed
+	if l != nil && attempt.began-attempt.reached > attemptWaits {
+		l.waited++
+		l.idleUsed += countTrue(attempt.idle.used)
+		l.idleZone += countTrue(attempt.idle.zone)
+		l.idleAny += countTrue(attempt.idle.any)
 	}
 }
 
-// recordAnswer: its executor says something of it.
-func (b *accountLedger) recordAnswer(a *attemptHistory, word emulator.Word) {
-	switch word {
+// recordAnswer records an executor's answer to an attempt, or its notice.
+func (l *accountLedger) recordAnswer(attempt *attemptHistory, answer emulator.Word) {
+	switch answer {
 	case emulator.Began:
-		b.recordBegan(a)
+		l.recordBegan(attempt)
 	case emulator.Done, emulator.Errored, emulator.NoRoom:
-		a.ended = a.executor.world.now
+		attempt.ended = attempt.executor.world.now
 	}
 }
 
-func countTrue(yes bool) int {
-	if yes {
+// countTrue is 1 for true and 0 for false.
+func countTrue(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-// recordEnded: its node is told that it is over.
-func (b *accountLedger) recordEnded(a *attemptHistory, how policy.Outcome) {
-	a.endedAtNode, a.outcome = a.executor.world.now, how
-	if a.canceled {
-		a.outcome = policy.Canceled
+// recordEnded records that the node is notified of an attempt's end. The attempt may still reach its executor, as a break does not stop
+// what is on its way; it then counts as arrived already.
+func (l *accountLedger) recordEnded(attempt *attemptHistory, outcome policy.Outcome) {
+	attempt.endedAtNode, attempt.outcome = attempt.executor.world.now, outcome
+	if attempt.canceled {
+		attempt.outcome = policy.Canceled
 	}
-	if b != nil && a.reached == notSeen {
-		// It may still come there, as a break does not stop what is under way; then it is counted off once only.
-		b.approaching[a.executor]--
-		a.reached = a.endedAtNode
+	if l != nil && attempt.reached == notSeen {
+		l.approaching[attempt.executor]--
+		attempt.reached = attempt.endedAtNode
 	}
 }
 
-// recordFinished: a batch job is over for its client, and earned so much.
-func (b *accountLedger) recordFinished(work *emulator.Work, earned float64) {
-	if b == nil {
+// recordFinished records that a work is over for its client, and the value that it earned.
+func (l *accountLedger) recordFinished(work *emulator.Work, earned float64) {
+	if l == nil {
 		return
 	}
-	h := b.open[work.ID]
-	delete(b.open, work.ID)
-	cause, times := h.cause(b.world)
-	if cause <= HeldAtNode && h.idleAtArrival.zone {
-		b.heldZone += work.Earns - earned
+	history := l.open[work.ID]
+	delete(l.open, work.ID)
+	cause, times := history.cause(l.world.now)
+	if cause <= QueuedAtNode && history.idleAtArrival.zone {
+		l.queuedIdleZone += work.Earns - earned
 	}
-	if cause <= HeldAtNode && h.idleAtArrival.any {
-		b.heldAny += work.Earns - earned
+	if cause <= QueuedAtNode && history.idleAtArrival.any {
+		l.queuedIdleAny += work.Earns - earned
 	}
-	rows := []*AccountRow{&b.tracks[work.Track], &b.unreached}
-	if h.firstNode != nil {
-		rows[1] = &b.nodes[h.firstNode.id].AccountRow
+	rows := []*AccountRow{&l.classes[work.Track], &l.unreached}
+	if history.firstNode != nil {
+		rows[1] = &l.nodes[history.firstNode.id].AccountRow
 	}
-	for _, r := range rows {
-		r.record(work, earned, cause, times)
-		r.workSent += work.Cost * float64(len(h.attempts))
+	for _, row := range rows {
+		row.record(work, earned, cause, times)
+		row.workSent += work.Cost * float64(len(history.attempts))
 	}
 }
 
-// finish makes the account of all.
-func (b *accountLedger) finish() *Account {
-	w := b.world
-	for _, id := range slices.Sorted(maps.Keys(b.open)) {
-		b.recordFinished(b.open[id].work, 0)
-	}
-	a := &Account{Scenario: w.scenario.Name, Seed: w.seed, Policy: w.policy, Nodes: len(w.nodes), Executors: len(w.executors), Length: w.scenario.Length,
-		Attempts: b.attempts, Crossings: w.result.Crossings, Waited: part(float64(b.waited), float64(b.attempts)),
-		FreeUsed: part(float64(b.freeUsed), float64(b.waited)), FreeZone: part(float64(b.freeZone), float64(b.waited)),
-		FreeAny: part(float64(b.freeAny), float64(b.waited)), Broken: len(w.result.Broken)}
-	a.All.Name = "all"
-	for _, t := range b.tracks {
-		a.All.add(t)
-		a.Tracks = append(a.Tracks, t)
-	}
-	var busy []float64
-	for _, x := range w.executors {
-		busy = append(busy, b.workReceived[x]/(float64(min(x.Cores, x.Places))*x.Speed*time.Duration(w.scenario.Length).Seconds()))
-	}
-	for i := range b.nodes {
-		n := &b.nodes[i]
-		n.subsetSize, n.subsetLoad = use(n.attemptsTo, w.executors, busy)
-	}
-	for _, n := range b.nodes {
-		a.All.Slice += n.subsetSize / float64(len(b.nodes))
-		a.All.Load += n.subsetLoad / float64(len(b.nodes))
-	}
-	a.Traffic = quarters(b.nodes, func(n nodeRow) float64 { return n.workOffered }, "nodes by traffic")
-	a.Slices = quarters(b.nodes, func(n nodeRow) float64 { return n.subsetLoad }, "nodes by slice")
-	if b.unreached.Works > 0 {
-		b.unreached.Name = "no node"
-		a.Traffic, a.Slices = append(a.Traffic, b.unreached), append(a.Slices, b.unreached)
-	}
-	slices.Sort(busy)
-	for q := range 5 {
-		a.Busy = append(a.Busy, busy[q*(len(busy)-1)/4])
+// finish makes the account; works that are still open have earned nothing.
+func (l *accountLedger) finish() *Account {
+	w := l.world
+	for _, id := range slices.Sorted(maps.Keys(l.open)) {
+		l.recordFinished(l.open[id].work, 0)
 	}
-	a.All.finish()
-	held := a.All.lostByCause[NeverSent] + a.All.lostByCause[SentTooLate] + a.All.lostByCause[HeldAtNode]
-	a.HeldZone, a.HeldAny = part(b.heldZone, held), part(b.heldAny, held)
-	a.Worst, a.WorstTrack = w.result.Worst, 1
-	for _, t := range a.Tracks {
-		a.WorstTrack = min(a.WorstTrack, part(t.Earned, t.Offered))
+	waited := float64(l.waited)
+	a := &Account{
+		Scenario:  w.scenario.Name,
+		Seed:      w.seed,
+		Policy:    w.policy,
+		Nodes:     len(w.nodes),
+		Executors: len(w.executors),
+		Length:    w.scenario.Length,
+		Broken:    len(w.result.Broken),
+		Worst:     w.result.Worst,
+		Attempts:  l.attempts,
+		Crossings: w.result.Crossings,
+		Waited:    ratio(waited, float64(l.attempts)),
+		FreeUsed:  ratio(float64(l.idleUsed), waited),
+		FreeZone:  ratio(float64(l.idleZone), waited),
+		FreeAny:   ratio(float64(l.idleAny), waited),
 	}
+	l.addClasses(a)
+	l.addNodes(a)
 	for _, rows := range [][]AccountRow{a.Tracks, a.Traffic, a.Slices} {
 		for i := range rows {
 			rows[i].finish()
 		}
 	}
+	a.All.finish()
+	lostAtNodes := a.All.lostByCause[NeverSent] + a.All.lostByCause[SentTooLate] + a.All.lostByCause[QueuedAtNode]
+	a.HeldZone, a.HeldAny = ratio(l.queuedIdleZone, lostAtNodes), ratio(l.queuedIdleAny, lostAtNodes)
 	return a
 }
 
-// attemptWaits is from when on a start counts as having waited: new connections cost an executor as much.
-const attemptWaits = 5 * time.Millisecond
+// addClasses adds the rows of all works and of each class.
+func (l *accountLedger) addClasses(a *Account) {
+	a.All.Name = "all"
+	a.WorstTrack = 1
+	for _, class := range l.classes {
+		a.All.add(class)
+		a.Tracks = append(a.Tracks, class)
+		a.WorstTrack = min(a.WorstTrack, ratio(class.Earned, class.Offered))
+	}
+}
 
-// slowUnder is the speed, against a standard core, under which an executor counts as slow.
-const slowUnder = 0.9
+// addNodes adds the rows of the nodes, and the load of the executors.
+func (l *accountLedger) addNodes(a *Account) {
+	executors := l.world.executors
+	var busy []float64
+	for _, x := range executors {
+		capacity := float64(min(x.Cores, x.Places)) * x.Speed * time.Duration(l.world.scenario.Length).Seconds()
+		busy = append(busy, l.workReceived[x]/capacity)
+	}
+	for i := range l.nodes {
+		n := &l.nodes[i]
+		n.subsetSize, n.subsetLoad = usedSubset(n.attemptsTo, executors, busy)
+	}
+	for _, n := range l.nodes {
+		a.All.Slice += n.subsetSize / float64(len(l.nodes))
+		a.All.Load += n.subsetLoad / float64(len(l.nodes))
+	}
+	a.Traffic = quarters(l.nodes, func(n nodeRow) float64 { return n.workOffered }, "nodes by traffic")
+	a.Slices = quarters(l.nodes, func(n nodeRow) float64 { return n.subsetLoad }, "nodes by slice")
+	if l.unreached.Works > 0 {
+		l.unreached.Name = "no node"
+		a.Traffic, a.Slices = append(a.Traffic, l.unreached), append(a.Slices, l.unreached)
+	}
+	slices.Sort(busy)
+	for quartile := range 5 {
+		a.Busy = append(a.Busy, busy[quartile*(len(busy)-1)/4])
+	}
+}
--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -67,9 +67,9 @@
 	if a.All.Works != r.Works() {
 		t.Errorf("%s, seed %d, %s: %d batch jobs of %d", a.Scenario, a.Seed, a.Policy, a.All.Works, r.Works())
 	}
-	near("earned, by the result", r.Earned, part(a.All.Earned, a.All.Offered))
+	near("earned, by the result", r.Earned, ratio(a.All.Earned, a.All.Offered))
 	for i, track := range a.Tracks {
-		near("earned in "+track.Name+", by the result", r.Tracks[i].Earned, part(track.Earned, track.Offered))
+		near("earned in "+track.Name+", by the result", r.Tracks[i].Earned, ratio(track.Earned, track.Offered))
 	}
 }
 
@@ -153,7 +153,7 @@
 		}, RandomPolicy, nil, []Cause{InQueue}},
 		{"one executor is full, and nodes hold what it has no place for", func(s *Scenario) {
 			s.Fleet.Executors, s.Load.Of = 1, 1.3
-		}, BestPolicy, nil, []Cause{HeldAtNode, SentTooLate, NeverSent}},
+		}, BestPolicy, nil, []Cause{QueuedAtNode, SentTooLate, NeverSent}},
 		{"a node knows of no executor", nil, ModulePolicy, func(_ *World, n *simNode, m node.Policy) node.Policy {
 			if n.id == 0 {
 				return deaf{m}
@@ -162,9 +162,9 @@
 		}, []Cause{NeverSent}},
 		{"executors have no room", func(s *Scenario) {
 			s.Fleet.Queue, s.Fleet.Places, s.Fleet.Cores, s.Load.Of = 0, 1, 1, 20
-		}, RandomPolicy, nil, []Cause{TurnedAway}},
+		}, RandomPolicy, nil, []Cause{RejectedByExecutor}},
 		{"executors fail", func(s *Scenario) { s.Faults = all(emulator.Errors, 1) }, RandomPolicy, nil, []Cause{Failed}},
-		{"it is far", func(s *Scenario) { s.Fleet.Near, s.Fleet.DialLimit = Span(30*time.Millisecond), Span(time.Second) }, RandomPolicy, nil, []Cause{OnTheWay}},
+		{"it is far", func(s *Scenario) { s.Fleet.Near, s.Fleet.DialLimit = Span(30*time.Millisecond), Span(time.Second) }, RandomPolicy, nil, []Cause{InTransit}},
 		{"clients leave", func(s *Scenario) { s.Fleet.Speed, s.Fleet.Queue, s.Load.Leaves, s.Load.Of = 0.01, 1000, 1, 5 }, RandomPolicy, nil, []Cause{ClientLeft}},
 		{"there is no node", func(s *Scenario) {
 			s.Faults = []Fault{{Kind: emulator.NodeKilled, At: Span(5 * time.Second), For: Span(10 * time.Second), Where: []string{"n0", "n1"}}}
@@ -199,15 +199,15 @@
 	t.Parallel()
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	h := &jobHistory{work: &emulator.Work{Came: 0, Cost: 0.05}, requests: []*requestHistory{
-		{from: ms(0), arrived: ms(1), answered: ms(100), done: ms(101), end: emulator.EndPushedBack},
-		{from: ms(111), arrived: ms(112), answered: ms(400), done: ms(401), end: emulator.EndHandled},
+		{submitted: ms(0), arrived: ms(1), answered: ms(100), done: ms(101), end: emulator.EndPushedBack},
+		{submitted: ms(111), arrived: ms(112), answered: ms(400), done: ms(401), end: emulator.EndHandled},
 	}, attempts: []*attemptHistory{
 		{dialedAt: notSeen, sent: ms(20), reached: ms(22), began: notSeen, ended: ms(22), endedAtNode: ms(24), outcome: policy.ExecutorFull},
 		{dialedAt: ms(114), connUpAt: ms(118), sent: ms(120), reached: ms(125), began: ms(165), ended: notSeen, endedAtNode: ms(400), slow: true}, // crawls
 		{dialedAt: notSeen, sent: ms(200), reached: ms(205), began: ms(305), ended: ms(395), endedAtNode: ms(400), outcome: policy.Succeeded},
 	}}
 	got := h.times(ms(401))
-	want := [causes]time.Duration{TurnedAway: ms(4), Connecting: ms(4), BetweenTries: ms(10), OnTheWay: ms(1 + 1 + 1 + 5 + 1), HeldAtNode: ms(19 + 76 + 4),
+	want := [causeCount]time.Duration{RejectedByExecutor: ms(4), Connecting: ms(4), BetweenRequests: ms(10), InTransit: ms(1 + 1 + 1 + 5 + 1), QueuedAtNode: ms(19 + 76 + 4),
 		InQueue: ms(40), RunningSlow: ms(400 - 165 - 90), RunningFast: ms(90)}
 	// Both running count by the one that is listed first; the sum is what counts.
 	if sum := got[RunningSlow] + got[RunningFast]; sum != ms(400-165) {
--- a/internal/simulation/recovery.go
+++ b/internal/simulation/recovery.go
@@ -17,7 +17,7 @@
 			a += s.valueOffered
 			e += s.valueEarned
 		}
-		return part(e, a)
+		return ratio(e, a)
 	}
 	from := int((last + time.Second - 1) / time.Second)
 	before := over(int(settlingTime/time.Second), int(first/time.Second))
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -122,13 +122,13 @@
 	asked, earned := 0.0, 0.0
 	for i := range r.Tracks {
 		t := &r.Tracks[i]
-		t.Earned = part(t.valueEarned, t.valueOffered)
+		t.Earned = ratio(t.valueEarned, t.valueOffered)
 		asked += t.valueOffered
 		earned += t.valueEarned
 	}
-	r.Earned, r.Worst = part(earned, asked), 2
+	r.Earned, r.Worst = ratio(earned, asked), 2
 	if len(r.capacity) > 0 {
-		r.Best = part(Best(r.offers, r.capacity), asked)
+		r.Best = ratio(Best(r.offers, r.capacity), asked)
 	}
 	r.offers, r.capacity = nil, nil
 	for i := 0; i+min(worstSeconds, len(r.seconds)) <= len(r.seconds); i++ {
@@ -137,7 +137,7 @@
 			a += s.valueOffered
 			e += s.valueEarned
 		}
-		if p := part(e, a); p < r.Worst {
+		if p := ratio(e, a); p < r.Worst {
 			r.Worst, r.WorstAt = p, Span(time.Duration(i)*time.Second)
 		}
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-func part(of, all float64) float64 {
+func ratio(of, all float64) float64 {
 	if all == 0 {
 		return 1
 	}
