--- a/internal/simulation/malformed_clients.go
+++ b/internal/simulation/malformed_clients.go
@@ -11,10 +11,13 @@
 	"time"
 )
 
-// malformedReplyLimit is how soon a bad client is owed an error or a close, after it has sent all that it sends.
-const malformedReplyLimit = 3 * time.Second
+// malformedReplyTimeout is how soon a malformed request must be answered with an error, or its connection closed.
+const malformedReplyTimeout = 3 * time.Second
 
-// malformedRequests are what bad clients send. One that holds a batch job within another must not have it go on.
+// classPlaceholder stands for the name of a job class in malformedRequests.
+const classPlaceholder = "TRACK"
+
+// malformedRequests are what malformed clients send. A request that is hidden in the body of another must not be served.
 var malformedRequests = []string{
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
 	"GET",
@@ -31,46 +34,47 @@
 	"POST /x HTTP/1.1\r\n" + strings.Repeat("X-Long: "+strings.Repeat("y", 1000)+"\r\n", 40),
 }
 
-// requestHead makes the head of a batch job with these fields.
+// requestHead is the head of a request with these header fields.
 func requestHead(fields ...string) string {
 	return "POST /x HTTP/1.1\r\nHost: backend.local\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
 }
 
-// startMalformedClients lets bad clients come to all nodes at a steady rate, with each text in turn.
+// startMalformedClients sends a malformed request to each node at the scenario's rate, of all kinds in turn.
 func (v *wiredWorld) startMalformedClients() {
-	gap, turn := time.Duration(1e9/v.world.scenario.Load.Bad), 0
-	var come func()
-	come = func() {
-		if v.world.now >= time.Duration(v.world.scenario.Length) {
+	w := v.world
+	gap, turn := time.Duration(1e9/w.scenario.Load.Bad), 0
+	var next func()
+	next = func() {
+		if w.now >= time.Duration(w.scenario.Length) {
 			return
 		}
 		turn++
-		for _, n := range v.world.nodes {
+		request := strings.ReplaceAll(malformedRequests[turn%len(malformedRequests)], classPlaceholder, w.scenario.Tracks[0].Name)
+		for _, n := range w.nodes {
 			if n.up && n.process != nil {
-				text := strings.ReplaceAll(malformedRequests[turn%len(malformedRequests)], "TRACK", v.world.scenario.Tracks[0].Name)
-				go v.malformedClient(n.process, fmt.Sprint("bad", turn), text)
+				go v.sendMalformed(n.process, fmt.Sprint("bad", turn), request)
 			}
 		}
-		v.world.after(gap, come)
+		w.after(gap, next)
 	}
-	v.world.after(clientsStartAfter, come)
+	w.after(clientsStartAfter, next)
 }
 
-// malformedClient is a bad client: it sends its text and reads what comes.
-func (v *wiredWorld) malformedClient(l *nodeProcess, id, text string) {
-	ctx, cancel := context.WithTimeout(context.Background(), malformedReplyLimit)
+// sendMalformed sends a malformed request to a node and reads what comes back.
+func (v *wiredWorld) sendMalformed(p *nodeProcess, id, request string) {
+	ctx, cancel := context.WithTimeout(context.Background(), malformedReplyTimeout)
 	defer cancel()
-	c, err := v.net.Dial(ctx, "bad", id, l.addr)
+	conn, err := v.net.Dial(ctx, "bad", id, p.addr)
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	c.Write([]byte(text)) //nolint:errcheck // reading the answer shows what became of the connection
-	c.SetReadDeadline(time.Now().Add(malformedReplyLimit))
-	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
-	v.update(func() {
+	defer conn.Close()
+	conn.Write([]byte(request)) //nolint:errcheck // reading the answer shows what became of the connection
+	conn.SetReadDeadline(time.Now().Add(malformedReplyTimeout))
+	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	v.locked(func() {
 		v.world.result.Bad++
-		if l.dead {
+		if p.ended {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || err == nil && answer.StatusCode < http.StatusBadRequest {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -162,8 +162,8 @@
 	return n
 }
 
-// totalRequests is how many batch jobs nodes were handed.
-func (r *Result) totalRequests() (n int) {
+// requests is how many batch jobs nodes were handed.
+func (r *Result) requests() (n int) {
 	for _, t := range r.Tracks {
 		n += t.Tries
 	}
--- a/internal/simulation/result_print.go
+++ b/internal/simulation/result_print.go
@@ -19,7 +19,7 @@
 		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", t.Name, t.Earned, t.Works, t.Tries, t.Handled, t.PushedBack, t.BrokenOff, t.Unreached, t.Lost)
 	}
 	fmt.Fprintf(to, "  allocations %d, %.3f a batch job; %d to another zone; %d dials, %d led nowhere; %d starts waited\n",
-		r.Allocations, ratio(float64(r.Allocations), float64(r.totalRequests())), r.Crossings, r.Dials, r.NoConnection, r.StartsWaited)
+		r.Allocations, ratio(float64(r.Allocations), float64(r.requests())), r.Crossings, r.Dials, r.NoConnection, r.StartsWaited)
 	fmt.Fprintf(to, "  most held by a node %d; %d clients left, %d of them while their batch jobs waited, %d attempts too late after that; %d executors fell over; %d tagged ran again too late to be dropped\n",
 		r.MostHeld, r.Left, r.WentWaiting, r.SentLate, r.Fell, r.LateTwice)
 	if r.Words > 0 {
--- a/internal/simulation/wired.go
+++ b/internal/simulation/wired.go
@@ -11,69 +11,69 @@
 	"birchstair/policy"
 )
 
-// wiredWorld plays a world with the nodes' network code, net/http's server and client among it, on connections in memory.
-// Models and script are the same as without; what goes between them are bytes. It reads time by package time only: on a
-// virtual clock (testing/synctest) it takes as long as its work, elsewhere as long as the world is.
+// shutdownWait is how long a wired world waits at its end for goroutines to find that it is over.
+const shutdownWait = 10 * time.Second
+
+// wiredWorld plays a world with the nodes' network code, net/http's server and client among it, on connections in memory. Models and
+// script are those of an event world; what passes between them is bytes. It reads the time by package time only: on a virtual clock
+// (testing/synctest) it takes as long as its work, elsewhere as long as the world lasts.
 type wiredWorld struct {
 	world       *World
 	net         *memnet.Net
 	start       time.Time
-	rescheduled chan struct{} // the script has something new
-	done        chan struct{}
+	rescheduled chan struct{} // the next event may be another one now
+	done        chan struct{} // closed at the world's end
 
-	mu               sync.Mutex // guards the world; the network's lock comes after it
-	ended            bool       // the world is over: nothing that still goes on counts
+	mu               sync.Mutex // guards the world and the fields below; taken before the network's lock
+	ended            bool       // the world is over: whatever still goes on does not count
 	requests         map[policy.JobID]*clientRequest
-	endpointsChanged chan struct{}         // closed when discovery may have something new
-	buffered         []bufferedObservation // what was seen at this instant, in no order yet
+	endpointsChanged chan struct{}         // closed when discovery may have an update
+	buffered         []bufferedObservation // of this instant, not sorted
 	observations     int
 
-	pathMu      sync.Mutex // guards what lies between hosts; it comes after all others
+	pathMu      sync.Mutex // guards the fields below; taken after all other locks
 	zoneOfHost  map[string]policy.ZoneID
 	partitions  []partition
 	unreachable map[string]bool
 }
 
-// bufferedObservation is a thing seen, and by whom: what several see at one instant is put in the order of their names.
+// bufferedObservation is an observation and its observer: those of one instant are sorted by observer.
 type bufferedObservation struct {
 	observer string
 	order    int
 	invariants.Seen
 }
 
-// PlayWired plays the world on connections in memory.
+// PlayWired plays the world on connections in memory, in a testing/synctest bubble.
 func (w *World) PlayWired() Result {
-	v := &wiredWorld{world: w, start: time.Now(), rescheduled: make(chan struct{}, 1), done: make(chan struct{}), requests: map[policy.JobID]*clientRequest{},
-		endpointsChanged: make(chan struct{}), zoneOfHost: map[string]policy.ZoneID{}, partitions: make([]partition, len(w.partitions)), unreachable: map[string]bool{}}
+	v := &wiredWorld{
+		world:            w,
+		start:            time.Now(),
+		rescheduled:      make(chan struct{}, 1),
+		done:             make(chan struct{}),
+		requests:         map[policy.JobID]*clientRequest{},
+		endpointsChanged: make(chan struct{}),
+		zoneOfHost:       map[string]policy.ZoneID{},
+		partitions:       make([]partition, len(w.partitions)),
+		unreachable:      map[string]bool{},
+	}
 	v.net = memnet.New(w.seed, v.path)
 	w.wired = v
 	v.serveDiscovery()
+	v.play()
+	close(v.done)
+	v.net.Shut()
+	time.Sleep(shutdownWait)
+	return w.result
+}
+
+// play plays the world to its end and kills what still runs.
+func (v *wiredWorld) play() {
 	v.mu.Lock()
+	defer v.mu.Unlock()
+	w := v.world
 	w.build()
-	length, end := time.Duration(w.scenario.Length), w.lastDeadline()
-	for len(w.result.Broken) < w.maxViolations {
-		next := end + 1
-		if len(w.events) > 0 {
-			next = w.events[0].at
-		}
-		if next > end || w.openWorks == 0 && next > length+settleTime {
-			break
-		}
-		if wait := next - time.Since(v.start); wait > 0 {
-			v.mu.Unlock()
-			t := time.NewTimer(wait)
-			select {
-			case <-t.C:
-			case <-v.rescheduled:
-				t.Stop()
-			}
-			v.mu.Lock()
-			continue
-		}
-		it := w.events.pop()
-		w.now = max(it.at, time.Since(v.start))
-		w.steps++
-		it.run()
+	for len(w.result.Broken) < w.maxViolations && v.step() {
 	}
 	v.flush()
 	w.advanceChecker()
@@ -84,25 +84,54 @@
 	}
 	w.result.finish(w)
 	v.ended = true
-	v.mu.Unlock()
-	close(v.done)
-	v.net.Shut()
-	time.Sleep(10 * time.Second) // whoever waits for something finds that it is over
-	return w.result
 }
 
-// update does something to the world at this time.
-func (v *wiredWorld) update(what func()) {
+// step runs the next event, or waits for its time without the lock. It says false at the world's end.
+func (v *wiredWorld) step() bool {
+	w := v.world
+	end := w.lastDeadline()
+	next := end + 1
+	if len(w.events) > 0 {
+		next = w.events[0].at
+	}
+	if next > end || w.openWorks == 0 && next > time.Duration(w.scenario.Length)+settleTime {
+		return false
+	}
+	if wait := next - time.Since(v.start); wait > 0 {
+		v.mu.Unlock()
+		v.sleep(wait)
+		v.mu.Lock()
+		return true
+	}
+	event := w.events.pop()
+	w.now = max(event.at, time.Since(v.start))
+	w.steps++
+	event.run()
+	return true
+}
+
+// sleep waits for a time, or until an event is scheduled.
+func (v *wiredWorld) sleep(wait time.Duration) {
+	timer := time.NewTimer(wait)
+	select {
+	case <-timer.C:
+	case <-v.rescheduled:
+		timer.Stop()
+	}
+}
+
+// locked runs a function on the world at the present time, under the lock. After the world's end it does nothing.
+func (v *wiredWorld) locked(run func()) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.ended {
 		return
 	}
 	v.world.now = max(v.world.now, time.Since(v.start))
-	what()
+	run()
 }
 
-// eventScheduled tells the script's player that something is to happen sooner than it waits for.
+// eventScheduled wakes the player: the new event may be the next one.
 func (v *wiredWorld) eventScheduled() {
 	select {
 	case v.rescheduled <- struct{}{}:
@@ -110,16 +139,16 @@
 	}
 }
 
-// buffer keeps what is seen until its instant is over.
-func (v *wiredWorld) buffer(by string, s invariants.Seen) {
+// buffer keeps an observation until its instant is over.
+func (v *wiredWorld) buffer(observer string, s invariants.Seen) {
 	if len(v.buffered) > 0 && v.buffered[0].At != s.At {
 		v.flush()
 	}
 	v.observations++
-	v.buffered = append(v.buffered, bufferedObservation{by, v.observations, s})
+	v.buffered = append(v.buffered, bufferedObservation{observer, v.observations, s})
 }
 
-// flush hands on what was seen at one instant, in an order that does not hang on who came first.
+// flush reports the observations of one instant in an order that does not depend on which goroutine was first.
 func (v *wiredWorld) flush() {
 	slices.SortStableFunc(v.buffered, func(a, b bufferedObservation) int {
 		return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.order, b.order))
--- a/internal/simulation/wired_clients.go
+++ b/internal/simulation/wired_clients.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"errors"
+	"net/http"
 	"os"
 	"time"
 
@@ -12,62 +13,68 @@
 	"birchstair/internal/invariants"
 )
 
-// submit hands a try in at its node and waits for what comes.
-func (v *wiredWorld) submit(t *clientRequest) {
-	l, work := t.node.process, t.work
-	from := "clients-" + v.world.scenario.Fleet.Zones[t.clients.zone]
-	v.setZone(from, t.clients.zone)
-	v.requests[t.job] = t
-	m := platform.Message{Job: t.job, Track: v.world.scenario.Tracks[work.Track].Name, Tag: v.world.idempotencyKey(work), Work: time.Duration(work.Hint * 1e9), Body: v.world.requestBody()}
+// submit sends a request to its node and waits for the answer in a goroutine.
+func (v *wiredWorld) submit(request *clientRequest) {
+	w, p, work := v.world, request.node.process, request.work
+	from := "clients-" + w.scenario.Fleet.Zones[request.clients.zone]
+	v.setZone(from, request.clients.zone)
+	v.requests[request.job] = request
+	message := platform.Message{Job: request.job, Track: w.scenario.Tracks[work.Track].Name, Tag: w.idempotencyKey(work),
+		Work: secondsOf(work.Hint), Body: w.requestBody()}
 	go func() {
-		how, comeBack := v.call(from, l.addr, m, t)
-		v.update(func() {
-			if how == emulator.EndBrokenOff && work.Leaves <= v.world.now {
-				v.world.result.Left++
-				v.recordClientGone(t, from, l.host)
+		end, retryAfter := v.call(from, p.addr, message, request)
+		v.locked(func() {
+			if end == emulator.EndBrokenOff && work.Leaves <= w.now {
+				w.result.Left++
+				v.recordClientGone(request, from, p.host)
 			}
-			t.finishUnsent(how, comeBack)
+			request.finishUnsent(end, retryAfter)
 		})
 	}()
 }
 
-// recordClientGone books that a client's connection has ended: when that arrives at its node's machine, which may be cut off from it. Before, no
-// look there could find it.
-func (v *wiredWorld) recordClientGone(t *clientRequest, from, host string) {
-	if p := v.path(from, host); !p.Lost {
-		v.world.after(p.Hold+p.Delay, func() { v.world.observe(invariants.Seen{What: invariants.Went, Node: t.node.id, Job: t.job}) })
+// recordClientGone records the end of a client's connection when it arrives at the node's machine. Before that, the node can't see it.
+func (v *wiredWorld) recordClientGone(request *clientRequest, from, host string) {
+	path := v.path(from, host)
+	if path.Lost {
+		return
 	}
+	v.world.after(path.Hold+path.Delay, func() {
+		v.world.observe(invariants.Seen{What: invariants.Went, Node: request.node.id, Job: request.job})
+	})
 }
 
-// call is a client's call.
-func (v *wiredWorld) call(from, addr string, m platform.Message, t *clientRequest) (emulator.End, time.Duration) {
-	work := t.work
+// call is a client's call to a node.
+func (v *wiredWorld) call(from, addr string, message platform.Message, request *clientRequest) (end emulator.End, retryAfter time.Duration) {
+	work := request.work
 	until := v.start.Add(min(work.Leaves, work.Limit+slack+time.Millisecond))
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	c, err := v.net.Dial(ctx, from, string(m.Job), addr)
+	conn, err := v.net.Dial(ctx, from, string(message.Job), addr)
 	if err != nil {
 		return emulator.EndUnreached, 0
 	}
-	defer c.Close()
-	if m.Budget = (work.Limit - time.Since(v.start)).Truncate(time.Millisecond); m.Budget <= 0 {
+	defer conn.Close()
+	message.Budget = (work.Limit - time.Since(v.start)).Truncate(time.Millisecond)
+	if message.Budget <= 0 {
 		return emulator.EndBrokenOff, 0
 	}
-	v.update(func() { t.conn = c })
-	c.SetDeadline(until)
-	if _, err := c.Write(m.Append(nil)); err != nil {
+	v.locked(func() { request.conn = conn })
+	conn.SetDeadline(until)
+	if _, err := conn.Write(message.Append(nil)); err != nil {
 		return emulator.EndLost, 0
 	}
-	f, err := platform.ReadFinal(bufio.NewReader(c))
+	final, err := platform.ReadFinal(bufio.NewReader(conn))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return emulator.EndBrokenOff, 0
 	case err != nil:
 		return emulator.EndLost, 0
-	case f.How == emulator.EndHandled && !platform.IsHandled(f, string(work.ID)):
-		v.update(func() { v.world.result.Wrong++ })
-	case f.How == emulator.EndBrokenOff && f.Status < 500:
-		v.update(func() { v.world.result.Wrong++ }) // a node that finds fault with a sound message
 	}
-	return f.How, f.ComeBack
+	wrongResult := final.How == emulator.EndHandled && !platform.IsHandled(final, string(work.ID))
+	wrongError := final.How == emulator.EndBrokenOff && final.Status < http.StatusInternalServerError // for a well-formed request
+	if wrongResult || wrongError {
+		v.locked(func() { v.world.result.Wrong++ })
+	}
+	return final.How, final.ComeBack
 }
--- a/internal/simulation/wired_discovery.go
+++ b/internal/simulation/wired_discovery.go
@@ -2,84 +2,83 @@
 
 import (
 	"bufio"
-	"net"
 	"time"
 
 	"birchstair/internal/emulator/platform"
+	"birchstair/internal/memnet"
 )
 
-const discoveryAddress = "127.0.0.1:8500"
+const (
+	discoveryHost    = "discovery"
+	discoveryAddress = "127.0.0.1:8500"
+)
 
+// serveDiscovery starts discovery.
 func (v *wiredWorld) serveDiscovery() {
-	l, err := v.net.Listen("discovery", discoveryAddress)
-	if err != nil {
-		panic(err) // it is the first
-	}
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go v.serveWatch(c)
-		}
-	}()
+	v.listen(discoveryHost, discoveryAddress, v.serveWatch)
 }
 
-func (v *wiredWorld) serveWatch(c net.Conn) {
-	defer c.Close()
-	r := bufio.NewReader(c)
+// serveWatch answers watch requests on a connection until it ends.
+func (v *wiredWorld) serveWatch(conn *memnet.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for {
-		ask, err := platform.ReadWatch(r)
+		request, err := platform.ReadWatch(reader)
 		if err != nil {
 			return
 		}
-		answer := v.watch(ask)
+		answer := v.awaitUpdate(request)
 		if answer == nil {
 			return
 		}
-		if _, err := c.Write(answer); err != nil {
+		if _, err := conn.Write(answer); err != nil {
 			return
 		}
 	}
 }
 
-// watch waits until there is an answer; while discovery is silent there is none.
-func (v *wiredWorld) watch(ask platform.Watch) (answer []byte) {
-	until := time.Now().Add(ask.Hold)
+// awaitUpdate waits until there is an answer to a watch request: at once for a complete list, else with the next update or when the
+// request's hold time is over. Silent discovery has no answer. nil means that the world is over.
+func (v *wiredWorld) awaitUpdate(request platform.Watch) []byte {
+	until := time.Now().Add(request.Hold)
 	for {
-		var news chan struct{}
-		v.update(func() {
-			news = v.endpointsChanged
-			d := v.world.discovery
-			if d.Silent() {
-				return
-			}
-			version, entries := d.Since(v.world.now, ask.From)
-			if ask.Whole {
-				entries = d.Whole(v.world.now)
-			}
-			if ask.Whole || len(entries) > 0 || !time.Now().Before(until) {
-				answer = platform.AppendList(nil, version, ask.Whole, entries, v.world.scenario.Fleet.Zones, v.start)
-			}
-		})
+		answer, changed := v.answerWatch(request, until)
 		if answer != nil {
 			return answer
 		}
-		var over <-chan time.Time // of its hold; once that has passed only news counts: discovery is silent
+		var holdOver <-chan time.Time // nil once the hold time is over: only a change can bring an answer then
 		if left := time.Until(until); left > 0 {
-			over = time.After(left)
+			holdOver = time.After(left)
 		}
 		select {
-		case <-news:
-		case <-over:
+		case <-changed:
+		case <-holdOver:
 		case <-v.done:
 			return nil
 		}
 	}
 }
 
-// notifyWatches lets all watches look.
+// answerWatch is the answer to a watch request by now, nil if there is none, and a channel that is closed with the next change.
+func (v *wiredWorld) answerWatch(request platform.Watch, until time.Time) (answer []byte, changed chan struct{}) {
+	v.locked(func() {
+		changed = v.endpointsChanged
+		discovery := v.world.discovery
+		if discovery.Silent() {
+			return
+		}
+		version, entries := discovery.Since(v.world.now, request.From)
+		if request.Whole {
+			entries = discovery.Whole(v.world.now)
+		}
+		if request.Whole || len(entries) > 0 || !time.Now().Before(until) {
+			answer = platform.AppendList(nil, version, request.Whole, entries, v.world.scenario.Fleet.Zones, v.start)
+		}
+	})
+	return answer, changed
+}
+
+// notifyWatches lets all watches look for updates.
 func (v *wiredWorld) notifyWatches() {
 	close(v.endpointsChanged)
 	v.endpointsChanged = make(chan struct{})
--- a/internal/simulation/wired_executor.go
+++ b/internal/simulation/wired_executor.go
@@ -14,80 +14,54 @@
 // executorSocket is a connection at an executor's end.
 type executorSocket struct {
 	conn     *memnet.Conn
-	response platform.Answer
+	response platform.Answer // as far as it is written
 }
 
+// host is the network's name of the executor's process.
 func (x *executor) host() string { return fmt.Sprintf("%s#%d", x.ID, x.incarnation) }
 
-// startExecutor lets an executor take connections.
+// startExecutor starts the executor's process: it listens.
 func (v *wiredWorld) startExecutor(x *executor) {
 	x.incarnation++
 	x.sockets = map[emulator.ConnID]*executorSocket{}
 	v.setZone(x.host(), x.Zone)
 	v.setZone(x.addr, x.Zone)
 	v.setUnreachable(x.addr, false)
-	l, err := v.net.Listen(x.host(), x.addr)
-	if err != nil {
-		panic(err) // the last life's listener went with it
-	}
-	lives := x.incarnation
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go v.serveExecutor(x, lives, c.(*memnet.Conn))
-		}
-	}()
+	incarnation := x.incarnation
+	v.listen(x.host(), x.addr, func(conn *memnet.Conn) { v.serveExecutor(x, incarnation, conn) })
 }
 
-// endExecutor ends its process, or, silently, its machine.
-func (v *wiredWorld) endExecutor(x *executor, silently bool) {
-	if silently {
+// endExecutor ends the executor's process, or its machine if that vanishes.
+func (v *wiredWorld) endExecutor(x *executor, vanishes bool) {
+	if vanishes {
 		v.setUnreachable(x.addr, true)
 	}
-	host := x.host()
 	x.sockets = map[emulator.ConnID]*executorSocket{}
-	v.net.Kill(host, silently)
+	v.net.Kill(x.host(), vanishes)
 }
 
-// serveExecutor reads allocations from a connection until it ends.
-func (v *wiredWorld) serveExecutor(x *executor, lives int, c *memnet.Conn) {
-	defer c.Close()
-	var key emulator.ConnID
-	taken := false
-	v.update(func() {
-		if x.incarnation != lives {
-			return
-		}
-		v.world.lastConnID++
-		key = v.world.lastConnID
-		ok, outs := x.Open(v.world.now, key)
-		if taken = ok; ok {
-			x.sockets[key] = &executorSocket{conn: c}
-		}
-		x.apply(outs)
-	})
-	if !taken {
+// serveExecutor reads attempts from a connection until it ends.
+func (v *wiredWorld) serveExecutor(x *executor, incarnation int, conn *memnet.Conn) {
+	defer conn.Close()
+	key, accepted := v.acceptAtExecutor(x, incarnation, conn)
+	if !accepted {
 		return
 	}
-	r := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
-		m, err := platform.ReadAllocation(r)
-		v.update(func() {
-			if x.incarnation != lives || x.sockets[key] == nil {
+		attempt, err := platform.ReadAllocation(reader)
+		v.locked(func() {
+			switch {
+			case x.incarnation != incarnation || x.sockets[key] == nil:
 				err = net.ErrClosed
-				return
-			}
-			if err != nil {
+			case err != nil:
 				delete(x.sockets, key)
 				x.apply(x.Hangup(v.world.now, key))
-				return
-			}
-			c.SetReadDeadline(time.Time{})
-			if t := v.requests[m.Job]; t != nil {
-				x.apply(x.Take(v.world.now, v.world.newAttempt(t, t.node.id, key, x)))
+			default:
+				conn.SetReadDeadline(time.Time{})
+				if request := v.requests[attempt.Job]; request != nil {
+					x.apply(x.Take(v.world.now, v.world.newAttempt(request, request.node.id, key, x)))
+				}
 			}
 		})
 		if err != nil {
@@ -96,18 +70,36 @@
 	}
 }
 
-// answerAttempt writes an executor's word.
-func (v *wiredWorld) answerAttempt(x *executor, o emulator.Say) {
-	s, t := x.sockets[o.Conn], v.requests[o.Job]
-	if s == nil || t == nil {
+// acceptAtExecutor lets the executor accept a connection, unless its process has ended or it has as many as it takes.
+func (v *wiredWorld) acceptAtExecutor(x *executor, incarnation int, conn *memnet.Conn) (key emulator.ConnID, accepted bool) {
+	v.locked(func() {
+		if x.incarnation != incarnation {
+			return
+		}
+		v.world.lastConnID++
+		key = v.world.lastConnID
+		var outputs []emulator.Out
+		accepted, outputs = x.Open(v.world.now, key)
+		if accepted {
+			x.sockets[key] = &executorSocket{conn: conn}
+		}
+		x.apply(outputs)
+	})
+	return key, accepted
+}
+
+// answerAttempt writes an executor's answer or notice.
+func (v *wiredWorld) answerAttempt(x *executor, answer emulator.Say) {
+	socket, request := x.sockets[answer.Conn], v.requests[answer.Job]
+	if socket == nil || request == nil {
 		return
 	}
-	b, ended := s.response.Append(nil, o, x.ID, platform.Result(string(t.work.ID)))
-	s.conn.Write(b) //nolint:errcheck // a broken connection is seen by its reader, which books it
-	if o.Word == emulator.Began && v.world.now-t.sentAt > queuedStart {
+	text, complete := socket.response.Append(nil, answer, x.ID, platform.Result(string(request.work.ID)))
+	socket.conn.Write(text) //nolint:errcheck // the reader of a broken connection sees and records that
+	if answer.Word == emulator.Began && v.world.now-request.sentAt > queuedStart {
 		v.world.result.StartsWaited++
 	}
-	if ended {
-		s.conn.SetReadDeadline(time.Now().Add(time.Duration(v.world.scenario.Fleet.IdleLimit)))
+	if complete {
+		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(v.world.scenario.Fleet.IdleLimit)))
 	}
 }
--- a/internal/simulation/wired_network.go
+++ b/internal/simulation/wired_network.go
@@ -7,47 +7,64 @@
 	"birchstair/policy"
 )
 
+// path is what lies between two hosts now. Discovery is in no zone; a partition keeps it from a zone that nothing gets into.
 func (v *wiredWorld) path(from, to string) memnet.Path {
 	v.pathMu.Lock()
 	defer v.pathMu.Unlock()
-	f := &v.world.scenario.Fleet
-	a, known := v.zoneOfHost[from]
-	b, known2 := v.zoneOfHost[to]
-	if v.unreachable[from] || v.unreachable[to] {
+	fleet := &v.world.scenario.Fleet
+	fromZone, fromInZone := v.zoneOfHost[from]
+	toZone, toInZone := v.zoneOfHost[to]
+	path := memnet.Path{Delay: time.Duration(fleet.Near), PerByte: timePerByte}
+	blockedUntil := time.Duration(0)
+	switch {
+	case v.unreachable[from] || v.unreachable[to]:
 		return memnet.Path{Lost: true}
+	case toInZone && !fromInZone:
+		blockedUntil = v.partitions[toZone].inboundUntil
+	case fromInZone && toInZone && fromZone != toZone:
+		path.Delay = time.Duration(fleet.Far)
+		blockedUntil = max(v.partitions[fromZone].outboundUntil, v.partitions[toZone].inboundUntil)
 	}
-	p := memnet.Path{Delay: time.Duration(f.Near), PerByte: timePerByte}
-	if !known || !known2 || a == b {
-		if known != known2 { // discovery, which a zone that is cut off does not hear
-			zone := max(a, b)
-			if until := v.partitions[zone].inboundUntil; known2 && until > time.Since(v.start) {
-				p.Hold = until - time.Since(v.start)
-			}
-		}
-		return p
+	if now := time.Since(v.start); blockedUntil > now {
+		path.Hold = blockedUntil - now
 	}
-	p.Delay = time.Duration(f.Far)
-	if until := max(v.partitions[a].outboundUntil, v.partitions[b].inboundUntil); until > time.Since(v.start) {
-		p.Hold = until - time.Since(v.start)
-	}
-	return p
+	return path
 }
 
-// setZone says where a host is.
+// setZone puts a host into a zone.
 func (v *wiredWorld) setZone(host string, zone policy.ZoneID) {
 	v.pathMu.Lock()
 	defer v.pathMu.Unlock()
 	v.zoneOfHost[host] = zone
 }
 
-func (v *wiredWorld) setPartitions(cuts []partition) {
+// setPartitions copies the world's partitions for the network.
+func (v *wiredWorld) setPartitions(partitions []partition) {
 	v.pathMu.Lock()
 	defer v.pathMu.Unlock()
-	copy(v.partitions, cuts)
+	copy(v.partitions, partitions)
 }
 
-func (v *wiredWorld) setUnreachable(addr string, yes bool) {
+// setUnreachable makes an address unreachable, or reachable again.
+func (v *wiredWorld) setUnreachable(addr string, unreachable bool) {
 	v.pathMu.Lock()
 	defer v.pathMu.Unlock()
-	v.unreachable[addr] = yes
+	v.unreachable[addr] = unreachable
+}
+
+// listen accepts connections on an address of its own and serves each in a goroutine, until the host ends.
+func (v *wiredWorld) listen(host, addr string, serve func(*memnet.Conn)) {
+	listener, err := v.net.Listen(host, addr)
+	if err != nil {
+		panic(err) // no two processes that run have one address
+	}
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serve(conn.(*memnet.Conn))
+		}
+	}()
 }
--- a/internal/simulation/wired_node.go
+++ b/internal/simulation/wired_node.go
@@ -18,96 +18,134 @@
 	"birchstair/policy"
 )
 
-// nodeProcess is a node's process.
+const (
+	maxClientConns = 600 // to a node
+	maxAdminCalls  = 64  // that wait at a process; more are lost
+
+	// Admin calls and dial timeouts come at instants of their own, so that nothing depends on the scheduler.
+	adminDelaySteps  = 997
+	adminDelayStep   = 1009 * time.Nanosecond
+	dialTimeoutSteps = 997
+)
+
+// nodeProcess is a node's process in a wired world.
 type nodeProcess struct {
-	watchDials  int // connections to discovery
-	world       *wiredWorld
+	wired       *wiredWorld
 	node        *simNode
-	host        string
+	host        string // the network's name of it
 	addr        string
 	adminEvents chan node.Event
 	stop        context.CancelFunc
-	dead        bool
-	gaveUp      []invariants.Seen // by the module, in this step
-	attempts    map[node.ConnID]*connAttempt
+	ended       bool
+	watchDials  int                          // to discovery
+	gaveUp      []invariants.Seen            // by the policy, in this step
+	attempts    map[node.ConnID]*connAttempt // that are out
 }
 
-func (v *wiredWorld) startNode(n *simNode, p policy.Settings, limits node.Limits, module node.Policy) {
-	f := &v.world.scenario.Fleet
-	l := &nodeProcess{world: v, node: n, host: fmt.Sprintf("%s#%d", n.name, n.incarnation), addr: fmt.Sprintf("127.2.%d.%d:%d", n.id/250, n.id%250+1, 8000+n.incarnation),
-		adminEvents: make(chan node.Event, maxAdminCalls), attempts: map[node.ConnID]*connAttempt{}}
-	n.process = l
-	v.setZone(l.host, n.zone)
-	v.setZone(l.addr, n.zone)
-	listener, err := v.net.Listen(l.host, l.addr)
-	if err != nil {
-		panic(err) // the address has its start in it
+// startNode starts a node's process.
+func (v *wiredWorld) startNode(n *simNode, settings policy.Settings, limits node.Limits, decider node.Policy) {
+	ctx, stop := context.WithCancel(context.Background())
+	p := &nodeProcess{
+		wired:       v,
+		node:        n,
+		host:        fmt.Sprintf("%s#%d", n.name, n.incarnation),
+		addr:        fmt.Sprintf("127.2.%d.%d:%d", n.id/250, n.id%250+1, 8000+n.incarnation),
+		adminEvents: make(chan node.Event, maxAdminCalls),
+		stop:        stop,
+		attempts:    map[node.ConnID]*connAttempt{},
 	}
-	known := n.endpointsUpdate(policy.CachedUpdate, v.world.discovery.Copy(v.world.now-cachedListAge)).Endpoints
-	s := config.Settings{Policy: p, LoadFields: config.LoadFields{0, 1, 2, -1, -1}, Zones: f.Zones, Kinds: []string{"plain"},
-		IdleTimeout: time.Duration(f.IdleLimit), DialTimeout: time.Duration(f.DialLimit)}
-	if !f.Reports {
-		s.LoadFields = config.LoadFields{-1, -1, -1, -1, -1}
+	n.process = p
+	v.setZone(p.host, n.zone)
+	v.setZone(p.addr, n.zone)
+	listener, err := v.net.Listen(p.host, p.addr)
+	if err != nil {
+		panic(err) // each incarnation has its own address
 	}
-	for _, t := range v.world.scenario.Tracks {
-		s.Tracks = append(s.Tracks, t.Name)
+	cached := n.endpointsUpdate(policy.CachedUpdate, v.world.discovery.Copy(v.world.now-cachedListAge)).Endpoints
+	setup := service.Setup{
+		Settings:    v.nodeConfig(settings),
+		Limits:      limits,
+		ClientConns: frontend.ConnLimits{Max: maxClientConns, MaxShared: maxClientConns / 2},
+		Known:       discovery.CachedList{Endpoints: cached},
+		Discovery:   discoveryAddress,
+		Start:       v.start.Add(n.startedAt),
+		Module:      &policyRecorder{Policy: decider, node: n, process: p},
+		Listener:    listener,
+		Executors:   p.dial,
+		List:        p.dialDiscovery,
+		Log:         zerolog.Nop(),
+		Tap:         p.tap,
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	l.stop = stop
-	setup := service.Setup{Settings: s, Limits: limits, ClientConns: frontend.ConnLimits{Max: maxClientConns, MaxShared: maxClientConns / 2}, Known: discovery.CachedList{Endpoints: known}, Discovery: discoveryAddress,
-		Start: v.start.Add(n.startedAt), Module: &policyRecorder{Policy: module, node: n, process: l}, Listener: listener, Executors: l.dial, List: l.dialList,
-		Log: zerolog.Nop(), Tap: l.tap}
 	go func() {
-		service.Run(ctx, setup, l.adminEvents) //nolint:errcheck // a killed node ends by its listener's error; the invariants judge what clients see
-		v.update(l.ended)
+		service.Run(ctx, setup, p.adminEvents) //nolint:errcheck // a killed node ends by its listener's error; the invariants judge what clients see
+		v.locked(p.exited)
 	}()
 }
 
-// maxClientConns is how many connections clients may have to a node.
-const maxClientConns = 600
+// nodeConfig is a node's configuration.
+func (v *wiredWorld) nodeConfig(settings policy.Settings) config.Settings {
+	fleet := &v.world.scenario.Fleet
+	s := config.Settings{
+		Policy:      settings,
+		LoadFields:  config.LoadFields{0, 1, 2, -1, -1},
+		Zones:       fleet.Zones,
+		Kinds:       []string{"plain"},
+		IdleTimeout: time.Duration(fleet.IdleLimit),
+		DialTimeout: time.Duration(fleet.DialLimit),
+	}
+	if !fleet.Reports {
+		s.LoadFields = config.LoadFields{-1, -1, -1, -1, -1}
+	}
+	for _, class := range v.world.scenario.Tracks {
+		s.Tracks = append(s.Tracks, class.Name)
+	}
+	return s
+}
 
-// dial opens a connection to an executor, with the faults that new ones have now.
-func (l *nodeProcess) dial(ctx context.Context, id node.ConnID, addr string) (net.Conn, error) {
-	v, w, name := l.world, l.world.world, fmt.Sprint(id)
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(w.scenario.Fleet.DialLimit)+time.Duration(id%997)*time.Nanosecond)
+// dial opens a connection to an executor, with the faults that new connections have now.
+func (p *nodeProcess) dial(ctx context.Context, id node.ConnID, addr string) (net.Conn, error) {
+	v, w, name := p.wired, p.wired.world, fmt.Sprint(id)
+	timeout := time.Duration(w.scenario.Fleet.DialLimit) + time.Duration(id%dialTimeoutSteps)*time.Nanosecond
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c, err := v.net.Dial(ctx, l.host, name, addr)
+	conn, err := v.net.Dial(ctx, p.host, name, addr)
 	silent, breaks := false, false
-	v.update(func() {
-		if l.dead {
+	v.locked(func() {
+		if p.ended {
 			return
 		}
 		w.result.Dials++
 		if err != nil {
 			w.result.NoConnection++
 		}
-		silent = v.net.Chance("silent"+l.host+name) < w.newConnSilentRate
-		breaks = v.net.Chance("break"+l.host+name) < w.newConnResetRate
+		silent = v.net.Chance("silent"+p.host+name) < w.newConnSilentRate
+		breaks = v.net.Chance("break"+p.host+name) < w.newConnResetRate
 	})
 	if err != nil {
 		return nil, err
 	}
 	if silent {
-		c.SilenceBack()
+		conn.SilenceBack()
 	}
 	if breaks {
-		c.BreakAtUse(memnet.Within + memnet.Break(3*v.net.Chance("how"+l.host+name)))
+		conn.BreakAtUse(memnet.Within + memnet.Break(3*v.net.Chance("how"+p.host+name)))
 	}
-	return c, nil
+	return conn, nil
 }
 
-func (l *nodeProcess) dialList(ctx context.Context, _, addr string) (net.Conn, error) {
+// dialDiscovery opens a connection to discovery. Its name has a count of the process, as one that is killed may or may not dial once
+// more before it ends.
+func (p *nodeProcess) dialDiscovery(ctx context.Context, _, addr string) (net.Conn, error) {
 	name := ""
-	l.world.update(func() {
-		// Counted by life: a process that is killed may or may not dial once more before it ends, as the scheduler will.
-		l.watchDials++
-		name = fmt.Sprint("list", l.watchDials)
+	p.wired.locked(func() {
+		p.watchDials++
+		name = fmt.Sprint("list", p.watchDials)
 	})
-	c, err := l.world.net.Dial(ctx, l.host, name, addr)
+	conn, err := p.wired.net.Dial(ctx, p.host, name, addr)
 	if err != nil {
-		return nil, err
+		return nil, err // not a nil *memnet.Conn in an interface
 	}
-	return c, nil
+	return conn, nil
 }
 
 // wiredConn is an open connection of a node's process.
@@ -116,61 +154,57 @@
 	world *World
 }
 
+// silence lets nothing come back on the connection any more.
 func (c wiredConn) silence() { c.SilenceBack() }
 
-func (c wiredConn) breakAt(after time.Duration) { c.world.after(after, c.Reset) }
+// breakAt resets the connection after a delay.
+func (c wiredConn) breakAt(delay time.Duration) { c.world.after(delay, c.Reset) }
 
-func (l *nodeProcess) openConns() (all []faultableConn) {
-	for _, c := range l.world.net.Conns(l.host) {
-		if l.node.world.byAddr[c.RemoteAddr().String()] != nil {
-			all = append(all, wiredConn{c, l.node.world})
+// openConns are the process's open connections to executors.
+func (p *nodeProcess) openConns() (all []faultableConn) {
+	w := p.wired.world
+	for _, conn := range p.wired.net.Conns(p.host) {
+		if w.byAddr[conn.RemoteAddr().String()] != nil {
+			all = append(all, wiredConn{conn, w})
 		}
 	}
 	return all
 }
 
-// maxAdminCalls is how many operators' calls wait at a process at most; more are lost, as at a door that is full.
-const maxAdminCalls = 64
-
-const (
-	adminDelaySteps = 997
-	adminDelayStep  = 1009 * time.Nanosecond
-)
-
-// adminCall has an operator call at the process.
-func (l *nodeProcess) adminCall(c node.AdminCalled) {
-	l.world.world.adminCalls++
-	// Each at an instant of its own, or the order of what follows would hang on the scheduler.
-	l.world.world.after(time.Duration(l.world.world.adminCalls%adminDelaySteps+1)*adminDelayStep, func() {
-		if l.dead {
+// adminCall has an operator call the process.
+func (p *nodeProcess) adminCall(call node.AdminCalled) {
+	w := p.wired.world
+	w.adminCalls++
+	w.after(time.Duration(w.adminCalls%adminDelaySteps+1)*adminDelayStep, func() {
+		if p.ended {
 			return
 		}
 		select {
-		case l.adminEvents <- c:
+		case p.adminEvents <- call:
 		default:
 		}
 	})
 }
 
-// kill ends the process without a word.
-func (l *nodeProcess) kill() {
-	l.dead = true
-	l.world.net.Kill(l.host, false)
+// kill ends the process at once, as SIGKILL does.
+func (p *nodeProcess) kill() {
+	p.ended = true
+	p.wired.net.Kill(p.host, false)
 	go func() {
-		l.adminEvents <- node.FrontendClosed{}
-		close(l.adminEvents)
-		l.stop()
+		p.adminEvents <- node.FrontendClosed{}
+		close(p.adminEvents)
+		p.stop()
 	}()
 }
 
-// ended: the process has ended by itself.
-func (l *nodeProcess) ended() {
-	if l.dead {
+// exited is the process ending by itself.
+func (p *nodeProcess) exited() {
+	if p.ended {
 		return
 	}
-	l.dead = true
-	close(l.adminEvents)
-	l.stop()
-	l.node.exit()
-	l.world.net.Kill(l.host, false)
+	p.ended = true
+	close(p.adminEvents)
+	p.stop()
+	p.node.exit()
+	p.wired.net.Kill(p.host, false)
 }
--- a/internal/simulation/wired_tap.go
+++ b/internal/simulation/wired_tap.go
@@ -9,84 +9,94 @@
 	"birchstair/policy"
 )
 
-// tap sees a step of the reducer.
-func (l *nodeProcess) tap(_ time.Duration, ev node.Event, effects []node.Effect) {
-	l.world.update(func() {
-		gave := l.gaveUp
-		l.gaveUp = nil
-		if l.dead {
+// tap observes a step of the process's state machine.
+func (p *nodeProcess) tap(_ time.Duration, event node.Event, effects []node.Effect) {
+	p.wired.locked(func() {
+		gaveUp := p.gaveUp
+		p.gaveUp = nil
+		if p.ended {
 			return
 		}
-		l.recordEvent(ev)
-		l.node.recordAdminCall(ev, effects)
-		for _, s := range gave {
-			l.node.world.observe(s)
+		p.recordEvent(event)
+		p.node.recordAdminCall(event, effects)
+		for _, s := range gaveUp {
+			p.wired.world.observe(s)
 		}
-		for _, e := range effects {
-			l.recordEffect(e)
+		for _, effect := range effects {
+			p.recordEffect(effect)
 		}
 	})
 }
 
-func (l *nodeProcess) recordEvent(ev node.Event) {
-	n, w := l.node, l.node.world
-	switch ev := ev.(type) {
+// recordEvent records what an event says.
+func (p *nodeProcess) recordEvent(event node.Event) {
+	n, w := p.node, p.wired.world
+	switch event := event.(type) {
 	case node.JobArrived:
-		if t := l.world.requests[ev.Job.ID]; t != nil {
-			n.openJobs++
-			w.observe(invariants.Seen{What: invariants.Taken, Node: n.id, Job: t.job, Work: t.work.ID, Track: t.work.Track, Limit: w.now + ev.Job.Budget})
-		} else { // what no client handed in: it was hidden in a body
+		request := p.wired.requests[event.Job.ID]
+		if request == nil { // no client has sent it: it was hidden in the body of another one
 			w.result.Wrong++
+			return
 		}
+		n.openJobs++
+		w.observe(invariants.Seen{What: invariants.Taken, Node: n.id, Job: request.job, Work: request.work.ID, Track: request.work.Track,
+			Limit: w.now + event.Job.Budget})
 	case node.ClientLeft:
 		n.openJobs--
-		w.observe(invariants.Seen{What: invariants.Left, Node: n.id, Job: ev.Job})
+		w.observe(invariants.Seen{What: invariants.Left, Node: n.id, Job: event.Job})
 	case node.EndpointsUpdated:
-		if ev.Kind == policy.WatchFailed || ev.Kind == policy.CachedUpdate {
-			return
-		}
-		var entries []emulator.Entry
-		for _, e := range ev.Endpoints {
-			e.StartedAt += n.startedAt
-			entries = append(entries, emulator.Entry{Endpoint: e.Endpoint, Addr: e.Addr})
-		}
-		n.endpointsUpdate(ev.Kind, entries)
+		p.recordEndpoints(event)
 	case node.AttemptEnded:
-		l.attemptEnded(ev.Conn, ev.Outcome.NeverRan())
-	case node.AttemptNotSent: // what was booked as its first byte with the effect never left
-		l.attemptEnded(ev.Conn, true)
-	case node.ConnClosed:
-		l.attemptEnded(ev.Conn, true) // nothing of it had left, or its outcome would have come
+		p.attemptEnded(event.Conn, event.Outcome.NeverRan())
+	case node.AttemptNotSent: // its first byte was recorded with the effect, but never left
+		p.attemptEnded(event.Conn, true)
+	case node.ConnClosed: // nothing of an attempt has left, or its outcome would have come
+		p.attemptEnded(event.Conn, true)
+	}
+}
+
+// recordEndpoints records an update of the endpoint list.
+func (p *nodeProcess) recordEndpoints(event node.EndpointsUpdated) {
+	if event.Kind == policy.WatchFailed || event.Kind == policy.CachedUpdate {
+		return
+	}
+	var entries []emulator.Entry
+	for _, endpoint := range event.Endpoints {
+		endpoint.StartedAt += p.node.startedAt
+		entries = append(entries, emulator.Entry{Endpoint: endpoint.Endpoint, Addr: endpoint.Addr})
 	}
+	p.node.endpointsUpdate(event.Kind, entries)
 }
 
-func (l *nodeProcess) attemptEnded(id node.ConnID, proof bool) {
-	if o := l.attempts[id]; o != nil {
-		delete(l.attempts, id)
-		l.node.recordAttemptEnd(o, proof)
+// attemptEnded records the end of the attempt on a connection, if one is out.
+func (p *nodeProcess) attemptEnded(id node.ConnID, neverRan bool) {
+	if attempt := p.attempts[id]; attempt != nil {
+		delete(p.attempts, id)
+		p.node.recordAttemptEnd(attempt, neverRan)
 	}
 }
 
-func (l *nodeProcess) recordEffect(e node.Effect) {
-	n, w := l.node, l.node.world
-	switch e := e.(type) {
+// recordEffect records what an effect does.
+func (p *nodeProcess) recordEffect(effect node.Effect) {
+	n, w := p.node, p.wired.world
+	switch effect := effect.(type) {
 	case node.Answer:
 		n.openJobs--
-		w.observe(invariants.Seen{What: invariants.Answered, Node: n.id, Job: e.Job, Final: invariants.Final(e.Final)})
+		w.observe(invariants.Seen{What: invariants.Answered, Node: n.id, Job: effect.Job, Final: invariants.Final(effect.Final)})
 	case node.Dial:
-		if x := w.byAddr[e.Addr]; x != nil {
-			n.dialed[e.Conn] = x
+		if x := w.byAddr[effect.Addr]; x != nil {
+			n.dialed[effect.Conn] = x
 		}
 	case node.WriteAttempt:
-		t, x := l.world.requests[e.Attempt.ID], n.dialed[e.Conn]
-		if t == nil || x == nil {
+		request, x := p.wired.requests[effect.Attempt.ID], n.dialed[effect.Conn]
+		if request == nil || x == nil {
 			return
 		}
-		l.attempts[e.Conn] = n.recordAttempt(t, x)
+		p.attempts[effect.Conn] = n.recordAttempt(request, x)
 	case node.SetReady:
-		n.ready = e.Yes
+		n.ready = effect.Yes
 	case node.Log:
-		n.recordLog(e)
+		n.recordLog(effect)
 	case node.CloseFrontend:
 		n.frontendClosed = true
 	}
