--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -6,56 +6,57 @@
 	"time"
 )
 
-// Offer is work that was wanted, from when until when it earned.
+// Offer is a work that clients wanted.
 type Offer struct {
-	Came, Until time.Duration
-	Work, Earns float64
+	Came, Until time.Duration // it earns its value within this time
+	Work        float64       // in seconds on a standard core
+	Earns       float64       // its value
 }
 
-// Bin is the span of time for which capacity is booked.
+// Bin is the length of the bins in which capacity is counted.
 const Bin = 250 * time.Millisecond
 
-// Best is the most that could have been earned with a capacity, in work for each bin: what earns most for its work first, each in the first bins of its
-// time that have room left.
+// Best is an upper bound of the value that could have been earned with a capacity, given as work for each bin. Offers with most value
+// for their work go first, each into the first bins of its time with capacity left.
 func Best(offers []Offer, capacity []float64) float64 {
 	left := slices.Clone(capacity)
 	offers = slices.Clone(offers)
 	slices.SortStableFunc(offers, func(a, b Offer) int { return cmp.Compare(b.Earns/b.Work, a.Earns/a.Work) })
 	sum := 0.0
-	for _, o := range offers {
-		work := o.Work
-		for i := int(o.Came / Bin); i <= int(o.Until/Bin) && i < len(left) && work > 0; i++ {
-			x := min(work, left[i])
-			left[i] -= x
-			work -= x
+	for _, offer := range offers {
+		work := offer.Work
+		for bin := int(offer.Came / Bin); bin <= int(offer.Until/Bin) && bin < len(left) && work > 0; bin++ {
+			done := min(work, left[bin])
+			left[bin] -= done
+			work -= done
 		}
-		sum += o.Earns * (1 - work/o.Work)
+		sum += offer.Earns * (1 - work/offer.Work)
 	}
 	return sum
 }
 
-// sampleCapacity books what could be done in the bin that begins now: by executors that take and answer, that some node which lives can reach.
+// sampleCapacity adds the bin that begins now: the capacity of the executors that work and that a running node can reach.
 func (r *Result) sampleCapacity(w *World) {
-	can := 0.0
+	capacity := 0.0
 	for _, x := range w.executors {
-		t := x.Trouble()
-		if !x.Up || x.unreachable || x.Drains || t.Mute || !w.reachable(x) {
+		trouble := x.Trouble()
+		if !x.Up || x.unreachable || x.Drains || trouble.Mute || !w.reachable(x) {
 			continue
 		}
-		part := (1 - t.Errors) * (1 - t.Neighbour/2) / max(1, t.Slow)
-		if t.StallEvery > 0 {
-			part *= 1 - t.StallFor.Seconds()/t.StallEvery.Seconds()
+		share := (1 - trouble.Errors) * (1 - trouble.Neighbour/2) / max(1, trouble.Slow)
+		if trouble.StallEvery > 0 {
+			share *= 1 - trouble.StallFor.Seconds()/trouble.StallEvery.Seconds()
 		}
-		can += x.Capacity(w.now) * part
+		capacity += x.Capacity(w.now) * share
 	}
-	r.capacity = append(r.capacity, can*Bin.Seconds())
+	r.capacity = append(r.capacity, capacity*Bin.Seconds())
 }
 
-// reachable says whether a node lives that may send to an executor: there is a way, and operators have not taken it out there.
+// reachable says whether a running node may send to an executor: their zones are linked, and operators have not excluded it there.
 func (w *World) reachable(x *executor) bool {
 	for _, n := range w.nodes {
-		_, out := n.excluded[x.ID]
-		if n.up && !n.suspended && !out && w.linked(n.zone, x.Zone) {
+		_, excluded := n.excluded[x.ID]
+		if n.up && !n.suspended && !excluded && w.linked(n.zone, x.Zone) {
 			return true
 		}
 	}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -12,31 +12,31 @@
 	Scenario string              `json:"scenario"`
 	Seed     uint64              `json:"seed"`
 	Length   Span                `json:"length"`
-	Earned   float64             `json:"earned"` // part of the earnings asked for that was answered in the quoted time
-	Best     float64             `json:"best"`   // the most of it that could have been, by what nodes and executors were there; 0 where it is not reckoned
-	Worst    float64             `json:"worst"`  // the same over the worst 10 s
+	Earned   float64             `json:"earned"` // share of the value offered that was earned within the latency objectives
+	Best     float64             `json:"best"`   // upper bound of Earned, by which nodes and executors were up; 0 if it is not known
+	Worst    float64             `json:"worst"`  // Earned over the worst 10 s
 	WorstAt  Span                `json:"worst_at"`
-	Tracks   []TrackResult       `json:"tracks"`
-	Broken   []invariants.Broken `json:"broken"`
+	Tracks   []TrackResult       `json:"tracks"` // by class
+	Broken   []invariants.Broken `json:"broken"` // violations of invariants
 
-	Allocations  int `json:"allocations"`
-	Crossings    int `json:"crossings"` // allocations to another zone
-	Copies       int `json:"copies"`    // allocations while another of the batch job was out
+	Allocations  int `json:"allocations"` // attempts
+	Crossings    int `json:"crossings"`   // attempts to another zone
+	Copies       int `json:"copies"`      // attempts while another one of the job was out
 	Probes       int `json:"probes"`
 	Dials        int `json:"dials"`
-	NoConnection int `json:"no_connection"` // dials that led nowhere
-	StartsWaited int `json:"starts_waited"`
-	MostHeld     int `json:"most_held"` // by any node
-	Left         int `json:"left"`      // clients that left early
-	Fell         int `json:"fell"`
-	WentWaiting  int `json:"went_waiting"` // of clients that left, those whose batch jobs waited with nothing out
-	SentLate     int `json:"sent_late"`    // attempts for clients that had left longer ago than is allowed
-	LateTwice    int `json:"late_twice"`   // tagged ones held up on the way for longer than their window, that ran again
-	Wrong        int `json:"wrong"`        // answers that no node should give; seen where the world is wired
-	Bad          int `json:"bad"`          // bad clients that came
-	Panics       int `json:"panics"`       // of the module, kept to one batch job
-	Steps        int `json:"steps"`
-	Words        int `json:"words"` // that nodes told each other
+	NoConnection int `json:"no_connection"` // dials that failed
+	StartsWaited int `json:"starts_waited"` // attempts that waited in their executor's queue
+	MostHeld     int `json:"most_held"`     // jobs without an attempt out at a node, at most
+	Left         int `json:"left"`          // clients that left early
+	Fell         int `json:"fell"`          // executors that fell over by overload
+	WentWaiting  int `json:"went_waiting"`  // clients that left while their job had no attempt out
+	SentLate     int `json:"sent_late"`     // attempts for clients that had left longer ago than is allowed
+	LateTwice    int `json:"late_twice"`    // jobs with a key that were delayed on their way beyond the dedup window and ran again
+	Wrong        int `json:"wrong"`         // answers that no node should give; seen in wired worlds
+	Bad          int `json:"bad"`           // malformed requests sent; in wired worlds
+	Panics       int `json:"panics"`        // of the policy; each was contained to one job
+	Steps        int `json:"steps"`         // events
+	Words        int `json:"words"`         // messages between nodes
 
 	Account *Account `json:"account,omitempty"`
 
@@ -46,13 +46,13 @@
 	requestBody []byte
 }
 
-// TrackResult is a track's part of it.
+// TrackResult is a class's part of a result.
 type TrackResult struct {
 	Name       string  `json:"name"`
-	Works      int     `json:"works"` // things wanted, over all tries
-	Tries      int     `json:"tries"`
+	Works      int     `json:"works"` // each with one request or more
+	Tries      int     `json:"tries"` // requests
 	Earned     float64 `json:"earned"`
-	Handled    int     `json:"handled"` // tries, by how they ended
+	Handled    int     `json:"handled"` // requests that succeeded, and so on
 	PushedBack int     `json:"pushed_back"`
 	BrokenOff  int     `json:"broken_off"`
 	Unreached  int     `json:"unreached"`
@@ -61,13 +61,13 @@
 	valueOffered, valueEarned float64
 }
 
-// resultSecond is what was asked for in a second, and what of that was earned.
+// resultSecond is the value of the works that came in a second, and what they earned.
 type resultSecond struct{ valueOffered, valueEarned float64 }
 
 func newResult(s Scenario, seed uint64) Result {
 	r := Result{Scenario: s.Name, Seed: seed, Length: s.Length, seconds: make([]resultSecond, int(time.Duration(s.Length)/time.Second)+1)}
-	for _, t := range s.Tracks {
-		r.Tracks = append(r.Tracks, TrackResult{Name: t.Name})
+	for _, class := range s.Tracks {
+		r.Tracks = append(r.Tracks, TrackResult{Name: class.Name})
 	}
 	return r
 }
@@ -76,96 +76,111 @@
 	return &r.seconds[min(int(at/time.Second), len(r.seconds)-1)]
 }
 
+// recordWork records a new work.
 func (r *Result) recordWork(work *emulator.Work) {
-	t := &r.Tracks[work.Track]
-	t.Works++
-	t.valueOffered += work.Earns
+	class := &r.Tracks[work.Track]
+	class.Works++
+	class.valueOffered += work.Earns
 	r.secondOf(work.Came).valueOffered += work.Earns
 	r.offers = append(r.offers, Offer{work.Came, work.Quoted, work.Cost, work.Earns})
 }
 
-// recordRequestEnd books the end of a try, and gives what it earned.
-func (r *Result) recordRequestEnd(w *World, work *emulator.Work, how emulator.End) (earned float64) {
-	t := &r.Tracks[work.Track]
-	t.Tries++
-	switch how {
+// recordRequestEnd records the end of a request and returns the value that it earned.
+func (r *Result) recordRequestEnd(w *World, work *emulator.Work, end emulator.End) (earned float64) {
+	class := &r.Tracks[work.Track]
+	class.Tries++
+	switch end {
 	case emulator.EndHandled:
-		t.Handled++
-		earns := work.Earns
+		class.Handled++
+		value := work.Earns
 		if w.now > work.Quoted {
-			earns *= w.jobClasses[work.Track].LateValue
+			value *= w.jobClasses[work.Track].LateValue
 		}
-		t.valueEarned += earns
-		r.secondOf(work.Came).valueEarned += earns
-		return earns
+		class.valueEarned += value
+		r.secondOf(work.Came).valueEarned += value
+		return value
 	case emulator.EndPushedBack:
-		t.PushedBack++
+		class.PushedBack++
 	case emulator.EndBrokenOff:
-		t.BrokenOff++
+		class.BrokenOff++
 	case emulator.EndUnreached:
-		t.Unreached++
+		class.Unreached++
 	case emulator.EndLost:
-		t.Lost++
+		class.Lost++
 	}
 	return 0
 }
 
 func (r *Result) recordMaxQueued(n *simNode) { r.MostHeld = max(r.MostHeld, n.maxQueued) }
 
-const worstSeconds = 10
+// worstWindow is the number of seconds over which Worst is taken.
+const worstWindow = 10
 
+// finish fills in what is known at the world's end, and drops what is not needed any more.
 func (r *Result) finish(w *World) {
 	for _, n := range w.nodes {
 		r.recordMaxQueued(n)
 	}
 	r.Steps, r.LateTwice, r.WentWaiting, r.SentLate = w.steps, w.checker.LateTwice(), w.checker.WentWaiting(), w.checker.SentLate()
-	asked, earned := 0.0, 0.0
+	offered, earned := 0.0, 0.0
 	for i := range r.Tracks {
-		t := &r.Tracks[i]
-		t.Earned = ratio(t.valueEarned, t.valueOffered)
-		asked += t.valueOffered
-		earned += t.valueEarned
+		class := &r.Tracks[i]
+		class.Earned = ratio(class.valueEarned, class.valueOffered)
+		offered += class.valueOffered
+		earned += class.valueEarned
 	}
-	r.Earned, r.Worst = ratio(earned, asked), 2
+	r.Earned = ratio(earned, offered)
 	if len(r.capacity) > 0 {
-		r.Best = ratio(Best(r.offers, r.capacity), asked)
+		r.Best = ratio(Best(r.offers, r.capacity), offered)
 	}
-	r.offers, r.capacity = nil, nil
-	for i := 0; i+min(worstSeconds, len(r.seconds)) <= len(r.seconds); i++ {
-		a, e := 0.0, 0.0
-		for _, s := range r.seconds[i:min(i+worstSeconds, len(r.seconds))] {
-			a += s.valueOffered
-			e += s.valueEarned
-		}
-		if p := ratio(e, a); p < r.Worst {
-			r.Worst, r.WorstAt = p, Span(time.Duration(i)*time.Second)
-		}
-	}
-	r.requestBody = nil
+	r.findWorst()
+	r.offers, r.capacity, r.requestBody = nil, nil, nil
 	if w.account != nil {
 		r.Account = w.account.finish()
 	}
 }
 
-func ratio(of, all float64) float64 {
-	if all == 0 {
+// findWorst finds the worst window.
+func (r *Result) findWorst() {
+	window := min(worstWindow, len(r.seconds))
+	r.Worst = 2 // over any share
+	for from := 0; from+window <= len(r.seconds); from++ {
+		if earned := r.earnedOver(from, from+window); earned < r.Worst {
+			r.Worst, r.WorstAt = earned, Span(time.Duration(from)*time.Second)
+		}
+	}
+}
+
+// earnedOver is the share earned of the value offered in some seconds.
+func (r *Result) earnedOver(from, to int) float64 {
+	offered, earned := 0.0, 0.0
+	for _, second := range r.seconds[max(0, from):min(to, len(r.seconds))] {
+		offered += second.valueOffered
+		earned += second.valueEarned
+	}
+	return ratio(earned, offered)
+}
+
+// ratio is a share of a whole; 1 if there is no whole.
+func ratio(share, whole float64) float64 {
+	if whole == 0 {
 		return 1
 	}
-	return of / all
+	return share / whole
 }
 
-// Works is how many things clients wanted.
+// Works is the number of works that clients wanted.
 func (r *Result) Works() (n int) {
-	for _, t := range r.Tracks {
-		n += t.Works
+	for _, class := range r.Tracks {
+		n += class.Works
 	}
 	return n
 }
 
-// requests is how many batch jobs nodes were handed.
+// requests is the number of requests that clients made.
 func (r *Result) requests() (n int) {
-	for _, t := range r.Tracks {
-		n += t.Tries
+	for _, class := range r.Tracks {
+		n += class.Tries
 	}
 	return n
 }
--- a/internal/simulation/result_print.go
+++ b/internal/simulation/result_print.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Print writes it for people.
+// Print prints the result for people.
 func (r *Result) Print(to io.Writer) {
 	fmt.Fprintf(to, "%s, seed %d, %v\n", r.Scenario, r.Seed, time.Duration(r.Length))
 	fmt.Fprintf(to, "  earned in the quoted time  %.3f, in the worst 10 s %.3f (from %v)\n", r.Earned, r.Worst, time.Duration(r.WorstAt))
@@ -15,8 +15,8 @@
 		fmt.Fprintf(to, "  at the most %.3f could have been, by what nodes and executors were there\n", r.Best)
 	}
 	fmt.Fprintf(to, "  %-10s %7s %7s %7s %8s %8s %7s %7s %6s\n", "track", "earned", "works", "tries", "handled", "pushed", "broken", "no node", "lost")
-	for _, t := range r.Tracks {
-		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", t.Name, t.Earned, t.Works, t.Tries, t.Handled, t.PushedBack, t.BrokenOff, t.Unreached, t.Lost)
+	for _, class := range r.Tracks {
+		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", class.Name, class.Earned, class.Works, class.Tries, class.Handled, class.PushedBack, class.BrokenOff, class.Unreached, class.Lost)
 	}
 	fmt.Fprintf(to, "  allocations %d, %.3f a batch job; %d to another zone; %d dials, %d led nowhere; %d starts waited\n",
 		r.Allocations, ratio(float64(r.Allocations), float64(r.requests())), r.Crossings, r.Dials, r.NoConnection, r.StartsWaited)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -168,9 +168,25 @@
 	return b.Bytes(), err
 }
 
-var idempotencyNames = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "tagged": policy.IdempotentWithKey, "once-only": policy.AtMostOnce}
+// Names of idempotency in scenarios.
+const (
+	idempotent        = "repeatable"
+	idempotentWithKey = "tagged"
+	atMostOnce        = "once-only"
+)
+
+var idempotencyNames = map[string]policy.Idempotency{
+	idempotent:        policy.Idempotent,
+	idempotentWithKey: policy.IdempotentWithKey,
+	atMostOnce:        policy.AtMostOnce,
+}
 
-var dedupGroupNames = map[string]policy.DedupGroup{"": policy.DedupAllExecutors, "all": policy.DedupAllExecutors, "zone": policy.DedupZone, "cell": policy.DedupCell}
+var dedupGroupNames = map[string]policy.DedupGroup{
+	"":     policy.DedupAllExecutors,
+	"all":  policy.DedupAllExecutors,
+	"zone": policy.DedupZone,
+	"cell": policy.DedupCell,
+}
 
 // Sized is the scenario with another number of nodes and executors, and another length; 0 leaves one as it is. Faults that come later are left out.
 func (s Scenario) Sized(nodes, executors int, length time.Duration) (Scenario, error) {
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -16,15 +16,26 @@
 	maxLength    = 24 * time.Hour
 	maxNodes     = 1000
 	maxExecutors = 20000
+	maxShareSlip = 0.001 // by which the classes' shares may differ from 1 in sum
 )
 
-// check names the first place where a scenario makes no sense.
+// check returns the first thing in a scenario that makes no sense, and where it stands.
 func (s *Scenario) check() (tomlfile.Place, error) {
+	for _, check := range []func() (tomlfile.Place, error){s.checkBounds, s.checkClasses, s.checkFaults} {
+		if at, err := check(); err != nil {
+			return at, err
+		}
+	}
+	return tomlfile.Place{}, nil
+}
+
+// checkBounds checks the bounds of single values.
+func (s *Scenario) checkBounds() (tomlfile.Place, error) {
 	f, l := &s.Fleet, &s.Load
-	for _, c := range []struct {
-		bad        bool
+	for _, check := range []struct {
+		wrong      bool
 		table, key string
-		why        string
+		want       string
 	}{
 		{s.Length <= 0 || time.Duration(s.Length) > maxLength, "", "length", "over 0 and at most 24h"},
 		{len(f.Zones) == 0, "fleet", "zones", "at least one"},
@@ -62,80 +73,109 @@
 		{l.Bad < 0 || l.Bad > 1000, "load", "bad", "from 0 to 1000"},
 		{l.Body < 0 || l.Body > 64<<10, "load", "body", "from 0 to 65536"},
 	} {
-		if c.bad {
-			return tomlfile.Place{Table: c.table, Index: -1, Key: c.key}, fmt.Errorf("it must be %s", c.why)
+		if check.wrong {
+			return tomlfile.Place{Table: check.table, Index: -1, Key: check.key}, fmt.Errorf("it must be %s", check.want)
 		}
 	}
+	return tomlfile.Place{}, nil
+}
+
+// checkClasses checks each job class, and that their shares come to 1.
+func (s *Scenario) checkClasses() (tomlfile.Place, error) {
 	sum := 0.0
-	for i, t := range s.Tracks {
-		at := func(key string) tomlfile.Place { return tomlfile.Place{Table: "track", Index: i, Key: key} }
-		sum += t.Share
-		_, isRepeat := idempotencyNames[t.Repeat]
-		_, isGroup := dedupGroupNames[t.Group]
-		switch {
-		case t.Share < 0:
-			return at("share"), errors.New("under 0")
-		case !isRepeat:
-			return at("repeat"), fmt.Errorf("%q is none of repeatable, tagged and once-only", t.Repeat)
-		case !isGroup:
-			return at("group"), fmt.Errorf("%q is none of all, zone and cell", t.Group)
-		case t.Repeat == "tagged" && t.Window <= 0:
-			return at("window"), errors.New("a tagged track needs one over 0")
-		case t.Work <= 0:
-			return at("work"), errors.New("missing, or not over 0")
-		case t.Quoted <= 0:
-			return at("quoted"), errors.New("missing, or not over 0")
-		case t.Outer <= 0:
-			return at("outer-limit"), errors.New("missing, or not over 0")
-		case t.Quoted > t.Outer:
-			return at("quoted"), errors.New("it is over the outer limit; were the two mixed up?")
-		case t.Earnings <= 0:
-			return at("earnings"), errors.New("missing, or not over 0")
+	for i, class := range s.Tracks {
+		sum += class.Share
+		if key, err := class.check(); err != nil {
+			return tomlfile.Place{Table: "track", Index: i, Key: key}, err
 		}
 	}
-	if sum < 0.999 || sum > 1.001 {
+	if sum < 1-maxShareSlip || sum > 1+maxShareSlip {
 		return tomlfile.Place{Table: "track", Index: 0, Key: "share"}, fmt.Errorf("the shares of all tracks come to %.3g and not to 1", sum)
 	}
-	for i, x := range s.Faults {
-		at := func(key string) tomlfile.Place { return tomlfile.Place{Table: "fault", Index: i, Key: key} }
-		on, ok := x.Kind.On()
-		if !ok {
-			return at("kind"), fmt.Errorf("%q is none of %v", x.Kind, emulator.Kinds())
-		}
-		if err := x.Kind.CheckSize(x.Size); err != nil {
-			return at("size"), err
-		}
-		if x.At >= s.Length {
-			return at("at"), fmt.Errorf("it is not before the end, at %v", time.Duration(s.Length))
-		}
-		if on == emulator.OnZone && len(x.Where) == 0 {
-			return at("where"), errors.New("a zone is missing")
-		}
-		for _, w := range x.Where {
-			if err := s.knows(on, w); err != nil {
-				return at("where"), err
-			}
+	return tomlfile.Place{}, nil
+}
+
+// check returns the first thing in a class that makes no sense, and its key.
+func (t *Track) check() (key string, err error) {
+	_, isIdempotency := idempotencyNames[t.Repeat]
+	_, isDedupGroup := dedupGroupNames[t.Group]
+	switch {
+	case t.Share < 0:
+		return "share", errors.New("under 0")
+	case !isIdempotency:
+		return "repeat", fmt.Errorf("%q is none of repeatable, tagged and once-only", t.Repeat)
+	case !isDedupGroup:
+		return "group", fmt.Errorf("%q is none of all, zone and cell", t.Group)
+	case t.Repeat == idempotentWithKey && t.Window <= 0:
+		return "window", errors.New("a tagged track needs one over 0")
+	case t.Work <= 0:
+		return "work", errMissing
+	case t.Quoted <= 0:
+		return "quoted", errMissing
+	case t.Outer <= 0:
+		return "outer-limit", errMissing
+	case t.Quoted > t.Outer:
+		return "quoted", errors.New("it is over the outer limit; were the two mixed up?")
+	case t.Earnings <= 0:
+		return "earnings", errMissing
+	}
+	return "", nil
+}
+
+var errMissing = errors.New("missing, or not over 0")
+
+// checkFaults checks the script.
+func (s *Scenario) checkFaults() (tomlfile.Place, error) {
+	for i, fault := range s.Faults {
+		if key, err := s.checkFault(fault); err != nil {
+			return tomlfile.Place{Table: "fault", Index: i, Key: key}, err
 		}
 	}
 	return tomlfile.Place{}, nil
 }
 
-// knows says what is wrong with a name that a fault is to be put on.
-func (s *Scenario) knows(on emulator.Sort, name string) error {
-	numbered := func(letter string, count int) bool {
-		n, err := strconv.Atoi(strings.TrimPrefix(name, letter))
-		return err == nil && strings.HasPrefix(name, letter) && n >= 0 && n < count
+// checkFault returns the first thing in a fault that makes no sense, and its key.
+func (s *Scenario) checkFault(fault Fault) (key string, err error) {
+	on, ok := fault.Kind.On()
+	if !ok {
+		return "kind", fmt.Errorf("%q is none of %v", fault.Kind, emulator.Kinds())
+	}
+	if err := fault.Kind.CheckSize(fault.Size); err != nil {
+		return "size", err
+	}
+	if fault.At >= s.Length {
+		return "at", fmt.Errorf("it is not before the end, at %v", time.Duration(s.Length))
 	}
-	zone := slices.Contains(s.Fleet.Zones, name)
+	if on == emulator.OnZone && len(fault.Where) == 0 {
+		return "where", errors.New("a zone is missing")
+	}
+	for _, target := range fault.Where {
+		if err := s.checkTarget(on, target); err != nil {
+			return "where", err
+		}
+	}
+	return "", nil
+}
+
+// checkTarget says what is wrong with the name of something that a fault is to be on.
+func (s *Scenario) checkTarget(on emulator.Sort, name string) error {
+	isZone := slices.Contains(s.Fleet.Zones, name)
 	switch {
-	case on == emulator.OnExecutors && !zone && !numbered("e", s.Fleet.Executors):
+	case on == emulator.OnExecutors && !isZone && !isNumbered(name, "e", s.Fleet.Executors):
 		return fmt.Errorf("%q is neither an executor, e0 to e%d, nor a zone", name, s.Fleet.Executors-1)
-	case on == emulator.OnNodes && !zone && !numbered("n", s.Fleet.Nodes):
+	case on == emulator.OnNodes && !isZone && !isNumbered(name, "n", s.Fleet.Nodes):
 		return fmt.Errorf("%q is neither a node, n0 to n%d, nor a zone", name, s.Fleet.Nodes-1)
-	case on == emulator.OnZone && !zone:
+	case on == emulator.OnZone && !isZone:
 		return fmt.Errorf("%q is none of the zones %v", name, s.Fleet.Zones)
 	case on == emulator.OnAll:
 		return fmt.Errorf("this kind is on all; %q can't be picked", name)
 	}
 	return nil
 }
+
+// isNumbered says whether a name is a letter and a number under count.
+func isNumbered(name, letter string, count int) bool {
+	digits, found := strings.CutPrefix(name, letter)
+	n, err := strconv.Atoi(digits)
+	return found && err == nil && n >= 0 && n < count
+}
