--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,5 +1,3 @@
-// Package simulation plays scenarios of nodes, executors, discovery and clients on a virtual clock, with faults from a script, and checks
-// the invariants at every step.
 package simulation
 
 import (
@@ -19,106 +17,116 @@
 	"birchstair/policy"
 )
 
-// Span is a span of time with its unit.
+// Span is a duration that is written with its unit.
 type Span = tomlfile.Duration
 
-// Scenario is a world and its faults.
+// Scenario describes a world and its faults. Its keys in TOML are a format that scenario files keep to.
 type Scenario struct {
-	Name   string  `toml:"-"`
+	Name   string  `toml:"-"` // of the file
 	About  string  `toml:"about"`
-	Seed   uint64  `toml:"seed,omitempty"` // with which it is played unless another is asked for
-	Length Span    `toml:"length"`
+	Seed   uint64  `toml:"seed,omitempty"` // played unless another one is asked for
+	Length Span    `toml:"length"`         // of the time in which works come
 	Fleet  Fleet   `toml:"fleet"`
 	Load   Load    `toml:"load"`
-	Tracks []Track `toml:"track"`
+	Tracks []Track `toml:"track"` // job classes
 	Faults []Fault `toml:"fault"`
 }
 
-// Fleet are the nodes, the executors and what lies between them. The defaults are those of base.
+// Fleet describes the nodes, the executors and the network between them. Defaults are in scenario_defaults.go.
 type Fleet struct {
-	Zones        []string `toml:"zones"`
-	Nodes        int      `toml:"nodes"`     // n0, n1, ...: over the zones in turn
-	Executors    int      `toml:"executors"` // e0, e1, ...: over the zones in turn
-	Cores        int      `toml:"cores"`
-	Places       int      `toml:"places"`
-	Queue        int      `toml:"queue"`
-	Speed        float64  `toml:"speed"`
-	Spread       float64  `toml:"spread"`               // speeds are off from that by such a part either way
-	SlowPart     float64  `toml:"slow-part,omitempty"`  // this part of the executors is of a second, slower kind
-	SlowSpeed    float64  `toml:"slow-speed,omitempty"` // of this speed, off from it as the others
-	CellOf       int      `toml:"cell-of"`
-	ByPriority   bool     `toml:"by-priority"`
-	StopsWork    bool     `toml:"stops-work"`
-	KeepsWaiting bool     `toml:"keeps-waiting,omitempty"` // what waits stays when it is cancelled, and runs in its turn
-	AttemptNoise float64  `toml:"attempt-noise,omitempty"` // sigma of the lognormal by which each attempt's work differs from its batch job's
-	ColdShare    float64  `toml:"cold-share"`
-	WarmWithin   Span     `toml:"warm-within"`
-	FallMultiple float64  `toml:"fall-multiple"`
-	FallWindow   Span     `toml:"fall-window"`
-	DrainGrace   Span     `toml:"drain-grace"`
-	TellsStart   bool     `toml:"tells-start"`
-	TellsEvery   Span     `toml:"tells-every"`
-	Reports      bool     `toml:"reports"`
-	Copies       bool     `toml:"copies"` // repeatable batch jobs may have a second allocation out
-	Probes       bool     `toml:"probes"` // executors answer probes with their load
-	ReportEvery  Span     `toml:"report-every"`
-	Near         Span     `toml:"near"` // one way within a zone
-	Far          Span     `toml:"far"`  // and between zones
-	DialLimit    Span     `toml:"dial-limit"`
-	IdleLimit    Span     `toml:"idle-limit"`
-	Conns        int      `toml:"conns"`
-	ConnCost     Span     `toml:"conn-cost"`
-	ListLag      Span     `toml:"list-lag"`
-	WeightsEvery Span     `toml:"weights-every"`        // live weights, renewed so often; 0: the weight is the size
-	NoWeights    bool     `toml:"no-weights,omitempty"` // the list weighs all executors alike
-	Allocations  int      `toml:"allocations"`
-	ComeBack     Span     `toml:"come-back"` // 0: clients are not told when to come back
-	CrossPrice   float64  `toml:"cross-price"`
-	PerWork      bool     `toml:"earnings-per-work"`
-	NodeConns    int      `toml:"node-conns"`
-	NodeBodies   int      `toml:"node-bodies"`
-	Talk         bool     `toml:"talk,omitempty"`          // nodes talk with each other
-	Keepers      bool     `toml:"keepers,omitempty"`       // and lend each other executors' places
-	WordsLost    float64  `toml:"words-lost,omitempty"`    // the part of their words that gets lost
-	WordsDoubled float64  `toml:"words-doubled,omitempty"` // and that comes twice
-	WordsLate    Span     `toml:"words-late,omitempty"`    // and the most that one is late, each by a chance of its own
-}
-
-// Load are the clients.
+	Zones     []string `toml:"zones"`
+	Nodes     int      `toml:"nodes"`     // n0, n1, ..., spread over the zones
+	Executors int      `toml:"executors"` // e0, e1, ..., spread over the zones
+
+	// Executors.
+	Cores        int     `toml:"cores"`
+	Places       int     `toml:"places"` // jobs that run at once
+	Queue        int     `toml:"queue"`  // jobs that wait
+	Speed        float64 `toml:"speed"`
+	Spread       float64 `toml:"spread"`                  // relative deviation of speeds, uniform either way
+	SlowPart     float64 `toml:"slow-part,omitempty"`     // share of the executors that are of a second, slower kind
+	SlowSpeed    float64 `toml:"slow-speed,omitempty"`    // speed of those, with the same deviation
+	CellOf       int     `toml:"cell-of"`                 // executors in a cell
+	ByPriority   bool    `toml:"by-priority"`             // queues are ordered by priority
+	StopsWork    bool    `toml:"stops-work"`              // a running job ends when it is canceled
+	KeepsWaiting bool    `toml:"keeps-waiting,omitempty"` // a queued job stays when it is canceled, and runs in its turn
+	AttemptNoise float64 `toml:"attempt-noise,omitempty"` // sigma of the lognormal by which the work of attempts of a job differs
+	ColdShare    float64 `toml:"cold-share"`              // capacity right after a start, as a share
+	WarmWithin   Span    `toml:"warm-within"`             // until full capacity
+	FallMultiple float64 `toml:"fall-multiple"`           // of its capacity, over fall-window, at which a cold executor falls over
+	FallWindow   Span    `toml:"fall-window"`
+	DrainGrace   Span    `toml:"drain-grace"` // a draining executor takes jobs for so long
+	TellsStart   bool    `toml:"tells-start"` // notices of starts
+	TellsEvery   Span    `toml:"tells-every"` // notices of progress; 0 for none
+	Reports      bool    `toml:"reports"`     // answers report load
+	Copies       bool    `toml:"copies"`      // idempotent jobs may be hedged
+	Probes       bool    `toml:"probes"`      // health checks
+	ReportEvery  Span    `toml:"report-every"`
+
+	// The network.
+	Near      Span `toml:"near"` // one-way delay within a zone
+	Far       Span `toml:"far"`  // and between zones
+	DialLimit Span `toml:"dial-limit"`
+	IdleLimit Span `toml:"idle-limit"`
+	Conns     int  `toml:"conns"`     // that an executor accepts
+	ConnCost  Span `toml:"conn-cost"` // work of an executor for a new one
+
+	// Discovery.
+	ListLag      Span `toml:"list-lag"`
+	WeightsEvery Span `toml:"weights-every"`        // interval of updates of weights by load; 0 for weights by size
+	NoWeights    bool `toml:"no-weights,omitempty"` // all executors have the same weight
+
+	// Nodes.
+	Allocations int     `toml:"allocations"`       // attempts of a job, at most
+	ComeBack    Span    `toml:"come-back"`         // largest retry-after; 0 for none
+	CrossPrice  float64 `toml:"cross-price"`       // cost of an attempt in another zone
+	PerWork     bool    `toml:"earnings-per-work"` // values are per second of work
+	NodeConns   int     `toml:"node-conns"`        // to executors
+	NodeBodies  int     `toml:"node-bodies"`       // bytes of bodies in memory
+
+	// Messages between nodes.
+	Talk         bool    `toml:"talk,omitempty"`          // nodes gossip
+	Keepers      bool    `toml:"keepers,omitempty"`       // nodes lease executors' places to each other
+	WordsLost    float64 `toml:"words-lost,omitempty"`    // probability
+	WordsDoubled float64 `toml:"words-doubled,omitempty"` // probability
+	WordsLate    Span    `toml:"words-late,omitempty"`    // largest delay of a message, uniform
+}
+
+// Load describes the clients.
 type Load struct {
-	Of         float64   `toml:"of"`    // traffic as a part of what all executors can do; 0 where clients come in loops
-	Zones      []float64 `toml:"zones"` // how it is spread over the zones; evenly where it is empty
-	Loops      int       `toml:"loops"` // clients that hand in the next one once the last is over
-	Think      Span      `toml:"think"` // and wait so long before that
+	Of         float64   `toml:"of"`    // open-loop traffic as a share of the executors' capacity; 0 for closed loops only
+	Zones      []float64 `toml:"zones"` // weights of the zones' traffic; evenly if empty
+	Loops      int       `toml:"loops"` // closed-loop clients of each zone
+	Think      Span      `toml:"think"` // of those, between two works
 	Retries    int       `toml:"retries"`
 	RetryWait  Span      `toml:"retry-wait"`
-	RetryMost  Span      `toml:"retry-most,omitempty"`    // over retry-wait: the wait doubles up to that, and is off by up to half
-	MarksAgain bool      `toml:"marks-repeats,omitempty"` // clients mark their repeats
-	NodeSkew   float64   `toml:"node-skew,omitempty"`     // sigma of the lognormal by which nodes of a zone get unlike parts of its traffic
-	HeedsBack  bool      `toml:"heeds-come-back"`
-	Leaves     float64   `toml:"leaves"`
-	RepeatsIDs float64   `toml:"repeats-ids"`
-	HintNoise  float64   `toml:"hint-noise"` // under 0: no hints
-	Body       int       `toml:"body"`       // bytes
-	Bad        float64   `toml:"bad"`        // bad clients a second at each node; they come only where the world is wired
-	DeadFor    Span      `toml:"dead-for"`   // the front layer goes on sending to a node that is gone for so long
-}
-
-// Track is a track and its share of the batch jobs.
+	RetryMost  Span      `toml:"retry-most,omitempty"`    // if over retry-wait, the wait doubles up to this, with jitter of up to a half
+	MarksAgain bool      `toml:"marks-repeats,omitempty"` // clients mark retries
+	NodeSkew   float64   `toml:"node-skew,omitempty"`     // sigma of the lognormal of the shares that nodes of a zone get of its traffic
+	HeedsBack  bool      `toml:"heeds-come-back"`         // clients respect retry-after
+	Leaves     float64   `toml:"leaves"`                  // probability that a client leaves early
+	RepeatsIDs float64   `toml:"repeats-ids"`             // probability that a client repeats a job ID that may be in use
+	HintNoise  float64   `toml:"hint-noise"`              // sigma of the hints of work; under 0 for no hints
+	Body       int       `toml:"body"`                    // bytes
+	Bad        float64   `toml:"bad"`                     // malformed requests a second at each node, in wired worlds
+	DeadFor    Span      `toml:"dead-for"`                // the front layer sends to a dead node for so long
+}
+
+// Track describes a job class.
 type Track struct {
 	Name     string  `toml:"name"`
-	Share    float64 `toml:"share"`
-	Repeat   string  `toml:"repeat"` // repeatable, tagged or once-only
-	Group    string  `toml:"group"`  // of a tagged one: all, zone or cell
-	Window   Span    `toml:"window"`
-	Work     Span    `toml:"work"`   // on average, on a standard core
-	Spread   float64 `toml:"spread"` // sigma of the lognormal
-	Quoted   Span    `toml:"quoted"`
-	Stretch  float64 `toml:"stretch"`
-	Outer    Span    `toml:"outer-limit"`
-	Earnings float64 `toml:"earnings"`
-	Late     float64 `toml:"late-earnings"`
-	Priority int     `toml:"priority"`
+	Share    float64 `toml:"share"`         // of the works
+	Repeat   string  `toml:"repeat"`        // idempotency: repeatable, tagged or once-only
+	Group    string  `toml:"group"`         // dedup group of a tagged one: all, zone or cell
+	Window   Span    `toml:"window"`        // dedup window of a tagged one
+	Work     Span    `toml:"work"`          // mean on a standard core
+	Spread   float64 `toml:"spread"`        // sigma of the lognormal of the work
+	Quoted   Span    `toml:"quoted"`        // latency objective beyond the run time
+	Stretch  float64 `toml:"stretch"`       // run time factor
+	Outer    Span    `toml:"outer-limit"`   // deadline
+	Earnings float64 `toml:"earnings"`      // value
+	Late     float64 `toml:"late-earnings"` // share of the value for late answers
+	Priority int     `toml:"priority"`      // in executors' queues
 }
 
 // Fault is an entry of the script.
@@ -126,16 +134,16 @@
 	Kind  emulator.Kind `toml:"kind"`
 	At    Span          `toml:"at"`
 	For   Span          `toml:"for"`
-	Where []string      `toml:"where,omitempty"`
-	Size  float64       `toml:"size,omitempty"`
+	Where []string      `toml:"where,omitempty"` // names of executors, nodes or zones; empty for all
+	Size  float64       `toml:"size,omitempty"`  // its meaning depends on the kind
 }
 
-// Standin is the fault as the stand-ins know it.
+// Standin is the fault as the emulator knows it.
 func (f Fault) Standin() emulator.Fault {
 	return emulator.Fault{Kind: f.Kind, At: time.Duration(f.At), For: time.Duration(f.For), Where: f.Where, Size: f.Size}
 }
 
-// Read reads a scenario; file is its name in messages. What it leaves out is as in the base.
+// Read reads a scenario in TOML; file is its name in errors. What it leaves out is as in Base. An error says where it stands.
 func Read(file string, text []byte) (Scenario, error) {
 	s := base()
 	if err := tomlfile.Decode(file, text, &s); err != nil {
@@ -160,12 +168,11 @@
 	return Read(file, text)
 }
 
-// Text writes a scenario as TOML, whole.
+// Text writes the scenario in TOML, with all keys.
 func (s Scenario) Text() ([]byte, error) {
-	var b bytes.Buffer
-	e := toml.NewEncoder(&b)
-	err := e.Encode(s)
-	return b.Bytes(), err
+	var text bytes.Buffer
+	err := toml.NewEncoder(&text).Encode(s)
+	return text.Bytes(), err
 }
 
 // Names of idempotency in scenarios.
@@ -188,7 +195,8 @@
 	"cell": policy.DedupCell,
 }
 
-// Sized is the scenario with another number of nodes and executors, and another length; 0 leaves one as it is. Faults that come later are left out.
+// Sized is the scenario with other numbers of nodes and executors, and another length; 0 leaves a value as it is. Faults that would begin
+// after the end are left out.
 func (s Scenario) Sized(nodes, executors int, length time.Duration) (Scenario, error) {
 	s.Fleet.Nodes, s.Fleet.Executors = cmp.Or(nodes, s.Fleet.Nodes), cmp.Or(executors, s.Fleet.Executors)
 	s.Length = cmp.Or(Span(length), s.Length)
@@ -199,54 +207,93 @@
 	return s, nil
 }
 
-// Takes are the tracks as clients, module and rules take them.
-func (s *Scenario) Takes() (own []emulator.Track, module []policy.JobClass) {
+// Takes are the job classes as emulated clients know them, and as nodes and the checker do.
+func (s *Scenario) Takes() (clients []emulator.Track, nodes []policy.JobClass) {
 	for _, t := range s.Tracks {
-		p := policy.JobClass{Idempotency: idempotencyNames[t.Repeat], DedupGroup: dedupGroupNames[t.Group], DedupWindow: time.Duration(t.Window),
-			LatencyObjective: time.Duration(t.Quoted), RunTimeFactor: t.Stretch, Deadline: time.Duration(t.Outer), Value: t.Earnings,
-			LateValue: t.Late, Kind: policy.AnyKind}
-		own = append(own, emulator.Track{JobClass: p, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
+		class := policy.JobClass{
+			Idempotency:      idempotencyNames[t.Repeat],
+			DedupGroup:       dedupGroupNames[t.Group],
+			DedupWindow:      time.Duration(t.Window),
+			LatencyObjective: time.Duration(t.Quoted),
+			RunTimeFactor:    t.Stretch,
+			Deadline:         time.Duration(t.Outer),
+			Value:            t.Earnings,
+			LateValue:        t.Late,
+			Kind:             policy.AnyKind,
+		}
+		nodes = append(nodes, class)
+		clients = append(clients, emulator.Track{JobClass: class, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
 			Priority: t.Priority})
-		module = append(module, p)
 	}
-	return own, module
+	return clients, nodes
 }
 
-// MeanWork is the work of a batch job on average over all tracks, in seconds.
+// MeanWork is the mean work of a job over all classes, in seconds on a standard core.
 func (s *Scenario) MeanWork() (mean float64) {
-	for _, t := range s.Tracks {
-		mean += t.Share * time.Duration(t.Work).Seconds()
+	for _, class := range s.Tracks {
+		mean += class.Share * time.Duration(class.Work).Seconds()
 	}
 	return mean
 }
 
-// Rates are the batch jobs a second that come to each zone, where executors can do so much work a second in all.
+// Rates are the works a second that come to each zone, for a capacity of all executors in seconds of work a second.
 func (s *Scenario) Rates(capacity float64) (rates []float64) {
 	mean, total := s.MeanWork(), 0.0
-	for _, part := range s.Load.Zones {
-		total += part
+	for _, weight := range s.Load.Zones {
+		total += weight
 	}
 	for i := range s.Fleet.Zones {
-		part := 1 / float64(len(s.Fleet.Zones))
+		share := 1 / float64(len(s.Fleet.Zones))
 		if len(s.Load.Zones) > 0 {
-			part = s.Load.Zones[i] / total
+			share = s.Load.Zones[i] / total
 		}
-		rates = append(rates, s.Load.Of*capacity/mean*part)
+		rates = append(rates, s.Load.Of*capacity/mean*share)
 	}
 	return rates
 }
 
-// Spec is how the scenario's executor of that number is built; speed is what it has unless it is of the slower kind.
+const (
+	reportNoise = 0.1              // relative error of load reports
+	slowKind    = policy.KindID(1) // of the slower executors; the others are of kind 0
+)
+
+// Spec is the specification of the scenario's executor of a number. It has the given speed unless it is of the slower kind.
 func (s *Scenario) Spec(id string, number int, speed float64) emulator.ExecutorSpec {
 	f := &s.Fleet
 	kind := policy.KindID(0)
-	// In each zone alike: its nth executor is slow where the slow ones due by then are one more.
-	if n := float64(number / len(f.Zones)); int((n+1)*f.SlowPart) > int(n*f.SlowPart) {
-		kind, speed = 1, speed*f.SlowSpeed/f.Speed
+	if s.isSlow(number) {
+		kind, speed = slowKind, speed*f.SlowSpeed/f.Speed
+	}
+	return emulator.ExecutorSpec{
+		ID:           policy.ExecutorID(id),
+		Kind:         kind,
+		Zone:         policy.ZoneID(number % len(f.Zones)),
+		Cell:         policy.CellID(number / f.CellOf),
+		Cores:        f.Cores,
+		Speed:        speed,
+		Places:       f.Places,
+		Queue:        f.Queue,
+		ByPriority:   f.ByPriority,
+		StopsWork:    f.StopsWork,
+		KeepsWaiting: f.KeepsWaiting,
+		ColdShare:    f.ColdShare,
+		WarmWithin:   time.Duration(f.WarmWithin),
+		FallMultiple: f.FallMultiple,
+		FallWindow:   time.Duration(f.FallWindow),
+		MeanWork:     s.MeanWork(),
+		TellsStart:   f.TellsStart,
+		TellsEvery:   time.Duration(f.TellsEvery),
+		Reports:      f.Reports,
+		ReportEvery:  time.Duration(f.ReportEvery),
+		ReportNoise:  reportNoise,
+		Conns:        f.Conns,
+		ConnCost:     time.Duration(f.ConnCost),
 	}
-	return emulator.ExecutorSpec{ID: policy.ExecutorID(id), Kind: kind, Zone: policy.ZoneID(number % len(f.Zones)),
-		Cell: policy.CellID(number / f.CellOf), Cores: f.Cores, Speed: speed, Places: f.Places, Queue: f.Queue, ByPriority: f.ByPriority,
-		StopsWork: f.StopsWork, KeepsWaiting: f.KeepsWaiting, ColdShare: f.ColdShare, WarmWithin: time.Duration(f.WarmWithin), FallMultiple: f.FallMultiple,
-		FallWindow: time.Duration(f.FallWindow), MeanWork: s.MeanWork(), TellsStart: f.TellsStart, TellsEvery: time.Duration(f.TellsEvery), Reports: f.Reports,
-		ReportEvery: time.Duration(f.ReportEvery), ReportNoise: 0.1, Conns: f.Conns, ConnCost: time.Duration(f.ConnCost)}
+}
+
+// isSlow says whether the executor of a number is of the slower kind. Each zone has the same share of those: its nth executor is slow if
+// that makes the zone's number of slow ones due by then.
+func (s *Scenario) isSlow(number int) bool {
+	inZone := float64(number / len(s.Fleet.Zones))
+	return int((inZone+1)*s.Fleet.SlowPart) > int(inZone*s.Fleet.SlowPart)
 }
