--- /dev/null
+++ b/internal/simulation/account_ledger.go
@@ -0,0 +1,258 @@
+package simulation
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
+	"birchstair/policy"
+)
+
+const (
+	attemptWaits  = 5 * time.Millisecond // a start later than this after arrival counts as having waited; a new connection takes less
+	slowCoreSpeed = 0.9                  // relative to a standard core; slower ones count as slow
+)
+
+// accountLedger records what an account needs while a world is played. It observes and changes nothing. The methods of a nil ledger,
+// which is that of a world without an account, record nothing.
+type accountLedger struct {
+	world     *World
+	open      map[invariants.WorkID]*jobHistory
+	classes   []AccountRow
+	nodes     []nodeRow
+	unreached AccountRow // of works that no node received
+
+	approaching  map[*executor]int     // attempts on their way to it
+	workReceived map[*executor]float64 // in seconds
+
+	// Attempts so far, those of them that waited, and those of these for which a core was idle elsewhere.
+	attempts, waited, idleUsed, idleZone, idleAny int
+
+	// Value lost at nodes though a core was idle at arrival.
+	queuedIdleZone, queuedIdleAny float64
+}
+
+func (l *accountLedger) init() {
+	l.approaching, l.workReceived = map[*executor]int{}, map[*executor]float64{}
+	for _, class := range l.world.scenario.Tracks {
+		l.classes = append(l.classes, AccountRow{Name: class.Name})
+	}
+	for _, n := range l.world.nodes {
+		l.nodes = append(l.nodes, nodeRow{AccountRow: AccountRow{Name: n.name}, attemptsTo: map[*executor]int{}})
+	}
+}
+
+// recordSubmit records a request for a work to a node; nil if none can be reached.
+func (l *accountLedger) recordSubmit(work *emulator.Work, n *simNode) {
+	if l == nil {
+		return
+	}
+	history := l.open[work.ID]
+	if history == nil {
+		history = &jobHistory{work: work}
+		l.open[work.ID] = history
+	}
+	if history.firstNode == nil && n != nil {
+		history.firstNode, history.idleAtArrival = n, l.idleCores(n, nil)
+	}
+	history.requests = append(history.requests, newRequestHistory(l.world.now))
+}
+
+// request is the history of a request, for the caller to write to; it is thrown away if the request is not its work's last one.
+func (l *accountLedger) request(request *clientRequest) *requestHistory {
+	if l == nil || l.open[request.work.ID] == nil || request.job != request.work.Job() {
+		return &requestHistory{}
+	}
+	requests := l.open[request.work.ID].requests
+	return requests[len(requests)-1]
+}
+
+// recordSent records an attempt's first byte and returns its history.
+func (l *accountLedger) recordSent(request *clientRequest, x *executor) *attemptHistory {
+	attempt := newAttemptHistory(x)
+	if l == nil {
+		return attempt
+	}
+	n := request.node
+	attempt.idle = l.idleCores(n, x)
+	l.nodes[n.id].attemptsTo[x]++
+	l.approaching[x]++
+	l.attempts++
+	if history := l.open[request.work.ID]; history != nil {
+		history.attempts = append(history.attempts, attempt)
+	}
+	return attempt
+}
+
+// idleCores says where a core is idle: at an executor that the node has used, in its zone, anywhere.
+type idleCores struct{ used, zone, any bool }
+
+// idleCores says where a core is idle for a node now, at executors other than the given one.
+func (l *accountLedger) idleCores(n *simNode, except *executor) (idle idleCores) {
+	for _, x := range l.world.executors {
+		if x == except || x.Held()+l.approaching[x] >= x.Cores || !x.Up || x.unreachable || x.Drains {
+			continue
+		}
+		idle.any = true
+		idle.zone = idle.zone || x.Zone == n.zone
+		idle.used = idle.used || l.nodes[n.id].attemptsTo[x] > 0
+	}
+	return idle
+}
+
+// recordReached records an attempt's arrival at its executor.
+func (l *accountLedger) recordReached(attempt *attemptHistory, work float64) {
+	attempt.reached = attempt.executor.world.now
+	if l != nil {
+		l.approaching[attempt.executor]--
+		l.workReceived[attempt.executor] += work
+	}
+}
+
+// recordBegan records that the executor has started an attempt.
+func (l *accountLedger) recordBegan(attempt *attemptHistory) {
+	if attempt.began != notSeen {
+		return
+	}
+	x := attempt.executor
+	attempt.began = x.world.now
+	attempt.slow = x.Speed/max(1, x.Trouble().Slow) < slowCoreSpeed
+	if l != nil && attempt.began-attempt.reached > attemptWaits {
+		l.waited++
+		l.idleUsed += countTrue(attempt.idle.used)
+		l.idleZone += countTrue(attempt.idle.zone)
+		l.idleAny += countTrue(attempt.idle.any)
+	}
+}
+
+// recordAnswer records an executor's answer to an attempt, or its notice.
+func (l *accountLedger) recordAnswer(attempt *attemptHistory, answer emulator.Word) {
+	switch answer {
+	case emulator.Began:
+		l.recordBegan(attempt)
+	case emulator.Done, emulator.Errored, emulator.NoRoom:
+		attempt.ended = attempt.executor.world.now
+	}
+}
+
+// countTrue is 1 for true and 0 for false.
+func countTrue(value bool) int {
+	if value {
+		return 1
+	}
+	return 0
+}
+
+// recordEnded records that the node is notified of an attempt's end. The attempt may still reach its executor, as a break does not stop
+// what is on its way; it then counts as arrived already.
+func (l *accountLedger) recordEnded(attempt *attemptHistory, outcome policy.Outcome) {
+	attempt.endedAtNode, attempt.outcome = attempt.executor.world.now, outcome
+	if attempt.canceled {
+		attempt.outcome = policy.Canceled
+	}
+	if l != nil && attempt.reached == notSeen {
+		l.approaching[attempt.executor]--
+		attempt.reached = attempt.endedAtNode
+	}
+}
+
+// recordFinished records that a work is over for its client, and the value that it earned.
+func (l *accountLedger) recordFinished(work *emulator.Work, earned float64) {
+	if l == nil {
+		return
+	}
+	history := l.open[work.ID]
+	delete(l.open, work.ID)
+	cause, times := history.cause(l.world.now)
+	if cause <= QueuedAtNode && history.idleAtArrival.zone {
+		l.queuedIdleZone += work.Earns - earned
+	}
+	if cause <= QueuedAtNode && history.idleAtArrival.any {
+		l.queuedIdleAny += work.Earns - earned
+	}
+	rows := []*AccountRow{&l.classes[work.Track], &l.unreached}
+	if history.firstNode != nil {
+		rows[1] = &l.nodes[history.firstNode.id].AccountRow
+	}
+	for _, row := range rows {
+		row.record(work, earned, cause, times)
+		row.workSent += work.Cost * float64(len(history.attempts))
+	}
+}
+
+// finish makes the account; works that are still open have earned nothing.
+func (l *accountLedger) finish() *Account {
+	w := l.world
+	for _, id := range slices.Sorted(maps.Keys(l.open)) {
+		l.recordFinished(l.open[id].work, 0)
+	}
+	waited := float64(l.waited)
+	a := &Account{
+		Scenario:  w.scenario.Name,
+		Seed:      w.seed,
+		Policy:    w.policy,
+		Nodes:     len(w.nodes),
+		Executors: len(w.executors),
+		Length:    w.scenario.Length,
+		Broken:    len(w.result.Broken),
+		Worst:     w.result.Worst,
+		Attempts:  l.attempts,
+		Crossings: w.result.Crossings,
+		Waited:    ratio(waited, float64(l.attempts)),
+		FreeUsed:  ratio(float64(l.idleUsed), waited),
+		FreeZone:  ratio(float64(l.idleZone), waited),
+		FreeAny:   ratio(float64(l.idleAny), waited),
+	}
+	l.addClasses(a)
+	l.addNodes(a)
+	for _, rows := range [][]AccountRow{a.Tracks, a.Traffic, a.Slices} {
+		for i := range rows {
+			rows[i].finish()
+		}
+	}
+	a.All.finish()
+	lostAtNodes := a.All.lostByCause[NeverSent] + a.All.lostByCause[SentTooLate] + a.All.lostByCause[QueuedAtNode]
+	a.HeldZone, a.HeldAny = ratio(l.queuedIdleZone, lostAtNodes), ratio(l.queuedIdleAny, lostAtNodes)
+	return a
+}
+
+// addClasses adds the rows of all works and of each class.
+func (l *accountLedger) addClasses(a *Account) {
+	a.All.Name = "all"
+	a.WorstTrack = 1
+	for _, class := range l.classes {
+		a.All.add(class)
+		a.Tracks = append(a.Tracks, class)
+		a.WorstTrack = min(a.WorstTrack, ratio(class.Earned, class.Offered))
+	}
+}
+
+// addNodes adds the rows of the nodes, and the load of the executors.
+func (l *accountLedger) addNodes(a *Account) {
+	executors := l.world.executors
+	var busy []float64
+	for _, x := range executors {
+		capacity := float64(min(x.Cores, x.Places)) * x.Speed * time.Duration(l.world.scenario.Length).Seconds()
+		busy = append(busy, l.workReceived[x]/capacity)
+	}
+	for i := range l.nodes {
+		n := &l.nodes[i]
+		n.subsetSize, n.subsetLoad = usedSubset(n.attemptsTo, executors, busy)
+	}
+	for _, n := range l.nodes {
+		a.All.Slice += n.subsetSize / float64(len(l.nodes))
+		a.All.Load += n.subsetLoad / float64(len(l.nodes))
+	}
+	a.Traffic = quarters(l.nodes, func(n nodeRow) float64 { return n.workOffered }, "nodes by traffic")
+	a.Slices = quarters(l.nodes, func(n nodeRow) float64 { return n.subsetLoad }, "nodes by slice")
+	if l.unreached.Works > 0 {
+		l.unreached.Name = "no node"
+		a.Traffic, a.Slices = append(a.Traffic, l.unreached), append(a.Slices, l.unreached)
+	}
+	slices.Sort(busy)
+	for quartile := range 5 {
+		a.Busy = append(a.Busy, busy[quartile*(len(busy)-1)/4])
+	}
+}
--- /dev/null
+++ b/internal/simulation/attempt.go
@@ -0,0 +1,188 @@
+package simulation
+
+import (
+	"cmp"
+	"math"
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+const (
+	timePerByte = 8 * time.Nanosecond   // of a body that is written: 64 KiB take half a millisecond
+	queuedStart = 50 * time.Millisecond // a start later than this after sending has waited in the executor's queue
+)
+
+// connAttempt is an attempt that is out on a connection.
+type connAttempt struct {
+	request  *clientRequest
+	executor *executor
+	number   policy.AttemptID
+	history  *attemptHistory
+	written  bool // its last byte has left the node
+	ended    bool // the node is notified of its end, or about to be
+}
+
+// recordAttempt records that an attempt's first byte is sent.
+func (n *simNode) recordAttempt(request *clientRequest, x *executor) *connAttempt {
+	w := n.world
+	attempt := &connAttempt{request: request, executor: x, number: policy.AttemptID(request.attempts), history: w.account.recordSent(request, x)}
+	request.attempts++
+	request.sentAt = w.now
+	request.attemptsOut++
+	if request.attemptsOut > 1 {
+		w.result.Copies++
+	}
+	n.attemptsOut++
+	w.result.Allocations++
+	if x.Zone != n.zone {
+		w.result.Crossings++
+	}
+	w.observe(invariants.Seen{What: invariants.FirstByte, Node: n.id, Job: request.job, Work: request.work.ID, Allocation: attempt.number,
+		Executor: x.ID, Zone: x.Zone, Cell: x.Cell})
+	return attempt
+}
+
+// recordAttemptEnd records that the node is notified of an attempt's end; neverRan says that the notice proves that it never ran.
+func (n *simNode) recordAttemptEnd(attempt *connAttempt, neverRan bool) {
+	n.attemptsOut--
+	attempt.request.attemptsOut--
+	n.world.observe(invariants.Seen{What: invariants.Over, Node: n.id, Job: attempt.request.job, Allocation: attempt.number,
+		Executor: attempt.executor.ID, Proof: neverRan})
+}
+
+// writeAttempt writes an attempt to its connection, unless that has closed or the client has gone.
+func (n *simNode) writeAttempt(effect node.WriteAttempt) {
+	conn := n.conns[effect.Conn]
+	if conn == nil || conn.state != connUp || conn.attempt != nil {
+		return // closed already; the node is about to be notified
+	}
+	request := n.requests[effect.Attempt.ID]
+	if request == nil {
+		return
+	}
+	if client := effect.Attempt.Client; client != nil && client.Gone() {
+		conn.deliverAfter(processingDelay, node.AttemptNotSent{Conn: conn.id})
+		return
+	}
+	conn.uses++
+	attempt := n.recordAttempt(request, conn.executor)
+	conn.attempt = attempt
+	if conn.uses == 1 {
+		attempt.history.dialedAt, attempt.history.connUpAt = conn.dialedAt, conn.upAt
+	}
+	writing := processingDelay + time.Duration(len(effect.Attempt.Body))*timePerByte
+	if conn.resetsAtFirstUse {
+		conn.resetsAtFirstUse = false
+		conn.breakAt(time.Duration(n.world.networkRand.Int64N(int64(3 * writing))))
+	}
+	n.after(writing, func() { conn.finishWrite(attempt) })
+}
+
+// finishWrite is the last byte of an attempt leaving the node.
+func (c *executorConn) finishWrite(attempt *connAttempt) {
+	if c.state != connUp || c.attempt != attempt {
+		return
+	}
+	w, x, request := c.node.world, c.executor, attempt.request
+	attempt.written = true
+	w.observe(invariants.Seen{What: invariants.LastByte, Node: c.node.id, Job: request.job, Allocation: attempt.number, Executor: x.ID})
+	allocation := w.newAttempt(request, c.node.id, c.key, x)
+	c.toExecutor(func() {
+		request.delivered = true
+		w.account.recordReached(attempt.history, allocation.Cost)
+		x.apply(x.Take(w.now, allocation))
+	})
+}
+
+// idempotencyKey is what the jobs of a work carry if its class has keys; "" otherwise.
+func (w *World) idempotencyKey(work *emulator.Work) string {
+	if w.jobClasses[work.Track].Idempotency == policy.IdempotentWithKey {
+		return string(work.ID)
+	}
+	return ""
+}
+
+// newAttempt is what an executor receives for a request's attempt.
+func (w *World) newAttempt(request *clientRequest, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Allocation {
+	work := request.work
+	class := &w.classes[work.Track]
+	attempt := emulator.Allocation{Conn: key, Node: from, Job: request.job, Work: work.ID, Track: work.Track, Priority: class.Priority,
+		Cost: work.Cost, Hint: cmp.Or(work.Hint, class.Mean)}
+	if noise := w.scenario.Fleet.AttemptNoise; noise > 0 {
+		attempt.Cost *= math.Exp(w.workNoiseRand.NormFloat64()*noise - noise*noise/2)
+	}
+	if attempt.Tag = w.idempotencyKey(work); attempt.Tag != "" {
+		attempt.Window, attempt.Memory = class.DedupWindow, w.dedupMemory(x, work.Track)
+	}
+	if w.defects.attempt != nil {
+		w.defects.attempt(&attempt)
+	}
+	return attempt
+}
+
+// attemptOutcomes are the outcomes of an executor's final answers.
+var attemptOutcomes = map[emulator.Word]policy.Outcome{
+	emulator.Done:    policy.Succeeded,
+	emulator.Errored: policy.ExecutorError,
+	emulator.NoRoom:  policy.ExecutorFull,
+}
+
+// answer sends an executor's answer or notice to the node.
+func (c *executorConn) answer(answer emulator.Say) {
+	w := c.node.world
+	sentAt := w.now
+	if attempt := c.attempt; attempt != nil && !attempt.ended && attempt.request.job == answer.Job {
+		w.account.recordAnswer(attempt.history, answer.Word)
+	}
+	c.toNode(func() { c.receiveAnswer(answer, sentAt) })
+}
+
+// receiveAnswer is the arrival of an executor's answer or notice at the node.
+func (c *executorConn) receiveAnswer(answer emulator.Say, sentAt time.Duration) {
+	attempt := c.attempt
+	if attempt == nil || attempt.ended || attempt.request.job != answer.Job {
+		return
+	}
+	load := node.Load{Load: policy.Load{InFlight: answer.Load.Held, Queued: answer.Load.Waiting, FreeSlots: answer.Load.Free,
+		FreeMemory: -1, RunTime: -1}, Known: answer.Load.Known}
+	switch answer.Word {
+	case emulator.Began:
+		if sentAt-attempt.request.sentAt > queuedStart {
+			c.node.world.result.StartsWaited++
+		}
+		c.deliver(node.AttemptProgressed{Conn: c.id, Load: load})
+		return
+	case emulator.Progress:
+		c.deliver(node.AttemptProgressed{Conn: c.id, Progress: answer.Share, Load: load})
+		return
+	}
+	attempt.ended = true
+	event := node.AttemptEnded{Conn: c.id, Outcome: attemptOutcomes[answer.Word], Load: load}
+	if answer.Word == emulator.Done {
+		event.Result = []byte("done " + attempt.request.work.ID)
+	}
+	c.deliver(event)
+	if c.state == connUp {
+		c.becomeIdle()
+	}
+}
+
+// becomeIdle notifies the node that a connection is idle. The executor closes one that is not used within its idle timeout.
+func (c *executorConn) becomeIdle() {
+	w, x, uses := c.node.world, c.executor, c.uses
+	c.node.after(processingDelay, func() {
+		if c.state == connUp {
+			c.deliver(node.ConnIdle{Conn: c.id})
+		}
+	})
+	w.after(time.Duration(w.scenario.Fleet.IdleLimit), func() {
+		if c.uses == uses && x.conns[c.key] == c {
+			x.apply(x.Hangup(w.now, c.key))
+			c.resetByExecutor()
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulation/clients.go
@@ -0,0 +1,143 @@
+package simulation
+
+import (
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/policy"
+)
+
+const (
+	clientsStartAfter = 200 * time.Millisecond // nodes have this time before the first job
+	loopStagger       = time.Millisecond       // between the starts of two closed loops
+	unreachedDelay    = time.Millisecond       // until a client knows that no node can be reached
+	openLoop          = -1                     // client number of works that arrive by themselves
+)
+
+// zoneClients are the clients of a zone, and the front layer that spreads their requests over nodes.
+type zoneClients struct {
+	*emulator.Clients
+	world      *World
+	zone       policy.ZoneID
+	roundRobin int
+}
+
+// buildClients makes the clients of each zone and schedules their first works.
+func (w *World) buildClients() {
+	fleet, load := &w.scenario.Fleet, &w.scenario.Load
+	capacity := 0.0
+	for _, x := range w.executors {
+		capacity += x.Capacity(0)
+	}
+	rates := w.scenario.Rates(capacity)
+	for i, zone := range fleet.Zones {
+		habits := emulator.Habits{
+			Rate:       rates[i],
+			Loops:      load.Loops,
+			Think:      time.Duration(load.Think),
+			Retries:    load.Retries,
+			RetryWait:  time.Duration(load.RetryWait),
+			RetryMost:  time.Duration(load.RetryMost),
+			HeedsBack:  load.HeedsBack,
+			Leaves:     load.Leaves,
+			RepeatsIDs: load.RepeatsIDs,
+			HintNoise:  load.HintNoise,
+		}
+		c := &zoneClients{world: w, zone: policy.ZoneID(i)}
+		c.Clients = emulator.NewClients(zone+"-", w.classes, habits, fleet.PerWork, stream(w.seed, clientStream+zone))
+		w.clients = append(w.clients, c)
+		w.at(clientsStartAfter+c.Gap()/2, c.arrivals)
+		for client := range load.Loops {
+			w.at(clientsStartAfter+time.Duration(client)*loopStagger, func() { c.submitNext(client) })
+		}
+	}
+}
+
+// arrivals submits a work of the open loop and schedules the next one.
+func (c *zoneClients) arrivals() {
+	gap := c.Gap()
+	if gap == emulator.Never || c.world.now >= time.Duration(c.world.scenario.Length) {
+		return
+	}
+	c.submitNew(openLoop)
+	c.world.after(gap, c.arrivals)
+}
+
+// submitNext submits the next work of a closed loop.
+func (c *zoneClients) submitNext(client int) {
+	if c.world.now < time.Duration(c.world.scenario.Length) {
+		c.submitNew(client)
+	}
+}
+
+func (c *zoneClients) submitNew(client int) {
+	work := c.New(c.world.now, client)
+	c.world.result.recordWork(work)
+	c.world.openWorks++
+	c.submit(work)
+}
+
+// pickNode is the node to which the front layer sends: one of the zone, or of any other zone if it has none. Nodes that died just now
+// are still sent to.
+func (c *zoneClients) pickNode() *simNode {
+	c.roundRobin++
+	load := &c.world.scenario.Load
+	var candidates []*simNode
+	for _, sameZone := range [...]bool{true, false} {
+		for _, n := range c.world.nodes {
+			justDied := !n.up && c.world.now-n.diedAt < time.Duration(load.DeadFor)
+			if (n.zone == c.zone) == sameZone && (n.up && n.ready || justDied) {
+				candidates = append(candidates, n)
+			}
+		}
+		if len(candidates) > 0 && load.NodeSkew > 0 {
+			return nodeByShare(candidates, c.world.frontLayerRand.Float64())
+		}
+		if len(candidates) > 0 {
+			return candidates[c.roundRobin%len(candidates)]
+		}
+	}
+	return nil
+}
+
+// nodeByShare picks a node by a number from 0 to 1, in proportion to the nodes' shares of the traffic.
+func nodeByShare(nodes []*simNode, number float64) *simNode {
+	sum := 0.0
+	for _, n := range nodes {
+		sum += n.trafficShare
+	}
+	left := number * sum
+	for _, n := range nodes {
+		if left -= n.trafficShare; left < 0 {
+			return n
+		}
+	}
+	return nodes[len(nodes)-1]
+}
+
+// submit sends a request for a work to a node.
+func (c *zoneClients) submit(work *emulator.Work) {
+	w, n := c.world, c.pickNode()
+	request := &clientRequest{clients: c, work: work, job: work.Job(), node: n}
+	w.account.recordSubmit(work, n)
+	if n == nil {
+		w.after(unreachedDelay, func() { request.finishUnsent(emulator.EndUnreached, 0) })
+		return
+	}
+	request.incarnation = n.incarnation
+	if w.wired != nil {
+		w.wired.submit(request)
+		return
+	}
+	delay := w.randomDelay(c.zone, n.zone) / 2
+	w.after(delay, func() {
+		switch {
+		case !n.up || n.incarnation != request.incarnation || n.frontendClosed:
+			w.after(delay, func() { request.finishUnsent(emulator.EndUnreached, 0) })
+		case w.now >= work.Limit-time.Millisecond: // its client has given up
+			request.finishUnsent(emulator.EndBrokenOff, 0)
+		default:
+			n.receive(request)
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulation/conn.go
@@ -0,0 +1,167 @@
+package simulation
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// connState is a connection's state at the node's end.
+type connState int
+
+const (
+	connDialing connState = iota
+	connUp
+	connClosed
+)
+
+// executorConn is a modeled connection between a node and an executor.
+type executorConn struct {
+	id       node.ConnID     // at the node
+	key      emulator.ConnID // at the executor
+	node     *simNode
+	executor *executor // nil if nobody has the address
+	state    connState
+	accepted bool // by the executor
+	uses     int
+	attempt  *connAttempt // nil while idle
+
+	silent           bool // nothing comes back
+	resetsAtFirstUse bool
+
+	dialedAt, upAt time.Duration
+
+	// When the message before arrives, each way: messages stay in order.
+	nextToExecutor time.Duration
+	nextToNode     time.Duration
+}
+
+// toExecutor runs a function when a message that is sent now reaches the executor, if its process still runs then.
+func (c *executorConn) toExecutor(run func()) {
+	w, x := c.node.world, c.executor
+	c.nextToExecutor = max(c.nextToExecutor+1, w.arrivalTime(c.node.zone, x.Zone))
+	started := x.Started
+	w.at(c.nextToExecutor, func() {
+		if !x.unreachable && x.Up && x.Started == started {
+			run()
+		}
+	})
+}
+
+// toNode runs a function when a message that is sent now reaches the node, if the connection is not closed there by then.
+func (c *executorConn) toNode(run func()) {
+	if c.silent {
+		return
+	}
+	w, n := c.node.world, c.node
+	c.nextToNode = max(c.nextToNode+1, w.arrivalTime(c.executor.Zone, n.zone))
+	incarnation := n.incarnation
+	w.at(c.nextToNode, func() {
+		if n.up && n.incarnation == incarnation && c.state != connClosed {
+			run()
+		}
+	})
+}
+
+// deliverAfter delivers an event to the node after a delay.
+func (c *executorConn) deliverAfter(delay time.Duration, event node.Event) {
+	c.node.after(delay, func() { c.deliver(event) })
+}
+
+// deliver records what an event of the connection ends, and delivers it to the node.
+func (c *executorConn) deliver(event node.Event) {
+	n := c.node
+	switch event := event.(type) {
+	case node.AttemptEnded:
+		n.world.account.recordEnded(c.attempt.history, event.Outcome)
+		n.recordAttemptEnd(c.attempt, event.Outcome.NeverRan())
+		c.attempt = nil
+	case node.ConnClosed:
+		delete(n.conns, c.id)
+	}
+	n.deliver(event)
+}
+
+// closeConn closes a connection at the node's end.
+func (n *simNode) closeConn(id node.ConnID) {
+	conn := n.conns[id]
+	if conn == nil || conn.state == connClosed {
+		return
+	}
+	if conn.state == connDialing {
+		conn.state = connClosed
+		conn.closeAtExecutor()
+		conn.deliverAfter(processingDelay, node.ConnClosed{Conn: id, Detail: noConnection + "given up"})
+		return
+	}
+	conn.closeAtExecutor()
+	if conn.attempt != nil {
+		conn.attempt.history.canceled = true
+	}
+	conn.breakConn("closed here")
+}
+
+// breakConn ends a connection at the node's end, and notifies the node soon.
+func (c *executorConn) breakConn(reason string) {
+	if c.state == connClosed {
+		return
+	}
+	detail := ""
+	if c.state == connDialing {
+		detail = noConnection + reason
+	}
+	c.state = connClosed
+	if attempt := c.attempt; attempt != nil && !attempt.ended {
+		attempt.ended = true
+		event := node.AttemptEnded{Conn: c.id, Outcome: policy.ConnectionLost, ConnBroken: true, Detail: reason}
+		if !attempt.written {
+			event.Outcome = policy.ConnectFailed
+		}
+		c.deliverAfter(processingDelay, event)
+	}
+	c.deliverAfter(processingDelay+processingDelay/2, node.ConnClosed{Conn: c.id, Detail: detail})
+}
+
+// closeAtExecutor ends a connection at the executor's end, after what is in flight.
+func (c *executorConn) closeAtExecutor() {
+	if c.executor != nil && c.accepted {
+		c.toExecutor(c.dropAtExecutor)
+	}
+}
+
+// dropAtExecutor is the executor's notice that a connection has ended.
+func (c *executorConn) dropAtExecutor() {
+	if c.executor.conns[c.key] == c {
+		delete(c.executor.conns, c.key)
+		c.executor.apply(c.executor.Hangup(c.node.world.now, c.key))
+	}
+}
+
+// resetByExecutor is a reset of the connection by its executor.
+func (c *executorConn) resetByExecutor() {
+	delete(c.executor.conns, c.key)
+	c.toNode(func() { c.breakConn("reset by the executor") })
+}
+
+// hasIdleConn says whether a node has an idle connection to an executor.
+func (n *simNode) hasIdleConn(x *executor) bool {
+	for _, conn := range n.conns {
+		if conn.executor == x && conn.state == connUp && conn.attempt == nil {
+			return true
+		}
+	}
+	return false
+}
+
+func sortedByID(conns map[node.ConnID]*executorConn) []*executorConn {
+	return slices.SortedFunc(maps.Values(conns), func(a, b *executorConn) int { return cmp.Compare(a.id, b.id) })
+}
+
+func sortedByKey(conns map[emulator.ConnID]*executorConn) []*executorConn {
+	return slices.SortedFunc(maps.Values(conns), func(a, b *executorConn) int { return cmp.Compare(a.key, b.key) })
+}
--- /dev/null
+++ b/internal/simulation/endpoints.go
@@ -0,0 +1,163 @@
+package simulation
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+const (
+	watchRetryDelay = time.Millisecond // after a partition's end
+	maxNotifyJitter = 20000            // microseconds by which nodes are notified at different times
+	startedLongAgo  = -time.Hour       // start of an executor that discovery only knows to have started long ago
+)
+
+// endpointsUpdate makes the event of an update of the endpoint list, and records what the node is notified of.
+func (n *simNode) endpointsUpdate(kind policy.EndpointUpdateKind, entries []emulator.Entry) node.EndpointsUpdated {
+	event := node.EndpointsUpdated{Kind: kind}
+	if kind == policy.WatchFailed {
+		event.Detail = "no answer"
+		return event
+	}
+	listed := map[policy.ExecutorID]bool{}
+	for _, entry := range entries {
+		listed[entry.Executor] = true
+		start := entry.StartedAt
+		if entry.StartedLongAgo {
+			start = startedLongAgo
+		} else {
+			entry.StartedAt -= n.startedAt // the node's clock begins with its process
+		}
+		event.Endpoints = append(event.Endpoints, node.Endpoint{Endpoint: entry.Endpoint, Addr: entry.Addr})
+		n.recordEndpoint(invariants.Seen{What: invariants.Told, Node: n.id, Executor: entry.Executor, State: entry.State, Start: start})
+	}
+	if kind == policy.CompleteUpdate {
+		n.recordRemoved(listed)
+	}
+	return event
+}
+
+// recordRemoved records that a complete update removes what it does not list.
+func (n *simNode) recordRemoved(listed map[policy.ExecutorID]bool) {
+	for _, known := range sortedByExecutor(n.endpoints) {
+		if !listed[known.Executor] && known.State != policy.Removed {
+			known.State = policy.Removed
+			n.recordEndpoint(known)
+		}
+	}
+}
+
+// recordEndpoint observes what the node is notified of an executor, unless it knows that already. An excluded executor counts as
+// draining, whatever the endpoint list says.
+func (n *simNode) recordEndpoint(s invariants.Seen) {
+	s.At = 0
+	if _, excluded := n.excluded[s.Executor]; excluded {
+		n.excluded[s.Executor] = s
+		if s.State == policy.Available {
+			s.State = policy.Draining
+		}
+	}
+	if n.endpoints[s.Executor] != s {
+		n.endpoints[s.Executor] = s
+		n.world.observe(s)
+	}
+}
+
+// adminCall has an operator call a node.
+func (n *simNode) adminCall(command node.AdminCommand, id policy.ExecutorID) {
+	event := node.AdminCalled{Command: command, Executor: id}
+	switch {
+	case !n.up:
+	case n.process != nil:
+		n.process.adminCall(event)
+	default:
+		n.deliver(event)
+	}
+}
+
+// recordAdminCall records an exclusion or readmission that the node has accepted.
+func (n *simNode) recordAdminCall(event node.Event, effects []node.Effect) {
+	call, ok := event.(node.AdminCalled)
+	if !ok || !slices.ContainsFunc(effects, isAcceptance) {
+		return
+	}
+	listed, excluded := n.excluded[call.Executor]
+	switch {
+	case call.Command == node.ExcludeExecutor && !excluded:
+		listed = n.endpoints[call.Executor]
+		n.excluded[call.Executor] = listed
+		n.recordEndpoint(listed)
+	case call.Command == node.ReadmitExecutor && excluded:
+		delete(n.excluded, call.Executor)
+		n.recordEndpoint(listed)
+	}
+}
+
+func isAcceptance(effect node.Effect) bool {
+	reply, ok := effect.(node.AdminReply)
+	return ok && reply.Refusal == ""
+}
+
+// deliverEndpoints delivers to the node what discovery has for it. A node in a zone that nothing gets into is served after that.
+func (n *simNode) deliverEndpoints() {
+	if until := n.world.partitions[n.zone].inboundUntil; until > n.world.now {
+		n.after(until-n.world.now+watchRetryDelay, n.deliverEndpoints)
+		return
+	}
+	if n.watchCut || n.suspended {
+		return
+	}
+	kind, entries := n.world.discovery.News(n.world.now, n.id)
+	if kind == policy.IncrementalUpdate && len(entries) == 0 {
+		return
+	}
+	n.deliver(n.endpointsUpdate(kind, entries))
+}
+
+// updateEndpoint changes an executor's entry at discovery; nodes are notified once discovery has it.
+func (w *World) updateEndpoint(entry emulator.Entry) {
+	at := w.discovery.Change(w.now, entry)
+	w.checker.Listed(at, entry.Executor, entry.State)
+	w.notifyNodes(at)
+}
+
+// notifyNodes lets all nodes read discovery's updates, each at a time of its own soon after the given one.
+func (w *World) notifyNodes(at time.Duration) {
+	if w.wired != nil {
+		w.at(at, w.wired.notifyWatches)
+		return
+	}
+	for _, n := range w.nodes {
+		if n.up {
+			jitter := time.Duration(w.networkRand.IntN(maxNotifyJitter)) * time.Microsecond
+			n.after(at-w.now+jitter, n.deliverEndpoints)
+		}
+	}
+}
+
+// updateWeights sets all weights by the executors' load, again and again.
+func (w *World) updateWeights() {
+	at := time.Duration(0)
+	for _, x := range w.executors {
+		if entry, ok := w.discovery.Entry(x.ID); ok {
+			entry.Weight = x.relativeCapacity() / (1 + float64(x.Held())/float64(x.Cores))
+			at = w.discovery.Change(w.now, entry)
+		}
+	}
+	if at > 0 {
+		w.notifyNodes(at)
+	}
+	w.after(time.Duration(w.scenario.Fleet.WeightsEvery), w.updateWeights)
+}
+
+func sortedByExecutor(endpoints map[policy.ExecutorID]invariants.Seen) []invariants.Seen {
+	return slices.SortedFunc(maps.Values(endpoints), compareByExecutor)
+}
+
+func compareByExecutor(a, b invariants.Seen) int { return cmp.Compare(a.Executor, b.Executor) }
--- /dev/null
+++ b/internal/simulation/events.go
@@ -0,0 +1,72 @@
+package simulation
+
+import "time"
+
+// scheduledEvent is a function that runs at a time. Events of one instant run in an order that only the seed decides.
+type scheduledEvent struct {
+	at       time.Duration
+	tieBreak uint64
+	run      func()
+}
+
+func (e *scheduledEvent) before(other *scheduledEvent) bool {
+	return e.at < other.at || e.at == other.at && e.tieBreak < other.tieBreak
+}
+
+// eventHeap is a binary min-heap, the next event first. It is not a container/heap, which allocates an interface value an event and
+// calls by interface: that takes a large part of a world's time.
+type eventHeap []scheduledEvent
+
+func (h *eventHeap) push(event scheduledEvent) {
+	all := append(*h, event)
+	i := len(all) - 1
+	for i > 0 {
+		parent := (i - 1) / 2
+		if !event.before(&all[parent]) {
+			break
+		}
+		all[i], i = all[parent], parent
+	}
+	all[i] = event
+	*h = all
+}
+
+func (h *eventHeap) pop() scheduledEvent {
+	all := *h
+	first, last := all[0], len(all)-1
+	moved := all[last]
+	all[last] = scheduledEvent{}
+	all = all[:last]
+	*h = all
+	if last == 0 {
+		return first
+	}
+	i := 0
+	for {
+		child := 2*i + 1
+		if child >= last {
+			break
+		}
+		if child+1 < last && all[child+1].before(&all[child]) {
+			child++
+		}
+		if !all[child].before(&moved) {
+			break
+		}
+		all[i], i = all[child], child
+	}
+	all[i] = moved
+	return first
+}
+
+// at schedules a function; one in the past runs now.
+func (w *World) at(at time.Duration, run func()) {
+	w.scheduled++
+	w.events.push(scheduledEvent{max(at, w.now), permute(w.seed ^ w.scheduled*scheduleGamma), run})
+	if w.wired != nil {
+		w.wired.eventScheduled()
+	}
+}
+
+// after schedules a function after a delay.
+func (w *World) after(delay time.Duration, run func()) { w.at(w.now+delay, run) }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,415 +1,196 @@
 package simulation
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
 	"birchstair/internal/emulator"
 	"birchstair/internal/invariants"
 	"birchstair/internal/node"
-	"birchstair/policy"
 )
 
-// script puts a fault on the clock: its start, and its end.
-func (w *World) script(f emulator.Fault) {
-	w.at(f.At, func() {
-		w.note("fault: %v", f)
-		w.begin(f)
-		if f.For > 0 {
-			w.after(f.For, func() {
-				w.note("over: %v", f)
-				w.end(f)
+// watchLossDelay is how soon nodes see that discovery is silent.
+const watchLossDelay = 100 * time.Millisecond
+
+// gossipFaults are the kinds that are not played in wired worlds, whose nodes have no gossip and run in the test's own process.
+var gossipFaults = []emulator.Kind{emulator.NodesApart, emulator.NodeLies, emulator.NodeStopped, emulator.WordsLost, emulator.ListCut}
+
+// scheduleFault schedules a fault's begin and end.
+func (w *World) scheduleFault(fault emulator.Fault) {
+	w.at(fault.At, func() {
+		w.note("fault: %v", fault)
+		w.setFault(fault, true)
+		if fault.For > 0 {
+			w.after(fault.For, func() {
+				w.note("over: %v", fault)
+				w.setFault(fault, false)
 			})
 		}
 	})
 }
 
-// touched are the executors that a fault is on.
-func (w *World) touched(f emulator.Fault) (all []*executor) {
-	for _, x := range w.executors {
-		if f.Touches(string(x.ID), w.s.Fleet.Zones[x.Zone]) {
-			all = append(all, x)
-		}
-	}
-	return all
-}
-
-// touchedNodes are the nodes that a fault is on.
-func (w *World) touchedNodes(f emulator.Fault) (all []*sim) {
-	for _, n := range w.nodes {
-		if f.Touches(n.name, w.s.Fleet.Zones[n.zone]) {
-			all = append(all, n)
-		}
-	}
-	return all
-}
-
-func (w *World) cutZones(f emulator.Fault, in, out bool) {
-	for i, zone := range w.s.Fleet.Zones {
-		if !slices.Contains(f.Where, zone) {
-			continue
-		}
-		until := w.now + f.For
-		if in {
-			w.cuts[i].in = max(w.cuts[i].in, until)
-			for _, n := range w.nodes {
-				if n.zone == policy.ZoneID(i) {
-					w.checker.Apart(n.id, until)
-				}
-			}
-		}
-		if out {
-			w.cuts[i].out = max(w.cuts[i].out, until)
-		}
-	}
-	if w.wired != nil {
-		w.wired.setCuts(w.cuts)
-	}
-}
-
-// ofTalk are the kinds that only worlds of reducers alone can play: the network's nodes talk with nobody.
-var ofTalk = []emulator.Kind{emulator.NodesApart, emulator.NodeLies, emulator.NodeStopped, emulator.WordsLost, emulator.ListCut}
-
-func (w *World) begin(f emulator.Fault) {
-	if w.wired != nil && slices.Contains(ofTalk, f.Kind) {
+// setFault begins or ends a fault.
+func (w *World) setFault(fault emulator.Fault, on bool) {
+	if w.wired != nil && slices.Contains(gossipFaults, fault.Kind) {
 		return
 	}
-	switch f.Kind {
-	case emulator.Slow, emulator.Stalls, emulator.Neighbour, emulator.Errors, emulator.Mute:
-		for _, x := range w.touched(f) {
-			x.faults = append(x.faults, f)
-			x.suffer()
-		}
-	case emulator.Crash, emulator.Moved, emulator.Replace:
-		for _, x := range w.touched(f) {
-			x.stop(false)
-		}
-	case emulator.Vanish:
-		for _, x := range w.touched(f) {
-			x.stop(true)
-		}
-	case emulator.DrainOff:
-		for _, x := range w.touched(f) {
-			w.drain(x, f)
-		}
-	case emulator.TakenOut:
-		for _, x := range w.touched(f) {
-			w.takeOut(x, f)
-		}
-	case emulator.SentAway:
-		for _, n := range w.touchedNodes(f) {
-			n.order(node.DrainOn, "")
-		}
-	case emulator.ZoneLost:
-		for _, x := range w.touched(f) {
-			x.stop(true)
-		}
-		for _, n := range w.touchedNodes(f) {
-			n.down++
-			n.kill()
+	size := fault.Size
+	if !on {
+		size = 0
+	}
+	switch fault.Kind {
+	case emulator.ZoneCut, emulator.ZoneDeaf, emulator.ZoneMute:
+		if on { // a partition knows when it ends
+			w.partitionZones(fault, fault.Kind != emulator.ZoneMute, fault.Kind != emulator.ZoneDeaf)
 		}
-	case emulator.ZoneCut:
-		w.cutZones(f, true, true)
-	case emulator.ZoneDeaf:
-		w.cutZones(f, true, false)
-	case emulator.ZoneMute:
-		w.cutZones(f, false, true)
 	case emulator.ResetNew:
-		w.resetNew = f.Size
+		w.newConnResetRate = size
 	case emulator.SilentNew:
-		w.silentNew = f.Size
-	case emulator.SilentOld:
-		for _, c := range w.openWires() {
-			if w.rand.Float64() < f.Size {
-				c.silence()
-			}
+		w.newConnSilentRate = size
+	case emulator.SilentOld, emulator.ResetOld, emulator.ClientReset:
+		if on {
+			w.beginConnFault(fault)
 		}
-	case emulator.ResetOld:
-		w.resetOld(f, w.now+f.For)
-	case emulator.ClientReset:
-		w.resetClients(f, w.now+f.For)
 	case emulator.ListLate:
-		w.discovery.Late(time.Duration(f.Size * 1e9))
-		w.checker.Apart(invariants.Nobody, w.now+time.Duration(w.s.Fleet.ListLag)+time.Duration(f.Size*1e9))
+		w.setDiscoveryLate(secondsOf(size), on)
 	case emulator.ListLost:
-		w.discovery.Silence(true)
-		w.checker.Cut(w.now, invariants.Nobody, true)
-		w.tellAll(w.now + 100*time.Millisecond)
-	case emulator.NodeKilled:
-		for _, n := range w.touchedNodes(f) {
-			n.down++
-			n.kill()
-		}
-	case emulator.NodeRestart:
-		for _, n := range w.touchedNodes(f) {
-			n.down++
-			n.stop()
-		}
-	case emulator.NodeStopped:
-		for _, n := range w.touchedNodes(f) {
-			n.halt(f)
-		}
-	case emulator.NodeLies, emulator.NodesApart, emulator.ListCut:
-		for _, n := range w.touchedNodes(f) {
-			n.amiss(f.Kind, true)
-		}
+		w.setDiscoverySilent(on)
 	case emulator.WordsLost:
-		w.wordsLost = f.Size
-	case emulator.Burst:
-		for _, c := range w.clients {
-			c.Burst = f.Size
-		}
-	case emulator.HeavyTail:
-		for _, c := range w.clients {
-			c.Tail = emulator.TailOf(f.Size)
-		}
+		w.gossipLoss = size
+	case emulator.Burst, emulator.HeavyTail:
+		w.setClientFault(fault, on)
 	case emulator.ClockOff:
-		w.clockOff = time.Duration(f.Size * 1e9)
+		w.clockOffset = secondsOf(size)
+	default:
+		w.setProcessFault(fault, on)
 	}
 }
 
-func (w *World) end(f emulator.Fault) {
-	if w.wired != nil && slices.Contains(ofTalk, f.Kind) {
-		return
-	}
-	switch f.Kind {
-	case emulator.Slow, emulator.Stalls, emulator.Neighbour, emulator.Errors, emulator.Mute:
-		for _, x := range w.touched(f) {
-			x.faults = emulator.Without(x.faults, f)
-			x.suffer()
-		}
-	case emulator.Crash, emulator.Vanish:
-		for _, x := range w.touched(f) {
-			x.back()
-		}
-	case emulator.Moved:
-		for _, x := range w.touched(f) {
-			if x.down == 1 {
-				x.move()
-			}
-			x.back()
-		}
-	case emulator.Replace:
-		for _, x := range w.touched(f) {
-			if x.down == 1 { // it never comes back itself: down stays over 0
-				w.replace(x)
-			}
-		}
-	case emulator.TakenOut:
-		for _, x := range w.touched(f) {
-			for _, n := range w.nodes {
-				n.order(node.ReadmitExecutor, x.ID)
-			}
-		}
-	case emulator.SentAway:
-		for _, n := range w.touchedNodes(f) {
-			n.order(node.DrainOff, "")
-		}
-	case emulator.ZoneLost:
-		for _, x := range w.touched(f) {
-			x.back()
-		}
-		for _, n := range w.touchedNodes(f) {
-			n.back()
-		}
-	case emulator.ResetNew:
-		w.resetNew = 0
-	case emulator.SilentNew:
-		w.silentNew = 0
-	case emulator.ListLate:
-		w.discovery.Late(0)
-		w.tellAll(w.now)
-	case emulator.ListLost:
-		w.discovery.Silence(false)
-		w.checker.Cut(w.now, invariants.Nobody, false)
-		w.tellAll(w.now)
-	case emulator.NodeKilled, emulator.NodeRestart:
-		for _, n := range w.touchedNodes(f) {
-			n.back()
-		}
-	case emulator.NodeLies, emulator.NodesApart, emulator.ListCut:
-		for _, n := range w.touchedNodes(f) {
-			n.amiss(f.Kind, false)
-		}
-	case emulator.WordsLost:
-		w.wordsLost = 0
-	case emulator.Burst:
-		for _, c := range w.clients {
-			c.Burst = 0
-		}
-	case emulator.HeavyTail:
-		for _, c := range w.clients {
-			c.Tail = emulator.Tail{}
+func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
+
+// setProcessFault begins or ends a fault on each executor, and each node, that it is on.
+func (w *World) setProcessFault(fault emulator.Fault, on bool) {
+	for _, x := range w.faultedExecutors(fault) {
+		if on {
+			x.beginFault(fault)
+		} else {
+			x.endFault(fault)
 		}
-	case emulator.ClockOff:
-		w.clockOff = 0
 	}
-}
-
-// amiss begins or ends what is wrong with a node that talks.
-func (n *sim) amiss(k emulator.Kind, on bool) {
-	switch k {
-	case emulator.NodeLies:
-		n.lies = one(on)
-	case emulator.NodesApart:
-		n.apart = on
-	case emulator.ListCut:
-		n.w.checker.Cut(n.w.now, n.id, on)
-		if n.noList = on; !on && n.up {
-			n.news()
+	for _, n := range w.faultedNodes(fault) {
+		if on {
+			n.beginFault(fault)
+		} else {
+			n.endFault(fault)
 		}
 	}
 }
 
-// suffer puts all its troubles together.
-func (x *executor) suffer() {
-	t := emulator.Together(x.faults)
-	t.Lies = x.Trouble().Lies
-	x.does(x.Suffer(x.w.now, t))
-}
-
-// stop ends an executor. Silently: its machine is gone, and nothing says so to those connected to it; the list, which
-// asks it, notices later.
-func (x *executor) stop(silently bool) {
-	x.down++
-	if !x.Up {
-		x.gone = x.gone || silently
-		return
-	}
-	outs := x.Crash(x.w.now)
-	if x.w.wired != nil {
-		x.w.wired.endExecutor(x, silently)
+// faultedExecutors are the executors that a fault is on; none if its kind is not on executors.
+func (w *World) faultedExecutors(fault emulator.Fault) (all []*executor) {
+	if on, _ := fault.Kind.On(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
+		return nil
 	}
-	if !silently {
-		x.does(outs)
-		x.w.change(x.entry(policy.Removed))
-		return
-	}
-	x.gone = true
-	x.wake++
-	x.w.after(noticed, func() {
-		if x.gone {
-			x.w.change(x.entry(policy.Removed))
+	for _, x := range w.executors {
+		if fault.Touches(string(x.ID), w.scenario.Fleet.Zones[x.Zone]) {
+			all = append(all, x)
 		}
-	})
-}
-
-// noticed is how long the list service takes to notice that an executor which said nothing is gone.
-const noticed = 2 * time.Second
-
-// back ends one fault that keeps an executor down; with the last it starts again.
-func (x *executor) back() {
-	if x.down--; x.down > 0 {
-		return
 	}
-	x.down = 0
-	x.restart()
+	return all
 }
 
-// back ends one fault that keeps a node down.
-func (n *sim) back() {
-	if n.down--; n.down > 0 {
-		return
+// faultedNodes are the nodes that a fault is on; none if its kind is not on nodes.
+func (w *World) faultedNodes(fault emulator.Fault) (all []*simNode) {
+	if on, _ := fault.Kind.On(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
+		return nil
 	}
-	n.down = 0
-	if n.up { // it is still on its way out
-		n.down = 1
-		n.later(100*time.Millisecond, n.back)
-		n.w.after(100*time.Millisecond, func() {
-			if !n.up && n.down == 1 {
-				n.back()
-			}
-		})
-		return
+	for _, n := range w.nodes {
+		if fault.Touches(n.name, w.scenario.Fleet.Zones[n.zone]) {
+			all = append(all, n)
+		}
 	}
-	n.start()
+	return all
 }
 
-// drain: the list says so first; later it takes nothing new, ends, and starts again cold when the fault is over.
-func (w *World) drain(x *executor, f emulator.Fault) {
-	if !x.Up || x.down > 0 {
-		return
+// setDiscoveryLate delays all updates of the endpoint list, or ends the delay.
+func (w *World) setDiscoveryLate(delay time.Duration, on bool) {
+	w.discovery.Late(delay)
+	if on {
+		w.checker.Apart(invariants.Nobody, w.now+time.Duration(w.scenario.Fleet.ListLag)+delay)
+	} else {
+		w.notifyNodes(w.now)
 	}
-	x.down++
-	born := x.Started
-	w.change(x.entry(policy.Draining))
-	w.after(time.Duration(w.s.Fleet.ListLag+w.s.Fleet.DrainGrace), func() {
-		if x.Up && x.Started == born {
-			x.Drains = true
-		}
-	})
-	w.after(f.For*3/4, func() {
-		if x.Up && x.Started == born {
-			x.does(x.Crash(w.now))
-			if w.wired != nil {
-				w.wired.endExecutor(x, false)
-			}
-			w.change(x.entry(policy.Removed))
-		}
-	})
-	w.after(f.For, x.back)
 }
 
-// takeOut has operators take an executor out at each node, and restart it meanwhile. The list says nothing of the first.
-func (w *World) takeOut(x *executor, f emulator.Fault) {
-	for _, n := range w.nodes {
-		n.order(node.ExcludeExecutor, x.ID)
+// setDiscoverySilent stops discovery from answering, or lets it answer again.
+func (w *World) setDiscoverySilent(silent bool) {
+	w.discovery.Silence(silent)
+	w.checker.Cut(w.now, invariants.Nobody, silent)
+	at := w.now
+	if silent {
+		at += watchLossDelay
 	}
-	w.after(f.For/2, func() { x.stop(false) })
-	w.after(f.For*3/4, x.back)
+	w.notifyNodes(at)
 }
 
-// replace puts another executor, cold, in the place of one that is gone for good.
-func (w *World) replace(x *executor) {
-	x.moves++
-	y := w.addExecutor(fmt.Sprintf("%s-%d", x.ID, x.moves), x.number, x.Speed)
-	y.Up = false
-	y.restart()
-}
-
-// openWire is an open connection between a node and an executor that a fault can be put on.
-type openWire interface {
-	silence()                    // nothing comes back on it any more
-	breakAt(after time.Duration) // it breaks
-}
-
-func (w *World) openWires() (all []openWire) {
-	for _, n := range w.nodes {
-		if n.life != nil && n.up {
-			all = append(all, n.life.openWires()...)
-		}
-		for _, c := range sortedByID(n.wires) {
-			if n.up && c.state == up {
-				all = append(all, c)
-			}
+// setClientFault begins or ends a fault of the clients' traffic.
+func (w *World) setClientFault(fault emulator.Fault, on bool) {
+	for _, c := range w.clients {
+		switch {
+		case fault.Kind == emulator.Burst && on:
+			c.Burst = fault.Size
+		case fault.Kind == emulator.Burst:
+			c.Burst = 0
+		case on:
+			c.Tail = emulator.TailOf(fault.Size)
+		default:
+			c.Tail = emulator.Tail{}
 		}
 	}
-	return all
 }
 
-// resetClients breaks some of the connections that clients wait on, each second until the fault is over.
-func (w *World) resetClients(f emulator.Fault, until time.Duration) {
-	for _, n := range w.nodes {
-		for _, t := range n.inHandTries() {
-			if n.up && w.rand.Float64() < f.Size {
-				n.cutClient(t)
-			}
-		}
+// beginFault begins a fault on the node.
+func (n *simNode) beginFault(fault emulator.Fault) {
+	switch fault.Kind {
+	case emulator.SentAway:
+		n.adminCall(node.DrainOn, "")
+	case emulator.NodeKilled, emulator.ZoneLost:
+		n.activeDownFaults++
+		n.kill()
+	case emulator.NodeRestart:
+		n.activeDownFaults++
+		n.shutDown()
+	case emulator.NodeStopped:
+		n.suspend(fault)
+	default:
+		n.setPeerFault(fault.Kind, true)
 	}
-	if w.now+time.Second < until {
-		w.after(time.Second, func() { w.resetClients(f, until) })
+}
+
+// endFault ends a fault on the node. A suspended one resumes by itself.
+func (n *simNode) endFault(fault emulator.Fault) {
+	switch fault.Kind {
+	case emulator.SentAway:
+		n.adminCall(node.DrainOff, "")
+	case emulator.NodeKilled, emulator.NodeRestart, emulator.ZoneLost:
+		n.endDownFault()
+	default:
+		n.setPeerFault(fault.Kind, false)
 	}
 }
 
-// resetOld breaks some of what is open, each second until the fault is over.
-func (w *World) resetOld(f emulator.Fault, until time.Duration) {
-	for _, c := range w.openWires() {
-		if w.rand.Float64() < f.Size {
-			c.breakAt(time.Duration(w.rand.Int64N(int64(time.Second))))
+// setPeerFault begins or ends a fault of a node in a world with gossip.
+func (n *simNode) setPeerFault(kind emulator.Kind, on bool) {
+	switch kind {
+	case emulator.NodeLies:
+		n.corruption = countTrue(on)
+	case emulator.NodesApart:
+		n.partitioned = on
+	case emulator.ListCut:
+		n.world.checker.Cut(n.world.now, n.id, on)
+		n.watchCut = on
+		if !on && n.up {
+			n.deliverEndpoints()
 		}
 	}
-	if w.now+time.Second < until {
-		w.after(time.Second, func() { w.resetOld(f, until) })
-	}
 }
--- /dev/null
+++ b/internal/simulation/gossip.go
@@ -0,0 +1,152 @@
+package simulation
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"birchstair/internal/cluster"
+	"birchstair/internal/invariants"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// Membership is modeled as memberlist brings it: late, and by what each node could reach itself.
+const (
+	membershipInterval = 500 * time.Millisecond  // between two looks at who is alive
+	memberTimeout      = 2500 * time.Millisecond // a node that could not be reached for so long counts as dead
+)
+
+// Beginnings of the node's log messages about drains that it heard of from peers.
+const (
+	logPeerDrain    = "counts as draining"
+	logPeerDrainEnd = "no longer counts as draining"
+)
+
+// joinFleet lets a node that has just started gossip with its peers.
+func (n *simNode) joinFleet() {
+	w := n.world
+	incarnation := uint64(n.startedAt.Milliseconds())<<8 + uint64(n.incarnation)
+	settings := cluster.Defaults(cluster.NodeName(n.name), incarnation, uint32(permute(w.seed+uint64(n.id))))
+	settings.Epoch = n.startedAt.Milliseconds()
+	if w.defects.fleet != nil {
+		w.defects.fleet(&settings)
+	}
+	n.workRate = workRate{at: w.now}
+	n.reducer.JoinFleet(settings)
+	n.peerReachedAt, n.alivePeers = map[invariants.NodeID]time.Duration{}, nil
+	n.after(time.Duration(w.gossipRand.Int64N(int64(membershipInterval))), n.updateMembership)
+}
+
+// updateMembership finds out which peers are alive, again and again.
+func (n *simNode) updateMembership() {
+	w := n.world
+	var alive []cluster.NodeName
+	for _, peer := range w.nodes {
+		if peer == n {
+			continue
+		}
+		if peer.up && !peer.suspended && peer.partitioned == n.partitioned && w.linked(n.zone, peer.zone) {
+			n.peerReachedAt[peer.id] = w.now
+		}
+		if at, ok := n.peerReachedAt[peer.id]; ok && w.now-at < memberTimeout {
+			alive = append(alive, cluster.NodeName(peer.name))
+		}
+	}
+	if !slices.Equal(alive, n.alivePeers) {
+		n.alivePeers = alive
+		n.deliver(node.FleetChanged{Alive: slices.Clone(alive)})
+	}
+	n.after(membershipInterval, n.updateMembership)
+}
+
+// sendGossip checks a gossip message against the bounds and sends it.
+func (n *simNode) sendGossip(envelope cluster.Envelope) {
+	n.checkGossipBounds(envelope)
+	message := n.corrupt(envelope.Message)
+	n.world.recordGossip(message)
+	to := slices.IndexFunc(n.world.nodes, func(peer *simNode) bool { return peer.name == string(envelope.To) })
+	if to >= 0 {
+		n.sendToPeer(n.world.nodes[to], node.GossipReceived{Message: message})
+	}
+}
+
+// sendLeaseMessage sends a message about leases.
+func (n *simNode) sendLeaseMessage(effect node.SendLeaseMessage) {
+	if int(effect.To) < len(n.world.nodes) {
+		event := node.LeaseMessageReceived{From: policy.NodeID(n.id), Message: effect.Message, Hash: effect.Hash}
+		n.sendToPeer(n.world.nodes[effect.To], event)
+	}
+}
+
+// sendToPeer sends a message that may be lost, late or doubled. A partition loses it.
+func (n *simNode) sendToPeer(peer *simNode, event node.Event) {
+	w, fleet := n.world, &n.world.scenario.Fleet
+	w.result.Words++
+	blocked := n.zone != peer.zone && (w.partitions[n.zone].outboundUntil > w.now || w.partitions[peer.zone].inboundUntil > w.now)
+	if n.partitioned != peer.partitioned || blocked {
+		return
+	}
+	for range 1 + countTrue(w.gossipRand.Float64() < fleet.WordsDoubled) {
+		if w.gossipRand.Float64() < max(fleet.WordsLost, w.gossipLoss) {
+			continue
+		}
+		late := time.Duration(0)
+		if fleet.WordsLate > 0 {
+			late = time.Duration(w.gossipRand.Int64N(int64(fleet.WordsLate)))
+		}
+		incarnation := peer.incarnation
+		w.after(w.minDelay(n.zone, peer.zone)+late, func() {
+			if peer.up && peer.incarnation == incarnation {
+				peer.deliver(event)
+			}
+		})
+	}
+}
+
+// corrupt corrupts what a faulty node says of itself, each message in another way.
+func (n *simNode) corrupt(message cluster.Message) cluster.Message {
+	if n.corruption == 0 {
+		return message
+	}
+	n.corruption++
+	rates := message.Rates.Clone()
+	switch n.corruption % 4 {
+	case 0: // ten times the true rates
+		for level := range rates.Offered {
+			rates.Offered[level] *= 10
+		}
+		rates.Completed *= 10
+	case 1:
+		rates.Completed = -1
+	case 2: // nearly all expires
+		rates.Expired += 10 * rates.Completed
+	case 3: // in a peer's name
+		message.From = cluster.NodeName(n.world.nodes[(int(n.id)+1)%len(n.world.nodes)].name)
+	}
+	message.Rates = rates
+	return message
+}
+
+// recordPeerDrains records the drains of which a node has heard from a peer: it must respect them like the endpoint list's, until it
+// gives them up because its own list has not confirmed them in time.
+func (n *simNode) recordPeerDrains(effects []node.Effect) {
+	for _, effect := range effects {
+		message, ok := effect.(node.Log)
+		if !ok {
+			continue
+		}
+		before, after := policy.Available, policy.Draining
+		switch {
+		case strings.HasPrefix(message.Text, logPeerDrain):
+		case strings.HasPrefix(message.Text, logPeerDrainEnd):
+			before, after = after, before
+		default:
+			continue
+		}
+		if known, ok := n.endpoints[message.Executor]; ok && known.State == before {
+			known.State = after
+			n.recordEndpoint(known)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/malformed_clients.go
@@ -0,0 +1,84 @@
+package simulation
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"os"
+	"strings"
+	"time"
+)
+
+// malformedReplyTimeout is how soon a malformed request must be answered with an error, or its connection closed.
+const malformedReplyTimeout = 3 * time.Second
+
+// classPlaceholder stands for the name of a job class in malformedRequests.
+const classPlaceholder = "TRACK"
+
+// malformedRequests are what malformed clients send. A request that is hidden in the body of another must not be served.
+var malformedRequests = []string{
+	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
+	"GET",
+	"",
+	requestHead("X-Call-Id: bad", "Content-Length: 10") + "half",
+	requestHead("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: -5"),
+	requestHead("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 60000000") + strings.Repeat("x", 4096),
+	requestHead("X-Call-Id: bad", "X-Call-Class: nothing", "X-Budget-Ms: 900", "Content-Length: 0"),
+	requestHead("X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 0"),
+	requestHead("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: soon", "Content-Length: 0"),
+	requestHead("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: -1", "Content-Length: 0"),
+	requestHead("X-Call-Id: bad", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 5", "Transfer-Encoding: chunked") +
+		"0\r\n\r\n" + requestHead("X-Call-Id: hidden", "X-Call-Class: TRACK", "X-Budget-Ms: 900", "Content-Length: 0"),
+	"POST /x HTTP/1.1\r\n" + strings.Repeat("X-Long: "+strings.Repeat("y", 1000)+"\r\n", 40),
+}
+
+// requestHead is the head of a request with these header fields.
+func requestHead(fields ...string) string {
+	return "POST /x HTTP/1.1\r\nHost: backend.local\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
+}
+
+// startMalformedClients sends a malformed request to each node at the scenario's rate, of all kinds in turn.
+func (v *wiredWorld) startMalformedClients() {
+	w := v.world
+	gap, turn := time.Duration(1e9/w.scenario.Load.Bad), 0
+	var next func()
+	next = func() {
+		if w.now >= time.Duration(w.scenario.Length) {
+			return
+		}
+		turn++
+		request := strings.ReplaceAll(malformedRequests[turn%len(malformedRequests)], classPlaceholder, w.scenario.Tracks[0].Name)
+		for _, n := range w.nodes {
+			if n.up && n.process != nil {
+				go v.sendMalformed(n.process, fmt.Sprint("bad", turn), request)
+			}
+		}
+		w.after(gap, next)
+	}
+	w.after(clientsStartAfter, next)
+}
+
+// sendMalformed sends a malformed request to a node and reads what comes back.
+func (v *wiredWorld) sendMalformed(p *nodeProcess, id, request string) {
+	ctx, cancel := context.WithTimeout(context.Background(), malformedReplyTimeout)
+	defer cancel()
+	conn, err := v.net.Dial(ctx, "bad", id, p.addr)
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	conn.Write([]byte(request)) //nolint:errcheck // reading the answer shows what became of the connection
+	conn.SetReadDeadline(time.Now().Add(malformedReplyTimeout))
+	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	v.locked(func() {
+		v.world.result.Bad++
+		if p.ended {
+			return
+		}
+		if errors.Is(err, os.ErrDeadlineExceeded) || err == nil && answer.StatusCode < http.StatusBadRequest {
+			v.world.result.Wrong++
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulation/node.go
@@ -0,0 +1,342 @@
+package simulation
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"birchstair/internal/cluster"
+	"birchstair/internal/config"
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// simNode is a node of the world: its state machine, and a model of the process around it.
+type simNode struct {
+	world        *World
+	id           invariants.NodeID
+	name         string
+	zone         policy.ZoneID
+	trafficShare float64 // of its zone's traffic, relative to the zone's other nodes
+
+	reducer     *node.Node
+	incarnation int // starts so far
+	startedAt   time.Duration
+	diedAt      time.Duration
+	timerSeq    int // of the timer that is set; earlier ones are void
+
+	up               bool
+	ready            bool
+	frontendClosed   bool         // no new requests are taken
+	activeDownFaults int          // faults that keep it down
+	suspended        bool         // the process is stopped, as by SIGSTOP
+	pendingEvents    []node.Event // events for a suspended process
+
+	conns     map[node.ConnID]*executorConn
+	requests  map[policy.JobID]*clientRequest
+	endpoints map[policy.ExecutorID]invariants.Seen // what it was last notified of each executor
+	excluded  map[policy.ExecutorID]invariants.Seen // by operators, with what the endpoint list says of them
+	watchCut  bool                                  // nothing reaches it from discovery
+
+	openJobs    int
+	attemptsOut int
+	maxQueued   int
+
+	// In a wired world.
+	process *nodeProcess
+	dialed  map[node.ConnID]*executor
+
+	// In a world with gossip.
+	alivePeers    []cluster.NodeName
+	peerReachedAt map[invariants.NodeID]time.Duration
+	partitioned   bool     // no messages between it and nodes that are not partitioned
+	corruption    int      // messages sent while it sends corrupt ones, counted from 1; 0 while it does not
+	workRate      workRate // to check the rates that it sends
+}
+
+// Fixed settings of all nodes.
+const (
+	totalWeight       = 0.8 // of the value of all classes in what the policy optimizes
+	worstClassWeight  = 0.2 // of the value of the worst class
+	quantum           = 4 * time.Millisecond
+	maxShutdown       = 3 * time.Second
+	shutdownMargin    = 700 * time.Millisecond
+	cachedListAge     = 10 * time.Second // of the endpoint list that a node starts with
+	firstWatchDelay   = 20 * time.Millisecond
+	readinessDelay    = time.Millisecond // until the front layer sees a change of readiness
+	nodeIODelay       = 5 * time.Millisecond
+	restartPollPeriod = 100 * time.Millisecond
+)
+
+// settings are the policy settings and limits with which a node starts.
+func (n *simNode) settings() (policy.Settings, node.Limits) {
+	fleet := &n.world.scenario.Fleet
+	wired := n.world.wired != nil
+	settings := policy.Settings{
+		Seed:                uint32(permute(n.world.seed + uint64(n.id)<<20 + uint64(n.incarnation))),
+		Node:                int(n.id),
+		Nodes:               fleet.Nodes,
+		Zone:                n.zone,
+		ValuePerWork:        fleet.PerWork,
+		CrossZoneCost:       fleet.CrossPrice,
+		TotalWeight:         totalWeight,
+		WorstClassWeight:    worstClassWeight,
+		MaxAttempts:         fleet.Allocations,
+		MayCancel:           true,
+		MaxRetryAfter:       time.Duration(fleet.ComeBack),
+		Quantum:             quantum,
+		LoadAdjustedWeights: fleet.WeightsEvery > 0,
+		SlowStartCapacity:   fleet.ColdShare,
+		SlowStartDuration:   time.Duration(fleet.WarmWithin),
+		OverloadMultiple:    fleet.FallMultiple,
+		OverloadWindow:      time.Duration(fleet.FallWindow),
+		StartNotices:        fleet.TellsStart,
+		ProgressInterval:    time.Duration(fleet.TellsEvery),
+		MayLease:            fleet.Talk && fleet.Keepers && !wired,
+		MayHedge:            fleet.Copies,
+		ClientsMarkRetries:  n.world.scenario.Load.MarksAgain && !wired,
+		MayProbe:            fleet.Probes && !wired,
+	}
+	longest := time.Duration(0)
+	for _, class := range n.world.jobClasses {
+		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialLimit)) // as config does
+		settings.JobClasses = append(settings.JobClasses, class)
+		longest = max(longest, class.Deadline)
+	}
+	return settings, node.Limits{
+		Quantum:         settings.Quantum,
+		MaxIdle:         time.Duration(fleet.IdleLimit) * 4 / 5,
+		DialTimeout:     time.Duration(fleet.DialLimit),
+		MaxConns:        fleet.NodeConns,
+		MaxBodyBytes:    fleet.NodeBodies,
+		RetryAfter:      settings.MaxRetryAfter,
+		MaxWork:         4 * longest,
+		LameDuckPeriod:  config.LameDuckPeriod,
+		ShutdownTimeout: min(longest, maxShutdown) + shutdownMargin - config.LameDuckPeriod,
+	}
+}
+
+// start starts the node's process: it has a cached endpoint list, and watches discovery soon.
+func (n *simNode) start() {
+	n.reset()
+	n.world.observe(invariants.Seen{What: invariants.NodeStarted, Node: n.id})
+	settings, limits := n.settings()
+	if n.world.defects.settings != nil {
+		n.world.defects.settings(&settings)
+	}
+	decider := n.newPolicy(settings)
+	if n.world.defects.policy != nil {
+		decider = n.world.defects.policy(n.world, n, decider)
+	}
+	if n.world.wired != nil {
+		n.dialed = map[node.ConnID]*executor{}
+		n.world.wired.startNode(n, settings, limits, decider)
+		return
+	}
+	var classes []node.JobClass
+	for i, class := range settings.JobClasses {
+		classes = append(classes, node.JobClass{Name: strconv.Itoa(i), JobClass: class})
+	}
+	n.reducer = node.New(&policyRecorder{Policy: decider, node: n}, limits, classes)
+	if n.world.scenario.Fleet.Talk {
+		n.joinFleet()
+	}
+	n.deliver(n.endpointsUpdate(policy.CachedUpdate, n.world.discovery.Copy(n.world.now-cachedListAge)))
+	n.after(firstWatchDelay, func() {
+		n.world.discovery.Watch(n.id)
+		n.deliverEndpoints()
+	})
+}
+
+// reset forgets the state of the process before.
+func (n *simNode) reset() {
+	n.incarnation++
+	n.startedAt = n.world.now
+	n.up, n.ready, n.frontendClosed = true, false, false
+	n.suspended, n.pendingEvents = false, nil
+	n.corruption = 0
+	n.openJobs, n.attemptsOut = 0, 0
+	n.conns = map[node.ConnID]*executorConn{}
+	n.requests = map[policy.JobID]*clientRequest{}
+	n.endpoints = map[policy.ExecutorID]invariants.Seen{}
+	n.excluded = map[policy.ExecutorID]invariants.Seen{}
+}
+
+// after runs a function after a delay, unless the process has ended by then.
+func (n *simNode) after(delay time.Duration, run func()) {
+	incarnation := n.incarnation
+	n.world.after(delay, func() {
+		if n.up && n.incarnation == incarnation {
+			run()
+		}
+	})
+}
+
+// deliver steps the state machine with an event and carries out its effects.
+func (n *simNode) deliver(event node.Event) {
+	if !n.up {
+		return
+	}
+	if n.suspended {
+		n.pendingEvents = append(n.pendingEvents, event)
+		return
+	}
+	events := []node.Event{event}
+	if n.world.defects.event != nil {
+		events = n.world.defects.event(n.world, n, event)
+	}
+	for _, event := range events {
+		effects := n.reducer.Step(n.world.now-n.startedAt, event)
+		n.recordAdminCall(event, effects)
+		n.recordPeerDrains(effects)
+		for _, effect := range effects {
+			n.executeWithDefects(effect)
+		}
+	}
+}
+
+func (n *simNode) executeWithDefects(effect node.Effect) {
+	if n.world.defects.effect == nil {
+		n.execute(effect)
+		return
+	}
+	for _, effect := range n.world.defects.effect(n.world, n, effect) {
+		n.execute(effect)
+	}
+}
+
+// execute carries out an effect of the state machine.
+func (n *simNode) execute(effect node.Effect) {
+	switch effect := effect.(type) {
+	case node.Answer:
+		n.answer(effect)
+	case node.Dial:
+		n.dial(effect)
+	case node.WriteAttempt:
+		n.writeAttempt(effect)
+	case node.CloseConn:
+		n.closeConn(effect.Conn)
+	case node.ProbeExecutor:
+		n.probe(effect)
+	case node.SetReady:
+		n.after(readinessDelay, func() { n.ready = effect.Yes })
+	case node.DrainClients:
+		n.after(readinessDelay, func() { n.ready = !effect.On && !n.frontendClosed })
+	case node.CloseFrontend:
+		n.frontendClosed = true
+		n.after(nodeIODelay, func() { n.deliver(node.FrontendClosed{}) })
+	case node.WatchEndpoints:
+		n.after(nodeIODelay, n.deliverEndpoints)
+	case node.SendGossip:
+		n.sendGossip(effect.Envelope)
+	case node.SendLeaseMessage:
+		n.sendLeaseMessage(effect)
+	case node.SetTimer:
+		n.setTimer(effect)
+	case node.Log:
+		n.recordLog(effect)
+	case node.Exit:
+		n.exit()
+	}
+}
+
+// setTimer sets the node's one timer.
+func (n *simNode) setTimer(effect node.SetTimer) {
+	n.timerSeq++
+	seq := n.timerSeq
+	n.after(n.startedAt+effect.At-n.world.now, func() {
+		if n.timerSeq == seq {
+			n.deliver(node.TimerFired{})
+		}
+	})
+}
+
+// recordLog counts panics of the policy, and writes the first line of a log message into the trace: a stack has addresses, which differ
+// from run to run.
+func (n *simNode) recordLog(message node.Log) {
+	if strings.HasPrefix(message.Text, node.PolicyPanicked) {
+		n.world.result.Panics++
+	}
+	if n.world.traceFunc != nil {
+		text, _, _ := strings.Cut(message.Text, "\n")
+		n.world.observe(invariants.Seen{What: invariants.Note, Node: n.id, Job: message.Job, Executor: message.Executor, Text: text})
+	}
+}
+
+// shutDown requests a graceful shutdown.
+func (n *simNode) shutDown() {
+	if n.process != nil {
+		n.process.stop()
+		return
+	}
+	n.deliver(node.ShutdownRequested{})
+}
+
+// kill ends the process at once, as SIGKILL does.
+func (n *simNode) kill() {
+	if !n.up {
+		return
+	}
+	n.world.observe(invariants.Seen{What: invariants.NodeKilled, Node: n.id})
+	if n.process != nil {
+		n.process.kill()
+	}
+	n.exit()
+}
+
+// exit ends the process: its connections close. What is in flight to executors still arrives.
+func (n *simNode) exit() {
+	n.up, n.ready, n.diedAt = false, false, n.world.now
+	n.world.result.recordMaxQueued(n)
+	for _, conn := range sortedByID(n.conns) {
+		if conn.state != connClosed {
+			conn.state = connClosed
+			conn.closeAtExecutor()
+		}
+	}
+	n.loseClients()
+}
+
+// endDownFault ends one of the faults that keep the node down; with the last one it starts, once its old process has ended.
+func (n *simNode) endDownFault() {
+	if n.activeDownFaults--; n.activeDownFaults > 0 {
+		return
+	}
+	n.activeDownFaults = 0
+	if !n.up {
+		n.start()
+		return
+	}
+	n.activeDownFaults = 1
+	n.after(restartPollPeriod, n.endDownFault)
+	n.world.after(restartPollPeriod, func() {
+		if !n.up && n.activeDownFaults == 1 {
+			n.endDownFault()
+		}
+	})
+}
+
+// suspend stops the process for a while, as SIGSTOP does: events wait unread.
+func (n *simNode) suspend(fault emulator.Fault) {
+	if !n.up || n.suspended {
+		return
+	}
+	n.suspended = true
+	n.world.observe(invariants.Seen{What: invariants.StoodStill, Node: n.id})
+	n.after(fault.For, n.resume)
+}
+
+// resume lets a suspended process go on with the events that have waited.
+func (n *simNode) resume() {
+	n.suspended = false
+	n.workRate.suspendedUntil = n.world.now + suspendGrace
+	n.world.observe(invariants.Seen{What: invariants.WentOn, Node: n.id})
+	events := n.pendingEvents
+	n.pendingEvents = nil
+	for _, event := range events {
+		n.deliver(event)
+	}
+	n.deliverEndpoints()
+}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -1,11 +1,6 @@
 package simulation
 
 import (
-	"cmp"
-	"fmt"
-	"io"
-	"slices"
-	"strings"
 	"time"
 
 	"birchstair/internal/emulator"
@@ -17,275 +12,175 @@
 	Scenario string              `json:"scenario"`
 	Seed     uint64              `json:"seed"`
 	Length   Span                `json:"length"`
-	Earned   float64             `json:"earned"` // part of the earnings asked for that was answered in the quoted time
-	Best     float64             `json:"best"`   // the most of it that could have been, by what nodes and executors were there; 0 where it is not reckoned
-	Worst    float64             `json:"worst"`  // the same over the worst 10 s
+	Earned   float64             `json:"earned"` // share of the value offered that was earned within the latency objectives
+	Best     float64             `json:"best"`   // upper bound of Earned, by which nodes and executors were up; 0 if it is not known
+	Worst    float64             `json:"worst"`  // Earned over the worst 10 s
 	WorstAt  Span                `json:"worst_at"`
-	Tracks   []TrackResult       `json:"tracks"`
-	Broken   []invariants.Broken `json:"broken"`
+	Tracks   []TrackResult       `json:"tracks"` // by class
+	Broken   []invariants.Broken `json:"broken"` // violations of invariants
 
-	Allocations  int `json:"allocations"`
-	Crossings    int `json:"crossings"` // allocations to another zone
-	Copies       int `json:"copies"`    // allocations while another of the batch job was out
+	Allocations  int `json:"allocations"` // attempts
+	Crossings    int `json:"crossings"`   // attempts to another zone
+	Copies       int `json:"copies"`      // attempts while another one of the job was out
 	Probes       int `json:"probes"`
 	Dials        int `json:"dials"`
-	NoConnection int `json:"no_connection"` // dials that led nowhere
-	StartsWaited int `json:"starts_waited"`
-	MostHeld     int `json:"most_held"` // by any node
-	Left         int `json:"left"`      // clients that left early
-	Fell         int `json:"fell"`
-	WentWaiting  int `json:"went_waiting"` // of clients that left, those whose batch jobs waited with nothing out
-	SentLate     int `json:"sent_late"`    // attempts for clients that had left longer ago than is allowed
-	LateTwice    int `json:"late_twice"`   // tagged ones held up on the way for longer than their window, that ran again
-	Wrong        int `json:"wrong"`        // answers that no node should give; seen where the world is wired
-	Bad          int `json:"bad"`          // bad clients that came
-	Panics       int `json:"panics"`       // of the module, kept to one batch job
-	Steps        int `json:"steps"`
-	Words        int `json:"words"` // that nodes told each other
+	NoConnection int `json:"no_connection"` // dials that failed
+	StartsWaited int `json:"starts_waited"` // attempts that waited in their executor's queue
+	MostHeld     int `json:"most_held"`     // jobs without an attempt out at a node, at most
+	Left         int `json:"left"`          // clients that left early
+	Fell         int `json:"fell"`          // executors that fell over by overload
+	WentWaiting  int `json:"went_waiting"`  // clients that left while their job had no attempt out
+	SentLate     int `json:"sent_late"`     // attempts for clients that had left longer ago than is allowed
+	LateTwice    int `json:"late_twice"`    // jobs with a key that were delayed on their way beyond the dedup window and ran again
+	Wrong        int `json:"wrong"`         // answers that no node should give; seen in wired worlds
+	Bad          int `json:"bad"`           // malformed requests sent; in wired worlds
+	Panics       int `json:"panics"`        // of the policy; each was contained to one job
+	Steps        int `json:"steps"`         // events
+	Words        int `json:"words"`         // messages between nodes
 
 	Account *Account `json:"account,omitempty"`
 
-	seconds  []second
-	offers   []Offer
-	capacity []float64 // work that could be done in each bin
-	body     []byte
+	seconds     []resultSecond
+	offers      []Offer
+	capacity    []float64 // work that could be done in each bin
+	requestBody []byte
 }
 
-// Offer is work that was wanted, from when until when it earned.
-type Offer struct {
-	Came, Until time.Duration
-	Work, Earns float64
-}
-
-// Bin is the span of time for which capacity is booked.
-const Bin = 250 * time.Millisecond
-
-// TrackResult is a track's part of it.
+// TrackResult is a class's part of a result.
 type TrackResult struct {
 	Name       string  `json:"name"`
-	Works      int     `json:"works"` // things wanted, over all tries
-	Tries      int     `json:"tries"`
+	Works      int     `json:"works"` // each with one request or more
+	Tries      int     `json:"tries"` // requests
 	Earned     float64 `json:"earned"`
-	Handled    int     `json:"handled"` // tries, by how they ended
+	Handled    int     `json:"handled"` // requests that succeeded, and so on
 	PushedBack int     `json:"pushed_back"`
 	BrokenOff  int     `json:"broken_off"`
 	Unreached  int     `json:"unreached"`
 	Lost       int     `json:"lost"` // with their node
 
-	asked, earned float64
+	valueOffered, valueEarned float64
 }
 
-// second is what was asked for in a second, and what of that was earned.
-type second struct{ asked, earned float64 }
+// resultSecond is the value of the works that came in a second, and what they earned.
+type resultSecond struct{ valueOffered, valueEarned float64 }
 
 func newResult(s Scenario, seed uint64) Result {
-	r := Result{Scenario: s.Name, Seed: seed, Length: s.Length, seconds: make([]second, int(time.Duration(s.Length)/time.Second)+1)}
-	for _, t := range s.Tracks {
-		r.Tracks = append(r.Tracks, TrackResult{Name: t.Name})
+	r := Result{Scenario: s.Name, Seed: seed, Length: s.Length, seconds: make([]resultSecond, int(time.Duration(s.Length)/time.Second)+1)}
+	for _, class := range s.Tracks {
+		r.Tracks = append(r.Tracks, TrackResult{Name: class.Name})
 	}
 	return r
 }
 
-func (r *Result) second(at time.Duration) *second {
+func (r *Result) secondOf(at time.Duration) *resultSecond {
 	return &r.seconds[min(int(at/time.Second), len(r.seconds)-1)]
 }
 
-func (r *Result) asked(work *emulator.Work) {
-	t := &r.Tracks[work.Track]
-	t.Works++
-	t.asked += work.Earns
-	r.second(work.Came).asked += work.Earns
+// recordWork records a new work.
+func (r *Result) recordWork(work *emulator.Work) {
+	class := &r.Tracks[work.Track]
+	class.Works++
+	class.valueOffered += work.Earns
+	r.secondOf(work.Came).valueOffered += work.Earns
 	r.offers = append(r.offers, Offer{work.Came, work.Quoted, work.Cost, work.Earns})
 }
 
-// sample books what could be done in the bin that begins now: by executors that take and answer, that some node which lives can reach.
-func (r *Result) sample(w *World) {
-	can := 0.0
-	for _, x := range w.executors {
-		t := x.Trouble()
-		if !x.Up || x.gone || x.Drains || t.Mute || !w.reachable(x) {
-			continue
-		}
-		part := (1 - t.Errors) * (1 - t.Neighbour/2) / max(1, t.Slow)
-		if t.StallEvery > 0 {
-			part *= 1 - t.StallFor.Seconds()/t.StallEvery.Seconds()
-		}
-		can += x.Capacity(w.now) * part
-	}
-	r.capacity = append(r.capacity, can*Bin.Seconds())
-}
-
-// reachable says whether a node lives that may send to an executor: there is a way, and operators have not taken it out there.
-func (w *World) reachable(x *executor) bool {
-	for _, n := range w.nodes {
-		_, out := n.outs[x.ID]
-		if n.up && !n.stopped && !out && w.connected(n.zone, x.Zone) {
-			return true
-		}
-	}
-	return false
-}
-
-// Best is the most that could have been earned with a capacity, in work for each bin: what earns most for its work first, each in the first bins of its
-// time that have room left.
-func Best(offers []Offer, capacity []float64) float64 {
-	left := slices.Clone(capacity)
-	offers = slices.Clone(offers)
-	slices.SortStableFunc(offers, func(a, b Offer) int { return cmp.Compare(b.Earns/b.Work, a.Earns/a.Work) })
-	sum := 0.0
-	for _, o := range offers {
-		work := o.Work
-		for i := int(o.Came / Bin); i <= int(o.Until/Bin) && i < len(left) && work > 0; i++ {
-			x := min(work, left[i])
-			left[i] -= x
-			work -= x
-		}
-		sum += o.Earns * (1 - work/o.Work)
-	}
-	return sum
-}
-
-// ended books the end of a try, and gives what it earned.
-func (r *Result) ended(w *World, work *emulator.Work, how emulator.End) (earned float64) {
-	t := &r.Tracks[work.Track]
-	t.Tries++
-	switch how {
+// recordRequestEnd records the end of a request and returns the value that it earned.
+func (r *Result) recordRequestEnd(w *World, work *emulator.Work, end emulator.End) (earned float64) {
+	class := &r.Tracks[work.Track]
+	class.Tries++
+	switch end {
 	case emulator.EndHandled:
-		t.Handled++
-		earns := work.Earns
+		class.Handled++
+		value := work.Earns
 		if w.now > work.Quoted {
-			earns *= w.module[work.Track].LateValue
+			value *= w.jobClasses[work.Track].LateValue
 		}
-		t.earned += earns
-		r.second(work.Came).earned += earns
-		return earns
+		class.valueEarned += value
+		r.secondOf(work.Came).valueEarned += value
+		return value
 	case emulator.EndPushedBack:
-		t.PushedBack++
+		class.PushedBack++
 	case emulator.EndBrokenOff:
-		t.BrokenOff++
+		class.BrokenOff++
 	case emulator.EndUnreached:
-		t.Unreached++
+		class.Unreached++
 	case emulator.EndLost:
-		t.Lost++
+		class.Lost++
 	}
 	return 0
 }
 
-func (r *Result) held(n *sim) { r.MostHeld = max(r.MostHeld, n.mostHeld) }
+func (r *Result) recordMaxQueued(n *simNode) { r.MostHeld = max(r.MostHeld, n.maxQueued) }
 
-const worstSeconds = 10
+// worstWindow is the number of seconds over which Worst is taken.
+const worstWindow = 10
 
+// finish fills in what is known at the world's end, and drops what is not needed any more.
 func (r *Result) finish(w *World) {
 	for _, n := range w.nodes {
-		r.held(n)
+		r.recordMaxQueued(n)
 	}
 	r.Steps, r.LateTwice, r.WentWaiting, r.SentLate = w.steps, w.checker.LateTwice(), w.checker.WentWaiting(), w.checker.SentLate()
-	asked, earned := 0.0, 0.0
+	offered, earned := 0.0, 0.0
 	for i := range r.Tracks {
-		t := &r.Tracks[i]
-		t.Earned = part(t.earned, t.asked)
-		asked += t.asked
-		earned += t.earned
+		class := &r.Tracks[i]
+		class.Earned = ratio(class.valueEarned, class.valueOffered)
+		offered += class.valueOffered
+		earned += class.valueEarned
 	}
-	r.Earned, r.Worst = part(earned, asked), 2
+	r.Earned = ratio(earned, offered)
 	if len(r.capacity) > 0 {
-		r.Best = part(Best(r.offers, r.capacity), asked)
-	}
-	r.offers, r.capacity = nil, nil
-	for i := 0; i+min(worstSeconds, len(r.seconds)) <= len(r.seconds); i++ {
-		a, e := 0.0, 0.0
-		for _, s := range r.seconds[i:min(i+worstSeconds, len(r.seconds))] {
-			a += s.asked
-			e += s.earned
-		}
-		if p := part(e, a); p < r.Worst {
-			r.Worst, r.WorstAt = p, Span(time.Duration(i)*time.Second)
-		}
+		r.Best = ratio(Best(r.offers, r.capacity), offered)
 	}
-	r.body = nil
+	r.findWorst()
+	r.offers, r.capacity, r.requestBody = nil, nil, nil
 	if w.account != nil {
 		r.Account = w.account.finish()
 	}
 }
 
-func part(of, all float64) float64 {
-	if all == 0 {
-		return 1
+// findWorst finds the worst window.
+func (r *Result) findWorst() {
+	window := min(worstWindow, len(r.seconds))
+	r.Worst = 2 // over any share
+	for from := 0; from+window <= len(r.seconds); from++ {
+		if earned := r.earnedOver(from, from+window); earned < r.Worst {
+			r.Worst, r.WorstAt = earned, Span(time.Duration(from)*time.Second)
+		}
 	}
-	return of / all
 }
 
-// Recovery is how long after the last fault's end service was within near of what it was before the first one, over recoverySpell from then on; it says
-// false where it never was, or where no fault ends inside the run.
-func (r *Result) Recovery(faults []Fault, near float64) (time.Duration, bool) {
-	first, last := time.Duration(r.Length), time.Duration(0)
-	for _, f := range faults {
-		first, last = min(first, time.Duration(f.At)), max(last, time.Duration(f.At+f.For))
-	}
-	over := func(from, to int) float64 {
-		a, e := 0.0, 0.0
-		for _, s := range r.seconds[max(0, from):min(to, len(r.seconds))] {
-			a += s.asked
-			e += s.earned
-		}
-		return part(e, a)
+// earnedOver is the share earned of the value offered in some seconds.
+func (r *Result) earnedOver(from, to int) float64 {
+	offered, earned := 0.0, 0.0
+	for _, second := range r.seconds[max(0, from):min(to, len(r.seconds))] {
+		offered += second.valueOffered
+		earned += second.valueEarned
 	}
-	from := int((last + time.Second - 1) / time.Second)
-	before := over(int(settled/time.Second), int(first/time.Second))
-	for at := from; at+recoverySpell <= int(time.Duration(r.Length)/time.Second); at++ {
-		if over(at, at+recoverySpell) >= before-near {
-			return time.Duration(at)*time.Second - last, true
-		}
-	}
-	return 0, false
+	return ratio(earned, offered)
 }
 
-const (
-	settled       = 3 * time.Second // a world has found its feet by then
-	recoverySpell = 3               // seconds
-)
-
-// Works is how many things clients wanted.
-func (r *Result) Works() (n int) {
-	for _, t := range r.Tracks {
-		n += t.Works
+// ratio is a share of a whole; 1 if there is no whole.
+func ratio(share, whole float64) float64 {
+	if whole == 0 {
+		return 1
 	}
-	return n
+	return share / whole
 }
 
-// tries is how many batch jobs nodes were handed.
-func (r *Result) tries() (n int) {
-	for _, t := range r.Tracks {
-		n += t.Tries
+// Works is the number of works that clients wanted.
+func (r *Result) Works() (n int) {
+	for _, class := range r.Tracks {
+		n += class.Works
 	}
 	return n
 }
 
-// Print writes it for people.
-func (r *Result) Print(to io.Writer) {
-	fmt.Fprintf(to, "%s, seed %d, %v\n", r.Scenario, r.Seed, time.Duration(r.Length))
-	fmt.Fprintf(to, "  earned in the quoted time  %.3f, in the worst 10 s %.3f (from %v)\n", r.Earned, r.Worst, time.Duration(r.WorstAt))
-	if r.Best > 0 {
-		fmt.Fprintf(to, "  at the most %.3f could have been, by what nodes and executors were there\n", r.Best)
-	}
-	fmt.Fprintf(to, "  %-10s %7s %7s %7s %8s %8s %7s %7s %6s\n", "track", "earned", "works", "tries", "handled", "pushed", "broken", "no node", "lost")
-	for _, t := range r.Tracks {
-		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", t.Name, t.Earned, t.Works, t.Tries, t.Handled, t.PushedBack, t.BrokenOff, t.Unreached, t.Lost)
-	}
-	fmt.Fprintf(to, "  allocations %d, %.3f a batch job; %d to another zone; %d dials, %d led nowhere; %d starts waited\n",
-		r.Allocations, part(float64(r.Allocations), float64(r.tries())), r.Crossings, r.Dials, r.NoConnection, r.StartsWaited)
-	fmt.Fprintf(to, "  most held by a node %d; %d clients left, %d of them while their batch jobs waited, %d attempts too late after that; %d executors fell over; %d tagged ran again too late to be dropped\n",
-		r.MostHeld, r.Left, r.WentWaiting, r.SentLate, r.Fell, r.LateTwice)
-	if r.Words > 0 {
-		fmt.Fprintf(to, "  %d words between nodes\n", r.Words)
-	}
-	if r.Copies+r.Probes > 0 {
-		fmt.Fprintf(to, "  %d copies; %d probes\n", r.Copies, r.Probes)
-	}
-	if r.Panics > 0 {
-		fmt.Fprintf(to, "  the module broke %d times\n", r.Panics)
-	}
-	for _, b := range r.Broken {
-		fmt.Fprintf(to, "  BROKEN %s\n", strings.ReplaceAll(b.String(), "\n", "\n  "))
+// requests is the number of requests that clients made.
+func (r *Result) requests() (n int) {
+	for _, class := range r.Tracks {
+		n += class.Tries
 	}
+	return n
 }
--- /dev/null
+++ b/internal/simulation/wired_executor.go
@@ -0,0 +1,105 @@
+package simulation
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/memnet"
+)
+
+// executorSocket is a connection at an executor's end.
+type executorSocket struct {
+	conn     *memnet.Conn
+	response platform.Answer // as far as it is written
+}
+
+// host is the network's name of the executor's process.
+func (x *executor) host() string { return fmt.Sprintf("%s#%d", x.ID, x.incarnation) }
+
+// startExecutor starts the executor's process: it listens.
+func (v *wiredWorld) startExecutor(x *executor) {
+	x.incarnation++
+	x.sockets = map[emulator.ConnID]*executorSocket{}
+	v.setZone(x.host(), x.Zone)
+	v.setZone(x.addr, x.Zone)
+	v.setUnreachable(x.addr, false)
+	incarnation := x.incarnation
+	v.listen(x.host(), x.addr, func(conn *memnet.Conn) { v.serveExecutor(x, incarnation, conn) })
+}
+
+// endExecutor ends the executor's process, or its machine if that vanishes.
+func (v *wiredWorld) endExecutor(x *executor, vanishes bool) {
+	if vanishes {
+		v.setUnreachable(x.addr, true)
+	}
+	x.sockets = map[emulator.ConnID]*executorSocket{}
+	v.net.Kill(x.host(), vanishes)
+}
+
+// serveExecutor reads attempts from a connection until it ends.
+func (v *wiredWorld) serveExecutor(x *executor, incarnation int, conn *memnet.Conn) {
+	defer conn.Close()
+	key, accepted := v.acceptAtExecutor(x, incarnation, conn)
+	if !accepted {
+		return
+	}
+	reader := bufio.NewReader(conn)
+	for {
+		attempt, err := platform.ReadAllocation(reader)
+		v.locked(func() {
+			switch {
+			case x.incarnation != incarnation || x.sockets[key] == nil:
+				err = net.ErrClosed
+			case err != nil:
+				delete(x.sockets, key)
+				x.apply(x.Hangup(v.world.now, key))
+			default:
+				conn.SetReadDeadline(time.Time{})
+				if request := v.requests[attempt.Job]; request != nil {
+					x.apply(x.Take(v.world.now, v.world.newAttempt(request, request.node.id, key, x)))
+				}
+			}
+		})
+		if err != nil {
+			return
+		}
+	}
+}
+
+// acceptAtExecutor lets the executor accept a connection, unless its process has ended or it has as many as it takes.
+func (v *wiredWorld) acceptAtExecutor(x *executor, incarnation int, conn *memnet.Conn) (key emulator.ConnID, accepted bool) {
+	v.locked(func() {
+		if x.incarnation != incarnation {
+			return
+		}
+		v.world.lastConnID++
+		key = v.world.lastConnID
+		var outputs []emulator.Out
+		accepted, outputs = x.Open(v.world.now, key)
+		if accepted {
+			x.sockets[key] = &executorSocket{conn: conn}
+		}
+		x.apply(outputs)
+	})
+	return key, accepted
+}
+
+// answerAttempt writes an executor's answer or notice.
+func (v *wiredWorld) answerAttempt(x *executor, answer emulator.Say) {
+	socket, request := x.sockets[answer.Conn], v.requests[answer.Job]
+	if socket == nil || request == nil {
+		return
+	}
+	text, complete := socket.response.Append(nil, answer, x.ID, platform.Result(string(request.work.ID)))
+	socket.conn.Write(text) //nolint:errcheck // the reader of a broken connection sees and records that
+	if answer.Word == emulator.Began && v.world.now-request.sentAt > queuedStart {
+		v.world.result.StartsWaited++
+	}
+	if complete {
+		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(v.world.scenario.Fleet.IdleLimit)))
+	}
+}
--- /dev/null
+++ b/internal/simulation/wired_node.go
@@ -0,0 +1,210 @@
+package simulation
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"birchstair/internal/config"
+	"birchstair/internal/discovery"
+	"birchstair/internal/frontend"
+	"birchstair/internal/invariants"
+	"birchstair/internal/memnet"
+	"birchstair/internal/node"
+	"birchstair/internal/service"
+	"birchstair/policy"
+)
+
+const (
+	maxClientConns = 600 // to a node
+	maxAdminCalls  = 64  // that wait at a process; more are lost
+
+	// Admin calls and dial timeouts come at instants of their own, so that nothing depends on the scheduler.
+	adminDelaySteps  = 997
+	adminDelayStep   = 1009 * time.Nanosecond
+	dialTimeoutSteps = 997
+)
+
+// nodeProcess is a node's process in a wired world.
+type nodeProcess struct {
+	wired       *wiredWorld
+	node        *simNode
+	host        string // the network's name of it
+	addr        string
+	adminEvents chan node.Event
+	stop        context.CancelFunc
+	ended       bool
+	watchDials  int                          // to discovery
+	gaveUp      []invariants.Seen            // by the policy, in this step
+	attempts    map[node.ConnID]*connAttempt // that are out
+}
+
+// startNode starts a node's process.
+func (v *wiredWorld) startNode(n *simNode, settings policy.Settings, limits node.Limits, decider node.Policy) {
+	ctx, stop := context.WithCancel(context.Background())
+	p := &nodeProcess{
+		wired:       v,
+		node:        n,
+		host:        fmt.Sprintf("%s#%d", n.name, n.incarnation),
+		addr:        fmt.Sprintf("127.2.%d.%d:%d", n.id/250, n.id%250+1, 8000+n.incarnation),
+		adminEvents: make(chan node.Event, maxAdminCalls),
+		stop:        stop,
+		attempts:    map[node.ConnID]*connAttempt{},
+	}
+	n.process = p
+	v.setZone(p.host, n.zone)
+	v.setZone(p.addr, n.zone)
+	listener, err := v.net.Listen(p.host, p.addr)
+	if err != nil {
+		panic(err) // each incarnation has its own address
+	}
+	cached := n.endpointsUpdate(policy.CachedUpdate, v.world.discovery.Copy(v.world.now-cachedListAge)).Endpoints
+	setup := service.Options{
+		Settings:        v.nodeConfig(settings),
+		Limits:          limits,
+		ClientLimits:    frontend.ConnLimits{Max: maxClientConns, MaxShared: maxClientConns / 2},
+		CachedEndpoints: discovery.CachedList{Endpoints: cached},
+		DiscoveryAddr:   discoveryAddress,
+		StartTime:       v.start.Add(n.startedAt),
+		Policy:          &policyRecorder{Policy: decider, node: n, process: p},
+		Listener:        listener,
+		DialExecutor:    p.dial,
+		DialDiscovery:   p.dialDiscovery,
+		Log:             zerolog.Nop(),
+		Observer:        p.tap,
+	}
+	go func() {
+		service.Run(ctx, setup, p.adminEvents) //nolint:errcheck // a killed node ends by its listener's error; the invariants judge what clients see
+		v.locked(p.exited)
+	}()
+}
+
+// nodeConfig is a node's configuration.
+func (v *wiredWorld) nodeConfig(settings policy.Settings) config.Settings {
+	fleet := &v.world.scenario.Fleet
+	s := config.Settings{
+		Policy:      settings,
+		LoadFields:  config.LoadFields{0, 1, 2, -1, -1},
+		Zones:       fleet.Zones,
+		Kinds:       []string{"plain"},
+		IdleTimeout: time.Duration(fleet.IdleLimit),
+		DialTimeout: time.Duration(fleet.DialLimit),
+	}
+	if !fleet.Reports {
+		s.LoadFields = config.LoadFields{-1, -1, -1, -1, -1}
+	}
+	for _, class := range v.world.scenario.Tracks {
+		s.JobClassNames = append(s.JobClassNames, class.Name)
+	}
+	return s
+}
+
+// dial opens a connection to an executor, with the faults that new connections have now.
+func (p *nodeProcess) dial(ctx context.Context, id node.ConnID, addr string) (net.Conn, error) {
+	v, w, name := p.wired, p.wired.world, fmt.Sprint(id)
+	timeout := time.Duration(w.scenario.Fleet.DialLimit) + time.Duration(id%dialTimeoutSteps)*time.Nanosecond
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	conn, err := v.net.Dial(ctx, p.host, name, addr)
+	silent, breaks := false, false
+	v.locked(func() {
+		if p.ended {
+			return
+		}
+		w.result.Dials++
+		if err != nil {
+			w.result.NoConnection++
+		}
+		silent = v.net.Chance("silent"+p.host+name) < w.newConnSilentRate
+		breaks = v.net.Chance("break"+p.host+name) < w.newConnResetRate
+	})
+	if err != nil {
+		return nil, err
+	}
+	if silent {
+		conn.SilenceBack()
+	}
+	if breaks {
+		conn.BreakAtUse(memnet.Within + memnet.Break(3*v.net.Chance("how"+p.host+name)))
+	}
+	return conn, nil
+}
+
+// dialDiscovery opens a connection to discovery. Its name has a count of the process, as one that is killed may or may not dial once
+// more before it ends.
+func (p *nodeProcess) dialDiscovery(ctx context.Context, _, addr string) (net.Conn, error) {
+	name := ""
+	p.wired.locked(func() {
+		p.watchDials++
+		name = fmt.Sprint("list", p.watchDials)
+	})
+	conn, err := p.wired.net.Dial(ctx, p.host, name, addr)
+	if err != nil {
+		return nil, err // not a nil *memnet.Conn in an interface
+	}
+	return conn, nil
+}
+
+// wiredConn is an open connection of a node's process.
+type wiredConn struct {
+	*memnet.Conn
+	world *World
+}
+
+// silence lets nothing come back on the connection any more.
+func (c wiredConn) silence() { c.SilenceBack() }
+
+// breakAt resets the connection after a delay.
+func (c wiredConn) breakAt(delay time.Duration) { c.world.after(delay, c.Reset) }
+
+// openConns are the process's open connections to executors.
+func (p *nodeProcess) openConns() (all []faultableConn) {
+	w := p.wired.world
+	for _, conn := range p.wired.net.Conns(p.host) {
+		if w.byAddr[conn.RemoteAddr().String()] != nil {
+			all = append(all, wiredConn{conn, w})
+		}
+	}
+	return all
+}
+
+// adminCall has an operator call the process.
+func (p *nodeProcess) adminCall(call node.AdminCalled) {
+	w := p.wired.world
+	w.adminCalls++
+	w.after(time.Duration(w.adminCalls%adminDelaySteps+1)*adminDelayStep, func() {
+		if p.ended {
+			return
+		}
+		select {
+		case p.adminEvents <- call:
+		default:
+		}
+	})
+}
+
+// kill ends the process at once, as SIGKILL does.
+func (p *nodeProcess) kill() {
+	p.ended = true
+	p.wired.net.Kill(p.host, false)
+	go func() {
+		p.adminEvents <- node.FrontendClosed{}
+		close(p.adminEvents)
+		p.stop()
+	}()
+}
+
+// exited is the process ending by itself.
+func (p *nodeProcess) exited() {
+	if p.ended {
+		return
+	}
+	p.ended = true
+	close(p.adminEvents)
+	p.stop()
+	p.node.exit()
+	p.wired.net.Kill(p.host, false)
+}
--- /dev/null
+++ b/internal/simulation/wired_tap.go
@@ -0,0 +1,104 @@
+package simulation
+
+import (
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/internal/invariants"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// tap observes a step of the process's state machine.
+func (p *nodeProcess) tap(_ time.Duration, event node.Event, effects []node.Effect) {
+	p.wired.locked(func() {
+		gaveUp := p.gaveUp
+		p.gaveUp = nil
+		if p.ended {
+			return
+		}
+		p.recordEvent(event)
+		p.node.recordAdminCall(event, effects)
+		for _, s := range gaveUp {
+			p.wired.world.observe(s)
+		}
+		for _, effect := range effects {
+			p.recordEffect(effect)
+		}
+	})
+}
+
+// recordEvent records what an event says.
+func (p *nodeProcess) recordEvent(event node.Event) {
+	n, w := p.node, p.wired.world
+	switch event := event.(type) {
+	case node.JobArrived:
+		request := p.wired.requests[event.Job.ID]
+		if request == nil { // no client has sent it: it was hidden in the body of another one
+			w.result.Wrong++
+			return
+		}
+		n.openJobs++
+		w.observe(invariants.Seen{What: invariants.Taken, Node: n.id, Job: request.job, Work: request.work.ID, Track: request.work.Track,
+			Limit: w.now + event.Job.Budget})
+	case node.ClientLeft:
+		n.openJobs--
+		w.observe(invariants.Seen{What: invariants.Left, Node: n.id, Job: event.Job})
+	case node.EndpointsUpdated:
+		p.recordEndpoints(event)
+	case node.AttemptEnded:
+		p.attemptEnded(event.Conn, event.Outcome.NeverRan())
+	case node.AttemptNotSent: // its first byte was recorded with the effect, but never left
+		p.attemptEnded(event.Conn, true)
+	case node.ConnClosed: // nothing of an attempt has left, or its outcome would have come
+		p.attemptEnded(event.Conn, true)
+	}
+}
+
+// recordEndpoints records an update of the endpoint list.
+func (p *nodeProcess) recordEndpoints(event node.EndpointsUpdated) {
+	if event.Kind == policy.WatchFailed || event.Kind == policy.CachedUpdate {
+		return
+	}
+	var entries []emulator.Entry
+	for _, endpoint := range event.Endpoints {
+		endpoint.StartedAt += p.node.startedAt
+		entries = append(entries, emulator.Entry{Endpoint: endpoint.Endpoint, Addr: endpoint.Addr})
+	}
+	p.node.endpointsUpdate(event.Kind, entries)
+}
+
+// attemptEnded records the end of the attempt on a connection, if one is out.
+func (p *nodeProcess) attemptEnded(id node.ConnID, neverRan bool) {
+	if attempt := p.attempts[id]; attempt != nil {
+		delete(p.attempts, id)
+		p.node.recordAttemptEnd(attempt, neverRan)
+	}
+}
+
+// recordEffect records what an effect does.
+func (p *nodeProcess) recordEffect(effect node.Effect) {
+	n, w := p.node, p.wired.world
+	switch effect := effect.(type) {
+	case node.Answer:
+		n.openJobs--
+		w.observe(invariants.Seen{What: invariants.Answered, Node: n.id, Job: effect.Job, Final: invariants.Final(effect.Final)})
+	case node.Dial:
+		if x := w.byAddr[effect.Addr]; x != nil {
+			n.dialed[effect.Conn] = x
+		}
+	case node.WriteAttempt:
+		request, x := p.wired.requests[effect.Attempt.ID], n.dialed[effect.Conn]
+		if request == nil || x == nil {
+			return
+		}
+		p.attempts[effect.Conn] = n.recordAttempt(request, x)
+	case node.SetReady:
+		n.ready = effect.Yes
+	case node.Log:
+		n.recordLog(effect)
+	case node.CloseFrontend:
+		n.frontendClosed = true
+	}
+	n.maxQueued = max(n.maxQueued, n.openJobs-n.attemptsOut)
+}
