--- a/cmd/birchstair/config.go
+++ b/cmd/birchstair/config.go
@@ -35,7 +35,7 @@
 	node.reservePeerDescriptors(own)
 	clients, executors := node.ConnLimits()
 	fmt.Printf("%s is sound: %d tracks, at most %d connections from clients and %d to executors\n",
-		os.Getenv("ROUTER_CONFIG"), len(node.Settings.Tracks), clients, executors)
+		os.Getenv("ROUTER_CONFIG"), len(node.Settings.JobClassNames), clients, executors)
 	p := node.Settings.Policy
 	probes := "off"
 	if p.MayProbe {
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -180,7 +180,7 @@
 
 // openDurable opens the store of durable batch jobs.
 func openDurable(own *site.Durable, conf nodeConfig, log zerolog.Logger) (*durable.Manager, error) {
-	s, err := store.Open(store.Directory(own.Dir), store.Options{Segment: int64(own.SegmentSize), Most: int64(own.MaxSize)})
+	s, err := store.Open(store.Directory(own.Dir), store.Options{SegmentBytes: int64(own.SegmentSize), MaxBytes: int64(own.MaxSize)})
 	if err != nil {
 		return nil, fmt.Errorf("durable.dir: %w", err)
 	}
@@ -190,13 +190,13 @@
 	o := durable.Options{
 		MaxDeadline: time.Duration(own.MaxDeadline),
 		Leases: leases.Settings{
-			Room:     own.MaxConcurrent,
-			Keep:     time.Duration(own.Retention),
-			Leases:   own.ExecutorLeases,
-			AskEvery: time.Duration(own.PollInterval),
+			MaxDispatched:  own.MaxConcurrent,
+			AnswerTTL:      time.Duration(own.Retention),
+			QueryExecutors: own.ExecutorLeases,
+			QueryInterval:  time.Duration(own.PollInterval),
 		},
 	}
-	return durable.New(o, s, conf.Settings.Tracks, conf.Settings.Policy.JobClasses, dial, log), nil
+	return durable.New(o, s, conf.Settings.JobClassNames, conf.Settings.Policy.JobClasses, dial, log), nil
 }
 
 // clusterOptions returns how the node gossips with others; nil where the operator's own file does not turn that on.
--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -166,7 +166,7 @@
 			return s, err
 		}
 		s.Policy.JobClasses = append(s.Policy.JobClasses, class)
-		s.Tracks = append(s.Tracks, w.JobClasses[i].Name)
+		s.JobClassNames = append(s.JobClassNames, w.JobClasses[i].Name)
 	}
 	return s, nil
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -69,7 +69,7 @@
 // the job classes, which take effect at once; the seed, which is new at each start; and the known list, which discovery replaces.
 func (c *Config) RestartKeys(other Config) (keys []string) {
 	other.Settings.Policy.Seed = c.Settings.Policy.Seed
-	other.Settings.Tracks = c.Settings.Tracks
+	other.Settings.JobClassNames = c.Settings.JobClassNames
 	other.Settings.Policy.JobClasses = c.Settings.Policy.JobClasses
 	other.Settings.Policy.MaxAttempts = c.Settings.Policy.MaxAttempts
 	probe := other.Settings.Probe
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -59,10 +59,10 @@
 func JobClasses(s config.Settings) (classes []node.JobClass) {
 	for i, class := range s.Policy.JobClasses {
 		name := ""
-		if n := len(s.Tracks); i < n {
-			name = s.Tracks[i]
+		if n := len(s.JobClassNames); i < n {
+			name = s.JobClassNames[i]
 		} else {
-			name = durable.ClassPrefix + s.Tracks[i-n]
+			name = durable.ClassPrefix + s.JobClassNames[i-n]
 		}
 		classes = append(classes, node.JobClass{Name: name, JobClass: class})
 	}
@@ -114,7 +114,7 @@
 	n := &instance{Options: o, loop: node.NewLoop(o.StartTime)}
 	n.loop.Observe = o.Observer
 	n.core = node.New(o.Policy, o.Limits, JobClasses(o.Settings))
-	ownClasses := n.core.JobClasses()[:len(o.Settings.Tracks)] // without those of durable batch jobs
+	ownClasses := n.core.JobClasses()[:len(o.Settings.JobClassNames)] // without those of durable batch jobs
 	n.frontend = frontend.New(ownClasses, o.ClientLimits, n.loop.Post)
 	n.upstream = upstream.New(o.DialExecutor, o.Settings.ReportsLoad(), upstream.ProbeConfig{
 		Path:    o.Settings.Probe.Path,
--- a/internal/simulation/wired.go
+++ b/internal/simulation/wired.go
@@ -409,7 +409,7 @@
 		s.LoadFields = config.LoadFields{-1, -1, -1, -1, -1}
 	}
 	for _, t := range v.w.s.Tracks {
-		s.Tracks = append(s.Tracks, t.Name)
+		s.JobClassNames = append(s.JobClassNames, t.Name)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -78,17 +78,17 @@
 	text := []byte("a = 1\n[t]\nb = 2\n[[r]]\nc = 3\n[[r]]\n  c = 4\n")
 	cause := errors.New("cause")
 	for _, c := range []struct {
-		place Place
+		place Position
 		want  string
 	}{
-		{Place{Key: "a", Index: -1}, "f:1: a: cause"},
-		{Place{Key: "none", Index: -1}, "f:1: none: cause"},
-		{Place{Table: "t", Key: "b", Index: -1}, "f:3: t.b: cause"},
-		{Place{Table: "t", Key: "none", Index: -1}, "f:2: t.none: cause"},
-		{Place{Table: "r", Key: "c", Index: 0}, "f:5: r[0].c: cause"},
-		{Place{Table: "r", Key: "c", Index: 1}, "f:7: r[1].c: cause"},
-		{Place{Table: "r", Key: "none", Index: 1}, "f:6: r[1].none: cause"},
-		{Place{Table: "none", Key: "c", Index: -1}, "f:1: none.c: cause"},
+		{Position{Key: "a", Index: -1}, "f:1: a: cause"},
+		{Position{Key: "none", Index: -1}, "f:1: none: cause"},
+		{Position{Table: "t", Key: "b", Index: -1}, "f:3: t.b: cause"},
+		{Position{Table: "t", Key: "none", Index: -1}, "f:2: t.none: cause"},
+		{Position{Table: "r", Key: "c", Index: 0}, "f:5: r[0].c: cause"},
+		{Position{Table: "r", Key: "c", Index: 1}, "f:7: r[1].c: cause"},
+		{Position{Table: "r", Key: "none", Index: 1}, "f:6: r[1].none: cause"},
+		{Position{Table: "none", Key: "c", Index: -1}, "f:1: none.c: cause"},
 	} {
 		err := c.place.Wrap("f", text, cause)
 		if err.Error() != c.want || !errors.Is(err, cause) {
