--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -399,7 +399,7 @@
 		maps.DeleteFunc(g.bucketsByRate, func(_ int, b *rateBucket) bool { return b.position < 0 })
 	}
 	b = &rateBucket{executorHeap: executorHeap{keyKind: keyTokenAge}, group: g, maxRate: maxRate, position: -1}
-	b.executorHeap.bucket = b
+	b.bucket = b
 	g.bucketsByRate[number] = b
 	return b
 }
--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -222,7 +222,7 @@
 func (w *randomWorld) compareJob(j *job, prefix string) {
 	d := w.Dispatcher
 	for _, forLease := range [...]bool{false, true} {
-		if forLease && !(d.config.canLease && d.usesSubset()) {
+		if forLease && (!d.config.canLease || !d.usesSubset()) {
 			continue
 		}
 		got, want := d.pickExecutor(j, w.now, forLease), d.scanned(j, w.now, forLease)
