--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 lint:
 	@test -z "$$(gofmt -l cmd docs internal lab policy)" || { gofmt -l cmd docs internal lab policy; echo 'not gofmt-formatted'; exit 1; }
 	go vet ./...
+	go tool -modfile=tools/go.mod golangci-lint run ./...
 
 # All scenarios, each played once.
 sim: build
