--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -11,171 +11,217 @@
 	"birchstair/internal/emulator"
 )
 
-// Size bounds the worlds that are drawn.
+// Size bounds the scenarios that are drawn.
 type Size struct {
 	Nodes     int           // at most
 	Executors int           // at most
-	Length    time.Duration // of the time in which batch jobs come
-	Cold      bool          // worlds of 20 and 30 nodes, about cold executors
+	Length    time.Duration // of the time in which works come
+	Cold      bool          // scenarios of 20 and 30 nodes about the slow start of executors
 }
 
-// Draw draws a world and its faults from a seed.
+// adminFaults are the kinds of fault that operators cause.
+var adminFaults = []emulator.Kind{emulator.TakenOut, emulator.SentAway}
+
+// Draw draws a scenario and its faults from a seed. Later additions draw from streams of their own, so that the rest of a seed's scenario
+// stays as it was before them.
 func Draw(seed uint64, size Size) Scenario {
 	r := stream(seed, drawStream)
 	s := base()
 	s.Name, s.Seed, s.Length = fmt.Sprint("seed-", seed), seed, Span(size.Length)
 	s.About = fmt.Sprintf("Drawn from seed %d.", seed)
-	drawFleet(r, &s, size)
-	drawTracks(r, &s)
-	l := &s.Load
-	l.Of = round(0.15 * math.Exp(r.Float64()*2.2)) // from 0.15 to 1.35
-	l.Retries, l.RetryWait = r.IntN(4), Span(time.Duration(r.IntN(3))*150*time.Millisecond)
-	l.HeedsBack = r.IntN(2) == 0
-	if r.IntN(3) == 0 {
-		l.Leaves = round(0.1 * r.Float64())
-	}
-	if r.IntN(4) == 0 {
-		l.RepeatsIDs = round(0.1 * r.Float64())
-	}
-	l.HintNoise = [...]float64{0.2, 0, 0.6, -1}[r.IntN(4)]
-	l.Body = [...]int{0, 1 << 10, 64 << 10}[r.IntN(3)]
-	if r.IntN(6) == 0 { // closed loops beside what comes by itself
-		l.Loops, l.Think = 1+r.IntN(6), Span(time.Duration(r.IntN(300))*time.Millisecond)
-	}
-	byHand := []emulator.Kind{emulator.TakenOut, emulator.SentAway}
-	kinds := slices.DeleteFunc(emulator.Kinds(), func(k emulator.Kind) bool { return slices.Contains(byHand, k) || slices.Contains(gossipFaults, k) })
-	for range r.IntN(7) {
-		s.Faults = append(s.Faults, drawFault(r, &s, kinds[r.IntN(len(kinds))]))
-	}
-	// What operators do comes from a stream of its own: the rest of a seed's world is as it was before they could.
-	r = stream(seed, drawAdminStream)
-	for range r.IntN(3) {
-		s.Faults = append(s.Faults, drawFault(r, &s, byHand[r.IntN(len(byHand))]))
-	}
-	r = stream(seed, drawFeatureStream) // likewise what is allowed beside one allocation at a time
-	s.Fleet.Copies, s.Fleet.Probes = r.IntN(2) == 0, r.IntN(2) == 0
-	r = stream(seed, drawGossipStream) // and what nodes that talk meet
-	if f := &s.Fleet; r.IntN(2) == 0 {
-		f.Talk, f.Keepers = true, r.IntN(3) == 0
-		f.WordsLost, f.WordsDoubled = [...]float64{0, 0, 0.3}[r.IntN(3)], [...]float64{0, 0.2}[r.IntN(2)]
-		f.WordsLate = Span([...]time.Duration{0, 500 * time.Millisecond}[r.IntN(2)])
-		for range r.IntN(4) {
-			s.Faults = append(s.Faults, drawFault(r, &s, gossipFaults[r.IntN(len(gossipFaults))]))
-		}
-	}
-	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	drawFleet(r, &s.Fleet, size)
+	drawClasses(r, &s)
+	drawLoad(r, &s.Load)
+	drawFaults(r, &s, 6, otherFaults())
+	drawFaults(stream(seed, drawAdminStream), &s, 2, adminFaults)
+	drawFeatures(stream(seed, drawFeatureStream), &s.Fleet)
+	drawGossip(stream(seed, drawGossipStream), &s)
+	sortFaults(&s)
 	if size.Cold {
 		drawSlowStart(&s)
 	}
 	return s
 }
 
+// round rounds to three decimals.
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
 
-func drawFleet(r *rand.Rand, s *Scenario, size Size) {
-	f := &s.Fleet
+// oneIn is true once in n times.
+func oneIn(r *rand.Rand, n int) bool { return r.IntN(n) == 0 }
+
+// otherFaults are the kinds of fault that need neither operators nor gossip.
+func otherFaults() []emulator.Kind {
+	return slices.DeleteFunc(emulator.Kinds(), func(k emulator.Kind) bool {
+		return slices.Contains(adminFaults, k) || slices.Contains(gossipFaults, k)
+	})
+}
+
+func sortFaults(s *Scenario) {
+	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+}
+
+func drawFleet(r *rand.Rand, f *Fleet, size Size) {
 	f.Zones = []string{"east", "west", "north"}[:1+r.IntN(3)]
-	f.Nodes, f.Executors = 1+r.IntN(size.Nodes), 2+r.IntN(max(1, size.Executors-1))
+	f.Nodes = 1 + r.IntN(size.Nodes)
+	f.Executors = 2 + r.IntN(max(1, size.Executors-1))
 	f.Cores = 1 + r.IntN(3)
 	f.Places = f.Cores
 	f.Queue = r.IntN(5)
 	f.Spread = round(0.5 * r.Float64())
 	f.CellOf = 1 + r.IntN(3)
-	f.ByPriority, f.StopsWork = r.IntN(2) == 0, r.IntN(2) == 0
+	f.ByPriority = oneIn(r, 2)
+	f.StopsWork = oneIn(r, 2)
 	f.ColdShare = round(0.1 + 0.4*r.Float64())
-	f.WarmWithin = Span(time.Duration(3+r.IntN(15)) * time.Second)
+	f.WarmWithin = milliseconds(1000 * (3 + r.IntN(15)))
 	f.FallMultiple = float64(2 + r.IntN(3))
-	f.DrainGrace = Span(time.Duration(1+r.IntN(15)) * 100 * time.Millisecond)
-	f.TellsStart = r.IntN(4) > 0
-	if r.IntN(3) == 0 {
+	f.DrainGrace = milliseconds(100 * (1 + r.IntN(15)))
+	f.TellsStart = !oneIn(r, 4)
+	if oneIn(r, 3) {
 		f.TellsEvery = 0
 	}
-	f.Reports = r.IntN(2) == 0
-	f.Far = Span(time.Duration(1+r.IntN(20)) * time.Millisecond)
-	f.IdleLimit = Span(time.Duration(1+r.IntN(30)) * time.Second)
+	f.Reports = oneIn(r, 2)
+	f.Far = milliseconds(1 + r.IntN(20))
+	f.IdleLimit = milliseconds(1000 * (1 + r.IntN(30)))
 	f.Conns = [...]int{200, 200, 4}[r.IntN(3)]
 	f.NodeConns = [...]int{250, 250, 6}[r.IntN(3)]
-	f.ListLag = Span(time.Duration(1+r.IntN(30)) * 100 * time.Millisecond)
-	if r.IntN(2) == 0 {
+	f.ListLag = milliseconds(100 * (1 + r.IntN(30)))
+	if oneIn(r, 2) {
 		f.WeightsEvery = 0
 	}
 	f.Allocations = 1 + r.IntN(6)
-	if r.IntN(3) == 0 {
+	if oneIn(r, 3) {
 		f.ComeBack = 0
 	}
-	if r.IntN(2) == 0 {
+	if oneIn(r, 2) {
 		f.CrossPrice = 0
 	}
-	f.PerWork = r.IntN(2) == 0
-	if r.IntN(8) == 0 {
+	f.PerWork = oneIn(r, 2)
+	if oneIn(r, 8) {
 		f.NodeBodies = 256 << 10
 	}
 }
 
-func drawTracks(r *rand.Rand, s *Scenario) {
+func drawClasses(r *rand.Rand, s *Scenario) {
 	count := 1 + r.IntN(3)
 	for i := range count {
-		t := Track{Name: fmt.Sprint("t", i), Share: 1 / float64(count), Repeat: [...]string{"repeatable", "once-only", "tagged"}[r.IntN(3)],
-			Work: Span(time.Duration(20+r.IntN(700)) * time.Millisecond), Spread: round(0.8 * r.Float64()),
-			Stretch: float64(1 + r.IntN(3)), Outer: Span(time.Duration(2+r.IntN(12)) * time.Second), Earnings: float64(1 + r.IntN(8)),
-			Priority: r.IntN(2)}
-		t.Quoted = Span(time.Duration(100+r.IntN(900)) * time.Millisecond)
-		if t.Repeat == "tagged" {
-			t.Group = [...]string{"all", "zone", "cell"}[r.IntN(3)]
-			t.Window = Span(time.Duration(5+r.IntN(80)) * 100 * time.Millisecond)
+		class := Track{Name: fmt.Sprint("t", i), Share: 1 / float64(count)}
+		class.Repeat = [...]string{idempotent, atMostOnce, idempotentWithKey}[r.IntN(3)]
+		class.Work = milliseconds(20 + r.IntN(700))
+		class.Spread = round(0.8 * r.Float64())
+		class.Stretch = float64(1 + r.IntN(3))
+		class.Outer = milliseconds(1000 * (2 + r.IntN(12)))
+		class.Earnings = float64(1 + r.IntN(8))
+		class.Priority = r.IntN(2)
+		class.Quoted = milliseconds(100 + r.IntN(900))
+		if class.Repeat == idempotentWithKey {
+			class.Group = [...]string{"all", "zone", "cell"}[r.IntN(3)]
+			class.Window = milliseconds(100 * (5 + r.IntN(80)))
 		}
-		if r.IntN(3) == 0 {
-			t.Late = round(0.5 * r.Float64())
+		if oneIn(r, 3) {
+			class.Late = round(0.5 * r.Float64())
 		}
-		s.Tracks = append(s.Tracks, t)
+		s.Tracks = append(s.Tracks, class)
 	}
 }
 
-func drawFault(r *rand.Rand, s *Scenario, k emulator.Kind) Fault {
-	ms := func(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
+func drawLoad(r *rand.Rand, l *Load) {
+	l.Of = round(0.15 * math.Exp(r.Float64()*2.2)) // from 0.15 to 1.35
+	l.Retries = r.IntN(4)
+	l.RetryWait = milliseconds(150 * r.IntN(3))
+	l.HeedsBack = oneIn(r, 2)
+	if oneIn(r, 3) {
+		l.Leaves = round(0.1 * r.Float64())
+	}
+	if oneIn(r, 4) {
+		l.RepeatsIDs = round(0.1 * r.Float64())
+	}
+	l.HintNoise = [...]float64{0.2, 0, 0.6, -1}[r.IntN(4)]
+	l.Body = [...]int{0, 1 << 10, 64 << 10}[r.IntN(3)]
+	if oneIn(r, 6) { // closed loops beside the open one
+		l.Loops = 1 + r.IntN(6)
+		l.Think = milliseconds(r.IntN(300))
+	}
+}
+
+// drawFeatures draws what the policy may do beside one attempt at a time.
+func drawFeatures(r *rand.Rand, f *Fleet) {
+	f.Copies = oneIn(r, 2)
+	f.Probes = oneIn(r, 2)
+}
+
+// drawGossip draws whether nodes gossip, and what goes wrong with their messages then.
+func drawGossip(r *rand.Rand, s *Scenario) {
+	if !oneIn(r, 2) {
+		return
+	}
+	f := &s.Fleet
+	f.Talk = true
+	f.Keepers = oneIn(r, 3)
+	f.WordsLost = [...]float64{0, 0, 0.3}[r.IntN(3)]
+	f.WordsDoubled = [...]float64{0, 0.2}[r.IntN(2)]
+	f.WordsLate = [...]Span{0, milliseconds(500)}[r.IntN(2)]
+	drawFaults(r, s, 3, gossipFaults)
+}
+
+// drawFaults draws up to most faults of some kinds.
+func drawFaults(r *rand.Rand, s *Scenario, most int, kinds []emulator.Kind) {
+	for range r.IntN(most + 1) {
+		s.Faults = append(s.Faults, drawFault(r, s, kinds[r.IntN(len(kinds))]))
+	}
+}
+
+func drawFault(r *rand.Rand, s *Scenario, kind emulator.Kind) Fault {
 	length := int(time.Duration(s.Length) / time.Millisecond)
-	f := Fault{Kind: k, At: ms(r.IntN(length * 9 / 10)), For: ms(100 + r.IntN(length/2))}
-	on, _ := k.On()
+	fault := Fault{Kind: kind}
+	fault.At = milliseconds(r.IntN(length * 9 / 10))
+	fault.For = milliseconds(100 + r.IntN(length/2))
+	on, _ := kind.On()
 	zone := s.Fleet.Zones[r.IntN(len(s.Fleet.Zones))]
 	switch on {
 	case emulator.OnZone:
-		f.Where = []string{zone}
+		fault.Where = []string{zone}
 	case emulator.OnExecutors:
-		f.Where = drawSome(r, "e", s.Fleet.Executors, zone)
+		fault.Where = drawTargets(r, "e", s.Fleet.Executors, zone)
 	case emulator.OnNodes:
-		f.Where = drawSome(r, "n", s.Fleet.Nodes, zone)
-	}
-	if least, most, ok := k.Sized(); ok {
-		switch k {
-		case emulator.Slow, emulator.HeavyTail:
-			most = 20
-		case emulator.Burst:
-			most = 4
-		case emulator.ListLate:
-			most = 10
-		case emulator.ClockOff:
-			least, most = -30, 30
-		}
-		f.Size = round(max(least, least+(most-least)*r.Float64()))
+		fault.Where = drawTargets(r, "n", s.Fleet.Nodes, zone)
+	}
+	if least, most, ok := kind.Sized(); ok {
+		least, most = drawnSizes(kind, least, most)
+		fault.Size = round(max(least, least+(most-least)*r.Float64()))
 	}
-	return f
+	return fault
+}
+
+// drawnSizes narrows the sizes of a kind of fault to those from which a world can recover.
+func drawnSizes(kind emulator.Kind, least, most float64) (float64, float64) {
+	switch kind {
+	case emulator.Slow, emulator.HeavyTail:
+		most = 20
+	case emulator.Burst:
+		most = 4
+	case emulator.ListLate:
+		most = 10
+	case emulator.ClockOff:
+		least, most = -30, 30
+	}
+	return least, most
 }
 
-// drawSome is one of them, some, a zone of them, or all.
-func drawSome(r *rand.Rand, letter string, count int, zone string) (where []string) {
+// drawTargets draws all, those of a zone, some, or one.
+func drawTargets(r *rand.Rand, letter string, count int, zone string) (targets []string) {
 	switch r.IntN(5) {
 	case 0:
-		return nil
+		return nil // all
 	case 1:
 		return []string{zone}
 	case 2:
 		for i := range count {
-			if r.IntN(2) == 0 {
-				where = append(where, fmt.Sprint(letter, i))
+			if oneIn(r, 2) {
+				targets = append(targets, fmt.Sprint(letter, i))
 			}
 		}
-		if len(where) > 0 {
-			return where
+		if len(targets) > 0 {
+			return targets
 		}
 	}
 	return []string{fmt.Sprint(letter, r.IntN(count))}
--- a/internal/simulation/draw_slow_start.go
+++ b/internal/simulation/draw_slow_start.go
@@ -1,65 +1,96 @@
 package simulation
 
 import (
-	"cmp"
 	"fmt"
+	"math/rand/v2"
 	"slices"
 	"time"
 
 	"birchstair/internal/emulator"
 )
 
-// drawSlowStart makes a drawn world one for rule 4: 20 or 30 nodes, most of which share nothing, executors that start again, join or come back
-// under a burst, and nodes that start again, stand still or hear late just then. Batch jobs are small enough for budgets of one to some
-// hundreds.
+// startFaults are the kinds of fault after which executors start cold.
+var startFaults = []emulator.Kind{emulator.Crash, emulator.Vanish, emulator.Replace, emulator.Moved, emulator.DrainOff, emulator.ZoneLost}
+
+// startSideFaults are the kinds that make it harder for nodes to share the slow-start budget meanwhile.
+var startSideFaults = []emulator.Kind{emulator.NodeKilled, emulator.NodeKilled, emulator.NodeRestart, emulator.NodeStopped, emulator.ListLate,
+	emulator.ListCut, emulator.ListLost, emulator.SilentNew}
+
+// maxOtherFaults is the number of faults that a slow-start scenario keeps of those drawn before.
+const maxOtherFaults = 2
+
+// drawSlowStart makes a drawn scenario one about the slow start of executors (rule 4): 20 or 30 nodes, most of which share nothing,
+// executors that start, join or come back under a burst, and nodes that restart, are suspended or are notified late just then. Jobs are
+// small enough for slow-start budgets of one to some hundreds.
 func drawSlowStart(s *Scenario) {
 	r := stream(s.Seed, drawSlowStartStream)
-	ms := func(least, most int) Span { return Span(time.Duration(least+r.IntN(most-least)) * time.Millisecond) }
-	f, l := &s.Fleet, &s.Load
 	s.About = fmt.Sprintf("Drawn from seed %d for cold executors among many nodes.", s.Seed)
-	f.Nodes, f.Executors = 20+10*r.IntN(2), 6+r.IntN(15)
-	f.FallWindow = Span(time.Duration(1+r.IntN(4)) * 500 * time.Millisecond)
-	f.TellsStart = r.IntN(2) == 0
-	f.Talk, f.Keepers = r.IntN(4) == 0, false
+	drawSlowStartFleet(r, s)
+	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool {
+		return f.Kind == emulator.HeavyTail || f.Kind == emulator.Burst || len(f.Where) > 0
+	})
+	s.Faults = s.Faults[:min(len(s.Faults), maxOtherFaults)]
+	for range 1 + r.IntN(3) {
+		drawStart(r, s)
+	}
+	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At >= s.Length })
+	sortFaults(s)
+}
+
+// millisecondsBetween is a random whole number of milliseconds from least to under most.
+func millisecondsBetween(r *rand.Rand, least, most int) Span {
+	return milliseconds(least + r.IntN(most-least))
+}
+
+func drawSlowStartFleet(r *rand.Rand, s *Scenario) {
+	f, l := &s.Fleet, &s.Load
+	f.Nodes = 20 + 10*r.IntN(2)
+	f.Executors = 6 + r.IntN(15)
+	f.FallWindow = milliseconds(500 * (1 + r.IntN(4)))
+	f.TellsStart = oneIn(r, 2)
+	f.Talk, f.Keepers = oneIn(r, 4), false
 	l.Of = round(0.4 + 0.8*r.Float64())
 	l.HintNoise = [...]float64{-1, -1, 0.2, 0.6}[r.IntN(4)]
 	l.Loops = 0
 	for i := range s.Tracks {
-		t := &s.Tracks[i]
-		t.Work = Span(time.Duration(5<<r.IntN(6)) * time.Millisecond * 3 / 2)
-		t.Quoted = ms(50, 400)
+		class := &s.Tracks[i]
+		class.Work = milliseconds(5<<r.IntN(6)) * 3 / 2
+		class.Quoted = millisecondsBetween(r, 50, 400)
 	}
-	s.Faults = slices.DeleteFunc(s.Faults, func(x Fault) bool {
-		return x.Kind == emulator.HeavyTail || x.Kind == emulator.Burst || len(x.Where) > 0
-	})
-	s.Faults = s.Faults[:min(len(s.Faults), 2)]
-	starts := []emulator.Kind{emulator.Crash, emulator.Vanish, emulator.Replace, emulator.Moved, emulator.DrainOff, emulator.ZoneLost}
-	beside := []emulator.Kind{emulator.NodeKilled, emulator.NodeKilled, emulator.NodeRestart, emulator.NodeStopped, emulator.ListLate, emulator.ListCut,
-		emulator.ListLost, emulator.SilentNew}
-	for range 1 + r.IntN(3) {
-		x := drawFault(r, s, starts[r.IntN(len(starts))])
-		x.At, x.For = ms(1000, int(s.Length)/2e6), ms(100, 2000)
-		s.Faults = append(s.Faults, x)
-		back := x.At + x.For
-		burst := Fault{Kind: emulator.Burst, At: max(0, back-ms(0, 1000)), For: ms(1000, 5000), Size: round(1.5 + 2*r.Float64())}
-		s.Faults = append(s.Faults, burst)
-		if r.IntN(3) == 0 { // it starts once more while it warms up
-			again := x
-			again.At, again.For = back+ms(200, 3000), ms(100, 600)
-			s.Faults = append(s.Faults, again)
-		}
-		for range r.IntN(3) {
-			y := drawFault(r, s, beside[r.IntN(len(beside))])
-			y.At, y.For = max(0, back-ms(0, 1000)), ms(100, 1500)
-			if y.Kind == emulator.ListLate {
-				y.Size = round(0.1 + 3*r.Float64())
-			}
-			if r.IntN(2) == 0 && (y.Kind == emulator.NodeKilled || y.Kind == emulator.NodeStopped) {
-				y.Where = nil // all nodes
-			}
-			s.Faults = append(s.Faults, y)
-		}
+}
+
+// drawStart draws a start of executors under a burst, perhaps a second one while they warm up, and faults beside it.
+func drawStart(r *rand.Rand, s *Scenario) {
+	start := drawFault(r, s, startFaults[r.IntN(len(startFaults))])
+	start.At = millisecondsBetween(r, 1000, int(time.Duration(s.Length)/(2*time.Millisecond)))
+	start.For = millisecondsBetween(r, 100, 2000)
+	end := start.At + start.For
+	burst := Fault{Kind: emulator.Burst}
+	burst.At = max(0, end-millisecondsBetween(r, 0, 1000))
+	burst.For = millisecondsBetween(r, 1000, 5000)
+	burst.Size = round(1.5 + 2*r.Float64())
+	s.Faults = append(s.Faults, start, burst)
+	if oneIn(r, 3) {
+		again := start
+		again.At = end + millisecondsBetween(r, 200, 3000)
+		again.For = millisecondsBetween(r, 100, 600)
+		s.Faults = append(s.Faults, again)
+	}
+	for range r.IntN(3) {
+		s.Faults = append(s.Faults, drawSideFault(r, s, end))
+	}
+}
+
+// drawSideFault draws a fault about the time at which executors have started.
+func drawSideFault(r *rand.Rand, s *Scenario, started Span) Fault {
+	fault := drawFault(r, s, startSideFaults[r.IntN(len(startSideFaults))])
+	fault.At = max(0, started-millisecondsBetween(r, 0, 1000))
+	fault.For = millisecondsBetween(r, 100, 1500)
+	if fault.Kind == emulator.ListLate {
+		fault.Size = round(0.1 + 3*r.Float64())
+	}
+	if oneIn(r, 2) && (fault.Kind == emulator.NodeKilled || fault.Kind == emulator.NodeStopped) {
+		fault.Where = nil // all nodes
 	}
-	s.Faults = slices.DeleteFunc(s.Faults, func(x Fault) bool { return x.At >= s.Length })
-	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	return fault
 }
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -3,46 +3,73 @@
 import (
 	"runtime"
 	"sync"
-	"sync/atomic"
 )
 
-// Hunt plays the worlds of all seeds from first to last, several at a time, and hands each result on in the order of the
-// seeds. It stops where found says so.
+// Hunt plays the drawn scenarios of all seeds from first to last, several at a time (parallel; 0 for as many as there are processors),
+// and calls found with each result, in the order of the seeds and never twice at a time. It stops soon after found returns false.
 func Hunt(first, last uint64, size Size, parallel int, found func(Scenario, Result) bool) {
 	if parallel <= 0 {
 		parallel = runtime.GOMAXPROCS(0)
 	}
-	type played struct {
-		s Scenario
-		r Result
-	}
-	var next atomic.Uint64
-	next.Store(first)
-	var stopped atomic.Bool
-	var mu sync.Mutex
-	turn, waits := first, map[uint64]played{}
+	h := &hunt{size: size, found: found, nextSeed: first, last: last, nextResult: first, waiting: map[uint64]huntResult{}}
 	var wait sync.WaitGroup
 	for range parallel {
-		wait.Go(func() {
-			for !stopped.Load() {
-				seed := next.Add(1) - 1
-				if seed > last {
-					return
-				}
-				s := Draw(seed, size)
-				r := New(s, seed, Options{}).Play()
-				mu.Lock()
-				waits[seed] = played{s, r}
-				for p, ok := waits[turn]; ok; p, ok = waits[turn] {
-					delete(waits, turn)
-					turn++
-					if !stopped.Load() && !found(p.s, p.r) {
-						stopped.Store(true)
-					}
-				}
-				mu.Unlock()
-			}
-		})
+		wait.Go(h.play)
 	}
 	wait.Wait()
 }
+
+// hunt is the state that the goroutines of Hunt share.
+type hunt struct {
+	size  Size
+	found func(Scenario, Result) bool
+	last  uint64 // seed
+
+	mu         sync.Mutex // guards the fields below, and calls of found
+	nextSeed   uint64     // to be played
+	nextResult uint64     // seed whose result is reported next
+	waiting    map[uint64]huntResult
+	stopped    bool
+}
+
+type huntResult struct {
+	scenario Scenario
+	result   Result
+}
+
+// play plays seeds until there are no more.
+func (h *hunt) play() {
+	for {
+		seed, ok := h.takeSeed()
+		if !ok {
+			return
+		}
+		s := Draw(seed, h.size)
+		h.report(seed, huntResult{s, New(s, seed, Options{}).Play()})
+	}
+}
+
+func (h *hunt) takeSeed() (seed uint64, ok bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.stopped || h.nextSeed > h.last {
+		return 0, false
+	}
+	seed = h.nextSeed
+	h.nextSeed++
+	return seed, true
+}
+
+// report reports a result and those that have waited for it.
+func (h *hunt) report(seed uint64, played huntResult) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.waiting[seed] = played
+	for next, ok := h.waiting[h.nextResult]; ok; next, ok = h.waiting[h.nextResult] {
+		delete(h.waiting, h.nextResult)
+		h.nextResult++
+		if !h.stopped && !h.found(next.scenario, next.result) {
+			h.stopped = true
+		}
+	}
+}
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -1,125 +1,153 @@
 package simulation
 
 import (
+	"bytes"
 	"slices"
 	"time"
 
 	"birchstair/internal/invariants"
 )
 
-// Shrink looks for the smallest world, in faults first and then in all else, that with the same seed still breaks the
-// same rule. It tells of each step that helped.
-func Shrink(s Scenario, seed uint64, rule invariants.Rule, tell func(Scenario)) Scenario {
-	return shrink(s, func(try Scenario) bool {
-		r := New(try, seed, Options{Most: 1}).Play()
+// Shrink looks for the smallest scenario, in faults first and then in all else, that still violates an invariant with the same seed. It
+// calls step with each smaller one that it finds, and returns the last; s itself if that does not violate it.
+func Shrink(s Scenario, seed uint64, rule invariants.Rule, step func(Scenario)) Scenario {
+	return shrink(s, func(candidate Scenario) bool {
+		r := New(candidate, seed, Options{Most: 1}).Play()
 		return slices.ContainsFunc(r.Broken, func(b invariants.Broken) bool { return b.Rule == rule })
-	}, tell)
+	}, step)
 }
 
-// shrink looks for the smallest world that still breaks something; one that does not at all stays as it is.
-func shrink(s Scenario, breaks func(Scenario) bool, tell func(Scenario)) Scenario {
-	if !breaks(s) {
+// shrink looks for the smallest scenario that still fails.
+func shrink(s Scenario, fails func(Scenario) bool, step func(Scenario)) Scenario {
+	if !fails(s) {
 		return s
 	}
-	take := func(try Scenario) bool {
-		if _, err := try.check(); err != nil || !breaks(try) {
+	take := func(candidate Scenario) bool {
+		if _, err := candidate.check(); err != nil || !fails(candidate) {
 			return false
 		}
-		s = try
-		tell(s)
+		s = candidate
+		step(s)
 		return true
 	}
 	for again := true; again; {
-		again = fewerFaults(&s, take)
-		for _, smaller := range smallerScenarios(s) {
-			if take(smaller) {
-				again = true
-				break
-			}
+		again = removeFaults(&s, take)
+		if slices.ContainsFunc(smallerScenarios(s), take) {
+			again = true
 		}
 	}
 	return s
 }
 
-// fewerFaults takes out as many faults as it can: halves first, then smaller parts.
-func fewerFaults(s *Scenario, take func(Scenario) bool) (any bool) {
-	for part := (len(s.Faults) + 1) / 2; part > 0 && len(s.Faults) > 0; {
-		helped := false
-		for i := 0; i < len(s.Faults); i += part {
-			try := *s
-			try.Faults = slices.Delete(slices.Clone(s.Faults), i, min(i+part, len(s.Faults)))
-			if take(try) {
-				helped, any = true, true
-				break
-			}
-		}
-		if !helped {
-			if part == 1 {
-				break
-			}
-			part = (part + 1) / 2
+// removeFaults removes as many faults as it can: halves first, then smaller groups. It says whether it removed any.
+func removeFaults(s *Scenario, take func(Scenario) bool) (any bool) {
+	for group := (len(s.Faults) + 1) / 2; group > 0 && len(s.Faults) > 0; {
+		if removeGroup(s, group, take) {
+			any = true
+		} else if group == 1 {
+			break
+		} else {
+			group = (group + 1) / 2
 		}
-		part = min(part, len(s.Faults))
+		group = min(group, len(s.Faults))
 	}
 	return any
 }
 
-// smallerScenarios are worlds that are a step smaller, those that save most first.
-func smallerScenarios(s Scenario) (all []Scenario) {
-	with := func(change func(*Scenario)) {
-		try := s
-		try.Faults, try.Tracks = slices.Clone(s.Faults), slices.Clone(s.Tracks)
-		change(&try)
-		all = append(all, try)
+// removeGroup removes the first group of so many faults without which the scenario still fails.
+func removeGroup(s *Scenario, size int, take func(Scenario) bool) bool {
+	for i := 0; i < len(s.Faults); i += size {
+		candidate := *s
+		candidate.Faults = slices.Delete(slices.Clone(s.Faults), i, min(i+size, len(s.Faults)))
+		if take(candidate) {
+			return true
+		}
+	}
+	return false
+}
+
+// minShrunk is the least duration to which lengths and faults are shortened.
+const minShrunk = Span(100 * time.Millisecond)
+
+// candidates collects scenarios that are a step smaller than one.
+type candidates struct {
+	of  Scenario
+	all []Scenario
+}
+
+func (c *candidates) add(change func(*Scenario)) {
+	candidate := c.of
+	candidate.Faults, candidate.Tracks = slices.Clone(c.of.Faults), slices.Clone(c.of.Tracks)
+	change(&candidate)
+	c.all = append(c.all, candidate)
+}
+
+// smallerScenarios are scenarios that are a step smaller, those that save most first.
+func smallerScenarios(s Scenario) []Scenario {
+	c := &candidates{of: s}
+	c.addShorter()
+	c.addSmallerFaults()
+	c.addFewerClasses()
+	for _, simpler := range []func(*Scenario){
+		func(s *Scenario) { s.Load.RepeatsIDs = 0 },
+		func(s *Scenario) { s.Load.Leaves = 0 },
+		func(s *Scenario) { s.Load.Loops = 0 },
+		func(s *Scenario) { s.Load.Retries = 0 },
+		func(s *Scenario) { s.Fleet.WeightsEvery = 0 },
+		func(s *Scenario) { s.Fleet.Nodes-- },
+		func(s *Scenario) { s.Fleet.Executors-- },
+	} {
+		c.add(simpler)
 	}
-	second := Span(time.Second)
-	for _, part := range []Span{2, 4, 8} {
-		if cut := s.Length / part; cut >= second/10 {
-			with(func(t *Scenario) {
-				t.Length -= cut
-				t.Faults = slices.DeleteFunc(t.Faults, func(f Fault) bool { return f.At >= t.Length })
+	return slices.DeleteFunc(c.all, func(candidate Scenario) bool { return sameText(candidate, s) })
+}
+
+// addShorter shortens the world.
+func (c *candidates) addShorter() {
+	for _, divisor := range []Span{2, 4, 8} {
+		if saved := c.of.Length / divisor; saved >= minShrunk {
+			c.add(func(s *Scenario) {
+				s.Length -= saved
+				s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At >= s.Length })
 			})
 		}
 	}
-	for i, f := range s.Faults {
-		if f.For > second/10 {
-			with(func(t *Scenario) { t.Faults[i].For = roundToMillisecond(f.For / 2) })
+}
+
+// addSmallerFaults shortens a fault, or takes it off one of its targets.
+func (c *candidates) addSmallerFaults() {
+	for i, fault := range c.of.Faults {
+		if fault.For > minShrunk {
+			c.add(func(s *Scenario) { s.Faults[i].For = roundToMillisecond(fault.For / 2) })
 		}
-		if len(f.Where) > 1 {
-			for j := range f.Where {
-				with(func(t *Scenario) { t.Faults[i].Where = slices.Delete(slices.Clone(f.Where), j, j+1) })
+		if len(fault.Where) > 1 {
+			for j := range fault.Where {
+				c.add(func(s *Scenario) { s.Faults[i].Where = slices.Delete(slices.Clone(fault.Where), j, j+1) })
 			}
 		}
 	}
-	if len(s.Tracks) > 1 {
-		for i, gone := range s.Tracks {
-			with(func(t *Scenario) {
-				t.Tracks = slices.Delete(t.Tracks, i, i+1)
-				for j := range t.Tracks {
-					t.Tracks[j].Share /= 1 - gone.Share
-				}
-			})
-		}
+}
+
+// addFewerClasses removes a class; the others get its share.
+func (c *candidates) addFewerClasses() {
+	if len(c.of.Tracks) == 1 {
+		return
 	}
-	for _, simpler := range []func(*Scenario){
-		func(t *Scenario) { t.Load.RepeatsIDs = 0 },
-		func(t *Scenario) { t.Load.Leaves = 0 },
-		func(t *Scenario) { t.Load.Loops = 0 },
-		func(t *Scenario) { t.Load.Retries = 0 },
-		func(t *Scenario) { t.Fleet.WeightsEvery = 0 },
-		func(t *Scenario) { t.Fleet.Nodes-- },
-		func(t *Scenario) { t.Fleet.Executors-- },
-	} {
-		with(simpler)
+	for i, removed := range c.of.Tracks {
+		c.add(func(s *Scenario) {
+			s.Tracks = slices.Delete(s.Tracks, i, i+1)
+			for j := range s.Tracks {
+				s.Tracks[j].Share /= 1 - removed.Share
+			}
+		})
 	}
-	return slices.DeleteFunc(all, func(t Scenario) bool { return sameText(t, s) })
 }
 
-func roundToMillisecond(s Span) Span { return Span(time.Duration(s).Round(time.Millisecond)) }
+func roundToMillisecond(d Span) Span { return Span(time.Duration(d).Round(time.Millisecond)) }
 
-// sameText says whether two worlds are written alike.
+// sameText says whether two scenarios are written alike. Scenarios whose text can't be written never are.
 func sameText(a, b Scenario) bool {
-	x, _ := a.Text()
-	y, _ := b.Text()
-	return string(x) == string(y)
+	textA, errA := a.Text()
+	textB, errB := b.Text()
+	return errA == nil && errB == nil && bytes.Equal(textA, textB)
 }
