--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -13,73 +13,75 @@
 // Policy names what decides at the nodes of a world.
 type Policy string
 
-// The module, and what it is measured against in the lab alone: a random live executor at once, and the executor that by what is true would be
-// the first to be done, held until one of its places is free.
+// Policies. The last two are baselines that exist in simulations alone.
 const (
-	ModulePolicy Policy = "module"
-	RandomPolicy Policy = "random"
-	BestPolicy   Policy = "best"
+	ModulePolicy Policy = "module" // package policy
+	RandomPolicy Policy = "random" // a random available executor, at once
+	BestPolicy   Policy = "best"   // the executor that by the true state of all would answer first; jobs queue until it has a place
 )
 
 // Policies are all of them.
 var Policies = []Policy{ModulePolicy, RandomPolicy, BestPolicy}
 
-// newPolicy makes what decides at a node.
-func (n *simNode) newPolicy(p policy.Settings) node.Policy {
+// baselineRetryDelay is how soon a baseline looks again at its queue.
+const baselineRetryDelay = time.Millisecond
+
+// newPolicy makes what decides at the node.
+func (n *simNode) newPolicy(settings policy.Settings) node.Policy {
 	if n.world.policy == ModulePolicy {
-		return policy.New(p)
+		return policy.New(settings)
 	}
-	b := &baseline{node: n, settings: p, available: map[policy.ExecutorID]bool{}, jobs: map[policy.JobID]*baselineJob{}}
-	if b.choose = b.soonest; n.world.policy == RandomPolicy {
+	b := &baseline{node: n, settings: settings, available: map[policy.ExecutorID]bool{}, jobs: map[policy.JobID]*baselineJob{}}
+	b.choose = b.soonest
+	if n.world.policy == RandomPolicy {
 		r := stream(n.world.seed+uint64(n.incarnation)<<32, randomPolicyStream+n.name)
-		b.choose = func(time.Duration, *baselineJob) policy.ExecutorID { return b.random(r) }
+		b.choose = func(*baselineJob) policy.ExecutorID { return b.random(r) }
 	}
 	return b
 }
 
-// baselineRetryDelay is how soon a baseline looks again at what it holds.
-const baselineRetryDelay = time.Millisecond
-
-// baseline is what nodes decide by where they don't use the module: an executor for each batch job by a choice of its own, and the next one where
-// the last attempt certainly did not run, or may be repeated.
+// baseline is a policy that the real one is measured against. It chooses an executor for each job by choose, and another one after an
+// attempt that did not run or may be repeated.
 type baseline struct {
 	node      *simNode
 	settings  policy.Settings
-	choose    func(now time.Duration, j *baselineJob) policy.ExecutorID // none: it is held
+	choose    func(*baselineJob) policy.ExecutorID // "" to queue the job
 	available map[policy.ExecutorID]bool
-	order     []policy.ExecutorID // of those, by name
+	order     []policy.ExecutorID // available ones, in the world's order
 	jobs      map[policy.JobID]*baselineJob
 	due       []policy.JobID
 	queued    []policy.JobID
-	retryAt   time.Duration // when those are looked at again
-	fullAt    time.Duration // when there was last no place free anywhere
-	watching  bool          // for the list
+	retryAt   time.Duration // when the queue is looked at
+	fullAt    time.Duration // when there was last no place anywhere
+	watching  bool          // the endpoint list
 }
 
-// baselineJob is a batch job at a baseline.
+// baselineJob is a job at a baseline.
 type baselineJob struct {
 	id         policy.JobID
 	class      policy.JobClass
 	request    *clientRequest
-	limit      time.Duration // of the process
+	limit      time.Duration // its deadline on the process's clock
 	attempts   int
 	attemptOut bool
-	mayHaveRun bool // an attempt of it may have run
+	mayHaveRun bool
 }
 
-func (b *baseline) JobArrived(now time.Duration, in policy.Arrival) {
-	b.jobs[in.Job] = &baselineJob{id: in.Job, class: b.settings.JobClasses[in.Class], request: b.node.requests[in.Job], limit: now + in.Budget}
-	b.due = append(b.due, in.Job)
+// JobArrived implements node.Policy.
+func (b *baseline) JobArrived(now time.Duration, arrival policy.Arrival) {
+	b.jobs[arrival.Job] = &baselineJob{id: arrival.Job, class: b.settings.JobClasses[arrival.Class], request: b.node.requests[arrival.Job],
+		limit: now + arrival.Budget}
+	b.due = append(b.due, arrival.Job)
 }
 
+// NextTask implements node.Policy. Queued jobs with the least time left go first.
 func (b *baseline) NextTask(now time.Duration) policy.DueTask {
 	if !b.watching {
 		b.watching = true
 		return policy.DueTask{Task: policy.WatchEndpoints}
 	}
 	if len(b.queued) > 0 && now >= b.retryAt {
-		// What has least time left goes first.
-		slices.SortStableFunc(b.queued, func(x, y policy.JobID) int { return cmp.Compare(b.quoted(x), b.quoted(y)) })
+		slices.SortStableFunc(b.queued, func(x, y policy.JobID) int { return cmp.Compare(b.objective(x), b.objective(y)) })
 		b.due, b.queued = append(b.due, b.queued...), b.queued[:0]
 	}
 	switch {
@@ -93,64 +95,70 @@
 	return policy.DueTask{At: now + time.Hour}
 }
 
-func (b *baseline) quoted(id policy.JobID) time.Duration {
-	if j := b.jobs[id]; j != nil && j.request != nil {
-		return j.request.work.Quoted
+// objective is when a job must be answered to earn its full value.
+func (b *baseline) objective(id policy.JobID) time.Duration {
+	if job := b.jobs[id]; job != nil && job.request != nil {
+		return job.request.work.Quoted
 	}
 	return 0
 }
 
+// Place implements node.Policy.
 func (b *baseline) Place(now time.Duration, id policy.JobID) policy.Decision {
-	j := b.jobs[id]
-	if j == nil || j.attemptOut {
+	job := b.jobs[id]
+	if job == nil || job.attemptOut {
 		return policy.Decision{}
 	}
-	if now >= j.limit-b.settings.Quantum || j.attempts >= b.settings.MaxAttempts || j.mayHaveRun && j.class.Idempotency != policy.Idempotent {
+	ranOnce := job.mayHaveRun && job.class.Idempotency != policy.Idempotent
+	if ranOnce || now >= job.limit-b.settings.Quantum || job.attempts >= b.settings.MaxAttempts {
 		delete(b.jobs, id)
-		if j.mayHaveRun && j.class.Idempotency != policy.Idempotent {
+		if ranOnce {
 			return policy.Decision{Action: policy.Fail}
 		}
 		return policy.Decision{Action: policy.Reject, RetryAfter: b.settings.MaxRetryAfter}
 	}
-	to := b.choose(now, j)
-	if to == "" {
+	executor := b.choose(job)
+	if executor == "" {
 		if len(b.queued) == 0 {
 			b.retryAt = now + baselineRetryDelay
 		}
 		b.queued = append(b.queued, id)
 		return policy.Decision{Action: policy.Enqueue}
 	}
-	j.attempts++
-	j.attemptOut = true
-	return policy.Decision{Action: policy.Send, Executor: to}
+	job.attempts++
+	job.attemptOut = true
+	return policy.Decision{Action: policy.Send, Executor: executor}
 }
 
-func (b *baseline) AttemptEnded(now time.Duration, id policy.JobID, _ policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
-	j := b.jobs[id]
-	if j == nil {
+// AttemptEnded implements node.Policy.
+func (b *baseline) AttemptEnded(now time.Duration, id policy.JobID, _ policy.AttemptID, outcome policy.Outcome, final bool) policy.Decision {
+	job := b.jobs[id]
+	if job == nil {
 		return policy.Decision{}
 	}
-	j.attemptOut = false
+	job.attemptOut = false
 	if final {
 		delete(b.jobs, id)
 		return policy.Decision{}
 	}
-	j.mayHaveRun = j.mayHaveRun || !how.NeverRan()
+	job.mayHaveRun = job.mayHaveRun || !outcome.NeverRan()
 	return b.Place(now, id)
 }
 
+// ClientLeft implements node.Policy.
 func (b *baseline) ClientLeft(_ time.Duration, id policy.JobID) {
-	if j := b.jobs[id]; j != nil && !j.attemptOut {
+	if job := b.jobs[id]; job != nil && !job.attemptOut {
 		delete(b.jobs, id)
 	}
 }
 
-func (b *baseline) UpdateEndpoints(_ time.Duration, what policy.EndpointUpdateKind, entries []policy.Endpoint) {
-	if what == policy.CompleteUpdate {
+// UpdateEndpoints implements node.Policy.
+func (b *baseline) UpdateEndpoints(_ time.Duration, kind policy.EndpointUpdateKind, endpoints []policy.Endpoint) {
+	if kind == policy.CompleteUpdate {
 		clear(b.available)
 	}
-	for _, e := range entries {
-		b.available[e.Executor] = e.State == policy.Available
+	for _, endpoint := range endpoints {
+		b.available[endpoint.Executor] = endpoint.State == policy.Available
 	}
 	b.order = b.order[:0]
 	for _, x := range b.node.world.executors {
@@ -160,7 +168,7 @@
 	}
 }
 
-// random is any executor of those that are up by the list.
+// random is a random available executor.
 func (b *baseline) random(r *rand.Rand) policy.ExecutorID {
 	if len(b.order) == 0 {
 		return ""
@@ -168,68 +176,108 @@
 	return b.order[r.IntN(len(b.order))]
 }
 
-// soonest is the executor that would answer first of those with a place free when it would come, by what is true of all of them, their queues and what is on
-// its way there. None, so that it is held, where none has one, or where waiting for a place elsewhere would bring an answer in time and going now would not.
-func (b *baseline) soonest(_ time.Duration, j *baselineJob) policy.ExecutorID {
-	w, n := b.node.world, b.node
+// soonest is the executor that would answer first of those that would have a place when the job came, by the true state of all, their
+// queues and what is on its way to them. It is "" if none would, or if waiting for a place elsewhere would bring an answer in time and
+// this executor would not.
+func (b *baseline) soonest(job *baselineJob) policy.ExecutorID {
+	w := b.node.world
 	if b.fullAt == w.now {
-		return "" // nothing has come free since
+		return "" // no place has become free since
 	}
 	var free *executor
 	firstFree, first := policy.Forever, policy.Forever
 	for _, x := range w.executors {
-		if t := x.Trouble(); !b.available[x.ID] || !x.Up || x.unreachable || x.Drains || t.Mute || t.Errors > 0 || !w.linked(n.zone, x.Zone) {
+		if !b.usable(x) {
 			continue
 		}
-		way := w.minDelay(n.zone, x.Zone)
-		there := w.now + way
-		if !n.hasIdleConn(x) {
-			there += 2 * way // it has to be dialled first
-		}
-		at, rate := x.Frees(w.now, w.assignedWork(x))
-		done := max(at, there) + time.Duration(j.request.work.Cost/rate*1e9) + way
+		hasPlace, done := b.forecast(x, job)
 		first = min(first, done)
-		if at <= there && done < firstFree {
+		if hasPlace && done < firstFree {
 			free, firstFree = x, done
 		}
 	}
 	if free == nil {
 		b.fullAt = w.now
+		return ""
 	}
-	quoted := j.request.work.Quoted
-	if free == nil || firstFree > quoted && first <= quoted {
+	if objective := job.request.work.Quoted; firstFree > objective && first <= objective {
 		return ""
 	}
-	free.assigned = append(free.assigned, j)
-	j.request.delivered = false
+	free.assigned = append(free.assigned, job)
+	job.request.delivered = false
 	return free.ID
 }
 
-// assignedWork is the work that is on its way to an executor, by what the best choice sent there.
+// usable says whether an executor is available, by the endpoint list and in truth.
+func (b *baseline) usable(x *executor) bool {
+	trouble := x.Trouble()
+	healthy := x.Up && !x.unreachable && !x.Drains && !trouble.Mute && trouble.Errors <= 0
+	return b.available[x.ID] && healthy && b.node.world.linked(b.node.zone, x.Zone)
+}
+
+// forecast says whether an executor will have a place when a job that is sent now arrives, and when its answer will be back.
+func (b *baseline) forecast(x *executor, job *baselineJob) (hasPlace bool, done time.Duration) {
+	w := b.node.world
+	delay := w.minDelay(b.node.zone, x.Zone)
+	arrival := w.now + delay
+	if !b.node.hasIdleConn(x) {
+		arrival += 2 * delay // for the dial
+	}
+	placeFree, rate := x.Frees(w.now, w.assignedWork(x))
+	done = max(placeFree, arrival) + time.Duration(job.request.work.Cost/rate*1e9) + delay
+	return placeFree <= arrival, done
+}
+
+// assignedWork is the work that the best policy has sent to an executor and that has not arrived yet.
 func (w *World) assignedWork(x *executor) (work []float64) {
-	x.assigned = slices.DeleteFunc(x.assigned, func(j *baselineJob) bool {
-		n := j.request.node
-		return j.request.delivered || !j.attemptOut || !n.up || n.incarnation != j.request.incarnation
+	x.assigned = slices.DeleteFunc(x.assigned, func(job *baselineJob) bool {
+		n := job.request.node
+		return job.request.delivered || !job.attemptOut || !n.up || n.incarnation != job.request.incarnation
 	})
-	for _, j := range x.assigned {
-		work = append(work, j.request.work.Cost)
+	for _, job := range x.assigned {
+		work = append(work, job.request.work.Cost)
 	}
 	return work
 }
 
-// What a baseline has no use for.
+// The methods of node.Policy for which a baseline has no use.
+
+// AttemptStarted implements node.Policy.
+func (b *baseline) AttemptStarted(time.Duration, policy.JobID, policy.AttemptID) {}
 
-func (b *baseline) AttemptStarted(time.Duration, policy.JobID, policy.AttemptID)             {}
+// AttemptProgressed implements node.Policy.
 func (b *baseline) AttemptProgressed(time.Duration, policy.JobID, policy.AttemptID, float64) {}
-func (b *baseline) LoadReported(policy.ExecutorID, policy.Load)                              {}
-func (b *baseline) ProbeEnded(time.Duration, policy.ExecutorID, bool, policy.Load)           {}
-func (b *baseline) ShutDownBy(time.Duration, time.Duration)                                  {}
-func (b *baseline) CountExcluded(time.Duration) int                                          { return 0 }
-func (b *baseline) ReserveSlowStartUntil(time.Duration, time.Duration)                       {}
-func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate)                  {}
-func (b *baseline) ExportLearned(time.Duration) policy.LearnedState                          { return policy.LearnedState{} }
-func (b *baseline) ImportLearned(time.Duration, policy.LearnedState)                         {}
+
+// LoadReported implements node.Policy.
+func (b *baseline) LoadReported(policy.ExecutorID, policy.Load) {}
+
+// ProbeEnded implements node.Policy.
+func (b *baseline) ProbeEnded(time.Duration, policy.ExecutorID, bool, policy.Load) {}
+
+// ShutDownBy implements node.Policy.
+func (b *baseline) ShutDownBy(time.Duration, time.Duration) {}
+
+// CountExcluded implements node.Policy.
+func (b *baseline) CountExcluded(time.Duration) int { return 0 }
+
+// ReserveSlowStartUntil implements node.Policy.
+func (b *baseline) ReserveSlowStartUntil(time.Duration, time.Duration) {}
+
+// UpdateJobClasses implements node.Policy.
+func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate) {}
+
+// ExportLearned implements node.Policy.
+func (b *baseline) ExportLearned(time.Duration) policy.LearnedState { return policy.LearnedState{} }
+
+// ImportLearned implements node.Policy.
+func (b *baseline) ImportLearned(time.Duration, policy.LearnedState) {}
+
+// ReceiveLeaseMessage implements node.Policy.
 func (b *baseline) ReceiveLeaseMessage(time.Duration, policy.NodeID, policy.LeaseMessage, policy.ExecutorHash) {
 }
+
+// TakeLoadSummary implements node.Policy.
 func (b *baseline) TakeLoadSummary(time.Duration) policy.LoadSummary { return policy.LoadSummary{} }
-func (b *baseline) SetAdmissionThreshold(policy.AdmissionThreshold)  {}
+
+// SetAdmissionThreshold implements node.Policy.
+func (b *baseline) SetAdmissionThreshold(policy.AdmissionThreshold) {}
