--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -40,7 +40,7 @@
 	return b
 }
 
-// baseline is a policy that the real one is measured against. It chooses an executor for each job by choose, and another one after an
+// baseline is a policy that the real one is compared with. It chooses an executor for each job by choose, and another one after an
 // attempt that did not run or may be repeated.
 type baseline struct {
 	node      *simNode
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -1,59 +1,63 @@
 package simulation
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
-
-	"birchstair/internal/emulator"
-	"birchstair/internal/emulator/platform"
-	"birchstair/policy"
 )
 
-// Killing is a run of real processes on loopback: a node with durable batch jobs that is killed by SIGKILL at random points, stand-in executors, and
-// clients that hand in until they have an acknowledgement and ask until they have a final answer.
+// Killing is a run of real processes on loopback: a node with durable jobs that is killed by SIGKILL at random times, emulated executors,
+// and clients that submit until their job is acknowledged and poll until they have a final answer.
 type Killing struct {
 	Binary string // birchstair
 	Seed   uint64
 	Jobs   int
 	Kills  int
-	Leases bool
-	Dir    string // of its own, empty; what a run has left there is kept where it found something wrong
+	Leases bool   // executors honor leases
+	Dir    string // an empty directory for the run's files; the caller removes it
 }
 
-// Killed is what came of such a run.
+// Killed is what came of a run.
 type Killed struct {
-	Finals map[string]int
-	Wrong  []string
+	Finals map[string]int // final answers, by name
+	Wrong  []string       // what must not have happened
 }
 
-// killRun is a run that goes on.
+// The timing of a run.
+const (
+	submitInterval   = 15 * time.Millisecond
+	minLifeMS        = 20  // milliseconds from a start to the next kill, at least
+	lifeRangeMS      = 400 // milliseconds beyond that, uniform
+	readyTimeout     = 10 * time.Second
+	readyPoll        = 10 * time.Millisecond
+	loggedTailLength = 500 // bytes of the node's log in a report
+	killStream       = 4   // second word of the seed
+)
+
+// killRun is the state of a run.
 type killRun struct {
 	Killing
-	listen string
-	site   string
+	listen string // the node's address
+	site   string // files
 	config string
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below
 	runsOfJob map[string]int
-	finals    map[string]string
+	finals    map[string]string // by job
 	wrong     []string
 	rand      *rand.Rand
 }
 
-// Play plays a run. An error means that it could not be played.
+// Play plays the run. An error means that it could not be played.
 func (k Killing) Play() (Killed, error) {
-	r := &killRun{Killing: k, runsOfJob: map[string]int{}, finals: map[string]string{}, rand: rand.New(rand.NewPCG(k.Seed, 4))}
+	r := &killRun{Killing: k, runsOfJob: map[string]int{}, finals: map[string]string{}, rand: rand.New(rand.NewPCG(k.Seed, killStream))}
 	closeAll, err := r.setUp()
 	defer closeAll()
 	if err != nil {
@@ -63,38 +67,67 @@
 	if err != nil {
 		return Killed{}, err
 	}
-	var wait sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range k.Jobs {
-		wait.Go(func() {
-			time.Sleep(time.Duration(i) * 15 * time.Millisecond)
-			r.client(fmt.Sprint("job", i), killClasses[i%2].name)
+		clients.Go(func() {
+			time.Sleep(time.Duration(i) * submitInterval)
+			r.client(jobName(i), killClasses[i%len(killClasses)].name)
 		})
 	}
 	for range k.Kills {
-		time.Sleep(time.Duration(20+r.randomN(400)) * time.Millisecond)
-		if err := node.Process.Kill(); err != nil {
-			return Killed{}, err
-		}
-		if err := node.Wait(); err != nil && !errors.As(err, new(*exec.ExitError)) {
-			return Killed{}, err
-		}
-		if node, err = r.start(); err != nil {
+		time.Sleep(time.Duration(minLifeMS+r.randomN(lifeRangeMS)) * time.Millisecond)
+		if node, err = r.killAndRestart(node); err != nil {
 			return Killed{}, err
 		}
 	}
-	wait.Wait()
-	r.awaitReady() // before that it does not listen to signals yet
+	clients.Wait()
+	r.shutDown(node)
+	return r.verdict(), nil
+}
+
+func jobName(i int) string { return fmt.Sprint("job", i) }
+
+// start starts the node.
+func (r *killRun) start() (*exec.Cmd, error) {
+	log, err := os.OpenFile(r.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	cmd := exec.Command(r.Binary, "serve", "--site", r.site)
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.config)
+	cmd.Stderr = log
+	return cmd, errors.Join(cmd.Start(), log.Close())
+}
+
+func (r *killRun) logFile() string { return filepath.Join(r.Dir, "log") }
+
+// killAndRestart kills the node and starts it again.
+func (r *killRun) killAndRestart(node *exec.Cmd) (*exec.Cmd, error) {
+	if err := node.Process.Kill(); err != nil {
+		return nil, err
+	}
+	if err := node.Wait(); err != nil && !errors.As(err, new(*exec.ExitError)) {
+		return nil, err
+	}
+	return r.start()
+}
+
+// shutDown shuts the node down gracefully, once it is ready: before that it does not listen to signals.
+func (r *killRun) shutDown(node *exec.Cmd) {
+	r.awaitReady()
 	node.Process.Signal(syscall.SIGTERM)
 	if err := node.Wait(); err != nil {
-		log, _ := os.ReadFile(filepath.Join(r.Dir, "log"))
-		r.violation("a planned end: %v; its log ends with %s", err, log[max(0, len(log)-500):])
+		log, logErr := os.ReadFile(r.logFile())
+		if logErr != nil {
+			log = []byte(logErr.Error())
+		}
+		r.violation("a planned end: %v; its log ends with %s", err, log[max(0, len(log)-loggedTailLength):])
 	}
-	return r.verdict(), nil
 }
 
 // awaitReady waits until the node says that it is ready.
 func (r *killRun) awaitReady() {
-	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(readyPoll) {
 		answer, err := http.Get("http://" + r.listen + "/-/ready")
 		if err != nil {
 			continue
@@ -113,102 +146,33 @@
 	defer r.mu.Unlock()
 	out := Killed{Finals: map[string]int{}, Wrong: r.wrong}
 	for i := range r.Jobs {
-		id, once := fmt.Sprint("job", i), killClasses[i%2].repeat == "once"
-		final, n := r.finals[id], r.runsOfJob[id]
+		id, once := jobName(i), killClasses[i%len(killClasses)].repeat == killAtMostOnce
+		final, runs := r.finals[id], r.runsOfJob[id]
 		out.Finals[final]++
 		switch {
 		case final == "":
 			out.Wrong = append(out.Wrong, id+" has no final answer")
-		case once && n > 1:
-			out.Wrong = append(out.Wrong, fmt.Sprintf("%s, once-only, ran %d times", id, n))
-		case final == "handled" && n == 0:
+		case once && runs > 1:
+			out.Wrong = append(out.Wrong, fmt.Sprintf("%s, once-only, ran %d times", id, runs))
+		case final == "handled" && runs == 0:
 			out.Wrong = append(out.Wrong, id+" was handled and never ran")
-		case final == "pushed back" && once && n > 0:
+		case final == "pushed back" && once && runs > 0:
 			out.Wrong = append(out.Wrong, id+" was pushed back and ran")
 		}
 	}
 	return out
 }
 
+// violation records what must not have happened.
 func (r *killRun) violation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wrong = append(r.wrong, fmt.Sprintf(format, args...))
 }
 
+// randomN is a random number under n.
 func (r *killRun) randomN(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rand.IntN(n)
 }
-
-var killClasses = [2]struct{ name, repeat string }{{"page", "repeatable"}, {"order", "once"}}
-
-// setUp starts the stand-ins and writes the node's files.
-func (r *killRun) setUp() (closeAll func(), err error) {
-	var open []net.Listener
-	closeAll = func() {
-		for _, l := range open {
-			l.Close()
-		}
-	}
-	listen := func() string {
-		l, e := net.Listen("tcp", "127.0.0.1:0")
-		if e != nil {
-			err = errors.Join(err, e)
-			return ""
-		}
-		open = append(open, l)
-		return l.Addr().String()
-	}
-	var entries []emulator.Entry
-	for i := range 3 {
-		id := policy.ExecutorID(fmt.Sprint("e", i))
-		entries = append(entries, emulator.Entry{Addr: listen(), Endpoint: policy.Endpoint{Executor: id, Weight: 1, StartedLongAgo: true}})
-		if err != nil {
-			return closeAll, err
-		}
-		x := &platform.Executor{ID: id, Leases: r.Leases, Takes: func() time.Duration { return time.Duration(r.randomN(120)) * time.Millisecond },
-			Ran: func(job policy.JobID) {
-				r.mu.Lock()
-				defer r.mu.Unlock()
-				r.runsOfJob[strings.TrimPrefix(string(job), "durable-")]++
-			}}
-		go x.Serve(open[i])
-	}
-	discovery := listen()
-	if err != nil {
-		return closeAll, err
-	}
-	own, err := platform.Unused()
-	if err != nil {
-		return closeAll, err
-	}
-	go (&platform.Discovery{Entries: entries, Zones: []string{"z"}}).Serve(open[3])
-	r.listen, r.config, r.site = own, filepath.Join(r.Dir, "config.json"), filepath.Join(r.Dir, "site.toml")
-	var tracks []any
-	for _, t := range killClasses {
-		tracks = append(tracks, map[string]any{"name": t.name, "quoted-time-s": 0.3, "outer-limit-s": 5, "repeat": t.repeat, "earnings": 1})
-	}
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": own, "discovery": discovery, "settings": map[string]any{"balancers": 1,
-		"quantum-s": 0.004, "areas": []string{"z"}, "flavors": []string{"plain"}, "caps": map[string]any{"max-allocations": 3, "cancel": true},
-		"domain": map[string]any{"tells-start": true}, "tracks": tracks}})
-	if err != nil {
-		return closeAll, err
-	}
-	site := fmt.Sprintf("[durable]\ndir = %q\nouter-limit = \"2m\"\nkeep = \"10m\"\nsegment = \"64KiB\"\nmost = \"4MiB\"\nask-every = \"100ms\"\nleases = %v\n",
-		filepath.Join(r.Dir, "store"), r.Leases)
-	return closeAll, errors.Join(os.WriteFile(r.config, text, 0o600), os.WriteFile(r.site, []byte(site), 0o600))
-}
-
-// start starts the node.
-func (r *killRun) start() (*exec.Cmd, error) {
-	log, err := os.OpenFile(filepath.Join(r.Dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	if err != nil {
-		return nil, err
-	}
-	cmd := exec.Command(r.Binary, "serve", "--site", r.site)
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.config)
-	cmd.Stderr = log
-	return cmd, errors.Join(cmd.Start(), log.Close())
-}
