--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -49,37 +49,37 @@
 	Broken    int    `json:"rules_broken"` // violations of invariants
 
 	Worst      float64 `json:"worst"`       // share earned in the worst 10 s
-	WorstTrack float64 `json:"worst_track"` // share earned in the worst class
+	WorstClass float64 `json:"worst_track"` // share earned in the worst class
 
 	All     AccountRow   `json:"all"`
 	Tracks  []AccountRow `json:"tracks"`  // by class
 	Traffic []AccountRow `json:"traffic"` // by quarters of the nodes, those with least traffic first
-	Slices  []AccountRow `json:"slices"`  // by quarters of the nodes, those whose executors were least loaded first
+	Subsets []AccountRow `json:"slices"`  // by quarters of the nodes, those whose executors were least loaded first
 	Busy    []float64    `json:"busy"`    // executors' load, as a share of their capacity: minimum, quartiles, maximum
 
-	Attempts  int     `json:"attempts"`
-	Crossings int     `json:"crossings"`         // attempts to another zone
-	Waited    float64 `json:"waited"`            // share of the attempts that waited at their executor
-	FreeUsed  float64 `json:"free_used"`         // of those, the share for which a core was idle, when they left, at another executor that the node had used
-	FreeZone  float64 `json:"free_in_zone"`      // the same in the node's zone
-	FreeAny   float64 `json:"free"`              // the same anywhere
-	HeldZone  float64 `json:"held_free_in_zone"` // of the value lost at nodes or sent too late or never, the share for which a core was idle in the node's zone at arrival
-	HeldAny   float64 `json:"held_free"`         // the same anywhere
+	Attempts       int     `json:"attempts"`
+	Crossings      int     `json:"crossings"`         // attempts to another zone
+	Waited         float64 `json:"waited"`            // share of the attempts that waited at their executor
+	IdleUsed       float64 `json:"free_used"`         // of those, the share for which a core was idle, when they left, at another executor that the node had used
+	IdleZone       float64 `json:"free_in_zone"`      // the same in the node's zone
+	IdleAny        float64 `json:"free"`              // the same anywhere
+	QueuedIdleZone float64 `json:"held_free_in_zone"` // of the value lost at nodes or sent too late or never, the share for which a core was idle in the node's zone at arrival
+	QueuedIdleAny  float64 `json:"held_free"`         // the same anywhere
 }
 
 // AccountRow is the account of some of the works.
 type AccountRow struct {
-	Name    string             `json:"name"`
-	Works   int                `json:"works"`
-	Less    int                `json:"less"`  // works that earned less than their full value
-	Never   int                `json:"never"` // works that earned nothing
-	Offered float64            `json:"offered"`
-	Earned  float64            `json:"earned"`
-	Sent    float64            `json:"sent"`           // work sent to executors as a share of the work offered; over 1 if some was sent repeatedly
-	Lost    map[string]float64 `json:"lost"`           // value, by cause
-	TimeMS  map[string]float64 `json:"time_ms"`        // mean time by cause of the works that earned less; running includes the work itself
-	Slice   float64            `json:"slice,omitzero"` // effective number of executors that a node used, on average
-	Load    float64            `json:"load,omitzero"`  // load of those, as a share of their capacity
+	Name       string             `json:"name"`
+	Works      int                `json:"works"`
+	Less       int                `json:"less"`  // works that earned less than their full value
+	Never      int                `json:"never"` // works that earned nothing
+	Offered    float64            `json:"offered"`
+	Earned     float64            `json:"earned"`
+	Sent       float64            `json:"sent"`           // work sent to executors as a share of the work offered; over 1 if some was sent repeatedly
+	Lost       map[string]float64 `json:"lost"`           // value, by cause
+	TimeMS     map[string]float64 `json:"time_ms"`        // mean time by cause of the works that earned less; running includes the work itself
+	SubsetSize float64            `json:"slice,omitzero"` // effective number of executors that a node used, on average
+	Load       float64            `json:"load,omitzero"`  // load of those, as a share of their capacity
 
 	lostByCause, timeByCause [causeCount]float64
 	workOffered, workSent    float64 // in seconds on a standard core
@@ -170,7 +170,7 @@
 			row.add(n.AccountRow)
 		}
 		row.Name = fmt.Sprintf("%s, %d of %d", name, quarter+1, parts)
-		row.Slice = row.subsetSize / float64(len(group))
+		row.SubsetSize = row.subsetSize / float64(len(group))
 		row.Load = row.subsetLoad / float64(len(group))
 		rows = append(rows, row)
 	}
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -201,31 +201,31 @@
 		Attempts:  l.attempts,
 		Crossings: w.result.Crossings,
 		Waited:    ratio(waited, float64(l.attempts)),
-		FreeUsed:  ratio(float64(l.idleUsed), waited),
-		FreeZone:  ratio(float64(l.idleZone), waited),
-		FreeAny:   ratio(float64(l.idleAny), waited),
+		IdleUsed:  ratio(float64(l.idleUsed), waited),
+		IdleZone:  ratio(float64(l.idleZone), waited),
+		IdleAny:   ratio(float64(l.idleAny), waited),
 	}
 	l.addClasses(a)
 	l.addNodes(a)
-	for _, rows := range [][]AccountRow{a.Tracks, a.Traffic, a.Slices} {
+	for _, rows := range [][]AccountRow{a.Tracks, a.Traffic, a.Subsets} {
 		for i := range rows {
 			rows[i].finish()
 		}
 	}
 	a.All.finish()
 	lostAtNodes := a.All.lostByCause[NeverSent] + a.All.lostByCause[SentTooLate] + a.All.lostByCause[QueuedAtNode]
-	a.HeldZone, a.HeldAny = ratio(l.queuedIdleZone, lostAtNodes), ratio(l.queuedIdleAny, lostAtNodes)
+	a.QueuedIdleZone, a.QueuedIdleAny = ratio(l.queuedIdleZone, lostAtNodes), ratio(l.queuedIdleAny, lostAtNodes)
 	return a
 }
 
 // addClasses adds the rows of all works and of each class.
 func (l *accountLedger) addClasses(a *Account) {
 	a.All.Name = "all"
-	a.WorstTrack = 1
+	a.WorstClass = 1
 	for _, class := range l.classes {
 		a.All.add(class)
 		a.Tracks = append(a.Tracks, class)
-		a.WorstTrack = min(a.WorstTrack, ratio(class.Earned, class.Offered))
+		a.WorstClass = min(a.WorstClass, ratio(class.Earned, class.Offered))
 	}
 }
 
@@ -242,14 +242,14 @@
 		n.subsetSize, n.subsetLoad = usedSubset(n.attemptsTo, executors, busy)
 	}
 	for _, n := range l.nodes {
-		a.All.Slice += n.subsetSize / float64(len(l.nodes))
+		a.All.SubsetSize += n.subsetSize / float64(len(l.nodes))
 		a.All.Load += n.subsetLoad / float64(len(l.nodes))
 	}
 	a.Traffic = quarters(l.nodes, func(n nodeRow) float64 { return n.workOffered }, "nodes by traffic")
-	a.Slices = quarters(l.nodes, func(n nodeRow) float64 { return n.subsetLoad }, "nodes by slice")
+	a.Subsets = quarters(l.nodes, func(n nodeRow) float64 { return n.subsetLoad }, "nodes by slice")
 	if l.unreached.Works > 0 {
 		l.unreached.Name = "no node"
-		a.Traffic, a.Slices = append(a.Traffic, l.unreached), append(a.Slices, l.unreached)
+		a.Traffic, a.Subsets = append(a.Traffic, l.unreached), append(a.Subsets, l.unreached)
 	}
 	slices.Sort(busy)
 	for quartile := range 5 {
--- a/internal/simulation/account_print.go
+++ b/internal/simulation/account_print.go
@@ -12,8 +12,8 @@
 // Print prints the account: the value lost by cause as shares of the value offered, then the time of works that earned less.
 func (a *Account) Print(to io.Writer) {
 	fmt.Fprintf(to, "%s, seed %d, %d nodes, %d executors, %v, decided by: %s\n", a.Scenario, a.Seed, a.Nodes, a.Executors, time.Duration(a.Length), a.Policy)
-	fmt.Fprintf(to, "Earned %.4f of what was offered; in the worst 10 s %.4f, of the worst track %.4f\n", ratio(a.All.Earned, a.All.Offered), a.Worst, a.WorstTrack)
-	rows := slices.Concat([]AccountRow{a.All}, a.Tracks, a.Traffic, a.Slices)
+	fmt.Fprintf(to, "Earned %.4f of what was offered; in the worst 10 s %.4f, of the worst track %.4f\n", ratio(a.All.Earned, a.All.Offered), a.Worst, a.WorstClass)
+	rows := slices.Concat([]AccountRow{a.All}, a.Tracks, a.Traffic, a.Subsets)
 	fmt.Fprintln(to, "Lost, by cause, in parts of what was offered; sent: work sent to executors, against what was offered:")
 	lostTable.print(to, rows)
 	fmt.Fprintln(to, "Where the time of those that earned less went, in ms; slice: executors that a node used, load: how busy those were:")
@@ -27,10 +27,10 @@
 
 func (a *Account) printAttempts(to io.Writer) {
 	fmt.Fprintf(to, "%d attempts, %d to another zone; %.3f of them waited at the executor; when those left, a core stood free at another executor\n"+
-		"that the node had used for %.3f, in its zone for %.3f, anywhere for %.3f\n", a.Attempts, a.Crossings, a.Waited, a.FreeUsed, a.FreeZone, a.FreeAny)
+		"that the node had used for %.3f, in its zone for %.3f, anywhere for %.3f\n", a.Attempts, a.Crossings, a.Waited, a.IdleUsed, a.IdleZone, a.IdleAny)
 	if a.All.lostByCause[NeverSent]+a.All.lostByCause[SentTooLate]+a.All.lostByCause[QueuedAtNode] > 0 {
 		fmt.Fprintf(to, "Of what was lost at nodes (never sent, sent too late, held) a core had stood free when the batch job came for %.3f in the node's zone, for %.3f anywhere\n",
-			a.HeldZone, a.HeldAny)
+			a.QueuedIdleZone, a.QueuedIdleAny)
 	}
 }
 
@@ -55,10 +55,10 @@
 var timeTable = accountTable{
 	head: "\tslice\tload",
 	cells: func(r AccountRow) string {
-		if r.Slice == 0 {
+		if r.SubsetSize == 0 {
 			return "\t"
 		}
-		return fmt.Sprintf("%.1f\t%.3f", r.Slice, r.Load)
+		return fmt.Sprintf("%.1f\t%.3f", r.SubsetSize, r.Load)
 	},
 	value:  func(r AccountRow, c Cause) float64 { return r.timeByCause[c] * 1e3 / float64(max(r.Less, 1)) },
 	format: "%.0f\t",
--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -49,7 +49,7 @@
 		near(r.Name+": offered, and earned with what was lost", r.Offered, sum)
 	}
 	row(a.All)
-	for name, rows := range map[string][]AccountRow{"tracks": a.Tracks, "traffic": a.Traffic, "slices": a.Slices} {
+	for name, rows := range map[string][]AccountRow{"tracks": a.Tracks, "traffic": a.Traffic, "slices": a.Subsets} {
 		sum := AccountRow{}
 		for _, r := range rows {
 			row(r)
@@ -91,7 +91,7 @@
 		}
 	}
 	// One that ends at the first broken rule, with batch jobs in hand.
-	w := New(troubled(nil), 1, Options{Account: true, Most: 1})
+	w := New(troubled(nil), 1, Options{Account: true, MaxViolations: 1})
 	w.defects.executor = func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: true}) }
 	r := w.Play()
 	if len(r.Broken) == 0 || w.openWorks == 0 {
@@ -130,9 +130,9 @@
 	one := func(s *Scenario) { // a small plain world: nodes and executors in one zone, work of 100 ms with a slack of 100 ms
 		s.Fleet.Zones, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Spread, s.Fleet.PerWork = []string{"here"}, 2, 4, 0, false
 		s.Fleet.WeightsEvery, s.Fleet.ComeBack = 0, 0
-		s.Load = Load{Of: 0.05, HintNoise: 0, DeadFor: Span(2 * time.Second)}
-		s.Tracks = []Track{{Name: "plain", Share: 1, Repeat: "once-only", Work: Span(100 * time.Millisecond), Quoted: Span(100 * time.Millisecond),
-			Stretch: 1, Outer: Span(5 * time.Second), Earnings: 1, Late: 0.5}}
+		s.Load = Load{Of: 0.05, HintNoise: 0, DeadNodeTime: Span(2 * time.Second)}
+		s.Tracks = []Track{{Name: "plain", Share: 1, Idempotency: "once-only", Work: Span(100 * time.Millisecond), Quoted: Span(100 * time.Millisecond),
+			RunTimeFactor: 1, Deadline: Span(5 * time.Second), Value: 1, LateValue: 0.5}}
 		s.Length = Span(20 * time.Second)
 	}
 	all := func(kind emulator.Kind, size float64) []Fault {
@@ -149,7 +149,7 @@
 		{"all of them are slowed", func(s *Scenario) { s.Faults = all(emulator.Slow, 5) }, RandomPolicy, nil, []Cause{RunningSlow}},
 		{"attempts take longer than their work", func(s *Scenario) { s.Fleet.AttemptNoise = 1.5 }, RandomPolicy, nil, []Cause{RunningFast}},
 		{"one executor is full", func(s *Scenario) {
-			s.Fleet.Executors, s.Fleet.Queue, s.Load.Of = 1, 10000, 1.5
+			s.Fleet.Executors, s.Fleet.QueueLimit, s.Load.Of = 1, 10000, 1.5
 		}, RandomPolicy, nil, []Cause{InQueue}},
 		{"one executor is full, and nodes hold what it has no place for", func(s *Scenario) {
 			s.Fleet.Executors, s.Load.Of = 1, 1.3
@@ -161,11 +161,11 @@
 			return m
 		}, []Cause{NeverSent}},
 		{"executors have no room", func(s *Scenario) {
-			s.Fleet.Queue, s.Fleet.Places, s.Fleet.Cores, s.Load.Of = 0, 1, 1, 20
+			s.Fleet.QueueLimit, s.Fleet.Slots, s.Fleet.Cores, s.Load.Of = 0, 1, 1, 20
 		}, RandomPolicy, nil, []Cause{RejectedByExecutor}},
 		{"executors fail", func(s *Scenario) { s.Faults = all(emulator.Errors, 1) }, RandomPolicy, nil, []Cause{Failed}},
 		{"it is far", func(s *Scenario) { s.Fleet.Near, s.Fleet.DialLimit = Span(30*time.Millisecond), Span(time.Second) }, RandomPolicy, nil, []Cause{InTransit}},
-		{"clients leave", func(s *Scenario) { s.Fleet.Speed, s.Fleet.Queue, s.Load.Leaves, s.Load.Of = 0.01, 1000, 1, 5 }, RandomPolicy, nil, []Cause{ClientLeft}},
+		{"clients leave", func(s *Scenario) { s.Fleet.Speed, s.Fleet.QueueLimit, s.Load.Leaves, s.Load.Of = 0.01, 1000, 1, 5 }, RandomPolicy, nil, []Cause{ClientLeft}},
 		{"there is no node", func(s *Scenario) {
 			s.Faults = []Fault{{Kind: emulator.NodeKilled, At: Span(5 * time.Second), For: Span(10 * time.Second), Where: []string{"n0", "n1"}}}
 		}, RandomPolicy, nil, []Cause{NodeLost}},
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -152,7 +152,7 @@
 	switch answer.Word {
 	case emulator.Began:
 		if sentAt-attempt.request.sentAt > queuedStart {
-			c.node.world.result.StartsWaited++
+			c.node.world.result.QueuedStarts++
 		}
 		c.deliver(node.AttemptProgressed{Conn: c.id, Load: load})
 		return
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -34,13 +34,13 @@
 		habits := emulator.Habits{
 			Rate:       rates[i],
 			Loops:      load.Loops,
-			Think:      time.Duration(load.Think),
+			Think:      time.Duration(load.ThinkTime),
 			Retries:    load.Retries,
 			RetryWait:  time.Duration(load.RetryWait),
-			RetryMost:  time.Duration(load.RetryMost),
+			RetryMost:  time.Duration(load.MaxRetryWait),
 			HeedsBack:  load.HeedsBack,
 			Leaves:     load.Leaves,
-			RepeatsIDs: load.RepeatsIDs,
+			RepeatsIDs: load.RepeatIDRate,
 			HintNoise:  load.HintNoise,
 		}
 		c := &zoneClients{world: w, zone: policy.ZoneID(i)}
@@ -85,7 +85,7 @@
 	var candidates []*simNode
 	for _, sameZone := range [...]bool{true, false} {
 		for _, n := range c.world.nodes {
-			justDied := !n.up && c.world.now-n.diedAt < time.Duration(load.DeadFor)
+			justDied := !n.up && c.world.now-n.diedAt < time.Duration(load.DeadNodeTime)
 			if (n.zone == c.zone) == sameZone && (n.up && n.ready || justDied) {
 				candidates = append(candidates, n)
 			}
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -17,7 +17,7 @@
 // troubled is a world in which every rule is put to the test.
 func troubled(change func(*Scenario)) Scenario {
 	s := base()
-	s.Name, s.Length, s.Tracks = "troubled", Span(25*time.Second), baseTracks()
+	s.Name, s.Length, s.Tracks = "troubled", Span(25*time.Second), baseClasses()
 	s.Load.Of, s.Load.HintNoise = 0.8, 0
 	s.Fleet.ListLag = Span(300 * time.Millisecond)
 	second := Span(time.Second)
@@ -59,7 +59,7 @@
 	impatient(s)
 	s.Load.Of, s.Load.Leaves, s.Length = 3, 0.9, Span(8*time.Second)
 	for i := range s.Tracks {
-		s.Tracks[i].Work, s.Tracks[i].Outer = Span(60*time.Millisecond), Span(2*time.Second)
+		s.Tracks[i].Work, s.Tracks[i].Deadline = Span(60*time.Millisecond), Span(2*time.Second)
 	}
 	for i := range 6 {
 		s.Faults = append(s.Faults, Fault{Kind: emulator.NodeStopped, At: Span(time.Duration(2000+1000*i) * time.Millisecond),
@@ -71,7 +71,7 @@
 func tagged(group string, window time.Duration) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Tracks {
-			s.Tracks[i].Repeat, s.Tracks[i].Group, s.Tracks[i].Window = "tagged", group, Span(window)
+			s.Tracks[i].Idempotency, s.Tracks[i].DedupGroup, s.Tracks[i].DedupWindow = "tagged", group, Span(window)
 		}
 	}
 }
@@ -260,7 +260,7 @@
 		attempt: func(a *emulator.Allocation) { a.Window = 0 }}},
 	{"a cold executor is taken for a warm one", invariants.ColdSpared, func(s *Scenario) {
 		s.Load.Of = 1.5
-		s.Fleet.ColdShare, s.Fleet.FallMultiple, s.Fleet.Queue = 0.1, 1, 10
+		s.Fleet.ColdShare, s.Fleet.FallMultiple, s.Fleet.QueueLimit = 0.1, 1, 10
 	}, injectedDefects{settings: func(p *policy.Settings) {
 		p.SlowStartCapacity, p.SlowStartDuration, p.OverloadMultiple = 1, time.Millisecond, 1000
 	}}},
@@ -311,7 +311,7 @@
 				if broken := sound(s, seed); broken != "" {
 					t.Fatalf("seed %d breaks a rule with nothing planted: %s", seed, broken)
 				}
-				w := New(s, seed, Options{Most: 1000})
+				w := New(s, seed, Options{MaxViolations: 1000})
 				w.defects = d.plant
 				for _, b := range w.Play().Broken {
 					if caught[b.Rule]++; b.Rule != d.rule && caught[b.Rule] == 1 {
--- a/internal/simulation/dial.go
+++ b/internal/simulation/dial.go
@@ -32,7 +32,7 @@
 		return
 	}
 	c.state = connClosed
-	c.node.world.result.NoConnection++
+	c.node.world.result.FailedDials++
 	c.deliver(node.ConnClosed{Conn: c.id, Detail: noConnection + reason})
 }
 
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -65,12 +65,12 @@
 	f.Nodes = 1 + r.IntN(size.Nodes)
 	f.Executors = 2 + r.IntN(max(1, size.Executors-1))
 	f.Cores = 1 + r.IntN(3)
-	f.Places = f.Cores
-	f.Queue = r.IntN(5)
+	f.Slots = f.Cores
+	f.QueueLimit = r.IntN(5)
 	f.Spread = round(0.5 * r.Float64())
-	f.CellOf = 1 + r.IntN(3)
+	f.CellSize = 1 + r.IntN(3)
 	f.ByPriority = oneIn(r, 2)
-	f.StopsWork = oneIn(r, 2)
+	f.CancelsRunning = oneIn(r, 2)
 	f.ColdShare = round(0.1 + 0.4*r.Float64())
 	f.WarmWithin = milliseconds(1000 * (3 + r.IntN(15)))
 	f.FallMultiple = float64(2 + r.IntN(3))
@@ -82,8 +82,8 @@
 	f.Reports = oneIn(r, 2)
 	f.Far = milliseconds(1 + r.IntN(20))
 	f.IdleLimit = milliseconds(1000 * (1 + r.IntN(30)))
-	f.Conns = [...]int{200, 200, 4}[r.IntN(3)]
-	f.NodeConns = [...]int{250, 250, 6}[r.IntN(3)]
+	f.MaxExecutorConns = [...]int{200, 200, 4}[r.IntN(3)]
+	f.MaxNodeConns = [...]int{250, 250, 6}[r.IntN(3)]
 	f.ListLag = milliseconds(100 * (1 + r.IntN(30)))
 	if oneIn(r, 2) {
 		f.WeightsEvery = 0
@@ -97,7 +97,7 @@
 	}
 	f.PerWork = oneIn(r, 2)
 	if oneIn(r, 8) {
-		f.NodeBodies = 256 << 10
+		f.MaxBodyBytes = 256 << 10
 	}
 }
 
@@ -105,20 +105,20 @@
 	count := 1 + r.IntN(3)
 	for i := range count {
 		class := Track{Name: fmt.Sprint("t", i), Share: 1 / float64(count)}
-		class.Repeat = [...]string{idempotent, atMostOnce, idempotentWithKey}[r.IntN(3)]
+		class.Idempotency = [...]string{idempotent, atMostOnce, idempotentWithKey}[r.IntN(3)]
 		class.Work = milliseconds(20 + r.IntN(700))
 		class.Spread = round(0.8 * r.Float64())
-		class.Stretch = float64(1 + r.IntN(3))
-		class.Outer = milliseconds(1000 * (2 + r.IntN(12)))
-		class.Earnings = float64(1 + r.IntN(8))
+		class.RunTimeFactor = float64(1 + r.IntN(3))
+		class.Deadline = milliseconds(1000 * (2 + r.IntN(12)))
+		class.Value = float64(1 + r.IntN(8))
 		class.Priority = r.IntN(2)
 		class.Quoted = milliseconds(100 + r.IntN(900))
-		if class.Repeat == idempotentWithKey {
-			class.Group = [...]string{"all", "zone", "cell"}[r.IntN(3)]
-			class.Window = milliseconds(100 * (5 + r.IntN(80)))
+		if class.Idempotency == idempotentWithKey {
+			class.DedupGroup = [...]string{"all", "zone", "cell"}[r.IntN(3)]
+			class.DedupWindow = milliseconds(100 * (5 + r.IntN(80)))
 		}
 		if oneIn(r, 3) {
-			class.Late = round(0.5 * r.Float64())
+			class.LateValue = round(0.5 * r.Float64())
 		}
 		s.Tracks = append(s.Tracks, class)
 	}
@@ -133,20 +133,20 @@
 		l.Leaves = round(0.1 * r.Float64())
 	}
 	if oneIn(r, 4) {
-		l.RepeatsIDs = round(0.1 * r.Float64())
+		l.RepeatIDRate = round(0.1 * r.Float64())
 	}
 	l.HintNoise = [...]float64{0.2, 0, 0.6, -1}[r.IntN(4)]
 	l.Body = [...]int{0, 1 << 10, 64 << 10}[r.IntN(3)]
 	if oneIn(r, 6) { // closed loops beside the open one
 		l.Loops = 1 + r.IntN(6)
-		l.Think = milliseconds(r.IntN(300))
+		l.ThinkTime = milliseconds(r.IntN(300))
 	}
 }
 
 // drawFeatures draws what the policy may do beside one attempt at a time.
 func drawFeatures(r *rand.Rand, f *Fleet) {
 	f.Copies = oneIn(r, 2)
-	f.Probes = oneIn(r, 2)
+	f.MayProbe = oneIn(r, 2)
 }
 
 // drawGossip draws whether nodes gossip, and what goes wrong with their messages then.
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -110,7 +110,7 @@
 		n.after(until-n.world.now+watchRetryDelay, n.deliverEndpoints)
 		return
 	}
-	if n.watchCut || n.suspended {
+	if n.watchLost || n.suspended {
 		return
 	}
 	kind, entries := n.world.discovery.News(n.world.now, n.id)
--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -108,7 +108,7 @@
 			socket.conn.Reset()
 		}
 	case emulator.Fell:
-		w.result.Fell++
+		w.result.Overloaded++
 		w.observe(invariants.Seen{What: invariants.Fell, Node: invariants.Nobody, Executor: x.ID})
 		w.updateEndpoint(x.entry(policy.Removed))
 		if w.wired != nil {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -188,7 +188,7 @@
 		n.partitioned = on
 	case emulator.ListCut:
 		n.world.checker.Cut(n.world.now, n.id, on)
-		n.watchCut = on
+		n.watchLost = on
 		if !on && n.up {
 			n.deliverEndpoints()
 		}
--- a/internal/simulation/fleet_defects_test.go
+++ b/internal/simulation/fleet_defects_test.go
@@ -105,7 +105,7 @@
 			if text := d.wrong(sound, sound); text != "" {
 				t.Fatal("with nothing planted: ", text)
 			}
-			w := New(s, 3, Options{Most: 1000})
+			w := New(s, 3, Options{MaxViolations: 1000})
 			w.defects = d.plant
 			text := d.wrong(sound, w.Play())
 			if text == "" {
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -141,7 +141,7 @@
 	t.Parallel()
 	var out strings.Builder
 	breaks := func(s Scenario) bool {
-		w := New(s, 1, Options{Most: 1})
+		w := New(s, 1, Options{MaxViolations: 1})
 		w.defects = defects[0].plant
 		r := w.Play()
 		return len(r.Broken) > 0 && r.Broken[0].Rule == defects[0].rule
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -82,7 +82,7 @@
 // sendToPeer sends a message that may be lost, late or doubled. A partition loses it.
 func (n *simNode) sendToPeer(peer *simNode, event node.Event) {
 	w, fleet := n.world, &n.world.scenario.Fleet
-	w.result.Words++
+	w.result.PeerMessages++
 	blocked := n.zone != peer.zone && (w.partitions[n.zone].outboundUntil > w.now || w.partitions[peer.zone].inboundUntil > w.now)
 	if n.partitioned != peer.partitioned || blocked {
 		return
--- a/internal/simulation/kill_setup.go
+++ b/internal/simulation/kill_setup.go
@@ -51,7 +51,7 @@
 	Flavors   []string    `json:"flavors"`
 	Caps      killCaps    `json:"caps"`
 	Domain    killDomain  `json:"domain"`
-	Tracks    []killTrack `json:"tracks"`
+	Tracks    []killClass `json:"tracks"`
 }
 
 type killCaps struct {
@@ -63,7 +63,7 @@
 	StartNotices bool `json:"tells-start"`
 }
 
-type killTrack struct {
+type killClass struct {
 	Name      string  `json:"name"`
 	Objective float64 `json:"quoted-time-s"`
 	Deadline  float64 `json:"outer-limit-s"`
@@ -135,7 +135,7 @@
 	}}
 	for _, class := range killClasses {
 		config.Settings.Tracks = append(config.Settings.Tracks,
-			killTrack{Name: class.name, Objective: 0.3, Deadline: 5, Repeat: class.repeat, Value: 1})
+			killClass{Name: class.name, Objective: 0.3, Deadline: 5, Repeat: class.repeat, Value: 1})
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
--- a/internal/simulation/malformed_clients.go
+++ b/internal/simulation/malformed_clients.go
@@ -42,7 +42,7 @@
 // startMalformedClients sends a malformed request to each node at the scenario's rate, of all kinds in turn.
 func (v *wiredWorld) startMalformedClients() {
 	w := v.world
-	gap, turn := time.Duration(1e9/w.scenario.Load.Bad), 0
+	gap, turn := time.Duration(1e9/w.scenario.Load.MalformedRate), 0
 	var next func()
 	next = func() {
 		if w.now >= time.Duration(w.scenario.Length) {
@@ -73,7 +73,7 @@
 	conn.SetReadDeadline(time.Now().Add(malformedReplyTimeout))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	v.locked(func() {
-		v.world.result.Bad++
+		v.world.result.Malformed++
 		if p.ended {
 			return
 		}
--- a/internal/simulation/news_test.go
+++ b/internal/simulation/news_test.go
@@ -35,9 +35,9 @@
 			}
 		})
 		caught := 0
-		w := New(s, seed, Options{Most: 1000})
+		w := New(s, seed, Options{MaxViolations: 1000})
 		w.defects.event = changed(func(_ *World, n *simNode, ev node.JobArrived) []node.Event {
-			n.watchCut = true // and nobody says so
+			n.watchLost = true // and nobody says so
 			return []node.Event{ev}
 		})
 		for _, b := range w.Play().Broken {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -38,7 +38,7 @@
 	requests  map[policy.JobID]*clientRequest
 	endpoints map[policy.ExecutorID]invariants.Seen // what it was last notified of each executor
 	excluded  map[policy.ExecutorID]invariants.Seen // by operators, with what the endpoint list says of them
-	watchCut  bool                                  // nothing reaches it from discovery
+	watchLost bool                                  // nothing reaches it from discovery
 
 	openJobs    int
 	attemptsOut int
@@ -96,8 +96,8 @@
 		ProgressInterval:    time.Duration(fleet.TellsEvery),
 		MayLease:            fleet.Talk && fleet.Keepers && !wired,
 		MayHedge:            fleet.Copies,
-		ClientsMarkRetries:  n.world.scenario.Load.MarksAgain && !wired,
-		MayProbe:            fleet.Probes && !wired,
+		ClientsMarkRetries:  n.world.scenario.Load.MarksRetries && !wired,
+		MayProbe:            fleet.MayProbe && !wired,
 	}
 	longest := time.Duration(0)
 	for _, class := range n.world.jobClasses {
@@ -109,8 +109,8 @@
 		Quantum:         settings.Quantum,
 		MaxIdle:         time.Duration(fleet.IdleLimit) * 4 / 5,
 		DialTimeout:     time.Duration(fleet.DialLimit),
-		MaxConns:        fleet.NodeConns,
-		MaxBodyBytes:    fleet.NodeBodies,
+		MaxConns:        fleet.MaxNodeConns,
+		MaxBodyBytes:    fleet.MaxBodyBytes,
 		RetryAfter:      settings.MaxRetryAfter,
 		MaxWork:         4 * longest,
 		LameDuckPeriod:  config.LameDuckPeriod,
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -46,7 +46,7 @@
 		Class:       work.Track,
 		Work:        secondsOf(work.Hint).Truncate(time.Microsecond),
 		Budget:      budget,
-		ClientRetry: w.scenario.Load.MarksAgain && work.Tries > 0,
+		ClientRetry: w.scenario.Load.MarksRetries && work.Tries > 0,
 		Client:      request,
 	}})
 	n.maxQueued = max(n.maxQueued, n.openJobs-n.attemptsOut)
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -16,7 +16,7 @@
 	Best     float64             `json:"best"`   // upper bound of Earned, by which nodes and executors were up; 0 if it is not known
 	Worst    float64             `json:"worst"`  // Earned over the worst 10 s
 	WorstAt  Span                `json:"worst_at"`
-	Tracks   []TrackResult       `json:"tracks"` // by class
+	Tracks   []ClassResult       `json:"tracks"` // by class
 	Broken   []invariants.Broken `json:"broken"` // violations of invariants
 
 	Allocations  int `json:"allocations"` // attempts
@@ -24,19 +24,19 @@
 	Copies       int `json:"copies"`      // attempts while another one of the job was out
 	Probes       int `json:"probes"`
 	Dials        int `json:"dials"`
-	NoConnection int `json:"no_connection"` // dials that failed
-	StartsWaited int `json:"starts_waited"` // attempts that waited in their executor's queue
-	MostHeld     int `json:"most_held"`     // jobs without an attempt out at a node, at most
+	FailedDials  int `json:"no_connection"` // dials that failed
+	QueuedStarts int `json:"starts_waited"` // attempts that waited in their executor's queue
+	MaxQueued    int `json:"most_held"`     // jobs without an attempt out at a node, at most
 	Left         int `json:"left"`          // clients that left early
-	Fell         int `json:"fell"`          // executors that fell over by overload
-	WentWaiting  int `json:"went_waiting"`  // clients that left while their job had no attempt out
+	Overloaded   int `json:"fell"`          // executors that fell over by overload
+	LeftQueued   int `json:"went_waiting"`  // clients that left while their job had no attempt out
 	SentLate     int `json:"sent_late"`     // attempts for clients that had left longer ago than is allowed
 	LateTwice    int `json:"late_twice"`    // jobs with a key that were delayed on their way beyond the dedup window and ran again
 	Wrong        int `json:"wrong"`         // answers that no node should give; seen in wired worlds
-	Bad          int `json:"bad"`           // malformed requests sent; in wired worlds
+	Malformed    int `json:"bad"`           // malformed requests sent; in wired worlds
 	Panics       int `json:"panics"`        // of the policy; each was contained to one job
 	Steps        int `json:"steps"`         // events
-	Words        int `json:"words"`         // messages between nodes
+	PeerMessages int `json:"words"`         // messages between nodes
 
 	Account *Account `json:"account,omitempty"`
 
@@ -46,17 +46,17 @@
 	requestBody []byte
 }
 
-// TrackResult is a class's part of a result.
-type TrackResult struct {
-	Name       string  `json:"name"`
-	Works      int     `json:"works"` // each with one request or more
-	Tries      int     `json:"tries"` // requests
-	Earned     float64 `json:"earned"`
-	Handled    int     `json:"handled"` // requests that succeeded, and so on
-	PushedBack int     `json:"pushed_back"`
-	BrokenOff  int     `json:"broken_off"`
-	Unreached  int     `json:"unreached"`
-	Lost       int     `json:"lost"` // with their node
+// ClassResult is a class's part of a result.
+type ClassResult struct {
+	Name      string  `json:"name"`
+	Works     int     `json:"works"` // each with one request or more
+	Tries     int     `json:"tries"` // requests
+	Earned    float64 `json:"earned"`
+	Succeeded int     `json:"handled"` // requests that succeeded, and so on
+	Rejected  int     `json:"pushed_back"`
+	Failed    int     `json:"broken_off"`
+	Unreached int     `json:"unreached"`
+	Lost      int     `json:"lost"` // with their node
 
 	valueOffered, valueEarned float64
 }
@@ -67,7 +67,7 @@
 func newResult(s Scenario, seed uint64) Result {
 	r := Result{Scenario: s.Name, Seed: seed, Length: s.Length, seconds: make([]resultSecond, int(time.Duration(s.Length)/time.Second)+1)}
 	for _, class := range s.Tracks {
-		r.Tracks = append(r.Tracks, TrackResult{Name: class.Name})
+		r.Tracks = append(r.Tracks, ClassResult{Name: class.Name})
 	}
 	return r
 }
@@ -91,7 +91,7 @@
 	class.Tries++
 	switch end {
 	case emulator.EndHandled:
-		class.Handled++
+		class.Succeeded++
 		value := work.Earns
 		if w.now > work.Quoted {
 			value *= w.jobClasses[work.Track].LateValue
@@ -100,9 +100,9 @@
 		r.secondOf(work.Came).valueEarned += value
 		return value
 	case emulator.EndPushedBack:
-		class.PushedBack++
+		class.Rejected++
 	case emulator.EndBrokenOff:
-		class.BrokenOff++
+		class.Failed++
 	case emulator.EndUnreached:
 		class.Unreached++
 	case emulator.EndLost:
@@ -111,7 +111,7 @@
 	return 0
 }
 
-func (r *Result) recordMaxQueued(n *simNode) { r.MostHeld = max(r.MostHeld, n.maxQueued) }
+func (r *Result) recordMaxQueued(n *simNode) { r.MaxQueued = max(r.MaxQueued, n.maxQueued) }
 
 // worstWindow is the number of seconds over which Worst is taken.
 const worstWindow = 10
@@ -121,7 +121,7 @@
 	for _, n := range w.nodes {
 		r.recordMaxQueued(n)
 	}
-	r.Steps, r.LateTwice, r.WentWaiting, r.SentLate = w.steps, w.checker.LateTwice(), w.checker.WentWaiting(), w.checker.SentLate()
+	r.Steps, r.LateTwice, r.LeftQueued, r.SentLate = w.steps, w.checker.LateTwice(), w.checker.WentWaiting(), w.checker.SentLate()
 	offered, earned := 0.0, 0.0
 	for i := range r.Tracks {
 		class := &r.Tracks[i]
--- a/internal/simulation/result_print.go
+++ b/internal/simulation/result_print.go
@@ -16,14 +16,14 @@
 	}
 	fmt.Fprintf(to, "  %-10s %7s %7s %7s %8s %8s %7s %7s %6s\n", "track", "earned", "works", "tries", "handled", "pushed", "broken", "no node", "lost")
 	for _, class := range r.Tracks {
-		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", class.Name, class.Earned, class.Works, class.Tries, class.Handled, class.PushedBack, class.BrokenOff, class.Unreached, class.Lost)
+		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", class.Name, class.Earned, class.Works, class.Tries, class.Succeeded, class.Rejected, class.Failed, class.Unreached, class.Lost)
 	}
 	fmt.Fprintf(to, "  allocations %d, %.3f a batch job; %d to another zone; %d dials, %d led nowhere; %d starts waited\n",
-		r.Allocations, ratio(float64(r.Allocations), float64(r.requests())), r.Crossings, r.Dials, r.NoConnection, r.StartsWaited)
+		r.Allocations, ratio(float64(r.Allocations), float64(r.requests())), r.Crossings, r.Dials, r.FailedDials, r.QueuedStarts)
 	fmt.Fprintf(to, "  most held by a node %d; %d clients left, %d of them while their batch jobs waited, %d attempts too late after that; %d executors fell over; %d tagged ran again too late to be dropped\n",
-		r.MostHeld, r.Left, r.WentWaiting, r.SentLate, r.Fell, r.LateTwice)
-	if r.Words > 0 {
-		fmt.Fprintf(to, "  %d words between nodes\n", r.Words)
+		r.MaxQueued, r.Left, r.LeftQueued, r.SentLate, r.Overloaded, r.LateTwice)
+	if r.PeerMessages > 0 {
+		fmt.Fprintf(to, "  %d words between nodes\n", r.PeerMessages)
 	}
 	if r.Copies+r.Probes > 0 {
 		fmt.Fprintf(to, "  %d copies; %d probes\n", r.Copies, r.Probes)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -39,37 +39,37 @@
 	Executors int      `toml:"executors"` // e0, e1, ..., spread over the zones
 
 	// Executors.
-	Cores        int     `toml:"cores"`
-	Places       int     `toml:"places"` // jobs that run at once
-	Queue        int     `toml:"queue"`  // jobs that wait
-	Speed        float64 `toml:"speed"`
-	Spread       float64 `toml:"spread"`                  // relative deviation of speeds, uniform either way
-	SlowPart     float64 `toml:"slow-part,omitempty"`     // share of the executors that are of a second, slower kind
-	SlowSpeed    float64 `toml:"slow-speed,omitempty"`    // speed of those, with the same deviation
-	CellOf       int     `toml:"cell-of"`                 // executors in a cell
-	ByPriority   bool    `toml:"by-priority"`             // queues are ordered by priority
-	StopsWork    bool    `toml:"stops-work"`              // a running job ends when it is canceled
-	KeepsWaiting bool    `toml:"keeps-waiting,omitempty"` // a queued job stays when it is canceled, and runs in its turn
-	AttemptNoise float64 `toml:"attempt-noise,omitempty"` // sigma of the lognormal by which the work of attempts of a job differs
-	ColdShare    float64 `toml:"cold-share"`              // capacity right after a start, as a share
-	WarmWithin   Span    `toml:"warm-within"`             // until full capacity
-	FallMultiple float64 `toml:"fall-multiple"`           // of its capacity, over fall-window, at which a cold executor falls over
-	FallWindow   Span    `toml:"fall-window"`
-	DrainGrace   Span    `toml:"drain-grace"` // a draining executor takes jobs for so long
-	TellsStart   bool    `toml:"tells-start"` // notices of starts
-	TellsEvery   Span    `toml:"tells-every"` // notices of progress; 0 for none
-	Reports      bool    `toml:"reports"`     // answers report load
-	Copies       bool    `toml:"copies"`      // idempotent jobs may be hedged
-	Probes       bool    `toml:"probes"`      // health checks
-	ReportEvery  Span    `toml:"report-every"`
+	Cores          int     `toml:"cores"`
+	Slots          int     `toml:"places"` // jobs that run at once
+	QueueLimit     int     `toml:"queue"`  // jobs that wait
+	Speed          float64 `toml:"speed"`
+	Spread         float64 `toml:"spread"`                  // relative deviation of speeds, uniform either way
+	SlowShare      float64 `toml:"slow-part,omitempty"`     // share of the executors that are of a second, slower kind
+	SlowSpeed      float64 `toml:"slow-speed,omitempty"`    // speed of those, with the same deviation
+	CellSize       int     `toml:"cell-of"`                 // executors in a cell
+	ByPriority     bool    `toml:"by-priority"`             // queues are ordered by priority
+	CancelsRunning bool    `toml:"stops-work"`              // a running job ends when it is canceled
+	KeepsQueued    bool    `toml:"keeps-waiting,omitempty"` // a queued job stays when it is canceled, and runs in its turn
+	AttemptNoise   float64 `toml:"attempt-noise,omitempty"` // sigma of the lognormal by which the work of attempts of a job differs
+	ColdShare      float64 `toml:"cold-share"`              // capacity right after a start, as a share
+	WarmWithin     Span    `toml:"warm-within"`             // until full capacity
+	FallMultiple   float64 `toml:"fall-multiple"`           // of its capacity, over fall-window, at which a cold executor falls over
+	FallWindow     Span    `toml:"fall-window"`
+	DrainGrace     Span    `toml:"drain-grace"` // a draining executor takes jobs for so long
+	TellsStart     bool    `toml:"tells-start"` // notices of starts
+	TellsEvery     Span    `toml:"tells-every"` // notices of progress; 0 for none
+	Reports        bool    `toml:"reports"`     // answers report load
+	Copies         bool    `toml:"copies"`      // idempotent jobs may be hedged
+	MayProbe       bool    `toml:"probes"`      // health checks
+	ReportInterval Span    `toml:"report-every"`
 
 	// The network.
-	Near      Span `toml:"near"` // one-way delay within a zone
-	Far       Span `toml:"far"`  // and between zones
-	DialLimit Span `toml:"dial-limit"`
-	IdleLimit Span `toml:"idle-limit"`
-	Conns     int  `toml:"conns"`     // that an executor accepts
-	ConnCost  Span `toml:"conn-cost"` // work of an executor for a new one
+	Near             Span `toml:"near"` // one-way delay within a zone
+	Far              Span `toml:"far"`  // and between zones
+	DialLimit        Span `toml:"dial-limit"`
+	IdleLimit        Span `toml:"idle-limit"`
+	MaxExecutorConns int  `toml:"conns"`     // that an executor accepts
+	ConnCost         Span `toml:"conn-cost"` // work of an executor for a new one
 
 	// Discovery.
 	ListLag      Span `toml:"list-lag"`
@@ -77,12 +77,12 @@
 	NoWeights    bool `toml:"no-weights,omitempty"` // all executors have the same weight
 
 	// Nodes.
-	Allocations int     `toml:"allocations"`       // attempts of a job, at most
-	ComeBack    Span    `toml:"come-back"`         // largest retry-after; 0 for none
-	CrossPrice  float64 `toml:"cross-price"`       // cost of an attempt in another zone
-	PerWork     bool    `toml:"earnings-per-work"` // values are per second of work
-	NodeConns   int     `toml:"node-conns"`        // to executors
-	NodeBodies  int     `toml:"node-bodies"`       // bytes of bodies in memory
+	Allocations  int     `toml:"allocations"`       // attempts of a job, at most
+	ComeBack     Span    `toml:"come-back"`         // largest retry-after; 0 for none
+	CrossPrice   float64 `toml:"cross-price"`       // cost of an attempt in another zone
+	PerWork      bool    `toml:"earnings-per-work"` // values are per second of work
+	MaxNodeConns int     `toml:"node-conns"`        // to executors
+	MaxBodyBytes int     `toml:"node-bodies"`       // bytes of bodies in memory
 
 	// Messages between nodes.
 	Talk         bool    `toml:"talk,omitempty"`          // nodes gossip
@@ -94,39 +94,39 @@
 
 // Load describes the clients.
 type Load struct {
-	Of         float64   `toml:"of"`    // open-loop traffic as a share of the executors' capacity; 0 for closed loops only
-	Zones      []float64 `toml:"zones"` // weights of the zones' traffic; evenly if empty
-	Loops      int       `toml:"loops"` // closed-loop clients of each zone
-	Think      Span      `toml:"think"` // of those, between two works
-	Retries    int       `toml:"retries"`
-	RetryWait  Span      `toml:"retry-wait"`
-	RetryMost  Span      `toml:"retry-most,omitempty"`    // if over retry-wait, the wait doubles up to this, with jitter of up to a half
-	MarksAgain bool      `toml:"marks-repeats,omitempty"` // clients mark retries
-	NodeSkew   float64   `toml:"node-skew,omitempty"`     // sigma of the lognormal of the shares that nodes of a zone get of its traffic
-	HeedsBack  bool      `toml:"heeds-come-back"`         // clients respect retry-after
-	Leaves     float64   `toml:"leaves"`                  // probability that a client leaves early
-	RepeatsIDs float64   `toml:"repeats-ids"`             // probability that a client repeats a job ID that may be in use
-	HintNoise  float64   `toml:"hint-noise"`              // sigma of the hints of work; under 0 for no hints
-	Body       int       `toml:"body"`                    // bytes
-	Bad        float64   `toml:"bad"`                     // malformed requests a second at each node, in wired worlds
-	DeadFor    Span      `toml:"dead-for"`                // the front layer sends to a dead node for so long
+	Of            float64   `toml:"of"`    // open-loop traffic as a share of the executors' capacity; 0 for closed loops only
+	ZoneWeights   []float64 `toml:"zones"` // weights of the zones' traffic; evenly if empty
+	Loops         int       `toml:"loops"` // closed-loop clients of each zone
+	ThinkTime     Span      `toml:"think"` // of those, between two works
+	Retries       int       `toml:"retries"`
+	RetryWait     Span      `toml:"retry-wait"`
+	MaxRetryWait  Span      `toml:"retry-most,omitempty"`    // if over retry-wait, the wait doubles up to this, with jitter of up to a half
+	MarksRetries  bool      `toml:"marks-repeats,omitempty"` // clients mark retries
+	NodeSkew      float64   `toml:"node-skew,omitempty"`     // sigma of the lognormal of the shares that nodes of a zone get of its traffic
+	HeedsBack     bool      `toml:"heeds-come-back"`         // clients respect retry-after
+	Leaves        float64   `toml:"leaves"`                  // probability that a client leaves early
+	RepeatIDRate  float64   `toml:"repeats-ids"`             // probability that a client repeats a job ID that may be in use
+	HintNoise     float64   `toml:"hint-noise"`              // sigma of the hints of work; under 0 for no hints
+	Body          int       `toml:"body"`                    // bytes
+	MalformedRate float64   `toml:"bad"`                     // malformed requests a second at each node, in wired worlds
+	DeadNodeTime  Span      `toml:"dead-for"`                // the front layer sends to a dead node for so long
 }
 
 // Track describes a job class.
 type Track struct {
-	Name     string  `toml:"name"`
-	Share    float64 `toml:"share"`         // of the works
-	Repeat   string  `toml:"repeat"`        // idempotency: repeatable, tagged or once-only
-	Group    string  `toml:"group"`         // dedup group of a tagged one: all, zone or cell
-	Window   Span    `toml:"window"`        // dedup window of a tagged one
-	Work     Span    `toml:"work"`          // mean on a standard core
-	Spread   float64 `toml:"spread"`        // sigma of the lognormal of the work
-	Quoted   Span    `toml:"quoted"`        // latency objective beyond the run time
-	Stretch  float64 `toml:"stretch"`       // run time factor
-	Outer    Span    `toml:"outer-limit"`   // deadline
-	Earnings float64 `toml:"earnings"`      // value
-	Late     float64 `toml:"late-earnings"` // share of the value for late answers
-	Priority int     `toml:"priority"`      // in executors' queues
+	Name          string  `toml:"name"`
+	Share         float64 `toml:"share"`         // of the works
+	Idempotency   string  `toml:"repeat"`        // idempotency: repeatable, tagged or once-only
+	DedupGroup    string  `toml:"group"`         // dedup group of a tagged one: all, zone or cell
+	DedupWindow   Span    `toml:"window"`        // dedup window of a tagged one
+	Work          Span    `toml:"work"`          // mean on a standard core
+	Spread        float64 `toml:"spread"`        // sigma of the lognormal of the work
+	Quoted        Span    `toml:"quoted"`        // latency objective beyond the run time
+	RunTimeFactor float64 `toml:"stretch"`       // run time factor
+	Deadline      Span    `toml:"outer-limit"`   // deadline
+	Value         float64 `toml:"earnings"`      // value
+	LateValue     float64 `toml:"late-earnings"` // share of the value for late answers
+	Priority      int     `toml:"priority"`      // in executors' queues
 }
 
 // Fault is an entry of the script.
@@ -150,7 +150,7 @@
 		return s, err
 	}
 	if len(s.Tracks) == 0 {
-		s.Tracks = baseTracks()
+		s.Tracks = baseClasses()
 	}
 	s.Name = strings.TrimSuffix(path.Base(file), ".toml")
 	if at, err := s.check(); err != nil {
@@ -211,14 +211,14 @@
 func (s *Scenario) Takes() (clients []emulator.Track, nodes []policy.JobClass) {
 	for _, t := range s.Tracks {
 		class := policy.JobClass{
-			Idempotency:      idempotencyNames[t.Repeat],
-			DedupGroup:       dedupGroupNames[t.Group],
-			DedupWindow:      time.Duration(t.Window),
+			Idempotency:      idempotencyNames[t.Idempotency],
+			DedupGroup:       dedupGroupNames[t.DedupGroup],
+			DedupWindow:      time.Duration(t.DedupWindow),
 			LatencyObjective: time.Duration(t.Quoted),
-			RunTimeFactor:    t.Stretch,
-			Deadline:         time.Duration(t.Outer),
-			Value:            t.Earnings,
-			LateValue:        t.Late,
+			RunTimeFactor:    t.RunTimeFactor,
+			Deadline:         time.Duration(t.Deadline),
+			Value:            t.Value,
+			LateValue:        t.LateValue,
 			Kind:             policy.AnyKind,
 		}
 		nodes = append(nodes, class)
@@ -239,13 +239,13 @@
 // Rates are the works a second that come to each zone, for a capacity of all executors in seconds of work a second.
 func (s *Scenario) Rates(capacity float64) (rates []float64) {
 	mean, total := s.MeanWork(), 0.0
-	for _, weight := range s.Load.Zones {
+	for _, weight := range s.Load.ZoneWeights {
 		total += weight
 	}
 	for i := range s.Fleet.Zones {
 		share := 1 / float64(len(s.Fleet.Zones))
-		if len(s.Load.Zones) > 0 {
-			share = s.Load.Zones[i] / total
+		if len(s.Load.ZoneWeights) > 0 {
+			share = s.Load.ZoneWeights[i] / total
 		}
 		rates = append(rates, s.Load.Of*capacity/mean*share)
 	}
@@ -268,14 +268,14 @@
 		ID:           policy.ExecutorID(id),
 		Kind:         kind,
 		Zone:         policy.ZoneID(number % len(f.Zones)),
-		Cell:         policy.CellID(number / f.CellOf),
+		Cell:         policy.CellID(number / f.CellSize),
 		Cores:        f.Cores,
 		Speed:        speed,
-		Places:       f.Places,
-		Queue:        f.Queue,
+		Places:       f.Slots,
+		Queue:        f.QueueLimit,
 		ByPriority:   f.ByPriority,
-		StopsWork:    f.StopsWork,
-		KeepsWaiting: f.KeepsWaiting,
+		StopsWork:    f.CancelsRunning,
+		KeepsWaiting: f.KeepsQueued,
 		ColdShare:    f.ColdShare,
 		WarmWithin:   time.Duration(f.WarmWithin),
 		FallMultiple: f.FallMultiple,
@@ -284,9 +284,9 @@
 		TellsStart:   f.TellsStart,
 		TellsEvery:   time.Duration(f.TellsEvery),
 		Reports:      f.Reports,
-		ReportEvery:  time.Duration(f.ReportEvery),
+		ReportEvery:  time.Duration(f.ReportInterval),
 		ReportNoise:  reportNoise,
-		Conns:        f.Conns,
+		Conns:        f.MaxExecutorConns,
 		ConnCost:     time.Duration(f.ConnCost),
 	}
 }
@@ -295,5 +295,5 @@
 // that makes the zone's number of slow ones due by then.
 func (s *Scenario) isSlow(number int) bool {
 	inZone := float64(number / len(s.Fleet.Zones))
-	return int((inZone+1)*s.Fleet.SlowPart) > int(inZone*s.Fleet.SlowPart)
+	return int((inZone+1)*s.Fleet.SlowShare) > int(inZone*s.Fleet.SlowShare)
 }
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -42,35 +42,35 @@
 		{f.Nodes < 1 || f.Nodes > maxNodes, "fleet", "nodes", fmt.Sprint("from 1 to ", maxNodes)},
 		{f.Executors < 1 || f.Executors > maxExecutors, "fleet", "executors", fmt.Sprint("from 1 to ", maxExecutors)},
 		{f.Cores < 1, "fleet", "cores", "at least 1"},
-		{f.Places < 1, "fleet", "places", "at least 1"},
-		{f.Queue < 0, "fleet", "queue", "not under 0"},
+		{f.Slots < 1, "fleet", "places", "at least 1"},
+		{f.QueueLimit < 0, "fleet", "queue", "not under 0"},
 		{f.Speed <= 0, "fleet", "speed", "over 0"},
 		{f.Spread < 0 || f.Spread >= 1, "fleet", "spread", "from 0 to under 1"},
-		{f.SlowPart < 0 || f.SlowPart > 1, "fleet", "slow-part", "a part, from 0 to 1"},
-		{f.SlowPart > 0 && f.SlowSpeed <= 0, "fleet", "slow-speed", "over 0 where slow-part is"},
+		{f.SlowShare < 0 || f.SlowShare > 1, "fleet", "slow-part", "a part, from 0 to 1"},
+		{f.SlowShare > 0 && f.SlowSpeed <= 0, "fleet", "slow-speed", "over 0 where slow-part is"},
 		{f.AttemptNoise < 0 || f.AttemptNoise > 3, "fleet", "attempt-noise", "from 0 to 3"},
 		{f.NoWeights && f.WeightsEvery > 0, "fleet", "no-weights", "false where weights-every is over 0"},
-		{f.CellOf < 1, "fleet", "cell-of", "at least 1"},
+		{f.CellSize < 1, "fleet", "cell-of", "at least 1"},
 		{f.ColdShare <= 0 || f.ColdShare > 1, "fleet", "cold-share", "over 0 and at most 1"},
 		{f.FallMultiple < 0, "fleet", "fall-multiple", "not under 0"},
 		{f.DialLimit <= 0, "fleet", "dial-limit", "over 0"},
 		{f.IdleLimit <= 0, "fleet", "idle-limit", "over 0"},
-		{f.Conns < 1, "fleet", "conns", "at least 1"},
-		{f.ReportEvery <= 0, "fleet", "report-every", "over 0"},
+		{f.MaxExecutorConns < 1, "fleet", "conns", "at least 1"},
+		{f.ReportInterval <= 0, "fleet", "report-every", "over 0"},
 		{f.Allocations < 1, "fleet", "allocations", "at least 1"},
-		{f.NodeConns < 1, "fleet", "node-conns", "at least 1"},
+		{f.MaxNodeConns < 1, "fleet", "node-conns", "at least 1"},
 		{f.WordsLost < 0 || f.WordsLost > 1, "fleet", "words-lost", "a part, from 0 to 1"},
 		{f.WordsDoubled < 0 || f.WordsDoubled > 1, "fleet", "words-doubled", "a part, from 0 to 1"},
 		{l.Of < 0 || l.Of > 50, "load", "of", "from 0 to 50"},
 		{l.Of == 0 && l.Loops == 0, "load", "of", "over 0, or loops over 0: nobody would hand anything in"},
 		{l.Loops < 0, "load", "loops", "not under 0"},
-		{len(l.Zones) > 0 && len(l.Zones) != len(f.Zones), "load", "zones", fmt.Sprintf("a figure for each of the %d zones", len(f.Zones))},
-		{slices.ContainsFunc(l.Zones, func(x float64) bool { return x < 0 }), "load", "zones", "not under 0"},
+		{len(l.ZoneWeights) > 0 && len(l.ZoneWeights) != len(f.Zones), "load", "zones", fmt.Sprintf("a figure for each of the %d zones", len(f.Zones))},
+		{slices.ContainsFunc(l.ZoneWeights, func(x float64) bool { return x < 0 }), "load", "zones", "not under 0"},
 		{l.Retries < 0 || l.Retries > 20, "load", "retries", "from 0 to 20"},
 		{l.NodeSkew < 0 || l.NodeSkew > 3, "load", "node-skew", "from 0 to 3"},
 		{l.Leaves < 0 || l.Leaves > 1, "load", "leaves", "a part, from 0 to 1"},
-		{l.RepeatsIDs < 0 || l.RepeatsIDs > 1, "load", "repeats-ids", "a part, from 0 to 1"},
-		{l.Bad < 0 || l.Bad > 1000, "load", "bad", "from 0 to 1000"},
+		{l.RepeatIDRate < 0 || l.RepeatIDRate > 1, "load", "repeats-ids", "a part, from 0 to 1"},
+		{l.MalformedRate < 0 || l.MalformedRate > 1000, "load", "bad", "from 0 to 1000"},
 		{l.Body < 0 || l.Body > 64<<10, "load", "body", "from 0 to 65536"},
 	} {
 		if check.wrong {
@@ -97,26 +97,26 @@
 
 // check returns the first thing in a class that makes no sense, and its key.
 func (t *Track) check() (key string, err error) {
-	_, isIdempotency := idempotencyNames[t.Repeat]
-	_, isDedupGroup := dedupGroupNames[t.Group]
+	_, isIdempotency := idempotencyNames[t.Idempotency]
+	_, isDedupGroup := dedupGroupNames[t.DedupGroup]
 	switch {
 	case t.Share < 0:
 		return "share", errors.New("under 0")
 	case !isIdempotency:
-		return "repeat", fmt.Errorf("%q is none of repeatable, tagged and once-only", t.Repeat)
+		return "repeat", fmt.Errorf("%q is none of repeatable, tagged and once-only", t.Idempotency)
 	case !isDedupGroup:
-		return "group", fmt.Errorf("%q is none of all, zone and cell", t.Group)
-	case t.Repeat == idempotentWithKey && t.Window <= 0:
+		return "group", fmt.Errorf("%q is none of all, zone and cell", t.DedupGroup)
+	case t.Idempotency == idempotentWithKey && t.DedupWindow <= 0:
 		return "window", errors.New("a tagged track needs one over 0")
 	case t.Work <= 0:
 		return "work", errMissing
 	case t.Quoted <= 0:
 		return "quoted", errMissing
-	case t.Outer <= 0:
+	case t.Deadline <= 0:
 		return "outer-limit", errMissing
-	case t.Quoted > t.Outer:
+	case t.Quoted > t.Deadline:
 		return "quoted", errors.New("it is over the outer limit; were the two mixed up?")
-	case t.Earnings <= 0:
+	case t.Value <= 0:
 		return "earnings", errMissing
 	}
 	return "", nil
--- a/internal/simulation/scenario_defaults.go
+++ b/internal/simulation/scenario_defaults.go
@@ -9,60 +9,60 @@
 	return Scenario{
 		Length: Span(time.Minute),
 		Fleet: Fleet{
-			Zones:        []string{"east", "west"},
-			Nodes:        3,
-			Executors:    12,
-			Cores:        2,
-			Places:       2,
-			Queue:        4,
-			Speed:        1,
-			Spread:       0.2,
-			CellOf:       2,
-			ByPriority:   true,
-			ColdShare:    0.3,
-			WarmWithin:   milliseconds(9000),
-			FallMultiple: 4,
-			FallWindow:   milliseconds(1500),
-			DrainGrace:   milliseconds(1500),
-			TellsStart:   true,
-			TellsEvery:   milliseconds(2000),
-			Reports:      true,
-			ReportEvery:  milliseconds(700),
-			Near:         milliseconds(1),
-			Far:          milliseconds(8),
-			DialLimit:    milliseconds(100),
-			IdleLimit:    Span(time.Minute),
-			Conns:        200,
-			ConnCost:     milliseconds(1),
-			ListLag:      milliseconds(1000),
-			WeightsEvery: milliseconds(700),
-			Allocations:  6,
-			ComeBack:     milliseconds(2000),
-			CrossPrice:   0.2,
-			PerWork:      true,
-			NodeConns:    250,
-			NodeBodies:   48 << 20,
+			Zones:            []string{"east", "west"},
+			Nodes:            3,
+			Executors:        12,
+			Cores:            2,
+			Slots:            2,
+			QueueLimit:       4,
+			Speed:            1,
+			Spread:           0.2,
+			CellSize:         2,
+			ByPriority:       true,
+			ColdShare:        0.3,
+			WarmWithin:       milliseconds(9000),
+			FallMultiple:     4,
+			FallWindow:       milliseconds(1500),
+			DrainGrace:       milliseconds(1500),
+			TellsStart:       true,
+			TellsEvery:       milliseconds(2000),
+			Reports:          true,
+			ReportInterval:   milliseconds(700),
+			Near:             milliseconds(1),
+			Far:              milliseconds(8),
+			DialLimit:        milliseconds(100),
+			IdleLimit:        Span(time.Minute),
+			MaxExecutorConns: 200,
+			ConnCost:         milliseconds(1),
+			ListLag:          milliseconds(1000),
+			WeightsEvery:     milliseconds(700),
+			Allocations:      6,
+			ComeBack:         milliseconds(2000),
+			CrossPrice:       0.2,
+			PerWork:          true,
+			MaxNodeConns:     250,
+			MaxBodyBytes:     48 << 20,
 		},
-		Load: Load{Of: 0.6, Retries: 2, RetryWait: milliseconds(200), HeedsBack: true, HintNoise: 0.2, Body: 1 << 10, DeadFor: milliseconds(2000)},
+		Load: Load{Of: 0.6, Retries: 2, RetryWait: milliseconds(200), HeedsBack: true, HintNoise: 0.2, Body: 1 << 10, DeadNodeTime: milliseconds(2000)},
 	}
 }
 
-// baseTracks are the job classes of a scenario that has none.
-func baseTracks() []Track {
+// baseClasses are the job classes of a scenario that has none.
+func baseClasses() []Track {
 	return []Track{
-		{Name: "read", Share: 0.4, Repeat: idempotent, Work: milliseconds(350), Spread: 0.4, Quoted: milliseconds(300), Stretch: 2,
-			Outer: milliseconds(5000), Earnings: 2},
-		{Name: "verify", Share: 0.3, Repeat: atMostOnce, Work: milliseconds(1000), Spread: 0.4, Quoted: milliseconds(750), Stretch: 2,
-			Outer: milliseconds(20000), Earnings: 8, Priority: 1},
-		{Name: "split", Share: 0.3, Repeat: idempotentWithKey, Group: "zone", Window: milliseconds(7500), Work: milliseconds(200), Spread: 0.4,
-			Quoted: milliseconds(200), Stretch: 2, Outer: milliseconds(5000), Earnings: 2},
+		{Name: "read", Share: 0.4, Idempotency: idempotent, Work: milliseconds(350), Spread: 0.4, Quoted: milliseconds(300), RunTimeFactor: 2,
+			Deadline: milliseconds(5000), Value: 2},
+		{Name: "verify", Share: 0.3, Idempotency: atMostOnce, Work: milliseconds(1000), Spread: 0.4, Quoted: milliseconds(750), RunTimeFactor: 2,
+			Deadline: milliseconds(20000), Value: 8, Priority: 1},
+		{Name: "split", Share: 0.3, Idempotency: idempotentWithKey, DedupGroup: "zone", DedupWindow: milliseconds(7500), Work: milliseconds(200), Spread: 0.4,
+			Quoted: milliseconds(200), RunTimeFactor: 2, Deadline: milliseconds(5000), Value: 2},
 	}
 }
 
 // Base is the scenario of all defaults, with job classes.
 func Base() Scenario {
 	s := base()
-	s.Tracks = baseTracks()
+	s.Tracks = baseClasses()
 	return s
 }
 
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -12,7 +12,7 @@
 // calls step with each smaller one that it finds, and returns the last; s itself if that does not violate it.
 func Shrink(s Scenario, seed uint64, rule invariants.Rule, step func(Scenario)) Scenario {
 	return shrink(s, func(candidate Scenario) bool {
-		r := New(candidate, seed, Options{Most: 1}).Play()
+		r := New(candidate, seed, Options{MaxViolations: 1}).Play()
 		return slices.ContainsFunc(r.Broken, func(b invariants.Broken) bool { return b.Rule == rule })
 	}, step)
 }
@@ -89,7 +89,7 @@
 	c.addSmallerFaults()
 	c.addFewerClasses()
 	for _, simpler := range []func(*Scenario){
-		func(s *Scenario) { s.Load.RepeatsIDs = 0 },
+		func(s *Scenario) { s.Load.RepeatIDRate = 0 },
 		func(s *Scenario) { s.Load.Leaves = 0 },
 		func(s *Scenario) { s.Load.Loops = 0 },
 		func(s *Scenario) { s.Load.Retries = 0 },
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -35,7 +35,7 @@
 		return s
 	}
 	look := func(seed uint64, r Result) {
-		waiting += r.WentWaiting
+		waiting += r.LeftQueued
 		if r.SentLate > 0 {
 			t.Errorf("seed %d: %d attempts began too long after their clients had left", seed, r.SentLate)
 		}
@@ -107,7 +107,7 @@
 	if s.Load.Of == 0 {
 		return s
 	}
-	perSecond := s.Load.Of * float64(s.Fleet.Executors*s.Fleet.Places) * s.Fleet.Speed / mean // clients' repeats come on top
+	perSecond := s.Load.Of * float64(s.Fleet.Executors*s.Fleet.Slots) * s.Fleet.Speed / mean // clients' repeats come on top
 	s.Length = min(s.Length, Span(most/perSecond*float64(time.Second)))
 	s.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool { return f.At >= s.Length })
 	return s
@@ -260,7 +260,7 @@
 	forgets := defects[0]
 	const seed = 1
 	breaks := func(s Scenario) bool {
-		w := New(s, seed, Options{Most: 1})
+		w := New(s, seed, Options{MaxViolations: 1})
 		w.defects = forgets.plant
 		r := w.Play()
 		return len(r.Broken) > 0 && r.Broken[0].Rule == forgets.rule
--- a/internal/simulation/wired_executor.go
+++ b/internal/simulation/wired_executor.go
@@ -97,7 +97,7 @@
 	text, complete := socket.response.Append(nil, answer, x.ID, platform.Result(string(request.work.ID)))
 	socket.conn.Write(text) //nolint:errcheck // the reader of a broken connection sees and records that
 	if answer.Word == emulator.Began && v.world.now-request.sentAt > queuedStart {
-		v.world.result.StartsWaited++
+		v.world.result.QueuedStarts++
 	}
 	if complete {
 		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(v.world.scenario.Fleet.IdleLimit)))
--- a/internal/simulation/wired_node.go
+++ b/internal/simulation/wired_node.go
@@ -116,7 +116,7 @@
 		}
 		w.result.Dials++
 		if err != nil {
-			w.result.NoConnection++
+			w.result.FailedDials++
 		}
 		silent = v.net.Chance("silent"+p.host+name) < w.newConnSilentRate
 		breaks = v.net.Chance("break"+p.host+name) < w.newConnResetRate
--- a/internal/simulation/wired_test.go
+++ b/internal/simulation/wired_test.go
@@ -68,7 +68,7 @@
 			s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At >= s.Length })
 			r := playWired(t, s, s.Seed, Options{})
 			wants(t, r)
-			if s.Load.Bad > 0 && r.Bad == 0 {
+			if s.Load.MalformedRate > 0 && r.Malformed == 0 {
 				t.Error("no bad client came")
 			}
 		})
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -79,10 +79,10 @@
 
 // Options say how a world is played.
 type Options struct {
-	Trace   func(invariants.Seen) // called with each observation; nil for no trace
-	Most    int                   // violations after which the world ends; 0 for 20
-	Policy  Policy                // what decides at the nodes; "" for ModulePolicy, the only one for wired worlds
-	Account bool                  // keep an account of the value that was not earned; not for wired worlds
+	Trace         func(invariants.Seen) // called with each observation; nil for no trace
+	MaxViolations int                   // violations after which the world ends; 0 for 20
+	Policy        Policy                // what decides at the nodes; "" for ModulePolicy, the only one for wired worlds
+	Account       bool                  // keep an account of the value that was not earned; not for wired worlds
 }
 
 // New makes a world in which nothing has happened yet.
@@ -91,7 +91,7 @@
 		scenario:       s,
 		seed:           seed,
 		policy:         cmp.Or(o.Policy, ModulePolicy),
-		maxViolations:  cmp.Or(o.Most, defaultMaxViolations),
+		maxViolations:  cmp.Or(o.MaxViolations, defaultMaxViolations),
 		networkRand:    stream(seed, networkStream),
 		gossipRand:     stream(seed, gossipStream),
 		workNoiseRand:  stream(seed, workNoiseStream),
@@ -179,7 +179,7 @@
 		w.after(every, w.updateWeights)
 	}
 	w.buildClients()
-	if w.wired != nil && w.scenario.Load.Bad > 0 {
+	if w.wired != nil && w.scenario.Load.MalformedRate > 0 {
 		w.wired.startMalformedClients()
 	}
 	for _, fault := range w.scenario.Faults {
