--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,12 +11,12 @@
 type Settings struct {
 	Policy policy.Settings // for the decision module
 
-	LoadFields LoadFields // where values stand in load reports: report.fields
-	Probe      Probe      // the configuration's probe; not among the settings
-	MayGossip  bool       // whether nodes may send each other messages: caps.peers; default false
-	Tracks     []string   // names of the job classes, by number: tracks[].name
-	Zones      []string   // names, by number: areas
-	Kinds      []string   // names of executor kinds, by number: flavors
+	LoadFields    LoadFields // where values stand in load reports: report.fields
+	Probe         Probe      // the configuration's probe; not among the settings
+	MayGossip     bool       // whether nodes may send each other messages: caps.peers; default false
+	JobClassNames []string   // names of the job classes, by number: tracks[].name
+	Zones         []string   // names, by number: areas
+	Kinds         []string   // names of executor kinds, by number: flavors
 
 	IdleTimeout time.Duration // after which an executor closes an idle connection: caps.conn-idle-s; default 60 s
 	DialTimeout time.Duration // after which a connection that is not up has failed: caps.dial-timeout-s; default 100 ms
--- a/internal/site/cluster.go
+++ b/internal/site/cluster.go
@@ -94,5 +94,5 @@
 
 // clusterKey is an error in the value of a key of the table.
 func clusterKey(key string, err error) error {
-	return &tomlfile.KeyError{Place: tomlfile.Place{Table: "fleet", Index: tomlfile.NoIndex, Key: key}, Err: err}
+	return &tomlfile.KeyError{Place: tomlfile.Position{Table: "fleet", Index: tomlfile.NoIndex, Key: key}, Err: err}
 }
--- a/internal/site/durable.go
+++ b/internal/site/durable.go
@@ -72,5 +72,5 @@
 
 // durableKey is an error in the value of a key of the table.
 func durableKey(key string, err error) error {
-	return &tomlfile.KeyError{Place: tomlfile.Place{Table: "durable", Index: tomlfile.NoIndex, Key: key}, Err: err}
+	return &tomlfile.KeyError{Place: tomlfile.Position{Table: "durable", Index: tomlfile.NoIndex, Key: key}, Err: err}
 }
