--- a/policy/quota.go
+++ b/policy/quota.go
@@ -22,6 +22,9 @@
 	intervalEnd time.Duration
 }
 
+// endIntervalBy lets the running interval end at that time, unless it ends before.
+func (q *quotaState) endIntervalBy(at time.Duration) { q.intervalEnd = min(q.intervalEnd, at) }
+
 // add gives an executor its number among those that got tokens.
 func (q *quotaState) add(e *executor) {
 	q.joined++
@@ -49,6 +52,16 @@
 	joined         int             // its number among those that got tokens; 0: it has none
 }
 
+// inherit records the quota that another process gave the executor, for when it joins the subset here.
+func (t *tokens) inherit(quota int) { t.inheritedQuota = min(quota, maxQuota) }
+
+// begin sets the first quota: a token for each given time, since when it is free.
+func (t *tokens) begin(freeSince []time.Duration) {
+	t.quota = len(freeSince)
+	t.free = freeSince
+	slices.Sort(t.free)
+}
+
 // total returns the number of tokens, free and taken. It may exceed a quota that was lowered.
 func (t *tokens) total() int { return t.taken + len(t.free) }
 
@@ -86,20 +99,30 @@
 
 // queuing is what this interval showed of waiting for an executor, for the step of its quota.
 type queuing struct {
-	atExecutor    time.Duration // waiting at the executor
-	here          time.Duration // waiting in this node's queue
-	overTarget    bool          // some job waited longer than its slack allows
-	outOfTokens   bool          // no token was free at some moment
-	sawFull       bool          // an attempt was rejected as full
-	fullTenant    TenantID      // whose attempt that was
-	fullForMany   bool          // attempts of several tenants were
-	fullWait      time.Duration // running times of the rejected attempts
-	startedOthers bool          // others were started meanwhile
+	atExecutor     time.Duration // waiting at the executor
+	inQueue        time.Duration // waiting in this node's queue
+	overTarget     bool          // some job waited longer than its slack allows
+	outOfTokens    bool          // no token was free at some moment
+	sawFull        bool          // an attempt was rejected as full
+	fullTenant     TenantID      // whose attempt that was
+	fullForSeveral bool          // attempts of several tenants were
+	fullWait       time.Duration // running times of the rejected attempts
+	startedOthers  bool          // others were started meanwhile
+}
+
+// recordQueued adds the time that a job waited in this node's queue.
+func (q *queuing) recordQueued(wait time.Duration) { q.inQueue += wait }
+
+// recordStartWait adds the time that an attempt waited at the executor, and whether its job waited longer than its slack
+// allows.
+func (q *queuing) recordStartWait(wait time.Duration, overTarget bool) {
+	q.atExecutor += wait
+	q.overTarget = q.overTarget || overTarget
 }
 
 // recordFull records an attempt that the executor rejected as full, though it would have run for that long.
 func (q *queuing) recordFull(tenant TenantID, runTime time.Duration) {
-	q.fullForMany = q.fullForMany || q.sawFull && q.fullTenant != tenant
+	q.fullForSeveral = q.fullForSeveral || q.sawFull && q.fullTenant != tenant
 	q.sawFull = true
 	q.fullTenant = tenant
 	q.fullWait += runTime
@@ -113,7 +136,7 @@
 
 // chargeFull counts the rejected attempts as waiting at the executor, unless only one tenant was rejected.
 func (q *queuing) chargeFull() {
-	if q.fullForMany || q.sawFull && !q.startedOthers {
+	if q.fullForSeveral || q.sawFull && !q.startedOthers {
 		q.atExecutor += q.fullWait
 		q.overTarget = true
 	}
@@ -121,7 +144,7 @@
 
 // executorShare returns the fraction of all waiting that was at the executor: the design's r.
 func (q *queuing) executorShare() float64 {
-	total := q.atExecutor + q.here
+	total := q.atExecutor + q.inQueue
 	if total <= 0 {
 		return 0
 	}
@@ -247,11 +270,8 @@
 func (d *Dispatcher) recordStartWait(e *executor, a *attempt, wait time.Duration) {
 	wait = max(0, wait-d.config.quantum)
 	e.estimate.observeStartWait(wait)
-	e.queuing.atExecutor += wait
 	d.recordZoneWait(e, wait)
 	totalWait := a.sentAt - a.queuedAt + wait
 	slack := a.objectiveAt - a.arrivedAt - a.work
-	if totalWait > scaled(slack, slackTargetFraction) {
-		e.queuing.overTarget = true
-	}
+	e.queuing.recordStartWait(wait, totalWait > scaled(slack, slackTargetFraction))
 }
