--- a/internal/invariants/seen.go
+++ b/internal/invariants/seen.go
@@ -46,17 +46,17 @@
 	Went                    // the connection of Job's client at Node has ended, whether Node knows or not
 )
 
-var whats = [...]string{"note", "node started", "node killed", "told", "taken", "given up", "left", "first byte",
+var eventKindNames = [...]string{"note", "node started", "node killed", "told", "taken", "given up", "left", "first byte",
 	"last byte", "over", "answered", "started", "reached", "ran", "fell", "stood still", "went on", "client went"}
 
-func (w What) String() string { return whats[w] }
+func (w What) String() string { return eventKindNames[w] }
 
 // MarshalText writes a kind by its name, for traces.
-func (w What) MarshalText() ([]byte, error) { return []byte(whats[w]), nil }
+func (w What) MarshalText() ([]byte, error) { return []byte(eventKindNames[w]), nil }
 
 // UnmarshalText reads a name; one that is not known is an error.
 func (w *What) UnmarshalText(text []byte) error {
-	for i, name := range whats {
+	for i, name := range eventKindNames {
 		if name == string(text) {
 			*w = What(i)
 			return nil
@@ -75,9 +75,9 @@
 	BrokenOff               // failed: it may have run
 )
 
-var finals = [...]string{"handled", "pushed back", "broken off"}
+var finalNames = [...]string{"handled", "pushed back", "broken off"}
 
-func (f Final) String() string { return finals[f] }
+func (f Final) String() string { return finalNames[f] }
 
 // Seen is one thing that was seen. Which of the other fields count hangs on What. Times are spans since the start.
 type Seen struct {
--- a/internal/invariants/wire_test.go
+++ b/internal/invariants/wire_test.go
@@ -11,10 +11,10 @@
 // TestWireForm pins the lines of a recorded trace: every kind of event, every kind of final answer, and every field set and left out.
 func TestWireForm(t *testing.T) {
 	var events []Seen
-	for kind := range whats {
+	for kind := range eventKindNames {
 		events = append(events, Seen{What: What(kind), Node: Nobody})
 	}
-	for final := range finals {
+	for final := range finalNames {
 		events = append(events, Seen{What: Answered, Final: Final(final)})
 	}
 	for _, state := range []policy.EndpointState{policy.Available, policy.Draining, policy.Removed} {
@@ -41,7 +41,7 @@
 // TestText pins an event as people read it, and the keys of the rules.
 func TestText(t *testing.T) {
 	var out strings.Builder
-	for kind := range whats {
+	for kind := range eventKindNames {
 		event := Seen{At: 5 * ms, What: What(kind), Node: 3, Job: "j", Work: "w", Track: 1, Allocation: 2, Executor: "e",
 			State: policy.Draining, Start: 3 * ms, Limit: 7 * ms, Proof: true, Final: PushedBack, Cost: 0.5, Capacity: 2, Text: "x"}
 		out.WriteString(event.String() + "\n")
