--- /dev/null
+++ b/internal/invariants/checker.go
@@ -0,0 +1,137 @@
+package invariants
+
+import (
+	"maps"
+	"time"
+
+	"birchstair/policy"
+)
+
+// Checker checks a sequence of events against the rules. It is not safe for concurrent use.
+type Checker struct {
+	settings Settings
+
+	jobs         map[jobKey]*job
+	clientLeftAt map[jobKey]time.Duration // when the client's connection ended
+	effects      map[WorkID][]effectRun
+	paused       map[NodeID]bool // nodes whose processes are paused
+
+	knownEndpoints map[NodeID]map[policy.ExecutorID]knownEndpoint
+	published      map[policy.ExecutorID]publishedEndpoint
+	reachableSince map[NodeID]time.Duration // since when a node can reach discovery; Nobody for all
+	unreachable    map[NodeID]bool          // nodes that cannot reach discovery until further notice; Nobody for all
+	executors      map[policy.ExecutorID]*startedExecutor
+
+	deadlines     deadlineHeap
+	deadlineOrder int
+
+	recent     []Seen // a ring of the last events
+	recentNext int
+	violations []Broken
+	reported   map[violationKey]bool
+
+	lateReruns      int
+	leftWhileQueued int
+	lateAttempts    int
+	slowStartPeak   float64
+}
+
+// New returns a checker that has seen no event.
+func New(settings Settings) *Checker {
+	return &Checker{
+		settings:       settings,
+		jobs:           map[jobKey]*job{},
+		clientLeftAt:   map[jobKey]time.Duration{},
+		effects:        map[WorkID][]effectRun{},
+		paused:         map[NodeID]bool{},
+		knownEndpoints: map[NodeID]map[policy.ExecutorID]knownEndpoint{},
+		published:      map[policy.ExecutorID]publishedEndpoint{},
+		reachableSince: map[NodeID]time.Duration{},
+		unreachable:    map[NodeID]bool{},
+		executors:      map[policy.ExecutorID]*startedExecutor{},
+		reported:       map[violationKey]bool{},
+	}
+}
+
+// Broken returns the violations so far, in the order in which they were found. The caller must not change them.
+func (c *Checker) Broken() []Broken { return c.violations }
+
+// LateTwice returns how often an idempotent batch job with a key ran again because its attempt reached the executor after the dedup
+// window.
+func (c *Checker) LateTwice() int { return c.lateReruns }
+
+// WentWaiting returns how many clients left while their batch jobs waited without an attempt in flight.
+func (c *Checker) WentWaiting() int { return c.leftWhileQueued }
+
+// SentLate returns how many attempts began too long after their clients had left, including those that are no violation yet.
+func (c *Checker) SentLate() int { return c.lateAttempts }
+
+// ColdMost returns the most work that reached an executor in slow start within the window, as a multiple of its budget. It counts
+// windows in which two thirds of the work came from nodes that had been notified of the start.
+func (c *Checker) ColdMost() float64 { return c.slowStartPeak }
+
+// See processes an event, and returns the violations found by it and by the time that passed before it. Events come in the order of
+// their times.
+func (c *Checker) See(event Seen) []Broken {
+	before := len(c.violations)
+	c.Pass(event.At)
+	c.remember(event)
+	key := jobKey{event.Node, event.Job}
+	switch event.What {
+	case NodeStarted, NodeKilled:
+		c.nodeReset(event)
+	case StoodStill, WentOn:
+		c.nodePaused(event)
+	case Told:
+		c.endpointNotified(event)
+	case Taken:
+		c.jobAccepted(key, event)
+	case GaveUp:
+		c.jobGivenUp(key, event)
+	case Went:
+		c.clientLeft(key, event)
+	case Left:
+		c.clientKnownToHaveLeft(key)
+	case FirstByte:
+		c.attemptSent(key, event)
+	case Over:
+		c.attemptEnded(key, event)
+	case Answered:
+		c.jobAnswered(key, event)
+	case Started:
+		c.executorStarted(event)
+	case Reached:
+		c.workArrived(key, event)
+	case Ran:
+		c.effectRan(key, event)
+	}
+	return c.violations[before:]
+}
+
+// remember keeps an event for reports.
+func (c *Checker) remember(event Seen) {
+	if len(c.recent) < recentEvents {
+		c.recent = append(c.recent, event)
+		return
+	}
+	c.recent[c.recentNext] = event
+	c.recentNext = (c.recentNext + 1) % recentEvents
+}
+
+// nodeReset forgets all that a process of a node had: the node has started or was killed.
+func (c *Checker) nodeReset(event Seen) {
+	c.Apart(event.Node, event.At)
+	delete(c.paused, event.Node)
+	delete(c.knownEndpoints, event.Node)
+	maps.DeleteFunc(c.jobs, func(key jobKey, _ *job) bool { return key.node == event.Node })
+	maps.DeleteFunc(c.clientLeftAt, func(key jobKey, _ time.Duration) bool { return key.node == event.Node })
+}
+
+// nodePaused notes that a node's process is paused or resumed. What it has open is bound by no time limit any more.
+func (c *Checker) nodePaused(event Seen) {
+	c.paused[event.Node] = event.What == StoodStill
+	c.Apart(event.Node, event.At)
+	for key, j := range c.jobs {
+		j.excused = j.excused || key.node == event.Node
+	}
+}
--- a/internal/invariants/seen.go
+++ b/internal/invariants/event.go
@@ -1,6 +1,3 @@
-// Package invariants checks the four rules, and that a batch job given up on is answered at once, from what was seen. It is
-// told each thing as it happens and says at once which rule broke. It knows nothing of who tells it: the lab's worlds,
-// stand-ins on sockets and kept traces do.
 package invariants
 
 import (
@@ -12,49 +9,50 @@
 	"birchstair/policy"
 )
 
-// WorkID names what a client wants done, over all its tries; an effect belongs to it.
+// WorkID identifies the work that a client wants done, over all its requests. An effect belongs to it.
 type WorkID string
 
-// NodeID names a node.
+// NodeID identifies a node.
 type NodeID int
 
-// Nobody stands for what no node did.
+// Nobody is the node of an event that belongs to no node.
 const Nobody NodeID = -1
 
-// What is the kind of thing that was seen.
+// What is the kind of an event.
 type What int
 
-// The kinds of things that are seen, in the order of their names in traces.
+// The kinds of events, in the order of their names in traces.
 const (
-	Note        What = iota // nothing that a rule is about: Text says it
-	NodeStarted             // Node is up and knows nothing
-	NodeKilled              // Node is gone, with all it had in hand
-	Told                    // Node has been told that Executor is in State, started at Start
-	Taken                   // Node has taken Job of Work and Track; its answer is due by Limit
-	GaveUp                  // the module of Node has given up on Job
-	Left                    // Node has been told that the client of Job is gone
-	FirstByte               // Node has begun to send Allocation of Job to Executor, in Zone and Cell
-	LastByte                // and its last byte has left
-	Over                    // Node has been told that Allocation of Job is over; Proof: it provably never ran
+	Note        What = iota // a remark in Text that no rule is about
+	NodeStarted             // Node has started, with no state
+	NodeKilled              // Node has been killed, with everything it had open
+	Told                    // Node has been notified that Executor, whose process started at Start, is in State
+	Taken                   // Node has accepted Job of Work and class Track, with its deadline at Limit
+	GaveUp                  // the policy of Node has given up on Job
+	Left                    // Node has learned that the client of Job left
+	FirstByte               // Node has sent the first byte of Allocation of Job to Executor, in Zone and Cell
+	LastByte                // Node has sent the last byte of that attempt
+	Over                    // Node has learned that Allocation of Job ended; Proof is set if it provably never ran
 	Answered                // Node has given Job its Final answer
-	Started                 // Executor has started, cold; at Start, where that is not when it was seen
-	Reached                 // an allocation of Node has reached Executor: Cost against the Capacity it has now
-	Ran                     // Executor has begun on Work, for Job of Node
-	Fell                    // Executor has fallen over
-	StoodStill              // Node's process stands still, and owes what it has in hand no more by its time
-	WentOn                  // and goes on
-	Went                    // the connection of Job's client at Node has ended, whether Node knows or not
+	Started                 // Executor has started and warms up; Start is when, if not at the time of the event
+	Reached                 // an attempt of Node has reached Executor: Cost against its present Capacity
+	Ran                     // Executor has begun the effect of Work, for Job of Node
+	Fell                    // Executor has crashed from overload
+	StoodStill              // the process of Node is paused: no time limit applies to what it has open
+	WentOn                  // the process of Node has resumed
+	Went                    // the connection of Job's client to Node has ended, whether Node has learned of it or not
 )
 
 var eventKindNames = [...]string{"note", "node started", "node killed", "told", "taken", "given up", "left", "first byte",
 	"last byte", "over", "answered", "started", "reached", "ran", "fell", "stood still", "went on", "client went"}
 
+// String returns the name of the kind, as traces have it.
 func (w What) String() string { return eventKindNames[w] }
 
-// MarshalText writes a kind by its name, for traces.
+// MarshalText returns the name of the kind. It implements encoding.TextMarshaler.
 func (w What) MarshalText() ([]byte, error) { return []byte(eventKindNames[w]), nil }
 
-// UnmarshalText reads a name; one that is not known is an error.
+// UnmarshalText reads the name of a kind, and fails for one that is not known. It implements encoding.TextUnmarshaler.
 func (w *What) UnmarshalText(text []byte) error {
 	for i, name := range eventKindNames {
 		if name == string(text) {
@@ -65,21 +63,22 @@
 	return fmt.Errorf("%q is nothing that can be seen", text)
 }
 
-// Final is the kind of a final answer.
+// Final is the kind of a final answer. Traces have its number.
 type Final int
 
-// The kinds of final answers, in the order of their names in traces.
+// The kinds of final answers, in the order of their numbers in traces.
 const (
-	Handled    Final = iota // served
+	Handled    Final = iota // succeeded
 	PushedBack              // rejected: nothing of it ran
 	BrokenOff               // failed: it may have run
 )
 
 var finalNames = [...]string{"handled", "pushed back", "broken off"}
 
+// String returns the name of the kind, as people read it.
 func (f Final) String() string { return finalNames[f] }
 
-// Seen is one thing that was seen. Which of the other fields count hangs on What. Times are spans since the start.
+// Seen is an event. Which fields it uses depends on its kind, What. Times count from the start of the run.
 type Seen struct {
 	At         time.Duration        `json:"at"`
 	What       What                 `json:"what"`
@@ -96,18 +95,18 @@
 	Limit      time.Duration        `json:"limit,omitempty"`
 	Proof      bool                 `json:"proof,omitempty"`
 	Final      Final                `json:"final,omitempty"`
-	Cost       float64              `json:"cost,omitempty"`     // seconds of work on a standard core
-	Capacity   float64              `json:"capacity,omitempty"` // such seconds a second
+	Cost       float64              `json:"cost,omitempty"`     // in seconds of work on a standard core
+	Capacity   float64              `json:"capacity,omitempty"` // in such seconds per second
 	Text       string               `json:"text,omitempty"`
 }
 
-// Line is a thing seen as a line of a trace: JSON, without its end.
+// Line returns the event as a line of a trace: JSON, without a newline.
 func (s Seen) Line() ([]byte, error) { return json.Marshal(s) }
 
-// Read reads a line of a trace.
+// Read parses a line of a trace into the event.
 func (s *Seen) Read(line []byte) error { return json.Unmarshal(line, s) }
 
-// String is a thing seen as people read it.
+// String returns the event as people read it.
 func (s Seen) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%12.6fs ", s.At.Seconds())
--- /dev/null
+++ b/internal/invariants/slow_start.go
@@ -0,0 +1,101 @@
+package invariants
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"birchstair/policy"
+)
+
+// startedExecutor is an executor that has started within the trace.
+type startedExecutor struct {
+	start     time.Duration
+	warmingUp bool
+	arrivals  []arrival // within the window of the budget
+}
+
+// arrival is an attempt that has reached an executor in slow start.
+type arrival struct {
+	at         time.Duration
+	cost       float64 // seconds of work on a standard core
+	startKnown bool    // its node had been notified of the executor's start when it sent the attempt
+}
+
+// Allowance over the budget of an executor in slow start.
+const (
+	slowStartSlack = 1.15 // our bound, in budgets, beside the largest batch job
+	chanceRoots    = 2    // the operators' bound, where N mean batch jobs fill the budget: so many square roots of N
+	chanceJobs     = 2    // and so many mean batch jobs more
+)
+
+// TopplesCold reports whether the work that reached an executor in slow start within the window is too much. The arguments are in
+// seconds of work: the sum, the largest single piece of it, the executor's budget and a mean batch job (0 if unknown). There are two
+// bounds. Ours does not count the largest piece, and is the narrower one while the budget is under about 190 mean batch jobs; the
+// operators' allows for the scatter of random arrivals.
+func TopplesCold(sum, largest, budget, mean float64) bool {
+	if sum-largest > slowStartSlack*budget {
+		return true
+	}
+	return mean > 0 && sum > budget+chanceRoots*math.Sqrt(budget*mean)+chanceJobs*mean
+}
+
+func (c *Checker) executorStarted(event Seen) {
+	c.executors[event.Executor] = &startedExecutor{start: cmp.Or(event.Start, event.At), warmingUp: true}
+}
+
+// knownStart returns the last start of an executor that a node has been notified of.
+func (c *Checker) knownStart(node NodeID, executor policy.ExecutorID) time.Duration {
+	if endpoint, ok := c.knownEndpoints[node][executor]; ok {
+		return endpoint.start
+	}
+	return math.MinInt64
+}
+
+// knownStartWhenSent returns the last start of the executor that the node had been notified of when it sent the attempt. A node that was
+// paused may send what it had in flight, and then read of the executor's start while the attempt is on its way.
+func (c *Checker) knownStartWhenSent(key jobKey, event Seen) time.Duration {
+	if j := c.jobs[key]; j != nil {
+		for _, a := range slices.Backward(j.attempts) {
+			if a.executor == event.Executor {
+				return a.knownStart
+			}
+		}
+	}
+	return c.knownStart(event.Node, event.Executor)
+}
+
+// workArrived checks the rule ColdSpared: a budget over any window, for all nodes together. Nodes that had not been notified of the
+// start cannot spare the executor, so the rule applies only if two thirds of the work came from nodes that had.
+func (c *Checker) workArrived(key jobKey, event Seen) {
+	e := c.executors[event.Executor]
+	if e == nil || !e.warmingUp {
+		return
+	}
+	if event.At > e.start+c.settings.WarmWithin {
+		e.warmingUp = false
+		e.arrivals = nil
+		return
+	}
+	e.arrivals = slices.DeleteFunc(e.arrivals, func(a arrival) bool { return a.at+c.settings.FallWindow < event.At })
+	e.arrivals = append(e.arrivals, arrival{event.At, event.Cost, c.knownStartWhenSent(key, event) >= e.start})
+	sum, known, largest := 0.0, 0.0, 0.0
+	for _, a := range e.arrivals {
+		sum += a.cost
+		largest = max(largest, a.cost)
+		if a.startKnown {
+			known += a.cost
+		}
+	}
+	budget := c.settings.FallMultiple * event.Capacity * c.settings.FallWindow.Seconds()
+	if known < sum*2/3 {
+		return
+	}
+	c.slowStartPeak = max(c.slowStartPeak, sum/budget)
+	if TopplesCold(sum, largest, budget, c.settings.MeanWork) {
+		about := subject{job: jobKey{Nobody, ""}, executor: event.Executor}
+		c.report(ColdSpared, event.At, about, "%s, cold, was sent %.2fs of work within %v where %.2fs is its budget",
+			event.Executor, sum, c.settings.FallWindow, budget)
+	}
+}
--- /dev/null
+++ b/internal/invariants/violation.go
@@ -0,0 +1,97 @@
+package invariants
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"birchstair/policy"
+)
+
+// Broken is a violation of a rule, with the events of the trace that show it.
+type Broken struct {
+	Rule  Rule
+	At    time.Duration
+	Text  string // what happened, led by the time
+	Lines []Seen // the last events about the job or executor, in order
+}
+
+// String returns the violation with a line for each of its events.
+func (b Broken) String() string {
+	var s strings.Builder
+	fmt.Fprintf(&s, "%v: %s", b.Rule, b.Text)
+	for _, l := range b.Lines {
+		s.WriteString("\n  " + l.String())
+	}
+	return s.String()
+}
+
+const (
+	recentEvents = 1 << 12 // events that a checker keeps to explain violations
+	shownEvents  = 14      // events that a violation shows at most
+)
+
+// violationKey identifies what a violation is about: each is reported once.
+type violationKey struct {
+	rule    Rule
+	node    NodeID
+	subject string // the work, or the executor if there is none
+}
+
+// subject is what a violation is about. Fields that do not apply are empty.
+type subject struct {
+	job      jobKey
+	work     WorkID
+	executor policy.ExecutorID
+}
+
+func (s subject) name() string {
+	if s.work != "" {
+		return string(s.work)
+	}
+	return string(s.executor)
+}
+
+// concerns reports whether an event helps to explain a violation about s.
+func (s subject) concerns(event Seen) bool {
+	if s.job.id != "" && (event.Job == s.job.id || s.work != "" && event.Work == s.work) {
+		return true
+	}
+	if s.executor == "" || event.Executor != s.executor {
+		return false
+	}
+	switch event.What {
+	case Told:
+		return event.Node == s.job.node
+	case Started, Fell:
+		return true
+	case Reached:
+		return s.job.id == ""
+	}
+	return false
+}
+
+// Over reports that a node which gossips exceeds a bound, once for each node and format.
+func (c *Checker) Over(at time.Duration, node NodeID, format string, args ...any) {
+	c.report(Bound, at, subject{job: jobKey{node, ""}, work: WorkID(format)}, format, args...)
+}
+
+// report notes a violation, once for each rule, node and subject.
+func (c *Checker) report(rule Rule, at time.Duration, about subject, format string, args ...any) {
+	key := violationKey{rule, about.job.node, about.name()}
+	if c.reported[key] {
+		return
+	}
+	c.reported[key] = true
+	violation := Broken{Rule: rule, At: at, Text: fmt.Sprintf("%.6fs: ", at.Seconds()) + fmt.Sprintf(format, args...)}
+	for i := range c.recent {
+		event := c.recent[(c.recentNext+i)%len(c.recent)]
+		if about.concerns(event) {
+			violation.Lines = append(violation.Lines, event)
+		}
+	}
+	if n := len(violation.Lines); n > shownEvents {
+		violation.Lines = violation.Lines[n-shownEvents:]
+	}
+	c.violations = append(c.violations, violation)
+}
