--- a/internal/invariants/wire_test.go
+++ b/internal/invariants/wire_test.go
@@ -1,6 +1,7 @@
 package invariants
 
 import (
+	"encoding/json"
 	"strings"
 	"testing"
 
@@ -53,3 +54,16 @@
 	}
 	golden.Compare(t, "text.txt", out.String())
 }
+
+// TestViolationWireForm pins a violation in the JSON results of a simulation.
+func TestViolationWireForm(t *testing.T) {
+	var out strings.Builder
+	for _, violation := range []Broken{{}, {Rule: DrainKept, At: 5 * ms, Text: "x", Lines: []Seen{{What: Told, State: policy.Removed}}}} {
+		text, err := json.Marshal(violation)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out.Write(append(text, '\n'))
+	}
+	golden.Compare(t, "violations.jsonl", out.String())
+}
