--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -35,22 +35,22 @@
 
 // Result is what came of a run. Counts beyond Wrong are no verdict.
 type Result struct {
-	Seed        uint64
-	Asked       float64 // earnings
-	Earned      float64 // of them, answered in the quoted time
-	Best        float64 // of them, what the capacity that was there could have earned at the most, dearest work first
-	Works       int
-	Tries       map[string]int // by how they ended
-	Allocations int            // that reached an executor
-	Work        float64        // seconds of work that reached executors
-	Finished    float64        // and that they got done
-	Fell        int            // executors that were pushed over while cold, whoever did
-	ColdMost    float64        // the most work that came to a cold one, by the rules' checker and against its own budget
-	Late        int            // allocations to an executor that drains from nodes whose own list does not say so, long after another node was told
-	WentWaiting int            // clients that left while their batch jobs waited with nothing out
-	SentLate    int            // attempts that reached an executor too long after their clients had left
-	Views       [][]string     // what each node said of its fleet at the end
-	Wrong       []string
+	Seed        uint64         `json:"Seed"`
+	Asked       float64        `json:"Asked"`  // earnings
+	Earned      float64        `json:"Earned"` // of them, answered in the quoted time
+	Best        float64        `json:"Best"`   // of them, what the capacity that was there could have earned at the most, dearest work first
+	Works       int            `json:"Works"`
+	Tries       map[string]int `json:"Tries"`       // by how they ended
+	Allocations int            `json:"Allocations"` // that reached an executor
+	Work        float64        `json:"Work"`        // seconds of work that reached executors
+	Finished    float64        `json:"Finished"`    // and that they got done
+	Fell        int            `json:"Fell"`        // executors that were pushed over while cold, whoever did
+	ColdMost    float64        `json:"ColdMost"`    // the most work that came to a cold one, by the rules' checker and against its own budget
+	Late        int            `json:"Late"`        // allocations to an executor that drains from nodes whose own list does not say so, long after another node was told
+	WentWaiting int            `json:"WentWaiting"` // clients that left while their batch jobs waited with nothing out
+	SentLate    int            `json:"SentLate"`    // attempts that reached an executor too long after their clients had left
+	Views       [][]string     `json:"Views"`       // what each node said of its fleet at the end
+	Wrong       []string       `json:"Wrong"`
 }
 
 // Rig is a run.
--- a/internal/invariants/violation.go
+++ b/internal/invariants/violation.go
@@ -10,10 +10,10 @@
 
 // Broken is a violation of a rule, with the events of the trace that show it.
 type Broken struct {
-	Rule  Rule
-	At    time.Duration
-	Text  string // what happened, led by the time
-	Lines []Seen // the last events about the job or executor, in order
+	Rule  Rule          `json:"Rule"` // in results by its number
+	At    time.Duration `json:"At"`
+	Text  string        `json:"Text"`  // what happened, led by the time
+	Lines []Seen        `json:"Lines"` // the last events about the job or executor, in order
 }
 
 // String returns the violation with a line for each of its events.
