--- a/internal/invariants/informed_test.go
+++ b/internal/invariants/informed_test.go
@@ -7,7 +7,7 @@
 	"birchstair/policy"
 )
 
-// The rule at its edges: discovery has the drain at 1 s, and nobody tells the node.
+// TestInformed plays the rule at its bounds: discovery publishes a drain at 1 s, and nobody notifies the node.
 func TestInformed(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -25,23 +25,23 @@
 		{"discovery was down, late", func(c *Checker) { c.Cut(1500*ms, Nobody, true); c.Cut(2000*ms, Nobody, false) }, 8001 * ms, true},
 		{"discovery is down", func(c *Checker) { c.Cut(1500*ms, Nobody, true) }, 9000 * ms, false},
 		{"another node is cut off", func(c *Checker) { c.Cut(1500*ms, 1, true) }, 7001 * ms, true},
-		{"its process has just begun", func(c *Checker) { c.See(at(2000*ms, NodeStarted, nil)) }, 8000 * ms, false},
+		{"its process has just begun", func(c *Checker) { c.See(eventAt(2000*ms, NodeStarted, nil)) }, 8000 * ms, false},
 		{"it stood still", func(c *Checker) {
-			c.See(at(1500*ms, StoodStill, nil))
-			c.See(at(2000*ms, WentOn, nil))
+			c.See(eventAt(1500*ms, StoodStill, nil))
+			c.See(eventAt(2000*ms, WentOn, nil))
 		}, 8000 * ms, false},
 		{"it stood still, late", func(c *Checker) {
-			c.See(at(1500*ms, StoodStill, nil))
-			c.See(at(2000*ms, WentOn, nil))
+			c.See(eventAt(1500*ms, StoodStill, nil))
+			c.See(eventAt(2000*ms, WentOn, nil))
 		}, 8001 * ms, true},
 	} {
-		k := New(site)
+		k := New(testSettings)
 		k.Listed(1000*ms, "a", policy.Draining)
 		if c.before != nil {
 			c.before(k)
 		}
-		k.See(at(c.sentAt-1, Taken, func(s *Seen) { s.Limit = 20000 * ms }))
-		k.See(sentTo(c.sentAt, 0, "a", 0))
+		k.See(eventAt(c.sentAt-1, Taken, func(s *Seen) { s.Limit = 20000 * ms }))
+		k.See(sentAt(c.sentAt, 0, "a", 0))
 		broken := k.Broken()
 		if got := len(broken) == 1 && broken[0].Rule == Informed; got != c.broken || len(broken) > 1 {
 			t.Errorf("%s: broke %v", c.name, broken)
