--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -58,8 +58,8 @@
 	Over   bool
 	Earned bool
 
-	first    time.Duration // when its first try was handed in
-	repeatID bool
+	firstSent time.Duration // when its first try was handed in
+	repeatID  bool
 }
 
 // Job is the id of its present try.
@@ -82,8 +82,8 @@
 }
 
 // NewClients makes clients; perWork: earnings count for each unit of work.
-func NewClients(name string, tracks []Track, h Habits, perWork bool, r *rand.Rand) *Clients {
-	c := &Clients{Name: name, Tracks: tracks, Habits: h, rand: r, perWork: perWork}
+func NewClients(name string, classes []Track, h Habits, perWork bool, r *rand.Rand) *Clients {
+	c := &Clients{Name: name, Tracks: classes, Habits: h, rand: r, perWork: perWork}
 	if h.RetryMost > 0 {
 		c.backoff = rand.New(rand.NewPCG(r.Uint64(), r.Uint64()))
 	}
@@ -102,7 +102,7 @@
 // New is the next thing wanted.
 func (c *Clients) New(now time.Duration, client int) *Work {
 	c.count++
-	id := c.track()
+	id := c.pickClass()
 	t := &c.Tracks[id]
 	cost := t.Mean * math.Exp(c.rand.NormFloat64()*t.Spread-t.Spread*t.Spread/2)
 	noise := max(0, c.Habits.HintNoise)
@@ -114,7 +114,7 @@
 		cost *= c.Tail.Times // no hint tells it
 	}
 	w := &Work{ID: invariants.WorkID(fmt.Sprintf("%s%d", c.Name, c.count)), Client: client, Track: id, Cost: cost, Hint: hint,
-		Came: now, Limit: now + t.Deadline, Leaves: Never, first: now, Earns: t.Value}
+		Came: now, Limit: now + t.Deadline, Leaves: Never, firstSent: now, Earns: t.Value}
 	if c.perWork {
 		w.Earns *= cost
 	}
@@ -126,7 +126,7 @@
 	return w
 }
 
-func (c *Clients) track() policy.JobClassID {
+func (c *Clients) pickClass() policy.JobClassID {
 	x := c.rand.Float64()
 	for i, t := range c.Tracks {
 		if x -= t.Share; x < 0 {
@@ -153,7 +153,7 @@
 func (c *Clients) After(now time.Duration, w *Work, how End, comeBack time.Duration) (time.Duration, bool) {
 	t := &c.Tracks[w.Track]
 	may := how == EndPushedBack || how == EndUnreached || t.Idempotency == policy.Idempotent ||
-		t.Idempotency == policy.IdempotentWithKey && t.DedupGroup == policy.DedupAllExecutors && now < w.first+t.DedupWindow/2
+		t.Idempotency == policy.IdempotentWithKey && t.DedupGroup == policy.DedupAllExecutors && now < w.firstSent+t.DedupWindow/2
 	if how == EndHandled || !may || w.Tries >= c.Habits.Retries {
 		return 0, false
 	}
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -18,13 +18,13 @@
 
 // Discovery is the service that keeps the list. It knows of changes when they happen, and tells each node later.
 type Discovery struct {
-	lag     time.Duration
-	more    time.Duration // that it is late now, beyond the lag
-	silent  bool          // it tells nobody anything
-	entries map[policy.ExecutorID]Entry
-	changes []change
-	told    map[invariants.NodeID]int // changes that a node has
-	whole   map[invariants.NodeID]bool
+	lag          time.Duration
+	extraLag     time.Duration // that it is late now, beyond the lag
+	silent       bool          // it tells nobody anything
+	entries      map[policy.ExecutorID]Entry
+	changes      []change
+	delivered    map[invariants.NodeID]int // changes that a node has
+	completeNext map[invariants.NodeID]bool
 }
 
 type change struct {
@@ -34,8 +34,8 @@
 
 // NewDiscovery makes one that knows of no executor.
 func NewDiscovery(lag time.Duration) *Discovery {
-	return &Discovery{lag: lag, entries: map[policy.ExecutorID]Entry{}, told: map[invariants.NodeID]int{},
-		whole: map[invariants.NodeID]bool{}}
+	return &Discovery{lag: lag, entries: map[policy.ExecutorID]Entry{}, delivered: map[invariants.NodeID]int{},
+		completeNext: map[invariants.NodeID]bool{}}
 }
 
 // Change books a change of one entry, and says when nodes may be told of it.
@@ -46,7 +46,7 @@
 		d.entries[e.Executor] = e
 	}
 	d.changes = append(d.changes, change{now, e})
-	return now + d.lag + d.more
+	return now + d.lag + d.extraLag
 }
 
 // Entry is what the list says of an executor.
@@ -56,13 +56,13 @@
 }
 
 // Late makes it so much later than usual; 0 takes that off.
-func (d *Discovery) Late(more time.Duration) { d.more = more }
+func (d *Discovery) Late(more time.Duration) { d.extraLag = more }
 
 // Silence makes it tell nobody anything, or ends that: then each node gets the whole list.
 func (d *Discovery) Silence(yes bool) {
 	d.silent = yes
-	for n := range d.told {
-		d.whole[n] = true
+	for n := range d.delivered {
+		d.completeNext[n] = true
 	}
 }
 
@@ -71,9 +71,9 @@
 
 // Watch makes a node's next news the whole list.
 func (d *Discovery) Watch(n invariants.NodeID) {
-	d.whole[n] = true
-	if _, ok := d.told[n]; !ok {
-		d.told[n] = 0
+	d.completeNext[n] = true
+	if _, ok := d.delivered[n]; !ok {
+		d.delivered[n] = 0
 	}
 }
 
@@ -90,7 +90,7 @@
 			byID[c.Executor] = c.Entry
 		}
 	}
-	return sorted(byID)
+	return sortedEntries(byID)
 }
 
 // News is what a node is told now: nothing, the changes since it was told last, or the whole list, both as they were a
@@ -99,9 +99,9 @@
 	if d.silent {
 		return policy.WatchFailed, nil
 	}
-	d.told[n], entries = d.Since(now, d.told[n])
-	if d.whole[n] {
-		delete(d.whole, n)
+	d.delivered[n], entries = d.Since(now, d.delivered[n])
+	if d.completeNext[n] {
+		delete(d.completeNext, n)
 		return policy.CompleteUpdate, d.Whole(now)
 	}
 	return policy.IncrementalUpdate, entries
@@ -109,7 +109,7 @@
 
 // Since is what may be told now of the changes after a version, the last of each executor, and the version after them.
 func (d *Discovery) Since(now time.Duration, version int) (next int, entries []Entry) {
-	until := now - d.lag - d.more
+	until := now - d.lag - d.extraLag
 	seen := map[policy.ExecutorID]int{}
 	for next = version; next < len(d.changes) && d.changes[next].at <= until; next++ {
 		c := d.changes[next].Entry
@@ -124,8 +124,8 @@
 }
 
 // Whole is the whole list as it may be told now.
-func (d *Discovery) Whole(now time.Duration) []Entry { return d.Copy(now - d.lag - d.more) }
+func (d *Discovery) Whole(now time.Duration) []Entry { return d.Copy(now - d.lag - d.extraLag) }
 
-func sorted(m map[policy.ExecutorID]Entry) []Entry {
+func sortedEntries(m map[policy.ExecutorID]Entry) []Entry {
 	return slices.SortedFunc(maps.Values(m), func(a, b Entry) int { return cmp.Compare(a.Executor, b.Executor) })
 }
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -15,27 +15,27 @@
 type Disk struct {
 	rand *rand.Rand
 
-	mu     sync.Mutex
-	files  map[string]*diskFile
-	life   int
-	locked bool
+	mu          sync.Mutex
+	files       map[string]*diskFile
+	incarnation int
+	locked      bool
 	// Room is how many more bytes it takes; under 0 for no end.
 	Room int
 	// FailSync makes the sync that many syncs ahead fail, and what it was for is lost or not as at a crash; 0 for none.
 	FailSync int
 	// Lies makes syncs do nothing, and say that they did.
-	Lies  bool
-	Syncs int
-	slow  time.Duration
+	Lies      bool
+	Syncs     int
+	syncDelay time.Duration
 	// OnSync is told of each sync before it counts, or nil.
 	OnSync func(n int)
 }
 
 type diskFile struct {
-	synced []byte
-	whole  []byte // with what was written since
-	named  bool   // its name stands for good
-	gone   bool   // it was removed, and that does not stand for good yet
+	synced      []byte
+	written     []byte // with what was written since
+	nameDurable bool   // its name stands for good
+	removed     bool   // it was removed, and that does not stand for good yet
 }
 
 // Errors of a disk.
@@ -52,27 +52,27 @@
 func (d *Disk) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life++
+	d.incarnation++
 	d.locked = false
 	names := d.names(true)
 	for _, n := range names {
 		f := d.files[n]
-		if !f.named && d.rand.IntN(2) == 0 || f.gone && d.rand.IntN(2) == 0 {
+		if !f.nameDurable && d.rand.IntN(2) == 0 || f.removed && d.rand.IntN(2) == 0 {
 			delete(d.files, n)
 			continue
 		}
-		f.gone, f.named = false, true
-		f.whole = d.torn(f)
-		f.synced = slices.Clone(f.whole)
+		f.removed, f.nameDurable = false, true
+		f.written = d.torn(f)
+		f.synced = slices.Clone(f.written)
 	}
 }
 
-// page is what a disk writes at once.
-const page = 64
+// pageSize is what a disk writes at once.
+const pageSize = 64
 
 // torn is what a crash leaves of a file: its synced part, and of what came after it some pages, in any order.
 func (d *Disk) torn(f *diskFile) []byte {
-	b := slices.Clone(f.whole)
+	b := slices.Clone(f.written)
 	if len(b) <= len(f.synced) {
 		return b
 	}
@@ -82,9 +82,9 @@
 	case 1:
 		return b[:len(f.synced)+d.rand.IntN(len(b)-len(f.synced)+1)]
 	}
-	for at := len(f.synced); at < len(b); at += page {
+	for at := len(f.synced); at < len(b); at += pageSize {
 		if d.rand.IntN(3) == 0 {
-			clear(b[at:min(at+page, len(b))])
+			clear(b[at:min(at+pageSize, len(b))])
 		}
 	}
 	return b
@@ -92,7 +92,7 @@
 
 func (d *Disk) names(all bool) (names []string) {
 	for n, f := range d.files {
-		if all || !f.gone {
+		if all || !f.removed {
 			names = append(names, n)
 		}
 	}
@@ -101,15 +101,15 @@
 }
 
 type diskLock struct {
-	d    *Disk
-	life int
+	disk        *Disk
+	incarnation int
 }
 
 func (l diskLock) Close() error {
-	l.d.mu.Lock()
-	defer l.d.mu.Unlock()
-	if l.d.life == l.life {
-		l.d.locked = false
+	l.disk.mu.Lock()
+	defer l.disk.mu.Unlock()
+	if l.disk.incarnation == l.incarnation {
+		l.disk.locked = false
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 		return nil, errors.New("another process uses it")
 	}
 	d.locked = true
-	return diskLock{d, d.life}, nil
+	return diskLock{d, d.incarnation}, nil
 }
 
 // List implements store.Disk.
@@ -136,22 +136,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.files[name]
-	if f == nil || f.gone {
+	if f == nil || f.removed {
 		return nil, errors.New(name + ": not there")
 	}
-	return slices.Clone(f.whole), nil
+	return slices.Clone(f.written), nil
 }
 
 // Create implements store.Disk. The file outlives a power failure only after SyncDir.
 func (d *Disk) Create(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if f := d.files[name]; f != nil && !f.gone {
+	if f := d.files[name]; f != nil && !f.removed {
 		return nil, errors.New(name + ": there already")
 	}
 	f := &diskFile{}
 	d.files[name] = f
-	return &openFile{d, f, d.life}, nil
+	return &openFile{d, f, d.incarnation}, nil
 }
 
 // Remove implements store.Disk. The file is gone for good only after SyncDir.
@@ -159,7 +159,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f := d.files[name]; f != nil {
-		f.gone = true
+		f.removed = true
 	}
 	return nil
 }
@@ -169,8 +169,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.files[name]
-	f.whole = f.whole[:size]
-	f.synced = slices.Clone(f.whole)
+	f.written = f.written[:size]
+	f.synced = slices.Clone(f.written)
 	return nil
 }
 
@@ -179,8 +179,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for n, f := range d.files {
-		f.named = true
-		if f.gone {
+		f.nameDurable = true
+		if f.removed {
 			delete(d.files, n)
 		}
 	}
@@ -191,7 +191,7 @@
 func (d *Disk) Slow(span time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = span
+	d.syncDelay = span
 }
 
 // Flip changes a bit of a file.
@@ -199,28 +199,28 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.files[name]
-	f.whole[at] ^= 0x10
-	f.synced = slices.Clone(f.whole)
+	f.written[at] ^= 0x10
+	f.synced = slices.Clone(f.written)
 }
 
 type openFile struct {
-	d    *Disk
-	f    *diskFile
-	life int
+	disk        *Disk
+	file        *diskFile
+	incarnation int
 }
 
 func (o *openFile) Write(b []byte) (int, error) {
-	o.d.mu.Lock()
-	defer o.d.mu.Unlock()
-	if o.life != o.d.life {
+	o.disk.mu.Lock()
+	defer o.disk.mu.Unlock()
+	if o.incarnation != o.disk.incarnation {
 		return 0, errCrashed
 	}
 	n := len(b)
-	if o.d.Room >= 0 {
-		n = min(n, o.d.Room)
-		o.d.Room -= n
+	if o.disk.Room >= 0 {
+		n = min(n, o.disk.Room)
+		o.disk.Room -= n
 	}
-	o.f.whole = append(o.f.whole, b[:n]...)
+	o.file.written = append(o.file.written, b[:n]...)
 	if n < len(b) {
 		return n, ErrDiskFull
 	}
@@ -228,30 +228,30 @@
 }
 
 func (o *openFile) Sync() error {
-	o.d.mu.Lock()
-	slow := o.d.slow
-	o.d.mu.Unlock()
+	o.disk.mu.Lock()
+	slow := o.disk.syncDelay
+	o.disk.mu.Unlock()
 	time.Sleep(slow)
-	o.d.mu.Lock()
-	n, told := o.d.Syncs+1, o.d.OnSync
-	o.d.mu.Unlock()
+	o.disk.mu.Lock()
+	n, told := o.disk.Syncs+1, o.disk.OnSync
+	o.disk.mu.Unlock()
 	if told != nil {
 		told(n)
 	}
-	o.d.mu.Lock()
-	defer o.d.mu.Unlock()
-	if o.life != o.d.life {
+	o.disk.mu.Lock()
+	defer o.disk.mu.Unlock()
+	if o.incarnation != o.disk.incarnation {
 		return errCrashed
 	}
-	o.d.Syncs++
-	if o.d.FailSync > 0 {
-		if o.d.FailSync--; o.d.FailSync == 0 {
-			o.f.whole = o.d.torn(o.f) // and the system takes it for clean from now on
+	o.disk.Syncs++
+	if o.disk.FailSync > 0 {
+		if o.disk.FailSync--; o.disk.FailSync == 0 {
+			o.file.written = o.disk.torn(o.file) // and the system takes it for clean from now on
 			return ErrDiskSync
 		}
 	}
-	if !o.d.Lies {
-		o.f.synced = slices.Clone(o.f.whole)
+	if !o.disk.Lies {
+		o.file.synced = slices.Clone(o.file.written)
 	}
 	return nil
 }
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -74,18 +74,18 @@
 func NewMemory() *Memory { return &Memory{until: map[string]time.Duration{}} }
 
 // Memories are the memories of a world, by track and by what its dedup group spans.
-type Memories map[memoryKey]*Memory
+type Memories map[dedupGroupKey]*Memory
 
-type memoryKey struct {
+type dedupGroupKey struct {
 	group policy.DedupGroup
 	zone  policy.ZoneID
 	cell  policy.CellID
-	track policy.JobClassID
+	class policy.JobClassID
 }
 
 // Of is what remembers the tags of a track's batch jobs at an executor; an empty one where there was none.
-func (all Memories) Of(track policy.JobClassID, group policy.DedupGroup, at ExecutorSpec) *Memory {
-	k := memoryKey{group: group, track: track}
+func (all Memories) Of(class policy.JobClassID, group policy.DedupGroup, at ExecutorSpec) *Memory {
+	k := dedupGroupKey{group: group, class: class}
 	switch group {
 	case policy.DedupZone:
 		k.zone = at.Zone
@@ -166,44 +166,44 @@
 	Lies       bool    // says that it turned a batch job away, and runs it: no fault of the site, but planted by tests
 }
 
-// quickly is how soon an error comes that is no fault of the batch job's.
-const quickly = 2 * time.Millisecond
+// errorRunTime is how soon an error comes that is no fault of the batch job's.
+const errorRunTime = 2 * time.Millisecond
 
 // Executor is one executor. Between two calls time passes for what runs there.
 type Executor struct {
 	ExecutorSpec
-	Up      bool
-	Drains  bool
-	Started time.Duration
-	trouble Trouble
-	since   time.Duration // of the trouble
-	rand    *rand.Rand
-
-	now     time.Duration
-	running []*task
-	waiting []*task
-	conns   []ConnID // in the order in which they came, so that a crash resets them in it
-	order   int
-	debt    float64 // seconds of work that new connections have cost
-	came    []came
-	load    Load
-	loadAt  time.Duration
-	out     []Out
-	Orphans int // batch jobs done that nobody waited for any more
+	Up         bool
+	Drains     bool
+	Started    time.Duration
+	fault      Trouble
+	faultSince time.Duration // of the trouble
+	rand       *rand.Rand
+
+	now            time.Duration
+	running        []*task
+	waiting        []*task
+	conns          []ConnID // in the order in which they came, so that a crash resets them in it
+	lastOrder      int
+	connectionWork float64 // seconds of work that new connections have cost
+	arrivals       []arrival
+	loadReport     Load
+	loadReportAt   time.Duration
+	outputs        []Out
+	Orphans        int // batch jobs done that nobody waited for any more
 }
 
 type task struct {
 	Allocation
-	left   float64 // seconds on a standard core
-	order  int
-	toldAt time.Duration // of its last notice
-	repeat bool          // it has no effect
-	gone   bool          // nobody waits for it any more
-	error  bool
-	mute   bool
+	left         float64 // seconds on a standard core
+	order        int
+	reportedAt   time.Duration // of its last notice
+	duplicate    bool          // it has no effect
+	abandoned    bool          // nobody waits for it any more
+	failing      bool
+	unresponsive bool
 }
 
-type came struct {
+type arrival struct {
 	at   time.Duration
 	cost float64
 }
@@ -216,8 +216,8 @@
 // Cold says whether it has not warmed up yet.
 func (e *Executor) Cold(now time.Duration) bool { return now < e.Started+e.WarmWithin }
 
-// share is the part of its capacity that it has by its age.
-func (e *Executor) share(now time.Duration) float64 {
+// warmShare is the part of its capacity that it has by its age.
+func (e *Executor) warmShare(now time.Duration) float64 {
 	if !e.Cold(now) {
 		return 1
 	}
@@ -226,7 +226,7 @@
 
 // Capacity is the work that it can do now, in seconds on a standard core a second, troubles aside.
 func (e *Executor) Capacity(now time.Duration) float64 {
-	return float64(min(e.Cores, e.Places)) * e.Speed * e.share(now)
+	return float64(min(e.Cores, e.Places)) * e.Speed * e.warmShare(now)
 }
 
 // rate is the work that one running batch job gets done in a second.
@@ -235,22 +235,22 @@
 	if n == 0 {
 		return 0
 	}
-	r := e.Speed * e.share(now) * min(1, float64(e.Cores)/float64(n))
-	t := e.trouble
+	r := e.Speed * e.warmShare(now) * min(1, float64(e.Cores)/float64(n))
+	t := e.fault
 	if t.Slow > 1 {
 		r /= t.Slow
 	}
-	if t.StallEvery > 0 && (now-e.since)%t.StallEvery < t.StallFor {
+	if t.StallEvery > 0 && (now-e.faultSince)%t.StallEvery < t.StallFor {
 		return 0
 	}
-	if t.Neighbour > 0 && (now-e.since)/neighbourSpell%2 == 0 {
+	if t.Neighbour > 0 && (now-e.faultSince)/neighborInterval%2 == 0 {
 		r *= 1 - t.Neighbour
 	}
 	return r
 }
 
-// neighbourSpell is how long another program is on, and off.
-const neighbourSpell = 700 * time.Millisecond
+// neighborInterval is how long another program is on, and off.
+const neighborInterval = 700 * time.Millisecond
 
 // warmSteps are the steps in which capacity grows while it is cold.
 const warmSteps = 24
@@ -263,36 +263,36 @@
 	next := Never
 	rate := e.rate(e.now)
 	for _, t := range e.running {
-		if t.mute {
+		if t.unresponsive {
 			continue
 		}
 		if rate > 0 {
-			next = min(next, e.now+time.Duration(math.Ceil((t.left+e.debt)/rate*1e9)))
+			next = min(next, e.now+time.Duration(math.Ceil((t.left+e.connectionWork)/rate*1e9)))
 		}
-		if e.TellsEvery > 0 && !t.gone {
-			next = min(next, t.toldAt+e.TellsEvery)
+		if e.TellsEvery > 0 && !t.abandoned {
+			next = min(next, t.reportedAt+e.TellsEvery)
 		}
 	}
 	if e.Cold(e.now) {
 		next = min(next, e.now+e.WarmWithin/warmSteps)
 	}
-	if t := e.trouble; t.StallEvery > 0 {
-		in := (e.now - e.since) % t.StallEvery
+	if t := e.fault; t.StallEvery > 0 {
+		in := (e.now - e.faultSince) % t.StallEvery
 		if in < t.StallFor {
 			next = min(next, e.now+t.StallFor-in)
 		} else {
 			next = min(next, e.now+t.StallEvery-in)
 		}
 	}
-	if e.trouble.Neighbour > 0 {
-		next = min(next, e.now+neighbourSpell-(e.now-e.since)%neighbourSpell)
+	if e.fault.Neighbour > 0 {
+		next = min(next, e.now+neighborInterval-(e.now-e.faultSince)%neighborInterval)
 	}
 	return max(next, e.now+time.Microsecond)
 }
 
 // begin lets time pass, and begins the outs of a call.
 func (e *Executor) begin(now time.Duration) {
-	e.out = e.out[:0]
+	e.outputs = e.outputs[:0]
 	e.advance(now)
 }
 
@@ -300,50 +300,50 @@
 	span := (now - e.now).Seconds()
 	if span > 0 && e.Up {
 		done := e.rate(e.now) * span
-		if pay := min(e.debt, done); pay > 0 {
-			e.debt -= pay
+		if pay := min(e.connectionWork, done); pay > 0 {
+			e.connectionWork -= pay
 			done -= pay
 		}
 		for _, t := range e.running {
-			if !t.mute {
+			if !t.unresponsive {
 				t.left -= done
 			}
 		}
 	}
 	e.now = max(e.now, now)
 	e.finish()
-	e.tellProgress()
+	e.reportProgress()
 	e.startWaiting()
 }
 
-const done = 1e-9
+const finishedBelow = 1e-9
 
 func (e *Executor) finish() {
 	e.running = slices.DeleteFunc(e.running, func(t *task) bool {
-		if t.left > done || t.mute {
+		if t.left > finishedBelow || t.unresponsive {
 			return false
 		}
-		if t.gone {
+		if t.abandoned {
 			e.Orphans++
 		} else {
 			word := Done
-			if t.error {
+			if t.failing {
 				word = Errored
 			}
-			e.say(t, word, 1)
+			e.send(t, word, 1)
 		}
 		return true
 	})
 }
 
-func (e *Executor) tellProgress() {
+func (e *Executor) reportProgress() {
 	if e.TellsEvery == 0 {
 		return
 	}
 	for _, t := range e.running {
-		if !t.gone && !t.mute && e.now >= t.toldAt+e.TellsEvery {
-			t.toldAt = e.now
-			e.say(t, Progress, min(0.99, max(0.001, 1-t.left/t.Cost)))
+		if !t.abandoned && !t.unresponsive && e.now >= t.reportedAt+e.TellsEvery {
+			t.reportedAt = e.now
+			e.send(t, Progress, min(0.99, max(0.001, 1-t.left/t.Cost)))
 		}
 	}
 }
@@ -357,24 +357,24 @@
 }
 
 func (e *Executor) start(t *task) {
-	t.toldAt = e.now
+	t.reportedAt = e.now
 	e.running = append(e.running, t)
-	if t.mute {
+	if t.unresponsive {
 		return
 	}
-	if t.Tag != "" && !t.error && t.Memory.repeats(e.now, t.Tag, t.Window) {
-		t.repeat, t.left = true, min(t.left, quickly.Seconds())
+	if t.Tag != "" && !t.failing && t.Memory.repeats(e.now, t.Tag, t.Window) {
+		t.duplicate, t.left = true, min(t.left, errorRunTime.Seconds())
 	}
-	if !t.repeat && !t.error {
-		e.out = append(e.out, Ran{t.Allocation})
+	if !t.duplicate && !t.failing {
+		e.outputs = append(e.outputs, Ran{t.Allocation})
 	}
-	if e.TellsStart && !t.gone {
-		e.say(t, Began, 0)
+	if e.TellsStart && !t.abandoned {
+		e.send(t, Began, 0)
 	}
 }
 
-func (e *Executor) say(t *task, w Word, share float64) {
-	e.out = append(e.out, Say{t.Conn, t.Job, w, share, e.Says(e.now)})
+func (e *Executor) send(t *task, w Word, share float64) {
+	e.outputs = append(e.outputs, Say{t.Conn, t.Job, w, share, e.Says(e.now)})
 }
 
 // Says is the load that it tells, late and noisy: the same for all who hear of it until it is renewed.
@@ -382,18 +382,18 @@
 	if !e.Reports {
 		return Load{}
 	}
-	if !e.load.Known || now-e.loadAt >= e.ReportEvery {
+	if !e.loadReport.Known || now-e.loadReportAt >= e.ReportEvery {
 		off := func(x int) float64 {
 			return math.Max(0, float64(x)*(1+e.ReportNoise*(2*e.rand.Float64()-1)))
 		}
-		e.loadAt = now
-		e.load = Load{off(len(e.running) + len(e.waiting)), off(len(e.waiting)), off(max(0, e.Places-len(e.running))), true}
+		e.loadReportAt = now
+		e.loadReport = Load{off(len(e.running) + len(e.waiting)), off(len(e.waiting)), off(max(0, e.Places-len(e.running))), true}
 	}
-	return e.load
+	return e.loadReport
 }
 
 // Mute says whether it answers nobody.
-func (e *Executor) Mute() bool { return e.trouble.Mute }
+func (e *Executor) Mute() bool { return e.fault.Mute }
 
 // Held returns how many batch jobs run or wait there.
 func (e *Executor) Held() int { return len(e.running) + len(e.waiting) }
@@ -404,7 +404,7 @@
 // Frees is when a place is free for one that comes after all that is held here and after what is on its way, in seconds on a standard core,
 // and the work that a place then gets done in a second.
 func (e *Executor) Frees(now time.Duration, coming []float64) (at time.Duration, rate float64) {
-	rate = e.Speed * e.share(now) * min(1, float64(e.Cores)/float64(e.Places)) / max(1, e.trouble.Slow)
+	rate = e.Speed * e.warmShare(now) * min(1, float64(e.Cores)/float64(e.Places)) / max(1, e.fault.Slow)
 	gone := (now - e.now).Seconds() * e.rate(e.now) // since it was looked at last
 	places := make([]float64, e.Places)
 	take := func(work float64) {
@@ -432,40 +432,40 @@
 func (e *Executor) Open(now time.Duration, c ConnID) (bool, []Out) {
 	e.begin(now)
 	if !e.Up || len(e.conns) >= e.Conns {
-		return false, e.out
+		return false, e.outputs
 	}
 	e.conns = append(e.conns, c)
-	e.debt += e.ConnCost.Seconds()
-	return true, e.out
+	e.connectionWork += e.ConnCost.Seconds()
+	return true, e.outputs
 }
 
 // Take takes an allocation in whose last byte has come.
 func (e *Executor) Take(now time.Duration, a Allocation) []Out {
 	e.begin(now)
 	if !e.Up {
-		return e.out
+		return e.outputs
 	}
-	e.out = append(e.out, Reached{a, e.Capacity(now)})
-	if e.Cold(now) && e.pushed(now, a) {
-		return e.out
+	e.outputs = append(e.outputs, Reached{a, e.Capacity(now)})
+	if e.Cold(now) && e.overloads(now, a) {
+		return e.outputs
 	}
-	e.order++
-	t := &task{Allocation: a, left: a.Cost, order: e.order}
+	e.lastOrder++
+	t := &task{Allocation: a, left: a.Cost, order: e.lastOrder}
 	switch {
-	case e.trouble.Mute:
-		t.mute = true
-	case e.trouble.Errors > 0 && e.rand.Float64() < e.trouble.Errors:
-		t.error, t.left = true, quickly.Seconds()*e.Speed
+	case e.fault.Mute:
+		t.unresponsive = true
+	case e.fault.Errors > 0 && e.rand.Float64() < e.fault.Errors:
+		t.failing, t.left = true, errorRunTime.Seconds()*e.Speed
 	case e.Drains || len(e.running) >= e.Places && len(e.waiting) >= e.Queue:
-		e.say(t, NoRoom, 0)
-		return e.out
-	case e.trouble.Lies:
-		e.say(t, NoRoom, 0)
-		t.gone = true
+		e.send(t, NoRoom, 0)
+		return e.outputs
+	case e.fault.Lies:
+		e.send(t, NoRoom, 0)
+		t.abandoned = true
 	}
 	e.enqueue(t)
 	e.startWaiting()
-	return e.out
+	return e.outputs
 }
 
 func (e *Executor) enqueue(t *task) {
@@ -478,14 +478,14 @@
 	e.waiting = slices.Insert(e.waiting, i, t)
 }
 
-// pushed says whether it falls over: more than its rule allows has come within the window. What came is judged by what
+// overloads says whether it falls over: more than its rule allows has come within the window. What came is judged by what
 // clients said of it, as it is not known before it runs; by our own bound the one that tops the
 // budget is not counted.
-func (e *Executor) pushed(now time.Duration, a Allocation) bool {
-	e.came = slices.DeleteFunc(e.came, func(c came) bool { return c.at+e.FallWindow < now })
-	e.came = append(e.came, came{now, a.Hint})
+func (e *Executor) overloads(now time.Duration, a Allocation) bool {
+	e.arrivals = slices.DeleteFunc(e.arrivals, func(c arrival) bool { return c.at+e.FallWindow < now })
+	e.arrivals = append(e.arrivals, arrival{now, a.Hint})
 	sum, most := 0.0, 0.0
-	for _, c := range e.came {
+	for _, c := range e.arrivals {
 		sum += c.cost
 		most = max(most, c.cost)
 	}
@@ -493,7 +493,7 @@
 	if budget == 0 || !invariants.TopplesCold(sum, most, budget, e.MeanWork) {
 		return false
 	}
-	e.out = append(e.out, Fell{})
+	e.outputs = append(e.outputs, Fell{})
 	e.crash()
 	return true
 }
@@ -506,40 +506,40 @@
 		if t.Conn != c {
 			return false
 		}
-		t.gone = true
+		t.abandoned = true
 		return !e.KeepsWaiting
 	})
 	e.running = slices.DeleteFunc(e.running, func(t *task) bool {
 		if t.Conn != c {
 			return false
 		}
-		t.gone = true
-		return e.StopsWork || t.mute
+		t.abandoned = true
+		return e.StopsWork || t.unresponsive
 	})
 	e.startWaiting()
-	return e.out
+	return e.outputs
 }
 
 // Wake lets time pass.
 func (e *Executor) Wake(now time.Duration) []Out {
 	e.begin(now)
-	return e.out
+	return e.outputs
 }
 
 // Suffer puts a trouble on it, or with the zero value takes it off: what it took in without a word is dropped then.
 func (e *Executor) Suffer(now time.Duration, t Trouble) []Out {
 	e.begin(now)
-	e.trouble, e.since = t, now
+	e.fault, e.faultSince = t, now
 	if !t.Mute {
-		mute := func(t *task) bool { return t.mute }
+		mute := func(t *task) bool { return t.unresponsive }
 		e.running, e.waiting = slices.DeleteFunc(e.running, mute), slices.DeleteFunc(e.waiting, mute)
 		e.startWaiting()
 	}
-	return e.out
+	return e.outputs
 }
 
 // Trouble is what it suffers from.
-func (e *Executor) Trouble() Trouble { return e.trouble }
+func (e *Executor) Trouble() Trouble { return e.fault }
 
 // Crash ends it: what runs and waits is lost, connections are reset.
 func (e *Executor) Crash(now time.Duration) []Out {
@@ -547,20 +547,20 @@
 	if e.Up {
 		e.crash()
 	}
-	return e.out
+	return e.outputs
 }
 
 func (e *Executor) crash() {
 	e.Up = false
 	for _, c := range e.conns {
-		e.out = append(e.out, Reset{c})
+		e.outputs = append(e.outputs, Reset{c})
 	}
-	e.conns, e.running, e.waiting, e.came, e.debt = nil, nil, nil, nil, 0
+	e.conns, e.running, e.waiting, e.arrivals, e.connectionWork = nil, nil, nil, nil, 0
 }
 
 // Start starts it anew, cold.
 func (e *Executor) Start(now time.Duration) []Out {
 	e.begin(now)
-	e.Up, e.Drains, e.Started, e.trouble, e.load.Known = true, false, now, Trouble{}, false
-	return e.out
+	e.Up, e.Drains, e.Started, e.fault, e.loadReport.Known = true, false, now, Trouble{}, false
+	return e.outputs
 }
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -57,25 +57,25 @@
 	OnAll                   // connections, discovery or clients
 )
 
-// sized says what the size of a kind must be; a kind with no bounds takes none.
-type sized struct {
-	on          Sort
+// kindSpec says what the size of a kind must be; a kind with no bounds takes none.
+type kindSpec struct {
+	target      Sort
 	least, most float64
-	what        string
+	unit        string
 }
 
-var kinds = map[Kind]sized{
+var kinds = map[Kind]kindSpec{
 	Slow: {OnExecutors, 1, 1000, "times slower"}, Stalls: {OnExecutors, 0.001, 1.9, "seconds"},
 	Neighbour: {OnExecutors, 0.01, 0.99, "a part"}, Errors: {OnExecutors, 0.01, 1, "a part"},
-	Mute: {on: OnExecutors}, Crash: {on: OnExecutors}, Vanish: {on: OnExecutors}, Replace: {on: OnExecutors},
-	Moved: {on: OnExecutors}, DrainOff: {on: OnExecutors}, TakenOut: {on: OnExecutors},
-	ZoneLost: {on: OnZone}, ZoneCut: {on: OnZone}, ZoneDeaf: {on: OnZone}, ZoneMute: {on: OnZone},
+	Mute: {target: OnExecutors}, Crash: {target: OnExecutors}, Vanish: {target: OnExecutors}, Replace: {target: OnExecutors},
+	Moved: {target: OnExecutors}, DrainOff: {target: OnExecutors}, TakenOut: {target: OnExecutors},
+	ZoneLost: {target: OnZone}, ZoneCut: {target: OnZone}, ZoneDeaf: {target: OnZone}, ZoneMute: {target: OnZone},
 	ResetNew: {OnAll, 0.01, 1, "a part"}, ResetOld: {OnAll, 0.01, 1, "a part"},
 	SilentNew: {OnAll, 0.01, 1, "a part"}, SilentOld: {OnAll, 0.01, 1, "a part"},
 	ClientReset: {OnAll, 0.01, 1, "a part"},
-	ListLate:    {OnAll, 0.01, 3600, "seconds"}, ListLost: {on: OnAll},
-	NodeKilled: {on: OnNodes}, NodeRestart: {on: OnNodes}, SentAway: {on: OnNodes},
-	NodeStopped: {on: OnNodes}, NodeLies: {on: OnNodes}, NodesApart: {on: OnNodes}, ListCut: {on: OnNodes},
+	ListLate:    {OnAll, 0.01, 3600, "seconds"}, ListLost: {target: OnAll},
+	NodeKilled: {target: OnNodes}, NodeRestart: {target: OnNodes}, SentAway: {target: OnNodes},
+	NodeStopped: {target: OnNodes}, NodeLies: {target: OnNodes}, NodesApart: {target: OnNodes}, ListCut: {target: OnNodes},
 	WordsLost: {OnAll, 0.01, 1, "a part"},
 	Burst:     {OnAll, 1, 100, "times the usual"}, HeavyTail: {OnAll, 1, 1000, "times the usual"},
 	ClockOff: {OnAll, -3600, 3600, "seconds"},
@@ -93,23 +93,23 @@
 // On says what a kind is put on, and whether there is such a kind.
 func (k Kind) On() (Sort, bool) {
 	s, ok := kinds[k]
-	return s.on, ok
+	return s.target, ok
 }
 
 // Sized says whether a kind has a size, and gives its bounds.
 func (k Kind) Sized() (least, most float64, ok bool) {
 	s := kinds[k]
-	return s.least, s.most, s.what != ""
+	return s.least, s.most, s.unit != ""
 }
 
 // CheckSize says what is wrong with a size.
 func (k Kind) CheckSize(size float64) error {
 	s := kinds[k]
 	switch {
-	case s.what == "" && size != 0:
+	case s.unit == "" && size != 0:
 		return fmt.Errorf("%s has no size", k)
-	case s.what != "" && !(size >= s.least && size <= s.most):
-		return fmt.Errorf("the size of %s is %s, from %v to %v", k, s.what, s.least, s.most)
+	case s.unit != "" && !(size >= s.least && size <= s.most):
+		return fmt.Errorf("the size of %s is %s, from %v to %v", k, s.unit, s.least, s.most)
 	}
 	return nil
 }
--- a/internal/emulator/halt.go
+++ b/internal/emulator/halt.go
@@ -26,17 +26,17 @@
 // Halts stops the calls of connections and listeners at named moments, until they are let go. A test orders two events by
 // it that would otherwise come in either order.
 type Halts struct {
-	mu    sync.Mutex
-	stops []*Stop
-	cut   int
-	conns int
+	mu               sync.Mutex
+	pending          []*Stop
+	interruptedReads int
+	conns            int
 }
 
 // Cut is how often a read was told to end at once, by a deadline in the past.
 func (h *Halts) Cut() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.cut
+	return h.interruptedReads
 }
 
 // Stop is one such moment; it stops one call.
@@ -44,11 +44,11 @@
 	// Reached is closed once a call stands there.
 	Reached chan struct{}
 
-	step  Step
-	on    int // the connection's number, from 1; 0 for any
-	skip  int
-	letGo chan struct{}
-	once  sync.Once
+	step     Step
+	conn     int // the connection's number, from 1; 0 for any
+	skip     int
+	released chan struct{}
+	once     sync.Once
 }
 
 // At stops the next call that comes to a step, after skip of them have passed it.
@@ -56,33 +56,33 @@
 
 // On does so for the calls of one connection; they count from 1 in the order in which they were made.
 func (h *Halts) On(conn int, step Step, skip int) *Stop {
-	s := &Stop{Reached: make(chan struct{}), step: step, on: conn, skip: skip, letGo: make(chan struct{})}
+	s := &Stop{Reached: make(chan struct{}), step: step, conn: conn, skip: skip, released: make(chan struct{})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.stops = append(h.stops, s)
+	h.pending = append(h.pending, s)
 	return s
 }
 
 // Go lets the call go on that stands there, or is to come.
-func (s *Stop) Go() { s.once.Do(func() { close(s.letGo) }) }
+func (s *Stop) Go() { s.once.Do(func() { close(s.released) }) }
 
-func (h *Halts) pass(conn int, step Step) {
+func (h *Halts) reach(conn int, step Step) {
 	h.mu.Lock()
 	var at *Stop
-	for i, s := range h.stops {
-		if s.step != step || s.on != 0 && s.on != conn {
+	for i, s := range h.pending {
+		if s.step != step || s.conn != 0 && s.conn != conn {
 			continue
 		}
 		if s.skip--; s.skip < 0 {
 			at = s
-			h.stops = append(h.stops[:i:i], h.stops[i+1:]...)
+			h.pending = append(h.pending[:i:i], h.pending[i+1:]...)
 			break
 		}
 	}
 	h.mu.Unlock()
 	if at != nil {
 		close(at.Reached)
-		<-at.letGo
+		<-at.released
 	}
 }
 
@@ -99,37 +99,37 @@
 
 type haltedConn struct {
 	net.Conn
-	h      *Halts
+	halts  *Halts
 	number int
 }
 
 func (c *haltedConn) Read(b []byte) (int, error) {
-	c.h.pass(c.number, BeforeRead)
+	c.halts.reach(c.number, BeforeRead)
 	n, err := c.Conn.Read(b)
-	c.h.pass(c.number, AfterRead)
+	c.halts.reach(c.number, AfterRead)
 	return n, err
 }
 
 func (c *haltedConn) Write(b []byte) (int, error) {
-	c.h.pass(c.number, BeforeWrite)
+	c.halts.reach(c.number, BeforeWrite)
 	n, err := c.Conn.Write(b)
-	c.h.pass(c.number, AfterWrite)
+	c.halts.reach(c.number, AfterWrite)
 	return n, err
 }
 
 func (c *haltedConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && t.Before(time.Now()) {
-		c.h.mu.Lock()
-		c.h.cut++
-		c.h.mu.Unlock()
+		c.halts.mu.Lock()
+		c.halts.interruptedReads++
+		c.halts.mu.Unlock()
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
 func (c *haltedConn) Close() error {
-	c.h.pass(c.number, BeforeClose)
+	c.halts.reach(c.number, BeforeClose)
 	err := c.Conn.Close()
-	c.h.pass(c.number, AfterClose)
+	c.halts.reach(c.number, AfterClose)
 	return err
 }
 
@@ -143,15 +143,15 @@
 
 type haltedListener struct {
 	net.Listener
-	h *Halts
+	halts *Halts
 }
 
 func (l *haltedListener) Accept() (net.Conn, error) {
-	l.h.pass(0, BeforeAccept)
+	l.halts.reach(0, BeforeAccept)
 	c, err := l.Listener.Accept()
-	l.h.pass(0, AfterAccept)
+	l.halts.reach(0, AfterAccept)
 	if err != nil {
 		return nil, err
 	}
-	return l.h.Conn(c), nil
+	return l.halts.Conn(c), nil
 }
--- a/internal/emulator/leaser.go
+++ b/internal/emulator/leaser.go
@@ -5,11 +5,11 @@
 // Leaser is what an executor that knows of leases remembers: the newest epoch of each durable batch job, and what became of it. A restart forgets all
 // of it, and the executor says so.
 type Leaser struct {
-	jobs map[policy.JobID]*leased
-	anew bool // it has started anew: what it does not know may have run before
+	jobs      map[policy.JobID]*leaseRecord
+	restarted bool // it has started anew: what it does not know may have run before
 }
 
-type leased struct {
+type leaseRecord struct {
 	epoch    uint32
 	begun    bool
 	finished bool
@@ -17,10 +17,10 @@
 }
 
 // NewLeaser makes one that has run for long and knows of nothing.
-func NewLeaser() *Leaser { return &Leaser{jobs: map[policy.JobID]*leased{}} }
+func NewLeaser() *Leaser { return &Leaser{jobs: map[policy.JobID]*leaseRecord{}} }
 
 // Restart forgets all.
-func (l *Leaser) Restart() { l.jobs, l.anew = map[policy.JobID]*leased{}, true }
+func (l *Leaser) Restart() { l.jobs, l.restarted = map[policy.JobID]*leaseRecord{}, true }
 
 // Take says whether an allocation may run: none under an older epoch than was heard of, and none twice.
 func (l *Leaser) Take(job policy.JobID, epoch uint32) bool {
@@ -31,7 +31,7 @@
 	if j != nil && (epoch < j.epoch || epoch == j.epoch) {
 		return false
 	}
-	l.jobs[job] = &leased{epoch: epoch, begun: true}
+	l.jobs[job] = &leaseRecord{epoch: epoch, begun: true}
 	return true
 }
 
@@ -50,10 +50,10 @@
 		return "finished", j.result
 	case j != nil && j.epoch == epoch && j.begun:
 		return "running", nil
-	case l.anew:
+	case l.restarted:
 		return "lost", nil
 	case j == nil || j.epoch < epoch:
-		l.jobs[job] = &leased{epoch: epoch}
+		l.jobs[job] = &leaseRecord{epoch: epoch}
 	}
 	return "never", nil
 }
--- a/internal/emulator/platform/codec.go
+++ b/internal/emulator/platform/codec.go
@@ -89,7 +89,7 @@
 // Answer writes an executor's words as one answer in chunks. The zero value has not begun.
 type Answer struct{ begun bool }
 
-var states = map[emulator.Word]string{emulator.Began: "started", emulator.Progress: "running", emulator.Done: "done", emulator.Errored: "failed"}
+var messageStates = map[emulator.Word]string{emulator.Began: "started", emulator.Progress: "running", emulator.Done: "done", emulator.Errored: "failed"}
 
 // Append writes the next word, and says whether it ends the answer.
 func (a *Answer) Append(b []byte, say emulator.Say, from policy.ExecutorID, result string) (_ []byte, ended bool) {
@@ -111,7 +111,7 @@
 		Share  float64            `json:"share,omitempty"`
 		Result string             `json:"result,omitempty"`
 		Load   map[string]float64 `json:"load,omitempty"`
-	}{ID: say.Job, From: from, State: states[say.Word]}
+	}{ID: say.Job, From: from, State: messageStates[say.Word]}
 	switch say.Word {
 	case emulator.Progress:
 		line.Share = say.Share
@@ -196,7 +196,7 @@
 	return w, err
 }
 
-var health = map[policy.EndpointState]string{policy.Available: "ready", policy.Draining: "draining", policy.Removed: "gone"}
+var healthNames = map[policy.EndpointState]string{policy.Available: "ready", policy.Draining: "draining", policy.Removed: "gone"}
 
 // AppendList writes discovery's answer. Times of day count from epoch.
 func AppendList(b []byte, version int, whole bool, entries []emulator.Entry, zones []string, epoch time.Time) []byte {
@@ -216,7 +216,7 @@
 		Hosts []host `json:"hosts"`
 	}{version, whole, []host{}}
 	for _, e := range entries {
-		h := host{e.Executor, e.Addr, zones[e.Zone], "plain", e.Cell, health[e.State], e.Weight, 0}
+		h := host{e.Executor, e.Addr, zones[e.Zone], "plain", e.Cell, healthNames[e.State], e.Weight, 0}
 		if !e.StartedLongAgo {
 			h.Born = epoch.Add(e.StartedAt).UnixMilli()
 		}
--- a/internal/emulator/platform/server.go
+++ b/internal/emulator/platform/server.go
@@ -70,9 +70,9 @@
 		case err != nil:
 			return
 		case m.Ask:
-			c.Write(e.found(m)) //nolint:errcheck // the connection ends here either way
+			c.Write(e.leaseAnswer(m)) //nolint:errcheck // the connection ends here either way
 			return
-		case !e.take(m):
+		case !e.accept(m):
 			var a Answer
 			b, _ := a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.NoRoom, Load: e.load()}, e.ID, "")
 			if _, err := c.Write(b); err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (e *Executor) found(m Message) []byte {
+func (e *Executor) leaseAnswer(m Message) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.Leases {
@@ -99,7 +99,7 @@
 	return AppendFound(nil, state, result)
 }
 
-func (e *Executor) take(m Message) bool {
+func (e *Executor) accept(m Message) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.Places > 0 && e.running >= e.Places || !e.lease.Take(m.Job, m.Epoch) && !e.Forgetful {
@@ -142,17 +142,17 @@
 	Zones   []string
 	Epoch   time.Time // at which the entries' starts count from 0; the present where it is left out
 
-	mu    sync.Mutex
-	model *emulator.Discovery
-	news  chan struct{} // closed with the next change
+	mu      sync.Mutex
+	model   *emulator.Discovery
+	changed chan struct{} // closed with the next change
 }
 
-const never = time.Duration(1<<63 - 1) // discovery tells at once, so all that has changed may be told
+const noDelay = time.Duration(1<<63 - 1) // discovery tells at once, so all that has changed may be told
 
-// list is the model behind it. It is called with d.mu held.
-func (d *Discovery) list() *emulator.Discovery {
+// modelLocked is the model behind it. It is called with d.mu held.
+func (d *Discovery) modelLocked() *emulator.Discovery {
 	if d.model == nil {
-		d.model, d.news = emulator.NewDiscovery(0), make(chan struct{})
+		d.model, d.changed = emulator.NewDiscovery(0), make(chan struct{})
 		for _, e := range d.Entries {
 			d.model.Change(0, e)
 		}
@@ -164,30 +164,30 @@
 func (d *Discovery) Change(entries ...emulator.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list := d.list()
+	list := d.modelLocked()
 	for _, e := range entries {
 		list.Change(0, e)
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // answer is what a call gets now, and what to wait for where there is nothing new.
-func (d *Discovery) answer(ask Watch, over bool) ([]byte, <-chan struct{}) {
+func (d *Discovery) answer(watch Watch, over bool) ([]byte, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	version, entries := d.list().Since(never, ask.From)
-	if ask.Whole {
-		entries = d.list().Whole(never)
+	version, entries := d.modelLocked().Since(noDelay, watch.From)
+	if watch.Whole {
+		entries = d.modelLocked().Whole(noDelay)
 	}
-	if !ask.Whole && !over && len(entries) == 0 {
-		return nil, d.news
+	if !watch.Whole && !over && len(entries) == 0 {
+		return nil, d.changed
 	}
 	epoch := d.Epoch
 	if epoch.IsZero() {
 		epoch = time.Now()
 	}
-	return AppendList(nil, version, ask.Whole, entries, d.Zones, epoch), nil
+	return AppendList(nil, version, watch.Whole, entries, d.Zones, epoch), nil
 }
 
 // Serve takes connections until the listener ends.
