--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -10,78 +10,78 @@
 	"birchstair/policy"
 )
 
-// Track is a track as its clients use it.
+// Track is a job class with the load that its clients make.
 type Track struct {
 	policy.JobClass
-	Share    float64 // of the batch jobs
-	Mean     float64 // seconds on a standard core
-	Spread   float64 // how far single ones are from that: the sigma of a lognormal
+	Share    float64 // share of the batch jobs
+	Mean     float64 // mean work, in seconds on a standard core
+	Spread   float64 // sigma of the lognormal distribution of the work
 	Priority int
 }
 
-// Habits are what clients do.
+// Habits describe how clients behave.
 type Habits struct {
-	Rate       float64       // batch jobs a second; 0 where they come in loops
-	Loops      int           // clients that hand in the next one once the last is over
-	Think      time.Duration // and wait so long before that
-	Retries    int
-	RetryWait  time.Duration // before a retry, where nothing says when to come back
-	RetryMost  time.Duration // over RetryWait: the wait doubles with each try up to that, and is off by up to half
-	HeedsBack  bool          // comes back when told to
-	Leaves     float64       // part of the batch jobs whose clients leave before their time
-	RepeatsIDs float64       // part that hands the same id in again while it is in hand
-	HintNoise  float64       // sigma of the hint's error; under 0 there are no hints
+	Rate       float64       // batch jobs per second; 0 if Loops make the load
+	Loops      int           // clients that each submit the next batch job when the last one has ended
+	Think      time.Duration // pause of such a client before the next one
+	Retries    int           // retries of a batch job at most
+	RetryWait  time.Duration // backoff before a retry without Retry-After
+	RetryMost  time.Duration // if over RetryWait: the backoff doubles with each retry up to it, with a jitter of half either way
+	HeedsBack  bool          // follows Retry-After
+	Leaves     float64       // share of the batch jobs whose clients leave before the deadline
+	RepeatsIDs float64       // share whose clients submit the same id again while it is in flight
+	HintNoise  float64       // sigma of the error of stated costs; negative if none are stated
 }
 
-// Tail is a spell in which some batch jobs cost many times the usual.
+// Tail makes a share of the batch jobs cost many times the usual.
 type Tail struct {
 	Part  float64
 	Times float64
 }
 
-// TailOf is a tail so many times as dear as usual, on one batch job in 50.
+// TailOf returns a tail of one batch job in 50 that costs the given multiple.
 func TailOf(times float64) Tail { return Tail{Part: 0.02, Times: times} }
 
-// Work is what a client wants done, over all its tries.
+// Work is what a client wants done, over all its requests.
 type Work struct {
 	ID     invariants.WorkID
-	Client int // of a loop; -1
+	Client int // of a loop, else -1
 	Track  policy.JobClassID
 	Cost   float64
-	Hint   float64 // 0: none
-	Came   time.Duration
-	Quoted time.Duration // an answer by then earns
-	Limit  time.Duration
-	Leaves time.Duration // when its client leaves; Never
-	Tries  int
-	Earns  float64
-	Over   bool
-	Earned bool
-
-	firstSent time.Duration // when its first try was handed in
+	Hint   float64       // stated cost; 0 for none
+	Came   time.Duration // arrival
+	Quoted time.Duration // latency objective, as a time: an answer by then has its full value
+	Limit  time.Duration // deadline
+	Leaves time.Duration // when its client leaves, or Never
+	Tries  int           // retries so far
+	Earns  float64       // its value
+	Over   bool          // its client has stopped
+	Earned bool          // it was answered by its latency objective
+
+	firstSent time.Duration // when its first request was sent
 	repeatID  bool
 }
 
-// Job is the id of its present try.
+// Job returns the id of its present request.
 func (w *Work) Job() policy.JobID { return policy.JobID(fmt.Sprintf("%s/%d", w.ID, w.Tries)) }
 
-// RepeatsID says whether its client hands its id in again while it is in hand.
+// RepeatsID reports whether its client submits its id again while it is in flight.
 func (w *Work) RepeatsID() bool { return w.repeatID }
 
-// Clients are the clients of one zone.
+// Clients models the clients of one zone.
 type Clients struct {
 	Name    string
 	Tracks  []Track
 	Habits  Habits
-	Burst   float64 // times the usual rate; 0 for 1
+	Burst   float64 // multiple of the usual rate; 0 for 1
 	Tail    Tail
 	rand    *rand.Rand
 	count   int
 	perWork bool
-	backoff *rand.Rand // a source of its own, so that what comes does not hang on who repeats
+	backoff *rand.Rand // a separate source, so that retries do not change arrivals
 }
 
-// NewClients makes clients; perWork: earnings count for each unit of work.
+// NewClients returns clients with the given name, which leads the ids of their work. If perWork is set, values count per unit of work.
 func NewClients(name string, classes []Track, h Habits, perWork bool, r *rand.Rand) *Clients {
 	c := &Clients{Name: name, Tracks: classes, Habits: h, rand: r, perWork: perWork}
 	if h.RetryMost > 0 {
@@ -90,7 +90,7 @@
 	return c
 }
 
-// Gap is the time until the next arrival where they come at a rate: Never where there is none.
+// Gap draws the time until the next arrival; it is Never without a rate.
 func (c *Clients) Gap() time.Duration {
 	rate := c.Habits.Rate * max(c.Burst, 1)
 	if rate <= 0 {
@@ -99,7 +99,7 @@
 	return time.Duration(c.rand.ExpFloat64() / rate * 1e9)
 }
 
-// New is the next thing wanted.
+// New draws the next work, of a client in a loop or -1.
 func (c *Clients) New(now time.Duration, client int) *Work {
 	c.count++
 	id := c.pickClass()
@@ -111,7 +111,7 @@
 		hint = 0
 	}
 	if c.rand.Float64() < c.Tail.Part {
-		cost *= c.Tail.Times // no hint tells it
+		cost *= c.Tail.Times // not in the stated cost
 	}
 	w := &Work{ID: invariants.WorkID(fmt.Sprintf("%s%d", c.Name, c.count)), Client: client, Track: id, Cost: cost, Hint: hint,
 		Came: now, Limit: now + t.Deadline, Leaves: Never, firstSent: now, Earns: t.Value}
@@ -136,20 +136,20 @@
 	return policy.JobClassID(len(c.Tracks) - 1)
 }
 
-// End is how a try ended for its client.
+// End is how a request ended for its client.
 type End int
 
-// The ends of a try.
+// The ends of a request.
 const (
-	EndHandled    End = iota // served
+	EndHandled    End = iota // succeeded
 	EndPushedBack            // rejected: nothing of it ran
 	EndBrokenOff             // failed, or not answered in time
 	EndUnreached             // no connection to the node
 	EndLost                  // the connection to the node broke
 )
 
-// After says when the client tries again, or that it does not. A repeatable one is tried after anything, a tagged one
-// likewise where all executors drop its repeats and within its window; others only where nothing can have run.
+// After returns when a client retries, and whether it does. Idempotent work is retried after any end; work with an idempotency key too,
+// if its dedup group is all executors and within half of its window. Otherwise a client retries only if nothing can have run.
 func (c *Clients) After(now time.Duration, w *Work, how End, comeBack time.Duration) (time.Duration, bool) {
 	t := &c.Tracks[w.Track]
 	may := how == EndPushedBack || how == EndUnreached || t.Idempotency == policy.Idempotent ||
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -10,21 +10,21 @@
 	"birchstair/policy"
 )
 
-// Entry is an executor in the list, and where it is reached.
+// Entry is an executor in the endpoint list, with its address.
 type Entry struct {
 	policy.Endpoint
 	Addr string
 }
 
-// Discovery is the service that keeps the list. It knows of changes when they happen, and tells each node later.
+// Discovery models the service that has the endpoint list. It learns of a change at once and publishes it to nodes after a lag.
 type Discovery struct {
 	lag          time.Duration
-	extraLag     time.Duration // that it is late now, beyond the lag
-	silent       bool          // it tells nobody anything
+	extraLag     time.Duration // a fault's delay beyond the lag
+	silent       bool          // it publishes nothing
 	entries      map[policy.ExecutorID]Entry
 	changes      []change
-	delivered    map[invariants.NodeID]int // changes that a node has
-	completeNext map[invariants.NodeID]bool
+	delivered    map[invariants.NodeID]int  // how many changes a node has been sent
+	completeNext map[invariants.NodeID]bool // the next update of a node is a complete one
 }
 
 type change struct {
@@ -32,13 +32,13 @@
 	Entry
 }
 
-// NewDiscovery makes one that knows of no executor.
+// NewDiscovery returns a service with an empty list.
 func NewDiscovery(lag time.Duration) *Discovery {
 	return &Discovery{lag: lag, entries: map[policy.ExecutorID]Entry{}, delivered: map[invariants.NodeID]int{},
 		completeNext: map[invariants.NodeID]bool{}}
 }
 
-// Change books a change of one entry, and says when nodes may be told of it.
+// Change records a change of one entry, and returns when it is published.
 func (d *Discovery) Change(now time.Duration, e Entry) time.Duration {
 	if e.State == policy.Removed {
 		delete(d.entries, e.Executor)
@@ -49,16 +49,16 @@
 	return now + d.lag + d.extraLag
 }
 
-// Entry is what the list says of an executor.
+// Entry returns the entry of an executor, and whether there is one.
 func (d *Discovery) Entry(id policy.ExecutorID) (Entry, bool) {
 	e, ok := d.entries[id]
 	return e, ok
 }
 
-// Late makes it so much later than usual; 0 takes that off.
+// Late sets a delay beyond the usual lag; 0 removes it.
 func (d *Discovery) Late(more time.Duration) { d.extraLag = more }
 
-// Silence makes it tell nobody anything, or ends that: then each node gets the whole list.
+// Silence stops or resumes updates. After it, each node gets a complete update.
 func (d *Discovery) Silence(yes bool) {
 	d.silent = yes
 	for n := range d.delivered {
@@ -66,10 +66,10 @@
 	}
 }
 
-// Silent says whether it tells nobody anything.
+// Silent reports whether updates are stopped.
 func (d *Discovery) Silent() bool { return d.silent }
 
-// Watch makes a node's next news the whole list.
+// Watch makes the next update of a node a complete one.
 func (d *Discovery) Watch(n invariants.NodeID) {
 	d.completeNext[n] = true
 	if _, ok := d.delivered[n]; !ok {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Copy is the whole list as it was known a while ago, in the order of ids: what a node has kept on disk.
+// Copy returns the complete list as it was at a time, in the order of ids: what a node may have cached.
 func (d *Discovery) Copy(at time.Duration) []Entry {
 	byID := map[policy.ExecutorID]Entry{}
 	for _, c := range d.changes {
@@ -93,8 +93,8 @@
 	return sortedEntries(byID)
 }
 
-// News is what a node is told now: nothing, the changes since it was told last, or the whole list, both as they were a
-// lag ago.
+// News returns the update that a node gets now: the changes that were published since its last update, a complete list, or a failure of
+// the watch while updates are stopped.
 func (d *Discovery) News(now time.Duration, n invariants.NodeID) (kind policy.EndpointUpdateKind, entries []Entry) {
 	if d.silent {
 		return policy.WatchFailed, nil
@@ -107,7 +107,7 @@
 	return policy.IncrementalUpdate, entries
 }
 
-// Since is what may be told now of the changes after a version, the last of each executor, and the version after them.
+// Since returns the published changes after a version, the last one of each executor, and the version after them.
 func (d *Discovery) Since(now time.Duration, version int) (next int, entries []Entry) {
 	until := now - d.lag - d.extraLag
 	seen := map[policy.ExecutorID]int{}
@@ -123,7 +123,7 @@
 	return next, entries
 }
 
-// Whole is the whole list as it may be told now.
+// Whole returns the complete list as published.
 func (d *Discovery) Whole(now time.Duration) []Entry { return d.Copy(now - d.lag - d.extraLag) }
 
 func sortedEntries(m map[policy.ExecutorID]Entry) []Entry {
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -11,7 +11,8 @@
 	"birchstair/internal/store"
 )
 
-// Disk is a disk in memory that keeps what was synced, and of the rest whatever chance leaves at a crash.
+// Disk is a disk in memory. A crash keeps what was synced and a random part of the rest. It implements store.Disk, and is safe for
+// concurrent use; its exported fields must not be set while a call runs.
 type Disk struct {
 	rand *rand.Rand
 
@@ -19,36 +20,37 @@
 	files       map[string]*diskFile
 	incarnation int
 	locked      bool
-	// Room is how many more bytes it takes; under 0 for no end.
+	// Room is how many more bytes can be written; negative for no limit.
 	Room int
-	// FailSync makes the sync that many syncs ahead fail, and what it was for is lost or not as at a crash; 0 for none.
+	// FailSync makes the sync so many calls ahead fail, and leave what a crash would leave; 0 for none.
 	FailSync int
-	// Lies makes syncs do nothing, and say that they did.
-	Lies      bool
+	// Lies makes syncs do nothing and succeed.
+	Lies bool
+	// Syncs counts the syncs of files.
 	Syncs     int
 	syncDelay time.Duration
-	// OnSync is told of each sync before it counts, or nil.
+	// OnSync, unless nil, is called with the number of each sync before it takes effect.
 	OnSync func(n int)
 }
 
 type diskFile struct {
 	synced      []byte
-	written     []byte // with what was written since
-	nameDurable bool   // its name stands for good
-	removed     bool   // it was removed, and that does not stand for good yet
+	written     []byte // the synced part and what was written since
+	nameDurable bool   // its name survives a crash
+	removed     bool   // it was removed, and the removal may not survive a crash yet
 }
 
-// Errors of a disk.
+// Errors of injected faults.
 var (
 	ErrDiskFull = errors.New("no space left on the disk")
 	ErrDiskSync = errors.New("the disk failed to sync")
 	errCrashed  = errors.New("this process is no more")
 )
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk without a limit.
 func NewDisk(r *rand.Rand) *Disk { return &Disk{rand: r, files: map[string]*diskFile{}, Room: -1} }
 
-// Crash ends the process that uses it: what was not synced is lost, kept or torn, in any order of its pages.
+// Crash ends the process that uses the disk: what was not synced is lost, kept or torn, by pages in any order.
 func (d *Disk) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,10 +69,10 @@
 	}
 }
 
-// pageSize is what a disk writes at once.
+// pageSize is what a disk writes at once, in bytes.
 const pageSize = 64
 
-// torn is what a crash leaves of a file: its synced part, and of what came after it some pages, in any order.
+// torn returns what a crash leaves of a file: its synced part, and some of the pages after it.
 func (d *Disk) torn(f *diskFile) []byte {
 	b := slices.Clone(f.written)
 	if len(b) <= len(f.synced) {
@@ -105,6 +107,7 @@
 	incarnation int
 }
 
+// Close releases the lock, unless its process has crashed.
 func (l diskLock) Close() error {
 	l.disk.mu.Lock()
 	defer l.disk.mu.Unlock()
@@ -132,6 +135,7 @@
 	return d.names(false), nil
 }
 
+// Read implements store.Disk.
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,7 +146,7 @@
 	return slices.Clone(f.written), nil
 }
 
-// Create implements store.Disk. The file outlives a power failure only after SyncDir.
+// Create implements store.Disk. The file survives a crash for certain only after SyncDir.
 func (d *Disk) Create(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,7 +158,7 @@
 	return &openFile{d, f, d.incarnation}, nil
 }
 
-// Remove implements store.Disk. The file is gone for good only after SyncDir.
+// Remove implements store.Disk. The removal survives a crash for certain only after SyncDir.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,7 +178,7 @@
 	return nil
 }
 
-// SyncDir implements store.Disk: files that were created or removed outlive a power failure from now on.
+// SyncDir implements store.Disk. Creations and removals so far survive a crash.
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -187,14 +191,14 @@
 	return nil
 }
 
-// Slow sets how long a sync takes from now on.
+// Slow sets how long a sync takes.
 func (d *Disk) Slow(span time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.syncDelay = span
 }
 
-// Flip changes a bit of a file.
+// Flip changes a bit of a file, as bit rot does.
 func (d *Disk) Flip(name string, at int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -209,6 +213,7 @@
 	incarnation int
 }
 
+// Write implements store.File.
 func (o *openFile) Write(b []byte) (int, error) {
 	o.disk.mu.Lock()
 	defer o.disk.mu.Unlock()
@@ -227,16 +232,17 @@
 	return n, nil
 }
 
+// Sync implements store.File.
 func (o *openFile) Sync() error {
 	o.disk.mu.Lock()
 	slow := o.disk.syncDelay
 	o.disk.mu.Unlock()
 	time.Sleep(slow)
 	o.disk.mu.Lock()
-	n, told := o.disk.Syncs+1, o.disk.OnSync
+	n, onSync := o.disk.Syncs+1, o.disk.OnSync
 	o.disk.mu.Unlock()
-	if told != nil {
-		told(n)
+	if onSync != nil {
+		onSync(n)
 	}
 	o.disk.mu.Lock()
 	defer o.disk.mu.Unlock()
@@ -246,7 +252,7 @@
 	o.disk.Syncs++
 	if o.disk.FailSync > 0 {
 		if o.disk.FailSync--; o.disk.FailSync == 0 {
-			o.file.written = o.disk.torn(o.file) // and the system takes it for clean from now on
+			o.file.written = o.disk.torn(o.file) // the system takes it for synced from now on
 			return ErrDiskSync
 		}
 	}
@@ -256,4 +262,5 @@
 	return nil
 }
 
+// Close implements store.File.
 func (o *openFile) Close() error { return nil }
--- /dev/null
+++ b/internal/emulator/executor_run.go
@@ -0,0 +1,177 @@
+package emulator
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// quickRunTime is how long an attempt takes that ends in an error without running, or whose key repeats another one.
+const quickRunTime = 2 * time.Millisecond
+
+// rate returns the work that one running batch job does per second.
+func (e *Executor) rate(now time.Duration) float64 {
+	n := len(e.running)
+	if n == 0 {
+		return 0
+	}
+	r := e.Speed * e.warmShare(now) * min(1, float64(e.Cores)/float64(n))
+	t := e.fault
+	if t.Slow > 1 {
+		r /= t.Slow
+	}
+	if t.StallEvery > 0 && (now-e.faultSince)%t.StallEvery < t.StallFor {
+		return 0
+	}
+	if t.Neighbour > 0 && (now-e.faultSince)/neighborInterval%2 == 0 {
+		r *= 1 - t.Neighbour
+	}
+	return r
+}
+
+// warmSteps is how many steps the capacity takes to grow to its full size in slow start.
+const warmSteps = 24
+
+// Next returns when Wake must be called: when an attempt ends or gets a progress message, or when the rate changes.
+func (e *Executor) Next() time.Duration {
+	if !e.Up || len(e.running) == 0 {
+		return Never
+	}
+	next := Never
+	rate := e.rate(e.now)
+	for _, t := range e.running {
+		if t.unresponsive {
+			continue
+		}
+		if rate > 0 {
+			next = min(next, e.now+time.Duration(math.Ceil((t.left+e.connectionWork)/rate*1e9)))
+		}
+		if e.TellsEvery > 0 && !t.abandoned {
+			next = min(next, t.reportedAt+e.TellsEvery)
+		}
+	}
+	return max(min(next, e.nextRateChange()), e.now+time.Microsecond)
+}
+
+// nextRateChange returns when the rate changes by slow start or by a fault.
+func (e *Executor) nextRateChange() time.Duration {
+	next := Never
+	if e.Cold(e.now) {
+		next = min(next, e.now+e.WarmWithin/warmSteps)
+	}
+	if t := e.fault; t.StallEvery > 0 {
+		elapsed := (e.now - e.faultSince) % t.StallEvery
+		if elapsed < t.StallFor {
+			next = min(next, e.now+t.StallFor-elapsed)
+		} else {
+			next = min(next, e.now+t.StallEvery-elapsed)
+		}
+	}
+	if e.fault.Neighbour > 0 {
+		next = min(next, e.now+neighborInterval-(e.now-e.faultSince)%neighborInterval)
+	}
+	return next
+}
+
+// begin advances the time and starts the outputs of a call.
+func (e *Executor) begin(now time.Duration) {
+	e.outputs = e.outputs[:0]
+	e.advance(now)
+}
+
+func (e *Executor) advance(now time.Duration) {
+	span := (now - e.now).Seconds()
+	if span > 0 && e.Up {
+		done := e.rate(e.now) * span
+		if pay := min(e.connectionWork, done); pay > 0 {
+			e.connectionWork -= pay
+			done -= pay
+		}
+		for _, t := range e.running {
+			if !t.unresponsive {
+				t.left -= done
+			}
+		}
+	}
+	e.now = max(e.now, now)
+	e.finish()
+	e.reportProgress()
+	e.startWaiting()
+}
+
+// finishedBelow is the remaining work, in seconds, below which an attempt has finished: the error of floating-point sums.
+const finishedBelow = 1e-9
+
+func (e *Executor) finish() {
+	e.running = slices.DeleteFunc(e.running, func(t *task) bool {
+		if t.left > finishedBelow || t.unresponsive {
+			return false
+		}
+		if t.abandoned {
+			e.Orphans++
+		} else {
+			word := Done
+			if t.failing {
+				word = Errored
+			}
+			e.send(t, word, 1)
+		}
+		return true
+	})
+}
+
+func (e *Executor) reportProgress() {
+	if e.TellsEvery == 0 {
+		return
+	}
+	for _, t := range e.running {
+		if !t.abandoned && !t.unresponsive && e.now >= t.reportedAt+e.TellsEvery {
+			t.reportedAt = e.now
+			e.send(t, Progress, min(0.99, max(0.001, 1-t.left/t.Cost)))
+		}
+	}
+}
+
+func (e *Executor) startWaiting() {
+	for len(e.waiting) > 0 && len(e.running) < e.Places {
+		t := e.waiting[0]
+		e.waiting = e.waiting[1:]
+		e.start(t)
+	}
+}
+
+func (e *Executor) start(t *task) {
+	t.reportedAt = e.now
+	e.running = append(e.running, t)
+	if t.unresponsive {
+		return
+	}
+	if t.Tag != "" && !t.failing && t.Memory.repeats(e.now, t.Tag, t.Window) {
+		t.duplicate, t.left = true, min(t.left, quickRunTime.Seconds())
+	}
+	if !t.duplicate && !t.failing {
+		e.outputs = append(e.outputs, Ran{t.Allocation})
+	}
+	if e.TellsStart && !t.abandoned {
+		e.send(t, Began, 0)
+	}
+}
+
+func (e *Executor) send(t *task, w Word, share float64) {
+	e.outputs = append(e.outputs, Say{t.Conn, t.Job, w, share, e.Says(e.now)})
+}
+
+// Says returns the load report, which is old and noisy: the same for everyone until it is renewed.
+func (e *Executor) Says(now time.Duration) Load {
+	if !e.Reports {
+		return Load{}
+	}
+	if !e.loadReport.Known || now-e.loadReportAt >= e.ReportEvery {
+		noisy := func(x int) float64 {
+			return math.Max(0, float64(x)*(1+e.ReportNoise*(2*e.rand.Float64()-1)))
+		}
+		e.loadReportAt = now
+		e.loadReport = Load{noisy(len(e.running) + len(e.waiting)), noisy(len(e.waiting)), noisy(max(0, e.Places-len(e.running))), true}
+	}
+	return e.loadReport
+}
--- /dev/null
+++ b/internal/emulator/executor_warmup.go
@@ -0,0 +1,49 @@
+package emulator
+
+import (
+	"slices"
+	"time"
+
+	"birchstair/internal/invariants"
+)
+
+// arrival is an attempt that arrived in slow start, with the cost that its client stated.
+type arrival struct {
+	at   time.Duration
+	cost float64
+}
+
+// Cold reports whether it is in slow start.
+func (e *Executor) Cold(now time.Duration) bool { return now < e.Started+e.WarmWithin }
+
+// warmShare returns the share of its capacity that it has by the age of its process.
+func (e *Executor) warmShare(now time.Duration) float64 {
+	if !e.Cold(now) {
+		return 1
+	}
+	return e.ColdShare + (1-e.ColdShare)*float64(now-e.Started)/float64(e.WarmWithin)
+}
+
+// Capacity returns the work that it can do now, in seconds on a standard core per second, without its faults.
+func (e *Executor) Capacity(now time.Duration) float64 {
+	return float64(min(e.Cores, e.Places)) * e.Speed * e.warmShare(now)
+}
+
+// overloads crashes the executor if more has arrived within the window than it can take in slow start, and reports whether it did. Work
+// counts by the cost that clients stated, since the real one is not known before it runs.
+func (e *Executor) overloads(now time.Duration, a Allocation) bool {
+	e.arrivals = slices.DeleteFunc(e.arrivals, func(c arrival) bool { return c.at+e.FallWindow < now })
+	e.arrivals = append(e.arrivals, arrival{now, a.Hint})
+	sum, largest := 0.0, 0.0
+	for _, c := range e.arrivals {
+		sum += c.cost
+		largest = max(largest, c.cost)
+	}
+	budget := e.FallMultiple * e.Capacity(now) * e.FallWindow.Seconds()
+	if budget == 0 || !invariants.TopplesCold(sum, largest, budget, e.MeanWork) {
+		return false
+	}
+	e.outputs = append(e.outputs, Fell{})
+	e.crash()
+	return true
+}
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// Kind is a kind of fault.
+// Kind is a kind of fault, by its name in scenarios.
 type Kind string
 
-// The kinds: what a fault does, and what its size means.
+// The kinds of faults: what a fault does, and what its size means.
 const (
 	Slow        Kind = "slow"         // executors run Size times slower
-	Stalls      Kind = "stalls"       // they stand still for Size seconds, every 2 s
-	Neighbour   Kind = "neighbour"    // another program takes the part Size of them, on and off
-	Errors      Kind = "errors"       // the part Size of their batch jobs ends in a quick error
-	Mute        Kind = "mute"         // they take all and answer none
-	Crash       Kind = "crash"        // they end, and start again cold after it
-	Vanish      Kind = "vanish"       // they and their machines are gone without a word, and start again cold after it
-	Replace     Kind = "replace"      // they end, and others start cold in their places under new ids
-	Moved       Kind = "moved"        // they end, and start again cold at another address
-	DrainOff    Kind = "drain"        // they drain, end, and start again cold after it
-	TakenOut    Kind = "taken-out"    // operators take them out at each node, restart them, and put them back after it
-	ZoneLost    Kind = "zone-lost"    // a zone with its executors and nodes is gone, and starts cold after it
-	ZoneCut     Kind = "zone-cut"     // nothing goes between a zone and the others
-	ZoneDeaf    Kind = "zone-deaf"    // nothing gets into a zone
-	ZoneMute    Kind = "zone-mute"    // nothing gets out of a zone
-	ResetNew    Kind = "reset-new"    // the part Size of new connections breaks at its first use
-	ResetOld    Kind = "reset-old"    // the part Size of all open connections breaks, once a second
-	SilentNew   Kind = "silent-new"   // on the part Size of new connections nothing comes back
-	SilentOld   Kind = "silent-old"   // at its start, the part Size of open connections falls silent for good
-	ClientReset Kind = "client-reset" // the part Size of clients' connections breaks, once a second; nodes learn of it late
-	ListLate    Kind = "list-late"    // the list is Size seconds later than usual
-	ListLost    Kind = "list-lost"    // discovery tells nobody anything
-	NodeKilled  Kind = "node-killed"  // nodes are killed, and start again after it
-	SentAway    Kind = "sent-away"    // operators send nodes' clients away, until it is over
-	NodeRestart Kind = "node-restart" // nodes are told to stop, and start again after it
-	NodeStopped Kind = "node-stopped" // nodes' processes stand still, and then read all that came meanwhile
-	NodeLies    Kind = "node-lies"    // nodes tell their neighbours nonsense
-	NodesApart  Kind = "nodes-apart"  // no words pass between nodes and those that it is not on
-	WordsLost   Kind = "words-lost"   // the part Size of words between nodes gets lost
-	ListCut     Kind = "list-cut"     // nodes hear nothing from discovery
-	Burst       Kind = "burst"        // Size times the usual traffic
+	Stalls      Kind = "stalls"       // they stop for Size seconds, every 2 s
+	Neighbour   Kind = "neighbour"    // another program takes the share Size of them, on and off
+	Errors      Kind = "errors"       // the share Size of their batch jobs ends in a quick error
+	Mute        Kind = "mute"         // they accept everything and answer nothing
+	Crash       Kind = "crash"        // they end, and restart in slow start after it
+	Vanish      Kind = "vanish"       // they and their machines disappear without a reset, and restart in slow start after it
+	Replace     Kind = "replace"      // they end, and others start in their places under new ids
+	Moved       Kind = "moved"        // they end, and restart at another address
+	DrainOff    Kind = "drain"        // they drain, end, and restart in slow start after it
+	TakenOut    Kind = "taken-out"    // operators exclude them at each node, restart them, and readmit them after it
+	ZoneLost    Kind = "zone-lost"    // a zone with its executors and nodes is down, and restarts after it
+	ZoneCut     Kind = "zone-cut"     // a partition between a zone and the others
+	ZoneDeaf    Kind = "zone-deaf"    // packets into a zone are lost
+	ZoneMute    Kind = "zone-mute"    // packets out of a zone are lost
+	ResetNew    Kind = "reset-new"    // the share Size of new connections is reset at the first use
+	ResetOld    Kind = "reset-old"    // the share Size of open connections is reset, every second
+	SilentNew   Kind = "silent-new"   // the share Size of new connections returns nothing
+	SilentOld   Kind = "silent-old"   // at its start, the share Size of open connections stops returning anything
+	ClientReset Kind = "client-reset" // the share Size of clients' connections is reset, every second; nodes learn of it late
+	ListLate    Kind = "list-late"    // discovery publishes Size seconds later than usual
+	ListLost    Kind = "list-lost"    // discovery publishes nothing
+	NodeKilled  Kind = "node-killed"  // nodes are killed, and restart after it
+	SentAway    Kind = "sent-away"    // operators drain nodes' clients
+	NodeRestart Kind = "node-restart" // nodes shut down gracefully, and restart after it
+	NodeStopped Kind = "node-stopped" // nodes' processes are paused, and then read what arrived meanwhile
+	NodeLies    Kind = "node-lies"    // nodes send false gossip
+	NodesApart  Kind = "nodes-apart"  // no gossip passes between these nodes and the others
+	WordsLost   Kind = "words-lost"   // the share Size of gossip messages is lost
+	ListCut     Kind = "list-cut"     // nodes cannot reach discovery
+	Burst       Kind = "burst"        // Size times the usual load
 	HeavyTail   Kind = "heavy-tail"   // one batch job in 50 costs Size times the usual
-	ClockOff    Kind = "clock-off"    // executors that start meanwhile say that they did Size seconds later than true
+	ClockOff    Kind = "clock-off"    // executors that start meanwhile state a start Size seconds after the true one
 )
 
-// Sort says what a fault is put on.
+// Sort is the kind of target of a fault.
 type Sort int
 
-// What faults are put on.
+// The kinds of targets.
 const (
-	OnExecutors Sort = iota // executors that the fault names, or some by chance
+	OnExecutors Sort = iota // executors that the fault names, or random ones
 	OnZone                  // a whole zone
-	OnNodes                 // nodes that the fault names, or some by chance
+	OnNodes                 // nodes that the fault names, or random ones
 	OnAll                   // connections, discovery or clients
 )
 
-// kindSpec says what the size of a kind must be; a kind with no bounds takes none.
+// kindSpec describes a kind of fault: its target and the bounds of its size. A kind without a unit has no size.
 type kindSpec struct {
 	target      Sort
 	least, most float64
@@ -81,7 +81,7 @@
 	ClockOff: {OnAll, -3600, 3600, "seconds"},
 }
 
-// Kinds are all kinds, in the order of their names.
+// Kinds returns all kinds, in the order of their names.
 func Kinds() (all []Kind) {
 	for k := range kinds {
 		all = append(all, k)
@@ -90,19 +90,19 @@
 	return all
 }
 
-// On says what a kind is put on, and whether there is such a kind.
+// On returns the target of a kind, and whether the kind exists.
 func (k Kind) On() (Sort, bool) {
 	s, ok := kinds[k]
 	return s.target, ok
 }
 
-// Sized says whether a kind has a size, and gives its bounds.
+// Sized returns the bounds of the size of a kind, and whether it has one.
 func (k Kind) Sized() (least, most float64, ok bool) {
 	s := kinds[k]
 	return s.least, s.most, s.unit != ""
 }
 
-// CheckSize says what is wrong with a size.
+// CheckSize returns an error if a size is out of the bounds of a kind.
 func (k Kind) CheckSize(size float64) error {
 	s := kinds[k]
 	switch {
@@ -114,8 +114,7 @@
 	return nil
 }
 
-// Fault is something that goes wrong from At on for the span For, in places that Where names: executors, zones or nodes
-// by their names, or nothing for all of them.
+// Fault is a fault from At on for the time For. Where names its targets, executors, zones or nodes; if empty, it is on all of them.
 type Fault struct {
 	Kind  Kind
 	At    time.Duration
@@ -124,12 +123,12 @@
 	Size  float64
 }
 
-// Touches says whether a fault is on what bears that name in that zone.
+// Touches reports whether a fault is on the target with a name in a zone.
 func (f Fault) Touches(name, zone string) bool {
 	return len(f.Where) == 0 || slices.Contains(f.Where, name) || slices.Contains(f.Where, zone)
 }
 
-// Together puts the troubles of an executor's faults together.
+// Together returns the sum of an executor's faults.
 func Together(faults []Fault) (t Trouble) {
 	for _, f := range faults {
 		switch f.Kind {
@@ -148,11 +147,12 @@
 	return t
 }
 
-// Without takes a fault that is over out of an executor's.
+// Without returns an executor's faults without one that is over. It reuses the slice.
 func Without(faults []Fault, over Fault) []Fault {
 	return slices.DeleteFunc(faults, func(f Fault) bool { return f.Kind == over.Kind && f.At == over.At && f.Size == over.Size })
 }
 
+// String returns the fault as people read it.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%s from %v for %v", f.Kind, f.At, f.For)
 	if f.Size != 0 {
--- a/internal/emulator/halt.go
+++ b/internal/emulator/halt.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Step is a moment in a connection's or a listener's life at which it can be stopped.
+// Step is a point in a call of a connection or listener at which the call can be stopped.
 type Step int
 
-// The moments at which a call can be stopped.
+// The points at which a call can be stopped.
 const (
 	BeforeRead   Step = iota // a read is about to begin
 	AfterRead                // a read has ended, and its caller does not know yet
@@ -23,8 +23,8 @@
 	AfterAccept              // an accept has ended, and its caller does not know yet
 )
 
-// Halts stops the calls of connections and listeners at named moments, until they are let go. A test orders two events by
-// it that would otherwise come in either order.
+// Halts stops calls of connections and listeners at chosen points until the test releases them. It forces the order of two events that
+// otherwise may happen in either order.
 type Halts struct {
 	mu               sync.Mutex
 	pending          []*Stop
@@ -32,29 +32,30 @@
 	conns            int
 }
 
-// Cut is how often a read was told to end at once, by a deadline in the past.
+// Cut returns how often reads were interrupted by a deadline in the past.
 func (h *Halts) Cut() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.interruptedReads
 }
 
-// Stop is one such moment; it stops one call.
+// Stop stops one call at one point.
 type Stop struct {
-	// Reached is closed once a call stands there.
+	// Reached is closed when a call has stopped there.
 	Reached chan struct{}
 
 	step     Step
-	conn     int // the connection's number, from 1; 0 for any
+	conn     int // number of the connection, from 1; 0 for any
 	skip     int
 	released chan struct{}
 	once     sync.Once
 }
 
-// At stops the next call that comes to a step, after skip of them have passed it.
+// At stops the next call of any connection that reaches a step, after the first skip calls.
 func (h *Halts) At(step Step, skip int) *Stop { return h.On(0, step, skip) }
 
-// On does so for the calls of one connection; they count from 1 in the order in which they were made.
+// On stops the next call of one connection that reaches a step, after the first skip calls. Connections count from 1 in the order of
+// their creation.
 func (h *Halts) On(conn int, step Step, skip int) *Stop {
 	s := &Stop{Reached: make(chan struct{}), step: step, conn: conn, skip: skip, released: make(chan struct{})}
 	h.mu.Lock()
@@ -63,9 +64,10 @@
 	return s
 }
 
-// Go lets the call go on that stands there, or is to come.
+// Go releases the call that has stopped there, or lets it pass if it comes later.
 func (s *Stop) Go() { s.once.Do(func() { close(s.released) }) }
 
+// reach blocks if a Stop is set at a step of a connection.
 func (h *Halts) reach(conn int, step Step) {
 	h.mu.Lock()
 	var at *Stop
@@ -86,7 +88,7 @@
 	}
 }
 
-// Conn is a connection that stops.
+// Conn wraps a connection whose calls can be stopped.
 func (h *Halts) Conn(c net.Conn) net.Conn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,7 +96,7 @@
 	return &haltedConn{c, h, h.conns}
 }
 
-// Listener is a listener that stops, and whose connections do.
+// Listener wraps a listener whose calls, and those of its connections, can be stopped.
 func (h *Halts) Listener(l net.Listener) net.Listener { return &haltedListener{l, h} }
 
 type haltedConn struct {
@@ -103,6 +105,7 @@
 	number int
 }
 
+// Read implements net.Conn.
 func (c *haltedConn) Read(b []byte) (int, error) {
 	c.halts.reach(c.number, BeforeRead)
 	n, err := c.Conn.Read(b)
@@ -110,6 +113,7 @@
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *haltedConn) Write(b []byte) (int, error) {
 	c.halts.reach(c.number, BeforeWrite)
 	n, err := c.Conn.Write(b)
@@ -117,6 +121,7 @@
 	return n, err
 }
 
+// SetReadDeadline implements net.Conn. It counts deadlines in the past.
 func (c *haltedConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && t.Before(time.Now()) {
 		c.halts.mu.Lock()
@@ -126,6 +131,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
+// Close implements net.Conn.
 func (c *haltedConn) Close() error {
 	c.halts.reach(c.number, BeforeClose)
 	err := c.Conn.Close()
@@ -133,7 +139,7 @@
 	return err
 }
 
-// SyscallConn lets what looks at the socket itself pass.
+// SyscallConn implements syscall.Conn, if the connection has a socket.
 func (c *haltedConn) SyscallConn() (syscall.RawConn, error) {
 	if s, ok := c.Conn.(syscall.Conn); ok {
 		return s.SyscallConn()
@@ -146,6 +152,7 @@
 	halts *Halts
 }
 
+// Accept implements net.Listener.
 func (l *haltedListener) Accept() (net.Conn, error) {
 	l.halts.reach(0, BeforeAccept)
 	c, err := l.Listener.Accept()
--- a/internal/emulator/leaser.go
+++ b/internal/emulator/leaser.go
@@ -2,11 +2,11 @@
 
 import "birchstair/policy"
 
-// Leaser is what an executor that knows of leases remembers: the newest epoch of each durable batch job, and what became of it. A restart forgets all
-// of it, and the executor says so.
+// Leaser is the memory of an executor that supports leases: the newest epoch of each durable batch job, and its outcome. A restart loses
+// it, and the executor then answers that it did.
 type Leaser struct {
 	jobs      map[policy.JobID]*leaseRecord
-	restarted bool // it has started anew: what it does not know may have run before
+	restarted bool // what it does not know may have run before the restart
 }
 
 type leaseRecord struct {
@@ -16,13 +16,14 @@
 	result   []byte
 }
 
-// NewLeaser makes one that has run for long and knows of nothing.
+// NewLeaser returns an empty memory that has lost nothing.
 func NewLeaser() *Leaser { return &Leaser{jobs: map[policy.JobID]*leaseRecord{}} }
 
-// Restart forgets all.
+// Restart loses everything.
 func (l *Leaser) Restart() { l.jobs, l.restarted = map[policy.JobID]*leaseRecord{}, true }
 
-// Take says whether an allocation may run: none under an older epoch than was heard of, and none twice.
+// Take reports whether an attempt may run, and records it if so. It may not if its epoch, or a newer one, was seen before. Epoch 0 is an
+// attempt without a lease.
 func (l *Leaser) Take(job policy.JobID, epoch uint32) bool {
 	if epoch == 0 {
 		return true
@@ -35,14 +36,14 @@
 	return true
 }
 
-// Finish notes a result.
+// Finish records a result.
 func (l *Leaser) Finish(job policy.JobID, epoch uint32, result []byte) {
 	if j := l.jobs[job]; j != nil && j.epoch == epoch {
 		j.finished, j.result = true, result
 	}
 }
 
-// Ask says what became of an epoch, and refuses it from now on if it has not come yet.
+// Ask returns the state of an epoch, as the protocol has it, and its result. An epoch that has not arrived yet is refused from now on.
 func (l *Leaser) Ask(job policy.JobID, epoch uint32) (state string, result []byte) {
 	j := l.jobs[job]
 	switch {
