--- a/internal/emulator/platform/codec.go
+++ b/internal/emulator/platform/codec.go
@@ -1,11 +1,10 @@
-// Package platform speaks the platform's protocol for the stand-ins: as executors, as discovery, and as clients. It holds
-// all its words; what stands behind them is the model in package standin.
 package platform
 
 import (
 	"bufio"
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -17,19 +16,19 @@
 	"birchstair/policy"
 )
 
-// Message is an allocation, or a batch job that a client hands in, as it goes over the wire.
+// Message is a request: an attempt or a lease query of a node, or a batch job that a client submits.
 type Message struct {
 	Job    policy.JobID
-	Track  string // to a node only
-	Tag    string
-	Budget time.Duration
-	Work   time.Duration // a guess; 0 for none; to a node only
+	Track  string        // job class; from a client only
+	Tag    string        // idempotency key; empty for none
+	Budget time.Duration // time left until the deadline
+	Work   time.Duration // stated cost; 0 for none; from a client only
 	Body   []byte
-	Epoch  uint32 // of a durable batch job's allocation; 0 for others
-	Ask    bool   // what became of that epoch is asked, and nothing is to run
+	Epoch  uint32 // lease epoch of a durable batch job; 0 for others
+	Ask    bool   // a lease query: the state of the epoch is asked, and nothing runs
 }
 
-// Append writes a message as a client hands it in.
+// Append appends the request of a client to b.
 func (m Message) Append(b []byte) []byte {
 	b = fmt.Appendf(b, "POST /api/%s HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n",
 		m.Job, m.Job, m.Track, m.Budget.Milliseconds())
@@ -43,7 +42,7 @@
 	return append(b, m.Body...)
 }
 
-// ReadAllocation reads what a node sends to an executor, whole. At a connection's end it gives io.EOF.
+// ReadAllocation reads a complete request of a node to an executor. At the end of the connection it returns io.EOF.
 func ReadAllocation(r *bufio.Reader) (m Message, err error) {
 	in, err := http.ReadRequest(r)
 	if err != nil {
@@ -63,35 +62,37 @@
 	m.Job, m.Tag = policy.JobID(in.Header.Get("X-Call-Id")), in.Header.Get("Idempotency-Key")
 	left, err := strconv.ParseInt(in.Header.Get("X-Budget-Ms"), 10, 64)
 	if err != nil || m.Job == "" {
-		return m, fmt.Errorf("an allocation without its id or budget")
+		return m, errNoIDOrBudget
 	}
 	m.Budget = time.Duration(left) * time.Millisecond
 	m.Body, err = io.ReadAll(in.Body)
 	return m, err
 }
 
-// leasePath is where a node asks what became of an allocation of an earlier life.
+var errNoIDOrBudget = errors.New("an allocation without its id or budget")
+
+// leasePath leads the path of a lease query: what became of an attempt that the node sent before it restarted.
 const leasePath = "/-/leases/"
 
-// AppendFound writes what an executor knows of an epoch.
-func AppendFound(b []byte, state string, result []byte) []byte {
+// AppendLeaseAnswer appends the answer to a lease query to b.
+func AppendLeaseAnswer(b []byte, state emulator.LeaseState, result []byte) []byte {
 	text, err := json.Marshal(struct {
-		State  string `json:"state"`
-		Result []byte `json:"result,omitempty"`
+		State  emulator.LeaseState `json:"state"`
+		Result []byte              `json:"result,omitempty"`
 	}{state, result})
 	if err != nil {
-		panic(err) // of strings: it can't be
+		panic(err) // strings and bytes always have a JSON form
 	}
 	b = fmt.Appendf(b, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n\r\n", len(text))
 	return append(b, text...)
 }
 
-// Answer writes an executor's words as one answer in chunks. The zero value has not begun.
+// Answer writes the messages of an executor about an attempt as one chunked response. The zero value is ready for use.
 type Answer struct{ begun bool }
 
 var messageStates = map[emulator.Word]string{emulator.Began: "started", emulator.Progress: "running", emulator.Done: "done", emulator.Errored: "failed"}
 
-// Append writes the next word, and says whether it ends the answer.
+// Append appends the next message to b, and reports whether it ends the response. The result counts for emulator.Done alone.
 func (a *Answer) Append(b []byte, say emulator.Say, from policy.ExecutorID, result string) (_ []byte, ended bool) {
 	if say.Word == emulator.NoRoom && !a.begun {
 		b = append(b, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\n"...)
@@ -126,7 +127,7 @@
 	}
 	text, err := json.Marshal(line)
 	if err != nil {
-		panic(err) // of strings and finite numbers: it can't be
+		panic(err) // strings and finite numbers always have a JSON form
 	}
 	b = fmt.Appendf(b, "%x\r\n%s\n\r\n", len(text)+1, text)
 	if ended {
@@ -136,16 +137,16 @@
 	return b, ended
 }
 
-// Final is a node's answer as a client reads it.
+// Final is a node's final answer as a client reads it.
 type Final struct {
 	How      emulator.End
 	Result   []byte
-	ComeBack time.Duration
-	Status   int
-	Last     bool // the node closes the connection after it
+	ComeBack time.Duration // Retry-After; 0 for none
+	Status   int           // HTTP status
+	Last     bool          // the node closes the connection after this answer
 }
 
-// ReadFinal reads a node's answer, whole.
+// ReadFinal reads a complete answer of a node.
 func ReadFinal(r *bufio.Reader) (f Final, err error) {
 	in, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -158,7 +159,7 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		f.How = emulator.EndPushedBack
 		if s, err := strconv.ParseFloat(in.Header.Get("Retry-After"), 64); err == nil {
-			f.ComeBack = time.Duration(s * 1e9)
+			f.ComeBack = time.Duration(s * float64(time.Second))
 		}
 	default:
 		f.How = emulator.EndBrokenOff
@@ -167,14 +168,14 @@
 	return f, err
 }
 
-// Watch is what a node asks discovery: the whole list, or what is newer than a version.
+// Watch is a node's request to discovery: for the complete list, or for the changes after a version.
 type Watch struct {
 	Whole bool
-	From  int
-	Hold  time.Duration
+	From  int           // the version
+	Hold  time.Duration // how long discovery may wait for a change
 }
 
-// ReadWatch reads a node's call.
+// ReadWatch reads a node's request to discovery.
 func ReadWatch(r *bufio.Reader) (w Watch, err error) {
 	in, err := http.ReadRequest(r)
 	if err != nil {
@@ -198,8 +199,8 @@
 
 var healthNames = map[policy.EndpointState]string{policy.Available: "ready", policy.Draining: "draining", policy.Removed: "gone"}
 
-// AppendList writes discovery's answer. Times of day count from epoch.
-func AppendList(b []byte, version int, whole bool, entries []emulator.Entry, zones []string, epoch time.Time) []byte {
+// AppendList appends discovery's answer to b. The starts of executors count from epoch.
+func AppendList(b []byte, version int, complete bool, entries []emulator.Entry, zones []string, epoch time.Time) []byte {
 	type host struct {
 		Host   policy.ExecutorID `json:"host"`
 		Dial   string            `json:"dial"`
@@ -214,7 +215,7 @@
 		Seq   int    `json:"seq"`
 		Whole bool   `json:"whole"`
 		Hosts []host `json:"hosts"`
-	}{version, whole, []host{}}
+	}{version, complete, []host{}}
 	for _, e := range entries {
 		h := host{e.Executor, e.Addr, zones[e.Zone], "plain", e.Cell, healthNames[e.State], e.Weight, 0}
 		if !e.StartedLongAgo {
@@ -224,16 +225,16 @@
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // of strings and finite numbers: it can't be
+		panic(err) // strings and finite numbers always have a JSON form
 	}
 	b = fmt.Appendf(b, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(text))
 	return append(b, text...)
 }
 
-// IsHandled says whether a body is the result of that work: what no executor made is no result.
+// IsHandled reports whether an answer is a success with the result that executors return for the work.
 func IsHandled(f Final, work string) bool {
 	return f.How == emulator.EndHandled && bytes.Equal(f.Result, []byte(Result(work)))
 }
 
-// Result is what an executor makes of a work.
+// Result returns the result that an executor returns for a work.
 func Result(work string) string { return "done " + strings.TrimSpace(work) }
--- /dev/null
+++ b/internal/emulator/platform/discovery.go
@@ -0,0 +1,103 @@
+package platform
+
+import (
+	"bufio"
+	"net"
+	"sync"
+	"time"
+
+	"birchstair/internal/emulator"
+)
+
+// Discovery is a server that publishes the same endpoint list to all nodes, without a lag. Its exported fields are set before Serve.
+type Discovery struct {
+	Entries []emulator.Entry // the first list
+	Zones   []string
+	Epoch   time.Time // from which starts of executors count; the present if it is zero
+
+	mu      sync.Mutex
+	model   *emulator.Discovery
+	changed chan struct{} // closed by the next change
+}
+
+const noDelay = time.Duration(1<<63 - 1) // a time at which every change is published
+
+// modelLocked returns the model. It is called with d.mu held.
+func (d *Discovery) modelLocked() *emulator.Discovery {
+	if d.model == nil {
+		d.model, d.changed = emulator.NewDiscovery(0), make(chan struct{})
+		for _, e := range d.Entries {
+			d.model.Change(0, e)
+		}
+	}
+	return d.model
+}
+
+// Change changes entries, all in one update.
+func (d *Discovery) Change(entries ...emulator.Entry) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list := d.modelLocked()
+	for _, e := range entries {
+		list.Change(0, e)
+	}
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// answer returns the answer to a request. If there is no change, and its time is not over, it returns the channel to wait on instead.
+func (d *Discovery) answer(watch Watch, over bool) ([]byte, <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	version, entries := d.modelLocked().Since(noDelay, watch.From)
+	if watch.Whole {
+		entries = d.modelLocked().Whole(noDelay)
+	}
+	if !watch.Whole && !over && len(entries) == 0 {
+		return nil, d.changed
+	}
+	epoch := d.Epoch
+	if epoch.IsZero() {
+		epoch = time.Now()
+	}
+	return AppendList(nil, version, watch.Whole, entries, d.Zones, epoch), nil
+}
+
+// Serve accepts connections until the listener is closed. Each is served by a goroutine of its own, until the node closes it.
+func (d *Discovery) Serve(l net.Listener) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go d.serve(c)
+	}
+}
+
+func (d *Discovery) serve(c net.Conn) {
+	defer c.Close()
+	r := bufio.NewReader(c)
+	for {
+		watch, err := ReadWatch(r)
+		if err != nil {
+			return
+		}
+		if _, err := c.Write(d.await(watch)); err != nil {
+			return
+		}
+	}
+}
+
+// await returns the answer to a request, when there is a change or when its time is over.
+func (d *Discovery) await(watch Watch) []byte {
+	timeout := time.After(watch.Hold)
+	answer, changed := d.answer(watch, false)
+	for over := false; answer == nil; answer, changed = d.answer(watch, over) {
+		select {
+		case <-changed:
+		case <-timeout:
+			over = true
+		}
+	}
+	return answer
+}
--- /dev/null
+++ b/internal/emulator/platform/executor.go
@@ -0,0 +1,137 @@
+package platform
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"sync"
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/policy"
+)
+
+// Executor is a server that runs attempts, one at a time on each connection, and answers lease queries. An attempt starts at once and
+// takes the time that Takes returns. Its exported fields are set before Serve.
+type Executor struct {
+	ID        policy.ExecutorID
+	Ran       func(policy.JobID)   // called with each effect
+	Takes     func() time.Duration // returns how long the next attempt takes
+	Leases    bool                 // it answers lease queries
+	Forgetful bool                 // it answers "never" to all of them, and runs an epoch twice: a defect that tests inject
+	Places    int                  // attempts that run at a time; further ones are rejected; 0 for no limit
+	Reports   bool                 // its answers have load reports, if Places is set
+
+	mu         sync.Mutex
+	leases     *emulator.LeaseTable
+	running    int
+	maxRunning int
+}
+
+// Most returns the largest number of attempts that have run at a time.
+func (e *Executor) Most() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.maxRunning
+}
+
+// Restart loses its memory of leases, as a restart of its process does.
+func (e *Executor) Restart() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.leases == nil {
+		e.leases = emulator.NewLeaseTable()
+	}
+	e.leases.Restart()
+}
+
+// Serve accepts connections until the listener is closed. Each is served by a goroutine of its own, until the node closes it.
+func (e *Executor) Serve(l net.Listener) {
+	e.mu.Lock()
+	if e.leases == nil {
+		e.leases = emulator.NewLeaseTable()
+	}
+	e.mu.Unlock()
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go e.serve(c)
+	}
+}
+
+func (e *Executor) serve(c net.Conn) {
+	defer c.Close()
+	r := bufio.NewReader(c)
+	for {
+		m, err := ReadAllocation(r)
+		switch {
+		case err != nil:
+			return
+		case m.Ask:
+			c.Write(e.leaseAnswer(m)) //nolint:errcheck // the connection ends here either way
+			return
+		case !e.accept(m):
+			var a Answer
+			b, _ := a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.NoRoom, Load: e.loadReport()}, e.ID, "")
+			if _, err := c.Write(b); err != nil {
+				return
+			}
+		default:
+			if !e.run(c, m) {
+				return
+			}
+		}
+	}
+}
+
+func (e *Executor) leaseAnswer(m Message) []byte {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !e.Leases {
+		return []byte("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+	}
+	state, result := e.leases.Query(m.Job, m.Epoch)
+	if e.Forgetful {
+		state = emulator.LeaseNever
+	}
+	return AppendLeaseAnswer(nil, state, result)
+}
+
+func (e *Executor) accept(m Message) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.Places > 0 && e.running >= e.Places || !e.leases.Accept(m.Job, m.Epoch) && !e.Forgetful {
+		return false
+	}
+	e.running++
+	e.maxRunning = max(e.maxRunning, e.running)
+	return true
+}
+
+// loadReport returns the load that its answers report.
+func (e *Executor) loadReport() emulator.Load {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !e.Reports || e.Places == 0 {
+		return emulator.Load{}
+	}
+	return emulator.Load{Held: float64(e.running), Free: float64(e.Places - e.running), Known: true}
+}
+
+func (e *Executor) run(c net.Conn, m Message) bool {
+	e.Ran(m.Job)
+	var a Answer
+	b, _ := a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.Began}, e.ID, "")
+	_, began := c.Write(b)
+	time.Sleep(e.Takes())
+	result := Result(string(m.Job))
+	e.mu.Lock()
+	e.leases.Finish(m.Job, m.Epoch, []byte(result))
+	e.running--
+	e.mu.Unlock()
+	b, _ = a.Append(nil, emulator.Say{Job: m.Job, Word: emulator.Done, Load: e.loadReport()}, e.ID, result)
+	_, done := c.Write(b)
+	return errors.Join(began, done) == nil
+}
--- a/internal/emulator/platform/wire_test.go
+++ b/internal/emulator/platform/wire_test.go
@@ -76,8 +76,8 @@
 			}
 		}
 	}
-	section(&out, "lease finished", AppendFound(nil, "finished", []byte("result")))
-	section(&out, "lease unknown", AppendFound(nil, "never", nil))
+	section(&out, "lease finished", AppendLeaseAnswer(nil, "finished", []byte("result")))
+	section(&out, "lease unknown", AppendLeaseAnswer(nil, "never", nil))
 	golden.Compare(t, "executor.txt", out.String())
 }
 
