--- a/internal/memnet/conn.go
+++ b/internal/memnet/conn.go
@@ -15,21 +15,21 @@
 	host          string
 	local, remote Addr
 	peer          *Conn
-	salt          time.Duration
+	offset        time.Duration
 
-	changed *sync.Cond // under the network's lock
-	in      []byte
-	ended   bool  // the other end sends nothing more
-	err     error // it is broken
-	closing bool  // closed here; its reader is told in a moment
-	closed  bool
-	half    bool      // this end sends nothing more
-	unread  int       // bytes sent, and not read by the other end yet
-	last    time.Time // when what was sent last arrives
-	silent  bool      // what is sent is lost on the way
-	breaks  Break     // at the next use
-	read    deadline
-	write   deadline
+	changed       *sync.Cond // under the network's lock
+	received      []byte
+	peerEnded     bool  // the other end sends nothing more
+	broken        error // it is broken
+	closing       bool  // closed here; its reader is told in a moment
+	closed        bool
+	writeClosed   bool      // this end sends nothing more
+	unreadByPeer  int       // bytes sent, and not read by the other end yet
+	lastArrival   time.Time // when what was sent last arrives
+	dropsOutgoing bool      // what is sent is lost on the way
+	nextBreak     Break     // at the next use
+	readDeadline  deadline
+	writeDeadline deadline
 }
 
 // Break says how a connection breaks at its next use.
@@ -45,8 +45,8 @@
 
 // deadline is a time after which an end waits no more.
 type deadline struct {
-	timer *time.Timer
-	over  bool
+	timer   *time.Timer
+	expired bool
 }
 
 // LocalAddr implements net.Conn.
@@ -68,19 +68,19 @@
 		case c.closed:
 			return 0, c.fail("read", net.ErrClosed)
 		case c.closing:
-		case c.read.over:
+		case c.readDeadline.expired:
 			return 0, c.fail("read", os.ErrDeadlineExceeded)
-		case len(c.in) > 0:
-			n := copy(b, c.in)
-			if c.in = c.in[n:]; len(c.in) == 0 {
-				c.in = nil
+		case len(c.received) > 0:
+			n := copy(b, c.received)
+			if c.received = c.received[n:]; len(c.received) == 0 {
+				c.received = nil
 			}
-			c.peer.unread -= n
+			c.peer.unreadByPeer -= n
 			c.peer.changed.Broadcast()
 			return n, nil
-		case c.err != nil:
-			return 0, c.fail("read", c.err)
-		case c.ended:
+		case c.broken != nil:
+			return 0, c.fail("read", c.broken)
+		case c.peerEnded:
 			return 0, io.EOF
 		case len(b) == 0:
 			return 0, nil
@@ -93,15 +93,15 @@
 func (c *Conn) PeerEnded() bool {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	return c.ended || c.err != nil
+	return c.peerEnded || c.broken != nil
 }
 
 // Write sends; it waits while the other end has too much unread.
 func (c *Conn) Write(b []byte) (sent int, err error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	brk := c.breaks
-	c.breaks = Whole
+	brk := c.nextBreak
+	c.nextBreak = Whole
 	if brk == Within {
 		b = b[:len(b)/2]
 	}
@@ -109,20 +109,20 @@
 		switch {
 		case c.closing:
 			return sent, c.fail("write", net.ErrClosed)
-		case c.write.over:
+		case c.writeDeadline.expired:
 			return sent, c.fail("write", os.ErrDeadlineExceeded)
-		case c.err != nil:
-			return sent, c.fail("write", c.err)
-		case c.half:
+		case c.broken != nil:
+			return sent, c.fail("write", c.broken)
+		case c.writeClosed:
 			return sent, c.fail("write", syscall.EPIPE)
 		case sent == len(b): // it breaks here
-			c.abandon(false)
+			c.abort(false)
 			return sent, c.fail("write", syscall.ECONNRESET)
-		case c.unread < window:
-			n := min(window-c.unread, len(b)-sent)
-			c.unread += n
+		case c.unreadByPeer < sendWindow:
+			n := min(sendWindow-c.unreadByPeer, len(b)-sent)
+			c.unreadByPeer += n
 			if brk != Unheard {
-				c.arrives(append([]byte(nil), b[sent:sent+n]...), nil)
+				c.deliver(append([]byte(nil), b[sent:sent+n]...), nil)
 			}
 			sent += n
 			continue
@@ -130,20 +130,20 @@
 		c.changed.Wait()
 	}
 	if brk == Unheard || brk == Heard {
-		c.breakIn(c.salt, brk == Heard)
+		c.breakAfter(c.offset, brk == Heard)
 	}
 	return sent, nil
 }
 
-// breakIn breaks both ends, this one first; the other after what is on its way to it, or with that lost.
-func (c *Conn) breakIn(here time.Duration, heard bool) {
+// breakAfter breaks both ends, this one first; the other after what is on its way to it, or with that lost.
+func (c *Conn) breakAfter(here time.Duration, heard bool) {
 	if !heard {
-		c.silent = true
+		c.dropsOutgoing = true
 	}
 	time.AfterFunc(here, func() {
 		c.net.mu.Lock()
 		defer c.net.mu.Unlock()
-		c.abandon(false)
+		c.abort(false)
 	})
 }
 
@@ -151,58 +151,58 @@
 func (c *Conn) BreakAtUse(b Break) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	c.breaks = b
+	c.nextBreak = b
 }
 
 // Reset breaks it: this end at once, the other one after what is on its way.
 func (c *Conn) Reset() {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	c.abandon(false)
+	c.abort(false)
 }
 
 // Silence makes all that is sent from this end on be lost on the way.
 func (c *Conn) Silence() {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	c.silent = true
+	c.dropsOutgoing = true
 }
 
 // SilenceBack makes all that is sent from the other end on be lost on the way.
 func (c *Conn) SilenceBack() { c.peer.Silence() }
 
-// abandon breaks this end; the other one sees a reset in its time, or nothing.
-func (c *Conn) abandon(silently bool) {
-	if c.err != nil || c.closed {
+// abort breaks this end; the other one sees a reset in its time, or nothing.
+func (c *Conn) abort(silently bool) {
+	if c.broken != nil || c.closed {
 		return
 	}
-	c.err = syscall.ECONNRESET
-	c.in = nil
+	c.broken = syscall.ECONNRESET
+	c.received = nil
 	c.changed.Broadcast()
 	if silently {
-		c.silent = true
+		c.dropsOutgoing = true
 		return
 	}
-	c.silent = false
-	c.arrives(nil, func(to *Conn) {
-		if to.err == nil {
-			to.err = syscall.ECONNRESET
+	c.dropsOutgoing = false
+	c.deliver(nil, func(to *Conn) {
+		if to.broken == nil {
+			to.broken = syscall.ECONNRESET
 		}
 	})
 }
 
-// arrives brings something to the other end in its time and in order: bytes, or a change of its state.
-func (c *Conn) arrives(b []byte, change func(to *Conn)) {
+// deliver brings something to the other end in its time and in order: bytes, or a change of its state.
+func (c *Conn) deliver(b []byte, change func(to *Conn)) {
 	p := c.net.path(c.host, c.peer.host)
-	if p.Lost || c.silent {
+	if p.Lost || c.dropsOutgoing {
 		return
 	}
 	now := time.Now()
-	at := now.Add(p.Hold + p.Delay + time.Duration(len(b))*p.PerByte + c.salt)
-	if !at.After(c.last) {
-		at = c.last.Add(1)
+	at := now.Add(p.Hold + p.Delay + time.Duration(len(b))*p.PerByte + c.offset)
+	if !at.After(c.lastArrival) {
+		at = c.lastArrival.Add(1)
 	}
-	c.last = at
+	c.lastArrival = at
 	time.AfterFunc(at.Sub(now), func() {
 		c.net.mu.Lock()
 		defer c.net.mu.Unlock()
@@ -210,16 +210,16 @@
 		switch {
 		case change != nil:
 			change(to)
-		case to.closing && c.err == nil:
+		case to.closing && c.broken == nil:
 			// Nobody reads it any more there: that end's system answers with a reset.
-			to.arrives(nil, func(to *Conn) {
-				if to.err == nil {
-					to.err = syscall.ECONNRESET
+			to.deliver(nil, func(to *Conn) {
+				if to.broken == nil {
+					to.broken = syscall.ECONNRESET
 				}
 			})
 			return
-		case to.err == nil && !to.closing:
-			to.in = append(to.in, b...)
+		case to.broken == nil && !to.closing:
+			to.received = append(to.received, b...)
 		}
 		to.changed.Broadcast()
 	})
@@ -234,17 +234,17 @@
 		return c.fail("close", net.ErrClosed)
 	}
 	c.closing = true
-	c.read.stop()
-	c.write.stop()
-	if c.err == nil && !c.half {
-		c.arrives(nil, func(to *Conn) { to.ended = true })
+	c.readDeadline.stop()
+	c.writeDeadline.stop()
+	if c.broken == nil && !c.writeClosed {
+		c.deliver(nil, func(to *Conn) { to.peerEnded = true })
 	}
-	time.AfterFunc(c.salt, func() {
+	time.AfterFunc(c.offset, func() {
 		c.net.mu.Lock()
 		defer c.net.mu.Unlock()
-		c.closed, c.in = true, nil
+		c.closed, c.received = true, nil
 		c.changed.Broadcast()
-		c.net.sweep()
+		c.net.removeClosed()
 	})
 	return nil
 }
@@ -253,9 +253,9 @@
 func (c *Conn) CloseWrite() error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	if !c.half && !c.closing && c.err == nil {
-		c.half = true
-		c.arrives(nil, func(to *Conn) { to.ended = true })
+	if !c.writeClosed && !c.closing && c.broken == nil {
+		c.writeClosed = true
+		c.deliver(nil, func(to *Conn) { to.peerEnded = true })
 	}
 	return nil
 }
@@ -267,9 +267,9 @@
 	}
 }
 
-func (c *Conn) set(d *deadline, at time.Time) {
+func (c *Conn) setDeadline(d *deadline, at time.Time) {
 	d.stop()
-	d.over = false
+	d.expired = false
 	if at.IsZero() {
 		return
 	}
@@ -279,14 +279,14 @@
 			c.net.mu.Lock()
 			defer c.net.mu.Unlock()
 			if d.timer == t {
-				d.over = true
+				d.expired = true
 				c.changed.Broadcast()
 			}
 		})
 		d.timer = t
 		return
 	}
-	d.over = true
+	d.expired = true
 	c.changed.Broadcast()
 }
 
@@ -303,7 +303,7 @@
 	if c.closing {
 		return c.fail("set", net.ErrClosed)
 	}
-	c.set(&c.read, at)
+	c.setDeadline(&c.readDeadline, at)
 	return nil
 }
 
@@ -314,6 +314,6 @@
 	if c.closing {
 		return c.fail("set", net.ErrClosed)
 	}
-	c.set(&c.write, at)
+	c.setDeadline(&c.writeDeadline, at)
 	return nil
 }
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -28,9 +28,9 @@
 
 // Net is a network. Hosts are names; addresses are what listeners say they are.
 type Net struct {
-	path func(from, to string) Path
-	seed uint64
-	gone map[string]bool // hosts that were killed
+	path        func(from, to string) Path
+	seed        uint64
+	killedHosts map[string]bool // hosts that were killed
 
 	mu        sync.Mutex
 	listeners map[string]*Listener
@@ -39,19 +39,19 @@
 
 // New makes a network; path may be asked at any time, by any goroutine.
 func New(seed uint64, path func(from, to string) Path) *Net {
-	return &Net{path: path, seed: seed, listeners: map[string]*Listener{}, gone: map[string]bool{}}
+	return &Net{path: path, seed: seed, listeners: map[string]*Listener{}, killedHosts: map[string]bool{}}
 }
 
 const (
-	window   = 256 << 10 // bytes that may be on their way, or unread at the other end
-	saltSpan = 9973      // nanoseconds
+	sendWindow = 256 << 10 // bytes that may be on their way, or unread at the other end
+	maxOffset  = 9973      // nanoseconds
 )
 
-// salt is what sets a connection's times apart from all others'.
-func (n *Net) salt(id string) time.Duration {
+// timeOffset is what sets a connection's times apart from all others'.
+func (n *Net) timeOffset(id string) time.Duration {
 	h := fnv.New64a()
 	fmt.Fprint(h, n.seed, id)
-	return time.Duration(h.Sum64()%saltSpan) + 1
+	return time.Duration(h.Sum64()%maxOffset) + 1
 }
 
 // Chance is a number from 0 to 1 that hangs on the seed and a name only.
@@ -78,12 +78,12 @@
 
 // Listener takes connections at an address.
 type Listener struct {
-	net    *Net
-	host   string
-	addr   Addr
-	room   *sync.Cond
-	queue  []*Conn
-	closed bool
+	net     *Net
+	host    string
+	addr    Addr
+	arrived *sync.Cond
+	backlog []*Conn
+	closed  bool
 }
 
 // Listen begins to take connections. An address that is taken is an error.
@@ -93,7 +93,7 @@
 	if n.listeners[addr] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "memory", Addr: Addr(addr), Err: syscall.EADDRINUSE}
 	}
-	l := &Listener{net: n, host: host, addr: Addr(addr), room: sync.NewCond(&n.mu)}
+	l := &Listener{net: n, host: host, addr: Addr(addr), arrived: sync.NewCond(&n.mu)}
 	n.listeners[addr] = l
 	return l, nil
 }
@@ -105,14 +105,14 @@
 func (l *Listener) Accept() (net.Conn, error) {
 	l.net.mu.Lock()
 	defer l.net.mu.Unlock()
-	for len(l.queue) == 0 && !l.closed {
-		l.room.Wait()
+	for len(l.backlog) == 0 && !l.closed {
+		l.arrived.Wait()
 	}
 	if l.closed {
 		return nil, &net.OpError{Op: "accept", Net: "memory", Addr: l.addr, Err: net.ErrClosed}
 	}
-	c := l.queue[0]
-	l.queue = l.queue[1:]
+	c := l.backlog[0]
+	l.backlog = l.backlog[1:]
 	return c, nil
 }
 
@@ -127,11 +127,11 @@
 	if l.net.listeners[string(l.addr)] == l {
 		delete(l.net.listeners, string(l.addr))
 	}
-	for _, c := range l.queue {
-		c.abandon(false)
+	for _, c := range l.backlog {
+		c.abort(false)
 	}
-	l.queue = nil
-	l.room.Broadcast()
+	l.backlog = nil
+	l.arrived.Broadcast()
 	return nil
 }
 
@@ -140,52 +140,52 @@
 	fail := func(err error) (*Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: "memory", Addr: Addr(addr), Err: err}
 	}
-	salt := n.salt(host + id + addr)
+	offset := n.timeOffset(host + id + addr)
 	n.mu.Lock()
 	l := n.listeners[addr]
-	gone := n.gone[host]
+	killed := n.killedHosts[host]
 	n.mu.Unlock()
-	if gone {
+	if killed {
 		return fail(os.ErrClosed)
 	}
 	to := addr // of an address where nobody is the path is that of its name
 	if l != nil {
 		to = l.host
 	}
-	if !wait(ctx, n.path(host, to), salt) {
-		return fail(cause(ctx))
+	if !transit(ctx, n.path(host, to), offset) {
+		return fail(contextError(ctx))
 	}
 	n.mu.Lock()
 	l = n.listeners[addr]
 	if l == nil {
 		n.mu.Unlock()
-		if !wait(ctx, n.path(to, host), salt) {
-			return fail(cause(ctx))
+		if !transit(ctx, n.path(to, host), offset) {
+			return fail(contextError(ctx))
 		}
 		return fail(syscall.ECONNREFUSED)
 	}
-	here := &Conn{net: n, host: host, local: Addr(host + "/" + id), remote: l.addr, salt: salt}
-	there := &Conn{net: n, host: l.host, local: l.addr, remote: here.local, salt: salt + saltSpan/2, peer: here}
+	here := &Conn{net: n, host: host, local: Addr(host + "/" + id), remote: l.addr, offset: offset}
+	there := &Conn{net: n, host: l.host, local: l.addr, remote: here.local, offset: offset + maxOffset/2, peer: here}
 	here.peer = there
 	here.changed, there.changed = sync.NewCond(&n.mu), sync.NewCond(&n.mu)
 	n.conns = append(n.conns, here, there)
-	l.queue = append(l.queue, there)
-	l.room.Signal()
+	l.backlog = append(l.backlog, there)
+	l.arrived.Signal()
 	n.mu.Unlock()
-	if !wait(ctx, n.path(l.host, host), salt) {
+	if !transit(ctx, n.path(l.host, host), offset) {
 		here.Close()
-		return fail(cause(ctx))
+		return fail(contextError(ctx))
 	}
 	return here, nil
 }
 
-// wait lets a packet's time pass, or gives up with the context.
-func wait(ctx context.Context, p Path, salt time.Duration) bool {
+// transit lets a packet's time pass, or gives up with the context.
+func transit(ctx context.Context, p Path, offset time.Duration) bool {
 	if p.Lost {
 		<-ctx.Done()
 		return false
 	}
-	t := time.NewTimer(p.Hold + p.Delay + salt)
+	t := time.NewTimer(p.Hold + p.Delay + offset)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -195,7 +195,7 @@
 	}
 }
 
-func cause(ctx context.Context) error {
+func contextError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return os.ErrDeadlineExceeded
 	}
@@ -207,7 +207,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
-		if c.host == host && !c.closing && c.err == nil {
+		if c.host == host && !c.closing && c.broken == nil {
 			all = append(all, c)
 		}
 	}
@@ -218,21 +218,21 @@
 func (n *Net) Kill(host string, silently bool) {
 	n.mu.Lock()
 	// What is left of its goroutines dials nobody any more: whether they come to it hangs on the scheduler.
-	n.gone[host] = true
-	var gone []*Listener
+	n.killedHosts[host] = true
+	var listeners []*Listener
 	for _, l := range n.listeners {
 		if l.host == host {
-			gone = append(gone, l)
+			listeners = append(listeners, l)
 		}
 	}
 	for _, c := range n.conns {
 		if c.host == host {
-			c.abandon(silently)
+			c.abort(silently)
 		}
 	}
-	n.sweep()
+	n.removeClosed()
 	n.mu.Unlock()
-	for _, l := range gone {
+	for _, l := range listeners {
 		l.Close()
 	}
 }
@@ -253,11 +253,11 @@
 	}
 }
 
-// sweep forgets the ends that are over.
-func (n *Net) sweep() {
+// removeClosed forgets the ends that are over.
+func (n *Net) removeClosed() {
 	open := n.conns[:0]
 	for _, c := range n.conns {
-		if !c.closed && c.err == nil {
+		if !c.closed && c.broken == nil {
 			open = append(open, c)
 		}
 	}
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -158,7 +158,7 @@
 			there.Silence()
 			b.path.Lost = true
 			here.SetWriteDeadline(time.Now().Add(time.Second))
-			b.writes("here", here, window+1)
+			b.writes("here", here, sendWindow+1)
 			here.Close()
 		}},
 		{"a read that waits too long", func(b *bench, here, there *Conn) {
