--- a/internal/memnet/conn.go
+++ b/internal/memnet/conn.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Conn is one end of a connection.
+// Conn is one end of a connection. It implements net.Conn, and its methods are safe for concurrent use.
 type Conn struct {
 	net           *Net
 	host          string
@@ -17,38 +17,32 @@
 	peer          *Conn
 	offset        time.Duration
 
-	changed       *sync.Cond // under the network's lock
+	changed       *sync.Cond // guards its state by the network's lock
 	received      []byte
-	peerEnded     bool  // the other end sends nothing more
-	broken        error // it is broken
-	closing       bool  // closed here; its reader is told in a moment
+	peerEnded     bool  // the other end has closed its side
+	connErr       error // the error of a broken connection
+	closing       bool  // closed here; a Read that waits learns of it after the offset
 	closed        bool
-	writeClosed   bool      // this end sends nothing more
-	unreadByPeer  int       // bytes sent, and not read by the other end yet
-	lastArrival   time.Time // when what was sent last arrives
-	dropsOutgoing bool      // what is sent is lost on the way
-	nextBreak     Break     // at the next use
+	writeClosed   bool      // this end has closed its side
+	unreadByPeer  int       // bytes sent that the other end has not read
+	lastArrival   time.Time // when the last packet arrives
+	dropsOutgoing bool      // what this end sends is lost
+	nextBreak     Break     // what happens at the next Write
 	readDeadline  deadline
 	writeDeadline deadline
 }
 
-// Break says how a connection breaks at its next use.
+// Break says how a connection breaks at its next Write.
 type Break int
 
-// The ways in which a connection breaks.
+// The ways to break.
 const (
-	Whole   Break = iota // it does not
-	Within               // after half of what is written has left: neither end gets more
-	Unheard              // after all of it has left, of which nothing arrives
-	Heard                // after all of it has left; it arrives, and then the other end sees the break
+	Whole   Break = iota // no break
+	Within               // after half of the bytes: the write fails and neither end gets more
+	Unheard              // after all of the bytes, of which none arrives
+	Heard                // after all of the bytes, which arrive before the other end sees the break
 )
 
-// deadline is a time after which an end waits no more.
-type deadline struct {
-	timer   *time.Timer
-	expired bool
-}
-
 // LocalAddr implements net.Conn.
 func (c *Conn) LocalAddr() net.Addr { return c.local }
 
@@ -59,7 +53,7 @@
 	return &net.OpError{Op: op, Net: "memory", Source: c.local, Addr: c.remote, Err: err}
 }
 
-// Read waits for something to have arrived.
+// Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
@@ -78,8 +72,8 @@
 			c.peer.unreadByPeer -= n
 			c.peer.changed.Broadcast()
 			return n, nil
-		case c.broken != nil:
-			return 0, c.fail("read", c.broken)
+		case c.connErr != nil:
+			return 0, c.fail("read", c.connErr)
 		case c.peerEnded:
 			return 0, io.EOF
 		case len(b) == 0:
@@ -89,14 +83,14 @@
 	}
 }
 
-// PeerEnded says whether the other end's end of sending, or a break, has arrived, also behind bytes that are unread.
+// PeerEnded reports whether the end of the stream or a reset has arrived, even if bytes before it are unread.
 func (c *Conn) PeerEnded() bool {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	return c.peerEnded || c.broken != nil
+	return c.peerEnded || c.connErr != nil
 }
 
-// Write sends; it waits while the other end has too much unread.
+// Write implements net.Conn. It blocks while the send window is full.
 func (c *Conn) Write(b []byte) (sent int, err error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
@@ -111,11 +105,11 @@
 			return sent, c.fail("write", net.ErrClosed)
 		case c.writeDeadline.expired:
 			return sent, c.fail("write", os.ErrDeadlineExceeded)
-		case c.broken != nil:
-			return sent, c.fail("write", c.broken)
+		case c.connErr != nil:
+			return sent, c.fail("write", c.connErr)
 		case c.writeClosed:
 			return sent, c.fail("write", syscall.EPIPE)
-		case sent == len(b): // it breaks here
+		case sent == len(b): // half of the bytes are sent
 			c.abort(false)
 			return sent, c.fail("write", syscall.ECONNRESET)
 		case c.unreadByPeer < sendWindow:
@@ -135,7 +129,7 @@
 	return sent, nil
 }
 
-// breakAfter breaks both ends, this one first; the other after what is on its way to it, or with that lost.
+// breakAfter breaks this end after a delay, and the other end after the bytes in flight to it, or with them lost if not delivered.
 func (c *Conn) breakAfter(here time.Duration, heard bool) {
 	if !heard {
 		c.dropsOutgoing = true
@@ -147,36 +141,36 @@
 	})
 }
 
-// BreakAtUse makes it break at its next use.
+// BreakAtUse makes the connection break at the next Write of this end.
 func (c *Conn) BreakAtUse(b Break) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	c.nextBreak = b
 }
 
-// Reset breaks it: this end at once, the other one after what is on its way.
+// Reset breaks the connection: this end at once, the other one after the bytes in flight.
 func (c *Conn) Reset() {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	c.abort(false)
 }
 
-// Silence makes all that is sent from this end on be lost on the way.
+// Silence makes everything that this end sends from now on be lost.
 func (c *Conn) Silence() {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	c.dropsOutgoing = true
 }
 
-// SilenceBack makes all that is sent from the other end on be lost on the way.
+// SilenceBack makes everything that the other end sends from now on be lost.
 func (c *Conn) SilenceBack() { c.peer.Silence() }
 
-// abort breaks this end; the other one sees a reset in its time, or nothing.
+// abort breaks this end. The other one sees a reset after the bytes in flight, or nothing if silently is set.
 func (c *Conn) abort(silently bool) {
-	if c.broken != nil || c.closed {
+	if c.connErr != nil || c.closed {
 		return
 	}
-	c.broken = syscall.ECONNRESET
+	c.connErr = syscall.ECONNRESET
 	c.received = nil
 	c.changed.Broadcast()
 	if silently {
@@ -185,13 +179,13 @@
 	}
 	c.dropsOutgoing = false
 	c.deliver(nil, func(to *Conn) {
-		if to.broken == nil {
-			to.broken = syscall.ECONNRESET
+		if to.connErr == nil {
+			to.connErr = syscall.ECONNRESET
 		}
 	})
 }
 
-// deliver brings something to the other end in its time and in order: bytes, or a change of its state.
+// deliver schedules the arrival of bytes, or of a change of state, at the other end. Arrivals keep their order.
 func (c *Conn) deliver(b []byte, change func(to *Conn)) {
 	p := c.net.path(c.host, c.peer.host)
 	if p.Lost || c.dropsOutgoing {
@@ -210,23 +204,23 @@
 		switch {
 		case change != nil:
 			change(to)
-		case to.closing && c.broken == nil:
-			// Nobody reads it any more there: that end's system answers with a reset.
+		case to.closing && c.connErr == nil:
+			// Bytes for a closed socket: its system answers with a reset.
 			to.deliver(nil, func(to *Conn) {
-				if to.broken == nil {
-					to.broken = syscall.ECONNRESET
+				if to.connErr == nil {
+					to.connErr = syscall.ECONNRESET
 				}
 			})
 			return
-		case to.broken == nil && !to.closing:
+		case to.connErr == nil && !to.closing:
 			to.received = append(to.received, b...)
 		}
 		to.changed.Broadcast()
 	})
 }
 
-// Close ends it at this end. Its reader learns of it a few nanoseconds later, so that several that are closed at one
-// instant are told in an order of their own.
+// Close implements net.Conn. A Read that waits learns of it after the offset, so that connections that are closed at the same instant
+// end in a fixed order.
 func (c *Conn) Close() error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
@@ -236,7 +230,7 @@
 	c.closing = true
 	c.readDeadline.stop()
 	c.writeDeadline.stop()
-	if c.broken == nil && !c.writeClosed {
+	if c.connErr == nil && !c.writeClosed {
 		c.deliver(nil, func(to *Conn) { to.peerEnded = true })
 	}
 	time.AfterFunc(c.offset, func() {
@@ -249,71 +243,13 @@
 	return nil
 }
 
-// CloseWrite tells the other end that nothing more comes.
+// CloseWrite closes the side of the connection that this end sends on.
 func (c *Conn) CloseWrite() error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	if !c.writeClosed && !c.closing && c.broken == nil {
+	if !c.writeClosed && !c.closing && c.connErr == nil {
 		c.writeClosed = true
 		c.deliver(nil, func(to *Conn) { to.peerEnded = true })
 	}
 	return nil
 }
-
-func (d *deadline) stop() {
-	if d.timer != nil {
-		d.timer.Stop()
-		d.timer = nil
-	}
-}
-
-func (c *Conn) setDeadline(d *deadline, at time.Time) {
-	d.stop()
-	d.expired = false
-	if at.IsZero() {
-		return
-	}
-	if in := time.Until(at); in > 0 {
-		var t *time.Timer
-		t = time.AfterFunc(in, func() {
-			c.net.mu.Lock()
-			defer c.net.mu.Unlock()
-			if d.timer == t {
-				d.expired = true
-				c.changed.Broadcast()
-			}
-		})
-		d.timer = t
-		return
-	}
-	d.expired = true
-	c.changed.Broadcast()
-}
-
-// SetDeadline implements net.Conn.
-func (c *Conn) SetDeadline(at time.Time) error {
-	c.SetReadDeadline(at) // fails only where the next one does
-	return c.SetWriteDeadline(at)
-}
-
-// SetReadDeadline implements net.Conn. It fails where this end is closed.
-func (c *Conn) SetReadDeadline(at time.Time) error {
-	c.net.mu.Lock()
-	defer c.net.mu.Unlock()
-	if c.closing {
-		return c.fail("set", net.ErrClosed)
-	}
-	c.setDeadline(&c.readDeadline, at)
-	return nil
-}
-
-// SetWriteDeadline implements net.Conn. It fails where this end is closed.
-func (c *Conn) SetWriteDeadline(at time.Time) error {
-	c.net.mu.Lock()
-	defer c.net.mu.Unlock()
-	if c.closing {
-		return c.fail("set", net.ErrClosed)
-	}
-	c.setDeadline(&c.writeDeadline, at)
-	return nil
-}
