--- a/internal/harness/wire_test.go
+++ b/internal/harness/wire_test.go
@@ -2,10 +2,18 @@
 
 import (
 	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
 	"reflect"
 	"testing"
+	"time"
 
 	"birchstair/internal/golden"
+	"birchstair/internal/invariants"
+	"birchstair/internal/simulation"
+	"birchstair/policy"
 )
 
 // TestResultWireForm pins the JSON form of a result, with each field set and with none.
@@ -29,3 +37,71 @@
 	}
 	golden.Compare(t, "result.jsonl", text)
 }
+
+// fixedListener has an address and accepts nothing.
+type fixedListener struct {
+	net.Listener
+	address net.TCPAddr
+}
+
+func (l fixedListener) Addr() net.Addr { return &l.address }
+
+// TestNodeFiles pins the configuration and the operator's file that the harness writes for a node.
+func TestNodeFiles(t *testing.T) {
+	all := simulation.Base()
+	f := &all.Fleet
+	f.Talk, f.Reports, f.PerWork, f.Copies, f.Keepers, f.TellsStart, f.Allocations, f.CrossPrice = true, true, true, true, true, true, 4, 0.25
+	f.ComeBack, f.IdleLimit, f.DialLimit, f.TellsEvery = simulation.Span(time.Second), simulation.Span(2*time.Second), simulation.Span(3*time.Second), simulation.Span(4*time.Second)
+	none := simulation.Base()
+	none.Fleet.Talk, none.Fleet.Reports, none.Fleet.ComeBack = false, false, 0
+	classes := []policy.JobClass{
+		{LatencyObjective: time.Second, Deadline: 2 * time.Second, Value: 3, RunTimeFactor: 4, LateValue: 5},
+		{Idempotency: policy.AtMostOnce, Deadline: time.Second},
+		{Idempotency: policy.IdempotentWithKey, DedupWindow: time.Second},
+		{Idempotency: policy.IdempotentWithKey, DedupWindow: time.Second, DedupGroup: policy.DedupZone},
+		{Idempotency: policy.IdempotentWithKey, DedupWindow: time.Second, DedupGroup: policy.DedupCell},
+	}
+	text := ""
+	for _, s := range []simulation.Scenario{all, none} {
+		track := s.Tracks[0]
+		s.Tracks = nil
+		for i := range classes {
+			track.Name = fmt.Sprint("class", i)
+			s.Tracks = append(s.Tracks, track)
+		}
+		r := &Rig{s: s, o: Options{Seed: 7}, module: classes}
+		for i := range 4 {
+			p := &proc{r: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: 1, dir: t.TempDir(), listen: "127.9.0.1:8081", door: "127.9.0.1:8082",
+				fleet: "127.9.0.1:7947", lists: fixedListener{address: net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9000}}}
+			if s.Fleet.Talk {
+				p.there = &hub{addr: fmt.Sprintf("127.9.1.%d:7946", i+1)}
+			}
+			r.nodes = append(r.nodes, p)
+		}
+		p := r.nodes[1]
+		if err := p.writeFiles(); err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range []string{"config.json", "site.toml"} {
+			content, err := os.ReadFile(filepath.Join(p.dir, name))
+			if err != nil && (s.Fleet.Talk || name != "site.toml") {
+				t.Fatal(err)
+			}
+			text += name + "\n" + string(content) + "\n"
+		}
+	}
+	golden.Compare(t, "node_files.txt", text)
+}
+
+// TestDrawnScenarios pins the scenarios of some seeds, and so the order of random draws.
+func TestDrawnScenarios(t *testing.T) {
+	all := ""
+	for seed := range uint64(8) {
+		text, err := Draw(seed, 3+int(seed)).Text()
+		if err != nil {
+			t.Fatal(err)
+		}
+		all += string(text) + "\n"
+	}
+	golden.Compare(t, "drawn.txt", all)
+}
