--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -11,68 +11,70 @@
 	"birchstair/internal/store"
 )
 
-// Disk is a disk in memory that keeps what was synced, and of the rest whatever chance leaves at a crash.
+// Disk is a disk in memory. A crash keeps what was synced and a random part of the rest. It implements store.Disk, and is safe for
+// concurrent use; its exported fields must not be set while a call runs.
 type Disk struct {
 	rand *rand.Rand
 
-	mu     sync.Mutex
-	files  map[string]*diskFile
-	life   int
-	locked bool
-	// Room is how many more bytes it takes; under 0 for no end.
+	mu          sync.Mutex
+	files       map[string]*diskFile
+	incarnation int
+	locked      bool
+	// Room is how many more bytes can be written; negative for no limit.
 	Room int
-	// FailSync makes the sync that many syncs ahead fail, and what it was for is lost or not as at a crash; 0 for none.
+	// FailSync makes the sync so many calls ahead fail, and leave what a crash would leave; 0 for none.
 	FailSync int
-	// Lies makes syncs do nothing, and say that they did.
-	Lies  bool
-	Syncs int
-	slow  time.Duration
-	// OnSync is told of each sync before it counts, or nil.
+	// Lies makes syncs do nothing and succeed.
+	Lies bool
+	// Syncs counts the syncs of files.
+	Syncs     int
+	syncDelay time.Duration
+	// OnSync, unless nil, is called with the number of each sync before it takes effect.
 	OnSync func(n int)
 }
 
 type diskFile struct {
-	synced []byte
-	whole  []byte // with what was written since
-	named  bool   // its name stands for good
-	gone   bool   // it was removed, and that does not stand for good yet
+	synced      []byte
+	written     []byte // the synced part and what was written since
+	nameDurable bool   // its name survives a crash
+	removed     bool   // it was removed, and the removal may not survive a crash yet
 }
 
-// Errors of a disk.
+// Errors of injected faults.
 var (
 	ErrDiskFull = errors.New("no space left on the disk")
 	ErrDiskSync = errors.New("the disk failed to sync")
 	errCrashed  = errors.New("this process is no more")
 )
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk without a limit.
 func NewDisk(r *rand.Rand) *Disk { return &Disk{rand: r, files: map[string]*diskFile{}, Room: -1} }
 
-// Crash ends the process that uses it: what was not synced is lost, kept or torn, in any order of its pages.
+// Crash ends the process that uses the disk: what was not synced is lost, kept or torn, by pages in any order.
 func (d *Disk) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life++
+	d.incarnation++
 	d.locked = false
 	names := d.names(true)
 	for _, n := range names {
 		f := d.files[n]
-		if !f.named && d.rand.IntN(2) == 0 || f.gone && d.rand.IntN(2) == 0 {
+		if !f.nameDurable && d.rand.IntN(2) == 0 || f.removed && d.rand.IntN(2) == 0 {
 			delete(d.files, n)
 			continue
 		}
-		f.gone, f.named = false, true
-		f.whole = d.torn(f)
-		f.synced = slices.Clone(f.whole)
+		f.removed, f.nameDurable = false, true
+		f.written = d.torn(f)
+		f.synced = slices.Clone(f.written)
 	}
 }
 
-// page is what a disk writes at once.
-const page = 64
+// pageSize is what a disk writes at once, in bytes.
+const pageSize = 64
 
-// torn is what a crash leaves of a file: its synced part, and of what came after it some pages, in any order.
+// torn returns what a crash leaves of a file: its synced part, and some of the pages after it.
 func (d *Disk) torn(f *diskFile) []byte {
-	b := slices.Clone(f.whole)
+	b := slices.Clone(f.written)
 	if len(b) <= len(f.synced) {
 		return b
 	}
@@ -82,9 +84,9 @@
 	case 1:
 		return b[:len(f.synced)+d.rand.IntN(len(b)-len(f.synced)+1)]
 	}
-	for at := len(f.synced); at < len(b); at += page {
+	for at := len(f.synced); at < len(b); at += pageSize {
 		if d.rand.IntN(3) == 0 {
-			clear(b[at:min(at+page, len(b))])
+			clear(b[at:min(at+pageSize, len(b))])
 		}
 	}
 	return b
@@ -92,7 +94,7 @@
 
 func (d *Disk) names(all bool) (names []string) {
 	for n, f := range d.files {
-		if all || !f.gone {
+		if all || !f.removed {
 			names = append(names, n)
 		}
 	}
@@ -101,15 +103,16 @@
 }
 
 type diskLock struct {
-	d    *Disk
-	life int
+	disk        *Disk
+	incarnation int
 }
 
+// Close releases the lock, unless its process has crashed.
 func (l diskLock) Close() error {
-	l.d.mu.Lock()
-	defer l.d.mu.Unlock()
-	if l.d.life == l.life {
-		l.d.locked = false
+	l.disk.mu.Lock()
+	defer l.disk.mu.Unlock()
+	if l.disk.incarnation == l.incarnation {
+		l.disk.locked = false
 	}
 	return nil
 }
@@ -122,7 +125,7 @@
 		return nil, errors.New("another process uses it")
 	}
 	d.locked = true
-	return diskLock{d, d.life}, nil
+	return diskLock{d, d.incarnation}, nil
 }
 
 // List implements store.Disk.
@@ -132,34 +135,35 @@
 	return d.names(false), nil
 }
 
+// Read implements store.Disk.
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.files[name]
-	if f == nil || f.gone {
+	if f == nil || f.removed {
 		return nil, errors.New(name + ": not there")
 	}
-	return slices.Clone(f.whole), nil
+	return slices.Clone(f.written), nil
 }
 
-// Create implements store.Disk. The file outlives a power failure only after SyncDir.
+// Create implements store.Disk. The file survives a crash for certain only after SyncDir.
 func (d *Disk) Create(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if f := d.files[name]; f != nil && !f.gone {
+	if f := d.files[name]; f != nil && !f.removed {
 		return nil, errors.New(name + ": there already")
 	}
 	f := &diskFile{}
 	d.files[name] = f
-	return &openFile{d, f, d.life}, nil
+	return &openFile{d, f, d.incarnation}, nil
 }
 
-// Remove implements store.Disk. The file is gone for good only after SyncDir.
+// Remove implements store.Disk. The removal survives a crash for certain only after SyncDir.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f := d.files[name]; f != nil {
-		f.gone = true
+		f.removed = true
 	}
 	return nil
 }
@@ -169,91 +173,94 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.files[name]
-	f.whole = f.whole[:size]
-	f.synced = slices.Clone(f.whole)
+	f.written = f.written[:size]
+	f.synced = slices.Clone(f.written)
 	return nil
 }
 
-// SyncDir implements store.Disk: files that were created or removed outlive a power failure from now on.
+// SyncDir implements store.Disk. Creations and removals so far survive a crash.
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for n, f := range d.files {
-		f.named = true
-		if f.gone {
+		f.nameDurable = true
+		if f.removed {
 			delete(d.files, n)
 		}
 	}
 	return nil
 }
 
-// Slow sets how long a sync takes from now on.
+// Slow sets how long a sync takes.
 func (d *Disk) Slow(span time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = span
+	d.syncDelay = span
 }
 
-// Flip changes a bit of a file.
+// Flip changes a bit of a file, as bit rot does.
 func (d *Disk) Flip(name string, at int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.files[name]
-	f.whole[at] ^= 0x10
-	f.synced = slices.Clone(f.whole)
+	f.written[at] ^= 0x10
+	f.synced = slices.Clone(f.written)
 }
 
 type openFile struct {
-	d    *Disk
-	f    *diskFile
-	life int
+	disk        *Disk
+	file        *diskFile
+	incarnation int
 }
 
+// Write implements store.File.
 func (o *openFile) Write(b []byte) (int, error) {
-	o.d.mu.Lock()
-	defer o.d.mu.Unlock()
-	if o.life != o.d.life {
+	o.disk.mu.Lock()
+	defer o.disk.mu.Unlock()
+	if o.incarnation != o.disk.incarnation {
 		return 0, errCrashed
 	}
 	n := len(b)
-	if o.d.Room >= 0 {
-		n = min(n, o.d.Room)
-		o.d.Room -= n
+	if o.disk.Room >= 0 {
+		n = min(n, o.disk.Room)
+		o.disk.Room -= n
 	}
-	o.f.whole = append(o.f.whole, b[:n]...)
+	o.file.written = append(o.file.written, b[:n]...)
 	if n < len(b) {
 		return n, ErrDiskFull
 	}
 	return n, nil
 }
 
+// Sync implements store.File.
 func (o *openFile) Sync() error {
-	o.d.mu.Lock()
-	slow := o.d.slow
-	o.d.mu.Unlock()
+	o.disk.mu.Lock()
+	slow := o.disk.syncDelay
+	o.disk.mu.Unlock()
 	time.Sleep(slow)
-	o.d.mu.Lock()
-	n, told := o.d.Syncs+1, o.d.OnSync
-	o.d.mu.Unlock()
-	if told != nil {
-		told(n)
+	o.disk.mu.Lock()
+	n, onSync := o.disk.Syncs+1, o.disk.OnSync
+	o.disk.mu.Unlock()
+	if onSync != nil {
+		onSync(n)
 	}
-	o.d.mu.Lock()
-	defer o.d.mu.Unlock()
-	if o.life != o.d.life {
+	o.disk.mu.Lock()
+	defer o.disk.mu.Unlock()
+	if o.incarnation != o.disk.incarnation {
 		return errCrashed
 	}
-	o.d.Syncs++
-	if o.d.FailSync > 0 {
-		if o.d.FailSync--; o.d.FailSync == 0 {
-			o.f.whole = o.d.torn(o.f) // and the system takes it for clean from now on
+	o.disk.Syncs++
+	if o.disk.FailSync > 0 {
+		if o.disk.FailSync--; o.disk.FailSync == 0 {
+			o.file.written = o.disk.torn(o.file) // the system takes it for synced from now on
 			return ErrDiskSync
 		}
 	}
-	if !o.d.Lies {
-		o.f.synced = slices.Clone(o.f.whole)
+	if !o.disk.Lies {
+		o.file.synced = slices.Clone(o.file.written)
 	}
 	return nil
 }
 
+// Close implements store.File.
 func (o *openFile) Close() error { return nil }
--- a/internal/emulator/halt.go
+++ b/internal/emulator/halt.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Step is a moment in a connection's or a listener's life at which it can be stopped.
+// Step is a point in a call of a connection or listener at which the call can be stopped.
 type Step int
 
-// The moments at which a call can be stopped.
+// The points at which a call can be stopped.
 const (
 	BeforeRead   Step = iota // a read is about to begin
 	AfterRead                // a read has ended, and its caller does not know yet
@@ -23,70 +23,72 @@
 	AfterAccept              // an accept has ended, and its caller does not know yet
 )
 
-// Halts stops the calls of connections and listeners at named moments, until they are let go. A test orders two events by
-// it that would otherwise come in either order.
+// Halts stops calls of connections and listeners at chosen points until the test releases them. It forces the order of two events that
+// otherwise may happen in either order.
 type Halts struct {
-	mu    sync.Mutex
-	stops []*Stop
-	cut   int
-	conns int
+	mu               sync.Mutex
+	pending          []*Stop
+	interruptedReads int
+	conns            int
 }
 
-// Cut is how often a read was told to end at once, by a deadline in the past.
+// Cut returns how often reads were interrupted by a deadline in the past.
 func (h *Halts) Cut() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.cut
+	return h.interruptedReads
 }
 
-// Stop is one such moment; it stops one call.
+// Stop stops one call at one point.
 type Stop struct {
-	// Reached is closed once a call stands there.
+	// Reached is closed when a call has stopped there.
 	Reached chan struct{}
 
-	step  Step
-	on    int // the connection's number, from 1; 0 for any
-	skip  int
-	letGo chan struct{}
-	once  sync.Once
+	step     Step
+	conn     int // number of the connection, from 1; 0 for any
+	skip     int
+	released chan struct{}
+	once     sync.Once
 }
 
-// At stops the next call that comes to a step, after skip of them have passed it.
+// At stops the next call of any connection that reaches a step, after the first skip calls.
 func (h *Halts) At(step Step, skip int) *Stop { return h.On(0, step, skip) }
 
-// On does so for the calls of one connection; they count from 1 in the order in which they were made.
+// On stops the next call of one connection that reaches a step, after the first skip calls. Connections count from 1 in the order of
+// their creation.
 func (h *Halts) On(conn int, step Step, skip int) *Stop {
-	s := &Stop{Reached: make(chan struct{}), step: step, on: conn, skip: skip, letGo: make(chan struct{})}
+	s := &Stop{Reached: make(chan struct{}), step: step, conn: conn, skip: skip, released: make(chan struct{})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.stops = append(h.stops, s)
+	h.pending = append(h.pending, s)
 	return s
 }
 
-// Go lets the call go on that stands there, or is to come.
-func (s *Stop) Go() { s.once.Do(func() { close(s.letGo) }) }
+// Go releases the call that has stopped there, or lets it pass if it comes later.
+func (s *Stop) Go() { s.once.Do(func() { close(s.released) }) }
 
-func (h *Halts) pass(conn int, step Step) {
+// reach blocks if a Stop is set at a step of a connection.
+func (h *Halts) reach(conn int, step Step) {
 	h.mu.Lock()
 	var at *Stop
-	for i, s := range h.stops {
-		if s.step != step || s.on != 0 && s.on != conn {
+	for i, s := range h.pending {
+		if s.step != step || s.conn != 0 && s.conn != conn {
 			continue
 		}
 		if s.skip--; s.skip < 0 {
 			at = s
-			h.stops = append(h.stops[:i:i], h.stops[i+1:]...)
+			h.pending = append(h.pending[:i:i], h.pending[i+1:]...)
 			break
 		}
 	}
 	h.mu.Unlock()
 	if at != nil {
 		close(at.Reached)
-		<-at.letGo
+		<-at.released
 	}
 }
 
-// Conn is a connection that stops.
+// Conn wraps a connection whose calls can be stopped.
 func (h *Halts) Conn(c net.Conn) net.Conn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,46 +96,50 @@
 	return &haltedConn{c, h, h.conns}
 }
 
-// Listener is a listener that stops, and whose connections do.
+// Listener wraps a listener whose calls, and those of its connections, can be stopped.
 func (h *Halts) Listener(l net.Listener) net.Listener { return &haltedListener{l, h} }
 
 type haltedConn struct {
 	net.Conn
-	h      *Halts
+	halts  *Halts
 	number int
 }
 
+// Read implements net.Conn.
 func (c *haltedConn) Read(b []byte) (int, error) {
-	c.h.pass(c.number, BeforeRead)
+	c.halts.reach(c.number, BeforeRead)
 	n, err := c.Conn.Read(b)
-	c.h.pass(c.number, AfterRead)
+	c.halts.reach(c.number, AfterRead)
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *haltedConn) Write(b []byte) (int, error) {
-	c.h.pass(c.number, BeforeWrite)
+	c.halts.reach(c.number, BeforeWrite)
 	n, err := c.Conn.Write(b)
-	c.h.pass(c.number, AfterWrite)
+	c.halts.reach(c.number, AfterWrite)
 	return n, err
 }
 
+// SetReadDeadline implements net.Conn. It counts deadlines in the past.
 func (c *haltedConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && t.Before(time.Now()) {
-		c.h.mu.Lock()
-		c.h.cut++
-		c.h.mu.Unlock()
+		c.halts.mu.Lock()
+		c.halts.interruptedReads++
+		c.halts.mu.Unlock()
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
+// Close implements net.Conn.
 func (c *haltedConn) Close() error {
-	c.h.pass(c.number, BeforeClose)
+	c.halts.reach(c.number, BeforeClose)
 	err := c.Conn.Close()
-	c.h.pass(c.number, AfterClose)
+	c.halts.reach(c.number, AfterClose)
 	return err
 }
 
-// SyscallConn lets what looks at the socket itself pass.
+// SyscallConn implements syscall.Conn, if the connection has a socket.
 func (c *haltedConn) SyscallConn() (syscall.RawConn, error) {
 	if s, ok := c.Conn.(syscall.Conn); ok {
 		return s.SyscallConn()
@@ -143,15 +149,16 @@
 
 type haltedListener struct {
 	net.Listener
-	h *Halts
+	halts *Halts
 }
 
+// Accept implements net.Listener.
 func (l *haltedListener) Accept() (net.Conn, error) {
-	l.h.pass(0, BeforeAccept)
+	l.halts.reach(0, BeforeAccept)
 	c, err := l.Listener.Accept()
-	l.h.pass(0, AfterAccept)
+	l.halts.reach(0, AfterAccept)
 	if err != nil {
 		return nil, err
 	}
-	return l.h.Conn(c), nil
+	return l.halts.Conn(c), nil
 }
