--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Benchlink runs the decision module on the simulator's wire, over standard input and output.
+// Benchlink runs the policy on the simulator's wire, over standard input and output.
 package main
 
 import (
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -46,7 +46,8 @@
 	reply   chan node.AdminReply
 }
 
-// New returns a server for this many callers at a time. post must not block, nor queue behind batch jobs.
+// New returns a server for this many callers at a time. post must not queue behind batch jobs; it may block
+// while its own queue is full.
 func New(maxCallers int, post func(node.Event)) *Server {
 	s := &Server{post: post, maxCallers: maxCallers, callers: map[node.AdminCallID]*caller{}, incomplete: list.New()}
 	s.changed = sync.NewCond(&s.mu)
--- a/internal/benchwire/doc.go
+++ b/internal/benchwire/doc.go
@@ -1,8 +1,8 @@
-// Package benchwire runs the decision module on the simulator's wire. It decodes lines into calls of the module, keeps the instances
-// and their timers, and encodes what the module decides. It decides nothing.
+// Package benchwire runs the policy on the simulator's wire. It decodes lines into calls of the policy, keeps the instances
+// and their timers, and encodes what the policy decides. It decides nothing.
 //
 //   - adapter.go: batches, and which instance an event is for
-//   - instance.go: one instance of the module
+//   - instance.go: one instance of the policy
 //   - line.go: a line's name and fields
 //   - decode.go: the messages received, by the wire's names
 //   - encode.go: the actions sent, by the wire's names
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -124,7 +124,7 @@
 	}
 	for _, word := range words[2:] {
 		if part := strings.Split(word, ":"); len(part) == 3 && !strings.Contains(word, "=") {
-			m.Drains = append(m.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: golden.Span(p.t, part[1]), Incarnation: golden.Span(p.t, part[2]).Milliseconds()})
+			m.Drains = append(m.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: golden.Span(p.t, part[1]), ExecutorStart: golden.Span(p.t, part[2]).Milliseconds()})
 		}
 	}
 	for _, id := range p.f.Receive(now, m) {
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -17,9 +17,9 @@
 
 // Drain is a report that an executor is draining or gone, as some node's own endpoint list said Age ago.
 type Drain struct {
-	Executor    policy.ExecutorID
-	Incarnation int64 // names the executor's start: Unix milliseconds; 0 for long ago
-	Age         time.Duration
+	Executor      policy.ExecutorID
+	ExecutorStart int64 // names the executor's start: Unix milliseconds; 0 for long ago
+	Age           time.Duration
 }
 
 // drainState is a drain that this node knows of.
@@ -44,7 +44,7 @@
 		t.turn = (t.turn + 1) % len(ids)
 		id := ids[t.turn]
 		d := t.states[id]
-		drains = append(drains, Drain{Executor: id, Incarnation: d.incarnation, Age: now - d.seenAt})
+		drains = append(drains, Drain{Executor: id, ExecutorStart: d.incarnation, Age: now - d.seenAt})
 	}
 	return drains
 }
@@ -110,18 +110,18 @@
 		return false
 	}
 	switch {
-	case known != nil && (known.ownList || d.Incarnation < known.incarnation):
+	case known != nil && (known.ownList || d.ExecutorStart < known.incarnation):
 		return false
-	case known != nil && d.Incarnation == known.incarnation:
+	case known != nil && d.ExecutorStart == known.incarnation:
 		known.seenAt = max(known.seenAt, seenAt)
 		return false
 	}
-	t.store(d.Executor, &drainState{incarnation: d.Incarnation, seenAt: seenAt})
+	t.store(d.Executor, &drainState{incarnation: d.ExecutorStart, seenAt: seenAt})
 	return true
 }
 
 func (f *Fleet) validDrain(d Drain) bool {
-	return d.Age >= 0 && d.Age <= f.settings.DrainTTL && d.Incarnation >= 0 &&
+	return d.Age >= 0 && d.Age <= f.settings.DrainTTL && d.ExecutorStart >= 0 &&
 		d.Executor != "" && len(d.Executor) <= maxExecutorIDLength
 }
 
--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -171,7 +171,7 @@
 	return s, nil
 }
 
-// policy converts what the decision module needs, but for tenants and job classes.
+// policy converts what the policy needs, but for tenants and job classes.
 func (w *settingsJSON) policy() policy.Settings {
 	p := policy.Settings{
 		Node:                w.Node,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -108,7 +108,7 @@
 	settings, rules := &c.Settings, &c.Settings.Policy
 	rules.Seed = crc32.ChecksumIEEE([]byte(file.Seed))
 	for i := range rules.JobClasses {
-		// A connection may take so long to come up after the module has decided on a retry.
+		// A connection may take so long to come up after the policy has decided on a retry.
 		window := &rules.JobClasses[i].DedupWindow
 		*window = max(0, *window-settings.DialTimeout)
 	}
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -58,7 +58,7 @@
 	return load, ok
 }
 
-// ReportedValues says which values of a load report over HTTP the module uses, by their names there.
+// ReportedValues says which values of a load report over HTTP the policy uses, by their names there.
 func (s *Settings) ReportedValues() map[string]bool {
 	used := map[string]bool{}
 	for i, name := range loadReportNames {
@@ -67,7 +67,7 @@
 	return used
 }
 
-// ReportsLoad says whether load reports have all that the module needs of an answer.
+// ReportsLoad says whether load reports have all that the policy needs of an answer.
 func (s *Settings) ReportsLoad() bool {
 	return min(s.LoadFields[loadInFlight], s.LoadFields[loadQueued], s.LoadFields[loadFreeSlots]) >= 0
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,7 @@
 
 // Settings is the settings object, in a node's configuration and in the simulator's first message. Each field's key in the object is named with it.
 type Settings struct {
-	Policy policy.Settings // for the decision module
+	Policy policy.Settings // for the policy
 
 	LoadFields    LoadFields // where values stand in load reports: report.fields
 	Probe         Probe      // the configuration's probe; not among the settings
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -47,8 +47,8 @@
 	requiresKey bool          // its batch jobs carry an idempotency key
 }
 
-// New returns a server for these job classes that keeps to these limits. It passes what happens to post, which must not
-// block.
+// New returns a server for these job classes that keeps to these limits. It passes what happens to post, which
+// may block while the reducer's queue is full, and must not be called by the reducer.
 func New(classes []node.NumberedClass, limits ConnLimits, post func(node.Event)) *Server {
 	s := &Server{
 		post:         post,
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -124,7 +124,7 @@
 	for _, drain := range message.Drains {
 		wire.Drains = append(wire.Drains, drainMessage{
 			Executor:    string(drain.Executor),
-			Incarnation: drain.Incarnation,
+			Incarnation: drain.ExecutorStart,
 			AgeMs:       (drain.Age + time.Millisecond - 1).Milliseconds(), // rounded up: an age never shrinks on its way
 		})
 	}
@@ -171,9 +171,9 @@
 			return message, errMalformedAge
 		}
 		message.Drains = append(message.Drains, cluster.Drain{
-			Executor:    policy.ExecutorID(drain.Executor),
-			Incarnation: drain.Incarnation,
-			Age:         time.Duration(drain.AgeMs) * time.Millisecond,
+			Executor:      policy.ExecutorID(drain.Executor),
+			ExecutorStart: drain.Incarnation,
+			Age:           time.Duration(drain.AgeMs) * time.Millisecond,
 		})
 	}
 	return message, nil
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -16,7 +16,7 @@
 // Messages are decoded as they were encoded, in one datagram; drains that don't fit are left out, and ages never shrink.
 func TestMessages(t *testing.T) {
 	w := cluster.Message{From: "n7", Incarnation: 12, Seq: 3, Rates: cluster.Rates{Offered: map[int]float64{38: 1.5, 34: 0.25}, Admitted: 3, Completed: 2, Expired: 0.5, Waiting: 0.125, Migrations: 0.75},
-		Drains: []cluster.Drain{{Executor: "e1", Incarnation: 1764600000123, Age: 1500*time.Millisecond + time.Microsecond}}}
+		Drains: []cluster.Drain{{Executor: "e1", ExecutorStart: 1764600000123, Age: 1500*time.Millisecond + time.Microsecond}}}
 	b, err := encodeGossip(w)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -23,7 +23,7 @@
 		{"no field set", cluster.Message{}},
 		{"every field set", cluster.Message{From: "n7", Incarnation: 12, Seq: 3, Rates: cluster.Rates{
 			Offered: map[int]float64{38: 1.5, 34: 0.25}, Completed: 2, Expired: 0.5, Waiting: 0.125, Admitted: 3, Migrations: 0.75},
-			Drains: []cluster.Drain{{Executor: "e1", Incarnation: 1764600000123, Age: 1500 * time.Millisecond}, {Executor: "e2"}}}},
+			Drains: []cluster.Drain{{Executor: "e1", ExecutorStart: 1764600000123, Age: 1500 * time.Millisecond}, {Executor: "e2"}}}},
 	} {
 		b, err := encodeGossip(c.message)
 		if err != nil {
--- a/internal/hotrestart/transport.go
+++ b/internal/hotrestart/transport.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// AcceptConnections makes this process the one that a successor joins. If the socket can't be had, none can join, and the process goes
+// AcceptConnections makes this process the one that a successor joins; false does nothing, since the successor takes the
+// socket's name over. If the socket can't be had, none can join, and the process goes
 // on without.
 func (t *Transport) AcceptConnections(accept bool) {
 	if !accept {
--- a/internal/leases/book.go
+++ b/internal/leases/book.go
@@ -21,7 +21,7 @@
 	settings   Settings
 	jobs       map[ID]*job
 	waiting    waitHeap // jobs in state Waiting
-	dispatched int      // jobs in state InHand
+	dispatched int      // jobs in state Dispatched
 	stopped    bool     // the node is shutting down
 
 	timers   timerHeap
--- a/internal/leases/effects.go
+++ b/internal/leases/effects.go
@@ -11,9 +11,9 @@
 
 // Effects on the disk.
 type (
-	// StoreJob writes a job's record. Kept or NotKept reports the result.
+	// StoreJob writes a job's record. JobStored or JobNotStored reports the result.
 	StoreJob struct{ ID ID }
-	// StoreAttempt writes the record of an attempt. SendKept reports it.
+	// StoreAttempt writes the record of an attempt. AttemptStored reports it.
 	StoreAttempt struct {
 		ID      ID
 		Attempt Attempt
@@ -23,7 +23,7 @@
 		ID    ID
 		Epoch Epoch
 	}
-	// StoreFinal writes a final answer. FinalKept reports it.
+	// StoreFinal writes a final answer. FinalStored reports it.
 	StoreFinal struct {
 		ID     ID
 		Final  Final
@@ -47,7 +47,7 @@
 		ID    ID
 		Epoch Epoch
 	}
-	// QueryAttempt asks an executor what became of an epoch. Told reports the answer.
+	// QueryAttempt asks an executor what became of an epoch. AttemptQueried reports the answer.
 	QueryAttempt struct {
 		ID       ID
 		Epoch    Epoch
--- a/internal/leases/job.go
+++ b/internal/leases/job.go
@@ -26,10 +26,10 @@
 	Done
 )
 
-// stateNames are the states as clients are told them.
+// stateNames are the names of the states, for logs and tests; clients get those of package durable.
 var stateNames = [...]string{"keeping", "waiting", "in hand", "asking", "closing", "done"}
 
-// String returns the state's name as clients are told it.
+// String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
 // Final is the kind of a final answer. The values are those of package node.
@@ -85,7 +85,7 @@
 	Job
 	state         State
 	attempts      []Attempt // by epoch, from 1
-	queryInFlight bool      // while Asking: an Ask is not answered yet
+	queryInFlight bool      // while Querying: a QueryAttempt is unanswered
 	final         Final
 	result        []byte
 
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -90,7 +90,7 @@
 	m := n.metrics.snapshot()
 	m.InFlight = n.jobs.inFlight()
 	m.KnownExecutors = len(n.endpoints.byID)
-	m.ExcludedExecutors = n.policy.CountExcluded(n.now)
+	m.ExcludedExecutors = n.policy.CountUnusable(n.now)
 	return &m
 }
 
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -11,7 +11,7 @@
 // probeReserve is the share of the connection limit, one in so many, that load probes leave free for attempts.
 const probeReserve = 8
 
-// minAttemptBudget is the least time that an executor is told it has for an attempt.
+// minAttemptBudget is the least time that an attempt gives its executor.
 const minAttemptBudget = time.Millisecond
 
 type connState int
@@ -113,7 +113,8 @@
 	return j
 }
 
-// startAttempt sends an attempt of a job to an executor. If it can't be sent, the policy is told so at once.
+// startAttempt sends an attempt of a job to an executor. If it can't be sent, that is reported to the policy at once, which
+// may start the next one; the class's most attempts bound the recursion.
 func (n *Node) startAttempt(j *job, id policy.ExecutorID) {
 	attempt := j.startAttempt()
 	if e := n.endpoints.get(id); e == nil || !n.assignConn(j, attempt, e, n.now) {
@@ -221,10 +222,10 @@
 	c.state, c.progressed, c.writtenAt = connBusy, false, n.now
 	n.metrics.countAttempt()
 	n.emit(WriteAttempt{c.id, Attempt{
-		Request:    &c.job.Request,
-		Budget:     max(c.job.deadline-n.now, minAttemptBudget),
-		AtMostOnce: n.classes.idempotency[c.job.Class] != policy.Idempotent,
-		Client:     c.job.Client,
+		Request:       &c.job.Request,
+		Budget:        max(c.job.deadline-n.now, minAttemptBudget),
+		NotIdempotent: n.classes.idempotency[c.job.Class] != policy.Idempotent,
+		Client:        c.job.Client,
 	}})
 }
 
@@ -383,17 +384,19 @@
 	}
 	c.state = connFinished
 	j := n.conns.detachJob(c)
-	switch {
-	case j == nil:
-	case !c.wasIdle && !c.abandoned:
+	if j == nil {
+		return
+	}
+	if !c.wasIdle && !c.abandoned {
 		if detail == "" {
 			detail = "no connection: closed as soon as it was up"
 		}
 		n.emit(Log{Text: detail, Executor: c.executor.id, Job: j.ID})
 		n.closeIdleConns(c.executor)
 		n.attemptOver(j, c.attempt, policy.ConnectFailed)
-	case n.reassignConn(c, j):
-	default:
+		return
+	}
+	if !n.reassignConn(c, j) {
 		n.attemptOver(j, c.attempt, policy.NotSent)
 	}
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -21,7 +21,8 @@
 //
 // # Files
 //
-// Each area of the state has a struct of its own, whose fields are written only by the file that declares it.
+// Each area of the state has a struct of its own, whose fields the file that declares it writes; others call its
+// methods, but for a reload, which also sets Limits.
 //
 //	events.go       events and the values they carry
 //	effects.go      effects
@@ -32,7 +33,8 @@
 //	conns.go        connections to executors, attempts on them, load probes
 //	idle_conns.go   idle connections by age
 //	endpoints.go    the executors that the endpoint list names
-//	job_classes.go  job classes and configuration reloads
+//	job_classes.go  job classes
+//	reload.go       configuration reloads
 //	admin.go        operators' commands
 //	metrics.go      counters that operators read
 //	gossip.go       what the node exchanges with the rest of its fleet
@@ -65,5 +67,5 @@
 // yielded it accepts connections but tells operators that it is not ready; both waits are bounded (stateTimeout, yieldTimeout).
 // If a link goes down early, the process that remains goes on alone: a successor without the state, a predecessor by
 // accepting connections again. Only one of the two may send work to executors in slow start: the predecessor until it yields,
-// and the successor once everything that the predecessor may have sent is out of the slow-start limit's window.
+// and the successor once everything that the predecessor may have sent is out of the slow-start budget's window.
 package node
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -26,7 +26,7 @@
 	// DrainClients starts or ends a drain of clients: while it is on, the node reports not ready and closes clients'
 	// connections after their answers. Jobs that still arrive are taken.
 	DrainClients struct{ On bool }
-	// AcceptConnections sets whether this process accepts new connections from clients. Package hotrestart is told as well.
+	// AcceptConnections sets whether this process accepts new connections from clients. Package hotrestart gets it as well.
 	AcceptConnections struct{ Yes bool }
 	// HalveLimits halves the resource limits of this process, or restores them.
 	HalveLimits struct{ Half bool }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -70,9 +70,9 @@
 // Attempt is one attempt of a job, as it is sent to an executor.
 type Attempt struct {
 	*Request
-	Budget     time.Duration // how long this node waits for it
-	AtMostOnce bool          // it must not run again unless it provably never ran
-	Client     Client        // checked right before the first byte; nil if nobody waits
+	Budget        time.Duration // how long this node waits for it
+	NotIdempotent bool          // it may run again only if it provably never ran, or, with a key, within its dedup group
+	Client        Client        // checked right before the first byte; nil if nobody waits
 }
 
 // Final is the kind of a job's final answer.
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -189,7 +189,7 @@
 }
 
 // reserveSlowStart keeps the policy from executors in slow start until everything that another process may have sent them is
-// out of the slow-start limit's window.
+// out of the slow-start budget's window.
 func (n *Node) reserveSlowStart() {
 	n.policy.ReserveSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -12,7 +12,7 @@
 	Attempts          int            // attempts whose last byte was written
 	InFlight          int            // jobs without a final answer
 	KnownExecutors    int            // executors on the endpoint list
-	ExcludedExecutors int            // of these, executors that get no new work: excluded, draining or ejected
+	ExcludedExecutors int            // of these, executors that get no new attempts: excluded, draining, ejected, unresponsive, or in slow start and another node's
 	ReloadsApplied    int            // configuration reloads that took effect
 	ReloadsRejected   int            // configuration reloads that were invalid
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,7 +21,7 @@
 	MaxWork         time.Duration // a longer estimate of a job's run time counts as this
 	LameDuckPeriod  time.Duration // how long new jobs are taken after a shutdown was requested
 	ShutdownTimeout time.Duration // all jobs are answered so long after a shutdown was requested
-	SlowStartWindow time.Duration // the window of the slow-start limit, with a margin for attempts in flight
+	SlowStartWindow time.Duration // the window of the slow-start budget, with a margin for attempts in flight
 }
 
 // PolicyPanicked begins the log line of a panic of the policy.
@@ -44,7 +44,7 @@
 	Place(now time.Duration, job policy.JobID) policy.Decision
 	AttemptEnded(now time.Duration, job policy.JobID, attempt policy.AttemptID, outcome policy.Outcome, final bool) policy.Decision
 	NextTask(now time.Duration) policy.DueTask
-	CountExcluded(now time.Duration) int
+	CountUnusable(now time.Duration) int
 	ReserveSlowStartUntil(now, until time.Duration)
 	UpdateJobClasses(now time.Duration, classes []policy.JobClassUpdate)
 	ExportLearned(now time.Duration) policy.LearnedState
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -11,7 +11,7 @@
 	requested       bool
 	lameDuckUntil   time.Duration
 	deadline        time.Duration
-	frontendClosing bool // every job is answered, and the frontend has been told to close
+	frontendClosing bool // every job is answered, and the frontend was asked to close
 }
 
 // limitDeadline brings a job's deadline forward to the deadline of the shutdown.
@@ -50,7 +50,7 @@
 	n.emit(CloseFrontend{})
 }
 
-// frontendClosed ends the process. A job that arrived while the frontend was closing is answered first; the frontend is told
+// frontendClosed ends the process. A job that arrived while the frontend was closing is answered first; the frontend is asked
 // to close again and reports when it has. Without a shutdown the frontend has failed, and no client would get an answer.
 func (n *Node) frontendClosed() {
 	if n.shutdown.requested && n.jobs.inFlight() > 0 {
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -257,8 +257,8 @@
 // ShutDownBy implements node.Policy.
 func (b *baseline) ShutDownBy(time.Duration, time.Duration) {}
 
-// CountExcluded implements node.Policy.
-func (b *baseline) CountExcluded(time.Duration) int { return 0 }
+// CountUnusable implements node.Policy.
+func (b *baseline) CountUnusable(time.Duration) int { return 0 }
 
 // ReserveSlowStartUntil implements node.Policy.
 func (b *baseline) ReserveSlowStartUntil(time.Duration, time.Duration) {}
--- a/internal/site/durable.go
+++ b/internal/site/durable.go
@@ -15,7 +15,7 @@
 	Retention      tomlfile.Duration `toml:"keep"`        // how long a final answer can be asked for; default 24h
 	SegmentSize    tomlfile.ByteSize `toml:"segment"`     // of the log; default 1MiB
 	MaxSize        tomlfile.ByteSize `toml:"most"`        // of the whole log, which is in memory as well; over it new jobs are rejected; default 16MiB
-	MaxConcurrent  int               `toml:"in-hand"`     // jobs handed to the decision module at a time; the others wait on the disk; default 256
+	MaxConcurrent  int               `toml:"in-hand"`     // jobs handed to the policy at a time; the others wait on the disk; default 256
 	ExecutorLeases bool              `toml:"leases"`      // executors can be polled for what they run and have finished; default false
 	PollInterval   tomlfile.Duration `toml:"ask-every"`   // between polls while an executor can't be reached, or still runs the job; default 2s
 }
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -28,7 +28,7 @@
 		{"idempotent with a key", node.Attempt{Request: &node.Request{ID: "order-1", Method: "POST", URI: "/x?q=%20", Host: "backend.local",
 			ContentType: "text/plain", IdempotencyKey: "key-1", Body: []byte("body\r\n")}, Budget: 480*time.Millisecond + 900*time.Microsecond}},
 		{"at most once", node.Attempt{Request: &node.Request{ID: "pay-1", Method: "POST", URI: "/pay", Host: "n0", ContentType: "application/json",
-			Body: []byte(`{"sum":1}`)}, Budget: 300 * time.Microsecond, AtMostOnce: true}},
+			Body: []byte(`{"sum":1}`)}, Budget: 300 * time.Microsecond, NotIdempotent: true}},
 		{"durable, with a lease", node.Attempt{Request: &node.Request{ID: "job-1", Method: "POST", URI: "/job", Host: "n0", IdempotencyKey: "key-2",
 			Epoch: 4294967295, Body: []byte("x")}, Budget: time.Hour}},
 		{"no host, past its deadline", node.Attempt{Request: &node.Request{ID: "page-2", Method: "POST", URI: "/"}, Budget: -time.Second}},
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -75,7 +75,7 @@
 	if c.closed || c.conn == nil || c.job != "" {
 		return false
 	}
-	c.job, c.atMostOnce, c.written = a.ID, a.AtMostOnce, make(chan writeResult, 1)
+	c.job, c.atMostOnce, c.written = a.ID, a.NotIdempotent, make(chan writeResult, 1)
 	return true
 }
 
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -115,7 +115,7 @@
 
 func atMostOnce(id string) node.Attempt {
 	a := attempt(id)
-	a.AtMostOnce = true
+	a.NotIdempotent = true
 	return a
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// New returns an empty pool. usesReports: responses are searched for load reports. post must not block.
+// New returns an empty pool. usesReports: responses are searched for load reports. post may block while the reducer's queue is full.
 func New(dial Dialer, usesReports bool, probe ProbeConfig, post func(node.Event)) *Pool {
 	return &Pool{post: post, dial: dial, usesReports: usesReports, probe: probe, conns: map[node.ConnID]*executorConn{}}
 }
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -9,7 +9,7 @@
 const Forever time.Duration = math.MaxInt64
 
 // clock is what the dispatcher knows of its own turns. A turn is all calls with the same time. A node that stalled must not
-// take what it is told late for fresh.
+// take late reports for fresh ones.
 type clock struct {
 	now        time.Duration // the start of this turn
 	wakeAt     time.Duration // when this turn was wanted
--- a/policy/decisions.go
+++ b/policy/decisions.go
@@ -18,7 +18,7 @@
 type Decision struct {
 	Action     Action
 	Executor   ExecutorID    // of Send
-	RetryAfter time.Duration // of Reject; 0: the client is told nothing
+	RetryAfter time.Duration // of Reject; 0: no advice
 }
 
 // Task is a kind of work that has fallen due.
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -7,7 +7,8 @@
 )
 
 // Dispatcher decides for one node which executor gets which job, and when. It is not safe for concurrent use: one
-// goroutine, the reducer's, owns it. Each field below belongs to one rule, which stands in the file of the same name.
+// goroutine, the reducer's, owns it. Each field below belongs to one rule, in the file that
+// declares its type.
 type Dispatcher struct {
 	config config
 	clock  clock
@@ -27,7 +28,7 @@
 	quota     quotaState
 	zoneLoad  zoneLoad
 	slowStart slowStart
-	health    healthChecks
+	probes    pendingProbes
 	leases    leaseTable
 	shedding  loadShedding
 }
@@ -84,7 +85,8 @@
 }
 
 // Place decides where to send a job, or that it waits, is rejected or fails. The caller asks after NextTask returned
-// PlaceJob for it; for a job that is over or has its attempts out there is nothing to do.
+// PlaceJob for it; for a job that is over, or has an attempt out and wants no hedge,
+// there is nothing to do.
 func (d *Dispatcher) Place(now time.Duration, id JobID) Decision {
 	j := d.jobs[id]
 	if j == nil || j.finished {
@@ -145,7 +147,7 @@
 	d.timers.placeJob(max(next, now+d.config.quantum), j)
 }
 
-// AttemptStarted tells that an executor has started an attempt.
+// AttemptStarted reports that an executor has started an attempt.
 func (d *Dispatcher) AttemptStarted(now time.Duration, id JobID, number AttemptID) {
 	d.beginTurn(now)
 	a := d.findAttempt(id, number)
@@ -165,7 +167,7 @@
 	e.queuing.recordStart(a.tenantID)
 }
 
-// AttemptProgressed tells which fraction of an attempt is done.
+// AttemptProgressed reports which fraction of an attempt is done.
 func (d *Dispatcher) AttemptProgressed(now time.Duration, id JobID, number AttemptID, fraction float64) {
 	a := d.findAttempt(id, number)
 	if a == nil {
@@ -203,14 +205,14 @@
 	return d.Place(now, id)
 }
 
-// ClientLeft tells that a job's client has left: no answer is owed any more.
+// ClientLeft reports that a job's client has left: no answer is owed any more.
 func (d *Dispatcher) ClientLeft(now time.Duration, id JobID) {
 	if j := d.jobs[id]; j != nil {
 		d.finish(j, now)
 	}
 }
 
-// NextTask returns what has fallen due, or until when nothing will. The caller asks until it is told to sleep, and again
+// NextTask returns what has fallen due, or until when nothing will. The caller asks until the task is Sleep, and again
 // at that time and after each call that tells something.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.beginTurn(now)
@@ -258,7 +260,7 @@
 			d.releaseToken(due.executor, now, false)
 		case checkAttemptTimer:
 			a := due.attempt
-			if a.generation == due.generation && d.shouldCancel(a, now) {
+			if a.generation == due.generation && d.reviewAttempt(a, now) {
 				a.canceling = true
 				return DueTask{Task: CancelAttempt, Job: a.id, Attempt: a.number}, true
 			}
@@ -276,7 +278,7 @@
 	}
 }
 
-// ShutDownBy tells that the node shuts down: all jobs must have their answers by then. Those that can't be completed in
+// ShutDownBy reports that the node shuts down: all jobs must have their answers by then. Those that can't be completed in
 // time get theirs at once.
 func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
 	d.clock.shutdownBy = by
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -12,8 +12,9 @@
 //	ReceiveLeaseMessage                    another node's lease message
 //	SetAdmissionThreshold                  which jobs the fleet has no capacity for
 //	UpdateJobClasses, ShutDownBy           a new configuration; the node shuts down
+//	ReserveSlowStartUntil, ImportLearned   from when on slow start is this process's; what its predecessor learned
 //
-// and asks three things: Place (where to send this job, or that it waits, is rejected or fails), AttemptEnded (what to do
+// reads reports (TakeLoadSummary, ExportLearned, CountUnusable) and asks three things: Place (where to send this job, or that it waits, is rejected or fails), AttemptEnded (what to do
 // after this outcome) and NextTask (what has fallen due, or until when nothing will). Calls and answers are plain values;
 // their types are in ids.go, settings.go, events.go and decisions.go.
 //
@@ -28,7 +29,7 @@
 //     no capacity for its priority level (load_shedding.go).
 //  2. It waits in the queue, by its slack and its value for the work (queue.go, value.go), until an executor has a free
 //     token under its quota.
-//  3. It takes the oldest token among those of the subset (placement.go, subset.go), and an attempt goes out.
+//  3. It takes the token with the highest weighted age among those of the subset (placement.go, subset.go), and an attempt goes out.
 //  4. The outcome frees the token, or causes a retry (outcome.go, retry.go).
 //  5. Once an interval each quota moves by one at most, by the waiting at the executor and here (quota.go).
 //
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -88,7 +88,7 @@
 	return longest
 }
 
-// UpdateEndpoints tells what discovery brought: the complete list, changes to it, a cached list from before the start, or
+// UpdateEndpoints takes up what discovery brought: the complete list, changes to it, a cached list from before the start, or
 // that the watch failed.
 func (d *Dispatcher) UpdateEndpoints(now time.Duration, kind EndpointUpdateKind, entries []Endpoint) {
 	d.poll.outstanding = false
@@ -266,8 +266,8 @@
 	})
 }
 
-// CountExcluded returns how many executors on the endpoint list get no new attempt from this node now, for any reason.
-func (d *Dispatcher) CountExcluded(now time.Duration) int {
+// CountUnusable returns how many executors on the endpoint list get no new attempt from this node now, for any reason.
+func (d *Dispatcher) CountUnusable(now time.Duration) int {
 	count := 0
 	for _, e := range d.endpoints.ranked {
 		if !e.removed && !d.isUsable(e, now) {
--- a/policy/events.go
+++ b/policy/events.go
@@ -12,7 +12,7 @@
 	InvalidRequest         // the executor can't use the request; the job may have run
 	ExecutorFull           // the executor rejected it unseen; it never ran
 	TimedOut               // no answer in time; it may have run, and may still run
-	ConnectFailed          // no connection; it never ran
+	ConnectFailed          // no connection, or it broke before the last byte of the request was written; it never ran
 	ConnectionLost         // the connection broke; it may have run
 	Canceled               // it was canceled by this node; it may have run
 	NotSent                // it never left this node
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// healthChecks is which executors owe a sign of life.
-type healthChecks struct {
+// pendingProbes is which executors owe a sign of life.
+type pendingProbes struct {
 	awaitingReply []*executor
 }
 
 // await adds an executor that has a health check out, or is unresponsive.
-func (c *healthChecks) await(e *executor) {
+func (c *pendingProbes) await(e *executor) {
 	if !e.health.awaited {
 		e.health.awaited = true
 		c.awaitingReply = append(c.awaitingReply, e)
@@ -19,7 +19,7 @@
 }
 
 // pending returns the executors that still owe a sign of life, in the order in which they got tokens.
-func (c *healthChecks) pending() []*executor {
+func (c *pendingProbes) pending() []*executor {
 	c.awaitingReply = slices.DeleteFunc(c.awaitingReply, func(e *executor) bool {
 		e.health.awaited = e.health.probeOut || e.health.unresponsive
 		return !e.health.awaited
@@ -34,7 +34,7 @@
 	e.health.unresponsive = true
 	e.health.timeouts = timeouts
 	d.subset.invalidate()
-	d.health.await(e)
+	d.probes.await(e)
 }
 
 // ProbeEnded tells what came of a health check. The load is valid only if it was answered.
@@ -80,7 +80,7 @@
 	}
 	e.health.probeOut = true
 	e.health.probedAt = now
-	d.health.await(e)
+	d.probes.await(e)
 	d.outbox = append(d.outbox, DueTask{Task: ProbeExecutor, Executor: e.id})
 	d.timers.checkAll(now + d.classes.shortestObjective)
 }
@@ -94,7 +94,7 @@
 // checkProbes marks executors that did not answer a health check within the shortest objective as unresponsive, and
 // checks those again: each timeout in a row makes the interval longer by one mean running time, up to maxBackoffFactor.
 func (d *Dispatcher) checkProbes(now time.Duration) {
-	for _, e := range d.health.pending() {
+	for _, e := range d.probes.pending() {
 		if e.tokens.joined == 0 {
 			continue
 		}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -39,7 +39,7 @@
 // observeConcurrency records how many jobs of this node run at once at an executor of the kind.
 func (k *kindStats) observeConcurrency(running int) { k.concurrency = max(k.concurrency, running) }
 
-// observeReport updates the slots by a load report. While jobs wait, the number of them is told roughly, so that only a
+// observeReport updates the slots by a load report. While jobs wait, their number is reported roughly, so that only a
 // report of none is exact.
 func (k *kindStats) observeReport(slots, queued float64) {
 	if k.reportedSlots == 0 {
@@ -185,7 +185,7 @@
 	return best
 }
 
-// LoadReported tells what an executor reports of its load with an answer. A report that is incomplete is passed over.
+// LoadReported takes up a load report that came with an answer. A report that is incomplete is passed over.
 func (d *Dispatcher) LoadReported(id ExecutorID, load Load) {
 	e := d.endpoints.byID[id]
 	slots := load.InFlight - load.Queued + load.FreeSlots
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -223,7 +223,7 @@
 	d.sendLease(now, e.lease.holder, message, e.hash)
 }
 
-// ReceiveLeaseMessage tells of a lease message from another node about an executor's slots.
+// ReceiveLeaseMessage takes up a lease message from another node about an executor's slots.
 func (d *Dispatcher) ReceiveLeaseMessage(now time.Duration, from NodeID, message LeaseMessage, hash ExecutorHash) {
 	switch message {
 	case LeaseGrant, LeaseWait:
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -8,9 +8,9 @@
 	migrationGain      = 2   // times the running time elsewhere that a started attempt must still need to be migrated
 )
 
-// shouldCancel reports whether to stop waiting for an attempt: its job is over, it can earn nothing more, or it is
+// reviewAttempt reports whether to stop waiting for an attempt: its job is over, it can earn nothing more, or it is
 // migrated. It also has quiet executors checked, requests hedges, and schedules the attempt's next check.
-func (d *Dispatcher) shouldCancel(a *attempt, now time.Duration) bool {
+func (d *Dispatcher) reviewAttempt(a *attempt, now time.Duration) bool {
 	if a.canceling || !d.config.canCancel {
 		return false
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -71,16 +71,16 @@
 	MayHedge           bool          // an idempotent job may have a second attempt out
 	ClientsMarkRetries bool          // clients mark their retries
 	MayProbe           bool          // executors answer health checks with their load
-	MaxRetryAfter      time.Duration // the most that a rejected client is told to wait; 0: it is told nothing
-	Quantum            time.Duration // of the node's clock: what is this close to a deadline counts as at it
+	MaxRetryAfter      time.Duration // the longest advised wait of a rejected client; 0: no advice
+	Quantum            time.Duration // what is this close to a deadline counts as at it
 
 	LoadAdjustedWeights bool          // weights in the endpoint list fall with the load
 	EndpointsPolled     bool          // the endpoint list comes only when it is polled
-	PollWithin          time.Duration // time from the start within which a node must have it
+	PollWithin          time.Duration // from the node's start until it must have the endpoint list
 	SlowStartCapacity   float64       // fraction of its capacity that an executor has at its start
-	SlowStartDuration   time.Duration // until it has all of it
+	SlowStartDuration   time.Duration // from an executor's start until it has its full capacity
 	OverloadMultiple    float64       // times its capacity that an executor in slow start may be sent (rule 4)
-	OverloadWindow      time.Duration // within this window
+	OverloadWindow      time.Duration // the window over which that work is summed
 	StartNotices        bool          // executors tell when a job starts
 	ProgressInterval    time.Duration // between an executor's progress notices; 0: there are none
 }
