--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -14,7 +14,7 @@
 // NodeName is a node's name in the fleet.
 type NodeName string
 
-// Settings are what a node is told of its fleet.
+// Settings are the settings of a node of a fleet.
 type Settings struct {
 	Self           NodeName
 	Incarnation    uint64        // of this process, increasing with each start: Unix milliseconds at its start
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Config is what a node is told at its start, by its configuration file and the environment. Each field's key in the file is named with it.
+// Config is the configuration of a node, from its file and the environment. Each field's key in the file is named with it.
 type Config struct {
 	Name      string // of the node: name, or ROUTER_NAME; required
 	Listen    string // address and port for clients: listen, or ROUTER_LISTEN; required
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -51,7 +51,7 @@
 	return min(clients, int(memoryBytes/clientMemoryShare/clientConnBytes)), executors
 }
 
-// When the platform kills a node that was told to stop: not before the longest deadline or killAfter, whichever is shorter, and killGrace more.
+// When the platform kills a node after SIGTERM: not before the longest deadline or killAfter, whichever is shorter, and killGrace more.
 const (
 	killAfter = 3 * time.Second
 	killGrace = 700 * time.Millisecond
--- a/internal/durable/effects.go
+++ b/internal/durable/effects.go
@@ -26,7 +26,7 @@
 		case leases.StoreJob:
 			m.writeAccepted(effect.ID)
 		case leases.StoreAttempt:
-			m.writeSend(effect)
+			m.writeAttempt(effect)
 		case leases.StoreNeverRan:
 			m.write(store.Record{Kind: store.AttemptEnded, ID: string(effect.ID), At: time.Now(), Epoch: uint32(effect.Epoch), NeverRan: true}, nil)
 		case leases.StoreFinal:
@@ -70,7 +70,7 @@
 	})
 }
 
-// writeAccepted writes the record of a submission. If that fails, its client is told and the job is forgotten.
+// writeAccepted writes the record of a submission. If that fails, its client gets an error and the job is forgotten.
 func (m *Manager) writeAccepted(id leases.ID) {
 	m.mu.Lock()
 	record := m.unwritten[id]
@@ -90,7 +90,7 @@
 	})
 }
 
-func (m *Manager) writeSend(effect leases.StoreAttempt) {
+func (m *Manager) writeAttempt(effect leases.StoreAttempt) {
 	record := store.Record{
 		Kind:     store.AttemptStarted,
 		ID:       string(effect.ID),
--- a/internal/frontend/waiting_client.go
+++ b/internal/frontend/waiting_client.go
@@ -15,7 +15,7 @@
 
 // Gone implements node.Client: it returns whether the client has left, as the system knows it now. It is called right
 // before an attempt's first byte is written: the client's close may lie unread in the system, behind a reader that is late
-// or a process that stood still. The handler is told as well, since no reader may come to see the close.
+// or a process that stood still. The handler is notified as well, since no reader may come to see the close.
 func (w *waitingClient) Gone() bool {
 	if w.finished.Load() {
 		return true
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -27,7 +27,7 @@
 	From        string          `cbor:"1,keyasint"`
 	Incarnation uint64          `cbor:"2,keyasint"`
 	Seq         uint64          `cbor:"3,keyasint"`
-	Offered     map[int]float32 `cbor:"4,keyasint,omitempty"` // work a second, by value rung
+	Offered     map[int]float32 `cbor:"4,keyasint,omitempty"` // work a second, by priority level
 	Completed   float32         `cbor:"5,keyasint,omitempty"`
 	Expired     float32         `cbor:"6,keyasint,omitempty"`
 	Drains      []drainMessage  `cbor:"7,keyasint,omitempty"`
@@ -53,7 +53,7 @@
 	Hash    uint32 // of the executor
 }
 
-// Reasons why a message is dropped. Their texts are reasons in the operators' figures.
+// Reasons why a message is dropped. Their texts are part of the answer to operators.
 var (
 	errTooLong      = errors.New("longer than a word may be")
 	errMalformed    = errors.New("that make no sense")
@@ -117,8 +117,8 @@
 	}
 	if len(rates.Offered) > 0 {
 		wire.Offered = map[int]float32{}
-		for rung, rate := range rates.Offered {
-			wire.Offered[rung] = float32(rate)
+		for level, rate := range rates.Offered {
+			wire.Offered[level] = float32(rate)
 		}
 	}
 	for _, drain := range message.Drains {
@@ -163,8 +163,8 @@
 			Migrations: float64(wire.Migrations),
 		},
 	}
-	for rung, rate := range wire.Offered {
-		message.Rates.Offered[rung] = float64(rate)
+	for level, rate := range wire.Offered {
+		message.Rates.Offered[level] = float64(rate)
 	}
 	for _, drain := range wire.Drains {
 		if drain.AgeMs < 0 || drain.AgeMs > maxAgeMillis {
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -176,8 +176,8 @@
 	list.Join([]string{addr}) //nolint:errcheck // the caller tries again
 }
 
-// rejoinResumed joins peers that are taken for dead here and have sent a message since. Guards against a node that was wrongly taken for dead and
-// does not know: it takes all others for alive, so it joins nobody, and they send it nothing. memberlist notifies such a node and takes its
+// rejoinResumed joins peers that are taken for dead here and have sent a message since. Without it a node that was wrongly taken for dead would not come back
+// as long as it does not know: it takes all others for alive, so it joins nobody, and they send it nothing. memberlist notifies such a node and takes its
 // refutation in a few datagrams; where these are lost, only an exchange with a random peer, one in 10 s, would bring it back.
 func (m *Membership) rejoinResumed(ctx context.Context, list *memberlist.Memberlist) {
 	for {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -67,7 +67,7 @@
 // StreamCh gives memberlist the accepted connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// limitStreams hands accepted connections on while fewer than maxStreams are open. Guards against hosts that open many and send nothing: they would
+// limitStreams hands accepted connections on while fewer than maxStreams are open. Hosts that open many and send nothing would otherwise
 // exhaust the descriptors of clients and discovery.
 func (t *transport) limitStreams() {
 	slots := make(chan struct{}, maxStreams)
--- a/internal/leases/book.go
+++ b/internal/leases/book.go
@@ -191,7 +191,7 @@
 	b.finalize(j, final, nil)
 }
 
-// FinalStored reports that a final answer is on disk. Only now clients are told.
+// FinalStored reports that a final answer is on disk. Only now clients get it.
 func (b *Book) FinalStored(now time.Duration, id ID) []Effect {
 	if j := b.jobs[id]; j != nil && j.state == StoringFinal {
 		b.retain(j, now+b.settings.AnswerTTL)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -54,7 +54,7 @@
 	gossip.Options
 }
 
-// JobClasses returns the policy's job classes with their names. The policy has a second class for each track of the
+// JobClasses returns the policy's job classes with their names. The policy has a second class for each job class of the
 // settings where durable batch jobs are on.
 func JobClasses(s config.Settings) (classes []node.JobClass) {
 	for i, class := range s.Policy.JobClasses {
--- a/internal/synctesting/synctesting.go
+++ b/internal/synctesting/synctesting.go
@@ -10,7 +10,7 @@
 
 // Test is synctest.Test, with one processor while the race detector watches.
 //
-// Guards against a fault of Go 1.26's runtime: a bubble has one race context for all its timers (time.go, unlockAndRun), and besides
+// The reason is a fault of Go 1.26's runtime: a bubble has one race context for all its timers (time.go, unlockAndRun), and besides
 // the clock each goroutine of the bubble that waits for a timer which is due, or sets one to now, runs that timer itself. Two at once
 // corrupt the context, and the process dies of SIGSEGV in the race detector. With one processor no two run at once, and what the
 // detector finds by order of events it finds all the same.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -25,7 +25,7 @@
 
 	// The attempt that it carries.
 	job            policy.JobID     // empty while the connection is idle
-	atMostOnce     bool             // the job must not run again unless the attempt provably never ran
+	notIdempotent  bool             // the job must not run again unless the attempt provably never ran
 	writeStarted   bool             // a byte of it may have been sent
 	writeDone      bool             // its last byte has been sent
 	written        chan writeResult // gets how its write ended, once
@@ -75,7 +75,7 @@
 	if c.closed || c.conn == nil || c.job != "" {
 		return false
 	}
-	c.job, c.atMostOnce, c.written = a.ID, a.NotIdempotent, make(chan writeResult, 1)
+	c.job, c.notIdempotent, c.written = a.ID, a.NotIdempotent, make(chan writeResult, 1)
 	return true
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -129,7 +129,7 @@
 func (c *executorConn) mayBeStale() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.atMostOnce && !c.idleSince.IsZero() && (!c.writeDone || c.writeStartedAt.Sub(c.idleSince) < staleWindow)
+	return c.notIdempotent && !c.idleSince.IsZero() && (!c.writeDone || c.writeStartedAt.Sub(c.idleSince) < staleWindow)
 }
 
 // confirmRejection waits whether another response follows. If so, the rejection was not this attempt's, and the error
--- a/policy/config.go
+++ b/policy/config.go
@@ -16,7 +16,7 @@
 	worstClassWeight float64 // of the class that fares worst in it
 
 	maxAttempts         int           // of classes that have no limit of their own
-	retryAfter          time.Duration // the most that a rejected client is told to wait; 0: nothing is told
+	retryAfter          time.Duration // the longest advised wait of a rejected client; 0: no advice
 	canCancel           bool          // an attempt may be canceled
 	canHedge            bool          // an idempotent job may have a second attempt out
 	canProbe            bool          // executors answer probes with their load
--- a/policy/job.go
+++ b/policy/job.go
@@ -104,7 +104,7 @@
 }
 
 // elapsed returns the time since an attempt was sent, without the time that this node stalled before its turn: what it is
-// told now may be that old.
+// reported now may be that old.
 func (d *Dispatcher) elapsed(a *attempt) time.Duration {
 	return max(0, d.clock.now-a.sentAt-d.clock.stalledFor)
 }
