--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -40,19 +40,19 @@
 // Account attributes the value that a world did not earn to causes. In each row the value offered is the value earned plus the value
 // lost, by cause.
 type Account struct {
-	Scenario  string `json:"scenario"`
-	Seed      uint64 `json:"seed"`
-	Policy    Policy `json:"policy"`
-	Nodes     int    `json:"nodes"`
-	Executors int    `json:"executors"`
-	Length    Span   `json:"length"`
-	Broken    int    `json:"rules_broken"` // violations of invariants
+	Scenario   string `json:"scenario"`
+	Seed       uint64 `json:"seed"`
+	Policy     Policy `json:"policy"`
+	Nodes      int    `json:"nodes"`
+	Executors  int    `json:"executors"`
+	Length     Span   `json:"length"`
+	Violations int    `json:"rules_broken"` // violations of invariants
 
 	Worst      float64 `json:"worst"`       // share earned in the worst 10 s
 	WorstClass float64 `json:"worst_track"` // share earned in the worst class
 
 	All     AccountRow   `json:"all"`
-	Tracks  []AccountRow `json:"tracks"`  // by class
+	Classes []AccountRow `json:"tracks"`  // by class
 	Traffic []AccountRow `json:"traffic"` // by quarters of the nodes, those with least traffic first
 	Subsets []AccountRow `json:"slices"`  // by quarters of the nodes, those whose executors were least loaded first
 	Busy    []float64    `json:"busy"`    // executors' load, as a share of their capacity: minimum, quartiles, maximum
@@ -79,7 +79,7 @@
 	Lost       map[string]float64 `json:"lost"`           // value, by cause
 	TimeMS     map[string]float64 `json:"time_ms"`        // mean time by cause of the works that earned less; running includes the work itself
 	SubsetSize float64            `json:"slice,omitzero"` // effective number of executors that a node used, on average
-	Load       float64            `json:"load,omitzero"`  // load of those, as a share of their capacity
+	SubsetLoad float64            `json:"load,omitzero"`  // load of those, as a share of their capacity
 
 	lostByCause, timeByCause [causeCount]float64
 	workOffered, workSent    float64 // in seconds on a standard core
@@ -171,7 +171,7 @@
 		}
 		row.Name = fmt.Sprintf("%s, %d of %d", name, quarter+1, parts)
 		row.SubsetSize = row.subsetSize / float64(len(group))
-		row.Load = row.subsetLoad / float64(len(group))
+		row.SubsetLoad = row.subsetLoad / float64(len(group))
 		rows = append(rows, row)
 	}
 	return rows
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -190,24 +190,24 @@
 	}
 	waited := float64(l.waited)
 	a := &Account{
-		Scenario:  w.scenario.Name,
-		Seed:      w.seed,
-		Policy:    w.policy,
-		Nodes:     len(w.nodes),
-		Executors: len(w.executors),
-		Length:    w.scenario.Length,
-		Broken:    len(w.result.Broken),
-		Worst:     w.result.Worst,
-		Attempts:  l.attempts,
-		Crossings: w.result.Crossings,
-		Waited:    ratio(waited, float64(l.attempts)),
-		IdleUsed:  ratio(float64(l.idleUsed), waited),
-		IdleZone:  ratio(float64(l.idleZone), waited),
-		IdleAny:   ratio(float64(l.idleAny), waited),
+		Scenario:   w.scenario.Name,
+		Seed:       w.seed,
+		Policy:     w.policy,
+		Nodes:      len(w.nodes),
+		Executors:  len(w.executors),
+		Length:     w.scenario.Length,
+		Violations: len(w.result.Broken),
+		Worst:      w.result.Worst,
+		Attempts:   l.attempts,
+		Crossings:  w.result.Crossings,
+		Waited:     ratio(waited, float64(l.attempts)),
+		IdleUsed:   ratio(float64(l.idleUsed), waited),
+		IdleZone:   ratio(float64(l.idleZone), waited),
+		IdleAny:    ratio(float64(l.idleAny), waited),
 	}
 	l.addClasses(a)
 	l.addNodes(a)
-	for _, rows := range [][]AccountRow{a.Tracks, a.Traffic, a.Subsets} {
+	for _, rows := range [][]AccountRow{a.Classes, a.Traffic, a.Subsets} {
 		for i := range rows {
 			rows[i].finish()
 		}
@@ -224,7 +224,7 @@
 	a.WorstClass = 1
 	for _, class := range l.classes {
 		a.All.add(class)
-		a.Tracks = append(a.Tracks, class)
+		a.Classes = append(a.Classes, class)
 		a.WorstClass = min(a.WorstClass, ratio(class.Earned, class.Offered))
 	}
 }
@@ -243,7 +243,7 @@
 	}
 	for _, n := range l.nodes {
 		a.All.SubsetSize += n.subsetSize / float64(len(l.nodes))
-		a.All.Load += n.subsetLoad / float64(len(l.nodes))
+		a.All.SubsetLoad += n.subsetLoad / float64(len(l.nodes))
 	}
 	a.Traffic = quarters(l.nodes, func(n nodeRow) float64 { return n.workOffered }, "nodes by traffic")
 	a.Subsets = quarters(l.nodes, func(n nodeRow) float64 { return n.subsetLoad }, "nodes by slice")
--- a/internal/simulation/account_print.go
+++ b/internal/simulation/account_print.go
@@ -13,15 +13,15 @@
 func (a *Account) Print(to io.Writer) {
 	fmt.Fprintf(to, "%s, seed %d, %d nodes, %d executors, %v, decided by: %s\n", a.Scenario, a.Seed, a.Nodes, a.Executors, time.Duration(a.Length), a.Policy)
 	fmt.Fprintf(to, "Earned %.4f of what was offered; in the worst 10 s %.4f, of the worst track %.4f\n", ratio(a.All.Earned, a.All.Offered), a.Worst, a.WorstClass)
-	rows := slices.Concat([]AccountRow{a.All}, a.Tracks, a.Traffic, a.Subsets)
+	rows := slices.Concat([]AccountRow{a.All}, a.Classes, a.Traffic, a.Subsets)
 	fmt.Fprintln(to, "Lost, by cause, in parts of what was offered; sent: work sent to executors, against what was offered:")
 	lostTable.print(to, rows)
 	fmt.Fprintln(to, "Where the time of those that earned less went, in ms; slice: executors that a node used, load: how busy those were:")
 	timeTable.print(to, rows)
 	fmt.Fprintf(to, "Executors' load, least, quarters, most: %s\n", strings.Trim(fmt.Sprintf("%.3f", a.Busy), "[]"))
 	a.printAttempts(to)
-	if a.Broken > 0 {
-		fmt.Fprintf(to, "%d rules broken\n", a.Broken)
+	if a.Violations > 0 {
+		fmt.Fprintf(to, "%d rules broken\n", a.Violations)
 	}
 }
 
@@ -58,7 +58,7 @@
 		if r.SubsetSize == 0 {
 			return "\t"
 		}
-		return fmt.Sprintf("%.1f\t%.3f", r.SubsetSize, r.Load)
+		return fmt.Sprintf("%.1f\t%.3f", r.SubsetSize, r.SubsetLoad)
 	},
 	value:  func(r AccountRow, c Cause) float64 { return r.timeByCause[c] * 1e3 / float64(max(r.Less, 1)) },
 	format: "%.0f\t",
--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -49,7 +49,7 @@
 		near(r.Name+": offered, and earned with what was lost", r.Offered, sum)
 	}
 	row(a.All)
-	for name, rows := range map[string][]AccountRow{"tracks": a.Tracks, "traffic": a.Traffic, "slices": a.Subsets} {
+	for name, rows := range map[string][]AccountRow{"tracks": a.Classes, "traffic": a.Traffic, "slices": a.Subsets} {
 		sum := AccountRow{}
 		for _, r := range rows {
 			row(r)
@@ -68,8 +68,8 @@
 		t.Errorf("%s, seed %d, %s: %d batch jobs of %d", a.Scenario, a.Seed, a.Policy, a.All.Works, r.Works())
 	}
 	near("earned, by the result", r.Earned, ratio(a.All.Earned, a.All.Offered))
-	for i, track := range a.Tracks {
-		near("earned in "+track.Name+", by the result", r.Tracks[i].Earned, ratio(track.Earned, track.Offered))
+	for i, track := range a.Classes {
+		near("earned in "+track.Name+", by the result", r.Classes[i].Earned, ratio(track.Earned, track.Offered))
 	}
 }
 
@@ -131,7 +131,7 @@
 		s.Fleet.Zones, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Spread, s.Fleet.PerWork = []string{"here"}, 2, 4, 0, false
 		s.Fleet.WeightsEvery, s.Fleet.ComeBack = 0, 0
 		s.Load = Load{Of: 0.05, HintNoise: 0, DeadNodeTime: Span(2 * time.Second)}
-		s.Tracks = []Track{{Name: "plain", Share: 1, Idempotency: "once-only", Work: Span(100 * time.Millisecond), Quoted: Span(100 * time.Millisecond),
+		s.Tracks = []JobClass{{Name: "plain", Share: 1, Idempotency: "once-only", Work: Span(100 * time.Millisecond), LatencyObjective: Span(100 * time.Millisecond),
 			RunTimeFactor: 1, Deadline: Span(5 * time.Second), Value: 1, LateValue: 0.5}}
 		s.Length = Span(20 * time.Second)
 	}
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -34,7 +34,7 @@
 	request.sentAt = w.now
 	request.attemptsOut++
 	if request.attemptsOut > 1 {
-		w.result.Copies++
+		w.result.Hedges++
 	}
 	n.attemptsOut++
 	w.result.Allocations++
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -104,15 +104,15 @@
 func drawClasses(r *rand.Rand, s *Scenario) {
 	count := 1 + r.IntN(3)
 	for i := range count {
-		class := Track{Name: fmt.Sprint("t", i), Share: 1 / float64(count)}
+		class := JobClass{Name: fmt.Sprint("t", i), Share: 1 / float64(count)}
 		class.Idempotency = [...]string{idempotent, atMostOnce, idempotentWithKey}[r.IntN(3)]
 		class.Work = milliseconds(20 + r.IntN(700))
-		class.Spread = round(0.8 * r.Float64())
+		class.WorkSpread = round(0.8 * r.Float64())
 		class.RunTimeFactor = float64(1 + r.IntN(3))
 		class.Deadline = milliseconds(1000 * (2 + r.IntN(12)))
 		class.Value = float64(1 + r.IntN(8))
 		class.Priority = r.IntN(2)
-		class.Quoted = milliseconds(100 + r.IntN(900))
+		class.LatencyObjective = milliseconds(100 + r.IntN(900))
 		if class.Idempotency == idempotentWithKey {
 			class.DedupGroup = [...]string{"all", "zone", "cell"}[r.IntN(3)]
 			class.DedupWindow = milliseconds(100 * (5 + r.IntN(80)))
--- a/internal/simulation/draw_slow_start.go
+++ b/internal/simulation/draw_slow_start.go
@@ -55,7 +55,7 @@
 	for i := range s.Tracks {
 		class := &s.Tracks[i]
 		class.Work = milliseconds(5<<r.IntN(6)) * 3 / 2
-		class.Quoted = millisecondsBetween(r, 50, 400)
+		class.LatencyObjective = millisecondsBetween(r, 50, 400)
 	}
 }
 
--- a/internal/simulation/kill_setup.go
+++ b/internal/simulation/kill_setup.go
@@ -51,7 +51,7 @@
 	Flavors   []string    `json:"flavors"`
 	Caps      killCaps    `json:"caps"`
 	Domain    killDomain  `json:"domain"`
-	Tracks    []killClass `json:"tracks"`
+	Classes   []killClass `json:"tracks"`
 }
 
 type killCaps struct {
@@ -134,7 +134,7 @@
 		Domain:    killDomain{StartNotices: true},
 	}}
 	for _, class := range killClasses {
-		config.Settings.Tracks = append(config.Settings.Tracks,
+		config.Settings.Classes = append(config.Settings.Classes,
 			killClass{Name: class.name, Objective: 0.3, Deadline: 5, Repeat: class.repeat, Value: 1})
 	}
 	text, err := json.Marshal(config)
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -16,12 +16,12 @@
 	Best     float64             `json:"best"`   // upper bound of Earned, by which nodes and executors were up; 0 if it is not known
 	Worst    float64             `json:"worst"`  // Earned over the worst 10 s
 	WorstAt  Span                `json:"worst_at"`
-	Tracks   []ClassResult       `json:"tracks"` // by class
+	Classes  []ClassResult       `json:"tracks"` // by class
 	Broken   []invariants.Broken `json:"broken"` // violations of invariants
 
 	Allocations  int `json:"allocations"` // attempts
 	Crossings    int `json:"crossings"`   // attempts to another zone
-	Copies       int `json:"copies"`      // attempts while another one of the job was out
+	Hedges       int `json:"copies"`      // attempts while another one of the job was out
 	Probes       int `json:"probes"`
 	Dials        int `json:"dials"`
 	FailedDials  int `json:"no_connection"` // dials that failed
@@ -50,7 +50,7 @@
 type ClassResult struct {
 	Name      string  `json:"name"`
 	Works     int     `json:"works"` // each with one request or more
-	Tries     int     `json:"tries"` // requests
+	Requests  int     `json:"tries"` // requests
 	Earned    float64 `json:"earned"`
 	Succeeded int     `json:"handled"` // requests that succeeded, and so on
 	Rejected  int     `json:"pushed_back"`
@@ -67,7 +67,7 @@
 func newResult(s Scenario, seed uint64) Result {
 	r := Result{Scenario: s.Name, Seed: seed, Length: s.Length, seconds: make([]resultSecond, int(time.Duration(s.Length)/time.Second)+1)}
 	for _, class := range s.Tracks {
-		r.Tracks = append(r.Tracks, ClassResult{Name: class.Name})
+		r.Classes = append(r.Classes, ClassResult{Name: class.Name})
 	}
 	return r
 }
@@ -78,7 +78,7 @@
 
 // recordWork records a new work.
 func (r *Result) recordWork(work *emulator.Work) {
-	class := &r.Tracks[work.Track]
+	class := &r.Classes[work.Track]
 	class.Works++
 	class.valueOffered += work.Earns
 	r.secondOf(work.Came).valueOffered += work.Earns
@@ -87,8 +87,8 @@
 
 // recordRequestEnd records the end of a request and returns the value that it earned.
 func (r *Result) recordRequestEnd(w *World, work *emulator.Work, end emulator.End) (earned float64) {
-	class := &r.Tracks[work.Track]
-	class.Tries++
+	class := &r.Classes[work.Track]
+	class.Requests++
 	switch end {
 	case emulator.EndHandled:
 		class.Succeeded++
@@ -123,8 +123,8 @@
 	}
 	r.Steps, r.LateTwice, r.LeftQueued, r.SentLate = w.steps, w.checker.LateTwice(), w.checker.WentWaiting(), w.checker.SentLate()
 	offered, earned := 0.0, 0.0
-	for i := range r.Tracks {
-		class := &r.Tracks[i]
+	for i := range r.Classes {
+		class := &r.Classes[i]
 		class.Earned = ratio(class.valueEarned, class.valueOffered)
 		offered += class.valueOffered
 		earned += class.valueEarned
@@ -171,7 +171,7 @@
 
 // Works is the number of works that clients wanted.
 func (r *Result) Works() (n int) {
-	for _, class := range r.Tracks {
+	for _, class := range r.Classes {
 		n += class.Works
 	}
 	return n
@@ -179,8 +179,8 @@
 
 // requests is the number of requests that clients made.
 func (r *Result) requests() (n int) {
-	for _, class := range r.Tracks {
-		n += class.Tries
+	for _, class := range r.Classes {
+		n += class.Requests
 	}
 	return n
 }
--- a/internal/simulation/result_print.go
+++ b/internal/simulation/result_print.go
@@ -15,8 +15,8 @@
 		fmt.Fprintf(to, "  at the most %.3f could have been, by what nodes and executors were there\n", r.Best)
 	}
 	fmt.Fprintf(to, "  %-10s %7s %7s %7s %8s %8s %7s %7s %6s\n", "track", "earned", "works", "tries", "handled", "pushed", "broken", "no node", "lost")
-	for _, class := range r.Tracks {
-		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", class.Name, class.Earned, class.Works, class.Tries, class.Succeeded, class.Rejected, class.Failed, class.Unreached, class.Lost)
+	for _, class := range r.Classes {
+		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", class.Name, class.Earned, class.Works, class.Requests, class.Succeeded, class.Rejected, class.Failed, class.Unreached, class.Lost)
 	}
 	fmt.Fprintf(to, "  allocations %d, %.3f a batch job; %d to another zone; %d dials, %d led nowhere; %d starts waited\n",
 		r.Allocations, ratio(float64(r.Allocations), float64(r.requests())), r.Crossings, r.Dials, r.FailedDials, r.QueuedStarts)
@@ -25,8 +25,8 @@
 	if r.PeerMessages > 0 {
 		fmt.Fprintf(to, "  %d words between nodes\n", r.PeerMessages)
 	}
-	if r.Copies+r.Probes > 0 {
-		fmt.Fprintf(to, "  %d copies; %d probes\n", r.Copies, r.Probes)
+	if r.Hedges+r.Probes > 0 {
+		fmt.Fprintf(to, "  %d copies; %d probes\n", r.Hedges, r.Probes)
 	}
 	if r.Panics > 0 {
 		fmt.Fprintf(to, "  the module broke %d times\n", r.Panics)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -22,14 +22,14 @@
 
 // Scenario describes a world and its faults. Its keys in TOML are a format that scenario files keep to.
 type Scenario struct {
-	Name   string  `toml:"-"` // of the file
-	About  string  `toml:"about"`
-	Seed   uint64  `toml:"seed,omitempty"` // played unless another one is asked for
-	Length Span    `toml:"length"`         // of the time in which works come
-	Fleet  Fleet   `toml:"fleet"`
-	Load   Load    `toml:"load"`
-	Tracks []Track `toml:"track"` // job classes
-	Faults []Fault `toml:"fault"`
+	Name   string     `toml:"-"` // of the file
+	About  string     `toml:"about"`
+	Seed   uint64     `toml:"seed,omitempty"` // played unless another one is asked for
+	Length Span       `toml:"length"`         // of the time in which works come
+	Fleet  Fleet      `toml:"fleet"`
+	Load   Load       `toml:"load"`
+	Tracks []JobClass `toml:"track"` // job classes
+	Faults []Fault    `toml:"fault"`
 }
 
 // Fleet describes the nodes, the executors and the network between them. Defaults are in scenario_defaults.go.
@@ -112,21 +112,21 @@
 	DeadNodeTime  Span      `toml:"dead-for"`                // the front layer sends to a dead node for so long
 }
 
-// Track describes a job class.
-type Track struct {
-	Name          string  `toml:"name"`
-	Share         float64 `toml:"share"`         // of the works
-	Idempotency   string  `toml:"repeat"`        // idempotency: repeatable, tagged or once-only
-	DedupGroup    string  `toml:"group"`         // dedup group of a tagged one: all, zone or cell
-	DedupWindow   Span    `toml:"window"`        // dedup window of a tagged one
-	Work          Span    `toml:"work"`          // mean on a standard core
-	Spread        float64 `toml:"spread"`        // sigma of the lognormal of the work
-	Quoted        Span    `toml:"quoted"`        // latency objective beyond the run time
-	RunTimeFactor float64 `toml:"stretch"`       // run time factor
-	Deadline      Span    `toml:"outer-limit"`   // deadline
-	Value         float64 `toml:"earnings"`      // value
-	LateValue     float64 `toml:"late-earnings"` // share of the value for late answers
-	Priority      int     `toml:"priority"`      // in executors' queues
+// JobClass describes a job class.
+type JobClass struct {
+	Name             string  `toml:"name"`
+	Share            float64 `toml:"share"`         // of the works
+	Idempotency      string  `toml:"repeat"`        // idempotency: repeatable, tagged or once-only
+	DedupGroup       string  `toml:"group"`         // dedup group of a tagged one: all, zone or cell
+	DedupWindow      Span    `toml:"window"`        // dedup window of a tagged one
+	Work             Span    `toml:"work"`          // mean on a standard core
+	WorkSpread       float64 `toml:"spread"`        // sigma of the lognormal of the work
+	LatencyObjective Span    `toml:"quoted"`        // latency objective beyond the run time
+	RunTimeFactor    float64 `toml:"stretch"`       // run time factor
+	Deadline         Span    `toml:"outer-limit"`   // deadline
+	Value            float64 `toml:"earnings"`      // value
+	LateValue        float64 `toml:"late-earnings"` // share of the value for late answers
+	Priority         int     `toml:"priority"`      // in executors' queues
 }
 
 // Fault is an entry of the script.
@@ -214,7 +214,7 @@
 			Idempotency:      idempotencyNames[t.Idempotency],
 			DedupGroup:       dedupGroupNames[t.DedupGroup],
 			DedupWindow:      time.Duration(t.DedupWindow),
-			LatencyObjective: time.Duration(t.Quoted),
+			LatencyObjective: time.Duration(t.LatencyObjective),
 			RunTimeFactor:    t.RunTimeFactor,
 			Deadline:         time.Duration(t.Deadline),
 			Value:            t.Value,
@@ -222,7 +222,7 @@
 			Kind:             policy.AnyKind,
 		}
 		nodes = append(nodes, class)
-		clients = append(clients, emulator.Track{JobClass: class, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.Spread,
+		clients = append(clients, emulator.Track{JobClass: class, Share: t.Share, Mean: time.Duration(t.Work).Seconds(), Spread: t.WorkSpread,
 			Priority: t.Priority})
 	}
 	return clients, nodes
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -96,7 +96,7 @@
 }
 
 // check returns the first thing in a class that makes no sense, and its key.
-func (t *Track) check() (key string, err error) {
+func (t *JobClass) check() (key string, err error) {
 	_, isIdempotency := idempotencyNames[t.Idempotency]
 	_, isDedupGroup := dedupGroupNames[t.DedupGroup]
 	switch {
@@ -110,11 +110,11 @@
 		return "window", errors.New("a tagged track needs one over 0")
 	case t.Work <= 0:
 		return "work", errMissing
-	case t.Quoted <= 0:
+	case t.LatencyObjective <= 0:
 		return "quoted", errMissing
 	case t.Deadline <= 0:
 		return "outer-limit", errMissing
-	case t.Quoted > t.Deadline:
+	case t.LatencyObjective > t.Deadline:
 		return "quoted", errors.New("it is over the outer limit; were the two mixed up?")
 	case t.Value <= 0:
 		return "earnings", errMissing
--- a/internal/simulation/scenario_defaults.go
+++ b/internal/simulation/scenario_defaults.go
@@ -48,14 +48,14 @@
 }
 
 // baseClasses are the job classes of a scenario that has none.
-func baseClasses() []Track {
-	return []Track{
-		{Name: "read", Share: 0.4, Idempotency: idempotent, Work: milliseconds(350), Spread: 0.4, Quoted: milliseconds(300), RunTimeFactor: 2,
+func baseClasses() []JobClass {
+	return []JobClass{
+		{Name: "read", Share: 0.4, Idempotency: idempotent, Work: milliseconds(350), WorkSpread: 0.4, LatencyObjective: milliseconds(300), RunTimeFactor: 2,
 			Deadline: milliseconds(5000), Value: 2},
-		{Name: "verify", Share: 0.3, Idempotency: atMostOnce, Work: milliseconds(1000), Spread: 0.4, Quoted: milliseconds(750), RunTimeFactor: 2,
+		{Name: "verify", Share: 0.3, Idempotency: atMostOnce, Work: milliseconds(1000), WorkSpread: 0.4, LatencyObjective: milliseconds(750), RunTimeFactor: 2,
 			Deadline: milliseconds(20000), Value: 8, Priority: 1},
-		{Name: "split", Share: 0.3, Idempotency: idempotentWithKey, DedupGroup: "zone", DedupWindow: milliseconds(7500), Work: milliseconds(200), Spread: 0.4,
-			Quoted: milliseconds(200), RunTimeFactor: 2, Deadline: milliseconds(5000), Value: 2},
+		{Name: "split", Share: 0.3, Idempotency: idempotentWithKey, DedupGroup: "zone", DedupWindow: milliseconds(7500), Work: milliseconds(200), WorkSpread: 0.4,
+			LatencyObjective: milliseconds(200), RunTimeFactor: 2, Deadline: milliseconds(5000), Value: 2},
 	}
 }
 
--- a/internal/simulation/slow_start_test.go
+++ b/internal/simulation/slow_start_test.go
@@ -28,7 +28,7 @@
 	s.Name, s.Length, s.Load.Of, s.Load.HintNoise, s.Load.DeadNodeTime = "cold-nodes-start-again", second(4), 0.7, 0, second(0.001)
 	f := &s.Fleet
 	f.Zones, f.Nodes, f.Executors, f.QueueLimit, f.Spread, f.ListLag = []string{"east"}, 30, 10, 10, 0, second(0.1)
-	s.Tracks = []Track{{Name: "short", Share: 1, Idempotency: "repeatable", Work: second(0.2), Spread: 0.3, Quoted: second(0.2), RunTimeFactor: 2, Deadline: second(3), Value: 1}}
+	s.Tracks = []JobClass{{Name: "short", Share: 1, Idempotency: "repeatable", Work: second(0.2), WorkSpread: 0.3, LatencyObjective: second(0.2), RunTimeFactor: 2, Deadline: second(3), Value: 1}}
 	s.Faults = []Fault{{Kind: "crash", At: second(1), For: second(0.5), Where: []string{"e0", "e1", "e2", "e3", "e4"}},
 		{Kind: "burst", At: second(1), For: second(3), Size: 2.5}}
 	for _, at := range []float64{1.9, 2.4, 2.9, 3.4} {
