--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -14,12 +14,12 @@
 	"birchstair/policy"
 )
 
-func accounted(s Scenario, seed uint64, p Policy) (Result, *Account) {
+func playWithAccount(s Scenario, seed uint64, p Policy) (Result, *Account) {
 	r := New(s, seed, Options{Policy: p, Account: true}).Play()
 	return r, r.Account
 }
 
-func keptScenario(t *testing.T, name string) Scenario {
+func loadScenario(t *testing.T, name string) Scenario {
 	t.Helper()
 	s, err := LoadFrom(scenarios.Files, name+".toml")
 	if err != nil {
@@ -28,8 +28,8 @@
 	return s
 }
 
-// closes fails where a row's sums don't.
-func closes(t *testing.T, r Result, a *Account) {
+// checkSums fails if a row's sums don't add up.
+func checkSums(t *testing.T, r Result, a *Account) {
 	t.Helper()
 	near := func(what string, x, y float64) {
 		t.Helper()
@@ -73,7 +73,7 @@
 	}
 }
 
-// What was offered is what was earned and what was lost, whatever went wrong and whatever decides.
+// The value offered is the value earned plus the value lost, with all faults and policies.
 func TestAccountCloses(t *testing.T) {
 	t.Parallel()
 	seeds, drawn := uint64(2), uint64(30)
@@ -83,33 +83,33 @@
 	for _, name := range []string{"long-tasks", "calm", "overload", "errors-and-cut", "nodes-restarted", "answers-lost", "mute-third", "copies-of-silent"} {
 		for seed := uint64(1); seed <= seeds; seed++ {
 			for _, p := range Policies {
-				s := keptScenario(t, name)
-				s = short(s, 800)
-				r, a := accounted(s, seed, p)
-				closes(t, r, a)
+				s := loadScenario(t, name)
+				s = shortened(s, 800)
+				r, a := playWithAccount(s, seed, p)
+				checkSums(t, r, a)
 			}
 		}
 	}
-	// One that ends at the first broken rule, with batch jobs in hand.
-	w := New(troubled(nil), 1, Options{Account: true, MaxViolations: 1})
+	// One that ends at the first violation, with open jobs.
+	w := New(faultyScenario(nil), 1, Options{Account: true, MaxViolations: 1})
 	w.defects.executor = func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: true}) }
 	r := w.Play()
 	if len(r.Broken) == 0 || w.openWorks == 0 {
 		t.Errorf("%d rules broken, %d batch jobs open: it shows nothing", len(r.Broken), w.openWorks)
 	}
-	closes(t, r, r.Account)
+	checkSums(t, r, r.Account)
 	// Worlds with all kinds of faults.
 	for seed := uint64(1); seed <= drawn; seed++ {
 		s := Draw(seed, Size{Nodes: 4, Executors: 8, Length: 6 * time.Second})
-		r, a := accounted(s, seed, ModulePolicy)
-		closes(t, r, a)
+		r, a := playWithAccount(s, seed, ModulePolicy)
+		checkSums(t, r, a)
 	}
 }
 
-// An account changes nothing of what is seen.
+// An account changes nothing in the trace.
 func TestAccountChangesNothing(t *testing.T) {
 	t.Parallel()
-	s, _ := keptScenario(t, "errors-and-cut").Sized(0, 0, 20*time.Second)
+	s, _ := loadScenario(t, "errors-and-cut").Sized(0, 0, 20*time.Second)
 	traces := map[bool][]invariants.Seen{}
 	for _, with := range []bool{false, true} {
 		New(s, 3, Options{Account: with, Trace: func(x invariants.Seen) { traces[with] = append(traces[with], x) }}).Play()
@@ -119,12 +119,13 @@
 	}
 }
 
-// deaf is a module that is told of no executors.
-type deaf struct{ node.Policy }
+// policyWithoutEndpoints is a policy that is notified of no executors.
+type policyWithoutEndpoints struct{ node.Policy }
 
-func (deaf) UpdateEndpoints(time.Duration, policy.EndpointUpdateKind, []policy.Endpoint) {}
+func (policyWithoutEndpoints) UpdateEndpoints(time.Duration, policy.EndpointUpdateKind, []policy.Endpoint) {
+}
 
-// Facts that are planted come out where they should: each of these worlds loses for one cause, and hardly for any other.
+// Each of these worlds loses value by one known cause, and hardly by any other.
 func TestAccountNamesTheCause(t *testing.T) {
 	t.Parallel()
 	one := func(s *Scenario) { // a small plain world: nodes and executors in one zone, work of 100 ms with a slack of 100 ms
@@ -156,7 +157,7 @@
 		}, BestPolicy, nil, []Cause{QueuedAtNode, SentTooLate, NeverSent}},
 		{"a node knows of no executor", nil, ModulePolicy, func(_ *World, n *simNode, m node.Policy) node.Policy {
 			if n.id == 0 {
-				return deaf{m}
+				return policyWithoutEndpoints{m}
 			}
 			return m
 		}, []Cause{NeverSent}},
@@ -182,7 +183,7 @@
 		w := New(s, 5, Options{Policy: c.policy, Account: true})
 		w.defects.policy = c.module
 		r := w.Play()
-		closes(t, r, r.Account)
+		checkSums(t, r, r.Account)
 		lost, here := r.Account.All.Offered-r.Account.All.Earned, 0.0
 		for _, cause := range c.causes {
 			here += r.Account.All.Lost[cause.String()]
@@ -194,7 +195,7 @@
 	}
 }
 
-// Where a batch job's time went adds up to it, whatever of it was out at once.
+// The parts of a work's time add up to it, with several attempts out at once.
 func TestAccountOfTimes(t *testing.T) {
 	t.Parallel()
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -219,7 +220,7 @@
 	}
 }
 
-// The best choice earns at least what the module and random choice do, and the module loses where tasks are long.
+// The best policy earns at least what the module and the random policy do, and with long jobs the module earns more than random choice.
 func TestBaselines(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(8)
@@ -227,15 +228,15 @@
 		seeds = 2
 	}
 	for _, name := range []string{"calm", "long-tasks"} {
-		s := keptScenario(t, name)
+		s := loadScenario(t, name)
 		over := map[Policy]int{}
 		sums := map[Policy]float64{}
 		for seed := uint64(1); seed <= seeds; seed++ {
 			earned := map[Policy]float64{}
 			offered := map[Policy]string{}
 			for _, p := range Policies {
-				r, a := accounted(s, seed, p)
-				wants(t, r)
+				r, a := playWithAccount(s, seed, p)
+				checkSound(t, r)
 				earned[p] = r.Earned
 				sums[p] += r.Earned
 				offered[p] = fmt.Sprint(a.All.Works, " worth ", math.Round(a.All.Offered*1e6))
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -14,8 +14,8 @@
 	"birchstair/policy"
 )
 
-// troubled is a world in which every rule is put to the test.
-func troubled(change func(*Scenario)) Scenario {
+// faultyScenario is a scenario in which every invariant is tested.
+func faultyScenario(change func(*Scenario)) Scenario {
 	s := base()
 	s.Name, s.Length, s.Tracks = "troubled", Span(25*time.Second), baseClasses()
 	s.Load.Of, s.Load.HintNoise = 0.8, 0
@@ -34,29 +34,29 @@
 	return s
 }
 
-// defect is one that is planted, and the rule that must break by it, and no other.
+// defect is a defect to inject, and the invariant that it must violate, and no other.
 type defect struct {
-	name  string
-	rule  invariants.Rule
-	world func(*Scenario)
-	plant injectedDefects
+	name   string
+	rule   invariants.Rule
+	change func(*Scenario)
+	inject injectedDefects
 }
 
-// crawling has many executors slow down while few batch jobs come: what runs there pays for a second copy.
-func crawling(s *Scenario) {
+// slowExecutors has many executors slow down under little traffic, so that hedging pays.
+func slowExecutors(s *Scenario) {
 	s.Load.Of, s.Fleet.TellsStart = 0.4, true
 	s.Faults = []Fault{{Kind: emulator.Slow, At: Span(4 * time.Second), For: Span(18 * time.Second), Where: []string{"e0", "e1", "e2", "e3", "e4"}, Size: 6}}
 }
 
-// impatient is a world whose clients leave while their batch jobs wait.
-func impatient(s *Scenario) {
+// leavingClients makes clients leave while their jobs are queued.
+func leavingClients(s *Scenario) {
 	s.Load.Of, s.Load.Leaves, s.Faults = 1.6, 0.5, nil
 }
 
-// stoppedUnderLeaving is one whose nodes stand still again and again meanwhile: what they are told when they go on is old, and what they
-// read first is not that a client has left.
-func stoppedUnderLeaving(s *Scenario) {
-	impatient(s)
+// leavingClientsOfSuspendedNodes also suspends the nodes again and again: the events that they read
+// first when they resume are old, and that a client has left is not among the first.
+func leavingClientsOfSuspendedNodes(s *Scenario) {
+	leavingClients(s)
 	s.Load.Of, s.Load.Leaves, s.Length = 3, 0.9, Span(8*time.Second)
 	for i := range s.Tracks {
 		s.Tracks[i].Work, s.Tracks[i].Deadline = Span(60*time.Millisecond), Span(2*time.Second)
@@ -67,8 +67,8 @@
 	}
 }
 
-// fewSeconds is for tagged tracks whose window passes soon.
-func tagged(group string, window time.Duration) func(*Scenario) {
+// withDedupGroup makes all classes idempotent with a key, in a dedup group and with a dedup window.
+func withDedupGroup(group string, window time.Duration) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Tracks {
 			s.Tracks[i].Idempotency, s.Tracks[i].DedupGroup, s.Tracks[i].DedupWindow = "tagged", group, Span(window)
@@ -76,8 +76,8 @@
 	}
 }
 
-// changed changes events of one kind on their way to the reducer.
-func changed[E node.Event](change func(*World, *simNode, E) []node.Event) func(*World, *simNode, node.Event) []node.Event {
+// changeEvent changes events of one type before the state machine sees them.
+func changeEvent[E node.Event](change func(*World, *simNode, E) []node.Event) func(*World, *simNode, node.Event) []node.Event {
 	return func(w *World, n *simNode, ev node.Event) []node.Event {
 		if e, ok := ev.(E); ok {
 			return change(w, n, e)
@@ -86,8 +86,8 @@
 	}
 }
 
-// instead changes effects of one kind on their way out.
-func instead[E node.Effect](change func(*World, *simNode, E) []node.Effect) func(*World, *simNode, node.Effect) []node.Effect {
+// changeEffect changes effects of one type before they are carried out.
+func changeEffect[E node.Effect](change func(*World, *simNode, E) []node.Effect) func(*World, *simNode, node.Effect) []node.Effect {
 	return func(w *World, n *simNode, e node.Effect) []node.Effect {
 		if e, ok := e.(E); ok {
 			return change(w, n, e)
@@ -96,13 +96,13 @@
 	}
 }
 
-// stubborn is a module that sends elsewhere what the real one breaks off.
-type stubborn struct {
+// retryingPolicy is a policy that retries what the real one fails.
+type retryingPolicy struct {
 	node.Policy
 	executors []*executor
 }
 
-func (m *stubborn) AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
+func (m *retryingPolicy) AttemptEnded(now time.Duration, id policy.JobID, a policy.AttemptID, how policy.Outcome, final bool) policy.Decision {
 	d := m.Policy.AttemptEnded(now, id, a, how, final)
 	if d.Action != policy.Fail {
 		return d
@@ -115,8 +115,8 @@
 	return d
 }
 
-func onlyEnded(change func(*node.AttemptEnded)) func(*World, *simNode, node.Event) []node.Event {
-	return changed(func(_ *World, _ *simNode, ev node.AttemptEnded) []node.Event {
+func changeAttemptEnd(change func(*node.AttemptEnded)) func(*World, *simNode, node.Event) []node.Event {
+	return changeEvent(func(_ *World, _ *simNode, ev node.AttemptEnded) []node.Event {
 		change(&ev)
 		return []node.Event{ev}
 	})
@@ -124,7 +124,7 @@
 
 var defects = []defect{
 	{"the reducer forgets that an executor drains", invariants.DrainKept, nil, injectedDefects{
-		event: changed(func(_ *World, _ *simNode, ev node.EndpointsUpdated) []node.Event {
+		event: changeEvent(func(_ *World, _ *simNode, ev node.EndpointsUpdated) []node.Event {
 			for i := range ev.Endpoints {
 				if ev.Endpoints[i].State == policy.Draining {
 					ev.Endpoints[i].State = policy.Available
@@ -135,7 +135,7 @@
 	{"the reducer forgets with the next list what operators have taken out", invariants.DrainKept, func(s *Scenario) {
 		s.Faults = append(s.Faults, Fault{Kind: emulator.TakenOut, At: Span(3 * time.Second), For: Span(14 * time.Second), Where: []string{"e9", "e11"}})
 	}, injectedDefects{
-		event: changed(func(w *World, n *simNode, e node.EndpointsUpdated) []node.Event {
+		event: changeEvent(func(w *World, n *simNode, e node.EndpointsUpdated) []node.Event {
 			for _, id := range slices.Sorted(maps.Keys(n.excluded)) {
 				for _, e := range n.reducer.Step(w.now-n.startedAt, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
 					n.execute(e)
@@ -144,7 +144,7 @@
 			return []node.Event{e}
 		})}},
 	{"the list's edge sits on its news", invariants.DrainKept, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightsEvery = 0 }, injectedDefects{
-		event: changed(func(w *World, n *simNode, ev node.EndpointsUpdated) []node.Event {
+		event: changeEvent(func(w *World, n *simNode, ev node.EndpointsUpdated) []node.Event {
 			if ev.Kind != policy.IncrementalUpdate {
 				return []node.Event{ev}
 			}
@@ -156,16 +156,16 @@
 			return nil
 		})}},
 	{"the reducer answers twice", invariants.OneAnswer, nil, injectedDefects{
-		effect: instead(func(_ *World, _ *simNode, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
+		effect: changeEffect(func(_ *World, _ *simNode, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
 	{"results are lost within the node", invariants.OneAnswer, nil, injectedDefects{
-		effect: instead(func(w *World, _ *simNode, a node.Answer) []node.Effect {
+		effect: changeEffect(func(w *World, _ *simNode, a node.Answer) []node.Effect {
 			if a.Final == node.Succeeded && w.steps%20 == 0 {
 				return nil
 			}
 			return []node.Effect{a}
 		})}},
 	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Of = 1.5 }, injectedDefects{
-		event: changed(func(w *World, _ *simNode, ev node.JobArrived) []node.Event {
+		event: changeEvent(func(w *World, _ *simNode, ev node.JobArrived) []node.Event {
 			ev.Job.Budget *= 2
 			return []node.Event{ev}
 		}),
@@ -176,13 +176,13 @@
 			}
 		}}},
 	{"an executor's error counts as its result", invariants.OneAnswer, nil, injectedDefects{
-		event: onlyEnded(func(ev *node.AttemptEnded) {
+		event: changeAttemptEnd(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.Succeeded
 			}
 		})}},
 	{"what is answered is sent once more", invariants.OneAnswer, nil, injectedDefects{
-		effect: instead(func(w *World, n *simNode, a node.Answer) []node.Effect {
+		effect: changeEffect(func(w *World, n *simNode, a node.Answer) []node.Effect {
 			t := n.requests[a.Job]
 			if a.Final == node.Succeeded && t != nil && w.jobClasses[t.work.Track].Idempotency == policy.Idempotent {
 				for _, c := range sortedByID(n.conns) {
@@ -194,28 +194,28 @@
 			return []node.Effect{a}
 		})}},
 	{"a cut counts as a connection that never came up", invariants.NoEffectTwice, nil, injectedDefects{
-		event: onlyEnded(func(ev *node.AttemptEnded) {
+		event: changeAttemptEnd(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ConnectionLost {
 				ev.Outcome = policy.ConnectFailed
 			}
 		})}},
 	{"an error counts as turned away", invariants.NoEffectTwice, nil, injectedDefects{
-		event: onlyEnded(func(ev *node.AttemptEnded) {
+		event: changeAttemptEnd(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.ExecutorFull
 			}
 		})}},
 	{"the module sends what it should break off", invariants.NoEffectTwice, nil, injectedDefects{
-		policy: func(w *World, _ *simNode, m node.Policy) node.Policy { return &stubborn{m, w.executors} }}},
+		policy: func(w *World, _ *simNode, m node.Policy) node.Policy { return &retryingPolicy{m, w.executors} }}},
 	{"what is broken off is told as pushed back", invariants.NoEffectTwice, nil, injectedDefects{
-		effect: instead(func(_ *World, _ *simNode, a node.Answer) []node.Effect {
+		effect: changeEffect(func(_ *World, _ *simNode, a node.Answer) []node.Effect {
 			if a.Final == node.Failed {
 				a.Final = node.Rejected
 			}
 			return []node.Effect{a}
 		})}},
 	{"a next allocation goes out before the last one's outcome", invariants.NoEffectTwice, nil, injectedDefects{
-		effect: instead(func(_ *World, n *simNode, e node.CloseConn) []node.Effect {
+		effect: changeEffect(func(_ *World, n *simNode, e node.CloseConn) []node.Effect {
 			c := n.conns[e.Conn]
 			if c == nil || c.state != connUp || c.attempt == nil {
 				return []node.Effect{e}
@@ -232,9 +232,9 @@
 				}
 			}
 		}}},
-	{"a second copy where none is allowed", invariants.NoEffectTwice, crawling, injectedDefects{
+	{"a second copy where none is allowed", invariants.NoEffectTwice, slowExecutors, injectedDefects{
 		settings: func(p *policy.Settings) { p.MayHedge = true }}},
-	{"a once-only track is copied", invariants.NoEffectTwice, func(s *Scenario) { crawling(s); s.Fleet.Copies = true }, injectedDefects{
+	{"a once-only track is copied", invariants.NoEffectTwice, func(s *Scenario) { slowExecutors(s); s.Fleet.Copies = true }, injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
@@ -242,13 +242,13 @@
 				}
 			}
 		}}},
-	{"a zone's group is taken for all executors", invariants.NoEffectTwice, tagged("zone", 5*time.Second), injectedDefects{
+	{"a zone's group is taken for all executors", invariants.NoEffectTwice, withDedupGroup("zone", 5*time.Second), injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				p.JobClasses[i].DedupGroup = policy.DedupAllExecutors
 			}
 		}}},
-	{"a window is taken for longer than it is", invariants.NoEffectTwice, tagged("all", 300*time.Millisecond), injectedDefects{
+	{"a window is taken for longer than it is", invariants.NoEffectTwice, withDedupGroup("all", 300*time.Millisecond), injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				p.JobClasses[i].DedupWindow = time.Minute
@@ -256,7 +256,7 @@
 		}}},
 	{"executors say turned away, and run it", invariants.NoEffectTwice, nil, injectedDefects{
 		executor: func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: x.Zone == 0}) }}},
-	{"executors forget the tags they have seen", invariants.NoEffectTwice, tagged("all", 5*time.Second), injectedDefects{
+	{"executors forget the tags they have seen", invariants.NoEffectTwice, withDedupGroup("all", 5*time.Second), injectedDefects{
 		attempt: func(a *emulator.Allocation) { a.Window = 0 }}},
 	{"a cold executor is taken for a warm one", invariants.ColdSpared, func(s *Scenario) {
 		s.Load.Of = 1.5
@@ -264,10 +264,10 @@
 	}, injectedDefects{settings: func(p *policy.Settings) {
 		p.SlowStartCapacity, p.SlowStartDuration, p.OverloadMultiple = 1, time.Millisecond, 1000
 	}}},
-	{"the leaving is forgotten", invariants.Awaited, impatient, injectedDefects{hideClientLeft: true, hideClientGone: true}},
-	{"nobody looks before an attempt's first byte", invariants.Awaited, stoppedUnderLeaving, injectedDefects{hideClientGone: true}},
+	{"the leaving is forgotten", invariants.Awaited, leavingClients, injectedDefects{hideClientLeft: true, hideClientGone: true}},
+	{"nobody looks before an attempt's first byte", invariants.Awaited, leavingClientsOfSuspendedNodes, injectedDefects{hideClientGone: true}},
 	{"what is given up on is held for a while", invariants.AtOnce, nil, injectedDefects{
-		effect: instead(func(w *World, n *simNode, a node.Answer) []node.Effect {
+		effect: changeEffect(func(w *World, n *simNode, a node.Answer) []node.Effect {
 			if t := n.requests[a.Job]; a.Final == node.Rejected && t != nil && t.work.Limit > w.now+time.Second {
 				n.after(300*time.Millisecond, func() { n.execute(a) })
 				return nil
@@ -276,13 +276,14 @@
 		})}},
 }
 
-// sound plays a world with nothing planted, each once however many defects are planted in it, and gives the first rule that breaks.
-func sound(s Scenario, seed uint64) string {
+// violationWithoutDefect plays a scenario without a defect, once for all defects that are tested in it, and returns the first
+// violation; "" if there is none.
+func violationWithoutDefect(s Scenario, seed uint64) string {
 	text, err := s.Text()
 	if err != nil {
 		return err.Error()
 	}
-	play, _ := sounds.LoadOrStore(fmt.Sprint(seed, "\n", string(text)), sync.OnceValue(func() string {
+	play, _ := violationsWithoutDefect.LoadOrStore(fmt.Sprint(seed, "\n", string(text)), sync.OnceValue(func() string {
 		if r := New(s, seed, Options{}).Play(); len(r.Broken) > 0 {
 			return r.Broken[0].String()
 		}
@@ -291,9 +292,9 @@
 	return play.(func() string)()
 }
 
-var sounds sync.Map // by seed and world
+var violationsWithoutDefect sync.Map // by seed and scenario
 
-// Each planted defect is caught by the rule that it breaks, and by none other; taken out, nothing is caught.
+// Each injected defect violates its invariant and no other; without it nothing is violated.
 func TestPlantedDefects(t *testing.T) {
 	t.Parallel()
 	for _, d := range defects {
@@ -304,15 +305,15 @@
 				if underRace && caught[d.rule] > 0 {
 					break
 				}
-				s := troubled(d.world)
+				s := faultyScenario(d.change)
 				if _, err := s.check(); err != nil {
 					t.Fatal(err)
 				}
-				if broken := sound(s, seed); broken != "" {
+				if broken := violationWithoutDefect(s, seed); broken != "" {
 					t.Fatalf("seed %d breaks a rule with nothing planted: %s", seed, broken)
 				}
 				w := New(s, seed, Options{MaxViolations: 1000})
-				w.defects = d.plant
+				w.defects = d.inject
 				for _, b := range w.Play().Broken {
 					if caught[b.Rule]++; b.Rule != d.rule && caught[b.Rule] == 1 {
 						t.Errorf("seed %d: another rule broke: %v", seed, b)
@@ -327,7 +328,7 @@
 	}
 }
 
-// All rules have a defect that breaks them.
+// Each invariant has a defect that violates it.
 func TestEveryRuleIsPutToTheTest(t *testing.T) {
 	for r := range invariants.Awaited + 1 {
 		if r < invariants.OneAnswer || r == invariants.Bound { // its defects are planted in fleets
--- a/internal/simulation/fleet_defects_test.go
+++ b/internal/simulation/fleet_defects_test.go
@@ -11,21 +11,21 @@
 	"birchstair/policy"
 )
 
-// stuck is a module whose cut line never falls again.
-type stuck struct {
+// risingThresholdPolicy is a policy whose admission threshold never falls again.
+type risingThresholdPolicy struct {
 	node.Policy
 	highest policy.AdmissionThreshold
 }
 
-func (m *stuck) SetAdmissionThreshold(l policy.AdmissionThreshold) {
+func (m *risingThresholdPolicy) SetAdmissionThreshold(l policy.AdmissionThreshold) {
 	if l.Level >= m.highest.Level {
 		m.highest = l
 	}
 	m.Policy.SetAdmissionThreshold(m.highest)
 }
 
-// overTold gives the first bound between nodes that broke.
-func overTold(_, r Result) string {
+// violatedBound returns the first bound of gossip that was violated.
+func violatedBound(_, r Result) string {
 	for _, b := range r.Broken {
 		if b.Rule == invariants.Bound {
 			return b.Text
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// Defects of what nodes tell each other are caught: by a bound that is checked at each word, or by what the fleet then earns or sends.
+// Defects of gossip are caught: by a bound that is checked at each message, or by what the fleet earns or sends.
 func TestPlantedDefectsOfTheFleet(t *testing.T) {
 	t.Parallel()
 	for _, d := range []struct {
@@ -46,26 +46,26 @@
 		{"a node tells its own echo as news", nil, func() injectedDefects {
 			heard := map[invariants.NodeID]map[cluster.NodeName]cluster.Rates{}
 			return injectedDefects{
-				event: changed(func(_ *World, n *simNode, ev node.GossipReceived) []node.Event {
+				event: changeEvent(func(_ *World, n *simNode, ev node.GossipReceived) []node.Event {
 					if heard[n.id] == nil {
 						heard[n.id] = map[cluster.NodeName]cluster.Rates{}
 					}
 					heard[n.id][ev.Message.From] = ev.Message.Rates
 					return []node.Event{ev}
 				}),
-				effect: instead(func(_ *World, n *simNode, to node.SendGossip) []node.Effect {
+				effect: changeEffect(func(_ *World, n *simNode, to node.SendGossip) []node.Effect {
 					for _, g := range heard[n.id] {
 						to.Message.Rates.Completed += g.Completed
 					}
 					return []node.Effect{to}
 				})}
-		}(), overTold},
+		}(), violatedBound},
 		{"an old view counts as fresh", func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "nodes-apart", At: Span(4 * time.Second), For: Span(9 * time.Second), Where: []string{"n0", "n1"}}}
-		}, injectedDefects{fleet: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, overTold},
-		{"a node tells more often than it may", nil, injectedDefects{fleet: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, overTold},
+		}, injectedDefects{fleet: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, violatedBound},
+		{"a node tells more often than it may", nil, injectedDefects{fleet: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, violatedBound},
 		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Of = 0.8 }, injectedDefects{
-			event: changed(func(_ *World, _ *simNode, ev node.GossipReceived) []node.Event {
+			event: changeEvent(func(_ *World, _ *simNode, ev node.GossipReceived) []node.Event {
 				ev.Message.Rates.Migrations = 0
 				return []node.Event{ev}
 			})}, func(sound, r Result) string {
@@ -77,7 +77,7 @@
 		{"a cut line that never falls again", func(s *Scenario) {
 			s.Load.Of = 0.6
 			s.Faults = []Fault{{Kind: "burst", At: Span(2 * time.Second), For: Span(5 * time.Second), Size: 4}}
-		}, injectedDefects{policy: func(_ *World, _ *simNode, m node.Policy) node.Policy { return &stuck{Policy: m} }}, func(_, r Result) string {
+		}, injectedDefects{policy: func(_ *World, _ *simNode, m node.Policy) node.Policy { return &risingThresholdPolicy{Policy: m} }}, func(_, r Result) string {
 			last := r.seconds[12:15]
 			asked, earned := 0.0, 0.0
 			for _, s := range last {
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -64,9 +64,9 @@
 	worlds := []Scenario{}
 	for _, name := range []string{"answers-lost", "bad-clients", "calm", "copies-of-silent", "discovery-silent", "errors-and-cut",
 		"fleet-one-hears-of-drain", "fleet-overload", "fleet-replaced", "nodes-restarted", "reset-and-repeat", "rolling-drains", "split-zone"} {
-		s := keptScenario(t, name)
+		s := loadScenario(t, name)
 		s.Length = min(s.Length, Span(20*time.Second))
-		worlds = append(worlds, short(s, 600))
+		worlds = append(worlds, shortened(s, 600))
 	}
 	for seed := uint64(1); seed <= 6; seed++ {
 		worlds = append(worlds, Draw(seed, Size{Nodes: 4, Executors: 8, Length: 6 * time.Second}))
@@ -88,7 +88,7 @@
 	golden.Compare(t, "traces.txt", out.String())
 }
 
-// notPinned are kept scenarios whose trace or result with the network code was seen to differ from run to run with one seed.
+// notPinned are scenarios whose trace or result with the network code was seen to differ from run to run with one seed.
 var notPinned = []string{"bad-clients", "nodes-restarted", "reset-and-repeat"}
 
 // The same with the nodes' network code.
@@ -112,7 +112,7 @@
 // One result in full, as it is printed and with its JSON keys.
 func TestGoldenResult(t *testing.T) {
 	t.Parallel()
-	s := short(keptScenario(t, "fleet-overload"), 600)
+	s := shortened(loadScenario(t, "fleet-overload"), 600)
 	golden.Compare(t, "result.txt", printed(t, New(s, s.Seed, Options{Account: true}).Play()))
 }
 
@@ -142,7 +142,7 @@
 	var out strings.Builder
 	breaks := func(s Scenario) bool {
 		w := New(s, 1, Options{MaxViolations: 1})
-		w.defects = defects[0].plant
+		w.defects = defects[0].inject
 		r := w.Play()
 		return len(r.Broken) > 0 && r.Broken[0].Rule == defects[0].rule
 	}
@@ -153,6 +153,6 @@
 		}
 		fmt.Fprintf(&out, "%x\n", sha256.Sum256(text))
 	}
-	step(shrink(troubled(nil), breaks, step))
+	step(shrink(faultyScenario(nil), breaks, step))
 	golden.Compare(t, "shrinking.txt", out.String())
 }
--- a/internal/simulation/gossip_test.go
+++ b/internal/simulation/gossip_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Under overload nodes that talk earn more by fewer allocations, and keep the rules, also where words get lost, a node lies and one stands still; below
-// capacity talking changes nothing.
+// Under overload nodes with gossip earn more with fewer attempts and violate no invariant, also if messages are lost, a node sends corrupt
+// ones and one is suspended. Below capacity gossip changes nothing.
 func TestOverloadOfTheFleet(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/simulation/hard_test.go
+++ b/internal/simulation/hard_test.go
@@ -8,71 +8,71 @@
 	"birchstair/policy"
 )
 
-// sighting looks for the hard cases in what is seen.
-type sighting struct {
-	out      map[string]invariants.Seen // allocations that are out, by node and batch job
-	over     map[string]bool            // that the node counts as over, by node, batch job and executor
-	held     map[invariants.WorkID]invariants.NodeID
-	twoHold  int // a second node takes what a first one still holds
-	lateRun  int // an executor begins on what its node counts as over: it saw the break first
-	killed   int // a node dies with a last byte gone and no word of it
-	cold     int // work reaches a cold executor
-	notFresh int // a node is told of a start long after it
+// hardCases counts the hard cases in a trace.
+type hardCases struct {
+	attemptsOut       map[string]invariants.Seen // allocations that are out, by node and batch job
+	attemptsOver      map[string]bool            // that the node counts as over, by node, batch job and executor
+	openAt            map[invariants.WorkID]invariants.NodeID
+	heldTwice         int // a second node takes what a first one still holds
+	startedAfterBreak int // an executor begins on what its node counts as over: it saw the break first
+	killedWithAttempt int // a node dies with a last byte gone and no word of it
+	reachedCold       int // work reaches a cold executor
+	lateStarts        int // a node is told of a start long after it
 }
 
-func (x *sighting) see(s invariants.Seen) {
+func (x *hardCases) see(s invariants.Seen) {
 	key := string(rune(s.Node)) + string(s.Job)
 	switch s.What {
 	case invariants.Taken:
-		if n, ok := x.held[s.Work]; ok && n != s.Node {
-			x.twoHold++
+		if n, ok := x.openAt[s.Work]; ok && n != s.Node {
+			x.heldTwice++
 		}
-		x.held[s.Work] = s.Node
+		x.openAt[s.Work] = s.Node
 	case invariants.Answered, invariants.Left:
-		for w, n := range x.held {
+		for w, n := range x.openAt {
 			if n == s.Node && len(s.Job) > len(w) && string(s.Job[:len(w)]) == string(w) && s.Job[len(w)] == '/' {
-				delete(x.held, w)
+				delete(x.openAt, w)
 			}
 		}
 	case invariants.LastByte:
-		x.out[key] = s
+		x.attemptsOut[key] = s
 	case invariants.Over:
-		delete(x.out, key)
-		x.over[key+string(s.Executor)] = true
+		delete(x.attemptsOut, key)
+		x.attemptsOver[key+string(s.Executor)] = true
 	case invariants.Ran:
-		if x.over[key+string(s.Executor)] {
-			x.lateRun++
+		if x.attemptsOver[key+string(s.Executor)] {
+			x.startedAfterBreak++
 		}
 	case invariants.NodeKilled:
-		for k, o := range x.out {
+		for k, o := range x.attemptsOut {
 			if o.Node == s.Node {
-				x.killed++
-				delete(x.out, k)
+				x.killedWithAttempt++
+				delete(x.attemptsOut, k)
 			}
 		}
-		for w, n := range x.held {
+		for w, n := range x.openAt {
 			if n == s.Node {
-				delete(x.held, w)
+				delete(x.openAt, w)
 			}
 		}
 	case invariants.Reached:
-		x.cold++
+		x.reachedCold++
 	case invariants.Told:
 		if s.State == policy.Available && s.Start > 0 && s.At > s.Start+2*time.Second {
-			x.notFresh++
+			x.lateStarts++
 		}
 	}
 }
 
-// The worlds of the tests hold the hard cases: each happens, many times over, and no rule breaks by it.
+// The hard cases happen in the worlds of the tests, each many times, and no invariant is violated by them.
 func TestHardCasesHappen(t *testing.T) {
 	t.Parallel()
-	x := &sighting{out: map[string]invariants.Seen{}, over: map[string]bool{}, held: map[invariants.WorkID]invariants.NodeID{}}
+	x := &hardCases{attemptsOut: map[string]invariants.Seen{}, attemptsOver: map[string]bool{}, openAt: map[invariants.WorkID]invariants.NodeID{}}
 	ties, orphans := 0, 0
 	play := func(s Scenario, seed uint64) {
-		clear(x.out)
-		clear(x.over)
-		clear(x.held)
+		clear(x.attemptsOut)
+		clear(x.attemptsOver)
+		clear(x.openAt)
 		w := New(s, seed, Options{Trace: x.see})
 		r := w.Play()
 		ties += w.sameInstantSteps
@@ -86,7 +86,7 @@
 	for seed := uint64(1000); seed < 1060; seed++ {
 		play(Draw(seed, Size{Nodes: 4, Executors: 8, Length: 10 * time.Second}), seed)
 	}
-	retries := troubled(func(s *Scenario) {
+	retries := faultyScenario(func(s *Scenario) {
 		s.Load.RetryWait, s.Load.HeedsBack = 0, false
 		s.Faults = append(s.Faults, Fault{Kind: "client-reset", At: Span(3 * time.Second), For: Span(15 * time.Second), Size: 0.3},
 			Fault{Kind: "node-killed", At: Span(8 * time.Second), For: Span(2 * time.Second), Where: []string{"n1"}})
@@ -97,12 +97,12 @@
 		count int
 	}{
 		{"two things at one instant", ties},
-		{"two nodes hold the same work of one client", x.twoHold},
+		{"two nodes hold the same work of one client", x.heldTwice},
 		{"work that runs on after its allocation was given up, and ends for nobody", orphans},
-		{"a node killed between the last byte and the word of it", x.killed},
-		{"a break that the node sees before the executor has the allocation", x.lateRun},
-		{"work for a cold executor", x.cold},
-		{"a node told of a start long after it", x.notFresh},
+		{"a node killed between the last byte and the word of it", x.killedWithAttempt},
+		{"a break that the node sees before the executor has the allocation", x.startedAfterBreak},
+		{"work for a cold executor", x.reachedCold},
+		{"a node told of a start long after it", x.lateStarts},
 	} {
 		t.Logf("%s: %d", c.name, c.count)
 		if c.count < 5 {
--- a/internal/simulation/kill_run_test.go
+++ b/internal/simulation/kill_run_test.go
@@ -8,8 +8,8 @@
 	"birchstair/internal/golden"
 )
 
-// Real processes, killed by SIGKILL at random points: what was acknowledged is never lost, each batch job has one final answer, and no once-only one runs
-// twice.
+// Real processes that are killed by SIGKILL at random times: no acknowledged job is lost, each has one final answer, and no at-most-once job
+// runs twice.
 func TestKilling(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/internal/simulation/news_test.go
+++ b/internal/simulation/news_test.go
@@ -10,18 +10,18 @@
 	"birchstair/internal/synctesting"
 )
 
-// drained is a world in which executors drain for long.
-func drained() Scenario {
-	return troubled(func(s *Scenario) {
+// drainingScenario is a scenario in which executors drain for long.
+func drainingScenario() Scenario {
+	return faultyScenario(func(s *Scenario) {
 		s.Length = Span(20 * time.Second)
 		s.Faults = []Fault{{Kind: emulator.DrainOff, At: Span(4 * time.Second), For: Span(30 * time.Second), Where: []string{"e0", "e1", "e5"}}}
 	})
 }
 
-// A node that hears nothing more from discovery, though it could, breaks the rule that a drain binds whether it was told or not, and no
-// other; without the defect none breaks, by events and on connections in memory.
+// A node that loses its watch though nothing is wrong with the network violates the invariant that a drain binds in time, and no other.
+// Without the defect none is violated, in event worlds and wired ones.
 func TestUninformed(t *testing.T) {
-	s := drained()
+	s := drainingScenario()
 	if _, err := s.check(); err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 		})
 		caught := 0
 		w := New(s, seed, Options{MaxViolations: 1000})
-		w.defects.event = changed(func(_ *World, n *simNode, ev node.JobArrived) []node.Event {
+		w.defects.event = changeEvent(func(_ *World, n *simNode, ev node.JobArrived) []node.Event {
 			n.watchLost = true // and nobody says so
 			return []node.Event{ev}
 		})
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -12,7 +12,7 @@
 	Scenario string              `json:"scenario"`
 	Seed     uint64              `json:"seed"`
 	Length   Span                `json:"length"`
-	Earned   float64             `json:"earned"` // share of the value offered that was earned within the latency objectives
+	Earned   float64             `json:"earned"` // share of the value offered that was earned
 	Best     float64             `json:"best"`   // upper bound of Earned, by which nodes and executors were up; 0 if it is not known
 	Worst    float64             `json:"worst"`  // Earned over the worst 10 s
 	WorstAt  Span                `json:"worst_at"`
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -19,10 +19,10 @@
 	"birchstair/lab/scenarios"
 )
 
-var seeds = flag.Int("seeds", 150, "how many worlds are drawn")
+var seeds = flag.Int("seeds", 150, "number of drawn worlds")
 
-// Drawn worlds, with half of the clients leaving early and nodes that stand still meanwhile: not one attempt begins too long after its client
-// has left, neither with events alone nor, without standing still, with the network code.
+// Drawn worlds with half of the clients leaving early and nodes that are suspended meanwhile: no attempt starts too long after its client
+// has left, in event worlds nor, without suspended nodes, in wired ones.
 func TestClientsLeaveInDrawnWorlds(t *testing.T) {
 	waiting := 0
 	leaving := func(seed uint64, size Size) Scenario {
@@ -49,7 +49,7 @@
 	t.Logf("%d of them in worlds of events", waiting)
 	for seed := uint64(1); seed <= uint64(*seeds/50); seed++ {
 		s := leaving(seed, Size{Nodes: 3, Executors: 6, Length: 10 * time.Second})
-		// A node that is killed while it sends clients away leaves a goroutine behind that never ends here, as it need not in a process.
+		// A node that is killed while it drains clients leaves a goroutine behind that never ends here, as it need not in a process.
 		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.Kind == emulator.SentAway })
 		look(seed, playWired(t, s, seed, Options{}))
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-// Every kept scenario, with some seeds: no rule breaks, and the module never panics.
+// Every scenario with some seeds: no invariant is violated, and the policy never panics.
 func TestScenarios(t *testing.T) {
 	t.Parallel()
 	files, err := fs.Glob(scenarios.Files, "*.toml")
@@ -74,17 +74,17 @@
 			}
 			plays := uint64(3)
 			if underRace {
-				s, plays = short(s, 3600), 1
+				s, plays = shortened(s, 3600), 1
 			}
 			for seed := s.Seed; seed < s.Seed+plays; seed++ {
 				r := New(s, seed, Options{}).Play()
-				wants(t, r)
+				checkSound(t, r)
 			}
 		})
 	}
 }
 
-// The worlds of lab/size are too large for the tests, and played by hand; they are read, so that they can't rot.
+// The scenarios of lab/size are too large for tests and are played by hand; here they are only read.
 func TestSizesAreRead(t *testing.T) {
 	sizes := os.DirFS("../../lab/size")
 	files, err := fs.Glob(sizes, "*.toml")
@@ -98,8 +98,8 @@
 	}
 }
 
-// short cuts a long world down to as many batch jobs, roughly, and leaves out the faults that come later.
-func short(s Scenario, most float64) Scenario {
+// shortened shortens a scenario to about as many jobs, without the faults that would begin later.
+func shortened(s Scenario, most float64) Scenario {
 	mean := 0.0
 	for _, t := range s.Tracks {
 		mean += t.Share * time.Duration(t.Work).Seconds()
@@ -107,14 +107,14 @@
 	if s.Load.Of == 0 {
 		return s
 	}
-	perSecond := s.Load.Of * float64(s.Fleet.Executors*s.Fleet.Slots) * s.Fleet.Speed / mean // clients' repeats come on top
+	perSecond := s.Load.Of * float64(s.Fleet.Executors*s.Fleet.Slots) * s.Fleet.Speed / mean // and retries
 	s.Length = min(s.Length, Span(most/perSecond*float64(time.Second)))
 	s.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool { return f.At >= s.Length })
 	return s
 }
 
-// wants fails where a rule broke, the module did, or nothing was played at all.
-func wants(t *testing.T, r Result) {
+// checkSound fails if an invariant was violated, the policy panicked, or nothing was played.
+func checkSound(t *testing.T, r Result) {
 	t.Helper()
 	for _, b := range r.Broken {
 		t.Errorf("%s, seed %d: %v", r.Scenario, r.Seed, b)
@@ -142,7 +142,7 @@
 	})
 }
 
-// digest is the whole trace of some worlds, put together.
+// digest is a hash of the traces of some worlds.
 func digest() string {
 	h := sha256.New()
 	lines := 0
@@ -187,7 +187,7 @@
 	}
 }
 
-// What is read back from what is written plays the same.
+// A scenario that is written and read again plays the same.
 func TestTextPlaysTheSame(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
@@ -211,7 +211,7 @@
 	}
 }
 
-// Whatever is drawn makes sense.
+// Every drawn scenario passes the check.
 func TestDrawnMakesSense(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3000) {
@@ -222,7 +222,7 @@
 	}
 }
 
-// What is wrong with a scenario is said by file, line and key.
+// Errors of scenarios name file, line and key.
 func TestBrokenScenarios(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
@@ -254,18 +254,18 @@
 	golden.Compare(t, "broken-scenarios.txt", out.String())
 }
 
-// A world that breaks a rule becomes a smaller one that breaks it still, by the fault that it takes and none besides.
+// Shrinking leaves the one fault that violates the invariant.
 func TestShrink(t *testing.T) {
 	t.Parallel()
 	forgets := defects[0]
 	const seed = 1
 	breaks := func(s Scenario) bool {
 		w := New(s, seed, Options{MaxViolations: 1})
-		w.defects = forgets.plant
+		w.defects = forgets.inject
 		r := w.Play()
 		return len(r.Broken) > 0 && r.Broken[0].Rule == forgets.rule
 	}
-	s, steps := troubled(nil), 0
+	s, steps := faultyScenario(nil), 0
 	small := shrink(s, breaks, func(Scenario) { steps++ })
 	if !breaks(small) || steps == 0 {
 		t.Fatalf("what is left after %d steps breaks nothing", steps)
--- a/internal/simulation/slow_start_test.go
+++ b/internal/simulation/slow_start_test.go
@@ -7,7 +7,7 @@
 	"birchstair/internal/invariants"
 )
 
-// Drawn worlds of 20 and 30 nodes whose executors start again under bursts: no rule breaks.
+// Drawn worlds of 20 and 30 nodes whose executors restart under bursts: no invariant is violated.
 func TestColdWorlds(t *testing.T) {
 	Hunt(1, 3, Size{Nodes: 4, Executors: 12, Length: 4 * time.Second, Cold: true}, 0, func(s Scenario, r Result) bool {
 		if at, err := s.check(); err != nil {
@@ -20,8 +20,8 @@
 	})
 }
 
-// All of 30 nodes are killed and start again, some times within a window, while executors are cold under a burst: what the processes before
-// them sent is charged to them.
+// All of 30 nodes are killed and restarted several times within an overload window, while executors are cold under a burst: what their
+// earlier processes sent counts against their budgets.
 func TestColdNodesStartAgain(t *testing.T) {
 	s := Base()
 	second := func(at float64) Span { return Span(at * 1e9) }
@@ -43,11 +43,11 @@
 	if cold < 50 {
 		t.Errorf("only %d batch jobs reached cold executors: this test shows nothing", cold)
 	}
-	wants(t, r)
+	checkSound(t, r)
 }
 
-// Executors with one place and short batch jobs: notices of starts that pass those of ends make them look as if they had two.
+// Executors with one slot and short jobs: a notice of a start that overtakes the end before it makes them look as if they had two.
 func TestColdOnePlace(t *testing.T) {
 	const seed = 44
-	wants(t, New(Draw(seed, Size{Nodes: 4, Executors: 20, Length: 8 * time.Second, Cold: true}), seed, Options{}).Play())
+	checkSound(t, New(Draw(seed, Size{Nodes: 4, Executors: 20, Length: 8 * time.Second, Cold: true}), seed, Options{}).Play())
 }
--- a/internal/simulation/wired_test.go
+++ b/internal/simulation/wired_test.go
@@ -28,7 +28,7 @@
 
 const ownProcess = "BIRCHLAB_OWN_PROCESS"
 
-// inOwnProcess runs a test in a process of its own while the race detector watches, and says whether it did: a bubble has one processor
+// inOwnProcess runs a test in a process of its own while the race detector is on, and says whether it did: a bubble has one processor
 // then (internal/synctesting), and so worlds are still played beside each other. A child that did not run the test fails it.
 func inOwnProcess(t *testing.T) bool {
 	if !underRace || os.Getenv(ownProcess) != "" {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// The kept scenarios, played by the network code itself.
+// The scenarios in wired worlds.
 func TestWiredScenarios(t *testing.T) {
 	t.Parallel()
 	files, err := fs.Glob(scenarios.Files, "*.toml")
@@ -63,11 +63,11 @@
 			}
 			s.Length = min(s.Length, Span(2*time.Minute)) // bytes take longer than events
 			if underRace {
-				s = short(s, 2000)
+				s = shortened(s, 2000)
 			}
 			s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At >= s.Length })
 			r := playWired(t, s, s.Seed, Options{})
-			wants(t, r)
+			checkSound(t, r)
 			if s.Load.MalformedRate > 0 && r.Malformed == 0 {
 				t.Error("no bad client came")
 			}
@@ -75,7 +75,7 @@
 	}
 }
 
-// Drawn worlds, played by the network code itself.
+// Drawn scenarios in wired worlds.
 func TestWiredDrawnWorlds(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= uint64(*seeds/10); seed++ {
@@ -104,8 +104,8 @@
 	for seed := uint64(1); seed <= 6; seed++ {
 		h, lines := sha256.New(), 0
 		world := Draw(seed, Size{Nodes: 3, Executors: 6, Length: 8 * time.Second})
-		// Processes that end without a word: what is left of their goroutines must change nothing, not even the names of later connections.
-		// Without nodes that are killed while they send clients away: the goroutine that does so never ends there, as it need not in a process.
+		// Killed processes: what is left of their goroutines must change nothing, not even the names of later connections.
+		// Without nodes that are killed while they drain clients: the goroutine that does so never ends there, as it need not in a process.
 		world.Faults = slices.DeleteFunc(world.Faults, func(f Fault) bool { return f.Kind == "sent-away" })
 		world.Faults = append(world.Faults, Fault{Kind: "node-killed", At: Span(2 * time.Second), For: Span(time.Second)},
 			Fault{Kind: "zone-lost", At: Span(5 * time.Second), For: Span(time.Second), Where: world.Fleet.Zones[:1]})
