--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -129,7 +129,7 @@
 	if w.wired != nil {
 		w.wired.startExecutor(x)
 	}
-	x.updateTrouble()
+	x.applyFaults()
 	w.observe(invariants.Seen{What: invariants.Started, Node: invariants.Nobody, Executor: x.ID})
 	entry := x.entry(policy.Available)
 	entry.StartedAt += w.clockOffset
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -25,7 +25,7 @@
 		x.excludeAndRestart(fault)
 	default:
 		x.faults = append(x.faults, fault)
-		x.updateTrouble()
+		x.applyFaults()
 	}
 }
 
@@ -50,12 +50,12 @@
 		}
 	default:
 		x.faults = emulator.Without(x.faults, fault)
-		x.updateTrouble()
+		x.applyFaults()
 	}
 }
 
-// updateTrouble combines the faults that slow the executor down or make it fail.
-func (x *executor) updateTrouble() {
+// applyFaults combines the faults that slow the executor down or make it fail.
+func (x *executor) applyFaults() {
 	trouble := emulator.Together(x.faults)
 	trouble.Lies = x.Trouble().Lies
 	x.apply(x.Suffer(x.world.now, trouble))
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -52,7 +52,7 @@
 			w.beginConnFault(fault)
 		}
 	case emulator.ListLate:
-		w.setDiscoveryLate(secondsOf(size), on)
+		w.setDiscoveryDelay(secondsOf(size), on)
 	case emulator.ListLost:
 		w.setDiscoverySilent(on)
 	case emulator.WordsLost:
@@ -112,8 +112,8 @@
 	return all
 }
 
-// setDiscoveryLate delays all updates of the endpoint list, or ends the delay.
-func (w *World) setDiscoveryLate(delay time.Duration, on bool) {
+// setDiscoveryDelay delays all updates of the endpoint list, or ends the delay.
+func (w *World) setDiscoveryDelay(delay time.Duration, on bool) {
 	w.discovery.Late(delay)
 	if on {
 		w.checker.Apart(invariants.Nobody, w.now+time.Duration(w.scenario.Fleet.ListLag)+delay)
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -33,8 +33,8 @@
 // The timing of a run.
 const (
 	submitInterval   = 15 * time.Millisecond
-	minLifeMS        = 20  // milliseconds from a start to the next kill, at least
-	lifeRangeMS      = 400 // milliseconds beyond that, uniform
+	minUptimeMS      = 20  // milliseconds from a start to the next kill, at least
+	uptimeRangeMS    = 400 // milliseconds beyond that, uniform
 	readyTimeout     = 10 * time.Second
 	readyPoll        = 10 * time.Millisecond
 	loggedTailLength = 500 // bytes of the node's log in a report
@@ -75,7 +75,7 @@
 		})
 	}
 	for range k.Kills {
-		time.Sleep(time.Duration(minLifeMS+r.randomN(lifeRangeMS)) * time.Millisecond)
+		time.Sleep(time.Duration(minUptimeMS+r.randomN(uptimeRangeMS)) * time.Millisecond)
 		if node, err = r.killAndRestart(node); err != nil {
 			return Killed{}, err
 		}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -161,12 +161,12 @@
 	return ratio(earned, offered)
 }
 
-// ratio is a share of a whole; 1 if there is no whole.
-func ratio(share, whole float64) float64 {
-	if whole == 0 {
+// ratio is a share of a total; 1 if the total is 0.
+func ratio(share, total float64) float64 {
+	if total == 0 {
 		return 1
 	}
-	return share / whole
+	return share / total
 }
 
 // Works is the number of works that clients wanted.
