--- a/internal/harness/cold_test.go
+++ b/internal/harness/cold_test.go
@@ -10,10 +10,10 @@
 // What real processes send an executor that has started anew is held against rule 4, as theirs who were told of its start.
 func TestColdIsSeen(t *testing.T) {
 	t.Parallel()
-	s := keptScenario(t, "fleet-cold-starts")
+	s := loadScenario(t, "fleet-cold-starts")
 	s.Fleet.Nodes, s.Length, s.Faults = 4, simulation.Span(1500*time.Millisecond), s.Faults[:1]
 	s.Faults[0].At, s.Faults[0].For = simulation.Span(100*time.Millisecond), simulation.Span(200*time.Millisecond)
-	if r := play(t, s, 1); r.ColdMost == 0 {
+	if r := playScenario(t, s, 1); r.ColdMost == 0 {
 		t.Error("nothing that came to a cold executor counts as sent by nodes that were told of its start")
 	} else {
 		t.Logf("%.2f of the budget at the most", r.ColdMost)
--- a/internal/harness/draw.go
+++ b/internal/harness/draw.go
@@ -33,7 +33,7 @@
 	}
 	for range 2 + r.IntN(4) {
 		x := simulation.Fault{At: simulation.Span(time.Duration(500+r.IntN(6000)) * time.Millisecond), For: simulation.Span(time.Duration(1000+r.IntN(4000)) * time.Millisecond)}
-		x.Kind = played[r.IntN(len(played))]
+		x.Kind = supportedFaults[r.IntN(len(supportedFaults))]
 		switch on, _ := x.Kind.On(); on {
 		case emulator.OnExecutors:
 			x.Where = pick("e", f.Executors, max(1, f.Executors/3))
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -12,15 +12,15 @@
 	"birchstair/policy"
 )
 
-// played are the kinds of fault that the rig can do.
-var played = []emulator.Kind{emulator.Slow, emulator.Errors, emulator.Mute, emulator.Crash, emulator.DrainOff, emulator.ListLate, emulator.ListLost, emulator.ListCut,
+// supportedFaults are the kinds of fault that the rig can do.
+var supportedFaults = []emulator.Kind{emulator.Slow, emulator.Errors, emulator.Mute, emulator.Crash, emulator.DrainOff, emulator.ListLate, emulator.ListLost, emulator.ListCut,
 	emulator.NodeKilled, emulator.NodeRestart, emulator.NodeStopped, emulator.NodesApart, emulator.WordsLost, emulator.Burst, emulator.HeavyTail}
 
 // Fits says what of a scenario the rig can't play.
 func Fits(s simulation.Scenario) error {
 	for i, f := range s.Faults {
-		if !slices.Contains(played, f.Kind) {
-			return fmt.Errorf("fault[%d].kind: %q is not played with real processes, only %v", i, f.Kind, played)
+		if !slices.Contains(supportedFaults, f.Kind) {
+			return fmt.Errorf("fault[%d].kind: %q is not played with real processes, only %v", i, f.Kind, supportedFaults)
 		}
 	}
 	switch {
@@ -34,11 +34,11 @@
 	return nil
 }
 
-// script puts a fault on the clock.
-func (r *Rig) script(f emulator.Fault) {
+// schedule puts a fault on the clock.
+func (r *cluster) schedule(f emulator.Fault) {
 	r.after(warmUp+f.At, func() {
 		r.note("FAULT: %s for %v, %.3g, at %v", f.Kind, f.For, f.Size, f.Where)
-		r.begin(f)
+		r.beginFault(f)
 		if f.For > 0 {
 			r.after(f.For, func() {
 				r.note("FAULT over: %s at %v", f.Kind, f.Where)
@@ -48,70 +48,70 @@
 	})
 }
 
-func (r *Rig) onExecutors(f emulator.Fault, what func(*executor)) {
+func (r *cluster) onExecutors(f emulator.Fault, what func(*executor)) {
 	for _, x := range r.executors {
-		if f.Touches(string(x.ID), r.s.Fleet.Zones[x.Zone]) {
+		if f.Touches(string(x.ID), r.scenario.Fleet.Zones[x.Zone]) {
 			what(x)
 		}
 	}
 }
 
-func (r *Rig) onNodes(f emulator.Fault, what func(*proc)) {
+func (r *cluster) onNodes(f emulator.Fault, what func(*nodeProcess)) {
 	for _, p := range r.nodes {
-		if f.Touches(p.name, r.s.Fleet.Zones[p.zone]) {
+		if f.Touches(p.name, r.scenario.Fleet.Zones[p.zone]) {
 			what(p)
 		}
 	}
 }
 
-func (r *Rig) begin(f emulator.Fault) {
+func (r *cluster) beginFault(f emulator.Fault) {
 	switch f.Kind {
 	case emulator.Slow, emulator.Errors, emulator.Mute:
 		r.onExecutors(f, func(x *executor) {
 			x.faults = append(x.faults, f)
-			x.suffer()
+			x.updateFault()
 		})
 	case emulator.Crash:
 		r.onExecutors(f, func(x *executor) {
-			if x.downs++; x.Up {
+			if x.downFaults++; x.Up {
 				x.crash()
-				r.change(x.entry(policy.Removed))
+				r.changeEndpoint(x.entry(policy.Removed))
 			}
 		})
 	case emulator.DrainOff:
 		r.onExecutors(f, func(x *executor) { r.drain(x, f) })
 	case emulator.ListLate:
 		r.discovery.Late(time.Duration(f.Size * 1e9))
-		r.checker.Apart(invariants.Nobody, r.now()+time.Duration(r.s.Fleet.ListLag)+time.Duration(f.Size*1e9))
+		r.checker.Apart(invariants.Nobody, r.now()+time.Duration(r.scenario.Fleet.ListLag)+time.Duration(f.Size*1e9))
 	case emulator.ListLost:
 		r.discovery.Silence(true)
 		r.checker.Cut(r.now(), invariants.Nobody, true)
 	case emulator.ListCut:
-		r.onNodes(f, func(p *proc) { p.deaf = true; r.checker.Cut(r.now(), p.id, true) })
+		r.onNodes(f, func(p *nodeProcess) { p.cutFromDiscovery = true; r.checker.Cut(r.now(), p.id, true) })
 	case emulator.NodeKilled:
-		r.onNodes(f, func(p *proc) {
-			if p.downs++; p.up {
-				p.lose()
+		r.onNodes(f, func(p *nodeProcess) {
+			if p.downFaults++; p.up {
+				p.recordEnd()
 				p.cmd.Process.Kill()
 			}
 		})
 	case emulator.NodeRestart:
-		r.onNodes(f, func(p *proc) {
-			p.downs++
-			p.leaving = r.now()
+		r.onNodes(f, func(p *nodeProcess) {
+			p.downFaults++
+			p.terminatedAt = r.now()
 			p.signal(syscall.SIGTERM)
 		})
 	case emulator.NodeStopped:
-		r.onNodes(f, func(p *proc) {
+		r.onNodes(f, func(p *nodeProcess) {
 			p.signal(syscall.SIGSTOP)
-			p.stopped = true
-			r.see(invariants.Seen{What: invariants.StoodStill, Node: p.id})
-			r.voidAt(p)
+			p.paused = true
+			r.observe(invariants.Seen{What: invariants.StoodStill, Node: p.id})
+			r.excuseRequests(p)
 		})
 	case emulator.NodesApart:
-		r.onNodes(f, func(p *proc) { p.apart = true })
+		r.onNodes(f, func(p *nodeProcess) { p.partitioned = true })
 	case emulator.WordsLost:
-		r.wordsLost = f.Size
+		r.gossipLost = f.Size
 	case emulator.Burst:
 		for _, c := range r.clients {
 			c.Burst = f.Size
@@ -123,38 +123,38 @@
 	}
 }
 
-func (r *Rig) endFault(f emulator.Fault) {
+func (r *cluster) endFault(f emulator.Fault) {
 	switch f.Kind {
 	case emulator.Slow, emulator.Errors, emulator.Mute:
 		r.onExecutors(f, func(x *executor) {
 			x.faults = emulator.Without(x.faults, f)
-			x.suffer()
+			x.updateFault()
 		})
 	case emulator.Crash:
-		r.onExecutors(f, func(x *executor) { x.back() })
+		r.onExecutors(f, func(x *executor) { x.endDownFault() })
 	case emulator.ListLate:
 		r.discovery.Late(0)
-		r.changed()
+		r.wakeWatches()
 	case emulator.ListLost:
 		r.discovery.Silence(false)
 		r.checker.Cut(r.now(), invariants.Nobody, false)
-		r.changed()
+		r.wakeWatches()
 	case emulator.ListCut:
-		r.onNodes(f, func(p *proc) { p.deaf = false; r.checker.Cut(r.now(), p.id, false) })
-		r.changed()
+		r.onNodes(f, func(p *nodeProcess) { p.cutFromDiscovery = false; r.checker.Cut(r.now(), p.id, false) })
+		r.wakeWatches()
 	case emulator.NodeKilled, emulator.NodeRestart:
-		r.onNodes(f, func(p *proc) { p.back() })
+		r.onNodes(f, func(p *nodeProcess) { p.endDownFault() })
 	case emulator.NodeStopped:
-		r.onNodes(f, func(p *proc) {
-			p.stopped, p.stoppedA = false, r.now()+2*slack
-			r.see(invariants.Seen{What: invariants.WentOn, Node: p.id})
-			r.voidAt(p)
+		r.onNodes(f, func(p *nodeProcess) {
+			p.paused, p.pausedUntil = false, r.now()+2*slack
+			r.observe(invariants.Seen{What: invariants.WentOn, Node: p.id})
+			r.excuseRequests(p)
 			p.signal(syscall.SIGCONT)
 		})
 	case emulator.NodesApart:
-		r.onNodes(f, func(p *proc) { p.apart = false })
+		r.onNodes(f, func(p *nodeProcess) { p.partitioned = false })
 	case emulator.WordsLost:
-		r.wordsLost = r.s.Fleet.WordsLost
+		r.gossipLost = r.scenario.Fleet.WordsLost
 	case emulator.Burst:
 		for _, c := range r.clients {
 			c.Burst = 0
@@ -166,57 +166,57 @@
 	}
 }
 
-// voidAt: what a node that is gone or stands still has in hand is late or lost by no doing of its own.
-func (r *Rig) voidAt(p *proc) {
-	for _, t := range r.tries {
-		if t.p == p {
-			t.void = true
+// excuseRequests: what a node that is gone or stands still has in hand is late or lost by no doing of its own.
+func (r *cluster) excuseRequests(p *nodeProcess) {
+	for _, t := range r.requests {
+		if t.node == p {
+			t.excused = true
 		}
 	}
 }
 
-// wasStopped says whether a node stands still or did just now.
-func (p *proc) wasStopped() bool { return p.stopped || p.r.now() < p.stoppedA }
+// wasPaused says whether a node stands still or did just now.
+func (p *nodeProcess) wasPaused() bool { return p.paused || p.cluster.now() < p.pausedUntil }
 
-func (x *executor) suffer() { x.does(x.Suffer(x.r.now(), emulator.Together(x.faults))) }
+func (x *executor) updateFault() { x.apply(x.Suffer(x.cluster.now(), emulator.Together(x.faults))) }
 
-// back ends one fault that keeps an executor down.
-func (x *executor) back() {
-	if x.downs--; x.downs <= 0 {
-		x.downs = 0
+// endDownFault ends one fault that keeps an executor down.
+func (x *executor) endDownFault() {
+	if x.downFaults--; x.downFaults <= 0 {
+		x.downFaults = 0
 		x.restart()
 	}
 }
 
-// back ends one fault that keeps a node down.
-func (p *proc) back() {
-	if p.downs--; p.downs > 0 {
+// endDownFault ends one fault that keeps a node down.
+func (p *nodeProcess) endDownFault() {
+	if p.downFaults--; p.downFaults > 0 {
 		return
 	}
-	p.downs = 0
+	p.downFaults = 0
 	if p.up { // it is still on its way out
-		p.downs = 1
-		p.r.after(100*time.Millisecond, p.back)
+		p.downFaults = 1
+		p.cluster.after(100*time.Millisecond, p.endDownFault)
 		return
 	}
-	if err := p.begin(); err != nil {
-		p.r.wrong("node %s does not start again: %v", p.name, err)
+	if err := p.start(); err != nil {
+		p.cluster.fail("node %s does not start again: %v", p.name, err)
 	}
 }
 
 // drain: the list says so first; later the executor takes nothing new, ends, and starts again cold when the fault is over.
-func (r *Rig) drain(x *executor, f emulator.Fault) {
-	if !x.Up || x.downs > 0 {
+func (r *cluster) drain(x *executor, f emulator.Fault) {
+	if !x.Up || x.downFaults > 0 {
 		return
 	}
-	x.downs++
-	lives := x.lives
-	r.change(x.entry(policy.Draining))
+	x.downFaults++
+	lives := x.incarnation
+	r.changeEndpoint(x.entry(policy.Draining))
 	r.after(f.For*3/4, func() {
-		if x.Up && x.lives == lives {
+		if x.Up && x.incarnation == lives {
 			x.crash()
-			r.change(x.entry(policy.Removed))
+			r.changeEndpoint(x.entry(policy.Removed))
 		}
 	})
-	r.after(f.For, x.back)
+	r.after(f.For, x.endDownFault)
 }
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -30,7 +30,7 @@
 	Dir    string // of its own, empty: logs, configurations and the timeline go there
 	Seed   uint64
 
-	plant func(*Rig) // puts a defect in as the load begins; nil for none
+	injectDefect func(*cluster) // puts a defect in as the load begins; nil for none
 }
 
 // Result is what came of a run. Counts beyond Wrong are no verdict.
@@ -53,72 +53,72 @@
 	Wrong       []string       `json:"Wrong"`
 }
 
-// Rig is a run.
-type Rig struct {
-	s     simulation.Scenario
-	o     Options
-	start time.Time
+// cluster is a run.
+type cluster struct {
+	scenario simulation.Scenario
+	options  Options
+	start    time.Time
 
-	mu        sync.Mutex // guards all below; nothing that blocks is done under it
-	over      bool
-	closing   bool
-	rand      *rand.Rand
-	tracks    []emulator.Track
-	module    []policy.JobClass
-	checker   *invariants.Checker
-	result    Result
-	nodes     []*proc
-	executors []*executor
-	discovery *emulator.Discovery
-	news      chan struct{} // closed when discovery may have something new
-	tries     map[policy.JobID]*try
-	forgotten map[policy.JobID]time.Duration // when a try ended
-	went      map[policy.JobID]time.Duration // when a client left before its answer
-	clients   []*clients
-	memories  emulator.Memories
-	firstTold map[policy.ExecutorID]time.Duration // when any node was first told that it drains
-	conns     emulator.ConnID
-	timeline  *os.File
-	offers    []simulation.Offer
-	capacity  []float64    // what executors could do, by bins of the run
-	held      net.Listener // the run's addresses are its own
-	timers    []*time.Timer
-	waits     sync.WaitGroup // clients' tries, and what serves connections
+	mu            sync.Mutex // guards all below; nothing that blocks is done under it
+	over          bool
+	closing       bool
+	rand          *rand.Rand
+	classes       []emulator.Track
+	policyClasses []policy.JobClass
+	checker       *invariants.Checker
+	result        Result
+	nodes         []*nodeProcess
+	executors     []*executor
+	discovery     *emulator.Discovery
+	listChanged   chan struct{} // closed when discovery may have something new
+	requests      map[policy.JobID]*request
+	endedAt       map[policy.JobID]time.Duration // when a try ended
+	clientLeftAt  map[policy.JobID]time.Duration // when a client left before its answer
+	clients       []*zoneClients
+	memories      emulator.Memories
+	drainKnownAt  map[policy.ExecutorID]time.Duration // when any node was first told that it drains
+	lastConn      emulator.ConnID
+	timeline      *os.File
+	offers        []simulation.Offer
+	capacity      []float64    // what executors could do, by bins of the run
+	addressClaim  net.Listener // the run's addresses are its own
+	timers        []*time.Timer
+	goroutines    sync.WaitGroup // clients' tries, and what serves connections
 
-	ticked  time.Duration // when this process had its turn last
-	stall   time.Duration // for how long it stood still before
-	stallAt time.Duration
+	lastTick    time.Duration // when this process had its turn last
+	stall       time.Duration // for how long it stood still before
+	stallSeenAt time.Duration
 
-	wordsLost   float64
-	wordsDouble float64
-	wordsLate   time.Duration
+	gossipLost       float64
+	gossipDuplicated float64
+	gossipDelay      time.Duration
 }
 
 const (
-	slack     = time.Second            // on a busy machine an answer may be so late
-	lookLate  = 150 * time.Millisecond // and this process so late to read what a node wrote; later ones count, and two do no harm
-	drainSlow = 3 * time.Second        // within it every node of a fleet whose links are whole knows of a drain
-	warmUp    = 500 * time.Millisecond // after all nodes are ready
-	readyIn   = 20 * time.Second
-	busy      = 1.5             // what was sent in time may come in a rush on a busy machine: so much more counts as too much for a cold executor
-	lastWait  = 2 * time.Second // for answers beyond the last outer limit
-	tickEvery = 50 * time.Millisecond
-	stallFor  = 2 * time.Second // what came while this process stood still is read within it
+	slack             = time.Second            // on a busy machine an answer may be so late
+	observationDelay  = 150 * time.Millisecond // and this process so late to read what a node wrote; later ones count, and two do no harm
+	gossipDrainWithin = 3 * time.Second        // within it every node of a fleet whose links are whole knows of a drain
+	warmUp            = 500 * time.Millisecond // after all nodes are ready
+	readyTimeout      = 20 * time.Second
+	arrivalMargin     = 1.5             // what was sent in time may come in a rush on a busy machine: so much more counts as too much for a cold executor
+	answerMargin      = 2 * time.Second // for answers beyond the last outer limit
+	tickInterval      = 50 * time.Millisecond
+	stallEffect       = 2 * time.Second // what came while this process stood still is read within it
 )
 
 // Play plays a run. An error means that it could not be played.
 func Play(s simulation.Scenario, o Options) (result Result, err error) {
-	r := &Rig{s: s, o: o, start: time.Now(), rand: rand.New(rand.NewPCG(o.Seed, 9)),
-		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)), news: make(chan struct{}), tries: map[policy.JobID]*try{}, forgotten: map[policy.JobID]time.Duration{}, went: map[policy.JobID]time.Duration{},
-		memories: emulator.Memories{}, firstTold: map[policy.ExecutorID]time.Duration{}, result: Result{Seed: o.Seed, Tries: map[string]int{}}}
-	r.tracks, r.module = s.Takes()
-	r.checker = invariants.New(invariants.Settings{Tracks: r.module, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace) + slack, Prompt: time.Hour,
-		WarmWithin: time.Duration(s.Fleet.WarmWithin), FallMultiple: busy * s.Fleet.FallMultiple, FallWindow: time.Duration(s.Fleet.FallWindow), MeanWork: s.MeanWork(), Copies: s.Fleet.Copies})
+	r := &cluster{scenario: s, options: o, start: time.Now(), rand: rand.New(rand.NewPCG(o.Seed, 9)),
+		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)), listChanged: make(chan struct{}), requests: map[policy.JobID]*request{}, endedAt: map[policy.JobID]time.Duration{}, clientLeftAt: map[policy.JobID]time.Duration{},
+		memories: emulator.Memories{}, drainKnownAt: map[policy.ExecutorID]time.Duration{}, result: Result{Seed: o.Seed, Tries: map[string]int{}}}
+	r.classes, r.policyClasses = s.Takes()
+	r.checker = invariants.New(invariants.Settings{Tracks: r.policyClasses, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace) + slack, Prompt: time.Hour,
+		WarmWithin: time.Duration(s.Fleet.WarmWithin), FallMultiple: arrivalMargin * s.Fleet.FallMultiple, FallWindow: time.Duration(s.Fleet.FallWindow), MeanWork: s.MeanWork(), Copies: s.Fleet.Copies})
 	if r.timeline, err = os.Create(filepath.Join(o.Dir, "timeline.txt")); err != nil {
 		return Result{}, err
 	}
 	defer func() { err = errors.Join(err, r.timeline.Close()) }()
-	defer r.end()
+	defer r.shutDown()
 	if err := r.setUp(); err != nil {
 		return Result{}, err
 	}
@@ -129,29 +129,29 @@
 	return r.finish(), nil
 }
 
-func (r *Rig) now() time.Duration { return time.Since(r.start) }
+func (r *cluster) now() time.Duration { return time.Since(r.start) }
 
 // note writes a line of the timeline. It is called with r.mu held.
-func (r *Rig) note(format string, args ...any) {
+func (r *cluster) note(format string, args ...any) {
 	fmt.Fprintf(r.timeline, "%10.3fs "+format+"\n", append([]any{r.now().Seconds()}, args...)...)
 }
 
-func (r *Rig) wrong(format string, args ...any) {
+func (r *cluster) fail(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	r.note("WRONG: %s", text)
 	r.result.Wrong = append(r.result.Wrong, text)
 }
 
-// see hands a thing seen to the rules. It is called with r.mu held.
-func (r *Rig) see(s invariants.Seen) {
+// observe hands a thing seen to the rules. It is called with r.mu held.
+func (r *cluster) observe(s invariants.Seen) {
 	s.At = r.now()
 	for _, b := range r.checker.See(s) {
-		r.wrong("%s", b.String())
+		r.fail("%s", b.String())
 	}
 }
 
 // after does something later, with r.mu held, unless the run is over.
-func (r *Rig) after(span time.Duration, what func()) {
+func (r *cluster) after(span time.Duration, what func()) {
 	r.timers = append(r.timers, time.AfterFunc(span, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -161,9 +161,9 @@
 	}))
 }
 
-func (r *Rig) setUp() error {
-	f := &r.s.Fleet
-	speeds := rand.New(rand.NewPCG(r.o.Seed, 10))
+func (r *cluster) setUp() error {
+	f := &r.scenario.Fleet
+	speeds := rand.New(rand.NewPCG(r.options.Seed, 10))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range f.Executors {
@@ -174,7 +174,7 @@
 	if err != nil {
 		return fmt.Errorf("no free loopback addresses for a fleet: %w", err)
 	}
-	r.held = held
+	r.addressClaim = held
 	for i := range f.Nodes {
 		p, err := r.newProc(i, slot)
 		if err != nil {
@@ -186,7 +186,7 @@
 		if err := p.writeFiles(); err != nil {
 			return err
 		}
-		if err := p.begin(); err != nil {
+		if err := p.start(); err != nil {
 			return err
 		}
 	}
@@ -194,12 +194,12 @@
 }
 
 // awaitReady waits until all nodes say that they are ready, and, where they talk, know each other.
-func (r *Rig) awaitReady() error {
+func (r *cluster) awaitReady() error {
 	for _, p := range r.nodes {
-		until := time.Now().Add(readyIn)
-		for !p.isReady() || r.s.Fleet.Talk && !p.knowsAll(len(r.nodes)) {
+		until := time.Now().Add(readyTimeout)
+		for !p.isReady() || r.scenario.Fleet.Talk && !p.knowsAll(len(r.nodes)) {
 			if time.Now().After(until) {
-				return fmt.Errorf("node %s is not ready after %v; its log and the timeline are in %s", p.name, readyIn, r.o.Dir)
+				return fmt.Errorf("node %s is not ready after %v; its log and the timeline are in %s", p.name, readyTimeout, r.options.Dir)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -208,29 +208,29 @@
 }
 
 // run plays the load and the script.
-func (r *Rig) run() {
+func (r *cluster) run() {
 	r.mu.Lock()
 	r.note("all nodes are ready")
-	r.wordsLost, r.wordsDouble, r.wordsLate = r.s.Fleet.WordsLost, r.s.Fleet.WordsDoubled, time.Duration(r.s.Fleet.WordsLate)
-	length := time.Duration(r.s.Length)
+	r.gossipLost, r.gossipDuplicated, r.gossipDelay = r.scenario.Fleet.WordsLost, r.scenario.Fleet.WordsDoubled, time.Duration(r.scenario.Fleet.WordsLate)
+	length := time.Duration(r.scenario.Length)
 	r.after(warmUp, func() { r.buildClients(r.now() + length) })
-	for _, f := range r.s.Faults {
-		r.script(f.Standin())
+	for _, f := range r.scenario.Faults {
+		r.schedule(f.Standin())
 	}
-	if r.o.plant != nil {
-		r.o.plant(r)
+	if r.options.injectDefect != nil {
+		r.options.injectDefect(r)
 	}
 	r.sampleCapacity()
 	r.ticks()
 	longest := time.Duration(0)
-	for _, t := range r.module {
+	for _, t := range r.policyClasses {
 		longest = max(longest, t.Deadline)
 	}
 	r.mu.Unlock()
 	time.Sleep(warmUp + length)
-	for until := time.Now().Add(longest + lastWait); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(longest + answerMargin); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		r.mu.Lock()
-		open := len(r.tries)
+		open := len(r.requests)
 		r.mu.Unlock()
 		if open == 0 {
 			break
@@ -239,25 +239,25 @@
 }
 
 // ticks notes when this process, which sees both ends, stands still itself: what it reads then came before.
-func (r *Rig) ticks() {
-	if stall := r.now() - r.ticked - tickEvery; r.ticked > 0 && (stall > r.stall || r.now() > r.stallAt+stallFor) {
-		r.stall, r.stallAt = max(0, stall), r.now()
+func (r *cluster) ticks() {
+	if stall := r.now() - r.lastTick - tickInterval; r.lastTick > 0 && (stall > r.stall || r.now() > r.stallSeenAt+stallEffect) {
+		r.stall, r.stallSeenAt = max(0, stall), r.now()
 	}
-	r.ticked = r.now()
-	r.after(tickEvery, r.ticks)
+	r.lastTick = r.now()
+	r.after(tickInterval, r.ticks)
 }
 
-// stood is for how long this process has stood still just now. Guards against times that it reads off itself: an end that it noted before
+// ownStall is for how long this process has stood still just now. Guards against times that it reads off itself: an end that it noted before
 // and an allocation that it reads after standing still look as far apart as that.
-func (r *Rig) stood() time.Duration {
-	if r.ticked == 0 {
+func (r *cluster) ownStall() time.Duration {
+	if r.lastTick == 0 {
 		return 0
 	}
-	return max(r.stall, r.now()-r.ticked-tickEvery, 0)
+	return max(r.stall, r.now()-r.lastTick-tickInterval, 0)
 }
 
 // sampleCapacity books what executors could do in this bin.
-func (r *Rig) sampleCapacity() {
+func (r *cluster) sampleCapacity() {
 	can := 0.0
 	for _, x := range r.executors {
 		if t := x.Trouble(); x.Up && !x.Drains && !t.Mute {
@@ -271,44 +271,44 @@
 }
 
 // finish ends the processes and says what came of the run.
-func (r *Rig) finish() Result {
+func (r *cluster) finish() Result {
 	for _, p := range r.nodes {
-		r.result.Views = append(r.result.Views, p.view())
+		r.result.Views = append(r.result.Views, p.fleetView())
 	}
 	r.mu.Lock()
 	r.closing = true // who would come again stays away: the nodes end now
-	for _, t := range r.tries {
-		t.void = true
+	for _, t := range r.requests {
+		t.excused = true
 	}
 	r.mu.Unlock()
 	for _, p := range r.nodes {
-		if err := p.stopWell(); err != nil {
+		if err := p.shutDown(); err != nil {
 			r.mu.Lock()
-			r.wrong("node %s: a planned end: %v", p.name, err)
+			r.fail("node %s: a planned end: %v", p.name, err)
 			r.mu.Unlock()
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.checker.Pass(r.now())
-	r.result.WentWaiting, r.result.ColdMost = r.checker.WentWaiting(), busy*r.checker.ColdMost()
+	r.result.WentWaiting, r.result.ColdMost = r.checker.WentWaiting(), arrivalMargin*r.checker.ColdMost()
 	for _, b := range r.checker.Broken() {
 		if text := b.String(); !slices.Contains(r.result.Wrong, text) {
-			r.wrong("%s", text)
+			r.fail("%s", text)
 		}
 	}
 	r.result.Best = simulation.Best(r.offers, r.capacity)
 	return r.result
 }
 
-// end ends all that is left, by its id.
-func (r *Rig) end() {
+// shutDown ends all that is left, by its id.
+func (r *cluster) shutDown() {
 	r.mu.Lock()
 	r.over = true
 	for _, t := range r.timers {
 		t.Stop()
 	}
-	r.changed()
+	r.wakeWatches()
 	closers := []func(){}
 	for _, p := range r.nodes {
 		closers = append(closers, p.kill, p.close)
@@ -320,8 +320,8 @@
 	for _, c := range closers {
 		c()
 	}
-	if r.held != nil {
-		r.held.Close()
+	if r.addressClaim != nil {
+		r.addressClaim.Close()
 	}
-	r.waits.Wait()
+	r.goroutines.Wait()
 }
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { golden.Main(m, &binary) }
 
-func play(t *testing.T, s simulation.Scenario, seed uint64) Result {
+func playScenario(t *testing.T, s simulation.Scenario, seed uint64) Result {
 	t.Helper()
 	dir := t.TempDir()
 	r := playWith(t, s, Options{Binary: binary, Dir: dir, Seed: seed})
@@ -44,7 +44,7 @@
 	return r
 }
 
-func keptScenario(t *testing.T, name string) simulation.Scenario {
+func loadScenario(t *testing.T, name string) simulation.Scenario {
 	t.Helper()
 	s, err := simulation.LoadFrom(scenarios.Files, name+".toml")
 	if err != nil {
@@ -57,15 +57,15 @@
 // they send on, which shows that the check can fail.
 func TestDrainToldByNeighbours(t *testing.T) {
 	t.Parallel()
-	s := keptScenario(t, "fleet-one-hears-of-drain")
+	s := loadScenario(t, "fleet-one-hears-of-drain")
 	// e0 alone is hardly used by the nodes that are not told: without messages so little went there that none could have. They use e3 and e4 most.
 	s.Length, s.Load.Of = simulation.Span(12*time.Second), 0.4
 	s.Faults[1].For, s.Faults[2].For, s.Faults[2].Where = simulation.Span(12*time.Second), simulation.Span(20*time.Second), []string{"e0", "e3", "e4"}
-	if r := play(t, s, 1); r.Late > 0 {
+	if r := playScenario(t, s, 1); r.Late > 0 {
 		t.Errorf("%d attempts went to an executor of whose drain a neighbour had told", r.Late)
 	}
 	s.Fleet.Talk = false
-	r := play(t, s, 1)
+	r := playScenario(t, s, 1)
 	if t.Logf("without messages %d attempts went to executors that drain", r.Late); r.Late == 0 {
 		t.Error("without messages nothing was sent to executors that drain: this test shows nothing")
 	}
@@ -75,13 +75,13 @@
 // where it is known to be cut off, nothing is.
 func TestUninformed(t *testing.T) {
 	t.Parallel()
-	s := keptScenario(t, "fleet-one-hears-of-drain")
+	s := loadScenario(t, "fleet-one-hears-of-drain")
 	s.Fleet.Talk, s.Length = false, simulation.Span(12*time.Second)
 	s.Faults = []simulation.Fault{{Kind: "drain", At: simulation.Span(time.Second), For: simulation.Span(40 * time.Second), Where: []string{"e1", "e3", "e5"}},
 		{Kind: "list-cut", At: simulation.Span(500 * time.Millisecond), For: simulation.Span(11 * time.Second), Where: []string{"n1"}}}
-	play(t, s, 1)
+	playScenario(t, s, 1)
 	s.Faults = s.Faults[:1]
-	r := playWith(t, s, Options{Binary: binary, Dir: t.TempDir(), Seed: 1, plant: func(r *Rig) { r.nodes[1].deaf = true }})
+	r := playWith(t, s, Options{Binary: binary, Dir: t.TempDir(), Seed: 1, injectDefect: func(r *cluster) { r.nodes[1].cutFromDiscovery = true }})
 	if t.Logf("%d times", len(r.Wrong)); len(r.Wrong) == 0 {
 		t.Error("not caught")
 	}
@@ -96,14 +96,14 @@
 // processes send without words, which shows that the budget of moves holds over all of them.
 func TestBudgetOfMoves(t *testing.T) {
 	t.Parallel()
-	s := keptScenario(t, "fleet-overload")
+	s := loadScenario(t, "fleet-overload")
 	s.Name, s.Length = "budget-of-moves", simulation.Span(8*time.Second)
 	s.Fleet.Nodes, s.Fleet.Executors, s.Load.Of = 8, 24, 0.8
 	s.Faults = []simulation.Fault{{Kind: "nodes-apart", At: simulation.Span(2 * time.Second), For: simulation.Span(3 * time.Second), Where: []string{"n0", "n1"}},
 		{Kind: "node-killed", At: simulation.Span(4 * time.Second), For: simulation.Span(2 * time.Second), Where: []string{"n2"}}}
-	talking := play(t, s, 1)
+	talking := playScenario(t, s, 1)
 	s.Fleet.Talk = false
-	alone := play(t, s, 1)
+	alone := playScenario(t, s, 1)
 	more := func(r Result) float64 { return r.Work/r.Finished - 1 }
 	if t.Logf("sent over finished %.2f talking, %.2f alone", 1+more(talking), 1+more(alone)); more(talking) > 0.75*more(alone) {
 		t.Errorf("sent over finished %.2f talking, %.2f alone", 1+more(talking), 1+more(alone))
@@ -117,7 +117,7 @@
 			t.Parallel()
 			s := Draw(seed, 5)
 			s.Length = simulation.Span(6 * time.Second)
-			play(t, s, seed)
+			playScenario(t, s, seed)
 		})
 	}
 }
@@ -127,7 +127,7 @@
 	t.Parallel()
 	s := simulation.Base()
 	s.Name, s.Length, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Talk, s.Fleet.WeightsEvery = "views", simulation.Span(2*time.Second), 4, 4, true, 0
-	r := play(t, s, 3)
+	r := playScenario(t, s, 3)
 	for i, view := range r.Views {
 		text := strings.Join(view, "\n")
 		if strings.Count(text, "neighbour=") != 3 || strings.Contains(text, "age_ms=never") || !strings.Contains(text, "alive=4") {
@@ -141,7 +141,7 @@
 func TestClientsLeave(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
 		t.Run(fmt.Sprint("stopped=", stopped), func(t *testing.T) {
-			s := keptScenario(t, "fleet-clients-leave")
+			s := loadScenario(t, "fleet-clients-leave")
 			if stopped {
 				s.Load.Of, s.Fleet.Executors = 8, 16
 				for i := range 9 {
@@ -149,7 +149,7 @@
 						For: simulation.Span(400 * time.Millisecond), Where: []string{"n0", "n1"}})
 				}
 			}
-			r := play(t, s, 3)
+			r := playScenario(t, s, 3)
 			if t.Logf("%d clients left while their batch jobs waited, %d attempts were late", r.WentWaiting, r.SentLate); r.WentWaiting < 10 {
 				t.Errorf("%d clients left while their batch jobs waited: too few to tell", r.WentWaiting)
 			}
--- a/internal/harness/link.go
+++ b/internal/harness/link.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// hub is where neighbours reach a node: all words to it, TCP and UDP, pass here. Who sends is told by the loopback address that it comes from.
-type hub struct {
-	r    *Rig
-	to   *proc
-	addr string
-	tcp  net.Listener
-	udp  *net.UDPConn
-	out  *net.UDPConn
+// gossipRelay is where neighbours reach a node: all words to it, TCP and UDP, pass here. Who sends is told by the loopback address that it comes from.
+type gossipRelay struct {
+	cluster *cluster
+	to      *nodeProcess
+	addr    string
+	tcp     net.Listener
+	udp     *net.UDPConn
+	out     *net.UDPConn
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	ended bool
+	mu     sync.Mutex
+	conns  map[net.Conn]bool
+	closed bool
 }
 
-func newHub(r *Rig, to *proc, addr string) (*hub, error) {
-	h := &hub{r: r, to: to, addr: addr, conns: map[net.Conn]bool{}}
+func newGossipRelay(r *cluster, to *nodeProcess, addr string) (*gossipRelay, error) {
+	h := &gossipRelay{cluster: r, to: to, addr: addr, conns: map[net.Conn]bool{}}
 	var err error
 	if h.tcp, err = net.Listen("tcp", addr); err != nil {
 		return nil, err
@@ -41,49 +41,49 @@
 		h.udp.Close()
 		return nil, err
 	}
-	r.waits.Go(h.serveTCP)
-	r.waits.Go(h.serveUDP)
+	r.goroutines.Go(h.serveTCP)
+	r.goroutines.Go(h.serveUDP)
 	return h, nil
 }
 
-// passes says whether what comes from an address gets through now, and in how many copies, each with how late. A node that is apart reaches those that are
+// copies says whether what comes from an address gets through now, and in how many copies, each with how late. A node that is apart reaches those that are
 // apart as well, and nobody else.
-func (h *hub) passes(from net.IP) (late []time.Duration) {
-	r := h.r
+func (h *gossipRelay) copies(from net.IP) (late []time.Duration) {
+	r := h.cluster
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over || h.apart(from) {
+	if r.over || h.partitioned(from) {
 		return nil
 	}
 	copies := 1
-	if r.rand.Float64() < r.wordsDouble {
+	if r.rand.Float64() < r.gossipDuplicated {
 		copies = 2
 	}
 	for range copies {
-		if r.rand.Float64() < r.wordsLost {
+		if r.rand.Float64() < r.gossipLost {
 			continue
 		}
 		d := time.Duration(0)
-		if r.wordsLate > 0 {
-			d = time.Duration(r.rand.Int64N(int64(r.wordsLate)))
+		if r.gossipDelay > 0 {
+			d = time.Duration(r.rand.Int64N(int64(r.gossipDelay)))
 		}
 		late = append(late, d)
 	}
 	return late
 }
 
-// apart says whether a cut lies between a sender and this node.
-func (h *hub) apart(from net.IP) bool {
-	for _, p := range h.r.nodes {
-		if p.own.Equal(from) {
-			return p.apart != h.to.apart
+// partitioned says whether a cut lies between a sender and this node.
+func (h *gossipRelay) partitioned(from net.IP) bool {
+	for _, p := range h.cluster.nodes {
+		if p.address.Equal(from) {
+			return p.partitioned != h.to.partitioned
 		}
 	}
 	return true
 }
 
-func (h *hub) serveUDP() {
-	to, err := net.ResolveUDPAddr("udp", h.to.fleet)
+func (h *gossipRelay) serveUDP() {
+	to, err := net.ResolveUDPAddr("udp", h.to.gossipAddress)
 	if err != nil {
 		return
 	}
@@ -92,7 +92,7 @@
 		if err != nil {
 			return
 		}
-		for _, late := range h.passes(from.IP) {
+		for _, late := range h.copies(from.IP) {
 			text := append([]byte(nil), b[:n]...)
 			if late == 0 {
 				h.out.WriteToUDP(text, to)
@@ -103,34 +103,34 @@
 	}
 }
 
-func (h *hub) serveTCP() {
+func (h *gossipRelay) serveTCP() {
 	for {
 		c, err := h.tcp.Accept()
 		if err != nil {
 			return
 		}
 		from := c.RemoteAddr().(*net.TCPAddr).IP
-		h.r.mu.Lock()
-		apart := h.apart(from)
-		h.r.mu.Unlock()
-		if apart || !h.keep(c) {
+		h.cluster.mu.Lock()
+		apart := h.partitioned(from)
+		h.cluster.mu.Unlock()
+		if apart || !h.add(c) {
 			c.Close()
 			continue
 		}
-		h.r.waits.Go(func() { h.relay(c, from) })
+		h.cluster.goroutines.Go(func() { h.relay(c, from) })
 	}
 }
 
-func (h *hub) keep(c net.Conn) bool {
+func (h *gossipRelay) add(c net.Conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.ended {
+	if !h.closed {
 		h.conns[c] = true
 	}
-	return !h.ended
+	return !h.closed
 }
 
-func (h *hub) drop(c net.Conn) {
+func (h *gossipRelay) remove(c net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.conns, c)
@@ -138,22 +138,22 @@
 }
 
 // relay carries a connection, both ways, until it ends or a cut comes: then it is silent until one side gives it up.
-func (h *hub) relay(c net.Conn, from net.IP) {
-	defer h.drop(c)
-	d, err := net.DialTimeout("tcp", h.to.fleet, time.Second)
-	if err != nil || !h.keep(d) {
+func (h *gossipRelay) relay(c net.Conn, from net.IP) {
+	defer h.remove(c)
+	d, err := net.DialTimeout("tcp", h.to.gossipAddress, time.Second)
+	if err != nil || !h.add(d) {
 		return
 	}
-	defer h.drop(d)
+	defer h.remove(d)
 	var wait sync.WaitGroup
 	for _, way := range [][2]net.Conn{{c, d}, {d, c}} {
 		wait.Go(func() {
 			b := make([]byte, 32<<10)
 			for {
 				n, err := way[0].Read(b)
-				h.r.mu.Lock()
-				silent := h.apart(from)
-				h.r.mu.Unlock()
+				h.cluster.mu.Lock()
+				silent := h.partitioned(from)
+				h.cluster.mu.Unlock()
 				if n > 0 && !silent {
 					if _, err := way[1].Write(b[:n]); err != nil {
 						break
@@ -176,13 +176,13 @@
 	wait.Wait()
 }
 
-func (h *hub) close() {
+func (h *gossipRelay) close() {
 	h.tcp.Close()
 	h.udp.Close()
 	h.out.Close()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ended = true
+	h.closed = true
 	for c := range h.conns {
 		c.Close()
 	}
--- a/internal/harness/proc.go
+++ b/internal/harness/proc.go
@@ -21,41 +21,41 @@
 	"birchstair/policy"
 )
 
-// proc is a node: a process, or the place of one that is down.
-type proc struct {
-	r      *Rig
-	id     invariants.NodeID
-	name   string
-	zone   policy.ZoneID
-	dir    string
-	listen string // for clients
-	door   string
-	own    net.IP // its loopback address in the fleet
-	fleet  string // where it listens for neighbours
-	there  *hub   // where neighbours reach it
-	lists  net.Listener
-	reach  map[policy.ExecutorID]net.Listener // where it reaches each executor
+// nodeProcess is a node: a process, or the place of one that is down.
+type nodeProcess struct {
+	cluster           *cluster
+	id                invariants.NodeID
+	name              string
+	zone              policy.ZoneID
+	dir               string
+	clientAddress     string // for clients
+	adminAddress      string
+	address           net.IP       // its loopback address in the fleet
+	gossipAddress     string       // where it listens for neighbours
+	gossipRelay       *gossipRelay // where neighbours reach it
+	discoveryListener net.Listener
+	executorListeners map[policy.ExecutorID]net.Listener // where it reaches each executor
 
 	// Guarded by the rig's mutex.
-	cmd      *exec.Cmd
-	ended    chan error // told of the process's end
-	run      int
-	up       bool
-	leaving  time.Duration // when it was told to end; 0 before
-	downs    int           // faults that keep it down
-	stopped  bool
-	stoppedA time.Duration // until when it counts as just stopped
-	deaf     bool          // it hears nothing from discovery
-	known    map[policy.ExecutorID]invariants.Seen
-	apart    bool // its words do not pass
-	pool     []net.Conn
+	cmd              *exec.Cmd
+	ended            chan error // told of the process's end
+	incarnation      int
+	up               bool
+	terminatedAt     time.Duration // when it was told to end; 0 before
+	downFaults       int           // faults that keep it down
+	paused           bool
+	pausedUntil      time.Duration // until when it counts as just stopped
+	cutFromDiscovery bool          // it hears nothing from discovery
+	known            map[policy.ExecutorID]invariants.Seen
+	partitioned      bool // its words do not pass
+	idleConns        []net.Conn
 }
 
 // Claim finds a group of loopback addresses that no other run uses, 127.SLOT.x.y, and holds it for as long as the run lasts.
 func Claim() (slot byte, held net.Listener, err error) {
 	for range 500 {
 		slot = byte(2 + rand.IntN(250))
-		if held, err = net.Listen("tcp", fmt.Sprintf("127.%d.2.1:%d", slot, hubPort)); err == nil {
+		if held, err = net.Listen("tcp", fmt.Sprintf("127.%d.2.1:%d", slot, relayPort)); err == nil {
 			return slot, held, nil
 		}
 	}
@@ -64,33 +64,33 @@
 
 // Ports on a node's own address.
 const (
-	hubPort    = 7946
-	fleetPort  = 7947
+	relayPort  = 7946
+	gossipPort = 7947
 	clientPort = 8081
-	doorPort   = 8082
+	adminPort  = 8082
 )
 
-func (r *Rig) newProc(i int, slot byte) (*proc, error) {
-	p := &proc{r: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(r.s.Fleet.Zones)), reach: map[policy.ExecutorID]net.Listener{},
-		own: net.IPv4(127, slot, 0, byte(i+1)), known: map[policy.ExecutorID]invariants.Seen{}}
-	p.dir = filepath.Join(r.o.Dir, p.name)
+func (r *cluster) newProc(i int, slot byte) (*nodeProcess, error) {
+	p := &nodeProcess{cluster: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(r.scenario.Fleet.Zones)), executorListeners: map[policy.ExecutorID]net.Listener{},
+		address: net.IPv4(127, slot, 0, byte(i+1)), known: map[policy.ExecutorID]invariants.Seen{}}
+	p.dir = filepath.Join(r.options.Dir, p.name)
 	if err := os.Mkdir(p.dir, 0o700); err != nil {
 		return nil, err
 	}
-	p.listen, p.door = fmt.Sprintf("%s:%d", p.own, clientPort), fmt.Sprintf("%s:%d", p.own, doorPort)
+	p.clientAddress, p.adminAddress = fmt.Sprintf("%s:%d", p.address, clientPort), fmt.Sprintf("%s:%d", p.address, adminPort)
 	var err error
-	if p.lists, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if p.discoveryListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	r.waits.Go(func() { p.serveLists() })
-	if r.s.Fleet.Talk {
-		p.fleet = fmt.Sprintf("%s:%d", p.own, fleetPort)
-		if p.there, err = newHub(r, p, fmt.Sprintf("127.%d.1.%d:%d", slot, i+1, hubPort)); err != nil {
+	r.goroutines.Go(func() { p.serveDiscovery() })
+	if r.scenario.Fleet.Talk {
+		p.gossipAddress = fmt.Sprintf("%s:%d", p.address, gossipPort)
+		if p.gossipRelay, err = newGossipRelay(r, p, fmt.Sprintf("127.%d.1.%d:%d", slot, i+1, relayPort)); err != nil {
 			return nil, err
 		}
 	}
 	for _, x := range r.executors {
-		if err := p.meet(x); err != nil {
+		if err := p.listenForExecutor(x); err != nil {
 			return nil, err
 		}
 	}
@@ -98,12 +98,12 @@
 }
 
 // writeFiles writes the node's configuration, and the operator's file where nodes talk.
-func (p *proc) writeFiles() error {
-	r, f := p.r, &p.r.s.Fleet
+func (p *nodeProcess) writeFiles() error {
+	r, f := p.cluster, &p.cluster.scenario.Fleet
 	secs := func(d time.Duration) float64 { return d.Seconds() }
 	var tracks []any
-	for i, t := range r.s.Tracks {
-		m := r.module[i]
+	for i, t := range r.scenario.Tracks {
+		m := r.policyClasses[i]
 		track := map[string]any{"name": t.Name, "quoted-time-s": secs(m.LatencyObjective), "outer-limit-s": secs(m.Deadline), "earnings": m.Value,
 			"repeat": map[policy.Idempotency]string{policy.Idempotent: "repeatable", policy.IdempotentWithKey: "by_key", policy.AtMostOnce: "once"}[m.Idempotency], "aim-stretch": m.RunTimeFactor}
 		if m.Idempotency == policy.IdempotentWithKey {
@@ -125,30 +125,30 @@
 	if f.Reports {
 		settings["report"] = map[string]any{"how": "inline", "fields": []string{"active", "waiting", "x0"}}
 	}
-	text, err := json.MarshalIndent(map[string]any{"name": p.name, "listen": p.listen, "management": p.door, "discovery": p.lists.Addr().String(),
-		"seed": fmt.Sprintf("%016x", r.o.Seed*1000+uint64(p.id)), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": settings}, "", " ")
+	text, err := json.MarshalIndent(map[string]any{"name": p.name, "listen": p.clientAddress, "management": p.adminAddress, "discovery": p.discoveryListener.Addr().String(),
+		"seed": fmt.Sprintf("%016x", r.options.Seed*1000+uint64(p.id)), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": settings}, "", " ")
 	if err != nil {
 		return err
 	}
 	err = os.WriteFile(filepath.Join(p.dir, "config.json"), text, 0o600)
-	if p.there == nil {
+	if p.gossipRelay == nil {
 		return err
 	}
 	var seeds []string
 	for _, o := range r.nodes[:min(3, len(r.nodes))] {
-		seeds = append(seeds, fmt.Sprintf("%q", o.there.addr))
+		seeds = append(seeds, fmt.Sprintf("%q", o.gossipRelay.addr))
 	}
-	site := fmt.Sprintf("[fleet]\nlisten = %q\nadvertise = %q\nseeds = [%s]\n", p.fleet, p.there.addr, strings.Join(seeds, ", "))
+	site := fmt.Sprintf("[fleet]\nlisten = %q\nadvertise = %q\nseeds = [%s]\n", p.gossipAddress, p.gossipRelay.addr, strings.Join(seeds, ", "))
 	return errors.Join(err, os.WriteFile(filepath.Join(p.dir, "site.toml"), []byte(site), 0o600))
 }
 
-// begin starts the process. It is called with the rig's mutex held.
-func (p *proc) begin() error {
+// start starts the process. It is called with the rig's mutex held.
+func (p *nodeProcess) start() error {
 	args := []string{"serve"}
-	if p.there != nil {
+	if p.gossipRelay != nil {
 		args = append(args, "--site", filepath.Join(p.dir, "site.toml"))
 	}
-	cmd := exec.Command(p.r.o.Binary, args...)
+	cmd := exec.Command(p.cluster.options.Binary, args...)
 	cmd.Dir = p.dir
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + p.dir, "ROUTER_CONFIG=" + filepath.Join(p.dir, "config.json")}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the rig
@@ -159,48 +159,48 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.run++
-	p.cmd, p.up, p.leaving, p.ended, p.stopped = cmd, true, 0, make(chan error, 1), false
+	p.incarnation++
+	p.cmd, p.up, p.terminatedAt, p.ended, p.paused = cmd, true, 0, make(chan error, 1), false
 	clear(p.known)
-	p.r.see(invariants.Seen{What: invariants.NodeStarted, Node: p.id})
-	p.r.note("%s: started, process %d", p.name, cmd.Process.Pid)
-	ended, run := p.ended, p.run
-	p.r.waits.Go(func() {
+	p.cluster.observe(invariants.Seen{What: invariants.NodeStarted, Node: p.id})
+	p.cluster.note("%s: started, process %d", p.name, cmd.Process.Pid)
+	ended, run := p.ended, p.incarnation
+	p.cluster.goroutines.Go(func() {
 		lines := bufio.NewScanner(out)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			p.r.logged(p, lines.Text())
+			p.cluster.readLogLine(p, lines.Text())
 		}
 		err := cmd.Wait()
-		p.r.mu.Lock()
-		if p.run == run && p.up {
+		p.cluster.mu.Lock()
+		if p.incarnation == run && p.up {
 			p.up = false
-			if !p.r.over {
-				p.r.note("%s: its process ended: %v", p.name, err)
+			if !p.cluster.over {
+				p.cluster.note("%s: its process ended: %v", p.name, err)
 			}
 		}
-		p.r.mu.Unlock()
+		p.cluster.mu.Unlock()
 		ended <- err
 	})
 	return nil
 }
 
-// logged takes in a line of a node's log.
-func (r *Rig) logged(p *proc, line string) {
+// readLogLine takes in a line of a node's log.
+func (r *cluster) readLogLine(p *nodeProcess, line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.note("%s: %s", p.name, line)
 	if strings.Contains(line, node.PolicyPanicked) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
-		r.wrong("node %s: %.200s", p.name, line)
+		r.fail("node %s: %.200s", p.name, line)
 	}
 }
 
-func (p *proc) isReady() bool { return p.says() == http.StatusOK }
+func (p *nodeProcess) isReady() bool { return p.readyStatus() == http.StatusOK }
 
-// says is the status by which the node says whether it is ready; 0 where it answers nothing.
-func (p *proc) says() int {
+// readyStatus is the status by which the node says whether it is ready; 0 where it answers nothing.
+func (p *nodeProcess) readyStatus() int {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := c.Get("http://" + p.listen + "/-/ready")
+	answer, err := c.Get("http://" + p.clientAddress + "/-/ready")
 	if err != nil {
 		return 0
 	}
@@ -208,20 +208,20 @@
 	return answer.StatusCode
 }
 
-// view is what the node says of its fleet.
-func (p *proc) view() []string {
-	if p.there == nil {
+// fleetView is what the node says of its fleet.
+func (p *nodeProcess) fleetView() []string {
+	if p.gossipRelay == nil {
 		return nil
 	}
-	lines, err := admin.Call(p.door, node.ReadFleet, "", time.Second)
+	lines, err := admin.Call(p.adminAddress, node.ReadFleet, "", time.Second)
 	if err != nil {
 		return []string{"no view: " + err.Error()}
 	}
 	return lines
 }
 
-func (p *proc) knowsAll(nodes int) bool {
-	for _, line := range p.view() {
+func (p *nodeProcess) knowsAll(nodes int) bool {
+	for _, line := range p.fleetView() {
 		if strings.HasPrefix(line, "node=") {
 			return strings.Contains(line, fmt.Sprintf(" alive=%d ", nodes))
 		}
@@ -230,54 +230,54 @@
 }
 
 // signal sends a signal to the process, if it is there. It is called with the rig's mutex held.
-func (p *proc) signal(s syscall.Signal) {
+func (p *nodeProcess) signal(s syscall.Signal) {
 	if p.up {
 		p.cmd.Process.Signal(s)
 	}
 }
 
 // kill ends the process at once.
-func (p *proc) kill() {
-	p.r.mu.Lock()
+func (p *nodeProcess) kill() {
+	p.cluster.mu.Lock()
 	up, ended := p.up, p.ended
 	if up {
-		p.lose()
+		p.recordEnd()
 		p.cmd.Process.Kill()
 	}
-	p.r.mu.Unlock()
+	p.cluster.mu.Unlock()
 	if up {
 		err := <-ended
 		ended <- err
 	}
 }
 
-// lose books that the node is gone with all it had in hand.
-func (p *proc) lose() {
+// recordEnd books that the node is gone with all it had in hand.
+func (p *nodeProcess) recordEnd() {
 	p.up = false
-	p.r.see(invariants.Seen{What: invariants.NodeKilled, Node: p.id})
-	p.r.voidAt(p)
-	for _, c := range p.pool {
+	p.cluster.observe(invariants.Seen{What: invariants.NodeKilled, Node: p.id})
+	p.cluster.excuseRequests(p)
+	for _, c := range p.idleConns {
 		c.Close()
 	}
-	p.pool = nil
+	p.idleConns = nil
 }
 
-// stopWell ends the process as a planned end does, and waits for it. One that has just been started is told once it answers: until it
+// shutDown ends the process as a planned end does, and waits for it. One that has just been started is told once it answers: until it
 // listens for signals it ends by the signal itself, with nothing taken (docs/design/crossings.md).
-func (p *proc) stopWell() error {
-	p.r.mu.Lock()
+func (p *nodeProcess) shutDown() error {
+	p.cluster.mu.Lock()
 	up, ended := p.up, p.ended
 	p.signal(syscall.SIGCONT)
-	p.r.mu.Unlock()
+	p.cluster.mu.Unlock()
 	if !up {
 		return nil
 	}
-	for until := time.Now().Add(readyIn); p.says() == 0 && len(ended) == 0 && time.Now().Before(until); {
+	for until := time.Now().Add(readyTimeout); p.readyStatus() == 0 && len(ended) == 0 && time.Now().Before(until); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	p.r.mu.Lock()
+	p.cluster.mu.Lock()
 	p.signal(syscall.SIGTERM)
-	p.r.mu.Unlock()
+	p.cluster.mu.Unlock()
 	select {
 	case err := <-ended:
 		ended <- err
@@ -287,18 +287,18 @@
 	}
 }
 
-func (p *proc) close() {
-	p.lists.Close()
-	for _, l := range p.reach {
+func (p *nodeProcess) close() {
+	p.discoveryListener.Close()
+	for _, l := range p.executorListeners {
 		l.Close()
 	}
-	if p.there != nil {
-		p.there.close()
+	if p.gossipRelay != nil {
+		p.gossipRelay.close()
 	}
-	p.r.mu.Lock()
-	defer p.r.mu.Unlock()
-	for _, c := range p.pool {
+	p.cluster.mu.Lock()
+	defer p.cluster.mu.Unlock()
+	for _, c := range p.idleConns {
 		c.Close()
 	}
-	p.pool = nil
+	p.idleConns = nil
 }
--- a/internal/harness/wire_test.go
+++ b/internal/harness/wire_test.go
@@ -69,12 +69,12 @@
 			track.Name = fmt.Sprint("class", i)
 			s.Tracks = append(s.Tracks, track)
 		}
-		r := &Rig{s: s, o: Options{Seed: 7}, module: classes}
+		r := &cluster{scenario: s, options: Options{Seed: 7}, policyClasses: classes}
 		for i := range 4 {
-			p := &proc{r: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: 1, dir: t.TempDir(), listen: "127.9.0.1:8081", door: "127.9.0.1:8082",
-				fleet: "127.9.0.1:7947", lists: fixedListener{address: net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9000}}}
+			p := &nodeProcess{cluster: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: 1, dir: t.TempDir(), clientAddress: "127.9.0.1:8081", adminAddress: "127.9.0.1:8082",
+				gossipAddress: "127.9.0.1:7947", discoveryListener: fixedListener{address: net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9000}}}
 			if s.Fleet.Talk {
-				p.there = &hub{addr: fmt.Sprintf("127.9.1.%d:7946", i+1)}
+				p.gossipRelay = &gossipRelay{addr: fmt.Sprintf("127.9.1.%d:7946", i+1)}
 			}
 			r.nodes = append(r.nodes, p)
 		}
