--- /dev/null
+++ b/internal/scaletest/wire_test.go
@@ -0,0 +1,101 @@
+package scaletest
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"birchstair/internal/golden"
+)
+
+// setAll sets every field of a struct to a value that its JSON form shows, and fields of structs within it likewise.
+func setAll(value reflect.Value) {
+	switch value.Kind() {
+	case reflect.Struct:
+		for i := range value.NumField() {
+			setAll(value.Field(i))
+		}
+	case reflect.Pointer:
+		value.Set(reflect.New(value.Type().Elem()))
+		setAll(value.Elem())
+	case reflect.Slice:
+		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
+		setAll(value.Index(0))
+	case reflect.Map:
+		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+		setAll(key)
+		setAll(element)
+		value.Set(reflect.MakeMap(value.Type()))
+		value.SetMapIndex(key, element)
+	case reflect.String:
+		value.SetString("text")
+	case reflect.Bool:
+		value.SetBool(true)
+	case reflect.Float64:
+		value.SetFloat(1.5)
+	case reflect.Uint64:
+		value.SetUint(2)
+	default:
+		value.SetInt(3)
+	}
+}
+
+// TestWireForms pins the JSON of results, and of the messages between the processes of a run, with each field set and with none.
+func TestWireForms(t *testing.T) {
+	text := ""
+	for _, message := range []any{&Row{}, &Fit{}, &hollowJob{}, &hollowReady{}, &Counts{}, &moduleFigures{}} {
+		for _, set := range []bool{false, true} {
+			if set {
+				setAll(reflect.ValueOf(message).Elem())
+			}
+			line, err := json.Marshal(message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			text += string(line) + "\n"
+			back := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+			if err := json.Unmarshal(line, back); err != nil || !reflect.DeepEqual(back, message) {
+				t.Errorf("%s came back as %+v, %v", line, back, err)
+			}
+		}
+	}
+	golden.Compare(t, "wire.jsonl", text)
+}
+
+// TestNodeFiles pins the configuration and the operator's file that are written for a node.
+func TestNodeFiles(t *testing.T) {
+	p := &proc{name: "n1", number: 1, dir: t.TempDir(), listen: "127.9.0.1:8081", door: "127.9.0.1:8082", fleet: "127.9.0.1:7947", earns: 2}
+	if err := p.config(Point{Seed: 7, Of: 9, Rungs: 3, Memory: 192, Sockets: 512}, "127.0.0.1:9000"); err != nil {
+		t.Fatal(err)
+	}
+	if err := p.site([]string{"127.9.0.2:7947", "127.9.0.3:7947"}); err != nil {
+		t.Fatal(err)
+	}
+	text := ""
+	for _, name := range []string{"config.json", "site.toml"} {
+		content, err := os.ReadFile(filepath.Join(p.dir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		text += name + "\n" + string(content) + "\n"
+	}
+	golden.Compare(t, "node_files.txt", text)
+}
+
+// TestPoints pins the points of a round, in their order, with each dimension varied.
+func TestPoints(t *testing.T) {
+	s := smallest()
+	s.Rungs, s.Rates, s.Running, s.Held, s.Against, s.Span = []int{1, 64}, []int{50}, []int{100}, []int{400}, true, time.Second
+	text := ""
+	for _, point := range s.points(1) {
+		line, err := json.Marshal(point)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text += string(line) + "\n"
+	}
+	golden.Compare(t, "points.jsonl", text)
+}
