--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -10,16 +10,16 @@
 
 // Fit is a straight line through a figure's measurements in one series, by least squares.
 type Fit struct {
-	Series string
-	Figure string
-	At     float64 // the line at X = 0
-	Slope  float64
-	Spread float64 // standard error of the slope
-	Off    float64 // standard deviation of the measurements from the line
-	From   float64 // the smallest X and
-	To     float64 // the largest
-	N      int
-	Flat   bool // the slope is within twice its spread of none
+	Series string  `json:"Series"`
+	Figure string  `json:"Figure"`
+	At     float64 `json:"At"` // the line at X = 0
+	Slope  float64 `json:"Slope"`
+	Spread float64 `json:"Spread"` // standard error of the slope
+	Off    float64 `json:"Off"`    // standard deviation of the measurements from the line
+	From   float64 `json:"From"`   // the smallest X and
+	To     float64 `json:"To"`     // the largest
+	N      int     `json:"N"`
+	Flat   bool    `json:"Flat"` // the slope is within twice its spread of none
 }
 
 // Fits fits each figure of each series that has measurements at two places at least.
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -22,34 +22,34 @@
 
 // hollowJob is what a hollow process is to hold.
 type hollowJob struct {
-	Host      string // the address that its executors listen on
-	Executors []hollowExecutor
-	Work      time.Duration // that each task takes
-	Nodes     []hollowNode
-	Fleet     hollowFleet
-	Module    *moduleJob // if it is there: play the module alone, answer with its figures, and end
+	Host      string           `json:"Host"` // the address that its executors listen on
+	Executors []hollowExecutor `json:"Executors"`
+	Work      time.Duration    `json:"Work"` // that each task takes
+	Nodes     []hollowNode     `json:"Nodes"`
+	Fleet     hollowFleet      `json:"Fleet"`
+	Module    *moduleJob       `json:"Module"` // if it is there: play the module alone, answer with its figures, and end
 }
 
 type hollowExecutor struct {
-	ID     policy.ExecutorID
-	Places int
+	ID     policy.ExecutorID `json:"ID"`
+	Places int               `json:"Places"`
 }
 
 // hollowReady is its first answer.
 type hollowReady struct {
-	Addrs []string // of the executors, in order
-	Wrong string
+	Addrs []string `json:"Addrs"` // of the executors, in order
+	Wrong string   `json:"Wrong"`
 }
 
 // Counts are what a hollow process has seen since it began.
 type Counts struct {
-	Ran    int64 // tasks begun
-	Opened int64 // connections
-	In     int64 // bytes that came
-	Out    int64
-	Over   int // executors that have run more tasks at once than they have places
+	Ran    int64 `json:"Ran"`    // tasks begun
+	Opened int64 `json:"Opened"` // connections
+	In     int64 `json:"In"`     // bytes that came
+	Out    int64 `json:"Out"`
+	Over   int   `json:"Over"` // executors that have run more tasks at once than they have places
 
-	Fleet fleetCounts
+	Fleet fleetCounts `json:"Fleet"`
 }
 
 // traffic counts what passes a listener's connections.
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -17,27 +17,27 @@
 
 // hollowNode is a member of the fleet without batch jobs.
 type hollowNode struct {
-	Name   string
-	Number int
-	Listen string
+	Name   string `json:"Name"`
+	Number int    `json:"Number"`
+	Listen string `json:"Listen"`
 }
 
 // hollowFleet is what all hollow nodes are told.
 type hollowFleet struct {
-	Seeds []string
-	Real  []string // addresses of the real nodes: the traffic with them counts
-	Rungs int      // of earnings for the work that their words have figures of
+	Seeds []string `json:"Seeds"`
+	Real  []string `json:"Real"`  // addresses of the real nodes: the traffic with them counts
+	Rungs int      `json:"Rungs"` // of earnings for the work that their words have figures of
 }
 
 // fleetCounts are what the hollow nodes know and have sent to real nodes and got from them.
 type fleetCounts struct {
-	Fewest     int // nodes that one of them knows to be alive, itself too, at the least
-	Drains     int // of them, how many hold the executor asked about as draining
-	PacketsIn  int64
-	PacketsOut int64
-	Streams    int64
-	BytesIn    int64
-	BytesOut   int64
+	Fewest     int   `json:"Fewest"` // nodes that one of them knows to be alive, itself too, at the least
+	Drains     int   `json:"Drains"` // of them, how many hold the executor asked about as draining
+	PacketsIn  int64 `json:"PacketsIn"`
+	PacketsOut int64 `json:"PacketsOut"`
+	Streams    int64 `json:"Streams"`
+	BytesIn    int64 `json:"BytesIn"`
+	BytesOut   int64 `json:"BytesOut"`
 }
 
 // member is a hollow node: the real edge and the real decider, as the reducer joins them, and figures that are made up.
--- a/internal/scaletest/module.go
+++ b/internal/scaletest/module.go
@@ -14,24 +14,24 @@
 // moduleJob plays the decision module alone on a virtual clock, as the reducer calls it: no sockets, no kernel, and tenants, which the platform's protocol has no
 // header for. Batch jobs come at a steady rate and take a fixed time.
 type moduleJob struct {
-	Executors int
-	Of        int
-	Tenants   int
-	Rate      float64
-	Work      time.Duration
-	Most      time.Duration // of CPU
-	Skip      int           // starts that are not counted, the first ones
-	Starts    int           // after them, at the most
+	Executors int           `json:"Executors"`
+	Of        int           `json:"Of"`
+	Tenants   int           `json:"Tenants"`
+	Rate      float64       `json:"Rate"`
+	Work      time.Duration `json:"Work"`
+	Most      time.Duration `json:"Most"`   // of CPU
+	Skip      int           `json:"Skip"`   // starts that are not counted, the first ones
+	Starts    int           `json:"Starts"` // after them, at the most
 }
 
 type moduleFigures struct {
-	Starts  int
-	PerUs   float64 // microseconds of CPU a start
-	Heap    int64   // bytes that its state holds
-	Handled int
-	Out     int // allocations at the end
-	Held    int // batch jobs that waited then
-	Wrong   string
+	Starts  int     `json:"Starts"`
+	PerUs   float64 `json:"PerUs"` // microseconds of CPU a start
+	Heap    int64   `json:"Heap"`  // bytes that its state holds
+	Handled int     `json:"Handled"`
+	Out     int     `json:"Out"`  // allocations at the end
+	Held    int     `json:"Held"` // batch jobs that waited then
+	Wrong   string  `json:"Wrong"`
 }
 
 type moduleOut struct {
--- a/internal/scaletest/scaletest.go
+++ b/internal/scaletest/scaletest.go
@@ -43,24 +43,24 @@
 
 // Point is what is measured once.
 type Point struct {
-	Series    string // which slope it belongs to
-	X         float64
-	Round     int
-	Seed      uint64
-	Executors int
-	Of        int // nodes that a real one counts itself among: from six on its slice is three in so many
-	Real      int
-	Hollow    int `json:",omitempty"`
-	Talk      bool
-	Rungs     int     `json:",omitempty"`
-	Rate      float64 // starts a second, of all real nodes together
-	Running   int     `json:",omitempty"` // tasks at a time that the rate is to keep
-	Sockets   int
-	Memory    int  // a real node's limit, in MB
-	Tenants   int  `json:",omitempty"`
-	Module    bool `json:",omitempty"` // the module alone
-	Held      bool `json:",omitempty"` // with more than there are tokens for, so that batch jobs are held
-	Against   bool `json:",omitempty"` // of the other build
+	Series    string  `json:"Series"` // which slope it belongs to
+	X         float64 `json:"X"`
+	Round     int     `json:"Round"`
+	Seed      uint64  `json:"Seed"`
+	Executors int     `json:"Executors"`
+	Of        int     `json:"Of"` // nodes that a real one counts itself among: from six on its slice is three in so many
+	Real      int     `json:"Real"`
+	Hollow    int     `json:"Hollow,omitempty"`
+	Talk      bool    `json:"Talk"`
+	Rungs     int     `json:"Rungs,omitempty"`
+	Rate      float64 `json:"Rate"`              // starts a second, of all real nodes together
+	Running   int     `json:"Running,omitempty"` // tasks at a time that the rate is to keep
+	Sockets   int     `json:"Sockets"`
+	Memory    int     `json:"Memory"` // a real node's limit, in MB
+	Tenants   int     `json:"Tenants,omitempty"`
+	Module    bool    `json:"Module,omitempty"`  // the module alone
+	Held      bool    `json:"Held,omitempty"`    // with more than there are tokens for, so that batch jobs are held
+	Against   bool    `json:"Against,omitempty"` // of the other build
 }
 
 // long says whether its tasks take long.
@@ -69,9 +69,9 @@
 // Row is what came of a point.
 type Row struct {
 	Point
-	Figures map[string]float64 `json:",omitempty"`
-	Wrong   []string           `json:",omitempty"`
-	NotRun  string             `json:",omitempty"` // why it could not be run
+	Figures map[string]float64 `json:"Figures,omitempty"`
+	Wrong   []string           `json:"Wrong,omitempty"`
+	NotRun  string             `json:"NotRun,omitempty"` // why it could not be run
 }
 
 // Nine is the nodes that the size sets aside for control.
