--- a/internal/harness/front.go
+++ b/internal/harness/clients.go
@@ -15,7 +15,7 @@
 	"birchstair/policy"
 )
 
-// zoneClients are the clients of a zone and the front layer that spreads them over its nodes.
+// zoneClients are the clients of a zone and the load balancer in front of its nodes.
 type zoneClients struct {
 	*emulator.Clients
 	cluster  *cluster
@@ -24,17 +24,17 @@
 	until    time.Duration
 }
 
-// request is one handing in of a work at a node.
+// request is a request of a client at a node.
 type request struct {
 	from    *zoneClients
 	work    *emulator.Work
 	job     policy.JobID
 	node    *nodeProcess
-	runs    int
-	excused bool // its node was killed or stopped: nothing is owed
+	runs    int  // effects that executors have begun for it
+	excused bool // its node was killed or paused meanwhile: no answer is owed
 }
 
-// buildClients makes the clients of each zone; they come until then.
+// buildClients starts the clients of each zone, which submit work until the given time.
 func (r *cluster) buildClients(until time.Duration) {
 	f, l := &r.scenario.Fleet, &r.scenario.Load
 	capacity := 0.0
@@ -64,10 +64,16 @@
 	r.after(c.Gap(), c.arrive)
 }
 
-// frontDelay is how long the front sends new connections to a node that has been told to end.
-const frontDelay = 200 * time.Millisecond
+// Limits of clients and of the load balancer.
+const (
+	frontDelay    = 200 * time.Millisecond // the load balancer sends requests to a node for so long after its shutdown has begun
+	overdueMargin = 500 * time.Millisecond // beyond slack, until a client stops waiting for an answer
+	maxIdleConns  = 100                    // to a node
+	maxBody       = 4 << 10                // of a request, in bytes
+)
 
-// pickNode is the node that the front layer sends to: the zone's that are up, in turn; where there is none, another zone's.
+// pickNode returns the node that the load balancer sends to: the zone's nodes that are up, in turn, or if there is none another zone's;
+// nil if no node is up.
 func (c *zoneClients) pickNode() *nodeProcess {
 	c.nextNode++
 	for _, near := range [...]bool{true, false} {
@@ -96,7 +102,7 @@
 		return
 	}
 	r.requests[t.job] = t
-	m := platform.Message{Job: t.job, Track: r.scenario.Tracks[work.Track].Name, Work: time.Duration(work.Hint * 1e9), Body: make([]byte, min(r.scenario.Load.Body, 4<<10))}
+	m := platform.Message{Job: t.job, Track: r.scenario.Tracks[work.Track].Name, Work: time.Duration(work.Hint * 1e9), Body: make([]byte, min(r.scenario.Load.Body, maxBody))}
 	if r.policyClasses[work.Track].Idempotency == policy.IdempotentWithKey {
 		m.Tag = string(work.ID)
 	}
@@ -110,111 +116,142 @@
 	})
 }
 
-// send hands a try in and waits for its answer.
+// clientConn is a client's connection to a node.
+type clientConn struct {
+	net.Conn
+	reused      bool // it has carried a request before
+	incarnation int  // of the node's process
+}
+
+// errIdleConnClosed says that the node closed an idle connection before it can have read the request.
+var errIdleConnClosed = errors.New("the node closed an idle connection")
+
+// send sends a request and waits for its answer. If the node closes an idle connection at the same time, it is sent once more on a new one.
 func (r *cluster) send(t *request, m platform.Message) (emulator.End, platform.Final) {
-	run := 0
+	incarnation := 0
 	for again := false; ; again = true {
-		c, reused, now, err := r.connect(t.node, again)
+		c, err := r.connect(t.node, again)
 		switch {
-		case again && (err != nil || now != run):
+		case again && (err != nil || c.incarnation != incarnation):
 			return emulator.EndLost, platform.Final{} // its process is gone, and may have read the first
 		case err != nil:
 			return emulator.EndUnreached, platform.Final{}
 		}
-		run = now
+		incarnation = c.incarnation
 		m.Budget = (t.work.Limit - r.now()).Truncate(time.Millisecond)
 		if m.Budget <= 0 {
 			c.Close()
 			return emulator.EndUnreached, platform.Final{}
 		}
-		r.mu.Lock()
-		r.observe(invariants.Seen{What: invariants.Taken, Node: t.node.id, Job: t.job, Work: t.work.ID, Track: t.work.Track, Limit: r.now() + m.Budget})
-		r.mu.Unlock()
-		until := m.Budget + slack + 500*time.Millisecond
-		leaves := t.work.Leaves < t.work.Limit
-		if leaves {
-			until = max(0, t.work.Leaves-r.now())
-		}
-		c.SetDeadline(time.Now().Add(until))
-		_, err = c.Write(m.Append(nil))
-		var f platform.Final
-		in := bufio.NewReader(c)
-		if err == nil {
-			if _, err = in.Peek(1); err != nil && reused && !again && !errors.Is(err, os.ErrDeadlineExceeded) {
-				c.Close() // it closed while it was on its way: once more on a new one
-				r.observeClientLeft(t)
-				continue
-			}
-			f, err = platform.ReadFinal(in)
-		}
-		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.Close()
-			if leaves {
-				r.mu.Lock()
-				r.observe(invariants.Seen{What: invariants.Went, Node: t.node.id, Job: t.job})
-				r.clientLeftAt[t.job] = r.now()
-				r.mu.Unlock()
-			}
-			return emulator.EndBrokenOff, f
-		case err != nil:
+		f, err := r.exchange(c, t, m, c.reused && !again)
+		if errors.Is(err, errIdleConnClosed) {
 			c.Close()
-			return emulator.EndLost, f
-		case f.Last:
-			c.Close()
-		default:
-			r.returnConn(t.node, c)
+			r.observeClientLeft(t)
+			continue
 		}
-		return f.How, f
+		return r.exchangeEnded(c, t, f, err), f
 	}
 }
 
-// connect takes a connection that rests, or, wanting a new one, dials.
-func (r *cluster) connect(p *nodeProcess, anew bool) (c net.Conn, reused bool, run int, err error) {
+// exchange sends a request on a connection and reads the answer. It fails with os.ErrDeadlineExceeded when the client leaves, or when the
+// answer is overdue, and with errIdleConnClosed only if mayRetry is set.
+func (r *cluster) exchange(c *clientConn, t *request, m platform.Message, mayRetry bool) (f platform.Final, err error) {
 	r.mu.Lock()
-	run = p.incarnation
-	if n := len(p.idleConns); n > 0 && !anew {
-		c, p.idleConns = p.idleConns[n-1], p.idleConns[:n-1]
+	r.observe(invariants.Seen{What: invariants.Taken, Node: t.node.id, Job: t.job, Work: t.work.ID, Track: t.work.Track, Limit: r.now() + m.Budget})
+	r.mu.Unlock()
+	wait := m.Budget + slack + overdueMargin
+	if t.clientLeaves() {
+		wait = max(0, t.work.Leaves-r.now())
+	}
+	c.SetDeadline(time.Now().Add(wait))
+	if _, err := c.Write(m.Append(nil)); err != nil {
+		return f, err
+	}
+	in := bufio.NewReader(c)
+	if _, err := in.Peek(1); err != nil && mayRetry && !errors.Is(err, os.ErrDeadlineExceeded) {
+		return f, errIdleConnClosed
+	}
+	return platform.ReadFinal(in)
+}
+
+// exchangeEnded returns how a request ended for its client, and closes or returns the connection.
+func (r *cluster) exchangeEnded(c *clientConn, t *request, f platform.Final, err error) emulator.End {
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		c.Close()
+		if t.clientLeaves() {
+			r.mu.Lock()
+			r.observe(invariants.Seen{What: invariants.Went, Node: t.node.id, Job: t.job})
+			r.clientLeftAt[t.job] = r.now()
+			r.mu.Unlock()
+		}
+		return emulator.EndBrokenOff
+	case err != nil:
+		c.Close()
+		return emulator.EndLost
+	case f.Last:
+		c.Close()
+	default:
+		r.returnConn(t.node, c.Conn)
+	}
+	return f.How
+}
+
+// clientLeaves reports whether the client leaves before the deadline.
+func (t *request) clientLeaves() bool { return t.work.Leaves < t.work.Limit }
+
+// connect returns an idle connection to a node, or dials a new one if there is none or fresh is set.
+func (r *cluster) connect(p *nodeProcess, fresh bool) (*clientConn, error) {
+	r.mu.Lock()
+	c := &clientConn{incarnation: p.incarnation}
+	if n := len(p.idleConns); n > 0 && !fresh {
+		c.Conn, p.idleConns = p.idleConns[n-1], p.idleConns[:n-1]
+		c.reused = true
 	}
 	r.mu.Unlock()
-	if c != nil {
-		return c, true, run, nil
+	if c.reused {
+		return c, nil
 	}
-	c, err = net.DialTimeout("tcp", p.clientAddress, time.Second)
-	return c, false, run, err
+	var err error
+	c.Conn, err = net.DialTimeout("tcp", p.clientAddress, time.Second)
+	return c, err
 }
 
+// returnConn keeps a connection for a later request.
 func (r *cluster) returnConn(p *nodeProcess, c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over || !p.up || len(p.idleConns) >= 100 {
+	if r.over || !p.up || len(p.idleConns) >= maxIdleConns {
 		c.Close()
 		return
 	}
 	p.idleConns = append(p.idleConns, c)
 }
 
-// observeClientLeft tells the rules that nothing is owed for a try.
+// observeClientLeft tells the checker that no answer is owed for a request.
 func (r *cluster) observeClientLeft(t *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observe(invariants.Seen{What: invariants.Left, Node: t.node.id, Job: t.job})
 }
 
-// requestEnded is how a try ended, and what its client does then.
+// endNames are the keys of Result.Tries.
+var endNames = [...]string{"handled", "pushed back", "broken off", "unreached", "lost"}
+
+// requestEnded checks how a request ended, and lets its client retry. It is called with r.mu held.
 func (c *zoneClients) requestEnded(t *request, how emulator.End, f platform.Final) {
 	r, work := c.cluster, t.work
 	delete(r.requests, t.job)
 	r.endedAt[t.job] = r.now()
-	r.result.Tries[[...]string{"handled", "pushed back", "broken off", "unreached", "lost"}[how]]++
-	whole := how == emulator.EndHandled || how == emulator.EndPushedBack
+	r.result.Tries[endNames[how]]++
+	complete := how == emulator.EndHandled || how == emulator.EndPushedBack
 	switch {
 	case how == emulator.EndUnreached || t.excused:
-		// Its node was killed or stood still meanwhile: nothing is owed. An answer that came all the same is looked at.
+		// Nothing is owed, but an answer that came all the same is checked.
 		if t.node != nil {
 			r.observe(invariants.Seen{What: invariants.Left, Node: t.node.id, Job: t.job})
 		}
-		if whole {
+		if complete {
 			r.checkAnswer(t, how, f)
 		}
 	case how == emulator.EndLost:
@@ -234,7 +271,7 @@
 	}
 }
 
-// checkAnswer looks at an answer from both ends.
+// checkAnswer checks an answer against what executors ran.
 func (r *cluster) checkAnswer(t *request, how emulator.End, f platform.Final) {
 	m := r.policyClasses[t.work.Track]
 	switch {
--- a/internal/harness/harness.go
+++ b/internal/harness/cluster.go
@@ -1,10 +1,3 @@
-// Package harness plays a scenario of the lab with real processes: nodes of the program on loopback, each with ports, a directory and files of its own, and in
-// this process the stand-ins for executors, discovery and clients. All that goes between nodes passes links that can be cut, and the stand-ins can fall
-// silent for some nodes alone. The rules are checked from both ends, by what clients got and what executors ran, over all processes. Draws and scripts
-// repeat by their seed, the processes' own timing does not: what a run says are invariants and counts.
-//
-// rig.go holds a run and its end, proc.go the processes, link.go what lies between nodes, ends.go executors and discovery, front.go the clients, faults.go
-// the script.
 package harness
 
 import (
@@ -24,89 +17,61 @@
 	"birchstair/policy"
 )
 
-// Options say how a scenario is played.
-type Options struct {
-	Binary string // birchstair
-	Dir    string // of its own, empty: logs, configurations and the timeline go there
-	Seed   uint64
-
-	injectDefect func(*cluster) // puts a defect in as the load begins; nil for none
-}
-
-// Result is what came of a run. Counts beyond Wrong are no verdict.
-type Result struct {
-	Seed        uint64         `json:"Seed"`
-	Asked       float64        `json:"Asked"`  // earnings
-	Earned      float64        `json:"Earned"` // of them, answered in the quoted time
-	Best        float64        `json:"Best"`   // of them, what the capacity that was there could have earned at the most, dearest work first
-	Works       int            `json:"Works"`
-	Tries       map[string]int `json:"Tries"`       // by how they ended
-	Allocations int            `json:"Allocations"` // that reached an executor
-	Work        float64        `json:"Work"`        // seconds of work that reached executors
-	Finished    float64        `json:"Finished"`    // and that they got done
-	Fell        int            `json:"Fell"`        // executors that were pushed over while cold, whoever did
-	ColdMost    float64        `json:"ColdMost"`    // the most work that came to a cold one, by the rules' checker and against its own budget
-	Late        int            `json:"Late"`        // allocations to an executor that drains from nodes whose own list does not say so, long after another node was told
-	WentWaiting int            `json:"WentWaiting"` // clients that left while their batch jobs waited with nothing out
-	SentLate    int            `json:"SentLate"`    // attempts that reached an executor too long after their clients had left
-	Views       [][]string     `json:"Views"`       // what each node said of its fleet at the end
-	Wrong       []string       `json:"Wrong"`
-}
-
-// cluster is a run.
+// cluster is a run: its processes, its emulated services, and what has been observed.
 type cluster struct {
 	scenario simulation.Scenario
 	options  Options
 	start    time.Time
 
-	mu            sync.Mutex // guards all below; nothing that blocks is done under it
-	over          bool
-	closing       bool
+	mu            sync.Mutex // guards all below; nothing under it blocks
+	over          bool       // everything ends
+	closing       bool       // nodes shut down: clients stop submitting
 	rand          *rand.Rand
-	classes       []emulator.Track
-	policyClasses []policy.JobClass
+	classes       []emulator.Track  // as clients use them
+	policyClasses []policy.JobClass // as nodes are configured
 	checker       *invariants.Checker
 	result        Result
 	nodes         []*nodeProcess
 	executors     []*executor
 	discovery     *emulator.Discovery
-	listChanged   chan struct{} // closed when discovery may have something new
+	listChanged   chan struct{} // closed when there may be an update
 	requests      map[policy.JobID]*request
-	endedAt       map[policy.JobID]time.Duration // when a try ended
-	clientLeftAt  map[policy.JobID]time.Duration // when a client left before its answer
+	endedAt       map[policy.JobID]time.Duration // when a request ended
+	clientLeftAt  map[policy.JobID]time.Duration // for clients that left before their answers
 	clients       []*zoneClients
 	memories      emulator.Memories
-	drainKnownAt  map[policy.ExecutorID]time.Duration // when any node was first told that it drains
+	drainKnownAt  map[policy.ExecutorID]time.Duration // when any node was first notified that it drains
 	lastConn      emulator.ConnID
 	timeline      *os.File
 	offers        []simulation.Offer
-	capacity      []float64    // what executors could do, by bins of the run
-	addressClaim  net.Listener // the run's addresses are its own
+	capacity      []float64    // work that executors could do, in bins of the run
+	addressClaim  net.Listener // reserves the addresses of the run
 	timers        []*time.Timer
-	goroutines    sync.WaitGroup // clients' tries, and what serves connections
+	goroutines    sync.WaitGroup // requests, and servers of connections
 
-	lastTick    time.Duration // when this process had its turn last
-	stall       time.Duration // for how long it stood still before
+	lastTick    time.Duration // when this process ran last, to detect that it stalled
+	stall       time.Duration // how long it stalled before that
 	stallSeenAt time.Duration
 
-	gossipLost       float64
-	gossipDuplicated float64
-	gossipDelay      time.Duration
+	gossipLost       float64       // share of datagrams
+	gossipDuplicated float64       // share of datagrams
+	gossipDelay      time.Duration // at most
 }
 
+// Margins for a busy machine, and times of a run.
 const (
-	slack             = time.Second            // on a busy machine an answer may be so late
-	observationDelay  = 150 * time.Millisecond // and this process so late to read what a node wrote; later ones count, and two do no harm
-	gossipDrainWithin = 3 * time.Second        // within it every node of a fleet whose links are whole knows of a drain
+	slack             = time.Second            // an answer may be so late
+	observationDelay  = 150 * time.Millisecond // this process may read so late what a node wrote
+	gossipDrainWithin = 3 * time.Second        // every node knows of a drain within it, if gossip is not partitioned
 	warmUp            = 500 * time.Millisecond // after all nodes are ready
 	readyTimeout      = 20 * time.Second
-	arrivalMargin     = 1.5             // what was sent in time may come in a rush on a busy machine: so much more counts as too much for a cold executor
-	answerMargin      = 2 * time.Second // for answers beyond the last outer limit
+	arrivalMargin     = 1.5             // over the slow-start budget, since attempts that were sent in time may arrive in a burst
+	answerMargin      = 2 * time.Second // for answers after the last deadline
 	tickInterval      = 50 * time.Millisecond
-	stallEffect       = 2 * time.Second // what came while this process stood still is read within it
+	stallEffect       = 2 * time.Second // what arrived during a stall is read within it
 )
 
-// Play plays a run. An error means that it could not be played.
+// Play runs a scenario. It returns an error if the scenario could not be played; violations are in the result.
 func Play(s simulation.Scenario, o Options) (result Result, err error) {
 	r := &cluster{scenario: s, options: o, start: time.Now(), rand: rand.New(rand.NewPCG(o.Seed, 9)),
 		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)), listChanged: make(chan struct{}), requests: map[policy.JobID]*request{}, endedAt: map[policy.JobID]time.Duration{}, clientLeftAt: map[policy.JobID]time.Duration{},
@@ -131,18 +96,19 @@
 
 func (r *cluster) now() time.Duration { return time.Since(r.start) }
 
-// note writes a line of the timeline. It is called with r.mu held.
+// note writes a line to the timeline. It is called with r.mu held.
 func (r *cluster) note(format string, args ...any) {
 	fmt.Fprintf(r.timeline, "%10.3fs "+format+"\n", append([]any{r.now().Seconds()}, args...)...)
 }
 
+// fail records a violation. It is called with r.mu held.
 func (r *cluster) fail(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	r.note("WRONG: %s", text)
 	r.result.Wrong = append(r.result.Wrong, text)
 }
 
-// observe hands a thing seen to the rules. It is called with r.mu held.
+// observe passes an event to the checker. It is called with r.mu held.
 func (r *cluster) observe(s invariants.Seen) {
 	s.At = r.now()
 	for _, b := range r.checker.See(s) {
@@ -150,7 +116,7 @@
 	}
 }
 
-// after does something later, with r.mu held, unless the run is over.
+// after calls a function later, with r.mu held, unless the run is over by then.
 func (r *cluster) after(span time.Duration, what func()) {
 	r.timers = append(r.timers, time.AfterFunc(span, func() {
 		r.mu.Lock()
@@ -161,6 +127,7 @@
 	}))
 }
 
+// setUp starts the emulated services and the nodes.
 func (r *cluster) setUp() error {
 	f := &r.scenario.Fleet
 	speeds := rand.New(rand.NewPCG(r.options.Seed, 10))
@@ -193,7 +160,7 @@
 	return nil
 }
 
-// awaitReady waits until all nodes say that they are ready, and, where they talk, know each other.
+// awaitReady waits until all nodes are ready and, if they gossip, know each other.
 func (r *cluster) awaitReady() error {
 	for _, p := range r.nodes {
 		until := time.Now().Add(readyTimeout)
@@ -207,7 +174,7 @@
 	return nil
 }
 
-// run plays the load and the script.
+// run plays the load and the faults, and waits for the last answers.
 func (r *cluster) run() {
 	r.mu.Lock()
 	r.note("all nodes are ready")
@@ -238,7 +205,7 @@
 	}
 }
 
-// ticks notes when this process, which sees both ends, stands still itself: what it reads then came before.
+// ticks detects stalls of this process, which observes both ends: what it reads after a stall arrived before.
 func (r *cluster) ticks() {
 	if stall := r.now() - r.lastTick - tickInterval; r.lastTick > 0 && (stall > r.stall || r.now() > r.stallSeenAt+stallEffect) {
 		r.stall, r.stallSeenAt = max(0, stall), r.now()
@@ -247,8 +214,8 @@
 	r.after(tickInterval, r.ticks)
 }
 
-// ownStall is for how long this process has stood still just now. Guards against times that it reads off itself: an end that it noted before
-// and an allocation that it reads after standing still look as far apart as that.
+// ownStall returns how long this process has just stalled. Times that it took before and after a stall look as far apart as that, though
+// the events may have been close.
 func (r *cluster) ownStall() time.Duration {
 	if r.lastTick == 0 {
 		return 0
@@ -256,7 +223,7 @@
 	return max(r.stall, r.now()-r.lastTick-tickInterval, 0)
 }
 
-// sampleCapacity books what executors could do in this bin.
+// sampleCapacity records what executors can do in this bin.
 func (r *cluster) sampleCapacity() {
 	can := 0.0
 	for _, x := range r.executors {
@@ -270,13 +237,13 @@
 	r.after(simulation.Bin, r.sampleCapacity)
 }
 
-// finish ends the processes and says what came of the run.
+// finish shuts down the nodes and returns the result.
 func (r *cluster) finish() Result {
 	for _, p := range r.nodes {
 		r.result.Views = append(r.result.Views, p.fleetView())
 	}
 	r.mu.Lock()
-	r.closing = true // who would come again stays away: the nodes end now
+	r.closing = true // no retries: the nodes shut down now
 	for _, t := range r.requests {
 		t.excused = true
 	}
@@ -301,7 +268,7 @@
 	return r.result
 }
 
-// shutDown ends all that is left, by its id.
+// shutDown ends everything that is left.
 func (r *cluster) shutDown() {
 	r.mu.Lock()
 	r.over = true
--- a/internal/harness/draw.go
+++ b/internal/harness/draw.go
@@ -9,7 +9,8 @@
 	"birchstair/internal/simulation"
 )
 
-// Draw draws a short scenario for so many nodes from a seed: the load, and two to five faults, some of them at the same time.
+// Draw returns a short random scenario for so many nodes: a load, and two to five faults that may overlap. The order of draws is part of
+// what a seed means.
 func Draw(seed uint64, nodes int) simulation.Scenario {
 	r := rand.New(rand.NewPCG(seed, 77))
 	s := simulation.Base()
--- a/internal/harness/ends.go
+++ b/internal/harness/executor.go
@@ -12,7 +12,7 @@
 	"birchstair/policy"
 )
 
-// executor is a stand-in executor on sockets: the lab's model, on this machine's clock. Each node reaches it at an address of its own.
+// executor is an emulated executor on sockets, on the real clock. Each node reaches it at an address of its own.
 type executor struct {
 	*emulator.Executor
 	cluster     *cluster
@@ -23,7 +23,7 @@
 	timer       *time.Timer
 }
 
-// executorConn is a connection from a node.
+// executorConn is a connection of a node to an executor.
 type executorConn struct {
 	conn   net.Conn
 	answer platform.Answer
@@ -42,7 +42,7 @@
 		StartedAt: x.Started, StartedLongAgo: x.Started < 0}}
 }
 
-// listenForExecutor opens the address where a node reaches an executor.
+// listenForExecutor opens the address at which the node reaches an executor.
 func (p *nodeProcess) listenForExecutor(x *executor) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// serve reads allocations from a node's connection until it ends.
+// serve reads attempts from a node's connection until it ends.
 func (x *executor) serve(p *nodeProcess, c net.Conn) {
 	defer c.Close()
 	r := x.cluster
@@ -102,13 +102,13 @@
 	}
 }
 
-// attemptArrived takes in an allocation, whole.
+// attemptArrived checks a complete attempt and passes it to the executor. It is called with cluster.mu held.
 func (x *executor) attemptArrived(p *nodeProcess, key emulator.ConnID, m platform.Message) {
 	r := x.cluster
 	r.checkClientPresent(p, x, m.Job)
 	t := r.requests[m.Job]
 	if t == nil {
-		// Its client has its answer, or has given up by now: nothing may be sent for it any more.
+		// Its client has an answer or has given up: nothing may be sent for it.
 		if r.endedAt[m.Job] > 0 && r.now() > r.endedAt[m.Job]+slack+r.ownStall() && !p.wasPaused() {
 			r.fail("%s was sent to %s by %s %v after its end", m.Job, x.ID, p.name, r.now()-r.endedAt[m.Job])
 		}
@@ -138,8 +138,8 @@
 	x.apply(x.Take(r.now(), a))
 }
 
-// checkClientPresent holds an attempt that has come against the end of its client's connection, as package rules does: the rig sees no first byte but
-// what reaches an executor. That its node's process stood still is no excuse: what was written before that is here before it goes on.
+// checkClientPresent checks the rule invariants.Awaited for an attempt that has arrived, since the harness does not see when a node sends
+// the first byte. A pause of the node is no excuse: what it wrote before arrives before it resumes.
 func (r *cluster) checkClientPresent(p *nodeProcess, x *executor, job policy.JobID) {
 	at, went := r.clientLeftAt[job]
 	if !went || r.now() <= at+invariants.AwaitedFor+observationDelay {
@@ -153,7 +153,7 @@
 	}
 }
 
-// apply hands on what follows from something that happened to an executor, and sets its timer. It is called with the rig's mutex held.
+// apply carries out the outputs of the executor, and sets its timer. It is called with cluster.mu held.
 func (x *executor) apply(outs []emulator.Out) {
 	r := x.cluster
 	for _, o := range outs {
@@ -194,7 +194,7 @@
 	}
 }
 
-// write writes an executor's word. Words are short: the kernel takes them at once.
+// write writes a message about an attempt. Messages are short, so that the kernel buffers them at once.
 func (x *executor) write(o emulator.Say) {
 	s := x.conns[o.Conn]
 	t := x.cluster.requests[o.Job]
@@ -212,21 +212,21 @@
 	}
 	b, _ := s.answer.Append(nil, o, x.ID, platform.Result(work))
 	s.conn.SetWriteDeadline(time.Now().Add(time.Second))
-	s.conn.Write(b) //nolint:errcheck // a broken connection is seen by its reader, which books it
+	s.conn.Write(b) //nolint:errcheck // the reader of a broken connection handles it
 }
 
-// crash ends an executor's process.
+// crash ends the executor's process.
 func (x *executor) crash() {
 	x.incarnation++
 	x.apply(x.Crash(x.cluster.now()))
 }
 
-// restart starts it anew, cold.
+// restart starts the executor again, in slow start.
 func (x *executor) restart() {
 	r := x.cluster
 	x.apply(x.Start(r.now()))
 	delete(r.drainKnownAt, x.ID)
-	r.observe(invariants.Seen{What: invariants.Started, Node: invariants.Nobody, Executor: x.ID, Start: x.Started}) // as the list says it, or no node would count as told
+	r.observe(invariants.Seen{What: invariants.Started, Node: invariants.Nobody, Executor: x.ID, Start: x.Started}) // as published, or no node would count as notified
 	r.changeEndpoint(x.entry(policy.Available))
 }
 
@@ -240,127 +240,3 @@
 		s.conn.Close()
 	}
 }
-
-// ---- Discovery ----
-
-// changeEndpoint books a change of the list and lets nodes know in time.
-func (r *cluster) changeEndpoint(e emulator.Entry) {
-	at := r.discovery.Change(r.now(), e)
-	r.checker.Listed(at, e.Executor, e.State)
-	r.after(at-r.now()+time.Millisecond, r.wakeWatches)
-}
-
-// wakeWatches lets all watches look.
-func (r *cluster) wakeWatches() {
-	close(r.listChanged)
-	r.listChanged = make(chan struct{})
-}
-
-// serveDiscovery is a node's own way to discovery.
-func (p *nodeProcess) serveDiscovery() {
-	for {
-		c, err := p.discoveryListener.Accept()
-		if err != nil {
-			return
-		}
-		p.cluster.goroutines.Go(func() {
-			defer c.Close()
-			in := bufio.NewReader(c)
-			for {
-				c.SetReadDeadline(time.Now().Add(2 * time.Minute))
-				ask, err := platform.ReadWatch(in)
-				if err != nil {
-					return
-				}
-				answer := p.awaitUpdate(ask)
-				if answer == nil {
-					return
-				}
-				if _, err := c.Write(answer); err != nil {
-					return
-				}
-			}
-		})
-	}
-}
-
-// awaitUpdate waits until there is an answer; while discovery says nothing to this node there is none.
-func (p *nodeProcess) awaitUpdate(ask platform.Watch) []byte {
-	r := p.cluster
-	until := time.Now().Add(ask.Hold)
-	for {
-		r.mu.Lock()
-		if r.over {
-			r.mu.Unlock()
-			return nil
-		}
-		news := r.listChanged
-		if !p.cutFromDiscovery && !r.discovery.Silent() {
-			version, entries := r.discovery.Since(r.now(), ask.From)
-			if ask.Whole {
-				entries = r.discovery.Whole(r.now())
-			}
-			if ask.Whole || len(entries) > 0 || !time.Now().Before(until) {
-				answer := p.update(version, ask.Whole, entries)
-				r.mu.Unlock()
-				return answer
-			}
-		}
-		r.mu.Unlock()
-		var over <-chan time.Time
-		if left := time.Until(until); left > 0 {
-			over = time.After(left)
-		}
-		select {
-		case <-news:
-		case <-over:
-		}
-	}
-}
-
-// update books what a node is told, with the addresses that are its own.
-func (p *nodeProcess) update(version int, whole bool, entries []emulator.Entry) []byte {
-	r := p.cluster
-	named := map[policy.ExecutorID]bool{}
-	own := make([]emulator.Entry, 0, len(entries))
-	for _, e := range entries {
-		named[e.Executor] = true
-		l := p.executorListeners[e.Executor]
-		if l == nil {
-			continue
-		}
-		e.Addr = l.Addr().String()
-		own = append(own, e)
-		start := e.StartedAt
-		if e.StartedLongAgo {
-			start = -time.Hour
-		}
-		p.recordEndpoint(invariants.Seen{Executor: e.Executor, State: e.State, Start: start})
-	}
-	if whole {
-		for id, was := range p.known {
-			if !named[id] && was.State != policy.Removed {
-				p.recordEndpoint(invariants.Seen{Executor: id, State: policy.Removed, Start: was.Start})
-			}
-		}
-	}
-	return platform.AppendList(nil, version, whole, own, r.scenario.Fleet.Zones, r.start)
-}
-
-func (p *nodeProcess) recordEndpoint(s invariants.Seen) {
-	s.What, s.Node, s.At = invariants.Told, p.id, p.cluster.now()
-	was, ok := p.known[s.Executor]
-	if ok && was.State == s.State && was.Start == s.Start {
-		return
-	}
-	if ok && was.State != policy.Available && s.State != policy.Available {
-		s.At = was.At
-	}
-	p.known[s.Executor] = s
-	if s.State != policy.Available {
-		if _, ok := p.cluster.drainKnownAt[s.Executor]; !ok {
-			p.cluster.drainKnownAt[s.Executor] = p.cluster.now()
-		}
-	}
-	p.cluster.observe(s)
-}
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -3,20 +3,18 @@
 import (
 	"fmt"
 	"slices"
-	"syscall"
 	"time"
 
 	"birchstair/internal/emulator"
 	"birchstair/internal/invariants"
 	"birchstair/internal/simulation"
-	"birchstair/policy"
 )
 
-// supportedFaults are the kinds of fault that the rig can do.
+// supportedFaults are the kinds of faults that the harness can play. Draw draws from them by index: the order is part of what a seed means.
 var supportedFaults = []emulator.Kind{emulator.Slow, emulator.Errors, emulator.Mute, emulator.Crash, emulator.DrainOff, emulator.ListLate, emulator.ListLost, emulator.ListCut,
 	emulator.NodeKilled, emulator.NodeRestart, emulator.NodeStopped, emulator.NodesApart, emulator.WordsLost, emulator.Burst, emulator.HeavyTail}
 
-// Fits says what of a scenario the rig can't play.
+// Fits returns an error that says what of a scenario the harness cannot play.
 func Fits(s simulation.Scenario) error {
 	for i, f := range s.Faults {
 		if !slices.Contains(supportedFaults, f.Kind) {
@@ -48,90 +46,46 @@
 	})
 }
 
-func (r *cluster) onExecutors(f emulator.Fault, what func(*executor)) {
-	for _, x := range r.executors {
-		if f.Touches(string(x.ID), r.scenario.Fleet.Zones[x.Zone]) {
-			what(x)
-		}
-	}
-}
-
-func (r *cluster) onNodes(f emulator.Fault, what func(*nodeProcess)) {
-	for _, p := range r.nodes {
-		if f.Touches(p.name, r.scenario.Fleet.Zones[p.zone]) {
-			what(p)
-		}
-	}
-}
-
+// beginFault starts a fault. It is called with r.mu held.
 func (r *cluster) beginFault(f emulator.Fault) {
 	switch f.Kind {
 	case emulator.Slow, emulator.Errors, emulator.Mute:
-		r.onExecutors(f, func(x *executor) {
-			x.faults = append(x.faults, f)
-			x.updateFault()
-		})
+		r.onExecutors(f, func(x *executor) { x.addFault(f) })
 	case emulator.Crash:
-		r.onExecutors(f, func(x *executor) {
-			if x.downFaults++; x.Up {
-				x.crash()
-				r.changeEndpoint(x.entry(policy.Removed))
-			}
-		})
+		r.onExecutors(f, (*executor).takeDown)
 	case emulator.DrainOff:
 		r.onExecutors(f, func(x *executor) { r.drain(x, f) })
 	case emulator.ListLate:
-		r.discovery.Late(time.Duration(f.Size * 1e9))
-		r.checker.Apart(invariants.Nobody, r.now()+time.Duration(r.scenario.Fleet.ListLag)+time.Duration(f.Size*1e9))
+		r.delayDiscovery(seconds(f.Size))
 	case emulator.ListLost:
 		r.discovery.Silence(true)
 		r.checker.Cut(r.now(), invariants.Nobody, true)
 	case emulator.ListCut:
-		r.onNodes(f, func(p *nodeProcess) { p.cutFromDiscovery = true; r.checker.Cut(r.now(), p.id, true) })
+		r.onNodes(f, func(p *nodeProcess) { p.cutDiscovery(true) })
 	case emulator.NodeKilled:
-		r.onNodes(f, func(p *nodeProcess) {
-			if p.downFaults++; p.up {
-				p.recordEnd()
-				p.cmd.Process.Kill()
-			}
-		})
+		r.onNodes(f, (*nodeProcess).takeDown)
 	case emulator.NodeRestart:
-		r.onNodes(f, func(p *nodeProcess) {
-			p.downFaults++
-			p.terminatedAt = r.now()
-			p.signal(syscall.SIGTERM)
-		})
+		r.onNodes(f, (*nodeProcess).terminate)
 	case emulator.NodeStopped:
-		r.onNodes(f, func(p *nodeProcess) {
-			p.signal(syscall.SIGSTOP)
-			p.paused = true
-			r.observe(invariants.Seen{What: invariants.StoodStill, Node: p.id})
-			r.excuseRequests(p)
-		})
+		r.onNodes(f, (*nodeProcess).pause)
 	case emulator.NodesApart:
 		r.onNodes(f, func(p *nodeProcess) { p.partitioned = true })
 	case emulator.WordsLost:
 		r.gossipLost = f.Size
 	case emulator.Burst:
-		for _, c := range r.clients {
-			c.Burst = f.Size
-		}
+		r.setBurst(f.Size)
 	case emulator.HeavyTail:
-		for _, c := range r.clients {
-			c.Tail = emulator.TailOf(f.Size)
-		}
+		r.setTail(emulator.TailOf(f.Size))
 	}
 }
 
+// endFault ends a fault. It is called with r.mu held.
 func (r *cluster) endFault(f emulator.Fault) {
 	switch f.Kind {
 	case emulator.Slow, emulator.Errors, emulator.Mute:
-		r.onExecutors(f, func(x *executor) {
-			x.faults = emulator.Without(x.faults, f)
-			x.updateFault()
-		})
+		r.onExecutors(f, func(x *executor) { x.removeFault(f) })
 	case emulator.Crash:
-		r.onExecutors(f, func(x *executor) { x.endDownFault() })
+		r.onExecutors(f, (*executor).endDownFault)
 	case emulator.ListLate:
 		r.discovery.Late(0)
 		r.wakeWatches()
@@ -140,83 +94,21 @@
 		r.checker.Cut(r.now(), invariants.Nobody, false)
 		r.wakeWatches()
 	case emulator.ListCut:
-		r.onNodes(f, func(p *nodeProcess) { p.cutFromDiscovery = false; r.checker.Cut(r.now(), p.id, false) })
+		r.onNodes(f, func(p *nodeProcess) { p.cutDiscovery(false) })
 		r.wakeWatches()
 	case emulator.NodeKilled, emulator.NodeRestart:
-		r.onNodes(f, func(p *nodeProcess) { p.endDownFault() })
+		r.onNodes(f, (*nodeProcess).endDownFault)
 	case emulator.NodeStopped:
-		r.onNodes(f, func(p *nodeProcess) {
-			p.paused, p.pausedUntil = false, r.now()+2*slack
-			r.observe(invariants.Seen{What: invariants.WentOn, Node: p.id})
-			r.excuseRequests(p)
-			p.signal(syscall.SIGCONT)
-		})
+		r.onNodes(f, (*nodeProcess).resume)
 	case emulator.NodesApart:
 		r.onNodes(f, func(p *nodeProcess) { p.partitioned = false })
 	case emulator.WordsLost:
 		r.gossipLost = r.scenario.Fleet.WordsLost
 	case emulator.Burst:
-		for _, c := range r.clients {
-			c.Burst = 0
-		}
+		r.setBurst(0)
 	case emulator.HeavyTail:
-		for _, c := range r.clients {
-			c.Tail = emulator.Tail{}
-		}
-	}
-}
-
-// excuseRequests: what a node that is gone or stands still has in hand is late or lost by no doing of its own.
-func (r *cluster) excuseRequests(p *nodeProcess) {
-	for _, t := range r.requests {
-		if t.node == p {
-			t.excused = true
-		}
-	}
-}
-
-// wasPaused says whether a node stands still or did just now.
-func (p *nodeProcess) wasPaused() bool { return p.paused || p.cluster.now() < p.pausedUntil }
-
-func (x *executor) updateFault() { x.apply(x.Suffer(x.cluster.now(), emulator.Together(x.faults))) }
-
-// endDownFault ends one fault that keeps an executor down.
-func (x *executor) endDownFault() {
-	if x.downFaults--; x.downFaults <= 0 {
-		x.downFaults = 0
-		x.restart()
+		r.setTail(emulator.Tail{})
 	}
 }
 
-// endDownFault ends one fault that keeps a node down.
-func (p *nodeProcess) endDownFault() {
-	if p.downFaults--; p.downFaults > 0 {
-		return
-	}
-	p.downFaults = 0
-	if p.up { // it is still on its way out
-		p.downFaults = 1
-		p.cluster.after(100*time.Millisecond, p.endDownFault)
-		return
-	}
-	if err := p.start(); err != nil {
-		p.cluster.fail("node %s does not start again: %v", p.name, err)
-	}
-}
-
-// drain: the list says so first; later the executor takes nothing new, ends, and starts again cold when the fault is over.
-func (r *cluster) drain(x *executor, f emulator.Fault) {
-	if !x.Up || x.downFaults > 0 {
-		return
-	}
-	x.downFaults++
-	lives := x.incarnation
-	r.changeEndpoint(x.entry(policy.Draining))
-	r.after(f.For*3/4, func() {
-		if x.Up && x.incarnation == lives {
-			x.crash()
-			r.changeEndpoint(x.entry(policy.Removed))
-		}
-	})
-	r.after(f.For, x.endDownFault)
-}
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/harness/link.go
+++ b/internal/harness/gossip_relay.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// gossipRelay is where neighbours reach a node: all words to it, TCP and UDP, pass here. Who sends is told by the loopback address that it comes from.
+// gossipRelay forwards all gossip to a node, by TCP and UDP. It recognizes the sender by its loopback address.
 type gossipRelay struct {
 	cluster *cluster
 	to      *nodeProcess
@@ -46,9 +46,9 @@
 	return h, nil
 }
 
-// copies says whether what comes from an address gets through now, and in how many copies, each with how late. A node that is apart reaches those that are
-// apart as well, and nobody else.
-func (h *gossipRelay) copies(from net.IP) (late []time.Duration) {
+// copies returns the delay of each copy of a datagram that gets through now: none, one or two. The order of draws is part of what a seed
+// means.
+func (h *gossipRelay) copies(from net.IP) (delays []time.Duration) {
 	r := h.cluster
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,12 +67,12 @@
 		if r.gossipDelay > 0 {
 			d = time.Duration(r.rand.Int64N(int64(r.gossipDelay)))
 		}
-		late = append(late, d)
+		delays = append(delays, d)
 	}
-	return late
+	return delays
 }
 
-// partitioned says whether a cut lies between a sender and this node.
+// partitioned reports whether a partition separates a sender from the node. It is called with cluster.mu held.
 func (h *gossipRelay) partitioned(from net.IP) bool {
 	for _, p := range h.cluster.nodes {
 		if p.address.Equal(from) {
@@ -92,13 +92,13 @@
 		if err != nil {
 			return
 		}
-		for _, late := range h.copies(from.IP) {
+		for _, delay := range h.copies(from.IP) {
 			text := append([]byte(nil), b[:n]...)
-			if late == 0 {
+			if delay == 0 {
 				h.out.WriteToUDP(text, to)
 				continue
 			}
-			time.AfterFunc(late, func() { h.out.WriteToUDP(text, to) })
+			time.AfterFunc(delay, func() { h.out.WriteToUDP(text, to) })
 		}
 	}
 }
@@ -121,6 +121,7 @@
 	}
 }
 
+// add registers a connection to be closed with the relay. It fails if the relay is closed.
 func (h *gossipRelay) add(c net.Conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -137,7 +138,7 @@
 	c.Close()
 }
 
-// relay carries a connection, both ways, until it ends or a cut comes: then it is silent until one side gives it up.
+// relay forwards a connection both ways until it ends. During a partition it drops what arrives.
 func (h *gossipRelay) relay(c net.Conn, from net.IP) {
 	defer h.remove(c)
 	d, err := net.DialTimeout("tcp", h.to.gossipAddress, time.Second)
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -53,8 +53,8 @@
 	return s
 }
 
-// One of three nodes hears of a drain, the others hear nothing from discovery, and one is cut off from it until later: all count as told. Without words
-// they send on, which shows that the check can fail.
+// TestDrainToldByNeighbours lets one of three nodes learn of a drain, while the others cannot reach discovery, and one of them is partitioned
+// for a while: all must respect it. Without gossip they do not, which shows that the check can fail.
 func TestDrainToldByNeighbours(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "fleet-one-hears-of-drain")
@@ -71,8 +71,8 @@
 	}
 }
 
-// A node that hears nothing more from discovery, though it could, breaks the rule that a drain binds whether it was told or not, and nothing else is wrong;
-// where it is known to be cut off, nothing is.
+// TestUninformed checks that a node that ignores discovery violates the rule invariants.Informed and no other, and that a node that cannot
+// reach discovery violates none.
 func TestUninformed(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "fleet-one-hears-of-drain")
@@ -92,8 +92,8 @@
 	}
 }
 
-// Eight processes below capacity, two of them cut off from the others and one killed: what they send over what gets done stays far under what the same
-// processes send without words, which shows that the budget of moves holds over all of them.
+// TestBudgetOfMoves runs eight nodes below capacity, two of them partitioned and one killed. The work that they send beyond what finishes
+// stays far under that of the same nodes without gossip: the budget of migrations holds over the fleet.
 func TestBudgetOfMoves(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "fleet-overload")
@@ -110,7 +110,7 @@
 	}
 }
 
-// Fleets and faults drawn from seeds keep the rules.
+// TestDrawnFleets checks that random scenarios violate no rule.
 func TestDrawnFleets(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run("", func(t *testing.T) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Each node names the others, how old what they told is, and says so at its door.
+// TestViews checks that each node reports its peers and the age of their state at its admin door.
 func TestViews(t *testing.T) {
 	t.Parallel()
 	s := simulation.Base()
@@ -136,8 +136,8 @@
 	}
 }
 
-// Clients leave while their batch jobs wait at real processes: nothing of those reaches an executor 0.1 s later, also where the processes are stopped
-// and go on meanwhile.
+// TestClientsLeave lets clients leave while their batch jobs wait: no attempt for them may reach an executor 0.1 s later, even if the nodes
+// are paused meanwhile.
 func TestClientsLeave(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
 		t.Run(fmt.Sprint("stopped=", stopped), func(t *testing.T) {
--- a/internal/harness/proc.go
+++ b/internal/harness/node.go
@@ -2,10 +2,8 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
@@ -21,55 +19,36 @@
 	"birchstair/policy"
 )
 
-// nodeProcess is a node: a process, or the place of one that is down.
+// nodeProcess is a node and its process, if it is up.
 type nodeProcess struct {
 	cluster           *cluster
 	id                invariants.NodeID
 	name              string
 	zone              policy.ZoneID
 	dir               string
-	clientAddress     string // for clients
+	clientAddress     string
 	adminAddress      string
-	address           net.IP       // its loopback address in the fleet
-	gossipAddress     string       // where it listens for neighbours
-	gossipRelay       *gossipRelay // where neighbours reach it
+	address           net.IP       // its loopback address
+	gossipAddress     string       // where it listens for its peers
+	gossipRelay       *gossipRelay // where its peers reach it
 	discoveryListener net.Listener
-	executorListeners map[policy.ExecutorID]net.Listener // where it reaches each executor
+	executorListeners map[policy.ExecutorID]net.Listener // at which it reaches each executor
 
-	// Guarded by the rig's mutex.
+	// Guarded by cluster.mu.
 	cmd              *exec.Cmd
-	ended            chan error // told of the process's end
+	ended            chan error // gets the error of the process's end
 	incarnation      int
 	up               bool
-	terminatedAt     time.Duration // when it was told to end; 0 before
+	terminatedAt     time.Duration // when its shutdown began; 0 before
 	downFaults       int           // faults that keep it down
 	paused           bool
-	pausedUntil      time.Duration // until when it counts as just stopped
-	cutFromDiscovery bool          // it hears nothing from discovery
+	pausedUntil      time.Duration // it counts as paused until then
+	cutFromDiscovery bool          // discovery does not answer it
 	known            map[policy.ExecutorID]invariants.Seen
-	partitioned      bool // its words do not pass
+	partitioned      bool // its gossip reaches partitioned nodes alone
 	idleConns        []net.Conn
 }
 
-// Claim finds a group of loopback addresses that no other run uses, 127.SLOT.x.y, and holds it for as long as the run lasts.
-func Claim() (slot byte, held net.Listener, err error) {
-	for range 500 {
-		slot = byte(2 + rand.IntN(250))
-		if held, err = net.Listen("tcp", fmt.Sprintf("127.%d.2.1:%d", slot, relayPort)); err == nil {
-			return slot, held, nil
-		}
-	}
-	return 0, nil, err
-}
-
-// Ports on a node's own address.
-const (
-	relayPort  = 7946
-	gossipPort = 7947
-	clientPort = 8081
-	adminPort  = 8082
-)
-
 func (r *cluster) newProc(i int, slot byte) (*nodeProcess, error) {
 	p := &nodeProcess{cluster: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(r.scenario.Fleet.Zones)), executorListeners: map[policy.ExecutorID]net.Listener{},
 		address: net.IPv4(127, slot, 0, byte(i+1)), known: map[policy.ExecutorID]invariants.Seen{}}
@@ -97,52 +76,7 @@
 	return p, nil
 }
 
-// writeFiles writes the node's configuration, and the operator's file where nodes talk.
-func (p *nodeProcess) writeFiles() error {
-	r, f := p.cluster, &p.cluster.scenario.Fleet
-	secs := func(d time.Duration) float64 { return d.Seconds() }
-	var tracks []any
-	for i, t := range r.scenario.Tracks {
-		m := r.policyClasses[i]
-		track := map[string]any{"name": t.Name, "quoted-time-s": secs(m.LatencyObjective), "outer-limit-s": secs(m.Deadline), "earnings": m.Value,
-			"repeat": map[policy.Idempotency]string{policy.Idempotent: "repeatable", policy.IdempotentWithKey: "by_key", policy.AtMostOnce: "once"}[m.Idempotency], "aim-stretch": m.RunTimeFactor}
-		if m.Idempotency == policy.IdempotentWithKey {
-			track["dedup-scope"] = map[policy.DedupGroup]string{policy.DedupAllExecutors: "all", policy.DedupZone: "zone", policy.DedupCell: "cell"}[m.DedupGroup]
-			track["dedup-window-s"] = secs(m.DedupWindow)
-		}
-		if m.LateValue > 0 {
-			track["late-earnings"] = m.LateValue
-		}
-		tracks = append(tracks, track)
-	}
-	settings := map[string]any{"balancers": f.Nodes, "my-number": int(p.id), "locality": int(p.zone), "areas": f.Zones, "flavors": []string{"plain"},
-		"quantum-s": 0.004, "discovery": "push", "earnings-per": map[bool]string{true: "work", false: "request"}[f.PerWork],
-		"caps": map[string]any{"cancel": true, "max-allocations": f.Allocations, "retry-after": f.ComeBack > 0, "max-retry-after-s": secs(time.Duration(f.ComeBack)),
-			"conn-idle-s": secs(time.Duration(f.IdleLimit)), "dial-timeout-s": secs(time.Duration(f.DialLimit)), "second-copies": f.Copies, "peers": f.Keepers},
-		"domain":      map[string]any{"tells-start": f.TellsStart, "progress-s": secs(time.Duration(f.TellsEvery)), "report-x0": "free slots"},
-		"rules":       map[string]any{"cold-share": f.ColdShare, "warm-within-s": secs(time.Duration(f.WarmWithin)), "fall-multiple": f.FallMultiple, "fall-s": secs(time.Duration(f.FallWindow))},
-		"score-parts": map[string]any{"whole": 0.8, "class": 0.2}, "prices": map[string]any{"cross-zone": f.CrossPrice}, "tracks": tracks}
-	if f.Reports {
-		settings["report"] = map[string]any{"how": "inline", "fields": []string{"active", "waiting", "x0"}}
-	}
-	text, err := json.MarshalIndent(map[string]any{"name": p.name, "listen": p.clientAddress, "management": p.adminAddress, "discovery": p.discoveryListener.Addr().String(),
-		"seed": fmt.Sprintf("%016x", r.options.Seed*1000+uint64(p.id)), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": settings}, "", " ")
-	if err != nil {
-		return err
-	}
-	err = os.WriteFile(filepath.Join(p.dir, "config.json"), text, 0o600)
-	if p.gossipRelay == nil {
-		return err
-	}
-	var seeds []string
-	for _, o := range r.nodes[:min(3, len(r.nodes))] {
-		seeds = append(seeds, fmt.Sprintf("%q", o.gossipRelay.addr))
-	}
-	site := fmt.Sprintf("[fleet]\nlisten = %q\nadvertise = %q\nseeds = [%s]\n", p.gossipAddress, p.gossipRelay.addr, strings.Join(seeds, ", "))
-	return errors.Join(err, os.WriteFile(filepath.Join(p.dir, "site.toml"), []byte(site), 0o600))
-}
-
-// start starts the process. It is called with the rig's mutex held.
+// start starts the process. It is called with cluster.mu held.
 func (p *nodeProcess) start() error {
 	args := []string{"serve"}
 	if p.gossipRelay != nil {
@@ -151,7 +85,7 @@
 	cmd := exec.Command(p.cluster.options.Binary, args...)
 	cmd.Dir = p.dir
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + p.dir, "ROUTER_CONFIG=" + filepath.Join(p.dir, "config.json")}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the rig
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no node outlives this process
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -185,7 +119,7 @@
 	return nil
 }
 
-// readLogLine takes in a line of a node's log.
+// readLogLine copies a line of a node's log to the timeline, and looks for panics and data races.
 func (r *cluster) readLogLine(p *nodeProcess, line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -197,7 +131,7 @@
 
 func (p *nodeProcess) isReady() bool { return p.readyStatus() == http.StatusOK }
 
-// readyStatus is the status by which the node says whether it is ready; 0 where it answers nothing.
+// readyStatus returns the HTTP status of the node's readiness endpoint, or 0 without an answer.
 func (p *nodeProcess) readyStatus() int {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := c.Get("http://" + p.clientAddress + "/-/ready")
@@ -208,7 +142,7 @@
 	return answer.StatusCode
 }
 
-// fleetView is what the node says of its fleet.
+// fleetView returns the fleet as the node sees it.
 func (p *nodeProcess) fleetView() []string {
 	if p.gossipRelay == nil {
 		return nil
@@ -220,6 +154,7 @@
 	return lines
 }
 
+// knowsAll reports whether the node counts so many nodes as alive.
 func (p *nodeProcess) knowsAll(nodes int) bool {
 	for _, line := range p.fleetView() {
 		if strings.HasPrefix(line, "node=") {
@@ -229,14 +164,14 @@
 	return false
 }
 
-// signal sends a signal to the process, if it is there. It is called with the rig's mutex held.
+// signal sends a signal to the process, if it is up. It is called with cluster.mu held.
 func (p *nodeProcess) signal(s syscall.Signal) {
 	if p.up {
 		p.cmd.Process.Signal(s)
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its end.
 func (p *nodeProcess) kill() {
 	p.cluster.mu.Lock()
 	up, ended := p.up, p.ended
@@ -251,7 +186,7 @@
 	}
 }
 
-// recordEnd books that the node is gone with all it had in hand.
+// recordEnd records that the node is down and has lost what was in flight. It is called with cluster.mu held.
 func (p *nodeProcess) recordEnd() {
 	p.up = false
 	p.cluster.observe(invariants.Seen{What: invariants.NodeKilled, Node: p.id})
@@ -262,8 +197,8 @@
 	p.idleConns = nil
 }
 
-// shutDown ends the process as a planned end does, and waits for it. One that has just been started is told once it answers: until it
-// listens for signals it ends by the signal itself, with nothing taken (docs/design/crossings.md).
+// shutDown shuts the process down gracefully and waits for its end. A process that has just started gets the signal when it is ready: until
+// it handles signals, the signal itself kills it (docs/design/crossings.md).
 func (p *nodeProcess) shutDown() error {
 	p.cluster.mu.Lock()
 	up, ended := p.up, p.ended
--- /dev/null
+++ b/internal/harness/options.go
@@ -0,0 +1,30 @@
+package harness
+
+// Options are how a scenario is played.
+type Options struct {
+	Binary string // the program birchstair
+	Dir    string // an empty directory for logs, configurations and the timeline
+	Seed   uint64
+
+	injectDefect func(*cluster) // called when the load begins, to inject a defect; nil for none
+}
+
+// Result is the result of a run. Wrong alone is a verdict, all others are counts.
+type Result struct {
+	Seed        uint64         `json:"Seed"`
+	Asked       float64        `json:"Asked"`       // value of all work
+	Earned      float64        `json:"Earned"`      // part of it that was answered by the latency objective
+	Best        float64        `json:"Best"`        // upper bound of it by the capacity that there was, most valuable work first
+	Works       int            `json:"Works"`       // pieces of work
+	Tries       map[string]int `json:"Tries"`       // requests, by how they ended
+	Allocations int            `json:"Allocations"` // attempts that reached an executor
+	Work        float64        `json:"Work"`        // seconds of work that reached executors
+	Finished    float64        `json:"Finished"`    // seconds of work that they finished
+	Fell        int            `json:"Fell"`        // crashes of executors from overload in slow start
+	ColdMost    float64        `json:"ColdMost"`    // largest share of its slow-start budget that an executor got
+	Late        int            `json:"Late"`        // attempts to draining executors from nodes that had not been notified, long after another node had been
+	WentWaiting int            `json:"WentWaiting"` // clients that left while their batch jobs had no attempt in flight
+	SentLate    int            `json:"SentLate"`    // attempts that arrived too long after their clients had left
+	Views       [][]string     `json:"Views"`       // the fleet as each node sees it at the end
+	Wrong       []string       `json:"Wrong"`       // violations
+}
--- a/internal/harness/cold_test.go
+++ b/internal/harness/slow_start_test.go
@@ -7,7 +7,8 @@
 	"birchstair/internal/simulation"
 )
 
-// What real processes send an executor that has started anew is held against rule 4, as theirs who were told of its start.
+// TestColdIsSeen checks that what nodes send to an executor in slow start counts against its budget, as sent by nodes that had been
+// notified of its start.
 func TestColdIsSeen(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "fleet-cold-starts")
