--- a/internal/scaletest/bounds.go
+++ b/internal/scaletest/bounds.go
@@ -10,16 +10,16 @@
 
 // Bounds of a run on one machine. What goes over them is refused by name before anything is started.
 const (
-	MostExecutors = 6400
-	MostNodes     = 300
-	MostReal      = 12
-	MostTenants   = 10000
-	MostRate      = 5000
-	MostProcesses = 300
-	MostMemory    = 12 << 30
-	MostTime      = time.Hour
-	mostOf        = 1000
-	mostRungs     = 64
+	MostExecutors      = 6400
+	MostNodes          = 300
+	MostReal           = 12
+	MostTenants        = 10000
+	MostRate           = 5000
+	MostProcesses      = 300
+	MostMemory         = 12 << 30
+	MostTime           = time.Hour
+	mostFleetSize      = 1000
+	mostPriorityLevels = 64
 )
 
 // What a hollow executor, a hollow node and a batch job in hand take at the most, by measurement and rounded up.
@@ -27,7 +27,7 @@
 	executorMemory = 64 << 10
 	memberMemory   = 4 << 20
 	jobMemory      = 128 << 10
-	spareFiles     = 256
+	reservedFiles  = 256
 )
 
 // Sweep is what is varied, one dimension at a time from a base.
@@ -68,14 +68,14 @@
 		values      []int
 	}{
 		{"executors", 1, MostExecutors, slices.Concat([]int{s.BaseExecutors}, s.Executors, s.Held)},
-		{"of", 1, mostOf, s.Of},
+		{"of", 1, mostFleetSize, s.Of},
 		{"nodes", 1, MostNodes, append([]int{s.BaseNodes}, s.Nodes...)},
 		{"real", 1, MostReal, []int{s.Real}},
-		{"rungs", 0, mostRungs, s.Rungs},
+		{"rungs", 0, mostPriorityLevels, s.Rungs},
 		{"rates, starts a second", 1, MostRate, append([]int{s.BaseRate}, s.Rates...)},
 		{"tenants", 0, MostTenants, s.Tenants},
 		{"rounds", 1, 100, []int{s.Rounds}},
-		{"sockets", 64, files - spareFiles, []int{s.Sockets}},
+		{"sockets", 64, files - reservedFiles, []int{s.Sockets}},
 		{"span, in ms", 200, 60000, []int{int(s.Span.Milliseconds())}},
 		{"work, in ms", 1, 60000, []int{int(s.Work.Milliseconds())}},
 	} {
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, pt := range s.points(0) {
-		if err := s.fits(pt, files); err != nil {
+		if err := s.checkMachine(pt, files); err != nil {
 			return fmt.Errorf("the point %s %g: %w", pt.Series, pt.X, err)
 		}
 	}
@@ -96,45 +96,45 @@
 	return nil
 }
 
-// fits says over which bound of the machine a point goes.
-func (s Sweep) fits(pt Point, files int) error {
-	if pt.Module {
+// checkMachine says over which bound of the machine a point goes.
+func (s Sweep) checkMachine(pt Point, files int) error {
+	if pt.ModuleOnly {
 		return nil
 	}
-	if pt.Running > placesOf(pt.Executors) {
-		return fmt.Errorf("places: %d tasks at a time, and %d executors have %d", pt.Running, pt.Executors, placesOf(pt.Executors))
+	if pt.Concurrency > totalSlots(pt.Executors) {
+		return fmt.Errorf("places: %d tasks at a time, and %d executors have %d", pt.Concurrency, pt.Executors, totalSlots(pt.Executors))
 	}
-	hollow := (pt.Executors+perHollow-1)/perHollow + min(1, pt.Hollow)
-	if n := pt.Real + hollow + 1; n > MostProcesses {
+	hollow := (pt.Executors+executorsPerProcess-1)/executorsPerProcess + min(1, pt.HollowNodes)
+	if n := pt.RealNodes + hollow + 1; n > MostProcesses {
 		return fmt.Errorf("processes: %d, over %d", n, MostProcesses)
 	}
-	inHand := max(pt.Running, int(pt.Rate*2))
-	if pt.Held {
+	inHand := max(pt.Concurrency, int(pt.Rate*2))
+	if pt.Queueing {
 		inHand = int(pt.Rate * (2*longWork + s.Span).Seconds())
 	}
-	conns := pt.Real * pt.Sockets / 4
+	conns := pt.RealNodes * pt.Sockets / 4
 	for _, need := range []struct {
 		what string
 		n    int
 	}{
-		{"a process with hollow executors", min(pt.Executors, perHollow) + conns},
-		{"the process with hollow nodes", pt.Hollow * 8},
-		{"the process with clients", 2*inHand + 4*pt.Real},
+		{"a process with hollow executors", min(pt.Executors, executorsPerProcess) + conns},
+		{"the process with hollow nodes", pt.HollowNodes * 8},
+		{"the process with clients", 2*inHand + 4*pt.RealNodes},
 	} {
-		if need.n+spareFiles > files {
-			return fmt.Errorf("descriptors: %s may need %d, and RLIMIT_NOFILE is %d", need.what, need.n+spareFiles, files)
+		if need.n+reservedFiles > files {
+			return fmt.Errorf("descriptors: %s may need %d, and RLIMIT_NOFILE is %d", need.what, need.n+reservedFiles, files)
 		}
 	}
-	if memory := pt.Executors*executorMemory + pt.Hollow*memberMemory + inHand*jobMemory + pt.Real*pt.Memory<<20; memory > MostMemory {
+	if memory := pt.Executors*executorMemory + pt.HollowNodes*memberMemory + inHand*jobMemory + pt.RealNodes*pt.MemoryMB<<20; memory > MostMemory {
 		return fmt.Errorf("memory: %d MB, over %d MB", memory>>20, MostMemory>>20)
 	}
 	return nil
 }
 
-// placesOf is how many tasks so many executors run at once.
-func placesOf(executors int) (n int) {
+// totalSlots is how many tasks so many executors run at once.
+func totalSlots(executors int) (n int) {
 	for i := range executors {
-		n += places(i)
+		n += slots(i)
 	}
 	return n
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -10,16 +10,16 @@
 
 // Fit is a straight line through a figure's measurements in one series, by least squares.
 type Fit struct {
-	Series string  `json:"Series"`
-	Figure string  `json:"Figure"`
-	At     float64 `json:"At"` // the line at X = 0
-	Slope  float64 `json:"Slope"`
-	Spread float64 `json:"Spread"` // standard error of the slope
-	Off    float64 `json:"Off"`    // standard deviation of the measurements from the line
-	From   float64 `json:"From"`   // the smallest X and
-	To     float64 `json:"To"`     // the largest
-	N      int     `json:"N"`
-	Flat   bool    `json:"Flat"` // the slope is within twice its spread of none
+	Series    string  `json:"Series"`
+	Figure    string  `json:"Figure"`
+	Intercept float64 `json:"At"` // the line at X = 0
+	Slope     float64 `json:"Slope"`
+	Spread    float64 `json:"Spread"` // standard error of the slope
+	Residual  float64 `json:"Off"`    // standard deviation of the measurements from the line
+	From      float64 `json:"From"`   // the smallest X and
+	To        float64 `json:"To"`     // the largest
+	Count     int     `json:"N"`
+	Flat      bool    `json:"Flat"` // the slope is within twice its spread of none
 }
 
 // Fits fits each figure of each series that has measurements at two places at least.
@@ -41,12 +41,12 @@
 }
 
 func fit(points [][2]float64) (f Fit, ok bool) {
-	f.N = len(points)
+	f.Count = len(points)
 	f.From, f.To = math.Inf(1), math.Inf(-1)
 	var mx, my float64
 	for _, p := range points {
-		mx += p[0] / float64(f.N)
-		my += p[1] / float64(f.N)
+		mx += p[0] / float64(f.Count)
+		my += p[1] / float64(f.Count)
 		f.From, f.To = min(f.From, p[0]), max(f.To, p[0])
 	}
 	var xx, xy float64
@@ -54,18 +54,18 @@
 		xx += (p[0] - mx) * (p[0] - mx)
 		xy += (p[0] - mx) * (p[1] - my)
 	}
-	if f.N < 3 || xx == 0 {
+	if f.Count < 3 || xx == 0 {
 		return f, false
 	}
 	f.Slope = xy / xx
-	f.At = my - f.Slope*mx
+	f.Intercept = my - f.Slope*mx
 	off := 0.0
 	for _, p := range points {
-		d := p[1] - f.At - f.Slope*p[0]
+		d := p[1] - f.Intercept - f.Slope*p[0]
 		off += d * d
 	}
-	f.Off = math.Sqrt(off / float64(f.N-2))
-	f.Spread = f.Off / math.Sqrt(xx)
+	f.Residual = math.Sqrt(off / float64(f.Count-2))
+	f.Spread = f.Residual / math.Sqrt(xx)
 	f.Flat = math.Abs(f.Slope) <= 2*f.Spread
 	return f, true
 }
@@ -75,5 +75,5 @@
 	if f.Flat {
 		flat = ", flat within its spread"
 	}
-	return fmt.Sprintf("%s: %s = %.4g + %.4g (spread %.2g) x, off by %.3g, from %g to %g, %d measurements%s", f.Series, f.Figure, f.At, f.Slope, f.Spread, f.Off, f.From, f.To, f.N, flat)
+	return fmt.Sprintf("%s: %s = %.4g + %.4g (spread %.2g) x, off by %.3g, from %g to %g, %d measurements%s", f.Series, f.Figure, f.Intercept, f.Slope, f.Spread, f.Residual, f.From, f.To, f.Count, flat)
 }
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -31,14 +31,14 @@
 }
 
 type hollowExecutor struct {
-	ID     policy.ExecutorID `json:"ID"`
-	Places int               `json:"Places"`
+	ID    policy.ExecutorID `json:"ID"`
+	Slots int               `json:"Places"`
 }
 
 // hollowReady is its first answer.
 type hollowReady struct {
 	Addrs []string `json:"Addrs"` // of the executors, in order
-	Wrong string   `json:"Wrong"`
+	Error string   `json:"Wrong"`
 }
 
 // Counts are what a hollow process has seen since it began.
@@ -103,22 +103,22 @@
 	for i, x := range job.Executors {
 		l, err := net.Listen("tcp", job.Host+":0")
 		if err != nil {
-			ready.Wrong = err.Error()
+			ready.Error = err.Error()
 			break
 		}
 		defer l.Close()
 		ready.Addrs = append(ready.Addrs, l.Addr().String())
-		executors[i] = &platform.Executor{ID: x.ID, Places: x.Places, Reports: true, Takes: func() time.Duration { return job.Work },
+		executors[i] = &platform.Executor{ID: x.ID, Places: x.Slots, Reports: true, Takes: func() time.Duration { return job.Work },
 			Ran: func(policy.JobID) { ran.Add(1) }}
 		go executors[i].Serve(countedListener{l, &t})
 	}
 	members, err := startMembers(job)
-	defer members.end()
+	defer members.stop()
 	if err != nil {
-		ready.Wrong = err.Error()
+		ready.Error = err.Error()
 	}
-	if err := answers.Encode(ready); err != nil || ready.Wrong != "" {
-		return errors.Join(err, errors.New(ready.Wrong))
+	if err := answers.Encode(ready); err != nil || ready.Error != "" {
+		return errors.Join(err, errors.New(ready.Error))
 	}
 	for {
 		var about policy.ExecutorID // whose drain is asked for
@@ -137,29 +137,29 @@
 	}
 }
 
-// hollow is a hollow process from its starter's side.
-type hollow struct {
+// hollowProcess is a hollow process from its starter's side.
+type hollowProcess struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
 	out   *json.Decoder
 	Addrs []string
 }
 
-func startHollow(command []string, job hollowJob) (*hollow, error) {
-	h := &hollow{}
+func startHollow(command []string, job hollowJob) (*hollowProcess, error) {
+	h := &hollowProcess{}
 	var ready hollowReady
-	if err := h.begin(command, job, &ready); err != nil {
+	if err := h.start(command, job, &ready); err != nil {
 		return nil, err
 	}
-	if ready.Wrong != "" {
-		return nil, errors.Join(errors.New(ready.Wrong), h.end())
+	if ready.Error != "" {
+		return nil, errors.Join(errors.New(ready.Error), h.stop())
 	}
 	h.Addrs = ready.Addrs
 	return h, nil
 }
 
-// begin starts the process and reads its first answer.
-func (h *hollow) begin(command []string, job hollowJob, answer any) error {
+// start starts the process and reads its first answer.
+func (h *hollowProcess) start(command []string, job hollowJob, answer any) error {
 	h.cmd = exec.Command(command[0], command[1:]...)
 	h.cmd.Stderr = os.Stderr
 	h.cmd.Env = append(os.Environ(), HollowEnv+"=1")
@@ -176,21 +176,21 @@
 	}
 	h.out = json.NewDecoder(bufio.NewReader(out))
 	if err := errors.Join(json.NewEncoder(h.in).Encode(job), h.out.Decode(answer)); err != nil {
-		return fmt.Errorf("a hollow process does not begin: %w", errors.Join(err, h.end()))
+		return fmt.Errorf("a hollow process does not begin: %w", errors.Join(err, h.stop()))
 	}
 	return nil
 }
 
 // counts asks for the counts, and who holds that executor as draining.
-func (h *hollow) counts(about policy.ExecutorID) (c Counts, err error) {
+func (h *hollowProcess) counts(about policy.ExecutorID) (c Counts, err error) {
 	if err := json.NewEncoder(h.in).Encode(about); err != nil {
 		return c, err
 	}
 	return c, h.out.Decode(&c)
 }
 
-// end ends the process by the end of its input, or kills it after a while, and returns how it ended.
-func (h *hollow) end() error {
+// stop ends the process by the end of its input, or kills it after a while, and returns how it ended.
+func (h *hollowProcess) stop() error {
 	closed := h.in.Close()
 	late := time.AfterFunc(5*time.Second, func() { h.cmd.Process.Kill() })
 	defer late.Stop()
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -24,14 +24,14 @@
 
 // hollowFleet is what all hollow nodes are told.
 type hollowFleet struct {
-	Seeds []string `json:"Seeds"`
-	Real  []string `json:"Real"`  // addresses of the real nodes: the traffic with them counts
-	Rungs int      `json:"Rungs"` // of earnings for the work that their words have figures of
+	Seeds          []string `json:"Seeds"`
+	Real           []string `json:"Real"`  // addresses of the real nodes: the traffic with them counts
+	PriorityLevels int      `json:"Rungs"` // of earnings for the work that their words have figures of
 }
 
 // fleetCounts are what the hollow nodes know and have sent to real nodes and got from them.
 type fleetCounts struct {
-	Fewest     int   `json:"Fewest"` // nodes that one of them knows to be alive, itself too, at the least
+	LeastAlive int   `json:"Fewest"` // nodes that one of them knows to be alive, itself too, at the least
 	Drains     int   `json:"Drains"` // of them, how many hold the executor asked about as draining
 	PacketsIn  int64 `json:"PacketsIn"`
 	PacketsOut int64 `json:"PacketsOut"`
@@ -56,8 +56,8 @@
 	wait    sync.WaitGroup
 }
 
-// joinEvery lies between the joins of two hollow nodes.
-const joinEvery = 20 * time.Millisecond
+// joinInterval lies between the joins of two hollow nodes.
+const joinInterval = 20 * time.Millisecond
 
 func startMembers(job hollowJob) (*hollowMembers, error) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -80,21 +80,21 @@
 		m := &member{epoch: time.Now()}
 		s := cluster.Defaults(o.Name, uint64(m.epoch.UnixMilli()), uint32(n.Number))
 		m.fleet = cluster.New(s)
-		m.edge = gossip.New(o, m.take, zerolog.Nop())
+		m.edge = gossip.New(o, m.handle, zerolog.Nop())
 		h.all = append(h.all, m)
 		h.wait.Go(func() {
 			select { // one after another, as nodes of a rollout come: all at once they would take each other for dead
 			case <-ctx.Done():
-			case <-time.After(time.Duration(i) * joinEvery):
+			case <-time.After(time.Duration(i) * joinInterval):
 				m.edge.Run(ctx)
 			}
 		})
-		h.wait.Go(func() { m.talk(ctx, s.GossipInterval, job.Fleet.Rungs) })
+		h.wait.Go(func() { m.gossip(ctx, s.GossipInterval, job.Fleet.PriorityLevels) })
 	}
 	return h, nil
 }
 
-func (m *member) take(ev node.Event) {
+func (m *member) handle(ev node.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch ev := ev.(type) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// talk sends the node's words at their times.
-func (m *member) talk(ctx context.Context, every time.Duration, rungs int) {
+// gossip sends the node's words at their times.
+func (m *member) gossip(ctx context.Context, every time.Duration, rungs int) {
 	ticks := time.NewTicker(every)
 	defer ticks.Stop()
 	for {
@@ -138,8 +138,8 @@
 func (h *hollowMembers) counts(about policy.ExecutorID) (c fleetCounts) {
 	for i, m := range h.all {
 		m.mu.Lock()
-		if i == 0 || m.alive < c.Fewest {
-			c.Fewest = m.alive
+		if i == 0 || m.alive < c.LeastAlive {
+			c.LeastAlive = m.alive
 		}
 		if about != "" && m.fleet.IsDraining(about, 0, true) {
 			c.Drains++
@@ -152,7 +152,7 @@
 	return c
 }
 
-func (h *hollowMembers) end() {
+func (h *hollowMembers) stop() {
 	h.cancel()
 	h.wait.Wait()
 }
--- a/internal/scaletest/proc.go
+++ b/internal/scaletest/proc.go
@@ -19,34 +19,34 @@
 	"birchstair/internal/node"
 )
 
-// proc is a real node.
-type proc struct {
-	name   string
-	number int
-	dir    string
-	listen string
-	door   string
-	fleet  string // empty: it does not talk
-	log    *os.File
-	cmd    *exec.Cmd
-	ended  chan error
-	earns  float64 // what each class earns, times this
+// realNode is a real node.
+type realNode struct {
+	name          string
+	number        int
+	dir           string
+	clientAddress string
+	adminAddress  string
+	gossipAddress string // empty: it does not talk
+	log           *os.File
+	cmd           *exec.Cmd
+	ended         chan error
+	valueScale    float64 // what each class earns, times this
 }
 
-// config writes the node's configuration, whole or not at all.
-func (p *proc) config(pt Point, discovery string) error {
+// writeConfig writes the node's configuration, whole or not at all.
+func (p *realNode) writeConfig(pt Point, discovery string) error {
 	var tracks []map[string]any
-	for _, c := range classes(pt.Rungs) {
-		tracks = append(tracks, map[string]any{"name": c.name, "quoted-time-s": 10, "outer-limit-s": budget.Seconds(), "earnings": c.earns * p.earns, "repeat": "repeatable"})
+	for _, c := range classes(pt.PriorityLevels) {
+		tracks = append(tracks, map[string]any{"name": c.name, "quoted-time-s": 10, "outer-limit-s": clientTimeout.Seconds(), "earnings": c.value * p.valueScale, "repeat": "repeatable"})
 	}
-	settings := map[string]any{"balancers": pt.Of, "my-number": p.number, "locality": 0, "areas": zones, "flavors": []string{"plain"},
+	settings := map[string]any{"balancers": pt.FleetSize, "my-number": p.number, "locality": 0, "areas": zones, "flavors": []string{"plain"},
 		"quantum-s": 0.004, "discovery": "push", "earnings-per": "request",
 		"caps":   map[string]any{"cancel": true, "max-allocations": 3, "retry-after": true, "max-retry-after-s": 2, "conn-idle-s": 60, "dial-timeout-s": 0.1},
 		"domain": map[string]any{"tells-start": true, "report-x0": "free slots"}, "report": map[string]any{"how": "inline", "fields": []string{"active", "waiting", "x0"}},
 		"rules":       map[string]any{"cold-share": 0.3, "warm-within-s": 9, "fall-multiple": 4, "fall-s": 1.5},
 		"score-parts": map[string]any{"whole": 1}, "tracks": tracks}
-	text, err := json.MarshalIndent(map[string]any{"name": p.name, "listen": p.listen, "management": p.door, "discovery": discovery,
-		"seed": fmt.Sprintf("%016x", pt.Seed*1000+uint64(p.number)), "limits": map[string]any{"cores": 1, "memory_mb": pt.Memory, "sockets": pt.Sockets}, "settings": settings}, "", " ")
+	text, err := json.MarshalIndent(map[string]any{"name": p.name, "listen": p.clientAddress, "management": p.adminAddress, "discovery": discovery,
+		"seed": fmt.Sprintf("%016x", pt.Seed*1000+uint64(p.number)), "limits": map[string]any{"cores": 1, "memory_mb": pt.MemoryMB, "sockets": pt.Sockets}, "settings": settings}, "", " ")
 	if err != nil {
 		return err
 	}
@@ -57,21 +57,21 @@
 	return os.Rename(next, filepath.Join(p.dir, "config.json"))
 }
 
-// site writes the operator's file of a node that talks.
-func (p *proc) site(seeds []string) error {
-	if p.fleet == "" {
+// writeSite writes the operator's file of a node that talks.
+func (p *realNode) writeSite(seeds []string) error {
+	if p.gossipAddress == "" {
 		return nil
 	}
-	text := fmt.Sprintf("[fleet]\nlisten = %q\nseeds = [\"%s\"]\n", p.fleet, strings.Join(seeds, `", "`))
+	text := fmt.Sprintf("[fleet]\nlisten = %q\nseeds = [\"%s\"]\n", p.gossipAddress, strings.Join(seeds, `", "`))
 	return os.WriteFile(filepath.Join(p.dir, "site.toml"), []byte(text), 0o600)
 }
 
-// reread makes the process read its configuration again.
-func (p *proc) reread() error { return p.cmd.Process.Signal(syscall.SIGHUP) }
+// reload makes the process read its configuration again.
+func (p *realNode) reload() error { return p.cmd.Process.Signal(syscall.SIGHUP) }
 
-func (p *proc) begin(binary string) error {
+func (p *realNode) start(binary string) error {
 	args := []string{"serve"}
-	if p.fleet != "" {
+	if p.gossipAddress != "" {
 		args = append(args, "--site", filepath.Join(p.dir, "site.toml"))
 	}
 	p.cmd = exec.Command(binary, args...)
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// end ends the process as a planned end does.
-func (p *proc) end() (err error) {
+// shutDown ends the process as a planned end does.
+func (p *realNode) shutDown() (err error) {
 	if p.ended == nil {
 		return nil
 	}
@@ -107,9 +107,9 @@
 	}
 }
 
-func (p *proc) isReady() bool {
+func (p *realNode) isReady() bool {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := c.Get("http://" + p.listen + "/-/ready")
+	answer, err := c.Get("http://" + p.clientAddress + "/-/ready")
 	if err != nil {
 		return false
 	}
@@ -117,9 +117,9 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// vars are the figures that the node shows at its door.
-func (p *proc) vars() (map[string]int, error) {
-	lines, err := admin.Call(p.door, node.ReadMetrics, "", 5*time.Second)
+// metrics are the figures that the node shows at its door.
+func (p *realNode) metrics() (map[string]int, error) {
+	lines, err := admin.Call(p.adminAddress, node.ReadMetrics, "", 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
@@ -133,15 +133,15 @@
 	return vars, nil
 }
 
-// shows says whether the node shows that figure at its door.
-func (p *proc) shows(name string, x int) bool {
-	vars, err := p.vars()
+// hasMetric says whether the node shows that figure at its door.
+func (p *realNode) hasMetric(name string, x int) bool {
+	vars, err := p.metrics()
 	return err == nil && vars[name] == x
 }
 
 // knowsAll says whether the node knows so many to be alive.
-func (p *proc) knowsAll(nodes int) bool {
-	lines, err := admin.Call(p.door, node.ReadFleet, "", 5*time.Second)
+func (p *realNode) knowsAll(nodes int) bool {
+	lines, err := admin.Call(p.adminAddress, node.ReadFleet, "", 5*time.Second)
 	return err == nil && slices.ContainsFunc(lines, func(line string) bool {
 		return strings.HasPrefix(line, "node=") && strings.Contains(line, fmt.Sprintf(" alive=%d ", nodes))
 	})
--- a/internal/scaletest/scaletest.go
+++ b/internal/scaletest/scaletest.go
@@ -43,28 +43,28 @@
 
 // Point is what is measured once.
 type Point struct {
-	Series    string  `json:"Series"` // which slope it belongs to
-	X         float64 `json:"X"`
-	Round     int     `json:"Round"`
-	Seed      uint64  `json:"Seed"`
-	Executors int     `json:"Executors"`
-	Of        int     `json:"Of"` // nodes that a real one counts itself among: from six on its slice is three in so many
-	Real      int     `json:"Real"`
-	Hollow    int     `json:"Hollow,omitempty"`
-	Talk      bool    `json:"Talk"`
-	Rungs     int     `json:"Rungs,omitempty"`
-	Rate      float64 `json:"Rate"`              // starts a second, of all real nodes together
-	Running   int     `json:"Running,omitempty"` // tasks at a time that the rate is to keep
-	Sockets   int     `json:"Sockets"`
-	Memory    int     `json:"Memory"` // a real node's limit, in MB
-	Tenants   int     `json:"Tenants,omitempty"`
-	Module    bool    `json:"Module,omitempty"`  // the module alone
-	Held      bool    `json:"Held,omitempty"`    // with more than there are tokens for, so that batch jobs are held
-	Against   bool    `json:"Against,omitempty"` // of the other build
+	Series         string  `json:"Series"` // which slope it belongs to
+	X              float64 `json:"X"`
+	Round          int     `json:"Round"`
+	Seed           uint64  `json:"Seed"`
+	Executors      int     `json:"Executors"`
+	FleetSize      int     `json:"Of"` // nodes that a real one counts itself among: from six on its slice is three in so many
+	RealNodes      int     `json:"Real"`
+	HollowNodes    int     `json:"Hollow,omitempty"`
+	Gossip         bool    `json:"Talk"`
+	PriorityLevels int     `json:"Rungs,omitempty"`
+	Rate           float64 `json:"Rate"`              // starts a second, of all real nodes together
+	Concurrency    int     `json:"Running,omitempty"` // tasks at a time that the rate is to keep
+	Sockets        int     `json:"Sockets"`
+	MemoryMB       int     `json:"Memory"` // a real node's limit, in MB
+	Tenants        int     `json:"Tenants,omitempty"`
+	ModuleOnly     bool    `json:"Module,omitempty"`  // the module alone
+	Queueing       bool    `json:"Held,omitempty"`    // with more than there are tokens for, so that batch jobs are held
+	Against        bool    `json:"Against,omitempty"` // of the other build
 }
 
 // long says whether its tasks take long.
-func (pt Point) long() bool { return pt.Running > 0 || pt.Held }
+func (pt Point) long() bool { return pt.Concurrency > 0 || pt.Queueing }
 
 // Row is what came of a point.
 type Row struct {
@@ -74,36 +74,38 @@
 	NotRun  string             `json:"NotRun,omitempty"` // why it could not be run
 }
 
-// Nine is the nodes that the size sets aside for control.
-const Nine = 9
+// ControlNodes is the nodes that the size sets aside for control.
+const ControlNodes = 9
 
 const (
-	readyIn   = 40 * time.Second
-	meetIn    = 90 * time.Second
-	inForceIn = 20 * time.Second
-	perHollow = 1600 // executors in a hollow process
-	allPlaces = 7700 // of all executors together
-	allOf     = 3200 // where there are so many
-	longWork  = 4 * time.Second
-
-	firstQuota = 2.0 // tokens that the module has for each executor at first
-	heldLoad   = 1.5 // of what these can do, where batch jobs are to be held
-
-	nodeMemory  = 192 // MB, the configuration's default
-	heldSockets = 16384
-	heldMemory  = 1024 // a node takes as many clients as half of it holds at 96 KB each
+	readyTimeout        = 40 * time.Second
+	membershipTimeout   = 90 * time.Second
+	changeTimeout       = 20 * time.Second
+	executorsPerProcess = 1600 // executors in a hollow process
+	referenceSlots      = 7700 // of all executors together
+	referenceExecutors  = 3200 // where there are so many
+	longWork            = 4 * time.Second
+
+	firstQuota   = 2.0 // tokens that the module has for each executor at first
+	queueingLoad = 1.5 // of what these can do, where batch jobs are to be held
+
+	nodeMemory      = 192 // MB, the configuration's default
+	queueingSockets = 16384
+	queueingMemory  = 1024 // a node takes as many clients as half of it holds at 96 KB each
 )
 
 var zones = []string{"a", "b", "c", "d"}
 
-// places is how many tasks the i-th executor runs at once: 7,700 over 3,200 executors.
-func places(i int) int { return allPlaces*(i+1)/allOf - allPlaces*i/allOf }
+// slots is how many tasks the i-th executor runs at once: 7,700 over 3,200 executors.
+func slots(i int) int {
+	return referenceSlots*(i+1)/referenceExecutors - referenceSlots*i/referenceExecutors
+}
 
 func executorID(i int) policy.ExecutorID { return policy.ExecutorID(fmt.Sprintf("e%05d", i)) }
 
 // points are those of a round, in the order in which they are measured.
 func (s Sweep) points(round int) (points []Point) {
-	base := Point{Round: round, Seed: uint64(round + 1), Executors: s.BaseExecutors, Of: Nine, Real: 1, Rate: float64(s.BaseRate), Sockets: s.Sockets, Memory: nodeMemory}
+	base := Point{Round: round, Seed: uint64(round + 1), Executors: s.BaseExecutors, FleetSize: ControlNodes, RealNodes: 1, Rate: float64(s.BaseRate), Sockets: s.Sockets, MemoryMB: nodeMemory}
 	add := func(series string, x int, as func(*Point)) {
 		pt := base
 		pt.Series, pt.X = series, float64(x)
@@ -112,31 +114,37 @@
 	}
 	for _, n := range s.Executors {
 		for _, of := range s.Of {
-			add(fmt.Sprintf("executors-of-%d", of), n, func(pt *Point) { pt.Executors, pt.Of = n, of })
-			add(fmt.Sprintf("module-executors-of-%d", of), n, func(pt *Point) { pt.Module, pt.Executors, pt.Of = true, n, of })
-			add(fmt.Sprintf("module-held-of-%d", of), n, func(pt *Point) { pt.Module, pt.Held, pt.Executors, pt.Of = true, true, n, of })
+			add(fmt.Sprintf("executors-of-%d", of), n, func(pt *Point) { pt.Executors, pt.FleetSize = n, of })
+			add(fmt.Sprintf("module-executors-of-%d", of), n, func(pt *Point) { pt.ModuleOnly, pt.Executors, pt.FleetSize = true, n, of })
+			add(fmt.Sprintf("module-held-of-%d", of), n, func(pt *Point) { pt.ModuleOnly, pt.Queueing, pt.Executors, pt.FleetSize = true, true, n, of })
 		}
 	}
 	for _, n := range s.Nodes {
-		add("nodes", n, func(pt *Point) { pt.Of, pt.Talk = n, true; pt.Real = min(n, s.Real); pt.Hollow = n - pt.Real })
+		add("nodes", n, func(pt *Point) {
+			pt.FleetSize, pt.Gossip = n, true
+			pt.RealNodes = min(n, s.Real)
+			pt.HollowNodes = n - pt.RealNodes
+		})
 	}
 	for _, n := range s.Rungs {
-		add("rungs", n, func(pt *Point) { pt.Of, pt.Talk, pt.Rungs, pt.Hollow = s.BaseNodes, true, n, s.BaseNodes-1 })
+		add("rungs", n, func(pt *Point) {
+			pt.FleetSize, pt.Gossip, pt.PriorityLevels, pt.HollowNodes = s.BaseNodes, true, n, s.BaseNodes-1
+		})
 	}
 	for _, n := range s.Rates {
 		add("rate", n, func(pt *Point) { pt.Rate = float64(n) })
 	}
 	for _, n := range s.Running {
-		add("running", n, func(pt *Point) { pt.Running, pt.Rate, pt.Of = n, float64(n)/longWork.Seconds(), 1 })
+		add("running", n, func(pt *Point) { pt.Concurrency, pt.Rate, pt.FleetSize = n, float64(n)/longWork.Seconds(), 1 })
 	}
 	for _, n := range s.Held {
 		add("held", n, func(pt *Point) {
-			pt.Held, pt.Executors, pt.Sockets, pt.Memory = true, n, max(s.Sockets, heldSockets), heldMemory
-			pt.Rate = heldRate(n, Nine)
+			pt.Queueing, pt.Executors, pt.Sockets, pt.MemoryMB = true, n, max(s.Sockets, queueingSockets), queueingMemory
+			pt.Rate = queueingRate(n, ControlNodes)
 		})
 	}
 	for _, n := range s.Tenants {
-		add("module-tenants", n, func(pt *Point) { pt.Module, pt.Tenants = true, n })
+		add("module-tenants", n, func(pt *Point) { pt.ModuleOnly, pt.Tenants = true, n })
 	}
 	if s.Against {
 		points = paired(points, round)
@@ -148,7 +156,7 @@
 // them is first alternates. The module alone is of the lab's own build and stays as it is.
 func paired(points []Point, round int) (pairs []Point) {
 	for _, pt := range points {
-		if pt.Module {
+		if pt.ModuleOnly {
 			pairs = append(pairs, pt)
 			continue
 		}
@@ -163,24 +171,24 @@
 	return pairs
 }
 
-// slice is how many executors a node uses among so many nodes where crossing zones costs nothing: from six on three shares of all.
-func slice(executors, of int) int {
+// subsetSize is how many executors a node uses among so many nodes where crossing zones costs nothing: from six on three shares of all.
+func subsetSize(executors, of int) int {
 	if of < 6 {
 		return executors
 	}
 	return min(executors, (3*executors+of-1)/of)
 }
 
-// heldRate is a rate of long tasks that a node's first tokens are not enough for, so that batch jobs are held.
-func heldRate(executors, of int) float64 {
-	return heldLoad * firstQuota * float64(slice(executors, of)) / longWork.Seconds()
+// queueingRate is a rate of long tasks that a node's first tokens are not enough for, so that batch jobs are held.
+func queueingRate(executors, of int) float64 {
+	return queueingLoad * firstQuota * float64(subsetSize(executors, of)) / longWork.Seconds()
 }
 
 // Long is about how long all points take.
 func (s Sweep) Long() (long time.Duration) {
 	for _, pt := range s.points(0) {
 		long += 3 * time.Second
-		if !pt.Module {
+		if !pt.ModuleOnly {
 			long += 2*s.Span + 8*time.Second
 			if pt.long() {
 				long += 20 * time.Second
@@ -204,33 +212,33 @@
 	return nil
 }
 
-// world is a point while it is measured.
-type world struct {
-	o       Options
-	pt      Point
-	dir     string
-	hollow  []*hollow // with executors
-	members *hollow   // with nodes; nil where there are none
-	nodes   []*proc
-	entries []emulator.Entry
-	list    *platform.Discovery
-	lists   traffic
-	at      string // where discovery answers
-	epoch   time.Time
-	closers []func()
-	row     Row
+// measurement is a point while it is measured.
+type measurement struct {
+	options           Options
+	point             Point
+	dir               string
+	executorProcesses []*hollowProcess // with executors
+	memberProcess     *hollowProcess   // with nodes; nil where there are none
+	nodes             []*realNode
+	entries           []emulator.Entry
+	discovery         *platform.Discovery
+	discoveryTraffic  traffic
+	discoveryAddress  string // where discovery answers
+	epoch             time.Time
+	cleanups          []func()
+	row               Row
 }
 
 // Measure measures a point. What could not be run is said in the row.
 func Measure(pt Point, o Options) Row {
-	w := &world{o: o, pt: pt, epoch: time.Now(), row: Row{Point: pt, Figures: map[string]float64{}}}
+	w := &measurement{options: o, point: pt, epoch: time.Now(), row: Row{Point: pt, Figures: map[string]float64{}}}
 	var err error
-	if pt.Module {
-		err = w.module()
+	if pt.ModuleOnly {
+		err = w.measureModule()
 	} else {
-		err = w.measure()
+		err = w.runSteps()
 	}
-	for _, c := range slices.Backward(w.closers) {
+	for _, c := range slices.Backward(w.cleanups) {
 		c()
 	}
 	if err != nil {
@@ -239,12 +247,12 @@
 	return w.row
 }
 
-func (w *world) wrong(format string, args ...any) {
+func (w *measurement) fail(format string, args ...any) {
 	w.row.Wrong = append(w.row.Wrong, fmt.Sprintf(format, args...))
 }
 
-func (w *world) measure() error {
-	for _, step := range []func() error{w.setUp, w.idle, w.load, w.changes} {
+func (w *measurement) runSteps() error {
+	for _, step := range []func() error{w.setUp, w.measureIdle, w.measureLoad, w.measureChanges} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -252,32 +260,32 @@
 	return nil
 }
 
-// module plays the module alone, in a process of its own.
-func (w *world) module() error {
-	job := hollowJob{Module: &moduleJob{Executors: w.pt.Executors, Of: w.pt.Of, Tenants: w.pt.Tenants, Rate: w.pt.Rate, Work: w.o.Work, Most: 2 * time.Second, Skip: 1000, Starts: cmp.Or(w.o.Starts, 4000)}}
-	if w.pt.Held {
-		job.Module.Work, job.Module.Skip = longWork, int(firstQuota)*slice(w.pt.Executors, w.pt.Of)
-		job.Module.Rate = heldRate(w.pt.Executors, w.pt.Of)
+// measureModule plays the module alone, in a process of its own.
+func (w *measurement) measureModule() error {
+	job := hollowJob{Module: &moduleJob{Executors: w.point.Executors, FleetSize: w.point.FleetSize, Tenants: w.point.Tenants, Rate: w.point.Rate, Work: w.options.Work, MaxCPU: 2 * time.Second, Skip: 1000, Starts: cmp.Or(w.options.Starts, 4000)}}
+	if w.point.Queueing {
+		job.Module.Work, job.Module.Skip = longWork, int(firstQuota)*subsetSize(w.point.Executors, w.point.FleetSize)
+		job.Module.Rate = queueingRate(w.point.Executors, w.point.FleetSize)
 	}
 	var f moduleFigures
-	h := &hollow{}
-	if err := h.begin(w.o.Hollow, job, &f); err != nil {
+	h := &hollowProcess{}
+	if err := h.start(w.options.Hollow, job, &f); err != nil {
 		return err
 	}
-	ended := h.end()
-	if f.Wrong != "" {
-		return errors.New(f.Wrong)
+	ended := h.stop()
+	if f.Error != "" {
+		return errors.New(f.Error)
 	}
 	if ended != nil {
 		return fmt.Errorf("a hollow process: %w", ended)
 	}
-	w.row.Figures["out"], w.row.Figures["held"] = float64(f.Out), float64(f.Held)
-	w.row.Figures["cpu_us_start"], w.row.Figures["heap_kb"], w.row.Figures["starts"] = f.PerUs, float64(f.Heap)/1e3, float64(f.Starts)
+	w.row.Figures["out"], w.row.Figures["held"] = float64(f.InFlight), float64(f.Queued)
+	w.row.Figures["cpu_us_start"], w.row.Figures["heap_kb"], w.row.Figures["starts"] = f.MicrosPerStart, float64(f.Heap)/1e3, float64(f.Starts)
 	return nil
 }
 
-func (w *world) setUp() error {
-	w.dir = filepath.Join(w.o.Dir, fmt.Sprintf("%s-%g-%d", w.pt.Series, w.pt.X, w.pt.Round))
+func (w *measurement) setUp() error {
+	w.dir = filepath.Join(w.options.Dir, fmt.Sprintf("%s-%g-%d", w.point.Series, w.point.X, w.point.Round))
 	if err := os.MkdirAll(w.dir, 0o700); err != nil {
 		return err
 	}
@@ -285,7 +293,7 @@
 	if err != nil {
 		return err
 	}
-	w.closers = append(w.closers, func() { held.Close() })
+	w.cleanups = append(w.cleanups, func() { held.Close() })
 	if err := w.startExecutors(slot); err != nil {
 		return err
 	}
@@ -293,41 +301,41 @@
 	if err != nil {
 		return err
 	}
-	w.closers = append(w.closers, func() { lists.Close() })
-	w.at, w.list = lists.Addr().String(), &platform.Discovery{Entries: w.entries, Zones: zones, Epoch: w.epoch}
-	go w.list.Serve(countedListener{lists, &w.lists})
+	w.cleanups = append(w.cleanups, func() { lists.Close() })
+	w.discoveryAddress, w.discovery = lists.Addr().String(), &platform.Discovery{Entries: w.entries, Zones: zones, Epoch: w.epoch}
+	go w.discovery.Serve(countedListener{lists, &w.discoveryTraffic})
 	if err := w.startNodes(slot); err != nil {
 		return err
 	}
-	if w.pt.Talk {
-		return w.meet()
+	if w.point.Gossip {
+		return w.awaitMembership()
 	}
 	return nil
 }
 
-func (w *world) startExecutors(slot byte) error {
-	work := w.o.Work
-	if w.pt.long() {
+func (w *measurement) startExecutors(slot byte) error {
+	work := w.options.Work
+	if w.point.long() {
 		work = longWork
 	}
-	for first := 0; first < w.pt.Executors; first += perHollow {
-		job := hollowJob{Host: fmt.Sprintf("127.%d.3.%d", slot, first/perHollow+1), Work: work}
-		for i := first; i < min(first+perHollow, w.pt.Executors); i++ {
-			job.Executors = append(job.Executors, hollowExecutor{executorID(i), places(i)})
+	for first := 0; first < w.point.Executors; first += executorsPerProcess {
+		job := hollowJob{Host: fmt.Sprintf("127.%d.3.%d", slot, first/executorsPerProcess+1), Work: work}
+		for i := first; i < min(first+executorsPerProcess, w.point.Executors); i++ {
+			job.Executors = append(job.Executors, hollowExecutor{executorID(i), slots(i)})
 		}
-		h, err := startHollow(w.o.Hollow, job)
+		h, err := startHollow(w.options.Hollow, job)
 		if err != nil {
 			return err
 		}
-		w.hollow = append(w.hollow, h)
-		w.closers = append(w.closers, func() {
-			if err := h.end(); err != nil {
-				w.wrong("a hollow process: %v", err)
+		w.executorProcesses = append(w.executorProcesses, h)
+		w.cleanups = append(w.cleanups, func() {
+			if err := h.stop(); err != nil {
+				w.fail("a hollow process: %v", err)
 			}
 		})
 		for i, x := range job.Executors {
 			w.entries = append(w.entries, emulator.Entry{Addr: h.Addrs[i], Endpoint: policy.Endpoint{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
-				Cell: policy.CellID((first + i) / 40), State: policy.Available, Weight: float64(x.Places), StartedLongAgo: true}})
+				Cell: policy.CellID((first + i) / 40), State: policy.Available, Weight: float64(x.Slots), StartedLongAgo: true}})
 		}
 	}
 	return nil
@@ -335,96 +343,96 @@
 
 const (
 	clientPort = 8081
-	doorPort   = 8082
-	fleetPort  = 7947
+	adminPort  = 8082
+	gossipPort = 7947
 
-	spareSeeds = 5 // hollow nodes at which the others join, beside real ones
+	hollowSeeds = 5 // hollow nodes at which the others join, beside real ones
 )
 
 // startNodes starts the real nodes, and the hollow ones beside them, and books what a start takes.
-func (w *world) startNodes(slot byte) error {
+func (w *measurement) startNodes(slot byte) error {
 	var hosts, seeds []string
-	for i := range w.pt.Real {
+	for i := range w.point.RealNodes {
 		hosts = append(hosts, fmt.Sprintf("127.%d.0.%d", slot, i+1))
 	}
-	job := hollowJob{Fleet: hollowFleet{Real: hosts, Rungs: w.pt.Rungs}}
-	for i := range w.pt.Hollow {
-		job.Nodes = append(job.Nodes, hollowNode{fmt.Sprint("h", i), w.pt.Real + i, fmt.Sprintf("127.%d.%d.%d:%d", slot, 10+i/200, 1+i%200, fleetPort)})
+	job := hollowJob{Fleet: hollowFleet{Real: hosts, PriorityLevels: w.point.PriorityLevels}}
+	for i := range w.point.HollowNodes {
+		job.Nodes = append(job.Nodes, hollowNode{fmt.Sprint("h", i), w.point.RealNodes + i, fmt.Sprintf("127.%d.%d.%d:%d", slot, 10+i/200, 1+i%200, gossipPort)})
 	}
 	for _, host := range hosts[:min(3, len(hosts))] {
-		seeds = append(seeds, fmt.Sprintf("%s:%d", host, fleetPort))
+		seeds = append(seeds, fmt.Sprintf("%s:%d", host, gossipPort))
 	}
-	for _, n := range job.Nodes[:min(spareSeeds, len(job.Nodes))] {
+	for _, n := range job.Nodes[:min(hollowSeeds, len(job.Nodes))] {
 		seeds = append(seeds, n.Listen)
 	}
 	job.Fleet.Seeds = seeds
 	began := time.Now()
 	for i, host := range hosts {
-		p := &proc{name: fmt.Sprint("n", i), number: i, dir: filepath.Join(w.dir, fmt.Sprint("n", i)), listen: fmt.Sprintf("%s:%d", host, clientPort),
-			door: fmt.Sprintf("%s:%d", host, doorPort), earns: 2}
-		if w.pt.Talk {
-			p.fleet = fmt.Sprintf("%s:%d", host, fleetPort)
+		p := &realNode{name: fmt.Sprint("n", i), number: i, dir: filepath.Join(w.dir, fmt.Sprint("n", i)), clientAddress: fmt.Sprintf("%s:%d", host, clientPort),
+			adminAddress: fmt.Sprintf("%s:%d", host, adminPort), valueScale: 2}
+		if w.point.Gossip {
+			p.gossipAddress = fmt.Sprintf("%s:%d", host, gossipPort)
 		}
 		if err := os.MkdirAll(p.dir, 0o700); err != nil {
 			return err
 		}
-		if err := errors.Join(p.config(w.pt, w.at), p.site(seeds), p.begin(w.binary())); err != nil {
+		if err := errors.Join(p.writeConfig(w.point, w.discoveryAddress), p.writeSite(seeds), p.start(w.binary())); err != nil {
 			return err
 		}
 		w.nodes = append(w.nodes, p)
-		w.closers = append(w.closers, func() {
-			if err := p.end(); err != nil {
-				w.wrong("node %s: a planned end: %v", p.name, err)
+		w.cleanups = append(w.cleanups, func() {
+			if err := p.shutDown(); err != nil {
+				w.fail("node %s: a planned end: %v", p.name, err)
 			}
 		})
 	}
 	if len(job.Nodes) > 0 {
-		h, err := startHollow(w.o.Hollow, job)
+		h, err := startHollow(w.options.Hollow, job)
 		if err != nil {
 			return err
 		}
-		w.members = h
-		w.closers = append(w.closers, func() {
-			if err := h.end(); err != nil {
-				w.wrong("a hollow process: %v", err)
+		w.memberProcess = h
+		w.cleanups = append(w.cleanups, func() {
+			if err := h.stop(); err != nil {
+				w.fail("a hollow process: %v", err)
 			}
 		})
 	}
 	for _, p := range w.nodes {
-		if err := until(readyIn, func() bool { return p.isReady() && p.shows("executors_known", w.pt.Executors) }); err != nil {
-			return fmt.Errorf("node %s is not ready with %d executors: %w", p.name, w.pt.Executors, err)
+		if err := waitFor(readyTimeout, func() bool { return p.isReady() && p.hasMetric("executors_known", w.point.Executors) }); err != nil {
+			return fmt.Errorf("node %s is not ready with %d executors: %w", p.name, w.point.Executors, err)
 		}
 	}
 	w.row.Figures["ready_s"] = time.Since(began).Seconds()
-	w.row.Figures["list_whole_kb"] = float64(w.lists.out.Load()) / 1e3 / float64(len(w.nodes))
+	w.row.Figures["list_whole_kb"] = float64(w.discoveryTraffic.out.Load()) / 1e3 / float64(len(w.nodes))
 	total, err := w.cpu()
 	w.row.Figures["ready_cpu_ms"] = total.Seconds() * 1e3 / float64(len(w.nodes))
 	return err
 }
 
 // binary is the build that the point is of.
-func (w *world) binary() string {
-	if w.pt.Against {
-		return w.o.Against
+func (w *measurement) binary() string {
+	if w.point.Against {
+		return w.options.Against
 	}
-	return w.o.Binary
+	return w.options.Binary
 }
 
-// meet waits until all nodes know each other.
-func (w *world) meet() error {
-	all, fewest := w.pt.Real+w.pt.Hollow, 0
+// awaitMembership waits until all nodes know each other.
+func (w *measurement) awaitMembership() error {
+	all, fewest := w.point.RealNodes+w.point.HollowNodes, 0
 	began := time.Now()
-	err := until(meetIn, func() bool {
+	err := waitFor(membershipTimeout, func() bool {
 		for _, p := range w.nodes {
 			if !p.knowsAll(all) {
 				return false
 			}
 		}
-		if w.members == nil {
+		if w.memberProcess == nil {
 			return true
 		}
-		c, err := w.members.counts("")
-		fewest = c.Fleet.Fewest
+		c, err := w.memberProcess.counts("")
+		fewest = c.Fleet.LeastAlive
 		return err == nil && fewest == all
 	})
 	if err != nil {
@@ -434,8 +442,8 @@
 	return nil
 }
 
-// until waits until something holds.
-func until(limit time.Duration, holds func() bool) error {
+// waitFor waits until something holds.
+func waitFor(limit time.Duration, holds func() bool) error {
 	for end := time.Now().Add(limit); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			return fmt.Errorf("not within %v", limit)
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -108,7 +108,7 @@
 			if strings.HasPrefix(pt.Series, "executors") {
 				got = append(got, pt.Series)
 			}
-			if pt.Against != strings.HasSuffix(pt.Series, "-against") || pt.Module && pt.Against {
+			if pt.Against != strings.HasSuffix(pt.Series, "-against") || pt.ModuleOnly && pt.Against {
 				t.Errorf("%+v", pt)
 			}
 		}
@@ -170,25 +170,25 @@
 	if err := s.check(files); err == nil || !strings.Contains(err.Error(), "descriptors: ") {
 		t.Error(err)
 	}
-	pt := Point{Executors: 6400, Hollow: 300, Real: 12, Memory: 192, Rate: 80000}
-	if err := s.fits(pt, 1<<20); err == nil || !strings.Contains(err.Error(), "memory: ") {
+	pt := Point{Executors: 6400, HollowNodes: 300, RealNodes: 12, MemoryMB: 192, Rate: 80000}
+	if err := s.checkMachine(pt, 1<<20); err == nil || !strings.Contains(err.Error(), "memory: ") {
 		t.Error(err)
 	}
-	pt = Point{Executors: 16, Real: 299, Memory: 1, Rate: 1}
-	if err := s.fits(pt, 1<<20); err == nil || !strings.Contains(err.Error(), "processes: 301") {
+	pt = Point{Executors: 16, RealNodes: 299, MemoryMB: 1, Rate: 1}
+	if err := s.checkMachine(pt, 1<<20); err == nil || !strings.Contains(err.Error(), "processes: 301") {
 		t.Error(err)
 	}
-	if n := placesOf(3200); n != allPlaces {
+	if n := totalSlots(3200); n != referenceSlots {
 		t.Errorf("%d places", n)
 	}
 }
 
 // worldOf sets a point up. When the test ends it is taken down, and nothing may have been wrong.
-func worldOf(t *testing.T, pt Point) *world {
+func worldOf(t *testing.T, pt Point) *measurement {
 	t.Helper()
-	w := &world{o: options(t), pt: pt, epoch: time.Now(), row: Row{Figures: map[string]float64{}}}
+	w := &measurement{options: options(t), point: pt, epoch: time.Now(), row: Row{Figures: map[string]float64{}}}
 	t.Cleanup(func() {
-		for _, c := range slices.Backward(w.closers) {
+		for _, c := range slices.Backward(w.cleanups) {
 			c()
 		}
 		if len(w.row.Wrong) > 0 {
@@ -203,23 +203,23 @@
 
 // A list of 100,000 entries, and 100,000 tenants, far over what is planned: served, or turned down in words, and no crash.
 func TestFarOver(t *testing.T) {
-	if f := (&moduleJob{Executors: 16, Of: 9, Tenants: 100000, Rate: 100, Work: time.Millisecond, Most: 10 * time.Second, Starts: 200}).play(); f.Wrong != "" || f.Starts == 0 {
+	if f := (&moduleJob{Executors: 16, FleetSize: 9, Tenants: 100000, Rate: 100, Work: time.Millisecond, MaxCPU: 10 * time.Second, Starts: 200}).play(); f.Error != "" || f.Starts == 0 {
 		t.Errorf("100,000 tenants: %+v", f)
 	}
-	w := worldOf(t, Point{Series: "far-over", Executors: 4, Of: 9, Real: 1, Sockets: 512, Memory: 192})
+	w := worldOf(t, Point{Series: "far-over", Executors: 4, FleetSize: 9, RealNodes: 1, Sockets: 512, MemoryMB: 192})
 	p := w.nodes[0]
 	var all []emulator.Entry
 	for i := range 100000 {
 		all = append(all, emulator.Entry{Addr: "127.0.0.1:1", Endpoint: policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % len(zones)), Weight: 1, StartedLongAgo: true}})
 	}
-	w.list.Change(all...)
-	if err := until(readyIn, func() bool {
+	w.discovery.Change(all...)
+	if err := waitFor(readyTimeout, func() bool {
 		log, err := os.ReadFile(filepath.Join(p.dir, "log"))
-		return p.shows("executors_known", len(all)) || err == nil && strings.Contains(string(log), "endpoint list unavailable")
+		return p.hasMetric("executors_known", len(all)) || err == nil && strings.Contains(string(log), "endpoint list unavailable")
 	}); err != nil {
 		t.Errorf("a list of %d is neither served nor turned down: %v", len(all), err)
 	}
-	if vars, err := p.vars(); err != nil {
+	if vars, err := p.metrics(); err != nil {
 		t.Error(err)
 	} else {
 		t.Logf("of %d executors %d are known", len(all), vars["executors_known"])
@@ -228,17 +228,17 @@
 
 // An executor that a node sends nothing to for a reason of its own does not make a drain look late: here one is taken out by hand.
 func TestDrainAmongExcluded(t *testing.T) {
-	w := worldOf(t, Point{Series: "drain", Executors: 4, Of: 9, Real: 1, Hollow: 2, Talk: true, Sockets: 512, Memory: 192})
-	if _, err := admin.Call(w.nodes[0].door, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
+	w := worldOf(t, Point{Series: "drain", Executors: 4, FleetSize: 9, RealNodes: 1, HollowNodes: 2, Gossip: true, Sockets: 512, MemoryMB: 192})
+	if _, err := admin.Call(w.nodes[0].adminAddress, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.drain(5); err != nil {
+	if err := w.measureDrain(5); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := w.row.Figures["drain_s"]; !ok {
 		t.Error("the drain was not seen to be in force")
 	}
-	if vars, err := w.nodes[0].vars(); err != nil || vars["executors_excluded"] != 2 {
+	if vars, err := w.nodes[0].metrics(); err != nil || vars["executors_excluded"] != 2 {
 		t.Errorf("%d executors get nothing new, want the one that drains and the one taken out; %v", vars["executors_excluded"], err)
 	}
 }
@@ -258,11 +258,11 @@
 	if len(got) != 3 {
 		t.Fatalf("%v", got)
 	}
-	want := Fit{Series: "s", Figure: "grows", At: 3, Slope: 2, To: 2, N: 6}
+	want := Fit{Series: "s", Figure: "grows", Intercept: 3, Slope: 2, To: 2, Count: 6}
 	if diff := cmp.Diff(want, got["s/grows"], cmpopts.EquateApprox(0, 1e-9)); diff != "" {
 		t.Error(diff)
 	}
-	if f := got["s/noisy"]; !f.Flat || f.Spread < 0.1 || f.Off < 0.4 {
+	if f := got["s/noisy"]; !f.Flat || f.Spread < 0.1 || f.Residual < 0.4 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/scaletest/wire_test.go
+++ b/internal/scaletest/wire_test.go
@@ -67,11 +67,11 @@
 
 // TestNodeFiles pins the configuration and the operator's file that are written for a node.
 func TestNodeFiles(t *testing.T) {
-	p := &proc{name: "n1", number: 1, dir: t.TempDir(), listen: "127.9.0.1:8081", door: "127.9.0.1:8082", fleet: "127.9.0.1:7947", earns: 2}
-	if err := p.config(Point{Seed: 7, Of: 9, Rungs: 3, Memory: 192, Sockets: 512}, "127.0.0.1:9000"); err != nil {
+	p := &realNode{name: "n1", number: 1, dir: t.TempDir(), clientAddress: "127.9.0.1:8081", adminAddress: "127.9.0.1:8082", gossipAddress: "127.9.0.1:7947", valueScale: 2}
+	if err := p.writeConfig(Point{Seed: 7, FleetSize: 9, PriorityLevels: 3, MemoryMB: 192, Sockets: 512}, "127.0.0.1:9000"); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.site([]string{"127.9.0.2:7947", "127.9.0.3:7947"}); err != nil {
+	if err := p.writeSite([]string{"127.9.0.2:7947", "127.9.0.3:7947"}); err != nil {
 		t.Fatal(err)
 	}
 	text := ""
