--- /dev/null
+++ b/internal/harness/executor.go
@@ -0,0 +1,242 @@
+package harness
+
+import (
+	"bufio"
+	"math/rand/v2"
+	"net"
+	"time"
+
+	"birchstair/internal/emulator"
+	"birchstair/internal/emulator/platform"
+	"birchstair/internal/invariants"
+	"birchstair/policy"
+)
+
+// executor is an emulated executor on sockets, on the real clock. Each node reaches it at an address of its own.
+type executor struct {
+	*emulator.Executor
+	cluster     *cluster
+	incarnation int
+	conns       map[emulator.ConnID]*executorConn
+	downFaults  int
+	faults      []emulator.Fault
+	timer       *time.Timer
+}
+
+// executorConn is a connection of a node to an executor.
+type executorConn struct {
+	conn   net.Conn
+	answer platform.Answer
+}
+
+func (r *cluster) newExecutor(id string, number int, speed float64) *executor {
+	x := &executor{cluster: r, conns: map[emulator.ConnID]*executorConn{}}
+	x.Executor = emulator.NewExecutor(r.scenario.Spec(id, number, speed), rand.New(rand.NewPCG(r.options.Seed, uint64(1000+number))))
+	x.Started -= time.Hour
+	r.executors = append(r.executors, x)
+	return x
+}
+
+func (x *executor) entry(state policy.EndpointState) emulator.Entry {
+	return emulator.Entry{Endpoint: policy.Endpoint{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state, Weight: float64(x.Cores) * x.Speed,
+		StartedAt: x.Started, StartedLongAgo: x.Started < 0}}
+}
+
+// listenForExecutor opens the address at which the node reaches an executor.
+func (p *nodeProcess) listenForExecutor(x *executor) error {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	p.executorListeners[x.ID] = l
+	p.cluster.goroutines.Go(func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			p.cluster.goroutines.Go(func() { x.serve(p, c) })
+		}
+	})
+	return nil
+}
+
+// serve reads attempts from a node's connection until it ends.
+func (x *executor) serve(p *nodeProcess, c net.Conn) {
+	defer c.Close()
+	r := x.cluster
+	var key emulator.ConnID
+	lives, taken := 0, false
+	r.mu.Lock()
+	if !r.over && x.Up {
+		r.lastConn++
+		key, lives = r.lastConn, x.incarnation
+		ok, outs := x.Open(r.now(), key)
+		if taken = ok; ok {
+			x.conns[key] = &executorConn{conn: c}
+		}
+		x.apply(outs)
+	}
+	r.mu.Unlock()
+	if !taken {
+		c.(*net.TCPConn).SetLinger(0)
+		return
+	}
+	in := bufio.NewReader(c)
+	for {
+		c.SetReadDeadline(time.Now().Add(time.Duration(r.scenario.Fleet.IdleLimit) + time.Minute))
+		m, err := platform.ReadAllocation(in)
+		r.mu.Lock()
+		if r.over || x.incarnation != lives || x.conns[key] == nil {
+			r.mu.Unlock()
+			return
+		}
+		if err != nil {
+			delete(x.conns, key)
+			x.apply(x.Hangup(r.now(), key))
+			r.mu.Unlock()
+			return
+		}
+		x.attemptArrived(p, key, m)
+		r.mu.Unlock()
+	}
+}
+
+// attemptArrived checks a complete attempt and passes it to the executor. It is called with cluster.mu held.
+func (x *executor) attemptArrived(p *nodeProcess, key emulator.ConnID, m platform.Message) {
+	r := x.cluster
+	r.checkClientPresent(p, x, m.Job)
+	t := r.requests[m.Job]
+	if t == nil {
+		// Its client has an answer or has given up: nothing may be sent for it.
+		if r.endedAt[m.Job] > 0 && r.now() > r.endedAt[m.Job]+slack+r.ownStall() && !p.wasPaused() {
+			r.fail("%s was sent to %s by %s %v after its end", m.Job, x.ID, p.name, r.now()-r.endedAt[m.Job])
+		}
+		return
+	}
+	r.result.Allocations++
+	r.result.Work += t.work.Cost
+	if known, ok := p.known[x.ID]; ok && known.State == policy.Available {
+		if at, drains := r.drainKnownAt[x.ID]; drains && r.now() > at+time.Duration(r.scenario.Fleet.DrainGrace)+gossipDrainWithin {
+			r.result.Late++
+			r.note("%s was sent to %s by %s, %v after another node was told that it drains", m.Job, x.ID, p.name, r.now()-at)
+		}
+	} else if ok && r.now() > known.At+time.Duration(r.scenario.Fleet.DrainGrace)+slack+r.ownStall() && !p.wasPaused() {
+		r.fail("%s was sent to %s by %s %v after that node was told that it drains or is gone", m.Job, x.ID, p.name, r.now()-known.At)
+	}
+	if late, yes := r.checker.Uninformed(r.now(), p.id, x.ID); yes && late > slack+r.ownStall() && !p.wasPaused() && !t.excused {
+		r.fail("%v: %s was sent to %s by %s %v after that node could have heard for %v that it drains or is gone", invariants.Informed, m.Job, x.ID, p.name, late, invariants.InformedWithin)
+	}
+	a := emulator.Allocation{Conn: key, Node: p.id, Job: m.Job, Work: t.work.ID, Track: t.work.Track, Priority: r.classes[t.work.Track].Priority,
+		Cost: t.work.Cost, Hint: t.work.Hint}
+	if a.Hint == 0 {
+		a.Hint = r.classes[a.Track].Mean
+	}
+	if r.policyClasses[a.Track].Idempotency == policy.IdempotentWithKey {
+		a.Tag, a.Window, a.Memory = string(t.work.ID), r.policyClasses[a.Track].DedupWindow, r.memories.Of(a.Track, r.policyClasses[a.Track].DedupGroup, x.ExecutorSpec)
+	}
+	x.apply(x.Take(r.now(), a))
+}
+
+// checkClientPresent checks the rule invariants.Awaited for an attempt that has arrived, since the harness does not see when a node sends
+// the first byte. A pause of the node is no excuse: what it wrote before arrives before it resumes.
+func (r *cluster) checkClientPresent(p *nodeProcess, x *executor, job policy.JobID) {
+	at, went := r.clientLeftAt[job]
+	if !went || r.now() <= at+invariants.AwaitedFor+observationDelay {
+		return
+	}
+	late := r.now() - at
+	r.result.SentLate++
+	r.note("%s reached %s by %s %v after its client had left", job, x.ID, p.name, late)
+	if r.result.SentLate > invariants.LateSpared || late >= invariants.AwaitedMost+slack {
+		r.fail("%s reached %s by %s %v after its client had left, late attempt %d", job, x.ID, p.name, late, r.result.SentLate)
+	}
+}
+
+// apply carries out the outputs of the executor, and sets its timer. It is called with cluster.mu held.
+func (x *executor) apply(outs []emulator.Out) {
+	r := x.cluster
+	for _, o := range outs {
+		switch o := o.(type) {
+		case emulator.Say:
+			x.write(o)
+		case emulator.Ran:
+			if t := r.requests[o.Job]; t != nil {
+				t.runs++
+			}
+			r.observe(invariants.Seen{What: invariants.Ran, Node: o.Node, Job: o.Job, Work: o.Work, Track: o.Track, Executor: x.ID})
+		case emulator.Reached:
+			if x.Cold(r.now()) {
+				r.observe(invariants.Seen{What: invariants.Reached, Node: o.Node, Job: o.Job, Executor: x.ID, Cost: o.Hint, Capacity: o.Capacity})
+			}
+		case emulator.Reset:
+			if s := x.conns[o.Conn]; s != nil {
+				delete(x.conns, o.Conn)
+				s.conn.(*net.TCPConn).SetLinger(0)
+				s.conn.Close()
+			}
+		case emulator.Fell:
+			r.result.Fell++
+			r.note("%s fell over", x.ID)
+		}
+	}
+	if x.timer != nil {
+		x.timer.Stop()
+	}
+	if next := x.Next(); next != emulator.Never && !r.over {
+		x.timer = time.AfterFunc(next-r.now(), func() {
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			if !r.over {
+				x.apply(x.Wake(r.now()))
+			}
+		})
+	}
+}
+
+// write writes a message about an attempt. Messages are short, so that the kernel buffers them at once.
+func (x *executor) write(o emulator.Say) {
+	s := x.conns[o.Conn]
+	t := x.cluster.requests[o.Job]
+	if o.Word == emulator.Done {
+		if t != nil {
+			x.cluster.result.Finished += t.work.Cost
+		}
+	}
+	if s == nil {
+		return
+	}
+	work := ""
+	if t != nil {
+		work = string(t.work.ID)
+	}
+	b, _ := s.answer.Append(nil, o, x.ID, platform.Result(work))
+	s.conn.SetWriteDeadline(time.Now().Add(time.Second))
+	s.conn.Write(b) //nolint:errcheck // the reader of a broken connection handles it
+}
+
+// crash ends the executor's process.
+func (x *executor) crash() {
+	x.incarnation++
+	x.apply(x.Crash(x.cluster.now()))
+}
+
+// restart starts the executor again, in slow start.
+func (x *executor) restart() {
+	r := x.cluster
+	x.apply(x.Start(r.now()))
+	delete(r.drainKnownAt, x.ID)
+	r.observe(invariants.Seen{What: invariants.Started, Node: invariants.Nobody, Executor: x.ID, Start: x.Started}) // as published, or no node would count as notified
+	r.changeEndpoint(x.entry(policy.Available))
+}
+
+func (x *executor) close() {
+	x.cluster.mu.Lock()
+	defer x.cluster.mu.Unlock()
+	if x.timer != nil {
+		x.timer.Stop()
+	}
+	for _, s := range x.conns {
+		s.conn.Close()
+	}
+}
--- /dev/null
+++ b/internal/harness/node.go
@@ -0,0 +1,239 @@
+package harness
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+
+	"birchstair/internal/admin"
+	"birchstair/internal/invariants"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// nodeProcess is a node and its process, if it is up.
+type nodeProcess struct {
+	cluster           *cluster
+	id                invariants.NodeID
+	name              string
+	zone              policy.ZoneID
+	dir               string
+	clientAddress     string
+	adminAddress      string
+	address           net.IP       // its loopback address
+	gossipAddress     string       // where it listens for its peers
+	gossipRelay       *gossipRelay // where its peers reach it
+	discoveryListener net.Listener
+	executorListeners map[policy.ExecutorID]net.Listener // at which it reaches each executor
+
+	// Guarded by cluster.mu.
+	cmd              *exec.Cmd
+	ended            chan error // gets the error of the process's end
+	incarnation      int
+	up               bool
+	terminatedAt     time.Duration // when its shutdown began; 0 before
+	downFaults       int           // faults that keep it down
+	paused           bool
+	pausedUntil      time.Duration // it counts as paused until then
+	cutFromDiscovery bool          // discovery does not answer it
+	known            map[policy.ExecutorID]invariants.Seen
+	partitioned      bool // its gossip reaches partitioned nodes alone
+	idleConns        []net.Conn
+}
+
+func (r *cluster) newProc(i int, slot byte) (*nodeProcess, error) {
+	p := &nodeProcess{cluster: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(r.scenario.Fleet.Zones)), executorListeners: map[policy.ExecutorID]net.Listener{},
+		address: net.IPv4(127, slot, 0, byte(i+1)), known: map[policy.ExecutorID]invariants.Seen{}}
+	p.dir = filepath.Join(r.options.Dir, p.name)
+	if err := os.Mkdir(p.dir, 0o700); err != nil {
+		return nil, err
+	}
+	p.clientAddress, p.adminAddress = fmt.Sprintf("%s:%d", p.address, clientPort), fmt.Sprintf("%s:%d", p.address, adminPort)
+	var err error
+	if p.discoveryListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		return nil, err
+	}
+	r.goroutines.Go(func() { p.serveDiscovery() })
+	if r.scenario.Fleet.Talk {
+		p.gossipAddress = fmt.Sprintf("%s:%d", p.address, gossipPort)
+		if p.gossipRelay, err = newGossipRelay(r, p, fmt.Sprintf("127.%d.1.%d:%d", slot, i+1, relayPort)); err != nil {
+			return nil, err
+		}
+	}
+	for _, x := range r.executors {
+		if err := p.listenForExecutor(x); err != nil {
+			return nil, err
+		}
+	}
+	return p, nil
+}
+
+// start starts the process. It is called with cluster.mu held.
+func (p *nodeProcess) start() error {
+	args := []string{"serve"}
+	if p.gossipRelay != nil {
+		args = append(args, "--site", filepath.Join(p.dir, "site.toml"))
+	}
+	cmd := exec.Command(p.cluster.options.Binary, args...)
+	cmd.Dir = p.dir
+	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + p.dir, "ROUTER_CONFIG=" + filepath.Join(p.dir, "config.json")}
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no node outlives this process
+	out, err := cmd.StderrPipe()
+	if err != nil {
+		return err
+	}
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	p.incarnation++
+	p.cmd, p.up, p.terminatedAt, p.ended, p.paused = cmd, true, 0, make(chan error, 1), false
+	clear(p.known)
+	p.cluster.observe(invariants.Seen{What: invariants.NodeStarted, Node: p.id})
+	p.cluster.note("%s: started, process %d", p.name, cmd.Process.Pid)
+	ended, run := p.ended, p.incarnation
+	p.cluster.goroutines.Go(func() {
+		lines := bufio.NewScanner(out)
+		lines.Buffer(nil, 1<<20)
+		for lines.Scan() {
+			p.cluster.readLogLine(p, lines.Text())
+		}
+		err := cmd.Wait()
+		p.cluster.mu.Lock()
+		if p.incarnation == run && p.up {
+			p.up = false
+			if !p.cluster.over {
+				p.cluster.note("%s: its process ended: %v", p.name, err)
+			}
+		}
+		p.cluster.mu.Unlock()
+		ended <- err
+	})
+	return nil
+}
+
+// readLogLine copies a line of a node's log to the timeline, and looks for panics and data races.
+func (r *cluster) readLogLine(p *nodeProcess, line string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.note("%s: %s", p.name, line)
+	if strings.Contains(line, node.PolicyPanicked) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
+		r.fail("node %s: %.200s", p.name, line)
+	}
+}
+
+func (p *nodeProcess) isReady() bool { return p.readyStatus() == http.StatusOK }
+
+// readyStatus returns the HTTP status of the node's readiness endpoint, or 0 without an answer.
+func (p *nodeProcess) readyStatus() int {
+	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	answer, err := c.Get("http://" + p.clientAddress + "/-/ready")
+	if err != nil {
+		return 0
+	}
+	answer.Body.Close()
+	return answer.StatusCode
+}
+
+// fleetView returns the fleet as the node sees it.
+func (p *nodeProcess) fleetView() []string {
+	if p.gossipRelay == nil {
+		return nil
+	}
+	lines, err := admin.Call(p.adminAddress, node.ReadFleet, "", time.Second)
+	if err != nil {
+		return []string{"no view: " + err.Error()}
+	}
+	return lines
+}
+
+// knowsAll reports whether the node counts so many nodes as alive.
+func (p *nodeProcess) knowsAll(nodes int) bool {
+	for _, line := range p.fleetView() {
+		if strings.HasPrefix(line, "node=") {
+			return strings.Contains(line, fmt.Sprintf(" alive=%d ", nodes))
+		}
+	}
+	return false
+}
+
+// signal sends a signal to the process, if it is up. It is called with cluster.mu held.
+func (p *nodeProcess) signal(s syscall.Signal) {
+	if p.up {
+		p.cmd.Process.Signal(s)
+	}
+}
+
+// kill kills the process and waits for its end.
+func (p *nodeProcess) kill() {
+	p.cluster.mu.Lock()
+	up, ended := p.up, p.ended
+	if up {
+		p.recordEnd()
+		p.cmd.Process.Kill()
+	}
+	p.cluster.mu.Unlock()
+	if up {
+		err := <-ended
+		ended <- err
+	}
+}
+
+// recordEnd records that the node is down and has lost what was in flight. It is called with cluster.mu held.
+func (p *nodeProcess) recordEnd() {
+	p.up = false
+	p.cluster.observe(invariants.Seen{What: invariants.NodeKilled, Node: p.id})
+	p.cluster.excuseRequests(p)
+	for _, c := range p.idleConns {
+		c.Close()
+	}
+	p.idleConns = nil
+}
+
+// shutDown shuts the process down gracefully and waits for its end. A process that has just started gets the signal when it is ready: until
+// it handles signals, the signal itself kills it (docs/design/crossings.md).
+func (p *nodeProcess) shutDown() error {
+	p.cluster.mu.Lock()
+	up, ended := p.up, p.ended
+	p.signal(syscall.SIGCONT)
+	p.cluster.mu.Unlock()
+	if !up {
+		return nil
+	}
+	for until := time.Now().Add(readyTimeout); p.readyStatus() == 0 && len(ended) == 0 && time.Now().Before(until); {
+		time.Sleep(20 * time.Millisecond)
+	}
+	p.cluster.mu.Lock()
+	p.signal(syscall.SIGTERM)
+	p.cluster.mu.Unlock()
+	select {
+	case err := <-ended:
+		ended <- err
+		return err
+	case <-time.After(10 * time.Second):
+		return errors.New("it has not ended 10 s after SIGTERM")
+	}
+}
+
+func (p *nodeProcess) close() {
+	p.discoveryListener.Close()
+	for _, l := range p.executorListeners {
+		l.Close()
+	}
+	if p.gossipRelay != nil {
+		p.gossipRelay.close()
+	}
+	p.cluster.mu.Lock()
+	defer p.cluster.mu.Unlock()
+	for _, c := range p.idleConns {
+		c.Close()
+	}
+	p.idleConns = nil
+}
