--- a/cmd/birchstair-sim/account.go
+++ b/cmd/birchstair-sim/account.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	s.Load.Of = cmp.Or(c.Load, s.Load.Of)
+	s.Load.Utilization = cmp.Or(c.Load, s.Load.Utilization)
 	if s, err = s.Sized(c.Nodes, c.Executors, c.Length); err != nil {
 		return err
 	}
--- a/cmd/birchstair-sim/fleet.go
+++ b/cmd/birchstair-sim/fleet.go
@@ -50,13 +50,13 @@
 	}
 	wrong := 0
 	for i := range c.Runs {
-		variants := []bool{s.Fleet.Talk}
+		variants := []bool{s.Fleet.Gossip}
 		if c.Against {
 			variants = []bool{true, false}
 		}
 		for _, gossip := range variants {
 			one := s
-			one.Fleet.Talk = gossip
+			one.Fleet.Gossip = gossip
 			r, dir, err := c.play(one, c.Seed+uint64(i))
 			if err != nil {
 				return err
@@ -99,7 +99,7 @@
 	if err != nil {
 		return harness.Result{}, "", err
 	}
-	dir := filepath.Join(c.Keep, fmt.Sprintf("%s-%d-talk-%t", s.Name, seed, s.Fleet.Talk))
+	dir := filepath.Join(c.Keep, fmt.Sprintf("%s-%d-talk-%t", s.Name, seed, s.Fleet.Gossip))
 	if c.Keep == "" {
 		dir, err = os.MkdirTemp("", "birchstair-sim-fleet-")
 	} else {
@@ -118,7 +118,7 @@
 // printFleet prints the result of a run.
 func printFleet(s simulation.Scenario, r harness.Result, dir string) {
 	fmt.Printf("%s, seed %d, %d nodes, talk %t: earned %.3f, of the best that could be had %.3f; work sent over work finished %.2f; %d works, tries %v, allocations %d\n",
-		s.Name, r.Seed, s.Fleet.Nodes, s.Fleet.Talk, r.Earned/max(r.Asked, 1e-9), r.Earned/max(r.Best, 1e-9), r.Work/max(r.Finished, 1e-9), r.Works, r.Tries, r.Allocations)
+		s.Name, r.Seed, s.Fleet.Nodes, s.Fleet.Gossip, r.Earned/max(r.Asked, 1e-9), r.Earned/max(r.Best, 1e-9), r.Work/max(r.Finished, 1e-9), r.Works, r.Tries, r.Allocations)
 	if r.Late > 0 {
 		fmt.Printf("  %d allocations to executors that drain, from nodes that nobody told\n", r.Late)
 	}
--- a/cmd/birchstair-sim/hunt.go
+++ b/cmd/birchstair-sim/hunt.go
@@ -85,7 +85,7 @@
 		}
 	}
 	h := hunt{huntCmd: c, began: time.Now(), reported: time.Now()}
-	size := simulation.Size{Nodes: c.Nodes, Executors: c.Executors, Length: c.Length, Cold: c.SlowStart}
+	size := simulation.Size{Nodes: c.Nodes, Executors: c.Executors, Length: c.Length, SlowStart: c.SlowStart}
 	simulation.Hunt(c.Seeds.first, c.Seeds.last, size, c.Parallel, func(s simulation.Scenario, r simulation.Result) bool {
 		h.add(world{s, r})
 		h.reportProgress()
@@ -104,18 +104,18 @@
 	h.works += r.Works()
 	h.steps += r.Steps
 	h.panics += r.Panics
-	h.lateTwice += r.LateTwice
-	if len(r.Broken) > 0 {
+	h.lateTwice += r.DuplicateRuns
+	if len(r.Violations) > 0 {
 		h.violations++
-		fmt.Printf("seed %d: %v\n", r.Seed, r.Broken[0])
+		fmt.Printf("seed %d: %v\n", r.Seed, r.Violations[0])
 		if h.Keep != "" {
-			h.err = keep(h.Keep, w.scenario, "breaks: "+r.Broken[0].Rule.String())
+			h.err = keep(h.Keep, w.scenario, "breaks: "+r.Violations[0].Rule.String())
 		}
 	}
 	if r.Panics > 0 {
 		fmt.Printf("seed %d: the module broke %d times\n", r.Seed, r.Panics)
 	}
-	if h.Against && w.scenario.Fleet.Talk {
+	if h.Against && w.scenario.Fleet.Gossip {
 		h.comparison.add(w)
 	}
 	h.worst = append(h.worst, w)
@@ -174,9 +174,9 @@
 // add plays a world whose nodes gossip once more with each node alone.
 func (c *comparison) add(w world) {
 	s, r := w.scenario, w.result
-	s.Fleet.Talk = false
+	s.Fleet.Gossip = false
 	alone := simulation.New(s, r.Seed, simulation.Options{}).Play()
-	c.pairs = append(c.pairs, worldPair{r.Seed, r.Earned, alone.Earned, r.Best, r.Allocations, alone.Allocations})
+	c.pairs = append(c.pairs, worldPair{r.Seed, r.Earned, alone.Earned, r.Best, r.Attempts, alone.Attempts})
 }
 
 // print prints sums, and the worlds in which gossip did worst.
@@ -228,18 +228,18 @@
 	}
 	seed := seedOf(s, c.Seed)
 	r := simulation.New(s, seed, simulation.Options{}).Play()
-	if len(r.Broken) == 0 {
+	if len(r.Violations) == 0 {
 		return fmt.Errorf("%s breaks no rule with seed %d: there is nothing to shrink", s.Name, seed)
 	}
-	rule := r.Broken[0].Rule
+	rule := r.Violations[0].Rule
 	fmt.Fprintf(os.Stderr, "%s breaks the rule %q; looking for less that does\n", s.Name, rule)
 	small := simulation.Shrink(s, seed, rule, func(s simulation.Scenario) {
 		fmt.Fprintf(os.Stderr, "  %d faults, %v, %d nodes, %d executors, %d tracks\n", len(s.Faults), time.Duration(s.Length), s.Fleet.Nodes,
-			s.Fleet.Executors, len(s.Tracks))
+			s.Fleet.Executors, len(s.Classes))
 	})
 	small.Seed = seed
 	r = simulation.New(small, seed, simulation.Options{}).Play()
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		if b.Rule == rule {
 			fmt.Fprintln(os.Stderr, b)
 			break
--- a/cmd/birchstair-sim/kill.go
+++ b/cmd/birchstair-sim/kill.go
@@ -61,17 +61,17 @@
 }
 
 // play plays one run in a directory of its own.
-func (c *killCmd) play(binary string, seed uint64) (result simulation.Killed, dir string, err error) {
+func (c *killCmd) play(binary string, seed uint64) (result simulation.KillResult, dir string, err error) {
 	dir, err = os.MkdirTemp("", "birchstair-sim-kill-")
 	if err != nil {
 		return result, dir, err
 	}
-	result, err = simulation.Killing{Binary: binary, Seed: seed, Jobs: c.Jobs, Kills: c.Kills, Leases: c.Leases, Dir: dir}.Play()
+	result, err = simulation.KillTest{Binary: binary, Seed: seed, Jobs: c.Jobs, Kills: c.Kills, Leases: c.Leases, Dir: dir}.Play()
 	return result, dir, err
 }
 
 // add adds a run to the totals, prints what was wrong in it, and removes its directory where nothing was.
-func (c *killCmd) add(totals *killTotals, seed uint64, result simulation.Killed, dir string, err error) {
+func (c *killCmd) add(totals *killTotals, seed uint64, result simulation.KillResult, dir string, err error) {
 	totals.mu.Lock()
 	defer totals.mu.Unlock()
 	totals.done++
@@ -81,11 +81,11 @@
 	for kind, n := range result.Finals {
 		totals.finals[kind] += n
 	}
-	for _, text := range result.Wrong {
+	for _, text := range result.Violations {
 		fmt.Printf("seed %d: %s (see %s)\n", seed, text, dir)
 	}
-	totals.wrong += len(result.Wrong)
-	if len(result.Wrong) == 0 {
+	totals.wrong += len(result.Violations)
+	if len(result.Violations) == 0 {
 		totals.err = errors.Join(totals.err, os.RemoveAll(dir))
 	}
 	if time.Since(totals.reported) > killProgressInterval {
--- a/cmd/birchstair-sim/run.go
+++ b/cmd/birchstair-sim/run.go
@@ -91,13 +91,13 @@
 // compare plays the scenario once more, with gossip turned the other way, and prints both.
 func (c *runCmd) compare(s simulation.Scenario, r simulation.Result) {
 	other := s
-	other.Fleet.Talk = !s.Fleet.Talk
+	other.Fleet.Gossip = !s.Fleet.Gossip
 	gossip, alone := r, simulation.New(other, seedOf(s, c.Seed), simulation.Options{}).Play()
-	if other.Fleet.Talk {
+	if other.Fleet.Gossip {
 		gossip, alone = alone, gossip
 	}
 	fmt.Printf("  talking %.3f, each alone %.3f, at the most %.3f; allocations %d and %d; rules broken %d and %d\n",
-		gossip.Earned, alone.Earned, gossip.Best, gossip.Allocations, alone.Allocations, len(gossip.Broken), len(alone.Broken))
+		gossip.Earned, alone.Earned, gossip.Best, gossip.Attempts, alone.Attempts, len(gossip.Violations), len(alone.Violations))
 }
 
 // report writes what to a file, if one is named, and returns errViolation where the result has a violation.
@@ -111,7 +111,7 @@
 			return err
 		}
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		return errViolation
 	}
 	return nil
@@ -145,7 +145,7 @@
 func (c *runCmd) runSeeds(s simulation.Scenario) error {
 	violations := 0
 	for _, gossip := range []bool{true, false} {
-		s.Fleet.Talk = gossip
+		s.Fleet.Gossip = gossip
 		results := make([]simulation.Result, c.Runs)
 		inParallel(c.Runs, runtime.GOMAXPROCS(0), func(i int) {
 			results[i] = simulation.New(s, seedOf(s, c.Seed)+uint64(i), simulation.Options{}).Play()
@@ -168,8 +168,8 @@
 		r := &results[i]
 		earned += r.Earned
 		best += r.Best
-		attempts += r.Allocations
-		violations += len(r.Broken)
+		attempts += r.Attempts
+		violations += len(r.Violations)
 		if recovery, ok := r.Recovery(s.Faults, recoveredWithin); ok {
 			recovered++
 			longest = max(longest, recovery)
@@ -180,6 +180,6 @@
 	}
 	n := float64(len(results))
 	fmt.Printf("%s, %d seeds, talk %t: earned %.3f of at the most %.3f on average, %.0f allocations; back within %.2f of before: %d, in 5 s %d, the longest %v\n",
-		s.Name, len(results), s.Fleet.Talk, earned/n, best/n, float64(attempts)/n, recoveredWithin, recovered, quickly, longest)
+		s.Name, len(results), s.Fleet.Gossip, earned/n, best/n, float64(attempts)/n, recoveredWithin, recovered, quickly, longest)
 	return violations
 }
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -45,7 +45,7 @@
 	for i, zone := range f.Zones {
 		c := &zoneClients{cluster: r, zone: policy.ZoneID(i), until: until}
 		c.Clients = emulator.NewClients(zone+"-", r.classes, emulator.Habits{Rate: rates[i], Retries: l.Retries,
-			RetryWait: time.Duration(l.RetryWait), HeedsBack: l.HeedsBack, Leaves: l.Leaves, HintNoise: l.HintNoise}, f.PerWork, rand.New(rand.NewPCG(r.options.Seed, uint64(5000+i))))
+			RetryWait: time.Duration(l.RetryWait), HeedsBack: l.RespectsRetryAfter, Leaves: l.LeaveRate, HintNoise: l.HintNoise}, f.ValuePerWork, rand.New(rand.NewPCG(r.options.Seed, uint64(5000+i))))
 		r.clients = append(r.clients, c)
 		r.after(c.Gap(), c.arrive)
 	}
@@ -59,7 +59,7 @@
 	work := c.New(r.now(), -1)
 	r.result.Works++
 	r.result.Asked += work.Earns
-	r.offers = append(r.offers, simulation.Offer{Came: work.Came, Until: work.Quoted, Work: work.Cost, Earns: work.Earns})
+	r.offers = append(r.offers, simulation.Offer{ArrivedAt: work.Came, Objective: work.Quoted, Work: work.Cost, Value: work.Earns})
 	c.submit(work)
 	r.after(c.Gap(), c.arrive)
 }
@@ -102,7 +102,7 @@
 		return
 	}
 	r.requests[t.job] = t
-	m := platform.Message{Job: t.job, Track: r.scenario.Tracks[work.Track].Name, Work: time.Duration(work.Hint * 1e9), Body: make([]byte, min(r.scenario.Load.Body, maxBody))}
+	m := platform.Message{Job: t.job, Track: r.scenario.Classes[work.Track].Name, Work: time.Duration(work.Hint * 1e9), Body: make([]byte, min(r.scenario.Load.BodyBytes, maxBody))}
 	if r.policyClasses[work.Track].Idempotency == policy.IdempotentWithKey {
 		m.Tag = string(work.ID)
 	}
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -74,11 +74,11 @@
 // Play runs a scenario. It returns an error if the scenario could not be played; violations are in the result.
 func Play(s simulation.Scenario, o Options) (result Result, err error) {
 	r := &cluster{scenario: s, options: o, start: time.Now(), rand: rand.New(rand.NewPCG(o.Seed, 9)),
-		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)), listChanged: make(chan struct{}), requests: map[policy.JobID]*request{}, endedAt: map[policy.JobID]time.Duration{}, clientLeftAt: map[policy.JobID]time.Duration{},
+		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.DiscoveryLag)), listChanged: make(chan struct{}), requests: map[policy.JobID]*request{}, endedAt: map[policy.JobID]time.Duration{}, clientLeftAt: map[policy.JobID]time.Duration{},
 		memories: emulator.Memories{}, drainKnownAt: map[policy.ExecutorID]time.Duration{}, result: Result{Seed: o.Seed, Tries: map[string]int{}}}
-	r.classes, r.policyClasses = s.Takes()
+	r.classes, r.policyClasses = s.JobClasses()
 	r.checker = invariants.New(invariants.Settings{Tracks: r.policyClasses, Slack: slack, Grace: time.Duration(s.Fleet.DrainGrace) + slack, Prompt: time.Hour,
-		WarmWithin: time.Duration(s.Fleet.WarmWithin), FallMultiple: arrivalMargin * s.Fleet.FallMultiple, FallWindow: time.Duration(s.Fleet.FallWindow), MeanWork: s.MeanWork(), Copies: s.Fleet.Copies})
+		WarmWithin: time.Duration(s.Fleet.SlowStartDuration), FallMultiple: arrivalMargin * s.Fleet.OverloadMultiple, FallWindow: time.Duration(s.Fleet.OverloadWindow), MeanWork: s.MeanWork(), Copies: s.Fleet.MayHedge})
 	if r.timeline, err = os.Create(filepath.Join(o.Dir, "timeline.txt")); err != nil {
 		return Result{}, err
 	}
@@ -134,7 +134,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range f.Executors {
-		x := r.newExecutor(fmt.Sprint("e", i), i, f.Speed*(1+f.Spread*(2*speeds.Float64()-1)))
+		x := r.newExecutor(fmt.Sprint("e", i), i, f.Speed*(1+f.SpeedSpread*(2*speeds.Float64()-1)))
 		r.discovery.Change(-time.Hour+time.Duration(i), x.entry(policy.Available))
 	}
 	slot, held, err := Claim()
@@ -164,7 +164,7 @@
 func (r *cluster) awaitReady() error {
 	for _, p := range r.nodes {
 		until := time.Now().Add(readyTimeout)
-		for !p.isReady() || r.scenario.Fleet.Talk && !p.knowsAll(len(r.nodes)) {
+		for !p.isReady() || r.scenario.Fleet.Gossip && !p.knowsAll(len(r.nodes)) {
 			if time.Now().After(until) {
 				return fmt.Errorf("node %s is not ready after %v; its log and the timeline are in %s", p.name, readyTimeout, r.options.Dir)
 			}
@@ -178,11 +178,11 @@
 func (r *cluster) run() {
 	r.mu.Lock()
 	r.note("all nodes are ready")
-	r.gossipLost, r.gossipDuplicated, r.gossipDelay = r.scenario.Fleet.WordsLost, r.scenario.Fleet.WordsDoubled, time.Duration(r.scenario.Fleet.WordsLate)
+	r.gossipLost, r.gossipDuplicated, r.gossipDelay = r.scenario.Fleet.MessageLoss, r.scenario.Fleet.MessageDuplication, time.Duration(r.scenario.Fleet.MessageDelay)
 	length := time.Duration(r.scenario.Length)
 	r.after(warmUp, func() { r.buildClients(r.now() + length) })
 	for _, f := range r.scenario.Faults {
-		r.schedule(f.Standin())
+		r.schedule(f.Emulated())
 	}
 	if r.options.injectDefect != nil {
 		r.options.injectDefect(r)
--- a/internal/harness/draw.go
+++ b/internal/harness/draw.go
@@ -17,15 +17,15 @@
 	s.Name, s.Seed, s.Length = fmt.Sprint("fleet-", seed), seed, simulation.Span(10*time.Second)
 	s.About = fmt.Sprintf("Drawn from seed %d for %d real processes.", seed, nodes)
 	f, l := &s.Fleet, &s.Load
-	f.Nodes, f.Executors, f.Talk = nodes, max(6, nodes), true
-	f.ListLag = simulation.Span(300 * time.Millisecond)
-	f.WeightsEvery = 0
-	f.WarmWithin = simulation.Span(4 * time.Second)
-	l.Of = []float64{0.4, 0.6, 0.8, 1.5, 2, 4}[r.IntN(6)]
-	l.Retries, l.RetryWait, l.HeedsBack = r.IntN(4), simulation.Span(time.Duration(50*r.IntN(4))*time.Millisecond), r.IntN(2) == 0
-	f.WordsLost = []float64{0, 0, 0.3}[r.IntN(3)]
-	f.WordsDoubled = []float64{0, 0.2}[r.IntN(2)]
-	f.WordsLate = simulation.Span([]time.Duration{0, 500 * time.Millisecond}[r.IntN(2)])
+	f.Nodes, f.Executors, f.Gossip = nodes, max(6, nodes), true
+	f.DiscoveryLag = simulation.Span(300 * time.Millisecond)
+	f.WeightInterval = 0
+	f.SlowStartDuration = simulation.Span(4 * time.Second)
+	l.Utilization = []float64{0.4, 0.6, 0.8, 1.5, 2, 4}[r.IntN(6)]
+	l.Retries, l.RetryWait, l.RespectsRetryAfter = r.IntN(4), simulation.Span(time.Duration(50*r.IntN(4))*time.Millisecond), r.IntN(2) == 0
+	f.MessageLoss = []float64{0, 0, 0.3}[r.IntN(3)]
+	f.MessageDuplication = []float64{0, 0.2}[r.IntN(2)]
+	f.MessageDelay = simulation.Span([]time.Duration{0, 500 * time.Millisecond}[r.IntN(2)])
 	pick := func(letter string, of, most int) (where []string) {
 		for range 1 + r.IntN(most) {
 			where = append(where, fmt.Sprint(letter, r.IntN(of)))
--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -84,7 +84,7 @@
 	}
 	in := bufio.NewReader(c)
 	for {
-		c.SetReadDeadline(time.Now().Add(time.Duration(r.scenario.Fleet.IdleLimit) + time.Minute))
+		c.SetReadDeadline(time.Now().Add(time.Duration(r.scenario.Fleet.IdleTimeout) + time.Minute))
 		m, err := platform.ReadAllocation(in)
 		r.mu.Lock()
 		if r.over || x.incarnation != lives || x.conns[key] == nil {
--- a/internal/harness/fault_targets.go
+++ b/internal/harness/fault_targets.go
@@ -145,7 +145,7 @@
 // delayDiscovery delays updates beyond the usual lag. Nodes are excused until the delay has passed.
 func (r *cluster) delayDiscovery(delay time.Duration) {
 	r.discovery.Late(delay)
-	r.checker.Apart(invariants.Nobody, r.now()+time.Duration(r.scenario.Fleet.ListLag)+delay)
+	r.checker.Apart(invariants.Nobody, r.now()+time.Duration(r.scenario.Fleet.DiscoveryLag)+delay)
 }
 
 func (r *cluster) setBurst(factor float64) {
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -26,7 +26,7 @@
 		return fmt.Errorf("fleet.nodes: %d is over 60 real processes", s.Fleet.Nodes)
 	case s.Fleet.Nodes*s.Fleet.Executors > 6000:
 		return fmt.Errorf("fleet.executors: over 6000 ways from %d nodes to %d executors", s.Fleet.Nodes, s.Fleet.Executors)
-	case s.Load.Of == 0 || s.Load.Loops > 0:
+	case s.Load.Utilization == 0 || s.Load.Loops > 0:
 		return fmt.Errorf("load.of: real processes are played with an open load, without loops")
 	}
 	return nil
@@ -103,7 +103,7 @@
 	case emulator.NodesApart:
 		r.onNodes(f, func(p *nodeProcess) { p.partitioned = false })
 	case emulator.WordsLost:
-		r.gossipLost = r.scenario.Fleet.WordsLost
+		r.gossipLost = r.scenario.Fleet.MessageLoss
 	case emulator.Burst:
 		r.setBurst(0)
 	case emulator.HeavyTail:
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -59,12 +59,12 @@
 	t.Parallel()
 	s := loadScenario(t, "fleet-one-hears-of-drain")
 	// e0 alone is hardly used by the nodes that are not told: without messages so little went there that none could have. They use e3 and e4 most.
-	s.Length, s.Load.Of = simulation.Span(12*time.Second), 0.4
+	s.Length, s.Load.Utilization = simulation.Span(12*time.Second), 0.4
 	s.Faults[1].For, s.Faults[2].For, s.Faults[2].Where = simulation.Span(12*time.Second), simulation.Span(20*time.Second), []string{"e0", "e3", "e4"}
 	if r := playScenario(t, s, 1); r.Late > 0 {
 		t.Errorf("%d attempts went to an executor of whose drain a neighbour had told", r.Late)
 	}
-	s.Fleet.Talk = false
+	s.Fleet.Gossip = false
 	r := playScenario(t, s, 1)
 	if t.Logf("without messages %d attempts went to executors that drain", r.Late); r.Late == 0 {
 		t.Error("without messages nothing was sent to executors that drain: this test shows nothing")
@@ -76,7 +76,7 @@
 func TestUninformed(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "fleet-one-hears-of-drain")
-	s.Fleet.Talk, s.Length = false, simulation.Span(12*time.Second)
+	s.Fleet.Gossip, s.Length = false, simulation.Span(12*time.Second)
 	s.Faults = []simulation.Fault{{Kind: "drain", At: simulation.Span(time.Second), For: simulation.Span(40 * time.Second), Where: []string{"e1", "e3", "e5"}},
 		{Kind: "list-cut", At: simulation.Span(500 * time.Millisecond), For: simulation.Span(11 * time.Second), Where: []string{"n1"}}}
 	playScenario(t, s, 1)
@@ -98,11 +98,11 @@
 	t.Parallel()
 	s := loadScenario(t, "fleet-overload")
 	s.Name, s.Length = "budget-of-moves", simulation.Span(8*time.Second)
-	s.Fleet.Nodes, s.Fleet.Executors, s.Load.Of = 8, 24, 0.8
+	s.Fleet.Nodes, s.Fleet.Executors, s.Load.Utilization = 8, 24, 0.8
 	s.Faults = []simulation.Fault{{Kind: "nodes-apart", At: simulation.Span(2 * time.Second), For: simulation.Span(3 * time.Second), Where: []string{"n0", "n1"}},
 		{Kind: "node-killed", At: simulation.Span(4 * time.Second), For: simulation.Span(2 * time.Second), Where: []string{"n2"}}}
 	talking := playScenario(t, s, 1)
-	s.Fleet.Talk = false
+	s.Fleet.Gossip = false
 	alone := playScenario(t, s, 1)
 	more := func(r Result) float64 { return r.Work/r.Finished - 1 }
 	if t.Logf("sent over finished %.2f talking, %.2f alone", 1+more(talking), 1+more(alone)); more(talking) > 0.75*more(alone) {
@@ -126,7 +126,7 @@
 func TestViews(t *testing.T) {
 	t.Parallel()
 	s := simulation.Base()
-	s.Name, s.Length, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Talk, s.Fleet.WeightsEvery = "views", simulation.Span(2*time.Second), 4, 4, true, 0
+	s.Name, s.Length, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Gossip, s.Fleet.WeightInterval = "views", simulation.Span(2*time.Second), 4, 4, true, 0
 	r := playScenario(t, s, 3)
 	for i, view := range r.Views {
 		text := strings.Join(view, "\n")
@@ -143,7 +143,7 @@
 		t.Run(fmt.Sprint("stopped=", stopped), func(t *testing.T) {
 			s := loadScenario(t, "fleet-clients-leave")
 			if stopped {
-				s.Load.Of, s.Fleet.Executors = 8, 16
+				s.Load.Utilization, s.Fleet.Executors = 8, 16
 				for i := range 9 {
 					s.Faults = append(s.Faults, simulation.Fault{Kind: "node-stopped", At: simulation.Span(time.Duration(500+600*i) * time.Millisecond),
 						For: simulation.Span(400 * time.Millisecond), Where: []string{"n0", "n1"}})
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	r.goroutines.Go(func() { p.serveDiscovery() })
-	if r.scenario.Fleet.Talk {
+	if r.scenario.Fleet.Gossip {
 		p.gossipAddress = fmt.Sprintf("%s:%d", p.address, gossipPort)
 		if p.gossipRelay, err = newGossipRelay(r, p, fmt.Sprintf("127.%d.1.%d:%d", slot, i+1, relayPort)); err != nil {
 			return nil, err
--- a/internal/harness/node_files.go
+++ b/internal/harness/node_files.go
@@ -17,7 +17,7 @@
 	r, f := p.cluster, &p.cluster.scenario.Fleet
 	secs := func(d time.Duration) float64 { return d.Seconds() }
 	var tracks []any
-	for i, t := range r.scenario.Tracks {
+	for i, t := range r.scenario.Classes {
 		m := r.policyClasses[i]
 		track := map[string]any{"name": t.Name, "quoted-time-s": secs(m.LatencyObjective), "outer-limit-s": secs(m.Deadline), "earnings": m.Value,
 			"repeat": map[policy.Idempotency]string{policy.Idempotent: "repeatable", policy.IdempotentWithKey: "by_key", policy.AtMostOnce: "once"}[m.Idempotency], "aim-stretch": m.RunTimeFactor}
@@ -31,13 +31,13 @@
 		tracks = append(tracks, track)
 	}
 	settings := map[string]any{"balancers": f.Nodes, "my-number": int(p.id), "locality": int(p.zone), "areas": f.Zones, "flavors": []string{"plain"},
-		"quantum-s": 0.004, "discovery": "push", "earnings-per": map[bool]string{true: "work", false: "request"}[f.PerWork],
-		"caps": map[string]any{"cancel": true, "max-allocations": f.Allocations, "retry-after": f.ComeBack > 0, "max-retry-after-s": secs(time.Duration(f.ComeBack)),
-			"conn-idle-s": secs(time.Duration(f.IdleLimit)), "dial-timeout-s": secs(time.Duration(f.DialLimit)), "second-copies": f.Copies, "peers": f.Keepers},
-		"domain":      map[string]any{"tells-start": f.TellsStart, "progress-s": secs(time.Duration(f.TellsEvery)), "report-x0": "free slots"},
-		"rules":       map[string]any{"cold-share": f.ColdShare, "warm-within-s": secs(time.Duration(f.WarmWithin)), "fall-multiple": f.FallMultiple, "fall-s": secs(time.Duration(f.FallWindow))},
-		"score-parts": map[string]any{"whole": 0.8, "class": 0.2}, "prices": map[string]any{"cross-zone": f.CrossPrice}, "tracks": tracks}
-	if f.Reports {
+		"quantum-s": 0.004, "discovery": "push", "earnings-per": map[bool]string{true: "work", false: "request"}[f.ValuePerWork],
+		"caps": map[string]any{"cancel": true, "max-allocations": f.MaxAttempts, "retry-after": f.MaxRetryAfter > 0, "max-retry-after-s": secs(time.Duration(f.MaxRetryAfter)),
+			"conn-idle-s": secs(time.Duration(f.IdleTimeout)), "dial-timeout-s": secs(time.Duration(f.DialTimeout)), "second-copies": f.MayHedge, "peers": f.Leases},
+		"domain":      map[string]any{"tells-start": f.StartNotices, "progress-s": secs(time.Duration(f.ProgressInterval)), "report-x0": "free slots"},
+		"rules":       map[string]any{"cold-share": f.ColdCapacity, "warm-within-s": secs(time.Duration(f.SlowStartDuration)), "fall-multiple": f.OverloadMultiple, "fall-s": secs(time.Duration(f.OverloadWindow))},
+		"score-parts": map[string]any{"whole": 0.8, "class": 0.2}, "prices": map[string]any{"cross-zone": f.CrossZoneCost}, "tracks": tracks}
+	if f.ReportsLoad {
 		settings["report"] = map[string]any{"how": "inline", "fields": []string{"active", "waiting", "x0"}}
 	}
 	text, err := json.MarshalIndent(map[string]any{"name": p.name, "listen": p.clientAddress, "management": p.adminAddress, "discovery": p.discoveryListener.Addr().String(),
--- a/internal/harness/wire_test.go
+++ b/internal/harness/wire_test.go
@@ -50,10 +50,10 @@
 func TestNodeFiles(t *testing.T) {
 	all := simulation.Base()
 	f := &all.Fleet
-	f.Talk, f.Reports, f.PerWork, f.Copies, f.Keepers, f.TellsStart, f.Allocations, f.CrossPrice = true, true, true, true, true, true, 4, 0.25
-	f.ComeBack, f.IdleLimit, f.DialLimit, f.TellsEvery = simulation.Span(time.Second), simulation.Span(2*time.Second), simulation.Span(3*time.Second), simulation.Span(4*time.Second)
+	f.Gossip, f.ReportsLoad, f.ValuePerWork, f.MayHedge, f.Leases, f.StartNotices, f.MaxAttempts, f.CrossZoneCost = true, true, true, true, true, true, 4, 0.25
+	f.MaxRetryAfter, f.IdleTimeout, f.DialTimeout, f.ProgressInterval = simulation.Span(time.Second), simulation.Span(2*time.Second), simulation.Span(3*time.Second), simulation.Span(4*time.Second)
 	none := simulation.Base()
-	none.Fleet.Talk, none.Fleet.Reports, none.Fleet.ComeBack = false, false, 0
+	none.Fleet.Gossip, none.Fleet.ReportsLoad, none.Fleet.MaxRetryAfter = false, false, 0
 	classes := []policy.JobClass{
 		{LatencyObjective: time.Second, Deadline: 2 * time.Second, Value: 3, RunTimeFactor: 4, LateValue: 5},
 		{Idempotency: policy.AtMostOnce, Deadline: time.Second},
@@ -63,17 +63,17 @@
 	}
 	text := ""
 	for _, s := range []simulation.Scenario{all, none} {
-		track := s.Tracks[0]
-		s.Tracks = nil
+		track := s.Classes[0]
+		s.Classes = nil
 		for i := range classes {
 			track.Name = fmt.Sprint("class", i)
-			s.Tracks = append(s.Tracks, track)
+			s.Classes = append(s.Classes, track)
 		}
 		r := &cluster{scenario: s, options: Options{Seed: 7}, policyClasses: classes}
 		for i := range 4 {
 			p := &nodeProcess{cluster: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: 1, dir: t.TempDir(), clientAddress: "127.9.0.1:8081", adminAddress: "127.9.0.1:8082",
 				gossipAddress: "127.9.0.1:7947", discoveryListener: fixedListener{address: net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9000}}}
-			if s.Fleet.Talk {
+			if s.Fleet.Gossip {
 				p.gossipRelay = &gossipRelay{addr: fmt.Sprintf("127.9.1.%d:7946", i+1)}
 			}
 			r.nodes = append(r.nodes, p)
@@ -84,7 +84,7 @@
 		}
 		for _, name := range []string{"config.json", "site.toml"} {
 			content, err := os.ReadFile(filepath.Join(p.dir, name))
-			if err != nil && (s.Fleet.Talk || name != "site.toml") {
+			if err != nil && (s.Fleet.Gossip || name != "site.toml") {
 				t.Fatal(err)
 			}
 			text += name + "\n" + string(content) + "\n"
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -36,7 +36,7 @@
 
 func (l *accountLedger) init() {
 	l.approaching, l.workReceived = map[*executor]int{}, map[*executor]float64{}
-	for _, class := range l.world.scenario.Tracks {
+	for _, class := range l.world.scenario.Classes {
 		l.classes = append(l.classes, AccountRow{Name: class.Name})
 	}
 	for _, n := range l.world.nodes {
@@ -196,7 +196,7 @@
 		Nodes:      len(w.nodes),
 		Executors:  len(w.executors),
 		Length:     w.scenario.Length,
-		Violations: len(w.result.Broken),
+		Violations: len(w.result.Violations),
 		Worst:      w.result.Worst,
 		Attempts:   l.attempts,
 		Crossings:  w.result.Crossings,
--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -94,8 +94,8 @@
 	w := New(faultyScenario(nil), 1, Options{Account: true, MaxViolations: 1})
 	w.defects.executor = func(x *emulator.Executor) { x.Suffer(0, emulator.Trouble{Lies: true}) }
 	r := w.Play()
-	if len(r.Broken) == 0 || w.openWorks == 0 {
-		t.Errorf("%d rules broken, %d batch jobs open: it shows nothing", len(r.Broken), w.openWorks)
+	if len(r.Violations) == 0 || w.openWorks == 0 {
+		t.Errorf("%d rules broken, %d batch jobs open: it shows nothing", len(r.Violations), w.openWorks)
 	}
 	checkSums(t, r, r.Account)
 	// Worlds with all kinds of faults.
@@ -129,10 +129,10 @@
 func TestAccountNamesTheCause(t *testing.T) {
 	t.Parallel()
 	one := func(s *Scenario) { // a small plain world: nodes and executors in one zone, work of 100 ms with a slack of 100 ms
-		s.Fleet.Zones, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Spread, s.Fleet.PerWork = []string{"here"}, 2, 4, 0, false
-		s.Fleet.WeightsEvery, s.Fleet.ComeBack = 0, 0
-		s.Load = Load{Of: 0.05, HintNoise: 0, DeadNodeTime: Span(2 * time.Second)}
-		s.Tracks = []JobClass{{Name: "plain", Share: 1, Idempotency: "once-only", Work: Span(100 * time.Millisecond), LatencyObjective: Span(100 * time.Millisecond),
+		s.Fleet.Zones, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.SpeedSpread, s.Fleet.ValuePerWork = []string{"here"}, 2, 4, 0, false
+		s.Fleet.WeightInterval, s.Fleet.MaxRetryAfter = 0, 0
+		s.Load = Load{Utilization: 0.05, HintNoise: 0, DeadNodeTime: Span(2 * time.Second)}
+		s.Classes = []JobClass{{Name: "plain", Share: 1, Idempotency: "once-only", Work: Span(100 * time.Millisecond), LatencyObjective: Span(100 * time.Millisecond),
 			RunTimeFactor: 1, Deadline: Span(5 * time.Second), Value: 1, LateValue: 0.5}}
 		s.Length = Span(20 * time.Second)
 	}
@@ -150,10 +150,10 @@
 		{"all of them are slowed", func(s *Scenario) { s.Faults = all(emulator.Slow, 5) }, RandomPolicy, nil, []Cause{RunningSlow}},
 		{"attempts take longer than their work", func(s *Scenario) { s.Fleet.AttemptNoise = 1.5 }, RandomPolicy, nil, []Cause{RunningFast}},
 		{"one executor is full", func(s *Scenario) {
-			s.Fleet.Executors, s.Fleet.QueueLimit, s.Load.Of = 1, 10000, 1.5
+			s.Fleet.Executors, s.Fleet.QueueLimit, s.Load.Utilization = 1, 10000, 1.5
 		}, RandomPolicy, nil, []Cause{InQueue}},
 		{"one executor is full, and nodes hold what it has no place for", func(s *Scenario) {
-			s.Fleet.Executors, s.Load.Of = 1, 1.3
+			s.Fleet.Executors, s.Load.Utilization = 1, 1.3
 		}, BestPolicy, nil, []Cause{QueuedAtNode, SentTooLate, NeverSent}},
 		{"a node knows of no executor", nil, ModulePolicy, func(_ *World, n *simNode, m node.Policy) node.Policy {
 			if n.id == 0 {
@@ -162,11 +162,13 @@
 			return m
 		}, []Cause{NeverSent}},
 		{"executors have no room", func(s *Scenario) {
-			s.Fleet.QueueLimit, s.Fleet.Slots, s.Fleet.Cores, s.Load.Of = 0, 1, 1, 20
+			s.Fleet.QueueLimit, s.Fleet.Slots, s.Fleet.Cores, s.Load.Utilization = 0, 1, 1, 20
 		}, RandomPolicy, nil, []Cause{RejectedByExecutor}},
 		{"executors fail", func(s *Scenario) { s.Faults = all(emulator.Errors, 1) }, RandomPolicy, nil, []Cause{Failed}},
-		{"it is far", func(s *Scenario) { s.Fleet.Near, s.Fleet.DialLimit = Span(30*time.Millisecond), Span(time.Second) }, RandomPolicy, nil, []Cause{InTransit}},
-		{"clients leave", func(s *Scenario) { s.Fleet.Speed, s.Fleet.QueueLimit, s.Load.Leaves, s.Load.Of = 0.01, 1000, 1, 5 }, RandomPolicy, nil, []Cause{ClientLeft}},
+		{"it is far", func(s *Scenario) { s.Fleet.Near, s.Fleet.DialTimeout = Span(30*time.Millisecond), Span(time.Second) }, RandomPolicy, nil, []Cause{InTransit}},
+		{"clients leave", func(s *Scenario) {
+			s.Fleet.Speed, s.Fleet.QueueLimit, s.Load.LeaveRate, s.Load.Utilization = 0.01, 1000, 1, 5
+		}, RandomPolicy, nil, []Cause{ClientLeft}},
 		{"there is no node", func(s *Scenario) {
 			s.Faults = []Fault{{Kind: emulator.NodeKilled, At: Span(5 * time.Second), For: Span(10 * time.Second), Where: []string{"n0", "n1"}}}
 		}, RandomPolicy, nil, []Cause{NodeLost}},
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -37,7 +37,7 @@
 		w.result.Hedges++
 	}
 	n.attemptsOut++
-	w.result.Allocations++
+	w.result.Attempts++
 	if x.Zone != n.zone {
 		w.result.Crossings++
 	}
@@ -179,7 +179,7 @@
 			c.deliver(node.ConnIdle{Conn: c.id})
 		}
 	})
-	w.after(time.Duration(w.scenario.Fleet.IdleLimit), func() {
+	w.after(time.Duration(w.scenario.Fleet.IdleTimeout), func() {
 		if c.uses == uses && x.conns[c.key] == c {
 			x.apply(x.Hangup(w.now, c.key))
 			c.resetByExecutor()
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -8,9 +8,9 @@
 
 // Offer is a work that clients wanted.
 type Offer struct {
-	Came, Until time.Duration // it earns its value within this time
-	Work        float64       // in seconds on a standard core
-	Earns       float64       // its value
+	ArrivedAt, Objective time.Duration // it earns its value within this time
+	Work                 float64       // in seconds on a standard core
+	Value                float64       // its value
 }
 
 // Bin is the length of the bins in which capacity is counted.
@@ -21,16 +21,16 @@
 func Best(offers []Offer, capacity []float64) float64 {
 	left := slices.Clone(capacity)
 	offers = slices.Clone(offers)
-	slices.SortStableFunc(offers, func(a, b Offer) int { return cmp.Compare(b.Earns/b.Work, a.Earns/a.Work) })
+	slices.SortStableFunc(offers, func(a, b Offer) int { return cmp.Compare(b.Value/b.Work, a.Value/a.Work) })
 	sum := 0.0
 	for _, offer := range offers {
 		work := offer.Work
-		for bin := int(offer.Came / Bin); bin <= int(offer.Until/Bin) && bin < len(left) && work > 0; bin++ {
+		for bin := int(offer.ArrivedAt / Bin); bin <= int(offer.Objective/Bin) && bin < len(left) && work > 0; bin++ {
 			done := min(work, left[bin])
 			left[bin] -= done
 			work -= done
 		}
-		sum += offer.Earns * (1 - work/offer.Work)
+		sum += offer.Value * (1 - work/offer.Work)
 	}
 	return sum
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -38,13 +38,13 @@
 			Retries:    load.Retries,
 			RetryWait:  time.Duration(load.RetryWait),
 			RetryMost:  time.Duration(load.MaxRetryWait),
-			HeedsBack:  load.HeedsBack,
-			Leaves:     load.Leaves,
+			HeedsBack:  load.RespectsRetryAfter,
+			Leaves:     load.LeaveRate,
 			RepeatsIDs: load.RepeatIDRate,
 			HintNoise:  load.HintNoise,
 		}
 		c := &zoneClients{world: w, zone: policy.ZoneID(i)}
-		c.Clients = emulator.NewClients(zone+"-", w.classes, habits, fleet.PerWork, stream(w.seed, clientStream+zone))
+		c.Clients = emulator.NewClients(zone+"-", w.classes, habits, fleet.ValuePerWork, stream(w.seed, clientStream+zone))
 		w.clients = append(w.clients, c)
 		w.at(clientsStartAfter+c.Gap()/2, c.arrivals)
 		for client := range load.Loops {
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -17,9 +17,9 @@
 // faultyScenario is a scenario in which every invariant is tested.
 func faultyScenario(change func(*Scenario)) Scenario {
 	s := base()
-	s.Name, s.Length, s.Tracks = "troubled", Span(25*time.Second), baseClasses()
-	s.Load.Of, s.Load.HintNoise = 0.8, 0
-	s.Fleet.ListLag = Span(300 * time.Millisecond)
+	s.Name, s.Length, s.Classes = "troubled", Span(25*time.Second), baseClasses()
+	s.Load.Utilization, s.Load.HintNoise = 0.8, 0
+	s.Fleet.DiscoveryLag = Span(300 * time.Millisecond)
 	second := Span(time.Second)
 	s.Faults = []Fault{
 		{Kind: emulator.DrainOff, At: 2 * second, For: 6 * second, Where: []string{"e0", "e1", "e5"}},
@@ -44,22 +44,22 @@
 
 // slowExecutors has many executors slow down under little traffic, so that hedging pays.
 func slowExecutors(s *Scenario) {
-	s.Load.Of, s.Fleet.TellsStart = 0.4, true
+	s.Load.Utilization, s.Fleet.StartNotices = 0.4, true
 	s.Faults = []Fault{{Kind: emulator.Slow, At: Span(4 * time.Second), For: Span(18 * time.Second), Where: []string{"e0", "e1", "e2", "e3", "e4"}, Size: 6}}
 }
 
 // leavingClients makes clients leave while their jobs are queued.
 func leavingClients(s *Scenario) {
-	s.Load.Of, s.Load.Leaves, s.Faults = 1.6, 0.5, nil
+	s.Load.Utilization, s.Load.LeaveRate, s.Faults = 1.6, 0.5, nil
 }
 
 // leavingClientsOfSuspendedNodes also suspends the nodes again and again: the events that they read
 // first when they resume are old, and that a client has left is not among the first.
 func leavingClientsOfSuspendedNodes(s *Scenario) {
 	leavingClients(s)
-	s.Load.Of, s.Load.Leaves, s.Length = 3, 0.9, Span(8*time.Second)
-	for i := range s.Tracks {
-		s.Tracks[i].Work, s.Tracks[i].Deadline = Span(60*time.Millisecond), Span(2*time.Second)
+	s.Load.Utilization, s.Load.LeaveRate, s.Length = 3, 0.9, Span(8*time.Second)
+	for i := range s.Classes {
+		s.Classes[i].Work, s.Classes[i].Deadline = Span(60*time.Millisecond), Span(2*time.Second)
 	}
 	for i := range 6 {
 		s.Faults = append(s.Faults, Fault{Kind: emulator.NodeStopped, At: Span(time.Duration(2000+1000*i) * time.Millisecond),
@@ -70,8 +70,8 @@
 // withDedupGroup makes all classes idempotent with a key, in a dedup group and with a dedup window.
 func withDedupGroup(group string, window time.Duration) func(*Scenario) {
 	return func(s *Scenario) {
-		for i := range s.Tracks {
-			s.Tracks[i].Idempotency, s.Tracks[i].DedupGroup, s.Tracks[i].DedupWindow = "tagged", group, Span(window)
+		for i := range s.Classes {
+			s.Classes[i].Idempotency, s.Classes[i].DedupGroup, s.Classes[i].DedupWindow = "tagged", group, Span(window)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 			}
 			return []node.Event{e}
 		})}},
-	{"the list's edge sits on its news", invariants.DrainKept, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightsEvery = 0 }, injectedDefects{
+	{"the list's edge sits on its news", invariants.DrainKept, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightInterval = 0 }, injectedDefects{
 		event: changeEvent(func(w *World, n *simNode, ev node.EndpointsUpdated) []node.Event {
 			if ev.Kind != policy.IncrementalUpdate {
 				return []node.Event{ev}
@@ -164,7 +164,7 @@
 			}
 			return []node.Effect{a}
 		})}},
-	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Of = 1.5 }, injectedDefects{
+	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Utilization = 1.5 }, injectedDefects{
 		event: changeEvent(func(w *World, _ *simNode, ev node.JobArrived) []node.Event {
 			ev.Job.Budget *= 2
 			return []node.Event{ev}
@@ -234,7 +234,7 @@
 		}}},
 	{"a second copy where none is allowed", invariants.NoEffectTwice, slowExecutors, injectedDefects{
 		settings: func(p *policy.Settings) { p.MayHedge = true }}},
-	{"a once-only track is copied", invariants.NoEffectTwice, func(s *Scenario) { slowExecutors(s); s.Fleet.Copies = true }, injectedDefects{
+	{"a once-only track is copied", invariants.NoEffectTwice, func(s *Scenario) { slowExecutors(s); s.Fleet.MayHedge = true }, injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
@@ -259,8 +259,8 @@
 	{"executors forget the tags they have seen", invariants.NoEffectTwice, withDedupGroup("all", 5*time.Second), injectedDefects{
 		attempt: func(a *emulator.Allocation) { a.Window = 0 }}},
 	{"a cold executor is taken for a warm one", invariants.ColdSpared, func(s *Scenario) {
-		s.Load.Of = 1.5
-		s.Fleet.ColdShare, s.Fleet.FallMultiple, s.Fleet.QueueLimit = 0.1, 1, 10
+		s.Load.Utilization = 1.5
+		s.Fleet.ColdCapacity, s.Fleet.OverloadMultiple, s.Fleet.QueueLimit = 0.1, 1, 10
 	}, injectedDefects{settings: func(p *policy.Settings) {
 		p.SlowStartCapacity, p.SlowStartDuration, p.OverloadMultiple = 1, time.Millisecond, 1000
 	}}},
@@ -284,8 +284,8 @@
 		return err.Error()
 	}
 	play, _ := violationsWithoutDefect.LoadOrStore(fmt.Sprint(seed, "\n", string(text)), sync.OnceValue(func() string {
-		if r := New(s, seed, Options{}).Play(); len(r.Broken) > 0 {
-			return r.Broken[0].String()
+		if r := New(s, seed, Options{}).Play(); len(r.Violations) > 0 {
+			return r.Violations[0].String()
 		}
 		return ""
 	}))
@@ -314,7 +314,7 @@
 				}
 				w := New(s, seed, Options{MaxViolations: 1000})
 				w.defects = d.inject
-				for _, b := range w.Play().Broken {
+				for _, b := range w.Play().Violations {
 					if caught[b.Rule]++; b.Rule != d.rule && caught[b.Rule] == 1 {
 						t.Errorf("seed %d: another rule broke: %v", seed, b)
 					}
--- a/internal/simulation/dial.go
+++ b/internal/simulation/dial.go
@@ -16,7 +16,7 @@
 	conn := &executorConn{id: effect.Conn, key: w.lastConnID, node: n, executor: w.byAddr[effect.Addr], dialedAt: w.now}
 	n.conns[conn.id] = conn
 	w.result.Dials++
-	n.after(time.Duration(w.scenario.Fleet.DialLimit), func() { conn.failDial("no answer in time") })
+	n.after(time.Duration(w.scenario.Fleet.DialTimeout), func() { conn.failDial("no answer in time") })
 	if conn.executor == nil {
 		n.after(2*time.Duration(w.scenario.Fleet.Near), func() { conn.failDial("nobody there") })
 		return
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -16,7 +16,7 @@
 	Nodes     int           // at most
 	Executors int           // at most
 	Length    time.Duration // of the time in which works come
-	Cold      bool          // scenarios of 20 and 30 nodes about the slow start of executors
+	SlowStart bool          // scenarios of 20 and 30 nodes about the slow start of executors
 }
 
 // adminFaults are the kinds of fault that operators cause.
@@ -37,7 +37,7 @@
 	drawFeatures(stream(seed, drawFeatureStream), &s.Fleet)
 	drawGossip(stream(seed, drawGossipStream), &s)
 	sortFaults(&s)
-	if size.Cold {
+	if size.SlowStart {
 		drawSlowStart(&s)
 	}
 	return s
@@ -67,35 +67,35 @@
 	f.Cores = 1 + r.IntN(3)
 	f.Slots = f.Cores
 	f.QueueLimit = r.IntN(5)
-	f.Spread = round(0.5 * r.Float64())
+	f.SpeedSpread = round(0.5 * r.Float64())
 	f.CellSize = 1 + r.IntN(3)
 	f.ByPriority = oneIn(r, 2)
 	f.CancelsRunning = oneIn(r, 2)
-	f.ColdShare = round(0.1 + 0.4*r.Float64())
-	f.WarmWithin = milliseconds(1000 * (3 + r.IntN(15)))
-	f.FallMultiple = float64(2 + r.IntN(3))
+	f.ColdCapacity = round(0.1 + 0.4*r.Float64())
+	f.SlowStartDuration = milliseconds(1000 * (3 + r.IntN(15)))
+	f.OverloadMultiple = float64(2 + r.IntN(3))
 	f.DrainGrace = milliseconds(100 * (1 + r.IntN(15)))
-	f.TellsStart = !oneIn(r, 4)
+	f.StartNotices = !oneIn(r, 4)
 	if oneIn(r, 3) {
-		f.TellsEvery = 0
+		f.ProgressInterval = 0
 	}
-	f.Reports = oneIn(r, 2)
+	f.ReportsLoad = oneIn(r, 2)
 	f.Far = milliseconds(1 + r.IntN(20))
-	f.IdleLimit = milliseconds(1000 * (1 + r.IntN(30)))
+	f.IdleTimeout = milliseconds(1000 * (1 + r.IntN(30)))
 	f.MaxExecutorConns = [...]int{200, 200, 4}[r.IntN(3)]
 	f.MaxNodeConns = [...]int{250, 250, 6}[r.IntN(3)]
-	f.ListLag = milliseconds(100 * (1 + r.IntN(30)))
+	f.DiscoveryLag = milliseconds(100 * (1 + r.IntN(30)))
 	if oneIn(r, 2) {
-		f.WeightsEvery = 0
+		f.WeightInterval = 0
 	}
-	f.Allocations = 1 + r.IntN(6)
+	f.MaxAttempts = 1 + r.IntN(6)
 	if oneIn(r, 3) {
-		f.ComeBack = 0
+		f.MaxRetryAfter = 0
 	}
 	if oneIn(r, 2) {
-		f.CrossPrice = 0
+		f.CrossZoneCost = 0
 	}
-	f.PerWork = oneIn(r, 2)
+	f.ValuePerWork = oneIn(r, 2)
 	if oneIn(r, 8) {
 		f.MaxBodyBytes = 256 << 10
 	}
@@ -120,23 +120,23 @@
 		if oneIn(r, 3) {
 			class.LateValue = round(0.5 * r.Float64())
 		}
-		s.Tracks = append(s.Tracks, class)
+		s.Classes = append(s.Classes, class)
 	}
 }
 
 func drawLoad(r *rand.Rand, l *Load) {
-	l.Of = round(0.15 * math.Exp(r.Float64()*2.2)) // from 0.15 to 1.35
+	l.Utilization = round(0.15 * math.Exp(r.Float64()*2.2)) // from 0.15 to 1.35
 	l.Retries = r.IntN(4)
 	l.RetryWait = milliseconds(150 * r.IntN(3))
-	l.HeedsBack = oneIn(r, 2)
+	l.RespectsRetryAfter = oneIn(r, 2)
 	if oneIn(r, 3) {
-		l.Leaves = round(0.1 * r.Float64())
+		l.LeaveRate = round(0.1 * r.Float64())
 	}
 	if oneIn(r, 4) {
 		l.RepeatIDRate = round(0.1 * r.Float64())
 	}
 	l.HintNoise = [...]float64{0.2, 0, 0.6, -1}[r.IntN(4)]
-	l.Body = [...]int{0, 1 << 10, 64 << 10}[r.IntN(3)]
+	l.BodyBytes = [...]int{0, 1 << 10, 64 << 10}[r.IntN(3)]
 	if oneIn(r, 6) { // closed loops beside the open one
 		l.Loops = 1 + r.IntN(6)
 		l.ThinkTime = milliseconds(r.IntN(300))
@@ -145,7 +145,7 @@
 
 // drawFeatures draws what the policy may do beside one attempt at a time.
 func drawFeatures(r *rand.Rand, f *Fleet) {
-	f.Copies = oneIn(r, 2)
+	f.MayHedge = oneIn(r, 2)
 	f.MayProbe = oneIn(r, 2)
 }
 
@@ -155,11 +155,11 @@
 		return
 	}
 	f := &s.Fleet
-	f.Talk = true
-	f.Keepers = oneIn(r, 3)
-	f.WordsLost = [...]float64{0, 0, 0.3}[r.IntN(3)]
-	f.WordsDoubled = [...]float64{0, 0.2}[r.IntN(2)]
-	f.WordsLate = [...]Span{0, milliseconds(500)}[r.IntN(2)]
+	f.Gossip = true
+	f.Leases = oneIn(r, 3)
+	f.MessageLoss = [...]float64{0, 0, 0.3}[r.IntN(3)]
+	f.MessageDuplication = [...]float64{0, 0.2}[r.IntN(2)]
+	f.MessageDelay = [...]Span{0, milliseconds(500)}[r.IntN(2)]
 	drawFaults(r, s, 3, gossipFaults)
 }
 
--- a/internal/simulation/draw_slow_start.go
+++ b/internal/simulation/draw_slow_start.go
@@ -46,14 +46,14 @@
 	f, l := &s.Fleet, &s.Load
 	f.Nodes = 20 + 10*r.IntN(2)
 	f.Executors = 6 + r.IntN(15)
-	f.FallWindow = milliseconds(500 * (1 + r.IntN(4)))
-	f.TellsStart = oneIn(r, 2)
-	f.Talk, f.Keepers = oneIn(r, 4), false
-	l.Of = round(0.4 + 0.8*r.Float64())
+	f.OverloadWindow = milliseconds(500 * (1 + r.IntN(4)))
+	f.StartNotices = oneIn(r, 2)
+	f.Gossip, f.Leases = oneIn(r, 4), false
+	l.Utilization = round(0.4 + 0.8*r.Float64())
 	l.HintNoise = [...]float64{-1, -1, 0.2, 0.6}[r.IntN(4)]
 	l.Loops = 0
-	for i := range s.Tracks {
-		class := &s.Tracks[i]
+	for i := range s.Classes {
+		class := &s.Classes[i]
 		class.Work = milliseconds(5<<r.IntN(6)) * 3 / 2
 		class.LatencyObjective = millisecondsBetween(r, 50, 400)
 	}
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -153,7 +153,7 @@
 	if at > 0 {
 		w.notifyNodes(at)
 	}
-	w.after(time.Duration(w.scenario.Fleet.WeightsEvery), w.updateWeights)
+	w.after(time.Duration(w.scenario.Fleet.WeightInterval), w.updateWeights)
 }
 
 func sortedByExecutor(endpoints map[policy.ExecutorID]invariants.Seen) []invariants.Seen {
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -106,7 +106,7 @@
 	x.activeDownFaults++
 	started := x.Started
 	w.updateEndpoint(x.entry(policy.Draining))
-	w.after(time.Duration(w.scenario.Fleet.ListLag+w.scenario.Fleet.DrainGrace), func() {
+	w.after(time.Duration(w.scenario.Fleet.DiscoveryLag+w.scenario.Fleet.DrainGrace), func() {
 		if x.Up && x.Started == started {
 			x.Drains = true
 		}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -116,7 +116,7 @@
 func (w *World) setDiscoveryDelay(delay time.Duration, on bool) {
 	w.discovery.Late(delay)
 	if on {
-		w.checker.Apart(invariants.Nobody, w.now+time.Duration(w.scenario.Fleet.ListLag)+delay)
+		w.checker.Apart(invariants.Nobody, w.now+time.Duration(w.scenario.Fleet.DiscoveryLag)+delay)
 	} else {
 		w.notifyNodes(w.now)
 	}
--- a/internal/simulation/fleet_defects_test.go
+++ b/internal/simulation/fleet_defects_test.go
@@ -26,7 +26,7 @@
 
 // violatedBound returns the first bound of gossip that was violated.
 func violatedBound(_, r Result) string {
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		if b.Rule == invariants.Bound {
 			return b.Text
 		}
@@ -64,18 +64,18 @@
 			s.Faults = []Fault{{Kind: "nodes-apart", At: Span(4 * time.Second), For: Span(9 * time.Second), Where: []string{"n0", "n1"}}}
 		}, injectedDefects{fleet: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, violatedBound},
 		{"a node tells more often than it may", nil, injectedDefects{fleet: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, violatedBound},
-		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Of = 0.8 }, injectedDefects{
+		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Utilization = 0.8 }, injectedDefects{
 			event: changeEvent(func(_ *World, _ *simNode, ev node.GossipReceived) []node.Event {
 				ev.Message.Rates.Migrations = 0
 				return []node.Event{ev}
 			})}, func(sound, r Result) string {
-			if float64(r.Allocations) > 1.2*float64(sound.Allocations) {
-				return fmt.Sprintf("%d allocations instead of %d", r.Allocations, sound.Allocations)
+			if float64(r.Attempts) > 1.2*float64(sound.Attempts) {
+				return fmt.Sprintf("%d allocations instead of %d", r.Attempts, sound.Attempts)
 			}
 			return ""
 		}},
 		{"a cut line that never falls again", func(s *Scenario) {
-			s.Load.Of = 0.6
+			s.Load.Utilization = 0.6
 			s.Faults = []Fault{{Kind: "burst", At: Span(2 * time.Second), For: Span(5 * time.Second), Size: 4}}
 		}, injectedDefects{policy: func(_ *World, _ *simNode, m node.Policy) node.Policy { return &risingThresholdPolicy{Policy: m} }}, func(_, r Result) string {
 			last := r.seconds[12:15]
@@ -93,14 +93,14 @@
 			t.Parallel()
 			s := Base()
 			s.Name, s.Length = "fleet", Span(16*time.Second)
-			s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Talk = 6, 18, true
-			s.Load.Of, s.Load.Retries, s.Load.RetryWait = 1.5, 3, Span(50*time.Millisecond)
+			s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Gossip = 6, 18, true
+			s.Load.Utilization, s.Load.Retries, s.Load.RetryWait = 1.5, 3, Span(50*time.Millisecond)
 			if d.world != nil {
 				d.world(&s)
 			}
 			sound := New(s, 3, Options{}).Play()
-			if len(sound.Broken) > 0 {
-				t.Fatal("with nothing planted: ", sound.Broken[0])
+			if len(sound.Violations) > 0 {
+				t.Fatal("with nothing planted: ", sound.Violations[0])
 			}
 			if text := d.wrong(sound, sound); text != "" {
 				t.Fatal("with nothing planted: ", text)
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -71,7 +71,7 @@
 	for seed := uint64(1); seed <= 6; seed++ {
 		worlds = append(worlds, Draw(seed, Size{Nodes: 4, Executors: 8, Length: 6 * time.Second}))
 	}
-	return append(worlds, Draw(7, Size{Nodes: 4, Executors: 8, Length: 4 * time.Second, Cold: true}))
+	return append(worlds, Draw(7, Size{Nodes: 4, Executors: 8, Length: 4 * time.Second, SlowStart: true}))
 }
 
 // The traces and results of some worlds, stepped event by event, are as they were, whatever decides at the nodes.
@@ -122,7 +122,7 @@
 	var out strings.Builder
 	for seed := uint64(1); seed <= 200; seed++ {
 		for _, cold := range []bool{false, true} {
-			s := Draw(seed, Size{Nodes: 6, Executors: 20, Length: 20 * time.Second, Cold: cold})
+			s := Draw(seed, Size{Nodes: 6, Executors: 20, Length: 20 * time.Second, SlowStart: cold})
 			text, err := s.Text()
 			if err != nil {
 				t.Fatal(err)
@@ -144,7 +144,7 @@
 		w := New(s, 1, Options{MaxViolations: 1})
 		w.defects = defects[0].inject
 		r := w.Play()
-		return len(r.Broken) > 0 && r.Broken[0].Rule == defects[0].rule
+		return len(r.Violations) > 0 && r.Violations[0].Rule == defects[0].rule
 	}
 	step := func(s Scenario) {
 		text, err := s.Text()
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -87,13 +87,13 @@
 	if n.partitioned != peer.partitioned || blocked {
 		return
 	}
-	for range 1 + countTrue(w.gossipRand.Float64() < fleet.WordsDoubled) {
-		if w.gossipRand.Float64() < max(fleet.WordsLost, w.gossipLoss) {
+	for range 1 + countTrue(w.gossipRand.Float64() < fleet.MessageDuplication) {
+		if w.gossipRand.Float64() < max(fleet.MessageLoss, w.gossipLoss) {
 			continue
 		}
 		late := time.Duration(0)
-		if fleet.WordsLate > 0 {
-			late = time.Duration(w.gossipRand.Int64N(int64(fleet.WordsLate)))
+		if fleet.MessageDelay > 0 {
+			late = time.Duration(w.gossipRand.Int64N(int64(fleet.MessageDelay)))
 		}
 		incarnation := peer.incarnation
 		w.after(w.minDelay(n.zone, peer.zone)+late, func() {
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -84,7 +84,7 @@
 // checkPeerStates checks the age of the peer states that a node uses.
 func (n *simNode) checkPeerStates(settings cluster.Settings) {
 	w, fleet := n.world, &n.world.scenario.Fleet
-	longest := settings.PeerStateTTL + time.Duration(fleet.WordsLate) + time.Duration(max(fleet.Near, fleet.Far))
+	longest := settings.PeerStateTTL + time.Duration(fleet.MessageDelay) + time.Duration(max(fleet.Near, fleet.Far))
 	if w.now < n.workRate.suspendedUntil+settings.PeerStateTTL {
 		longest += suspendRounds * settings.GossipInterval
 	}
--- a/internal/simulation/gossip_test.go
+++ b/internal/simulation/gossip_test.go
@@ -22,7 +22,7 @@
 		{"one and a half", 6, 1.5, 0.03, 0.8, nil},
 		{"under", 6, 0.8, -0.01, 1.05, nil},
 		{"words lost", 6, 2, 0.03, 0.8, func(s *Scenario) {
-			s.Fleet.WordsLost, s.Fleet.WordsDoubled, s.Fleet.WordsLate = 0.3, 0.2, Span(500*time.Millisecond)
+			s.Fleet.MessageLoss, s.Fleet.MessageDuplication, s.Fleet.MessageDelay = 0.3, 0.2, Span(500*time.Millisecond)
 		}},
 		{"a liar and one that stands still", 6, 2, 0, 0.9, func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "node-lies", At: Span(2 * time.Second), For: Span(20 * time.Second), Where: []string{"n1"}},
@@ -37,21 +37,21 @@
 			s := Base()
 			s.Name, s.Length = c.name, Span(25*time.Second)
 			s.Fleet.Nodes, s.Fleet.Executors = c.nodes, 36
-			s.Load.Of, s.Load.Retries, s.Load.RetryWait = c.of, 3, Span(50*time.Millisecond)
+			s.Load.Utilization, s.Load.Retries, s.Load.RetryWait = c.of, 3, Span(50*time.Millisecond)
 			if c.with != nil {
 				c.with(&s)
 			}
 			alone := New(s, 7, Options{}).Play()
-			s.Fleet.Talk = true
+			s.Fleet.Gossip = true
 			talking := New(s, 7, Options{}).Play()
-			for _, b := range append(alone.Broken, talking.Broken...) {
+			for _, b := range append(alone.Violations, talking.Violations...) {
 				t.Error(b)
 			}
 			if talking.Earned < alone.Earned+c.more {
 				t.Errorf("talking earned %.3f, each alone %.3f", talking.Earned, alone.Earned)
 			}
-			if float64(talking.Allocations) > c.part*float64(alone.Allocations) {
-				t.Errorf("talking took %d allocations, each alone %d", talking.Allocations, alone.Allocations)
+			if float64(talking.Attempts) > c.part*float64(alone.Attempts) {
+				t.Errorf("talking took %d allocations, each alone %d", talking.Attempts, alone.Attempts)
 			}
 		})
 	}
--- a/internal/simulation/hard_test.go
+++ b/internal/simulation/hard_test.go
@@ -79,7 +79,7 @@
 		for _, e := range w.executors {
 			orphans += e.Orphans
 		}
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 	}
@@ -87,7 +87,7 @@
 		play(Draw(seed, Size{Nodes: 4, Executors: 8, Length: 10 * time.Second}), seed)
 	}
 	retries := faultyScenario(func(s *Scenario) {
-		s.Load.RetryWait, s.Load.HeedsBack = 0, false
+		s.Load.RetryWait, s.Load.RespectsRetryAfter = 0, false
 		s.Faults = append(s.Faults, Fault{Kind: "client-reset", At: Span(3 * time.Second), For: Span(15 * time.Second), Size: 0.3},
 			Fault{Kind: "node-killed", At: Span(8 * time.Second), For: Span(2 * time.Second), Where: []string{"n1"}})
 	})
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// Killing is a run of real processes on loopback: a node with durable jobs that is killed by SIGKILL at random times, emulated executors,
+// KillTest is a run of real processes on loopback: a node with durable jobs that is killed by SIGKILL at random times, emulated executors,
 // and clients that submit until their job is acknowledged and poll until they have a final answer.
-type Killing struct {
+type KillTest struct {
 	Binary string // birchstair
 	Seed   uint64
 	Jobs   int
@@ -24,10 +24,10 @@
 	Dir    string // an empty directory for the run's files; the caller removes it
 }
 
-// Killed is what came of a run.
-type Killed struct {
-	Finals map[string]int // final answers, by name
-	Wrong  []string       // what must not have happened
+// KillResult is what came of a run.
+type KillResult struct {
+	Finals     map[string]int // final answers, by name
+	Violations []string       // what must not have happened
 }
 
 // The timing of a run.
@@ -43,7 +43,7 @@
 
 // killRun is the state of a run.
 type killRun struct {
-	Killing
+	KillTest
 	listen string // the node's address
 	site   string // files
 	config string
@@ -56,16 +56,16 @@
 }
 
 // Play plays the run. An error means that it could not be played.
-func (k Killing) Play() (Killed, error) {
-	r := &killRun{Killing: k, runsOfJob: map[string]int{}, finals: map[string]string{}, rand: rand.New(rand.NewPCG(k.Seed, killStream))}
+func (k KillTest) Play() (KillResult, error) {
+	r := &killRun{KillTest: k, runsOfJob: map[string]int{}, finals: map[string]string{}, rand: rand.New(rand.NewPCG(k.Seed, killStream))}
 	closeAll, err := r.setUp()
 	defer closeAll()
 	if err != nil {
-		return Killed{}, err
+		return KillResult{}, err
 	}
 	node, err := r.start()
 	if err != nil {
-		return Killed{}, err
+		return KillResult{}, err
 	}
 	var clients sync.WaitGroup
 	for i := range k.Jobs {
@@ -77,7 +77,7 @@
 	for range k.Kills {
 		time.Sleep(time.Duration(minUptimeMS+r.randomN(uptimeRangeMS)) * time.Millisecond)
 		if node, err = r.killAndRestart(node); err != nil {
-			return Killed{}, err
+			return KillResult{}, err
 		}
 	}
 	clients.Wait()
@@ -141,23 +141,23 @@
 }
 
 // verdict says what is wrong with what was seen.
-func (r *killRun) verdict() Killed {
+func (r *killRun) verdict() KillResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := Killed{Finals: map[string]int{}, Wrong: r.wrong}
+	out := KillResult{Finals: map[string]int{}, Violations: r.wrong}
 	for i := range r.Jobs {
 		id, once := jobName(i), killClasses[i%len(killClasses)].repeat == killAtMostOnce
 		final, runs := r.finals[id], r.runsOfJob[id]
 		out.Finals[final]++
 		switch {
 		case final == "":
-			out.Wrong = append(out.Wrong, id+" has no final answer")
+			out.Violations = append(out.Violations, id+" has no final answer")
 		case once && runs > 1:
-			out.Wrong = append(out.Wrong, fmt.Sprintf("%s, once-only, ran %d times", id, runs))
+			out.Violations = append(out.Violations, fmt.Sprintf("%s, once-only, ran %d times", id, runs))
 		case final == "handled" && runs == 0:
-			out.Wrong = append(out.Wrong, id+" was handled and never ran")
+			out.Violations = append(out.Violations, id+" was handled and never ran")
 		case final == "pushed back" && once && runs > 0:
-			out.Wrong = append(out.Wrong, id+" was pushed back and ran")
+			out.Violations = append(out.Violations, id+" was pushed back and ran")
 		}
 	}
 	return out
--- a/internal/simulation/kill_run_test.go
+++ b/internal/simulation/kill_run_test.go
@@ -23,12 +23,12 @@
 		wait.Go(func() {
 			free <- struct{}{}
 			defer func() { <-free }()
-			k := Killing{Binary: binary, Seed: seed, Jobs: 20, Kills: 3, Leases: seed%2 == 0, Dir: t.TempDir()}
+			k := KillTest{Binary: binary, Seed: seed, Jobs: 20, Kills: 3, Leases: seed%2 == 0, Dir: t.TempDir()}
 			r, err := k.Play()
 			if err != nil {
 				t.Error(err)
 			}
-			for _, w := range r.Wrong {
+			for _, w := range r.Violations {
 				t.Errorf("seed %d: %s", seed, w)
 			}
 			if r.Finals["handled"] == 0 {
--- a/internal/simulation/malformed_clients.go
+++ b/internal/simulation/malformed_clients.go
@@ -49,7 +49,7 @@
 			return
 		}
 		turn++
-		request := strings.ReplaceAll(malformedRequests[turn%len(malformedRequests)], classPlaceholder, w.scenario.Tracks[0].Name)
+		request := strings.ReplaceAll(malformedRequests[turn%len(malformedRequests)], classPlaceholder, w.scenario.Classes[0].Name)
 		for _, n := range w.nodes {
 			if n.up && n.process != nil {
 				go v.sendMalformed(n.process, fmt.Sprint("bad", turn), request)
--- a/internal/simulation/news_test.go
+++ b/internal/simulation/news_test.go
@@ -26,12 +26,12 @@
 		t.Fatal(err)
 	}
 	for seed := range uint64(2) {
-		if r := New(s, seed, Options{}).Play(); len(r.Broken) > 0 {
-			t.Errorf("seed %d breaks a rule with nothing planted: %v", seed, r.Broken[0])
+		if r := New(s, seed, Options{}).Play(); len(r.Violations) > 0 {
+			t.Errorf("seed %d breaks a rule with nothing planted: %v", seed, r.Violations[0])
 		}
 		synctesting.Test(t, func(t *testing.T) {
-			if r := New(s, seed, Options{}).PlayWired(); len(r.Broken) > 0 {
-				t.Errorf("seed %d, wired, breaks a rule with nothing planted: %v", seed, r.Broken[0])
+			if r := New(s, seed, Options{}).PlayWired(); len(r.Violations) > 0 {
+				t.Errorf("seed %d, wired, breaks a rule with nothing planted: %v", seed, r.Violations[0])
 			}
 		})
 		caught := 0
@@ -40,7 +40,7 @@
 			n.watchLost = true // and nobody says so
 			return []node.Event{ev}
 		})
-		for _, b := range w.Play().Broken {
+		for _, b := range w.Play().Violations {
 			if caught++; b.Rule != invariants.Informed {
 				t.Errorf("seed %d: another rule broke: %v", seed, b)
 			}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -79,36 +79,36 @@
 		Node:                int(n.id),
 		Nodes:               fleet.Nodes,
 		Zone:                n.zone,
-		ValuePerWork:        fleet.PerWork,
-		CrossZoneCost:       fleet.CrossPrice,
+		ValuePerWork:        fleet.ValuePerWork,
+		CrossZoneCost:       fleet.CrossZoneCost,
 		TotalWeight:         totalWeight,
 		WorstClassWeight:    worstClassWeight,
-		MaxAttempts:         fleet.Allocations,
+		MaxAttempts:         fleet.MaxAttempts,
 		MayCancel:           true,
-		MaxRetryAfter:       time.Duration(fleet.ComeBack),
+		MaxRetryAfter:       time.Duration(fleet.MaxRetryAfter),
 		Quantum:             quantum,
-		LoadAdjustedWeights: fleet.WeightsEvery > 0,
-		SlowStartCapacity:   fleet.ColdShare,
-		SlowStartDuration:   time.Duration(fleet.WarmWithin),
-		OverloadMultiple:    fleet.FallMultiple,
-		OverloadWindow:      time.Duration(fleet.FallWindow),
-		StartNotices:        fleet.TellsStart,
-		ProgressInterval:    time.Duration(fleet.TellsEvery),
-		MayLease:            fleet.Talk && fleet.Keepers && !wired,
-		MayHedge:            fleet.Copies,
+		LoadAdjustedWeights: fleet.WeightInterval > 0,
+		SlowStartCapacity:   fleet.ColdCapacity,
+		SlowStartDuration:   time.Duration(fleet.SlowStartDuration),
+		OverloadMultiple:    fleet.OverloadMultiple,
+		OverloadWindow:      time.Duration(fleet.OverloadWindow),
+		StartNotices:        fleet.StartNotices,
+		ProgressInterval:    time.Duration(fleet.ProgressInterval),
+		MayLease:            fleet.Gossip && fleet.Leases && !wired,
+		MayHedge:            fleet.MayHedge,
 		ClientsMarkRetries:  n.world.scenario.Load.MarksRetries && !wired,
 		MayProbe:            fleet.MayProbe && !wired,
 	}
 	longest := time.Duration(0)
 	for _, class := range n.world.jobClasses {
-		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialLimit)) // as config does
+		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialTimeout)) // as config does
 		settings.JobClasses = append(settings.JobClasses, class)
 		longest = max(longest, class.Deadline)
 	}
 	return settings, node.Limits{
 		Quantum:         settings.Quantum,
-		MaxIdle:         time.Duration(fleet.IdleLimit) * 4 / 5,
-		DialTimeout:     time.Duration(fleet.DialLimit),
+		MaxIdle:         time.Duration(fleet.IdleTimeout) * 4 / 5,
+		DialTimeout:     time.Duration(fleet.DialTimeout),
 		MaxConns:        fleet.MaxNodeConns,
 		MaxBodyBytes:    fleet.MaxBodyBytes,
 		RetryAfter:      settings.MaxRetryAfter,
@@ -140,7 +140,7 @@
 		classes = append(classes, node.JobClass{Name: strconv.Itoa(i), JobClass: class})
 	}
 	n.reducer = node.New(&policyRecorder{Policy: decider, node: n}, limits, classes)
-	if n.world.scenario.Fleet.Talk {
+	if n.world.scenario.Fleet.Gossip {
 		n.joinFleet()
 	}
 	n.deliver(n.endpointsUpdate(policy.CachedUpdate, n.world.discovery.Copy(n.world.now-cachedListAge)))
--- a/internal/simulation/observe.go
+++ b/internal/simulation/observe.go
@@ -39,7 +39,7 @@
 		w.traceFunc(s)
 	}
 	for _, b := range w.checker.See(s) {
-		w.result.Broken = append(w.result.Broken, b)
+		w.result.Violations = append(w.result.Violations, b)
 		if w.traceFunc != nil {
 			w.traceFunc(invariants.Seen{At: w.now, What: invariants.Note, Node: invariants.Nobody, Text: "BROKEN: " + b.Rule.String() + ": " + b.Text})
 		}
@@ -54,5 +54,5 @@
 // advanceChecker lets the checker judge what was due by now.
 func (w *World) advanceChecker() {
 	w.checker.Pass(w.now)
-	w.result.Broken = append(w.result.Broken, w.checker.Broken()[len(w.result.Broken):]...)
+	w.result.Violations = append(w.result.Violations, w.checker.Broken()[len(w.result.Violations):]...)
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -9,34 +9,34 @@
 
 // Result is what came of a world.
 type Result struct {
-	Scenario string              `json:"scenario"`
-	Seed     uint64              `json:"seed"`
-	Length   Span                `json:"length"`
-	Earned   float64             `json:"earned"` // share of the value offered that was earned
-	Best     float64             `json:"best"`   // upper bound of Earned, by which nodes and executors were up; 0 if it is not known
-	Worst    float64             `json:"worst"`  // Earned over the worst 10 s
-	WorstAt  Span                `json:"worst_at"`
-	Classes  []ClassResult       `json:"tracks"` // by class
-	Broken   []invariants.Broken `json:"broken"` // violations of invariants
-
-	Allocations  int `json:"allocations"` // attempts
-	Crossings    int `json:"crossings"`   // attempts to another zone
-	Hedges       int `json:"copies"`      // attempts while another one of the job was out
-	Probes       int `json:"probes"`
-	Dials        int `json:"dials"`
-	FailedDials  int `json:"no_connection"` // dials that failed
-	QueuedStarts int `json:"starts_waited"` // attempts that waited in their executor's queue
-	MaxQueued    int `json:"most_held"`     // jobs without an attempt out at a node, at most
-	Left         int `json:"left"`          // clients that left early
-	Overloaded   int `json:"fell"`          // executors that fell over by overload
-	LeftQueued   int `json:"went_waiting"`  // clients that left while their job had no attempt out
-	SentLate     int `json:"sent_late"`     // attempts for clients that had left longer ago than is allowed
-	LateTwice    int `json:"late_twice"`    // jobs with a key that were delayed on their way beyond the dedup window and ran again
-	Wrong        int `json:"wrong"`         // answers that no node should give; seen in wired worlds
-	Malformed    int `json:"bad"`           // malformed requests sent; in wired worlds
-	Panics       int `json:"panics"`        // of the policy; each was contained to one job
-	Steps        int `json:"steps"`         // events
-	PeerMessages int `json:"words"`         // messages between nodes
+	Scenario   string              `json:"scenario"`
+	Seed       uint64              `json:"seed"`
+	Length     Span                `json:"length"`
+	Earned     float64             `json:"earned"` // share of the value offered that was earned
+	Best       float64             `json:"best"`   // upper bound of Earned, by which nodes and executors were up; 0 if it is not known
+	Worst      float64             `json:"worst"`  // Earned over the worst 10 s
+	WorstAt    Span                `json:"worst_at"`
+	Classes    []ClassResult       `json:"tracks"` // by class
+	Violations []invariants.Broken `json:"broken"` // violations of invariants
+
+	Attempts      int `json:"allocations"` // attempts
+	Crossings     int `json:"crossings"`   // attempts to another zone
+	Hedges        int `json:"copies"`      // attempts while another one of the job was out
+	Probes        int `json:"probes"`
+	Dials         int `json:"dials"`
+	FailedDials   int `json:"no_connection"` // dials that failed
+	QueuedStarts  int `json:"starts_waited"` // attempts that waited in their executor's queue
+	MaxQueued     int `json:"most_held"`     // jobs without an attempt out at a node, at most
+	Left          int `json:"left"`          // clients that left early
+	Overloaded    int `json:"fell"`          // executors that fell over by overload
+	LeftQueued    int `json:"went_waiting"`  // clients that left while their job had no attempt out
+	SentLate      int `json:"sent_late"`     // attempts for clients that had left longer ago than is allowed
+	DuplicateRuns int `json:"late_twice"`    // jobs with a key that were delayed on their way beyond the dedup window and ran again
+	Wrong         int `json:"wrong"`         // answers that no node should give; seen in wired worlds
+	Malformed     int `json:"bad"`           // malformed requests sent; in wired worlds
+	Panics        int `json:"panics"`        // of the policy; each was contained to one job
+	Steps         int `json:"steps"`         // events
+	PeerMessages  int `json:"words"`         // messages between nodes
 
 	Account *Account `json:"account,omitempty"`
 
@@ -66,7 +66,7 @@
 
 func newResult(s Scenario, seed uint64) Result {
 	r := Result{Scenario: s.Name, Seed: seed, Length: s.Length, seconds: make([]resultSecond, int(time.Duration(s.Length)/time.Second)+1)}
-	for _, class := range s.Tracks {
+	for _, class := range s.Classes {
 		r.Classes = append(r.Classes, ClassResult{Name: class.Name})
 	}
 	return r
@@ -121,7 +121,7 @@
 	for _, n := range w.nodes {
 		r.recordMaxQueued(n)
 	}
-	r.Steps, r.LateTwice, r.LeftQueued, r.SentLate = w.steps, w.checker.LateTwice(), w.checker.WentWaiting(), w.checker.SentLate()
+	r.Steps, r.DuplicateRuns, r.LeftQueued, r.SentLate = w.steps, w.checker.LateTwice(), w.checker.WentWaiting(), w.checker.SentLate()
 	offered, earned := 0.0, 0.0
 	for i := range r.Classes {
 		class := &r.Classes[i]
--- a/internal/simulation/result_print.go
+++ b/internal/simulation/result_print.go
@@ -19,9 +19,9 @@
 		fmt.Fprintf(to, "  %-10s %7.3f %7d %7d %8d %8d %7d %7d %6d\n", class.Name, class.Earned, class.Works, class.Requests, class.Succeeded, class.Rejected, class.Failed, class.Unreached, class.Lost)
 	}
 	fmt.Fprintf(to, "  allocations %d, %.3f a batch job; %d to another zone; %d dials, %d led nowhere; %d starts waited\n",
-		r.Allocations, ratio(float64(r.Allocations), float64(r.requests())), r.Crossings, r.Dials, r.FailedDials, r.QueuedStarts)
+		r.Attempts, ratio(float64(r.Attempts), float64(r.requests())), r.Crossings, r.Dials, r.FailedDials, r.QueuedStarts)
 	fmt.Fprintf(to, "  most held by a node %d; %d clients left, %d of them while their batch jobs waited, %d attempts too late after that; %d executors fell over; %d tagged ran again too late to be dropped\n",
-		r.MaxQueued, r.Left, r.LeftQueued, r.SentLate, r.Overloaded, r.LateTwice)
+		r.MaxQueued, r.Left, r.LeftQueued, r.SentLate, r.Overloaded, r.DuplicateRuns)
 	if r.PeerMessages > 0 {
 		fmt.Fprintf(to, "  %d words between nodes\n", r.PeerMessages)
 	}
@@ -31,7 +31,7 @@
 	if r.Panics > 0 {
 		fmt.Fprintf(to, "  the module broke %d times\n", r.Panics)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintf(to, "  BROKEN %s\n", strings.ReplaceAll(b.String(), "\n", "\n  "))
 	}
 }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -22,14 +22,14 @@
 
 // Scenario describes a world and its faults. Its keys in TOML are a format that scenario files keep to.
 type Scenario struct {
-	Name   string     `toml:"-"` // of the file
-	About  string     `toml:"about"`
-	Seed   uint64     `toml:"seed,omitempty"` // played unless another one is asked for
-	Length Span       `toml:"length"`         // of the time in which works come
-	Fleet  Fleet      `toml:"fleet"`
-	Load   Load       `toml:"load"`
-	Tracks []JobClass `toml:"track"` // job classes
-	Faults []Fault    `toml:"fault"`
+	Name    string     `toml:"-"` // of the file
+	About   string     `toml:"about"`
+	Seed    uint64     `toml:"seed,omitempty"` // played unless another one is asked for
+	Length  Span       `toml:"length"`         // of the time in which works come
+	Fleet   Fleet      `toml:"fleet"`
+	Load    Load       `toml:"load"`
+	Classes []JobClass `toml:"track"` // job classes
+	Faults  []Fault    `toml:"fault"`
 }
 
 // Fleet describes the nodes, the executors and the network between them. Defaults are in scenario_defaults.go.
@@ -39,77 +39,77 @@
 	Executors int      `toml:"executors"` // e0, e1, ..., spread over the zones
 
 	// Executors.
-	Cores          int     `toml:"cores"`
-	Slots          int     `toml:"places"` // jobs that run at once
-	QueueLimit     int     `toml:"queue"`  // jobs that wait
-	Speed          float64 `toml:"speed"`
-	Spread         float64 `toml:"spread"`                  // relative deviation of speeds, uniform either way
-	SlowShare      float64 `toml:"slow-part,omitempty"`     // share of the executors that are of a second, slower kind
-	SlowSpeed      float64 `toml:"slow-speed,omitempty"`    // speed of those, with the same deviation
-	CellSize       int     `toml:"cell-of"`                 // executors in a cell
-	ByPriority     bool    `toml:"by-priority"`             // queues are ordered by priority
-	CancelsRunning bool    `toml:"stops-work"`              // a running job ends when it is canceled
-	KeepsQueued    bool    `toml:"keeps-waiting,omitempty"` // a queued job stays when it is canceled, and runs in its turn
-	AttemptNoise   float64 `toml:"attempt-noise,omitempty"` // sigma of the lognormal by which the work of attempts of a job differs
-	ColdShare      float64 `toml:"cold-share"`              // capacity right after a start, as a share
-	WarmWithin     Span    `toml:"warm-within"`             // until full capacity
-	FallMultiple   float64 `toml:"fall-multiple"`           // of its capacity, over fall-window, at which a cold executor falls over
-	FallWindow     Span    `toml:"fall-window"`
-	DrainGrace     Span    `toml:"drain-grace"` // a draining executor takes jobs for so long
-	TellsStart     bool    `toml:"tells-start"` // notices of starts
-	TellsEvery     Span    `toml:"tells-every"` // notices of progress; 0 for none
-	Reports        bool    `toml:"reports"`     // answers report load
-	Copies         bool    `toml:"copies"`      // idempotent jobs may be hedged
-	MayProbe       bool    `toml:"probes"`      // health checks
-	ReportInterval Span    `toml:"report-every"`
+	Cores             int     `toml:"cores"`
+	Slots             int     `toml:"places"` // jobs that run at once
+	QueueLimit        int     `toml:"queue"`  // jobs that wait
+	Speed             float64 `toml:"speed"`
+	SpeedSpread       float64 `toml:"spread"`                  // relative deviation of speeds, uniform either way
+	SlowShare         float64 `toml:"slow-part,omitempty"`     // share of the executors that are of a second, slower kind
+	SlowSpeed         float64 `toml:"slow-speed,omitempty"`    // speed of those, with the same deviation
+	CellSize          int     `toml:"cell-of"`                 // executors in a cell
+	ByPriority        bool    `toml:"by-priority"`             // queues are ordered by priority
+	CancelsRunning    bool    `toml:"stops-work"`              // a running job ends when it is canceled
+	KeepsQueued       bool    `toml:"keeps-waiting,omitempty"` // a queued job stays when it is canceled, and runs in its turn
+	AttemptNoise      float64 `toml:"attempt-noise,omitempty"` // sigma of the lognormal by which the work of attempts of a job differs
+	ColdCapacity      float64 `toml:"cold-share"`              // capacity right after a start, as a share
+	SlowStartDuration Span    `toml:"warm-within"`             // until full capacity
+	OverloadMultiple  float64 `toml:"fall-multiple"`           // of its capacity, over fall-window, at which a cold executor falls over
+	OverloadWindow    Span    `toml:"fall-window"`
+	DrainGrace        Span    `toml:"drain-grace"` // a draining executor takes jobs for so long
+	StartNotices      bool    `toml:"tells-start"` // notices of starts
+	ProgressInterval  Span    `toml:"tells-every"` // notices of progress; 0 for none
+	ReportsLoad       bool    `toml:"reports"`     // answers report load
+	MayHedge          bool    `toml:"copies"`      // idempotent jobs may be hedged
+	MayProbe          bool    `toml:"probes"`      // health checks
+	ReportInterval    Span    `toml:"report-every"`
 
 	// The network.
 	Near             Span `toml:"near"` // one-way delay within a zone
 	Far              Span `toml:"far"`  // and between zones
-	DialLimit        Span `toml:"dial-limit"`
-	IdleLimit        Span `toml:"idle-limit"`
+	DialTimeout      Span `toml:"dial-limit"`
+	IdleTimeout      Span `toml:"idle-limit"`
 	MaxExecutorConns int  `toml:"conns"`     // that an executor accepts
 	ConnCost         Span `toml:"conn-cost"` // work of an executor for a new one
 
 	// Discovery.
-	ListLag      Span `toml:"list-lag"`
-	WeightsEvery Span `toml:"weights-every"`        // interval of updates of weights by load; 0 for weights by size
-	NoWeights    bool `toml:"no-weights,omitempty"` // all executors have the same weight
+	DiscoveryLag   Span `toml:"list-lag"`
+	WeightInterval Span `toml:"weights-every"`        // interval of updates of weights by load; 0 for weights by size
+	NoWeights      bool `toml:"no-weights,omitempty"` // all executors have the same weight
 
 	// Nodes.
-	Allocations  int     `toml:"allocations"`       // attempts of a job, at most
-	ComeBack     Span    `toml:"come-back"`         // largest retry-after; 0 for none
-	CrossPrice   float64 `toml:"cross-price"`       // cost of an attempt in another zone
-	PerWork      bool    `toml:"earnings-per-work"` // values are per second of work
-	MaxNodeConns int     `toml:"node-conns"`        // to executors
-	MaxBodyBytes int     `toml:"node-bodies"`       // bytes of bodies in memory
+	MaxAttempts   int     `toml:"allocations"`       // attempts of a job, at most
+	MaxRetryAfter Span    `toml:"come-back"`         // largest retry-after; 0 for none
+	CrossZoneCost float64 `toml:"cross-price"`       // cost of an attempt in another zone
+	ValuePerWork  bool    `toml:"earnings-per-work"` // values are per second of work
+	MaxNodeConns  int     `toml:"node-conns"`        // to executors
+	MaxBodyBytes  int     `toml:"node-bodies"`       // bytes of bodies in memory
 
 	// Messages between nodes.
-	Talk         bool    `toml:"talk,omitempty"`          // nodes gossip
-	Keepers      bool    `toml:"keepers,omitempty"`       // nodes lease executors' places to each other
-	WordsLost    float64 `toml:"words-lost,omitempty"`    // probability
-	WordsDoubled float64 `toml:"words-doubled,omitempty"` // probability
-	WordsLate    Span    `toml:"words-late,omitempty"`    // largest delay of a message, uniform
+	Gossip             bool    `toml:"talk,omitempty"`          // nodes gossip
+	Leases             bool    `toml:"keepers,omitempty"`       // nodes lease executors' places to each other
+	MessageLoss        float64 `toml:"words-lost,omitempty"`    // probability
+	MessageDuplication float64 `toml:"words-doubled,omitempty"` // probability
+	MessageDelay       Span    `toml:"words-late,omitempty"`    // largest delay of a message, uniform
 }
 
 // Load describes the clients.
 type Load struct {
-	Of            float64   `toml:"of"`    // open-loop traffic as a share of the executors' capacity; 0 for closed loops only
-	ZoneWeights   []float64 `toml:"zones"` // weights of the zones' traffic; evenly if empty
-	Loops         int       `toml:"loops"` // closed-loop clients of each zone
-	ThinkTime     Span      `toml:"think"` // of those, between two works
-	Retries       int       `toml:"retries"`
-	RetryWait     Span      `toml:"retry-wait"`
-	MaxRetryWait  Span      `toml:"retry-most,omitempty"`    // if over retry-wait, the wait doubles up to this, with jitter of up to a half
-	MarksRetries  bool      `toml:"marks-repeats,omitempty"` // clients mark retries
-	NodeSkew      float64   `toml:"node-skew,omitempty"`     // sigma of the lognormal of the shares that nodes of a zone get of its traffic
-	HeedsBack     bool      `toml:"heeds-come-back"`         // clients respect retry-after
-	Leaves        float64   `toml:"leaves"`                  // probability that a client leaves early
-	RepeatIDRate  float64   `toml:"repeats-ids"`             // probability that a client repeats a job ID that may be in use
-	HintNoise     float64   `toml:"hint-noise"`              // sigma of the hints of work; under 0 for no hints
-	Body          int       `toml:"body"`                    // bytes
-	MalformedRate float64   `toml:"bad"`                     // malformed requests a second at each node, in wired worlds
-	DeadNodeTime  Span      `toml:"dead-for"`                // the front layer sends to a dead node for so long
+	Utilization        float64   `toml:"of"`    // open-loop traffic as a share of the executors' capacity; 0 for closed loops only
+	ZoneWeights        []float64 `toml:"zones"` // weights of the zones' traffic; evenly if empty
+	Loops              int       `toml:"loops"` // closed-loop clients of each zone
+	ThinkTime          Span      `toml:"think"` // of those, between two works
+	Retries            int       `toml:"retries"`
+	RetryWait          Span      `toml:"retry-wait"`
+	MaxRetryWait       Span      `toml:"retry-most,omitempty"`    // if over retry-wait, the wait doubles up to this, with jitter of up to a half
+	MarksRetries       bool      `toml:"marks-repeats,omitempty"` // clients mark retries
+	NodeSkew           float64   `toml:"node-skew,omitempty"`     // sigma of the lognormal of the shares that nodes of a zone get of its traffic
+	RespectsRetryAfter bool      `toml:"heeds-come-back"`         // clients respect retry-after
+	LeaveRate          float64   `toml:"leaves"`                  // probability that a client leaves early
+	RepeatIDRate       float64   `toml:"repeats-ids"`             // probability that a client repeats a job ID that may be in use
+	HintNoise          float64   `toml:"hint-noise"`              // sigma of the hints of work; under 0 for no hints
+	BodyBytes          int       `toml:"body"`                    // bytes
+	MalformedRate      float64   `toml:"bad"`                     // malformed requests a second at each node, in wired worlds
+	DeadNodeTime       Span      `toml:"dead-for"`                // the front layer sends to a dead node for so long
 }
 
 // JobClass describes a job class.
@@ -138,8 +138,8 @@
 	Size  float64       `toml:"size,omitempty"`  // its meaning depends on the kind
 }
 
-// Standin is the fault as the emulator knows it.
-func (f Fault) Standin() emulator.Fault {
+// Emulated is the fault as the emulator knows it.
+func (f Fault) Emulated() emulator.Fault {
 	return emulator.Fault{Kind: f.Kind, At: time.Duration(f.At), For: time.Duration(f.For), Where: f.Where, Size: f.Size}
 }
 
@@ -149,8 +149,8 @@
 	if err := tomlfile.Decode(file, text, &s); err != nil {
 		return s, err
 	}
-	if len(s.Tracks) == 0 {
-		s.Tracks = baseClasses()
+	if len(s.Classes) == 0 {
+		s.Classes = baseClasses()
 	}
 	s.Name = strings.TrimSuffix(path.Base(file), ".toml")
 	if at, err := s.check(); err != nil {
@@ -207,9 +207,9 @@
 	return s, nil
 }
 
-// Takes are the job classes as emulated clients know them, and as nodes and the checker do.
-func (s *Scenario) Takes() (clients []emulator.Track, nodes []policy.JobClass) {
-	for _, t := range s.Tracks {
+// JobClasses are the job classes as emulated clients know them, and as nodes and the checker do.
+func (s *Scenario) JobClasses() (clients []emulator.Track, nodes []policy.JobClass) {
+	for _, t := range s.Classes {
 		class := policy.JobClass{
 			Idempotency:      idempotencyNames[t.Idempotency],
 			DedupGroup:       dedupGroupNames[t.DedupGroup],
@@ -230,7 +230,7 @@
 
 // MeanWork is the mean work of a job over all classes, in seconds on a standard core.
 func (s *Scenario) MeanWork() (mean float64) {
-	for _, class := range s.Tracks {
+	for _, class := range s.Classes {
 		mean += class.Share * time.Duration(class.Work).Seconds()
 	}
 	return mean
@@ -247,7 +247,7 @@
 		if len(s.Load.ZoneWeights) > 0 {
 			share = s.Load.ZoneWeights[i] / total
 		}
-		rates = append(rates, s.Load.Of*capacity/mean*share)
+		rates = append(rates, s.Load.Utilization*capacity/mean*share)
 	}
 	return rates
 }
@@ -276,14 +276,14 @@
 		ByPriority:   f.ByPriority,
 		StopsWork:    f.CancelsRunning,
 		KeepsWaiting: f.KeepsQueued,
-		ColdShare:    f.ColdShare,
-		WarmWithin:   time.Duration(f.WarmWithin),
-		FallMultiple: f.FallMultiple,
-		FallWindow:   time.Duration(f.FallWindow),
+		ColdShare:    f.ColdCapacity,
+		WarmWithin:   time.Duration(f.SlowStartDuration),
+		FallMultiple: f.OverloadMultiple,
+		FallWindow:   time.Duration(f.OverloadWindow),
 		MeanWork:     s.MeanWork(),
-		TellsStart:   f.TellsStart,
-		TellsEvery:   time.Duration(f.TellsEvery),
-		Reports:      f.Reports,
+		TellsStart:   f.StartNotices,
+		TellsEvery:   time.Duration(f.ProgressInterval),
+		Reports:      f.ReportsLoad,
 		ReportEvery:  time.Duration(f.ReportInterval),
 		ReportNoise:  reportNoise,
 		Conns:        f.MaxExecutorConns,
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -45,33 +45,33 @@
 		{f.Slots < 1, "fleet", "places", "at least 1"},
 		{f.QueueLimit < 0, "fleet", "queue", "not under 0"},
 		{f.Speed <= 0, "fleet", "speed", "over 0"},
-		{f.Spread < 0 || f.Spread >= 1, "fleet", "spread", "from 0 to under 1"},
+		{f.SpeedSpread < 0 || f.SpeedSpread >= 1, "fleet", "spread", "from 0 to under 1"},
 		{f.SlowShare < 0 || f.SlowShare > 1, "fleet", "slow-part", "a part, from 0 to 1"},
 		{f.SlowShare > 0 && f.SlowSpeed <= 0, "fleet", "slow-speed", "over 0 where slow-part is"},
 		{f.AttemptNoise < 0 || f.AttemptNoise > 3, "fleet", "attempt-noise", "from 0 to 3"},
-		{f.NoWeights && f.WeightsEvery > 0, "fleet", "no-weights", "false where weights-every is over 0"},
+		{f.NoWeights && f.WeightInterval > 0, "fleet", "no-weights", "false where weights-every is over 0"},
 		{f.CellSize < 1, "fleet", "cell-of", "at least 1"},
-		{f.ColdShare <= 0 || f.ColdShare > 1, "fleet", "cold-share", "over 0 and at most 1"},
-		{f.FallMultiple < 0, "fleet", "fall-multiple", "not under 0"},
-		{f.DialLimit <= 0, "fleet", "dial-limit", "over 0"},
-		{f.IdleLimit <= 0, "fleet", "idle-limit", "over 0"},
+		{f.ColdCapacity <= 0 || f.ColdCapacity > 1, "fleet", "cold-share", "over 0 and at most 1"},
+		{f.OverloadMultiple < 0, "fleet", "fall-multiple", "not under 0"},
+		{f.DialTimeout <= 0, "fleet", "dial-limit", "over 0"},
+		{f.IdleTimeout <= 0, "fleet", "idle-limit", "over 0"},
 		{f.MaxExecutorConns < 1, "fleet", "conns", "at least 1"},
 		{f.ReportInterval <= 0, "fleet", "report-every", "over 0"},
-		{f.Allocations < 1, "fleet", "allocations", "at least 1"},
+		{f.MaxAttempts < 1, "fleet", "allocations", "at least 1"},
 		{f.MaxNodeConns < 1, "fleet", "node-conns", "at least 1"},
-		{f.WordsLost < 0 || f.WordsLost > 1, "fleet", "words-lost", "a part, from 0 to 1"},
-		{f.WordsDoubled < 0 || f.WordsDoubled > 1, "fleet", "words-doubled", "a part, from 0 to 1"},
-		{l.Of < 0 || l.Of > 50, "load", "of", "from 0 to 50"},
-		{l.Of == 0 && l.Loops == 0, "load", "of", "over 0, or loops over 0: nobody would hand anything in"},
+		{f.MessageLoss < 0 || f.MessageLoss > 1, "fleet", "words-lost", "a part, from 0 to 1"},
+		{f.MessageDuplication < 0 || f.MessageDuplication > 1, "fleet", "words-doubled", "a part, from 0 to 1"},
+		{l.Utilization < 0 || l.Utilization > 50, "load", "of", "from 0 to 50"},
+		{l.Utilization == 0 && l.Loops == 0, "load", "of", "over 0, or loops over 0: nobody would hand anything in"},
 		{l.Loops < 0, "load", "loops", "not under 0"},
 		{len(l.ZoneWeights) > 0 && len(l.ZoneWeights) != len(f.Zones), "load", "zones", fmt.Sprintf("a figure for each of the %d zones", len(f.Zones))},
 		{slices.ContainsFunc(l.ZoneWeights, func(x float64) bool { return x < 0 }), "load", "zones", "not under 0"},
 		{l.Retries < 0 || l.Retries > 20, "load", "retries", "from 0 to 20"},
 		{l.NodeSkew < 0 || l.NodeSkew > 3, "load", "node-skew", "from 0 to 3"},
-		{l.Leaves < 0 || l.Leaves > 1, "load", "leaves", "a part, from 0 to 1"},
+		{l.LeaveRate < 0 || l.LeaveRate > 1, "load", "leaves", "a part, from 0 to 1"},
 		{l.RepeatIDRate < 0 || l.RepeatIDRate > 1, "load", "repeats-ids", "a part, from 0 to 1"},
 		{l.MalformedRate < 0 || l.MalformedRate > 1000, "load", "bad", "from 0 to 1000"},
-		{l.Body < 0 || l.Body > 64<<10, "load", "body", "from 0 to 65536"},
+		{l.BodyBytes < 0 || l.BodyBytes > 64<<10, "load", "body", "from 0 to 65536"},
 	} {
 		if check.wrong {
 			return tomlfile.Position{Table: check.table, Index: -1, Key: check.key}, fmt.Errorf("it must be %s", check.want)
@@ -83,7 +83,7 @@
 // checkClasses checks each job class, and that their shares come to 1.
 func (s *Scenario) checkClasses() (tomlfile.Position, error) {
 	sum := 0.0
-	for i, class := range s.Tracks {
+	for i, class := range s.Classes {
 		sum += class.Share
 		if key, err := class.check(); err != nil {
 			return tomlfile.Position{Table: "track", Index: i, Key: key}, err
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -13,7 +13,7 @@
 func Shrink(s Scenario, seed uint64, rule invariants.Rule, step func(Scenario)) Scenario {
 	return shrink(s, func(candidate Scenario) bool {
 		r := New(candidate, seed, Options{MaxViolations: 1}).Play()
-		return slices.ContainsFunc(r.Broken, func(b invariants.Broken) bool { return b.Rule == rule })
+		return slices.ContainsFunc(r.Violations, func(b invariants.Broken) bool { return b.Rule == rule })
 	}, step)
 }
 
@@ -77,7 +77,7 @@
 
 func (c *candidates) add(change func(*Scenario)) {
 	candidate := c.of
-	candidate.Faults, candidate.Tracks = slices.Clone(c.of.Faults), slices.Clone(c.of.Tracks)
+	candidate.Faults, candidate.Classes = slices.Clone(c.of.Faults), slices.Clone(c.of.Classes)
 	change(&candidate)
 	c.all = append(c.all, candidate)
 }
@@ -90,10 +90,10 @@
 	c.addFewerClasses()
 	for _, simpler := range []func(*Scenario){
 		func(s *Scenario) { s.Load.RepeatIDRate = 0 },
-		func(s *Scenario) { s.Load.Leaves = 0 },
+		func(s *Scenario) { s.Load.LeaveRate = 0 },
 		func(s *Scenario) { s.Load.Loops = 0 },
 		func(s *Scenario) { s.Load.Retries = 0 },
-		func(s *Scenario) { s.Fleet.WeightsEvery = 0 },
+		func(s *Scenario) { s.Fleet.WeightInterval = 0 },
 		func(s *Scenario) { s.Fleet.Nodes-- },
 		func(s *Scenario) { s.Fleet.Executors-- },
 	} {
@@ -130,14 +130,14 @@
 
 // addFewerClasses removes a class; the others get its share.
 func (c *candidates) addFewerClasses() {
-	if len(c.of.Tracks) == 1 {
+	if len(c.of.Classes) == 1 {
 		return
 	}
-	for i, removed := range c.of.Tracks {
+	for i, removed := range c.of.Classes {
 		c.add(func(s *Scenario) {
-			s.Tracks = slices.Delete(s.Tracks, i, i+1)
-			for j := range s.Tracks {
-				s.Tracks[j].Share /= 1 - removed.Share
+			s.Classes = slices.Delete(s.Classes, i, i+1)
+			for j := range s.Classes {
+				s.Classes[j].Share /= 1 - removed.Share
 			}
 		})
 	}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -27,7 +27,7 @@
 	waiting := 0
 	leaving := func(seed uint64, size Size) Scenario {
 		s := Draw(seed, size)
-		s.Load.Leaves, s.Load.Of = 0.5, max(1, s.Load.Of)
+		s.Load.LeaveRate, s.Load.Utilization = 0.5, max(1, s.Load.Utilization)
 		for i := range 4 {
 			s.Faults = append(s.Faults, Fault{Kind: emulator.NodeStopped, At: Span(time.Duration(1500+3000*i) * time.Millisecond),
 				For: Span(time.Duration(150+300*i) * time.Millisecond)})
@@ -39,7 +39,7 @@
 		if r.SentLate > 0 {
 			t.Errorf("seed %d: %d attempts began too long after their clients had left", seed, r.SentLate)
 		}
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 	}
@@ -101,13 +101,13 @@
 // shortened shortens a scenario to about as many jobs, without the faults that would begin later.
 func shortened(s Scenario, most float64) Scenario {
 	mean := 0.0
-	for _, t := range s.Tracks {
+	for _, t := range s.Classes {
 		mean += t.Share * time.Duration(t.Work).Seconds()
 	}
-	if s.Load.Of == 0 {
+	if s.Load.Utilization == 0 {
 		return s
 	}
-	perSecond := s.Load.Of * float64(s.Fleet.Executors*s.Fleet.Slots) * s.Fleet.Speed / mean // and retries
+	perSecond := s.Load.Utilization * float64(s.Fleet.Executors*s.Fleet.Slots) * s.Fleet.Speed / mean // and retries
 	s.Length = min(s.Length, Span(most/perSecond*float64(time.Second)))
 	s.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool { return f.At >= s.Length })
 	return s
@@ -116,11 +116,11 @@
 // checkSound fails if an invariant was violated, the policy panicked, or nothing was played.
 func checkSound(t *testing.T, r Result) {
 	t.Helper()
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		t.Errorf("%s, seed %d: %v", r.Scenario, r.Seed, b)
 	}
-	if r.Panics > 0 || r.Works() == 0 || r.Allocations == 0 {
-		t.Errorf("%s, seed %d: the module broke %d times; %d wanted, %d allocations", r.Scenario, r.Seed, r.Panics, r.Works(), r.Allocations)
+	if r.Panics > 0 || r.Works() == 0 || r.Attempts == 0 {
+		t.Errorf("%s, seed %d: the module broke %d times; %d wanted, %d allocations", r.Scenario, r.Seed, r.Panics, r.Works(), r.Attempts)
 	}
 }
 
@@ -132,7 +132,7 @@
 		last /= 3
 	}
 	Hunt(1, last, Size{Nodes: 4, Executors: 8, Length: 15 * time.Second}, 0, func(_ Scenario, r Result) bool {
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %v", r.Seed, b)
 		}
 		if r.Panics > 0 {
@@ -263,7 +263,7 @@
 		w := New(s, seed, Options{MaxViolations: 1})
 		w.defects = forgets.inject
 		r := w.Play()
-		return len(r.Broken) > 0 && r.Broken[0].Rule == forgets.rule
+		return len(r.Violations) > 0 && r.Violations[0].Rule == forgets.rule
 	}
 	s, steps := faultyScenario(nil), 0
 	small := shrink(s, breaks, func(Scenario) { steps++ })
@@ -271,7 +271,7 @@
 		t.Fatalf("what is left after %d steps breaks nothing", steps)
 	}
 	if len(small.Faults) != 1 || small.Faults[0].Kind != emulator.DrainOff || len(small.Faults[0].Where) != 1 || small.Length > s.Length/2 ||
-		small.Fleet.Nodes != 1 || len(small.Tracks) != 1 {
+		small.Fleet.Nodes != 1 || len(small.Classes) != 1 {
 		text, _ := small.Text()
 		t.Errorf("still large:\n%s", text)
 	}
--- a/internal/simulation/wired.go
+++ b/internal/simulation/wired.go
@@ -73,7 +73,7 @@
 	defer v.mu.Unlock()
 	w := v.world
 	w.build()
-	for len(w.result.Broken) < w.maxViolations && v.step() {
+	for len(w.result.Violations) < w.maxViolations && v.step() {
 	}
 	v.flush()
 	w.advanceChecker()
--- a/internal/simulation/wired_clients.go
+++ b/internal/simulation/wired_clients.go
@@ -19,7 +19,7 @@
 	from := "clients-" + w.scenario.Fleet.Zones[request.clients.zone]
 	v.setZone(from, request.clients.zone)
 	v.requests[request.job] = request
-	message := platform.Message{Job: request.job, Track: w.scenario.Tracks[work.Track].Name, Tag: w.idempotencyKey(work),
+	message := platform.Message{Job: request.job, Track: w.scenario.Classes[work.Track].Name, Tag: w.idempotencyKey(work),
 		Work: secondsOf(work.Hint), Body: w.requestBody()}
 	go func() {
 		end, retryAfter := v.call(from, p.addr, message, request)
--- a/internal/simulation/wired_executor.go
+++ b/internal/simulation/wired_executor.go
@@ -100,6 +100,6 @@
 		v.world.result.QueuedStarts++
 	}
 	if complete {
-		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(v.world.scenario.Fleet.IdleLimit)))
+		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(v.world.scenario.Fleet.IdleTimeout)))
 	}
 }
--- a/internal/simulation/wired_node.go
+++ b/internal/simulation/wired_node.go
@@ -90,13 +90,13 @@
 		LoadFields:  config.LoadFields{0, 1, 2, -1, -1},
 		Zones:       fleet.Zones,
 		Kinds:       []string{"plain"},
-		IdleTimeout: time.Duration(fleet.IdleLimit),
-		DialTimeout: time.Duration(fleet.DialLimit),
+		IdleTimeout: time.Duration(fleet.IdleTimeout),
+		DialTimeout: time.Duration(fleet.DialTimeout),
 	}
-	if !fleet.Reports {
+	if !fleet.ReportsLoad {
 		s.LoadFields = config.LoadFields{-1, -1, -1, -1, -1}
 	}
-	for _, class := range v.world.scenario.Tracks {
+	for _, class := range v.world.scenario.Classes {
 		s.JobClassNames = append(s.JobClassNames, class.Name)
 	}
 	return s
@@ -105,7 +105,7 @@
 // dial opens a connection to an executor, with the faults that new connections have now.
 func (p *nodeProcess) dial(ctx context.Context, id node.ConnID, addr string) (net.Conn, error) {
 	v, w, name := p.wired, p.wired.world, fmt.Sprint(id)
-	timeout := time.Duration(w.scenario.Fleet.DialLimit) + time.Duration(id%dialTimeoutSteps)*time.Nanosecond
+	timeout := time.Duration(w.scenario.Fleet.DialTimeout) + time.Duration(id%dialTimeoutSteps)*time.Nanosecond
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := v.net.Dial(ctx, p.host, name, addr)
--- a/internal/simulation/wired_test.go
+++ b/internal/simulation/wired_test.go
@@ -85,7 +85,7 @@
 				return
 			}
 			s := Draw(seed, Size{Nodes: 3, Executors: 6, Length: 10 * time.Second})
-			for _, b := range playWired(t, s, seed, Options{}).Broken {
+			for _, b := range playWired(t, s, seed, Options{}).Violations {
 				t.Errorf("seed %d: %v", seed, b)
 			}
 		})
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -97,7 +97,7 @@
 		workNoiseRand:  stream(seed, workNoiseStream),
 		frontLayerRand: stream(seed, frontLayerStream),
 		byAddr:         map[string]*executor{},
-		discovery:      emulator.NewDiscovery(time.Duration(s.Fleet.ListLag)),
+		discovery:      emulator.NewDiscovery(time.Duration(s.Fleet.DiscoveryLag)),
 		memories:       emulator.Memories{},
 		partitions:     make([]partition, len(s.Fleet.Zones)),
 		gossipBounds:   gossipBounds{sentAt: map[cluster.MessageID]time.Duration{}},
@@ -107,17 +107,17 @@
 	if o.Account {
 		w.account = &accountLedger{world: w, open: map[invariants.WorkID]*jobHistory{}}
 	}
-	w.classes, w.jobClasses = s.Takes()
+	w.classes, w.jobClasses = s.JobClasses()
 	w.checker = invariants.New(invariants.Settings{
 		Tracks:       w.jobClasses,
 		Slack:        slack,
 		Grace:        time.Duration(s.Fleet.DrainGrace),
 		Prompt:       prompt,
-		WarmWithin:   time.Duration(s.Fleet.WarmWithin),
-		FallMultiple: s.Fleet.FallMultiple,
-		FallWindow:   time.Duration(s.Fleet.FallWindow),
+		WarmWithin:   time.Duration(s.Fleet.SlowStartDuration),
+		FallMultiple: s.Fleet.OverloadMultiple,
+		FallWindow:   time.Duration(s.Fleet.OverloadWindow),
 		MeanWork:     s.MeanWork(),
-		Copies:       s.Fleet.Copies,
+		Copies:       s.Fleet.MayHedge,
 	})
 	return w
 }
@@ -131,7 +131,7 @@
 func (w *World) Play() Result {
 	w.build()
 	length, end := time.Duration(w.scenario.Length), w.lastDeadline()
-	for len(w.events) > 0 && len(w.result.Broken) < w.maxViolations {
+	for len(w.events) > 0 && len(w.result.Violations) < w.maxViolations {
 		event := w.events.pop()
 		if event.at > end || w.openWorks == 0 && event.at > length+settleTime {
 			break
@@ -175,7 +175,7 @@
 	if w.account != nil {
 		w.account.init()
 	}
-	if every := time.Duration(w.scenario.Fleet.WeightsEvery); every > 0 {
+	if every := time.Duration(w.scenario.Fleet.WeightInterval); every > 0 {
 		w.after(every, w.updateWeights)
 	}
 	w.buildClients()
@@ -183,7 +183,7 @@
 		w.wired.startMalformedClients()
 	}
 	for _, fault := range w.scenario.Faults {
-		w.scheduleFault(fault.Standin())
+		w.scheduleFault(fault.Emulated())
 	}
 }
 
@@ -191,13 +191,13 @@
 	fleet := &w.scenario.Fleet
 	speeds := stream(w.seed, speedStream)
 	for i := range fleet.Executors {
-		w.addExecutor(fmt.Sprint("e", i), i, fleet.Speed*(1+fleet.Spread*(2*speeds.Float64()-1)))
+		w.addExecutor(fmt.Sprint("e", i), i, fleet.Speed*(1+fleet.SpeedSpread*(2*speeds.Float64()-1)))
 	}
 	for i, x := range w.executors {
 		if w.defects.executor != nil {
 			w.defects.executor(x.Executor)
 		}
-		w.discovery.Change(-time.Duration(fleet.ListLag)-time.Hour+time.Duration(i), x.entry(policy.Available))
+		w.discovery.Change(-time.Duration(fleet.DiscoveryLag)-time.Hour+time.Duration(i), x.entry(policy.Available))
 		if w.wired != nil {
 			w.wired.startExecutor(x)
 		}
