--- a/internal/scaletest/bounds.go
+++ b/internal/scaletest/bounds.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bounds of a run on one machine. What goes over them is refused by name before anything is started.
+// Bounds of a run on one machine. A run that exceeds one is refused, with its name, before anything starts.
 const (
 	MostExecutors      = 6400
 	MostNodes          = 300
@@ -22,7 +22,7 @@
 	mostPriorityLevels = 64
 )
 
-// What a hollow executor, a hollow node and a batch job in hand take at the most, by measurement and rounded up.
+// Estimates for the memory of a hollow executor, a hollow node and a batch job in flight, in bytes, and descriptors that stay unused.
 const (
 	executorMemory = 64 << 10
 	memberMemory   = 4 << 20
@@ -30,29 +30,7 @@
 	reservedFiles  = 256
 )
 
-// Sweep is what is varied, one dimension at a time from a base.
-type Sweep struct {
-	Executors []int // in all; for one node alone and for one of Nine
-	Of        []int // nodes that the real one counts itself among
-	Nodes     []int // that talk, real and hollow
-	Real      int   // of them, at the most
-	Rungs     []int // figures in a message between nodes
-	Rates     []int // starts a second
-	Running   []int // tasks at a time
-	Held      []int // executors, with more long tasks than there are tokens for
-	Tenants   []int // with the module alone
-	Rounds    int
-
-	BaseExecutors int // where another dimension is varied
-	BaseNodes     int // that talk, where rungs are
-	BaseRate      int
-	Work          time.Duration
-	Span          time.Duration // that each point is watched idle, and under load
-	Sockets       int           // a real node's limit
-	Against       bool          // each point with another build as well, in turn
-}
-
-// Check refuses what goes over a bound, by its name.
+// Check returns an error that names the bound that the run exceeds.
 func (s Sweep) Check() error {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
@@ -96,7 +74,7 @@
 	return nil
 }
 
-// checkMachine says over which bound of the machine a point goes.
+// checkMachine returns an error that names the bound of the machine that a point exceeds.
 func (s Sweep) checkMachine(pt Point, files int) error {
 	if pt.ModuleOnly {
 		return nil
@@ -131,7 +109,7 @@
 	return nil
 }
 
-// totalSlots is how many tasks so many executors run at once.
+// totalSlots returns how many tasks so many executors run at a time.
 func totalSlots(executors int) (n int) {
 	for i := range executors {
 		n += slots(i)
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Fit is a straight line through a figure's measurements in one series, by least squares.
+// Fit is a least-squares line through the measurements of a figure in a series.
 type Fit struct {
 	Series    string  `json:"Series"`
 	Figure    string  `json:"Figure"`
@@ -16,13 +16,13 @@
 	Slope     float64 `json:"Slope"`
 	Spread    float64 `json:"Spread"` // standard error of the slope
 	Residual  float64 `json:"Off"`    // standard deviation of the measurements from the line
-	From      float64 `json:"From"`   // the smallest X and
-	To        float64 `json:"To"`     // the largest
-	Count     int     `json:"N"`
-	Flat      bool    `json:"Flat"` // the slope is within twice its spread of none
+	From      float64 `json:"From"`   // smallest X
+	To        float64 `json:"To"`     // largest X
+	Count     int     `json:"N"`      // measurements
+	Flat      bool    `json:"Flat"`   // the slope is within twice its spread of zero
 }
 
-// Fits fits each figure of each series that has measurements at two places at least.
+// Fits fits each figure of each series that has at least three measurements, at two values of X or more.
 func Fits(rows []Row) (fits []Fit) {
 	points := map[[2]string][][2]float64{}
 	for _, r := range rows {
@@ -70,6 +70,7 @@
 	return f, true
 }
 
+// String returns the line and its errors as people read them.
 func (f Fit) String() string {
 	flat := ""
 	if f.Flat {
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow_process.go
@@ -17,76 +17,7 @@
 	"birchstair/policy"
 )
 
-// A hollow process holds many executors, or many nodes without batch jobs. It is told what to hold by one line of JSON, answers with one, and then answers
-// each line with its counts, until its input ends.
-
-// hollowJob is what a hollow process is to hold.
-type hollowJob struct {
-	Host      string           `json:"Host"` // the address that its executors listen on
-	Executors []hollowExecutor `json:"Executors"`
-	Work      time.Duration    `json:"Work"` // that each task takes
-	Nodes     []hollowNode     `json:"Nodes"`
-	Fleet     hollowFleet      `json:"Fleet"`
-	Module    *moduleJob       `json:"Module"` // if it is there: play the module alone, answer with its figures, and end
-}
-
-type hollowExecutor struct {
-	ID    policy.ExecutorID `json:"ID"`
-	Slots int               `json:"Places"`
-}
-
-// hollowReady is its first answer.
-type hollowReady struct {
-	Addrs []string `json:"Addrs"` // of the executors, in order
-	Error string   `json:"Wrong"`
-}
-
-// Counts are what a hollow process has seen since it began.
-type Counts struct {
-	Ran    int64 `json:"Ran"`    // tasks begun
-	Opened int64 `json:"Opened"` // connections
-	In     int64 `json:"In"`     // bytes that came
-	Out    int64 `json:"Out"`
-	Over   int   `json:"Over"` // executors that have run more tasks at once than they have places
-
-	Fleet fleetCounts `json:"Fleet"`
-}
-
-// traffic counts what passes a listener's connections.
-type traffic struct{ opened, in, out atomic.Int64 }
-
-type countedListener struct {
-	net.Listener
-	t *traffic
-}
-
-type countedConn struct {
-	net.Conn
-	t *traffic
-}
-
-func (l countedListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	l.t.opened.Add(1)
-	return countedConn{c, l.t}, nil
-}
-
-func (c countedConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.t.in.Add(int64(n))
-	return n, err
-}
-
-func (c countedConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.t.out.Add(int64(n))
-	return n, err
-}
-
-// Hollow is the main function of a hollow process.
+// Hollow is the main function of a hollow process. It serves until in ends.
 func Hollow(in io.Reader, out io.Writer) error {
 	lines, answers := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	var job hollowJob
@@ -121,9 +52,9 @@
 		return errors.Join(err, errors.New(ready.Error))
 	}
 	for {
-		var about policy.ExecutorID // whose drain is asked for
+		var about policy.ExecutorID // the executor whose drain is of interest
 		if err := lines.Decode(&about); err != nil {
-			return nil // whoever started it has ended
+			return nil // the measurement has ended
 		}
 		c := Counts{Ran: ran.Load(), Opened: t.opened.Load(), In: t.in.Load(), Out: t.out.Load(), Fleet: members.counts(about)}
 		for _, x := range executors {
@@ -137,7 +68,7 @@
 	}
 }
 
-// hollowProcess is a hollow process from its starter's side.
+// hollowProcess is a hollow process, from the side of the measurement.
 type hollowProcess struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
@@ -145,6 +76,7 @@
 	Addrs []string
 }
 
+// startHollow starts a process for a job that has executors or nodes, and waits until it is ready.
 func startHollow(command []string, job hollowJob) (*hollowProcess, error) {
 	h := &hollowProcess{}
 	var ready hollowReady
@@ -158,12 +90,12 @@
 	return h, nil
 }
 
-// start starts the process and reads its first answer.
+// start starts the process, sends its job and reads the first answer.
 func (h *hollowProcess) start(command []string, job hollowJob, answer any) error {
 	h.cmd = exec.Command(command[0], command[1:]...)
 	h.cmd.Stderr = os.Stderr
 	h.cmd.Env = append(os.Environ(), HollowEnv+"=1")
-	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the run
+	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive this process
 	out, err := h.cmd.StdoutPipe()
 	if err != nil {
 		return err
@@ -181,7 +113,7 @@
 	return nil
 }
 
-// counts asks for the counts, and who holds that executor as draining.
+// counts reads the counts, and how many hollow nodes know that an executor drains; an empty id for none.
 func (h *hollowProcess) counts(about policy.ExecutorID) (c Counts, err error) {
 	if err := json.NewEncoder(h.in).Encode(about); err != nil {
 		return c, err
@@ -189,10 +121,10 @@
 	return c, h.out.Decode(&c)
 }
 
-// stop ends the process by the end of its input, or kills it after a while, and returns how it ended.
+// stop ends the process by closing its input, or kills it after a while, and returns how it ended.
 func (h *hollowProcess) stop() error {
 	closed := h.in.Close()
-	late := time.AfterFunc(5*time.Second, func() { h.cmd.Process.Kill() })
-	defer late.Stop()
+	timeout := time.AfterFunc(5*time.Second, func() { h.cmd.Process.Kill() })
+	defer timeout.Stop()
 	return errors.Join(closed, h.cmd.Wait())
 }
--- a/internal/scaletest/load.go
+++ b/internal/scaletest/load.go
@@ -13,12 +13,12 @@
 	"birchstair/policy"
 )
 
-// loadGenerator hands batch jobs in by schedule: each at its time, whether or not earlier ones have been answered, dealt out among the nodes in turn.
+// loadGenerator submits batch jobs by a schedule, each at its time whether or not earlier ones have been answered, to the nodes in turn.
 type loadGenerator struct {
 	nodes     []*realNode
 	rate      float64
 	classes   []class
-	submitted int // handed in by now
+	submitted int // so far
 	requests  sync.WaitGroup
 
 	mu        sync.Mutex
@@ -26,25 +26,25 @@
 	outcome
 }
 
-// outcome is what came of a load.
+// outcome is the outcome of a load.
 type outcome struct {
 	answered   int
 	succeeded  int
 	delayed    int // handed in over lateBy after they were due
 	violations []string
-	latencies  []time.Duration // from when each was due to its answer
+	latencies  []time.Duration // of each answer, from the time when the batch job was due
 }
 
 const (
 	delayTolerance = 20 * time.Millisecond
-	clientTimeout  = 20 * time.Second // that clients wait
+	clientTimeout  = 20 * time.Second // for an answer
 )
 
 func newLoad(nodes []*realNode, pt Point) *loadGenerator {
 	return &loadGenerator{nodes: nodes, rate: pt.Rate, classes: classes(pt.PriorityLevels), idleConns: map[*realNode][]net.Conn{}}
 }
 
-// snapshot gives what has come of it so far, and forgets how long answers took.
+// snapshot returns the outcome so far, and forgets the latencies.
 func (l *loadGenerator) snapshot() outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,7 +52,7 @@
 	return l.outcome
 }
 
-// run hands in for so long, and says how many were due.
+// run submits batch jobs for a time, and returns how many.
 func (l *loadGenerator) run(name string, length time.Duration) (due int) {
 	began := time.Now()
 	for at := began; at.Sub(began) < length; at = began.Add(time.Duration(float64(due) / l.rate * 1e9)) {
@@ -78,13 +78,13 @@
 }
 
 func (l *loadGenerator) submit(p *realNode, class, id string, at time.Time) {
-	late := time.Since(at) > delayTolerance
+	delayed := time.Since(at) > delayTolerance
 	f, err := l.send(p, class, id)
 	took := time.Since(at)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.latencies = append(l.latencies, took)
-	if late {
+	if delayed {
 		l.delayed++
 	}
 	switch {
@@ -115,7 +115,7 @@
 		if err != nil {
 			c.Close()
 			if reused {
-				continue // it was closed while it rested: once more on another
+				continue // the node closed the idle connection: try another one
 			}
 			return platform.Final{}, err
 		}
@@ -131,7 +131,7 @@
 	}
 }
 
-// connect takes a connection that rests, or dials.
+// connect returns an idle connection, or dials one.
 func (l *loadGenerator) connect(p *realNode) (c net.Conn, reused bool, err error) {
 	l.mu.Lock()
 	if n := len(l.idleConns[p]); n > 0 {
@@ -145,7 +145,7 @@
 	return c, false, err
 }
 
-// percentile is the time that such a part of the answers came within.
+// percentile returns the time within which such a share of the answers came.
 func (l *loadGenerator) percentile(part float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -15,24 +15,24 @@
 	"birchstair/policy"
 )
 
-// hollowNode is a member of the fleet without batch jobs.
+// hollowNode describes a member of the fleet without batch jobs.
 type hollowNode struct {
 	Name   string `json:"Name"`
 	Number int    `json:"Number"`
 	Listen string `json:"Listen"`
 }
 
-// hollowFleet is what all hollow nodes are told.
+// hollowFleet is what all hollow nodes have in common.
 type hollowFleet struct {
 	Seeds          []string `json:"Seeds"`
-	Real           []string `json:"Real"`  // addresses of the real nodes: the traffic with them counts
-	PriorityLevels int      `json:"Rungs"` // of earnings for the work that their words have figures of
+	Real           []string `json:"Real"`  // addresses of real nodes: traffic with them counts
+	PriorityLevels int      `json:"Rungs"` // in gossip messages
 }
 
-// fleetCounts are what the hollow nodes know and have sent to real nodes and got from them.
+// fleetCounts are what the hollow nodes know, and their traffic with real nodes.
 type fleetCounts struct {
-	LeastAlive int   `json:"Fewest"` // nodes that one of them knows to be alive, itself too, at the least
-	Drains     int   `json:"Drains"` // of them, how many hold the executor asked about as draining
+	LeastAlive int   `json:"Fewest"` // nodes that each of them at least knows to be alive, itself included
+	Drains     int   `json:"Drains"` // hollow nodes that know that the executor of interest drains
 	PacketsIn  int64 `json:"PacketsIn"`
 	PacketsOut int64 `json:"PacketsOut"`
 	Streams    int64 `json:"Streams"`
@@ -40,7 +40,7 @@
 	BytesOut   int64 `json:"BytesOut"`
 }
 
-// member is a hollow node: the real edge and the real decider, as the reducer joins them, and figures that are made up.
+// member is a hollow node: the real gossip edge and the real fleet logic, with invented load figures.
 type member struct {
 	mu    sync.Mutex
 	fleet *cluster.Fleet
@@ -49,6 +49,7 @@
 	alive int
 }
 
+// hollowMembers are the hollow nodes of a process.
 type hollowMembers struct {
 	all     []*member
 	traffic gossip.Traffic
@@ -56,9 +57,10 @@
 	wait    sync.WaitGroup
 }
 
-// joinInterval lies between the joins of two hollow nodes.
+// joinInterval is the time between the joins of two hollow nodes.
 const joinInterval = 20 * time.Millisecond
 
+// startMembers starts the hollow nodes of a job. The result must be stopped even after an error.
 func startMembers(job hollowJob) (*hollowMembers, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h := &hollowMembers{cancel: cancel}
@@ -83,7 +85,7 @@
 		m.edge = gossip.New(o, m.handle, zerolog.Nop())
 		h.all = append(h.all, m)
 		h.wait.Go(func() {
-			select { // one after another, as nodes of a rollout come: all at once they would take each other for dead
+			select { // one after another, as in a rollout: if all join at once, they take each other for dead
 			case <-ctx.Done():
 			case <-time.After(time.Duration(i) * joinInterval):
 				m.edge.Run(ctx)
@@ -108,8 +110,8 @@
 	}
 }
 
-// gossip sends the node's words at their times.
-func (m *member) gossip(ctx context.Context, every time.Duration, rungs int) {
+// gossip sends the gossip messages of the node, until ctx ends.
+func (m *member) gossip(ctx context.Context, every time.Duration, levels int) {
 	ticks := time.NewTicker(every)
 	defer ticks.Stop()
 	for {
@@ -119,22 +121,22 @@
 		case <-ticks.C:
 		}
 		var t policy.LoadSummary
-		for i := range min(rungs, policy.PriorityLevels) {
+		for i := range min(levels, policy.PriorityLevels) {
 			t.Offered[i] = math.Pi / float64(i+1)
 		}
 		t.Admitted, t.Completed, t.Capacity = 4, 3, 10
 		m.mu.Lock()
 		now := time.Since(m.epoch)
 		m.fleet.ExpireDrains(now, true)
-		words, _ := m.fleet.Tick(now, t)
+		messages, _ := m.fleet.Tick(now, t)
 		m.mu.Unlock()
-		for _, w := range words {
-			m.edge.SendGossip(w)
+		for _, message := range messages {
+			m.edge.SendGossip(message)
 		}
 	}
 }
 
-// counts gives what is known; about: the executor whose drain is asked for, with none of its starts known.
+// counts returns the counts. About is the executor whose drain is of interest, with no known start; empty for none.
 func (h *hollowMembers) counts(about policy.ExecutorID) (c fleetCounts) {
 	for i, m := range h.all {
 		m.mu.Lock()
--- a/internal/scaletest/module.go
+++ b/internal/scaletest/module_only.go
@@ -11,45 +11,58 @@
 	"birchstair/policy"
 )
 
-// moduleJob plays the decision module alone on a virtual clock, as the reducer calls it: no sockets, no kernel, and tenants, which the platform's protocol has no
-// header for. Batch jobs come at a steady rate and take a fixed time.
+// moduleJob runs the policy alone on a virtual clock, as the reducer calls it: without sockets, and with tenants, which the platform's
+// protocol has no header for. Batch jobs arrive at a constant rate and take a fixed time.
 type moduleJob struct {
 	Executors int           `json:"Executors"`
 	FleetSize int           `json:"Of"`
 	Tenants   int           `json:"Tenants"`
 	Rate      float64       `json:"Rate"`
 	Work      time.Duration `json:"Work"`
-	MaxCPU    time.Duration `json:"Most"`   // of CPU
-	Skip      int           `json:"Skip"`   // starts that are not counted, the first ones
-	Starts    int           `json:"Starts"` // after them, at the most
+	MaxCPU    time.Duration `json:"Most"`   // CPU time of the starts that count, at most
+	Skip      int           `json:"Skip"`   // first starts, which do not count
+	Starts    int           `json:"Starts"` // starts that count, at most
 }
 
+// moduleFigures is the result of a moduleJob.
 type moduleFigures struct {
 	Starts         int     `json:"Starts"`
-	MicrosPerStart float64 `json:"PerUs"` // microseconds of CPU a start
-	Heap           int64   `json:"Heap"`  // bytes that its state holds
+	MicrosPerStart float64 `json:"PerUs"` // CPU time per start, in microseconds
+	Heap           int64   `json:"Heap"`  // bytes of the state
 	Succeeded      int     `json:"Handled"`
-	InFlight       int     `json:"Out"`  // allocations at the end
-	Queued         int     `json:"Held"` // batch jobs that waited then
+	InFlight       int     `json:"Out"`  // attempts in flight at the end
+	Queued         int     `json:"Held"` // batch jobs queued at the end
 	Error          string  `json:"Wrong"`
 }
 
+// moduleAttempt identifies an attempt.
 type moduleAttempt struct {
 	id     policy.JobID
 	number policy.AttemptID
 }
 
+// moduleEnd is when an attempt ends.
 type moduleEnd struct {
 	at time.Duration
 	moduleAttempt
 }
 
+// moduleEndHeap orders ends by time. It implements heap.Interface.
 type moduleEndHeap []moduleEnd
 
-func (e moduleEndHeap) Len() int           { return len(e) }
+// Len implements sort.Interface.
+func (e moduleEndHeap) Len() int { return len(e) }
+
+// Less implements sort.Interface.
 func (e moduleEndHeap) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e moduleEndHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *moduleEndHeap) Push(x any)        { *e = append(*e, x.(moduleEnd)) }
+
+// Swap implements sort.Interface.
+func (e moduleEndHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+
+// Push implements heap.Interface.
+func (e *moduleEndHeap) Push(x any) { *e = append(*e, x.(moduleEnd)) }
+
+// Pop implements heap.Interface.
 func (e *moduleEndHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
@@ -69,7 +82,7 @@
 	return s
 }
 
-// modulePlayer is the module and what surrounds it.
+// modulePlayer is the policy and its surroundings.
 type modulePlayer struct {
 	job        *moduleJob
 	dispatcher *policy.Dispatcher
@@ -78,23 +91,54 @@
 	sent       map[policy.JobID]policy.AttemptID
 	inFlight   map[moduleAttempt]policy.ExecutorID
 	running    map[policy.ExecutorID]int
+	arrivals   int
 	starts     int
 	succeeded  int
 	rejected   int
-	wakeAt     time.Duration // when the module wants to be asked again
+	wakeAt     time.Duration // when the policy has something due
 }
 
+// play runs the policy until enough starts are counted or the CPU time is used up.
 func (m *moduleJob) play() (f moduleFigures) {
 	before := heapNow()
-	p := &modulePlayer{job: m, dispatcher: policy.New(m.settings()), sent: map[policy.JobID]policy.AttemptID{}, running: map[policy.ExecutorID]int{}, inFlight: map[moduleAttempt]policy.ExecutorID{}}
+	p := newModulePlayer(m)
+	p.publishExecutors()
+	p.runDue()
+	first, began, err := p.run()
+	end, cpuErr := cpu(os.Getpid())
+	if err = errors.Join(err, cpuErr); err != nil {
+		return moduleFigures{Error: err.Error()}
+	}
+	f.Starts, f.Succeeded, f.InFlight = p.starts-first, p.succeeded, len(p.inFlight)
+	f.Queued = p.arrivals - p.succeeded - p.rejected - f.InFlight
+	f.MicrosPerStart = float64((end - began).Nanoseconds()) / 1e3 / float64(max(1, f.Starts))
+	f.Heap = heapNow() - before
+	runtime.KeepAlive(p)
+	return f
+}
+
+func newModulePlayer(m *moduleJob) *modulePlayer {
+	return &modulePlayer{
+		job:        m,
+		dispatcher: policy.New(m.settings()),
+		sent:       map[policy.JobID]policy.AttemptID{},
+		running:    map[policy.ExecutorID]int{},
+		inFlight:   map[moduleAttempt]policy.ExecutorID{},
+	}
+}
+
+func (p *modulePlayer) publishExecutors() {
 	var entries []policy.Endpoint
-	for i := range m.Executors {
+	for i := range p.job.Executors {
 		entries = append(entries, policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % 4), Cell: policy.CellID(i / 40), Weight: float64(slots(i)), StartedLongAgo: true})
 	}
 	p.dispatcher.UpdateEndpoints(0, policy.CompleteUpdate, entries)
-	p.runDue()
-	arrivals, began, err := 0, time.Duration(0), error(nil)
-	first := -1
+}
+
+// run plays the virtual clock. It returns the number of the first start that counts, and the CPU time then.
+func (p *modulePlayer) run() (first int, began time.Duration, err error) {
+	m := p.job
+	first = -1
 	for err == nil {
 		if first < 0 && p.starts >= m.Skip {
 			first = p.starts
@@ -103,46 +147,48 @@
 		if p.starts >= m.Skip+m.Starts {
 			break
 		}
-		if first >= 0 && p.starts%16 == 0 {
-			at, e := cpu(os.Getpid())
-			if err = e; at-began > m.MaxCPU {
+		if first >= 0 && p.starts%cpuCheckInterval == 0 {
+			now, cpuErr := cpu(os.Getpid())
+			if err = cpuErr; now-began > m.MaxCPU {
 				break
 			}
 		}
-		arrives := time.Duration(float64(arrivals) / m.Rate * 1e9)
-		p.now = min(arrives, p.wakeAt)
-		if len(p.ends) > 0 {
-			p.now = min(p.now, p.ends[0].at)
-		}
-		switch {
-		case len(p.ends) > 0 && p.ends[0].at == p.now:
-			e := heap.Pop(&p.ends).(moduleEnd)
-			p.endAttempt(e.id, e.number, policy.Succeeded)
-		case arrives == p.now:
-			tenant := policy.TenantID(-1)
-			if m.Tenants > 0 {
-				tenant = policy.TenantID(arrivals % m.Tenants)
-			}
-			p.dispatcher.JobArrived(p.now, policy.Arrival{Job: policy.JobID(fmt.Sprint("j", arrivals)), Tenant: tenant, Work: m.Work, Budget: m.budget()})
-			arrivals++
-		}
-		p.runDue()
-		if arrivals > 20*(m.Skip+m.Starts) {
-			err = fmt.Errorf("the module starts nothing: %d starts, %d arrivals, now %v next %v ends %d handled %d", p.starts, arrivals, p.now, p.wakeAt, len(p.ends), p.succeeded)
+		p.step()
+		if p.arrivals > 20*(m.Skip+m.Starts) {
+			err = fmt.Errorf("the module starts nothing: %d starts, %d arrivals, now %v next %v ends %d handled %d",
+				p.starts, p.arrivals, p.now, p.wakeAt, len(p.ends), p.succeeded)
 		}
 	}
-	end, e := cpu(os.Getpid())
-	if err = errors.Join(err, e); err != nil {
-		return moduleFigures{Error: err.Error()}
+	return first, began, err
+}
+
+// cpuCheckInterval is how many starts lie between two readings of the CPU time.
+const cpuCheckInterval = 16
+
+// step advances the clock to the next event: the end of an attempt, an arrival, or the time at which the policy has something due.
+func (p *modulePlayer) step() {
+	m := p.job
+	arrives := time.Duration(float64(p.arrivals) / m.Rate * 1e9)
+	p.now = min(arrives, p.wakeAt)
+	if len(p.ends) > 0 {
+		p.now = min(p.now, p.ends[0].at)
 	}
-	f.Starts, f.Succeeded, f.InFlight = p.starts-first, p.succeeded, len(p.inFlight)
-	f.Queued = arrivals - p.succeeded - p.rejected - f.InFlight
-	f.MicrosPerStart = float64((end - began).Nanoseconds()) / 1e3 / float64(max(1, f.Starts))
-	f.Heap = heapNow() - before
-	runtime.KeepAlive(p)
-	return f
+	switch {
+	case len(p.ends) > 0 && p.ends[0].at == p.now:
+		e := heap.Pop(&p.ends).(moduleEnd)
+		p.endAttempt(e.id, e.number, policy.Succeeded)
+	case arrives == p.now:
+		tenant := policy.TenantID(-1)
+		if m.Tenants > 0 {
+			tenant = policy.TenantID(p.arrivals % m.Tenants)
+		}
+		p.dispatcher.JobArrived(p.now, policy.Arrival{Job: policy.JobID(fmt.Sprint("j", p.arrivals)), Tenant: tenant, Work: m.Work, Budget: m.budget()})
+		p.arrivals++
+	}
+	p.runDue()
 }
 
+// heapNow returns the bytes of live objects on the heap.
 func heapNow() int64 {
 	runtime.GC()
 	var s runtime.MemStats
@@ -150,7 +196,7 @@
 	return int64(s.HeapAlloc)
 }
 
-// runDue does what the module has due, as the reducer does.
+// runDue carries out what the policy has due, as the reducer does.
 func (p *modulePlayer) runDue() {
 	for {
 		switch due := p.dispatcher.NextTask(p.now); due.Task {
@@ -165,6 +211,7 @@
 	}
 }
 
+// apply carries out a decision.
 func (p *modulePlayer) apply(id policy.JobID, what policy.Decision) {
 	if what.Action == policy.Reject || what.Action == policy.Fail {
 		p.rejected++
@@ -182,7 +229,7 @@
 	p.dispatcher.AttemptStarted(p.now, id, n)
 }
 
-// endAttempt ends an allocation, unless it has ended before.
+// endAttempt ends an attempt, unless it has ended before.
 func (p *modulePlayer) endAttempt(id policy.JobID, n policy.AttemptID, how policy.Outcome) {
 	out := moduleAttempt{id, n}
 	on, is := p.inFlight[out]
--- a/internal/scaletest/proc.go
+++ b/internal/scaletest/real_node.go
@@ -13,27 +13,26 @@
 	"strings"
 	"syscall"
 	"time"
-	"unsafe"
 
 	"birchstair/internal/admin"
 	"birchstair/internal/node"
 )
 
-// realNode is a real node.
+// realNode is a real node and its process.
 type realNode struct {
 	name          string
 	number        int
 	dir           string
 	clientAddress string
 	adminAddress  string
-	gossipAddress string // empty: it does not talk
+	gossipAddress string // empty if it does not gossip
 	log           *os.File
 	cmd           *exec.Cmd
 	ended         chan error
-	valueScale    float64 // what each class earns, times this
+	valueScale    float64 // multiplies the value of each class
 }
 
-// writeConfig writes the node's configuration, whole or not at all.
+// writeConfig replaces the node's configuration in one step.
 func (p *realNode) writeConfig(pt Point, discovery string) error {
 	var tracks []map[string]any
 	for _, c := range classes(pt.PriorityLevels) {
@@ -57,7 +56,7 @@
 	return os.Rename(next, filepath.Join(p.dir, "config.json"))
 }
 
-// writeSite writes the operator's file of a node that talks.
+// writeSite writes the operator's file, if the node gossips.
 func (p *realNode) writeSite(seeds []string) error {
 	if p.gossipAddress == "" {
 		return nil
@@ -66,9 +65,10 @@
 	return os.WriteFile(filepath.Join(p.dir, "site.toml"), []byte(text), 0o600)
 }
 
-// reload makes the process read its configuration again.
+// reload makes the process reload its configuration.
 func (p *realNode) reload() error { return p.cmd.Process.Signal(syscall.SIGHUP) }
 
+// start starts a build of the program.
 func (p *realNode) start(binary string) error {
 	args := []string{"serve"}
 	if p.gossipAddress != "" {
@@ -77,7 +77,7 @@
 	p.cmd = exec.Command(binary, args...)
 	p.cmd.Dir = p.dir
 	p.cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + p.dir, "ROUTER_CONFIG=" + filepath.Join(p.dir, "config.json")}
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the run
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive this process
 	var err error
 	if p.log, err = os.Create(filepath.Join(p.dir, "log")); err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// shutDown ends the process as a planned end does.
+// shutDown shuts the process down gracefully, or kills it after a while.
 func (p *realNode) shutDown() (err error) {
 	if p.ended == nil {
 		return nil
@@ -117,70 +117,32 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// metrics are the figures that the node shows at its door.
+// metrics reads the node's metrics at its admin door.
 func (p *realNode) metrics() (map[string]int, error) {
 	lines, err := admin.Call(p.adminAddress, node.ReadMetrics, "", 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	vars := map[string]int{}
+	metrics := map[string]int{}
 	for _, line := range lines {
 		name, text, _ := strings.Cut(line, "=")
-		if vars[name], err = strconv.Atoi(text); err != nil {
+		if metrics[name], err = strconv.Atoi(text); err != nil {
 			return nil, fmt.Errorf("the figure %q: %w", line, err)
 		}
 	}
-	return vars, nil
+	return metrics, nil
 }
 
-// hasMetric says whether the node shows that figure at its door.
+// hasMetric reports whether a metric of the node has a value.
 func (p *realNode) hasMetric(name string, x int) bool {
-	vars, err := p.metrics()
-	return err == nil && vars[name] == x
+	metrics, err := p.metrics()
+	return err == nil && metrics[name] == x
 }
 
-// knowsAll says whether the node knows so many to be alive.
+// knowsAll reports whether the node counts so many nodes as alive.
 func (p *realNode) knowsAll(nodes int) bool {
 	lines, err := admin.Call(p.adminAddress, node.ReadFleet, "", 5*time.Second)
 	return err == nil && slices.ContainsFunc(lines, func(line string) bool {
 		return strings.HasPrefix(line, "node=") && strings.Contains(line, fmt.Sprintf(" alive=%d ", nodes))
 	})
 }
-
-// cpu is the CPU time that a process has taken, user and system, by the kernel's clock of it.
-func cpu(pid int) (time.Duration, error) {
-	const sched = 2 // see clock_getcpuclockid(3): the clock's id is made of the process's
-	var at syscall.Timespec
-	if _, _, no := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, uintptr(^pid<<3|sched), uintptr(unsafe.Pointer(&at)), 0); no != 0 {
-		return 0, fmt.Errorf("the CPU time of process %d: %w", pid, no)
-	}
-	return time.Duration(at.Nano()), nil
-}
-
-// memory is what a process has in memory now, and had at the most, in bytes.
-func memory(pid int) (now, most int64, err error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if err != nil {
-		return 0, 0, err
-	}
-	for _, line := range strings.Split(string(text), "\n") {
-		f := strings.Fields(line)
-		if len(f) < 2 {
-			continue
-		}
-		kb, _ := strconv.ParseInt(f[1], 10, 64)
-		switch f[0] {
-		case "VmRSS:":
-			now = kb << 10
-		case "VmHWM:":
-			most = kb << 10
-		}
-	}
-	return now, most, nil
-}
-
-// descriptors is how many a process has open.
-func descriptors(pid int) (int, error) {
-	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	return len(entries), err
-}
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -45,8 +45,8 @@
 	return Options{Binary: binary, Hollow: []string{self}, Dir: t.TempDir(), Settle: 200 * time.Millisecond, Starts: 200, Burst: 100 * time.Millisecond}
 }
 
-// The run's smallest form: real nodes among hollow executors and hollow nodes. Each batch job is answered once and counted once at both ends, all executors are
-// seen, and each change is in force at all nodes, real and hollow, or the row says what was wrong.
+// TestSmallest runs the smallest sweep. Each batch job is answered once and counted once at both ends, all executors are known, and each change
+// is in force at all nodes, or the row says what is wrong.
 func TestSmallest(t *testing.T) {
 	rows := map[string]Row{}
 	if err := smallest().Run(options(t), func(r Row) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A point that can't be run says why, and the others go on.
+// TestNotRun checks that a point that cannot be run says why, and that the others run.
 func TestNotRun(t *testing.T) {
 	o := options(t)
 	o.Binary = filepath.Join(o.Dir, "nothing")
@@ -97,8 +97,8 @@
 	}
 }
 
-// With another build each point of processes is measured with both, side by side, and either is first in turn; each is the build that
-// its row says.
+// TestAgainst checks that with another build each point of processes is measured with both, side by side and either first in turn, and that
+// each row is of the build that it says.
 func TestAgainst(t *testing.T) {
 	s := smallest()
 	s.Against = true
@@ -131,7 +131,7 @@
 	}
 }
 
-// What goes over the machine's bounds is refused by the bound's name before anything is started.
+// TestBounds checks that a sweep that exceeds a bound is refused with its name.
 func TestBounds(t *testing.T) {
 	const files = 20000
 	if err := smallest().check(files); err != nil {
@@ -183,7 +183,7 @@
 	}
 }
 
-// worldOf sets a point up. When the test ends it is taken down, and nothing may have been wrong.
+// worldOf sets up a point until the test ends, and fails the test if there was a violation.
 func worldOf(t *testing.T, pt Point) *measurement {
 	t.Helper()
 	w := &measurement{options: options(t), point: pt, epoch: time.Now(), row: Row{Figures: map[string]float64{}}}
@@ -201,7 +201,7 @@
 	return w
 }
 
-// A list of 100,000 entries, and 100,000 tenants, far over what is planned: served, or turned down in words, and no crash.
+// TestFarOver checks that a list of 100,000 entries and 100,000 tenants, far more than planned for, are served or refused without a crash.
 func TestFarOver(t *testing.T) {
 	if f := (&moduleJob{Executors: 16, FleetSize: 9, Tenants: 100000, Rate: 100, Work: time.Millisecond, MaxCPU: 10 * time.Second, Starts: 200}).play(); f.Error != "" || f.Starts == 0 {
 		t.Errorf("100,000 tenants: %+v", f)
@@ -226,7 +226,7 @@
 	}
 }
 
-// An executor that a node sends nothing to for a reason of its own does not make a drain look late: here one is taken out by hand.
+// TestDrainAmongExcluded checks that an executor that an operator has excluded does not disturb the measurement of a drain.
 func TestDrainAmongExcluded(t *testing.T) {
 	w := worldOf(t, Point{Series: "drain", Executors: 4, FleetSize: 9, RealNodes: 1, HollowNodes: 2, Gossip: true, Sockets: 512, MemoryMB: 192})
 	if _, err := admin.Call(w.nodes[0].adminAddress, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
@@ -243,7 +243,7 @@
 	}
 }
 
-// A line is found with its spread; what has no slope is called flat.
+// TestFits checks that a line is found with its spread, and that a figure without a slope is flat.
 func TestFits(t *testing.T) {
 	var rows []Row
 	for i, noise := range []float64{0.5, -0.5, 0.5, -0.5, 0.5, -0.5} {
