--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,8 @@
-// Package golden compares what a test prints with a trace that is kept in testdata and read by people. It is the
-// tests' one file of helpers.
+// Package golden compares the output of a test with golden files in its testdata directory. Run the tests of a package with -update to
+// write its golden files, and read the difference before committing it.
+//
+// A golden trace holds input and output in one file: the lines that begin with Arrow are output, all others are the input that Replay
+// passes to the test. The package also builds the node's program for tests that run it.
 package golden
 
 import (
@@ -15,18 +18,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the traces anew, to be read before they are kept")
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// Arrow begins the lines of a trace that its player writes; all others are the player's input.
+// Arrow begins the output lines of a golden trace. All other lines are input.
 const Arrow = "    -> "
 
-// Replay plays each trace in testdata from its own input and compares.
+// Replay runs a subtest for each golden trace testdata/*.txt: it calls play with the input lines and compares the result, which repeats the
+// input, with the file.
 func Replay(t *testing.T, play func(t *testing.T, lines []string) string) {
 	t.Helper()
 	ReplayDir(t, "", play)
 }
 
-// ReplayDir plays each trace in a directory within testdata.
+// ReplayDir is Replay for the golden traces in a directory within testdata.
 func ReplayDir(t *testing.T, dir string, play func(t *testing.T, lines []string) string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("testdata", dir, "*.txt"))
@@ -46,7 +50,7 @@
 	}
 }
 
-// Span reads a span of time in a trace.
+// Span parses a duration in a golden trace, and fails the test if it cannot.
 func Span(t *testing.T, text string) time.Duration {
 	t.Helper()
 	v, err := time.ParseDuration(text)
@@ -56,7 +60,7 @@
 	return v
 }
 
-// Compare compares what was printed with a file in testdata.
+// Compare compares output with a golden file, whose name is relative to testdata. It fails the test if they differ.
 func Compare(t *testing.T, name, got string) {
 	t.Helper()
 	compare(t, filepath.Join("testdata", name), got)
@@ -71,7 +75,7 @@
 		return
 	}
 	if diff := cmp.Diff(read(t, file), got); diff != "" {
-		t.Errorf("%s differs (-kept +got):\n%s", file, diff)
+		t.Errorf("%s differs (-want +got):\n%s", file, diff)
 	}
 }
 
@@ -84,7 +88,7 @@
 	return string(text)
 }
 
-// Program builds the node's program in a directory, and gives its file.
+// Program builds the node's program in a directory, and returns the path of the binary.
 func Program(dir string) (string, error) {
 	binary := filepath.Join(dir, "birchstair")
 	if out, err := exec.Command("go", "build", "-o", binary, "birchstair/cmd/birchstair").CombinedOutput(); err != nil {
@@ -93,7 +97,8 @@
 	return binary, nil
 }
 
-// Main runs a package's tests with the node's program, built once; its file is put into binary before the first.
+// Main runs the tests of a package that needs the node's program, and exits. It builds the program once and stores the path in binary
+// before the first test. Call it from TestMain.
 func Main(m *testing.M, binary *string) {
 	dir, err := os.MkdirTemp("", "birchstair-")
 	if err != nil {
--- a/internal/synctesting/norace.go
+++ b/internal/synctesting/norace.go
@@ -2,5 +2,5 @@
 
 package synctesting
 
-// UnderRace says that the race detector watches.
+// UnderRace reports whether the race detector is enabled.
 const UnderRace = false
--- a/internal/synctesting/synctesting.go
+++ b/internal/synctesting/synctesting.go
@@ -1,4 +1,4 @@
-// Package synctesting plays tests on testing/synctest's virtual clock.
+// Package synctesting runs tests on the virtual clock of testing/synctest, safely under the race detector.
 package synctesting
 
 import (
@@ -8,42 +8,43 @@
 	"testing/synctest"
 )
 
-// Test is synctest.Test, with one processor while the race detector watches.
+// Test is synctest.Test. Under the race detector it sets GOMAXPROCS to 1 while a test runs in it.
 //
-// Guards against a fault of Go 1.26's runtime: a bubble has one race context for all its timers (time.go, unlockAndRun), and besides
-// the clock each goroutine of the bubble that waits for a timer which is due, or sets one to now, runs that timer itself. Two at once
-// corrupt the context, and the process dies of SIGSEGV in the race detector. With one processor no two run at once, and what the
-// detector finds by order of events it finds all the same.
+// This works around a bug in the runtime of Go 1.26. A bubble has one race context for all its timers (time.go, unlockAndRun). Besides the
+// clock, each goroutine of the bubble that waits for a timer that is due, or sets one to the present, runs that timer itself. Two of them
+// at once corrupt the context, and the process dies of SIGSEGV in the race detector. On one processor no two run at once, and the detector
+// still finds races, since it goes by the order of events.
 func Test(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	if UnderRace {
-		alone.enter()
-		defer alone.leave()
+		singleProcessor.enter()
+		defer singleProcessor.leave()
 	}
 	synctest.Test(t, f)
 }
 
-// alone holds the process to one processor while a bubble is in it.
-var alone processors
+// singleProcessor limits the process to one processor while any bubble runs.
+var singleProcessor processorLimit
 
-type processors struct {
-	mu      sync.Mutex
-	inside  int
-	outside int // as many there are when none is
+// processorLimit sets GOMAXPROCS to 1 from the first enter to the last leave.
+type processorLimit struct {
+	mu       sync.Mutex
+	active   int // calls of enter without leave
+	previous int // GOMAXPROCS before the first
 }
 
-func (p *processors) enter() {
+func (p *processorLimit) enter() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.inside++; p.inside == 1 {
-		p.outside = runtime.GOMAXPROCS(1)
+	if p.active++; p.active == 1 {
+		p.previous = runtime.GOMAXPROCS(1)
 	}
 }
 
-func (p *processors) leave() {
+func (p *processorLimit) leave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.inside--; p.inside == 0 {
-		runtime.GOMAXPROCS(p.outside)
+	if p.active--; p.active == 0 {
+		runtime.GOMAXPROCS(p.previous)
 	}
 }
--- a/internal/synctesting/synctesting_test.go
+++ b/internal/synctesting/synctesting_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Goroutines of one bubble that all run timers which are due: the process lives, and has its processors back. With synctest.Test in its
-// place this dies of SIGSEGV under the race detector.
+// TestTimersAtOnce lets many goroutines of a bubble run timers that are due. The process survives, and has its processors back afterwards.
+// With synctest.Test instead, it dies of SIGSEGV under the race detector.
 func TestTimersAtOnce(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	for range 20 {
@@ -36,9 +36,9 @@
 	}
 }
 
-// Bubbles beside each other: the last one out gives the processors back.
+// TestBeside checks that of two bubbles at once the last one to end restores the processors.
 func TestBeside(t *testing.T) {
-	p := processors{}
+	p := processorLimit{}
 	before := runtime.GOMAXPROCS(0)
 	defer runtime.GOMAXPROCS(before)
 	p.enter()
