--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -28,7 +28,7 @@
 // NewMemory returns an empty memory.
 func NewMemory() *Memory { return &Memory{until: map[string]time.Duration{}} }
 
-// Memories holds a Memory for each job class and dedup group.
+// Memories holds the memory of each job class and dedup group.
 type Memories map[dedupGroupKey]*Memory
 
 type dedupGroupKey struct {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -26,7 +26,7 @@
 	Think      time.Duration // pause of such a client before the next one
 	Retries    int           // retries of a batch job at most
 	RetryWait  time.Duration // backoff before a retry without Retry-After
-	RetryMost  time.Duration // if over RetryWait: the backoff doubles with each retry up to it, with a jitter of half either way
+	RetryMost  time.Duration // if over the backoff: it doubles with each retry up to this limit, with a jitter of half either way
 	HeedsBack  bool          // follows Retry-After
 	Leaves     float64       // share of the batch jobs whose clients leave before the deadline
 	RepeatsIDs float64       // share whose clients submit the same id again while it is in flight
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -32,10 +32,10 @@
 
 	KeepsWaiting bool // waiting work is not canceled when its connection closes
 
-	ColdShare    float64 // share of its capacity right after a start; grows evenly to 1 over WarmWithin
+	ColdShare    float64 // share of its capacity right after a start; grows evenly to 1 during slow start
 	WarmWithin   time.Duration
-	FallMultiple float64       // an executor in slow start crashes if more arrives within FallWindow than this multiple of its present capacity
-	FallWindow   time.Duration // see FallMultiple
+	FallMultiple float64       // an executor in slow start crashes if more arrives within the window than this multiple of its present capacity
+	FallWindow   time.Duration // of that budget
 	MeanWork     float64       // seconds of work of a mean batch job
 
 	TellsStart  bool          // sends a message when an attempt starts
--- a/internal/emulator/output.go
+++ b/internal/emulator/output.go
@@ -31,7 +31,7 @@
 		Conn  ConnID
 		Job   policy.JobID
 		Word  Word
-		Share float64 // done; of Progress alone
+		Share float64 // done; of progress messages alone
 		Load  Load
 	}
 	// Ran says that an effect has begun.
--- a/internal/emulator/platform/codec.go
+++ b/internal/emulator/platform/codec.go
@@ -92,7 +92,7 @@
 
 var messageStates = map[emulator.Word]string{emulator.Began: "started", emulator.Progress: "running", emulator.Done: "done", emulator.Errored: "failed"}
 
-// Append appends the next message to b, and reports whether it ends the response. The result counts for emulator.Done alone.
+// Append appends the next message to b, and reports whether it ends the response. The result counts for the last message of a finished attempt alone.
 func (a *Answer) Append(b []byte, say emulator.Say, from policy.ExecutorID, result string) (_ []byte, ended bool) {
 	if say.Word == emulator.NoRoom && !a.begun {
 		b = append(b, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\n"...)
--- a/internal/emulator/platform/executor.go
+++ b/internal/emulator/platform/executor.go
@@ -12,7 +12,7 @@
 )
 
 // Executor is a server that runs attempts, one at a time on each connection, and answers lease queries. An attempt starts at once and
-// takes the time that Takes returns. Its exported fields are set before Serve.
+// takes a time that the caller chooses. Its exported fields are set before Serve.
 type Executor struct {
 	ID        policy.ExecutorID
 	Ran       func(policy.JobID)   // called with each effect
@@ -20,7 +20,7 @@
 	Leases    bool                 // it answers lease queries
 	Forgetful bool                 // it answers "never" to all of them, and runs an epoch twice: a defect that tests inject
 	Places    int                  // attempts that run at a time; further ones are rejected; 0 for no limit
-	Reports   bool                 // its answers have load reports, if Places is set
+	Reports   bool                 // its answers have load reports, if there is a limit
 
 	mu         sync.Mutex
 	leases     *emulator.LeaseTable
--- a/internal/emulator/platform/loopback.go
+++ b/internal/emulator/platform/loopback.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Ports that Unused returns are above firstPort, up to lastPort.
+// The range of ports, without the first.
 const (
 	firstPort = 20000
 	lastPort  = 60000
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -235,7 +235,7 @@
 	r.observe(invariants.Seen{What: invariants.Left, Node: t.node.id, Job: t.job})
 }
 
-// endNames are the keys of Result.Tries.
+// endNames are the keys of the counts of requests in a Result.
 var endNames = [...]string{"handled", "pushed back", "broken off", "unreached", "lost"}
 
 // requestEnded checks how a request ended, and lets its client retry. It is called with r.mu held.
--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -138,7 +138,7 @@
 	x.apply(x.Take(r.now(), a))
 }
 
-// checkClientPresent checks the rule invariants.Awaited for an attempt that has arrived, since the harness does not see when a node sends
+// checkClientPresent checks the rule "still awaited" for an attempt that has arrived, since the harness does not see when a node sends
 // the first byte. A pause of the node is no excuse: what it wrote before arrives before it resumes.
 func (r *cluster) checkClientPresent(p *nodeProcess, x *executor, job policy.JobID) {
 	at, went := r.clientLeftAt[job]
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestUninformed checks that a node that ignores discovery violates the rule invariants.Informed and no other, and that a node that cannot
+// TestUninformed checks that a node that ignores discovery violates the rule "informed" and no other, and that a node that cannot
 // reach discovery violates none.
 func TestUninformed(t *testing.T) {
 	t.Parallel()
--- a/internal/harness/options.go
+++ b/internal/harness/options.go
@@ -9,7 +9,7 @@
 	injectDefect func(*cluster) // called when the load begins, to inject a defect; nil for none
 }
 
-// Result is the result of a run. Wrong alone is a verdict, all others are counts.
+// Result is the result of a run. Violations alone are a verdict, all others are counts.
 type Result struct {
 	Seed        uint64         `json:"Seed"`
 	Asked       float64        `json:"Asked"`       // value of all work
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -18,8 +18,8 @@
 
 	knownEndpoints map[NodeID]map[policy.ExecutorID]knownEndpoint
 	published      map[policy.ExecutorID]publishedEndpoint
-	reachableSince map[NodeID]time.Duration // since when a node can reach discovery; Nobody for all
-	unreachable    map[NodeID]bool          // nodes that cannot reach discovery until further notice; Nobody for all
+	reachableSince map[NodeID]time.Duration // since when a node can reach discovery; of no node: for all
+	unreachable    map[NodeID]bool          // nodes that cannot reach discovery until further notice; of no node: for all
 	executors      map[policy.ExecutorID]*startedExecutor
 
 	deadlines     deadlineHeap
--- a/internal/invariants/endpoint.go
+++ b/internal/invariants/endpoint.go
@@ -42,12 +42,12 @@
 	c.published[executor] = publishedEndpoint{state, from}
 }
 
-// Apart tells the checker that a node, or every node for Nobody, cannot reach discovery until the given time.
+// Apart tells the checker that a node, or every node for the id of no node, cannot reach discovery until the given time.
 func (c *Checker) Apart(node NodeID, until time.Duration) {
 	c.reachableSince[node] = max(c.reachableSince[node], until)
 }
 
-// Cut tells the checker that from now on a node, or every node for Nobody, cannot reach discovery, or that it can again.
+// Cut tells the checker that from now on a node, or every node for the id of no node, cannot reach discovery, or that it can again.
 func (c *Checker) Cut(now time.Duration, node NodeID, unreachable bool) {
 	c.unreachable[node] = unreachable
 	c.Apart(node, now)
@@ -64,7 +64,7 @@
 	return late, late > 0
 }
 
-// checkDrain checks the rules DrainKept and Informed when an attempt is sent.
+// checkDrain checks the rules "drain kept" and "informed" when an attempt is sent.
 func (c *Checker) checkDrain(event Seen, about subject, excused bool) {
 	endpoint, known := c.knownEndpoints[event.Node][event.Executor]
 	if known && endpoint.state != policy.Available && event.At > endpoint.since+c.settings.Grace {
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -23,24 +23,24 @@
 
 // The kinds of events, in the order of their names in traces.
 const (
-	Note        What = iota // a remark in Text that no rule is about
-	NodeStarted             // Node has started, with no state
-	NodeKilled              // Node has been killed, with everything it had open
-	Told                    // Node has been notified that Executor, whose process started at Start, is in State
-	Taken                   // Node has accepted Job of Work and class Track, with its deadline at Limit
-	GaveUp                  // the policy of Node has given up on Job
-	Left                    // Node has learned that the client of Job left
-	FirstByte               // Node has sent the first byte of Allocation of Job to Executor, in Zone and Cell
-	LastByte                // Node has sent the last byte of that attempt
-	Over                    // Node has learned that Allocation of Job ended; Proof is set if it provably never ran
-	Answered                // Node has given Job its Final answer
-	Started                 // Executor has started and warms up; Start is when, if not at the time of the event
-	Reached                 // an attempt of Node has reached Executor: Cost against its present Capacity
-	Ran                     // Executor has begun the effect of Work, for Job of Node
-	Fell                    // Executor has crashed from overload
-	StoodStill              // the process of Node is paused: no time limit applies to what it has open
-	WentOn                  // the process of Node has resumed
-	Went                    // the connection of Job's client to Node has ended, whether Node has learned of it or not
+	Note        What = iota // a remark that no rule is about
+	NodeStarted             // the node has started, with no state
+	NodeKilled              // the node was killed, with everything it had open
+	Told                    // the node was notified of the state of an executor, and of the start of its process
+	Taken                   // the node has accepted a batch job, with its work, class and deadline
+	GaveUp                  // the policy of the node has given up on the job
+	Left                    // the node has learned that the client of the job left
+	FirstByte               // the node has sent the first byte of an attempt to an executor, in its zone and cell
+	LastByte                // the node has sent the last byte of that attempt
+	Over                    // the node has learned that an attempt ended, and whether that proves that it never ran
+	Answered                // the node has given the job its final answer
+	Started                 // an executor has started and warms up; the start is that of the event, unless one is set
+	Reached                 // an attempt has reached an executor: its cost against the present capacity
+	Ran                     // an executor has begun the effect of a work, for a job of the node
+	Fell                    // an executor has crashed from overload
+	StoodStill              // the process of the node is paused: no time limit applies to what it has open
+	WentOn                  // the process of the node has resumed
+	Went                    // the connection of the job's client has ended, whether the node has learned of it or not
 )
 
 var eventKindNames = [...]string{"note", "node started", "node killed", "told", "taken", "given up", "left", "first byte",
@@ -78,7 +78,7 @@
 // String returns the name of the kind, as people read it.
 func (f Final) String() string { return finalNames[f] }
 
-// Seen is an event. Which fields it uses depends on its kind, What. Times count from the start of the run.
+// Seen is an event in a run. Which fields it uses depends on its kind. Times count from the start of the run.
 type Seen struct {
 	At         time.Duration        `json:"at"`
 	What       What                 `json:"what"`
--- a/internal/invariants/job.go
+++ b/internal/invariants/job.go
@@ -108,7 +108,7 @@
 		sentAt: event.At, knownStart: c.knownStart(event.Node, event.Executor)})
 }
 
-// checkAwaited checks the rule Awaited.
+// checkAwaited checks the rule "still awaited".
 func (c *Checker) checkAwaited(key jobKey, event Seen) {
 	leftAt, left := c.clientLeftAt[key]
 	if !left || event.At <= leftAt+AwaitedFor {
--- a/internal/invariants/rule.go
+++ b/internal/invariants/rule.go
@@ -43,7 +43,7 @@
 // drain grace: after it, nothing more may be sent.
 const InformedWithin = 6 * time.Second
 
-// Bounds of the rule Awaited. An attempt is late if it begins longer than AwaitedFor after its client left, whatever its class and
+// Bounds of the rule "still awaited". An attempt is late if it begins longer than AwaitedFor after its client left, whatever its class and
 // whether it is the first of its batch job or a retry. All late attempts that a checker sees count together, over all nodes. A node whose
 // process was paused has no excuse, since it can look for its client before it writes.
 const (
--- a/internal/invariants/slow_start.go
+++ b/internal/invariants/slow_start.go
@@ -66,7 +66,7 @@
 	return c.knownStart(event.Node, event.Executor)
 }
 
-// workArrived checks the rule ColdSpared: a budget over any window, for all nodes together. Nodes that had not been notified of the
+// workArrived checks the rule "cold spared": a budget over any window, for all nodes together. Nodes that had not been notified of the
 // start cannot spare the executor, so the rule applies only if two thirds of the work came from nodes that had.
 func (c *Checker) workArrived(key jobKey, event Seen) {
 	e := c.executors[event.Executor]
--- a/internal/scaletest/sweep.go
+++ b/internal/scaletest/sweep.go
@@ -78,7 +78,7 @@
 
 // Sweep describes a run: the values of each dimension, which is varied alone from a base.
 type Sweep struct {
-	Executors []int // each for every fleet size in Of
+	Executors []int // each for every fleet size
 	Of        []int // fleet sizes that the real node counts itself among
 	Nodes     []int // nodes that gossip, real and hollow
 	Real      int   // real nodes among them at most
