--- a/internal/emulator/platform/codec.go
+++ b/internal/emulator/platform/codec.go
@@ -211,7 +211,7 @@
 		Share  float64           `json:"share"`
 		Born   int64             `json:"born_ms"`
 	}
-	list := struct {
+	answer := struct {
 		Seq   int    `json:"seq"`
 		Whole bool   `json:"whole"`
 		Hosts []host `json:"hosts"`
@@ -221,9 +221,9 @@
 		if !e.StartedLongAgo {
 			h.Born = epoch.Add(e.StartedAt).UnixMilli()
 		}
-		list.Hosts = append(list.Hosts, h)
+		answer.Hosts = append(answer.Hosts, h)
 	}
-	text, err := json.Marshal(list)
+	text, err := json.Marshal(answer)
 	if err != nil {
 		panic(err) // strings and finite numbers always have a JSON form
 	}
--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -7,11 +7,11 @@
 )
 
 // Claim reserves the loopback addresses 127.SLOT.x.y, which no other run uses, until the returned listener is closed.
-func Claim() (slot byte, held net.Listener, err error) {
+func Claim() (slot byte, claim net.Listener, err error) {
 	for range 500 {
 		slot = byte(2 + rand.IntN(250))
-		if held, err = net.Listen("tcp", fmt.Sprintf("127.%d.2.1:%d", slot, relayPort)); err == nil {
-			return slot, held, nil
+		if claim, err = net.Listen("tcp", fmt.Sprintf("127.%d.2.1:%d", slot, relayPort)); err == nil {
+			return slot, claim, nil
 		}
 	}
 	return 0, nil, err
--- a/internal/harness/discovery.go
+++ b/internal/harness/discovery.go
@@ -52,9 +52,9 @@
 }
 
 // awaitUpdate waits for the answer to a watch. There is none while discovery does not answer this node; nil at the end of the run.
-func (p *nodeProcess) awaitUpdate(ask platform.Watch) []byte {
+func (p *nodeProcess) awaitUpdate(watch platform.Watch) []byte {
 	r := p.cluster
-	until := time.Now().Add(ask.Hold)
+	until := time.Now().Add(watch.Hold)
 	for {
 		r.mu.Lock()
 		if r.over {
@@ -62,13 +62,13 @@
 			return nil
 		}
 		news := r.listChanged
-		if !p.cutFromDiscovery && !r.discovery.Silent() {
-			version, entries := r.discovery.Since(r.now(), ask.From)
-			if ask.Whole {
+		if !p.discoveryUnreachable && !r.discovery.Silent() {
+			version, entries := r.discovery.Since(r.now(), watch.From)
+			if watch.Whole {
 				entries = r.discovery.Whole(r.now())
 			}
-			if ask.Whole || len(entries) > 0 || !time.Now().Before(until) {
-				answer := p.update(version, ask.Whole, entries)
+			if watch.Whole || len(entries) > 0 || !time.Now().Before(until) {
+				answer := p.update(version, watch.Whole, entries)
 				r.mu.Unlock()
 				return answer
 			}
@@ -86,7 +86,7 @@
 }
 
 // update returns an update with the addresses at which this node reaches executors, and records what the node learns by it.
-func (p *nodeProcess) update(version int, whole bool, entries []emulator.Entry) []byte {
+func (p *nodeProcess) update(version int, complete bool, entries []emulator.Entry) []byte {
 	r := p.cluster
 	named := map[policy.ExecutorID]bool{}
 	own := make([]emulator.Entry, 0, len(entries))
@@ -104,14 +104,14 @@
 		}
 		p.recordEndpoint(invariants.Seen{Executor: e.Executor, State: e.State, Start: start})
 	}
-	if whole {
+	if complete {
 		for id, was := range p.known {
 			if !named[id] && was.State != policy.Removed {
 				p.recordEndpoint(invariants.Seen{Executor: id, State: policy.Removed, Start: was.Start})
 			}
 		}
 	}
-	return platform.AppendList(nil, version, whole, own, r.scenario.Fleet.Zones, r.start)
+	return platform.AppendList(nil, version, complete, own, r.scenario.Fleet.Zones, r.start)
 }
 
 // recordEndpoint records that the node has been notified of an endpoint.
--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -154,9 +154,9 @@
 }
 
 // apply carries out the outputs of the executor, and sets its timer. It is called with cluster.mu held.
-func (x *executor) apply(outs []emulator.Out) {
+func (x *executor) apply(outputs []emulator.Out) {
 	r := x.cluster
-	for _, o := range outs {
+	for _, o := range outputs {
 		switch o := o.(type) {
 		case emulator.Say:
 			x.write(o)
--- a/internal/harness/fault_targets.go
+++ b/internal/harness/fault_targets.go
@@ -72,10 +72,10 @@
 		return
 	}
 	x.downFaults++
-	lives := x.incarnation
+	incarnation := x.incarnation
 	r.changeEndpoint(x.entry(policy.Draining))
 	r.after(f.For*3/4, func() {
-		if x.Up && x.incarnation == lives {
+		if x.Up && x.incarnation == incarnation {
 			x.crash()
 			r.changeEndpoint(x.entry(policy.Removed))
 		}
@@ -136,10 +136,10 @@
 	p.signal(syscall.SIGCONT)
 }
 
-// cutDiscovery sets whether the node cannot reach discovery.
-func (p *nodeProcess) cutDiscovery(cut bool) {
-	p.cutFromDiscovery = cut
-	p.cluster.checker.Cut(p.cluster.now(), p.id, cut)
+// setDiscoveryUnreachable sets whether the node cannot reach discovery.
+func (p *nodeProcess) setDiscoveryUnreachable(unreachable bool) {
+	p.discoveryUnreachable = unreachable
+	p.cluster.checker.Cut(p.cluster.now(), p.id, unreachable)
 }
 
 // delayDiscovery delays updates beyond the usual lag. Nodes are excused until the delay has passed.
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -61,7 +61,7 @@
 		r.discovery.Silence(true)
 		r.checker.Cut(r.now(), invariants.Nobody, true)
 	case emulator.ListCut:
-		r.onNodes(f, func(p *nodeProcess) { p.cutDiscovery(true) })
+		r.onNodes(f, func(p *nodeProcess) { p.setDiscoveryUnreachable(true) })
 	case emulator.NodeKilled:
 		r.onNodes(f, (*nodeProcess).takeDown)
 	case emulator.NodeRestart:
@@ -94,7 +94,7 @@
 		r.checker.Cut(r.now(), invariants.Nobody, false)
 		r.wakeWatches()
 	case emulator.ListCut:
-		r.onNodes(f, func(p *nodeProcess) { p.cutDiscovery(false) })
+		r.onNodes(f, func(p *nodeProcess) { p.setDiscoveryUnreachable(false) })
 		r.wakeWatches()
 	case emulator.NodeKilled, emulator.NodeRestart:
 		r.onNodes(f, (*nodeProcess).endDownFault)
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -81,7 +81,7 @@
 		{Kind: "list-cut", At: simulation.Span(500 * time.Millisecond), For: simulation.Span(11 * time.Second), Where: []string{"n1"}}}
 	playScenario(t, s, 1)
 	s.Faults = s.Faults[:1]
-	r := playWith(t, s, Options{Binary: binary, Dir: t.TempDir(), Seed: 1, injectDefect: func(r *cluster) { r.nodes[1].cutFromDiscovery = true }})
+	r := playWith(t, s, Options{Binary: binary, Dir: t.TempDir(), Seed: 1, injectDefect: func(r *cluster) { r.nodes[1].discoveryUnreachable = true }})
 	if t.Logf("%d times", len(r.Wrong)); len(r.Wrong) == 0 {
 		t.Error("not caught")
 	}
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -35,18 +35,18 @@
 	executorListeners map[policy.ExecutorID]net.Listener // at which it reaches each executor
 
 	// Guarded by cluster.mu.
-	cmd              *exec.Cmd
-	ended            chan error // gets the error of the process's end
-	incarnation      int
-	up               bool
-	terminatedAt     time.Duration // when its shutdown began; 0 before
-	downFaults       int           // faults that keep it down
-	paused           bool
-	pausedUntil      time.Duration // it counts as paused until then
-	cutFromDiscovery bool          // discovery does not answer it
-	known            map[policy.ExecutorID]invariants.Seen
-	partitioned      bool // its gossip reaches partitioned nodes alone
-	idleConns        []net.Conn
+	cmd                  *exec.Cmd
+	ended                chan error // gets the error of the process's end
+	incarnation          int
+	up                   bool
+	terminatedAt         time.Duration // when its shutdown began; 0 before
+	downFaults           int           // faults that keep it down
+	paused               bool
+	pausedUntil          time.Duration // it counts as paused until then
+	discoveryUnreachable bool          // discovery does not answer it
+	known                map[policy.ExecutorID]invariants.Seen
+	partitioned          bool // its gossip reaches partitioned nodes alone
+	idleConns            []net.Conn
 }
 
 func (r *cluster) newProc(i int, slot byte) (*nodeProcess, error) {
--- a/internal/harness/node_files.go
+++ b/internal/harness/node_files.go
@@ -16,19 +16,19 @@
 func (p *nodeProcess) writeFiles() error {
 	r, f := p.cluster, &p.cluster.scenario.Fleet
 	secs := func(d time.Duration) float64 { return d.Seconds() }
-	var tracks []any
+	var classes []any
 	for i, t := range r.scenario.Tracks {
 		m := r.policyClasses[i]
-		track := map[string]any{"name": t.Name, "quoted-time-s": secs(m.LatencyObjective), "outer-limit-s": secs(m.Deadline), "earnings": m.Value,
+		class := map[string]any{"name": t.Name, "quoted-time-s": secs(m.LatencyObjective), "outer-limit-s": secs(m.Deadline), "earnings": m.Value,
 			"repeat": map[policy.Idempotency]string{policy.Idempotent: "repeatable", policy.IdempotentWithKey: "by_key", policy.AtMostOnce: "once"}[m.Idempotency], "aim-stretch": m.RunTimeFactor}
 		if m.Idempotency == policy.IdempotentWithKey {
-			track["dedup-scope"] = map[policy.DedupGroup]string{policy.DedupAllExecutors: "all", policy.DedupZone: "zone", policy.DedupCell: "cell"}[m.DedupGroup]
-			track["dedup-window-s"] = secs(m.DedupWindow)
+			class["dedup-scope"] = map[policy.DedupGroup]string{policy.DedupAllExecutors: "all", policy.DedupZone: "zone", policy.DedupCell: "cell"}[m.DedupGroup]
+			class["dedup-window-s"] = secs(m.DedupWindow)
 		}
 		if m.LateValue > 0 {
-			track["late-earnings"] = m.LateValue
+			class["late-earnings"] = m.LateValue
 		}
-		tracks = append(tracks, track)
+		classes = append(classes, class)
 	}
 	settings := map[string]any{"balancers": f.Nodes, "my-number": int(p.id), "locality": int(p.zone), "areas": f.Zones, "flavors": []string{"plain"},
 		"quantum-s": 0.004, "discovery": "push", "earnings-per": map[bool]string{true: "work", false: "request"}[f.PerWork],
@@ -36,7 +36,7 @@
 			"conn-idle-s": secs(time.Duration(f.IdleLimit)), "dial-timeout-s": secs(time.Duration(f.DialLimit)), "second-copies": f.Copies, "peers": f.Keepers},
 		"domain":      map[string]any{"tells-start": f.TellsStart, "progress-s": secs(time.Duration(f.TellsEvery)), "report-x0": "free slots"},
 		"rules":       map[string]any{"cold-share": f.ColdShare, "warm-within-s": secs(time.Duration(f.WarmWithin)), "fall-multiple": f.FallMultiple, "fall-s": secs(time.Duration(f.FallWindow))},
-		"score-parts": map[string]any{"whole": 0.8, "class": 0.2}, "prices": map[string]any{"cross-zone": f.CrossPrice}, "tracks": tracks}
+		"score-parts": map[string]any{"whole": 0.8, "class": 0.2}, "prices": map[string]any{"cross-zone": f.CrossPrice}, "tracks": classes}
 	if f.Reports {
 		settings["report"] = map[string]any{"how": "inline", "fields": []string{"active", "waiting", "x0"}}
 	}
--- a/internal/invariants/effect.go
+++ b/internal/invariants/effect.go
@@ -13,8 +13,8 @@
 	at       time.Duration
 }
 
-// effectRunsKept is how many runs of a work are remembered.
-const effectRunsKept = 8
+// maxEffectRuns is how many runs of a work are remembered.
+const maxEffectRuns = 8
 
 // effectRan checks that an effect does not run twice. Nodes do not answer for clients that repeat their requests: for idempotent classes
 // with a key, only runs for the same batch job count. If something between node and executor delays an attempt for longer than the
@@ -33,7 +33,7 @@
 			c.report(NoEffectTwice, event.At, about, "%s, tagged, ran at %s and at %s for one batch job", event.Work, run.executor, event.Executor)
 		}
 	}
-	if len(c.effects[event.Work]) < effectRunsKept {
+	if len(c.effects[event.Work]) < maxEffectRuns {
 		c.effects[event.Work] = append(c.effects[event.Work], effectRun{key, event.Executor, event.At})
 	}
 }
--- a/internal/scaletest/real_node.go
+++ b/internal/scaletest/real_node.go
@@ -34,16 +34,16 @@
 
 // writeConfig replaces the node's configuration in one step.
 func (p *realNode) writeConfig(pt Point, discovery string) error {
-	var tracks []map[string]any
+	var classSettings []map[string]any
 	for _, c := range classes(pt.PriorityLevels) {
-		tracks = append(tracks, map[string]any{"name": c.name, "quoted-time-s": 10, "outer-limit-s": clientTimeout.Seconds(), "earnings": c.value * p.valueScale, "repeat": "repeatable"})
+		classSettings = append(classSettings, map[string]any{"name": c.name, "quoted-time-s": 10, "outer-limit-s": clientTimeout.Seconds(), "earnings": c.value * p.valueScale, "repeat": "repeatable"})
 	}
 	settings := map[string]any{"balancers": pt.FleetSize, "my-number": p.number, "locality": 0, "areas": zones, "flavors": []string{"plain"},
 		"quantum-s": 0.004, "discovery": "push", "earnings-per": "request",
 		"caps":   map[string]any{"cancel": true, "max-allocations": 3, "retry-after": true, "max-retry-after-s": 2, "conn-idle-s": 60, "dial-timeout-s": 0.1},
 		"domain": map[string]any{"tells-start": true, "report-x0": "free slots"}, "report": map[string]any{"how": "inline", "fields": []string{"active", "waiting", "x0"}},
 		"rules":       map[string]any{"cold-share": 0.3, "warm-within-s": 9, "fall-multiple": 4, "fall-s": 1.5},
-		"score-parts": map[string]any{"whole": 1}, "tracks": tracks}
+		"score-parts": map[string]any{"whole": 1}, "tracks": classSettings}
 	text, err := json.MarshalIndent(map[string]any{"name": p.name, "listen": p.clientAddress, "management": p.adminAddress, "discovery": discovery,
 		"seed": fmt.Sprintf("%016x", pt.Seed*1000+uint64(p.number)), "limits": map[string]any{"cores": 1, "memory_mb": pt.MemoryMB, "sockets": pt.Sockets}, "settings": settings}, "", " ")
 	if err != nil {
