--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -20,31 +20,31 @@
 	"birchstair/internal/synctesting"
 )
 
-// bench is a network of two hosts, and what each end sees of a connection, with its time to the millisecond.
-type bench struct {
+// testNetwork is a network of two hosts. It records what each end of a connection observes, with the time to the millisecond.
+type testNetwork struct {
 	t     *testing.T
 	net   *Net
 	path  Path
 	start time.Time
 	mu    sync.Mutex
-	lines []line
+	lines []outputLine
 }
 
-type line struct {
+type outputLine struct {
 	at   time.Duration
 	text string
 }
 
-func (b *bench) print(who, format string, args ...any) {
+func (b *testNetwork) print(who, format string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lines = append(b.lines, line{time.Since(b.start).Truncate(time.Millisecond), who + " " + fmt.Sprintf(format, args...)})
+	b.lines = append(b.lines, outputLine{time.Since(b.start).Truncate(time.Millisecond), who + " " + fmt.Sprintf(format, args...)})
 }
 
-// String is all that was printed; what falls on one millisecond stands in the order of its texts, as the two ends print
-// from goroutines of their own.
-func (b *bench) String() string {
-	slices.SortStableFunc(b.lines, func(x, y line) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.text, y.text)) })
+// String returns the recorded lines by time. Lines of the same millisecond are sorted by their text, since the two ends record them from
+// goroutines of their own.
+func (b *testNetwork) String() string {
+	slices.SortStableFunc(b.lines, func(x, y outputLine) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.text, y.text)) })
 	s := ""
 	for _, l := range b.lines {
 		s += fmt.Sprintf("    -> %v %s\n", l.at, l.text)
@@ -61,8 +61,8 @@
 	return fmt.Sprint(err)
 }
 
-// reads prints all that comes at an end until it is over.
-func (b *bench) reads(who string, c net.Conn) {
+// readAll records everything that arrives at an end, until the connection ends.
+func (b *testNetwork) readAll(who string, c net.Conn) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := c.Read(buf)
@@ -74,7 +74,7 @@
 	}
 }
 
-func (b *bench) writes(who string, c net.Conn, bytes int) {
+func (b *testNetwork) writes(who string, c net.Conn, bytes int) {
 	n, err := c.Write(make([]byte, bytes))
 	if err != nil {
 		b.print(who, "writes %d of %d: %s", n, bytes, reason(err))
@@ -83,36 +83,36 @@
 	b.print(who, "writes %d", n)
 }
 
-// sends writes text, which must succeed.
-func (b *bench) sends(c net.Conn, text string) {
+// writeAll writes a text, and fails the test if it cannot.
+func (b *testNetwork) writeAll(c net.Conn, text string) {
 	b.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		b.t.Errorf("sending %q: %v", text, err)
 	}
 }
 
-// What a connection does in each kind of trouble, as both ends see it.
+// TestConnections checks what both ends of a connection observe under each kind of fault.
 func TestConnections(t *testing.T) {
 	var all strings.Builder
 	for _, c := range []struct {
 		name string
-		play func(b *bench, here, there *Conn)
+		play func(b *testNetwork, here, there *Conn)
 	}{
-		{"there and back", func(b *bench, here, there *Conn) {
+		{"there and back", func(b *testNetwork, here, there *Conn) {
 			b.writes("here", here, 1000)
 			time.Sleep(50 * time.Millisecond)
 			b.writes("there", there, 1)
 			time.Sleep(50 * time.Millisecond)
 			here.Close()
 		}},
-		{"bandwidth, and order", func(b *bench, here, there *Conn) {
+		{"bandwidth, and order", func(b *testNetwork, here, there *Conn) {
 			b.path.PerByte = time.Microsecond
 			b.writes("here", here, 60000)
 			b.writes("here", here, 1)
 			time.Sleep(time.Second)
 			there.Close()
 		}},
-		{"held up on the way", func(b *bench, here, there *Conn) {
+		{"held up on the way", func(b *testNetwork, here, there *Conn) {
 			b.path.Hold = 500 * time.Millisecond
 			b.writes("here", here, 10)
 			b.path.Hold = 0
@@ -120,7 +120,7 @@
 			time.Sleep(time.Second)
 			here.Close()
 		}},
-		{"half closed", func(b *bench, here, there *Conn) {
+		{"half closed", func(b *testNetwork, here, there *Conn) {
 			here.CloseWrite()
 			time.Sleep(20 * time.Millisecond)
 			b.writes("here", here, 1)
@@ -129,24 +129,24 @@
 			there.Close()
 			here.Close()
 		}},
-		{"reset", func(b *bench, here, there *Conn) {
+		{"reset", func(b *testNetwork, here, there *Conn) {
 			b.writes("here", here, 10)
 			here.Reset()
 			b.writes("here", here, 10)
 		}},
-		{"breaks within a write", func(b *bench, here, there *Conn) {
+		{"breaks within a write", func(b *testNetwork, here, there *Conn) {
 			here.BreakAtUse(Within)
 			b.writes("here", here, 1000)
 		}},
-		{"breaks after a write that is not heard", func(b *bench, here, there *Conn) {
+		{"breaks after a write that is not heard", func(b *testNetwork, here, there *Conn) {
 			here.BreakAtUse(Unheard)
 			b.writes("here", here, 1000)
 		}},
-		{"breaks after a write that is heard", func(b *bench, here, there *Conn) {
+		{"breaks after a write that is heard", func(b *testNetwork, here, there *Conn) {
 			here.BreakAtUse(Heard)
 			b.writes("here", here, 1000)
 		}},
-		{"silent one way", func(b *bench, here, there *Conn) {
+		{"silent one way", func(b *testNetwork, here, there *Conn) {
 			here.SilenceBack()
 			b.writes("here", here, 10)
 			time.Sleep(20 * time.Millisecond)
@@ -154,30 +154,30 @@
 			time.Sleep(time.Second)
 			here.Close()
 		}},
-		{"nobody reads", func(b *bench, here, there *Conn) {
+		{"nobody reads", func(b *testNetwork, here, there *Conn) {
 			there.Silence()
 			b.path.Lost = true
 			here.SetWriteDeadline(time.Now().Add(time.Second))
 			b.writes("here", here, sendWindow+1)
 			here.Close()
 		}},
-		{"a read that waits too long", func(b *bench, here, there *Conn) {
+		{"a read that waits too long", func(b *testNetwork, here, there *Conn) {
 			here.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 			time.Sleep(time.Second)
 			here.SetReadDeadline(time.Time{})
-			go b.reads("here", here)
+			go b.readAll("here", here)
 			b.writes("there", there, 3)
 			time.Sleep(20 * time.Millisecond)
 			here.Close()
 		}},
-		{"a write to an end that is closed", func(b *bench, here, there *Conn) {
+		{"a write to an end that is closed", func(b *testNetwork, here, there *Conn) {
 			there.Close()
 			b.writes("here", here, 10)
 			time.Sleep(30 * time.Millisecond)
 			b.writes("here", here, 10)
 		}},
-		{"the other host is killed", func(b *bench, here, there *Conn) { b.net.Kill("there", false) }},
-		{"the other host is gone", func(b *bench, here, there *Conn) {
+		{"the other host is killed", func(b *testNetwork, here, there *Conn) { b.net.Kill("there", false) }},
+		{"the other host is gone", func(b *testNetwork, here, there *Conn) {
 			b.net.Kill("there", true)
 			time.Sleep(time.Second)
 			b.writes("here", here, 10)
@@ -185,7 +185,7 @@
 		}},
 	} {
 		synctesting.Test(t, func(t *testing.T) {
-			b := &bench{t: t, start: time.Now(), path: Path{Delay: 10 * time.Millisecond}}
+			b := &testNetwork{t: t, start: time.Now(), path: Path{Delay: 10 * time.Millisecond}}
 			b.net = New(1, func(_, _ string) Path { return b.path })
 			l, err := b.net.Listen("there", "there:1")
 			if err != nil {
@@ -202,8 +202,8 @@
 				t.Fatal(err)
 			}
 			there := (<-accepted).(*Conn)
-			go b.reads("here", here)
-			go b.reads("there", there)
+			go b.readAll("here", here)
+			go b.readAll("there", there)
 			time.Sleep(time.Millisecond)
 			c.play(b, here, there)
 			time.Sleep(time.Second)
@@ -216,22 +216,23 @@
 	golden.Compare(t, "connections.txt", all.String())
 }
 
-// The other end's end is there once it has arrived and not before, also behind bytes; bytes alone, and an end that is held up on the way, are none.
+// TestPeerEnded checks that the end of the stream counts once it has arrived and not before, even behind unread bytes. Bytes alone do not
+// count, nor does an end that is still in flight.
 func TestPeerEnded(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(b *bench, here, there *Conn)
+		do   func(b *testNetwork, here, there *Conn)
 		want bool
 	}{
-		{"nothing", func(*bench, *Conn, *Conn) {}, false},
-		{"bytes", func(b *bench, _, there *Conn) { b.sends(there, "ab") }, false},
-		{"the end of its sending", func(_ *bench, _, there *Conn) { there.CloseWrite() }, true},
-		{"its end, behind bytes", func(b *bench, _, there *Conn) { b.sends(there, "ab"); there.Close() }, true},
-		{"a break", func(_ *bench, _, there *Conn) { there.Reset() }, true},
-		{"its end, held up", func(b *bench, _, there *Conn) { b.path.Hold = time.Hour; there.Close() }, false},
+		{"nothing", func(*testNetwork, *Conn, *Conn) {}, false},
+		{"bytes", func(b *testNetwork, _, there *Conn) { b.writeAll(there, "ab") }, false},
+		{"the end of its sending", func(_ *testNetwork, _, there *Conn) { there.CloseWrite() }, true},
+		{"its end, behind bytes", func(b *testNetwork, _, there *Conn) { b.writeAll(there, "ab"); there.Close() }, true},
+		{"a break", func(_ *testNetwork, _, there *Conn) { there.Reset() }, true},
+		{"its end, held up", func(b *testNetwork, _, there *Conn) { b.path.Hold = time.Hour; there.Close() }, false},
 	} {
 		synctesting.Test(t, func(t *testing.T) {
-			b := &bench{t: t, path: Path{Delay: 10 * time.Millisecond}}
+			b := &testNetwork{t: t, path: Path{Delay: 10 * time.Millisecond}}
 			b.net = New(1, func(_, _ string) Path { return b.path })
 			l, err := b.net.Listen("there", "there:1")
 			if err != nil {
@@ -260,7 +261,7 @@
 	}
 }
 
-// Dials that lead nowhere, and how long that takes to show.
+// TestDials checks dials that fail, and how long that takes.
 func TestDials(t *testing.T) {
 	var out strings.Builder
 	synctesting.Test(t, func(t *testing.T) {
