--- a/internal/scaletest/real_node.go
+++ b/internal/scaletest/real_node.go
@@ -1,7 +1,6 @@
 package scaletest
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
@@ -15,6 +14,7 @@
 	"time"
 
 	"birchstair/internal/admin"
+	"birchstair/internal/harness"
 	"birchstair/internal/node"
 )
 
@@ -34,28 +34,44 @@
 
 // writeConfig replaces the node's configuration in one step.
 func (p *realNode) writeConfig(pt Point, discovery string) error {
-	var classSettings []map[string]any
-	for _, c := range classes(pt.PriorityLevels) {
-		classSettings = append(classSettings, map[string]any{"name": c.name, "quoted-time-s": 10, "outer-limit-s": clientTimeout.Seconds(), "earnings": c.value * p.valueScale, "repeat": "repeatable"})
-	}
-	settings := map[string]any{"balancers": pt.FleetSize, "my-number": p.number, "locality": 0, "areas": zones, "flavors": []string{"plain"},
-		"quantum-s": 0.004, "discovery": "push", "earnings-per": "request",
-		"caps":   map[string]any{"cancel": true, "max-allocations": 3, "retry-after": true, "max-retry-after-s": 2, "conn-idle-s": 60, "dial-timeout-s": 0.1},
-		"domain": map[string]any{"tells-start": true, "report-x0": "free slots"}, "report": map[string]any{"how": "inline", "fields": []string{"active", "waiting", "x0"}},
-		"rules":       map[string]any{"cold-share": 0.3, "warm-within-s": 9, "fall-multiple": 4, "fall-s": 1.5},
-		"score-parts": map[string]any{"whole": 1}, "tracks": classSettings}
-	text, err := json.MarshalIndent(map[string]any{"name": p.name, "listen": p.clientAddress, "management": p.adminAddress, "discovery": discovery,
-		"seed": fmt.Sprintf("%016x", pt.Seed*1000+uint64(p.number)), "limits": map[string]any{"cores": 1, "memory_mb": pt.MemoryMB, "sockets": pt.Sockets}, "settings": settings}, "", " ")
-	if err != nil {
-		return err
-	}
 	next := filepath.Join(p.dir, "config.next")
-	if err := os.WriteFile(next, text, 0o600); err != nil {
+	if err := p.config(pt, discovery).WriteFile(next); err != nil {
 		return err
 	}
 	return os.Rename(next, filepath.Join(p.dir, "config.json"))
 }
 
+// config returns the node's configuration.
+func (p *realNode) config(pt Point, discovery string) harness.NodeConfig {
+	settings := harness.NodeSettings{
+		Areas:       zones,
+		Balancers:   pt.FleetSize,
+		Caps:        harness.NodeCaps{Cancel: true, ConnIdle: 60, DialTimeout: 0.1, MaxAllocations: 3, MaxRetryAfter: 2, RetryAfter: true},
+		Discovery:   "push",
+		Domain:      harness.NodeDomain{ReportX0: "free slots", TellsStart: true},
+		EarningsPer: "request",
+		Flavors:     []string{"plain"},
+		MyNumber:    p.number,
+		Quantum:     0.004,
+		Report:      harness.InlineReport(),
+		Rules:       harness.NodeRules{ColdShare: 0.3, FallMultiple: 4, FallWindow: 1.5, WarmWithin: 9},
+		ScoreParts:  harness.NodeScoreParts{Whole: 1},
+	}
+	for _, c := range classes(pt.PriorityLevels) {
+		settings.Tracks = append(settings.Tracks, harness.NodeClass{Earnings: c.value * p.valueScale, Name: c.name,
+			OuterLimit: clientTimeout.Seconds(), QuotedTime: 10, Repeat: "repeatable"})
+	}
+	return harness.NodeConfig{
+		Discovery:  discovery,
+		Limits:     harness.NodeLimits{Cores: 1, MemoryMB: pt.MemoryMB, Sockets: pt.Sockets},
+		Listen:     p.clientAddress,
+		Management: p.adminAddress,
+		Name:       p.name,
+		Seed:       fmt.Sprintf("%016x", pt.Seed*1000+uint64(p.number)),
+		Settings:   settings,
+	}
+}
+
 // writeSite writes the operator's file, if the node gossips.
 func (p *realNode) writeSite(seeds []string) error {
 	if p.gossipAddress == "" {
