--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -65,20 +65,8 @@
 func (x *executor) serve(p *nodeProcess, c net.Conn) {
 	defer c.Close()
 	r := x.cluster
-	var key emulator.ConnID
-	lives, taken := 0, false
-	r.mu.Lock()
-	if !r.over && x.Up {
-		r.lastConn++
-		key, lives = r.lastConn, x.incarnation
-		ok, outs := x.Open(r.now(), key)
-		if taken = ok; ok {
-			x.conns[key] = &executorConn{conn: c}
-		}
-		x.apply(outs)
-	}
-	r.mu.Unlock()
-	if !taken {
+	key, incarnation, accepted := x.open(c)
+	if !accepted {
 		c.(*net.TCPConn).SetLinger(0)
 		return
 	}
@@ -86,22 +74,47 @@
 	for {
 		c.SetReadDeadline(time.Now().Add(time.Duration(r.scenario.Fleet.IdleLimit) + time.Minute))
 		m, err := platform.ReadAllocation(in)
-		r.mu.Lock()
-		if r.over || x.incarnation != lives || x.conns[key] == nil {
-			r.mu.Unlock()
+		if !x.read(p, key, incarnation, m, err) {
 			return
 		}
-		if err != nil {
-			delete(x.conns, key)
-			x.apply(x.Hangup(r.now(), key))
-			r.mu.Unlock()
-			return
-		}
-		x.attemptArrived(p, key, m)
-		r.mu.Unlock()
 	}
 }
 
+// open registers a connection, if the executor accepts it, and returns its id and the incarnation of the executor.
+func (x *executor) open(c net.Conn) (key emulator.ConnID, incarnation int, accepted bool) {
+	r := x.cluster
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.over || !x.Up {
+		return 0, 0, false
+	}
+	r.lastConn++
+	key, incarnation = r.lastConn, x.incarnation
+	accepted, outputs := x.Open(r.now(), key)
+	if accepted {
+		x.conns[key] = &executorConn{conn: c}
+	}
+	x.apply(outputs)
+	return key, incarnation, accepted
+}
+
+// read handles what was read from a connection, and reports whether the connection goes on.
+func (x *executor) read(p *nodeProcess, key emulator.ConnID, incarnation int, m platform.Message, err error) bool {
+	r := x.cluster
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.over || x.incarnation != incarnation || x.conns[key] == nil {
+		return false
+	}
+	if err != nil {
+		delete(x.conns, key)
+		x.apply(x.Hangup(r.now(), key))
+		return false
+	}
+	x.attemptArrived(p, key, m)
+	return true
+}
+
 // attemptArrived checks a complete attempt and passes it to the executor. It is called with cluster.mu held.
 func (x *executor) attemptArrived(p *nodeProcess, key emulator.ConnID, m platform.Message) {
 	r := x.cluster
@@ -116,26 +129,44 @@
 	}
 	r.result.Allocations++
 	r.result.Work += t.work.Cost
-	if known, ok := p.known[x.ID]; ok && known.State == policy.Available {
-		if at, drains := r.drainKnownAt[x.ID]; drains && r.now() > at+time.Duration(r.scenario.Fleet.DrainGrace)+gossipDrainWithin {
+	r.checkDrain(p, x, t)
+	x.apply(x.Take(r.now(), r.attempt(p, x, key, t)))
+}
+
+// checkDrain checks that the executor of an attempt that has arrived does not drain, or that the node cannot have known it.
+func (r *cluster) checkDrain(p *nodeProcess, x *executor, t *request) {
+	grace := time.Duration(r.scenario.Fleet.DrainGrace)
+	known, ok := p.known[x.ID]
+	switch {
+	case ok && known.State == policy.Available:
+		if at, drains := r.drainKnownAt[x.ID]; drains && r.now() > at+grace+gossipDrainWithin {
 			r.result.Late++
-			r.note("%s was sent to %s by %s, %v after another node was told that it drains", m.Job, x.ID, p.name, r.now()-at)
+			r.note("%s was sent to %s by %s, %v after another node was told that it drains", t.job, x.ID, p.name, r.now()-at)
 		}
-	} else if ok && r.now() > known.At+time.Duration(r.scenario.Fleet.DrainGrace)+slack+r.ownStall() && !p.wasPaused() {
-		r.fail("%s was sent to %s by %s %v after that node was told that it drains or is gone", m.Job, x.ID, p.name, r.now()-known.At)
+	case ok && r.now() > known.At+grace+slack+r.ownStall() && !p.wasPaused():
+		r.fail("%s was sent to %s by %s %v after that node was told that it drains or is gone", t.job, x.ID, p.name, r.now()-known.At)
 	}
-	if late, yes := r.checker.Uninformed(r.now(), p.id, x.ID); yes && late > slack+r.ownStall() && !p.wasPaused() && !t.excused {
-		r.fail("%v: %s was sent to %s by %s %v after that node could have heard for %v that it drains or is gone", invariants.Informed, m.Job, x.ID, p.name, late, invariants.InformedWithin)
+	late, due := r.checker.Uninformed(r.now(), p.id, x.ID)
+	if due && late > slack+r.ownStall() && !p.wasPaused() && !t.excused {
+		r.fail("%v: %s was sent to %s by %s %v after that node could have heard for %v that it drains or is gone",
+			invariants.Informed, t.job, x.ID, p.name, late, invariants.InformedWithin)
 	}
-	a := emulator.Allocation{Conn: key, Node: p.id, Job: m.Job, Work: t.work.ID, Track: t.work.Track, Priority: r.classes[t.work.Track].Priority,
+}
+
+// attempt returns an attempt of a request as the executor runs it.
+func (r *cluster) attempt(p *nodeProcess, x *executor, key emulator.ConnID, t *request) emulator.Allocation {
+	classID := t.work.Track
+	class := r.policyClasses[classID]
+	a := emulator.Allocation{Conn: key, Node: p.id, Job: t.job, Work: t.work.ID, Track: classID, Priority: r.classes[classID].Priority,
 		Cost: t.work.Cost, Hint: t.work.Hint}
 	if a.Hint == 0 {
-		a.Hint = r.classes[a.Track].Mean
+		a.Hint = r.classes[classID].Mean
 	}
-	if r.policyClasses[a.Track].Idempotency == policy.IdempotentWithKey {
-		a.Tag, a.Window, a.Memory = string(t.work.ID), r.policyClasses[a.Track].DedupWindow, r.memories.Of(a.Track, r.policyClasses[a.Track].DedupGroup, x.ExecutorSpec)
+	if class.Idempotency == policy.IdempotentWithKey {
+		a.Tag, a.Window = string(t.work.ID), class.DedupWindow
+		a.Memory = r.memories.Of(classID, class.DedupGroup, x.ExecutorSpec)
 	}
-	x.apply(x.Take(r.now(), a))
+	return a
 }
 
 // checkClientPresent checks the rule "still awaited" for an attempt that has arrived, since the harness does not see when a node sends
