--- a/internal/emulator/platform/loopback.go
+++ b/internal/emulator/platform/loopback.go
@@ -5,6 +5,7 @@
 	"net"
 	"os"
 	"sync"
+	"syscall"
 )
 
 // Ports that Unused returns are above firstPort, up to lastPort.
@@ -29,10 +30,21 @@
 	for usedPorts.port = max(usedPorts.port, firstPort); usedPorts.port < lastPort; {
 		usedPorts.port++
 		addr := fmt.Sprintf("%v:%d", host, usedPorts.port)
-		if l, err := net.Listen("tcp", addr); err == nil { // else a process of an earlier test with this number has it
-			l.Close()
+		if isFree(addr) { // else a process of an earlier test with this number has it
 			return addr, nil
 		}
 	}
 	return "", fmt.Errorf("no port of %v is free", host)
 }
+
+// isFree reports whether an address can be listened on. No child process is forked meanwhile: until its exec it would hold a copy of
+// the socket, and the address would stay in use after this function has closed it.
+func isFree(addr string) bool {
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
+	l, err := net.Listen("tcp", addr)
+	if err != nil {
+		return false
+	}
+	return l.Close() == nil
+}
