--- a/cmd/birchstair/crowd_test.go
+++ b/cmd/birchstair/crowd_test.go
@@ -1,10 +1,12 @@
 package main
 
 import (
+	"bufio"
 	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
+	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -72,6 +74,45 @@
 	c.wait.Wait()
 }
 
+// askAtOnce sends a request on a new connection and returns the status of the answer. Connecting and writing are two system calls in
+// a row. A client of net/http writes after several switches of goroutines; each may wait for hundreds of the crowd's, and the node
+// closes a connection without a request once enough newer ones have come.
+func askAtOnce(addr, request string, timeout time.Duration) (status int, err error) {
+	to, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return 0, err
+	}
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return 0, err
+	}
+	socket := os.NewFile(uintptr(fd), addr)
+	defer socket.Close() //nolint:errcheck // the connection has a descriptor of its own
+	limit := syscall.NsecToTimeval(timeout.Nanoseconds())
+	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_SNDTIMEO, &limit); err != nil {
+		return 0, err
+	}
+	if err := syscall.Connect(fd, &syscall.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}); err != nil {
+		return 0, err
+	}
+	if _, err := syscall.Write(fd, []byte(request)); err != nil {
+		return 0, err
+	}
+	conn, err := net.FileConn(socket)
+	if err != nil {
+		return 0, err
+	}
+	defer conn.Close()
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		return 0, err
+	}
+	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return 0, err
+	}
+	return answer.StatusCode, answer.Body.Close()
+}
+
 // TestCrowdBeforeDiscovery has more idle clients than the node has descriptors connect before discovery is up, again and again.
 // Once discovery is up the node has the list by the first call that is answered, is ready, reaches executors, and answers clients
 // and operators. The system's limit on descriptors is the node's, so that one too many would show.
@@ -183,32 +224,17 @@
 	until("it is ready", func() bool {
 		asked++
 		most = max(most, descriptors())
-		client := http.Client{Timeout: 10 * time.Second}
-		defer client.CloseIdleConnections()
-		a, err := client.Get("http://" + listen + "/-/ready")
-		if err != nil {
-			return false
-		}
-		a.Body.Close()
-		return a.StatusCode == http.StatusOK
+		status, err := askAtOnce(listen, "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n", 10*time.Second)
+		return err == nil && status == http.StatusOK
 	})
 	t.Logf("ready after %v, %d calls, %d of the crowd let go meanwhile, %d descriptors", time.Since(began), asked, idle.letGo.Load()-came, most)
 	// A new connection may be closed before it is read; the client tries again then.
 	var status int
 	until("a batch job is answered", func() bool {
-		client := http.Client{Timeout: 20 * time.Second}
-		defer client.CloseIdleConnections()
-		ask, _ := http.NewRequest(http.MethodPost, "http://"+listen+"/x", strings.NewReader("body"))
-		for head, text := range map[string]string{"X-Call-Id": "page-1", "X-Call-Class": "page", "X-Budget-Ms": "20000"} {
-			ask.Header.Set(head, text)
-		}
-		a, err := client.Do(ask)
-		if err != nil {
-			return false
-		}
-		a.Body.Close()
-		status = a.StatusCode
-		return true
+		var err error
+		status, err = askAtOnce(listen, "POST /x HTTP/1.1\r\nHost: n\r\nX-Call-Id: page-1\r\nX-Call-Class: page\r\nX-Budget-Ms: 20000\r\n"+
+			"Content-Length: 4\r\n\r\nbody", 20*time.Second)
+		return err == nil
 	})
 	if status != http.StatusOK || ran.Load() != 1 {
 		t.Errorf("status %d, ran %d times", status, ran.Load())
