--- a/internal/emulator/platform/loopback_test.go
+++ b/internal/emulator/platform/loopback_test.go
@@ -32,7 +32,7 @@
 	defer wait.Wait()
 	defer done.Store(true)
 	for range addresses {
-		addr, err := Unused()
+		addr, err := FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
