--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -24,10 +24,10 @@
 
 // drainState is a drain that this node knows of.
 type drainState struct {
-	incarnation int64
-	seenAt      time.Duration // when a node's own list last reported it
-	ownList     bool          // this node's own list reports it
-	removed     bool          // this node's own list no longer names the executor
+	executorStart int64
+	seenAt        time.Duration // when a node's own list last reported it
+	ownList       bool          // this node's own list reports it
+	removed       bool          // this node's own list no longer names the executor
 }
 
 // drainTable holds the drains that this node knows of.
@@ -44,7 +44,7 @@
 		t.turn = (t.turn + 1) % len(ids)
 		id := ids[t.turn]
 		d := t.states[id]
-		drains = append(drains, Drain{Executor: id, ExecutorStart: d.incarnation, Age: now - d.seenAt})
+		drains = append(drains, Drain{Executor: id, ExecutorStart: d.executorStart, Age: now - d.seenAt})
 	}
 	return drains
 }
@@ -85,15 +85,15 @@
 	case state != policy.Available:
 		removed := state == policy.Removed
 		if removed && known != nil {
-			start = max(start, known.incarnation) // an entry that is removed may lack its start
+			start = max(start, known.executorStart) // an entry that is removed may lack its start
 		}
 		delete(t.endedAt, id)
-		t.store(id, &drainState{incarnation: start, seenAt: now, ownList: true, removed: removed})
+		t.store(id, &drainState{executorStart: start, seenAt: now, ownList: true, removed: removed})
 	case known == nil:
 	case known.ownList:
 		delete(t.states, id)
 		t.endedAt[id] = now
-	case start > known.incarnation:
+	case start > known.executorStart:
 		delete(t.states, id) // the drain was of an earlier start
 	}
 }
@@ -110,13 +110,13 @@
 		return false
 	}
 	switch {
-	case known != nil && (known.ownList || d.ExecutorStart < known.incarnation):
+	case known != nil && (known.ownList || d.ExecutorStart < known.executorStart):
 		return false
-	case known != nil && d.ExecutorStart == known.incarnation:
+	case known != nil && d.ExecutorStart == known.executorStart:
 		known.seenAt = max(known.seenAt, seenAt)
 		return false
 	}
-	t.store(d.Executor, &drainState{incarnation: d.ExecutorStart, seenAt: seenAt})
+	t.store(d.Executor, &drainState{executorStart: d.ExecutorStart, seenAt: seenAt})
 	return true
 }
 
@@ -129,7 +129,7 @@
 // repeated here.
 func (f *Fleet) IsDraining(id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool) bool {
 	d := f.drains.states[id]
-	return d != nil && !d.ownList && f.startID(startedAt, startedLongAgo) <= d.incarnation
+	return d != nil && !d.ownList && f.startID(startedAt, startedLongAgo) <= d.executorStart
 }
 
 // ExpireDrains forgets drains that are older than DrainTTL, and returns their executors by ID. listUpToDate tells whether this
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -46,7 +46,7 @@
 
 // peerTable holds the other nodes of the fleet, and the counters of messages.
 type peerTable struct {
-	alive       []NodeName // shuffled for each round of recipients
+	alive       []NodeName // shuffled before each pass over all peers
 	turn        int        // the next recipient, an index into alive
 	seq         uint64     // of the last message sent
 	states      map[NodeName]*peerState
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -10,11 +10,10 @@
 
 // How the fleet's rates are estimated from the reports of peers.
 const (
-	// maxPeerMultiple bounds what one peer counts for, as a multiple of the median of all peers: a node that reports nonsense
-	// can move the threshold only within that.
+	// maxPeerMultiple bounds what one peer counts for, as a multiple of the larger of this node's own rates and, from
+	// minPeersForMedian peers on, their median: a node that reports nonsense can move the threshold only within that.
 	maxPeerMultiple = 8
-	// minPeersForMedian is the number of peers from which on a median is meaningful. With fewer the bound is a multiple of
-	// this node's own rates.
+	// minPeersForMedian is the number of peers from which on a median is meaningful.
 	minPeersForMedian = 3
 	// minDivisor keeps ratios finite when a rate is zero.
 	minDivisor = 1e-9
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -48,15 +48,15 @@
 	Client     int // of a loop, else -1
 	Class      policy.JobClassID
 	Cost       float64
-	StatedCost float64       // stated cost; 0 for none
-	ArrivedAt  time.Duration // arrival
+	StatedCost float64 // 0 for none
+	ArrivedAt  time.Duration
 	Objective  time.Duration // latency objective, as a time: an answer by then has its full value
-	Deadline   time.Duration // deadline
+	Deadline   time.Duration
 	LeavesAt   time.Duration // when its client leaves, or Never
 	Retries    int           // retries so far
-	Value      float64       // its value
-	Over       bool          // its client has stopped
-	Earned     bool          // it was answered by its latency objective
+	Value      float64
+	Over       bool // its client has stopped
+	Earned     bool // it was answered by its latency objective
 
 	firstSent time.Duration // when its first request was sent
 	repeatID  bool
@@ -141,20 +141,20 @@
 
 // The ends of a request.
 const (
-	EndSucceeded End = iota // succeeded
-	EndRejected             // rejected: nothing of it ran
-	EndFailed               // failed, or not answered in time
-	EndUnreached            // no connection to the node
-	EndLost                 // the connection to the node broke
+	EndSucceeded End = iota
+	EndRejected      // nothing of it ran
+	EndFailed        // failed, or not answered in time
+	EndUnreached     // no connection to the node
+	EndLost          // the connection to the node broke
 )
 
 // RetryAt returns when a client retries, and whether it does. Idempotent work is retried after any end; work with an idempotency key too,
 // if its dedup group is all executors and within half of its window. Otherwise a client retries only if nothing can have run.
-func (c *Clients) RetryAt(now time.Duration, w *Work, how End, comeBack time.Duration) (time.Duration, bool) {
+func (c *Clients) RetryAt(now time.Duration, w *Work, end End, retryAfter time.Duration) (time.Duration, bool) {
 	t := &c.Classes[w.Class]
-	may := how == EndRejected || how == EndUnreached || t.Idempotency == policy.Idempotent ||
+	may := end == EndRejected || end == EndUnreached || t.Idempotency == policy.Idempotent ||
 		t.Idempotency == policy.IdempotentWithKey && t.DedupGroup == policy.DedupAllExecutors && now < w.firstSent+t.DedupWindow/2
-	if how == EndSucceeded || !may || w.Retries >= c.Behavior.Retries {
+	if end == EndSucceeded || !may || w.Retries >= c.Behavior.Retries {
 		return 0, false
 	}
 	wait := c.Behavior.Backoff
@@ -162,8 +162,8 @@
 		wait = min(most, wait<<min(w.Retries, 20))
 		wait = time.Duration(float64(wait) * (0.5 + c.backoff.Float64()))
 	}
-	if c.Behavior.FollowsRetryAfter && comeBack > 0 {
-		wait = comeBack
+	if c.Behavior.FollowsRetryAfter && retryAfter > 0 {
+		wait = retryAfter
 	}
 	at := now + wait
 	if at >= w.Deadline || at >= w.LeavesAt {
--- a/internal/harness/node_files.go
+++ b/internal/harness/node_files.go
@@ -53,7 +53,7 @@
 		Prices:      &NodePrices{CrossZone: f.CrossZoneCost},
 		Quantum:     0.004,
 		Rules: NodeRules{
-			ColdShare:    f.ColdCapacity,
+			ColdShare:    f.SlowStartCapacity,
 			FallMultiple: f.OverloadMultiple,
 			FallWindow:   time.Duration(f.OverloadWindow).Seconds(),
 			WarmWithin:   time.Duration(f.SlowStartDuration).Seconds(),
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -68,9 +68,9 @@
 
 // The kinds of final answers, in the order of their numbers in traces.
 const (
-	Succeeded Final = iota // succeeded
-	Rejected               // rejected: nothing of it ran
-	Failed                 // failed: it may have run
+	Succeeded Final = iota
+	Rejected        // nothing of it ran
+	Failed          // it may have run
 )
 
 var finalNames = [...]string{"handled", "pushed back", "broken off"}
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -114,9 +114,9 @@
 }
 
 // startAttempt sends an attempt of a job to an executor. If it can't be sent, that is reported to the policy at once, which
-// may start the next one; the class's most attempts bound the recursion.
+// may start the next one; the class's MaxAttempts bounds the recursion.
 func (n *Node) startAttempt(j *job, id policy.ExecutorID) {
-	attempt := j.startAttempt()
+	attempt := j.nextAttemptID()
 	if e := n.endpoints.get(id); e == nil || !n.assignConn(j, attempt, e, n.now) {
 		n.attemptOver(j, attempt, policy.NotSent)
 	}
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -129,7 +129,7 @@
 	}
 	h.awaitingState, h.stateDeadline = true, n.now+stateTimeout
 	n.emit(Log{Text: "handoff: waiting for the predecessor's state"})
-	n.policy.ReserveSlowStartUntil(n.now, policy.Forever) // the predecessor's until it yields
+	n.policy.BlockSlowStartUntil(n.now, policy.Forever) // the predecessor's until it yields
 	n.updateLimits()
 }
 
@@ -145,12 +145,12 @@
 	case link == Predecessor:
 		n.emit(Log{Text: "handoff: the predecessor has ended: " + detail})
 		h.awaitingState, h.awaitingYield = false, false
-		n.reserveSlowStart()
+		n.blockSlowStart()
 	case h.yielded && h.successor == link:
 		n.emit(Log{Text: "handoff: the successor has ended, accepting connections again: " + detail})
 		h.yielded = false
 		n.emit(AcceptConnections{true})
-		n.reserveSlowStart()
+		n.blockSlowStart()
 	}
 	n.updateLimits()
 	n.announceReady()
@@ -170,7 +170,7 @@
 		n.yieldTo(from)
 	case PredecessorYielded:
 		n.handoff.awaitingYield = false
-		n.reserveSlowStart()
+		n.blockSlowStart()
 	case RelayCommand:
 		n.commandRelayed(from, m)
 	case RelayDone:
@@ -183,15 +183,15 @@
 	n.handoff.yielded, n.handoff.successor = true, successor
 	n.emit(Log{Text: "handoff: yielded to the successor"})
 	n.emit(AcceptConnections{false})
-	n.policy.ReserveSlowStartUntil(n.now, policy.Forever)
+	n.policy.BlockSlowStartUntil(n.now, policy.Forever)
 	n.updateLimits()
 	n.emit(SendHandoff{successor, HandoffMessage{Kind: PredecessorYielded}})
 }
 
-// reserveSlowStart keeps the policy from executors in slow start until everything that another process may have sent them is
+// blockSlowStart keeps the policy from executors in slow start until everything that another process may have sent them is
 // out of the slow-start budget's window.
-func (n *Node) reserveSlowStart() {
-	n.policy.ReserveSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
+func (n *Node) blockSlowStart() {
+	n.policy.BlockSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
 }
 
 // updateLimits halves the limits of this process while another one of this node uses the other half.
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -20,8 +20,8 @@
 	heapIndex int     // in jobTable.unanswered
 }
 
-// startAttempt returns the number of the next attempt.
-func (j *job) startAttempt() policy.AttemptID {
+// nextAttemptID returns the number of the next attempt, which counts as started.
+func (j *job) nextAttemptID() policy.AttemptID {
 	id := policy.AttemptID(j.attempts)
 	j.attempts++
 	return id
@@ -218,8 +218,9 @@
 	}
 }
 
-// policyPanicked limits a panic of the policy to the job that the policy was deciding about: that job fails, which promises
-// nothing about whether it ran, and all others go on.
+// policyPanicked limits a panic of the policy to the job that it was deciding about, if any: without an attempt on a connection
+// that job fails, which promises nothing about whether it ran. All others go on, and the policy is asked again after
+// panicBackoff.
 func (n *Node) policyPanicked(text string) {
 	n.emit(Log{Text: text})
 	if j := n.jobs.deciding; j != nil && len(j.conns) == 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,7 +45,7 @@
 	AttemptEnded(now time.Duration, job policy.JobID, attempt policy.AttemptID, outcome policy.Outcome, final bool) policy.Decision
 	NextTask(now time.Duration) policy.DueTask
 	CountUnusable(now time.Duration) int
-	ReserveSlowStartUntil(now, until time.Duration)
+	BlockSlowStartUntil(now, until time.Duration)
 	UpdateJobClasses(now time.Duration, classes []policy.JobClassUpdate)
 	ExportLearned(now time.Duration) policy.LearnedState
 	ImportLearned(now time.Duration, learned policy.LearnedState)
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -260,8 +260,8 @@
 // CountUnusable implements node.Policy.
 func (b *baseline) CountUnusable(time.Duration) int { return 0 }
 
-// ReserveSlowStartUntil implements node.Policy.
-func (b *baseline) ReserveSlowStartUntil(time.Duration, time.Duration) {}
+// BlockSlowStartUntil implements node.Policy.
+func (b *baseline) BlockSlowStartUntil(time.Duration, time.Duration) {}
 
 // UpdateJobClasses implements node.Policy.
 func (b *baseline) UpdateJobClasses(time.Duration, []policy.JobClassUpdate) {}
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -260,7 +260,7 @@
 		attempt: func(a *emulator.Attempt) { a.DedupWindow = 0 }}},
 	{"a cold executor is taken for a warm one", invariants.SlowStartBudget, func(s *Scenario) {
 		s.Load.Utilization = 1.5
-		s.Fleet.ColdCapacity, s.Fleet.OverloadMultiple, s.Fleet.QueueLimit = 0.1, 1, 10
+		s.Fleet.SlowStartCapacity, s.Fleet.OverloadMultiple, s.Fleet.QueueLimit = 0.1, 1, 10
 	}, injectedDefects{settings: func(p *policy.Settings) {
 		p.SlowStartCapacity, p.SlowStartDuration, p.OverloadMultiple = 1, time.Millisecond, 1000
 	}}},
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -71,7 +71,7 @@
 	f.CellSize = 1 + r.IntN(3)
 	f.ByPriority = oneIn(r, 2)
 	f.CancelsRunning = oneIn(r, 2)
-	f.ColdCapacity = round(0.1 + 0.4*r.Float64())
+	f.SlowStartCapacity = round(0.1 + 0.4*r.Float64())
 	f.SlowStartDuration = milliseconds(1000 * (3 + r.IntN(15)))
 	f.OverloadMultiple = float64(2 + r.IntN(3))
 	f.DrainGrace = milliseconds(100 * (1 + r.IntN(15)))
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -88,7 +88,7 @@
 		MaxRetryAfter:       time.Duration(fleet.MaxRetryAfter),
 		Quantum:             quantum,
 		LoadAdjustedWeights: fleet.WeightInterval > 0,
-		SlowStartCapacity:   fleet.ColdCapacity,
+		SlowStartCapacity:   fleet.SlowStartCapacity,
 		SlowStartDuration:   time.Duration(fleet.SlowStartDuration),
 		OverloadMultiple:    fleet.OverloadMultiple,
 		OverloadWindow:      time.Duration(fleet.OverloadWindow),
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -51,7 +51,7 @@
 	CancelsRunning    bool    `toml:"stops-work"`              // a running job ends when it is canceled
 	KeepsQueued       bool    `toml:"keeps-waiting,omitempty"` // a queued job stays when it is canceled, and runs in its turn
 	AttemptNoise      float64 `toml:"attempt-noise,omitempty"` // sigma of the lognormal by which the work of attempts of a job differs
-	ColdCapacity      float64 `toml:"cold-share"`              // capacity right after a start, as a share
+	SlowStartCapacity float64 `toml:"cold-share"`              // capacity right after a start, as a share
 	SlowStartDuration Span    `toml:"warm-within"`             // until full capacity
 	OverloadMultiple  float64 `toml:"fall-multiple"`           // of its capacity, over fall-window, at which a cold executor falls over
 	OverloadWindow    Span    `toml:"fall-window"`
@@ -276,7 +276,7 @@
 		ByPriority:       f.ByPriority,
 		CancelsRunning:   f.CancelsRunning,
 		KeepsQueued:      f.KeepsQueued,
-		SlowStartShare:   f.ColdCapacity,
+		SlowStartShare:   f.SlowStartCapacity,
 		SlowStart:        time.Duration(f.SlowStartDuration),
 		OverloadMultiple: f.OverloadMultiple,
 		OverloadWindow:   time.Duration(f.OverloadWindow),
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -51,7 +51,7 @@
 		{f.AttemptNoise < 0 || f.AttemptNoise > 3, "fleet", "attempt-noise", "from 0 to 3"},
 		{f.NoWeights && f.WeightInterval > 0, "fleet", "no-weights", "false where weights-every is over 0"},
 		{f.CellSize < 1, "fleet", "cell-of", "at least 1"},
-		{f.ColdCapacity <= 0 || f.ColdCapacity > 1, "fleet", "cold-share", "over 0 and at most 1"},
+		{f.SlowStartCapacity <= 0 || f.SlowStartCapacity > 1, "fleet", "cold-share", "over 0 and at most 1"},
 		{f.OverloadMultiple < 0, "fleet", "fall-multiple", "not under 0"},
 		{f.DialTimeout <= 0, "fleet", "dial-limit", "over 0"},
 		{f.IdleTimeout <= 0, "fleet", "idle-limit", "over 0"},
--- a/internal/simulation/scenario_defaults.go
+++ b/internal/simulation/scenario_defaults.go
@@ -19,7 +19,7 @@
 			SpeedSpread:       0.2,
 			CellSize:          2,
 			ByPriority:        true,
-			ColdCapacity:      0.3,
+			SlowStartCapacity: 0.3,
 			SlowStartDuration: milliseconds(9000),
 			OverloadMultiple:  4,
 			OverloadWindow:    milliseconds(1500),
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,5 +1,5 @@
-// Package store keeps the records of durable batch jobs on disk, in a log of segments. It assumes that the disk lies: what was not
-// synced may be lost or torn, and a sync that failed is final. What a job's records mean is not decided here but in package leases.
+// Package store keeps the records of durable batch jobs on disk, in a log of segments. It assumes that unsynced data
+// may be lost or torn, and that a failed sync is final. What a job's records mean is not decided here but in package leases.
 //
 // # Format
 //
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -37,13 +37,13 @@
 	At   time.Time `cbor:"3,keyasint"`
 
 	// Of an accepted job: its request.
-	JobClass       string        `cbor:"4,keyasint,omitempty"` // the job class
-	Deadline       time.Time     `cbor:"5,keyasint,omitzero"`  // the deadline
+	JobClass       string        `cbor:"4,keyasint,omitempty"`
+	Deadline       time.Time     `cbor:"5,keyasint,omitzero"`
 	Work           time.Duration `cbor:"6,keyasint,omitempty"` // as the client estimates it
 	URI            string        `cbor:"7,keyasint,omitempty"`
 	Host           string        `cbor:"8,keyasint,omitempty"`
 	ContentType    string        `cbor:"9,keyasint,omitempty"`
-	IdempotencyKey string        `cbor:"10,keyasint,omitempty"` // the idempotency key
+	IdempotencyKey string        `cbor:"10,keyasint,omitempty"`
 	Body           []byte        `cbor:"11,keyasint,omitempty"` // of the request, or with the final answer that of the result
 
 	// Of the start and the end of an attempt.
@@ -51,7 +51,7 @@
 	Executor string `cbor:"13,keyasint,omitempty"`
 	NeverRan bool   `cbor:"14,keyasint,omitempty"`
 
-	Outcome uint8 `cbor:"15,keyasint,omitempty"` // the outcome, with the final answer: as package leases numbers them
+	Outcome uint8 `cbor:"15,keyasint,omitempty"` // with the final answer, as package leases numbers them
 }
 
 const maxRecordBytes = 1 << 20
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -14,7 +14,7 @@
 	Epoch    uint32
 	Executor string
 	At       time.Time
-	Ended    bool // it has ended
+	Ended    bool
 	NeverRan bool // provably
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -113,7 +113,7 @@
 	Failed   error // wraps ErrFailed; nil while all is well
 }
 
-// Stats are the store's current stats.
+// Stats returns the store's current statistics.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,7 +9,7 @@
 	budgetMarginStep    = 0.05 // by which a tenant's budgetMargin falls with each success
 	budgetMarginRise    = 4    // steps by which it rises with each timeout
 	maxBudgetMargin     = 1.5  // of the predicted running time
-	maxShortBudgetRatio = 0.3  // of a tenant's first tries with short budgets, from which on a short budget tells of no earlier try
+	maxShortBudgetRatio = 0.3  // of a tenant's first tries with short budgets, from which on a short budget does not indicate an earlier try
 	maxClientRetries    = 3.0  // times that a rejected job is taken to come again
 	shortBudgetDivisor  = 2    // a budget under the deadline over this is short
 )
@@ -68,7 +68,7 @@
 	return 0
 }
 
-// fromImpatientClient reports whether a budget that lacks that much tells of no earlier try, where clients mark their
+// fromImpatientClient reports whether a budget that lacks that much does not indicate an earlier try, where clients mark their
 // retries: this is a first try that lacks it, or the tenant's first tries often do.
 func (d *Dispatcher) fromImpatientClient(j *job, arrival Arrival, lacking time.Duration) bool {
 	shortFirstTry := !arrival.ClientRetry && lacking > d.clock.turnGap
--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -46,8 +46,8 @@
 type busyness int
 
 const (
-	loadSpare busyness = iota // no attempt of ours is out, and late jobs may use it
-	loadIdle                  // no attempt of ours is out
+	loadSpare busyness = iota // no attempt of ours is out, and all late jobs may use it
+	loadIdle                  // no attempt of ours is out; only late jobs of classes that don't pay late may use it
 	loadBusy
 )
 
@@ -318,7 +318,7 @@
 	kind.paceFloors.update(e, -floatKey(e.indexed.paceLimit))
 }
 
-// maxAgingRate is an upper bound of the rate at which e's tokens age, which holds until then while its kind's pace keeps to
+// maxAgingRate is an upper bound of the rate at which e's tokens age, valid until the returned time while its kind's pace keeps to
 // the limit. Where little of e's own pace was seen, most of its pace goes up and down with its kind's: the rate is then for
 // a kind's pace of 1. Such an executor has a slot to spare, so the pace does not matter to minWait.
 func (d *Dispatcher) maxAgingRate(e *executor, kind *kindIndex, now time.Duration) (rate float64, until time.Duration) {
@@ -347,7 +347,7 @@
 	return 1
 }
 
-// minWait is a lower bound of the wait of a job sent to e, which holds until then. It follows expectedWait: where all slots
+// minWait is a lower bound of the wait of a job sent to e, valid until the returned time. It follows expectedWait: where all slots
 // are taken, no less than what the queued attempts need, and what the first to end has left.
 func (d *Dispatcher) minWait(e *executor, pace float64, slots int, now time.Duration) (wait, until time.Duration) {
 	if len(e.attempts) < slots {
--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -356,7 +356,7 @@
 func (w *randomWorld) rareStep() {
 	switch w.random.IntN(6) {
 	case 0:
-		w.ReserveSlowStartUntil(w.now, w.now+time.Duration(w.random.IntN(2000))*time.Millisecond)
+		w.BlockSlowStartUntil(w.now, w.now+time.Duration(w.random.IntN(2000))*time.Millisecond)
 	case 1:
 		w.SetAdmissionThreshold(AdmissionThreshold{Level: w.random.IntN(3) * 16, AdmitFraction: w.random.Float64(), MigrationDelay: w.random.Float64()})
 	case 2:
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -213,7 +213,7 @@
 }
 
 // NextTask returns what has fallen due, or until when nothing will. The caller asks until the task is Sleep, and again
-// at that time and after each call that tells something.
+// at that time and after each call that reports an event.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.beginTurn(now)
 	for now >= d.quota.intervalEnd {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,9 +1,9 @@
 // Package policy decides for one node which executor gets which job, and when. It does no I/O and reads no clock: the
-// reducer (internal/node) and the simulator's adapter (internal/benchwire) call it with the time since the start.
+// reducer (internal/node, the node's state machine) and the simulator's adapter (internal/benchwire) call it with the time since the start.
 //
 // # Calls
 //
-// The caller tells what it sees:
+// The caller reports events:
 //
 //	UpdateEndpoints                        what discovery brought
 //	JobArrived, ClientLeft                 a job came; its client has left
@@ -14,7 +14,7 @@
 //	UpdateJobClasses, ShutDownBy           a new configuration; the node shuts down
 //	ReserveSlowStartUntil, ImportLearned   from when on slow start is this process's; what its predecessor learned
 //
-// reads reports (TakeLoadSummary, ExportLearned, CountUnusable) and asks three things: Place (where to send this job, or that it waits, is rejected or fails), AttemptEnded (what to do
+// It also reads reports (TakeLoadSummary, ExportLearned, CountUnusable), and asks for three kinds of decision: Place (where to send this job, or that it waits, is rejected or fails), AttemptEnded (what to do
 // after this outcome) and NextTask (what has fallen due, or until when nothing will). Calls and answers are plain values;
 // their types are in ids.go, settings.go, events.go and decisions.go.
 //
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -37,7 +37,7 @@
 	d.probes.await(e)
 }
 
-// ProbeEnded tells what came of a health check. The load is valid only if it was answered.
+// ProbeEnded reports the result of a health check. The load is valid only if it was answered.
 func (d *Dispatcher) ProbeEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
 	d.beginTurn(now)
 	e := d.endpoints.byID[id]
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -73,9 +73,9 @@
 func (t *jobClass) recordRejected(firstTry bool) { t.rejectedFirstTries += oneIf(firstTry) }
 
 // recordArrival records a job, and whether it came with less than the full budget.
-func (t *jobClass) recordArrival(isShort bool) {
-	t.shortBudgets = t.shortBudgets*budgetCountDecay + oneIf(isShort)
-	t.rejectedFirstTries *= budgetCountDecay
+func (c *jobClass) recordArrival(isShort bool) {
+	c.shortBudgets = c.shortBudgets*budgetCountDecay + oneIf(isShort)
+	c.rejectedFirstTries *= budgetCountDecay
 }
 
 // inherit takes over what was learned of the class that this one replaces. Its requested and earned values move here.
@@ -137,7 +137,7 @@
 	d.classes.current = append(d.classes.current, class)
 }
 
-// UpdateJobClasses tells what the classes are from now on. The numbers of new ones follow the last number. The slow-start
+// UpdateJobClasses sets the job classes. The numbers of new ones follow the last number. The slow-start
 // budget stays as it is: other nodes may still compute with the classes before.
 func (d *Dispatcher) UpdateJobClasses(now time.Duration, updates []JobClassUpdate) {
 	d.classes.current = nil
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -44,7 +44,7 @@
 	StartWait     time.Duration
 	EjectedFor    time.Duration // left of its ejection
 	InFlightCap   int           // 0: no cap
-	Timeouts      int           // ejections for silence in a row
+	Timeouts      int           // consecutive silences or unanswered health checks
 }
 
 // ExportLearned returns what was learned, in the order of the ids.
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Where nodes are many and may message each other, one node, the lease holder, keeps each executor's slots for all: a
-// lease is requested before a token there is used, and returned with it. A holder that does not answer is done without
-// for an interval.
+// Where nodes are many and may message each other, one node, the lease holder, grants leases on an executor's slots
+// to all: a lease is requested before a token there is used, and returned with it. If the holder does not answer, nodes use the
+// executor without a lease for one interval.
 
 const (
 	maxDelayedStarts   = 0.1 // of starts that may have to wait at an executor for its holder to grant one lease more
@@ -45,7 +45,7 @@
 type leaseState struct {
 	holder         NodeID        // who is asked for it
 	primaryRetryAt time.Duration // from then on the first holder in line is asked again
-	bypassUntil    time.Duration // no holder answers: leases are done without until then
+	bypassUntil    time.Duration // no holder answers: until then the executor is used without a lease
 	requested      bool
 	requestedAt    time.Duration
 	queued         bool // the holder has none free yet
@@ -69,7 +69,7 @@
 	}
 }
 
-// expireRequest gives up a request that was not answered within the timeout.
+// expireRequest gives up a request that was not granted within the timeout.
 func (l *leaseState) expireRequest(now, timeout time.Duration) {
 	l.requested = l.requested && now-l.requestedAt <= timeout
 }
@@ -89,9 +89,9 @@
 	freeSlotSeen  bool // in this interval a probe showed a free slot while all were granted
 }
 
-// lease is one slot that is granted to a node.
+// lease is one slot that is granted to a node, the borrower.
 type lease struct {
-	holder    NodeID
+	borrower  NodeID
 	expiresAt time.Duration
 }
 
@@ -414,7 +414,7 @@
 	if waitedAtExecutor {
 		l.delayedStarts++
 	}
-	index := slices.IndexFunc(l.granted, func(granted lease) bool { return granted.holder == from })
+	index := slices.IndexFunc(l.granted, func(granted lease) bool { return granted.borrower == from })
 	if index >= 0 {
 		l.granted = slices.Delete(l.granted, index, index+1)
 	}
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -121,7 +121,7 @@
 	return summary
 }
 
-// SetAdmissionThreshold tells the fleet's threshold from now on. Jobs that were admitted stay.
+// SetAdmissionThreshold sets the fleet's threshold. Jobs that were admitted stay.
 func (d *Dispatcher) SetAdmissionThreshold(threshold AdmissionThreshold) {
 	d.shedding.threshold = threshold
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -17,14 +17,14 @@
 	ejectedUntil      time.Duration
 	inFlightCap       int           // most attempts out; it grows with answers; 0: no cap
 	lastSeen          time.Duration // last sign of life
-	timeouts          int           // ejections for silence since then
+	timeouts          int           // consecutive silences or unanswered health checks since then
 	consecutiveErrors int           // errors since it last completed a job
 	rejections        int           // rejected attempts since the last sign of life
 	suspect           bool          // an attempt failed since then
 	unresponsive      bool          // a health check was not answered, and none since
 	probeOut          bool          // a health check is out
 	probedAt          time.Duration // when the last one was sent; 0: none was
-	awaited           bool          // it is in healthChecks.awaitingReply
+	awaited           bool          // it is in pendingProbes.awaitingReply
 }
 
 // awaitSign begins to wait for a sign of life, when the first attempt goes out.
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -150,7 +150,7 @@
 	if !e.available || e.health.unresponsive || e.health.ejectedUntil > now {
 		return false
 	}
-	return e.slowStart.sender && now >= d.slowStart.reservedUntil || now >= e.slowStart.until
+	return e.slowStart.sender && now >= d.slowStart.blockedUntil || now >= e.slowStart.until
 }
 
 // canAccept reports whether e may take j now: it has a free token, is below its cap in flight after an ejection, and,
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -24,7 +24,7 @@
 	senders        int           // nodes that may use one such executor
 	budget         float64       // work that this node may send within overloadWindow, for each unit of capacity, in seconds
 	overloadWindow time.Duration
-	reservedUntil  time.Duration // until then another process of this node has the budget
+	blockedUntil   time.Duration // until then another process of this node has the budget
 }
 
 // derive sets this node's part of the slow-start budget. Divided among many nodes it would be less than one job, so a
@@ -111,10 +111,10 @@
 	return scaled(j.work, margin)
 }
 
-// ReserveSlowStartUntil tells from when on this process may use executors in slow start: until then another process of
-// this node has their budget.
-func (d *Dispatcher) ReserveSlowStartUntil(now, until time.Duration) {
-	d.slowStart.reservedUntil = until
+// BlockSlowStartUntil keeps this process from using executors in slow start until the given time: until then another
+// process of this node has their budget.
+func (d *Dispatcher) BlockSlowStartUntil(now, until time.Duration) {
+	d.slowStart.blockedUntil = until
 	d.subset.invalidate()
 	d.queue.rescan()
 	if until != Forever {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -156,7 +156,7 @@
 // limitSubsetValidity limits how long the subset holds to when something that it depends on changes by time alone: an
 // ejection or a slow start of e ends, or this process may use executors in slow start.
 func (d *Dispatcher) limitSubsetValidity(e *executor, now time.Duration) {
-	for _, at := range [...]time.Duration{e.health.ejectedUntil, e.slowStart.until, d.slowStart.reservedUntil} {
+	for _, at := range [...]time.Duration{e.health.ejectedUntil, e.slowStart.until, d.slowStart.blockedUntil} {
 		if at > now {
 			d.subset.validUntil = min(d.subset.validUntil, at)
 		}
