--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -11,7 +11,7 @@
 	"birchstair/policy"
 )
 
-// configJSON is the form of the configuration file; unknown keys are skipped.
+// configJSON is the JSON form of the configuration file. Unknown keys are ignored.
 type configJSON struct {
 	Name            string          `json:"name"`
 	Listen          string          `json:"listen"`
@@ -35,8 +35,8 @@
 	TimeoutS *float64 `json:"timeout_s"`
 }
 
-// settingsJSON is the form of the settings object; unknown keys are skipped. Times are in seconds. Fields are named by the terms of the field,
-// keys by those of the wire.
+// settingsJSON is the JSON form of the settings object. Unknown keys are ignored. Times are in seconds. The platform
+// defines the keys, so their names differ from those of the Go fields.
 type settingsJSON struct {
 	Zones          []string           `json:"areas"`
 	Kinds          []string           `json:"flavors"`
@@ -118,24 +118,24 @@
 	Value            float64 `json:"earnings"`
 }
 
-// Values of keys that are texts.
+// Values of string keys; each constant's comment names its key.
 const (
-	discoveryPolled     = "ask"      // of discovery
-	weightsLoadAdjusted = "live"     // of weights
-	valuePerWork        = "work"     // of earnings-per
-	reportInline        = "inline"   // of report.how
-	reportOnProbe       = "on_probe" // of report.how
-	reportOff           = "off"      // of report.how
+	discoveryPolled     = "ask"      // discovery
+	weightsLoadAdjusted = "live"     // weights
+	valuePerWork        = "work"     // earnings-per
+	reportInline        = "inline"   // report.how
+	reportOnProbe       = "on_probe" // report.how
+	reportOff           = "off"      // report.how
 )
 
-// idempotencies are the values of a job class's repeat.
+// idempotencies maps the values of a job class's repeat key.
 var idempotencies = map[string]policy.Idempotency{
 	"repeatable": policy.Idempotent,
 	"by_key":     policy.IdempotentWithKey,
 	"once":       policy.AtMostOnce,
 }
 
-// dedupGroups are the values of a job class's dedup-scope.
+// dedupGroups maps the values of a job class's dedup-scope key. The default covers all executors.
 var dedupGroups = map[string]policy.DedupGroup{
 	"":     policy.DedupAllExecutors,
 	"all":  policy.DedupAllExecutors,
@@ -143,7 +143,8 @@
 	"cell": policy.DedupCell,
 }
 
-// settings converts an object that validate has accepted. Its errors name what is wrong with a tenant or a job class.
+// settings converts the settings object, which validate must have accepted. Tenants and job classes are validated here;
+// an error names the one at fault.
 func (w *settingsJSON) settings() (Settings, error) {
 	s := Settings{
 		Policy:      w.policy(),
@@ -154,11 +155,11 @@
 		DialTimeout: cmp.Or(Seconds(w.Caps.DialTimeout), defaultDialTimeout),
 		DrainGrace:  cmp.Or(Seconds(w.Rules.DrainGrace), defaultDrainGrace),
 	}
-	for i, project := range w.Tenants {
-		if err := project.validate(i); err != nil {
+	for i, tenant := range w.Tenants {
+		if err := tenant.validate(i); err != nil {
 			return s, err
 		}
-		s.Policy.Tenants = append(s.Policy.Tenants, policy.Tenant{QuotaPerSecond: project.QuotaPerSecond})
+		s.Policy.Tenants = append(s.Policy.Tenants, policy.Tenant{QuotaPerSecond: tenant.QuotaPerSecond})
 	}
 	for i := range w.JobClasses {
 		class, err := w.jobClass(i)
@@ -171,7 +172,7 @@
 	return s, nil
 }
 
-// policy converts what the policy needs, but for tenants and job classes.
+// policy converts the policy's settings, except tenants and job classes.
 func (w *settingsJSON) policy() policy.Settings {
 	p := policy.Settings{
 		Node:                w.Node,
@@ -205,7 +206,8 @@
 	return p
 }
 
-// loadFields finds the values of load reports; one of another meaning is not there.
+// loadFields returns the position of each known value in load reports. A value x0 or x1 whose declared meaning is not
+// the expected one counts as absent.
 func (w *settingsJSON) loadFields() (fields LoadFields) {
 	for i, name := range loadFieldNames {
 		fields[i] = slices.Index(w.Report.Fields, name)
@@ -219,7 +221,7 @@
 	return fields
 }
 
-// jobClass converts the job class of that number.
+// jobClass validates and converts the job class with index i.
 func (w *settingsJSON) jobClass(i int) (policy.JobClass, error) {
 	wire := &w.JobClasses[i]
 	if err := wire.validate(i); err != nil {
@@ -246,7 +248,7 @@
 	return class, nil
 }
 
-// decodeError says which key below an object could not be decoded.
+// decodeError returns an error that names the key, within the named object, that could not be decoded.
 func decodeError(object string, err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) && mismatch.Field != "" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,28 +12,29 @@
 	"time"
 )
 
-// Config is the configuration of a node, from its file and the environment. Each field's key in the file is named with it.
+// Config is the configuration of a node, read from its file and the environment. Each field's comment names its key in
+// the file, and the environment variable that replaces an absent key.
 type Config struct {
-	Name      string // of the node: name, or ROUTER_NAME; required
-	Listen    string // address and port for clients: listen, or ROUTER_LISTEN; required
+	Name      string // node name: name, or ROUTER_NAME; required
+	Listen    string // address and port that clients connect to: listen, or ROUTER_LISTEN; required
 	Discovery string // address and port of the discovery service: discovery, or ROUTER_DISCOVERY; required
-	AdminAddr string // address and port for operators: management, or ROUTER_MANAGEMENT; empty for none
+	AdminAddr string // address and port of the admin API: management, or ROUTER_MANAGEMENT; empty if there is none
 
-	ListenFD  int    // descriptor of a socket that listens already: ROUTER_LISTEN_FD; 0 for none
-	SharedDir string // directory that the predecessor and the successor of a handoff share: TMPDIR where ListenFD is set; empty for none
+	ListenFD  int    // descriptor of an inherited listening socket: ROUTER_LISTEN_FD; 0 if there is none
+	SharedDir string // directory shared by the predecessor and the successor of a handoff: TMPDIR if ListenFD is set, else empty
 
-	Cores           float64 // processors: limits.cores; default 1
-	MemoryBytes     int64   // over them the node is killed: limits.memory_mb; default 192 MiB
-	MaxDescriptors  int     // file descriptors: limits.sockets; default 1024
-	PeerDescriptors int     // of them, those reserved for gossip; set by the caller
+	Cores           float64 // CPU limit: limits.cores; default 1
+	MemoryBytes     int64   // memory limit, above which the node is killed: limits.memory_mb; default 192 MiB
+	MaxDescriptors  int     // limit of file descriptors: limits.sockets; default 1024
+	PeerDescriptors int     // descriptors, out of MaxDescriptors, reserved for gossip; set by the caller
 
-	CachedEndpoints json.RawMessage // the endpoint list as this node last had it, in discovery's form: known; may be absent
+	CachedEndpoints json.RawMessage // last endpoint list that this node received, in discovery's wire form: known; optional
 	Settings        Settings
 
-	keys map[string]bool // that are in the file
+	keys map[string]bool // the keys present in the file
 }
 
-// What holds where neither the file nor the environment says it.
+// Defaults of keys that neither the file nor the environment sets.
 const (
 	defaultCores        = 1
 	defaultMemoryMiB    = 192
@@ -41,7 +42,7 @@
 	defaultProbeTimeout = 0.25 // seconds
 )
 
-// Read reads the file that ROUTER_CONFIG names; the other variables stand in for what it leaves out.
+// Read reads the file that ROUTER_CONFIG names. Other environment variables replace keys that the file leaves out.
 func Read(env func(string) string) (Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
@@ -54,7 +55,7 @@
 	return parse(text, env)
 }
 
-// parse reads a configuration from a file's text, and checks it.
+// parse decodes and validates the text of a configuration file.
 func parse(text []byte, env func(string) string) (Config, error) {
 	var file configJSON
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -87,7 +88,8 @@
 	return c, c.validate()
 }
 
-// readListenFD takes the socket of a predecessor over.
+// readListenFD reads the descriptor of the listening socket that a handoff's predecessor passes on, and the directory
+// that the two processes share.
 func (c *Config) readListenFD(env func(string) string) (err error) {
 	text := env("ROUTER_LISTEN_FD")
 	if text == "" {
@@ -100,22 +102,24 @@
 	return nil
 }
 
-// maxStandardFD is standard error's.
+// maxStandardFD is the descriptor of standard error, the highest standard stream.
 const maxStandardFD = 2
 
-// adaptSettings fits the settings, as they are sent to the simulator's nodes, to a node on a network.
+// adaptSettings adapts the settings, which are written for nodes of the simulator, to a node on a real network.
 func (c *Config) adaptSettings(file *configJSON) {
-	settings, rules := &c.Settings, &c.Settings.Policy
-	rules.Seed = crc32.ChecksumIEEE([]byte(file.Seed))
-	for i := range rules.JobClasses {
-		// A connection may take so long to come up after the policy has decided on a retry.
-		window := &rules.JobClasses[i].DedupWindow
+	settings, policySettings := &c.Settings, &c.Settings.Policy
+	policySettings.Seed = crc32.ChecksumIEEE([]byte(file.Seed))
+	for i := range policySettings.JobClasses {
+		// After the policy has decided on a retry, opening the connection may take up to DialTimeout. The retry must still
+		// arrive within the executor's deduplication window.
+		window := &policySettings.JobClasses[i].DedupWindow
 		*window = max(0, *window-settings.DialTimeout)
 	}
 	settings.Probe = Probe{Path: file.Probe.Path, Timeout: Seconds(valueOr(file.Probe.TimeoutS, defaultProbeTimeout))}
-	// The settings only permit probes and messages between nodes. Probes need a path as well, and messages the operator's file.
-	rules.MayProbe = rules.MayProbe && settings.Probe.Path != ""
-	settings.MayGossip, rules.MayLease = rules.MayLease, false
+	// The settings only permit health checks and gossip. Health checks also need a path, and gossip needs the operator's
+	// site file.
+	policySettings.MayProbe = policySettings.MayProbe && settings.Probe.Path != ""
+	settings.MayGossip, policySettings.MayLease = policySettings.MayLease, false
 }
 
 // Seconds converts seconds to a duration, rounded to the microsecond.
@@ -123,10 +127,10 @@
 	return time.Duration(math.Round(x*1e6)) * time.Microsecond
 }
 
-// valueOr is a value that may be absent, or its default.
-func valueOr[T any](p *T, absent T) T {
+// valueOr returns the value that p points to, or the default if p is nil.
+func valueOr[T any](p *T, defaultValue T) T {
 	if p != nil {
 		return *p
 	}
-	return absent
+	return defaultValue
 }
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,11 +1,11 @@
-// Package config reads a node's configuration, checks it and fills in defaults. It is the one place where this happens. Its errors name
-// the key at fault and its value.
+// Package config reads a node's configuration, validates it and fills in defaults; no other package does so. Its errors
+// name the key at fault and, where it helps, its value.
 //
-//   - config.go: Config and its reading from the file and the environment
-//   - settings.go: Settings, the part that the simulator sends as well
-//   - codec.go: the forms of both in JSON
-//   - validate.go: which values are refused
-//   - limits.go: connection limits and times that follow from a configuration
-//   - reload.go: what a changed configuration may change
-//   - load.go: the values of executors' load reports
+//   - config.go: Config, read from the configuration file and the environment
+//   - settings.go: Settings, the part of the configuration that the simulator sends as well
+//   - codec.go: the JSON forms of both
+//   - validate.go: validation of values
+//   - limits.go: connection limits and durations derived from a configuration
+//   - reload.go: comparison of a reloaded configuration with the running one
+//   - load.go: decoding of executors' load reports
 package config
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -9,38 +9,38 @@
 	loadFreeSlots
 	loadFreeMemory
 	loadRunTime
-	loadValues // how many there are
+	loadValues // number of values
 )
 
-// loadFieldNames are the values' names in the settings' report.fields.
+// loadFieldNames are the names of the values in the key report.fields of the settings.
 var loadFieldNames = [loadValues]string{"active", "waiting", "x0", "x1", "avg_ms"}
 
-// loadReportNames are their names in the reports of executors over HTTP.
+// loadReportNames are the names of the values in executors' load reports over HTTP.
 var loadReportNames = [loadValues]string{"inflight", "queue", "x0", "x1", "latency_ms"}
 
-// What the settings must say that x0 and x1 are; else they are not read.
+// The values x0 and x1 are read only if the settings declare these meanings for them.
 const (
 	meaningX0 = "free slots"
 	meaningX1 = "free memory"
 )
 
-// maxLoad is more than any executor could report: such a report counts as none.
+// maxLoad is above any plausible value. A load report with a larger value is ignored.
 const maxLoad = 1e6
 
-// LoadFields says where in a load report these values stand: jobs in flight, jobs queued, free slots, free memory, and the
-// running time of the last job in milliseconds; -1 for one that is not there.
+// LoadFields holds the position of each value in a load report, or -1 if the report lacks the value. The values are: jobs
+// in flight, jobs queued, free slots, free memory, and the running time of the last job in milliseconds.
 type LoadFields [loadValues]int
 
-// Decode takes the load out of a report's values; ok is false where no value is there, or one is not plausible.
+// Decode decodes the values of a load report. ok is false if the report holds no known value, or an implausible one.
 func (f LoadFields) Decode(values []float64) (load policy.Load, ok bool) {
 	var known [loadValues]float64
-	for i, place := range f {
+	for i, position := range f {
 		known[i] = -1
-		if place < 0 || place >= len(values) {
+		if position < 0 || position >= len(values) {
 			continue
 		}
-		known[i] = values[place]
-		if !(known[i] >= 0 && known[i] <= maxLoad) { // the negation refuses NaN as well
+		known[i] = values[position]
+		if !(known[i] >= 0 && known[i] <= maxLoad) { // the negation also refuses NaN
 			return load, false
 		}
 		ok = true
@@ -58,7 +58,7 @@
 	return load, ok
 }
 
-// ReportedValues says which values of a load report over HTTP the policy uses, by their names there.
+// ReportedValues tells for each value of a load report over HTTP, by its name in the report, whether the policy uses it.
 func (s *Settings) ReportedValues() map[string]bool {
 	used := map[string]bool{}
 	for i, name := range loadReportNames {
@@ -67,7 +67,7 @@
 	return used
 }
 
-// ReportsLoad says whether load reports have all that the policy needs of an answer.
+// ReportsLoad tells whether load reports hold all values that the policy needs: jobs in flight, jobs queued and free slots.
 func (s *Settings) ReportsLoad() bool {
 	return min(s.LoadFields[loadInFlight], s.LoadFields[loadQueued], s.LoadFields[loadFreeSlots]) >= 0
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// MissingKey is the error where another configuration lacks a key that this one has. A configuration that is read again is to be as
-// complete as the one before: a key that is gone is a fault, even one with a default.
+// MissingKey returns an error if the other configuration lacks a key that this one has, and nil otherwise. A reloaded
+// configuration must be as complete as the one before: a key that has disappeared is an error, even if it has a default.
 func (c *Config) MissingKey(other *Config) error {
 	for _, key := range slices.Sorted(maps.Keys(c.keys)) {
 		if !other.keys[key] {
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// keysOf gathers the keys of a configuration file, with those of the objects in it.
+// keysOf returns the keys of a configuration file, including those of nested objects.
 func keysOf(text []byte) (map[string]bool, error) {
 	var object any
 	if err := json.Unmarshal(text, &object); err != nil {
@@ -31,8 +31,8 @@
 	return keys, nil
 }
 
-// collectKeys gathers the keys of an object whose own key, with its separator, is the prefix. A key of a list's objects counts where all of them
-// have it.
+// collectKeys adds the keys of an object to keys, each with the prefix: the path of the object and a separator. For a list
+// of objects, it adds the keys that all of them have.
 func collectKeys(prefix string, value any, keys map[string]bool) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -48,7 +48,7 @@
 	}
 }
 
-// commonKeys are the keys that all objects of a list have.
+// commonKeys returns the keys that all objects of a list have.
 func commonKeys(prefix string, list []any) map[string]bool {
 	var common map[string]bool
 	for _, element := range list {
@@ -62,11 +62,12 @@
 	return common
 }
 
-// jobClassKeys are those that every job class has; the others depend on its idempotency.
+// jobClassKeys are the keys that every job class has. Other keys depend on its idempotency, so they may come and go.
 var jobClassKeys = map[string]bool{"name": true, "quoted-time-s": true, "outer-limit-s": true, "repeat": true, "earnings": true}
 
-// RestartKeys names the keys in which another configuration differs and that take effect at the next start only. Not among them are
-// the job classes, which take effect at once; the seed, which is new at each start; and the known list, which discovery replaces.
+// RestartKeys returns the keys that differ in the other configuration and take effect only at the next start. It leaves
+// out the job classes and the discovery address, which take effect at once; the seed, which is new at each start; and the
+// known list, which discovery replaces.
 func (c *Config) RestartKeys(other Config) (keys []string) {
 	other.Settings.Policy.Seed = c.Settings.Policy.Seed
 	other.Settings.JobClassNames = c.Settings.JobClassNames
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,20 +7,21 @@
 	"birchstair/policy"
 )
 
-// Settings is the settings object, in a node's configuration and in the simulator's first message. Each field's key in the object is named with it.
+// Settings is the settings object of a node's configuration and of the simulator's first message. Each field's comment
+// names its key in the object.
 type Settings struct {
-	Policy policy.Settings // for the policy
-
-	LoadFields    LoadFields // where values stand in load reports: report.fields
-	Probe         Probe      // the configuration's probe; not among the settings
-	MayGossip     bool       // whether nodes may send each other messages: caps.peers; default false
-	JobClassNames []string   // names of the job classes, by number: tracks[].name
-	Zones         []string   // names, by number: areas
-	Kinds         []string   // names of executor kinds, by number: flavors
-
-	IdleTimeout time.Duration // after which an executor closes an idle connection: caps.conn-idle-s; default 60 s
-	DialTimeout time.Duration // after which a connection that is not up has failed: caps.dial-timeout-s; default 100 ms
-	DrainGrace  time.Duration // from a drain's notice until nothing new goes to the executor: rules.drain-grace-s; default 1 s
+	Policy policy.Settings // settings of the policy
+
+	LoadFields    LoadFields // positions of the values in load reports: report.fields
+	Probe         Probe      // how health checks are sent: the key probe of the configuration, not of the settings
+	MayGossip     bool       // whether nodes may gossip: caps.peers; default false
+	JobClassNames []string   // names of the job classes, by index: tracks[].name
+	Zones         []string   // names of the zones, by index: areas
+	Kinds         []string   // names of the executor kinds, by index: flavors
+
+	IdleTimeout time.Duration // time after which an executor closes an idle connection: caps.conn-idle-s; default 60 s
+	DialTimeout time.Duration // time within which a connection must be established: caps.dial-timeout-s; default 100 ms
+	DrainGrace  time.Duration // how long new jobs may still go to an executor after a drain notification: rules.drain-grace-s; default 1 s
 }
 
 // Defaults of the settings.
@@ -31,13 +32,13 @@
 	minQuantum         = time.Millisecond // also the default
 )
 
-// Probe is how executors are asked for their load.
+// Probe configures health checks, which ask executors for their load.
 type Probe struct {
-	Path    string        // of the request: probe.path; empty for no probes
-	Timeout time.Duration // of one probe: probe.timeout_s; default 250 ms
+	Path    string        // path of the request: probe.path; empty if there are no health checks
+	Timeout time.Duration // timeout of one health check: probe.timeout_s; default 250 ms
 }
 
-// ReadSettings decodes the settings object and checks it.
+// ReadSettings decodes and validates the settings object.
 func ReadSettings(text []byte) (Settings, error) {
 	var wire settingsJSON
 	if err := json.Unmarshal(text, &wire); err != nil {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Bounds of values.
+// Bounds of configuration values.
 const (
 	minMemoryMiB      = 32
 	minDescriptors    = 64
 	maxProbeTimeout   = 10 * time.Second
-	maxSeconds        = 366 * 24 * 3600.0 // a year; more would not fit a duration
-	maxQuotaPerSecond = 1e9               // more than any installation takes
+	maxSeconds        = 366 * 24 * 3600.0 // 366 days, which fits a time.Duration
+	maxQuotaPerSecond = 1e9               // above the quota of any installation
 )
 
-// validate names the first key of the configuration whose value is refused.
+// validate returns an error that names the first invalid key of the configuration, or nil.
 func (c *Config) validate() error {
 	if c.Name == "" {
 		return errors.New("name: missing")
@@ -82,16 +82,17 @@
 	return nil
 }
 
-// reportModes are the values of report.how; an absent one is taken as well.
+// reportModes are the valid values of report.how, which may also be absent.
 var reportModes = []string{"", reportInline, reportOnProbe, reportOff}
 
-// validate names the first key of the settings whose value is refused; tenants and job classes are checked one by one.
+// validate returns an error that names the first invalid key of the settings, or nil. It does not check the values of
+// tenants and job classes, which have validate methods of their own.
 func (w *settingsJSON) validate() error {
 	caps, rules := &w.Caps, &w.Rules
 	for _, check := range [...]struct {
-		refused bool
+		invalid bool
 		key     string
-		why     string
+		reason  string
 	}{
 		{w.Nodes < 1, "balancers", "fewer than one node"},
 		{w.Node < 0 || w.Node >= w.Nodes, "my-number", "not one of the nodes, which count from 0"},
@@ -110,14 +111,14 @@
 		{len(w.JobClasses) == 0, "tracks", "missing, or empty"},
 		{!slices.Contains(reportModes, w.Report.How), "report.how", "none of inline, on_probe and off"},
 	} {
-		if check.refused {
-			return fmt.Errorf("settings.%s: %s", check.key, check.why)
+		if check.invalid {
+			return fmt.Errorf("settings.%s: %s", check.key, check.reason)
 		}
 	}
 	return w.validateSeconds()
 }
 
-// validateSeconds refuses times that would not fit a duration.
+// validateSeconds refuses times over maxSeconds, because very large ones would overflow a time.Duration.
 func (w *settingsJSON) validateSeconds() error {
 	for _, field := range [...]struct {
 		key     string
@@ -140,29 +141,30 @@
 	return nil
 }
 
-// validate checks the tenant of that number. Its quota divides rates, so that one under 0 would turn their sums' signs.
-func (p tenantJSON) validate(number int) error {
-	if !(p.QuotaPerSecond >= 0 && p.QuotaPerSecond <= maxQuotaPerSecond) { // the negation refuses NaN as well
-		return fmt.Errorf("settings.projects[%d].quota-per-s: not between 0 and %g", number, maxQuotaPerSecond)
+// validate checks the tenant with the given index. Rates are divided by the quota, so a negative quota would change the
+// sign of their sums.
+func (t tenantJSON) validate(index int) error {
+	if !(t.QuotaPerSecond >= 0 && t.QuotaPerSecond <= maxQuotaPerSecond) { // the negation also refuses NaN
+		return fmt.Errorf("settings.projects[%d].quota-per-s: not between 0 and %g", index, maxQuotaPerSecond)
 	}
 	return nil
 }
 
-// validate checks the job class of that number.
-func (t *jobClassJSON) validate(number int) error {
-	if _, ok := idempotencies[t.Idempotency]; !ok {
-		return fmt.Errorf("settings.tracks[%d].repeat: %.40q is none of the kinds", number, t.Idempotency)
+// validate checks the job class with the given index.
+func (c *jobClassJSON) validate(index int) error {
+	if _, ok := idempotencies[c.Idempotency]; !ok {
+		return fmt.Errorf("settings.tracks[%d].repeat: %.40q is none of the kinds", index, c.Idempotency)
 	}
-	if _, ok := dedupGroups[t.DedupGroup]; !ok {
-		return fmt.Errorf("settings.tracks[%d].dedup-scope: %.40q is none of the groups", number, t.DedupGroup)
+	if _, ok := dedupGroups[c.DedupGroup]; !ok {
+		return fmt.Errorf("settings.tracks[%d].dedup-scope: %.40q is none of the groups", index, c.DedupGroup)
 	}
 	switch {
-	case t.LatencyObjective <= 0:
-		return fmt.Errorf("settings.tracks[%d].quoted-time-s: missing, or not over 0", number)
-	case t.Deadline <= 0:
-		return fmt.Errorf("settings.tracks[%d].outer-limit-s: missing, or not over 0", number)
-	case max(t.LatencyObjective, t.Deadline, t.DedupWindow) > maxSeconds:
-		return fmt.Errorf("settings.tracks[%d]: a time over %g s", number, maxSeconds)
+	case c.LatencyObjective <= 0:
+		return fmt.Errorf("settings.tracks[%d].quoted-time-s: missing, or not over 0", index)
+	case c.Deadline <= 0:
+		return fmt.Errorf("settings.tracks[%d].outer-limit-s: missing, or not over 0", index)
+	case max(c.LatencyObjective, c.Deadline, c.DedupWindow) > maxSeconds:
+		return fmt.Errorf("settings.tracks[%d]: a time over %g s", index, maxSeconds)
 	}
 	return nil
 }
