--- a/internal/discovery/cached_list.go
+++ b/internal/discovery/cached_list.go
@@ -8,15 +8,15 @@
 	"birchstair/policy"
 )
 
-// CachedList is an endpoint list that discovery sent earlier; it may be old.
+// CachedList is an endpoint list that discovery sent earlier. It may be outdated.
 type CachedList struct {
 	Endpoints []node.Endpoint
 
 	version  int64
-	complete bool // it is a complete list, so that changes since its version bring it up to date
+	complete bool // whether it is a complete list, which the changes since its version bring up to date
 }
 
-// DecodeCached reads a cached list in discovery's wire form. An empty text or null is an empty list.
+// DecodeCached decodes a cached list from discovery's wire form. An empty text or null yields an empty list.
 func (n Names) DecodeCached(text json.RawMessage) (CachedList, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return CachedList{}, nil
@@ -28,7 +28,7 @@
 	return CachedList{Endpoints: u.endpoints, version: u.version, complete: u.complete}, nil
 }
 
-// apply is the complete list that results from the cached one and the changes since its version.
+// apply returns the complete list that results from applying the changes since the cached list's version to it.
 func (c CachedList) apply(changes update) update {
 	result := update{version: changes.version, complete: true}
 	changed := map[policy.ExecutorID]bool{}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -7,10 +7,10 @@
 	"net/http"
 )
 
-// Dialer opens connections to discovery.
+// Dialer opens connections to the discovery service.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// requestContextKey is where a dial's context has that of its request.
+// requestContextKey is the context key under which a dial finds the context of its request.
 type requestContextKey struct{}
 
 // client sends requests to one address of discovery.
@@ -20,8 +20,8 @@
 	http  *http.Client
 }
 
-// newClient makes a client. A dial ends with the request that it is for: net/http would let it go on, and where nothing answers, each
-// request would leave a descriptor behind for as long as the system tries.
+// newClient creates a client. It cancels a dial when the request that caused it ends. By default, net/http lets the dial
+// continue; if the address does not answer, each request would then occupy a descriptor until the system gives up.
 func newClient(addr string, names Names, dialer Dialer) *client {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
@@ -34,11 +34,11 @@
 	return &client{addr: addr, names: names, http: &http.Client{Transport: transport}}
 }
 
-// close closes the connections that carry no request.
+// close closes idle connections.
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-// do sends a request and reads its response. A response must fit the request: the complete list if that was requested, and no version
-// older than the requested one.
+// do sends a request and reads its response. It refuses a response that does not match the request: changes in place of
+// the complete list, or a version older than the requested one.
 func (c *client) do(ctx context.Context, r *request) (update, error) {
 	u, err := c.get(ctx, r.url(c.addr))
 	switch {
@@ -54,6 +54,7 @@
 	return u, nil
 }
 
+// get fetches a URL and decodes the response.
 func (c *client) get(ctx context.Context, url string) (update, error) {
 	httpRequest, err := http.NewRequestWithContext(context.WithValue(ctx, requestContextKey{}, ctx), http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -16,7 +16,7 @@
 	maxResponseBytes = 4 << 20
 )
 
-// url is the request's URL at an address of discovery.
+// url returns the URL of the request for a given discovery address.
 func (r *request) url(addr string) string {
 	url := "http://" + addr + targetsPath
 	if r.complete {
@@ -25,14 +25,14 @@
 	return url + fmt.Sprintf("?from=%d&hold_ms=%d", r.version, r.longPoll.Milliseconds())
 }
 
-// wireList is a response of discovery: the complete list, or what has changed since the requested version.
+// wireList is a response of discovery: the complete list, or the changes since the requested version.
 type wireList struct {
 	Version  *int64         `json:"seq"`
 	Complete bool           `json:"whole"`
 	Hosts    []wireEndpoint `json:"hosts"`
 }
 
-// wireEndpoint is an entry of it.
+// wireEndpoint is an entry of a wireList.
 type wireEndpoint struct {
 	Executor    policy.ExecutorID `json:"host"`
 	Addr        string            `json:"dial"`
@@ -41,25 +41,26 @@
 	Cell        policy.CellID     `json:"block"`
 	State       string            `json:"health"`
 	Weight      *float64          `json:"share"`   // 1 if missing
-	StartedAtMS int64             `json:"born_ms"` // Unix time in milliseconds; 0 for long ago
+	StartedAtMS int64             `json:"born_ms"` // time of its last start, as Unix time in milliseconds; 0 if it started long ago
 }
 
+// statesByName maps the values of the health key.
 var statesByName = map[string]policy.EndpointState{"ready": policy.Available, "draining": policy.Draining, "gone": policy.Removed}
 
-// Names are the names of zones and executor kinds in the settings, by number.
+// Names holds what is needed to convert discovery's lists: the names in the settings, by index, and the node's start time.
 type Names struct {
 	Zones, Kinds []string
-	Start        time.Time // the reducer's times count from here
+	Start        time.Time // zero point of the node's state machine, whose times are durations since then
 }
 
-// update is what a response brought.
+// update is a decoded response.
 type update struct {
 	version   int64
 	complete  bool
 	endpoints []node.Endpoint
 }
 
-// decode reads a response of discovery. Its wire form ends here.
+// decode decodes a response of discovery. Code outside this file does not depend on the wire form.
 func (n Names) decode(text []byte) (update, error) {
 	var list wireList
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -79,7 +80,7 @@
 	return u, nil
 }
 
-// endpoint converts an entry. Only one that was removed may lack an address.
+// endpoint converts an entry. Every entry needs an address, except one that reports a removed executor.
 func (n Names) endpoint(host wireEndpoint) (node.Endpoint, error) {
 	state, known := statesByName[host.State]
 	_, err := netip.ParseAddrPort(host.Addr)
@@ -102,7 +103,7 @@
 	}}, nil
 }
 
-// index is the number of a name; one that the settings don't know comes after all of them.
+// index returns the index of a name, or len(names) for a name that the settings do not list.
 func index(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// rejectedError is the error of a request that discovery rejected for now (503, 429). It says nothing about the list: the known version
-// stays valid.
+// rejectedError is returned for a request that discovery rejected temporarily (status 503 or 429). The known version of the
+// list stays valid.
 type rejectedError struct {
 	status string
 }
 
-// Error is the HTTP status of the rejection.
+// Error returns a text with the HTTP status of the rejection.
 func (e *rejectedError) Error() string { return "discovery answered " + e.status }
 
-// malformedError is the error of a response that makes no sense. After it the known version is dropped, and the complete list is
-// fetched.
+// malformedError is returned for a response that cannot be decoded or does not match its request. The watch then drops the
+// known version and fetches the complete list.
 type malformedError struct {
 	err error
 }
 
-// Error is the text of the cause.
+// Error returns the text of the cause.
 func (e *malformedError) Error() string { return e.err.Error() }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *malformedError) Unwrap() error { return e.err }
 
 func malformedf(format string, args ...any) error {
--- a/internal/discovery/machine.go
+++ b/internal/discovery/machine.go
@@ -8,54 +8,56 @@
 	"time"
 )
 
-// busyRejections is how many rejections in a row make a service count as busy. A single one may be a spoilt response.
-const busyRejections = 2
+// overloadRejections is how many rejections in a row mean that the service is overloaded. A single one may be a corrupted
+// response.
+const overloadRejections = 2
 
 // request is a request to discovery.
 type request struct {
-	complete   bool          // it asks for the complete list
-	version    int64         // otherwise for the changes since this version
-	longPoll   time.Duration // how long discovery may wait for a change
-	hedgeDelay time.Duration // beyond longPoll: if it is unanswered then, the next request is sent
-	timeout    time.Duration // it is canceled then
+	complete   bool          // whether the complete list is requested
+	version    int64         // if complete is false: the changes since this version are requested
+	longPoll   time.Duration // how long discovery may wait for a change before it responds
+	hedgeDelay time.Duration // time after longPoll at which the next request is sent if this one is unanswered
+	timeout    time.Duration // time after which the request is canceled, longPoll included
 	startedAt  time.Time
 
 	cancel context.CancelFunc // set by the poller
 }
 
-// state says what a watch waits for.
+// state is what a watch currently waits for.
 type state int
 
 const (
-	backingOff       state = iota // for the timer that sends the next request; hedged ones may be in flight
-	awaitingResponse              // for the response of the current request, or its hedge delay
+	backingOff       state = iota // waits for the timer that sends the next request; hedged requests may be in flight
+	awaitingResponse              // waits for the response to the current request, or the end of its hedge delay
 )
 
-// mode says what kind of request comes next.
+// mode determines the kind of the next request.
 type mode int
 
 const (
-	fetching mode = iota // no version is known: the complete list
-	probing              // the last request failed: is discovery back?
-	watching             // the last request was answered: a long poll
-	sparing              // discovery rejects requests
+	fetching   mode = iota // no version is known: request the complete list
+	probing                // the last request failed: check whether discovery is back
+	watching               // the last request was answered: request changes with a long poll
+	throttling             // discovery rejects requests: reduce the load
 )
 
-// effects is what the transitions of a machine do outside it.
+// effects holds the side effects that the transitions of a machine call for.
 type effects interface {
 	now() time.Time
-	// send sends a request; its result comes back by onResponse or onFailure.
+	// send sends a request. Its result is passed to onResponse or onFailure.
 	send(*request)
-	// cancel abandons a request.
+	// cancel cancels a request.
 	cancel(*request)
-	// setTimer calls for onTimer after a time, in place of an earlier call.
+	// setTimer arranges a call of onTimer after the given time. It replaces an earlier timer.
 	setTimer(time.Duration)
-	// report hands over an update or an error, and returns once it was dealt with. It fails once the watch has ended.
+	// report delivers an update or an error, and returns after it was handled. It fails if the watch has ended.
 	report(update, error) error
 }
 
-// machine is the state of a watch on one address. Its on... methods are the transitions; those that report return an error once the
-// watch has ended. It is not safe for concurrent use.
+// machine is the state machine of a watch on one address. The methods onWake, onTimer, onResponse and onFailure are its
+// transitions. Those that report an update or an error return an error if the watch has ended. A machine is not safe for
+// concurrent use.
 type machine struct {
 	timing  Timing
 	rand    *rand.Rand
@@ -66,19 +68,19 @@
 
 	version      int64
 	versionKnown bool
-	responded    bool          // a response has brought a list
-	failing      bool          // the last request failed, or nothing is known of discovery yet
-	rejections   int           // by a shared service, in a row
-	backoff      time.Duration // after the next failure
-	responseTime time.Duration // of the last slow response, beyond its long poll
-
-	current      *request   // nil while backing off
-	inFlight     []*request // the current one and those that it hedges
-	lastHedgedAt time.Time  // when the last request began that stayed in flight after its hedge delay
+	responded    bool          // whether any response has been received
+	failing      bool          // whether the last request failed, or a watch that resumes from a cached list had no response yet
+	rejections   int           // consecutive rejections by a shared service
+	backoff      time.Duration // pause after the next failure, before jitter
+	responseTime time.Duration // time of the last slow response beyond its long poll
+
+	current      *request   // the latest request; nil while backing off
+	inFlight     []*request // the current request and hedged earlier ones
+	lastHedgedAt time.Time  // start time of the last request that stayed in flight after its hedge delay
 }
 
-// newMachine makes the machine of a watch. A version of a complete cached list counts where nodes poll a shared service: fetching the
-// complete list would load the service, and would count as delivered late.
+// newMachine creates the state machine of a watch. Where nodes poll a shared service, the watch resumes from the version of
+// a complete cached list: fetching the complete list would load the service, and would count as a late delivery.
 func newMachine(timing Timing, cached CachedList, random *rand.Rand, effects effects) *machine {
 	resume := cached.complete && timing.SharedService
 	return &machine{
@@ -103,8 +105,8 @@
 
 func (m *machine) mode() mode {
 	switch {
-	case m.busy():
-		return sparing
+	case m.overloaded():
+		return throttling
 	case !m.versionKnown:
 		return fetching
 	case m.failing:
@@ -114,10 +116,10 @@
 	}
 }
 
-// busy says whether discovery rejects requests.
-func (m *machine) busy() bool { return m.rejections >= busyRejections }
+// overloaded tells whether discovery rejects requests repeatedly.
+func (m *machine) overloaded() bool { return m.rejections >= overloadRejections }
 
-// overdue says whether the initial list is overdue at a service that all nodes share.
+// overdue tells whether the watch has run long enough for the initial list of a shared service to be overdue.
 func (m *machine) overdue() bool {
 	return m.timing.SharedService && m.effects.now().Sub(m.startedAt) >= m.timing.InitialDeadline
 }
@@ -125,17 +127,18 @@
 // start sends the first request.
 func (m *machine) start() { m.sendNext() }
 
-// mayWake says whether onWake has an effect now: it cuts a backoff short, but no request, and no backoff that spares a service.
+// mayWake tells whether onWake has an effect now. It ends a backoff early, except one after a rejection, which protects an
+// overloaded service. It does not affect a request in flight.
 func (m *machine) mayWake() bool { return m.state() == backingOff && m.rejections == 0 }
 
-// onWake cuts a backoff short.
+// onWake ends a backoff early.
 func (m *machine) onWake() {
 	if m.mayWake() {
 		m.sendNext()
 	}
 }
 
-// onTimer ends a backoff, or the hedge delay of the current request.
+// onTimer handles the end of a backoff, or of the current request's hedge delay.
 func (m *machine) onTimer() error {
 	if m.state() == backingOff {
 		m.sendNext()
@@ -144,7 +147,8 @@
 	return m.onHedgeDelay()
 }
 
-// onHedgeDelay takes the current request for failed. It stays in flight, unless another one that does began a short time before.
+// onHedgeDelay treats the current request as failed. The request stays in flight, unless another hedged request was
+// started less than MinHedgeInterval before it.
 func (m *machine) onHedgeDelay() error {
 	unanswered := m.current
 	if unanswered.startedAt.Sub(m.lastHedgedAt) >= m.timing.MinHedgeInterval {
@@ -155,11 +159,12 @@
 	return m.fail(unanswered, fmt.Errorf("no answer within %v", unanswered.longPoll+unanswered.hedgeDelay))
 }
 
-// onFailure takes the failure of a request. That of a hedged one counts only if it shows that the version is useless: then the
-// complete list is fetched at once, as requests that were sent since with that version would fail too.
+// onFailure handles the failure of a request. The failure of a hedged request is ignored, unless discovery's response shows
+// that the version is unusable. Then the complete list is fetched at once, because later requests with that version would
+// fail as well.
 func (m *machine) onFailure(r *request, err error) error {
 	if !m.remove(r) {
-		return nil // it was abandoned
+		return nil // the request was abandoned
 	}
 	malformed := isMalformed(err)
 	if malformed {
@@ -174,7 +179,7 @@
 	return nil
 }
 
-// refetch sends a request for the complete list, unless one is current.
+// refetch sends a request for the complete list, unless the current request is one.
 func (m *machine) refetch() {
 	if m.current != nil && !m.current.complete {
 		m.abandon(m.current)
@@ -185,10 +190,10 @@
 	}
 }
 
-// onResponse takes the response of a request, current or hedged. It cancels all others.
+// onResponse handles the response to a request, current or hedged, and cancels all other requests.
 func (m *machine) onResponse(r *request, u update) error {
 	if !m.remove(r) {
-		return nil // it was abandoned
+		return nil // the request was abandoned
 	}
 	for _, other := range m.inFlight {
 		m.effects.cancel(other)
@@ -210,7 +215,7 @@
 	return nil
 }
 
-// fail reports that the current request failed, and backs off.
+// fail reports the failure of the current request and starts a backoff.
 func (m *machine) fail(r *request, err error) error {
 	m.failing, m.current = true, nil
 	if err := m.effects.report(update{}, err); err != nil {
@@ -226,11 +231,11 @@
 	return nil
 }
 
-// pauseAfter is the backoff after a failed request, before jitter.
+// pauseAfter returns the backoff after a failed request, before jitter.
 func (m *machine) pauseAfter(r *request) time.Duration {
 	switch {
 	case m.rejections > 0:
-		const maxDoublings = 8 // far over MaxRejectedBackoff
+		const maxDoublings = 8 // avoids overflow of the shift; the result is far above MaxRejectedBackoff
 		return min(m.timing.InitialInterval<<min(m.rejections-1, maxDoublings), m.timing.MaxRejectedBackoff)
 	case m.versionKnown:
 		return m.backoff
@@ -241,7 +246,7 @@
 	}
 }
 
-// jitter is a random time between half of a pause and all of it.
+// jitter returns a random duration between half the pause and the whole pause.
 func (m *machine) jitter(pause time.Duration) time.Duration {
 	return pause/2 + time.Duration(m.rand.Float64()*float64(pause-pause/2))
 }
@@ -264,12 +269,12 @@
 	m.effects.setTimer(r.longPoll + r.hedgeDelay)
 }
 
-// nextRequest is the request that the mode calls for. While discovery is silent requests are short: one that it leaves unanswered when
-// it is back must not delay what it has.
+// nextRequest creates the request that the mode calls for. While discovery does not respond, the long poll is short, so that
+// a request that is left unanswered when discovery is back does not delay the next update for long.
 func (m *machine) nextRequest() *request {
 	r := &request{complete: !m.versionKnown, version: m.version, startedAt: m.effects.now()}
 	switch m.mode() {
-	case sparing:
+	case throttling:
 		r.hedgeDelay = m.timing.RequestTimeout + m.timing.HedgeDelay
 	case fetching:
 		r.hedgeDelay = m.timing.InitialHedgeDelay
@@ -282,8 +287,8 @@
 	return r
 }
 
-// watchTimes are the long poll and hedge delay of a request in watching mode. Where responses were seen to be slow, the hedge delay is
-// longer and the long poll shorter, so that a request that hangs is noticed as soon as before.
+// watchTimes returns the long poll and hedge delay of a request in watching mode. After slow responses the hedge delay is
+// longer and the long poll is shorter by the same time, so that a request that hangs is still noticed as early as before.
 func (m *machine) watchTimes() (longPoll, hedgeDelay time.Duration) {
 	sum := m.timing.LongPoll + m.timing.HedgeDelay
 	minLongPoll := min(m.timing.LongPoll, m.timing.ProbeLongPoll)
@@ -291,21 +296,21 @@
 	return sum - hedgeDelay, hedgeDelay
 }
 
-// requestTimeout is how long a request may take beyond its long poll.
+// requestTimeout returns how long a request may take beyond its long poll.
 func (m *machine) requestTimeout() time.Duration {
-	if m.busy() || !m.versionKnown && m.overdue() {
+	if m.overloaded() || !m.versionKnown && m.overdue() {
 		return m.timing.OverdueRequestTimeout
 	}
 	return m.timing.RequestTimeout
 }
 
-// abandon cancels a request and ignores its result.
+// abandon cancels a request, whose result is then ignored.
 func (m *machine) abandon(r *request) {
 	m.effects.cancel(r)
 	m.remove(r)
 }
 
-// remove takes a request out of those in flight, and says whether it was one of them.
+// remove removes a request from those in flight. It returns false if the request was not among them.
 func (m *machine) remove(r *request) bool {
 	i := slices.Index(m.inFlight, r)
 	if i < 0 {
--- a/internal/discovery/poller.go
+++ b/internal/discovery/poller.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// poller runs the machine of a watch on one address: it owns the timer and the requests.
+// poller runs the state machine of a watch on one address. It owns the timer and the requests.
 type poller struct {
-	ctx     context.Context // the watch's
+	ctx     context.Context // context of the watch
 	client  *client
 	timer   *time.Timer
 	results chan result
 	deliver func(update, error) error
 
-	requests sync.WaitGroup // each ends with its own context or the watch's
+	requests sync.WaitGroup // goroutines of requests; each ends with the request's context or the watch's
 }
 
-// result is how a request ended.
+// result is the outcome of a request.
 type result struct {
 	*request
 	update update
@@ -27,11 +27,12 @@
 
 func newPoller(ctx context.Context, client *client, deliver func(update, error) error) *poller {
 	timer := time.NewTimer(time.Hour)
-	timer.Stop() // the machine's first request sets it
+	timer.Stop() // the state machine sets it with its first request
 	return &poller{ctx: ctx, client: client, timer: timer, results: make(chan result), deliver: deliver}
 }
 
-// run watches the address until the context ends, and returns once all requests have ended. Each wake cuts a backoff short.
+// run watches the address until the context ends, and returns after all requests have ended. Each value on wake ends a
+// backoff early.
 func (p *poller) run(timing Timing, cached CachedList, random *rand.Rand, wake <-chan struct{}) {
 	defer p.client.close()
 	defer p.requests.Wait()
@@ -42,10 +43,10 @@
 	}
 }
 
-// step takes one event to the machine. It fails once the watch has ended.
+// step waits for one event and passes it to the state machine. It fails if the watch has ended.
 func (p *poller) step(m *machine, wake <-chan struct{}) error {
 	if !m.mayWake() {
-		wake = nil // it stays for later
+		wake = nil // leaves a pending value in the channel for a later step
 	}
 	select {
 	case <-p.ctx.Done():
@@ -66,7 +67,7 @@
 
 func (p *poller) now() time.Time { return time.Now() }
 
-// send sends a request in a goroutine, which ends with the request or with the watch.
+// send sends a request in a goroutine. The goroutine ends with the request or with the watch.
 func (p *poller) send(r *request) {
 	ctx, cancel := context.WithTimeout(p.ctx, r.timeout)
 	r.cancel = cancel
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -10,9 +10,10 @@
 	"birchstair/policy"
 )
 
-// Watcher watches discovery, at one address after another.
+// Watcher watches the discovery service. Its address can be switched at run time.
 type Watcher struct {
-	// Cached is the list as this node last had it. Where nodes poll a shared service, the first watch resumes from its version.
+	// Cached is the endpoint list that this node last received. Where nodes poll a shared service, the first watch resumes
+	// from its version.
 	Cached CachedList
 
 	timing   Timing
@@ -23,26 +24,26 @@
 	switches chan string
 	reports  chan report
 
-	started uint64         // watches, which number their streams of random numbers
-	running sync.WaitGroup // watches; each ends with its context
+	started uint64         // number of watches started so far; each uses its number as the stream of its random generator
+	running sync.WaitGroup // goroutines of watches; each ends with the watch's context
 }
 
 // watch is the watch on one address. It ends with its context.
 type watch struct {
 	addr            string
 	stop            context.CancelFunc
-	handled         chan struct{} // its last report was dealt with
-	pendingReported bool          // the node was notified that a switch to it is pending
+	handled         chan struct{} // receives a value after each report was handled
+	pendingReported bool          // whether the node was notified that the switch to this address is pending
 }
 
-// report is what a watch brought: an update, or an error.
+// report carries an update or an error from a watch to Run.
 type report struct {
 	from   *watch
 	update update
 	err    error
 }
 
-// New makes a watcher, which sends its events to notify. A nil dialer is the system's.
+// New creates a watcher, which passes its events to notify. A nil dialer stands for net.Dialer.
 func New(names Names, timing Timing, dialer Dialer, notify func(node.Event)) *Watcher {
 	if dialer == nil {
 		dialer = new(net.Dialer).DialContext
@@ -58,7 +59,7 @@
 	}
 }
 
-// WatchEndpoints cuts a backoff between two requests short.
+// WatchEndpoints ends a backoff between two requests early.
 func (w *Watcher) WatchEndpoints() {
 	select {
 	case w.wake <- struct{}{}:
@@ -66,22 +67,22 @@
 	}
 }
 
-// SwitchDiscovery goes on at another address. It never blocks, and must be called by one goroutine only.
+// SwitchDiscovery switches to another address. It never blocks, and must be called by one goroutine only.
 func (w *Watcher) SwitchDiscovery(addr string) {
 	select {
-	case <-w.switches: // replaced before it was read
+	case <-w.switches: // replaces a switch that Run has not read yet
 	default:
 	}
 	w.switches <- addr
 }
 
-// Run watches discovery until the context ends, and returns once all that it started has ended. After a switch the old address stays
-// active until the new one has brought the complete list, and not longer: its updates could undo newer ones. So an address that leads
-// nowhere does no harm.
+// Run watches discovery until the context ends, and returns after all goroutines that it started have ended. After a switch,
+// the old address stays active until the new one has delivered the complete list, so a switch to an unreachable address does
+// no harm. Then the watch on the old address is stopped, because its updates could undo newer ones.
 func (w *Watcher) Run(ctx context.Context, addr string) {
 	defer w.running.Wait()
-	var active *watch                      // its updates count; nil until a watch has brought the complete list
-	latest := w.start(ctx, addr, w.Cached) // the address that was named last
+	var active *watch                      // the watch whose updates are passed on; nil until a watch has received the complete list
+	latest := w.start(ctx, addr, w.Cached) // the watch on the latest address
 	for {
 		select {
 		case <-ctx.Done():
@@ -93,9 +94,9 @@
 			if latest != active {
 				latest.stop()
 			}
-			latest = w.start(ctx, addr, CachedList{}) // its versions may count otherwise
+			latest = w.start(ctx, addr, CachedList{}) // versions of the old address may not be valid at the new one
 		case r := <-w.reports:
-			if r.from == latest && r.err == nil && latest != active { // the first update of a watch is the complete list
+			if r.from == latest && r.err == nil && latest != active { // the first update of a watch is always a complete list
 				if active != nil {
 					active.stop()
 				}
@@ -107,8 +108,9 @@
 	}
 }
 
-// handle notifies the node of a report, if it is from the active watch or there is none. The first error of the latest watch is
-// reported as a pending switch. Anything else is from a watch that was stopped.
+// handle notifies the node of reports from the active watch, or from the latest one while no watch is active. If another
+// watch is active, the first error of the latest watch is reported as a pending switch and its further errors are dropped.
+// Reports of stopped watches are dropped too.
 func (w *Watcher) handle(r report, active, latest *watch) {
 	switch {
 	case r.from == active || r.from == latest && active == nil:
@@ -119,6 +121,7 @@
 	}
 }
 
+// notifyEndpoints notifies the node of an update or of a failed request. An update without changes is dropped.
 func (w *Watcher) notifyEndpoints(r report) {
 	switch {
 	case r.err != nil:
@@ -130,7 +133,7 @@
 	}
 }
 
-// start starts a watch on an address.
+// start starts a watch on an address, which resumes from the cached list where possible.
 func (w *Watcher) start(ctx context.Context, addr string, cached CachedList) *watch {
 	ctx, stop := context.WithCancel(ctx)
 	started := &watch{addr: addr, stop: stop, handled: make(chan struct{}, 1)}
@@ -142,7 +145,7 @@
 	return started
 }
 
-// deliver hands a report to Run, and returns once it was dealt with. It fails once the watch has ended.
+// deliver passes a report to Run, and returns after Run has handled it. It fails if the watch has ended.
 func (w *Watcher) deliver(ctx context.Context, r report) error {
 	select {
 	case <-ctx.Done():
