--- a/internal/discovery/machine.go
+++ b/internal/discovery/machine.go
@@ -68,7 +68,7 @@
 
 	version      int64
 	versionKnown bool
-	responded    bool          // whether any response has been received
+	responded    bool          // whether a list or changes have been received
 	failing      bool          // whether the last request failed, or a watch that resumes from a cached list had no response yet
 	rejections   int           // consecutive rejections by a shared service
 	backoff      time.Duration // pause after the next failure, before jitter
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -1,8 +1,8 @@
-// Package reload catches SIGHUP, which tells a node to read its configuration again.
+// Package reload catches SIGHUP, which tells a node to reload its configuration.
 //
-// It catches the signal when the package is initialized, so that one that comes while the process still starts does not
-// end it. Go initializes this package among the first: it imports nothing but package os/signal, and its path sorts before
-// nearly all others. A signal before that ends the process.
+// It starts to catch the signal when the package is initialized, so that a signal during the start of the process does not
+// end the process. Go initializes this package early, because it imports little more than package os/signal and its path
+// sorts before nearly all others. A signal before the initialization still ends the process.
 package reload
 
 import (
@@ -11,23 +11,24 @@
 	"syscall"
 )
 
-// pending has room for one signal: whoever reads the configuration after a second one reads the file as it is then.
+// pending buffers one signal. More need not be kept: the reload that follows reads the latest state of the file.
 var pending = catch()
 
+// catch starts to catch SIGHUP, and returns the channel that receives it.
 func catch() chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
-// Requests returns the channel that gets a value after each SIGHUP, also after one that came before this call. Signals in
-// quick succession may count as one.
+// Requests returns the channel that receives a value after each SIGHUP, including one that arrived before this call. Signals
+// in quick succession may yield a single value.
 func Requests() <-chan os.Signal { return pending }
 
-// RestoreDefault gives SIGHUP its usual effect back, which is to end the process, also to one that has come already.
-// Commands that do not reload anything call it: they are to end with their terminal.
+// RestoreDefault restores the default effect of SIGHUP, which is to end the process. A SIGHUP that has already arrived ends
+// it too. Commands that do not reload anything call RestoreDefault, so that they end when their terminal is closed.
 func RestoreDefault() {
-	signal.Stop(pending) // after it returns, no signal is on its way to the channel
+	signal.Stop(pending) // after Stop returns, the channel receives no more signals
 	select {
 	case <-pending:
 		syscall.Kill(os.Getpid(), syscall.SIGHUP) //nolint:errcheck // a process may always signal itself
--- a/internal/site/cluster.go
+++ b/internal/site/cluster.go
@@ -10,19 +10,21 @@
 	"birchstair/internal/tomlfile"
 )
 
-// Cluster makes this node one of several that gossip. The defaults of the times and of the fan-out are those of package cluster.
+// Cluster makes this node a member of a cluster of nodes that gossip. Package cluster defines the defaults of the
+// durations and of Fanout.
 type Cluster struct {
-	Name           string            `toml:"name"`            // in the cluster; default the configuration's name
-	Listen         string            `toml:"listen"`          // address and port, TCP and UDP, for peers; required
-	Advertise      string            `toml:"advertise"`       // address and port where peers reach it; default listen
-	Seeds          []string          `toml:"seeds"`           // addresses of some nodes of the cluster, its own may be among them; default none
-	TrustedNetwork bool              `toml:"trusted-network"` // allows other than loopback addresses: messages are not encrypted; default false
-	GossipInterval tomlfile.Duration `toml:"every"`           // between two gossip messages; default 250ms
-	Fanout         int               `toml:"tell"`            // peers that each message goes to; default 3
-	PeerStateTTL   tomlfile.Duration `toml:"view-for"`        // the age to which a peer's rates count; default 4s
-	DrainTTL       tomlfile.Duration `toml:"drain-for"`       // the age to which a drain that a peer sent counts; default 10s
+	Name           string            `toml:"name"`            // name of this node in the cluster; default: the name in the configuration
+	Listen         string            `toml:"listen"`          // address and port that peers connect to, TCP and UDP; required
+	Advertise      string            `toml:"advertise"`       // address and port that peers are given to reach this node; default: listen
+	Seeds          []string          `toml:"seeds"`           // addresses of some nodes of the cluster, which may include this node; default: none
+	TrustedNetwork bool              `toml:"trusted-network"` // allows non-loopback addresses, though gossip is not encrypted; default false
+	GossipInterval tomlfile.Duration `toml:"every"`           // time between two gossip messages; default 250ms
+	Fanout         int               `toml:"tell"`            // number of peers that each message is sent to; default 3
+	PeerStateTTL   tomlfile.Duration `toml:"view-for"`        // maximum age at which the rates of a peer are used; default 4s
+	DrainTTL       tomlfile.Duration `toml:"drain-for"`       // maximum age at which a drain received from a peer applies; default 10s
 }
 
+// clusterDefaults returns the values of keys that the table leaves out.
 func clusterDefaults() *Cluster {
 	defaults := cluster.Defaults("", 0, 0)
 	return &Cluster{
@@ -33,12 +35,12 @@
 	}
 }
 
-// Bounds of the cluster's values.
+// Bounds of the values in the table fleet.
 const (
 	minGossipInterval   = 20 * time.Millisecond
 	maxFanout           = 16
 	maxNameBytes        = 64
-	minMessagesForState = 4 // gossip intervals that a peer's state outlives at least
+	minMessagesForState = 4 // minimum number of gossip intervals for which a peer's state is kept, so that lost messages do no harm
 )
 
 func (c *Cluster) validate() error {
@@ -47,15 +49,15 @@
 	}
 	switch {
 	case len(c.Name) > maxNameBytes:
-		return clusterKey("name", fmt.Errorf("over %d bytes", maxNameBytes))
+		return clusterKeyError("name", fmt.Errorf("over %d bytes", maxNameBytes))
 	case time.Duration(c.GossipInterval) < minGossipInterval:
-		return clusterKey("every", fmt.Errorf("under %v", minGossipInterval))
+		return clusterKeyError("every", fmt.Errorf("under %v", minGossipInterval))
 	case c.Fanout < 1 || c.Fanout > maxFanout:
-		return clusterKey("tell", fmt.Errorf("not from 1 to %d", maxFanout))
+		return clusterKeyError("tell", fmt.Errorf("not from 1 to %d", maxFanout))
 	case c.PeerStateTTL < minMessagesForState*c.GossipInterval:
-		return clusterKey("view-for", errors.New("under four times every: a word or two that get lost would leave no figures"))
+		return clusterKeyError("view-for", errors.New("under four times every: one or two lost messages would make the rates of a peer unusable"))
 	case c.DrainTTL < c.PeerStateTTL:
-		return clusterKey("drain-for", errors.New("under view-for"))
+		return clusterKeyError("drain-for", errors.New("under view-for"))
 	}
 	return nil
 }
@@ -63,7 +65,7 @@
 // validateAddrs checks the addresses in the order of listen, advertise and seeds.
 func (c *Cluster) validateAddrs() error {
 	if c.Listen == "" {
-		return clusterKey("listen", errors.New("missing: the address and port where neighbours reach this node"))
+		return clusterKeyError("listen", errors.New("missing: the address and port where peers reach this node"))
 	}
 	if err := c.validateAddr("listen", c.Listen); err != nil {
 		return err
@@ -81,18 +83,19 @@
 	return nil
 }
 
+// validateAddr checks the address that is the value of a key, or an element of it.
 func (c *Cluster) validateAddr(key, text string) error {
 	addr, err := netip.ParseAddrPort(text)
 	switch {
 	case err != nil || addr.Port() == 0:
-		return clusterKey(key, fmt.Errorf("%q is not an address and port", text))
+		return clusterKeyError(key, fmt.Errorf("%q is not an address and port", text))
 	case !addr.Addr().IsLoopback() && !c.TrustedNetwork:
-		return clusterKey(key, fmt.Errorf("%q is no loopback address: words are neither encrypted nor signed, so others need trusted-network = true", text))
+		return clusterKeyError(key, fmt.Errorf("%q is not a loopback address: gossip is neither encrypted nor signed, so other addresses need trusted-network = true", text))
 	}
 	return nil
 }
 
-// clusterKey is an error in the value of a key of the table.
-func clusterKey(key string, err error) error {
-	return &tomlfile.KeyError{Place: tomlfile.Position{Table: "fleet", Index: tomlfile.NoIndex, Key: key}, Err: err}
+// clusterKeyError returns an error in the value of a key in the table fleet.
+func clusterKeyError(key string, err error) error {
+	return &tomlfile.KeyError{Position: tomlfile.Position{Table: "fleet", Index: tomlfile.NoIndex, Key: key}, Err: err}
 }
--- a/internal/site/durable.go
+++ b/internal/site/durable.go
@@ -8,18 +8,19 @@
 	"birchstair/internal/tomlfile"
 )
 
-// Durable turns durable batch jobs on.
+// Durable enables durable batch jobs, which survive a restart of the node.
 type Durable struct {
-	Dir            string            `toml:"dir"`         // where the records are; one node's alone; required
-	MaxDeadline    tomlfile.Duration `toml:"outer-limit"` // the longest deadline that a client may ask for; default 24h
-	Retention      tomlfile.Duration `toml:"keep"`        // how long a final answer can be asked for; default 24h
-	SegmentSize    tomlfile.ByteSize `toml:"segment"`     // of the log; default 1MiB
-	MaxSize        tomlfile.ByteSize `toml:"most"`        // of the whole log, which is in memory as well; over it new jobs are rejected; default 16MiB
-	MaxConcurrent  int               `toml:"in-hand"`     // jobs handed to the policy at a time; the others wait on the disk; default 256
-	ExecutorLeases bool              `toml:"leases"`      // executors can be polled for what they run and have finished; default false
-	PollInterval   tomlfile.Duration `toml:"ask-every"`   // between polls while an executor can't be reached, or still runs the job; default 2s
+	Dir            string            `toml:"dir"`         // directory of the job log; no other node may use it; required
+	MaxDeadline    tomlfile.Duration `toml:"outer-limit"` // longest deadline that a client may request; default 24h
+	Retention      tomlfile.Duration `toml:"keep"`        // how long a final answer can be retrieved; default 24h
+	SegmentSize    tomlfile.ByteSize `toml:"segment"`     // size of a segment of the log; default 1MiB
+	MaxSize        tomlfile.ByteSize `toml:"most"`        // size of the whole log, which is held in memory too, above which new jobs are rejected; default 16MiB
+	MaxConcurrent  int               `toml:"in-hand"`     // number of jobs given to the policy at a time, while others wait on disk; default 256
+	ExecutorLeases bool              `toml:"leases"`      // whether executors can be polled for the jobs that they run and have finished; default false
+	PollInterval   tomlfile.Duration `toml:"ask-every"`   // time between polls while an executor is unreachable or still runs the job; default 2s
 }
 
+// durableDefaults returns the values of keys that the table leaves out.
 func durableDefaults() *Durable {
 	return &Durable{
 		MaxDeadline:   tomlfile.Duration(24 * time.Hour),
@@ -31,17 +32,17 @@
 	}
 }
 
-// Bounds of the values for durable jobs.
+// Bounds of the values in the table durable.
 const (
-	memoryDivisor   = 8 // one part of so many of the memory the log may take: a small job takes 1 KB there, and 0.3 KB on the disk
+	memoryDivisor   = 8 // the log may take 1/8 of the memory; a small job takes 1 KB in memory and 0.3 KB on disk
 	minSegmentSize  = 64 << 10
-	minSegments     = 4 // that fit the log, so that compaction finds room
+	minSegments     = 4 // minimum number of segments that fit in the log, so that compaction has space to work in
 	minPollInterval = 50 * time.Millisecond
 	minRetention    = time.Second
 	maxRetention    = 400 * 24 * time.Hour
 )
 
-// FitsMemory is the error where the file does not fit the node's memory, in bytes.
+// FitsMemory returns an error if the log may grow too large for the node's memory, given in bytes, and nil otherwise.
 func (c Config) FitsMemory(memory int64) error {
 	if d := c.Durable; d != nil && int64(d.MaxSize) > memory/memoryDivisor {
 		return fmt.Errorf("durable.most: %d MiB is over an eighth of limits.memory_mb, %d: "+
@@ -53,24 +54,24 @@
 func (d *Durable) validate() error {
 	switch {
 	case d.Dir == "":
-		return durableKey("dir", errors.New("missing: where the records are to stand, on a disk that lasts"))
+		return durableKeyError("dir", errors.New("missing: the directory of the job log, on a persistent disk"))
 	case !d.MaxDeadline.Within(minRetention, maxRetention):
-		return durableKey("outer-limit", fmt.Errorf("%v is not from 1s to %v", time.Duration(d.MaxDeadline), maxRetention))
+		return durableKeyError("outer-limit", fmt.Errorf("%v is not from 1s to %v", time.Duration(d.MaxDeadline), maxRetention))
 	case !d.Retention.Within(minRetention, maxRetention):
-		return durableKey("keep", fmt.Errorf("%v is not from 1s to %v", time.Duration(d.Retention), maxRetention))
+		return durableKeyError("keep", fmt.Errorf("%v is not from 1s to %v", time.Duration(d.Retention), maxRetention))
 	case d.SegmentSize < minSegmentSize:
-		return durableKey("segment", fmt.Errorf("under %d KiB", minSegmentSize>>10))
+		return durableKeyError("segment", fmt.Errorf("under %d KiB", minSegmentSize>>10))
 	case d.MaxSize < minSegments*d.SegmentSize:
-		return durableKey("most", errors.New("under four segments: cleaning would find no room"))
+		return durableKeyError("most", errors.New("under four segments: compaction would have no space to work in"))
 	case d.MaxConcurrent < 1:
-		return durableKey("in-hand", errors.New("under 1"))
+		return durableKeyError("in-hand", errors.New("under 1"))
 	case time.Duration(d.PollInterval) < minPollInterval:
-		return durableKey("ask-every", fmt.Errorf("under %v", minPollInterval))
+		return durableKeyError("ask-every", fmt.Errorf("under %v", minPollInterval))
 	}
 	return nil
 }
 
-// durableKey is an error in the value of a key of the table.
-func durableKey(key string, err error) error {
-	return &tomlfile.KeyError{Place: tomlfile.Position{Table: "durable", Index: tomlfile.NoIndex, Key: key}, Err: err}
+// durableKeyError returns an error in the value of a key in the table durable.
+func durableKeyError(key string, err error) error {
+	return &tomlfile.KeyError{Position: tomlfile.Position{Table: "durable", Index: tomlfile.NoIndex, Key: key}, Err: err}
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,9 +1,9 @@
-// Package site reads the operator's own file: the subsystems beyond what the platform configures. Each is a table and is off unless its table is
-// there; without the file a node has none of them.
+// Package site reads the operator's site file, which enables subsystems that the platform's configuration does not cover.
+// Each subsystem has a table in the file, and is off if the table is absent. Without a site file, all of them are off.
 //
-//   - site.go: the file
-//   - cluster.go: the table fleet, gossip with other nodes
-//   - durable.go: the table durable, durable batch jobs
+//   - site.go: the whole file
+//   - cluster.go: the table fleet, which enables gossip with other nodes
+//   - durable.go: the table durable, which enables durable batch jobs
 package site
 
 import (
@@ -12,13 +12,13 @@
 	"birchstair/internal/tomlfile"
 )
 
-// Config is the operator's file; a table that is not there is nil.
+// Config is the content of a site file. A table that is absent is nil.
 type Config struct {
 	Durable *Durable `toml:"durable"`
 	Cluster *Cluster `toml:"fleet"`
 }
 
-// Read reads the file of that name and checks it. An empty name is an empty file.
+// Read reads and validates the file with the given name. An empty name yields the Config of an empty file.
 func Read(name string) (Config, error) {
 	if name == "" {
 		return Config{}, nil
@@ -30,9 +30,9 @@
 	return Parse(name, text)
 }
 
-// Parse reads a file's text and checks it. Its errors say file, line and key.
+// Parse decodes and validates the text of a site file. Its errors name the file, the line and the key.
 func Parse(name string, text []byte) (Config, error) {
-	// First which tables there are, then each over its defaults.
+	// The first decoding finds out which tables are present; the second decodes them over their defaults.
 	var c Config
 	if err := tomlfile.Decode(name, text, &c); err != nil {
 		return Config{}, err
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-// validate checks the tables that are there; its error is a tomlfile.KeyError.
+// validate checks the tables that are present. Its error is a tomlfile.KeyError.
 func (c *Config) validate() error {
 	if c.Cluster != nil {
 		if err := c.Cluster.validate(); err != nil {
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -9,7 +9,8 @@
 	"birchstair/internal/golden"
 )
 
-// Errors in an operator's file say file, line and key, and what was probably meant.
+// TestRefusedFiles checks that errors in a site file name the file, the line and the key, and suggest what was probably
+// meant. A few valid files show that the checks do not refuse too much.
 func TestRefusedFiles(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
@@ -48,16 +49,16 @@
 		"[fleet]\nlisten = \"127.0.0.1:7946\"\nseed = []",
 	} {
 		s, err := Parse("own.toml", []byte(text))
-		verdict := fmt.Sprint(err)
+		result := fmt.Sprint(err)
 		if err == nil {
-			verdict = fmt.Sprintf("fine, durable %v, fleet %v", s.Durable != nil, s.Cluster != nil)
+			result = fmt.Sprintf("accepted, durable %v, fleet %v", s.Durable != nil, s.Cluster != nil)
 		}
-		fmt.Fprintf(&out, "%s\n    -> %s\n", strings.ReplaceAll(text, "\n", "\n  "), verdict)
+		fmt.Fprintf(&out, "%s\n    -> %s\n", strings.ReplaceAll(text, "\n", "\n  "), result)
 	}
 	golden.Compare(t, "broken-files.txt", out.String())
 }
 
-// The example is accepted, and fits the default memory of a node.
+// TestExample checks that the example file is valid and fits the default memory of a node, but not a much smaller one.
 func TestExample(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/site.example.toml")
 	if err != nil {
@@ -71,7 +72,7 @@
 		t.Error(err)
 	}
 	if err := s.FitsMemory(32 << 20); err == nil {
-		t.Error("16 MiB of log fit a node of 32 MB")
+		t.Error("a log of 16 MiB was accepted for a node with 32 MiB of memory")
 	}
 	if s, err := Read(""); err != nil || s.Durable != nil {
 		t.Errorf("no file: %+v, %v", s, err)
--- a/internal/site/wire_test.go
+++ b/internal/site/wire_test.go
@@ -9,7 +9,7 @@
 	"birchstair/internal/golden"
 )
 
-// everyKey is an operator's file with every key, none at its default.
+// everyKey is a site file that holds every key, none of them at its default.
 const everyKey = `
 [durable]
 dir = "/d"
@@ -33,9 +33,10 @@
 drain-for = "90s"
 `
 
+// printed writes each value of a configuration after its key.
 func printed(s Config) string {
 	var out strings.Builder
-	d, f := s.Durable, s.Cluster
+	d, c := s.Durable, s.Cluster
 	for _, line := range [...]struct {
 		key   string
 		value any
@@ -48,23 +49,23 @@
 		{"durable.in-hand", d.MaxConcurrent},
 		{"durable.leases", d.ExecutorLeases},
 		{"durable.ask-every", time.Duration(d.PollInterval)},
-		{"fleet.name", f.Name},
-		{"fleet.listen", f.Listen},
-		{"fleet.advertise", f.Advertise},
-		{"fleet.seeds", f.Seeds},
-		{"fleet.trusted-network", f.TrustedNetwork},
-		{"fleet.every", time.Duration(f.GossipInterval)},
-		{"fleet.tell", f.Fanout},
-		{"fleet.view-for", time.Duration(f.PeerStateTTL)},
-		{"fleet.drain-for", time.Duration(f.DrainTTL)},
+		{"fleet.name", c.Name},
+		{"fleet.listen", c.Listen},
+		{"fleet.advertise", c.Advertise},
+		{"fleet.seeds", c.Seeds},
+		{"fleet.trusted-network", c.TrustedNetwork},
+		{"fleet.every", time.Duration(c.GossipInterval)},
+		{"fleet.tell", c.Fanout},
+		{"fleet.view-for", time.Duration(c.PeerStateTTL)},
+		{"fleet.drain-for", time.Duration(c.DrainTTL)},
 	} {
 		fmt.Fprintf(&out, "%s: %v\n", line.key, line.value)
 	}
 	return out.String()
 }
 
-// An operator's file with every key is decoded completely, and one with none but those that must be there gets the defaults; a table
-// in place of each value is refused by its key.
+// TestEveryKey checks that a site file with every key is decoded completely, that one with only the required keys gets the
+// defaults, and that a table in place of each value is refused with an error that names the key.
 func TestEveryKey(t *testing.T) {
 	var out strings.Builder
 	for _, c := range []struct{ title, text string }{
@@ -78,12 +79,12 @@
 		fmt.Fprintf(&out, "%s\n%s\n", c.title, printed(s))
 	}
 	for line := range strings.Lines(everyKey) {
-		key, _, is := strings.Cut(strings.TrimSpace(line), " = ")
-		if !is {
+		key, _, found := strings.Cut(strings.TrimSpace(line), " = ")
+		if !found {
 			continue
 		}
 		_, err := Parse("own.toml", []byte(strings.Replace(everyKey, line, key+" = { no = 1 }\n", 1)))
-		refusal, _, _ := strings.Cut(fmt.Sprint(err), " into ") // what follows names Go's types
+		refusal, _, _ := strings.Cut(fmt.Sprint(err), " into ") // the rest names Go types
 		fmt.Fprintf(&out, "a table at %s: %s\n", key, refusal)
 	}
 	s, err := Parse("own.toml", []byte(everyKey))
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket asks the operating system about the state of a connection's socket, without reading from it.
+// Package socket queries the state of a connection's socket without consuming any data.
 package socket
 
 import (
@@ -8,12 +8,12 @@
 	"unsafe"
 )
 
-// peerEnder is a connection that knows by itself whether its peer has ended, such as memnet.Conn.
+// peerEnder is a connection that can tell without a socket whether its peer has ended it, such as memnet.Conn.
 type peerEnder interface{ PeerEnded() bool }
 
-// Pending returns whether a read from a connection would return at once: bytes, the peer's close or an error have
-// arrived. It may be called while another goroutine reads. known is false where the system cannot tell, as for a
-// connection that is no socket.
+// Pending returns whether a read from a connection would return at once, because data, the peer's close or an error has
+// arrived. It may be called while another goroutine reads. known is false if the system cannot tell, for example because
+// the connection is not a socket.
 func Pending(c net.Conn) (pending, known bool) {
 	raw := rawConn(c)
 	if raw == nil {
@@ -26,8 +26,8 @@
 	return pending, known && err == nil
 }
 
-// Ended returns whether the peer has closed, half-closed or reset a connection, also where bytes before that are unread.
-// It does not block, and may be called while another goroutine reads. known is false where the system cannot tell.
+// Ended returns whether the peer has closed, half-closed or reset a connection, even if data that arrived before is still
+// unread. It does not block, and may be called while another goroutine reads. known is false if the system cannot tell.
 func Ended(c net.Conn) (ended, known bool) {
 	if c, ok := c.(peerEnder); ok {
 		return c.PeerEnded(), true
@@ -46,7 +46,7 @@
 	return ended, known && err == nil
 }
 
-// rawConn returns the connection's socket, or nil where it has none.
+// rawConn returns the raw socket of a connection, or nil if it has none.
 func rawConn(c net.Conn) syscall.RawConn {
 	sys, ok := c.(syscall.Conn)
 	if !ok {
@@ -59,7 +59,7 @@
 	return raw
 }
 
-// peek returns what a read would find: data, or the end or an error of the connection. known is false where the system
+// peek returns whether a read would return data, or the end or an error of the connection. known is false if the system
 // cannot tell.
 func peek(fd uintptr) (data, end, known bool) {
 	var b [1]byte
@@ -73,10 +73,10 @@
 	return false, false, errors.Is(err, syscall.EAGAIN)
 }
 
-// inCloseWait returns whether the peer has ended its sending, by the TCP state of the socket. Where the system does not
-// tell, the peer counts as open: a batch job may be canceled only for a client that has certainly left.
+// inCloseWait returns whether the TCP state of the socket shows that the peer has closed its sending side. If the state
+// cannot be read, it returns false, because a batch job may be canceled only if its client has certainly left.
 func inCloseWait(fd uintptr) bool {
-	const tcpCloseWait = 8 // TCP_CLOSE_WAIT of tcpi_state, the first byte of struct tcp_info
+	const tcpCloseWait = 8 // TCP_CLOSE_WAIT, as a value of tcpi_state, the first byte of struct tcp_info
 	var info [8]byte
 	size := uint32(len(info))
 	_, _, errno := syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// pair returns both ends of a connection.
+// pair returns the two ends of a TCP connection.
 func pair(t testing.TB) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -15,19 +15,19 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	dialled, err := net.Dial("tcp", l.Addr().String())
+	dialed, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { dialled.Close(); taken.Close() })
-	return dialled.(*net.TCPConn), taken.(*net.TCPConn)
+	t.Cleanup(func() { dialed.Close(); accepted.Close() })
+	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// send writes text, which must succeed.
+// send writes text to a connection, and reports a failure to the test.
 func send(t testing.TB, to net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(to, text); err != nil {
@@ -35,67 +35,69 @@
 	}
 }
 
-// BenchmarkEnded measures the check before an attempt: one system call, or two where unread bytes lie before the end.
+// BenchmarkEnded measures Ended: one system call, or two if there is unread data.
 func BenchmarkEnded(b *testing.B) {
-	for _, early := range []string{"", "P"} {
-		b.Run("early="+early, func(b *testing.B) {
+	for _, unread := range []string{"", "P"} {
+		b.Run("unread="+unread, func(b *testing.B) {
 			near, far := pair(b)
-			send(b, far, early)
+			send(b, far, unread)
 			b.ReportAllocs()
 			for b.Loop() {
 				if ended, _ := Ended(near); ended {
-					b.Fatal("it has not ended")
+					b.Fatal("an open connection is reported as ended")
 				}
 			}
 		})
 	}
 }
 
-// peer is what the peer does, and whether that is to be seen.
-type peer struct {
+// peerAction is an action of the peer, and the result that the tested query must return after it.
+type peerAction struct {
 	name string
 	do   func(testing.TB, *net.TCPConn)
 	want bool
 }
 
-// looks checks what is seen of what the peer does, that it consumes nothing, and that a pipe is unknown.
-func looks(t *testing.T, look func(net.Conn) (yes, known bool), peers ...peer) {
-	for _, p := range peers {
+// checkQuery checks the result of a query, Pending or Ended, after each action of the peer. It also checks that the query
+// consumes no data, and that its result for a pipe, which has no socket, is unknown.
+func checkQuery(t *testing.T, query func(net.Conn) (result, known bool), actions ...peerAction) {
+	for _, action := range actions {
 		near, far := pair(t)
-		p.do(t, far)
-		for range 2 { // the first took nothing of it
-			if yes, known := look(near); yes != p.want || !known {
-				t.Errorf("%s: %v, known %v", p.name, yes, known)
+		action.do(t, far)
+		for range 2 { // the first query must not consume anything
+			if result, known := query(near); result != action.want || !known {
+				t.Errorf("%s: %v, known %v", action.name, result, known)
 			}
 		}
-		if b := make([]byte, 2); strings.HasPrefix(p.name, "bytes") {
+		if b := make([]byte, 2); strings.HasPrefix(action.name, "data") {
 			if _, err := io.ReadFull(near, b); err != nil || string(b) != "ab" {
 				t.Errorf("read %q, %v", b, err)
 			}
 		}
 	}
 	a, _ := net.Pipe()
-	if yes, known := look(a); yes || known {
-		t.Error("a pipe's end says something")
+	if result, known := query(a); result || known {
+		t.Errorf("a pipe: %v, known %v", result, known)
 	}
 }
 
-// TestPending checks that bytes, an end and a reset are pending and nothing else is.
+// TestPending checks that data, a half-close and a reset count as pending, and that an idle connection does not.
 func TestPending(t *testing.T) {
-	looks(t, Pending,
-		peer{"nothing", func(testing.TB, *net.TCPConn) {}, false},
-		peer{"bytes", func(t testing.TB, c *net.TCPConn) { send(t, c, "ab") }, true},
-		peer{"its end", func(_ testing.TB, c *net.TCPConn) { c.CloseWrite() }, true},
-		peer{"a break", func(_ testing.TB, c *net.TCPConn) { c.SetLinger(0); c.Close() }, true})
+	checkQuery(t, Pending,
+		peerAction{"nothing", func(testing.TB, *net.TCPConn) {}, false},
+		peerAction{"data", func(t testing.TB, c *net.TCPConn) { send(t, c, "ab") }, true},
+		peerAction{"half-close", func(_ testing.TB, c *net.TCPConn) { c.CloseWrite() }, true},
+		peerAction{"reset", func(_ testing.TB, c *net.TCPConn) { c.SetLinger(0); c.Close() }, true})
 }
 
-// TestEnded checks that the peer's end is seen, also behind bytes, and that bytes alone are no end.
+// TestEnded checks that a close, half-close or reset by the peer is found, even behind unread data, and that data alone does
+// not count as one.
 func TestEnded(t *testing.T) {
-	looks(t, Ended,
-		peer{"nothing", func(testing.TB, *net.TCPConn) {}, false},
-		peer{"bytes", func(t testing.TB, c *net.TCPConn) { send(t, c, "ab") }, false},
-		peer{"the end of its sending", func(_ testing.TB, c *net.TCPConn) { c.CloseWrite() }, true},
-		peer{"its end", func(_ testing.TB, c *net.TCPConn) { c.Close() }, true},
-		peer{"a break", func(_ testing.TB, c *net.TCPConn) { c.SetLinger(0); c.Close() }, true},
-		peer{"bytes, and its end", func(t testing.TB, c *net.TCPConn) { send(t, c, "ab"); c.Close() }, true})
+	checkQuery(t, Ended,
+		peerAction{"nothing", func(testing.TB, *net.TCPConn) {}, false},
+		peerAction{"data", func(t testing.TB, c *net.TCPConn) { send(t, c, "ab") }, false},
+		peerAction{"half-close", func(_ testing.TB, c *net.TCPConn) { c.CloseWrite() }, true},
+		peerAction{"close", func(_ testing.TB, c *net.TCPConn) { c.Close() }, true},
+		peerAction{"reset", func(_ testing.TB, c *net.TCPConn) { c.SetLinger(0); c.Close() }, true},
+		peerAction{"data, then close", func(t testing.TB, c *net.TCPConn) { send(t, c, "ab"); c.Close() }, true})
 }
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes a file's text into the struct that target points to; what the text leaves out stays as it is. Unknown keys and
-// numbers without a unit where one belongs are refused.
+// Decode decodes the text of a TOML file into the struct that target points to. Fields whose keys the text leaves out keep
+// their values. Unknown keys are refused, and so are durations and sizes without a unit.
 func Decode(file string, text []byte, target any) error {
 	targetType := reflect.TypeOf(target).Elem()
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -25,12 +25,12 @@
 		return decodeError(file, err, targetType)
 	}
 	if bare := findBareNumber(targetType, tables, Position{Index: NoIndex}); bare != nil {
-		return bare.place.Wrap(file, text, fmt.Errorf("a unit is missing; \"%v%s\" was probably meant", bare.value, bare.unit))
+		return bare.position.Wrap(file, text, fmt.Errorf("a unit is missing; \"%v%s\" was probably meant", bare.value, bare.unit))
 	}
 	return nil
 }
 
-// decodeError says file, line and key of an error of the decoder.
+// decodeError converts an error of the TOML decoder to one that names the file, the line and the key, where they are known.
 func decodeError(file string, err error, target reflect.Type) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -49,6 +49,7 @@
 	return fmt.Errorf("%s:%d: %s: %s", file, row, key, reason)
 }
 
+// unknownKeyError returns the error for an unknown key. It suggests a known key with a similar name, if there is one.
 func unknownKeyError(file string, unknown *toml.DecodeError, target reflect.Type) error {
 	row, _ := unknown.Position()
 	key := unknown.Key()
@@ -59,10 +60,10 @@
 	return fmt.Errorf("%s:%d: %s: no such key", file, row, name)
 }
 
-// typeMismatch is the decoder's text about a value of another type.
+// typeMismatch matches the decoder's error text for a value of the wrong type.
 var typeMismatch = regexp.MustCompile(`cannot decode TOML (\w+) into .* of type (\S+)`)
 
-// decodeReason is a decoder's text without the names of Go's structs.
+// decodeReason returns the text of a decoder error without the names of Go structs.
 func decodeReason(err *toml.DecodeError) string {
 	text := strings.TrimPrefix(err.Error(), "toml: ")
 	if types := typeMismatch.FindStringSubmatch(text); types != nil {
@@ -71,14 +72,15 @@
 	return text
 }
 
-// bareNumber is a number without a unit where one belongs. The decoder would take it for nanoseconds or bytes.
+// bareNumber is a number without a unit in place of a duration or size. The decoder would read it as nanoseconds or bytes.
 type bareNumber struct {
-	place Position
-	value any
-	unit  string // that was probably meant
+	position Position
+	value    any
+	unit     string // the unit that was probably meant
 }
 
-// findBareNumber finds the first in a decoded table, whose keys are those of type t; nil where there is none.
+// findBareNumber returns the first bare number in a decoded table, or nil. The fields of struct type t define the table's
+// keys.
 func findBareNumber(t reflect.Type, table map[string]any, at Position) *bareNumber {
 	for i := range t.NumField() {
 		field := t.Field(i)
@@ -88,7 +90,7 @@
 			continue
 		}
 		if unit := missingUnit(field.Type, value); unit != "" {
-			return &bareNumber{place: Position{Table: at.Table, Index: at.Index, Key: key}, value: value, unit: unit}
+			return &bareNumber{position: Position{Table: at.Table, Index: at.Index, Key: key}, value: value, unit: unit}
 		}
 		inner := key
 		if at.Table != "" {
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// findInnerBareNumber looks into a value that is a table, or an array of tables.
+// findInnerBareNumber searches a value that may be a table or an array of tables.
 func findInnerBareNumber(t reflect.Type, value any, table string) *bareNumber {
 	switch value := value.(type) {
 	case map[string]any:
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// missingUnit is the unit that a value of a type lacks; empty where it lacks none.
+// missingUnit returns the unit that was probably meant if t is a duration or size and the value has no unit, else "".
 func missingUnit(t reflect.Type, value any) string {
 	if _, isText := value.(string); isText {
 		return ""
--- a/internal/tomlfile/doc.go
+++ b/internal/tomlfile/doc.go
@@ -1,8 +1,8 @@
-// Package tomlfile reads files that people write: TOML, with unknown keys refused, and with units on durations and sizes. Its errors
-// name file, line and key, and what was probably meant.
+// Package tomlfile reads hand-written TOML files. It refuses unknown keys, and requires a unit on durations and sizes. Its
+// errors name the file, the line and the key, and suggest what was probably meant.
 //
-//   - decode.go: decoding, and what its errors say
+//   - decode.go: decoding and its errors
 //   - units.go: durations and sizes
-//   - place.go: where in a file a key stands
-//   - nearest.go: the key that was probably meant
+//   - position.go: the position of a key in a file
+//   - nearest.go: the suggestion for an unknown key
 package tomlfile
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// maxEdits is how many edits away the key that was probably meant may be.
+// maxEdits is the maximum edit distance of a suggested key from the unknown one.
 const maxEdits = 2
 
-// nearestKey is the key of a type, or of the types of its fields, that an unknown one was probably meant to be; empty where none is
-// near.
+// nearestKey returns the key with the least edit distance from an unknown key, among those of struct type t and of the
+// structs nested in it. It returns "" if none is within maxEdits.
 func nearestKey(unknown string, t reflect.Type) string {
 	nearest, least := "", maxEdits+1
 	var visit func(reflect.Type)
@@ -34,13 +34,13 @@
 	return nearest
 }
 
-// keyOf is a field's key in the file.
+// keyOf returns the key of a struct field in the file.
 func keyOf(field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 	return key
 }
 
-// elementType is the type behind pointers and slices.
+// elementType returns a type with all pointers and slices around it removed.
 func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -48,7 +48,7 @@
 	return t
 }
 
-// editDistance is how many bytes must be inserted, deleted or replaced to turn a into b (Levenshtein).
+// editDistance returns the Levenshtein distance: the number of bytes to insert, delete or replace to turn a into b.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/tomlfile/place.go
+++ b/internal/tomlfile/position.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// NoIndex is the index of a place in a table that is there once.
+// NoIndex is the Index of a Position that is not in an array of tables.
 const NoIndex = -1
 
-// Position is a key of a file.
+// Position is the position of a key in a file.
 type Position struct {
-	Table string // empty for the file's own keys
-	Index int    // of the table in an array of tables; NoIndex for one that is there once
+	Table string // name of the table; empty for a top-level key
+	Index int    // index of the table in an array of tables, or NoIndex
 	Key   string
 }
 
-// String names the key with its table.
+// String returns the key, preceded by its table.
 func (p Position) String() string {
 	switch {
 	case p.Table == "":
@@ -27,33 +27,34 @@
 	return fmt.Sprintf("%s[%d].%s", p.Table, p.Index, p.Key)
 }
 
-// Wrap puts file, line and key before an error.
+// Wrap prefixes an error with the file, the line and the key.
 func (p Position) Wrap(file string, text []byte, err error) error {
 	return fmt.Errorf("%s:%d: %s: %w", file, p.line(string(text)), p, err)
 }
 
 // KeyError is an error in the value of a key.
 type KeyError struct {
-	Place Position
-	Err   error
+	Position Position
+	Err      error
 }
 
-// Error names the key.
-func (e *KeyError) Error() string { return fmt.Sprintf("%s: %v", e.Place, e.Err) }
+// Error returns the key and what is wrong with its value.
+func (e *KeyError) Error() string { return fmt.Sprintf("%s: %v", e.Position, e.Err) }
 
-// Unwrap gives what is wrong with the value.
+// Unwrap returns the error without the key.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// Locate puts the file before an error, and for a KeyError line and key as well.
+// Locate prefixes an error with the file, and a KeyError also with the line and the key.
 func Locate(file string, text []byte, err error) error {
 	var key *KeyError
 	if errors.As(err, &key) {
-		return key.Place.Wrap(file, text, key.Err)
+		return key.Position.Wrap(file, text, key.Err)
 	}
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// line finds a place's line in a text: the key's, or else its table's, or else the first.
+// line returns the line number of the key in the text; if it is not found, that of its table; if that is not found
+// either, 1.
 func (p Position) line(text string) int {
 	index, inTable := -1, p.Table == ""
 	found, row := 1, 0
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -26,7 +26,7 @@
 	Room ByteSize `toml:"room"`
 }
 
-// Values with units are read and written, and what is wrong is said by file, line and key.
+// TestDecode checks that values with units are read and written, and that errors name the file, the line and the key.
 func TestDecode(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
@@ -54,9 +54,9 @@
 		"count = [",
 	} {
 		var s sample
-		verdict := ""
+		result := ""
 		if err := Decode("some.toml", []byte(text), &s); err != nil {
-			verdict = err.Error()
+			result = err.Error()
 		} else {
 			room, err := s.Room.MarshalText()
 			if err != nil {
@@ -66,20 +66,20 @@
 			if err != nil {
 				t.Error(err)
 			}
-			verdict = fmt.Sprintf("wait %s, room %s of %d bytes, count %d, %d rows", wait, room, int64(s.Room), s.Count, len(s.Rows))
+			result = fmt.Sprintf("wait %s, room %s of %d bytes, count %d, %d rows", wait, room, int64(s.Room), s.Count, len(s.Rows))
 		}
-		fmt.Fprintf(&out, "%s\n    -> %s\n", strings.ReplaceAll(text, "\n", "\n  "), verdict)
+		fmt.Fprintf(&out, "%s\n    -> %s\n", strings.ReplaceAll(text, "\n", "\n  "), result)
 	}
 	golden.Compare(t, "decode.txt", out.String())
 }
 
-// A place is found by its table, its index and its key, and the error that it wraps is still known.
-func TestPlace(t *testing.T) {
+// TestPosition checks that the line of a key is found by table, index and key, and that Wrap keeps the cause of the error.
+func TestPosition(t *testing.T) {
 	text := []byte("a = 1\n[t]\nb = 2\n[[r]]\nc = 3\n[[r]]\n  c = 4\n")
 	cause := errors.New("cause")
 	for _, c := range []struct {
-		place Position
-		want  string
+		position Position
+		want     string
 	}{
 		{Position{Key: "a", Index: -1}, "f:1: a: cause"},
 		{Position{Key: "none", Index: -1}, "f:1: none: cause"},
@@ -90,7 +90,7 @@
 		{Position{Table: "r", Key: "none", Index: 1}, "f:6: r[1].none: cause"},
 		{Position{Table: "none", Key: "c", Index: -1}, "f:1: none.c: cause"},
 	} {
-		err := c.place.Wrap("f", text, cause)
+		err := c.position.Wrap("f", text, cause)
 		if err.Error() != c.want || !errors.Is(err, cause) {
 			t.Errorf("%v, want %s", err, c.want)
 		}
--- a/internal/tomlfile/units.go
+++ b/internal/tomlfile/units.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Duration is a time with its unit, such as "1.5s".
+// Duration is a time span that is written with its unit, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads a duration with its unit; one under 0 is refused.
+// UnmarshalText parses a duration with its unit. A negative one is refused.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -26,21 +26,21 @@
 // MarshalText writes a duration with its unit.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Within says whether the duration is from low to high, both included.
+// Within tells whether low <= d <= high.
 func (d Duration) Within(low, high time.Duration) bool {
 	return time.Duration(d) >= low && time.Duration(d) <= high
 }
 
-// ByteSize is a number of bytes with its unit, such as "64MiB".
+// ByteSize is a number of bytes that is written with its unit, such as "64MiB".
 type ByteSize int64
 
-// maxByteSize leaves room for sums of sizes.
+// maxByteSize leaves headroom below the largest int64, so that sums of sizes do not overflow.
 const maxByteSize = 1 << 62
 
-// sizeUnits are in the order in which a text's end is compared: B ends the others as well.
+// sizeUnits are the units in the order in which UnmarshalText compares suffixes. B is last, since all others end in B.
 var sizeUnits = []sizeUnit{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// largestFirst are the units of MarshalText, but for bytes.
+// largestFirst are the units that MarshalText tries, from large to small, before bytes.
 var largestFirst = []sizeUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}}
 
 type sizeUnit struct {
@@ -48,7 +48,7 @@
 	bytes int64
 }
 
-// UnmarshalText reads a size with its unit.
+// UnmarshalText parses a size with its unit.
 func (s *ByteSize) UnmarshalText(text []byte) error {
 	for _, unit := range sizeUnits {
 		number, ok := strings.CutSuffix(string(text), unit.name)
@@ -65,7 +65,7 @@
 	return fmt.Errorf("%q is no size, such as \"64MiB\"; units are B, KiB, MiB and GiB", text)
 }
 
-// MarshalText writes a size with the largest unit of which it is a whole number.
+// MarshalText writes a size with the largest unit of which it is a whole multiple.
 func (s ByteSize) MarshalText() ([]byte, error) {
 	for _, unit := range largestFirst {
 		if s != 0 && int64(s)%unit.bytes == 0 {
