--- a/internal/config/wire_test.go
+++ b/internal/config/wire_test.go
@@ -11,7 +11,7 @@
 	"birchstair/internal/golden"
 )
 
-// everyKey is a configuration that holds every key a node reads, none at its default.
+// everyKey is a configuration that holds every key that a node reads, none of them at its default.
 const everyKey = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","management":"127.0.0.3:7000","seed":"8c1f",
  "limits":{"cores":1.5,"memory_mb":256,"sockets":2048},"known":{"seq":1,"whole":true,"hosts":[]},
  "probe":{"path":"/load","timeout_s":0.1},
@@ -27,7 +27,7 @@
    {"name":"t","aim-stretch":1.1,"quoted-time-s":0.3,"outer-limit-s":20,"repeat":"by_key","dedup-scope":"zone","dedup-window-s":9,"late-earnings":0.2,"earnings":1.5},
    {"name":"u","aim-stretch":1.2,"quoted-time-s":0.6,"outer-limit-s":30,"repeat":"repeatable","dedup-scope":"cell","dedup-window-s":8,"late-earnings":0.3,"earnings":2.5}]}}`
 
-// printed writes each value of a configuration beside the key that it comes from.
+// printed writes each value of a configuration after the key that it comes from.
 func printed(t *testing.T, c *Config) string {
 	t.Helper()
 	var out strings.Builder
@@ -109,30 +109,30 @@
 	return out.String()
 }
 
-// visitValues visits the values of an object, and of those in it, with their paths.
+// visitValues calls visit for each value of an object and of the objects nested in it, with the path of its keys.
 func visitValues(v any, visit func(path []string, value any), path ...string) {
 	switch v := v.(type) {
 	case map[string]any:
-		for key, in := range v {
-			visitValues(in, visit, append(path[:len(path):len(path)], key)...)
+		for key, inner := range v {
+			visitValues(inner, visit, append(path[:len(path):len(path)], key)...)
 		}
 	default:
 		visit(path, v)
 	}
 }
 
-// A configuration with every key is decoded completely: each value stands beside its key in the golden file, and a value of another
-// type in place of each is refused by its key.
+// TestEveryKey checks that a configuration with every key is decoded completely. The golden file shows each value after its
+// key, and the error for an object in place of each value, which names the key.
 func TestEveryKey(t *testing.T) {
 	var out strings.Builder
-	none := func(string) string { return "" }
-	c, err := parse([]byte(everyKey), none)
+	emptyEnv := func(string) string { return "" }
+	c, err := parse([]byte(everyKey), emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out.WriteString(printed(t, &c))
-	// Keys are matched in any case, as encoding/json does.
-	upper, err := parse([]byte(strings.ToUpper(everyKey[:strings.Index(everyKey, `"known"`)])+everyKey[strings.Index(everyKey, `"known"`):]), none)
+	// Keys match regardless of case, as in encoding/json.
+	upper, err := parse([]byte(strings.ToUpper(everyKey[:strings.Index(everyKey, `"known"`)])+everyKey[strings.Index(everyKey, `"known"`):]), emptyEnv)
 	fmt.Fprintf(&out, "keys in upper case: %s on %s, %v cores, %d sockets, %v\n", upper.Name, upper.Listen, upper.Cores, upper.MaxDescriptors, err)
 	var object any
 	if err := json.Unmarshal([]byte(everyKey), &object); err != nil {
@@ -145,9 +145,9 @@
 		}
 		refusals[strings.Join(path, ".")] = refusal(t, path)
 	})
-	for _, i := range [...]string{"projects", "tracks"} {
-		for key := range object.(map[string]any)["settings"].(map[string]any)[i].([]any)[0].(map[string]any) {
-			refusals["settings."+i+"[]."+key] = refusal(t, []string{"settings", i, "[]", key})
+	for _, list := range [...]string{"projects", "tracks"} {
+		for key := range object.(map[string]any)["settings"].(map[string]any)[list].([]any)[0].(map[string]any) {
+			refusals["settings."+list+"[]."+key] = refusal(t, []string{"settings", list, "[]", key})
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(refusals)) {
@@ -156,7 +156,8 @@
 	golden.Compare(t, "every-key.txt", out.String())
 }
 
-// refusal is what a configuration is refused with that has an object at a path.
+// refusal returns the error for a configuration with an object in place of the value at a path. In the path, [] stands for
+// the first element of a list.
 func refusal(t *testing.T, path []string) string {
 	t.Helper()
 	var root map[string]any
@@ -168,11 +169,11 @@
 		if key == "[]" {
 			continue
 		}
-		switch in := object[key].(type) {
+		switch inner := object[key].(type) {
 		case map[string]any:
-			object = in
+			object = inner
 		case []any:
-			object = in[0].(map[string]any)
+			object = inner[0].(map[string]any)
 		}
 	}
 	object[path[len(path)-1]] = map[string]any{"no": "value"}
