--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,8 +17,8 @@
   "report":{"fields":["active","cpu","waiting","x0"]},"domain":{"report-x0":"free slots"},
   "tracks":[{"name":"t","quoted-time-s":0.3,"outer-limit-s":20,"repeat":"once","earnings":1}]}}`
 
-// TestRead checks that an absent key gets its default or an error that names it, that invalid values are refused, and what
-// a reload accepts and which of its changes need a restart.
+// TestRead checks that an absent key gets its default or an error that names it, that invalid values are refused, and
+// what a reload accepts and which of its changes need a restart.
 func TestRead(t *testing.T) {
 	var out strings.Builder
 	readConfig := func(title string, env map[string]string) {
@@ -124,8 +124,8 @@
 	golden.Compare(t, "read.txt", out.String())
 }
 
-// TestDescriptorsSetAside checks that the connection limits leave the reserved descriptors free for every descriptor limit
-// from minDescriptors on. During a handoff this needs at least 128 descriptors, and 256 with gossip.
+// TestDescriptorsSetAside checks that the connection limits leave the reserved descriptors free for every descriptor
+// limit from minDescriptors on. During a handoff this needs at least 128 descriptors, and 256 with gossip.
 func TestDescriptorsSetAside(t *testing.T) {
 	for descriptors := minDescriptors; descriptors <= 4096; descriptors++ {
 		for _, adminAddr := range []string{"", "127.0.0.1:1"} {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -29,16 +29,17 @@
 	frontendLimitDenominator = 9
 )
 
-// ConnLimits returns how many client and executor connections the node may hold within its descriptor and memory limits.
-// Descriptors for the process itself, discovery, the admin API and peers are reserved, so that clients that use up their
-// limit cannot block any of these.
+// ConnLimits returns how many client and executor connections the node may hold within its descriptor and memory
+// limits. Descriptors for the process itself, discovery, the admin API and peers are reserved, so that clients that use
+// up their limit cannot block any of these.
 func (c *Config) ConnLimits() (clients, executors int) {
 	return c.connLimits(c.MaxDescriptors, c.MemoryBytes, ownDescriptors+MaxDiscoveryConns)
 }
 
 // HandoffConnLimits returns the limits that hold during a handoff, while the predecessor or the successor runs beside
-// this process: each process gets half. Half of MaxDiscoveryConns is enough for each, because most discovery connections
-// are needed for a switch to an address that does not answer, and only one of the two processes makes that switch.
+// this process: each process gets half. Half of MaxDiscoveryConns is enough for each, because most discovery
+// connections are needed for a switch to an address that does not answer, and only one of the two processes makes that
+// switch.
 func (c *Config) HandoffConnLimits() (clients, executors int) {
 	return c.connLimits(c.MaxDescriptors/2, c.MemoryBytes/2, ownDescriptors+MaxDiscoveryConns/2)
 }
@@ -70,8 +71,8 @@
 // maxSpeed is the maximum speed of an executor's core, relative to a standard core.
 const maxSpeed = 4
 
-// MaxWork returns an upper bound of the work that an executor can do before the longest deadline. A client's estimate of
-// a job's work is capped at this value.
+// MaxWork returns an upper bound of the work that an executor can do before the longest deadline. A client's estimate
+// of a job's work is capped at this value.
 func (c *Config) MaxWork() time.Duration { return maxSpeed * c.maxDeadline() }
 
 // maxDeadline returns the longest deadline of all job classes.
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -27,8 +27,8 @@
 // maxLoad is above any plausible value. A load report with a larger value is ignored.
 const maxLoad = 1e6
 
-// LoadFields holds the position of each value in a load report, or -1 if the report lacks the value. The values are: jobs
-// in flight, jobs queued, free slots, free memory, and the running time of the last job in milliseconds.
+// LoadFields holds the position of each value in a load report, or -1 if the report lacks the value. The values are:
+// jobs in flight, jobs queued, free slots, free memory, and the running time of the last job in milliseconds.
 type LoadFields [loadValues]int
 
 // Decode decodes the values of a load report. ok is false if the report holds no known value, or an implausible one.
@@ -58,7 +58,8 @@
 	return load, ok
 }
 
-// ReportedValues tells for each value of a load report over HTTP, by its name in the report, whether the policy uses it.
+// ReportedValues tells for each value of a load report over HTTP, by its name in the report, whether the policy uses
+// it.
 func (s *Settings) ReportedValues() map[string]bool {
 	used := map[string]bool{}
 	for i, name := range loadReportNames {
@@ -67,7 +68,8 @@
 	return used
 }
 
-// ReportsLoad tells whether load reports hold all values that the policy needs: jobs in flight, jobs queued and free slots.
+// ReportsLoad tells whether load reports hold all values that the policy needs: jobs in flight, jobs queued and free
+// slots.
 func (s *Settings) ReportsLoad() bool {
 	return min(s.LoadFields[loadInFlight], s.LoadFields[loadQueued], s.LoadFields[loadFreeSlots]) >= 0
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -10,7 +10,8 @@
 )
 
 // MissingKey returns an error if the other configuration lacks a key that this one has, and nil otherwise. A reloaded
-// configuration must be as complete as the one before: a key that has disappeared is an error, even if it has a default.
+// configuration must be as complete as the one before: a key that has disappeared is an error, even if it has a
+// default.
 func (c *Config) MissingKey(other *Config) error {
 	for _, key := range slices.Sorted(maps.Keys(c.keys)) {
 		if !other.keys[key] {
@@ -31,8 +32,8 @@
 	return keys, nil
 }
 
-// collectKeys adds the keys of an object to keys, each with the prefix: the path of the object and a separator. For a list
-// of objects, it adds the keys that all of them have.
+// collectKeys adds the keys of an object to keys, each with the prefix: the path of the object and a separator. For a
+// list of objects, it adds the keys that all of them have.
 func collectKeys(prefix string, value any, keys map[string]bool) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -66,8 +67,8 @@
 var jobClassKeys = map[string]bool{"name": true, "quoted-time-s": true, "outer-limit-s": true, "repeat": true, "earnings": true}
 
 // RestartKeys returns the keys that differ in the other configuration and take effect only at the next start. It leaves
-// out the job classes and the discovery address, which take effect at once; the seed, which is new at each start; and the
-// known list, which discovery replaces.
+// out the job classes and the discovery address, which take effect at once; the seed, which is new at each start; and
+// the known list, which discovery replaces.
 func (c *Config) RestartKeys(other Config) (keys []string) {
 	other.Settings.Policy.Seed = c.Settings.Policy.Seed
 	other.Settings.JobClassNames = c.Settings.JobClassNames
--- a/internal/config/wire_test.go
+++ b/internal/config/wire_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestEveryKey checks that a configuration with every key is decoded completely. The golden file shows each value after its
-// key, and the error for an object in place of each value, which names the key.
+// TestEveryKey checks that a configuration with every key is decoded completely. The golden file shows each value after
+// its key, and the error for an object in place of each value, which names the key.
 func TestEveryKey(t *testing.T) {
 	var out strings.Builder
 	emptyEnv := func(string) string { return "" }
@@ -156,8 +156,8 @@
 	golden.Compare(t, "every-key.txt", out.String())
 }
 
-// refusal returns the error for a configuration with an object in place of the value at a path. In the path, [] stands for
-// the first element of a list.
+// refusal returns the error for a configuration with an object in place of the value at a path. In the path, [] stands
+// for the first element of a list.
 func refusal(t *testing.T, path []string) string {
 	t.Helper()
 	var root map[string]any
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -20,8 +20,8 @@
 	http  *http.Client
 }
 
-// newClient creates a client. It cancels a dial when the request that caused it ends. By default, net/http lets the dial
-// continue; if the address does not answer, each request would then occupy a descriptor until the system gives up.
+// newClient creates a client. It cancels a dial when the request that caused it ends. By default, net/http lets the
+// dial continue; if the address does not answer, each request would then occupy a descriptor until the system gives up.
 func newClient(addr string, names Names, dialer Dialer) *client {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -47,7 +47,8 @@
 // statesByName maps the values of the health key.
 var statesByName = map[string]policy.EndpointState{"ready": policy.Available, "draining": policy.Draining, "gone": policy.Removed}
 
-// Names holds what is needed to convert discovery's lists: the names in the settings, by index, and the node's start time.
+// Names holds what is needed to convert discovery's lists: the names in the settings, by index, and the node's start
+// time.
 type Names struct {
 	Zones, Kinds []string
 	Start        time.Time // zero point of the node's state machine, whose times are durations since then
--- a/internal/discovery/codec_test.go
+++ b/internal/discovery/codec_test.go
@@ -13,7 +13,7 @@
 	"birchstair/internal/node"
 )
 
-// TestGoldenRequests pins the bytes that are sent to discovery: the request for the complete list, and one long poll.
+// TestGoldenRequests pins the bytes of the requests to discovery: one for the complete list, and one long poll.
 func TestGoldenRequests(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -35,8 +35,8 @@
 			case <-ctx.Done():
 				return
 			}
-			const answer = `{"seq":41,"whole":true,"hosts":[]}`
-			if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer); err != nil {
+			const response = `{"seq":41,"whole":true,"hosts":[]}`
+			if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(response), response); err != nil {
 				return
 			}
 		}
@@ -57,11 +57,11 @@
 	golden.Compare(t, "requests.txt", out.String())
 }
 
-// TestGoldenDecode pins what is made of discovery's answers, and how those that make no sense are reported.
+// TestGoldenDecode pins the decoding of discovery's responses, and the errors for malformed ones.
 func TestGoldenDecode(t *testing.T) {
 	names := Names{Zones: []string{"tallinn", "tartu"}, Kinds: []string{"large", "small"}, Start: time.UnixMilli(5000)}
 	var out strings.Builder
-	for _, answer := range []string{
+	for _, response := range []string{
 		`{"seq":41,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:80","site":"tartu","class":"small","block":3,"health":"ready","share":0.5,"born_ms":5500}]}`,
 		`{"seq":42,"hosts":[{"host":"a","dial":"[::1]:80","site":"tallinn","class":"large","health":"draining","share":0}]}`,
 		`{"seq":43,"whole":false,"hosts":[{"host":"a","health":"gone"},{"host":"b","dial":"127.0.0.1:81","site":"new","class":"new","health":"ready"}]}`,
@@ -78,8 +78,8 @@
 		`{"seq":41,"hosts":[{"host":"a","dial":"nowhere","health":"draining"}]}`,
 		``,
 	} {
-		fmt.Fprintln(&out, answer)
-		got, err := names.decode([]byte(answer))
+		fmt.Fprintln(&out, response)
+		got, err := names.decode([]byte(response))
 		if err != nil {
 			fmt.Fprintln(&out, "  error:", err)
 			continue
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -3,10 +3,11 @@
 //
 // # Watches
 //
-// A Watcher uses one address at a time. After a switch to another address, the watch on the old address stays active until
-// the watch on the new one has received a complete list (watcher.go).
+// A Watcher uses one address at a time. After a switch to another address, the watch on the old address stays active
+// until the watch on the new one has received a complete list (watcher.go).
 //
-// A watch on one address is a state machine (machine.go), stepped by one goroutine (poller.go) that owns the timer and the requests:
+// A watch on one address is a state machine (machine.go), stepped by one goroutine (poller.go) that owns the timer and
+// the requests:
 //
 //	backingOff       --- timer, or wake ----------> awaitingResponse   send the next request
 //	awaitingResponse --- response ----------------> backingOff         report the update; pause up to MinPollInterval, or not at all
@@ -25,6 +26,6 @@
 //
 // # Bounds
 //
-// Timing holds all timeouts, intervals and backoffs. Timing.MaxUpdateDelay adds up how long a change, such as a drain, can
-// take from discovery to the node.
+// Timing holds all timeouts, intervals and backoffs. Timing.MaxUpdateDelay adds up how long a change, such as a drain,
+// can take from discovery to the node.
 package discovery
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// rejectedError is returned for a request that discovery rejected temporarily (status 503 or 429). The known version of the
-// list stays valid.
+// rejectedError is returned for a request that discovery rejected temporarily (status 503 or 429). The known version of
+// the list stays valid.
 type rejectedError struct {
 	status string
 }
@@ -14,8 +14,8 @@
 // Error returns a text with the HTTP status of the rejection.
 func (e *rejectedError) Error() string { return "discovery answered " + e.status }
 
-// malformedError is returned for a response that cannot be decoded or does not match its request. The watch then drops the
-// known version and fetches the complete list.
+// malformedError is returned for a response that cannot be decoded or does not match its request. The watch then drops
+// the known version and fetches the complete list.
 type malformedError struct {
 	err error
 }
--- a/internal/discovery/fake_discovery_test.go
+++ b/internal/discovery/fake_discovery_test.go
@@ -16,56 +16,57 @@
 	"birchstair/policy"
 )
 
-// fakeDiscovery is a discovery in memory. Its list is a number of executors that only grows, so that the size of the list that a node was
-// notified of says which version it has.
+// fakeDiscovery is a discovery service in memory. Executors are only ever added to its list, and the version is the
+// number of executors, so the size of a list that a node was notified of shows its version.
 type fakeDiscovery struct {
 	net          *memnet.Net
-	responseTime time.Duration // from when it has an answer until it sends it
-	queue        *queue        // of the service that it shares with others, or nil
-	agent        *agent        // its way to a service that rejects requests, or nil
+	responseTime time.Duration // delay of each response
+	queue        *queue        // queue of a service shared with other fakes; nil if there is none
+	agent        *agent        // agent of a shared service that rejects requests; nil if there is none
 
 	mu                sync.Mutex
-	size              int
-	changed           chan struct{} // closed when it grows
-	at                *memnet.Listener
-	moved             bool    // it is reached at every address but its own
-	lost              bool    // no packet reaches it
-	silent            bool    // requests that come now are never answered
-	versionsRestarted bool    // its versions begin anew, and requests with an old one are malformed
-	faults            []fault // of the next requests, one each
-	requests          int
-	malformedAt       time.Time // when its first malformed answer was sent
-	completeRequestAt time.Time // when the first request after that for the complete list came
-	open              int       // connections to it, as the node sees them
-	maxOpen           int
+	size              int           // number of executors in the list
+	changed           chan struct{} // closed when the list grows
+	listener          *memnet.Listener
+	moved             bool      // whether it is reachable at every address except fakeAddr, instead of only there
+	partitioned       bool      // whether all packets to it are lost
+	unresponsive      bool      // whether new requests are never answered
+	versionsRestarted bool      // whether versions have restarted, so that a request for changes gets an error response
+	faults            []fault   // faults of the next requests, one for each
+	requests          int       // number of requests received
+	malformedAt       time.Time // time of the first error response
+	completeRequestAt time.Time // time of the first request for the complete list after malformedAt
+	open              int       // number of connections that the node has open or is dialing
+	maxOpen           int       // maximum of open
 	closed            chan struct{}
 }
 
 const fakeAddr = "127.0.0.1:8500"
 
-func newFakeDiscovery(slow time.Duration) *fakeDiscovery {
-	d := &fakeDiscovery{responseTime: slow, size: 1, changed: make(chan struct{}), closed: make(chan struct{})}
+func newFakeDiscovery(responseTime time.Duration) *fakeDiscovery {
+	d := &fakeDiscovery{responseTime: responseTime, size: 1, changed: make(chan struct{}), closed: make(chan struct{})}
 	d.net = memnet.New(1, func(_, to string) memnet.Path {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return memnet.Path{Delay: time.Millisecond, Lost: d.lost || to == "nowhere"}
+		return memnet.Path{Delay: time.Millisecond, Lost: d.partitioned || to == "nowhere"}
 	})
 	return d
 }
 
-// locked calls do with the lock held.
+// locked calls do while it holds the lock.
 func (d *fakeDiscovery) locked(do func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	do()
 }
 
+// up starts the service.
 func (d *fakeDiscovery) up() {
 	l, err := d.net.Listen("d", fakeAddr)
 	if err != nil {
 		panic(err)
 	}
-	d.locked(func() { d.at = l })
+	d.locked(func() { d.listener = l })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -82,7 +83,7 @@
 	d.net.Shutdown()
 }
 
-// sleep sleeps, or returns early once it is closed.
+// sleep waits for t, or until the fake is closed.
 func (d *fakeDiscovery) sleep(t time.Duration) {
 	select {
 	case <-time.After(t):
@@ -90,9 +91,10 @@
 	}
 }
 
+// down stops the service, so that connections are refused.
 func (d *fakeDiscovery) down() { d.net.Kill("d", false) }
 
-// dial returns a dialer to it, which counts the open connections.
+// dial returns a dialer that connects to the fake and counts open connections.
 func (d *fakeDiscovery) dial() Dialer {
 	n := 0
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -117,7 +119,7 @@
 	}
 }
 
-// countedConn is counted until it is closed.
+// countedConn is a connection that counts as open until it is closed.
 type countedConn struct {
 	net.Conn
 	d    *fakeDiscovery
@@ -130,13 +132,14 @@
 	return c.Conn.Close()
 }
 
-// halfOpen makes all open connections silent, unnoticed by either end.
+// halfOpen drops all further packets of the open connections, without either end noticing.
 func (d *fakeDiscovery) halfOpen() {
 	for _, c := range append(d.net.Conns("d"), d.net.Conns("n")...) {
 		c.DropOutgoing()
 	}
 }
 
+// addExecutor adds an executor to the list.
 func (d *fakeDiscovery) addExecutor() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,18 +148,18 @@
 	d.changed = make(chan struct{})
 }
 
-// fault is what discovery does to a request in place of answering it.
+// fault is what discovery does with a request instead of answering it properly.
 type fault string
 
 const (
 	noFault       fault = ""
-	unanswered    fault = "silent"
+	unanswered    fault = "unanswered"
 	resetByPeer   fault = "reset"
-	malformed     fault = "odd"     // it answers with an error, after its response time
-	endlessAnswer fault = "trickle" // its answer never ends
+	malformed     fault = "malformed" // an error response, after the response time
+	endlessAnswer fault = "endless"   // a response that never ends
 )
 
-// received is a request and what discovery had when it came.
+// received is a request, and the state of the list when it arrived.
 type received struct {
 	platform.Watch
 	fault   fault
@@ -164,7 +167,7 @@
 	changed <-chan struct{}
 }
 
-// serve answers the requests of a connection, until a fault or the client ends it.
+// serve answers the requests on a connection until a fault or the client ends it.
 func (d *fakeDiscovery) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -190,7 +193,7 @@
 	}
 }
 
-// receive notes a request, and what becomes of it.
+// receive records a request and determines its fault.
 func (d *fakeDiscovery) receive(watch platform.Watch) received {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -202,7 +205,7 @@
 	if len(d.faults) > 0 {
 		r.fault, d.faults = d.faults[0], d.faults[1:]
 	}
-	if d.silent {
+	if d.unresponsive {
 		r.fault = unanswered
 	}
 	if d.versionsRestarted && !watch.Complete {
@@ -211,7 +214,8 @@
 	return r
 }
 
-// answer answers with the complete list, at the end of the long poll if nothing changes before.
+// answer sends the complete list. If the client has the current version, it waits for a change or the end of the long
+// poll.
 func (d *fakeDiscovery) answer(c net.Conn, r received) error {
 	size := r.size
 	if !r.Complete && r.From == size {
@@ -222,7 +226,7 @@
 		}
 	}
 	if d.queue != nil {
-		d.sleep(d.queue.turn())
+		d.sleep(d.queue.enqueue())
 	}
 	d.sleep(d.responseTime)
 	if d.agent != nil {
@@ -237,6 +241,7 @@
 	return err
 }
 
+// answerMalformed sends an error response.
 func (d *fakeDiscovery) answerMalformed(c net.Conn) {
 	d.sleep(d.responseTime)
 	d.locked(func() {
@@ -247,12 +252,12 @@
 	fmt.Fprint(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 }
 
-// fail ends a connection by a fault.
+// fail applies a fault that ends the connection.
 func (d *fakeDiscovery) fail(f fault, c net.Conn, in *bufio.Reader) {
 	switch f {
 	case unanswered:
-		if _, err := in.ReadByte(); err == nil { // it blocks until the node cancels the request
-			panic("data behind a request that was not answered")
+		if _, err := in.ReadByte(); err == nil { // blocks until the node cancels the request
+			panic("the client sent data after a request that was not answered")
 		}
 	case resetByPeer:
 		c.(*memnet.Conn).Reset()
@@ -267,89 +272,93 @@
 	}
 }
 
-// queue is that of a service, first come, first served. Canceled requests keep their turn.
+// queue is the first-come, first-served queue of a service. Canceled requests still take their time.
 type queue struct {
 	mu          sync.Mutex
 	serviceTime time.Duration
-	until       time.Time
+	busyUntil   time.Time
 }
 
-func (q *queue) turn() time.Duration {
-	span, _ := q.turnWithin(math.MaxInt64, 0)
-	return span
+// enqueue adds a request to the queue, and returns the time until it is served.
+func (q *queue) enqueue() time.Duration {
+	wait, _ := q.tryEnqueue(math.MaxInt64, 0)
+	return wait
 }
 
-// agent is a node's way to a shared service that rejects what would be queued for longer than maxQueueTime; a rejection takes some of the
-// service's time too. The first request is answered from a cache, and a watch that goes on costs nothing. This is how the test bench
-// behaves where lists are polled.
+// agent passes a node's requests to a shared service. The service rejects requests that would be queued for longer than
+// maxQueueTime; a rejection takes some of the service's time too. The first request is answered from a cache, and a
+// request that continues an open watch takes no time. The test bench behaves in this way where lists are polled.
 type agent struct {
 	queue        *queue
 	maxQueueTime time.Duration
-	refusal      time.Duration // the time of the service that a rejection takes
+	rejectTime   time.Duration // service time of a rejection
 
 	mu       sync.Mutex
-	calls    int
-	last     time.Time // when the last answer but a rejection was sent; zero if the watch has ended
-	rejected int       // requests
+	requests int
+	last     time.Time // time of the last response that was not a rejection; zero if no watch is open
+	rejected int       // number of rejected requests
 }
 
-func (a *agent) admit(wait func(time.Duration)) bool {
+// admit waits until the service serves a request, and returns false if the service rejects it.
+func (a *agent) admit(sleep func(time.Duration)) bool {
 	a.mu.Lock()
-	a.calls++
-	free := a.calls == 1 || !a.last.IsZero() && time.Since(a.last) < 200*time.Millisecond
+	a.requests++
+	free := a.requests == 1 || !a.last.IsZero() && time.Since(a.last) < 200*time.Millisecond
 	a.last = time.Time{}
 	a.mu.Unlock()
 	if free {
 		return true
 	}
-	span, ok := a.queue.turnWithin(a.maxQueueTime, a.refusal)
+	wait, ok := a.queue.tryEnqueue(a.maxQueueTime, a.rejectTime)
 	if !ok {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		a.rejected++
 		return false
 	}
-	wait(span)
+	sleep(wait)
 	return true
 }
 
-// answered notes an answer that keeps the watch open: any but the first, which is from a cache.
+// answered records a response that keeps the watch open: any except the first, which comes from a cache.
 func (a *agent) answered() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.calls > 1 {
+	if a.requests > 1 {
 		a.last = time.Now()
 	}
 }
 
-// turnWithin is turn for a service that rejects what would be queued for longer than room.
-func (q *queue) turnWithin(room, refusal time.Duration) (time.Duration, bool) {
+// tryEnqueue is like enqueue, but returns false if the request would not be served within maxWait. Such a rejection
+// takes rejectTime of the service.
+func (q *queue) tryEnqueue(maxWait, rejectTime time.Duration) (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	if q.until.Before(now) {
-		q.until = now
+	if q.busyUntil.Before(now) {
+		q.busyUntil = now
 	}
-	if q.until.Add(q.serviceTime).Sub(now) > room {
-		q.until = q.until.Add(refusal)
+	if q.busyUntil.Add(q.serviceTime).Sub(now) > maxWait {
+		q.busyUntil = q.busyUntil.Add(rejectTime)
 		return 0, false
 	}
-	q.until = q.until.Add(q.serviceTime)
-	return q.until.Sub(now), true
+	q.busyUntil = q.busyUntil.Add(q.serviceTime)
+	return q.busyUntil.Sub(now), true
 }
 
-// notifications notes when the node was first notified of a list of each size.
+// notifications records when the node was first notified of a list of each size, or of a larger one.
 type notifications struct {
 	mu        sync.Mutex
 	firstSeen map[int]time.Time
 }
 
-func (h *notifications) notify(ev node.Event) {
+// notify records an event. It implements the notify function of a Watcher.
+func (n *notifications) notify(ev node.Event) {
 	if l, ok := ev.(node.EndpointsUpdated); ok && l.Kind == policy.CompleteUpdate {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		for size := len(l.Endpoints); size > 0 && h.firstSeen[size].IsZero(); size-- {
-			h.firstSeen[size] = time.Now()
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		for size := len(l.Endpoints); size > 0 && n.firstSeen[size].IsZero(); size-- {
+			n.firstSeen[size] = time.Now()
 		}
 	}
 }
--- a/internal/discovery/machine.go
+++ b/internal/discovery/machine.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// overloadRejections is how many rejections in a row mean that the service is overloaded. A single one may be a corrupted
-// response.
+// overloadRejections is how many rejections in a row mean that the service is overloaded. A single one may be a
+// corrupted response.
 const overloadRejections = 2
 
 // request is a request to discovery.
@@ -56,8 +56,8 @@
 }
 
 // machine is the state machine of a watch on one address. The methods onWake, onTimer, onResponse and onFailure are its
-// transitions. Those that report an update or an error return an error if the watch has ended. A machine is not safe for
-// concurrent use.
+// transitions. Those that report an update or an error return an error if the watch has ended. A machine is not safe
+// for concurrent use.
 type machine struct {
 	timing  Timing
 	rand    *rand.Rand
@@ -79,8 +79,9 @@
 	lastHedgedAt time.Time  // start time of the last request that stayed in flight after its hedge delay
 }
 
-// newMachine creates the state machine of a watch. Where nodes poll a shared service, the watch resumes from the version of
-// a complete cached list: fetching the complete list would load the service, and would count as a late delivery.
+// newMachine creates the state machine of a watch. Where nodes poll a shared service, the watch resumes from the
+// version of a complete cached list: fetching the complete list would load the service, and would count as a late
+// delivery.
 func newMachine(timing Timing, cached CachedList, random *rand.Rand, effects effects) *machine {
 	resume := cached.complete && timing.SharedService
 	return &machine{
@@ -127,8 +128,8 @@
 // start sends the first request.
 func (m *machine) start() { m.sendNext() }
 
-// mayWake tells whether onWake has an effect now. It ends a backoff early, except one after a rejection, which protects an
-// overloaded service. It does not affect a request in flight.
+// mayWake tells whether onWake has an effect now. It ends a backoff early, except one after a rejection, which protects
+// an overloaded service. It does not affect a request in flight.
 func (m *machine) mayWake() bool { return m.state() == backingOff && m.rejections == 0 }
 
 // onWake ends a backoff early.
@@ -159,9 +160,9 @@
 	return m.fail(unanswered, fmt.Errorf("no answer within %v", unanswered.longPoll+unanswered.hedgeDelay))
 }
 
-// onFailure handles the failure of a request. The failure of a hedged request is ignored, unless discovery's response shows
-// that the version is unusable. Then the complete list is fetched at once, because later requests with that version would
-// fail as well.
+// onFailure handles the failure of a request. The failure of a hedged request is ignored, unless discovery's response
+// shows that the version is unusable. Then the complete list is fetched at once, because later requests with that
+// version would fail as well.
 func (m *machine) onFailure(r *request, err error) error {
 	if !m.remove(r) {
 		return nil // the request was abandoned
@@ -269,8 +270,8 @@
 	m.effects.setTimer(r.longPoll + r.hedgeDelay)
 }
 
-// nextRequest creates the request that the mode calls for. While discovery does not respond, the long poll is short, so that
-// a request that is left unanswered when discovery is back does not delay the next update for long.
+// nextRequest creates the request that the mode calls for. While discovery does not respond, the long poll is short, so
+// that a request that is left unanswered when discovery is back does not delay the next update for long.
 func (m *machine) nextRequest() *request {
 	r := &request{complete: !m.versionKnown, version: m.version, startedAt: m.effects.now()}
 	switch m.mode() {
@@ -287,8 +288,9 @@
 	return r
 }
 
-// watchTimes returns the long poll and hedge delay of a request in watching mode. After slow responses the hedge delay is
-// longer and the long poll is shorter by the same time, so that a request that hangs is still noticed as early as before.
+// watchTimes returns the long poll and hedge delay of a request in watching mode. After slow responses the hedge delay
+// is longer and the long poll is shorter by the same time, so that a request that hangs is still noticed as early as
+// before.
 func (m *machine) watchTimes() (longPoll, hedgeDelay time.Duration) {
 	sum := m.timing.LongPoll + m.timing.HedgeDelay
 	minLongPoll := min(m.timing.LongPoll, m.timing.ProbeLongPoll)
--- a/internal/discovery/machine_test.go
+++ b/internal/discovery/machine_test.go
@@ -14,23 +14,23 @@
 	"birchstair/policy"
 )
 
-// recorder records the effects of a machine on a clock of its own.
+// recorder implements effects. It records the effects of a machine, and has a clock that the test sets.
 type recorder struct {
 	clock   time.Time
 	actions []string
 	sent    []*request
-	ended   bool // reports fail, as after the watch has ended
+	ended   bool // whether report fails, as after the end of the watch
 }
 
 func (r *recorder) now() time.Time { return r.clock }
 
 func (r *recorder) send(sent *request) {
 	r.sent = append(r.sent, sent)
-	what := fmt.Sprintf("changes since %d", sent.version)
+	content := fmt.Sprintf("changes since %d", sent.version)
 	if sent.complete {
-		what = "the complete list"
+		content = "the complete list"
 	}
-	r.actions = append(r.actions, fmt.Sprintf("send %d: %s, long poll %v, hedge delay %v, timeout %v", len(r.sent), what, sent.longPoll,
+	r.actions = append(r.actions, fmt.Sprintf("send %d: %s, long poll %v, hedge delay %v, timeout %v", len(r.sent), content, sent.longPoll,
 		sent.hedgeDelay, sent.timeout))
 }
 
@@ -65,7 +65,7 @@
 	return actions
 }
 
-// machineFrom makes a machine whose clock has run for a second, and its recorder.
+// machineFrom creates a machine and its recorder, whose clock shows one second after the start of the watch.
 func machineFrom(timing Timing, cached CachedList) (*machine, *recorder) {
 	r := &recorder{clock: time.UnixMilli(1_700_000_000_000)}
 	m := newMachine(timing, cached, rand.New(rand.NewPCG(1, 1)), r)
@@ -73,7 +73,7 @@
 	return m, r
 }
 
-// watchingMachine makes a machine that has fetched version 41 and backs off until the next poll.
+// watchingMachine creates a machine that has received version 41 and waits for the next poll.
 func watchingMachine(t *testing.T, timing Timing) (*machine, *recorder) {
 	t.Helper()
 	m, r := machineFrom(timing, CachedList{})
@@ -83,6 +83,7 @@
 	return m, r
 }
 
+// must ends the test if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -90,6 +91,7 @@
 	}
 }
 
+// expect checks the machine's state, and its actions since the last check.
 func expect(t *testing.T, r *recorder, m *machine, want state, actions ...string) {
 	t.Helper()
 	if got := r.take(); !reflect.DeepEqual(got, actions) {
@@ -211,7 +213,7 @@
 	expect(t, r, m, backingOff, "report error: no answer within 2.25s", "timer 34ms")
 	must(t, m.onTimer())
 	r.take()
-	must(t, m.onResponse(r.sent[1], update{version: 42})) // the hedged one is first after all
+	must(t, m.onResponse(r.sent[1], update{version: 42})) // the hedged request is answered first
 	expect(t, r, m, awaitingResponse, "cancel 3", "report version 42, complete false, 0 endpoints",
 		"send 4: changes since 42, long poll 1.9375s, hedge delay 312.5ms, timeout 3.9375s", "timer 2.25s")
 }
@@ -223,7 +225,7 @@
 	must(t, m.onTimer())
 	r.take()
 	r.clock = r.clock.Add(270 * time.Millisecond)
-	must(t, m.onTimer()) // the second one began at the same time
+	must(t, m.onTimer()) // the second one was started at the same time, so it is canceled
 	expect(t, r, m, backingOff, "cancel 3", "report error: no answer within 270ms", "timer 95ms")
 }
 
@@ -231,8 +233,8 @@
 	m, r := watchingMachine(t, pushedTiming)
 	must(t, m.onTimer())
 	r.take()
-	must(t, m.onFailure(r.sent[1], malformedf("nonsense")))
-	expect(t, r, m, backingOff, "report error: nonsense", "timer 34ms")
+	must(t, m.onFailure(r.sent[1], malformedf("malformed")))
+	expect(t, r, m, backingOff, "report error: malformed", "timer 34ms")
 	must(t, m.onTimer())
 	expect(t, r, m, awaitingResponse, "send 3: the complete list, long poll 0s, hedge delay 250ms, timeout 2s", "timer 250ms")
 }
@@ -243,7 +245,7 @@
 	must(t, m.onTimer()) // the first one is hedged
 	must(t, m.onTimer())
 	r.take()
-	must(t, m.onFailure(r.sent[1], malformedf("nonsense")))
+	must(t, m.onFailure(r.sent[1], malformedf("malformed")))
 	expect(t, r, m, awaitingResponse, "cancel 3", "send 4: the complete list, long poll 0s, hedge delay 250ms, timeout 2s", "timer 250ms")
 }
 
@@ -267,7 +269,7 @@
 	expect(t, r, m, awaitingResponse)
 }
 
-func TestRejectionsSpareSharedService(t *testing.T) {
+func TestRejectionsThrottleRequestsToSharedService(t *testing.T) {
 	m, r := watchingMachine(t, sharedTiming)
 	rejected := &rejectedError{"503 Service Unavailable"}
 	must(t, m.onTimer())
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -76,9 +76,9 @@
 	w.switches <- addr
 }
 
-// Run watches discovery until the context ends, and returns after all goroutines that it started have ended. After a switch,
-// the old address stays active until the new one has delivered the complete list, so a switch to an unreachable address does
-// no harm. Then the watch on the old address is stopped, because its updates could undo newer ones.
+// Run watches discovery until the context ends, and returns after all goroutines that it started have ended. After a
+// switch, the old address stays active until the new one has delivered the complete list, so a switch to an unreachable
+// address does no harm. Then the watch on the old address is stopped, because its updates could undo newer ones.
 func (w *Watcher) Run(ctx context.Context, addr string) {
 	defer w.running.Wait()
 	var active *watch                      // the watch whose updates are passed on; nil until a watch has received the complete list
@@ -108,9 +108,9 @@
 	}
 }
 
-// handle notifies the node of reports from the active watch, or from the latest one while no watch is active. If another
-// watch is active, the first error of the latest watch is reported as a pending switch and its further errors are dropped.
-// Reports of stopped watches are dropped too.
+// handle notifies the node of reports from the active watch, or from the latest one while no watch is active. If
+// another watch is active, the first error of the latest watch is reported as a pending switch and its further errors
+// are dropped. Reports of stopped watches are dropped too.
 func (w *Watcher) handle(r report, active, latest *watch) {
 	switch {
 	case r.from == active || r.from == latest && active == nil:
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -17,26 +17,27 @@
 	"birchstair/policy"
 )
 
+// host returns a list entry in discovery's wire form, with further fields appended.
 func host(name string, fields string) string {
 	return `{"host":"` + name + `","dial":"127.0.0.1:80","site":"tartu","class":"small","block":3,` + fields + `}`
 }
 
-// TestWatch pins the requests to a discovery that sends complete lists, changes, and malformed answers, closes connections and falls
-// silent, and the events that the node is notified of.
+// TestWatch pins the requests to a discovery service that sends complete lists, changes and malformed responses, closes
+// connections and leaves requests unanswered, and the events that the node is notified of.
 func TestWatch(t *testing.T) {
 	ready, draining := `"health":"ready","share":1.5,"born_ms":0`, `"health":"draining","share":1,"born_ms":5500`
-	answers := []string{
+	responses := []string{
 		"close", // discovery is down
-		"silent",
+		"hang",
 		`{"seq":41,"whole":true,"hosts":[` + host("a", ready) + `,` + host("b", draining) + `]}`,
 		`{"seq":41,"whole":false,"hosts":[]}`,
 		`{"seq":43,"whole":false,"hosts":[` + host("a", draining) + `,{"host":"b","health":"gone"}]}`,
-		"silent", // a watch that hangs: it goes on from where it was
+		"hang", // a long poll that hangs: the watch goes on from the same version
 		`{"seq":44,"whole":true,"hosts":[` + host("c", ready) + `]}`,
 		"close",
 		`{"seq":45,"whole":false,"hosts":[` + host("d", ready) + `]}`,
 		`{"seq":46,"whole":false,"hosts":[` + host("e", `"health":"asleep"`) + `]}`,
-		`{"seq":47,"whole":false,"hosts":[]}`, // changes, where the whole list was asked for
+		`{"seq":47,"whole":false,"hosts":[]}`, // changes in place of the requested complete list
 		`{"seq":47,"whole":true,"hosts":[` + host("f", ready),
 		`{"whole":true,"hosts":[]}`,
 		`{"seq":48,"whole":true,"hosts":[{"host":"","dial":"127.0.0.1:80","health":"ready"}]}`,
@@ -44,47 +45,49 @@
 		"error",
 		`{"seq":50,"whole":true,"hosts":[{"host":"h","dial":"127.0.0.1:81","health":"ready","site":"new","class":"new"}]}`,
 	}
-	golden.Compare(t, "watch.txt", playAnswers(t, NewTiming(time.Second, true), CachedList{}, answers))
+	golden.Compare(t, "watch.txt", playResponses(t, NewTiming(time.Second, true), CachedList{}, responses))
 }
 
-// TestWatchFromTheCopy checks that the first watch on a shared service resumes from the version of the cached list, and completes that
-// list by the changes. Versions that went back and malformed answers cause a request for the complete list; a rejection does not. Where
-// lists are pushed, or the cached list is not complete, the complete list is requested.
-func TestWatchFromTheCopy(t *testing.T) {
+// TestResumeFromCachedList checks that the first watch on a shared service resumes from the version of the cached list,
+// and applies the changes to that list. Versions that restarted and error responses cause a request for the complete
+// list; rejections do not. Where lists are pushed, or the cached list is not complete, the complete list is requested.
+func TestResumeFromCachedList(t *testing.T) {
 	ready, draining := `"health":"ready","share":1.5,"born_ms":0`, `"health":"draining","share":1,"born_ms":5500`
 	entries := `"hosts":[` + host("a", ready) + `,` + host("b", ready) + `,` + host("c", ready) + `]}`
-	whole := `{"seq":60,"whole":true,"hosts":[` + host("z", ready) + `]}`
+	complete := `{"seq":60,"whole":true,"hosts":[` + host("z", ready) + `]}`
 	var out strings.Builder
 	for _, c := range []struct {
-		name, copy string
-		pushed     bool
-		answers    []string
+		name, cached string
+		pushed       bool
+		responses    []string
 	}{
-		{"changes", `{"seq":41,"whole":true,` + entries, false, []string{"silent", "close", "busy",
+		{"changes", `{"seq":41,"whole":true,` + entries, false, []string{"hang", "close", "reject",
 			`{"seq":43,"whole":false,"hosts":[` + host("a", draining) + `,{"host":"b","health":"gone"},` + host("d", ready) + `]}`,
 			`{"seq":44,"whole":false,"hosts":[` + host("d", draining) + `]}`}},
 		{"nothing has changed", `{"seq":41,"whole":true,` + entries, false, []string{`{"seq":41,"whole":false,"hosts":[]}`}},
-		{"the whole list", `{"seq":41,"whole":true,` + entries, false, []string{whole}},
-		{"versions went back", `{"seq":41,"whole":true,` + entries, false, []string{`{"seq":7,"whole":false,"hosts":[]}`, whole}},
-		{"no sense", `{"seq":41,"whole":true,` + entries, false, []string{"error", whole}},
-		{"busy", `{"seq":41,"whole":true,` + entries, false, []string{"busy", "busy", "busy", whole}},
-		{"a copy of changes", `{"seq":41,"whole":false,` + entries, false, []string{whole}},
-		{"pushed", `{"seq":41,"whole":true,` + entries, true, []string{whole}},
-		{"no copy", ``, false, []string{whole}},
+		{"complete list", `{"seq":41,"whole":true,` + entries, false, []string{complete}},
+		{"versions restarted", `{"seq":41,"whole":true,` + entries, false, []string{`{"seq":7,"whole":false,"hosts":[]}`, complete}},
+		{"error response", `{"seq":41,"whole":true,` + entries, false, []string{"error", complete}},
+		{"rejections", `{"seq":41,"whole":true,` + entries, false, []string{"reject", "reject", "reject", complete}},
+		{"cached list not complete", `{"seq":41,"whole":false,` + entries, false, []string{complete}},
+		{"pushed", `{"seq":41,"whole":true,` + entries, true, []string{complete}},
+		{"no cached list", ``, false, []string{complete}},
 	} {
-		from, err := traceNames.DecodeCached([]byte(c.copy))
+		cached, err := traceNames.DecodeCached([]byte(c.cached))
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString("-- " + c.name + "\n" + playAnswers(t, NewTiming(time.Second, c.pushed), from, c.answers))
+		out.WriteString("-- " + c.name + "\n" + playResponses(t, NewTiming(time.Second, c.pushed), cached, c.responses))
 	}
-	golden.Compare(t, "copy.txt", out.String())
+	golden.Compare(t, "cached_list.txt", out.String())
 }
 
 var traceNames = Names{Zones: []string{"tallinn", "tartu"}, Kinds: []string{"large", "small"}, Start: time.UnixMilli(5000)}
 
-// playAnswers returns the requests to a discovery that gives these answers, and the events that the node is notified of.
-func playAnswers(t *testing.T, timing Timing, cached CachedList, answers []string) string {
+// playResponses runs a watcher against a discovery service that sends the given responses, and returns a trace of the
+// requests, the responses and the events that the node is notified of. The responses close, hang, error and reject
+// stand for a closed connection, a request left unanswered, status 500 and status 503.
+func playResponses(t *testing.T, timing Timing, cached CachedList, responses []string) string {
 	var out strings.Builder
 	steps := make(chan string)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -92,23 +95,23 @@
 	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		i := int(requests.Add(1)) - 1
-		if i >= len(answers) {
+		if i >= len(responses) {
 			cancel()
 			return
 		}
-		answer := answers[i]
-		steps <- fmt.Sprintf("%s %s: %.40s", r.Method, r.URL, answer)
-		switch answer {
+		response := responses[i]
+		steps <- fmt.Sprintf("%s %s: %.40s", r.Method, r.URL, response)
+		switch response {
 		case "close":
 			panic(http.ErrAbortHandler)
-		case "silent":
+		case "hang":
 			<-r.Context().Done()
 		case "error":
 			w.WriteHeader(http.StatusInternalServerError)
-		case "busy":
+		case "reject":
 			w.WriteHeader(http.StatusServiceUnavailable)
 		default:
-			w.Write([]byte(answer))
+			w.Write([]byte(response))
 		}
 	}))
 	defer server.Close()
@@ -129,9 +132,9 @@
 	return out.String()
 }
 
-// describe prints an event as the golden files have it.
+// describe returns an event in the form that the golden files use.
 func describe(updated node.EndpointsUpdated) string {
-	kinds := map[policy.EndpointUpdateKind]string{policy.CompleteUpdate: "whole", policy.IncrementalUpdate: "changes", policy.WatchFailed: "lost"}
+	kinds := map[policy.EndpointUpdateKind]string{policy.CompleteUpdate: "complete", policy.IncrementalUpdate: "changes", policy.WatchFailed: "watch failed"}
 	line := kinds[updated.Kind]
 	for _, e := range updated.Endpoints {
 		line += fmt.Sprintf("; %s at %s zone %d kind %d cell %d state %d weight %v", e.Executor, e.Addr, e.Zone,
@@ -143,9 +146,9 @@
 	return line
 }
 
-// TestFollow switches to another address: the old one is active until the new one brings the complete list, and not longer. Switching to
-// the address that is watched already changes nothing.
-func TestFollow(t *testing.T) {
+// TestSwitchDiscovery checks that after a switch to another address, the old one stays active until the new one has
+// sent the complete list, and no longer. A switch to the current address has no effect.
+func TestSwitchDiscovery(t *testing.T) {
 	steps := make(chan string, 100)
 	serve := func(name string, answers chan string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -171,20 +174,20 @@
 		case node.EndpointsUpdated:
 			steps <- fmt.Sprintf("  -> list %d: %s", ev.Kind, ev.Endpoints[0].Executor)
 		case node.DiscoverySwitchPending:
-			steps <- "  -> " + strings.ReplaceAll(ev.Detail, to, "new") + " of " + strings.ReplaceAll(ev.Addr, to, "new")
+			steps <- "  -> switch to " + strings.ReplaceAll(ev.Addr, to, "new") + " pending: " + strings.ReplaceAll(ev.Detail, to, "new")
 		}
 	})
-	// Nothing here depends on time: an answer may take long on a busy machine.
+	// The hedge delays are so long that no request is hedged, even if a response takes long on a busy machine.
 	w.timing.HedgeDelay, w.timing.InitialHedgeDelay = 20*time.Second, 20*time.Second
 	go w.Run(ctx, from)
 	var out strings.Builder
 	expect := func(n int) {
-		news := make([]string, n)
-		for i := range news {
-			news[i] = <-steps
+		got := make([]string, n)
+		for i := range got {
+			got[i] = <-steps
 		}
-		slices.Sort(news) // in whatever order
-		out.WriteString(strings.Join(news, "\n") + "\n")
+		slices.Sort(got) // they may arrive in any order
+		out.WriteString(strings.Join(got, "\n") + "\n")
 	}
 	answer := func(name string, to chan string, text string) {
 		out.WriteString(name + " answers " + text + "\n")
@@ -196,7 +199,7 @@
 	answer("old", oldAnswers, entry("41", "true", "a"))
 	expect(1)
 	w.SwitchDiscovery(from)
-	w.SwitchDiscovery(to) // takes the place of the one before, if that was not looked at
+	w.SwitchDiscovery(to) // replaces the switch above if Run has not read it yet
 	answer("new", newAnswers, "error")
 	expect(1)
 	answer("old", oldAnswers, entry("42", "false", "b"))
@@ -206,11 +209,12 @@
 	w.SwitchDiscovery(to)
 	answer("new", newAnswers, entry("8", "false", "d"))
 	expect(1)
-	golden.Compare(t, "follow.txt", out.String())
+	golden.Compare(t, "switch.txt", out.String())
 }
 
-// TestKnown checks the cached list that a node is given at its start: it has discovery's wire form, and may be missing.
-func TestKnown(t *testing.T) {
+// TestDecodeCached checks that the cached list, which a node gets at its start, is decoded from discovery's wire form,
+// and may be missing.
+func TestDecodeCached(t *testing.T) {
 	for text, want := range map[string]string{
 		"":     "0 <nil>",
 		"null": "0 <nil>",
@@ -224,12 +228,12 @@
 	}
 }
 
-// TestSilence checks that a watch which falls silent is given up, and that requests are short until discovery answers: one that hangs
-// does not delay what discovery has when it is back.
-func TestSilence(t *testing.T) {
+// TestUnresponsiveDiscovery checks that a long poll is treated as failed if it stays unanswered, and that long polls
+// are short until discovery answers again, so that a request that hangs does not delay the next update.
+func TestUnresponsiveDiscovery(t *testing.T) {
 	var mu sync.Mutex
 	var requests, notified strings.Builder
-	count, answered := 0, make(chan struct{})
+	count, done := 0, make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -237,18 +241,18 @@
 		count++
 		i := count
 		if i <= 5 {
-			fmt.Fprintln(&requests, "asked:", r.URL)
+			fmt.Fprintln(&requests, "request:", r.URL)
 		}
 		mu.Unlock()
 		switch i {
 		case 1:
 			w.Write([]byte(`{"seq":1,"whole":true,"hosts":[` + host("a", `"health":"ready"`) + `]}`))
-		case 2, 3: // a watch, and a call: never answered, not even when it is back
+		case 2, 3: // the long poll and the next request are never answered, not even after discovery is back
 			<-r.Context().Done()
 		case 4:
 			w.Write([]byte(`{"seq":2,"whole":false,"hosts":[` + host("a", `"health":"draining"`) + `]}`))
 		case 5:
-			close(answered)
+			close(done)
 			<-r.Context().Done()
 		}
 	}))
@@ -257,34 +261,35 @@
 	w := New(Names{}, NewTiming(400*time.Millisecond, true), nil, func(ev node.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		if news := ev.(node.EndpointsUpdated); news.Kind == policy.WatchFailed {
-			fmt.Fprintln(&notified, "told: lost")
+		if updated := ev.(node.EndpointsUpdated); updated.Kind == policy.WatchFailed {
+			fmt.Fprintln(&notified, "notified: watch failed")
 		} else {
-			fmt.Fprintf(&notified, "told: list %d: %s %d\n", news.Kind, news.Endpoints[0].Executor, news.Endpoints[0].State)
+			fmt.Fprintf(&notified, "notified: list %d: %s %d\n", updated.Kind, updated.Endpoints[0].Executor, updated.Endpoints[0].State)
 		}
 	})
-	// So long that no request is given up before it arrives, however busy the machine is.
+	// The hedge delay is so long that every request arrives before its end, even on a busy machine.
 	w.timing.LongPoll, w.timing.HedgeDelay = 50*time.Millisecond, 2*time.Second
 	go w.Run(ctx, server.Listener.Addr().String())
-	<-answered
+	<-done
 	mu.Lock()
 	defer mu.Unlock()
-	golden.Compare(t, "silence.txt", requests.String()+notified.String())
+	golden.Compare(t, "unresponsive.txt", requests.String()+notified.String())
 }
 
-// TestPatience pins how long an unanswered request, the backoff after it and the next request take together, by drain grace.
-func TestPatience(t *testing.T) {
+// TestRetryTimes pins how long an unanswered request, the backoff after it and the next request take in total, by drain
+// grace. Where lists are pushed, they must fit in a drain grace of 400ms or more.
+func TestRetryTimes(t *testing.T) {
 	var out strings.Builder
 	for _, grace := range []time.Duration{50, 150, 400, 1000, 1500, 2000, 10000} {
 		grace *= time.Millisecond
 		for _, pushed := range []bool{true, false} {
 			timing := NewTiming(grace, pushed)
-			fmt.Fprintf(&out, "grace %v pushed %v: answer %v, backoffs up to %v, together %v\n", grace, pushed, timing.HedgeDelay, timing.MaxBackoff,
-				2*(defaults.ProbeLongPoll+timing.HedgeDelay)+timing.MaxBackoff)
-			if whole := 2*(defaults.ProbeLongPoll+timing.HedgeDelay) + timing.MaxBackoff; pushed && grace >= 400*time.Millisecond && whole > grace {
-				t.Errorf("%v is over the grace %v", whole, grace)
+			total := 2*(defaults.ProbeLongPoll+timing.HedgeDelay) + timing.MaxBackoff
+			fmt.Fprintf(&out, "grace %v pushed %v: hedge delay %v, backoffs up to %v, in total %v\n", grace, pushed, timing.HedgeDelay, timing.MaxBackoff, total)
+			if pushed && grace >= 400*time.Millisecond && total > grace {
+				t.Errorf("%v is over the drain grace %v", total, grace)
 			}
 		}
 	}
-	golden.Compare(t, "patience.txt", out.String())
+	golden.Compare(t, "retry_times.txt", out.String())
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,5 +1,6 @@
-// Package site reads the operator's site file, which enables subsystems that the platform's configuration does not cover.
-// Each subsystem has a table in the file, and is off if the table is absent. Without a site file, all of them are off.
+// Package site reads the operator's site file, which enables subsystems that the platform's configuration does not
+// cover. Each subsystem has a table in the file, and is off if the table is absent. Without a site file, all of them
+// are off.
 //
 //   - site.go: the whole file
 //   - cluster.go: the table fleet, which enables gossip with other nodes
--- a/internal/site/wire_test.go
+++ b/internal/site/wire_test.go
@@ -64,8 +64,8 @@
 	return out.String()
 }
 
-// TestEveryKey checks that a site file with every key is decoded completely, that one with only the required keys gets the
-// defaults, and that a table in place of each value is refused with an error that names the key.
+// TestEveryKey checks that a site file with every key is decoded completely, that one with only the required keys gets
+// the defaults, and that a table in place of each value is refused with an error that names the key.
 func TestEveryKey(t *testing.T) {
 	var out strings.Builder
 	for _, c := range []struct{ title, text string }{
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -12,8 +12,8 @@
 type peerEnder interface{ PeerEnded() bool }
 
 // Pending returns whether a read from a connection would return at once, because data, the peer's close or an error has
-// arrived. It may be called while another goroutine reads. known is false if the system cannot tell, for example because
-// the connection is not a socket.
+// arrived. It may be called while another goroutine reads. known is false if the system cannot tell, for example
+// because the connection is not a socket.
 func Pending(c net.Conn) (pending, known bool) {
 	raw := rawConn(c)
 	if raw == nil {
@@ -26,8 +26,9 @@
 	return pending, known && err == nil
 }
 
-// Ended returns whether the peer has closed, half-closed or reset a connection, even if data that arrived before is still
-// unread. It does not block, and may be called while another goroutine reads. known is false if the system cannot tell.
+// Ended returns whether the peer has closed, half-closed or reset a connection, even if data that arrived before is
+// still unread. It does not block, and may be called while another goroutine reads. known is false if the system cannot
+// tell.
 func Ended(c net.Conn) (ended, known bool) {
 	if c, ok := c.(peerEnder); ok {
 		return c.PeerEnded(), true
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -58,8 +58,8 @@
 	want bool
 }
 
-// checkQuery checks the result of a query, Pending or Ended, after each action of the peer. It also checks that the query
-// consumes no data, and that its result for a pipe, which has no socket, is unknown.
+// checkQuery checks the result of a query, Pending or Ended, after each action of the peer. It also checks that the
+// query consumes no data, and that its result for a pipe, which has no socket, is unknown.
 func checkQuery(t *testing.T, query func(net.Conn) (result, known bool), actions ...peerAction) {
 	for _, action := range actions {
 		near, far := pair(t)
@@ -90,8 +90,8 @@
 		peerAction{"reset", func(_ testing.TB, c *net.TCPConn) { c.SetLinger(0); c.Close() }, true})
 }
 
-// TestEnded checks that a close, half-close or reset by the peer is found, even behind unread data, and that data alone does
-// not count as one.
+// TestEnded checks that a close, half-close or reset by the peer is found, even behind unread data, and that data alone
+// does not count as one.
 func TestEnded(t *testing.T) {
 	checkQuery(t, Ended,
 		peerAction{"nothing", func(testing.TB, *net.TCPConn) {}, false},
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes the text of a TOML file into the struct that target points to. Fields whose keys the text leaves out keep
-// their values. Unknown keys are refused, and so are durations and sizes without a unit.
+// Decode decodes the text of a TOML file into the struct that target points to. Fields whose keys the text leaves out
+// keep their values. Unknown keys are refused, and so are durations and sizes without a unit.
 func Decode(file string, text []byte, target any) error {
 	targetType := reflect.TypeOf(target).Elem()
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// decodeError converts an error of the TOML decoder to one that names the file, the line and the key, where they are known.
+// decodeError converts an error of the TOML decoder to one that names the file, the line and the key, where they are
+// known.
 func decodeError(file string, err error, target reflect.Type) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -72,15 +73,16 @@
 	return text
 }
 
-// bareNumber is a number without a unit in place of a duration or size. The decoder would read it as nanoseconds or bytes.
+// bareNumber is a number without a unit in place of a duration or size. The decoder would read it as nanoseconds or
+// bytes.
 type bareNumber struct {
 	position Position
 	value    any
 	unit     string // the unit that was probably meant
 }
 
-// findBareNumber returns the first bare number in a decoded table, or nil. The fields of struct type t define the table's
-// keys.
+// findBareNumber returns the first bare number in a decoded table, or nil. The fields of struct type t define the
+// table's keys.
 func findBareNumber(t reflect.Type, table map[string]any, at Position) *bareNumber {
 	for i := range t.NumField() {
 		field := t.Field(i)
--- a/internal/tomlfile/doc.go
+++ b/internal/tomlfile/doc.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads hand-written TOML files. It refuses unknown keys, and requires a unit on durations and sizes. Its
-// errors name the file, the line and the key, and suggest what was probably meant.
+// Package tomlfile reads hand-written TOML files. It refuses unknown keys, and requires a unit on durations and sizes.
+// Its errors name the file, the line and the key, and suggest what was probably meant.
 //
 //   - decode.go: decoding and its errors
 //   - units.go: durations and sizes
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -73,7 +73,8 @@
 	golden.Compare(t, "decode.txt", out.String())
 }
 
-// TestPosition checks that the line of a key is found by table, index and key, and that Wrap keeps the cause of the error.
+// TestPosition checks that the line of a key is found by table, index and key, and that Wrap keeps the cause of the
+// error.
 func TestPosition(t *testing.T) {
 	text := []byte("a = 1\n[t]\nb = 2\n[[r]]\nc = 3\n[[r]]\n  c = 4\n")
 	cause := errors.New("cause")
