--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -58,8 +58,7 @@
 	return load, ok
 }
 
-// ReportedValues tells for each value of a load report over HTTP, by its name in the report, whether the policy uses
-// it.
+// ReportedValues reports, for each value of a load report over HTTP by its name there, whether the policy uses it.
 func (s *Settings) ReportedValues() map[string]bool {
 	used := map[string]bool{}
 	for i, name := range loadReportNames {
@@ -68,7 +67,7 @@
 	return used
 }
 
-// ReportsLoad tells whether load reports hold all values that the policy needs: jobs in flight, jobs queued and free
+// ReportsLoad reports whether load reports hold all values that the policy needs: jobs in flight, jobs queued and free
 // slots.
 func (s *Settings) ReportsLoad() bool {
 	return min(s.LoadFields[loadInFlight], s.LoadFields[loadQueued], s.LoadFields[loadFreeSlots]) >= 0
--- a/internal/discovery/machine.go
+++ b/internal/discovery/machine.go
@@ -117,10 +117,10 @@
 	}
 }
 
-// overloaded tells whether discovery rejects requests repeatedly.
+// overloaded reports whether discovery rejects requests repeatedly.
 func (m *machine) overloaded() bool { return m.rejections >= overloadRejections }
 
-// overdue tells whether the watch has run long enough for the initial list of a shared service to be overdue.
+// overdue reports whether the watch has run long enough for the initial list of a shared service to be overdue.
 func (m *machine) overdue() bool {
 	return m.timing.SharedService && m.effects.now().Sub(m.startedAt) >= m.timing.InitialDeadline
 }
@@ -128,8 +128,8 @@
 // start sends the first request.
 func (m *machine) start() { m.sendNext() }
 
-// mayWake tells whether onWake has an effect now. It ends a backoff early, except one after a rejection, which protects
-// an overloaded service. It does not affect a request in flight.
+// mayWake reports whether onWake has an effect now. onWake ends a backoff early, except one after a rejection, which
+// protects an overloaded service. It does not affect a request in flight.
 func (m *machine) mayWake() bool { return m.state() == backingOff && m.rejections == 0 }
 
 // onWake ends a backoff early.
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -7,7 +7,7 @@
 	// Seed seeds the jitter of backoffs. Each node needs a different seed, so that nodes that start together do not retry
 	// together.
 	Seed uint64
-	// SharedService tells that all nodes poll one service, so that the requests of each node add to its load. Otherwise
+	// SharedService is true if all nodes poll one service, so that the requests of each node add to its load. Otherwise
 	// lists are pushed to an agent that serves only this node.
 	SharedService bool
 
--- a/internal/tomlfile/units.go
+++ b/internal/tomlfile/units.go
@@ -26,7 +26,7 @@
 // MarshalText writes a duration with its unit.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Within tells whether low <= d <= high.
+// Within reports whether low <= d <= high.
 func (d Duration) Within(low, high time.Duration) bool {
 	return time.Duration(d) >= low && time.Duration(d) <= high
 }
