--- a/internal/tomlfile/units.go
+++ b/internal/tomlfile/units.go
@@ -34,7 +34,7 @@
 // ByteSize is a number of bytes that is written with its unit, such as "64MiB".
 type ByteSize int64
 
-// maxByteSize leaves headroom below the largest int64, so that sums of sizes do not overflow.
+// maxByteSize is half the largest int64, which leaves headroom for sums of sizes.
 const maxByteSize = 1 << 62
 
 // sizeUnits are the units in the order in which UnmarshalText compares suffixes. B is last, since all others end in B.
