--- a/cmd/birchstair/ops.go
+++ b/cmd/birchstair/ops.go
@@ -51,7 +51,7 @@
 func (varsCmd) Run(ops *opsCmd) error { return ops.printLines(node.ReadMetrics) }
 
 // Run prints the node's view of its cluster.
-func (fleetCmd) Run(ops *opsCmd) error { return ops.printLines(node.ReadFleet) }
+func (fleetCmd) Run(ops *opsCmd) error { return ops.printLines(node.ReadCluster) }
 
 // run sends a command whose reply is only success or failure.
 func (c *opsCmd) run(name commandName, executor policy.ExecutorID) error {
--- a/internal/admin/codec.go
+++ b/internal/admin/codec.go
@@ -31,7 +31,7 @@
 	node.ReadmitExecutor: "set-up",
 	node.DrainOn:         "drain-on",
 	node.DrainOff:        "drain-off",
-	node.ReadFleet:       "fleet",
+	node.ReadCluster:     "fleet",
 }
 
 // CommandByName returns the command of this name, or -1 where there is none.
@@ -46,7 +46,7 @@
 
 // repliesLines returns whether the reply to a command is lines.
 func repliesLines(command node.AdminCommand) bool {
-	return command == node.ReadMetrics || command == node.ReadFleet
+	return command == node.ReadMetrics || command == node.ReadCluster
 }
 
 // decode decodes a command. Its error is the reason that the caller gets.
--- a/internal/admin/codec_test.go
+++ b/internal/admin/codec_test.go
@@ -49,7 +49,7 @@
 		answer  string
 	}{
 		{node.CheckReady, "ok"}, {node.CheckReady, "fail not ready"}, {node.CheckReady, "fail"}, {node.CheckReady, "maybe"}, {node.CheckReady, ""},
-		{node.ReadMetrics, "attempts=7\neof"}, {node.ReadMetrics, "attempts=7"}, {node.ReadMetrics, "eof"}, {node.ReadFleet, "cut=3\neof"},
+		{node.ReadMetrics, "attempts=7\neof"}, {node.ReadMetrics, "attempts=7"}, {node.ReadMetrics, "eof"}, {node.ReadCluster, "cut=3\neof"},
 	} {
 		lines := strings.Split(a.answer, "\n")
 		if a.answer == "" {
--- a/internal/durable/edges.go
+++ b/internal/durable/edges.go
@@ -167,7 +167,7 @@
 // Close passes the call on.
 func (e *upstreamEdge) Close(conn node.ConnID) { e.upstream.Close(conn) }
 
-// Probe passes the call on.
-func (e *upstreamEdge) Probe(executor policy.ExecutorID, addr string) {
-	e.upstream.Probe(executor, addr)
+// CheckHealth passes the call on.
+func (e *upstreamEdge) CheckHealth(executor policy.ExecutorID, addr string) {
+	e.upstream.CheckHealth(executor, addr)
 }
--- a/internal/durable/wire_test.go
+++ b/internal/durable/wire_test.go
@@ -42,9 +42,9 @@
 // upstreamStub stands for the connections to executors, and prints what is written to them.
 type upstreamStub struct{ out *strings.Builder }
 
-func (e upstreamStub) Dial(node.ConnID, string)        {}
-func (e upstreamStub) Close(c node.ConnID)             { fmt.Fprintf(e.out, "    to executors: close %d\n", c) }
-func (e upstreamStub) Probe(policy.ExecutorID, string) {}
+func (e upstreamStub) Dial(node.ConnID, string)              {}
+func (e upstreamStub) Close(c node.ConnID)                   { fmt.Fprintf(e.out, "    to executors: close %d\n", c) }
+func (e upstreamStub) CheckHealth(policy.ExecutorID, string) {}
 func (e upstreamStub) Write(c node.ConnID, a node.Attempt) {
 	fmt.Fprintf(e.out, "    to executors: on %d, %s %s, host %q, content type %q, key %q, epoch %d, body %q\n",
 		c, a.ID, a.URI, a.Host, a.ContentType, a.IdempotencyKey, a.Epoch, a.Body)
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -279,7 +279,7 @@
 			return
 		case <-m.peersChanged:
 		}
-		m.post(node.FleetChanged{Alive: m.aliveNames()})
+		m.post(node.AliveNodesChanged{Alive: m.aliveNames()})
 	}
 }
 
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -85,7 +85,7 @@
 	seeds := []netip.AddrPort{there}
 	alive := make(chan bool, 64) // whether the node is alive, by its neighbour
 	member(Options{Name: "neighbour", Listen: there, Advertise: there, Seeds: seeds}, func(ev node.Event) {
-		if n, is := ev.(node.FleetChanged); is {
+		if n, is := ev.(node.AliveNodesChanged); is {
 			alive <- slices.Contains(n.Alive, "node")
 		}
 	})
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -147,7 +147,7 @@
 	if p.gossipRelay == nil {
 		return nil
 	}
-	lines, err := admin.Call(p.adminAddress, node.ReadFleet, "", time.Second)
+	lines, err := admin.Call(p.adminAddress, node.ReadCluster, "", time.Second)
 	if err != nil {
 		return []string{"no view: " + err.Error()}
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -23,7 +23,7 @@
 	ReadmitExecutor
 	DrainOn // clients' connections are closed after their answers
 	DrainOff
-	ReadFleet // what the node knows of its fleet
+	ReadCluster // what the node knows of its fleet
 )
 
 // Refusals. Operators' tools match these texts.
@@ -69,7 +69,7 @@
 		}
 	case ReadMetrics:
 		reply.Metrics = n.readMetrics()
-	case ReadFleet:
+	case ReadCluster:
 		if n.fleet == nil {
 			reply.Refusal = refusalNoFleet
 		} else {
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -184,11 +184,11 @@
 		return
 	}
 	n.conns.probesInFlight++
-	n.emit(ProbeExecutor{id, e.addr})
+	n.emit(CheckHealth{id, e.addr})
 }
 
 // probeEnded passes the result of a load probe on to the policy.
-func (n *Node) probeEnded(ev ProbeEnded) {
+func (n *Node) probeEnded(ev HealthCheckEnded) {
 	n.conns.probesInFlight--
 	n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
 }
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -7,7 +7,7 @@
 	switch ev := ev.(type) {
 	case JobArrived, ClientLeft, JobDeclined, FrontendClosed:
 		n.handleFrontend(ev)
-	case ConnReady, AttemptProgressed, AttemptEnded, AttemptNotSent, ConnIdle, ConnClosed, ProbeEnded:
+	case ConnReady, AttemptProgressed, AttemptEnded, AttemptNotSent, ConnIdle, ConnClosed, HealthCheckEnded:
 		n.handleUpstream(ev)
 	case EndpointsUpdated, DiscoverySwitchPending, ConfigReloaded:
 		n.handleConfiguration(ev)
@@ -15,7 +15,7 @@
 		n.adminCalled(ev)
 	case HandoffLinkUp, HandoffReceived, HandoffLinkDown:
 		n.handleHandoff(ev)
-	case FleetChanged, GossipReceived, LeaseMessageReceived, GossipUnreadable:
+	case AliveNodesChanged, GossipReceived, LeaseMessageReceived, GossipUnreadable:
 		n.handleGossip(ev)
 	case ShutdownRequested:
 		n.beginShutdown()
@@ -51,7 +51,7 @@
 		n.connBecameIdle(n.conns.get(ev.Conn))
 	case ConnClosed:
 		n.connClosed(n.conns.get(ev.Conn), ev.Detail)
-	case ProbeEnded:
+	case HealthCheckEnded:
 		n.probeEnded(ev)
 	}
 }
@@ -84,7 +84,7 @@
 		return
 	}
 	switch ev := ev.(type) {
-	case FleetChanged:
+	case AliveNodesChanged:
 		n.fleet.SetAlive(ev.Alive)
 		n.emit(Log{Text: fmt.Sprintf("nodes of the fleet alive: %d", len(ev.Alive))})
 	case GossipReceived:
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -22,12 +22,12 @@
 	// UpdateJobClasses replaces the job classes that the frontend accepts.
 	UpdateJobClasses struct{ Classes []NumberedClass }
 	// SetReady sets whether the readiness check says that the node takes jobs.
-	SetReady struct{ Yes bool }
+	SetReady struct{ Ready bool }
 	// DrainClients starts or ends a drain of clients: while it is on, the node reports not ready and closes clients'
 	// connections after their answers. Jobs that still arrive are taken.
 	DrainClients struct{ On bool }
 	// AcceptConnections sets whether this process accepts new connections from clients. Package hotrestart gets it as well.
-	AcceptConnections struct{ Yes bool }
+	AcceptConnections struct{ Accept bool }
 	// HalveLimits halves the resource limits of this process, or restores them.
 	HalveLimits struct{ Half bool }
 	// CloseFrontend stops accepting work and closes clients' connections once they have their answers.
@@ -48,8 +48,8 @@
 	}
 	// CloseConn closes a connection, or gives up dialing it.
 	CloseConn struct{ Conn ConnID }
-	// ProbeExecutor asks an executor for its load on a connection of its own. One ProbeEnded event follows.
-	ProbeExecutor struct {
+	// CheckHealth asks an executor for its load on a connection of its own. One HealthCheckEnded event follows.
+	CheckHealth struct {
 		Executor policy.ExecutorID
 		Addr     string
 	}
@@ -119,7 +119,7 @@
 func (Dial) effect()              {}
 func (WriteAttempt) effect()      {}
 func (CloseConn) effect()         {}
-func (ProbeExecutor) effect()     {}
+func (CheckHealth) effect()       {}
 func (WatchEndpoints) effect()    {}
 func (SwitchDiscovery) effect()   {}
 func (AdminReply) effect()        {}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -131,8 +131,8 @@
 		Conn   ConnID
 		Detail string // for the log
 	}
-	// ProbeEnded reports the result of a load probe; Load is set only if it was answered.
-	ProbeEnded struct {
+	// HealthCheckEnded reports the result of a load probe; Load is set only if it was answered.
+	HealthCheckEnded struct {
 		Executor policy.ExecutorID
 		Answered bool
 		Load     policy.Load
@@ -185,8 +185,8 @@
 
 // Events from other nodes of the fleet, reported by package gossip.
 type (
-	// FleetChanged reports which nodes of the fleet are alive, including this one.
-	FleetChanged struct{ Alive []cluster.NodeName }
+	// AliveNodesChanged reports which nodes of the fleet are alive, including this one.
+	AliveNodesChanged struct{ Alive []cluster.NodeName }
 	// GossipReceived reports a gossip message.
 	GossipReceived struct{ Message cluster.Message }
 	// LeaseMessageReceived reports a message about the lease on an executor's capacity.
@@ -217,7 +217,7 @@
 func (AttemptNotSent) event()         {}
 func (ConnIdle) event()               {}
 func (ConnClosed) event()             {}
-func (ProbeEnded) event()             {}
+func (HealthCheckEnded) event()       {}
 func (EndpointsUpdated) event()       {}
 func (DiscoverySwitchPending) event() {}
 func (ConfigReloaded) event()         {}
@@ -225,7 +225,7 @@
 func (HandoffLinkUp) event()          {}
 func (HandoffReceived) event()        {}
 func (HandoffLinkDown) event()        {}
-func (FleetChanged) event()           {}
+func (AliveNodesChanged) event()      {}
 func (GossipReceived) event()         {}
 func (LeaseMessageReceived) event()   {}
 func (GossipUnreadable) event()       {}
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -5,11 +5,11 @@
 	"birchstair/policy"
 )
 
-// JoinFleet makes this node part of a fleet. It is called before the first step or not at all.
-func (n *Node) JoinFleet(s cluster.Settings) { n.fleet = cluster.New(s) }
+// JoinCluster makes this node part of a fleet. It is called before the first step or not at all.
+func (n *Node) JoinCluster(s cluster.Settings) { n.fleet = cluster.New(s) }
 
-// Fleet returns what this node knows of its fleet, for reading only; nil if it is not part of one.
-func (n *Node) Fleet() *cluster.Fleet { return n.fleet }
+// Cluster returns what this node knows of its fleet, for reading only; nil if it is not part of one.
+func (n *Node) Cluster() *cluster.Fleet { return n.fleet }
 
 // gossipReceived takes in a gossip message, and applies the drains in it that are new.
 func (n *Node) gossipReceived(m cluster.Message) {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -25,7 +25,7 @@
 	Dial(ConnID, string)
 	Write(ConnID, Attempt)
 	Close(ConnID)
-	Probe(id policy.ExecutorID, addr string)
+	CheckHealth(id policy.ExecutorID, addr string)
 }
 
 // Discovery is the edge to the service that delivers the endpoint list.
@@ -154,7 +154,7 @@
 	switch e := e.(type) {
 	case Answer, UpdateJobClasses, SetReady, DrainClients, CloseFrontend:
 		edges.carryOutFrontend(e)
-	case Dial, WriteAttempt, CloseConn, ProbeExecutor:
+	case Dial, WriteAttempt, CloseConn, CheckHealth:
 		edges.carryOutUpstream(e)
 	case WatchEndpoints:
 		edges.Discovery.WatchEndpoints()
@@ -167,9 +167,9 @@
 	case CloseHandoffLink:
 		edges.Handoff.CloseLink(e.Link)
 	case AcceptConnections:
-		edges.Frontend.AcceptConnections(e.Yes)
+		edges.Frontend.AcceptConnections(e.Accept)
 		if edges.Handoff != nil {
-			edges.Handoff.AcceptConnections(e.Yes)
+			edges.Handoff.AcceptConnections(e.Accept)
 		}
 	case HalveLimits:
 		edges.Frontend.HalveLimits(e.Half)
@@ -189,7 +189,7 @@
 	case UpdateJobClasses:
 		edges.Frontend.UpdateJobClasses(e.Classes)
 	case SetReady:
-		edges.Frontend.SetReady(e.Yes)
+		edges.Frontend.SetReady(e.Ready)
 	case DrainClients:
 		edges.Frontend.DrainClients(e.On)
 	case CloseFrontend:
@@ -206,8 +206,8 @@
 		edges.Upstream.Write(e.Conn, e.Attempt)
 	case CloseConn:
 		edges.Upstream.Close(e.Conn)
-	case ProbeExecutor:
-		edges.Upstream.Probe(e.Executor, e.Addr)
+	case CheckHealth:
+		edges.Upstream.CheckHealth(e.Executor, e.Addr)
 	}
 }
 
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -36,7 +36,7 @@
 func (r recordedUpstream) Dial(c ConnID, addr string) { r.record("upstream dial %d %s", c, addr) }
 func (r recordedUpstream) Write(c ConnID, a Attempt)  { r.record("upstream write %d %s", c, a.ID) }
 func (r recordedUpstream) Close(c ConnID)             { r.record("upstream close %d", c) }
-func (r recordedUpstream) Probe(id policy.ExecutorID, addr string) {
+func (r recordedUpstream) CheckHealth(id policy.ExecutorID, addr string) {
 	r.record("upstream probe %s %s", id, addr)
 }
 
@@ -83,15 +83,15 @@
 	}{
 		{Answer{Job: "j"}, []string{"frontend answer j"}},
 		{UpdateJobClasses{Classes: make([]NumberedClass, 2)}, []string{"frontend classes 2"}},
-		{SetReady{Yes: true}, []string{"frontend ready true"}},
+		{SetReady{Ready: true}, []string{"frontend ready true"}},
 		{DrainClients{On: true}, []string{"frontend drain true"}},
-		{AcceptConnections{Yes: true}, []string{"frontend accept true", "handoff accept true"}},
+		{AcceptConnections{Accept: true}, []string{"frontend accept true", "handoff accept true"}},
 		{HalveLimits{Half: true}, []string{"frontend halve true", "memory halve true"}},
 		{CloseFrontend{}, []string{"frontend close"}},
 		{Dial{Conn: 1, Addr: "a"}, []string{"upstream dial 1 a"}},
 		{WriteAttempt{Conn: 1, Attempt: Attempt{Request: &Request{ID: "j"}}}, []string{"upstream write 1 j"}},
 		{CloseConn{Conn: 1}, []string{"upstream close 1"}},
-		{ProbeExecutor{Executor: "e", Addr: "a"}, []string{"upstream probe e a"}},
+		{CheckHealth{Executor: "e", Addr: "a"}, []string{"upstream probe e a"}},
 		{WatchEndpoints{}, []string{"discovery watch"}},
 		{SwitchDiscovery{Addr: "a"}, []string{"discovery switch a"}},
 		{AdminReply{Caller: 3}, []string{"admin reply 3"}},
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -86,7 +86,7 @@
 	}
 	n := New(dispatcher, limits, []JobClass{{"page", defaultClass()}})
 	if slices.Contains(words, "fleet") {
-		n.JoinFleet(cluster.Defaults("me", 0, 1))
+		n.JoinCluster(cluster.Defaults("me", 0, 1))
 	}
 	return n
 }
@@ -211,7 +211,7 @@
 	case "not-sent":
 		return AttemptNotSent{Conn: p.conn(args[0])}
 	case "probe-ended":
-		return ProbeEnded{policy.ExecutorID(args[0]), args[1] == "answered", policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}}
+		return HealthCheckEnded{policy.ExecutorID(args[0]), args[1] == "answered", policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}}
 	}
 	return nil
 }
@@ -337,7 +337,7 @@
 		for _, arg := range args {
 			names = append(names, cluster.NodeName(arg))
 		}
-		return FleetChanged{names}
+		return AliveNodesChanged{names}
 	case "gossip":
 		return GossipReceived{cluster.Message{From: cluster.NodeName(args[0]), Incarnation: 1, Seq: uint64(p.number(args[1])),
 			Drains: []cluster.Drain{{Executor: policy.ExecutorID(args[2])}}}}
@@ -371,7 +371,7 @@
 		return fmt.Sprintf("write %s on %d, %v left", e.Attempt.ID, e.Conn, e.Attempt.Budget)
 	case CloseConn:
 		return fmt.Sprintf("close %d", e.Conn)
-	case ProbeExecutor:
+	case CheckHealth:
 		return fmt.Sprintf("probe %s at %s", e.Executor, e.Addr)
 	case WatchEndpoints:
 		return "watch endpoints"
@@ -380,9 +380,9 @@
 	case SendGossip:
 		return fmt.Sprintf("gossip to %s: %s draining for %v", e.To, e.Message.Drains[0].Executor, e.Message.Drains[0].Age)
 	case SetReady:
-		return fmt.Sprint("ready: ", e.Yes)
+		return fmt.Sprint("ready: ", e.Ready)
 	case AcceptConnections:
-		return fmt.Sprint("accept connections: ", e.Yes)
+		return fmt.Sprint("accept connections: ", e.Accept)
 	case DrainClients:
 		return fmt.Sprint("drain clients: ", e.On)
 	case HalveLimits:
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -100,7 +100,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch ev := ev.(type) {
-	case node.FleetChanged:
+	case node.AliveNodesChanged:
 		m.fleet.SetAlive(ev.Alive)
 		m.alive = len(ev.Alive)
 	case node.GossipReceived:
--- a/internal/scaletest/real_node.go
+++ b/internal/scaletest/real_node.go
@@ -157,7 +157,7 @@
 
 // knowsAll reports whether the node counts so many nodes as alive.
 func (p *realNode) knowsAll(nodes int) bool {
-	lines, err := admin.Call(p.adminAddress, node.ReadFleet, "", 5*time.Second)
+	lines, err := admin.Call(p.adminAddress, node.ReadCluster, "", 5*time.Second)
 	return err == nil && slices.ContainsFunc(lines, func(line string) bool {
 		return strings.HasPrefix(line, "node=") && strings.Contains(line, fmt.Sprintf(" alive=%d ", nodes))
 	})
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -165,7 +165,7 @@
 	if n.Cluster == nil {
 		return
 	}
-	n.core.JoinFleet(n.Cluster.Settings)
+	n.core.JoinCluster(n.Cluster.Settings)
 	members := gossip.New(n.Cluster.Options, n.loop.Post, n.Log)
 	n.edges.Gossip = members
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -33,7 +33,7 @@
 		w.defects.fleet(&settings)
 	}
 	n.workRate = workRate{at: w.now}
-	n.reducer.JoinFleet(settings)
+	n.reducer.JoinCluster(settings)
 	n.peerReachedAt, n.alivePeers = map[invariants.NodeID]time.Duration{}, nil
 	n.after(time.Duration(w.gossipRand.Int64N(int64(membershipInterval))), n.updateMembership)
 }
@@ -55,7 +55,7 @@
 	}
 	if !slices.Equal(alive, n.alivePeers) {
 		n.alivePeers = alive
-		n.deliver(node.FleetChanged{Alive: slices.Clone(alive)})
+		n.deliver(node.AliveNodesChanged{Alive: slices.Clone(alive)})
 	}
 	n.after(membershipInterval, n.updateMembership)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -218,10 +218,10 @@
 		n.writeAttempt(effect)
 	case node.CloseConn:
 		n.closeConn(effect.Conn)
-	case node.ProbeExecutor:
+	case node.CheckHealth:
 		n.probe(effect)
 	case node.SetReady:
-		n.after(readinessDelay, func() { n.ready = effect.Yes })
+		n.after(readinessDelay, func() { n.ready = effect.Ready })
 	case node.DrainClients:
 		n.after(readinessDelay, func() { n.ready = !effect.On && !n.frontendClosed })
 	case node.CloseFrontend:
--- a/internal/simulation/probe.go
+++ b/internal/simulation/probe.go
@@ -11,16 +11,16 @@
 const probeTimeout = 250 * time.Millisecond
 
 // probe asks an executor for its load, past its queue. An executor that does not answer jobs does not answer probes either.
-func (n *simNode) probe(effect node.ProbeExecutor) {
+func (n *simNode) probe(effect node.CheckHealth) {
 	w, x, ended := n.world, n.world.byAddr[effect.Addr], false
-	end := func(event node.ProbeEnded) {
+	end := func(event node.HealthCheckEnded) {
 		if !ended {
 			ended = true
 			n.deliver(event)
 		}
 	}
 	w.result.Probes++
-	n.after(probeTimeout, func() { end(node.ProbeEnded{Executor: effect.Executor}) })
+	n.after(probeTimeout, func() { end(node.HealthCheckEnded{Executor: effect.Executor}) })
 	if x == nil {
 		return
 	}
@@ -32,7 +32,7 @@
 		load := x.probedLoad()
 		w.at(w.arrivalTime(x.Zone, n.zone), func() {
 			if n.up && n.incarnation == incarnation {
-				end(node.ProbeEnded{Executor: effect.Executor, Answered: true, Load: load})
+				end(node.HealthCheckEnded{Executor: effect.Executor, Answered: true, Load: load})
 			}
 		})
 	})
--- a/internal/simulation/wired_tap.go
+++ b/internal/simulation/wired_tap.go
@@ -94,7 +94,7 @@
 		}
 		p.attempts[effect.Conn] = n.recordAttempt(request, x)
 	case node.SetReady:
-		n.ready = effect.Yes
+		n.ready = effect.Ready
 	case node.Log:
 		n.recordLog(effect)
 	case node.CloseFrontend:
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -61,7 +61,7 @@
 		}()
 		return here, nil
 	}, true, ProbeConfig{Path: "/load?now", Timeout: 20 * time.Second}, func(ev node.Event) { ended <- ev })
-	pool.Probe("executor-1", "10.0.0.1:80")
+	pool.CheckHealth("executor-1", "10.0.0.1:80")
 	<-ended // comes after the executor's close, and so after its last read
 	return string(read)
 }
@@ -168,8 +168,8 @@
 			}()
 			return here, nil
 		}, true, ProbeConfig{Path: "/load", Timeout: 20 * time.Second, Fields: c.told}, func(ev node.Event) { ended <- ev })
-		pool.Probe("executor-1", "10.0.0.1:80")
-		ev := (<-ended).(node.ProbeEnded)
+		pool.CheckHealth("executor-1", "10.0.0.1:80")
+		ev := (<-ended).(node.HealthCheckEnded)
 		fmt.Fprintf(&out, "%s: executor %s, answered %t, %s\n", c.name, ev.Executor, ev.Answered, printLoad(node.Load{Load: ev.Load, Known: true}))
 	}
 	golden.Compare(t, "probe_replies.txt", out.String())
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -22,13 +22,13 @@
 	Fields  map[string]bool // the values that reports have, by the settings' names; others are ignored
 }
 
-// Probe probes an executor in the background, on a connection of its own, and posts node.ProbeEnded.
-func (p *Pool) Probe(id policy.ExecutorID, addr string) {
+// CheckHealth probes an executor in the background, on a connection of its own, and posts node.HealthCheckEnded.
+func (p *Pool) CheckHealth(id policy.ExecutorID, addr string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), p.probe.Timeout)
 		defer cancel()
 		load, answered := p.probeLoad(ctx, addr)
-		p.post(node.ProbeEnded{Executor: id, Answered: answered, Load: load})
+		p.post(node.HealthCheckEnded{Executor: id, Answered: answered, Load: load})
 	}()
 }
 
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -18,10 +18,10 @@
 	ask := func(name, addr string, limit time.Duration) {
 		events := make(chan node.Event, 1)
 		pool := New(TCP(limit), false, ProbeConfig{Path: "/load", Timeout: limit, Fields: told}, func(ev node.Event) { events <- ev })
-		pool.Probe("e1", addr)
+		pool.CheckHealth("e1", addr)
 		select {
 		case ev := <-events:
-			p := ev.(node.ProbeEnded)
+			p := ev.(node.HealthCheckEnded)
 			fmt.Fprintf(&out, "%s: of %s, answered %t, held %v waiting %v free %v memory %v took %v\n", name, p.Executor, p.Answered,
 				p.Load.InFlight, p.Load.Queued, p.Load.FreeSlots, p.Load.FreeMemory, p.Load.RunTime)
 		case <-time.After(20 * time.Second):
