--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -9,38 +9,39 @@
 	"birchstair/policy"
 )
 
-// AdminCallID names an operator's call, so that the reply finds its way back.
+// AdminCallID identifies an operator's call, so that the reply can be delivered to its caller.
 type AdminCallID uint64
 
-// AdminCommand is what an operator's call asks for.
+// AdminCommand is the command of an operator's call.
 type AdminCommand int
 
-// The commands. Those from ExcludeExecutor to DrainOff change the node's state and are relayed to its other processes.
+// The commands of operators. Those from ExcludeExecutor to DrainOff change the node's state and are relayed to the node's
+// other processes.
 const (
-	CheckReady      AdminCommand = iota // whether this process takes jobs
-	ReadMetrics                         // the counters
-	ExcludeExecutor                     // an executor gets no new work until it is readmitted
-	ReadmitExecutor
-	DrainOn // clients' connections are closed after their answers
-	DrainOff
-	ReadCluster // what the node knows of its fleet
+	CheckReady      AdminCommand = iota // reports whether this process accepts jobs
+	ReadMetrics                         // returns the counters
+	ExcludeExecutor                     // gives an executor no new work until it is readmitted
+	ReadmitExecutor                     // ends the exclusion of an executor
+	DrainOn                             // closes clients' connections after their answers, from now on
+	DrainOff                            // ends the client drain
+	ReadCluster                         // returns what the node knows of its cluster
 )
 
-// Refusals. Operators' tools match these texts.
+// Reasons for which a command is refused. Operators' tools match these texts.
 const (
 	refusalNotReady        = "not ready"
-	refusalNoFleet         = "this node talks with no others: its [fleet] table is not there"
+	refusalNoCluster       = "this node talks with no others: its [fleet] table is not there"
 	refusalUnknownExecutor = "no executor on the list has this id"
 )
 
-// adminState is what operators have changed.
+// adminState is the part of the node's state that operators have set.
 type adminState struct {
 	clientsDrained bool
 	excluded       map[policy.ExecutorID]bool
-	readmittedAt   map[policy.ExecutorID]time.Duration // the last time, of each executor ever readmitted
+	readmittedAt   map[policy.ExecutorID]time.Duration // when each executor was last readmitted, if ever
 }
 
-// inherit takes over the exclusions and readmissions of the predecessor.
+// inherit takes over the exclusions and readmissions from the predecessor's state.
 func (a *adminState) inherit(now time.Duration, state HandoffState) {
 	for _, id := range state.Excluded {
 		a.excluded[id] = true
@@ -50,7 +51,7 @@
 	}
 }
 
-// export adds the exclusions and readmissions to the state for a successor.
+// export adds the exclusions, the readmissions and the client drain to the state for a successor.
 func (a *adminState) export(now time.Duration, state *HandoffState) {
 	state.Drained = a.clientsDrained
 	state.Excluded = slices.Sorted(maps.Keys(a.excluded))
@@ -70,10 +71,10 @@
 	case ReadMetrics:
 		reply.Metrics = n.readMetrics()
 	case ReadCluster:
-		if n.fleet == nil {
-			reply.Refusal = refusalNoFleet
+		if n.cluster == nil {
+			reply.Refusal = refusalNoCluster
 		} else {
-			reply.Lines = n.fleet.Describe(n.now)
+			reply.Lines = n.cluster.Describe(n.now)
 		}
 	default:
 		reply.Refusal = n.runCommand(ev.Command, ev.Executor)
@@ -85,7 +86,7 @@
 	n.emit(reply)
 }
 
-// readMetrics returns the counters and what the node holds now.
+// readMetrics returns the counters and the current numbers of jobs and executors.
 func (n *Node) readMetrics() *Metrics {
 	m := n.metrics.snapshot()
 	m.InFlight = n.jobs.inFlight()
@@ -94,7 +95,8 @@
 	return &m
 }
 
-// runCommand runs a command that changes the node's state, in this process alone. It returns a refusal if it can't.
+// runCommand runs a command that changes the node's state, in this process alone. If the command can't be run, it returns the
+// reason.
 func (n *Node) runCommand(command AdminCommand, id policy.ExecutorID) (refusal string) {
 	switch command {
 	case ExcludeExecutor:
@@ -107,15 +109,16 @@
 	return ""
 }
 
-// runRelayedCommand runs a command that another process of this node has run already. An executor that is not on this
-// process's list, as yet, is excluded all the same.
+// runRelayedCommand runs a command that another process of this node has already run. An executor is excluded even if it is
+// not on this process's endpoint list yet.
 func (n *Node) runRelayedCommand(command AdminCommand, id policy.ExecutorID) {
 	if n.runCommand(command, id) != "" && command == ExcludeExecutor {
 		n.admin.excluded[id] = true
 	}
 }
 
-// exclude stops new work for an executor until it is readmitted, whatever the endpoint list says.
+// exclude gives an executor no new work until it is readmitted, whatever the endpoint list says. Excluding an excluded executor
+// has no effect.
 func (n *Node) exclude(id policy.ExecutorID) (refusal string) {
 	if n.admin.excluded[id] {
 		return ""
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -8,47 +8,49 @@
 	"birchstair/policy"
 )
 
-// probeReserve is the share of the connection limit, one in so many, that load probes leave free for attempts.
-const probeReserve = 8
+// healthCheckReserve is the divisor of the connection limit for the part reserved for attempts: health checks leave one in
+// healthCheckReserve connections free.
+const healthCheckReserve = 8
 
-// minAttemptBudget is the least time that an attempt gives its executor.
+// minAttemptBudget is the shortest time budget that an attempt gives its executor.
 const minAttemptBudget = time.Millisecond
 
+// connState is the state of a connection to an executor.
 type connState int
 
 const (
-	connDialing  connState = iota
-	connBusy               // carries an attempt
-	connIdle               // can carry the next attempt
-	connFinished           // its attempt has ended; it is reading the rest of the answer or being closed
+	connDialing  connState = iota // is being dialed
+	connBusy                      // carries an attempt
+	connIdle                      // can carry the next attempt
+	connFinished                  // its attempt has ended; the rest of the answer is being read, or the connection is being closed
 )
 
-// conn is a connection to an executor, from its Dial to its ConnClosed.
+// conn is a connection to an executor, from its Dial effect to its ConnClosed event.
 type conn struct {
 	id       ConnID
 	executor *executor
 	state    connState
 
-	// The attempt that it carries, or is to carry once it is up.
-	job         *job // nil if there is none
+	// The attempt that the connection carries, or will carry once it is up.
+	job         *job // the attempt's job; nil if there is no attempt
 	attempt     policy.AttemptID
-	decidedAt   time.Duration // when the policy decided on the attempt
-	writtenAt   time.Duration
+	decidedAt   time.Duration  // when the policy decided on the attempt
+	writtenAt   time.Duration  // when the attempt was handed to the connection
 	progressed  bool           // the executor has sent something about the attempt
-	abandoned   bool           // this node no longer waits for it
+	abandoned   bool           // this node no longer waits for the attempt
 	abandonedAs policy.Outcome // the outcome of an abandoned attempt that may have run
 
-	// Executor counters at the time of the decision and of the dial, to see whether it has restarted or moved since.
-	restarts    int
-	addrChanges int
+	// The executor's counters of the same names, copied to detect whether it has restarted or moved since.
+	restarts    int // when the policy decided on the attempt
+	addrChanges int // when the connection was dialed
 
-	wasIdle     bool // it has been idle before
-	idleSince   time.Duration
-	idleElement *list.Element // in idleConns; nil unless it is idle
+	wasIdle     bool          // the connection has been idle at least once
+	idleSince   time.Duration // when the connection last became idle
+	idleElement *list.Element // the connection's element in idleConns; nil unless it is idle
 }
 
 // executorRestarted reports whether the executor has restarted since the policy chose it. The new process is in slow start,
-// which the policy's decision did not take into account.
+// which the policy did not know when it chose the executor.
 func (c *conn) executorRestarted() bool { return c.restarts != c.executor.restarts }
 
 // executorMoved reports whether the executor's address has changed since this connection was dialed. The old address may
@@ -57,23 +59,22 @@
 
 // connTable holds all connections to executors.
 type connTable struct {
-	byID           map[ConnID]*conn
-	idle           idleConns
-	lastID         ConnID
-	probesInFlight int
+	byID                 map[ConnID]*conn
+	idle                 idleConns
+	lastID               ConnID
+	healthChecksInFlight int
 
-	// How long a connection may be idle and still be used, as far as was observed, and when that was lowered last.
-	idleLimit          time.Duration
-	idleLimitLoweredAt time.Duration
+	idleLimit          time.Duration // how long a connection may be idle and still be used; see maxIdle
+	idleLimitLoweredAt time.Duration // when idleLimit was last lowered
 }
 
-// get finds a connection, or nil.
+// get returns a connection by its ID, or nil.
 func (t *connTable) get(id ConnID) *conn { return t.byID[id] }
 
-// open is the number of connections that count against the limit.
-func (t *connTable) open() int { return len(t.byID) + t.probesInFlight }
+// openCount returns the number of connections that count against the limit, including those of health checks.
+func (t *connTable) openCount() int { return len(t.byID) + t.healthChecksInFlight }
 
-// add makes a connection that is to be dialed.
+// add creates a connection that is to be dialed.
 func (t *connTable) add(e *executor) *conn {
 	t.lastID++
 	c := &conn{id: t.lastID, executor: e, addrChanges: e.addrChanges}
@@ -81,9 +82,10 @@
 	return c
 }
 
-// maxIdle is how long a connection may have been idle and still be used: the configured time, or less if connections were
-// seen to break earlier. Executors, or something on the way to them, may drop idle connections without notice, and an attempt
-// written on such a connection counts as possibly run. An observation is forgotten once it is as old as the configured time.
+// maxIdle returns how long a connection may have been idle and still be used: the configured time, or less if connections
+// broke after a shorter idle time. Executors, or network devices in between, may drop idle connections without notice, and an
+// attempt that is written on a dropped connection counts as possibly run. The configured time applies again once it has passed
+// since the last such break.
 func (t *connTable) maxIdle(now, configured time.Duration) time.Duration {
 	if now-t.idleLimitLoweredAt >= configured {
 		t.idleLimit = configured
@@ -91,7 +93,8 @@
 	return t.idleLimit
 }
 
-// lowerIdleLimit notes that a connection broke after being idle for so long. The limit for all executors becomes half of that.
+// lowerIdleLimit records that a connection broke after it had been idle for the given time. The limit for all executors becomes
+// at most half of that time.
 func (t *connTable) lowerIdleLimit(now, configured, idle time.Duration) {
 	t.idleLimit = min(t.maxIdle(now, configured), idle/2)
 	t.idleLimitLoweredAt = now
@@ -103,7 +106,8 @@
 	t.idle.add(c)
 }
 
-// detachJob separates a connection and the job whose attempt it carries. It returns the job, or nil if there was none.
+// detachJob removes the link between a connection and the job whose attempt it carries. It returns the job, or nil if there was
+// none.
 func (t *connTable) detachJob(c *conn) *job {
 	j := c.job
 	if j != nil {
@@ -113,8 +117,8 @@
 	return j
 }
 
-// startAttempt sends an attempt of a job to an executor. If it can't be sent, that is reported to the policy at once, which
-// may start the next one; the class's MaxAttempts bounds the recursion.
+// startAttempt sends an attempt of a job to an executor. If the attempt can't be sent, the policy is notified at once and may
+// start the next attempt, which calls startAttempt again; the job class's MaxAttempts bounds this recursion.
 func (n *Node) startAttempt(j *job, id policy.ExecutorID) {
 	attempt := j.nextAttemptID()
 	if e := n.endpoints.get(id); e == nil || !n.assignConn(j, attempt, e, n.now) {
@@ -122,7 +126,8 @@
 	}
 }
 
-// assignConn finds a connection for an attempt: the one that became idle last, or a new one. It reports whether there is one.
+// assignConn gives an attempt a connection to its executor: the one that became idle last, or else a new one. It reports
+// whether it found one.
 func (n *Node) assignConn(j *job, attempt policy.AttemptID, e *executor, decidedAt time.Duration) bool {
 	if !e.available {
 		return false
@@ -142,8 +147,8 @@
 	return true
 }
 
-// takeIdleConn takes the executor's connection that became idle last, or returns nil. If that one has been idle for too long,
-// so have the others, and all are closed.
+// takeIdleConn removes the connection that became idle last from the executor's idle connections and returns it, or nil. If that
+// connection has been idle for too long, so have all the others, and all of them are closed.
 func (n *Node) takeIdleConn(e *executor) *conn {
 	if len(e.idle) == 0 {
 		return nil
@@ -156,9 +161,10 @@
 	return n.conns.idle.take(e, last)
 }
 
-// dial opens a connection, or returns nil. At the connection limit an idle connection of any executor is closed for it.
+// dial opens a connection to an executor. At the connection limit, the oldest idle connection of any executor is closed to make
+// room; dial returns nil if there is none.
 func (n *Node) dial(e *executor) *conn {
-	if n.conns.open() >= n.maxConns() && !n.closeOldestIdleConn() {
+	if n.conns.openCount() >= n.maxConns() && !n.closeOldestIdleConn() {
 		return nil
 	}
 	c := n.conns.add(e)
@@ -166,7 +172,7 @@
 	return c
 }
 
-// maxConns is the limit on connections to executors.
+// maxConns returns the current limit on connections to executors.
 func (n *Node) maxConns() int {
 	if n.handoff.limitsHalved {
 		return n.limits.MaxConnsShared
@@ -174,22 +180,22 @@
 	return n.limits.MaxConns
 }
 
-// startProbe asks an executor for its load. A probe fails at once if the executor takes no new work, or if the connection
-// limit is near: probes leave room for attempts.
-func (n *Node) startProbe(id policy.ExecutorID) {
+// startHealthCheck asks an executor for its load. The health check fails at once if the executor takes no new work, or if so
+// many connections are open that the rest is reserved for attempts (see healthCheckReserve).
+func (n *Node) startHealthCheck(id policy.ExecutorID) {
 	e := n.endpoints.get(id)
 	limit := n.maxConns()
-	if e == nil || !e.available || n.conns.open() >= limit-limit/probeReserve {
+	if e == nil || !e.available || n.conns.openCount() >= limit-limit/healthCheckReserve {
 		n.policy.ProbeEnded(n.now, id, false, policy.Load{})
 		return
 	}
-	n.conns.probesInFlight++
+	n.conns.healthChecksInFlight++
 	n.emit(CheckHealth{id, e.addr})
 }
 
-// probeEnded passes the result of a load probe on to the policy.
-func (n *Node) probeEnded(ev HealthCheckEnded) {
-	n.conns.probesInFlight--
+// healthCheckEnded passes the result of a health check on to the policy.
+func (n *Node) healthCheckEnded(ev HealthCheckEnded) {
+	n.conns.healthChecksInFlight--
 	n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
 }
 
@@ -205,7 +211,7 @@
 	}
 }
 
-// closeOldestIdleConn closes the connection that has been idle for longest. It reports whether there is one.
+// closeOldestIdleConn closes the connection that has been idle for longest. It reports whether there was an idle connection.
 func (n *Node) closeOldestIdleConn() bool {
 	oldest := n.conns.idle.oldest()
 	if oldest == nil {
@@ -216,8 +222,8 @@
 	return true
 }
 
-// writeAttempt sends the attempt of a connection that is up. The attempt is counted now, and taken back if its last byte is
-// never written.
+// writeAttempt sends the attempt of a connection that is up. The attempt is counted in the metrics now, and uncounted if its
+// last byte is never written.
 func (n *Node) writeAttempt(c *conn) {
 	c.state, c.progressed, c.writtenAt = connBusy, false, n.now
 	n.metrics.countAttempt()
@@ -229,18 +235,19 @@
 	}})
 }
 
-// mayMissDedupWindow reports whether a retry with an idempotency key was decided on longer ago than a dial may take. The policy
-// subtracts only that much from the executors' dedup window, so a later retry might not be recognized as a repeat.
+// mayMissDedupWindow reports whether the policy decided on a retry with an idempotency key longer ago than DialTimeout. The
+// dedup window in the policy's settings is shorter than the executors' by DialTimeout only. After a longer delay, an executor
+// might not recognize the retry as a duplicate and run the job again.
 func (n *Node) mayMissDedupWindow(c *conn, j *job) bool {
 	return c.attempt > 0 && j.IdempotencyKey != "" && n.now-c.decidedAt > n.limits.DialTimeout
 }
 
-// stillWanted reports whether the attempt that a connection was dialed for may go out now that it is up.
+// stillWanted reports whether the attempt that a connection was dialed for may still be sent.
 func (n *Node) stillWanted(c *conn) bool {
 	return c.executor.available && !c.job.answered && !c.executorRestarted() && !c.executorMoved() && !n.mayMissDedupWindow(c, c.job)
 }
 
-// connReady writes the attempt that a connection was dialed for.
+// connReady handles a connection that is up: it writes the attempt that the connection was dialed for, if that is still wanted.
 func (n *Node) connReady(c *conn) {
 	switch {
 	case c == nil || c.state != connDialing:
@@ -264,8 +271,9 @@
 	n.conns.addIdle(c, n.now)
 }
 
-// abandonAttempt stops waiting for an attempt. If its connection is still being dialed, the attempt was never sent and is over
-// now. Otherwise the connection is closed, and the attempt is over when its AttemptEnded or ConnClosed arrives.
+// abandonAttempt stops waiting for an attempt. If its connection is still being dialed, the attempt was never sent and ends
+// now. Otherwise the connection is closed, and the attempt ends when its AttemptEnded or ConnClosed event arrives, with the
+// given outcome if it may have run.
 func (n *Node) abandonAttempt(c *conn, outcome policy.Outcome) {
 	switch {
 	case c.state == connDialing && c.job.answered:
@@ -278,7 +286,7 @@
 	}
 }
 
-// attemptProgressed tells the policy that an attempt has started or how far it is.
+// attemptProgressed notifies the policy that an attempt has started, or of the fraction of it that is done.
 func (n *Node) attemptProgressed(c *conn, ev AttemptProgressed) {
 	if c == nil || c.job == nil {
 		return
@@ -298,7 +306,7 @@
 	}
 }
 
-// attemptEnded handles the outcome of an attempt.
+// attemptEnded handles the event that reports the outcome of an attempt.
 func (n *Node) attemptEnded(c *conn, ev AttemptEnded) {
 	if c == nil || c.state != connBusy {
 		return
@@ -311,19 +319,19 @@
 	outcome := n.settleOutcome(c, j, ev)
 	n.reportLoad(c, ev.Load)
 	if ev.ConnBroken {
-		n.learnFromBreak(c, outcome)
+		n.handleConnBroken(c, outcome)
 	}
 	n.attemptOver(j, c.attempt, outcome)
 }
 
-// settleOutcome answers the job if the outcome of its attempt is final, and writes the log. It returns the outcome that counts
-// for the policy, which differs from the reported one if this node closed the connection.
+// settleOutcome answers the job if the outcome of its attempt decides the answer, and logs the details of a failure. It returns
+// the outcome for the policy, which differs from the reported outcome if this node closed the connection.
 func (n *Node) settleOutcome(c *conn, j *job, ev AttemptEnded) policy.Outcome {
 	switch {
 	case ev.Outcome == policy.Succeeded:
 		n.answer(j, Answer{Final: Succeeded, Result: ev.Result})
 	case ev.Outcome == policy.InvalidRequest:
-		// The request is at fault. A retry elsewhere would fail as well, and count against a healthy executor.
+		// The request itself is invalid. A retry on another executor would fail as well, and count against a healthy executor.
 		n.answer(j, Answer{Final: Failed})
 		n.emit(Log{Text: ev.Detail, Executor: c.executor.id, Job: j.ID})
 	case c.abandoned && ev.ConnBroken && ev.Outcome == policy.ConnectFailed:
@@ -336,19 +344,21 @@
 	return ev.Outcome
 }
 
-// learnFromBreak draws conclusions from a connection that broke under an attempt.
-func (n *Node) learnFromBreak(c *conn, outcome policy.Outcome) {
+// handleConnBroken handles a connection that broke while it carried an attempt: it lowers the idle limit if the cause was
+// probably a dropped idle connection, and closes the executor's idle connections unless this node closed the connection itself.
+func (n *Node) handleConnBroken(c *conn, outcome policy.Outcome) {
 	if outcome == policy.ConnectionLost && c.wasIdle && !c.progressed {
 		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, c.writtenAt-c.idleSince)
 	}
 	if outcome != policy.Canceled && outcome != policy.NotSent {
-		// The executor's idle connections may be broken as well. A new connection shows that before anything is written.
+		// The executor's idle connections may be broken as well. If the executor is unreachable, dialing a new connection fails
+		// before any byte of an attempt is written.
 		n.closeIdleConns(c.executor)
 	}
 }
 
-// attemptNotSent handles an attempt that was not written because its client was gone. The attempt never ran, and the connection
-// is idle. The frontend's ClientLeft may come before or after this.
+// attemptNotSent handles an attempt that was not written because its client had gone. The attempt never ran, and the connection
+// is idle. The frontend's ClientLeft event for the same client may arrive before or after this one.
 func (n *Node) attemptNotSent(c *conn) {
 	if c == nil || c.state != connBusy {
 		return
@@ -356,30 +366,30 @@
 	n.metrics.uncountAttempt()
 	j := n.conns.detachJob(c)
 	c.state = connFinished
-	if !c.abandoned { // an abandoned one is being closed
+	if !c.abandoned { // the connection of an abandoned attempt is being closed
 		n.keepConn(c)
 	}
 	n.clientGone(j)
 	n.attemptOver(j, c.attempt, policy.NotSent)
 }
 
-// connBecameIdle keeps a connection whose answer has been read to its end.
+// connBecameIdle keeps a connection for the next attempt after its answer has been read to the end.
 func (n *Node) connBecameIdle(c *conn) {
 	if c != nil && c.state == connFinished && !c.abandoned {
 		n.keepConn(c)
 	}
 }
 
-// connClosed forgets a connection, and decides about an attempt of which nothing was written. If the connection had been idle
-// before, the executor closed it for its age, and the attempt gets another connection. A new connection that is closed
-// at once means that the executor accepts no more, and counts as a failure to connect.
+// connClosed removes a closed connection. If an attempt was assigned to it, no byte of that attempt was written. A connection
+// that had been idle before was closed by the executor because of its idle time, and the attempt gets another connection. A new
+// connection that was closed at once means that the executor accepts no more connections; the attempt failed to connect.
 func (n *Node) connClosed(c *conn, detail string) {
 	if c == nil {
 		return
 	}
 	delete(n.conns.byID, c.id)
-	n.forgetIdleConn(c)
-	if c.state == connBusy { // there was no AttemptEnded: nothing was written
+	n.removeIdleConn(c)
+	if c.state == connBusy { // no AttemptEnded event came before, so nothing was written
 		n.metrics.uncountAttempt()
 	}
 	c.state = connFinished
@@ -401,20 +411,22 @@
 	}
 }
 
-// forgetIdleConn takes a closed connection out of the idle ones, and learns from it how long executors keep them.
-func (n *Node) forgetIdleConn(c *conn) {
+// removeIdleConn removes a closed connection from the idle connections, and lowers the idle limit to the idle time after which
+// it was closed.
+func (n *Node) removeIdleConn(c *conn) {
 	i := slices.Index(c.executor.idle, c)
 	if i < 0 {
 		return
 	}
 	n.conns.idle.take(c.executor, i)
-	if idle := n.now - c.idleSince; idle > n.limits.DialTimeout { // a shorter time means that it was closed with its answer
+	// A connection that was idle for a shorter time was closed by the executor right after its answer.
+	if idle := n.now - c.idleSince; idle > n.limits.DialTimeout {
 		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, idle)
 	}
 }
 
-// reassignConn gives the unwritten attempt of a closed connection another connection to the same executor, unless it is no
-// longer wanted. It reports whether it did.
+// reassignConn gives the unwritten attempt of a closed connection another connection to the same executor, unless the attempt
+// is no longer wanted. It reports whether the attempt has a new connection.
 func (n *Node) reassignConn(closed *conn, j *job) bool {
 	if closed.abandoned || j.answered || closed.executorRestarted() || n.mayMissDedupWindow(closed, j) {
 		return false
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// handle dispatches an event to the handlers of its area.
+// handle passes an event to the handler of its area.
 func (n *Node) handle(ev Event) {
 	switch ev := ev.(type) {
 	case JobArrived, ClientLeft, JobDeclined, FrontendClosed:
@@ -24,6 +24,7 @@
 	}
 }
 
+// handleFrontend handles events from clients.
 func (n *Node) handleFrontend(ev Event) {
 	switch ev := ev.(type) {
 	case JobArrived:
@@ -37,6 +38,7 @@
 	}
 }
 
+// handleUpstream handles events from executors.
 func (n *Node) handleUpstream(ev Event) {
 	switch ev := ev.(type) {
 	case ConnReady:
@@ -52,10 +54,11 @@
 	case ConnClosed:
 		n.connClosed(n.conns.get(ev.Conn), ev.Detail)
 	case HealthCheckEnded:
-		n.probeEnded(ev)
+		n.healthCheckEnded(ev)
 	}
 }
 
+// handleConfiguration handles events from discovery and from configuration reloads.
 func (n *Node) handleConfiguration(ev Event) {
 	switch ev := ev.(type) {
 	case EndpointsUpdated:
@@ -67,6 +70,7 @@
 	}
 }
 
+// handleHandoff handles events from other processes of this node.
 func (n *Node) handleHandoff(ev Event) {
 	switch ev := ev.(type) {
 	case HandoffLinkUp:
@@ -78,20 +82,20 @@
 	}
 }
 
-// handleGossip ignores events of the fleet if this node is not part of one.
+// handleGossip handles events from other nodes of the cluster. It ignores them if this node is not part of a cluster.
 func (n *Node) handleGossip(ev Event) {
-	if n.fleet == nil {
+	if n.cluster == nil {
 		return
 	}
 	switch ev := ev.(type) {
 	case AliveNodesChanged:
-		n.fleet.SetAlive(ev.Alive)
+		n.cluster.SetAlive(ev.Alive)
 		n.emit(Log{Text: fmt.Sprintf("nodes of the fleet alive: %d", len(ev.Alive))})
 	case GossipReceived:
 		n.gossipReceived(ev.Message)
 	case LeaseMessageReceived:
 		n.policy.ReceiveLeaseMessage(n.now, ev.From, ev.Message, ev.Hash)
 	case GossipUnreadable:
-		n.fleet.CountDropped(ev.Why)
+		n.cluster.CountDropped(ev.Why)
 	}
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,47 +1,49 @@
 // Package node is the state machine of one node of the dispatcher.
 //
 // Node.Step takes one Event, changes the node's state and returns the Effects that follow from it. It reads no clock and does
-// no input or output, so the same events at the same times always give the same effects in the same order. The packages at
-// the node's edges (frontend, upstream, discovery, admin, hotrestart, gossip) do the input and output and report how it went
-// in further events. Loop connects the two: it queues events, calls Step and carries out the effects.
+// no input or output, so the same events at the same times always give the same effects in the same order. The packages that
+// connect the node to the outside, its edges (frontend, upstream, discovery, admin, hotrestart, gossip), do the input and
+// output and report the results as further events. Loop connects the two: it queues events, calls Step and passes the effects
+// to the edges.
 //
 // What the node decides about a job (whether to admit it, where to send it, when to retry) is decided by a Policy, normally
-// *policy.Dispatcher. Step tells the policy what happened and does what the policy asks for.
+// *policy.Dispatcher. Step reports to the policy what happened and does what the policy asks for.
 //
 // # Steps
 //
 // Each step runs in this order:
 //
-//  1. the fleet's tick, if it is due;
+//  1. the cluster's tick, if it is due;
 //  2. the event's handler;
 //  3. jobs that have reached their deadlines, then handoff timeouts;
-//  4. the policy's due tasks (placements, cancellations, probes, lease messages), until the policy has none;
-//  5. one SetTimer effect, if the time of the next due work has changed;
-//  6. the end of a graceful shutdown, once every job is answered.
+//  4. the policy's due tasks (placements, cancellations, health checks, lease messages), until there are none;
+//  5. one SetTimer effect, if the time at which work is due next has changed;
+//  6. in a graceful shutdown, the closing of the frontend once every job is answered.
 //
 // # Files
 //
-// Each area of the state has a struct of its own, whose fields the file that declares it writes; others call its
-// methods, but for a reload, which also sets Limits.
+// Each area of the state is a struct of its own. As a rule, only the file that declares a struct writes its fields, and other
+// files call its methods. There are three exceptions: reload.go sets fields of Limits, relay.go maintains the deferred commands
+// of handoff, and idle_conns.go maintains the lists of idle connections.
 //
 //	events.go       events and the values they carry
 //	effects.go      effects
 //	node.go         Node, Limits, Policy and Step
-//	dispatch.go     from an event to its handler
+//	dispatch.go     calls the handler of an event
 //	tasks.go        the policy's due tasks and the timer
 //	jobs.go         jobs from arrival to final answer, and their deadlines
-//	conns.go        connections to executors, attempts on them, load probes
-//	idle_conns.go   idle connections by age
+//	conns.go        connections to executors, attempts on them, health checks
+//	idle_conns.go   idle connections, ordered by how long they have been idle
 //	endpoints.go    the executors that the endpoint list names
 //	job_classes.go  job classes
 //	reload.go       configuration reloads
 //	admin.go        operators' commands
 //	metrics.go      counters that operators read
-//	gossip.go       what the node exchanges with the rest of its fleet
+//	gossip.go       messages exchanged with the other nodes of the cluster
 //	handoff.go      hot restart: the handoff between two processes of a node
 //	relay.go        operators' commands passed on to the node's other processes
 //	shutdown.go     graceful shutdown
-//	loop.go         Loop and the edges
+//	loop.go         Loop and the interfaces of the edges
 //
 // # Handoff
 //
@@ -65,7 +67,7 @@
 //
 // The successor's limits are halved from the start. Until its state has arrived it is not ready, and until the predecessor has
 // yielded it accepts connections but tells operators that it is not ready; both waits are bounded (stateTimeout, yieldTimeout).
-// If a link goes down early, the process that remains goes on alone: a successor without the state, a predecessor by
+// If a link goes down early, the remaining process continues alone: a successor without the state, a predecessor by
 // accepting connections again. Only one of the two may send work to executors in slow start: the predecessor until it yields,
-// and the successor once everything that the predecessor may have sent is out of the slow-start budget's window.
+// and the successor once everything that the predecessor may have sent has left the window of the slow-start budget.
 package node
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -7,7 +7,8 @@
 	"birchstair/policy"
 )
 
-// Effect is something that Step asks its caller to do. It is one of the types below; a caller carries effects out in order.
+// Effect is something that Step asks its caller to do. It is one of the types below. The caller carries effects out in the
+// order in which Step returned them.
 type Effect interface{ effect() }
 
 // Effects on clients, carried out by package frontend.
@@ -17,26 +18,27 @@
 		Job        policy.JobID
 		Final      Final
 		Result     []byte
-		RetryAfter time.Duration // 0 for no advice
+		RetryAfter time.Duration // when the client may retry; 0 for no advice
 	}
 	// UpdateJobClasses replaces the job classes that the frontend accepts.
 	UpdateJobClasses struct{ Classes []NumberedClass }
-	// SetReady sets whether the readiness check says that the node takes jobs.
+	// SetReady sets whether the readiness check reports that the node accepts jobs.
 	SetReady struct{ Ready bool }
 	// DrainClients starts or ends a drain of clients: while it is on, the node reports not ready and closes clients'
-	// connections after their answers. Jobs that still arrive are taken.
+	// connections after their answers. Jobs that still arrive are accepted.
 	DrainClients struct{ On bool }
-	// AcceptConnections sets whether this process accepts new connections from clients. Package hotrestart gets it as well.
+	// AcceptConnections sets whether this process accepts new connections from clients. Package hotrestart carries it out as
+	// well: the process that accepts clients also accepts a successor.
 	AcceptConnections struct{ Accept bool }
 	// HalveLimits halves the resource limits of this process, or restores them.
 	HalveLimits struct{ Half bool }
-	// CloseFrontend stops accepting work and closes clients' connections once they have their answers.
+	// CloseFrontend stops accepting jobs and closes clients' connections once they have their answers.
 	CloseFrontend struct{}
 )
 
 // Effects on executors, carried out by package upstream.
 type (
-	// Dial opens a connection.
+	// Dial opens a connection to an executor.
 	Dial struct {
 		Conn ConnID
 		Addr string
@@ -46,9 +48,9 @@
 		Conn    ConnID
 		Attempt Attempt
 	}
-	// CloseConn closes a connection, or gives up dialing it.
+	// CloseConn closes a connection, or stops dialing it.
 	CloseConn struct{ Conn ConnID }
-	// CheckHealth asks an executor for its load on a connection of its own. One HealthCheckEnded event follows.
+	// CheckHealth asks an executor for its load, over a new connection. One HealthCheckEnded event follows.
 	CheckHealth struct {
 		Executor policy.ExecutorID
 		Addr     string
@@ -57,14 +59,14 @@
 
 // Effects on discovery.
 type (
-	// WatchEndpoints asks for the endpoint list again, now.
+	// WatchEndpoints requests the endpoint list again at once.
 	WatchEndpoints struct{}
-	// SwitchDiscovery takes the endpoint list from an address from now on. It may be the address in use already.
+	// SwitchDiscovery sets the address that the endpoint list is requested from. It may be the address already in use.
 	SwitchDiscovery struct{ Addr string }
 )
 
-// AdminReply answers an operator's call, carried out by package admin: a refusal and its reason, figures, lines of text, or a
-// plain yes when all are empty.
+// AdminReply answers an operator's call. It is carried out by package admin. The reply is the reason for a refusal, metrics or
+// lines of text; if all of these are empty, it says that the command was run.
 type AdminReply struct {
 	Caller  AdminCallID
 	Refusal string
@@ -83,11 +85,11 @@
 	CloseHandoffLink struct{ Link HandoffLink }
 )
 
-// Effects on other nodes of the fleet, carried out by package gossip. Both kinds of messages may be lost.
+// Effects on other nodes of the cluster, carried out by package gossip. Both kinds of messages may be lost.
 type (
 	// SendGossip sends a gossip message to a node.
 	SendGossip struct{ cluster.Envelope }
-	// SendLeaseMessage sends a node a message about the lease on an executor's capacity.
+	// SendLeaseMessage sends a message about the lease on an executor's capacity to a node.
 	SendLeaseMessage struct {
 		To      policy.NodeID
 		Message policy.LeaseMessage
@@ -97,15 +99,15 @@
 
 // Effects on the process itself, carried out by Loop.
 type (
-	// SetTimer asks for one TimerFired event at a time. A later SetTimer replaces it.
+	// SetTimer requests one TimerFired event at the given time. A later SetTimer replaces it.
 	SetTimer struct{ At time.Duration }
-	// Log writes a line to the log. Executor and Job are fields of the line unless they are empty.
+	// Log writes a line to the log. Executor and Job are written as fields of the line unless they are empty.
 	Log struct {
 		Text     string
 		Executor policy.ExecutorID
 		Job      policy.JobID
 	}
-	// Exit ends the loop: every job is answered.
+	// Exit ends the loop. By then, every job is answered.
 	Exit struct{}
 )
 
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -9,53 +9,53 @@
 	"birchstair/policy"
 )
 
-// failedWatchesUntilDown is how many failed watches show that discovery is down. After a single one, a list that it sends soon
-// is still to be preferred to the cached list.
+// failedWatchesUntilDown is the number of failed watches after which discovery counts as down, and the cached list is used.
+// After a single failure, discovery may still deliver a list soon, which is preferred to the cached one.
 const failedWatchesUntilDown = 2
 
 // executor is an executor on the endpoint list.
 type executor struct {
 	id    policy.ExecutorID
 	addr  string
-	entry policy.Endpoint // as the list has it
+	entry policy.Endpoint // the executor's entry on the endpoint list
 
-	// The entry with operators' exclusions and the fleet's drains applied, as the policy knows it.
-	available bool
-	startedAt time.Duration
+	// The entry after operators' exclusions and drains reported by the cluster are applied, as the policy sees it.
+	available bool          // takes new work
+	startedAt time.Duration // when the executor started
 
-	lastUpdate  int // the number of the last update that named it
-	restarts    int // how often an update named a later start
-	addrChanges int // how often an update named another address
+	lastUpdate  int // the number of the last update that contained the executor
+	restarts    int // how many updates had a later start time
+	addrChanges int // how many updates had a new address
 
-	idle []*conn // connections, the latest idle last; written by idleConns alone
+	idle []*conn // idle connections, the one that became idle last at the end; only idleConns writes it
 }
 
-// endpointTable holds the executors, and where the list of them came from.
+// endpointTable holds the executors on the endpoint list, and the sources from which the list came.
 type endpointTable struct {
 	byID          map[policy.ExecutorID]*executor
-	updates       int  // so far
-	complete      bool // a complete list has come from discovery
+	updates       int  // number of updates so far
+	complete      bool // discovery has delivered a complete list
 	inherited     bool // the predecessor's list has been taken over in a handoff
 	watchFailing  bool // the last watch failed
-	failedWatches int  // so far
-	usable        bool // there were executors to send work to; once set, it stays
+	failedWatches int  // number of failed watches so far
+	usable        bool // the list has sufficed to start serving; never reset
 }
 
-// get finds an executor, or nil.
+// get returns an executor by its ID, or nil.
 func (t *endpointTable) get(id policy.ExecutorID) *executor { return t.byID[id] }
 
-// sorted returns all executors by ID, so that a pass over them gives its effects in the same order each time.
+// sorted returns all executors ordered by ID, so that iterating over them always produces effects in the same order.
 func (t *endpointTable) sorted() []*executor {
 	all := slices.Collect(maps.Values(t.byID))
 	slices.SortFunc(all, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
 	return all
 }
 
-// upToDate reports whether the list is complete and discovery keeps it so.
+// upToDate reports whether the list is complete and discovery keeps it up to date.
 func (t *endpointTable) upToDate() bool { return t.complete && !t.watchFailing }
 
-// suffices reports whether, after an update of this kind, the node has a list to start serving with: one from discovery or from
-// the predecessor, or, if discovery is down, the cached one.
+// suffices reports whether, after an update of this kind, the node can start serving with the list it has: a list from discovery
+// or from the predecessor, or, if discovery is down, the cached list.
 func (t *endpointTable) suffices(kind policy.EndpointUpdateKind) bool {
 	if len(t.byID) == 0 || kind == policy.CachedUpdate {
 		return false
@@ -63,7 +63,7 @@
 	return t.complete || t.inherited || t.failedWatches >= failedWatchesUntilDown
 }
 
-// endpointsUpdated applies a watch event of the endpoint list. The first list that suffices makes the node ready.
+// endpointsUpdated applies an update of the endpoint list. The node becomes ready with the first list that suffices.
 func (n *Node) endpointsUpdated(ev EndpointsUpdated) {
 	if ev.Kind == policy.CachedUpdate && n.endpoints.inherited {
 		return // the list cached on disk is older than the predecessor's
@@ -103,7 +103,7 @@
 	}
 }
 
-// updateExecutors applies each entry of an update, and returns the entries as the policy is to see them.
+// updateExecutors applies each entry of an update, and returns the entries as the policy sees them (see effectiveEndpoint).
 func (n *Node) updateExecutors(ev EndpointsUpdated) []policy.Endpoint {
 	entries := make([]policy.Endpoint, len(ev.Endpoints))
 	for i, in := range ev.Endpoints {
@@ -116,8 +116,8 @@
 	return entries
 }
 
-// updateExecutor applies one entry. If the executor has moved or restarted, its idle connections are closed: they lead
-// nowhere, and an attempt written on one would count as possibly run.
+// updateExecutor applies one entry. If the executor has moved or restarted, its idle connections are closed: the process at the
+// other end is gone, and an attempt written on such a connection would count as possibly run.
 func (n *Node) updateExecutor(in Endpoint, effective policy.Endpoint) {
 	e := n.endpoints.get(in.Executor)
 	if in.State == policy.Removed {
@@ -145,11 +145,12 @@
 	e.setEffective(effective)
 }
 
+// setEffective stores the fields of the effective entry that this package uses.
 func (e *executor) setEffective(effective policy.Endpoint) {
 	e.available, e.startedAt = effective.State == policy.Available, effective.StartedAt
 }
 
-// removeUnlisted removes the executors that the last update, a complete one, has left out.
+// removeUnlisted removes the executors that are missing from the last update, which was a complete list.
 func (n *Node) removeUnlisted() {
 	for _, e := range n.endpoints.sorted() {
 		if e.lastUpdate != n.endpoints.updates {
@@ -160,14 +161,15 @@
 	}
 }
 
+// removeExecutor removes an executor and closes its idle connections. Its attempts in flight go on.
 func (n *Node) removeExecutor(e *executor) {
 	e.available = false
 	n.closeIdleConns(e)
 	delete(n.endpoints.byID, e.id)
 }
 
-// inheritEndpoints takes over the predecessor's list, which is newer than the list cached on disk. A complete list from
-// discovery is newer still and stays; it is applied again, since the predecessor's exclusions have been taken over.
+// inheritEndpoints takes over the predecessor's endpoint list, which is newer than the list cached on disk. A complete list from
+// discovery is even newer: it is kept, and applied again, because the predecessor's exclusions now apply to it as well.
 func (n *Node) inheritEndpoints(endpoints []Endpoint) {
 	if n.endpoints.complete {
 		for _, e := range n.endpoints.sorted() {
@@ -180,17 +182,17 @@
 	n.removeUnlisted()
 }
 
-// refreshEndpoint tells the policy of one executor after operators or the fleet have changed its state.
+// refreshEndpoint notifies the policy of an executor whose state was changed by operators or by the cluster.
 func (n *Node) refreshEndpoint(e *executor) {
 	effective := n.effectiveEndpoint(e.entry)
 	e.setEffective(effective)
 	n.policy.UpdateEndpoints(n.now, policy.IncrementalUpdate, []policy.Endpoint{effective})
 }
 
-// effectiveEndpoint is an entry of the list as the policy is to see it. An executor that operators have excluded, or that the
-// fleet says is draining, is draining. One that was readmitted counts as started then.
+// effectiveEndpoint returns an entry of the list as the policy sees it. An executor is draining if operators have excluded it,
+// or if other nodes of the cluster report that it is draining. An executor that was readmitted counts as started at that time.
 func (n *Node) effectiveEndpoint(in policy.Endpoint) policy.Endpoint {
-	draining := n.fleet != nil && n.fleet.IsDraining(in.Executor, in.StartedAt, in.StartedLongAgo)
+	draining := n.cluster != nil && n.cluster.IsDraining(in.Executor, in.StartedAt, in.StartedLongAgo)
 	if (n.admin.excluded[in.Executor] || draining) && in.State == policy.Available {
 		in.State = policy.Draining
 	}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -7,7 +7,7 @@
 	"birchstair/policy"
 )
 
-// ConnID names a connection to an executor from its Dial to its ConnClosed.
+// ConnID identifies a connection to an executor, from its Dial effect to its ConnClosed event.
 type ConnID uint64
 
 // Request is the part of a job that executors receive unchanged.
@@ -17,8 +17,8 @@
 	URI            string // path and query, as the client sent them
 	Host           string
 	ContentType    string
-	IdempotencyKey string // executors recognize a repeated request by it
-	Epoch          uint32 // of a durable job's attempt; 0 for all others
+	IdempotencyKey string // by which executors recognize a repeated request
+	Epoch          uint32 // lease epoch of a durable job's attempt; 0 for other jobs
 	Body           []byte
 }
 
@@ -29,17 +29,17 @@
 	Tenant      policy.TenantID
 	Work        time.Duration // estimated run time; 0 if unknown
 	Budget      time.Duration // how long the client waits for the answer
-	ClientRetry bool          // the client marked it as a retry of its own
+	ClientRetry bool          // the client marked the job as a retry
 
-	NearConnectionLimit bool // it arrived when the frontend was nearly out of descriptors
+	NearConnectionLimit bool // the frontend was nearly out of file descriptors when the job arrived
 
-	Client Client // nil if nobody waits on a connection
+	Client Client // nil if no client waits on a connection
 }
 
 // Client is the client that waits for a job's answer. The state machine only passes it on.
 type Client interface {
-	// Gone reports whether nobody waits for the answer any more, as far as is known now. It doesn't block, and any goroutine
-	// may call it.
+	// Gone reports whether the client is known to have stopped waiting for the answer. It doesn't block, and any goroutine may
+	// call it.
 	Gone() bool
 }
 
@@ -49,7 +49,7 @@
 	policy.JobClass
 }
 
-// NumberedClass is a job class with the number that its jobs carry.
+// NumberedClass is a job class with its ID, which the jobs of the class carry.
 type NumberedClass struct {
 	ID policy.JobClassID
 	JobClass
@@ -70,9 +70,9 @@
 // Attempt is one attempt of a job, as it is sent to an executor.
 type Attempt struct {
 	*Request
-	Budget        time.Duration // how long this node waits for it
-	NotIdempotent bool          // it may run again only if it provably never ran, or, with a key, within its dedup group
-	Client        Client        // checked right before the first byte; nil if nobody waits
+	Budget        time.Duration // how long this node waits for the attempt
+	NotIdempotent bool          // may run again only if it provably never ran, or, with an idempotency key, within its dedup group
+	Client        Client        // checked right before the first byte is sent; nil if no client waits
 }
 
 // Final is the kind of a job's final answer.
@@ -80,12 +80,12 @@
 
 // The kinds of final answers.
 const (
-	Succeeded Final = iota
-	Rejected        // the job provably never ran, or may run again
-	Failed          // the job may have run
+	Succeeded Final = iota // an attempt succeeded
+	Rejected               // the job provably never ran, or may run again
+	Failed                 // the job may have run
 )
 
-// Event tells the state machine that something happened. It is one of the types below.
+// Event reports to the state machine that something happened. It is one of the types below.
 type Event interface{ event() }
 
 // Events from clients, reported by package frontend.
@@ -97,17 +97,17 @@
 		Job    policy.JobID
 		Client Client // as in Job
 	}
-	// JobDeclined reports that the frontend answered a job of a class itself because it can't be served.
+	// JobDeclined reports that the frontend itself answered a job of the given class because the job's ID was already in use.
 	JobDeclined struct{ Class policy.JobClassID }
-	// FrontendClosed reports that no client waits any more and none can connect.
+	// FrontendClosed reports that the frontend has closed: no client waits for an answer any more, and none can connect.
 	FrontendClosed struct{}
 )
 
 // Events from executors, reported by package upstream.
 type (
-	// ConnReady reports that a connection is up.
+	// ConnReady reports that a connection has been dialed successfully.
 	ConnReady struct{ Conn ConnID }
-	// AttemptProgressed reports that an attempt has started (Progress 0) or which share of it is done.
+	// AttemptProgressed reports that an attempt has started (Progress 0), or which fraction of it is done.
 	AttemptProgressed struct {
 		Conn     ConnID
 		Progress float64
@@ -119,10 +119,10 @@
 		Outcome    policy.Outcome
 		Result     []byte
 		Load       Load
-		ConnBroken bool   // the connection broke, or delivered something unreadable
+		ConnBroken bool   // the connection broke, or the executor's response could not be parsed
 		Detail     string // for the log
 	}
-	// AttemptNotSent reports that no byte of an attempt was written because its client was gone; the connection is idle.
+	// AttemptNotSent reports that no byte of an attempt was written because its client had gone. The connection is idle.
 	AttemptNotSent struct{ Conn ConnID }
 	// ConnIdle reports that a connection can carry the next attempt.
 	ConnIdle struct{ Conn ConnID }
@@ -131,7 +131,7 @@
 		Conn   ConnID
 		Detail string // for the log
 	}
-	// HealthCheckEnded reports the result of a load probe; Load is set only if it was answered.
+	// HealthCheckEnded reports the result of a health check. Load is set only if the executor answered.
 	HealthCheckEnded struct {
 		Executor policy.ExecutorID
 		Answered bool
@@ -141,17 +141,19 @@
 
 // Events from discovery and the configuration.
 type (
-	// EndpointsUpdated reports a watch event of the endpoint list, or, with a detail, why the list is unavailable.
+	// EndpointsUpdated reports an update of the endpoint list, or that a watch failed; Detail then says why.
 	EndpointsUpdated struct {
 		Kind      policy.EndpointUpdateKind
 		Endpoints []Endpoint
 		Detail    string
 	}
-	// DiscoverySwitchPending reports that a new discovery address has delivered no list yet; the old one stays in use.
+	// DiscoverySwitchPending reports that a new discovery address has not delivered an endpoint list yet. Until it does, the
+	// old address stays in use.
 	DiscoverySwitchPending struct{ Addr, Detail string }
-	// ConfigReloaded reports a configuration that was read again. With a detail it is invalid.
+	// ConfigReloaded reports that the configuration was read again. If it is invalid, Detail says why and the other fields are
+	// empty.
 	ConfigReloaded struct {
-		Discovery       string   // the address of the endpoint list
+		Discovery       string   // the address from which the endpoint list is requested
 		NeedRestart     []string // keys that changed and take effect at the next start
 		Classes         []JobClass
 		MaxWork         time.Duration // as in Limits
@@ -183,9 +185,9 @@
 	}
 )
 
-// Events from other nodes of the fleet, reported by package gossip.
+// Events from other nodes of the cluster, reported by package gossip.
 type (
-	// AliveNodesChanged reports which nodes of the fleet are alive, including this one.
+	// AliveNodesChanged reports which nodes of the cluster are alive, including this one.
 	AliveNodesChanged struct{ Alive []cluster.NodeName }
 	// GossipReceived reports a gossip message.
 	GossipReceived struct{ Message cluster.Message }
@@ -201,7 +203,7 @@
 
 // Events from the process itself.
 type (
-	// ShutdownRequested reports that the process is to end.
+	// ShutdownRequested reports that the process was asked to end.
 	ShutdownRequested struct{}
 	// TimerFired reports that the timer set by SetTimer has fired.
 	TimerFired struct{}
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -5,40 +5,40 @@
 	"birchstair/policy"
 )
 
-// JoinCluster makes this node part of a fleet. It is called before the first step or not at all.
-func (n *Node) JoinCluster(s cluster.Settings) { n.fleet = cluster.New(s) }
+// JoinCluster makes this node part of a cluster. It must be called before the first step, or not at all.
+func (n *Node) JoinCluster(s cluster.Settings) { n.cluster = cluster.New(s) }
 
-// Cluster returns what this node knows of its fleet, for reading only; nil if it is not part of one.
-func (n *Node) Cluster() *cluster.Fleet { return n.fleet }
+// Cluster returns what this node knows of its cluster, for reading only, or nil if the node is not part of one.
+func (n *Node) Cluster() *cluster.Fleet { return n.cluster }
 
-// gossipReceived takes in a gossip message, and applies the drains in it that are new.
+// gossipReceived handles a gossip message. Executors that it newly reports as draining get no new work.
 func (n *Node) gossipReceived(m cluster.Message) {
-	for _, id := range n.fleet.Receive(n.now, m) {
-		if e := n.endpoints.get(id); e != nil && e.available && n.fleet.IsDraining(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
+	for _, id := range n.cluster.Receive(n.now, m) {
+		if e := n.endpoints.get(id); e != nil && e.available && n.cluster.IsDraining(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
 			n.emit(Log{Text: "counts as draining: reported by " + string(m.From), Executor: id})
 			n.refreshDraining(id)
 		}
 	}
 }
 
-// tickFleet sends the gossip that is due, and applies the admission threshold and the expiry of drains that follow from what
-// was received.
-func (n *Node) tickFleet() {
-	if n.fleet == nil || n.now < n.fleet.Next() {
+// tickCluster does the cluster's periodic work, if it is due: it expires the drains that other nodes no longer report, updates
+// the admission threshold and sends gossip messages.
+func (n *Node) tickCluster() {
+	if n.cluster == nil || n.now < n.cluster.Next() {
 		return
 	}
-	for _, id := range n.fleet.ExpireDrains(n.now, n.endpoints.upToDate()) {
+	for _, id := range n.cluster.ExpireDrains(n.now, n.endpoints.upToDate()) {
 		n.emit(Log{Text: "no longer counts as draining: the peers' reports have expired", Executor: id})
 		n.refreshDraining(id)
 	}
-	messages, threshold := n.fleet.Tick(n.now, n.policy.TakeLoadSummary(n.now))
+	messages, threshold := n.cluster.Tick(n.now, n.policy.TakeLoadSummary(n.now))
 	n.policy.SetAdmissionThreshold(threshold)
 	for _, m := range messages {
 		n.emit(SendGossip{m})
 	}
 }
 
-// refreshDraining applies what the fleet now says of an executor's drain.
+// refreshDraining notifies the policy after the cluster's view of an executor's drain has changed.
 func (n *Node) refreshDraining(id policy.ExecutorID) {
 	if e := n.endpoints.get(id); e != nil {
 		n.refreshEndpoint(e)
@@ -48,9 +48,9 @@
 	}
 }
 
-// observeEndpoint tells the fleet what this node's own endpoint list says of an executor.
+// observeEndpoint passes an executor's entry on this node's own endpoint list to the cluster, which spreads drains by gossip.
 func (n *Node) observeEndpoint(in policy.Endpoint) {
-	if n.fleet != nil {
-		n.fleet.ObserveEndpoint(n.now, in.Executor, in.StartedAt, in.StartedLongAgo, in.State)
+	if n.cluster != nil {
+		n.cluster.ObserveEndpoint(n.now, in.Executor, in.StartedAt, in.StartedLongAgo, in.State)
 	}
 }
--- a/internal/node/idle_conns.go
+++ b/internal/node/idle_conns.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// idleConns lists all idle connections, the longest idle first, so that the oldest is found without a pass over all
-// executors. It also maintains each executor's own list, executor.idle, in the same order.
+// idleConns is the list of all idle connections, the longest idle first. It finds the oldest idle connection without a pass over
+// all executors. It also maintains each executor's own list, executor.idle, in the same order.
 type idleConns struct{ byAge list.List }
 
-// add appends a connection that becomes idle now.
+// add appends a connection that has just become idle.
 func (l *idleConns) add(c *conn) {
 	c.executor.idle = append(c.executor.idle, c)
 	c.idleElement = l.byAge.PushBack(c)
@@ -24,8 +24,8 @@
 	return c
 }
 
-// oldest returns the connection that has been idle for longest, or nil. Of several since the same time it is the one that was
-// dialed first among those that are the first of their executor.
+// oldest returns the connection that has been idle for longest, or nil. If several became idle at the same time, only the first
+// one of each executor is considered, and of these the one that was dialed first is returned.
 func (l *idleConns) oldest() (oldest *conn) {
 	for element := l.byAge.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*conn)
--- a/internal/node/idle_conns_test.go
+++ b/internal/node/idle_conns_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The connection closed at the limit is the one that a pass over all executors finds, whatever became idle and was taken before.
+// TestOldestIdle compares idleConns.oldest with a search through all executors, after random sequences in which connections
+// become idle and are taken.
 func TestOldestIdle(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -18,10 +19,10 @@
 		now, last := time.Duration(0), ConnID(0)
 		var taken []*conn
 		for range 500 {
-			now += time.Duration(r.IntN(2)) // many at one instant
+			now += time.Duration(r.IntN(2)) // many connections become idle at the same time
 			e := executors[r.IntN(len(executors))]
 			switch {
-			case len(taken) > 0 && r.IntN(2) == 0: // one dialed earlier becomes idle again
+			case len(taken) > 0 && r.IntN(2) == 0: // a connection that was taken becomes idle again
 				i := r.IntN(len(taken))
 				c := taken[i]
 				taken = append(taken[:i], taken[i+1:]...)
@@ -45,7 +46,7 @@
 				}
 			}
 			if got := idle.oldest(); got != want || idle.byAge.Len() != count {
-				t.Fatalf("seed %d: %+v is taken, %+v is the oldest of %d", seed, got, want, count)
+				t.Fatalf("seed %d: oldest() = %+v, want %+v; %d idle connections, want %d", seed, got, want, idle.byAge.Len(), count)
 			}
 		}
 	}
--- a/internal/node/job_classes.go
+++ b/internal/node/job_classes.go
@@ -6,18 +6,18 @@
 	"birchstair/policy"
 )
 
-// jobClasses numbers the job classes of the current and of earlier configurations.
+// jobClasses assigns IDs to the job classes of the current and of earlier configurations.
 //
-// A class that a reload leaves unchanged keeps its ID. Every other class gets the next ID, so that jobs in flight, and jobs
-// still on their way from the frontend, keep the class they arrived with.
+// A class that a reload leaves unchanged keeps its ID. A new or changed class gets the next unused ID, so that jobs in flight,
+// and jobs still on their way from the frontend, keep the class they arrived with.
 type jobClasses struct {
 	current      []NumberedClass
-	idempotency  []policy.Idempotency // by ID, of all classes there ever were
-	lastIDByName map[string]policy.JobClassID
+	idempotency  []policy.Idempotency         // of each class ever configured, indexed by ID
+	lastIDByName map[string]policy.JobClassID // the newest ID of each class name ever configured
 }
 
-// set makes these the current classes. It returns the update for the policy and the names of the classes that got new IDs, in
-// the order of these IDs.
+// set replaces the current classes. It returns the update for the policy, and the names of the classes that got new IDs in the
+// order of these IDs.
 func (c *jobClasses) set(classes []JobClass) (updates []policy.JobClassUpdate, added []string) {
 	var current []NumberedClass
 	for _, class := range classes {
@@ -39,7 +39,7 @@
 	return updates, added
 }
 
-// idOf finds a current class with this name and these settings.
+// idOf returns the ID of the current class with the same name and settings, if there is one.
 func (c *jobClasses) idOf(class JobClass) (id policy.JobClassID, ok bool) {
 	i := slices.IndexFunc(c.current, func(old NumberedClass) bool { return old.JobClass == class })
 	if i < 0 {
@@ -48,7 +48,7 @@
 	return c.current[i].ID, true
 }
 
-// same reports whether these are the current classes.
+// same reports whether the given classes are the current classes.
 func (c *jobClasses) same(classes []JobClass) bool {
 	return slices.EqualFunc(c.current, classes, func(a NumberedClass, b JobClass) bool { return a.JobClass == b })
 }
@@ -56,7 +56,7 @@
 // JobClasses returns the current job classes with their IDs.
 func (n *Node) JobClasses() []NumberedClass { return n.classes.current }
 
-// setJobClasses makes these the current classes, here and in the metrics. It returns the update for the policy.
+// setJobClasses replaces the current classes, also in the metrics. It returns the update for the policy.
 func (n *Node) setJobClasses(classes []JobClass) []policy.JobClassUpdate {
 	updates, added := n.classes.set(classes)
 	for _, name := range added {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,27 +11,27 @@
 
 // Limits are the settings that the state machine needs besides those of the policy.
 type Limits struct {
-	Quantum         time.Duration // how long before a job's deadline its attempts are abandoned
-	MaxIdle         time.Duration // a connection that has been idle for so long is not used any more
-	DialTimeout     time.Duration // an upper bound on dialing, and on learning that the peer has closed a connection
-	MaxConns        int           // connections to executors
-	MaxConnsShared  int           // the same while another process of the node shares the limits
-	MaxBodyBytes    int           // of the bodies of all jobs
-	RetryAfter      time.Duration // advice for jobs rejected at a resource limit; 0 for none
-	MaxWork         time.Duration // a longer estimate of a job's run time counts as this
-	LameDuckPeriod  time.Duration // how long new jobs are taken after a shutdown was requested
-	ShutdownTimeout time.Duration // all jobs are answered so long after a shutdown was requested
-	SlowStartWindow time.Duration // the window of the slow-start budget, with a margin for attempts in flight
+	Quantum         time.Duration // attempts are abandoned this long before their job's deadline
+	MaxIdle         time.Duration // a connection to an executor that has been idle for this long is not used again
+	DialTimeout     time.Duration // longest time to dial a connection, or to notice that an executor has closed one
+	MaxConns        int           // maximum number of connections to executors
+	MaxConnsShared  int           // replaces MaxConns while another process of this node shares its limits
+	MaxBodyBytes    int           // maximum total size of the request bodies of all jobs
+	RetryAfter      time.Duration // when to retry, sent with jobs that are rejected at a resource limit; 0 for no advice
+	MaxWork         time.Duration // maximum estimated run time of a job; a longer estimate is reduced to this
+	LameDuckPeriod  time.Duration // how long new jobs are accepted after a shutdown was requested
+	ShutdownTimeout time.Duration // time from a shutdown request by which every job is answered
+	SlowStartWindow time.Duration // window of the slow-start budget, plus a margin for attempts in flight
 }
 
-// PolicyPanicked begins the log line of a panic of the policy.
+// PolicyPanicked is the start of the log line for a panic of the policy.
 const PolicyPanicked = "the policy panicked"
 
-// panicBackoff is how soon after a panic the policy is called again.
+// panicBackoff is the time after a panic of the policy by which the policy is called again.
 const panicBackoff = 100 * time.Millisecond
 
-// Policy decides about jobs. It is *policy.Dispatcher, or a wrapper that observes the calls; see there for the contract of
-// each method.
+// Policy decides about jobs. It is implemented by *policy.Dispatcher, which documents the contract of each method, and by
+// wrappers that observe the calls.
 type Policy interface {
 	UpdateEndpoints(now time.Duration, kind policy.EndpointUpdateKind, entries []policy.Endpoint)
 	JobArrived(now time.Duration, arrival policy.Arrival)
@@ -68,14 +68,14 @@
 	admin     adminState
 	handoff   handoff
 	relays    commandRelays
-	fleet     *cluster.Fleet // nil if this node is not part of a fleet
+	cluster   *cluster.Fleet // nil if this node is not part of a cluster
 
-	now     time.Duration // of the current step
-	timerAt time.Duration // what the timer is set to, or timerNotSet
-	effects []Effect      // of the current step
+	now     time.Duration // time of the current step
+	timerAt time.Duration // time that the timer is set to, or timerNotSet
+	effects []Effect      // effects of the current step
 }
 
-// New creates a node that knows no executors yet, with its job classes numbered from 0.
+// New creates a node that knows no executors yet. The job classes get the IDs from 0 upwards, in the order given.
 func New(p Policy, limits Limits, classes []JobClass) *Node {
 	n := &Node{
 		policy:    p,
@@ -91,8 +91,8 @@
 	return n
 }
 
-// Step handles one event and returns the effects, which are valid until the next call. Time is counted from the node's start
-// and never goes back.
+// Step handles one event and returns the effects, which are valid until the next call. The time now is counted from the
+// node's start and never decreases.
 func (n *Node) Step(now time.Duration, ev Event) (effects []Effect) {
 	n.now, n.effects = now, n.effects[:0]
 	defer func() {
@@ -101,8 +101,9 @@
 		}
 		effects = n.effects
 	}()
-	// The fleet's tick comes first: if this process was suspended, the tick must see that before older messages are read.
-	n.tickFleet()
+	// The cluster's tick comes first: if this process was suspended, the tick must detect that before the messages that
+	// arrived meanwhile are handled.
+	n.tickCluster()
 	n.handle(ev)
 	n.expireJobs()
 	n.expireHandoff()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -125,7 +125,7 @@
 func (p *tracePlayer) event(now time.Duration, words []string) Event {
 	p.t.Helper()
 	for _, read := range []func(time.Duration, string, []string) Event{
-		p.frontendEvent, p.upstreamEvent, p.configurationEvent, p.adminEvent, p.handoffEvent, p.fleetEvent,
+		p.frontendEvent, p.upstreamEvent, p.configurationEvent, p.adminEvent, p.handoffEvent, p.clusterEvent,
 	} {
 		if ev := read(now, words[0], words[1:]); ev != nil {
 			return ev
@@ -330,7 +330,7 @@
 	return state
 }
 
-func (p *tracePlayer) fleetEvent(_ time.Duration, name string, args []string) Event {
+func (p *tracePlayer) clusterEvent(_ time.Duration, name string, args []string) Event {
 	switch name {
 	case "alive":
 		var names []cluster.NodeName
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -28,9 +28,9 @@
 	case policy.CancelAttempt:
 		n.cancelAttempt(due.Job, due.Attempt)
 	case policy.ProbeExecutor:
-		n.startProbe(due.Executor)
+		n.startHealthCheck(due.Executor)
 	case policy.SendLeaseMessage:
-		if n.fleet != nil { // without a fleet there is no edge to carry it
+		if n.cluster != nil { // without a fleet there is no edge to carry it
 			n.emit(SendLeaseMessage{To: due.Node, Message: due.Message, Hash: due.Hash})
 		}
 	case policy.WatchEndpoints:
@@ -43,8 +43,8 @@
 // nextWake is when the next step is due even without an event: for the policy, or earlier for another area.
 func (n *Node) nextWake(policyTaskAt time.Duration) time.Duration {
 	at := min(policyTaskAt, n.nextHandoffDeadline())
-	if n.fleet != nil {
-		at = min(at, n.fleet.Next())
+	if n.cluster != nil {
+		at = min(at, n.cluster.Next())
 	}
 	if j := n.jobs.first(); j != nil {
 		at = min(at, j.expiresAt)
