--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -116,8 +116,8 @@
 	return entries
 }
 
-// updateExecutor applies one entry. If the executor has moved or restarted, its idle connections are closed: the process at the
-// other end is gone, and an attempt written on such a connection would count as possibly run.
+// updateExecutor applies one entry. If the executor has moved or restarted, its idle connections are closed: they no longer
+// lead to the executor's process, and an attempt written on one would count as possibly run.
 func (n *Node) updateExecutor(in Endpoint, effective policy.Endpoint) {
 	e := n.endpoints.get(in.Executor)
 	if in.State == policy.Removed {
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -7,37 +7,37 @@
 	"birchstair/policy"
 )
 
-// HandoffLink names a link to another process of this node.
+// HandoffLink identifies a link to another process of this node.
 type HandoffLink int
 
 // Predecessor is the link to the process that this one takes over from.
 const Predecessor HandoffLink = 0
 
-// noLink is no process's link.
+// noLink differs from every link.
 const noLink HandoffLink = -1
 
 const (
-	// stateTimeout is how long a successor waits for the predecessor's state before it goes on without.
+	// stateTimeout is how long a successor waits for the predecessor's state before it continues without it.
 	stateTimeout = 2 * time.Second
 	// yieldTimeout is how long a successor reports not ready while it waits for the predecessor to yield.
 	yieldTimeout = 2 * time.Second
 )
 
-// HandoffState is what a process hands to its successor. Each process counts time from its own start, so times are sent as
-// ages.
+// HandoffState is the state that a process transfers to its successor. Each process counts time from its own start, so points in
+// time are sent as ages.
 type HandoffState struct {
-	Excluded   []policy.ExecutorID // by operators
-	Readmitted []ReadmittedExecutor
-	Drained    bool       // clients are being drained
-	Endpoints  []Endpoint // StartedAt is an age
-	Learned    policy.LearnedState
-	ClassNames []string // of Learned.Classes, in the same order
+	Excluded   []policy.ExecutorID  // executors that operators have excluded
+	Readmitted []ReadmittedExecutor // executors that operators have readmitted
+	Drained    bool                 // clients are being drained
+	Endpoints  []Endpoint           // endpoint list, in which StartedAt is an age
+	Learned    policy.LearnedState  // the policy's estimates
+	ClassNames []string             // names of Learned.Classes, in the same order
 }
 
-// ReadmittedExecutor is an executor that operators have readmitted, and how long ago.
+// ReadmittedExecutor is an executor that operators have readmitted.
 type ReadmittedExecutor struct {
 	Executor policy.ExecutorID
-	Age      time.Duration
+	Age      time.Duration // time since the readmission
 }
 
 // HandoffKind is the kind of a message between two processes of a node.
@@ -45,39 +45,45 @@
 
 // The kinds of handoff messages.
 const (
-	StateTransfer      HandoffKind = iota // predecessor to successor: its state
-	SuccessorReady                        // successor to predecessor: it can serve
-	PredecessorYielded                    // predecessor to successor: it accepts no connections and uses no executors in slow start any more
-	RelayCommand                          // an operator's command, to be run there too
-	RelayDone                             // the command of this Seq has been run
+	// StateTransfer carries the predecessor's state to the successor.
+	StateTransfer HandoffKind = iota
+	// SuccessorReady notifies the predecessor that the successor can serve.
+	SuccessorReady
+	// PredecessorYielded notifies the successor that the predecessor no longer accepts connections and sends nothing to
+	// executors in slow start.
+	PredecessorYielded
+	// RelayCommand carries an operator's command that the receiver is to run as well.
+	RelayCommand
+	// RelayDone confirms that the RelayCommand with the same Seq has been run.
+	RelayDone
 )
 
 // HandoffMessage is a message between two processes of a node.
 type HandoffMessage struct {
 	Kind     HandoffKind
-	Seq      uint64 // of RelayCommand and RelayDone
-	Command  AdminCommand
-	Executor policy.ExecutorID
-	State    *HandoffState
+	Seq      uint64            // sequence number of the command, in RelayCommand and RelayDone
+	Command  AdminCommand      // in RelayCommand
+	Executor policy.ExecutorID // executor that the command is about, in RelayCommand
+	State    *HandoffState     // in StateTransfer
 }
 
-// handoff is the state of a handoff between processes of this node; see the package comment for the way it goes. A process can
-// be the successor of one process and the predecessor of another.
+// handoff is the state of a handoff between processes of this node. The package comment describes the protocol. A process can be
+// the successor of one process and the predecessor of another.
 type handoff struct {
-	links        []HandoffLink // that are up, the predecessor's first
+	links        []HandoffLink // links that are up, the predecessor's first
 	announced    bool          // this process has announced that it can serve
-	limitsHalved bool          // another process uses the other half of the limits
+	limitsHalved bool          // another process uses the other half of the resource limits
 
 	// As a successor.
-	awaitingState bool // the predecessor's state is on its way
-	stateDeadline time.Duration
-	deferred      []HandoffMessage // operators' commands run meanwhile, to be run again on that state
-	awaitingYield bool             // SuccessorReady is sent; the predecessor may still accept connections
-	yieldDeadline time.Duration
+	awaitingState bool             // the predecessor's state has not arrived yet
+	stateDeadline time.Duration    // when this process stops waiting for the state
+	deferred      []HandoffMessage // operators' commands run while awaitingState, to be run again once the state is taken over
+	awaitingYield bool             // SuccessorReady was sent; the predecessor may still accept connections
+	yieldDeadline time.Duration    // when this process reports ready even if the predecessor has not yielded
 
 	// As a predecessor.
-	yielded   bool // the successor accepts connections, this process does not
-	successor HandoffLink
+	yielded   bool        // the successor accepts connections, this process does not
+	successor HandoffLink // the successor that this process has yielded to
 }
 
 // connected reports whether a link is up.
@@ -93,9 +99,9 @@
 	return true
 }
 
-// ready reports whether this process takes jobs, as it says to the platform. While the predecessor may still accept connections
-// it says no: the platform may end the predecessor on a yes, and one that has not yielded closes its clients' connections at
-// once, some of them under their next request.
+// ready returns what this process reports to readiness checks: whether it accepts jobs. It reports not ready while the
+// predecessor may still accept connections. Otherwise the platform might end the predecessor, and a predecessor that has not
+// yielded closes its clients' connections at once, some of them while the client is sending its next request.
 func (n *Node) ready() bool {
 	if n.shutdown.requested || !n.handoff.announced {
 		return false
@@ -103,7 +109,8 @@
 	return !n.handoff.awaitingYield || n.now >= n.handoff.yieldDeadline
 }
 
-// announceReady announces once that this process can serve: it has endpoints, and what the predecessor knew.
+// announceReady announces that this process can serve, as soon as it has endpoints and doesn't wait for the predecessor's state.
+// It does so only once.
 func (n *Node) announceReady() {
 	h := &n.handoff
 	if !n.endpoints.usable || h.awaitingState || h.announced {
@@ -118,7 +125,7 @@
 	}
 }
 
-// handoffLinkUp starts a handoff: a successor gets this process's state, and the predecessor's state is awaited.
+// handoffLinkUp starts a handoff: this process sends its state to a successor, or waits for the state of its predecessor.
 func (n *Node) handoffLinkUp(link HandoffLink) {
 	h := &n.handoff
 	h.links = append(h.links, link)
@@ -129,12 +136,12 @@
 	}
 	h.awaitingState, h.stateDeadline = true, n.now+stateTimeout
 	n.emit(Log{Text: "handoff: waiting for the predecessor's state"})
-	n.policy.BlockSlowStartUntil(n.now, policy.Forever) // the predecessor's until it yields
+	n.policy.BlockSlowStartUntil(n.now, policy.Forever) // until the predecessor yields, only it may use them
 	n.updateLimits()
 }
 
-// handoffLinkDown ends the handoff with a process that has ended or sends nothing readable. This process gets back what it
-// shared with it.
+// handoffLinkDown ends the handoff with a process that has ended or has sent an unreadable message. This process takes back the
+// limits that it shared with the other process, and what it had yielded to a successor.
 func (n *Node) handoffLinkDown(link HandoffLink, detail string) {
 	h := &n.handoff
 	if !h.disconnect(link) {
@@ -178,7 +185,7 @@
 	}
 }
 
-// yieldTo lets a successor accept connections and use executors in slow start. This process finishes the jobs it has.
+// yieldTo lets a successor accept connections and use executors in slow start. This process only finishes the jobs that it has.
 func (n *Node) yieldTo(successor HandoffLink) {
 	n.handoff.yielded, n.handoff.successor = true, successor
 	n.emit(Log{Text: "handoff: yielded to the successor"})
@@ -188,8 +195,8 @@
 	n.emit(SendHandoff{successor, HandoffMessage{Kind: PredecessorYielded}})
 }
 
-// blockSlowStart keeps the policy from executors in slow start until everything that another process may have sent them is
-// out of the slow-start budget's window.
+// blockSlowStart blocks attempts to executors in slow start until everything that another process may have sent to them has left
+// the window of the slow-start budget.
 func (n *Node) blockSlowStart() {
 	n.policy.BlockSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
 }
@@ -203,7 +210,7 @@
 	}
 }
 
-// exportState is the state for a successor.
+// exportState returns the state for a successor.
 func (n *Node) exportState() *HandoffState {
 	state := &HandoffState{Learned: n.policy.ExportLearned(n.now)}
 	for _, class := range state.Learned.Classes {
@@ -252,7 +259,7 @@
 	n.policy.ImportLearned(n.now, state.Learned)
 }
 
-// expireHandoff ends what has waited too long for another process.
+// expireHandoff stops waiting for the predecessor's state, and for confirmations of relayed commands, at their deadlines.
 func (n *Node) expireHandoff() {
 	if n.handoff.awaitingState && n.now >= n.handoff.stateDeadline {
 		n.emit(CloseHandoffLink{Predecessor})
@@ -261,7 +268,7 @@
 	n.expireRelays()
 }
 
-// nextHandoffDeadline is when expireHandoff has something to do next, or policy.Forever.
+// nextHandoffDeadline returns when expireHandoff has something to do next, or policy.Forever.
 func (n *Node) nextHandoffDeadline() time.Duration {
 	next := n.relays.nextDeadline()
 	if n.handoff.awaitingState {
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -8,19 +8,19 @@
 	"birchstair/policy"
 )
 
-// job is a job from its arrival until it has its final answer and no attempt of it is in flight.
+// job is the state of a job, kept from its arrival until it has its final answer and none of its attempts is in flight.
 type job struct {
 	Job
 	deadline  time.Duration // when the final answer is due
-	expiresAt time.Duration // when expireJobs looks at it next: shortly before the deadline, then at the deadline
-	answered  bool
-	conns     []*conn // of the attempts in flight: one, or two while an attempt is hedged
-	attempts  int     // started so far
-	arrival   int     // orders jobs that expire at the same time
-	heapIndex int     // in jobTable.unanswered
+	expiresAt time.Duration // when expireJobs handles the job next: first shortly before its deadline, then at the deadline
+	answered  bool          // the job has its final answer or needs none
+	conns     []*conn       // connections of the attempts in flight: one, or two while an attempt is hedged
+	attempts  int           // number of attempts started so far
+	arrival   int           // sequence number of the arrival; orders jobs that expire at the same time
+	heapIndex int           // index in jobTable.unanswered
 }
 
-// nextAttemptID returns the number of the next attempt, which counts as started.
+// nextAttemptID returns the ID of the next attempt, and counts that attempt as started.
 func (j *job) nextAttemptID() policy.AttemptID {
 	id := policy.AttemptID(j.attempts)
 	j.attempts++
@@ -33,7 +33,7 @@
 	j.conns = slices.DeleteFunc(j.conns, func(other *conn) bool { return other == c })
 }
 
-// connOf finds the connection that an attempt was assigned to, or nil.
+// connOf returns the connection that an attempt is assigned to, or nil.
 func (j *job) connOf(attempt policy.AttemptID) *conn {
 	i := slices.IndexFunc(j.conns, func(c *conn) bool { return c.attempt == attempt })
 	if i < 0 {
@@ -45,13 +45,13 @@
 // jobTable holds all jobs of the node.
 type jobTable struct {
 	byID       map[policy.JobID]*job
-	unanswered jobHeap // jobs without a final answer, the first to expire in front
-	bodyBytes  int     // of all jobs
-	arrivals   int     // so far
-	deciding   *job    // the job that the policy is deciding about, to be failed if the policy panics
+	unanswered jobHeap // jobs without a final answer, ordered by expiry
+	bodyBytes  int     // total size of the request bodies of all jobs
+	arrivals   int     // number of jobs added so far
+	deciding   *job    // the job that the policy is deciding about, which is failed if the policy panics; else nil
 }
 
-// add takes in a job that is to be answered by its deadline.
+// add adds a job. It expires a quantum before its deadline for the first time.
 func (t *jobTable) add(j *job, quantum time.Duration) {
 	t.byID[j.ID] = j
 	t.bodyBytes += len(j.Body)
@@ -60,14 +60,14 @@
 	heap.Push(&t.unanswered, j)
 }
 
-// settle marks a job as answered.
+// settle marks a job as answered. It is forgotten once none of its attempts is in flight.
 func (t *jobTable) settle(j *job) {
 	j.answered = true
 	heap.Remove(&t.unanswered, j.heapIndex)
 	t.release(j)
 }
 
-// release forgets a job once it is answered and no attempt of it is in flight.
+// release removes a job if it is answered and none of its attempts is in flight.
 func (t *jobTable) release(j *job) {
 	if j.answered && len(j.conns) == 0 && t.byID[j.ID] == j {
 		delete(t.byID, j.ID)
@@ -75,10 +75,10 @@
 	}
 }
 
-// inFlight is the number of jobs without a final answer.
+// inFlight returns the number of jobs without a final answer.
 func (t *jobTable) inFlight() int { return len(t.unanswered) }
 
-// first is the unanswered job that expires first, or nil.
+// first returns the unanswered job that expires first, or nil.
 func (t *jobTable) first() *job {
 	if len(t.unanswered) == 0 {
 		return nil
@@ -86,13 +86,13 @@
 	return t.unanswered[0]
 }
 
-// postpone moves the expiry of the first job to its deadline.
+// postpone moves the expiry of the job that expires first to its deadline.
 func (t *jobTable) postpone(first *job) {
 	first.expiresAt = first.deadline
 	heap.Fix(&t.unanswered, first.heapIndex)
 }
 
-// limitDeadlines brings all deadlines forward that are later than this one.
+// limitDeadlines moves all deadlines that are later than the given one forward to it.
 func (t *jobTable) limitDeadlines(deadline, quantum time.Duration) {
 	for _, j := range t.unanswered {
 		j.deadline = min(j.deadline, deadline)
@@ -101,11 +101,11 @@
 	heap.Init(&t.unanswered)
 }
 
-// jobArrived takes a job in and tells the policy, which admits or rejects it when it is asked for a placement. A job that
-// would exceed a resource limit is rejected here.
+// jobArrived adds a job and notifies the policy, which admits or rejects the job later, when it is asked for a placement. A job
+// that would exceed a resource limit is rejected here.
 func (n *Node) jobArrived(in Job) {
 	if n.jobs.byID[in.ID] != nil {
-		// The client left and submitted the job again under the same ID while an attempt of it is still in flight.
+		// The client left and submitted the job again under the same ID while an earlier attempt is still in flight.
 		n.metrics.countAnswer(in.Class, Failed)
 		n.emit(Answer{Job: in.ID, Final: Failed})
 		return
@@ -129,7 +129,7 @@
 	n.jobs.deciding = nil
 }
 
-// answer gives a job its final answer, unless it has one or its client has gone.
+// answer gives a job its final answer, unless it is already answered or its client has gone.
 func (n *Node) answer(j *job, a Answer) {
 	if j.answered {
 		return
@@ -140,15 +140,16 @@
 	n.jobs.settle(j)
 }
 
-// clientLeft handles a client that has closed its connection. Its job may have ended already, and the ID may have been used
-// again by another client: the last check before an attempt's first byte can see a client leave before the frontend does.
+// clientLeft handles a client that has closed its connection. The job may have ended before: the last check before an attempt's
+// first byte can notice that a client has gone earlier than the frontend does (see attemptNotSent). By now another client may
+// have submitted a job under the same ID, so the client is compared as well.
 func (n *Node) clientLeft(ev ClientLeft) {
 	if j := n.jobs.byID[ev.Job]; j != nil && j.Client == ev.Client {
 		n.clientGone(j)
 	}
 }
 
-// clientGone ends a job whose client has gone: it needs no answer and gets no further attempts.
+// clientGone ends a job whose client has gone: the job needs no answer and gets no further attempts.
 func (n *Node) clientGone(j *job) {
 	if !j.answered {
 		n.jobs.settle(j)
@@ -156,7 +157,7 @@
 	}
 }
 
-// placeJob asks the policy what to do with a waiting job, and does it.
+// placeJob asks the policy what to do with a queued job, and applies the decision.
 func (n *Node) placeJob(id policy.JobID) {
 	j := n.jobs.byID[id]
 	if j == nil {
@@ -167,7 +168,7 @@
 	n.applyDecision(j, n.policy.Place(n.now, id))
 }
 
-// applyDecision does what the policy decided about a job.
+// applyDecision carries out the policy's decision about a job.
 func (n *Node) applyDecision(j *job, decision policy.Decision) {
 	n.jobs.deciding = nil
 	switch decision.Action {
@@ -180,7 +181,7 @@
 	}
 }
 
-// attemptOver tells the policy the outcome of an attempt, and does what it decides next.
+// attemptOver notifies the policy of the outcome of an attempt, and applies its next decision about the job.
 func (n *Node) attemptOver(j *job, attempt policy.AttemptID, outcome policy.Outcome) {
 	n.jobs.release(j)
 	n.jobs.deciding = j
@@ -218,9 +219,9 @@
 	}
 }
 
-// policyPanicked limits a panic of the policy to the job that it was deciding about, if any: without an attempt on a connection
-// that job fails, which promises nothing about whether it ran. All others go on, and the policy is asked again after
-// panicBackoff.
+// policyPanicked limits the effect of a panic of the policy to the job that the policy was deciding about, if any. That job
+// fails unless it has an attempt in flight; the answer leaves open whether it ran. All other jobs go on, and the policy is
+// called again after panicBackoff at the latest.
 func (n *Node) policyPanicked(text string) {
 	n.emit(Log{Text: text})
 	if j := n.jobs.deciding; j != nil && len(j.conns) == 0 {
@@ -230,7 +231,7 @@
 	n.setTimer(n.now + panicBackoff)
 }
 
-// jobHeap is a heap of jobs by their expiry, for container/heap; each job knows its index.
+// jobHeap implements heap.Interface for jobs ordered by expiry. It keeps each job's heapIndex up to date.
 type jobHeap []*job
 
 // Len implements heap.Interface.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,7 +9,7 @@
 	"birchstair/policy"
 )
 
-// Frontend is the edge to clients. Its calls don't block, nor do those of the other edges.
+// Frontend is the edge to clients. Its methods don't block, and neither do those of the other edges.
 type Frontend interface {
 	Answer(Answer)
 	SetReady(bool)
@@ -44,40 +44,40 @@
 	AcceptConnections(bool)
 }
 
-// Gossip is the edge to other nodes of the fleet.
+// Gossip is the edge to other nodes of the cluster.
 type Gossip interface {
 	SendGossip(cluster.Envelope)
 	SendLeaseMessage(SendLeaseMessage)
 }
 
-// Edges are the packages that carry out effects.
+// Edges are the implementations that carry out effects: one for each kind of partner that the node communicates with.
 type Edges struct {
 	Frontend    Frontend
 	Upstream    Upstream
 	Discovery   Discovery
-	Admin       Admin           // nil without an operators' listener
+	Admin       Admin           // nil if operators can't connect
 	Handoff     Handoff         // nil if no other process of the node can connect
-	Gossip      Gossip          // nil if this node is not part of a fleet
+	Gossip      Gossip          // nil if this node is not part of a cluster
 	LimitMemory func(half bool) // halves this process's memory limit, or restores it; nil if Handoff is
 }
 
-// Observer is called after every step, before its effects are carried out. It must not keep them.
+// Observer is called after every step, before the effects are carried out. It must not retain the effects.
 type Observer func(now time.Duration, ev Event, effects []Effect)
 
-// Sizes of the event queues: what the edges can post before they have to wait for the loop.
+// Sizes of the event queues: the number of events that the edges can post before they block until the loop reads one.
 const (
 	eventQueueSize       = 256
 	urgentEventQueueSize = 16
 )
 
-// Loop feeds events to a Node, one at a time, and carries out the effects.
+// Loop is the event loop of a node: it passes events to the Node, one at a time, and has the effects carried out.
 type Loop struct {
 	Observe Observer // may be nil; set before Run
 
-	start  time.Time
+	start  time.Time // when the node's time is 0
 	events chan Event
-	urgent chan Event // read before events
-	done   chan struct{}
+	urgent chan Event    // read before the events in the other queue
+	done   chan struct{} // closed when Run has returned
 }
 
 // NewLoop creates a loop whose node counts time from start.
@@ -106,7 +106,7 @@
 	}
 }
 
-// next waits for an event.
+// next waits for the next event. Urgent events come first.
 func (l *Loop) next(timer *time.Timer) Event {
 	select {
 	case ev := <-l.urgent:
@@ -123,7 +123,7 @@
 	}
 }
 
-// Run steps the node until it asks to exit.
+// Run handles events until the node returns an Exit effect.
 func (l *Loop) Run(n *Node, edges Edges, log zerolog.Logger) {
 	defer close(l.done)
 	timer := time.NewTimer(0)
@@ -149,7 +149,7 @@
 	}
 }
 
-// carryOut hands an effect to the edge that it is for.
+// carryOut passes an effect to the edge that carries it out.
 func (edges *Edges) carryOut(e Effect) {
 	switch e := e.(type) {
 	case Answer, UpdateJobClasses, SetReady, DrainClients, CloseFrontend:
@@ -181,7 +181,7 @@
 	}
 }
 
-// carryOutFrontend carries out an effect that only the frontend sees.
+// carryOutFrontend passes on an effect that only the frontend carries out.
 func (edges *Edges) carryOutFrontend(e Effect) {
 	switch e := e.(type) {
 	case Answer:
@@ -197,7 +197,7 @@
 	}
 }
 
-// carryOutUpstream carries out an effect on a connection to an executor.
+// carryOutUpstream passes on an effect that concerns executors.
 func (edges *Edges) carryOutUpstream(e Effect) {
 	switch e := e.(type) {
 	case Dial:
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -6,13 +6,16 @@
 	"birchstair/policy"
 )
 
-// Metrics are a node's counters since its start, and what it holds now.
+// Metrics are a node's counters since its start, and its current numbers of jobs and executors.
+//
+// ExcludedExecutors counts the executors that are excluded, draining, ejected or unresponsive, and the executors in slow start
+// that only another node or, in a handoff, only another process of this node may send work to.
 type Metrics struct {
 	Classes           []ClassMetrics // in the order in which the job classes were first configured
 	Attempts          int            // attempts whose last byte was written
 	InFlight          int            // jobs without a final answer
 	KnownExecutors    int            // executors on the endpoint list
-	ExcludedExecutors int            // of these, executors that get no new attempts: excluded, draining, ejected, unresponsive, or in slow start and another node's
+	ExcludedExecutors int            // executors on the endpoint list that get no new attempts; see above
 	ReloadsApplied    int            // configuration reloads that took effect
 	ReloadsRejected   int            // configuration reloads that were invalid
 }
@@ -23,13 +26,14 @@
 	Succeeded, Rejected, Failed int
 }
 
-// counters are the metrics that are counted as things happen. The other fields of Metrics are filled in when they are read.
+// counters are the metrics that are updated as events happen. The other fields of Metrics are computed when they are read.
 type counters struct {
 	totals     Metrics
-	classIndex []int // by job class ID: its index in totals.Classes
+	classIndex []int // index in totals.Classes of each job class, indexed by the class's ID
 }
 
-// addClass adds the counters of the next job class ID. A class of a name that was configured before continues its counters.
+// addClass adds the counters of the job class with the next ID. If a class of this name was configured before, its counters are
+// continued.
 func (c *counters) addClass(name string) {
 	index := slices.IndexFunc(c.totals.Classes, func(m ClassMetrics) bool { return m.Name == name })
 	if index < 0 {
@@ -39,7 +43,7 @@
 	c.classIndex = append(c.classIndex, index)
 }
 
-// className is the name of a job class, which may no longer be configured.
+// className returns the name of a job class. The class need not be configured any more.
 func (c *counters) className(id policy.JobClassID) string {
 	return c.totals.Classes[c.classIndex[id]].Name
 }
@@ -60,7 +64,7 @@
 // countAttempt counts an attempt when it is handed to a connection.
 func (c *counters) countAttempt() { c.totals.Attempts++ }
 
-// uncountAttempt takes an attempt back whose last byte was never written.
+// uncountAttempt subtracts an attempt that was counted although its last byte was never written.
 func (c *counters) uncountAttempt() { c.totals.Attempts-- }
 
 // countReload counts a configuration reload.
@@ -72,7 +76,7 @@
 	}
 }
 
-// snapshot is a copy of the totals that its reader may keep while counting goes on.
+// snapshot returns a copy of the totals that later counting doesn't change.
 func (c *counters) snapshot() Metrics {
 	m := c.totals
 	m.Classes = slices.Clone(m.Classes)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -8,30 +8,31 @@
 	"birchstair/policy"
 )
 
-// relayTimeout is how long the reply to an operator waits for the node's other processes. The reply is owed within a second.
+// relayTimeout is how long the reply to an operator waits for the node's other processes. The operator must
+// receive the reply within a second.
 const relayTimeout = 400 * time.Millisecond
 
-// refusalRelayTimeout replaces the reply if another process doesn't confirm in time.
+// refusalRelayTimeout is the refusal that an operator receives if another process doesn't confirm the command in time.
 const refusalRelayTimeout = "another process of this node does not say that it has done so"
 
-// commandRelays are the operators' commands that were passed on to other processes of this node and are not confirmed by all
-// of them.
+// commandRelays holds the operators' commands that were passed on to other processes of this node and have not been confirmed
+// by all of them.
 type commandRelays struct {
-	pending map[uint64]*pendingRelay // by Seq
-	lastSeq uint64
+	pending map[uint64]*pendingRelay // by sequence number of the command
+	lastSeq uint64                   // sequence number of the last command
 }
 
-// pendingRelay is a reply to an operator that waits for the other processes.
+// pendingRelay is a reply to an operator that is held back until the other processes have confirmed the command.
 type pendingRelay struct {
-	reply    AdminReply
-	waiting  []HandoffLink // processes that have not confirmed
-	deadline time.Duration
+	reply    AdminReply    // sent when all processes have confirmed
+	waiting  []HandoffLink // links to the processes that have not confirmed
+	deadline time.Duration // when the command is refused instead
 }
 
-// seqs returns the pending relays in the order of their commands.
+// seqs returns the sequence numbers of the pending relays in ascending order.
 func (r *commandRelays) seqs() []uint64 { return slices.Sorted(maps.Keys(r.pending)) }
 
-// nextDeadline is when the first relay times out, or policy.Forever.
+// nextDeadline returns when the first relay times out, or policy.Forever.
 func (r *commandRelays) nextDeadline() time.Duration {
 	next := policy.Forever
 	for _, p := range r.pending {
@@ -40,8 +41,8 @@
 	return next
 }
 
-// relayCommand passes a command that an operator gave this process on to the others. The reply is sent once all of them have
-// run it.
+// relayCommand passes a command that this process received from an operator on to the node's other processes. The reply is sent
+// once all of them have run it.
 func (n *Node) relayCommand(ev AdminCalled, reply AdminReply) {
 	m := HandoffMessage{Kind: RelayCommand, Command: ev.Command, Executor: ev.Executor}
 	n.deferCommand(m)
@@ -53,7 +54,7 @@
 	n.relays.pending[seq] = &pendingRelay{reply: reply, waiting: waiting, deadline: n.now + relayTimeout}
 }
 
-// commandRelayed runs a command that another process passed on, and passes it on to the rest.
+// commandRelayed runs a command that another process passed on, and passes it on to the remaining processes.
 func (n *Node) commandRelayed(from HandoffLink, m HandoffMessage) {
 	n.runRelayedCommand(m.Command, m.Executor)
 	n.deferCommand(m)
@@ -61,8 +62,8 @@
 	n.emit(SendHandoff{from, HandoffMessage{Kind: RelayDone, Seq: m.Seq}})
 }
 
-// forwardCommand sends a command to all other processes except one. It returns the sequence number of the command and the links
-// that it was sent on.
+// forwardCommand sends a command on all links except one. It returns the sequence number of the command and the links that it
+// was sent on.
 func (n *Node) forwardCommand(m HandoffMessage, except HandoffLink) (seq uint64, sent []HandoffLink) {
 	n.relays.lastSeq++
 	m.Seq = n.relays.lastSeq
@@ -75,7 +76,7 @@
 	return m.Seq, sent
 }
 
-// relayDone notes that a process has run a command, or has ended. The reply is sent once no process is waited for.
+// relayDone records that a process has run a command, or has ended. The reply is sent once no process is left to wait for.
 func (n *Node) relayDone(seq uint64, by HandoffLink) {
 	p := n.relays.pending[seq]
 	if p == nil {
@@ -95,9 +96,9 @@
 	}
 }
 
-// expireRelays refuses the commands that were not confirmed in time.
+// expireRelays replies with a refusal to the commands that were not confirmed in time.
 func (n *Node) expireRelays() {
-	if len(n.relays.pending) == 0 { // nearly always; this runs in every step
+	if len(n.relays.pending) == 0 { // the usual case; expireRelays runs in every step
 		return
 	}
 	for _, seq := range n.relays.seqs() {
@@ -109,15 +110,16 @@
 	}
 }
 
-// deferCommand keeps a command while the predecessor's state is on its way, to run it again on that state. The state may have
-// been sent before the command was given, and would undo it in this process alone.
+// deferCommand stores a command while this process waits for the predecessor's state, to run the command again once that state
+// has been taken over. The predecessor may have sent its state before the command was given, so that taking over the state
+// would undo the command, in this process alone.
 func (n *Node) deferCommand(m HandoffMessage) {
 	if n.handoff.awaitingState {
 		n.handoff.deferred = append(n.handoff.deferred, m)
 	}
 }
 
-// runDeferredCommands runs the deferred commands on the predecessor's state.
+// runDeferredCommands runs the deferred commands again, after the predecessor's state has been taken over.
 func (n *Node) runDeferredCommands() {
 	for _, m := range n.handoff.deferred {
 		n.runRelayedCommand(m.Command, m.Executor)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// shutdown is the state of a graceful shutdown. After the request the node reports not ready. Jobs that still arrive in the
-// lame-duck period are taken, and all jobs are answered by the deadline.
+// shutdown is the state of a graceful shutdown. After the request, the node reports that it is not ready. Jobs that still arrive
+// in the lame-duck period are accepted, and all jobs are answered by the deadline.
 type shutdown struct {
-	requested       bool
-	lameDuckUntil   time.Duration
-	deadline        time.Duration
-	frontendClosing bool // every job is answered, and the frontend was asked to close
+	requested       bool          // a shutdown was requested
+	lameDuckUntil   time.Duration // end of the lame-duck period
+	deadline        time.Duration // by which all jobs are answered
+	frontendClosing bool          // every job is answered, and the frontend was asked to close
 }
 
-// limitDeadline brings a job's deadline forward to the deadline of the shutdown.
+// limitDeadline limits a job's deadline to the deadline of the shutdown, if one was requested.
 func (s *shutdown) limitDeadline(deadline time.Duration) time.Duration {
 	if s.requested {
 		return min(deadline, s.deadline)
@@ -25,7 +25,8 @@
 // inLameDuck reports whether the lame-duck period is running.
 func (s *shutdown) inLameDuck(now time.Duration) bool { return s.requested && now < s.lameDuckUntil }
 
-// beginShutdown starts a graceful shutdown. The policy learns the deadline, so that it sends nothing that can't end by then.
+// beginShutdown starts a graceful shutdown. The policy is notified of the deadline, so that it sends no attempt that can't end
+// by then.
 func (n *Node) beginShutdown() {
 	if n.shutdown.requested {
 		return
@@ -50,8 +51,9 @@
 	n.emit(CloseFrontend{})
 }
 
-// frontendClosed ends the process. A job that arrived while the frontend was closing is answered first; the frontend is asked
-// to close again and reports when it has. Without a shutdown the frontend has failed, and no client would get an answer.
+// frontendClosed ends the process. If a job arrived while the frontend was closing, the job is answered first: the frontend is
+// asked to close again, and posts another FrontendClosed event afterwards. If no shutdown was requested, the frontend has
+// failed and no client can receive an answer, so all jobs fail at once.
 func (n *Node) frontendClosed() {
 	if n.shutdown.requested && n.jobs.inFlight() > 0 {
 		n.emit(CloseFrontend{})
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -6,10 +6,10 @@
 	"birchstair/policy"
 )
 
-// timerNotSet is no time that a timer is ever set to.
+// timerNotSet is the value of Node.timerAt after the timer has fired. It differs from every time that a timer can be set to.
 const timerNotSet time.Duration = -1
 
-// runPolicyTasks does everything that the policy has due, then sets the timer for whatever is due next.
+// runPolicyTasks runs all of the policy's tasks that are due, then sets the timer for the next work of the node.
 func (n *Node) runPolicyTasks() {
 	for {
 		due := n.policy.NextTask(n.now)
@@ -21,6 +21,7 @@
 	}
 }
 
+// runPolicyTask runs one task of the policy.
 func (n *Node) runPolicyTask(due policy.DueTask) {
 	switch due.Task {
 	case policy.PlaceJob:
@@ -30,7 +31,7 @@
 	case policy.ProbeExecutor:
 		n.startHealthCheck(due.Executor)
 	case policy.SendLeaseMessage:
-		if n.cluster != nil { // without a fleet there is no edge to carry it
+		if n.cluster != nil { // without a cluster, no edge carries out SendLeaseMessage
 			n.emit(SendLeaseMessage{To: due.Node, Message: due.Message, Hash: due.Hash})
 		}
 	case policy.WatchEndpoints:
@@ -40,7 +41,7 @@
 	}
 }
 
-// nextWake is when the next step is due even without an event: for the policy, or earlier for another area.
+// nextWake returns when the next step is due if no event arrives earlier: when the policy or another area has work.
 func (n *Node) nextWake(policyTaskAt time.Duration) time.Duration {
 	at := min(policyTaskAt, n.nextHandoffDeadline())
 	if n.cluster != nil {
@@ -63,5 +64,5 @@
 	}
 }
 
-// timerFired notes that the timer has fired. The next setTimer takes effect whatever its time.
+// timerFired records that the timer has fired, so that the next call of setTimer sets it again, even to the same time.
 func (n *Node) timerFired() { n.timerAt = timerNotSet }
