--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -12,7 +12,7 @@
 	"birchstair/policy"
 )
 
-// recordedEdges records the calls to each edge.
+// recordedEdges records the calls to all edges, as lines of text.
 type recordedEdges struct{ calls []string }
 
 func (r *recordedEdges) record(format string, args ...any) {
@@ -37,7 +37,7 @@
 func (r recordedUpstream) Write(c ConnID, a Attempt)  { r.record("upstream write %d %s", c, a.ID) }
 func (r recordedUpstream) Close(c ConnID)             { r.record("upstream close %d", c) }
 func (r recordedUpstream) CheckHealth(id policy.ExecutorID, addr string) {
-	r.record("upstream probe %s %s", id, addr)
+	r.record("upstream health check %s %s", id, addr)
 }
 
 type recordedDiscovery struct{ *recordedEdges }
@@ -75,7 +75,7 @@
 	}
 }
 
-// Each effect reaches its edge, once.
+// TestCarryOut checks that each effect is passed to its edge, exactly once.
 func TestCarryOut(t *testing.T) {
 	for _, test := range []struct {
 		effect Effect
@@ -91,7 +91,7 @@
 		{Dial{Conn: 1, Addr: "a"}, []string{"upstream dial 1 a"}},
 		{WriteAttempt{Conn: 1, Attempt: Attempt{Request: &Request{ID: "j"}}}, []string{"upstream write 1 j"}},
 		{CloseConn{Conn: 1}, []string{"upstream close 1"}},
-		{CheckHealth{Executor: "e", Addr: "a"}, []string{"upstream probe e a"}},
+		{CheckHealth{Executor: "e", Addr: "a"}, []string{"upstream health check e a"}},
 		{WatchEndpoints{}, []string{"discovery watch"}},
 		{SwitchDiscovery{Addr: "a"}, []string{"discovery switch a"}},
 		{AdminReply{Caller: 3}, []string{"admin reply 3"}},
@@ -110,7 +110,8 @@
 	}
 }
 
-// Run steps the node for each event and returns on Exit; events posted after that are dropped.
+// TestRunExits checks that Run steps the node for each event and returns after an Exit effect, and that Post does not block
+// after that.
 func TestRunExits(t *testing.T) {
 	recorded, edges := newRecordedEdges()
 	loop := NewLoop(time.Now())
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -13,27 +13,29 @@
 	"birchstair/policy"
 )
 
-// tracePlayer replays a trace. A trace in testdata holds events and, behind arrows, the effects of each:
+// tracePlayer replays the traces in testdata. A trace consists of lines with one event each; the lines with arrows that follow an
+// event are its effects:
 //
 //	settings at-most-once max-conns=2   changes to the base settings, see newNode
 //	0s list a b@2 c:draining d:3s       a complete endpoint list: executor[@address][:draining, :removed, or started so long ago]
 //	1s change a:draining                an incremental update; cached-list: a cached one; watch-failed: none
-//	1s job j1 work=300ms                a job arrives (class, work, budget, body, key, client, near-connection-limit)
-//	1s conn-ready 1                     connection 1 is up; conn-idle 1, conn-closed 1 [silently]
+//	1s job j1 work=300ms                a job arrives (options: class, work, budget, body, key, client, near-connection-limit)
+//	1s conn-ready 1                     connection 1 is up; conn-idle 1, conn-closed 1 [without-detail]
 //	1s started 1                        an attempt has started; progress 1 0.5; ended 1 OUTCOME [conn-broken]
 //	2s not-sent 1                       the last check before an attempt's first byte found its client gone
 //	2s client-left j1 [client=x]        the client has gone
-//	2s probe-ended a answered           or silent
+//	2s health-check-ended a answered    or unanswered
 //	2s shutdown                         a shutdown is requested; frontend-closed
-//	2s reload x:1 listen a:at-most-once the configuration names discovery x:1, a key that needs a restart, a class a (at most
-//	                                    once, or so many attempts, or unchanged); invalid: it is not valid
-//	2s switch-pending x:1               no list from there yet
+//	2s reload x:1 listen a:at-most-once a reload with discovery address x:1, a changed key that needs a restart, and a class a
+//	                                    (at-most-once, a maximum of 1 or 2 attempts, or unchanged); invalid: a failed reload
+//	2s switch-pending x:1               discovery address x:1 has not delivered a list yet
 //	2s exclude a                        an operator's command; readmit a, check-ready, metrics, drain-on, drain-off
-//	2s link-up 0                        another process, 0 the predecessor; link-down 1
-//	2s handoff 0 state excluded=a endpoint=b   a message from it; handoff 1 ready, yielded, done SEQ, exclude a, readmit a
-//	2s alive n1                         the living nodes; gossip n1 3 a: its third message, a is draining there
-//	3s suspended conn-ready 1           the process was suspended until then: no timer fired before
-//	9s wait                             let time pass until then
+//	2s link-up 0                        the link to another process is up, 0 for the predecessor; link-down 1
+//	2s handoff 0 state excluded=a endpoint=b   a message from process 0; handoff 1 ready, yielded, done SEQ, exclude a, readmit a
+//	2s alive n1                         the nodes of the cluster that are alive
+//	2s gossip n1 3 a                    the third message of node n1: its endpoint list says that a is draining
+//	3s suspended conn-ready 1           an event after the process was suspended: the timers due before it have not fired
+//	9s wait                             lets the time pass until 9s
 type tracePlayer struct {
 	t       *testing.T
 	n       *Node
@@ -41,7 +43,7 @@
 	lines   []string
 }
 
-// namedClient is a client by its name. The state machine never asks whether it is gone.
+// namedClient is a client that is identified by its name. The state machine must never ask whether it is gone.
 type namedClient string
 
 func (c namedClient) Gone() bool { panic("the state machine asked whether the client is gone: " + c) }
@@ -50,7 +52,7 @@
 	return policy.JobClass{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 2, Deadline: 5 * time.Second, Value: 1, Kind: policy.AnyKind}
 }
 
-// newNode makes a node with the base settings, changed by the words of a settings line.
+// newNode creates a node with the base settings, as changed by the words of a settings line.
 func newNode(words []string) *Node {
 	s := policy.Settings{Seed: 7, Nodes: 1, TotalWeight: 1, MaxAttempts: 3, MayCancel: true,
 		MaxRetryAfter: 2 * time.Second, Quantum: time.Millisecond, StartNotices: true, ValuePerWork: true,
@@ -85,7 +87,7 @@
 		dispatcher = nil
 	}
 	n := New(dispatcher, limits, []JobClass{{"page", defaultClass()}})
-	if slices.Contains(words, "fleet") {
+	if slices.Contains(words, "cluster") {
 		n.JoinCluster(cluster.Defaults("me", 0, 1))
 	}
 	return n
@@ -121,7 +123,7 @@
 	return list
 }
 
-// event reads the event of one line.
+// event parses the event of one line.
 func (p *tracePlayer) event(now time.Duration, words []string) Event {
 	p.t.Helper()
 	for _, read := range []func(time.Duration, string, []string) Event{
@@ -197,7 +199,7 @@
 		return ConnIdle{p.conn(args[0])}
 	case "conn-closed":
 		ev := ConnClosed{Conn: p.conn(args[0])}
-		if len(args) == 1 { // else silently
+		if len(args) == 1 { // without the word without-detail
 			ev.Detail = "it broke"
 		}
 		return ev
@@ -210,7 +212,7 @@
 		return AttemptEnded{Conn: p.conn(args[0]), Outcome: outcomes[args[1]], ConnBroken: args[len(args)-1] == "conn-broken", Result: []byte("result")}
 	case "not-sent":
 		return AttemptNotSent{Conn: p.conn(args[0])}
-	case "probe-ended":
+	case "health-check-ended":
 		return HealthCheckEnded{policy.ExecutorID(args[0]), args[1] == "answered", policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}}
 	}
 	return nil
@@ -345,7 +347,8 @@
 	return nil
 }
 
-// step steps the node and writes the effects.
+// step passes an event to the node and appends the effects to the lines. Timers are not written, and neither are gossip messages
+// without drains.
 func (p *tracePlayer) step(now time.Duration, ev Event) {
 	for _, e := range p.n.Step(now, ev) {
 		switch e := e.(type) {
@@ -372,7 +375,7 @@
 	case CloseConn:
 		return fmt.Sprintf("close %d", e.Conn)
 	case CheckHealth:
-		return fmt.Sprintf("probe %s at %s", e.Executor, e.Addr)
+		return fmt.Sprintf("check health of %s at %s", e.Executor, e.Addr)
 	case WatchEndpoints:
 		return "watch endpoints"
 	case SwitchDiscovery:
@@ -402,7 +405,7 @@
 	case CloseFrontend:
 		return "close the frontend"
 	case Log:
-		text, _, _ := strings.Cut(e.Text, "\n") // without a stack
+		text, _, _ := strings.Cut(e.Text, "\n") // without the stack trace of a panic
 		return strings.TrimRight(fmt.Sprintf("log: %s %s %s", text, e.Executor, e.Job), " ")
 	case Exit:
 		return "exit"
@@ -451,7 +454,7 @@
 	return ""
 }
 
-// play plays one line of a trace.
+// play replays one line of a trace.
 func (p *tracePlayer) play(line string) {
 	p.t.Helper()
 	words := strings.Fields(line)
@@ -475,7 +478,7 @@
 	p.step(now, p.event(now, words))
 }
 
-// fireTimers fires the timers that are due before a time.
+// fireTimers lets the timers fire that are due before the given time.
 func (p *tracePlayer) fireTimers(before time.Duration) {
 	for p.timerAt > 0 && p.timerAt < before {
 		at := p.timerAt
@@ -484,6 +487,7 @@
 	}
 }
 
+// TestTraces replays each trace in testdata and compares the effects.
 func TestTraces(t *testing.T) {
 	golden.Replay(t, func(t *testing.T, lines []string) string {
 		p := &tracePlayer{t: t, n: newNode(nil)}
