--- a/internal/hotrestart/codec.go
+++ b/internal/hotrestart/codec.go
@@ -11,13 +11,13 @@
 	"birchstair/policy"
 )
 
-// The wire form is one JSON object a line. The wire types below are the only place where its field names stand: they are part of the
-// protocol between versions, and don't follow the names in package node.
+// Messages are encoded as lines with one JSON object each. The names in the tags of the wire types below are part of the protocol
+// between versions of the program. They must not change when names in package node change.
 
-// version is the protocol's. It goes up when a message changes its meaning.
+// version is the version of the protocol. It is raised when the meaning of a message changes.
 const version = 1
 
-// The names on the wire of kinds of messages and of operators' commands, by their values in package node.
+// The names on the wire of message kinds and operators' commands, indexed by their values in package node.
 var (
 	kindNames = []string{
 		node.StateTransfer:      "state",
@@ -34,7 +34,7 @@
 	}
 )
 
-// wireMessage is one line.
+// wireMessage is a message as it is encoded in a line.
 type wireMessage struct {
 	Version  int               `json:"Version"`
 	Kind     string            `json:"Kind"`
@@ -44,7 +44,8 @@
 	State    *wireState        `json:"State,omitempty"`
 }
 
-// wireState is what a process hands over to its successor. Durations are in nanoseconds; points in time are sent as ages.
+// wireState is the state that a process transfers to its successor. Durations are in nanoseconds, and points in time are sent as
+// ages.
 type wireState struct {
 	Excluded   []policy.ExecutorID `json:"Outs"`
 	Readmitted []wireReadmitted    `json:"Backs"`
@@ -54,11 +55,13 @@
 	ClassNames []string            `json:"Names"`
 }
 
+// wireReadmitted is an executor that operators have readmitted.
 type wireReadmitted struct {
 	Executor policy.ExecutorID `json:"Executor"`
 	Age      time.Duration     `json:"Ago"`
 }
 
+// wireEndpoint is an entry of the endpoint list.
 type wireEndpoint struct {
 	Executor policy.ExecutorID    `json:"Executor"`
 	Zone     policy.ZoneID        `json:"Zone"`
@@ -71,6 +74,7 @@
 	Addr     string               `json:"Addr"`
 }
 
+// wireLearned is the policy's learned state.
 type wireLearned struct {
 	Nodes       int            `json:"Nodes"`
 	Classes     []wireClass    `json:"Tracks"`
@@ -80,6 +84,7 @@
 	MeanDensity float64        `json:"MeanDensity"`
 }
 
+// wireClass is the learned state of a job class.
 type wireClass struct {
 	ID         policy.JobClassID `json:"ID"`
 	MeanWork   time.Duration     `json:"MeanWork"`
@@ -90,6 +95,7 @@
 	UnitValue  float64           `json:"Unit"`
 }
 
+// wireKind is the learned state of an executor kind.
 type wireKind struct {
 	ID       policy.KindID `json:"ID"`
 	Pace     float64       `json:"Pace"`
@@ -98,6 +104,7 @@
 	Parallel int           `json:"Parallel"`
 }
 
+// wireExecutor is the learned state of an executor.
 type wireExecutor struct {
 	ID          policy.ExecutorID `json:"ID"`
 	Quota       int               `json:"Quota"`
@@ -109,7 +116,7 @@
 	Timeouts    int               `json:"Silences"`
 }
 
-// encode writes a message as one line.
+// encode encodes a message as a line.
 func encode(message node.HandoffMessage) ([]byte, error) {
 	wire := wireMessage{Version: version, Kind: kindNames[message.Kind], Seq: message.Seq, Executor: message.Executor}
 	if message.State != nil {
@@ -122,7 +129,7 @@
 	return append(line, '\n'), err
 }
 
-// decode reads one line. Fields that this version doesn't know are passed over.
+// decode decodes a line. It ignores fields that this version doesn't know.
 func decode(line []byte) (message node.HandoffMessage, err error) {
 	var wire wireMessage
 	if err := json.Unmarshal(line, &wire); err != nil {
@@ -152,14 +159,14 @@
 	return message, nil
 }
 
-// convert maps a slice and keeps nil apart from empty, which differ on the wire.
-func convert[From, To any](list []From, each func(From) To) []To {
+// convert applies a function to each element of a slice. It keeps nil and empty slices distinct, because they are encoded differently.
+func convert[From, To any](list []From, convertOne func(From) To) []To {
 	if list == nil {
 		return nil
 	}
 	out := make([]To, len(list))
 	for i, v := range list {
-		out[i] = each(v)
+		out[i] = convertOne(v)
 	}
 	return out
 }
--- a/internal/hotrestart/codec_test.go
+++ b/internal/hotrestart/codec_test.go
@@ -11,8 +11,9 @@
 	"birchstair/policy"
 )
 
-// everyKind is one message of each kind, with each field set to a value of its own.
-func everyKind() []node.HandoffMessage {
+// messagesOfAllKinds returns messages of every kind. In the first, each field is set to a value of its own; the second carries an
+// empty state.
+func messagesOfAllKinds() []node.HandoffMessage {
 	return []node.HandoffMessage{
 		{Kind: node.StateTransfer, State: &node.HandoffState{
 			Excluded:   []policy.ExecutorID{"executor-1", "executor-2"},
@@ -46,11 +47,11 @@
 	}
 }
 
-// TestHandoffLines pins what two processes of a node write to each other, byte for byte: the lines in testdata were written by the
-// version before the wire had types of its own, and older processes write and read them still.
+// TestHandoffLines checks byte for byte what two processes of a node write to each other. Processes of older versions still write
+// and read the lines in testdata.
 func TestHandoffLines(t *testing.T) {
 	var lines []byte
-	for _, message := range everyKind() {
+	for _, message := range messagesOfAllKinds() {
 		line, err := encode(message)
 		if err != nil {
 			t.Fatal(err)
@@ -61,13 +62,13 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(got, message) {
-			t.Errorf("%s is read as %+v, not %+v", line, got, message)
+			t.Errorf("decode(%s) = %+v, want %+v", line, got, message)
 		}
 	}
 	golden.Compare(t, "handoff.jsonl", string(lines))
 }
 
-// TestHandoffLinesOfNewerVersion checks that fields that this version does not know are passed over.
+// TestHandoffLinesOfNewerVersion checks that decode ignores fields that this version does not know.
 func TestHandoffLinesOfNewerVersion(t *testing.T) {
 	line, err := encode(node.HandoffMessage{Kind: node.RelayDone, Seq: 3})
 	if err != nil {
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,8 +1,8 @@
 // Package hotrestart carries messages between the processes of one node while a successor takes over from its predecessor.
 //
-// Both processes share a directory. The process that takes connections listens on a Unix socket in it; the successor dials that socket
-// at its start. A link that closes tells that the other process has ended, however it did.
+// Both processes use the same directory. The process that accepts clients' connections listens on a Unix socket in that directory.
+// A successor dials the socket when it starts. When a link closes, the other process has ended, whether normally or by a crash.
 //
-// What the messages mean is decided in package node (handoff.go there). Here transport.go holds the links, socket.go the socket, and
-// codec.go the wire form, which older and newer versions share.
+// The meaning of the messages is defined in handoff.go of package node. In this package, transport.go contains the links to other
+// processes, socket.go the socket, and codec.go the encoding of messages, which is the same in older and newer versions.
 package hotrestart
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -12,11 +12,12 @@
 
 const (
 	socketName       = "birchstair.sock"
-	maxSocketPathLen = 100 // bytes: the system allows few more
+	maxSocketPathLen = 100 // bytes; the operating system's limit is a few bytes higher
 	dialTimeout      = time.Second
 )
 
-// Dial connects to the process that runs already. It fails where the socket is missing, or left behind by a dead process.
+// Dial connects to the process that is already running. It fails if there is no socket in the directory, or only one that was left
+// behind by a dead process.
 func Dial(dir string) (conn net.Conn, err error) {
 	err = withSocketPath(dir, socketName, func(path string) error {
 		conn, err = net.DialTimeout("unix", path, dialTimeout)
@@ -28,12 +29,12 @@
 	return conn, nil
 }
 
-// listen takes the socket's name in the directory over for this process.
+// listen opens a socket in the directory. The socket takes over the name socketName from the process that listened there before.
 func listen(dir string) (*net.UnixListener, error) {
 	ownName := fmt.Sprintf("%s.%d", socketName, os.Getpid())
 	var listener *net.UnixListener
 	err := withSocketPath(dir, ownName, func(path string) (err error) {
-		// A dead process that had this process's number may have left one behind.
+		// An earlier process with the same process ID may have left its socket behind.
 		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
@@ -43,7 +44,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", ownName, err)
 	}
-	listener.SetUnlinkOnClose(false) // its name is another process's by then
+	listener.SetUnlinkOnClose(false) // by the time it is closed, the name may belong to another process's socket
 	ownPath := filepath.Join(dir, ownName)
 	if err := os.Rename(ownPath, filepath.Join(dir, socketName)); err != nil {
 		listener.Close()
@@ -52,8 +53,8 @@
 	return listener, nil
 }
 
-// withSocketPath calls use with a path to a file of the directory that is short enough for a socket. The path is valid until use
-// returns.
+// withSocketPath calls use with a path to a file in the directory. The path is short enough for a socket, even if the path of the
+// directory itself is too long. It is valid until use returns.
 func withSocketPath(dir, file string, use func(path string) error) error {
 	path := filepath.Join(dir, file)
 	if len(path) <= maxSocketPathLen {
--- a/internal/hotrestart/transport.go
+++ b/internal/hotrestart/transport.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	maxMessageBytes    = 16 << 20 // a list of tens of thousands of executors
-	readBufferBytes    = 1 << 10  // at first; it grows up to maxMessageBytes
-	sendQueueLen       = 64       // messages to a process that does not read
-	maxLinks           = 2        // at which no further successor is taken: descriptors are few
+	maxMessageBytes    = 16 << 20 // enough for the state with an endpoint list of tens of thousands of executors
+	readBufferBytes    = 1 << 10  // initial size of a read buffer, which grows up to maxMessageBytes
+	sendQueueLen       = 64       // messages that are queued for a process that doesn't read them
+	maxLinks           = 2        // further successors are rejected, because file descriptors are scarce
 	writeTimeout       = time.Second
 	detailLinkClosed   = "link closed"
 	firstSuccessorLink = node.Predecessor + 1
@@ -21,37 +21,36 @@
 
 // Transport holds the links to the other processes of this node. Its methods are safe for concurrent use.
 type Transport struct {
-	dir    string
-	notify func(node.Event)
+	dir    string           // where the socket is
+	notify func(node.Event) // receives the transport's events
 
 	mu       sync.Mutex
-	nextLink node.HandoffLink
-	links    map[node.HandoffLink]*link
-	listener *net.UnixListener // nil while no successor can join
-	closed   bool
+	nextLink node.HandoffLink           // ID of the next successor's link
+	links    map[node.HandoffLink]*link // links that are up
+	listener *net.UnixListener          // nil while no successor can connect
+	closed   bool                       // Close has been called
 }
 
-// link is one connection. Its reader owns it, and removes it when the connection has ended.
+// link is a connection to another process. Transport.read removes it when the connection has ended.
 type link struct {
 	conn net.Conn
-	out  chan node.HandoffMessage
+	out  chan node.HandoffMessage // messages that are queued for writing
 }
 
-// New makes a transport that uses a directory, and sends its events to notify.
+// New creates a transport whose socket is in dir. It passes its events to notify.
 func New(dir string, notify func(node.Event)) *Transport {
 	return &Transport{dir: dir, notify: notify, nextLink: firstSuccessorLink, links: map[node.HandoffLink]*link{}}
 }
 
-// Start opens the link to the predecessor; there is none if the connection is nil.
+// Start opens the link to the predecessor. The connection is nil if there is no predecessor.
 func (t *Transport) Start(predecessor net.Conn) {
 	if predecessor != nil {
 		t.open(node.Predecessor, predecessor)
 	}
 }
 
-// AcceptConnections makes this process the one that a successor joins; false does nothing, since the successor takes the
-// socket's name over. If the socket can't be had, none can join, and the process goes
-// on without.
+// AcceptConnections makes this process the one that a successor connects to, if accept is true. Otherwise it does nothing, because
+// the successor takes over the name of the socket. If listening fails, the process continues, but no successor can connect to it.
 func (t *Transport) AcceptConnections(accept bool) {
 	if !accept {
 		return
@@ -72,7 +71,7 @@
 	go t.accept(listener)
 }
 
-// accept opens a link for each successor that joins. It ends with the listener.
+// accept opens a link for each successor that connects. It returns when the listener is closed.
 func (t *Transport) accept(listener *net.UnixListener) {
 	for {
 		conn, err := listener.Accept()
@@ -92,18 +91,18 @@
 	}
 }
 
-// open adds a link and starts its reader and its writer, which end with the connection.
+// open adds a link and starts the goroutines that read from and write to its connection. They end when the connection closes.
 func (t *Transport) open(id node.HandoffLink, conn net.Conn) {
 	l := &link{conn: conn, out: make(chan node.HandoffMessage, sendQueueLen)}
 	t.mu.Lock()
 	t.links[id] = l
 	t.mu.Unlock()
-	t.notify(node.HandoffLinkUp{Link: id}) // before any other event, so that the reducer answers nothing without knowing of the link
+	t.notify(node.HandoffLinkUp{Link: id}) // before any message is read: the node ignores messages on links that it doesn't know
 	go t.read(id, l)
 	go l.write()
 }
 
-// read receives messages until the link ends, and removes it then.
+// read receives messages until the connection ends, then removes the link.
 func (t *Transport) read(id node.HandoffLink, l *link) {
 	detail := detailLinkClosed
 	if err := t.receive(id, l.conn); err != nil {
@@ -117,7 +116,7 @@
 	t.notify(node.HandoffLinkDown{Link: id, Detail: detail})
 }
 
-// receive notifies the node of each message. It returns nil if the other process closed the link.
+// receive passes each message to notify. It returns nil when the other process has closed the connection.
 func (t *Transport) receive(id node.HandoffLink, conn net.Conn) error {
 	lines := bufio.NewScanner(conn)
 	lines.Buffer(make([]byte, 0, readBufferBytes), maxMessageBytes)
@@ -131,7 +130,7 @@
 	return lines.Err()
 }
 
-// write sends the queued messages. After an error it closes the connection, whose reader then removes the link.
+// write writes the queued messages. After an error it closes the connection, so that Transport.read removes the link.
 func (l *link) write() {
 	for message := range l.out {
 		line, err := encode(message)
@@ -145,7 +144,7 @@
 	}
 }
 
-// Send queues a message. The link to a process that reads nothing is closed.
+// Send queues a message. If the queue is full because the other process doesn't read, the link is closed.
 func (t *Transport) Send(to node.HandoffLink, message node.HandoffMessage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hotrestart/transport_test.go
+++ b/internal/hotrestart/transport_test.go
@@ -12,7 +12,7 @@
 	"birchstair/internal/node"
 )
 
-// process is a process of a node: its transport, and the events that it was notified of.
+// process stands for a process of a node. It has a transport and the events that the transport reported.
 type process struct {
 	*Transport
 	events chan node.Event
@@ -47,8 +47,8 @@
 	return conn
 }
 
-// TestLinks lets a successor join, exchanges messages, and ends each process in turn, in a directory with a short path and in one
-// whose path is too long for a socket.
+// TestLinks connects a successor to a predecessor, exchanges messages, and closes the links one after the other. It does so in a
+// directory with a short path, and in one whose path is too long for a socket.
 func TestLinks(t *testing.T) {
 	for name, dir := range map[string]string{"short path": t.TempDir(), "long path": filepath.Join(t.TempDir(), strings.Repeat("d", 120))} {
 		t.Run(name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 			}
 			predecessor, successor := newProcess(t, dir), newProcess(t, dir)
 			if _, err := Dial(dir); err == nil {
-				t.Fatal("dialed a socket that is not there")
+				t.Fatal("Dial succeeded without a socket")
 			}
 			predecessor.AcceptConnections(true)
 			successor.Start(dial(t, dir))
@@ -71,7 +71,7 @@
 			predecessor.Send(firstSuccessorLink, message)
 			successor.expect(t, node.HandoffReceived{Link: node.Predecessor, Message: message})
 
-			successor.AcceptConnections(true) // the socket is its own from now on
+			successor.AcceptConnections(true) // from now on, the socket belongs to the successor
 			third := newProcess(t, dir)
 			third.Start(dial(t, dir))
 			third.expect(t, node.HandoffLinkUp{Link: node.Predecessor})
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestMaxLinks checks that a process takes no more successors than it has room for.
+// TestMaxLinks checks that a process closes the connections of further successors once it has maxLinks links.
 func TestMaxLinks(t *testing.T) {
 	dir := t.TempDir()
 	p := newProcess(t, dir)
@@ -99,16 +99,16 @@
 	defer conn.Close()
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := conn.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-		t.Errorf("one more link stays open: %v", err)
+		t.Errorf("a link beyond maxLinks stays open: %v", err)
 	}
 }
 
-// TestMalformedMessage checks that a link ends with a message that makes no sense.
+// TestMalformedMessage checks that decode rejects malformed messages, and that a process closes a link on which it receives one.
 func TestMalformedMessage(t *testing.T) {
 	for _, line := range []string{"{", `{"Version":2,"Kind":"ready"}`, `{"Version":1,"Kind":"later"}`, `{"Version":1,"Kind":"state"}`,
 		`{"Version":1,"Kind":"order","Order":"later"}`, `{"Version":1,"Kind":"order"}`} {
 		if _, err := decode([]byte(line)); err == nil {
-			t.Errorf("%s is read", line)
+			t.Errorf("decode(%s) succeeded, want an error", line)
 		}
 	}
 	dir := t.TempDir()
