--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -154,7 +154,7 @@
 	return ""
 }
 
-// drainClients starts or ends a drain of clients.
+// drainClients starts or ends a client drain.
 func (n *Node) drainClients(on bool) {
 	if on == n.admin.clientsDrained {
 		return
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -316,7 +316,7 @@
 	if ev.ConnBroken && ev.Outcome == policy.ConnectFailed {
 		n.metrics.uncountAttempt()
 	}
-	outcome := n.settleOutcome(c, j, ev)
+	outcome := n.resolveOutcome(c, j, ev)
 	n.reportLoad(c, ev.Load)
 	if ev.ConnBroken {
 		n.handleConnBroken(c, outcome)
@@ -324,9 +324,9 @@
 	n.attemptOver(j, c.attempt, outcome)
 }
 
-// settleOutcome answers the job if the outcome of its attempt decides the answer, and logs the details of a failure. It returns
+// resolveOutcome answers the job if the outcome of its attempt decides the answer, and logs the details of a failure. It returns
 // the outcome for the policy, which differs from the reported outcome if this node closed the connection.
-func (n *Node) settleOutcome(c *conn, j *job, ev AttemptEnded) policy.Outcome {
+func (n *Node) resolveOutcome(c *conn, j *job, ev AttemptEnded) policy.Outcome {
 	switch {
 	case ev.Outcome == policy.Succeeded:
 		n.answer(j, Answer{Final: Succeeded, Result: ev.Result})
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -38,7 +38,7 @@
 	inherited     bool // the predecessor's list has been taken over in a handoff
 	watchFailing  bool // the last watch failed
 	failedWatches int  // number of failed watches so far
-	usable        bool // the list has sufficed to start serving; never reset
+	usable        bool // the list has been good enough to start serving (see suffices); never reset
 }
 
 // get returns an executor by its ID, or nil.
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -60,8 +60,8 @@
 	heap.Push(&t.unanswered, j)
 }
 
-// settle marks a job as answered. It is forgotten once none of its attempts is in flight.
-func (t *jobTable) settle(j *job) {
+// markAnswered marks a job as answered. It is forgotten once none of its attempts is in flight.
+func (t *jobTable) markAnswered(j *job) {
 	j.answered = true
 	heap.Remove(&t.unanswered, j.heapIndex)
 	t.release(j)
@@ -137,7 +137,7 @@
 	a.Job = j.ID
 	n.metrics.countAnswer(j.Class, a.Final)
 	n.emit(a)
-	n.jobs.settle(j)
+	n.jobs.markAnswered(j)
 }
 
 // clientLeft handles a client that has closed its connection. The job may have ended before: the last check before an attempt's
@@ -152,7 +152,7 @@
 // clientGone ends a job whose client has gone: the job needs no answer and gets no further attempts.
 func (n *Node) clientGone(j *job) {
 	if !j.answered {
-		n.jobs.settle(j)
+		n.jobs.markAnswered(j)
 		n.policy.ClientLeft(n.now, j.ID)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,7 +27,7 @@
 // PolicyPanicked is the start of the log line for a panic of the policy.
 const PolicyPanicked = "the policy panicked"
 
-// panicBackoff is the time after a panic of the policy by which the policy is called again.
+// panicBackoff is the longest time between a panic of the policy and the next call of the policy.
 const panicBackoff = 100 * time.Millisecond
 
 // Policy decides about jobs. It is implemented by *policy.Dispatcher, which documents the contract of each method, and by
