--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -8,8 +8,8 @@
 	"birchstair/policy"
 )
 
-// healthCheckReserve is the divisor of the connection limit for the part reserved for attempts: health checks leave one in
-// healthCheckReserve connections free.
+// healthCheckReserve determines the part of the connection limit that is reserved for attempts: health checks leave
+// 1/healthCheckReserve of the limit free.
 const healthCheckReserve = 8
 
 // minAttemptBudget is the shortest time budget that an attempt gives its executor.
@@ -411,8 +411,8 @@
 	}
 }
 
-// removeIdleConn removes a closed connection from the idle connections, and lowers the idle limit to the idle time after which
-// it was closed.
+// removeIdleConn removes a closed connection from the idle connections. If the executor closed it because it was idle for too
+// long, the idle limit is lowered.
 func (n *Node) removeIdleConn(c *conn) {
 	i := slices.Index(c.executor.idle, c)
 	if i < 0 {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,12 +17,12 @@
 // event are its effects:
 //
 //	settings at-most-once max-conns=2   changes to the base settings, see newNode
-//	0s list a b@2 c:draining d:3s       a complete endpoint list: executor[@address][:draining, :removed, or started so long ago]
-//	1s change a:draining                an incremental update; cached-list: a cached one; watch-failed: none
+//	0s list a b@2 c:draining d:3s       a complete endpoint list: executor[@address][:draining, :removed, or the time since its start]
+//	1s change a:draining                an incremental update; cached-list: a cached list; watch-failed: a failed watch
 //	1s job j1 work=300ms                a job arrives (options: class, work, budget, body, key, client, near-connection-limit)
 //	1s conn-ready 1                     connection 1 is up; conn-idle 1, conn-closed 1 [without-detail]
-//	1s started 1                        an attempt has started; progress 1 0.5; ended 1 OUTCOME [conn-broken]
-//	2s not-sent 1                       the last check before an attempt's first byte found its client gone
+//	1s started 1                        the attempt on connection 1 has started; progress 1 0.5; ended 1 OUTCOME [conn-broken]
+//	2s not-sent 1                       the last check before the attempt's first byte found that the client has gone
 //	2s client-left j1 [client=x]        the client has gone
 //	2s health-check-ended a answered    or unanswered
 //	2s shutdown                         a shutdown is requested; frontend-closed
