--- a/cmd/birchstair/config.go
+++ b/cmd/birchstair/config.go
@@ -38,7 +38,7 @@
 		os.Getenv("ROUTER_CONFIG"), len(node.Settings.JobClassNames), clients, executors)
 	p := node.Settings.Policy
 	probes := "off"
-	if p.MayProbe {
+	if p.MayCheckHealth {
 		probes = fmt.Sprintf("by GET %s within %v", node.Settings.Probe.Path, node.Settings.Probe.Timeout)
 	}
 	marks := "passed over"
--- a/internal/benchwire/instance.go
+++ b/internal/benchwire/instance.go
@@ -179,7 +179,7 @@
 			n.actions.watch()
 		case policy.SendLeaseMessage:
 			n.actions.sendLeaseMessage(task.Node, task.Message, task.Hash)
-		case policy.ProbeExecutor:
+		case policy.SendHealthCheck:
 			n.actions.probe(task.Executor)
 		case policy.WriteLog:
 			n.actions.log(task.Text)
--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -190,7 +190,7 @@
 		MayCancel:           w.Caps.Cancel,
 		MayLease:            w.Caps.Gossip,
 		MayHedge:            w.Caps.Hedging,
-		MayProbe:            w.Caps.Probes && w.Report.How == reportOnProbe,
+		MayCheckHealth:      w.Caps.Probes && w.Report.How == reportOnProbe,
 		ClientsMarkRetries:  w.Clients.MarkRetries,
 		SlowStartCapacity:   w.Rules.SlowStartCapacity,
 		SlowStartDuration:   Seconds(w.Rules.SlowStartDuration),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -114,7 +114,7 @@
 	}
 	settings.Probe = Probe{Path: file.Probe.Path, Timeout: Seconds(valueOr(file.Probe.TimeoutS, defaultProbeTimeout))}
 	// The settings only permit probes and messages between nodes. Probes need a path as well, and messages the operator's file.
-	rules.MayProbe = rules.MayProbe && settings.Probe.Path != ""
+	rules.MayCheckHealth = rules.MayCheckHealth && settings.Probe.Path != ""
 	settings.MayGossip, rules.MayLease = rules.MayLease, false
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,8 +30,8 @@
 		fmt.Fprintf(&out, "%s: %s on %s of %s, %v cores, %d MB, %d sockets (%d clients, %d executors), idle %v, "+
 			"dial %v, stop %v, loads %v", title, c.Name, c.Listen, c.Discovery, c.Cores, c.MemoryBytes>>20, c.MaxDescriptors,
 			clients, executors, c.Settings.IdleTimeout, c.Settings.DialTimeout, c.ShutdownTimeout(), c.Settings.ReportsLoad())
-		if p := c.Settings.Policy; p.MayProbe || p.MayHedge || p.MayLease || p.ClientsMarkRetries {
-			fmt.Fprintf(&out, ", probes %v by %s within %v, copies %v, words %v, marks %v", p.MayProbe, c.Settings.Probe.Path, c.Settings.Probe.Timeout, p.MayHedge, p.MayLease, p.ClientsMarkRetries)
+		if p := c.Settings.Policy; p.MayCheckHealth || p.MayHedge || p.MayLease || p.ClientsMarkRetries {
+			fmt.Fprintf(&out, ", probes %v by %s within %v, copies %v, words %v, marks %v", p.MayCheckHealth, c.Settings.Probe.Path, c.Settings.Probe.Timeout, p.MayHedge, p.MayLease, p.ClientsMarkRetries)
 		}
 		out.WriteString("\n")
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -76,7 +76,7 @@
 		return fmt.Errorf("probe.path: %.40q is no path that begins with /", probe.Path)
 	case probe.Timeout <= 0 || probe.Timeout > maxProbeTimeout:
 		return fmt.Errorf("probe.timeout_s: not over 0, or over %g", maxProbeTimeout.Seconds())
-	case probe.Path != "" && !c.Settings.Policy.MayProbe:
+	case probe.Path != "" && !c.Settings.Policy.MayCheckHealth:
 		return errors.New("probe.path: set, but settings.caps.probes is not true or settings.report.how is not on_probe")
 	}
 	return nil
--- a/internal/config/wire_test.go
+++ b/internal/config/wire_test.go
@@ -64,7 +64,7 @@
 		{"settings.caps.peers, for the node", s.MayGossip},
 		{"settings.caps.peers, for the module", p.MayLease},
 		{"settings.caps.second-copies", p.MayHedge},
-		{"settings.caps.probes", p.MayProbe},
+		{"settings.caps.probes", p.MayCheckHealth},
 		{"settings.caps.max-allocations", p.MaxAttempts},
 		{"settings.caps.max-retry-after-s", p.MaxRetryAfter},
 		{"settings.caps.conn-idle-s", s.IdleTimeout},
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -75,7 +75,7 @@
 		case "idempotency-key":
 			s.JobClasses[0].Idempotency, s.JobClasses[0].DedupWindow = policy.IdempotentWithKey, 2*time.Second
 		case "probing":
-			s.MayProbe = true
+			s.MayCheckHealth = true
 		case "load-adjusted":
 			s.LoadAdjustedWeights = true
 		}
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -27,7 +27,7 @@
 		n.placeJob(due.Job)
 	case policy.CancelAttempt:
 		n.cancelAttempt(due.Job, due.Attempt)
-	case policy.ProbeExecutor:
+	case policy.SendHealthCheck:
 		n.startProbe(due.Executor)
 	case policy.SendLeaseMessage:
 		if n.fleet != nil { // without a fleet there is no edge to carry it
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -97,7 +97,7 @@
 		MayLease:            fleet.Gossip && fleet.Leases && !wired,
 		MayHedge:            fleet.MayHedge,
 		ClientsMarkRetries:  n.world.scenario.Load.MarksRetries && !wired,
-		MayProbe:            fleet.MayProbe && !wired,
+		MayCheckHealth:      fleet.MayProbe && !wired,
 	}
 	longest := time.Duration(0)
 	for _, class := range n.world.jobClasses {
--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -120,7 +120,7 @@
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
 	s.Node = r.IntN(s.Nodes)
 	yes := func() bool { return r.IntN(2) == 0 }
-	s.MayLease, s.MayHedge, s.MayProbe, s.LoadAdjustedWeights, s.StartNotices = yes(), yes(), yes(), yes(), r.IntN(4) > 0
+	s.MayLease, s.MayHedge, s.MayCheckHealth, s.LoadAdjustedWeights, s.StartNotices = yes(), yes(), yes(), yes(), r.IntN(4) > 0
 	s.ValuePerWork, s.ClientsMarkRetries = yes(), yes()
 	if yes() {
 		s.CrossZoneCost = 0.5 * r.Float64()
@@ -289,7 +289,7 @@
 			if w.random.IntN(3) > 0 {
 				w.ReceiveLeaseMessage(w.now, due.Node, [...]LeaseMessage{LeaseGrant, LeaseGrant, LeaseWait}[w.random.IntN(3)], due.Hash)
 			}
-		case ProbeExecutor:
+		case SendHealthCheck:
 			if w.random.IntN(3) > 0 {
 				w.ProbeEnded(w.now, due.Executor, w.random.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.random.IntN(3))})
 			}
--- a/policy/config.go
+++ b/policy/config.go
@@ -44,7 +44,7 @@
 		retryAfter:          settings.MaxRetryAfter,
 		canCancel:           settings.MayCancel,
 		canHedge:            settings.MayHedge,
-		canProbe:            settings.MayProbe,
+		canProbe:            settings.MayCheckHealth,
 		canLease:            settings.MayLease,
 		clientsMarkRetries:  settings.ClientsMarkRetries,
 		loadAdjustedWeights: settings.LoadAdjustedWeights,
--- a/policy/decisions.go
+++ b/policy/decisions.go
@@ -32,7 +32,7 @@
 	WatchEndpoints               // ask discovery for the endpoint list and its changes
 	SendLeaseMessage             // send DueTask.Message about the executor of DueTask.Hash to DueTask.Node
 	WriteLog                     // write DueTask.Text to the log
-	ProbeExecutor                // send DueTask.Executor a health check
+	SendHealthCheck              // send DueTask.Executor a health check
 )
 
 // DueTask is the answer of NextTask. Only the fields that its Task names are set.
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -81,7 +81,7 @@
 	e.health.probeOut = true
 	e.health.probedAt = now
 	d.probes.await(e)
-	d.outbox = append(d.outbox, DueTask{Task: ProbeExecutor, Executor: e.id})
+	d.outbox = append(d.outbox, DueTask{Task: SendHealthCheck, Executor: e.id})
 	d.timers.checkAll(now + d.classes.shortestObjective)
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -70,7 +70,7 @@
 	MayLease           bool          // nodes may send each other lease messages
 	MayHedge           bool          // an idempotent job may have a second attempt out
 	ClientsMarkRetries bool          // clients mark their retries
-	MayProbe           bool          // executors answer health checks with their load
+	MayCheckHealth     bool          // executors answer health checks with their load
 	MaxRetryAfter      time.Duration // the longest advised wait of a rejected client; 0: no advice
 	Quantum            time.Duration // what is this close to a deadline counts as at it
 
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -89,7 +89,7 @@
 		"nodes30":          func() { s.Nodes, s.Node = 30, 7 },
 		"leasing":          func() { s.MayLease = true },
 		"hedging":          func() { s.MayHedge = true },
-		"probing":          func() { s.MayProbe = true },
+		"probing":          func() { s.MayCheckHealth = true },
 		"marked-retries":   func() { s.ClientsMarkRetries = true },
 		"load-adjusted":    func() { s.LoadAdjustedWeights = true },
 		"tenants":          func() { s.Tenants = []Tenant{{10}, {10}} },
@@ -149,7 +149,7 @@
 			p.print(now, "watch endpoints")
 		case SendLeaseMessage:
 			p.print(now, "send node %d: %s %s", due.Node, leaseMessageNames[due.Message], p.names[due.Hash])
-		case ProbeExecutor:
+		case SendHealthCheck:
 			p.print(now, "probe %s", due.Executor)
 		case WriteLog:
 			p.print(now, "log: %s", due.Text)
