--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -213,7 +213,7 @@
 		}
 	}
 	for _, e := range d.quota.executors {
-		if (e.health.probeOut || e.health.unresponsive) && !slices.Contains(d.probes.awaitingReply, e) {
+		if (e.health.probeOut || e.health.unresponsive) && !slices.Contains(d.healthChecks.awaitingReply, e) {
 			w.t.Fatalf("seed %d, %v: %s owes a reply and is not awaited", w.seed, w.now, e.id)
 		}
 	}
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -30,7 +30,7 @@
 	easiest.work = min(easiest.work, j.work)
 	easiest.predictionMargin = min(easiest.predictionMargin, j.predictionMargin)
 	easiest.objectiveAt = max(easiest.objectiveAt, j.objectiveAt)
-	easiest.hinted = easiest.hinted || j.hinted
+	easiest.hasClientEstimate = easiest.hasClientEstimate || j.hasClientEstimate
 }
 
 // isSingular says whether j has other candidates than its class, so that it is looked at by itself.
@@ -63,7 +63,7 @@
 		c.widen(j)
 		return
 	}
-	easiest := job{class: j.class, work: j.work, hinted: j.hinted, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}
+	easiest := job{class: j.class, work: j.work, hasClientEstimate: j.hasClientEstimate, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}
 	d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late, easiest: easiest})
 }
 
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -8,17 +8,17 @@
 // Forever is longer than any span of time.
 const Forever time.Duration = math.MaxInt64
 
-// clock is what the dispatcher knows of its own turns. A turn is all calls with the same time. A node that stalled must not
-// take late reports for fresh ones.
+// clock records the times of the dispatcher's turns. A turn consists of all calls with the same time. The clock detects
+// stalls of the node, so that events that waited during a stall aren't taken for events of this moment.
 type clock struct {
-	now        time.Duration // the start of this turn
-	wakeAt     time.Duration // when this turn was wanted
-	turnGap    time.Duration // from the turn before until this one
-	stalledFor time.Duration // the part of turnGap in which something was due and the node stalled
-	shutdownBy time.Duration // when all jobs must have their answer, once the node shuts down; 0 before
+	now        time.Duration // time of this turn
+	wakeAt     time.Duration // time at which the previous turn asked to be called again
+	turnGap    time.Duration // time between the previous turn and this one
+	stalledFor time.Duration // time by which this turn came after wakeAt because the node stalled; 0: no stall
+	shutdownBy time.Duration // time by which all jobs must have their answers; 0 unless the node shuts down
 }
 
-// beginTurn records the time of a call. A stall shorter than minStall counts as none.
+// beginTurn records the time of a call. A delay of less than minStall doesn't count as a stall.
 func (c *clock) beginTurn(now, minStall time.Duration) {
 	if now == c.now {
 		return
@@ -32,5 +32,5 @@
 	c.wakeAt = now
 }
 
-// scaled returns a duration times a factor.
+// scaled returns a duration multiplied by a factor.
 func scaled(t time.Duration, factor float64) time.Duration { return time.Duration(float64(t) * factor) }
--- a/policy/config.go
+++ b/policy/config.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// config is the part of Settings that holds unchanged while the process runs.
+// config holds the settings that don't change while the process runs.
 type config struct {
 	nodeID    NodeID
 	nodeCount int
 	zone      ZoneID
-	quantum   time.Duration // what comes so close to a deadline counts as at it
+	quantum   time.Duration // time resolution: a time this close to a deadline counts as reaching it
 
-	valuePerWork     bool    // a job's value is its class's times its work
-	overQuotaValue   float64 // factor of the value of what a tenant sends over its quota
-	crossZoneCost    float64 // cost of sending a mean job to another zone, in mean values
-	totalWeight      float64 // of the value earned over all classes in the operators' measure
-	worstClassWeight float64 // of the class that fares worst in it
+	valuePerWork     bool    // the value of a job is the value of its class times its work in seconds
+	overQuotaValue   float64 // factor for the value of a tenant's jobs over its quota, 0 to 1
+	crossZoneCost    float64 // cost of sending a job to another zone, as a multiple of the mean value of a job; 0: none
+	totalWeight      float64 // weight of the total value over all classes in the value to maximize
+	worstClassWeight float64 // weight of the class with the lowest fraction of its requested value in the value to maximize
 
-	maxAttempts         int           // of classes that have no limit of their own
-	retryAfter          time.Duration // the longest advised wait of a rejected client; 0: no advice
-	canCancel           bool          // an attempt may be canceled
-	canHedge            bool          // an idempotent job may have a second attempt out
-	canProbe            bool          // executors answer probes with their load
+	maxAttempts         int           // most attempts of a job whose class sets no limit
+	maxRetryAfter       time.Duration // longest Retry-After of a rejection; 0: rejections have none
+	canCancel           bool          // executors support the cancellation of attempts
+	canHedge            bool          // an idempotent job may have a second attempt in flight
+	canCheckHealth      bool          // executors answer health checks with their load
 	canLease            bool          // nodes may send each other lease messages
-	clientsMarkRetries  bool          // clients mark what they send again
-	loadAdjustedWeights bool          // weights in the endpoint list fall with the load
-	endpointsPolled     bool          // the endpoint list comes only when it is polled
-	startNotices        bool          // executors tell when a job starts
-	progressInterval    time.Duration // between an executor's progress notices; 0: there are none
+	clientsMarkRetries  bool          // clients mark their retries as such
+	loadAdjustedWeights bool          // an executor's weight in the endpoint list falls with its load
+	endpointsPolled     bool          // the endpoint list must be requested; otherwise it arrives unrequested
+	startNotices        bool          // executors notify the node when a job starts
+	progressInterval    time.Duration // interval of an executor's progress notices; 0: executors send none
 }
 
-// newConfig takes the configuration from the settings.
+// newConfig returns the config of the given settings.
 func newConfig(settings Settings) config {
 	return config{
 		nodeID:              NodeID(settings.Node),
@@ -41,10 +41,10 @@
 		totalWeight:         settings.TotalWeight,
 		worstClassWeight:    settings.WorstClassWeight,
 		maxAttempts:         settings.MaxAttempts,
-		retryAfter:          settings.MaxRetryAfter,
+		maxRetryAfter:       settings.MaxRetryAfter,
 		canCancel:           settings.MayCancel,
 		canHedge:            settings.MayHedge,
-		canProbe:            settings.MayCheckHealth,
+		canCheckHealth:      settings.MayCheckHealth,
 		canLease:            settings.MayLease,
 		clientsMarkRetries:  settings.ClientsMarkRetries,
 		loadAdjustedWeights: settings.LoadAdjustedWeights,
--- a/policy/decisions.go
+++ b/policy/decisions.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Action is what becomes of a job.
+// Action is what Place or AttemptEnded decides about a job.
 type Action int
 
 // The actions of a decision.
 const (
-	NoAction Action = iota // the job is over, or an attempt is out
-	Send                   // a new attempt to Decision.Executor
-	Enqueue                // it waits for a token
-	Reject                 // the client may try again, after Decision.RetryAfter
-	Fail                   // it may have run, and can't be tried again
+	NoAction Action = iota // nothing to do: the job is finished, or an attempt of it is in flight
+	Send                   // send a new attempt to Decision.Executor
+	Enqueue                // keep the job in the queue until an executor has a token for it
+	Reject                 // reject the job; the client may retry after Decision.RetryAfter
+	Fail                   // fail the job: it may have run, and a retry could have a duplicate effect
 )
 
-// Decision is the answer of Place and AttemptEnded.
+// Decision is the result of Place and AttemptEnded.
 type Decision struct {
 	Action     Action
-	Executor   ExecutorID    // of Send
-	RetryAfter time.Duration // of Reject; 0: no advice
+	Executor   ExecutorID    // for Send: the executor that gets the attempt
+	RetryAfter time.Duration // for Reject: how long the client should wait before it retries; 0: no advice
 }
 
-// Task is a kind of work that has fallen due.
+// Task is a kind of work that the caller has to do for the dispatcher.
 type Task int
 
 // The tasks of NextTask.
 const (
-	Sleep            Task = iota // nothing is due before DueTask.At
+	Sleep            Task = iota // nothing to do before DueTask.At
 	PlaceJob                     // call Place for DueTask.Job
 	CancelAttempt                // cancel DueTask.Attempt of DueTask.Job
-	WatchEndpoints               // ask discovery for the endpoint list and its changes
-	SendLeaseMessage             // send DueTask.Message about the executor of DueTask.Hash to DueTask.Node
+	WatchEndpoints               // request the endpoint list from discovery, and watch it for changes
+	SendLeaseMessage             // send DueTask.Message to DueTask.Node, about the executor with DueTask.Hash
 	WriteLog                     // write DueTask.Text to the log
-	SendHealthCheck              // send DueTask.Executor a health check
+	SendHealthCheck              // send a health check to DueTask.Executor
 )
 
-// DueTask is the answer of NextTask. Only the fields that its Task names are set.
+// DueTask is the result of NextTask. Only the fields that the comment of its Task names are set.
 type DueTask struct {
 	Task     Task
 	At       time.Duration
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Dispatcher decides for one node which executor gets which job, and when. It is not safe for concurrent use: one
-// goroutine, the reducer's, owns it. Each field below belongs to one rule, in the file that
-// declares its type.
+// Dispatcher decides for one node which executor gets which job, and when. It is not safe for concurrent use: only the
+// goroutine of the node's event loop may call it. The fields of the second group hold the state of one rule each, and
+// their types are declared in the files of those rules.
 type Dispatcher struct {
 	config config
 	clock  clock
 	rng    randomSource
 	timers timerQueue
-	outbox []DueTask // lease messages, health checks and log lines for NextTask to return
+	outbox []DueTask // lease messages, health checks and log lines that NextTask returns next
 	jobs   map[JobID]*job
 
-	classes   classTable
-	tenants   []tenant
-	values    valueAverages
-	endpoints endpointTable
-	poll      endpointPoll
-	subset    subset
-	index     candidateIndex
-	queue     jobQueue
-	quota     quotaState
-	zoneLoad  zoneLoad
-	slowStart slowStart
-	probes    pendingProbes
-	leases    leaseTable
-	shedding  loadShedding
+	classes      classTable
+	tenants      []tenant
+	values       valueAverages
+	endpoints    endpointTable
+	poll         endpointPoll
+	subset       subset
+	index        candidateIndex
+	queue        jobQueue
+	quota        quotaState
+	zoneLoad     zoneLoad
+	slowStart    slowStart
+	healthChecks pendingProbes
+	leases       leaseTable
+	shedding     loadShedding
 }
 
-// New makes a dispatcher from settings, which have been checked.
+// New returns a dispatcher with the given settings, which must be valid.
 func New(settings Settings) *Dispatcher {
 	d := &Dispatcher{
 		config: newConfig(settings),
@@ -59,15 +59,14 @@
 	d.quota.intervalEnd = d.classes.quotaInterval
 	d.slowStart.derive(settings.OverloadMultiple, d.classes.shortestObjective, d.config.nodeCount)
 	d.spreadPolls(settings.PollWithin)
-	d.timers.checkAll(d.slowStart.overloadWindow) // until then the slow-start budget of a restarted process is lower
+	d.timers.checkAll(d.slowStart.overloadWindow) // the end of the reduced slow-start budget of a restarted process
 	for _, t := range settings.Tenants {
 		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(settings.Nodes)})
 	}
 	return d
 }
 
-// JobArrived takes up a job that a client sent to this node: it is queued, and decided on by the Place that NextTask asks
-// for in the same turn. A Work of 0 means that the client gave no estimate.
+// JobArrived queues a job that a client has sent to this node. NextTask asks for its first Place in the same turn.
 func (d *Dispatcher) JobArrived(now time.Duration, arrival Arrival) {
 	d.beginTurn(now)
 	j := d.newJob(now, arrival)
@@ -79,14 +78,14 @@
 	j.shed = d.shedding.reportsLoad && d.belowThreshold(j)
 	d.jobs[j.id] = j
 	d.queueJob(j, now)
-	// No scan of the queue is needed: the timer places this job, and no other became placeable.
+	// The queue need not be scanned: the timer places this job, and the arrival frees no token for another job.
 	d.timers.placeJob(now, j)
 	d.leases.requestWanted()
 }
 
-// Place decides where to send a job, or that it waits, is rejected or fails. The caller asks after NextTask returned
-// PlaceJob for it; for a job that is over, or has an attempt out and wants no hedge,
-// there is nothing to do.
+// Place decides to send a job to an executor, to queue it, to reject it or to fail it. The caller calls it when NextTask has
+// returned PlaceJob for the job. It returns NoAction for a job that is finished, and for one that has an attempt in flight
+// and gets no hedge.
 func (d *Dispatcher) Place(now time.Duration, id JobID) Decision {
 	j := d.jobs[id]
 	if j == nil || j.finished {
@@ -106,7 +105,8 @@
 		latestStart = d.latestStart(j, d.pace(e, now))
 	}
 	if e == nil || now > latestStart {
-		// No executor, or one that is too slow by now: the fastest one decides whether there is time left.
+		// No executor has a token, or the one that has is now too slow. The job waits as long as the fastest executor
+		// could still complete it in time.
 		latestStart = d.latestStart(j, d.bestPaceFor(j, now))
 		if now > latestStart {
 			return d.rejectOrFail(j)
@@ -115,12 +115,12 @@
 	if e != nil {
 		return d.dispatch(j, e, now)
 	}
-	d.queue.noteWait(j)
+	d.queue.recordWait(j)
 	d.schedulePlacement(j, latestStart, now)
 	return Decision{Action: Enqueue}
 }
 
-// placeHedge sends a second attempt of j, if one is wanted and an executor has a token for it.
+// placeHedge sends a second attempt of j if a hedge is wanted and an executor has a token for it.
 func (d *Dispatcher) placeHedge(j *job, now time.Duration) Decision {
 	if !j.hedgeWanted {
 		return Decision{}
@@ -132,8 +132,8 @@
 	return d.dispatch(j, e, now)
 }
 
-// schedulePlacement schedules the next time at which a queued job's answer may change though no token comes free: when
-// it may cross zones, when it is past its objective, after its latest start, and at its deadline.
+// schedulePlacement sets a timer for the next time at which Place may decide differently for a queued job even if no token
+// is released: when the job may use other zones, becomes late, is past its latest start, or reaches its deadline.
 func (d *Dispatcher) schedulePlacement(j *job, latestStart, now time.Duration) {
 	next := min(max(latestStart, now)+d.config.quantum, j.deadlineAt-d.config.quantum)
 	crossesAt := j.queuedAt + d.crossZoneDelay(j)
@@ -147,7 +147,7 @@
 	d.timers.placeJob(max(next, now+d.config.quantum), j)
 }
 
-// AttemptStarted reports that an executor has started an attempt.
+// AttemptStarted records that an executor has started an attempt.
 func (d *Dispatcher) AttemptStarted(now time.Duration, id JobID, number AttemptID) {
 	d.beginTurn(now)
 	a := d.findAttempt(id, number)
@@ -167,7 +167,7 @@
 	e.queuing.recordStart(a.tenantID)
 }
 
-// AttemptProgressed reports which fraction of an attempt is done.
+// AttemptProgressed records an executor's progress notice, with the fraction of the attempt that is done.
 func (d *Dispatcher) AttemptProgressed(now time.Duration, id JobID, number AttemptID, fraction float64) {
 	a := d.findAttempt(id, number)
 	if a == nil {
@@ -178,8 +178,8 @@
 	d.recordAlive(a.executor, now)
 }
 
-// AttemptEnded records an attempt's outcome and decides what to do next. Final: the job is over by this outcome, or was
-// before it.
+// AttemptEnded records an attempt's outcome and decides what becomes of the job. If final is set, the job is
+// finished, by this outcome or before it, and nothing more is sent for it.
 func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, number AttemptID, outcome Outcome, final bool) Decision {
 	d.beginTurn(now)
 	a := d.findAttempt(id, number)
@@ -198,22 +198,22 @@
 		j.mayHaveRun = a
 	}
 	if len(j.attempts) > 0 {
-		return Decision{} // the other attempt goes on
+		return Decision{} // the other attempt is still in flight
 	}
 	j.generation++
 	d.leases.requestWanted()
 	return d.Place(now, id)
 }
 
-// ClientLeft reports that a job's client has left: no answer is owed any more.
+// ClientLeft records that a job's client no longer waits, so that the job needs no answer.
 func (d *Dispatcher) ClientLeft(now time.Duration, id JobID) {
 	if j := d.jobs[id]; j != nil {
 		d.finish(j, now)
 	}
 }
 
-// NextTask returns what has fallen due, or until when nothing will. The caller asks until the task is Sleep, and again
-// at that time and after each call that reports an event.
+// NextTask returns the next task that is due. If none is, it returns Sleep with the time at which the next one will be. The
+// caller calls it until it returns Sleep, and then again at that time and after each event that it reports.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.beginTurn(now)
 	for now >= d.quota.intervalEnd {
@@ -231,7 +231,7 @@
 	if task, found := d.runTimers(now); found {
 		return task
 	}
-	if j := d.nextPlaceable(now); j != nil { // a timer may have freed a token
+	if j := d.nextPlaceable(now); j != nil { // a timer may have released a token
 		return DueTask{Task: PlaceJob, Job: j.id}
 	}
 	d.exchangeLeases(now)
@@ -248,7 +248,7 @@
 	return DueTask{At: at}
 }
 
-// runTimers handles the timers that are due, up to the first that leaves a task for the caller.
+// runTimers handles the timers that are due, in order, and stops at the first one that results in a task for the caller.
 func (d *Dispatcher) runTimers(now time.Duration) (DueTask, bool) {
 	for {
 		due, found := d.timers.popDue(now)
@@ -278,8 +278,8 @@
 	}
 }
 
-// ShutDownBy reports that the node shuts down: all jobs must have their answers by then. Those that can't be completed in
-// time get theirs at once.
+// ShutDownBy records that the node shuts down, and that all jobs must have their answers by the given time. Queued jobs that
+// can't be completed until then are rejected or fail at once.
 func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
 	d.clock.shutdownBy = by
 	for _, j := range d.jobs {
@@ -290,7 +290,7 @@
 	}
 }
 
-// capToShutdown limits a job's objective and deadline to the end of a node that shuts down.
+// capToShutdown moves a job's objective and deadline to the end of the shutdown if they are later, once the node shuts down.
 func (d *Dispatcher) capToShutdown(j *job) {
 	if d.clock.shutdownBy > 0 {
 		j.deadlineAt = min(j.deadlineAt, d.clock.shutdownBy)
@@ -298,10 +298,10 @@
 	}
 }
 
-// beginTurn records the time of a call.
+// beginTurn records the time of a call, and whether the node stalled before it.
 func (d *Dispatcher) beginTurn(now time.Duration) { d.clock.beginTurn(now, d.classes.checkInterval) }
 
-// logf has NextTask return a line for the log.
+// logf queues a log line, which NextTask returns as a task.
 func (d *Dispatcher) logf(format string, args ...any) {
 	d.outbox = append(d.outbox, DueTask{Task: WriteLog, Text: fmt.Sprintf(format, args...)})
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,73 +1,89 @@
-// Package policy decides for one node which executor gets which job, and when. It does no I/O and reads no clock: the
-// reducer (internal/node, the node's state machine) and the simulator's adapter (internal/benchwire) call it with the time since the start.
+// Package policy schedules batch jobs for one node: it decides which executor gets which job, and when. It does no I/O and
+// reads no clock. The node's state machine (internal/node) and the simulator's adapter (internal/benchwire) call it, and
+// pass the time since the node's start.
 //
 // # Calls
 //
 // The caller reports events:
 //
-//	UpdateEndpoints                        what discovery brought
-//	JobArrived, ClientLeft                 a job came; its client has left
-//	AttemptStarted, AttemptProgressed      notices of an executor
-//	LoadReported, ProbeEnded               load reports, with an answer or by a health check
-//	ReceiveLeaseMessage                    another node's lease message
-//	SetAdmissionThreshold                  which jobs the fleet has no capacity for
-//	UpdateJobClasses, ShutDownBy           a new configuration; the node shuts down
-//	ReserveSlowStartUntil, ImportLearned   from when on slow start is this process's; what its predecessor learned
-//
-// It also reads reports (TakeLoadSummary, ExportLearned, CountUnusable), and asks for three kinds of decision: Place (where to send this job, or that it waits, is rejected or fails), AttemptEnded (what to do
-// after this outcome) and NextTask (what has fallen due, or until when nothing will). Calls and answers are plain values;
-// their types are in ids.go, settings.go, events.go and decisions.go.
-//
-// Dispatcher (dispatcher.go) holds the state of each rule in a struct of its own, and the calls that ask several rules, in
-// the order in which it asks them. A call that concerns one rule stands in that rule's file.
-//
-// # The ordinary path
-//
-// The design (RAIN) decides the ordinary path:
-//
-//  1. A job arrives (admission.go): its work is estimated, and its objective is set. It is shed at once if the fleet has
-//     no capacity for its priority level (load_shedding.go).
-//  2. It waits in the queue, by its slack and its value for the work (queue.go, value.go), until an executor has a free
-//     token under its quota.
-//  3. It takes the token with the highest weighted age among those of the subset (placement.go, subset.go), and an attempt goes out.
-//  4. The outcome frees the token, or causes a retry (outcome.go, retry.go).
-//  5. Once an interval each quota moves by one at most, by the waiting at the executor and here (quota.go).
-//
-// # Where the ordinary path fails
-//
-// Six mechanisms answer the ways in which it does:
-//
-//  1. Slow start: an executor that has just started has a cap in flight that grows with its answers, and a budget of work
-//     that a few nodes share (slow_start.go).
-//  2. Ejection: an executor that errs, loses connections or is silent gets nothing for a while, or until it answers a
-//     health check; it returns with a cap of one attempt in flight (outlier.go, health_check.go).
-//  3. Pace: a token is passed over where its executor can't meet the objective by what was seen of it, and ages the slower
-//     the less its executor can take (latency.go, tokenAge in placement.go).
-//  4. Migration and hedging: an attempt that does not start, or makes slow progress, is canceled and sent elsewhere where
-//     rule 2 allows it, or a second attempt is sent beside it (migration.go, hedge.go).
-//  5. Early rejection: a job that can earn nothing more, or that the fleet has no capacity for, gets its answer at once
-//     (latestStart in admission.go, load_shedding.go).
-//  6. Leases: where nodes are many and may message each other, one of them leases an executor's slots to all (lease.go).
+//	UpdateEndpoints                        the endpoint list has changed
+//	JobArrived, ClientLeft                 a client has sent a job; a client no longer waits for one
+//	AttemptStarted, AttemptProgressed      an executor has started a job, or has completed a fraction of it
+//	LoadReported, ProbeEnded               an executor has reported its load; a health check has ended
+//	ReceiveLeaseMessage                    another node has sent a lease message
+//	SetAdmissionThreshold                  the cluster has a new threshold, below which jobs are shed
+//	UpdateJobClasses, ShutDownBy           the configuration has changed; the node shuts down
+//	BlockSlowStartUntil, ImportLearned     at a restart: the previous process uses the slow-start budget; its learned state
+//
+// The caller asks for three kinds of decision:
+//
+//	Place                                  sends a job to an executor, queues it, rejects it or fails it
+//	AttemptEnded                           records an attempt's outcome, and decides what becomes of the job
+//	NextTask                               returns the next task that is due, or the time until which none is
+//
+// It also reads reports: TakeLoadSummary, ExportLearned and CountUnusable. Arguments and results are plain values, whose
+// types are in ids.go, settings.go, events.go and decisions.go.
+//
+// Dispatcher (dispatcher.go) holds the state of each scheduling rule in a struct of its own. The calls that involve several
+// rules are in dispatcher.go, and a call that involves one rule is in that rule's file.
+//
+// # Life of a job
+//
+// The main path follows the RAIN design:
+//
+//  1. When a job arrives, its work is estimated and its latency objective is set (admission.go). It is shed at once if the
+//     cluster has no capacity for its priority level (load_shedding.go).
+//  2. It waits in the queue until an executor has a free token under its quota. The queue is ordered by slack and by value
+//     per second of work (queue.go, value.go).
+//  3. It takes a token from the executor of the subset whose oldest free token has the highest weighted age, and an attempt
+//     is sent to that executor (placement.go, subset.go).
+//  4. The outcome releases the token, or causes a retry (outcome.go, retry.go).
+//  5. At the end of each interval, each executor's quota changes by at most one, depending on how long jobs waited at the
+//     executor and in the queue (quota.go).
+//
+// # Failures and overload
+//
+// Six mechanisms handle the cases in which the main path fails:
+//
+//  1. Slow start: an executor that has just started has a cap on attempts in flight, which grows with each completed
+//     attempt. A few nodes share a budget of work for it (slow_start.go).
+//  2. Ejection: an executor that returns errors, loses connections or is unresponsive gets no attempts for a while, or until
+//     it answers a health check. It returns with a cap of one attempt in flight (outlier.go, health_check.go).
+//  3. Pace: a job doesn't use an executor that is predicted to miss the job's objective, and tokens of an executor with
+//     little capacity or long waits age more slowly (latency.go, and tokenAge in placement.go).
+//  4. Migration and hedging: an attempt that doesn't start, or makes slow progress, is canceled and sent to another executor
+//     if that can't cause a duplicate effect, or a second attempt is sent while it runs (migration.go, hedge.go).
+//  5. Early rejection: a job that can't yield any value any more, or that the cluster has no capacity for, is rejected at
+//     once (latestStart in admission.go, load_shedding.go).
+//  6. Leases: in a large cluster whose nodes may exchange messages, one node per executor leases the executor's slots to all
+//     nodes (lease.go).
 //
 // # Rules
 //
-// Rule 1 (one final answer before the deadline) is kept by Place and the reducer; rule 2 (no effect twice) by retryAllowed
-// and inDedupGroup in retry.go, which isEligible asks; rule 3 (nothing new to a draining executor) by isUsable; rule 4 (no
-// overload in slow start) by withinSlowStartBudget.
+// Four rules must never be broken:
+//
+//   - Rule 1, one final answer before the deadline: kept by Place and by the node's state machine.
+//   - Rule 2, no duplicate effect: kept by retryAllowed and inDedupGroup in retry.go, which isEligible calls.
+//   - Rule 3, nothing new to a draining executor: kept by isUsable.
+//   - Rule 4, no overload of an executor in slow start: kept by withinSlowStartBudget.
 //
 // # Finding an executor
 //
-// The candidate index (candidate_index.go, candidate_query.go, pace_index.go, executor_heap.go, class_candidates.go) decides
-// nothing: it gives candidates in an order, and leaves out only what provably can't be chosen.
+// The candidate index (candidate_index.go, candidate_query.go, pace_index.go, executor_heap.go, class_candidates.go) makes
+// the search fast and doesn't change its result: it returns candidates in order, and leaves out only executors that can't
+// be chosen.
+//
+// # Terms
 //
-// # Names
+// Variables are named d for the dispatcher, j for a job, a for an attempt and e for an executor.
 //
-// Throughout the package d is the dispatcher, j a job, a an attempt and e an executor. Late is a job past its latency
-// objective. A value that can earn something is in the unit of the class's value; work is running time on a standard core,
-// and pace the running time that an executor needs for a unit of work.
+// Work is running time on a standard core, and pace is the running time that an executor needs for one unit of work.
+// Slack is the time that the latency objective leaves beyond the work. A late job is past its objective. Value is in the
+// unit of the classes' values, and value density is value per second of work. A try is one request of a client for a job.
+// An attempt is one sending of the job to an executor by this node.
 //
 // # Time and determinism
 //
-// Times are spans since the node's start. Random numbers come from a seed and a counter, so that the same calls give the
-// same decisions, on which the golden traces in testdata, a directory a rule, and the simulator rely.
+// Times are durations since the node's start. Random numbers come from a seed and a counter, so the same calls always give
+// the same decisions. The golden traces (testdata, with a directory for each rule) and the simulator rely on that.
 package policy
--- a/policy/events.go
+++ b/policy/events.go
@@ -7,18 +7,18 @@
 
 // The outcomes of an attempt.
 const (
-	Succeeded      Outcome = iota
-	ExecutorError          // the executor answered with an error; the job may have run
-	InvalidRequest         // the executor can't use the request; the job may have run
-	ExecutorFull           // the executor rejected it unseen; it never ran
-	TimedOut               // no answer in time; it may have run, and may still run
-	ConnectFailed          // no connection, or it broke before the last byte of the request was written; it never ran
-	ConnectionLost         // the connection broke; it may have run
-	Canceled               // it was canceled by this node; it may have run
-	NotSent                // it never left this node
+	Succeeded      Outcome = iota // the job was completed
+	ExecutorError                 // the executor answered with an error; the job may have run
+	InvalidRequest                // the executor rejected the request as invalid; the job may have run
+	ExecutorFull                  // the executor had no capacity and rejected the job without running it
+	TimedOut                      // the executor didn't answer in time; the job may have run, and may still be running
+	ConnectFailed                 // the connection failed before the whole request was written; the job never ran
+	ConnectionLost                // the connection broke after that; the job may have run
+	Canceled                      // this node canceled the attempt; the job may have run
+	NotSent                       // the attempt was never sent; the job never ran
 )
 
-// NeverRan reports whether an outcome proves that the attempt never ran.
+// NeverRan reports whether the outcome proves that the job never ran in this attempt.
 func (o Outcome) NeverRan() bool { return o == ExecutorFull || o == ConnectFailed || o == NotSent }
 
 // Arrival is a job as a client sent it.
@@ -26,29 +26,29 @@
 	Job         JobID
 	Class       JobClassID
 	Tenant      TenantID
-	Work        time.Duration // the client's estimate, as time on a standard core; 0: none
-	Budget      time.Duration // how long the client waits
-	ClientRetry bool          // marked as a retry, where clients mark them
+	Work        time.Duration // the client's estimate of the running time on a standard core; 0: no estimate
+	Budget      time.Duration // how long the client waits for the answer
+	ClientRetry bool          // the client marked the request as a retry
 }
 
-// Load is an executor's report of its load. Figures that it does not tell are negative.
+// Load is an executor's report of its load. Fields that the report doesn't contain are negative.
 type Load struct {
-	InFlight   float64       // jobs there
-	Queued     float64       // those of them that wait
-	FreeSlots  float64       // jobs that it could start at once
-	FreeMemory float64       // free units of it
-	RunTime    time.Duration // of its last jobs
+	InFlight   float64       // jobs at the executor, queued ones included
+	Queued     float64       // jobs that wait at the executor
+	FreeSlots  float64       // jobs that the executor could start at once
+	FreeMemory float64       // free memory, in the executor's own units
+	RunTime    time.Duration // running time of its latest jobs
 }
 
-// EndpointUpdateKind says what an update of the endpoint list brings.
+// EndpointUpdateKind says what an update of the endpoint list contains.
 type EndpointUpdateKind int
 
 // The kinds of updates of the endpoint list.
 const (
-	IncrementalUpdate EndpointUpdateKind = iota // entries that changed
-	CompleteUpdate                              // all entries; what is not named is removed
-	CachedUpdate                                // all entries as an earlier process had them
-	WatchFailed                                 // none: discovery did not answer, or the watch broke
+	IncrementalUpdate EndpointUpdateKind = iota // only the entries that changed
+	CompleteUpdate                              // all entries; executors without an entry are removed
+	CachedUpdate                                // all entries, as stored by an earlier process
+	WatchFailed                                 // no entries: discovery didn't answer, or the watch broke
 )
 
 // EndpointState is an executor's state in the endpoint list.
@@ -56,9 +56,9 @@
 
 // The states of an executor in the endpoint list.
 const (
-	Available EndpointState = iota
-	Draining                // it gets nothing new (rule 3)
-	Removed                 // it is gone
+	Available EndpointState = iota // takes new jobs
+	Draining                       // completes its jobs, and must get no new ones (rule 3)
+	Removed                        // is no longer in the endpoint list
 )
 
 // Endpoint is an executor's entry in the endpoint list.
@@ -68,7 +68,7 @@
 	Kind           KindID
 	Cell           CellID
 	State          EndpointState
-	Weight         float64       // its size, or its size less its load, relative to the others
-	StartedAt      time.Duration // when it last started
-	StartedLongAgo bool          // StartedAt means nothing: it is past slow start
+	Weight         float64       // size relative to other executors, or size less load with Settings.LoadAdjustedWeights
+	StartedAt      time.Duration // time of the executor's last start
+	StartedLongAgo bool          // the executor is past slow start, and StartedAt is not set
 }
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -34,7 +34,7 @@
 	e.health.unresponsive = true
 	e.health.timeouts = timeouts
 	d.subset.invalidate()
-	d.probes.await(e)
+	d.healthChecks.await(e)
 }
 
 // ProbeEnded reports the result of a health check. The load is valid only if it was answered.
@@ -72,7 +72,7 @@
 
 // requestProbe sends e a health check, unless one is out or the last one was sent less than the interval ago.
 func (d *Dispatcher) requestProbe(e *executor, now, interval time.Duration) {
-	if !d.config.canProbe || e.health.probeOut {
+	if !d.config.canCheckHealth || e.health.probeOut {
 		return
 	}
 	if e.health.probedAt != 0 && now-e.health.probedAt < interval {
@@ -80,7 +80,7 @@
 	}
 	e.health.probeOut = true
 	e.health.probedAt = now
-	d.probes.await(e)
+	d.healthChecks.await(e)
 	d.outbox = append(d.outbox, DueTask{Task: SendHealthCheck, Executor: e.id})
 	d.timers.checkAll(now + d.classes.shortestObjective)
 }
@@ -94,7 +94,7 @@
 // checkProbes marks executors that did not answer a health check within the shortest objective as unresponsive, and
 // checks those again: each timeout in a row makes the interval longer by one mean running time, up to maxBackoffFactor.
 func (d *Dispatcher) checkProbes(now time.Duration) {
-	for _, e := range d.probes.pending() {
+	for _, e := range d.healthChecks.pending() {
 		if e.tokens.joined == 0 {
 			continue
 		}
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -7,91 +7,92 @@
 )
 
 const (
-	budgetCountDecay     = 1 - (1-smoothing)/8 // of the counts of short budgets and rejected first tries, with each job
-	checkIntervalDivisor = 8                   // the shortest objective over this is between an attempt's sending and its first check
-	unknownWorkDivisor   = 2                   // the objective over this is a first guess at the work, where it is the same for all jobs
+	budgetCountDecay     = 1 - (1-smoothing)/8 // factor for shortBudgets and rejectedFirstTries with each new job
+	checkIntervalDivisor = 8                   // the check interval is the shortest objective divided by this
+	unknownWorkDivisor   = 2                   // the initial mean work is a fixed objective divided by this
 )
 
-// jobClass holds a class's rules and its running averages.
+// jobClass holds the settings of a job class and what was learned about its jobs.
 type jobClass struct {
 	idempotency      Idempotency
 	dedupGroup       DedupGroup
 	dedupWindow      time.Duration
 	maxAttempts      int
-	latencyObjective time.Duration
+	latencyObjective time.Duration // without the part that grows with the work
 	deadline         time.Duration
-	runTimeFactor    float64 // the objective grows by this multiple of a job's own running time
+	runTimeFactor    float64 // multiple of a job's work that is added to its latency objective
 	value            float64
-	lateValue        float64 // fraction of the value paid between objective and deadline
+	lateValue        float64 // fraction of the value of a job that is completed between objective and deadline
 	kind             KindID
 
-	fullBudget         time.Duration // largest budget seen: that of a job's first try
-	shortBudgets       float64       // jobs that came with less than it, decaying
-	rejectedFirstTries float64       // first tries that were rejected, decaying
-	meanWork           time.Duration // running average, as time on a standard core
-	samples            int           // running times behind meanWork, where clients give no estimates
-	requestedValue     float64       // of jobs that came, decaying
-	earnedValue        float64       // of those of them that were done within their objective, decaying
-	unitValue          float64       // mean value of one job
+	fullBudget         time.Duration // largest budget seen, taken as that of every first try
+	shortBudgets       float64       // number of jobs that arrived with less than fullBudget, decaying
+	rejectedFirstTries float64       // number of first tries that were rejected, decaying
+	meanWork           time.Duration // running average of the jobs' work
+	samples            int           // number of running times in meanWork, where clients give no estimates
+	requestedValue     float64       // value of the first tries that arrived, decaying
+	earnedValue        float64       // value of the jobs that were completed within their objective, decaying
+	meanValue          float64       // running average of the value of a job
 }
 
-// classTable holds the job classes and what follows from all of them together.
+// classTable holds the job classes, and the values derived from all of them together.
 type classTable struct {
-	all               []*jobClass // by number; those of the past stay, for the jobs that came with them
-	current           []*jobClass
-	requiredKinds     []KindID      // executor kinds that some class is bound to
-	shortestObjective time.Duration // the shortest latency objective
-	quotaInterval     time.Duration // between two steps of the quotas
-	checkInterval     time.Duration // from an attempt's sending to its first check
+	all               []*jobClass   // by JobClassID, with the past classes that jobs in flight may still belong to
+	current           []*jobClass   // the classes of the current configuration
+	requiredKinds     []KindID      // kinds that the current classes require; AnyKind if some class requires none
+	shortestObjective time.Duration // shortest latency objective of the current classes
+	quotaInterval     time.Duration // time between two updates of the quotas
+	checkInterval     time.Duration // time from the sending of an attempt to its first review
 }
 
-// lookup returns the class of that number, and the nearest one for a number out of range.
+// lookup returns the class with the given ID. For an ID out of range it returns the first or the last class.
 func (t *classTable) lookup(id JobClassID) *jobClass {
 	return t.all[min(max(0, int(id)), len(t.all)-1)]
 }
 
-// recordHint updates the mean work by a client's estimate.
-func (t *jobClass) recordHint(work time.Duration) {
-	t.meanWork = scaled(t.meanWork, smoothing) + scaled(work, 1-smoothing)
+// recordClientEstimate updates the mean work with a client's estimate.
+func (c *jobClass) recordClientEstimate(work time.Duration) {
+	c.meanWork = scaled(c.meanWork, smoothing) + scaled(work, 1-smoothing)
 }
 
-// recordRunTime updates the mean work by a running time. The first guess may be far off, so the first samples weigh as
-// much as it does.
-func (t *jobClass) recordRunTime(ran time.Duration) {
-	t.samples++
-	weight := max(minSampleWeight, 1/float64(1+t.samples))
-	t.meanWork = scaled(t.meanWork, 1-weight) + scaled(ran, weight)
+// recordRunTime updates the mean work with a running time. The initial estimate may be far off, so each of the first samples
+// has the same weight as the initial estimate.
+func (c *jobClass) recordRunTime(ran time.Duration) {
+	c.samples++
+	weight := max(minSampleWeight, 1/float64(1+c.samples))
+	c.meanWork = scaled(c.meanWork, 1-weight) + scaled(ran, weight)
 }
 
-// recordBudget records the budget of a job that arrived, and returns what it lacks of the full budget.
-func (t *jobClass) recordBudget(budget time.Duration) time.Duration {
-	t.fullBudget = max(t.fullBudget, budget)
-	return t.fullBudget - budget
+// recordBudget records the budget of a job that arrived, and returns by how much it is below the full budget.
+func (c *jobClass) recordBudget(budget time.Duration) time.Duration {
+	c.fullBudget = max(c.fullBudget, budget)
+	return c.fullBudget - budget
 }
 
-// recordRejected records a job that is rejected or fails.
-func (t *jobClass) recordRejected(firstTry bool) { t.rejectedFirstTries += oneIf(firstTry) }
+// recordRejected counts a job that is rejected or fails, if it is a first try.
+func (c *jobClass) recordRejected(firstTry bool) { c.rejectedFirstTries += oneIf(firstTry) }
 
-// recordArrival records a job, and whether it came with less than the full budget.
+// recordArrival counts a job that arrived, and whether it came with less than the full budget.
 func (c *jobClass) recordArrival(isShort bool) {
 	c.shortBudgets = c.shortBudgets*budgetCountDecay + oneIf(isShort)
 	c.rejectedFirstTries *= budgetCountDecay
 }
 
-// inherit takes over what was learned of the class that this one replaces. Its requested and earned values move here.
-func (t *jobClass) inherit(from *jobClass) {
+// inherit takes over what was learned about the class that this one replaces. The requested and earned values are moved, so
+// that they aren't counted twice.
+func (c *jobClass) inherit(from *jobClass) {
 	if from.samples > 0 || from.fullBudget > 0 {
-		t.meanWork = from.meanWork
-		t.samples = from.samples
+		c.meanWork = from.meanWork
+		c.samples = from.samples
 	}
-	t.fullBudget = min(from.fullBudget, t.deadline)
-	t.requestedValue = from.requestedValue
-	t.earnedValue = from.earnedValue
+	c.fullBudget = min(from.fullBudget, c.deadline)
+	c.requestedValue = from.requestedValue
+	c.earnedValue = from.earnedValue
 	from.requestedValue = 0
 	from.earnedValue = 0
 }
 
-// derive computes what follows from all current classes together.
+// derive computes the values that depend on all current classes together.
 func (t *classTable) derive(quantum time.Duration) {
 	t.requiredKinds = t.requiredKinds[:0]
 	t.quotaInterval = 0
@@ -106,7 +107,7 @@
 	t.checkInterval = max(t.shortestObjective/checkIntervalDivisor, quantum)
 }
 
-// smallerSet returns the smaller of two durations, where 0 for the first one means that it is not set.
+// smallerSet returns the smaller of two durations, or candidate if current is 0, which means not set.
 func smallerSet(current, candidate time.Duration) time.Duration {
 	if current == 0 {
 		return candidate
@@ -114,7 +115,7 @@
 	return min(current, candidate)
 }
 
-// addClass adds a class, with what was learned of the one that it replaces.
+// addClass adds a class, and takes over what was learned about the class that it replaces.
 func (d *Dispatcher) addClass(update JobClassUpdate) {
 	class := &jobClass{
 		idempotency:      update.Idempotency,
@@ -128,7 +129,7 @@
 		lateValue:        update.LateValue,
 		kind:             update.Kind,
 		meanWork:         cmp.Or(update.ExpectedWork, firstGuess(update.JobClass)),
-		unitValue:        update.Value,
+		meanValue:        update.Value,
 	}
 	if update.Replaces != NoJobClass {
 		class.inherit(d.classes.all[update.Replaces])
@@ -137,8 +138,9 @@
 	d.classes.current = append(d.classes.current, class)
 }
 
-// UpdateJobClasses sets the job classes. The numbers of new ones follow the last number. The slow-start
-// budget stays as it is: other nodes may still compute with the classes before.
+// UpdateJobClasses replaces the current job classes. The IDs of new classes must continue the existing ones in order. The
+// slow-start budget, which depends on the shortest objective, does not change, because other nodes may still compute it
+// from the previous classes.
 func (d *Dispatcher) UpdateJobClasses(now time.Duration, updates []JobClassUpdate) {
 	d.classes.current = nil
 	for _, update := range updates {
@@ -152,13 +154,13 @@
 	d.values.forgetWorstClass()
 	d.subset.invalidate()
 	d.queue.rescan()
-	d.markAllDirty(d.endpoints.ranked) // the rates at which tokens age depend on the shortest objective
+	d.markAllDirty(d.endpoints.ranked) // token ages depend on the shortest objective
 	d.quota.endIntervalBy(now + d.classes.quotaInterval)
 }
 
-// firstGuess returns a class's mean work while nothing is known of it. Where the objective does not grow with the work, a
-// guess as long as the objective would have all jobs rejected, since no executor could complete them in time, and nothing
-// would ever be learned.
+// firstGuess returns the initial mean work of a class whose settings give no ExpectedWork. Where the objective does not grow
+// with the work, it must be below the objective: otherwise no executor would be predicted to complete a job in time, all
+// jobs would be rejected, and no running time would ever be learned.
 func firstGuess(class JobClass) time.Duration {
 	if class.RunTimeFactor == 0 {
 		return class.LatencyObjective / unknownWorkDivisor
@@ -166,7 +168,7 @@
 	return class.LatencyObjective
 }
 
-// longestMeanWork returns the largest mean work of the current classes, and at least the shortest objective.
+// longestMeanWork returns the largest mean work of the current classes, but at least the shortest objective.
 func (d *Dispatcher) longestMeanWork() time.Duration {
 	longest := d.classes.shortestObjective
 	for _, class := range d.classes.current {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -151,7 +151,7 @@
 	if j.class.idempotency == IdempotentWithKey && ran < scaled(j.work, dedupReplyFraction*kind.pace) {
 		return
 	}
-	if !j.hinted {
+	if !j.hasClientEstimate {
 		j.class.recordRunTime(ran)
 	}
 	runTime := ran.Seconds()
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -72,15 +72,15 @@
 	return learned
 }
 
-func (t *jobClass) export(id JobClassID) LearnedClass {
+func (c *jobClass) export(id JobClassID) LearnedClass {
 	return LearnedClass{
 		ID:             id,
-		MeanWork:       t.meanWork,
-		Samples:        t.samples,
-		FullBudget:     t.fullBudget,
-		RequestedValue: t.requestedValue,
-		EarnedValue:    t.earnedValue,
-		UnitValue:      t.unitValue,
+		MeanWork:       c.meanWork,
+		Samples:        c.samples,
+		FullBudget:     c.fullBudget,
+		RequestedValue: c.requestedValue,
+		EarnedValue:    c.earnedValue,
+		UnitValue:      c.meanValue,
 	}
 }
 
@@ -130,17 +130,17 @@
 }
 
 // adopt takes over what was learned of a class.
-func (t *jobClass) adopt(in LearnedClass, sameNodes bool) {
+func (c *jobClass) adopt(in LearnedClass, sameNodes bool) {
 	if in.MeanWork <= 0 || in.UnitValue <= 0 {
 		return
 	}
-	t.meanWork = in.MeanWork
-	t.samples = in.Samples
-	t.fullBudget = min(in.FullBudget, t.deadline)
-	t.unitValue = in.UnitValue
+	c.meanWork = in.MeanWork
+	c.samples = in.Samples
+	c.fullBudget = min(in.FullBudget, c.deadline)
+	c.meanValue = in.UnitValue
 	if sameNodes {
-		t.requestedValue = max(0, in.RequestedValue)
-		t.earnedValue = max(0, in.EarnedValue)
+		c.requestedValue = max(0, in.RequestedValue)
+		c.earnedValue = max(0, in.EarnedValue)
 	}
 }
 
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -323,7 +323,7 @@
 // adjustLeaseQuotas ends an interval for the ledgers of this node: each quota moves by one at most.
 func (d *Dispatcher) adjustLeaseQuotas(now time.Duration) {
 	for _, ledger := range d.leases.ledgerList {
-		ledger.adjustQuota(d.config.canProbe)
+		ledger.adjustQuota(d.config.canCheckHealth)
 		d.grantLeases(ledger, ledger.quota, now)
 	}
 }
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -6,51 +6,51 @@
 )
 
 const (
-	levelsPerOctave   = 2    // priority levels for each doubling of a job's value for its work
-	minPriorityWork   = 1e-6 // seconds of work that a job is taken to have at least
-	minDensity        = 1e-9 // least value for a second of work that a priority level is derived from
-	minSecondsPerWork = 1e-9 // least running time that a capacity is derived from
-	lowSlackDivisor   = 2    // a job that has less than its slack over this left came with low slack
+	levelsPerOctave   = 2    // priority levels for each doubling of the value density
+	minWorkSeconds    = 1e-6 // least work of a job in the value density and the load summary, in seconds
+	minDensity        = 1e-9 // least value density in the logarithm for the priority level
+	minSecondsPerWork = 1e-9 // least divisor in the estimate of an executor's capacity, in seconds
+	lowSlackDivisor   = 2    // a job that arrives with less than its slack divided by this has low slack
 )
 
-// PriorityLevels is the number of levels that jobs are sorted by, by their value for a second of work.
+// PriorityLevels is the number of priority levels, which are ranges of the value density (value per second of work).
 const PriorityLevels = 64
 
-// LoadSummary is what a node saw since the summary before, in seconds of work on a standard core.
+// LoadSummary is a node's load since its previous summary. Work is in seconds on a standard core.
 type LoadSummary struct {
-	Offered    [PriorityLevels]float64 // of jobs that arrived, by priority level
-	Admitted   float64                 // of those of them that were at or above the threshold
-	Completed  float64                 // of jobs that were completed
-	Migrations float64                 // of attempts that would be migrated if migrations were not limited
-	Expired    float64                 // of jobs that were given up on after they had waited for a token
-	Waiting    float64                 // of jobs that wait now, here or at an executor, each over its slack
-	Capacity   float64                 // a second, of all available executors on the endpoint list
+	Offered    [PriorityLevels]float64 // work of the jobs that arrived, by priority level, without jobs of low slack
+	Admitted   float64                 // work of the jobs that arrived and were not shed, without jobs of low slack
+	Completed  float64                 // work of the jobs that were completed
+	Migrations float64                 // work of the attempts that would be migrated if migrations were not limited
+	Expired    float64                 // work of the jobs that got no token in time
+	Waiting    float64                 // work of the jobs that wait now, here or at an executor, each divided by its slack
+	Capacity   float64                 // work per second that all available executors of the endpoint list can do
 }
 
-// AdmissionThreshold says which jobs the fleet has no capacity for: all below Level are shed, and of Level itself all but
-// a fraction. The zero value sheds nothing.
+// AdmissionThreshold says which jobs the cluster has no capacity for: jobs below Level are shed, and so are jobs of Level
+// itself except for a random fraction. The zero value sheds nothing.
 type AdmissionThreshold struct {
-	Level          int     // priority level
-	AdmitFraction  float64 // of jobs of that level that are admitted, 0 to 1
-	MigrationDelay float64 // fraction of its slack that an attempt waits where it is before it is migrated, 0 to 1
+	Level          int     // priority level below which all jobs are shed; 0: no job is shed
+	AdmitFraction  float64 // fraction of the jobs of exactly that level that are admitted, 0 to 1
+	MigrationDelay float64 // fraction of its slack that an unstarted attempt waits before it is migrated, 0 to 1
 }
 
-// loadShedding is what this node reports to the fleet, and which jobs the fleet has no capacity for.
+// loadShedding holds the load that this node reports to the cluster, and the admission threshold that the cluster has set.
 type loadShedding struct {
-	reportsLoad bool // the fleet asks for summaries
-	threshold   AdmissionThreshold
-	summary     LoadSummary // since it was taken last
+	reportsLoad bool               // the cluster has asked for a load summary, so that the threshold applies
+	threshold   AdmissionThreshold // current threshold of the cluster
+	summary     LoadSummary        // load since the last summary was taken
 }
 
-// recordOffered adds the work of a job that arrived. A job of low slack, as clients' retries often are, is no measure of
-// what the fleet has too little of: it may find no token in time where most are free.
+// recordOffered adds the work of a job that arrived. Jobs of low slack, often retries of clients, are left out: they may
+// find no token in time even if most tokens are free, so they say nothing about the capacity of the cluster.
 func (s *loadShedding) recordOffered(j *job, level int) {
 	if !j.lowSlack {
-		s.summary.Offered[level] += max(j.work.Seconds(), minPriorityWork)
+		s.summary.Offered[level] += max(j.work.Seconds(), minWorkSeconds)
 	}
 }
 
-// recordAdmitted adds the work of a job that was admitted.
+// recordAdmitted adds the work of a job that was not shed. Jobs of low slack are left out as in recordOffered.
 func (s *loadShedding) recordAdmitted(j *job) {
 	if !j.lowSlack {
 		s.summary.Admitted += j.work.Seconds()
@@ -60,7 +60,8 @@
 // recordCompleted adds the work of a job that was completed.
 func (s *loadShedding) recordCompleted(j *job) { s.summary.Completed += j.work.Seconds() }
 
-// recordMigration adds the work of an attempt, once, that would be migrated if migrations were not limited.
+// recordMigration adds the work of an attempt that would be migrated if migrations were not limited. It counts each attempt
+// only once.
 func (s *loadShedding) recordMigration(a *attempt) {
 	if !a.migrationCounted {
 		a.migrationCounted = true
@@ -68,7 +69,7 @@
 	}
 }
 
-// takeSummary returns the summary and begins a new one. From the first call on, jobs are subject to the threshold.
+// takeSummary returns the summary and begins a new one. The threshold applies to jobs that arrive after the first call.
 func (s *loadShedding) takeSummary() LoadSummary {
 	taken := s.summary
 	s.summary = LoadSummary{}
@@ -76,9 +77,9 @@
 	return taken
 }
 
-// belowThreshold reports whether j, which arrives now, is to be shed since the fleet has no capacity for jobs of its
-// priority level. Without a common threshold one node would take jobs of a low value while those of a high value find no
-// token at another.
+// belowThreshold reports whether j, which arrives now, is shed because the cluster has no capacity for its priority level,
+// and adds j to the load summary. Without a common threshold, one node would admit jobs of low value while jobs of high
+// value find no token at another node.
 func (d *Dispatcher) belowThreshold(j *job) bool {
 	level := d.priorityLevel(j)
 	j.lowSlack = j.objectiveAt-d.clock.now-j.work < j.slack()/lowSlackDivisor
@@ -90,30 +91,31 @@
 	return false
 }
 
-// admits reports whether a job of that priority level is at or above the threshold. Of the threshold's own level a random
-// fraction is admitted, except jobs of low slack. The random number is drawn for each of them even if nothing is shed.
+// admits reports whether the threshold admits a job of the given priority level. On the threshold's own level a random
+// fraction is admitted, but no jobs of low slack. A random number is drawn for each job of that level that has no low
+// slack, even if the level is 0 and nothing is shed.
 func (d *Dispatcher) admits(j *job, level int) bool {
 	threshold := d.shedding.threshold
 	inAdmittedFraction := level == threshold.Level && !j.lowSlack && d.rng.next() < threshold.AdmitFraction
 	return threshold.Level == 0 || level > threshold.Level || inAdmittedFraction
 }
 
-// shedsRetry reports whether j, after attempts that all provably never ran, is below the admission threshold by now: in an
-// overload of the fleet a retry of such a job costs capacity that jobs of a higher value need.
+// shedsRetry reports whether j, after attempts that all provably never ran, is now below the admission threshold. While the
+// cluster is overloaded, a retry of such a job would use capacity that jobs of higher value need.
 func (d *Dispatcher) shedsRetry(j *job) bool {
 	return j.attemptCount > 0 && j.mayHaveRun == nil && d.shedding.threshold.Level > d.priorityLevel(j)
 }
 
-// priorityLevel returns the level of j's value for a second of its work, 0 to PriorityLevels-1: the middle one stands for
-// 1, and levelsPerOctave of them for each doubling. The value counts less for a tenant over its quota.
+// priorityLevel returns the level of j's value density, 0 to PriorityLevels-1. The scale is logarithmic: the middle level
+// stands for a density of 1, and each doubling adds levelsPerOctave levels. The value is reduced for a tenant over its
+// quota.
 func (d *Dispatcher) priorityLevel(j *job) int {
-	density := d.valueOf(j) / max(j.work.Seconds(), minPriorityWork) * d.tenantFactor(j.tenant)
+	density := d.valueOf(j) / max(j.work.Seconds(), minWorkSeconds) * d.tenantFactor(j.tenant)
 	level := PriorityLevels/2 + int(math.Round(levelsPerOctave*math.Log2(max(density, minDensity))))
 	return min(max(0, level), PriorityLevels-1)
 }
 
-// TakeLoadSummary returns what this node saw since the last call, with the work that waits and the capacity as they are
-// now.
+// TakeLoadSummary returns this node's load since the last call, with the waiting work and the capacity as of now.
 func (d *Dispatcher) TakeLoadSummary(now time.Duration) LoadSummary {
 	summary := d.shedding.takeSummary()
 	summary.Waiting = d.waitingWork()
@@ -121,13 +123,14 @@
 	return summary
 }
 
-// SetAdmissionThreshold sets the fleet's threshold. Jobs that were admitted stay.
+// SetAdmissionThreshold sets the cluster's threshold. Jobs that were already admitted are not shed, except instead of a
+// retry after attempts that never ran.
 func (d *Dispatcher) SetAdmissionThreshold(threshold AdmissionThreshold) {
 	d.shedding.threshold = threshold
 }
 
-// waitingWork returns the work of jobs that wait here or at an executor, in seconds, each over its slack: the less slack
-// they have, the more such work shows a lack of capacity.
+// waitingWork returns the sum, over the jobs that wait here or at an executor, of work divided by slack: a job with little
+// slack that has to wait is a stronger sign of missing capacity.
 func (d *Dispatcher) waitingWork() float64 {
 	waiting := 0.0
 	for _, j := range d.queue.onTime {
@@ -146,8 +149,8 @@
 	return waiting
 }
 
-// estimateCapacity returns the work a second that the available executors of the endpoint list can do, by their slots and
-// paces.
+// estimateCapacity returns the work per second that the available executors of the endpoint list can do, computed from
+// their slots and paces.
 func (d *Dispatcher) estimateCapacity(now time.Duration) float64 {
 	capacity := 0.0
 	for _, e := range d.endpoints.ranked {
@@ -164,8 +167,8 @@
 	return capacity
 }
 
-// recordExpired records a job that is given up on. One that came with too little time to be done has not waited, and does
-// not count: a threshold that rose for such jobs would rise without end.
+// recordExpired adds the work of a job that got no token in time. A job that arrived with too little time has not waited
+// and is left out: raising the threshold would not reduce such jobs, so the threshold would rise without end.
 func (d *Dispatcher) recordExpired(j *job) {
 	waited := d.clock.now-j.arrivedAt > d.config.quantum
 	if !j.lowSlack && waited && j.attemptCount < j.class.maxAttempts {
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	slowProgressFactor = 2.0 // times the usual pace from which on an attempt counts as stuck
-	maxMigrationCost   = 0.1 // of a job's value that sending it to another zone once more may cost
-	migrationGain      = 2   // times the running time elsewhere that a started attempt must still need to be migrated
+	slowProgressFactor = 2.0 // an attempt or executor is slow from this multiple of the usual pace of the executor's kind
+	maxMigrationCost   = 0.1 // largest cost of a migration to another zone, as a fraction of the job's value
+	migrationGain      = 2   // a started attempt is migrated if it needs more than this multiple of the running time elsewhere
 )
 
-// reviewAttempt reports whether to stop waiting for an attempt: its job is over, it can earn nothing more, or it is
-// migrated. It also has quiet executors checked, requests hedges, and schedules the attempt's next check.
+// reviewAttempt reports whether to cancel an attempt: its job is finished, it can't yield value any more, or the job is
+// migrated to another executor. It also requests health checks of inactive executors and hedges, and schedules the
+// attempt's next review.
 func (d *Dispatcher) reviewAttempt(a *attempt, now time.Duration) bool {
 	if a.canceling || !d.config.canCancel {
 		return false
 	}
-	d.probeIfQuiet(a, now)
+	d.checkInactiveExecutor(a, now)
 	idempotent := a.class.idempotency == Idempotent
 	if a.finished {
-		return !a.running || idempotent // then canceling it has no cost
+		return !a.running || idempotent // the client may rely on a started job that is not idempotent
 	}
 	remaining := d.remainingAtSlowPace(a, now)
 	d.timers.checkAttempt(now+max(remaining, d.classes.checkInterval), a)
@@ -38,22 +39,24 @@
 	return d.shouldMigrate(a, pace, now)
 }
 
-// probeIfQuiet sends a health check to the executor of an attempt that gave no sign of life for longer than the attempt
-// should take. An attempt that has not started may be quiet for as long as it is left there (MigrationDelay).
-func (d *Dispatcher) probeIfQuiet(a *attempt, now time.Duration) {
+// checkInactiveExecutor requests a health check of the executor of an attempt if nothing has arrived from it for longer
+// than the attempt should take. For an attempt that has not started, the inactivity timeout is at least the time for
+// which it waits before it is migrated (MigrationDelay).
+func (d *Dispatcher) checkInactiveExecutor(a *attempt, now time.Duration) {
 	e := a.executor
-	quietLimit := scaled(a.work, d.endpoints.kinds[e.kind].pace)
+	inactivityTimeout := scaled(a.work, d.endpoints.kinds[e.kind].pace)
 	if !a.running {
 		slack := a.objectiveAt - a.sentAt - a.work
-		quietLimit = max(quietLimit, scaled(slack, d.shedding.threshold.MigrationDelay))
+		inactivityTimeout = max(inactivityTimeout, scaled(slack, d.shedding.threshold.MigrationDelay))
 	}
-	if !e.health.unresponsive && now-max(e.health.lastSeen, a.sentAt) > quietLimit {
+	if !e.health.unresponsive && now-max(e.health.lastSeen, a.sentAt) > inactivityTimeout {
 		d.requestProbe(e, now, d.classes.shortestObjective)
 	}
 }
 
-// remainingAtSlowPace returns how long a started attempt may still run before it counts as slow, by slowProgressFactor
-// times its kind's pace. It is negative for one that has run longer, and 0 for one that has not started.
+// remainingAtSlowPace returns how long a started attempt may still run before it counts as slow, which is when it has run
+// for slowProgressFactor times the usual running time of its executor's kind. The result is negative if it has run
+// longer, and 0 if it has not started.
 func (d *Dispatcher) remainingAtSlowPace(a *attempt, now time.Duration) time.Duration {
 	if !a.running {
 		return 0
@@ -62,17 +65,17 @@
 	return scaled(a.work, slowProgressFactor*usualPace) - (now - a.startedAt)
 }
 
-// paceForCheck returns the pace that an attempt's prospects are judged by. Without the client's estimate of the work, the
-// attempt's own long run tells nothing of the executor, so what runs there now does not count.
+// paceForCheck returns the executor's pace in the review of an attempt. Without the client's estimate of the work, a long
+// running time may be due to the job and not to the executor, so attempts that are still running are not counted.
 func (d *Dispatcher) paceForCheck(a *attempt, now time.Duration) float64 {
-	if a.hinted {
+	if a.hasClientEstimate {
 		return d.pace(a.executor, now)
 	}
 	return a.executor.estimate.meanPace(d.endpoints.kinds[a.executor.kind].pace)
 }
 
-// isStuck reports whether an attempt makes no or slow progress: its executor is unresponsive, or the attempt has run
-// longer than it may and its executor is slow, ejected, or has not sent its progress notices.
+// isStuck reports whether an attempt makes no or slow progress: its executor is unresponsive, or the attempt has run longer
+// than remainingAtSlowPace allows and the executor is ejected, is slow, or sent no progress notices for too long.
 func (d *Dispatcher) isStuck(a *attempt, pace float64, remaining, now time.Duration) bool {
 	e := a.executor
 	if e.health.unresponsive {
@@ -82,15 +85,16 @@
 	return remaining < 0 && (e.health.isEjected(now) || a.tokenReleased || slow)
 }
 
-// missesObjective reports whether an attempt that begins now would end past its objective, in a class that pays nothing
-// then.
+// missesObjective reports whether an attempt that starts now would end after its objective, and its class has no late
+// value.
 func (d *Dispatcher) missesObjective(a *attempt, pace float64, now time.Duration) bool {
 	return a.class.lateValue == 0 && now > a.objectiveAt-scaled(a.work, pace)
 }
 
-// shouldMigrate reports whether to cancel an attempt because another executor has a token for it. One that has started
-// must need much longer where it is. One that has not waits for migrationStart first, unless its executor is ejected or
-// unresponsive. Crossing zones once more must be cheap for the job's value.
+// shouldMigrate reports whether to cancel an attempt because another executor has a token for the job. An attempt that has
+// started is migrated only if it would need much longer where it is. An attempt that has not started is migrated only after
+// migrationStart, or at once if its executor is ejected or unresponsive, and to another zone only if the cost of crossing
+// zones is small compared with the job's value.
 func (d *Dispatcher) shouldMigrate(a *attempt, pace float64, now time.Duration) bool {
 	target := d.migrationTarget(a, now)
 	if target == nil {
@@ -109,9 +113,9 @@
 	return d.remoteSide(target) == 0 || d.config.crossZoneCost < maxMigrationCost*d.marginalValue(a.job)
 }
 
-// migrationStart returns from when on an attempt that has not started may be migrated: after the part of its slack that
-// the fleet's MigrationDelay says, as most attempts start by themselves, and, where nothing shows that the target has
-// less to do, after a mean running time.
+// migrationStart returns the earliest time at which an attempt that has not started may be migrated. Most attempts start
+// without a migration, so it first waits for the fraction of its slack that the cluster sets as MigrationDelay. If there is
+// no information on whether the target is less loaded, it waits for at least the longest mean running time.
 func (d *Dispatcher) migrationStart(a *attempt, target *executor, pace float64) time.Duration {
 	slack := a.objectiveAt - a.sentAt - scaled(a.work, pace)
 	delay := max(0, scaled(slack, d.shedding.threshold.MigrationDelay))
@@ -122,8 +126,8 @@
 	return a.sentAt + delay
 }
 
-// migrationTarget returns the executor that the job would go to if the attempt were canceled now, as one that may have
-// run, or nil.
+// migrationTarget returns the executor that the job would be sent to if the attempt were canceled now, or nil. A canceled
+// attempt may have run, so the executor must be eligible for such a retry.
 func (d *Dispatcher) migrationTarget(a *attempt, now time.Duration) *executor {
 	if a.mayHaveRun == nil {
 		a.mayHaveRun = a
@@ -132,8 +136,8 @@
 	return d.pickExecutor(a.job, now, false)
 }
 
-// remaining returns how much longer a started attempt runs, by its last progress notice, or else, as long again as it
-// has run.
+// remaining returns how much longer a started attempt is expected to run: as its last progress notice predicts, or, without
+// one, as long as it has run until now.
 func (a *attempt) remaining(now time.Duration) time.Duration {
 	if a.progress > minProgress {
 		return scaled(a.progressAt-a.startedAt, (1-a.progress)/a.progress)
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// recordOutcome records what an attempt's outcome says of its executor, and releases the token: at once, or later if the
-// executor may still be at work or is full.
+// recordOutcome updates the state of an attempt's executor after the attempt's outcome, and releases its token: at once, or
+// later if the executor may still be running the job or is full.
 func (d *Dispatcher) recordOutcome(a *attempt, outcome Outcome, now time.Duration) {
 	if a.tokenReleased {
-		return // the attempt was given up as silent, and nothing of it says more of the executor
+		return // the attempt was already removed from its executor because no progress notice came
 	}
 	e := a.executor
 	e.removeAttempt(a)
@@ -21,7 +21,7 @@
 	case ExecutorFull:
 		e.queuing.recordFull(a.tenantID, runTime)
 		d.recordFailure(a, outcome, now)
-		d.restToken(e, runTime, now)
+		d.delayTokenRelease(e, runTime, now)
 		return
 	case ExecutorError, InvalidRequest, ConnectFailed, ConnectionLost:
 		d.recordFailure(a, outcome, now)
@@ -32,23 +32,24 @@
 	d.releaseToken(e, now, a.waitedAtExecutor)
 }
 
-// recordFailure ejects the executor of an attempt without a result, if the failure is the executor's. Where connections
-// fail and executors answer health checks, the executor is unresponsive until it answers one.
+// recordFailure records a failed attempt, and ejects the executor if the failure is its fault. If the connection failed and
+// executors answer health checks, the executor counts as unresponsive until it answers one.
 func (d *Dispatcher) recordFailure(a *attempt, outcome Outcome, now time.Duration) {
 	e := a.executor
-	if d.config.canProbe && (outcome == ConnectFailed || outcome == ConnectionLost) {
+	if d.config.canCheckHealth && (outcome == ConnectFailed || outcome == ConnectionLost) {
 		d.markUnresponsive(e, max(1, e.health.timeouts))
 		d.requestProbe(e, now, 0)
 	}
-	if blamesExecutor(a, outcome) {
+	if isExecutorFault(a, outcome) {
 		d.eject(e, now, "after a failed attempt")
 	}
 	e.health.recordFailure(outcome)
 }
 
-// blamesExecutor reports whether a failure shows a fault of the executor. An error does. Any other failure may come from
-// the network or the job; a second one with no sign of life between does, unless the executor is full for one tenant.
-func blamesExecutor(a *attempt, outcome Outcome) bool {
+// isExecutorFault reports whether a failure is attributed to the executor. An error always is. Any other failure may be
+// caused by the network or the job, and is attributed to the executor only if an earlier attempt has failed and nothing
+// has arrived from the executor since. A rejection as full is not, if the executor has only rejected jobs of one tenant.
+func isExecutorFault(a *attempt, outcome Outcome) bool {
 	e := a.executor
 	if outcome == ExecutorError {
 		return true
@@ -57,16 +58,17 @@
 	return e.health.suspect && !fullForOne
 }
 
-// restToken keeps the token of an attempt that was rejected as full for fullTokenRest running times, longer with each
-// rejection in a row. In an overload it would otherwise be taken and rejected again and again.
-func (d *Dispatcher) restToken(e *executor, runTime, now time.Duration) {
+// delayTokenRelease releases the token of an attempt that the executor rejected as full only after fullTokenRest running
+// times, multiplied by the number of consecutive rejections. During an overload, the token would otherwise be taken for
+// one attempt after another that is rejected.
+func (d *Dispatcher) delayTokenRelease(e *executor, runTime, now time.Duration) {
 	d.returnLease(e, now, true)
 	inRow := e.health.recordRejection()
 	d.timers.releaseToken(now+scaled(runTime, fullTokenRest*float64(inRow)), e)
 }
 
-// recordAbandoned records an attempt that this node stopped waiting for. The executor may still be at work on it, so its token
-// stays taken until the work would be done.
+// recordAbandoned records an attempt that timed out or was canceled. The executor may still be running it, so its token is
+// released only when the predicted running time is over.
 func (d *Dispatcher) recordAbandoned(a *attempt, outcome Outcome, runTime, now time.Duration) {
 	e := a.executor
 	if a.shortBudget && outcome == TimedOut {
@@ -83,7 +85,7 @@
 	d.timers.releaseToken(max(now, startedAt+runTime), e)
 }
 
-// recordSuccess records a completed attempt: the executor lives, and its pace and start wait are updated.
+// recordSuccess records a completed attempt, and updates the executor's health, pace and start wait.
 func (d *Dispatcher) recordSuccess(a *attempt, now time.Duration) {
 	e := a.executor
 	d.recordAlive(e, now)
@@ -101,20 +103,20 @@
 	d.recordRunTime(a.job, e, runTime)
 }
 
-// inferRunTime returns how long an attempt ran that sent no start notice: what its executor's pace predicts, at most the
-// time since it was sent. Without the client's estimate of the work, half of what neither the prediction nor the usual
-// start wait explains counts as running time too, or a first guess that is too low would never rise.
+// inferRunTime returns the estimated running time of an attempt without a start notice: the time that its executor's pace
+// predicts, limited to the time since it was sent. Without the client's estimate of the work, half of the time beyond the
+// prediction and the usual start wait is added. Otherwise an initial estimate of the work that is too low would never rise.
 func (d *Dispatcher) inferRunTime(a *attempt, now time.Duration) time.Duration {
 	e := a.executor
 	elapsed := d.elapsed(a)
 	runTime := min(elapsed, scaled(a.work, d.pace(e, now)))
-	if !a.hinted {
+	if !a.hasClientEstimate {
 		runTime += max(0, elapsed-runTime-e.estimate.startWait) / 2
 	}
 	return runTime
 }
 
-// removeAttempt removes an attempt that is over from those that are out.
+// removeAttempt removes an attempt that has ended from the executor's attempts in flight.
 func (e *executor) removeAttempt(a *attempt) {
 	e.attempts = slices.DeleteFunc(e.attempts, func(other *attempt) bool { return other == a })
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -51,7 +51,7 @@
 			e.health.suspect = test.suspect
 			e.queuing.fullForSeveral = test.fullForSeveral
 			a := &attempt{job: &job{tenant: test.tenant}, executor: e}
-			if got := blamesExecutor(a, test.outcome); got != test.want {
+			if got := isExecutorFault(a, test.outcome); got != test.want {
 				t.Errorf("blames the executor: %v, want %v", got, test.want)
 			}
 		})
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	zoneFullLoad          = 1.3  // jobs a core from which on a zone counts as full, where the endpoint list's weights show the load
-	zoneFullDelayedStarts = 0.3  // fraction of attempts that do not start at once from which on it does, where there are start notices
-	zoneFullWait          = 2.0  // start wait from which on it does elsewhere, in shortest latency objectives
-	zoneLoadStep          = 0.1  // weight of a new observation of a zone's load
-	minZoneSize           = 1e-9 // least total size of a zone's executors, so that an empty zone can be divided by
-	notAUsableToken       = -1   // tokenAge of an executor that the job may not use now
+	zoneFullLoad          = 1.3  // jobs per core at which a zone is full, with load-adjusted weights in the endpoint list
+	zoneFullDelayedStarts = 0.3  // fraction of attempts with a delayed start at which a zone is full, with start notices
+	zoneFullWait          = 2.0  // start wait at which a zone is full, without start notices, in shortest latency objectives
+	zoneLoadStep          = 0.1  // weight of a new observation in the running average of a zone's load
+	minZoneSize           = 1e-9 // least total size of a zone's executors, to avoid a division by zero
+	unusableToken         = -1   // tokenAge of an executor whose tokens the job may not use now
 )
 
-// neverCross is a crossZoneDelay that is never over. It can still be added to a time.
+// neverCross is a crossZoneDelay that never ends. It is below Forever, so that adding it to a time doesn't overflow.
 const neverCross = Forever / 4
 
-// zoneLoad is how full this node's zone and the other zones are, as a fraction: 1 is full.
+// zoneLoad holds the load of this node's zone (local) and of all other zones together (remote). A load of 1 means full.
 type zoneLoad struct {
 	local, remote float64
 }
 
-// of returns the load of one side, by remoteSide: 0 is this node's zone, 1 the other zones.
+// of returns the load of one side, numbered as by remoteSide: 0 is this node's zone, 1 the other zones.
 func (z *zoneLoad) of(side int) *float64 {
 	if side > 0 {
 		return &z.remote
@@ -30,19 +30,21 @@
 	return &z.local
 }
 
-// observe moves the load of one side toward a new observation.
+// observe adds an observation to the running average of one side's load.
 func (z *zoneLoad) observe(side int, observed float64) {
 	load := z.of(side)
 	*load += (observed - *load) * zoneLoadStep
 }
 
-// decayRemote lowers the remote load after an interval: while no job crosses zones it is hardly observed.
+// decayRemote lowers the remote load after an interval. While no job is sent to other zones, it is hardly observed and
+// would otherwise stay high.
 func (z *zoneLoad) decayRemote() { z.remote *= smoothing }
 
 // dispatch takes a token of e for a new attempt of j and schedules the attempt's first check.
 func (d *Dispatcher) dispatch(j *job, e *executor, now time.Duration) Decision {
 	d.queue.remove(j)
-	// A job past its objective waits because others go first, not for lack of tokens: only the time before counts.
+	// A late job waits because other jobs have priority, not for lack of tokens, so only the time before it was late
+	// counts.
 	waitedUntil := min(now, j.objectiveAt-j.work)
 	e.queuing.recordQueued(max(0, waitedUntil-j.queuedAt))
 	if len(e.attempts) == 0 {
@@ -60,10 +62,11 @@
 }
 
 // pickExecutor returns the executor whose oldest free token has the highest tokenAge for j, or nil if j can't use any
-// token now. With forLease it returns the executor whose lease holder is to be asked for a slot instead.
+// token now. With forLease it instead returns the executor whose lease holder should be asked for a lease.
 //
-// Executors of this node's zone come first, unless j crosses zones at once (crossesNow). The other side is open to j
-// after crossZoneDelay, or if no executor of the first side is usable. Ties go to the executor that ranks higher.
+// Executors of this node's zone are preferred, and other zones are used only after crossZoneDelay, or if no executor of
+// this zone is usable. The preference is reversed, without a delay, for a job that crosses zones at once (crossesNow). On
+// a tie the executor of higher rank is chosen.
 func (d *Dispatcher) pickExecutor(j *job, now time.Duration, forLease bool) *executor {
 	if !d.retryAllowed(j, now) || !d.anyTokenFor(j, now, forLease) {
 		return nil
@@ -86,11 +89,11 @@
 	return nil
 }
 
-// oldestToken returns the candidate on the query's side with the highest tokenAge, or nil. It keeps the query's minAge
-// at the best age so far, so that the candidate index can leave out what can't exceed it.
+// oldestToken returns the candidate with the highest tokenAge on the query's side (this zone or the others), or nil. It
+// sets the query's minAge to the best age so far, so that the candidate index can skip executors that can't exceed it.
 func (d *Dispatcher) oldestToken(wanted *query) *executor {
 	var best *executor
-	wanted.minAge = notAUsableToken
+	wanted.minAge = unusableToken
 	for e := range d.candidates(wanted) {
 		age := d.tokenAge(e, wanted)
 		tied := age == wanted.minAge && best != nil
@@ -102,41 +105,42 @@
 	return best
 }
 
-// tokenAge returns the weighted age of e's oldest free token, or notAUsableToken if the query's job may not use it now.
+// tokenAge returns the weighted age of e's oldest free token, or unusableToken if the query's job may not use it now.
 //
-// The age is weighted by e's weight in the endpoint list, over its pace and the expected wait there: many nodes have at
-// least one token each at every executor, so the unweighted age would load slow and small executors like the others.
-// A token is not usable if e can't complete the job by its objective, unless the job is past it anyway.
+// The age is multiplied by e's weight in the endpoint list, and divided by e's pace and the expected wait at e. Many
+// nodes have at least one token each at every executor, so unweighted ages would give small and slow executors as many
+// jobs as the others. A token is not usable if e is predicted to miss the job's objective, unless the job is late anyway.
 func (d *Dispatcher) tokenAge(e *executor, wanted *query) float64 {
 	j := wanted.job
 	now := wanted.now
 	d.index.evaluated++
 	if !d.isUsable(e, now) || !d.isEligible(e, j, now) {
-		return notAUsableToken
+		return unusableToken
 	}
 	if wanted.late && !d.openToLate(e, j) {
-		return notAUsableToken
+		return unusableToken
 	}
 	alreadyThere := len(j.attempts) > 0 && j.attempts[0].executor == e
 	if alreadyThere || !d.leaseAllows(e, now, wanted.forLease) || !d.canAccept(e, j, now) {
-		return notAUsableToken
+		return unusableToken
 	}
 	pace := d.pace(e, now)
 	wait := d.expectedWait(e, pace, now)
 	predictedWait := wait
 	if j.class.idempotency == AtMostOnce {
-		// A job that can't be migrated also counts the jobs of other nodes, by the load in the endpoint list.
+		// The job can't be migrated once it has started, so the prediction includes the jobs of other nodes at e, as shown
+		// by the load in the endpoint list.
 		predictedWait = max(wait, scaled(j.class.meanWork, (e.listedLoad-1)*pace))
 	}
 	if !wanted.late && now+scaled(predictedWait+scaled(j.work, pace), j.predictionMargin) > j.objectiveAt {
-		return notAUsableToken
+		return unusableToken
 	}
 	return e.weight * float64(now-e.tokens.free[0]) / (pace * (d.classes.shortestObjective + wait).Seconds())
 }
 
-// openToLate reports whether a job past its objective may use e. It must not take slots from jobs that can still meet
-// theirs: e must have no attempt of this node, and, if the class pays late and the job may thus wait for long, e must be
-// one that few nodes send such jobs to.
+// openToLate reports whether the late job j may use e. Late jobs must not take slots from jobs that can still meet their
+// objective, so e must have no attempt of this node. If j's class has a late value, j can wait for long, and e must also be
+// one of the executors that only a few nodes send late jobs to.
 func (d *Dispatcher) openToLate(e *executor, j *job) bool {
 	if len(e.attempts) > 0 {
 		return false
@@ -144,8 +148,8 @@
 	return j.class.lateValue <= 0 || d.rankAmong(e, j) < d.subset.lateSize
 }
 
-// isUsable reports whether e takes new attempts at all, whether or not it has a free token: it is available by the
-// endpoint list, answers, is not ejected, and, in slow start, is open to this node.
+// isUsable reports whether e may get new attempts of this node, regardless of tokens: e is available in the endpoint list
+// (rule 3), is neither unresponsive nor ejected, and, if it is in slow start, this node is one of its senders.
 func (d *Dispatcher) isUsable(e *executor, now time.Duration) bool {
 	if !e.available || e.health.unresponsive || e.health.ejectedUntil > now {
 		return false
@@ -153,15 +157,15 @@
 	return e.slowStart.sender && now >= d.slowStart.blockedUntil || now >= e.slowStart.until
 }
 
-// canAccept reports whether e may take j now: it has a free token, is below its cap in flight after an ejection, and,
-// in slow start, within the budget of rule 4.
+// canAccept reports whether e can take j now: e has a free token, is below its cap on attempts in flight, and, if it is in
+// slow start, j fits into the slow-start budget (rule 4).
 func (d *Dispatcher) canAccept(e *executor, j *job, now time.Duration) bool {
 	return len(e.tokens.free) > 0 && (e.health.inFlightCap == 0 || e.tokens.taken < e.health.inFlightCap) &&
 		(now >= e.slowStart.until || d.withinSlowStartBudget(e, j, now))
 }
 
-// isEligible reports whether e is of the kind that j's class is bound to and, if an earlier attempt may have run, is in
-// the dedup group of that attempt (rule 2).
+// isEligible reports whether e is of the kind that j's class requires and, if an earlier attempt may have run, whether an
+// attempt at e can't have a duplicate effect (rule 2).
 func (d *Dispatcher) isEligible(e *executor, j *job, now time.Duration) bool {
 	if j.class.kind != AnyKind && j.class.kind != e.kind {
 		return false
@@ -169,8 +173,9 @@
 	return j.inDedupGroup(e) && d.retryAllowed(j, now)
 }
 
-// crossZoneDelay returns how long j waits in the queue before it may use executors of other zones: the fraction of its
-// slack that the cost of crossing is of its value. A job worth less than the cost never crosses.
+// crossZoneDelay returns how long j waits in the queue before it may use executors of other zones. The delay, as a
+// fraction of j's slack, is the cost of crossing zones divided by j's value. A job whose value is below the cost never
+// crosses zones.
 func (d *Dispatcher) crossZoneDelay(j *job) time.Duration {
 	costFraction := d.config.crossZoneCost / d.marginalValue(j)
 	if costFraction < 1 {
@@ -179,17 +184,17 @@
 	return neverCross
 }
 
-// crossesNow reports whether j prefers other zones from the start. When this zone is overloaded, the fraction of jobs
-// that would bring the loads together does, less the cost of crossing; each job decides by its own random number, so
-// that nodes do not all move at once. Without it a zone with far more traffic than executors would keep all its jobs,
-// as some token there is always free.
+// crossesNow reports whether j prefers other zones from the start. While this zone is overloaded, that is so for the
+// fraction of jobs that would make the loads equal, reduced for the cost of crossing zones. Each job is compared with its
+// own random number, so that not all jobs cross at the same time. Without this preference, a zone with far more traffic
+// than executors would keep all its jobs, because some token there is always free.
 func (d *Dispatcher) crossesNow(j *job) bool {
 	return d.config.crossZoneCost > 0 && d.zoneLoad.local > 1 &&
-		j.crossChance < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
+		j.crossZoneDraw < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
 }
 
-// updateZoneLoads sets the zone loads from the endpoint list, where its weights fall with the load: the mean jobs a core
-// of the usable executors on each side, over zoneFullLoad.
+// updateZoneLoads sets the zone loads from the endpoint list, if its weights are load-adjusted: the mean jobs per core of
+// the usable executors on each side, divided by zoneFullLoad.
 func (d *Dispatcher) updateZoneLoads(now time.Duration) {
 	if !d.config.loadAdjustedWeights {
 		return
@@ -209,8 +214,8 @@
 	}
 }
 
-// recordZoneWait updates the load of e's zone by an attempt that waited that long at e before it started. Where the
-// endpoint list shows the load, updateZoneLoads sets it instead.
+// recordZoneWait updates the load of e's side after an attempt that waited at e for the given time before it started or was
+// canceled. It does nothing if the endpoint list shows the load, since updateZoneLoads then sets it.
 func (d *Dispatcher) recordZoneWait(e *executor, wait time.Duration) {
 	if d.config.loadAdjustedWeights {
 		return
@@ -224,15 +229,15 @@
 	d.zoneLoad.observe(d.remoteSide(e), observed)
 }
 
-// decayZoneLoad ends an interval for the zone loads, where they are not taken from the endpoint list.
+// decayZoneLoad lets the remote load decay at the end of an interval, if it is not taken from the endpoint list.
 func (d *Dispatcher) decayZoneLoad() {
 	if !d.config.loadAdjustedWeights {
 		d.zoneLoad.decayRemote()
 	}
 }
 
-// anyLocalUsable reports whether some executor of this node's zone that is eligible for j is usable, whether or not it
-// has a free token.
+// anyLocalUsable reports whether this node's zone has a usable executor that is eligible for j, with or without a free
+// token.
 func (d *Dispatcher) anyLocalUsable(j *job, now time.Duration) bool {
 	isLocalUsable := func(e *executor) bool {
 		d.index.visited++
@@ -257,7 +262,7 @@
 	return a.indexed.subsetRank < b.indexed.subsetRank
 }
 
-// rankAmong returns e's position among j's candidates, from 0.
+// rankAmong returns e's position among j's candidates by rank, from 0.
 func (d *Dispatcher) rankAmong(e *executor, j *job) int {
 	if d.boundToDedupGroup(j) {
 		position, _ := slices.BinarySearchFunc(d.endpoints.ranked, e, byRank)
@@ -266,8 +271,8 @@
 	return e.indexed.subsetRank
 }
 
-// eligibleExecutors returns the executors that j may be sent to: the subset, or all executors if j may be retried in its
-// dedup group only.
+// eligibleExecutors returns the executors among which j's executor is chosen: the subset, or all executors if j may only be
+// retried in a dedup group, as the subset may not contain any executor of it.
 func (d *Dispatcher) eligibleExecutors(j *job) []*executor {
 	if d.boundToDedupGroup(j) {
 		return d.endpoints.ranked
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,44 +7,44 @@
 )
 
 const (
-	minQueueDensity   = 1e-3 // least value for the work, in mean densities, that a queue key is derived from
-	minQueueLateValue = 1e-3 // least late value that a queue key is derived from
-	queueScanFactor   = 2    // jobs that one scan of the queue looks at, for each member of the subset
+	minQueueDensity   = 1e-3 // least value density in the queue key, as a multiple of the mean density
+	minQueueLateValue = 1e-3 // least late value in the queue key
+	queueScanFactor   = 2    // jobs of each list that one scan looks at, for each member of the subset
 )
 
 // jobQueue holds the jobs that wait for a token, in the order in which they are placed.
 type jobQueue struct {
-	onTime           []*job // that can still meet their objective, by queueKey
-	late             []*job // that can't, by queueKey
-	hedges           []*job // that want a second attempt, in the order in which they came to
-	usedThisInterval bool   // a job had to wait in this interval
-	tokenFreed       bool   // a token may have come free since the last scan
+	onTime           []*job // jobs that can still meet their objective, ordered by queueKey
+	late             []*job // jobs that can't meet their objective any more, ordered by queueKey
+	hedges           []*job // jobs that want a second attempt, in the order of their requests
+	usedThisInterval bool   // some job had to wait in this quota interval
+	tokenFreed       bool   // a token may have been released since the last scan of the queue
 }
 
-// empty reports whether no job waits.
+// empty reports whether no job is waiting.
 func (q *jobQueue) empty() bool { return q.length() == 0 }
 
 // length returns the number of waiting jobs, hedges included.
 func (q *jobQueue) length() int { return len(q.onTime) + len(q.late) + len(q.hedges) }
 
-// inOrder returns the waiting jobs in the order in which they are placed.
+// inOrder returns the lists of waiting jobs in the order in which they are placed.
 func (q *jobQueue) inOrder() [3][]*job { return [...][]*job{q.onTime, q.late, q.hedges} }
 
-// rescan has the next turn scan the queue, since a token may have come free.
+// rescan requests a scan of the queue in the next turn, because a token may have been released.
 func (q *jobQueue) rescan() { q.tokenFreed = true }
 
-// startInterval begins a new interval. A queue that is not empty at its start counts as used.
+// startInterval begins a new quota interval. The queue counts as used in it if jobs are waiting at its start.
 func (q *jobQueue) startInterval() {
 	q.usedThisInterval = len(q.onTime) > 0
 	q.rescan()
 }
 
-// noteWait records that j had to wait for a token. A job past its objective does not count: it waits for others.
-func (q *jobQueue) noteWait(j *job) {
+// recordWait records that j had to wait for a token. A late job does not count: it waits because other jobs have priority.
+func (q *jobQueue) recordWait(j *job) {
 	q.usedThisInterval = q.usedThisInterval || !j.queuedPastObjective
 }
 
-// listOf returns the list that j belongs to.
+// listOf returns the list of queued jobs that j belongs to.
 func (q *jobQueue) listOf(j *job) *[]*job {
 	if j.queuedPastObjective {
 		return &q.late
@@ -52,7 +52,7 @@
 	return &q.onTime
 }
 
-// insert adds j, whose queue key is set.
+// insert adds j at the position of its queue key.
 func (q *jobQueue) insert(j *job) {
 	list := q.listOf(j)
 	position, _ := slices.BinarySearchFunc(*list, j, compareQueueKeys)
@@ -60,7 +60,7 @@
 	j.isQueued = true
 }
 
-// remove takes j out, if it is queued.
+// remove removes j, if it is queued.
 func (q *jobQueue) remove(j *job) {
 	if !j.isQueued {
 		return
@@ -71,21 +71,21 @@
 	j.isQueued = false
 }
 
-// addHedge adds a job with an attempt out that wants a second one.
+// addHedge adds a job that has an attempt in flight and wants a second one.
 func (q *jobQueue) addHedge(j *job) {
 	j.hedgeWanted = true
 	q.hedges = append(q.hedges, j)
 	q.rescan()
 }
 
-// compareQueueKeys orders jobs by queue key, those of the same key by id.
+// compareQueueKeys orders jobs by queue key, and jobs with the same key by ID.
 func compareQueueKeys(a, b *job) int {
 	return cmp.Or(cmp.Compare(a.queueKey, b.queueKey), cmp.Compare(a.id, b.id))
 }
 
-// queueJob puts j into the queue, or moves it to the list of late jobs once it has no slack left. The key is the time
-// now plus the slack, shortened for a job of a high value for its work: such a job goes before others of the same
-// slack. For a late job the class's deadline over its late value stands for the slack.
+// queueJob puts j into the queue, or moves it to the list of late jobs once it has no slack left. The queue key is the
+// current time plus the slack divided by the value density, so that of two jobs with the same slack the one of higher value
+// density is placed first. For a late job, the class's deadline divided by its late value takes the place of the slack.
 func (d *Dispatcher) queueJob(j *job, now time.Duration) {
 	slack := j.objectiveAt - now - j.work
 	pastObjective := slack < 0
@@ -105,8 +105,8 @@
 	d.queue.insert(j)
 }
 
-// nextPlaceable returns the first job in the queue's order that a free token is open to, or nil. The queue is scanned
-// once after each change that may have freed a token, and no further than queueScanFactor allows.
+// nextPlaceable returns the first job in queue order that may use some free token, or nil. It scans the queue only if a
+// token may have been released since the last scan, and only as far as queueScanFactor allows.
 func (d *Dispatcher) nextPlaceable(now time.Duration) *job {
 	if d.subset.stale {
 		d.rebuildSubset(now)
--- a/policy/random.go
+++ b/policy/random.go
@@ -6,16 +6,16 @@
 	"math"
 )
 
-// randomSource draws the dispatcher's random numbers. The same seed and the same draws give the same numbers.
+// randomSource generates the dispatcher's random numbers. The same seed always gives the same sequence.
 type randomSource struct{ seed, count uint32 }
 
-// next returns the next number from 0 to 1.
+// next returns the next random number, from 0 to 1.
 func (r *randomSource) next() float64 {
 	r.count++
 	return Random(r.seed, r.count)
 }
 
-// Random returns the number from 0 to 1 that belongs to a seed and a counter.
+// Random returns the random number, from 0 to 1, for a seed and a counter.
 func Random(seed, count uint32) float64 {
 	var key [8]byte
 	binary.LittleEndian.PutUint32(key[:4], seed)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// retryAllowed is rule 2: it reports whether another attempt of j can have no second effect. That holds while no attempt
-// may have run, for idempotent jobs, and, for those with an idempotency key, while executors remember the key. An
-// at-most-once job that may have run is never retried.
+// retryAllowed reports whether another attempt of j can't have a duplicate effect (rule 2). That is so if no earlier attempt
+// may have run, if j is idempotent, or, for a job with an idempotency key, while executors remember the key. An at-most-once
+// job that may have run is never retried.
 func (d *Dispatcher) retryAllowed(j *job, now time.Duration) bool {
 	if j.mayHaveRun == nil {
 		return true
@@ -18,15 +18,15 @@
 	return false
 }
 
-// rejectionAllowed reports whether j may be answered with a rejection, which invites its client to try again: no attempt
-// may have run, or a further one is harmless wherever it runs.
+// rejectionAllowed reports whether j may be rejected, which invites its client to retry: no attempt may have run, or
+// another one can't have a duplicate effect at any executor.
 func (j *job) rejectionAllowed() bool {
 	return j.mayHaveRun == nil || j.class.idempotency == Idempotent ||
 		j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors
 }
 
-// inDedupGroup reports whether e is in the dedup group of j's attempt that may have run, so that a retry there has no
-// second effect. It always is where no attempt may have run and where retries are harmless.
+// inDedupGroup reports whether e is in the dedup group of j's attempt that may have run, so that a retry at e can't have a
+// duplicate effect. It is true for every executor if no attempt may have run or if j is idempotent.
 func (j *job) inDedupGroup(e *executor) bool {
 	if j.mayHaveRun == nil || j.class.idempotency == Idempotent {
 		return true
@@ -42,7 +42,7 @@
 	return false
 }
 
-// boundToDedupGroup reports whether j may be retried in the dedup group of its earlier attempt only.
+// boundToDedupGroup reports whether j may only be retried in the dedup group of its earlier attempt.
 func (d *Dispatcher) boundToDedupGroup(j *job) bool {
 	return j.mayHaveRun != nil && j.class.idempotency == IdempotentWithKey && j.class.dedupGroup != DedupAllExecutors
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -9,7 +9,7 @@
 const (
 	// restartedBudgetFraction is the part of the slow-start budget that a process has in its first overload window, if the
 	// executor started before it: the process before may have spent all but what the margin on work leaves over.
-	restartedBudgetFraction = unhintedMargin - 1
+	restartedBudgetFraction = classEstimateMargin - 1
 
 	// unknownWorkMargin is what a class without known running times adds to a job's margin in slow start, as a fraction;
 	// it shrinks with each running time that is known.
@@ -104,8 +104,8 @@
 // slowStartWork returns what j counts for in the slow-start budget: more than its estimated work, and, without the
 // client's estimate, the more the fewer running times of its class are known.
 func (j *job) slowStartWork() time.Duration {
-	margin := unhintedMargin
-	if !j.hinted {
+	margin := classEstimateMargin
+	if !j.hasClientEstimate {
 		margin *= 1 + unknownWorkMargin/float64(1+j.class.samples)
 	}
 	return scaled(j.work, margin)
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// timerQueue holds all due times in one heap.
+// timerQueue holds all timers, ordered by their due times.
 type timerQueue struct {
 	heap     timerHeap
-	sequence int // timers of the same moment fall due in the order in which they were set
+	sequence int // number of the last timer, for the order of timers with the same due time
 }
 
-// timerKind says what is to be done when a timer falls due.
+// timerKind says what to do when a timer is due.
 type timerKind uint8
 
 const (
-	placeJobTimer     timerKind = iota // ask Place for a job
-	checkAttemptTimer                  // check whether to cancel an attempt
-	releaseTokenTimer                  // release a token of an executor
-	checkAllTimer                      // check subset, queue, leases and health checks
+	placeJobTimer     timerKind = iota // have the caller call Place for the job
+	checkAttemptTimer                  // review the attempt, and cancel it if necessary
+	releaseTokenTimer                  // release one of the executor's taken tokens
+	checkAllTimer                      // check the subset, the queue, the leases and the health checks
 )
 
-// timer is one due time. A job's or an attempt's timer is void once their generation has changed.
+// timer is an action that is due at some time. A timer of a job or an attempt has no effect once the generation of the job
+// or attempt has changed.
 type timer struct {
 	at         time.Duration
 	sequence   int
@@ -32,23 +33,23 @@
 	executor   *executor
 }
 
-// placeJob sets a timer at which a job is to be placed.
+// placeJob sets a timer that has Place called for the job.
 func (q *timerQueue) placeJob(at time.Duration, j *job) {
 	q.add(timer{at: at, kind: placeJobTimer, generation: j.generation, job: j})
 }
 
-// checkAttempt sets the timer of an attempt's next check. The one that was set before becomes void.
+// checkAttempt sets the timer of an attempt's next review. It replaces the timer that was set before.
 func (q *timerQueue) checkAttempt(at time.Duration, a *attempt) {
 	a.generation++
 	q.add(timer{at: at, kind: checkAttemptTimer, generation: a.generation, attempt: a})
 }
 
-// releaseToken sets a timer at which one of the executor's taken tokens is released.
+// releaseToken sets a timer that releases one of the executor's taken tokens.
 func (q *timerQueue) releaseToken(at time.Duration, e *executor) {
 	q.add(timer{at: at, kind: releaseTokenTimer, executor: e})
 }
 
-// checkAll sets a timer at which everything that depends on time alone is checked.
+// checkAll sets a timer that checks everything whose state changes with time alone.
 func (q *timerQueue) checkAll(at time.Duration) {
 	q.add(timer{at: at, kind: checkAllTimer})
 }
@@ -59,7 +60,7 @@
 	heap.Push(&q.heap, t)
 }
 
-// popDue removes and returns the first timer that is due, if there is one.
+// popDue removes and returns the earliest timer, if it is due.
 func (q *timerQueue) popDue(now time.Duration) (timer, bool) {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return timer{}, false
@@ -67,7 +68,7 @@
 	return heap.Pop(&q.heap).(timer), true
 }
 
-// next returns the earliest due time, or Forever.
+// next returns the earliest due time, or Forever if no timer is set.
 func (q *timerQueue) next() time.Duration {
 	if len(q.heap) == 0 {
 		return Forever
@@ -75,7 +76,8 @@
 	return q.heap[0].at
 }
 
-// timerHeap orders timers by time, then by the order in which they were set. Its methods are those of heap.Interface.
+// timerHeap is a heap of timers, ordered by due time and then by the order in which they were set. It implements
+// heap.Interface.
 type timerHeap []timer
 
 // Len implements heap.Interface.
--- a/policy/value.go
+++ b/policy/value.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	minTenantArrivals = 2.0  // jobs of a tenant within the span of its rate that say nothing of its share yet
-	valueDecay        = 0.95 // of a class's requested and earned value, each interval
-	minWorstClassPart = 0.05 // least part of all jobs that the worst class is taken to have
-	tenantRateDecay   = 0.8  // of a tenant's rate, each interval
-	minMarginalValue  = 1e-9 // least marginal value, in mean jobs, so that it can be divided by
-	minUnitValue      = 1e-9 // least mean value of a class's job, likewise
-	minTotalQuota     = 1e-9 // least sum of all tenants' quotas, likewise
-
-	rateMemoryIntervals = 5 // intervals that a tenant's rate remembers, by tenantRateDecay
-	valueMeanSlowdown   = 4 // times slower than other averages that the mean values follow
+	minTenantArrivals     = 2.0  // arrivals in the memory of a tenant's rate below which they say little about its share
+	valueDecay            = 0.95 // factor for a class's requested and earned value, each interval
+	minWorstClassFraction = 0.05 // least fraction of all jobs that the worst class is taken to have
+	tenantRateDecay       = 0.8  // factor for a tenant's rate, each interval
+	minMarginalValue      = 1e-9 // least marginal value, in mean jobs, to avoid a division by zero
+	minMeanValue          = 1e-9 // least mean value of a class's jobs, to avoid a division by zero
+	minTotalQuota         = 1e-9 // least sum of all tenants' quotas, to avoid a division by zero
+
+	rateMemoryIntervals = 5 // intervals that a tenant's rate averages over, which follows from tenantRateDecay
+	valueMeanSlowdown   = 4 // factor by which the mean values change more slowly than other running averages
 )
 
-// valueAverages are what a job's value is measured against.
+// valueAverages holds the averages that a job's value is compared with.
 type valueAverages struct {
-	mean           float64   // mean value of a job
-	meanDensity    float64   // mean value of a job for its work
-	worstClass     *jobClass // the class that earned least of what it was asked for; nil for none
-	worstClassUnit float64   // its value for each job of any class
+	mean                  float64   // mean value of a job
+	meanDensity           float64   // mean value density of a job
+	worstClass            *jobClass // class that earned the lowest fraction of its requested value; nil: none
+	worstClassValuePerJob float64   // value of worstClass's jobs, averaged over the jobs of all classes
 }
 
 // tenant holds a tenant's quota and its traffic at this node.
 type tenant struct {
-	quotaPerSecond   float64 // this node's share of the tenant's quota
-	rate             float64 // jobs a second, averaged
+	quotaPerSecond   float64 // this node's part of the tenant's quota, in jobs per second
+	rate             float64 // running average of the tenant's jobs per second at this node
 	arrivals         int     // jobs in this interval
-	overQuota        float64 // share of this node's traffic over share of all quotas; over 1: the tenant is over its quota
-	budgetMargin     float64 // what a try of its impatient clients must have over its predicted running time, as a fraction of that
-	shortBudgetRatio float64 // fraction of its marked first tries that came with less than the full budget
+	overQuota        float64 // rate, relative to the tenant's fair share of this node's traffic; over 1: over its quota
+	budgetMargin     float64 // margin on the running time that a job with a short budget needs, as a fraction of it
+	shortBudgetRatio float64 // fraction of the tenant's first tries that came with less than the full budget
 }
 
-// forgetWorstClass is for a change of the classes: until the next interval ends, no class counts as the worst.
+// forgetWorstClass is called when the classes change. No class counts as the worst until the current interval ends.
 func (v *valueAverages) forgetWorstClass() { v.worstClass = nil }
 
-// adopt takes over the mean values that another process has learned, if there are any.
+// adopt takes over the mean values that another process of this node has learned, if it has.
 func (v *valueAverages) adopt(mean, meanDensity float64) {
 	if mean > 0 && meanDensity > 0 {
 		v.mean = mean
@@ -47,7 +47,7 @@
 	}
 }
 
-// valueOf returns the value of a job: its class's, times its work in seconds where value is paid for work.
+// valueOf returns the value of a job: the value of its class, multiplied by its work in seconds with ValuePerWork.
 func (d *Dispatcher) valueOf(j *job) float64 {
 	if d.config.valuePerWork {
 		return j.class.value * j.work.Seconds()
@@ -55,7 +55,7 @@
 	return j.class.value
 }
 
-// tenantFactor returns the factor that the value of a tenant's jobs counts with: below 1 for a tenant over its quota.
+// tenantFactor returns the factor for the value of a tenant's jobs. It is below 1 if the tenant is over its quota.
 func (d *Dispatcher) tenantFactor(t *tenant) float64 {
 	if t != nil && t.overQuota > 1 {
 		return d.config.overQuotaValue + (1-d.config.overQuotaValue)/t.overQuota
@@ -63,21 +63,22 @@
 	return 1
 }
 
-// marginalValue returns what completing j within its objective adds to the operators' measure, in mean jobs: its part of
-// the total value, and, in the class that fares worst, its part of that class's.
+// marginalValue returns the value of completing j within its objective, as a multiple of the mean value of a job. It has
+// two terms, weighted by the operators' settings: j's contribution to the total value and, if j is of the class that
+// earned the lowest fraction of its requested value, j's contribution to the value of that class.
 func (d *Dispatcher) marginalValue(j *job) float64 {
 	value := d.valueOf(j)
 	marginal := d.config.totalWeight * value / d.values.mean
 	if j.class == d.values.worstClass {
-		marginal += d.config.worstClassWeight * value / d.values.worstClassUnit
+		marginal += d.config.worstClassWeight * value / d.values.worstClassValuePerJob
 	}
 	return max(marginal*d.tenantFactor(j.tenant), minMarginalValue)
 }
 
-// recordRequested records the value of a job that arrived. Only first tries count as requested.
+// recordRequested updates the averages with the value of a job that arrived. Only first tries count as requested value.
 func (d *Dispatcher) recordRequested(j *job, firstTry bool) {
 	value := d.valueOf(j)
-	j.class.unitValue = j.class.unitValue*smoothing + value*(1-smoothing)
+	j.class.meanValue = j.class.meanValue*smoothing + value*(1-smoothing)
 	d.values.mean = slowMean(d.values.mean, value)
 	if firstTry {
 		j.class.requestedValue += value
@@ -86,7 +87,7 @@
 	d.values.meanDensity = slowMean(d.values.meanDensity, density)
 }
 
-// slowMean returns a running mean after another observation, which is the mean if it is the first.
+// slowMean returns a running mean after another observation. The first observation becomes the mean.
 func slowMean(mean, observed float64) float64 {
 	if mean == 0 {
 		mean = observed
@@ -94,7 +95,7 @@
 	return mean + (observed-mean)*(1-smoothing)/valueMeanSlowdown
 }
 
-// recordCompletion records a completed attempt. Its value is earned if it ended within the objective.
+// recordCompletion records a completed attempt. The job's value is earned if the attempt ended within its objective.
 func (d *Dispatcher) recordCompletion(a *attempt, now time.Duration) {
 	d.shedding.recordCompleted(a.job)
 	if now <= a.objectiveAt {
@@ -102,12 +103,12 @@
 	}
 }
 
-// updateWorstClass ends an interval for the classes: it lets their requested and earned values decay, and finds the class
-// that earned the least fraction of what was requested.
+// updateWorstClass is called at the end of each interval. It lets the requested and earned values of the classes decay, and
+// finds the class that earned the lowest fraction of its requested value.
 func (d *Dispatcher) updateWorstClass() {
 	var worst *jobClass
 	leastFraction := math.Inf(1)
-	jobs := 0.0 // of all classes, by their requested values
+	jobs := 0.0 // requested jobs of all classes
 	for _, class := range d.classes.current {
 		class.requestedValue *= valueDecay
 		class.earnedValue *= valueDecay
@@ -121,15 +122,16 @@
 	d.values.worstClass = worst
 	if worst != nil {
 		fraction := worst.requestedJobs() / jobs
-		d.values.worstClassUnit = max(worst.unitValue, minUnitValue) * max(fraction, minWorstClassPart)
+		d.values.worstClassValuePerJob = max(worst.meanValue, minMeanValue) * max(fraction, minWorstClassFraction)
 	}
 }
 
-// requestedJobs returns about how many jobs of a class were requested lately.
-func (t *jobClass) requestedJobs() float64 { return t.requestedValue / max(t.unitValue, minUnitValue) }
+// requestedJobs returns the approximate number of jobs of a class that were requested recently.
+func (c *jobClass) requestedJobs() float64 { return c.requestedValue / max(c.meanValue, minMeanValue) }
 
-// updateTenants ends an interval for the tenants: it updates their rates, and how far each is over its quota. A tenant is
-// measured against the others at this node: a node with more traffic than others would see all of them over their quotas.
+// updateTenants is called at the end of each interval. It updates the tenants' rates, and how far each tenant is over its
+// quota. If the total rate at this node exceeds the node's part of all quotas, each quota is raised in proportion:
+// otherwise a node with more traffic than other nodes would take all its tenants for over their quotas.
 func (d *Dispatcher) updateTenants() {
 	interval := d.classes.quotaInterval.Seconds()
 	totalRate := 0.0
@@ -141,7 +143,8 @@
 		totalQuota += t.quotaPerSecond
 	}
 	overload := max(totalRate/max(totalQuota, minTotalQuota), 1)
-	fewArrivals := minTenantArrivals / (rateMemoryIntervals * interval) // a second; so few say nothing of a tenant
+	// Added to both rates, so that a tenant with few jobs does not count as over its quota.
+	fewArrivals := minTenantArrivals / (rateMemoryIntervals * interval)
 	for i := range d.tenants {
 		t := &d.tenants[i]
 		fairRate := t.quotaPerSecond * overload
@@ -149,27 +152,27 @@
 	}
 }
 
-// recordArrival counts a job of the tenant.
+// recordArrival counts a job of the tenant that arrived.
 func (t *tenant) recordArrival() { t.arrivals++ }
 
-// updateRate updates a tenant's rate by its arrivals in an interval of that many seconds.
+// updateRate updates the tenant's rate at the end of an interval with the given length in seconds.
 func (t *tenant) updateRate(interval float64) {
 	t.rate = t.rate*tenantRateDecay + float64(t.arrivals)/interval*(1-tenantRateDecay)
 	t.arrivals = 0
 }
 
-// raiseBudgetMargin gives the tenant's jobs of short budgets more room, after one that timed out.
+// raiseBudgetMargin raises the margin for the tenant's jobs with short budgets, after one of them timed out.
 func (t *tenant) raiseBudgetMargin() {
 	t.budgetMargin = min(t.budgetMargin+budgetMarginRise*budgetMarginStep, maxBudgetMargin)
 }
 
-// lowerBudgetMargin gives them less room, after one that was completed.
+// lowerBudgetMargin lowers the margin for the tenant's jobs with short budgets, after one of them was completed.
 func (t *tenant) lowerBudgetMargin() {
 	t.budgetMargin = max(t.budgetMargin-budgetMarginStep, 0)
 }
 
-// recordFirstTry records whether a tenant's first try came with a short budget, and returns the fraction of them that do.
-// A client's retry is not counted. There is none for a job without a tenant.
+// recordFirstTry records whether a first try of the tenant came with a short budget, and returns the fraction of its first
+// tries that do. A client's retry is not recorded. For a job without a tenant, where t is nil, the fraction is 0.
 func (t *tenant) recordFirstTry(isRetry, isShort bool) float64 {
 	if t == nil {
 		return 0
