--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -116,7 +116,7 @@
 
 func newRandomWorld(t *testing.T, seed uint64) *randomWorld {
 	r := rand.New(rand.NewPCG(seed, 7))
-	s := base
+	s := baseSettings
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
 	s.Node = r.IntN(s.Nodes)
 	yes := func() bool { return r.IntN(2) == 0 }
@@ -414,7 +414,7 @@
 
 // TestMovedToOwnZone checks that an executor whose zone has become the own one counts as local before the subset is rebuilt.
 func TestMovedToOwnZone(t *testing.T) {
-	s := base
+	s := baseSettings
 	s.CrossZoneCost = 0.25
 	d := New(s)
 	d.UpdateEndpoints(0, CompleteUpdate, []Endpoint{{Executor: "far", Zone: 1, StartedLongAgo: true, Weight: 1}, {Executor: "moves", Zone: 1, StartedLongAgo: true, Weight: 1}})
@@ -474,9 +474,9 @@
 
 // newSteady loads executors of two slots each to that fraction, or with so many jobs a second.
 func newSteady(executors int, load, perS float64) *steady {
-	s := base
+	s := baseSettings
 	s.LoadAdjustedWeights = false
-	s.JobClasses = slices.Clone(base.JobClasses)
+	s.JobClasses = slices.Clone(baseSettings.JobClasses)
 	s.JobClasses[1].Kind = AnyKind
 	w := &steady{Dispatcher: New(s), random: rand.New(rand.NewPCG(1, uint64(executors))), paces: map[ExecutorID]float64{}}
 	var entries []Endpoint
@@ -578,7 +578,7 @@
 func TestEvaluationsWhereQueued(t *testing.T) {
 	per := map[int]int{}
 	for _, n := range [...]int{100, 400} {
-		s := base
+		s := baseSettings
 		s.JobClasses = []JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 1.2, Deadline: 60 * time.Second, Value: 1, Kind: AnyKind}}
 		d, now := New(s), time.Second
 		var entries []Endpoint
--- a/policy/learned_state_test.go
+++ b/policy/learned_state_test.go
@@ -26,17 +26,17 @@
 `), "\n") {
 		words := strings.Fields(line)
 		now, _ := time.ParseDuration(words[0])
-		player.pass(last, now)
-		player.event(now, words[1], words[2:])
-		player.run(now)
+		player.advance(last, now)
+		player.applyEvent(now, words[1], words[2:])
+		player.runDueTasks(now)
 		last = now
 	}
 	learned := player.d.ExportLearned(last)
 	if len(learned.Executors) != 2 || len(learned.Kinds) != 2 || len(learned.Classes) != 2 {
 		t.Fatalf("too little is known: %+v", learned)
 	}
-	successor := New(settings(t))
-	list := []Endpoint{endpoint(t, last, "a"), endpoint(t, last, "b:0:1"), endpoint(t, last, "c:0:0:1s")}
+	successor := New(testSettings(t))
+	list := []Endpoint{parseEndpoint(t, last, "a"), parseEndpoint(t, last, "b:0:1"), parseEndpoint(t, last, "c:0:0:1s")}
 	successor.UpdateEndpoints(last, CompleteUpdate, list)
 	implausible := LearnedState{
 		Classes:   []LearnedClass{{ID: 9, MeanWork: 1, UnitValue: 1}, {ID: -1}, {ID: 0}},
@@ -84,14 +84,14 @@
 // threeExecutors is an endpoint list of three executors that started long ago.
 func threeExecutors(t *testing.T) []Endpoint {
 	t.Helper()
-	return []Endpoint{endpoint(t, 0, "a"), endpoint(t, 0, "b"), endpoint(t, 0, "c")}
+	return []Endpoint{parseEndpoint(t, 0, "a"), parseEndpoint(t, 0, "b"), parseEndpoint(t, 0, "c")}
 }
 
 // TestLearnedStateOtherNodeCount checks a node that goes on among five instead of alone: it keeps what it knows of executors
 // and jobs, and begins its quotas anew. In its first seconds it sends no burst on the quotas of before, and nothing to the
 // slow executor.
 func TestLearnedStateOtherNodeCount(t *testing.T) {
-	predecessor := New(settings(t, "polled"))
+	predecessor := New(testSettings(t, "polled"))
 	predecessor.UpdateEndpoints(0, CompleteUpdate, threeExecutors(t))
 	rest(predecessor)
 	for _, e := range predecessor.quota.executors {
@@ -102,7 +102,7 @@
 	class := predecessor.classes.all[0]
 	class.meanWork, class.requestedValue = 700*time.Millisecond, 50
 
-	amongFive := settings(t, "polled")
+	amongFive := testSettings(t, "polled")
 	amongFive.Nodes = 5
 	successor := New(amongFive)
 	successor.UpdateEndpoints(0, CachedUpdate, threeExecutors(t))
@@ -137,7 +137,7 @@
 	if sent["a"] == 0 || sent["b"] > 0 {
 		t.Errorf("sent %v", sent)
 	}
-	amongAsMany := New(settings(t, "polled"))
+	amongAsMany := New(testSettings(t, "polled"))
 	amongAsMany.UpdateEndpoints(0, CachedUpdate, threeExecutors(t))
 	amongAsMany.ImportLearned(0, predecessor.ExportLearned(0))
 	rest(amongAsMany)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -9,8 +9,8 @@
 
 func TestRetryTraces(t *testing.T) { golden.ReplayDir(t, "retry", play) }
 
-// TestRetryRules checks rule 2 after an attempt that may have run: whether a retry is allowed, whether a rejection is, and
-// which executors are in the dedup group.
+// TestRetryRules checks the protection from duplicate effects (rule 2) after an attempt that may have run: whether a retry is
+// allowed, whether a rejection is allowed, and which executors are in the dedup group.
 func TestRetryRules(t *testing.T) {
 	const window = 2 * time.Second
 	first := &executor{zone: 1, cell: 11}
@@ -32,15 +32,15 @@
 		{"at most once", AtMostOnce, DedupAllExecutors, false, false, false, true, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			d := New(settings(t))
+			d := New(testSettings(t))
 			class := &jobClass{idempotency: test.idempotency, dedupGroup: test.group, dedupWindow: window}
 			j := &job{class: class}
 			if !d.retryAllowed(j, 0) || !j.rejectionAllowed() || !j.inDedupGroup(otherZone) {
-				t.Error("limited though no attempt may have run")
+				t.Error("a retry or a rejection is limited although no attempt may have run")
 			}
 			j.mayHaveRun = &attempt{job: j, executor: first, zone: first.zone, cell: first.cell}
 			for _, check := range []struct {
-				what      string
+				name      string
 				got, want bool
 			}{
 				{"a retry", d.retryAllowed(j, window/2), test.retry},
@@ -51,7 +51,7 @@
 				{"an executor of another zone", j.inDedupGroup(otherZone), test.otherZone},
 			} {
 				if check.got != check.want {
-					t.Errorf("%s: %v, want %v", check.what, check.got, check.want)
+					t.Errorf("%s: %v, want %v", check.name, check.got, check.want)
 				}
 			}
 		})
--- a/policy/timers_test.go
+++ b/policy/timers_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestTimerQueue checks that timers fall due in the order of their times, those of the same time in the order in which they
-// were set, and that an attempt's later timer makes the earlier one void.
+// TestTimerQueue checks that timers become due in the order of their times, timers of the same time in the order in which they
+// were set, and that setting an attempt's timer again disables the earlier one by changing the generation.
 func TestTimerQueue(t *testing.T) {
 	var q timerQueue
 	if q.next() != Forever {
-		t.Errorf("next of an empty queue: %v", q.next())
+		t.Errorf("next of an empty queue: %v, want Forever", q.next())
 	}
 	first, second := &job{id: "first"}, &job{id: "second"}
 	a := &attempt{job: first}
@@ -20,11 +20,11 @@
 	q.checkAttempt(time.Second, a)
 	q.checkAll(4 * time.Second)
 	if q.next() != time.Second {
-		t.Errorf("next: %v", q.next())
+		t.Errorf("next: %v, want 1s", q.next())
 	}
 	due, found := q.popDue(3 * time.Second)
 	if !found || due.kind != checkAttemptTimer || due.generation != a.generation {
-		t.Errorf("the attempt's second timer: %+v, %v", due, found)
+		t.Errorf("first due timer: %+v, %v, want the attempt's second timer", due, found)
 	}
 	for _, want := range []*job{first, second} {
 		if due, found = q.popDue(3 * time.Second); !found || due.job != want {
@@ -32,9 +32,9 @@
 		}
 	}
 	if due, found = q.popDue(3 * time.Second); !found || due.kind != checkAttemptTimer || due.generation == a.generation {
-		t.Errorf("the attempt's first timer is not void: %+v, %v", due, found)
+		t.Errorf("last due timer: %+v, %v, want the attempt's first timer, of an older generation", due, found)
 	}
 	if due, found = q.popDue(3 * time.Second); found {
-		t.Errorf("due before its time: %+v", due)
+		t.Errorf("timer returned before its due time: %+v", due)
 	}
 }
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -12,8 +12,8 @@
 	"birchstair/internal/golden"
 )
 
-// TestEveryTraceReplayed checks that each directory of traces is replayed by the test file of its rule, and that no trace
-// lies beside them.
+// TestEveryTraceReplayed checks that each directory in testdata is replayed by the test file of the same name, and that
+// every trace is in such a directory.
 func TestEveryTraceReplayed(t *testing.T) {
 	entries, err := os.ReadDir("testdata")
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	for _, entry := range entries {
 		if !entry.IsDir() {
-			t.Errorf("testdata/%s is in no rule's directory", entry.Name())
+			t.Errorf("testdata/%s is not in the directory of a rule", entry.Name())
 			continue
 		}
 		text, err := os.ReadFile(entry.Name() + "_test.go")
@@ -31,33 +31,40 @@
 	}
 }
 
-// tracePlayer plays a trace. A trace file in testdata holds what a dispatcher is told and, behind arrows, what it decided:
+// tracePlayer replays a trace on a dispatcher. A trace file in testdata contains the events that the dispatcher gets, one a
+// line, with the time first. The lines that begin with an arrow are its decisions. The lines are:
 //
-//	settings at-most-once dedup-zone   words that change the base settings
-//	1s list a b:1 c:0:2:5s       complete list: executor[:zone[:kind[:started so long ago, or -[:STATE[:weight]]]]]; STATE: available, draining,
-//	                             removed
-//	1s change a:0:0:-:draining   an incremental update; cached-list: a cached one; watch-failed: none
-//	2s job j1 work=300ms         a job arrives (class, tenant, work, budget, retry)
-//	2s started j1                then progress j1 0.5, ended j1 OUTCOME [final], client-left j1; of the last attempt, or, as
-//	                             j1/0, of the first
-//	2s lease-message 4 grant a   a lease message from node 4 about executor a
-//	2s load-report a 4 1 0       a load report: jobs in flight, queued, slots free
-//	2s probe-ended a answered free=1   the outcome of a health check; or unanswered
-//	9s shutdown-by 12s           the node shuts down by then
-//	9s! ended j1 succeeded       the node was stalled: it had no turn since the line before
-//	9s wait                      let time pass until then
-//	9s threshold 36 0.5 0.8      the admission threshold: level, fraction admitted of it, migration delay
-//	9s summary                   show the load summary; quotas, subset, paces: show each executor's
+//	settings at-most-once dedup-zone   changes to baseSettings, by the names in testSettings
+//	1s list a b:1 c:0:2:5s             a complete endpoint list (format below)
+//	1s change a:0:0:-:draining         an incremental update of the endpoint list
+//	1s cached-list a b                 an endpoint list stored by an earlier process
+//	1s watch-failed                    discovery did not answer
+//	2s job j1 work=300ms               a job arrives; also class=, tenant=, budget= and retry=
+//	2s started j1                      the last attempt of j1 starts; j1/0 is its first attempt
+//	2s progress j1 0.5                 a progress notice with the fraction done
+//	2s ended j1 OUTCOME [final]        the attempt ends; final: the job is finished
+//	2s client-left j1                  the client of j1 leaves
+//	2s lease-message 4 grant a         a lease message from node 4 about executor a
+//	2s load-report a 4 1 0             a load report: jobs in flight, queued jobs, free slots
+//	2s probe-ended a answered free=1   the result of a health check: answered, or unanswered
+//	9s shutdown-by 12s                 the node shuts down by 12s
+//	9s! ended j1 succeeded             the same after a stall: the node had no turn since the line before
+//	9s wait                            no event; time passes until 9s
+//	9s threshold 36 0.5 0.8            the admission threshold: level, fraction admitted of it, migration delay
+//	9s summary                         print the load summary; likewise quotas, paces and subset
+//
+// An entry of an endpoint list is EXECUTOR[:ZONE[:KIND[:AGE[:STATE[:WEIGHT]]]]]. AGE is the time since the executor's start, or
+// - if it started long ago. STATE is available, draining or removed.
 type tracePlayer struct {
-	t         *testing.T
-	d         *Dispatcher
-	attempts  map[JobID]AttemptID // attempts sent so far
-	executors map[JobID][]ExecutorID
-	names     map[ExecutorHash]ExecutorID
-	lines     []string
+	t             *testing.T
+	d             *Dispatcher
+	attempts      map[JobID]AttemptID         // number of attempts sent so far
+	executors     map[JobID][]ExecutorID      // executors of a job's attempts, by attempt number
+	executorNames map[ExecutorHash]ExecutorID // executors of all endpoint lists so far
+	lines         []string                    // input and output lines so far
 }
 
-var base = Settings{
+var baseSettings = Settings{
 	Seed: 7, Nodes: 1, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second,
 	Quantum: time.Millisecond, PollWithin: 8 * time.Second, SlowStartCapacity: 0.25, SlowStartDuration: 8 * time.Second,
 	OverloadMultiple: 4, OverloadWindow: time.Second, StartNotices: true, OverQuotaValue: 0.1, ValuePerWork: true,
@@ -68,11 +75,11 @@
 	},
 }
 
-// settings returns the base settings, changed by the words of a settings line.
-func settings(t *testing.T, words ...string) Settings {
+// testSettings returns baseSettings with the changes that a settings line names.
+func testSettings(t *testing.T, words ...string) Settings {
 	t.Helper()
-	s := base
-	s.JobClasses = append([]JobClass(nil), base.JobClasses...)
+	s := baseSettings
+	s.JobClasses = append([]JobClass(nil), baseSettings.JobClasses...)
 	first := &s.JobClasses[0]
 	change := map[string]func(){
 		"at-most-once":     func() { first.Idempotency, s.JobClasses[1].Idempotency = AtMostOnce, AtMostOnce },
@@ -104,25 +111,25 @@
 	return s
 }
 
-// newTracePlayer returns a player of a new dispatcher with these settings.
+// newTracePlayer returns a player with a new dispatcher, whose settings are baseSettings with the named changes.
 func newTracePlayer(t *testing.T, words ...string) *tracePlayer {
 	t.Helper()
 	return &tracePlayer{
-		t:         t,
-		d:         New(settings(t, words...)),
-		attempts:  map[JobID]AttemptID{},
-		executors: map[JobID][]ExecutorID{},
-		names:     map[ExecutorHash]ExecutorID{},
+		t:             t,
+		d:             New(testSettings(t, words...)),
+		attempts:      map[JobID]AttemptID{},
+		executors:     map[JobID][]ExecutorID{},
+		executorNames: map[ExecutorHash]ExecutorID{},
 	}
 }
 
-// print adds a line of what the dispatcher decided.
+// print adds an output line about a decision or the state of the dispatcher.
 func (p *tracePlayer) print(now time.Duration, format string, args ...any) {
 	p.lines = append(p.lines, fmt.Sprintf(golden.Arrow+"%v ", now)+fmt.Sprintf(format, args...))
 }
 
-// decided records and prints a decision.
-func (p *tracePlayer) decided(now time.Duration, id JobID, decision Decision) {
+// recordDecision records and prints a decision.
+func (p *tracePlayer) recordDecision(now time.Duration, id JobID, decision Decision) {
 	switch decision.Action {
 	case Send:
 		p.attempts[id]++
@@ -135,20 +142,20 @@
 	}
 }
 
-// run does what is due, as the node would.
-func (p *tracePlayer) run(now time.Duration) {
+// runDueTasks handles all tasks that are due now, as the node does.
+func (p *tracePlayer) runDueTasks(now time.Duration) {
 	p.t.Helper()
 	for range 10000 {
 		due := p.d.NextTask(now)
 		switch due.Task {
 		case PlaceJob:
-			p.decided(now, due.Job, p.d.Place(now, due.Job))
+			p.recordDecision(now, due.Job, p.d.Place(now, due.Job))
 		case CancelAttempt:
 			p.print(now, "cancel %s on %s", due.Job, p.executors[due.Job][due.Attempt])
 		case WatchEndpoints:
 			p.print(now, "watch endpoints")
 		case SendLeaseMessage:
-			p.print(now, "send node %d: %s %s", due.Node, leaseMessageNames[due.Message], p.names[due.Hash])
+			p.print(now, "send node %d: %s %s", due.Node, leaseMessageNames[due.Message], p.executorNames[due.Hash])
 		case SendHealthCheck:
 			p.print(now, "probe %s", due.Executor)
 		case WriteLog:
@@ -157,26 +164,26 @@
 			return
 		}
 	}
-	p.t.Fatal("it never sleeps")
+	p.t.Fatalf("NextTask still returns tasks at %v after 10000 of them", now)
 }
 
-// pass steps through all due times up to then.
-func (p *tracePlayer) pass(from, until time.Duration) {
+// advance handles all tasks that are due until the given time, each at its own time.
+func (p *tracePlayer) advance(from, until time.Duration) {
 	p.t.Helper()
 	for now := from; now < until; {
 		due := p.d.NextTask(now)
 		if due.Task != Sleep {
-			p.t.Fatalf("something was left due at %v: %+v", now, due)
+			p.t.Fatalf("unhandled task at %v: %+v", now, due)
 		}
 		now = due.At
 		if now <= until {
-			p.run(now)
+			p.runDueTasks(now)
 		}
 	}
 }
 
-// endpoint reads an entry of the endpoint list.
-func endpoint(t *testing.T, now time.Duration, text string) Endpoint {
+// parseEndpoint parses an entry of an endpoint list, in the format that tracePlayer describes.
+func parseEndpoint(t *testing.T, now time.Duration, text string) Endpoint {
 	t.Helper()
 	parts := append(strings.Split(text, ":"), make([]string, 6)...)
 	e := Endpoint{Executor: ExecutorID(parts[0]), StartedLongAgo: true, Weight: 1}
@@ -230,7 +237,7 @@
 	"watch-failed": WatchFailed,
 }
 
-// play runs a trace file's own lines and returns the file as it should be.
+// play replays the input lines of a trace file, and returns the complete file with the resulting output lines.
 func play(t *testing.T, lines []string) string {
 	t.Helper()
 	p := newTracePlayer(t)
@@ -243,31 +250,31 @@
 		}
 		if words[0] == "settings" {
 			p.lines = append(p.lines, line)
-			p.d = New(settings(t, words[1:]...))
+			p.d = New(testSettings(t, words[1:]...))
 			continue
 		}
 		at, stalled := strings.CutSuffix(words[0], "!")
 		now := golden.Span(t, at)
 		if !stalled {
-			p.pass(last, now)
+			p.advance(last, now)
 		}
 		p.lines = append(p.lines, line)
-		p.event(now, words[1], words[2:])
-		p.run(now)
+		p.applyEvent(now, words[1], words[2:])
+		p.runDueTasks(now)
 		last = now
 	}
 	return strings.Join(p.lines, "\n") + "\n"
 }
 
-// event tells the dispatcher the event of a line, or shows what the line asks for.
-func (p *tracePlayer) event(now time.Duration, name string, args []string) {
+// applyEvent passes the event of a line to the dispatcher, or prints the state that the line asks for.
+func (p *tracePlayer) applyEvent(now time.Duration, name string, args []string) {
 	p.t.Helper()
 	if kind, isUpdate := endpointUpdateNames[name]; isUpdate {
 		p.d.UpdateEndpoints(now, kind, p.endpoints(now, args))
 		return
 	}
-	for _, tell := range []func(time.Duration, string, []string) bool{p.jobEvent, p.executorEvent, p.nodeEvent, p.show} {
-		if tell(now, name, args) {
+	for _, apply := range []func(time.Duration, string, []string) bool{p.applyJobEvent, p.applyExecutorEvent, p.applyNodeEvent, p.printState} {
+		if apply(now, name, args) {
 			return
 		}
 	}
@@ -279,8 +286,8 @@
 func (p *tracePlayer) endpoints(now time.Duration, args []string) []Endpoint {
 	var entries []Endpoint
 	for _, arg := range args {
-		e := endpoint(p.t, now, arg)
-		p.names[hashOf(string(e.Executor))] = e.Executor
+		e := parseEndpoint(p.t, now, arg)
+		p.executorNames[hashOf(string(e.Executor))] = e.Executor
 		entries = append(entries, e)
 	}
 	return entries
@@ -288,8 +295,9 @@
 
 func hashOf(executor string) ExecutorHash { return ExecutorHash(crc32.ChecksumIEEE([]byte(executor))) }
 
-// jobEvent tells an event of a job, or of its last attempt unless another number is given.
-func (p *tracePlayer) jobEvent(now time.Duration, name string, args []string) bool {
+// applyJobEvent passes on an event of a job or of an attempt: the job's last one, unless the line gives a number. It reports
+// whether name is such an event.
+func (p *tracePlayer) applyJobEvent(now time.Duration, name string, args []string) bool {
 	if len(args) == 0 {
 		return false
 	}
@@ -297,7 +305,7 @@
 	id := JobID(job)
 	number := p.attempts[id] - 1
 	if hasNumber {
-		number = AttemptID(p.number(numberText))
+		number = AttemptID(p.parseInt(numberText))
 	}
 	switch name {
 	case "job":
@@ -313,7 +321,7 @@
 			p.t.Fatalf("unknown outcome %q", args[1])
 		}
 		final := outcome == Succeeded || len(args) > 2
-		p.decided(now, id, p.d.AttemptEnded(now, id, number, outcome, final))
+		p.recordDecision(now, id, p.d.AttemptEnded(now, id, number, outcome, final))
 	case "client-left":
 		p.d.ClientLeft(now, id)
 	default:
@@ -330,19 +338,19 @@
 	}
 	return Arrival{
 		Job:         id,
-		Class:       JobClassID(p.number(values["class"])),
-		Tenant:      TenantID(p.number(values["tenant"])),
+		Class:       JobClassID(p.parseInt(values["class"])),
+		Tenant:      TenantID(p.parseInt(values["tenant"])),
 		Work:        golden.Span(p.t, values["work"]),
 		Budget:      golden.Span(p.t, values["budget"]),
 		ClientRetry: values["retry"] != "",
 	}
 }
 
-// executorEvent tells a load report or the outcome of a health check.
-func (p *tracePlayer) executorEvent(now time.Duration, name string, args []string) bool {
+// applyExecutorEvent passes on a load report or the result of a health check. It reports whether name is such an event.
+func (p *tracePlayer) applyExecutorEvent(now time.Duration, name string, args []string) bool {
 	switch name {
 	case "load-report":
-		load := p.figures(args[1:4])
+		load := p.parseFloats(args[1:4])
 		p.d.LoadReported(ExecutorID(args[0]), Load{InFlight: load[0], Queued: load[1], FreeSlots: load[2], FreeMemory: -1, RunTime: -1})
 	case "probe-ended":
 		load := Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
@@ -356,13 +364,14 @@
 	return true
 }
 
-// nodeEvent tells what other nodes, the fleet and the operators want.
-func (p *tracePlayer) nodeEvent(now time.Duration, name string, args []string) bool {
+// applyNodeEvent passes on a lease message of another node, an admission threshold of the cluster or a shutdown. It reports
+// whether name is such an event.
+func (p *tracePlayer) applyNodeEvent(now time.Duration, name string, args []string) bool {
 	switch name {
 	case "lease-message":
-		p.d.ReceiveLeaseMessage(now, NodeID(p.number(args[0])), p.leaseMessage(args[1]), hashOf(args[2]))
+		p.d.ReceiveLeaseMessage(now, NodeID(p.parseInt(args[0])), p.leaseMessage(args[1]), hashOf(args[2]))
 	case "threshold":
-		figures := p.figures(args)
+		figures := p.parseFloats(args)
 		p.d.SetAdmissionThreshold(AdmissionThreshold{Level: int(figures[0]), AdmitFraction: figures[1], MigrationDelay: figures[2]})
 	case "shutdown-by":
 		p.d.ShutDownBy(now, golden.Span(p.t, args[0]))
@@ -383,8 +392,8 @@
 	return 0
 }
 
-// show prints a part of the dispatcher's state.
-func (p *tracePlayer) show(now time.Duration, name string, _ []string) bool {
+// printState prints the part of the dispatcher's state with that name, and reports whether there is such a part.
+func (p *tracePlayer) printState(now time.Duration, name string, _ []string) bool {
 	switch name {
 	case "quotas":
 		for _, e := range p.d.quota.executors {
@@ -409,7 +418,7 @@
 	return true
 }
 
-func (p *tracePlayer) number(text string) int {
+func (p *tracePlayer) parseInt(text string) int {
 	p.t.Helper()
 	number, err := strconv.Atoi(text)
 	if err != nil {
@@ -418,7 +427,7 @@
 	return number
 }
 
-func (p *tracePlayer) figures(texts []string) []float64 {
+func (p *tracePlayer) parseFloats(texts []string) []float64 {
 	p.t.Helper()
 	var figures []float64
 	for _, text := range texts {
