--- a/policy/admission.go
+++ b/policy/admission.go
@@ -51,12 +51,12 @@
 // job gets a start margin, since an attempt that can't end before its client gives up is wasted.
 func (d *Dispatcher) spentBudget(j *job, arrival Arrival) time.Duration {
 	class := j.class
-	lacking := class.recordBudget(arrival.Budget)
-	isShort := lacking > d.config.quantum
+	shortfall := class.recordBudget(arrival.Budget)
+	isShort := shortfall > d.config.quantum
 	class.recordArrival(isShort)
-	shortTimeout := d.config.clientsMarkRetries && d.shortTimeoutByMarks(j, arrival, lacking)
+	shortTimeout := d.config.clientsMarkRetries && d.shortTimeoutByMarks(j, arrival, shortfall)
 	switch {
-	case !isShort || d.shortTimeoutByCounts(j, lacking):
+	case !isShort || d.shortTimeoutByCounts(j, shortfall):
 		return 0
 	case !shortTimeout:
 		return max(0, class.deadline-arrival.Budget)
@@ -69,20 +69,21 @@
 }
 
 // shortTimeoutByMarks reports whether the client's timeout is shorter than the deadline, where clients mark their retries:
-// either this is a first try, or first tries of the tenant often have short budgets. Lacking is the difference to the full
-// budget. Up to the time since the previous turn, it may have been spent waiting for this turn.
-func (d *Dispatcher) shortTimeoutByMarks(j *job, arrival Arrival, lacking time.Duration) bool {
-	shortFirstTry := !arrival.ClientRetry && lacking > d.clock.turnGap
+// either this is a first try with a short budget, or first tries of the tenant often have short budgets. The shortfall is the
+// full budget minus j's budget. A first try may have spent as much as the time since the previous turn waiting for this turn,
+// so a shortfall up to that doesn't count.
+func (d *Dispatcher) shortTimeoutByMarks(j *job, arrival Arrival, shortfall time.Duration) bool {
+	shortFirstTry := !arrival.ClientRetry && shortfall > d.clock.turnGap
 	ratio := j.tenant.recordFirstTry(arrival.ClientRetry, shortFirstTry)
 	return ratio > maxShortBudgetRatio || shortFirstTry
 }
 
 // shortTimeoutByCounts reports whether the client's timeout is shorter than the deadline, where clients don't mark their
-// retries: j lacks more of the full budget than one earlier try can have spent, and more jobs with short budgets arrive
-// than retries of rejected jobs would explain.
-func (d *Dispatcher) shortTimeoutByCounts(j *job, lacking time.Duration) bool {
+// retries: the shortfall of j's budget is larger than the time that one earlier try can have spent, and more jobs with short
+// budgets arrive than retries of rejected jobs would explain.
+func (d *Dispatcher) shortTimeoutByCounts(j *job, shortfall time.Duration) bool {
 	return !d.config.clientsMarkRetries &&
-		lacking > d.maxQueueTime(j)+d.config.maxRetryAfter+max(0, d.clock.stalledFor) &&
+		shortfall > d.maxQueueTime(j)+d.config.maxRetryAfter+max(0, d.clock.stalledFor) &&
 		j.class.shortBudgets > minTenantArrivals+maxClientRetries*j.class.rejectedFirstTries
 }
 
--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -14,7 +14,7 @@
 
 // scanned is pickExecutor as a scan of all eligible executors.
 func (d *Dispatcher) scanned(j *job, now time.Duration, forLease bool) *executor {
-	late, crosses, localUsable := d.isLate(j, now), d.crossesNow(j), false
+	late, crosses, localUsable := d.isLate(j, now), d.prefersOtherZones(j), false
 	var best *executor
 	bestSide, bestAge := 0, 0.0
 	for i, e := range d.eligibleExecutors(j) {
@@ -250,7 +250,7 @@
 		return "in a dedup group"
 	case w.now < e.slowStart.until:
 		return "slow start"
-	case d.crossesNow(j) && d.remoteSide(e) > 0:
+	case d.prefersOtherZones(j) && d.remoteSide(e) > 0:
 		return "crossing"
 	case d.isLate(j, w.now):
 		return "late"
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -113,7 +113,7 @@
 	if !q.late && j.objectiveAt < max(c.earliestEnd, earliestEnd) {
 		return false
 	}
-	crosses, onOtherSide := d.crossesNow(j), false
+	crosses, onOtherSide := d.prefersOtherZones(j), false
 	for _, e := range c.executors {
 		if d.tokenAge(e, &q) <= -1 {
 			continue
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -178,8 +178,8 @@
 	d.recordAlive(a.executor, now)
 }
 
-// AttemptEnded records an attempt's outcome and decides what becomes of the job. If final is set, the job is
-// finished, by this outcome or before it, and nothing more is sent for it.
+// AttemptEnded records an attempt's outcome and decides what becomes of the job. If final is set, the job is finished, by this
+// outcome or before it, and nothing more is sent for it.
 func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, number AttemptID, outcome Outcome, final bool) Decision {
 	d.beginTurn(now)
 	a := d.findAttempt(id, number)
@@ -279,7 +279,7 @@
 }
 
 // ShutDownBy records that the node shuts down, and that all jobs must have their answers by the given time. Queued jobs that
-// can't be completed until then are rejected or fail at once.
+// can't be completed by then are rejected or fail at once.
 func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
 	d.clock.shutdownBy = by
 	for _, j := range d.jobs {
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -63,7 +63,7 @@
 	c.meanWork = scaled(c.meanWork, 1-weight) + scaled(ran, weight)
 }
 
-// recordBudget records the budget of a job that arrived, and returns by how much it is below the full budget.
+// recordBudget records the budget of a job that arrived, and returns its shortfall: the full budget minus this one.
 func (c *jobClass) recordBudget(budget time.Duration) time.Duration {
 	c.fullBudget = max(c.fullBudget, budget)
 	return c.fullBudget - budget
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -22,8 +22,8 @@
 	local, remote float64
 }
 
-// of returns the load of one side, numbered as by remoteSide: 0 is this node's zone, 1 the other zones.
-func (z *zoneLoad) of(side int) *float64 {
+// loadOf returns the load of one side, numbered as by remoteSide: 0 is this node's zone, 1 the other zones.
+func (z *zoneLoad) loadOf(side int) *float64 {
 	if side > 0 {
 		return &z.remote
 	}
@@ -32,7 +32,7 @@
 
 // observe adds an observation to the running average of one side's load.
 func (z *zoneLoad) observe(side int, observed float64) {
-	load := z.of(side)
+	load := z.loadOf(side)
 	*load += (observed - *load) * zoneLoadStep
 }
 
@@ -65,23 +65,23 @@
 // token now. With forLease it instead returns the executor whose lease holder should be asked for a lease.
 //
 // Executors of this node's zone are preferred, and other zones are used only after crossZoneDelay, or if no executor of
-// this zone is usable. The preference is reversed, without a delay, for a job that crosses zones at once (crossesNow). On
+// this zone is usable. The preference is reversed, without a delay, for a job that crosses zones at once (prefersOtherZones). On
 // a tie the executor of higher rank is chosen.
 func (d *Dispatcher) pickExecutor(j *job, now time.Duration, forLease bool) *executor {
 	if !d.retryAllowed(j, now) || !d.anyTokenFor(j, now, forLease) {
 		return nil
 	}
 	late := d.isLate(j, now)
-	crosses := d.crossesNow(j)
+	remoteFirst := d.prefersOtherZones(j)
 	wanted := query{job: j, now: now, late: late, forLease: forLease, maxPace: j.maxPace(now, late)}
 	if !d.boundToDedupGroup(j) && d.paceLowerBound(j.class.kind, now) > wanted.maxPace {
 		return nil
 	}
 	for pass := range 2 {
-		if pass > 0 && !crosses && now-j.queuedAt < d.crossZoneDelay(j) && d.anyLocalUsable(j, now) {
+		if pass > 0 && !remoteFirst && now-j.queuedAt < d.crossZoneDelay(j) && d.anyLocalUsable(j, now) {
 			return nil
 		}
-		wanted.remote = pass > 0 != crosses
+		wanted.remote = pass > 0 != remoteFirst
 		if best := d.oldestToken(&wanted); best != nil {
 			return best
 		}
@@ -117,7 +117,7 @@
 	if !d.isUsable(e, now) || !d.isEligible(e, j, now) {
 		return unusableToken
 	}
-	if wanted.late && !d.openToLate(e, j) {
+	if wanted.late && !d.acceptsLate(e, j) {
 		return unusableToken
 	}
 	alreadyThere := len(j.attempts) > 0 && j.attempts[0].executor == e
@@ -138,10 +138,10 @@
 	return e.weight * float64(now-e.tokens.free[0]) / (pace * (d.classes.shortestObjective + wait).Seconds())
 }
 
-// openToLate reports whether the late job j may use e. Late jobs must not take slots from jobs that can still meet their
+// acceptsLate reports whether the late job j may use e. Late jobs must not take slots from jobs that can still meet their
 // objective, so e must have no attempt of this node. If j's class has a late value, j can wait for long, and e must also be
 // one of the executors that only a few nodes send late jobs to.
-func (d *Dispatcher) openToLate(e *executor, j *job) bool {
+func (d *Dispatcher) acceptsLate(e *executor, j *job) bool {
 	if len(e.attempts) > 0 {
 		return false
 	}
@@ -184,11 +184,11 @@
 	return neverCross
 }
 
-// crossesNow reports whether j prefers other zones from the start. While this zone is overloaded, that is so for the
+// prefersOtherZones reports whether j prefers other zones from the start. While this zone is overloaded, that is so for the
 // fraction of jobs that would make the loads equal, reduced for the cost of crossing zones. Each job is compared with its
 // own random number, so that not all jobs cross at the same time. Without this preference, a zone with far more traffic
 // than executors would keep all its jobs, because some token there is always free.
-func (d *Dispatcher) crossesNow(j *job) bool {
+func (d *Dispatcher) prefersOtherZones(j *job) bool {
 	return d.config.crossZoneCost > 0 && d.zoneLoad.local > 1 &&
 		j.crossZoneDraw < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
 }
@@ -210,7 +210,7 @@
 		size[side] += e.size
 	}
 	for side := range load {
-		*d.zoneLoad.of(side) = load[side] / size[side] / zoneFullLoad
+		*d.zoneLoad.loadOf(side) = load[side] / size[side] / zoneFullLoad
 	}
 }
 
