--- a/policy/clock.go
+++ b/policy/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Forever is longer than any span of time.
+// Forever stands for a time that is never reached.
 const Forever time.Duration = math.MaxInt64
 
 // clock records the times of the dispatcher's turns. A turn consists of all calls with the same time. The clock detects
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -78,7 +78,7 @@
 // Variables are named d for the dispatcher, j for a job, a for an attempt and e for an executor.
 //
 // Work is running time on a standard core, and pace is the running time that an executor needs for one unit of work.
-// Slack is the time that the latency objective leaves beyond the work. A late job is past its objective. Value is in the
+// Slack is the time that the latency objective leaves beyond the work. A late job can no longer meet its objective. Value is in the
 // unit of the classes' values, and value density is value per second of work. A try is one request of a client for a job.
 // An attempt is one sending of the job to an executor by this node.
 //
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -101,14 +101,14 @@
 		if !slices.Contains(t.requiredKinds, class.kind) {
 			t.requiredKinds = append(t.requiredKinds, class.kind)
 		}
-		t.quotaInterval = smallerSet(t.quotaInterval, scaled(class.deadline, intervalFraction))
-		t.shortestObjective = smallerSet(t.shortestObjective, class.latencyObjective)
+		t.quotaInterval = minIfSet(t.quotaInterval, scaled(class.deadline, intervalFraction))
+		t.shortestObjective = minIfSet(t.shortestObjective, class.latencyObjective)
 	}
 	t.checkInterval = max(t.shortestObjective/checkIntervalDivisor, quantum)
 }
 
-// smallerSet returns the smaller of two durations, or candidate if current is 0, which means not set.
-func smallerSet(current, candidate time.Duration) time.Duration {
+// minIfSet returns the smaller of two durations, or candidate if current is 0, which means not set.
+func minIfSet(current, candidate time.Duration) time.Duration {
 	if current == 0 {
 		return candidate
 	}
@@ -128,7 +128,7 @@
 		value:            update.Value,
 		lateValue:        update.LateValue,
 		kind:             update.Kind,
-		meanWork:         cmp.Or(update.ExpectedWork, firstGuess(update.JobClass)),
+		meanWork:         cmp.Or(update.ExpectedWork, initialMeanWork(update.JobClass)),
 		meanValue:        update.Value,
 	}
 	if update.Replaces != NoJobClass {
@@ -158,10 +158,10 @@
 	d.quota.endIntervalBy(now + d.classes.quotaInterval)
 }
 
-// firstGuess returns the initial mean work of a class whose settings give no ExpectedWork. Where the objective does not grow
-// with the work, it must be below the objective: otherwise no executor would be predicted to complete a job in time, all
-// jobs would be rejected, and no running time would ever be learned.
-func firstGuess(class JobClass) time.Duration {
+// initialMeanWork returns the initial mean work of a class whose settings give no ExpectedWork. If the objective does not
+// grow with the work, it must be below the objective: otherwise no executor would be predicted to complete a job in time,
+// all jobs would be rejected, and no running time would ever be learned.
+func initialMeanWork(class JobClass) time.Duration {
 	if class.RunTimeFactor == 0 {
 		return class.LatencyObjective / unknownWorkDivisor
 	}
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -168,7 +168,7 @@
 }
 
 // recordExpired adds the work of a job that got no token in time. A job that arrived with too little time has not waited
-// and is left out: raising the threshold would not reduce such jobs, so the threshold would rise without end.
+// and is left out: a threshold that is raised for such jobs would rise without end.
 func (d *Dispatcher) recordExpired(j *job) {
 	waited := d.clock.now-j.arrivedAt > d.config.quantum
 	if !j.lowSlack && waited && j.attemptCount < j.class.maxAttempts {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -48,7 +48,8 @@
 
 // isExecutorFault reports whether a failure is attributed to the executor. An error always is. Any other failure may be
 // caused by the network or the job, and is attributed to the executor only if an earlier attempt has failed and nothing
-// has arrived from the executor since. A rejection as full is not, if the executor has only rejected jobs of one tenant.
+// has arrived from the executor since. A rejection as full is not attributed to the executor while it has rejected jobs of
+// only one tenant, since it may limit that tenant.
 func isExecutorFault(a *attempt, outcome Outcome) bool {
 	e := a.executor
 	if outcome == ExecutorError {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -40,7 +40,7 @@
 // would otherwise stay high.
 func (z *zoneLoad) decayRemote() { z.remote *= smoothing }
 
-// dispatch takes a token of e for a new attempt of j and schedules the attempt's first check.
+// dispatch takes a token of e for a new attempt of j and schedules the attempt's first review.
 func (d *Dispatcher) dispatch(j *job, e *executor, now time.Duration) Decision {
 	d.queue.remove(j)
 	// A late job waits because other jobs have priority, not for lack of tokens, so only the time before it was late
@@ -65,8 +65,8 @@
 // token now. With forLease it instead returns the executor whose lease holder should be asked for a lease.
 //
 // Executors of this node's zone are preferred, and other zones are used only after crossZoneDelay, or if no executor of
-// this zone is usable. The preference is reversed, without a delay, for a job that crosses zones at once (prefersOtherZones). On
-// a tie the executor of higher rank is chosen.
+// this zone is usable. For a job that prefersOtherZones, the preference is reversed, and there is no delay. On a tie the
+// executor of higher rank is chosen.
 func (d *Dispatcher) pickExecutor(j *job, now time.Duration, forLease bool) *executor {
 	if !d.retryAllowed(j, now) || !d.anyTokenFor(j, now, forLease) {
 		return nil
@@ -128,8 +128,8 @@
 	wait := d.expectedWait(e, pace, now)
 	predictedWait := wait
 	if j.class.idempotency == AtMostOnce {
-		// The job can't be migrated once it has started, so the prediction includes the jobs of other nodes at e, as shown
-		// by the load in the endpoint list.
+		// An at-most-once job can't be migrated, so the prediction includes the jobs of other nodes at e, as shown by the
+		// load in the endpoint list.
 		predictedWait = max(wait, scaled(j.class.meanWork, (e.listedLoad-1)*pace))
 	}
 	if !wanted.late && now+scaled(predictedWait+scaled(j.work, pace), j.predictionMargin) > j.objectiveAt {
@@ -185,9 +185,9 @@
 }
 
 // prefersOtherZones reports whether j prefers other zones from the start. While this zone is overloaded, that is so for the
-// fraction of jobs that would make the loads equal, reduced for the cost of crossing zones. Each job is compared with its
-// own random number, so that not all jobs cross at the same time. Without this preference, a zone with far more traffic
-// than executors would keep all its jobs, because some token there is always free.
+// fraction of jobs that would make the loads equal, reduced for the cost of crossing zones. Each job has its own random
+// number, so that not all jobs cross at the same time. Without this preference, a zone with far more traffic than executors
+// would keep all its jobs, because some token there is always free.
 func (d *Dispatcher) prefersOtherZones(j *job) bool {
 	return d.config.crossZoneCost > 0 && d.zoneLoad.local > 1 &&
 		j.crossZoneDraw < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
@@ -272,7 +272,7 @@
 }
 
 // eligibleExecutors returns the executors among which j's executor is chosen: the subset, or all executors if j may only be
-// retried in a dedup group, as the subset may not contain any executor of it.
+// retried in a dedup group, whose executors may be outside the subset.
 func (d *Dispatcher) eligibleExecutors(j *job) []*executor {
 	if d.boundToDedupGroup(j) {
 		return d.endpoints.ranked
--- a/policy/value.go
+++ b/policy/value.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	minTenantArrivals     = 2.0  // arrivals in the memory of a tenant's rate below which they say little about its share
+	minTenantArrivals     = 2.0  // number of recent jobs that is too small to judge a tenant's traffic by
 	valueDecay            = 0.95 // factor for a class's requested and earned value, each interval
 	minWorstClassFraction = 0.05 // least fraction of all jobs that the worst class is taken to have
 	tenantRateDecay       = 0.8  // factor for a tenant's rate, each interval
