--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -46,7 +46,7 @@
 //	2s client-left j1                  the client of j1 leaves
 //	2s lease-message 4 grant a         a lease message from node 4 about executor a
 //	2s load-report a 4 1 0             a load report: jobs in flight, queued jobs, free slots
-//	2s probe-ended a answered free=1   the result of a health check: answered, or unanswered
+//	2s health-check-ended a answered   the result of a health check: answered [free=SLOTS], or unanswered
 //	9s shutdown-by 12s                 the node shuts down by 12s
 //	9s! ended j1 succeeded             the same after a stall: the node had no turn since the line before
 //	9s wait                            no event; time passes until 9s
@@ -96,7 +96,7 @@
 		"nodes30":          func() { s.Nodes, s.Node = 30, 7 },
 		"leasing":          func() { s.MayLease = true },
 		"hedging":          func() { s.MayHedge = true },
-		"probing":          func() { s.MayCheckHealth = true },
+		"health-checks":    func() { s.MayCheckHealth = true },
 		"marked-retries":   func() { s.ClientsMarkRetries = true },
 		"load-adjusted":    func() { s.LoadAdjustedWeights = true },
 		"tenants":          func() { s.Tenants = []Tenant{{10}, {10}} },
@@ -157,7 +157,7 @@
 		case SendLeaseMessage:
 			p.print(now, "send node %d: %s %s", due.Node, leaseMessageNames[due.Message], p.executorNames[due.Hash])
 		case SendHealthCheck:
-			p.print(now, "probe %s", due.Executor)
+			p.print(now, "health check of %s", due.Executor)
 		case WriteLog:
 			p.print(now, "log: %s", due.Text)
 		case Sleep:
@@ -352,7 +352,7 @@
 	case "load-report":
 		load := p.parseFloats(args[1:4])
 		p.d.LoadReported(ExecutorID(args[0]), Load{InFlight: load[0], Queued: load[1], FreeSlots: load[2], FreeMemory: -1, RunTime: -1})
-	case "probe-ended":
+	case "health-check-ended":
 		load := Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
 		for _, arg := range args[2:] {
 			load.FreeSlots, _ = strconv.ParseFloat(strings.TrimPrefix(arg, "free="), 64)
