--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,8 +8,8 @@
 	classEstimateMargin  = 1.25 // the same margin without the client's estimate, and for work sent to an executor in slow start
 	budgetMarginStep     = 0.05 // decrease of a tenant's budgetMargin with each success
 	budgetMarginRise     = 4    // increase of a tenant's budgetMargin with each timeout, in steps of budgetMarginStep
-	maxBudgetMargin      = 1.5  // largest budgetMargin, as a fraction of the predicted running time
-	maxShortBudgetRatio  = 0.3  // above this fraction of first tries with short budgets, they don't indicate earlier tries
+	maxBudgetMargin      = 1.5  // largest budgetMargin, which is a fraction of the predicted running time
+	maxShortBudgetRatio  = 0.3  // fraction of first tries with short budgets above which a short budget shows no earlier try
 	maxClientRetries     = 3.0  // estimate of how often a client retries a rejected job
 	shortBudgetDivisor   = 2    // a job gets a start margin if its budget is below the deadline divided by this
 )
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -11,8 +11,8 @@
 	d.leases.requestWanted()
 }
 
-// wantsHedge reports whether a second attempt of j can still yield value: exactly one attempt is in flight, j can meet its
-// objective or its class has a late value, and the cluster is not overloaded.
+// wantsHedge reports whether a second attempt of j can still yield value: exactly one attempt is in flight and j's class
+// allows another one, j can meet its objective or its class has a late value, and the cluster is not overloaded.
 func (d *Dispatcher) wantsHedge(j *job, now time.Duration) bool {
 	return !j.finished && len(j.attempts) == 1 && j.attemptCount < j.class.maxAttempts && d.shedding.threshold.Level == 0 &&
 		now < j.deadlineAt-d.config.quantum && (!d.isLate(j, now) || j.class.lateValue > 0)
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -18,7 +18,7 @@
 	dedupGroup       DedupGroup
 	dedupWindow      time.Duration
 	maxAttempts      int
-	latencyObjective time.Duration // without the part that grows with the work
+	latencyObjective time.Duration // fixed part of the latency objective
 	deadline         time.Duration
 	runTimeFactor    float64 // multiple of a job's work that is added to its latency objective
 	value            float64
--- a/policy/value.go
+++ b/policy/value.go
@@ -32,7 +32,7 @@
 	rate             float64 // running average of the tenant's jobs per second at this node
 	arrivals         int     // jobs in this interval
 	overQuota        float64 // rate, relative to the tenant's fair share of this node's traffic; over 1: over its quota
-	budgetMargin     float64 // margin on the running time that a job with a short budget needs, as a fraction of it
+	budgetMargin     float64 // extra time that a job with a short budget must have, as a fraction of its predicted running time
 	shortBudgetRatio float64 // fraction of the tenant's first tries that came with less than the full budget
 }
 
