--- a/policy/admission.go
+++ b/policy/admission.go
@@ -69,9 +69,9 @@
 }
 
 // shortTimeoutByMarks reports whether the client's timeout is shorter than the deadline, where clients mark their retries:
-// either this is a first try with a short budget, or first tries of the tenant often have short budgets. The shortfall is the
-// full budget minus j's budget. A first try may have spent as much as the time since the previous turn waiting for this turn,
-// so a shortfall up to that doesn't count.
+// either this is a first try with a short budget, or first tries of the tenant often have short budgets. The shortfall is
+// the full budget minus j's budget. A first try may have waited for this turn since the previous one, so a shortfall up to
+// that time doesn't count.
 func (d *Dispatcher) shortTimeoutByMarks(j *job, arrival Arrival, shortfall time.Duration) bool {
 	shortFirstTry := !arrival.ClientRetry && shortfall > d.clock.turnGap
 	ratio := j.tenant.recordFirstTry(arrival.ClientRetry, shortFirstTry)
