--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -118,7 +118,7 @@
 	settings.Probe = Probe{Path: file.Probe.Path, Timeout: Seconds(valueOr(file.Probe.TimeoutS, defaultProbeTimeout))}
 	// The settings only permit health checks and gossip. Health checks also need a path, and gossip needs the operator's
 	// site file.
-	policySettings.MayProbe = policySettings.MayProbe && settings.Probe.Path != ""
+	policySettings.MayCheckHealth = policySettings.MayCheckHealth && settings.Probe.Path != ""
 	settings.MayGossip, policySettings.MayLease = policySettings.MayLease, false
 }
 
--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -14,7 +14,7 @@
 
 // scanned is pickExecutor as a scan of all eligible executors.
 func (d *Dispatcher) scanned(j *job, now time.Duration, forLease bool) *executor {
-	late, crosses, localUsable := d.isLate(j, now), d.crossesNow(j), false
+	late, crosses, localUsable := d.isLate(j, now), d.prefersOtherZones(j), false
 	var best *executor
 	bestSide, bestAge := 0, 0.0
 	for i, e := range d.eligibleExecutors(j) {
@@ -116,11 +116,11 @@
 
 func newRandomWorld(t *testing.T, seed uint64) *randomWorld {
 	r := rand.New(rand.NewPCG(seed, 7))
-	s := base
+	s := baseSettings
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
 	s.Node = r.IntN(s.Nodes)
 	yes := func() bool { return r.IntN(2) == 0 }
-	s.MayLease, s.MayHedge, s.MayProbe, s.LoadAdjustedWeights, s.StartNotices = yes(), yes(), yes(), yes(), r.IntN(4) > 0
+	s.MayLease, s.MayHedge, s.MayCheckHealth, s.LoadAdjustedWeights, s.StartNotices = yes(), yes(), yes(), yes(), r.IntN(4) > 0
 	s.ValuePerWork, s.ClientsMarkRetries = yes(), yes()
 	if yes() {
 		s.CrossZoneCost = 0.5 * r.Float64()
@@ -213,7 +213,7 @@
 		}
 	}
 	for _, e := range d.quota.executors {
-		if (e.health.probeOut || e.health.unresponsive) && !slices.Contains(d.probes.awaitingReply, e) {
+		if (e.health.probeOut || e.health.unresponsive) && !slices.Contains(d.healthChecks.awaitingReply, e) {
 			w.t.Fatalf("seed %d, %v: %s owes a reply and is not awaited", w.seed, w.now, e.id)
 		}
 	}
@@ -250,7 +250,7 @@
 		return "in a dedup group"
 	case w.now < e.slowStart.until:
 		return "slow start"
-	case d.crossesNow(j) && d.remoteSide(e) > 0:
+	case d.prefersOtherZones(j) && d.remoteSide(e) > 0:
 		return "crossing"
 	case d.isLate(j, w.now):
 		return "late"
@@ -289,7 +289,7 @@
 			if w.random.IntN(3) > 0 {
 				w.ReceiveLeaseMessage(w.now, due.Node, [...]LeaseMessage{LeaseGrant, LeaseGrant, LeaseWait}[w.random.IntN(3)], due.Hash)
 			}
-		case ProbeExecutor:
+		case SendHealthCheck:
 			if w.random.IntN(3) > 0 {
 				w.ProbeEnded(w.now, due.Executor, w.random.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.random.IntN(3))})
 			}
@@ -414,7 +414,7 @@
 
 // TestMovedToOwnZone checks that an executor whose zone has become the own one counts as local before the subset is rebuilt.
 func TestMovedToOwnZone(t *testing.T) {
-	s := base
+	s := baseSettings
 	s.CrossZoneCost = 0.25
 	d := New(s)
 	d.UpdateEndpoints(0, CompleteUpdate, []Endpoint{{Executor: "far", Zone: 1, StartedLongAgo: true, Weight: 1}, {Executor: "moves", Zone: 1, StartedLongAgo: true, Weight: 1}})
@@ -474,9 +474,9 @@
 
 // newSteady loads executors of two slots each to that fraction, or with so many jobs a second.
 func newSteady(executors int, load, perS float64) *steady {
-	s := base
+	s := baseSettings
 	s.LoadAdjustedWeights = false
-	s.JobClasses = slices.Clone(base.JobClasses)
+	s.JobClasses = slices.Clone(baseSettings.JobClasses)
 	s.JobClasses[1].Kind = AnyKind
 	w := &steady{Dispatcher: New(s), random: rand.New(rand.NewPCG(1, uint64(executors))), paces: map[ExecutorID]float64{}}
 	var entries []Endpoint
@@ -578,7 +578,7 @@
 func TestEvaluationsWhereQueued(t *testing.T) {
 	per := map[int]int{}
 	for _, n := range [...]int{100, 400} {
-		s := base
+		s := baseSettings
 		s.JobClasses = []JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 1.2, Deadline: 60 * time.Second, Value: 1, Kind: AnyKind}}
 		d, now := New(s), time.Second
 		var entries []Endpoint
