--- a/cmd/birchstair/main_test.go
+++ b/cmd/birchstair/main_test.go
@@ -16,7 +16,7 @@
 	if programDir, err = os.MkdirTemp("", "birchstair-test-"); err != nil {
 		return "", err
 	}
-	return golden.Program(programDir)
+	return golden.BuildProgram(programDir)
 })
 
 // program returns the program's file.
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -34,7 +34,7 @@
 		for _, line := range lines {
 			out = append(out, line)
 			if words := strings.Fields(line); len(words) > 0 && words[0] != "#" {
-				for _, text := range p.play(golden.Span(t, words[0]), words[1:]) {
+				for _, text := range p.play(golden.Duration(t, words[0]), words[1:]) {
 					out = append(out, golden.Arrow+text)
 				}
 			}
@@ -64,7 +64,7 @@
 		started := p.started(values)
 		p.f.ObserveEndpoint(now, policy.ExecutorID(words[1]), started, started == 0, state)
 	case "is-draining":
-		started := golden.Span(p.t, values["started"])
+		started := golden.Duration(p.t, values["started"])
 		return []string{fmt.Sprint(p.f.IsDraining(policy.ExecutorID(words[1]), started, started == 0))}
 	case "expire":
 		return p.expire(now, words[1] == "up-to-date")
@@ -124,7 +124,7 @@
 	}
 	for _, word := range words[2:] {
 		if part := strings.Split(word, ":"); len(part) == 3 && !strings.Contains(word, "=") {
-			m.Drains = append(m.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: golden.Span(p.t, part[1]), ExecutorStart: golden.Span(p.t, part[2]).Milliseconds()})
+			m.Drains = append(m.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: golden.Duration(p.t, part[1]), ExecutorStart: golden.Duration(p.t, part[2]).Milliseconds()})
 		}
 	}
 	for _, id := range p.f.Receive(now, m) {
@@ -189,7 +189,7 @@
 func (p *tracePlayer) started(values map[string]string) time.Duration {
 	p.t.Helper()
 	if value := values["started"]; value != "" {
-		return golden.Span(p.t, value)
+		return golden.Duration(p.t, value)
 	}
 	return 0
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -25,8 +25,8 @@
 	finals = map[string]int{}
 	synctesting.Test(t, func(t *testing.T) {
 		w := newWorld(t, seed, s)
-		w.disk.Lies = s.lyingDisk
-		w.disk.Slow(s.syncTime)
+		w.disk.IgnoresSyncs = s.lyingDisk
+		w.disk.SetSyncDelay(s.syncTime)
 		crashed := w.crashAtSync()
 		process := w.startNode()
 		var clients sync.WaitGroup
@@ -189,7 +189,7 @@
 		w := newWorld(t, 1, scenario{})
 		process := w.startNode()
 		time.Sleep(time.Second)
-		w.disk.Slow(10 * time.Second)
+		w.disk.SetSyncDelay(10 * time.Second)
 		start := time.Now()
 		acknowledged := make(chan time.Duration, 1)
 		go func() {
@@ -214,7 +214,7 @@
 		if took := <-acknowledged; took < 10*time.Second {
 			t.Errorf("the durable one was acknowledged after %v, before the disk had it", took)
 		}
-		w.disk.Slow(0)
+		w.disk.SetSyncDelay(0)
 		process.kill()
 		w.net.Shutdown()
 		time.Sleep(30 * time.Second)
--- a/internal/durable/wire_test.go
+++ b/internal/durable/wire_test.go
@@ -196,7 +196,7 @@
 		w.call("waited for in vain", http.MethodPut, "/-/jobs/d", "", class, budget)
 		w.arrived()
 		w.call("its state after a wait", http.MethodGet, "/-/jobs/d?wait_ms=100", "")
-		disk.Slow(10 * time.Second)
+		disk.SetSyncDelay(10 * time.Second)
 		acknowledged := make(chan *httptest.ResponseRecorder, 1)
 		go func() {
 			r := httptest.NewRequest(http.MethodPut, "/-/jobs/f", strings.NewReader("body"))
--- a/internal/emulator/halt.go
+++ b/internal/emulator/breakpoint.go
@@ -23,24 +23,24 @@
 	AfterAccept              // an accept has ended, and its caller does not know yet
 )
 
-// Halts stops calls of connections and listeners at chosen points until the test releases them. It forces the order of two events that
+// Breakpoints stops calls of connections and listeners at chosen points until the test releases them. It forces the order of two events that
 // otherwise may happen in either order.
-type Halts struct {
+type Breakpoints struct {
 	mu               sync.Mutex
-	pending          []*Stop
+	pending          []*Breakpoint
 	interruptedReads int
 	conns            int
 }
 
 // InterruptedReads returns how often reads were interrupted by a deadline in the past.
-func (h *Halts) InterruptedReads() int {
+func (h *Breakpoints) InterruptedReads() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.interruptedReads
 }
 
-// Stop stops one call at one point.
-type Stop struct {
+// Breakpoint stops one call at one point.
+type Breakpoint struct {
 	// Reached is closed when a call has stopped there.
 	Reached chan struct{}
 
@@ -52,25 +52,25 @@
 }
 
 // At stops the next call of any connection that reaches a step, after the first skip calls.
-func (h *Halts) At(step Step, skip int) *Stop { return h.On(0, step, skip) }
+func (h *Breakpoints) At(step Step, skip int) *Breakpoint { return h.OnConn(0, step, skip) }
 
-// On stops the next call of one connection that reaches a step, after the first skip calls. Connections count from 1 in the order of
+// OnConn stops the next call of one connection that reaches a step, after the first skip calls. Connections count from 1 in the order of
 // their creation.
-func (h *Halts) On(conn int, step Step, skip int) *Stop {
-	s := &Stop{Reached: make(chan struct{}), step: step, conn: conn, skip: skip, released: make(chan struct{})}
+func (h *Breakpoints) OnConn(conn int, step Step, skip int) *Breakpoint {
+	s := &Breakpoint{Reached: make(chan struct{}), step: step, conn: conn, skip: skip, released: make(chan struct{})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.pending = append(h.pending, s)
 	return s
 }
 
-// Go releases the call that has stopped there, or lets it pass if it comes later.
-func (s *Stop) Go() { s.once.Do(func() { close(s.released) }) }
+// Release releases the call that has stopped there, or lets it pass if it comes later.
+func (s *Breakpoint) Release() { s.once.Do(func() { close(s.released) }) }
 
 // reach blocks if a Stop is set at a step of a connection.
-func (h *Halts) reach(conn int, step Step) {
+func (h *Breakpoints) reach(conn int, step Step) {
 	h.mu.Lock()
-	var at *Stop
+	var at *Breakpoint
 	for i, s := range h.pending {
 		if s.step != step || s.conn != 0 && s.conn != conn {
 			continue
@@ -89,24 +89,24 @@
 }
 
 // Conn wraps a connection whose calls can be stopped.
-func (h *Halts) Conn(c net.Conn) net.Conn {
+func (h *Breakpoints) Conn(c net.Conn) net.Conn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.conns++
-	return &haltedConn{c, h, h.conns}
+	return &breakpointConn{c, h, h.conns}
 }
 
 // Listener wraps a listener whose calls, and those of its connections, can be stopped.
-func (h *Halts) Listener(l net.Listener) net.Listener { return &haltedListener{l, h} }
+func (h *Breakpoints) Listener(l net.Listener) net.Listener { return &breakpointListener{l, h} }
 
-type haltedConn struct {
+type breakpointConn struct {
 	net.Conn
-	halts  *Halts
+	halts  *Breakpoints
 	number int
 }
 
 // Read implements net.Conn.
-func (c *haltedConn) Read(b []byte) (int, error) {
+func (c *breakpointConn) Read(b []byte) (int, error) {
 	c.halts.reach(c.number, BeforeRead)
 	n, err := c.Conn.Read(b)
 	c.halts.reach(c.number, AfterRead)
@@ -114,7 +114,7 @@
 }
 
 // Write implements net.Conn.
-func (c *haltedConn) Write(b []byte) (int, error) {
+func (c *breakpointConn) Write(b []byte) (int, error) {
 	c.halts.reach(c.number, BeforeWrite)
 	n, err := c.Conn.Write(b)
 	c.halts.reach(c.number, AfterWrite)
@@ -122,7 +122,7 @@
 }
 
 // SetReadDeadline implements net.Conn. It counts deadlines in the past.
-func (c *haltedConn) SetReadDeadline(t time.Time) error {
+func (c *breakpointConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && t.Before(time.Now()) {
 		c.halts.mu.Lock()
 		c.halts.interruptedReads++
@@ -132,7 +132,7 @@
 }
 
 // Close implements net.Conn.
-func (c *haltedConn) Close() error {
+func (c *breakpointConn) Close() error {
 	c.halts.reach(c.number, BeforeClose)
 	err := c.Conn.Close()
 	c.halts.reach(c.number, AfterClose)
@@ -140,20 +140,20 @@
 }
 
 // SyscallConn implements syscall.Conn, if the connection has a socket.
-func (c *haltedConn) SyscallConn() (syscall.RawConn, error) {
+func (c *breakpointConn) SyscallConn() (syscall.RawConn, error) {
 	if s, ok := c.Conn.(syscall.Conn); ok {
 		return s.SyscallConn()
 	}
 	return nil, errors.ErrUnsupported
 }
 
-type haltedListener struct {
+type breakpointListener struct {
 	net.Listener
-	halts *Halts
+	halts *Breakpoints
 }
 
 // Accept implements net.Listener.
-func (l *haltedListener) Accept() (net.Conn, error) {
+func (l *breakpointListener) Accept() (net.Conn, error) {
 	l.halts.reach(0, BeforeAccept)
 	c, err := l.Listener.Accept()
 	l.halts.reach(0, AfterAccept)
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -23,24 +23,24 @@
 type Behavior struct {
 	Rate              float64       // batch jobs per second; 0 if Loops make the load
 	Loops             int           // clients that each submit the next batch job when the last one has ended
-	Think             time.Duration // pause of such a client before the next one
+	ThinkTime         time.Duration // pause of such a client before the next one
 	Retries           int           // retries of a batch job at most
 	Backoff           time.Duration // backoff before a retry without Retry-After
 	MaxBackoff        time.Duration // if over the backoff: it doubles with each retry up to this limit, with a jitter of half either way
 	FollowsRetryAfter bool          // follows Retry-After
-	LeaveShare        float64       // share of the batch jobs whose clients leave before the deadline
-	RepeatIDShare     float64       // share whose clients submit the same id again while it is in flight
+	LeaveFraction     float64       // share of the batch jobs whose clients leave before the deadline
+	RepeatIDFraction  float64       // share whose clients submit the same id again while it is in flight
 	HintNoise         float64       // sigma of the error of stated costs; negative if none are stated
 }
 
 // Tail makes a share of the batch jobs cost many times the usual.
 type Tail struct {
-	Part  float64
-	Times float64
+	Fraction float64
+	Multiple float64
 }
 
 // TailOf returns a tail of one batch job in 50 that costs the given multiple.
-func TailOf(times float64) Tail { return Tail{Part: 0.02, Times: times} }
+func TailOf(times float64) Tail { return Tail{Fraction: 0.02, Multiple: times} }
 
 // Work is what a client wants done, over all its requests.
 type Work struct {
@@ -110,8 +110,8 @@
 	if c.Behavior.HintNoise < 0 {
 		hint = 0
 	}
-	if c.rand.Float64() < c.Tail.Part {
-		cost *= c.Tail.Times // not in the stated cost
+	if c.rand.Float64() < c.Tail.Fraction {
+		cost *= c.Tail.Multiple // not in the stated cost
 	}
 	w := &Work{ID: invariants.WorkID(fmt.Sprintf("%s%d", c.Name, c.count)), Client: client, Class: id, Cost: cost, StatedCost: hint,
 		ArrivedAt: now, Deadline: now + t.Deadline, LeavesAt: Never, firstSent: now, Value: t.Value}
@@ -119,10 +119,10 @@
 		w.Value *= cost
 	}
 	w.Objective = now + min(t.Deadline, t.LatencyObjective+time.Duration(t.RunTimeFactor*cost*1e9))
-	if c.rand.Float64() < c.Behavior.LeaveShare {
+	if c.rand.Float64() < c.Behavior.LeaveFraction {
 		w.LeavesAt = now + time.Duration(c.rand.Float64()*float64(t.Deadline))
 	}
-	w.repeatID = c.rand.Float64() < c.Behavior.RepeatIDShare
+	w.repeatID = c.rand.Float64() < c.Behavior.RepeatIDFraction
 	return w
 }
 
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -20,7 +20,7 @@
 type Discovery struct {
 	lag          time.Duration
 	extraLag     time.Duration // a fault's delay beyond the lag
-	silent       bool          // it publishes nothing
+	stopped      bool          // it publishes nothing
 	entries      map[policy.ExecutorID]Entry
 	changes      []change
 	delivered    map[invariants.NodeID]int  // how many changes a node has been sent
@@ -58,16 +58,16 @@
 // SetDelay sets a delay beyond the usual lag; 0 removes it.
 func (d *Discovery) SetDelay(more time.Duration) { d.extraLag = more }
 
-// SetSilent stops or resumes updates. After it, each node gets a complete update.
-func (d *Discovery) SetSilent(yes bool) {
-	d.silent = yes
+// SetStopped stops or resumes updates. After it, each node gets a complete update.
+func (d *Discovery) SetStopped(yes bool) {
+	d.stopped = yes
 	for n := range d.delivered {
 		d.completeNext[n] = true
 	}
 }
 
-// Silent reports whether updates are stopped.
-func (d *Discovery) Silent() bool { return d.silent }
+// Stopped reports whether updates are stopped.
+func (d *Discovery) Stopped() bool { return d.stopped }
 
 // Watch makes the next update of a node a complete one.
 func (d *Discovery) Watch(n invariants.NodeID) {
@@ -96,7 +96,7 @@
 // Update returns the update that a node gets now: the changes that were published since its last update, a complete list, or a failure of
 // the watch while updates are stopped.
 func (d *Discovery) Update(now time.Duration, n invariants.NodeID) (kind policy.EndpointUpdateKind, entries []Entry) {
-	if d.silent {
+	if d.stopped {
 		return policy.WatchFailed, nil
 	}
 	d.delivered[n], entries = d.Since(now, d.delivered[n])
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -20,12 +20,12 @@
 	files       map[string]*diskFile
 	incarnation int
 	locked      bool
-	// Room is how many more bytes can be written; negative for no limit.
-	Room int
+	// FreeBytes is how many more bytes can be written; negative for no limit.
+	FreeBytes int
 	// FailSync makes the sync so many calls ahead fail, and leave what a crash would leave; 0 for none.
 	FailSync int
-	// Lies makes syncs do nothing and succeed.
-	Lies bool
+	// IgnoresSyncs makes syncs do nothing and succeed.
+	IgnoresSyncs bool
 	// Syncs counts the syncs of files.
 	Syncs     int
 	syncDelay time.Duration
@@ -48,7 +48,7 @@
 )
 
 // NewDisk returns an empty disk without a limit.
-func NewDisk(r *rand.Rand) *Disk { return &Disk{rand: r, files: map[string]*diskFile{}, Room: -1} }
+func NewDisk(r *rand.Rand) *Disk { return &Disk{rand: r, files: map[string]*diskFile{}, FreeBytes: -1} }
 
 // Crash ends the process that uses the disk: what was not synced is lost, kept or torn, by pages in any order.
 func (d *Disk) Crash() {
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// Slow sets how long a sync takes.
-func (d *Disk) Slow(span time.Duration) {
+// SetSyncDelay sets how long a sync takes.
+func (d *Disk) SetSyncDelay(span time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.syncDelay = span
@@ -221,9 +221,9 @@
 		return 0, errCrashed
 	}
 	n := len(b)
-	if o.disk.Room >= 0 {
-		n = min(n, o.disk.Room)
-		o.disk.Room -= n
+	if o.disk.FreeBytes >= 0 {
+		n = min(n, o.disk.FreeBytes)
+		o.disk.FreeBytes -= n
 	}
 	o.file.written = append(o.file.written, b[:n]...)
 	if n < len(b) {
@@ -256,7 +256,7 @@
 			return ErrDiskSync
 		}
 	}
-	if !o.disk.Lies {
+	if !o.disk.IgnoresSyncs {
 		o.file.synced = slices.Clone(o.file.written)
 	}
 	return nil
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -32,7 +32,7 @@
 
 	KeepsQueued bool // waiting work is not canceled when its connection closes
 
-	SlowStartShare   float64 // share of its capacity right after a start; grows evenly to 1 during slow start
+	InitialCapacity  float64 // share of its capacity right after a start; grows evenly to 1 during slow start
 	SlowStart        time.Duration
 	OverloadMultiple float64       // an executor in slow start crashes if more arrives within the window than this multiple of its present capacity
 	OverloadWindow   time.Duration // of that budget
--- a/internal/emulator/executor_warmup.go
+++ b/internal/emulator/executor_warmup.go
@@ -21,7 +21,7 @@
 	if !e.InSlowStart(now) {
 		return 1
 	}
-	return e.SlowStartShare + (1-e.SlowStartShare)*float64(now-e.Started)/float64(e.SlowStart)
+	return e.InitialCapacity + (1-e.InitialCapacity)*float64(now-e.Started)/float64(e.SlowStart)
 }
 
 // Capacity returns the work that it can do now, in seconds on a standard core per second, without its faults.
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -13,14 +13,14 @@
 )
 
 // newHaltable returns a fake reducer behind a listener whose calls can be stopped.
-func newHaltable(t *testing.T, conns int) (*fakeReducer, *emulator.Halts) {
-	h := &emulator.Halts{}
+func newHaltable(t *testing.T, conns int) (*fakeReducer, *emulator.Breakpoints) {
+	h := &emulator.Breakpoints{}
 	c := newFakeReducerWithHalts(t, conns, h)
 	c.server.SetReady(true)
 	return c, h
 }
 
-func (c *fakeReducer) awaitStop(s *emulator.Stop) {
+func (c *fakeReducer) awaitStop(s *emulator.Breakpoint) {
 	c.t.Helper()
 	select {
 	case <-s.Reached:
@@ -86,11 +86,11 @@
 			c.until("both rest", func() bool { _, resting, _ := c.server.conns.counts(); return resting == 2 })
 		}
 		// The waiting read returns the first byte alone, and the next read is stopped.
-		waits := h.On(1, emulator.AfterRead, 0)
+		waits := h.OnConn(1, emulator.AfterRead, 0)
 		first.send(jobRequest("handled-2")[:1])
 		c.awaitStop(waits)
-		stop := h.On(1, emulator.BeforeRead, 0)
-		waits.Go()
+		stop := h.OnConn(1, emulator.BeforeRead, 0)
+		waits.Release()
 		c.awaitStop(stop)
 		first.send(jobRequest("handled-2")[1:])
 		cut := h.InterruptedReads()
@@ -98,7 +98,7 @@
 		if h.InterruptedReads() != cut {
 			t.Errorf("%s: its read is cut short under a message", let.name)
 		}
-		stop.Go()
+		stop.Release()
 		c.printEvent()
 		c.printAnswer(first)
 		c.server.http.Close()
@@ -118,7 +118,7 @@
 	c.server.conns.enterLameDuck()
 	c.awaitStop(stop) // the read has ended by the deadline, with nothing
 	first.send(jobRequest("handled-2"))
-	stop.Go()
+	stop.Release()
 	c.printEvent()
 	c.printAnswer(first)
 	golden.Compare(t, "last-look.txt", c.out.String())
@@ -133,8 +133,8 @@
 	c.printEvent()
 	c.printAnswer(first)
 	c.until("it rests", func() bool { _, resting, _ := c.server.conns.counts(); return resting == 1 })
-	late := h.On(1, emulator.AfterRead, 0)
-	closes := h.On(1, emulator.BeforeClose, 0)
+	late := h.OnConn(1, emulator.AfterRead, 0)
+	closes := h.OnConn(1, emulator.BeforeClose, 0)
 	c.server.conns.enterLameDuck()
 	c.awaitStop(late) // the read has ended by the deadline, with nothing
 	first.send(jobRequest("handled-2"))
@@ -150,8 +150,8 @@
 		defer c.server.conns.mu.Unlock()
 		return c.server.conns.shuttingDown
 	})
-	closes.Go()
-	late.Go()
+	closes.Release()
+	late.Release()
 	c.printEvent()
 	c.printAnswer(first)
 	c.printEvent()
@@ -169,7 +169,7 @@
 	c.awaitStop(stop)
 	c.server.conns.enterLameDuck()
 	first.send(jobRequest("handled-2"))
-	stop.Go()
+	stop.Release()
 	c.printEvent()
 	c.printAnswer(first)
 	golden.Compare(t, "rest-at-end.txt", c.out.String())
@@ -293,10 +293,10 @@
 			if client.Gone() {
 				t.Fatal("it has gone before it left")
 			}
-			stop := h.On(1, emulator.AfterRead, 0)
+			stop := h.OnConn(1, emulator.AfterRead, 0)
 			far := len(leave.early) >= 1<<20
 			if len(leave.early) > maxReadAhead {
-				stop.Go()
+				stop.Release()
 			}
 			if !far {
 				c.server.conns.sharedReadAhead.Store(0) // as if other connections had taken it
@@ -319,7 +319,7 @@
 			leave.end(from.Conn.(*net.TCPConn))
 			c.until("it is seen to have gone", client.Gone)
 			c.printEvent()
-			stop.Go()
+			stop.Release()
 			c.until("its connection is closed", func() bool { open, _, _ := c.server.conns.counts(); return open == 0 })
 			if got, want := c.out.String(), "  left: wait-1\n"; got != want || len(c.events) > 0 {
 				t.Errorf("told %q and %d more, not %q", got, len(c.events), want)
@@ -393,7 +393,7 @@
 // read as well.
 func TestStop(t *testing.T) {
 	c, h := newHaltable(t, 10)
-	stop := h.On(2, emulator.BeforeRead, 0)
+	stop := h.OnConn(2, emulator.BeforeRead, 0)
 	told := c.dial()
 	told.send(jobRequest("wait-1"))
 	c.printEvent() // nobody answers it: the reducer has ended
@@ -406,7 +406,7 @@
 		close(over)
 	}()
 	c.printAnswer(told)
-	stop.Go()
+	stop.Release()
 	c.printEvent() // nobody reads it
 	c.printAnswer(late)
 	<-over
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -27,11 +27,11 @@
 }
 
 func newFakeReducer(t *testing.T, conns int, change ...func(*http.Server)) *fakeReducer {
-	return newFakeReducerWithHalts(t, conns, &emulator.Halts{}, change...)
+	return newFakeReducerWithHalts(t, conns, &emulator.Breakpoints{}, change...)
 }
 
 // newFakeReducerWithHalts returns one whose listener and connections can be stopped.
-func newFakeReducerWithHalts(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *fakeReducer {
+func newFakeReducerWithHalts(t *testing.T, conns int, halts *emulator.Breakpoints, change ...func(*http.Server)) *fakeReducer {
 	c := &fakeReducer{t: t, events: make(chan node.Event, 100)}
 	c.server = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
 		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, ConnLimits{conns, conns / 2}, func(ev node.Event) {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Span parses a duration in a golden trace, and fails the test if it cannot.
-func Span(t *testing.T, text string) time.Duration {
+// Duration parses a duration in a golden trace, and fails the test if it cannot.
+func Duration(t *testing.T, text string) time.Duration {
 	t.Helper()
 	v, err := time.ParseDuration(text)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return string(text)
 }
 
-// Program builds the node's program in a directory, and returns the path of the binary.
-func Program(dir string) (string, error) {
+// BuildProgram builds the node's program in a directory, and returns the path of the binary.
+func BuildProgram(dir string) (string, error) {
 	binary := filepath.Join(dir, "birchstair")
 	if out, err := exec.Command("go", "build", "-o", binary, "birchstair/cmd/birchstair").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w\n%s", err, out)
@@ -104,7 +104,7 @@
 	if err != nil {
 		panic(err)
 	}
-	if *binary, err = Program(dir); err != nil {
+	if *binary, err = BuildProgram(dir); err != nil {
 		panic(err)
 	}
 	code := m.Run()
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -45,7 +45,7 @@
 	for i, zone := range f.Zones {
 		c := &zoneClients{cluster: r, zone: policy.ZoneID(i), until: until}
 		c.Clients = emulator.NewClients(zone+"-", r.classes, emulator.Behavior{Rate: rates[i], Retries: l.Retries,
-			Backoff: time.Duration(l.RetryWait), FollowsRetryAfter: l.RespectsRetryAfter, LeaveShare: l.LeaveRate, HintNoise: l.HintNoise}, f.ValuePerWork, rand.New(rand.NewPCG(r.options.Seed, uint64(5000+i))))
+			Backoff: time.Duration(l.RetryWait), FollowsRetryAfter: l.RespectsRetryAfter, LeaveFraction: l.LeaveRate, HintNoise: l.HintNoise}, f.ValuePerWork, rand.New(rand.NewPCG(r.options.Seed, uint64(5000+i))))
 		r.clients = append(r.clients, c)
 		r.after(c.Gap(), c.arrive)
 	}
--- a/internal/harness/discovery.go
+++ b/internal/harness/discovery.go
@@ -62,7 +62,7 @@
 			return nil
 		}
 		news := r.listChanged
-		if !p.discoveryUnreachable && !r.discovery.Silent() {
+		if !p.discoveryUnreachable && !r.discovery.Stopped() {
 			version, entries := r.discovery.Since(r.now(), watch.From)
 			if watch.Complete {
 				entries = r.discovery.Complete(r.now())
--- a/internal/harness/draw.go
+++ b/internal/harness/draw.go
@@ -35,13 +35,13 @@
 	for range 2 + r.IntN(4) {
 		x := simulation.Fault{At: simulation.Span(time.Duration(500+r.IntN(6000)) * time.Millisecond), For: simulation.Span(time.Duration(1000+r.IntN(4000)) * time.Millisecond)}
 		x.Kind = supportedFaults[r.IntN(len(supportedFaults))]
-		switch on, _ := x.Kind.On(); on {
+		switch on, _ := x.Kind.Target(); on {
 		case emulator.OnExecutors:
 			x.Where = pick("e", f.Executors, max(1, f.Executors/3))
 		case emulator.OnNodes:
 			x.Where = pick("n", nodes, max(1, nodes/2))
 		}
-		if least, most, ok := x.Kind.Sized(); ok {
+		if least, most, ok := x.Kind.SizeBounds(); ok {
 			switch x.Kind {
 			case emulator.DiscoveryDelayed:
 				most = 4
--- a/internal/harness/fault_targets.go
+++ b/internal/harness/fault_targets.go
@@ -12,7 +12,7 @@
 // onExecutors calls a function for each executor that a fault is on.
 func (r *cluster) onExecutors(f emulator.Fault, what func(*executor)) {
 	for _, x := range r.executors {
-		if f.Touches(string(x.ID), r.scenario.Fleet.Zones[x.Zone]) {
+		if f.Affects(string(x.ID), r.scenario.Fleet.Zones[x.Zone]) {
 			what(x)
 		}
 	}
@@ -21,7 +21,7 @@
 // onNodes calls a function for each node that a fault is on.
 func (r *cluster) onNodes(f emulator.Fault, what func(*nodeProcess)) {
 	for _, p := range r.nodes {
-		if f.Touches(p.name, r.scenario.Fleet.Zones[p.zone]) {
+		if f.Affects(p.name, r.scenario.Fleet.Zones[p.zone]) {
 			what(p)
 		}
 	}
@@ -40,7 +40,9 @@
 func (p *nodeProcess) wasPaused() bool { return p.paused || p.cluster.now() < p.pausedUntil }
 
 // updateFault applies the sum of the executor's faults.
-func (x *executor) updateFault() { x.apply(x.SetFaults(x.cluster.now(), emulator.Combine(x.faults))) }
+func (x *executor) updateFault() {
+	x.apply(x.SetFaults(x.cluster.now(), emulator.CombineFaults(x.faults)))
+}
 
 // endDownFault ends one fault that keeps an executor down.
 func (x *executor) endDownFault() {
@@ -91,7 +93,7 @@
 
 // removeFault removes a fault that changes how the executor runs.
 func (x *executor) removeFault(f emulator.Fault) {
-	x.faults = emulator.Without(x.faults, f)
+	x.faults = emulator.RemoveFault(x.faults, f)
 	x.updateFault()
 }
 
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -11,7 +11,7 @@
 )
 
 // supportedFaults are the kinds of faults that the harness can play. Draw draws from them by index: the order is part of what a seed means.
-var supportedFaults = []emulator.Kind{emulator.SlowExecutors, emulator.Errors, emulator.Unresponsive, emulator.Crash, emulator.Drain, emulator.DiscoveryDelayed, emulator.DiscoverySilent, emulator.DiscoveryUnreachable,
+var supportedFaults = []emulator.FaultKind{emulator.SlowExecutors, emulator.Errors, emulator.Unresponsive, emulator.Crash, emulator.Drain, emulator.DiscoveryDelayed, emulator.DiscoveryStopped, emulator.DiscoveryUnreachable,
 	emulator.NodeKilled, emulator.NodeRestart, emulator.NodePaused, emulator.GossipPartitioned, emulator.GossipLost, emulator.Burst, emulator.HeavyTail}
 
 // CheckScenario returns an error that says what of a scenario the harness cannot play.
@@ -57,8 +57,8 @@
 		r.onExecutors(f, func(x *executor) { r.drain(x, f) })
 	case emulator.DiscoveryDelayed:
 		r.delayDiscovery(seconds(f.Size))
-	case emulator.DiscoverySilent:
-		r.discovery.SetSilent(true)
+	case emulator.DiscoveryStopped:
+		r.discovery.SetStopped(true)
 		r.checker.SetUnreachable(r.now(), invariants.NoNode, true)
 	case emulator.DiscoveryUnreachable:
 		r.onNodes(f, func(p *nodeProcess) { p.setDiscoveryUnreachable(true) })
@@ -89,8 +89,8 @@
 	case emulator.DiscoveryDelayed:
 		r.discovery.SetDelay(0)
 		r.wakeWatches()
-	case emulator.DiscoverySilent:
-		r.discovery.SetSilent(false)
+	case emulator.DiscoveryStopped:
+		r.discovery.SetStopped(false)
 		r.checker.SetUnreachable(r.now(), invariants.NoNode, false)
 		r.wakeWatches()
 	case emulator.DiscoveryUnreachable:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -116,7 +116,7 @@
 		case "removed":
 			e.State = policy.Removed
 		default:
-			e.StartedLongAgo, e.StartedAt = false, now-golden.Span(p.t, state)
+			e.StartedLongAgo, e.StartedAt = false, now-golden.Duration(p.t, state)
 		}
 		list = append(list, e)
 	}
@@ -164,11 +164,11 @@
 	for _, arg := range args[1:] {
 		switch key, value, _ := strings.Cut(arg, "="); key {
 		case "work":
-			j.Work = golden.Span(p.t, value)
+			j.Work = golden.Duration(p.t, value)
 		case "key":
 			j.IdempotencyKey = value
 		case "budget":
-			j.Budget = golden.Span(p.t, value)
+			j.Budget = golden.Duration(p.t, value)
 		case "body":
 			j.Body = []byte(value)
 		case "near-connection-limit":
@@ -467,7 +467,7 @@
 		p.lines = append(p.lines, line)
 		return
 	}
-	now := golden.Span(p.t, words[0])
+	now := golden.Duration(p.t, words[0])
 	words = words[1:]
 	if words[0] == "suspended" {
 		words = words[1:]
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -30,7 +30,7 @@
 	listen   string
 	dials    chan chan struct{} // each dial to the executor stops until its channel is closed
 	state    chan policy.EndpointState
-	halts    emulator.Halts // of clients' connections
+	halts    emulator.Breakpoints // of clients' connections
 	loopStop atomic.Pointer[loopStop]
 
 	mu              sync.Mutex
@@ -255,7 +255,7 @@
 		stop := w.halts.At(emulator.AfterRead, 0) // nobody else sends anything now
 		c.Close()
 		w.awaitStop(stop)
-		return stop.Go
+		return stop.Release
 	}},
 	{"it only ends its sending, and has read that it is broken off", func(w *testNode, c net.Conn) func() {
 		w.endsSending(c)
@@ -263,7 +263,7 @@
 	}},
 }
 
-func (w *testNode) awaitStop(s *emulator.Stop) {
+func (w *testNode) awaitStop(s *emulator.Breakpoint) {
 	w.t.Helper()
 	select {
 	case <-s.Reached:
@@ -359,7 +359,7 @@
 	w.awaitStop(stop)
 	close(goOn)
 	w.awaitHandled(w.submit("stays"))
-	stop.Go()
+	stop.Release()
 	w.awaitLeft(1)
 	w.ranOnly("stays")
 }
--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -136,7 +136,7 @@
 			RunTimeFactor: 1, Deadline: Span(5 * time.Second), Value: 1, LateValue: 0.5}}
 		s.Length = Span(20 * time.Second)
 	}
-	all := func(kind emulator.Kind, size float64) []Fault {
+	all := func(kind emulator.FaultKind, size float64) []Fault {
 		return []Fault{{Kind: kind, At: Span(time.Millisecond), For: Span(20 * time.Second), Where: []string{"here"}, Size: size}}
 	}
 	for _, c := range []struct {
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -34,13 +34,13 @@
 		habits := emulator.Behavior{
 			Rate:              rates[i],
 			Loops:             load.Loops,
-			Think:             time.Duration(load.ThinkTime),
+			ThinkTime:         time.Duration(load.ThinkTime),
 			Retries:           load.Retries,
 			Backoff:           time.Duration(load.RetryWait),
 			MaxBackoff:        time.Duration(load.MaxRetryWait),
 			FollowsRetryAfter: load.RespectsRetryAfter,
-			LeaveShare:        load.LeaveRate,
-			RepeatIDShare:     load.RepeatIDRate,
+			LeaveFraction:     load.LeaveRate,
+			RepeatIDFraction:  load.RepeatIDRate,
 			HintNoise:         load.HintNoise,
 		}
 		c := &zoneClients{world: w, zone: policy.ZoneID(i)}
--- a/internal/simulation/conn_faults.go
+++ b/internal/simulation/conn_faults.go
@@ -18,7 +18,7 @@
 // beginConnFault begins a fault on connections that are open.
 func (w *World) beginConnFault(fault emulator.Fault) {
 	switch fault.Kind {
-	case emulator.SilentOld:
+	case emulator.UnresponsiveOld:
 		for _, conn := range w.openConns() {
 			if w.networkRand.Float64() < fault.Size {
 				conn.silence()
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -20,7 +20,7 @@
 }
 
 // adminFaults are the kinds of fault that operators cause.
-var adminFaults = []emulator.Kind{emulator.Excluded, emulator.ClientsDrained}
+var adminFaults = []emulator.FaultKind{emulator.Excluded, emulator.ClientsDrained}
 
 // Draw draws a scenario and its faults from a seed. Later additions draw from streams of their own, so that the rest of a seed's scenario
 // stays as it was before them.
@@ -50,8 +50,8 @@
 func oneIn(r *rand.Rand, n int) bool { return r.IntN(n) == 0 }
 
 // otherFaults are the kinds of fault that need neither operators nor gossip.
-func otherFaults() []emulator.Kind {
-	return slices.DeleteFunc(emulator.Kinds(), func(k emulator.Kind) bool {
+func otherFaults() []emulator.FaultKind {
+	return slices.DeleteFunc(emulator.FaultKinds(), func(k emulator.FaultKind) bool {
 		return slices.Contains(adminFaults, k) || slices.Contains(gossipFaults, k)
 	})
 }
@@ -164,18 +164,18 @@
 }
 
 // drawFaults draws up to most faults of some kinds.
-func drawFaults(r *rand.Rand, s *Scenario, most int, kinds []emulator.Kind) {
+func drawFaults(r *rand.Rand, s *Scenario, most int, kinds []emulator.FaultKind) {
 	for range r.IntN(most + 1) {
 		s.Faults = append(s.Faults, drawFault(r, s, kinds[r.IntN(len(kinds))]))
 	}
 }
 
-func drawFault(r *rand.Rand, s *Scenario, kind emulator.Kind) Fault {
+func drawFault(r *rand.Rand, s *Scenario, kind emulator.FaultKind) Fault {
 	length := int(time.Duration(s.Length) / time.Millisecond)
 	fault := Fault{Kind: kind}
 	fault.At = milliseconds(r.IntN(length * 9 / 10))
 	fault.For = milliseconds(100 + r.IntN(length/2))
-	on, _ := kind.On()
+	on, _ := kind.Target()
 	zone := s.Fleet.Zones[r.IntN(len(s.Fleet.Zones))]
 	switch on {
 	case emulator.OnZone:
@@ -185,7 +185,7 @@
 	case emulator.OnNodes:
 		fault.Where = drawTargets(r, "n", s.Fleet.Nodes, zone)
 	}
-	if least, most, ok := kind.Sized(); ok {
+	if least, most, ok := kind.SizeBounds(); ok {
 		least, most = drawnSizes(kind, least, most)
 		fault.Size = round(max(least, least+(most-least)*r.Float64()))
 	}
@@ -193,7 +193,7 @@
 }
 
 // drawnSizes narrows the sizes of a kind of fault to those from which a world can recover.
-func drawnSizes(kind emulator.Kind, least, most float64) (float64, float64) {
+func drawnSizes(kind emulator.FaultKind, least, most float64) (float64, float64) {
 	switch kind {
 	case emulator.SlowExecutors, emulator.HeavyTail:
 		most = 20
--- a/internal/simulation/draw_slow_start.go
+++ b/internal/simulation/draw_slow_start.go
@@ -10,11 +10,11 @@
 )
 
 // startFaults are the kinds of fault after which executors start cold.
-var startFaults = []emulator.Kind{emulator.Crash, emulator.HostLost, emulator.Replace, emulator.AddressChanged, emulator.Drain, emulator.ZoneLost}
+var startFaults = []emulator.FaultKind{emulator.Crash, emulator.HostLost, emulator.Replace, emulator.AddressChanged, emulator.Drain, emulator.ZoneLost}
 
 // startSideFaults are the kinds that make it harder for nodes to share the slow-start budget meanwhile.
-var startSideFaults = []emulator.Kind{emulator.NodeKilled, emulator.NodeKilled, emulator.NodeRestart, emulator.NodePaused, emulator.DiscoveryDelayed,
-	emulator.DiscoveryUnreachable, emulator.DiscoverySilent, emulator.SilentNew}
+var startSideFaults = []emulator.FaultKind{emulator.NodeKilled, emulator.NodeKilled, emulator.NodeRestart, emulator.NodePaused, emulator.DiscoveryDelayed,
+	emulator.DiscoveryUnreachable, emulator.DiscoveryStopped, emulator.UnresponsiveNew}
 
 // maxOtherFaults is the number of faults that a slow-start scenario keeps of those drawn before.
 const maxOtherFaults = 2
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -49,14 +49,14 @@
 			n.adminCall(node.ReadmitExecutor, x.ID)
 		}
 	default:
-		x.faults = emulator.Without(x.faults, fault)
+		x.faults = emulator.RemoveFault(x.faults, fault)
 		x.applyFaults()
 	}
 }
 
 // applyFaults combines the faults that slow the executor down or make it fail.
 func (x *executor) applyFaults() {
-	trouble := emulator.Combine(x.faults)
+	trouble := emulator.CombineFaults(x.faults)
 	trouble.FalseRejections = x.Faults().FalseRejections
 	x.apply(x.SetFaults(x.world.now, trouble))
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -13,7 +13,7 @@
 const watchLossDelay = 100 * time.Millisecond
 
 // gossipFaults are the kinds that are not played in wired worlds, whose nodes have no gossip and run in the test's own process.
-var gossipFaults = []emulator.Kind{emulator.GossipPartitioned, emulator.FalseGossip, emulator.NodePaused, emulator.GossipLost, emulator.DiscoveryUnreachable}
+var gossipFaults = []emulator.FaultKind{emulator.GossipPartitioned, emulator.FalseGossip, emulator.NodePaused, emulator.GossipLost, emulator.DiscoveryUnreachable}
 
 // scheduleFault schedules a fault's begin and end.
 func (w *World) scheduleFault(fault emulator.Fault) {
@@ -45,15 +45,15 @@
 		}
 	case emulator.ResetNew:
 		w.newConnResetRate = size
-	case emulator.SilentNew:
+	case emulator.UnresponsiveNew:
 		w.newConnSilentRate = size
-	case emulator.SilentOld, emulator.ResetOld, emulator.ClientReset:
+	case emulator.UnresponsiveOld, emulator.ResetOld, emulator.ClientReset:
 		if on {
 			w.beginConnFault(fault)
 		}
 	case emulator.DiscoveryDelayed:
 		w.setDiscoveryDelay(secondsOf(size), on)
-	case emulator.DiscoverySilent:
+	case emulator.DiscoveryStopped:
 		w.setDiscoverySilent(on)
 	case emulator.GossipLost:
 		w.gossipLoss = size
@@ -88,11 +88,11 @@
 
 // faultedExecutors are the executors that a fault is on; none if its kind is not on executors.
 func (w *World) faultedExecutors(fault emulator.Fault) (all []*executor) {
-	if on, _ := fault.Kind.On(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
+	if on, _ := fault.Kind.Target(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
 	for _, x := range w.executors {
-		if fault.Touches(string(x.ID), w.scenario.Fleet.Zones[x.Zone]) {
+		if fault.Affects(string(x.ID), w.scenario.Fleet.Zones[x.Zone]) {
 			all = append(all, x)
 		}
 	}
@@ -101,11 +101,11 @@
 
 // faultedNodes are the nodes that a fault is on; none if its kind is not on nodes.
 func (w *World) faultedNodes(fault emulator.Fault) (all []*simNode) {
-	if on, _ := fault.Kind.On(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
+	if on, _ := fault.Kind.Target(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
 	for _, n := range w.nodes {
-		if fault.Touches(n.name, w.scenario.Fleet.Zones[n.zone]) {
+		if fault.Affects(n.name, w.scenario.Fleet.Zones[n.zone]) {
 			all = append(all, n)
 		}
 	}
@@ -124,7 +124,7 @@
 
 // setDiscoverySilent stops discovery from answering, or lets it answer again.
 func (w *World) setDiscoverySilent(silent bool) {
-	w.discovery.SetSilent(silent)
+	w.discovery.SetStopped(silent)
 	w.checker.SetUnreachable(w.now, invariants.NoNode, silent)
 	at := w.now
 	if silent {
@@ -180,7 +180,7 @@
 }
 
 // setPeerFault begins or ends a fault of a node in a world with gossip.
-func (n *simNode) setPeerFault(kind emulator.Kind, on bool) {
+func (n *simNode) setPeerFault(kind emulator.FaultKind, on bool) {
 	switch kind {
 	case emulator.FalseGossip:
 		n.corruption = countTrue(on)
--- a/internal/simulation/kill_run_test.go
+++ b/internal/simulation/kill_run_test.go
@@ -13,7 +13,7 @@
 func TestKilling(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	binary, err := golden.Program(dir)
+	binary, err := golden.BuildProgram(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -170,6 +170,6 @@
 	w.account.recordFinished(work, earned)
 	w.openWorks--
 	if work.Client != openLoop {
-		w.after(r.clients.Behavior.Think, func() { r.clients.submitNext(work.Client) })
+		w.after(r.clients.Behavior.ThinkTime, func() { r.clients.submitNext(work.Client) })
 	}
 }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -131,11 +131,11 @@
 
 // Fault is an entry of the script.
 type Fault struct {
-	Kind  emulator.Kind `toml:"kind"`
-	At    Span          `toml:"at"`
-	For   Span          `toml:"for"`
-	Where []string      `toml:"where,omitempty"` // names of executors, nodes or zones; empty for all
-	Size  float64       `toml:"size,omitempty"`  // its meaning depends on the kind
+	Kind  emulator.FaultKind `toml:"kind"`
+	At    Span               `toml:"at"`
+	For   Span               `toml:"for"`
+	Where []string           `toml:"where,omitempty"` // names of executors, nodes or zones; empty for all
+	Size  float64            `toml:"size,omitempty"`  // its meaning depends on the kind
 }
 
 // Emulated is the fault as the emulator knows it.
@@ -276,7 +276,7 @@
 		ByPriority:       f.ByPriority,
 		CancelsRunning:   f.CancelsRunning,
 		KeepsQueued:      f.KeepsQueued,
-		SlowStartShare:   f.SlowStartCapacity,
+		InitialCapacity:  f.SlowStartCapacity,
 		SlowStart:        time.Duration(f.SlowStartDuration),
 		OverloadMultiple: f.OverloadMultiple,
 		OverloadWindow:   time.Duration(f.OverloadWindow),
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -136,9 +136,9 @@
 
 // checkFault returns the first thing in a fault that makes no sense, and its key.
 func (s *Scenario) checkFault(fault Fault) (key string, err error) {
-	on, ok := fault.Kind.On()
+	on, ok := fault.Kind.Target()
 	if !ok {
-		return "kind", fmt.Errorf("%q is none of %v", fault.Kind, emulator.Kinds())
+		return "kind", fmt.Errorf("%q is none of %v", fault.Kind, emulator.FaultKinds())
 	}
 	if err := fault.Kind.CheckSize(fault.Size); err != nil {
 		return "size", err
--- a/internal/simulation/wired_discovery.go
+++ b/internal/simulation/wired_discovery.go
@@ -64,7 +64,7 @@
 	v.locked(func() {
 		changed = v.endpointsChanged
 		discovery := v.world.discovery
-		if discovery.Silent() {
+		if discovery.Stopped() {
 			return
 		}
 		version, entries := discovery.Since(v.world.now, request.From)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -65,7 +65,7 @@
 func playCrashes(seed uint64, lies bool) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	c := &crashTest{rand: r, disk: emulator.NewDisk(r), acked: map[string]*acknowledged{}, tried: map[string]bool{}}
-	c.disk.Lies = lies
+	c.disk.IgnoresSyncs = lies
 	for range 6 {
 		if err := c.playLife(); err != nil {
 			return err
@@ -229,7 +229,7 @@
 	if err := appendTo(s, store.Record{Kind: store.Final, ID: "j0", At: day, Body: []byte("r")}); err != nil {
 		t.Errorf("the answer of what it has: %v", err)
 	}
-	disk.Room = 50
+	disk.FreeBytes = 50
 	if err := appendTo(s, store.Record{Kind: store.Final, ID: "j1", At: day, Body: make([]byte, 100)}); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("a full disk: %v", err)
 	}
@@ -238,7 +238,7 @@
 		t.Error("a disk without room lets a store open")
 	}
 	disk.Crash()
-	disk.Room = -1
+	disk.FreeBytes = -1
 	if s, err = store.Open(disk, store.Options{SegmentBytes: 1 << 20}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -18,7 +18,7 @@
 type usedConn struct {
 	printer
 	t        *testing.T
-	halts    emulator.Halts
+	halts    emulator.Breakpoints
 	pool     *Pool
 	executor net.Conn
 	in       *bufio.Reader
@@ -94,7 +94,7 @@
 	}
 }
 
-func (u *usedConn) awaitStop(s *emulator.Stop) {
+func (u *usedConn) awaitStop(s *emulator.Breakpoint) {
 	u.t.Helper()
 	select {
 	case <-s.Reached:
@@ -134,15 +134,15 @@
 		}},
 		{"a second answer", func(u *usedConn) { u.respond(emptyResponse(stray)) }},
 	} {
-		var stop *emulator.Stop
-		u := use(t, c.title, func(u *usedConn) { stop = u.halts.On(1, emulator.BeforeRead, 0) })
+		var stop *emulator.Breakpoint
+		u := use(t, c.title, func(u *usedConn) { stop = u.halts.OnConn(1, emulator.BeforeRead, 0) })
 		u.awaitStop(stop)
 		c.do(u)
-		wrote := u.halts.On(1, emulator.BeforeClose, 0) // the writer gives up by closing
+		wrote := u.halts.OnConn(1, emulator.BeforeClose, 0) // the writer gives up by closing
 		u.pool.Write(1, atMostOnce("j2"))
 		u.awaitStop(wrote)
-		wrote.Go()
-		stop.Go()
+		wrote.Release()
+		stop.Release()
 		u.end()
 		text += u.out.String()
 	}
@@ -158,13 +158,13 @@
 		follow bool
 	}{{"the allocation's own answer follows", true}, {"nothing follows", false}} {
 		u := use(t, c.title, nil)
-		writes := u.halts.On(1, emulator.BeforeWrite, 0)
+		writes := u.halts.OnConn(1, emulator.BeforeWrite, 0)
 		u.pool.Write(1, atMostOnce("j2"))
 		u.awaitStop(writes)
-		reads := u.halts.On(1, emulator.BeforeRead, 0)
+		reads := u.halts.OnConn(1, emulator.BeforeRead, 0)
 		u.respond(emptyResponse(stray))
 		u.awaitStop(reads) // the response has been read, and the reader waits for more
-		writes.Go()
+		writes.Release()
 		u.readAttempt()
 		if c.follow {
 			u.respond(okResponse(`{"id":"j2","state":"started"}`))
@@ -174,7 +174,7 @@
 			sent = l.writeDone
 			l.mu.Unlock()
 		}
-		reads.Go()
+		reads.Release()
 		if u.next(t); c.follow {
 			u.end()
 		} else {
@@ -245,10 +245,10 @@
 		<-goOn
 	}))
 	<-looks
-	stop := u.halts.On(1, emulator.BeforeClose, 0)
+	stop := u.halts.OnConn(1, emulator.BeforeClose, 0)
 	u.executor.Close()
 	u.awaitStop(stop)
-	stop.Go()
+	stop.Release()
 	close(goOn)
 	u.end()
 	text += u.out.String()
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -191,7 +191,7 @@
 	kind, _ := strconv.Atoi(parts[2])
 	e.Zone, e.Kind, e.Cell = ZoneID(zone), KindID(kind), CellID(zone)
 	if parts[3] != "" && parts[3] != "-" {
-		e.StartedAt, e.StartedLongAgo = now-golden.Span(t, parts[3]), false
+		e.StartedAt, e.StartedLongAgo = now-golden.Duration(t, parts[3]), false
 	}
 	switch parts[4] {
 	case "", "available":
@@ -254,7 +254,7 @@
 			continue
 		}
 		at, stalled := strings.CutSuffix(words[0], "!")
-		now := golden.Span(t, at)
+		now := golden.Duration(t, at)
 		if !stalled {
 			p.advance(last, now)
 		}
@@ -340,8 +340,8 @@
 		Job:         id,
 		Class:       JobClassID(p.parseInt(values["class"])),
 		Tenant:      TenantID(p.parseInt(values["tenant"])),
-		Work:        golden.Span(p.t, values["work"]),
-		Budget:      golden.Span(p.t, values["budget"]),
+		Work:        golden.Duration(p.t, values["work"]),
+		Budget:      golden.Duration(p.t, values["budget"]),
 		ClientRetry: values["retry"] != "",
 	}
 }
@@ -374,7 +374,7 @@
 		figures := p.parseFloats(args)
 		p.d.SetAdmissionThreshold(AdmissionThreshold{Level: int(figures[0]), AdmitFraction: figures[1], MigrationDelay: figures[2]})
 	case "shutdown-by":
-		p.d.ShutDownBy(now, golden.Span(p.t, args[0]))
+		p.d.ShutDownBy(now, golden.Duration(p.t, args[0]))
 	default:
 		return false
 	}
