--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Benchlink runs the policy on the simulator's wire, over standard input and output.
+// Benchlink connects the policy to the benchmark simulator, over standard input and output.
 package main
 
 import (
--- a/internal/benchwire/adapter.go
+++ b/internal/benchwire/adapter.go
@@ -11,24 +11,25 @@
 	"birchstair/policy"
 )
 
-// Bounds of a line in bytes: batches may be megabytes long, and a list's entries are lines of their own.
+// Sizes in bytes. A batch may be megabytes long, but it consists of many lines: each entry of an endpoint list has a line of its own.
 const (
-	lineBuffer   = 1 << 20
-	maxLineBytes = 1 << 28
+	lineBuffer   = 1 << 20 // initial size of the buffer that holds a line
+	maxLineBytes = 1 << 28 // the longest line that is read
 )
 
-// adapter is the state of one connection to the simulator.
+// adapter holds the state of a connection to the simulator.
 type adapter struct {
 	input     *bufio.Scanner
-	line      int           // the number of the last line read, from 1
-	now       time.Duration // the batch's clock
-	instances map[string]*instance
-	active    []*instance // those with an event in this batch, in the order of their first one
-	fields    fields      // of the last line read
-	endpoints []policy.Endpoint
+	line      int                  // number of the last line read, from 1
+	now       time.Duration        // time of the present batch on the simulator's clock
+	instances map[string]*instance // running instances, by their names
+	active    []*instance          // instances with an event in the present batch, in the order of their first events
+	fields    fields               // fields of the last line read
+	endpoints []policy.Endpoint    // entries of the last endpoint list read
 }
 
-// Run answers batches until the input ends. Its errors name the line at fault.
+// Run reads batches from in, and writes the reply to each to out, until the input ends. An error about the input has the number of the
+// line that is invalid.
 func Run(in io.Reader, out io.Writer) error {
 	a := &adapter{input: bufio.NewScanner(in), instances: map[string]*instance{}}
 	a.input.Buffer(make([]byte, lineBuffer), maxLineBytes)
@@ -52,7 +53,7 @@
 			reply.Reset()
 			a.commit(&reply)
 			if _, err := out.Write(reply.Bytes()); err != nil {
-				return fmt.Errorf("reply: %w", err)
+				return fmt.Errorf("writing a reply: %w", err)
 			}
 		default:
 			err = a.event(name)
@@ -77,7 +78,7 @@
 
 func (a *adapter) lineError(err error) error { return fmt.Errorf("line %d: %w", a.line, err) }
 
-// commit lets each instance that had an event do all that is due, and writes the reply.
+// commit ends a batch: each instance that had an event carries out the tasks that are due, and its actions are added to the reply.
 func (a *adapter) commit(reply *bytes.Buffer) {
 	for _, n := range a.active {
 		if n.dispatcher != nil {
@@ -91,7 +92,7 @@
 	reply.WriteString(endOfReply)
 }
 
-// activate marks an instance as one that may act in this batch.
+// activate marks an instance as one that had an event in the present batch.
 func (a *adapter) activate(n *instance) {
 	if !n.active {
 		n.active = true
@@ -99,31 +100,32 @@
 	}
 }
 
-// event hands one event to its instance. One for an instance that is not running, or for a job that the module does not hold any more, is skipped.
-func (a *adapter) event(name string) error {
-	who, err := a.fields.required(fieldInstance)
+// event passes an event to its instance. The event has no effect if the instance is not running, or if its dispatcher does not know the
+// job any more.
+func (a *adapter) event(message string) error {
+	name, err := a.fields.required(fieldInstance)
 	if err != nil {
 		return err
 	}
-	switch name {
+	switch message {
 	case msgNewInstance:
-		return a.start(string(who))
+		return a.start(string(name))
 	case msgPowerOff:
-		a.stop(string(who))
+		a.stop(string(name))
 		return nil
 	case msgMembership:
-		return a.updateEndpoints(string(who))
+		return a.updateEndpoints(string(name))
 	}
-	n := a.instances[string(who)]
+	n := a.instances[string(name)]
 	if n != nil {
 		a.activate(n)
 	} else {
-		n = &instance{} // not running: its events are decoded, and go nowhere
+		n = &instance{} // not running: the event is decoded, so that a malformed one is an error, and dropped
 	}
-	return n.event(a.now-n.startedAt, name, &a.fields)
+	return n.event(a.now-n.startedAt, message, &a.fields)
 }
 
-// start starts an instance, in place of one that runs under its name.
+// start starts an instance, which replaces a running one of the same name.
 func (a *adapter) start(name string) error {
 	seed, err := a.fields.requiredInt(fieldSeed)
 	if err != nil {
@@ -143,7 +145,7 @@
 	return nil
 }
 
-// stop ends an instance at once: what it has decided in this batch is not sent.
+// stop ends an instance at once. Its actions of the present batch are not sent.
 func (a *adapter) stop(name string) {
 	if n := a.instances[name]; n != nil {
 		n.discard()
@@ -151,7 +153,7 @@
 	}
 }
 
-// updateEndpoints reads an endpoint list and its entries, which are lines of their own, and hands it to its instance.
+// updateEndpoints reads an endpoint list, whose entries are the lines that follow, and passes it to its instance.
 func (a *adapter) updateEndpoints(name string) error {
 	kind, count, err := decodeEndpointList(&a.fields)
 	if err != nil {
@@ -172,7 +174,8 @@
 	return nil
 }
 
-// readEndpoints reads so many entries; their times become those of an instance that was started at that clock time.
+// readEndpoints reads the given number of entries of an endpoint list. Their times become relative to startedAt, the start of the
+// instance.
 func (a *adapter) readEndpoints(count int64, startedAt time.Duration) error {
 	a.endpoints = a.endpoints[:0]
 	for range count {
--- a/internal/benchwire/adapter_test.go
+++ b/internal/benchwire/adapter_test.go
@@ -15,7 +15,7 @@
 ENTRY executor=executor-a stage-state=U new-key=5
 `
 
-// replies plays batches and gives what the adapter wrote, and its error if it stopped.
+// replies passes batches to the adapter, and returns what it wrote, followed by the error if it stopped with one.
 func replies(batches ...string) string {
 	var in strings.Builder
 	for _, b := range batches {
@@ -29,17 +29,17 @@
 	return out.String()
 }
 
-// Batches are answered in order; late events and those for instances that are not running are skipped.
+// TestBatches checks that batches are answered in order, and that late events and events for instances that are not running are ignored.
 func TestBatches(t *testing.T) {
 	got := replies(
 		"SYNC time-s=10\n"+start,
 		"SYNC time-s=11\nSUBMIT who=node/0 id=c:1 category=0 expected-s=0.2 budget-s=5 new-key=x\n",
 		"SYNC time-s=11.1\nHEARTBEAT who=node/0 id=c:1 what=1 shot=0 executor=executor-a\n",
 		"SYNC time-s=11.3\nDONE who=node/0 id=c:1 disposition=fault executor=executor-a shot=0\n",
-		// Late news of what is over, and of an instance that is not there, is passed over.
+		// An event of a finished job, and one for an instance that never ran, are ignored.
 		"SYNC time-s=11.4\nDONE who=node/0 id=c:1 disposition=pass shot=0 settled=1\n"+
 			"CANCELLED_BY_CLIENT who=node/9 id=c:7\n",
-		// Killed and started again in one batch: nothing of the old instance is acted on.
+		// The instance is killed and started again within a batch: no action of the old one is sent.
 		"SYNC time-s=20\nSUBMIT who=node/0 id=c:2 category=0 budget-s=5\nPOWER_OFF who=node/0\n"+start,
 		"SYNC time-s=21\nDONE who=node/0 id=c:2 disposition=pass shot=0 settled=1\n",
 	)
@@ -62,7 +62,8 @@
 	}
 }
 
-// Malformed input stops the adapter with the line at fault; refused settings fail the instance.
+// TestMalformedInput checks that malformed input stops the adapter with the number of the invalid line, and that invalid settings fail the
+// instance.
 func TestMalformedInput(t *testing.T) {
 	for _, c := range []struct{ batch, want string }{
 		{"SYNC time-s=1\nWHAT who=node/0\n", "stopped: line 2: unknown message \"WHAT\"\n"},
@@ -88,7 +89,8 @@
 	}
 }
 
-// Messages between nodes are five bytes; others are skipped. A load report's values go by name.
+// TestPeerMessagesAndReports checks that messages between nodes have five bytes and others are ignored, and that the values of a load
+// report are identified by the names of the fields in the settings.
 func TestPeerMessagesAndReports(t *testing.T) {
 	many := strings.Replace(start, `"balancers":1,`, `"balancers":30,"my-number":3,"report":{"fields":["x0","active",`+
 		`"cpu","waiting"]},`, 1)
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -13,56 +13,56 @@
 	"birchstair/policy"
 )
 
-// Messages received, by their names on the wire.
+// Names of the simulator's messages on the wire.
 const (
-	msgSync          = "SYNC"                // begins a batch
-	msgCommit        = "COMMIT"              // ends a batch
-	msgNewInstance   = "NEW_INSTANCE"        // an instance starts
-	msgPowerOff      = "POWER_OFF"           // an instance is killed
-	msgMembership    = "MEMBERSHIP"          // an update of the endpoint list
-	msgEntry         = "ENTRY"               // an endpoint of the list
-	msgSubmit        = "SUBMIT"              // a job has arrived
-	msgAttemptEnded  = "DONE"                // an attempt has ended
-	msgHeartbeat     = "HEARTBEAT"           // an attempt has started, or has made progress
-	msgStreamStarted = "STARTED"             // a streamed answer has started
-	msgClientLeft    = "CANCELLED_BY_CLIENT" // a job's client has left
-	msgPeerMessage   = "HEARD"               // a message of another node
-	msgProbeResult   = "PROBE_RESULT"        // the answer to a health check
-	msgReminder      = "REMINDER"            // a timer is due
+	msgSync              = "SYNC"                // begins a batch
+	msgCommit            = "COMMIT"              // ends a batch
+	msgNewInstance       = "NEW_INSTANCE"        // an instance starts
+	msgPowerOff          = "POWER_OFF"           // an instance is killed
+	msgMembership        = "MEMBERSHIP"          // an update of the endpoint list
+	msgEntry             = "ENTRY"               // an endpoint of the list
+	msgSubmit            = "SUBMIT"              // a job has arrived
+	msgAttemptEnded      = "DONE"                // an attempt has ended
+	msgHeartbeat         = "HEARTBEAT"           // an attempt has started, or has made progress
+	msgStreamStarted     = "STARTED"             // a streamed answer has started
+	msgClientLeft        = "CANCELLED_BY_CLIENT" // the client of a job has left
+	msgPeerMessage       = "HEARD"               // a message from another node
+	msgHealthCheckResult = "PROBE_RESULT"        // the result of a health check
+	msgReminder          = "REMINDER"            // a timer is due
 )
 
-// Fields of messages received, by their names on the wire.
+// Names of the fields on the wire.
 const (
 	fieldInstance      = "who"
-	fieldTime          = "time-s"
+	fieldTime          = "time-s" // of the batch, on the simulator's clock
 	fieldSeed          = "random-seed"
-	fieldSettings      = "profile-data"
+	fieldSettings      = "profile-data" // JSON to the end of the line
 	fieldListKind      = "kind"
-	fieldListLength    = "members-list"
+	fieldListLength    = "members-list" // how many ENTRY lines follow
 	fieldEndpointState = "stage-state"
 	fieldZone          = "campus"
 	fieldExecutorKind  = "model"
 	fieldCell          = "bay"
-	fieldStartTime     = "start-time-s"
+	fieldStartTime     = "start-time-s" // start of an executor's process; 0 if it started long ago
 	fieldWeight        = "power-hint"
 	fieldExecutor      = "executor"
 	fieldJob           = "id"
 	fieldAttempt       = "shot"
 	fieldClass         = "category"
 	fieldTenant        = "party"
-	fieldWork          = "expected-s"
-	fieldBudget        = "budget-s"
+	fieldWork          = "expected-s" // estimated running time of a job
+	fieldBudget        = "budget-s"   // how long the client of a job waits for its answer
 	fieldClientRetry   = "again-by-client"
 	fieldOutcome       = "disposition"
 	fieldSettled       = "settled"
-	fieldLoad          = "gauge"
-	fieldNotice        = "what"
-	fieldProgress      = "level"
-	fieldSender        = "by"
+	fieldLoad          = "gauge" // load report: numbers with commas between them
+	fieldNotice        = "what"  // 1 for a start, 2 for progress
+	fieldProgress      = "level" // fraction of an attempt's work that is done
+	fieldSender        = "by"    // number of the node that sent the message
 	fieldContent       = "content"
 )
 
-// updateKinds are the kinds of updates of the endpoint list.
+// updateKinds maps the names on the wire to the kinds of updates of the endpoint list.
 var updateKinds = map[string]policy.EndpointUpdateKind{
 	"incr":      policy.IncrementalUpdate,
 	"total":     policy.CompleteUpdate,
@@ -70,17 +70,17 @@
 	"lost":      policy.WatchFailed,
 }
 
-// endpointStates are the states of an endpoint.
+// endpointStates maps the names on the wire to the states of an endpoint.
 var endpointStates = map[string]policy.EndpointState{
 	"U": policy.Available,
 	"L": policy.Draining,
 	"D": policy.Removed,
 }
 
-// outcomeSucceeded is the outcome of an attempt or a probe that succeeded.
+// outcomeSucceeded is the name on the wire for the outcome of an attempt or health check that succeeded.
 const outcomeSucceeded = "pass"
 
-// outcomes are the outcomes of attempts.
+// outcomes maps the names on the wire to the outcomes of attempts.
 var outcomes = map[string]policy.Outcome{
 	outcomeSucceeded: policy.Succeeded,
 	"fault":          policy.ExecutorError,
@@ -92,7 +92,7 @@
 	"stale_send":     policy.NotSent,
 }
 
-// decodeEndpointList reads an update of the endpoint list, and how many entries follow.
+// decodeEndpointList decodes the kind of an update of the endpoint list, and how many entries follow.
 func decodeEndpointList(f *fields) (kind policy.EndpointUpdateKind, count int64, err error) {
 	text, err := f.required(fieldListKind)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return kind, count, err
 }
 
-// decodeEndpoint reads an entry of the list for an instance that was started at that clock time.
+// decodeEndpoint decodes an entry of the endpoint list. Its start time becomes relative to startedAt, the start of the instance.
 func decodeEndpoint(f *fields, startedAt time.Duration) (policy.Endpoint, error) {
 	executor, err := f.required(fieldExecutor)
 	if err != nil {
@@ -140,7 +140,7 @@
 	}, errors.Join(zoneErr, kindErr, cellErr, startErr, weightErr)
 }
 
-// decodeArrival reads a job that has arrived.
+// decodeArrival decodes a job that has arrived.
 func decodeArrival(f *fields) (policy.Arrival, error) {
 	job, err := f.required(fieldJob)
 	if err != nil {
@@ -176,7 +176,7 @@
 	}, nil
 }
 
-// decodeAttempt reads which attempt of which job a message is about.
+// decodeAttempt decodes the job and the number of the attempt that a message is about.
 func decodeAttempt(f *fields) (policy.JobID, policy.AttemptID, error) {
 	job, err := f.required(fieldJob)
 	if err != nil {
@@ -186,18 +186,18 @@
 	return policy.JobID(job), policy.AttemptID(attempt), err
 }
 
-// attemptEnd is how an attempt ended.
+// attemptEnd describes how an attempt ended.
 type attemptEnd struct {
 	job          policy.JobID
 	attempt      policy.AttemptID
 	outcome      policy.Outcome
-	settled      bool // the job is over, by this outcome or before it
+	settled      bool // the job is finished, by this outcome or an earlier one
 	executor     policy.ExecutorID
 	load         policy.Load
-	loadReported bool
+	loadReported bool // whether the executor sent a load report
 }
 
-func decodeAttemptEnd(f *fields, at config.LoadFields) (end attemptEnd, err error) {
+func decodeAttemptEnd(f *fields, loadFields config.LoadFields) (end attemptEnd, err error) {
 	if end.job, end.attempt, err = decodeAttempt(f); err != nil {
 		return end, err
 	}
@@ -214,24 +214,24 @@
 		return end, err
 	}
 	end.settled = settled == 1
-	end.load, end.loadReported = decodeLoad(f, at)
+	end.load, end.loadReported = decodeLoad(f, loadFields)
 	executor, _ := f.get(fieldExecutor)
 	end.executor = policy.ExecutorID(executor)
 	return end, nil
 }
 
-// Kinds of notices.
+// Kinds of notices, by their numbers on the wire.
 const (
 	noticeStarted  = 1
 	noticeProgress = 2
 )
 
-// notice is news of an attempt that has not ended.
+// notice reports the start or the progress of an attempt.
 type notice struct {
 	job      policy.JobID
 	attempt  policy.AttemptID
 	kind     int64
-	progress float64 // of noticeProgress: the share done
+	progress float64 // fraction of the work that is done, if the kind is noticeProgress
 }
 
 func decodeNotice(f *fields) (n notice, err error) {
@@ -245,35 +245,35 @@
 	return n, err
 }
 
-// probeResult is the answer to a health check.
-type probeResult struct {
+// healthCheckResult is the result of a health check.
+type healthCheckResult struct {
 	executor  policy.ExecutorID
-	succeeded bool // with a load report
+	succeeded bool // the executor has answered with a load report
 	load      policy.Load
 }
 
-func decodeProbe(f *fields, at config.LoadFields) (probe probeResult, err error) {
+func decodeHealthCheck(f *fields, loadFields config.LoadFields) (result healthCheckResult, err error) {
 	executor, err := f.required(fieldExecutor)
 	if err != nil {
-		return probe, err
+		return result, err
 	}
 	outcome, err := f.required(fieldOutcome)
 	if err != nil {
-		return probe, err
+		return result, err
 	}
-	load, reported := decodeLoad(f, at)
-	return probeResult{
+	load, reported := decodeLoad(f, loadFields)
+	return healthCheckResult{
 		executor:  policy.ExecutorID(executor),
 		succeeded: reported && string(outcome) == outcomeSucceeded,
 		load:      load,
 	}, nil
 }
 
-// maxLoadValues is how many values of a load report are read.
+// maxLoadValues is how many values of a load report are read. Further ones are ignored.
 const maxLoadValues = 8
 
-// decodeLoad reads a load report; ok is false where none came along, or a value of it is malformed.
-func decodeLoad(f *fields, at config.LoadFields) (load policy.Load, ok bool) {
+// decodeLoad decodes a load report. ok is false if the message has none, or if a value of it is malformed.
+func decodeLoad(f *fields, loadFields config.LoadFields) (load policy.Load, ok bool) {
 	text, ok := f.get(fieldLoad)
 	if !ok || len(text) == 0 {
 		return load, false
@@ -289,20 +289,20 @@
 		}
 		values[count] = x
 	}
-	return at.Decode(values[:count])
+	return loadFields.Decode(values[:count])
 }
 
-// peerMessage is a message of another node about an executor's leases.
+// peerMessage is a message from another node about the leases of an executor.
 type peerMessage struct {
 	from     policy.NodeID
 	kind     policy.LeaseMessage
 	executor policy.ExecutorHash
 }
 
-// leaseMessageBytes is the length of a message between nodes: its kind, and the executor's hash.
+// leaseMessageBytes is the length of a message between nodes: a byte for its kind, and four for the hash of the executor's id.
 const leaseMessageBytes = 1 + 4
 
-// decodeLeaseMessage reads a message of another node; ok is false for one in another form, which is skipped.
+// decodeLeaseMessage decodes a message from another node. If its content has an unknown form, ok is false, and the message is ignored.
 func decodeLeaseMessage(f *fields) (message peerMessage, ok bool, err error) {
 	from, err := f.requiredInt(fieldSender)
 	if err != nil {
--- a/internal/benchwire/doc.go
+++ b/internal/benchwire/doc.go
@@ -1,9 +1,13 @@
-// Package benchwire runs the policy on the simulator's wire. It decodes lines into calls of the policy, keeps the instances
-// and their timers, and encodes what the policy decides. It decides nothing.
+// Package benchwire connects the policy to the benchmark simulator by a line protocol. It decodes the simulator's messages into calls of
+// the policy, keeps a dispatcher and a timer for each simulated node, and encodes what the dispatcher decides as actions. It makes no
+// decision itself.
 //
-//   - adapter.go: batches, and which instance an event is for
-//   - instance.go: one instance of the policy
-//   - line.go: a line's name and fields
-//   - decode.go: the messages received, by the wire's names
-//   - encode.go: the actions sent, by the wire's names
+// A message is a line: its name, followed by fields of the form name=value. The simulator sends messages in batches from SYNC to COMMIT.
+// The reply to a batch is a list of actions, one on each line, that ends with the line DONE.
+//
+//   - adapter.go: reading of batches, and which instance an event belongs to
+//   - instance.go: one simulated node with its dispatcher and timer
+//   - line.go: parsing of a line into its name and fields
+//   - decode.go: messages from the simulator
+//   - encode.go: actions for the simulator
 package benchwire
--- a/internal/benchwire/encode.go
+++ b/internal/benchwire/encode.go
@@ -9,37 +9,37 @@
 	"birchstair/policy"
 )
 
-// Actions sent, by their names on the wire.
+// Names of the actions on the wire.
 const (
-	actionSend         = "ISSUE"         // an attempt of a job goes to an executor
-	actionReject       = "TURN_AWAY"     // a final answer: rejected
-	actionFail         = "RESPOND_ERROR" // a final answer: failed
-	actionCancel       = "STOP_ATTEMPT"  // an attempt is canceled
-	actionWatch        = "WATCH"         // discovery is asked for watch events
-	actionProbe        = "ASK_LOAD"      // a health check
-	actionSendMessage  = "SHARE"         // a message to another node
-	actionLog          = "PRINT"         // a line of the report
-	actionFailInstance = "GIVE_IN"       // the module has failed
-	actionArmTimer     = "ARM"           // a reminder is asked for
+	actionSend         = "ISSUE"         // send an attempt of a job to an executor
+	actionReject       = "TURN_AWAY"     // give a job its final answer: rejected
+	actionFail         = "RESPOND_ERROR" // give a job its final answer: failed
+	actionCancel       = "STOP_ATTEMPT"  // cancel an attempt
+	actionWatch        = "WATCH"         // begin a watch of the endpoint list
+	actionHealthCheck  = "ASK_LOAD"      // send a health check to an executor
+	actionSendMessage  = "SHARE"         // send a message to another node
+	actionLog          = "PRINT"         // write a line to the simulator's report
+	actionFailInstance = "GIVE_IN"       // report that the instance has failed
+	actionSetTimer     = "ARM"           // set a timer, which comes back as a REMINDER message
 )
 
-// Fields of actions, by their names on the wire; others are those of messages received.
+// Names on the wire of the fields that only actions have. Actions share their other fields with the messages in decode.go.
 const (
-	fieldRetryAfter = "wait-s"
-	fieldEnable     = "enable"
-	fieldReceiver   = "dest"
-	fieldText       = "msg"
-	fieldTimer      = "mark"
-	fieldDueAt      = "due-at-s"
+	fieldRetryAfter = "wait-s"   // when the client should retry, in seconds from now
+	fieldEnable     = "enable"   // 1 to begin a watch
+	fieldReceiver   = "dest"     // number of the node that gets the message
+	fieldText       = "msg"      // text to the end of the line
+	fieldTimer      = "mark"     // name of the timer
+	fieldDueAt      = "due-at-s" // time of the timer, in seconds on the simulator's clock
 )
 
-// timerMark names the one timer of an instance.
-const timerMark = "due"
+// timerName is the name of the only timer of an instance.
+const timerName = "due"
 
 // endOfReply ends the reply to a batch.
 const endOfReply = "DONE\n"
 
-// actionEncoder encodes the actions of one instance, a line each.
+// actionEncoder encodes the actions of one instance, each as a line.
 type actionEncoder struct {
 	instance string
 	buf      []byte
@@ -47,7 +47,7 @@
 
 func (e *actionEncoder) reset() { e.buf = e.buf[:0] }
 
-// send sends an attempt of a job.
+// send encodes that an attempt of a job is sent to an executor.
 func (e *actionEncoder) send(job policy.JobID, executor policy.ExecutorID) {
 	e.begin(actionSend)
 	e.field(fieldJob, string(job))
@@ -55,7 +55,7 @@
 	e.end()
 }
 
-// reject rejects a job; no time to come back after is no advice.
+// reject encodes the rejection of a job. If retryAfter is 0, the client gets no advice when to retry.
 func (e *actionEncoder) reject(job policy.JobID, retryAfter time.Duration) {
 	e.begin(actionReject)
 	e.field(fieldJob, string(job))
@@ -65,14 +65,14 @@
 	e.end()
 }
 
-// fail fails a job.
+// fail encodes the failure of a job.
 func (e *actionEncoder) fail(job policy.JobID) {
 	e.begin(actionFail)
 	e.field(fieldJob, string(job))
 	e.end()
 }
 
-// cancel cancels an attempt.
+// cancel encodes the cancellation of an attempt.
 func (e *actionEncoder) cancel(job policy.JobID, attempt policy.AttemptID) {
 	e.begin(actionCancel)
 	e.field(fieldJob, string(job))
@@ -80,21 +80,21 @@
 	e.end()
 }
 
-// watch asks discovery for watch events.
+// watch encodes that the instance begins to watch the endpoint list.
 func (e *actionEncoder) watch() {
 	e.begin(actionWatch)
 	e.field(fieldEnable, "1")
 	e.end()
 }
 
-// probe sends a health check.
-func (e *actionEncoder) probe(executor policy.ExecutorID) {
-	e.begin(actionProbe)
+// checkHealth encodes a health check of an executor.
+func (e *actionEncoder) checkHealth(executor policy.ExecutorID) {
+	e.begin(actionHealthCheck)
 	e.field(fieldExecutor, string(executor))
 	e.end()
 }
 
-// sendLeaseMessage sends another node a message about an executor's leases.
+// sendLeaseMessage encodes a message to another node about the leases of an executor.
 func (e *actionEncoder) sendLeaseMessage(to policy.NodeID, message policy.LeaseMessage, executor policy.ExecutorHash) {
 	var content [leaseMessageBytes]byte
 	content[0] = byte(message)
@@ -106,24 +106,25 @@
 	e.end()
 }
 
-// log writes a line of the report.
+// log encodes a line for the simulator's report.
 func (e *actionEncoder) log(text string) {
 	e.begin(actionLog)
 	e.field(fieldText, text)
 	e.end()
 }
 
-// failInstance declares that the module has failed.
+// failInstance encodes that the instance has failed.
 func (e *actionEncoder) failInstance(reason string) {
 	e.begin(actionFailInstance)
 	e.field(fieldText, reason)
 	e.end()
 }
 
-// armTimer asks for a reminder at a clock time, rounded up to the wire's microseconds.
-func (e *actionEncoder) armTimer(at time.Duration) {
-	e.begin(actionArmTimer)
-	e.field(fieldTimer, timerMark)
+// setTimer encodes a timer at a time of the simulator's clock. The wire has microseconds: the time is rounded up, so that the timer is
+// not due early.
+func (e *actionEncoder) setTimer(at time.Duration) {
+	e.begin(actionSetTimer)
+	e.field(fieldTimer, timerName)
 	e.seconds(fieldDueAt, at+time.Microsecond-1)
 	e.end()
 }
@@ -149,7 +150,7 @@
 	e.buf = strconv.AppendInt(e.buf, value, 10)
 }
 
-// seconds writes a time in seconds, cut to the microsecond.
+// seconds appends a field with a time in seconds, truncated to microseconds.
 func (e *actionEncoder) seconds(name string, t time.Duration) {
 	e.key(name)
 	e.buf = strconv.AppendFloat(e.buf, float64(t/time.Microsecond)/1e6, 'f', 6, 64)
--- a/internal/benchwire/instance.go
+++ b/internal/benchwire/instance.go
@@ -8,22 +8,22 @@
 	"birchstair/policy"
 )
 
-// instance is one node of the simulator, with its decision module. The module's times are since the instance's start.
+// instance is a node of the simulator, with its dispatcher. The times that the dispatcher gets are relative to the start of the instance.
 type instance struct {
-	name       string // empty for one that is not running
-	startedAt  time.Duration
-	timerAt    time.Duration // when the earliest timer is due; 0 for none
-	dispatcher *policy.Dispatcher
+	name       string             // empty for an instance that is not running
+	startedAt  time.Duration      // start of the instance on the simulator's clock
+	timerAt    time.Duration      // when the earliest timer is due, relative to the start of the instance; 0 for none
+	dispatcher *policy.Dispatcher // nil if the settings are invalid, or after a failure
 	loadFields config.LoadFields
-	actions    actionEncoder // of this batch
-	active     bool          // it has had an event in this batch
+	actions    actionEncoder // actions of the present batch
+	active     bool          // the instance had an event in the present batch
 }
 
 func newInstance(name string, startedAt time.Duration) *instance {
 	return &instance{name: name, startedAt: startedAt, actions: actionEncoder{instance: name}}
 }
 
-// configure makes the decision module of its settings. Settings that are refused fail the instance.
+// configure creates the dispatcher from the text of its settings. Invalid settings fail the instance.
 func (n *instance) configure(settingsText []byte, seed int64) {
 	settings, err := config.ReadSettings(settingsText)
 	n.loadFields = settings.LoadFields
@@ -35,19 +35,19 @@
 	n.guard(func() { n.dispatcher = policy.New(settings.Policy) })
 }
 
-// discard drops the module and what it has decided in this batch.
+// discard drops the dispatcher, and its actions of the present batch.
 func (n *instance) discard() {
 	n.dispatcher = nil
 	n.actions.reset()
 }
 
-// fail declares that the module has failed, which ends the simulated day.
+// fail reports to the simulator that the instance has failed, which ends the simulated day.
 func (n *instance) fail(reason string) {
 	n.discard()
 	n.actions.failInstance(reason)
 }
 
-// guard makes a call of the module. A panic fails the instance; one that is not running is not called.
+// guard runs a call of the dispatcher, and fails the instance if the call panics. For an instance that is not running it does nothing.
 func (n *instance) guard(call func()) {
 	if n.dispatcher == nil && n.name == "" {
 		return
@@ -60,9 +60,9 @@
 	call()
 }
 
-// event decodes an event and hands it to the module.
-func (n *instance) event(now time.Duration, name string, f *fields) error {
-	switch name {
+// event decodes an event, and passes it to the dispatcher.
+func (n *instance) event(now time.Duration, message string, f *fields) error {
+	switch message {
 	case msgReminder:
 		if now >= n.timerAt {
 			n.timerAt = 0
@@ -80,10 +80,10 @@
 		return n.clientLeft(now, f)
 	case msgPeerMessage:
 		return n.leaseMessage(now, f)
-	case msgProbeResult:
-		return n.probeEnded(now, f)
+	case msgHealthCheckResult:
+		return n.healthCheckEnded(now, f)
 	}
-	return fmt.Errorf("unknown message %q", name)
+	return fmt.Errorf("unknown message %q", message)
 }
 
 func (n *instance) jobArrived(now time.Duration, f *fields) error {
@@ -125,13 +125,13 @@
 	return nil
 }
 
-// streamStarted takes a streamed answer that has started as the job's start.
+// streamStarted handles the start of a streamed answer as the start of its attempt.
 func (n *instance) streamStarted(now time.Duration, f *fields) error {
 	job, attempt, err := decodeAttempt(f)
 	if err != nil {
 		return err
 	}
-	if _, err := f.number(fieldProgress); err != nil {
+	if _, err := f.number(fieldProgress); err != nil { // the value is not used, but must be valid
 		return err
 	}
 	n.guard(func() { n.dispatcher.AttemptStarted(now, job, attempt) })
@@ -156,16 +156,16 @@
 	return nil
 }
 
-func (n *instance) probeEnded(now time.Duration, f *fields) error {
-	probe, err := decodeProbe(f, n.loadFields)
+func (n *instance) healthCheckEnded(now time.Duration, f *fields) error {
+	check, err := decodeHealthCheck(f, n.loadFields)
 	if err != nil {
 		return err
 	}
-	n.guard(func() { n.dispatcher.ProbeEnded(now, probe.executor, probe.succeeded, probe.load) })
+	n.guard(func() { n.dispatcher.ProbeEnded(now, check.executor, check.succeeded, check.load) })
 	return nil
 }
 
-// runTasks carries out all tasks that are due at a clock time, then arms the timer for the next.
+// runTasks carries out all tasks of the dispatcher that are due at a time of the simulator's clock, and sets a timer for the next one.
 func (n *instance) runTasks(clock time.Duration) {
 	now := clock - n.startedAt
 	for {
@@ -180,25 +180,25 @@
 		case policy.SendLeaseMessage:
 			n.actions.sendLeaseMessage(task.Node, task.Message, task.Hash)
 		case policy.SendHealthCheck:
-			n.actions.probe(task.Executor)
+			n.actions.checkHealth(task.Executor)
 		case policy.WriteLog:
 			n.actions.log(task.Text)
 		case policy.Sleep:
-			n.armTimer(task.At)
+			n.setTimer(task.At)
 			return
 		}
 	}
 }
 
-// armTimer arms a timer unless an earlier one is armed; timers can't be taken back.
-func (n *instance) armTimer(at time.Duration) {
+// setTimer sets a timer, unless one that is due earlier is set. The simulator has no way to cancel a timer.
+func (n *instance) setTimer(at time.Duration) {
 	if n.timerAt == 0 || at < n.timerAt {
 		n.timerAt = at
-		n.actions.armTimer(at + n.startedAt)
+		n.actions.setTimer(at + n.startedAt)
 	}
 }
 
-// apply sends a decision about a job.
+// apply encodes the action for a decision about a job.
 func (n *instance) apply(job policy.JobID, decision policy.Decision) {
 	switch decision.Action {
 	case policy.Send:
--- a/internal/benchwire/line.go
+++ b/internal/benchwire/line.go
@@ -10,14 +10,14 @@
 	"birchstair/internal/config"
 )
 
-// fields are the name=value pairs of one line; they point into it and hold until the next is parsed.
+// fields holds the name=value pairs of one line. They point into the line, and are valid until the next line is parsed.
 type fields struct {
 	pairs []pair
 }
 
 type pair struct{ key, value []byte }
 
-// parse splits a line into its fields and gives its message's name.
+// parse splits a line into its fields, and returns the name of its message.
 func (f *fields) parse(line []byte) (name string, err error) {
 	f.pairs = f.pairs[:0]
 	message, rest, _ := bytes.Cut(line, []byte{' '})
@@ -28,7 +28,7 @@
 		}
 		key, value := rest[:equals], rest[equals+1:]
 		rest = nil
-		if string(key) != fieldSettings { // a text to the line's end
+		if string(key) != fieldSettings { // the settings are JSON, which ends with the line
 			value, rest, _ = bytes.Cut(value, []byte{' '})
 		}
 		f.pairs = append(f.pairs, pair{key, value})
@@ -36,7 +36,7 @@
 	return messageName(message), nil
 }
 
-// frequentMessages are those whose names are given without an allocation.
+// frequentMessages are the messages whose names messageName returns without an allocation.
 var frequentMessages = [...]string{msgSync, msgCommit, msgAttemptEnded, msgHeartbeat, msgSubmit, msgReminder, msgEntry}
 
 func messageName(message []byte) string {
@@ -48,12 +48,12 @@
 	return string(message)
 }
 
-// maxQuoted is how much of a malformed text an error quotes.
+// maxQuoted is the number of bytes that an error quotes of a malformed text.
 const maxQuoted = 40
 
 func clip(text []byte) []byte { return text[:min(len(text), maxQuoted)] }
 
-// get finds a field that may be absent.
+// get returns the value of a field, and whether the line has the field.
 func (f *fields) get(key string) (value []byte, ok bool) {
 	for _, p := range f.pairs {
 		if string(p.key) == key {
@@ -63,7 +63,7 @@
 	return nil, false
 }
 
-// required finds a field that must be there, and not empty.
+// required returns the value of a field, and an error if the field is missing or empty.
 func (f *fields) required(key string) ([]byte, error) {
 	value, ok := f.get(key)
 	if !ok || len(value) == 0 {
@@ -72,7 +72,7 @@
 	return value, nil
 }
 
-// number reads a number; 0 where it is absent.
+// number parses a field as a finite number. It returns 0 if the field is missing.
 func (f *fields) number(key string) (float64, error) {
 	text, ok := f.get(key)
 	if !ok {
@@ -85,7 +85,7 @@
 	return x, nil
 }
 
-// integer reads a whole number; 0 where it is absent.
+// integer parses a field as an integer. It returns 0 if the field is missing.
 func (f *fields) integer(key string) (int64, error) {
 	text, ok := f.get(key)
 	if !ok {
@@ -98,7 +98,7 @@
 	return x, nil
 }
 
-// requiredInt reads a whole number that must be there.
+// requiredInt parses a field as an integer, and returns an error if the field is missing.
 func (f *fields) requiredInt(key string) (int64, error) {
 	if _, ok := f.get(key); !ok {
 		return 0, fmt.Errorf("field %s is missing", key)
@@ -106,13 +106,13 @@
 	return f.integer(key)
 }
 
-// seconds reads a time in seconds; 0 where it is absent.
+// seconds parses a field as a time in seconds. It returns 0 if the field is missing.
 func (f *fields) seconds(key string) (time.Duration, error) {
 	x, err := f.number(key)
 	return config.Seconds(x), err
 }
 
-// requiredSeconds reads a time in seconds that must be there.
+// requiredSeconds parses a field as a time in seconds, and returns an error if the field is missing or empty.
 func (f *fields) requiredSeconds(key string) (time.Duration, error) {
 	if _, err := f.required(key); err != nil {
 		return 0, err
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -11,7 +11,8 @@
 	"birchstair/internal/golden"
 )
 
-// dialogue plays batches and gives them with their replies, a reply's lines marked; each batch ends with its own COMMIT.
+// dialogue passes batches to the adapter, each completed with COMMIT, and returns them with the replies. Lines of a reply begin with
+// golden.Arrow.
 func dialogue(title string, batches ...string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "# %s\n", title)
@@ -37,7 +38,7 @@
 	return out.String()
 }
 
-// instanceOf is the start of an instance with more settings and capabilities than the least.
+// instanceOf returns the message that starts an instance, with settings and capabilities in addition to the usual ones.
 func instanceOf(settings, caps string) string {
 	return `NEW_INSTANCE who=node/3 random-seed=7 profile-data={"balancers":1,"quantum-s":0.001,` + settings +
 		`"caps":{"max-allocations":3,"cancel":true,"retry-after":true,"max-retry-after-s":2` + caps + `},` +
@@ -50,7 +51,7 @@
 	"ENTRY executor=executor-a stage-state=U campus=0 model=0 bay=1 power-hint=1 start-time-s=0\n" +
 	"ENTRY executor=executor-b stage-state=U campus=0 model=0 bay=2 power-hint=1.5 start-time-s=6.1\n"
 
-// Every kind of message in both directions, and every value of those that are named, as the wire page lists them.
+// TestWire pins every kind of message in both directions, and every named value of a field.
 func TestWire(t *testing.T) {
 	var out strings.Builder
 	out.WriteString(dialogue("endpoint lists: each kind, each state; a watch is asked for",
@@ -119,7 +120,7 @@
 	golden.Compare(t, "wire.txt", out.String())
 }
 
-// What is not of the wire stops the adapter, with the line and the field that are at fault.
+// TestMalformed pins the errors for malformed input, each with the number of the line and the name of the invalid field.
 func TestMalformed(t *testing.T) {
 	var out strings.Builder
 	begin := "SYNC time-s=10\n" + instanceOf("", "") + twoExecutors
