--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -18,15 +18,15 @@
 
 	knownEndpoints map[NodeID]map[policy.ExecutorID]knownEndpoint
 	published      map[policy.ExecutorID]publishedEndpoint
-	reachableSince map[NodeID]time.Duration // since when a node can reach discovery; of no node: for all
-	unreachable    map[NodeID]bool          // nodes that cannot reach discovery until further notice; of no node: for all
+	reachableSince map[NodeID]time.Duration // since when a node can reach discovery; NoNode stands for all nodes
+	unreachable    map[NodeID]bool          // nodes that cannot reach discovery until further notice; NoNode stands for all nodes
 	executors      map[policy.ExecutorID]*startedExecutor
 
 	deadlines     deadlineHeap
 	deadlineOrder int
 
-	recent     []Event // a ring of the last events
-	recentNext int
+	recent     []Event // ring buffer of the last events
+	recentNext int     // index in recent that the next event overwrites
 	violations []Violation
 	reported   map[violationKey]bool
 
@@ -36,7 +36,7 @@
 	slowStartPeak   float64
 }
 
-// New returns a checker that has seen no event.
+// New returns a checker without events.
 func New(settings Settings) *Checker {
 	return &Checker{
 		settings:       settings,
@@ -70,8 +70,8 @@
 // windows in which two thirds of the work came from nodes that had been notified of the start.
 func (c *Checker) SlowStartPeak() float64 { return c.slowStartPeak }
 
-// Observe processes an event, and returns the violations found by it and by the time that passed before it. Events come in the order of
-// their times.
+// Observe processes an event, and returns the violations that the event and the time that passed before it revealed. Events must come in
+// the order of their times.
 func (c *Checker) Observe(event Event) []Violation {
 	before := len(c.violations)
 	c.AdvanceTo(event.At)
@@ -91,7 +91,7 @@
 	case ClientLeft:
 		c.clientLeft(key, event)
 	case ClientKnownLeft:
-		c.clientKnownToHaveLeft(key)
+		c.clientKnownLeft(key)
 	case AttemptFirstByte:
 		c.attemptSent(key, event)
 	case AttemptEnded:
@@ -101,14 +101,14 @@
 	case ExecutorStarted:
 		c.executorStarted(event)
 	case AttemptReached:
-		c.workArrived(key, event)
+		c.attemptReached(key, event)
 	case EffectStarted:
-		c.effectRan(key, event)
+		c.effectStarted(key, event)
 	}
 	return c.violations[before:]
 }
 
-// remember keeps an event for reports.
+// remember keeps an event for later reports of violations, in place of the oldest one.
 func (c *Checker) remember(event Event) {
 	if len(c.recent) < recentEvents {
 		c.recent = append(c.recent, event)
@@ -118,7 +118,7 @@
 	c.recentNext = (c.recentNext + 1) % recentEvents
 }
 
-// nodeReset forgets all that a process of a node had: the node has started or was killed.
+// nodeReset drops the state of a node that has started or was killed.
 func (c *Checker) nodeReset(event Event) {
 	c.UnreachableUntil(event.Node, event.At)
 	delete(c.paused, event.Node)
@@ -127,7 +127,7 @@
 	maps.DeleteFunc(c.clientLeftAt, func(key jobKey, _ time.Duration) bool { return key.node == event.Node })
 }
 
-// nodePaused notes that a node's process is paused or resumed. What it has open is bound by no time limit any more.
+// nodePaused records that a node's process is paused or has resumed. No time limit applies to the jobs that the node has then.
 func (c *Checker) nodePaused(event Event) {
 	c.paused[event.Node] = event.Kind == NodePaused
 	c.UnreachableUntil(event.Node, event.At)
--- a/internal/invariants/deadline.go
+++ b/internal/invariants/deadline.go
@@ -7,10 +7,10 @@
 
 // deadline is a time by which a batch job must have its answer.
 type deadline struct {
-	at    time.Duration
-	order int // ties are resolved in the order of scheduling
-	key   jobKey
-	limit time.Duration // the job's deadline; 0 if the job was given up on and its answer is due at once
+	at          time.Duration
+	order       int // number in the order of scheduling, which decides between equal times
+	key         jobKey
+	jobDeadline time.Duration // the job's deadline; 0 if the job was given up on and its answer is due at once
 }
 
 func (c *Checker) schedule(at time.Duration, key jobKey, limit time.Duration) {
@@ -18,7 +18,7 @@
 	heap.Push(&c.deadlines, deadline{at, c.deadlineOrder, key, limit})
 }
 
-// AdvanceTo advances time without an event: an answer that was due before now and has not been seen violates a rule.
+// AdvanceTo advances the time without an event. A missing answer that was due before now is a violation.
 func (c *Checker) AdvanceTo(now time.Duration) {
 	for len(c.deadlines) > 0 && c.deadlines[0].at < now {
 		c.expire(heap.Pop(&c.deadlines).(deadline))
@@ -32,16 +32,16 @@
 	}
 	about := subject{job: d.key, work: j.work}
 	switch {
-	case j.clientLeft: // nobody waits for an answer
-		if d.limit == j.limit {
+	case j.clientLeft: // no answer is needed
+		if d.jobDeadline == j.deadline {
 			j.closed = true
 			c.forget(d.key, j)
 		}
-	case d.limit == 0 && j.givenUp:
-		c.report(PromptAnswer, d.at, about, "%s was given up on at %.3fs and has no answer %v later", d.key.id, j.givenUpAt.Seconds(), c.settings.PromptWithin)
-	case d.limit == j.limit:
-		c.report(OneAnswer, d.at, about, "%s has no final answer by its limit", d.key.id)
-		j.closed = true // reported once
+	case d.jobDeadline == 0 && j.givenUp:
+		c.report(PromptAnswer, d.at, about, "the policy gave up on %s at %.3fs, and it has no answer %v later", d.key.id, j.givenUpAt.Seconds(), c.settings.PromptWithin)
+	case d.jobDeadline == j.deadline:
+		c.report(OneAnswer, d.at, about, "%s has no final answer by its deadline", d.key.id)
+		j.closed = true // so that the missing answer is reported once
 		c.forget(d.key, j)
 	}
 }
--- a/internal/invariants/effect.go
+++ b/internal/invariants/effect.go
@@ -13,24 +13,23 @@
 	at       time.Duration
 }
 
-// maxEffectRuns is how many runs of a work are remembered.
+// maxEffectRuns is how many runs of the effect of a work are remembered.
 const maxEffectRuns = 8
 
-// effectRan checks that an effect does not run twice. Nodes do not answer for clients that repeat their requests: for idempotent classes
-// with a key, only runs for the same batch job count. If something between node and executor delays an attempt for longer than the
-// dedup window, the effect runs again whatever the node does: that is counted, and is no violation as long as every attempt was sent
-// within the window.
-func (c *Checker) effectRan(key jobKey, event Event) {
+// effectStarted checks that an effect does not run twice. For classes with an idempotency key, only runs for the same batch job count, since
+// nodes are not responsible for clients that repeat their requests. If an attempt reaches the executor after the dedup window, the effect
+// runs again whatever the node does. Such runs are counted, and are not a violation if every attempt was sent within the window.
+func (c *Checker) effectStarted(key jobKey, event Event) {
 	class := c.settings.Classes[event.Class]
 	about := subject{job: key, work: event.Work, executor: event.Executor}
 	for _, run := range c.effects[event.Work] {
 		switch {
 		case class.Idempotency == policy.AtMostOnce:
-			c.report(NoEffectTwice, event.At, about, "%s, once-only, ran at %s and at %s", event.Work, run.executor, event.Executor)
+			c.report(NoEffectTwice, event.At, about, "%s, which may run at most once, ran at %s and at %s", event.Work, run.executor, event.Executor)
 		case class.Idempotency == policy.IdempotentWithKey && event.At > run.at+class.DedupWindow:
 			c.lateReruns++
 		case class.Idempotency == policy.IdempotentWithKey && run.job == key:
-			c.report(NoEffectTwice, event.At, about, "%s, tagged, ran at %s and at %s for one batch job", event.Work, run.executor, event.Executor)
+			c.report(NoEffectTwice, event.At, about, "%s, with an idempotency key, ran at %s and at %s for one batch job", event.Work, run.executor, event.Executor)
 		}
 	}
 	if len(c.effects[event.Work]) < maxEffectRuns {
--- a/internal/invariants/endpoint.go
+++ b/internal/invariants/endpoint.go
@@ -6,17 +6,17 @@
 	"birchstair/policy"
 )
 
-// knownEndpoint is what a node has been notified of an executor.
+// knownEndpoint is what a node knows about an executor by its notifications.
 type knownEndpoint struct {
 	state policy.EndpointState
-	since time.Duration // when it was first notified that the executor takes nothing new, or of the present state
+	since time.Duration // when the node was notified of the state; if not Available, of the first such state since the last Available
 	start time.Duration // start of the executor's process
 }
 
-// publishedEndpoint is what discovery has of an executor, and since when it may notify nodes of it.
+// publishedEndpoint is the state of an executor that discovery publishes.
 type publishedEndpoint struct {
 	state policy.EndpointState
-	since time.Duration
+	since time.Duration // when the state was published; if not Available, the first such state since the last Available
 }
 
 func (c *Checker) endpointNotified(event Event) {
@@ -28,33 +28,34 @@
 	previous, known := byExecutor[event.Executor]
 	endpoint := knownEndpoint{event.State, event.At, event.Start}
 	if known && previous.state != policy.Available && event.State != policy.Available {
-		endpoint.since = previous.since // notified before that it takes nothing new
+		endpoint.since = previous.since // the node knew already that the executor accepts nothing new
 	}
 	byExecutor[event.Executor] = endpoint
 }
 
-// EndpointPublished tells the checker that discovery has an executor in a state and notifies nodes of it from the given time on. No node sees it.
+// EndpointPublished records that discovery publishes a state of an executor from the given time on. Whether a node has been notified of it
+// is a separate event, EndpointNotified.
 func (c *Checker) EndpointPublished(from time.Duration, executor policy.ExecutorID, state policy.EndpointState) {
 	previous, known := c.published[executor]
 	if known && previous.state != policy.Available && state != policy.Available {
-		return // in force since then
+		return // the time counts from the first of the two
 	}
 	c.published[executor] = publishedEndpoint{state, from}
 }
 
-// UnreachableUntil tells the checker that a node, or every node for the id of no node, cannot reach discovery until the given time.
+// UnreachableUntil records that a node cannot reach discovery until the given time. NoNode stands for all nodes.
 func (c *Checker) UnreachableUntil(node NodeID, until time.Duration) {
 	c.reachableSince[node] = max(c.reachableSince[node], until)
 }
 
-// SetUnreachable tells the checker that from now on a node, or every node for the id of no node, cannot reach discovery, or that it can again.
+// SetUnreachable records that from now on a node cannot reach discovery, or that it can again. NoNode stands for all nodes.
 func (c *Checker) SetUnreachable(now time.Duration, node NodeID, unreachable bool) {
 	c.unreachable[node] = unreachable
 	c.UnreachableUntil(node, now)
 }
 
-// OverdueDrain returns how long ago a node must have learned from discovery that an executor takes nothing new, and whether that time
-// has come.
+// OverdueDrain returns for how long a node must have known from discovery that an executor accepts nothing new, and whether that time has
+// come.
 func (c *Checker) OverdueDrain(now time.Duration, node NodeID, executor policy.ExecutorID) (time.Duration, bool) {
 	endpoint, known := c.published[executor]
 	if !known || endpoint.state == policy.Available || c.unreachable[node] || c.unreachable[NoNode] {
@@ -68,12 +69,12 @@
 func (c *Checker) checkDrain(event Event, about subject, excused bool) {
 	endpoint, known := c.knownEndpoints[event.Node][event.Executor]
 	if known && endpoint.state != policy.Available && event.At > endpoint.since+c.settings.DrainGrace {
-		c.report(DrainRespected, event.At, about, "%s was sent to %s %v after node %d was told that it drains or is gone",
+		c.report(DrainRespected, event.At, about, "%s was sent to %s %v after node %d was notified that it drains or was removed",
 			event.Job, event.Executor, event.At-endpoint.since, event.Node)
 	}
 	late, due := c.OverdueDrain(event.At, event.Node, event.Executor)
 	if due && !excused {
-		c.report(DrainInForce, event.At, about, "%s was sent to %s %v after node %d could have heard for %v that it drains or is gone",
+		c.report(DrainInForce, event.At, about, "%s was sent to %s %v after its drain or removal had to be in force at node %d, which could learn of it for %v",
 			event.Job, event.Executor, late, event.Node, DrainInForceWithin)
 	}
 }
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -23,22 +23,22 @@
 
 // The kinds of events, in the order of their names in traces.
 const (
-	Note             EventKind = iota // a remark that no rule is about
+	Note             EventKind = iota // a remark, which no rule uses
 	NodeStarted                       // the node has started, with no state
-	NodeKilled                        // the node was killed, with everything it had open
+	NodeKilled                        // the node was killed: its jobs, attempts and connections are gone
 	EndpointNotified                  // the node was notified of the state of an executor, and of the start of its process
 	JobAccepted                       // the node has accepted a batch job, with its work, class and deadline
 	JobGivenUp                        // the policy of the node has given up on the job
 	ClientKnownLeft                   // the node has learned that the client of the job left
 	AttemptFirstByte                  // the node has sent the first byte of an attempt to an executor, in its zone and cell
 	AttemptLastByte                   // the node has sent the last byte of that attempt
-	AttemptEnded                      // the node has learned that an attempt ended, and whether that proves that it never ran
+	AttemptEnded                      // the node has learned that an attempt ended, and whether it certainly never ran
 	JobAnswered                       // the node has given the job its final answer
-	ExecutorStarted                   // an executor has started and warms up; the start is that of the event, unless one is set
-	AttemptReached                    // an attempt has reached an executor: its cost against the present capacity
+	ExecutorStarted                   // an executor has started and is in slow start; a Start of 0 stands for the time of the event
+	AttemptReached                    // an attempt has reached an executor, with its cost and the executor's present capacity
 	EffectStarted                     // an executor has begun the effect of a work, for a job of the node
 	ExecutorCrashed                   // an executor has crashed from overload
-	NodePaused                        // the process of the node is paused: no time limit applies to what it has open
+	NodePaused                        // the process of the node is paused: no time limit applies to the jobs that it has
 	NodeResumed                       // the process of the node has resumed
 	ClientLeft                        // the connection of the job's client has ended, whether the node has learned of it or not
 )
@@ -47,20 +47,20 @@
 	"last byte", "over", "answered", "started", "reached", "ran", "fell", "stood still", "went on", "client went"}
 
 // String returns the name of the kind, as traces have it.
-func (w EventKind) String() string { return eventKindNames[w] }
+func (k EventKind) String() string { return eventKindNames[k] }
 
 // MarshalText returns the name of the kind. It implements encoding.TextMarshaler.
-func (w EventKind) MarshalText() ([]byte, error) { return []byte(eventKindNames[w]), nil }
+func (k EventKind) MarshalText() ([]byte, error) { return []byte(eventKindNames[k]), nil }
 
 // UnmarshalText reads the name of a kind, and fails for one that is not known. It implements encoding.TextUnmarshaler.
-func (w *EventKind) UnmarshalText(text []byte) error {
+func (k *EventKind) UnmarshalText(text []byte) error {
 	for i, name := range eventKindNames {
 		if name == string(text) {
-			*w = EventKind(i)
+			*k = EventKind(i)
 			return nil
 		}
 	}
-	return fmt.Errorf("%q is nothing that can be seen", text)
+	return fmt.Errorf("unknown kind of event %q", text)
 }
 
 // Final is the kind of a final answer. Traces have its number.
@@ -73,9 +73,9 @@
 	Failed          // it may have run
 )
 
-var finalNames = [...]string{"handled", "pushed back", "broken off"}
+var finalNames = [...]string{"succeeded", "rejected", "failed"}
 
-// String returns the name of the kind, as people read it.
+// String returns the name of the kind, for people to read.
 func (f Final) String() string { return finalNames[f] }
 
 // Event is an event in a run. Which fields it uses depends on its kind. Times count from the start of the run.
@@ -91,58 +91,58 @@
 	Zone     policy.ZoneID        `json:"zone,omitempty"`
 	Cell     policy.CellID        `json:"cell,omitempty"`
 	State    policy.EndpointState `json:"state,omitempty"`
-	Start    time.Duration        `json:"start,omitempty"`
-	Deadline time.Duration        `json:"limit,omitempty"`
-	NeverRan bool                 `json:"proof,omitempty"`
-	Final    Final                `json:"final,omitempty"`
-	Cost     float64              `json:"cost,omitempty"`     // in seconds of work on a standard core
-	Capacity float64              `json:"capacity,omitempty"` // in such seconds per second
+	Start    time.Duration        `json:"start,omitempty"`    // start of the executor's process
+	Deadline time.Duration        `json:"limit,omitempty"`    // deadline of the job
+	NeverRan bool                 `json:"proof,omitempty"`    // the end of the attempt proves that it never ran
+	Final    Final                `json:"final,omitempty"`    // kind of the final answer
+	Cost     float64              `json:"cost,omitempty"`     // work of the attempt, in seconds on a standard core
+	Capacity float64              `json:"capacity,omitempty"` // work that the executor can do per second, in the same unit
 	Text     string               `json:"text,omitempty"`
 }
 
 // Line returns the event as a line of a trace: JSON, without a newline.
-func (s Event) Line() ([]byte, error) { return json.Marshal(s) }
+func (e Event) Line() ([]byte, error) { return json.Marshal(e) }
 
 // Parse parses a line of a trace into the event.
-func (s *Event) Parse(line []byte) error { return json.Unmarshal(line, s) }
+func (e *Event) Parse(line []byte) error { return json.Unmarshal(line, e) }
 
-// String returns the event as people read it.
-func (s Event) String() string {
+// String returns the event in a form for people to read.
+func (e Event) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%12.6fs ", s.At.Seconds())
-	if s.Node != NoNode {
-		fmt.Fprintf(&b, "n%d ", s.Node)
+	fmt.Fprintf(&b, "%12.6fs ", e.At.Seconds())
+	if e.Node != NoNode {
+		fmt.Fprintf(&b, "n%d ", e.Node)
 	} else {
 		b.WriteString("-  ")
 	}
-	b.WriteString(s.Kind.String())
-	if s.Kind == JobAnswered {
-		b.WriteString(": " + s.Final.String())
+	b.WriteString(e.Kind.String())
+	if e.Kind == JobAnswered {
+		b.WriteString(": " + e.Final.String())
 	}
-	if s.Job != "" {
-		fmt.Fprintf(&b, " %s", s.Job)
+	if e.Job != "" {
+		fmt.Fprintf(&b, " %s", e.Job)
 	}
-	switch s.Kind {
+	switch e.Kind {
 	case AttemptFirstByte, AttemptLastByte, AttemptEnded:
-		fmt.Fprintf(&b, " allocation %d", s.Attempt)
+		fmt.Fprintf(&b, " attempt %d", e.Attempt)
 	case EffectStarted:
-		fmt.Fprintf(&b, " work %s", s.Work)
+		fmt.Fprintf(&b, " work %s", e.Work)
 	case JobAccepted:
-		fmt.Fprintf(&b, " of track %d, due by %.6fs", s.Class, s.Deadline.Seconds())
+		fmt.Fprintf(&b, " of class %d, deadline %.6fs", e.Class, e.Deadline.Seconds())
 	}
-	if s.Executor != "" {
-		fmt.Fprintf(&b, " %s", s.Executor)
+	if e.Executor != "" {
+		fmt.Fprintf(&b, " %s", e.Executor)
 	}
-	switch s.Kind {
+	switch e.Kind {
 	case EndpointNotified:
-		fmt.Fprintf(&b, " is %s, started at %.3fs", [...]string{"up", "draining", "gone"}[s.State], s.Start.Seconds())
+		fmt.Fprintf(&b, " is %s, started at %.3fs", [...]string{"available", "draining", "removed"}[e.State], e.Start.Seconds())
 	case AttemptEnded:
-		b.WriteString(map[bool]string{true: ", never ran", false: ", may have run"}[s.NeverRan])
+		b.WriteString(map[bool]string{true: ", never ran", false: ", may have run"}[e.NeverRan])
 	case AttemptReached:
-		fmt.Fprintf(&b, " with %.3fs of work, capacity %.2f", s.Cost, s.Capacity)
+		fmt.Fprintf(&b, " with %.3fs of work, capacity %.2f", e.Cost, e.Capacity)
 	}
-	if s.Text != "" {
-		b.WriteString(" " + s.Text)
+	if e.Text != "" {
+		b.WriteString(" " + e.Text)
 	}
 	return b.String()
 }
--- a/internal/invariants/job.go
+++ b/internal/invariants/job.go
@@ -12,17 +12,17 @@
 	id   policy.JobID
 }
 
-// job is a batch job at a node, from its arrival until it is answered or its client is known to have left, and none of its attempts is
-// in flight.
+// job is the record of a batch job at a node. It is kept from the arrival of the job until no attempt is in flight and the job is answered
+// or its node knows that the client left.
 type job struct {
 	work       WorkID
 	class      policy.JobClassID
-	limit      time.Duration // its deadline
+	deadline   time.Duration // its deadline
 	givenUp    bool          // the policy has given up on it
 	givenUpAt  time.Duration
-	excused    bool // its node was paused while it was open: no time limit applies
+	excused    bool // its node was paused while it had the job: no time limit applies
 	answered   bool
-	closed     bool // no answer is owed: its node knows that the client left, or the missing answer has been reported
+	closed     bool // no answer is expected: its node knows that the client left, or the missing answer has been reported
 	clientLeft bool // its client has left, whether its node knows or not
 	attempts   []attempt
 }
@@ -35,7 +35,7 @@
 	cell       policy.CellID
 	sentAt     time.Duration
 	ended      bool
-	neverRan   bool          // its end proved that
+	neverRan   bool          // its end proved that it never ran
 	knownStart time.Duration // the last start of its executor that its node had been notified of
 }
 
@@ -43,8 +43,8 @@
 
 func mayHaveRun(a attempt) bool { return !a.ended || !a.neverRan }
 
-// jobAccepted begins a record. An id whose client left and that arrives again while an attempt of it is in flight continues the record
-// that there is.
+// jobAccepted begins the record of a job. If the id of a job whose client left arrives again while an attempt of it is in flight, the
+// existing record continues.
 func (c *Checker) jobAccepted(key jobKey, event Event) {
 	j := c.jobs[key]
 	if j == nil {
@@ -52,13 +52,14 @@
 		c.jobs[key] = j
 	}
 	delete(c.clientLeftAt, key)
-	j.work, j.class, j.limit = event.Work, event.Class, event.Deadline
+	j.work, j.class, j.deadline = event.Work, event.Class, event.Deadline
 	j.answered, j.closed, j.clientLeft, j.givenUp = false, false, false, false
 	j.excused = c.paused[event.Node]
 	c.schedule(event.Deadline+c.settings.AnswerSlack, key, event.Deadline)
 }
 
-// forget drops the record of a batch job that owes no answer and has no attempt in flight.
+// forget drops the record of a batch job that needs no answer and has no attempt in flight. The record of a job whose node was paused is
+// kept, since its id may be answered more than once.
 func (c *Checker) forget(key jobKey, j *job) {
 	if (j.answered || j.closed) && !j.excused && !slices.ContainsFunc(j.attempts, inFlight) {
 		delete(c.jobs, key)
@@ -84,20 +85,20 @@
 	}
 }
 
-func (c *Checker) clientKnownToHaveLeft(key jobKey) {
+func (c *Checker) clientKnownLeft(key jobKey) {
 	if j := c.jobs[key]; j != nil {
 		j.closed = true
 		c.forget(key, j)
 	}
 }
 
-// attemptSent checks the rules that bind a node when the first byte of an attempt leaves.
+// attemptSent checks the rules that apply when a node sends the first byte of an attempt.
 func (c *Checker) attemptSent(key jobKey, event Event) {
-	c.checkAwaited(key, event)
+	c.checkClientPresent(key, event)
 	j := c.jobs[key]
 	if j == nil || (j.answered || j.closed) && !j.excused {
 		about := subject{job: key, work: event.Work, executor: event.Executor}
-		c.report(OneAnswer, event.At, about, "%s was sent to %s after its end", event.Job, event.Executor)
+		c.report(OneAnswer, event.At, about, "%s was sent to %s after it was answered or its client left", event.Job, event.Executor)
 		return
 	}
 	about := subject{job: key, work: j.work, executor: event.Executor}
@@ -108,8 +109,8 @@
 		sentAt: event.At, knownStart: c.knownStart(event.Node, event.Executor)})
 }
 
-// checkAwaited checks the rule "still awaited".
-func (c *Checker) checkAwaited(key jobKey, event Event) {
+// checkClientPresent checks the rule "still awaited": no attempt is sent for a client that left a while ago.
+func (c *Checker) checkClientPresent(key jobKey, event Event) {
 	leftAt, left := c.clientLeftAt[key]
 	if !left || event.At <= leftAt+ClientGoneTolerance {
 		return
@@ -133,13 +134,13 @@
 	hedgeable := c.settings.Hedging && c.settings.Classes[j.class].Idempotency == policy.Idempotent
 	switch {
 	case count > 1:
-		c.report(NoEffectTwice, event.At, about, "%s has three allocations out at once", event.Job)
+		c.report(NoEffectTwice, event.At, about, "%s has three attempts in flight", event.Job)
 	case count == 1 && !hedgeable:
-		c.report(NoEffectTwice, event.At, about, "%s has two allocations out at once", event.Job)
+		c.report(NoEffectTwice, event.At, about, "%s has two attempts in flight", event.Job)
 	}
 }
 
-// checkRetry checks that after an attempt that may have run, another one cannot have the effect twice.
+// checkRetry checks that an attempt after one that may have run cannot repeat its effect.
 func (c *Checker) checkRetry(j *job, event Event, about subject) {
 	index := slices.IndexFunc(j.attempts, mayHaveRun)
 	if index < 0 {
@@ -149,12 +150,12 @@
 	class := c.settings.Classes[j.class]
 	switch {
 	case class.Idempotency == policy.AtMostOnce:
-		c.report(NoEffectTwice, event.At, about, "%s, once-only, was sent again though allocation %d may have run", event.Job, first.number)
+		c.report(NoEffectTwice, event.At, about, "%s, which may run at most once, was sent again although attempt %d may have run", event.Job, first.number)
 	case class.Idempotency != policy.IdempotentWithKey:
 	case class.DedupGroup == policy.DedupZone && first.zone != event.Zone, class.DedupGroup == policy.DedupCell && first.cell != event.Cell:
-		c.report(NoEffectTwice, event.At, about, "%s, tagged, was sent outside the group that drops its repeats", event.Job)
+		c.report(NoEffectTwice, event.At, about, "%s, with an idempotency key, was sent again outside its dedup group", event.Job)
 	case event.At > first.sentAt+class.DedupWindow:
-		c.report(NoEffectTwice, event.At, about, "%s, tagged, was sent again %v after allocation %d, outside the window",
+		c.report(NoEffectTwice, event.At, about, "%s, with an idempotency key, was sent again %v after attempt %d, outside its dedup window",
 			event.Job, event.At-first.sentAt, first.number)
 	}
 }
@@ -172,14 +173,15 @@
 	c.forget(key, j)
 }
 
-// jobAnswered checks that a final answer is the only one, is true, and comes at once after the job was given up on.
+// jobAnswered checks that a final answer is the only one, agrees with what ran, and comes without delay if the policy has given up on the
+// job.
 func (c *Checker) jobAnswered(key jobKey, event Event) {
 	j := c.jobs[key]
 	if j != nil && j.answered && j.excused {
 		return // its id arrived several times while the node was paused, and each is answered
 	}
 	if j == nil || j.answered {
-		c.report(OneAnswer, event.At, subject{job: key, work: event.Work}, "%s was answered a second time, or was never taken", event.Job)
+		c.report(OneAnswer, event.At, subject{job: key, work: event.Work}, "%s was answered a second time, or was never accepted", event.Job)
 		return
 	}
 	if j.closed {
@@ -188,21 +190,21 @@
 	about := subject{job: key, work: j.work}
 	c.checkAnswer(j, event, about)
 	if j.givenUp && !j.excused && event.At > j.givenUpAt+c.settings.PromptWithin {
-		c.report(PromptAnswer, event.At, about, "%s was given up on %v before its answer", event.Job, event.At-j.givenUpAt)
+		c.report(PromptAnswer, event.At, about, "%s was answered only %v after the policy had given up on it", event.Job, event.At-j.givenUpAt)
 	}
 	j.answered = true
 	c.forget(key, j)
 }
 
-// checkAnswer checks that an answer agrees with what may have run: a client repeats a rejected job, which must be safe.
+// checkAnswer checks that an answer agrees with what ran. A client repeats a rejected job, so a job is only rejected if that is safe.
 func (c *Checker) checkAnswer(j *job, event Event, about subject) {
 	class := c.settings.Classes[j.class]
 	repeatUnsafe := class.Idempotency == policy.AtMostOnce ||
 		class.Idempotency == policy.IdempotentWithKey && class.DedupGroup != policy.DedupAllExecutors
 	switch {
 	case event.Final == Rejected && repeatUnsafe && slices.ContainsFunc(j.attempts, mayHaveRun):
-		c.report(NoEffectTwice, event.At, about, "%s was pushed back, though it may have run", event.Job)
+		c.report(NoEffectTwice, event.At, about, "%s was rejected although it may have run", event.Job)
 	case event.Final == Succeeded && len(c.effects[j.work]) == 0:
-		c.report(OneAnswer, event.At, about, "%s was answered as handled, and never ran", event.Job)
+		c.report(OneAnswer, event.At, about, "%s was answered as succeeded, but never ran", event.Job)
 	}
 }
--- a/internal/invariants/slow_start.go
+++ b/internal/invariants/slow_start.go
@@ -11,9 +11,9 @@
 
 // startedExecutor is an executor that has started within the trace.
 type startedExecutor struct {
-	start     time.Duration
-	warmingUp bool
-	arrivals  []arrival // within the window of the budget
+	start          time.Duration
+	warmingUp      bool
+	recentArrivals []arrival // arrivals within the window of the budget
 }
 
 // arrival is an attempt that has reached an executor in slow start.
@@ -23,22 +23,25 @@
 	startKnown bool    // its node had been notified of the executor's start when it sent the attempt
 }
 
-// Allowance over the budget of an executor in slow start.
+// Allowances over the budget of an executor in slow start.
 const (
-	slowStartSlack = 1.15 // our bound, in budgets, beside the largest batch job
-	chanceRoots    = 2    // the operators' bound, where N mean batch jobs fill the budget: so many square roots of N
-	chanceJobs     = 2    // and so many mean batch jobs more
+	slowStartSlack = 1.15 // our bound, as a multiple of the budget
+
+	// The operators' bound allows for the scatter of random arrivals. If N mean batch jobs fill the budget, it is N jobs, plus this
+	// many square roots of N, plus this many jobs.
+	scatterRoots = 2
+	scatterJobs  = 2
 )
 
-// ExceedsSlowStartBudget reports whether the work that reached an executor in slow start within the window is too much. The arguments are in
-// seconds of work: the sum, the largest single piece of it, the executor's budget and a mean batch job (0 if unknown). There are two
-// bounds. Ours does not count the largest piece, and is the narrower one while the budget is under about 190 mean batch jobs; the
-// operators' allows for the scatter of random arrivals.
+// ExceedsSlowStartBudget reports whether the work that reached an executor in slow start within the window exceeds one of two bounds. The
+// arguments are in seconds of work: the sum, the largest single piece of it, the executor's budget, and a mean batch job (0 if unknown).
+// Our bound does not count the largest piece. It is the narrower one while the budget is under about 190 mean batch jobs. The operators'
+// bound allows for the scatter of random arrivals.
 func ExceedsSlowStartBudget(sum, largest, budget, mean float64) bool {
 	if sum-largest > slowStartSlack*budget {
 		return true
 	}
-	return mean > 0 && sum > budget+chanceRoots*math.Sqrt(budget*mean)+chanceJobs*mean
+	return mean > 0 && sum > budget+scatterRoots*math.Sqrt(budget*mean)+scatterJobs*mean
 }
 
 func (c *Checker) executorStarted(event Event) {
@@ -53,8 +56,8 @@
 	return math.MinInt64
 }
 
-// knownStartWhenSent returns the last start of the executor that the node had been notified of when it sent the attempt. A node that was
-// paused may send what it had in flight, and then read of the executor's start while the attempt is on its way.
+// knownStartWhenSent returns the last start of the executor that the node had been notified of when it sent the attempt. That may differ
+// from the last one that it knows now: a node that was paused may be notified of the start while the attempt is on its way.
 func (c *Checker) knownStartWhenSent(key jobKey, event Event) time.Duration {
 	if j := c.jobs[key]; j != nil {
 		for _, a := range slices.Backward(j.attempts) {
@@ -66,22 +69,23 @@
 	return c.knownStart(event.Node, event.Executor)
 }
 
-// workArrived checks the rule "cold spared": a budget over any window, for all nodes together. Nodes that had not been notified of the
-// start cannot spare the executor, so the rule applies only if two thirds of the work came from nodes that had.
-func (c *Checker) workArrived(key jobKey, event Event) {
+// attemptReached checks the rule "cold spared": within any window, the work that all nodes together send to an executor in slow start must
+// not exceed its budget. Nodes that had not been notified of the start cannot know of the budget, so the rule applies only if at least two
+// thirds of the work came from nodes that had been notified.
+func (c *Checker) attemptReached(key jobKey, event Event) {
 	e := c.executors[event.Executor]
 	if e == nil || !e.warmingUp {
 		return
 	}
 	if event.At > e.start+c.settings.SlowStart {
 		e.warmingUp = false
-		e.arrivals = nil
+		e.recentArrivals = nil
 		return
 	}
-	e.arrivals = slices.DeleteFunc(e.arrivals, func(a arrival) bool { return a.at+c.settings.SlowStartWindow < event.At })
-	e.arrivals = append(e.arrivals, arrival{event.At, event.Cost, c.knownStartWhenSent(key, event) >= e.start})
+	e.recentArrivals = slices.DeleteFunc(e.recentArrivals, func(a arrival) bool { return a.at+c.settings.SlowStartWindow < event.At })
+	e.recentArrivals = append(e.recentArrivals, arrival{event.At, event.Cost, c.knownStartWhenSent(key, event) >= e.start})
 	sum, known, largest := 0.0, 0.0, 0.0
-	for _, a := range e.arrivals {
+	for _, a := range e.recentArrivals {
 		sum += a.cost
 		largest = max(largest, a.cost)
 		if a.startKnown {
@@ -95,7 +99,7 @@
 	c.slowStartPeak = max(c.slowStartPeak, sum/budget)
 	if ExceedsSlowStartBudget(sum, largest, budget, c.settings.MeanWork) {
 		about := subject{job: jobKey{NoNode, ""}, executor: event.Executor}
-		c.report(SlowStartBudget, event.At, about, "%s, cold, was sent %.2fs of work within %v where %.2fs is its budget",
+		c.report(SlowStartBudget, event.At, about, "%s, in slow start, was sent %.2fs of work within %v, over its budget of %.2fs",
 			event.Executor, sum, c.settings.SlowStartWindow, budget)
 	}
 }
--- a/internal/invariants/violation.go
+++ b/internal/invariants/violation.go
@@ -10,20 +10,20 @@
 
 // Violation is a violation of a rule, with the events of the trace that show it.
 type Violation struct {
-	Rule   Rule          `json:"Rule"` // in results by its number
+	Rule   Rule          `json:"Rule"` // encoded as its number
 	At     time.Duration `json:"At"`
-	Text   string        `json:"Text"`  // what happened, led by the time
+	Text   string        `json:"Text"`  // the time, and what happened
 	Events []Event       `json:"Lines"` // the last events about the job or executor, in order
 }
 
 // String returns the violation with a line for each of its events.
-func (b Violation) String() string {
-	var s strings.Builder
-	fmt.Fprintf(&s, "%v: %s", b.Rule, b.Text)
-	for _, l := range b.Events {
-		s.WriteString("\n  " + l.String())
+func (v Violation) String() string {
+	var out strings.Builder
+	fmt.Fprintf(&out, "%v: %s", v.Rule, v.Text)
+	for _, event := range v.Events {
+		out.WriteString("\n  " + event.String())
 	}
-	return s.String()
+	return out.String()
 }
 
 const (
@@ -31,11 +31,11 @@
 	shownEvents  = 14      // events that a violation shows at most
 )
 
-// violationKey identifies what a violation is about: each is reported once.
+// violationKey identifies a violation. Only the first one with a key is reported.
 type violationKey struct {
 	rule    Rule
 	node    NodeID
-	subject string // the work, or the executor if there is none
+	subject string // the work, or the executor if the violation is not about a work
 }
 
 // subject is what a violation is about. Fields that do not apply are empty.
@@ -71,12 +71,12 @@
 	return false
 }
 
-// GossipBoundExceeded reports that a node which gossips exceeds a bound, once for each node and format.
+// GossipBoundExceeded reports that the gossip of a node exceeds a bound, once for each node and format.
 func (c *Checker) GossipBoundExceeded(at time.Duration, node NodeID, format string, args ...any) {
 	c.report(GossipBound, at, subject{job: jobKey{node, ""}, work: WorkID(format)}, format, args...)
 }
 
-// report notes a violation, once for each rule, node and subject.
+// report records a violation, once for each rule, node and subject.
 func (c *Checker) report(rule Rule, at time.Duration, about subject, format string, args ...any) {
 	key := violationKey{rule, about.job.node, about.name()}
 	if c.reported[key] {
