--- a/internal/invariants/deadline.go
+++ b/internal/invariants/deadline.go
@@ -38,9 +38,9 @@
 			c.forget(d.key, j)
 		}
 	case d.jobDeadline == 0 && j.givenUp:
-		c.report(PromptAnswer, d.at, about, "the policy gave up on %s at %.3fs, and it has no answer %v later", d.key.id, j.givenUpAt.Seconds(), c.settings.PromptWithin)
+		c.report(PromptAnswer, d.at, about, "%s was given up on at %.3fs and has no answer %v later", d.key.id, j.givenUpAt.Seconds(), c.settings.PromptWithin)
 	case d.jobDeadline == j.deadline:
-		c.report(OneAnswer, d.at, about, "%s has no final answer by its deadline", d.key.id)
+		c.report(OneAnswer, d.at, about, "%s has no final answer by its limit", d.key.id)
 		j.closed = true // so that the missing answer is reported once
 		c.forget(d.key, j)
 	}
--- a/internal/invariants/effect.go
+++ b/internal/invariants/effect.go
@@ -25,11 +25,11 @@
 	for _, run := range c.effects[event.Work] {
 		switch {
 		case class.Idempotency == policy.AtMostOnce:
-			c.report(NoEffectTwice, event.At, about, "%s, which may run at most once, ran at %s and at %s", event.Work, run.executor, event.Executor)
+			c.report(NoEffectTwice, event.At, about, "%s, once-only, ran at %s and at %s", event.Work, run.executor, event.Executor)
 		case class.Idempotency == policy.IdempotentWithKey && event.At > run.at+class.DedupWindow:
 			c.lateReruns++
 		case class.Idempotency == policy.IdempotentWithKey && run.job == key:
-			c.report(NoEffectTwice, event.At, about, "%s, with an idempotency key, ran at %s and at %s for one batch job", event.Work, run.executor, event.Executor)
+			c.report(NoEffectTwice, event.At, about, "%s, tagged, ran at %s and at %s for one batch job", event.Work, run.executor, event.Executor)
 		}
 	}
 	if len(c.effects[event.Work]) < maxEffectRuns {
--- a/internal/invariants/endpoint.go
+++ b/internal/invariants/endpoint.go
@@ -69,12 +69,12 @@
 func (c *Checker) checkDrain(event Event, about subject, excused bool) {
 	endpoint, known := c.knownEndpoints[event.Node][event.Executor]
 	if known && endpoint.state != policy.Available && event.At > endpoint.since+c.settings.DrainGrace {
-		c.report(DrainRespected, event.At, about, "%s was sent to %s %v after node %d was notified that it drains or was removed",
+		c.report(DrainRespected, event.At, about, "%s was sent to %s %v after node %d was told that it drains or is gone",
 			event.Job, event.Executor, event.At-endpoint.since, event.Node)
 	}
 	late, due := c.OverdueDrain(event.At, event.Node, event.Executor)
 	if due && !excused {
-		c.report(DrainInForce, event.At, about, "%s was sent to %s %v after its drain or removal had to be in force at node %d, which could learn of it for %v",
+		c.report(DrainInForce, event.At, about, "%s was sent to %s %v after node %d could have heard for %v that it drains or is gone",
 			event.Job, event.Executor, late, event.Node, DrainInForceWithin)
 	}
 }
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -73,7 +73,7 @@
 	Failed          // it may have run
 )
 
-var finalNames = [...]string{"succeeded", "rejected", "failed"}
+var finalNames = [...]string{"handled", "pushed back", "broken off"}
 
 // String returns the name of the kind, for people to read.
 func (f Final) String() string { return finalNames[f] }
@@ -124,18 +124,18 @@
 	}
 	switch e.Kind {
 	case AttemptFirstByte, AttemptLastByte, AttemptEnded:
-		fmt.Fprintf(&b, " attempt %d", e.Attempt)
+		fmt.Fprintf(&b, " allocation %d", e.Attempt)
 	case EffectStarted:
 		fmt.Fprintf(&b, " work %s", e.Work)
 	case JobAccepted:
-		fmt.Fprintf(&b, " of class %d, deadline %.6fs", e.Class, e.Deadline.Seconds())
+		fmt.Fprintf(&b, " of track %d, due by %.6fs", e.Class, e.Deadline.Seconds())
 	}
 	if e.Executor != "" {
 		fmt.Fprintf(&b, " %s", e.Executor)
 	}
 	switch e.Kind {
 	case EndpointNotified:
-		fmt.Fprintf(&b, " is %s, started at %.3fs", [...]string{"available", "draining", "removed"}[e.State], e.Start.Seconds())
+		fmt.Fprintf(&b, " is %s, started at %.3fs", [...]string{"up", "draining", "gone"}[e.State], e.Start.Seconds())
 	case AttemptEnded:
 		b.WriteString(map[bool]string{true: ", never ran", false: ", may have run"}[e.NeverRan])
 	case AttemptReached:
--- a/internal/invariants/job.go
+++ b/internal/invariants/job.go
@@ -98,7 +98,7 @@
 	j := c.jobs[key]
 	if j == nil || (j.answered || j.closed) && !j.excused {
 		about := subject{job: key, work: event.Work, executor: event.Executor}
-		c.report(OneAnswer, event.At, about, "%s was sent to %s after it was answered or its client left", event.Job, event.Executor)
+		c.report(OneAnswer, event.At, about, "%s was sent to %s after its end", event.Job, event.Executor)
 		return
 	}
 	about := subject{job: key, work: j.work, executor: event.Executor}
@@ -134,9 +134,9 @@
 	hedgeable := c.settings.Hedging && c.settings.Classes[j.class].Idempotency == policy.Idempotent
 	switch {
 	case count > 1:
-		c.report(NoEffectTwice, event.At, about, "%s has three attempts in flight", event.Job)
+		c.report(NoEffectTwice, event.At, about, "%s has three allocations out at once", event.Job)
 	case count == 1 && !hedgeable:
-		c.report(NoEffectTwice, event.At, about, "%s has two attempts in flight", event.Job)
+		c.report(NoEffectTwice, event.At, about, "%s has two allocations out at once", event.Job)
 	}
 }
 
@@ -150,12 +150,12 @@
 	class := c.settings.Classes[j.class]
 	switch {
 	case class.Idempotency == policy.AtMostOnce:
-		c.report(NoEffectTwice, event.At, about, "%s, which may run at most once, was sent again although attempt %d may have run", event.Job, first.number)
+		c.report(NoEffectTwice, event.At, about, "%s, once-only, was sent again though allocation %d may have run", event.Job, first.number)
 	case class.Idempotency != policy.IdempotentWithKey:
 	case class.DedupGroup == policy.DedupZone && first.zone != event.Zone, class.DedupGroup == policy.DedupCell && first.cell != event.Cell:
-		c.report(NoEffectTwice, event.At, about, "%s, with an idempotency key, was sent again outside its dedup group", event.Job)
+		c.report(NoEffectTwice, event.At, about, "%s, tagged, was sent outside the group that drops its repeats", event.Job)
 	case event.At > first.sentAt+class.DedupWindow:
-		c.report(NoEffectTwice, event.At, about, "%s, with an idempotency key, was sent again %v after attempt %d, outside its dedup window",
+		c.report(NoEffectTwice, event.At, about, "%s, tagged, was sent again %v after allocation %d, outside the window",
 			event.Job, event.At-first.sentAt, first.number)
 	}
 }
@@ -181,7 +181,7 @@
 		return // its id arrived several times while the node was paused, and each is answered
 	}
 	if j == nil || j.answered {
-		c.report(OneAnswer, event.At, subject{job: key, work: event.Work}, "%s was answered a second time, or was never accepted", event.Job)
+		c.report(OneAnswer, event.At, subject{job: key, work: event.Work}, "%s was answered a second time, or was never taken", event.Job)
 		return
 	}
 	if j.closed {
@@ -190,7 +190,7 @@
 	about := subject{job: key, work: j.work}
 	c.checkAnswer(j, event, about)
 	if j.givenUp && !j.excused && event.At > j.givenUpAt+c.settings.PromptWithin {
-		c.report(PromptAnswer, event.At, about, "%s was answered only %v after the policy had given up on it", event.Job, event.At-j.givenUpAt)
+		c.report(PromptAnswer, event.At, about, "%s was given up on %v before its answer", event.Job, event.At-j.givenUpAt)
 	}
 	j.answered = true
 	c.forget(key, j)
@@ -203,8 +203,8 @@
 		class.Idempotency == policy.IdempotentWithKey && class.DedupGroup != policy.DedupAllExecutors
 	switch {
 	case event.Final == Rejected && repeatUnsafe && slices.ContainsFunc(j.attempts, mayHaveRun):
-		c.report(NoEffectTwice, event.At, about, "%s was rejected although it may have run", event.Job)
+		c.report(NoEffectTwice, event.At, about, "%s was pushed back, though it may have run", event.Job)
 	case event.Final == Succeeded && len(c.effects[j.work]) == 0:
-		c.report(OneAnswer, event.At, about, "%s was answered as succeeded, but never ran", event.Job)
+		c.report(OneAnswer, event.At, about, "%s was answered as handled, and never ran", event.Job)
 	}
 }
--- a/internal/invariants/slow_start.go
+++ b/internal/invariants/slow_start.go
@@ -99,7 +99,7 @@
 	c.slowStartPeak = max(c.slowStartPeak, sum/budget)
 	if ExceedsSlowStartBudget(sum, largest, budget, c.settings.MeanWork) {
 		about := subject{job: jobKey{NoNode, ""}, executor: event.Executor}
-		c.report(SlowStartBudget, event.At, about, "%s, in slow start, was sent %.2fs of work within %v, over its budget of %.2fs",
+		c.report(SlowStartBudget, event.At, about, "%s, cold, was sent %.2fs of work within %v where %.2fs is its budget",
 			event.Executor, sum, c.settings.SlowStartWindow, budget)
 	}
 }
