--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -39,26 +39,26 @@
 }
 
 // Of returns the memory that an executor uses for a job class. It adds an empty one if there is none.
-func (all DedupMemories) Of(class policy.JobClassID, group policy.DedupGroup, at ExecutorSpec) *DedupMemory {
-	k := dedupGroupKey{group: group, class: class}
+func (m DedupMemories) Of(class policy.JobClassID, group policy.DedupGroup, spec ExecutorSpec) *DedupMemory {
+	key := dedupGroupKey{group: group, class: class}
 	switch group {
 	case policy.DedupZone:
-		k.zone = at.Zone
+		key.zone = spec.Zone
 	case policy.DedupCell:
-		k.cell = at.Cell
+		key.cell = spec.Cell
 	}
-	if all[k] == nil {
-		all[k] = NewDedupMemory()
+	if m[key] == nil {
+		m[key] = NewDedupMemory()
 	}
-	return all[k]
+	return m[key]
 }
 
 // repeats reports whether a key repeats one whose window has not ended, and remembers it otherwise.
-func (m *DedupMemory) repeats(now time.Duration, tag string, window time.Duration) bool {
-	if now <= m.until[tag] {
+func (m *DedupMemory) repeats(now time.Duration, key string, window time.Duration) bool {
+	if now <= m.until[key] {
 		return true
 	}
-	m.until[tag] = now + window
+	m.until[key] = now + window
 	return false
 }
 
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -40,7 +40,7 @@
 }
 
 // TailOf returns a tail of one batch job in 50 that costs the given multiple.
-func TailOf(times float64) Tail { return Tail{Fraction: 0.02, Multiple: times} }
+func TailOf(multiple float64) Tail { return Tail{Fraction: 0.02, Multiple: multiple} }
 
 // Work is what a client wants done, over all its requests.
 type Work struct {
@@ -55,8 +55,8 @@
 	LeavesAt   time.Duration // when its client leaves, or Never
 	Retries    int           // retries so far
 	Value      float64
-	Over       bool // its client has stopped
-	Earned     bool // it was answered by its latency objective
+	Ended      bool // its client has stopped
+	OnTime     bool // it was answered by its latency objective
 
 	firstSent time.Duration // when its first request was sent
 	repeatID  bool
@@ -82,9 +82,9 @@
 }
 
 // NewClients returns clients with the given name, which leads the ids of their work. If perWork is set, values count per unit of work.
-func NewClients(name string, classes []JobClass, h Behavior, perWork bool, r *rand.Rand) *Clients {
-	c := &Clients{Name: name, Classes: classes, Behavior: h, rand: r, perWork: perWork}
-	if h.MaxBackoff > 0 {
+func NewClients(name string, classes []JobClass, behavior Behavior, perWork bool, r *rand.Rand) *Clients {
+	c := &Clients{Name: name, Classes: classes, Behavior: behavior, rand: r, perWork: perWork}
+	if behavior.MaxBackoff > 0 {
 		c.backoff = rand.New(rand.NewPCG(r.Uint64(), r.Uint64()))
 	}
 	return c
@@ -158,8 +158,8 @@
 		return 0, false
 	}
 	wait := c.Behavior.Backoff
-	if most := c.Behavior.MaxBackoff; most > wait {
-		wait = min(most, wait<<min(w.Retries, 20))
+	if limit := c.Behavior.MaxBackoff; limit > wait {
+		wait = min(limit, wait<<min(w.Retries, 20))
 		wait = time.Duration(float64(wait) * (0.5 + c.backoff.Float64()))
 	}
 	if c.Behavior.FollowsRetryAfter && retryAfter > 0 {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -56,11 +56,11 @@
 }
 
 // SetDelay sets a delay beyond the usual lag; 0 removes it.
-func (d *Discovery) SetDelay(more time.Duration) { d.extraLag = more }
+func (d *Discovery) SetDelay(delay time.Duration) { d.extraLag = delay }
 
 // SetStopped stops or resumes updates. After it, each node gets a complete update.
-func (d *Discovery) SetStopped(yes bool) {
-	d.stopped = yes
+func (d *Discovery) SetStopped(stopped bool) {
+	d.stopped = stopped
 	for n := range d.delivered {
 		d.completeNext[n] = true
 	}
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -192,10 +192,10 @@
 }
 
 // SetSyncDelay sets how long a sync takes.
-func (d *Disk) SetSyncDelay(span time.Duration) {
+func (d *Disk) SetSyncDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.syncDelay = span
+	d.syncDelay = delay
 }
 
 // Flip changes a bit of a file, as bit rot does.
@@ -235,9 +235,9 @@
 // Sync implements store.File.
 func (o *openFile) Sync() error {
 	o.disk.mu.Lock()
-	slow := o.disk.syncDelay
+	delay := o.disk.syncDelay
 	o.disk.mu.Unlock()
-	time.Sleep(slow)
+	time.Sleep(delay)
 	o.disk.mu.Lock()
 	n, onSync := o.disk.Syncs+1, o.disk.OnSync
 	o.disk.mu.Unlock()
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -18,14 +18,14 @@
 
 // ExecutorSpec describes an executor and its rules.
 type ExecutorSpec struct {
-	ID    policy.ExecutorID
-	Zone  policy.ZoneID
-	Kind  policy.KindID
-	Cell  policy.CellID
-	Cores int     // shared evenly by running batch jobs
-	Speed float64 // of a core, as a multiple of a standard core
-	Slots int     // batch jobs that run at a time
-	Queue int     // batch jobs that wait; further ones are rejected
+	ID         policy.ExecutorID
+	Zone       policy.ZoneID
+	Kind       policy.KindID
+	Cell       policy.CellID
+	Cores      int     // shared evenly by running batch jobs
+	Speed      float64 // of a core, as a multiple of a standard core
+	Slots      int     // batch jobs that run at a time
+	QueueLimit int     // batch jobs that wait; further ones are rejected
 
 	ByPriority     bool // waiting work starts by priority; otherwise in the order of arrival
 	CancelsRunning bool // running work is canceled when its connection closes
@@ -44,7 +44,7 @@
 	ReportEvery   time.Duration // largest age of a load report
 	ReportNoise   float64       // relative error of a load report, either way
 
-	Conns    int           // connections that may be open at a time
+	MaxConns int           // connections that may be open at a time
 	ConnCost time.Duration // work that a new connection costs
 }
 
@@ -86,34 +86,34 @@
 // NextFreeSlot estimates when a slot becomes free for a batch job that arrives after everything that runs or waits and after the work in coming,
 // in seconds on a standard core. It also returns the work that a slot then does per second.
 func (e *Executor) NextFreeSlot(now time.Duration, coming []float64) (at time.Duration, rate float64) {
-	rate = e.Speed * e.warmShare(now) * min(1, float64(e.Cores)/float64(e.Slots)) / max(1, e.fault.Slow)
-	gone := (now - e.now).Seconds() * e.rate(e.now) // done since the last call
-	places := make([]float64, e.Slots)
-	take := func(work float64) {
+	rate = e.Speed * e.capacityFraction(now) * min(1, float64(e.Cores)/float64(e.Slots)) / max(1, e.fault.Slow)
+	done := (now - e.now).Seconds() * e.rate(e.now) // done since the last call
+	slotWork := make([]float64, e.Slots)
+	assign := func(work float64) {
 		first := 0
-		for i := range places {
-			if places[i] < places[first] {
+		for i := range slotWork {
+			if slotWork[i] < slotWork[first] {
 				first = i
 			}
 		}
-		places[first] += work
+		slotWork[first] += work
 	}
 	for i, t := range e.running {
-		places[i] = max(0, t.left-gone)
+		slotWork[i] = max(0, t.left-done)
 	}
 	for _, t := range e.waiting {
-		take(t.left)
+		assign(t.left)
 	}
 	for _, work := range coming {
-		take(work)
+		assign(work)
 	}
-	return now + time.Duration(slices.Min(places)/rate*1e9), rate
+	return now + time.Duration(slices.Min(slotWork)/rate*1e9), rate
 }
 
 // Open accepts a connection, and reports whether it could: the executor may be down or at its limit.
 func (e *Executor) Open(now time.Duration, c ConnID) (bool, []Output) {
 	e.begin(now)
-	if !e.Up || len(e.conns) >= e.Conns {
+	if !e.Up || len(e.conns) >= e.MaxConns {
 		return false, e.outputs
 	}
 	e.conns = append(e.conns, c)
@@ -136,9 +136,9 @@
 	switch {
 	case e.fault.Unresponsive:
 		t.unresponsive = true
-	case e.fault.Errors > 0 && e.rand.Float64() < e.fault.Errors:
+	case e.fault.ErrorRate > 0 && e.rand.Float64() < e.fault.ErrorRate:
 		t.failing, t.left = true, quickRunTime.Seconds()*e.Speed
-	case e.Draining || len(e.running) >= e.Slots && len(e.waiting) >= e.Queue:
+	case e.Draining || len(e.running) >= e.Slots && len(e.waiting) >= e.QueueLimit:
 		e.send(t, AttemptRejected, 0)
 		return e.outputs
 	case e.fault.FalseRejections:
--- a/internal/emulator/executor_fault.go
+++ b/internal/emulator/executor_fault.go
@@ -10,8 +10,8 @@
 	Slow            float64       // times slower; 0 for the usual speed
 	StallFor        time.Duration // stops for so long at the start of each period
 	StallEvery      time.Duration // the period; 0 for no stalls
-	Neighbor        float64       // share of the machine that another program takes, on and off
-	Errors          float64       // share of the batch jobs that end in a quick error, without running
+	NeighborShare   float64       // share of the machine that another program takes, on and off
+	ErrorRate       float64       // share of the batch jobs that end in a quick error, without running
 	Unresponsive    bool          // accepts everything and answers nothing
 	FalseRejections bool          // rejects a batch job and runs it all the same: a defect that tests inject
 }
@@ -23,12 +23,12 @@
 func (e *Executor) Unresponsive() bool { return e.fault.Unresponsive }
 
 // SetFaults sets the faults, or with the zero value removes them. Attempts that it accepted while unresponsive are dropped when that ends.
-func (e *Executor) SetFaults(now time.Duration, t ExecutorFaults) []Output {
+func (e *Executor) SetFaults(now time.Duration, faults ExecutorFaults) []Output {
 	e.begin(now)
-	e.fault, e.faultSince = t, now
-	if !t.Unresponsive {
-		mute := func(t *task) bool { return t.unresponsive }
-		e.running, e.waiting = slices.DeleteFunc(e.running, mute), slices.DeleteFunc(e.waiting, mute)
+	e.fault, e.faultSince = faults, now
+	if !faults.Unresponsive {
+		unresponsive := func(t *task) bool { return t.unresponsive }
+		e.running, e.waiting = slices.DeleteFunc(e.running, unresponsive), slices.DeleteFunc(e.waiting, unresponsive)
 		e.startWaiting()
 	}
 	return e.outputs
--- a/internal/emulator/executor_run.go
+++ b/internal/emulator/executor_run.go
@@ -15,22 +15,22 @@
 	if n == 0 {
 		return 0
 	}
-	r := e.Speed * e.warmShare(now) * min(1, float64(e.Cores)/float64(n))
-	t := e.fault
-	if t.Slow > 1 {
-		r /= t.Slow
+	r := e.Speed * e.capacityFraction(now) * min(1, float64(e.Cores)/float64(n))
+	fault := e.fault
+	if fault.Slow > 1 {
+		r /= fault.Slow
 	}
-	if t.StallEvery > 0 && (now-e.faultSince)%t.StallEvery < t.StallFor {
+	if fault.StallEvery > 0 && (now-e.faultSince)%fault.StallEvery < fault.StallFor {
 		return 0
 	}
-	if t.Neighbor > 0 && (now-e.faultSince)/neighborInterval%2 == 0 {
-		r *= 1 - t.Neighbor
+	if fault.NeighborShare > 0 && (now-e.faultSince)/neighborInterval%2 == 0 {
+		r *= 1 - fault.NeighborShare
 	}
 	return r
 }
 
-// warmSteps is how many steps the capacity takes to grow to its full size in slow start.
-const warmSteps = 24
+// slowStartSteps is how many steps the capacity takes to grow to its full size in slow start.
+const slowStartSteps = 24
 
 // Next returns when Wake must be called: when an attempt ends or gets a progress message, or when the rate changes.
 func (e *Executor) Next() time.Duration {
@@ -57,7 +57,7 @@
 func (e *Executor) nextRateChange() time.Duration {
 	next := Never
 	if e.InSlowStart(e.now) {
-		next = min(next, e.now+e.SlowStart/warmSteps)
+		next = min(next, e.now+e.SlowStart/slowStartSteps)
 	}
 	if t := e.fault; t.StallEvery > 0 {
 		elapsed := (e.now - e.faultSince) % t.StallEvery
@@ -67,7 +67,7 @@
 			next = min(next, e.now+t.StallEvery-elapsed)
 		}
 	}
-	if e.fault.Neighbor > 0 {
+	if e.fault.NeighborShare > 0 {
 		next = min(next, e.now+neighborInterval-(e.now-e.faultSince)%neighborInterval)
 	}
 	return next
@@ -83,9 +83,9 @@
 	span := (now - e.now).Seconds()
 	if span > 0 && e.Up {
 		done := e.rate(e.now) * span
-		if pay := min(e.connectionWork, done); pay > 0 {
-			e.connectionWork -= pay
-			done -= pay
+		if setup := min(e.connectionWork, done); setup > 0 {
+			e.connectionWork -= setup
+			done -= setup
 		}
 		for _, t := range e.running {
 			if !t.unresponsive {
@@ -110,11 +110,11 @@
 		if t.abandoned {
 			e.Orphans++
 		} else {
-			word := AttemptDone
+			kind := AttemptDone
 			if t.failing {
-				word = AttemptFailed
+				kind = AttemptFailed
 			}
-			e.send(t, word, 1)
+			e.send(t, kind, 1)
 		}
 		return true
 	})
@@ -157,8 +157,8 @@
 	}
 }
 
-func (e *Executor) send(t *task, w MessageKind, share float64) {
-	e.outputs = append(e.outputs, Message{t.Conn, t.Job, w, share, e.LoadReport(e.now)})
+func (e *Executor) send(t *task, kind MessageKind, progress float64) {
+	e.outputs = append(e.outputs, Message{t.Conn, t.Job, kind, progress, e.LoadReport(e.now)})
 }
 
 // LoadReport returns the load report, which is old and noisy: the same for everyone until it is renewed.
--- a/internal/emulator/executor_warmup.go
+++ b/internal/emulator/executor_warmup.go
@@ -16,8 +16,8 @@
 // InSlowStart reports whether it is in slow start.
 func (e *Executor) InSlowStart(now time.Duration) bool { return now < e.Started+e.SlowStart }
 
-// warmShare returns the share of its capacity that it has by the age of its process.
-func (e *Executor) warmShare(now time.Duration) float64 {
+// capacityFraction returns the share of its capacity that it has by the age of its process.
+func (e *Executor) capacityFraction(now time.Duration) float64 {
 	if !e.InSlowStart(now) {
 		return 1
 	}
@@ -26,7 +26,7 @@
 
 // Capacity returns the work that it can do now, in seconds on a standard core per second, without its faults.
 func (e *Executor) Capacity(now time.Duration) float64 {
-	return float64(min(e.Cores, e.Slots)) * e.Speed * e.warmShare(now)
+	return float64(min(e.Cores, e.Slots)) * e.Speed * e.capacityFraction(now)
 }
 
 // overloads crashes the executor if more has arrived within the window than it can take in slow start, and reports whether it did. Work
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -129,27 +129,27 @@
 }
 
 // CombineFaults returns the sum of an executor's faults.
-func CombineFaults(faults []Fault) (t ExecutorFaults) {
+func CombineFaults(faults []Fault) (sum ExecutorFaults) {
 	for _, f := range faults {
 		switch f.Kind {
 		case SlowExecutors:
-			t.Slow = max(1, t.Slow) * f.Size
+			sum.Slow = max(1, sum.Slow) * f.Size
 		case Stalls:
-			t.StallFor, t.StallEvery = time.Duration(f.Size*1e9), 2*time.Second
+			sum.StallFor, sum.StallEvery = time.Duration(f.Size*1e9), 2*time.Second
 		case NoisyNeighbor:
-			t.Neighbor = max(t.Neighbor, f.Size)
+			sum.NeighborShare = max(sum.NeighborShare, f.Size)
 		case Errors:
-			t.Errors = max(t.Errors, f.Size)
+			sum.ErrorRate = max(sum.ErrorRate, f.Size)
 		case Unresponsive:
-			t.Unresponsive = true
+			sum.Unresponsive = true
 		}
 	}
-	return t
+	return sum
 }
 
 // RemoveFault returns an executor's faults without one that is over. It reuses the slice.
-func RemoveFault(faults []Fault, over Fault) []Fault {
-	return slices.DeleteFunc(faults, func(f Fault) bool { return f.Kind == over.Kind && f.At == over.At && f.Size == over.Size })
+func RemoveFault(faults []Fault, removed Fault) []Fault {
+	return slices.DeleteFunc(faults, func(f Fault) bool { return f.Kind == removed.Kind && f.At == removed.At && f.Size == removed.Size })
 }
 
 // String returns the fault as people read it.
--- a/internal/emulator/output.go
+++ b/internal/emulator/output.go
@@ -28,11 +28,11 @@
 type (
 	// Message is a message about an attempt on a connection.
 	Message struct {
-		Conn  ConnID
-		Job   policy.JobID
-		Kind  MessageKind
-		Share float64 // done; of progress messages alone
-		Load  Load
+		Conn     ConnID
+		Job      policy.JobID
+		Kind     MessageKind
+		Progress float64 // done; of progress messages alone
+		Load     Load
 	}
 	// EffectStarted says that an effect has begun.
 	EffectStarted struct{ Attempt }
--- a/internal/emulator/platform/codec.go
+++ b/internal/emulator/platform/codec.go
@@ -115,7 +115,7 @@
 	}{ID: say.Job, From: from, State: messageStates[say.Kind]}
 	switch say.Kind {
 	case emulator.AttemptProgress:
-		line.Share = say.Share
+		line.Share = say.Progress
 	case emulator.AttemptDone:
 		line.Result = result
 	case emulator.AttemptRejected:
--- a/internal/emulator/platform/wire_test.go
+++ b/internal/emulator/platform/wire_test.go
@@ -71,7 +71,7 @@
 				if begun {
 					answer.Append(nil, emulator.Message{Job: "a1/0", Kind: emulator.AttemptStarted}, "e1", "")
 				}
-				bytes, ended := answer.Append(nil, emulator.Message{Job: "a1/0", Kind: word, Share: 0.25, Load: load}, "e1", "done a1")
+				bytes, ended := answer.Append(nil, emulator.Message{Job: "a1/0", Kind: word, Progress: 0.25, Load: load}, "e1", "done a1")
 				section(&out, fmt.Sprintf("message %d, begun %v, load %v, ended %v", word, begun, load.Known, ended), bytes)
 			}
 		}
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -228,7 +228,7 @@
 	can := 0.0
 	for _, x := range r.executors {
 		if t := x.Faults(); x.Up && !x.Draining && !t.Unresponsive {
-			can += x.Capacity(r.now()) * (1 - t.Errors) / max(1, t.Slow)
+			can += x.Capacity(r.now()) * (1 - t.ErrorRate) / max(1, t.Slow)
 		}
 	}
 	for len(r.capacity) <= int(r.now()/simulation.Bin) {
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -157,7 +157,7 @@
 		c.deliver(node.AttemptProgressed{Conn: c.id, Load: load})
 		return
 	case emulator.AttemptProgress:
-		c.deliver(node.AttemptProgressed{Conn: c.id, Progress: answer.Share, Load: load})
+		c.deliver(node.AttemptProgressed{Conn: c.id, Progress: answer.Progress, Load: load})
 		return
 	}
 	attempt.ended = true
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -211,7 +211,7 @@
 // usable says whether an executor is available, by the endpoint list and in truth.
 func (b *baseline) usable(x *executor) bool {
 	trouble := x.Faults()
-	healthy := x.Up && !x.unreachable && !x.Draining && !trouble.Unresponsive && trouble.Errors <= 0
+	healthy := x.Up && !x.unreachable && !x.Draining && !trouble.Unresponsive && trouble.ErrorRate <= 0
 	return b.available[x.ID] && healthy && b.node.world.linked(b.node.zone, x.Zone)
 }
 
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -43,7 +43,7 @@
 		if !x.Up || x.unreachable || x.Draining || trouble.Unresponsive || !w.reachable(x) {
 			continue
 		}
-		share := (1 - trouble.Errors) * (1 - trouble.Neighbor/2) / max(1, trouble.Slow)
+		share := (1 - trouble.ErrorRate) * (1 - trouble.NeighborShare/2) / max(1, trouble.Slow)
 		if trouble.StallEvery > 0 {
 			share *= 1 - trouble.StallFor.Seconds()/trouble.StallEvery.Seconds()
 		}
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -156,7 +156,7 @@
 // finish is the end of a request for its client, which retries or is done with the work.
 func (r *clientRequest) finish(end emulator.End, retryAfter time.Duration) {
 	w, work := r.clients.world, r.work
-	if work.Over || r.job != work.Job() {
+	if work.Ended || r.job != work.Job() {
 		return // a repeated ID whose request has ended
 	}
 	history := w.account.request(r)
@@ -166,7 +166,7 @@
 		w.at(at, func() { r.clients.submit(work) })
 		return
 	}
-	work.Over = true
+	work.Ended = true
 	w.account.recordFinished(work, earned)
 	w.openWorks--
 	if work.Client != openLoop {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -272,7 +272,7 @@
 		Cores:            f.Cores,
 		Speed:            speed,
 		Slots:            f.Slots,
-		Queue:            f.QueueLimit,
+		QueueLimit:       f.QueueLimit,
 		ByPriority:       f.ByPriority,
 		CancelsRunning:   f.CancelsRunning,
 		KeepsQueued:      f.KeepsQueued,
@@ -286,7 +286,7 @@
 		SendsLoad:        f.ReportsLoad,
 		ReportEvery:      time.Duration(f.ReportInterval),
 		ReportNoise:      reportNoise,
-		Conns:            f.MaxExecutorConns,
+		MaxConns:         f.MaxExecutorConns,
 		ConnCost:         time.Duration(f.ConnCost),
 	}
 }
