--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -14,21 +14,21 @@
 	Job            policy.JobID
 	Work           invariants.WorkID
 	Class          policy.JobClassID
-	IdempotencyKey string        // idempotency key; empty if there is none
-	DedupWindow    time.Duration // dedup window: how long a repeat of the key has no effect
-	DedupMemory    *DedupMemory  // of the dedup group that the executor is in
+	IdempotencyKey string        // empty for none
+	DedupWindow    time.Duration // how long a repeat of the idempotency key has no effect
+	DedupMemory    *DedupMemory  // memory of the dedup group that the executor belongs to
 	Priority       int
 	Cost           float64 // seconds of work on a standard core
 	StatedCost     float64 // the cost that the client stated
 }
 
-// DedupMemory holds the idempotency keys that a dedup group has seen, each until its window ends.
+// DedupMemory holds the idempotency keys that a dedup group has received, and for each the end of its dedup window.
 type DedupMemory struct{ until map[string]time.Duration }
 
 // NewDedupMemory returns an empty memory.
 func NewDedupMemory() *DedupMemory { return &DedupMemory{until: map[string]time.Duration{}} }
 
-// DedupMemories holds the memory of each job class and dedup group.
+// DedupMemories holds the memories of all job classes and dedup groups.
 type DedupMemories map[dedupGroupKey]*DedupMemory
 
 type dedupGroupKey struct {
@@ -38,7 +38,7 @@
 	class policy.JobClassID
 }
 
-// Of returns the memory that an executor uses for a job class. It adds an empty one if there is none.
+// Of returns the memory that an executor uses for a job class, and creates it if there is none.
 func (m DedupMemories) Of(class policy.JobClassID, group policy.DedupGroup, spec ExecutorSpec) *DedupMemory {
 	key := dedupGroupKey{group: group, class: class}
 	switch group {
@@ -53,7 +53,7 @@
 	return m[key]
 }
 
-// repeats reports whether a key repeats one whose window has not ended, and remembers it otherwise.
+// repeats reports whether a key was received before and its dedup window has not ended. If not, it records the key.
 func (m *DedupMemory) repeats(now time.Duration, key string, window time.Duration) bool {
 	if now <= m.until[key] {
 		return true
@@ -65,11 +65,11 @@
 // task is an attempt that runs or waits.
 type task struct {
 	Attempt
-	left         float64 // seconds on a standard core
-	order        int
+	left         float64       // remaining work, in seconds on a standard core
+	order        int           // number in the order of arrival
 	reportedAt   time.Duration // time of its last message
-	duplicate    bool          // its key repeats another one: it has no effect
-	abandoned    bool          // its connection is closed
+	duplicate    bool          // its idempotency key is a repeat: it has no effect
+	abandoned    bool          // no message is sent for it: its connection is closed, or it was rejected falsely
 	failing      bool          // it ends in an error
-	unresponsive bool          // it never ends and gets no message
+	unresponsive bool          // it never ends, and no message is sent for it
 }
--- a/internal/emulator/breakpoint.go
+++ b/internal/emulator/breakpoint.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Step is a point in a call of a connection or listener at which the call can be stopped.
+// Step is a point in a call of a connection or listener at which a Breakpoint can stop the call.
 type Step int
 
 // The points at which a call can be stopped.
 const (
 	BeforeRead   Step = iota // a read is about to begin
-	AfterRead                // a read has ended, and its caller does not know yet
+	AfterRead                // a read has ended, and has not returned to its caller
 	BeforeWrite              // a write is about to begin
-	AfterWrite               // a write has ended, and its caller does not know yet
+	AfterWrite               // a write has ended, and has not returned to its caller
 	BeforeClose              // a close is about to begin
-	AfterClose               // a close has ended, and its caller does not know yet
+	AfterClose               // a close has ended, and has not returned to its caller
 	BeforeAccept             // an accept is about to begin
-	AfterAccept              // an accept has ended, and its caller does not know yet
+	AfterAccept              // an accept has ended, and has not returned to its caller
 )
 
-// Breakpoints stops calls of connections and listeners at chosen points until the test releases them. It forces the order of two events that
-// otherwise may happen in either order.
+// Breakpoints stops calls of connections and listeners at chosen points until the test releases them. A test uses it to force the order of
+// two events that may otherwise happen in either order.
 type Breakpoints struct {
 	mu               sync.Mutex
-	pending          []*Breakpoint
+	pending          []*Breakpoint // breakpoints that no call has reached, in the order in which they were set
 	interruptedReads int
-	conns            int
+	conns            int // number of connections so far
 }
 
-// InterruptedReads returns how often reads were interrupted by a deadline in the past.
+// InterruptedReads returns how often a read deadline in the past was set, which interrupts a pending read.
 func (h *Breakpoints) InterruptedReads() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,21 +41,22 @@
 
 // Breakpoint stops one call at one point.
 type Breakpoint struct {
-	// Reached is closed when a call has stopped there.
+	// Reached is closed when a call has stopped at the breakpoint.
 	Reached chan struct{}
 
 	step     Step
-	conn     int // number of the connection, from 1; 0 for any
-	skip     int
-	released chan struct{}
+	conn     int           // number of the connection, from 1; 0 for any
+	skip     int           // how many more calls pass without a stop
+	released chan struct{} // closed by Release
 	once     sync.Once
 }
 
-// At stops the next call of any connection that reaches a step, after the first skip calls.
+// At sets a breakpoint for the calls of all connections and listeners. The first skip calls that reach the step pass it, and the next one
+// stops.
 func (h *Breakpoints) At(step Step, skip int) *Breakpoint { return h.OnConn(0, step, skip) }
 
-// OnConn stops the next call of one connection that reaches a step, after the first skip calls. Connections count from 1 in the order of
-// their creation.
+// OnConn sets a breakpoint for the calls of one connection. The first skip calls that reach the step pass it, and the next one stops.
+// Connections are numbered from 1 in the order of their creation.
 func (h *Breakpoints) OnConn(conn int, step Step, skip int) *Breakpoint {
 	s := &Breakpoint{Reached: make(chan struct{}), step: step, conn: conn, skip: skip, released: make(chan struct{})}
 	h.mu.Lock()
@@ -64,10 +65,10 @@
 	return s
 }
 
-// Release releases the call that has stopped there, or lets it pass if it comes later.
+// Release lets the call that has stopped at the breakpoint continue. If no call has reached it yet, the call will not stop.
 func (s *Breakpoint) Release() { s.once.Do(func() { close(s.released) }) }
 
-// reach blocks if a Stop is set at a step of a connection.
+// reach is called when a call reaches a step. It blocks while a breakpoint for the step is set and not released.
 func (h *Breakpoints) reach(conn int, step Step) {
 	h.mu.Lock()
 	var at *Breakpoint
@@ -121,7 +122,7 @@
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. It counts deadlines in the past.
+// SetReadDeadline implements net.Conn. It counts deadlines in the past, see InterruptedReads.
 func (c *breakpointConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && t.Before(time.Now()) {
 		c.halts.mu.Lock()
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -10,33 +10,33 @@
 	"birchstair/policy"
 )
 
-// JobClass is a job class with the load that its clients make.
+// JobClass is a job class with the load that clients make in it.
 type JobClass struct {
 	policy.JobClass
-	Share    float64 // share of the batch jobs
+	Share    float64 // share of the class among all batch jobs
 	Mean     float64 // mean work, in seconds on a standard core
 	Spread   float64 // sigma of the lognormal distribution of the work
 	Priority int
 }
 
-// Behavior describe how clients behave.
+// Behavior describes how clients behave.
 type Behavior struct {
-	Rate              float64       // batch jobs per second; 0 if Loops make the load
-	Loops             int           // clients that each submit the next batch job when the last one has ended
-	ThinkTime         time.Duration // pause of such a client before the next one
-	Retries           int           // retries of a batch job at most
-	Backoff           time.Duration // backoff before a retry without Retry-After
-	MaxBackoff        time.Duration // if over the backoff: it doubles with each retry up to this limit, with a jitter of half either way
-	FollowsRetryAfter bool          // follows Retry-After
-	LeaveFraction     float64       // share of the batch jobs whose clients leave before the deadline
-	RepeatIDFraction  float64       // share whose clients submit the same id again while it is in flight
-	HintNoise         float64       // sigma of the error of stated costs; negative if none are stated
+	Rate              float64       // batch jobs per second that arrive in an open loop; 0 if Loops make the load
+	Loops             int           // clients in a closed loop: each submits its next batch job when the last one has ended
+	ThinkTime         time.Duration // pause of a client in a closed loop before its next batch job
+	Retries           int           // maximum number of retries of a batch job
+	Backoff           time.Duration // time before the first retry, if the answer has no Retry-After that is followed
+	MaxBackoff        time.Duration // if over Backoff, the backoff doubles up to this limit, with a jitter of half in either direction
+	FollowsRetryAfter bool          // clients wait as long as Retry-After says
+	LeaveFraction     float64       // fraction of the batch jobs whose clients leave before the deadline
+	RepeatIDFraction  float64       // fraction of the batch jobs whose clients submit the id again while it is in flight
+	HintNoise         float64       // sigma of the lognormal error of stated costs; negative if clients state no costs
 }
 
-// Tail makes a share of the batch jobs cost many times the usual.
+// Tail makes some batch jobs cost a multiple of the usual.
 type Tail struct {
-	Fraction float64
-	Multiple float64
+	Fraction float64 // fraction of the batch jobs that cost more
+	Multiple float64 // factor by which they cost more
 }
 
 // TailOf returns a tail of one batch job in 50 that costs the given multiple.
@@ -45,27 +45,27 @@
 // Work is what a client wants done, over all its requests.
 type Work struct {
 	ID         invariants.WorkID
-	Client     int // of a loop, else -1
+	Client     int // number of its client in a closed loop, or -1
 	Class      policy.JobClassID
-	Cost       float64
-	StatedCost float64 // 0 for none
+	Cost       float64 // seconds of work on a standard core
+	StatedCost float64 // cost that its client states; 0 for none
 	ArrivedAt  time.Duration
-	Objective  time.Duration // latency objective, as a time: an answer by then has its full value
-	Deadline   time.Duration
+	Objective  time.Duration // time of the latency objective: an answer by then has its full value
+	Deadline   time.Duration // time of the deadline
 	LeavesAt   time.Duration // when its client leaves, or Never
 	Retries    int           // retries so far
 	Value      float64
-	Ended      bool // its client has stopped
+	Ended      bool // its client neither waits for an answer nor retries
 	OnTime     bool // it was answered by its latency objective
 
 	firstSent time.Duration // when its first request was sent
-	repeatID  bool
+	repeatID  bool          // its client submits its id again while it is in flight
 }
 
-// Job returns the id of its present request.
+// Job returns the id of the present request for the work.
 func (w *Work) Job() policy.JobID { return policy.JobID(fmt.Sprintf("%s/%d", w.ID, w.Retries)) }
 
-// RepeatsID reports whether its client submits its id again while it is in flight.
+// RepeatsID reports whether the client submits the id of the work again while it is in flight.
 func (w *Work) RepeatsID() bool { return w.repeatID }
 
 // Clients models the clients of one zone.
@@ -73,15 +73,16 @@
 	Name     string
 	Classes  []JobClass
 	Behavior Behavior
-	Burst    float64 // multiple of the usual rate; 0 for 1
+	Burst    float64 // the present rate as a multiple of the usual one; below 1, it counts as 1
 	Tail     Tail
 	rand     *rand.Rand
-	count    int
-	perWork  bool
-	backoff  *rand.Rand // a separate source, so that retries do not change arrivals
+	count    int        // number of works so far
+	perWork  bool       // the values of the classes are per second of work
+	backoff  *rand.Rand // source for the jitter of the backoff; it is separate, so that retries do not change arrivals
 }
 
-// NewClients returns clients with the given name, which leads the ids of their work. If perWork is set, values count per unit of work.
+// NewClients returns clients with the given name, which is the prefix of the ids of their work. If perWork is set, the values of the
+// classes are per second of work.
 func NewClients(name string, classes []JobClass, behavior Behavior, perWork bool, r *rand.Rand) *Clients {
 	c := &Clients{Name: name, Classes: classes, Behavior: behavior, rand: r, perWork: perWork}
 	if behavior.MaxBackoff > 0 {
@@ -90,7 +91,7 @@
 	return c
 }
 
-// Gap draws the time until the next arrival; it is Never without a rate.
+// Gap draws the time until the next arrival. It returns Never if the rate is 0.
 func (c *Clients) Gap() time.Duration {
 	rate := c.Behavior.Rate * max(c.Burst, 1)
 	if rate <= 0 {
@@ -99,7 +100,7 @@
 	return time.Duration(c.rand.ExpFloat64() / rate * 1e9)
 }
 
-// New draws the next work, of a client in a loop or -1.
+// New draws the next work. client is the number of its client in a closed loop, or -1.
 func (c *Clients) New(now time.Duration, client int) *Work {
 	c.count++
 	id := c.pickClass()
@@ -111,7 +112,7 @@
 		hint = 0
 	}
 	if c.rand.Float64() < c.Tail.Fraction {
-		cost *= c.Tail.Multiple // not in the stated cost
+		cost *= c.Tail.Multiple // the stated cost does not include this
 	}
 	w := &Work{ID: invariants.WorkID(fmt.Sprintf("%s%d", c.Name, c.count)), Client: client, Class: id, Cost: cost, StatedCost: hint,
 		ArrivedAt: now, Deadline: now + t.Deadline, LeavesAt: Never, firstSent: now, Value: t.Value}
@@ -126,6 +127,7 @@
 	return w
 }
 
+// pickClass draws a job class by the shares of the classes.
 func (c *Clients) pickClass() policy.JobClassID {
 	x := c.rand.Float64()
 	for i, t := range c.Classes {
@@ -144,12 +146,12 @@
 	EndSucceeded End = iota
 	EndRejected      // nothing of it ran
 	EndFailed        // failed, or not answered in time
-	EndUnreached     // no connection to the node
-	EndLost          // the connection to the node broke
+	EndUnreached     // no connection to the node was made
+	EndLost          // the connection to the node was lost
 )
 
-// RetryAt returns when a client retries, and whether it does. Idempotent work is retried after any end; work with an idempotency key too,
-// if its dedup group is all executors and within half of its window. Otherwise a client retries only if nothing can have run.
+// RetryAt returns when a client retries, and whether it retries. Idempotent work is retried after any failure. So is work with an
+// idempotency key, if its dedup group is all executors, within half of its dedup window. Other work is retried only if it cannot have run.
 func (c *Clients) RetryAt(now time.Duration, w *Work, end End, retryAfter time.Duration) (time.Duration, bool) {
 	t := &c.Classes[w.Class]
 	may := end == EndRejected || end == EndUnreached || t.Idempotency == policy.Idempotent ||
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -16,15 +16,15 @@
 	Addr string
 }
 
-// Discovery models the service that has the endpoint list. It learns of a change at once and publishes it to nodes after a lag.
+// Discovery models the service that publishes the endpoint list. It records a change at once, and publishes it to nodes after a lag.
 type Discovery struct {
 	lag          time.Duration
-	extraLag     time.Duration // a fault's delay beyond the lag
-	stopped      bool          // it publishes nothing
+	extraLag     time.Duration // delay of a fault, in addition to the lag
+	stopped      bool          // nothing is published
 	entries      map[policy.ExecutorID]Entry
-	changes      []change
-	delivered    map[invariants.NodeID]int  // how many changes a node has been sent
-	completeNext map[invariants.NodeID]bool // the next update of a node is a complete one
+	changes      []change                   // all changes, in the order of their times
+	delivered    map[invariants.NodeID]int  // how many of the changes a node has been sent
+	completeNext map[invariants.NodeID]bool // nodes whose next update is a complete list
 }
 
 type change struct {
@@ -55,10 +55,10 @@
 	return e, ok
 }
 
-// SetDelay sets a delay beyond the usual lag; 0 removes it.
+// SetDelay sets a delay in addition to the usual lag; 0 removes it.
 func (d *Discovery) SetDelay(delay time.Duration) { d.extraLag = delay }
 
-// SetStopped stops or resumes updates. After it, each node gets a complete update.
+// SetStopped stops or resumes updates. The next update that a node gets is then a complete list.
 func (d *Discovery) SetStopped(stopped bool) {
 	d.stopped = stopped
 	for n := range d.delivered {
@@ -69,7 +69,7 @@
 // Stopped reports whether updates are stopped.
 func (d *Discovery) Stopped() bool { return d.stopped }
 
-// Watch makes the next update of a node a complete one.
+// Watch makes the next update of a node a complete list.
 func (d *Discovery) Watch(n invariants.NodeID) {
 	d.completeNext[n] = true
 	if _, ok := d.delivered[n]; !ok {
@@ -77,7 +77,7 @@
 	}
 }
 
-// ListAt returns the complete list as it was at a time, in the order of ids: what a node may have cached.
+// ListAt returns the complete list as it was at a time, in the order of ids. A node may have such an old list in its cache.
 func (d *Discovery) ListAt(at time.Duration) []Entry {
 	byID := map[policy.ExecutorID]Entry{}
 	for _, c := range d.changes {
@@ -107,7 +107,8 @@
 	return policy.IncrementalUpdate, entries
 }
 
-// Since returns the published changes after a version, the last one of each executor, and the version after them.
+// Since returns the changes that were published after a version, with the last change of each executor alone, and the version that
+// includes them. A version is a number of changes.
 func (d *Discovery) Since(now time.Duration, version int) (next int, entries []Entry) {
 	until := now - d.lag - d.extraLag
 	seen := map[policy.ExecutorID]int{}
@@ -123,7 +124,7 @@
 	return next, entries
 }
 
-// Complete returns the complete list as published.
+// Complete returns the complete list as it is published now.
 func (d *Discovery) Complete(now time.Duration) []Entry { return d.ListAt(now - d.lag - d.extraLag) }
 
 func sortedEntries(m map[policy.ExecutorID]Entry) []Entry {
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -12,45 +12,47 @@
 )
 
 // Disk is a disk in memory. A crash keeps what was synced and a random part of the rest. It implements store.Disk, and is safe for
-// concurrent use; its exported fields must not be set while a call runs.
+// concurrent use. Its exported fields must not be set while a call runs.
 type Disk struct {
 	rand *rand.Rand
 
 	mu          sync.Mutex
 	files       map[string]*diskFile
-	incarnation int
-	locked      bool
+	incarnation int  // number of the process that uses the disk; each crash begins a new one
+	locked      bool // a process holds the lock
 	// FreeBytes is how many more bytes can be written; negative for no limit.
 	FreeBytes int
-	// FailSync makes the sync so many calls ahead fail, and leave what a crash would leave; 0 for none.
+	// FailSync selects a sync that fails: 1 is the next one, 2 the one after it, 0 none. A file whose sync fails keeps what a crash would
+	// leave of it.
 	FailSync int
-	// IgnoresSyncs makes syncs do nothing and succeed.
+	// IgnoresSyncs makes syncs succeed without an effect.
 	IgnoresSyncs bool
 	// Syncs counts the syncs of files.
 	Syncs     int
-	syncDelay time.Duration
+	syncDelay time.Duration // how long a sync takes
 	// OnSync, unless nil, is called with the number of each sync before it takes effect.
 	OnSync func(n int)
 }
 
 type diskFile struct {
-	synced      []byte
-	written     []byte // the synced part and what was written since
-	nameDurable bool   // its name survives a crash
-	removed     bool   // it was removed, and the removal may not survive a crash yet
+	synced      []byte // content that survives a crash
+	written     []byte // synced content, and what was written since
+	nameDurable bool   // the directory entry of the file survives a crash
+	removed     bool   // the file was removed, but may exist again after a crash
 }
 
 // Errors of injected faults.
 var (
 	ErrDiskFull = errors.New("no space left on the disk")
 	ErrDiskSync = errors.New("the disk failed to sync")
-	errCrashed  = errors.New("this process is no more")
+	errCrashed  = errors.New("the process that opened the file has crashed")
 )
 
 // NewDisk returns an empty disk without a limit.
 func NewDisk(r *rand.Rand) *Disk { return &Disk{rand: r, files: map[string]*diskFile{}, FreeBytes: -1} }
 
-// Crash ends the process that uses the disk: what was not synced is lost, kept or torn, by pages in any order.
+// Crash ends the process that uses the disk. Content, creations and removals that were not synced may be lost or kept, and the pages of a
+// file independently of each other.
 func (d *Disk) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,10 +71,10 @@
 	}
 }
 
-// pageSize is what a disk writes at once, in bytes.
+// pageSize is the size in bytes of the pieces of a file that a crash keeps or loses as a whole.
 const pageSize = 64
 
-// torn returns what a crash leaves of a file: its synced part, and some of the pages after it.
+// torn returns what a crash leaves of a file: its synced content, and none, a prefix or some pages of what was written since.
 func (d *Disk) torn(f *diskFile) []byte {
 	b := slices.Clone(f.written)
 	if len(b) <= len(f.synced) {
@@ -92,6 +94,7 @@
 	return b
 }
 
+// names returns the sorted names of the files. If all is set, they include removed files that may exist again after a crash.
 func (d *Disk) names(all bool) (names []string) {
 	for n, f := range d.files {
 		if all || !f.removed {
@@ -141,24 +144,24 @@
 	defer d.mu.Unlock()
 	f := d.files[name]
 	if f == nil || f.removed {
-		return nil, errors.New(name + ": not there")
+		return nil, errors.New(name + ": file does not exist")
 	}
 	return slices.Clone(f.written), nil
 }
 
-// Create implements store.Disk. The file survives a crash for certain only after SyncDir.
+// Create implements store.Disk. The file is certain to survive a crash only after SyncDir.
 func (d *Disk) Create(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f := d.files[name]; f != nil && !f.removed {
-		return nil, errors.New(name + ": there already")
+		return nil, errors.New(name + ": file already exists")
 	}
 	f := &diskFile{}
 	d.files[name] = f
 	return &openFile{d, f, d.incarnation}, nil
 }
 
-// Remove implements store.Disk. The removal survives a crash for certain only after SyncDir.
+// Remove implements store.Disk. The removal is certain to survive a crash only after SyncDir.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,7 +171,7 @@
 	return nil
 }
 
-// Truncate implements store.Disk; what is left of the file counts as synced.
+// Truncate implements store.Disk. The remaining content counts as synced.
 func (d *Disk) Truncate(name string, size int64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -178,7 +181,7 @@
 	return nil
 }
 
-// SyncDir implements store.Disk. Creations and removals so far survive a crash.
+// SyncDir implements store.Disk. The creations and removals of files so far then survive a crash.
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -198,7 +201,7 @@
 	d.syncDelay = delay
 }
 
-// Flip changes a bit of a file, as bit rot does.
+// Flip inverts a bit of the byte at an offset in a file, like silent corruption on a real disk.
 func (d *Disk) Flip(name string, at int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -252,7 +255,8 @@
 	o.disk.Syncs++
 	if o.disk.FailSync > 0 {
 		if o.disk.FailSync--; o.disk.FailSync == 0 {
-			o.file.written = o.disk.torn(o.file) // the system takes it for synced from now on
+			// As on a real system, a later sync does not write the lost pages again.
+			o.file.written = o.disk.torn(o.file)
 			return ErrDiskSync
 		}
 	}
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -16,63 +16,62 @@
 // ConnID identifies a connection to an executor. It is not reused.
 type ConnID uint64
 
-// ExecutorSpec describes an executor and its rules.
+// ExecutorSpec describes an executor and how it treats its batch jobs.
 type ExecutorSpec struct {
 	ID         policy.ExecutorID
 	Zone       policy.ZoneID
 	Kind       policy.KindID
 	Cell       policy.CellID
-	Cores      int     // shared evenly by running batch jobs
-	Speed      float64 // of a core, as a multiple of a standard core
-	Slots      int     // batch jobs that run at a time
-	QueueLimit int     // batch jobs that wait; further ones are rejected
-
-	ByPriority     bool // waiting work starts by priority; otherwise in the order of arrival
-	CancelsRunning bool // running work is canceled when its connection closes
-
-	KeepsQueued bool // waiting work is not canceled when its connection closes
-
-	InitialCapacity  float64 // share of its capacity right after a start; grows evenly to 1 during slow start
-	SlowStart        time.Duration
-	OverloadMultiple float64       // an executor in slow start crashes if more arrives within the window than this multiple of its present capacity
-	OverloadWindow   time.Duration // of that budget
+	Cores      int     // cores, which running batch jobs share evenly
+	Speed      float64 // speed of a core, as a multiple of a standard core
+	Slots      int     // how many batch jobs run at a time
+	QueueLimit int     // how many batch jobs may wait; further ones are rejected
+
+	ByPriority     bool // waiting batch jobs start by priority, otherwise in the order of arrival
+	CancelsRunning bool // a running batch job is canceled when its connection closes
+	KeepsQueued    bool // a waiting batch job is not canceled when its connection closes
+
+	InitialCapacity  float64       // fraction of its capacity right after a start; it grows linearly to 1 during slow start
+	SlowStart        time.Duration // length of the slow start; 0 for none
+	OverloadMultiple float64       // in slow start the executor crashes above this multiple of its present capacity; 0 for no limit
+	OverloadWindow   time.Duration // window over which arriving work is compared with that limit
 	MeanWork         float64       // seconds of work of a mean batch job
 
-	SendsStart    bool          // sends a message when an attempt starts
-	ProgressEvery time.Duration // between progress messages; 0 for none
-	SendsLoad     bool          // sends load reports with its messages
+	SendsStart    bool          // a message is sent when an attempt starts
+	ProgressEvery time.Duration // interval of progress messages; 0 for none
+	SendsLoad     bool          // messages carry load reports
 	ReportEvery   time.Duration // largest age of a load report
-	ReportNoise   float64       // relative error of a load report, either way
+	ReportNoise   float64       // largest relative error of a load report, in either direction
 
-	MaxConns int           // connections that may be open at a time
+	MaxConns int           // how many connections may be open at a time
 	ConnCost time.Duration // work that a new connection costs
 }
 
-// Executor models an executor. Each method that takes the time first advances the running work to it. The returned outputs are valid
-// until the next call.
+// Executor models an executor. A method that takes the time first advances the running work to that time. The outputs that it returns are
+// valid until the next call.
 type Executor struct {
 	ExecutorSpec
 	Up         bool          // its process runs
 	Draining   bool          // it rejects every attempt
 	Started    time.Duration // when its process started
 	fault      ExecutorFaults
-	faultSince time.Duration // when the fault began
+	faultSince time.Duration // when the faults were last set
 	rand       *rand.Rand
 
-	now            time.Duration
+	now            time.Duration // time to which the running work has been advanced
 	running        []*task
-	waiting        []*task
-	conns          []ConnID // in the order in which they were opened, which is the order of resets in a crash
-	lastOrder      int
-	connectionWork float64 // seconds of work that new connections cost and that is not done yet
+	waiting        []*task  // in the order in which they will start
+	conns          []ConnID // open connections in the order of opening, in which a crash resets them
+	lastOrder      int      // order of the last task that was accepted
+	connectionWork float64  // remaining seconds of work that new connections cost
 	arrivals       []arrival
 	loadReport     Load
-	loadReportAt   time.Duration
-	outputs        []Output
-	Orphans        int // batch jobs that finished after their connections had closed
+	loadReportAt   time.Duration // when the load report was made
+	outputs        []Output      // outputs of the present call
+	Orphans        int           // batch jobs that finished after their connections had closed
 }
 
-// NewExecutor returns an executor whose slow start is over.
+// NewExecutor returns an executor that runs and is not in slow start.
 func NewExecutor(spec ExecutorSpec, r *rand.Rand) *Executor {
 	return &Executor{ExecutorSpec: spec, rand: r, Up: true, Started: -spec.SlowStart}
 }
@@ -83,11 +82,11 @@
 // Running returns how many batch jobs run.
 func (e *Executor) Running() int { return len(e.running) }
 
-// NextFreeSlot estimates when a slot becomes free for a batch job that arrives after everything that runs or waits and after the work in coming,
-// in seconds on a standard core. It also returns the work that a slot then does per second.
-func (e *Executor) NextFreeSlot(now time.Duration, coming []float64) (at time.Duration, rate float64) {
+// NextFreeSlot estimates when a slot becomes free for a batch job that arrives after all others: those that run, those that wait, and
+// those on their way, whose work is given in seconds on a standard core. It also returns the work that a slot does per second.
+func (e *Executor) NextFreeSlot(now time.Duration, onTheWay []float64) (at time.Duration, rate float64) {
 	rate = e.Speed * e.capacityFraction(now) * min(1, float64(e.Cores)/float64(e.Slots)) / max(1, e.fault.Slow)
-	done := (now - e.now).Seconds() * e.rate(e.now) // done since the last call
+	done := (now - e.now).Seconds() * e.rate(e.now) // work that each running batch job has done since e.now
 	slotWork := make([]float64, e.Slots)
 	assign := func(work float64) {
 		first := 0
@@ -104,13 +103,13 @@
 	for _, t := range e.waiting {
 		assign(t.left)
 	}
-	for _, work := range coming {
+	for _, work := range onTheWay {
 		assign(work)
 	}
 	return now + time.Duration(slices.Min(slotWork)/rate*1e9), rate
 }
 
-// Open accepts a connection, and reports whether it could: the executor may be down or at its limit.
+// Open accepts a connection. It returns false if the executor is down or has as many connections as it may have.
 func (e *Executor) Open(now time.Duration, c ConnID) (bool, []Output) {
 	e.begin(now)
 	if !e.Up || len(e.conns) >= e.MaxConns {
@@ -121,7 +120,8 @@
 	return true, e.outputs
 }
 
-// Accept accepts an attempt whose last byte has arrived: the executor runs it, queues it, rejects it, or crashes in its slow start.
+// Accept handles an attempt whose last byte has arrived: the executor runs it, queues it, rejects it, or crashes from overload in its slow
+// start.
 func (e *Executor) Accept(now time.Duration, a Attempt) []Output {
 	e.begin(now)
 	if !e.Up {
@@ -150,6 +150,7 @@
 	return e.outputs
 }
 
+// enqueue adds a task to the waiting ones, at its place in the order in which they start.
 func (e *Executor) enqueue(t *task) {
 	i := len(e.waiting)
 	if e.ByPriority {
@@ -160,7 +161,7 @@
 	e.waiting = slices.Insert(e.waiting, i, t)
 }
 
-// ConnClosed handles the end of a connection.
+// ConnClosed handles the end of a connection: its batch jobs are canceled or abandoned.
 func (e *Executor) ConnClosed(now time.Duration, c ConnID) []Output {
 	e.begin(now)
 	e.conns = slices.DeleteFunc(e.conns, func(o ConnID) bool { return o == c })
@@ -182,13 +183,13 @@
 	return e.outputs
 }
 
-// Wake advances the time.
+// Wake advances the time, and returns the outputs of the work that was done.
 func (e *Executor) Wake(now time.Duration) []Output {
 	e.begin(now)
 	return e.outputs
 }
 
-// Crash ends the process: what runs and waits is lost, and connections are reset.
+// Crash ends the process: running and waiting batch jobs are lost, and connections are reset.
 func (e *Executor) Crash(now time.Duration) []Output {
 	e.begin(now)
 	if e.Up {
--- a/internal/emulator/executor_fault.go
+++ b/internal/emulator/executor_fault.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// ExecutorFaults is the sum of the faults of an executor. The zero value is none.
+// ExecutorFaults is the combination of the faults of an executor. The zero value stands for no faults.
 type ExecutorFaults struct {
-	Slow            float64       // times slower; 0 for the usual speed
-	StallFor        time.Duration // stops for so long at the start of each period
-	StallEvery      time.Duration // the period; 0 for no stalls
+	Slow            float64       // factor by which the executor is slower; 0 for the usual speed
+	StallFor        time.Duration // length of a stall, in which all work stops
+	StallEvery      time.Duration // interval from the start of a stall to the next; 0 for no stalls
 	NeighborShare   float64       // share of the machine that another program takes, on and off
-	ErrorRate       float64       // share of the batch jobs that end in a quick error, without running
-	Unresponsive    bool          // accepts everything and answers nothing
-	FalseRejections bool          // rejects a batch job and runs it all the same: a defect that tests inject
+	ErrorRate       float64       // fraction of the batch jobs that end in a quick error, without running
+	Unresponsive    bool          // accepts every attempt, and sends nothing
+	FalseRejections bool          // rejects a batch job and still runs it: a defect that tests inject
 }
 
-// neighborInterval is how long another program runs and then pauses.
+// neighborInterval is how long the other program of a NoisyNeighbor fault runs, and how long it then pauses.
 const neighborInterval = 700 * time.Millisecond
 
-// Unresponsive reports whether it answers nothing.
+// Unresponsive reports whether the executor accepts attempts but sends nothing.
 func (e *Executor) Unresponsive() bool { return e.fault.Unresponsive }
 
-// SetFaults sets the faults, or with the zero value removes them. Attempts that it accepted while unresponsive are dropped when that ends.
+// SetFaults sets the faults, or removes them with the zero value. Attempts that the executor accepted while it was unresponsive are dropped
+// when that fault ends.
 func (e *Executor) SetFaults(now time.Duration, faults ExecutorFaults) []Output {
 	e.begin(now)
 	e.fault, e.faultSince = faults, now
--- a/internal/emulator/executor_run.go
+++ b/internal/emulator/executor_run.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// quickRunTime is how long an attempt takes that ends in an error without running, or whose key repeats another one.
+// quickRunTime is how long an attempt takes that fails without running, or whose idempotency key is a repeat.
 const quickRunTime = 2 * time.Millisecond
 
 // rate returns the work that one running batch job does per second.
@@ -32,7 +32,7 @@
 // slowStartSteps is how many steps the capacity takes to grow to its full size in slow start.
 const slowStartSteps = 24
 
-// Next returns when Wake must be called: when an attempt ends or gets a progress message, or when the rate changes.
+// Next returns when Wake must be called: when an attempt ends or a progress message is due, or when the rate changes.
 func (e *Executor) Next() time.Duration {
 	if !e.Up || len(e.running) == 0 {
 		return Never
@@ -53,7 +53,7 @@
 	return max(min(next, e.nextRateChange()), e.now+time.Microsecond)
 }
 
-// nextRateChange returns when the rate changes by slow start or by a fault.
+// nextRateChange returns when the rate changes next, by slow start or by a fault.
 func (e *Executor) nextRateChange() time.Duration {
 	next := Never
 	if e.InSlowStart(e.now) {
@@ -73,12 +73,13 @@
 	return next
 }
 
-// begin advances the time and starts the outputs of a call.
+// begin advances the time at the beginning of a call, whose outputs are empty at first.
 func (e *Executor) begin(now time.Duration) {
 	e.outputs = e.outputs[:0]
 	e.advance(now)
 }
 
+// advance does the work of the time until now, and what follows from it. Work that connections cost is done before that of batch jobs.
 func (e *Executor) advance(now time.Duration) {
 	span := (now - e.now).Seconds()
 	if span > 0 && e.Up {
@@ -99,9 +100,10 @@
 	e.startWaiting()
 }
 
-// finishedBelow is the remaining work, in seconds, below which an attempt has finished: the error of floating-point sums.
+// finishedBelow is the remaining work in seconds up to which an attempt counts as finished. It allows for floating-point errors.
 const finishedBelow = 1e-9
 
+// finish ends the running attempts that have no work left.
 func (e *Executor) finish() {
 	e.running = slices.DeleteFunc(e.running, func(t *task) bool {
 		if t.left > finishedBelow || t.unresponsive {
@@ -120,6 +122,7 @@
 	})
 }
 
+// reportProgress sends the progress messages that are due.
 func (e *Executor) reportProgress() {
 	if e.ProgressEvery == 0 {
 		return
@@ -132,6 +135,7 @@
 	}
 }
 
+// startWaiting starts waiting attempts while slots are free.
 func (e *Executor) startWaiting() {
 	for len(e.waiting) > 0 && len(e.running) < e.Slots {
 		t := e.waiting[0]
@@ -161,7 +165,8 @@
 	e.outputs = append(e.outputs, Message{t.Conn, t.Job, kind, progress, e.LoadReport(e.now)})
 }
 
-// LoadReport returns the load report, which is old and noisy: the same for everyone until it is renewed.
+// LoadReport returns the load report of the executor. It is renewed every ReportEvery, with a random error of up to ReportNoise, and is
+// the same for all nodes until then.
 func (e *Executor) LoadReport(now time.Duration) Load {
 	if !e.SendsLoad {
 		return Load{}
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -9,41 +9,41 @@
 // FaultKind is a kind of fault, by its name in scenarios.
 type FaultKind string
 
-// The kinds of faults: what a fault does, and what its size means.
+// The kinds of faults, with their targets and the meaning of Size.
 const (
 	SlowExecutors        FaultKind = "slow"         // executors run Size times slower
-	Stalls               FaultKind = "stalls"       // they stop for Size seconds, every 2 s
-	NoisyNeighbor        FaultKind = "neighbour"    // another program takes the share Size of them, on and off
-	Errors               FaultKind = "errors"       // the share Size of their batch jobs ends in a quick error
-	Unresponsive         FaultKind = "mute"         // they accept everything and answer nothing
-	Crash                FaultKind = "crash"        // they end, and restart in slow start after it
-	HostLost             FaultKind = "vanish"       // they and their machines disappear without a reset, and restart in slow start after it
-	Replace              FaultKind = "replace"      // they end, and others start in their places under new ids
-	AddressChanged       FaultKind = "moved"        // they end, and restart at another address
-	Drain                FaultKind = "drain"        // they drain, end, and restart in slow start after it
-	Excluded             FaultKind = "taken-out"    // operators exclude them at each node, restart them, and readmit them after it
-	ZoneLost             FaultKind = "zone-lost"    // a zone with its executors and nodes is down, and restarts after it
+	Stalls               FaultKind = "stalls"       // executors stop for Size seconds, every 2 s
+	NoisyNeighbor        FaultKind = "neighbour"    // another program takes the share Size of the machines of executors, on and off
+	Errors               FaultKind = "errors"       // the fraction Size of the batch jobs of executors ends in a quick error
+	Unresponsive         FaultKind = "mute"         // executors accept every attempt and send nothing
+	Crash                FaultKind = "crash"        // executors crash, and restart in slow start when the fault ends
+	HostLost             FaultKind = "vanish"       // executors and their machines disappear without a reset, and restart in slow start when the fault ends
+	Replace              FaultKind = "replace"      // executors end, and others start in their places under new ids
+	AddressChanged       FaultKind = "moved"        // executors end, and restart at another address
+	Drain                FaultKind = "drain"        // executors drain, end, and restart in slow start when the fault ends
+	Excluded             FaultKind = "taken-out"    // operators exclude executors at each node, restart them, and readmit them when the fault ends
+	ZoneLost             FaultKind = "zone-lost"    // a zone with its executors and nodes is down, and restarts when the fault ends
 	ZonePartitioned      FaultKind = "zone-cut"     // a partition between a zone and the others
 	ZoneInboundLost      FaultKind = "zone-deaf"    // packets into a zone are lost
 	ZoneOutboundLost     FaultKind = "zone-mute"    // packets out of a zone are lost
-	ResetNew             FaultKind = "reset-new"    // the share Size of new connections is reset at the first use
-	ResetOld             FaultKind = "reset-old"    // the share Size of open connections is reset, every second
-	UnresponsiveNew      FaultKind = "silent-new"   // the share Size of new connections returns nothing
-	UnresponsiveOld      FaultKind = "silent-old"   // at its start, the share Size of open connections stops returning anything
-	ClientReset          FaultKind = "client-reset" // the share Size of clients' connections is reset, every second; nodes learn of it late
-	DiscoveryDelayed     FaultKind = "list-late"    // discovery publishes Size seconds later than usual
+	ResetNew             FaultKind = "reset-new"    // the fraction Size of new connections is reset at the first use
+	ResetOld             FaultKind = "reset-old"    // the fraction Size of open connections is reset, every second
+	UnresponsiveNew      FaultKind = "silent-new"   // the fraction Size of new connections returns nothing
+	UnresponsiveOld      FaultKind = "silent-old"   // at the start of the fault, the fraction Size of open connections stops returning anything
+	ClientReset          FaultKind = "client-reset" // the fraction Size of clients' connections is reset, every second; nodes learn of it late
+	DiscoveryDelayed     FaultKind = "list-late"    // discovery publishes changes Size seconds later than usual
 	DiscoveryStopped     FaultKind = "list-lost"    // discovery publishes nothing
-	NodeKilled           FaultKind = "node-killed"  // nodes are killed, and restart after it
-	ClientsDrained       FaultKind = "sent-away"    // operators drain nodes' clients
-	NodeRestart          FaultKind = "node-restart" // nodes shut down gracefully, and restart after it
-	NodePaused           FaultKind = "node-stopped" // nodes' processes are paused, and then read what arrived meanwhile
+	NodeKilled           FaultKind = "node-killed"  // nodes are killed, and restart when the fault ends
+	ClientsDrained       FaultKind = "sent-away"    // operators drain the clients of nodes
+	NodeRestart          FaultKind = "node-restart" // nodes shut down gracefully, and restart when the fault ends
+	NodePaused           FaultKind = "node-stopped" // the processes of nodes are paused, and then read what arrived meanwhile
 	FalseGossip          FaultKind = "node-lies"    // nodes send false gossip
-	GossipPartitioned    FaultKind = "nodes-apart"  // no gossip passes between these nodes and the others
-	GossipLost           FaultKind = "words-lost"   // the share Size of gossip messages is lost
+	GossipPartitioned    FaultKind = "nodes-apart"  // no gossip passes between some nodes and the others
+	GossipLost           FaultKind = "words-lost"   // the fraction Size of gossip messages is lost
 	DiscoveryUnreachable FaultKind = "list-cut"     // nodes cannot reach discovery
-	Burst                FaultKind = "burst"        // Size times the usual load
+	Burst                FaultKind = "burst"        // clients make Size times the usual load
 	HeavyTail            FaultKind = "heavy-tail"   // one batch job in 50 costs Size times the usual
-	ClockSkew            FaultKind = "clock-off"    // executors that start meanwhile state a start Size seconds after the true one
+	ClockSkew            FaultKind = "clock-off"    // executors that start during the fault state a start Size seconds after the true one
 )
 
 // Target is the kind of target of a fault.
@@ -54,7 +54,7 @@
 	OnExecutors Target = iota // executors that the fault names, or random ones
 	OnZone                    // a whole zone
 	OnNodes                   // nodes that the fault names, or random ones
-	OnAll                     // connections, discovery or clients
+	OnAll                     // all connections, all clients, or discovery
 )
 
 // kindSpec describes a kind of fault: its target and the bounds of its size. A kind without a unit has no size.
@@ -90,19 +90,19 @@
 	return all
 }
 
-// Target returns the target of a kind, and whether the kind exists.
+// Target returns the kind of target of a kind of fault, and whether the kind of fault exists.
 func (k FaultKind) Target() (Target, bool) {
 	s, ok := kinds[k]
 	return s.target, ok
 }
 
-// SizeBounds returns the bounds of the size of a kind, and whether it has one.
+// SizeBounds returns the bounds of the size of a kind of fault, and whether it has a size.
 func (k FaultKind) SizeBounds() (least, most float64, ok bool) {
 	s := kinds[k]
 	return s.least, s.most, s.unit != ""
 }
 
-// CheckSize returns an error if a size is out of the bounds of a kind.
+// CheckSize returns an error if a size is out of the bounds of a kind of fault.
 func (k FaultKind) CheckSize(size float64) error {
 	s := kinds[k]
 	switch {
@@ -114,21 +114,21 @@
 	return nil
 }
 
-// Fault is a fault from At on for the time For. Where names its targets, executors, zones or nodes; if empty, it is on all of them.
+// Fault is a fault of a simulated or real cluster, for a limited time.
 type Fault struct {
 	Kind  FaultKind
-	At    time.Duration
-	For   time.Duration
-	Where []string
-	Size  float64
+	At    time.Duration // when it starts
+	For   time.Duration // how long it lasts
+	Where []string      // names of its targets: executors, zones or nodes; empty for all
+	Size  float64       // its meaning depends on the kind; 0 if the kind has no size
 }
 
-// Affects reports whether a fault is on the target with a name in a zone.
+// Affects reports whether a fault is on the executor or node of the given name, which is in the given zone.
 func (f Fault) Affects(name, zone string) bool {
 	return len(f.Where) == 0 || slices.Contains(f.Where, name) || slices.Contains(f.Where, zone)
 }
 
-// CombineFaults returns the sum of an executor's faults.
+// CombineFaults combines the faults of an executor.
 func CombineFaults(faults []Fault) (sum ExecutorFaults) {
 	for _, f := range faults {
 		switch f.Kind {
@@ -147,12 +147,12 @@
 	return sum
 }
 
-// RemoveFault returns an executor's faults without one that is over. It reuses the slice.
+// RemoveFault returns the faults of an executor without one that has ended. It reuses the slice.
 func RemoveFault(faults []Fault, removed Fault) []Fault {
 	return slices.DeleteFunc(faults, func(f Fault) bool { return f.Kind == removed.Kind && f.At == removed.At && f.Size == removed.Size })
 }
 
-// String returns the fault as people read it.
+// String returns the fault in a form for people to read.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%s from %v for %v", f.Kind, f.At, f.For)
 	if f.Size != 0 {
--- a/internal/emulator/lease.go
+++ b/internal/emulator/lease.go
@@ -2,39 +2,40 @@
 
 import "birchstair/policy"
 
-// LeaseState is what an executor knows of an epoch of a durable batch job, by its name in the protocol.
+// LeaseState is what an executor knows about a lease, which is identified by a durable batch job and an epoch. It is the name of the state
+// in the protocol.
 type LeaseState string
 
-// The states of an epoch.
+// The states of a lease: what became of its attempt.
 const (
 	LeaseFinished LeaseState = "finished" // it ran, and its result is known
 	LeaseRunning  LeaseState = "running"  // it runs
 	LeaseLost     LeaseState = "lost"     // it may have run before a restart
-	LeaseNever    LeaseState = "never"    // it has not run, and will not
+	LeaseNever    LeaseState = "never"    // it has not run, and will not run
 )
 
-// LeaseTable is the memory of an executor that supports leases: the newest epoch of each durable batch job, and its outcome. A restart
-// loses it, and the executor then answers that it did. It is not safe for concurrent use.
+// LeaseTable is what an executor remembers of leases: the newest epoch of each durable batch job, and its result. A restart of the executor
+// loses it. Leases that the executor does not know are then reported as lost. It is not safe for concurrent use.
 type LeaseTable struct {
 	jobs      map[policy.JobID]*leaseRecord
-	restarted bool // what it does not know may have run before the restart
+	restarted bool // unknown leases may have run before the restart
 }
 
 type leaseRecord struct {
 	epoch    uint32
-	begun    bool
-	finished bool
+	begun    bool // the attempt has been accepted
+	finished bool // the attempt has finished with the result
 	result   []byte
 }
 
-// NewLeaseTable returns an empty table that has lost nothing.
+// NewLeaseTable returns the empty table of an executor that has not restarted.
 func NewLeaseTable() *LeaseTable { return &LeaseTable{jobs: map[policy.JobID]*leaseRecord{}} }
 
-// Restart loses everything.
+// Restart empties the table, as a restart of the executor does.
 func (l *LeaseTable) Restart() { l.jobs, l.restarted = map[policy.JobID]*leaseRecord{}, true }
 
-// Accept reports whether an attempt may run, and records it if so. It may not if its epoch, or a newer one, was seen before. Epoch 0 is an
-// attempt without a lease.
+// Accept reports whether an attempt may run, and records it if it may. It may not if its epoch or a newer one was accepted or queried
+// before. Epoch 0 stands for an attempt without a lease, which may always run.
 func (l *LeaseTable) Accept(job policy.JobID, epoch uint32) bool {
 	if epoch == 0 {
 		return true
@@ -46,14 +47,15 @@
 	return true
 }
 
-// Finish records a result.
+// Finish records the result of an attempt, unless a newer epoch is known.
 func (l *LeaseTable) Finish(job policy.JobID, epoch uint32, result []byte) {
 	if record := l.jobs[job]; record != nil && record.epoch == epoch {
 		record.finished, record.result = true, result
 	}
 }
 
-// Query returns the state of an epoch, and its result if it has finished. An epoch that has not arrived yet is refused from now on.
+// Query returns the state of a lease, and its result if it has finished. If it is reported as never run, an attempt of that epoch is
+// refused from now on.
 func (l *LeaseTable) Query(job policy.JobID, epoch uint32) (state LeaseState, result []byte) {
 	record := l.jobs[job]
 	switch {
--- a/internal/emulator/output.go
+++ b/internal/emulator/output.go
@@ -10,7 +10,7 @@
 // The kinds of messages about an attempt.
 const (
 	AttemptStarted  MessageKind = iota // it has started
-	AttemptProgress                    // a share of it is done
+	AttemptProgress                    // a fraction of it is done
 	AttemptDone                        // it has finished, with a result
 	AttemptFailed                      // it has failed; it may have had its effect
 	AttemptRejected                    // it was rejected and never ran
@@ -19,10 +19,10 @@
 // Load is a load report.
 type Load struct {
 	InFlight, Queued, FreeSlots float64 // batch jobs in flight, batch jobs waiting, free slots
-	Known                       bool    // there is a report
+	Known                       bool    // false if there is no report
 }
 
-// Output is an output of an executor: one of the types below.
+// Output is something that an executor does, for the caller to carry out. It is one of the types below.
 type Output interface{ out() }
 
 type (
@@ -31,17 +31,17 @@
 		Conn     ConnID
 		Job      policy.JobID
 		Kind     MessageKind
-		Progress float64 // done; of progress messages alone
+		Progress float64 // fraction of the work that is done; of progress messages only
 		Load     Load
 	}
-	// EffectStarted says that an effect has begun.
+	// EffectStarted says that the effect of an attempt has begun.
 	EffectStarted struct{ Attempt }
-	// AttemptArrived says that an attempt has arrived, and what the capacity is then.
+	// AttemptArrived says that an attempt has arrived.
 	AttemptArrived struct {
 		Attempt
-		Capacity float64
+		Capacity float64 // capacity of the executor when the attempt arrived
 	}
-	// ConnReset says that the executor resets the connection.
+	// ConnReset says that the executor resets a connection.
 	ConnReset struct{ Conn ConnID }
 	// Crashed says that the executor has crashed from overload in its slow start.
 	Crashed struct{}
--- a/internal/emulator/platform/codec.go
+++ b/internal/emulator/platform/codec.go
@@ -16,16 +16,16 @@
 	"birchstair/policy"
 )
 
-// Request is a request: an attempt or a lease query of a node, or a batch job that a client submits.
+// Request is a batch job that a client submits to a node, or an attempt or a lease query that a node sends to an executor.
 type Request struct {
 	Job            policy.JobID
-	Class          string        // job class; from a client only
-	IdempotencyKey string        // idempotency key; empty for none
-	Budget         time.Duration // time left until the deadline
-	StatedCost     time.Duration // stated cost; 0 for none; from a client only
+	Class          string        // job class; only clients send it
+	IdempotencyKey string        // empty for none
+	Budget         time.Duration // time until the deadline
+	StatedCost     time.Duration // cost that the client states; 0 for none; only clients send it
 	Body           []byte
-	Epoch          uint32 // lease epoch of a durable batch job; 0 for others
-	LeaseQuery     bool   // a lease query: the state of the epoch is asked, and nothing runs
+	Epoch          uint32 // lease epoch of a durable batch job; 0 for other jobs
+	LeaseQuery     bool   // the request is a lease query, which asks for the state of the epoch and runs nothing
 }
 
 // Append appends the request of a client to b.
@@ -42,7 +42,7 @@
 	return append(b, m.Body...)
 }
 
-// ReadAttempt reads a complete request of a node to an executor. At the end of the connection it returns io.EOF.
+// ReadAttempt reads a request that a node sends to an executor: an attempt or a lease query. At the end of the connection it returns io.EOF.
 func ReadAttempt(r *bufio.Reader) (m Request, err error) {
 	in, err := http.ReadRequest(r)
 	if err != nil {
@@ -69,9 +69,9 @@
 	return m, err
 }
 
-var errNoIDOrBudget = errors.New("an allocation without its id or budget")
+var errNoIDOrBudget = errors.New("attempt without an id or a valid budget")
 
-// leasePath leads the path of a lease query: what became of an attempt that the node sent before it restarted.
+// leasePath is the prefix of the path of a lease query, with which a node that has restarted asks what became of an attempt.
 const leasePath = "/-/leases/"
 
 // AppendLeaseAnswer appends the answer to a lease query to b.
@@ -81,23 +81,25 @@
 		Result []byte              `json:"result,omitempty"`
 	}{state, result})
 	if err != nil {
-		panic(err) // strings and bytes always have a JSON form
+		panic(err) // cannot happen: strings and bytes can always be encoded
 	}
 	b = fmt.Appendf(b, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n\r\n", len(text))
 	return append(b, text...)
 }
 
-// Answer writes the messages of an executor about an attempt as one chunked response. The zero value is ready for use.
+// Answer encodes the messages of an executor about an attempt as one chunked response. The zero value is ready for use.
 type Answer struct{ begun bool }
 
+// messageStates are the names of the kinds of messages on the wire.
 var messageStates = map[emulator.MessageKind]string{emulator.AttemptStarted: "started", emulator.AttemptProgress: "running", emulator.AttemptDone: "done", emulator.AttemptFailed: "failed"}
 
-// Append appends the next message to b, and reports whether it ends the response. The result counts for the last message of a finished attempt alone.
-func (a *Answer) Append(b []byte, say emulator.Message, from policy.ExecutorID, result string) (_ []byte, ended bool) {
-	if say.Kind == emulator.AttemptRejected && !a.begun {
+// Append appends the next message to b, and reports whether it ends the response. result is used only if the message says that the attempt
+// has finished.
+func (a *Answer) Append(b []byte, message emulator.Message, from policy.ExecutorID, result string) (_ []byte, ended bool) {
+	if message.Kind == emulator.AttemptRejected && !a.begun {
 		b = append(b, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\n"...)
-		if say.Load.Known {
-			b = fmt.Appendf(b, "X-Load-Report: TEXT inflight=%g, queue=%g, x0=%g\r\n", say.Load.InFlight, say.Load.Queued, say.Load.FreeSlots)
+		if message.Load.Known {
+			b = fmt.Appendf(b, "X-Load-Report: TEXT inflight=%g, queue=%g, x0=%g\r\n", message.Load.InFlight, message.Load.Queued, message.Load.FreeSlots)
 		}
 		return append(b, "Content-Length: 0\r\n\r\n"...), true
 	}
@@ -112,22 +114,22 @@
 		Share  float64            `json:"share,omitempty"`
 		Result string             `json:"result,omitempty"`
 		Load   map[string]float64 `json:"load,omitempty"`
-	}{ID: say.Job, From: from, State: messageStates[say.Kind]}
-	switch say.Kind {
+	}{ID: message.Job, From: from, State: messageStates[message.Kind]}
+	switch message.Kind {
 	case emulator.AttemptProgress:
-		line.Share = say.Progress
+		line.Share = message.Progress
 	case emulator.AttemptDone:
 		line.Result = result
 	case emulator.AttemptRejected:
 		line.State = "returned"
 	}
-	ended = say.Kind != emulator.AttemptStarted && say.Kind != emulator.AttemptProgress
-	if ended && say.Load.Known {
-		line.Load = map[string]float64{"inflight": say.Load.InFlight, "queue": say.Load.Queued, "x0": say.Load.FreeSlots}
+	ended = message.Kind != emulator.AttemptStarted && message.Kind != emulator.AttemptProgress
+	if ended && message.Load.Known {
+		line.Load = map[string]float64{"inflight": message.Load.InFlight, "queue": message.Load.Queued, "x0": message.Load.FreeSlots}
 	}
 	text, err := json.Marshal(line)
 	if err != nil {
-		panic(err) // strings and finite numbers always have a JSON form
+		panic(err) // cannot happen: strings and finite numbers can always be encoded
 	}
 	b = fmt.Appendf(b, "%x\r\n%s\n\r\n", len(text)+1, text)
 	if ended {
@@ -141,12 +143,12 @@
 type Final struct {
 	End        emulator.End
 	Result     []byte
-	RetryAfter time.Duration // Retry-After; 0 for none
-	Status     int           // HTTP status
-	Closes     bool          // the node closes the connection after this answer
+	RetryAfter time.Duration // 0 if there is no Retry-After
+	Status     int           // HTTP status code
+	Closes     bool          // the node closes the connection after the answer
 }
 
-// ReadFinal reads a complete answer of a node.
+// ReadFinal reads the final answer of a node.
 func ReadFinal(r *bufio.Reader) (f Final, err error) {
 	in, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -171,8 +173,8 @@
 // Watch is a node's request to discovery: for the complete list, or for the changes after a version.
 type Watch struct {
 	Complete bool
-	From     int           // the version
-	Hold     time.Duration // how long discovery may wait for a change
+	From     int           // version after which changes are wanted
+	Hold     time.Duration // how long discovery may wait for a change before it answers
 }
 
 // ReadWatch reads a node's request to discovery.
@@ -182,7 +184,7 @@
 		return w, err
 	}
 	if in.Method != http.MethodGet || in.URL.Path != "/api/targets" {
-		return w, fmt.Errorf("discovery was asked for %s %s", in.Method, in.URL.Path)
+		return w, fmt.Errorf("unknown request to discovery: %s %s", in.Method, in.URL.Path)
 	}
 	q := in.URL.Query()
 	if w.Complete = !q.Has("from"); w.Complete {
@@ -199,7 +201,7 @@
 
 var healthNames = map[policy.EndpointState]string{policy.Available: "ready", policy.Draining: "draining", policy.Removed: "gone"}
 
-// AppendList appends discovery's answer to b. The starts of executors count from epoch.
+// AppendList appends an answer of discovery to b. The entries' start times are relative to epoch.
 func AppendList(b []byte, version int, complete bool, entries []emulator.Entry, zones []string, epoch time.Time) []byte {
 	type host struct {
 		Host   policy.ExecutorID `json:"host"`
@@ -225,13 +227,13 @@
 	}
 	text, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // strings and finite numbers always have a JSON form
+		panic(err) // cannot happen: strings and finite numbers can always be encoded
 	}
 	b = fmt.Appendf(b, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(text))
 	return append(b, text...)
 }
 
-// IsSuccess reports whether an answer is a success with the result that executors return for the work.
+// IsSuccess reports whether an answer is a success with the result that executors return for a work.
 func IsSuccess(f Final, work string) bool {
 	return f.End == emulator.EndSucceeded && bytes.Equal(f.Result, []byte(Result(work)))
 }
--- a/internal/emulator/platform/discovery.go
+++ b/internal/emulator/platform/discovery.go
@@ -9,20 +9,21 @@
 	"birchstair/internal/emulator"
 )
 
-// Discovery is a server that publishes the same endpoint list to all nodes, without a lag. Its exported fields are set before Serve.
+// Discovery is a server that publishes the same endpoint list to all nodes, without a lag. Its exported fields must be set before Serve.
 type Discovery struct {
-	Entries []emulator.Entry // the first list
-	Zones   []string
-	Epoch   time.Time // from which starts of executors count; the present if it is zero
+	Entries []emulator.Entry // the initial list
+	Zones   []string         // names of the zones, by their ids
+	Epoch   time.Time        // time from which the starts of executors count; the present time if it is zero
 
 	mu      sync.Mutex
 	model   *emulator.Discovery
 	changed chan struct{} // closed by the next change
 }
 
-const noDelay = time.Duration(1<<63 - 1) // a time at which every change is published
+// endOfTime is a time at which every change has been published.
+const endOfTime = time.Duration(1<<63 - 1)
 
-// modelLocked returns the model. It is called with d.mu held.
+// modelLocked returns the model, and creates it from the initial list if there is none. It is called with d.mu held.
 func (d *Discovery) modelLocked() *emulator.Discovery {
 	if d.model == nil {
 		d.model, d.changed = emulator.NewDiscovery(0), make(chan struct{})
@@ -33,7 +34,7 @@
 	return d.model
 }
 
-// Change changes entries, all in one update.
+// Change publishes changes of entries, all in one update.
 func (d *Discovery) Change(entries ...emulator.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,15 +46,16 @@
 	d.changed = make(chan struct{})
 }
 
-// answer returns the answer to a request. If there is no change, and its time is not over, it returns the channel to wait on instead.
-func (d *Discovery) answer(watch Watch, over bool) ([]byte, <-chan struct{}) {
+// answer returns the answer to a request. If there is no change and the request has not timed out, it returns a channel instead, which is
+// closed by the next change.
+func (d *Discovery) answer(watch Watch, timedOut bool) ([]byte, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	version, entries := d.modelLocked().Since(noDelay, watch.From)
+	version, entries := d.modelLocked().Since(endOfTime, watch.From)
 	if watch.Complete {
-		entries = d.modelLocked().Complete(noDelay)
+		entries = d.modelLocked().Complete(endOfTime)
 	}
-	if !watch.Complete && !over && len(entries) == 0 {
+	if !watch.Complete && !timedOut && len(entries) == 0 {
 		return nil, d.changed
 	}
 	epoch := d.Epoch
@@ -63,7 +65,7 @@
 	return AppendList(nil, version, watch.Complete, entries, d.Zones, epoch), nil
 }
 
-// Serve accepts connections until the listener is closed. Each is served by a goroutine of its own, until the node closes it.
+// Serve accepts connections until the listener is closed. It serves each one in a goroutine of its own, until the node closes it.
 func (d *Discovery) Serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -88,15 +90,15 @@
 	}
 }
 
-// await returns the answer to a request, when there is a change or when its time is over.
+// await returns the answer to a request, once there is a change or the request has timed out.
 func (d *Discovery) await(watch Watch) []byte {
 	timeout := time.After(watch.Hold)
 	answer, changed := d.answer(watch, false)
-	for over := false; answer == nil; answer, changed = d.answer(watch, over) {
+	for timedOut := false; answer == nil; answer, changed = d.answer(watch, timedOut) {
 		select {
 		case <-changed:
 		case <-timeout:
-			over = true
+			timedOut = true
 		}
 	}
 	return answer
--- a/internal/emulator/platform/executor.go
+++ b/internal/emulator/platform/executor.go
@@ -12,15 +12,15 @@
 )
 
 // Executor is a server that runs attempts, one at a time on each connection, and answers lease queries. An attempt starts at once and
-// takes a time that the caller chooses. Its exported fields are set before Serve.
+// takes a time that the caller chooses. The exported fields must be set before Serve.
 type Executor struct {
 	ID            policy.ExecutorID
-	OnEffect      func(policy.JobID)   // called with each effect
+	OnEffect      func(policy.JobID)   // called for each effect
 	RunTime       func() time.Duration // returns how long the next attempt takes
-	Leases        bool                 // it answers lease queries
-	ForgetsLeases bool                 // it answers "never" to all of them, and runs an epoch twice: a defect that tests inject
-	Slots         int                  // attempts that run at a time; further ones are rejected; 0 for no limit
-	SendsLoad     bool                 // its answers have load reports, if there is a limit
+	Leases        bool                 // lease queries are answered
+	ForgetsLeases bool                 // lease queries are answered with "never", and an epoch may run twice: a defect that tests inject
+	Slots         int                  // how many attempts run at a time; further ones are rejected; 0 for no limit
+	SendsLoad     bool                 // answers carry load reports, if Slots is not 0
 
 	mu         sync.Mutex
 	leases     *emulator.LeaseTable
@@ -28,14 +28,14 @@
 	maxRunning int
 }
 
-// MaxRunning returns the largest number of attempts that have run at a time.
+// MaxRunning returns the largest number of attempts that have run at the same time.
 func (e *Executor) MaxRunning() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.maxRunning
 }
 
-// Restart loses its memory of leases, as a restart of its process does.
+// Restart drops all that the executor knows about leases, as a restart of its process does.
 func (e *Executor) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,7 +45,7 @@
 	e.leases.Restart()
 }
 
-// Serve accepts connections until the listener is closed. Each is served by a goroutine of its own, until the node closes it.
+// Serve accepts connections until the listener is closed. It serves each one in a goroutine of its own, until the node closes it.
 func (e *Executor) Serve(l net.Listener) {
 	e.mu.Lock()
 	if e.leases == nil {
@@ -86,6 +86,7 @@
 	}
 }
 
+// leaseAnswer returns the answer to a lease query.
 func (e *Executor) leaseAnswer(m Request) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,6 +100,7 @@
 	return AppendLeaseAnswer(nil, state, result)
 }
 
+// accept reports whether an attempt may run, and counts it as running if it may.
 func (e *Executor) accept(m Request) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -110,7 +112,7 @@
 	return true
 }
 
-// loadReport returns the load that its answers report.
+// loadReport returns the load report of the executor's next answer.
 func (e *Executor) loadReport() emulator.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,6 +122,7 @@
 	return emulator.Load{InFlight: float64(e.running), FreeSlots: float64(e.Slots - e.running), Known: true}
 }
 
+// run runs an attempt, and sends its messages. It reports whether all of them were sent.
 func (e *Executor) run(c net.Conn, m Request) bool {
 	e.OnEffect(m.Job)
 	var a Answer
--- a/internal/emulator/platform/loopback.go
+++ b/internal/emulator/platform/loopback.go
@@ -8,20 +8,20 @@
 	"syscall"
 )
 
-// The range of ports, without the first.
+// Range of the ports that FreeAddress returns.
 const (
-	firstPort = 20000
-	lastPort  = 60000
+	firstPort = 20000 // exclusive
+	lastPort  = 60000 // inclusive
 )
 
 var usedPorts struct {
 	mu   sync.Mutex
-	port int
+	port int // last port that was returned or in use
 }
 
-// FreeAddress returns a loopback address and port for a process that is started later. The address is derived from the id of this process, no
-// connection goes out from it, and each port is returned once. So no other test, here or in another process, can take the port before
-// it is used, and no client can reach the wrong node.
+// FreeAddress returns a loopback address and port for a process that is started later. The address is derived from the id of this process,
+// is not used for outgoing connections, and each port is returned once. So no other test, in this process or another, can take the port
+// before it is used, and no client can reach the wrong node.
 func FreeAddress() (string, error) {
 	usedPorts.mu.Lock()
 	defer usedPorts.mu.Unlock()
@@ -30,15 +30,15 @@
 	for usedPorts.port = max(usedPorts.port, firstPort); usedPorts.port < lastPort; {
 		usedPorts.port++
 		addr := fmt.Sprintf("%v:%d", host, usedPorts.port)
-		if isFree(addr) { // else a process of an earlier test with this number has it
+		if isFree(addr) { // otherwise a process that an earlier test with this process id started still uses it
 			return addr, nil
 		}
 	}
 	return "", fmt.Errorf("no port of %v is free", host)
 }
 
-// isFree reports whether an address can be listened on. No child process is forked meanwhile: until its exec it would hold a copy of
-// the socket, and the address would stay in use after this function has closed it.
+// isFree reports whether an address can be listened on. It prevents the fork of a child process meanwhile: until its exec the child would
+// hold a copy of the socket, and the address would stay in use after the socket is closed here.
 func isFree(addr string) bool {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
--- a/internal/emulator/platform/loopback_test.go
+++ b/internal/emulator/platform/loopback_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// TestUnusedWhileProcessesStart checks that an unused address can be listened on at once, also while child processes are started.
-func TestUnusedWhileProcessesStart(t *testing.T) {
+// TestFreeAddressWhileProcessesStart checks that a free address can be listened on at once, even while child processes are started.
+func TestFreeAddressWhileProcessesStart(t *testing.T) {
 	const (
 		starters  = 6
 		addresses = 1000
 	)
-	if err := exec.Command("true").Run(); err != nil { // package os forks once more with the first process, without syscall.ForkLock
+	if err := exec.Command("true").Run(); err != nil { // with the first process, package os forks another one without syscall.ForkLock
 		t.Fatal(err)
 	}
 	var done atomic.Bool
--- a/internal/emulator/platform/wire_test.go
+++ b/internal/emulator/platform/wire_test.go
@@ -15,7 +15,7 @@
 	"birchstair/policy"
 )
 
-// section writes the bytes of a message with a title, each line quoted.
+// section writes a title and the bytes of a message, a quoted line for each line.
 func section(out *strings.Builder, title string, bytes []byte) {
 	fmt.Fprintf(out, "%s\n", title)
 	for line := range strings.Lines(string(bytes)) {
@@ -39,7 +39,7 @@
 	golden.Compare(t, "requests.txt", out.String())
 }
 
-// TestAttemptsRead pins what an executor reads of the requests that nodes send.
+// TestAttemptsRead pins how an executor parses the requests that nodes send.
 func TestAttemptsRead(t *testing.T) {
 	var out strings.Builder
 	for _, c := range []struct{ title, bytes string }{
@@ -65,14 +65,14 @@
 func TestExecutorBytes(t *testing.T) {
 	var out strings.Builder
 	for _, load := range []emulator.Load{{}, {InFlight: 3, Queued: 1, FreeSlots: 2.5, Known: true}} {
-		for _, word := range []emulator.MessageKind{emulator.AttemptStarted, emulator.AttemptProgress, emulator.AttemptDone, emulator.AttemptFailed, emulator.AttemptRejected} {
+		for _, kind := range []emulator.MessageKind{emulator.AttemptStarted, emulator.AttemptProgress, emulator.AttemptDone, emulator.AttemptFailed, emulator.AttemptRejected} {
 			for _, begun := range []bool{false, true} {
 				var answer Answer
 				if begun {
 					answer.Append(nil, emulator.Message{Job: "a1/0", Kind: emulator.AttemptStarted}, "e1", "")
 				}
-				bytes, ended := answer.Append(nil, emulator.Message{Job: "a1/0", Kind: word, Progress: 0.25, Load: load}, "e1", "done a1")
-				section(&out, fmt.Sprintf("message %d, begun %v, load %v, ended %v", word, begun, load.Known, ended), bytes)
+				bytes, ended := answer.Append(nil, emulator.Message{Job: "a1/0", Kind: kind, Progress: 0.25, Load: load}, "e1", "done a1")
+				section(&out, fmt.Sprintf("message %d, begun %v, load %v, ended %v", kind, begun, load.Known, ended), bytes)
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 	golden.Compare(t, "executor.txt", out.String())
 }
 
-// TestAnswersRead pins what a client reads of a node's answers.
+// TestAnswersRead pins how a client parses the answers of a node.
 func TestAnswersRead(t *testing.T) {
 	var out strings.Builder
 	for _, bytes := range []string{
@@ -101,7 +101,7 @@
 	golden.Compare(t, "answers.txt", out.String())
 }
 
-// TestDiscoveryBytes pins what discovery reads and answers.
+// TestDiscoveryBytes pins how discovery parses requests, and the bytes of its answers.
 func TestDiscoveryBytes(t *testing.T) {
 	var out strings.Builder
 	for _, line := range []string{"GET /api/targets", "GET /api/targets?from=7&hold_ms=1500", "GET /api/targets?from=x&hold_ms=1", "GET /api/targets?from=7",
@@ -142,7 +142,7 @@
 	golden.Compare(t, "servers.txt", out.String())
 }
 
-// talk sends a text to a server on a connection of its own, and returns all that comes back.
+// talk sends a text to a server on a new connection, and returns everything that the server sends.
 func talk(t *testing.T, serve func(net.Listener), text string) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
