--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,8 @@
 // Package golden compares the output of a test with golden files in its testdata directory. Run the tests of a package with -update to
 // write its golden files, and read the difference before committing it.
 //
-// A golden trace holds input and output in one file: the lines that begin with Arrow are output, all others are the input that Replay
-// passes to the test. The package also builds the node's program for tests that run it.
+// A golden trace is a golden file with input and output: the lines that begin with Arrow are output, and all others are the input that
+// Replay passes to the test. The package also builds the node's program for tests that run it.
 package golden
 
 import (
@@ -23,19 +23,19 @@
 // Arrow begins the output lines of a golden trace. All other lines are input.
 const Arrow = "    -> "
 
-// Replay runs a subtest for each golden trace testdata/*.txt: it calls play with the input lines and compares the result, which repeats the
-// input, with the file.
+// Replay runs a subtest for each golden trace testdata/*.txt. The subtest calls play with the input lines, and compares the result with the
+// file. The result must contain the input lines too.
 func Replay(t *testing.T, play func(t *testing.T, lines []string) string) {
 	t.Helper()
 	ReplayDir(t, "", play)
 }
 
-// ReplayDir is Replay for the golden traces in a directory within testdata.
+// ReplayDir does the same as Replay for the golden traces in a subdirectory of testdata.
 func ReplayDir(t *testing.T, dir string, play func(t *testing.T, lines []string) string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("testdata", dir, "*.txt"))
 	if err != nil || len(files) == 0 {
-		t.Fatal("no traces: ", err)
+		t.Fatalf("no golden traces in testdata/%s: %v", dir, err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Duration parses a duration in a golden trace, and fails the test if it cannot.
+// Duration parses a duration in a golden trace. It fails the test if the text is not a duration.
 func Duration(t *testing.T, text string) time.Duration {
 	t.Helper()
 	v, err := time.ParseDuration(text)
@@ -88,17 +88,17 @@
 	return string(text)
 }
 
-// BuildProgram builds the node's program in a directory, and returns the path of the binary.
+// BuildProgram builds the node's program into a directory, and returns the path of the binary.
 func BuildProgram(dir string) (string, error) {
 	binary := filepath.Join(dir, "birchstair")
 	if out, err := exec.Command("go", "build", "-o", binary, "birchstair/cmd/birchstair").CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%w\n%s", err, out)
+		return "", fmt.Errorf("building the node's program: %w\n%s", err, out)
 	}
 	return binary, nil
 }
 
-// Main runs the tests of a package that needs the node's program, and exits. It builds the program once and stores the path in binary
-// before the first test. Call it from TestMain.
+// Main runs the tests of a package that needs the node's program, and exits. Before the first test, it builds the program and stores the
+// path in binary. Call it from TestMain.
 func Main(m *testing.M, binary *string) {
 	dir, err := os.MkdirTemp("", "birchstair-")
 	if err != nil {
--- a/internal/memnet/conn.go
+++ b/internal/memnet/conn.go
@@ -15,32 +15,32 @@
 	host          string
 	local, remote Addr
 	peer          *Conn
-	offset        time.Duration
-
-	changed       *sync.Cond // guards its state by the network's lock
-	received      []byte
-	peerEnded     bool  // the other end has closed its side
-	connErr       error // the error of a broken connection
-	closing       bool  // closed here; a Read that waits learns of it after the offset
-	closed        bool
-	writeClosed   bool      // this end has closed its side
-	unreadByPeer  int       // bytes sent that the other end has not read
-	lastArrival   time.Time // when the last packet arrives
-	dropsOutgoing bool      // what this end sends is lost
-	nextBreak     Break     // what happens at the next Write
+	offset        time.Duration // delay that is added to each packet, different from those of other connections
+
+	changed       *sync.Cond // signals a change of the fields below, which the network's lock guards
+	received      []byte     // bytes that have arrived and are unread
+	peerEnded     bool       // the end of the peer's stream has arrived
+	connErr       error      // error of a broken connection
+	closing       bool       // Close was called; a pending Read returns after the offset
+	closed        bool       // Close was called, and the offset has passed
+	writeClosed   bool       // CloseWrite was called
+	unreadByPeer  int        // number of bytes sent that the peer has not read
+	lastArrival   time.Time  // when the last packet sent so far arrives
+	dropsOutgoing bool       // packets that this end sends are lost
+	nextBreak     Break      // break at the next Write
 	readDeadline  deadline
 	writeDeadline deadline
 }
 
-// Break says how a connection breaks at its next Write.
+// Break is the way in which a connection breaks at its next Write.
 type Break int
 
-// The ways to break.
+// The ways in which a connection breaks.
 const (
-	NoBreak        Break = iota // no break
-	BreakPartial                // after half of the bytes: the write fails and neither end gets more
-	BreakLost                   // after all of the bytes, of which none arrives
-	BreakDelivered              // after all of the bytes, which arrive before the other end sees the break
+	NoBreak        Break = iota // the connection does not break
+	BreakPartial                // half of the bytes arrive, and the Write fails
+	BreakLost                   // the Write succeeds, but no byte arrives
+	BreakDelivered              // the Write succeeds, and all bytes arrive before the reset
 )
 
 // LocalAddr implements net.Conn.
@@ -49,6 +49,7 @@
 // RemoteAddr implements net.Conn.
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
+// fail returns the error of an operation as package net reports it.
 func (c *Conn) fail(op string, err error) error {
 	return &net.OpError{Op: op, Net: "memory", Source: c.local, Addr: c.remote, Err: err}
 }
@@ -94,12 +95,12 @@
 func (c *Conn) Write(b []byte) (sent int, err error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	brk := c.nextBreak
+	breakMode := c.nextBreak
 	c.nextBreak = NoBreak
-	if brk == BreakPartial {
+	if breakMode == BreakPartial {
 		b = b[:len(b)/2]
 	}
-	for sent < len(b) || brk == BreakPartial {
+	for sent < len(b) || breakMode == BreakPartial {
 		switch {
 		case c.closing:
 			return sent, c.fail("write", net.ErrClosed)
@@ -115,7 +116,7 @@
 		case c.unreadByPeer < sendWindow:
 			n := min(sendWindow-c.unreadByPeer, len(b)-sent)
 			c.unreadByPeer += n
-			if brk != BreakLost {
+			if breakMode != BreakLost {
 				c.deliver(append([]byte(nil), b[sent:sent+n]...), nil)
 			}
 			sent += n
@@ -123,49 +124,50 @@
 		}
 		c.changed.Wait()
 	}
-	if brk == BreakLost || brk == BreakDelivered {
-		c.breakAfter(c.offset, brk == BreakDelivered)
+	if breakMode == BreakLost || breakMode == BreakDelivered {
+		c.breakAfter(c.offset, breakMode == BreakDelivered)
 	}
 	return sent, nil
 }
 
-// breakAfter breaks this end after a delay, and the other end after the bytes in flight to it, or with them lost if not delivered.
-func (c *Conn) breakAfter(here time.Duration, heard bool) {
-	if !heard {
+// breakAfter breaks the connection after a delay. The other end sees the reset after the bytes in flight. If delivered is false, further
+// packets from this end are lost until then.
+func (c *Conn) breakAfter(delay time.Duration, delivered bool) {
+	if !delivered {
 		c.dropsOutgoing = true
 	}
-	time.AfterFunc(here, func() {
+	time.AfterFunc(delay, func() {
 		c.net.mu.Lock()
 		defer c.net.mu.Unlock()
 		c.abort(false)
 	})
 }
 
-// BreakAtWrite makes the connection break at the next Write of this end.
+// BreakAtWrite makes the connection break at the next Write of this end, in the given way.
 func (c *Conn) BreakAtWrite(b Break) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	c.nextBreak = b
 }
 
-// Reset breaks the connection: this end at once, the other one after the bytes in flight.
+// Reset breaks this end of the connection at once, and the other end after the bytes in flight.
 func (c *Conn) Reset() {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	c.abort(false)
 }
 
-// DropOutgoing makes everything that this end sends from now on be lost.
+// DropOutgoing drops everything that this end sends from now on.
 func (c *Conn) DropOutgoing() {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	c.dropsOutgoing = true
 }
 
-// DropIncoming makes everything that the other end sends from now on be lost.
+// DropIncoming drops everything that the other end sends from now on.
 func (c *Conn) DropIncoming() { c.peer.DropOutgoing() }
 
-// abort breaks this end. The other one sees a reset after the bytes in flight, or nothing if silently is set.
+// abort breaks this end. The other end sees a reset after the bytes in flight, or nothing if silently is set.
 func (c *Conn) abort(silently bool) {
 	if c.connErr != nil || c.closed {
 		return
@@ -185,7 +187,8 @@
 	})
 }
 
-// deliver schedules the arrival of bytes, or of a change of state, at the other end. Arrivals keep their order.
+// deliver schedules the arrival of bytes at the other end, or of a change of its state if change is not nil. Arrivals keep the order in
+// which they were sent.
 func (c *Conn) deliver(b []byte, change func(to *Conn)) {
 	p := c.net.path(c.host, c.peer.host)
 	if p.Lost || c.dropsOutgoing {
@@ -205,7 +208,7 @@
 		case change != nil:
 			change(to)
 		case to.closing && c.connErr == nil:
-			// Bytes for a closed socket: its system answers with a reset.
+			// Bytes for a closed connection are answered with a reset.
 			to.deliver(nil, func(to *Conn) {
 				if to.connErr == nil {
 					to.connErr = syscall.ECONNRESET
@@ -219,8 +222,8 @@
 	})
 }
 
-// Close implements net.Conn. A Read that waits learns of it after the offset, so that connections that are closed at the same instant
-// end in a fixed order.
+// Close implements net.Conn. A pending Read returns only after the offset of the connection, so that connections that are closed at the
+// same instant end in a fixed order.
 func (c *Conn) Close() error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
@@ -243,7 +246,7 @@
 	return nil
 }
 
-// CloseWrite closes the side of the connection that this end sends on.
+// CloseWrite ends the stream that this end sends. It can still read.
 func (c *Conn) CloseWrite() error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
--- a/internal/memnet/deadline.go
+++ b/internal/memnet/deadline.go
@@ -7,7 +7,7 @@
 
 // deadline is a read or write deadline.
 type deadline struct {
-	timer   *time.Timer
+	timer   *time.Timer // nil if no deadline is set, or if it was in the past
 	expired bool
 }
 
@@ -44,7 +44,7 @@
 
 // SetDeadline implements net.Conn.
 func (c *Conn) SetDeadline(at time.Time) error {
-	c.SetReadDeadline(at) // fails only if the next call does
+	c.SetReadDeadline(at) // an error is the same as that of the next call
 	return c.SetWriteDeadline(at)
 }
 
--- a/internal/memnet/dial.go
+++ b/internal/memnet/dial.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// Dial opens a connection from a host to an address. The id tells the host's connections apart: no two of them may use the same one at a
-// time. It fails with ECONNREFUSED if nobody listens, and with os.ErrDeadlineExceeded if the deadline of ctx passes.
+// Dial opens a connection from a host to an address. The id must differ from those of the host's other open connections. Dial fails with
+// ECONNREFUSED if there is no listener, with os.ErrDeadlineExceeded if the deadline of ctx passes, and with os.ErrClosed if the host was
+// killed.
 func (n *Net) Dial(ctx context.Context, host, id, addr string) (*Conn, error) {
 	fail := func(err error) (*Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: "memory", Addr: Addr(addr), Err: err}
@@ -24,7 +25,7 @@
 	if killed {
 		return fail(os.ErrClosed)
 	}
-	to := addr // if nobody listens, the path is that to the address as a host
+	to := addr // without a listener, the address stands for the host that the path leads to
 	if l != nil {
 		to = l.host
 	}
@@ -55,7 +56,7 @@
 	return here, nil
 }
 
-// transit waits until a packet has arrived, and returns false if ctx ends first.
+// transit waits until a packet has arrived, and returns false if ctx is done first.
 func transit(ctx context.Context, p Path, offset time.Duration) bool {
 	if p.Lost {
 		<-ctx.Done()
@@ -71,7 +72,7 @@
 	}
 }
 
-// contextError returns the error of a context as the net package has it.
+// contextError returns the error of a context as package net reports it.
 func contextError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return os.ErrDeadlineExceeded
--- a/internal/memnet/listener.go
+++ b/internal/memnet/listener.go
@@ -11,12 +11,12 @@
 	net     *Net
 	host    string
 	addr    Addr
-	arrived *sync.Cond
-	backlog []*Conn
+	arrived *sync.Cond // signals a new connection, or that the listener is closed
+	backlog []*Conn    // connections that have not been accepted
 	closed  bool
 }
 
-// Listen begins to listen on an address of a host. It fails with EADDRINUSE if the address is in use.
+// Listen listens at an address on a host. It fails with EADDRINUSE if the address is in use.
 func (n *Net) Listen(host, addr string) (*Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -20,7 +20,7 @@
 	"birchstair/internal/synctesting"
 )
 
-// testNetwork is a network of two hosts. It records what each end of a connection observes, with the time to the millisecond.
+// testNetwork is a network of two hosts. It records what each end of a connection observes, with the time in milliseconds.
 type testNetwork struct {
 	t     *testing.T
 	net   *Net
@@ -35,18 +35,18 @@
 	text string
 }
 
-func (b *testNetwork) print(who, format string, args ...any) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lines = append(b.lines, outputLine{time.Since(b.start).Truncate(time.Millisecond), who + " " + fmt.Sprintf(format, args...)})
+func (n *testNetwork) print(end, format string, args ...any) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.lines = append(n.lines, outputLine{time.Since(n.start).Truncate(time.Millisecond), end + " " + fmt.Sprintf(format, args...)})
 }
 
 // String returns the recorded lines by time. Lines of the same millisecond are sorted by their text, since the two ends record them from
 // goroutines of their own.
-func (b *testNetwork) String() string {
-	slices.SortStableFunc(b.lines, func(x, y outputLine) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.text, y.text)) })
+func (n *testNetwork) String() string {
+	slices.SortStableFunc(n.lines, func(x, y outputLine) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.text, y.text)) })
 	s := ""
-	for _, l := range b.lines {
+	for _, l := range n.lines {
 		s += fmt.Sprintf("    -> %v %s\n", l.at, l.text)
 	}
 	return s
@@ -62,32 +62,32 @@
 }
 
 // readAll records everything that arrives at an end, until the connection ends.
-func (b *testNetwork) readAll(who string, c net.Conn) {
+func (b *testNetwork) readAll(end string, c net.Conn) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := c.Read(buf)
 		if err != nil {
-			b.print(who, "reads no more: %s", reason(err))
+			b.print(end, "reads no more: %s", reason(err))
 			return
 		}
-		b.print(who, "reads %d bytes", n)
+		b.print(end, "reads %d bytes", n)
 	}
 }
 
-func (b *testNetwork) writes(who string, c net.Conn, bytes int) {
+func (b *testNetwork) writes(end string, c net.Conn, bytes int) {
 	n, err := c.Write(make([]byte, bytes))
 	if err != nil {
-		b.print(who, "writes %d of %d: %s", n, bytes, reason(err))
+		b.print(end, "writes %d of %d: %s", n, bytes, reason(err))
 		return
 	}
-	b.print(who, "writes %d", n)
+	b.print(end, "writes %d", n)
 }
 
 // writeAll writes a text, and fails the test if it cannot.
-func (b *testNetwork) writeAll(c net.Conn, text string) {
-	b.t.Helper()
+func (n *testNetwork) writeAll(c net.Conn, text string) {
+	n.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
-		b.t.Errorf("sending %q: %v", text, err)
+		n.t.Errorf("sending %q: %v", text, err)
 	}
 }
 
@@ -98,7 +98,7 @@
 		name string
 		play func(b *testNetwork, here, there *Conn)
 	}{
-		{"there and back", func(b *testNetwork, here, there *Conn) {
+		{"both directions", func(b *testNetwork, here, there *Conn) {
 			b.writes("here", here, 1000)
 			time.Sleep(50 * time.Millisecond)
 			b.writes("there", there, 1)
@@ -112,7 +112,7 @@
 			time.Sleep(time.Second)
 			there.Close()
 		}},
-		{"held up on the way", func(b *testNetwork, here, there *Conn) {
+		{"delayed in transit", func(b *testNetwork, here, there *Conn) {
 			b.path.Hold = 500 * time.Millisecond
 			b.writes("here", here, 10)
 			b.path.Hold = 0
@@ -134,19 +134,19 @@
 			here.Reset()
 			b.writes("here", here, 10)
 		}},
-		{"breaks within a write", func(b *testNetwork, here, there *Conn) {
+		{"breaks in the middle of a write", func(b *testNetwork, here, there *Conn) {
 			here.BreakAtWrite(BreakPartial)
 			b.writes("here", here, 1000)
 		}},
-		{"breaks after a write that is not heard", func(b *testNetwork, here, there *Conn) {
+		{"breaks after a write that is lost", func(b *testNetwork, here, there *Conn) {
 			here.BreakAtWrite(BreakLost)
 			b.writes("here", here, 1000)
 		}},
-		{"breaks after a write that is heard", func(b *testNetwork, here, there *Conn) {
+		{"breaks after a write that is delivered", func(b *testNetwork, here, there *Conn) {
 			here.BreakAtWrite(BreakDelivered)
 			b.writes("here", here, 1000)
 		}},
-		{"silent one way", func(b *testNetwork, here, there *Conn) {
+		{"packets lost in one direction", func(b *testNetwork, here, there *Conn) {
 			here.DropIncoming()
 			b.writes("here", here, 10)
 			time.Sleep(20 * time.Millisecond)
@@ -154,14 +154,14 @@
 			time.Sleep(time.Second)
 			here.Close()
 		}},
-		{"nobody reads", func(b *testNetwork, here, there *Conn) {
+		{"send window full", func(b *testNetwork, here, there *Conn) {
 			there.DropOutgoing()
 			b.path.Lost = true
 			here.SetWriteDeadline(time.Now().Add(time.Second))
 			b.writes("here", here, sendWindow+1)
 			here.Close()
 		}},
-		{"a read that waits too long", func(b *testNetwork, here, there *Conn) {
+		{"read deadline", func(b *testNetwork, here, there *Conn) {
 			here.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 			time.Sleep(time.Second)
 			here.SetReadDeadline(time.Time{})
@@ -170,14 +170,14 @@
 			time.Sleep(20 * time.Millisecond)
 			here.Close()
 		}},
-		{"a write to an end that is closed", func(b *testNetwork, here, there *Conn) {
+		{"a write to a closed end", func(b *testNetwork, here, there *Conn) {
 			there.Close()
 			b.writes("here", here, 10)
 			time.Sleep(30 * time.Millisecond)
 			b.writes("here", here, 10)
 		}},
 		{"the other host is killed", func(b *testNetwork, here, there *Conn) { b.net.Kill("there", false) }},
-		{"the other host is gone", func(b *testNetwork, here, there *Conn) {
+		{"the other host is killed silently", func(b *testNetwork, here, there *Conn) {
 			b.net.Kill("there", true)
 			time.Sleep(time.Second)
 			b.writes("here", here, 10)
@@ -216,8 +216,8 @@
 	golden.Compare(t, "connections.txt", all.String())
 }
 
-// TestPeerEnded checks that the end of the stream counts once it has arrived and not before, even behind unread bytes. Bytes alone do not
-// count, nor does an end that is still in flight.
+// TestPeerEnded checks that PeerEnded reports the end of the stream once it has arrived, even if bytes before it are unread, and neither
+// for bytes alone nor for an end that is still in flight.
 func TestPeerEnded(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -226,10 +226,10 @@
 	}{
 		{"nothing", func(*testNetwork, *Conn, *Conn) {}, false},
 		{"bytes", func(b *testNetwork, _, there *Conn) { b.writeAll(there, "ab") }, false},
-		{"the end of its sending", func(_ *testNetwork, _, there *Conn) { there.CloseWrite() }, true},
-		{"its end, behind bytes", func(b *testNetwork, _, there *Conn) { b.writeAll(there, "ab"); there.Close() }, true},
-		{"a break", func(_ *testNetwork, _, there *Conn) { there.Reset() }, true},
-		{"its end, held up", func(b *testNetwork, _, there *Conn) { b.path.Hold = time.Hour; there.Close() }, false},
+		{"its side is closed", func(_ *testNetwork, _, there *Conn) { there.CloseWrite() }, true},
+		{"its end, after unread bytes", func(b *testNetwork, _, there *Conn) { b.writeAll(there, "ab"); there.Close() }, true},
+		{"a reset", func(_ *testNetwork, _, there *Conn) { there.Reset() }, true},
+		{"its end, delayed in transit", func(b *testNetwork, _, there *Conn) { b.path.Hold = time.Hour; there.Close() }, false},
 	} {
 		synctesting.Test(t, func(t *testing.T) {
 			b := &testNetwork{t: t, path: Path{Delay: 10 * time.Millisecond}}
@@ -248,11 +248,11 @@
 			}
 			c.do(b, here, there.(*Conn))
 			if here.PeerEnded() {
-				t.Errorf("%s: ended before it has arrived", c.name)
+				t.Errorf("%s: PeerEnded before anything has arrived", c.name)
 			}
 			time.Sleep(time.Second) // on the virtual clock
 			if got := here.PeerEnded(); got != c.want {
-				t.Errorf("%s: %v", c.name, got)
+				t.Errorf("%s: PeerEnded is %v", c.name, got)
 			}
 			b.net.Shutdown()
 			l.Close()
@@ -261,44 +261,44 @@
 	}
 }
 
-// TestDials checks dials that fail, and how long that takes.
+// TestDials checks the results of dials, and how long they take.
 func TestDials(t *testing.T) {
 	var out strings.Builder
 	synctesting.Test(t, func(t *testing.T) {
 		path := Path{Delay: 10 * time.Millisecond}
 		n := New(1, func(_, _ string) Path { return path })
-		dial := func(what string, limit time.Duration) {
+		dial := func(id string, timeout time.Duration) {
 			start := time.Now()
-			ctx, cancel := context.WithTimeout(t.Context(), limit)
+			ctx, cancel := context.WithTimeout(t.Context(), timeout)
 			defer cancel()
-			c, err := n.Dial(ctx, "here", what, "there:1")
+			c, err := n.Dial(ctx, "here", id, "there:1")
 			verdict := "up"
 			if err != nil {
 				verdict = reason(err)
 			} else {
 				c.Close()
 			}
-			fmt.Fprintf(&out, "%s: %s after %v\n", what, verdict, time.Since(start).Truncate(time.Millisecond))
+			fmt.Fprintf(&out, "%s: %s after %v\n", id, verdict, time.Since(start).Truncate(time.Millisecond))
 		}
-		dial("nobody there", time.Second)
+		dial("no listener", time.Second)
 		l, err := n.Listen("there", "there:1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := n.Listen("other", "there:1"); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("an address that is taken: %v", err)
+			t.Errorf("listening on an address in use: %v", err)
 		}
-		dial("somebody there", time.Second)
+		dial("listener", time.Second)
 		path.Hold = 300 * time.Millisecond
-		dial("held up for longer than the limit", 100*time.Millisecond)
-		dial("held up", time.Second)
+		dial("delayed beyond the timeout", 100*time.Millisecond)
+		dial("delayed", time.Second)
 		path = Path{Lost: true}
 		dial("lost", 200*time.Millisecond)
 		path = Path{Delay: 10 * time.Millisecond}
 		n.Kill("there", false)
 		dial("killed", time.Second)
 		if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("accepted from a host that was killed: %v", err)
+			t.Errorf("accept on a host that was killed: %v", err)
 		}
 		time.Sleep(time.Second)
 	})
--- a/internal/memnet/network.go
+++ b/internal/memnet/network.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// Path describes the way between two hosts for a packet that is sent now.
+// Path describes the path between two hosts for a packet that is sent now.
 type Path struct {
-	Delay   time.Duration // one way
-	PerByte time.Duration // inverse of the bandwidth
-	Hold    time.Duration // nothing gets through for this time, then everything does, in order
-	Lost    bool          // packets are lost, and no end learns of it
+	Delay   time.Duration // one-way delay
+	PerByte time.Duration // additional delay for each byte
+	Hold    time.Duration // packets are held for this time, and then delivered in order
+	Lost    bool          // packets are lost, and neither end is notified
 }
 
-// Net is a network. Hosts are names, and an address is any string that a listener chose. Its methods are safe for concurrent use.
+// Net is a network. A host is identified by its name, and an address is any string that a listener chooses. Its methods are safe for
+// concurrent use.
 type Net struct {
 	path        func(from, to string) Path
 	seed        uint64
-	killedHosts map[string]bool // hosts that were killed
+	killedHosts map[string]bool
 
 	mu        sync.Mutex
 	listeners map[string]*Listener
@@ -33,17 +34,17 @@
 
 const (
 	sendWindow = 256 << 10 // bytes that may be in flight or unread at the other end
-	maxOffset  = 9973      // nanoseconds
+	maxOffset  = 9973      // largest result of timeOffset, in nanoseconds
 )
 
-// timeOffset returns the delay that sets the times of a connection apart from those of all others.
+// timeOffset returns a delay that depends on the id of a connection, so that packets of different connections arrive at different times.
 func (n *Net) timeOffset(id string) time.Duration {
 	h := fnv.New64a()
 	fmt.Fprint(h, n.seed, id)
 	return time.Duration(h.Sum64()%maxOffset) + 1
 }
 
-// Chance returns a pseudorandom number in [0, 1) that depends on the seed and the name alone.
+// Chance returns a pseudorandom number in [0, 1) that depends only on the seed of the network and on the name.
 func (n *Net) Chance(name string) float64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, "chance", n.seed, name)
@@ -66,7 +67,7 @@
 // String implements net.Addr.
 func (a Addr) String() string { return string(a) }
 
-// Conns returns the ends at a host of open connections, in the order in which they were opened.
+// Conns returns a host's ends of open connections, in the order in which they were opened.
 func (n *Net) Conns(host string) (all []*Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -78,11 +79,11 @@
 	return all
 }
 
-// Kill ends a host: its listeners and its ends of connections. The other ends see a reset, or nothing if silently is set. The host cannot
-// dial any more.
+// Kill closes all listeners of a host and its ends of connections. The other ends see a reset, or nothing if silently is set. The host
+// cannot dial any more.
 func (n *Net) Kill(host string, silently bool) {
 	n.mu.Lock()
-	// Whether remaining goroutines of the host get to dial depends on the scheduler, so none may.
+	// Whether a goroutine of the host would dial before it ends depends on the scheduler, so no dial may succeed.
 	n.killedHosts[host] = true
 	var listeners []*Listener
 	for _, l := range n.listeners {
--- a/internal/synctesting/synctesting.go
+++ b/internal/synctesting/synctesting.go
@@ -1,4 +1,4 @@
-// Package synctesting runs tests on the virtual clock of testing/synctest, safely under the race detector.
+// Package synctesting runs tests on the virtual clock of testing/synctest, also under the race detector.
 package synctesting
 
 import (
@@ -8,12 +8,12 @@
 	"testing/synctest"
 )
 
-// Test is synctest.Test. Under the race detector it sets GOMAXPROCS to 1 while a test runs in it.
+// Test calls synctest.Test. Under the race detector it sets GOMAXPROCS to 1 while the test runs.
 //
-// This works around a bug in the runtime of Go 1.26. A bubble has one race context for all its timers (time.go, unlockAndRun). Besides the
-// clock, each goroutine of the bubble that waits for a timer that is due, or sets one to the present, runs that timer itself. Two of them
-// at once corrupt the context, and the process dies of SIGSEGV in the race detector. On one processor no two run at once, and the detector
-// still finds races, since it goes by the order of events.
+// This works around a bug in the runtime of Go 1.26. All timers of a bubble share one race context (time.go, unlockAndRun). A timer is run
+// not only by the clock, but also by each goroutine of the bubble that waits for it when it is due, or that sets it to the present time.
+// Two goroutines that run timers at the same time corrupt the race context, and the process dies of SIGSEGV in the race detector. With
+// GOMAXPROCS at 1 no two run at the same time. The detector still finds races, since it compares the order of synchronization events.
 func Test(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	if UnderRace {
@@ -23,14 +23,14 @@
 	synctest.Test(t, f)
 }
 
-// singleProcessor limits the process to one processor while any bubble runs.
+// singleProcessor limits the process to one processor while any test runs in a bubble.
 var singleProcessor processorLimit
 
-// processorLimit sets GOMAXPROCS to 1 from the first enter to the last leave.
+// processorLimit sets GOMAXPROCS to 1 from the first call of enter to the last call of leave.
 type processorLimit struct {
 	mu       sync.Mutex
-	active   int // calls of enter without leave
-	previous int // GOMAXPROCS before the first
+	active   int // number of calls of enter that no call of leave has followed
+	previous int // GOMAXPROCS before the limit
 }
 
 func (p *processorLimit) enter() {
--- a/internal/synctesting/synctesting_test.go
+++ b/internal/synctesting/synctesting_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// TestTimersAtOnce lets many goroutines of a bubble run timers that are due. The process survives, and has its processors back afterwards.
-// With synctest.Test instead, it dies of SIGSEGV under the race detector.
-func TestTimersAtOnce(t *testing.T) {
+// TestConcurrentTimers lets many goroutines of a bubble run timers that are due, and checks that GOMAXPROCS is restored afterwards. With
+// synctest.Test instead of Test, the process dies of SIGSEGV under the race detector.
+func TestConcurrentTimers(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	for range 20 {
 		Test(t, func(t *testing.T) {
 			if n := runtime.GOMAXPROCS(0); UnderRace && n != 1 {
-				t.Errorf("%d processors", n)
+				t.Errorf("GOMAXPROCS is %d in a bubble under the race detector, want 1", n)
 			}
 			var all sync.WaitGroup
 			for range 100 {
@@ -32,12 +32,12 @@
 		})
 	}
 	if now := runtime.GOMAXPROCS(0); now != before {
-		t.Errorf("%d processors after it, %d before", now, before)
+		t.Errorf("GOMAXPROCS is %d after the tests, and was %d before", now, before)
 	}
 }
 
-// TestBeside checks that of two bubbles at once the last one to end restores the processors.
-func TestBeside(t *testing.T) {
+// TestConcurrentBubbles checks that GOMAXPROCS is restored when the last of two concurrent bubbles ends.
+func TestConcurrentBubbles(t *testing.T) {
 	p := processorLimit{}
 	before := runtime.GOMAXPROCS(0)
 	defer runtime.GOMAXPROCS(before)
@@ -45,9 +45,9 @@
 	p.enter()
 	p.leave()
 	if n := runtime.GOMAXPROCS(0); n != 1 {
-		t.Errorf("%d processors while one is inside", n)
+		t.Errorf("GOMAXPROCS is %d while a bubble runs, want 1", n)
 	}
 	if p.leave(); runtime.GOMAXPROCS(0) != before {
-		t.Errorf("%d processors after both, %d before", runtime.GOMAXPROCS(0), before)
+		t.Errorf("GOMAXPROCS is %d after both bubbles, and was %d before", runtime.GOMAXPROCS(0), before)
 	}
 }
