--- a/internal/benchwire/adapter.go
+++ b/internal/benchwire/adapter.go
@@ -11,7 +11,8 @@
 	"birchstair/policy"
 )
 
-// Sizes in bytes. A batch may be megabytes long, but it consists of many lines: each entry of an endpoint list has a line of its own.
+// Sizes in bytes. A batch may be megabytes long, but it consists of many lines: each entry of an endpoint list has a
+// line of its own.
 const (
 	lineBuffer   = 1 << 20 // initial size of the buffer that holds a line
 	maxLineBytes = 1 << 28 // the longest line that is read
@@ -28,8 +29,8 @@
 	endpoints []policy.Endpoint    // entries of the last endpoint list read
 }
 
-// Run reads batches from in, and writes the reply to each to out, until the input ends. An error about the input has the number of the
-// line that is invalid.
+// Run reads batches from in, and writes the reply to each to out, until the input ends. An error about the input has
+// the number of the line that is invalid.
 func Run(in io.Reader, out io.Writer) error {
 	a := &adapter{input: bufio.NewScanner(in), instances: map[string]*instance{}}
 	a.input.Buffer(make([]byte, lineBuffer), maxLineBytes)
@@ -78,7 +79,8 @@
 
 func (a *adapter) lineError(err error) error { return fmt.Errorf("line %d: %w", a.line, err) }
 
-// commit ends a batch: each instance that had an event carries out the tasks that are due, and its actions are added to the reply.
+// commit ends a batch: each instance that had an event carries out the tasks that are due, and its actions are added to
+// the reply.
 func (a *adapter) commit(reply *bytes.Buffer) {
 	for _, n := range a.active {
 		if n.dispatcher != nil {
@@ -100,8 +102,8 @@
 	}
 }
 
-// event passes an event to its instance. The event has no effect if the instance is not running, or if its dispatcher does not know the
-// job any more.
+// event passes an event to its instance. The event has no effect if the instance is not running, or if its dispatcher
+// does not know the job any more.
 func (a *adapter) event(message string) error {
 	name, err := a.fields.required(fieldInstance)
 	if err != nil {
@@ -174,8 +176,8 @@
 	return nil
 }
 
-// readEndpoints reads the given number of entries of an endpoint list. Their times become relative to startedAt, the start of the
-// instance.
+// readEndpoints reads the given number of entries of an endpoint list. Their times become relative to startedAt, the
+// start of the instance.
 func (a *adapter) readEndpoints(count int64, startedAt time.Duration) error {
 	a.endpoints = a.endpoints[:0]
 	for range count {
--- a/internal/benchwire/adapter_test.go
+++ b/internal/benchwire/adapter_test.go
@@ -29,7 +29,8 @@
 	return out.String()
 }
 
-// TestBatches checks that batches are answered in order, and that late events and events for instances that are not running are ignored.
+// TestBatches checks that batches are answered in order, and that late events and events for instances that are not
+// running are ignored.
 func TestBatches(t *testing.T) {
 	got := replies(
 		"SYNC time-s=10\n"+start,
@@ -62,8 +63,8 @@
 	}
 }
 
-// TestMalformedInput checks that malformed input stops the adapter with the number of the invalid line, and that invalid settings fail the
-// instance.
+// TestMalformedInput checks that malformed input stops the adapter with the number of the invalid line, and that
+// invalid settings fail the instance.
 func TestMalformedInput(t *testing.T) {
 	for _, c := range []struct{ batch, want string }{
 		{"SYNC time-s=1\nWHAT who=node/0\n", "stopped: line 2: unknown message \"WHAT\"\n"},
@@ -89,8 +90,8 @@
 	}
 }
 
-// TestPeerMessagesAndReports checks that messages between nodes have five bytes and others are ignored, and that the values of a load
-// report are identified by the names of the fields in the settings.
+// TestPeerMessagesAndReports checks that messages between nodes have five bytes and others are ignored, and that the
+// values of a load report are identified by the names of the fields in the settings.
 func TestPeerMessagesAndReports(t *testing.T) {
 	many := strings.Replace(start, `"balancers":1,`, `"balancers":30,"my-number":3,"report":{"fields":["x0","active",`+
 		`"cpu","waiting"]},`, 1)
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -34,7 +34,7 @@
 // Names of the fields on the wire.
 const (
 	fieldInstance      = "who"
-	fieldTime          = "time-s" // of the batch, on the simulator's clock
+	fieldTime          = "time-s" // time of the batch on the simulator's clock
 	fieldSeed          = "random-seed"
 	fieldSettings      = "profile-data" // JSON to the end of the line
 	fieldListKind      = "kind"
@@ -109,7 +109,8 @@
 	return kind, count, err
 }
 
-// decodeEndpoint decodes an entry of the endpoint list. Its start time becomes relative to startedAt, the start of the instance.
+// decodeEndpoint decodes an entry of the endpoint list. Its start time becomes relative to startedAt, the start of the
+// instance.
 func decodeEndpoint(f *fields, startedAt time.Duration) (policy.Endpoint, error) {
 	executor, err := f.required(fieldExecutor)
 	if err != nil {
@@ -299,10 +300,12 @@
 	executor policy.ExecutorHash
 }
 
-// leaseMessageBytes is the length of a message between nodes: a byte for its kind, and four for the hash of the executor's id.
+// leaseMessageBytes is the length of a message between nodes: a byte for its kind, and four for the hash of the
+// executor's id.
 const leaseMessageBytes = 1 + 4
 
-// decodeLeaseMessage decodes a message from another node. If its content has an unknown form, ok is false, and the message is ignored.
+// decodeLeaseMessage decodes a message from another node. If its content has an unknown form, ok is false, and the
+// message is ignored.
 func decodeLeaseMessage(f *fields) (message peerMessage, ok bool, err error) {
 	from, err := f.requiredInt(fieldSender)
 	if err != nil {
--- a/internal/benchwire/encode.go
+++ b/internal/benchwire/encode.go
@@ -23,7 +23,8 @@
 	actionSetTimer     = "ARM"           // set a timer, which comes back as a REMINDER message
 )
 
-// Names on the wire of the fields that only actions have. Actions share their other fields with the messages in decode.go.
+// Names on the wire of the fields that only actions have. Actions share their other fields with the messages in
+// decode.go.
 const (
 	fieldRetryAfter = "wait-s"   // when the client should retry, in seconds from now
 	fieldEnable     = "enable"   // 1 to begin a watch
@@ -120,8 +121,8 @@
 	e.end()
 }
 
-// setTimer encodes a timer at a time of the simulator's clock. The wire has microseconds: the time is rounded up, so that the timer is
-// not due early.
+// setTimer encodes a timer at a time of the simulator's clock. The wire has microseconds: the time is rounded up, so
+// that the timer is not due early.
 func (e *actionEncoder) setTimer(at time.Duration) {
 	e.begin(actionSetTimer)
 	e.field(fieldTimer, timerName)
--- a/internal/benchwire/instance.go
+++ b/internal/benchwire/instance.go
@@ -8,7 +8,8 @@
 	"birchstair/policy"
 )
 
-// instance is a node of the simulator, with its dispatcher. The times that the dispatcher gets are relative to the start of the instance.
+// instance is a node of the simulator, with its dispatcher. The times that the dispatcher gets are relative to the
+// start of the instance.
 type instance struct {
 	name       string             // empty for an instance that is not running
 	startedAt  time.Duration      // start of the instance on the simulator's clock
@@ -47,7 +48,8 @@
 	n.actions.failInstance(reason)
 }
 
-// guard runs a call of the dispatcher, and fails the instance if the call panics. For an instance that is not running it does nothing.
+// guard runs a call of the dispatcher, and fails the instance if the call panics. For an instance that is not running
+// it does nothing.
 func (n *instance) guard(call func()) {
 	if n.dispatcher == nil && n.name == "" {
 		return
@@ -165,7 +167,8 @@
 	return nil
 }
 
-// runTasks carries out all tasks of the dispatcher that are due at a time of the simulator's clock, and sets a timer for the next one.
+// runTasks carries out all tasks of the dispatcher that are due at a time of the simulator's clock, and sets a timer
+// for the next one.
 func (n *instance) runTasks(clock time.Duration) {
 	now := clock - n.startedAt
 	for {
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -11,8 +11,8 @@
 	"birchstair/internal/golden"
 )
 
-// dialogue passes batches to the adapter, each completed with COMMIT, and returns them with the replies. Lines of a reply begin with
-// golden.Arrow.
+// dialogue passes batches to the adapter, each completed with COMMIT, and returns them with the replies. Lines of a
+// reply begin with golden.Arrow.
 func dialogue(title string, batches ...string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "# %s\n", title)
--- a/internal/emulator/breakpoint.go
+++ b/internal/emulator/breakpoint.go
@@ -23,8 +23,8 @@
 	AfterAccept              // an accept has ended, and has not returned to its caller
 )
 
-// Breakpoints stops calls of connections and listeners at chosen points until the test releases them. A test uses it to force the order of
-// two events that may otherwise happen in either order.
+// Breakpoints stops calls of connections and listeners at chosen points until the test releases them. A test uses it to
+// force the order of two events that may otherwise happen in either order.
 type Breakpoints struct {
 	mu               sync.Mutex
 	pending          []*Breakpoint // breakpoints that no call has reached, in the order in which they were set
@@ -51,12 +51,12 @@
 	once     sync.Once
 }
 
-// At sets a breakpoint for the calls of all connections and listeners. The first skip calls that reach the step pass it, and the next one
-// stops.
+// At sets a breakpoint for the calls of all connections and listeners. The first skip calls that reach the step pass
+// it, and the next one stops.
 func (h *Breakpoints) At(step Step, skip int) *Breakpoint { return h.OnConn(0, step, skip) }
 
-// OnConn sets a breakpoint for the calls of one connection. The first skip calls that reach the step pass it, and the next one stops.
-// Connections are numbered from 1 in the order of their creation.
+// OnConn sets a breakpoint for the calls of one connection. The first skip calls that reach the step pass it, and the
+// next one stops. Connections are numbered from 1 in the order of their creation.
 func (h *Breakpoints) OnConn(conn int, step Step, skip int) *Breakpoint {
 	s := &Breakpoint{Reached: make(chan struct{}), step: step, conn: conn, skip: skip, released: make(chan struct{})}
 	h.mu.Lock()
@@ -65,7 +65,8 @@
 	return s
 }
 
-// Release lets the call that has stopped at the breakpoint continue. If no call has reached it yet, the call will not stop.
+// Release lets the call that has stopped at the breakpoint continue. If no call has reached it yet, the call will not
+// stop.
 func (s *Breakpoint) Release() { s.once.Do(func() { close(s.released) }) }
 
 // reach is called when a call reaches a step. It blocks while a breakpoint for the step is set and not released.
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -81,8 +81,8 @@
 	backoff  *rand.Rand // source for the jitter of the backoff; it is separate, so that retries do not change arrivals
 }
 
-// NewClients returns clients with the given name, which is the prefix of the ids of their work. If perWork is set, the values of the
-// classes are per second of work.
+// NewClients returns clients with the given name, which is the prefix of the ids of their work. If perWork is set, the
+// values of the classes are per second of work.
 func NewClients(name string, classes []JobClass, behavior Behavior, perWork bool, r *rand.Rand) *Clients {
 	c := &Clients{Name: name, Classes: classes, Behavior: behavior, rand: r, perWork: perWork}
 	if behavior.MaxBackoff > 0 {
@@ -150,8 +150,9 @@
 	EndLost          // the connection to the node was lost
 )
 
-// RetryAt returns when a client retries, and whether it retries. Idempotent work is retried after any failure. So is work with an
-// idempotency key, if its dedup group is all executors, within half of its dedup window. Other work is retried only if it cannot have run.
+// RetryAt returns when a client retries, and whether it retries. Idempotent work is retried after any failure. So is
+// work with an idempotency key, if its dedup group is all executors, within half of its dedup window. Other work is
+// retried only if it cannot have run.
 func (c *Clients) RetryAt(now time.Duration, w *Work, end End, retryAfter time.Duration) (time.Duration, bool) {
 	t := &c.Classes[w.Class]
 	may := end == EndRejected || end == EndUnreached || t.Idempotency == policy.Idempotent ||
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -16,7 +16,8 @@
 	Addr string
 }
 
-// Discovery models the service that publishes the endpoint list. It records a change at once, and publishes it to nodes after a lag.
+// Discovery models the service that publishes the endpoint list. It records a change at once, and publishes it to nodes
+// after a lag.
 type Discovery struct {
 	lag          time.Duration
 	extraLag     time.Duration // delay of a fault, in addition to the lag
@@ -77,7 +78,8 @@
 	}
 }
 
-// ListAt returns the complete list as it was at a time, in the order of ids. A node may have such an old list in its cache.
+// ListAt returns the complete list as it was at a time, in the order of ids. A node may have such an old list in its
+// cache.
 func (d *Discovery) ListAt(at time.Duration) []Entry {
 	byID := map[policy.ExecutorID]Entry{}
 	for _, c := range d.changes {
@@ -93,8 +95,8 @@
 	return sortedEntries(byID)
 }
 
-// Update returns the update that a node gets now: the changes that were published since its last update, a complete list, or a failure of
-// the watch while updates are stopped.
+// Update returns the update that a node gets now: the changes that were published since its last update, a complete
+// list, or a failure of the watch while updates are stopped.
 func (d *Discovery) Update(now time.Duration, n invariants.NodeID) (kind policy.EndpointUpdateKind, entries []Entry) {
 	if d.stopped {
 		return policy.WatchFailed, nil
@@ -107,8 +109,8 @@
 	return policy.IncrementalUpdate, entries
 }
 
-// Since returns the changes that were published after a version, with the last change of each executor alone, and the version that
-// includes them. A version is a number of changes.
+// Since returns the changes that were published after a version, with the last change of each executor alone, and the
+// version that includes them. A version is a number of changes.
 func (d *Discovery) Since(now time.Duration, version int) (next int, entries []Entry) {
 	until := now - d.lag - d.extraLag
 	seen := map[policy.ExecutorID]int{}
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -11,8 +11,8 @@
 	"birchstair/internal/store"
 )
 
-// Disk is a disk in memory. A crash keeps what was synced and a random part of the rest. It implements store.Disk, and is safe for
-// concurrent use. Its exported fields must not be set while a call runs.
+// Disk is a disk in memory. A crash keeps what was synced and a random part of the rest. It implements store.Disk, and
+// is safe for concurrent use. Its exported fields must not be set while a call runs.
 type Disk struct {
 	rand *rand.Rand
 
@@ -22,8 +22,8 @@
 	locked      bool // a process holds the lock
 	// FreeBytes is how many more bytes can be written; negative for no limit.
 	FreeBytes int
-	// FailSync selects a sync that fails: 1 is the next one, 2 the one after it, 0 none. A file whose sync fails keeps what a crash would
-	// leave of it.
+	// FailSync selects a sync that fails: 1 is the next one, 2 the one after it, 0 none. A file whose sync fails keeps
+	// what a crash would leave of it.
 	FailSync int
 	// IgnoresSyncs makes syncs succeed without an effect.
 	IgnoresSyncs bool
@@ -51,8 +51,8 @@
 // NewDisk returns an empty disk without a limit.
 func NewDisk(r *rand.Rand) *Disk { return &Disk{rand: r, files: map[string]*diskFile{}, FreeBytes: -1} }
 
-// Crash ends the process that uses the disk. Content, creations and removals that were not synced may be lost or kept, and the pages of a
-// file independently of each other.
+// Crash ends the process that uses the disk. Content, creations and removals that were not synced may be lost or kept,
+// and the pages of a file independently of each other.
 func (d *Disk) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,7 +74,8 @@
 // pageSize is the size in bytes of the pieces of a file that a crash keeps or loses as a whole.
 const pageSize = 64
 
-// torn returns what a crash leaves of a file: its synced content, and none, a prefix or some pages of what was written since.
+// torn returns what a crash leaves of a file: its synced content, and none, a prefix or some pages of what was written
+// since.
 func (d *Disk) torn(f *diskFile) []byte {
 	b := slices.Clone(f.written)
 	if len(b) <= len(f.synced) {
@@ -94,7 +95,8 @@
 	return b
 }
 
-// names returns the sorted names of the files. If all is set, they include removed files that may exist again after a crash.
+// names returns the sorted names of the files. If all is set, they include removed files that may exist again after a
+// crash.
 func (d *Disk) names(all bool) (names []string) {
 	for n, f := range d.files {
 		if all || !f.removed {
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,7 +1,7 @@
-// Package emulator models the systems around a node: executors, discovery and clients, with their faults. The models do no I/O and read
-// no clock: a caller passes in the time and the events, and gets the outputs. Random numbers come from the caller's source. The order in
-// which they are drawn must not change, since a simulation is repeated by its seed. Simulations run the models on a virtual clock, and the
-// cluster test harness runs them in real time.
+// Package emulator models the systems around a node: executors, discovery and clients, with their faults. The models do
+// no I/O and read no clock: a caller passes in the time and the events, and gets the outputs. Random numbers come from
+// the caller's source. The order in which they are drawn must not change, since a simulation is repeated by its seed.
+// Simulations run the models on a virtual clock, and the cluster test harness runs them in real time.
 //
 //   - executor.go and executor_*.go: an executor, which runs attempts (attempt.go) and returns outputs (output.go)
 //   - discovery.go: the service that publishes the endpoint list
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -47,8 +47,8 @@
 	ConnCost time.Duration // work that a new connection costs
 }
 
-// Executor models an executor. A method that takes the time first advances the running work to that time. The outputs that it returns are
-// valid until the next call.
+// Executor models an executor. A method that takes the time first advances the running work to that time. The outputs
+// that it returns are valid until the next call.
 type Executor struct {
 	ExecutorSpec
 	Up         bool          // its process runs
@@ -62,7 +62,7 @@
 	running        []*task
 	waiting        []*task  // in the order in which they will start
 	conns          []ConnID // open connections in the order of opening, in which a crash resets them
-	lastOrder      int      // order of the last task that was accepted
+	lastOrder      int      // order number of the last task that was accepted
 	connectionWork float64  // remaining seconds of work that new connections cost
 	arrivals       []arrival
 	loadReport     Load
@@ -82,8 +82,9 @@
 // Running returns how many batch jobs run.
 func (e *Executor) Running() int { return len(e.running) }
 
-// NextFreeSlot estimates when a slot becomes free for a batch job that arrives after all others: those that run, those that wait, and
-// those on their way, whose work is given in seconds on a standard core. It also returns the work that a slot does per second.
+// NextFreeSlot estimates when a slot becomes free for a batch job that arrives after all others: those that run, those
+// that wait, and those on their way, whose work is given in seconds on a standard core. It also returns the work that a
+// slot does per second.
 func (e *Executor) NextFreeSlot(now time.Duration, onTheWay []float64) (at time.Duration, rate float64) {
 	rate = e.Speed * e.capacityFraction(now) * min(1, float64(e.Cores)/float64(e.Slots)) / max(1, e.fault.Slow)
 	done := (now - e.now).Seconds() * e.rate(e.now) // work that each running batch job has done since e.now
@@ -120,8 +121,8 @@
 	return true, e.outputs
 }
 
-// Accept handles an attempt whose last byte has arrived: the executor runs it, queues it, rejects it, or crashes from overload in its slow
-// start.
+// Accept handles an attempt whose last byte has arrived: the executor runs it, queues it, rejects it, or crashes from
+// overload in its slow start.
 func (e *Executor) Accept(now time.Duration, a Attempt) []Output {
 	e.begin(now)
 	if !e.Up {
--- a/internal/emulator/executor_fault.go
+++ b/internal/emulator/executor_fault.go
@@ -22,8 +22,8 @@
 // Unresponsive reports whether the executor accepts attempts but sends nothing.
 func (e *Executor) Unresponsive() bool { return e.fault.Unresponsive }
 
-// SetFaults sets the faults, or removes them with the zero value. Attempts that the executor accepted while it was unresponsive are dropped
-// when that fault ends.
+// SetFaults sets the faults, or removes them with the zero value. Attempts that the executor accepted while it was
+// unresponsive are dropped when that fault ends.
 func (e *Executor) SetFaults(now time.Duration, faults ExecutorFaults) []Output {
 	e.begin(now)
 	e.fault, e.faultSince = faults, now
--- a/internal/emulator/executor_run.go
+++ b/internal/emulator/executor_run.go
@@ -79,7 +79,8 @@
 	e.advance(now)
 }
 
-// advance does the work of the time until now, and what follows from it. Work that connections cost is done before that of batch jobs.
+// advance does the work of the time up to now. It then ends the attempts that have finished, sends progress messages
+// and starts waiting attempts. The work that new connections cost is done before that of batch jobs.
 func (e *Executor) advance(now time.Duration) {
 	span := (now - e.now).Seconds()
 	if span > 0 && e.Up {
@@ -100,7 +101,8 @@
 	e.startWaiting()
 }
 
-// finishedBelow is the remaining work in seconds up to which an attempt counts as finished. It allows for floating-point errors.
+// finishedBelow is the remaining work in seconds up to which an attempt counts as finished. It allows for
+// floating-point errors.
 const finishedBelow = 1e-9
 
 // finish ends the running attempts that have no work left.
@@ -165,8 +167,8 @@
 	e.outputs = append(e.outputs, Message{t.Conn, t.Job, kind, progress, e.LoadReport(e.now)})
 }
 
-// LoadReport returns the load report of the executor. It is renewed every ReportEvery, with a random error of up to ReportNoise, and is
-// the same for all nodes until then.
+// LoadReport returns the load report of the executor. It is renewed every ReportEvery, with a random error of up to
+// ReportNoise, and is the same for all nodes until then.
 func (e *Executor) LoadReport(now time.Duration) Load {
 	if !e.SendsLoad {
 		return Load{}
--- a/internal/emulator/executor_warmup.go
+++ b/internal/emulator/executor_warmup.go
@@ -24,13 +24,15 @@
 	return e.InitialCapacity + (1-e.InitialCapacity)*float64(now-e.Started)/float64(e.SlowStart)
 }
 
-// Capacity returns the work that the executor can do per second now, in seconds on a standard core. It leaves out the effect of faults.
+// Capacity returns the work that the executor can do per second now, in seconds on a standard core. It leaves out the
+// effect of faults.
 func (e *Executor) Capacity(now time.Duration) float64 {
 	return float64(min(e.Cores, e.Slots)) * e.Speed * e.capacityFraction(now)
 }
 
-// overloads crashes the executor if more work has arrived within the overload window than it can bear in slow start, and reports whether
-// it did. Work counts by the cost that clients stated, since the real cost is not known before the work has run.
+// overloads crashes the executor if more work has arrived within the overload window than it can bear in slow start,
+// and reports whether it did. Work counts by the cost that clients stated, since the real cost is not known before the
+// work has run.
 func (e *Executor) overloads(now time.Duration, a Attempt) bool {
 	e.arrivals = slices.DeleteFunc(e.arrivals, func(c arrival) bool { return c.at+e.OverloadWindow < now })
 	e.arrivals = append(e.arrivals, arrival{now, a.StatedCost})
--- a/internal/emulator/lease.go
+++ b/internal/emulator/lease.go
@@ -2,8 +2,8 @@
 
 import "birchstair/policy"
 
-// LeaseState is what an executor knows about a lease, which is identified by a durable batch job and an epoch. It is the name of the state
-// in the protocol.
+// LeaseState is what an executor knows about a lease, which is identified by a durable batch job and an epoch. It is
+// the name of the state in the protocol.
 type LeaseState string
 
 // The states of a lease: what became of its attempt.
@@ -14,8 +14,9 @@
 	LeaseNever    LeaseState = "never"    // it has not run, and will not run
 )
 
-// LeaseTable is what an executor remembers of leases: the newest epoch of each durable batch job, and its result. A restart of the executor
-// loses it. Leases that the executor does not know are then reported as lost. It is not safe for concurrent use.
+// LeaseTable is what an executor remembers of leases: the newest epoch of each durable batch job, and its result. A
+// restart of the executor loses it. Leases that the executor does not know are then reported as lost. It is not safe
+// for concurrent use.
 type LeaseTable struct {
 	jobs      map[policy.JobID]*leaseRecord
 	restarted bool // unknown leases may have run before the restart
@@ -34,8 +35,8 @@
 // Restart empties the table, as a restart of the executor does.
 func (l *LeaseTable) Restart() { l.jobs, l.restarted = map[policy.JobID]*leaseRecord{}, true }
 
-// Accept reports whether an attempt may run, and records it if it may. It may not if its epoch or a newer one was accepted or queried
-// before. Epoch 0 stands for an attempt without a lease, which may always run.
+// Accept reports whether an attempt may run, and records it if it may. It may not if its epoch or a newer one was
+// accepted or queried before. Epoch 0 stands for an attempt without a lease, which may always run.
 func (l *LeaseTable) Accept(job policy.JobID, epoch uint32) bool {
 	if epoch == 0 {
 		return true
@@ -54,8 +55,8 @@
 	}
 }
 
-// Query returns the state of a lease, and its result if it has finished. If it is reported as never run, an attempt of that epoch is
-// refused from now on.
+// Query returns the state of a lease, and its result if it has finished. If it is reported as never run, an attempt of
+// that epoch is refused from now on.
 func (l *LeaseTable) Query(job policy.JobID, epoch uint32) (state LeaseState, result []byte) {
 	record := l.jobs[job]
 	switch {
--- a/internal/emulator/platform/discovery.go
+++ b/internal/emulator/platform/discovery.go
@@ -9,7 +9,8 @@
 	"birchstair/internal/emulator"
 )
 
-// Discovery is a server that publishes the same endpoint list to all nodes, without a lag. Its exported fields must be set before Serve.
+// Discovery is a server that publishes the same endpoint list to all nodes, without a lag. Its exported fields must be
+// set before Serve.
 type Discovery struct {
 	Entries []emulator.Entry // the initial list
 	Zones   []string         // names of the zones, by their ids
@@ -46,8 +47,8 @@
 	d.changed = make(chan struct{})
 }
 
-// answer returns the answer to a request. If there is no change and the request has not timed out, it returns a channel instead, which is
-// closed by the next change.
+// answer returns the answer to a request. If there is no change and the request has not timed out, it returns a channel
+// instead, which is closed by the next change.
 func (d *Discovery) answer(watch Watch, timedOut bool) ([]byte, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,7 +66,8 @@
 	return AppendList(nil, version, watch.Complete, entries, d.Zones, epoch), nil
 }
 
-// Serve accepts connections until the listener is closed. It serves each one in a goroutine of its own, until the node closes it.
+// Serve accepts connections until the listener is closed. It serves each one in a goroutine of its own, until the node
+// closes it.
 func (d *Discovery) Serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
--- a/internal/emulator/platform/executor.go
+++ b/internal/emulator/platform/executor.go
@@ -11,8 +11,8 @@
 	"birchstair/policy"
 )
 
-// Executor is a server that runs attempts, one at a time on each connection, and answers lease queries. An attempt starts at once and
-// takes a time that the caller chooses. The exported fields must be set before Serve.
+// Executor is a server that runs attempts, one at a time on each connection, and answers lease queries. An attempt
+// starts at once and takes a time that the caller chooses. The exported fields must be set before Serve.
 type Executor struct {
 	ID            policy.ExecutorID
 	OnEffect      func(policy.JobID)   // called for each effect
@@ -45,7 +45,8 @@
 	e.leases.Restart()
 }
 
-// Serve accepts connections until the listener is closed. It serves each one in a goroutine of its own, until the node closes it.
+// Serve accepts connections until the listener is closed. It serves each one in a goroutine of its own, until the node
+// closes it.
 func (e *Executor) Serve(l net.Listener) {
 	e.mu.Lock()
 	if e.leases == nil {
--- a/internal/emulator/platform/loopback.go
+++ b/internal/emulator/platform/loopback.go
@@ -19,9 +19,9 @@
 	port int // last port that was returned or in use
 }
 
-// FreeAddress returns a loopback address and port for a process that is started later. The address is derived from the id of this process,
-// is not used for outgoing connections, and each port is returned once. So no other test, in this process or another, can take the port
-// before it is used, and no client can reach the wrong node.
+// FreeAddress returns a loopback address and port for a process that is started later. The address is derived from the
+// id of this process, is not used for outgoing connections, and each port is returned once. So no other test, in this
+// process or another, can take the port before it is used, and no client can reach the wrong node.
 func FreeAddress() (string, error) {
 	usedPorts.mu.Lock()
 	defer usedPorts.mu.Unlock()
@@ -37,8 +37,8 @@
 	return "", fmt.Errorf("no port of %v is free", host)
 }
 
-// isFree reports whether an address can be listened on. It prevents the fork of a child process meanwhile: until its exec the child would
-// hold a copy of the socket, and the address would stay in use after the socket is closed here.
+// isFree reports whether an address can be listened on. It prevents the fork of a child process meanwhile: until its
+// exec the child would hold a copy of the socket, and the address would stay in use after the socket is closed here.
 func isFree(addr string) bool {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
--- a/internal/emulator/platform/loopback_test.go
+++ b/internal/emulator/platform/loopback_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestFreeAddressWhileProcessesStart checks that a free address can be listened on at once, even while child processes are started.
+// TestFreeAddressWhileProcessesStart checks that a free address can be listened on at once, even while child processes
+// are started.
 func TestFreeAddressWhileProcessesStart(t *testing.T) {
 	const (
 		starters  = 6
--- a/internal/emulator/platform/wire_test.go
+++ b/internal/emulator/platform/wire_test.go
@@ -61,7 +61,8 @@
 	golden.Compare(t, "attempts.txt", out.String())
 }
 
-// TestExecutorBytes pins every message of an executor, alone and after its answer has begun, with and without a load report.
+// TestExecutorBytes pins every message of an executor, alone and after its answer has begun, with and without a load
+// report.
 func TestExecutorBytes(t *testing.T) {
 	var out strings.Builder
 	for _, load := range []emulator.Load{{}, {InFlight: 3, Queued: 1, FreeSlots: 2.5, Known: true}} {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden compares the output of a test with golden files in its testdata directory. Run the tests of a package with -update to
-// write its golden files, and read the difference before committing it.
+// Package golden compares the output of a test with golden files in its testdata directory. Run the tests of a package
+// with -update to write its golden files, and read the difference before committing it.
 //
-// A golden trace is a golden file with input and output: the lines that begin with Arrow are output, and all others are the input that
-// Replay passes to the test. The package also builds the node's program for tests that run it.
+// A golden trace is a golden file with input and output: the lines that begin with Arrow are output, and all others are
+// the input that Replay passes to the test. The package also builds the node's program for tests that run it.
 package golden
 
 import (
@@ -23,8 +23,8 @@
 // Arrow begins the output lines of a golden trace. All other lines are input.
 const Arrow = "    -> "
 
-// Replay runs a subtest for each golden trace testdata/*.txt. The subtest calls play with the input lines, and compares the result with the
-// file. The result must contain the input lines too.
+// Replay runs a subtest for each golden trace testdata/*.txt. The subtest calls play with the input lines, and compares
+// the result with the file. The result must contain the input lines too.
 func Replay(t *testing.T, play func(t *testing.T, lines []string) string) {
 	t.Helper()
 	ReplayDir(t, "", play)
@@ -97,8 +97,8 @@
 	return binary, nil
 }
 
-// Main runs the tests of a package that needs the node's program, and exits. Before the first test, it builds the program and stores the
-// path in binary. Call it from TestMain.
+// Main runs the tests of a package that needs the node's program, and exits. Before the first test, it builds the
+// program and stores the path in binary. Call it from TestMain.
 func Main(m *testing.M, binary *string) {
 	dir, err := os.MkdirTemp("", "birchstair-")
 	if err != nil {
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -56,22 +56,23 @@
 // Violations returns the violations so far, in the order in which they were found. The caller must not change them.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// LateReruns returns how often an idempotent batch job with a key ran again because its attempt reached the executor after the dedup
-// window.
+// LateReruns returns how often an idempotent batch job with a key ran again because its attempt reached the executor
+// after the dedup window.
 func (c *Checker) LateReruns() int { return c.lateReruns }
 
 // ClientsLeftWhileQueued returns how many clients left while their batch jobs waited without an attempt in flight.
 func (c *Checker) ClientsLeftWhileQueued() int { return c.leftWhileQueued }
 
-// LateAttempts returns how many attempts began too long after their clients had left, including those that are no violation yet.
+// LateAttempts returns how many attempts began too long after their clients had left, including those that are no
+// violation yet.
 func (c *Checker) LateAttempts() int { return c.lateAttempts }
 
-// SlowStartPeak returns the most work that reached an executor in slow start within the window, as a multiple of its budget. It counts
-// windows in which two thirds of the work came from nodes that had been notified of the start.
+// SlowStartPeak returns the most work that reached an executor in slow start within the window, as a multiple of its
+// budget. It counts windows in which two thirds of the work came from nodes that had been notified of the start.
 func (c *Checker) SlowStartPeak() float64 { return c.slowStartPeak }
 
-// Observe processes an event, and returns the violations that the event and the time that passed before it revealed. Events must come in
-// the order of their times.
+// Observe processes an event, and returns the violations that the event and the time that passed before it revealed.
+// Events must come in the order of their times.
 func (c *Checker) Observe(event Event) []Violation {
 	before := len(c.violations)
 	c.AdvanceTo(event.At)
@@ -127,7 +128,8 @@
 	maps.DeleteFunc(c.clientLeftAt, func(key jobKey, _ time.Duration) bool { return key.node == event.Node })
 }
 
-// nodePaused records that a node's process is paused or has resumed. No time limit applies to the jobs that the node has then.
+// nodePaused records that a node's process is paused or has resumed. No time limit applies to the jobs that the node
+// has then.
 func (c *Checker) nodePaused(event Event) {
 	c.paused[event.Node] = event.Kind == NodePaused
 	c.UnreachableUntil(event.Node, event.At)
--- a/internal/invariants/doc.go
+++ b/internal/invariants/doc.go
@@ -1,6 +1,6 @@
-// Package invariants checks recorded events against the rules that nodes must keep. A caller passes the events to a Checker in the order of
-// their times, and gets each violation as soon as it is found. Simulations, clusters of real processes and recorded traces use the same
-// checker.
+// Package invariants checks recorded events against the rules that nodes must keep. A caller passes the events to a
+// Checker in the order of their times, and gets each violation as soon as it is found. Simulations, clusters of real
+// processes and recorded traces use the same checker.
 //
 // Each rule has a key that reports and scenarios refer to:
 //
@@ -11,8 +11,8 @@
 //	answered at once   a batch job that the policy has given up on is answered without delay
 //	bound kept         the gossip of a node stays within its bounds
 //	still awaited      no attempt is sent for a client that left a while ago
-//	informed           a node stops sending to a draining executor some seconds after discovery published the drain, even if the
-//	                   node was not notified of it
+//	informed           a node stops sending to a draining executor some seconds after discovery published the drain,
+//	                   even if the node was not notified of it
 //
 // The files:
 //
--- a/internal/invariants/drain_in_force_test.go
+++ b/internal/invariants/drain_in_force_test.go
@@ -7,7 +7,8 @@
 	"birchstair/policy"
 )
 
-// TestDrainInForce checks the rule "informed" at its bounds: discovery publishes a drain at 1 s, and the node is not notified of it.
+// TestDrainInForce checks the rule "informed" at its bounds: discovery publishes a drain at 1 s, and the node is not
+// notified of it.
 func TestDrainInForce(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/invariants/effect.go
+++ b/internal/invariants/effect.go
@@ -16,9 +16,10 @@
 // maxEffectRuns is how many runs of the effect of a work are remembered.
 const maxEffectRuns = 8
 
-// effectStarted checks that an effect does not run twice. For classes with an idempotency key, only runs for the same batch job count, since
-// nodes are not responsible for clients that repeat their requests. If an attempt reaches the executor after the dedup window, the effect
-// runs again whatever the node does. Such runs are counted, and are not a violation if every attempt was sent within the window.
+// effectStarted checks that an effect does not run twice. For classes with an idempotency key, only runs for the same
+// batch job count, since nodes are not responsible for clients that repeat their requests. If an attempt reaches the
+// executor after the dedup window, the effect runs again whatever the node does. Such runs are counted, and are not a
+// violation if every attempt was sent within the window.
 func (c *Checker) effectStarted(key jobKey, event Event) {
 	class := c.settings.Classes[event.Class]
 	about := subject{job: key, work: event.Work, executor: event.Executor}
--- a/internal/invariants/endpoint.go
+++ b/internal/invariants/endpoint.go
@@ -33,8 +33,8 @@
 	byExecutor[event.Executor] = endpoint
 }
 
-// EndpointPublished records that discovery publishes a state of an executor from the given time on. Whether a node has been notified of it
-// is a separate event, EndpointNotified.
+// EndpointPublished records that discovery publishes a state of an executor from the given time on. Whether a node has
+// been notified of it is a separate event, EndpointNotified.
 func (c *Checker) EndpointPublished(from time.Duration, executor policy.ExecutorID, state policy.EndpointState) {
 	previous, known := c.published[executor]
 	if known && previous.state != policy.Available && state != policy.Available {
@@ -48,14 +48,15 @@
 	c.reachableSince[node] = max(c.reachableSince[node], until)
 }
 
-// SetUnreachable records that from now on a node cannot reach discovery, or that it can again. NoNode stands for all nodes.
+// SetUnreachable records that from now on a node cannot reach discovery, or that it can again. NoNode stands for all
+// nodes.
 func (c *Checker) SetUnreachable(now time.Duration, node NodeID, unreachable bool) {
 	c.unreachable[node] = unreachable
 	c.UnreachableUntil(node, now)
 }
 
-// OverdueDrain returns for how long a node must have known from discovery that an executor accepts nothing new, and whether that time has
-// come.
+// OverdueDrain returns for how long a node must have known from discovery that an executor accepts nothing new, and
+// whether that time has come.
 func (c *Checker) OverdueDrain(now time.Duration, node NodeID, executor policy.ExecutorID) (time.Duration, bool) {
 	endpoint, known := c.published[executor]
 	if !known || endpoint.state == policy.Available || c.unreachable[node] || c.unreachable[NoNode] {
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -12,7 +12,8 @@
 
 const ms = time.Millisecond
 
-// testSettings has job classes 0 to 4: idempotent, at most once, and idempotent with a key within all executors, a zone and a cell.
+// testSettings has job classes 0 to 4: idempotent, at most once, and idempotent with a key within all executors, a zone
+// and a cell.
 var testSettings = Settings{AnswerSlack: 16 * ms, DrainGrace: 1500 * ms, PromptWithin: ms, SlowStart: 9000 * ms, SlowStartMultiple: 2, SlowStartWindow: 1000 * ms,
 	Classes: []policy.JobClass{{}, {Idempotency: policy.AtMostOnce}, {Idempotency: policy.IdempotentWithKey, DedupWindow: 7500 * ms},
 		{Idempotency: policy.IdempotentWithKey, DedupGroup: policy.DedupZone, DedupWindow: 7500 * ms},
@@ -42,7 +43,8 @@
 	return eventAt(t, EffectStarted, func(s *Event) { s.Class, s.Executor = class, e })
 }
 
-// sentAfterClientsLeft returns the events of a number of clients that leave at once, and whose batch jobs are sent later by the given time.
+// sentAfterClientsLeft returns the events of a number of clients that leave at once, and whose batch jobs are sent
+// later by the given time.
 func sentAfterClientsLeft(after time.Duration, count int) (all []Event) {
 	for _, s := range []Event{accepted(0), eventAt(0, ClientLeft, nil), sentAt(after, 0, "a", 0)} {
 		for i := range count {
@@ -181,7 +183,8 @@
 	golden.Compare(t, "violation-events.txt", text)
 }
 
-// TestLine checks that a line of a trace parses into the event that it was written for, and that an unknown kind of event is an error.
+// TestLine checks that a line of a trace parses into the event that it was written for, and that an unknown kind of
+// event is an error.
 func TestLine(t *testing.T) {
 	s := Event{At: 5 * ms, Kind: AttemptEnded, Node: 3, Job: "j", Work: "w", Class: 1, Attempt: 2, Executor: "e", Zone: 1, Cell: 4,
 		State: policy.Removed, Start: -3, Deadline: 7, NeverRan: true, Final: Failed, Cost: 0.5, Capacity: 2, Text: "x"}
@@ -198,8 +201,8 @@
 	}
 }
 
-// TestHedging checks that where hedging is allowed, an idempotent batch job may have two attempts in flight, no other class may, and
-// none may have three.
+// TestHedging checks that where hedging is allowed, an idempotent batch job may have two attempts in flight, no other
+// class may, and none may have three.
 func TestHedging(t *testing.T) {
 	allowed := testSettings
 	allowed.Hedging = true
@@ -234,10 +237,10 @@
 	}
 }
 
-// TestSlowStartOperatorsBound checks the operators' bound on an executor in slow start. If N batch jobs of mean work fill the budget, the
-// bound is N plus twice the square root of N plus 2. It is the narrower bound if N is large. Work just under it is not a violation and the
-// next batch job is one, whichever nodes sent them, unless over a third came from nodes that had not been notified. With a small N our own
-// bound still applies.
+// TestSlowStartOperatorsBound checks the operators' bound on an executor in slow start. If N batch jobs of mean work
+// fill the budget, the bound is N plus twice the square root of N plus 2. It is the narrower bound if N is large. Work
+// just under it is not a violation and the next batch job is one, whichever nodes sent them, unless over a third came
+// from nodes that had not been notified. With a small N our own bound still applies.
 func TestSlowStartOperatorsBound(t *testing.T) {
 	settings := testSettings
 	for _, c := range []struct {
--- a/internal/invariants/job.go
+++ b/internal/invariants/job.go
@@ -12,8 +12,8 @@
 	id   policy.JobID
 }
 
-// job is the record of a batch job at a node. It is kept from the arrival of the job until no attempt is in flight and the job is answered
-// or its node knows that the client left.
+// job is the record of a batch job at a node. It is kept from the arrival of the job until no attempt is in flight and
+// the job is answered or its node knows that the client left.
 type job struct {
 	work       WorkID
 	class      policy.JobClassID
@@ -43,8 +43,8 @@
 
 func mayHaveRun(a attempt) bool { return !a.ended || !a.neverRan }
 
-// jobAccepted begins the record of a job. If the id of a job whose client left arrives again while an attempt of it is in flight, the
-// existing record continues.
+// jobAccepted begins the record of a job. If the id of a job whose client left arrives again while an attempt of it is
+// in flight, the existing record continues.
 func (c *Checker) jobAccepted(key jobKey, event Event) {
 	j := c.jobs[key]
 	if j == nil {
@@ -58,8 +58,8 @@
 	c.schedule(event.Deadline+c.settings.AnswerSlack, key, event.Deadline)
 }
 
-// forget drops the record of a batch job that needs no answer and has no attempt in flight. The record of a job whose node was paused is
-// kept, since its id may be answered more than once.
+// forget drops the record of a batch job that needs no answer and has no attempt in flight. The record of a job whose
+// node was paused is kept, since its id may be answered more than once.
 func (c *Checker) forget(key jobKey, j *job) {
 	if (j.answered || j.closed) && !j.excused && !slices.ContainsFunc(j.attempts, inFlight) {
 		delete(c.jobs, key)
@@ -123,7 +123,7 @@
 	}
 }
 
-// checkInFlight checks that no other attempt is in flight, or only one where the class may be hedged.
+// checkInFlight checks that no other attempt of the job is in flight, or one at most if the class may be hedged.
 func (c *Checker) checkInFlight(j *job, event Event, about subject) {
 	count := 0
 	for _, a := range j.attempts {
@@ -173,8 +173,8 @@
 	c.forget(key, j)
 }
 
-// jobAnswered checks that a final answer is the only one, agrees with what ran, and comes without delay if the policy has given up on the
-// job.
+// jobAnswered checks that a final answer is the only one, agrees with what ran, and comes without delay if the policy
+// has given up on the job.
 func (c *Checker) jobAnswered(key jobKey, event Event) {
 	j := c.jobs[key]
 	if j != nil && j.answered && j.excused {
@@ -196,7 +196,8 @@
 	c.forget(key, j)
 }
 
-// checkAnswer checks that an answer agrees with what ran. A client repeats a rejected job, so a job is only rejected if that is safe.
+// checkAnswer checks that an answer agrees with what ran. A client repeats a rejected job, so a job is only rejected if
+// that is safe.
 func (c *Checker) checkAnswer(j *job, event Event, about subject) {
 	class := c.settings.Classes[j.class]
 	repeatUnsafe := class.Idempotency == policy.AtMostOnce ||
--- a/internal/invariants/rule.go
+++ b/internal/invariants/rule.go
@@ -9,7 +9,7 @@
 // Rule identifies a rule. The zero value is no rule.
 type Rule int
 
-// The rules, in the order of their keys.
+// The rules, in the order of ruleNames.
 const (
 	OneAnswer       Rule = iota + 1 // a job gets exactly one final answer before its deadline, and no attempt afterwards
 	NoEffectTwice                   // no effect happens twice
@@ -23,7 +23,7 @@
 
 var ruleNames = [...]string{"", "one answer", "no effect twice", "drain kept", "cold spared", "answered at once", "bound kept", "still awaited", "informed"}
 
-// String returns the key of the rule, as reports and scenarios have it.
+// String returns the key of the rule, by which reports and scenarios refer to it.
 func (r Rule) String() string { return ruleNames[r] }
 
 // Settings are the parameters of the rules at a site.
@@ -39,13 +39,14 @@
 	Hedging           bool              // an idempotent batch job may have two attempts in flight
 }
 
-// DrainInForceWithin is how long after discovery has published a drain a node that can reach discovery may still send attempts to the
-// executor. It includes the drain grace.
+// DrainInForceWithin is how long after discovery has published a drain a node that can reach discovery may still send
+// attempts to the executor. It includes the drain grace.
 const DrainInForceWithin = 6 * time.Second
 
-// Bounds of the rule "still awaited". An attempt is late if it begins longer than ClientGoneTolerance after its client left, whatever its
-// class and whether it is the first of its batch job or a retry. The late attempts of all nodes count together. A pause of a node's process
-// is no excuse, since the node can check the connection of the client before it sends the attempt.
+// Bounds of the rule "still awaited". An attempt is late if it begins longer than ClientGoneTolerance after its client
+// left, whatever its class and whether it is the first of its batch job or a retry. The late attempts of all nodes
+// count together. A pause of a node's process is no excuse, since the node can check the connection of the client
+// before it sends the attempt.
 const (
 	ClientGoneTolerance   = 100 * time.Millisecond
 	ClientGoneLimit       = 300 * time.Millisecond // a single attempt that late is a violation
--- a/internal/invariants/slow_start.go
+++ b/internal/invariants/slow_start.go
@@ -27,16 +27,16 @@
 const (
 	slowStartSlack = 1.15 // our bound, as a multiple of the budget
 
-	// The operators' bound allows for the scatter of random arrivals. If N mean batch jobs fill the budget, it is N jobs, plus this
-	// many square roots of N, plus this many jobs.
+	// The operators' bound allows for the scatter of random arrivals. If N mean batch jobs fill the budget, it is N
+	// jobs, plus this many square roots of N, plus this many jobs.
 	scatterRoots = 2
 	scatterJobs  = 2
 )
 
-// ExceedsSlowStartBudget reports whether the work that reached an executor in slow start within the window exceeds one of two bounds. The
-// arguments are in seconds of work: the sum, the largest single piece of it, the executor's budget, and a mean batch job (0 if unknown).
-// Our bound does not count the largest piece. It is the narrower one while the budget is under about 190 mean batch jobs. The operators'
-// bound allows for the scatter of random arrivals.
+// ExceedsSlowStartBudget reports whether the work that reached an executor in slow start within the window exceeds one
+// of two bounds. The arguments are in seconds of work: the sum, the largest single piece of it, the executor's budget,
+// and a mean batch job (0 if unknown). Our bound does not count the largest piece. It is the narrower one while the
+// budget is under about 190 mean batch jobs. The operators' bound allows for the scatter of random arrivals.
 func ExceedsSlowStartBudget(sum, largest, budget, mean float64) bool {
 	if sum-largest > slowStartSlack*budget {
 		return true
@@ -56,8 +56,9 @@
 	return math.MinInt64
 }
 
-// knownStartWhenSent returns the last start of the executor that the node had been notified of when it sent the attempt. That may differ
-// from the last one that it knows now: a node that was paused may be notified of the start while the attempt is on its way.
+// knownStartWhenSent returns the last start of the executor that the node had been notified of when it sent the
+// attempt. That may differ from the last one that it knows now: a node that was paused may be notified of the start
+// while the attempt is on its way.
 func (c *Checker) knownStartWhenSent(key jobKey, event Event) time.Duration {
 	if j := c.jobs[key]; j != nil {
 		for _, a := range slices.Backward(j.attempts) {
@@ -69,9 +70,9 @@
 	return c.knownStart(event.Node, event.Executor)
 }
 
-// attemptReached checks the rule "cold spared": within any window, the work that all nodes together send to an executor in slow start must
-// not exceed its budget. Nodes that had not been notified of the start cannot know of the budget, so the rule applies only if at least two
-// thirds of the work came from nodes that had been notified.
+// attemptReached checks the rule "cold spared": within any window, the work that all nodes together send to an executor
+// in slow start must not exceed its budget. Nodes that had not been notified of the start cannot know of the budget, so
+// the rule applies only if at least two thirds of the work came from nodes that had been notified.
 func (c *Checker) attemptReached(key jobKey, event Event) {
 	e := c.executors[event.Executor]
 	if e == nil || !e.warmingUp {
--- a/internal/invariants/wire_test.go
+++ b/internal/invariants/wire_test.go
@@ -9,7 +9,8 @@
 	"birchstair/policy"
 )
 
-// TestWireForm pins the lines of a recorded trace: every kind of event, every kind of final answer, and every field set and left out.
+// TestWireForm pins the lines of a recorded trace: every kind of event, every kind of final answer, and every field set
+// and left out.
 func TestWireForm(t *testing.T) {
 	var events []Event
 	for kind := range eventKindNames {
--- a/internal/memnet/conn.go
+++ b/internal/memnet/conn.go
@@ -130,8 +130,8 @@
 	return sent, nil
 }
 
-// breakAfter breaks the connection after a delay. The other end sees the reset after the bytes in flight. If delivered is false, further
-// packets from this end are lost until then.
+// breakAfter breaks the connection after a delay. The other end sees the reset after the bytes in flight. If delivered
+// is false, further packets from this end are lost until then.
 func (c *Conn) breakAfter(delay time.Duration, delivered bool) {
 	if !delivered {
 		c.dropsOutgoing = true
@@ -187,8 +187,8 @@
 	})
 }
 
-// deliver schedules the arrival of bytes at the other end, or of a change of its state if change is not nil. Arrivals keep the order in
-// which they were sent.
+// deliver schedules the arrival of bytes at the other end, or of a change of its state if change is not nil. Arrivals
+// keep the order in which they were sent.
 func (c *Conn) deliver(b []byte, change func(to *Conn)) {
 	p := c.net.path(c.host, c.peer.host)
 	if p.Lost || c.dropsOutgoing {
@@ -222,8 +222,8 @@
 	})
 }
 
-// Close implements net.Conn. A pending Read returns only after the offset of the connection, so that connections that are closed at the
-// same instant end in a fixed order.
+// Close implements net.Conn. A pending Read returns only after the offset of the connection, so that connections that
+// are closed at the same instant end in a fixed order.
 func (c *Conn) Close() error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
--- a/internal/memnet/dial.go
+++ b/internal/memnet/dial.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Dial opens a connection from a host to an address. The id must differ from those of the host's other open connections. Dial fails with
-// ECONNREFUSED if there is no listener, with os.ErrDeadlineExceeded if the deadline of ctx passes, and with os.ErrClosed if the host was
-// killed.
+// Dial opens a connection from a host to an address. The id must differ from those of the host's other open
+// connections. Dial fails with ECONNREFUSED if there is no listener, with os.ErrDeadlineExceeded if the deadline of ctx
+// passes, and with os.ErrClosed if the host was killed.
 func (n *Net) Dial(ctx context.Context, host, id, addr string) (*Conn, error) {
 	fail := func(err error) (*Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: "memory", Addr: Addr(addr), Err: err}
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -20,7 +20,8 @@
 	"birchstair/internal/synctesting"
 )
 
-// testNetwork is a network of two hosts. It records what each end of a connection observes, with the time in milliseconds.
+// testNetwork is a network of two hosts. It records what each end of a connection observes, with the time in
+// milliseconds.
 type testNetwork struct {
 	t     *testing.T
 	net   *Net
@@ -41,8 +42,8 @@
 	n.lines = append(n.lines, outputLine{time.Since(n.start).Truncate(time.Millisecond), end + " " + fmt.Sprintf(format, args...)})
 }
 
-// String returns the recorded lines by time. Lines of the same millisecond are sorted by their text, since the two ends record them from
-// goroutines of their own.
+// String returns the recorded lines by time. Lines of the same millisecond are sorted by their text, since the two ends
+// record them from goroutines of their own.
 func (n *testNetwork) String() string {
 	slices.SortStableFunc(n.lines, func(x, y outputLine) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.text, y.text)) })
 	s := ""
@@ -216,8 +217,8 @@
 	golden.Compare(t, "connections.txt", all.String())
 }
 
-// TestPeerEnded checks that PeerEnded reports the end of the stream once it has arrived, even if bytes before it are unread, and neither
-// for bytes alone nor for an end that is still in flight.
+// TestPeerEnded checks that PeerEnded reports the end of the stream once it has arrived, even if bytes before it are
+// unread, and neither for bytes alone nor for an end that is still in flight.
 func TestPeerEnded(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/memnet/network.go
+++ b/internal/memnet/network.go
@@ -15,8 +15,8 @@
 	Lost    bool          // packets are lost, and neither end is notified
 }
 
-// Net is a network. A host is identified by its name, and an address is any string that a listener chooses. Its methods are safe for
-// concurrent use.
+// Net is a network. A host is identified by its name, and an address is any string that a listener chooses. Its methods
+// are safe for concurrent use.
 type Net struct {
 	path        func(from, to string) Path
 	seed        uint64
@@ -37,7 +37,8 @@
 	maxOffset  = 9973      // largest result of timeOffset, in nanoseconds
 )
 
-// timeOffset returns a delay that depends on the id of a connection, so that packets of different connections arrive at different times.
+// timeOffset returns a delay that depends on the id of a connection, so that packets of different connections arrive at
+// different times.
 func (n *Net) timeOffset(id string) time.Duration {
 	h := fnv.New64a()
 	fmt.Fprint(h, n.seed, id)
@@ -79,8 +80,8 @@
 	return all
 }
 
-// Kill closes all listeners of a host and its ends of connections. The other ends see a reset, or nothing if silently is set. The host
-// cannot dial any more.
+// Kill closes all listeners of a host and its ends of connections. The other ends see a reset, or nothing if silently
+// is set. The host cannot dial any more.
 func (n *Net) Kill(host string, silently bool) {
 	n.mu.Lock()
 	// Whether a goroutine of the host would dial before it ends depends on the scheduler, so no dial may succeed.
--- a/internal/synctesting/synctesting.go
+++ b/internal/synctesting/synctesting.go
@@ -10,10 +10,11 @@
 
 // Test calls synctest.Test. Under the race detector it sets GOMAXPROCS to 1 while the test runs.
 //
-// This works around a bug in the runtime of Go 1.26. All timers of a bubble share one race context (time.go, unlockAndRun). A timer is run
-// not only by the clock, but also by each goroutine of the bubble that waits for it when it is due, or that sets it to the present time.
-// Two goroutines that run timers at the same time corrupt the race context, and the process dies of SIGSEGV in the race detector. With
-// GOMAXPROCS at 1 no two run at the same time. The detector still finds races, since it compares the order of synchronization events.
+// This works around a bug in the runtime of Go 1.26. All timers of a bubble share one race context (time.go,
+// unlockAndRun). A timer is run not only by the clock, but also by each goroutine of the bubble that waits for it when
+// it is due, or that sets it to the present time. Two goroutines that run timers at the same time corrupt the race
+// context, and the process dies of SIGSEGV in the race detector. With GOMAXPROCS at 1 no two run at the same time. The
+// detector still finds races, since it compares the order of synchronization events.
 func Test(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	if UnderRace {
--- a/internal/synctesting/synctesting_test.go
+++ b/internal/synctesting/synctesting_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestConcurrentTimers lets many goroutines of a bubble run timers that are due, and checks that GOMAXPROCS is restored afterwards. With
-// synctest.Test instead of Test, the process dies of SIGSEGV under the race detector.
+// TestConcurrentTimers lets many goroutines of a bubble run timers that are due, and checks that GOMAXPROCS is restored
+// afterwards. With synctest.Test instead of Test, the process dies of SIGSEGV under the race detector.
 func TestConcurrentTimers(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	for range 20 {
