--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -2,17 +2,18 @@
 
 import "fmt"
 
-// pendingRecordBytes is what a pending record counts for against Options beside its body.
+// pendingRecordBytes is the estimated size of a pending record without its body.
 const pendingRecordBytes = 256
 
-// pendingWrite is a record that waits for a commit.
+// pendingWrite is a record that waits to be committed.
 type pendingWrite struct {
 	record Record
-	done   func(error)
+	done   func(error) // called once with the result
 }
 
-// Append queues a record and calls done once it is on disk, or can't be. It never waits for the disk, and done must not either. The
-// error is nil, or wraps ErrFull (for Accepted only), ErrFailed or ErrClosed.
+// Append queues a record, and calls done once the record is on disk or can't be written. Append doesn't wait for the disk, and
+// done must not wait for it either. The error passed to done is nil, or wraps ErrFull (only for Accepted records), ErrFailed or
+// ErrClosed.
 func (s *Store) Append(r Record, done func(error)) {
 	if err := s.enqueue(pendingWrite{r, done}); err != nil {
 		done(err)
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// pendingBytes is about the size of the pending records.
+// pendingBytes estimates the size of the pending records.
 func (s *Store) pendingBytes() (total int64) {
 	for _, w := range s.pending {
 		total += int64(len(w.record.Body)) + pendingRecordBytes
@@ -43,7 +44,8 @@
 	return total
 }
 
-// commitLoop commits what is pending, all of it with one sync, until the store is closed and nothing is left.
+// commitLoop commits the pending records until the store is closed and none are left. All records that are pending at a time
+// share one sync.
 func (s *Store) commitLoop() {
 	defer close(s.done)
 	for {
@@ -60,8 +62,8 @@
 	}
 }
 
-// nextBatch waits for pending records and takes all of them. It takes none if the store is closed and none are left. failed is the
-// store's failure, if it has failed.
+// nextBatch waits for pending records and takes all of them. The batch is empty if the store is closed and none are left.
+// failed is the error that made the store fail, or nil.
 func (s *Store) nextBatch() (batch []pendingWrite, failed error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +74,7 @@
 	return batch, s.failed
 }
 
-// commitOrFail commits a batch. Any error makes the store fail for good.
+// commitOrFail commits a batch. After any error the store stays failed until it is opened again.
 func (s *Store) commitOrFail(batch []pendingWrite) error {
 	err := s.commit(batch)
 	if err == nil {
@@ -85,7 +87,8 @@
 	return err
 }
 
-// commit writes a batch as one frame, syncs it, and applies its records. Then it starts a new segment and compacts, where due.
+// commit writes a batch as one frame, syncs it and applies its records. Then, if necessary, it starts a new segment and
+// compacts the oldest ones.
 func (s *Store) commit(batch []pendingWrite) error {
 	frame, sizes, err := encodeBatch(batch)
 	if err != nil {
@@ -100,7 +103,7 @@
 	return s.compact(false, nil)
 }
 
-// encodeBatch makes a frame of a batch. sizes are the sizes of its records in bytes.
+// encodeBatch encodes a batch as a frame. sizes are the encoded sizes of its records.
 func encodeBatch(batch []pendingWrite) (frame []byte, sizes []int, err error) {
 	var records []byte
 	for _, w := range batch {
@@ -113,7 +116,7 @@
 	return encodeFrame(records), sizes, nil
 }
 
-// applyBatch applies the records of a frame that was synced, and starts a new segment if the last one is full.
+// applyBatch applies the records of a synced frame, and starts a new segment if the last one has reached Options.SegmentBytes.
 func (s *Store) applyBatch(batch []pendingWrite, sizes []int, frameBytes int) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -1,10 +1,11 @@
 package store
 
-// Compact writes all live records to the last segment and removes the others, however much of them is live. Before each segment it calls
-// progress, if that is not nil. It must not be called while anything else uses the store.
+// Compact copies all live records to the last segment and removes all others, however much of them is live. It calls progress,
+// unless nil, before it compacts each segment. It must not be called while anything else uses the store.
 func (s *Store) Compact(progress func(done, all int)) error { return s.compact(true, progress) }
 
-// compact removes the oldest segment as long as no more than half of it is live, or all are to go.
+// compact repeatedly removes the oldest segment while at most half of it is live, or, if all is set, until only the last
+// segment is left.
 func (s *Store) compact(all bool, progress func(done, all int)) error {
 	first, last := s.firstSegment, s.lastSegment
 	for {
@@ -21,7 +22,7 @@
 	}
 }
 
-// compactionDue is the oldest segment, and whether it is due for compaction.
+// compactionDue returns the number of the oldest segment, and whether that segment is to be compacted.
 func (s *Store) compactionDue(all bool) (oldest uint64, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +30,7 @@
 	return oldest, oldest < s.lastSegment && (all || s.liveBytes[oldest]*2 <= s.segmentBytes[oldest])
 }
 
-// compactSegment writes the live records of the oldest segment's jobs to the last segment, and removes the oldest one.
+// compactSegment copies all records of the jobs that begin in the oldest segment to the last one, and removes the oldest one.
 func (s *Store) compactSegment(oldest uint64) error {
 	records, moved, err := s.liveRecords(oldest)
 	if err != nil {
@@ -52,7 +53,8 @@
 	return nil
 }
 
-// liveRecords are the encoded records of all jobs whose first record is in a segment. moved are their sizes in bytes, by job.
+// liveRecords returns the encoded records of all jobs whose first record is in a segment. moved holds the size of the records
+// of each job, in bytes.
 func (s *Store) liveRecords(segment uint64) (records []byte, moved map[string]int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +74,8 @@
 	return records, moved, nil
 }
 
-// accountCompaction accounts for the jobs that were moved to the last segment, and for the oldest one, which was removed.
+// accountCompaction updates the recorded sizes after the jobs in moved were copied to the last segment, as a frame of
+// frameBytes (0 if there were no jobs), and the oldest segment was removed.
 func (s *Store) accountCompaction(oldest uint64, moved map[string]int, frameBytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/compaction_test.go
+++ b/internal/store/compaction_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// compactionStore is a store with small segments in a directory of its own.
+// compactionStore is a store with small segments, and its directory.
 type compactionStore struct {
 	*Store
 	dir Directory
@@ -42,8 +42,8 @@
 	}
 }
 
-// accounts prints what the store believes to be live in each segment, and the size of each.
-func (s *compactionStore) accounts() string {
+// liveSizes formats the size of each segment and the store's count of the live bytes in it.
+func (s *compactionStore) liveSizes() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := ""
@@ -53,29 +53,30 @@
 	return text
 }
 
-// TestCompactionMovesJobsOfSeveralSegments compacts the segment that holds the first record of a job whose other records are in a later
-// one: nothing of the job is lost.
+// TestCompactionMovesJobsOfSeveralSegments checks that compaction loses no record of a job whose first record is in the
+// compacted segment and whose other records are in a later one.
 func TestCompactionMovesJobsOfSeveralSegments(t *testing.T) {
 	s := openCompactionStore(t, Directory(t.TempDir()))
 	s.append(t, Record{Kind: Accepted, ID: "kept"})
 	s.append(t, Record{Kind: Accepted, ID: "released", Body: make([]byte, 1000)}) // the first segment is full
 	s.append(t, Record{Kind: AttemptStarted, ID: "kept", Epoch: 1, Executor: "executor-1"})
 	if s.firstSegment != 1 {
-		t.Fatal("the first segment is gone too early")
+		t.Fatal("the first segment was removed while more than half of it was live")
 	}
 	s.append(t, Record{Kind: Released, ID: "released"})
 	if s.firstSegment != 2 {
-		t.Fatalf("the first segment is %d after compaction", s.firstSegment)
+		t.Fatalf("the first segment after compaction is %d, want 2", s.firstSegment)
 	}
 	s = s.reopen(t)
-	defer s.Close() //nolint:errcheck // nothing was appended since it was opened
+	defer s.Close() //nolint:errcheck // no record was appended since the store was reopened
 	if job, ok := s.Get("kept"); !ok || len(job.Attempts) != 1 || job.Attempts[0].Executor != "executor-1" {
-		t.Errorf("recovered %+v, %v", job, ok)
+		t.Errorf("recovered %+v, %v, want one attempt on executor-1", job, ok)
 	}
 }
 
-// TestCompactionAccounts checks what the store believes to be live against what a reopened store reads.
-func TestCompactionAccounts(t *testing.T) {
+// TestCompactionLiveSizes checks that the counts of live bytes, which a running store updates with each record, equal those that
+// a reopened store counts from its segments.
+func TestCompactionLiveSizes(t *testing.T) {
 	s := openCompactionStore(t, Directory(t.TempDir()))
 	for i := range 60 {
 		s.append(t, Record{Kind: Accepted, ID: fmt.Sprint("job-", i), Body: make([]byte, 100)})
@@ -85,28 +86,28 @@
 		}
 	}
 	if s.firstSegment == 1 {
-		t.Error("nothing was compacted")
+		t.Error("no segment was compacted")
 	}
-	compareAccounts(t, s)
+	compareLiveSizes(t, s)
 	if err := s.Compact(nil); err != nil {
 		t.Fatal(err)
 	}
 	if s.firstSegment != s.lastSegment {
-		t.Errorf("segments %d to %d are left", s.firstSegment, s.lastSegment)
+		t.Errorf("segments %d to %d are left, want only one", s.firstSegment, s.lastSegment)
 	}
-	compareAccounts(t, s)
+	compareLiveSizes(t, s)
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// compareAccounts reopens the store, whose accounts must be the same but for the new segment.
-func compareAccounts(t *testing.T, s *compactionStore) {
+// compareLiveSizes reopens the store, and checks that only the new segment is added to its live sizes.
+func compareLiveSizes(t *testing.T, s *compactionStore) {
 	t.Helper()
-	before, last := s.accounts(), s.lastSegment
+	before, last := s.liveSizes(), s.lastSegment
 	*s = *s.reopen(t)
 	want := before + fmt.Sprintf("segment %d: 0 of %d bytes live\n", last+1, segmentHeaderBytes)
-	if got := s.accounts(); got != want {
-		t.Errorf("read again:\n%swant:\n%s", got, want)
+	if got := s.liveSizes(); got != want {
+		t.Errorf("live sizes after reopening:\n%swant:\n%s", got, want)
 	}
 }
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -10,28 +10,28 @@
 	"syscall"
 )
 
-// Disk is a directory that a store owns. Tests use one that loses, tears and fails.
+// Disk is a directory that a store owns. Tests use one that loses or tears unsynced data and returns errors.
 type Disk interface {
-	// Lock takes the directory for this process until the closer is closed. It fails if another process has it.
+	// Lock locks the directory for this process until the closer is closed. It fails if another process has locked it.
 	Lock() (io.Closer, error)
-	// List returns the names of the files, in order.
+	// List returns the names of the files, in alphabetical order.
 	List() ([]string, error)
 	// Read returns the contents of a file.
 	Read(name string) ([]byte, error)
-	// Create creates a file, which must not exist yet.
+	// Create creates a file, which must not exist yet. The new name is durable after SyncDir.
 	Create(name string) (File, error)
-	// Remove removes a file. It is durable after SyncDir.
+	// Remove removes a file. The removal is durable after SyncDir.
 	Remove(name string) error
-	// Truncate cuts a file to a size in bytes, durably.
+	// Truncate shortens a file to a size in bytes. The new size is durable when it returns.
 	Truncate(name string, size int64) error
-	// SyncDir makes created and removed names durable.
+	// SyncDir makes all earlier creations and removals of files durable.
 	SyncDir() error
 }
 
-// File is a file that is appended to.
+// File is a file that is open for appending.
 type File interface {
 	io.WriteCloser
-	// Sync makes what was written durable.
+	// Sync makes all earlier writes durable.
 	Sync() error
 }
 
@@ -40,12 +40,13 @@
 	dirMode, fileMode = 0o700, 0o600
 )
 
-// Directory is a directory of the file system, by its path.
+// Directory is the path of a directory in the file system. It implements Disk.
 type Directory string
 
 func (d Directory) path(name string) string { return filepath.Join(string(d), name) }
 
-// Lock creates the directory if it is missing, and locks a file in it. The error wraps ErrLocked if another process has it.
+// Lock implements Disk. It creates the directory if it is missing, and locks a file in it. The error wraps ErrLocked if
+// another process has locked that file.
 func (d Directory) Lock() (io.Closer, error) {
 	if err := os.MkdirAll(string(d), dirMode); err != nil {
 		return nil, err
@@ -63,7 +64,7 @@
 	return file, nil
 }
 
-// List returns the names of the files, in order.
+// List implements Disk.
 func (d Directory) List() (names []string, err error) {
 	entries, err := os.ReadDir(string(d))
 	for _, entry := range entries {
@@ -73,18 +74,18 @@
 	return names, err
 }
 
-// Read returns the contents of a file.
+// Read implements Disk.
 func (d Directory) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-// Create creates a file, which must not exist yet.
+// Create implements Disk.
 func (d Directory) Create(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, fileMode)
 }
 
-// Remove removes a file. It is durable after SyncDir.
+// Remove implements Disk.
 func (d Directory) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Truncate cuts a file to a size in bytes, durably.
+// Truncate implements Disk.
 func (d Directory) Truncate(name string, size int64) error {
 	file, err := os.OpenFile(d.path(name), os.O_WRONLY, 0)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// SyncDir makes created and removed names durable.
+// SyncDir implements Disk.
 func (d Directory) SyncDir() error {
 	dir, err := os.Open(string(d))
 	if err != nil {
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -8,7 +8,7 @@
 
 const (
 	frameHeaderBytes = 12
-	maxFrameBytes    = 1 << 28 // of records
+	maxFrameBytes    = 1 << 28 // limit of a frame's records; decodeFrame rejects longer frames
 )
 
 var (
@@ -16,12 +16,12 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// checksum is that of a frame: over the encoded length and the records.
+// checksum returns the checksum of a frame, which covers the encoded length and the records.
 func checksum(length, records []byte) uint32 {
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, records)
 }
 
-// encodeFrame makes a frame of encoded records.
+// encodeFrame encodes a frame that holds the given encoded records.
 func encodeFrame(records []byte) []byte {
 	b := make([]byte, 0, frameHeaderBytes+len(records))
 	b = append(b, frameMagic[:]...)
@@ -30,9 +30,9 @@
 	return append(b, records...)
 }
 
-// decodeFrame decodes the frame at the front of b, calls each with its records and their sizes in bytes, and returns the frame's size.
-// The error is errTorn if there is no complete frame.
-func decodeFrame(b []byte, each func(r Record, size int)) (size int, err error) {
+// decodeFrame decodes the frame at the start of b, calls visit with each of its records and the record's size in bytes, and
+// returns the size of the frame. The error is errTorn if b doesn't start with a complete, valid frame.
+func decodeFrame(b []byte, visit func(r Record, size int)) (size int, err error) {
 	records, ok := frameRecords(b)
 	if !ok {
 		return 0, errTorn
@@ -42,13 +42,14 @@
 		if err != nil {
 			return 0, err
 		}
-		each(r, len(rest)-len(after))
+		visit(r, len(rest)-len(after))
 		rest = after
 	}
 	return frameHeaderBytes + len(records), nil
 }
 
-// frameRecords are the encoded records of the frame at the front of b, if it is complete.
+// frameRecords returns the encoded records of the frame at the start of b. ok is false if there is no complete frame with a
+// correct checksum.
 func frameRecords(b []byte) (records []byte, ok bool) {
 	if len(b) < frameHeaderBytes || [4]byte(b[:4]) != frameMagic {
 		return nil, false
@@ -61,8 +62,8 @@
 	return records, checksum(b[4:8], records) == binary.LittleEndian.Uint32(b[8:])
 }
 
-// containsFrame says whether a complete frame begins behind the front of b. Where there is one behind a damaged frame, the damage is no
-// torn tail: nothing is written before all that was written earlier has been synced.
+// containsFrame reports whether a complete frame begins anywhere in b after its first byte. If one follows a damaged frame, the
+// damage is not a torn tail: a frame is written only after the frame before it was synced.
 func containsFrame(b []byte) bool {
 	for at := 1; ; {
 		next := bytes.Index(b[at:], frameMagic[:])
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -15,11 +15,12 @@
 	"birchstair/internal/store"
 )
 
-// The golden files in testdata hold store directories as hex dumps, one a stage: what a store directory looked like before the names
-// in this package changed. Directories written by earlier versions must be read, recovered and compacted to the same bytes.
+// The golden files in testdata pin the format on disk. Each is a hex dump of a store directory at one stage: after writing, with
+// a torn tail, after recovery and after compaction. Directories written by earlier versions must be read, recovered and
+// compacted to the same bytes.
 
-// everyKind is a record of each kind, with each field that counts for it set; the live jobs of the first segment are one, since
-// the order in which a compaction copies several is not fixed.
+// everyKind returns records of each kind, with every field set that the kind uses. Only one job is not released, because
+// compaction copies several live jobs in random order.
 func everyKind() []store.Record {
 	accepted := store.Record{Kind: store.Accepted, ID: "job-1", At: day, JobClass: "verify", Deadline: day.Add(time.Hour), Work: 350 * time.Millisecond,
 		URI: "/call?x=1", Host: "birch.example", ContentType: "application/json", IdempotencyKey: "key-1", Body: []byte("body")}
@@ -37,7 +38,7 @@
 	}
 }
 
-// dump prints the files of a directory.
+// dump formats the files of a directory as hex dumps.
 func dump(t *testing.T, dir string) string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -55,7 +56,7 @@
 	return out.String()
 }
 
-// undump writes the files of a dump into a new directory.
+// undump restores the files of a dump in a new directory.
 func undump(t *testing.T, text string) string {
 	t.Helper()
 	const columns = len("00000000  00 01 02 03 04 05 06 07  08 09 0a 0b 0c 0d 0e 0f ")
@@ -68,7 +69,7 @@
 			continue
 		}
 		if len(line) < columns {
-			continue // the last line of a dump is its length alone
+			continue // a line without bytes, which hex.Dump does not print
 		}
 		b, err := hex.DecodeString(strings.ReplaceAll(line[8:columns], " ", ""))
 		if err != nil {
@@ -84,8 +85,8 @@
 	return dir
 }
 
-// stage reads a golden dump.
-func stage(t *testing.T, name string) string {
+// readDump reads a golden file that holds a dump.
+func readDump(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -123,27 +124,28 @@
 	golden.Compare(t, "written.txt", dump(t, dir))
 }
 
-// TestGoldenRecover cuts the written segment within its last frame, and opens it: the torn tail is cut off, and a new segment begins.
+// TestGoldenRecover opens a store whose only segment ends within its last frame: recovery truncates the torn tail and starts a
+// new segment.
 func TestGoldenRecover(t *testing.T) {
-	dir := undump(t, stage(t, "written.txt"))
+	dir := undump(t, readDump(t, "written.txt"))
 	segment := filepath.Join(dir, "000000000001.log")
-	whole, err := os.ReadFile(segment)
+	intact, err := os.ReadFile(segment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(segment, whole[:len(whole)-5], 0o600); err != nil {
+	if err := os.WriteFile(segment, intact[:len(intact)-5], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "torn.txt", dump(t, dir))
 
-	dir = undump(t, stage(t, "torn.txt"))
+	dir = undump(t, readDump(t, "torn.txt"))
 	closeStore(t, openDirectory(t, dir))
 	golden.Compare(t, "recovered.txt", dump(t, dir))
 }
 
-// TestGoldenCompact compacts the directory that was written: the last segment holds what is live, and the first is gone.
+// TestGoldenCompact compacts the written directory: the last segment holds the live records, and the first one is removed.
 func TestGoldenCompact(t *testing.T) {
-	dir := undump(t, stage(t, "written.txt"))
+	dir := undump(t, readDump(t, "written.txt"))
 	s := openDirectory(t, dir)
 	if err := s.Compact(nil); err != nil {
 		t.Fatal(err)
@@ -152,13 +154,14 @@
 	golden.Compare(t, "compacted.txt", dump(t, dir))
 }
 
-// TestGoldenRead pins what is read of each golden directory, and that the records of the written one are those that were appended.
+// TestGoldenRead pins the records that Scan reads from each golden directory, and checks that those of the written directory are
+// the records that were appended.
 func TestGoldenRead(t *testing.T) {
 	var out strings.Builder
 	for _, name := range []string{"written.txt", "torn.txt", "recovered.txt", "compacted.txt"} {
 		fmt.Fprintln(&out, "--", name)
 		var records []store.Record
-		segments, err := store.Scan(store.Directory(undump(t, stage(t, name))), func(segment uint64, r store.Record, size int) {
+		segments, err := store.Scan(store.Directory(undump(t, readDump(t, name))), func(segment uint64, r store.Record, size int) {
 			fmt.Fprintf(&out, "segment %d: %d bytes: kind %d (%s) of %s at %s, class %q, limit %s, work %v, %q at %q as %q, key %q, body %q, epoch %d on %q, never ran %v, answer %d\n",
 				segment, size, r.Kind, r.Kind, r.ID, stamp(r.At), r.JobClass, stamp(r.Deadline), r.Work, r.URI, r.Host, r.ContentType, r.IdempotencyKey, r.Body,
 				r.Epoch, r.Executor, r.NeverRan, r.Outcome)
@@ -171,12 +174,13 @@
 			fmt.Fprintf(&out, "%s: number %d, %d records, complete up to %d, torn %v\n", s.Name, s.Number, s.Records, s.CompleteBytes, s.Torn)
 		}
 		if name == "written.txt" && !slices.EqualFunc(records, everyKind(), equal) {
-			t.Errorf("the records read are not those that were written: %+v", records)
+			t.Errorf("the records read differ from those that were appended: %+v", records)
 		}
 	}
 	golden.Compare(t, "read.txt", out.String())
 }
 
+// stamp formats the time of a record.
 func stamp(t time.Time) string {
 	if t.IsZero() {
 		return "none"
@@ -184,7 +188,8 @@
 	return t.UTC().Format(time.RFC3339Nano)
 }
 
-// equal compares records as they are on disk: times are floating-point seconds there, rounded to microseconds.
+// equal reports whether b is the record a after a round trip to disk, where times are floating-point seconds, rounded to
+// microseconds.
 func equal(a, b store.Record) bool {
 	same := a.At.Round(time.Microsecond).Equal(b.At) && a.Deadline.Equal(b.Deadline) && bytes.Equal(a.Body, b.Body)
 	a.At, a.Deadline, a.Body, b.At, b.Deadline, b.Body = time.Time{}, time.Time{}, nil, time.Time{}, time.Time{}, nil
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -10,18 +10,18 @@
 // Kind is a kind of record. The numbers are part of the format.
 type Kind uint8
 
-// The kinds of records, in the order in which a job has them. After the last one nothing is left of the job.
+// The kinds of records, in the order in which they are written for a job.
 const (
-	Accepted       Kind = iota + 1 // a batch job was accepted
-	AttemptStarted                 // an attempt is about to be sent, under Epoch
-	AttemptEnded                   // that attempt has ended; NeverRan: provably without having run
-	Final                          // the job's final answer
-	Released                       // nobody needs the job any more
+	Accepted       Kind = iota + 1 // the batch job was accepted
+	AttemptStarted                 // an attempt is about to be sent
+	AttemptEnded                   // an attempt has ended; NeverRan is set if it is known not to have run
+	Final                          // the batch job has its final answer
+	Released                       // the batch job is no longer needed, and all of its records are obsolete
 )
 
 var kindNames = [...]string{"", "accepted", "sent", "over", "final", "let go"}
 
-// String is the kind's name.
+// String returns the kind's name, as operators see it in the output of commands.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -29,62 +29,62 @@
 	return "unknown"
 }
 
-// Record is a step of a batch job as it is on disk. Which fields count depends on its kind. Times are times of day, to the microsecond.
-// The integer keys are part of the format.
+// Record is one record of a batch job in the store. Its kind determines which fields are used. Times are stored in
+// microseconds of the wall clock. The integer keys are part of the format.
 type Record struct {
 	Kind Kind      `cbor:"1,keyasint"`
-	ID   string    `cbor:"2,keyasint"` // the job's
-	At   time.Time `cbor:"3,keyasint"`
+	ID   string    `cbor:"2,keyasint"` // ID of the batch job
+	At   time.Time `cbor:"3,keyasint"` // when the record was made
 
-	// Of an accepted job: its request.
+	// The request of the batch job; set in Accepted records.
 	JobClass       string        `cbor:"4,keyasint,omitempty"`
 	Deadline       time.Time     `cbor:"5,keyasint,omitzero"`
-	Work           time.Duration `cbor:"6,keyasint,omitempty"` // as the client estimates it
+	Work           time.Duration `cbor:"6,keyasint,omitempty"` // the client's estimate; 0 if it gave none
 	URI            string        `cbor:"7,keyasint,omitempty"`
 	Host           string        `cbor:"8,keyasint,omitempty"`
 	ContentType    string        `cbor:"9,keyasint,omitempty"`
 	IdempotencyKey string        `cbor:"10,keyasint,omitempty"`
-	Body           []byte        `cbor:"11,keyasint,omitempty"` // of the request, or with the final answer that of the result
+	Body           []byte        `cbor:"11,keyasint,omitempty"` // body of the request; in a Final record, body of the result
 
-	// Of the start and the end of an attempt.
+	// The attempt; set in AttemptStarted and AttemptEnded records.
 	Epoch    uint32 `cbor:"12,keyasint,omitempty"`
 	Executor string `cbor:"13,keyasint,omitempty"`
-	NeverRan bool   `cbor:"14,keyasint,omitempty"`
+	NeverRan bool   `cbor:"14,keyasint,omitempty"` // the attempt is known not to have run; set in AttemptEnded records only
 
-	Outcome uint8 `cbor:"15,keyasint,omitempty"` // with the final answer, as package leases numbers them
+	Outcome uint8 `cbor:"15,keyasint,omitempty"` // kind of the final answer, as numbered by package leases; set in Final records
 }
 
 const maxRecordBytes = 1 << 20
 
-// recordEncoding writes times as seconds, rounded to microseconds.
+// recordEncoding encodes times as floating-point seconds, rounded to microseconds.
 var recordEncoding = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeUnixMicro}.EncMode()
 	if err != nil {
-		panic(err) // of constant options
+		panic(err) // can't happen with these constant options
 	}
 	return mode
 }()
 
-// appendRecord appends an encoded record to b. After an error b is as it was.
+// appendRecord appends an encoded record to b. On an error it returns b unchanged.
 func appendRecord(b []byte, r Record) ([]byte, error) {
 	encoded, err := recordEncoding.Marshal(r)
 	if err != nil {
 		return b, err
 	}
 	if len(encoded) > maxRecordBytes {
-		return b, fmt.Errorf("a record of %d bytes: over %d", len(encoded), maxRecordBytes)
+		return b, fmt.Errorf("the record is %d bytes long, over the limit of %d", len(encoded), maxRecordBytes)
 	}
 	return append(b, encoded...), nil
 }
 
-// decodeRecord decodes the record at the front of b, and returns what follows it.
+// decodeRecord decodes the record at the start of b, and returns the bytes that follow it.
 func decodeRecord(b []byte) (r Record, rest []byte, err error) {
 	rest, err = cbor.UnmarshalFirst(b, &r)
 	if err != nil {
-		return r, nil, fmt.Errorf("a frame whose checksum holds makes no sense: %w", err)
+		return r, nil, fmt.Errorf("the frame's checksum is correct, but a record can't be decoded: %w", err)
 	}
 	if r.Kind < Accepted || r.Kind > Released || r.ID == "" {
-		return r, nil, fmt.Errorf("a record whose checksum holds is of kind %d and about %q", r.Kind, r.ID)
+		return r, nil, fmt.Errorf("the frame's checksum is correct, but a record is invalid: kind %d, job %q", r.Kind, r.ID)
 	}
 	return r, rest, nil
 }
--- a/internal/store/record_test.go
+++ b/internal/store/record_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestGoldenFrames reads each frame of the golden segment and writes it again, byte for byte.
+// TestGoldenFrames checks that decoding and encoding the frames of the golden segment gives the same bytes.
 func TestGoldenFrames(t *testing.T) {
 	text, err := os.ReadFile("testdata/written.txt")
 	if err != nil {
@@ -28,7 +28,7 @@
 	if err := checkSegmentHeader(segment, 1); err != nil {
 		t.Fatal(err)
 	}
-	again := appendSegmentHeader(nil, 1)
+	reencoded := appendSegmentHeader(nil, 1)
 	for at := segmentHeaderBytes; at < len(segment); {
 		var records []byte
 		size, err := decodeFrame(segment[at:], func(r Record, size int) {
@@ -37,16 +37,16 @@
 				t.Fatal(err)
 			}
 			if len(records)-before != size {
-				t.Errorf("%s of %s is %d bytes long, and was %d", r.Kind, r.ID, len(records)-before, size)
+				t.Errorf("record %s of %s: encoded in %d bytes, want %d", r.Kind, r.ID, len(records)-before, size)
 			}
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		again = append(again, encodeFrame(records)...)
+		reencoded = append(reencoded, encodeFrame(records)...)
 		at += size
 	}
-	if string(again) != string(segment) {
-		t.Errorf("written again:\n%swas:\n%s", hex.Dump(again), hex.Dump(segment))
+	if string(reencoded) != string(segment) {
+		t.Errorf("encoded again:\n%swant:\n%s", hex.Dump(reencoded), hex.Dump(segment))
 	}
 }
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// recoverSegments reads all segments and starts a new one: nothing is ever written behind what a crash has left.
+// recoverSegments reads all segments and starts a new one, so that nothing is appended to a segment that a crash may have
+// left incomplete.
 func (s *Store) recoverSegments() error {
 	segments, err := Scan(s.disk, s.apply)
 	if err != nil {
@@ -19,8 +20,8 @@
 	return s.startSegment()
 }
 
-// recoverSegment truncates the torn tail of a segment, if there is one, and adds the segment. One without a complete header is removed:
-// it was being started.
+// recoverSegment adds a segment that Scan has found to the store, and truncates its torn tail, if there is one. A segment
+// without a complete header is removed instead: the crash came while it was being created, so it holds no records.
 func (s *Store) recoverSegment(segment Segment) error {
 	if segment.Torn && segment.CompleteBytes == 0 {
 		s.lastSegment = segment.Number - 1
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// startSegment creates the next segment, whose header and name are synced before anything is written to it.
+// startSegment creates the next segment. Its header and its file name are synced before any record is written to it.
 func (s *Store) startSegment() error {
 	number := s.lastSegment + 1
 	file, err := s.disk.Create(segmentName(number))
@@ -50,7 +51,7 @@
 		return errors.Join(err, file.Close())
 	}
 	if s.file != nil {
-		s.file.Close() //nolint:errcheck // all of it has been synced, so that an error loses nothing
+		s.file.Close() //nolint:errcheck // all of the file has been synced, so an error loses no data
 	}
 	s.file = file
 	s.lastSegment = number
--- a/internal/store/scan.go
+++ b/internal/store/scan.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// Segment is what a scan found of a segment.
+// Segment describes a segment that was scanned.
 type Segment struct {
-	Name          string
+	Name          string // file name
 	Number        uint64
-	Records       int
-	CompleteBytes int64 // up to the end of the last complete frame; 0 if not even the header is complete
-	Torn          bool  // there is a torn tail behind them
+	Records       int   // number of records in complete frames
+	CompleteBytes int64 // size up to the end of the last complete frame; 0 if not even the header is complete
+	Torn          bool  // the last frame, or the header, is incomplete
 }
 
-// Scan reads all segments in order and calls each with every record and its size in bytes. Only the last segment may have a torn tail;
-// all else that is damaged or missing is an error that says where.
-func Scan(disk Disk, each func(segment uint64, r Record, size int)) (segments []Segment, err error) {
+// Scan reads all segments in order and calls visit with every record and its size in bytes. Only the last segment may have a
+// torn tail. If anything else is damaged or missing, the error names the segment.
+func Scan(disk Disk, visit func(segment uint64, r Record, size int)) (segments []Segment, err error) {
 	numbers, err := segmentNumbers(disk)
 	if err != nil {
 		return nil, err
@@ -26,7 +26,7 @@
 			return segments, &CorruptionError{segmentName(number - 1), 0, "this segment is missing"}
 		}
 		last := i == len(numbers)-1
-		segment, err := scanSegment(disk, number, last, func(r Record, size int) { each(number, r, size) })
+		segment, err := scanSegment(disk, number, last, func(r Record, size int) { visit(number, r, size) })
 		if err != nil {
 			return segments, err
 		}
@@ -35,7 +35,7 @@
 	return segments, nil
 }
 
-// segmentNumbers are the numbers of the segments, in order.
+// segmentNumbers returns the numbers of the segments on a disk, in ascending order.
 func segmentNumbers(disk Disk) (numbers []uint64, err error) {
 	names, err := disk.List()
 	if err != nil {
@@ -49,14 +49,14 @@
 	return numbers, nil
 }
 
-func scanSegment(disk Disk, number uint64, last bool, each func(r Record, size int)) (Segment, error) {
+func scanSegment(disk Disk, number uint64, last bool, visit func(r Record, size int)) (Segment, error) {
 	segment := Segment{Name: segmentName(number), Number: number}
 	b, err := disk.Read(segment.Name)
 	if err != nil {
 		return segment, err
 	}
 	if err := checkSegmentHeader(b, number); err != nil {
-		if last && errors.Is(err, errTorn) { // it was being started
+		if last && errors.Is(err, errTorn) { // a crash came while the segment was being created
 			segment.Torn = true
 			return segment, nil
 		}
@@ -65,7 +65,7 @@
 	offset := segmentHeaderBytes
 	for offset < len(b) {
 		size, err := decodeFrame(b[offset:], func(r Record, size int) {
-			each(r, size)
+			visit(r, size)
 			segment.Records++
 		})
 		if errors.Is(err, errTorn) && last && !containsFrame(b[offset:]) {
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -17,12 +17,12 @@
 
 var segmentMagic = [4]byte{'b', 'r', 's', 't'}
 
-// segmentName is the file name of a segment.
+// segmentName returns the file name of a segment.
 func segmentName(number uint64) string {
 	return fmt.Sprintf("%0*d%s", segmentDigits, number, segmentSuffix)
 }
 
-// segmentNumber is the number of a segment by its file name; ok is false for the name of another file.
+// segmentNumber parses the number of a segment from its file name. ok is false if a file of that name is no segment.
 func segmentNumber(name string) (number uint64, ok bool) {
 	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	number, err := strconv.ParseUint(digits, 10, 64)
@@ -35,19 +35,20 @@
 	return binary.LittleEndian.AppendUint64(b, number)
 }
 
-// checkSegmentHeader checks the header at the front of b. The error is errTorn if it is not complete.
+// checkSegmentHeader checks that b begins with the header of the segment of that number. The error is errTorn if the header
+// is not complete.
 func checkSegmentHeader(b []byte, number uint64) error {
 	if len(b) < segmentHeaderBytes {
 		return errTorn
 	}
 	if [4]byte(b[:4]) != segmentMagic {
-		return errors.New("it is no segment of a store")
+		return errors.New("not a segment of a store")
 	}
 	if version := binary.LittleEndian.Uint32(b[4:]); version != formatVersion {
-		return fmt.Errorf("it is of version %d, and this program reads version %d", version, formatVersion)
+		return fmt.Errorf("format version %d, but this program reads only version %d", version, formatVersion)
 	}
 	if found := binary.LittleEndian.Uint64(b[8:]); found != number {
-		return fmt.Errorf("it says that it is segment %d", found)
+		return fmt.Errorf("the header is that of segment %d", found)
 	}
 	return nil
 }
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// JobState is what the records of a batch job add up to.
+// JobState is the state of a batch job that results from its records.
 type JobState struct {
-	Accepted *Record // never changed
-	Attempts []Attempt
-	Final    *Record
+	Accepted *Record   // the record of acceptance; immutable
+	Attempts []Attempt // in the order in which they were recorded
+	Final    *Record   // the record of the final answer; nil until there is one
 }
 
-// Attempt is an attempt that was recorded before it was sent.
+// Attempt is the state of one attempt, which is recorded before the attempt is sent.
 type Attempt struct {
 	Epoch    uint32
 	Executor string
-	At       time.Time
+	At       time.Time // when it was recorded
 	Ended    bool
-	NeverRan bool // provably
+	NeverRan bool // the attempt is known not to have run
 }
 
-// JobStates are the states of all batch jobs, by their IDs.
+// JobStates are the states of all batch jobs, by ID.
 type JobStates map[string]*JobState
 
-// Apply applies a record; records must come in the order of the log. One about a job that is not there, or not any more, has no effect.
+// Apply applies a record to the state of its job. Records must be applied in the order of the log. A record of a job that was
+// never accepted, or was released, has no effect unless it accepts the job.
 func (s JobStates) Apply(r Record) {
 	job := s[r.ID]
 	if job == nil {
@@ -48,7 +49,7 @@
 	}
 }
 
-// attempt is the attempt under an epoch, or nil.
+// attempt returns the attempt that has an epoch, or nil.
 func (s *JobState) attempt(epoch uint32) *Attempt {
 	for i := range s.Attempts {
 		if s.Attempts[i].Epoch == epoch {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// Records are records that add up to the state, in order.
+// Records returns records, in order, from which Apply restores the state.
 func (s *JobState) Records() []Record {
 	records := []Record{*s.Accepted}
 	for _, a := range s.Attempts {
@@ -75,7 +76,7 @@
 	return records
 }
 
-// clone is a copy whose attempts are its own.
+// clone returns a copy that doesn't share its list of attempts. The records of the copy are shared.
 func (s *JobState) clone() JobState {
 	c := *s
 	c.Attempts = append([]Attempt(nil), s.Attempts...)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -6,44 +6,43 @@
 	"sync"
 )
 
-// Options bound a store.
+// Options limit the size of a store and of its segments.
 type Options struct {
-	SegmentBytes int64 // size of a segment in bytes, about: one that has reached it gets no more frames
-	MaxBytes     int64 // size of all segments in bytes, over which no new job is accepted; 0 for no bound
+	SegmentBytes int64 // size in bytes from which on a segment gets no more frames; its last frame may exceed it
+	MaxBytes     int64 // total size of all segments in bytes above which no new job is accepted; 0 for no limit
 }
 
-// Store is an open store. Its methods are safe for concurrent use, but for Compact.
+// Store is an open store. All of its methods except Compact are safe for concurrent use.
 type Store struct {
 	disk    Disk
 	options Options
 	lock    io.Closer
 
-	// Of the goroutine that commits, and of Compact.
-	file File // the last segment
+	file File // the last segment; used by commitLoop, or by Compact while nothing else uses the store
 
 	mu           sync.Mutex
-	wakeup       *sync.Cond // signaled when pending grows, or closing is set
-	pending      []pendingWrite
-	closing      bool
-	failed       error // wraps ErrFailed; nil while all is well
+	wakeup       *sync.Cond     // signaled when pending grows, or closing is set
+	pending      []pendingWrite // records that the next commit writes
+	closing      bool           // Close has been called
+	failed       error          // the error that made the store fail, wrapping ErrFailed; nil if it has not failed
 	jobs         JobStates
-	extents      map[string][]extent // where the live records of each job are, in the order of the segments
-	liveBytes    map[uint64]int64    // of records, by segment
-	segmentBytes map[uint64]int64    // by segment
-	firstSegment uint64
-	lastSegment  uint64
-	syncs        int
-
-	done chan struct{} // closed when the goroutine that commits has ended
+	extents      map[string][]extent // the segments that hold live records of each job, in ascending order
+	liveBytes    map[uint64]int64    // size of the live records in each segment
+	segmentBytes map[uint64]int64    // size of each segment
+	firstSegment uint64              // number of the oldest segment
+	lastSegment  uint64              // number of the segment that is written to
+	syncs        int                 // frames synced since the store was opened, except by compaction
+
+	done chan struct{} // closed when commitLoop has returned
 }
 
-// extent is how many bytes of a job's live records are in a segment.
+// extent is the size of a job's live records in one segment.
 type extent struct {
 	segment uint64
 	bytes   int
 }
 
-// Open opens a store, or creates one in an empty directory. A torn tail is truncated; other damage is an error.
+// Open opens a store, or creates one in an empty directory. A torn tail is truncated; other damage is returned as an error.
 func Open(disk Disk, options Options) (*Store, error) {
 	lock, err := disk.Lock()
 	if err != nil {
@@ -67,7 +66,7 @@
 	return s, nil
 }
 
-// Close commits what is pending and gives the directory back.
+// Close commits the pending records, closes the last segment and unlocks the directory.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closing {
@@ -81,7 +80,7 @@
 	return errors.Join(s.file.Close(), s.lock.Close())
 }
 
-// Get is the state of a batch job on disk.
+// Get returns the state of a batch job on disk, and false if the store has no such job.
 func (s *Store) Get(id string) (JobState, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,8 +90,8 @@
 	return JobState{}, false
 }
 
-// ForEach calls each with the state of every batch job, in no order.
-func (s *Store) ForEach(each func(JobState)) {
+// ForEach calls visit with the state of every batch job, in no particular order.
+func (s *Store) ForEach(visit func(JobState)) {
 	s.mu.Lock()
 	var jobs []JobState
 	for _, job := range s.jobs {
@@ -100,17 +99,17 @@
 	}
 	s.mu.Unlock()
 	for _, job := range jobs {
-		each(job)
+		visit(job)
 	}
 }
 
-// Stats describe a store.
+// Stats are statistics of a store.
 type Stats struct {
 	Jobs     int
-	Bytes    int64 // of all segments
+	Bytes    int64 // total size of all segments
 	Segments int
-	Syncs    int   // of frames, since it was opened
-	Failed   error // wraps ErrFailed; nil while all is well
+	Syncs    int   // frames synced since the store was opened, except by compaction
+	Failed   error // the error that made the store fail, wrapping ErrFailed; nil if it has not failed
 }
 
 // Stats returns the store's current statistics.
@@ -126,7 +125,7 @@
 	}
 }
 
-// totalBytes is the size of all segments.
+// totalBytes returns the total size of all segments.
 func (s *Store) totalBytes() (total int64) {
 	for _, size := range s.segmentBytes {
 		total += size
@@ -134,7 +133,7 @@
 	return total
 }
 
-// apply applies a record, and accounts for its bytes.
+// apply applies a record to the state of its job, and updates the sizes of live records. size is the record's size on disk.
 func (s *Store) apply(segment uint64, r Record, size int) {
 	s.jobs.Apply(r)
 	if s.jobs[r.ID] == nil {
@@ -150,7 +149,7 @@
 	s.liveBytes[segment] += int64(size)
 }
 
-// dropExtents takes a job's records out of the live ones.
+// dropExtents counts the records of a job as no longer live.
 func (s *Store) dropExtents(id string) {
 	for _, e := range s.extents[id] {
 		s.liveBytes[e.segment] -= int64(e.bytes)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -17,65 +17,74 @@
 	"birchstair/internal/store"
 )
 
+// day is the time of the first record of the tests.
 var day = time.UnixMilli(1_700_000_000_000).UTC()
 
-// appendTo appends a record and waits until it is on disk.
+// appendTo appends a record and waits until it is on disk or can't be written.
 func appendTo(s *store.Store, r store.Record) error {
 	done := make(chan error, 1)
 	s.Append(r, func(err error) { done <- err })
 	return <-done
 }
 
-func accepted(id string, body int) store.Record {
-	return store.Record{Kind: store.Accepted, ID: id, At: day, JobClass: "verify", Deadline: day.Add(time.Hour), Body: make([]byte, body)}
+// accepted returns the record of a new job whose body has that many bytes.
+func accepted(id string, bodyBytes int) store.Record {
+	return store.Record{
+		Kind:     store.Accepted,
+		ID:       id,
+		At:       day,
+		JobClass: "verify",
+		Deadline: day.Add(time.Hour),
+		Body:     make([]byte, bodyBytes),
+	}
 }
 
-// describeState prints the state of a batch job.
+// describeState formats the state of a batch job.
 func describeState(st store.JobState) string {
 	s := fmt.Sprintf("%s %d bytes", st.Accepted.ID, len(st.Accepted.Body))
 	for _, a := range st.Attempts {
-		s += fmt.Sprintf(" sent %d", a.Epoch)
+		s += fmt.Sprintf(", attempt %d started", a.Epoch)
 		if a.Ended {
-			s += fmt.Sprintf(" over %v", a.NeverRan)
+			s += fmt.Sprintf(" and ended (never ran: %v)", a.NeverRan)
 		}
 	}
 	if st.Final != nil {
-		s += fmt.Sprintf(" final %d", st.Final.Outcome)
+		s += fmt.Sprintf(", final answer %d", st.Final.Outcome)
 	}
 	return s
 }
 
-// acknowledged is what was acknowledged of a job.
-type acknowledged struct{ accepted, sent, over, final, gone bool }
+// acknowledged holds which kinds of records of a job were acknowledged.
+type acknowledged struct{ accepted, started, ended, final, released bool }
 
-// crashTest appends to a store on a disk that loses and tears, through crashes, and checks what it recovers.
+// crashTest runs a store on a disk that loses and tears unsynced data, crashes it repeatedly, and checks what is recovered.
 type crashTest struct {
 	rand *rand.Rand
 	disk *emulator.Disk
-	jobs int // appended so far
+	jobs int // number of jobs appended so far
 
-	mu    sync.Mutex
-	acked map[string]*acknowledged
-	tried map[string]bool // IDs of jobs that were appended, and "gone ID" where that was
-	wait  sync.WaitGroup  // appends that wait for their result
+	mu       sync.Mutex
+	acked    map[string]*acknowledged // by job ID
+	appended map[string]bool          // IDs of jobs that were appended, and "released ID" of those whose release was appended
+	wait     sync.WaitGroup           // appends that have no result yet
 }
 
-// playCrashes appends, crashes and reopens several times. It fails if an acknowledged record is missing, or one is there that was never
-// appended.
-func playCrashes(seed uint64, lies bool) error {
+// runCrashes appends, crashes and reopens several times. It returns an error if an acknowledged record is missing after a crash,
+// or if a record is found that was never appended. On a lying disk, syncs do nothing.
+func runCrashes(seed uint64, lyingDisk bool) error {
 	r := rand.New(rand.NewPCG(seed, 1))
-	c := &crashTest{rand: r, disk: emulator.NewDisk(r), acked: map[string]*acknowledged{}, tried: map[string]bool{}}
-	c.disk.Lies = lies
+	c := &crashTest{rand: r, disk: emulator.NewDisk(r), acked: map[string]*acknowledged{}, appended: map[string]bool{}}
+	c.disk.Lies = lyingDisk
 	for range 6 {
-		if err := c.playLife(); err != nil {
+		if err := c.runProcess(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// playLife opens the store, checks it, appends records of new jobs, and closes it or crashes.
-func (c *crashTest) playLife() error {
+// runProcess opens the store, checks what it recovered, appends records of new jobs, and closes the store or crashes.
+func (c *crashTest) runProcess() error {
 	s, err := store.Open(c.disk, store.Options{SegmentBytes: 1500, MaxBytes: 1 << 20})
 	if err != nil {
 		return fmt.Errorf("open: %w", err)
@@ -89,16 +98,16 @@
 			c.wait.Wait()
 		}
 	}
-	if c.rand.IntN(4) == 0 { // a planned end
+	if c.rand.IntN(4) == 0 { // a regular shutdown
 		if err := s.Close(); err != nil {
 			return err
 		}
 		c.disk.Crash()
 		return nil
 	}
-	c.disk.Crash() // with some of it on its way
+	c.disk.Crash() // with some records still pending
 	c.wait.Wait()
-	s.Close() //nolint:errcheck // the process that has it open has crashed, and may not close anything
+	s.Close() //nolint:errcheck // after the crash the disk returns errors; this only ends the store's goroutine
 	return nil
 }
 
@@ -107,82 +116,83 @@
 	for id, a := range c.acked {
 		st, ok := s.Get(id)
 		switch {
-		case a.gone && !ok:
-		case a.gone:
-			return fmt.Errorf("%s was let go and is back", id)
-		case !ok && c.tried["gone "+id]:
+		case a.released && !ok:
+		case a.released:
+			return fmt.Errorf("%s was released, but was recovered", id)
+		case !ok && c.appended["released "+id]:
 		case !ok:
-			return fmt.Errorf("%s was acknowledged and is lost", id)
-		case a.sent && len(st.Attempts) == 0 || a.over && !st.Attempts[0].Ended || a.final && st.Final == nil:
-			return fmt.Errorf("%s came back as %q, without what was acknowledged: %+v", id, describeState(st), *a)
+			return fmt.Errorf("%s was acknowledged, but was not recovered", id)
+		case a.started && len(st.Attempts) == 0 || a.ended && !st.Attempts[0].Ended || a.final && st.Final == nil:
+			return fmt.Errorf("%s was recovered as %q, which lacks acknowledged records: %+v", id, describeState(st), *a)
 		}
 	}
-	var wrong error
+	var unexpected error
 	s.ForEach(func(st store.JobState) {
-		if !c.tried[st.Accepted.ID] {
-			wrong = fmt.Errorf("%s was never written", describeState(st))
+		if !c.appended[st.Accepted.ID] {
+			unexpected = fmt.Errorf("%s was recovered, but was never appended", describeState(st))
 		}
 	})
-	return wrong
+	return unexpected
 }
 
-// appendJob appends some records of a new job.
+// appendJob appends a random selection of the records of a new job.
 func (c *crashTest) appendJob(s *store.Store) {
 	c.jobs++
 	id := fmt.Sprint("j", c.jobs)
 	a := &acknowledged{}
-	c.tried[id] = true
+	c.appended[id] = true
 	c.append(s, accepted(id, c.rand.IntN(200)), func() { a.accepted = true; c.acked[id] = a })
 	if c.rand.IntN(2) == 0 {
-		c.append(s, store.Record{Kind: store.AttemptStarted, ID: id, At: day, Epoch: 1, Executor: "e"}, func() { a.sent = true })
+		c.append(s, store.Record{Kind: store.AttemptStarted, ID: id, At: day, Epoch: 1, Executor: "e"}, func() { a.started = true })
 		if c.rand.IntN(2) == 0 {
-			c.append(s, store.Record{Kind: store.AttemptEnded, ID: id, At: day, Epoch: 1, NeverRan: true}, func() { a.over = true })
+			c.append(s, store.Record{Kind: store.AttemptEnded, ID: id, At: day, Epoch: 1, NeverRan: true}, func() { a.ended = true })
 		}
 	}
 	if c.rand.IntN(3) == 0 {
 		c.append(s, store.Record{Kind: store.Final, ID: id, At: day, Body: []byte("r")}, func() { a.final = true })
 		if c.rand.IntN(2) == 0 {
 			c.mu.Lock()
-			c.tried["gone "+id] = true
+			c.appended["released "+id] = true
 			c.mu.Unlock()
-			c.append(s, store.Record{Kind: store.Released, ID: id, At: day}, func() { a.gone = true })
+			c.append(s, store.Record{Kind: store.Released, ID: id, At: day}, func() { a.released = true })
 		}
 	}
 }
 
-// append appends a record, and calls note once it is acknowledged.
-func (c *crashTest) append(s *store.Store, r store.Record, note func()) {
+// append appends a record, and calls onAcknowledged with c.mu held once the record is acknowledged.
+func (c *crashTest) append(s *store.Store, r store.Record, onAcknowledged func()) {
 	c.wait.Add(1)
 	s.Append(r, func(err error) {
 		defer c.wait.Done()
 		if err == nil {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			note()
+			onAcknowledged()
 		}
 	})
 }
 
-// TestCrashes checks that nothing acknowledged is ever lost, and nothing is recovered that was never written, on a disk that loses and
-// tears what was not synced, through crashes, compactions and recoveries. A disk that lies about its syncs is caught, so the test can fail.
+// TestCrashes checks that no acknowledged record is ever lost, and that no record is recovered that was never appended, through
+// crashes, compactions and recoveries on a disk that loses and tears unsynced data. As a check of the test itself, it must find
+// lost records on a disk whose syncs do nothing.
 func TestCrashes(t *testing.T) {
 	for seed := range uint64(400) {
-		if err := playCrashes(seed, false); err != nil {
+		if err := runCrashes(seed, false); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
-	caught := 0
+	detected := 0
 	for seed := range uint64(20) {
-		if playCrashes(seed, true) != nil {
-			caught++
+		if runCrashes(seed, true) != nil {
+			detected++
 		}
 	}
-	if caught == 0 {
-		t.Error("a disk that lies is not caught")
+	if detected == 0 {
+		t.Error("no run on a disk whose syncs do nothing has failed")
 	}
 }
 
-// TestFailedSync checks that a failed sync is final: nothing is acknowledged after it, and all before it is recovered.
+// TestFailedSync checks that a failed sync is final: no record is acknowledged after it, and all earlier ones are recovered.
 func TestFailedSync(t *testing.T) {
 	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	s, err := store.Open(disk, store.Options{SegmentBytes: 1 << 20})
@@ -195,27 +205,27 @@
 	disk.FailSync = 1
 	for _, id := range []string{"b", "c"} {
 		if err := appendTo(s, accepted(id, 10)); !errors.Is(err, store.ErrFailed) {
-			t.Errorf("%s after a failed sync: %v", id, err)
+			t.Errorf("append of %s at or after a failed sync: error %v, want ErrFailed", id, err)
 		}
 	}
-	if !errors.Is(s.Stats().Failed, store.ErrFailed) {
-		t.Error("the figures don't tell")
+	if err := s.Stats().Failed; !errors.Is(err, store.ErrFailed) {
+		t.Errorf("Stats().Failed after a failed sync: %v, want ErrFailed", err)
 	}
 	disk.Crash()
 	if s, err = store.Open(disk, store.Options{SegmentBytes: 1 << 20}); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := s.Get("a"); !ok {
-		t.Error("a is lost")
+		t.Error("a was acknowledged, but was not recovered")
 	}
 	if _, ok := s.Get("c"); ok {
-		t.Error("c was written to a broken store")
+		t.Error("c was written after the store had failed")
 	}
 }
 
-// TestRoom checks a full disk: what does not fit is not acknowledged, and all before it is recovered. A store that has reached its bound
-// rejects new jobs, and still accepts records of those that it has.
-func TestRoom(t *testing.T) {
+// TestFull checks the limits of a store's size. A store above Options.MaxBytes rejects new jobs, but accepts records of the jobs
+// that it has. On a full disk, a record that doesn't fit is not acknowledged, and all earlier ones are recovered.
+func TestFull(t *testing.T) {
 	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	s, _ := store.Open(disk, store.Options{SegmentBytes: 1 << 20, MaxBytes: 2000})
 	var err error
@@ -224,18 +234,18 @@
 		err = appendTo(s, accepted(fmt.Sprint("j", count), 200))
 	}
 	if !errors.Is(err, store.ErrFull) || count < 5 {
-		t.Fatalf("after %d: %v", count, err)
+		t.Fatalf("error after %d jobs: %v, want ErrFull after at least 5", count, err)
 	}
 	if err := appendTo(s, store.Record{Kind: store.Final, ID: "j0", At: day, Body: []byte("r")}); err != nil {
-		t.Errorf("the answer of what it has: %v", err)
+		t.Errorf("append of a known job's final answer to a full store: %v", err)
 	}
 	disk.Room = 50
 	if err := appendTo(s, store.Record{Kind: store.Final, ID: "j1", At: day, Body: make([]byte, 100)}); !errors.Is(err, store.ErrFailed) {
-		t.Errorf("a full disk: %v", err)
+		t.Errorf("append on a full disk: error %v, want ErrFailed", err)
 	}
 	disk.Crash()
 	if _, err = store.Open(disk, store.Options{SegmentBytes: 1 << 20}); err == nil {
-		t.Error("a disk without room lets a store open")
+		t.Error("the store was opened on a full disk")
 	}
 	disk.Crash()
 	disk.Room = -1
@@ -243,12 +253,12 @@
 		t.Fatal(err)
 	}
 	if st, ok := s.Get("j0"); !ok || st.Final == nil {
-		t.Error("j0's answer is lost")
+		t.Error("the final answer of j0 was acknowledged, but was not recovered")
 	}
 }
 
-// TestDamage checks that damage other than a torn tail is reported with its place, and that the store is not opened.
-func TestDamage(t *testing.T) {
+// TestCorruption checks that a store with damage other than a torn tail is not opened, and that the error names the segment.
+func TestCorruption(t *testing.T) {
 	dir := t.TempDir()
 	fill := func(segments int) {
 		for i := range segments {
@@ -279,46 +289,46 @@
 		t.Fatal(err)
 	}
 	if err := open(); !errors.Is(err, store.ErrLocked) || !strings.Contains(err.Error(), "another process uses it") {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("the store was opened twice at a time: error %v, want ErrLocked", err)
 	}
 	closeStore(t, s)
 	first := filepath.Join(dir, "000000000001.log")
-	whole, err := os.ReadFile(first)
+	intact, err := os.ReadFile(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, change := range map[string]func() error{
+	for name, damage := range map[string]func() error{
 		"a flipped bit": func() error {
-			b := append([]byte(nil), whole...)
+			b := append([]byte(nil), intact...)
 			b[60] ^= 1
 			return os.WriteFile(first, b, 0o600)
 		},
-		"a torn end that is not the last": func() error { return os.WriteFile(first, whole[:len(whole)-5], 0o600) },
-		"another version": func() error {
-			b := append([]byte(nil), whole...)
+		"a torn tail of the first segment": func() error { return os.WriteFile(first, intact[:len(intact)-5], 0o600) },
+		"an unknown format version": func() error {
+			b := append([]byte(nil), intact...)
 			b[4] = 9
 			return os.WriteFile(first, b, 0o600)
 		},
-		"a segment missing": func() error { return os.Remove(filepath.Join(dir, "000000000002.log")) },
+		"a missing segment": func() error { return os.Remove(filepath.Join(dir, "000000000002.log")) },
 	} {
-		if err := change(); err != nil {
+		if err := damage(); err != nil {
 			t.Fatal(err)
 		}
 		if err := open(); err == nil {
-			t.Errorf("%s is not noticed", name)
+			t.Errorf("%s was not detected", name)
 		} else if !strings.Contains(err.Error(), "00000000000") {
-			t.Errorf("%s: no place in %q", name, err)
+			t.Errorf("%s: error %q does not name the segment", name, err)
 		}
-		if err := os.WriteFile(first, whole, 0o600); err != nil {
+		if err := os.WriteFile(first, intact, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if name == "a segment missing" {
-			return // nothing can be made of it any more
+		if name == "a missing segment" {
+			return // the removed segment is not restored, so the store can't be opened any more
 		}
 	}
 }
 
-// FuzzSegment checks that no bytes make the scan panic, and none bring back a record that was never written.
+// FuzzSegment checks that Scan doesn't panic, whatever a segment contains, and never returns a record that was not written.
 func FuzzSegment(f *testing.F) {
 	disk := emulator.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	s, err := store.Open(disk, store.Options{SegmentBytes: 1 << 20})
@@ -336,13 +346,13 @@
 	if err := s.Close(); err != nil {
 		f.Fatal(err)
 	}
-	whole, err := disk.Read("000000000001.log")
+	intact, err := disk.Read("000000000001.log")
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole, 0, byte(0))
-	f.Add(whole, 20, byte(4))
-	f.Add(whole[:len(whole)-3], 40, byte(255))
+	f.Add(intact, 0, byte(0))
+	f.Add(intact, 20, byte(4))
+	f.Add(intact[:len(intact)-3], 40, byte(255))
 	f.Add([]byte("brst"), 1, byte(1))
 	f.Fuzz(func(t *testing.T, b []byte, at int, flip byte) {
 		if len(b) > 0 {
@@ -354,20 +364,20 @@
 		}
 		_, err := store.Scan(store.Directory(dir), func(_ uint64, r store.Record, size int) {
 			if r.ID == "" || size <= 0 {
-				t.Errorf("a record of nothing: %+v", r)
+				t.Errorf("invalid record of %d bytes: %+v", size, r)
 			}
-			if strings.HasPrefix(string(b), string(whole[:16])) && r.ID != "a" && r.ID != "b" && len(b) <= len(whole) {
-				t.Errorf("%q was never written", r.ID)
+			if strings.HasPrefix(string(b), string(intact[:16])) && r.ID != "a" && r.ID != "b" && len(b) <= len(intact) {
+				t.Errorf("a record of job %q was read, but was never written", r.ID)
 			}
 		})
 		if err != nil {
-			t.Log(err) // as for most of them
+			t.Log(err) // expected for most inputs
 		}
 	})
 }
 
-// BenchmarkAppend compares this store with an embedded database, by the jobs that many clients append at once, each acknowledged once it
-// is on disk.
+// BenchmarkAppend compares this store with an embedded database. Many clients append jobs at once, and each waits until its job
+// is on disk before it appends the next.
 func BenchmarkAppend(b *testing.B) {
 	for _, clients := range []int{1, 64, 512} {
 		each := func(b *testing.B, put func(id string) error) {
