--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -18,7 +18,7 @@
 )
 
 // errTorn is returned for a segment header that is too short, and for bytes that don't begin with a complete, valid frame.
-var errTorn = errors.New("no whole frame")
+var errTorn = errors.New("incomplete or damaged frame")
 
 // CorruptionError reports damage that can't be a torn tail, so that acknowledged records may be lost.
 type CorruptionError struct {
