--- a/internal/durable/class.go
+++ b/internal/durable/class.go
@@ -8,18 +8,18 @@
 	"birchstair/policy"
 )
 
-// ClassPrefix begins the name of the durable job class that belongs to an ordinary one.
+// ClassPrefix is put before the name of an ordinary job class to form the name of its durable class.
 const ClassPrefix = "durable/"
 
-// jobClass is what the manager needs of a durable job class.
+// jobClass is a durable job class.
 type jobClass struct {
-	id          policy.JobClassID // the reducer's
-	keyRequired bool              // submissions must carry an idempotency key
+	id          policy.JobClassID // ID of the class in the node's state machine
+	keyRequired bool              // submissions must have an idempotency key
 	lease       leases.JobClass
-	dropped     bool // not configured any more: jobs in the store go on, new ones are refused
+	removed     bool // no longer configured: jobs in the store continue, new ones are rejected
 }
 
-// newJobClass makes the durable class with that id of an ordinary one.
+// newJobClass returns the durable class of an ordinary one. id is the ID of the durable class.
 func newJobClass(id policy.JobClassID, class policy.JobClass) jobClass {
 	return jobClass{
 		id:          id,
@@ -32,11 +32,11 @@
 	}
 }
 
-// AddClasses appends a durable class for each ordinary one. Its deadline and its latency objective are maxDeadline, so that a durable job
-// counts as in time for as long as it may run.
+// AddClasses appends a durable class for each ordinary one. Deadline and latency objective of a durable class are maxDeadline,
+// so that a durable job counts as on time for as long as it may run.
 func AddClasses(settings policy.Settings, maxDeadline time.Duration) policy.Settings {
 	for _, class := range slices.Clone(settings.JobClasses) {
-		class.ExpectedWork = class.LatencyObjective // an objective of hours says nothing about the work
+		class.ExpectedWork = class.LatencyObjective // the ordinary objective; maxDeadline says nothing about the work
 		class.Deadline = maxDeadline
 		class.LatencyObjective = maxDeadline
 		class.RunTimeFactor = 0
--- a/internal/durable/codec.go
+++ b/internal/durable/codec.go
@@ -12,18 +12,18 @@
 	"birchstair/internal/store"
 )
 
-// jobStatus is a job as it is sent to clients.
+// jobStatus is the status of a job that is sent to clients.
 type jobStatus struct {
 	ID     string `json:"id"`
-	State  string `json:"state"`
-	Final  string `json:"final,omitempty"`
-	Result []byte `json:"result,omitempty"`
+	State  string `json:"state"`            // a value of stateNames, or removedState
+	Final  string `json:"final,omitempty"`  // a value of finalNames; empty until there is a final answer
+	Result []byte `json:"result,omitempty"` // body of the result
 }
 
-// removedState is the state of a job that was removed while its response was made.
+// removedState is the state of a job that was removed before its status was read for the response.
 const removedState = "let go"
 
-// stateNames are the states' names on the wire.
+// stateNames maps the states to their names on the wire.
 var stateNames = map[leases.State]string{
 	leases.Storing:      "keeping",
 	leases.Waiting:      "waiting",
@@ -33,32 +33,33 @@
 	leases.Done:         "done",
 }
 
-// finalNames are the final answers' names on the wire.
+// finalNames maps the kinds of final answers to their names on the wire.
 var finalNames = map[leases.Final]string{
 	leases.Succeeded: "handled",
 	leases.Rejected:  "pushed back",
 	leases.Failed:    "broken off",
 }
 
-// statusError is an error that a client is answered with.
+// statusError is an error that is sent to a client as an HTTP response.
 type statusError struct {
-	status     int           // of HTTP
-	message    string        // the body
-	retryAfter time.Duration // 0: no advice
+	status     int           // HTTP status code
+	message    string        // body of the response
+	retryAfter time.Duration // value of the Retry-After header; 0 for none
 }
 
-// Error gives the message.
+// Error returns the message.
 func (e *statusError) Error() string { return e.message }
 
-// badRequest is an error in what a client has sent.
+// badRequest returns the error for an invalid request.
 func badRequest(format string, args ...any) error {
 	return &statusError{status: http.StatusBadRequest, message: fmt.Sprintf(format, args...)}
 }
 
-// retryAfter is the advice to clients whose submission may succeed soon.
+// retryAfter is the Retry-After time in responses to submissions that may soon succeed.
 const retryAfter = 2 * time.Second
 
-// errorResponses are the responses to errors of the manager, the first that fits.
+// errorResponses maps errors to their responses. The first entry that the error wraps is used: an error of a full store wraps
+// both store.ErrFull and errStore.
 var errorResponses = []struct {
 	err      error
 	response statusError
@@ -72,7 +73,7 @@
 	{errNotFound, statusError{http.StatusNotFound, "no durable batch job is called so here, or it was let go", 0}},
 }
 
-// responseTo finds the response to an error.
+// responseTo returns the response to an error.
 func responseTo(err error) statusError {
 	var bad *statusError
 	if errors.As(err, &bad) {
--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -1,20 +1,21 @@
-// Package durable serves batch jobs that survive a crash of their node.
+// Package durable serves durable batch jobs, which survive a crash of their node.
 //
-// A client submits a job over HTTP under an id of its own, which makes submission idempotent: a repeat with the same content
-// finds the job that is there. The submission is acknowledged once its record is synced to the store. The final answer is
-// retained there until the client removes it or its retention ends.
+// A client submits a job over HTTP under an ID of its choice, which makes submission idempotent: repeating a submission with
+// the same content has no further effect. A submission is acknowledged once its record is synced to the store. The store keeps
+// the final answer until the client removes the job or the retention time ends.
 //
-// Manager stands between the reducer and its edges, node.Frontend and node.Upstream. Each attempt is written to its executor
-// only after a record with its epoch is synced. The epoch is a fencing token: after a restart, executors that support leases are
-// polled about the last epoch, and an executor that has not begun it must refuse it from then on. Package leases decides
-// which effect follows which event; this package carries the effects out.
+// Manager stands between the node's state machine and the interfaces through which it reaches clients and executors,
+// node.Frontend and node.Upstream. It sends an attempt to an executor only after a record with the attempt's epoch is synced.
+// The epoch is a fencing token: after a restart, the node queries executors that support leases about the last epoch of a job.
+// An executor that has not started that epoch must refuse it from then on. Package leases decides which effects follow from
+// an event, and this package carries the effects out.
 //
 //   - http.go: the HTTP handler, and the checks of what clients send
-//   - codec.go: the forms on the wire, and the responses to errors
+//   - codec.go: response bodies, and the mapping of errors to responses
 //   - submit.go: submission, waiting for a final answer, removal
-//   - effects.go: the effects of package leases
-//   - edges.go: the wrappers of the reducer's edges
-//   - recover.go: recovery of the jobs in the store at a start
-//   - lease_poll.go: polling executors about attempts of an earlier incarnation
+//   - effects.go: carries out the effects of package leases
+//   - interceptors.go: intercepts the state machine's calls of node.Frontend and node.Upstream
+//   - recover.go: recovery of the jobs in the store when the node starts
+//   - lease_query.go: queries to executors about attempts that were sent before a restart
 //   - class.go: the durable job classes
 package durable
--- a/internal/durable/effects.go
+++ b/internal/durable/effects.go
@@ -11,7 +11,7 @@
 	"birchstair/policy"
 )
 
-// step hands one event to the book and applies the effects.
+// step passes one event to the job table and carries out the effects.
 func (m *Manager) step(event func(now time.Duration) []leases.Effect) {
 	m.mu.Lock()
 	effects := event(now())
@@ -19,7 +19,7 @@
 	m.apply(effects)
 }
 
-// apply carries effects out in their order. Called without the lock.
+// apply carries out effects in their order. Called without m.mu held.
 func (m *Manager) apply(effects []leases.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -42,7 +42,7 @@
 		case leases.SendAttempt:
 			m.sendAttempt(effect)
 		case leases.QueryAttempt:
-			go m.pollLease(effect)
+			go m.queryLease(effect)
 		case leases.Publish:
 			m.publish(effect.ID)
 		case leases.Wake:
@@ -51,7 +51,8 @@
 	}
 }
 
-// write appends a record to the store. After it is synced onWritten takes the event, if there is one; after a failure nothing follows.
+// write appends a record to the store. Once the record is synced, onWritten, unless nil, is called as the event of a step. It
+// is not called if the record can't be written.
 func (m *Manager) write(record store.Record, onWritten func(now time.Duration) []leases.Effect) {
 	m.append(record, func(err error) {
 		if err == nil && onWritten != nil {
@@ -60,7 +61,8 @@
 	})
 }
 
-// append appends a record to the store and logs a failure, unless the store is full or closing, which is no fault.
+// append appends a record to the store. It logs a failure, unless the store is full or the manager is closing: these are
+// expected.
 func (m *Manager) append(record store.Record, done func(error)) {
 	m.store.Append(record, func(err error) {
 		if err != nil && !errors.Is(err, store.ErrFull) && m.ctx.Err() == nil {
@@ -70,7 +72,7 @@
 	})
 }
 
-// writeAccepted writes the record of a submission. If that fails, its client gets an error and the job is forgotten.
+// writeAccepted writes the record of a submission. If that fails, the job is forgotten and its client gets an error.
 func (m *Manager) writeAccepted(id leases.ID) {
 	m.mu.Lock()
 	record := m.unwritten[id]
@@ -83,9 +85,9 @@
 			delete(m.unwritten, id)
 			if err != nil {
 				m.acknowledge(id, err)
-				return m.book.JobNotStored(now, id)
+				return m.jobTable.JobNotStored(now, id)
 			}
-			return m.book.JobStored(now, id)
+			return m.jobTable.JobStored(now, id)
 		})
 	})
 }
@@ -99,7 +101,7 @@
 		Executor: string(effect.Attempt.Executor),
 	}
 	m.write(record, func(now time.Duration) []leases.Effect {
-		return m.book.AttemptStored(now, effect.ID, effect.Attempt.Epoch)
+		return m.jobTable.AttemptStored(now, effect.ID, effect.Attempt.Epoch)
 	})
 }
 
@@ -111,10 +113,11 @@
 		Outcome: uint8(effect.Final),
 		Body:    effect.Result,
 	}
-	m.write(record, func(now time.Duration) []leases.Effect { return m.book.FinalStored(now, effect.ID) })
+	m.write(record, func(now time.Duration) []leases.Effect { return m.jobTable.FinalStored(now, effect.ID) })
 }
 
-// acknowledge answers the client that waits for its submission's record, if one does. Called with the lock held.
+// acknowledge passes the result of writing a submission's record to the client that waits for it, if any. Called with m.mu
+// held.
 func (m *Manager) acknowledge(id leases.ID, err error) {
 	if waiter := m.ackWaiters[id]; waiter != nil {
 		delete(m.ackWaiters, id)
@@ -122,7 +125,8 @@
 	}
 }
 
-// dispatch hands a job to the reducer, from a goroutine of its own: the reducer's own goroutine, which may be the caller, would wait for itself.
+// dispatch submits a job to the state machine. The event is posted from a new goroutine: post may block until the event loop
+// takes an event, and the caller may be the event loop itself.
 func (m *Manager) dispatch(effect leases.Submit) {
 	stored, ok := m.store.Get(string(effect.ID))
 	if !ok {
@@ -149,7 +153,8 @@
 	go m.post(node.JobArrived{Job: job})
 }
 
-// sendAttempt writes an attempt whose record is synced to its executor, if it is still the latest on its connection.
+// sendAttempt sends an attempt, whose record is synced by now, to its executor, unless the attempt has ended or the job has a
+// later one.
 func (m *Manager) sendAttempt(effect leases.SendAttempt) {
 	m.mu.Lock()
 	conn := m.latestConn[effect.ID]
@@ -170,12 +175,12 @@
 	}
 }
 
-// setTimer replaces the one timer of the book.
+// setTimer sets the time at which the job table is next woken, and stops the previous timer.
 func (m *Manager) setTimer(at time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.timer != nil {
 		m.timer.Stop()
 	}
-	m.timer = time.AfterFunc(max(0, at-now()), func() { m.step(m.book.Wake) })
+	m.timer = time.AfterFunc(max(0, at-now()), func() { m.step(m.jobTable.Wake) })
 }
--- a/internal/durable/http.go
+++ b/internal/durable/http.go
@@ -11,25 +11,25 @@
 	"birchstair/internal/store"
 )
 
-// Path begins the paths of the HTTP handler:
+// Path is the prefix of the paths that the HTTP handler serves:
 //
-//	PUT    /-/jobs/ID          submit a job: 201 once it is synced to the disk, 200 where it was already there.
-//	                           Headers as for ordinary jobs: X-Call-Class, X-Budget-Ms, Idempotency-Key, X-Call-Cost, Content-Type;
-//	                           and X-Path, the path that the executor sees
-//	GET    /-/jobs/ID?wait_ms= its state, or its final answer if it comes within that time
-//	DELETE /-/jobs/ID          remove a job that has its final answer
+//	PUT    /-/jobs/ID           Submits a job. The status is 201 once the job is synced to disk, or 200 if it was submitted before.
+//	                            The headers X-Call-Class, X-Budget-Ms, Idempotency-Key, X-Call-Cost and Content-Type are those
+//	                            of ordinary jobs. X-Path is the path of the request to the executor.
+//	GET    /-/jobs/ID?wait_ms=N Returns the job's state. Waits up to N milliseconds for the final answer.
+//	DELETE /-/jobs/ID           Removes a job that has its final answer.
 const Path = "/-/jobs/"
 
 const (
 	maxIDBytes   = 100
-	maxKeyBytes  = 100 // of an idempotency key
-	maxBodyBytes = 64 << 10
-	maxWait      = 5 * time.Minute
-	writeTimeout = 5 * time.Second // of a response
-	maxCost      = 1e12            // microseconds
+	maxKeyBytes  = 100             // length of an idempotency key
+	maxBodyBytes = 64 << 10        // length of a submission's body
+	maxWait      = 5 * time.Minute // time that a GET request waits for a final answer
+	writeTimeout = 5 * time.Second // time to write a response
+	maxCost      = 1e12            // expected work of a job, in microseconds
 )
 
-// ServeHTTP answers a request of a client.
+// ServeHTTP implements http.Handler for requests under Path.
 func (m *Manager) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := strings.TrimPrefix(r.URL.Path, Path)
 	if id == "" || len(id) > maxIDBytes || strings.ContainsAny(id, "/ \t") {
@@ -49,7 +49,7 @@
 	writeStatus(w, status, m.status(leases.ID(id)))
 }
 
-// handle carries out a request and gives the status of its response.
+// handle carries out a request and returns the HTTP status of its response.
 func (m *Manager) handle(w http.ResponseWriter, r *http.Request, id string) (status int, err error) {
 	switch r.Method {
 	case http.MethodPut:
@@ -74,7 +74,7 @@
 	if err != nil {
 		return 0, err
 	}
-	setReadDeadline(w, time.Time{}) // from now on the client waits
+	setReadDeadline(w, time.Time{}) // the request is read, and syncing the record may take long
 	created, err := m.submit(r.Context(), job)
 	if created {
 		return http.StatusCreated, err
@@ -82,7 +82,7 @@
 	return http.StatusOK, err
 }
 
-// readSubmission checks the headers of a submission in their order, and reads its body.
+// readSubmission parses and checks the headers of a submission, then reads its body.
 func (m *Manager) readSubmission(r *http.Request, id string) (job submission, err error) {
 	header := r.Header
 	job.record = store.Record{
@@ -103,7 +103,7 @@
 	m.mu.Lock()
 	class, ok := m.classes[job.record.JobClass]
 	m.mu.Unlock()
-	if !ok || class.dropped {
+	if !ok || class.removed {
 		return job, badRequest("X-Call-Class: no track is called %.40q", job.record.JobClass)
 	}
 	if key := job.record.IdempotencyKey; len(key) > maxKeyBytes || class.keyRequired && key == "" {
@@ -119,7 +119,7 @@
 	return job, err
 }
 
-// readBudget reads the time until the deadline, in milliseconds.
+// readBudget parses the time until the deadline, in milliseconds.
 func (m *Manager) readBudget(text string) (time.Duration, error) {
 	maxBudget := m.options.MaxDeadline.Milliseconds()
 	budget, err := strconv.ParseInt(text, 10, 64)
@@ -129,13 +129,13 @@
 	return time.Duration(budget) * time.Millisecond, nil
 }
 
-// readCost reads the expected work, in microseconds; 0 where the client says none.
+// readCost parses the expected work, in microseconds. It returns 0 if the client states none.
 func readCost(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
 	cost, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(cost >= 0 && cost < maxCost) { // the negation refuses NaN as well
+	if err != nil || !(cost >= 0 && cost < maxCost) { // written this way, the condition rejects NaN as well
 		return 0, badRequest("X-Call-Cost: %.40q is not a number of microseconds", text)
 	}
 	return time.Duration(cost * float64(time.Microsecond)), nil
@@ -152,7 +152,7 @@
 	return body, nil
 }
 
-// waitTimeout reads how long a client wants to wait for a final answer, in milliseconds.
+// waitTimeout parses the wait_ms parameter, the time to wait for a final answer in milliseconds. The result is at most maxWait.
 func waitTimeout(r *http.Request) (time.Duration, error) {
 	text := r.URL.Query().Get("wait_ms")
 	if text == "" {
@@ -166,9 +166,9 @@
 }
 
 func setReadDeadline(w http.ResponseWriter, deadline time.Time) {
-	http.NewResponseController(w).SetReadDeadline(deadline) //nolint:errcheck // fails on a closed connection only: the next read tells
+	http.NewResponseController(w).SetReadDeadline(deadline) //nolint:errcheck // fails only if the connection is closed, which the next read reports
 }
 
 func setWriteDeadline(w http.ResponseWriter, deadline time.Time) {
-	http.NewResponseController(w).SetWriteDeadline(deadline) //nolint:errcheck // fails on a closed connection only: the write tells
+	http.NewResponseController(w).SetWriteDeadline(deadline) //nolint:errcheck // fails only if the connection is closed, which the next write reports
 }
--- a/internal/durable/edges.go
+++ b/internal/durable/interceptors.go
@@ -9,7 +9,7 @@
 	"birchstair/policy"
 )
 
-// Observe sees the reducer's steps: the endpoints' addresses, and how attempts end.
+// Observe is called after each step of the node's state machine. It records the endpoints' addresses and the ends of attempts.
 func (m *Manager) Observe(_ time.Duration, event node.Event, _ []node.Effect) {
 	switch event := event.(type) {
 	case node.EndpointsUpdated:
@@ -17,7 +17,7 @@
 	case node.AttemptEnded:
 		m.attemptEnded(event.Conn, event.Outcome.NeverRan(), false)
 	case node.ConnClosed:
-		m.attemptEnded(event.Conn, true, true) // nothing of the attempt was sent, or its outcome would have come first
+		m.attemptEnded(event.Conn, true, true) // no part of an attempt was sent, or else AttemptEnded would have come first
 	}
 }
 
@@ -48,16 +48,16 @@
 	if m.latestConn[ended.id] == conn {
 		delete(m.latestConn, ended.id)
 	}
-	effects := m.book.AttemptEnded(now(), ended.id, ended.epoch, neverRan || m.faults.allEndsAsNeverRan)
+	effects := m.jobTable.AttemptEnded(now(), ended.id, ended.epoch, neverRan || m.faults.allEndsAsNeverRan)
 	m.mu.Unlock()
 	m.apply(effects)
 }
 
-// frontendEdge stands between the reducer and the frontend of ordinary batch jobs.
-type frontendEdge Manager
+// frontendInterceptor handles the state machine's calls of the frontend that concern durable jobs, and passes on the others.
+type frontendInterceptor Manager
 
-// Answer takes the answers to durable jobs, and passes those to ordinary ones on.
-func (e *frontendEdge) Answer(answer node.Answer) {
+// Answer handles the answers to durable jobs, and passes on those to ordinary jobs.
+func (e *frontendInterceptor) Answer(answer node.Answer) {
 	m := (*Manager)(e)
 	id, durable := strings.CutPrefix(string(answer.Job), jobIDPrefix)
 	if !durable {
@@ -65,31 +65,32 @@
 		return
 	}
 	m.step(func(now time.Duration) []leases.Effect {
-		return m.book.Answered(now, leases.ID(id), leases.Final(answer.Final), answer.Result)
+		return m.jobTable.Answered(now, leases.ID(id), leases.Final(answer.Final), answer.Result)
 	})
 }
 
-// SetReady lets recovered jobs go on the first time that the endpoint list has come. A node that is not ready any more ends.
-func (e *frontendEdge) SetReady(ready bool) {
+// SetReady resumes the recovered jobs when the node becomes ready for the first time, which is when it has an endpoint list. A
+// node that is no longer ready is shutting down.
+func (e *frontendInterceptor) SetReady(ready bool) {
 	m := (*Manager)(e)
 	m.mu.Lock()
-	effects := m.deferred
-	m.deferred = nil
+	effects := m.recoveryEffects
+	m.recoveryEffects = nil
 	m.ready = ready
 	if !ready {
-		effects = append(effects, m.book.Stop(now())...)
+		effects = append(effects, m.jobTable.Stop(now())...)
 	}
 	m.mu.Unlock()
 	m.frontend.SetReady(ready)
 	m.apply(effects)
 }
 
-// UpdateJobClasses takes the durable classes over, and passes the ordinary ones on: clients name no others.
-func (e *frontendEdge) UpdateJobClasses(classes []node.NumberedClass) {
+// UpdateJobClasses updates the durable classes, and passes on the ordinary ones: the frontend's clients can't use durable ones.
+func (e *frontendInterceptor) UpdateJobClasses(classes []node.NumberedClass) {
 	m := (*Manager)(e)
 	m.mu.Lock()
 	for name, class := range m.classes {
-		class.dropped = true
+		class.removed = true
 		m.classes[name] = class
 	}
 	var ordinary []node.NumberedClass
@@ -104,23 +105,23 @@
 	m.frontend.UpdateJobClasses(ordinary)
 }
 
-// DrainClients passes the call on.
-func (e *frontendEdge) DrainClients(on bool) { e.frontend.DrainClients(on) }
+// DrainClients passes on the call.
+func (e *frontendInterceptor) DrainClients(on bool) { e.frontend.DrainClients(on) }
 
-// AcceptConnections passes the call on.
-func (e *frontendEdge) AcceptConnections(on bool) { e.frontend.AcceptConnections(on) }
+// AcceptConnections passes on the call.
+func (e *frontendInterceptor) AcceptConnections(on bool) { e.frontend.AcceptConnections(on) }
 
-// HalveLimits passes the call on.
-func (e *frontendEdge) HalveLimits(on bool) { e.frontend.HalveLimits(on) }
+// HalveLimits passes on the call.
+func (e *frontendInterceptor) HalveLimits(on bool) { e.frontend.HalveLimits(on) }
 
-// Close passes the call on.
-func (e *frontendEdge) Close() { e.frontend.Close() }
+// Close passes on the call.
+func (e *frontendInterceptor) Close() { e.frontend.Close() }
 
-// upstreamEdge stands between the reducer and the connections to executors.
-type upstreamEdge Manager
+// upstreamInterceptor handles the state machine's calls of the upstream that concern durable jobs, and passes on the others.
+type upstreamInterceptor Manager
 
-// Dial notes the connection's address, from which an attempt's executor is known.
-func (e *upstreamEdge) Dial(conn node.ConnID, addr string) {
+// Dial records the connection's address, which identifies the executor of an attempt, and passes on the call.
+func (e *upstreamInterceptor) Dial(conn node.ConnID, addr string) {
 	m := (*Manager)(e)
 	m.mu.Lock()
 	m.connAddrs[conn] = addr
@@ -128,8 +129,9 @@
 	m.upstream.Dial(conn, addr)
 }
 
-// Write holds an attempt of a durable job until its record is synced. One whose job is over by now closes its connection instead.
-func (e *upstreamEdge) Write(conn node.ConnID, request node.Attempt) {
+// Write records an attempt of a durable job in the store, and sends it once that record is synced. If the state machine no
+// longer has the job, it closes the connection instead. Attempts of ordinary jobs are passed on.
+func (e *upstreamInterceptor) Write(conn node.ConnID, request node.Attempt) {
 	m := (*Manager)(e)
 	id, durable := strings.CutPrefix(string(request.ID), jobIDPrefix)
 	if !durable {
@@ -137,7 +139,7 @@
 		return
 	}
 	m.mu.Lock()
-	epoch, effects := m.book.AttemptStarted(now(), leases.ID(id), m.executorByAddr[m.connAddrs[conn]])
+	epoch, effects := m.jobTable.AttemptStarted(now(), leases.ID(id), m.executorByAddr[m.connAddrs[conn]])
 	if epoch > 0 {
 		request.Request = m.withEpoch(request.Request, epoch)
 		m.attempts[conn] = &attempt{id: leases.ID(id), epoch: epoch, request: request}
@@ -164,10 +166,10 @@
 	return &fenced
 }
 
-// Close passes the call on.
-func (e *upstreamEdge) Close(conn node.ConnID) { e.upstream.Close(conn) }
+// Close passes on the call.
+func (e *upstreamInterceptor) Close(conn node.ConnID) { e.upstream.Close(conn) }
 
-// CheckHealth passes the call on.
-func (e *upstreamEdge) CheckHealth(executor policy.ExecutorID, addr string) {
+// CheckHealth passes on the call.
+func (e *upstreamInterceptor) CheckHealth(executor policy.ExecutorID, addr string) {
 	e.upstream.CheckHealth(executor, addr)
 }
--- a/internal/durable/lease_poll.go
+++ b/internal/durable/lease_query.go
@@ -13,13 +13,13 @@
 	"birchstair/internal/leases"
 )
 
-const pollTimeout = 2 * time.Second // of one request to an executor
+const queryTimeout = 2 * time.Second // limit of one request to an executor
 
 // DialFunc opens a connection to an executor's address.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
-// newPollClient makes a client that opens a connection for each request.
-func newPollClient(dial DialFunc) *http.Client {
+// newQueryClient returns a client that opens a new connection for each request.
+func newQueryClient(dial DialFunc) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -28,8 +28,9 @@
 	}}
 }
 
-// pollLease asks an executor what became of an attempt of an earlier incarnation, and hands the answer to the book.
-func (m *Manager) pollLease(effect leases.QueryAttempt) {
+// queryLease queries an executor about an attempt that was sent before a restart of the node, and passes the result to the job
+// table.
+func (m *Manager) queryLease(effect leases.QueryAttempt) {
 	m.mu.Lock()
 	addr := m.addrByExecutor[effect.Executor]
 	m.mu.Unlock()
@@ -41,20 +42,20 @@
 		return
 	}
 	m.step(func(now time.Duration) []leases.Effect {
-		return m.book.AttemptQueried(now, effect.ID, effect.Epoch, found, result)
+		return m.jobTable.AttemptQueried(now, effect.ID, effect.Epoch, found, result)
 	})
 }
 
-// requestLease makes the request. An executor that can't be reached or answers in no known form has said nothing; one that has no such
-// path doesn't support leases.
+// requestLease sends the query. The result is QueryUnanswered if the executor can't be reached or sends an unknown response,
+// and QueryUnsupported if it doesn't serve leasePath.
 func (m *Manager) requestLease(addr, job string, epoch leases.Epoch) (leases.QueryResult, []byte) {
-	ctx, cancel := context.WithTimeout(m.ctx, pollTimeout)
+	ctx, cancel := context.WithTimeout(m.ctx, queryTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, leaseURL(addr, job, epoch), nil)
 	if err != nil {
 		return leases.QueryUnanswered, nil
 	}
-	response, err := m.pollClient.Do(request)
+	response, err := m.queryClient.Do(request)
 	if err != nil {
 		return leases.QueryUnanswered, nil
 	}
@@ -72,24 +73,24 @@
 	return leases.QueryUnanswered, nil
 }
 
-// leasePath is the path at which executors that support leases are polled: GET /-/leases/JOB?epoch=N. An executor that is asked
-// about an epoch that it has not begun must refuse it from then on.
+// leasePath is the path under which executors that support leases are queried: GET /-/leases/JOB?epoch=N. An executor that is
+// queried about an epoch that it has not started must refuse that epoch from then on.
 const leasePath = "/-/leases/"
 
-// maxLeaseBytes is the longest response: a result in base64, and what stands round it.
+// maxLeaseBytes limits a response, which holds a result encoded in base64.
 const maxLeaseBytes = 2 * maxBodyBytes
 
 func leaseURL(addr, job string, epoch leases.Epoch) string {
 	return fmt.Sprintf("http://%s%s%s?epoch=%d", addr, leasePath, job, epoch)
 }
 
-// leaseResponse is an executor's response.
+// leaseResponse is an executor's response to a lease query.
 type leaseResponse struct {
-	State  string `json:"state"`
-	Result []byte `json:"result"`
+	State  string `json:"state"`  // a key of leaseStates
+	Result []byte `json:"result"` // the attempt's result, if it has finished
 }
 
-// leaseStates are the states by their names on the wire; one that is not known counts as none.
+// leaseStates maps the states on the wire to query results. An unknown state gives QueryUnanswered, the zero value.
 var leaseStates = map[string]leases.QueryResult{
 	"never":    leases.QueryNeverRan,
 	"running":  leases.QueryRunning,
--- a/internal/durable/recover.go
+++ b/internal/durable/recover.go
@@ -10,44 +10,45 @@
 	"birchstair/policy"
 )
 
-// recover hands all jobs in the store to the book, in the order of their ids. What follows of it waits until the node is ready.
+// recover adds all jobs in the store to the job table, in the order of their IDs. The effects are carried out once the node is
+// ready.
 func (m *Manager) recover() {
 	began := time.Now()
 	jobs, lastWrite := m.storedJobs()
 	m.mu.Lock()
 	at := now()
 	if at < lastWrite {
-		m.log.Warn().Dur("behind", lastWrite-at).Msg("the clock is behind the store's last record: no dedup window is counted on it")
+		m.log.Warn().Dur("behind", lastWrite-at).Msg("the clock is behind the store's last record: dedup windows are taken to be over")
 	}
 	unknownClasses := 0
 	for _, job := range jobs {
 		if _, ok := m.classes[job.Accepted.JobClass]; !ok {
 			unknownClasses++
 		}
-		m.deferred = append(m.deferred, m.recoverJob(at, lastWrite, job)...)
+		m.recoveryEffects = append(m.recoveryEffects, m.recoverJob(at, lastWrite, job)...)
 	}
-	counts := m.book.Counts()
+	counts := m.jobTable.Counts()
 	m.mu.Unlock()
-	figures := m.store.Stats()
+	stats := m.store.Stats()
 	m.log.Info().
 		Int("waiting", counts[leases.Waiting]+counts[leases.Dispatched]).
 		Int("asking", counts[leases.Querying]).
 		Int("closing", counts[leases.StoringFinal]).
 		Int("done", counts[leases.Done]).
 		Int("unknown_tracks", unknownClasses).
-		Int64("bytes", figures.Bytes).
-		Int("segments", figures.Segments).
+		Int64("bytes", stats.Bytes).
+		Int("segments", stats.Segments).
 		Dur("took", time.Since(began)).
 		Msg("durable batch jobs recovered")
 }
 
-// storedJobs gives the jobs in the store by id, and the time of the latest record.
+// storedJobs returns the jobs in the store, ordered by ID, and the time of the latest record.
 func (m *Manager) storedJobs() (jobs []store.JobState, lastWrite time.Duration) {
 	m.store.ForEach(func(job store.JobState) {
 		jobs = append(jobs, job)
 		lastWrite = max(lastWrite, sinceEpoch(job.Accepted.At))
-		for _, send := range job.Attempts {
-			lastWrite = max(lastWrite, sinceEpoch(send.At))
+		for _, stored := range job.Attempts {
+			lastWrite = max(lastWrite, sinceEpoch(stored.At))
 		}
 		if job.Final != nil {
 			lastWrite = max(lastWrite, sinceEpoch(job.Final.At))
@@ -57,8 +58,8 @@
 	return jobs, lastWrite
 }
 
-// recoverJob hands one job to the book. A job whose class is not configured any more must not run again, since nothing is
-// known of its idempotency, and its deadline ends now. Called with the lock held.
+// recoverJob adds one job to the job table. If the job's class is no longer configured, the job must not run again, because
+// its idempotency is unknown; its deadline is then at the latest now. Called with m.mu held.
 func (m *Manager) recoverJob(at, lastWrite time.Duration, job store.JobState) []leases.Effect {
 	class, known := m.classes[job.Accepted.JobClass]
 	deadline := sinceEpoch(job.Accepted.Deadline)
@@ -66,13 +67,13 @@
 		class.lease.Idempotency = policy.AtMostOnce
 		deadline = min(deadline, at)
 	}
-	var sends []leases.Attempt
-	for _, send := range job.Attempts {
-		sends = append(sends, leases.Attempt{
-			Epoch:    leases.Epoch(send.Epoch),
-			Executor: policy.ExecutorID(send.Executor),
-			At:       sinceEpoch(send.At),
-			NeverRan: send.Ended && send.NeverRan,
+	var attempts []leases.Attempt
+	for _, stored := range job.Attempts {
+		attempts = append(attempts, leases.Attempt{
+			Epoch:    leases.Epoch(stored.Epoch),
+			Executor: policy.ExecutorID(stored.Executor),
+			At:       sinceEpoch(stored.At),
+			NeverRan: stored.Ended && stored.NeverRan,
 		})
 	}
 	var final *leases.Final
@@ -83,5 +84,5 @@
 		final, result, finalAt = &answer, job.Final.Body, sinceEpoch(job.Final.At)
 	}
 	recovered := leases.Job{ID: leases.ID(job.Accepted.ID), Class: class.lease, Deadline: deadline}
-	return m.book.Recover(at, lastWrite, recovered, sends, final, result, finalAt)
+	return m.jobTable.Recover(at, lastWrite, recovered, attempts, final, result, finalAt)
 }
--- a/internal/durable/submit.go
+++ b/internal/durable/submit.go
@@ -11,7 +11,7 @@
 	"birchstair/internal/store"
 )
 
-// Errors of the operations that clients ask for. The HTTP handler answers each with a status of its own; see errorResponses.
+// Errors of the operations that clients request. errorResponses maps them to HTTP responses.
 var (
 	errNotReady = errors.New("the node is not ready")
 	errWriting  = errors.New("the submission is being written")
@@ -23,12 +23,12 @@
 
 // submission is a job that a client submits.
 type submission struct {
-	record store.Record  // all but the times
-	budget time.Duration // until the deadline
+	record store.Record  // the record to be written; submit sets its times
+	budget time.Duration // time from now until the deadline
 }
 
-// submit accepts a job and waits until its record is synced; created is false for one that was there already. It returns
-// errNotReady, errWriting, errConflict, or errStore with the store's error.
+// submit accepts a job and waits until its record is synced. created is false if the job had already been submitted. The error
+// is errNotReady, errWriting or errConflict, or wraps errStore and the store's error.
 func (m *Manager) submit(ctx context.Context, job submission) (created bool, err error) {
 	id := leases.ID(job.record.ID)
 	record := &job.record
@@ -39,7 +39,7 @@
 		m.mu.Unlock()
 		return false, errNotReady
 	}
-	if state, ok := m.book.State(id); ok {
+	if state, ok := m.jobTable.State(id); ok {
 		unwritten := m.unwritten[id]
 		m.mu.Unlock()
 		return false, m.checkRepeat(record, state, unwritten)
@@ -48,7 +48,7 @@
 	written := make(chan error, 1)
 	m.ackWaiters[id] = written
 	accepted := leases.Job{ID: id, Class: m.classes[record.JobClass].lease, Deadline: sinceEpoch(record.Deadline)}
-	effects, _ := m.book.Accept(sinceEpoch(record.At), accepted) // it is new: the book was asked above
+	effects, _ := m.jobTable.Accept(sinceEpoch(record.At), accepted) // can't fail: State has found no job of this ID
 	m.mu.Unlock()
 	m.apply(effects)
 	select {
@@ -57,13 +57,13 @@
 			return false, fmt.Errorf("%w: %w", errStore, err)
 		}
 		return true, nil
-	case <-ctx.Done(): // the client has left, and nobody reads the acknowledgement; a repeat finds the job
+	case <-ctx.Done(): // the client has disconnected and can't read the response; it may submit the job again
 		return true, nil
 	}
 }
 
-// checkRepeat checks a submission whose id is in use: the same content is the same job. previous is the job's record if
-// it is not in the store yet, or else nil.
+// checkRepeat checks a submission under an ID that is in use: it is a repeat of that job if the content is the same. previous
+// is the record of the earlier submission while that is not in the store yet, and nil otherwise.
 func (m *Manager) checkRepeat(record *store.Record, state leases.State, previous *store.Record) error {
 	if stored, ok := m.store.Get(record.ID); previous == nil && ok {
 		previous = stored.Accepted
@@ -77,15 +77,15 @@
 	return nil
 }
 
-// sameJob compares what a client chooses, but for the deadline.
+// sameJob reports whether two submissions have the same class, idempotency key, URI and body. The deadline may differ.
 func sameJob(a, b *store.Record) bool {
 	return a.JobClass == b.JobClass && a.IdempotencyKey == b.IdempotencyKey && a.URI == b.URI && bytes.Equal(a.Body, b.Body)
 }
 
-// wait waits until a job has its final answer, for at most the timeout; errNotFound where there is no such job.
+// wait waits until a job has its final answer, or the timeout is over. It returns errNotFound if there is no such job.
 func (m *Manager) wait(ctx context.Context, id leases.ID, timeout time.Duration) error {
 	m.mu.Lock()
-	state, ok := m.book.State(id)
+	state, ok := m.jobTable.State(id)
 	if !ok {
 		m.mu.Unlock()
 		return errNotFound
@@ -111,11 +111,11 @@
 	return nil
 }
 
-// remove drops a job that has its final answer; errNotFound or errNotFinal where that can't be.
+// remove removes a job that has its final answer. Otherwise it returns errNotFound or errNotFinal.
 func (m *Manager) remove(id leases.ID) error {
 	m.mu.Lock()
-	_, known := m.book.State(id)
-	effects, ok := m.book.Forget(now(), id)
+	_, known := m.jobTable.State(id)
+	effects, ok := m.jobTable.Forget(now(), id)
 	m.mu.Unlock()
 	m.apply(effects)
 	switch {
@@ -127,17 +127,17 @@
 	return nil
 }
 
-// status is where a job stands, as it is sent to clients.
+// status returns the status of a job that is sent to clients.
 func (m *Manager) status(id leases.ID) jobStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	state, ok := m.book.State(id)
+	state, ok := m.jobTable.State(id)
 	if !ok {
 		return jobStatus{ID: string(id), State: removedState}
 	}
 	status := jobStatus{ID: string(id), State: stateNames[state]}
 	if state == leases.Done {
-		final, result := m.book.Answer(id)
+		final, result := m.jobTable.Answer(id)
 		status.Final, status.Result = finalNames[final], result
 	}
 	return status
