--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -18,117 +18,117 @@
 	"birchstair/internal/synctesting"
 )
 
-var seeds = flag.Uint64("seeds", 6, "how many worlds of each scenario are played")
+var seeds = flag.Uint64("seeds", 6, "number of simulations to run of each scenario")
 
-// play plays a scenario and gives its violations, and how many jobs had each final answer.
-func play(t *testing.T, seed uint64, s scenario) (violations []string, finals map[string]int) {
+// runScenario runs a simulation of a scenario. It returns the violated guarantees, and the number of jobs by final answer.
+func runScenario(t *testing.T, seed uint64, s scenario) (violations []string, finals map[string]int) {
 	finals = map[string]int{}
 	synctesting.Test(t, func(t *testing.T) {
-		w := newWorld(t, seed, s)
-		w.disk.Lies = s.lyingDisk
-		w.disk.Slow(s.syncTime)
-		crashed := w.crashAtSync()
-		process := w.startNode()
+		sim := newSimulation(t, seed, s)
+		sim.disk.Lies = s.lyingDisk
+		sim.disk.Slow(s.syncTime)
+		crashed := sim.scheduleCrash()
+		process := sim.startNode()
 		var clients sync.WaitGroup
 		for i := range s.jobs {
 			clients.Go(func() {
 				time.Sleep(time.Duration(i) * cmp.Or(s.interval, 37*time.Millisecond))
-				w.runClient(i)
+				sim.runClient(i)
 			})
 		}
-		process = w.disturb(process, crashed)
+		process = sim.interruptNode(process, crashed)
 		clients.Wait()
 		process.kill()
-		w.mu.Lock()
-		w.over = true
-		w.mu.Unlock()
-		w.net.Shutdown()
+		sim.mu.Lock()
+		sim.finished = true
+		sim.mu.Unlock()
+		sim.net.Shutdown()
 		time.Sleep(10 * time.Second)
-		w.check()
-		for _, final := range w.finals {
+		sim.check()
+		for _, final := range sim.finals {
 			finals[final]++
 		}
-		violations = w.violations
+		violations = sim.violations
 	})
 	return violations, finals
 }
 
-// crashAtSync makes the disk crash at the scenario's sync, once. From that moment on nothing that the incarnation writes is kept; the channel then says that it
-// is to be killed.
-func (w *world) crashAtSync() <-chan struct{} {
+// scheduleCrash makes the disk crash once, just before the sync that the scenario sets. From then on the disk keeps nothing that
+// this incarnation of the node writes. The channel receives a value when the disk has crashed and the node is to be killed.
+func (sim *simulation) scheduleCrash() <-chan struct{} {
 	crashed := make(chan struct{}, 1)
-	if w.killAtSync == 0 {
+	if sim.crashAtSync == 0 {
 		return crashed
 	}
 	fired := false
-	w.disk.OnSync = func(n int) {
-		if n == w.killAtSync && !fired {
+	sim.disk.OnSync = func(n int) {
+		if n == sim.crashAtSync && !fired {
 			fired = true
-			w.disk.Crash()
+			sim.disk.Crash()
 			crashed <- struct{}{}
 		}
 	}
 	return crashed
 }
 
-// disturb kills and stops the node as the scenario says, and gives the process that runs then.
-func (w *world) disturb(process *nodeProcess, crashed <-chan struct{}) *nodeProcess {
-	for range w.kills {
-		time.Sleep(time.Duration(100+w.random(900)) * time.Millisecond)
+// interruptNode kills, shuts down and restarts the node as the scenario says. It returns the process that is running at the end.
+func (sim *simulation) interruptNode(process *nodeProcess, crashed <-chan struct{}) *nodeProcess {
+	for range sim.nodeKills {
+		time.Sleep(time.Duration(100+sim.random(900)) * time.Millisecond)
 		process.kill()
-		time.Sleep(time.Duration(w.random(500)) * time.Millisecond)
-		process = w.startNode()
+		time.Sleep(time.Duration(sim.random(500)) * time.Millisecond)
+		process = sim.startNode()
 	}
-	for range w.stops {
-		time.Sleep(time.Duration(200+w.random(500)) * time.Millisecond)
+	for range sim.nodeShutdowns {
+		time.Sleep(time.Duration(200+sim.random(500)) * time.Millisecond)
 		process.shutDown()
-		process = w.startNode()
+		process = sim.startNode()
 	}
-	if w.killAtSync > 0 {
+	if sim.crashAtSync > 0 {
 		select {
 		case <-crashed:
 			process.kill()
-			process = w.startNode()
-		case <-time.After(30 * time.Second): // there were not so many syncs
+			process = sim.startNode()
+		case <-time.After(30 * time.Second): // the simulation had fewer syncs than crashAtSync
 		}
 	}
 	return process
 }
 
-// check compares the final answers with what the jobs have done.
-func (w *world) check() {
-	for id, final := range w.finals {
-		effects := w.effects[id]
+// check compares the final answers with how often the jobs ran.
+func (sim *simulation) check() {
+	for id, final := range sim.finals {
+		effects := sim.effects[id]
 		last := id[len(id)-1]
-		atMostOnce := (last-'0')%2 == 1 // as runClient picks the class
+		atMostOnce := (last-'0')%2 == 1 // runClient chooses the class by the job's number
 		switch {
 		case atMostOnce && effects > 1:
-			w.violation("%s, once-only, ran %d times", id, effects)
+			sim.violation("%s of an at-most-once class ran %d times", id, effects)
 		case final == "handled" && effects == 0:
-			w.violation("%s was handled and never ran", id)
+			sim.violation("%s was answered as succeeded (%q), but never ran", id, final)
 		case atMostOnce && final == "pushed back" && effects > 0:
-			w.violation("%s was pushed back and ran", id)
+			sim.violation("%s was answered as rejected (%q), but ran", id, final)
 		}
 	}
-	if len(w.finals) != w.jobs {
-		w.violation("%d of %d have a final answer", len(w.finals), w.jobs)
+	if len(sim.finals) != sim.jobs {
+		sim.violation("%d of %d jobs have a final answer", len(sim.finals), sim.jobs)
 	}
 }
 
-// Nodes and executors are killed at random points: what was acknowledged is never lost, each batch job gets one final answer and keeps it, and none of an
-// at-most-once class runs twice.
-func TestKilled(t *testing.T) {
+// TestCrashes kills nodes and restarts executors at random times. No acknowledged job may be lost, each job must have exactly one
+// final answer, and no job of an at-most-once class may run twice.
+func TestCrashes(t *testing.T) {
 	for _, p := range []scenario{
 		{jobs: 30},
-		{jobs: 30, kills: 6},
-		{jobs: 30, kills: 6, leases: true},
-		{jobs: 30, kills: 6, leases: true, restarts: 2},
-		{jobs: 30, stops: 5},
-		{jobs: 30, kills: 3, stops: 3, leases: true, restarts: 2},
+		{jobs: 30, nodeKills: 6},
+		{jobs: 30, nodeKills: 6, leases: true},
+		{jobs: 30, nodeKills: 6, leases: true, executorRestarts: 2},
+		{jobs: 30, nodeShutdowns: 5},
+		{jobs: 30, nodeKills: 3, nodeShutdowns: 3, leases: true, executorRestarts: 2},
 	} {
 		all := map[string]int{}
 		for seed := range *seeds {
-			violations, finals := play(t, seed, p)
+			violations, finals := runScenario(t, seed, p)
 			for _, text := range violations {
 				t.Errorf("%+v, seed %d: %s", p, seed, text)
 			}
@@ -138,20 +138,21 @@
 		}
 		t.Logf("%+v: %v", p, all)
 		if all["handled"] == 0 {
-			t.Errorf("%+v: nothing was handled", p)
+			t.Errorf("%+v: no job succeeded", p)
 		}
 	}
 }
 
-// The node is killed at every single sync of a small world: before a batch job is acknowledged, before an attempt is sent, before the final answer is
-// written, and after each.
-func TestKilledAtEverySync(t *testing.T) {
+// TestCrashAtEachSync runs a small simulation again and again and kills the node at another sync each time, so that the crash
+// comes before and after each step: the acknowledgement of a job, the sending of an attempt, the writing of the final answer.
+func TestCrashAtEachSync(t *testing.T) {
 	for _, leases := range []bool{false, true} {
 		points, all := 0, map[string]int{}
 		for at := 2; at <= 24; at++ {
-			violations, finals := play(t, uint64(at), scenario{jobs: 4, interval: 150 * time.Millisecond, killAtSync: at, leases: leases, syncTime: time.Millisecond})
+			s := scenario{jobs: 4, interval: 150 * time.Millisecond, crashAtSync: at, leases: leases, syncTime: time.Millisecond}
+			violations, finals := runScenario(t, uint64(at), s)
 			for _, text := range violations {
-				t.Errorf("leases %v, killed at sync %d: %s", leases, at, text)
+				t.Errorf("leases %v, crash at sync %d: %s", leases, at, text)
 			}
 			points++
 			for f, n := range finals {
@@ -162,107 +163,110 @@
 	}
 }
 
-// Injected faults are found.
-func TestKilledFaults(t *testing.T) {
+// TestInjectedFaults checks the simulation itself: it must report violations if the disk, the executors or the node are faulty.
+func TestInjectedFaults(t *testing.T) {
 	for name, p := range map[string]scenario{
-		"a disk that lies about its syncs":               {jobs: 30, kills: 8, lyingDisk: true},
-		"executors that forget the epochs they heard of": {jobs: 30, kills: 8, leases: true, forgetful: true},
-		"acknowledged before it stands on the disk":      {jobs: 30, kills: 8, syncTime: 30 * time.Millisecond, fault: durable.AckBeforeWrite},
-		"sent before its record stands on the disk":      {jobs: 30, kills: 8, syncTime: 30 * time.Millisecond, fault: durable.SendBeforeWrite},
-		"sent without an epoch":                          {jobs: 30, kills: 8, leases: true, fault: durable.OmitEpoch},
-		"any end taken for a proof":                      {jobs: 40, stops: 8, fault: durable.AllEndsAsNeverRan},
+		"a disk whose syncs do nothing":               {jobs: 30, nodeKills: 8, lyingDisk: true},
+		"executors that run refused epochs":           {jobs: 30, nodeKills: 8, leases: true, forgetLeases: true},
+		"acknowledgement before the record is synced": {jobs: 30, nodeKills: 8, syncTime: 30 * time.Millisecond, fault: durable.AckBeforeWrite},
+		"attempt sent before its record is synced":    {jobs: 30, nodeKills: 8, syncTime: 30 * time.Millisecond, fault: durable.SendBeforeWrite},
+		"attempt sent without an epoch":               {jobs: 30, nodeKills: 8, leases: true, fault: durable.OmitEpoch},
+		"every ended attempt treated as never run":    {jobs: 40, nodeShutdowns: 8, fault: durable.AllEndsAsNeverRan},
 	} {
-		caught := 0
+		detected := 0
 		for seed := range uint64(6) {
-			violations, _ := play(t, seed, p)
-			caught += len(violations)
+			violations, _ := runScenario(t, seed, p)
+			detected += len(violations)
 		}
-		if caught == 0 {
-			t.Errorf("%s: not caught", name)
+		if detected == 0 {
+			t.Errorf("%s: no violation was reported", name)
 		}
 	}
 }
 
-// Ordinary batch jobs do not wait for the disk: while each sync takes ten seconds they are answered as ever, and durable ones are not acknowledged.
+// TestSlowDisk checks that ordinary batch jobs don't wait for the disk. While each sync takes ten seconds, they are answered at
+// their usual speed, and a durable job is not acknowledged until its record is synced.
 func TestSlowDisk(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, scenario{})
-		process := w.startNode()
+		sim := newSimulation(t, 1, scenario{})
+		process := sim.startNode()
 		time.Sleep(time.Second)
-		w.disk.Slow(10 * time.Second)
+		sim.disk.Slow(10 * time.Second)
 		start := time.Now()
 		acknowledged := make(chan time.Duration, 1)
 		go func() {
-			status, _, err := w.call("slow", http.MethodPut, durable.Path+"slow", "X-Call-Class: order\r\n", "X-Budget-Ms: 60000\r\n")
+			status, _, err := sim.call("slow", http.MethodPut, durable.Path+"slow", "X-Call-Class: order\r\n", "X-Budget-Ms: 60000\r\n")
 			if err != nil || status != http.StatusCreated {
-				t.Errorf("the durable one: %d, %v", status, err)
+				t.Errorf("submission of the durable job: status %d, error %v, want status %d", status, err, http.StatusCreated)
 			}
 			acknowledged <- time.Since(start)
 		}()
 		slowest := time.Duration(0)
 		for i := range 20 {
 			began := time.Now()
-			status, _, err := w.call(fmt.Sprint("o", i), http.MethodPost, "/x", fmt.Sprintf("X-Call-Id: o%d\r\n", i), "X-Call-Class: page\r\n", "X-Budget-Ms: 4000\r\n")
+			status, _, err := sim.call(fmt.Sprint("o", i), http.MethodPost, "/x",
+				fmt.Sprintf("X-Call-Id: o%d\r\n", i), "X-Call-Class: page\r\n", "X-Budget-Ms: 4000\r\n")
 			if status != http.StatusOK {
-				t.Errorf("an ordinary one: %d, %v", status, err)
+				t.Errorf("ordinary job %d: status %d, error %v, want status %d", i, status, err, http.StatusOK)
 			}
 			slowest = max(slowest, time.Since(began))
 		}
 		if slowest > time.Second {
-			t.Errorf("an ordinary one waited for %v", slowest)
+			t.Errorf("the slowest ordinary job took %v, want at most a second", slowest)
 		}
 		if took := <-acknowledged; took < 10*time.Second {
-			t.Errorf("the durable one was acknowledged after %v, before the disk had it", took)
+			t.Errorf("the durable job was acknowledged after %v, before its record was synced", took)
 		}
-		w.disk.Slow(0)
+		sim.disk.Slow(0)
 		process.kill()
-		w.net.Shutdown()
+		sim.net.Shutdown()
 		time.Sleep(30 * time.Second)
 	})
 }
 
-// Requests that are no durable batch job, ids in use, and removal.
-func TestFront(t *testing.T) {
+// TestHTTPHandler checks the status of responses to invalid submissions, to submissions under an ID in use, to requests for a
+// job's state and to removals.
+func TestHTTPHandler(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, scenario{})
-		process := w.startNode()
+		sim := newSimulation(t, 1, scenario{})
+		process := sim.startNode()
 		time.Sleep(time.Second)
-		track, budget := "X-Call-Class: order\r\n", "X-Budget-Ms: 5000\r\n"
+		class, budget := "X-Call-Class: order\r\n", "X-Budget-Ms: 5000\r\n"
 		for i, c := range []struct {
 			name, method, path string
-			fields             []string
+			headers            []string
 			want               int
 		}{
-			{"handed in", http.MethodPut, "a", []string{track, budget}, 201},
-			{"the same again", http.MethodPut, "a", []string{track, budget}, 200},
-			{"another track under its id", http.MethodPut, "a", []string{"X-Call-Class: page\r\n", budget}, 409},
-			{"another path under its id", http.MethodPut, "a", []string{track, budget, "X-Path: /other\r\n"}, 409},
-			{"no track", http.MethodPut, "b", []string{budget}, 400},
-			{"no budget", http.MethodPut, "b", []string{track}, 400},
-			{"over the outer limit", http.MethodPut, "b", []string{track, "X-Budget-Ms: 99999999\r\n"}, 400},
-			{"a path that is none", http.MethodPut, "b", []string{track, budget, "X-Path: x y\r\n"}, 400},
-			{"no id", http.MethodPut, "", []string{track, budget}, 400},
-			{"an id with a slash", http.MethodPut, "a/b", []string{track, budget}, 400},
-			{"a method that is none", http.MethodPatch, "a", nil, 405},
-			{"asked for by nobody's id", http.MethodGet, "zzz", nil, 404},
-			{"a wait that is no number", http.MethodGet, "a?wait_ms=long", nil, 400},
-			{"waited for", http.MethodGet, "a?wait_ms=5000", nil, 200},
-			{"let go", http.MethodDelete, "a", nil, 204},
-			{"let go twice", http.MethodDelete, "a", nil, 404},
-			{"asked for after that", http.MethodGet, "a", nil, 404},
+			{"new job", http.MethodPut, "a", []string{class, budget}, 201},
+			{"repeated submission", http.MethodPut, "a", []string{class, budget}, 200},
+			{"other class, ID in use", http.MethodPut, "a", []string{"X-Call-Class: page\r\n", budget}, 409},
+			{"other path, ID in use", http.MethodPut, "a", []string{class, budget, "X-Path: /other\r\n"}, 409},
+			{"no class", http.MethodPut, "b", []string{budget}, 400},
+			{"no budget", http.MethodPut, "b", []string{class}, 400},
+			{"budget over the maximum", http.MethodPut, "b", []string{class, "X-Budget-Ms: 99999999\r\n"}, 400},
+			{"invalid path", http.MethodPut, "b", []string{class, budget, "X-Path: x y\r\n"}, 400},
+			{"no ID", http.MethodPut, "", []string{class, budget}, 400},
+			{"ID with a slash", http.MethodPut, "a/b", []string{class, budget}, 400},
+			{"unsupported method", http.MethodPatch, "a", nil, 405},
+			{"state of an unknown ID", http.MethodGet, "zzz", nil, 404},
+			{"invalid wait", http.MethodGet, "a?wait_ms=long", nil, 400},
+			{"wait for the final answer", http.MethodGet, "a?wait_ms=5000", nil, 200},
+			{"removal", http.MethodDelete, "a", nil, 204},
+			{"second removal", http.MethodDelete, "a", nil, 404},
+			{"state after removal", http.MethodGet, "a", nil, 404},
 		} {
-			status, _, err := w.call(fmt.Sprint("front", i), c.method, durable.Path+c.path, c.fields...)
+			status, _, err := sim.call(fmt.Sprint("front", i), c.method, durable.Path+c.path, c.headers...)
 			if status != c.want {
-				t.Errorf("%s: %d (%v), not %d", c.name, status, err, c.want)
+				t.Errorf("%s: status %d (error %v), want %d", c.name, status, err, c.want)
 			}
 		}
 		process.kill()
-		w.net.Shutdown()
+		sim.net.Shutdown()
 		time.Sleep(30 * time.Second)
 	})
 }
 
-// BenchmarkRecover is how long a node takes to find so many batch jobs on its disk again.
+// BenchmarkRecover measures how fast a starting node recovers jobs from its store.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{1000, 10000, 50000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -274,8 +278,14 @@
 			var wait sync.WaitGroup
 			wait.Add(n)
 			for i := range n {
-				s.Append(store.Record{Kind: store.Accepted, ID: fmt.Sprint("job-", i), At: time.Now(), Deadline: time.Now().Add(time.Hour), JobClass: "order",
-					Body: make([]byte, 1024)}, func(error) { wait.Done() })
+				s.Append(store.Record{
+					Kind:     store.Accepted,
+					ID:       fmt.Sprint("job-", i),
+					At:       time.Now(),
+					Deadline: time.Now().Add(time.Hour),
+					JobClass: "order",
+					Body:     make([]byte, 1024),
+				}, func(error) { wait.Done() })
 			}
 			wait.Wait()
 			if err := s.Close(); err != nil {
@@ -286,9 +296,10 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				d := durable.New(durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{MaxDispatched: 256, AnswerTTL: time.Hour}}, s, classNames, classes, nil, zerolog.Nop())
-				d.Start(func(node.Event) {}, nil, nil)
-				if err := d.Close(); err != nil {
+				options := durable.Options{MaxDeadline: time.Hour, Leases: leases.Settings{MaxDispatched: 256, AnswerTTL: time.Hour}}
+				manager := durable.New(options, s, classNames, classes, nil, zerolog.Nop())
+				manager.Start(func(node.Event) {}, nil, nil)
+				if err := manager.Close(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/durable/export_test.go
+++ b/internal/durable/export_test.go
@@ -1,18 +1,18 @@
 package durable
 
-// Fault is a fault that tests inject.
+// Fault is a defect that tests inject into a Manager.
 type Fault int
 
 // The faults.
 const (
 	NoFault           Fault = iota
-	AckBeforeWrite          // acknowledges before the record is synced
-	SendBeforeWrite         // sends an attempt before its record is synced
-	OmitEpoch               // sends attempts without an epoch
-	AllEndsAsNeverRan       // takes any end of an attempt for proof that it never ran
+	AckBeforeWrite          // acknowledge a submission before its record is synced
+	SendBeforeWrite         // send an attempt before its record is synced
+	OmitEpoch               // send attempts without an epoch
+	AllEndsAsNeverRan       // treat every attempt that ends as one that never ran
 )
 
-// InjectFault injects a fault.
+// InjectFault injects a fault. NoFault injects none.
 func (m *Manager) InjectFault(fault Fault) {
 	switch fault {
 	case AckBeforeWrite:
--- a/internal/durable/simulation_test.go
+++ b/internal/durable/simulation_test.go
@@ -29,23 +29,24 @@
 	"birchstair/policy"
 )
 
-// scenario is what goes wrong in a world, and which fault is injected.
+// scenario configures a simulation: its load, its failures and the defect that is injected.
 type scenario struct {
-	leases     bool          // executors can be polled about attempts
-	kills      int           // of the node
-	stops      int           // graceful shutdowns of the node, after the kills
-	restarts   int           // of executors
-	lyingDisk  bool          // syncs do nothing
-	forgetful  bool          // executors run an epoch that they have refused, and answer "never" to all polls
-	jobs       int           // that clients submit
-	interval   time.Duration // between submissions; 0 for 37 ms
-	killAtSync int           // the node is killed before this sync counts, once; 0 for not
-	syncTime   time.Duration // of the disk
-	fault      durable.Fault // in the node
+	leases           bool          // executors support lease queries
+	nodeKills        int           // number of times that the node is killed
+	nodeShutdowns    int           // number of graceful shutdowns of the node, after the kills
+	executorRestarts int           // number of restarts of each executor
+	lyingDisk        bool          // syncs of the disk do nothing
+	forgetLeases     bool          // executors run an epoch that they have refused, and answer "never" to all lease queries
+	jobs             int           // number of jobs that clients submit
+	interval         time.Duration // time between submissions; 0 for 37 ms
+	crashAtSync      int           // number of the sync before which the disk crashes and the node is killed; 0 for none
+	syncTime         time.Duration // duration of a sync
+	fault            durable.Fault // defect injected into the node
 }
 
-// world is one node, its disk, some executors, discovery, and clients that submit durable batch jobs, on a virtual clock.
-type world struct {
+// simulation is one node with its disk, three executors, discovery, and clients that submit durable batch jobs, on a virtual
+// clock.
+type simulation struct {
 	scenario
 	t    *testing.T
 	rand *rand.Rand
@@ -53,15 +54,16 @@
 	disk *emulator.Disk
 
 	mu           sync.Mutex
-	effects      map[string]int    // how often each job took effect
-	finals       map[string]string // as clients received them
-	acknowledged map[string]bool
-	violations   []string
-	incarnation  int    // of the node
-	addr         string // of the node's latest incarnation
-	over         bool
+	effects      map[string]int    // how often each job ran, by job ID
+	finals       map[string]string // final answers that clients received, by job ID
+	acknowledged map[string]bool   // IDs of the jobs that were acknowledged
+	violations   []string          // guarantees that were not kept
+	incarnation  int               // number of starts of the node
+	addr         string            // address of the node's latest incarnation
+	finished     bool              // the scenario has ended; executors no longer restart
 }
 
+// classes are the ordinary job classes of the node, which has a durable class for each.
 var classes = []policy.JobClass{
 	{Idempotency: policy.Idempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, Value: 1, Kind: policy.AnyKind},
 	{Idempotency: policy.AtMostOnce, LatencyObjective: time.Second, Deadline: 5 * time.Second, Value: 1, Kind: policy.AnyKind},
@@ -69,57 +71,57 @@
 
 var classNames = []string{"page", "order"}
 
-// random is one under n, drawn from the seed.
-func (w *world) random(n int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.rand.IntN(n)
+// random returns a random number from 0 to n-1.
+func (sim *simulation) random(n int) int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.rand.IntN(n)
 }
 
-func (w *world) violation(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+func (sim *simulation) violation(format string, args ...any) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
-// startExecutor starts an executor, and restarts its process as often as the scenario says.
-func (w *world) startExecutor(i int) {
+// startExecutor starts an executor, and schedules the restarts of its process at random times.
+func (sim *simulation) startExecutor(i int) {
 	host, addr := fmt.Sprint("e", i), fmt.Sprintf("127.1.0.%d:9000", i+1)
-	x := &platform.Executor{ID: policy.ExecutorID(host), Leases: w.leases, ForgetsLeases: w.forgetful,
+	x := &platform.Executor{ID: policy.ExecutorID(host), Leases: sim.leases, ForgetsLeases: sim.forgetLeases,
 		OnEffect: func(job policy.JobID) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.effects[strings.TrimPrefix(string(job), "durable-")]++
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
+			sim.effects[strings.TrimPrefix(string(job), "durable-")]++
 		},
-		RunTime: func() time.Duration { return time.Duration(w.random(300)) * time.Millisecond }}
+		RunTime: func() time.Duration { return time.Duration(sim.random(300)) * time.Millisecond }}
 	listen := func() {
-		l, err := w.net.Listen(host, addr)
+		l, err := sim.net.Listen(host, addr)
 		if err != nil {
 			panic(err)
 		}
 		go x.Serve(l)
 	}
 	listen()
-	for range w.restarts {
-		at := time.Duration(w.random(6000)) * time.Millisecond
+	for range sim.executorRestarts {
+		at := time.Duration(sim.random(6000)) * time.Millisecond
 		go func() {
 			time.Sleep(at)
-			w.mu.Lock()
-			over := w.over
-			w.mu.Unlock()
-			if over {
+			sim.mu.Lock()
+			finished := sim.finished
+			sim.mu.Unlock()
+			if finished {
 				return
 			}
-			w.net.Kill(host, false)
+			sim.net.Kill(host, false)
 			x.Restart()
 			listen()
 		}()
 	}
 }
 
-// startDiscovery serves a list of three executors that never changes.
-func (w *world) startDiscovery() {
-	l, err := w.net.Listen("discovery", discoveryAddr)
+// startDiscovery serves an endpoint list of the three executors, which never changes.
+func (sim *simulation) startDiscovery() {
+	l, err := sim.net.Listen("discovery", discoveryAddr)
 	if err != nil {
 		panic(err)
 	}
@@ -133,24 +135,24 @@
 
 // nodeProcess is one incarnation of the node.
 type nodeProcess struct {
-	world  *world
-	host   string
-	cancel context.CancelFunc
-	events chan node.Event // into the reducer
-	ended  chan struct{}   // closed when the node has ended
-	polls  atomic.Uint64   // connections for lease polls
+	sim          *simulation
+	host         string
+	cancel       context.CancelFunc
+	events       chan node.Event // further events for the state machine
+	ended        chan struct{}   // closed when the node has ended
+	outsideConns atomic.Uint64   // number of connections opened by dialOutsideUpstream
 }
 
-// firstPollConn keeps the ids of lease polls' connections apart from the reducer's.
-const firstPollConn = 1 << 40
+// firstOutsideConn keeps the IDs of connections opened by dialOutsideUpstream apart from those that the state machine assigns.
+const firstOutsideConn = 1 << 40
 
-// kill ends the process and its connections at once; the disk loses what is not synced.
+// kill ends the process and its connections at once. The disk may lose or tear unsynced data.
 func (p *nodeProcess) kill() {
 	if p == nil {
 		return
 	}
-	p.world.disk.Crash()
-	p.world.net.Kill(p.host, false)
+	p.sim.disk.Crash()
+	p.sim.net.Kill(p.host, false)
 	p.events <- node.FrontendClosed{}
 	<-p.ended
 	p.cancel()
@@ -165,23 +167,23 @@
 	p.cancel()
 	<-p.ended
 	close(p.events)
-	p.world.net.Kill(p.host, false)
+	p.sim.net.Kill(p.host, false)
 }
 
 // dial opens a connection to an executor or to discovery.
 func (p *nodeProcess) dial(ctx context.Context, id node.ConnID, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := p.world.net.Dial(ctx, p.host, fmt.Sprint(id, "-", addr), addr)
+	conn, err := p.sim.net.Dial(ctx, p.host, fmt.Sprint(id, "-", addr), addr)
 	if err != nil {
 		return nil, err
 	}
 	return conn, nil
 }
 
-// dialApart opens a connection that is not the reducer's.
-func (p *nodeProcess) dialApart(ctx context.Context, addr string) (net.Conn, error) {
-	return p.dial(ctx, node.ConnID(firstPollConn+p.polls.Add(1)), addr)
+// dialOutsideUpstream opens a connection that the state machine doesn't know of: for a lease query, or to discovery.
+func (p *nodeProcess) dialOutsideUpstream(ctx context.Context, addr string) (net.Conn, error) {
+	return p.dial(ctx, node.ConnID(firstOutsideConn+p.outsideConns.Add(1)), addr)
 }
 
 const (
@@ -190,23 +192,31 @@
 	maxDeadline   = time.Hour
 )
 
-// startNode starts an incarnation of the node on the world's disk; nil where its store does not open.
-func (w *world) startNode() *nodeProcess {
-	w.mu.Lock()
-	w.incarnation++
-	incarnation := w.incarnation
-	w.mu.Unlock()
-	jobs, err := store.Open(w.disk, store.Options{SegmentBytes: 20000, MaxBytes: 10 << 20})
+// startNode starts an incarnation of the node on the disk of the simulation. It returns nil if the store can't be opened.
+func (sim *simulation) startNode() *nodeProcess {
+	sim.mu.Lock()
+	sim.incarnation++
+	incarnation := sim.incarnation
+	sim.mu.Unlock()
+	jobs, err := store.Open(sim.disk, store.Options{SegmentBytes: 20000, MaxBytes: 10 << 20})
 	if err != nil {
-		w.violation("the store does not open: %v", err)
+		sim.violation("the store can't be opened: %v", err)
 		return nil
 	}
-	p := &nodeProcess{world: w, host: fmt.Sprint("n#", incarnation), events: make(chan node.Event), ended: make(chan struct{})}
-	options := durable.Options{MaxDeadline: maxDeadline, Leases: leases.Settings{MaxDispatched: 20, AnswerTTL: time.Hour, QueryExecutors: w.leases, QueryInterval: 300 * time.Millisecond}}
-	manager := durable.New(options, jobs, classNames, classes, p.dialApart, zerolog.Nop())
-	manager.InjectFault(w.fault)
+	p := &nodeProcess{sim: sim, host: fmt.Sprint("n#", incarnation), events: make(chan node.Event), ended: make(chan struct{})}
+	options := durable.Options{
+		MaxDeadline: maxDeadline,
+		Leases: leases.Settings{
+			MaxDispatched:  20,
+			AnswerTTL:      time.Hour,
+			QueryExecutors: sim.leases,
+			QueryInterval:  300 * time.Millisecond,
+		},
+	}
+	manager := durable.New(options, jobs, classNames, classes, p.dialOutsideUpstream, zerolog.Nop())
+	manager.InjectFault(sim.fault)
 	addr := fmt.Sprintf("127.2.0.1:%d", 8000+incarnation)
-	listener, err := w.net.Listen(p.host, addr)
+	listener, err := sim.net.Listen(p.host, addr)
 	if err != nil {
 		panic(err)
 	}
@@ -216,16 +226,16 @@
 	go func() {
 		defer close(p.ended)
 		if err := service.Run(ctx, setup, p.events); err != nil {
-			w.t.Log("the node ended with an error, as a killed one may: ", err)
+			sim.t.Log("the node ended with an error, which a killed node may: ", err)
 		}
 	}()
-	w.mu.Lock()
-	w.addr = addr
-	w.mu.Unlock()
+	sim.mu.Lock()
+	sim.addr = addr
+	sim.mu.Unlock()
 	return p
 }
 
-// options are the node's.
+// options returns the options of the node's process.
 func (p *nodeProcess) options(seed uint32, listener net.Listener, manager *durable.Manager) service.Options {
 	settings := durable.AddClasses(policy.Settings{
 		Seed:              seed,
@@ -242,7 +252,12 @@
 		JobClasses:        classes,
 	}, maxDeadline)
 	return service.Options{
-		Settings: config.Settings{Policy: settings, JobClassNames: classNames, LoadFields: config.LoadFields{-1, -1, -1, -1, -1}, Zones: []string{"z"}},
+		Settings: config.Settings{
+			Policy:        settings,
+			JobClassNames: classNames,
+			LoadFields:    config.LoadFields{-1, -1, -1, -1, -1},
+			Zones:         []string{"z"},
+		},
 		Limits: node.Limits{
 			Quantum:         time.Millisecond,
 			MaxIdle:         time.Minute,
@@ -260,20 +275,21 @@
 		Policy:        policy.New(settings),
 		Listener:      listener,
 		DialExecutor:  p.dial,
-		DialDiscovery: func(ctx context.Context, _, addr string) (net.Conn, error) { return p.dialApart(ctx, addr) },
+		DialDiscovery: func(ctx context.Context, _, addr string) (net.Conn, error) { return p.dialOutsideUpstream(ctx, addr) },
 		Log:           zerolog.Nop(),
 		Durable:       manager,
 	}
 }
 
-// call makes a request to the node on a connection of that id; headers are whole lines. It gives the final answer where there is one.
-func (w *world) call(id, method, path string, headers ...string) (status int, final string, err error) {
-	w.mu.Lock()
-	addr := w.addr
-	w.mu.Unlock()
+// call makes a request to the node on a new connection with an ID. Headers are whole lines, with their line ends. final is the
+// job's final answer, or empty if there is none.
+func (sim *simulation) call(id, method, path string, headers ...string) (status int, final string, err error) {
+	sim.mu.Lock()
+	addr := sim.addr
+	sim.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	dialed, err := w.net.Dial(ctx, "client", id, addr)
+	dialed, err := sim.net.Dial(ctx, "client", id, addr)
 	if err != nil {
 		return 0, "", err
 	}
@@ -296,76 +312,85 @@
 	return answer.StatusCode, text.Final, err
 }
 
-// runClient submits a job until it is acknowledged, then waits for its final answer, whatever happens to the node.
-func (w *world) runClient(number int) {
+// runClient submits a job until it is acknowledged, then waits for its final answer. It retries while the node is down.
+func (sim *simulation) runClient(number int) {
 	id := fmt.Sprint("job", number)
-	if !w.submit(id, classNames[number%2]) {
+	if !sim.submit(id, classNames[number%2]) {
 		return
 	}
-	w.mu.Lock()
-	w.acknowledged[id] = true
-	w.mu.Unlock()
-	w.awaitFinal(id)
+	sim.mu.Lock()
+	sim.acknowledged[id] = true
+	sim.mu.Unlock()
+	sim.awaitFinal(id)
 }
 
-// Attempts of clients.
+// Numbers of requests after which a client gives up.
 const (
 	maxSubmits = 200
 	maxGets    = 400
 )
 
-// submit submits a job until it is acknowledged.
-func (w *world) submit(id, class string) (acknowledged bool) {
+// submit submits a job until it is acknowledged, and reports whether it was.
+func (sim *simulation) submit(id, class string) (acknowledged bool) {
 	for try := range maxSubmits + 1 {
-		status, _, err := w.call(fmt.Sprint(id, "-put", try), http.MethodPut, durable.Path+id, "X-Call-Class: "+class+"\r\n", "X-Budget-Ms: 60000\r\n")
+		status, _, err := sim.call(fmt.Sprint(id, "-put", try), http.MethodPut, durable.Path+id,
+			"X-Call-Class: "+class+"\r\n", "X-Budget-Ms: 60000\r\n")
 		if err == nil && (status == http.StatusCreated || status == http.StatusOK) {
 			return true
 		}
 		if err == nil && status != http.StatusServiceUnavailable {
-			w.violation("%s: status %d", id, status)
+			sim.violation("submission of %s was answered with status %d", id, status)
 			return false
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	w.violation("%s is never acknowledged", id)
+	sim.violation("%s was not acknowledged in %d submissions", id, maxSubmits+1)
 	return false
 }
 
-// awaitFinal asks for a job's final answer until it has come, and once more 3 s later, perhaps of another incarnation.
-func (w *world) awaitFinal(id string) {
+// awaitFinal requests a job's final answer until there is one, and again 3 s later. The two answers, perhaps of two
+// incarnations of the node, must be the same.
+func (sim *simulation) awaitFinal(id string) {
 	first := ""
 	for try := range maxGets + 1 {
-		status, final, err := w.call(fmt.Sprint(id, "-get", try), http.MethodGet, durable.Path+id+"?wait_ms=2000")
+		status, final, err := sim.call(fmt.Sprint(id, "-get", try), http.MethodGet, durable.Path+id+"?wait_ms=2000")
 		switch {
 		case err == nil && status == http.StatusNotFound:
-			w.violation("%s was acknowledged and is lost", id)
+			sim.violation("%s was acknowledged, but is not found", id)
 			return
 		case err == nil && final != "" && first == "":
 			first = final
-			w.mu.Lock()
-			w.finals[id] = final
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.finals[id] = final
+			sim.mu.Unlock()
 			time.Sleep(3 * time.Second)
 		case err == nil && final != "":
 			if final != first {
-				w.violation("%s has two final answers, %s and %s", id, first, final)
+				sim.violation("%s has two final answers, %q and %q", id, first, final)
 			}
 			return
 		default:
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
-	w.violation("%s has no final answer", id)
+	sim.violation("%s has no final answer after %d requests", id, maxGets+1)
 }
 
-// newWorld is a world with its executors and discovery, and no node yet.
-func newWorld(t *testing.T, seed uint64, p scenario) *world {
-	w := &world{scenario: p, t: t, rand: rand.New(rand.NewPCG(seed, 2)), effects: map[string]int{}, finals: map[string]string{}, acknowledged: map[string]bool{}}
-	w.net = memnet.New(seed, func(_, _ string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
-	w.disk = emulator.NewDisk(rand.New(rand.NewPCG(seed, 3)))
+// newSimulation starts a simulation with its executors and discovery, but without a node.
+func newSimulation(t *testing.T, seed uint64, p scenario) *simulation {
+	sim := &simulation{
+		scenario:     p,
+		t:            t,
+		rand:         rand.New(rand.NewPCG(seed, 2)),
+		effects:      map[string]int{},
+		finals:       map[string]string{},
+		acknowledged: map[string]bool{},
+	}
+	sim.net = memnet.New(seed, func(_, _ string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
+	sim.disk = emulator.NewDisk(rand.New(rand.NewPCG(seed, 3)))
 	for i := range 3 {
-		w.startExecutor(i)
+		sim.startExecutor(i)
 	}
-	w.startDiscovery()
-	return w
+	sim.startDiscovery()
+	return sim
 }
