--- a/internal/durable/class.go
+++ b/internal/durable/class.go
@@ -11,12 +11,12 @@
 // ClassPrefix is put before the name of an ordinary job class to form the name of its durable class.
 const ClassPrefix = "durable/"
 
-// jobClass is a durable job class.
+// jobClass holds the properties of a durable job class that the manager uses.
 type jobClass struct {
 	id          policy.JobClassID // ID of the class in the node's state machine
 	keyRequired bool              // submissions must have an idempotency key
-	lease       leases.JobClass
-	removed     bool // no longer configured: jobs in the store continue, new ones are rejected
+	lease       leases.JobClass   // how attempts that may have run are treated
+	removed     bool              // the class is no longer configured: jobs in the store continue, new ones are rejected
 }
 
 // newJobClass returns the durable class of an ordinary one. id is the ID of the durable class.
@@ -36,7 +36,7 @@
 // so that a durable job counts as on time for as long as it may run.
 func AddClasses(settings policy.Settings, maxDeadline time.Duration) policy.Settings {
 	for _, class := range slices.Clone(settings.JobClasses) {
-		class.ExpectedWork = class.LatencyObjective // the ordinary objective; maxDeadline says nothing about the work
+		class.ExpectedWork = class.LatencyObjective // the durable class's objective, maxDeadline, would be no estimate
 		class.Deadline = maxDeadline
 		class.LatencyObjective = maxDeadline
 		class.RunTimeFactor = 0
--- a/internal/durable/codec.go
+++ b/internal/durable/codec.go
@@ -75,9 +75,9 @@
 
 // responseTo returns the response to an error.
 func responseTo(err error) statusError {
-	var bad *statusError
-	if errors.As(err, &bad) {
-		return *bad
+	var status *statusError
+	if errors.As(err, &status) {
+		return *status
 	}
 	for _, known := range errorResponses {
 		if errors.Is(err, known.err) {
--- a/internal/durable/interceptors.go
+++ b/internal/durable/interceptors.go
@@ -105,22 +105,22 @@
 	m.frontend.UpdateJobClasses(ordinary)
 }
 
-// DrainClients passes on the call.
+// DrainClients passes the call on to the frontend.
 func (e *frontendInterceptor) DrainClients(on bool) { e.frontend.DrainClients(on) }
 
-// AcceptConnections passes on the call.
+// AcceptConnections passes the call on to the frontend.
 func (e *frontendInterceptor) AcceptConnections(on bool) { e.frontend.AcceptConnections(on) }
 
-// HalveLimits passes on the call.
+// HalveLimits passes the call on to the frontend.
 func (e *frontendInterceptor) HalveLimits(on bool) { e.frontend.HalveLimits(on) }
 
-// Close passes on the call.
+// Close passes the call on to the frontend.
 func (e *frontendInterceptor) Close() { e.frontend.Close() }
 
 // upstreamInterceptor handles the state machine's calls of the upstream that concern durable jobs, and passes on the others.
 type upstreamInterceptor Manager
 
-// Dial records the connection's address, which identifies the executor of an attempt, and passes on the call.
+// Dial records the connection's address, which identifies the executor of an attempt, and passes the call on to the upstream.
 func (e *upstreamInterceptor) Dial(conn node.ConnID, addr string) {
 	m := (*Manager)(e)
 	m.mu.Lock()
@@ -166,10 +166,10 @@
 	return &fenced
 }
 
-// Close passes on the call.
+// Close passes the call on to the upstream.
 func (e *upstreamInterceptor) Close(conn node.ConnID) { e.upstream.Close(conn) }
 
-// CheckHealth passes on the call.
+// CheckHealth passes the call on to the upstream.
 func (e *upstreamInterceptor) CheckHealth(executor policy.ExecutorID, addr string) {
 	e.upstream.CheckHealth(executor, addr)
 }
--- a/internal/durable/manager.go
+++ b/internal/durable/manager.go
@@ -73,8 +73,9 @@
 	request node.Attempt
 }
 
-// New returns a manager of the jobs in a store, which Close closes. classNames and classes are the job classes of the
-// settings, without the durable ones that AddClasses appends. The manager sends the state machine no events before Start.
+// New returns a manager of the jobs in a store. The manager owns the store from now on and closes it in Close. classNames and
+// classes are the job classes of the settings, without the durable ones that AddClasses appends. The manager sends no events
+// to the state machine before Start.
 func New(options Options, jobs *store.Store, classNames []string, classes []policy.JobClass, dial DialFunc, log zerolog.Logger) *Manager {
 	m := &Manager{
 		options:        options,
--- a/internal/durable/recover.go
+++ b/internal/durable/recover.go
@@ -59,7 +59,7 @@
 }
 
 // recoverJob adds one job to the job table. If the job's class is no longer configured, the job must not run again, because
-// its idempotency is unknown; its deadline is then at the latest now. Called with m.mu held.
+// its idempotency is unknown: it is treated as a job of an at-most-once class whose deadline has passed. Called with m.mu held.
 func (m *Manager) recoverJob(at, lastWrite time.Duration, job store.JobState) []leases.Effect {
 	class, known := m.classes[job.Accepted.JobClass]
 	deadline := sinceEpoch(job.Accepted.Deadline)
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -29,8 +29,8 @@
 	return "unknown"
 }
 
-// Record is one record of a batch job in the store. Its kind determines which fields are used. Times are stored in
-// microseconds of the wall clock. The integer keys are part of the format.
+// Record is one record of a batch job in the store. Its kind determines which fields are used. Times are those of the
+// wall clock, rounded to microseconds. The integer keys are part of the format.
 type Record struct {
 	Kind Kind      `cbor:"1,keyasint"`
 	ID   string    `cbor:"2,keyasint"` // ID of the batch job
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Stats are statistics of a store.
+// Stats describes the size and the health of a store.
 type Stats struct {
 	Jobs     int
 	Bytes    int64 // total size of all segments
