--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Fleet is what a node knows of its fleet. Its methods are not safe for concurrent use.
-type Fleet struct {
+// State is what a node knows of its fleet. Its methods are not safe for concurrent use.
+type State struct {
 	settings Settings
 	nextTick time.Duration
 	lastTick time.Duration
@@ -55,8 +55,8 @@
 }
 
 // New creates the state of a node that has heard of no other node yet.
-func New(s Settings) *Fleet {
-	return &Fleet{
+func New(s Settings) *State {
+	return &State{
 		settings: s,
 		nextTick: s.GossipInterval,
 		peers:    peerTable{states: map[NodeName]*peerState{}, dropped: map[string]int{}},
@@ -66,23 +66,23 @@
 }
 
 // random returns the next number of the node's random sequence, in [0, 1).
-func (f *Fleet) random() float64 {
+func (f *State) random() float64 {
 	f.draws++
 	return policy.Random(f.settings.Seed, f.draws)
 }
 
 // Next returns when Tick is due.
-func (f *Fleet) Next() time.Duration { return f.nextTick }
+func (f *State) Next() time.Duration { return f.nextTick }
 
 // SetAlive sets which nodes of the fleet are alive. Self may be among them.
-func (f *Fleet) SetAlive(names []NodeName) {
+func (f *State) SetAlive(names []NodeName) {
 	alive := slices.DeleteFunc(slices.Sorted(slices.Values(names)), func(name NodeName) bool { return name == f.settings.Self })
 	f.peers.alive = slices.Compact(alive)
 }
 
 // Tick is due every gossip interval. It takes in the load that the policy saw since the last tick, and returns the messages to
 // send and the admission threshold from now on.
-func (f *Fleet) Tick(now time.Duration, load policy.LoadSummary) ([]Envelope, policy.AdmissionThreshold) {
+func (f *State) Tick(now time.Duration, load policy.LoadSummary) ([]Envelope, policy.AdmissionThreshold) {
 	elapsed := now - f.lastTick
 	f.lastTick, f.nextTick = now, now+f.settings.GossipInterval
 	if f.suspended(elapsed) {
@@ -98,6 +98,6 @@
 }
 
 // suspended reports whether so much time between ticks means that this process did not run.
-func (f *Fleet) suspended(elapsed time.Duration) bool {
+func (f *State) suspended(elapsed time.Duration) bool {
 	return elapsed > suspendedIntervals*f.settings.GossipInterval
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -12,7 +12,7 @@
 	"birchstair/policy"
 )
 
-// tracePlayer replays a trace. A trace in testdata holds the calls of a Fleet and, behind arrows, what they return:
+// tracePlayer replays a trace. A trace in testdata holds the calls of a State and, behind arrows, what they return:
 //
 //	0s alive a b c                       SetAlive
 //	1s tick offered=38:10,34:5 completed=9 expired=1 waiting=2 capacity=12   Tick, with the load since the last one
@@ -23,7 +23,7 @@
 //	2s describe                          Describe
 type tracePlayer struct {
 	t *testing.T
-	f *Fleet
+	f *State
 }
 
 func TestTraces(t *testing.T) {
--- a/internal/cluster/describe.go
+++ b/internal/cluster/describe.go
@@ -11,7 +11,7 @@
 )
 
 // Describe returns what this node knows of its fleet, one thing a line, as operators and their tools read it.
-func (f *Fleet) Describe(now time.Duration) []string {
+func (f *State) Describe(now time.Duration) []string {
 	lines := []string{fmt.Sprintf("node=%s alive=%d told=%d heard=%d", f.settings.Self, len(f.peers.alive)+1, f.peers.sent, f.peers.received)}
 	lines = append(lines, f.describePeers(now)...)
 	lines = append(lines, f.describeDrains(now)...)
@@ -26,7 +26,7 @@
 	return lines
 }
 
-func (f *Fleet) describePeers(now time.Duration) (lines []string) {
+func (f *State) describePeers(now time.Duration) (lines []string) {
 	for _, name := range slices.Sorted(slices.Values(f.peers.alive)) {
 		s := f.peers.states[name]
 		if s == nil {
@@ -39,7 +39,7 @@
 	return lines
 }
 
-func (f *Fleet) describeDrains(now time.Duration) (lines []string) {
+func (f *State) describeDrains(now time.Duration) (lines []string) {
 	for _, id := range slices.Sorted(maps.Keys(f.drains.states)) {
 		d := f.drains.states[id]
 		source := "a neighbour"
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -3,7 +3,7 @@
 //
 // Nodes exchange gossip messages, each with the sender's own load rates and the executors that it knows to be draining. A node
 // sends a fixed number of messages per gossip interval, however large the fleet is, and nothing waits for an answer. Messages
-// may be lost, late or duplicated. From what it has received a Fleet answers two questions:
+// may be lost, late or duplicated. From what it has received, a State answers two questions:
 //
 //   - Is the fleet as a whole overloaded, and if so, jobs of which priority level are to be rejected? The answer is a
 //     policy.AdmissionThreshold. It depends only on rates that nodes have seen, never on an earlier threshold, so that nodes that
@@ -13,7 +13,7 @@
 //
 // Files:
 //
-//	cluster.go   Settings, Fleet and its tick
+//	cluster.go   Settings, State and its tick
 //	gossip.go    gossip messages and the state of peers
 //	rates.go     load rates and their averages
 //	drains.go    executors that are draining
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -70,7 +70,7 @@
 }
 
 // startID names an executor's start so that all nodes name it alike, whatever their clocks say.
-func (f *Fleet) startID(startedAt time.Duration, startedLongAgo bool) int64 {
+func (f *State) startID(startedAt time.Duration, startedLongAgo bool) int64 {
 	if startedLongAgo {
 		return 0
 	}
@@ -78,7 +78,7 @@
 }
 
 // ObserveEndpoint takes in what this node's own endpoint list says of an executor.
-func (f *Fleet) ObserveEndpoint(now time.Duration, id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool, state policy.EndpointState) {
+func (f *State) ObserveEndpoint(now time.Duration, id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool, state policy.EndpointState) {
 	t := &f.drains
 	known, start := t.states[id], f.startID(startedAt, startedLongAgo)
 	switch {
@@ -100,7 +100,7 @@
 
 // receiveDrain takes in a peer's report of a drain. It reports whether the drain is new to this node. A repeated report never
 // makes a drain younger than the last time that some node's own list reported it.
-func (f *Fleet) receiveDrain(now time.Duration, d Drain) bool {
+func (f *State) receiveDrain(now time.Duration, d Drain) bool {
 	if !f.validDrain(d) {
 		return false
 	}
@@ -120,14 +120,14 @@
 	return true
 }
 
-func (f *Fleet) validDrain(d Drain) bool {
+func (f *State) validDrain(d Drain) bool {
 	return d.Age >= 0 && d.Age <= f.settings.DrainTTL && d.ExecutorStart >= 0 &&
 		d.Executor != "" && len(d.Executor) <= maxExecutorIDLength
 }
 
 // IsDraining reports whether an executor of this start is draining according to peers. What this node's own list says is not
 // repeated here.
-func (f *Fleet) IsDraining(id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool) bool {
+func (f *State) IsDraining(id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool) bool {
 	d := f.drains.states[id]
 	return d != nil && !d.ownList && f.startID(startedAt, startedLongAgo) <= d.executorStart
 }
@@ -135,7 +135,7 @@
 // ExpireDrains forgets drains that are older than DrainTTL, and returns their executors by ID. listUpToDate tells whether this
 // node's own endpoint list is up to date. If it is, the drains on it are seen again now, and peers' reports that it doesn't
 // confirm expire; if not, peers' reports are kept until it is.
-func (f *Fleet) ExpireDrains(now time.Duration, listUpToDate bool) (ids []policy.ExecutorID) {
+func (f *State) ExpireDrains(now time.Duration, listUpToDate bool) (ids []policy.ExecutorID) {
 	t := &f.drains
 	for id, d := range t.states {
 		switch {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -72,7 +72,7 @@
 }
 
 // round returns the messages of one gossip round.
-func (f *Fleet) round(now time.Duration) (out []Envelope) {
+func (f *State) round(now time.Duration) (out []Envelope) {
 	for range min(f.settings.Fanout, len(f.peers.alive)) {
 		to := f.nextRecipient()
 		out = append(out, Envelope{to, f.message(now)})
@@ -82,7 +82,7 @@
 }
 
 // nextRecipient returns each living peer in turn, in an order that is shuffled after each pass.
-func (f *Fleet) nextRecipient() NodeName {
+func (f *State) nextRecipient() NodeName {
 	p := &f.peers
 	if p.turn == 0 {
 		for i := len(p.alive) - 1; i > 0; i-- {
@@ -96,7 +96,7 @@
 }
 
 // message returns the next message: this node's rates, and as many drains as fit, each in turn.
-func (f *Fleet) message(now time.Duration) Message {
+func (f *State) message(now time.Duration) Message {
 	f.peers.seq++
 	return Message{
 		From:        f.settings.Self,
@@ -109,7 +109,7 @@
 
 // Receive takes in a message and returns the executors whose drain it reports and this node did not know of. A message that
 // can't be trusted or is out of date is dropped and counted.
-func (f *Fleet) Receive(now time.Duration, m Message) (changed []policy.ExecutorID) {
+func (f *State) Receive(now time.Duration, m Message) (changed []policy.ExecutorID) {
 	if reason := f.dropReason(now, m); reason != "" {
 		f.peers.dropped[reason]++
 		return nil
@@ -135,7 +135,7 @@
 )
 
 // dropReason returns why a message is to be dropped, or "".
-func (f *Fleet) dropReason(now time.Duration, m Message) string {
+func (f *State) dropReason(now time.Duration, m Message) string {
 	known := f.peers.states[m.From]
 	switch {
 	case m.From == f.settings.Self:
@@ -156,10 +156,10 @@
 }
 
 // CountDropped counts a message that could not be decoded.
-func (f *Fleet) CountDropped(reason string) { f.peers.dropped[reason]++ }
+func (f *State) CountDropped(reason string) { f.peers.dropped[reason]++ }
 
-// FreshPeers returns the messages whose rates count now, ordered by sender.
-func (f *Fleet) FreshPeers(now time.Duration) (ids []MessageID) {
+// FreshMessages returns the messages whose rates count now, ordered by sender.
+func (f *State) FreshMessages(now time.Duration) (ids []MessageID) {
 	for _, name := range f.peers.fresh(now, f.settings.PeerStateTTL) {
 		s := f.peers.states[name]
 		ids = append(ids, MessageID{name, s.incarnation, s.seq})
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -58,7 +58,7 @@
 
 // fleetRates estimates the rates of the whole fleet: this node's own, and those of the fresh peers scaled up to all living
 // ones.
-func (f *Fleet) fleetRates(now time.Duration) Rates {
+func (f *State) fleetRates(now time.Duration) Rates {
 	var peers []Rates
 	var magnitudes []float64
 	for _, name := range f.peers.fresh(now, f.settings.PeerStateTTL) {
@@ -80,7 +80,7 @@
 }
 
 // magnitudeLimit is the most that a single peer's rates may add up to.
-func (f *Fleet) magnitudeLimit(magnitudes []float64) float64 {
+func (f *State) magnitudeLimit(magnitudes []float64) float64 {
 	limit := maxPeerMultiple * f.own.rates.magnitude()
 	if len(magnitudes) >= minPeersForMedian {
 		sorted := slices.Sorted(slices.Values(magnitudes))
@@ -91,7 +91,7 @@
 
 // updateThreshold computes the admission threshold. While the fleet is overloaded, the work that it can admit goes to the
 // highest priority levels. Rejections start when the fleet is overloaded and end when all that is offered is admissible.
-func (f *Fleet) updateThreshold(now time.Duration) {
+func (f *State) updateThreshold(now time.Duration) {
 	fleet := f.fleetRates(now)
 	f.threshold = policy.AdmissionThreshold{MigrationDelay: fleet.migrationDelay()}
 	admissible := fleet.admissible(f.own.capacity)
@@ -102,7 +102,7 @@
 }
 
 // overloaded reports whether jobs should be rejected, by a higher bar if none are rejected now.
-func (f *Fleet) overloaded(now time.Duration, fleet Rates) bool {
+func (f *State) overloaded(now time.Duration, fleet Rates) bool {
 	utilization := 0.0
 	if f.own.capacity > 0 {
 		utilization = fleet.Completed / f.own.capacity
@@ -114,7 +114,7 @@
 }
 
 // confirmed reports whether enough nodes see losses themselves.
-func (f *Fleet) confirmed(now time.Duration) bool {
+func (f *State) confirmed(now time.Duration) bool {
 	confirming, known := 0, 1
 	if f.own.rates.seesLosses() {
 		confirming++
--- a/internal/durable/codec.go
+++ b/internal/durable/codec.go
@@ -34,7 +34,7 @@
 }
 
 // finalNames are the final answers' names on the wire.
-var finalNames = map[leases.Final]string{
+var finalNames = map[leases.Outcome]string{
 	leases.Succeeded: "handled",
 	leases.Rejected:  "pushed back",
 	leases.Failed:    "broken off",
--- a/internal/durable/edges.go
+++ b/internal/durable/edges.go
@@ -65,7 +65,7 @@
 		return
 	}
 	m.step(func(now time.Duration) []leases.Effect {
-		return m.book.Answered(now, leases.ID(id), leases.Final(answer.Final), answer.Result)
+		return m.book.Answered(now, leases.ID(id), leases.Outcome(answer.Final), answer.Result)
 	})
 }
 
--- a/internal/durable/manager.go
+++ b/internal/durable/manager.go
@@ -42,7 +42,7 @@
 
 	mu             sync.Mutex
 	classes        map[string]jobClass
-	book           *leases.Book
+	book           *leases.JobTable
 	unwritten      map[leases.ID]*store.Record // accepted records that are not in the store yet
 	doneWaiters    map[leases.ID]chan struct{} // closed when the final answer is written
 	ackWaiters     map[leases.ID]chan error    // receives the outcome of writing the accepted record
@@ -81,7 +81,7 @@
 		log:            log,
 		pollClient:     newPollClient(dial),
 		classes:        map[string]jobClass{},
-		book:           leases.NewBook(options.Leases),
+		book:           leases.NewJobTable(options.Leases),
 		unwritten:      map[leases.ID]*store.Record{},
 		doneWaiters:    map[leases.ID]chan struct{}{},
 		ackWaiters:     map[leases.ID]chan error{},
--- a/internal/durable/recover.go
+++ b/internal/durable/recover.go
@@ -75,11 +75,11 @@
 			NeverRan: send.Ended && send.NeverRan,
 		})
 	}
-	var final *leases.Final
+	var final *leases.Outcome
 	var result []byte
 	var finalAt time.Duration
 	if job.Final != nil {
-		answer := leases.Final(job.Final.Outcome)
+		answer := leases.Outcome(job.Final.Outcome)
 		final, result, finalAt = &answer, job.Final.Body, sinceEpoch(job.Final.At)
 	}
 	recovered := leases.Job{ID: leases.ID(job.Accepted.ID), Class: class.lease, Deadline: deadline}
--- a/internal/leases/doc.go
+++ b/internal/leases/doc.go
@@ -1,9 +1,9 @@
 // Package leases is the state machine of durable jobs: jobs that a node acknowledges only once their record is on disk, answers
 // exactly once however often it crashes, and never runs twice if their class forbids it.
 //
-// A Book holds the state of all durable jobs of a node. It reads no clock and does no input or output: each method takes what
+// A JobTable holds the state of all durable jobs of a node. It reads no clock and does no input or output: each method takes what
 // happened and when, and returns the effects to carry out. Package durable carries them out and keeps the records. Where a
-// job is sent and when it is retried is decided by package policy; a Book decides when the policy is given a job, for how long,
+// job is sent and when it is retried is decided by package policy; the JobTable decides when the policy is given a job, for how long,
 // and what its decisions mean for the records.
 //
 // Every attempt of a job has an epoch, which is on disk before the attempt goes out. An executor that takes part in leases
@@ -42,8 +42,8 @@
 // Files:
 //
 //	job.go       jobs, their states, attempts and what executors say of them
-//	effects.go   what a Book asks its caller to do
-//	book.go      Book, and the way of a job without a crash
+//	effects.go   what a JobTable asks its caller to do
+//	job_table.go JobTable, and the way of a job without a crash
 //	recovery.go  what becomes of a job after a crash
-//	timers.go    deadlines and other times at which a Book acts
+//	timers.go    deadlines and other times at which a JobTable acts
 package leases
--- a/internal/leases/effects.go
+++ b/internal/leases/effects.go
@@ -6,7 +6,7 @@
 	"birchstair/policy"
 )
 
-// Effect is something that a Book asks its caller to do. It is one of the types below.
+// Effect is something that a JobTable asks its caller to do. It is one of the types below.
 type Effect interface{ effect() }
 
 // Effects on the disk.
@@ -26,7 +26,7 @@
 	// StoreFinal writes a final answer. FinalStored reports it.
 	StoreFinal struct {
 		ID     ID
-		Final  Final
+		Final  Outcome
 		Result []byte
 	}
 	// StoreForget writes that a job is forgotten.
@@ -56,12 +56,12 @@
 	// Publish gives the final answer to all clients that wait for it.
 	Publish struct {
 		ID     ID
-		Final  Final
+		Final  Outcome
 		Result []byte
 	}
 )
 
-// Wake asks for a call of Book.Wake at a time. A later Wake replaces it.
+// Wake asks for a call of JobTable.Wake at a time. A later Wake replaces it.
 type Wake struct{ At time.Duration }
 
 func (StoreJob) effect()      {}
--- a/internal/leases/job.go
+++ b/internal/leases/job.go
@@ -32,14 +32,14 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Final is the kind of a final answer. The values are those of package node.
-type Final int
+// Outcome is the kind of a final answer. The values are those of package node.
+type Outcome int
 
 // The kinds of final answers.
 const (
-	Succeeded Final = iota
-	Rejected        // the job did not run, or may run again
-	Failed          // the job may have run
+	Succeeded Outcome = iota
+	Rejected          // the job did not run, or may run again
+	Failed            // the job may have run
 )
 
 // JobClass is what a job's class says about attempts that may have run.
@@ -86,11 +86,11 @@
 	state         State
 	attempts      []Attempt // by epoch, from 1
 	queryInFlight bool      // while Querying: a QueryAttempt is unanswered
-	final         Final
+	final         Outcome
 	result        []byte
 
 	sequence        int // orders jobs with the same deadline
-	heapIndex       int // in Book.waiting
+	heapIndex       int // in JobTable.waiting
 	timerGeneration int // timers of an earlier generation don't count any more
 }
 
--- a/internal/leases/book.go
+++ b/internal/leases/job_table.go
@@ -15,9 +15,9 @@
 	QueryInterval  time.Duration // the interval between two questions about an attempt
 }
 
-// Book is the state of all durable jobs of a node. Its methods return effects that are to be carried out in order; they are not
+// JobTable is the state of all durable jobs of a node. Its methods return effects that are to be carried out in order; they are not
 // safe for concurrent use.
-type Book struct {
+type JobTable struct {
 	settings   Settings
 	jobs       map[ID]*job
 	waiting    waitHeap // jobs in state Waiting
@@ -31,11 +31,13 @@
 	effects []Effect // of the current call
 }
 
-// NewBook creates an empty book.
-func NewBook(s Settings) *Book { return &Book{settings: s, jobs: map[ID]*job{}, wakeAt: wakeNotSet} }
+// NewJobTable creates an empty book.
+func NewJobTable(s Settings) *JobTable {
+	return &JobTable{settings: s, jobs: map[ID]*job{}, wakeAt: wakeNotSet}
+}
 
 // State returns the state of a job, and false if there is none of this ID.
-func (b *Book) State(id ID) (State, bool) {
+func (b *JobTable) State(id ID) (State, bool) {
 	j := b.jobs[id]
 	if j == nil {
 		return 0, false
@@ -44,23 +46,23 @@
 }
 
 // Answer returns the final answer of a job that is Done.
-func (b *Book) Answer(id ID) (Final, []byte) {
+func (b *JobTable) Answer(id ID) (Outcome, []byte) {
 	j := b.jobs[id]
 	return j.final, j.result
 }
 
 // Counts returns the number of jobs by state.
-func (b *Book) Counts() (counts [len(stateNames)]int) {
+func (b *JobTable) Counts() (counts [len(stateNames)]int) {
 	for _, j := range b.jobs {
 		counts[j.state]++
 	}
 	return counts
 }
 
-func (b *Book) emit(e Effect) { b.effects = append(b.effects, e) }
+func (b *JobTable) emit(e Effect) { b.effects = append(b.effects, e) }
 
 // finish ends a call: it gives waiting jobs to the policy and returns the effects.
-func (b *Book) finish(now time.Duration) []Effect {
+func (b *JobTable) finish(now time.Duration) []Effect {
 	b.submitWaiting(now)
 	b.setWake()
 	effects := b.effects
@@ -69,7 +71,7 @@
 }
 
 // Accept takes in a new job. It returns false if there is a job of this ID already.
-func (b *Book) Accept(now time.Duration, in Job) ([]Effect, bool) {
+func (b *JobTable) Accept(now time.Duration, in Job) ([]Effect, bool) {
 	if b.jobs[in.ID] != nil {
 		return nil, false
 	}
@@ -78,7 +80,7 @@
 	return b.finish(now), true
 }
 
-func (b *Book) add(in Job) *job {
+func (b *JobTable) add(in Job) *job {
 	b.sequence++
 	j := &job{Job: in, sequence: b.sequence, heapIndex: -1}
 	b.jobs[in.ID] = j
@@ -87,7 +89,7 @@
 }
 
 // JobNotStored reports that a job's record could not be written. The job is forgotten; the caller tells the client.
-func (b *Book) JobNotStored(now time.Duration, id ID) []Effect {
+func (b *JobTable) JobNotStored(now time.Duration, id ID) []Effect {
 	if j := b.jobs[id]; j != nil && j.state == Storing {
 		delete(b.jobs, id)
 		j.cancelTimers()
@@ -96,7 +98,7 @@
 }
 
 // JobStored reports that a job's record is on disk. Only now it is acknowledged and may be given to the policy.
-func (b *Book) JobStored(now time.Duration, id ID) []Effect {
+func (b *JobTable) JobStored(now time.Duration, id ID) []Effect {
 	if j := b.jobs[id]; j != nil && j.state == Storing {
 		b.emit(Acknowledge{id})
 		b.enqueue(j)
@@ -105,13 +107,13 @@
 }
 
 // enqueue lets a job wait for the policy.
-func (b *Book) enqueue(j *job) {
+func (b *JobTable) enqueue(j *job) {
 	j.state = Waiting
 	heap.Push(&b.waiting, j)
 }
 
 // submitWaiting gives the policy as many jobs as it has room for, those with the nearest deadlines first.
-func (b *Book) submitWaiting(now time.Duration) {
+func (b *JobTable) submitWaiting(now time.Duration) {
 	for !b.stopped && b.dispatched < b.settings.MaxDispatched && len(b.waiting) > 0 {
 		j := heap.Pop(&b.waiting).(*job)
 		until := min(j.Deadline, j.retryUntil())
@@ -127,7 +129,7 @@
 
 // AttemptStarted reports that the policy sends a job to an executor. It returns the epoch of the attempt, which goes out once its record is
 // on disk, or 0 if the policy doesn't have the job.
-func (b *Book) AttemptStarted(now time.Duration, id ID, to policy.ExecutorID) (Epoch, []Effect) {
+func (b *JobTable) AttemptStarted(now time.Duration, id ID, to policy.ExecutorID) (Epoch, []Effect) {
 	j := b.jobs[id]
 	if j == nil || j.state != Dispatched {
 		return 0, b.finish(now)
@@ -140,7 +142,7 @@
 
 // AttemptStored reports that the record of an attempt is on disk. The attempt goes out, unless the job has its answer or a later
 // attempt by now.
-func (b *Book) AttemptStored(now time.Duration, id ID, e Epoch) []Effect {
+func (b *JobTable) AttemptStored(now time.Duration, id ID, e Epoch) []Effect {
 	if j := b.jobs[id]; j != nil && j.state == Dispatched && int(e) == len(j.attempts) {
 		b.emit(SendAttempt{id, e})
 	}
@@ -148,7 +150,7 @@
 }
 
 // AttemptEnded reports that an attempt is over. If it provably never ran, that is recorded, so that a crash doesn't leave it in doubt.
-func (b *Book) AttemptEnded(now time.Duration, id ID, e Epoch, neverRan bool) []Effect {
+func (b *JobTable) AttemptEnded(now time.Duration, id ID, e Epoch, neverRan bool) []Effect {
 	if j := b.jobs[id]; j != nil && neverRan && e >= 1 && int(e) <= len(j.attempts) && !j.attempts[e-1].NeverRan {
 		j.markNeverRan(e)
 		b.emit(StoreNeverRan{id, e})
@@ -158,7 +160,7 @@
 
 // Answered reports the policy's answer, which becomes final. During a shutdown only a result is final: a job that was rejected
 // stays on disk for the next start, and one that failed is asked about then.
-func (b *Book) Answered(now time.Duration, id ID, answer Final, result []byte) []Effect {
+func (b *JobTable) Answered(now time.Duration, id ID, answer Outcome, result []byte) []Effect {
 	j := b.jobs[id]
 	if j == nil || j.state != Dispatched {
 		return b.finish(now)
@@ -176,14 +178,14 @@
 }
 
 // finalize gives a job its final answer, to be written to disk.
-func (b *Book) finalize(j *job, final Final, result []byte) {
+func (b *JobTable) finalize(j *job, final Outcome, result []byte) {
 	j.state, j.final, j.result = StoringFinal, final, result
 	j.cancelTimers()
 	b.emit(StoreFinal{j.ID, final, result})
 }
 
 // expire answers a job that was not done by its deadline. A rejection promises that it did not run.
-func (b *Book) expire(j *job) {
+func (b *JobTable) expire(j *job) {
 	final := Failed
 	if j.firstPossibleRun() == nil || j.Class.Idempotency == policy.Idempotent {
 		final = Rejected
@@ -192,7 +194,7 @@
 }
 
 // FinalStored reports that a final answer is on disk. Only now clients get it.
-func (b *Book) FinalStored(now time.Duration, id ID) []Effect {
+func (b *JobTable) FinalStored(now time.Duration, id ID) []Effect {
 	if j := b.jobs[id]; j != nil && j.state == StoringFinal {
 		b.retain(j, now+b.settings.AnswerTTL)
 		b.emit(Publish{id, j.final, j.result})
@@ -201,14 +203,14 @@
 }
 
 // retain keeps a job that is done until a time.
-func (b *Book) retain(j *job, until time.Duration) {
+func (b *JobTable) retain(j *job, until time.Duration) {
 	j.state = Done
 	j.cancelTimers()
 	b.schedule(until, j)
 }
 
 // Forget forgets a job that the client is done with. It returns false if the job is not Done.
-func (b *Book) Forget(now time.Duration, id ID) ([]Effect, bool) {
+func (b *JobTable) Forget(now time.Duration, id ID) ([]Effect, bool) {
 	j := b.jobs[id]
 	if j == nil || j.state != Done {
 		return nil, false
@@ -217,14 +219,14 @@
 	return b.finish(now), true
 }
 
-func (b *Book) forget(j *job) {
+func (b *JobTable) forget(j *job) {
 	j.cancelTimers()
 	delete(b.jobs, j.ID)
 	b.emit(StoreForget{j.ID})
 }
 
 // Stop reports that the node is shutting down. The policy is given no more jobs.
-func (b *Book) Stop(now time.Duration) []Effect {
+func (b *JobTable) Stop(now time.Duration) []Effect {
 	b.stopped = true
 	return b.finish(now)
 }
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -45,7 +45,7 @@
 
 // trace makes the calls of a book, and writes each with the effects that it returns.
 type trace struct {
-	b   *Book
+	b   *JobTable
 	out strings.Builder
 }
 
@@ -78,7 +78,7 @@
 // recover starts a node that finds the job j on disk, with an attempt that went out at 2 s and did or did not provably never
 // run.
 func (s *trace) recover(title string, set Settings, now, last float64, class JobClass, neverRan bool) {
-	s.b = NewBook(set)
+	s.b = NewJobTable(set)
 	s.call(fmt.Sprintf("# %s, recovered at %.0f s, sent at 2 s", title, now), s.b.Recover(at(now), at(last), Job{"j", class, at(60)},
 		[]Attempt{{Epoch: 1, Executor: "e", At: at(2), NeverRan: neverRan}}, nil, nil, 0))
 }
@@ -92,7 +92,7 @@
 	set := Settings{MaxDispatched: 1, AnswerTTL: 100 * time.Second, QueryInterval: time.Second}
 	queries := set
 	queries.QueryExecutors = true
-	s := &trace{b: NewBook(set)}
+	s := &trace{b: NewJobTable(set)}
 	traceSuccess(s)
 	traceDeadline(s)
 	traceNotStored(s)
@@ -143,7 +143,7 @@
 
 func traceShutdown(s *trace) {
 	s.section("a shutdown: only a result is final")
-	s.b = NewBook(Settings{MaxDispatched: 3, AnswerTTL: 100 * time.Second})
+	s.b = NewJobTable(Settings{MaxDispatched: 3, AnswerTTL: 100 * time.Second})
 	for _, id := range []ID{"x", "y", "z"} {
 		s.b.Accept(at(1), Job{id, atMostOnce, at(60)})
 		s.b.JobStored(at(1), id)
@@ -192,7 +192,7 @@
 
 // Ten thousand recovered jobs: the policy gets no more than it has room for, those with the nearest deadlines first.
 func TestManyRecovered(t *testing.T) {
-	b := NewBook(Settings{MaxDispatched: 50, AnswerTTL: time.Hour})
+	b := NewJobTable(Settings{MaxDispatched: 50, AnswerTTL: time.Hour})
 	submitted := 0
 	count := func(effects []Effect) {
 		for _, e := range effects {
--- a/internal/leases/recovery.go
+++ b/internal/leases/recovery.go
@@ -8,7 +8,7 @@
 
 // Recover takes in a job that the disk holds at the start of the node, with its attempts and, if it has one, its final answer.
 // last is the latest time on the disk: if the clock is behind it, it was set back, and no dedup window is counted on it.
-func (b *Book) Recover(now, last time.Duration, in Job, sends []Attempt, final *Final, result []byte, finalAt time.Duration) []Effect {
+func (b *JobTable) Recover(now, last time.Duration, in Job, sends []Attempt, final *Outcome, result []byte, finalAt time.Duration) []Effect {
 	j := b.add(in)
 	j.attempts = sends
 	if final != nil {
@@ -32,7 +32,7 @@
 
 // query asks the executor of the first attempt that may have run what became of it. If executors don't take part in leases, that
 // can't be found out, and the job has failed.
-func (b *Book) query(now time.Duration, j *job) {
+func (b *JobTable) query(now time.Duration, j *job) {
 	if !b.settings.QueryExecutors {
 		b.finalize(j, Failed, nil)
 		return
@@ -45,7 +45,7 @@
 }
 
 // AttemptQueried reports what an executor said of an epoch.
-func (b *Book) AttemptQueried(now time.Duration, id ID, e Epoch, found QueryResult, result []byte) []Effect {
+func (b *JobTable) AttemptQueried(now time.Duration, id ID, e Epoch, found QueryResult, result []byte) []Effect {
 	j := b.jobs[id]
 	if j == nil || j.state != Querying || !j.queryInFlight {
 		return b.finish(now)
@@ -68,7 +68,7 @@
 
 // resume goes on with a job after one of its attempts has turned out not to have run: it is sent again, or the next attempt
 // that may have run is asked about.
-func (b *Book) resume(now time.Duration, j *job) {
+func (b *JobTable) resume(now time.Duration, j *job) {
 	switch {
 	case now >= j.Deadline:
 		b.expire(j)
@@ -80,7 +80,7 @@
 }
 
 // queryLater asks again after an interval, unless the deadline has passed.
-func (b *Book) queryLater(now time.Duration, j *job) {
+func (b *JobTable) queryLater(now time.Duration, j *job) {
 	if now >= j.Deadline {
 		b.finalize(j, Failed, nil)
 		return
--- a/internal/leases/timers.go
+++ b/internal/leases/timers.go
@@ -10,7 +10,7 @@
 
 // Wake does what is due: jobs past their deadlines are answered, executors are asked again, answers that were kept for long
 // enough are forgotten.
-func (b *Book) Wake(now time.Duration) []Effect {
+func (b *JobTable) Wake(now time.Duration) []Effect {
 	b.wakeAt = wakeNotSet
 	for len(b.timers) > 0 && b.timers[0].at <= now {
 		t := heap.Pop(&b.timers).(timer)
@@ -21,7 +21,7 @@
 	return b.finish(now)
 }
 
-func (b *Book) timerFired(now time.Duration, j *job) {
+func (b *JobTable) timerFired(now time.Duration, j *job) {
 	switch j.state {
 	case Waiting:
 		heap.Remove(&b.waiting, j.heapIndex)
@@ -38,7 +38,7 @@
 }
 
 // setWake asks for a call of Wake when the first timer is due, unless that has been asked for already.
-func (b *Book) setWake() {
+func (b *JobTable) setWake() {
 	if len(b.timers) > 0 && b.timers[0].at != b.wakeAt {
 		b.wakeAt = b.timers[0].at
 		b.emit(Wake{b.wakeAt})
@@ -46,7 +46,7 @@
 }
 
 // schedule sets a timer of a job.
-func (b *Book) schedule(at time.Duration, j *job) {
+func (b *JobTable) schedule(at time.Duration, j *job) {
 	b.sequence++
 	heap.Push(&b.timers, timer{at, b.sequence, j.timerGeneration, j})
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -9,7 +9,7 @@
 func (n *Node) JoinFleet(s cluster.Settings) { n.fleet = cluster.New(s) }
 
 // Fleet returns what this node knows of its fleet, for reading only; nil if it is not part of one.
-func (n *Node) Fleet() *cluster.Fleet { return n.fleet }
+func (n *Node) Fleet() *cluster.State { return n.fleet }
 
 // gossipReceived takes in a gossip message, and applies the drains in it that are new.
 func (n *Node) gossipReceived(m cluster.Message) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,7 +68,7 @@
 	admin     adminState
 	handoff   handoff
 	relays    commandRelays
-	fleet     *cluster.Fleet // nil if this node is not part of a fleet
+	fleet     *cluster.State // nil if this node is not part of a fleet
 
 	now     time.Duration // of the current step
 	timerAt time.Duration // what the timer is set to, or timerNotSet
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -43,7 +43,7 @@
 // member is a hollow node: the real gossip edge and the real fleet logic, with invented load figures.
 type member struct {
 	mu    sync.Mutex
-	fleet *cluster.Fleet
+	fleet *cluster.State
 	edge  *gossip.Membership
 	epoch time.Time
 	alive int
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -88,7 +88,7 @@
 	if w.now < n.workRate.suspendedUntil+settings.PeerStateTTL {
 		longest += suspendRounds * settings.GossipInterval
 	}
-	for _, used := range n.reducer.Fleet().FreshPeers(w.now - n.startedAt) {
+	for _, used := range n.reducer.Fleet().FreshMessages(w.now - n.startedAt) {
 		at, ok := w.gossipBounds.sentAt[used]
 		if !ok {
 			w.violateBound(n, "%s counts word %d of %s, which was never told", n.name, used.Seq, used.From)
