--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -7,26 +7,26 @@
 	"birchstair/policy"
 )
 
-// suspendedIntervals is how many gossip intervals may pass without a Tick before the node counts as having been suspended:
-// messages that waited unread meanwhile are old, and so are its own rates.
+// suspendedIntervals is the number of gossip intervals without a Tick after which the node concludes that its process was
+// suspended. Its own rates and the messages that waited unread are then out of date.
 const suspendedIntervals = 3
 
-// NodeName is a node's name in the fleet.
+// NodeName is the name of a node, unique in its cluster.
 type NodeName string
 
-// Settings are the settings of a node of a fleet.
+// Settings are the settings of a node's part in its cluster.
 type Settings struct {
 	Self           NodeName
-	Incarnation    uint64        // of this process, increasing with each start: Unix milliseconds at its start
-	Seed           uint32        // for random choices
-	Epoch          int64         // Unix milliseconds at which this node's time starts, by the clock that dates its endpoint list
-	GossipInterval time.Duration // between two rounds of messages
-	Fanout         int           // messages per round
-	PeerStateTTL   time.Duration // how long the rates of a peer count after they were received
-	DrainTTL       time.Duration // how long a drain counts after a node's own list last reported it
+	Incarnation    uint64        // when this process started, in Unix milliseconds; greater after each restart
+	Seed           uint32        // seed of the random choices
+	Epoch          int64         // zero of this node's times, in Unix milliseconds of the clock that dates its endpoint list
+	GossipInterval time.Duration // time between two gossip rounds
+	Fanout         int           // number of messages sent per gossip round
+	PeerStateTTL   time.Duration // how long a peer's rates are used after they were received
+	DrainTTL       time.Duration // how long a drain is believed after some node's own endpoint list last showed it
 }
 
-// Defaults returns the settings of a node with the defaults of a fleet.
+// Defaults returns the default settings for a node.
 func Defaults(self NodeName, incarnation uint64, seed uint32) Settings {
 	return Settings{
 		Self:           self,
@@ -40,64 +40,64 @@
 	}
 }
 
-// State is what a node knows of its fleet. Its methods are not safe for concurrent use.
+// State holds what a node knows of its cluster. Its methods are not safe for concurrent use.
 type State struct {
 	settings Settings
 	nextTick time.Duration
 	lastTick time.Duration
-	draws    uint32 // random numbers drawn so far
+	draws    uint32 // number of random numbers drawn so far
 
 	peers     peerTable
 	drains    drainTable
 	own       ownLoad
 	threshold policy.AdmissionThreshold
-	shedding  bool // the threshold rejects jobs
+	shedding  bool // whether the threshold rejects jobs at present
 }
 
-// New creates the state of a node that has heard of no other node yet.
-func New(s Settings) *State {
+// New creates the state of a node that knows no peers yet.
+func New(settings Settings) *State {
 	return &State{
-		settings: s,
-		nextTick: s.GossipInterval,
+		settings: settings,
+		nextTick: settings.GossipInterval,
 		peers:    peerTable{states: map[NodeName]*peerState{}, dropped: map[string]int{}},
 		drains:   drainTable{states: map[policy.ExecutorID]*drainState{}, endedAt: map[policy.ExecutorID]time.Duration{}},
 		own:      ownLoad{rates: Rates{Offered: map[int]float64{}}},
 	}
 }
 
-// random returns the next number of the node's random sequence, in [0, 1).
-func (f *State) random() float64 {
-	f.draws++
-	return policy.Random(f.settings.Seed, f.draws)
+// random returns the next number in [0, 1) of the node's random sequence, which depends only on the seed.
+func (s *State) random() float64 {
+	s.draws++
+	return policy.Random(s.settings.Seed, s.draws)
 }
 
-// Next returns when Tick is due.
-func (f *State) Next() time.Duration { return f.nextTick }
+// Next returns the time at which Tick is due.
+func (s *State) Next() time.Duration { return s.nextTick }
 
-// SetAlive sets which nodes of the fleet are alive. Self may be among them.
-func (f *State) SetAlive(names []NodeName) {
-	alive := slices.DeleteFunc(slices.Sorted(slices.Values(names)), func(name NodeName) bool { return name == f.settings.Self })
-	f.peers.alive = slices.Compact(alive)
+// SetAlive sets which nodes of the cluster are alive. This node may be among them; it is left out.
+func (s *State) SetAlive(names []NodeName) {
+	alive := slices.DeleteFunc(slices.Sorted(slices.Values(names)), func(name NodeName) bool { return name == s.settings.Self })
+	s.peers.alive = slices.Compact(alive)
 }
 
-// Tick is due every gossip interval. It takes in the load that the policy saw since the last tick, and returns the messages to
-// send and the admission threshold from now on.
-func (f *State) Tick(now time.Duration, load policy.LoadSummary) ([]Envelope, policy.AdmissionThreshold) {
-	elapsed := now - f.lastTick
-	f.lastTick, f.nextTick = now, now+f.settings.GossipInterval
-	if f.suspended(elapsed) {
-		f.peers.ignoreUntil = now + f.settings.GossipInterval
-		f.shedding = false
-		f.own.reset()
+// Tick runs one gossip round and is due every gossip interval. It adds the load that the policy measured since the last tick to
+// the node's averages, and returns the messages to send and the new admission threshold.
+func (s *State) Tick(now time.Duration, load policy.LoadSummary) ([]Envelope, policy.AdmissionThreshold) {
+	elapsed := now - s.lastTick
+	s.lastTick, s.nextTick = now, now+s.settings.GossipInterval
+	if s.suspended(elapsed) {
+		s.peers.ignoreUntil = now + s.settings.GossipInterval
+		s.shedding = false
+		s.own.reset()
 	} else {
-		f.own.add(load, elapsed)
+		s.own.add(load, elapsed)
 	}
-	f.peers.expire(now, peerRetention*f.settings.PeerStateTTL)
-	f.updateThreshold(now)
-	return f.round(now), f.threshold
+	s.peers.expire(now, peerRetentionMultiple*s.settings.PeerStateTTL)
+	s.updateThreshold(now)
+	return s.gossipRound(now), s.threshold
 }
 
-// suspended reports whether so much time between ticks means that this process did not run.
-func (f *State) suspended(elapsed time.Duration) bool {
-	return elapsed > suspendedIntervals*f.settings.GossipInterval
+// suspended reports whether the time since the last tick is so long that this process must have been suspended.
+func (s *State) suspended(elapsed time.Duration) bool {
+	return elapsed > suspendedIntervals*s.settings.GossipInterval
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -12,25 +12,25 @@
 	"birchstair/policy"
 )
 
-// tracePlayer replays a trace. A trace in testdata holds the calls of a State and, behind arrows, what they return:
+// tracePlayer replays a trace from testdata. A trace holds calls of a State's methods and, behind arrows, what they return:
 //
 //	0s alive a b c                       SetAlive
-//	1s tick offered=38:10,34:5 completed=9 expired=1 waiting=2 capacity=12   Tick, with the load since the last one
-//	1s message a incarnation=1 seq=1 offered=38:10 completed=9 e3:5s:0s      Receive; drains as executor:age:start
-//	1s endpoint e3 draining started=0s   ObserveEndpoint: available, draining or removed; 0s is long ago
+//	1s tick offered=38:10,34:5 completed=9 expired=1 waiting=2 capacity=12   Tick, with the load since the tick before
+//	1s message a incarnation=1 seq=1 offered=38:10 completed=9 e3:5s:0s      Receive, with drains as executor:age:start
+//	1s endpoint e3 draining started=0s   ObserveEndpoint with available, draining or removed; started=0s means long ago
 //	2s is-draining e3 started=0s         IsDraining
-//	2s expire up-to-date                 ExpireDrains; the own list is up-to-date or out-of-date
+//	2s expire up-to-date                 ExpireDrains, while the own endpoint list is up-to-date or out-of-date
 //	2s describe                          Describe
 type tracePlayer struct {
-	t *testing.T
-	f *State
+	t     *testing.T
+	state *State
 }
 
 func TestTraces(t *testing.T) {
 	golden.Replay(t, func(t *testing.T, lines []string) string {
-		s := Defaults("me", 5, 1)
-		s.Epoch, s.DrainTTL = 0, 30*time.Second
-		p, out := &tracePlayer{t: t, f: New(s)}, []string{}
+		settings := Defaults("me", 5, 1)
+		settings.Epoch, settings.DrainTTL = 0, 30*time.Second
+		p, out := &tracePlayer{t: t, state: New(settings)}, []string{}
 		for _, line := range lines {
 			out = append(out, line)
 			if words := strings.Fields(line); len(words) > 0 && words[0] != "#" {
@@ -43,7 +43,7 @@
 	})
 }
 
-// play makes the call of one line, and returns what it returns as text.
+// play makes the call that a line describes, and returns the call's results as text.
 func (p *tracePlayer) play(now time.Duration, words []string) []string {
 	p.t.Helper()
 	values := map[string]string{}
@@ -61,15 +61,15 @@
 		return p.message(now, words, values)
 	case "endpoint":
 		state := policy.EndpointState(slices.Index([]string{"available", "draining", "removed"}, words[2]))
-		started := p.started(values)
-		p.f.ObserveEndpoint(now, policy.ExecutorID(words[1]), started, started == 0, state)
+		startedAt := p.started(values)
+		p.state.ObserveEndpoint(now, policy.ExecutorID(words[1]), startedAt, startedAt == 0, state)
 	case "is-draining":
 		started := golden.Span(p.t, values["started"])
-		return []string{fmt.Sprint(p.f.IsDraining(policy.ExecutorID(words[1]), started, started == 0))}
+		return []string{fmt.Sprint(p.state.IsDraining(policy.ExecutorID(words[1]), started, started == 0))}
 	case "expire":
 		return p.expire(now, words[1] == "up-to-date")
 	case "describe":
-		return p.f.Describe(now)
+		return p.state.Describe(now)
 	default:
 		p.t.Fatalf("unknown call %q", words[0])
 	}
@@ -81,7 +81,7 @@
 	for _, word := range words {
 		names = append(names, NodeName(word))
 	}
-	p.f.SetAlive(names)
+	p.state.SetAlive(names)
 }
 
 func (p *tracePlayer) tick(now time.Duration, values map[string]string) (out []string) {
@@ -94,7 +94,7 @@
 	if value := values["capacity"]; value != "" {
 		load.Capacity = p.number(value)
 	}
-	sent, threshold := p.f.Tick(now, load)
+	sent, threshold := p.state.Tick(now, load)
 	for _, e := range sent {
 		out = append(out, envelopeText(e))
 	}
@@ -123,18 +123,18 @@
 		m.Seq = uint64(p.number(value))
 	}
 	for _, word := range words[2:] {
-		if part := strings.Split(word, ":"); len(part) == 3 && !strings.Contains(word, "=") {
-			m.Drains = append(m.Drains, Drain{Executor: policy.ExecutorID(part[0]), Age: golden.Span(p.t, part[1]), ExecutorStart: golden.Span(p.t, part[2]).Milliseconds()})
+		if fields := strings.Split(word, ":"); len(fields) == 3 && !strings.Contains(word, "=") {
+			m.Drains = append(m.Drains, Drain{Executor: policy.ExecutorID(fields[0]), Age: golden.Span(p.t, fields[1]), ExecutorStart: golden.Span(p.t, fields[2]).Milliseconds()})
 		}
 	}
-	for _, id := range p.f.Receive(now, m) {
+	for _, id := range p.state.Receive(now, m) {
 		out = append(out, fmt.Sprintf("%s is newly draining", id))
 	}
 	return out
 }
 
 func (p *tracePlayer) expire(now time.Duration, upToDate bool) (out []string) {
-	for _, id := range p.f.ExpireDrains(now, upToDate) {
+	for _, id := range p.state.ExpireDrains(now, upToDate) {
 		out = append(out, fmt.Sprintf("%s has expired", id))
 	}
 	return out
@@ -162,7 +162,7 @@
 	return rates
 }
 
-// levels reads rates by priority level, as in 38:10,34:5.
+// levels parses rates by priority level, such as 38:10,34:5.
 func (p *tracePlayer) levels(text string) map[int]float64 {
 	p.t.Helper()
 	rates := map[int]float64{}
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -9,47 +9,47 @@
 )
 
 const (
-	// maxDrains bounds the drains that a node remembers.
+	// maxDrains is the largest number of drains that a node remembers.
 	maxDrains = 4096
-	// maxExecutorIDLength is the length of the longest executor ID, in bytes.
+	// maxExecutorIDLength is the largest length of an executor ID in a peer's report, in bytes.
 	maxExecutorIDLength = 128
 )
 
-// Drain is a report that an executor is draining or gone, as some node's own endpoint list said Age ago.
+// Drain is a report that an executor is draining or removed, according to some node's own endpoint list.
 type Drain struct {
 	Executor      policy.ExecutorID
-	ExecutorStart int64 // names the executor's start: Unix milliseconds; 0 for long ago
-	Age           time.Duration
+	ExecutorStart int64         // when the executor started, in Unix milliseconds; 0 if it started long ago
+	Age           time.Duration // time since an endpoint list last showed the drain
 }
 
 // drainState is a drain that this node knows of.
 type drainState struct {
-	executorStart int64
-	seenAt        time.Duration // when a node's own list last reported it
-	ownList       bool          // this node's own list reports it
-	removed       bool          // this node's own list no longer names the executor
+	executorStart int64         // see Drain.ExecutorStart
+	seenAt        time.Duration // when some node's own endpoint list last showed it
+	ownList       bool          // whether this node's own endpoint list shows the executor as draining or removed
+	removed       bool          // whether the executor is gone from this node's own endpoint list
 }
 
 // drainTable holds the drains that this node knows of.
 type drainTable struct {
-	states  map[policy.ExecutorID]*drainState
-	endedAt map[policy.ExecutorID]time.Duration // when this node's own list ended a drain: older reports of it don't count
-	turn    int                                 // the last drain sent, an index into the sorted IDs
+	states   map[policy.ExecutorID]*drainState
+	endedAt  map[policy.ExecutorID]time.Duration // when this node's own endpoint list ended a drain; older reports of it are ignored
+	lastSent int                                 // index of the last drain sent, among the sorted executor IDs
 }
 
-// next returns up to so many drains for a message, continuing where the last message ended.
-func (t *drainTable) next(now time.Duration, limit int) (drains []Drain) {
+// nextBatch returns at most limit drains for a message, beginning after the last one that was sent.
+func (t *drainTable) nextBatch(now time.Duration, limit int) (drains []Drain) {
 	ids := slices.Sorted(maps.Keys(t.states))
 	for range min(len(ids), limit) {
-		t.turn = (t.turn + 1) % len(ids)
-		id := ids[t.turn]
+		t.lastSent = (t.lastSent + 1) % len(ids)
+		id := ids[t.lastSent]
 		d := t.states[id]
 		drains = append(drains, Drain{Executor: id, ExecutorStart: d.executorStart, Age: now - d.seenAt})
 	}
 	return drains
 }
 
-// store remembers a drain. If there are too many, the one seen longest ago is forgotten.
+// store adds or replaces a drain. If the table is full, the drain seen longest ago is removed.
 func (t *drainTable) store(id policy.ExecutorID, d *drainState) {
 	if t.states[id] == nil && len(t.states) >= maxDrains {
 		delete(t.states, t.oldest())
@@ -57,7 +57,7 @@
 	t.states[id] = d
 }
 
-// oldest returns the executor whose drain was seen longest ago, the first by ID if there are several.
+// oldest returns the executor whose drain was seen longest ago; of several, the one with the lowest ID.
 func (t *drainTable) oldest() policy.ExecutorID {
 	oldest := policy.ExecutorID("")
 	for id, d := range t.states {
@@ -69,23 +69,23 @@
 	return oldest
 }
 
-// startID names an executor's start so that all nodes name it alike, whatever their clocks say.
-func (f *State) startID(startedAt time.Duration, startedLongAgo bool) int64 {
+// startID identifies a start of an executor by a number that is the same on every node, whatever their clocks show.
+func (s *State) startID(startedAt time.Duration, startedLongAgo bool) int64 {
 	if startedLongAgo {
 		return 0
 	}
-	return f.settings.Epoch + startedAt.Milliseconds()
+	return s.settings.Epoch + startedAt.Milliseconds()
 }
 
-// ObserveEndpoint takes in what this node's own endpoint list says of an executor.
-func (f *State) ObserveEndpoint(now time.Duration, id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool, state policy.EndpointState) {
-	t := &f.drains
-	known, start := t.states[id], f.startID(startedAt, startedLongAgo)
+// ObserveEndpoint records the state of an executor in this node's own endpoint list.
+func (s *State) ObserveEndpoint(now time.Duration, id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool, state policy.EndpointState) {
+	t := &s.drains
+	known, start := t.states[id], s.startID(startedAt, startedLongAgo)
 	switch {
 	case state != policy.Available:
 		removed := state == policy.Removed
 		if removed && known != nil {
-			start = max(start, known.executorStart) // an entry that is removed may lack its start
+			start = max(start, known.executorStart) // a removed entry may lack its start time
 		}
 		delete(t.endedAt, id)
 		t.store(id, &drainState{executorStart: start, seenAt: now, ownList: true, removed: removed})
@@ -94,17 +94,17 @@
 		delete(t.states, id)
 		t.endedAt[id] = now
 	case start > known.executorStart:
-		delete(t.states, id) // the drain was of an earlier start
+		delete(t.states, id) // the drain belonged to an earlier start of the executor
 	}
 }
 
-// receiveDrain takes in a peer's report of a drain. It reports whether the drain is new to this node. A repeated report never
-// makes a drain younger than the last time that some node's own list reported it.
-func (f *State) receiveDrain(now time.Duration, d Drain) bool {
-	if !f.validDrain(d) {
+// receiveDrain records a peer's report of a drain, and returns whether the drain is new to this node. However often a report is
+// passed on, the drain's age runs from when some node's own endpoint list last showed it.
+func (s *State) receiveDrain(now time.Duration, d Drain) bool {
+	if !s.validDrain(d) {
 		return false
 	}
-	t := &f.drains
+	t := &s.drains
 	known, seenAt := t.states[d.Executor], now-d.Age
 	if endedAt, ok := t.endedAt[d.Executor]; ok && seenAt <= endedAt {
 		return false
@@ -120,28 +120,28 @@
 	return true
 }
 
-func (f *State) validDrain(d Drain) bool {
-	return d.Age >= 0 && d.Age <= f.settings.DrainTTL && d.ExecutorStart >= 0 &&
+func (s *State) validDrain(d Drain) bool {
+	return d.Age >= 0 && d.Age <= s.settings.DrainTTL && d.ExecutorStart >= 0 &&
 		d.Executor != "" && len(d.Executor) <= maxExecutorIDLength
 }
 
-// IsDraining reports whether an executor of this start is draining according to peers. What this node's own list says is not
-// repeated here.
-func (f *State) IsDraining(id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool) bool {
-	d := f.drains.states[id]
-	return d != nil && !d.ownList && f.startID(startedAt, startedLongAgo) <= d.executorStart
+// IsDraining reports whether, according to peers, an executor that started at this time is draining. It is false for a drain that
+// this node's own endpoint list shows, since the caller knows of it from there.
+func (s *State) IsDraining(id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool) bool {
+	d := s.drains.states[id]
+	return d != nil && !d.ownList && s.startID(startedAt, startedLongAgo) <= d.executorStart
 }
 
-// ExpireDrains forgets drains that are older than DrainTTL, and returns their executors by ID. listUpToDate tells whether this
-// node's own endpoint list is up to date. If it is, the drains on it are seen again now, and peers' reports that it doesn't
-// confirm expire; if not, peers' reports are kept until it is.
-func (f *State) ExpireDrains(now time.Duration, listUpToDate bool) (ids []policy.ExecutorID) {
-	t := &f.drains
+// ExpireDrains removes drains that are older than DrainTTL, and returns their executors ordered by ID. listUpToDate tells whether
+// this node's own endpoint list is up to date. If it is, the drains that it shows count as seen now, and drains reported only
+// by peers can expire. If it is not, drains reported by peers are kept until it is.
+func (s *State) ExpireDrains(now time.Duration, listUpToDate bool) (ids []policy.ExecutorID) {
+	t := &s.drains
 	for id, d := range t.states {
 		switch {
 		case d.ownList && !d.removed && listUpToDate:
 			d.seenAt = now
-		case now-d.seenAt > f.settings.DrainTTL && (d.removed || !d.ownList && listUpToDate):
+		case now-d.seenAt > s.settings.DrainTTL && (d.removed || !d.ownList && listUpToDate):
 			ids = append(ids, id)
 		}
 	}
@@ -149,6 +149,6 @@
 	for _, id := range ids {
 		delete(t.states, id)
 	}
-	maps.DeleteFunc(t.endedAt, func(_ policy.ExecutorID, endedAt time.Duration) bool { return now-endedAt > f.settings.DrainTTL })
+	maps.DeleteFunc(t.endedAt, func(_ policy.ExecutorID, endedAt time.Duration) bool { return now-endedAt > s.settings.DrainTTL })
 	return ids
 }
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxDrainsPerMessage bounds the size of a message.
+	// maxDrainsPerMessage limits the number of drains in a message, and so its size.
 	maxDrainsPerMessage = 24
-	// peerRetention is how long the state of a silent peer is kept, as a multiple of the time for which its rates count. Its
-	// incarnation and sequence number are needed to recognize old messages.
-	peerRetention = 10
+	// peerRetentionMultiple is how long the state of an inactive peer is kept, as a multiple of Settings.PeerStateTTL. The state
+	// outlasts the use of the rates because its incarnation and sequence number are needed to recognize old messages.
+	peerRetentionMultiple = 10
 )
 
-// Message is what one node sends to another. The rates are the sender's own; the drains may be hearsay.
+// Message is a gossip message. The rates are the sender's own; the drains include those that it received from other nodes.
 type Message struct {
 	From        NodeName
-	Incarnation uint64
-	Seq         uint64
+	Incarnation uint64 // of the sender; see Settings.Incarnation
+	Seq         uint64 // number of the message, increasing within an incarnation
 	Rates       Rates
 	Drains      []Drain
 }
@@ -37,26 +37,26 @@
 	Incarnation, Seq uint64
 }
 
-// peerState is what is known of a peer from the last message that it sent.
+// peerState is what this node keeps of the last message received from a peer.
 type peerState struct {
 	incarnation, seq uint64
 	receivedAt       time.Duration
 	rates            Rates
 }
 
-// peerTable holds the other nodes of the fleet, and the counters of messages.
+// peerTable holds the peers and the message counters.
 type peerTable struct {
-	alive       []NodeName // shuffled before each pass over all peers
-	turn        int        // the next recipient, an index into alive
-	seq         uint64     // of the last message sent
+	alive       []NodeName // living peers, shuffled before each pass over them
+	nextIndex   int        // index of the next recipient in alive
+	seq         uint64     // sequence number of the last message sent
 	states      map[NodeName]*peerState
-	ignoreUntil time.Duration // after a suspension: messages until then may have waited unread
+	ignoreUntil time.Duration // messages received before this time may have waited unread while the process was suspended
 
 	sent, received int
 	dropped        map[string]int // by reason
 }
 
-// fresh returns the peers whose rates count, by name.
+// fresh returns the peers whose rates are not older than ttl, ordered by name.
 func (p *peerTable) fresh(now, ttl time.Duration) (names []NodeName) {
 	for _, name := range slices.Sorted(maps.Keys(p.states)) {
 		if now-p.states[name].receivedAt <= ttl {
@@ -66,65 +66,65 @@
 	return names
 }
 
-// expire forgets peers that have been silent for longer than this.
-func (p *peerTable) expire(now, silence time.Duration) {
-	maps.DeleteFunc(p.states, func(_ NodeName, s *peerState) bool { return now-s.receivedAt > silence })
+// expire removes the state of peers whose last message is older than maxAge.
+func (p *peerTable) expire(now, maxAge time.Duration) {
+	maps.DeleteFunc(p.states, func(_ NodeName, s *peerState) bool { return now-s.receivedAt > maxAge })
 }
 
-// round returns the messages of one gossip round.
-func (f *State) round(now time.Duration) (out []Envelope) {
-	for range min(f.settings.Fanout, len(f.peers.alive)) {
-		to := f.nextRecipient()
-		out = append(out, Envelope{to, f.message(now)})
+// gossipRound returns the messages of one gossip gossipRound.
+func (s *State) gossipRound(now time.Duration) (out []Envelope) {
+	for range min(s.settings.Fanout, len(s.peers.alive)) {
+		to := s.nextRecipient()
+		out = append(out, Envelope{to, s.nextMessage(now)})
 	}
-	f.peers.sent += len(out)
+	s.peers.sent += len(out)
 	return out
 }
 
 // nextRecipient returns each living peer in turn, in an order that is shuffled after each pass.
-func (f *State) nextRecipient() NodeName {
-	p := &f.peers
-	if p.turn == 0 {
+func (s *State) nextRecipient() NodeName {
+	p := &s.peers
+	if p.nextIndex == 0 {
 		for i := len(p.alive) - 1; i > 0; i-- {
-			j := min(int(f.random()*float64(i+1)), i)
+			j := min(int(s.random()*float64(i+1)), i)
 			p.alive[i], p.alive[j] = p.alive[j], p.alive[i]
 		}
 	}
-	to := p.alive[p.turn%len(p.alive)]
-	p.turn = (p.turn + 1) % len(p.alive)
+	to := p.alive[p.nextIndex%len(p.alive)]
+	p.nextIndex = (p.nextIndex + 1) % len(p.alive)
 	return to
 }
 
-// message returns the next message: this node's rates, and as many drains as fit, each in turn.
-func (f *State) message(now time.Duration) Message {
-	f.peers.seq++
+// nextMessage returns the next nextMessage: this node's rates, and as many drains as fit, each in turn.
+func (s *State) nextMessage(now time.Duration) Message {
+	s.peers.seq++
 	return Message{
-		From:        f.settings.Self,
-		Incarnation: f.settings.Incarnation,
-		Seq:         f.peers.seq,
-		Rates:       f.own.rates.Clone(),
-		Drains:      f.drains.next(now, maxDrainsPerMessage),
+		From:        s.settings.Self,
+		Incarnation: s.settings.Incarnation,
+		Seq:         s.peers.seq,
+		Rates:       s.own.rates.Clone(),
+		Drains:      s.drains.nextBatch(now, maxDrainsPerMessage),
 	}
 }
 
-// Receive takes in a message and returns the executors whose drain it reports and this node did not know of. A message that
-// can't be trusted or is out of date is dropped and counted.
-func (f *State) Receive(now time.Duration, m Message) (changed []policy.ExecutorID) {
-	if reason := f.dropReason(now, m); reason != "" {
-		f.peers.dropped[reason]++
+// Receive processes a gossip message and returns the executors whose drain is new to this node. A message that is implausible or
+// out of date is dropped and counted by reason.
+func (s *State) Receive(now time.Duration, m Message) (newlyDraining []policy.ExecutorID) {
+	if reason := s.dropReason(now, m); reason != "" {
+		s.peers.dropped[reason]++
 		return nil
 	}
-	f.peers.states[m.From] = &peerState{incarnation: m.Incarnation, seq: m.Seq, receivedAt: now, rates: m.Rates}
-	f.peers.received++
+	s.peers.states[m.From] = &peerState{incarnation: m.Incarnation, seq: m.Seq, receivedAt: now, rates: m.Rates}
+	s.peers.received++
 	for _, d := range m.Drains {
-		if f.receiveDrain(now, d) {
-			changed = append(changed, d.Executor)
+		if s.receiveDrain(now, d) {
+			newlyDraining = append(newlyDraining, d.Executor)
 		}
 	}
-	return changed
+	return newlyDraining
 }
 
-// Reasons to drop a message, as operators are shown them.
+// Reasons for dropping a message, as Describe shows them to operators.
 const (
 	dropOwnName          = "in this node's own name"
 	dropUnreadForLong    = "unread for long"
@@ -134,16 +134,16 @@
 	dropImplausibleRates = "with figures that make no sense"
 )
 
-// dropReason returns why a message is to be dropped, or "".
-func (f *State) dropReason(now time.Duration, m Message) string {
-	known := f.peers.states[m.From]
+// dropReason returns the reason for dropping a message, or "" if it is valid.
+func (s *State) dropReason(now time.Duration, m Message) string {
+	known := s.peers.states[m.From]
 	switch {
-	case m.From == f.settings.Self:
+	case m.From == s.settings.Self:
 		return dropOwnName
-	case now < f.peers.ignoreUntil || f.suspended(now-f.lastTick):
-		// This process was suspended. A message that waited unread meanwhile would count as fresh.
+	case now < s.peers.ignoreUntil || s.suspended(now-s.lastTick):
+		// The process was suspended. A message that waited unread meanwhile would be taken for a recent one.
 		return dropUnreadForLong
-	case !slices.Contains(f.peers.alive, m.From):
+	case !slices.Contains(s.peers.alive, m.From):
 		return dropUnknownNode
 	case known != nil && m.Incarnation < known.incarnation:
 		return dropOldIncarnation
@@ -155,14 +155,14 @@
 	return ""
 }
 
-// CountDropped counts a message that could not be decoded.
-func (f *State) CountDropped(reason string) { f.peers.dropped[reason]++ }
+// CountDropped counts a message that was dropped before it reached Receive, as one that can't be decoded.
+func (s *State) CountDropped(reason string) { s.peers.dropped[reason]++ }
 
-// FreshMessages returns the messages whose rates count now, ordered by sender.
-func (f *State) FreshMessages(now time.Duration) (ids []MessageID) {
-	for _, name := range f.peers.fresh(now, f.settings.PeerStateTTL) {
-		s := f.peers.states[name]
-		ids = append(ids, MessageID{name, s.incarnation, s.seq})
+// FreshMessages returns the IDs of the messages whose rates are in use, ordered by sender.
+func (s *State) FreshMessages(now time.Duration) (ids []MessageID) {
+	for _, name := range s.peers.fresh(now, s.settings.PeerStateTTL) {
+		peer := s.peers.states[name]
+		ids = append(ids, MessageID{name, peer.incarnation, peer.seq})
 	}
 	return ids
 }
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -8,80 +8,81 @@
 	"birchstair/policy"
 )
 
-// How the fleet's rates are estimated from the reports of peers.
+// Constants for estimating the rates of the whole cluster from the reports of peers.
 const (
-	// maxPeerMultiple bounds what one peer counts for, as a multiple of the larger of this node's own rates and, from
-	// minPeersForMedian peers on, their median: a node that reports nonsense can move the threshold only within that.
+	// maxPeerMultiple limits the influence of one peer, so that a node that reports nonsense can't move the threshold far. It
+	// is a multiple of this node's own rates or, if that is larger and there are minPeersForMedian peers, of the peers' median.
 	maxPeerMultiple = 8
-	// minPeersForMedian is the number of peers from which on a median is meaningful.
+	// minPeersForMedian is the smallest number of peers whose median is meaningful.
 	minPeersForMedian = 3
-	// minDivisor keeps ratios finite when a rate is zero.
+	// minDivisor is the smallest divisor of a ratio, which keeps the ratio finite when a rate is zero.
 	minDivisor = 1e-9
 )
 
-// When the threshold begins and ceases to reject jobs. Utilization is completed work as a share of the executors' capacity;
-// pressure is 1 when the fleet loses or delays as much work as is tolerated.
+// Conditions on which the threshold starts and stops rejecting jobs. Utilization is the fraction of the executors' capacity that
+// goes into completed work. Pressure is 1 when the cluster loses or delays as much work as is tolerated.
 const (
-	// overloadedExpiredShare is the share of work expired above which the fleet is overloaded.
-	overloadedExpiredShare = 0.03
-	// utilizationToStart is the utilization that an overload must have. Below it work is lost to something other than want of
-	// capacity, which rejecting jobs does not cure.
+	// overloadedExpiredFraction is the fraction of the finished work that must expire for the cluster to count as overloaded.
+	overloadedExpiredFraction = 0.03
+	// utilizationToStart is the utilization above which rejections can start. At lower utilization work expires for another
+	// reason than lack of capacity, and rejecting jobs would not help.
 	utilizationToStart = 0.75
-	// utilizationToStop and pressureToStop: at or below either of them, rejections end.
+	// utilizationToStop and pressureToStop: rejections end when utilization or pressure falls to its value here.
 	utilizationToStop = 0.6
 	pressureToStop    = 0.25
-	// confirmingShare is the share of the known nodes that must see losses themselves, minConfirming the least number. A
-	// single node can't make the fleet reject jobs by reporting losses that nobody else has.
-	confirmingShare = 0.25
-	minConfirming   = 2
+	// confirmingFraction is the fraction of the known nodes that must report losses of their own before rejections start, and
+	// minConfirmingNodes is their least number. So a single node can't make the cluster reject jobs by reporting losses that no
+	// other node has.
+	confirmingFraction = 0.25
+	minConfirmingNodes = 2
 )
 
-// How much work is admitted while the threshold rejects jobs.
+// Constants that determine how much work is admitted while the threshold rejects jobs.
 const (
-	// toleratedExpiredShare is the share of work expired at which pressure is 1.
-	toleratedExpiredShare = 0.05
-	// toleratedWait is the share of the time it has left that work may wait; pressure is 1 there.
+	// toleratedExpiredFraction is the fraction of the finished work that expires at pressure 1.
+	toleratedExpiredFraction = 0.05
+	// toleratedWait is the fraction of its slack that a job waits, on average, at pressure 1.
 	toleratedWait = 0.4
-	// admitHeadroom is the share by which more work is admitted than is completed when there is no pressure.
+	// admitHeadroom is the fraction by which the admitted work may grow when there is no pressure.
 	admitHeadroom = 0.25
-	// minAdmitFactor is the share of the completed work that is admitted under any pressure.
+	// minAdmitFactor is the fraction of the completed work that is admitted even under the highest pressure.
 	minAdmitFactor = 0.8
-	// admittedCapacityShare is the share of the executors' capacity that is always admitted: rejected work can't show that it
-	// could have been completed.
-	admittedCapacityShare = 0.8
-	// negligibleShare is the share of the offered work below which a group of priority levels is ignored.
-	negligibleShare = 0.02
+	// admittedCapacityFraction is the fraction of the executors' capacity for which work is always admitted. Rejected work
+	// gives no evidence of whether it could have been completed.
+	admittedCapacityFraction = 0.8
+	// negligibleFraction is the fraction of the offered work below which a group of priority levels is ignored.
+	negligibleFraction = 0.02
 )
 
-// migrationBudget is the share of the completed work that may be migrated.
+// migrationBudget limits the migrated work to a fraction of the completed work.
 const migrationBudget = 0.1
 
-// fleetRates estimates the rates of the whole fleet: this node's own, and those of the fresh peers scaled up to all living
-// ones.
-func (f *State) fleetRates(now time.Duration) Rates {
+// clusterRates estimates the rates of the whole cluster: this node's own, plus those of the peers that reported recently, scaled
+// up to the number of all living peers.
+func (s *State) clusterRates(now time.Duration) Rates {
 	var peers []Rates
 	var magnitudes []float64
-	for _, name := range f.peers.fresh(now, f.settings.PeerStateTTL) {
-		rates := f.peers.states[name].rates
+	for _, name := range s.peers.fresh(now, s.settings.PeerStateTTL) {
+		rates := s.peers.states[name].rates
 		peers = append(peers, rates)
 		magnitudes = append(magnitudes, rates.magnitude())
 	}
 	sum := Rates{Offered: map[int]float64{}}
-	sum.add(f.own.rates, 1)
+	sum.add(s.own.rates, 1)
 	if len(peers) == 0 {
 		return sum
 	}
-	scale := max(1, float64(len(f.peers.alive))/float64(len(peers)))
-	limit := f.magnitudeLimit(magnitudes)
+	scale := max(1, float64(len(s.peers.alive))/float64(len(peers)))
+	limit := s.magnitudeLimit(magnitudes)
 	for i, rates := range peers {
 		sum.add(rates, scale*min(1, cmp.Or(limit, minDivisor)/max(magnitudes[i], minDivisor)))
 	}
 	return sum
 }
 
-// magnitudeLimit is the most that a single peer's rates may add up to.
-func (f *State) magnitudeLimit(magnitudes []float64) float64 {
-	limit := maxPeerMultiple * f.own.rates.magnitude()
+// magnitudeLimit returns the largest magnitude for which a single peer's rates count. Larger rates are scaled down to it.
+func (s *State) magnitudeLimit(magnitudes []float64) float64 {
+	limit := maxPeerMultiple * s.own.rates.magnitude()
 	if len(magnitudes) >= minPeersForMedian {
 		sorted := slices.Sorted(slices.Values(magnitudes))
 		limit = max(limit, maxPeerMultiple*sorted[len(sorted)/2])
@@ -89,84 +90,87 @@
 	return limit
 }
 
-// updateThreshold computes the admission threshold. While the fleet is overloaded, the work that it can admit goes to the
-// highest priority levels. Rejections start when the fleet is overloaded and end when all that is offered is admissible.
-func (f *State) updateThreshold(now time.Duration) {
-	fleet := f.fleetRates(now)
-	f.threshold = policy.AdmissionThreshold{MigrationDelay: fleet.migrationDelay()}
-	admissible := fleet.admissible(f.own.capacity)
-	f.shedding = fleet.offered() > admissible && f.overloaded(now, fleet)
-	if f.shedding {
-		f.threshold.Level, f.threshold.AdmitFraction = fleet.thresholdLevel(admissible)
+// updateThreshold computes the admission threshold. While the cluster is overloaded, the work that it can admit goes to the
+// highest priority levels. Rejections end when the overload ends or when all the offered work is admissible.
+func (s *State) updateThreshold(now time.Duration) {
+	total := s.clusterRates(now)
+	s.threshold = policy.AdmissionThreshold{MigrationDelay: total.migrationDelay()}
+	admissible := total.admissible(s.own.capacity)
+	s.shedding = total.offered() > admissible && s.overloaded(now, total)
+	if s.shedding {
+		s.threshold.Level, s.threshold.AdmitFraction = total.thresholdLevel(admissible)
 	}
 }
 
-// overloaded reports whether jobs should be rejected, by a higher bar if none are rejected now.
-func (f *State) overloaded(now time.Duration, fleet Rates) bool {
+// overloaded reports whether jobs should be rejected. Starting to reject takes a heavier overload than continuing to.
+func (s *State) overloaded(now time.Duration, total Rates) bool {
 	utilization := 0.0
-	if f.own.capacity > 0 {
-		utilization = fleet.Completed / f.own.capacity
+	if s.own.capacity > 0 {
+		utilization = total.Completed / s.own.capacity
 	}
-	if f.shedding && utilization > utilizationToStop && fleet.pressure() > pressureToStop {
+	if s.shedding && utilization > utilizationToStop && total.pressure() > pressureToStop {
 		return true
 	}
-	return fleet.expiredShare() > overloadedExpiredShare && utilization > utilizationToStart && f.confirmed(now)
+	return total.expiredFraction() > overloadedExpiredFraction && utilization > utilizationToStart && s.confirmed(now)
 }
 
-// confirmed reports whether enough nodes see losses themselves.
-func (f *State) confirmed(now time.Duration) bool {
+// confirmed reports whether enough nodes report losses of their own. Known nodes are this one and those that reported recently.
+func (s *State) confirmed(now time.Duration) bool {
 	confirming, known := 0, 1
-	if f.own.rates.seesLosses() {
+	if s.own.rates.reportsLosses() {
 		confirming++
 	}
-	for _, name := range f.peers.fresh(now, f.settings.PeerStateTTL) {
+	for _, name := range s.peers.fresh(now, s.settings.PeerStateTTL) {
 		known++
-		if f.peers.states[name].rates.seesLosses() {
+		if s.peers.states[name].rates.reportsLosses() {
 			confirming++
 		}
 	}
-	return confirming >= min(known, minConfirming) && float64(confirming) >= confirmingShare*float64(known)
+	return confirming >= min(known, minConfirmingNodes) && float64(confirming) >= confirmingFraction*float64(known)
 }
 
-// seesLosses reports whether a node alone loses enough work to be overloaded.
-func (r Rates) seesLosses() bool { return r.Expired > overloadedExpiredShare*(r.Completed+r.Expired) }
+// reportsLosses reports whether the rates of a single node show enough expired work for an overload.
+func (r Rates) reportsLosses() bool {
+	return r.Expired > overloadedExpiredFraction*(r.Completed+r.Expired)
+}
 
-// expiredShare is the share of the finished work that expired.
-func (r Rates) expiredShare() float64 {
+// expiredFraction returns the fraction of the finished work that expired.
+func (r Rates) expiredFraction() float64 {
 	if r.Completed+r.Expired > 0 {
 		return r.Expired / (r.Completed + r.Expired)
 	}
 	return 0
 }
 
-// pressure is how much work is lost or delayed, as a multiple of what is tolerated.
+// pressure returns how much work expires or how long work waits, whichever is worse, as a multiple of what is tolerated.
 func (r Rates) pressure() float64 {
-	return max(r.expiredShare()/toleratedExpiredShare, r.Waiting/max(r.Completed, minDivisor)/toleratedWait)
+	return max(r.expiredFraction()/toleratedExpiredFraction, r.Waiting/max(r.Completed, minDivisor)/toleratedWait)
 }
 
-// admissible is how much work the fleet can admit, given the capacity of its executors.
+// admissible returns how much work the cluster can admit, given the capacity of its executors.
 //
-// The base is the admitted work while pressure is tolerable, and the completed work beyond that: admitted work that ends
-// otherwise must not lower the base. Spare capacity is added while there is little pressure, or a fleet that once rejected jobs
-// would never see that it could do more.
+// The base of the estimate is the admitted work up to a pressure of 1. It falls to the completed work at a pressure of 2. It is
+// not the completed work from the start, since admitted work that neither completes nor expires must not lower the base. Spare
+// capacity is added while pressure is below 1. Otherwise a cluster that once rejected jobs would never find out that it could
+// complete more.
 func (r Rates) admissible(capacity float64) float64 {
 	pressure := r.pressure()
 	base := r.Completed + max(0, r.Admitted-r.Completed)*min(1, max(0, 2-pressure))
 	spare := max(0, capacity-r.Completed) * max(0, 1-pressure)
 	work := base*max(minAdmitFactor, 1+admitHeadroom*(1-pressure)) + spare
-	return max(work, admittedCapacityShare*capacity)
+	return max(work, admittedCapacityFraction*capacity)
 }
 
-// thresholdLevel distributes the admissible work over the priority levels, highest first. It returns the level that gets only
-// a part, and that part. If this level is practically all that is offered, it returns level 0: the policy can tell better which
-// jobs of one level to reject, by what can still be completed in time.
+// thresholdLevel distributes the admissible work over the priority levels, highest first. It returns the level whose work is
+// admissible only in part, and the fraction of it that is. If nearly all the offered work is of this one level, it returns level
+// 0, which rejects nothing: the policy chooses better among jobs of one level, by which of them can still be completed in time.
 func (r Rates) thresholdLevel(admissible float64) (level int, admitFraction float64) {
 	offered := r.offered()
 	higher := 0.0
 	for level := policy.PriorityLevels - 1; level >= 0; level-- {
 		rate := r.Offered[level]
 		if rate > admissible {
-			if higher+rate < (1-negligibleShare)*offered || higher > negligibleShare*offered {
+			if higher+rate < (1-negligibleFraction)*offered || higher > negligibleFraction*offered {
 				return level, max(0, admissible/rate)
 			}
 			return 0, 0
@@ -177,9 +181,9 @@
 	return 0, 0
 }
 
-// migrationDelay is how long an attempt waits before it may be migrated, as a share of the time it has left. It keeps the
-// migrations of the fleet within their budget, and is zero while all that nodes want is within it. It depends on what nodes
-// want, not on what they did, so it doesn't oscillate.
+// migrationDelay returns how long an attempt waits before it may be migrated, as a fraction of its slack. The delay keeps the
+// migrations of the cluster within migrationBudget, and is zero while the nodes want to migrate no more than that. It is computed
+// from the migrations that nodes want, not from those that they carried out, so it doesn't oscillate.
 func (r Rates) migrationDelay() float64 {
 	if r.Migrations <= migrationBudget*r.Completed {
 		return 0
--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -8,33 +8,33 @@
 	"birchstair/policy"
 )
 
-// AveragingTimeConstant is the time constant of the exponential averages that rates are.
+// AveragingTimeConstant is the time constant of the exponential moving averages of which Rates consists.
 const AveragingTimeConstant = 1500 * time.Millisecond
 
 const (
-	// maxRate is more work a second than any node could be offered.
+	// maxRate is the largest plausible rate. No node could be offered as much work per second.
 	maxRate = 1e7
-	// minRate is the rate below which a priority level counts as not offered any more.
+	// minRate is the smallest rate that is kept. A priority level whose offered rate falls below it is removed.
 	minRate = 1e-6
 )
 
-// Rates are the load of one node, averaged, in seconds of work on a standard core per second.
+// Rates are the load of one node, as moving averages in seconds of work on a standard core per second.
 type Rates struct {
-	Offered    map[int]float64 // by priority level
-	Admitted   float64
-	Completed  float64
-	Expired    float64 // given up after waiting for a token of an executor
-	Migrations float64 // that would be migrated if migrations had no budget
-	Waiting    float64 // not a rate: of the jobs that wait, the sum of work divided by slack
+	Offered    map[int]float64 // work of the jobs that arrived, by priority level
+	Admitted   float64         // work of the jobs that arrived at or above the admission threshold
+	Completed  float64         // work of the jobs that were completed
+	Expired    float64         // work of the jobs that were given up on after they had waited for an executor's token
+	Migrations float64         // work of the attempts that would be migrated if migrations were not limited
+	Waiting    float64         // latest value, neither averaged nor per second: sum of work divided by slack over the waiting jobs
 }
 
-// Clone returns a copy that shares nothing with the original.
+// Clone returns a deep copy.
 func (r Rates) Clone() Rates {
 	r.Offered = maps.Clone(r.Offered)
 	return r
 }
 
-// valid reports whether these can be the rates of a node.
+// valid reports whether all rates are plausible for a node.
 func (r Rates) valid() bool {
 	plausible := func(rate float64) bool { return rate >= 0 && rate <= maxRate } // false for NaN
 	for level, rate := range r.Offered {
@@ -45,7 +45,7 @@
 	return plausible(r.Admitted) && plausible(r.Completed) && plausible(r.Expired) && plausible(r.Migrations) && plausible(r.Waiting)
 }
 
-// offered is the sum over all priority levels. It is always added up in the same order, since sums of floats depend on it.
+// offered returns the rate over all priority levels. It always adds them in the same order, because a sum of floats depends on it.
 func (r Rates) offered() float64 {
 	sum := 0.0
 	for level := range policy.PriorityLevels {
@@ -54,10 +54,10 @@
 	return sum
 }
 
-// magnitude is a single figure for how much load a node reports.
+// magnitude returns a single number for the amount of load that a node reports.
 func (r Rates) magnitude() float64 { return r.offered() + r.Completed + r.Expired }
 
-// add adds the rates of another node, times a weight.
+// add adds the rates of another node, multiplied by a weight.
 func (r *Rates) add(other Rates, weight float64) {
 	for level, rate := range other.Offered {
 		r.Offered[level] += weight * rate
@@ -69,28 +69,28 @@
 	r.Waiting += weight * other.Waiting
 }
 
-// ownLoad is the load of this node.
+// ownLoad holds the averaged load of this node.
 type ownLoad struct {
 	rates        Rates
-	averagedOver time.Duration // since the start or the last reset
-	capacity     float64       // of all executors, as this node sees them, in seconds of work per second
+	averagedOver time.Duration // time covered by the averages, since the start or the last reset
+	capacity     float64       // of all available executors on this node's endpoint list, in seconds of work per second
 }
 
-// reset starts the averages anew.
+// reset discards the averages and begins new ones.
 func (l *ownLoad) reset() {
 	l.averagedOver = 0
 	l.rates = Rates{Offered: map[int]float64{}}
 }
 
-// add takes the load of the time since the last call into the averages.
+// add updates the averages with the load since the last call, elapsed ago.
 func (l *ownLoad) add(load policy.LoadSummary, elapsed time.Duration) {
 	if elapsed <= 0 {
 		return
 	}
-	before := l.averagedOver
+	averagedBefore := l.averagedOver
 	l.averagedOver += elapsed
-	keep := weightOfOld(before, elapsed)
-	average := func(old, sum float64) float64 { return old*keep + sum/elapsed.Seconds()*(1-keep) }
+	oldWeight := weightOfOldAverage(averagedBefore, elapsed)
+	average := func(old, sum float64) float64 { return old*oldWeight + sum/elapsed.Seconds()*(1-oldWeight) }
 	l.rates.Admitted = average(l.rates.Admitted, load.Admitted)
 	l.rates.Completed = average(l.rates.Completed, load.Completed)
 	l.rates.Expired = average(l.rates.Expired, load.Expired)
@@ -106,9 +106,9 @@
 	}
 }
 
-// weightOfOld is the weight that an exponential average over so long a time keeps when the figure of the elapsed time is added.
-// Right after the start it is less than the plain decay: an average that started at zero would be too low.
-func weightOfOld(averagedOver, elapsed time.Duration) float64 {
+// weightOfOldAverage returns the weight of the old average when the value for the elapsed time is added to it. Soon after the
+// start it is smaller than the plain exponential decay, since the average began at zero and would otherwise be too low.
+func weightOfOldAverage(averagedOver, elapsed time.Duration) float64 {
 	decay := func(d time.Duration) float64 { return math.Exp(-float64(d) / float64(AveragingTimeConstant)) }
 	return decay(elapsed) * (1 - decay(averagedOver)) / (1 - decay(averagedOver+elapsed))
 }
