--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -80,8 +80,8 @@
 	s.peers.alive = slices.Compact(alive)
 }
 
-// Tick runs one gossip round and is due every gossip interval. It adds the load that the policy measured since the last tick to
-// the node's averages, and returns the messages to send and the new admission threshold.
+// Tick runs one gossip round and is due every gossip interval. It adds the load that the policy measured since the last
+// tick to the node's averages, and returns the messages to send and the new admission threshold.
 func (s *State) Tick(now time.Duration, load policy.LoadSummary) ([]Envelope, policy.AdmissionThreshold) {
 	elapsed := now - s.lastTick
 	s.lastTick, s.nextTick = now, now+s.settings.GossipInterval
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -12,7 +12,8 @@
 	"birchstair/policy"
 )
 
-// tracePlayer replays a trace from testdata. A trace holds calls of a State's methods and, behind arrows, what they return:
+// tracePlayer replays a trace from testdata. A trace holds calls of a State's methods and, behind arrows, what they
+// return:
 //
 //	0s alive a b c                       SetAlive
 //	1s tick offered=38:10,34:5 completed=9 expired=1 waiting=2 capacity=12   Tick, with the load since the tick before
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -33,7 +33,7 @@
 // drainTable holds the drains that this node knows of.
 type drainTable struct {
 	states   map[policy.ExecutorID]*drainState
-	endedAt  map[policy.ExecutorID]time.Duration // when this node's own endpoint list ended a drain; older reports of it are ignored
+	endedAt  map[policy.ExecutorID]time.Duration // when the own endpoint list ended a drain; older reports are ignored
 	lastSent int                                 // index of the last drain sent, among the sorted executor IDs
 }
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// receiveDrain records a peer's report of a drain, and returns whether the drain is new to this node. However often a report is
-// passed on, the drain's age runs from when some node's own endpoint list last showed it.
+// receiveDrain records a peer's report of a drain, and returns whether the drain is new to this node. However often a
+// report is passed on, the drain's age runs from when some node's own endpoint list last showed it.
 func (s *State) receiveDrain(now time.Duration, d Drain) bool {
 	if !s.validDrain(d) {
 		return false
@@ -125,16 +125,16 @@
 		d.Executor != "" && len(d.Executor) <= maxExecutorIDLength
 }
 
-// IsDraining reports whether, according to peers, an executor that started at this time is draining. It is false for a drain that
-// this node's own endpoint list shows, since the caller knows of it from there.
+// IsDraining reports whether, according to peers, an executor that started at this time is draining. It is false for a
+// drain that this node's own endpoint list shows, since the caller knows of it from there.
 func (s *State) IsDraining(id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool) bool {
 	d := s.drains.states[id]
 	return d != nil && !d.ownList && s.startID(startedAt, startedLongAgo) <= d.executorStart
 }
 
-// ExpireDrains removes drains that are older than DrainTTL, and returns their executors ordered by ID. listUpToDate tells whether
-// this node's own endpoint list is up to date. If it is, the drains that it shows count as seen now, and drains reported only
-// by peers can expire. If it is not, drains reported by peers are kept until it is.
+// ExpireDrains removes drains that are older than DrainTTL, and returns their executors ordered by ID. listUpToDate
+// tells whether this node's own endpoint list is up to date. If it is, the drains that it shows count as seen now, and
+// drains reported only by peers can expire. If it is not, drains reported by peers are kept until it is.
 func (s *State) ExpireDrains(now time.Duration, listUpToDate bool) (ids []policy.ExecutorID) {
 	t := &s.drains
 	for id, d := range t.states {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -11,12 +11,14 @@
 const (
 	// maxDrainsPerMessage limits the number of drains in a message, and so its size.
 	maxDrainsPerMessage = 24
-	// peerRetentionMultiple is how long the state of an inactive peer is kept, as a multiple of Settings.PeerStateTTL. The state
-	// outlasts the use of the rates because its incarnation and sequence number are needed to recognize old messages.
+	// peerRetentionMultiple is how long the state of an inactive peer is kept, as a multiple of Settings.PeerStateTTL.
+	// The state outlasts the use of the rates because its incarnation and sequence number are needed to recognize old
+	// messages.
 	peerRetentionMultiple = 10
 )
 
-// Message is a gossip message. The rates are the sender's own; the drains include those that it received from other nodes.
+// Message is a gossip message. The rates are the sender's own; the drains include those that it received from other
+// nodes.
 type Message struct {
 	From        NodeName
 	Incarnation uint64 // of the sender; see Settings.Incarnation
@@ -107,8 +109,8 @@
 	}
 }
 
-// Receive processes a gossip message and returns the executors whose drain is new to this node. A message that is implausible or
-// out of date is dropped and counted by reason.
+// Receive processes a gossip message and returns the executors whose drain is new to this node. A message that is
+// implausible or out of date is dropped and counted by reason.
 func (s *State) Receive(now time.Duration, m Message) (newlyDraining []policy.ExecutorID) {
 	if reason := s.dropReason(now, m); reason != "" {
 		s.peers.dropped[reason]++
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -10,8 +10,9 @@
 
 // Constants for estimating the rates of the whole cluster from the reports of peers.
 const (
-	// maxPeerMultiple limits the influence of one peer, so that a node that reports nonsense can't move the threshold far. It
-	// is a multiple of this node's own rates or, if that is larger and there are minPeersForMedian peers, of the peers' median.
+	// maxPeerMultiple limits the influence of one peer, so that a node that reports nonsense can't move the threshold
+	// far. It is a multiple of this node's own rates or, if that is larger and there are minPeersForMedian peers, of
+	// the peers' median.
 	maxPeerMultiple = 8
 	// minPeersForMedian is the smallest number of peers whose median is meaningful.
 	minPeersForMedian = 3
@@ -19,20 +20,21 @@
 	minDivisor = 1e-9
 )
 
-// Conditions on which the threshold starts and stops rejecting jobs. Utilization is the fraction of the executors' capacity that
-// goes into completed work. Pressure is 1 when the cluster loses or delays as much work as is tolerated.
+// Conditions on which the threshold starts and stops rejecting jobs. Utilization is the fraction of the executors'
+// capacity that goes into completed work. Pressure is 1 when the cluster loses or delays as much work as is tolerated.
 const (
-	// overloadedExpiredFraction is the fraction of the finished work that must expire for the cluster to count as overloaded.
+	// overloadedExpiredFraction is the fraction of the finished work that must expire for the cluster to count as
+	// overloaded.
 	overloadedExpiredFraction = 0.03
-	// utilizationToStart is the utilization above which rejections can start. At lower utilization work expires for another
-	// reason than lack of capacity, and rejecting jobs would not help.
+	// utilizationToStart is the utilization above which rejections can start. At lower utilization work expires for
+	// another reason than lack of capacity, and rejecting jobs would not help.
 	utilizationToStart = 0.75
 	// utilizationToStop and pressureToStop: rejections end when utilization or pressure falls to its value here.
 	utilizationToStop = 0.6
 	pressureToStop    = 0.25
-	// confirmingFraction is the fraction of the known nodes that must report losses of their own before rejections start, and
-	// minConfirmingNodes is their least number. So a single node can't make the cluster reject jobs by reporting losses that no
-	// other node has.
+	// confirmingFraction is the fraction of the known nodes that must report losses of their own before rejections
+	// start, and minConfirmingNodes is their least number. So a single node can't make the cluster reject jobs by
+	// reporting losses that no other node has.
 	confirmingFraction = 0.25
 	minConfirmingNodes = 2
 )
@@ -47,8 +49,8 @@
 	admitHeadroom = 0.25
 	// minAdmitFactor is the fraction of the completed work that is admitted even under the highest pressure.
 	minAdmitFactor = 0.8
-	// admittedCapacityFraction is the fraction of the executors' capacity for which work is always admitted. Rejected work
-	// gives no evidence of whether it could have been completed.
+	// admittedCapacityFraction is the fraction of the executors' capacity for which work is always admitted. Rejected
+	// work gives no evidence of whether it could have been completed.
 	admittedCapacityFraction = 0.8
 	// negligibleFraction is the fraction of the offered work below which a group of priority levels is ignored.
 	negligibleFraction = 0.02
@@ -57,8 +59,8 @@
 // migrationBudget limits the migrated work to a fraction of the completed work.
 const migrationBudget = 0.1
 
-// clusterRates estimates the rates of the whole cluster: this node's own, plus those of the peers that reported recently, scaled
-// up to the number of all living peers.
+// clusterRates estimates the rates of the whole cluster: this node's own, plus those of the peers that reported
+// recently, scaled up to the number of all living peers.
 func (s *State) clusterRates(now time.Duration) Rates {
 	var peers []Rates
 	var magnitudes []float64
@@ -90,8 +92,8 @@
 	return limit
 }
 
-// updateThreshold computes the admission threshold. While the cluster is overloaded, the work that it can admit goes to the
-// highest priority levels. Rejections end when the overload ends or when all the offered work is admissible.
+// updateThreshold computes the admission threshold. While the cluster is overloaded, the work that it can admit goes to
+// the highest priority levels. Rejections end when the overload ends or when all the offered work is admissible.
 func (s *State) updateThreshold(now time.Duration) {
 	total := s.clusterRates(now)
 	s.threshold = policy.AdmissionThreshold{MigrationDelay: total.migrationDelay()}
@@ -114,7 +116,8 @@
 	return total.expiredFraction() > overloadedExpiredFraction && utilization > utilizationToStart && s.confirmed(now)
 }
 
-// confirmed reports whether enough nodes report losses of their own. Known nodes are this one and those that reported recently.
+// confirmed reports whether enough nodes report losses of their own. Known nodes are this one and those that reported
+// recently.
 func (s *State) confirmed(now time.Duration) bool {
 	confirming, known := 0, 1
 	if s.own.rates.reportsLosses() {
@@ -149,10 +152,10 @@
 
 // admissible returns how much work the cluster can admit, given the capacity of its executors.
 //
-// The base of the estimate is the admitted work up to a pressure of 1. It falls to the completed work at a pressure of 2. It is
-// not the completed work from the start, since admitted work that neither completes nor expires must not lower the base. Spare
-// capacity is added while pressure is below 1. Otherwise a cluster that once rejected jobs would never find out that it could
-// complete more.
+// The base of the estimate is the admitted work up to a pressure of 1. It falls to the completed work at a pressure of
+// 2. It is not the completed work from the start, since admitted work that neither completes nor expires must not lower
+// the base. Spare capacity is added while pressure is below 1. Otherwise a cluster that once rejected jobs would never
+// find out that it could complete more.
 func (r Rates) admissible(capacity float64) float64 {
 	pressure := r.pressure()
 	base := r.Completed + max(0, r.Admitted-r.Completed)*min(1, max(0, 2-pressure))
@@ -161,9 +164,10 @@
 	return max(work, admittedCapacityFraction*capacity)
 }
 
-// thresholdLevel distributes the admissible work over the priority levels, highest first. It returns the level whose work is
-// admissible only in part, and the fraction of it that is. If nearly all the offered work is of this one level, it returns level
-// 0, which rejects nothing: the policy chooses better among jobs of one level, by which of them can still be completed in time.
+// thresholdLevel distributes the admissible work over the priority levels, highest first. It returns the level whose
+// work is admissible only in part, and the fraction of it that is. If nearly all the offered work is of this one level,
+// it returns level 0, which rejects nothing: the policy chooses better among jobs of one level, by which of them can
+// still be completed in time.
 func (r Rates) thresholdLevel(admissible float64) (level int, admitFraction float64) {
 	offered := r.offered()
 	higher := 0.0
@@ -181,9 +185,10 @@
 	return 0, 0
 }
 
-// migrationDelay returns how long an attempt waits before it may be migrated, as a fraction of its slack. The delay keeps the
-// migrations of the cluster within migrationBudget, and is zero while the nodes want to migrate no more than that. It is computed
-// from the migrations that nodes want, not from those that they carried out, so it doesn't oscillate.
+// migrationDelay returns how long an attempt waits before it may be migrated, as a fraction of its slack. The delay
+// keeps the migrations of the cluster within migrationBudget, and is zero while the nodes want to migrate no more than
+// that. It is computed from the migrations that nodes want, not from those that they carried out, so it doesn't
+// oscillate.
 func (r Rates) migrationDelay() float64 {
 	if r.Migrations <= migrationBudget*r.Completed {
 		return 0
--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -25,7 +25,7 @@
 	Completed  float64         // work of the jobs that were completed
 	Expired    float64         // work of the jobs that were given up on after they had waited for an executor's token
 	Migrations float64         // work of the attempts that would be migrated if migrations were not limited
-	Waiting    float64         // latest value, neither averaged nor per second: sum of work divided by slack over the waiting jobs
+	Waiting    float64         // not a rate: sum of work divided by slack over the jobs that wait now
 }
 
 // Clone returns a deep copy.
@@ -45,7 +45,8 @@
 	return plausible(r.Admitted) && plausible(r.Completed) && plausible(r.Expired) && plausible(r.Migrations) && plausible(r.Waiting)
 }
 
-// offered returns the rate over all priority levels. It always adds them in the same order, because a sum of floats depends on it.
+// offered returns the rate over all priority levels. It always adds them in the same order, because a sum of floats
+// depends on it.
 func (r Rates) offered() float64 {
 	sum := 0.0
 	for level := range policy.PriorityLevels {
@@ -106,8 +107,9 @@
 	}
 }
 
-// weightOfOldAverage returns the weight of the old average when the value for the elapsed time is added to it. Soon after the
-// start it is smaller than the plain exponential decay, since the average began at zero and would otherwise be too low.
+// weightOfOldAverage returns the weight of the old average when the value for the elapsed time is added to it. Soon
+// after the start it is smaller than the plain exponential decay, since the average began at zero and would otherwise
+// be too low.
 func weightOfOldAverage(averagedOver, elapsed time.Duration) float64 {
 	decay := func(d time.Duration) float64 { return math.Exp(-float64(d) / float64(AveragingTimeConstant)) }
 	return decay(elapsed) * (1 - decay(averagedOver)) / (1 - decay(averagedOver+elapsed))
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -13,21 +13,22 @@
 	"birchstair/policy"
 )
 
-// The messages between nodes, as CBOR. Their forms go no further than this file.
+// This file encodes the messages between nodes as CBOR. The types of the encoding are used in this file only.
 
-// version goes up when the meaning of a message changes. Fields that the receiver does not know are skipped.
-const version = 1
+// wireVersion is the version of the messages. It increases when the meaning of a field changes, but not for a new
+// field: a receiver skips fields that it does not know.
+const wireVersion = 1
 
-// maxMessageBytes is the longest gossip message, so that it fits one datagram.
+// maxMessageBytes is the largest size of a gossip message, so that it fits into one datagram.
 const maxMessageBytes = 1300
 
-// gossipMessage is a peer's load and the drains that it knows of; on the wire it is a map.
+// gossipMessage is the encoding of cluster.Message, a CBOR map with integer keys.
 type gossipMessage struct {
 	Version     uint8           `cbor:"0,keyasint"`
 	From        string          `cbor:"1,keyasint"`
 	Incarnation uint64          `cbor:"2,keyasint"`
 	Seq         uint64          `cbor:"3,keyasint"`
-	Offered     map[int]float32 `cbor:"4,keyasint,omitempty"` // work a second, by priority level
+	Offered     map[int]float32 `cbor:"4,keyasint,omitempty"` // seconds of work per second, by priority level
 	Completed   float32         `cbor:"5,keyasint,omitempty"`
 	Expired     float32         `cbor:"6,keyasint,omitempty"`
 	Drains      []drainMessage  `cbor:"7,keyasint,omitempty"`
@@ -36,24 +37,24 @@
 	Migrations  float32         `cbor:"10,keyasint,omitempty"`
 }
 
-// drainMessage is an executor that drains; on the wire it is an array in the order of its fields.
+// drainMessage is the encoding of cluster.Drain, a CBOR array of the fields in this order.
 type drainMessage struct {
 	_           struct{} `cbor:",toarray"`
 	Executor    string
-	Incarnation int64 // when it started, in Unix milliseconds as in the endpoint list; 0 for long ago
-	AgeMs       int64 // since a node learned of the drain
+	Incarnation int64 // when the executor started, in Unix milliseconds as in the endpoint list; 0 if that is long ago
+	AgeMs       int64 // milliseconds since some node's endpoint list last showed the drain
 }
 
-// leaseMessage is a message about an executor's leases; on the wire it is an array in the order of its fields.
+// leaseMessage is the encoding of a message about an executor's leases, a CBOR array of the fields in this order.
 type leaseMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint8
-	From    int
-	Message uint8
-	Hash    uint32 // of the executor
+	From    int    // number of the sending node
+	Message uint8  // a policy.LeaseMessage
+	Hash    uint32 // hash that identifies the executor
 }
 
-// Reasons why a message is dropped. Their texts are part of the answer to operators.
+// Reasons for dropping a message. Operators read these texts in the answer of the admin socket, after "dropped=N words".
 var (
 	errTooLong      = errors.New("longer than a word may be")
 	errMalformed    = errors.New("that make no sense")
@@ -64,6 +65,7 @@
 	errNameConflict = errors.New("of a second node of the same name")
 )
 
+// maxAgeMillis is the largest age that a time.Duration can hold.
 const maxAgeMillis = math.MaxInt64 / int64(time.Millisecond)
 
 var (
@@ -77,7 +79,7 @@
 	}.DecMode())
 )
 
-// must is for options that are constants of this file.
+// must panics on an error. The CBOR options above are constant, so an error there is a programming error.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -85,7 +87,8 @@
 	return v
 }
 
-// encodeGossip encodes a message. Drains that don't fit are left out, half of them at a time; the next message carries them.
+// encodeGossip encodes a message. If it is too long, the second half of its drains is dropped until it fits; the sender
+// offers each drain again, in turn.
 func encodeGossip(message cluster.Message) ([]byte, error) {
 	wire := newGossipMessage(message)
 	for {
@@ -96,7 +99,7 @@
 		case len(b) <= maxMessageBytes:
 			return b, nil
 		case len(wire.Drains) == 0:
-			return nil, fmt.Errorf("a gossip message of %d bytes, over %d", len(b), maxMessageBytes)
+			return nil, fmt.Errorf("gossip message of %d bytes exceeds the limit of %d bytes", len(b), maxMessageBytes)
 		}
 		wire.Drains = wire.Drains[:len(wire.Drains)/2]
 	}
@@ -105,7 +108,7 @@
 func newGossipMessage(message cluster.Message) gossipMessage {
 	rates := &message.Rates
 	wire := gossipMessage{
-		Version:     version,
+		Version:     wireVersion,
 		From:        string(message.From),
 		Incarnation: message.Incarnation,
 		Seq:         message.Seq,
@@ -125,13 +128,13 @@
 		wire.Drains = append(wire.Drains, drainMessage{
 			Executor:    string(drain.Executor),
 			Incarnation: drain.ExecutorStart,
-			AgeMs:       (drain.Age + time.Millisecond - 1).Milliseconds(), // rounded up: an age never shrinks on its way
+			AgeMs:       (drain.Age + time.Millisecond - 1).Milliseconds(), // rounded up, so that passing it on never shrinks it
 		})
 	}
 	return wire
 }
 
-// decodeGossip decodes a message. Package cluster checks which rates and ages are plausible.
+// decodeGossip decodes a message. It does not check whether rates and ages are plausible: package cluster does.
 func decodeGossip(b []byte) (cluster.Message, error) {
 	var wire gossipMessage
 	if len(b) > maxMessageBytes {
@@ -143,7 +146,7 @@
 	if wire.Version == 0 {
 		return cluster.Message{}, errNoVersion
 	}
-	if wire.Version > version {
+	if wire.Version > wireVersion {
 		return cluster.Message{}, errNewerVersion
 	}
 	return wire.message()
@@ -179,15 +182,15 @@
 	return message, nil
 }
 
-// cborArray is the major type of an array, in the upper three bits of the first byte.
+// cborArray is the CBOR major type of an array, which is in the upper three bits of the first byte.
 const cborArray = 4
 
-// isLeaseMessage tells the two kinds of messages apart: a lease message is an array, a gossip message a map.
+// isLeaseMessage distinguishes the two kinds of messages: a lease message is a CBOR array, a gossip message a map.
 func isLeaseMessage(b []byte) bool { return len(b) > 0 && b[0]>>5 == cborArray }
 
 func encodeLeaseMessage(from policy.NodeID, message node.SendLeaseMessage) ([]byte, error) {
 	b, err := encMode.Marshal(leaseMessage{
-		Version: version,
+		Version: wireVersion,
 		From:    int(from),
 		Message: uint8(message.Message),
 		Hash:    uint32(message.Hash),
@@ -205,7 +208,7 @@
 	}
 	kind := policy.LeaseMessage(wire.Message)
 	switch {
-	case wire.Version != version:
+	case wire.Version != wireVersion:
 		return node.LeaseMessageReceived{}, errOtherVersion
 	case wire.From < 0 || kind < policy.LeaseRequest || kind > policy.LeaseReturnDelayed:
 		return node.LeaseMessageReceived{}, errMalformed
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -9,13 +9,14 @@
 // NotifyJoin is memberlist's callback when a peer has joined or come back.
 func (m *Membership) NotifyJoin(peer *memberlist.Node) { m.setAlive(peer, true) }
 
-// NotifyLeave is memberlist's callback when a peer has left or is taken for dead.
+// NotifyLeave is memberlist's callback when a peer has left or is considered dead.
 func (m *Membership) NotifyLeave(peer *memberlist.Node) { m.setAlive(peer, false) }
 
-// NotifyUpdate is memberlist's callback when a peer has changed its metadata, which no node does.
+// NotifyUpdate is memberlist's callback when a peer has changed its metadata. It does nothing: nodes never change theirs.
 func (m *Membership) NotifyUpdate(*memberlist.Node) {}
 
-// NotifyConflict is memberlist's callback when a second node uses a name that is taken; the first one stays.
+// NotifyConflict is memberlist's callback when a second node uses the name of another one. memberlist ignores the
+// second node.
 func (m *Membership) NotifyConflict(known, other *memberlist.Node) {
 	m.log.Error().
 		Str("name", known.Name).
@@ -25,7 +26,7 @@
 	m.post(node.GossipUnreadable{Why: errNameConflict.Error()})
 }
 
-// NotifyMsg is memberlist's callback when a message has come.
+// NotifyMsg is memberlist's callback for a received message.
 func (m *Membership) NotifyMsg(b []byte) {
 	if isLeaseMessage(b) {
 		message, err := decodeLeaseMessage(b)
@@ -41,18 +42,18 @@
 		m.post(node.GossipUnreadable{Why: err.Error()})
 		return
 	}
-	m.messageFrom(string(message.From))
+	m.noteMessageFrom(string(message.From))
 	m.post(node.GossipReceived{Message: message})
 }
 
-// NodeMeta is memberlist's call for the metadata that peers get of this node: its number.
+// NodeMeta returns the metadata that memberlist sends to peers: this node's number.
 func (m *Membership) NodeMeta(int) []byte { return []byte(metadata(m.options.Node)) }
 
-// GetBroadcasts is memberlist's call for messages to piggyback on its own; there are none.
+// GetBroadcasts returns the messages that memberlist should piggyback on its own. There are none.
 func (m *Membership) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState is memberlist's call for state to exchange with a peer; there is none.
+// LocalState returns the state that memberlist should exchange with a peer. There is none.
 func (m *Membership) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState is memberlist's callback with a peer's state; peers have none.
+// MergeRemoteState is memberlist's callback with a peer's LocalState. It does nothing: peers have none.
 func (m *Membership) MergeRemoteState([]byte, bool) {}
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,11 +1,13 @@
-// Package gossip is the edge to the other nodes of the cluster, the peers: which of them are alive, and messages to them that may be
-// lost. Membership and failure detection are memberlist's (SWIM gossip with suspicion). memberlist has goroutines and random choices of its own, so
-// nothing is decided here: events go to the reducer, and its effects come back.
+// Package gossip connects a node to the other nodes of its cluster, its peers. It finds out which of them are alive,
+// and exchanges messages with them, which may be lost. Membership and failure detection are done by the library
+// memberlist (SWIM gossip with suspicion). Since memberlist has goroutines and random choices of its own, this package
+// makes no decisions: it posts events to the node's event loop and carries out the effects that come back.
 //
-//   - membership.go: joining the cluster, its peers, and the messages sent
+//   - membership.go: joining the cluster, the living peers, and sending messages
 //   - delegate.go: memberlist's callbacks
 //   - options.go: addresses and their defaults
-//   - codec.go: the messages on the wire
-//   - transport.go: the sockets, bounded
-//   - traffic.go: a transport that counts, for measurements
+//   - codec.go: the encoding of messages
+//   - transport.go: the sockets, with a limit on connections
+//   - traffic.go: a transport that counts traffic, for measurements
+//   - log.go: memberlist's log lines in the node's log
 package gossip
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -16,40 +16,41 @@
 )
 
 const (
-	maxQueued               = 64                     // messages that wait to be sent; more are dropped
-	maxDeadPeers            = 1024                   // peers taken for dead whose addresses are remembered
-	retryInterval           = time.Second            // between attempts to listen, and to join seeds and peers that came back
-	leaveTimeout            = 200 * time.Millisecond // for the message that this node leaves, at a graceful shutdown
-	defaultPushPullInterval = 10 * time.Second
+	maxQueued               = 64                     // most messages that wait to be sent; further ones are dropped
+	maxDeadPeers            = 1024                   // most dead peers whose addresses are remembered
+	retryInterval           = time.Second            // between attempts to listen, to join seeds and to rejoin resumed peers
+	leaveTimeout            = 200 * time.Millisecond // for announcing at a graceful shutdown that this node leaves
+	defaultPushPullInterval = 10 * time.Second       // between exchanges of the whole state with a random peer
 )
 
 // Settings of memberlist that differ from its defaults for a local network.
 const (
-	probeInterval          = 500 * time.Millisecond // between health checks of a peer
-	probeTimeout           = 200 * time.Millisecond
-	suspicionMult          = 3
-	suspicionMaxMult       = 2
-	streamTimeout          = 2 * time.Second  // of connections, for exchanges of the whole state
-	deadNodeReclaimTimeout = time.Millisecond // after it a restarted node may come back under its name with another address
+	probeInterval          = 500 * time.Millisecond // between failure detection probes
+	probeTimeout           = 200 * time.Millisecond // after which a probe by UDP counts as unanswered
+	suspicionMult          = 3                      // least time to refute a suspicion, in probe intervals
+	suspicionMaxMult       = 2                      // longest time to refute a suspicion, as a multiple of the least
+	streamTimeout          = 2 * time.Second        // of TCP connections, as for exchanges of the whole state
+	deadNodeReclaimTimeout = time.Millisecond       // after a node's death, until its name may be used from another address
 )
 
-// Membership is a node's part in its cluster. It implements the memberlist interfaces Delegate, EventDelegate and ConflictDelegate.
+// Membership is a node's membership in its cluster. It implements the interfaces Delegate, EventDelegate and
+// ConflictDelegate of memberlist.
 type Membership struct {
 	options          Options
-	post             func(node.Event) // to the reducer
+	post             func(node.Event) // posts an event to the node's event loop
 	log              zerolog.Logger
-	outbox           chan any      // cluster.Envelope and node.SendLeaseMessage
-	pushPullInterval time.Duration // between exchanges of the whole state with a random peer; 0 for none
+	outbox           chan any      // messages to send, each a cluster.Envelope or a node.SendLeaseMessage
+	pushPullInterval time.Duration // see defaultPushPullInterval; 0 for no exchanges
 
 	mu           sync.Mutex
-	peers        map[string]*memberlist.Node // those alive, by name and by metadata
-	deadAddrs    map[string]string           // addresses of peers that are taken for dead, by name
-	resumed      map[string]bool             // those of them that have sent a message since
-	peersChanged chan struct{}               // a signal that peers has changed
-	peerResumed  chan struct{}               // a signal that resumed has grown
+	peers        map[string]*memberlist.Node // living nodes, each by its name and by its metadata
+	deadAddrs    map[string]string           // addresses of peers that are considered dead, by name
+	resumed      map[string]bool             // names in deadAddrs from which a message was received since
+	peersChanged chan struct{}               // signals that peers has changed
+	peerResumed  chan struct{}               // signals that resumed has grown
 }
 
-// New makes a membership whose events go to post. It does nothing before Run.
+// New creates a membership that passes its events to post. It does nothing until Run is called.
 func New(options Options, post func(node.Event), log zerolog.Logger) *Membership {
 	return &Membership{
 		options:          options,
@@ -65,10 +66,11 @@
 	}
 }
 
-// SendGossip queues a message to a peer. It is dropped where the queue is full.
+// SendGossip queues a message to a peer. The message is dropped if the queue is full.
 func (m *Membership) SendGossip(to cluster.Envelope) { m.enqueue(to) }
 
-// SendLeaseMessage queues a message about an executor's leases to the peer of that number. It is dropped where the queue is full.
+// SendLeaseMessage queues a message about an executor's leases to the peer with the number in it. The message is
+// dropped if the queue is full.
 func (m *Membership) SendLeaseMessage(to node.SendLeaseMessage) { m.enqueue(to) }
 
 func (m *Membership) enqueue(message any) {
@@ -78,8 +80,8 @@
 	}
 }
 
-// Run keeps the node in its cluster until the context ends, and leaves then. While its address is in use, as by the
-// predecessor in a handoff, it retries.
+// Run joins the cluster, and leaves it when the context ends. While the listen address is in use, as by the predecessor
+// in a handoff, it retries.
 func (m *Membership) Run(ctx context.Context) {
 	list := m.listen(ctx)
 	if list == nil {
@@ -92,11 +94,12 @@
 	wait.Go(func() { m.reportPeers(ctx) })
 	m.sendQueued(ctx, list)
 	list.Leave(leaveTimeout) //nolint:errcheck // a timeout: peers detect the failure by themselves
-	list.Shutdown()          //nolint:errcheck // the process ends, or its successor retries to listen
+	list.Shutdown()          //nolint:errcheck // the process ends, and a successor retries until the address is free
 	wait.Wait()
 }
 
-// listen retries until the node listens; nil once the context has ended. A reason is logged once in a row.
+// listen retries until the node listens on its address, and returns nil if the context ends before. A failure is logged
+// unless it is the same as the one before.
 func (m *Membership) listen(ctx context.Context) *memberlist.Memberlist {
 	logged := ""
 	for {
@@ -114,7 +117,7 @@
 	}
 }
 
-// sleep waits, and says whether the context goes on.
+// sleep waits for the interval, and returns false if the context ends before.
 func sleep(ctx context.Context, interval time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -152,7 +155,9 @@
 	return list, err
 }
 
-// joinSeeds joins the seeds that are not alive, again and again: after a long network partition both sides have given each other up.
+// joinSeeds joins the seeds that are not known as alive, and repeats this at every retryInterval. Without the
+// repetition, two sides of a long network partition would not find each other again, since each considers the other
+// dead.
 func (m *Membership) joinSeeds(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		alive := map[string]bool{}
@@ -160,8 +165,8 @@
 			alive[peer.Address()] = true
 		}
 		for _, seed := range m.options.Seeds {
-			own := seed == m.options.Advertise || seed == m.options.Listen
-			if ctx.Err() == nil && !own && !alive[seed.String()] {
+			isOwn := seed == m.options.Advertise || seed == m.options.Listen
+			if ctx.Err() == nil && !isOwn && !alive[seed.String()] {
 				join(list, seed.String())
 			}
 		}
@@ -171,14 +176,15 @@
 	}
 }
 
-// join exchanges the whole state with the node at an address, over TCP.
+// join joins the node at an address, by exchanging the whole state with it over TCP.
 func join(list *memberlist.Memberlist, addr string) {
 	list.Join([]string{addr}) //nolint:errcheck // the caller tries again
 }
 
-// rejoinResumed joins peers that are taken for dead here and have sent a message since. Without it a node that was wrongly taken for dead would not come back
-// as long as it does not know: it takes all others for alive, so it joins nobody, and they send it nothing. memberlist notifies such a node and takes its
-// refutation in a few datagrams; where these are lost, only an exchange with a random peer, one in 10 s, would bring it back.
+// rejoinResumed joins peers that are considered dead here but have sent a message since. A living node that is
+// considered dead does not know it: it takes all others for alive, so it joins none of them, and they send it nothing.
+// memberlist notifies such a node and accepts its refutation, but in a few datagrams only. If these are lost, and
+// without rejoinResumed, the node would come back only with an exchange with a random peer, which happens every 10 s.
 func (m *Membership) rejoinResumed(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		select {
@@ -197,7 +203,7 @@
 	}
 }
 
-// takeResumed gives the addresses of the resumed peers, and forgets that they have resumed.
+// takeResumed returns the addresses of the resumed peers, and clears resumed.
 func (m *Membership) takeResumed() (addrs []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,8 +214,8 @@
 	return addrs
 }
 
-// messageFrom notes that a peer has sent a message.
-func (m *Membership) messageFrom(name string) {
+// noteMessageFrom records that a message was received from a peer, which matters if the peer is considered dead.
+func (m *Membership) noteMessageFrom(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, dead := m.deadAddrs[name]; !dead {
@@ -219,15 +225,15 @@
 	signal(m.peerResumed)
 }
 
-// signal wakes whoever receives from a channel of capacity 1, now or next.
-func signal(to chan<- struct{}) {
+// signal sends to a channel of capacity 1, unless a signal is already pending in it.
+func signal(channel chan<- struct{}) {
 	select {
-	case to <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
 
-// sendQueued sends what is queued until the context ends.
+// sendQueued sends the queued messages until the context ends.
 func (m *Membership) sendQueued(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		select {
@@ -239,7 +245,7 @@
 	}
 }
 
-// send sends a message by UDP, which may lose it. One to a peer that is not alive is dropped.
+// send sends a message over UDP, which may lose it. A message to a peer that is not alive is dropped.
 func (m *Membership) send(list *memberlist.Memberlist, message any) {
 	var peer *memberlist.Node
 	var b []byte
@@ -260,18 +266,19 @@
 	}
 }
 
-// metadata is what a node tells its peers of itself: its number.
+// metadata returns the metadata of the node with this number. The prefix # distinguishes it from names in
+// Membership.peers.
 func metadata(number policy.NodeID) string { return fmt.Sprint("#", number) }
 
-// peer finds a peer by its name or its metadata; nil where none is alive.
+// peer returns the living peer with this name or metadata, or nil.
 func (m *Membership) peer(key string) *memberlist.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.peers[key]
 }
 
-// reportPeers posts which nodes are alive after each change, from a goroutine of its own: the reducer's queue may be full, and
-// memberlist's callbacks must not wait for it.
+// reportPeers posts which nodes are alive after each change. It runs in its own goroutine, because posting waits while
+// the event loop's queue is full, and memberlist's callbacks must not wait.
 func (m *Membership) reportPeers(ctx context.Context) {
 	for {
 		select {
@@ -283,12 +290,12 @@
 	}
 }
 
-// aliveNames are the names of the nodes that are alive, with this one, sorted.
+// aliveNames returns the sorted names of the living nodes, including this one.
 func (m *Membership) aliveNames() (names []cluster.NodeName) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for key, peer := range m.peers {
-		if key == peer.Name { // each stands there by its metadata as well
+		if key == peer.Name { // skips the entries by metadata
 			names = append(names, cluster.NodeName(peer.Name))
 		}
 	}
@@ -296,7 +303,7 @@
 	return names
 }
 
-// setAlive notes that a node, which may be this one, is alive or not.
+// setAlive records whether a node, possibly this one, is alive.
 func (m *Membership) setAlive(peer *memberlist.Node, alive bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -16,14 +16,14 @@
 	"birchstair/internal/node"
 )
 
-// relay carries connections to an address and drops datagrams, all of them.
-func relay(t *testing.T, at, to netip.AddrPort) {
+// relay accepts TCP connections on listen and forwards them to target. It drops all datagrams sent to listen.
+func relay(t *testing.T, listen, target netip.AddrPort) {
 	t.Helper()
-	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)) // read by nobody
+	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen)) // never read: datagrams are dropped
 	if err != nil {
 		t.Fatal(err)
 	}
-	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
+	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(listen))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,24 +36,24 @@
 	}
 	go func() {
 		for {
-			c, err := tcp.Accept()
+			client, err := tcp.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				d, err := net.Dial("tcp", to.String())
+				defer client.Close()
+				server, err := net.Dial("tcp", target.String())
 				if err != nil {
 					return
 				}
-				defer d.Close()
+				defer server.Close()
 				go func() {
-					_, copied := io.Copy(d, c)
-					if err := d.(*net.TCPConn).CloseWrite(); err != nil || copied != nil {
-						d.Close()
+					_, copied := io.Copy(server, client)
+					if err := server.(*net.TCPConn).CloseWrite(); err != nil || copied != nil {
+						server.Close()
 					}
 				}()
-				if _, err := io.Copy(c, d); err != nil {
+				if _, err := io.Copy(client, server); err != nil {
 					return
 				}
 			}()
@@ -61,67 +61,69 @@
 	}()
 }
 
-// deadMessage is memberlist's datagram by which one node announces that another is dead: its kind, and a map of three fields.
+// deadMessage returns memberlist's datagram by which a node announces that another one is dead. It consists of a byte
+// for the kind of message and a map of three fields.
 func deadMessage(name, from string) []byte {
 	text := func(s string) []byte { return append([]byte{0xa0 | byte(len(s))}, s...) }
 	return slices.Concat([]byte{5, 0x83}, text("Incarnation"), []byte{7}, text("Node"), text(name), text("From"), text(from))
 }
 
-// A node that is alive and receives no datagrams is taken for dead by its peer, and never notified. It takes the peer for alive, so it joins nobody: it comes
-// back because it goes on sending messages. Exchanges with random peers, which would bring it back some time, are off.
-func TestTakenForDeadComesBack(t *testing.T) {
-	there, here, link := netip.MustParseAddrPort("127.77.2.1:7951"), netip.MustParseAddrPort("127.77.2.2:7951"), netip.MustParseAddrPort("127.77.2.3:7951")
-	relay(t, link, here)
+// A living node that receives no datagrams is considered dead by its peer and is not notified of it. The node takes the
+// peer for alive, so it does not join it again: it must come back because the peer still receives its messages.
+// Exchanges with random peers, which would bring it back at some time, are off.
+func TestNodeTakenForDeadRejoins(t *testing.T) {
+	peerAddr, nodeAddr, relayAddr := netip.MustParseAddrPort("127.77.2.1:7951"), netip.MustParseAddrPort("127.77.2.2:7951"), netip.MustParseAddrPort("127.77.2.3:7951")
+	relay(t, relayAddr, nodeAddr)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	defer cancel()
-	member := func(o Options, tell func(node.Event)) *Membership {
-		m := New(o, tell, zerolog.Nop())
+	startMember := func(options Options, post func(node.Event)) *Membership {
+		m := New(options, post, zerolog.Nop())
 		m.pushPullInterval = 0
 		wait.Go(func() { m.Run(ctx) })
 		return m
 	}
-	seeds := []netip.AddrPort{there}
-	alive := make(chan bool, 64) // whether the node is alive, by its neighbour
-	member(Options{Name: "neighbour", Listen: there, Advertise: there, Seeds: seeds}, func(ev node.Event) {
-		if n, is := ev.(node.FleetChanged); is {
-			alive <- slices.Contains(n.Alive, "node")
+	seeds := []netip.AddrPort{peerAddr}
+	alive := make(chan bool, 64) // whether the peer considers the node alive
+	startMember(Options{Name: "peer", Listen: peerAddr, Advertise: peerAddr, Seeds: seeds}, func(ev node.Event) {
+		if changed, ok := ev.(node.FleetChanged); ok {
+			alive <- slices.Contains(changed.Alive, "node")
 		}
 	})
-	n := member(Options{Name: "node", Node: 1, Listen: here, Advertise: link, Seeds: seeds}, func(node.Event) {})
-	again := time.NewTicker(50 * time.Millisecond)
-	defer again.Stop()
-	limit := time.After(20 * time.Second)
+	n := startMember(Options{Name: "node", Node: 1, Listen: nodeAddr, Advertise: relayAddr, Seeds: seeds}, func(node.Event) {})
+	ticker := time.NewTicker(50 * time.Millisecond)
+	defer ticker.Stop()
+	timeout := time.After(20 * time.Second)
 	seq := uint64(0)
-	until := func(want bool, what string, each func()) {
+	waitForAlive := func(want bool, failure string, onTick func()) {
 		t.Helper()
 		for {
 			select {
-			case is := <-alive:
-				if is == want {
+			case isAlive := <-alive:
+				if isAlive == want {
 					return
 				}
-			case <-again.C:
-				each()
-			case <-limit:
-				t.Fatal(what)
+			case <-ticker.C:
+				onTick()
+			case <-timeout:
+				t.Fatal(failure)
 			}
 		}
 	}
-	until(true, "the nodes did not meet", func() {})
-	c, err := net.Dial("udp", there.String())
+	waitForAlive(true, "the nodes did not find each other", func() {})
+	c, err := net.Dial("udp", peerAddr.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	until(false, "the neighbour did not take the node for dead", func() {
-		if _, err := c.Write(deadMessage("node", "neighbour")); err != nil {
+	waitForAlive(false, "the peer did not consider the node dead", func() {
+		if _, err := c.Write(deadMessage("node", "peer")); err != nil {
 			t.Error(err)
 		}
 	})
-	until(true, "the node sends messages and stays taken for dead", func() {
+	waitForAlive(true, "the node sends messages, but the peer still considers it dead", func() {
 		seq++
-		n.SendGossip(cluster.Envelope{To: "neighbour", Message: cluster.Message{From: "node", Incarnation: 1, Seq: seq}})
+		n.SendGossip(cluster.Envelope{To: "peer", Message: cluster.Message{From: "node", Incarnation: 1, Seq: seq}})
 	})
 }
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -8,17 +8,18 @@
 	"birchstair/policy"
 )
 
-// Options say where a node listens for its peers, and where it finds the first of them.
+// Options are a node's identity in its cluster and the addresses that it needs to join it.
 type Options struct {
 	Name      cluster.NodeName // unique in the cluster
-	Node      policy.NodeID    // by which peers address each other's leases
-	Listen    netip.AddrPort   // TCP and UDP
-	Advertise netip.AddrPort   // where peers reach it
-	Seeds     []netip.AddrPort // addresses of some nodes of the cluster; its own may be among them
-	Traffic   *Traffic         // counts the traffic; nil for no counting
+	Node      policy.NodeID    // number by which peers address messages about leases
+	Listen    netip.AddrPort   // address to listen on, for TCP and UDP
+	Advertise netip.AddrPort   // address at which peers reach this node
+	Seeds     []netip.AddrPort // addresses of some nodes of the cluster; this node's own may be among them
+	Traffic   *Traffic         // counters of the traffic, or nil
 }
 
-// ParseOptions reads the addresses of an operator's file. An empty advertise address is the one listened on. Its errors name the key.
+// ParseOptions parses the addresses of the configuration file. An empty advertise address defaults to the listen
+// address. Errors name the key of the file.
 func ParseOptions(name cluster.NodeName, number policy.NodeID, listen, advertise string, seeds []string) (Options, error) {
 	options := Options{Name: name, Node: number}
 	var err error
--- a/internal/gossip/traffic.go
+++ b/internal/gossip/traffic.go
@@ -10,14 +10,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Traffic counts what is sent to some peers and received from them, for measurements. Bytes are those of the messages, without
-// IP headers.
+// Traffic counts the traffic with selected peers, for measurements. Bytes are counted without the headers of IP, UDP
+// and TCP.
 type Traffic struct {
-	Counts func(netip.Addr) bool // whether a peer's traffic is counted
+	Counts func(netip.Addr) bool // reports whether the traffic with the peer at an address is counted
 
-	PacketsIn, PacketsOut atomic.Int64 // UDP
+	PacketsIn, PacketsOut atomic.Int64 // UDP datagrams
 	StreamsIn, StreamsOut atomic.Int64 // TCP connections
-	BytesIn, BytesOut     atomic.Int64 // of both
+	BytesIn, BytesOut     atomic.Int64 // bytes of both, UDP and TCP
 }
 
 // countingTransport is a transport that counts its traffic.
@@ -47,7 +47,7 @@
 	return err == nil && c.traffic.Counts(peer.Addr().Unmap())
 }
 
-// forward counts what is received and hands it on, until Shutdown.
+// forward counts received packets and accepted connections and passes them on, until Shutdown.
 func (c *countingTransport) forward() {
 	for {
 		select {
@@ -76,13 +76,13 @@
 	}
 }
 
-// PacketCh gives memberlist the received packets.
+// PacketCh returns the channel from which memberlist takes received packets.
 func (c *countingTransport) PacketCh() <-chan *memberlist.Packet { return c.packets }
 
-// StreamCh gives memberlist the accepted connections.
+// StreamCh returns the channel from which memberlist takes accepted connections.
 func (c *countingTransport) StreamCh() <-chan net.Conn { return c.streams }
 
-// Shutdown closes the sockets.
+// Shutdown stops forwarding and closes the sockets.
 func (c *countingTransport) Shutdown() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.transport.Shutdown()
@@ -95,19 +95,19 @@
 	}
 }
 
-// WriteTo sends a packet.
+// WriteTo sends a packet to the peer at an address.
 func (c *countingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	c.countSent(addr, b)
 	return c.transport.WriteTo(b, addr)
 }
 
-// WriteToAddress sends a packet to a peer by its address.
+// WriteToAddress sends a packet to a peer given by its address and name.
 func (c *countingTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	c.countSent(to.Addr, b)
 	return c.transport.WriteToAddress(b, to)
 }
 
-// DialTimeout opens a connection to a peer.
+// DialTimeout opens a connection to the peer at an address.
 func (c *countingTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	conn, err := c.transport.DialTimeout(addr, timeout)
 	if err == nil && c.counts(addr) {
@@ -117,25 +117,25 @@
 	return conn, err
 }
 
-// DialAddressTimeout opens a connection to a peer by its address.
+// DialAddressTimeout opens a connection to a peer given by its address and name.
 func (c *countingTransport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return c.DialTimeout(to.Addr, timeout)
 }
 
-// countingConn is a connection that counts its bytes.
+// countingConn is a connection whose bytes are counted.
 type countingConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
-// Read reads from the peer.
+// Read reads from the connection and counts the bytes.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.BytesIn.Add(int64(n))
 	return n, err
 }
 
-// Write writes to the peer.
+// Write writes to the connection and counts the bytes.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.BytesOut.Add(int64(n))
--- a/internal/gossip/traffic_test.go
+++ b/internal/gossip/traffic_test.go
@@ -13,40 +13,41 @@
 	"birchstair/internal/node"
 )
 
-// Two nodes join and exchange messages, and one counts its traffic with the peer that Counts selects.
+// Two nodes join and exchange messages. One counts its traffic with the other; the other selects no peer and counts
+// nothing.
 func TestTraffic(t *testing.T) {
-	there := netip.MustParseAddrPort("127.77.1.1:7951")
+	peerAddr := netip.MustParseAddrPort("127.77.1.1:7951")
 	var all, none Traffic
-	all.Counts = func(a netip.Addr) bool { return a == there.Addr() }
+	all.Counts = func(a netip.Addr) bool { return a == peerAddr.Addr() }
 	none.Counts = func(netip.Addr) bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
-	heard := make(chan node.GossipReceived, 1)
-	member := func(name cluster.NodeName, number int, listen netip.AddrPort, traffic *Traffic, tell func(node.Event)) *Membership {
-		m := New(Options{Name: name, Listen: listen, Advertise: listen, Seeds: []netip.AddrPort{there}, Traffic: traffic}, tell, zerolog.Nop())
+	received := make(chan node.GossipReceived, 1)
+	startMember := func(name cluster.NodeName, number int, listen netip.AddrPort, traffic *Traffic, post func(node.Event)) *Membership {
+		m := New(Options{Name: name, Listen: listen, Advertise: listen, Seeds: []netip.AddrPort{peerAddr}, Traffic: traffic}, post, zerolog.Nop())
 		wait.Go(func() { m.Run(ctx) })
 		return m
 	}
-	member("b", 1, there, &none, func(ev node.Event) {
-		if h, is := ev.(node.GossipReceived); is {
+	startMember("b", 1, peerAddr, &none, func(ev node.Event) {
+		if message, ok := ev.(node.GossipReceived); ok {
 			select {
-			case heard <- h:
+			case received <- message:
 			default:
 			}
 		}
 	})
-	a := member("a", 0, netip.MustParseAddrPort("127.77.1.2:7951"), &all, func(node.Event) {})
-	again := time.NewTicker(50 * time.Millisecond)
-	defer again.Stop()
-	limit := time.After(20 * time.Second)
-	for came := false; !came; {
+	a := startMember("a", 0, netip.MustParseAddrPort("127.77.1.2:7951"), &all, func(node.Event) {})
+	ticker := time.NewTicker(50 * time.Millisecond)
+	defer ticker.Stop()
+	timeout := time.After(20 * time.Second)
+	for arrived := false; !arrived; {
 		select {
-		case <-again.C:
+		case <-ticker.C:
 			a.SendGossip(cluster.Envelope{To: "b", Message: cluster.Message{From: "a", Incarnation: 1, Seq: 1}})
-		case h := <-heard:
-			came = h.Message.From == "a"
-		case <-limit:
-			t.Fatal("no message came")
+		case message := <-received:
+			arrived = message.Message.From == "a"
+		case <-timeout:
+			t.Fatal("no message arrived within 20 s")
 		}
 	}
 	cancel()
@@ -55,6 +56,6 @@
 		t.Errorf("packets out %d, streams out %d, bytes out %d, in %d", all.PacketsOut.Load(), all.StreamsOut.Load(), all.BytesOut.Load(), all.BytesIn.Load())
 	}
 	if none.PacketsIn.Load() != 0 || none.BytesIn.Load() != 0 || none.BytesOut.Load() != 0 {
-		t.Error("what nobody asked about was counted")
+		t.Error("traffic was counted with a peer that Counts does not select")
 	}
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -11,26 +11,27 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's, with two changes. Its connections to peers come from the address that it listens on, so that a peer, or a firewall
-// between, can tell who connects. And it holds at most maxStreams accepted connections at a time; further ones wait.
+// transport is memberlist's NetTransport with two changes. It connects to peers from the address that it listens on, so
+// that a peer or a firewall can recognize the node by its address. And at most maxStreams accepted connections are open
+// at a time; further ones wait.
 type transport struct {
 	*memberlist.NetTransport
-	source   netip.Addr
-	accepted <-chan net.Conn
-	streams  chan net.Conn
-	closing  chan struct{}
-	closed   chan struct{}
-	once     sync.Once
+	source   netip.Addr      // local address of the connections to peers
+	accepted <-chan net.Conn // connections as NetTransport accepts them
+	streams  chan net.Conn   // accepted connections for memberlist, at most maxStreams open
+	closing  chan struct{}   // closed when Shutdown begins
+	closed   chan struct{}   // closed when the sockets are closed
+	once     sync.Once       // guards Shutdown
 }
 
-// maxStreams is how many connections that peers have opened are held at a time.
+// maxStreams is the largest number of accepted connections that are open at a time.
 const maxStreams = 16
 
-// MaxDescriptors are the descriptors that gossip takes at most: the UDP socket and the listener, the connections that peers have opened,
-// one that waits, and those that this node opens.
+// MaxDescriptors is the largest number of file descriptors that gossip uses: the UDP socket and the TCP listener, the
+// accepted connections, one more that waits to be accepted, and the connections that this node opens.
 const MaxDescriptors = 2 + maxStreams + 1 + maxDialed
 
-// maxDialed is how many connections memberlist opens to peers at a time.
+// maxDialed is the largest number of connections that memberlist opens to peers at a time.
 const maxDialed = 5
 
 func newTransport(listen netip.AddrPort) (*transport, error) {
@@ -54,7 +55,7 @@
 	return t, nil
 }
 
-// Shutdown closes the sockets. It does not wait for accepted connections that nobody has taken.
+// Shutdown closes the sockets. It does not wait for memberlist to take the accepted connections; those left are closed.
 func (t *transport) Shutdown() (err error) {
 	t.once.Do(func() {
 		close(t.closing)
@@ -64,11 +65,11 @@
 	return err
 }
 
-// StreamCh gives memberlist the accepted connections.
+// StreamCh returns the channel from which memberlist takes accepted connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// limitStreams hands accepted connections on while fewer than maxStreams are open. Hosts that open many and send nothing would otherwise
-// exhaust the descriptors of clients and discovery.
+// limitStreams passes accepted connections on while fewer than maxStreams are open. Otherwise hosts that open many
+// connections and send nothing would exhaust the file descriptors that clients and discovery need.
 func (t *transport) limitStreams() {
 	slots := make(chan struct{}, maxStreams)
 	for {
@@ -90,7 +91,8 @@
 	}
 }
 
-// closeAccepted closes connections that are still accepted, until the listener is closed: its goroutine must not block.
+// closeAccepted closes connections that are still accepted until the listener is closed. If it didn't take them, the
+// listener's goroutine would block and Shutdown would wait for it.
 func (t *transport) closeAccepted() {
 	for {
 		select {
@@ -102,27 +104,27 @@
 	}
 }
 
-// stream is an accepted connection that frees its slot when it is closed.
+// stream is an accepted connection that holds one of maxStreams slots until it is closed.
 type stream struct {
 	net.Conn
 	once  sync.Once
 	slots chan struct{}
 }
 
-// Close closes the connection and frees its slot, once.
+// Close closes the connection. The first call frees the slot.
 func (s *stream) Close() error {
 	err := s.Conn.Close()
 	s.once.Do(func() { <-s.slots })
 	return err
 }
 
-// DialTimeout opens a connection to a peer.
+// DialTimeout opens a connection to the peer at an address.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.source.AsSlice()}}
 	return dialer.Dial("tcp", addr)
 }
 
-// DialAddressTimeout opens a connection to a peer by its address.
+// DialAddressTimeout opens a connection to a peer given by its address and name.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -9,18 +9,19 @@
 	"birchstair/internal/synctesting"
 )
 
-// Hosts open many connections and send nothing: maxStreams are accepted, and a further one once one of them is closed.
+// Hosts that open many connections and send nothing get only maxStreams of them through. Another one gets through when
+// one is closed.
 func TestStreamsBounded(t *testing.T) {
 	synctesting.Test(t, func(t *testing.T) {
-		come := make(chan net.Conn, 2*maxStreams)
-		tr := &transport{accepted: come, streams: make(chan net.Conn), closing: make(chan struct{}), closed: make(chan struct{})}
+		accepted := make(chan net.Conn, 2*maxStreams)
+		tr := &transport{accepted: accepted, streams: make(chan net.Conn), closing: make(chan struct{}), closed: make(chan struct{})}
 		go tr.limitStreams()
 		for range 2 * maxStreams {
 			c, _ := net.Pipe()
-			come <- c
+			accepted <- c
 		}
 		var taken []net.Conn
-		takes := func() {
+		takeAll := func() {
 			for {
 				synctest.Wait()
 				select {
@@ -33,30 +34,30 @@
 			}
 		}
 		for _, want := range []int{maxStreams, maxStreams + 1, maxStreams + 1} {
-			if takes(); len(taken) != want {
-				t.Errorf("%d were taken, want %d", len(taken), want)
+			if takeAll(); len(taken) != want {
+				t.Errorf("%d connections got through, want %d", len(taken), want)
 			}
-			taken[0].Close() // the second time it frees no slot
+			taken[0].Close() // closing it a second time must not free another slot
 		}
 		close(tr.closing)
 		close(tr.closed)
 	})
 }
 
-// Shutdown doesn't wait for connections that nobody takes.
-func TestStreamsAtTheEnd(t *testing.T) {
-	free, err := net.Listen("tcp", "127.0.77.1:0")
+// Shutdown doesn't wait for accepted connections that are never taken from StreamCh.
+func TestShutdownWithStreamsLeft(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.77.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := free.Addr().String()
-	free.Close()
-	tr, err := newTransport(netip.MustParseAddrPort(at))
+	addr := listener.Addr().String()
+	listener.Close()
+	tr, err := newTransport(netip.MustParseAddrPort(addr))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 4 {
-		c, err := net.Dial("tcp", at)
+		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -13,7 +13,8 @@
 	"birchstair/policy"
 )
 
-// Each kind of datagram with each field set: its bytes are pinned, and what is read of them is written again byte for byte.
+// The bytes of every kind of message, with every field set, are pinned in a golden file. Decoding and encoding them
+// again gives the same bytes.
 func TestWire(t *testing.T) {
 	var out strings.Builder
 	for _, c := range []struct {
