--- a/internal/leases/doc.go
+++ b/internal/leases/doc.go
@@ -1,49 +1,51 @@
-// Package leases is the state machine of durable jobs: jobs that a node acknowledges only once their record is on disk, answers
-// exactly once however often it crashes, and never runs twice if their class forbids it.
+// Package leases implements the state machine of durable jobs. A durable job is acknowledged only once its record is on
+// disk, has exactly one final answer however often its node crashes, and never runs twice if its class forbids that.
 //
-// A JobTable holds the state of all durable jobs of a node. It reads no clock and does no input or output: each method takes what
-// happened and when, and returns the effects to carry out. Package durable carries them out and keeps the records. Where a
-// job is sent and when it is retried is decided by package policy; the JobTable decides when the policy is given a job, for how long,
-// and what its decisions mean for the records.
+// A JobTable holds the state of all durable jobs of a node. It reads no clock and does no input or output: each method
+// reports an event and its time, and returns the effects to carry out. Package durable carries them out and keeps the
+// records. Package policy decides where a job is sent and when it is retried. The JobTable decides when a job is
+// submitted to the policy and with which time limit, and what must be on disk before a decision of the policy is
+// carried out.
 //
-// Every attempt of a job has an epoch, which is on disk before the attempt goes out. An executor that takes part in leases
-// refuses epochs that are not newer than all it has seen of the job, and can be asked what became of an epoch. So a node that has
-// crashed can find out whether an attempt ran.
+// Every attempt of a job has a number, its epoch, which is on disk before the attempt is sent. An executor that
+// supports leases accepts an attempt only if its epoch is greater than all that it has seen of the job, and can be
+// queried about the state of an epoch. So a node that has crashed can find out after its restart whether an attempt
+// ran.
 //
 // # States
 //
 //	Storing       the job's record is being written
 //	Waiting       the record is on disk; the job waits until the policy has room for it
-//	Dispatched    the policy has it
-//	Querying      an attempt was in flight when the node crashed, and its executor is asked what became of it
+//	Dispatched    the policy has the job
+//	Querying      an attempt may have run before a restart of the node, and its executor is queried about it
 //	StoringFinal  the final answer is being written
-//	Done          the final answer is on disk, and is kept for clients to fetch
+//	Done          the final answer is on disk, where clients can fetch it until it is forgotten
 //
 // The transitions:
 //
-//	from          on                                                      to
+//	from          event                                                   to
 //	              Accept                                                  Storing
 //	              Recover: no attempt may have run, or it may run again   Waiting
-//	              Recover: an attempt may have run                        Querying, or StoringFinal if executors can't be asked
-//	              Recover: past the deadline, and nothing to ask          StoringFinal
-//	              Recover: it has its final answer                        Done
+//	              Recover: an attempt may have run                        Querying, or StoringFinal if executors can't be queried
+//	              Recover: past the deadline, and no attempt to query     StoringFinal
+//	              Recover: the final answer is on disk                    Done
 //	Storing       JobStored                                               Waiting
 //	Storing       JobNotStored                                            forgotten
 //	Waiting       the policy has room                                     Dispatched
-//	Waiting       deadline                                                StoringFinal
+//	Waiting       deadline, or too late for another attempt               StoringFinal
 //	Dispatched    Answered                                                StoringFinal, or Waiting during a shutdown
 //	Querying      AttemptQueried: the attempt never ran                   Waiting, or Querying about the next attempt
-//	Querying      AttemptQueried: it has finished, or nothing is known    StoringFinal
-//	Querying      AttemptQueried: it is running, or no answer             Querying again after an interval
-//	Querying      deadline                                                StoringFinal
+//	Querying      AttemptQueried: it finished, or can't be known          StoringFinal
+//	Querying      AttemptQueried: it is running, or no answer             Querying again after Settings.QueryInterval
+//	Querying      AttemptQueried past the deadline, or deadline           StoringFinal
 //	StoringFinal  FinalStored                                             Done
-//	Done          Forget, or the answer was kept for long enough          forgotten
+//	Done          Forget, or Settings.AnswerTTL is over                   forgotten
 //
 // Files:
 //
-//	job.go       jobs, their states, attempts and what executors say of them
-//	effects.go   what a JobTable asks its caller to do
-//	job_table.go JobTable, and the way of a job without a crash
-//	recovery.go  what becomes of a job after a crash
-//	timers.go    deadlines and other times at which a JobTable acts
+//	job.go        jobs, their states, attempts and query results
+//	effects.go    the effects that a JobTable asks its caller to carry out
+//	job_table.go  JobTable, and the transitions of a job while its node runs
+//	recovery.go   the transitions of a job after a restart of its node
+//	timers.go     deadlines and other times at which a JobTable acts
 package leases
--- a/internal/leases/effects.go
+++ b/internal/leases/effects.go
@@ -6,54 +6,54 @@
 	"birchstair/policy"
 )
 
-// Effect is something that a JobTable asks its caller to do. It is one of the types below.
+// Effect is an action that a JobTable asks its caller to carry out. It is one of the types below.
 type Effect interface{ effect() }
 
 // Effects on the disk.
 type (
 	// StoreJob writes a job's record. JobStored or JobNotStored reports the result.
 	StoreJob struct{ ID ID }
-	// StoreAttempt writes the record of an attempt. AttemptStored reports it.
+	// StoreAttempt writes the record of an attempt. AttemptStored reports that it is on disk.
 	StoreAttempt struct {
 		ID      ID
 		Attempt Attempt
 	}
-	// StoreNeverRan writes that an attempt is over and never ran.
+	// StoreNeverRan records that an attempt has ended and never ran.
 	StoreNeverRan struct {
 		ID    ID
 		Epoch Epoch
 	}
-	// StoreFinal writes a final answer. FinalStored reports it.
+	// StoreFinal writes a final answer. FinalStored reports that it is on disk.
 	StoreFinal struct {
 		ID     ID
 		Final  Outcome
 		Result []byte
 	}
-	// StoreForget writes that a job is forgotten.
+	// StoreForget records that a job is forgotten.
 	StoreForget struct{ ID ID }
 )
 
 // Effects on clients, the policy and executors.
 type (
-	// Acknowledge tells the client that the job is on disk.
+	// Acknowledge confirms to the client that the job is on disk.
 	Acknowledge struct{ ID ID }
-	// Submit gives the job to the policy, which has the budget to get it done.
+	// Submit gives the job to the policy, which must get it done within the budget.
 	Submit struct {
 		ID     ID
 		Budget time.Duration
 	}
-	// SendAttempt sends an attempt whose record is on disk.
+	// SendAttempt sends an attempt to its executor. The record of the attempt is on disk.
 	SendAttempt struct {
 		ID    ID
 		Epoch Epoch
 	}
-	// QueryAttempt asks an executor what became of an epoch. AttemptQueried reports the answer.
+	// QueryAttempt asks an executor for the state of an attempt. AttemptQueried reports the answer.
 	QueryAttempt struct {
 		ID       ID
 		Epoch    Epoch
 		Executor policy.ExecutorID
 	}
-	// Publish gives the final answer to all clients that wait for it.
+	// Publish sends the final answer to all clients that wait for it.
 	Publish struct {
 		ID     ID
 		Final  Outcome
@@ -61,7 +61,7 @@
 	}
 )
 
-// Wake asks for a call of JobTable.Wake at a time. A later Wake replaces it.
+// Wake asks for a call of JobTable.Wake at a time. A later Wake effect replaces an earlier one.
 type Wake struct{ At time.Duration }
 
 func (StoreJob) effect()      {}
--- a/internal/leases/job.go
+++ b/internal/leases/job.go
@@ -7,13 +7,13 @@
 	"birchstair/policy"
 )
 
-// ID is a client's ID of a durable job.
+// ID identifies a durable job. The client chooses it.
 type ID string
 
-// Epoch numbers the attempts of a job from 1, across restarts of its node.
+// Epoch is the number of an attempt of a job. It counts from 1 and goes on counting after a restart of the node.
 type Epoch uint32
 
-// State is the state of a job; see the package comment.
+// State is the state of a job. The package comment describes the states.
 type State int
 
 // The states.
@@ -26,75 +26,76 @@
 	Done
 )
 
-// stateNames are the names of the states, for logs and tests; clients get those of package durable.
-var stateNames = [...]string{"keeping", "waiting", "in hand", "asking", "closing", "done"}
+// stateNames are the names of the states for debugging. The names that clients receive are those of package durable.
+var stateNames = [...]string{"storing", "waiting", "dispatched", "querying", "storing final", "done"}
 
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Outcome is the kind of a final answer. The values are those of package node.
+// Outcome is the kind of a final answer. The values equal those of package node.
 type Outcome int
 
-// The kinds of final answers.
+// The outcomes.
 const (
 	Succeeded Outcome = iota
-	Rejected          // the job did not run, or may run again
+	Rejected          // the job did not run, or may safely run again
 	Failed            // the job may have run
 )
 
-// JobClass is what a job's class says about attempts that may have run.
+// JobClass holds those properties of a job's class that determine whether the job may be sent again after an attempt
+// may have run.
 type JobClass struct {
 	Idempotency policy.Idempotency
 	DedupGroup  policy.DedupGroup
-	DedupWindow time.Duration // for jobs with an idempotency key, less the time that a connection takes to come up
+	DedupWindow time.Duration // for jobs with an idempotency key; already reduced by the time to open a connection
 }
 
-// Job is a durable job as it was submitted. Times are times of day, as durations since 1970.
+// Job is a durable job as it was submitted. All times in this package are wall clock times, as durations since 1970.
 type Job struct {
 	ID       ID
 	Class    JobClass
-	Deadline time.Duration // the deadline
+	Deadline time.Duration // time by which the job must have its final answer
 }
 
-// Attempt is an attempt.
+// Attempt is an attempt to run a job on an executor.
 type Attempt struct {
 	Epoch    Epoch
 	Executor policy.ExecutorID
-	At       time.Duration
-	NeverRan bool // it is over, and provably never ran
+	At       time.Duration // when the policy started the attempt
+	NeverRan bool          // whether the attempt has ended and provably never ran
 }
 
-// QueryResult is what an executor says of an epoch.
+// QueryResult is the result of querying an executor about an attempt.
 type QueryResult int
 
-// What an executor can say.
+// The query results.
 const (
 	QueryUnanswered  QueryResult = iota // no answer, or an unreadable one
-	QueryUnsupported                    // the executor doesn't take part in leases
-	QueryNeverRan                       // it has not started the attempt, and refuses it from now on
+	QueryUnsupported                    // the executor doesn't support leases
+	QueryNeverRan                       // the executor has not started the attempt, and refuses it from now on
 	QueryRunning                        // the attempt is running
-	QueryFinished                       // the attempt has finished, and the result is at hand
-	QueryLost                           // the attempt may have started, but the executor has restarted since and knows nothing more
+	QueryFinished                       // the attempt has finished, and its result is included
+	QueryLost                           // the attempt may have run; the executor has restarted since and has no record of it
 )
 
-// forever is a time that never comes.
+// forever is later than any other time.
 const forever = time.Duration(math.MaxInt64)
 
-// job is a job with its state.
+// job is a durable job and its state.
 type job struct {
 	Job
 	state         State
 	attempts      []Attempt // by epoch, from 1
-	queryInFlight bool      // while Querying: a QueryAttempt is unanswered
+	queryInFlight bool      // in state Querying: whether a QueryAttempt effect is unanswered
 	final         Outcome
 	result        []byte
 
-	sequence        int // orders jobs with the same deadline
-	heapIndex       int // in JobTable.waiting
-	timerGeneration int // timers of an earlier generation don't count any more
+	sequence        int // order of creation, which decides between jobs with the same deadline
+	heapIndex       int // index in JobTable.waiting
+	timerGeneration int // current generation of the job's timers; those of earlier generations are void
 }
 
-// firstPossibleRun returns the first attempt that may have run, or nil.
+// firstPossibleRun returns the earliest attempt that may have run, or nil if none may have.
 func (j *job) firstPossibleRun() *Attempt {
 	for i := range j.attempts {
 		if !j.attempts[i].NeverRan {
@@ -104,9 +105,10 @@
 	return nil
 }
 
-// retryUntil is the time until which the job may be sent again. If an attempt of it may have run, that depends on its class:
-// always, within the dedup window if all executors share one, or not at all. The policy doesn't know of attempts from before a
-// restart, so it must be given the job for no longer than this.
+// retryUntil returns the time until which the job may be sent again. If an attempt of it may have run, that depends on
+// its class: without limit if the job is idempotent, during the dedup window if the job has an idempotency key and all
+// executors share one dedup group, and otherwise not at all. The policy doesn't know of attempts from before a restart,
+// so the job's budget must end by this time.
 func (j *job) retryUntil() time.Duration {
 	first := j.firstPossibleRun()
 	if first == nil || j.Class.Idempotency == policy.Idempotent {
@@ -118,5 +120,5 @@
 	return 0
 }
 
-// markNeverRan notes that an attempt provably never ran.
-func (j *job) markNeverRan(e Epoch) { j.attempts[e-1].NeverRan = true }
+// markNeverRan records that an attempt provably never ran.
+func (j *job) markNeverRan(epoch Epoch) { j.attempts[epoch-1].NeverRan = true }
--- a/internal/leases/job_table.go
+++ b/internal/leases/job_table.go
@@ -9,229 +9,231 @@
 
 // Settings are the operator's settings for durable jobs.
 type Settings struct {
-	MaxDispatched  int           // the most jobs that the policy has at a time
+	MaxDispatched  int           // most jobs that the policy has at a time
 	AnswerTTL      time.Duration // how long a final answer is kept
-	QueryExecutors bool          // executors take part in leases and can be asked
-	QueryInterval  time.Duration // the interval between two questions about an attempt
+	QueryExecutors bool          // whether executors support leases and can be queried about attempts
+	QueryInterval  time.Duration // time between two queries about an attempt
 }
 
-// JobTable is the state of all durable jobs of a node. Its methods return effects that are to be carried out in order; they are not
-// safe for concurrent use.
+// JobTable holds the state of all durable jobs of a node. Its methods return effects, to be carried out in their order.
+// They are not safe for concurrent use.
 type JobTable struct {
 	settings   Settings
-	jobs       map[ID]*job
-	waiting    waitHeap // jobs in state Waiting
-	dispatched int      // jobs in state Dispatched
-	stopped    bool     // the node is shutting down
+	jobs       map[ID]*job // all jobs that are not forgotten
+	waiting    waitHeap    // jobs in state Waiting
+	dispatched int         // number of jobs in state Dispatched
+	stopped    bool        // whether the node is shutting down
 
 	timers   timerHeap
-	wakeAt   time.Duration // the time of the last Wake effect, or wakeNotSet
-	sequence int
+	wakeAt   time.Duration // time of the pending Wake effect, or wakeNotSet
+	sequence int           // number of jobs and timers created so far, which orders equal times
 
-	effects []Effect // of the current call
+	effects []Effect // effects of the current call, returned at its end
 }
 
-// NewJobTable creates an empty book.
-func NewJobTable(s Settings) *JobTable {
-	return &JobTable{settings: s, jobs: map[ID]*job{}, wakeAt: wakeNotSet}
+// NewJobTable creates an empty table.
+func NewJobTable(settings Settings) *JobTable {
+	return &JobTable{settings: settings, jobs: map[ID]*job{}, wakeAt: wakeNotSet}
 }
 
-// State returns the state of a job, and false if there is none of this ID.
-func (b *JobTable) State(id ID) (State, bool) {
-	j := b.jobs[id]
+// State returns the state of a job, and false if there is no job with this ID.
+func (t *JobTable) State(id ID) (State, bool) {
+	j := t.jobs[id]
 	if j == nil {
 		return 0, false
 	}
 	return j.state, true
 }
 
-// Answer returns the final answer of a job that is Done.
-func (b *JobTable) Answer(id ID) (Outcome, []byte) {
-	j := b.jobs[id]
+// Answer returns the final answer of a job in state Done.
+func (t *JobTable) Answer(id ID) (Outcome, []byte) {
+	j := t.jobs[id]
 	return j.final, j.result
 }
 
 // Counts returns the number of jobs by state.
-func (b *JobTable) Counts() (counts [len(stateNames)]int) {
-	for _, j := range b.jobs {
+func (t *JobTable) Counts() (counts [len(stateNames)]int) {
+	for _, j := range t.jobs {
 		counts[j.state]++
 	}
 	return counts
 }
 
-func (b *JobTable) emit(e Effect) { b.effects = append(b.effects, e) }
+func (t *JobTable) emit(effect Effect) { t.effects = append(t.effects, effect) }
 
-// finish ends a call: it gives waiting jobs to the policy and returns the effects.
-func (b *JobTable) finish(now time.Duration) []Effect {
-	b.submitWaiting(now)
-	b.setWake()
-	effects := b.effects
-	b.effects = nil
+// finish ends each call: it submits waiting jobs to the policy, sets the timer and returns the effects of the call.
+func (t *JobTable) finish(now time.Duration) []Effect {
+	t.submitWaiting(now)
+	t.setWake()
+	effects := t.effects
+	t.effects = nil
 	return effects
 }
 
-// Accept takes in a new job. It returns false if there is a job of this ID already.
-func (b *JobTable) Accept(now time.Duration, in Job) ([]Effect, bool) {
-	if b.jobs[in.ID] != nil {
+// Accept adds a newly submitted job. It returns false if there already is a job with this ID.
+func (t *JobTable) Accept(now time.Duration, submitted Job) ([]Effect, bool) {
+	if t.jobs[submitted.ID] != nil {
 		return nil, false
 	}
-	b.add(in)
-	b.emit(StoreJob{in.ID})
-	return b.finish(now), true
+	t.add(submitted)
+	t.emit(StoreJob{submitted.ID})
+	return t.finish(now), true
 }
 
-func (b *JobTable) add(in Job) *job {
-	b.sequence++
-	j := &job{Job: in, sequence: b.sequence, heapIndex: -1}
-	b.jobs[in.ID] = j
-	b.schedule(in.Deadline, j)
+func (t *JobTable) add(added Job) *job {
+	t.sequence++
+	j := &job{Job: added, sequence: t.sequence, heapIndex: -1}
+	t.jobs[added.ID] = j
+	t.schedule(added.Deadline, j)
 	return j
 }
 
-// JobNotStored reports that a job's record could not be written. The job is forgotten; the caller tells the client.
-func (b *JobTable) JobNotStored(now time.Duration, id ID) []Effect {
-	if j := b.jobs[id]; j != nil && j.state == Storing {
-		delete(b.jobs, id)
+// JobNotStored reports that a job's record could not be written. The job is forgotten, and the caller must inform the
+// client.
+func (t *JobTable) JobNotStored(now time.Duration, id ID) []Effect {
+	if j := t.jobs[id]; j != nil && j.state == Storing {
+		delete(t.jobs, id)
 		j.cancelTimers()
 	}
-	return b.finish(now)
+	return t.finish(now)
 }
 
-// JobStored reports that a job's record is on disk. Only now it is acknowledged and may be given to the policy.
-func (b *JobTable) JobStored(now time.Duration, id ID) []Effect {
-	if j := b.jobs[id]; j != nil && j.state == Storing {
-		b.emit(Acknowledge{id})
-		b.enqueue(j)
+// JobStored reports that a job's record is on disk. Only now the job is acknowledged and may be submitted to the policy.
+func (t *JobTable) JobStored(now time.Duration, id ID) []Effect {
+	if j := t.jobs[id]; j != nil && j.state == Storing {
+		t.emit(Acknowledge{id})
+		t.enqueue(j)
 	}
-	return b.finish(now)
+	return t.finish(now)
 }
 
-// enqueue lets a job wait for the policy.
-func (b *JobTable) enqueue(j *job) {
+// enqueue adds a job to those that wait for the policy.
+func (t *JobTable) enqueue(j *job) {
 	j.state = Waiting
-	heap.Push(&b.waiting, j)
+	heap.Push(&t.waiting, j)
 }
 
-// submitWaiting gives the policy as many jobs as it has room for, those with the nearest deadlines first.
-func (b *JobTable) submitWaiting(now time.Duration) {
-	for !b.stopped && b.dispatched < b.settings.MaxDispatched && len(b.waiting) > 0 {
-		j := heap.Pop(&b.waiting).(*job)
+// submitWaiting submits as many jobs to the policy as it has room for, those with the earliest deadlines first.
+func (t *JobTable) submitWaiting(now time.Duration) {
+	for !t.stopped && t.dispatched < t.settings.MaxDispatched && len(t.waiting) > 0 {
+		j := heap.Pop(&t.waiting).(*job)
 		until := min(j.Deadline, j.retryUntil())
 		if now >= until {
-			b.expire(j)
+			t.expire(j)
 			continue
 		}
 		j.state = Dispatched
-		b.dispatched++
-		b.emit(Submit{j.ID, until - now})
+		t.dispatched++
+		t.emit(Submit{j.ID, until - now})
 	}
 }
 
-// AttemptStarted reports that the policy sends a job to an executor. It returns the epoch of the attempt, which goes out once its record is
-// on disk, or 0 if the policy doesn't have the job.
-func (b *JobTable) AttemptStarted(now time.Duration, id ID, to policy.ExecutorID) (Epoch, []Effect) {
-	j := b.jobs[id]
+// AttemptStarted reports that the policy starts an attempt of a job on an executor. It returns the epoch of the
+// attempt, or 0 if the job is not in state Dispatched. The attempt is sent once its record is on disk.
+func (t *JobTable) AttemptStarted(now time.Duration, id ID, executor policy.ExecutorID) (Epoch, []Effect) {
+	j := t.jobs[id]
 	if j == nil || j.state != Dispatched {
-		return 0, b.finish(now)
+		return 0, t.finish(now)
 	}
-	s := Attempt{Epoch: Epoch(len(j.attempts) + 1), Executor: to, At: now}
-	j.attempts = append(j.attempts, s)
-	b.emit(StoreAttempt{id, s})
-	return s.Epoch, b.finish(now)
+	attempt := Attempt{Epoch: Epoch(len(j.attempts) + 1), Executor: executor, At: now}
+	j.attempts = append(j.attempts, attempt)
+	t.emit(StoreAttempt{id, attempt})
+	return attempt.Epoch, t.finish(now)
 }
 
-// AttemptStored reports that the record of an attempt is on disk. The attempt goes out, unless the job has its answer or a later
-// attempt by now.
-func (b *JobTable) AttemptStored(now time.Duration, id ID, e Epoch) []Effect {
-	if j := b.jobs[id]; j != nil && j.state == Dispatched && int(e) == len(j.attempts) {
-		b.emit(SendAttempt{id, e})
+// AttemptStored reports that the record of an attempt is on disk. The attempt is sent, unless the job has an answer or
+// a later attempt by now.
+func (t *JobTable) AttemptStored(now time.Duration, id ID, epoch Epoch) []Effect {
+	if j := t.jobs[id]; j != nil && j.state == Dispatched && int(epoch) == len(j.attempts) {
+		t.emit(SendAttempt{id, epoch})
 	}
-	return b.finish(now)
+	return t.finish(now)
 }
 
-// AttemptEnded reports that an attempt is over. If it provably never ran, that is recorded, so that a crash doesn't leave it in doubt.
-func (b *JobTable) AttemptEnded(now time.Duration, id ID, e Epoch, neverRan bool) []Effect {
-	if j := b.jobs[id]; j != nil && neverRan && e >= 1 && int(e) <= len(j.attempts) && !j.attempts[e-1].NeverRan {
-		j.markNeverRan(e)
-		b.emit(StoreNeverRan{id, e})
+// AttemptEnded reports that an attempt has ended. If it provably never ran, that is recorded. Otherwise it would be
+// unknown after a crash whether the attempt ran.
+func (t *JobTable) AttemptEnded(now time.Duration, id ID, epoch Epoch, neverRan bool) []Effect {
+	if j := t.jobs[id]; j != nil && neverRan && epoch >= 1 && int(epoch) <= len(j.attempts) && !j.attempts[epoch-1].NeverRan {
+		j.markNeverRan(epoch)
+		t.emit(StoreNeverRan{id, epoch})
 	}
-	return b.finish(now)
+	return t.finish(now)
 }
 
-// Answered reports the policy's answer, which becomes final. During a shutdown only a result is final: a job that was rejected
-// stays on disk for the next start, and one that failed is asked about then.
-func (b *JobTable) Answered(now time.Duration, id ID, answer Outcome, result []byte) []Effect {
-	j := b.jobs[id]
+// Answered reports the policy's answer, which becomes the final one. During a shutdown only a success becomes final: a
+// job that was rejected or has failed stays on disk, and is submitted again or queried about at the next start.
+func (t *JobTable) Answered(now time.Duration, id ID, answer Outcome, result []byte) []Effect {
+	j := t.jobs[id]
 	if j == nil || j.state != Dispatched {
-		return b.finish(now)
+		return t.finish(now)
 	}
-	b.dispatched--
+	t.dispatched--
 	if answer == Rejected && j.Class.Idempotency != policy.Idempotent && j.firstPossibleRun() != nil {
 		answer = Failed // the policy doesn't know of attempts from before a restart
 	}
-	if b.stopped && answer != Succeeded {
-		b.enqueue(j)
-		return b.finish(now)
+	if t.stopped && answer != Succeeded {
+		t.enqueue(j)
+		return t.finish(now)
 	}
-	b.finalize(j, answer, result)
-	return b.finish(now)
+	t.finalize(j, answer, result)
+	return t.finish(now)
 }
 
-// finalize gives a job its final answer, to be written to disk.
-func (b *JobTable) finalize(j *job, final Outcome, result []byte) {
+// finalize gives a job its final answer and writes it to disk.
+func (t *JobTable) finalize(j *job, final Outcome, result []byte) {
 	j.state, j.final, j.result = StoringFinal, final, result
 	j.cancelTimers()
-	b.emit(StoreFinal{j.ID, final, result})
+	t.emit(StoreFinal{j.ID, final, result})
 }
 
-// expire answers a job that was not done by its deadline. A rejection promises that it did not run.
-func (b *JobTable) expire(j *job) {
+// expire answers a job that is too late to be submitted. It is rejected only if it did not run or may safely run again.
+func (t *JobTable) expire(j *job) {
 	final := Failed
 	if j.firstPossibleRun() == nil || j.Class.Idempotency == policy.Idempotent {
 		final = Rejected
 	}
-	b.finalize(j, final, nil)
+	t.finalize(j, final, nil)
 }
 
-// FinalStored reports that a final answer is on disk. Only now clients get it.
-func (b *JobTable) FinalStored(now time.Duration, id ID) []Effect {
-	if j := b.jobs[id]; j != nil && j.state == StoringFinal {
-		b.retain(j, now+b.settings.AnswerTTL)
-		b.emit(Publish{id, j.final, j.result})
+// FinalStored reports that a final answer is on disk. Only now clients receive it.
+func (t *JobTable) FinalStored(now time.Duration, id ID) []Effect {
+	if j := t.jobs[id]; j != nil && j.state == StoringFinal {
+		t.retain(j, now+t.settings.AnswerTTL)
+		t.emit(Publish{id, j.final, j.result})
 	}
-	return b.finish(now)
+	return t.finish(now)
 }
 
-// retain keeps a job that is done until a time.
-func (b *JobTable) retain(j *job, until time.Duration) {
+// retain keeps a job in state Done until a time, and forgets it then.
+func (t *JobTable) retain(j *job, until time.Duration) {
 	j.state = Done
 	j.cancelTimers()
-	b.schedule(until, j)
+	t.schedule(until, j)
 }
 
-// Forget forgets a job that the client is done with. It returns false if the job is not Done.
-func (b *JobTable) Forget(now time.Duration, id ID) ([]Effect, bool) {
-	j := b.jobs[id]
+// Forget removes a job whose answer the client no longer needs. It returns false if the job is not in state Done.
+func (t *JobTable) Forget(now time.Duration, id ID) ([]Effect, bool) {
+	j := t.jobs[id]
 	if j == nil || j.state != Done {
 		return nil, false
 	}
-	b.forget(j)
-	return b.finish(now), true
+	t.forget(j)
+	return t.finish(now), true
 }
 
-func (b *JobTable) forget(j *job) {
+func (t *JobTable) forget(j *job) {
 	j.cancelTimers()
-	delete(b.jobs, j.ID)
-	b.emit(StoreForget{j.ID})
+	delete(t.jobs, j.ID)
+	t.emit(StoreForget{j.ID})
 }
 
-// Stop reports that the node is shutting down. The policy is given no more jobs.
-func (b *JobTable) Stop(now time.Duration) []Effect {
-	b.stopped = true
-	return b.finish(now)
+// Stop reports that the node is shutting down. No more jobs are submitted to the policy.
+func (t *JobTable) Stop(now time.Duration) []Effect {
+	t.stopped = true
+	return t.finish(now)
 }
 
-// waitHeap is a heap of jobs by their deadlines, for container/heap; each job knows its index.
+// waitHeap is a heap of jobs ordered by deadline, for container/heap. It keeps each job's heapIndex up to date.
 type waitHeap []*job
 
 // Len implements heap.Interface.
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -43,158 +43,159 @@
 	return ""
 }
 
-// trace makes the calls of a book, and writes each with the effects that it returns.
+// trace makes calls of a JobTable, and writes down each call and the effects that it returns.
 type trace struct {
-	b   *JobTable
-	out strings.Builder
+	table *JobTable
+	out   strings.Builder
 }
 
-// call writes a call and its effects.
-func (s *trace) call(what string, effects []Effect) {
-	fmt.Fprintf(&s.out, "%s\n", what)
+// call writes down a call and its effects, except for Wake.
+func (tr *trace) call(event string, effects []Effect) {
+	fmt.Fprintf(&tr.out, "%s\n", event)
 	for _, e := range effects {
 		if text := effectText(e); text != "" {
-			fmt.Fprintf(&s.out, "%s%s\n", golden.Arrow, text)
+			fmt.Fprintf(&tr.out, "%s%s\n", golden.Arrow, text)
 		}
 	}
 }
 
-func (s *trace) section(title string) { fmt.Fprintf(&s.out, "# %s\n", title) }
+func (tr *trace) section(title string) { fmt.Fprintf(&tr.out, "# %s\n", title) }
 
-func (s *trace) accept(id ID, class JobClass, now, deadline float64) {
-	effects, ok := s.b.Accept(at(now), Job{id, class, at(deadline)})
-	s.call(fmt.Sprintf("%s is submitted at %v s: %v", id, now, ok), effects)
+func (tr *trace) submit(id ID, class JobClass, now, deadline float64) {
+	effects, ok := tr.table.Accept(at(now), Job{id, class, at(deadline)})
+	tr.call(fmt.Sprintf("%s is submitted at %v s: %v", id, now, ok), effects)
 }
 
-func (s *trace) stored(id ID, now float64) {
-	s.call(fmt.Sprintf("%s is on disk", id), s.b.JobStored(at(now), id))
+func (tr *trace) jobStored(id ID, now float64) {
+	tr.call(fmt.Sprintf("%s is on disk", id), tr.table.JobStored(at(now), id))
 }
 
-func (s *trace) send(id ID, now float64) {
-	e, effects := s.b.AttemptStarted(at(now), id, "e")
-	s.call(fmt.Sprintf("the policy sends %s: attempt %d", id, e), effects)
+func (tr *trace) startAttempt(id ID, now float64) {
+	e, effects := tr.table.AttemptStarted(at(now), id, "e")
+	tr.call(fmt.Sprintf("the policy sends %s: attempt %d", id, e), effects)
 }
 
-// recover starts a node that finds the job j on disk, with an attempt that went out at 2 s and did or did not provably never
-// run.
-func (s *trace) recover(title string, set Settings, now, last float64, class JobClass, neverRan bool) {
-	s.b = NewJobTable(set)
-	s.call(fmt.Sprintf("# %s, recovered at %.0f s, sent at 2 s", title, now), s.b.Recover(at(now), at(last), Job{"j", class, at(60)},
+// recover starts a node that finds the job j on disk, with an attempt that was sent at 2 s. neverRan tells whether the
+// attempt provably never ran.
+func (tr *trace) recover(title string, settings Settings, now, last float64, class JobClass, neverRan bool) {
+	tr.table = NewJobTable(settings)
+	tr.call(fmt.Sprintf("# %s, recovered at %.0f s, sent at 2 s", title, now), tr.table.Recover(at(now), at(last), Job{"j", class, at(60)},
 		[]Attempt{{Epoch: 1, Executor: "e", At: at(2), NeverRan: neverRan}}, nil, nil, 0))
 }
 
 func at(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
 
-func first(e []Effect, _ bool) []Effect { return e }
+func withoutOK(e []Effect, _ bool) []Effect { return e }
 
-// Each state, and the transitions from it.
+// The transitions from each state and the effects of each call are pinned in a golden file.
 func TestTransitions(t *testing.T) {
-	set := Settings{MaxDispatched: 1, AnswerTTL: 100 * time.Second, QueryInterval: time.Second}
-	queries := set
-	queries.QueryExecutors = true
-	s := &trace{b: NewJobTable(set)}
-	traceSuccess(s)
-	traceDeadline(s)
-	traceNotStored(s)
-	traceShutdown(s)
-	traceRecovery(s, set)
-	traceQueries(s, queries)
-	golden.Compare(t, "transitions.txt", s.out.String())
+	settings := Settings{MaxDispatched: 1, AnswerTTL: 100 * time.Second, QueryInterval: time.Second}
+	withQueries := settings
+	withQueries.QueryExecutors = true
+	tr := &trace{table: NewJobTable(settings)}
+	traceSuccess(tr)
+	traceDeadline(tr)
+	traceNotStored(tr)
+	traceShutdown(tr)
+	traceRecovery(tr, settings)
+	traceQueries(tr, withQueries)
+	golden.Compare(t, "transitions.txt", tr.out.String())
 }
 
-func traceSuccess(s *trace) {
-	s.section("a job that succeeds, and the next one waits for its place")
-	s.accept("a", atMostOnce, 1, 60)
-	s.accept("a", atMostOnce, 1, 60)
-	s.stored("a", 1)
-	s.accept("b", atMostOnce, 1, 50)
-	s.stored("b", 1)
-	s.send("b", 1)
-	s.send("a", 2)
-	s.call("its record is on disk", s.b.AttemptStored(at(2), "a", 1))
-	s.call("its connection failed", s.b.AttemptEnded(at(3), "a", 1, true))
-	s.call("and is reported again", s.b.AttemptEnded(at(3), "a", 1, true))
-	s.send("a", 3)
-	s.call("the record of the first is reported late", s.b.AttemptStored(at(3), "a", 1))
-	s.call("that of the second is reported", s.b.AttemptStored(at(3), "a", 2))
-	s.call("a is forgotten too early", first(s.b.Forget(at(3), "a")))
-	s.call("the policy says succeeded", s.b.Answered(at(4), "a", Succeeded, []byte("r")))
-	s.call("and again", s.b.Answered(at(4), "a", Failed, nil))
-	s.call("the answer is on disk", s.b.FinalStored(at(4), "a"))
-	s.call("a is forgotten", first(s.b.Forget(at(5), "a")))
+func traceSuccess(tr *trace) {
+	tr.section("a job succeeds, and the next one waits until the policy has room")
+	tr.submit("a", atMostOnce, 1, 60)
+	tr.submit("a", atMostOnce, 1, 60)
+	tr.jobStored("a", 1)
+	tr.submit("b", atMostOnce, 1, 50)
+	tr.jobStored("b", 1)
+	tr.startAttempt("b", 1)
+	tr.startAttempt("a", 2)
+	tr.call("the record of attempt 1 is on disk", tr.table.AttemptStored(at(2), "a", 1))
+	tr.call("attempt 1 ended and never ran", tr.table.AttemptEnded(at(3), "a", 1, true))
+	tr.call("attempt 1 ended and never ran, reported again", tr.table.AttemptEnded(at(3), "a", 1, true))
+	tr.startAttempt("a", 3)
+	tr.call("the record of attempt 1 is reported again, after attempt 2 was started", tr.table.AttemptStored(at(3), "a", 1))
+	tr.call("the record of attempt 2 is on disk", tr.table.AttemptStored(at(3), "a", 2))
+	tr.call("the client forgets a before its final answer", withoutOK(tr.table.Forget(at(3), "a")))
+	tr.call("the policy answers that a succeeded", tr.table.Answered(at(4), "a", Succeeded, []byte("r")))
+	tr.call("the policy answers again, that a failed", tr.table.Answered(at(4), "a", Failed, nil))
+	tr.call("the answer is on disk", tr.table.FinalStored(at(4), "a"))
+	tr.call("the client forgets a", withoutOK(tr.table.Forget(at(5), "a")))
 }
 
-func traceDeadline(s *trace) {
-	s.section("waiting until the deadline, and an answer that nobody fetches")
-	s.accept("c", atMostOnce, 5, 20)
-	s.stored("c", 5)
-	s.call("at 20 s", s.b.Wake(at(20)))
-	s.call("the answer is on disk", s.b.FinalStored(at(20), "c"))
-	s.call("at 119 s", s.b.Wake(at(119)))
-	s.call("at 121 s", s.b.Wake(at(121)))
+func traceDeadline(tr *trace) {
+	tr.section("a job waits until its deadline, and its answer is never fetched")
+	tr.submit("c", atMostOnce, 5, 20)
+	tr.jobStored("c", 5)
+	tr.call("at 20 s", tr.table.Wake(at(20)))
+	tr.call("the answer is on disk", tr.table.FinalStored(at(20), "c"))
+	tr.call("at 119 s", tr.table.Wake(at(119)))
+	tr.call("at 121 s", tr.table.Wake(at(121)))
 }
 
-func traceNotStored(s *trace) {
-	s.section("not stored: nothing is left of it")
-	s.accept("d", atMostOnce, 130, 200)
-	s.call("the disk is full", s.b.JobNotStored(at(130), "d"))
-	s.accept("d", atMostOnce, 131, 200)
+func traceNotStored(tr *trace) {
+	tr.section("a job that could not be stored is forgotten")
+	tr.submit("d", atMostOnce, 130, 200)
+	tr.call("d could not be stored", tr.table.JobNotStored(at(130), "d"))
+	tr.submit("d", atMostOnce, 131, 200)
 }
 
-func traceShutdown(s *trace) {
-	s.section("a shutdown: only a result is final")
-	s.b = NewJobTable(Settings{MaxDispatched: 3, AnswerTTL: 100 * time.Second})
+func traceShutdown(tr *trace) {
+	tr.section("during a shutdown only a success becomes final")
+	tr.table = NewJobTable(Settings{MaxDispatched: 3, AnswerTTL: 100 * time.Second})
 	for _, id := range []ID{"x", "y", "z"} {
-		s.b.Accept(at(1), Job{id, atMostOnce, at(60)})
-		s.b.JobStored(at(1), id)
+		tr.table.Accept(at(1), Job{id, atMostOnce, at(60)})
+		tr.table.JobStored(at(1), id)
 	}
-	s.send("y", 2)
-	s.call("shutdown is requested", s.b.Stop(at(3)))
-	s.call("x is rejected", s.b.Answered(at(3), "x", Rejected, nil))
-	s.call("y has failed", s.b.Answered(at(3), "y", Failed, nil))
-	s.call("z has succeeded", s.b.Answered(at(3), "z", Succeeded, nil))
+	tr.startAttempt("y", 2)
+	tr.call("shutdown is requested", tr.table.Stop(at(3)))
+	tr.call("the policy answers that x is rejected", tr.table.Answered(at(3), "x", Rejected, nil))
+	tr.call("the policy answers that y failed", tr.table.Answered(at(3), "y", Failed, nil))
+	tr.call("the policy answers that z succeeded", tr.table.Answered(at(3), "z", Succeeded, nil))
 }
 
-func traceRecovery(s *trace, set Settings) {
-	s.recover("idempotent, may have run", set, 5, 2, idempotent, false)
-	s.recover("at most once, provably never ran", set, 5, 2, atMostOnce, true)
-	s.recover("at most once, may have run, executors can't be queried", set, 5, 2, atMostOnce, false)
-	s.recover("at most once, may have run, past its deadline", set, 70, 2, atMostOnce, false)
-	s.recover("at most once, never ran, past its deadline", set, 70, 2, atMostOnce, true)
-	s.recover("dedup group of all executors, inside its window", set, 5, 2, keyedAll, false)
-	s.call("rejected when the window ends: the policy does not know that it may have run", s.b.Answered(at(9), "j", Rejected, nil))
-	s.recover("dedup group of all executors, outside its window", set, 10, 2, keyedAll, false)
-	s.recover("dedup group of a zone", set, 5, 2, keyedZone, false)
-	s.recover("dedup group of all executors, and the clock was set back", set, 5, 8, keyedAll, false)
+func traceRecovery(tr *trace, settings Settings) {
+	tr.recover("idempotent, may have run", settings, 5, 2, idempotent, false)
+	tr.recover("at most once, provably never ran", settings, 5, 2, atMostOnce, true)
+	tr.recover("at most once, may have run, executors can't be queried", settings, 5, 2, atMostOnce, false)
+	tr.recover("at most once, may have run, past its deadline", settings, 70, 2, atMostOnce, false)
+	tr.recover("at most once, never ran, past its deadline", settings, 70, 2, atMostOnce, true)
+	tr.recover("dedup group of all executors, inside its window", settings, 5, 2, keyedAll, false)
+	tr.call("the policy rejects j when the window ends, not knowing that attempt 1 may have run", tr.table.Answered(at(9), "j", Rejected, nil))
+	tr.recover("dedup group of all executors, outside its window", settings, 10, 2, keyedAll, false)
+	tr.recover("dedup group of a zone", settings, 5, 2, keyedZone, false)
+	tr.recover("dedup group of all executors, and the clock was set back", settings, 5, 8, keyedAll, false)
 }
 
-func traceQueries(s *trace, queries Settings) {
+func traceQueries(tr *trace, settings Settings) {
 	for _, answer := range []struct {
-		name  string
-		found QueryResult
+		name   string
+		result QueryResult
 	}{
-		{"never started, and refused from now on", QueryNeverRan},
-		{"finished", QueryFinished},
-		{"lost", QueryLost},
-		{"not supported", QueryUnsupported},
+		{"the executor answers: never started, and refused from now on", QueryNeverRan},
+		{"the executor answers: finished", QueryFinished},
+		{"the executor answers: lost", QueryLost},
+		{"the executor answers: not supported", QueryUnsupported},
 	} {
-		s.recover("at most once, may have run", queries, 5, 2, atMostOnce, false)
-		s.call(answer.name, s.b.AttemptQueried(at(5), "j", 1, answer.found, []byte("r")))
+		tr.recover("at most once, may have run", settings, 5, 2, atMostOnce, false)
+		tr.call(answer.name, tr.table.AttemptQueried(at(5), "j", 1, answer.result, []byte("r")))
 	}
-	s.recover("at most once, may have run", queries, 5, 2, atMostOnce, false)
-	s.call("no answer", s.b.AttemptQueried(at(5), "j", 1, QueryUnanswered, nil))
-	s.call("a second later", s.b.Wake(at(6)))
-	s.call("still running", s.b.AttemptQueried(at(6), "j", 1, QueryRunning, nil))
-	s.call("and at the deadline", s.b.Wake(at(60)))
-	s.recover("at most once, may have run, past its deadline, queried once all the same", queries, 70, 2, atMostOnce, false)
-	s.call("finished", s.b.AttemptQueried(at(70), "j", 1, QueryFinished, []byte("r")))
+	tr.recover("at most once, may have run", settings, 5, 2, atMostOnce, false)
+	tr.call("the executor does not answer", tr.table.AttemptQueried(at(5), "j", 1, QueryUnanswered, nil))
+	tr.call("a second later", tr.table.Wake(at(6)))
+	tr.call("the executor answers: running", tr.table.AttemptQueried(at(6), "j", 1, QueryRunning, nil))
+	tr.call("at the deadline", tr.table.Wake(at(60)))
+	tr.recover("at most once, may have run, past its deadline, but queried once", settings, 70, 2, atMostOnce, false)
+	tr.call("the executor answers: finished", tr.table.AttemptQueried(at(70), "j", 1, QueryFinished, []byte("r")))
 }
 
-// Ten thousand recovered jobs: the policy gets no more than it has room for, those with the nearest deadlines first.
+// Of ten thousand recovered jobs the policy gets only as many at a time as it has room for. Every job is either
+// submitted or waiting.
 func TestManyRecovered(t *testing.T) {
-	b := NewJobTable(Settings{MaxDispatched: 50, AnswerTTL: time.Hour})
+	table := NewJobTable(Settings{MaxDispatched: 50, AnswerTTL: time.Hour})
 	submitted := 0
-	count := func(effects []Effect) {
+	countSubmitted := func(effects []Effect) {
 		for _, e := range effects {
 			if _, ok := e.(Submit); ok {
 				submitted++
@@ -202,16 +203,16 @@
 		}
 	}
 	for i := range 10000 {
-		count(b.Recover(0, 0, Job{ID(fmt.Sprint(i)), idempotent, at(float64(100 + i%7))}, nil, nil, nil, 0))
+		countSubmitted(table.Recover(0, 0, Job{ID(fmt.Sprint(i)), idempotent, at(float64(100 + i%7))}, nil, nil, nil, 0))
 	}
 	if submitted != 50 {
-		t.Fatalf("submitted %d at once, want 50", submitted)
+		t.Fatalf("%d jobs were submitted at once, want 50", submitted)
 	}
 	for i := range 10000 {
-		count(b.Answered(at(1), ID(fmt.Sprint(i)), Succeeded, nil))
-		count(b.FinalStored(at(1), ID(fmt.Sprint(i))))
+		countSubmitted(table.Answered(at(1), ID(fmt.Sprint(i)), Succeeded, nil))
+		countSubmitted(table.FinalStored(at(1), ID(fmt.Sprint(i))))
 	}
-	if counts := b.Counts(); submitted+counts[Waiting] != 10000 {
-		t.Errorf("submitted %d, waiting %d, want 10000 together", submitted, counts[Waiting])
+	if counts := table.Counts(); submitted+counts[Waiting] != 10000 {
+		t.Errorf("%d jobs submitted and %d waiting, want 10000 together", submitted, counts[Waiting])
 	}
 }
--- a/internal/leases/timers.go
+++ b/internal/leases/timers.go
@@ -5,63 +5,64 @@
 	"time"
 )
 
-// wakeNotSet is no time that a Wake effect is ever for.
+// wakeNotSet is the value of JobTable.wakeAt while no Wake effect is pending. No timer is set for a negative time.
 const wakeNotSet time.Duration = -1
 
-// Wake does what is due: jobs past their deadlines are answered, executors are asked again, answers that were kept for long
-// enough are forgotten.
-func (b *JobTable) Wake(now time.Duration) []Effect {
-	b.wakeAt = wakeNotSet
-	for len(b.timers) > 0 && b.timers[0].at <= now {
-		t := heap.Pop(&b.timers).(timer)
-		if t.generation == t.job.timerGeneration {
-			b.timerFired(now, t.job)
+// Wake handles all timers that are due: it answers jobs past their deadlines, queries executors again, and forgets jobs
+// whose answers have been kept for Settings.AnswerTTL.
+func (t *JobTable) Wake(now time.Duration) []Effect {
+	t.wakeAt = wakeNotSet
+	for len(t.timers) > 0 && t.timers[0].at <= now {
+		due := heap.Pop(&t.timers).(timer)
+		if due.generation == due.job.timerGeneration {
+			t.timerFired(now, due.job)
 		}
 	}
-	return b.finish(now)
+	return t.finish(now)
 }
 
-func (b *JobTable) timerFired(now time.Duration, j *job) {
+func (t *JobTable) timerFired(now time.Duration, j *job) {
 	switch j.state {
 	case Waiting:
-		heap.Remove(&b.waiting, j.heapIndex)
-		b.expire(j)
+		heap.Remove(&t.waiting, j.heapIndex)
+		t.expire(j)
 	case Querying:
 		if now >= j.Deadline {
-			b.finalize(j, Failed, nil)
+			t.finalize(j, Failed, nil)
 		} else {
-			b.query(now, j)
+			t.query(now, j)
 		}
 	case Done:
-		b.forget(j)
+		t.forget(j)
 	}
 }
 
-// setWake asks for a call of Wake when the first timer is due, unless that has been asked for already.
-func (b *JobTable) setWake() {
-	if len(b.timers) > 0 && b.timers[0].at != b.wakeAt {
-		b.wakeAt = b.timers[0].at
-		b.emit(Wake{b.wakeAt})
+// setWake emits a Wake effect for the earliest timer, unless one for that time is pending.
+func (t *JobTable) setWake() {
+	if len(t.timers) > 0 && t.timers[0].at != t.wakeAt {
+		t.wakeAt = t.timers[0].at
+		t.emit(Wake{t.wakeAt})
 	}
 }
 
-// schedule sets a timer of a job.
-func (b *JobTable) schedule(at time.Duration, j *job) {
-	b.sequence++
-	heap.Push(&b.timers, timer{at, b.sequence, j.timerGeneration, j})
+// schedule sets a timer for a job.
+func (t *JobTable) schedule(at time.Duration, j *job) {
+	t.sequence++
+	heap.Push(&t.timers, timer{at, t.sequence, j.timerGeneration, j})
 }
 
-// cancelTimers makes the timers that are set for the job void.
+// cancelTimers voids the timers that are set for the job. Wake skips them.
 func (j *job) cancelTimers() { j.timerGeneration++ }
 
+// timer is a time at which a JobTable acts on a job.
 type timer struct {
 	at         time.Duration
-	sequence   int // orders timers of the same time
-	generation int // of the job when it was set
+	sequence   int // order of creation, which decides between timers of the same time
+	generation int // the job's timerGeneration when the timer was set
 	job        *job
 }
 
-// timerHeap is a heap of timers by time, for container/heap.
+// timerHeap is a heap of timers ordered by time, for container/heap.
 type timerHeap []timer
 
 // Len implements heap.Interface.
