--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -14,12 +14,12 @@
 // NodeName is the name of a node, unique in its cluster.
 type NodeName string
 
-// Settings are the settings of a node's part in its cluster.
+// Settings are the settings of a State.
 type Settings struct {
 	Self           NodeName
 	Incarnation    uint64        // when this process started, in Unix milliseconds; greater after each restart
 	Seed           uint32        // seed of the random choices
-	Epoch          int64         // zero of this node's times, in Unix milliseconds of the clock that dates its endpoint list
+	Epoch          int64         // Unix milliseconds at which this node's time is zero, by the clock of its endpoint list
 	GossipInterval time.Duration // time between two gossip rounds
 	Fanout         int           // number of messages sent per gossip round
 	PeerStateTTL   time.Duration // how long a peer's rates are used after they were received
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -22,7 +22,7 @@
 	Age           time.Duration // time since an endpoint list last showed the drain
 }
 
-// drainState is a drain that this node knows of.
+// drainState is what this node knows of one drain.
 type drainState struct {
 	executorStart int64         // see Drain.ExecutorStart
 	seenAt        time.Duration // when some node's own endpoint list last showed it
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -73,7 +73,7 @@
 	maps.DeleteFunc(p.states, func(_ NodeName, s *peerState) bool { return now-s.receivedAt > maxAge })
 }
 
-// gossipRound returns the messages of one gossip gossipRound.
+// gossipRound returns the messages to send in one gossip round.
 func (s *State) gossipRound(now time.Duration) (out []Envelope) {
 	for range min(s.settings.Fanout, len(s.peers.alive)) {
 		to := s.nextRecipient()
@@ -97,7 +97,7 @@
 	return to
 }
 
-// nextMessage returns the next nextMessage: this node's rates, and as many drains as fit, each in turn.
+// nextMessage returns a message with this node's rates and at most maxDrainsPerMessage drains, which take turns.
 func (s *State) nextMessage(now time.Duration) Message {
 	s.peers.seq++
 	return Message{
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -153,8 +153,8 @@
 // admissible returns how much work the cluster can admit, given the capacity of its executors.
 //
 // The base of the estimate is the admitted work up to a pressure of 1. It falls to the completed work at a pressure of
-// 2. It is not the completed work from the start, since admitted work that neither completes nor expires must not lower
-// the base. Spare capacity is added while pressure is below 1. Otherwise a cluster that once rejected jobs would never
+// 2. The completed work alone would be too low a base, because admitted work can also end without completing or
+// expiring. Spare capacity is added while pressure is below 1. Otherwise a cluster that once rejected jobs would never
 // find out that it could complete more.
 func (r Rates) admissible(capacity float64) float64 {
 	pressure := r.pressure()
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -87,8 +87,8 @@
 	return v
 }
 
-// encodeGossip encodes a message. If it is too long, the second half of its drains is dropped until it fits; the sender
-// offers each drain again, in turn.
+// encodeGossip encodes a message. If it is too long, the second half of its drains is dropped until it fits. A dropped
+// drain is not sent until cluster.State includes it in a message again.
 func encodeGossip(message cluster.Message) ([]byte, error) {
 	wire := newGossipMessage(message)
 	for {
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	maxQueued               = 64                     // most messages that wait to be sent; further ones are dropped
-	maxDeadPeers            = 1024                   // most dead peers whose addresses are remembered
+	maxQueued               = 64                     // maximum number of messages waiting to be sent; further ones are dropped
+	maxDeadPeers            = 1024                   // maximum number of dead peers whose addresses are remembered
 	retryInterval           = time.Second            // between attempts to listen, to join seeds and to rejoin resumed peers
 	leaveTimeout            = 200 * time.Millisecond // for announcing at a graceful shutdown that this node leaves
 	defaultPushPullInterval = 10 * time.Second       // between exchanges of the whole state with a random peer
@@ -69,7 +69,7 @@
 // SendGossip queues a message to a peer. The message is dropped if the queue is full.
 func (m *Membership) SendGossip(to cluster.Envelope) { m.enqueue(to) }
 
-// SendLeaseMessage queues a message about an executor's leases to the peer with the number in it. The message is
+// SendLeaseMessage queues a message about an executor's leases to the peer whose number it contains. The message is
 // dropped if the queue is full.
 func (m *Membership) SendLeaseMessage(to node.SendLeaseMessage) { m.enqueue(to) }
 
@@ -117,7 +117,7 @@
 	}
 }
 
-// sleep waits for the interval, and returns false if the context ends before.
+// sleep waits for the interval, and returns false if the context ends first.
 func sleep(ctx context.Context, interval time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -183,8 +183,9 @@
 
 // rejoinResumed joins peers that are considered dead here but have sent a message since. A living node that is
 // considered dead does not know it: it takes all others for alive, so it joins none of them, and they send it nothing.
-// memberlist notifies such a node and accepts its refutation, but in a few datagrams only. If these are lost, and
-// without rejoinResumed, the node would come back only with an exchange with a random peer, which happens every 10 s.
+// memberlist notifies such a node and accepts its refutation, but in a few datagrams only. If these are lost, only an
+// exchange with a random peer, which happens every defaultPushPullInterval, would bring the node back without
+// rejoinResumed.
 func (m *Membership) rejoinResumed(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		select {
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -10,7 +10,7 @@
 
 // Options are a node's identity in its cluster and the addresses that it needs to join it.
 type Options struct {
-	Name      cluster.NodeName // unique in the cluster
+	Name      cluster.NodeName // name of this node, unique in the cluster
 	Node      policy.NodeID    // number by which peers address messages about leases
 	Listen    netip.AddrPort   // address to listen on, for TCP and UDP
 	Advertise netip.AddrPort   // address at which peers reach this node
--- a/internal/leases/effects.go
+++ b/internal/leases/effects.go
@@ -9,7 +9,7 @@
 // Effect is an action that a JobTable asks its caller to carry out. It is one of the types below.
 type Effect interface{ effect() }
 
-// Effects on the disk.
+// Effects on the records on disk.
 type (
 	// StoreJob writes a job's record. JobStored or JobNotStored reports the result.
 	StoreJob struct{ ID ID }
--- a/internal/leases/job.go
+++ b/internal/leases/job.go
@@ -85,7 +85,7 @@
 type job struct {
 	Job
 	state         State
-	attempts      []Attempt // by epoch, from 1
+	attempts      []Attempt // attempts[e-1] has epoch e
 	queryInFlight bool      // in state Querying: whether a QueryAttempt effect is unanswered
 	final         Outcome
 	result        []byte
--- a/internal/leases/job_table.go
+++ b/internal/leases/job_table.go
@@ -9,7 +9,7 @@
 
 // Settings are the operator's settings for durable jobs.
 type Settings struct {
-	MaxDispatched  int           // most jobs that the policy has at a time
+	MaxDispatched  int           // maximum number of jobs that the policy has at a time
 	AnswerTTL      time.Duration // how long a final answer is kept
 	QueryExecutors bool          // whether executors support leases and can be queried about attempts
 	QueryInterval  time.Duration // time between two queries about an attempt
@@ -179,7 +179,7 @@
 	return t.finish(now)
 }
 
-// finalize gives a job its final answer and writes it to disk.
+// finalize gives a job its final answer, and emits the effect that writes it to disk.
 func (t *JobTable) finalize(j *job, final Outcome, result []byte) {
 	j.state, j.final, j.result = StoringFinal, final, result
 	j.cancelTimers()
--- a/internal/leases/recovery.go
+++ b/internal/leases/recovery.go
@@ -41,7 +41,7 @@
 	first := j.firstPossibleRun()
 	j.state, j.queryInFlight = Querying, true
 	j.cancelTimers()
-	t.schedule(max(j.Deadline, now+t.settings.QueryInterval), j) // leaves time for one answer even past the deadline
+	t.schedule(max(j.Deadline, now+t.settings.QueryInterval), j) // even past its deadline a job waits for one answer
 	t.emit(QueryAttempt{j.ID, first.Epoch, first.Executor})
 }
 
