--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -27,6 +27,7 @@
 	state *State
 }
 
+// Every trace in testdata gives the results that stand in it.
 func TestTraces(t *testing.T) {
 	golden.Replay(t, func(t *testing.T, lines []string) string {
 		settings := Defaults("me", 5, 1)
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -25,7 +25,7 @@
 // drainState is what this node knows of one drain.
 type drainState struct {
 	executorStart int64         // see Drain.ExecutorStart
-	seenAt        time.Duration // when some node's own endpoint list last showed it
+	seenAt        time.Duration // when some node's own endpoint list last showed the drain
 	ownList       bool          // whether this node's own endpoint list shows the executor as draining or removed
 	removed       bool          // whether the executor is gone from this node's own endpoint list
 }
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -54,8 +54,8 @@
 	states      map[NodeName]*peerState
 	ignoreUntil time.Duration // messages received before this time may have waited unread while the process was suspended
 
-	sent, received int
-	dropped        map[string]int // by reason
+	sent, received int            // numbers of messages
+	dropped        map[string]int // numbers of messages dropped, by reason
 }
 
 // fresh returns the peers whose rates are not older than ttl, ordered by name.
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -154,13 +154,13 @@
 //
 // The base of the estimate is the admitted work up to a pressure of 1. It falls to the completed work at a pressure of
 // 2. The completed work alone would be too low a base, because admitted work can also end without completing or
-// expiring. Spare capacity is added while pressure is below 1. Otherwise a cluster that once rejected jobs would never
+// expiring. Unused capacity is added while pressure is below 1. Otherwise a cluster that once rejected jobs would never
 // find out that it could complete more.
 func (r Rates) admissible(capacity float64) float64 {
 	pressure := r.pressure()
 	base := r.Completed + max(0, r.Admitted-r.Completed)*min(1, max(0, 2-pressure))
-	spare := max(0, capacity-r.Completed) * max(0, 1-pressure)
-	work := base*max(minAdmitFactor, 1+admitHeadroom*(1-pressure)) + spare
+	unusedCapacity := max(0, capacity-r.Completed) * max(0, 1-pressure)
+	work := base*max(minAdmitFactor, 1+admitHeadroom*(1-pressure)) + unusedCapacity
 	return max(work, admittedCapacityFraction*capacity)
 }
 
