--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -87,7 +87,7 @@
 	seeds := []netip.AddrPort{peerAddr}
 	alive := make(chan bool, 64) // whether the peer considers the node alive
 	startMember(Options{Name: "peer", Listen: peerAddr, Advertise: peerAddr, Seeds: seeds}, func(ev node.Event) {
-		if changed, ok := ev.(node.FleetChanged); ok {
+		if changed, ok := ev.(node.AliveNodesChanged); ok {
 			alive <- slices.Contains(changed.Alive, "node")
 		}
 	})
