--- /dev/null
+++ b/internal/leases/job_table.go
@@ -0,0 +1,266 @@
+package leases
+
+import (
+	"container/heap"
+	"time"
+
+	"birchstair/policy"
+)
+
+// Settings are the operator's settings for durable jobs.
+type Settings struct {
+	MaxDispatched  int           // maximum number of jobs that the policy has at a time
+	AnswerTTL      time.Duration // how long a final answer is kept
+	QueryExecutors bool          // whether executors support leases and can be queried about attempts
+	QueryInterval  time.Duration // time between two queries about an attempt
+}
+
+// JobTable holds the state of all durable jobs of a node. Its methods return effects, to be carried out in their order.
+// They are not safe for concurrent use.
+type JobTable struct {
+	settings   Settings
+	jobs       map[ID]*job // all jobs that are not forgotten
+	waiting    waitHeap    // jobs in state Waiting
+	dispatched int         // number of jobs in state Dispatched
+	stopped    bool        // whether the node is shutting down
+
+	timers   timerHeap
+	wakeAt   time.Duration // time of the pending Wake effect, or wakeNotSet
+	sequence int           // number of jobs and timers created so far, which orders equal times
+
+	effects []Effect // effects of the current call, returned at its end
+}
+
+// NewJobTable creates an empty table.
+func NewJobTable(settings Settings) *JobTable {
+	return &JobTable{settings: settings, jobs: map[ID]*job{}, wakeAt: wakeNotSet}
+}
+
+// State returns the state of a job, and false if there is no job with this ID.
+func (t *JobTable) State(id ID) (State, bool) {
+	j := t.jobs[id]
+	if j == nil {
+		return 0, false
+	}
+	return j.state, true
+}
+
+// Answer returns the final answer of a job in state Done.
+func (t *JobTable) Answer(id ID) (Outcome, []byte) {
+	j := t.jobs[id]
+	return j.final, j.result
+}
+
+// Counts returns the number of jobs by state.
+func (t *JobTable) Counts() (counts [len(stateNames)]int) {
+	for _, j := range t.jobs {
+		counts[j.state]++
+	}
+	return counts
+}
+
+func (t *JobTable) emit(effect Effect) { t.effects = append(t.effects, effect) }
+
+// finish ends each call: it submits waiting jobs to the policy, sets the timer and returns the effects of the call.
+func (t *JobTable) finish(now time.Duration) []Effect {
+	t.submitWaiting(now)
+	t.setWake()
+	effects := t.effects
+	t.effects = nil
+	return effects
+}
+
+// Accept adds a newly submitted job. It returns false if there already is a job with this ID.
+func (t *JobTable) Accept(now time.Duration, submitted Job) ([]Effect, bool) {
+	if t.jobs[submitted.ID] != nil {
+		return nil, false
+	}
+	t.add(submitted)
+	t.emit(StoreJob{submitted.ID})
+	return t.finish(now), true
+}
+
+func (t *JobTable) add(added Job) *job {
+	t.sequence++
+	j := &job{Job: added, sequence: t.sequence, heapIndex: -1}
+	t.jobs[added.ID] = j
+	t.schedule(added.Deadline, j)
+	return j
+}
+
+// JobNotStored reports that a job's record could not be written. The job is forgotten, and the caller must inform the
+// client.
+func (t *JobTable) JobNotStored(now time.Duration, id ID) []Effect {
+	if j := t.jobs[id]; j != nil && j.state == Storing {
+		delete(t.jobs, id)
+		j.cancelTimers()
+	}
+	return t.finish(now)
+}
+
+// JobStored reports that a job's record is on disk. Only now the job is acknowledged and may be submitted to the policy.
+func (t *JobTable) JobStored(now time.Duration, id ID) []Effect {
+	if j := t.jobs[id]; j != nil && j.state == Storing {
+		t.emit(Acknowledge{id})
+		t.enqueue(j)
+	}
+	return t.finish(now)
+}
+
+// enqueue adds a job to those that wait for the policy.
+func (t *JobTable) enqueue(j *job) {
+	j.state = Waiting
+	heap.Push(&t.waiting, j)
+}
+
+// submitWaiting submits as many jobs to the policy as it has room for, those with the earliest deadlines first.
+func (t *JobTable) submitWaiting(now time.Duration) {
+	for !t.stopped && t.dispatched < t.settings.MaxDispatched && len(t.waiting) > 0 {
+		j := heap.Pop(&t.waiting).(*job)
+		until := min(j.Deadline, j.retryUntil())
+		if now >= until {
+			t.expire(j)
+			continue
+		}
+		j.state = Dispatched
+		t.dispatched++
+		t.emit(Submit{j.ID, until - now})
+	}
+}
+
+// AttemptStarted reports that the policy starts an attempt of a job on an executor. It returns the epoch of the
+// attempt, or 0 if the job is not in state Dispatched. The attempt is sent once its record is on disk.
+func (t *JobTable) AttemptStarted(now time.Duration, id ID, executor policy.ExecutorID) (Epoch, []Effect) {
+	j := t.jobs[id]
+	if j == nil || j.state != Dispatched {
+		return 0, t.finish(now)
+	}
+	attempt := Attempt{Epoch: Epoch(len(j.attempts) + 1), Executor: executor, At: now}
+	j.attempts = append(j.attempts, attempt)
+	t.emit(StoreAttempt{id, attempt})
+	return attempt.Epoch, t.finish(now)
+}
+
+// AttemptStored reports that the record of an attempt is on disk. The attempt is sent, unless the job has an answer or
+// a later attempt by now.
+func (t *JobTable) AttemptStored(now time.Duration, id ID, epoch Epoch) []Effect {
+	if j := t.jobs[id]; j != nil && j.state == Dispatched && int(epoch) == len(j.attempts) {
+		t.emit(SendAttempt{id, epoch})
+	}
+	return t.finish(now)
+}
+
+// AttemptEnded reports that an attempt has ended. If it provably never ran, that is recorded. Otherwise it would be
+// unknown after a crash whether the attempt ran.
+func (t *JobTable) AttemptEnded(now time.Duration, id ID, epoch Epoch, neverRan bool) []Effect {
+	if j := t.jobs[id]; j != nil && neverRan && epoch >= 1 && int(epoch) <= len(j.attempts) && !j.attempts[epoch-1].NeverRan {
+		j.markNeverRan(epoch)
+		t.emit(StoreNeverRan{id, epoch})
+	}
+	return t.finish(now)
+}
+
+// Answered reports the policy's answer, which becomes the final one. During a shutdown only a success becomes final: a
+// job that was rejected or has failed stays on disk, and is submitted again or queried about at the next start.
+func (t *JobTable) Answered(now time.Duration, id ID, answer Outcome, result []byte) []Effect {
+	j := t.jobs[id]
+	if j == nil || j.state != Dispatched {
+		return t.finish(now)
+	}
+	t.dispatched--
+	if answer == Rejected && j.Class.Idempotency != policy.Idempotent && j.firstPossibleRun() != nil {
+		answer = Failed // the policy doesn't know of attempts from before a restart
+	}
+	if t.stopped && answer != Succeeded {
+		t.enqueue(j)
+		return t.finish(now)
+	}
+	t.finalize(j, answer, result)
+	return t.finish(now)
+}
+
+// finalize gives a job its final answer, and emits the effect that writes it to disk.
+func (t *JobTable) finalize(j *job, final Outcome, result []byte) {
+	j.state, j.final, j.result = StoringFinal, final, result
+	j.cancelTimers()
+	t.emit(StoreFinal{j.ID, final, result})
+}
+
+// expire answers a job that is too late to be submitted. It is rejected only if it did not run or may safely run again.
+func (t *JobTable) expire(j *job) {
+	final := Failed
+	if j.firstPossibleRun() == nil || j.Class.Idempotency == policy.Idempotent {
+		final = Rejected
+	}
+	t.finalize(j, final, nil)
+}
+
+// FinalStored reports that a final answer is on disk. Only now clients receive it.
+func (t *JobTable) FinalStored(now time.Duration, id ID) []Effect {
+	if j := t.jobs[id]; j != nil && j.state == StoringFinal {
+		t.retain(j, now+t.settings.AnswerTTL)
+		t.emit(Publish{id, j.final, j.result})
+	}
+	return t.finish(now)
+}
+
+// retain keeps a job in state Done until a time, and forgets it then.
+func (t *JobTable) retain(j *job, until time.Duration) {
+	j.state = Done
+	j.cancelTimers()
+	t.schedule(until, j)
+}
+
+// Forget removes a job whose answer the client no longer needs. It returns false if the job is not in state Done.
+func (t *JobTable) Forget(now time.Duration, id ID) ([]Effect, bool) {
+	j := t.jobs[id]
+	if j == nil || j.state != Done {
+		return nil, false
+	}
+	t.forget(j)
+	return t.finish(now), true
+}
+
+func (t *JobTable) forget(j *job) {
+	j.cancelTimers()
+	delete(t.jobs, j.ID)
+	t.emit(StoreForget{j.ID})
+}
+
+// Stop reports that the node is shutting down. No more jobs are submitted to the policy.
+func (t *JobTable) Stop(now time.Duration) []Effect {
+	t.stopped = true
+	return t.finish(now)
+}
+
+// waitHeap is a heap of jobs ordered by deadline, for container/heap. It keeps each job's heapIndex up to date.
+type waitHeap []*job
+
+// Len implements heap.Interface.
+func (h waitHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
+func (h waitHeap) Less(i, j int) bool {
+	return h[i].Deadline < h[j].Deadline || h[i].Deadline == h[j].Deadline && h[i].sequence < h[j].sequence
+}
+
+// Swap implements heap.Interface.
+func (h waitHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
+}
+
+// Push implements heap.Interface.
+func (h *waitHeap) Push(x any) {
+	x.(*job).heapIndex = len(*h)
+	*h = append(*h, x.(*job))
+}
+
+// Pop implements heap.Interface.
+func (h *waitHeap) Pop() any {
+	old := *h
+	j := old[len(old)-1]
+	old[len(old)-1] = nil
+	*h = old[:len(old)-1]
+	return j
+}
