--- a/internal/durable/manager.go
+++ b/internal/durable/manager.go
@@ -43,7 +43,7 @@
 
 	mu              sync.Mutex
 	classes         map[string]jobClass // durable classes, by the names of their ordinary classes
-	jobTable        *leases.Book
+	jobTable        *leases.JobTable
 	unwritten       map[leases.ID]*store.Record  // records of submissions that are not in the store yet
 	doneWaiters     map[leases.ID]chan struct{}  // closed when the final answer is in the store
 	ackWaiters      map[leases.ID]chan error     // receives the result of writing the record of a submission
@@ -83,7 +83,7 @@
 		log:            log,
 		queryClient:    newQueryClient(dial),
 		classes:        map[string]jobClass{},
-		jobTable:       leases.NewBook(options.Leases),
+		jobTable:       leases.NewJobTable(options.Leases),
 		unwritten:      map[leases.ID]*store.Record{},
 		doneWaiters:    map[leases.ID]chan struct{}{},
 		ackWaiters:     map[leases.ID]chan error{},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,7 +68,7 @@
 	admin     adminState
 	handoff   handoff
 	relays    commandRelays
-	cluster   *cluster.Fleet // nil if this node is not part of a cluster
+	cluster   *cluster.State // nil if this node is not part of a cluster
 
 	now     time.Duration // time of the current step
 	timerAt time.Duration // time that the timer is set to, or timerNotSet
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -28,7 +28,7 @@
 		n.placeJob(due.Job)
 	case policy.CancelAttempt:
 		n.cancelAttempt(due.Job, due.Attempt)
-	case policy.ProbeExecutor:
+	case policy.SendHealthCheck:
 		n.startHealthCheck(due.Executor)
 	case policy.SendLeaseMessage:
 		if n.cluster != nil { // without a cluster, no edge carries out SendLeaseMessage
