--- a/internal/durable/class.go
+++ b/internal/durable/class.go
@@ -36,7 +36,7 @@
 // so that a durable job counts as on time for as long as it may run.
 func AddClasses(settings policy.Settings, maxDeadline time.Duration) policy.Settings {
 	for _, class := range slices.Clone(settings.JobClasses) {
-		class.ExpectedWork = class.LatencyObjective // the durable class's objective, maxDeadline, would be no estimate
+		class.ExpectedWork = class.LatencyObjective // not maxDeadline, which says nothing about the work
 		class.Deadline = maxDeadline
 		class.LatencyObjective = maxDeadline
 		class.RunTimeFactor = 0
--- a/internal/durable/interceptors.go
+++ b/internal/durable/interceptors.go
@@ -21,6 +21,7 @@
 	}
 }
 
+// updateEndpoints updates the recorded addresses of executors after an update of the endpoint list.
 func (m *Manager) updateEndpoints(event node.EndpointsUpdated) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -34,6 +35,8 @@
 	}
 }
 
+// attemptEnded reports the end of the attempt on a connection to the job table, if it was an attempt of a durable job.
+// connClosed is set if the connection is closed.
 func (m *Manager) attemptEnded(conn node.ConnID, neverRan, connClosed bool) {
 	m.mu.Lock()
 	ended := m.attempts[conn]
--- a/internal/durable/submit.go
+++ b/internal/durable/submit.go
@@ -82,7 +82,8 @@
 	return a.JobClass == b.JobClass && a.IdempotencyKey == b.IdempotencyKey && a.URI == b.URI && bytes.Equal(a.Body, b.Body)
 }
 
-// wait waits until a job has its final answer, or the timeout is over. It returns errNotFound if there is no such job.
+// wait waits until a job has its final answer. It also returns when the timeout is over, the client has disconnected or the
+// manager is closed. The error is errNotFound if there is no such job.
 func (m *Manager) wait(ctx context.Context, id leases.ID, timeout time.Duration) error {
 	m.mu.Lock()
 	state, ok := m.jobTable.State(id)
