--- /dev/null
+++ b/internal/durable/interceptors.go
@@ -0,0 +1,178 @@
+package durable
+
+import (
+	"strings"
+	"time"
+
+	"birchstair/internal/leases"
+	"birchstair/internal/node"
+	"birchstair/policy"
+)
+
+// Observe is called after each step of the node's state machine. It records the endpoints' addresses and the ends of attempts.
+func (m *Manager) Observe(_ time.Duration, event node.Event, _ []node.Effect) {
+	switch event := event.(type) {
+	case node.EndpointsUpdated:
+		m.updateEndpoints(event)
+	case node.AttemptEnded:
+		m.attemptEnded(event.Conn, event.Outcome.NeverRan(), false)
+	case node.ConnClosed:
+		m.attemptEnded(event.Conn, true, true) // no part of an attempt was sent, or else AttemptEnded would have come first
+	}
+}
+
+// updateEndpoints updates the recorded addresses of executors after an update of the endpoint list.
+func (m *Manager) updateEndpoints(event node.EndpointsUpdated) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, endpoint := range event.Endpoints {
+		if endpoint.State == policy.Removed {
+			delete(m.addrByExecutor, endpoint.Executor)
+			continue
+		}
+		m.addrByExecutor[endpoint.Executor] = endpoint.Addr
+		m.executorByAddr[endpoint.Addr] = endpoint.Executor
+	}
+}
+
+// attemptEnded reports the end of the attempt on a connection to the job table, if it was an attempt of a durable job.
+// connClosed is set if the connection is closed.
+func (m *Manager) attemptEnded(conn node.ConnID, neverRan, connClosed bool) {
+	m.mu.Lock()
+	ended := m.attempts[conn]
+	delete(m.attempts, conn)
+	if connClosed {
+		delete(m.connAddrs, conn)
+	}
+	if ended == nil {
+		m.mu.Unlock()
+		return
+	}
+	if m.latestConn[ended.id] == conn {
+		delete(m.latestConn, ended.id)
+	}
+	effects := m.jobTable.AttemptEnded(now(), ended.id, ended.epoch, neverRan || m.faults.allEndsAsNeverRan)
+	m.mu.Unlock()
+	m.apply(effects)
+}
+
+// frontendInterceptor handles the state machine's calls of the frontend that concern durable jobs, and passes on the others.
+type frontendInterceptor Manager
+
+// Answer handles the answers to durable jobs, and passes on those to ordinary jobs.
+func (e *frontendInterceptor) Answer(answer node.Answer) {
+	m := (*Manager)(e)
+	id, durable := strings.CutPrefix(string(answer.Job), jobIDPrefix)
+	if !durable {
+		m.frontend.Answer(answer)
+		return
+	}
+	m.step(func(now time.Duration) []leases.Effect {
+		return m.jobTable.Answered(now, leases.ID(id), leases.Outcome(answer.Final), answer.Result)
+	})
+}
+
+// SetReady resumes the recovered jobs when the node becomes ready for the first time, which is when it has an endpoint list. A
+// node that is no longer ready is shutting down.
+func (e *frontendInterceptor) SetReady(ready bool) {
+	m := (*Manager)(e)
+	m.mu.Lock()
+	effects := m.recoveryEffects
+	m.recoveryEffects = nil
+	m.ready = ready
+	if !ready {
+		effects = append(effects, m.jobTable.Stop(now())...)
+	}
+	m.mu.Unlock()
+	m.frontend.SetReady(ready)
+	m.apply(effects)
+}
+
+// UpdateJobClasses updates the durable classes, and passes on the ordinary ones: the frontend's clients can't use durable ones.
+func (e *frontendInterceptor) UpdateJobClasses(classes []node.NumberedClass) {
+	m := (*Manager)(e)
+	m.mu.Lock()
+	for name, class := range m.classes {
+		class.removed = true
+		m.classes[name] = class
+	}
+	var ordinary []node.NumberedClass
+	for _, class := range classes {
+		if name, durable := strings.CutPrefix(class.Name, ClassPrefix); durable {
+			m.classes[name] = newJobClass(class.ID, class.JobClass.JobClass)
+		} else {
+			ordinary = append(ordinary, class)
+		}
+	}
+	m.mu.Unlock()
+	m.frontend.UpdateJobClasses(ordinary)
+}
+
+// DrainClients passes the call on to the frontend.
+func (e *frontendInterceptor) DrainClients(on bool) { e.frontend.DrainClients(on) }
+
+// AcceptConnections passes the call on to the frontend.
+func (e *frontendInterceptor) AcceptConnections(on bool) { e.frontend.AcceptConnections(on) }
+
+// HalveLimits passes the call on to the frontend.
+func (e *frontendInterceptor) HalveLimits(on bool) { e.frontend.HalveLimits(on) }
+
+// Close passes the call on to the frontend.
+func (e *frontendInterceptor) Close() { e.frontend.Close() }
+
+// upstreamInterceptor handles the state machine's calls of the upstream that concern durable jobs, and passes on the others.
+type upstreamInterceptor Manager
+
+// Dial records the connection's address, which identifies the executor of an attempt, and passes the call on to the upstream.
+func (e *upstreamInterceptor) Dial(conn node.ConnID, addr string) {
+	m := (*Manager)(e)
+	m.mu.Lock()
+	m.connAddrs[conn] = addr
+	m.mu.Unlock()
+	m.upstream.Dial(conn, addr)
+}
+
+// Write records an attempt of a durable job in the store, and sends it once that record is synced. If the state machine no
+// longer has the job, it closes the connection instead. Attempts of ordinary jobs are passed on.
+func (e *upstreamInterceptor) Write(conn node.ConnID, request node.Attempt) {
+	m := (*Manager)(e)
+	id, durable := strings.CutPrefix(string(request.ID), jobIDPrefix)
+	if !durable {
+		m.upstream.Write(conn, request)
+		return
+	}
+	m.mu.Lock()
+	epoch, effects := m.jobTable.AttemptStarted(now(), leases.ID(id), m.executorByAddr[m.connAddrs[conn]])
+	if epoch > 0 {
+		request.Request = m.withEpoch(request.Request, epoch)
+		m.attempts[conn] = &attempt{id: leases.ID(id), epoch: epoch, request: request}
+		m.latestConn[leases.ID(id)] = conn
+	}
+	sendBeforeWrite := m.faults.sendBeforeWrite
+	m.mu.Unlock()
+	if sendBeforeWrite && epoch > 0 {
+		m.upstream.Write(conn, request)
+	}
+	if epoch == 0 {
+		m.upstream.Close(conn)
+	}
+	m.apply(effects)
+}
+
+// withEpoch copies a request and sets its epoch.
+func (m *Manager) withEpoch(request *node.Request, epoch leases.Epoch) *node.Request {
+	fenced := *request
+	fenced.Epoch = uint32(epoch)
+	if m.faults.omitEpoch {
+		fenced.Epoch = 0
+	}
+	return &fenced
+}
+
+// Close passes the call on to the upstream.
+func (e *upstreamInterceptor) Close(conn node.ConnID) { e.upstream.Close(conn) }
+
+// CheckHealth passes the call on to the upstream.
+func (e *upstreamInterceptor) CheckHealth(executor policy.ExecutorID, addr string) {
+	e.upstream.CheckHealth(executor, addr)
+}
