--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -116,7 +116,7 @@
 	n.core = node.New(o.Policy, o.Limits, JobClasses(o.Settings))
 	ownClasses := n.core.JobClasses()[:len(o.Settings.JobClassNames)] // without those of durable batch jobs
 	n.frontend = frontend.New(ownClasses, o.ClientLimits, n.loop.Post)
-	n.upstream = upstream.New(o.DialExecutor, o.Settings.ReportsLoad(), upstream.ProbeConfig{
+	n.upstream = upstream.New(o.DialExecutor, o.Settings.ReportsLoad(), upstream.HealthCheckConfig{
 		Path:    o.Settings.Probe.Path,
 		Timeout: o.Settings.Probe.Timeout,
 		Fields:  o.Settings.ReportedValues(),
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -60,7 +60,7 @@
 			}
 		}()
 		return here, nil
-	}, true, ProbeConfig{Path: "/load?now", Timeout: 20 * time.Second}, func(ev node.Event) { ended <- ev })
+	}, true, HealthCheckConfig{Path: "/load?now", Timeout: 20 * time.Second}, func(ev node.Event) { ended <- ev })
 	pool.Probe("executor-1", "10.0.0.1:80")
 	<-ended // comes after the executor's close, and so after its last read
 	return string(read)
@@ -70,7 +70,7 @@
 func TestDecode(t *testing.T) {
 	var out strings.Builder
 	for _, reports := range []bool{true, false} {
-		p := New(nil, reports, ProbeConfig{}, nil)
+		p := New(nil, reports, HealthCheckConfig{}, nil)
 		fmt.Fprintf(&out, "load reports wanted: %t\n", reports)
 		for _, line := range []string{
 			`{"id":"j","state":"started"}`,
@@ -167,7 +167,7 @@
 				}
 			}()
 			return here, nil
-		}, true, ProbeConfig{Path: "/load", Timeout: 20 * time.Second, Fields: c.told}, func(ev node.Event) { ended <- ev })
+		}, true, HealthCheckConfig{Path: "/load", Timeout: 20 * time.Second, Fields: c.told}, func(ev node.Event) { ended <- ev })
 		pool.Probe("executor-1", "10.0.0.1:80")
 		ev := (<-ended).(node.ProbeEnded)
 		fmt.Fprintf(&out, "%s: executor %s, answered %t, %s\n", c.name, ev.Executor, ev.Answered, printLoad(node.Load{Load: ev.Load, Known: true}))
--- a/internal/upstream/probe.go
+++ b/internal/upstream/health_check.go
@@ -14,9 +14,9 @@
 // unknownLoad stands for a value of a load that the executor did not tell.
 const unknownLoad = -1
 
-// ProbeConfig is how executors are probed for their load: by GET on a path of theirs, which they answer by 200 with a load
+// HealthCheckConfig is how executors are probed for their load: by GET on a path of theirs, which they answer by 200 with a load
 // report in a header. Probes are off where there is no path.
-type ProbeConfig struct {
+type HealthCheckConfig struct {
 	Path    string
 	Timeout time.Duration   // for dial, request and response together
 	Fields  map[string]bool // the values that reports have, by the settings' names; others are ignored
@@ -65,7 +65,7 @@
 }
 
 // value returns a value of a report, or unknownLoad.
-func (c *ProbeConfig) value(field loadField, values map[string]float64) float64 {
+func (c *HealthCheckConfig) value(field loadField, values map[string]float64) float64 {
 	value, ok := field.value(values)
 	if !ok || !c.Fields[field.setting] {
 		return unknownLoad
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/health_check_test.go
@@ -17,7 +17,7 @@
 	told := map[string]bool{"inflight": true, "x0": true, "latency_ms": true}
 	ask := func(name, addr string, limit time.Duration) {
 		events := make(chan node.Event, 1)
-		pool := New(TCP(limit), false, ProbeConfig{Path: "/load", Timeout: limit, Fields: told}, func(ev node.Event) { events <- ev })
+		pool := New(TCP(limit), false, HealthCheckConfig{Path: "/load", Timeout: limit, Fields: told}, func(ev node.Event) { events <- ev })
 		pool.Probe("e1", addr)
 		select {
 		case ev := <-events:
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -2,7 +2,7 @@
 //
 // The reducer decides which connection is opened, used and closed; Pool (pool.go) carries that out. Each connection
 // (conn.go) is owned by the goroutine that reads it, which also reports its end; an attempt is written by a goroutine of
-// its own beside it. The reading of a response is in exchange.go, load probes in probe.go, and the protocol's text in
+// its own beside it. The reading of a response is in exchange.go, load probes in health_check.go, and the protocol's text in
 // codec.go alone.
 package upstream
 
@@ -21,7 +21,7 @@
 	post        func(node.Event)
 	dial        Dialer
 	usesReports bool // load reports in responses have what the policy uses
-	probe       ProbeConfig
+	probe       HealthCheckConfig
 
 	mu    sync.Mutex
 	conns map[node.ConnID]*executorConn
@@ -41,7 +41,7 @@
 }
 
 // New returns an empty pool. usesReports: responses are searched for load reports. post may block while the reducer's queue is full.
-func New(dial Dialer, usesReports bool, probe ProbeConfig, post func(node.Event)) *Pool {
+func New(dial Dialer, usesReports bool, probe HealthCheckConfig, post func(node.Event)) *Pool {
 	return &Pool{post: post, dial: dial, usesReports: usesReports, probe: probe, conns: map[node.ConnID]*executorConn{}}
 }
 
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -211,7 +211,7 @@
 		p.out.WriteString(c.name + "\n")
 		p.events = make(chan node.Event, 100)
 		addr, got := fakeExecutor(t, c.texts...)
-		pool := New(TCP(10*time.Second), true, ProbeConfig{}, func(ev node.Event) { p.events <- ev })
+		pool := New(TCP(10*time.Second), true, HealthCheckConfig{}, func(ev node.Event) { p.events <- ev })
 		pool.Dial(1, addr)
 		for id := 1; ; {
 			ev := p.next(t)
@@ -236,7 +236,7 @@
 // TestLastByte checks that an attempt whose last byte was not written counts as never run.
 func TestLastByte(t *testing.T) {
 	p := printer{events: make(chan node.Event, 100)}
-	pool := New(TCP(10*time.Second), false, ProbeConfig{}, func(ev node.Event) { p.events <- ev })
+	pool := New(TCP(10*time.Second), false, HealthCheckConfig{}, func(ev node.Event) { p.events <- ev })
 	dial := func(id node.ConnID, addr, what string) {
 		p.out.WriteString(what + "\n")
 		pool.Dial(id, addr)
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/write_races_test.go
@@ -56,7 +56,7 @@
 			return nil, err
 		}
 		return u.halts.Conn(c), nil
-	}, false, ProbeConfig{}, func(ev node.Event) {
+	}, false, HealthCheckConfig{}, func(ev node.Event) {
 		if _, rests := ev.(node.ConnIdle); rests && atRest != nil {
 			atRest(u)
 			atRest = nil
