--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -36,7 +36,7 @@
 
 // TestAnswerBytes pins each kind of answer to a client, byte for byte with all heads.
 func TestAnswerBytes(t *testing.T) {
-	c := newFakeReducer(t, 100)
+	c := newFakeNode(t, 100)
 	c.server.HandlePrefix("/durable/", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusAccepted)
 	}))
--- a/internal/frontend/client_conn.go
+++ b/internal/frontend/client_conn.go
@@ -11,93 +11,94 @@
 	"birchstair/internal/socket"
 )
 
-// lastReadTimeout bounds the last read before a close, where the system cannot tell whether a request has arrived.
-const lastReadTimeout = time.Millisecond
+// finalReadTimeout bounds the last read before a close on a connection that can't be asked for unread bytes.
+const finalReadTimeout = time.Millisecond
 
-// clientConn is a connection from a client. It does two things that net/http does not: it is closed only where that
-// loses no request that has arrived (closeWhenSafe), and it notices that the client has left also where part of the next
-// request lies before the end (read_ahead.go).
+// clientConn is a connection from a client. It adds two things to net/http: closing it loses no request that has arrived
+// (closeWhenSafe), and a client that leaves while its answer is pending is noticed even if it sent part of its next request
+// first (read_ahead.go).
 //
-// A connection has one reader at a time: the goroutine that is in Read (net/http's, which also closes the connection), or
-// the one that reads ahead while an answer is pending. All other methods may be called from any goroutine.
+// A connection has one reader at a time: net/http's goroutine, which calls Read and also closes the connection, or the
+// goroutine that reads ahead while an answer is pending. All other methods may be called from any goroutine.
 type clientConn struct {
 	net.Conn
 
-	mu        sync.Mutex
-	framer    requestFramer
-	requests  int       // passed to the handler
-	answered  int       // of those
-	deadline  time.Time // net/http's read deadline; zero for none
-	closeMode closeMode
-	probed    bool // the last read before a close has found nothing
-
-	client          *waitingClient // that waits for an answer, or nil
-	gotFirstByte    bool           // net/http's background read has returned its one byte; it will not see the client leave
-	readAhead       *readAhead     // or nil
-	sharedReadAhead *atomic.Int64  // bytes left of maxSharedReadAhead, for all connections together
-	closed          bool           // nobody reads it any more
+	mu             sync.Mutex
+	framer         requestFramer
+	requestCount   int       // requests passed to the handler
+	answeredCount  int       // of those, the requests that are answered
+	deadline       time.Time // the read deadline that net/http has set; zero for none
+	closeMode      closeMode
+	finalCheckDone bool // the last read before a close has started, and has found no request so far
+
+	client          *waitingClient // the client while its answer is pending, else nil
+	gotFirstByte    bool           // net/http's background read has returned a byte, and can no longer see a close
+	readAhead       *readAhead     // bytes read while an answer was pending; nil if there are none
+	sharedReadAhead *atomic.Int64  // what all connections together have left of maxSharedReadAhead
+	closed          bool           // net/http has closed the connection and no longer reads it
 }
 
-// closeMode is whether a connection is to be closed, and what may be lost by it.
+// closeMode says whether a connection is to be closed, and which part of a request may be lost by that.
 type closeMode int
 
 const (
-	staysOpen         closeMode = iota
-	closeIfIdle                 // close it unless part of a request has arrived
-	closeIfIncomplete           // close it unless a complete request has arrived
+	stayOpen          closeMode = iota
+	closeIfIdle                 // to be closed unless at least part of a request has arrived
+	closeIfIncomplete           // to be closed unless a complete request has arrived
 )
 
-// closeWhenSafe has the goroutine that reads the connection close it, by cutting its read deadline short, as soon as no
-// request is lost by that. What has arrived is read first.
+// closeWhenSafe has the connection closed as soon as that loses no request. It moves the read deadline into the past, so
+// that the goroutine that reads the connection reads what has arrived, and then ends and closes the connection.
 func (c *clientConn) closeWhenSafe(mode closeMode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closeMode == staysOpen {
-		c.probed = false
+	if c.closeMode == stayOpen {
+		c.finalCheckDone = false
 	}
 	c.closeMode = max(c.closeMode, mode)
-	if c.canClose() && !c.probed {
+	if c.canClose() && !c.finalCheckDone {
 		c.applyReadDeadline()
 	}
 }
 
-// keepOpen calls a close off that has not happened yet.
+// keepOpen cancels a closeWhenSafe that has not taken effect.
 func (c *clientConn) keepOpen() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closeMode = staysOpen
+	c.closeMode = stayOpen
 }
 
-// canClose returns whether a close loses no request of what has been read.
+// canClose reports whether a close would lose none of the requests that have been read so far. The parts of requests that
+// may be lost depend on closeMode.
 func (c *clientConn) canClose() bool {
 	f := &c.framer
 	switch {
-	case f.stopped && f.completeHeads > c.answered: // in chunks, the end of which is not known
+	case f.stopped && f.completeHeads > c.answeredCount: // the request has a chunked body, whose end the framer can't find
 		return false
 	case c.closeMode == closeIfIncomplete:
-		return f.completeHeads == c.answered || f.completeHeads == c.answered+1 && f.bodyRemaining > 0
+		return f.completeHeads == c.answeredCount || f.completeHeads == c.answeredCount+1 && f.bodyRemaining > 0
 	}
-	return f.completeHeads == c.answered && !f.inHead && len(f.line) == 0
+	return f.completeHeads == c.answeredCount && !f.inHead && len(f.line) == 0
 }
 
-// becameIdle notes that all requests so far are answered.
-func (c *clientConn) becameIdle() {
+// markIdle records that all requests so far are answered.
+func (c *clientConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered = c.requests
+	c.answeredCount = c.requestCount
 }
 
-// nextRequest counts a request that the handler gets. chunksOnly: its body is in chunks, and it has no Content-Length
-// beside them.
-func (c *clientConn) nextRequest() (chunksOnly bool) {
+// countRequest counts a request that is passed to the handler. chunksOnly reports that the request has a chunked body and
+// no Content-Length header besides.
+func (c *clientConn) countRequest() (chunksOnly bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests++
+	c.requestCount++
 	f := &c.framer
-	return f.chunked && !f.hasLength && f.completeHeads == c.requests
+	return f.chunked && !f.hasContentLength && f.completeHeads == c.requestCount
 }
 
-// markClosed notes that nobody reads the connection any more.
+// markClosed records that net/http has closed the connection, and releases what read-ahead has reserved.
 func (c *clientConn) markClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +108,7 @@
 	}
 }
 
-// SetReadDeadline implements net.Conn. The deadline is cut short while the reader is to stop.
+// SetReadDeadline implements net.Conn. The deadline takes effect later while the reader is being interrupted.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,20 +116,22 @@
 	return c.Conn.SetReadDeadline(c.readDeadline())
 }
 
-// applyReadDeadline applies the read deadline after a change of what it follows from. It is called with the lock held.
+// applyReadDeadline sets the deadline that readDeadline returns. It is called with the lock held, after each change of a
+// field that readDeadline depends on.
 func (c *clientConn) applyReadDeadline() { c.Conn.SetReadDeadline(c.readDeadline()) }
 
-// readDeadline returns the past where the reader is to stop or to look whether it can close, else net/http's deadline.
+// readDeadline returns a deadline in the past while the reader is to stop reading ahead or to check whether the connection
+// can be closed, and net/http's deadline otherwise.
 func (c *clientConn) readDeadline() time.Time {
 	stopping := c.readAhead != nil && c.readAhead.stopping && !c.readAhead.done
-	if stopping || c.closeMode != staysOpen && c.canClose() && !c.probed {
+	if stopping || c.closeMode != stayOpen && c.canClose() && !c.finalCheckDone {
 		return pastDeadline
 	}
 	return c.deadline
 }
 
-// Read implements net.Conn. It returns what was read ahead first. Where a deadline of closeWhenSafe's ends a read and the
-// connection cannot be closed after all, it reads again.
+// Read implements net.Conn. It returns first what was read ahead. If closeWhenSafe has interrupted a read and the connection
+// can't be closed after all, it reads again.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if n, err, ok := c.takeReadAhead(b); ok {
 		return n, err
@@ -141,14 +144,14 @@
 	}
 }
 
-// afterRead notes the result of a read into b. It returns whether Read returns with it, rather than reading again.
+// afterRead processes the result of a read into b. done reports that Read returns this result; otherwise Read reads again.
 func (c *clientConn) afterRead(b []byte, n int, err error) (done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.framer.observe(b[:n])
 	if n > 0 {
-		if c.closeMode != staysOpen {
-			c.probed = false
+		if c.closeMode != stayOpen {
+			c.finalCheckDone = false
 			c.applyReadDeadline()
 		}
 		c.gotFirstByte = len(b) == 1
@@ -159,17 +162,17 @@
 	if !ownDeadline {
 		return true
 	}
-	if c.closeMode == staysOpen || !c.canClose() {
+	if c.closeMode == stayOpen || !c.canClose() {
 		c.applyReadDeadline()
 		return false
 	}
-	return c.probed || !c.probe()
+	return c.finalCheckDone || !c.finalCheck()
 }
 
-// probe looks for a request that has arrived when a read was ended by closeWhenSafe's deadline: such a read returns
-// nothing also where something could be read. It returns whether to read once more. It is called with the lock held.
-func (c *clientConn) probe() (readAgain bool) {
-	c.probed = true
+// finalCheck checks for an unread request after closeWhenSafe has interrupted a read: a read whose deadline has passed
+// returns nothing even if bytes have arrived. It reports whether to read once more. It is called with the lock held.
+func (c *clientConn) finalCheck() (readAgain bool) {
+	c.finalCheckDone = true
 	arrived, known := socket.Pending(c.Conn)
 	switch {
 	case arrived:
@@ -177,7 +180,7 @@
 	case known:
 		return false
 	default:
-		c.Conn.SetReadDeadline(time.Now().Add(lastReadTimeout))
+		c.Conn.SetReadDeadline(time.Now().Add(finalReadTimeout))
 	}
 	return true
 }
--- a/internal/frontend/close_races_test.go
+++ b/internal/frontend/close_races_test.go
@@ -13,14 +13,14 @@
 )
 
 // newHaltable returns a fake reducer behind a listener whose calls can be stopped.
-func newHaltable(t *testing.T, conns int) (*fakeReducer, *emulator.Halts) {
+func newHaltable(t *testing.T, conns int) (*fakeNode, *emulator.Halts) {
 	h := &emulator.Halts{}
-	c := newFakeReducerWithHalts(t, conns, h)
+	c := newFakeNodeWithHalts(t, conns, h)
 	c.server.SetReady(true)
 	return c, h
 }
 
-func (c *fakeReducer) awaitStop(s *emulator.Stop) {
+func (c *fakeNode) awaitStop(s *emulator.Stop) {
 	c.t.Helper()
 	select {
 	case <-s.Reached:
@@ -30,7 +30,7 @@
 }
 
 // until waits until a condition holds that another goroutine brings about.
-func (c *fakeReducer) until(what string, so func() bool) {
+func (c *fakeNode) until(what string, so func() bool) {
 	c.t.Helper()
 	for by := time.Now().Add(20 * time.Second); !so(); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
@@ -46,7 +46,7 @@
 }
 
 // eachConn calls look for each connection, with its lock held.
-func (c *fakeReducer) eachConn(look func(*clientConn)) {
+func (c *fakeNode) eachConn(look func(*clientConn)) {
 	c.server.conns.mu.Lock()
 	defer c.server.conns.mu.Unlock()
 	for _, p := range c.server.conns.entries {
@@ -56,20 +56,20 @@
 	}
 }
 
-func (c *fakeReducer) printf(format string, args ...any) { fmt.Fprintf(&c.out, format+"\n", args...) }
+func (c *fakeNode) printf(format string, args ...any) { fmt.Fprintf(&c.out, format+"\n", args...) }
 
 // TestCloseUnderRequest has a connection closed on which a request has arrived that is not read yet: it is answered.
 func TestCloseUnderRequest(t *testing.T) {
 	for _, let := range []struct {
 		name string
-		let  func(*fakeReducer)
+		let  func(*fakeNode)
 	}{
-		{"the node ends", func(c *fakeReducer) { c.server.conns.enterLameDuck() }},
-		{"clients are sent away", func(c *fakeReducer) {
+		{"the node ends", func(c *fakeNode) { c.server.conns.enterLameDuck() }},
+		{"clients are sent away", func(c *fakeNode) {
 			c.server.conns.setDraining(true)
 			c.server.conns.closeDrained()
 		}},
-		{"over the budget", func(c *fakeReducer) { c.server.HalveLimits(true) }},
+		{"over the budget", func(c *fakeNode) { c.server.HalveLimits(true) }},
 	} {
 		c, h := newHaltable(t, 2)
 		c.printf("%s", let.name)
@@ -255,7 +255,7 @@
 }
 
 // nextJob returns the next batch job that the server posts.
-func (c *fakeReducer) nextJob() node.Job {
+func (c *fakeNode) nextJob() node.Job {
 	c.t.Helper()
 	select {
 	case ev := <-c.events:
--- a/internal/frontend/codec.go
+++ b/internal/frontend/codec.go
@@ -12,7 +12,7 @@
 	"birchstair/policy"
 )
 
-// The protocol between clients and the node. Its headers and texts occur in this file alone.
+// This file has all headers and texts of the protocol between clients and the node.
 
 const (
 	readyPath = "/-/ready"
@@ -21,20 +21,21 @@
 	maxBodyBytes   = 64 << 10
 	maxIDBytes     = 128
 
-	readHeaderTimeout = 2500 * time.Millisecond // from a request's first byte to the end of its head
+	readHeaderTimeout = 2500 * time.Millisecond // from a request's first byte to the end of its header
 	readTimeout       = 2700 * time.Millisecond // from a request's first byte to the end of its body
-	writeTimeout      = 5 * time.Second         // for an answer
-	idleTimeout       = 5 * time.Minute         // between requests on a connection
+	writeTimeout      = 5 * time.Second         // for writing an answer
+	idleTimeout       = 5 * time.Minute         // how long a connection may be idle between requests
 )
 
-// singleHeaders may occur once in a request: an executor could go by another value of a header that occurs twice.
+// singleHeaders are the headers that may occur only once in a request. If one occurred twice, the node and the executor
+// could use different values.
 var singleHeaders = [...]string{"X-Call-Id", "X-Call-Class", "X-Budget-Ms", "X-Call-Cost", "X-Again", "Idempotency-Key"}
 
 // requestError is the answer to a request that is not a valid batch job.
 type requestError struct {
 	status    int
 	reason    string
-	closeConn bool // it is not certain where the request ends: nothing more may be read from its connection
+	closeConn bool // the end of the request can't be determined, so nothing more may be read from the connection
 }
 
 func (e *requestError) writeTo(w http.ResponseWriter) {
@@ -57,7 +58,7 @@
 	unsupportedVersion = &requestError{http.StatusHTTPVersionNotSupported, "batch jobs come by HTTP/1.1", true}
 )
 
-// serveReadiness answers load balancers.
+// serveReadiness answers the readiness requests of load balancers.
 func (s *Server) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead:
@@ -67,12 +68,12 @@
 	}
 }
 
-// decode reads a batch job, its body included.
+// decode decodes and validates a batch job, including its body.
 func (s *Server) decode(w http.ResponseWriter, r *http.Request) (job node.Job, invalid *requestError) {
 	if r.Method != http.MethodPost {
 		return job, &requestError{http.StatusMethodNotAllowed, "batch jobs come by POST", false}
 	}
-	if !r.ProtoAtLeast(1, 1) { // net/http ignores chunks in HTTP/1.0 and goes by the Content-Length
+	if !r.ProtoAtLeast(1, 1) { // in HTTP/1.0 net/http ignores chunks and uses the Content-Length
 		return job, unsupportedVersion
 	}
 	for _, name := range singleHeaders {
@@ -90,7 +91,7 @@
 	return job, invalid
 }
 
-// decodeHeader reads all of a batch job but its body.
+// decodeHeader decodes a batch job from the request's header; it does not read the body.
 func (s *Server) decodeHeader(r *http.Request) (job node.Job, invalid *requestError) {
 	h := r.Header
 	job.Request = node.Request{
@@ -122,8 +123,7 @@
 	return job, nil
 }
 
-// decodeBudget reads how long a client waits. One that waits longer than the class's deadline is answered by then all the
-// same.
+// decodeBudget decodes how long a client waits for its answer, which is cut to the job class's deadline.
 func decodeBudget(text string, deadline time.Duration) (time.Duration, *requestError) {
 	ms, err := strconv.ParseInt(text, 10, 32)
 	if err != nil || ms <= 0 {
@@ -132,13 +132,13 @@
 	return min(time.Duration(ms)*time.Millisecond, deadline), nil
 }
 
-// decodeCost reads the client's estimate of the work, which may be missing.
+// decodeCost decodes the client's estimate of the job's work, which may be missing.
 func decodeCost(text string) (time.Duration, *requestError) {
 	if text == "" {
 		return 0, nil
 	}
 	us, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(us >= 0 && us < 1e12) { // NaN is neither
+	if err != nil || !(us >= 0 && us < 1e12) { // written so that NaN is invalid too
 		return 0, badRequest("X-Call-Cost: %.40q is not a number of microseconds", text)
 	}
 	return time.Duration(us * float64(time.Microsecond)), nil
@@ -150,7 +150,7 @@
 	}
 	body := make([]byte, max(0, r.ContentLength))
 	_, err := io.ReadFull(r.Body, body)
-	if r.ContentLength < 0 { // in chunks
+	if r.ContentLength < 0 { // a chunked body
 		body, err = io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	}
 	switch {
@@ -159,7 +159,7 @@
 	case len(body) > maxBodyBytes:
 		return nil, bodyTooLarge
 	}
-	// From here on a read ends only by the client's close or its next request.
+	// Clear ReadTimeout: a read that is made while the answer is pending waits for the client's close or next request.
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return body, nil
 }
--- a/internal/frontend/conn_table.go
+++ b/internal/frontend/conn_table.go
@@ -11,62 +11,62 @@
 
 // ConnLimits bounds the number of open connections from clients.
 type ConnLimits struct {
-	Max       int // while this is the only process of the node
-	MaxShared int // while another process of the node lives, for each of the two
+	Max       int // limit while this is the node's only process
+	MaxShared int // limit for each of two processes of the node during a hot restart
 }
 
 const (
-	newConnShare  = 4 // while others need the room, new connections may be a 1/4 of all
-	overflowShare = 8 // up to 1/8 beyond the limit are accepted, so that others can be evicted for them
+	newConnDivisor  = 4 // new connections are evicted before idle ones while they exceed 1/4 of the limit
+	overflowDivisor = 8 // up to 1/8 over the limit is accepted, so that older connections can be evicted
 )
 
-// connTable keeps the open connections within their limits, so that a flood of connections that send nothing, or one
-// request each, does not cost other clients theirs.
+// connTable keeps the number of open connections within its limit. Clients that use their connections keep them during a
+// flood of connections that send nothing, or one request each.
 //
-// A connection is in one of the lists or, while a request of it is being answered, in none:
+// A connection is in one of three lists. It is in none while a request on it is being answered, unless it is new:
 //
 //	new      no batch job has been read on it yet
 //	idle     its last request is answered
-//	closing  it is being closed, as soon as that loses no request
+//	closing  it will be closed as soon as that loses no request
 //
-// Over the limit the oldest new connection is evicted or, where there are few of those, the one that has been idle the
-// longest. Only where there is neither, batch jobs are marked as near the limit, which the reducer rejects. The table is
-// also the server's listener: it accepts no more than acceptLimit connections at a time, and none while another process
-// of the node accepts them.
+// Over the limit, the oldest new connection is evicted; if there are few new ones, the longest idle connection is. If there
+// is nothing to evict, batch jobs are marked as near the connection limit, and the state machine rejects them. The table is
+// also the server's listener: it accepts no connection while acceptLimit are open, or while another process of the node
+// accepts them.
 //
-// Lock order: the table's lock before a connection's.
+// Lock order: a connection's lock may be taken while the table's lock is held, but not the other way round.
 type connTable struct {
 	net.Listener
 	limits          ConnLimits
-	sharedReadAhead atomic.Int64 // bytes that connections may read ahead beyond what each has of its own
+	sharedReadAhead atomic.Int64 // what is left of maxSharedReadAhead
 
 	mu           sync.Mutex
-	changed      *sync.Cond // open, acceptLimit, acceptPaused, closed or closingConns has changed
-	open         int
+	changed      *sync.Cond // signaled when open, acceptLimit, acceptPaused, closed or closingConns may have changed
+	open         int        // number of open connections, those that are closing included
 	entries      map[net.Conn]*connEntry
-	newConns     *list.List // of *connEntry, the oldest first
-	idleConns    *list.List // of *connEntry, the one that has been idle the longest first
+	newConns     *list.List // of *connEntry, oldest first
+	idleConns    *list.List // of *connEntry, longest idle first
 	closingConns *list.List // of *connEntry
 
-	maxConns    int // of limits, by how many processes there are
-	acceptLimit int // open connections from which on none is accepted
-	maxNew      int // new connections that are kept while others need the room
+	maxConns    int // the limit in effect: limits.Max or limits.MaxShared
+	acceptLimit int // number of open connections at which accepting stops
+	maxNew      int // over the limit, new connections are evicted before idle ones if there are more than this
 
-	lameDuck         bool // the node shuts down: a connection that becomes idle is closed
-	shuttingDown     bool // and the server is closing
-	draining         bool // clients are being drained
-	drainLoopRunning bool // a goroutine calls closeDrained
+	lameDuck         bool // the node is shutting down: connections are closed when they become idle
+	shuttingDown     bool // closeIdleAndWait has been called: the server is closing
+	draining         bool // a client drain is in progress
+	drainLoopRunning bool // a goroutine calls closeDrained periodically
 	acceptPaused     bool // another process of the node accepts connections
 	closed           bool // the listener is closed
 }
 
 // connEntry is the table's record of a connection.
 type connEntry struct {
-	conn       *clientConn
-	list       *list.List // the list that it is in, or nil
-	element    *list.Element
-	hadRequest bool // a batch job has been read on it
-	openedAt   time.Time
+	conn     *clientConn
+	list     *list.List // the list that holds the connection, or nil
+	element  *list.Element
+	hadJob   bool // a batch job has been read on the connection
+	openedAt time.Time
 }
 
 func newConnTable(limits ConnLimits) *connTable {
@@ -83,7 +83,7 @@
 	return t
 }
 
-// setShared sets whether another process of the node lives, which halves the limits.
+// setShared sets whether another process of the node is running, which decides which limit applies.
 func (t *connTable) setShared(shared bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,13 +91,13 @@
 	if shared {
 		t.maxConns = t.limits.MaxShared
 	}
-	t.acceptLimit = t.maxConns + max(1, t.maxConns/overflowShare)
-	t.maxNew = max(1, t.maxConns/newConnShare)
+	t.acceptLimit = t.maxConns + max(1, t.maxConns/overflowDivisor)
+	t.maxNew = max(1, t.maxConns/newConnDivisor)
 	t.changed.Broadcast()
 	t.evict()
 }
 
-// onStateChange is net/http's ConnState hook: it follows a connection from its start to its end.
+// onStateChange is the http.Server.ConnState hook, which net/http calls when a connection changes its state.
 func (t *connTable) onStateChange(c net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,15 +108,15 @@
 		t.entries[c] = e
 		t.open++
 		t.moveTo(e, t.newConns)
-	case http.StateActive: // the head of a request has come
-		if e.hadRequest {
+	case http.StateActive: // the header of a request has been read
+		if e.hadJob {
 			t.moveTo(e, nil)
 		}
 	case http.StateIdle:
-		e.conn.becameIdle()
+		e.conn.markIdle()
 		if t.lameDuck || e.list == t.closingConns {
-			t.startClosing(e, closeIfIdle) // a request that has been sent by now is still served
-		} else if e.hadRequest {
+			t.startClosing(e, closeIfIdle) // a request that has arrived by now is still served
+		} else if e.hadJob {
 			t.moveTo(e, t.idleConns)
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -129,27 +129,28 @@
 	t.evict()
 }
 
-// requestReceived notes that a whole batch job has been read on a connection, which stays open until the answer. It
-// returns whether more connections are open than the limit allows and none of them could be evicted.
-func (t *connTable) requestReceived(c net.Conn) (overLimit bool) {
+// jobReceived records that a complete batch job has been read on a connection, which then stays open until the answer is
+// written. overLimit reports that more connections are open than the limit allows and none of them can be evicted.
+func (t *connTable) jobReceived(c net.Conn) (overLimit bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[c]; e != nil {
-		e.hadRequest = true
-		t.moveTo(e, nil) // where it was just being closed, another is evicted in its place
+		e.hadJob = true
+		t.moveTo(e, nil) // if it was being closed, evict chooses another connection instead
 		t.evict()
 	}
 	return t.excess() > 0
 }
 
-// closesAfterAnswer returns whether connections are to be closed with the next answer.
-func (t *connTable) closesAfterAnswer() bool {
+// mustCloseAfterAnswer reports whether an answer that is written now must close its connection.
+func (t *connTable) mustCloseAfterAnswer() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lameDuck || t.draining || t.acceptPaused || t.excess() > 0
 }
 
-// enterLameDuck starts to close idle connections, now and whenever one becomes idle. It returns how many are closing.
+// enterLameDuck starts to close idle connections: those that are idle now, and each that becomes idle later. It returns the
+// number of connections that are still being closed.
 func (t *connTable) enterLameDuck() (closing int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,7 +159,7 @@
 	return t.closingConns.Len()
 }
 
-// closeIdleAndWait closes idle connections and waits until they are closed, or for a timeout.
+// closeIdleAndWait closes idle connections and waits until they are closed, or until a timeout.
 func (t *connTable) closeIdleAndWait(timeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,18 +168,19 @@
 	t.waitWhile(func() bool { return t.closingConns.Len() > 0 }, timeout)
 }
 
-// closeNewAndWait closes new connections as well, after enterLameDuck, and waits until all are closed, or for a timeout.
+// closeNewAndWait closes the new connections and waits until no connection is open, or until a timeout. It is called after
+// enterLameDuck, which closes the idle ones.
 func (t *connTable) closeNewAndWait(timeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for t.newConns.Len() > 0 {
-		t.startClosing(front(t.newConns), closeIfIdle)
+		t.startClosing(firstEntry(t.newConns), closeIfIdle)
 	}
 	t.waitWhile(func() bool { return t.open > 0 }, timeout)
 }
 
-// setDraining starts or ends a drain of clients. It returns whether the caller has to start a goroutine that calls
-// closeDrained until that returns false; there is one of it at most.
+// setDraining starts or ends a client drain. startLoop reports that the caller must start a goroutine that calls
+// closeDrained until that returns false. At most one such goroutine runs at a time.
 func (t *connTable) setDraining(drain bool) (startLoop bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,15 +190,15 @@
 	return startLoop
 }
 
-// isDraining returns whether clients are being drained.
+// isDraining reports whether a client drain is in progress.
 func (t *connTable) isDraining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.draining
 }
 
-// closeDrained closes idle connections, and new ones without a request after newConnGrace. It returns whether the drain
-// goes on.
+// closeDrained closes the idle connections, and the new ones that have been open for newConnGrace. It reports whether the
+// client drain is still in progress.
 func (t *connTable) closeDrained() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -207,7 +209,7 @@
 	t.closeIdle()
 	for element := t.newConns.Front(); element != nil; {
 		e := element.Value.(*connEntry)
-		element = element.Next() // before e leaves the list
+		element = element.Next() // read before startClosing removes e from the list
 		if time.Since(e.openedAt) >= newConnGrace {
 			t.startClosing(e, closeIfIdle)
 		}
@@ -217,10 +219,10 @@
 
 // The methods below are called with the lock held.
 
-// excess returns by how many connections the limit is exceeded, those that are closing left out.
+// excess returns by how many connections the limit is exceeded, not counting those that are being closed.
 func (t *connTable) excess() int { return t.open - t.closingConns.Len() - t.maxConns }
 
-// evict closes connections while the limit is exceeded and there are new or idle ones to close.
+// evict starts to close new or idle connections until the limit is no longer exceeded, or none of them is left.
 func (t *connTable) evict() {
 	for n := t.excess(); n > 0; n-- {
 		from, mode := t.idleConns, closeIfIdle
@@ -230,25 +232,25 @@
 		if from.Len() == 0 {
 			break
 		}
-		t.startClosing(front(from), mode)
+		t.startClosing(firstEntry(from), mode)
 	}
 }
 
 // closeIdle starts to close all idle connections.
 func (t *connTable) closeIdle() {
 	for t.idleConns.Len() > 0 {
-		t.startClosing(front(t.idleConns), closeIfIdle)
+		t.startClosing(firstEntry(t.idleConns), closeIfIdle)
 	}
 }
 
-// startClosing has a connection closed by the goroutine that owns it, as soon as that loses no request.
+// startClosing has a connection closed as soon as that loses no request. net/http's goroutine of the connection closes it.
 func (t *connTable) startClosing(e *connEntry, mode closeMode) {
 	t.moveTo(e, t.closingConns)
 	e.conn.closeWhenSafe(mode)
 }
 
-// moveTo moves a connection to a list, or to none. Unless that is the list of closing ones, a close that was started is
-// called off.
+// moveTo moves a connection to a list, or to none if the list is nil. Moving it to any list but closingConns cancels a close
+// that has not taken effect.
 func (t *connTable) moveTo(e *connEntry, to *list.List) {
 	if e.list != nil {
 		e.list.Remove(e.element)
@@ -261,7 +263,7 @@
 	}
 }
 
-// waitWhile waits for changes until a condition is false, or for a timeout.
+// waitWhile blocks until a condition is false, or until a timeout.
 func (t *connTable) waitWhile(condition func() bool, timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	defer time.AfterFunc(timeout, t.changed.Broadcast).Stop()
@@ -270,4 +272,5 @@
 	}
 }
 
-func front(l *list.List) *connEntry { return l.Front().Value.(*connEntry) }
+// firstEntry returns the first entry of a list, which must not be empty.
+func firstEntry(l *list.List) *connEntry { return l.Front().Value.(*connEntry) }
--- a/internal/frontend/conn_table_test.go
+++ b/internal/frontend/conn_table_test.go
@@ -22,7 +22,7 @@
 	if first.list != g.closingConns {
 		t.Fatal("over the budget, the first was not let go")
 	}
-	if g.requestReceived(all[0]) {
+	if g.jobReceived(all[0]) {
 		t.Error("its batch job is pushed back, though others rest")
 	}
 	if first.list == g.closingConns || g.entries[all[1]].list != g.closingConns {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -16,9 +16,9 @@
 	"birchstair/policy"
 )
 
-// fakeReducer stands in for the reducer: it prints the events that the server posts and answers batch jobs by the prefix of
+// fakeNode stands in for the reducer: it prints the events that the server posts and answers batch jobs by the prefix of
 // their id. Those with the prefix "wait" get no answer.
-type fakeReducer struct {
+type fakeNode struct {
 	t      *testing.T
 	server *Server
 	addr   string
@@ -26,13 +26,13 @@
 	out    strings.Builder
 }
 
-func newFakeReducer(t *testing.T, conns int, change ...func(*http.Server)) *fakeReducer {
-	return newFakeReducerWithHalts(t, conns, &emulator.Halts{}, change...)
+func newFakeNode(t *testing.T, conns int, change ...func(*http.Server)) *fakeNode {
+	return newFakeNodeWithHalts(t, conns, &emulator.Halts{}, change...)
 }
 
-// newFakeReducerWithHalts returns one whose listener and connections can be stopped.
-func newFakeReducerWithHalts(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *fakeReducer {
-	c := &fakeReducer{t: t, events: make(chan node.Event, 100)}
+// newFakeNodeWithHalts returns one whose listener and connections can be stopped.
+func newFakeNodeWithHalts(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *fakeNode {
+	c := &fakeNode{t: t, events: make(chan node.Event, 100)}
 	c.server = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
 		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, ConnLimits{conns, conns / 2}, func(ev node.Event) {
 		if ev, ok := ev.(node.JobArrived); ok {
@@ -68,7 +68,7 @@
 	return c
 }
 
-func (c *fakeReducer) printEvent() {
+func (c *fakeNode) printEvent() {
 	c.t.Helper()
 	select {
 	case ev := <-c.events:
@@ -111,7 +111,7 @@
 	}
 }
 
-func (c *fakeReducer) dial() client {
+func (c *fakeNode) dial() client {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.addr)
 	if err != nil {
@@ -123,7 +123,7 @@
 }
 
 // printAnswer reads an answer and prints it.
-func (c *fakeReducer) printAnswer(from client) {
+func (c *fakeNode) printAnswer(from client) {
 	c.t.Helper()
 	a, err := http.ReadResponse(from.in, nil)
 	if err != nil {
@@ -152,7 +152,7 @@
 
 // TestRequests checks what becomes of valid, incomplete and invalid requests.
 func TestRequests(t *testing.T) {
-	c := newFakeReducer(t, 100)
+	c := newFakeNode(t, 100)
 	ask := func(title, text string, arrives bool) {
 		c.out.WriteString(title + "\n")
 		from := c.dial()
@@ -255,7 +255,7 @@
 // TestTimeouts checks that an incomplete request ends by the read timeout, which touches neither a pending batch job nor an
 // idle connection.
 func TestTimeouts(t *testing.T) {
-	c := newFakeReducer(t, 100, func(s *http.Server) { s.ReadTimeout, s.ReadHeaderTimeout = time.Second, time.Second })
+	c := newFakeNode(t, 100, func(s *http.Server) { s.ReadTimeout, s.ReadHeaderTimeout = time.Second, time.Second })
 	resting, waiting := c.dial(), c.dial()
 	resting.send(jobRequest("handled-1"))
 	c.printEvent()
@@ -285,7 +285,7 @@
 // TestShutdown checks that idle connections are closed, pending batch jobs get their answers with Connection: close, and new
 // requests are still served.
 func TestShutdown(t *testing.T) {
-	c := newFakeReducer(t, 100)
+	c := newFakeNode(t, 100)
 	resting, waiting := c.dial(), c.dial()
 	resting.send(jobRequest("handled-1"))
 	c.printEvent()
@@ -318,7 +318,7 @@
 // TestConnLimit checks that at the limit the connection that has been idle the longest is closed, that batch jobs are
 // rejected where none is idle, and that further connections wait to be accepted.
 func TestConnLimit(t *testing.T) {
-	c := newFakeReducer(t, 2)
+	c := newFakeNode(t, 2)
 	say := func(from client, id string) {
 		from.send(jobRequest(id))
 		c.printEvent()
@@ -345,7 +345,7 @@
 // TestNewConns checks that connections that send nothing, little or half a request cost no other client its connection,
 // however many they are.
 func TestNewConns(t *testing.T) {
-	c := newFakeReducer(t, 8)
+	c := newFakeNode(t, 8)
 	say := func(from client, id string) {
 		from.send(jobRequest(id))
 		c.printEvent()
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// pastDeadline makes a call that waits return at once.
+// pastDeadline is a deadline that makes a blocked call return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// deadliner is a listener whose Accept can be interrupted, such as net.TCPListener.
+// deadliner is implemented by listeners whose Accept can be interrupted, such as net.TCPListener.
 type deadliner interface{ SetDeadline(time.Time) error }
 
-// wrapListener returns l under the table's limits. Accepting may be paused already.
+// wrapListener returns a listener that accepts from l within the table's limits. Accepting may have been paused before.
 func (t *connTable) wrapListener(l net.Listener) net.Listener {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -22,7 +22,7 @@
 	return t
 }
 
-// Accept implements net.Listener. It waits until there is room and this process is the one that accepts.
+// Accept implements net.Listener. It waits while the table is full or accepting is paused.
 func (t *connTable) Accept() (net.Conn, error) {
 	for {
 		t.mu.Lock()
@@ -34,7 +34,7 @@
 		if err == nil {
 			return &clientConn{Conn: c, sharedReadAhead: &t.sharedReadAhead}, nil
 		}
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // interrupted: the state may have changed
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // otherwise updateAcceptDeadline has interrupted it
 			return nil, err
 		}
 	}
@@ -49,8 +49,8 @@
 	return t.Listener.Close()
 }
 
-// setAccepting starts or stops accepting connections. Those that wait on a socket that two processes listen on are left
-// for the other.
+// setAccepting starts or stops accepting connections. When it stops, connections that wait in the backlog of a socket that
+// two processes listen on are left for the other process.
 func (t *connTable) setAccepting(accept bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,14 +59,15 @@
 	t.changed.Broadcast()
 }
 
-// isAcceptPaused returns whether another process of the node accepts connections.
+// isAcceptPaused reports whether accepting is paused because another process of the node accepts connections.
 func (t *connTable) isAcceptPaused() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.acceptPaused
 }
 
-// updateAcceptDeadline interrupts an Accept that waits where accepting is paused. It is called with the lock held.
+// updateAcceptDeadline interrupts a blocked Accept if accepting is paused, and lets Accept block again if it is not. It is
+// called with the lock held.
 func (t *connTable) updateAcceptDeadline() {
 	l, ok := t.Listener.(deadliner)
 	if !ok {
--- a/internal/frontend/read_ahead.go
+++ b/internal/frontend/read_ahead.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	maxReadAhead       = maxHeaderBytes + maxBodyBytes // bytes that each connection may read ahead
-	maxSharedReadAhead = 2 << 20                       // bytes that all together may read ahead beyond that
-	readAheadChunk     = 4 << 10                       // bytes a read
+	maxReadAhead       = maxHeaderBytes + maxBodyBytes // bytes that each connection may always read ahead
+	maxSharedReadAhead = 2 << 20                       // bytes that all connections together may read ahead beyond that
+	readAheadChunk     = 4 << 10                       // size of a read
 )
 
-// readAhead is what is read from a connection while an answer is pending on it.
+// readAhead holds the bytes that are read from a connection while an answer is pending on it.
 //
-// net/http reads one byte then, to see the client leave. Where that byte is the first of the next request, it looks no
-// further, and a close behind it goes unseen: the batch job would be sent for nobody, and the next request after it. So
-// the connection reads on by itself, and Read returns those bytes later.
+// net/http detects that a client has left by reading one byte in the background. If that byte belongs to the client's next
+// request, net/http reads no further and misses a close after it: the pending batch job, and then the next one, would be
+// sent to executors for a client that has left. So the connection reads on in a goroutine of its own, and Read returns the
+// bytes later.
 type readAhead struct {
 	buffered []byte
 	err      error
-	finished chan struct{} // closed when the goroutine has ended
-	stopping bool          // the goroutine is to end; under the connection's lock
-	done     bool          // and has; under the connection's lock
-	reserved int64         // bytes of maxSharedReadAhead; the goroutine's own until done
+	ended    chan struct{} // closed when the read-ahead goroutine has ended
+	stopping bool          // the goroutine has been asked to end; guarded by the connection's lock
+	done     bool          // the goroutine reads no more; guarded by the connection's lock
+	reserved int64         // bytes taken from sharedReadAhead; only the goroutine uses this field until done is set
 }
 
-// startReadAhead starts to read ahead where an answer is pending and net/http looks no further. It is called with the
-// lock held.
+// startReadAhead starts to read ahead if an answer is pending and net/http's background read has ended. It is called with
+// the lock held.
 func (c *clientConn) startReadAhead() {
 	if c.gotFirstByte && c.client != nil && c.readAhead == nil {
-		c.readAhead = &readAhead{finished: make(chan struct{})}
+		c.readAhead = &readAhead{ended: make(chan struct{})}
 		go c.runReadAhead(c.readAhead)
 	}
 }
 
-// runReadAhead reads until endWait stops it, the connection ends or there is no room for more.
+// runReadAhead reads until endWait stops it, the connection ends or the limit on bytes read ahead is reached.
 func (c *clientConn) runReadAhead(a *readAhead) {
-	defer close(a.finished)
+	defer close(a.ended)
 	chunk := make([]byte, readAheadChunk)
 	for a.err == nil && (len(a.buffered) < maxReadAhead || c.reserve(a)) {
 		n, err := c.Conn.Read(chunk)
@@ -58,7 +59,8 @@
 	}
 }
 
-// takeReadAhead waits for the goroutine to end and moves what it read into b. ok is false where there is nothing left.
+// takeReadAhead waits until the read-ahead goroutine has ended and moves bytes that it read into b. ok is false if nothing
+// is left of them.
 func (c *clientConn) takeReadAhead(b []byte) (n int, err error, ok bool) {
 	c.mu.Lock()
 	a := c.readAhead
@@ -67,7 +69,7 @@
 	if a == nil {
 		return 0, nil, false
 	}
-	<-a.finished
+	<-a.ended
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n = copy(b, a.buffered)
@@ -84,8 +86,9 @@
 	return 0, nil, false
 }
 
-// reserve takes room for one more chunk of what all connections share. A client may send much and close: its close comes
-// behind all that, and what is not read may fill the socket before it.
+// reserve takes one more chunk from the bytes that all connections share, and reports whether enough were left. Reading
+// beyond maxReadAhead is needed to notice the close of a client that has sent a lot: the unread bytes could fill the
+// socket's buffer, and the close comes after them.
 func (c *clientConn) reserve(a *readAhead) bool {
 	if c.sharedReadAhead.Add(-readAheadChunk) < 0 {
 		c.sharedReadAhead.Add(readAheadChunk)
@@ -95,7 +98,7 @@
 	return true
 }
 
-// release gives the reserved room back. It is called with the lock held, once the goroutine is done.
+// release gives the reserved bytes back. It is called with the lock held, after the goroutine is done.
 func (c *clientConn) release(a *readAhead) {
 	c.sharedReadAhead.Add(a.reserved)
 	a.reserved = 0
--- a/internal/frontend/request_framer.go
+++ b/internal/frontend/request_framer.go
@@ -6,27 +6,28 @@
 )
 
 // requestFramer finds the boundaries of requests in the bytes that are read from a connection, up to the first request
-// in chunks. net/http drops the Content-Length of a request that has chunks as well; a client or proxy that goes by the
-// length could hide a second request in the difference (request smuggling). By the framer the server sees both.
+// with a chunked body. It prevents request smuggling: net/http ignores the Content-Length of a chunked request, so that a
+// proxy that uses the Content-Length would see other requests on the connection than net/http. The framer shows the server
+// whether a request has both headers.
 type requestFramer struct {
-	completeHeads int
-	stopped       bool  // nothing more is followed: a request was in chunks, or its length made no sense
-	chunked       bool  // the last complete head has a Transfer-Encoding
-	hasLength     bool  // the last complete head has a Content-Length
-	bodyRemaining int64 // bytes of the last complete head's body that have not come yet
+	completeHeads    int
+	stopped          bool  // no more bytes are parsed, because a request was chunked or its Content-Length was invalid
+	chunked          bool  // the last complete header has a Transfer-Encoding
+	hasContentLength bool  // the last complete header has a Content-Length
+	bodyRemaining    int64 // bytes that are still missing of the body that follows the last complete header
 
-	// The head that is being read.
-	inHead        bool   // its first line has come
-	line          []byte // the line that is being read, up to maxFieldLine bytes
-	headHasLength bool
-	headHasCoding bool
-	contentLength int64
+	// State of the header that is being read.
+	inHead                  bool   // the request line has been read
+	line                    []byte // the line that is being read, truncated to maxFieldLine bytes
+	headHasContentLength    bool
+	headHasTransferEncoding bool
+	contentLength           int64
 }
 
-// maxFieldLine is more bytes than a field takes that matters here.
+// maxFieldLine is how many bytes of a line are kept. A Content-Length line that doesn't fit stops the framer.
 const maxFieldLine = 80
 
-// observe follows the next bytes.
+// observe parses the next bytes of the connection.
 func (f *requestFramer) observe(b []byte) {
 	for len(b) > 0 && !f.stopped {
 		if f.bodyRemaining > 0 {
@@ -47,7 +48,7 @@
 	}
 }
 
-// endLine follows a complete line of a head, cut to maxFieldLine.
+// endLine parses a complete line of a header, truncated to maxFieldLine bytes.
 func (f *requestFramer) endLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	switch {
@@ -56,19 +57,19 @@
 	case len(line) == 0:
 		f.endHead()
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		f.headHasCoding = true
+		f.headHasTransferEncoding = true
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		n, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
-		f.headHasLength, f.contentLength = true, n
+		f.headHasContentLength, f.contentLength = true, n
 		f.stopped = err != nil || n < 0 || len(line) >= maxFieldLine-1
 	}
 }
 
-// endHead follows the end of a head.
+// endHead handles the empty line that ends a header.
 func (f *requestFramer) endHead() {
 	f.completeHeads++
-	f.chunked, f.hasLength = f.headHasCoding, f.headHasLength
-	f.stopped = f.headHasCoding
+	f.chunked, f.hasContentLength = f.headHasTransferEncoding, f.headHasContentLength
+	f.stopped = f.headHasTransferEncoding
 	f.bodyRemaining = f.contentLength
-	f.inHead, f.headHasLength, f.headHasCoding, f.contentLength = false, false, false, 0
+	f.inHead, f.headHasContentLength, f.headHasTransferEncoding, f.contentLength = false, false, false, 0
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,10 +1,11 @@
-// Package frontend serves clients: it reads batch jobs from their connections, passes them to the reducer, and writes
-// the final answers.
+// Package frontend serves clients: it reads batch jobs from their connections, posts them as events to the node's state
+// machine, and writes the final answers.
 //
-// Each request is handled in net/http's goroutine of its connection, which waits for the final answer (server.go).
-// connTable (conn_table.go) keeps the number of connections within its limits and closes idle ones when the node drains
-// or shuts down (shutdown.go). clientConn (client_conn.go) wraps each connection so that it is closed only where that
-// loses no request, and so that a client that disconnects is noticed. The protocol's text is in codec.go alone.
+// Server (server.go) handles each request in the goroutine that net/http runs for the connection; the goroutine blocks
+// until the final answer. connTable (conn_table.go) keeps the number of connections within its limits, and closes idle
+// ones when the node drains its clients or shuts down (shutdown.go). clientConn (client_conn.go) wraps each connection so
+// that closing it loses no request, and so that a disconnected client is noticed while its job is pending. All headers
+// and texts of the protocol are in codec.go.
 package frontend
 
 import (
@@ -21,39 +22,39 @@
 )
 
 // Server reads batch jobs from clients and answers them. Its exported methods may be called from any goroutine, unless
-// they say otherwise; those of node.Frontend are called by the reducer's loop and do not block.
+// their comments say otherwise. The methods of node.Frontend are called by the event loop and do not block.
 type Server struct {
-	post       func(node.Event)
-	jobClasses atomic.Pointer[map[string]jobClass] // by name; replaced as a whole, never changed
-	http       http.Server
-	conns      *connTable
-	ready      atomic.Bool
-	stopped    chan struct{} // closed when the reducer has ended: nobody answers any more
+	post        func(node.Event)
+	jobClasses  atomic.Pointer[map[string]jobClass] // by name; an update replaces the whole map
+	http        http.Server
+	conns       *connTable
+	ready       atomic.Bool
+	nodeStopped chan struct{} // closed when the event loop has ended, after which no answer comes
 
-	closeTimeout time.Duration // how long Close waits for answers that are being written
+	closeTimeout time.Duration // how long Close waits until answers are written
 
 	mu             sync.Mutex
-	pending        map[policy.JobID]chan node.Answer // batch jobs whose handler waits
-	prefixHandlers map[string]http.Handler           // by path prefix; read-only once Serve is called
+	pending        map[policy.JobID]chan node.Answer // for each job whose handler waits: where its answer is sent
+	prefixHandlers map[string]http.Handler           // by path prefix; not changed after Serve is called
 }
 
-// connContextKey is the key of a request's clientConn in its context.
+// connContextKey is the key under which a request's context holds its clientConn.
 type connContextKey struct{}
 
-// jobClass is what the server has to know of a job class to read its batch jobs.
+// jobClass holds what the server needs of a job class to decode and validate its batch jobs.
 type jobClass struct {
 	id          policy.JobClassID
-	deadline    time.Duration // a longer budget of a client is cut to it
-	requiresKey bool          // its batch jobs carry an idempotency key
+	deadline    time.Duration // upper bound for the budget that a client asks for
+	requiresKey bool          // a batch job without an idempotency key is invalid
 }
 
-// New returns a server for these job classes that keeps to these limits. It passes what happens to post, which
-// may block while the reducer's queue is full, and must not be called by the reducer.
+// New returns a server for these job classes that keeps to these limits. It reports events by calling post, which may
+// block while the event queue is full. Methods that the event loop calls therefore never call post in its goroutine.
 func New(classes []node.NumberedClass, limits ConnLimits, post func(node.Event)) *Server {
 	s := &Server{
 		post:         post,
 		conns:        newConnTable(limits),
-		stopped:      make(chan struct{}),
+		nodeStopped:  make(chan struct{}),
 		closeTimeout: defaultCloseTimeout,
 		pending:      map[policy.JobID]chan node.Answer{},
 	}
@@ -61,8 +62,8 @@
 	s.http = http.Server{
 		Handler:                      http.HandlerFunc(s.handle),
 		ConnState:                    s.conns.onStateChange,
-		DisableGeneralOptionsHandler: true, // OPTIONS * must reach handle, which counts each request
-		// Both count from the first byte on, so that a client cannot hold a connection by sending ever more slowly.
+		DisableGeneralOptionsHandler: true, // "OPTIONS *" must reach handle, which counts every request
+		// Both timeouts count from a request's first byte, so a client that sends slowly can't hold a connection for long.
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
@@ -74,8 +75,8 @@
 	return s
 }
 
-// HandlePrefix passes requests whose path begins with prefix to another handler. It must be called before Serve. Limits
-// on connections, header and time apply to them as to batch jobs.
+// HandlePrefix passes requests whose path begins with prefix to another handler. It must be called before Serve. The
+// limits on connections, header size and time apply to these requests too.
 func (s *Server) HandlePrefix(prefix string, handler http.Handler) {
 	if s.prefixHandlers == nil {
 		s.prefixHandlers = map[string]http.Handler{}
@@ -83,7 +84,7 @@
 	s.prefixHandlers[prefix] = handler
 }
 
-// UpdateJobClasses replaces the job classes. A batch job that has been read keeps the class that it was read with.
+// UpdateJobClasses replaces the job classes. It does not affect batch jobs that have been decoded already.
 func (s *Server) UpdateJobClasses(classes []node.NumberedClass) {
 	byName := map[string]jobClass{}
 	for _, c := range classes {
@@ -92,17 +93,17 @@
 	s.jobClasses.Store(&byName)
 }
 
-// SetReady sets what the readiness endpoint answers, unless clients are being drained: then it is not ready.
+// SetReady sets what the readiness endpoint answers. During a client drain it answers "not ready" in any case.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// AcceptConnections starts or stops accepting connections. While this process does not, another process of the node
-// accepts them from the same socket.
+// AcceptConnections starts or stops accepting connections. While this process does not accept, another process of the
+// node accepts from the same socket.
 func (s *Server) AcceptConnections(accept bool) { s.conns.setAccepting(accept) }
 
-// HalveLimits switches to the limits for two processes of the node (ConnLimits.MaxShared), or back.
+// HalveLimits switches to the limits that apply while two processes of the node run (ConnLimits.MaxShared), or back.
 func (s *Server) HalveLimits(half bool) { s.conns.setShared(half) }
 
-// Answer passes a final answer to the handler that waits for it, if one still does.
+// Answer passes a final answer to the handler that waits for it. It does nothing if no handler waits any longer.
 func (s *Server) Answer(a node.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +113,8 @@
 	}
 }
 
-// register returns the channel that a batch job's final answer comes on, or nil where one of this id is pending already.
+// register returns the channel on which a batch job's final answer will arrive, or nil if a job of this id is pending
+// already.
 func (s *Server) register(id policy.JobID) chan node.Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,12 +136,12 @@
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	s.setConnectionClose(w)
 	conn := r.Context().Value(connContextKey{}).(*clientConn)
-	if chunksOnly := conn.nextRequest(); r.ContentLength < 0 {
+	if chunksOnly := conn.countRequest(); r.ContentLength < 0 {
 		if !chunksOnly {
 			lengthAndChunks.writeTo(w)
 			return
 		}
-		// The framer does not follow chunks, so nothing may be read behind them.
+		// requestFramer does not parse chunks and can't tell where this request ends, so it must be the last one.
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == readyPath {
@@ -164,7 +166,7 @@
 	s.serveJob(w, r, conn, job)
 }
 
-// serveJob passes a batch job on and writes its final answer.
+// serveJob posts a batch job to the state machine, waits for its final answer and writes it.
 func (s *Server) serveJob(w http.ResponseWriter, r *http.Request, conn *clientConn, job node.Job) {
 	answer := s.register(job.ID)
 	if answer == nil {
@@ -172,7 +174,7 @@
 		duplicateID.writeTo(w)
 		return
 	}
-	job.NearConnectionLimit = s.conns.requestReceived(conn)
+	job.NearConnectionLimit = s.conns.jobReceived(conn)
 	client := conn.beginWait()
 	defer conn.endWait()
 	job.Client = client
@@ -180,23 +182,25 @@
 	final, left := s.awaitAnswer(r.Context(), client, job.ID, answer)
 	s.setConnectionClose(w)
 	if left {
-		w.Header().Set("Connection", "close") // nobody wants an answer to what it has sent beyond this
+		w.Header().Set("Connection", "close") // further requests that the client sent before it left are not served
 	}
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	writeAnswer(w, final)
 }
 
-// setConnectionClose ends the connection with this answer where the node drains, shuts down or has too many connections.
+// setConnectionClose makes this answer the last one on its connection if the node drains its clients, shuts down or has
+// too many connections.
 func (s *Server) setConnectionClose(w http.ResponseWriter) {
-	if s.conns.closesAfterAnswer() {
+	if s.conns.mustCloseAfterAnswer() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// awaitAnswer returns the final answer. Where the client leaves first, it is a failure: a client that has only half-closed
-// its connection reads that, rather than the empty answer of a handler that writes nothing. Where the reducer has ended,
-// it never looked at the batch job, which is rejected. left: the client has left, and whatever else it has sent on the
-// connection is dropped.
+// awaitAnswer waits for the final answer and returns it. If the client leaves first, the answer is a failure: a client that
+// has only half-closed its connection still reads it, and would get an empty 200 if the handler wrote nothing. If the
+// event loop has ended, it never processed the batch job, so the answer is a rejection.
+//
+// left reports that the client has left; whatever else it has sent on the connection is then dropped.
 func (s *Server) awaitAnswer(ctx context.Context, client *waitingClient, id policy.JobID, answer chan node.Answer) (a node.Answer, left bool) {
 	defer client.finished.Store(true)
 	stopped := false
@@ -206,13 +210,13 @@
 	case <-ctx.Done():
 	case <-client.disconnected:
 		left = true
-	case <-s.stopped:
+	case <-s.nodeStopped:
 		stopped = true
 	}
-	client.finished.Store(true) // before the event is posted: the reducer may be late to read it
+	client.finished.Store(true) // before posting the event, which the event loop may process late
 	s.unregister(id)
 	select {
-	case a := <-answer: // it came at the same moment
+	case a := <-answer: // the answer arrived at the same moment
 		return a, left
 	default:
 	}
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// defaultCloseTimeout bounds how long Close waits for answers that are being written, and Stop for late requests.
+	// defaultCloseTimeout bounds how long Close waits until answers are written, and Stop until late requests are answered.
 	defaultCloseTimeout = 300 * time.Millisecond
-	// closeIdleInterval is how often connections that have become idle are looked for while the node drains or ends.
+	// closeIdleInterval is how often newly idle connections are closed while the node drains its clients or shuts down.
 	closeIdleInterval = 20 * time.Millisecond
-	// handoffGrace is how long idle connections stay open after another process has taken over.
+	// handoffGrace is how long idle connections stay open after a successor process has taken over.
 	handoffGrace = 400 * time.Millisecond
-	// drainGrace is how long idle connections stay open after clients are drained. Load balancers stop opening
-	// connections within 0.3 s, clients close theirs with their next request, and after 4 s no connection may be idle
-	// or carry a batch job of the last 2 s.
+	// drainGrace is how long idle connections stay open after a client drain begins. Load balancers stop opening
+	// connections within 0.3 s, and a client's connection is closed with the answer to its next request. 4 s into the
+	// drain, no connection may be idle or carry a batch job that was sent within the last 2 s.
 	drainGrace = 1600 * time.Millisecond
-	// newConnGrace is how long a connection that is opened during a drain may go without a request.
+	// newConnGrace is how long a connection that is opened during a client drain may go without a request.
 	newConnGrace = 200 * time.Millisecond
 )
 
@@ -33,8 +33,9 @@
 	return nil
 }
 
-// BeginLameDuck announces the shutdown: from now on each answer closes its connection, and idle connections are closed,
-// after a grace period where another process has taken over. Requests that still come are served.
+// BeginLameDuck starts the first phase of a shutdown, in which requests are still served: each answer closes its
+// connection, and idle connections are closed. If a successor process has taken over, idle connections stay open for
+// another handoffGrace.
 func (s *Server) BeginLameDuck() {
 	handedOver := s.conns.isAcceptPaused()
 	if !handedOver && s.conns.enterLameDuck() == 0 {
@@ -44,15 +45,15 @@
 		if handedOver {
 			time.Sleep(handoffGrace)
 		}
-		for s.conns.enterLameDuck() > 0 { // a connection that has just become idle may have been missed
+		for s.conns.enterLameDuck() > 0 { // repeated because a connection may become idle at any time
 			time.Sleep(closeIdleInterval)
 		}
 	}()
 }
 
-// DrainClients starts or ends a drain of clients. During it the server is not ready, each answer closes its connection,
-// and idle connections are closed after drainGrace, which leaves clients the time to send elsewhere: a request that is
-// just being sent must not meet a close.
+// DrainClients starts or ends a client drain. During a drain the server is not ready and each answer closes its
+// connection. Idle connections are closed after drainGrace; until then clients have time to go to another node, so that
+// no request is sent on a connection that is just being closed.
 func (s *Server) DrainClients(drain bool) {
 	if !s.conns.setDraining(drain) {
 		return
@@ -65,9 +66,9 @@
 	}()
 }
 
-// Close ends the server in the background and posts node.FrontendClosed when all answers are written, or after a
-// timeout. Idle connections are closed by connTable first: http.Server.Shutdown closes them outright, also those on which
-// a request has arrived that is not read yet.
+// Close shuts the server down in the background and posts node.FrontendClosed when all answers are written, or after a
+// timeout. connTable closes the idle connections first, because http.Server.Shutdown would also close those on which an
+// unread request has arrived.
 func (s *Server) Close() {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), s.closeTimeout)
@@ -78,11 +79,12 @@
 	}()
 }
 
-// Stop is called once the reducer has ended. What still comes, such as the first request of a new connection, is rejected,
-// which is safe as none of it was sent to an executor. It blocks until all connections are closed, or for a timeout.
+// Stop is called after the event loop has ended. Requests that still arrive, such as the first on a new connection, are
+// rejected, which is safe because none of them was sent to an executor. Stop blocks until all connections are closed, or
+// until a timeout.
 func (s *Server) Stop() {
-	s.conns.enterLameDuck() // first: each answer from here on closes its connection
-	close(s.stopped)
+	s.conns.enterLameDuck() // before nodeStopped is closed, so that each rejection closes its connection
+	close(s.nodeStopped)
 	s.conns.closeNewAndWait(defaultCloseTimeout)
 	s.http.Close()
 }
--- a/internal/frontend/waiting_client.go
+++ b/internal/frontend/waiting_client.go
@@ -6,16 +6,16 @@
 	"birchstair/internal/socket"
 )
 
-// waitingClient is a client that waits for the answer to its batch job. It implements node.Client.
+// waitingClient is a client that waits for the final answer to its batch job. It implements node.Client.
 type waitingClient struct {
 	conn         *clientConn
 	disconnected chan struct{} // closed when the client closes or half-closes its connection before the answer
 	finished     atomic.Bool   // the client has its answer or has left
 }
 
-// Gone implements node.Client: it returns whether the client has left, as the system knows it now. It is called right
-// before an attempt's first byte is written: the client's close may lie unread in the system, behind a reader that is late
-// or a process that stood still. The handler is notified as well, since no reader may come to see the close.
+// Gone implements node.Client: it reports whether the client has left, by the state of the socket in the kernel. It is
+// called right before an attempt's first byte is written. The client's close may be unread at that time, because the reader
+// is late or the process was suspended. Gone also notifies the handler, since the reader may never get to the close.
 func (w *waitingClient) Gone() bool {
 	if w.finished.Load() {
 		return true
@@ -27,7 +27,8 @@
 	return true
 }
 
-// beginWait returns the client of the batch job that has just been read. endWait is called once its answer is written.
+// beginWait returns the client of the batch job that has just been read. endWait must be called after its answer is
+// written.
 func (c *clientConn) beginWait() *waitingClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +38,7 @@
 	return w
 }
 
-// endWait stops reading ahead; what was read ahead is left for Read.
+// endWait stops reading ahead. Read will return the bytes that were read ahead.
 func (c *clientConn) endWait() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// clientLeft notes that a client has left, unless it has its answer.
+// clientLeft records that a client has left, unless it no longer waits for an answer.
 func (c *clientConn) clientLeft(w *waitingClient) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
