--- a/internal/frontend/conn_table_test.go
+++ b/internal/frontend/conn_table_test.go
@@ -6,26 +6,26 @@
 	"testing"
 )
 
-// TestRequestWhileEvicted has a batch job come on a connection that is just being evicted: another connection is evicted in its
-// place, and the batch job is not over the limit.
+// TestRequestWhileEvicted receives a batch job on a connection that is being evicted. Another connection must be evicted in its
+// place, and the batch job must not count as over the limit.
 func TestRequestWhileEvicted(t *testing.T) {
-	g := newConnTable(ConnLimits{Max: 8, MaxShared: 4})
-	var all []*clientConn
+	table := newConnTable(ConnLimits{Max: 8, MaxShared: 4})
+	var conns []*clientConn
 	for range 9 {
-		here, there := net.Pipe()
-		defer there.Close()
-		c := &clientConn{Conn: here}
-		all = append(all, c)
-		g.onStateChange(c, http.StateNew)
+		server, peer := net.Pipe()
+		defer peer.Close()
+		c := &clientConn{Conn: server}
+		conns = append(conns, c)
+		table.onStateChange(c, http.StateNew)
 	}
-	first := g.entries[all[0]]
-	if first.list != g.closingConns {
-		t.Fatal("over the budget, the first was not let go")
+	first := table.entries[conns[0]]
+	if first.list != table.closingConns {
+		t.Fatal("over the limit, the first connection is not being closed")
 	}
-	if g.jobReceived(all[0]) {
-		t.Error("its batch job is pushed back, though others rest")
+	if table.jobReceived(conns[0]) {
+		t.Error("its batch job is over the limit, although other connections can be evicted")
 	}
-	if first.list == g.closingConns || g.entries[all[1]].list != g.closingConns {
-		t.Error("the next one was not let go in its place")
+	if first.list == table.closingConns || table.entries[conns[1]].list != table.closingConns {
+		t.Error("the next connection is not evicted in its place")
 	}
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -16,8 +16,8 @@
 	"birchstair/policy"
 )
 
-// fakeNode stands in for the reducer: it prints the events that the server posts and answers batch jobs by the prefix of
-// their id. Those with the prefix "wait" get no answer.
+// fakeNode replaces the node behind a server. It answers each batch job by the prefix of its id, and not at all for the
+// prefix "wait", and prints the events that the server posts.
 type fakeNode struct {
 	t      *testing.T
 	server *Server
@@ -30,7 +30,7 @@
 	return newFakeNodeWithHalts(t, conns, &emulator.Halts{}, change...)
 }
 
-// newFakeNodeWithHalts returns one whose listener and connections can be stopped.
+// newFakeNodeWithHalts returns a fakeNode with halts on the calls of its listener and its connections.
 func newFakeNodeWithHalts(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *fakeNode {
 	c := &fakeNode{t: t, events: make(chan node.Event, 100)}
 	c.server = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
@@ -41,9 +41,9 @@
 				c.server.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected})
 			case name == "handled":
 				c.server.Answer(node.Answer{Job: ev.Job.ID, Result: []byte("the result")})
-			case name == "back":
+			case name == "rejected":
 				c.server.Answer(node.Answer{Job: ev.Job.ID, Final: node.Rejected, RetryAfter: 1500 * time.Millisecond})
-			case name == "off":
+			case name == "failed":
 				c.server.Answer(node.Answer{Job: ev.Job.ID, Final: node.Failed})
 			}
 		}
@@ -68,6 +68,7 @@
 	return c
 }
 
+// printEvent waits for the next event of the server and prints it.
 func (c *fakeNode) printEvent() {
 	c.t.Helper()
 	select {
@@ -75,35 +76,35 @@
 		switch ev := ev.(type) {
 		case node.JobArrived:
 			j := ev.Job
-			fmt.Fprintf(&c.out, "  arrived: %s track %d work %v budget %v, %s %s host %s type %q tag %q body %d bytes",
+			fmt.Fprintf(&c.out, "  arrived: %s class %d work %v budget %v, %s %s host %s type %q key %q body %d bytes",
 				j.ID, j.Class, j.Work, j.Budget, j.Method, j.URI, j.Host, j.ContentType, j.IdempotencyKey, len(j.Body))
 			if j.ClientRetry {
-				c.out.WriteString(", again")
+				c.out.WriteString(", client retry")
 			}
 			if j.NearConnectionLimit {
-				c.out.WriteString(", crowded")
+				c.out.WriteString(", near the connection limit")
 			}
 			c.out.WriteString("\n")
 		case node.JobDeclined:
-			fmt.Fprintf(&c.out, "  declined: track %d\n", ev.Class)
+			fmt.Fprintf(&c.out, "  declined: class %d\n", ev.Class)
 		case node.ClientLeft:
 			fmt.Fprintf(&c.out, "  left: %s\n", ev.Job)
 		default:
 			fmt.Fprintf(&c.out, "  %T\n", ev)
 		}
 	case <-time.After(20 * time.Second):
-		c.t.Fatalf("nothing more is told after:\n%s", c.out.String())
+		c.t.Fatalf("no event is posted after:\n%s", c.out.String())
 	}
 }
 
-// client is a connection to the server.
+// client is a client's connection to the server.
 type client struct {
 	net.Conn
 	in *bufio.Reader
 	t  *testing.T
 }
 
-// send writes text as it stands; the test fails where that cannot be done.
+// send writes text, which must succeed.
 func (c client) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.Conn, text); err != nil {
@@ -122,7 +123,7 @@
 	return client{conn, bufio.NewReader(conn), c.t}
 }
 
-// printAnswer reads an answer and prints it.
+// printAnswer reads an answer, or the end of the connection, and prints it.
 func (c *fakeNode) printAnswer(from client) {
 	c.t.Helper()
 	a, err := http.ReadResponse(from.in, nil)
@@ -133,7 +134,7 @@
 	body, _ := io.ReadAll(a.Body)
 	fmt.Fprintf(&c.out, "  answer: %d %q", a.StatusCode, strings.TrimSpace(string(body)))
 	if text := a.Header.Get("Retry-After"); text != "" {
-		c.out.WriteString(", come back in " + text)
+		c.out.WriteString(", retry after " + text)
 	}
 	if a.Close {
 		c.out.WriteString(", closing")
@@ -141,16 +142,17 @@
 	c.out.WriteString("\n")
 }
 
-func jobRequest(id string, more ...string) string {
+// jobRequest returns a request with a batch job of class run-verify and with further headers, without a body.
+func jobRequest(id string, headers ...string) string {
 	s := "POST /api/7f?q=%20 HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: " + id +
 		"\r\nX-Call-Class: run-verify\r\nX-Budget-Ms: 480\r\n"
-	for _, m := range more {
-		s += m + "\r\n"
+	for _, header := range headers {
+		s += header + "\r\n"
 	}
 	return s + "\r\n"
 }
 
-// TestRequests checks what becomes of valid, incomplete and invalid requests.
+// TestRequests checks the events and answers that follow valid, incomplete and invalid requests.
 func TestRequests(t *testing.T) {
 	c := newFakeNode(t, 100)
 	ask := func(title, text string, arrives bool) {
@@ -163,23 +165,23 @@
 		c.printAnswer(from)
 	}
 	ready := "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"
-	ask("not ready yet", ready, false)
+	ask("not ready", ready, false)
 	c.server.SetReady(true)
 	ask("ready", ready, false)
 	ask("readiness by POST", strings.Replace(ready, "GET", "POST", 1), false)
 	ask("a batch job", jobRequest("handled", "X-Call-Cost: 2500", "Idempotency-Key: k", "Content-Type: text/plain",
 		"X-Call-Info: slots=1", "Content-Length: 4")+"body", true)
-	ask("a repeat that its client marks", jobRequest("handled", "X-Again: 1"), true)
-	ask("a mark that is none", jobRequest("handled", "X-Again: 0"), true)
-	ask("marked twice", jobRequest("handled", "X-Again: 1", "X-Again: 1"), false)
+	ask("a client retry", jobRequest("handled", "X-Again: 1"), true)
+	ask("X-Again: 0 is not a client retry", jobRequest("handled", "X-Again: 0"), true)
+	ask("X-Again twice", jobRequest("handled", "X-Again: 1", "X-Again: 1"), false)
 	chunks := "0\r\n\r\n" + jobRequest("handled-hidden")
-	ask("a body in chunks, and nothing is read behind it", jobRequest("handled", "Transfer-Encoding: chunked")+"2;x=1\r\nbo\r\n2\r\ndy\r\n"+chunks, true)
-	ask("chunks of more than a body", jobRequest("handled", "Transfer-Encoding: chunked")+"10001\r\n"+strings.Repeat("x", 65537)+"\r\n0\r\n\r\n", false)
-	ask("chunks without sense", jobRequest("handled", "Transfer-Encoding: chunked")+"body\r\n", false)
+	ask("a chunked body, after which nothing is read", jobRequest("handled", "Transfer-Encoding: chunked")+"2;x=1\r\nbo\r\n2\r\ndy\r\n"+chunks, true)
+	ask("a chunked body over the limit", jobRequest("handled", "Transfer-Encoding: chunked")+"10001\r\n"+strings.Repeat("x", 65537)+"\r\n0\r\n\r\n", false)
+	ask("invalid chunks", jobRequest("handled", "Transfer-Encoding: chunked")+"body\r\n", false)
 	for _, odd := range []string{"content-length:4", "Content-Length: 4", "Content-Length:" + strings.Repeat(" ", 200) + "4", "Content-Length:\r\n 4"} {
-		ask(fmt.Sprintf("%.40q behind chunks", odd), jobRequest("handled", "Transfer-Encoding: chunked", odd)+chunks, false)
+		ask(fmt.Sprintf("chunked, followed by %.40q", odd), jobRequest("handled", "Transfer-Encoding: chunked", odd)+chunks, false)
 	}
-	c.out.WriteString("chunks behind other messages, in pieces\n")
+	c.out.WriteString("a chunked request after other requests, sent in pieces\n")
 	slow := c.dial()
 	for _, part := range []string{"OPTIONS * HTTP/1.1\r\nHost: n\r\n\r\n", jobRequest("handled-1", "Content-Length: 36") + "Content-Length: 4\r\n\r\nPOST / HTTP/1.1"} {
 		slow.send(part)
@@ -193,41 +195,41 @@
 	}
 	c.printEvent()
 	c.printAnswer(slow)
-	ask("a length and chunks", jobRequest("handled", "Content-Length: 4", "Transfer-Encoding: chunked")+chunks, false)
-	ask("the same to readiness", strings.Replace(ready, "Host", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\nHost", 1)+
+	ask("both Content-Length and chunked", jobRequest("handled", "Content-Length: 4", "Transfer-Encoding: chunked")+chunks, false)
+	ask("both, to the readiness endpoint", strings.Replace(ready, "Host", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\nHost", 1)+
 		chunks, false)
-	ask("the same by GET", strings.Replace(jobRequest("handled", "Content-Length: 4", "Transfer-Encoding: chunked"), "POST", "GET", 1)+
+	ask("both, by GET", strings.Replace(jobRequest("handled", "Content-Length: 4", "Transfer-Encoding: chunked"), "POST", "GET", 1)+
 		chunks, false)
-	ask("the same by HTTP/1.0", strings.Replace(jobRequest("handled", fmt.Sprint("Content-Length: ", len(chunks)),
+	ask("both, by HTTP/1.0", strings.Replace(jobRequest("handled", fmt.Sprint("Content-Length: ", len(chunks)),
 		"Transfer-Encoding: chunked"), "1.1", "1.0", 1)+chunks, false)
-	ask("two lengths", jobRequest("handled", "Content-Length: 4", "Content-Length: 5")+"bodyPOST", false)
-	ask("a budget beyond the outer limit", strings.Replace(jobRequest("handled"), "480", "2000000000", 1), true)
-	ask("pushed back", jobRequest("back"), true)
-	ask("broken off", jobRequest("off"), true)
+	ask("two Content-Lengths", jobRequest("handled", "Content-Length: 4", "Content-Length: 5")+"bodyPOST", false)
+	ask("a budget over the deadline of the class", strings.Replace(jobRequest("handled"), "480", "2000000000", 1), true)
+	ask("rejected", jobRequest("rejected"), true)
+	ask("failed", jobRequest("failed"), true)
 	ask("no id", jobRequest(""), false)
-	ask("a long id", jobRequest(strings.Repeat("x", 200)), false)
-	ask("an unknown track", strings.Replace(jobRequest("handled"), "run-verify", "render", 1), false)
+	ask("an id over the limit", jobRequest(strings.Repeat("x", 200)), false)
+	ask("an unknown class", strings.Replace(jobRequest("handled"), "run-verify", "render", 1), false)
 	ask("no budget", strings.Replace(jobRequest("handled"), "X-Budget-Ms: 480", "X-Other: 1", 1), false)
-	ask("a budget that is over", strings.Replace(jobRequest("handled"), "480", "0", 1), false)
-	ask("a budget without sense", strings.Replace(jobRequest("handled"), "480", "1e9", 1), false)
-	ask("a guess without sense", jobRequest("handled", "X-Call-Cost: NaN"), false)
-	ask("no tag where one is due", strings.Replace(jobRequest("handled"), "run-verify", "split-record", 1), false)
+	ask("a budget of zero", strings.Replace(jobRequest("handled"), "480", "0", 1), false)
+	ask("an invalid budget", strings.Replace(jobRequest("handled"), "480", "1e9", 1), false)
+	ask("an invalid cost", jobRequest("handled", "X-Call-Cost: NaN"), false)
+	ask("no idempotency key where the class requires one", strings.Replace(jobRequest("handled"), "run-verify", "split-record", 1), false)
 	ask("two ids", jobRequest("handled", "X-Call-Id: other"), false)
 	ask("no path", strings.Replace(jobRequest("handled"), "/api", "http://other/api", 1), false)
 	ask("by GET", strings.Replace(jobRequest("handled"), "POST", "GET", 1), false)
-	ask("the longest body", jobRequest("handled", "Content-Length: 65536")+strings.Repeat("x", 65536), true)
-	ask("a longer one", jobRequest("handled", "Content-Length: 65537")+strings.Repeat("x", 65537), false)
-	ask("a long head", jobRequest("handled", "X-Long: "+strings.Repeat("x", 30000)), false)
-	ask("no HTTP", "SSH-2.0-x\r\n\r\n", false)
+	ask("the longest valid body", jobRequest("handled", "Content-Length: 65536")+strings.Repeat("x", 65536), true)
+	ask("a body over the limit", jobRequest("handled", "Content-Length: 65537")+strings.Repeat("x", 65537), false)
+	ask("a header over the limit", jobRequest("handled", "X-Long: "+strings.Repeat("x", 30000)), false)
+	ask("not HTTP", "SSH-2.0-x\r\n\r\n", false)
 
-	c.out.WriteString("one connection, one after another\n")
+	c.out.WriteString("two requests on one connection, one after the other\n")
 	from := c.dial()
 	for range 2 {
 		from.send(jobRequest("handled-again"))
 		c.printEvent()
 		c.printAnswer(from)
 	}
-	c.out.WriteString("an id that is in hand, and a client that leaves\n")
+	c.out.WriteString("an id that is in flight, whose client then leaves\n")
 	first := c.dial()
 	first.send(jobRequest("wait"))
 	c.printEvent()
@@ -237,134 +239,133 @@
 	first.Close()
 	c.printEvent()
 	c.server.Answer(node.Answer{Job: "wait"})
-	c.out.WriteString("a client that ends its sending\n")
+	c.out.WriteString("a client that half-closes its connection\n")
 	first = c.dial()
 	first.send(jobRequest("wait"))
 	c.printEvent()
 	first.Conn.(*net.TCPConn).CloseWrite()
 	c.printEvent()
 	c.printAnswer(first)
-	c.out.WriteString("a body that is cut touches nothing else\n")
+	c.out.WriteString("an incomplete body\n")
 	first = c.dial()
 	first.send(jobRequest("handled", "Content-Length: 9") + "half")
 	first.Conn.(*net.TCPConn).CloseWrite()
 	c.printAnswer(first)
-	golden.Compare(t, "messages.txt", c.out.String())
+	golden.Compare(t, "requests.txt", c.out.String())
 }
 
-// TestTimeouts checks that an incomplete request ends by the read timeout, which touches neither a pending batch job nor an
-// idle connection.
+// TestTimeouts checks that the read timeout ends incomplete requests, and neither a pending batch job nor an idle connection.
 func TestTimeouts(t *testing.T) {
 	c := newFakeNode(t, 100, func(s *http.Server) { s.ReadTimeout, s.ReadHeaderTimeout = time.Second, time.Second })
-	resting, waiting := c.dial(), c.dial()
-	resting.send(jobRequest("handled-1"))
+	idle, pending := c.dial(), c.dial()
+	idle.send(jobRequest("handled-1"))
 	c.printEvent()
-	c.printAnswer(resting)
-	waiting.send(jobRequest("wait", "Content-Length: 4") + "body")
+	c.printAnswer(idle)
+	pending.send(jobRequest("wait", "Content-Length: 4") + "body")
 	c.printEvent()
-	texts := []string{"", "POST / HTTP/1.1\r\nX-Ca", jobRequest("handled-2", "Content-Length: 9") + "half",
+	incomplete := []string{"", "POST / HTTP/1.1\r\nX-Ca", jobRequest("handled-2", "Content-Length: 9") + "half",
 		jobRequest("", "Content-Length: 9") + "half"}
-	var stalls []client
-	for _, text := range texts {
+	var conns []client
+	for _, text := range incomplete {
 		from := c.dial()
 		from.send(text)
-		stalls = append(stalls, from)
+		conns = append(conns, from)
 	}
-	for i, from := range stalls {
-		fmt.Fprintf(&c.out, "%q\n", texts[i])
+	for i, from := range conns {
+		fmt.Fprintf(&c.out, "%q\n", incomplete[i])
 		c.printAnswer(from)
 	}
 	c.server.Answer(node.Answer{Job: "wait", Result: []byte("the result")})
-	c.printAnswer(waiting)
-	resting.send(jobRequest("handled-3"))
+	c.printAnswer(pending)
+	idle.send(jobRequest("handled-3"))
 	c.printEvent()
-	c.printAnswer(resting)
-	golden.Compare(t, "stalls.txt", c.out.String())
+	c.printAnswer(idle)
+	golden.Compare(t, "timeouts.txt", c.out.String())
 }
 
-// TestShutdown checks that idle connections are closed, pending batch jobs get their answers with Connection: close, and new
-// requests are still served.
+// TestShutdown checks that a shutdown closes idle connections, answers pending batch jobs with Connection: close, and still
+// serves new requests.
 func TestShutdown(t *testing.T) {
 	c := newFakeNode(t, 100)
-	resting, waiting := c.dial(), c.dial()
-	resting.send(jobRequest("handled-1"))
+	idle, pending := c.dial(), c.dial()
+	idle.send(jobRequest("handled-1"))
 	c.printEvent()
-	c.printAnswer(resting)
-	waiting.send(jobRequest("wait"))
+	c.printAnswer(idle)
+	pending.send(jobRequest("wait"))
 	c.printEvent()
-	c.out.WriteString("told to end\n")
+	c.out.WriteString("shutdown begins\n")
 	c.server.BeginLameDuck()
-	c.printAnswer(resting)
+	c.printAnswer(idle)
 	late := c.dial()
 	late.send(jobRequest("handled-2"))
 	c.printEvent()
 	c.printAnswer(late)
 	c.server.Answer(node.Answer{Job: "wait", Result: []byte("in time")})
-	c.printAnswer(waiting)
+	c.printAnswer(pending)
 	c.server.Close()
 	c.printEvent()
 	if _, err := net.Dial("tcp", c.addr); err == nil {
-		t.Error("connections are taken after the end")
+		t.Error("a connection is accepted after the shutdown")
 	}
-	golden.Compare(t, "ending.txt", c.out.String())
+	golden.Compare(t, "shutdown.txt", c.out.String())
 }
 
-func (g *connTable) opened() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.open
+func (t *connTable) openCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.open
 }
 
 // TestConnLimit checks that at the limit the connection that has been idle the longest is closed, that batch jobs are
 // rejected where none is idle, and that further connections wait to be accepted.
 func TestConnLimit(t *testing.T) {
 	c := newFakeNode(t, 2)
-	say := func(from client, id string) {
+	submit := func(from client, id string) {
 		from.send(jobRequest(id))
 		c.printEvent()
 	}
 	first, second := c.dial(), c.dial()
-	c.out.WriteString("two connections are the budget\n")
-	say(first, "handled-1")
+	c.out.WriteString("two connections, which is the limit\n")
+	submit(first, "handled-1")
 	c.printAnswer(first)
-	say(second, "wait-2")
-	c.out.WriteString("a third: the one that rests goes\n")
+	submit(second, "wait-2")
+	c.out.WriteString("a third connection: the idle one is evicted\n")
 	third := c.dial()
 	c.printAnswer(first)
-	for c.server.conns.opened() > 2 { // until the server has seen its end as well
+	for c.server.conns.openCount() > 2 { // until the server has noticed the close
 		time.Sleep(time.Millisecond)
 	}
-	say(third, "wait-3")
-	c.out.WriteString("a fourth: none rests\n")
+	submit(third, "wait-3")
+	c.out.WriteString("a fourth connection: none is idle\n")
 	fourth := c.dial()
-	say(fourth, "wait-4")
+	submit(fourth, "wait-4")
 	c.printAnswer(fourth)
-	golden.Compare(t, "edge.txt", c.out.String())
+	golden.Compare(t, "connection-limit.txt", c.out.String())
 }
 
-// TestNewConns checks that connections that send nothing, little or half a request cost no other client its connection,
-// however many they are.
+// TestNewConns checks that many connections that send nothing, one readiness request or half a request don't evict the
+// connections of other clients.
 func TestNewConns(t *testing.T) {
 	c := newFakeNode(t, 8)
-	say := func(from client, id string) {
+	submit := func(from client, id string) {
 		from.send(jobRequest(id))
 		c.printEvent()
 	}
-	usual, waits := c.dial(), c.dial()
-	say(usual, "handled-1")
-	c.printAnswer(usual)
-	say(waits, "wait")
+	used, pending := c.dial(), c.dial()
+	submit(used, "handled-1")
+	c.printAnswer(used)
+	submit(pending, "wait")
 	for i := range 40 {
 		c.dial().send([]string{"", "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n", "POST /half"}[i%3])
 	}
 	for range 2 {
-		say(usual, "handled-2")
-		c.printAnswer(usual)
+		submit(used, "handled-2")
+		c.printAnswer(used)
 	}
 	newcomer := c.dial()
-	say(newcomer, "handled-3")
+	submit(newcomer, "handled-3")
 	c.printAnswer(newcomer)
 	c.server.Answer(node.Answer{Job: "wait", Result: []byte("the result")})
-	c.printAnswer(waits)
-	golden.Compare(t, "strangers.txt", c.out.String())
+	c.printAnswer(pending)
+	golden.Compare(t, "new-connections.txt", c.out.String())
 }
