--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -12,13 +12,13 @@
 	"birchstair/policy"
 )
 
-// The protocol between the node and executors. Its headers and texts occur in this file alone.
+// This file has all headers and texts of the protocol between the node and executors.
 
 const loadReportHeader = "X-Load-Report"
 
-// encodeRequest returns the bytes of an attempt.
+// encodeRequest returns the HTTP request of an attempt.
 func encodeRequest(a node.Attempt) []byte {
-	const headersSize = 320 // about
+	const headersSize = 320 // estimate, to allocate only once
 	b := make([]byte, 0, headersSize+len(a.URI)+len(a.Body))
 	b = append(b, a.Method...)
 	b = append(b, ' ')
@@ -39,7 +39,7 @@
 	return append(b, a.Body...)
 }
 
-// appendHeader appends a header, unless it is empty.
+// appendHeader appends a header, unless its value is empty.
 func appendHeader(b []byte, name, value string) []byte {
 	if value == "" {
 		return b
@@ -50,22 +50,22 @@
 	return append(b, '\r', '\n')
 }
 
-// encodeProbe returns the bytes of a load probe.
-func encodeProbe(path, addr string) []byte {
+// encodeHealthCheck returns the HTTP request of a health check.
+func encodeHealthCheck(path, addr string) []byte {
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", path, addr)
 }
 
 // responseLine is a decoded line of a response.
 type responseLine struct {
-	progressed bool    // the attempt runs
-	progress   float64 // the part done, from 0 to 1
-	ended      bool
-	outcome    policy.Outcome // where it has ended
-	result     []byte         // where it has succeeded
+	progressed bool           // the line says that the attempt is running
+	progress   float64        // fraction of the work that is done
+	ended      bool           // the line ends the attempt
+	outcome    policy.Outcome // valid if ended
+	result     []byte         // the job's result if it has succeeded
 	load       node.Load
 }
 
-// finalStates are the states that end an attempt.
+// finalStates maps the states that end an attempt to its outcome.
 var finalStates = map[string]policy.Outcome{
 	"done":     policy.Succeeded,
 	"failed":   policy.ExecutorError,
@@ -73,10 +73,10 @@
 	"lost":     policy.ConnectionLost,
 }
 
-// decodeLine decodes a line of the response to an attempt of job. A state that is not known is neither progress nor an
-// end: another line ends the response.
+// decodeLine decodes a line of the response to an attempt of job. A line with an unknown state is neither progress nor the
+// end of the attempt; a later line ends it.
 func (p *Pool) decodeLine(text []byte, job policy.JobID) (line responseLine, err error) {
-	var wire struct { // keys are matched to these names without regard to case
+	var wire struct { // encoding/json matches keys to these names case-insensitively
 		ID     policy.JobID
 		State  string
 		Share  float64
@@ -107,7 +107,7 @@
 	return line, nil
 }
 
-// decodeResult returns the text of a result that is a string, and the JSON of any other.
+// decodeResult returns the text of a result that is a JSON string, and any other result as JSON.
 func decodeResult(result json.RawMessage) []byte {
 	var text string
 	if json.Unmarshal(result, &text) == nil {
@@ -116,8 +116,8 @@
 	return result
 }
 
-// outcomeOfStatus returns the outcome that a response other than 200 stands for, and a detail for the log. After one that
-// the protocol does not know the attempt may have run.
+// outcomeOfStatus returns the outcome for a response with a status other than 200, and a detail for the log. After a response
+// that the protocol does not define, the attempt may have run.
 func outcomeOfStatus(response *http.Response) (outcome policy.Outcome, detail string) {
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -133,16 +133,16 @@
 	return policy.ExecutorError, "unexpected response: " + response.Status
 }
 
-// maxLoadValue is more than any value of a load report can be.
+// maxLoadValue is an upper bound for valid values of a load report.
 const maxLoadValue = 1e6
 
-// loadField is a value of a load report, which has two names.
+// loadField identifies a value of a load report by its two names.
 type loadField struct {
-	setting string // in the settings
-	wire    string // in the protocol
+	setting string // name in the settings
+	wire    string // name in the protocol
 }
 
-// value returns the value, which may go by either name. ok: there is one that an executor can have.
+// value looks up the field by either of its names. ok reports that the value exists and is within its bounds.
 func (f loadField) value(values map[string]float64) (value float64, ok bool) {
 	value, ok = values[f.setting]
 	if !ok {
@@ -159,8 +159,8 @@
 	loadRunTime    = loadField{"latency_ms", "avg_ms"}
 )
 
-// loadFromValues returns the load that a report with a response tells. A report where a value is missing or out of bounds
-// counts as none.
+// loadFromValues returns the load in a report that came with a response. If a value is missing or out of bounds, the whole
+// report is ignored.
 func (p *Pool) loadFromValues(values map[string]float64) node.Load {
 	if !p.usesReports {
 		return node.Load{}
@@ -177,13 +177,13 @@
 	}
 }
 
-// loadFromHeader returns the load that the header of a response tells.
+// loadFromHeader returns the load in the load report header of a response.
 func (p *Pool) loadFromHeader(header string) node.Load {
 	return p.loadFromValues(parseLoadReport(header))
 }
 
-// parseLoadReport parses the value of a load report's header, such as "TEXT active=1, waiting=2". Pairs that are no
-// numbers are left out.
+// parseLoadReport parses the value of a load report header, such as "TEXT active=1, waiting=2". It leaves out values that are
+// not numbers.
 func parseLoadReport(header string) map[string]float64 {
 	text, ok := strings.CutPrefix(header, "TEXT ")
 	if !ok {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -17,35 +17,35 @@
 type executorConn struct {
 	id     node.ConnID
 	pool   *Pool
-	cancel context.CancelFunc // of the dial
+	cancel context.CancelFunc // cancels the dial
 
 	mu     sync.Mutex
-	conn   net.Conn // nil until it is open
-	closed bool     // by either side: no attempt starts on it any more
+	conn   net.Conn // nil until the connection is open
+	closed bool     // closed by either side; no attempt may start on it any more
 
-	// The attempt that it carries.
+	// The attempt that the connection carries.
 	job            policy.JobID     // empty while the connection is idle
-	notIdempotent  bool             // the job must not run again unless the attempt provably never ran
-	writeStarted   bool             // a byte of it may have been sent
-	writeDone      bool             // its last byte has been sent
-	written        chan writeResult // gets how its write ended, once
+	notIdempotent  bool             // the job may be retried only if this attempt certainly never ran
+	writeStarted   bool             // a byte of the attempt may have been sent
+	writeDone      bool             // the last byte of the attempt has been sent
+	writeEnded     chan writeResult // receives the result of the write once
 	writeStartedAt time.Time
 
-	idleSince time.Time // when the last response was complete; zero for a connection that is not used yet
+	idleSince time.Time // when the last response was complete; zero if the connection is unused
 }
 
-// writeResult is how the write of an attempt ended.
+// writeResult is the result of writing an attempt.
 type writeResult struct {
-	started  bool // a byte of it may have been sent
-	complete bool // so was its last one
+	started  bool // a byte may have been sent
+	complete bool // the last byte has been sent
 }
 
-// run opens the connection, reads responses until its end, and reports that.
+// run opens the connection, reads responses until the connection ends, and reports the end.
 func (c *executorConn) run(ctx context.Context, addr string) {
 	detail := ""
 	defer func() {
 		c.close()
-		c.pool.forget(c.id)
+		c.pool.remove(c.id)
 		c.pool.post(node.ConnClosed{Conn: c.id, Detail: detail})
 	}()
 	conn, err := c.pool.dial(ctx, c.id, addr)
@@ -63,25 +63,25 @@
 	c.pool.post(node.ConnReady{Conn: c.id})
 	limited := &io.LimitedReader{R: conn}
 	r := bufio.NewReaderSize(limited, 4<<10)
-	for c.exchange(r, limited) {
+	for c.handleResponse(r, limited) {
 		c.pool.post(node.ConnIdle{Conn: c.id})
 	}
 }
 
-// claim takes the connection for an attempt. It returns false where it is closed or taken.
+// claim reserves the connection for an attempt. It returns false if the connection is closed or in use.
 func (c *executorConn) claim(a node.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || c.conn == nil || c.job != "" {
 		return false
 	}
-	c.job, c.notIdempotent, c.written = a.ID, a.NotIdempotent, make(chan writeResult, 1)
+	c.job, c.notIdempotent, c.writeEnded = a.ID, a.NotIdempotent, make(chan writeResult, 1)
 	return true
 }
 
-// write sends the attempt that the connection was claimed for. The decision to send it may be old by now, after a dial or
-// while the process stood still, so both ends are checked right before the first byte: the executor may have closed the
-// connection, and the client may have left.
+// write sends the attempt that the connection is claimed for. Since the attempt was decided, the executor may have closed the
+// connection and the client may have left, in particular if the process was suspended meanwhile. Both are therefore checked
+// right before the first byte.
 func (c *executorConn) write(a node.Attempt) {
 	request := encodeRequest(a)
 	unusable := c.hasUnreadInput()
@@ -91,7 +91,7 @@
 	switch {
 	case c.closed:
 		c.mu.Unlock()
-		c.written <- writeResult{}
+		c.writeEnded <- writeResult{}
 		c.close()
 		return
 	case clientGone:
@@ -106,15 +106,15 @@
 	c.mu.Lock()
 	c.writeDone = err == nil
 	c.mu.Unlock()
-	c.written <- writeResult{started: n > 0, complete: err == nil}
+	c.writeEnded <- writeResult{started: n > 0, complete: err == nil}
 	if err != nil {
 		c.close()
 	}
 }
 
-// hasUnreadInput returns whether anything has arrived on an idle connection that its reader has not come to: the
-// executor's close, or a response that nothing asked for. An attempt that is written then may have run for all this node
-// would know, or be taken for answered by a response that is not its own.
+// hasUnreadInput reports whether a close or an unsolicited response of the executor has arrived on an idle connection and is
+// not read yet. If an attempt were written then, the node could not tell whether it ran, or would mistake the unsolicited
+// response for the attempt's. It returns false for a connection that has carried no attempt yet.
 func (c *executorConn) hasUnreadInput() bool {
 	c.mu.Lock()
 	used := !c.idleSince.IsZero()
@@ -126,7 +126,7 @@
 	return unread
 }
 
-// close closes the connection or gives up its dial. It may be called more than once.
+// close closes the connection or cancels its dial. It may be called more than once.
 func (c *executorConn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	maxHeadBytes = 16 << 10  // of a response, and of what may follow its outcome
-	maxLineBytes = 128 << 10 // of a response: a result as long as the longest body, escaped
+	maxHeaderBytes = 16 << 10  // limit for the header of a response, and for the bytes that follow its outcome
+	maxLineBytes   = 128 << 10 // limit for a line of a response: a result as long as the longest body, escaped as JSON
 
-	// trailingTimeout bounds how long what follows the outcome may take to come.
+	// trailingTimeout bounds how long the rest of a response may take after the line with the outcome.
 	trailingTimeout = time.Second
 
-	// staleWindow is how long after a response a second one to the same attempt may come. The protocol's description
-	// says some milliseconds.
+	// staleWindow is how long after a response a second response to the same attempt may arrive. By the protocol's
+	// description that takes some milliseconds.
 	staleWindow = 20 * time.Millisecond
 )
 
-// exchange waits for a response, reads it and posts its outcome. It returns whether the connection can carry another
-// attempt. limited is what r reads from; it bounds the head.
-func (c *executorConn) exchange(r *bufio.Reader, limited *io.LimitedReader) bool {
-	limited.N = maxHeadBytes
+// handleResponse waits for a response, reads it and posts its outcome. It reports whether the connection can carry another
+// attempt. r reads from limited, which bounds the size of the response's header.
+func (c *executorConn) handleResponse(r *bufio.Reader, limited *io.LimitedReader) bool {
+	limited.N = maxHeaderBytes
 	_, err := r.Peek(1)
 	c.mu.Lock()
 	job := c.job
@@ -58,11 +58,11 @@
 	return err == nil && rest != nil && c.finishResponse(rest)
 }
 
-// fail closes the connection and sets the outcome of the attempt on it. It returns false where no byte of the attempt was
-// sent: node.ConnClosed tells that it never started.
+// fail closes the connection and sets the outcome of its attempt. It returns false if no byte of the attempt was sent; then
+// node.ConnClosed alone reports that the attempt never started.
 func (c *executorConn) fail(err error, ended *node.AttemptEnded) (sent bool) {
-	c.close() // ends the write, if it has not ended yet
-	written := <-c.written
+	c.close() // ends the write if it is still in progress
+	written := <-c.writeEnded
 	if !written.started {
 		return false
 	}
@@ -73,8 +73,8 @@
 	return true
 }
 
-// readOutcome reads a response up to its outcome. It returns what is left of the response, or nil where nothing can
-// follow it on the connection. An error means that the connection broke or the response is not valid.
+// readOutcome reads a response up to its outcome. It returns a reader for the rest of the response, or nil if the executor
+// closes the connection after it. An error means that the connection broke or that the response is invalid.
 func (c *executorConn) readOutcome(r *bufio.Reader, limited *io.LimitedReader, job policy.JobID, ended *node.AttemptEnded) (io.Reader, error) {
 	response, err := http.ReadResponse(r, nil)
 	for err == nil && response.StatusCode < http.StatusOK {
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("malformed response head: %w", err)
 	}
-	limited.N = math.MaxInt64 // the body is bounded line by line
+	limited.N = math.MaxInt64 // readLines bounds the lines of the body
 	ended.Load = c.pool.loadFromHeader(response.Header.Get(loadReportHeader))
 	if response.StatusCode == http.StatusOK {
 		err = c.readLines(response.Body, job, ended)
@@ -96,7 +96,7 @@
 	return response.Body, nil
 }
 
-// readLines reads lines up to the one that ends the attempt, and posts progress.
+// readLines reads lines up to the one that ends the attempt, and posts the progress that they report.
 func (c *executorConn) readLines(body io.Reader, job policy.JobID, ended *node.AttemptEnded) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 1<<10), maxLineBytes)
@@ -124,22 +124,23 @@
 	return errors.New("incomplete response")
 }
 
-// mayBeStale returns whether a rejection could be a second response to the attempt before this one; a head, unlike a
-// line, names no job. Taken for this attempt's, it would let an at-most-once job run twice.
+// mayBeStale reports whether a rejection could be a second response to the connection's previous attempt: a rejection by
+// status does not name its job, as a line does. If it were taken for the response to this attempt, an at-most-once job
+// could run twice.
 func (c *executorConn) mayBeStale() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.notIdempotent && !c.idleSince.IsZero() && (!c.writeDone || c.writeStartedAt.Sub(c.idleSince) < staleWindow)
 }
 
-// confirmRejection waits whether another response follows. If so, the rejection was not this attempt's, and the error
-// says that it may have run.
+// confirmRejection waits for staleWindow whether another response follows. If one does, the rejection may not be the response
+// to this attempt, and the error means that the attempt may have run.
 func (c *executorConn) confirmRejection(r *bufio.Reader, rest io.Reader) error {
 	if rest == nil {
 		return errors.New("response may belong to the previous attempt, and the connection ends")
 	}
 	c.conn.SetReadDeadline(time.Now().Add(staleWindow))
-	_, err := io.Copy(io.Discard, io.LimitReader(rest, maxHeadBytes))
+	_, err := io.Copy(io.Discard, io.LimitReader(rest, maxHeaderBytes))
 	if err == nil {
 		_, err = r.Peek(1)
 	}
@@ -147,21 +148,21 @@
 	c.mu.Lock()
 	writeDone := c.writeDone
 	c.mu.Unlock()
-	// A deadline also ends a read that would find something.
+	// A read can time out although bytes have arrived, so the socket is checked as well.
 	if unread, _ := socket.Pending(c.conn); writeDone && !unread && errors.Is(err, os.ErrDeadlineExceeded) {
 		return nil
 	}
-	return fmt.Errorf("response may belong to the previous attempt: %v", err) //nolint:errorlint // nil where another answer follows
+	return fmt.Errorf("response may belong to the previous attempt: %v", err) //nolint:errorlint // err is nil if another response follows
 }
 
-// finishResponse reads what follows the outcome and makes the connection idle. It returns false where that does not come
-// to its end, or the attempt was not written to its end.
+// finishResponse reads the rest of a response and makes the connection idle. It returns false if the rest is incomplete or too
+// long, or if the attempt was not written completely.
 func (c *executorConn) finishResponse(rest io.Reader) bool {
 	c.conn.SetDeadline(time.Now().Add(trailingTimeout))
-	if n, err := io.Copy(io.Discard, io.LimitReader(rest, maxHeadBytes)); err != nil || n == maxHeadBytes {
+	if n, err := io.Copy(io.Discard, io.LimitReader(rest, maxHeaderBytes)); err != nil || n == maxHeaderBytes {
 		return false
 	}
-	if written := <-c.written; !written.complete {
+	if written := <-c.writeEnded; !written.complete {
 		return false
 	}
 	c.conn.SetDeadline(time.Time{})
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -11,30 +11,31 @@
 	"birchstair/policy"
 )
 
-// unknownLoad stands for a value of a load that the executor did not tell.
+// unknownLoad stands for a load value that the executor has not reported.
 const unknownLoad = -1
 
-// HealthCheckConfig is how executors are probed for their load: by GET on a path of theirs, which they answer by 200 with a load
-// report in a header. Probes are off where there is no path.
+// HealthCheckConfig says how executors are asked whether they respond, and for their load: by a GET request to Path, which they
+// answer with status 200 and a load report in a header. Health checks are off if Path is empty.
 type HealthCheckConfig struct {
 	Path    string
-	Timeout time.Duration   // for dial, request and response together
-	Fields  map[string]bool // the values that reports have, by the settings' names; others are ignored
+	Timeout time.Duration   // limit for dial, request and response together
+	Fields  map[string]bool // values to use from load reports, by their names in the settings
 }
 
-// Probe probes an executor in the background, on a connection of its own, and posts node.ProbeEnded.
+// Probe sends a health check to an executor in the background, on a connection of its own, and posts node.ProbeEnded.
 func (p *Pool) Probe(id policy.ExecutorID, addr string) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), p.probe.Timeout)
+		ctx, cancel := context.WithTimeout(context.Background(), p.healthCheck.Timeout)
 		defer cancel()
-		load, answered := p.probeLoad(ctx, addr)
+		load, answered := p.requestLoad(ctx, addr)
 		p.post(node.ProbeEnded{Executor: id, Answered: answered, Load: load})
 	}()
 }
 
-// probeLoad makes one probe. Any response shows that the executor is there, whatever its status: a wrong path in the
-// configuration must not make all executors appear dead. Without a valid report the load is unknown.
-func (p *Pool) probeLoad(ctx context.Context, addr string) (load policy.Load, answered bool) {
+// requestLoad sends a health check and waits for the response. answered is true after a response of any status, so that a
+// wrong path in the configuration doesn't make all executors appear unresponsive. Values that are not in a valid load report
+// are unknownLoad.
+func (p *Pool) requestLoad(ctx context.Context, addr string) (load policy.Load, answered bool) {
 	load = policy.Load{InFlight: unknownLoad, Queued: unknownLoad, FreeSlots: unknownLoad, FreeMemory: unknownLoad, RunTime: unknownLoad}
 	conn, err := p.dial(ctx, 0, addr)
 	if err != nil {
@@ -43,10 +44,10 @@
 	defer conn.Close()
 	deadline, _ := ctx.Deadline()
 	conn.SetDeadline(deadline)
-	if _, err := conn.Write(encodeProbe(p.probe.Path, addr)); err != nil {
+	if _, err := conn.Write(encodeHealthCheck(p.healthCheck.Path, addr)); err != nil {
 		return load, false
 	}
-	response, err := http.ReadResponse(bufio.NewReader(io.LimitReader(conn, maxHeadBytes)), nil)
+	response, err := http.ReadResponse(bufio.NewReader(io.LimitReader(conn, maxHeaderBytes)), nil)
 	if err != nil {
 		return load, false
 	}
@@ -54,18 +55,18 @@
 	if response.StatusCode == http.StatusOK {
 		values = parseLoadReport(response.Header.Get(loadReportHeader))
 	}
-	load.InFlight = p.probe.value(loadInFlight, values)
-	load.Queued = p.probe.value(loadQueued, values)
-	load.FreeSlots = p.probe.value(loadFreeSlots, values)
-	load.FreeMemory = p.probe.value(loadFreeMemory, values)
-	if ms := p.probe.value(loadRunTime, values); ms != unknownLoad {
+	load.InFlight = p.healthCheck.reportedValue(loadInFlight, values)
+	load.Queued = p.healthCheck.reportedValue(loadQueued, values)
+	load.FreeSlots = p.healthCheck.reportedValue(loadFreeSlots, values)
+	load.FreeMemory = p.healthCheck.reportedValue(loadFreeMemory, values)
+	if ms := p.healthCheck.reportedValue(loadRunTime, values); ms != unknownLoad {
 		load.RunTime = time.Duration(ms * float64(time.Millisecond))
 	}
 	return load, true
 }
 
-// value returns a value of a report, or unknownLoad.
-func (c *HealthCheckConfig) value(field loadField, values map[string]float64) float64 {
+// reportedValue returns the value of a field of a load report, or unknownLoad if it is missing or not to be used.
+func (c *HealthCheckConfig) reportedValue(field loadField, values map[string]float64) float64 {
 	value, ok := field.value(values)
 	if !ok || !c.Fields[field.setting] {
 		return unknownLoad
--- a/internal/upstream/health_check_test.go
+++ b/internal/upstream/health_check_test.go
@@ -39,7 +39,7 @@
 		{"nothing at that path", emptyResponse("404 Not Found\r\nX-Load-Report: TEXT x0=9")},
 		{"no room for probes", emptyResponse("503 Service Unavailable")},
 		{"no HTTP at all", "SSH-2.0-x\r\n\r\n"},
-		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", maxHeadBytes/8)},
+		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", maxHeaderBytes/8)},
 		{"half a head", "HTTP/1.1 200 O"},
 		{"closed without a word", ""},
 	} {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,9 @@
-// Package upstream speaks to executors: it opens connections, writes attempts on them and decodes the responses.
+// Package upstream communicates with executors: it opens connections, sends attempts on them and decodes the responses.
 //
-// The reducer decides which connection is opened, used and closed; Pool (pool.go) carries that out. Each connection
-// (conn.go) is owned by the goroutine that reads it, which also reports its end; an attempt is written by a goroutine of
-// its own beside it. The reading of a response is in exchange.go, load probes in health_check.go, and the protocol's text in
-// codec.go alone.
+// The node's state machine decides which connections are opened, used and closed, and Pool (pool.go) carries that out. Each
+// connection (conn.go) has a goroutine that reads responses (exchange.go) and reports the connection's end. Each attempt is
+// written by another goroutine. Health checks (health_check.go) use connections of their own. All headers and texts of the
+// protocol are in codec.go.
 package upstream
 
 import (
@@ -15,24 +15,24 @@
 	"birchstair/internal/node"
 )
 
-// Pool holds the connections to executors by the ids that the reducer gives them. It implements node.Upstream: its
-// methods return at once, and what follows is posted as events.
+// Pool holds the connections to executors by the ids that the state machine gives them. It implements node.Upstream: its
+// methods return at once, and results are posted as events.
 type Pool struct {
 	post        func(node.Event)
 	dial        Dialer
-	usesReports bool // load reports in responses have what the policy uses
-	probe       HealthCheckConfig
+	usesReports bool // load reports in responses are decoded
+	healthCheck HealthCheckConfig
 
 	mu    sync.Mutex
 	conns map[node.ConnID]*executorConn
 }
 
-// Dialer opens the connection that the pool knows as id; id is 0 for the connection of a load probe. It returns when the
-// context ends at the latest.
+// Dialer opens a connection to an executor. id is the connection's id in the pool, or 0 for the connection of a health
+// check. A Dialer returns at the latest when the context ends.
 type Dialer func(ctx context.Context, id node.ConnID, addr string) (net.Conn, error)
 
-// TCP returns a Dialer for TCP with this timeout. TCP keep-alives are off: they would notice nothing here that an
-// attempt's own timeout does not.
+// TCP returns a Dialer for TCP with this timeout. TCP keep-alives are off because an attempt's own timeout notices a broken
+// connection as well.
 func TCP(timeout time.Duration) Dialer {
 	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
@@ -40,13 +40,14 @@
 	}
 }
 
-// New returns an empty pool. usesReports: responses are searched for load reports. post may block while the reducer's queue is full.
-func New(dial Dialer, usesReports bool, probe HealthCheckConfig, post func(node.Event)) *Pool {
-	return &Pool{post: post, dial: dial, usesReports: usesReports, probe: probe, conns: map[node.ConnID]*executorConn{}}
+// New returns an empty pool. usesReports says whether load reports in responses are decoded. post may block while the event
+// queue is full.
+func New(dial Dialer, usesReports bool, healthCheck HealthCheckConfig, post func(node.Event)) *Pool {
+	return &Pool{post: post, dial: dial, usesReports: usesReports, healthCheck: healthCheck, conns: map[node.ConnID]*executorConn{}}
 }
 
-// Dial opens a connection in the background. It posts node.ConnReady where the connection is open, and node.ConnClosed as
-// its last event.
+// Dial opens a connection in the background. It posts node.ConnReady when the connection is open, and node.ConnClosed as
+// the connection's last event.
 func (p *Pool) Dial(id node.ConnID, addr string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &executorConn{id: id, pool: p, cancel: cancel}
@@ -56,16 +57,16 @@
 	go c.run(ctx, addr)
 }
 
-// Write sends an attempt in the background. It does nothing where the connection is closed, which node.ConnClosed has
-// told or will tell. Otherwise it posts node.AttemptEnded or, where no byte was sent, node.AttemptNotSent or
-// node.ConnClosed.
+// Write sends an attempt in the background. One of these events follows: node.AttemptEnded if a byte may have been sent,
+// node.AttemptNotSent if the client has left, or node.ConnClosed if the connection closed before a byte was sent. It does
+// nothing if the connection is closed already, which node.ConnClosed has reported or will report.
 func (p *Pool) Write(id node.ConnID, a node.Attempt) {
 	if c := p.conn(id); c != nil && c.claim(a) {
 		go c.write(a)
 	}
 }
 
-// Close closes a connection. An attempt on it ends as its writing and reading then end.
+// Close closes a connection. If an attempt is in flight on it, that attempt ends as on a broken connection.
 func (p *Pool) Close(id node.ConnID) {
 	if c := p.conn(id); c != nil {
 		c.close()
@@ -78,7 +79,7 @@
 	return p.conns[id]
 }
 
-func (p *Pool) forget(id node.ConnID) {
+func (p *Pool) remove(id node.ConnID) {
 	p.mu.Lock()
 	delete(p.conns, id)
 	p.mu.Unlock()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -203,7 +203,7 @@
 		{"a line about another batch job", []string{okResponse(`{"id":"j9","state":"done","result":"r"}`)}},
 		{"done without a result", []string{okResponse(`{"id":"j1","state":"done"}`)}},
 		{"a line without end", []string{"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxLineBytes+1)}},
-		{"a head without end", []string{"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", maxHeadBytes/8)}},
+		{"a head without end", []string{"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", maxHeaderBytes/8)}},
 		{"no HTTP at all", []string{"SSH-2.0-x\r\n\r\n"}},
 		{"closed while it rests", []string{okResponse(done)}},
 		{"something that nothing asked for", []string{okResponse(done), "unasked"}},
--- a/internal/upstream/write_races_test.go
+++ b/internal/upstream/write_races_test.go
@@ -196,7 +196,7 @@
 	u.respond(emptyResponse(stray))
 	u.end()
 	l.write(atMostOnce("j2"))
-	if how := <-l.written; how.started {
+	if how := <-l.writeEnded; how.started {
 		t.Error("a byte of it left all the same")
 	}
 	golden.Compare(t, "answer-before.txt", u.out.String())
