--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -17,7 +17,7 @@
 	"birchstair/policy"
 )
 
-// TestRequestBytes pins what an executor is sent, byte for byte.
+// TestRequestBytes pins the requests to an executor byte for byte.
 func TestRequestBytes(t *testing.T) {
 	var out strings.Builder
 	for _, c := range []struct {
@@ -35,12 +35,12 @@
 	} {
 		fmt.Fprintf(&out, "%s: %q\n", c.name, encodeRequest(c.attempt))
 	}
-	fmt.Fprintf(&out, "load probe: %q\n", probeBytes(t))
+	fmt.Fprintf(&out, "load probe: %q\n", healthCheckBytes(t))
 	golden.Compare(t, "request.txt", out.String())
 }
 
-// probeBytes returns what an executor reads of a load probe.
-func probeBytes(t *testing.T) string {
+// healthCheckBytes returns the bytes that an executor reads of a health check.
+func healthCheckBytes(t *testing.T) string {
 	t.Helper()
 	var read []byte
 	ended := make(chan node.Event, 1)
@@ -62,11 +62,11 @@
 		return here, nil
 	}, true, HealthCheckConfig{Path: "/load?now", Timeout: 20 * time.Second}, func(ev node.Event) { ended <- ev })
 	pool.Probe("executor-1", "10.0.0.1:80")
-	<-ended // comes after the executor's close, and so after its last read
+	<-ended // posted after the executor's close, and so after its last read
 	return string(read)
 }
 
-// TestDecode pins what the lines of an answer, the heads of an answer without lines, and load reports decode to.
+// TestDecode pins the decoding of response lines, of responses without lines, and of load reports.
 func TestDecode(t *testing.T) {
 	var out strings.Builder
 	for _, reports := range []bool{true, false} {
@@ -102,9 +102,9 @@
 			}
 			out.WriteString("\n")
 		}
-		for _, head := range []string{"TEXT active=1,waiting=2,x0=3", "TEXT inflight=1, queue=2, x0=3.5, more=4", "TEXT active=1", "TEXT active=a,waiting=2,x0=3",
+		for _, header := range []string{"TEXT active=1,waiting=2,x0=3", "TEXT inflight=1, queue=2, x0=3.5, more=4", "TEXT active=1", "TEXT active=a,waiting=2,x0=3",
 			"TEXT active=NaN,waiting=2,x0=3", "active=1,waiting=2,x0=3", ""} {
-			fmt.Fprintf(&out, "X-Load-Report: %s\n%s%s\n", head, golden.Arrow, printLoad(p.loadFromHeader(head)))
+			fmt.Fprintf(&out, "X-Load-Report: %s\n%s%s\n", header, golden.Arrow, printLoad(p.loadFromHeader(header)))
 		}
 	}
 	for code := 200; code < 600; code++ {
@@ -119,7 +119,7 @@
 			}
 			outcome, detail := outcomeOfStatus(a)
 			if rejected != "" && outcome != policy.ExecutorFull {
-				continue // as without the head
+				continue // the header changes nothing
 			}
 			fmt.Fprintf(&out, "%s, X-Rejected %q: %s, %q\n", a.Status, rejected, outcomes[outcome], detail)
 		}
@@ -134,13 +134,13 @@
 	return fmt.Sprintf("load %v in flight, %v queued, %v free slots, %v free memory, run time %v", l.InFlight, l.Queued, l.FreeSlots, l.FreeMemory, l.RunTime)
 }
 
-// TestProbeReplies pins what the reply to a load probe decodes to.
-func TestProbeReplies(t *testing.T) {
+// TestHealthCheckReplies pins the decoding of replies to a health check.
+func TestHealthCheckReplies(t *testing.T) {
 	var out strings.Builder
 	all := map[string]bool{"inflight": true, "queue": true, "x0": true, "x1": true, "latency_ms": true}
 	for _, c := range []struct {
 		name, reply string
-		told        map[string]bool
+		fields      map[string]bool
 	}{
 		{"all values", "200 OK\r\nX-Load-Report: TEXT active=1,waiting=2,x0=3,x1=4,avg_ms=5.5", all},
 		{"by the settings' names", "200 OK\r\nX-Load-Report: TEXT inflight=1,queue=2,x0=3,x1=4,latency_ms=5.5", all},
@@ -167,7 +167,7 @@
 				}
 			}()
 			return here, nil
-		}, true, HealthCheckConfig{Path: "/load", Timeout: 20 * time.Second, Fields: c.told}, func(ev node.Event) { ended <- ev })
+		}, true, HealthCheckConfig{Path: "/load", Timeout: 20 * time.Second, Fields: c.fields}, func(ev node.Event) { ended <- ev })
 		pool.Probe("executor-1", "10.0.0.1:80")
 		ev := (<-ended).(node.ProbeEnded)
 		fmt.Fprintf(&out, "%s: executor %s, answered %t, %s\n", c.name, ev.Executor, ev.Answered, printLoad(node.Load{Load: ev.Load, Known: true}))
@@ -175,7 +175,7 @@
 	golden.Compare(t, "probe_replies.txt", out.String())
 }
 
-// TestDecodedStates holds the states that end an attempt to those that decode knows.
+// TestDecodedStates checks which states end an attempt.
 func TestDecodedStates(t *testing.T) {
 	var states []string
 	for state := range finalStates {
--- a/internal/upstream/write_races_test.go
+++ b/internal/upstream/write_races_test.go
@@ -14,8 +14,8 @@
 	"birchstair/internal/node"
 )
 
-// usedConn is an idle connection that has carried one attempt; its calls can be stopped.
-type usedConn struct {
+// haltableConn is the only connection of a pool, with halts on its calls, and the executor's end of it.
+type haltableConn struct {
 	printer
 	t        *testing.T
 	halts    emulator.Halts
@@ -25,24 +25,25 @@
 }
 
 const (
-	handled = `{"id":"j1","state":"done","result":"r"}`
-	stray   = "503 Service Unavailable\r\nX-Rejected: 1"
+	doneLine     = `{"id":"j1","state":"done","result":"r"}`
+	rejectedHead = "503 Service Unavailable\r\nX-Rejected: 1"
 )
 
-// use makes one. What it is to do when the connection rests is done before its reader goes on.
-func use(t *testing.T, title string, atRest func(*usedConn)) *usedConn {
-	u := dialled(t, title, atRest)
+// newUsedConn returns an idle connection that has carried one attempt. It calls onIdle, if not nil, when the connection becomes
+// idle, before its reader goes on.
+func newUsedConn(t *testing.T, title string, onIdle func(*haltableConn)) *haltableConn {
+	u := newConn(t, title, onIdle)
 	u.pool.Write(1, attempt("j1"))
 	u.readAttempt()
-	u.respond(okResponse(handled))
-	u.next(t)
-	u.next(t)
+	u.respond(okResponse(doneLine))
+	u.printNext(t)
+	u.printNext(t)
 	return u
 }
 
-// dialled makes one that has just come up and carried nothing yet.
-func dialled(t *testing.T, title string, atRest func(*usedConn)) *usedConn {
-	u := &usedConn{t: t, printer: printer{events: make(chan node.Event, 100), details: true}}
+// newConn returns an open connection that has carried no attempt yet. It uses onIdle as newUsedConn does.
+func newConn(t *testing.T, title string, onIdle func(*haltableConn)) *haltableConn {
+	u := &haltableConn{t: t, printer: printer{events: make(chan node.Event, 100), details: true}}
 	u.out.WriteString(title + "\n")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,9 +58,9 @@
 		}
 		return u.halts.Conn(c), nil
 	}, false, HealthCheckConfig{}, func(ev node.Event) {
-		if _, rests := ev.(node.ConnIdle); rests && atRest != nil {
-			atRest(u)
-			atRest = nil
+		if _, idle := ev.(node.ConnIdle); idle && onIdle != nil {
+			onIdle(u)
+			onIdle = nil
 		}
 		u.events <- ev
 	})
@@ -69,196 +70,200 @@
 	}
 	t.Cleanup(func() { u.executor.Close() })
 	u.in = bufio.NewReader(u.executor)
-	u.next(t)
+	u.printNext(t)
 	return u
 }
 
-// readAttempt reads an attempt.
-func (u *usedConn) readAttempt() *http.Request {
+// readAttempt reads an attempt at the executor's end.
+func (u *haltableConn) readAttempt() *http.Request {
 	u.t.Helper()
 	u.executor.SetReadDeadline(time.Now().Add(20 * time.Second))
 	m, err := http.ReadRequest(u.in)
 	if err != nil {
-		u.t.Fatalf("no allocation came after:\n%s", u.out.String())
+		u.t.Fatalf("no attempt arrives after:\n%s", u.out.String())
 	}
 	if _, err := io.Copy(io.Discard, m.Body); err != nil {
-		u.t.Fatalf("the body of an allocation: %v", err)
+		u.t.Fatalf("reading the body of an attempt: %v", err)
 	}
 	return m
 }
 
-func (u *usedConn) respond(text string) {
+// respond writes a response at the executor's end.
+func (u *haltableConn) respond(text string) {
 	u.t.Helper()
 	if _, err := io.WriteString(u.executor, text); err != nil {
-		u.t.Errorf("the executor's answer: %v", err)
+		u.t.Errorf("writing a response: %v", err)
 	}
 }
 
-func (u *usedConn) awaitStop(s *emulator.Stop) {
+// awaitStop waits until a call has reached a stop.
+func (u *haltableConn) awaitStop(s *emulator.Stop) {
 	u.t.Helper()
 	select {
 	case <-s.Reached:
 	case <-time.After(20 * time.Second):
-		u.t.Fatalf("a call never came where it was to stop, after:\n%s", u.out.String())
+		u.t.Fatalf("no call reaches the stop after:\n%s", u.out.String())
 	}
 }
 
-// end prints events up to the end of the connection.
-func (u *usedConn) end() {
+// printUntilClosed prints events up to the end of the connection.
+func (u *haltableConn) printUntilClosed() {
 	u.t.Helper()
 	for {
-		if _, over := u.next(u.t).(node.ConnClosed); over {
+		if _, closed := u.printNext(u.t).(node.ConnClosed); closed {
 			return
 		}
 	}
 }
 
+// atMostOnce returns an attempt of an at-most-once job.
 func atMostOnce(id string) node.Attempt {
 	a := attempt(id)
 	a.NotIdempotent = true
 	return a
 }
 
-// TestIdleConnDisturbed has the executor close, reset or write on an idle connection, unread, when the next attempt is to be
-// written: no byte of it is sent.
+// TestIdleConnDisturbed has the executor close or reset an idle connection or write on it, which is still unread when the next
+// attempt is to be written. No byte of the attempt may be sent.
 func TestIdleConnDisturbed(t *testing.T) {
 	text := ""
 	for _, c := range []struct {
 		title string
-		do    func(*usedConn)
+		do    func(*haltableConn)
 	}{
-		{"the executor closes", func(u *usedConn) { u.executor.Close() }},
-		{"the executor resets", func(u *usedConn) {
+		{"the executor closes", func(u *haltableConn) { u.executor.Close() }},
+		{"the executor resets", func(u *haltableConn) {
 			u.executor.(*net.TCPConn).SetLinger(0)
 			u.executor.Close()
 		}},
-		{"a second answer", func(u *usedConn) { u.respond(emptyResponse(stray)) }},
+		{"a second response", func(u *haltableConn) { u.respond(emptyResponse(rejectedHead)) }},
 	} {
 		var stop *emulator.Stop
-		u := use(t, c.title, func(u *usedConn) { stop = u.halts.On(1, emulator.BeforeRead, 0) })
+		u := newUsedConn(t, c.title, func(u *haltableConn) { stop = u.halts.On(1, emulator.BeforeRead, 0) })
 		u.awaitStop(stop)
 		c.do(u)
-		wrote := u.halts.On(1, emulator.BeforeClose, 0) // the writer gives up by closing
+		closes := u.halts.On(1, emulator.BeforeClose, 0) // the writer closes the connection instead of writing
 		u.pool.Write(1, atMostOnce("j2"))
-		u.awaitStop(wrote)
-		wrote.Go()
+		u.awaitStop(closes)
+		closes.Go()
 		stop.Go()
-		u.end()
+		u.printUntilClosed()
 		text += u.out.String()
 	}
-	golden.Compare(t, "rest-disturbed.txt", text)
+	golden.Compare(t, "idle-conn-disturbed.txt", text)
 }
 
-// TestStaleResponse has a second response to the previous attempt arrive when the next one is about to be written, or has just
-// been: for an at-most-once job it proves nothing. Where nothing follows it, it is that attempt's own.
+// TestStaleResponse has a rejection arrive while the next attempt is being written. If another response follows, the rejection
+// may be a second response to the previous attempt, and the attempt of an at-most-once job counts as possibly run. If none
+// follows, it counts as rejected.
 func TestStaleResponse(t *testing.T) {
 	text := ""
 	for _, c := range []struct {
 		title  string
 		follow bool
-	}{{"the allocation's own answer follows", true}, {"nothing follows", false}} {
-		u := use(t, c.title, nil)
+	}{{"another response follows", true}, {"no response follows", false}} {
+		u := newUsedConn(t, c.title, nil)
 		writes := u.halts.On(1, emulator.BeforeWrite, 0)
 		u.pool.Write(1, atMostOnce("j2"))
 		u.awaitStop(writes)
 		reads := u.halts.On(1, emulator.BeforeRead, 0)
-		u.respond(emptyResponse(stray))
+		u.respond(emptyResponse(rejectedHead))
 		u.awaitStop(reads) // the response has been read, and the reader waits for more
 		writes.Go()
 		u.readAttempt()
 		if c.follow {
 			u.respond(okResponse(`{"id":"j2","state":"started"}`))
 		}
-		for l, sent := u.pool.conn(1), false; !sent; time.Sleep(time.Millisecond) {
-			l.mu.Lock()
-			sent = l.writeDone
-			l.mu.Unlock()
+		for conn, sent := u.pool.conn(1), false; !sent; time.Sleep(time.Millisecond) {
+			conn.mu.Lock()
+			sent = conn.writeDone
+			conn.mu.Unlock()
 		}
 		reads.Go()
-		if u.next(t); c.follow {
-			u.end()
+		if u.printNext(t); c.follow {
+			u.printUntilClosed()
 		} else {
-			u.next(t)
+			u.printNext(t)
 		}
 		text += u.out.String()
 	}
-	golden.Compare(t, "stray-answer.txt", text)
+	golden.Compare(t, "stale-response.txt", text)
 }
 
-// TestResponseBeforeAttempt has a response come on a connection that is claimed for an attempt of which no byte is written: it
-// answers nothing.
+// TestResponseBeforeAttempt has a response arrive on a connection that is claimed for an attempt, before the first byte of that is
+// written. The response must not count as the attempt's, and no byte may be sent.
 func TestResponseBeforeAttempt(t *testing.T) {
-	u := use(t, "taken, and not begun", nil)
-	l := u.pool.conn(1)
-	if !l.claim(atMostOnce("j2")) {
-		t.Fatal("it does not rest")
+	u := newUsedConn(t, "claimed, and not written", nil)
+	conn := u.pool.conn(1)
+	if !conn.claim(atMostOnce("j2")) {
+		t.Fatal("the connection can't be claimed")
 	}
-	u.respond(emptyResponse(stray))
-	u.end()
-	l.write(atMostOnce("j2"))
-	if how := <-l.writeEnded; how.started {
-		t.Error("a byte of it left all the same")
+	u.respond(emptyResponse(rejectedHead))
+	u.printUntilClosed()
+	conn.write(atMostOnce("j2"))
+	if result := <-conn.writeEnded; result.started {
+		t.Error("a byte of the attempt was sent")
 	}
-	golden.Compare(t, "answer-before.txt", u.out.String())
+	golden.Compare(t, "response-before-attempt.txt", u.out.String())
 }
 
-// caller is a client that has gone or not when it is checked, after what the test does at that moment.
-type caller struct {
-	gone bool
-	look func()
+// fakeClient is a client that has left or not. It calls onCheck, if not nil, when it is asked for that.
+type fakeClient struct {
+	gone    bool
+	onCheck func()
 }
 
-func (c caller) Gone() bool {
-	if c.look != nil {
-		c.look()
+func (c fakeClient) Gone() bool {
+	if c.onCheck != nil {
+		c.onCheck()
 	}
 	return c.gone
 }
 
-// TestClientGoneAtWrite has a client be gone at the check before its attempt's first byte, on a new connection and on an idle
-// one: no byte is sent, and the same connection carries the next attempt, unless the executor has closed it meanwhile.
+// TestClientGoneAtWrite has the client gone at the check before its attempt's first byte, on a new connection and on an idle one.
+// No byte may be sent, and the connection must carry the next attempt, unless the executor has closed it meanwhile.
 func TestClientGoneAtWrite(t *testing.T) {
-	left := func(id string, look func()) node.Attempt {
+	goneAttempt := func(id string, onCheck func()) node.Attempt {
 		a := atMostOnce(id)
-		a.Client = caller{true, look}
+		a.Client = fakeClient{true, onCheck}
 		return a
 	}
-	u := use(t, "at rest", nil)
-	u.pool.Write(1, left("j2", nil))
-	u.next(t)
+	u := newUsedConn(t, "idle connection", nil)
+	u.pool.Write(1, goneAttempt("j2", nil))
+	u.printNext(t)
 	stays := attempt("j3")
-	stays.Client = caller{}
+	stays.Client = fakeClient{}
 	u.pool.Write(1, stays)
 	if m := u.readAttempt(); m.Header.Get("X-Call-Id") != "j3" {
-		t.Errorf("%s went out", m.Header.Get("X-Call-Id"))
+		t.Errorf("attempt of %s was sent, want j3", m.Header.Get("X-Call-Id"))
 	}
 	u.respond(okResponse(`{"id":"j3","state":"done","result":"r"}`))
-	u.next(t)
-	u.next(t)
+	u.printNext(t)
+	u.printNext(t)
 	text := u.out.String()
 
 	u.out.Reset()
-	u.out.WriteString("at rest, and the executor closes it under the look\n")
-	looks, goOn := make(chan struct{}), make(chan struct{})
-	u.pool.Write(1, left("j4", func() {
-		close(looks)
-		<-goOn
+	u.out.WriteString("idle connection, which the executor closes during the check\n")
+	checking, proceed := make(chan struct{}), make(chan struct{})
+	u.pool.Write(1, goneAttempt("j4", func() {
+		close(checking)
+		<-proceed
 	}))
-	<-looks
+	<-checking
 	stop := u.halts.On(1, emulator.BeforeClose, 0)
 	u.executor.Close()
 	u.awaitStop(stop)
 	stop.Go()
-	close(goOn)
-	u.end()
+	close(proceed)
+	u.printUntilClosed()
 	text += u.out.String()
 
-	u = dialled(t, "just come up", nil)
-	u.pool.Write(1, left("j1", nil))
-	u.next(t)
+	u = newConn(t, "new connection", nil)
+	u.pool.Write(1, goneAttempt("j1", nil))
+	u.printNext(t)
 	u.pool.Write(1, stays)
 	if m := u.readAttempt(); m.Header.Get("X-Call-Id") != "j3" {
-		t.Errorf("%s went out", m.Header.Get("X-Call-Id"))
+		t.Errorf("attempt of %s was sent, want j3", m.Header.Get("X-Call-Id"))
 	}
 	golden.Compare(t, "client-gone.txt", text+u.out.String())
 }
