--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -11,12 +11,12 @@
 	"birchstair/policy"
 )
 
-// maxReplyBytes is more than any reply takes.
+// maxReplyBytes is the limit for a reply. Every reply of a node is shorter.
 const maxReplyBytes = 1 << 20
 
-// Call sends a command to the node at addr and returns the lines of its reply: none for commands that only succeed or
-// fail. executor is for the commands that name one. timeout bounds the dial, and then the exchange. An error says that
-// the node refused, with its reason, or that it could not be reached.
+// Call sends a command to the node at addr and returns the lines of its reply; commands that only succeed or fail return
+// none. executor is used by the commands that name an executor. timeout applies to the dial, and again to the rest of the
+// call. The error says that the node refused the command, and for which reason, or that the call failed.
 func Call(addr string, command node.AdminCommand, executor policy.ExecutorID, timeout time.Duration) ([]string, error) {
 	line := commandNames[command]
 	if takesExecutor(command) {
@@ -27,12 +27,12 @@
 	}
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
-		return nil, fmt.Errorf("nobody answers at %s: %w", addr, err)
+		return nil, fmt.Errorf("cannot reach the node at %s: %w", addr, err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
-		return nil, fmt.Errorf("nobody answers at %s: %w", addr, err)
+		return nil, fmt.Errorf("cannot reach the node at %s: %w", addr, err)
 	}
 	var lines []string
 	scanner := bufio.NewScanner(io.LimitReader(conn, maxReplyBytes))
@@ -40,7 +40,7 @@
 		lines = append(lines, scanner.Text())
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, fmt.Errorf("no whole answer from %s: %w", addr, err)
+		return nil, fmt.Errorf("incomplete reply from %s: %w", addr, err)
 	}
 	return decodeReply(command, lines)
 }
--- a/internal/admin/codec.go
+++ b/internal/admin/codec.go
@@ -12,18 +12,19 @@
 	"birchstair/policy"
 )
 
-// The protocol between operators and the node. Its text occurs in this file alone. A reply is a line, "ok" or "fail" and
-// a reason, or lines and an end mark.
+// This file has all text of the protocol between operators and the node. A command is one line. A reply is "ok", or "fail"
+// and a reason, or any number of lines followed by an end marker.
 
 const (
-	maxLineBytes = 256 // of a command
-	maxIDBytes   = 128 // of an executor's id
+	maxLineBytes = 256 // limit for the line with a command
+	maxIDBytes   = 128 // limit for an executor's id
 
 	replyOK   = "ok"
 	replyFail = "fail"
-	replyEnd  = "eof" // behind lines, so that a reply that was cut off is seen
+	replyEnd  = "eof" // end marker, by which the caller notices a reply that was cut off
 )
 
+// commandNames are the names of commands in the protocol.
 var commandNames = []string{
 	node.CheckReady:      "check",
 	node.ReadMetrics:     "vars",
@@ -34,22 +35,22 @@
 	node.ReadFleet:       "fleet",
 }
 
-// CommandByName returns the command of this name, or -1 where there is none.
+// CommandByName returns the command of this name, or -1 if there is none.
 func CommandByName(name string) node.AdminCommand {
 	return node.AdminCommand(slices.Index(commandNames, name))
 }
 
-// takesExecutor returns whether a command names an executor.
+// takesExecutor reports whether a command names an executor.
 func takesExecutor(command node.AdminCommand) bool {
 	return command == node.ExcludeExecutor || command == node.ReadmitExecutor
 }
 
-// repliesLines returns whether the reply to a command is lines.
+// repliesLines reports whether the reply to a command consists of lines and an end marker.
 func repliesLines(command node.AdminCommand) bool {
 	return command == node.ReadMetrics || command == node.ReadFleet
 }
 
-// decode decodes a command. Its error is the reason that the caller gets.
+// decode decodes a command. The text of its error is sent to the caller as the reason of the failure.
 func decode(line string) (command node.AdminCommand, executor policy.ExecutorID, err error) {
 	if !utf8.ValidString(line) {
 		return 0, "", errors.New("the line is no text")
@@ -110,8 +111,8 @@
 	return append(b, replyEnd+"\n"...)
 }
 
-// decodeReply decodes the lines of a reply to a command. Its error says what the node refused, or what is wrong with the
-// reply.
+// decodeReply decodes the lines of a reply to a command, without the end marker. Its error says why the node refused the
+// command, or what is wrong with the reply.
 func decodeReply(command node.AdminCommand, lines []string) ([]string, error) {
 	if len(lines) == 0 {
 		return nil, errors.New("the node closed without an answer: it has too many callers, or ends")
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,7 +1,8 @@
-// Package admin is the operators' interface to a node: a connection carries one command, a line of text, and its reply.
+// Package admin implements the operators' interface to a node. Each connection carries one command, which is a line of text,
+// and its reply.
 //
-// Server (server.go) passes commands to the reducer as events and writes the replies that come back as effects. Call
-// (client.go) is the other side, which the program's ops command uses. The protocol's text is in codec.go alone.
+// Server (server.go) posts commands as events to the node's state machine, and writes the replies that come back as effects.
+// Call (client.go) is the client side, which the program's ops command uses. All text of the protocol is in codec.go.
 package admin
 
 import (
@@ -17,45 +18,45 @@
 )
 
 const (
-	readTimeout      = 5 * time.Second       // for a command to come whole
-	replyTimeout     = time.Second           // for the reducer's reply
+	readTimeout      = 5 * time.Second       // for a complete command to arrive
+	replyTimeout     = time.Second           // for the state machine to reply
 	writeTimeout     = time.Second           // for the reply to be written
-	acceptRetryDelay = 20 * time.Millisecond // after an accept that failed
+	acceptRetryDelay = 20 * time.Millisecond // before the next accept after one that failed
 )
 
-// Server serves operators' commands. It has room for a number of callers; beyond that, the one goes whose connection is
-// the oldest among those without a complete command, so that callers that connect and send nothing keep no one out.
-// Its methods may be called from any goroutine.
+// Server serves operators' commands, from a limited number of callers at a time. When another caller connects at the limit,
+// the oldest connection without a complete command is evicted, so that callers that connect and send nothing don't keep
+// others out. The methods may be called from any goroutine.
 type Server struct {
 	post       func(node.Event)
 	maxCallers int
 
 	mu         sync.Mutex
-	changed    *sync.Cond // callers or closed has changed
+	changed    *sync.Cond // signaled when callers or closed has changed
 	lastID     node.AdminCallID
 	callers    map[node.AdminCallID]*caller
-	incomplete *list.List // of *caller: those without a complete command, the oldest first
+	incomplete *list.List // of *caller: callers without a complete command, oldest first
 	closed     bool
 	listener   net.Listener // nil before Serve
 }
 
-// caller is a connection. The goroutine of serve owns it and closes it.
+// caller is a caller's connection. The goroutine that runs serve owns the connection and closes it.
 type caller struct {
 	conn    net.Conn
-	element *list.Element // in incomplete, or nil
+	element *list.Element // the caller's element of Server.incomplete, or nil if it is not in that list
 	reply   chan node.AdminReply
 }
 
-// New returns a server for this many callers at a time. post must not queue behind batch jobs; it may block
-// while its own queue is full.
+// New returns a server for at most maxCallers callers at a time. post must not queue commands behind batch jobs; it may
+// block while its own queue is full.
 func New(maxCallers int, post func(node.Event)) *Server {
 	s := &Server{post: post, maxCallers: maxCallers, callers: map[node.AdminCallID]*caller{}, incomplete: list.New()}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-// Serve accepts callers from l until the server is closed. It blocks. Errors of accept other than the listener's close
-// are passed over after a moment: no descriptor may be left, or the caller has gone.
+// Serve accepts callers from l until the server is closed. It blocks. After any other error of an accept it tries again with
+// a delay, since such errors are temporary: the process has no descriptor left, or the caller has left.
 func (s *Server) Serve(l net.Listener) {
 	s.mu.Lock()
 	s.listener = l
@@ -90,7 +91,7 @@
 	s.changed.Broadcast()
 }
 
-// Reply implements node.Admin: it passes a reply to its caller, if that still waits.
+// Reply implements node.Admin: it passes a reply to its caller, if the caller still waits for one.
 func (s *Server) Reply(r node.AdminReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,14 +103,14 @@
 	}
 }
 
-// admit waits until there is room for a caller and serves it in a goroutine of its own.
+// admit waits until the number of callers is below the limit, and then serves the new caller in a goroutine of its own.
 func (s *Server) admit(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.callers) >= s.maxCallers && !s.closed {
 		if oldest := s.incomplete.Front(); oldest != nil {
 			c := oldest.Value.(*caller)
-			c.conn.Close() // its goroutine ends by that and makes room
+			c.conn.Close() // ends the goroutine that serves c, which then removes c
 			s.removeIncomplete(c)
 		}
 		s.changed.Wait()
@@ -125,7 +126,7 @@
 	go s.serve(s.lastID, c)
 }
 
-// removeIncomplete takes a caller off the list of those without a complete command. It is called with the lock held.
+// removeIncomplete removes a caller from the list of those without a complete command. It is called with the lock held.
 func (s *Server) removeIncomplete(c *caller) {
 	if c.element != nil {
 		s.incomplete.Remove(c.element)
@@ -135,7 +136,7 @@
 
 // serve reads a caller's command, writes the reply and closes the connection.
 func (s *Server) serve(id node.AdminCallID, c *caller) {
-	defer s.release(id, c)
+	defer s.removeCaller(id, c)
 	c.conn.SetReadDeadline(time.Now().Add(readTimeout))
 	line, err := bufio.NewReader(io.LimitReader(c.conn, maxLineBytes)).ReadString('\n')
 	s.mu.Lock()
@@ -154,8 +155,8 @@
 	c.conn.Write(reply) //nolint:errcheck // a caller that has left needs no reply
 }
 
-// release closes a caller's connection and makes room for another.
-func (s *Server) release(id node.AdminCallID, c *caller) {
+// removeCaller closes a caller's connection and removes the caller, so that another one can be admitted.
+func (s *Server) removeCaller(id node.AdminCallID, c *caller) {
 	c.conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +165,7 @@
 	s.changed.Signal()
 }
 
-// execute passes a command to the reducer and returns its reply.
+// execute posts a command to the state machine, waits for the reply and returns it encoded.
 func (s *Server) execute(id node.AdminCallID, c *caller, line string) []byte {
 	command, executor, err := decode(line)
 	if err != nil {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service assembles a node: the reducer with its policy, and the packages that carry its effects out on the
-// listeners and dialers that it is given.
+// Package service assembles and runs a node: the state machine with its policy, and the packages that carry out its effects
+// over the network.
 package service
 
 import (
@@ -23,39 +23,39 @@
 	"birchstair/policy"
 )
 
-// Options are the parts and settings that a node is made of.
+// Options are the settings of a node, and the parts that differ between a real and a simulated node.
 type Options struct {
 	Settings        config.Settings
 	Limits          node.Limits
 	ClientLimits    frontend.ConnLimits
-	CachedEndpoints discovery.CachedList // the endpoint list as this node last had it
+	CachedEndpoints discovery.CachedList // the endpoint list that was last cached for this node
 	DiscoveryAddr   string
-	StartTime       time.Time // from which the reducer's clock counts
+	StartTime       time.Time // time at which the event loop's clock is zero
 
 	Policy        node.Policy
-	Listener      net.Listener // for clients
-	AdminListener net.Listener // for operators; nil for none
+	Listener      net.Listener // listener for clients
+	AdminListener net.Listener // listener for operators; nil for none
 	DialExecutor  upstream.Dialer
 	DialDiscovery discovery.Dialer
 	Log           zerolog.Logger
-	Observer      node.Observer // sees each step of the reducer; nil for none
+	Observer      node.Observer // called after each step of the state machine; nil for none
 
-	HandoffDir  string          // where a successor process finds this one; empty for no hot restarts
-	Predecessor net.Conn        // the link to the process that this one takes over from; nil for none
-	LimitMemory func(half bool) // halves what this process may use of the node's memory, or restores it
+	HandoffDir  string          // directory in which a successor process finds this one; empty for no hot restarts
+	Predecessor net.Conn        // connection to the process that this one takes over from; nil for none
+	LimitMemory func(half bool) // halves the memory limit of this process, or restores it
 
-	Cluster *Cluster         // nil for a node that gossips with no others
-	Durable *durable.Manager // nil without durable batch jobs; Run closes it
+	Cluster *Cluster         // nil for a node without gossip
+	Durable *durable.Manager // nil for a node without durable batch jobs; Run closes it
 }
 
-// Cluster is what a node needs to gossip with others.
+// Cluster holds the settings of a node that gossips with other nodes.
 type Cluster struct {
 	cluster.Settings
 	gossip.Options
 }
 
-// JobClasses returns the policy's job classes with their names. The policy has a second class for each job class of the
-// settings where durable batch jobs are on.
+// JobClasses returns the policy's job classes with their names. If durable batch jobs are on, the policy has two classes for
+// each job class of the settings: one for its ordinary and one for its durable batch jobs.
 func JobClasses(s config.Settings) (classes []node.JobClass) {
 	for i, class := range s.Policy.JobClasses {
 		name := ""
@@ -69,8 +69,9 @@
 	return classes
 }
 
-// Run runs a node. It returns when the context has ended and all batch jobs are answered, or when the client listener
-// fails. events are further events for the reducer; their channel may be closed only after Run has returned, if at all.
+// Run runs a node. It returns when the context has ended and all batch jobs are answered, or when the client listener fails.
+// Run also processes the events from the given channel, which may be nil. The channel need not be closed, and must not be
+// closed before Run has returned.
 func Run(ctx context.Context, o Options, events <-chan node.Event) error {
 	n := newInstance(o)
 	defer n.stop()
@@ -80,9 +81,9 @@
 	failed := n.serveClients()
 	n.watchEndpoints()
 	n.shutDownAfter(ctx)
-	n.forward(events)
+	n.forwardEvents(events)
 	n.serveOperators()
-	n.loop.Run(n.core, n.edges, n.Log)
+	n.loop.Run(n.stateMachine, n.edges, n.Log)
 	n.frontend.Stop()
 	var err error
 	if n.Durable != nil {
@@ -96,25 +97,25 @@
 	}
 }
 
-// instance is a node that runs.
+// instance is a running node.
 type instance struct {
 	Options
-	loop      *node.Loop
-	core      *node.Node
-	frontend  *frontend.Server
-	upstream  *upstream.Pool
-	discovery *discovery.Watcher
-	admin     *admin.Server
-	edges     node.Edges
-	stops     []func() // called in reverse order at the end
+	loop         *node.Loop
+	stateMachine *node.Node
+	frontend     *frontend.Server
+	upstream     *upstream.Pool
+	discovery    *discovery.Watcher
+	admin        *admin.Server
+	edges        node.Edges
+	stops        []func() // called in reverse order when the node ends
 }
 
-// newInstance creates the parts that every node has.
+// newInstance creates a node with the parts that every node has.
 func newInstance(o Options) *instance {
 	n := &instance{Options: o, loop: node.NewLoop(o.StartTime)}
 	n.loop.Observe = o.Observer
-	n.core = node.New(o.Policy, o.Limits, JobClasses(o.Settings))
-	ownClasses := n.core.JobClasses()[:len(o.Settings.JobClassNames)] // without those of durable batch jobs
+	n.stateMachine = node.New(o.Policy, o.Limits, JobClasses(o.Settings))
+	ownClasses := n.stateMachine.JobClasses()[:len(o.Settings.JobClassNames)] // without the classes of durable batch jobs
 	n.frontend = frontend.New(ownClasses, o.ClientLimits, n.loop.Post)
 	n.upstream = upstream.New(o.DialExecutor, o.Settings.ReportsLoad(), upstream.HealthCheckConfig{
 		Path:    o.Settings.Probe.Path,
@@ -132,6 +133,7 @@
 	return n
 }
 
+// newWatcher returns the watcher of the endpoint list.
 func newWatcher(o Options, post func(node.Event)) *discovery.Watcher {
 	timing := discovery.NewTiming(o.Settings.DrainGrace, !o.Settings.Policy.EndpointsPolled)
 	timing.Seed = uint64(o.Settings.Policy.Seed)<<32 | uint64(uint32(o.Settings.Policy.Node))
@@ -141,14 +143,15 @@
 	return watcher
 }
 
+// stop releases what the parts of the node hold.
 func (n *instance) stop() {
 	for i := len(n.stops) - 1; i >= 0; i-- {
 		n.stops[i]()
 	}
 }
 
-// startHandoff lets a successor process take over from this one, and this one from its predecessor. Until then the
-// predecessor accepts the clients' connections.
+// startHandoff starts the handoff with the predecessor, if there is one, and lets a successor process connect later. Until
+// the predecessor has handed over, it accepts the clients' connections.
 func (n *instance) startHandoff() {
 	if n.HandoffDir == "" {
 		return
@@ -165,14 +168,14 @@
 	if n.Cluster == nil {
 		return
 	}
-	n.core.JoinFleet(n.Cluster.Settings)
-	members := gossip.New(n.Cluster.Options, n.loop.Post, n.Log)
-	n.edges.Gossip = members
+	n.stateMachine.JoinFleet(n.Cluster.Settings)
+	gossiper := gossip.New(n.Cluster.Options, n.loop.Post, n.Log)
+	n.edges.Gossip = gossiper
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		members.Run(ctx)
+		gossiper.Run(ctx)
 	}()
 	n.stops = append(n.stops, func() {
 		cancel()
@@ -180,7 +183,8 @@
 	})
 }
 
-// startDurable puts durable batch jobs between the reducer and its clients and executors.
+// startDurable inserts the manager of durable batch jobs between the state machine and the frontend and upstream, and lets it
+// observe the state machine.
 func (n *instance) startDurable() {
 	if n.Durable == nil {
 		return
@@ -195,8 +199,7 @@
 	}
 }
 
-// serveClients serves clients in the background. The channel gets the error by which that fails, if it does; the node
-// ends then.
+// serveClients serves clients in the background. If that fails, it sends the error to the returned channel and ends the node.
 func (n *instance) serveClients() <-chan error {
 	failed := make(chan error, 1)
 	go func() {
@@ -208,7 +211,7 @@
 	return failed
 }
 
-// watchEndpoints gives the reducer the cached endpoint list and then follows discovery.
+// watchEndpoints posts the cached endpoint list to the state machine and then watches discovery, in the background.
 func (n *instance) watchEndpoints() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stops = append(n.stops, cancel)
@@ -218,7 +221,7 @@
 	}()
 }
 
-// shutDownAfter shuts the node down gracefully when the context ends.
+// shutDownAfter starts a graceful shutdown of the node when the context ends.
 func (n *instance) shutDownAfter(ctx context.Context) {
 	go func() {
 		<-ctx.Done()
@@ -227,8 +230,8 @@
 	}()
 }
 
-// forward posts events from outside the node.
-func (n *instance) forward(events <-chan node.Event) {
+// forwardEvents posts the events that arrive on the channel that Run was given.
+func (n *instance) forwardEvents(events <-chan node.Event) {
 	go func() {
 		for ev := range events {
 			n.loop.Post(ev)
