--- a/internal/admin/codec.go
+++ b/internal/admin/codec.go
@@ -32,7 +32,7 @@
 	node.ReadmitExecutor: "set-up",
 	node.DrainOn:         "drain-on",
 	node.DrainOff:        "drain-off",
-	node.ReadFleet:       "fleet",
+	node.ReadCluster:     "fleet",
 }
 
 // CommandByName returns the command of this name, or -1 if there is none.
@@ -47,7 +47,7 @@
 
 // repliesLines reports whether the reply to a command consists of lines and an end marker.
 func repliesLines(command node.AdminCommand) bool {
-	return command == node.ReadMetrics || command == node.ReadFleet
+	return command == node.ReadMetrics || command == node.ReadCluster
 }
 
 // decode decodes a command. The text of its error is sent to the caller as the reason of the failure.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -168,7 +168,7 @@
 	if n.Cluster == nil {
 		return
 	}
-	n.stateMachine.JoinFleet(n.Cluster.Settings)
+	n.stateMachine.JoinCluster(n.Cluster.Settings)
 	gossiper := gossip.New(n.Cluster.Options, n.loop.Post, n.Log)
 	n.edges.Gossip = gossiper
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -22,13 +22,13 @@
 	Fields  map[string]bool // values to use from load reports, by their names in the settings
 }
 
-// Probe sends a health check to an executor in the background, on a connection of its own, and posts node.ProbeEnded.
-func (p *Pool) Probe(id policy.ExecutorID, addr string) {
+// CheckHealth sends a health check to an executor in the background, on a connection of its own, and posts node.HealthCheckEnded.
+func (p *Pool) CheckHealth(id policy.ExecutorID, addr string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), p.healthCheck.Timeout)
 		defer cancel()
 		load, answered := p.requestLoad(ctx, addr)
-		p.post(node.ProbeEnded{Executor: id, Answered: answered, Load: load})
+		p.post(node.HealthCheckEnded{Executor: id, Answered: answered, Load: load})
 	}()
 }
 
--- a/internal/upstream/health_check_test.go
+++ b/internal/upstream/health_check_test.go
@@ -18,10 +18,10 @@
 	check := func(name, addr string, timeout time.Duration) {
 		events := make(chan node.Event, 1)
 		pool := New(TCP(timeout), false, HealthCheckConfig{Path: "/load", Timeout: timeout, Fields: fields}, func(ev node.Event) { events <- ev })
-		pool.Probe("e1", addr)
+		pool.CheckHealth("e1", addr)
 		select {
 		case ev := <-events:
-			p := ev.(node.ProbeEnded)
+			p := ev.(node.HealthCheckEnded)
 			fmt.Fprintf(&out, "%s: executor %s, answered %t, in flight %v, queued %v, free slots %v, free memory %v, run time %v\n", name, p.Executor, p.Answered,
 				p.Load.InFlight, p.Load.Queued, p.Load.FreeSlots, p.Load.FreeMemory, p.Load.RunTime)
 		case <-time.After(20 * time.Second):
