--- a/internal/admin/codec_test.go
+++ b/internal/admin/codec_test.go
@@ -10,7 +10,7 @@
 	"birchstair/policy"
 )
 
-// TestCodec pins the text of each command and of each kind of reply, and what the client side makes of them.
+// TestCodec pins the text of each command and of each kind of reply, and how the client decodes replies.
 func TestCodec(t *testing.T) {
 	var out strings.Builder
 	for _, call := range []string{"check", "vars", "set-down executor-1", "set-up executor-1", "drain-on", "drain-off", "fleet",
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -14,18 +14,18 @@
 	"birchstair/internal/synctesting"
 )
 
-// TestServer runs a server with room for two callers on connections in memory. Its reducer accepts commands, refuses one
-// executor, and never answers one command.
+// TestServer runs a server for two callers on in-memory connections. The test replaces the state machine: it accepts commands,
+// refuses them for the executor "nobody", and never replies to them for the executor "never".
 func TestServer(t *testing.T) {
 	var out strings.Builder
 	synctesting.Test(t, func(t *testing.T) {
 		net := memnet.New(1, func(string, string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
-		on, err := net.Listen("n0", "door")
+		listener, err := net.Listen("n0", "door")
 		if err != nil {
 			t.Fatal(err)
 		}
-		var d *Server
-		d = New(2, func(ev node.Event) {
+		var server *Server
+		server = New(2, func(ev node.Event) {
 			c := ev.(node.AdminCalled)
 			r := node.AdminReply{Caller: c.Caller}
 			switch {
@@ -37,11 +37,11 @@
 			case c.Executor == "never":
 				return
 			}
-			d.Reply(r)
+			server.Reply(r)
 		})
 		ended := make(chan error)
 		go func() {
-			d.Serve(on)
+			server.Serve(listener)
 			close(ended)
 		}()
 		callers := 0
@@ -73,14 +73,14 @@
 		half := call("che")
 		half.CloseWrite()
 		read("half a line", half)
-		silent := []*memnet.Conn{call(), call("drain"), call()}
+		idle := []*memnet.Conn{call(), call("drain"), call()}
 		read("behind three who say nothing", call("check\n"))
-		for i, c := range silent {
+		for i, c := range idle {
 			read(fmt.Sprint("silent ", i), c)
 		}
-		last := call()
-		d.Close()
-		read("at the end", last)
+		pending := call()
+		server.Close()
+		read("at the end", pending)
 		fmt.Fprintln(&out, "ended:", <-ended)
 	})
 	golden.Compare(t, "door.txt", out.String())
--- a/internal/service/client_races_test.go
+++ b/internal/service/client_races_test.go
@@ -24,24 +24,25 @@
 	"birchstair/policy"
 )
 
-// testNode is a complete node on real connections, with one executor that discovery lists in a state that the test sets.
+// testNode is a complete node on real connections, with one executor. The test sets the state in which discovery lists it.
 type testNode struct {
-	t        *testing.T
-	listen   string
-	dials    chan chan struct{} // each dial to the executor stops until its channel is closed
-	state    chan policy.EndpointState
-	halts    emulator.Halts // of clients' connections
-	loopStop atomic.Pointer[loopStop]
+	t             *testing.T
+	listen        string
+	pendingDials  chan chan struct{}        // each dial to the executor sends a channel, and blocks until that is closed
+	endpointState chan policy.EndpointState // the next state in which discovery lists the executor
+	halts         emulator.Halts            // stop calls of the clients' connections
+	loopStop      atomic.Pointer[loopStop]
 
-	mu              sync.Mutex
-	ran             map[policy.JobID]int
-	left, lists, up int // events that the reducer has handled
-	writes          int // attempts that it has sent
-	unsent          int // of those, not sent as the client had gone
-	over            chan error
-	stop            context.CancelFunc
+	mu                                    sync.Mutex
+	runs                                  map[policy.JobID]int
+	clientsLeft, listUpdates, connsOpened int // numbers of events that the state machine has processed
+	attemptsSent                          int // attempts that the state machine has sent
+	attemptsNotSent                       int // of those, attempts that were not written because the client had left
+	ended                                 chan error
+	stop                                  context.CancelFunc
 }
 
+// listener returns a listener on a free port.
 func listener(t *testing.T) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,16 +52,18 @@
 	return l
 }
 
-func start(t *testing.T, first policy.EndpointState, repeat string) *testNode {
-	w := &testNode{t: t, ran: map[policy.JobID]int{}, over: make(chan error, 1), state: make(chan policy.EndpointState, 1), dials: make(chan chan struct{}, 10)}
+// startNode starts a node and waits until it is ready. first is the first state of the executor, repeat the setting of the only
+// job class that says how often its jobs may run.
+func startNode(t *testing.T, first policy.EndpointState, repeat string) *testNode {
+	w := &testNode{t: t, runs: map[policy.JobID]int{}, ended: make(chan error, 1), endpointState: make(chan policy.EndpointState, 1), pendingDials: make(chan chan struct{}, 10)}
 	at := listener(t)
 	go (&platform.Executor{ID: "e", RunTime: func() time.Duration { return time.Millisecond }, OnEffect: func(job policy.JobID) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.ran[job]++
+		w.runs[job]++
 	}}).Serve(at)
 	list := listener(t)
-	go w.discovery(list, emulator.Entry{Addr: at.Addr().String(), Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true, State: first}})
+	go w.serveDiscovery(list, emulator.Entry{Addr: at.Addr().String(), Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true, State: first}})
 	s, err := config.ReadSettings([]byte(`{"balancers":1,"areas":["z"],"flavors":["plain"],"caps":{"max-allocations":3},"domain":{"tells-start":true},
 		"tracks":[{"name":"page","quoted-time-s":20,"outer-limit-s":40,"late-earnings":0.5,"repeat":"` + repeat + `","earnings":1}]}`))
 	if err != nil {
@@ -73,13 +76,13 @@
 	t.Cleanup(w.stop)
 	tcp := net.Dialer{}
 	go func() {
-		w.over <- service.Run(ctx, service.Options{Settings: s, StartTime: time.Now(), Listener: w.halts.Listener(l), DiscoveryAddr: list.Addr().String(), Log: zerolog.Nop(),
+		w.ended <- service.Run(ctx, service.Options{Settings: s, StartTime: time.Now(), Listener: w.halts.Listener(l), DiscoveryAddr: list.Addr().String(), Log: zerolog.Nop(),
 			ClientLimits: frontend.ConnLimits{Max: 300, MaxShared: 150}, Policy: policy.New(s.Policy),
 			DialExecutor: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
-				goOn := make(chan struct{})
+				proceed := make(chan struct{})
 				select {
-				case w.dials <- goOn:
-					<-goOn
+				case w.pendingDials <- proceed:
+					<-proceed
 				default:
 				}
 				return tcp.DialContext(ctx, "tcp", addr)
@@ -88,31 +91,31 @@
 				if slices.ContainsFunc(effects, func(e node.Effect) bool { _, ok := e.(node.WriteAttempt); return ok }) {
 					if l := w.loopStop.Swap(nil); l != nil {
 						close(l.reached)
-						<-l.goOn
+						<-l.proceed
 					}
 				}
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				switch ev.(type) {
 				case node.ClientLeft:
-					w.left++
+					w.clientsLeft++
 				case node.EndpointsUpdated:
-					w.lists++
+					w.listUpdates++
 				case node.ConnReady:
-					w.up++
+					w.connsOpened++
 				case node.AttemptNotSent:
-					w.unsent++
+					w.attemptsNotSent++
 				}
 				for _, e := range effects {
 					if _, ok := e.(node.WriteAttempt); ok {
-						w.writes++
+						w.attemptsSent++
 					}
 				}
 			},
 			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: 10 * time.Second, MaxConns: 100, MaxConnsShared: 50, MaxBodyBytes: 1 << 20,
 				MaxWork: time.Hour, LameDuckPeriod: 10 * time.Millisecond, ShutdownTimeout: 10 * time.Second}}, nil)
 	}()
-	w.until("it is ready", func() bool {
+	w.waitUntil("the node is ready", func() bool {
 		a, err := http.Get("http://" + w.listen + "/-/ready")
 		if err != nil {
 			return false
@@ -123,8 +126,8 @@
 	return w
 }
 
-// discovery lists one executor; a watch waits for its next state.
-func (w *testNode) discovery(l net.Listener, e emulator.Entry) {
+// serveDiscovery serves an endpoint list with one executor. A watch is answered when the test changes the executor's state.
+func (w *testNode) serveDiscovery(l net.Listener, e emulator.Entry) {
 	seq := 1
 	for {
 		c, err := l.Accept()
@@ -140,7 +143,7 @@
 			entries := []emulator.Entry{e}
 			if !ask.Complete {
 				select {
-				case e.State = <-w.state:
+				case e.State = <-w.endpointState:
 					seq++
 					entries = []emulator.Entry{e}
 				case <-time.After(ask.Hold):
@@ -155,16 +158,17 @@
 	}
 }
 
-func (w *testNode) until(what string, so func() bool) {
+// waitUntil waits until a condition holds.
+func (w *testNode) waitUntil(what string, condition func() bool) {
 	w.t.Helper()
-	for by := time.Now().Add(20 * time.Second); !so(); time.Sleep(time.Millisecond) {
-		if time.Now().After(by) {
-			w.t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			w.t.Fatalf("timeout while waiting until %s", what)
 		}
 	}
 }
 
-// submit writes a batch job on a connection of its own.
+// submit sends a batch job on a new connection.
 func (w *testNode) submit(id string) net.Conn {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.listen)
@@ -177,40 +181,42 @@
 	return c
 }
 
-// awaitHandled waits for the answer.
-func (w *testNode) awaitHandled(c net.Conn) {
+// awaitResult reads the answer to a batch job, which must be a result.
+func (w *testNode) awaitResult(c net.Conn) {
 	w.t.Helper()
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || a.StatusCode != http.StatusOK {
-		w.t.Fatalf("no result: %v, %v", a, err)
+		w.t.Fatalf("answer %v, error %v, want status 200", a, err)
 	}
 }
 
-// ranOnly checks that nothing ran but the batch jobs of clients that still waited.
-func (w *testNode) ranOnly(id policy.JobID) {
+// checkRanOnly checks that no batch job but this one ran, and that it ran at most once.
+func (w *testNode) checkRanOnly(id policy.JobID) {
 	w.t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for job, n := range w.ran {
+	for job, n := range w.runs {
 		if job != id || n != 1 {
-			w.t.Errorf("%s ran %d times", job, n)
+			w.t.Errorf("%s ran %d times, want only %s to run, and once", job, n, id)
 		}
 	}
 }
 
-func (w *testNode) awaitLeft(n int) {
+// awaitClientsLeft waits until the state machine has processed that n clients have left.
+func (w *testNode) awaitClientsLeft(n int) {
 	w.t.Helper()
-	w.until("the node has heard that its clients left", func() bool {
+	w.waitUntil("the node has noticed that its clients left", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return w.left == n
+		return w.clientsLeft == n
 	})
 }
 
-// TestClientsLeaveWhileQueued has a hundred clients leave at once while their batch jobs are queued: none of those is sent, the
-// one of a client that stays is.
+// TestClientsLeaveWhileQueued has a hundred clients leave at once while their batch jobs are queued. Only the batch job of a
+// client that stays may be sent.
 func TestClientsLeaveWhileQueued(t *testing.T) {
-	end := func(conns []net.Conn, more string) {
+	// leave sends more on each connection and then closes all of them.
+	leave := func(conns []net.Conn, more string) {
 		for _, c := range conns {
 			if more != "" {
 				if _, err := c.Write([]byte(more)); err != nil {
@@ -223,196 +229,199 @@
 		}
 	}
 	for _, more := range []string{"", "P", strings.Repeat("POST /y HTTP/1.1\r\n", 300)} {
-		w := start(t, policy.Draining, "repeatable")
-		var leave []net.Conn
+		w := startNode(t, policy.Draining, "repeatable")
+		var leaving []net.Conn
 		for i := range 100 {
-			leave = append(leave, w.submit(fmt.Sprint("leaves-", i)))
+			leaving = append(leaving, w.submit(fmt.Sprint("leaves-", i)))
 		}
 		stays := w.submit("stays")
-		end(leave, more)
-		w.awaitLeft(100)
-		w.state <- policy.Available
+		leave(leaving, more)
+		w.awaitClientsLeft(100)
+		w.endpointState <- policy.Available
 		go func() {
-			for goOn := range w.dials {
-				close(goOn)
+			for proceed := range w.pendingDials {
+				close(proceed)
 			}
 		}()
-		w.awaitHandled(stays)
-		w.ranOnly("stays")
+		w.awaitResult(stays)
+		w.checkRanOnly("stays")
 		w.stop()
-		if err := <-w.over; err != nil {
+		if err := <-w.ended; err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// leaving are the ways in which a node may learn late that a client has left.
-var leaving = []struct {
+// lateDetections are two ways for a client to leave that the state machine processes late.
+var lateDetections = []struct {
 	name  string
 	leave func(*testNode, net.Conn) (after func())
 }{
-	{"the front does not come to its end, which lies unread", func(w *testNode, c net.Conn) func() {
-		stop := w.halts.At(emulator.AfterRead, 0) // nobody else sends anything now
+	{"the server does not read the close", func(w *testNode, c net.Conn) func() {
+		stop := w.halts.At(emulator.AfterRead, 0) // only this client's connection reads now
 		c.Close()
 		w.awaitStop(stop)
 		return stop.Go
 	}},
-	{"it only ends its sending, and has read that it is broken off", func(w *testNode, c net.Conn) func() {
-		w.endsSending(c)
+	{"the client half-closes its connection and reads the failure", func(w *testNode, c net.Conn) func() {
+		w.halfClose(c)
 		return func() {}
 	}},
 }
 
+// awaitStop waits until a call has reached a stop.
 func (w *testNode) awaitStop(s *emulator.Stop) {
 	w.t.Helper()
 	select {
 	case <-s.Reached:
 	case <-time.After(20 * time.Second):
-		w.t.Fatal("a call never came where it was to stop")
+		w.t.Fatal("no call reaches the stop")
 	}
 }
 
-// endsSending has a client half-close its connection and read the failure: the server has posted the event by then.
-func (w *testNode) endsSending(c net.Conn) {
+// halfClose has a client half-close its connection and read the failure. The server has then posted that the client has left.
+func (w *testNode) halfClose(c net.Conn) {
 	w.t.Helper()
 	c.(*net.TCPConn).CloseWrite()
 	if a, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || a.StatusCode < 500 {
-		w.t.Fatalf("not broken off: %v, %v", a, err)
+		w.t.Fatalf("answer %v, error %v, want a status of at least 500", a, err)
 	}
 }
 
-// loopStop stops the reducer's loop before it carries out the next write.
-type loopStop struct{ reached, goOn chan struct{} }
+// loopStop stops the event loop before it carries out the next effect that writes an attempt.
+type loopStop struct{ reached, proceed chan struct{} }
 
+// stopLoopBeforeWrite makes the event loop stop before its next write of an attempt.
 func (w *testNode) stopLoopBeforeWrite() *loopStop {
 	l := &loopStop{make(chan struct{}), make(chan struct{})}
 	w.loopStop.Store(l)
 	return l
 }
 
+// awaitLoopStop waits until the event loop has stopped.
 func (w *testNode) awaitLoopStop(l *loopStop) {
 	w.t.Helper()
 	select {
 	case <-l.reached:
 	case <-time.After(20 * time.Second):
-		w.t.Fatal("nothing was to be written")
+		w.t.Fatal("no attempt is to be written")
 	}
 }
 
-// TestClientLeavesUnderWrite has a client leave when the write of its batch job is decided and not carried out: no byte is
-// sent, and the next batch job goes out on the same connection.
-func TestClientLeavesUnderWrite(t *testing.T) {
-	for _, l := range leaving {
+// TestClientLeavesBeforeWrite has a client leave after the state machine has decided to write its batch job, and before that is
+// carried out. No byte may be sent, and the next batch job must use the same connection.
+func TestClientLeavesBeforeWrite(t *testing.T) {
+	for _, l := range lateDetections {
 		t.Run(l.name, func(t *testing.T) {
-			w := start(t, policy.Available, "once")
+			w := startNode(t, policy.Available, "once")
 			loop := w.stopLoopBeforeWrite()
 			leaves := w.submit("leaves")
-			close(<-w.dials)
+			close(<-w.pendingDials)
 			w.awaitLoopStop(loop)
 			after := l.leave(w, leaves)
-			close(loop.goOn)
-			w.awaitHandled(w.submit("stays"))
+			close(loop.proceed)
+			w.awaitResult(w.submit("stays"))
 			after()
-			w.awaitLeft(1)
-			w.ranOnly("stays")
+			w.awaitClientsLeft(1)
+			w.checkRanOnly("stays")
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if w.unsent != 1 || w.up != 1 {
-				t.Errorf("%d attempts were called off, %d connections came up, not one", w.unsent, w.up)
+			if w.attemptsNotSent != 1 || w.connsOpened != 1 {
+				t.Errorf("%d attempts not sent and %d connections opened, want one each", w.attemptsNotSent, w.connsOpened)
 			}
 		})
 	}
 }
 
-// TestClientsLeaveUnderStoppedLoop has clients leave at once while the loop is stopped before the first write: none of their
-// batch jobs is sent.
-func TestClientsLeaveUnderStoppedLoop(t *testing.T) {
-	w := start(t, policy.Available, "once")
+// TestClientsLeaveWhileLoopIsStopped has clients leave while the event loop is stopped before the first write. None of their
+// batch jobs may be sent.
+func TestClientsLeaveWhileLoopIsStopped(t *testing.T) {
+	w := startNode(t, policy.Available, "once")
 	loop := w.stopLoopBeforeWrite()
-	var leave []net.Conn
+	var leaving []net.Conn
 	for i := range 100 {
-		leave = append(leave, w.submit(fmt.Sprint("leaves-", i)))
+		leaving = append(leaving, w.submit(fmt.Sprint("leaves-", i)))
 	}
 	go func() {
-		for goOn := range w.dials {
-			close(goOn)
+		for proceed := range w.pendingDials {
+			close(proceed)
 		}
 	}()
 	w.awaitLoopStop(loop)
-	for _, c := range leave {
-		w.endsSending(c)
+	for _, c := range leaving {
+		w.halfClose(c)
 	}
-	close(loop.goOn)
-	w.awaitHandled(w.submit("stays"))
-	w.awaitLeft(100)
-	w.ranOnly("stays")
+	close(loop.proceed)
+	w.awaitResult(w.submit("stays"))
+	w.awaitClientsLeft(100)
+	w.checkRanOnly("stays")
 }
 
-// TestClientLeavesUnreadWhileDialling has a connection open after the client has left, which the server has not read: nothing is
-// sent.
-func TestClientLeavesUnreadWhileDialling(t *testing.T) {
-	w := start(t, policy.Available, "once")
+// TestClientLeavesUnnoticedWhileDialing has the connection to the executor open after the client has left, while the server has not
+// read the client's close. Nothing may be sent.
+func TestClientLeavesUnnoticedWhileDialing(t *testing.T) {
+	w := startNode(t, policy.Available, "once")
 	leaves := w.submit("leaves")
-	goOn := <-w.dials
+	proceed := <-w.pendingDials
 	stop := w.halts.At(emulator.AfterRead, 0)
 	leaves.Close()
 	w.awaitStop(stop)
-	close(goOn)
-	w.awaitHandled(w.submit("stays"))
+	close(proceed)
+	w.awaitResult(w.submit("stays"))
 	stop.Go()
-	w.awaitLeft(1)
-	w.ranOnly("stays")
+	w.awaitClientsLeft(1)
+	w.checkRanOnly("stays")
 }
 
-// TestClientLeavesWhileDialling has a client leave while the connection for its batch job is dialed: nothing is sent.
-func TestClientLeavesWhileDialling(t *testing.T) {
-	w := start(t, policy.Available, "once")
+// TestClientLeavesWhileDialing has a client leave while the connection for its batch job is dialed. Nothing may be sent.
+func TestClientLeavesWhileDialing(t *testing.T) {
+	w := startNode(t, policy.Available, "once")
 	leaves := w.submit("leaves")
-	goOn := <-w.dials
+	proceed := <-w.pendingDials
 	leaves.Close()
-	w.awaitLeft(1)
-	close(goOn)
+	w.awaitClientsLeft(1)
+	close(proceed)
 	go func() {
-		for goOn := range w.dials {
-			close(goOn)
+		for proceed := range w.pendingDials {
+			close(proceed)
 		}
 	}()
-	w.awaitHandled(w.submit("stays"))
-	w.ranOnly("stays")
+	w.awaitResult(w.submit("stays"))
+	w.checkRanOnly("stays")
 }
 
-// TestDrainWhileDialling has discovery list the executor as draining while the connection is dialed: nothing is sent on it, and
-// the batch job goes there once the executor is available again.
-func TestDrainWhileDialling(t *testing.T) {
-	w := start(t, policy.Available, "once")
+// TestDrainWhileDialing has discovery list the executor as draining while a connection to it is dialed. Nothing may be sent to it
+// until it is available again, and the batch job must be sent then.
+func TestDrainWhileDialing(t *testing.T) {
+	w := startNode(t, policy.Available, "once")
 	stays := w.submit("stays")
-	goOn := <-w.dials
+	proceed := <-w.pendingDials
 	w.mu.Lock()
-	lists := w.lists
+	lists := w.listUpdates
 	w.mu.Unlock()
-	w.state <- policy.Draining
-	w.until("the drain is taken in", func() bool {
+	w.endpointState <- policy.Draining
+	w.waitUntil("the state machine has processed the drain", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return w.lists > lists
+		return w.listUpdates > lists
 	})
-	close(goOn)
-	w.until("the connection is up", func() bool {
+	close(proceed)
+	w.waitUntil("the connection is open", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return w.up > 0
+		return w.connsOpened > 0
 	})
 	w.mu.Lock()
-	if w.writes > 0 {
-		t.Error("an allocation went out to an executor that drains")
+	if w.attemptsSent > 0 {
+		t.Error("an attempt was sent to a draining executor")
 	}
 	w.mu.Unlock()
 	go func() {
-		for goOn := range w.dials {
-			close(goOn)
+		for proceed := range w.pendingDials {
+			close(proceed)
 		}
 	}()
-	w.state <- policy.Available
-	w.awaitHandled(stays)
-	w.ranOnly("stays")
+	w.endpointState <- policy.Available
+	w.awaitResult(stays)
+	w.checkRanOnly("stays")
 }
--- a/internal/service/ready_test.go
+++ b/internal/service/ready_test.go
@@ -23,24 +23,25 @@
 	"birchstair/policy"
 )
 
-// TestReadyWithSlowDiscovery starts a complete node while discovery is down for 8 s, answers each call in 1.5 s, or both, where
-// lists are pushed and where nodes poll: it is ready within 10 s.
+// TestReadyWithSlowDiscovery checks that a complete node is ready within 10 s while discovery takes 1.5 s for each call, and if
+// discovery also refuses connections or never answers during the first 8 s. It does so with pushed and with polled lists.
 func TestReadyWithSlowDiscovery(t *testing.T) {
-	for _, ask := range []bool{false, true} {
-		for _, down := range []string{"is up", "refuses", "is silent"} {
+	for _, polled := range []bool{false, true} {
+		for _, down := range []string{"is up", "refuses", "never answers"} {
 			synctesting.Test(t, func(t *testing.T) {
-				after := readyAfter(t, ask, down)
-				if t.Logf("asked %v, discovery %s: ready after %v", ask, down, after); after > 10*time.Second {
-					t.Errorf("asked %v, discovery %s: ready after %v", ask, down, after)
+				after := readyAfter(t, polled, down)
+				if t.Logf("polled %v, discovery %s: ready after %v", polled, down, after); after > 10*time.Second {
+					t.Errorf("polled %v, discovery %s: ready after %v", polled, down, after)
 				}
 			})
 		}
 	}
 }
 
-func readyAfter(t *testing.T, ask bool, down string) time.Duration {
+// readyAfter returns how long after its start a node is ready. down says what discovery does during the first 8 s.
+func readyAfter(t *testing.T, polled bool, down string) time.Duration {
 	how := "push"
-	if ask {
+	if polled {
 		how = "ask"
 	}
 	s, err := config.ReadSettings([]byte(`{"balancers":300,"areas":["z"],"flavors":["plain"],"discovery":"` + how + `","rules":{"drain-grace-s":1,"ask-within-s":8},
@@ -48,14 +49,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	over, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	network := memnet.New(1, func(string, string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
 	const listen, discovery = "127.0.0.1:80", "127.0.0.1:8500"
 	front, err := network.Listen("n", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var silent atomic.Bool
+	var unresponsive atomic.Bool
 	up := func() {
 		l, err := network.Listen("d", discovery)
 		if err != nil {
@@ -68,11 +69,11 @@
 				if err != nil {
 					return
 				}
-				go slowly(t, over, c, &silent)
+				go serveDiscoverySlowly(t, ctx, c, &unresponsive)
 			}
 		}()
 	}
-	silent.Store(down == "is silent")
+	unresponsive.Store(down == "never answers")
 	if down != "refuses" {
 		up()
 	}
@@ -86,19 +87,19 @@
 			return c, nil
 		}
 	}
-	ended, more := make(chan error, 1), make(chan node.Event)
+	ended, events := make(chan error, 1), make(chan node.Event)
 	began := time.Now()
 	go func() {
-		ended <- service.Run(over, service.Options{Settings: s, StartTime: began, Listener: front, DiscoveryAddr: discovery, Log: zerolog.Nop(),
+		ended <- service.Run(ctx, service.Options{Settings: s, StartTime: began, Listener: front, DiscoveryAddr: discovery, Log: zerolog.Nop(),
 			ClientLimits: frontend.ConnLimits{Max: 30, MaxShared: 15}, Policy: policy.New(s.Policy), DialDiscovery: dial("n"),
 			DialExecutor: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				return dial("x")(ctx, "", addr)
 			},
 			Limits: node.Limits{Quantum: time.Millisecond, MaxIdle: time.Minute, DialTimeout: time.Second, MaxConns: 10, MaxConnsShared: 5, MaxBodyBytes: 1 << 20,
-				MaxWork: time.Hour, LameDuckPeriod: 10 * time.Millisecond, ShutdownTimeout: time.Second}}, more)
+				MaxWork: time.Hour, LameDuckPeriod: 10 * time.Millisecond, ShutdownTimeout: time.Second}}, events)
 	}()
 	time.AfterFunc(8*time.Second, func() {
-		silent.Store(false)
+		unresponsive.Store(false)
 		if down == "refuses" {
 			up()
 		}
@@ -117,18 +118,18 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	end()
+	cancel()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	close(more)
+	close(events)
 	network.Shutdown()
 	time.Sleep(time.Minute)
 	return after
 }
 
-// slowly answers calls of discovery in 1.5 s each, and those that come while discovery is silent never.
-func slowly(t *testing.T, over context.Context, c net.Conn, silent *atomic.Bool) {
+// serveDiscoverySlowly answers each call to discovery after 1.5 s, and never answers calls that arrive while unresponsive is set.
+func serveDiscoverySlowly(t *testing.T, ctx context.Context, c net.Conn, unresponsive *atomic.Bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -136,9 +137,9 @@
 		if err != nil {
 			return
 		}
-		if silent.Load() {
-			if b, err := in.ReadByte(); err == nil { // until the node gives it up
-				t.Errorf("%q came while the list was awaited", b)
+		if unresponsive.Load() {
+			if b, err := in.ReadByte(); err == nil { // blocks until the node gives up the connection
+				t.Errorf("byte %q arrives while the node waits for the list", b)
 			}
 			return
 		}
@@ -149,7 +150,7 @@
 		}
 		select {
 		case <-time.After(pause):
-		case <-over.Done():
+		case <-ctx.Done():
 			return
 		}
 		if _, err := c.Write(platform.AppendList(nil, 1, ask.Complete, entries, []string{"z"}, time.Now())); err != nil {
