--- a/cmd/birchstair/config.go
+++ b/cmd/birchstair/config.go
@@ -11,28 +11,31 @@
 	"birchstair/internal/site"
 )
 
+// configCmd works on the configuration, without a node.
 type configCmd struct {
-	Check checkCmd `cmd:"" help:"Read the configuration and say what is wrong with it."`
+	Check checkCmd `cmd:"" help:"Read the configuration and report errors in it."`
 }
 
+// checkCmd checks the configuration.
 type checkCmd struct {
-	Site string `type:"path" placeholder:"FILE" help:"The operator's own file, checked as well."`
+	Site string `type:"path" placeholder:"FILE" help:"The operator's site file, which is checked too."`
 }
 
-// Run reads the configuration and the operator's own file and prints what follows from them.
+// Run checks the configuration and the site file, and prints limits and options that result from them.
 func (c checkCmd) Run() error {
 	node, err := readNodeConfig(os.Getenv, time.Now())
 	if err != nil {
 		return err
 	}
-	own, err := readSite(c.Site, node)
+	siteConfig, err := readSite(c.Site, node)
 	if err != nil {
 		return err
 	}
 	if c.Site != "" {
-		fmt.Printf("%s is sound: durable batch jobs are %s, nodes that talk are %s\n", c.Site, onOff(own.Durable != nil), onOff(own.Cluster != nil))
+		fmt.Printf("%s is sound: durable batch jobs are %s, gossip between nodes is %s\n", c.Site,
+			onOff(siteConfig.Durable != nil), onOff(siteConfig.Cluster != nil))
 	}
-	node.reservePeerDescriptors(own)
+	node.reservePeerDescriptors(siteConfig)
 	clients, executors := node.ConnLimits()
 	fmt.Printf("%s is sound: %d tracks, at most %d connections from clients and %d to executors\n",
 		os.Getenv("ROUTER_CONFIG"), len(node.Settings.JobClassNames), clients, executors)
@@ -41,15 +44,16 @@
 	if p.MayProbe {
 		probes = fmt.Sprintf("by GET %s within %v", node.Settings.Probe.Path, node.Settings.Probe.Timeout)
 	}
-	marks := "passed over"
+	retryMarks := "ignored"
 	if p.ClientsMarkRetries {
-		marks = "taken"
+		retryMarks = "used"
 	}
-	fmt.Printf("probes are %s; second copies of repeatable batch jobs are %s; marks of clients' repeats are %s\n",
-		probes, onOff(p.MayHedge && own.Durable == nil), marks)
+	fmt.Printf("probes are %s; second copies of repeatable batch jobs are %s; retry marks of clients are %s\n",
+		probes, onOff(p.MayHedge && siteConfig.Durable == nil), retryMarks)
 	return nil
 }
 
+// onOff returns a boolean as it is printed.
 func onOff(on bool) string {
 	if on {
 		return "on"
@@ -57,14 +61,15 @@
 	return "off"
 }
 
-// nodeConfig is the node's configuration as the platform writes it.
+// nodeConfig is the node's configuration, which the platform writes.
 type nodeConfig struct {
 	config.Config
 	names  discovery.Names
-	cached discovery.CachedList // the endpoint list as this node last had it
+	cached discovery.CachedList // the endpoint list that was last cached for this node
 }
 
-// readNodeConfig reads the configuration that the environment names. Times in it count from start.
+// readNodeConfig reads the configuration file that the environment names. Times of day in it are converted to durations since
+// start.
 func readNodeConfig(env func(string) string, start time.Time) (c nodeConfig, err error) {
 	if c.Config, err = config.Read(env); err != nil {
 		return c, err
@@ -74,19 +79,19 @@
 	return c, err
 }
 
-// readSite reads the operator's own file and checks it against the node's configuration. Without a file name it returns
-// the defaults.
+// readSite reads the operator's site file and checks it against the node's configuration. Without a file name it returns the
+// defaults.
 func readSite(file string, c nodeConfig) (site.Config, error) {
-	own, err := site.Read(file)
+	siteConfig, err := site.Read(file)
 	if err == nil {
-		err = own.FitsMemory(c.MemoryBytes)
+		err = siteConfig.FitsMemory(c.MemoryBytes)
 	}
-	return own, err
+	return siteConfig, err
 }
 
-// reservePeerDescriptors sets descriptors aside for gossip, where the operator's own file turns it on.
-func (c *nodeConfig) reservePeerDescriptors(own site.Config) {
-	if own.Cluster != nil {
+// reservePeerDescriptors reserves file descriptors for gossip, if the site file turns gossip on.
+func (c *nodeConfig) reservePeerDescriptors(siteConfig site.Config) {
+	if siteConfig.Cluster != nil {
 		c.PeerDescriptors = gossip.MaxDescriptors
 	}
 }
--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -1,4 +1,5 @@
-// Birchstair is a node: it takes batch jobs from clients and dispatches them to executors.
+// Birchstair runs a node, which accepts batch jobs from clients and dispatches them to executors, and has commands to operate
+// it.
 package main
 
 import (
@@ -14,12 +15,12 @@
 
 const version = "0.1.0"
 
-// commands are the program's commands. Names of commands and flags follow from the fields' names.
+// commands defines the program's commands and flags. kong derives their names from the names of the fields.
 var commands struct {
-	Serve   serveCmd   `cmd:"" help:"Take batch jobs until told to stop by SIGTERM."`
+	Serve   serveCmd   `cmd:"" help:"Run the node until SIGTERM."`
 	Config  configCmd  `cmd:"" help:"Work with the configuration."`
-	Ops     opsCmd     `cmd:"" help:"Call at a running node's door for operators."`
-	Store   storeCmd   `cmd:"" help:"Look after the records of durable batch jobs, while no node uses them."`
+	Ops     opsCmd     `cmd:"" help:"Send a command to a running node."`
+	Store   storeCmd   `cmd:"" help:"Inspect or compact the store of durable batch jobs, while no node uses it."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
@@ -41,7 +42,7 @@
 func (versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("built without its version")
+		return errors.New("the program was built without version information")
 	}
 	built := version
 	for _, s := range info.Settings {
--- a/cmd/birchstair/ops.go
+++ b/cmd/birchstair/ops.go
@@ -13,34 +13,35 @@
 	"birchstair/policy"
 )
 
-// opsCmd sends a command to a running node. The program exits with status 1 where the node refuses or cannot be reached.
+// opsCmd sends a command to a running node. The program exits with status 1 if the node refuses the command or can't be
+// reached.
 type opsCmd struct {
-	At   string        `placeholder:"ADDRESS:PORT" help:"The node's management address. Left out: ROUTER_MANAGEMENT, or what the file that ROUTER_CONFIG names says."`
-	Wait time.Duration `default:"1s" help:"How long to wait for the answer."`
+	At   string        `placeholder:"ADDRESS:PORT" help:"The node's management address. Default: ROUTER_MANAGEMENT, else the address in the file that ROUTER_CONFIG names."`
+	Wait time.Duration `default:"1s" help:"How long to wait for the reply."`
 
-	Check    plainCmd    `cmd:"" help:"Say whether the node can take batch jobs."`
-	Vars     varsCmd     `cmd:"" help:"Print the node's figures, one a line."`
-	SetDown  executorCmd `cmd:"" help:"Take an executor out: nothing new goes there until it is put back."`
-	SetUp    executorCmd `cmd:"" help:"Put an executor back. It counts as started now."`
-	DrainOn  plainCmd    `cmd:"" help:"Send the node's clients away."`
-	DrainOff plainCmd    `cmd:"" help:"Let clients come again."`
-	Fleet    fleetCmd    `cmd:"" help:"Print what the node knows of its fleet: neighbours with the age of their figures, drains, the cut line, words dropped."`
+	Check    simpleCmd   `cmd:"" help:"Check whether the node is ready for batch jobs."`
+	Vars     varsCmd     `cmd:"" help:"Print the node's metrics, one per line."`
+	SetDown  executorCmd `cmd:"" help:"Exclude an executor: it gets no new batch jobs until it is readmitted by set-up."`
+	SetUp    executorCmd `cmd:"" help:"Readmit an executor. It is treated as just started."`
+	DrainOn  simpleCmd   `cmd:"" help:"Start to drain clients, so that they go to other nodes."`
+	DrainOff simpleCmd   `cmd:"" help:"End the drain of clients."`
+	Fleet    fleetCmd    `cmd:"" help:"Print the node's view of its cluster: neighbours with the age of their state, drains, the cut line (admission threshold), dropped messages."`
 }
 
 type (
-	plainCmd    struct{} // takes nothing and prints ok
+	simpleCmd   struct{} // a command without arguments that prints ok
 	varsCmd     struct{}
 	fleetCmd    struct{}
 	executorCmd struct {
-		ID string `arg:"" help:"The executor's id in the list."`
+		ID string `arg:"" help:"The executor's id in the endpoint list."`
 	}
 )
 
-// commandName is the name of the command that runs. Commands below ops go by the same names at the node.
+// commandName is the name of the command that runs. The subcommands of ops have the same names in the node's protocol.
 type commandName string
 
 // Run sends the command.
-func (plainCmd) Run(ops *opsCmd, name commandName) error { return ops.run(name, "") }
+func (simpleCmd) Run(ops *opsCmd, name commandName) error { return ops.run(name, "") }
 
 // Run sends the command for an executor.
 func (c executorCmd) Run(ops *opsCmd, name commandName) error {
@@ -79,7 +80,7 @@
 	return admin.Call(addr, command, executor, c.Wait)
 }
 
-// address returns the node's management address: of the flag, the environment or the configuration, in this order.
+// address returns the node's management address from the flag, the environment or the configuration, in this order.
 func (c *opsCmd) address() (string, error) {
 	addr := cmp.Or(c.At, os.Getenv("ROUTER_MANAGEMENT"))
 	if addr == "" && os.Getenv("ROUTER_CONFIG") != "" {
@@ -90,7 +91,7 @@
 		addr = conf.AdminAddr
 	}
 	if addr == "" {
-		return "", errors.New("no management address: name it by --at or ROUTER_MANAGEMENT, or in the file that ROUTER_CONFIG names")
+		return "", errors.New("no management address: set --at or ROUTER_MANAGEMENT, or management in the file that ROUTER_CONFIG names")
 	}
 	return addr, nil
 }
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -35,14 +35,15 @@
 )
 
 const (
-	// logBuffer is how many log lines may wait to be written; lines beyond that are dropped and counted.
+	// logBuffer is how many log lines are buffered until they are written. Further lines are dropped and counted.
 	logBuffer = 1000
-	// maxSendDelay is how long an attempt may take from its decision to its first byte.
+	// maxSendDelay is how long it may take from the decision to send an attempt until its first byte is written.
 	maxSendDelay = 100 * time.Millisecond
 )
 
+// serveCmd runs a node.
 type serveCmd struct {
-	Site string `type:"path" placeholder:"FILE" help:"The operator's own file: what is beyond the platform's configuration."`
+	Site string `type:"path" placeholder:"FILE" help:"The operator's site file: settings beyond the platform's configuration."`
 }
 
 // Run runs a node until SIGTERM or SIGINT, and reloads its configuration on SIGHUP.
@@ -53,35 +54,35 @@
 	if err != nil {
 		return err
 	}
-	// The reducer logs and must not wait for standard error.
+	// The event loop logs, and must not block on standard error.
 	out := diode.NewWriter(unclosable{os.Stderr}, logBuffer, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "%d lines of the log were left out\n", missed)
 	})
 	defer func() { err = errors.Join(err, out.Close()) }()
 	log := zerolog.New(out).With().Timestamp().Str("node", conf.Name).Logger()
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(log) // net/http logs there
+	stdlog.SetOutput(log) // for net/http, which uses the standard logger
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	own, err := readSite(c.Site, conf)
+	siteConfig, err := readSite(c.Site, conf)
 	if err != nil {
 		return err
 	}
-	return serve(ctx, conf, own, reload.Requests(), read, start, log)
+	return serve(ctx, conf, siteConfig, reload.Requests(), read, start, log)
 }
 
-// unclosable hides the Close of a writer: standard error is still written to after the log is closed.
+// unclosable hides the Close method of a writer, so that standard error stays open after the log is closed.
 type unclosable struct{ io.Writer }
 
-// serve runs a node until the context ends and all batch jobs are answered. On each value of reloads it reads its
-// configuration again by read.
-func serve(ctx context.Context, conf nodeConfig, own site.Config, reloads <-chan os.Signal, read func() (nodeConfig, error),
+// serve runs a node until the context ends and all batch jobs are answered. On each value from reloads it reloads the
+// configuration by calling read.
+func serve(ctx context.Context, conf nodeConfig, siteConfig site.Config, reloads <-chan os.Signal, read func() (nodeConfig, error),
 	start time.Time, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(conf.Cores)))
 	limitMemory(conf.MemoryBytes, false)
 	listener, err := listen(conf)
 	if err != nil {
-		return err // it names the address
+		return err // the error names the address
 	}
 	o := service.Options{
 		DiscoveryAddr:   conf.Discovery,
@@ -94,7 +95,7 @@
 		Predecessor:     dialPredecessor(conf.SharedDir, log),
 		LimitMemory:     func(half bool) { limitMemory(conf.MemoryBytes, half) },
 	}
-	if err := addParts(&o, &conf, own); err != nil {
+	if err := addParts(&o, &conf, siteConfig); err != nil {
 		listener.Close()
 		return err
 	}
@@ -104,7 +105,7 @@
 	events := make(chan node.Event)
 	go func() {
 		for range reloads {
-			events <- reloadConfig(&conf, own, read)
+			events <- reloadConfig(&conf, siteConfig, read)
 		}
 	}()
 	log.Info().Str("listen", conf.Listen).Int("known", len(conf.cached.Endpoints)).Int("clients", o.ClientLimits.Max).
@@ -112,8 +113,8 @@
 	return service.Run(ctx, o, events)
 }
 
-// limitMemory sets the soft limit of Go's memory to three quarters of what the node may use, or to half of that while
-// another process of the node lives.
+// limitMemory sets the Go runtime's soft memory limit to three quarters of the memory that the node may use, or to half of that
+// while another process of the node is running.
 func limitMemory(bytes int64, half bool) {
 	processes := int64(1)
 	if half {
@@ -122,7 +123,7 @@
 	debug.SetMemoryLimit(bytes * 3 / 4 / processes)
 }
 
-// dialPredecessor connects to the process of this node that runs already. It returns nil where there is none.
+// dialPredecessor connects to the process of this node that is already running. It returns nil if there is none.
 func dialPredecessor(dir string, log zerolog.Logger) net.Conn {
 	if dir == "" {
 		return nil
@@ -135,29 +136,29 @@
 	return predecessor
 }
 
-// addParts adds the parts that the configuration and the operator's own file turn on, and changes the policy's settings
-// by them.
-func addParts(o *service.Options, conf *nodeConfig, own site.Config) (err error) {
+// addParts adds the parts of the node that the configuration and the site file turn on, and changes the policy's settings
+// accordingly.
+func addParts(o *service.Options, conf *nodeConfig, siteConfig site.Config) (err error) {
 	if conf.AdminAddr != "" {
 		if o.AdminListener, err = net.Listen("tcp", conf.AdminAddr); err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
 	}
-	conf.reservePeerDescriptors(own)
+	conf.reservePeerDescriptors(siteConfig)
 	p := &conf.Settings.Policy
-	p.MayLease = conf.Settings.MayGossip && own.Cluster != nil // leases are agreed on by gossip
-	if own.Durable != nil {
-		if o.Durable, err = openDurable(own.Durable, *conf, o.Log); err != nil {
+	p.MayLease = conf.Settings.MayGossip && siteConfig.Cluster != nil // leases are agreed on by gossip
+	if siteConfig.Durable != nil {
+		if o.Durable, err = openDurable(siteConfig.Durable, *conf, o.Log); err != nil {
 			return err
 		}
-		*p = durable.AddClasses(*p, time.Duration(own.Durable.MaxDeadline))
+		*p = durable.AddClasses(*p, time.Duration(siteConfig.Durable.MaxDeadline))
 		p.MayHedge = false // an executor's lease on a job is exclusive
 	}
-	o.Cluster, err = clusterOptions(own.Cluster, *conf, o.StartTime)
+	o.Cluster, err = clusterOptions(siteConfig.Cluster, *conf, o.StartTime)
 	return err
 }
 
-// addLimits adds the node's limits.
+// addLimits sets the node's limits.
 func addLimits(o *service.Options, conf nodeConfig) {
 	clients, executors := conf.ConnLimits()
 	clientsShared, executorsShared := conf.HandoffConnLimits()
@@ -179,8 +180,9 @@
 }
 
 // openDurable opens the store of durable batch jobs.
-func openDurable(own *site.Durable, conf nodeConfig, log zerolog.Logger) (*durable.Manager, error) {
-	s, err := store.Open(store.Directory(own.Dir), store.Options{SegmentBytes: int64(own.SegmentSize), MaxBytes: int64(own.MaxSize)})
+func openDurable(settings *site.Durable, conf nodeConfig, log zerolog.Logger) (*durable.Manager, error) {
+	s, err := store.Open(store.Directory(settings.Dir),
+		store.Options{SegmentBytes: int64(settings.SegmentSize), MaxBytes: int64(settings.MaxSize)})
 	if err != nil {
 		return nil, fmt.Errorf("durable.dir: %w", err)
 	}
@@ -188,35 +190,35 @@
 		return upstream.TCP(conf.Settings.DialTimeout)(ctx, 0, addr)
 	}
 	o := durable.Options{
-		MaxDeadline: time.Duration(own.MaxDeadline),
+		MaxDeadline: time.Duration(settings.MaxDeadline),
 		Leases: leases.Settings{
-			MaxDispatched:  own.MaxConcurrent,
-			AnswerTTL:      time.Duration(own.Retention),
-			QueryExecutors: own.ExecutorLeases,
-			QueryInterval:  time.Duration(own.PollInterval),
+			MaxDispatched:  settings.MaxConcurrent,
+			AnswerTTL:      time.Duration(settings.Retention),
+			QueryExecutors: settings.ExecutorLeases,
+			QueryInterval:  time.Duration(settings.PollInterval),
 		},
 	}
 	return durable.New(o, s, conf.Settings.JobClassNames, conf.Settings.Policy.JobClasses, dial, log), nil
 }
 
-// clusterOptions returns how the node gossips with others; nil where the operator's own file does not turn that on.
-func clusterOptions(own *site.Cluster, conf nodeConfig, start time.Time) (*service.Cluster, error) {
-	if own == nil {
+// clusterOptions returns the settings for gossip with other nodes, or nil if the site file does not turn gossip on.
+func clusterOptions(settings *site.Cluster, conf nodeConfig, start time.Time) (*service.Cluster, error) {
+	if settings == nil {
 		return nil, nil
 	}
-	name := cluster.NodeName(cmp.Or(own.Name, conf.Name))
+	name := cluster.NodeName(cmp.Or(settings.Name, conf.Name))
 	s := cluster.Defaults(name, uint64(start.UnixMilli()), conf.Settings.Policy.Seed)
-	s.GossipInterval = time.Duration(own.GossipInterval)
-	s.Fanout = own.Fanout
-	s.PeerStateTTL = time.Duration(own.PeerStateTTL)
-	s.DrainTTL = time.Duration(own.DrainTTL)
-	o, err := gossip.ParseOptions(name, policy.NodeID(conf.Settings.Policy.Node), own.Listen, own.Advertise, own.Seeds)
+	s.GossipInterval = time.Duration(settings.GossipInterval)
+	s.Fanout = settings.Fanout
+	s.PeerStateTTL = time.Duration(settings.PeerStateTTL)
+	s.DrainTTL = time.Duration(settings.DrainTTL)
+	o, err := gossip.ParseOptions(name, policy.NodeID(conf.Settings.Policy.Node), settings.Listen, settings.Advertise, settings.Seeds)
 	return &service.Cluster{Settings: s, Options: o}, err
 }
 
-// reloadConfig reads the configuration again. One that a start would refuse changes nothing; changes that need a restart
-// are named in the event.
-func reloadConfig(conf *nodeConfig, own site.Config, read func() (nodeConfig, error)) node.ConfigReloaded {
+// reloadConfig reads the configuration again and returns the event that applies it. A configuration with which the node
+// could not start changes nothing. The event names the changed settings that need a restart.
+func reloadConfig(conf *nodeConfig, siteConfig site.Config, read func() (nodeConfig, error)) node.ConfigReloaded {
 	next, err := read()
 	if err == nil {
 		err = conf.MissingKey(&next.Config)
@@ -225,8 +227,8 @@
 		return node.ConfigReloaded{Detail: err.Error()}
 	}
 	needRestart := conf.RestartKeys(next.Config)
-	if own.Durable != nil {
-		next.Settings.Policy = durable.AddClasses(next.Settings.Policy, time.Duration(own.Durable.MaxDeadline))
+	if siteConfig.Durable != nil {
+		next.Settings.Policy = durable.AddClasses(next.Settings.Policy, time.Duration(siteConfig.Durable.MaxDeadline))
 	}
 	return node.ConfigReloaded{
 		Discovery:       next.Discovery,
--- a/cmd/birchstair/store.go
+++ b/cmd/birchstair/store.go
@@ -13,11 +13,12 @@
 	"birchstair/internal/store"
 )
 
+// storeCmd inspects or compacts the store of durable batch jobs, which no node may use meanwhile.
 type storeCmd struct {
-	Check   storeCheckCmd   `cmd:"" help:"Read all records and say what is damaged."`
-	List    storeListCmd    `cmd:"" help:"List the batch jobs that it holds."`
+	Check   storeCheckCmd   `cmd:"" help:"Read all records and report damage."`
+	List    storeListCmd    `cmd:"" help:"List the batch jobs in the store."`
 	Show    storeShowCmd    `cmd:"" help:"Show all records of one batch job."`
-	Compact storeCompactCmd `cmd:"" help:"Write what still counts anew, and drop the rest."`
+	Compact storeCompactCmd `cmd:"" help:"Rewrite the records that are still needed, and remove all others."`
 }
 
 type (
@@ -39,8 +40,8 @@
 // progressInterval is how often a scan reports on standard error.
 const progressInterval = time.Second
 
-// scanLocked calls each for all records of a store, which no node may use meanwhile. It reports progress on standard error.
-func scanLocked(dir string, each func(store.Record)) (segments []store.Segment, err error) {
+// scanLocked locks a store and calls visit for each of its records. It reports progress on standard error.
+func scanLocked(dir string, visit func(store.Record)) (segments []store.Segment, err error) {
 	disk := store.Directory(dir)
 	lock, err := disk.Lock()
 	if err != nil {
@@ -53,27 +54,27 @@
 			reported = time.Now()
 			fmt.Fprintf(os.Stderr, "%d records, in segment %d\n", records, segment)
 		}
-		each(r)
+		visit(r)
 	})
 }
 
-// Run reads all records, prints the segments and says what is damaged.
+// Run reads all records, prints the segments and reports damage.
 func (c storeCheckCmd) Run() error {
 	segments, err := scanLocked(c.Dir, func(store.Record) {})
 	for _, s := range segments {
-		torn := ""
+		incomplete := ""
 		if s.Torn {
-			torn = ", with a torn end that the next start cuts off; nothing of it was acknowledged"
+			incomplete = ", with an incomplete record at the end, which was not acknowledged and is removed at the next start"
 		}
-		fmt.Printf("%s: %d records in %d bytes%s\n", s.Name, s.Records, s.CompleteBytes, torn)
+		fmt.Printf("%s: %d records in %d bytes%s\n", s.Name, s.Records, s.CompleteBytes, incomplete)
 	}
 	if err != nil {
 		return err
 	}
 	if len(segments) == 0 {
-		return fmt.Errorf("%s: no segments; is it the directory of a store?", c.Dir)
+		return fmt.Errorf("%s: no segments found: is this the directory of a store?", c.Dir)
 	}
-	fmt.Println("all of it reads")
+	fmt.Println("no damage found")
 	return nil
 }
 
@@ -84,23 +85,24 @@
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "ID\tTRACK\tHANDED IN\tOUTER LIMIT\tSENT\tLAST RECORD")
+	fmt.Fprintln(w, "ID\tTRACK\tACCEPTED\tDEADLINE\tATTEMPTS\tLAST RECORD")
 	for _, id := range slices.Sorted(maps.Keys(states)) {
-		st := states[id]
-		r, all := st.Accepted, st.Records()
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", id, r.JobClass, stamp(r.At), stamp(r.Deadline), len(st.Attempts), describe(all[len(all)-1]))
+		state := states[id]
+		accepted, records := state.Accepted, state.Records()
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", id, accepted.JobClass, formatTime(accepted.At), formatTime(accepted.Deadline),
+			len(state.Attempts), describeRecord(records[len(records)-1]))
 	}
 	return w.Flush()
 }
 
-// stamp formats a time of a record.
-func stamp(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05.000") }
+// formatTime formats the time of a record.
+func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05.000") }
 
-// answers are the names of final answers by their number in a record.
-var answers = [...]string{"handled", "pushed back", "broken off"}
+// outcomeNames are the printed names of final answers, by Record.Outcome.
+var outcomeNames = [...]string{"handled", "pushed back", "broken off"}
 
-// describe returns a record's kind and what matters most of it.
-func describe(r store.Record) string {
+// describeRecord returns a record's kind and its most important values.
+func describeRecord(r store.Record) string {
 	s := r.Kind.String()
 	switch r.Kind {
 	case store.AttemptStarted:
@@ -111,8 +113,8 @@
 			s += " never ran"
 		}
 	case store.Final:
-		if int(r.Outcome) < len(answers) {
-			s += ": " + answers[r.Outcome]
+		if int(r.Outcome) < len(outcomeNames) {
+			s += ": " + outcomeNames[r.Outcome]
 		}
 	}
 	return s
@@ -126,11 +128,11 @@
 			return
 		}
 		found = true
-		line := stamp(r.At) + "  " + describe(r)
+		line := formatTime(r.At) + "  " + describeRecord(r)
 		if r.Kind == store.Accepted {
-			line += fmt.Sprintf(": track %s, outer limit %s, %s, %d bytes", r.JobClass, stamp(r.Deadline), r.URI, len(r.Body))
+			line += fmt.Sprintf(": track %s, deadline %s, %s, %d bytes", r.JobClass, formatTime(r.Deadline), r.URI, len(r.Body))
 			if r.IdempotencyKey != "" {
-				line += ", tag " + r.IdempotencyKey
+				line += ", idempotency key " + r.IdempotencyKey
 			}
 		}
 		if r.Kind == store.Final {
@@ -156,7 +158,8 @@
 	err = s.Compact(func(done, all int) { fmt.Fprintf(os.Stderr, "segment %d of %d\n", done, all) })
 	after := s.Stats()
 	if err = errors.Join(err, s.Close()); err == nil {
-		fmt.Printf("%d batch jobs: %d bytes in %d segments, before %d in %d\n", after.Jobs, after.Bytes, after.Segments, before.Bytes, before.Segments)
+		fmt.Printf("%d batch jobs: %d bytes in %d segments, before: %d bytes in %d segments\n",
+			after.Jobs, after.Bytes, after.Segments, before.Bytes, before.Segments)
 	}
 	return err
 }
