--- a/cmd/birchstair/check_test.go
+++ b/cmd/birchstair/check_test.go
@@ -12,7 +12,7 @@
 	"birchstair/internal/golden"
 )
 
-// TestConfigCheck pins what config check prints, and what ops prints where it reaches no node.
+// TestConfigCheck pins the output of config check, and of ops when it has no node to call.
 func TestConfigCheck(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/cmd/birchstair/conn_flood_test.go
+++ b/cmd/birchstair/conn_flood_test.go
@@ -24,16 +24,17 @@
 	"birchstair/policy"
 )
 
-// crowd are clients that connect, send little or nothing, and connect again as soon as their connection is closed.
-type crowd struct {
-	addr  string
-	stop  chan struct{}
-	wait  sync.WaitGroup
-	up    atomic.Int64 // connections that opened
-	letGo atomic.Int64 // connections that the node closed
+// connFlood is a number of clients that each connect, send little or nothing, and connect again when the connection is closed.
+type connFlood struct {
+	addr         string
+	stop         chan struct{}
+	wait         sync.WaitGroup
+	opened       atomic.Int64 // connections that clients have opened
+	closedByNode atomic.Int64 // connections that the node has closed
 }
 
-func (c *crowd) come(n int, first string) {
+// start starts n clients. Each sends first on each of its connections.
+func (c *connFlood) start(n int, first string) {
 	c.stop = make(chan struct{})
 	for range n {
 		c.wait.Go(func() {
@@ -42,23 +43,23 @@
 				if err != nil {
 					return
 				}
-				c.up.Add(1)
-				over := make(chan struct{})
+				c.opened.Add(1)
+				closed := make(chan struct{})
 				go func() {
 					select {
 					case <-c.stop:
-					case <-over:
+					case <-closed:
 					}
 					conn.Close()
 				}()
-				conn.Write([]byte(first)) //nolint:errcheck // the node may have closed it already, which reading shows
+				conn.Write([]byte(first)) //nolint:errcheck // if the node has closed the connection, the read fails too
 				for b := make([]byte, 512); ; {
 					if _, err := conn.Read(b); err != nil {
 						break
 					}
 				}
-				close(over)
-				c.letGo.Add(1)
+				close(closed)
+				c.closedByNode.Add(1)
 				select {
 				case <-c.stop:
 					return
@@ -69,15 +70,16 @@
 	}
 }
 
-func (c *crowd) leave() {
+// end closes all connections and waits until the clients have ended.
+func (c *connFlood) end() {
 	close(c.stop)
 	c.wait.Wait()
 }
 
-// askAtOnce sends a request on a new connection and returns the status of the answer. Connecting and writing are two system calls in
-// a row. A client of net/http writes after several switches of goroutines; each may wait for hundreds of the crowd's, and the node
-// closes a connection without a request once enough newer ones have come.
-func askAtOnce(addr, request string, timeout time.Duration) (status int, err error) {
+// requestStatus sends a request on a new connection and returns the status of the answer. It connects and writes by two consecutive
+// system calls. net/http would switch between goroutines before it writes, and hundreds of the flood's goroutines could run first;
+// by then the node may have evicted the connection, because many newer ones had no request either.
+func requestStatus(addr, request string, timeout time.Duration) (status int, err error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return 0, err
@@ -113,32 +115,34 @@
 	return answer.StatusCode, answer.Body.Close()
 }
 
-// TestCrowdBeforeDiscovery has more idle clients than the node has descriptors connect before discovery is up, again and again.
-// Once discovery is up the node has the list by the first call that is answered, is ready, reaches executors, and answers clients
-// and operators. The system's limit on descriptors is the node's, so that one too many would show.
-func TestCrowdBeforeDiscovery(t *testing.T) {
+// TestConnFloodBeforeDiscovery has more clients than the node has file descriptors connect repeatedly before discovery is up.
+// When discovery is up, the node must get the endpoint list by its first answered call, become ready, reach executors, and answer
+// clients and operators. The process runs with the configured number of descriptors as its system limit, so that using one too
+// many fails.
+func TestConnFloodBeforeDiscovery(t *testing.T) {
 	binary := program(t)
 	for _, c := range []struct {
-		name, first string
-		silent      bool // discovery accepts connections while it is down, and never answers
-		sockets     int
-		clients     int
+		name, first  string
+		unresponsive bool // while discovery is down it accepts connections and never answers; otherwise it refuses them
+		sockets      int
+		clients      int
 	}{
-		{"silent, discovery refuses", "", false, 64, 300},
-		{"silent, discovery is silent", "", true, 64, 300},
-		{"half a message, discovery is silent", "POST /x HTTP/1.1\r\nHost: n\r\n", true, 128, 300},
-		{"asked once, discovery is silent", "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n", true, 256, 400},
+		{"no request, discovery refuses connections", "", false, 64, 300},
+		{"no request, discovery never answers", "", true, 64, 300},
+		{"half a request, discovery never answers", "POST /x HTTP/1.1\r\nHost: n\r\n", true, 128, 300},
+		{"readiness request, discovery never answers", "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n", true, 256, 400},
 	} {
-		t.Run(c.name, func(t *testing.T) { crowded(t, binary, c.first, c.silent, c.sockets, c.clients) })
+		t.Run(c.name, func(t *testing.T) { testConnFlood(t, binary, c.first, c.unresponsive, c.sockets, c.clients) })
 	}
 }
 
-func crowded(t *testing.T, binary, first string, silent bool, sockets, clients int) {
+// testConnFlood runs the test with clients that send first, and a node with this limit on sockets.
+func testConnFlood(t *testing.T, binary, first string, unresponsive bool, sockets, clients int) {
 	work := freeListener(t)
 	var ran atomic.Int64
 	go (&platform.Executor{ID: "e", RunTime: func() time.Duration { return time.Millisecond }, OnEffect: func(policy.JobID) { ran.Add(1) }}).Serve(work)
-	dir, listen, door, list := t.TempDir(), freePort(t), freePort(t), freePort(t)
-	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": listen, "discovery": list, "management": door,
+	dir, listen, adminAddr, list := t.TempDir(), freePort(t), freePort(t), freePort(t)
+	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": listen, "discovery": list, "management": adminAddr,
 		"limits": map[string]any{"memory_mb": 64, "sockets": sockets},
 		"settings": map[string]any{"balancers": 1, "areas": []string{"z"}, "flavors": []string{"plain"}, "caps": map[string]any{"max-allocations": 3},
 			"domain": map[string]any{"tells-start": true},
@@ -153,7 +157,7 @@
 	}
 	closeAtEnd(t, log)
 	var down net.Listener
-	if silent {
+	if unresponsive {
 		if down, err = net.Listen("tcp", list); err != nil {
 			t.Fatal(err)
 		}
@@ -164,52 +168,54 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	over := make(chan error, 1)
-	go func() { over <- cmd.Wait() }()
+	ended := make(chan error, 1)
+	go func() { ended <- cmd.Wait() }()
 	defer func() {
 		cmd.Process.Signal(syscall.SIGTERM)
 		select {
-		case err := <-over:
+		case err := <-ended:
 			if err != nil {
 				t.Errorf("the process ended with %v", err)
 			}
 		case <-time.After(20 * time.Second):
 			cmd.Process.Kill()
-			t.Error("the process never ended")
+			t.Error("the process does not end")
 		}
 		text, _ := os.ReadFile(logFile)
 		if strings.Contains(string(text), "too many open files") || t.Failed() {
-			t.Errorf("its log:\n%s", text)
+			t.Errorf("log of the process:\n%s", text)
 		}
 	}()
-	until := func(what string, so func() bool) {
+	waitUntil := func(what string, condition func() bool) {
 		t.Helper()
-		for by := time.Now().Add(30 * time.Second); !so(); time.Sleep(time.Millisecond) {
-			if time.Now().After(by) {
-				t.Fatalf("never: %s", what)
+		for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("timeout while waiting until %s", what)
 			}
 		}
 	}
-	figures := func() error {
-		_, err := admin.Call(door, node.ReadMetrics, "", 5*time.Second)
+	readMetrics := func() error {
+		_, err := admin.Call(adminAddr, node.ReadMetrics, "", 5*time.Second)
 		return err
 	}
-	until("the door answers", func() bool { return figures() == nil })
+	waitUntil("the node answers operators", func() bool { return readMetrics() == nil })
 	descriptors := func() int {
 		all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
 		return len(all)
 	}
 
-	idle := &crowd{addr: listen}
-	idle.come(clients, first)
-	defer idle.leave()
-	until("each of the crowd was let go once, on the average", func() bool { return idle.letGo.Load() >= int64(clients) })
-	most := descriptors()
-	if err := figures(); err != nil {
-		t.Errorf("the door, under the crowd: %v", err)
+	flood := &connFlood{addr: listen}
+	flood.start(clients, first)
+	defer flood.end()
+	waitUntil("the node has closed as many connections as there are clients", func() bool {
+		return flood.closedByNode.Load() >= int64(clients)
+	})
+	mostDescriptors := descriptors()
+	if err := readMetrics(); err != nil {
+		t.Errorf("reading metrics during the connection flood: %v", err)
 	}
 
-	if silent {
+	if unresponsive {
 		down.Close()
 	}
 	up, err := net.Listen("tcp", list)
@@ -219,30 +225,31 @@
 	defer up.Close()
 	go (&platform.Discovery{Zones: []string{"z"}, Entries: []emulator.Entry{{Addr: work.Addr().String(),
 		Endpoint: policy.Endpoint{Executor: "e", Weight: 1, StartedLongAgo: true}}}}).Serve(up)
-	came, began := idle.letGo.Load(), time.Now()
-	asked := 0
-	until("it is ready", func() bool {
-		asked++
-		most = max(most, descriptors())
-		status, err := askAtOnce(listen, "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n", 10*time.Second)
+	closedBefore, began := flood.closedByNode.Load(), time.Now()
+	requests := 0
+	waitUntil("the node is ready", func() bool {
+		requests++
+		mostDescriptors = max(mostDescriptors, descriptors())
+		status, err := requestStatus(listen, "GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n", 10*time.Second)
 		return err == nil && status == http.StatusOK
 	})
-	t.Logf("ready after %v, %d calls, %d of the crowd let go meanwhile, %d descriptors", time.Since(began), asked, idle.letGo.Load()-came, most)
-	// A new connection may be closed before it is read; the client tries again then.
+	t.Logf("ready after %v and %d requests; meanwhile the node closed %d connections; %d descriptors in use",
+		time.Since(began), requests, flood.closedByNode.Load()-closedBefore, mostDescriptors)
+	// The node may evict the connection before it reads the request; the client then tries again.
 	var status int
-	until("a batch job is answered", func() bool {
+	waitUntil("a batch job is answered", func() bool {
 		var err error
-		status, err = askAtOnce(listen, "POST /x HTTP/1.1\r\nHost: n\r\nX-Call-Id: page-1\r\nX-Call-Class: page\r\nX-Budget-Ms: 20000\r\n"+
+		status, err = requestStatus(listen, "POST /x HTTP/1.1\r\nHost: n\r\nX-Call-Id: page-1\r\nX-Call-Class: page\r\nX-Budget-Ms: 20000\r\n"+
 			"Content-Length: 4\r\n\r\nbody", 20*time.Second)
 		return err == nil
 	})
 	if status != http.StatusOK || ran.Load() != 1 {
-		t.Errorf("status %d, ran %d times", status, ran.Load())
+		t.Errorf("the batch job got status %d and ran %d times, want 200 and once", status, ran.Load())
 	}
-	if err := figures(); err != nil {
-		t.Errorf("the door, once ready: %v", err)
+	if err := readMetrics(); err != nil {
+		t.Errorf("reading metrics after the node is ready: %v", err)
 	}
-	if most = max(most, descriptors()); most > sockets {
-		t.Errorf("%d descriptors of %d", most, sockets)
+	if mostDescriptors = max(mostDescriptors, descriptors()); mostDescriptors > sockets {
+		t.Errorf("%d descriptors in use, want at most %d", mostDescriptors, sockets)
 	}
 }
--- a/cmd/birchstair/help_test.go
+++ b/cmd/birchstair/help_test.go
@@ -10,7 +10,7 @@
 	"birchstair/internal/golden"
 )
 
-// TestHelp pins the help of the program and of each of its commands: names of flags follow from Go fields.
+// TestHelp pins the help of the program and of each command. A renamed field would change the name of a command or flag.
 func TestHelp(t *testing.T) {
 	var out strings.Builder
 	var print func(n *kong.Node, path []string)
--- a/cmd/birchstair/main_test.go
+++ b/cmd/birchstair/main_test.go
@@ -9,7 +9,7 @@
 	"birchstair/internal/golden"
 )
 
-var programDir string // empty until the program is built
+var programDir string // directory of the built program; empty until it is built
 
 // build builds the program once for all tests that start it.
 var build = sync.OnceValues(func() (binary string, err error) {
@@ -19,7 +19,7 @@
 	return golden.Program(programDir)
 })
 
-// program returns the program's file.
+// program returns the path of the built program.
 func program(t *testing.T) string {
 	t.Helper()
 	binary, err := build()
@@ -29,12 +29,13 @@
 	return binary
 }
 
-// closeAtEnd closes a file when the test has ended.
+// closeAtEnd closes a file when the test ends.
 func closeAtEnd(t *testing.T, f *os.File) {
 	t.Helper()
 	t.Cleanup(func() { mustClose(t, f) })
 }
 
+// mustClose closes f, which must succeed.
 func mustClose(t *testing.T, f io.Closer) {
 	t.Helper()
 	if err := f.Close(); err != nil {
@@ -42,7 +43,7 @@
 	}
 }
 
-// send writes text, which must succeed.
+// send writes text to a connection, which must succeed.
 func send(t *testing.T, to io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(to, text); err != nil {
@@ -50,6 +51,7 @@
 	}
 }
 
+// TestMain removes the built program after the tests.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if programDir != "" {
--- a/cmd/birchstair/serve_test.go
+++ b/cmd/birchstair/serve_test.go
@@ -23,8 +23,9 @@
 	"birchstair/internal/site"
 )
 
-// executor stands in for one: a batch job is done when its body says so, and "wait" when the test says so.
-func executor(t *testing.T, started, finish chan string) *httptest.Server {
+// startExecutor starts an executor. It completes each batch job at once, except one with the body "wait", which it completes when
+// the test sends to finish. It sends the id of that one to started.
+func startExecutor(t *testing.T, started, finish chan string) *httptest.Server {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		id := r.Header.Get("X-Call-Id")
@@ -43,14 +44,14 @@
 	return s
 }
 
-// configuration is a node's configuration file, which rewrite writes with another discovery.
-type configuration struct {
+// configFile is the configuration file of a node. rewrite writes it with the address of another discovery.
+type configFile struct {
 	t      *testing.T
 	file   string
 	listen string
 }
 
-// freePort returns an address and port that no one else uses.
+// freePort returns an unused address and port.
 func freePort(t *testing.T) string {
 	addr, err := platform.FreeAddress()
 	if err != nil {
@@ -59,13 +60,14 @@
 	return addr
 }
 
-func newConfiguration(t *testing.T, discovery string) configuration {
-	c := configuration{t, filepath.Join(t.TempDir(), "config.json"), freePort(t)}
+// newConfigFile writes the configuration file of a new node.
+func newConfigFile(t *testing.T, discovery string) configFile {
+	c := configFile{t, filepath.Join(t.TempDir(), "config.json"), freePort(t)}
 	c.rewrite(discovery)
 	return c
 }
 
-func (c configuration) rewrite(discovery string) {
+func (c configFile) rewrite(discovery string) {
 	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": c.listen, "discovery": discovery,
 		"settings": map[string]any{"balancers": 1, "quantum-s": 0.004, "caps": map[string]any{"max-allocations": 3},
 			"domain": map[string]any{"tells-start": true},
@@ -76,25 +78,27 @@
 	}
 }
 
-func (c configuration) read() (nodeConfig, error) {
+// read reads the file as the program does.
+func (c configFile) read() (nodeConfig, error) {
 	return readNodeConfig(func(name string) string { return map[string]string{"ROUTER_CONFIG": c.file}[name] }, time.Now())
 }
 
-func (c configuration) serve(ctx context.Context, again chan os.Signal) error {
+// serve runs the node. It reloads the file on each value from reloads.
+func (c configFile) serve(ctx context.Context, reloads chan os.Signal) error {
 	t, err := c.read()
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return serve(ctx, t, site.Config{}, again, c.read, time.Now(), zerolog.Nop())
+	return serve(ctx, t, site.Config{}, reloads, c.read, time.Now(), zerolog.Nop())
 }
 
-// startDiscovery starts a discovery whose list never changes; watched tells who watches it.
+// startDiscovery starts a discovery whose endpoint list never changes. It sends to watched when a watch begins or ends.
 func startDiscovery(t *testing.T, work *httptest.Server, name string, watched chan string) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("from") {
-			watched <- name + " is watched"
+			watched <- name + ": watch begins"
 			<-r.Context().Done()
-			watched <- name + " is left"
+			watched <- name + ": watch ends"
 			return
 		}
 		fmt.Fprintf(w, `{"seq":1,"whole":true,"hosts":[{"host":"s-a","dial":%q,"health":"ready"}]}`,
@@ -104,22 +108,22 @@
 	return s.Listener.Addr().String()
 }
 
-// TestServe runs a node from its start to its graceful shutdown: it becomes ready with the list, handles batch jobs, reloads its
-// configuration with one in flight, and answers that before it ends.
+// TestServe runs a node from its start to its graceful shutdown. The node becomes ready when it has the endpoint list, handles batch
+// jobs, reloads its configuration while one is in flight, and answers that one before it ends.
 func TestServe(t *testing.T) {
 	var out strings.Builder
 	started, finish := make(chan string, 1), make(chan string)
-	work := executor(t, started, finish)
+	work := startExecutor(t, started, finish)
 	watched := make(chan string, 100)
-	c := newConfiguration(t, startDiscovery(t, work, "the first", watched))
+	c := newConfigFile(t, startDiscovery(t, work, "the first", watched))
 	ctx, stop := context.WithCancel(context.Background())
-	ended, again := make(chan error, 1), make(chan os.Signal)
-	go func() { ended <- c.serve(ctx, again) }()
+	ended, reloads := make(chan error, 1), make(chan os.Signal)
+	go func() { ended <- c.serve(ctx, reloads) }()
 
 	for ready := false; !ready; time.Sleep(time.Millisecond) {
 		select {
 		case err := <-ended:
-			t.Fatal("ended before it was ready: ", err)
+			t.Fatal("the node ended before it was ready: ", err)
 		default:
 		}
 		if a, err := http.Get("http://" + c.listen + "/-/ready"); err == nil {
@@ -127,11 +131,11 @@
 			ready = a.StatusCode == http.StatusOK
 		}
 	}
-	hand := func(id, body string) string {
-		ask, _ := http.NewRequest("POST", "http://"+c.listen+"/api/7f?q="+id, strings.NewReader(body))
-		ask.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {"board-read"}, "X-Budget-Ms": {"60000"},
+	submit := func(id, body string) string {
+		request, _ := http.NewRequest("POST", "http://"+c.listen+"/api/7f?q="+id, strings.NewReader(body))
+		request.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {"board-read"}, "X-Budget-Ms": {"60000"},
 			"X-Call-Cost": {"1000"}}
-		a, err := http.DefaultClient.Do(ask)
+		a, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return id + ": " + err.Error()
 		}
@@ -139,25 +143,25 @@
 		text, _ := io.ReadAll(a.Body)
 		return fmt.Sprintf("%s: %d %s", id, a.StatusCode, text)
 	}
-	out.WriteString(hand("j1", "first") + "\n" + hand("j2", "second") + "\n")
+	out.WriteString(submit("j1", "first") + "\n" + submit("j2", "second") + "\n")
 	waited := make(chan string, 1)
-	go func() { waited <- hand("j3", "wait") }()
+	go func() { waited <- submit("j3", "wait") }()
 	select {
 	case id := <-started:
-		out.WriteString(id + " is out\ntold to stop\n")
+		out.WriteString(id + " is in flight\nreload, then shutdown\n")
 	case early := <-waited:
-		t.Fatal("never sent: ", early)
+		t.Fatal("answered before the executor completed it: ", early)
 	}
 	fmt.Fprintln(&out, <-watched)
 	if err := os.WriteFile(c.file, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again <- syscall.SIGHUP
+	reloads <- syscall.SIGHUP
 	c.rewrite(startDiscovery(t, work, "the second", watched))
-	again <- syscall.SIGHUP // the reload before has been handled, and changed nothing
+	reloads <- syscall.SIGHUP // accepted only after the reload above, which changed nothing
 	news := []string{<-watched, <-watched}
-	slices.Sort(news) // in whatever order
-	fmt.Fprintln(&out, "read again:", news)
+	slices.Sort(news) // they come in either order
+	fmt.Fprintln(&out, "reloaded:", news)
 	stop()
 	finish <- ""
 	out.WriteString(<-waited + "\n")
@@ -165,9 +169,9 @@
 	golden.Compare(t, "serve.txt", out.String())
 }
 
-// TestServeWithoutAddress checks that an address that is in use ends the start with an error.
-func TestServeWithoutAddress(t *testing.T) {
-	c := newConfiguration(t, "127.0.0.1:1")
+// TestServeAddressInUse checks that serve returns an error if the address for clients is in use.
+func TestServeAddressInUse(t *testing.T) {
+	c := newConfigFile(t, "127.0.0.1:1")
 	l, err := net.Listen("tcp", c.listen)
 	if err != nil {
 		t.Fatal(err)
@@ -175,6 +179,6 @@
 	defer l.Close()
 	err = c.serve(context.Background(), nil)
 	if err == nil || !strings.HasPrefix(err.Error(), "listen ") {
-		t.Errorf("started on an address that is taken: %v", err)
+		t.Errorf("error %v, want one of listen", err)
 	}
 }
--- a/cmd/birchstair/store_test.go
+++ b/cmd/birchstair/store_test.go
@@ -13,17 +13,17 @@
 	"birchstair/internal/store"
 )
 
-// printed returns what a command prints, and its error.
-func printed(t *testing.T, run func() error) string {
+// capture runs a command and returns its output, followed by its error.
+func capture(t *testing.T, run func() error) string {
 	t.Helper()
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := os.Stdout
+	stdout := os.Stdout
 	os.Stdout = w
 	err = run()
-	os.Stdout = was
+	os.Stdout = stdout
 	mustClose(t, w)
 	text, _ := io.ReadAll(r)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return string(text)
 }
 
-// TestStoreCommands checks what the commands print of a store that is valid, in use, torn or damaged.
+// TestStoreCommands checks the output of the commands for a store that is valid, in use, incomplete at the end or damaged.
 func TestStoreCommands(t *testing.T) {
 	dir := t.TempDir()
 	day := time.UnixMilli(1_700_000_000_000).UTC()
@@ -62,19 +62,19 @@
 	put(store.Record{Kind: store.Released, ID: "c"})
 
 	var out strings.Builder
-	say := func(what, text string) {
-		fmt.Fprintf(&out, "%s\n%s", what, strings.ReplaceAll(text, dir, "DIR"))
+	printOutput := func(title, text string) {
+		fmt.Fprintf(&out, "%s\n%s", title, strings.ReplaceAll(text, dir, "DIR"))
 	}
-	say("in use", printed(t, storeCheckCmd{dir}.Run))
-	say("compact, in use", printed(t, storeCompactCmd{dir}.Run))
+	printOutput("in use", capture(t, storeCheckCmd{dir}.Run))
+	printOutput("compact, in use", capture(t, storeCompactCmd{dir}.Run))
 	mustClose(t, s)
-	say("check", printed(t, storeCheckCmd{dir}.Run))
-	say("list", printed(t, storeListCmd{dir}.Run))
-	say("show a", printed(t, storeShowCmd{"a", dir}.Run))
-	say("show what is not there", printed(t, storeShowCmd{"z", dir}.Run))
-	say("compact", printed(t, storeCompactCmd{dir}.Run))
-	say("list after that", printed(t, storeListCmd{dir}.Run))
-	say("an empty directory", printed(t, storeCheckCmd{t.TempDir()}.Run)[:6])
+	printOutput("check", capture(t, storeCheckCmd{dir}.Run))
+	printOutput("list", capture(t, storeListCmd{dir}.Run))
+	printOutput("show a", capture(t, storeShowCmd{"a", dir}.Run))
+	printOutput("show an unknown batch job", capture(t, storeShowCmd{"z", dir}.Run))
+	printOutput("compact", capture(t, storeCompactCmd{dir}.Run))
+	printOutput("list after compaction", capture(t, storeListCmd{dir}.Run))
+	printOutput("an empty directory", capture(t, storeCheckCmd{t.TempDir()}.Run)[:6])
 
 	last := filepath.Join(dir, "000000000002.log")
 	whole, err := os.ReadFile(last)
@@ -84,12 +84,12 @@
 	if err := os.WriteFile(last, append(whole, "half a frame"...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	say("a torn end", printed(t, storeCheckCmd{dir}.Run))
+	printOutput("an incomplete record at the end", capture(t, storeCheckCmd{dir}.Run))
 	flipped := append([]byte(nil), whole...)
 	flipped[40] ^= 1
 	if err := os.WriteFile(last, append(flipped, whole[16:]...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	say("a flipped bit", printed(t, storeCheckCmd{dir}.Run))
+	printOutput("a flipped bit", capture(t, storeCheckCmd{dir}.Run))
 	golden.Compare(t, "store.txt", out.String())
 }
--- a/cmd/birchstair/upgrade_test.go
+++ b/cmd/birchstair/upgrade_test.go
@@ -24,36 +24,36 @@
 	"birchstair/policy"
 )
 
-// testPlatform is the platform of one node on loopback: the clients' listening socket, executors, discovery, the processes of the
-// node, and clients that send batch jobs without a pause.
+// testPlatform is the environment of one node, on loopback: the listening socket for clients, executors, discovery, the processes
+// of the node, and clients that send batch jobs continuously.
 type testPlatform struct {
-	t       *testing.T
-	binary  string
-	dir     string
-	socket  *os.File
-	listen  string
-	work    string // where discovery answers
-	started int
-	doors   []string
+	t            *testing.T
+	binary       string
+	dir          string
+	listenSocket *os.File
+	listen       string
+	discovery    string // address of discovery
+	started      int
+	adminAddrs   []string
 
 	mu             sync.Mutex
-	ran            map[policy.JobID]int
-	excluded       policy.ExecutorID     // excluded by an operator, which the node has acknowledged
-	submittedSince map[policy.JobID]bool // submitted since then
-	strayed        []policy.JobID        // of those, what reached the excluded executor
-	answers        map[policy.JobID]int  // status; 0 for a connection that broke
+	runs           map[policy.JobID]int
+	excluded       policy.ExecutorID     // the executor that an operator has excluded, once the node has acknowledged that
+	submittedSince map[policy.JobID]bool // batch jobs submitted since then
+	misdirected    []policy.JobID        // of those, the jobs that reached the excluded executor
+	answers        map[policy.JobID]int  // status of each answer; 0 if the connection broke
 }
 
-// process is a process of the node.
+// process is one of the processes of the node.
 type process struct {
-	cmd  *exec.Cmd
-	door string
-	log  string
-	over chan error
+	cmd       *exec.Cmd
+	adminAddr string
+	log       string
+	ended     chan error
 }
 
 func newPlatform(t *testing.T, binary string) *testPlatform {
-	p := &testPlatform{t: t, binary: binary, dir: t.TempDir(), ran: map[policy.JobID]int{}, submittedSince: map[policy.JobID]bool{},
+	p := &testPlatform{t: t, binary: binary, dir: t.TempDir(), runs: map[policy.JobID]int{}, submittedSince: map[policy.JobID]bool{},
 		answers: map[policy.JobID]int{}}
 	var entries []emulator.Entry
 	for i := range 4 {
@@ -63,9 +63,9 @@
 		x := &platform.Executor{ID: id, RunTime: func() time.Duration { return 5 * time.Millisecond }, OnEffect: func(job policy.JobID) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.ran[job]++
+			p.runs[job]++
 			if id == p.excluded && p.submittedSince[job] {
-				p.strayed = append(p.strayed, job)
+				p.misdirected = append(p.misdirected, job)
 			}
 		}}
 		go x.Serve(l)
@@ -77,11 +77,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.socket, p.listen, p.work = file, clients.Addr().String(), list.Addr().String()
+	p.listenSocket, p.listen, p.discovery = file, clients.Addr().String(), list.Addr().String()
 	closeAtEnd(t, file)
 	return p
 }
 
+// freeListener returns a listener on a free port.
 func freeListener(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,78 +93,80 @@
 	return l
 }
 
-// start starts a process. Where discovery is an address that nobody serves, it does not become ready by itself.
+// start starts a process. If discovery is an address without a server, the process becomes ready only by the state that it gets
+// from its predecessor. broken gives it an invalid configuration.
 func (p *testPlatform) start(discovery string, broken bool) *process {
-	pr := p.prepare(discovery, broken)
-	log, err := os.Create(pr.log)
+	proc := p.prepare(discovery, broken)
+	log, err := os.Create(proc.log)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	defer mustClose(p.t, log)
-	p.startPrepared(pr, log)
-	return pr
+	p.startPrepared(proc, log)
+	return proc
 }
 
-// prepare returns a process that is not started yet.
+// prepare returns a process that is not started yet. Its parameters are those of start.
 func (p *testPlatform) prepare(discovery string, broken bool) *process {
 	p.started++
-	pr := &process{door: freePort(p.t), log: filepath.Join(p.dir, fmt.Sprint("log", p.started)), over: make(chan error, 1)}
+	proc := &process{adminAddr: freePort(p.t), log: filepath.Join(p.dir, fmt.Sprint("log", p.started)), ended: make(chan error, 1)}
 	tracks := []any{}
 	for _, t := range [...][2]string{{"page", "repeatable"}, {"order", "once"}} {
 		tracks = append(tracks, map[string]any{"name": t[0], "quoted-time-s": 1, "outer-limit-s": 2, "repeat": t[1], "earnings": 1})
 	}
-	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": p.listen, "discovery": discovery, "management": pr.door,
+	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": p.listen, "discovery": discovery, "management": proc.adminAddr,
 		"limits": map[string]any{"memory_mb": 32, "sockets": 256},
 		"settings": map[string]any{"balancers": 1, "areas": []string{"z"}, "flavors": []string{"plain"}, "caps": map[string]any{"max-allocations": 3},
 			"domain": map[string]any{"tells-start": true}, "tracks": tracks}})
 	if broken {
 		text = text[:len(text)/2]
 	}
-	p.doors = append(p.doors, pr.door)
+	p.adminAddrs = append(p.adminAddrs, proc.adminAddr)
 	config := filepath.Join(p.dir, fmt.Sprint("config", p.started))
 	if err := os.WriteFile(config, text, 0o600); err != nil {
 		p.t.Fatal(err)
 	}
-	pr.cmd = exec.Command(p.binary, "serve")
-	pr.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN_FD=5", "TMPDIR="+p.dir)
-	return pr
+	proc.cmd = exec.Command(p.binary, "serve")
+	proc.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN_FD=5", "TMPDIR="+p.dir)
+	return proc
 }
 
-// startPrepared starts a process with its log in this file.
-func (p *testPlatform) startPrepared(pr *process, log *os.File) {
-	nothing, err := os.Open(os.DevNull)
+// startPrepared starts a prepared process with its log in this file.
+func (p *testPlatform) startPrepared(proc *process, log *os.File) {
+	devNull, err := os.Open(os.DevNull)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	defer mustClose(p.t, nothing)
-	pr.cmd.ExtraFiles = []*os.File{nothing, nothing, p.socket}
-	pr.cmd.Stderr = log
-	if err := pr.cmd.Start(); err != nil {
+	defer mustClose(p.t, devNull)
+	proc.cmd.ExtraFiles = []*os.File{devNull, devNull, p.listenSocket}
+	proc.cmd.Stderr = log
+	if err := proc.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	go func() { pr.over <- pr.cmd.Wait() }()
-	p.t.Cleanup(func() { pr.cmd.Process.Kill() })
+	go func() { proc.ended <- proc.cmd.Wait() }()
+	p.t.Cleanup(func() { proc.cmd.Process.Kill() })
 }
 
-func (pr *process) call(order node.AdminCommand, id policy.ExecutorID) error {
-	_, err := admin.Call(pr.door, order, id, time.Second)
+// call sends an operator's command to the process.
+func (proc *process) call(command node.AdminCommand, id policy.ExecutorID) error {
+	_, err := admin.Call(proc.adminAddr, command, id, time.Second)
 	return err
 }
 
 // awaitReady waits until a process is ready.
-func (p *testPlatform) awaitReady(pr *process) {
-	for until := time.Now().Add(15 * time.Second); pr.call(node.CheckReady, "") != nil; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(until) {
-			text, _ := os.ReadFile(pr.log)
-			p.t.Fatalf("never ready:\n%s", text)
+func (p *testPlatform) awaitReady(proc *process) {
+	for deadline := time.Now().Add(15 * time.Second); proc.call(node.CheckReady, "") != nil; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			text, _ := os.ReadFile(proc.log)
+			p.t.Fatalf("the process does not become ready:\n%s", text)
 		}
 	}
 }
 
-// exclude has an operator exclude an executor: nothing that is submitted after the acknowledgment may reach it. What was in
-// flight then may have been decided before; how the reducer treats that is in its golden traces.
-func (p *testPlatform) exclude(pr *process, id policy.ExecutorID) {
-	if err := pr.call(node.ExcludeExecutor, id); err != nil {
+// exclude has an operator exclude an executor. No batch job that is submitted after the acknowledgment may reach it. Jobs that were
+// in flight then may have been assigned to it before; the golden traces of package node have these.
+func (p *testPlatform) exclude(proc *process, id policy.ExecutorID) {
+	if err := proc.call(node.ExcludeExecutor, id); err != nil {
 		p.t.Error(err)
 	}
 	p.mu.Lock()
@@ -171,52 +174,53 @@
 	p.excluded = id
 }
 
-// endExclusion checks the exclusion and ends it: the executor is about to be readmitted, or the node to forget.
-func (p *testPlatform) endExclusion() {
+// checkExclusion checks that the excluded executor got no new batch jobs. The check then ends, because the executor is about to be
+// readmitted, or the node is about to lose the exclusion.
+func (p *testPlatform) checkExclusion() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.strayed) > 0 {
-		p.t.Errorf("%s got %v, which were handed in after it was taken out", p.excluded, p.strayed)
+	if len(p.misdirected) > 0 {
+		p.t.Errorf("%s got %v, which were submitted after it was excluded", p.excluded, p.misdirected)
 	}
 	if p.excluded != "" && len(p.submittedSince) == 0 {
-		p.t.Errorf("nothing was handed in after %s was taken out", p.excluded)
+		p.t.Errorf("no batch job was submitted after %s was excluded", p.excluded)
 	}
-	p.excluded, p.submittedSince, p.strayed = "", map[policy.JobID]bool{}, nil
+	p.excluded, p.submittedSince, p.misdirected = "", map[policy.JobID]bool{}, nil
 }
 
-// awaitEnd sends a process a signal, if one is given, and returns how it ended.
-func (p *testPlatform) awaitEnd(pr *process, sig os.Signal) error {
+// awaitEnd sends a process a signal, unless sig is nil, waits until the process ends and returns its error.
+func (p *testPlatform) awaitEnd(proc *process, sig os.Signal) error {
 	if sig != nil {
-		pr.cmd.Process.Signal(sig)
+		proc.cmd.Process.Signal(sig)
 	}
 	select {
-	case err := <-pr.over:
+	case err := <-proc.ended:
 		return err
 	case <-time.After(15 * time.Second):
-		p.t.Fatal("a process never ended")
+		p.t.Fatal("a process does not end")
 		return nil
 	}
 }
 
-// stop ends a process by SIGTERM, which must succeed.
-func (p *testPlatform) stop(pr *process) {
+// stop ends a process by SIGTERM. The process must exit with status 0.
+func (p *testPlatform) stop(proc *process) {
 	p.t.Helper()
-	if err := p.awaitEnd(pr, syscall.SIGTERM); err != nil {
+	if err := p.awaitEnd(proc, syscall.SIGTERM); err != nil {
 		p.t.Errorf("a process ended with %v", err)
 	}
 }
 
-// kill ends a process that must not have ended before.
-func (p *testPlatform) kill(pr *process) {
+// kill ends a process by SIGKILL. The process must not have ended before.
+func (p *testPlatform) kill(proc *process) {
 	p.t.Helper()
-	err := p.awaitEnd(pr, syscall.SIGKILL)
+	err := p.awaitEnd(proc, syscall.SIGKILL)
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-		p.t.Errorf("a process was to be killed and ended with %v", err)
+		p.t.Errorf("a process ended with %v, want SIGKILL", err)
 	}
 }
 
-// submitAll submits batch jobs by several clients until stop is closed. The result is done when the last of them has ended.
+// submitAll submits batch jobs by several clients until stop is closed. The returned group is done when all clients have ended.
 func (p *testPlatform) submitAll(stop chan struct{}) *sync.WaitGroup {
 	var wait sync.WaitGroup
 	for c := range 6 {
@@ -237,6 +241,7 @@
 	return &wait
 }
 
+// submit submits a batch job and records the status of its answer.
 func (p *testPlatform) submit(client *http.Client, id string) {
 	p.mu.Lock()
 	if p.excluded != "" {
@@ -244,14 +249,14 @@
 	}
 	p.mu.Unlock()
 	m, _ := http.NewRequest("POST", "http://"+p.listen+"/x", strings.NewReader("body"))
-	m.GetBody = nil // net/http must not retry it
-	track, _, _ := strings.Cut(id, "-")
-	m.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {track}, "X-Budget-Ms": {"2000"}}
-	status, on := 0, httptrace.GotConnInfo{}
-	m = m.WithContext(httptrace.WithClientTrace(m.Context(), &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) { on = got }}))
+	m.GetBody = nil // so that net/http does not retry the request
+	class, _, _ := strings.Cut(id, "-")
+	m.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {class}, "X-Budget-Ms": {"2000"}}
+	status, conn := 0, httptrace.GotConnInfo{}
+	m = m.WithContext(httptrace.WithClientTrace(m.Context(), &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) { conn = got }}))
 	a, err := client.Do(m)
 	if err != nil {
-		p.t.Logf("%s: %v, on a connection that was used: %t, had rested for %v", id, err, on.Reused, on.IdleTime)
+		p.t.Logf("%s: %v, on a reused connection: %t, idle for %v", id, err, conn.Reused, conn.IdleTime)
 	}
 	if err == nil {
 		if _, err = io.Copy(io.Discard, a.Body); err == nil {
@@ -264,7 +269,8 @@
 	p.mu.Unlock()
 }
 
-// checkAll checks what became of all batch jobs. lost: a process was killed with some in flight.
+// checkAll checks the answers and runs of all batch jobs. lost says that a process was killed while jobs were in flight, so that
+// connections may have broken.
 func (p *testPlatform) checkAll(lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -272,24 +278,24 @@
 	for id, status := range p.answers {
 		once := strings.HasPrefix(string(id), "order")
 		statuses[status]++
-		switch n := p.ran[id]; {
+		switch n := p.runs[id]; {
 		case status == http.StatusOK && n == 0:
-			p.t.Errorf("%s was handled and never ran", id)
+			p.t.Errorf("%s succeeded and never ran", id)
 		case once && n > 1:
-			p.t.Errorf("%s, once-only, ran %d times", id, n)
+			p.t.Errorf("%s, an at-most-once job, ran %d times", id, n)
 		case once && status == http.StatusServiceUnavailable && n > 0:
-			p.t.Errorf("%s was pushed back and ran", id)
+			p.t.Errorf("%s was rejected and ran", id)
 		case status == 0 && !lost, status != 0 && status != http.StatusOK && status != http.StatusServiceUnavailable:
 			p.t.Errorf("%s ended with status %d", id, status)
 		}
 	}
 	if statuses[http.StatusOK] < 10 || statuses[0] > 60 {
-		p.t.Errorf("too few were handled, or too many lost: %v", statuses)
+		p.t.Errorf("number of answers by status: %v, want at least 10 of 200 and at most 60 broken connections (0)", statuses)
 	}
 }
 
-// checkHandles checks that the node handles a new batch job, whichever process serves it.
-func (p *testPlatform) checkHandles() {
+// checkServes checks that the node completes a new batch job, whichever process serves it.
+func (p *testPlatform) checkServes() {
 	client := http.Client{Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
 	for i := range 20 {
@@ -302,7 +308,7 @@
 			return
 		}
 	}
-	for _, door := range p.doors {
+	for _, door := range p.adminAddrs {
 		lines, err := admin.Call(door, node.ReadMetrics, "", time.Second)
 		p.t.Log(door, lines, err)
 	}
@@ -310,85 +316,85 @@
 		text, _ := os.ReadFile(filepath.Join(p.dir, fmt.Sprint("log", i+1)))
 		p.t.Logf("process %d:\n%s", i+1, text)
 	}
-	p.t.Error("the node handles nothing at the end")
+	p.t.Error("the node completes no batch job at the end")
 }
 
-// TestUpgrade upgrades a node with two real processes under load, one of which is killed at each step. An executor that an
-// operator has excluded gets nothing new meanwhile.
+// TestUpgrade upgrades a node under load by starting a second process, and kills either process at various steps. An executor that
+// an operator has excluded must get no new batch jobs meanwhile.
 func TestUpgrade(t *testing.T) {
 	binary := program(t)
-	nowhere := "127.0.0.1:1"
+	noServer := "127.0.0.1:1"
 	for _, c := range []struct {
 		name string
 		lost bool
 		do   func(p *testPlatform, old *process)
 	}{
-		{"two in a row", false, func(p *testPlatform, old *process) {
+		{"two upgrades", false, func(p *testPlatform, old *process) {
 			for range 2 {
-				next := p.start(p.work, false)
+				next := p.start(p.discovery, false)
 				p.awaitReady(next)
 				p.stop(old)
 				old = next
 			}
-			p.endExclusion()
+			p.checkExclusion()
 			if err := old.call(node.ReadmitExecutor, "e3"); err != nil {
-				p.t.Errorf("e3 is not known as out: %v", err)
+				p.t.Errorf("readmitting e3, which was excluded in an earlier process: %v", err)
 			}
 		}},
-		{"new ones are killed while they start", true, func(p *testPlatform, old *process) {
+		{"successors are killed during their start", true, func(p *testPlatform, old *process) {
 			for i := range 8 {
-				next := p.start(p.work, false)
+				next := p.start(p.discovery, false)
 				time.Sleep(time.Duration(4*i) * time.Millisecond)
 				p.kill(next)
 			}
 		}},
-		{"discovery is silent for the new one", false, func(p *testPlatform, old *process) {
-			next := p.start(nowhere, false)
+		{"the successor does not reach discovery", false, func(p *testPlatform, old *process) {
+			next := p.start(noServer, false)
 			p.awaitReady(next)
 			p.stop(old)
 		}},
-		{"the new one's configuration is broken", false, func(p *testPlatform, old *process) {
-			if p.awaitEnd(p.start(p.work, true), nil) == nil {
-				p.t.Error("it ended well")
+		{"the successor's configuration is invalid", false, func(p *testPlatform, old *process) {
+			if p.awaitEnd(p.start(p.discovery, true), nil) == nil {
+				p.t.Error("the successor exits with status 0")
 			}
 		}},
-		{"the new one is killed after its yes", true, func(p *testPlatform, old *process) {
-			next := p.start(p.work, false)
+		{"the successor is killed after it is ready", true, func(p *testPlatform, old *process) {
+			next := p.start(p.discovery, false)
 			p.awaitReady(next)
 			time.Sleep(100 * time.Millisecond)
 			p.kill(next)
-			p.checkHandles()
-			next = p.start(p.work, false) // the predecessor is found again
+			p.checkServes()
+			next = p.start(p.discovery, false) // it finds the predecessor again
 			p.awaitReady(next)
 			p.stop(old)
 		}},
-		{"the old one is killed", true, func(p *testPlatform, old *process) {
-			next := p.start(p.work, false)
+		{"the predecessor is killed", true, func(p *testPlatform, old *process) {
+			next := p.start(p.discovery, false)
 			p.awaitReady(next)
 			p.kill(old)
 		}},
-		{"a stale socket and a drain", false, func(p *testPlatform, old *process) {
-			next := p.start(p.work, false)
+		{"a client drain and a stale handoff socket", false, func(p *testPlatform, old *process) {
+			next := p.start(p.discovery, false)
 			p.awaitReady(next)
 			if err := old.call(node.DrainOn, ""); err != nil {
 				p.t.Error(err)
 			}
 			if a, err := http.Get("http://" + p.listen + "/-/ready"); err != nil || a.StatusCode != http.StatusServiceUnavailable {
-				p.t.Errorf("ready while it drains: %v", err)
+				p.t.Errorf("ready during a client drain; error %v", err)
 			}
 			if err := next.call(node.DrainOff, ""); err != nil {
 				p.t.Error(err)
 			}
 			p.stop(old)
-			p.endExclusion() // no process is left that knows of it
+			p.checkExclusion() // only the next process knows of the exclusion, and it is killed
 			p.kill(next)
-			p.awaitReady(p.start(p.work, false)) // files that the killed processes left do not matter
+			p.awaitReady(p.start(p.discovery, false)) // it must start despite files that killed processes left
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			p := newPlatform(t, binary)
-			old := p.start(p.work, false)
+			old := p.start(p.discovery, false)
 			p.awaitReady(old)
 			stop := make(chan struct{})
 			wait := p.submitAll(stop)
@@ -396,11 +402,11 @@
 			p.exclude(old, "e3")
 			c.do(p, old)
 			time.Sleep(100 * time.Millisecond)
-			p.checkHandles()
+			p.checkServes()
 			close(stop)
 			wait.Wait()
-			p.endExclusion() // all are answered, so all that reached an executor is recorded
-			p.checkAll(c.lost || c.name == "a stale socket and a drain")
+			p.checkExclusion() // all jobs are answered, so all that reached an executor are recorded
+			p.checkAll(c.lost || c.name == "a client drain and a stale handoff socket")
 		})
 	}
 }
