--- a/internal/admin/codec.go
+++ b/internal/admin/codec.go
@@ -21,7 +21,7 @@
 
 	replyOK   = "ok"
 	replyFail = "fail"
-	replyEnd  = "eof" // end marker, by which the caller notices a reply that was cut off
+	replyEnd  = "eof" // end marker after lines: without it the reply was cut off
 )
 
 // commandNames are the names of commands in the protocol.
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -110,7 +110,7 @@
 	for len(s.callers) >= s.maxCallers && !s.closed {
 		if oldest := s.incomplete.Front(); oldest != nil {
 			c := oldest.Value.(*caller)
-			c.conn.Close() // ends the goroutine that serves c, which then removes c
+			c.conn.Close() // the goroutine that serves c then fails to read, and removes c
 			s.removeIncomplete(c)
 		}
 		s.changed.Wait()
--- a/internal/frontend/client_conn.go
+++ b/internal/frontend/client_conn.go
@@ -11,12 +11,12 @@
 	"birchstair/internal/socket"
 )
 
-// finalReadTimeout bounds the last read before a close on a connection that can't be asked for unread bytes.
+// finalReadTimeout bounds the last read before a close, if the system can't tell whether unread bytes have arrived.
 const finalReadTimeout = time.Millisecond
 
-// clientConn is a connection from a client. It adds two things to net/http: closing it loses no request that has arrived
-// (closeWhenSafe), and a client that leaves while its answer is pending is noticed even if it sent part of its next request
-// first (read_ahead.go).
+// clientConn is a connection from a client. It does two things that net/http does not: closeWhenSafe closes it without losing
+// a request that has arrived, and read-ahead (read_ahead.go) notices that a client leaves while its answer is pending, even if
+// the client has sent part of its next request before.
 //
 // A connection has one reader at a time: net/http's goroutine, which calls Read and also closes the connection, or the
 // goroutine that reads ahead while an answer is pending. All other methods may be called from any goroutine.
@@ -34,7 +34,7 @@
 	client          *waitingClient // the client while its answer is pending, else nil
 	gotFirstByte    bool           // net/http's background read has returned a byte, and can no longer see a close
 	readAhead       *readAhead     // bytes read while an answer was pending; nil if there are none
-	sharedReadAhead *atomic.Int64  // what all connections together have left of maxSharedReadAhead
+	sharedReadAhead *atomic.Int64  // bytes of maxSharedReadAhead that no connection has reserved
 	closed          bool           // net/http has closed the connection and no longer reads it
 }
 
--- a/internal/frontend/conn_table.go
+++ b/internal/frontend/conn_table.go
@@ -38,7 +38,7 @@
 type connTable struct {
 	net.Listener
 	limits          ConnLimits
-	sharedReadAhead atomic.Int64 // what is left of maxSharedReadAhead
+	sharedReadAhead atomic.Int64 // bytes of maxSharedReadAhead that are not reserved
 
 	mu           sync.Mutex
 	changed      *sync.Cond // signaled when open, acceptLimit, acceptPaused, closed or closingConns may have changed
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -28,7 +28,7 @@
 	notIdempotent  bool             // the job may be retried only if this attempt certainly never ran
 	writeStarted   bool             // a byte of the attempt may have been sent
 	writeDone      bool             // the last byte of the attempt has been sent
-	writeEnded     chan writeResult // receives the result of the write once
+	writeEnded     chan writeResult // receives one value, when the write of the attempt has ended
 	writeStartedAt time.Time
 
 	idleSince time.Time // when the last response was complete; zero if the connection is unused
