--- a/cmd/birchstair/store.go
+++ b/cmd/birchstair/store.go
@@ -98,8 +98,8 @@
 // formatTime formats the time of a record.
 func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05.000") }
 
-// outcomeNames are the printed names of final answers, by Record.Outcome.
-var outcomeNames = [...]string{"handled", "pushed back", "broken off"}
+// outcomeNames are the printed names of final answers, indexed by leases.Outcome.
+var outcomeNames = [...]string{"succeeded", "rejected", "failed"}
 
 // describeRecord returns a record's kind and its most important values.
 func describeRecord(r store.Record) string {
--- a/cmd/birchstair/upgrade_test.go
+++ b/cmd/birchstair/upgrade_test.go
@@ -308,9 +308,9 @@
 			return
 		}
 	}
-	for _, door := range p.adminAddrs {
-		lines, err := admin.Call(door, node.ReadMetrics, "", time.Second)
-		p.t.Log(door, lines, err)
+	for _, addr := range p.adminAddrs {
+		lines, err := admin.Call(addr, node.ReadMetrics, "", time.Second)
+		p.t.Log(addr, lines, err)
 	}
 	for i := range p.started {
 		text, _ := os.ReadFile(filepath.Join(p.dir, fmt.Sprint("log", i+1)))
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -41,11 +41,11 @@
 		w.WriteHeader(http.StatusAccepted)
 	}))
 	var out strings.Builder
-	send := func(name, message string) {
+	send := func(name, request string) {
 		t.Helper()
 		conn := c.dial()
-		conn.send(message)
-		method, _, _ := strings.Cut(message, " ")
+		conn.send(request)
+		method, _, _ := strings.Cut(request, " ")
 		fmt.Fprintf(&out, "%s:\n%s%q\n", name, golden.Arrow, rawAnswer(t, conn, method))
 	}
 	ready := " /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"
--- a/internal/service/ready_test.go
+++ b/internal/service/ready_test.go
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	network := memnet.New(1, func(string, string) memnet.Path { return memnet.Path{Delay: time.Millisecond} })
 	const listen, discovery = "127.0.0.1:80", "127.0.0.1:8500"
-	front, err := network.Listen("n", listen)
+	listener, err := network.Listen("n", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 	ended, events := make(chan error, 1), make(chan node.Event)
 	began := time.Now()
 	go func() {
-		ended <- service.Run(ctx, service.Options{Settings: s, StartTime: began, Listener: front, DiscoveryAddr: discovery, Log: zerolog.Nop(),
+		ended <- service.Run(ctx, service.Options{Settings: s, StartTime: began, Listener: listener, DiscoveryAddr: discovery, Log: zerolog.Nop(),
 			ClientLimits: frontend.ConnLimits{Max: 30, MaxShared: 15}, Policy: policy.New(s.Policy), DialDiscovery: dial("n"),
 			DialExecutor: func(ctx context.Context, _ node.ConnID, addr string) (net.Conn, error) {
 				return dial("x")(ctx, "", addr)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -143,7 +143,7 @@
 	return watcher
 }
 
-// stop releases what the parts of the node hold.
+// stop ends the parts of the node that were started, in reverse order.
 func (n *instance) stop() {
 	for i := len(n.stops) - 1; i >= 0; i-- {
 		n.stops[i]()
