--- a/cmd/birchstair/upgrade_test.go
+++ b/cmd/birchstair/upgrade_test.go
@@ -164,7 +164,7 @@
 }
 
 // exclude has an operator exclude an executor. No batch job that is submitted after the acknowledgment may reach it. Jobs that were
-// in flight then may have been assigned to it before; the golden traces of package node have these.
+// in flight then may have been assigned to it before; the golden traces of package node cover that case.
 func (p *testPlatform) exclude(proc *process, id policy.ExecutorID) {
 	if err := proc.call(node.ExcludeExecutor, id); err != nil {
 		p.t.Error(err)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -34,7 +34,7 @@
 	closeTimeout time.Duration // how long Close waits until answers are written
 
 	mu             sync.Mutex
-	pending        map[policy.JobID]chan node.Answer // for each job whose handler waits: where its answer is sent
+	pending        map[policy.JobID]chan node.Answer // channels on which handlers wait for final answers, by job
 	prefixHandlers map[string]http.Handler           // by path prefix; not changed after Serve is called
 }
 
