--- a/cmd/birchstair/store.go
+++ b/cmd/birchstair/store.go
@@ -85,7 +85,8 @@
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "ID\tTRACK\tACCEPTED\tDEADLINE\tATTEMPTS\tLAST RECORD")
+	// Printed names, here and below, stay as operators' scripts read them.
+	fmt.Fprintln(w, "ID\tTRACK\tHANDED IN\tOUTER LIMIT\tSENT\tLAST RECORD")
 	for _, id := range slices.Sorted(maps.Keys(states)) {
 		state := states[id]
 		accepted, records := state.Accepted, state.Records()
@@ -98,8 +99,8 @@
 // formatTime formats the time of a record.
 func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05.000") }
 
-// outcomeNames are the printed names of final answers, indexed by leases.Outcome.
-var outcomeNames = [...]string{"succeeded", "rejected", "failed"}
+// outcomeNames are the printed names of final answers, indexed by leases.Outcome. They stay as operators' scripts read them.
+var outcomeNames = [...]string{"handled", "pushed back", "broken off"}
 
 // describeRecord returns a record's kind and its most important values.
 func describeRecord(r store.Record) string {
@@ -130,9 +131,10 @@
 		found = true
 		line := formatTime(r.At) + "  " + describeRecord(r)
 		if r.Kind == store.Accepted {
-			line += fmt.Sprintf(": track %s, deadline %s, %s, %d bytes", r.JobClass, formatTime(r.Deadline), r.URI, len(r.Body))
+			// The labels stay as operators' scripts read them: "outer limit" is the deadline, "tag" the idempotency key.
+			line += fmt.Sprintf(": track %s, outer limit %s, %s, %d bytes", r.JobClass, formatTime(r.Deadline), r.URI, len(r.Body))
 			if r.IdempotencyKey != "" {
-				line += ", idempotency key " + r.IdempotencyKey
+				line += ", tag " + r.IdempotencyKey
 			}
 		}
 		if r.Kind == store.Final {
