--- a/internal/benchwire/instance.go
+++ b/internal/benchwire/instance.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	n.guard(func() { n.dispatcher.ProbeEnded(now, probe.executor, probe.succeeded, probe.load) })
+	n.guard(func() { n.dispatcher.HealthCheckEnded(now, probe.executor, probe.succeeded, probe.load) })
 	return nil
 }
 
--- a/internal/hotrestart/codec.go
+++ b/internal/hotrestart/codec.go
@@ -204,7 +204,7 @@
 				Earned: c.EarnedValue, UnitValue: c.UnitValue}
 		}),
 		Kinds: convert(learned.Kinds, func(k policy.LearnedKind) wireKind {
-			return wireKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Slots: k.Slots, Parallel: k.Parallel}
+			return wireKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Slots: k.ReportedSlots, Parallel: k.Concurrency}
 		}),
 		Executors: convert(learned.Executors, func(e policy.LearnedExecutor) wireExecutor {
 			return wireExecutor{ID: e.ID, Quota: e.Quota, RunTime: e.RunTime, Work: e.Work, StartWait: e.StartWait,
@@ -223,7 +223,7 @@
 				EarnedValue: c.Earned, UnitValue: c.UnitValue}
 		}),
 		Kinds: convert(wire.Kinds, func(k wireKind) policy.LearnedKind {
-			return policy.LearnedKind{ID: k.ID, Pace: k.Pace, Size: k.Size, Slots: k.Slots, Parallel: k.Parallel}
+			return policy.LearnedKind{ID: k.ID, Pace: k.Pace, Size: k.Size, ReportedSlots: k.Slots, Concurrency: k.Parallel}
 		}),
 		Executors: convert(wire.Executors, func(e wireExecutor) policy.LearnedExecutor {
 			return policy.LearnedExecutor{ID: e.ID, Quota: e.Quota, RunTime: e.RunTime, Work: e.Work, StartWait: e.StartWait,
--- a/internal/hotrestart/codec_test.go
+++ b/internal/hotrestart/codec_test.go
@@ -27,7 +27,7 @@
 				Nodes: 30,
 				Classes: []policy.LearnedClass{{ID: 4, MeanWork: 350 * time.Millisecond, Samples: 12, FullBudget: 5 * time.Second,
 					RequestedValue: 17.5, EarnedValue: 16.25, UnitValue: 2.125}},
-				Kinds: []policy.LearnedKind{{ID: 5, Pace: 0.625, Size: 3.5, Slots: 4.25, Parallel: 6}},
+				Kinds: []policy.LearnedKind{{ID: 5, Pace: 0.625, Size: 3.5, ReportedSlots: 4.25, Concurrency: 6}},
 				Executors: []policy.LearnedExecutor{{ID: "executor-1", Quota: 7, RunTime: 8.5, Work: 9.25, StartWait: 10 * time.Millisecond,
 					EjectedFor: 11 * time.Millisecond, InFlightCap: 12, Timeouts: 13}},
 				MeanValue:   14.5,
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -180,7 +180,7 @@
 	e := n.endpoints.get(id)
 	limit := n.maxConns()
 	if e == nil || !e.available || n.conns.open() >= limit-limit/probeReserve {
-		n.policy.ProbeEnded(n.now, id, false, policy.Load{})
+		n.policy.HealthCheckEnded(n.now, id, false, policy.Load{})
 		return
 	}
 	n.conns.probesInFlight++
@@ -190,7 +190,7 @@
 // probeEnded passes the result of a load probe on to the policy.
 func (n *Node) probeEnded(ev ProbeEnded) {
 	n.conns.probesInFlight--
-	n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+	n.policy.HealthCheckEnded(n.now, ev.Executor, ev.Answered, ev.Load)
 }
 
 func (n *Node) closeConn(c *conn) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,7 +38,7 @@
 	AttemptStarted(now time.Duration, job policy.JobID, attempt policy.AttemptID)
 	AttemptProgressed(now time.Duration, job policy.JobID, attempt policy.AttemptID, progress float64)
 	LoadReported(executor policy.ExecutorID, load policy.Load)
-	ProbeEnded(now time.Duration, executor policy.ExecutorID, answered bool, load policy.Load)
+	HealthCheckEnded(now time.Duration, executor policy.ExecutorID, answered bool, load policy.Load)
 	ClientLeft(now time.Duration, job policy.JobID)
 	ShutDownBy(now, deadline time.Duration)
 	Place(now time.Duration, job policy.JobID) policy.Decision
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -251,8 +251,8 @@
 // LoadReported implements node.Policy.
 func (b *baseline) LoadReported(policy.ExecutorID, policy.Load) {}
 
-// ProbeEnded implements node.Policy.
-func (b *baseline) ProbeEnded(time.Duration, policy.ExecutorID, bool, policy.Load) {}
+// HealthCheckEnded implements node.Policy.
+func (b *baseline) HealthCheckEnded(time.Duration, policy.ExecutorID, bool, policy.Load) {}
 
 // ShutDownBy implements node.Policy.
 func (b *baseline) ShutDownBy(time.Duration, time.Duration) {}
--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -291,7 +291,7 @@
 			}
 		case ProbeExecutor:
 			if w.random.IntN(3) > 0 {
-				w.ProbeEnded(w.now, due.Executor, w.random.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.random.IntN(3))})
+				w.HealthCheckEnded(w.now, due.Executor, w.random.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(w.random.IntN(3))})
 			}
 		case Sleep:
 			if w.random.IntN(4) == 0 { // rebuilt, or found to be as it was
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -37,8 +37,8 @@
 	d.probes.await(e)
 }
 
-// ProbeEnded reports the result of a health check. The load is valid only if it was answered.
-func (d *Dispatcher) ProbeEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
+// HealthCheckEnded reports the result of a health check. The load is valid only if it was answered.
+func (d *Dispatcher) HealthCheckEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
 	d.beginTurn(now)
 	e := d.endpoints.byID[id]
 	if e == nil {
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -29,11 +29,11 @@
 
 // LearnedKind is what executors of a kind that are past slow start were seen to do.
 type LearnedKind struct {
-	ID       KindID
-	Pace     float64 // running time for each unit of work
-	Size     float64 // mean weight in the endpoint list
-	Slots    float64 // by load reports, averaged; 0: none came
-	Parallel int     // slots, by reports or by what ran at once
+	ID            KindID
+	Pace          float64 // running time for each unit of work
+	Size          float64 // mean weight in the endpoint list
+	ReportedSlots float64 // by load reports, averaged; 0: none came
+	Concurrency   int     // slots, by reports or by what ran at once
 }
 
 // LearnedExecutor is what was learned of an executor since its last start.
@@ -85,7 +85,7 @@
 }
 
 func (k *kindStats) export(id KindID) LearnedKind {
-	return LearnedKind{ID: id, Pace: k.pace, Size: k.size, Slots: k.reportedSlots, Parallel: k.concurrency}
+	return LearnedKind{ID: id, Pace: k.pace, Size: k.size, ReportedSlots: k.reportedSlots, Concurrency: k.concurrency}
 }
 
 func (e *executor) export(now time.Duration) LearnedExecutor {
@@ -146,11 +146,11 @@
 
 // adopt takes over what was learned of an executor kind.
 func (k *kindStats) adopt(in LearnedKind) {
-	if in.Pace > 0 && in.Parallel > 0 && in.Size > 0 {
+	if in.Pace > 0 && in.Concurrency > 0 && in.Size > 0 {
 		k.pace = in.Pace
 		k.size = in.Size
-		k.reportedSlots = max(0, in.Slots)
-		k.concurrency = in.Parallel
+		k.reportedSlots = max(0, in.ReportedSlots)
+		k.concurrency = in.Concurrency
 	}
 }
 
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -349,7 +349,7 @@
 		for _, arg := range args[2:] {
 			load.FreeSlots, _ = strconv.ParseFloat(strings.TrimPrefix(arg, "free="), 64)
 		}
-		p.d.ProbeEnded(now, ExecutorID(args[0]), args[1] == "answered", load)
+		p.d.HealthCheckEnded(now, ExecutorID(args[0]), args[1] == "answered", load)
 	default:
 		return false
 	}
