--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -32,23 +32,23 @@
 // answer against a scan of all executors.
 
 const (
-	rateBucketsPerE = 256       // rate buckets for each factor of e
-	maxRateBucket   = 1e6       // number of the bucket for rates that are out of the ordinary
-	idleRateBuckets = 64        // empty buckets that a group keeps beside as many as it uses
-	roundingUp      = 1 + 1e-9  // room for rounding in an upper bound: an equal candidate must not be cut off
-	roundingDown    = 1 - 1e-12 // likewise in the lower bound of a pace
-	rateTolerance   = 1.0 / 512 // by which a rate may be too high as its kind's pace drifts
-	maxPaceDrift    = 1.0 / 8   // by which that pace may drift before its executors are indexed anew
-	waitShrinkPart  = 8         // a shrinking wait is bounded by what it will be after this part of it has passed
+	rateBucketsPerE  = 256       // rate buckets for each factor of e
+	maxRateBucket    = 1e6       // number of the bucket for rates that are out of the ordinary
+	idleRateBuckets  = 64        // empty buckets that a group keeps beside as many as it uses
+	roundingUp       = 1 + 1e-9  // room for rounding in an upper bound: an equal candidate must not be cut off
+	roundingDown     = 1 - 1e-12 // likewise in the lower bound of a pace
+	rateTolerance    = 1.0 / 512 // by which a rate may be too high as its kind's pace drifts
+	maxPaceDrift     = 1.0 / 8   // by which that pace may drift before its executors are indexed anew
+	waitBoundDivisor = 8         // a shrinking wait is bounded by what it will be after this part of it has passed
 )
 
-// busyness is how busy an executor is, as far as jobs past their objective are concerned.
-type busyness int
+// executorLoad is how busy an executor is, as far as jobs past their objective are concerned.
+type executorLoad int
 
 const (
-	loadSpare busyness = iota // no attempt of ours is out, and all late jobs may use it
-	loadIdle                  // no attempt of ours is out; only late jobs of classes that don't pay late may use it
-	loadBusy
+	idleOpen       executorLoad = iota // no attempt of ours is out, and all late jobs may use it
+	idleRestricted                     // no attempt of ours is out; only late jobs of classes that don't pay late may use it
+	busy
 )
 
 // leaseReadiness is whether a lease allows a token to be used.
@@ -100,7 +100,7 @@
 type groupKey struct {
 	remote     bool
 	inSubset   bool
-	load       busyness
+	load       executorLoad
 	lease      leaseReadiness
 	normalized bool // aging rates are for a kind's pace of 1
 }
@@ -214,7 +214,7 @@
 		return
 	}
 	key, until := d.groupKeyOf(e, kind, now)
-	if until == Forever && d.entryHolds(e, kind, key, now) {
+	if until == Forever && d.entryIsCurrent(e, kind, key, now) {
 		return
 	}
 	d.index.reindexed++
@@ -259,14 +259,14 @@
 	key = groupKey{
 		remote:     d.remoteSide(e) > 0,
 		inSubset:   e.indexed.subsetRank >= 0,
-		load:       loadBusy,
+		load:       busy,
 		lease:      leaseReady,
 		normalized: e.estimate.work <= 1 && len(e.attempts) < kind.maxConcurrency,
 	}
 	if len(e.attempts) == 0 {
-		key.load = loadIdle
+		key.load = idleRestricted
 		if key.inSubset && e.indexed.subsetRank < d.subset.lateSize {
-			key.load = loadSpare
+			key.load = idleOpen
 		}
 	}
 	until = Forever
@@ -283,9 +283,9 @@
 	return key, until
 }
 
-// entryHolds says whether e's entry may stay: its bounds still hold and are tight enough. It does for most of those that
+// entryIsCurrent says whether e's entry may stay: its bounds still hold and are tight enough. It does for most of those that
 // have only grown older.
-func (d *Dispatcher) entryHolds(e *executor, kind *kindIndex, key groupKey, now time.Duration) bool {
+func (d *Dispatcher) entryIsCurrent(e *executor, kind *kindIndex, key groupKey, now time.Duration) bool {
 	entry := &e.indexed
 	if entry.positions[keyTokenAge].heap == nil || entry.positions[keyExpiry].heap != nil {
 		return false
@@ -301,7 +301,7 @@
 	if until != Forever || rate > entry.agingRate || rate < entry.agingRate*(1-rateTolerance) {
 		return false
 	}
-	return e.tightRate(pace)*(1+3*rateTolerance) >= entry.agingRate*entry.group.rateScale()
+	return e.currentRate(pace)*(1+3*rateTolerance) >= entry.agingRate*entry.group.rateScale()
 }
 
 // setPaceLimit sets how far the kind's pace may drift until e's rate is computed anew: the further, the less of e's pace
@@ -334,8 +334,8 @@
 	return (e.estimate.runTime + e.indexed.paceLimit) / (e.estimate.work + 1)
 }
 
-// tightRate is the bound of e's rate for its kind's present pace.
-func (e *executor) tightRate(pace float64) float64 {
+// currentRate is the bound of e's rate for its kind's present pace.
+func (e *executor) currentRate(pace float64) float64 {
 	return roundingUp * e.indexed.agingRate * e.limitPace() * (e.estimate.work + 1) / (e.estimate.runTime + pace)
 }
 
@@ -368,7 +368,7 @@
 		return max(e.estimate.startWait, wait), Forever
 	}
 	// It shrinks as time goes by: bounded by what it will be at that time.
-	until = now + max(min(left, (d.classes.shortestObjective+wait+left)/waitShrinkPart), 1)
+	until = now + max(min(left, (d.classes.shortestObjective+wait+left)/waitBoundDivisor), 1)
 	return max(e.estimate.startWait, wait+firstEnd-1-until), until
 }
 
@@ -410,7 +410,7 @@
 	switch {
 	case oldest == nil && b.position < 0:
 	case oldest == nil:
-		b.leaveList()
+		b.removeFromList()
 	case b.position < 0:
 		b.position = len(g.buckets)
 		g.buckets = append(g.buckets, b)
@@ -420,8 +420,8 @@
 	}
 }
 
-// leaveList takes the bucket out of its group's list; the last one takes its place.
-func (b *rateBucket) leaveList() {
+// removeFromList takes the bucket out of its group's list; the last one takes its place.
+func (b *rateBucket) removeFromList() {
 	g := b.group
 	last := len(g.buckets) - 1
 	g.buckets[b.position] = g.buckets[last]
--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -71,7 +71,7 @@
 func (d *Dispatcher) scannedSubset(now time.Duration) (members []*executor) {
 	size := len(d.endpoints.ranked)
 	if d.usesSubset() {
-		size = max(minSubsetSize, (subsetSharers*size+d.config.nodeCount-1)/d.config.nodeCount)
+		size = max(minSubsetSize, (nodesPerExecutor*size+d.config.nodeCount-1)/d.config.nodeCount)
 		if d.config.canLease {
 			size = max(size, 2*minSubsetSize)
 		}
@@ -213,7 +213,7 @@
 		}
 	}
 	for _, e := range d.quota.executors {
-		if (e.health.probeOut || e.health.unresponsive) && !slices.Contains(d.probes.awaitingReply, e) {
+		if (e.health.checkInFlight || e.health.unresponsive) && !slices.Contains(d.healthChecks.awaitingReply, e) {
 			w.t.Fatalf("seed %d, %v: %s owes a reply and is not awaited", w.seed, w.now, e.id)
 		}
 	}
--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -107,12 +107,12 @@
 		return false
 	}
 	if d.boundToDedupGroup(q.job) {
-		return !q.late || g.load != loadBusy
+		return !q.late || g.load != busy
 	}
 	if !g.inSubset {
 		return false
 	}
-	return !q.late || g.load == loadSpare || g.load == loadIdle && q.class.lateValue == 0
+	return !q.late || g.load == idleOpen || g.load == idleRestricted && q.class.lateValue == 0
 }
 
 // walkBucket gives the candidates of a bucket's heap from index i downwards. Below an executor whose token is too young all
@@ -129,7 +129,7 @@
 	if scale*b.maxRate*freeFor < q.minAge {
 		return true
 	}
-	rate := e.tightRate(kindPace)
+	rate := e.currentRate(kindPace)
 	if scale*e.indexed.agingRate > rate*(1+3*rateTolerance) {
 		d.markDirty(e) // its kind's pace has drifted: the bound would get looser and looser
 	}
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -15,26 +15,28 @@
 
 // classCandidates are the executors for the queued jobs of one class, those past their objective or the others.
 type classCandidates struct {
-	class       *jobClass
-	late        bool
-	easiest     job // as easy as any of them: least work, latest objective
-	executors   []*executor
-	earliestEnd time.Duration // the easiest can't be done before it
-	minWait     time.Duration // none of the executors has a shorter wait
-	minPace     float64       // nor a lower pace
+	class          *jobClass
+	late           bool
+	leastDemanding job // as easy as any of them: least work, latest objective
+	executors      []*executor
+	earliestEnd    time.Duration // the easiest can't be done before it
+	minWait        time.Duration // none of the executors has a shorter wait
+	minPace        float64       // nor a lower pace
 }
 
-// widen makes the easiest job at least as easy as j.
-func (c *classCandidates) widen(j *job) {
-	easiest := &c.easiest
+// relaxTo makes the easiest job at least as easy as j.
+func (c *classCandidates) relaxTo(j *job) {
+	easiest := &c.leastDemanding
 	easiest.work = min(easiest.work, j.work)
 	easiest.predictionMargin = min(easiest.predictionMargin, j.predictionMargin)
 	easiest.objectiveAt = max(easiest.objectiveAt, j.objectiveAt)
 	easiest.hinted = easiest.hinted || j.hinted
 }
 
-// isSingular says whether j has other candidates than its class, so that it is looked at by itself.
-func (d *Dispatcher) isSingular(j *job) bool { return d.boundToDedupGroup(j) || len(j.attempts) > 0 }
+// placedIndividually says whether j has other candidates than its class, so that it is looked at by itself.
+func (d *Dispatcher) placedIndividually(j *job) bool {
+	return d.boundToDedupGroup(j) || len(j.attempts) > 0
+}
 
 // findCandidates finds the classes' candidates for a part of the queue, where that is long.
 func (d *Dispatcher) findCandidates(queued []*job, now time.Duration) {
@@ -48,7 +50,7 @@
 // findByClass makes the easiest job of each class and lateness among the queued ones, and finds its candidates.
 func (d *Dispatcher) findByClass(queued []*job, now time.Duration) {
 	for _, j := range queued {
-		if !d.isSingular(j) {
+		if !d.placedIndividually(j) {
 			d.addToClass(j, d.isLate(j, now))
 		}
 	}
@@ -60,16 +62,16 @@
 // addToClass makes the easiest job of a class and lateness as easy as j.
 func (d *Dispatcher) addToClass(j *job, late bool) {
 	if c := d.candidatesOf(j.class, late); c != nil {
-		c.widen(j)
+		c.relaxTo(j)
 		return
 	}
 	easiest := job{class: j.class, work: j.work, hinted: j.hinted, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}
-	d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late, easiest: easiest})
+	d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late, leastDemanding: easiest})
 }
 
 // findForClass finds the executors that could serve the easiest job, and bounds of what they could do.
 func (d *Dispatcher) findForClass(c *classCandidates, now time.Duration) {
-	easiest := &c.easiest
+	easiest := &c.leastDemanding
 	c.earliestEnd, c.minWait, c.minPace = Forever, Forever, math.Inf(1)
 	q := query{job: easiest, now: now, late: c.late, maxPace: easiest.maxPace(now, c.late), minAge: math.Inf(-1)}
 	for _, q.remote = range [...]bool{false, true} {
@@ -101,7 +103,7 @@
 // mayBePlaced says whether pickExecutor may find an executor for j, one of the jobs that candidates were found for last.
 // Where it says no, pickExecutor finds none.
 func (d *Dispatcher) mayBePlaced(j *job, now time.Duration) bool {
-	if len(d.index.classCandidates) == 0 || d.isSingular(j) {
+	if len(d.index.classCandidates) == 0 || d.placedIndividually(j) {
 		return true
 	}
 	q := query{job: j, now: now, late: d.isLate(j, now)}
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -17,20 +17,20 @@
 	outbox []DueTask // lease messages, health checks and log lines for NextTask to return
 	jobs   map[JobID]*job
 
-	classes   classTable
-	tenants   []tenant
-	values    valueAverages
-	endpoints endpointTable
-	poll      endpointPoll
-	subset    subset
-	index     candidateIndex
-	queue     jobQueue
-	quota     quotaState
-	zoneLoad  zoneLoad
-	slowStart slowStart
-	probes    pendingProbes
-	leases    leaseTable
-	shedding  loadShedding
+	classes      classTable
+	tenants      []tenant
+	values       valueAverages
+	endpoints    endpointTable
+	poll         endpointPoll
+	subset       subset
+	index        candidateIndex
+	queue        jobQueue
+	quota        quotaState
+	zoneLoad     zoneLoad
+	slowStart    slowStart
+	healthChecks pendingHealthChecks
+	leases       leaseTable
+	shedding     loadShedding
 }
 
 // New makes a dispatcher from settings, which have been checked.
@@ -47,9 +47,9 @@
 		index:  candidateIndex{expiries: executorHeap{keyKind: keyExpiry}},
 		leases: leaseTable{ledgers: map[ExecutorHash]*leaseLedger{}},
 		slowStart: slowStart{
-			capacity:       settings.SlowStartCapacity,
-			duration:       settings.SlowStartDuration,
-			overloadWindow: settings.OverloadWindow,
+			initialCapacity: settings.SlowStartCapacity,
+			duration:        settings.SlowStartDuration,
+			overloadWindow:  settings.OverloadWindow,
 		},
 	}
 	for i, class := range settings.JobClasses {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -8,7 +8,7 @@
 //	UpdateEndpoints                        what discovery brought
 //	JobArrived, ClientLeft                 a job came; its client has left
 //	AttemptStarted, AttemptProgressed      notices of an executor
-//	LoadReported, HealthCheckEnded               load reports, with an answer or by a health check
+//	LoadReported, HealthCheckEnded         load reports, with an answer or by a health check
 //	ReceiveLeaseMessage                    another node's lease message
 //	SetAdmissionThreshold                  which jobs the fleet has no capacity for
 //	UpdateJobClasses, ShutDownBy           a new configuration; the node shuts down
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -13,7 +13,7 @@
 	minPace            = 0.05 // a kind's pace is never taken to be quicker
 	waitedFactor       = 5.0  // times its predicted running time from which on an attempt without a start notice had to wait
 	dedupReplyFraction = 0.1  // of the predicted running time: a keyed job that is done in less was answered from memory
-	oneSlot            = 0.5  // reported slots or jobs from which on there is one: reports are averages
+	minReportedCount   = 0.5  // reported slots or jobs from which on there is one: reports are averages
 	minProgress        = 0.02 // fraction done from which on a progress notice predicts the rest
 	standardPace       = 1    // of an executor that nothing is known of
 )
@@ -47,7 +47,7 @@
 	}
 	k.reportedSlots += (slots - k.reportedSlots) * (1 - smoothing)
 	k.concurrency = max(1, int(k.reportedSlots+0.5)) // rounded
-	if queued < oneSlot {
+	if queued < minReportedCount {
 		k.exactSlots = cmp.Or(k.exactSlots, slots)
 		k.exactSlots += (slots - k.exactSlots) * (1 - smoothing)
 	}
@@ -189,7 +189,7 @@
 func (d *Dispatcher) LoadReported(id ExecutorID, load Load) {
 	e := d.endpoints.byID[id]
 	slots := load.InFlight - load.Queued + load.FreeSlots
-	if e == nil || slots < oneSlot || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
+	if e == nil || slots < minReportedCount || min(load.InFlight, load.Queued, load.FreeSlots) < 0 {
 		return
 	}
 	d.endpoints.kinds[e.kind].observeReport(slots, load.Queued)
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -10,10 +10,10 @@
 // executor without a lease for one interval.
 
 const (
-	maxDelayedStarts   = 0.1 // of starts that may have to wait at an executor for its holder to grant one lease more
-	leaseQuotaCooldown = 4   // intervals that a lowered lease quota stays
-	leaseLifetime      = 2   // intervals after which a lease that is not returned is free again
-	leaseAnswerPart    = 4   // a holder has the shortest objective over this to answer
+	maxDelayedStartFraction = 0.1 // of starts that may have to wait at an executor for its holder to grant one lease more
+	leaseQuotaCooldown      = 4   // intervals that a lowered lease quota stays
+	leaseLifetime           = 2   // intervals after which a lease that is not returned is free again
+	leaseAnswerDivisor      = 4   // a holder has the shortest objective over this to answer
 
 	primaryRetryIntervals = 2 // intervals until the first holder in line is asked again
 )
@@ -215,7 +215,7 @@
 	e.lease.request(now)
 	d.leases.addRequest(e)
 	d.markDirty(e)
-	d.timers.checkAll(now + d.classes.shortestObjective/leaseAnswerPart)
+	d.timers.checkAll(now + d.classes.shortestObjective/leaseAnswerDivisor)
 	message := LeaseRequest
 	if d.isLate(j, now) {
 		message = LeaseRequestLate
@@ -272,7 +272,7 @@
 	ledger.shortage = true
 	d.sendLease(now, from, LeaseWait, hash)
 	if e := d.endpoints.byHash[hash]; e != nil {
-		d.requestProbe(e, now, d.classes.shortestObjective)
+		d.requestHealthCheck(e, now, d.classes.shortestObjective)
 	}
 }
 
@@ -289,10 +289,10 @@
 }
 
 // checkLeaseRequests turns to the next lease holder in line where a request was not answered within the shortest
-// objective over leaseAnswerPart, and does without a lease for an interval where that one does not answer either.
+// objective over leaseAnswerDivisor, and does without a lease for an interval where that one does not answer either.
 func (d *Dispatcher) checkLeaseRequests(now time.Duration) {
 	for _, e := range d.leases.pending() {
-		unanswered := !e.lease.queued && now-e.lease.requestedAt >= d.classes.shortestObjective/leaseAnswerPart
+		unanswered := !e.lease.queued && now-e.lease.requestedAt >= d.classes.shortestObjective/leaseAnswerDivisor
 		if e.indexed.subsetRank < 0 || !unanswered {
 			continue
 		}
@@ -361,7 +361,7 @@
 	case delayedFraction > executorQueuingThreshold && l.quota > 1:
 		l.quota--
 		l.cooldown = leaseQuotaCooldown
-	case delayedFraction < maxDelayedStarts && l.shortage && l.quota < maxQuota && l.cooldown <= 0 && (!canProbe || l.freeSlotSeen):
+	case delayedFraction < maxDelayedStartFraction && l.shortage && l.quota < maxQuota && l.cooldown <= 0 && (!canProbe || l.freeSlotSeen):
 		l.quota++
 	}
 	l.delayedStarts = 0
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -48,7 +48,7 @@
 		quietLimit = max(quietLimit, scaled(slack, d.shedding.threshold.MigrationDelay))
 	}
 	if !e.health.unresponsive && now-max(e.health.lastSeen, a.sentAt) > quietLimit {
-		d.requestProbe(e, now, d.classes.shortestObjective)
+		d.requestHealthCheck(e, now, d.classes.shortestObjective)
 	}
 }
 
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -38,7 +38,7 @@
 	e := a.executor
 	if d.config.canProbe && (outcome == ConnectFailed || outcome == ConnectionLost) {
 		d.markUnresponsive(e, max(1, e.health.timeouts))
-		d.requestProbe(e, now, 0)
+		d.requestHealthCheck(e, now, 0)
 	}
 	if blamesExecutor(a, outcome) {
 		d.eject(e, now, "after a failed attempt")
@@ -57,12 +57,12 @@
 	return e.health.suspect && !fullForOne
 }
 
-// restToken keeps the token of an attempt that was rejected as full for fullTokenRest running times, longer with each
+// restToken keeps the token of an attempt that was rejected as full for fullTokenDelay running times, longer with each
 // rejection in a row. In an overload it would otherwise be taken and rejected again and again.
 func (d *Dispatcher) restToken(e *executor, runTime, now time.Duration) {
 	d.returnLease(e, now, true)
 	inRow := e.health.recordRejection()
-	d.timers.releaseToken(now+scaled(runTime, fullTokenRest*float64(inRow)), e)
+	d.timers.releaseToken(now+scaled(runTime, fullTokenDelay*float64(inRow)), e)
 }
 
 // recordAbandoned records an attempt that this node stopped waiting for. The executor may still be at work on it, so its token
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -8,8 +8,8 @@
 
 const (
 	maxBackoffFactor = 8 // times the usual ejection at most, for an executor that is silent or errs again and again
-	silenceFactor    = 2 // times what this node's attempts should take, after which an executor without a sign of life is silent
-	silentNotices    = 2 // progress notices that may be missing before an attempt is silent; one at an executor ejected for silence
+	inactivityFactor = 2 // times what this node's attempts should take, after which an executor without a sign of life is silent
+	maxMissedNotices = 2 // progress notices that may be missing before an attempt is silent; one at an executor ejected for silence
 )
 
 // health is what outcomes and silence show of an executor.
@@ -22,13 +22,13 @@
 	rejections        int           // rejected attempts since the last sign of life
 	suspect           bool          // an attempt failed since then
 	unresponsive      bool          // a health check was not answered, and none since
-	probeOut          bool          // a health check is out
-	probedAt          time.Duration // when the last one was sent; 0: none was
-	awaited           bool          // it is in pendingProbes.awaitingReply
+	checkInFlight     bool          // a health check is out
+	checkSentAt       time.Duration // when the last one was sent; 0: none was
+	awaited           bool          // it is in pendingHealthChecks.awaitingReply
 }
 
-// awaitSign begins to wait for a sign of life, when the first attempt goes out.
-func (h *health) awaitSign(now time.Duration) { h.lastSeen = now }
+// awaitResponse begins to wait for a sign of life, when the first attempt goes out.
+func (h *health) awaitResponse(now time.Duration) { h.lastSeen = now }
 
 // isEjected reports whether an ejection is in force.
 func (h *health) isEjected(now time.Duration) bool { return h.ejectedUntil > now }
@@ -111,27 +111,27 @@
 	d.timers.checkAll(e.health.ejectedUntil)
 }
 
-// detectSilence ejects an executor that has attempts of this node and gave no sign of life for silenceFactor times what
+// detectInactivity ejects an executor that has attempts of this node and gave no sign of life for inactivityFactor times what
 // they should take. It also releases the tokens of single attempts that are silent, as on a connection that broke
 // without notice: such an attempt shows nothing of its executor, and its token would be lost for long.
-func (d *Dispatcher) detectSilence(e *executor, now time.Duration) {
+func (d *Dispatcher) detectInactivity(e *executor, now time.Duration) {
 	if len(e.attempts) == 0 || !e.available {
 		return
 	}
 	pace := e.estimate.meanPace(d.endpoints.kinds[e.kind].pace)
-	timeout := silenceFactor*scaled(e.longestWork(), pace) + silenceFactor*e.estimate.startWait + d.classes.shortestObjective
-	silentFor := now - e.health.lastSeen
-	if silentFor > timeout && !e.health.isEjected(now) {
-		d.eject(e, now, fmt.Sprintf("after silence of %v", silentFor.Round(time.Millisecond)))
+	timeout := inactivityFactor*scaled(e.longestWork(), pace) + inactivityFactor*e.estimate.startWait + d.classes.shortestObjective
+	inactiveFor := now - e.health.lastSeen
+	if inactiveFor > timeout && !e.health.isEjected(now) {
+		d.eject(e, now, fmt.Sprintf("after silence of %v", inactiveFor.Round(time.Millisecond)))
 		e.health.timeouts++
 	}
-	d.releaseSilentAttempts(e, now, timeout)
+	d.releaseInactiveAttempts(e, now, timeout)
 }
 
-// releaseSilentAttempts gives up the tokens of attempts at e without a progress notice within the timeout. At an executor
+// releaseInactiveAttempts gives up the tokens of attempts at e without a progress notice within the timeout. At an executor
 // ejected for silence one missing notice is enough, or its next trial would find no token free.
-func (d *Dispatcher) releaseSilentAttempts(e *executor, now, timeout time.Duration) {
-	notices := d.config.progressInterval * time.Duration(silentNotices-min(e.health.timeouts, 1))
+func (d *Dispatcher) releaseInactiveAttempts(e *executor, now, timeout time.Duration) {
+	notices := d.config.progressInterval * time.Duration(maxMissedNotices-min(e.health.timeouts, 1))
 	e.attempts = slices.DeleteFunc(e.attempts, func(a *attempt) bool {
 		a.tokenReleased = d.config.progressInterval > 0 && now-max(a.sentAt, a.progressAt) > max(timeout, notices)
 		if a.tokenReleased {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -46,7 +46,7 @@
 	waitedUntil := min(now, j.objectiveAt-j.work)
 	e.queuing.recordQueued(max(0, waitedUntil-j.queuedAt))
 	if len(e.attempts) == 0 {
-		e.health.awaitSign(now)
+		e.health.awaitResponse(now)
 	}
 	a := &attempt{job: j, number: AttemptID(j.attemptCount), executor: e, zone: e.zone, cell: e.cell, sentAt: now}
 	d.takeToken(e, a)
@@ -238,7 +238,7 @@
 		d.index.visited++
 		return d.remoteSide(e) == 0 && d.isUsable(e, now) && d.isEligible(e, j, now)
 	}
-	if d.boundToDedupGroup(j) || d.subset.rezoned {
+	if d.boundToDedupGroup(j) || d.subset.memberMoved {
 		return slices.ContainsFunc(d.eligibleExecutors(j), isLocalUsable)
 	}
 	for _, kind := range d.index.kinds {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -12,7 +12,7 @@
 	initialQuota             = 2   // the design's first quota
 	maxQuota                 = 8   // the design's finite cap
 	intervalFraction         = 0.4 // of the shortest deadline, between two steps of the quotas
-	fullTokenRest            = 2.0 // running times that the token of a full executor rests, for each rejection in a row
+	fullTokenDelay           = 2.0 // running times that the token of a full executor rests, for each rejection in a row
 )
 
 // quotaState is what the step of the quotas needs of all executors.
@@ -28,7 +28,7 @@
 // add gives an executor its number among those that got tokens.
 func (q *quotaState) add(e *executor) {
 	q.joined++
-	e.tokens.joined = q.joined
+	e.tokens.joinOrder = q.joined
 	q.executors = append(q.executors, e)
 }
 
@@ -37,7 +37,7 @@
 	q.executors = slices.DeleteFunc(q.executors, func(e *executor) bool {
 		drop := e.removed && e.tokens.taken == 0
 		if drop {
-			e.tokens.joined = 0
+			e.tokens.joinOrder = 0
 		}
 		return drop
 	})
@@ -49,7 +49,7 @@
 	inheritedQuota int             // what a predecessor of this process gave it; 0 for none
 	free           []time.Duration // since when each free token is free, oldest first
 	taken          int             // by attempts that are out, and by those canceled that may still run
-	joined         int             // its number among those that got tokens; 0: it has none
+	joinOrder      int             // its number among those that got tokens; 0: it has none
 }
 
 // inherit records the quota that another process gave the executor, for when it joins the subset here.
@@ -134,16 +134,16 @@
 	q.startedOthers = q.startedOthers || !q.sawFull || tenant != q.fullTenant
 }
 
-// chargeFull counts the rejected attempts as waiting at the executor, unless only one tenant was rejected.
-func (q *queuing) chargeFull() {
+// chargeRejections counts the rejected attempts as waiting at the executor, unless only one tenant was rejected.
+func (q *queuing) chargeRejections() {
 	if q.fullForSeveral || q.sawFull && !q.startedOthers {
 		q.atExecutor += q.fullWait
 		q.overTarget = true
 	}
 }
 
-// executorShare returns the fraction of all waiting that was at the executor: the design's r.
-func (q *queuing) executorShare() float64 {
+// executorFraction returns the fraction of all waiting that was at the executor: the design's r.
+func (q *queuing) executorFraction() float64 {
 	total := q.atExecutor + q.inQueue
 	if total <= 0 {
 		return 0
@@ -214,12 +214,12 @@
 // adjustQuota moves e's quota by one at most, by the design's rule: down if its own queue is to blame for slow jobs and
 // nothing waits here, up if jobs waited here for its tokens and its own queue is short.
 func (d *Dispatcher) adjustQuota(e *executor, now time.Duration) {
-	share := e.queuing.executorShare()
-	queueEmpty := !d.queue.usedThisInterval || share > emptyQueueThreshold
+	fraction := e.queuing.executorFraction()
+	queueEmpty := !d.queue.usedThisInterval || fraction > emptyQueueThreshold
 	switch {
-	case e.queuing.overTarget && share > executorQueuingThreshold && queueEmpty && e.tokens.quota > 1:
+	case e.queuing.overTarget && fraction > executorQueuingThreshold && queueEmpty && e.tokens.quota > 1:
 		d.lowerQuota(e)
-	case d.queue.usedThisInterval && e.queuing.outOfTokens && share < executorQueuingThreshold && e.tokens.quota < maxQuota:
+	case d.queue.usedThisInterval && e.queuing.outOfTokens && fraction < executorQueuingThreshold && e.tokens.quota < maxQuota:
 		d.raiseQuota(e, now)
 	}
 }
@@ -230,9 +230,9 @@
 	for _, e := range d.quota.executors {
 		d.markDirty(e) // its estimate and its queuing change below
 		d.chargeUnstarted(e, now)
-		e.queuing.chargeFull()
+		e.queuing.chargeRejections()
 		d.adjustQuota(e, now)
-		d.detectSilence(e, now)
+		d.detectInactivity(e, now)
 		e.decay()
 		e.lease.expireRequest(now, d.classes.quotaInterval)
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -67,7 +67,7 @@
 			for _, tenant := range test.started {
 				q.recordStart(tenant)
 			}
-			q.chargeFull()
+			q.chargeRejections()
 			if q.atExecutor != test.charged || q.overTarget != (test.charged > 0) {
 				t.Errorf("charged %v, over target %v; want %v", q.atExecutor, q.overTarget, test.charged)
 			}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -18,20 +18,20 @@
 
 // slowStart is how much work this node may send to executors that have just started (rule 4).
 type slowStart struct {
-	executors      []*executor   // in slow start, that this node may use
-	capacity       float64       // fraction of its capacity that an executor has at its start
-	duration       time.Duration // until it has all of it
-	senders        int           // nodes that may use one such executor
-	budget         float64       // work that this node may send within overloadWindow, for each unit of capacity, in seconds
-	overloadWindow time.Duration
-	blockedUntil   time.Duration // until then another process of this node has the budget
+	executors       []*executor   // in slow start, that this node may use
+	initialCapacity float64       // fraction of its capacity that an executor has at its start
+	duration        time.Duration // until it has all of it
+	senders         int           // nodes that may use one such executor
+	budget          float64       // work that this node may send within overloadWindow, for each unit of capacity, in seconds
+	overloadWindow  time.Duration
+	blockedUntil    time.Duration // until then another process of this node has the budget
 }
 
 // derive sets this node's part of the slow-start budget. Divided among many nodes it would be less than one job, so a
 // few nodes share all of it: as many as could each send one job to one slot.
 func (s *slowStart) derive(overloadMultiple float64, shortestObjective time.Duration, nodeCount int) {
 	window := s.overloadWindow.Seconds()
-	senders := int(overloadMultiple * s.capacity * window / shortestObjective.Seconds())
+	senders := int(overloadMultiple * s.initialCapacity * window / shortestObjective.Seconds())
 	s.senders = max(1, min(senders, nodeCount))
 	s.budget = overloadMultiple * window / float64(s.senders)
 }
@@ -51,7 +51,7 @@
 // capacityFraction returns the least fraction of its full capacity that e has at its age: it grows linearly over the
 // duration of slow start.
 func (s *slowStart) capacityFraction(e *executor, now time.Duration) float64 {
-	return s.capacity + (1-s.capacity)*min(1, max(0, float64(now-e.started)/float64(s.duration)))
+	return s.initialCapacity + (1-s.initialCapacity)*min(1, max(0, float64(now-e.started)/float64(s.duration)))
 }
 
 // executorSlowStart is how far an executor is in its slow start.
@@ -72,8 +72,8 @@
 	s.spent = append(s.spent, spend{now, work})
 }
 
-// forget drops what was sent longer than the window ago.
-func (s *executorSlowStart) forget(now, window time.Duration) {
+// dropBefore drops what was sent longer than the window ago.
+func (s *executorSlowStart) dropBefore(now, window time.Duration) {
 	s.spent = slices.DeleteFunc(s.spent, func(spent spend) bool { return spent.at+window <= now })
 }
 
@@ -94,7 +94,7 @@
 	if e.started < 0 && now < d.slowStart.overloadWindow {
 		budget *= restartedBudgetFraction
 	}
-	e.slowStart.forget(now, d.slowStart.overloadWindow)
+	e.slowStart.dropBefore(now, d.slowStart.overloadWindow)
 	for _, spent := range e.slowStart.spent {
 		budget -= spent.work.Seconds()
 	}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	subsetMinNodes    = 6 // from so many nodes on, each uses a part of the executors
-	subsetSharers     = 3 // nodes whose subsets an executor is in, where that leaves each node minSubsetSize of them
-	minSubsetSize     = 3 // least executors of a subset, for each side (own zone, others) and required kind; twice as many with leases
-	lateSubsetSharers = 2 // nodes that send an executor jobs past their objective
+	subsetMinNodes       = 6 // from so many nodes on, each uses a part of the executors
+	nodesPerExecutor     = 3 // nodes whose subsets an executor is in, where that leaves each node minSubsetSize of them
+	minSubsetSize        = 3 // least executors of a subset, for each side (own zone, others) and required kind; twice as many with leases
+	lateNodesPerExecutor = 2 // nodes that send an executor jobs past their objective
 )
 
 // subset is the executors that this node uses: where nodes are many, a part of them.
 type subset struct {
-	members    []*executor // highest rank first, those in slow start before them
-	previous   []*executor // the members before, kept for its memory
-	lateSize   int         // so many members may be used by jobs past their objective
-	stale      bool        // it may have to be rebuilt
-	changed    bool        // something that it depends on has changed
-	validUntil time.Duration
-	rezoned    bool // a member has another zone or kind than when it was picked
+	members     []*executor // highest rank first, those in slow start before them
+	previous    []*executor // the members before, kept for its memory
+	lateSize    int         // so many members may be used by jobs past their objective
+	stale       bool        // it may have to be rebuilt
+	changed     bool        // something that it depends on has changed
+	validUntil  time.Duration
+	memberMoved bool // a member has another zone or kind than when it was picked
 }
 
 // recheck has the next turn rebuild the subset, if it may come out differently by now.
@@ -38,7 +38,7 @@
 // noteMoved records that an executor has another zone or kind by the endpoint list.
 func (s *subset) noteMoved(e *executor) {
 	if e.indexed.subsetRank >= 0 {
-		s.rezoned = true
+		s.memberMoved = true
 	}
 }
 
@@ -46,13 +46,13 @@
 func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
 // subsetSize returns how many executors of each side and required kind this node uses: all of them, or, where nodes are
-// many, so many that each executor is in the subsets of subsetSharers nodes.
+// many, so many that each executor is in the subsets of nodesPerExecutor nodes.
 func (d *Dispatcher) subsetSize() int {
 	executors := len(d.endpoints.ranked)
 	if !d.usesSubset() {
 		return executors
 	}
-	size := max(minSubsetSize, dividedUp(subsetSharers*executors, d.config.nodeCount))
+	size := max(minSubsetSize, ceilDiv(nodesPerExecutor*executors, d.config.nodeCount))
 	if d.config.canLease {
 		size = max(size, 2*minSubsetSize)
 	}
@@ -66,7 +66,7 @@
 	if !d.subset.changed && now < d.subset.validUntil {
 		return // it would come out the same
 	}
-	d.subset.lateSize = max(1, dividedUp(lateSubsetSharers*len(d.endpoints.ranked), d.config.nodeCount))
+	d.subset.lateSize = max(1, ceilDiv(lateNodesPerExecutor*len(d.endpoints.ranked), d.config.nodeCount))
 	previous := d.beginSubset()
 	means := map[KindID]meanQuota{}
 	d.addSlowStarters(now, means)
@@ -148,7 +148,7 @@
 	d.subset.members = d.subset.previous[:0]
 	d.subset.previous = previous
 	d.subset.changed = false
-	d.subset.rezoned = false
+	d.subset.memberMoved = false
 	d.subset.validUntil = Forever
 	return previous
 }
@@ -175,7 +175,7 @@
 		}
 		e.indexed.subsetRank = i
 		g := e.indexed.group
-		if e.indexed.positions[keyPace].heap == nil || g == nil || !g.inSubset || (g.load == loadSpare) != (len(e.attempts) == 0 && i < d.subset.lateSize) {
+		if e.indexed.positions[keyPace].heap == nil || g == nil || !g.inSubset || (g.load == idleOpen) != (len(e.attempts) == 0 && i < d.subset.lateSize) {
 			d.markDirty(e)
 		}
 		if d.remoteSide(e) == 0 {
@@ -191,5 +191,5 @@
 	clear(d.subset.previous[len(d.subset.previous):cap(d.subset.previous)]) // or what left would be kept in memory
 }
 
-// dividedUp returns a over b, rounded up.
-func dividedUp(a, b int) int { return (a + b - 1) / b }
+// ceilDiv returns a over b, rounded up.
+func ceilDiv(a, b int) int { return (a + b - 1) / b }
