--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,56 +9,56 @@
 )
 
 const (
-	minWeight           = 1e-3 // least weight that an executor is taken to have
-	maxSingleInsertions = 8    // new executors that are inserted in order one by one; more of them are sorted in together
-	pollIntervalDivisor = 8    // the time within which a node must have the endpoint list, over this, is between two polls
-	pollSpreadDivisor   = 2    // and over this, the first polls of many nodes are spread
-	minPollJitter       = 0.5  // least factor of the interval after a failed poll; the most is one more
+	minWeight           = 1e-3 // lower bound for an executor's weight; smaller weights are raised to it
+	maxSingleInsertions = 8    // up to this many new executors are inserted one by one; for more, the whole list is sorted again
+	pollIntervalDivisor = 8    // the poll interval is Settings.PollWithin divided by this
+	pollSpreadDivisor   = 2    // the first polls of many nodes are spread over Settings.PollWithin divided by this
+	minPollJitter       = 0.5  // smallest random factor of the poll interval after a failed poll; the largest is greater by 1
 )
 
-// goldenRatio32 is the odd number next to 2^32 over the golden ratio: multiplied by it, hashes that differ in few bits
-// differ in many.
+// goldenRatio32 is the odd integer closest to 2^32 divided by the golden ratio. Multiplying by it makes hashes that differ
+// in few bits differ in many (Fibonacci hashing).
 const goldenRatio32 = 0x9e3779b1
 
-// endpointTable holds the executors that the endpoint list names.
+// endpointTable holds the executors of the endpoint list, and executors removed from it that still have tokens taken.
 type endpointTable struct {
 	byID       map[ExecutorID]*executor
-	byHash     map[ExecutorHash]*executor // by the name that nodes use among each other
-	ranked     []*executor                // all, highest rank first
-	unranked   []*executor                // new ones that have no place in ranked yet
+	byHash     map[ExecutorHash]*executor // by the hash of the id, which nodes use in lease messages
+	ranked     []*executor                // all executors, highest rank first
+	unranked   []*executor                // new executors that are not in ranked yet
 	kinds      map[KindID]*kindStats
-	updates    int  // updates of the list so far
-	anyRemoved bool // some executor is removed from the list and still here
+	updates    int  // number of list updates so far
+	anyRemoved bool // an executor in this table may have been removed from the list
 }
 
-// endpointPoll is when the endpoint list is asked for, where it comes only by polling.
+// endpointPoll schedules the requests for the endpoint list, for discovery services that have to be polled.
 type endpointPoll struct {
-	watching    bool // an answer has come and no watch has failed since
-	outstanding bool // a poll is on its way
+	watching    bool // the list has been received, and no watch has failed since
+	outstanding bool // a poll was sent and has not been answered
 	nextAt      time.Duration
 	interval    time.Duration
 }
 
-// wanted reports whether the endpoint list has to be polled: no watch is in force and no poll is out.
+// wanted reports whether the endpoint list has to be polled: no watch is active and no poll is outstanding.
 func (p *endpointPoll) wanted() bool { return !p.watching && !p.outstanding }
 
-// executor is what this node knows of one executor.
+// executor holds what this node knows about one executor.
 type executor struct {
 	id         ExecutorID
 	hash       ExecutorHash
 	zone       ZoneID
 	kind       KindID
 	cell       CellID
-	rank       uint32  // its rank at this node
-	weight     float64 // its weight in the endpoint list
-	size       float64 // the largest weight that it had there
-	listedLoad float64 // jobs a core, by the list's weights
-	available  bool    // it takes new jobs, by the list
-	removed    bool    // it is gone from the list
-	listedIn   int     // the update that named it last
+	rank       uint32  // order of preference at this node (rankOf)
+	weight     float64 // weight in the endpoint list
+	size       float64 // largest weight so far, where weights fall with the load; 0 otherwise
+	listedLoad float64 // jobs per core, computed from the weights in the endpoint list
+	available  bool    // the endpoint list says that the executor takes new jobs
+	removed    bool    // the executor was removed from the endpoint list
+	listedIn   int     // number of the last list update that contained the executor
 	started    time.Duration
 
-	attempts  []*attempt // that are out
+	attempts  []*attempt // this node's attempts in flight
 	tokens    tokens
 	queuing   queuing
 	health    health
@@ -68,7 +68,7 @@
 	indexed   indexEntry
 }
 
-// runningCount returns how many attempts of this node run at e.
+// runningCount returns the number of this node's attempts that e has started.
 func (e *executor) runningCount() int {
 	count := 0
 	for _, a := range e.attempts {
@@ -79,7 +79,7 @@
 	return count
 }
 
-// longestWork returns the most work that an attempt of this node at e has.
+// longestWork returns the work of this node's largest attempt in flight at e.
 func (e *executor) longestWork() time.Duration {
 	longest := time.Duration(0)
 	for _, a := range e.attempts {
@@ -88,12 +88,12 @@
 	return longest
 }
 
-// UpdateEndpoints takes up what discovery brought: the complete list, changes to it, a cached list from before the start, or
-// that the watch failed.
+// UpdateEndpoints applies an update from discovery: the complete list, changes to it, a list cached by an earlier process,
+// or the failure of the watch.
 func (d *Dispatcher) UpdateEndpoints(now time.Duration, kind EndpointUpdateKind, entries []Endpoint) {
 	d.poll.outstanding = false
 	if kind == WatchFailed {
-		// All nodes poll the same service, so that each waits for another time before it tries again.
+		// All nodes poll the same service, so the delay before the next poll is random.
 		d.poll.retry(now, minPollJitter+d.rng.next())
 		return
 	}
@@ -109,7 +109,7 @@
 	d.updateZoneLoads(now)
 }
 
-// updateEndpoint takes over one entry of the endpoint list.
+// updateEndpoint applies one entry of the endpoint list.
 func (d *Dispatcher) updateEndpoint(now time.Duration, entry Endpoint) {
 	e := d.endpoints.byID[entry.Executor]
 	isNew := e == nil
@@ -133,7 +133,7 @@
 	}
 }
 
-// newExecutor makes an executor that the endpoint list names for the first time.
+// newExecutor returns the state for an executor that is new in the endpoint list.
 func (d *Dispatcher) newExecutor(now time.Duration, entry Endpoint) *executor {
 	e := &executor{
 		id:      entry.Executor,
@@ -148,8 +148,8 @@
 	return e
 }
 
-// isSlowStartSender reports whether this node may use that executor in its slow start: it is one of the few nodes whose
-// numbers follow the executor's hash. All nodes compute the same ones, without a message.
+// isSlowStartSender reports whether this node may send jobs to the executor during its slow start. The executor's hash
+// selects the first such node, and the following node numbers are the others, so all nodes agree without a message.
 func (d *Dispatcher) isSlowStartSender(hash ExecutorHash) bool {
 	nodes := d.config.nodeCount
 	first := int(hash % ExecutorHash(nodes))
@@ -157,7 +157,7 @@
 	return place < d.slowStart.senders
 }
 
-// update takes over what the endpoint list says of an executor, its weight aside.
+// update copies the fields of an endpoint list entry except the weight, which recordWeight handles.
 func (e *executor) update(entry Endpoint) {
 	e.zone = entry.Zone
 	e.kind = entry.Kind
@@ -166,8 +166,8 @@
 	e.removed = entry.State == Removed
 }
 
-// recordRestart begins the slow start of an executor that has started again, unless it is over by now. What was seen of
-// its health and its start waits before does not hold any more.
+// recordRestart begins the slow start of an executor that has started, unless the slow start is already over. It resets
+// ejections and start waits, which were observed before the restart.
 func (d *Dispatcher) recordRestart(e *executor, startedAt, now time.Duration) {
 	e.started = startedAt
 	until := startedAt + d.slowStart.duration
@@ -180,8 +180,9 @@
 	e.estimate.forgetStartWait()
 }
 
-// spreadPolls sets when the endpoint list is polled, given the time within which a node must have it. Many nodes begin one
-// after another, so that the load of discovery does not grow with them; a cached list serves until then.
+// spreadPolls sets the poll interval and the first poll, given the time within which a node must have the endpoint list.
+// Where nodes are many, their first polls are spread by node number, so that they don't load discovery all at once. A node
+// uses its cached list until then.
 func (d *Dispatcher) spreadPolls(within time.Duration) {
 	d.poll.interval = within / pollIntervalDivisor
 	if d.usesSubset() {
@@ -189,20 +190,20 @@
 	}
 }
 
-// retry sets the next poll after a failed one, in that factor of the interval.
+// retry schedules the next poll after a failure. The delay is the poll interval times jitter.
 func (p *endpointPoll) retry(now time.Duration, jitter float64) {
 	p.watching = false
 	p.nextAt = now + scaled(p.interval, jitter)
 }
 
-// rankOf returns an executor's rank at this node, a hash of both.
+// rankOf returns an executor's rank at this node: a hash of the executor's id and the node's number.
 func (d *Dispatcher) rankOf(id ExecutorID) uint32 {
 	key := binary.LittleEndian.AppendUint32([]byte(id), uint32(d.config.nodeID))
-	// A checksum alone is linear in the node's number, so that nodes would rank executors alike.
+	// CRC-32 alone is linear in the node's number, so all nodes would rank executors in similar orders.
 	return crc32.ChecksumIEEE(key) * goldenRatio32
 }
 
-// byRank orders executors by their rank at this node, the highest first.
+// byRank compares executors by their rank at this node, highest first, and by id where ranks are equal.
 func byRank(a, b *executor) int {
 	if a.rank == b.rank {
 		return cmp.Compare(a.id, b.id)
@@ -210,14 +211,15 @@
 	return cmp.Compare(b.rank, a.rank)
 }
 
-// add adds a new executor, which is ranked at the end of the update.
+// add adds a new executor. insertRanked adds it to the ranking at the end of the list update.
 func (t *endpointTable) add(e *executor) {
 	t.unranked = append(t.unranked, e)
 	t.byID[e.id] = e
 	t.byHash[e.hash] = e
 }
 
-// insertRanked inserts new executors by their ranks. Sorting a list of hundreds again for a few would be a waste.
+// insertRanked inserts the new executors by their ranks. A few are inserted one by one, which is cheaper than sorting a
+// list of hundreds again.
 func (t *endpointTable) insertRanked() {
 	if len(t.unranked) > maxSingleInsertions {
 		t.ranked = append(t.ranked, t.unranked...)
@@ -231,8 +233,8 @@
 	t.unranked = nil
 }
 
-// dropRemoved drops executors that were removed, once no attempt of this node is there: a machine that is replaced comes
-// under a new id. A complete update removes those that it does not name.
+// dropRemoved drops the removed executors that have no token of this node taken; a replaced machine comes back under a new
+// id. A complete update first marks the executors missing from it as removed.
 func (d *Dispatcher) dropRemoved(complete bool) {
 	if complete {
 		for _, e := range d.endpoints.ranked {
@@ -249,7 +251,7 @@
 	}
 }
 
-// dropUnused drops removed executors without attempts. The others stay, and are looked at again with the next update.
+// dropUnused drops removed executors that have no token taken. The others are checked again at the next update.
 func (t *endpointTable) dropUnused() {
 	t.anyRemoved = false
 	t.ranked = slices.DeleteFunc(t.ranked, func(e *executor) bool {
@@ -266,7 +268,7 @@
 	})
 }
 
-// CountUnusable returns how many executors on the endpoint list get no new attempt from this node now, for any reason.
+// CountUnusable returns how many executors in the endpoint list get no new attempts from this node now, for any reason.
 func (d *Dispatcher) CountUnusable(now time.Duration) int {
 	count := 0
 	for _, e := range d.endpoints.ranked {
@@ -277,7 +279,7 @@
 	return count
 }
 
-// addKind adds the statistics and the index of an executor kind that is met for the first time.
+// addKind adds the statistics and the candidate index of an executor kind, unless they exist already.
 func (d *Dispatcher) addKind(id KindID, weight float64) {
 	if d.endpoints.kinds[id] != nil {
 		return
@@ -287,8 +289,8 @@
 	d.addKindIndex(id, kind)
 }
 
-// recordWeight records an executor's weight in the endpoint list. A weight that falls with the load is the size over one
-// plus the jobs a core; an idle executor shows its size.
+// recordWeight records an executor's weight in the endpoint list. A weight that falls with the load is
+// size / (1 + jobs per core), so the weight of an idle executor is its size.
 func (d *Dispatcher) recordWeight(e *executor, weight float64) {
 	e.weight = weight
 	if d.config.loadAdjustedWeights {
@@ -299,7 +301,7 @@
 	kind.size += (max(e.size, weight) - kind.size) * (1 - smoothing)
 }
 
-// remoteSide returns 1 for an executor of another zone, where crossing zones has a cost, and 0 for any other.
+// remoteSide returns 1 for an executor in another zone if crossing zones has a cost, and 0 otherwise.
 func (d *Dispatcher) remoteSide(e *executor) int {
 	if d.config.crossZoneCost > 0 && e.zone != d.config.zone {
 		return 1
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	smoothing          = 0.85 // weight that older observations keep when a new one comes
-	paceStep           = 0.05 // weight of a new observation in the pace of a kind, for a second of work or more
-	minSampleWeight    = 0.05 // least weight of a new running time in a class's mean work
-	minPace            = 0.05 // a kind's pace is never taken to be quicker
-	waitedFactor       = 5.0  // times its predicted running time from which on an attempt without a start notice had to wait
-	dedupReplyFraction = 0.1  // of the predicted running time: a keyed job that is done in less was answered from memory
-	minReportedCount   = 0.5  // reported slots or jobs from which on there is one: reports are averages
-	minProgress        = 0.02 // fraction done from which on a progress notice predicts the rest
-	standardPace       = 1    // of an executor that nothing is known of
+	smoothing          = 0.85 // weight that an average keeps when a new observation is added
+	paceStep           = 0.05 // weight of a new observation in a kind's pace, for one second of work or more
+	minSampleWeight    = 0.05 // minimum weight of a new running time in a class's mean work
+	minPace            = 0.05 // lower bound for a kind's pace
+	waitedFactor       = 5.0  // an attempt without a start notice is taken to have waited if it took this many times its running time
+	dedupReplyFraction = 0.1  // a keyed job done in less than this fraction of its predicted time was answered from memory
+	minReportedCount   = 0.5  // reported counts are averages; from this value on they count as at least one slot or job
+	minProgress        = 0.02 // minimum fraction done for a progress notice to predict the running time
+	standardPace       = 1    // pace of an executor of which nothing is known
 )
 
-// kindStats is what executors of one kind that are past slow start were seen to do.
+// kindStats holds what was observed of the executors of one kind.
 type kindStats struct {
-	pace                float64 // running time for each unit of work
+	pace                float64 // running time per unit of work
 	size                float64 // mean weight in the endpoint list
-	reportedSlots       float64 // slots by load reports, averaged; 0: none came
-	concurrency         int     // slots, by reports or by the most of our jobs that ran at once
-	exactSlots          float64 // slots, by reports that tell of nothing queued, averaged
-	observedConcurrency int     // the most of our jobs that ran beside each other for half of a running time
+	reportedSlots       float64 // average number of slots in load reports; 0: no report was received
+	concurrency         int     // number of slots, from load reports or from this node's jobs that ran at the same time
+	exactSlots          float64 // average number of slots in load reports without queued jobs; 0: no such report
+	observedConcurrency int     // most jobs of this node that ran together for at least half of a job's running time
 	index               *kindIndex
 }
 
-// observeRun updates the pace by a running time in seconds for work in seconds, and the concurrency that was seen.
+// observeRun updates the pace by a completed run, and observedConcurrency by the number of jobs that ran together. The
+// running time and the work are in seconds.
 func (k *kindStats) observeRun(runTime, work float64, concurrency int) {
 	k.observedConcurrency = max(k.observedConcurrency, concurrency)
 	k.pace += paceStep * min(1, work) * (runTime/work - k.pace)
 	k.pace = max(k.pace, minPace)
 }
 
-// observeConcurrency records how many jobs of this node run at once at an executor of the kind.
+// observeConcurrency records the number of this node's jobs that run at an executor of the kind at the same time.
 func (k *kindStats) observeConcurrency(running int) { k.concurrency = max(k.concurrency, running) }
 
-// observeReport updates the slots by a load report. While jobs wait, their number is reported roughly, so that only a
-// report of none is exact.
+// observeReport updates the slots by a load report. The reported number of queued jobs is imprecise, and so are the slots
+// computed from it: only a report without queued jobs counts for exactSlots.
 func (k *kindStats) observeReport(slots, queued float64) {
 	if k.reportedSlots == 0 {
 		k.reportedSlots = slots
@@ -53,11 +54,11 @@
 	}
 }
 
-// estimate is what was seen of an executor's speed, decaying.
+// estimate holds decaying statistics of an executor's speed.
 type estimate struct {
-	runTime   float64 // seconds
-	work      float64 // done in that time, in seconds on a standard core
-	startWait time.Duration
+	runTime   float64       // sum of running times, in seconds
+	work      float64       // sum of the work done in them, in seconds on a standard core
+	startWait time.Duration // average wait of an attempt at the executor before it starts
 }
 
 // observeRun adds a running time and the work done in it, both in seconds.
@@ -66,33 +67,34 @@
 	s.work = s.work*smoothing + work
 }
 
-// observeStartWait updates the start wait. It follows quickly, since a jam must be seen before it is fed.
+// observeStartWait updates the start wait. A new observation has a weight of one half, so that this node notices a queue at
+// the executor before it sends more jobs there.
 func (s *estimate) observeStartWait(wait time.Duration) { s.startWait = (s.startWait + wait) / 2 }
 
-// adopt takes over a running time and the work done in it, both in seconds, that another process has seen.
+// adopt sets the running time and the work done in it, both in seconds, as another process has observed them.
 func (s *estimate) adopt(runTime, work float64) {
 	s.runTime = runTime
 	s.work = work
 }
 
-// adoptStartWait takes over the start wait that another process has seen.
+// adoptStartWait sets the start wait that another process has observed.
 func (s *estimate) adoptStartWait(wait time.Duration) { s.startWait = max(0, wait) }
 
-// forgetStartWait drops the start wait, when the executor has started again.
+// forgetStartWait resets the start wait after a restart of the executor.
 func (s *estimate) forgetStartWait() { s.startWait = 0 }
 
-// meanPace returns the running time for a unit of work, given the kind's pace as one observation of one unit.
+// meanPace returns the running time per unit of work. The kind's pace counts as one more observation, of one unit of work.
 func (s *estimate) meanPace(kindPace float64) float64 { return (s.runTime + kindPace) / (s.work + 1) }
 
-// decay lowers the weight of what was observed, at an interval's end.
+// decay lowers the weight of past observations. It is called at the end of each interval.
 func (s *estimate) decay() {
 	s.startWait = scaled(s.startWait, smoothing)
 	s.runTime *= smoothing
 	s.work *= smoothing
 }
 
-// pace returns the running time that e needs for a unit of work: by its estimate and its kind's pace, and by the attempts
-// that already run longer than those predict, or an executor that slowed down since its last result would look fast.
+// pace returns the running time that e needs per unit of work, from its estimate and its kind's pace. Attempts that already
+// run longer than predicted count too; otherwise an executor that has slowed down since its last result would look fast.
 func (d *Dispatcher) pace(e *executor, now time.Duration) float64 {
 	runTime := e.estimate.runTime + d.endpoints.kinds[e.kind].pace
 	work := e.estimate.work + 1
@@ -114,8 +116,8 @@
 	return runTime / work
 }
 
-// expectedWait returns how long a job sent to e now would wait there before it starts: as long as starts there were seen
-// to take, or, if this node's attempts alone fill the slots that the kind was seen to have, until one of them is free.
+// expectedWait returns how long a job sent to e now would wait there before it starts: the observed start wait, or, if this
+// node's attempts alone fill the slots of e's kind, the time until one of these slots is free.
 func (d *Dispatcher) expectedWait(e *executor, pace float64, now time.Duration) time.Duration {
 	slots := d.endpoints.kinds[e.kind].concurrency
 	wait := e.estimate.startWait
@@ -125,13 +127,13 @@
 		left := scaled(a.work, pace)
 		if a.running {
 			left -= now - a.startedAt
-			firstFree = min(firstFree, max(left, -left)) // one that is overdue needs as long again as it is overdue
+			firstFree = min(firstFree, max(left, -left)) // an attempt overdue by some time is expected to need that time again
 			continue
 		}
 		queuedTime += left
 		unstartedFor := now - a.sentAt
 		if d.config.startNotices && unstartedFor > e.estimate.startWait+d.classes.checkInterval {
-			// An attempt that is not started in time shows that other nodes fill the executor.
+			// An attempt that has not started in time shows that jobs of other nodes fill the executor.
 			wait = max(wait, unstartedFor+left/time.Duration(slots))
 		}
 	}
@@ -144,8 +146,8 @@
 	return max(e.estimate.startWait, firstFree+queuedTime/time.Duration(slots))
 }
 
-// recordRunTime records how long a completed attempt of j ran at e. An answer that the executor remembered for a job's
-// idempotency key is no run: it would make the executor look fast, and a starting one be overloaded.
+// recordRunTime records the running time of a completed attempt of j at e. It ignores answers that the executor remembered
+// for the job's idempotency key: they would make the executor look fast, and it would be overloaded during its slow start.
 func (d *Dispatcher) recordRunTime(j *job, e *executor, ran time.Duration) {
 	kind := d.endpoints.kinds[e.kind]
 	if j.class.idempotency == IdempotentWithKey && ran < scaled(j.work, dedupReplyFraction*kind.pace) {
@@ -166,7 +168,7 @@
 	kind.observeRun(runTime, work, concurrency)
 }
 
-// bestPaceFor returns the pace of the fastest executor that j may be sent to at all, or standardPace if there is none.
+// bestPaceFor returns the pace of the fastest executor that is eligible for j, or standardPace if there is none.
 func (d *Dispatcher) bestPaceFor(j *job, now time.Duration) float64 {
 	best := math.Inf(1)
 	switch {
@@ -185,7 +187,7 @@
 	return best
 }
 
-// LoadReported takes up a load report that came with an answer. A report that is incomplete is passed over.
+// LoadReported records a load report that came with an answer. An incomplete report is ignored.
 func (d *Dispatcher) LoadReported(id ExecutorID, load Load) {
 	e := d.endpoints.byID[id]
 	slots := load.InFlight - load.Queued + load.FreeSlots
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// LearnedState is what a process has learned and hands to its successor in a hot restart. Times are left over from the
-// moment of the export, as the two processes have no common clock. internal/hotrestart has its form on the wire.
+// LearnedState is the state that a process has learned and hands to its successor in a hot restart. The two processes have
+// no common clock, so a point in time is given as the time left from the export on. internal/hotrestart encodes it.
 type LearnedState struct {
-	Nodes       int // number of nodes it was learned among; 0: as many as there are now
+	Nodes       int // number of nodes in the cluster at the export; 0: same as at the import
 	Classes     []LearnedClass
 	Kinds       []LearnedKind
 	Executors   []LearnedExecutor
-	MeanValue   float64 // of a job
-	MeanDensity float64 // of a job, for a second of work
+	MeanValue   float64 // mean value of a job
+	MeanDensity float64 // mean value density: value per second of work
 }
 
-// LearnedClass is what was learned of a current job class.
+// LearnedClass is the learned state of a job class of the current configuration.
 type LearnedClass struct {
 	ID                          JobClassID
 	MeanWork                    time.Duration
-	Samples                     int           // running times behind MeanWork
-	FullBudget                  time.Duration // largest budget seen
-	RequestedValue, EarnedValue float64       // decaying
+	Samples                     int           // number of running times that MeanWork is computed from
+	FullBudget                  time.Duration // largest time budget that a client has given a job
+	RequestedValue, EarnedValue float64       // decaying sums: all jobs; jobs completed within their objective
 	UnitValue                   float64       // mean value of a job
 }
 
-// LearnedKind is what executors of a kind that are past slow start were seen to do.
+// LearnedKind is the learned state of an executor kind.
 type LearnedKind struct {
 	ID            KindID
-	Pace          float64 // running time for each unit of work
+	Pace          float64 // running time per unit of work
 	Size          float64 // mean weight in the endpoint list
-	ReportedSlots float64 // by load reports, averaged; 0: none came
-	Concurrency   int     // slots, by reports or by what ran at once
+	ReportedSlots float64 // average number of slots in load reports; 0: no report was received
+	Concurrency   int     // number of slots, from load reports or from the jobs that ran at the same time
 }
 
-// LearnedExecutor is what was learned of an executor since its last start.
+// LearnedExecutor is the state learned of an executor since its last start.
 type LearnedExecutor struct {
 	ID            ExecutorID
 	Quota         int
-	RunTime, Work float64 // seconds, decaying
+	RunTime, Work float64 // decaying sums over its completed attempts, in seconds
 	StartWait     time.Duration
-	EjectedFor    time.Duration // left of its ejection
-	InFlightCap   int           // 0: no cap
-	Timeouts      int           // consecutive silences or unanswered health checks
+	EjectedFor    time.Duration // remaining time of its ejection
+	InFlightCap   int           // most attempts in flight; 0: no cap
+	Timeouts      int           // consecutive inactivity timeouts and unanswered health checks
 }
 
-// ExportLearned returns what was learned, in the order of the ids.
+// ExportLearned returns the learned state, sorted by id.
 func (d *Dispatcher) ExportLearned(now time.Duration) LearnedState {
 	learned := LearnedState{
 		Nodes:       d.config.nodeCount,
@@ -101,12 +101,13 @@
 	}
 }
 
-// ImportLearned takes over what another process of this node has learned, with the classes under this process's numbers.
-// Implausible values are passed over, and so are executors that are not on the endpoint list or, by it, have started since.
+// ImportLearned applies the state learned by another process of this node. The caller has translated the class ids to those
+// of this process. Implausible values are ignored, and so are executors that are not in the endpoint list or are in slow
+// start.
 //
-// What was learned among another number of nodes still holds for paces, slots, work and ejections. Quotas, start waits and
-// how the classes fare depend on all nodes together and begin anew: with quotas carried over, each of many nodes would
-// send what one of few did.
+// If the number of nodes has changed, only paces, slots, work and ejections are imported. Quotas, start waits and the value
+// that classes requested and earned depend on all nodes together and start afresh: with imported quotas, each node of a
+// larger cluster would send as much as a node of the smaller one did.
 func (d *Dispatcher) ImportLearned(now time.Duration, learned LearnedState) {
 	sameNodes := learned.Nodes == 0 || learned.Nodes == d.config.nodeCount
 	d.values.adopt(learned.MeanValue, learned.MeanDensity)
@@ -129,7 +130,7 @@
 	d.queue.rescan()
 }
 
-// adopt takes over what was learned of a class.
+// adopt applies the learned state of a class. The requested and earned values hold only for the same number of nodes.
 func (t *jobClass) adopt(in LearnedClass, sameNodes bool) {
 	if in.MeanWork <= 0 || in.UnitValue <= 0 {
 		return
@@ -144,7 +145,7 @@
 	}
 }
 
-// adopt takes over what was learned of an executor kind.
+// adopt applies the learned state of an executor kind.
 func (k *kindStats) adopt(in LearnedKind) {
 	if in.Pace > 0 && in.Concurrency > 0 && in.Size > 0 {
 		k.pace = in.Pace
@@ -154,7 +155,7 @@
 	}
 }
 
-// importExecutor takes over what was learned of an executor, unless it is in slow start.
+// importExecutor applies the learned state of an executor, unless the executor is in slow start.
 func (d *Dispatcher) importExecutor(e *executor, in LearnedExecutor, sameNodes bool, now time.Duration) {
 	if now < e.slowStart.until || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
 		return
