--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// pendingHealthChecks is which executors owe a sign of life.
+// pendingHealthChecks holds the executors that have a health check in flight or are unresponsive.
 type pendingHealthChecks struct {
 	awaitingReply []*executor
 }
 
-// await adds an executor that has a health check out, or is unresponsive.
+// await adds an executor, unless it is in the list already.
 func (c *pendingHealthChecks) await(e *executor) {
 	if !e.health.awaited {
 		e.health.awaited = true
@@ -18,7 +18,8 @@
 	}
 }
 
-// pending returns the executors that still owe a sign of life, in the order in which they got tokens.
+// pending returns the executors that still have a health check in flight or are unresponsive, in the order in which they got
+// tokens.
 func (c *pendingHealthChecks) pending() []*executor {
 	c.awaitingReply = slices.DeleteFunc(c.awaitingReply, func(e *executor) bool {
 		e.health.awaited = e.health.checkInFlight || e.health.unresponsive
@@ -28,8 +29,8 @@
 	return c.awaitingReply
 }
 
-// markUnresponsive lets no new attempt go to an executor until it answers. The number of timeouts in a row sets how soon
-// it is checked again.
+// markUnresponsive keeps new attempts away from an executor until it responds. The number of timeouts in a row determines
+// the delay before the next health check.
 func (d *Dispatcher) markUnresponsive(e *executor, timeouts int) {
 	e.health.unresponsive = true
 	e.health.timeouts = timeouts
@@ -37,7 +38,7 @@
 	d.healthChecks.await(e)
 }
 
-// HealthCheckEnded reports the result of a health check. The load is valid only if it was answered.
+// HealthCheckEnded records the result of a health check. The load is valid only if the executor answered.
 func (d *Dispatcher) HealthCheckEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
 	d.beginTurn(now)
 	e := d.endpoints.byID[id]
@@ -49,14 +50,16 @@
 	if answered {
 		d.recordHealthCheckAnswer(e, load, now)
 	} else if inTime && e.health.suspect {
-		// The check was refused at once, so the machine is up: the next attempt that fails will tell.
+		// The health check failed before its timeout, so the machine is up and refuses connections. Let the executor have
+		// attempts again: the next failed one ejects it.
 		d.subset.noteRecovery(e.health.unresponsive)
 		e.health.unresponsive = false
 		d.subset.recheck()
 	}
 }
 
-// recordHealthCheckAnswer makes e usable again, and lets its lease holder grant a lease more if e has a slot free.
+// recordHealthCheckAnswer makes e usable again. If e has a free slot and this node is its lease holder, it grants one more
+// lease.
 func (d *Dispatcher) recordHealthCheckAnswer(e *executor, load Load, now time.Duration) {
 	if e.health.unresponsive {
 		d.subset.invalidate()
@@ -70,7 +73,7 @@
 	}
 }
 
-// requestHealthCheck sends e a health check, unless one is out or the last one was sent less than the interval ago.
+// requestHealthCheck sends e a health check, unless one is in flight or the last one was sent less than interval ago.
 func (d *Dispatcher) requestHealthCheck(e *executor, now, interval time.Duration) {
 	if !d.config.canProbe || e.health.checkInFlight {
 		return
@@ -85,14 +88,15 @@
 	d.timers.checkAll(now + d.classes.shortestObjective)
 }
 
-// checkUnanswered finds the health checks and the lease requests that were not answered in time.
+// checkUnanswered handles health checks and lease requests that were not answered in time.
 func (d *Dispatcher) checkUnanswered(now time.Duration) {
 	d.handleHealthCheckTimeouts(now)
 	d.checkLeaseRequests(now)
 }
 
-// handleHealthCheckTimeouts marks executors that did not answer a health check within the shortest objective as unresponsive, and
-// checks those again: each timeout in a row makes the interval longer by one mean running time, up to maxBackoffFactor.
+// handleHealthCheckTimeouts marks executors that did not answer a health check within the shortest objective as
+// unresponsive, and sends unresponsive executors the next one when it is due. Each timeout in a row makes the delay between
+// health checks longer by the largest mean work of a job class, up to maxBackoffFactor times that.
 func (d *Dispatcher) handleHealthCheckTimeouts(now time.Duration) {
 	for _, e := range d.healthChecks.pending() {
 		if e.tokens.joinOrder == 0 {
@@ -112,7 +116,7 @@
 	}
 }
 
-// healthCheckInterval returns how long an unresponsive executor is left alone between two health checks.
+// healthCheckInterval returns the time between two health checks of an unresponsive executor.
 func (d *Dispatcher) healthCheckInterval(e *executor) time.Duration {
 	return d.longestMeanWork() * time.Duration(e.health.timeouts)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	maxBackoffFactor = 8 // times the usual ejection at most, for an executor that is silent or errs again and again
-	inactivityFactor = 2 // times what this node's attempts should take, after which an executor without a sign of life is silent
-	maxMissedNotices = 2 // progress notices that may be missing before an attempt is silent; one at an executor ejected for silence
+	maxBackoffFactor = 8 // largest multiple of the usual ejection time for repeated errors; also limits the delay between health checks
+	inactivityFactor = 2 // an executor is inactive after this multiple of the time that this node's attempts should take
+	maxMissedNotices = 2 // an attempt is inactive after this many missed progress notices, or one fewer after an inactivity timeout
 )
 
-// health is what outcomes and silence show of an executor.
+// health holds the state of an executor's ejections, inactivity timeouts and health checks.
 type health struct {
 	ejectedUntil      time.Duration
-	inFlightCap       int           // most attempts out; it grows with answers; 0: no cap
-	lastSeen          time.Duration // last sign of life
-	timeouts          int           // consecutive silences or unanswered health checks since then
-	consecutiveErrors int           // errors since it last completed a job
-	rejections        int           // rejected attempts since the last sign of life
-	suspect           bool          // an attempt failed since then
-	unresponsive      bool          // a health check was not answered, and none since
-	checkInFlight     bool          // a health check is out
-	checkSentAt       time.Duration // when the last one was sent; 0: none was
-	awaited           bool          // it is in pendingHealthChecks.awaitingReply
+	inFlightCap       int           // maximum number of attempts in flight, raised by each completed attempt; 0: no cap
+	lastSeen          time.Duration // time of the last response, or since which the first one is awaited
+	timeouts          int           // consecutive inactivity timeouts and unanswered health checks
+	consecutiveErrors int           // executor errors since the last completed attempt
+	rejections        int           // attempts rejected as full since recordAlive was last called
+	suspect           bool          // an attempt has failed since recordAlive was last called
+	unresponsive      bool          // a health check or a connection failed, and the executor has not responded since
+	checkInFlight     bool          // a health check is in flight
+	checkSentAt       time.Duration // time of the last health check; 0: none was sent
+	awaited           bool          // the executor is in pendingHealthChecks.awaitingReply
 }
 
-// awaitResponse begins to wait for a sign of life, when the first attempt goes out.
+// awaitResponse starts the inactivity timeout when the first attempt is sent to an idle executor.
 func (h *health) awaitResponse(now time.Duration) { h.lastSeen = now }
 
-// isEjected reports whether an ejection is in force.
+// isEjected reports whether the executor is ejected now.
 func (h *health) isEjected(now time.Duration) bool { return h.ejectedUntil > now }
 
-// restart is for an executor that has started again: no ejection holds any more, and it begins with one attempt in flight.
+// restart resets the state of an executor that has restarted: it is not ejected and may have one attempt in flight at first.
 func (h *health) restart() {
 	h.ejectedUntil = 0
 	h.inFlightCap = 1
 }
 
-// backoffFactor returns by how much the next ejection is longer than the usual one: by one time more for each ejection
-// for silence in a row, or twice as long for each error in a row.
+// backoffFactor returns the multiple of the usual ejection time for the next ejection: one more for each timeout in a row,
+// or doubled for each error in a row up to maxBackoffFactor, whichever is longer.
 func (h *health) backoffFactor() time.Duration {
 	forErrors := min(1<<min(h.consecutiveErrors, maxBackoffFactor), maxBackoffFactor)
 	return time.Duration(max(1+h.timeouts, forErrors))
 }
 
-// recordSuccess records a completed attempt, after which one more may be in flight. Past the quota there is no cap any
-// more.
+// recordSuccess records a completed attempt. It raises the in-flight cap by one, and removes the cap once it exceeds the
+// quota.
 func (h *health) recordSuccess(quota int) {
 	h.consecutiveErrors = 0
 	if h.inFlightCap == 0 {
@@ -59,7 +59,7 @@
 	}
 }
 
-// recordFailure records an attempt without a result.
+// recordFailure records an attempt that failed.
 func (h *health) recordFailure(outcome Outcome) {
 	h.suspect = true
 	if outcome == ExecutorError {
@@ -67,13 +67,13 @@
 	}
 }
 
-// recordRejection counts an attempt that was rejected as full, and returns how many were in a row.
+// recordRejection records an attempt that was rejected as full, and returns the number of rejections in a row.
 func (h *health) recordRejection() int {
 	h.rejections++
 	return h.rejections
 }
 
-// adopt takes over what another process of this node knows, and reports whether an ejection or a cap comes with it.
+// adopt applies the state learned by another process of this node, and reports whether it includes an ejection or a cap.
 func (h *health) adopt(timeouts, inFlightCap int, ejectedFor, now time.Duration) bool {
 	h.timeouts = timeouts
 	if ejectedFor <= 0 && inFlightCap <= 0 {
@@ -84,7 +84,7 @@
 	return true
 }
 
-// recordAlive records a sign of life.
+// recordAlive records that the executor has started, progressed or completed an attempt.
 func (h *health) recordAlive(now time.Duration) {
 	h.lastSeen = now
 	h.suspect = false
@@ -93,9 +93,9 @@
 	h.rejections = 0
 }
 
-// eject has e get no new attempt for as long as a job takes, longer by backoffFactor if it failed before: an executor
-// that fails quickly frees its tokens at once and would draw more jobs. After that it is tried with one attempt in
-// flight. An ejection in force is not extended. The cause is for the log.
+// eject keeps new attempts away from e for the largest mean work of a job class, times backoffFactor. An executor that fails
+// quickly frees its tokens at once and would attract more jobs. After the ejection e may have one attempt in flight at first.
+// An ejection in force is not extended. The cause is written to the log.
 func (d *Dispatcher) eject(e *executor, now time.Duration, cause string) {
 	if e.health.isEjected(now) {
 		return
@@ -111,9 +111,10 @@
 	d.timers.checkAll(e.health.ejectedUntil)
 }
 
-// detectInactivity ejects an executor that has attempts of this node and gave no sign of life for inactivityFactor times what
-// they should take. It also releases the tokens of single attempts that are silent, as on a connection that broke
-// without notice: such an attempt shows nothing of its executor, and its token would be lost for long.
+// detectInactivity ejects e if it has attempts of this node and has not responded within the inactivity timeout, which is
+// inactivityFactor times the time that they should take, plus the shortest objective. It also releases the tokens of single
+// inactive attempts, as on a connection that broke unnoticed: these say nothing about the executor, and their tokens would
+// be unavailable for long.
 func (d *Dispatcher) detectInactivity(e *executor, now time.Duration) {
 	if len(e.attempts) == 0 || !e.available {
 		return
@@ -128,8 +129,9 @@
 	d.releaseInactiveAttempts(e, now, timeout)
 }
 
-// releaseInactiveAttempts gives up the tokens of attempts at e without a progress notice within the timeout. At an executor
-// ejected for silence one missing notice is enough, or its next trial would find no token free.
+// releaseInactiveAttempts releases the tokens of attempts at e that have sent no progress notice within both the timeout and
+// the time for maxMissedNotices. After an inactivity timeout of e, one missed notice is enough; otherwise no token would be
+// free for the next trial attempt.
 func (d *Dispatcher) releaseInactiveAttempts(e *executor, now, timeout time.Duration) {
 	notices := d.config.progressInterval * time.Duration(maxMissedNotices-min(e.health.timeouts, 1))
 	e.attempts = slices.DeleteFunc(e.attempts, func(a *attempt) bool {
@@ -141,7 +143,8 @@
 	})
 }
 
-// recordAlive records a sign of life of e, which is as good as an answer to a health check.
+// recordAlive records that e has started, progressed or completed an attempt. This also ends its state as unresponsive, as
+// the answer to a health check would.
 func (d *Dispatcher) recordAlive(e *executor, now time.Duration) {
 	d.subset.noteRecovery(e.health.unresponsive)
 	e.health.recordAlive(now)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	executorQueuingThreshold = 0.3 // the executor's share of all waiting, above which its own queue is to blame (design)
-	emptyQueueThreshold      = 0.5 // over this share, what waits here counts as an empty queue
-	slackTargetFraction      = 0.5 // of a job's slack that may be spent waiting before the executor is over its target
-	initialQuota             = 2   // the design's first quota
-	maxQuota                 = 8   // the design's finite cap
-	intervalFraction         = 0.4 // of the shortest deadline, between two steps of the quotas
-	fullTokenDelay           = 2.0 // running times that the token of a full executor rests, for each rejection in a row
+	executorQueuingThreshold = 0.3 // fraction of the waiting at the executor above which its queue is taken as the cause of delays
+	emptyQueueThreshold      = 0.5 // fraction of the waiting at the executor above which this node's queue counts as empty
+	slackTargetFraction      = 0.5 // fraction of a job's slack that it may wait before the executor counts as over its target
+	initialQuota             = 2   // quota of an executor of which nothing is known
+	maxQuota                 = 8   // upper bound of a quota
+	intervalFraction         = 0.4 // the interval between two adjustments is this fraction of the shortest deadline
+	fullTokenDelay           = 2.0 // delay before the token of a full executor is free again, in running times per rejection in a row
 )
 
-// quotaState is what the step of the quotas needs of all executors.
+// quotaState holds the executors whose quotas are adjusted, and the end of the current interval.
 type quotaState struct {
-	executors   []*executor // that have tokens: those that have been in the subset
-	joined      int         // executors that ever got tokens
+	executors   []*executor // executors that have tokens: those that are or were in the subset
+	joined      int         // number of executors that have been added so far
 	intervalEnd time.Duration
 }
 
-// endIntervalBy lets the running interval end at that time, unless it ends before.
+// endIntervalBy makes the current interval end at the given time, unless it ends earlier.
 func (q *quotaState) endIntervalBy(at time.Duration) { q.intervalEnd = min(q.intervalEnd, at) }
 
-// add gives an executor its number among those that got tokens.
+// add adds an executor that gets its first tokens, and records its position in the order of joining.
 func (q *quotaState) add(e *executor) {
 	q.joined++
 	e.tokens.joinOrder = q.joined
 	q.executors = append(q.executors, e)
 }
 
-// dropRemoved drops the executors that were removed from the endpoint list, once no attempt of this node is there.
+// dropRemoved drops the executors that were removed from the endpoint list and have no token taken.
 func (q *quotaState) dropRemoved() {
 	q.executors = slices.DeleteFunc(q.executors, func(e *executor) bool {
 		drop := e.removed && e.tokens.taken == 0
@@ -43,26 +43,27 @@
 	})
 }
 
-// tokens are an executor's quota and the tokens under it.
+// tokens holds an executor's quota, which is the number of attempts that this node may have in flight there, and its tokens.
+// An attempt takes a token and releases it at its end.
 type tokens struct {
-	quota          int             // 0: it has not been in the subset yet
-	inheritedQuota int             // what a predecessor of this process gave it; 0 for none
-	free           []time.Duration // since when each free token is free, oldest first
-	taken          int             // by attempts that are out, and by those canceled that may still run
-	joinOrder      int             // its number among those that got tokens; 0: it has none
+	quota          int             // 0: the executor has not been in the subset yet
+	inheritedQuota int             // quota in the learned state of the predecessor process; 0: none
+	free           []time.Duration // time since which each free token has been free, oldest first
+	taken          int             // tokens of attempts in flight, and of ended ones whose token is released later
+	joinOrder      int             // position in the order in which executors got tokens, from 1; 0: not in quotaState.executors
 }
 
-// inherit records the quota that another process gave the executor, for when it joins the subset here.
+// inherit records the executor's quota in another process, to be used when the executor joins the subset here.
 func (t *tokens) inherit(quota int) { t.inheritedQuota = min(quota, maxQuota) }
 
-// begin sets the first quota: a token for each given time, since when it is free.
+// begin sets the first quota, with one free token for each given time.
 func (t *tokens) begin(freeSince []time.Duration) {
 	t.quota = len(freeSince)
 	t.free = freeSince
 	slices.Sort(t.free)
 }
 
-// total returns the number of tokens, free and taken. It may exceed a quota that was lowered.
+// total returns the number of tokens, free and taken. After the quota was lowered it may exceed the quota.
 func (t *tokens) total() int { return t.taken + len(t.free) }
 
 // take uses the oldest free token.
@@ -71,7 +72,7 @@
 	t.taken++
 }
 
-// release returns a taken token. It is dropped where the quota was lowered meanwhile.
+// release frees a taken token, or drops it if the quota was lowered meanwhile.
 func (t *tokens) release(now time.Duration) {
 	t.taken--
 	if t.total() < t.quota {
@@ -79,7 +80,7 @@
 	}
 }
 
-// raise increases the quota by one and reports whether that gave a free token.
+// raise increases the quota by one and reports whether that added a free token.
 func (t *tokens) raise(now time.Duration) bool {
 	t.quota++
 	if t.total() >= t.quota {
@@ -89,7 +90,7 @@
 	return true
 }
 
-// lower reduces the quota by one, and drops the token that came free last if there is one too many.
+// lower reduces the quota by one and drops the most recently freed token if there are now more tokens than the quota.
 func (t *tokens) lower() {
 	t.quota--
 	if t.total() > t.quota && len(t.free) > 0 {
@@ -97,30 +98,30 @@
 	}
 }
 
-// queuing is what this interval showed of waiting for an executor, for the step of its quota.
+// queuing holds an executor's waiting times in the current interval, from which adjustQuota derives its next quota.
 type queuing struct {
-	atExecutor     time.Duration // waiting at the executor
-	inQueue        time.Duration // waiting in this node's queue
-	overTarget     bool          // some job waited longer than its slack allows
-	outOfTokens    bool          // no token was free at some moment
-	sawFull        bool          // an attempt was rejected as full
-	fullTenant     TenantID      // whose attempt that was
-	fullForSeveral bool          // attempts of several tenants were
-	fullWait       time.Duration // running times of the rejected attempts
-	startedOthers  bool          // others were started meanwhile
+	atExecutor     time.Duration // total time that attempts waited at the executor
+	inQueue        time.Duration // total time that its jobs waited in this node's queue
+	overTarget     bool          // a job waited longer than slackTargetFraction of its slack
+	outOfTokens    bool          // at some time no token was free
+	sawFull        bool          // the executor rejected an attempt as full
+	fullTenant     TenantID      // tenant of the last attempt rejected as full
+	fullForSeveral bool          // attempts of more than one tenant were rejected as full
+	fullWait       time.Duration // sum of the predicted running times of the rejected attempts
+	startedOthers  bool          // the executor started an attempt that shows it is not full for all tenants (recordStart)
 }
 
 // recordQueued adds the time that a job waited in this node's queue.
 func (q *queuing) recordQueued(wait time.Duration) { q.inQueue += wait }
 
-// recordStartWait adds the time that an attempt waited at the executor, and whether its job waited longer than its slack
-// allows.
+// recordStartWait adds the time that an attempt waited at the executor. overTarget says whether its job waited for too much
+// of its slack.
 func (q *queuing) recordStartWait(wait time.Duration, overTarget bool) {
 	q.atExecutor += wait
 	q.overTarget = q.overTarget || overTarget
 }
 
-// recordFull records an attempt that the executor rejected as full, though it would have run for that long.
+// recordFull records an attempt that the executor rejected as full, with its predicted running time.
 func (q *queuing) recordFull(tenant TenantID, runTime time.Duration) {
 	q.fullForSeveral = q.fullForSeveral || q.sawFull && q.fullTenant != tenant
 	q.sawFull = true
@@ -128,13 +129,14 @@
 	q.fullWait += runTime
 }
 
-// recordStart records an attempt that the executor started: after a rejection, one of another tenant shows that only
-// the rejected tenant's quota there was full.
+// recordStart records an attempt that the executor started. If it follows a rejection of another tenant's attempt, only that
+// tenant's quota at the executor was used up.
 func (q *queuing) recordStart(tenant TenantID) {
 	q.startedOthers = q.startedOthers || !q.sawFull || tenant != q.fullTenant
 }
 
-// chargeRejections counts the rejected attempts as waiting at the executor, unless only one tenant was rejected.
+// chargeRejections counts the running times of rejected attempts as waiting at the executor, unless only one tenant's
+// attempts were rejected while the executor started others.
 func (q *queuing) chargeRejections() {
 	if q.fullForSeveral || q.sawFull && !q.startedOthers {
 		q.atExecutor += q.fullWait
@@ -142,7 +144,7 @@
 	}
 }
 
-// executorFraction returns the fraction of all waiting that was at the executor: the design's r.
+// executorFraction returns which fraction of all waiting was at the executor rather than in this node's queue.
 func (q *queuing) executorFraction() float64 {
 	total := q.atExecutor + q.inQueue
 	if total <= 0 {
@@ -151,7 +153,7 @@
 	return float64(q.atExecutor) / float64(total)
 }
 
-// takeToken uses e's oldest free token, and the lease if one is granted, for an attempt.
+// takeToken takes e's oldest free token for an attempt, and uses the lease if one is granted.
 func (d *Dispatcher) takeToken(e *executor, a *attempt) {
 	e.tokens.take()
 	e.queuing.outOfTokens = e.queuing.outOfTokens || len(e.tokens.free) == 0
@@ -162,7 +164,8 @@
 	d.markDirty(e)
 }
 
-// releaseToken returns an attempt's token and lease. The lease holder is notified whether the job had to wait at e.
+// releaseToken releases an attempt's token and returns its lease. The lease holder is notified whether the job had to wait
+// at e.
 func (d *Dispatcher) releaseToken(e *executor, now time.Duration, waitedAtExecutor bool) {
 	d.returnLease(e, now, waitedAtExecutor)
 	e.tokens.release(now)
@@ -184,10 +187,10 @@
 	e.tokens.lower()
 }
 
-// meanQuota is the mean of some quotas.
+// meanQuota computes the mean of quotas.
 type meanQuota struct{ sum, count int }
 
-// or returns the mean, rounded, or the given quota where there are none.
+// or returns the rounded mean, or the given quota if no quota was added.
 func (m meanQuota) or(quota int) int {
 	if m.count == 0 {
 		return quota
@@ -195,10 +198,11 @@
 	return (m.sum + m.count/2) / m.count
 }
 
-// with returns the mean with another quota added.
+// with returns m with another quota added.
 func (m meanQuota) with(quota int) meanQuota { return meanQuota{m.sum + quota, m.count + 1} }
 
-// fillMeanQuotas computes the mean quota of each executor kind, once for all executors that join the subset together.
+// fillMeanQuotas computes the mean quota of each executor kind, unless means is already filled: executors that join the
+// subset together share one computation.
 func (d *Dispatcher) fillMeanQuotas(means map[KindID]meanQuota) {
 	if len(means) > 0 {
 		return
@@ -211,8 +215,9 @@
 	}
 }
 
-// adjustQuota moves e's quota by one at most, by the design's rule: down if its own queue is to blame for slow jobs and
-// nothing waits here, up if jobs waited here for its tokens and its own queue is short.
+// adjustQuota changes e's quota by at most one. The quota is lowered if jobs waited too long, mostly at e, while this node's
+// queue was empty or hardly mattered. It is raised if jobs waited in this node's queue, e ran out of tokens, and there was
+// little waiting at e.
 func (d *Dispatcher) adjustQuota(e *executor, now time.Duration) {
 	fraction := e.queuing.executorFraction()
 	queueEmpty := !d.queue.usedThisInterval || fraction > emptyQueueThreshold
@@ -224,11 +229,11 @@
 	}
 }
 
-// onInterval ends an interval: each quota takes its step, silent executors are ejected, averages decay.
+// onInterval ends an interval: it adjusts quotas, ejects inactive executors and decays averages.
 func (d *Dispatcher) onInterval(now time.Duration) {
 	d.quota.dropRemoved()
 	for _, e := range d.quota.executors {
-		d.markDirty(e) // its estimate and its queuing change below
+		d.markDirty(e) // because its estimate and its queuing change below
 		d.chargeUnstarted(e, now)
 		e.queuing.chargeRejections()
 		d.adjustQuota(e, now)
@@ -246,7 +251,7 @@
 	d.updateTenants()
 }
 
-// chargeUnstarted counts what attempts that have not started waited at e in this interval.
+// chargeUnstarted adds the time that attempts not yet started have waited at e in this interval.
 func (d *Dispatcher) chargeUnstarted(e *executor, now time.Duration) {
 	if !d.config.startNotices {
 		return
@@ -259,14 +264,14 @@
 	}
 }
 
-// decay begins a new interval with no waiting counted and an older estimate. An estimate that stayed would keep an
-// executor that is passed over from ever being tried again.
+// decay resets the waiting times for a new interval and decays the estimate. Without the decay, an executor with a bad
+// estimate would never be tried again.
 func (e *executor) decay() {
 	e.queuing = queuing{outOfTokens: len(e.tokens.free) == 0}
 	e.estimate.decay()
 }
 
-// recordStartWait records how long an attempt waited at e before it started. The quantum of the node's clock is no wait.
+// recordStartWait records how long an attempt waited at e before it started, less the quantum of the node's clock.
 func (d *Dispatcher) recordStartWait(e *executor, a *attempt, wait time.Duration) {
 	wait = max(0, wait-d.config.quantum)
 	e.estimate.observeStartWait(wait)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// restartedBudgetFraction is the part of the slow-start budget that a process has in its first overload window, if the
-	// executor started before it: the process before may have spent all but what the margin on work leaves over.
+	// restartedBudgetFraction is the fraction of its slow-start budget that a process may use in its first overload window
+	// for an executor that started before the process did. The predecessor process may have used up the budget. Since each
+	// job counted unhintedMargin times its work, it sent at most budget/unhintedMargin of work. What that leaves of the
+	// budget, with the margin applied again, is budget*(unhintedMargin-1).
 	restartedBudgetFraction = unhintedMargin - 1
 
-	// unknownWorkMargin is what a class without known running times adds to a job's margin in slow start, as a fraction;
-	// it shrinks with each running time that is known.
+	// unknownWorkMargin is the extra margin of a job in slow start, as a fraction, if no running time of its class is known.
+	// It is divided by one plus the number of known running times.
 	unknownWorkMargin = 2
 )
 
-// slowStart is how much work this node may send to executors that have just started (rule 4).
+// slowStart limits the work that this node sends to executors that have just started (the slow-start budget, rule 4).
 type slowStart struct {
-	executors       []*executor   // in slow start, that this node may use
-	initialCapacity float64       // fraction of its capacity that an executor has at its start
-	duration        time.Duration // until it has all of it
-	senders         int           // nodes that may use one such executor
-	budget          float64       // work that this node may send within overloadWindow, for each unit of capacity, in seconds
+	executors       []*executor   // executors in slow start that this node may use
+	initialCapacity float64       // fraction of its full capacity that an executor has at its start
+	duration        time.Duration // time from an executor's start until it has its full capacity
+	senders         int           // number of nodes that may use the same executor in slow start
+	budget          float64       // seconds of work that this node may send within overloadWindow, per unit of capacity
 	overloadWindow  time.Duration
-	blockedUntil    time.Duration // until then another process of this node has the budget
+	blockedUntil    time.Duration // time until which another process of this node uses the budget
 }
 
-// derive sets this node's part of the slow-start budget. Divided among many nodes it would be less than one job, so a
-// few nodes share all of it: as many as could each send one job to one slot.
+// derive sets the number of sending nodes and this node's share of the slow-start budget. Divided among all of many nodes,
+// a share would be less than one job. So only a few nodes share the budget: as many as could each send one job to one slot.
 func (s *slowStart) derive(overloadMultiple float64, shortestObjective time.Duration, nodeCount int) {
 	window := s.overloadWindow.Seconds()
 	senders := int(overloadMultiple * s.initialCapacity * window / shortestObjective.Seconds())
@@ -36,59 +38,58 @@
 	s.budget = overloadMultiple * window / float64(s.senders)
 }
 
-// add takes up an executor whose slow start begins, if it is not in one already.
+// add adds an executor whose slow start begins, if this node may use it then and it is not in slow start already.
 func (s *slowStart) add(e *executor, now time.Duration) {
 	if e.slowStart.sender && now >= e.slowStart.until {
 		s.executors = append(s.executors, e)
 	}
 }
 
-// dropEnded drops the executors that were removed or whose slow start is over.
+// dropEnded drops the executors that were removed from the endpoint list or whose slow start is over.
 func (s *slowStart) dropEnded(now time.Duration) {
 	s.executors = slices.DeleteFunc(s.executors, func(e *executor) bool { return e.removed || now >= e.slowStart.until })
 }
 
-// capacityFraction returns the least fraction of its full capacity that e has at its age: it grows linearly over the
-// duration of slow start.
+// capacityFraction returns the fraction of its full capacity that e is sure to have now. It grows linearly over the duration
+// of slow start.
 func (s *slowStart) capacityFraction(e *executor, now time.Duration) float64 {
 	return s.initialCapacity + (1-s.initialCapacity)*min(1, max(0, float64(now-e.started)/float64(s.duration)))
 }
 
-// executorSlowStart is how far an executor is in its slow start.
+// executorSlowStart is the slow-start state of one executor.
 type executorSlowStart struct {
-	sender bool // this node is one of the few that may use it meanwhile
-	until  time.Duration
-	spent  []spend // work sent to it within the window
+	sender bool          // this node is one of those that may use the executor in its slow start
+	until  time.Duration // end of its slow start
+	spent  []spend       // work sent to it within the overload window
 }
 
-// begin starts a slow start that lasts until then.
+// begin starts a slow start that lasts until the given time.
 func (s *executorSlowStart) begin(until time.Duration) {
 	s.until = until
 	s.spent = s.spent[:0]
 }
 
-// spend records work that is sent to the executor now.
+// spend records that work was sent to the executor.
 func (s *executorSlowStart) spend(now, work time.Duration) {
 	s.spent = append(s.spent, spend{now, work})
 }
 
-// dropBefore drops what was sent longer than the window ago.
+// dropBefore drops the records of work sent longer ago than the window.
 func (s *executorSlowStart) dropBefore(now, window time.Duration) {
 	s.spent = slices.DeleteFunc(s.spent, func(spent spend) bool { return spent.at+window <= now })
 }
 
-// spend is work that was sent at some moment.
+// spend records an amount of work and the time at which it was sent.
 type spend struct {
 	at   time.Duration
 	work time.Duration
 }
 
-// withinSlowStartBudget is rule 4: it reports whether j fits into this node's part of the budget of work for e, which is
-// in slow start. The budget follows the kind's slots and pace, by what executors that are past slow start were seen to
-// do, and the least capacity that e has at its age.
+// withinSlowStartBudget reports whether j fits into this node's share of the slow-start budget of e (rule 4). The budget
+// depends on the slots and the pace observed for e's kind, and on the capacity that e is sure to have at its age.
 func (d *Dispatcher) withinSlowStartBudget(e *executor, j *job, now time.Duration) bool {
 	kind := d.endpoints.kinds[e.kind]
-	// An executor that is smaller than its kind, or was slower before its start, gets less.
+	// An executor gets less if it is smaller than the mean of its kind. A pace slower than the kind's lowers the budget, too.
 	capacity := d.slowStart.capacityFraction(e, now) * min(1, max(e.size, e.weight)/kind.size)
 	budget := d.slowStart.budget * capacity * kind.safeSlots() / max(kind.pace, d.pace(e, now))
 	if e.started < 0 && now < d.slowStart.overloadWindow {
@@ -101,8 +102,8 @@
 	return j.slowStartWork().Seconds() <= budget
 }
 
-// slowStartWork returns what j counts for in the slow-start budget: more than its estimated work, and, without the
-// client's estimate, the more the fewer running times of its class are known.
+// slowStartWork returns the work that j counts for in the slow-start budget: its estimated work plus a margin. Without the
+// client's estimate, the margin is larger the fewer running times of its class are known.
 func (j *job) slowStartWork() time.Duration {
 	margin := unhintedMargin
 	if !j.hinted {
@@ -111,8 +112,8 @@
 	return scaled(j.work, margin)
 }
 
-// BlockSlowStartUntil keeps this process from using executors in slow start until the given time: until then another
-// process of this node has their budget.
+// BlockSlowStartUntil keeps this process from using executors in slow start until the given time. Until then another process
+// of this node uses the slow-start budget.
 func (d *Dispatcher) BlockSlowStartUntil(now, until time.Duration) {
 	d.slowStart.blockedUntil = until
 	d.subset.invalidate()
@@ -122,9 +123,9 @@
 	}
 }
 
-// safeSlots returns a kind's slots for rule 4: by load reports that are exact, or by the jobs that ran beside each other
-// for long enough. The larger count of start notices is not safe: a notice may overtake that of the end before it, so
-// that an executor of one slot looks like one of two.
+// safeSlots returns the number of slots of a kind that the slow-start budget may rely on: from load reports without queued
+// jobs, or from jobs that ran at the same time for long enough. It does not rely on the higher count from start notices: a
+// start notice may overtake the result of the job that ended before it, so an executor with one slot would seem to have two.
 func (k *kindStats) safeSlots() float64 {
 	if k.exactSlots > 0 {
 		return max(1, math.Round(k.exactSlots))
