--- a/policy/lease.go
+++ b/policy/lease.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// Where nodes are many and may message each other, one node, the lease holder, grants leases on an executor's slots
-// to all: a lease is requested before a token there is used, and returned with it. If the holder does not answer, nodes use the
-// executor without a lease for one interval.
+// If there are many nodes and they may send each other messages, the slots of each executor are leased: one node, the lease
+// holder, grants leases to all nodes. A node requests a lease before it uses a token of the executor, and returns it when it
+// releases the token. If a lease holder does not answer, the node asks a second holder. If that one does not answer either,
+// the node uses the executor without a lease for one interval.
 
 const (
-	maxDelayedStartFraction = 0.1 // of starts that may have to wait at an executor for its holder to grant one lease more
-	leaseQuotaCooldown      = 4   // intervals that a lowered lease quota stays
-	leaseLifetime           = 2   // intervals after which a lease that is not returned is free again
-	leaseAnswerDivisor      = 4   // a holder has the shortest objective over this to answer
+	maxDelayedStartFraction = 0.1 // fraction of delayed starts below which the lease quota may be raised
+	leaseQuotaCooldown      = 4   // number of intervals for which a lowered lease quota is not raised
+	leaseLifetime           = 2   // number of intervals after which a lease that was not returned expires
+	leaseAnswerDivisor      = 4   // the timeout for a lease request is the shortest objective divided by this
 
-	primaryRetryIntervals = 2 // intervals until the first holder in line is asked again
+	primaryRetryIntervals = 2 // number of intervals after which a node asks the first lease holder again
 )
 
-// LeaseMessage is what one node sends to another about an executor's slots. Its values are on the wire between nodes.
+// LeaseMessage is a message between two nodes about a lease of an executor's slot. Its values are part of the wire protocol.
 type LeaseMessage byte
 
-// The lease messages. A borrower sends requests, cancels and returns, the lease holder grants and waits.
+// The lease messages. Borrowers send requests, cancels and returns; lease holders send grants and waits.
 const (
-	LeaseRequest       LeaseMessage = iota + 1 // a slot is wanted
-	LeaseRequestLate                           // likewise, for a job past its objective
-	LeaseGrant                                 // a slot is leased
-	LeaseWait                                  // none is free yet; the request is queued
-	LeaseCancel                                // a queued request is withdrawn
-	LeaseReturn                                // the slot is free again
-	LeaseReturnDelayed                         // likewise, and the job had to wait at the executor
+	LeaseRequest       LeaseMessage = iota + 1 // requests a lease
+	LeaseRequestLate                           // requests a lease for a job past its objective
+	LeaseGrant                                 // grants a requested lease
+	LeaseWait                                  // no lease is available; the request is queued
+	LeaseCancel                                // withdraws a queued request
+	LeaseReturn                                // returns a lease
+	LeaseReturnDelayed                         // returns a lease whose job had to wait at the executor
 )
 
-// leaseTable is this node's part in leasing executors' slots between nodes: as a borrower, and as the holder for some.
+// leaseTable holds this node's lease requests as a borrower, and its ledgers as the lease holder of executors.
 type leaseTable struct {
-	wanted     bool        // a queued job may want to request a lease
-	unused     []*executor // where a lease was granted and no attempt uses it yet
-	requests   []*executor // where a lease was requested
+	wanted     bool        // queued jobs may need leases to be requested at the end of this turn
+	unused     []*executor // executors with a lease granted in this turn that an attempt may not use yet
+	requests   []*executor // executors with a lease request that may be pending
 	ledgers    map[ExecutorHash]*leaseLedger
-	ledgerList []*leaseLedger // the same, in the order in which they were opened
+	ledgerList []*leaseLedger // all ledgers, in the order in which they were opened
 }
 
-// leaseState is this node's lease of one of an executor's slots.
+// leaseState holds this node's lease request and leases, as a borrower, for one executor.
 type leaseState struct {
-	holder         NodeID        // who is asked for it
-	primaryRetryAt time.Duration // from then on the first holder in line is asked again
-	bypassUntil    time.Duration // no holder answers: until then the executor is used without a lease
-	requested      bool
+	holder         NodeID        // node that leases are requested from
+	primaryRetryAt time.Duration // time from which the first lease holder is asked again
+	bypassUntil    time.Duration // time until which the executor is used without a lease, since no holder answers
+	requested      bool          // a lease was requested and not granted yet
 	requestedAt    time.Duration
-	queued         bool // the holder has none free yet
-	granted        bool // and not used yet
-	inUse          int  // used by attempts, to be returned
-	listed         bool // it is in leaseTable.requests
+	queued         bool // the holder has answered that no lease is available yet
+	granted        bool // a lease was granted and no attempt uses it yet
+	inUse          int  // number of leases used by attempts
+	listed         bool // the executor is in leaseTable.requests
 }
 
 // request records that a lease is requested of the holder now.
@@ -61,7 +62,7 @@
 	l.requestedAt = now
 }
 
-// use turns a granted lease into one that an attempt uses.
+// use marks a granted lease as used by an attempt.
 func (l *leaseState) use() {
 	if l.granted {
 		l.granted = false
@@ -69,36 +70,36 @@
 	}
 }
 
-// expireRequest gives up a request that was not granted within the timeout.
+// expireRequest drops a request that was not granted within the timeout.
 func (l *leaseState) expireRequest(now, timeout time.Duration) {
 	l.requested = l.requested && now-l.requestedAt <= timeout
 }
 
-// leaseLedger is what this node keeps for all nodes as the lease holder of an executor.
+// leaseLedger holds the leases of one executor's slots, and the nodes that wait for one. Its lease holder keeps it.
 type leaseLedger struct {
 	hash          ExecutorHash
-	quota         int
+	quota         int // number of slots that may be leased at the same time; a free slot seen in a health check may be added
 	granted       []lease
-	waiting       []NodeID // for a lease, the first at the front
-	waitingLate   []NodeID // likewise with a job past its objective
-	returns       int      // leases returned in this interval
-	delayedStarts int      // those of them where the job had to wait at the executor
-	shortage      bool     // somebody had to wait in this interval
-	cooldown      int      // intervals until the quota may rise
+	waiting       []NodeID // nodes that wait for a lease, longest first
+	waitingLate   []NodeID // nodes that wait for a lease for a job past its objective, longest first
+	returns       int      // number of leases returned in this interval
+	delayedStarts int      // number of these leases whose job had to wait at the executor
+	shortage      bool     // a node had to wait for a lease in this interval
+	cooldown      int      // number of intervals until the quota may be raised
 	grantedAt     time.Duration
-	freeSlotSeen  bool // in this interval a probe showed a free slot while all were granted
+	freeSlotSeen  bool // in this interval a health check showed a free slot while the whole quota was granted
 }
 
-// lease is one slot that is granted to a node, the borrower.
+// lease is a lease of one slot, granted to the borrower.
 type lease struct {
 	borrower  NodeID
 	expiresAt time.Duration
 }
 
-// requestWanted has the end of this turn request leases for jobs that wait.
+// requestWanted makes the end of this turn request leases for queued jobs.
 func (t *leaseTable) requestWanted() { t.wanted = true }
 
-// addRequest adds an executor that a lease was requested for.
+// addRequest adds an executor with a lease request, unless it is in the list already.
 func (t *leaseTable) addRequest(e *executor) {
 	if !e.lease.listed {
 		e.lease.listed = true
@@ -106,7 +107,7 @@
 	}
 }
 
-// pending returns the executors with a lease request that was not granted yet, in the order of the subset.
+// pending returns the executors with a lease request that is not granted yet, in the order of the subset.
 func (t *leaseTable) pending() []*executor {
 	t.requests = slices.DeleteFunc(t.requests, func(e *executor) bool {
 		e.lease.listed = e.lease.requested
@@ -116,7 +117,7 @@
 	return t.requests
 }
 
-// ledgerFor returns the ledger of an executor that this node holds the leases of. The first request opens it.
+// ledgerFor returns the ledger of an executor whose lease holder is this node, and opens it if there is none.
 func (t *leaseTable) ledgerFor(hash ExecutorHash) *leaseLedger {
 	ledger := t.ledgers[hash]
 	if ledger == nil {
@@ -127,21 +128,23 @@
 	return ledger
 }
 
-// leasesSlots reports whether executors' slots are leased between nodes: nodes may message each other and are many.
+// leasesSlots reports whether executors' slots are leased between nodes: nodes may send each other messages, and there are
+// enough of them for subsetting.
 func (d *Dispatcher) leasesSlots() bool { return d.config.canLease && d.usesSubset() }
 
-// leaseHolderOf returns the node that grants an executor's leases.
+// leaseHolderOf returns an executor's first lease holder.
 func (d *Dispatcher) leaseHolderOf(hash ExecutorHash) NodeID {
 	return NodeID(hash % ExecutorHash(d.config.nodeCount))
 }
 
-// secondLeaseHolderOf returns the node that does so while the first does not answer: it follows another hash, so that a
-// node's executors are spread over all others. Both may be the same node.
+// secondLeaseHolderOf returns the lease holder to use while the first one does not answer. It is derived from another hash,
+// so that the executors of a failed lease holder are spread over all nodes. It may be the same node as the first one.
 func (d *Dispatcher) secondLeaseHolderOf(hash ExecutorHash) NodeID {
 	return d.leaseHolderOf((hash ^ hash>>16) * goldenRatio32 >> 8)
 }
 
-// leaseAllows reports whether a lease allows a token of e to be used now, or, with forLease, whether one may be requested.
+// leaseAllows reports whether a token of e may be used now as far as leases are concerned, or, with forLease, whether a lease
+// may be requested for e.
 func (d *Dispatcher) leaseAllows(e *executor, now time.Duration, forLease bool) bool {
 	if !d.leasesSlots() {
 		return !forLease
@@ -153,8 +156,8 @@
 	return e.lease.granted || bypassed
 }
 
-// exchangeLeases ends a turn: it returns leases that no job used, cancels requests when no job waits any more, and
-// requests leases for the jobs that wait.
+// exchangeLeases is called at the end of a turn. It returns unused leases, cancels queued requests if no job is queued any
+// more, and requests leases for queued jobs.
 func (d *Dispatcher) exchangeLeases(now time.Duration) {
 	d.returnUnusedLeases(now)
 	if d.queue.empty() {
@@ -176,13 +179,13 @@
 	}
 }
 
-// awaitsLease reports whether a lease was requested for j and the holder has not answered yet.
+// awaitsLease reports whether a lease was requested for j and the lease holder has not answered yet.
 func (j *job) awaitsLease() bool {
 	from := j.leaseRequestedFrom
 	return from != nil && from.lease.requested && !from.lease.queued
 }
 
-// returnUnusedLeases returns the leases that were granted and that no attempt used in this turn.
+// returnUnusedLeases returns the leases that were granted in this turn and that no attempt uses.
 func (d *Dispatcher) returnUnusedLeases(now time.Duration) {
 	for _, e := range d.leases.unused {
 		if e.lease.granted {
@@ -194,7 +197,7 @@
 	d.leases.unused = d.leases.unused[:0]
 }
 
-// cancelLeaseRequests cancels the requests that a holder has queued.
+// cancelLeaseRequests cancels the requests that a lease holder has queued.
 func (d *Dispatcher) cancelLeaseRequests(now time.Duration) {
 	for _, e := range d.leases.pending() {
 		if e.indexed.subsetRank >= 0 && e.lease.queued {
@@ -205,8 +208,8 @@
 	}
 }
 
-// requestLease requests a lease of one of e's slots for j. The first holder in line is asked again once primaryRetryAt has
-// passed and no lease of the other one is in use.
+// requestLease requests a lease of one of e's slots for j. The first lease holder is asked again once primaryRetryAt has
+// passed and no lease of the second one is in use.
 func (d *Dispatcher) requestLease(j *job, e *executor, now time.Duration) {
 	if now >= e.lease.primaryRetryAt && e.lease.inUse == 0 {
 		e.lease.holder = d.leaseHolderOf(e.hash)
@@ -223,7 +226,7 @@
 	d.sendLease(now, e.lease.holder, message, e.hash)
 }
 
-// ReceiveLeaseMessage takes up a lease message from another node about an executor's slots.
+// ReceiveLeaseMessage handles a lease message from another node about an executor's slots.
 func (d *Dispatcher) ReceiveLeaseMessage(now time.Duration, from NodeID, message LeaseMessage, hash ExecutorHash) {
 	switch message {
 	case LeaseGrant, LeaseWait:
@@ -239,8 +242,8 @@
 	}
 }
 
-// receiveLeaseAnswer handles a holder's answer to a request of this node. A grant that was not requested of that holder,
-// or is not wanted any more, is returned at once.
+// receiveLeaseAnswer handles a lease holder's answer to a request of this node. A grant without a pending request to that
+// holder is returned at once.
 func (d *Dispatcher) receiveLeaseAnswer(now time.Duration, from NodeID, message LeaseMessage, hash ExecutorHash) {
 	e := d.endpoints.byHash[hash]
 	if e == nil || !e.lease.requested || e.lease.holder != from {
@@ -260,8 +263,8 @@
 	}
 }
 
-// receiveLeaseRequest handles a request as the lease holder: it grants a lease, or queues the node and has the executor
-// checked for a slot beyond the quota.
+// receiveLeaseRequest handles a request as the lease holder. It grants a lease, or queues the request and sends the executor
+// a health check, which may show a free slot beyond the quota.
 func (d *Dispatcher) receiveLeaseRequest(now time.Duration, from NodeID, pastObjective bool, hash ExecutorHash) {
 	ledger := d.leases.ledgerFor(hash)
 	ledger.addWaiting(from, pastObjective)
@@ -276,8 +279,8 @@
 	}
 }
 
-// grantFreeSlot grants one lease more than there are, if this node holds the executor's ledger: a health check showed a
-// free slot. After a grant it waits for the shortest objective, until that lease shows in the executor's load.
+// grantFreeSlot grants one more lease after a health check has shown a free slot, if this node has the executor's ledger. It
+// grants none within the shortest objective after the last grant, as that lease may not show in the executor's load yet.
 func (d *Dispatcher) grantFreeSlot(hash ExecutorHash, now time.Duration) {
 	ledger := d.leases.ledgers[hash]
 	if ledger == nil || now-ledger.grantedAt < d.classes.shortestObjective {
@@ -288,8 +291,9 @@
 	d.grantLeases(ledger, granted+1, now)
 }
 
-// checkLeaseRequests turns to the next lease holder in line where a request was not answered within the shortest
-// objective over leaseAnswerDivisor, and does without a lease for an interval where that one does not answer either.
+// checkLeaseRequests handles lease requests that were not answered within the shortest objective divided by
+// leaseAnswerDivisor. If the first lease holder did not answer, the next request goes to the second one. If the second one
+// did not answer either, the executor is used without a lease for one interval.
 func (d *Dispatcher) checkLeaseRequests(now time.Duration) {
 	for _, e := range d.leases.pending() {
 		unanswered := !e.lease.queued && now-e.lease.requestedAt >= d.classes.shortestObjective/leaseAnswerDivisor
@@ -308,8 +312,8 @@
 	}
 }
 
-// grantLeases grants leases to the nodes that have waited longest, until the limit is reached. A lease that does not come
-// back within leaseLifetime intervals is free again: its node has failed, or its message was lost.
+// grantLeases grants leases to the nodes that have waited longest, up to the limit. It first drops the leases that were not
+// returned within leaseLifetime intervals: their node has failed, or its message was lost.
 func (d *Dispatcher) grantLeases(ledger *leaseLedger, limit int, now time.Duration) {
 	ledger.granted = slices.DeleteFunc(ledger.granted, func(l lease) bool { return l.expiresAt <= now })
 	for ledger.anyWaiting() && len(ledger.granted) < limit {
@@ -320,7 +324,7 @@
 	}
 }
 
-// adjustLeaseQuotas ends an interval for the ledgers of this node: each quota moves by one at most.
+// adjustLeaseQuotas adjusts the quotas of this node's ledgers at the end of an interval.
 func (d *Dispatcher) adjustLeaseQuotas(now time.Duration) {
 	for _, ledger := range d.leases.ledgerList {
 		ledger.adjustQuota(d.config.canProbe)
@@ -328,7 +332,7 @@
 	}
 }
 
-// sendLease sends a lease message. One to this node itself is handled at once.
+// sendLease sends a lease message. A message to this node itself is handled at once.
 func (d *Dispatcher) sendLease(now time.Duration, to NodeID, message LeaseMessage, hash ExecutorHash) {
 	if to == d.config.nodeID {
 		d.ReceiveLeaseMessage(now, to, message, hash)
@@ -337,7 +341,8 @@
 	d.outbox = append(d.outbox, DueTask{Task: SendLeaseMessage, Node: to, Message: message, Hash: hash})
 }
 
-// returnLease returns the lease that an attempt at e used, if there is one, and says whether its job had to wait there.
+// returnLease returns a lease of e that is in use, if there is one. waitedAtExecutor tells the lease holder whether the job had
+// to wait at e.
 func (d *Dispatcher) returnLease(e *executor, now time.Duration, waitedAtExecutor bool) {
 	if e.lease.inUse == 0 {
 		return
@@ -350,10 +355,10 @@
 	d.sendLease(now, e.lease.holder, message, e.hash)
 }
 
-// adjustQuota moves the number of slots that may be leased by one at most, by the design's rule for quotas: down if too
-// many jobs had to wait at the executor, up if nodes had to wait for a lease and few jobs did, and, where executors
-// answer health checks, one of them showed a free slot. After a step down the quota stays for leaseQuotaCooldown
-// intervals.
+// adjustQuota changes the quota by at most one, as quotas of executors are adjusted. It is lowered if too many jobs had to
+// wait at the executor. It is raised if nodes had to wait for a lease while few jobs had to wait at the executor. If
+// executors answer health checks, one of these must also have shown a free slot. After the quota was lowered it is not
+// raised for leaseQuotaCooldown intervals.
 func (l *leaseLedger) adjustQuota(canProbe bool) {
 	l.cooldown--
 	delayedFraction := float64(l.delayedStarts) / max(float64(l.returns), 1)
@@ -370,7 +375,7 @@
 	l.freeSlotSeen = false
 }
 
-// addWaiting queues a node for a lease. Nodes whose job is past its objective wait behind all others.
+// addWaiting queues a node for a lease, unless it is queued already. Nodes with a job past its objective come after all others.
 func (l *leaseLedger) addWaiting(node NodeID, pastObjective bool) {
 	if l.isWaiting(node) {
 		return
@@ -382,7 +387,7 @@
 	}
 }
 
-// removeWaiting takes a node out of the queue.
+// removeWaiting removes a node from the queue.
 func (l *leaseLedger) removeWaiting(node NodeID) {
 	isNode := func(other NodeID) bool { return other == node }
 	l.waiting = slices.DeleteFunc(l.waiting, isNode)
@@ -394,10 +399,10 @@
 	return slices.Contains(l.waiting, node) || slices.Contains(l.waitingLate, node)
 }
 
-// anyWaiting reports whether some node is.
+// anyWaiting reports whether any node is queued for a lease.
 func (l *leaseLedger) anyWaiting() bool { return len(l.waiting)+len(l.waitingLate) > 0 }
 
-// popWaiting takes the node that has waited longest out of the queue.
+// popWaiting removes the next node from the queue and returns it. The queue must not be empty.
 func (l *leaseLedger) popWaiting() NodeID {
 	from := &l.waiting
 	if len(l.waiting) == 0 {
@@ -408,7 +413,7 @@
 	return node
 }
 
-// recordReturn takes a lease back. One that had expired counts all the same for the step of the quota.
+// recordReturn records a returned lease. A lease that has already expired also counts for the adjustment of the quota.
 func (l *leaseLedger) recordReturn(from NodeID, waitedAtExecutor bool) {
 	l.returns++
 	if waitedAtExecutor {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,47 +6,48 @@
 )
 
 const (
-	subsetMinNodes       = 6 // from so many nodes on, each uses a part of the executors
-	nodesPerExecutor     = 3 // nodes whose subsets an executor is in, where that leaves each node minSubsetSize of them
-	minSubsetSize        = 3 // least executors of a subset, for each side (own zone, others) and required kind; twice as many with leases
-	lateNodesPerExecutor = 2 // nodes that send an executor jobs past their objective
+	subsetMinNodes       = 6 // minimum number of nodes for subsetting; fewer nodes use all executors each
+	nodesPerExecutor     = 3 // number of nodes that have the same executor in their subsets, if minSubsetSize allows it
+	minSubsetSize        = 3 // minimum subset size per required kind in the own zone, and likewise in other zones; doubled with leases
+	lateNodesPerExecutor = 2 // number of nodes that send jobs past their objective to the same executor
 )
 
-// subset is the executors that this node uses: where nodes are many, a part of them.
+// subset holds the executors that this node uses. Where nodes are many, it is a part of all executors.
 type subset struct {
-	members     []*executor // highest rank first, those in slow start before them
-	previous    []*executor // the members before, kept for its memory
-	lateSize    int         // so many members may be used by jobs past their objective
-	stale       bool        // it may have to be rebuilt
-	changed     bool        // something that it depends on has changed
-	validUntil  time.Duration
-	memberMoved bool // a member has another zone or kind than when it was picked
+	members     []*executor   // executors in slow start first, then the others by rank, highest first
+	previous    []*executor   // members before the last rebuild; their array is reused by the next one
+	lateSize    int           // number of leading members open to late jobs of classes that pay for late completion
+	stale       bool          // the next turn checks whether the subset must be rebuilt
+	changed     bool          // something that the subset depends on has changed
+	validUntil  time.Duration // time at which the subset is out of date though nothing has changed
+	memberMoved bool          // the zone or kind of a member has changed since the last rebuild
 }
 
-// recheck has the next turn rebuild the subset, if it may come out differently by now.
+// recheck makes the next turn rebuild the subset if it is out of date by then.
 func (s *subset) recheck() { s.stale = true }
 
-// invalidate has the next turn rebuild the subset: something that it depends on has changed.
+// invalidate makes the next turn rebuild the subset, because something that it depends on has changed.
 func (s *subset) invalidate() {
 	s.stale = true
 	s.changed = true
 }
 
-// noteRecovery records that an executor shows a sign of life, which changes the subset if it was unresponsive.
+// noteRecovery records that an executor has responded, which changes the subset if it was unresponsive.
 func (s *subset) noteRecovery(wasUnresponsive bool) { s.changed = s.changed || wasUnresponsive }
 
-// noteMoved records that an executor has another zone or kind by the endpoint list.
+// noteMoved records that the zone or kind of an executor has changed in the endpoint list.
 func (s *subset) noteMoved(e *executor) {
 	if e.indexed.subsetRank >= 0 {
 		s.memberMoved = true
 	}
 }
 
-// usesSubset reports whether there are so many nodes that each uses a part of the executors.
+// usesSubset reports whether there are enough nodes for each to use only a part of the executors.
 func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
-// subsetSize returns how many executors of each side and required kind this node uses: all of them, or, where nodes are
-// many, so many that each executor is in the subsets of nodesPerExecutor nodes.
+// subsetSize returns how many executors this node uses per required kind in its own zone, and likewise in other zones. With
+// few nodes that is all of them. Otherwise it is so many that each executor is in the subsets of nodesPerExecutor nodes. If
+// crossing zones has no cost, all executors count as being in the own zone.
 func (d *Dispatcher) subsetSize() int {
 	executors := len(d.endpoints.ranked)
 	if !d.usesSubset() {
@@ -59,12 +60,12 @@
 	return size
 }
 
-// rebuildSubset picks the executors that this node uses: those that rank highest here, for each zone side and required
-// kind. With many nodes that all used all executors, the least quotas alone would add up to overload.
+// rebuildSubset picks the executors that this node uses: those that rank highest here, per required kind in the own zone and
+// in other zones. If many nodes all used all executors, even a quota of one per node would add up to overload.
 func (d *Dispatcher) rebuildSubset(now time.Duration) {
 	d.subset.stale = false
 	if !d.subset.changed && now < d.subset.validUntil {
-		return // it would come out the same
+		return // a rebuild would not change it
 	}
 	d.subset.lateSize = max(1, ceilDiv(lateNodesPerExecutor*len(d.endpoints.ranked), d.config.nodeCount))
 	previous := d.beginSubset()
@@ -74,8 +75,8 @@
 	d.finishSubset(previous)
 }
 
-// addSlowStarters adds the executors in slow start that this node may use. They come beside the others, whatever their
-// rank, since they do a part of their work only.
+// addSlowStarters adds the executors in slow start that this node may use. They are added whatever their rank and in addition
+// to subsetSize others, since they do only a part of the work of an executor past slow start.
 func (d *Dispatcher) addSlowStarters(now time.Duration, means map[KindID]meanQuota) {
 	d.slowStart.dropEnded(now)
 	for _, e := range d.slowStart.executors {
@@ -86,11 +87,11 @@
 	}
 }
 
-// addRanked adds the usable executors past slow start in the order of their ranks, until there are that many on each
-// zone side for each required kind. One executor counts for each kind that it is required for.
+// addRanked adds usable executors past slow start in the order of their ranks, until there are size of them per required kind
+// in the own zone and in other zones. An executor counts for each required kind that it matches, AnyKind included.
 func (d *Dispatcher) addRanked(now time.Duration, size int, means map[KindID]meanQuota) {
 	required := d.classes.requiredKinds
-	counts := make([]int, 2*len(required)) // of the local side, then of the remote one
+	counts := make([]int, 2*len(required)) // counts per kind in the own zone, then counts per kind in other zones
 	missing := len(counts)
 	for _, e := range d.endpoints.ranked {
 		if missing == 0 {
@@ -118,9 +119,9 @@
 	}
 }
 
-// addToSubset adds an executor, and gives it its first tokens if it never had any: as many as a predecessor of this
-// process gave it, or the mean quota of its kind, or the design's first quota. The tokens' ages are spread at random over
-// one interval, so that nodes do not all start with the same executor.
+// addToSubset adds an executor, and gives it its first tokens if it never had any. Their number is the quota inherited from
+// the predecessor process, or else the mean quota of the executor's kind, or else initialQuota. The ages of the tokens are
+// random within one interval, so that nodes do not all start with the same executor.
 func (d *Dispatcher) addToSubset(e *executor, now time.Duration, means map[KindID]meanQuota) {
 	d.subset.members = append(d.subset.members, e)
 	if e.tokens.quota > 0 {
@@ -139,7 +140,7 @@
 	e.tokens.begin(freeSince)
 }
 
-// beginSubset empties the subset and returns its members until now.
+// beginSubset empties the subset and returns its previous members.
 func (d *Dispatcher) beginSubset() []*executor {
 	previous := d.subset.members
 	for _, e := range previous {
@@ -153,8 +154,8 @@
 	return previous
 }
 
-// limitSubsetValidity limits how long the subset holds to when something that it depends on changes by time alone: an
-// ejection or a slow start of e ends, or this process may use executors in slow start.
+// limitSubsetValidity ends the subset's validity at the next time at which something that it depends on changes without an
+// event: an ejection or the slow start of e ends, or this process may use executors in slow start.
 func (d *Dispatcher) limitSubsetValidity(e *executor, now time.Duration) {
 	for _, at := range [...]time.Duration{e.health.ejectedUntil, e.slowStart.until, d.slowStart.blockedUntil} {
 		if at > now {
@@ -163,8 +164,8 @@
 	}
 }
 
-// finishSubset gives the members their ranks, and has the candidate index take up those that joined, left, or may be used
-// by late jobs from now on or no more.
+// finishSubset sets the members' positions, and marks the executors whose entries in the candidate index have to change:
+// those that joined or left, and those that have become open or closed to late jobs.
 func (d *Dispatcher) finishSubset(previous []*executor) {
 	for _, kind := range d.index.kinds {
 		kind.localSubset = kind.localSubset[:0]
@@ -188,8 +189,8 @@
 			d.markDirty(e)
 		}
 	}
-	clear(d.subset.previous[len(d.subset.previous):cap(d.subset.previous)]) // or what left would be kept in memory
+	clear(d.subset.previous[len(d.subset.previous):cap(d.subset.previous)]) // so that dropped executors can be garbage-collected
 }
 
-// ceilDiv returns a over b, rounded up.
+// ceilDiv returns a / b, rounded up.
 func ceilDiv(a, b int) int { return (a + b - 1) / b }
