--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -6,134 +6,137 @@
 	"time"
 )
 
-// The candidate index finds executors for a job without a look at each of them. It decides nothing: it gives candidates,
-// the most promising first, and leaves out only those of which a bound proves that they can't be chosen. What decides is
-// tokenAge.
+// The candidate index finds executors for a job without visiting all of them. It returns candidates, the most promising
+// bucket first, and omits only executors that a bound proves useless for the job. The choice among the candidates is made by
+// tokenAge, so the index never changes the result.
+//
+// A token group holds only executors with a usable token: a free token that neither the executor's removal from the endpoint
+// list nor its in-flight cap rules out.
 //
 //	candidateIndex
 //	├─ kindIndex             one for each executor kind
-//	│  ├─ tokenGroup         executors with an open token that are alike by groupKey
-//	│  │  └─ rateBucket      of nearly the same aging rate; a heap by the age of the oldest free token
-//	│  ├─ paceBuckets        members of the subset, by how much of their pace was seen; heaps by that pace (pace_index.go)
-//	│  └─ paceFloors, paceCeilings    when the kind's pace has drifted so far that an entry is out of date
-//	├─ expiries              when an entry is out of date by the passing of time
-//	└─ dirty                 executors whose entry is out of date by an event
+//	│  ├─ tokenGroup         executors with a usable token and the same groupKey
+//	│  │  └─ rateBucket      executors with nearly the same aging rate; a heap by the age of the oldest free token
+//	│  ├─ paceBuckets        members of the subset, for the lowest pace among them (pace_index.go)
+//	│  └─ paceFloors, paceCeilings    entries that are out of date once the kind's pace has drifted too far
+//	├─ expiries              entries that are out of date after a certain time
+//	└─ dirty                 executors whose entry is out of date because of an event
 //
 // A token's age grows with time at its executor's aging rate: weight / (pace x (shortest objective + expected wait)). An
-// entry holds an upper bound of that rate, and the invariants are
+// entry holds an upper bound of that rate. The invariants are:
 //
-//	I1  agingRate x rateScale is no less than the true rate, as long as the entry is neither dirty nor expired and the
-//	    kind's pace keeps to paceLimit;
-//	I2  maxRate of a bucket is no less than agingRate of each executor in it;
-//	I3  a bucket is in its group's list, with its head, exactly while it has executors;
-//	I4  each change of what an entry depends on marks the executor dirty (markDirty).
+//	I1  agingRate x rateScale is at least the true rate, as long as the entry is neither dirty nor expired and the kind's
+//	    pace has not passed paceLimit.
+//	I2  maxRate of a bucket is at least agingRate of each executor in it.
+//	I3  A bucket and its head are in the lists of its group if and only if the bucket has executors.
+//	I4  Each change of a value that an entry depends on marks the executor dirty (markDirty).
 //
-// Entries are brought up to date when candidates are asked for next (reindexDirty). TestIndexGivesWhatScanDoes holds every
-// answer against a scan of all executors.
+// Entries are brought up to date by the next query (reindexDirty). TestIndexMatchesFullScan compares the answers of the index
+// with a scan of all executors.
 
 const (
-	rateBucketsPerE  = 256       // rate buckets for each factor of e
-	maxRateBucket    = 1e6       // number of the bucket for rates that are out of the ordinary
-	idleRateBuckets  = 64        // empty buckets that a group keeps beside as many as it uses
-	roundingUp       = 1 + 1e-9  // room for rounding in an upper bound: an equal candidate must not be cut off
-	roundingDown     = 1 - 1e-12 // likewise in the lower bound of a pace
-	rateTolerance    = 1.0 / 512 // by which a rate may be too high as its kind's pace drifts
-	maxPaceDrift     = 1.0 / 8   // by which that pace may drift before its executors are indexed anew
-	waitBoundDivisor = 8         // a shrinking wait is bounded by what it will be after this part of it has passed
+	rateBucketsPerE  = 256       // number of rate buckets between a rate and e times that rate
+	maxRateBucket    = 1e6       // number of the bucket for extreme rates: zero, infinite or out of range
+	spareRateBuckets = 64        // a group discards its empty buckets if it has this many more than buckets in use
+	roundingUp       = 1 + 1e-9  // factor of upper bounds that allows for rounding errors: an equal candidate must not be omitted
+	roundingDown     = 1 - 1e-12 // factor of lower bounds of a pace that allows for rounding errors
+	rateTolerance    = 1.0 / 512 // largest relative error of a rate bound that a drift of the kind's pace may cause
+	maxPaceDrift     = 1.0 / 8   // largest relative drift of the kind's pace before its executors are indexed again
+	waitBoundDivisor = 8         // the bound of a shrinking wait is valid for the shortest objective plus the wait, divided by this
 )
 
-// executorLoad is how busy an executor is, as far as jobs past their objective are concerned.
+// executorLoad tells which jobs past their objective may use an executor.
 type executorLoad int
 
 const (
-	idleOpen       executorLoad = iota // no attempt of ours is out, and all late jobs may use it
-	idleRestricted                     // no attempt of ours is out; only late jobs of classes that don't pay late may use it
-	busy
+	loadIdleOpen       executorLoad = iota // no attempt of this node is in flight there; all late jobs may use it
+	loadIdleRestricted                     // no attempt of this node is in flight there; only late jobs without late value may use it
+	loadBusy                               // an attempt of this node is in flight there; no late job may use it
 )
 
-// leaseReadiness is whether a lease allows a token to be used.
+// leaseReadiness tells whether a token may be used as far as leases are concerned.
 type leaseReadiness int
 
 const (
-	leaseNeeded  leaseReadiness = iota // none was requested
-	leaseReady                         // it is granted, or none is needed
-	leasePending                       // it is requested
+	leaseNeeded  leaseReadiness = iota // a lease has to be requested first
+	leaseReady                         // a lease is granted, or none is needed
+	leasePending                       // a lease is requested and not granted yet
 )
 
-// indexEntry is where the candidate index has an executor.
+// indexEntry is the entry of an executor in the candidate index.
 type indexEntry struct {
-	subsetRank int // among the subset's members; -1: not a member
-	dirty      bool
+	subsetRank int  // position among the subset's members; -1: not a member
+	dirty      bool // the executor is in candidateIndex.dirty
 	group      *tokenGroup
 	positions  [heapKeys]heapPosition
-	agingRate  float64 // the highest rate at which its tokens age, while its kind's pace keeps to paceLimit
-	paceLimit  float64 // a floor of the kind's pace, or, in a normalized group, a ceiling
+	agingRate  float64 // upper bound of the tokens' aging rate, as long as the kind's pace has not passed paceLimit
+	paceLimit  float64 // lowest pace of the kind for which the entry is valid; in a normalized group the highest one
 }
 
-// candidateIndex is the whole index.
+// candidateIndex is the candidate index, over all executor kinds.
 type candidateIndex struct {
 	kinds           []*kindIndex
-	expiries        executorHeap      // entries that hold for a while only, by when they cease to
-	dirty           []*executor       // to be indexed anew
-	classCandidates []classCandidates // of the part of the queue that is looked through (class_candidates.go)
-
-	// Work done, for tests.
-	visited   int // executors looked at
-	bounded   int // bucket heads looked at
-	evaluated int // executors evaluated in full
-	reindexed int // times that an open token was indexed anew
+	expiries        executorHeap      // entries that are valid until a certain time, ordered by that time
+	dirty           []*executor       // executors to be indexed again
+	classCandidates []classCandidates // candidates for the part of the queue that is being scanned (class_candidates.go)
+
+	// Counters of the work done, for tests.
+	visited   int // executors visited
+	bounded   int // bucket heads whose bound was computed
+	evaluated int // executors evaluated in full, by tokenAge or pace
+	reindexed int // updates of entries of executors with a usable token
 }
 
 // kindIndex is the part of the index for one executor kind.
 type kindIndex struct {
 	id             KindID
 	stats          *kindStats
-	maxConcurrency int // the concurrency that bounds are computed with: no less than the kind has now
+	maxConcurrency int // concurrency from which bounds are computed; at least the kind's present concurrency
 	groups         []*tokenGroup
-	paceFloors     executorHeap // entries that hold while the kind's pace is no lower than their paceLimit, the highest first
-	paceCeilings   executorHeap // and those that hold while it is no higher, the lowest first
+	paceFloors     executorHeap // entries that are valid while the kind's pace is at least their paceLimit, highest limit first
+	paceCeilings   executorHeap // entries that are valid while the kind's pace is at most their paceLimit, lowest limit first
 	paceBuckets    [evenPaceBuckets + halvingPaceBuckets + 1]executorHeap
 	localSubset    []*executor // members of the subset in the own zone, as of its last rebuild
 }
 
-// groupKey is what the executors of a group have in common.
+// groupKey is the set of properties that all executors of a group share.
 type groupKey struct {
 	remote     bool
 	inSubset   bool
 	load       executorLoad
 	lease      leaseReadiness
-	normalized bool // aging rates are for a kind's pace of 1
+	normalized bool // aging rates are computed for a kind's pace of 1 and scaled by rateScale
 }
 
-// tokenGroup holds executors with an open token that are alike by groupKey.
+// tokenGroup holds the executors of a kind that have a usable token and the same groupKey.
 type tokenGroup struct {
 	groupKey
 	kind          *kindIndex
 	bucketsByRate map[int]*rateBucket
-	buckets       []*rateBucket // those that are not empty
-	heads         []bucketHead  // what a bound for each of them is computed from, side by side for speed
+	buckets       []*rateBucket // the non-empty buckets
+	heads         []bucketHead  // heads of buckets, at the same indexes; contiguous in memory, which makes scans fast
 }
 
-// rateBucket is the executors of a group whose aging rates are nearly the same, in a heap by the age of their oldest token.
+// rateBucket holds the executors of a group with nearly the same aging rate, in a heap by the age of their oldest free token.
 type rateBucket struct {
 	executorHeap
 	group    *tokenGroup
-	maxRate  float64 // no rate is higher
-	position int     // in the group's list; -1 while it is empty
+	maxRate  float64 // upper bound of the aging rates in the bucket
+	position int     // index in group.buckets; -1 while the bucket is empty
 }
 
-// bucketHead is what bounds the age of all tokens of a bucket.
+// bucketHead holds the values from which the ages of all tokens in a bucket are bounded.
 type bucketHead struct {
 	maxRate    float64
-	oldestFree int64 // since when the oldest token is free
+	oldestFree int64 // time since which the oldest token has been free
 }
 
-// maxAge is an upper bound of the age of the bucket's tokens.
+// maxAge returns an upper bound of the ages of the bucket's tokens.
 func (h bucketHead) maxAge(now time.Duration) float64 {
 	return h.maxRate * float64(max(0, int64(now)-h.oldestFree))
 }
 
-// addKindIndex makes the part of the index for a kind.
+// addKindIndex adds the part of the index for a kind.
 func (d *Dispatcher) addKindIndex(id KindID, stats *kindStats) {
 	kind := &kindIndex{
 		id:             id,
@@ -149,7 +152,8 @@
 	d.index.kinds = append(d.index.kinds, kind)
 }
 
-// markDirty has an executor indexed anew before the next query. It is called after each change of what its entry depends on.
+// markDirty makes the next query index an executor again. It must be called after each change of a value that the executor's
+// entry depends on.
 func (d *Dispatcher) markDirty(e *executor) {
 	if !e.indexed.dirty {
 		e.indexed.dirty = true
@@ -157,14 +161,15 @@
 	}
 }
 
-// markAllDirty marks each of them dirty.
+// markAllDirty marks all given executors dirty.
 func (d *Dispatcher) markAllDirty(executors []*executor) {
 	for _, e := range executors {
 		d.markDirty(e)
 	}
 }
 
-// reindexDirty brings all entries up to date that are out of date by a drift of their kind, by time or by an event.
+// reindexDirty updates all entries that are out of date because their kind's pace or concurrency has changed, because their
+// time has expired, or because of an event.
 func (d *Dispatcher) reindexDirty(now time.Duration) {
 	for _, kind := range d.index.kinds {
 		if kind.stats.concurrency > kind.maxConcurrency {
@@ -189,7 +194,8 @@
 	d.index.dirty = d.index.dirty[:0]
 }
 
-// resetMaxConcurrency lets the concurrency that bounds are computed with fall to the kinds' present one, at an interval's end.
+// resetMaxConcurrency sets each kind's maxConcurrency to the present concurrency, which may be lower. It is called at the end
+// of an interval.
 func (d *Dispatcher) resetMaxConcurrency() {
 	for _, kind := range d.index.kinds {
 		if kind.maxConcurrency != kind.stats.concurrency {
@@ -198,18 +204,19 @@
 	}
 }
 
-// setMaxConcurrency takes up a kind's present concurrency, which all its bounds depend on.
+// setMaxConcurrency sets a kind's maxConcurrency to the present concurrency, and marks its entries dirty, as all their bounds
+// depend on it.
 func (d *Dispatcher) setMaxConcurrency(kind *kindIndex) {
 	kind.maxConcurrency = kind.stats.concurrency
 	d.markAllDirty(kind.paceFloors.executors)
 	d.markAllDirty(kind.paceCeilings.executors)
 }
 
-// reindex brings one executor's entry up to date.
+// reindex updates the entry of an executor.
 func (d *Dispatcher) reindex(e *executor, now time.Duration) {
 	kind := d.endpoints.kinds[e.kind].index
 	d.indexPace(e, kind)
-	if !e.hasOpenToken() {
+	if !e.hasUsableToken() {
 		e.removeEntry()
 		return
 	}
@@ -236,13 +243,13 @@
 	}
 }
 
-// hasOpenToken says whether an attempt could use one of e's tokens at all.
-func (e *executor) hasOpenToken() bool {
+// hasUsableToken reports whether e has a free token that neither its removal nor its in-flight cap rules out.
+func (e *executor) hasUsableToken() bool {
 	atCap := e.health.inFlightCap > 0 && e.tokens.taken >= e.health.inFlightCap
 	return len(e.tokens.free) > 0 && !e.removed && !atCap
 }
 
-// removeEntry takes an executor without an open token out of its group.
+// removeEntry removes an executor without a usable token from its group.
 func (e *executor) removeEntry() {
 	before := e.indexed.positions[keyTokenAge].heap
 	if before == nil {
@@ -254,19 +261,20 @@
 	before.bucket.syncHead()
 }
 
-// groupKeyOf is the group that e belongs to now, and until when if nothing happens.
+// groupKeyOf returns the key of the group that e belongs to now, and the time until which that holds unless an event changes
+// it.
 func (d *Dispatcher) groupKeyOf(e *executor, kind *kindIndex, now time.Duration) (key groupKey, until time.Duration) {
 	key = groupKey{
 		remote:     d.remoteSide(e) > 0,
 		inSubset:   e.indexed.subsetRank >= 0,
-		load:       busy,
+		load:       loadBusy,
 		lease:      leaseReady,
 		normalized: e.estimate.work <= 1 && len(e.attempts) < kind.maxConcurrency,
 	}
 	if len(e.attempts) == 0 {
-		key.load = idleRestricted
+		key.load = loadIdleRestricted
 		if key.inSubset && e.indexed.subsetRank < d.subset.lateSize {
-			key.load = idleOpen
+			key.load = loadIdleOpen
 		}
 	}
 	until = Forever
@@ -283,8 +291,8 @@
 	return key, until
 }
 
-// entryIsCurrent says whether e's entry may stay: its bounds still hold and are tight enough. It does for most of those that
-// have only grown older.
+// entryIsCurrent reports whether e's entry needs no update, because its bounds are still valid and tight enough. This is so
+// for most executors whose estimate has only decayed.
 func (d *Dispatcher) entryIsCurrent(e *executor, kind *kindIndex, key groupKey, now time.Duration) bool {
 	entry := &e.indexed
 	if entry.positions[keyTokenAge].heap == nil || entry.positions[keyExpiry].heap != nil {
@@ -304,11 +312,11 @@
 	return e.currentRate(pace)*(1+3*rateTolerance) >= entry.agingRate*entry.group.rateScale()
 }
 
-// setPaceLimit sets how far the kind's pace may drift until e's rate is computed anew: the further, the less of e's pace
-// comes from its kind.
+// setPaceLimit sets how far the kind's pace may drift before e's rate is computed again. The less e's pace depends on its
+// kind's, the farther it may drift.
 func (e *executor) setPaceLimit(kind *kindIndex) {
 	pace := kind.stats.pace
-	seen := e.estimate.work / (e.estimate.work + 1) // the part of e's pace that is its own
+	seen := e.estimate.work / (e.estimate.work + 1) // weight of e's own observations in its pace
 	if e.indexed.group.normalized {
 		e.indexed.paceLimit = pace * (1 + min(maxPaceDrift, rateTolerance/seen))
 		kind.paceCeilings.update(e, floatKey(e.indexed.paceLimit))
@@ -318,15 +326,17 @@
 	kind.paceFloors.update(e, -floatKey(e.indexed.paceLimit))
 }
 
-// maxAgingRate is an upper bound of the rate at which e's tokens age, valid until the returned time while its kind's pace keeps to
-// the limit. Where little of e's own pace was seen, most of its pace goes up and down with its kind's: the rate is then for
-// a kind's pace of 1. Such an executor has a slot to spare, so the pace does not matter to minWait.
+// maxAgingRate returns an upper bound of the rate at which e's tokens age. It is valid until the returned time, as long as the
+// kind's pace has not passed e's paceLimit. If there are few observations of e, its pace mostly follows its kind's. Its group
+// is then normalized: the rate is computed for a kind's pace of 1. Such an executor has a free slot, so minWait does not
+// depend on the pace.
 func (d *Dispatcher) maxAgingRate(e *executor, kind *kindIndex, now time.Duration) (rate float64, until time.Duration) {
 	wait, until := d.minWait(e, e.limitPace(), kind.maxConcurrency, now)
 	return roundingUp * e.weight / (e.limitPace() * (d.classes.shortestObjective + wait).Seconds()), until
 }
 
-// limitPace is the pace that e's rate is computed with.
+// limitPace returns the pace from which e's aging rate is computed: e's pace if its kind's pace were at paceLimit, in a
+// normalized group divided by paceLimit.
 func (e *executor) limitPace() float64 {
 	if e.indexed.group.normalized {
 		return (1 + e.estimate.runTime/e.indexed.paceLimit) / (e.estimate.work + 1)
@@ -334,12 +344,12 @@
 	return (e.estimate.runTime + e.indexed.paceLimit) / (e.estimate.work + 1)
 }
 
-// currentRate is the bound of e's rate for its kind's present pace.
+// currentRate returns the upper bound of e's aging rate for its kind's present pace, which is tighter than agingRate.
 func (e *executor) currentRate(pace float64) float64 {
 	return roundingUp * e.indexed.agingRate * e.limitPace() * (e.estimate.work + 1) / (e.estimate.runTime + pace)
 }
 
-// rateScale is the factor of the group's rates.
+// rateScale returns the factor by which the rates of the group have to be multiplied.
 func (g *tokenGroup) rateScale() float64 {
 	if g.normalized {
 		return roundingUp / g.kind.stats.pace
@@ -347,8 +357,8 @@
 	return 1
 }
 
-// minWait is a lower bound of the wait of a job sent to e, valid until the returned time. It follows expectedWait: where all slots
-// are taken, no less than what the queued attempts need, and what the first to end has left.
+// minWait returns a lower bound of expectedWait for a job sent to e, valid until the returned time. If all slots are taken, a
+// job waits at least for the first running attempt to end, and for its share of the queued attempts' running time.
 func (d *Dispatcher) minWait(e *executor, pace float64, slots int, now time.Duration) (wait, until time.Duration) {
 	if len(e.attempts) < slots {
 		return e.estimate.startWait, Forever
@@ -361,18 +371,18 @@
 			queued += scaled(a.work, pace)
 		}
 	}
-	rounding := time.Duration(len(e.attempts) + 2) // each figure is cut to a whole nanosecond
+	rounding := time.Duration(len(e.attempts) + 2) // each term is truncated to a whole nanosecond
 	wait = max(0, queued/time.Duration(slots)-rounding)
 	left := firstEnd - now - 1
 	if firstEnd == Forever || left <= 0 {
 		return max(e.estimate.startWait, wait), Forever
 	}
-	// It shrinks as time goes by: bounded by what it will be at that time.
+	// The wait shrinks as time passes, so its value at the time until is a lower bound.
 	until = now + max(min(left, (d.classes.shortestObjective+wait+left)/waitBoundDivisor), 1)
 	return max(e.estimate.startWait, wait+firstEnd-1-until), until
 }
 
-// groupFor returns the kind's group with that key, made if there is none.
+// groupFor returns the kind's group with the given key, and adds one if there is none.
 func (k *kindIndex) groupFor(key groupKey) *tokenGroup {
 	for _, g := range k.groups {
 		if g.groupKey == key {
@@ -384,7 +394,7 @@
 	return g
 }
 
-// bucketFor returns the group's bucket for a rate, made if there is none.
+// bucketFor returns the group's bucket for a rate, and adds one if there is none.
 func (g *tokenGroup) bucketFor(rate float64) *rateBucket {
 	number, maxRate := int(maxRateBucket), math.Inf(1)
 	if log := math.Floor(math.Log(rate) * rateBucketsPerE); math.Abs(log) < maxRateBucket {
@@ -395,7 +405,7 @@
 	if b != nil {
 		return b
 	}
-	if len(g.bucketsByRate) > 2*len(g.buckets)+idleRateBuckets {
+	if len(g.bucketsByRate) > 2*len(g.buckets)+spareRateBuckets {
 		maps.DeleteFunc(g.bucketsByRate, func(_ int, b *rateBucket) bool { return b.position < 0 })
 	}
 	b = &rateBucket{executorHeap: executorHeap{keyKind: keyTokenAge}, group: g, maxRate: maxRate, position: -1}
@@ -404,7 +414,7 @@
 	return b
 }
 
-// syncHead brings the group's list of buckets up to date after a change of this one.
+// syncHead updates the group's lists of buckets and heads after a change of this bucket.
 func (b *rateBucket) syncHead() {
 	g, oldest := b.group, b.min()
 	switch {
@@ -420,7 +430,7 @@
 	}
 }
 
-// removeFromList takes the bucket out of its group's list; the last one takes its place.
+// removeFromList removes the bucket and its head from the group's lists. The last bucket takes its place.
 func (b *rateBucket) removeFromList() {
 	g := b.group
 	last := len(g.buckets) - 1
--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -230,8 +230,8 @@
 		if got != want {
 			w.t.Fatalf("seed %d, %v: %s%s forLease=%v: the index gives %v, the scan %v", w.seed, w.now, prefix, j.id, forLease, name(got), name(want))
 		}
-		if want != nil && !forLease && !d.anyTokenOpen(w.now) {
-			w.t.Fatalf("seed %d, %v: %s%s could be placed on %s, and anyTokenOpen says no", w.seed, w.now, prefix, j.id, want.id)
+		if want != nil && !forLease && !d.anyTokenUsable(w.now) {
+			w.t.Fatalf("seed %d, %v: %s%s could be placed on %s, and anyTokenUsable returns false", w.seed, w.now, prefix, j.id, want.id)
 		}
 		if want != nil {
 			w.found[w.situation(j, want, prefix, forLease)]++
@@ -380,8 +380,8 @@
 	}
 }
 
-// TestIndexGivesWhatScanDoes compares the index with a scan of all executors, in random worlds, between random events.
-func TestIndexGivesWhatScanDoes(t *testing.T) {
+// TestIndexMatchesFullScan compares the index with a scan of all executors, in random worlds, between random events.
+func TestIndexMatchesFullScan(t *testing.T) {
 	checks, found := 0, map[string]int{}
 	for seed := range uint64(60) {
 		w := newRandomWorld(t, seed)
--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -107,12 +107,12 @@
 		return false
 	}
 	if d.boundToDedupGroup(q.job) {
-		return !q.late || g.load != busy
+		return !q.late || g.load != loadBusy
 	}
 	if !g.inSubset {
 		return false
 	}
-	return !q.late || g.load == idleOpen || g.load == idleRestricted && q.class.lateValue == 0
+	return !q.late || g.load == loadIdleOpen || g.load == loadIdleRestricted && q.class.lateValue == 0
 }
 
 // walkBucket gives the candidates of a bucket's heap from index i downwards. Below an executor whose token is too young all
@@ -160,8 +160,8 @@
 	return false
 }
 
-// anyTokenOpen says whether any token is open at all, for whatever job.
-func (d *Dispatcher) anyTokenOpen(now time.Duration) bool {
+// anyTokenUsable says whether any token is open at all, for whatever job.
+func (d *Dispatcher) anyTokenUsable(now time.Duration) bool {
 	d.reindexDirty(now)
 	return slices.ContainsFunc(d.index.kinds, func(kind *kindIndex) bool {
 		return slices.ContainsFunc(kind.groups, func(g *tokenGroup) bool { return len(g.buckets) > 0 && g.lease == leaseReady })
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -115,7 +115,7 @@
 		j.hedgeWanted = d.wantsHedge(j, now)
 		return !j.hedgeWanted
 	})
-	d.queue.tokenFreed = d.queue.tokenFreed && !d.queue.empty() && d.anyTokenOpen(now)
+	d.queue.tokenFreed = d.queue.tokenFreed && !d.queue.empty() && d.anyTokenUsable(now)
 	scanned := 0
 	if d.queue.tokenFreed {
 		scanned = queueScanFactor * len(d.subset.members)
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -176,7 +176,7 @@
 		}
 		e.indexed.subsetRank = i
 		g := e.indexed.group
-		if e.indexed.positions[keyPace].heap == nil || g == nil || !g.inSubset || (g.load == idleOpen) != (len(e.attempts) == 0 && i < d.subset.lateSize) {
+		if e.indexed.positions[keyPace].heap == nil || g == nil || !g.inSubset || (g.load == loadIdleOpen) != (len(e.attempts) == 0 && i < d.subset.lateSize) {
 			d.markDirty(e)
 		}
 		if d.remoteSide(e) == 0 {
