--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// query is what candidates are wanted for.
+// query describes the candidates that are wanted for a job.
 type query struct {
 	*job
 	now      time.Duration
-	remote   bool    // in other zones, not in the own one
+	remote   bool    // candidates are in other zones; otherwise they are in the own zone
 	late     bool    // the job is past its objective
-	forLease bool    // a lease is to be requested, not a token used
-	maxPace  float64 // an executor with a higher pace is of no use
-	minAge   float64 // nor is a token of a lower age; the caller may raise it while it goes through the candidates
+	forLease bool    // candidates are wanted for a lease request, not for an attempt
+	maxPace  float64 // executors with a higher pace are of no use
+	minAge   float64 // tokens with a lower weighted age are of no use; the caller may raise it during the iteration
 }
 
-// candidates gives the executors with an open token that the query's job may be able to use, the one with the highest
-// bound first. What it leaves out is of no use by a bound; what it gives may be of no use, too.
+// candidates iterates over the executors with a token that the query's job may be able to use. It begins with the bucket that
+// has the highest bound of a token's age. The executors that it omits are useless for the job; those that it yields may turn
+// out to be.
 func (d *Dispatcher) candidates(q *query) iter.Seq[*executor] {
 	return func(yield func(*executor) bool) {
 		if d.boundToDedupGroup(q.job) && q.class.dedupGroup != DedupZone {
@@ -46,7 +47,8 @@
 	}
 }
 
-// scanRanked gives all executors of the query's side: a dedup group may be anywhere, and is small.
+// scanRanked yields all executors on the query's side. It is used for jobs bound to a dedup group, whose executors may be
+// outside the subset.
 func (d *Dispatcher) scanRanked(q *query, yield func(*executor) bool) {
 	for _, e := range d.endpoints.ranked {
 		d.index.visited++
@@ -56,7 +58,8 @@
 	}
 }
 
-// mostPromising is the bucket with the highest bound of a token's age, nil where none has an executor.
+// mostPromising returns the matching bucket with the highest bound of a token's age, or nil if no matching group has an
+// executor.
 func (d *Dispatcher) mostPromising(q *query) *rateBucket {
 	var first *rateBucket
 	highest := -1.0
@@ -64,7 +67,7 @@
 		scale := g.rateScale()
 		d.index.bounded += len(g.heads)
 		for i, head := range g.heads {
-			if age := scale * head.maxAge(q.now); !(age <= highest) { // a NaN counts as the highest
+			if age := scale * head.maxAge(q.now); !(age <= highest) { // a bound that is not a number counts as the highest
 				first, highest = g.buckets[i], age
 			}
 		}
@@ -72,8 +75,8 @@
 	return first
 }
 
-// maxPace is a pace with which no executor could answer j in time, however short the wait; for a job past its objective any
-// pace is good enough. It leaves room for rounding: tokenAge says whether one really can.
+// maxPace returns the pace above which an executor can't complete j by its objective even without a wait. It is infinite for a
+// job past its objective. It allows for rounding errors, so tokenAge still has to check executors below it.
 func (j *job) maxPace(now time.Duration, late bool) float64 {
 	if late {
 		return math.Inf(1)
@@ -81,7 +84,7 @@
 	return (float64(max(0, j.objectiveAt-now)+2)/j.predictionMargin + 2) / float64(max(1, j.work)) * roundingUp
 }
 
-// matchingGroups gives the groups whose executors may be candidates.
+// matchingGroups iterates over the non-empty groups whose executors may be candidates.
 func (d *Dispatcher) matchingGroups(q *query) iter.Seq[*tokenGroup] {
 	return func(yield func(*tokenGroup) bool) {
 		for _, kind := range d.index.kinds {
@@ -97,7 +100,7 @@
 	}
 }
 
-// matches says whether a group's executors may be candidates.
+// matches reports whether a group's executors may be candidates, whatever their kind.
 func (d *Dispatcher) matches(g *tokenGroup, q *query) bool {
 	lease := leaseReady
 	if q.forLease {
@@ -115,8 +118,9 @@
 	return !q.late || g.load == loadIdleOpen || g.load == loadIdleRestricted && q.class.lateValue == 0
 }
 
-// walkBucket gives the candidates of a bucket's heap from index i downwards. Below an executor whose token is too young all
-// are; one that is too slow is left out. It returns false once the caller wants no more.
+// walkBucket yields the candidates in a bucket's heap from index i downwards. It does not go below an executor for which even
+// the bucket's maxRate gives too low a token age, as the tokens below are younger. Executors that are too slow are omitted. It
+// returns false if the caller has stopped the iteration.
 func (d *Dispatcher) walkBucket(b *rateBucket, i int, q *query, yield func(*executor) bool) bool {
 	if i >= len(b.executors) {
 		return true
@@ -131,7 +135,7 @@
 	}
 	rate := e.currentRate(kindPace)
 	if scale*e.indexed.agingRate > rate*(1+3*rateTolerance) {
-		d.markDirty(e) // its kind's pace has drifted: the bound would get looser and looser
+		d.markDirty(e) // the kind's pace has drifted so far that the bound of the rate is no longer tight
 	}
 	tooYoung := rate*freeFor < q.minAge
 	tooSlow := (e.estimate.runTime+kindPace)/(e.estimate.work+1)*roundingDown > q.maxPace
@@ -141,7 +145,7 @@
 	return d.walkBucket(b, 2*i+1, q, yield) && d.walkBucket(b, 2*i+2, q, yield)
 }
 
-// anyTokenFor says whether any token is open that j might use or, forLease, request a lease for.
+// anyTokenFor reports whether there may be a token that j can use or, with forLease, request a lease for.
 func (d *Dispatcher) anyTokenFor(j *job, now time.Duration, forLease bool) bool {
 	if d.boundToDedupGroup(j) {
 		return true
@@ -160,7 +164,7 @@
 	return false
 }
 
-// anyTokenUsable says whether any token is open at all, for whatever job.
+// anyTokenUsable reports whether there is any usable token that needs no lease request.
 func (d *Dispatcher) anyTokenUsable(now time.Duration) bool {
 	d.reindexDirty(now)
 	return slices.ContainsFunc(d.index.kinds, func(kind *kindIndex) bool {
@@ -168,5 +172,5 @@
 	})
 }
 
-// runsOn says whether the class's jobs may run on executors of a kind.
+// runsOn reports whether the class's jobs may run on executors of a kind.
 func (c *jobClass) runsOn(kind KindID) bool { return c.kind == AnyKind || c.kind == kind }
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// Where many jobs are queued, a look at each open token for each of them costs the square of the subset: the executors are
-// full, their tokens are open and of no use yet, and as many jobs wait. So the queued jobs of a class are looked at together
-// first. classCandidates are the executors that could serve a job as easy as any of them; a job for which none of those will
-// do need not be looked at by itself. It decides nothing: what it leaves out pickExecutor would not find either.
+// Under overload, many jobs are queued while the executors are full: executors still have free tokens, but these are of no use
+// to any job yet. The cost of evaluating each token for each queued job would grow with the square of the subset's size. So
+// the executors are first evaluated once per class, for a job that demands no more than any queued job of the class
+// (classCandidates). A queued job that none of these executors can serve is skipped. This never changes the result, since
+// pickExecutor would find no executor for a skipped job either.
 
-// minQueuedForGrouping is the number of queued jobs up to which each is looked at by itself.
+// minQueuedForGrouping is the largest number of queued jobs for which each job is evaluated by itself.
 const minQueuedForGrouping = 8
 
-// classCandidates are the executors for the queued jobs of one class, those past their objective or the others.
+// classCandidates holds the executors that could serve queued jobs of one class, for either the jobs past their objective or
+// the others.
 type classCandidates struct {
 	class          *jobClass
 	late           bool
-	leastDemanding job // as easy as any of them: least work, latest objective
-	executors      []*executor
-	earliestEnd    time.Duration // the easiest can't be done before it
-	minWait        time.Duration // none of the executors has a shorter wait
-	minPace        float64       // nor a lower pace
+	leastDemanding job           // a job with the least work and the latest objective of the queued jobs
+	executors      []*executor   // executors that could serve leastDemanding
+	earliestEnd    time.Duration // earliest time at which one of executors could complete leastDemanding
+	minWait        time.Duration // shortest expected wait at executors
+	minPace        float64       // lowest pace of executors
 }
 
-// relaxTo makes the easiest job at least as easy as j.
+// relaxTo changes leastDemanding so that it demands no more than j.
 func (c *classCandidates) relaxTo(j *job) {
-	easiest := &c.leastDemanding
-	easiest.work = min(easiest.work, j.work)
-	easiest.predictionMargin = min(easiest.predictionMargin, j.predictionMargin)
-	easiest.objectiveAt = max(easiest.objectiveAt, j.objectiveAt)
-	easiest.hinted = easiest.hinted || j.hinted
+	leastDemanding := &c.leastDemanding
+	leastDemanding.work = min(leastDemanding.work, j.work)
+	leastDemanding.predictionMargin = min(leastDemanding.predictionMargin, j.predictionMargin)
+	leastDemanding.objectiveAt = max(leastDemanding.objectiveAt, j.objectiveAt)
+	leastDemanding.hinted = leastDemanding.hinted || j.hinted
 }
 
-// placedIndividually says whether j has other candidates than its class, so that it is looked at by itself.
+// placedIndividually reports whether j may have other candidates than its class, so that it has to be evaluated by itself.
 func (d *Dispatcher) placedIndividually(j *job) bool {
 	return d.boundToDedupGroup(j) || len(j.attempts) > 0
 }
 
-// findCandidates finds the classes' candidates for a part of the queue, where that is long.
+// findCandidates finds the candidates of each class for a part of the queue, if that part is long.
 func (d *Dispatcher) findCandidates(queued []*job, now time.Duration) {
 	d.index.classCandidates = d.index.classCandidates[:0]
 	if len(queued) <= minQueuedForGrouping {
@@ -47,7 +49,7 @@
 	d.findByClass(queued, now)
 }
 
-// findByClass makes the easiest job of each class and lateness among the queued ones, and finds its candidates.
+// findByClass groups the queued jobs by class and lateness, and finds the candidates of each group.
 func (d *Dispatcher) findByClass(queued []*job, now time.Duration) {
 	for _, j := range queued {
 		if !d.placedIndividually(j) {
@@ -59,21 +61,21 @@
 	}
 }
 
-// addToClass makes the easiest job of a class and lateness as easy as j.
+// addToClass adds j to the group of its class and lateness.
 func (d *Dispatcher) addToClass(j *job, late bool) {
 	if c := d.candidatesOf(j.class, late); c != nil {
 		c.relaxTo(j)
 		return
 	}
-	easiest := job{class: j.class, work: j.work, hinted: j.hinted, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}
-	d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late, leastDemanding: easiest})
+	leastDemanding := job{class: j.class, work: j.work, hinted: j.hinted, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}
+	d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late, leastDemanding: leastDemanding})
 }
 
-// findForClass finds the executors that could serve the easiest job, and bounds of what they could do.
+// findForClass finds the executors that could serve the least demanding job of a group, and sets the group's bounds.
 func (d *Dispatcher) findForClass(c *classCandidates, now time.Duration) {
-	easiest := &c.leastDemanding
+	leastDemanding := &c.leastDemanding
 	c.earliestEnd, c.minWait, c.minPace = Forever, Forever, math.Inf(1)
-	q := query{job: easiest, now: now, late: c.late, maxPace: easiest.maxPace(now, c.late), minAge: math.Inf(-1)}
+	q := query{job: leastDemanding, now: now, late: c.late, maxPace: leastDemanding.maxPace(now, c.late), minAge: math.Inf(-1)}
 	for _, q.remote = range [...]bool{false, true} {
 		for e := range d.candidates(&q) {
 			if d.tokenAge(e, &q) <= -1 {
@@ -82,7 +84,7 @@
 			c.executors = append(c.executors, e)
 			pace := d.pace(e, now)
 			wait := d.expectedWait(e, pace, now)
-			end := now + scaled(wait+scaled(easiest.work, pace), easiest.predictionMargin)
+			end := now + scaled(wait+scaled(leastDemanding.work, pace), leastDemanding.predictionMargin)
 			c.minWait = min(c.minWait, wait)
 			c.minPace = min(c.minPace, pace)
 			c.earliestEnd = min(c.earliestEnd, end)
@@ -90,7 +92,7 @@
 	}
 }
 
-// candidatesOf returns the candidates of a class and lateness, nil if they were not looked for.
+// candidatesOf returns the candidates of a class and lateness, or nil if there is no such group.
 func (d *Dispatcher) candidatesOf(class *jobClass, late bool) *classCandidates {
 	for i := range d.index.classCandidates {
 		if c := &d.index.classCandidates[i]; c.class == class && c.late == late {
@@ -100,8 +102,8 @@
 	return nil
 }
 
-// mayBePlaced says whether pickExecutor may find an executor for j, one of the jobs that candidates were found for last.
-// Where it says no, pickExecutor finds none.
+// mayBePlaced reports whether pickExecutor may find an executor for j, which must be one of the jobs of the last findCandidates.
+// If it returns false, pickExecutor would find none.
 func (d *Dispatcher) mayBePlaced(j *job, now time.Duration) bool {
 	if len(d.index.classCandidates) == 0 || d.placedIndividually(j) {
 		return true
--- a/policy/executor_heap.go
+++ b/policy/executor_heap.go
@@ -2,36 +2,36 @@
 
 import "math"
 
-// heapKey says by what a heap orders its executors. An executor is in at most one heap for each of them.
+// heapKey is the kind of key by which a heap orders its executors. An executor is in at most one heap per kind of key.
 type heapKey int
 
 const (
-	keyTokenAge  heapKey = iota // in its rate bucket: since when its oldest free token is free
-	keyPaceDrift                // in its kind: the pace of the kind from which on its entry is out of date
-	keyExpiry                   // until when its entry holds
-	keyPace                     // in its pace bucket: its pace
-	heapKeys                    // how many there are
+	keyTokenAge  heapKey = iota // time since which the oldest token has been free, in a rate bucket
+	keyPaceDrift                // paceLimit, negated in kindIndex.paceFloors
+	keyExpiry                   // time until which the entry is valid
+	keyPace                     // own pace of the executor, in a pace bucket
+	heapKeys                    // number of kinds of keys
 )
 
-// heapPosition is an executor's place in a heap; without a heap it is in none.
+// heapPosition is an executor's position in a heap, and its key there. The heap is nil if the executor is in none.
 type heapPosition struct {
 	heap  *executorHeap
 	index int
 	key   int64
 }
 
-// executorHeap is a binary heap of executors, the least key first. Each executor knows its position, so that it can be
-// updated and removed in logarithmic time. The candidate walk relies on the layout: the children of i are 2i+1 and 2i+2.
+// executorHeap is a binary min-heap of executors. Each executor stores its position, so that it can be updated and removed in
+// logarithmic time. walkBucket and searchLowestPace rely on the layout: the children of index i are at 2i+1 and 2i+2.
 type executorHeap struct {
 	keyKind   heapKey
 	executors []*executor
-	bucket    *rateBucket // that this heap is the content of, for keyTokenAge
+	bucket    *rateBucket // bucket that embeds this heap; nil except for keyTokenAge
 }
 
-// floatKey makes a key of a figure that is not negative: such floats are ordered as their bits are.
+// floatKey returns the key for a non-negative float. The bits of such floats have the same order as the floats.
 func floatKey(x float64) int64 { return int64(math.Float64bits(x)) }
 
-// min returns the executor with the least key, nil in an empty heap.
+// min returns the executor with the smallest key, or nil if the heap is empty.
 func (h *executorHeap) min() *executor {
 	if len(h.executors) == 0 {
 		return nil
@@ -82,7 +82,8 @@
 	}
 }
 
-// update gives an executor a key in this heap. If it was in another heap for the same kind of key, it leaves that.
+// update inserts an executor with the given key into this heap, or changes its key. If the executor is in another heap for
+// the same kind of key, it is removed from that heap.
 func (h *executorHeap) update(e *executor, key int64) {
 	position := &e.indexed.positions[h.keyKind]
 	if position.heap == h {
@@ -101,7 +102,7 @@
 	h.siftUp(position.index)
 }
 
-// removeFrom takes an executor out of its heap for that kind of key, if it is in one.
+// removeFrom removes an executor from its heap for the given kind of key, if it is in one.
 func (e *executor) removeFrom(kind heapKey) {
 	position := &e.indexed.positions[kind]
 	h := position.heap
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// The pace index answers how quick the subset's quickest executor is. An executor's pace without what runs there is
+// The pace index finds the lowest pace in the subset. The pace of an executor, apart from its attempts in flight, is
 //
-//	(runTime + kind's pace) / (work + 1)  =  kind's pace + seen x (own pace - kind's pace),  seen = work / (work + 1)
+//	(runTime + kind's pace) / (work + 1)  =  kind's pace + seen x (own pace - kind's pace)
 //
-// so it moves with its kind's. Executors are in buckets by how much of their pace was seen, and in each bucket in a heap by
-// their own pace: that gives a lower bound for a bucket whatever the kind's pace is.
+// where own pace = runTime / work, and seen = work / (work + 1) is the weight of the executor's own observations. So it changes
+// whenever its kind's pace changes. Executors are therefore put into buckets by seen. In each bucket, a heap orders them by
+// their own pace, which gives a lower bound of the paces in the bucket for any pace of the kind.
 
 const (
-	evenPaceBuckets    = 16                                   // buckets of equal width for how much of a pace was seen
-	halvingPaceBuckets = 24                                   // buckets below the first of them, each half as wide as the one before
-	unseenPaceBucket   = evenPaceBuckets + halvingPaceBuckets // for those of which nothing was seen, by their running time
-	firstHalvingExp    = 4                                    // the even buckets' width is 2 to the minus this
+	evenPaceBuckets    = 16                                   // number of buckets of equal width for seen, from 0 to 1
+	halvingPaceBuckets = 24                                   // number of buckets into which the lowest even one is split, each half as wide
+	unseenPaceBucket   = evenPaceBuckets + halvingPaceBuckets // bucket of executors without observed work; its heap is ordered by runTime
+	firstHalvingExp    = 4                                    // the width of the even buckets is 2 to the power of minus this
 )
 
-// indexPace puts a member of the subset into its pace bucket, and takes others out of theirs.
+// indexPace puts a member of the subset into its pace bucket. An executor outside the subset is removed from its bucket.
 func (d *Dispatcher) indexPace(e *executor, kind *kindIndex) {
 	if e.indexed.subsetRank < 0 {
 		e.removeFrom(keyPace)
@@ -34,13 +35,13 @@
 	if number > 0 {
 		number = min(number, evenPaceBuckets-1)
 	} else {
-		_, exp := math.Frexp(seen) // seen is from half of 2^exp on, and less than it
+		_, exp := math.Frexp(seen) // 2^(exp-1) <= seen < 2^exp
 		number = min(evenPaceBuckets-firstHalvingExp-exp, unseenPaceBucket-1)
 	}
 	kind.paceBuckets[number].update(e, floatKey(e.estimate.runTime/e.estimate.work))
 }
 
-// minPace is a lower bound of the pace of the executor at index i of a bucket, and of those below it in the heap.
+// minPace returns a lower bound of the paces of the executor at index i of a bucket's heap and of those below it.
 func (k *kindIndex) minPace(bucket, i int) float64 {
 	kindPace := k.stats.pace
 	own := math.Float64frombits(uint64(k.paceBuckets[bucket].key(i)))
@@ -49,12 +50,12 @@
 	}
 	least, most := seenRange(bucket)
 	if own < kindPace {
-		least = most // the more of it was seen, the lower the pace
+		least = most // its own pace is lower than its kind's, so the pace is lowest where seen is largest
 	}
 	return (kindPace + (own-kindPace)*least) * roundingDown
 }
 
-// seenRange is how much of their paces was seen of a bucket's executors, at least and at most.
+// seenRange returns the smallest and the largest value of seen in a bucket.
 func seenRange(bucket int) (least, most float64) {
 	if bucket < evenPaceBuckets {
 		return float64(bucket) / evenPaceBuckets, float64(bucket+1) / evenPaceBuckets
@@ -66,7 +67,7 @@
 	return most / 2, most
 }
 
-// paceLowerBound is a pace that no member of the subset of that kind is under.
+// paceLowerBound returns a lower bound of the paces of the subset's members of the given kind, or of all members for AnyKind.
 func (d *Dispatcher) paceLowerBound(id KindID, now time.Duration) float64 {
 	d.reindexDirty(now)
 	lowest := math.Inf(1)
@@ -83,7 +84,8 @@
 	return lowest
 }
 
-// lowestPace is the lowest pace of the subset's available members of that kind, infinite where there is none.
+// lowestPace returns the lowest pace of the subset's available members of the given kind, or of all of them for AnyKind. It is
+// infinite if there are none.
 func (d *Dispatcher) lowestPace(id KindID, now time.Duration) float64 {
 	d.reindexDirty(now)
 	lowest := math.Inf(1)
@@ -102,7 +104,7 @@
 	return lowest
 }
 
-// mostPromisingPaceBucket is the bucket with the lowest bound; 0 where all are empty.
+// mostPromisingPaceBucket returns the number of the bucket with the lowest bound, or 0 if all are empty.
 func (k *kindIndex) mostPromisingPaceBucket() int {
 	first, lowest := 0, math.Inf(1)
 	for bucket := range k.paceBuckets {
@@ -116,7 +118,8 @@
 	return first
 }
 
-// searchLowestPace lowers *lowest by the executors of a bucket's heap from index i downwards, as far as their bound allows.
+// searchLowestPace lowers *lowest to the lowest pace in a bucket's heap from index i downwards. It skips the executors whose
+// bound shows that their paces are not lower.
 func (d *Dispatcher) searchLowestPace(kind *kindIndex, bucket, i int, lowest *float64, now time.Duration) {
 	executors := kind.paceBuckets[bucket].executors
 	if i >= len(executors) || kind.minPace(bucket, i) >= *lowest {
@@ -129,7 +132,7 @@
 	case !e.available:
 	case len(e.attempts) == 0:
 		*lowest = min(*lowest, pace)
-	case pace*roundingDown < *lowest: // what runs there can only raise it
+	case pace*roundingDown < *lowest: // attempts in flight can only raise the pace
 		d.index.evaluated++
 		*lowest = min(*lowest, d.pace(e, now))
 	}
