--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -42,7 +42,7 @@
 	roundingDown     = 1 - 1e-12 // factor of lower bounds of a pace that allows for rounding errors
 	rateTolerance    = 1.0 / 512 // largest relative error of a rate bound that a drift of the kind's pace may cause
 	maxPaceDrift     = 1.0 / 8   // largest relative drift of the kind's pace before its executors are indexed again
-	waitBoundDivisor = 8         // the bound of a shrinking wait is valid for the shortest objective plus the wait, divided by this
+	waitBoundDivisor = 8         // the bound of a shrinking wait is valid for (shortest objective + wait) divided by this
 )
 
 // executorLoad tells which jobs past their objective may use an executor.
@@ -50,7 +50,7 @@
 
 const (
 	loadIdleOpen       executorLoad = iota // no attempt of this node is in flight there; all late jobs may use it
-	loadIdleRestricted                     // no attempt of this node is in flight there; only late jobs without late value may use it
+	loadIdleRestricted                     // likewise idle; only late jobs of classes without late value may use it
 	loadBusy                               // an attempt of this node is in flight there; no late job may use it
 )
 
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -11,7 +11,7 @@
 	paceStep           = 0.05 // weight of a new observation in a kind's pace, for one second of work or more
 	minSampleWeight    = 0.05 // minimum weight of a new running time in a class's mean work
 	minPace            = 0.05 // lower bound for a kind's pace
-	waitedFactor       = 5.0  // an attempt without a start notice is taken to have waited if it took this many times its running time
+	waitedFactor       = 5.0  // an attempt without a start notice counts as delayed if it took this multiple of its running time
 	dedupReplyFraction = 0.1  // a keyed job done in less than this fraction of its predicted time was answered from memory
 	minReportedCount   = 0.5  // reported counts are averages; from this value on they count as at least one slot or job
 	minProgress        = 0.02 // minimum fraction done for a progress notice to predict the running time
--- a/policy/learned_state_test.go
+++ b/policy/learned_state_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestLearnedStateHandoff checks that what one process has learned another one of the same endpoint list knows, quotas and
-// ejections too, that implausible values are passed over, and that figures of an executor in slow start are not taken.
+// TestLearnedStateHandoff checks that a successor with the same endpoint list imports all that its predecessor has learned,
+// quotas and ejections included. Implausible values and values for an executor in slow start must be ignored.
 func TestLearnedStateHandoff(t *testing.T) {
 	player := newTracePlayer(t)
 	last := time.Duration(0)
@@ -33,7 +33,7 @@
 	}
 	learned := player.d.ExportLearned(last)
 	if len(learned.Executors) != 2 || len(learned.Kinds) != 2 || len(learned.Classes) != 2 {
-		t.Fatalf("too little is known: %+v", learned)
+		t.Fatalf("exported %+v, want 2 executors, kinds and classes", learned)
 	}
 	successor := New(settings(t))
 	list := []Endpoint{endpoint(t, last, "a"), endpoint(t, last, "b:0:1"), endpoint(t, last, "c:0:0:1s")}
@@ -46,11 +46,11 @@
 	before := successor.ExportLearned(last)
 	successor.ImportLearned(last, implausible)
 	if after := successor.ExportLearned(last); !reflect.DeepEqual(before, after) {
-		t.Errorf("learned implausible values: %+v", after)
+		t.Errorf("implausible values were imported: %+v", after)
 	}
 	successor.ImportLearned(last, learned)
 	got := successor.ExportLearned(last)
-	for _, in := range learned.Executors { // those that are not in the subset yet have no tokens
+	for _, in := range learned.Executors { // ExportLearned omits executors that have not been in the subset yet
 		e := successor.endpoints.byID[in.ID]
 		got.Executors = append(got.Executors, LearnedExecutor{
 			ID:          e.id,
@@ -64,36 +64,36 @@
 		})
 	}
 	if !reflect.DeepEqual(got, learned) {
-		t.Errorf("learned\n%+v\nof\n%+v", got, learned)
+		t.Errorf("imported\n%+v\nwant\n%+v", got, learned)
 	}
 	successor.NextTask(last)
 	if quota := successor.endpoints.byID["a"].tokens.quota; quota != learned.Executors[0].Quota {
-		t.Errorf("a got a quota of %d", quota)
+		t.Errorf("the quota of a is %d, want %d", quota, learned.Executors[0].Quota)
 	}
 	if e := successor.endpoints.byID["c"]; e.tokens.inheritedQuota != 0 {
-		t.Error("an executor in slow start took the quota of another start")
+		t.Error("the quota of an executor in slow start was imported")
 	}
 }
 
-// rest runs all tasks that are due at the start.
-func rest(d *Dispatcher) {
+// runDueTasks drops all tasks that are due at the start. The first one has the subset picked.
+func runDueTasks(d *Dispatcher) {
 	for d.NextTask(0).Task != Sleep {
 	}
 }
 
-// threeExecutors is an endpoint list of three executors that started long ago.
+// threeExecutors returns an endpoint list of three executors that started long ago.
 func threeExecutors(t *testing.T) []Endpoint {
 	t.Helper()
 	return []Endpoint{endpoint(t, 0, "a"), endpoint(t, 0, "b"), endpoint(t, 0, "c")}
 }
 
-// TestLearnedStateOtherNodeCount checks a node that goes on among five instead of alone: it keeps what it knows of executors
-// and jobs, and begins its quotas anew. In its first seconds it sends no burst on the quotas of before, and nothing to the
-// slow executor.
+// TestLearnedStateOtherNodeCount checks a hot restart that changes the number of nodes from one to five. The successor keeps
+// what was learned of executors and jobs, and starts with new quotas. In its first seconds it must not send a burst that the
+// old quotas would allow, and must send nothing to the slow executor.
 func TestLearnedStateOtherNodeCount(t *testing.T) {
 	predecessor := New(settings(t, "polled"))
 	predecessor.UpdateEndpoints(0, CompleteUpdate, threeExecutors(t))
-	rest(predecessor)
+	runDueTasks(predecessor)
 	for _, e := range predecessor.quota.executors {
 		e.tokens.quota = 7
 	}
@@ -102,17 +102,17 @@
 	class := predecessor.classes.all[0]
 	class.meanWork, class.requestedValue = 700*time.Millisecond, 50
 
-	amongFive := settings(t, "polled")
-	amongFive.Nodes = 5
-	successor := New(amongFive)
+	fiveNodes := settings(t, "polled")
+	fiveNodes.Nodes = 5
+	successor := New(fiveNodes)
 	successor.UpdateEndpoints(0, CachedUpdate, threeExecutors(t))
 	successor.ImportLearned(0, predecessor.ExportLearned(0))
-	rest(successor)
+	runDueTasks(successor)
 	if b := successor.endpoints.byID["b"]; b.estimate.runTime != 40 || b.estimate.startWait != 0 || b.tokens.inheritedQuota != 0 {
-		t.Errorf("of the slow executor it knows pace %v over %v, wait %v, quota %d", b.estimate.runTime, b.estimate.work, b.estimate.startWait, b.tokens.inheritedQuota)
+		t.Errorf("slow executor: running time %v for work %v, start wait %v, inherited quota %d", b.estimate.runTime, b.estimate.work, b.estimate.startWait, b.tokens.inheritedQuota)
 	}
 	if got := successor.classes.all[0]; got.meanWork != 700*time.Millisecond || got.requestedValue != 0 {
-		t.Errorf("of the class it knows work %v and a requested value of %v", got.meanWork, got.requestedValue)
+		t.Errorf("class: mean work %v and requested value %v, want 700ms and 0", got.meanWork, got.requestedValue)
 	}
 	sent := map[ExecutorID]int{}
 	for i := range 40 {
@@ -128,20 +128,20 @@
 			}
 		}
 	}
-	// None ended in these two seconds: at most a first quota each, and a step more for each interval.
+	// No attempt ended in these two seconds: each executor gets at most its initial quota, raised by one.
 	for id, count := range sent {
 		if count > initialQuota+1 {
-			t.Errorf("%s got %d in its first two seconds", id, count)
+			t.Errorf("%s got %d attempts in the first two seconds, want at most %d", id, count, initialQuota+1)
 		}
 	}
 	if sent["a"] == 0 || sent["b"] > 0 {
-		t.Errorf("sent %v", sent)
-	}
-	amongAsMany := New(settings(t, "polled"))
-	amongAsMany.UpdateEndpoints(0, CachedUpdate, threeExecutors(t))
-	amongAsMany.ImportLearned(0, predecessor.ExportLearned(0))
-	rest(amongAsMany)
-	if a := amongAsMany.endpoints.byID["a"]; a.tokens.quota != 7 {
-		t.Errorf("among as many nodes as before the quota is %d", a.tokens.quota)
+		t.Errorf("sent %v, want some attempts at a and none at b", sent)
+	}
+	sameCount := New(settings(t, "polled"))
+	sameCount.UpdateEndpoints(0, CachedUpdate, threeExecutors(t))
+	sameCount.ImportLearned(0, predecessor.ExportLearned(0))
+	runDueTasks(sameCount)
+	if a := sameCount.endpoints.byID["a"]; a.tokens.quota != 7 {
+		t.Errorf("with the same number of nodes the quota of a is %d, want 7", a.tokens.quota)
 	}
 }
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -8,8 +8,8 @@
 
 func TestLeaseTraces(t *testing.T) { golden.ReplayDir(t, "lease", play) }
 
-// TestLeaseLedgerOrder checks that nodes are granted leases in the order of their requests, those with late jobs last, and
-// that a node waits once only.
+// TestLeaseLedgerOrder checks that nodes are granted leases in the order of their requests, nodes with late jobs last, and
+// that a node is queued only once.
 func TestLeaseLedgerOrder(t *testing.T) {
 	var ledger leaseLedger
 	ledger.addWaiting(1, true)
@@ -20,16 +20,17 @@
 	ledger.removeWaiting(2)
 	for _, want := range []NodeID{3, 1, 4} {
 		if got := ledger.popWaiting(); got != want {
-			t.Errorf("node %d is next, want %d", got, want)
+			t.Errorf("next node is %d, want %d", got, want)
 		}
 	}
 	if ledger.anyWaiting() {
-		t.Error("somebody still waits")
+		t.Error("a node is still queued")
 	}
 }
 
-// TestLeaseLedgerQuota checks the step of a lease quota: down after many delayed starts, with a pause before it may rise,
-// up after a shortage without them and, where executors answer health checks, only if one showed a free slot.
+// TestLeaseLedgerQuota checks how a lease quota is adjusted. It is lowered after many delayed starts, and then not raised for
+// leaseQuotaCooldown intervals. It is raised after a shortage without many delayed starts; if executors answer health checks,
+// one of these must also have shown a free slot.
 func TestLeaseLedgerQuota(t *testing.T) {
 	ledger := leaseLedger{quota: 3}
 	interval := func(returns, delayed int, shortage, canProbe, freeSlot bool) int {
@@ -45,11 +46,11 @@
 	}
 	for i := range leaseQuotaCooldown - 1 {
 		if got := interval(10, 0, true, false, false); got != 2 {
-			t.Errorf("interval %d after the step down: %d, want 2", i+1, got)
+			t.Errorf("interval %d after the quota was lowered: %d, want 2", i+1, got)
 		}
 	}
 	if got := interval(10, 0, true, false, false); got != 3 {
-		t.Errorf("after the pause: %d, want 3", got)
+		t.Errorf("after the cooldown: %d, want 3", got)
 	}
 	if got := interval(10, 0, true, true, false); got != 3 {
 		t.Errorf("no free slot seen: %d, want 3", got)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxBackoffFactor = 8 // largest multiple of the usual ejection time for repeated errors; also limits the delay between health checks
+	maxBackoffFactor = 8 // limits the ejection time after repeated errors, and the delay between health checks
 	inactivityFactor = 2 // an executor is inactive after this multiple of the time that this node's attempts should take
-	maxMissedNotices = 2 // an attempt is inactive after this many missed progress notices, or one fewer after an inactivity timeout
+	maxMissedNotices = 2 // missed progress notices after which an attempt is inactive; one fewer after an inactivity timeout
 )
 
 // health holds the state of an executor's ejections, inactivity timeouts and health checks.
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -9,8 +9,8 @@
 
 func TestOutlierTraces(t *testing.T) { golden.ReplayDir(t, "outlier", play) }
 
-// TestBackoffFactor checks how much longer ejections get: doubled by each error in a row up to maxBackoffFactor, by one mean
-// running time for each silence in a row.
+// TestBackoffFactor checks how much longer repeated ejections get: doubled for each error in a row up to maxBackoffFactor, or
+// one ejection time longer for each timeout in a row.
 func TestBackoffFactor(t *testing.T) {
 	for _, test := range []struct {
 		errors, timeouts int
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestBlamesExecutor checks which failures eject an executor: an error at once, any other one after a failure with no sign
-// of life between, but not a rejection as full that only one tenant meets.
+// TestBlamesExecutor checks which failures eject an executor. An error does so at once. Any other failure does if it follows
+// one without a response in between, but not a rejection as full of only one tenant.
 func TestBlamesExecutor(t *testing.T) {
 	someTenant := &tenant{}
 	for _, test := range []struct {
@@ -52,7 +52,7 @@
 			e.queuing.fullForSeveral = test.fullForSeveral
 			a := &attempt{job: &job{tenant: test.tenant}, executor: e}
 			if got := blamesExecutor(a, test.outcome); got != test.want {
-				t.Errorf("blames the executor: %v, want %v", got, test.want)
+				t.Errorf("blamesExecutor returned %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -15,8 +15,8 @@
 
 const (
 	evenPaceBuckets    = 16                                   // number of buckets of equal width for seen, from 0 to 1
-	halvingPaceBuckets = 24                                   // number of buckets into which the lowest even one is split, each half as wide
-	unseenPaceBucket   = evenPaceBuckets + halvingPaceBuckets // bucket of executors without observed work; its heap is ordered by runTime
+	halvingPaceBuckets = 24                                   // buckets that divide the lowest even one, each half as wide as the next
+	unseenPaceBucket   = evenPaceBuckets + halvingPaceBuckets // bucket of executors without observed work, ordered by runTime
 	firstHalvingExp    = 4                                    // the width of the even buckets is 2 to the power of minus this
 )
 
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -12,7 +12,7 @@
 	initialQuota             = 2   // quota of an executor of which nothing is known
 	maxQuota                 = 8   // upper bound of a quota
 	intervalFraction         = 0.4 // the interval between two adjustments is this fraction of the shortest deadline
-	fullTokenDelay           = 2.0 // delay before the token of a full executor is free again, in running times per rejection in a row
+	fullTokenDelay           = 2.0 // running times, per rejection in a row, for which the token of a full executor stays taken
 )
 
 // quotaState holds the executors whose quotas are adjusted, and the end of the current interval.
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -10,8 +10,8 @@
 
 func TestQuotaTraces(t *testing.T) { golden.ReplayDir(t, "quota", play) }
 
-// TestTokens checks that the oldest free token is taken, that a raised quota gives a token, and that a lowered one takes the
-// youngest free token or, if none is free, the next that is released.
+// TestTokens checks that take uses the oldest free token, that raise adds a token, and that lower drops the most recently
+// freed token or, if none is free, the next one that is released.
 func TestTokens(t *testing.T) {
 	tokens := tokens{quota: 2, free: []time.Duration{1, 2}}
 	tokens.take()
@@ -31,12 +31,12 @@
 		t.Fatalf("after lower with none free: %+v", tokens)
 	}
 	if tokens.raise(4) {
-		t.Fatalf("raise to what is taken already gave a token: %+v", tokens)
+		t.Fatalf("raise to the number of taken tokens added a token: %+v", tokens)
 	}
 	tokens.lower()
 	tokens.release(5)
 	if len(tokens.free) != 0 || tokens.taken != 1 {
-		t.Fatalf("after release over the quota: %+v", tokens)
+		t.Fatalf("after release with more tokens than the quota: %+v", tokens)
 	}
 	tokens.release(6)
 	if !slices.Equal(tokens.free, []time.Duration{6}) {
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestChargeFull checks that rejections as full count as waiting at the executor, unless only one tenant met them while
-// others' jobs were started.
-func TestChargeFull(t *testing.T) {
+// TestChargeRejections checks that rejections as full count as waiting at the executor, unless only one tenant's jobs were
+// rejected while jobs of others were started.
+func TestChargeRejections(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		rejected []TenantID
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -8,7 +8,7 @@
 const (
 	subsetMinNodes       = 6 // minimum number of nodes for subsetting; fewer nodes use all executors each
 	nodesPerExecutor     = 3 // number of nodes that have the same executor in their subsets, if minSubsetSize allows it
-	minSubsetSize        = 3 // minimum subset size per required kind in the own zone, and likewise in other zones; doubled with leases
+	minSubsetSize        = 3 // minimum subset size per required kind, in the own zone and in other zones; doubled with leases
 	lateNodesPerExecutor = 2 // number of nodes that send jobs past their objective to the same executor
 )
 
