--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -50,7 +50,7 @@
 
 const (
 	loadIdleOpen       executorLoad = iota // no attempt of this node is in flight there; all late jobs may use it
-	loadIdleRestricted                     // likewise idle; only late jobs of classes without late value may use it
+	loadIdleRestricted                     // no attempt of this node either; open only to late jobs of classes without late value
 	loadBusy                               // an attempt of this node is in flight there; no late job may use it
 )
 
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -35,8 +35,8 @@
 type endpointPoll struct {
 	watching    bool // the list has been received, and no watch has failed since
 	outstanding bool // a poll was sent and has not been answered
-	nextAt      time.Duration
-	interval    time.Duration
+	nextAt      time.Duration // earliest time of the next poll
+	interval    time.Duration // mean delay after a failed poll
 }
 
 // wanted reports whether the endpoint list has to be polled: no watch is active and no poll is outstanding.
@@ -56,8 +56,7 @@
 	available  bool    // the endpoint list says that the executor takes new jobs
 	removed    bool    // the executor was removed from the endpoint list
 	listedIn   int     // number of the last list update that contained the executor
-	started    time.Duration
-
+	started    time.Duration // time of the executor's last start
 	attempts  []*attempt // this node's attempts in flight
 	tokens    tokens
 	queuing   queuing
@@ -233,8 +232,8 @@
 	t.unranked = nil
 }
 
-// dropRemoved drops the removed executors that have no token of this node taken; a replaced machine comes back under a new
-// id. A complete update first marks the executors missing from it as removed.
+// dropRemoved drops the removed executors that have no token of this node taken. They would otherwise accumulate, since a
+// machine that is replaced comes back under a new id. A complete update first marks the executors missing from it as removed.
 func (d *Dispatcher) dropRemoved(complete bool) {
 	if complete {
 		for _, e := range d.endpoints.ranked {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -14,7 +14,7 @@
 
 // health holds the state of an executor's ejections, inactivity timeouts and health checks.
 type health struct {
-	ejectedUntil      time.Duration
+	ejectedUntil      time.Duration // end of the last ejection
 	inFlightCap       int           // maximum number of attempts in flight, raised by each completed attempt; 0: no cap
 	lastSeen          time.Duration // time of the last response, or since which the first one is awaited
 	timeouts          int           // consecutive inactivity timeouts and unanswered health checks
