--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -33,8 +33,8 @@
 
 // endpointPoll schedules the requests for the endpoint list, for discovery services that have to be polled.
 type endpointPoll struct {
-	watching    bool // the list has been received, and no watch has failed since
-	outstanding bool // a poll was sent and has not been answered
+	watching    bool          // the list has been received, and no watch has failed since
+	outstanding bool          // a poll was sent and has not been answered
 	nextAt      time.Duration // earliest time of the next poll
 	interval    time.Duration // mean delay after a failed poll
 }
@@ -49,22 +49,22 @@
 	zone       ZoneID
 	kind       KindID
 	cell       CellID
-	rank       uint32  // order of preference at this node (rankOf)
-	weight     float64 // weight in the endpoint list
-	size       float64 // largest weight so far, where weights fall with the load; 0 otherwise
-	listedLoad float64 // jobs per core, computed from the weights in the endpoint list
-	available  bool    // the endpoint list says that the executor takes new jobs
-	removed    bool    // the executor was removed from the endpoint list
-	listedIn   int     // number of the last list update that contained the executor
+	rank       uint32        // order of preference at this node (rankOf)
+	weight     float64       // weight in the endpoint list
+	size       float64       // largest weight so far, where weights fall with the load; 0 otherwise
+	listedLoad float64       // jobs per core, computed from the weights in the endpoint list
+	available  bool          // the endpoint list says that the executor takes new jobs
+	removed    bool          // the executor was removed from the endpoint list
+	listedIn   int           // number of the last list update that contained the executor
 	started    time.Duration // time of the executor's last start
-	attempts  []*attempt // this node's attempts in flight
-	tokens    tokens
-	queuing   queuing
-	health    health
-	slowStart executorSlowStart
-	estimate  estimate
-	lease     leaseState
-	indexed   indexEntry
+	attempts   []*attempt    // this node's attempts in flight
+	tokens     tokens
+	queuing    queuing
+	health     health
+	slowStart  executorSlowStart
+	estimate   estimate
+	lease      leaseState
+	indexed    indexEntry
 }
 
 // runningCount returns the number of this node's attempts that e has started.
