--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -12,7 +12,7 @@
 	"birchstair/policy"
 )
 
-// recordedEdges records the calls to each edge.
+// recordedEdges records the calls to all edges, as lines of text.
 type recordedEdges struct{ calls []string }
 
 func (r *recordedEdges) record(format string, args ...any) {
@@ -36,8 +36,8 @@
 func (r recordedUpstream) Dial(c ConnID, addr string) { r.record("upstream dial %d %s", c, addr) }
 func (r recordedUpstream) Write(c ConnID, a Attempt)  { r.record("upstream write %d %s", c, a.ID) }
 func (r recordedUpstream) Close(c ConnID)             { r.record("upstream close %d", c) }
-func (r recordedUpstream) Probe(id policy.ExecutorID, addr string) {
-	r.record("upstream probe %s %s", id, addr)
+func (r recordedUpstream) CheckHealth(id policy.ExecutorID, addr string) {
+	r.record("upstream health check %s %s", id, addr)
 }
 
 type recordedDiscovery struct{ *recordedEdges }
@@ -75,7 +75,7 @@
 	}
 }
 
-// Each effect reaches its edge, once.
+// TestCarryOut checks that each effect is passed to its edge, exactly once.
 func TestCarryOut(t *testing.T) {
 	for _, test := range []struct {
 		effect Effect
@@ -83,15 +83,15 @@
 	}{
 		{Answer{Job: "j"}, []string{"frontend answer j"}},
 		{UpdateJobClasses{Classes: make([]NumberedClass, 2)}, []string{"frontend classes 2"}},
-		{SetReady{Yes: true}, []string{"frontend ready true"}},
+		{SetReady{Ready: true}, []string{"frontend ready true"}},
 		{DrainClients{On: true}, []string{"frontend drain true"}},
-		{AcceptConnections{Yes: true}, []string{"frontend accept true", "handoff accept true"}},
+		{AcceptConnections{Accept: true}, []string{"frontend accept true", "handoff accept true"}},
 		{HalveLimits{Half: true}, []string{"frontend halve true", "memory halve true"}},
 		{CloseFrontend{}, []string{"frontend close"}},
 		{Dial{Conn: 1, Addr: "a"}, []string{"upstream dial 1 a"}},
 		{WriteAttempt{Conn: 1, Attempt: Attempt{Request: &Request{ID: "j"}}}, []string{"upstream write 1 j"}},
 		{CloseConn{Conn: 1}, []string{"upstream close 1"}},
-		{ProbeExecutor{Executor: "e", Addr: "a"}, []string{"upstream probe e a"}},
+		{CheckHealth{Executor: "e", Addr: "a"}, []string{"upstream health check e a"}},
 		{WatchEndpoints{}, []string{"discovery watch"}},
 		{SwitchDiscovery{Addr: "a"}, []string{"discovery switch a"}},
 		{AdminReply{Caller: 3}, []string{"admin reply 3"}},
@@ -110,7 +110,8 @@
 	}
 }
 
-// Run steps the node for each event and returns on Exit; events posted after that are dropped.
+// TestRunExits checks that Run steps the node for each event and returns after an Exit effect, and that Post does not block
+// after that.
 func TestRunExits(t *testing.T) {
 	recorded, edges := newRecordedEdges()
 	loop := NewLoop(time.Now())
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -43,7 +43,7 @@
 // member is a hollow node: the real gossip edge and the real fleet logic, with invented load figures.
 type member struct {
 	mu    sync.Mutex
-	fleet *cluster.Fleet
+	fleet *cluster.State
 	edge  *gossip.Membership
 	epoch time.Time
 	alive int
@@ -100,7 +100,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch ev := ev.(type) {
-	case node.FleetChanged:
+	case node.AliveNodesChanged:
 		m.fleet.SetAlive(ev.Alive)
 		m.alive = len(ev.Alive)
 	case node.GossipReceived:
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -97,7 +97,7 @@
 		MayLease:            fleet.Gossip && fleet.Leases && !wired,
 		MayHedge:            fleet.MayHedge,
 		ClientsMarkRetries:  n.world.scenario.Load.MarksRetries && !wired,
-		MayProbe:            fleet.MayProbe && !wired,
+		MayCheckHealth:      fleet.MayProbe && !wired,
 	}
 	longest := time.Duration(0)
 	for _, class := range n.world.jobClasses {
@@ -218,10 +218,10 @@
 		n.writeAttempt(effect)
 	case node.CloseConn:
 		n.closeConn(effect.Conn)
-	case node.ProbeExecutor:
+	case node.CheckHealth:
 		n.probe(effect)
 	case node.SetReady:
-		n.after(readinessDelay, func() { n.ready = effect.Yes })
+		n.after(readinessDelay, func() { n.ready = effect.Ready })
 	case node.DrainClients:
 		n.after(readinessDelay, func() { n.ready = !effect.On && !n.frontendClosed })
 	case node.CloseFrontend:
--- a/policy/candidate_index_test.go
+++ b/policy/candidate_index_test.go
@@ -14,7 +14,7 @@
 
 // pickByScan implements pickExecutor by a scan of all eligible executors.
 func (d *Dispatcher) pickByScan(j *job, now time.Duration, forLease bool) *executor {
-	late, crosses, localUsable := d.isLate(j, now), d.crossesNow(j), false
+	late, crosses, localUsable := d.isLate(j, now), d.prefersOtherZones(j), false
 	var best *executor
 	bestSide, bestAge := 0, 0.0
 	for i, e := range d.eligibleExecutors(j) {
@@ -117,11 +117,11 @@
 // newRandomDispatcher returns a dispatcher with random settings and an endpoint list of random executors.
 func newRandomDispatcher(t *testing.T, seed uint64) *randomDispatcher {
 	r := rand.New(rand.NewPCG(seed, 7))
-	s := base
+	s := baseSettings
 	s.Seed, s.Nodes = uint32(seed), [...]int{1, 3, 8, 30}[r.IntN(4)]
 	s.Node = r.IntN(s.Nodes)
 	coinFlip := func() bool { return r.IntN(2) == 0 }
-	s.MayLease, s.MayHedge, s.MayProbe, s.LoadAdjustedWeights, s.StartNotices = coinFlip(), coinFlip(), coinFlip(), coinFlip(), r.IntN(4) > 0
+	s.MayLease, s.MayHedge, s.MayCheckHealth, s.LoadAdjustedWeights, s.StartNotices = coinFlip(), coinFlip(), coinFlip(), coinFlip(), r.IntN(4) > 0
 	s.ValuePerWork, s.ClientsMarkRetries = coinFlip(), coinFlip()
 	if coinFlip() {
 		s.CrossZoneCost = 0.5 * r.Float64()
@@ -255,7 +255,7 @@
 		return "in a dedup group"
 	case rd.now < e.slowStart.until:
 		return "slow start"
-	case d.crossesNow(j) && d.remoteSide(e) > 0:
+	case d.prefersOtherZones(j) && d.remoteSide(e) > 0:
 		return "cross-zone"
 	case d.isLate(j, rd.now):
 		return "late"
@@ -294,7 +294,7 @@
 			if rd.random.IntN(3) > 0 {
 				rd.ReceiveLeaseMessage(rd.now, due.Node, [...]LeaseMessage{LeaseGrant, LeaseGrant, LeaseWait}[rd.random.IntN(3)], due.Hash)
 			}
-		case ProbeExecutor:
+		case SendHealthCheck:
 			if rd.random.IntN(3) > 0 {
 				rd.HealthCheckEnded(rd.now, due.Executor, rd.random.IntN(4) > 0, Load{InFlight: 1, FreeSlots: float64(rd.random.IntN(3))})
 			}
@@ -420,7 +420,7 @@
 // TestExecutorMovedToOwnZone checks that an executor counts as local as soon as the endpoint list has it in the own zone, even
 // before the subset is rebuilt.
 func TestExecutorMovedToOwnZone(t *testing.T) {
-	s := base
+	s := baseSettings
 	s.CrossZoneCost = 0.25
 	d := New(s)
 	d.UpdateEndpoints(0, CompleteUpdate, []Endpoint{{Executor: "far", Zone: 1, StartedLongAgo: true, Weight: 1}, {Executor: "moves", Zone: 1, StartedLongAgo: true, Weight: 1}})
@@ -484,9 +484,9 @@
 // newSteadyLoad returns a load on executors with two slots each. The rate of jobs is perS per second, or, if that is 0, the
 // one that uses the fraction load of all slots.
 func newSteadyLoad(executors int, load, perS float64) *steadyLoad {
-	s := base
+	s := baseSettings
 	s.LoadAdjustedWeights = false
-	s.JobClasses = slices.Clone(base.JobClasses)
+	s.JobClasses = slices.Clone(baseSettings.JobClasses)
 	s.JobClasses[1].Kind = AnyKind
 	sl := &steadyLoad{Dispatcher: New(s), random: rand.New(rand.NewPCG(1, uint64(executors))), paces: map[ExecutorID]float64{}}
 	var entries []Endpoint
@@ -592,7 +592,7 @@
 func TestEvaluationsWithLongQueue(t *testing.T) {
 	per := map[int]int{}
 	for _, n := range [...]int{100, 400} {
-		s := base
+		s := baseSettings
 		s.JobClasses = []JobClass{{LatencyObjective: 300 * time.Millisecond, RunTimeFactor: 1.2, Deadline: 60 * time.Second, Value: 1, Kind: AnyKind}}
 		d, now := New(s), time.Second
 		var entries []Endpoint
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -32,7 +32,7 @@
 	leastDemanding.work = min(leastDemanding.work, j.work)
 	leastDemanding.predictionMargin = min(leastDemanding.predictionMargin, j.predictionMargin)
 	leastDemanding.objectiveAt = max(leastDemanding.objectiveAt, j.objectiveAt)
-	leastDemanding.hinted = leastDemanding.hinted || j.hinted
+	leastDemanding.hasClientEstimate = leastDemanding.hasClientEstimate || j.hasClientEstimate
 }
 
 // placedIndividually reports whether j may have other candidates than its class, so that it has to be evaluated by itself.
@@ -67,7 +67,7 @@
 		c.relaxTo(j)
 		return
 	}
-	leastDemanding := job{class: j.class, work: j.work, hinted: j.hinted, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}
+	leastDemanding := job{class: j.class, work: j.work, hasClientEstimate: j.hasClientEstimate, predictionMargin: j.predictionMargin, objectiveAt: j.objectiveAt}
 	d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late, leastDemanding: leastDemanding})
 }
 
@@ -117,7 +117,7 @@
 	if !q.late && j.objectiveAt < max(c.earliestEnd, earliestEnd) {
 		return false
 	}
-	crosses, onOtherSide := d.crossesNow(j), false
+	crosses, onOtherSide := d.prefersOtherZones(j), false
 	for _, e := range c.executors {
 		if d.tokenAge(e, &q) <= -1 {
 			continue
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -75,7 +75,7 @@
 
 // requestHealthCheck sends e a health check, unless one is in flight or the last one was sent less than interval ago.
 func (d *Dispatcher) requestHealthCheck(e *executor, now, interval time.Duration) {
-	if !d.config.canProbe || e.health.checkInFlight {
+	if !d.config.canCheckHealth || e.health.checkInFlight {
 		return
 	}
 	if e.health.checkSentAt != 0 && now-e.health.checkSentAt < interval {
@@ -84,7 +84,7 @@
 	e.health.checkInFlight = true
 	e.health.checkSentAt = now
 	d.healthChecks.await(e)
-	d.outbox = append(d.outbox, DueTask{Task: ProbeExecutor, Executor: e.id})
+	d.outbox = append(d.outbox, DueTask{Task: SendHealthCheck, Executor: e.id})
 	d.timers.checkAll(now + d.classes.shortestObjective)
 }
 
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -327,7 +327,7 @@
 // adjustLeaseQuotas adjusts the quotas of this node's ledgers at the end of an interval.
 func (d *Dispatcher) adjustLeaseQuotas(now time.Duration) {
 	for _, ledger := range d.leases.ledgerList {
-		ledger.adjustQuota(d.config.canProbe)
+		ledger.adjustQuota(d.config.canCheckHealth)
 		d.grantLeases(ledger, ledger.quota, now)
 	}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -9,9 +9,9 @@
 const (
 	// restartedBudgetFraction is the fraction of its slow-start budget that a process may use in its first overload window
 	// for an executor that started before the process did. The predecessor process may have used up the budget. Since each
-	// job counted unhintedMargin times its work, it sent at most budget/unhintedMargin of work. What that leaves of the
-	// budget, with the margin applied again, is budget*(unhintedMargin-1).
-	restartedBudgetFraction = unhintedMargin - 1
+	// job counted classEstimateMargin times its work, it sent at most budget/classEstimateMargin of work. What that leaves of the
+	// budget, with the margin applied again, is budget*(classEstimateMargin-1).
+	restartedBudgetFraction = classEstimateMargin - 1
 
 	// unknownWorkMargin is the extra margin of a job in slow start, as a fraction, if no running time of its class is known.
 	// It is divided by one plus the number of known running times.
@@ -105,8 +105,8 @@
 // slowStartWork returns the work that j counts for in the slow-start budget: its estimated work plus a margin. Without the
 // client's estimate, the margin is larger the fewer running times of its class are known.
 func (j *job) slowStartWork() time.Duration {
-	margin := unhintedMargin
-	if !j.hinted {
+	margin := classEstimateMargin
+	if !j.hasClientEstimate {
 		margin *= 1 + unknownWorkMargin/float64(1+j.class.samples)
 	}
 	return scaled(j.work, margin)
