--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -78,7 +78,7 @@
 	q := query{job: leastDemanding, now: now, late: c.late, maxPace: leastDemanding.maxPace(now, c.late), minAge: math.Inf(-1)}
 	for _, q.remote = range [...]bool{false, true} {
 		for e := range d.candidates(&q) {
-			if d.tokenAge(e, &q) <= -1 {
+			if d.tokenAge(e, &q) <= unusableToken {
 				continue
 			}
 			c.executors = append(c.executors, e)
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// mayBePlaced reports whether pickExecutor may find an executor for j, which must be one of the jobs of the last findCandidates.
+// mayBePlaced reports whether pickExecutor may find an executor for j, which must be a job of the last findCandidates.
 // If it returns false, pickExecutor would find none.
 func (d *Dispatcher) mayBePlaced(j *job, now time.Duration) bool {
 	if len(d.index.classCandidates) == 0 || d.placedIndividually(j) {
@@ -117,15 +117,15 @@
 	if !q.late && j.objectiveAt < max(c.earliestEnd, earliestEnd) {
 		return false
 	}
-	crosses, onOtherSide := d.prefersOtherZones(j), false
+	prefersRemote, onOtherSide := d.prefersOtherZones(j), false
 	for _, e := range c.executors {
-		if d.tokenAge(e, &q) <= -1 {
+		if d.tokenAge(e, &q) <= unusableToken {
 			continue
 		}
-		if (d.remoteSide(e) > 0) == crosses {
+		if (d.remoteSide(e) > 0) == prefersRemote {
 			return true
 		}
 		onOtherSide = true
 	}
-	return onOtherSide && (crosses || now-j.queuedAt >= d.crossZoneDelay(j) || !d.anyLocalUsable(j, now))
+	return onOtherSide && (prefersRemote || now-j.queuedAt >= d.crossZoneDelay(j) || !d.anyLocalUsable(j, now))
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -12,7 +12,7 @@
 	minSampleWeight    = 0.05 // minimum weight of a new running time in a class's mean work
 	minPace            = 0.05 // lower bound for a kind's pace
 	waitedFactor       = 5.0  // an attempt without a start notice counts as delayed if it took this multiple of its running time
-	dedupReplyFraction = 0.1  // a job with an idempotency key done in less than this fraction of its predicted running time was not run
+	dedupReplyFraction = 0.1  // a job with a key, done in less than this fraction of its predicted time, was answered from memory
 	minReportedCount   = 0.5  // reported counts are averages; from this value on they count as at least one slot or job
 	minProgress        = 0.02 // minimum fraction done for a progress notice to predict the running time
 	standardPace       = 1    // pace of an executor of which nothing is known
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -9,8 +9,8 @@
 const (
 	// restartedBudgetFraction is the fraction of its slow-start budget that a process may use in its first overload window
 	// for an executor that started before the process did. The predecessor process may have used up the budget. Since each
-	// job counted classEstimateMargin times its work, it sent at most budget/classEstimateMargin of work. What that leaves of the
-	// budget, with the margin applied again, is budget*(classEstimateMargin-1).
+	// job counted classEstimateMargin times its work, it sent at most budget/classEstimateMargin of work. What that leaves of
+	// the budget, with the margin applied again, is budget*(classEstimateMargin-1).
 	restartedBudgetFraction = classEstimateMargin - 1
 
 	// unknownWorkMargin is the extra margin of a job in slow start, as a fraction, if no running time of its class is known.
