--- a/internal/benchwire/instance.go
+++ b/internal/benchwire/instance.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	n.guard(func() { n.dispatcher.ProbeEnded(now, check.executor, check.succeeded, check.load) })
+	n.guard(func() { n.dispatcher.HealthCheckEnded(now, check.executor, check.succeeded, check.load) })
 	return nil
 }
 
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -186,7 +186,7 @@
 	e := n.endpoints.get(id)
 	limit := n.maxConns()
 	if e == nil || !e.available || n.conns.openCount() >= limit-limit/healthCheckReserve {
-		n.policy.ProbeEnded(n.now, id, false, policy.Load{})
+		n.policy.HealthCheckEnded(n.now, id, false, policy.Load{})
 		return
 	}
 	n.conns.healthChecksInFlight++
@@ -196,7 +196,7 @@
 // healthCheckEnded passes the result of a health check on to the policy.
 func (n *Node) healthCheckEnded(ev HealthCheckEnded) {
 	n.conns.healthChecksInFlight--
-	n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+	n.policy.HealthCheckEnded(n.now, ev.Executor, ev.Answered, ev.Load)
 }
 
 func (n *Node) closeConn(c *conn) {
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -50,7 +50,7 @@
 		inactivityTimeout = max(inactivityTimeout, scaled(slack, d.shedding.threshold.MigrationDelay))
 	}
 	if !e.health.unresponsive && now-max(e.health.lastSeen, a.sentAt) > inactivityTimeout {
-		d.requestProbe(e, now, d.classes.shortestObjective)
+		d.requestHealthCheck(e, now, d.classes.shortestObjective)
 	}
 }
 
