--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -20,10 +20,10 @@
 
 // Rates are the load of one node, as moving averages in seconds of work on a standard core per second.
 type Rates struct {
-	Offered    map[int]float64 // work of the jobs that arrived, by priority level
-	Admitted   float64         // work of the jobs that arrived at or above the admission threshold
+	Offered    map[int]float64 // work of the jobs that arrived, by priority level, without jobs of low slack
+	Admitted   float64         // work of the jobs that arrived and were not shed, without jobs of low slack
 	Completed  float64         // work of the jobs that were completed
-	Expired    float64         // work of the jobs that were given up on after they had waited for an executor's token
+	Expired    float64         // work of the jobs given up with attempts left, after a wait at the node or at an executor
 	Migrations float64         // work of the attempts that would be migrated if migrations were not limited
 	Waiting    float64         // not a rate: sum of work divided by slack over the jobs that wait now
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -14,8 +14,8 @@
 // Error returns a text with the HTTP status of the rejection.
 func (e *rejectedError) Error() string { return "discovery answered " + e.status }
 
-// malformedError is returned for a response that cannot be decoded or does not match its request. The watch then drops
-// the known version and fetches the complete list.
+// malformedError is returned for a response that cannot be decoded, is too long, does not match its request, or has a
+// status other than 200, 429 and 503. The watch then drops the known version and fetches the complete list.
 type malformedError struct {
 	err error
 }
--- a/internal/durable/interceptors.go
+++ b/internal/durable/interceptors.go
@@ -132,8 +132,9 @@
 	m.upstream.Dial(conn, addr)
 }
 
-// Write records an attempt of a durable job in the store, and sends it once that record is synced. If the state machine no
-// longer has the job, it closes the connection instead. Attempts of ordinary jobs are passed on.
+// Write records an attempt of a durable job in the store, and sends it once that record is synced. If the job is over
+// by now, that is, no longer in state Dispatched in the job table, Write closes the connection instead. Attempts of ordinary
+// jobs are passed on.
 func (e *upstreamInterceptor) Write(conn node.ConnID, request node.Attempt) {
 	m := (*Manager)(e)
 	id, durable := strings.CutPrefix(string(request.ID), jobIDPrefix)
--- a/internal/durable/lease_query.go
+++ b/internal/durable/lease_query.go
@@ -77,7 +77,7 @@
 // queried about an epoch that it has not started must refuse that epoch from then on.
 const leasePath = "/-/leases/"
 
-// maxLeaseBytes limits a response, which holds a result encoded in base64.
+// maxLeaseBytes limits the length of a response: JSON that holds a result in base64, which takes 4/3 of the result's size.
 const maxLeaseBytes = 2 * maxBodyBytes
 
 func leaseURL(addr, job string, epoch leases.Epoch) string {
--- a/internal/durable/submit.go
+++ b/internal/durable/submit.go
@@ -57,7 +57,9 @@
 			return false, fmt.Errorf("%w: %w", errStore, err)
 		}
 		return true, nil
-	case <-ctx.Done(): // the client has disconnected and can't read the response; it may submit the job again
+	case <-ctx.Done():
+		// The client has disconnected and can't read the response. If it submits the job again, that request finds this job,
+		// unless its record could not be written.
 		return true, nil
 	}
 }
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -25,12 +25,16 @@
 
 // Settings of memberlist that differ from its defaults for a local network.
 const (
-	probeInterval          = 500 * time.Millisecond // between failure detection probes
-	probeTimeout           = 200 * time.Millisecond // after which a probe by UDP counts as unanswered
-	suspicionMult          = 3                      // least time to refute a suspicion, in probe intervals
-	suspicionMaxMult       = 2                      // longest time to refute a suspicion, as a multiple of the least
-	streamTimeout          = 2 * time.Second        // of TCP connections, as for exchanges of the whole state
-	deadNodeReclaimTimeout = time.Millisecond       // after a node's death, until its name may be used from another address
+	probeInterval = 500 * time.Millisecond // between failure detection probes
+	probeTimeout  = 200 * time.Millisecond // after which a probe by UDP counts as unanswered
+	// suspicionMult is the least time to refute a suspicion, in probe intervals. Over 10 nodes, memberlist multiplies it by
+	// log10 of their number.
+	suspicionMult    = 3
+	suspicionMaxMult = 2               // longest time to refute a suspicion, as a multiple of the least
+	streamTimeout    = 2 * time.Second // of TCP connections, as for exchanges of the whole state
+	// deadNodeReclaimTimeout is the time from a node's death until its name may be used from another address, as by the same
+	// node after a restart.
+	deadNodeReclaimTimeout = time.Millisecond
 )
 
 // Membership is a node's membership in its cluster. It implements the interfaces Delegate, EventDelegate and
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -18,8 +18,8 @@
 	Traffic   *Traffic         // counters of the traffic, or nil
 }
 
-// ParseOptions parses the addresses of the configuration file. An empty advertise address defaults to the listen
-// address. Errors name the key of the file.
+// ParseOptions parses the addresses in the table fleet of the site file. An empty advertise address defaults to the listen
+// address. Errors name the key.
 func ParseOptions(name cluster.NodeName, number policy.NodeID, listen, advertise string, seeds []string) (Options, error) {
 	options := Options{Name: name, Node: number}
 	var err error
--- a/internal/hotrestart/transport.go
+++ b/internal/hotrestart/transport.go
@@ -97,7 +97,8 @@
 	t.mu.Lock()
 	t.links[id] = l
 	t.mu.Unlock()
-	t.notify(node.HandoffLinkUp{Link: id}) // before any message is read: the node ignores messages on links that it doesn't know
+	// Before any other event of the link: the node ignores the messages and the end of a link that it doesn't know.
+	t.notify(node.HandoffLinkUp{Link: id})
 	go t.read(id, l)
 	go l.write()
 }
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -344,8 +344,10 @@
 	return ev.Outcome
 }
 
-// handleConnBroken handles a connection that broke while it carried an attempt: it lowers the idle limit if the cause was
-// probably a dropped idle connection, and closes the executor's idle connections unless this node closed the connection itself.
+// handleConnBroken handles a connection that broke while it carried an attempt. It lowers the idle limit if the cause was
+// probably a dropped idle connection, and closes the executor's idle connections, unless this node canceled the attempt or
+// closed the connection before the last byte was written. After a timeout (TimedOut) the idle connections are closed,
+// although this node closed the connection: the executor may be unreachable.
 func (n *Node) handleConnBroken(c *conn, outcome policy.Outcome) {
 	if outcome == policy.ConnectionLost && c.wasIdle && !c.progressed {
 		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, c.writtenAt-c.idleSince)
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -66,7 +66,7 @@
 )
 
 // AdminReply answers an operator's call. It is carried out by package admin. The reply is the reason for a refusal, metrics or
-// lines of text; if all of these are empty, it says that the command was run.
+// lines of text; if none of these is set, it says that the command was run or, for CheckReady, that this process is ready.
 type AdminReply struct {
 	Caller  AdminCallID
 	Refusal string
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -140,8 +140,8 @@
 	n.updateLimits()
 }
 
-// handoffLinkDown ends the handoff with a process that has ended or has sent an unreadable message. This process takes back the
-// limits that it shared with the other process, and what it had yielded to a successor.
+// handoffLinkDown ends the handoff with a process that has ended, has sent an unreadable message, or has not sent its state
+// in time. This process takes back the limits that it shared with the other process, and what it had yielded to a successor.
 func (n *Node) handoffLinkDown(link HandoffLink, detail string) {
 	h := &n.handoff
 	if !h.disconnect(link) {
--- a/internal/node/idle_conns_test.go
+++ b/internal/node/idle_conns_test.go
@@ -22,7 +22,7 @@
 			now += time.Duration(r.IntN(2)) // many connections become idle at the same time
 			e := executors[r.IntN(len(executors))]
 			switch {
-			case len(taken) > 0 && r.IntN(2) == 0: // a connection that was taken becomes idle again
+			case len(taken) > 0 && r.IntN(2) == 0: // a taken connection becomes idle again, often after ones that were dialed later
 				i := r.IntN(len(taken))
 				c := taken[i]
 				taken = append(taken[:i], taken[i+1:]...)
--- a/internal/site/cluster.go
+++ b/internal/site/cluster.go
@@ -18,8 +18,8 @@
 	Advertise      string            `toml:"advertise"`       // address and port that peers are given to reach this node; default: listen
 	Seeds          []string          `toml:"seeds"`           // addresses of some nodes of the cluster, which may include this node; default: none
 	TrustedNetwork bool              `toml:"trusted-network"` // allows non-loopback addresses, though gossip is not encrypted; default false
-	GossipInterval tomlfile.Duration `toml:"every"`           // time between two gossip messages; default 250ms
-	Fanout         int               `toml:"tell"`            // number of peers that each message is sent to; default 3
+	GossipInterval tomlfile.Duration `toml:"every"`           // time between two gossip rounds; default 250ms
+	Fanout         int               `toml:"tell"`            // number of messages per gossip round, each to one peer; default 3
 	PeerStateTTL   tomlfile.Duration `toml:"view-for"`        // maximum age at which the rates of a peer are used; default 4s
 	DrainTTL       tomlfile.Duration `toml:"drain-for"`       // maximum age at which a drain received from a peer applies; default 10s
 }
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// pendingRecordBytes is the estimated size of a pending record without its body.
+// pendingRecordBytes is the estimated size of a pending record without its body, which counts towards Options.MaxBytes.
 const pendingRecordBytes = 256
 
 // pendingWrite is a record that waits to be committed.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -8,8 +8,11 @@
 
 // Options limit the size of a store and of its segments.
 type Options struct {
-	SegmentBytes int64 // size in bytes from which on a segment gets no more frames; its last frame may exceed it
-	MaxBytes     int64 // total size of all segments in bytes above which no new job is accepted; 0 for no limit
+	// SegmentBytes is the approximate size of a segment in bytes. The commit that reaches it starts a new segment; compaction
+	// may exceed it.
+	SegmentBytes int64
+	// MaxBytes is the size of all segments and pending records in bytes above which no new job is accepted; 0 for no limit.
+	MaxBytes int64
 }
 
 // Store is an open store. All of its methods except Compact are safe for concurrent use.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -43,12 +43,12 @@
 }
 
 // spentBudget returns how much of j's time was spent before it arrived here, by earlier tries or while this node stalled:
-// the objective counts from the first try. If the budget is short, which means below the largest budget seen of the
-// class, the result is the class's deadline minus the budget. The class and the tenant record the budget.
+// the objective counts from the first try. If the budget is short, which means more than a quantum below the largest budget
+// seen of the class, the result is the class's deadline minus the budget. The class and the tenant record the budget.
 //
 // A budget can also be short because the client's timeout is shorter than the deadline. Then it says nothing about earlier
-// tries, and 0 is returned. If such a client waits for less than half of the deadline, and clients mark their retries, the
-// job gets a start margin, since an attempt that can't end before its client gives up is wasted.
+// tries, and 0 is returned. If such a budget is less than half of the deadline, the job has a tenant, and clients mark their
+// retries, the job gets a start margin, since an attempt that can't end before its client gives up is wasted.
 func (d *Dispatcher) spentBudget(j *job, arrival Arrival) time.Duration {
 	class := j.class
 	shortfall := class.recordBudget(arrival.Budget)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -13,7 +13,8 @@
 //	ReceiveLeaseMessage                    another node has sent a lease message
 //	SetAdmissionThreshold                  the cluster has a new threshold, below which jobs are shed
 //	UpdateJobClasses, ShutDownBy           the configuration has changed; the node shuts down
-//	BlockSlowStartUntil, ImportLearned     at a restart: the previous process uses the slow-start budget; its learned state
+//	BlockSlowStartUntil, ImportLearned     at a restart: the other process of this node uses the slow-start
+//	                                       budget; the learned state of the predecessor
 //
 // The caller asks for three kinds of decision:
 //
@@ -47,8 +48,9 @@
 //
 //  1. Slow start: an executor that has just started has a cap on attempts in flight, which grows with each completed
 //     attempt. A few nodes share a budget of work for it (slow_start.go).
-//  2. Ejection: an executor that returns errors, loses connections or is unresponsive gets no attempts for a while, or until
-//     it answers a health check. It returns with a cap of one attempt in flight (outlier.go, health_check.go).
+//  2. Ejection: an executor that returns errors, loses connections, reaches its inactivity timeout or is unresponsive gets
+//     no attempts for a while, or until it answers a health check. It returns with a cap of one attempt in flight
+//     (outlier.go, health_check.go).
 //  3. Pace: a job doesn't use an executor that is predicted to miss the job's objective, and tokens of an executor with
 //     little capacity or long waits age more slowly (latency.go, and tokenAge in placement.go).
 //  4. Migration and hedging: an attempt that doesn't start, or makes slow progress, is canceled and sent to another executor
--- a/policy/job.go
+++ b/policy/job.go
@@ -20,7 +20,7 @@
 	finished    bool          // the client has its answer or has left
 
 	firstTry         bool    // no earlier try of the client is known, nor indicated by the budget
-	shortBudget      bool    // the client waits for less than half of the deadline
+	shortBudget      bool    // the client's timeout, not an earlier try, makes the budget less than half of the deadline
 	startMargin      float64 // factor for the running time that must be left at the latest start
 	predictionMargin float64 // factor for the running time in the prediction whether an executor meets the objective
 	lowSlack         bool    // the job arrived with less than half of its slack left
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -14,7 +14,7 @@
 	Kinds       []LearnedKind
 	Executors   []LearnedExecutor
 	MeanValue   float64 // mean value of a job
-	MeanDensity float64 // mean value density: value per second of work
+	MeanDensity float64 // mean of the jobs' marginal value per second of work
 }
 
 // LearnedClass is the learned state of a job class of the current configuration.
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -22,7 +22,7 @@
 	Admitted   float64                 // work of the jobs that arrived and were not shed, without jobs of low slack
 	Completed  float64                 // work of the jobs that were completed
 	Migrations float64                 // work of the attempts that would be migrated if migrations were not limited
-	Expired    float64                 // work of the jobs that got no token in time
+	Expired    float64                 // work of the jobs given up with attempts left, after a wait here or at an executor
 	Waiting    float64                 // work of the jobs that wait now, here or at an executor, each divided by its slack
 	Capacity   float64                 // work per second that all available executors of the endpoint list can do
 }
@@ -167,8 +167,9 @@
 	return capacity
 }
 
-// recordExpired adds the work of a job that got no token in time. A job that arrived with too little time has not waited
-// and is left out: a threshold that is raised for such jobs would rise without end.
+// recordExpired adds the work of a job that is rejected or fails although it has attempts left, whether or not an attempt
+// was sent before. A job that arrived with low slack, or at most a quantum ago, has hardly waited and is left out: a
+// threshold that is raised for such jobs would rise without end.
 func (d *Dispatcher) recordExpired(j *job) {
 	waited := d.clock.now-j.arrivedAt > d.config.quantum
 	if !j.lowSlack && waited && j.attemptCount < j.class.maxAttempts {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -149,7 +149,8 @@
 }
 
 // isUsable reports whether e may get new attempts of this node, regardless of tokens: e is available in the endpoint list
-// (rule 3), is neither unresponsive nor ejected, and, if it is in slow start, this node is one of its senders.
+// (rule 3), is neither unresponsive nor ejected, and, if it is in slow start, this node is one of its senders and the
+// slow-start budget is not blocked for this process (blockedUntil), because another process of this node uses it.
 func (d *Dispatcher) isUsable(e *executor, now time.Duration) bool {
 	if !e.available || e.health.unresponsive || e.health.ejectedUntil > now {
 		return false
@@ -186,8 +187,9 @@
 
 // prefersOtherZones reports whether j prefers other zones from the start. While this zone is overloaded, that is so for the
 // fraction of jobs that would make the loads equal, reduced for the cost of crossing zones. Each job has its own random
-// number, so that not all jobs cross at the same time. Without this preference, a zone with far more traffic than executors
-// would keep all its jobs, because some token there is always free.
+// number, so that the nodes, which see about the same loads and decide alone, don't all send their jobs to other zones at
+// once. Without this preference, a zone with far more traffic than executors would keep all its jobs, because some token
+// there is always free.
 func (d *Dispatcher) prefersOtherZones(j *job) bool {
 	return d.config.crossZoneCost > 0 && d.zoneLoad.local > 1 &&
 		j.crossZoneDraw < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	minQueueDensity   = 1e-3 // least value density in the queue key, as a multiple of the mean density
+	minQueueDensity   = 1e-3 // least density of the marginal value in the queue key, as a multiple of the mean
 	minQueueLateValue = 1e-3 // least late value in the queue key
 	queueScanFactor   = 2    // jobs of each list that one scan looks at, for each member of the subset
 )
@@ -33,7 +33,8 @@
 // rescan requests a scan of the queue in the next turn, because a token may have been released.
 func (q *jobQueue) rescan() { q.tokenFreed = true }
 
-// startInterval begins a new quota interval. The queue counts as used in it if jobs are waiting at its start.
+// startInterval begins a new quota interval. The queue counts as used in it if jobs that can still meet their objective are
+// waiting at its start.
 func (q *jobQueue) startInterval() {
 	q.usedThisInterval = len(q.onTime) > 0
 	q.rescan()
@@ -84,8 +85,9 @@
 }
 
 // queueJob puts j into the queue, or moves it to the list of late jobs once it has no slack left. The queue key is the
-// current time plus the slack divided by the value density, so that of two jobs with the same slack the one of higher value
-// density is placed first. For a late job, the class's deadline divided by its late value takes the place of the slack.
+// current time plus the slack divided by the density of the job's marginal value (per second of work, as a multiple of the
+// mean), so that of two jobs with the same slack the one of higher density is placed first. For a late job, the class's
+// deadline divided by its late value takes the place of the slack.
 func (d *Dispatcher) queueJob(j *job, now time.Duration) {
 	slack := j.objectiveAt - now - j.work
 	pastObjective := slack < 0
--- a/policy/value.go
+++ b/policy/value.go
@@ -21,7 +21,7 @@
 // valueAverages holds the averages that a job's value is compared with.
 type valueAverages struct {
 	mean                  float64   // mean value of a job
-	meanDensity           float64   // mean value density of a job
+	meanDensity           float64   // mean of the jobs' marginal value per second of work
 	worstClass            *jobClass // class that earned the lowest fraction of its requested value; nil: none
 	worstClassValuePerJob float64   // value of worstClass's jobs, averaged over the jobs of all classes
 }
