--- a/internal/emulator/lease.go
+++ b/internal/emulator/lease.go
@@ -35,8 +35,8 @@
 // Restart empties the table, as a restart of the executor does.
 func (l *LeaseTable) Restart() { l.jobs, l.restarted = map[policy.JobID]*leaseRecord{}, true }
 
-// Accept reports whether an attempt may run, and records it if it may. It may not if its epoch or a newer one was
-// accepted or queried before. Epoch 0 stands for an attempt without a lease, which may always run.
+// Accept reports whether an attempt may run, and records it if it may. It may not if the table has its epoch or a newer
+// one, from an earlier attempt or query. Epoch 0 stands for an attempt without a lease, which may always run.
 func (l *LeaseTable) Accept(job policy.JobID, epoch uint32) bool {
 	if epoch == 0 {
 		return true
@@ -48,7 +48,7 @@
 	return true
 }
 
-// Finish records the result of an attempt, unless a newer epoch is known.
+// Finish records the result of an attempt, unless a newer epoch is known or a restart has lost the lease.
 func (l *LeaseTable) Finish(job policy.JobID, epoch uint32, result []byte) {
 	if record := l.jobs[job]; record != nil && record.epoch == epoch {
 		record.finished, record.result = true, result
