--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -69,17 +69,17 @@
 
 // AccountRow is the account of some of the works.
 type AccountRow struct {
-	Name       string             `json:"name"`
-	Works      int                `json:"works"`
-	Less       int                `json:"less"`  // works that earned less than their full value
-	Never      int                `json:"never"` // works that earned nothing
-	Offered    float64            `json:"offered"`
-	Earned     float64            `json:"earned"`
-	Sent       float64            `json:"sent"`           // work sent to executors as a share of the work offered; over 1 if some was sent repeatedly
-	Lost       map[string]float64 `json:"lost"`           // value, by cause
-	TimeMS     map[string]float64 `json:"time_ms"`        // mean time by cause of the works that earned less; running includes the work itself
-	SubsetSize float64            `json:"slice,omitzero"` // effective number of executors that a node used, on average
-	SubsetLoad float64            `json:"load,omitzero"`  // load of those, as a share of their capacity
+	Name          string             `json:"name"`
+	Works         int                `json:"works"`
+	EarnedLess    int                `json:"less"`  // works that earned less than their full value
+	EarnedNothing int                `json:"never"` // works that earned nothing
+	Offered       float64            `json:"offered"`
+	Earned        float64            `json:"earned"`
+	Sent          float64            `json:"sent"`           // work sent to executors as a share of the work offered; over 1 if some was sent repeatedly
+	Lost          map[string]float64 `json:"lost"`           // value, by cause
+	TimeMS        map[string]float64 `json:"time_ms"`        // mean time by cause of the works that earned less; running includes the work itself
+	SubsetSize    float64            `json:"slice,omitzero"` // effective number of executors that a node used, on average
+	SubsetLoad    float64            `json:"load,omitzero"`  // load of those, as a share of their capacity
 
 	lostByCause, timeByCause [causeCount]float64
 	workOffered, workSent    float64 // in seconds on a standard core
@@ -96,9 +96,9 @@
 	if earned >= work.Value {
 		return
 	}
-	r.Less++
+	r.EarnedLess++
 	if earned == 0 {
-		r.Never++
+		r.EarnedNothing++
 	}
 	r.lostByCause[cause] += work.Value - earned
 	for c, t := range times {
@@ -109,8 +109,8 @@
 // add adds another row.
 func (r *AccountRow) add(other AccountRow) {
 	r.Works += other.Works
-	r.Less += other.Less
-	r.Never += other.Never
+	r.EarnedLess += other.EarnedLess
+	r.EarnedNothing += other.EarnedNothing
 	r.Offered += other.Offered
 	r.Earned += other.Earned
 	for c := range causeCount {
@@ -132,7 +132,7 @@
 			r.Lost[c.String()] = r.lostByCause[c]
 		}
 		if r.timeByCause[c] > 0 {
-			r.TimeMS[c.String()] = r.timeByCause[c] * 1e3 / float64(r.Less)
+			r.TimeMS[c.String()] = r.timeByCause[c] * 1e3 / float64(r.EarnedLess)
 		}
 	}
 }
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -18,7 +18,7 @@
 // accountLedger records what an account needs while a world is played. It observes and changes nothing. The methods of a nil ledger,
 // which is that of a world without an account, record nothing.
 type accountLedger struct {
-	world     *World
+	world     *Simulation
 	open      map[invariants.WorkID]*jobHistory
 	classes   []AccountRow
 	nodes     []nodeRow
--- a/internal/simulation/account_print.go
+++ b/internal/simulation/account_print.go
@@ -46,7 +46,7 @@
 	head: "\tbatch jobs\tless\tnothing\tsent\toffered\tearned\tlost",
 	cells: func(r AccountRow) string {
 		earned := ratio(r.Earned, r.Offered)
-		return fmt.Sprintf("%d\t%d\t%d\t%.3f\t%.0f\t%.4f\t%.4f", r.Works, r.Less, r.Never, r.Sent, r.Offered, earned, 1-earned)
+		return fmt.Sprintf("%d\t%d\t%d\t%.3f\t%.0f\t%.4f\t%.4f", r.Works, r.EarnedLess, r.EarnedNothing, r.Sent, r.Offered, earned, 1-earned)
 	},
 	value:  func(r AccountRow, c Cause) float64 { return r.lostByCause[c] / max(r.Offered, 1e-9) },
 	format: "%.4f\t",
@@ -60,7 +60,7 @@
 		}
 		return fmt.Sprintf("%.1f\t%.3f", r.SubsetSize, r.SubsetLoad)
 	},
-	value:  func(r AccountRow, c Cause) float64 { return r.timeByCause[c] * 1e3 / float64(max(r.Less, 1)) },
+	value:  func(r AccountRow, c Cause) float64 { return r.timeByCause[c] * 1e3 / float64(max(r.EarnedLess, 1)) },
 	format: "%.0f\t",
 }
 
--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -54,14 +54,14 @@
 		for _, r := range rows {
 			row(r)
 			sum.Works += r.Works
-			sum.Less += r.Less
+			sum.EarnedLess += r.EarnedLess
 			sum.Offered += r.Offered
 			sum.Earned += r.Earned
 		}
 		near(name+": offered", a.All.Offered, sum.Offered)
 		near(name+": earned", a.All.Earned, sum.Earned)
-		if sum.Works != a.All.Works || sum.Less != a.All.Less {
-			t.Errorf("%s, seed %d, %s: %d of %d batch jobs, %d of %d that earned less", name, a.Seed, a.Policy, sum.Works, a.All.Works, sum.Less, a.All.Less)
+		if sum.Works != a.All.Works || sum.EarnedLess != a.All.EarnedLess {
+			t.Errorf("%s, seed %d, %s: %d of %d batch jobs, %d of %d that earned less", name, a.Seed, a.Policy, sum.Works, a.All.Works, sum.EarnedLess, a.All.EarnedLess)
 		}
 	}
 	if a.All.Works != r.Works() {
@@ -143,7 +143,7 @@
 		name   string
 		world  func(*Scenario)
 		policy Policy
-		module func(*World, *simNode, node.Policy) node.Policy
+		module func(*Simulation, *simNode, node.Policy) node.Policy
 		causes []Cause
 	}{
 		{"all executors are slow", func(s *Scenario) { s.Fleet.Speed = 0.3 }, RandomPolicy, nil, []Cause{RunningSlow}},
@@ -155,7 +155,7 @@
 		{"one executor is full, and nodes hold what it has no place for", func(s *Scenario) {
 			s.Fleet.Executors, s.Load.Utilization = 1, 1.3
 		}, BestPolicy, nil, []Cause{QueuedAtNode, SentTooLate, NeverSent}},
-		{"a node knows of no executor", nil, ModulePolicy, func(_ *World, n *simNode, m node.Policy) node.Policy {
+		{"a node knows of no executor", nil, ModulePolicy, func(_ *Simulation, n *simNode, m node.Policy) node.Policy {
 			if n.id == 0 {
 				return policyWithoutEndpoints{m}
 			}
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -99,7 +99,7 @@
 }
 
 // idempotencyKey is what the jobs of a work carry if its class has keys; "" otherwise.
-func (w *World) idempotencyKey(work *emulator.Work) string {
+func (w *Simulation) idempotencyKey(work *emulator.Work) string {
 	if w.jobClasses[work.Class].Idempotency == policy.IdempotentWithKey {
 		return string(work.ID)
 	}
@@ -107,7 +107,7 @@
 }
 
 // newAttempt is what an executor receives for a request's attempt.
-func (w *World) newAttempt(request *clientRequest, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Attempt {
+func (w *Simulation) newAttempt(request *clientRequest, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Attempt {
 	work := request.work
 	class := &w.classes[work.Class]
 	attempt := emulator.Attempt{Conn: key, Node: from, Job: request.job, Work: work.ID, Class: work.Class, Priority: class.Priority,
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -229,7 +229,7 @@
 }
 
 // assignedWork is the work that the best policy has sent to an executor and that has not arrived yet.
-func (w *World) assignedWork(x *executor) (work []float64) {
+func (w *Simulation) assignedWork(x *executor) (work []float64) {
 	x.assigned = slices.DeleteFunc(x.assigned, func(job *baselineJob) bool {
 		n := job.request.node
 		return job.request.delivered || !job.attemptOut || !n.up || n.incarnation != job.request.incarnation
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -36,7 +36,7 @@
 }
 
 // sampleCapacity adds the bin that begins now: the capacity of the executors that work and that a running node can reach.
-func (r *Result) sampleCapacity(w *World) {
+func (r *Result) sampleCapacity(w *Simulation) {
 	capacity := 0.0
 	for _, x := range w.executors {
 		trouble := x.Faults()
@@ -53,7 +53,7 @@
 }
 
 // reachable says whether a running node may send to an executor: their zones are linked, and operators have not excluded it there.
-func (w *World) reachable(x *executor) bool {
+func (w *Simulation) reachable(x *executor) bool {
 	for _, n := range w.nodes {
 		_, excluded := n.excluded[x.ID]
 		if n.up && !n.suspended && !excluded && w.linked(n.zone, x.Zone) {
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -17,13 +17,13 @@
 // zoneClients are the clients of a zone, and the front layer that spreads their requests over nodes.
 type zoneClients struct {
 	*emulator.Clients
-	world      *World
+	world      *Simulation
 	zone       policy.ZoneID
 	roundRobin int
 }
 
 // buildClients makes the clients of each zone and schedules their first works.
-func (w *World) buildClients() {
+func (w *Simulation) buildClients() {
 	fleet, load := &w.scenario.Fleet, &w.scenario.Load
 	capacity := 0.0
 	for _, x := range w.executors {
--- a/internal/simulation/conn_faults.go
+++ b/internal/simulation/conn_faults.go
@@ -16,7 +16,7 @@
 const resetPeriod = time.Second
 
 // beginConnFault begins a fault on connections that are open.
-func (w *World) beginConnFault(fault emulator.Fault) {
+func (w *Simulation) beginConnFault(fault emulator.Fault) {
 	switch fault.Kind {
 	case emulator.SilentOld:
 		for _, conn := range w.openConns() {
@@ -32,7 +32,7 @@
 }
 
 // repeatUntil runs a function now and each resetPeriod until a time.
-func (w *World) repeatUntil(until time.Duration, run func()) {
+func (w *Simulation) repeatUntil(until time.Duration, run func()) {
 	run()
 	if w.now+resetPeriod < until {
 		w.after(resetPeriod, func() { w.repeatUntil(until, run) })
@@ -40,7 +40,7 @@
 }
 
 // openConns are all open connections between nodes and executors, in an order that only the seed decides.
-func (w *World) openConns() (all []faultableConn) {
+func (w *Simulation) openConns() (all []faultableConn) {
 	for _, n := range w.nodes {
 		if n.process != nil && n.up {
 			all = append(all, n.process.openConns()...)
@@ -55,7 +55,7 @@
 }
 
 // resetOpenConns breaks a share of the open connections to executors.
-func (w *World) resetOpenConns(share float64) {
+func (w *Simulation) resetOpenConns(share float64) {
 	for _, conn := range w.openConns() {
 		if w.networkRand.Float64() < share {
 			conn.breakAt(time.Duration(w.networkRand.Int64N(int64(resetPeriod))))
@@ -64,7 +64,7 @@
 }
 
 // resetClientConns breaks a share of the connections on which clients wait.
-func (w *World) resetClientConns(share float64) {
+func (w *Simulation) resetClientConns(share float64) {
 	for _, n := range w.nodes {
 		for _, request := range n.openRequests() {
 			if n.up && w.networkRand.Float64() < share {
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -77,8 +77,8 @@
 }
 
 // changeEvent changes events of one type before the state machine sees them.
-func changeEvent[E node.Event](change func(*World, *simNode, E) []node.Event) func(*World, *simNode, node.Event) []node.Event {
-	return func(w *World, n *simNode, ev node.Event) []node.Event {
+func changeEvent[E node.Event](change func(*Simulation, *simNode, E) []node.Event) func(*Simulation, *simNode, node.Event) []node.Event {
+	return func(w *Simulation, n *simNode, ev node.Event) []node.Event {
 		if e, ok := ev.(E); ok {
 			return change(w, n, e)
 		}
@@ -87,8 +87,8 @@
 }
 
 // changeEffect changes effects of one type before they are carried out.
-func changeEffect[E node.Effect](change func(*World, *simNode, E) []node.Effect) func(*World, *simNode, node.Effect) []node.Effect {
-	return func(w *World, n *simNode, e node.Effect) []node.Effect {
+func changeEffect[E node.Effect](change func(*Simulation, *simNode, E) []node.Effect) func(*Simulation, *simNode, node.Effect) []node.Effect {
+	return func(w *Simulation, n *simNode, e node.Effect) []node.Effect {
 		if e, ok := e.(E); ok {
 			return change(w, n, e)
 		}
@@ -115,8 +115,8 @@
 	return d
 }
 
-func changeAttemptEnd(change func(*node.AttemptEnded)) func(*World, *simNode, node.Event) []node.Event {
-	return changeEvent(func(_ *World, _ *simNode, ev node.AttemptEnded) []node.Event {
+func changeAttemptEnd(change func(*node.AttemptEnded)) func(*Simulation, *simNode, node.Event) []node.Event {
+	return changeEvent(func(_ *Simulation, _ *simNode, ev node.AttemptEnded) []node.Event {
 		change(&ev)
 		return []node.Event{ev}
 	})
@@ -124,7 +124,7 @@
 
 var defects = []defect{
 	{"the reducer forgets that an executor drains", invariants.DrainRespected, nil, injectedDefects{
-		event: changeEvent(func(_ *World, _ *simNode, ev node.EndpointsUpdated) []node.Event {
+		event: changeEvent(func(_ *Simulation, _ *simNode, ev node.EndpointsUpdated) []node.Event {
 			for i := range ev.Endpoints {
 				if ev.Endpoints[i].State == policy.Draining {
 					ev.Endpoints[i].State = policy.Available
@@ -135,7 +135,7 @@
 	{"the reducer forgets with the next list what operators have taken out", invariants.DrainRespected, func(s *Scenario) {
 		s.Faults = append(s.Faults, Fault{Kind: emulator.Excluded, At: Span(3 * time.Second), For: Span(14 * time.Second), Where: []string{"e9", "e11"}})
 	}, injectedDefects{
-		event: changeEvent(func(w *World, n *simNode, e node.EndpointsUpdated) []node.Event {
+		event: changeEvent(func(w *Simulation, n *simNode, e node.EndpointsUpdated) []node.Event {
 			for _, id := range slices.Sorted(maps.Keys(n.excluded)) {
 				for _, e := range n.reducer.Step(w.now-n.startedAt, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
 					n.execute(e)
@@ -144,7 +144,7 @@
 			return []node.Event{e}
 		})}},
 	{"the list's edge sits on its news", invariants.DrainRespected, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightInterval = 0 }, injectedDefects{
-		event: changeEvent(func(w *World, n *simNode, ev node.EndpointsUpdated) []node.Event {
+		event: changeEvent(func(w *Simulation, n *simNode, ev node.EndpointsUpdated) []node.Event {
 			if ev.Kind != policy.IncrementalUpdate {
 				return []node.Event{ev}
 			}
@@ -156,16 +156,16 @@
 			return nil
 		})}},
 	{"the reducer answers twice", invariants.OneAnswer, nil, injectedDefects{
-		effect: changeEffect(func(_ *World, _ *simNode, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
+		effect: changeEffect(func(_ *Simulation, _ *simNode, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
 	{"results are lost within the node", invariants.OneAnswer, nil, injectedDefects{
-		effect: changeEffect(func(w *World, _ *simNode, a node.Answer) []node.Effect {
+		effect: changeEffect(func(w *Simulation, _ *simNode, a node.Answer) []node.Effect {
 			if a.Final == node.Succeeded && w.steps%20 == 0 {
 				return nil
 			}
 			return []node.Effect{a}
 		})}},
 	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Utilization = 1.5 }, injectedDefects{
-		event: changeEvent(func(w *World, _ *simNode, ev node.JobArrived) []node.Event {
+		event: changeEvent(func(w *Simulation, _ *simNode, ev node.JobArrived) []node.Event {
 			ev.Job.Budget *= 2
 			return []node.Event{ev}
 		}),
@@ -182,7 +182,7 @@
 			}
 		})}},
 	{"what is answered is sent once more", invariants.OneAnswer, nil, injectedDefects{
-		effect: changeEffect(func(w *World, n *simNode, a node.Answer) []node.Effect {
+		effect: changeEffect(func(w *Simulation, n *simNode, a node.Answer) []node.Effect {
 			t := n.requests[a.Job]
 			if a.Final == node.Succeeded && t != nil && w.jobClasses[t.work.Class].Idempotency == policy.Idempotent {
 				for _, c := range sortedByID(n.conns) {
@@ -206,16 +206,16 @@
 			}
 		})}},
 	{"the module sends what it should break off", invariants.NoEffectTwice, nil, injectedDefects{
-		policy: func(w *World, _ *simNode, m node.Policy) node.Policy { return &retryingPolicy{m, w.executors} }}},
+		policy: func(w *Simulation, _ *simNode, m node.Policy) node.Policy { return &retryingPolicy{m, w.executors} }}},
 	{"what is broken off is told as pushed back", invariants.NoEffectTwice, nil, injectedDefects{
-		effect: changeEffect(func(_ *World, _ *simNode, a node.Answer) []node.Effect {
+		effect: changeEffect(func(_ *Simulation, _ *simNode, a node.Answer) []node.Effect {
 			if a.Final == node.Failed {
 				a.Final = node.Rejected
 			}
 			return []node.Effect{a}
 		})}},
 	{"a next allocation goes out before the last one's outcome", invariants.NoEffectTwice, nil, injectedDefects{
-		effect: changeEffect(func(_ *World, n *simNode, e node.CloseConn) []node.Effect {
+		effect: changeEffect(func(_ *Simulation, n *simNode, e node.CloseConn) []node.Effect {
 			c := n.conns[e.Conn]
 			if c == nil || c.state != connUp || c.attempt == nil {
 				return []node.Effect{e}
@@ -267,7 +267,7 @@
 	{"the leaving is forgotten", invariants.ClientPresent, leavingClients, injectedDefects{hideClientLeft: true, hideClientGone: true}},
 	{"nobody looks before an attempt's first byte", invariants.ClientPresent, leavingClientsOfSuspendedNodes, injectedDefects{hideClientGone: true}},
 	{"what is given up on is held for a while", invariants.PromptAnswer, nil, injectedDefects{
-		effect: changeEffect(func(w *World, n *simNode, a node.Answer) []node.Effect {
+		effect: changeEffect(func(w *Simulation, n *simNode, a node.Answer) []node.Effect {
 			if t := n.requests[a.Job]; a.Final == node.Rejected && t != nil && t.work.Deadline > w.now+time.Second {
 				n.after(300*time.Millisecond, func() { n.execute(a) })
 				return nil
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -146,7 +146,7 @@
 // drawFeatures draws what the policy may do beside one attempt at a time.
 func drawFeatures(r *rand.Rand, f *Fleet) {
 	f.MayHedge = oneIn(r, 2)
-	f.MayProbe = oneIn(r, 2)
+	f.MayCheckHealth = oneIn(r, 2)
 }
 
 // drawGossip draws whether nodes gossip, and what goes wrong with their messages then.
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -121,14 +121,14 @@
 }
 
 // updateEndpoint changes an executor's entry at discovery; nodes are notified once discovery has it.
-func (w *World) updateEndpoint(entry emulator.Entry) {
+func (w *Simulation) updateEndpoint(entry emulator.Entry) {
 	at := w.discovery.Change(w.now, entry)
 	w.checker.EndpointPublished(at, entry.Executor, entry.State)
 	w.notifyNodes(at)
 }
 
 // notifyNodes lets all nodes read discovery's updates, each at a time of its own soon after the given one.
-func (w *World) notifyNodes(at time.Duration) {
+func (w *Simulation) notifyNodes(at time.Duration) {
 	if w.wired != nil {
 		w.at(at, w.wired.notifyWatches)
 		return
@@ -142,7 +142,7 @@
 }
 
 // updateWeights sets all weights by the executors' load, again and again.
-func (w *World) updateWeights() {
+func (w *Simulation) updateWeights() {
 	at := time.Duration(0)
 	for _, x := range w.executors {
 		if entry, ok := w.discovery.Entry(x.ID); ok {
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -60,7 +60,7 @@
 }
 
 // at schedules a function; one in the past runs now.
-func (w *World) at(at time.Duration, run func()) {
+func (w *Simulation) at(at time.Duration, run func()) {
 	w.scheduled++
 	w.events.push(scheduledEvent{max(at, w.now), permute(w.seed ^ w.scheduled*scheduleGamma), run})
 	if w.wired != nil {
@@ -69,4 +69,4 @@
 }
 
 // after schedules a function after a delay.
-func (w *World) after(delay time.Duration, run func()) { w.at(w.now+delay, run) }
+func (w *Simulation) after(delay time.Duration, run func()) { w.at(w.now+delay, run) }
--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -11,7 +11,7 @@
 // executor is an emulated executor and its place in the world.
 type executor struct {
 	*emulator.Executor
-	world  *World
+	world  *Simulation
 	number int // of the scenario's executor, or of the one that this one replaces
 	addr   string
 	conns  map[emulator.ConnID]*executorConn
@@ -29,7 +29,7 @@
 	sockets     map[emulator.ConnID]*executorSocket
 }
 
-func (w *World) addExecutor(id string, number int, speed float64) *executor {
+func (w *Simulation) addExecutor(id string, number int, speed float64) *executor {
 	x := &executor{world: w, number: number, addr: w.newAddr(), conns: map[emulator.ConnID]*executorConn{}}
 	x.Executor = emulator.NewExecutor(w.scenario.Spec(id, number, speed), stream(w.seed, executorStream+id))
 	w.executors = append(w.executors, x)
@@ -38,7 +38,7 @@
 }
 
 // newAddr is an address that nobody had before.
-func (w *World) newAddr() string {
+func (w *Simulation) newAddr() string {
 	w.lastAddr++
 	return fmt.Sprintf("127.1.%d.%d:9000", w.lastAddr/250, w.lastAddr%250+1)
 }
@@ -144,6 +144,6 @@
 }
 
 // dedupMemory is what remembers the idempotency keys of a class that have reached an executor's dedup group.
-func (w *World) dedupMemory(x *executor, class policy.JobClassID) *emulator.DedupMemory {
+func (w *Simulation) dedupMemory(x *executor, class policy.JobClassID) *emulator.DedupMemory {
 	return w.memories.Of(class, w.jobClasses[class].DedupGroup, x.ExecutorSpec)
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -16,7 +16,7 @@
 var gossipFaults = []emulator.Kind{emulator.GossipPartitioned, emulator.FalseGossip, emulator.NodePaused, emulator.GossipLost, emulator.DiscoveryUnreachable}
 
 // scheduleFault schedules a fault's begin and end.
-func (w *World) scheduleFault(fault emulator.Fault) {
+func (w *Simulation) scheduleFault(fault emulator.Fault) {
 	w.at(fault.At, func() {
 		w.note("fault: %v", fault)
 		w.setFault(fault, true)
@@ -30,7 +30,7 @@
 }
 
 // setFault begins or ends a fault.
-func (w *World) setFault(fault emulator.Fault, on bool) {
+func (w *Simulation) setFault(fault emulator.Fault, on bool) {
 	if w.wired != nil && slices.Contains(gossipFaults, fault.Kind) {
 		return
 	}
@@ -69,7 +69,7 @@
 func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
 
 // setProcessFault begins or ends a fault on each executor, and each node, that it is on.
-func (w *World) setProcessFault(fault emulator.Fault, on bool) {
+func (w *Simulation) setProcessFault(fault emulator.Fault, on bool) {
 	for _, x := range w.faultedExecutors(fault) {
 		if on {
 			x.beginFault(fault)
@@ -87,7 +87,7 @@
 }
 
 // faultedExecutors are the executors that a fault is on; none if its kind is not on executors.
-func (w *World) faultedExecutors(fault emulator.Fault) (all []*executor) {
+func (w *Simulation) faultedExecutors(fault emulator.Fault) (all []*executor) {
 	if on, _ := fault.Kind.On(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
@@ -100,7 +100,7 @@
 }
 
 // faultedNodes are the nodes that a fault is on; none if its kind is not on nodes.
-func (w *World) faultedNodes(fault emulator.Fault) (all []*simNode) {
+func (w *Simulation) faultedNodes(fault emulator.Fault) (all []*simNode) {
 	if on, _ := fault.Kind.On(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
@@ -113,7 +113,7 @@
 }
 
 // setDiscoveryDelay delays all updates of the endpoint list, or ends the delay.
-func (w *World) setDiscoveryDelay(delay time.Duration, on bool) {
+func (w *Simulation) setDiscoveryDelay(delay time.Duration, on bool) {
 	w.discovery.SetDelay(delay)
 	if on {
 		w.checker.UnreachableUntil(invariants.NoNode, w.now+time.Duration(w.scenario.Fleet.DiscoveryLag)+delay)
@@ -123,7 +123,7 @@
 }
 
 // setDiscoverySilent stops discovery from answering, or lets it answer again.
-func (w *World) setDiscoverySilent(silent bool) {
+func (w *Simulation) setDiscoverySilent(silent bool) {
 	w.discovery.SetSilent(silent)
 	w.checker.SetUnreachable(w.now, invariants.NoNode, silent)
 	at := w.now
@@ -134,7 +134,7 @@
 }
 
 // setClientFault begins or ends a fault of the clients' traffic.
-func (w *World) setClientFault(fault emulator.Fault, on bool) {
+func (w *Simulation) setClientFault(fault emulator.Fault, on bool) {
 	for _, c := range w.clients {
 		switch {
 		case fault.Kind == emulator.Burst && on:
--- a/internal/simulation/fleet_defects_test.go
+++ b/internal/simulation/fleet_defects_test.go
@@ -46,14 +46,14 @@
 		{"a node tells its own echo as news", nil, func() injectedDefects {
 			heard := map[invariants.NodeID]map[cluster.NodeName]cluster.Rates{}
 			return injectedDefects{
-				event: changeEvent(func(_ *World, n *simNode, ev node.GossipReceived) []node.Event {
+				event: changeEvent(func(_ *Simulation, n *simNode, ev node.GossipReceived) []node.Event {
 					if heard[n.id] == nil {
 						heard[n.id] = map[cluster.NodeName]cluster.Rates{}
 					}
 					heard[n.id][ev.Message.From] = ev.Message.Rates
 					return []node.Event{ev}
 				}),
-				effect: changeEffect(func(_ *World, n *simNode, to node.SendGossip) []node.Effect {
+				effect: changeEffect(func(_ *Simulation, n *simNode, to node.SendGossip) []node.Effect {
 					for _, g := range heard[n.id] {
 						to.Message.Rates.Completed += g.Completed
 					}
@@ -65,7 +65,7 @@
 		}, injectedDefects{fleet: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, violatedBound},
 		{"a node tells more often than it may", nil, injectedDefects{fleet: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, violatedBound},
 		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Utilization = 0.8 }, injectedDefects{
-			event: changeEvent(func(_ *World, _ *simNode, ev node.GossipReceived) []node.Event {
+			event: changeEvent(func(_ *Simulation, _ *simNode, ev node.GossipReceived) []node.Event {
 				ev.Message.Rates.Migrations = 0
 				return []node.Event{ev}
 			})}, func(sound, r Result) string {
@@ -77,7 +77,7 @@
 		{"a cut line that never falls again", func(s *Scenario) {
 			s.Load.Utilization = 0.6
 			s.Faults = []Fault{{Kind: "burst", At: Span(2 * time.Second), For: Span(5 * time.Second), Size: 4}}
-		}, injectedDefects{policy: func(_ *World, _ *simNode, m node.Policy) node.Policy { return &risingThresholdPolicy{Policy: m} }}, func(_, r Result) string {
+		}, injectedDefects{policy: func(_ *Simulation, _ *simNode, m node.Policy) node.Policy { return &risingThresholdPolicy{Policy: m} }}, func(_, r Result) string {
 			last := r.seconds[12:15]
 			asked, earned := 0.0, 0.0
 			for _, s := range last {
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -99,7 +99,7 @@
 }
 
 // recordGossip records that a message was sent. A corrupted one may go by another node's name.
-func (w *World) recordGossip(message cluster.Message) {
+func (w *Simulation) recordGossip(message cluster.Message) {
 	bounds := &w.gossipBounds
 	id := cluster.MessageID{From: message.From, Incarnation: message.Incarnation, Seq: message.Seq}
 	if _, ok := bounds.sentAt[id]; !ok {
@@ -113,7 +113,7 @@
 }
 
 // violateBound reports that a bound does not hold.
-func (w *World) violateBound(n *simNode, text string, args ...any) {
+func (w *Simulation) violateBound(n *simNode, text string, args ...any) {
 	w.checker.GossipBoundExceeded(w.now, n.id, text, args...)
 	w.advanceChecker()
 }
--- a/internal/simulation/link.go
+++ b/internal/simulation/link.go
@@ -15,7 +15,7 @@
 type partition struct{ inboundUntil, outboundUntil time.Duration }
 
 // minDelay is the least delay between two zones, or within one.
-func (w *World) minDelay(from, to policy.ZoneID) time.Duration {
+func (w *Simulation) minDelay(from, to policy.ZoneID) time.Duration {
 	if from != to {
 		return time.Duration(w.scenario.Fleet.Far)
 	}
@@ -23,13 +23,13 @@
 }
 
 // randomDelay is a delay between two zones, up to a fifth over the least.
-func (w *World) randomDelay(from, to policy.ZoneID) time.Duration {
+func (w *Simulation) randomDelay(from, to policy.ZoneID) time.Duration {
 	least := w.minDelay(from, to)
 	return least + time.Duration(w.networkRand.Int64N(int64(least)/5+1))
 }
 
 // arrivalTime is when something that is sent now arrives. Through a partition it is sent again until it gets through.
-func (w *World) arrivalTime(from, to policy.ZoneID) time.Duration {
+func (w *Simulation) arrivalTime(from, to policy.ZoneID) time.Duration {
 	sent := w.now
 	if from != to {
 		sent = max(sent, w.partitions[from].outboundUntil, w.partitions[to].inboundUntil)
@@ -38,7 +38,7 @@
 }
 
 // linked says whether messages pass both ways between two zones.
-func (w *World) linked(a, b policy.ZoneID) bool {
+func (w *Simulation) linked(a, b policy.ZoneID) bool {
 	if a == b {
 		return true
 	}
@@ -51,7 +51,7 @@
 }
 
 // partitionZones lets nothing into a fault's zones, or out of them, until the fault ends.
-func (w *World) partitionZones(fault emulator.Fault, inbound, outbound bool) {
+func (w *Simulation) partitionZones(fault emulator.Fault, inbound, outbound bool) {
 	until := w.now + fault.For
 	for i, name := range w.scenario.Fleet.Zones {
 		if !slices.Contains(fault.Where, name) {
@@ -72,7 +72,7 @@
 }
 
 // isolateNodes lets the checker know that nothing reaches the nodes of a zone.
-func (w *World) isolateNodes(zone policy.ZoneID, until time.Duration) {
+func (w *Simulation) isolateNodes(zone policy.ZoneID, until time.Duration) {
 	for _, n := range w.nodes {
 		if n.zone == zone {
 			w.checker.UnreachableUntil(n.id, until)
--- a/internal/simulation/news_test.go
+++ b/internal/simulation/news_test.go
@@ -30,13 +30,13 @@
 			t.Errorf("seed %d breaks a rule with nothing planted: %v", seed, r.Violations[0])
 		}
 		synctesting.Test(t, func(t *testing.T) {
-			if r := New(s, seed, Options{}).PlayWired(); len(r.Violations) > 0 {
+			if r := New(s, seed, Options{}).PlayNetworked(); len(r.Violations) > 0 {
 				t.Errorf("seed %d, wired, breaks a rule with nothing planted: %v", seed, r.Violations[0])
 			}
 		})
 		caught := 0
 		w := New(s, seed, Options{MaxViolations: 1000})
-		w.defects.event = changeEvent(func(_ *World, n *simNode, ev node.JobArrived) []node.Event {
+		w.defects.event = changeEvent(func(_ *Simulation, n *simNode, ev node.JobArrived) []node.Event {
 			n.watchLost = true // and nobody says so
 			return []node.Event{ev}
 		})
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -15,7 +15,7 @@
 
 // simNode is a node of the world: its state machine, and a model of the process around it.
 type simNode struct {
-	world        *World
+	world        *Simulation
 	id           invariants.NodeID
 	name         string
 	zone         policy.ZoneID
@@ -97,7 +97,7 @@
 		MayLease:            fleet.Gossip && fleet.Leases && !wired,
 		MayHedge:            fleet.MayHedge,
 		ClientsMarkRetries:  n.world.scenario.Load.MarksRetries && !wired,
-		MayCheckHealth:      fleet.MayProbe && !wired,
+		MayCheckHealth:      fleet.MayCheckHealth && !wired,
 	}
 	longest := time.Duration(0)
 	for _, class := range n.world.jobClasses {
--- a/internal/simulation/observe.go
+++ b/internal/simulation/observe.go
@@ -13,7 +13,7 @@
 )
 
 // observe reports an observation of now to the checker and the trace. In a wired world it is buffered until its instant is over.
-func (w *World) observe(s invariants.Event) {
+func (w *Simulation) observe(s invariants.Event) {
 	s.At = w.now
 	if w.wired == nil {
 		w.report(s)
@@ -34,7 +34,7 @@
 }
 
 // report reports an observation to the trace and the checker.
-func (w *World) report(s invariants.Event) {
+func (w *Simulation) report(s invariants.Event) {
 	if w.traceFunc != nil {
 		w.traceFunc(s)
 	}
@@ -47,12 +47,12 @@
 }
 
 // note writes a line of text into the trace.
-func (w *World) note(format string, args ...any) {
+func (w *Simulation) note(format string, args ...any) {
 	w.observe(invariants.Event{Kind: invariants.Note, Node: invariants.NoNode, Text: fmt.Sprintf(format, args...)})
 }
 
 // advanceChecker lets the checker judge what was due by now.
-func (w *World) advanceChecker() {
+func (w *Simulation) advanceChecker() {
 	w.checker.AdvanceTo(w.now)
 	w.result.Violations = append(w.result.Violations, w.checker.Violations()[len(w.result.Violations):]...)
 }
--- a/internal/simulation/probe.go
+++ b/internal/simulation/probe.go
@@ -19,7 +19,7 @@
 			n.deliver(event)
 		}
 	}
-	w.result.Probes++
+	w.result.HealthChecks++
 	n.after(probeTimeout, func() { end(node.HealthCheckEnded{Executor: effect.Executor}) })
 	if x == nil {
 		return
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -69,7 +69,7 @@
 }
 
 // requestBody is the body of all requests; nobody reads what is in it.
-func (w *World) requestBody() []byte {
+func (w *Simulation) requestBody() []byte {
 	if w.result.requestBody == nil {
 		w.result.requestBody = make([]byte, w.scenario.Load.BodyBytes)
 	}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -22,7 +22,7 @@
 	Attempts      int `json:"allocations"` // attempts
 	Crossings     int `json:"crossings"`   // attempts to another zone
 	Hedges        int `json:"copies"`      // attempts while another one of the job was out
-	Probes        int `json:"probes"`
+	HealthChecks  int `json:"probes"`
 	Dials         int `json:"dials"`
 	FailedDials   int `json:"no_connection"` // dials that failed
 	QueuedStarts  int `json:"starts_waited"` // attempts that waited in their executor's queue
@@ -86,7 +86,7 @@
 }
 
 // recordRequestEnd records the end of a request and returns the value that it earned.
-func (r *Result) recordRequestEnd(w *World, work *emulator.Work, end emulator.End) (earned float64) {
+func (r *Result) recordRequestEnd(w *Simulation, work *emulator.Work, end emulator.End) (earned float64) {
 	class := &r.Classes[work.Class]
 	class.Requests++
 	switch end {
@@ -117,7 +117,7 @@
 const worstWindow = 10
 
 // finish fills in what is known at the world's end, and drops what is not needed any more.
-func (r *Result) finish(w *World) {
+func (r *Result) finish(w *Simulation) {
 	for _, n := range w.nodes {
 		r.recordMaxQueued(n)
 	}
--- a/internal/simulation/result_print.go
+++ b/internal/simulation/result_print.go
@@ -25,8 +25,8 @@
 	if r.PeerMessages > 0 {
 		fmt.Fprintf(to, "  %d words between nodes\n", r.PeerMessages)
 	}
-	if r.Hedges+r.Probes > 0 {
-		fmt.Fprintf(to, "  %d copies; %d probes\n", r.Hedges, r.Probes)
+	if r.Hedges+r.HealthChecks > 0 {
+		fmt.Fprintf(to, "  %d copies; %d probes\n", r.Hedges, r.HealthChecks)
 	}
 	if r.Panics > 0 {
 		fmt.Fprintf(to, "  the module broke %d times\n", r.Panics)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -60,7 +60,7 @@
 	ProgressInterval  Span    `toml:"tells-every"` // notices of progress; 0 for none
 	ReportsLoad       bool    `toml:"reports"`     // answers report load
 	MayHedge          bool    `toml:"copies"`      // idempotent jobs may be hedged
-	MayProbe          bool    `toml:"probes"`      // health checks
+	MayCheckHealth    bool    `toml:"probes"`      // health checks
 	ReportInterval    Span    `toml:"report-every"`
 
 	// The network.
--- a/internal/simulation/wired.go
+++ b/internal/simulation/wired.go
@@ -18,7 +18,7 @@
 // script are those of an event world; what passes between them is bytes. It reads the time by package time only: on a virtual clock
 // (testing/synctest) it takes as long as its work, elsewhere as long as the world lasts.
 type wiredWorld struct {
-	world       *World
+	world       *Simulation
 	net         *memnet.Net
 	start       time.Time
 	rescheduled chan struct{} // the next event may be another one now
@@ -45,7 +45,7 @@
 }
 
 // PlayWired plays the world on connections in memory, in a testing/synctest bubble.
-func (w *World) PlayWired() Result {
+func (w *Simulation) PlayNetworked() Result {
 	v := &wiredWorld{
 		world:            w,
 		start:            time.Now(),
--- a/internal/simulation/wired_node.go
+++ b/internal/simulation/wired_node.go
@@ -151,7 +151,7 @@
 // wiredConn is an open connection of a node's process.
 type wiredConn struct {
 	*memnet.Conn
-	world *World
+	world *Simulation
 }
 
 // silence lets nothing come back on the connection any more.
--- a/internal/simulation/wired_test.go
+++ b/internal/simulation/wired_test.go
@@ -19,7 +19,7 @@
 
 // playWired plays a world on connections in memory, on a virtual clock.
 func playWired(t *testing.T, s Scenario, seed uint64, o Options) (r Result) {
-	synctesting.Test(t, func(*testing.T) { r = New(s, seed, o).PlayWired() })
+	synctesting.Test(t, func(*testing.T) { r = New(s, seed, o).PlayNetworked() })
 	if r.Wrong > 0 {
 		t.Errorf("%s, seed %d: %d answers that no node should give", s.Name, seed, r.Wrong)
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -15,7 +15,7 @@
 )
 
 // World is a scenario that is played with a seed. It is used by one goroutine, or in a wired world under the lock of wiredWorld.
-type World struct {
+type Simulation struct {
 	scenario   Scenario
 	seed       uint64
 	classes    []emulator.JobClass // the scenario's job classes, as clients know them
@@ -65,9 +65,9 @@
 
 // injectedDefects are defects that tests inject to check the checker. All are zero in use.
 type injectedDefects struct {
-	policy func(*World, *simNode, node.Policy) node.Policy
-	event  func(*World, *simNode, node.Event) []node.Event
-	effect func(*World, *simNode, node.Effect) []node.Effect
+	policy func(*Simulation, *simNode, node.Policy) node.Policy
+	event  func(*Simulation, *simNode, node.Event) []node.Event
+	effect func(*Simulation, *simNode, node.Effect) []node.Effect
 
 	settings       func(*policy.Settings)
 	fleet          func(*cluster.Settings)
@@ -86,8 +86,8 @@
 }
 
 // New makes a world in which nothing has happened yet.
-func New(s Scenario, seed uint64, o Options) *World {
-	w := &World{
+func New(s Scenario, seed uint64, o Options) *Simulation {
+	w := &Simulation{
 		scenario:       s,
 		seed:           seed,
 		policy:         cmp.Or(o.Policy, ModulePolicy),
@@ -128,7 +128,7 @@
 )
 
 // Play plays the world until no client waits any more, or too many invariants are violated. A world is played once.
-func (w *World) Play() Result {
+func (w *Simulation) Play() Result {
 	w.build()
 	length, end := time.Duration(w.scenario.Length), w.lastDeadline()
 	for len(w.events) > 0 && len(w.result.Violations) < w.maxViolations {
@@ -151,7 +151,7 @@
 
 // sampleCapacity samples all bins that begin by a time. This is not an event of its own, because the order of events at one instant
 // depends on the number of events before them.
-func (w *World) sampleCapacity(until time.Duration) {
+func (w *Simulation) sampleCapacity(until time.Duration) {
 	for at := time.Duration(len(w.result.capacity)) * Bin; at <= until; at += Bin {
 		w.now = at
 		w.result.sampleCapacity(w)
@@ -159,7 +159,7 @@
 }
 
 // lastDeadline is when the last client has given up at the latest.
-func (w *World) lastDeadline() time.Duration {
+func (w *Simulation) lastDeadline() time.Duration {
 	length := time.Duration(w.scenario.Length)
 	end := length
 	for _, class := range w.classes {
@@ -169,7 +169,7 @@
 }
 
 // build sets up executors that have run for long, nodes that have the endpoint list, clients and the script of faults.
-func (w *World) build() {
+func (w *Simulation) build() {
 	w.buildExecutors()
 	w.buildNodes()
 	if w.account != nil {
@@ -187,7 +187,7 @@
 	}
 }
 
-func (w *World) buildExecutors() {
+func (w *Simulation) buildExecutors() {
 	fleet := &w.scenario.Fleet
 	speeds := stream(w.seed, speedStream)
 	for i := range fleet.Executors {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (w *World) buildNodes() {
+func (w *Simulation) buildNodes() {
 	fleet := &w.scenario.Fleet
 	for i := range fleet.Nodes {
 		n := &simNode{world: w, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(fleet.Zones)), trafficShare: 1}
