--- a/internal/simulation/account_history.go
+++ b/internal/simulation/account_history.go
@@ -10,7 +10,7 @@
 )
 
 // notSeen is the time of what did not happen.
-const notSeen = time.Duration(-1)
+const unsetTime = time.Duration(-1)
 
 // jobHistory is what happened to a work.
 type jobHistory struct {
@@ -23,12 +23,12 @@
 
 // requestHistory is what happened to a request.
 type requestHistory struct {
-	submitted, arrived, answered, done time.Duration
-	end                                emulator.End
+	submittedAt, arrivedAt, answeredAt, doneAt time.Duration
+	end                                        emulator.End
 }
 
 func newRequestHistory(submitted time.Duration) *requestHistory {
-	return &requestHistory{submitted: submitted, arrived: notSeen, answered: notSeen, done: notSeen}
+	return &requestHistory{submittedAt: submitted, arrivedAt: unsetTime, answeredAt: unsetTime, doneAt: unsetTime}
 }
 
 // lostWithNode says whether the node could not be reached or was lost.
@@ -39,28 +39,28 @@
 // attemptHistory is what happened to an attempt.
 type attemptHistory struct {
 	executor           *executor
-	sent               time.Duration
-	reached            time.Duration // the executor, with its last byte
-	began, ended       time.Duration // at the executor
+	sentAt             time.Duration
+	arrivedAt          time.Duration // the executor, with its last byte
+	startedAt, endedAt time.Duration // at the executor
 	endedAtNode        time.Duration // when the node was notified
 	dialedAt, connUpAt time.Duration // of the connection, if this is its first attempt
 	outcome            policy.Outcome
 	canceled           bool      // by its node
-	slow               bool      // ran on a slow core
-	idle               idleCores // when it was sent
+	onSlowCore         bool      // ran on a slow core
+	idleWhenSent       idleCores // when it was sent
 }
 
 func newAttemptHistory(x *executor) *attemptHistory {
-	return &attemptHistory{executor: x, sent: x.world.now, reached: notSeen, began: notSeen, ended: notSeen, endedAtNode: notSeen,
-		dialedAt: notSeen, connUpAt: notSeen}
+	return &attemptHistory{executor: x, sentAt: x.sim.now, arrivedAt: unsetTime, startedAt: unsetTime, endedAt: unsetTime, endedAtNode: unsetTime,
+		dialedAt: unsetTime, connUpAt: unsetTime}
 }
 
 // firstSent is when the first attempt was sent; notSeen without one.
-func (h *jobHistory) firstSent() time.Duration {
-	first := notSeen
+func (h *jobHistory) firstAttemptSentAt() time.Duration {
+	first := unsetTime
 	for _, attempt := range h.attempts {
-		if first == notSeen || attempt.sent < first {
-			first = attempt.sent
+		if first == unsetTime || attempt.sentAt < first {
+			first = attempt.sentAt
 		}
 	}
 	return first
@@ -68,24 +68,24 @@
 
 // cause says why a work lost value, if it did, and where its time went by now.
 func (h *jobHistory) cause(now time.Duration) (Cause, [causeCount]time.Duration) {
-	times, first, own := h.times(now), h.firstSent(), secondsOf(h.work.Cost)
+	times, first, runTime := h.times(now), h.firstAttemptSentAt(), secondsOf(h.work.Cost)
 	switch {
 	case h.work.LeavesAt <= now:
 		return ClientLeft, times
-	case first == notSeen && slices.ContainsFunc(h.requests, (*requestHistory).lostWithNode):
+	case first == unsetTime && slices.ContainsFunc(h.requests, (*requestHistory).lostWithNode):
 		return NodeLost, times
-	case first == notSeen:
+	case first == unsetTime:
 		return NeverSent, times
-	case first > h.work.Objective-own:
+	case first > h.work.Objective-runTime:
 		return SentTooLate, times
 	}
-	return longestCause(times, own), times
+	return longestCause(times, runTime), times
 }
 
 // longestCause is the cause with most time beyond the work's own time on a standard core.
-func longestCause(times [causeCount]time.Duration, own time.Duration) Cause {
+func longestCause(times [causeCount]time.Duration, runTime time.Duration) Cause {
 	if ran := times[RunningSlow] + times[RunningFast]; ran > 0 {
-		beyond := max(0, 1-float64(own)/float64(ran))
+		beyond := max(0, 1-float64(runTime)/float64(ran))
 		times[RunningSlow] = time.Duration(float64(times[RunningSlow]) * beyond)
 		times[RunningFast] = time.Duration(float64(times[RunningFast]) * beyond)
 	}
@@ -126,10 +126,10 @@
 
 // add adds a span; one that has not ended lasts to the timeline's end, one that has not begun is not added.
 func (t *timeline) add(from, to time.Duration, cause Cause, precedence precedence) {
-	if to == notSeen || to > t.end {
+	if to == unsetTime || to > t.end {
 		to = t.end
 	}
-	if from != notSeen && from < to {
+	if from != unsetTime && from < to {
 		t.spans = append(t.spans, timeSpan{from, to, cause, precedence})
 	}
 }
@@ -149,42 +149,42 @@
 
 func (t *timeline) addRequest(request *requestHistory) {
 	if request.lostWithNode() {
-		t.add(request.submitted, request.done, NodeLost, atFrontLayer)
+		t.add(request.submittedAt, request.doneAt, NodeLost, atFrontLayer)
 		return
 	}
-	t.add(request.submitted, request.done, InTransit, atFrontLayer)
-	leftNode := cmp.Or(max(request.answered, 0), max(request.done, 0), t.end)
-	t.add(request.arrived, leftNode, QueuedAtNode, atNode)
+	t.add(request.submittedAt, request.doneAt, InTransit, atFrontLayer)
+	leftNode := cmp.Or(max(request.answeredAt, 0), max(request.doneAt, 0), t.end)
+	t.add(request.arrivedAt, leftNode, QueuedAtNode, atNode)
 }
 
 func (t *timeline) addAttempt(attempt *attemptHistory) {
 	t.add(attempt.dialedAt, attempt.connUpAt, Connecting, connectingOrFailed)
 	until := attempt.endedAtNode
-	if until == notSeen {
+	if until == unsetTime {
 		until = t.end
 	}
 	switch attempt.outcome {
 	case policy.ExecutorFull:
-		t.add(attempt.sent, until, RejectedByExecutor, connectingOrFailed)
+		t.add(attempt.sentAt, until, RejectedByExecutor, connectingOrFailed)
 		return
 	case policy.ExecutorError, policy.InvalidRequest, policy.ConnectFailed, policy.ConnectionLost:
-		t.add(attempt.sent, until, Failed, connectingOrFailed)
+		t.add(attempt.sentAt, until, Failed, connectingOrFailed)
 		return
 	}
-	t.add(attempt.sent, until, InTransit, attemptInTransit)
-	if attempt.reached == notSeen || attempt.reached >= until {
+	t.add(attempt.sentAt, until, InTransit, attemptInTransit)
+	if attempt.arrivedAt == unsetTime || attempt.arrivedAt >= until {
 		return
 	}
-	began, ended := attempt.began, attempt.ended
-	if ended == notSeen {
+	began, ended := attempt.startedAt, attempt.endedAt
+	if ended == unsetTime {
 		ended = until
 	}
-	if began == notSeen {
+	if began == unsetTime {
 		began = ended
 	}
-	t.add(attempt.reached, min(began, until), InQueue, attemptQueued)
+	t.add(attempt.arrivedAt, min(began, until), InQueue, attemptQueued)
 	running := RunningFast
-	if attempt.slow {
+	if attempt.onSlowCore {
 		running = RunningSlow
 	}
 	t.add(began, min(ended, until), running, attemptRunning)
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	attemptWaits  = 5 * time.Millisecond // a start later than this after arrival counts as having waited; a new connection takes less
+	queuedAfter   = 5 * time.Millisecond // a start later than this after arrival counts as having waited; a new connection takes less
 	slowCoreSpeed = 0.9                  // relative to a standard core; slower ones count as slow
 )
 
 // accountLedger records what an account needs while a world is played. It observes and changes nothing. The methods of a nil ledger,
 // which is that of a world without an account, record nothing.
 type accountLedger struct {
-	world     *Simulation
-	open      map[invariants.WorkID]*jobHistory
+	sim       *Simulation
+	inFlight  map[invariants.WorkID]*jobHistory
 	classes   []AccountRow
 	nodes     []nodeRow
 	unreached AccountRow // of works that no node received
 
-	approaching  map[*executor]int     // attempts on their way to it
-	workReceived map[*executor]float64 // in seconds
+	attemptsInTransit map[*executor]int     // attempts on their way to it
+	workReceived      map[*executor]float64 // in seconds
 
 	// Attempts so far, those of them that waited, and those of these for which a core was idle elsewhere.
 	attempts, waited, idleUsed, idleZone, idleAny int
@@ -35,11 +35,11 @@
 }
 
 func (l *accountLedger) init() {
-	l.approaching, l.workReceived = map[*executor]int{}, map[*executor]float64{}
-	for _, class := range l.world.scenario.Classes {
+	l.attemptsInTransit, l.workReceived = map[*executor]int{}, map[*executor]float64{}
+	for _, class := range l.sim.scenario.Classes {
 		l.classes = append(l.classes, AccountRow{Name: class.Name})
 	}
-	for _, n := range l.world.nodes {
+	for _, n := range l.sim.nodes {
 		l.nodes = append(l.nodes, nodeRow{AccountRow: AccountRow{Name: n.name}, attemptsTo: map[*executor]int{}})
 	}
 }
@@ -49,23 +49,23 @@
 	if l == nil {
 		return
 	}
-	history := l.open[work.ID]
+	history := l.inFlight[work.ID]
 	if history == nil {
 		history = &jobHistory{work: work}
-		l.open[work.ID] = history
+		l.inFlight[work.ID] = history
 	}
 	if history.firstNode == nil && n != nil {
 		history.firstNode, history.idleAtArrival = n, l.idleCores(n, nil)
 	}
-	history.requests = append(history.requests, newRequestHistory(l.world.now))
+	history.requests = append(history.requests, newRequestHistory(l.sim.now))
 }
 
 // request is the history of a request, for the caller to write to; it is thrown away if the request is not its work's last one.
 func (l *accountLedger) request(request *clientRequest) *requestHistory {
-	if l == nil || l.open[request.work.ID] == nil || request.job != request.work.Job() {
+	if l == nil || l.inFlight[request.work.ID] == nil || request.job != request.work.Job() {
 		return &requestHistory{}
 	}
-	requests := l.open[request.work.ID].requests
+	requests := l.inFlight[request.work.ID].requests
 	return requests[len(requests)-1]
 }
 
@@ -76,11 +76,11 @@
 		return attempt
 	}
 	n := request.node
-	attempt.idle = l.idleCores(n, x)
+	attempt.idleWhenSent = l.idleCores(n, x)
 	l.nodes[n.id].attemptsTo[x]++
-	l.approaching[x]++
+	l.attemptsInTransit[x]++
 	l.attempts++
-	if history := l.open[request.work.ID]; history != nil {
+	if history := l.inFlight[request.work.ID]; history != nil {
 		history.attempts = append(history.attempts, attempt)
 	}
 	return attempt
@@ -91,8 +91,8 @@
 
 // idleCores says where a core is idle for a node now, at executors other than the given one.
 func (l *accountLedger) idleCores(n *simNode, except *executor) (idle idleCores) {
-	for _, x := range l.world.executors {
-		if x == except || x.InFlight()+l.approaching[x] >= x.Cores || !x.Up || x.unreachable || x.Draining {
+	for _, x := range l.sim.executors {
+		if x == except || x.InFlight()+l.attemptsInTransit[x] >= x.Cores || !x.Up || x.unreachable || x.Draining {
 			continue
 		}
 		idle.any = true
@@ -103,27 +103,27 @@
 }
 
 // recordReached records an attempt's arrival at its executor.
-func (l *accountLedger) recordReached(attempt *attemptHistory, work float64) {
-	attempt.reached = attempt.executor.world.now
+func (l *accountLedger) recordArrived(attempt *attemptHistory, work float64) {
+	attempt.arrivedAt = attempt.executor.sim.now
 	if l != nil {
-		l.approaching[attempt.executor]--
+		l.attemptsInTransit[attempt.executor]--
 		l.workReceived[attempt.executor] += work
 	}
 }
 
 // recordBegan records that the executor has started an attempt.
-func (l *accountLedger) recordBegan(attempt *attemptHistory) {
-	if attempt.began != notSeen {
+func (l *accountLedger) recordStarted(attempt *attemptHistory) {
+	if attempt.startedAt != unsetTime {
 		return
 	}
 	x := attempt.executor
-	attempt.began = x.world.now
-	attempt.slow = x.Speed/max(1, x.Faults().Slow) < slowCoreSpeed
-	if l != nil && attempt.began-attempt.reached > attemptWaits {
+	attempt.startedAt = x.sim.now
+	attempt.onSlowCore = x.Speed/max(1, x.Faults().Slow) < slowCoreSpeed
+	if l != nil && attempt.startedAt-attempt.arrivedAt > queuedAfter {
 		l.waited++
-		l.idleUsed += countTrue(attempt.idle.used)
-		l.idleZone += countTrue(attempt.idle.zone)
-		l.idleAny += countTrue(attempt.idle.any)
+		l.idleUsed += countTrue(attempt.idleWhenSent.used)
+		l.idleZone += countTrue(attempt.idleWhenSent.zone)
+		l.idleAny += countTrue(attempt.idleWhenSent.any)
 	}
 }
 
@@ -131,9 +131,9 @@
 func (l *accountLedger) recordAnswer(attempt *attemptHistory, answer emulator.MessageKind) {
 	switch answer {
 	case emulator.AttemptStarted:
-		l.recordBegan(attempt)
+		l.recordStarted(attempt)
 	case emulator.AttemptDone, emulator.AttemptFailed, emulator.AttemptRejected:
-		attempt.ended = attempt.executor.world.now
+		attempt.endedAt = attempt.executor.sim.now
 	}
 }
 
@@ -148,13 +148,13 @@
 // recordEnded records that the node is notified of an attempt's end. The attempt may still reach its executor, as a break does not stop
 // what is on its way; it then counts as arrived already.
 func (l *accountLedger) recordEnded(attempt *attemptHistory, outcome policy.Outcome) {
-	attempt.endedAtNode, attempt.outcome = attempt.executor.world.now, outcome
+	attempt.endedAtNode, attempt.outcome = attempt.executor.sim.now, outcome
 	if attempt.canceled {
 		attempt.outcome = policy.Canceled
 	}
-	if l != nil && attempt.reached == notSeen {
-		l.approaching[attempt.executor]--
-		attempt.reached = attempt.endedAtNode
+	if l != nil && attempt.arrivedAt == unsetTime {
+		l.attemptsInTransit[attempt.executor]--
+		attempt.arrivedAt = attempt.endedAtNode
 	}
 }
 
@@ -163,9 +163,9 @@
 	if l == nil {
 		return
 	}
-	history := l.open[work.ID]
-	delete(l.open, work.ID)
-	cause, times := history.cause(l.world.now)
+	history := l.inFlight[work.ID]
+	delete(l.inFlight, work.ID)
+	cause, times := history.cause(l.sim.now)
 	if cause <= QueuedAtNode && history.idleAtArrival.zone {
 		l.queuedIdleZone += work.Value - earned
 	}
@@ -184,22 +184,22 @@
 
 // finish makes the account; works that are still open have earned nothing.
 func (l *accountLedger) finish() *Account {
-	w := l.world
-	for _, id := range slices.Sorted(maps.Keys(l.open)) {
-		l.recordFinished(l.open[id].work, 0)
+	sim := l.sim
+	for _, id := range slices.Sorted(maps.Keys(l.inFlight)) {
+		l.recordFinished(l.inFlight[id].work, 0)
 	}
 	waited := float64(l.waited)
 	a := &Account{
-		Scenario:   w.scenario.Name,
-		Seed:       w.seed,
-		Policy:     w.policy,
-		Nodes:      len(w.nodes),
-		Executors:  len(w.executors),
-		Length:     w.scenario.Length,
-		Violations: len(w.result.Violations),
-		Worst:      w.result.Worst,
+		Scenario:   sim.scenario.Name,
+		Seed:       sim.seed,
+		Policy:     sim.policy,
+		Nodes:      len(sim.nodes),
+		Executors:  len(sim.executors),
+		Length:     sim.scenario.Length,
+		Violations: len(sim.result.Violations),
+		Worst:      sim.result.Worst,
 		Attempts:   l.attempts,
-		Crossings:  w.result.Crossings,
+		Crossings:  sim.result.Crossings,
 		Waited:     ratio(waited, float64(l.attempts)),
 		IdleUsed:   ratio(float64(l.idleUsed), waited),
 		IdleZone:   ratio(float64(l.idleZone), waited),
@@ -231,10 +231,10 @@
 
 // addNodes adds the rows of the nodes, and the load of the executors.
 func (l *accountLedger) addNodes(a *Account) {
-	executors := l.world.executors
+	executors := l.sim.executors
 	var busy []float64
 	for _, x := range executors {
-		capacity := float64(min(x.Cores, x.Slots)) * x.Speed * time.Duration(l.world.scenario.Length).Seconds()
+		capacity := float64(min(x.Cores, x.Slots)) * x.Speed * time.Duration(l.sim.scenario.Length).Seconds()
 		busy = append(busy, l.workReceived[x]/capacity)
 	}
 	for i := range l.nodes {
--- a/internal/simulation/account_print.go
+++ b/internal/simulation/account_print.go
@@ -36,14 +36,14 @@
 
 // accountTable is a table with a row for each AccountRow, and a column for each cause that is not 0 in all rows.
 type accountTable struct {
-	head   string                              // of the columns before the causes, separated by tabs
+	header string                              // of the columns before the causes, separated by tabs
 	cells  func(r AccountRow) string           // of those columns
 	value  func(r AccountRow, c Cause) float64 // of a cause's cell
 	format string                              // of that value
 }
 
 var lostTable = accountTable{
-	head: "\tbatch jobs\tless\tnothing\tsent\toffered\tearned\tlost",
+	header: "\tbatch jobs\tless\tnothing\tsent\toffered\tearned\tlost",
 	cells: func(r AccountRow) string {
 		earned := ratio(r.Earned, r.Offered)
 		return fmt.Sprintf("%d\t%d\t%d\t%.3f\t%.0f\t%.4f\t%.4f", r.Works, r.EarnedLess, r.EarnedNothing, r.Sent, r.Offered, earned, 1-earned)
@@ -53,7 +53,7 @@
 }
 
 var timeTable = accountTable{
-	head: "\tslice\tload",
+	header: "\tslice\tload",
 	cells: func(r AccountRow) string {
 		if r.SubsetSize == 0 {
 			return "\t"
@@ -72,7 +72,7 @@
 		}
 	}
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(table, "%s\t", t.head)
+	fmt.Fprintf(table, "%s\t", t.header)
 	for _, c := range shown {
 		fmt.Fprintf(table, "%s\t", c)
 	}
--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -91,11 +91,11 @@
 		}
 	}
 	// One that ends at the first violation, with open jobs.
-	w := New(faultyScenario(nil), 1, Options{Account: true, MaxViolations: 1})
-	w.defects.executor = func(x *emulator.Executor) { x.SetFaults(0, emulator.ExecutorFaults{FalseRejections: true}) }
-	r := w.Play()
-	if len(r.Violations) == 0 || w.openWorks == 0 {
-		t.Errorf("%d rules broken, %d batch jobs open: it shows nothing", len(r.Violations), w.openWorks)
+	sim := New(faultyScenario(nil), 1, Options{Account: true, MaxViolations: 1})
+	sim.defects.executor = func(x *emulator.Executor) { x.SetFaults(0, emulator.ExecutorFaults{FalseRejections: true}) }
+	r := sim.Play()
+	if len(r.Violations) == 0 || sim.worksInFlight == 0 {
+		t.Errorf("%d rules broken, %d batch jobs open: it shows nothing", len(r.Violations), sim.worksInFlight)
 	}
 	checkSums(t, r, r.Account)
 	// Worlds with all kinds of faults.
@@ -182,9 +182,9 @@
 		if at, err := s.check(); err != nil {
 			t.Fatal(c.name, at, err)
 		}
-		w := New(s, 5, Options{Policy: c.policy, Account: true})
-		w.defects.policy = c.module
-		r := w.Play()
+		sim := New(s, 5, Options{Policy: c.policy, Account: true})
+		sim.defects.policy = c.module
+		r := sim.Play()
 		checkSums(t, r, r.Account)
 		lost, here := r.Account.All.Offered-r.Account.All.Earned, 0.0
 		for _, cause := range c.causes {
@@ -202,12 +202,12 @@
 	t.Parallel()
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	h := &jobHistory{work: &emulator.Work{ArrivedAt: 0, Cost: 0.05}, requests: []*requestHistory{
-		{submitted: ms(0), arrived: ms(1), answered: ms(100), done: ms(101), end: emulator.EndRejected},
-		{submitted: ms(111), arrived: ms(112), answered: ms(400), done: ms(401), end: emulator.EndSucceeded},
+		{submittedAt: ms(0), arrivedAt: ms(1), answeredAt: ms(100), doneAt: ms(101), end: emulator.EndRejected},
+		{submittedAt: ms(111), arrivedAt: ms(112), answeredAt: ms(400), doneAt: ms(401), end: emulator.EndSucceeded},
 	}, attempts: []*attemptHistory{
-		{dialedAt: notSeen, sent: ms(20), reached: ms(22), began: notSeen, ended: ms(22), endedAtNode: ms(24), outcome: policy.ExecutorFull},
-		{dialedAt: ms(114), connUpAt: ms(118), sent: ms(120), reached: ms(125), began: ms(165), ended: notSeen, endedAtNode: ms(400), slow: true}, // crawls
-		{dialedAt: notSeen, sent: ms(200), reached: ms(205), began: ms(305), ended: ms(395), endedAtNode: ms(400), outcome: policy.Succeeded},
+		{dialedAt: unsetTime, sentAt: ms(20), arrivedAt: ms(22), startedAt: unsetTime, endedAt: ms(22), endedAtNode: ms(24), outcome: policy.ExecutorFull},
+		{dialedAt: ms(114), connUpAt: ms(118), sentAt: ms(120), arrivedAt: ms(125), startedAt: ms(165), endedAt: unsetTime, endedAtNode: ms(400), onSlowCore: true}, // crawls
+		{dialedAt: unsetTime, sentAt: ms(200), arrivedAt: ms(205), startedAt: ms(305), endedAt: ms(395), endedAtNode: ms(400), outcome: policy.Succeeded},
 	}}
 	got := h.times(ms(401))
 	want := [causeCount]time.Duration{RejectedByExecutor: ms(4), Connecting: ms(4), BetweenRequests: ms(10), InTransit: ms(1 + 1 + 1 + 5 + 1), QueuedAtNode: ms(19 + 76 + 4),
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -27,30 +27,30 @@
 }
 
 // recordAttempt records that an attempt's first byte is sent.
-func (n *simNode) recordAttempt(request *clientRequest, x *executor) *connAttempt {
-	w := n.world
-	attempt := &connAttempt{request: request, executor: x, number: policy.AttemptID(request.attempts), history: w.account.recordSent(request, x)}
+func (n *simNode) recordAttempt(request *clientRequest, executor *executor) *connAttempt {
+	sim := n.sim
+	attempt := &connAttempt{request: request, executor: executor, number: policy.AttemptID(request.attempts), history: sim.account.recordSent(request, executor)}
 	request.attempts++
-	request.sentAt = w.now
-	request.attemptsOut++
-	if request.attemptsOut > 1 {
-		w.result.Hedges++
-	}
-	n.attemptsOut++
-	w.result.Attempts++
-	if x.Zone != n.zone {
-		w.result.Crossings++
-	}
-	w.observe(invariants.Event{Kind: invariants.AttemptFirstByte, Node: n.id, Job: request.job, Work: request.work.ID, Attempt: attempt.number,
-		Executor: x.ID, Zone: x.Zone, Cell: x.Cell})
+	request.sentAt = sim.now
+	request.attemptsInFlight++
+	if request.attemptsInFlight > 1 {
+		sim.result.Hedges++
+	}
+	n.attemptsInFlight++
+	sim.result.Attempts++
+	if executor.Zone != n.zone {
+		sim.result.Crossings++
+	}
+	sim.observe(invariants.Event{Kind: invariants.AttemptFirstByte, Node: n.id, Job: request.job, Work: request.work.ID, Attempt: attempt.number,
+		Executor: executor.ID, Zone: executor.Zone, Cell: executor.Cell})
 	return attempt
 }
 
 // recordAttemptEnd records that the node is notified of an attempt's end; neverRan says that the notice proves that it never ran.
 func (n *simNode) recordAttemptEnd(attempt *connAttempt, neverRan bool) {
-	n.attemptsOut--
-	attempt.request.attemptsOut--
-	n.world.observe(invariants.Event{Kind: invariants.AttemptEnded, Node: n.id, Job: attempt.request.job, Attempt: attempt.number,
+	n.attemptsInFlight--
+	attempt.request.attemptsInFlight--
+	n.sim.observe(invariants.Event{Kind: invariants.AttemptEnded, Node: n.id, Job: attempt.request.job, Attempt: attempt.number,
 		Executor: attempt.executor.ID, NeverRan: neverRan})
 }
 
@@ -77,7 +77,7 @@
 	writing := processingDelay + time.Duration(len(effect.Attempt.Body))*timePerByte
 	if conn.resetsAtFirstUse {
 		conn.resetsAtFirstUse = false
-		conn.breakAt(time.Duration(n.world.networkRand.Int64N(int64(3 * writing))))
+		conn.breakAt(time.Duration(n.sim.networkRand.Int64N(int64(3 * writing))))
 	}
 	n.after(writing, func() { conn.finishWrite(attempt) })
 }
@@ -87,39 +87,39 @@
 	if c.state != connUp || c.attempt != attempt {
 		return
 	}
-	w, x, request := c.node.world, c.executor, attempt.request
+	sim, x, request := c.node.sim, c.executor, attempt.request
 	attempt.written = true
-	w.observe(invariants.Event{Kind: invariants.AttemptLastByte, Node: c.node.id, Job: request.job, Attempt: attempt.number, Executor: x.ID})
-	allocation := w.newAttempt(request, c.node.id, c.key, x)
+	sim.observe(invariants.Event{Kind: invariants.AttemptLastByte, Node: c.node.id, Job: request.job, Attempt: attempt.number, Executor: x.ID})
+	allocation := sim.newAttempt(request, c.node.id, c.key, x)
 	c.toExecutor(func() {
 		request.delivered = true
-		w.account.recordReached(attempt.history, allocation.Cost)
-		x.apply(x.Accept(w.now, allocation))
+		sim.account.recordArrived(attempt.history, allocation.Cost)
+		x.apply(x.Accept(sim.now, allocation))
 	})
 }
 
 // idempotencyKey is what the jobs of a work carry if its class has keys; "" otherwise.
-func (w *Simulation) idempotencyKey(work *emulator.Work) string {
-	if w.jobClasses[work.Class].Idempotency == policy.IdempotentWithKey {
+func (sim *Simulation) idempotencyKey(work *emulator.Work) string {
+	if sim.jobClasses[work.Class].Idempotency == policy.IdempotentWithKey {
 		return string(work.ID)
 	}
 	return ""
 }
 
 // newAttempt is what an executor receives for a request's attempt.
-func (w *Simulation) newAttempt(request *clientRequest, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Attempt {
+func (sim *Simulation) newAttempt(request *clientRequest, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Attempt {
 	work := request.work
-	class := &w.classes[work.Class]
+	class := &sim.classes[work.Class]
 	attempt := emulator.Attempt{Conn: key, Node: from, Job: request.job, Work: work.ID, Class: work.Class, Priority: class.Priority,
 		Cost: work.Cost, StatedCost: cmp.Or(work.StatedCost, class.Mean)}
-	if noise := w.scenario.Fleet.AttemptNoise; noise > 0 {
-		attempt.Cost *= math.Exp(w.workNoiseRand.NormFloat64()*noise - noise*noise/2)
+	if noise := sim.scenario.Fleet.AttemptNoise; noise > 0 {
+		attempt.Cost *= math.Exp(sim.workNoiseRand.NormFloat64()*noise - noise*noise/2)
 	}
-	if attempt.IdempotencyKey = w.idempotencyKey(work); attempt.IdempotencyKey != "" {
-		attempt.DedupWindow, attempt.DedupMemory = class.DedupWindow, w.dedupMemory(x, work.Class)
+	if attempt.IdempotencyKey = sim.idempotencyKey(work); attempt.IdempotencyKey != "" {
+		attempt.DedupWindow, attempt.DedupMemory = class.DedupWindow, sim.dedupMemory(x, work.Class)
 	}
-	if w.defects.attempt != nil {
-		w.defects.attempt(&attempt)
+	if sim.defects.attempt != nil {
+		sim.defects.attempt(&attempt)
 	}
 	return attempt
 }
@@ -133,10 +133,10 @@
 
 // answer sends an executor's answer or notice to the node.
 func (c *executorConn) answer(answer emulator.Message) {
-	w := c.node.world
-	sentAt := w.now
+	sim := c.node.sim
+	sentAt := sim.now
 	if attempt := c.attempt; attempt != nil && !attempt.ended && attempt.request.job == answer.Job {
-		w.account.recordAnswer(attempt.history, answer.Kind)
+		sim.account.recordAnswer(attempt.history, answer.Kind)
 	}
 	c.toNode(func() { c.receiveAnswer(answer, sentAt) })
 }
@@ -152,7 +152,7 @@
 	switch answer.Kind {
 	case emulator.AttemptStarted:
 		if sentAt-attempt.request.sentAt > queuedStart {
-			c.node.world.result.QueuedStarts++
+			c.node.sim.result.QueuedStarts++
 		}
 		c.deliver(node.AttemptProgressed{Conn: c.id, Load: load})
 		return
@@ -173,15 +173,15 @@
 
 // becomeIdle notifies the node that a connection is idle. The executor closes one that is not used within its idle timeout.
 func (c *executorConn) becomeIdle() {
-	w, x, uses := c.node.world, c.executor, c.uses
+	sim, x, uses := c.node.sim, c.executor, c.uses
 	c.node.after(processingDelay, func() {
 		if c.state == connUp {
 			c.deliver(node.ConnIdle{Conn: c.id})
 		}
 	})
-	w.after(time.Duration(w.scenario.Fleet.IdleTimeout), func() {
+	sim.after(time.Duration(sim.scenario.Fleet.IdleTimeout), func() {
 		if c.uses == uses && x.conns[c.key] == c {
-			x.apply(x.ConnClosed(w.now, c.key))
+			x.apply(x.ConnClosed(sim.now, c.key))
 			c.resetByExecutor()
 		}
 	})
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -24,17 +24,17 @@
 var Policies = []Policy{ModulePolicy, RandomPolicy, BestPolicy}
 
 // baselineRetryDelay is how soon a baseline looks again at its queue.
-const baselineRetryDelay = time.Millisecond
+const queueRetryDelay = time.Millisecond
 
 // newPolicy makes what decides at the node.
 func (n *simNode) newPolicy(settings policy.Settings) node.Policy {
-	if n.world.policy == ModulePolicy {
+	if n.sim.policy == ModulePolicy {
 		return policy.New(settings)
 	}
 	b := &baseline{node: n, settings: settings, available: map[policy.ExecutorID]bool{}, jobs: map[policy.JobID]*baselineJob{}}
-	b.choose = b.soonest
-	if n.world.policy == RandomPolicy {
-		r := stream(n.world.seed+uint64(n.incarnation)<<32, randomPolicyStream+n.name)
+	b.choose = b.earliestAnswer
+	if n.sim.policy == RandomPolicy {
+		r := stream(n.sim.seed+uint64(n.incarnation)<<32, randomPolicyStream+n.name)
 		b.choose = func(*baselineJob) policy.ExecutorID { return b.random(r) }
 	}
 	return b
@@ -52,25 +52,25 @@
 	due       []policy.JobID
 	queued    []policy.JobID
 	retryAt   time.Duration // when the queue is looked at
-	fullAt    time.Duration // when there was last no place anywhere
+	noSlotAt  time.Duration // when there was last no place anywhere
 	watching  bool          // the endpoint list
 }
 
 // baselineJob is a job at a baseline.
 type baselineJob struct {
-	id         policy.JobID
-	class      policy.JobClass
-	request    *clientRequest
-	limit      time.Duration // its deadline on the process's clock
-	attempts   int
-	attemptOut bool
-	mayHaveRun bool
+	id              policy.JobID
+	class           policy.JobClass
+	request         *clientRequest
+	deadline        time.Duration // its deadline on the process's clock
+	attempts        int
+	attemptInFlight bool
+	mayHaveRun      bool
 }
 
 // JobArrived implements node.Policy.
 func (b *baseline) JobArrived(now time.Duration, arrival policy.Arrival) {
 	b.jobs[arrival.Job] = &baselineJob{id: arrival.Job, class: b.settings.JobClasses[arrival.Class], request: b.node.requests[arrival.Job],
-		limit: now + arrival.Budget}
+		deadline: now + arrival.Budget}
 	b.due = append(b.due, arrival.Job)
 }
 
@@ -106,11 +106,11 @@
 // Place implements node.Policy.
 func (b *baseline) Place(now time.Duration, id policy.JobID) policy.Decision {
 	job := b.jobs[id]
-	if job == nil || job.attemptOut {
+	if job == nil || job.attemptInFlight {
 		return policy.Decision{}
 	}
 	ranOnce := job.mayHaveRun && job.class.Idempotency != policy.Idempotent
-	if ranOnce || now >= job.limit-b.settings.Quantum || job.attempts >= b.settings.MaxAttempts {
+	if ranOnce || now >= job.deadline-b.settings.Quantum || job.attempts >= b.settings.MaxAttempts {
 		delete(b.jobs, id)
 		if ranOnce {
 			return policy.Decision{Action: policy.Fail}
@@ -120,13 +120,13 @@
 	executor := b.choose(job)
 	if executor == "" {
 		if len(b.queued) == 0 {
-			b.retryAt = now + baselineRetryDelay
+			b.retryAt = now + queueRetryDelay
 		}
 		b.queued = append(b.queued, id)
 		return policy.Decision{Action: policy.Enqueue}
 	}
 	job.attempts++
-	job.attemptOut = true
+	job.attemptInFlight = true
 	return policy.Decision{Action: policy.Send, Executor: executor}
 }
 
@@ -136,7 +136,7 @@
 	if job == nil {
 		return policy.Decision{}
 	}
-	job.attemptOut = false
+	job.attemptInFlight = false
 	if final {
 		delete(b.jobs, id)
 		return policy.Decision{}
@@ -147,7 +147,7 @@
 
 // ClientLeft implements node.Policy.
 func (b *baseline) ClientLeft(_ time.Duration, id policy.JobID) {
-	if job := b.jobs[id]; job != nil && !job.attemptOut {
+	if job := b.jobs[id]; job != nil && !job.attemptInFlight {
 		delete(b.jobs, id)
 	}
 }
@@ -161,7 +161,7 @@
 		b.available[endpoint.Executor] = endpoint.State == policy.Available
 	}
 	b.order = b.order[:0]
-	for _, x := range b.node.world.executors {
+	for _, x := range b.node.sim.executors {
 		if b.available[x.ID] {
 			b.order = append(b.order, x.ID)
 		}
@@ -179,14 +179,14 @@
 // soonest is the executor that would answer first of those that would have a place when the job came, by the true state of all, their
 // queues and what is on its way to them. It is "" if none would, or if waiting for a place elsewhere would bring an answer in time and
 // this executor would not.
-func (b *baseline) soonest(job *baselineJob) policy.ExecutorID {
-	w := b.node.world
-	if b.fullAt == w.now {
+func (b *baseline) earliestAnswer(job *baselineJob) policy.ExecutorID {
+	sim := b.node.sim
+	if b.noSlotAt == sim.now {
 		return "" // no place has become free since
 	}
 	var free *executor
 	firstFree, first := policy.Forever, policy.Forever
-	for _, x := range w.executors {
+	for _, x := range sim.executors {
 		if !b.usable(x) {
 			continue
 		}
@@ -197,13 +197,13 @@
 		}
 	}
 	if free == nil {
-		b.fullAt = w.now
+		b.noSlotAt = sim.now
 		return ""
 	}
 	if objective := job.request.work.Objective; firstFree > objective && first <= objective {
 		return ""
 	}
-	free.assigned = append(free.assigned, job)
+	free.assignedJobs = append(free.assignedJobs, job)
 	job.request.delivered = false
 	return free.ID
 }
@@ -212,29 +212,29 @@
 func (b *baseline) usable(x *executor) bool {
 	trouble := x.Faults()
 	healthy := x.Up && !x.unreachable && !x.Draining && !trouble.Unresponsive && trouble.Errors <= 0
-	return b.available[x.ID] && healthy && b.node.world.linked(b.node.zone, x.Zone)
+	return b.available[x.ID] && healthy && b.node.sim.linked(b.node.zone, x.Zone)
 }
 
 // forecast says whether an executor will have a place when a job that is sent now arrives, and when its answer will be back.
 func (b *baseline) forecast(x *executor, job *baselineJob) (hasPlace bool, done time.Duration) {
-	w := b.node.world
-	delay := w.minDelay(b.node.zone, x.Zone)
-	arrival := w.now + delay
+	sim := b.node.sim
+	delay := sim.minDelay(b.node.zone, x.Zone)
+	arrival := sim.now + delay
 	if !b.node.hasIdleConn(x) {
 		arrival += 2 * delay // for the dial
 	}
-	placeFree, rate := x.NextFreeSlot(w.now, w.assignedWork(x))
+	placeFree, rate := x.NextFreeSlot(sim.now, sim.assignedWork(x))
 	done = max(placeFree, arrival) + time.Duration(job.request.work.Cost/rate*1e9) + delay
 	return placeFree <= arrival, done
 }
 
 // assignedWork is the work that the best policy has sent to an executor and that has not arrived yet.
-func (w *Simulation) assignedWork(x *executor) (work []float64) {
-	x.assigned = slices.DeleteFunc(x.assigned, func(job *baselineJob) bool {
+func (sim *Simulation) assignedWork(x *executor) (work []float64) {
+	x.assignedJobs = slices.DeleteFunc(x.assignedJobs, func(job *baselineJob) bool {
 		n := job.request.node
-		return job.request.delivered || !job.attemptOut || !n.up || n.incarnation != job.request.incarnation
+		return job.request.delivered || !job.attemptInFlight || !n.up || n.incarnation != job.request.incarnation
 	})
-	for _, job := range x.assigned {
+	for _, job := range x.assignedJobs {
 		work = append(work, job.request.work.Cost)
 	}
 	return work
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -36,27 +36,27 @@
 }
 
 // sampleCapacity adds the bin that begins now: the capacity of the executors that work and that a running node can reach.
-func (r *Result) sampleCapacity(w *Simulation) {
+func (r *Result) sampleCapacity(sim *Simulation) {
 	capacity := 0.0
-	for _, x := range w.executors {
+	for _, x := range sim.executors {
 		trouble := x.Faults()
-		if !x.Up || x.unreachable || x.Draining || trouble.Unresponsive || !w.reachable(x) {
+		if !x.Up || x.unreachable || x.Draining || trouble.Unresponsive || !sim.reachable(x) {
 			continue
 		}
 		share := (1 - trouble.Errors) * (1 - trouble.Neighbor/2) / max(1, trouble.Slow)
 		if trouble.StallEvery > 0 {
 			share *= 1 - trouble.StallFor.Seconds()/trouble.StallEvery.Seconds()
 		}
-		capacity += x.Capacity(w.now) * share
+		capacity += x.Capacity(sim.now) * share
 	}
 	r.capacity = append(r.capacity, capacity*Bin.Seconds())
 }
 
 // reachable says whether a running node may send to an executor: their zones are linked, and operators have not excluded it there.
-func (w *Simulation) reachable(x *executor) bool {
-	for _, n := range w.nodes {
+func (sim *Simulation) reachable(x *executor) bool {
+	for _, n := range sim.nodes {
 		_, excluded := n.excluded[x.ID]
-		if n.up && !n.suspended && !excluded && w.linked(n.zone, x.Zone) {
+		if n.up && !n.suspended && !excluded && sim.linked(n.zone, x.Zone) {
 			return true
 		}
 	}
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -17,19 +17,19 @@
 // zoneClients are the clients of a zone, and the front layer that spreads their requests over nodes.
 type zoneClients struct {
 	*emulator.Clients
-	world      *Simulation
+	sim        *Simulation
 	zone       policy.ZoneID
 	roundRobin int
 }
 
 // buildClients makes the clients of each zone and schedules their first works.
-func (w *Simulation) buildClients() {
-	fleet, load := &w.scenario.Fleet, &w.scenario.Load
+func (sim *Simulation) buildClients() {
+	fleet, load := &sim.scenario.Fleet, &sim.scenario.Load
 	capacity := 0.0
-	for _, x := range w.executors {
+	for _, x := range sim.executors {
 		capacity += x.Capacity(0)
 	}
-	rates := w.scenario.Rates(capacity)
+	rates := sim.scenario.Rates(capacity)
 	for i, zone := range fleet.Zones {
 		habits := emulator.Behavior{
 			Rate:              rates[i],
@@ -43,12 +43,12 @@
 			RepeatIDShare:     load.RepeatIDRate,
 			HintNoise:         load.HintNoise,
 		}
-		c := &zoneClients{world: w, zone: policy.ZoneID(i)}
-		c.Clients = emulator.NewClients(zone+"-", w.classes, habits, fleet.ValuePerWork, stream(w.seed, clientStream+zone))
-		w.clients = append(w.clients, c)
-		w.at(clientsStartAfter+c.Gap()/2, c.arrivals)
+		c := &zoneClients{sim: sim, zone: policy.ZoneID(i)}
+		c.Clients = emulator.NewClients(zone+"-", sim.classes, habits, fleet.ValuePerWork, stream(sim.seed, clientStream+zone))
+		sim.clients = append(sim.clients, c)
+		sim.at(clientsStartAfter+c.Gap()/2, c.arrivals)
 		for client := range load.Loops {
-			w.at(clientsStartAfter+time.Duration(client)*loopStagger, func() { c.submitNext(client) })
+			sim.at(clientsStartAfter+time.Duration(client)*loopStagger, func() { c.submitNext(client) })
 		}
 	}
 }
@@ -56,24 +56,24 @@
 // arrivals submits a work of the open loop and schedules the next one.
 func (c *zoneClients) arrivals() {
 	gap := c.Gap()
-	if gap == emulator.Never || c.world.now >= time.Duration(c.world.scenario.Length) {
+	if gap == emulator.Never || c.sim.now >= time.Duration(c.sim.scenario.Length) {
 		return
 	}
 	c.submitNew(openLoop)
-	c.world.after(gap, c.arrivals)
+	c.sim.after(gap, c.arrivals)
 }
 
 // submitNext submits the next work of a closed loop.
 func (c *zoneClients) submitNext(client int) {
-	if c.world.now < time.Duration(c.world.scenario.Length) {
+	if c.sim.now < time.Duration(c.sim.scenario.Length) {
 		c.submitNew(client)
 	}
 }
 
 func (c *zoneClients) submitNew(client int) {
-	work := c.New(c.world.now, client)
-	c.world.result.recordWork(work)
-	c.world.openWorks++
+	work := c.New(c.sim.now, client)
+	c.sim.result.recordWork(work)
+	c.sim.worksInFlight++
 	c.submit(work)
 }
 
@@ -81,17 +81,17 @@
 // are still sent to.
 func (c *zoneClients) pickNode() *simNode {
 	c.roundRobin++
-	load := &c.world.scenario.Load
+	load := &c.sim.scenario.Load
 	var candidates []*simNode
 	for _, sameZone := range [...]bool{true, false} {
-		for _, n := range c.world.nodes {
-			justDied := !n.up && c.world.now-n.diedAt < time.Duration(load.DeadNodeTime)
+		for _, n := range c.sim.nodes {
+			justDied := !n.up && c.sim.now-n.diedAt < time.Duration(load.DeadNodeTime)
 			if (n.zone == c.zone) == sameZone && (n.up && n.ready || justDied) {
 				candidates = append(candidates, n)
 			}
 		}
 		if len(candidates) > 0 && load.NodeSkew > 0 {
-			return nodeByShare(candidates, c.world.frontLayerRand.Float64())
+			return nodeByShare(candidates, c.sim.frontLayerRand.Float64())
 		}
 		if len(candidates) > 0 {
 			return candidates[c.roundRobin%len(candidates)]
@@ -117,24 +117,24 @@
 
 // submit sends a request for a work to a node.
 func (c *zoneClients) submit(work *emulator.Work) {
-	w, n := c.world, c.pickNode()
+	sim, n := c.sim, c.pickNode()
 	request := &clientRequest{clients: c, work: work, job: work.Job(), node: n}
-	w.account.recordSubmit(work, n)
+	sim.account.recordSubmit(work, n)
 	if n == nil {
-		w.after(unreachedDelay, func() { request.finishUnsent(emulator.EndUnreached, 0) })
+		sim.after(unreachedDelay, func() { request.finishUnsent(emulator.EndUnreached, 0) })
 		return
 	}
 	request.incarnation = n.incarnation
-	if w.wired != nil {
-		w.wired.submit(request)
+	if sim.networked != nil {
+		sim.networked.submit(request)
 		return
 	}
-	delay := w.randomDelay(c.zone, n.zone) / 2
-	w.after(delay, func() {
+	delay := sim.randomDelay(c.zone, n.zone) / 2
+	sim.after(delay, func() {
 		switch {
 		case !n.up || n.incarnation != request.incarnation || n.frontendClosed:
-			w.after(delay, func() { request.finishUnsent(emulator.EndUnreached, 0) })
-		case w.now >= work.Deadline-time.Millisecond: // its client has given up
+			sim.after(delay, func() { request.finishUnsent(emulator.EndUnreached, 0) })
+		case sim.now >= work.Deadline-time.Millisecond: // its client has given up
 			request.finishUnsent(emulator.EndFailed, 0)
 		default:
 			n.receive(request)
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -31,7 +31,7 @@
 	uses     int
 	attempt  *connAttempt // nil while idle
 
-	silent           bool // nothing comes back
+	unresponsive     bool // nothing comes back
 	resetsAtFirstUse bool
 
 	dialedAt, upAt time.Duration
@@ -43,10 +43,10 @@
 
 // toExecutor runs a function when a message that is sent now reaches the executor, if its process still runs then.
 func (c *executorConn) toExecutor(run func()) {
-	w, x := c.node.world, c.executor
-	c.nextToExecutor = max(c.nextToExecutor+1, w.arrivalTime(c.node.zone, x.Zone))
+	sim, x := c.node.sim, c.executor
+	c.nextToExecutor = max(c.nextToExecutor+1, sim.arrivalTime(c.node.zone, x.Zone))
 	started := x.Started
-	w.at(c.nextToExecutor, func() {
+	sim.at(c.nextToExecutor, func() {
 		if !x.unreachable && x.Up && x.Started == started {
 			run()
 		}
@@ -55,13 +55,13 @@
 
 // toNode runs a function when a message that is sent now reaches the node, if the connection is not closed there by then.
 func (c *executorConn) toNode(run func()) {
-	if c.silent {
+	if c.unresponsive {
 		return
 	}
-	w, n := c.node.world, c.node
-	c.nextToNode = max(c.nextToNode+1, w.arrivalTime(c.executor.Zone, n.zone))
+	sim, n := c.node.sim, c.node
+	c.nextToNode = max(c.nextToNode+1, sim.arrivalTime(c.executor.Zone, n.zone))
 	incarnation := n.incarnation
-	w.at(c.nextToNode, func() {
+	sim.at(c.nextToNode, func() {
 		if n.up && n.incarnation == incarnation && c.state != connClosed {
 			run()
 		}
@@ -78,7 +78,7 @@
 	n := c.node
 	switch event := event.(type) {
 	case node.AttemptEnded:
-		n.world.account.recordEnded(c.attempt.history, event.Outcome)
+		n.sim.account.recordEnded(c.attempt.history, event.Outcome)
 		n.recordAttemptEnd(c.attempt, event.Outcome.NeverRan())
 		c.attempt = nil
 	case node.ConnClosed:
@@ -138,7 +138,7 @@
 func (c *executorConn) dropAtExecutor() {
 	if c.executor.conns[c.key] == c {
 		delete(c.executor.conns, c.key)
-		c.executor.apply(c.executor.ConnClosed(c.node.world.now, c.key))
+		c.executor.apply(c.executor.ConnClosed(c.node.sim.now, c.key))
 	}
 }
 
@@ -162,6 +162,6 @@
 	return slices.SortedFunc(maps.Values(conns), func(a, b *executorConn) int { return cmp.Compare(a.id, b.id) })
 }
 
-func sortedByKey(conns map[emulator.ConnID]*executorConn) []*executorConn {
+func sortedByExecutorKey(conns map[emulator.ConnID]*executorConn) []*executorConn {
 	return slices.SortedFunc(maps.Values(conns), func(a, b *executorConn) int { return cmp.Compare(a.key, b.key) })
 }
--- a/internal/simulation/conn_faults.go
+++ b/internal/simulation/conn_faults.go
@@ -8,7 +8,7 @@
 
 // faultableConn is an open connection between a node and an executor that a fault can be put on.
 type faultableConn interface {
-	silence()                    // from now on nothing comes back to the node
+	makeUnresponsive()           // from now on nothing comes back to the node
 	breakAt(delay time.Duration) // it breaks after a delay
 }
 
@@ -16,32 +16,32 @@
 const resetPeriod = time.Second
 
 // beginConnFault begins a fault on connections that are open.
-func (w *Simulation) beginConnFault(fault emulator.Fault) {
+func (sim *Simulation) beginConnFault(fault emulator.Fault) {
 	switch fault.Kind {
 	case emulator.SilentOld:
-		for _, conn := range w.openConns() {
-			if w.networkRand.Float64() < fault.Size {
-				conn.silence()
+		for _, conn := range sim.openConns() {
+			if sim.networkRand.Float64() < fault.Size {
+				conn.makeUnresponsive()
 			}
 		}
 	case emulator.ResetOld:
-		w.repeatUntil(w.now+fault.For, func() { w.resetOpenConns(fault.Size) })
+		sim.repeatUntil(sim.now+fault.For, func() { sim.resetOpenConns(fault.Size) })
 	case emulator.ClientReset:
-		w.repeatUntil(w.now+fault.For, func() { w.resetClientConns(fault.Size) })
+		sim.repeatUntil(sim.now+fault.For, func() { sim.resetClientConns(fault.Size) })
 	}
 }
 
 // repeatUntil runs a function now and each resetPeriod until a time.
-func (w *Simulation) repeatUntil(until time.Duration, run func()) {
+func (sim *Simulation) repeatUntil(until time.Duration, run func()) {
 	run()
-	if w.now+resetPeriod < until {
-		w.after(resetPeriod, func() { w.repeatUntil(until, run) })
+	if sim.now+resetPeriod < until {
+		sim.after(resetPeriod, func() { sim.repeatUntil(until, run) })
 	}
 }
 
 // openConns are all open connections between nodes and executors, in an order that only the seed decides.
-func (w *Simulation) openConns() (all []faultableConn) {
-	for _, n := range w.nodes {
+func (sim *Simulation) openConns() (all []faultableConn) {
+	for _, n := range sim.nodes {
 		if n.process != nil && n.up {
 			all = append(all, n.process.openConns()...)
 		}
@@ -55,19 +55,19 @@
 }
 
 // resetOpenConns breaks a share of the open connections to executors.
-func (w *Simulation) resetOpenConns(share float64) {
-	for _, conn := range w.openConns() {
-		if w.networkRand.Float64() < share {
-			conn.breakAt(time.Duration(w.networkRand.Int64N(int64(resetPeriod))))
+func (sim *Simulation) resetOpenConns(share float64) {
+	for _, conn := range sim.openConns() {
+		if sim.networkRand.Float64() < share {
+			conn.breakAt(time.Duration(sim.networkRand.Int64N(int64(resetPeriod))))
 		}
 	}
 }
 
 // resetClientConns breaks a share of the connections on which clients wait.
-func (w *Simulation) resetClientConns(share float64) {
-	for _, n := range w.nodes {
-		for _, request := range n.openRequests() {
-			if n.up && w.networkRand.Float64() < share {
+func (sim *Simulation) resetClientConns(share float64) {
+	for _, n := range sim.nodes {
+		for _, request := range n.requestsInFlight() {
+			if n.up && sim.networkRand.Float64() < share {
 				n.resetClient(request)
 			}
 		}
@@ -83,8 +83,8 @@
 		return
 	}
 	request.connLost = true
-	n.world.after(processingDelay, func() { request.finish(emulator.EndLost, 0) })
-	n.after(time.Duration(n.world.networkRand.Int64N(int64(time.Second))), func() {
+	n.sim.after(processingDelay, func() { request.finish(emulator.EndLost, 0) })
+	n.after(time.Duration(n.sim.networkRand.Int64N(int64(time.Second))), func() {
 		if !request.answered {
 			n.clientGone(request)
 		}
@@ -92,14 +92,14 @@
 }
 
 // silence lets nothing come back on the connection any more.
-func (c *executorConn) silence() { c.silent = true }
+func (c *executorConn) makeUnresponsive() { c.unresponsive = true }
 
 // breakAt breaks the connection on its way: each end sees it at a time of its own, and what is in flight may still arrive.
 func (c *executorConn) breakAt(delay time.Duration) {
-	w := c.node.world
+	sim := c.node.sim
 	c.node.after(delay, func() { c.breakConn("reset on the way") })
-	untilExecutor := time.Duration(w.networkRand.Int64N(int64(4 * time.Duration(w.scenario.Fleet.Near))))
-	w.after(delay+untilExecutor, func() {
+	untilExecutor := time.Duration(sim.networkRand.Int64N(int64(4 * time.Duration(sim.scenario.Fleet.Near))))
+	sim.after(delay+untilExecutor, func() {
 		if !c.executor.unreachable && c.executor.Up {
 			c.dropAtExecutor()
 		}
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -78,9 +78,9 @@
 
 // changeEvent changes events of one type before the state machine sees them.
 func changeEvent[E node.Event](change func(*Simulation, *simNode, E) []node.Event) func(*Simulation, *simNode, node.Event) []node.Event {
-	return func(w *Simulation, n *simNode, ev node.Event) []node.Event {
+	return func(sim *Simulation, n *simNode, ev node.Event) []node.Event {
 		if e, ok := ev.(E); ok {
-			return change(w, n, e)
+			return change(sim, n, e)
 		}
 		return []node.Event{ev}
 	}
@@ -88,9 +88,9 @@
 
 // changeEffect changes effects of one type before they are carried out.
 func changeEffect[E node.Effect](change func(*Simulation, *simNode, E) []node.Effect) func(*Simulation, *simNode, node.Effect) []node.Effect {
-	return func(w *Simulation, n *simNode, e node.Effect) []node.Effect {
+	return func(sim *Simulation, n *simNode, e node.Effect) []node.Effect {
 		if e, ok := e.(E); ok {
-			return change(w, n, e)
+			return change(sim, n, e)
 		}
 		return []node.Effect{e}
 	}
@@ -135,21 +135,21 @@
 	{"the reducer forgets with the next list what operators have taken out", invariants.DrainRespected, func(s *Scenario) {
 		s.Faults = append(s.Faults, Fault{Kind: emulator.Excluded, At: Span(3 * time.Second), For: Span(14 * time.Second), Where: []string{"e9", "e11"}})
 	}, injectedDefects{
-		event: changeEvent(func(w *Simulation, n *simNode, e node.EndpointsUpdated) []node.Event {
+		event: changeEvent(func(sim *Simulation, n *simNode, e node.EndpointsUpdated) []node.Event {
 			for _, id := range slices.Sorted(maps.Keys(n.excluded)) {
-				for _, e := range n.reducer.Step(w.now-n.startedAt, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
+				for _, e := range n.stateMachine.Step(sim.now-n.startedAt, node.AdminCalled{Command: node.ReadmitExecutor, Executor: id}) {
 					n.execute(e)
 				}
 			}
 			return []node.Event{e}
 		})}},
 	{"the list's edge sits on its news", invariants.DrainRespected, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightInterval = 0 }, injectedDefects{
-		event: changeEvent(func(w *Simulation, n *simNode, ev node.EndpointsUpdated) []node.Event {
+		event: changeEvent(func(sim *Simulation, n *simNode, ev node.EndpointsUpdated) []node.Event {
 			if ev.Kind != policy.IncrementalUpdate {
 				return []node.Event{ev}
 			}
 			n.after(3*time.Second, func() {
-				for _, e := range n.reducer.Step(w.now-n.startedAt, ev) {
+				for _, e := range n.stateMachine.Step(sim.now-n.startedAt, ev) {
 					n.execute(e)
 				}
 			})
@@ -158,14 +158,14 @@
 	{"the reducer answers twice", invariants.OneAnswer, nil, injectedDefects{
 		effect: changeEffect(func(_ *Simulation, _ *simNode, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
 	{"results are lost within the node", invariants.OneAnswer, nil, injectedDefects{
-		effect: changeEffect(func(w *Simulation, _ *simNode, a node.Answer) []node.Effect {
-			if a.Final == node.Succeeded && w.steps%20 == 0 {
+		effect: changeEffect(func(sim *Simulation, _ *simNode, a node.Answer) []node.Effect {
+			if a.Final == node.Succeeded && sim.steps%20 == 0 {
 				return nil
 			}
 			return []node.Effect{a}
 		})}},
 	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Utilization = 1.5 }, injectedDefects{
-		event: changeEvent(func(w *Simulation, _ *simNode, ev node.JobArrived) []node.Event {
+		event: changeEvent(func(sim *Simulation, _ *simNode, ev node.JobArrived) []node.Event {
 			ev.Job.Budget *= 2
 			return []node.Event{ev}
 		}),
@@ -182,11 +182,11 @@
 			}
 		})}},
 	{"what is answered is sent once more", invariants.OneAnswer, nil, injectedDefects{
-		effect: changeEffect(func(w *Simulation, n *simNode, a node.Answer) []node.Effect {
+		effect: changeEffect(func(sim *Simulation, n *simNode, a node.Answer) []node.Effect {
 			t := n.requests[a.Job]
-			if a.Final == node.Succeeded && t != nil && w.jobClasses[t.work.Class].Idempotency == policy.Idempotent {
+			if a.Final == node.Succeeded && t != nil && sim.jobClasses[t.work.Class].Idempotency == policy.Idempotent {
 				for _, c := range sortedByID(n.conns) {
-					if c.state == connUp && c.attempt == nil && !c.executor.InSlowStart(w.now) && c.executor.activeDownFaults == 0 {
+					if c.state == connUp && c.attempt == nil && !c.executor.InSlowStart(sim.now) && c.executor.activeDownFaults == 0 {
 						return []node.Effect{a, node.WriteAttempt{Conn: c.id, Attempt: node.Attempt{Request: &node.Request{ID: a.Job}}}}
 					}
 				}
@@ -206,7 +206,7 @@
 			}
 		})}},
 	{"the module sends what it should break off", invariants.NoEffectTwice, nil, injectedDefects{
-		policy: func(w *Simulation, _ *simNode, m node.Policy) node.Policy { return &retryingPolicy{m, w.executors} }}},
+		policy: func(sim *Simulation, _ *simNode, m node.Policy) node.Policy { return &retryingPolicy{m, sim.executors} }}},
 	{"what is broken off is told as pushed back", invariants.NoEffectTwice, nil, injectedDefects{
 		effect: changeEffect(func(_ *Simulation, _ *simNode, a node.Answer) []node.Effect {
 			if a.Final == node.Failed {
@@ -267,8 +267,8 @@
 	{"the leaving is forgotten", invariants.ClientPresent, leavingClients, injectedDefects{hideClientLeft: true, hideClientGone: true}},
 	{"nobody looks before an attempt's first byte", invariants.ClientPresent, leavingClientsOfSuspendedNodes, injectedDefects{hideClientGone: true}},
 	{"what is given up on is held for a while", invariants.PromptAnswer, nil, injectedDefects{
-		effect: changeEffect(func(w *Simulation, n *simNode, a node.Answer) []node.Effect {
-			if t := n.requests[a.Job]; a.Final == node.Rejected && t != nil && t.work.Deadline > w.now+time.Second {
+		effect: changeEffect(func(sim *Simulation, n *simNode, a node.Answer) []node.Effect {
+			if t := n.requests[a.Job]; a.Final == node.Rejected && t != nil && t.work.Deadline > sim.now+time.Second {
 				n.after(300*time.Millisecond, func() { n.execute(a) })
 				return nil
 			}
@@ -312,9 +312,9 @@
 				if broken := violationWithoutDefect(s, seed); broken != "" {
 					t.Fatalf("seed %d breaks a rule with nothing planted: %s", seed, broken)
 				}
-				w := New(s, seed, Options{MaxViolations: 1000})
-				w.defects = d.inject
-				for _, b := range w.Play().Violations {
+				sim := New(s, seed, Options{MaxViolations: 1000})
+				sim.defects = d.inject
+				for _, b := range sim.Play().Violations {
 					if caught[b.Rule]++; b.Rule != d.rule && caught[b.Rule] == 1 {
 						t.Errorf("seed %d: another rule broke: %v", seed, b)
 					}
--- a/internal/simulation/dial.go
+++ b/internal/simulation/dial.go
@@ -11,19 +11,19 @@
 
 // dial opens a connection to an executor, with the faults that new connections have now.
 func (n *simNode) dial(effect node.Dial) {
-	w := n.world
-	w.lastConnID++
-	conn := &executorConn{id: effect.Conn, key: w.lastConnID, node: n, executor: w.byAddr[effect.Addr], dialedAt: w.now}
+	sim := n.sim
+	sim.lastConnID++
+	conn := &executorConn{id: effect.Conn, key: sim.lastConnID, node: n, executor: sim.byAddr[effect.Addr], dialedAt: sim.now}
 	n.conns[conn.id] = conn
-	w.result.Dials++
-	n.after(time.Duration(w.scenario.Fleet.DialTimeout), func() { conn.failDial("no answer in time") })
+	sim.result.Dials++
+	n.after(time.Duration(sim.scenario.Fleet.DialTimeout), func() { conn.failDial("no answer in time") })
 	if conn.executor == nil {
-		n.after(2*time.Duration(w.scenario.Fleet.Near), func() { conn.failDial("nobody there") })
+		n.after(2*time.Duration(sim.scenario.Fleet.Near), func() { conn.failDial("nobody there") })
 		return
 	}
-	silent := w.networkRand.Float64() < w.newConnSilentRate // takes effect once the connection is open
-	conn.resetsAtFirstUse = w.networkRand.Float64() < w.newConnResetRate
-	w.at(w.arrivalTime(n.zone, conn.executor.Zone), func() { conn.reachExecutor(silent) })
+	unresponsive := sim.networkRand.Float64() < sim.newConnUnresponsiveRate // takes effect once the connection is open
+	conn.resetsAtFirstUse = sim.networkRand.Float64() < sim.newConnResetRate
+	sim.at(sim.arrivalTime(n.zone, conn.executor.Zone), func() { conn.reachExecutor(unresponsive) })
 }
 
 // failDial ends a dial that is still going on.
@@ -32,12 +32,12 @@
 		return
 	}
 	c.state = connClosed
-	c.node.world.result.FailedDials++
+	c.node.sim.result.FailedDials++
 	c.deliver(node.ConnClosed{Conn: c.id, Detail: noConnection + reason})
 }
 
 // reachExecutor is the arrival of the dial at the executor's machine.
-func (c *executorConn) reachExecutor(silent bool) {
+func (c *executorConn) reachExecutor(unresponsive bool) {
 	x, n := c.executor, c.node
 	if x.unreachable || n.conns[c.id] != c || !n.up {
 		return
@@ -46,7 +46,7 @@
 		c.toNode(func() { c.failDial("refused") })
 		return
 	}
-	ok, outputs := x.Open(n.world.now, c.key)
+	ok, outputs := x.Open(n.sim.now, c.key)
 	if ok {
 		c.accepted = true
 		x.conns[c.key] = c
@@ -56,7 +56,7 @@
 	if !ok { // the executor has as many connections as it takes: it closes this one as soon as it is open
 		c.toNode(func() { c.breakConn("closed by the executor") })
 	}
-	c.silent = silent
+	c.unresponsive = unresponsive
 }
 
 // open is the arrival of the executor's answer to the dial.
@@ -64,6 +64,6 @@
 	if c.state != connDialing {
 		return
 	}
-	c.state, c.upAt = connUp, c.node.world.now
+	c.state, c.upAt = connUp, c.node.sim.now
 	c.deliver(node.ConnReady{Conn: c.id})
 }
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -186,14 +186,14 @@
 		fault.Where = drawTargets(r, "n", s.Fleet.Nodes, zone)
 	}
 	if least, most, ok := kind.Sized(); ok {
-		least, most = drawnSizes(kind, least, most)
+		least, most = drawnSizeRange(kind, least, most)
 		fault.Size = round(max(least, least+(most-least)*r.Float64()))
 	}
 	return fault
 }
 
 // drawnSizes narrows the sizes of a kind of fault to those from which a world can recover.
-func drawnSizes(kind emulator.Kind, least, most float64) (float64, float64) {
+func drawnSizeRange(kind emulator.Kind, least, most float64) (float64, float64) {
 	switch kind {
 	case emulator.SlowExecutors, emulator.HeavyTail:
 		most = 20
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -65,7 +65,7 @@
 	}
 	if n.endpoints[s.Executor] != s {
 		n.endpoints[s.Executor] = s
-		n.world.observe(s)
+		n.sim.observe(s)
 	}
 }
 
@@ -106,14 +106,14 @@
 
 // deliverEndpoints delivers to the node what discovery has for it. A node in a zone that nothing gets into is served after that.
 func (n *simNode) deliverEndpoints() {
-	if until := n.world.partitions[n.zone].inboundUntil; until > n.world.now {
-		n.after(until-n.world.now+watchRetryDelay, n.deliverEndpoints)
+	if until := n.sim.partitions[n.zone].inboundUntil; until > n.sim.now {
+		n.after(until-n.sim.now+watchRetryDelay, n.deliverEndpoints)
 		return
 	}
 	if n.watchLost || n.suspended {
 		return
 	}
-	kind, entries := n.world.discovery.Update(n.world.now, n.id)
+	kind, entries := n.sim.discovery.Update(n.sim.now, n.id)
 	if kind == policy.IncrementalUpdate && len(entries) == 0 {
 		return
 	}
@@ -121,39 +121,39 @@
 }
 
 // updateEndpoint changes an executor's entry at discovery; nodes are notified once discovery has it.
-func (w *Simulation) updateEndpoint(entry emulator.Entry) {
-	at := w.discovery.Change(w.now, entry)
-	w.checker.EndpointPublished(at, entry.Executor, entry.State)
-	w.notifyNodes(at)
+func (sim *Simulation) updateEndpoint(entry emulator.Entry) {
+	at := sim.discovery.Change(sim.now, entry)
+	sim.checker.EndpointPublished(at, entry.Executor, entry.State)
+	sim.notifyNodes(at)
 }
 
 // notifyNodes lets all nodes read discovery's updates, each at a time of its own soon after the given one.
-func (w *Simulation) notifyNodes(at time.Duration) {
-	if w.wired != nil {
-		w.at(at, w.wired.notifyWatches)
+func (sim *Simulation) notifyNodes(at time.Duration) {
+	if sim.networked != nil {
+		sim.at(at, sim.networked.notifyWatches)
 		return
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if n.up {
-			jitter := time.Duration(w.networkRand.IntN(maxNotifyJitter)) * time.Microsecond
-			n.after(at-w.now+jitter, n.deliverEndpoints)
+			jitter := time.Duration(sim.networkRand.IntN(maxNotifyJitter)) * time.Microsecond
+			n.after(at-sim.now+jitter, n.deliverEndpoints)
 		}
 	}
 }
 
 // updateWeights sets all weights by the executors' load, again and again.
-func (w *Simulation) updateWeights() {
+func (sim *Simulation) updateWeights() {
 	at := time.Duration(0)
-	for _, x := range w.executors {
-		if entry, ok := w.discovery.Entry(x.ID); ok {
-			entry.Weight = x.relativeCapacity() / (1 + float64(x.InFlight())/float64(x.Cores))
-			at = w.discovery.Change(w.now, entry)
+	for _, x := range sim.executors {
+		if entry, ok := sim.discovery.Entry(x.ID); ok {
+			entry.Weight = x.standardCores() / (1 + float64(x.InFlight())/float64(x.Cores))
+			at = sim.discovery.Change(sim.now, entry)
 		}
 	}
 	if at > 0 {
-		w.notifyNodes(at)
+		sim.notifyNodes(at)
 	}
-	w.after(time.Duration(w.scenario.Fleet.WeightInterval), w.updateWeights)
+	sim.after(time.Duration(sim.scenario.Fleet.WeightInterval), sim.updateWeights)
 }
 
 func sortedByExecutor(endpoints map[policy.ExecutorID]invariants.Event) []invariants.Event {
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -60,13 +60,13 @@
 }
 
 // at schedules a function; one in the past runs now.
-func (w *Simulation) at(at time.Duration, run func()) {
-	w.scheduled++
-	w.events.push(scheduledEvent{max(at, w.now), permute(w.seed ^ w.scheduled*scheduleGamma), run})
-	if w.wired != nil {
-		w.wired.eventScheduled()
+func (sim *Simulation) at(at time.Duration, run func()) {
+	sim.scheduled++
+	sim.events.push(scheduledEvent{max(at, sim.now), permute(sim.seed ^ sim.scheduled*scheduleGamma), run})
+	if sim.networked != nil {
+		sim.networked.eventScheduled()
 	}
 }
 
 // after schedules a function after a delay.
-func (w *Simulation) after(delay time.Duration, run func()) { w.at(w.now+delay, run) }
+func (sim *Simulation) after(delay time.Duration, run func()) { sim.at(sim.now+delay, run) }
--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -11,7 +11,7 @@
 // executor is an emulated executor and its place in the world.
 type executor struct {
 	*emulator.Executor
-	world  *Simulation
+	sim    *Simulation
 	number int // of the scenario's executor, or of the one that this one replaces
 	addr   string
 	conns  map[emulator.ConnID]*executorConn
@@ -22,25 +22,25 @@
 	replacements     int
 	timerSeq         int // of the timer that is set; earlier ones are void
 
-	assigned []*baselineJob // jobs that the best policy has sent here and that have not arrived yet
+	assignedJobs []*baselineJob // jobs that the best policy has sent here and that have not arrived yet
 
 	// In a wired world.
 	incarnation int // processes so far
 	sockets     map[emulator.ConnID]*executorSocket
 }
 
-func (w *Simulation) addExecutor(id string, number int, speed float64) *executor {
-	x := &executor{world: w, number: number, addr: w.newAddr(), conns: map[emulator.ConnID]*executorConn{}}
-	x.Executor = emulator.NewExecutor(w.scenario.Spec(id, number, speed), stream(w.seed, executorStream+id))
-	w.executors = append(w.executors, x)
-	w.byAddr[x.addr] = x
+func (sim *Simulation) addExecutor(id string, number int, speed float64) *executor {
+	x := &executor{sim: sim, number: number, addr: sim.newAddr(), conns: map[emulator.ConnID]*executorConn{}}
+	x.Executor = emulator.NewExecutor(sim.scenario.Spec(id, number, speed), stream(sim.seed, executorStream+id))
+	sim.executors = append(sim.executors, x)
+	sim.byAddr[x.addr] = x
 	return x
 }
 
 // newAddr is an address that nobody had before.
-func (w *Simulation) newAddr() string {
-	w.lastAddr++
-	return fmt.Sprintf("127.1.%d.%d:9000", w.lastAddr/250, w.lastAddr%250+1)
+func (sim *Simulation) newAddr() string {
+	sim.lastAddr++
+	return fmt.Sprintf("127.1.%d.%d:9000", sim.lastAddr/250, sim.lastAddr%250+1)
 }
 
 // entry is the executor's entry in the endpoint list.
@@ -51,18 +51,18 @@
 		Kind:           x.Kind,
 		Cell:           x.Cell,
 		State:          state,
-		Weight:         x.relativeCapacity(),
+		Weight:         x.standardCores(),
 		StartedAt:      x.Started,
 		StartedLongAgo: x.Started < 0,
 	}
-	if x.world.scenario.Fleet.NoWeights {
+	if x.sim.scenario.Fleet.NoWeights {
 		endpoint.Weight = 1
 	}
 	return emulator.Entry{Addr: x.addr, Endpoint: endpoint}
 }
 
 // relativeCapacity is the executor's capacity in standard cores.
-func (x *executor) relativeCapacity() float64 { return float64(x.Cores) * x.Speed }
+func (x *executor) standardCores() float64 { return float64(x.Cores) * x.Speed }
 
 // apply carries out what follows from something that happened to the executor, and sets its timer.
 func (x *executor) apply(outputs []emulator.Output) {
@@ -74,30 +74,30 @@
 	if next == emulator.Never {
 		return
 	}
-	x.world.at(next, func() {
+	x.sim.at(next, func() {
 		if x.timerSeq == seq {
-			x.apply(x.Wake(x.world.now))
+			x.apply(x.Wake(x.sim.now))
 		}
 	})
 }
 
 func (x *executor) applyOutput(output emulator.Output) {
-	w := x.world
+	sim := x.sim
 	switch output := output.(type) {
 	case emulator.Message:
-		if w.wired != nil {
-			w.wired.answerAttempt(x, output)
+		if sim.networked != nil {
+			sim.networked.answerAttempt(x, output)
 		} else if conn := x.conns[output.Conn]; conn != nil {
 			conn.answer(output)
 		}
 	case emulator.EffectStarted:
 		if conn := x.conns[output.Conn]; conn != nil && conn.attempt != nil && conn.attempt.request.job == output.Job {
-			w.account.recordBegan(conn.attempt.history)
+			sim.account.recordStarted(conn.attempt.history)
 		}
-		w.observe(invariants.Event{Kind: invariants.EffectStarted, Node: output.Node, Job: output.Job, Work: output.Work, Class: output.Class, Executor: x.ID})
+		sim.observe(invariants.Event{Kind: invariants.EffectStarted, Node: output.Node, Job: output.Job, Work: output.Work, Class: output.Class, Executor: x.ID})
 	case emulator.AttemptArrived:
-		if x.InSlowStart(w.now) {
-			w.observe(invariants.Event{Kind: invariants.AttemptReached, Node: output.Node, Job: output.Job, Executor: x.ID, Cost: output.StatedCost,
+		if x.InSlowStart(sim.now) {
+			sim.observe(invariants.Event{Kind: invariants.AttemptReached, Node: output.Node, Job: output.Job, Executor: x.ID, Cost: output.StatedCost,
 				Capacity: output.Capacity})
 		}
 	case emulator.ConnReset:
@@ -108,42 +108,42 @@
 			socket.conn.Reset()
 		}
 	case emulator.Crashed:
-		w.result.Overloaded++
-		w.observe(invariants.Event{Kind: invariants.ExecutorCrashed, Node: invariants.NoNode, Executor: x.ID})
-		w.updateEndpoint(x.entry(policy.Removed))
-		if w.wired != nil {
-			w.wired.endExecutor(x, false)
+		sim.result.Overloaded++
+		sim.observe(invariants.Event{Kind: invariants.ExecutorCrashed, Node: invariants.NoNode, Executor: x.ID})
+		sim.updateEndpoint(x.entry(policy.Removed))
+		if sim.networked != nil {
+			sim.networked.endExecutor(x, false)
 		}
 	}
 }
 
 // restart starts a new process of the executor.
 func (x *executor) restart() {
-	w := x.world
+	sim := x.sim
 	x.unreachable = false
-	for _, conn := range sortedByKey(x.conns) { // those of the process before
+	for _, conn := range sortedByExecutorKey(x.conns) { // those of the process before
 		delete(x.conns, conn.key)
 		conn.toNode(func() { conn.breakConn("reset by the executor") })
 	}
-	x.apply(x.Start(w.now))
-	if w.wired != nil {
-		w.wired.startExecutor(x)
+	x.apply(x.Start(sim.now))
+	if sim.networked != nil {
+		sim.networked.startExecutor(x)
 	}
 	x.applyFaults()
-	w.observe(invariants.Event{Kind: invariants.ExecutorStarted, Node: invariants.NoNode, Executor: x.ID})
+	sim.observe(invariants.Event{Kind: invariants.ExecutorStarted, Node: invariants.NoNode, Executor: x.ID})
 	entry := x.entry(policy.Available)
-	entry.StartedAt += w.clockOffset
-	w.updateEndpoint(entry)
+	entry.StartedAt += sim.clockOffset
+	sim.updateEndpoint(entry)
 }
 
 // changeAddress gives the executor another address.
 func (x *executor) changeAddress() {
-	delete(x.world.byAddr, x.addr)
-	x.addr = x.world.newAddr()
-	x.world.byAddr[x.addr] = x
+	delete(x.sim.byAddr, x.addr)
+	x.addr = x.sim.newAddr()
+	x.sim.byAddr[x.addr] = x
 }
 
 // dedupMemory is what remembers the idempotency keys of a class that have reached an executor's dedup group.
-func (w *Simulation) dedupMemory(x *executor, class policy.JobClassID) *emulator.DedupMemory {
-	return w.memories.Of(class, w.jobClasses[class].DedupGroup, x.ExecutorSpec)
+func (sim *Simulation) dedupMemory(x *executor, class policy.JobClassID) *emulator.DedupMemory {
+	return sim.memories.Of(class, sim.jobClasses[class].DedupGroup, x.ExecutorSpec)
 }
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -45,7 +45,7 @@
 		}
 	case emulator.Drain:
 	case emulator.Excluded:
-		for _, n := range x.world.nodes {
+		for _, n := range x.sim.nodes {
 			n.adminCall(node.ReadmitExecutor, x.ID)
 		}
 	default:
@@ -58,31 +58,31 @@
 func (x *executor) applyFaults() {
 	trouble := emulator.Combine(x.faults)
 	trouble.FalseRejections = x.Faults().FalseRejections
-	x.apply(x.SetFaults(x.world.now, trouble))
+	x.apply(x.SetFaults(x.sim.now, trouble))
 }
 
 // stop ends the executor's process. If its machine vanishes, nothing notifies those connected to it, and discovery notices later.
 func (x *executor) stop(vanishes bool) {
-	w := x.world
+	sim := x.sim
 	x.activeDownFaults++
 	if !x.Up {
 		x.unreachable = x.unreachable || vanishes
 		return
 	}
-	outputs := x.Crash(w.now)
-	if w.wired != nil {
-		w.wired.endExecutor(x, vanishes)
+	outputs := x.Crash(sim.now)
+	if sim.networked != nil {
+		sim.networked.endExecutor(x, vanishes)
 	}
 	if !vanishes {
 		x.apply(outputs)
-		w.updateEndpoint(x.entry(policy.Removed))
+		sim.updateEndpoint(x.entry(policy.Removed))
 		return
 	}
 	x.unreachable = true
 	x.timerSeq++
-	w.after(vanishDetection, func() {
+	sim.after(vanishDetection, func() {
 		if x.unreachable {
-			w.updateEndpoint(x.entry(policy.Removed))
+			sim.updateEndpoint(x.entry(policy.Removed))
 		}
 	})
 }
@@ -99,45 +99,45 @@
 // drainAndRestart drains the executor: the endpoint list says so first, after a grace period it takes nothing new, it ends at three
 // quarters of the fault, and restarts at its end.
 func (x *executor) drainAndRestart(fault emulator.Fault) {
-	w := x.world
+	sim := x.sim
 	if !x.Up || x.activeDownFaults > 0 {
 		return
 	}
 	x.activeDownFaults++
 	started := x.Started
-	w.updateEndpoint(x.entry(policy.Draining))
-	w.after(time.Duration(w.scenario.Fleet.DiscoveryLag+w.scenario.Fleet.DrainGrace), func() {
+	sim.updateEndpoint(x.entry(policy.Draining))
+	sim.after(time.Duration(sim.scenario.Fleet.DiscoveryLag+sim.scenario.Fleet.DrainGrace), func() {
 		if x.Up && x.Started == started {
 			x.Draining = true
 		}
 	})
-	w.after(fault.For*3/4, func() {
+	sim.after(fault.For*3/4, func() {
 		if x.Up && x.Started == started {
-			x.apply(x.Crash(w.now))
-			if w.wired != nil {
-				w.wired.endExecutor(x, false)
+			x.apply(x.Crash(sim.now))
+			if sim.networked != nil {
+				sim.networked.endExecutor(x, false)
 			}
-			w.updateEndpoint(x.entry(policy.Removed))
+			sim.updateEndpoint(x.entry(policy.Removed))
 		}
 	})
-	w.after(fault.For, x.endDownFault)
+	sim.after(fault.For, x.endDownFault)
 }
 
 // excludeAndRestart has operators exclude the executor at each node, and restarts it meanwhile. The endpoint list does not show the
 // exclusion.
 func (x *executor) excludeAndRestart(fault emulator.Fault) {
-	w := x.world
-	for _, n := range w.nodes {
+	sim := x.sim
+	for _, n := range sim.nodes {
 		n.adminCall(node.ExcludeExecutor, x.ID)
 	}
-	w.after(fault.For/2, func() { x.stop(false) })
-	w.after(fault.For*3/4, x.endDownFault)
+	sim.after(fault.For/2, func() { x.stop(false) })
+	sim.after(fault.For*3/4, x.endDownFault)
 }
 
 // replace starts another executor in the place of one that does not come back.
 func (x *executor) replace() {
 	x.replacements++
-	replacement := x.world.addExecutor(fmt.Sprintf("%s-%d", x.ID, x.replacements), x.number, x.Speed)
+	replacement := x.sim.addExecutor(fmt.Sprintf("%s-%d", x.ID, x.replacements), x.number, x.Speed)
 	replacement.Up = false
 	replacement.restart()
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -16,22 +16,22 @@
 var gossipFaults = []emulator.Kind{emulator.GossipPartitioned, emulator.FalseGossip, emulator.NodePaused, emulator.GossipLost, emulator.DiscoveryUnreachable}
 
 // scheduleFault schedules a fault's begin and end.
-func (w *Simulation) scheduleFault(fault emulator.Fault) {
-	w.at(fault.At, func() {
-		w.note("fault: %v", fault)
-		w.setFault(fault, true)
+func (sim *Simulation) scheduleFault(fault emulator.Fault) {
+	sim.at(fault.At, func() {
+		sim.note("fault: %v", fault)
+		sim.setFault(fault, true)
 		if fault.For > 0 {
-			w.after(fault.For, func() {
-				w.note("over: %v", fault)
-				w.setFault(fault, false)
+			sim.after(fault.For, func() {
+				sim.note("over: %v", fault)
+				sim.setFault(fault, false)
 			})
 		}
 	})
 }
 
 // setFault begins or ends a fault.
-func (w *Simulation) setFault(fault emulator.Fault, on bool) {
-	if w.wired != nil && slices.Contains(gossipFaults, fault.Kind) {
+func (sim *Simulation) setFault(fault emulator.Fault, on bool) {
+	if sim.networked != nil && slices.Contains(gossipFaults, fault.Kind) {
 		return
 	}
 	size := fault.Size
@@ -41,43 +41,43 @@
 	switch fault.Kind {
 	case emulator.ZonePartitioned, emulator.ZoneInboundLost, emulator.ZoneOutboundLost:
 		if on { // a partition knows when it ends
-			w.partitionZones(fault, fault.Kind != emulator.ZoneOutboundLost, fault.Kind != emulator.ZoneInboundLost)
+			sim.partitionZones(fault, fault.Kind != emulator.ZoneOutboundLost, fault.Kind != emulator.ZoneInboundLost)
 		}
 	case emulator.ResetNew:
-		w.newConnResetRate = size
+		sim.newConnResetRate = size
 	case emulator.SilentNew:
-		w.newConnSilentRate = size
+		sim.newConnUnresponsiveRate = size
 	case emulator.SilentOld, emulator.ResetOld, emulator.ClientReset:
 		if on {
-			w.beginConnFault(fault)
+			sim.beginConnFault(fault)
 		}
 	case emulator.DiscoveryDelayed:
-		w.setDiscoveryDelay(secondsOf(size), on)
+		sim.setDiscoveryDelay(secondsOf(size), on)
 	case emulator.DiscoverySilent:
-		w.setDiscoverySilent(on)
+		sim.setDiscoveryUnresponsive(on)
 	case emulator.GossipLost:
-		w.gossipLoss = size
+		sim.gossipLoss = size
 	case emulator.Burst, emulator.HeavyTail:
-		w.setClientFault(fault, on)
+		sim.setClientFault(fault, on)
 	case emulator.ClockSkew:
-		w.clockOffset = secondsOf(size)
+		sim.clockOffset = secondsOf(size)
 	default:
-		w.setProcessFault(fault, on)
+		sim.setProcessFault(fault, on)
 	}
 }
 
 func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
 
 // setProcessFault begins or ends a fault on each executor, and each node, that it is on.
-func (w *Simulation) setProcessFault(fault emulator.Fault, on bool) {
-	for _, x := range w.faultedExecutors(fault) {
+func (sim *Simulation) setProcessFault(fault emulator.Fault, on bool) {
+	for _, x := range sim.faultedExecutors(fault) {
 		if on {
 			x.beginFault(fault)
 		} else {
 			x.endFault(fault)
 		}
 	}
-	for _, n := range w.faultedNodes(fault) {
+	for _, n := range sim.faultedNodes(fault) {
 		if on {
 			n.beginFault(fault)
 		} else {
@@ -87,12 +87,12 @@
 }
 
 // faultedExecutors are the executors that a fault is on; none if its kind is not on executors.
-func (w *Simulation) faultedExecutors(fault emulator.Fault) (all []*executor) {
+func (sim *Simulation) faultedExecutors(fault emulator.Fault) (all []*executor) {
 	if on, _ := fault.Kind.On(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
-	for _, x := range w.executors {
-		if fault.Touches(string(x.ID), w.scenario.Fleet.Zones[x.Zone]) {
+	for _, x := range sim.executors {
+		if fault.Touches(string(x.ID), sim.scenario.Fleet.Zones[x.Zone]) {
 			all = append(all, x)
 		}
 	}
@@ -100,12 +100,12 @@
 }
 
 // faultedNodes are the nodes that a fault is on; none if its kind is not on nodes.
-func (w *Simulation) faultedNodes(fault emulator.Fault) (all []*simNode) {
+func (sim *Simulation) faultedNodes(fault emulator.Fault) (all []*simNode) {
 	if on, _ := fault.Kind.On(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
-	for _, n := range w.nodes {
-		if fault.Touches(n.name, w.scenario.Fleet.Zones[n.zone]) {
+	for _, n := range sim.nodes {
+		if fault.Touches(n.name, sim.scenario.Fleet.Zones[n.zone]) {
 			all = append(all, n)
 		}
 	}
@@ -113,29 +113,29 @@
 }
 
 // setDiscoveryDelay delays all updates of the endpoint list, or ends the delay.
-func (w *Simulation) setDiscoveryDelay(delay time.Duration, on bool) {
-	w.discovery.SetDelay(delay)
+func (sim *Simulation) setDiscoveryDelay(delay time.Duration, on bool) {
+	sim.discovery.SetDelay(delay)
 	if on {
-		w.checker.UnreachableUntil(invariants.NoNode, w.now+time.Duration(w.scenario.Fleet.DiscoveryLag)+delay)
+		sim.checker.UnreachableUntil(invariants.NoNode, sim.now+time.Duration(sim.scenario.Fleet.DiscoveryLag)+delay)
 	} else {
-		w.notifyNodes(w.now)
+		sim.notifyNodes(sim.now)
 	}
 }
 
 // setDiscoverySilent stops discovery from answering, or lets it answer again.
-func (w *Simulation) setDiscoverySilent(silent bool) {
-	w.discovery.SetSilent(silent)
-	w.checker.SetUnreachable(w.now, invariants.NoNode, silent)
-	at := w.now
-	if silent {
+func (sim *Simulation) setDiscoveryUnresponsive(unresponsive bool) {
+	sim.discovery.SetSilent(unresponsive)
+	sim.checker.SetUnreachable(sim.now, invariants.NoNode, unresponsive)
+	at := sim.now
+	if unresponsive {
 		at += watchLossDelay
 	}
-	w.notifyNodes(at)
+	sim.notifyNodes(at)
 }
 
 // setClientFault begins or ends a fault of the clients' traffic.
-func (w *Simulation) setClientFault(fault emulator.Fault, on bool) {
-	for _, c := range w.clients {
+func (sim *Simulation) setClientFault(fault emulator.Fault, on bool) {
+	for _, c := range sim.clients {
 		switch {
 		case fault.Kind == emulator.Burst && on:
 			c.Burst = fault.Size
@@ -187,7 +187,7 @@
 	case emulator.GossipPartitioned:
 		n.partitioned = on
 	case emulator.DiscoveryUnreachable:
-		n.world.checker.SetUnreachable(n.world.now, n.id, on)
+		n.sim.checker.SetUnreachable(n.sim.now, n.id, on)
 		n.watchLost = on
 		if !on && n.up {
 			n.deliverEndpoints()
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -21,7 +21,7 @@
 	whole, events bytes.Buffer
 }
 
-func (h *traceHash) see(t *testing.T, s invariants.Event) {
+func (h *traceHash) record(t *testing.T, s invariants.Event) {
 	line, err := s.Line()
 	if err != nil {
 		t.Error(err)
@@ -59,7 +59,7 @@
 }
 
 // goldenWorlds are the worlds whose traces and results are pinned.
-func goldenWorlds(t *testing.T) []Scenario {
+func goldenScenarios(t *testing.T) []Scenario {
 	t.Helper()
 	worlds := []Scenario{}
 	for _, name := range []string{"answers-lost", "bad-clients", "calm", "copies-of-silent", "discovery-silent", "errors-and-cut",
@@ -78,10 +78,10 @@
 func TestGoldenTraces(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
-	for _, s := range goldenWorlds(t) {
+	for _, s := range goldenScenarios(t) {
 		for _, p := range Policies {
 			var h traceHash
-			r := New(s, s.Seed, Options{Policy: p, Account: true, Trace: func(x invariants.Event) { h.see(t, x) }}).Play()
+			r := New(s, s.Seed, Options{Policy: p, Account: true, Trace: func(x invariants.Event) { h.record(t, x) }}).Play()
 			fmt.Fprintf(&out, "%s, seed %d, %s: %s\n  result %x\n", s.Name, s.Seed, p, &h, sha256.Sum256([]byte(printed(t, r))))
 		}
 	}
@@ -98,15 +98,15 @@
 		return
 	}
 	var out strings.Builder
-	for _, s := range goldenWorlds(t) {
+	for _, s := range goldenScenarios(t) {
 		if s.Fleet.Nodes >= 20 || slices.Contains(notPinned, s.Name) {
 			continue
 		}
 		var h traceHash
-		r := playWired(t, s, s.Seed, Options{Trace: func(x invariants.Event) { h.see(t, x) }})
+		r := playNetworked(t, s, s.Seed, Options{Trace: func(x invariants.Event) { h.record(t, x) }})
 		fmt.Fprintf(&out, "%s, seed %d: %s\n  result %x\n", s.Name, s.Seed, &h, sha256.Sum256([]byte(printed(t, r))))
 	}
-	golden.Compare(t, "wired-traces.txt", out.String())
+	golden.Compare(t, "networked-traces.txt", out.String())
 }
 
 // One result in full, as it is printed and with its JSON keys.
@@ -141,9 +141,9 @@
 	t.Parallel()
 	var out strings.Builder
 	breaks := func(s Scenario) bool {
-		w := New(s, 1, Options{MaxViolations: 1})
-		w.defects = defects[0].inject
-		r := w.Play()
+		sim := New(s, 1, Options{MaxViolations: 1})
+		sim.defects = defects[0].inject
+		r := sim.Play()
 		return len(r.Violations) > 0 && r.Violations[0].Rule == defects[0].rule
 	}
 	step := func(s Scenario) {
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -24,32 +24,32 @@
 )
 
 // joinFleet lets a node that has just started gossip with its peers.
-func (n *simNode) joinFleet() {
-	w := n.world
+func (n *simNode) joinCluster() {
+	sim := n.sim
 	incarnation := uint64(n.startedAt.Milliseconds())<<8 + uint64(n.incarnation)
-	settings := cluster.Defaults(cluster.NodeName(n.name), incarnation, uint32(permute(w.seed+uint64(n.id))))
+	settings := cluster.Defaults(cluster.NodeName(n.name), incarnation, uint32(permute(sim.seed+uint64(n.id))))
 	settings.Epoch = n.startedAt.Milliseconds()
-	if w.defects.fleet != nil {
-		w.defects.fleet(&settings)
+	if sim.defects.cluster != nil {
+		sim.defects.cluster(&settings)
 	}
-	n.workRate = workRate{at: w.now}
-	n.reducer.JoinCluster(settings)
+	n.workRate = workRate{at: sim.now}
+	n.stateMachine.JoinCluster(settings)
 	n.peerReachedAt, n.alivePeers = map[invariants.NodeID]time.Duration{}, nil
-	n.after(time.Duration(w.gossipRand.Int64N(int64(membershipInterval))), n.updateMembership)
+	n.after(time.Duration(sim.gossipRand.Int64N(int64(membershipInterval))), n.updateMembership)
 }
 
 // updateMembership finds out which peers are alive, again and again.
 func (n *simNode) updateMembership() {
-	w := n.world
+	sim := n.sim
 	var alive []cluster.NodeName
-	for _, peer := range w.nodes {
+	for _, peer := range sim.nodes {
 		if peer == n {
 			continue
 		}
-		if peer.up && !peer.suspended && peer.partitioned == n.partitioned && w.linked(n.zone, peer.zone) {
-			n.peerReachedAt[peer.id] = w.now
+		if peer.up && !peer.suspended && peer.partitioned == n.partitioned && sim.linked(n.zone, peer.zone) {
+			n.peerReachedAt[peer.id] = sim.now
 		}
-		if at, ok := n.peerReachedAt[peer.id]; ok && w.now-at < memberTimeout {
+		if at, ok := n.peerReachedAt[peer.id]; ok && sim.now-at < memberTimeout {
 			alive = append(alive, cluster.NodeName(peer.name))
 		}
 	}
@@ -64,39 +64,39 @@
 func (n *simNode) sendGossip(envelope cluster.Envelope) {
 	n.checkGossipBounds(envelope)
 	message := n.corrupt(envelope.Message)
-	n.world.recordGossip(message)
-	to := slices.IndexFunc(n.world.nodes, func(peer *simNode) bool { return peer.name == string(envelope.To) })
+	n.sim.recordGossip(message)
+	to := slices.IndexFunc(n.sim.nodes, func(peer *simNode) bool { return peer.name == string(envelope.To) })
 	if to >= 0 {
-		n.sendToPeer(n.world.nodes[to], node.GossipReceived{Message: message})
+		n.sendToPeer(n.sim.nodes[to], node.GossipReceived{Message: message})
 	}
 }
 
 // sendLeaseMessage sends a message about leases.
 func (n *simNode) sendLeaseMessage(effect node.SendLeaseMessage) {
-	if int(effect.To) < len(n.world.nodes) {
+	if int(effect.To) < len(n.sim.nodes) {
 		event := node.LeaseMessageReceived{From: policy.NodeID(n.id), Message: effect.Message, Hash: effect.Hash}
-		n.sendToPeer(n.world.nodes[effect.To], event)
+		n.sendToPeer(n.sim.nodes[effect.To], event)
 	}
 }
 
 // sendToPeer sends a message that may be lost, late or doubled. A partition loses it.
 func (n *simNode) sendToPeer(peer *simNode, event node.Event) {
-	w, fleet := n.world, &n.world.scenario.Fleet
-	w.result.PeerMessages++
-	blocked := n.zone != peer.zone && (w.partitions[n.zone].outboundUntil > w.now || w.partitions[peer.zone].inboundUntil > w.now)
+	sim, fleet := n.sim, &n.sim.scenario.Fleet
+	sim.result.PeerMessages++
+	blocked := n.zone != peer.zone && (sim.partitions[n.zone].outboundUntil > sim.now || sim.partitions[peer.zone].inboundUntil > sim.now)
 	if n.partitioned != peer.partitioned || blocked {
 		return
 	}
-	for range 1 + countTrue(w.gossipRand.Float64() < fleet.MessageDuplication) {
-		if w.gossipRand.Float64() < max(fleet.MessageLoss, w.gossipLoss) {
+	for range 1 + countTrue(sim.gossipRand.Float64() < fleet.MessageDuplication) {
+		if sim.gossipRand.Float64() < max(fleet.MessageLoss, sim.gossipLoss) {
 			continue
 		}
 		late := time.Duration(0)
 		if fleet.MessageDelay > 0 {
-			late = time.Duration(w.gossipRand.Int64N(int64(fleet.MessageDelay)))
+			late = time.Duration(sim.gossipRand.Int64N(int64(fleet.MessageDelay)))
 		}
 		incarnation := peer.incarnation
-		w.after(w.minDelay(n.zone, peer.zone)+late, func() {
+		sim.after(sim.minDelay(n.zone, peer.zone)+late, func() {
 			if peer.up && peer.incarnation == incarnation {
 				peer.deliver(event)
 			}
@@ -122,7 +122,7 @@
 	case 2: // nearly all expires
 		rates.Expired += 10 * rates.Completed
 	case 3: // in a peer's name
-		message.From = cluster.NodeName(n.world.nodes[(int(n.id)+1)%len(n.world.nodes)].name)
+		message.From = cluster.NodeName(n.sim.nodes[(int(n.id)+1)%len(n.sim.nodes)].name)
 	}
 	message.Rates = rates
 	return message
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -52,7 +52,7 @@
 	n.checkMessageCount(settings)
 	n.checkWorkRate(envelope.Message.Rates.Completed)
 	sentAt := n.workRate.sentAt
-	if len(sentAt) > 1 && sentAt[len(sentAt)-2] == n.world.now {
+	if len(sentAt) > 1 && sentAt[len(sentAt)-2] == n.sim.now {
 		return // the round's first message has shown the age of peer states
 	}
 	n.checkPeerStates(settings)
@@ -60,60 +60,60 @@
 
 // checkMessageCount checks how many messages a node sends.
 func (n *simNode) checkMessageCount(settings cluster.Settings) {
-	w, window := n.world, boundRounds*settings.GossipInterval
-	n.workRate.sentAt = append(n.workRate.sentAt, w.now)
-	for w.now-n.workRate.sentAt[0] > window {
+	sim, window := n.sim, boundRounds*settings.GossipInterval
+	n.workRate.sentAt = append(n.workRate.sentAt, sim.now)
+	for sim.now-n.workRate.sentAt[0] > window {
 		n.workRate.sentAt = n.workRate.sentAt[1:]
 	}
 	if most := settings.Fanout * (boundRounds + 1 + extraRounds); len(n.workRate.sentAt) > most {
-		w.violateBound(n, "%s told %d words in %v where %d are the most", n.name, len(n.workRate.sentAt), window, most)
+		sim.reportBoundViolation(n, "%s told %d words in %v where %d are the most", n.name, len(n.workRate.sentAt), window, most)
 	}
 }
 
 // checkWorkRate checks the work rate that a node sends. Where hints say little, or it was suspended, it says little too.
 func (n *simNode) checkWorkRate(sent float64) {
-	w, noise := n.world, n.world.scenario.Load.HintNoise
-	if noise < 0 || noise >= maxCheckedNoise || w.now < n.workRate.suspendedUntil {
+	sim, noise := n.sim, n.sim.scenario.Load.HintNoise
+	if noise < 0 || noise >= maxCheckedNoise || sim.now < n.workRate.suspendedUntil {
 		return
 	}
-	if did := n.workRate.rate(w.now, w.now-n.startedAt); sent > workRateFactor*did+workRateSlack {
-		w.violateBound(n, "%s tells that it does %.2f, and did %.2f", n.name, sent, did)
+	if did := n.workRate.rate(sim.now, sim.now-n.startedAt); sent > workRateFactor*did+workRateSlack {
+		sim.reportBoundViolation(n, "%s tells that it does %.2f, and did %.2f", n.name, sent, did)
 	}
 }
 
 // checkPeerStates checks the age of the peer states that a node uses.
 func (n *simNode) checkPeerStates(settings cluster.Settings) {
-	w, fleet := n.world, &n.world.scenario.Fleet
+	sim, fleet := n.sim, &n.sim.scenario.Fleet
 	longest := settings.PeerStateTTL + time.Duration(fleet.MessageDelay) + time.Duration(max(fleet.Near, fleet.Far))
-	if w.now < n.workRate.suspendedUntil+settings.PeerStateTTL {
+	if sim.now < n.workRate.suspendedUntil+settings.PeerStateTTL {
 		longest += suspendRounds * settings.GossipInterval
 	}
-	for _, used := range n.reducer.Cluster().FreshPeers(w.now - n.startedAt) {
-		at, ok := w.gossipBounds.sentAt[used]
+	for _, used := range n.stateMachine.Cluster().FreshPeers(sim.now - n.startedAt) {
+		at, ok := sim.gossipBounds.sentAt[used]
 		if !ok {
-			w.violateBound(n, "%s counts word %d of %s, which was never told", n.name, used.Seq, used.From)
-		} else if w.now-at > longest {
-			w.violateBound(n, "%s counts figures of %s that are %v old where %v is the most", n.name, used.From, w.now-at, longest)
+			sim.reportBoundViolation(n, "%s counts word %d of %s, which was never told", n.name, used.Seq, used.From)
+		} else if sim.now-at > longest {
+			sim.reportBoundViolation(n, "%s counts figures of %s that are %v old where %v is the most", n.name, used.From, sim.now-at, longest)
 		}
 	}
 }
 
 // recordGossip records that a message was sent. A corrupted one may go by another node's name.
-func (w *Simulation) recordGossip(message cluster.Message) {
-	bounds := &w.gossipBounds
+func (sim *Simulation) recordGossip(message cluster.Message) {
+	bounds := &sim.gossipBounds
 	id := cluster.MessageID{From: message.From, Incarnation: message.Incarnation, Seq: message.Seq}
 	if _, ok := bounds.sentAt[id]; !ok {
 		bounds.order = append(bounds.order, id)
 	}
-	bounds.sentAt[id] = w.now
-	for len(bounds.order) > 0 && w.now-bounds.sentAt[bounds.order[0]] > gossipRecordLength {
+	bounds.sentAt[id] = sim.now
+	for len(bounds.order) > 0 && sim.now-bounds.sentAt[bounds.order[0]] > gossipRecordLength {
 		delete(bounds.sentAt, bounds.order[0])
 		bounds.order = bounds.order[1:]
 	}
 }
 
 // violateBound reports that a bound does not hold.
-func (w *Simulation) violateBound(n *simNode, text string, args ...any) {
-	w.checker.GossipBoundExceeded(w.now, n.id, text, args...)
-	w.advanceChecker()
+func (sim *Simulation) reportBoundViolation(n *simNode, text string, args ...any) {
+	sim.checker.GossipBoundExceeded(sim.now, n.id, text, args...)
+	sim.advanceChecker()
 }
--- a/internal/simulation/fleet_defects_test.go
+++ b/internal/simulation/gossip_defects_test.go
@@ -62,8 +62,8 @@
 		}(), violatedBound},
 		{"an old view counts as fresh", func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "nodes-apart", At: Span(4 * time.Second), For: Span(9 * time.Second), Where: []string{"n0", "n1"}}}
-		}, injectedDefects{fleet: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, violatedBound},
-		{"a node tells more often than it may", nil, injectedDefects{fleet: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, violatedBound},
+		}, injectedDefects{cluster: func(s *cluster.Settings) { s.PeerStateTTL = time.Hour }}, violatedBound},
+		{"a node tells more often than it may", nil, injectedDefects{cluster: func(s *cluster.Settings) { s.GossipInterval /= 2 }}, violatedBound},
 		{"each node spends the whole budget of moves", func(s *Scenario) { s.Load.Utilization = 0.8 }, injectedDefects{
 			event: changeEvent(func(_ *Simulation, _ *simNode, ev node.GossipReceived) []node.Event {
 				ev.Message.Rates.Migrations = 0
@@ -105,9 +105,9 @@
 			if text := d.wrong(sound, sound); text != "" {
 				t.Fatal("with nothing planted: ", text)
 			}
-			w := New(s, 3, Options{MaxViolations: 1000})
-			w.defects = d.plant
-			text := d.wrong(sound, w.Play())
+			sim := New(s, 3, Options{MaxViolations: 1000})
+			sim.defects = d.plant
+			text := d.wrong(sound, sim.Play())
 			if text == "" {
 				t.Error("not caught")
 			}
--- a/internal/simulation/hard_test.go
+++ b/internal/simulation/hard_cases_test.go
@@ -10,53 +10,53 @@
 
 // hardCases counts the hard cases in a trace.
 type hardCases struct {
-	attemptsOut       map[string]invariants.Event // allocations that are out, by node and batch job
-	attemptsOver      map[string]bool             // that the node counts as over, by node, batch job and executor
-	openAt            map[invariants.WorkID]invariants.NodeID
-	heldTwice         int // a second node takes what a first one still holds
-	startedAfterBreak int // an executor begins on what its node counts as over: it saw the break first
-	killedWithAttempt int // a node dies with a last byte gone and no word of it
-	reachedCold       int // work reaches a cold executor
-	lateStarts        int // a node is told of a start long after it
+	attemptsInFlight      map[string]invariants.Event // allocations that are out, by node and batch job
+	attemptsEnded         map[string]bool             // that the node counts as over, by node, batch job and executor
+	nodeOfWork            map[invariants.WorkID]invariants.NodeID
+	atTwoNodes            int // a second node takes what a first one still holds
+	startedAfterConnBreak int // an executor begins on what its node counts as over: it saw the break first
+	killedWithAttempt     int // a node dies with a last byte gone and no word of it
+	arrivedInSlowStart    int // work reaches a cold executor
+	lateStarts            int // a node is told of a start long after it
 }
 
-func (x *hardCases) see(s invariants.Event) {
+func (x *hardCases) record(s invariants.Event) {
 	key := string(rune(s.Node)) + string(s.Job)
 	switch s.Kind {
 	case invariants.JobAccepted:
-		if n, ok := x.openAt[s.Work]; ok && n != s.Node {
-			x.heldTwice++
+		if n, ok := x.nodeOfWork[s.Work]; ok && n != s.Node {
+			x.atTwoNodes++
 		}
-		x.openAt[s.Work] = s.Node
+		x.nodeOfWork[s.Work] = s.Node
 	case invariants.JobAnswered, invariants.ClientKnownLeft:
-		for w, n := range x.openAt {
+		for w, n := range x.nodeOfWork {
 			if n == s.Node && len(s.Job) > len(w) && string(s.Job[:len(w)]) == string(w) && s.Job[len(w)] == '/' {
-				delete(x.openAt, w)
+				delete(x.nodeOfWork, w)
 			}
 		}
 	case invariants.AttemptLastByte:
-		x.attemptsOut[key] = s
+		x.attemptsInFlight[key] = s
 	case invariants.AttemptEnded:
-		delete(x.attemptsOut, key)
-		x.attemptsOver[key+string(s.Executor)] = true
+		delete(x.attemptsInFlight, key)
+		x.attemptsEnded[key+string(s.Executor)] = true
 	case invariants.EffectStarted:
-		if x.attemptsOver[key+string(s.Executor)] {
-			x.startedAfterBreak++
+		if x.attemptsEnded[key+string(s.Executor)] {
+			x.startedAfterConnBreak++
 		}
 	case invariants.NodeKilled:
-		for k, o := range x.attemptsOut {
+		for k, o := range x.attemptsInFlight {
 			if o.Node == s.Node {
 				x.killedWithAttempt++
-				delete(x.attemptsOut, k)
+				delete(x.attemptsInFlight, k)
 			}
 		}
-		for w, n := range x.openAt {
+		for w, n := range x.nodeOfWork {
 			if n == s.Node {
-				delete(x.openAt, w)
+				delete(x.nodeOfWork, w)
 			}
 		}
 	case invariants.AttemptReached:
-		x.reachedCold++
+		x.arrivedInSlowStart++
 	case invariants.EndpointNotified:
 		if s.State == policy.Available && s.Start > 0 && s.At > s.Start+2*time.Second {
 			x.lateStarts++
@@ -67,16 +67,16 @@
 // The hard cases happen in the worlds of the tests, each many times, and no invariant is violated by them.
 func TestHardCasesHappen(t *testing.T) {
 	t.Parallel()
-	x := &hardCases{attemptsOut: map[string]invariants.Event{}, attemptsOver: map[string]bool{}, openAt: map[invariants.WorkID]invariants.NodeID{}}
+	x := &hardCases{attemptsInFlight: map[string]invariants.Event{}, attemptsEnded: map[string]bool{}, nodeOfWork: map[invariants.WorkID]invariants.NodeID{}}
 	ties, orphans := 0, 0
 	play := func(s Scenario, seed uint64) {
-		clear(x.attemptsOut)
-		clear(x.attemptsOver)
-		clear(x.openAt)
-		w := New(s, seed, Options{Trace: x.see})
-		r := w.Play()
-		ties += w.sameInstantSteps
-		for _, e := range w.executors {
+		clear(x.attemptsInFlight)
+		clear(x.attemptsEnded)
+		clear(x.nodeOfWork)
+		sim := New(s, seed, Options{Trace: x.record})
+		r := sim.Play()
+		ties += sim.simultaneousSteps
+		for _, e := range sim.executors {
 			orphans += e.Orphans
 		}
 		for _, b := range r.Violations {
@@ -97,11 +97,11 @@
 		count int
 	}{
 		{"two things at one instant", ties},
-		{"two nodes hold the same work of one client", x.heldTwice},
+		{"two nodes hold the same work of one client", x.atTwoNodes},
 		{"work that runs on after its allocation was given up, and ends for nobody", orphans},
 		{"a node killed between the last byte and the word of it", x.killedWithAttempt},
-		{"a break that the node sees before the executor has the allocation", x.startedAfterBreak},
-		{"work for a cold executor", x.reachedCold},
+		{"a break that the node sees before the executor has the allocation", x.startedAfterConnBreak},
+		{"work for a cold executor", x.arrivedInSlowStart},
 		{"a node told of a start long after it", x.lateStarts},
 	} {
 		t.Logf("%s: %d", c.name, c.count)
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -11,7 +11,7 @@
 	if parallel <= 0 {
 		parallel = runtime.GOMAXPROCS(0)
 	}
-	h := &hunt{size: size, found: found, nextSeed: first, last: last, nextResult: first, waiting: map[uint64]huntResult{}}
+	h := &hunt{size: size, found: found, nextSeed: first, lastSeed: last, nextResult: first, waiting: map[uint64]huntResult{}}
 	var wait sync.WaitGroup
 	for range parallel {
 		wait.Go(h.play)
@@ -21,9 +21,9 @@
 
 // hunt is the state that the goroutines of Hunt share.
 type hunt struct {
-	size  Size
-	found func(Scenario, Result) bool
-	last  uint64 // seed
+	size     Size
+	found    func(Scenario, Result) bool
+	lastSeed uint64 // seed
 
 	mu         sync.Mutex // guards the fields below, and calls of found
 	nextSeed   uint64     // to be played
@@ -52,7 +52,7 @@
 func (h *hunt) takeSeed() (seed uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.stopped || h.nextSeed > h.last {
+	if h.stopped || h.nextSeed > h.lastSeed {
 		return 0, false
 	}
 	seed = h.nextSeed
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -48,11 +48,11 @@
 	site   string // files
 	config string
 
-	mu        sync.Mutex // guards the fields below
-	runsOfJob map[string]int
-	finals    map[string]string // by job
-	wrong     []string
-	rand      *rand.Rand
+	mu         sync.Mutex // guards the fields below
+	runsOfJob  map[string]int
+	finals     map[string]string // by job
+	violations []string
+	rand       *rand.Rand
 }
 
 // Play plays the run. An error means that it could not be played.
@@ -82,7 +82,7 @@
 	}
 	clients.Wait()
 	r.shutDown(node)
-	return r.verdict(), nil
+	return r.outcome(), nil
 }
 
 func jobName(i int) string { return fmt.Sprint("job", i) }
@@ -141,10 +141,10 @@
 }
 
 // verdict says what is wrong with what was seen.
-func (r *killRun) verdict() KillResult {
+func (r *killRun) outcome() KillResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := KillResult{Finals: map[string]int{}, Violations: r.wrong}
+	out := KillResult{Finals: map[string]int{}, Violations: r.violations}
 	for i := range r.Jobs {
 		id, once := jobName(i), killClasses[i%len(killClasses)].repeat == killAtMostOnce
 		final, runs := r.finals[id], r.runsOfJob[id]
@@ -167,7 +167,7 @@
 func (r *killRun) violation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wrong = append(r.wrong, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
 // randomN is a random number under n.
--- a/internal/simulation/link.go
+++ b/internal/simulation/link.go
@@ -15,35 +15,35 @@
 type partition struct{ inboundUntil, outboundUntil time.Duration }
 
 // minDelay is the least delay between two zones, or within one.
-func (w *Simulation) minDelay(from, to policy.ZoneID) time.Duration {
+func (sim *Simulation) minDelay(from, to policy.ZoneID) time.Duration {
 	if from != to {
-		return time.Duration(w.scenario.Fleet.Far)
+		return time.Duration(sim.scenario.Fleet.Far)
 	}
-	return time.Duration(w.scenario.Fleet.Near)
+	return time.Duration(sim.scenario.Fleet.Near)
 }
 
 // randomDelay is a delay between two zones, up to a fifth over the least.
-func (w *Simulation) randomDelay(from, to policy.ZoneID) time.Duration {
-	least := w.minDelay(from, to)
-	return least + time.Duration(w.networkRand.Int64N(int64(least)/5+1))
+func (sim *Simulation) randomDelay(from, to policy.ZoneID) time.Duration {
+	least := sim.minDelay(from, to)
+	return least + time.Duration(sim.networkRand.Int64N(int64(least)/5+1))
 }
 
 // arrivalTime is when something that is sent now arrives. Through a partition it is sent again until it gets through.
-func (w *Simulation) arrivalTime(from, to policy.ZoneID) time.Duration {
-	sent := w.now
+func (sim *Simulation) arrivalTime(from, to policy.ZoneID) time.Duration {
+	sent := sim.now
 	if from != to {
-		sent = max(sent, w.partitions[from].outboundUntil, w.partitions[to].inboundUntil)
+		sent = max(sent, sim.partitions[from].outboundUntil, sim.partitions[to].inboundUntil)
 	}
-	return sent + w.randomDelay(from, to)
+	return sent + sim.randomDelay(from, to)
 }
 
 // linked says whether messages pass both ways between two zones.
-func (w *Simulation) linked(a, b policy.ZoneID) bool {
+func (sim *Simulation) linked(a, b policy.ZoneID) bool {
 	if a == b {
 		return true
 	}
 	for _, zone := range [...]policy.ZoneID{a, b} {
-		if w.partitions[zone].inboundUntil > w.now || w.partitions[zone].outboundUntil > w.now {
+		if sim.partitions[zone].inboundUntil > sim.now || sim.partitions[zone].outboundUntil > sim.now {
 			return false
 		}
 	}
@@ -51,31 +51,31 @@
 }
 
 // partitionZones lets nothing into a fault's zones, or out of them, until the fault ends.
-func (w *Simulation) partitionZones(fault emulator.Fault, inbound, outbound bool) {
-	until := w.now + fault.For
-	for i, name := range w.scenario.Fleet.Zones {
+func (sim *Simulation) partitionZones(fault emulator.Fault, inbound, outbound bool) {
+	until := sim.now + fault.For
+	for i, name := range sim.scenario.Fleet.Zones {
 		if !slices.Contains(fault.Where, name) {
 			continue
 		}
-		p := &w.partitions[i]
+		p := &sim.partitions[i]
 		if inbound {
 			p.inboundUntil = max(p.inboundUntil, until)
-			w.isolateNodes(policy.ZoneID(i), until)
+			sim.markNodesUnreachable(policy.ZoneID(i), until)
 		}
 		if outbound {
 			p.outboundUntil = max(p.outboundUntil, until)
 		}
 	}
-	if w.wired != nil {
-		w.wired.setPartitions(w.partitions)
+	if sim.networked != nil {
+		sim.networked.setPartitions(sim.partitions)
 	}
 }
 
 // isolateNodes lets the checker know that nothing reaches the nodes of a zone.
-func (w *Simulation) isolateNodes(zone policy.ZoneID, until time.Duration) {
-	for _, n := range w.nodes {
+func (sim *Simulation) markNodesUnreachable(zone policy.ZoneID, until time.Duration) {
+	for _, n := range sim.nodes {
 		if n.zone == zone {
-			w.checker.UnreachableUntil(n.id, until)
+			sim.checker.UnreachableUntil(n.id, until)
 		}
 	}
 }
--- a/internal/simulation/news_test.go
+++ b/internal/simulation/lost_watch_test.go
@@ -35,12 +35,12 @@
 			}
 		})
 		caught := 0
-		w := New(s, seed, Options{MaxViolations: 1000})
-		w.defects.event = changeEvent(func(_ *Simulation, n *simNode, ev node.JobArrived) []node.Event {
+		sim := New(s, seed, Options{MaxViolations: 1000})
+		sim.defects.event = changeEvent(func(_ *Simulation, n *simNode, ev node.JobArrived) []node.Event {
 			n.watchLost = true // and nobody says so
 			return []node.Event{ev}
 		})
-		for _, b := range w.Play().Violations {
+		for _, b := range sim.Play().Violations {
 			if caught++; b.Rule != invariants.DrainInForce {
 				t.Errorf("seed %d: another rule broke: %v", seed, b)
 			}
--- a/internal/simulation/malformed_clients.go
+++ b/internal/simulation/malformed_clients.go
@@ -40,31 +40,31 @@
 }
 
 // startMalformedClients sends a malformed request to each node at the scenario's rate, of all kinds in turn.
-func (v *wiredWorld) startMalformedClients() {
-	w := v.world
-	gap, turn := time.Duration(1e9/w.scenario.Load.MalformedRate), 0
+func (ns *networkedSimulation) startMalformedClients() {
+	sim := ns.sim
+	gap, turn := time.Duration(1e9/sim.scenario.Load.MalformedRate), 0
 	var next func()
 	next = func() {
-		if w.now >= time.Duration(w.scenario.Length) {
+		if sim.now >= time.Duration(sim.scenario.Length) {
 			return
 		}
 		turn++
-		request := strings.ReplaceAll(malformedRequests[turn%len(malformedRequests)], classPlaceholder, w.scenario.Classes[0].Name)
-		for _, n := range w.nodes {
+		request := strings.ReplaceAll(malformedRequests[turn%len(malformedRequests)], classPlaceholder, sim.scenario.Classes[0].Name)
+		for _, n := range sim.nodes {
 			if n.up && n.process != nil {
-				go v.sendMalformed(n.process, fmt.Sprint("bad", turn), request)
+				go ns.sendMalformed(n.process, fmt.Sprint("bad", turn), request)
 			}
 		}
-		w.after(gap, next)
+		sim.after(gap, next)
 	}
-	w.after(clientsStartAfter, next)
+	sim.after(clientsStartAfter, next)
 }
 
 // sendMalformed sends a malformed request to a node and reads what comes back.
-func (v *wiredWorld) sendMalformed(p *nodeProcess, id, request string) {
+func (ns *networkedSimulation) sendMalformed(p *nodeProcess, id, request string) {
 	ctx, cancel := context.WithTimeout(context.Background(), malformedReplyTimeout)
 	defer cancel()
-	conn, err := v.net.Dial(ctx, "bad", id, p.addr)
+	conn, err := ns.net.Dial(ctx, "bad", id, p.addr)
 	if err != nil {
 		return
 	}
@@ -72,13 +72,13 @@
 	conn.Write([]byte(request)) //nolint:errcheck // reading the answer shows what became of the connection
 	conn.SetReadDeadline(time.Now().Add(malformedReplyTimeout))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	v.locked(func() {
-		v.world.result.Malformed++
+	ns.locked(func() {
+		ns.sim.result.Malformed++
 		if p.ended {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || err == nil && answer.StatusCode < http.StatusBadRequest {
-			v.world.result.Wrong++
+			ns.sim.result.Wrong++
 		}
 	})
 }
--- a/internal/simulation/wired.go
+++ b/internal/simulation/networked.go
@@ -12,13 +12,13 @@
 )
 
 // shutdownWait is how long a wired world waits at its end for goroutines to find that it is over.
-const shutdownWait = 10 * time.Second
+const goroutineExitTime = 10 * time.Second
 
 // wiredWorld plays a world with the nodes' network code, net/http's server and client among it, on connections in memory. Models and
 // script are those of an event world; what passes between them is bytes. It reads the time by package time only: on a virtual clock
 // (testing/synctest) it takes as long as its work, elsewhere as long as the world lasts.
-type wiredWorld struct {
-	world       *Simulation
+type networkedSimulation struct {
+	sim         *Simulation
 	net         *memnet.Net
 	start       time.Time
 	rescheduled chan struct{} // the next event may be another one now
@@ -45,119 +45,119 @@
 }
 
 // PlayWired plays the world on connections in memory, in a testing/synctest bubble.
-func (w *Simulation) PlayNetworked() Result {
-	v := &wiredWorld{
-		world:            w,
+func (sim *Simulation) PlayNetworked() Result {
+	ns := &networkedSimulation{
+		sim:              sim,
 		start:            time.Now(),
 		rescheduled:      make(chan struct{}, 1),
 		done:             make(chan struct{}),
 		requests:         map[policy.JobID]*clientRequest{},
 		endpointsChanged: make(chan struct{}),
 		zoneOfHost:       map[string]policy.ZoneID{},
-		partitions:       make([]partition, len(w.partitions)),
+		partitions:       make([]partition, len(sim.partitions)),
 		unreachable:      map[string]bool{},
 	}
-	v.net = memnet.New(w.seed, v.path)
-	w.wired = v
-	v.serveDiscovery()
-	v.play()
-	close(v.done)
-	v.net.Shutdown()
-	time.Sleep(shutdownWait)
-	return w.result
+	ns.net = memnet.New(sim.seed, ns.path)
+	sim.networked = ns
+	ns.serveDiscovery()
+	ns.play()
+	close(ns.done)
+	ns.net.Shutdown()
+	time.Sleep(goroutineExitTime)
+	return sim.result
 }
 
 // play plays the world to its end and kills what still runs.
-func (v *wiredWorld) play() {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	w := v.world
-	w.build()
-	for len(w.result.Violations) < w.maxViolations && v.step() {
+func (ns *networkedSimulation) play() {
+	ns.mu.Lock()
+	defer ns.mu.Unlock()
+	sim := ns.sim
+	sim.build()
+	for len(sim.result.Violations) < sim.maxViolations && ns.step() {
 	}
-	v.flush()
-	w.advanceChecker()
-	for _, n := range w.nodes {
+	ns.flush()
+	sim.advanceChecker()
+	for _, n := range sim.nodes {
 		if n.up {
 			n.kill()
 		}
 	}
-	w.result.finish(w)
-	v.ended = true
+	sim.result.finish(sim)
+	ns.ended = true
 }
 
 // step runs the next event, or waits for its time without the lock. It says false at the world's end.
-func (v *wiredWorld) step() bool {
-	w := v.world
-	end := w.lastDeadline()
+func (ns *networkedSimulation) step() bool {
+	sim := ns.sim
+	end := sim.lastDeadline()
 	next := end + 1
-	if len(w.events) > 0 {
-		next = w.events[0].at
+	if len(sim.events) > 0 {
+		next = sim.events[0].at
 	}
-	if next > end || w.openWorks == 0 && next > time.Duration(w.scenario.Length)+settleTime {
+	if next > end || sim.worksInFlight == 0 && next > time.Duration(sim.scenario.Length)+settleTime {
 		return false
 	}
-	if wait := next - time.Since(v.start); wait > 0 {
-		v.mu.Unlock()
-		v.sleep(wait)
-		v.mu.Lock()
+	if wait := next - time.Since(ns.start); wait > 0 {
+		ns.mu.Unlock()
+		ns.sleep(wait)
+		ns.mu.Lock()
 		return true
 	}
-	event := w.events.pop()
-	w.now = max(event.at, time.Since(v.start))
-	w.steps++
+	event := sim.events.pop()
+	sim.now = max(event.at, time.Since(ns.start))
+	sim.steps++
 	event.run()
 	return true
 }
 
 // sleep waits for a time, or until an event is scheduled.
-func (v *wiredWorld) sleep(wait time.Duration) {
+func (ns *networkedSimulation) sleep(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	select {
 	case <-timer.C:
-	case <-v.rescheduled:
+	case <-ns.rescheduled:
 		timer.Stop()
 	}
 }
 
 // locked runs a function on the world at the present time, under the lock. After the world's end it does nothing.
-func (v *wiredWorld) locked(run func()) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.ended {
+func (ns *networkedSimulation) locked(run func()) {
+	ns.mu.Lock()
+	defer ns.mu.Unlock()
+	if ns.ended {
 		return
 	}
-	v.world.now = max(v.world.now, time.Since(v.start))
+	ns.sim.now = max(ns.sim.now, time.Since(ns.start))
 	run()
 }
 
 // eventScheduled wakes the player: the new event may be the next one.
-func (v *wiredWorld) eventScheduled() {
+func (ns *networkedSimulation) eventScheduled() {
 	select {
-	case v.rescheduled <- struct{}{}:
+	case ns.rescheduled <- struct{}{}:
 	default:
 	}
 }
 
 // buffer keeps an observation until its instant is over.
-func (v *wiredWorld) buffer(observer string, s invariants.Event) {
-	if len(v.buffered) > 0 && v.buffered[0].At != s.At {
-		v.flush()
+func (ns *networkedSimulation) buffer(observer string, s invariants.Event) {
+	if len(ns.buffered) > 0 && ns.buffered[0].At != s.At {
+		ns.flush()
 	}
-	v.observations++
-	v.buffered = append(v.buffered, bufferedObservation{observer, v.observations, s})
+	ns.observations++
+	ns.buffered = append(ns.buffered, bufferedObservation{observer, ns.observations, s})
 }
 
 // flush reports the observations of one instant in an order that does not depend on which goroutine was first.
-func (v *wiredWorld) flush() {
-	slices.SortStableFunc(v.buffered, func(a, b bufferedObservation) int {
+func (ns *networkedSimulation) flush() {
+	slices.SortStableFunc(ns.buffered, func(a, b bufferedObservation) int {
 		return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.order, b.order))
 	})
-	now := v.world.now
-	for _, s := range v.buffered {
-		v.world.now = s.At
-		v.world.report(s.Event)
+	now := ns.sim.now
+	for _, s := range ns.buffered {
+		ns.sim.now = s.At
+		ns.sim.report(s.Event)
 	}
-	v.world.now = now
-	v.buffered = v.buffered[:0]
+	ns.sim.now = now
+	ns.buffered = ns.buffered[:0]
 }
--- a/internal/simulation/wired_discovery.go
+++ b/internal/simulation/networked_discovery.go
@@ -14,12 +14,12 @@
 )
 
 // serveDiscovery starts discovery.
-func (v *wiredWorld) serveDiscovery() {
-	v.listen(discoveryHost, discoveryAddress, v.serveWatch)
+func (ns *networkedSimulation) serveDiscovery() {
+	ns.listen(discoveryHost, discoveryAddress, ns.serveWatch)
 }
 
 // serveWatch answers watch requests on a connection until it ends.
-func (v *wiredWorld) serveWatch(conn *memnet.Conn) {
+func (ns *networkedSimulation) serveWatch(conn *memnet.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -27,7 +27,7 @@
 		if err != nil {
 			return
 		}
-		answer := v.awaitUpdate(request)
+		answer := ns.awaitUpdate(request)
 		if answer == nil {
 			return
 		}
@@ -39,10 +39,10 @@
 
 // awaitUpdate waits until there is an answer to a watch request: at once for a complete list, else with the next update or when the
 // request's hold time is over. Silent discovery has no answer. nil means that the world is over.
-func (v *wiredWorld) awaitUpdate(request platform.Watch) []byte {
+func (ns *networkedSimulation) awaitUpdate(request platform.Watch) []byte {
 	until := time.Now().Add(request.Hold)
 	for {
-		answer, changed := v.answerWatch(request, until)
+		answer, changed := ns.answerWatch(request, until)
 		if answer != nil {
 			return answer
 		}
@@ -53,33 +53,33 @@
 		select {
 		case <-changed:
 		case <-holdOver:
-		case <-v.done:
+		case <-ns.done:
 			return nil
 		}
 	}
 }
 
 // answerWatch is the answer to a watch request by now, nil if there is none, and a channel that is closed with the next change.
-func (v *wiredWorld) answerWatch(request platform.Watch, until time.Time) (answer []byte, changed chan struct{}) {
-	v.locked(func() {
-		changed = v.endpointsChanged
-		discovery := v.world.discovery
+func (ns *networkedSimulation) answerWatch(request platform.Watch, until time.Time) (answer []byte, changed chan struct{}) {
+	ns.locked(func() {
+		changed = ns.endpointsChanged
+		discovery := ns.sim.discovery
 		if discovery.Silent() {
 			return
 		}
-		version, entries := discovery.Since(v.world.now, request.From)
+		version, entries := discovery.Since(ns.sim.now, request.From)
 		if request.Complete {
-			entries = discovery.Complete(v.world.now)
+			entries = discovery.Complete(ns.sim.now)
 		}
 		if request.Complete || len(entries) > 0 || !time.Now().Before(until) {
-			answer = platform.AppendList(nil, version, request.Complete, entries, v.world.scenario.Fleet.Zones, v.start)
+			answer = platform.AppendList(nil, version, request.Complete, entries, ns.sim.scenario.Fleet.Zones, ns.start)
 		}
 	})
 	return answer, changed
 }
 
 // notifyWatches lets all watches look for updates.
-func (v *wiredWorld) notifyWatches() {
-	close(v.endpointsChanged)
-	v.endpointsChanged = make(chan struct{})
+func (ns *networkedSimulation) notifyWatches() {
+	close(ns.endpointsChanged)
+	ns.endpointsChanged = make(chan struct{})
 }
--- a/internal/simulation/wired_executor.go
+++ b/internal/simulation/networked_executor.go
@@ -21,46 +21,46 @@
 func (x *executor) host() string { return fmt.Sprintf("%s#%d", x.ID, x.incarnation) }
 
 // startExecutor starts the executor's process: it listens.
-func (v *wiredWorld) startExecutor(x *executor) {
+func (ns *networkedSimulation) startExecutor(x *executor) {
 	x.incarnation++
 	x.sockets = map[emulator.ConnID]*executorSocket{}
-	v.setZone(x.host(), x.Zone)
-	v.setZone(x.addr, x.Zone)
-	v.setUnreachable(x.addr, false)
+	ns.setZone(x.host(), x.Zone)
+	ns.setZone(x.addr, x.Zone)
+	ns.setUnreachable(x.addr, false)
 	incarnation := x.incarnation
-	v.listen(x.host(), x.addr, func(conn *memnet.Conn) { v.serveExecutor(x, incarnation, conn) })
+	ns.listen(x.host(), x.addr, func(conn *memnet.Conn) { ns.serveExecutor(x, incarnation, conn) })
 }
 
 // endExecutor ends the executor's process, or its machine if that vanishes.
-func (v *wiredWorld) endExecutor(x *executor, vanishes bool) {
+func (ns *networkedSimulation) endExecutor(x *executor, vanishes bool) {
 	if vanishes {
-		v.setUnreachable(x.addr, true)
+		ns.setUnreachable(x.addr, true)
 	}
 	x.sockets = map[emulator.ConnID]*executorSocket{}
-	v.net.Kill(x.host(), vanishes)
+	ns.net.Kill(x.host(), vanishes)
 }
 
 // serveExecutor reads attempts from a connection until it ends.
-func (v *wiredWorld) serveExecutor(x *executor, incarnation int, conn *memnet.Conn) {
+func (ns *networkedSimulation) serveExecutor(x *executor, incarnation int, conn *memnet.Conn) {
 	defer conn.Close()
-	key, accepted := v.acceptAtExecutor(x, incarnation, conn)
+	key, accepted := ns.acceptAtExecutor(x, incarnation, conn)
 	if !accepted {
 		return
 	}
 	reader := bufio.NewReader(conn)
 	for {
 		attempt, err := platform.ReadAttempt(reader)
-		v.locked(func() {
+		ns.locked(func() {
 			switch {
 			case x.incarnation != incarnation || x.sockets[key] == nil:
 				err = net.ErrClosed
 			case err != nil:
 				delete(x.sockets, key)
-				x.apply(x.ConnClosed(v.world.now, key))
+				x.apply(x.ConnClosed(ns.sim.now, key))
 			default:
 				conn.SetReadDeadline(time.Time{})
-				if request := v.requests[attempt.Job]; request != nil {
-					x.apply(x.Accept(v.world.now, v.world.newAttempt(request, request.node.id, key, x)))
+				if request := ns.requests[attempt.Job]; request != nil {
+					x.apply(x.Accept(ns.sim.now, ns.sim.newAttempt(request, request.node.id, key, x)))
 				}
 			}
 		})
@@ -71,15 +71,15 @@
 }
 
 // acceptAtExecutor lets the executor accept a connection, unless its process has ended or it has as many as it takes.
-func (v *wiredWorld) acceptAtExecutor(x *executor, incarnation int, conn *memnet.Conn) (key emulator.ConnID, accepted bool) {
-	v.locked(func() {
+func (ns *networkedSimulation) acceptAtExecutor(x *executor, incarnation int, conn *memnet.Conn) (key emulator.ConnID, accepted bool) {
+	ns.locked(func() {
 		if x.incarnation != incarnation {
 			return
 		}
-		v.world.lastConnID++
-		key = v.world.lastConnID
+		ns.sim.lastConnID++
+		key = ns.sim.lastConnID
 		var outputs []emulator.Output
-		accepted, outputs = x.Open(v.world.now, key)
+		accepted, outputs = x.Open(ns.sim.now, key)
 		if accepted {
 			x.sockets[key] = &executorSocket{conn: conn}
 		}
@@ -89,17 +89,17 @@
 }
 
 // answerAttempt writes an executor's answer or notice.
-func (v *wiredWorld) answerAttempt(x *executor, answer emulator.Message) {
-	socket, request := x.sockets[answer.Conn], v.requests[answer.Job]
+func (ns *networkedSimulation) answerAttempt(x *executor, answer emulator.Message) {
+	socket, request := x.sockets[answer.Conn], ns.requests[answer.Job]
 	if socket == nil || request == nil {
 		return
 	}
 	text, complete := socket.response.Append(nil, answer, x.ID, platform.Result(string(request.work.ID)))
 	socket.conn.Write(text) //nolint:errcheck // the reader of a broken connection sees and records that
-	if answer.Kind == emulator.AttemptStarted && v.world.now-request.sentAt > queuedStart {
-		v.world.result.QueuedStarts++
+	if answer.Kind == emulator.AttemptStarted && ns.sim.now-request.sentAt > queuedStart {
+		ns.sim.result.QueuedStarts++
 	}
 	if complete {
-		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(v.world.scenario.Fleet.IdleTimeout)))
+		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(ns.sim.scenario.Fleet.IdleTimeout)))
 	}
 }
--- /dev/null
+++ b/internal/simulation/networked_network.go
@@ -0,0 +1,70 @@
+package simulation
+
+import (
+	"time"
+
+	"birchstair/internal/memnet"
+	"birchstair/policy"
+)
+
+// path is what lies between two hosts now. Discovery is in no zone; a partition keeps it from a zone that nothing gets into.
+func (ns *networkedSimulation) path(from, to string) memnet.Path {
+	ns.pathMu.Lock()
+	defer ns.pathMu.Unlock()
+	fleet := &ns.sim.scenario.Fleet
+	fromZone, fromInZone := ns.zoneOfHost[from]
+	toZone, toInZone := ns.zoneOfHost[to]
+	path := memnet.Path{Delay: time.Duration(fleet.Near), PerByte: timePerByte}
+	blockedUntil := time.Duration(0)
+	switch {
+	case ns.unreachable[from] || ns.unreachable[to]:
+		return memnet.Path{Lost: true}
+	case toInZone && !fromInZone:
+		blockedUntil = ns.partitions[toZone].inboundUntil
+	case fromInZone && toInZone && fromZone != toZone:
+		path.Delay = time.Duration(fleet.Far)
+		blockedUntil = max(ns.partitions[fromZone].outboundUntil, ns.partitions[toZone].inboundUntil)
+	}
+	if now := time.Since(ns.start); blockedUntil > now {
+		path.Hold = blockedUntil - now
+	}
+	return path
+}
+
+// setZone puts a host into a zone.
+func (ns *networkedSimulation) setZone(host string, zone policy.ZoneID) {
+	ns.pathMu.Lock()
+	defer ns.pathMu.Unlock()
+	ns.zoneOfHost[host] = zone
+}
+
+// setPartitions copies the world's partitions for the network.
+func (ns *networkedSimulation) setPartitions(partitions []partition) {
+	ns.pathMu.Lock()
+	defer ns.pathMu.Unlock()
+	copy(ns.partitions, partitions)
+}
+
+// setUnreachable makes an address unreachable, or reachable again.
+func (ns *networkedSimulation) setUnreachable(addr string, unreachable bool) {
+	ns.pathMu.Lock()
+	defer ns.pathMu.Unlock()
+	ns.unreachable[addr] = unreachable
+}
+
+// listen accepts connections on an address of its own and serves each in a goroutine, until the host ends.
+func (ns *networkedSimulation) listen(host, addr string, serve func(*memnet.Conn)) {
+	listener, err := ns.net.Listen(host, addr)
+	if err != nil {
+		panic(err) // no two processes that run have one address
+	}
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serve(conn.(*memnet.Conn))
+		}
+	}()
+}
--- a/internal/simulation/wired_node.go
+++ b/internal/simulation/networked_node.go
@@ -30,7 +30,7 @@
 
 // nodeProcess is a node's process in a wired world.
 type nodeProcess struct {
-	wired       *wiredWorld
+	networked   *networkedSimulation
 	node        *simNode
 	host        string // the network's name of it
 	addr        string
@@ -43,10 +43,10 @@
 }
 
 // startNode starts a node's process.
-func (v *wiredWorld) startNode(n *simNode, settings policy.Settings, limits node.Limits, decider node.Policy) {
+func (ns *networkedSimulation) startNode(n *simNode, settings policy.Settings, limits node.Limits, decider node.Policy) {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &nodeProcess{
-		wired:       v,
+		networked:   ns,
 		node:        n,
 		host:        fmt.Sprintf("%s#%d", n.name, n.incarnation),
 		addr:        fmt.Sprintf("127.2.%d.%d:%d", n.id/250, n.id%250+1, 8000+n.incarnation),
@@ -55,36 +55,36 @@
 		attempts:    map[node.ConnID]*connAttempt{},
 	}
 	n.process = p
-	v.setZone(p.host, n.zone)
-	v.setZone(p.addr, n.zone)
-	listener, err := v.net.Listen(p.host, p.addr)
+	ns.setZone(p.host, n.zone)
+	ns.setZone(p.addr, n.zone)
+	listener, err := ns.net.Listen(p.host, p.addr)
 	if err != nil {
 		panic(err) // each incarnation has its own address
 	}
-	cached := n.endpointsUpdate(policy.CachedUpdate, v.world.discovery.ListAt(v.world.now-cachedListAge)).Endpoints
+	cached := n.endpointsUpdate(policy.CachedUpdate, ns.sim.discovery.ListAt(ns.sim.now-cachedListAge)).Endpoints
 	setup := service.Options{
-		Settings:        v.nodeConfig(settings),
+		Settings:        ns.nodeConfig(settings),
 		Limits:          limits,
 		ClientLimits:    frontend.ConnLimits{Max: maxClientConns, MaxShared: maxClientConns / 2},
 		CachedEndpoints: discovery.CachedList{Endpoints: cached},
 		DiscoveryAddr:   discoveryAddress,
-		StartTime:       v.start.Add(n.startedAt),
+		StartTime:       ns.start.Add(n.startedAt),
 		Policy:          &policyRecorder{Policy: decider, node: n, process: p},
 		Listener:        listener,
 		DialExecutor:    p.dial,
 		DialDiscovery:   p.dialDiscovery,
 		Log:             zerolog.Nop(),
-		Observer:        p.tap,
+		Observer:        p.recordStep,
 	}
 	go func() {
 		service.Run(ctx, setup, p.adminEvents) //nolint:errcheck // a killed node ends by its listener's error; the invariants judge what clients see
-		v.locked(p.exited)
+		ns.locked(p.exited)
 	}()
 }
 
 // nodeConfig is a node's configuration.
-func (v *wiredWorld) nodeConfig(settings policy.Settings) config.Settings {
-	fleet := &v.world.scenario.Fleet
+func (ns *networkedSimulation) nodeConfig(settings policy.Settings) config.Settings {
+	fleet := &ns.sim.scenario.Fleet
 	s := config.Settings{
 		Policy:      settings,
 		LoadFields:  config.LoadFields{0, 1, 2, -1, -1},
@@ -96,7 +96,7 @@
 	if !fleet.ReportsLoad {
 		s.LoadFields = config.LoadFields{-1, -1, -1, -1, -1}
 	}
-	for _, class := range v.world.scenario.Classes {
+	for _, class := range ns.sim.scenario.Classes {
 		s.JobClassNames = append(s.JobClassNames, class.Name)
 	}
 	return s
@@ -104,31 +104,31 @@
 
 // dial opens a connection to an executor, with the faults that new connections have now.
 func (p *nodeProcess) dial(ctx context.Context, id node.ConnID, addr string) (net.Conn, error) {
-	v, w, name := p.wired, p.wired.world, fmt.Sprint(id)
-	timeout := time.Duration(w.scenario.Fleet.DialTimeout) + time.Duration(id%dialTimeoutSteps)*time.Nanosecond
+	ns, sim, name := p.networked, p.networked.sim, fmt.Sprint(id)
+	timeout := time.Duration(sim.scenario.Fleet.DialTimeout) + time.Duration(id%dialTimeoutSteps)*time.Nanosecond
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	conn, err := v.net.Dial(ctx, p.host, name, addr)
-	silent, breaks := false, false
-	v.locked(func() {
+	conn, err := ns.net.Dial(ctx, p.host, name, addr)
+	unresponsive, breaks := false, false
+	ns.locked(func() {
 		if p.ended {
 			return
 		}
-		w.result.Dials++
+		sim.result.Dials++
 		if err != nil {
-			w.result.FailedDials++
+			sim.result.FailedDials++
 		}
-		silent = v.net.Chance("silent"+p.host+name) < w.newConnSilentRate
-		breaks = v.net.Chance("break"+p.host+name) < w.newConnResetRate
+		unresponsive = ns.net.Chance("silent"+p.host+name) < sim.newConnUnresponsiveRate
+		breaks = ns.net.Chance("break"+p.host+name) < sim.newConnResetRate
 	})
 	if err != nil {
 		return nil, err
 	}
-	if silent {
+	if unresponsive {
 		conn.DropIncoming()
 	}
 	if breaks {
-		conn.BreakAtWrite(memnet.BreakPartial + memnet.Break(3*v.net.Chance("how"+p.host+name)))
+		conn.BreakAtWrite(memnet.BreakPartial + memnet.Break(3*ns.net.Chance("how"+p.host+name)))
 	}
 	return conn, nil
 }
@@ -137,11 +137,11 @@
 // more before it ends.
 func (p *nodeProcess) dialDiscovery(ctx context.Context, _, addr string) (net.Conn, error) {
 	name := ""
-	p.wired.locked(func() {
+	p.networked.locked(func() {
 		p.watchDials++
 		name = fmt.Sprint("list", p.watchDials)
 	})
-	conn, err := p.wired.net.Dial(ctx, p.host, name, addr)
+	conn, err := p.networked.net.Dial(ctx, p.host, name, addr)
 	if err != nil {
 		return nil, err // not a nil *memnet.Conn in an interface
 	}
@@ -149,23 +149,23 @@
 }
 
 // wiredConn is an open connection of a node's process.
-type wiredConn struct {
+type networkedConn struct {
 	*memnet.Conn
-	world *Simulation
+	sim *Simulation
 }
 
 // silence lets nothing come back on the connection any more.
-func (c wiredConn) silence() { c.DropIncoming() }
+func (c networkedConn) makeUnresponsive() { c.DropIncoming() }
 
 // breakAt resets the connection after a delay.
-func (c wiredConn) breakAt(delay time.Duration) { c.world.after(delay, c.Reset) }
+func (c networkedConn) breakAt(delay time.Duration) { c.sim.after(delay, c.Reset) }
 
 // openConns are the process's open connections to executors.
 func (p *nodeProcess) openConns() (all []faultableConn) {
-	w := p.wired.world
-	for _, conn := range p.wired.net.Conns(p.host) {
-		if w.byAddr[conn.RemoteAddr().String()] != nil {
-			all = append(all, wiredConn{conn, w})
+	sim := p.networked.sim
+	for _, conn := range p.networked.net.Conns(p.host) {
+		if sim.byAddr[conn.RemoteAddr().String()] != nil {
+			all = append(all, networkedConn{conn, sim})
 		}
 	}
 	return all
@@ -173,9 +173,9 @@
 
 // adminCall has an operator call the process.
 func (p *nodeProcess) adminCall(call node.AdminCalled) {
-	w := p.wired.world
-	w.adminCalls++
-	w.after(time.Duration(w.adminCalls%adminDelaySteps+1)*adminDelayStep, func() {
+	sim := p.networked.sim
+	sim.adminCalls++
+	sim.after(time.Duration(sim.adminCalls%adminDelaySteps+1)*adminDelayStep, func() {
 		if p.ended {
 			return
 		}
@@ -189,7 +189,7 @@
 // kill ends the process at once, as SIGKILL does.
 func (p *nodeProcess) kill() {
 	p.ended = true
-	p.wired.net.Kill(p.host, false)
+	p.networked.net.Kill(p.host, false)
 	go func() {
 		p.adminEvents <- node.FrontendClosed{}
 		close(p.adminEvents)
@@ -206,5 +206,5 @@
 	close(p.adminEvents)
 	p.stop()
 	p.node.exit()
-	p.wired.net.Kill(p.host, false)
+	p.networked.net.Kill(p.host, false)
 }
--- a/internal/simulation/wired_tap.go
+++ b/internal/simulation/networked_recorder.go
@@ -10,8 +10,8 @@
 )
 
 // tap observes a step of the process's state machine.
-func (p *nodeProcess) tap(_ time.Duration, event node.Event, effects []node.Effect) {
-	p.wired.locked(func() {
+func (p *nodeProcess) recordStep(_ time.Duration, event node.Event, effects []node.Effect) {
+	p.networked.locked(func() {
 		gaveUp := p.gaveUp
 		p.gaveUp = nil
 		if p.ended {
@@ -20,7 +20,7 @@
 		p.recordEvent(event)
 		p.node.recordAdminCall(event, effects)
 		for _, s := range gaveUp {
-			p.wired.world.observe(s)
+			p.networked.sim.observe(s)
 		}
 		for _, effect := range effects {
 			p.recordEffect(effect)
@@ -30,20 +30,20 @@
 
 // recordEvent records what an event says.
 func (p *nodeProcess) recordEvent(event node.Event) {
-	n, w := p.node, p.wired.world
+	n, sim := p.node, p.networked.sim
 	switch event := event.(type) {
 	case node.JobArrived:
-		request := p.wired.requests[event.Job.ID]
+		request := p.networked.requests[event.Job.ID]
 		if request == nil { // no client has sent it: it was hidden in the body of another one
-			w.result.Wrong++
+			sim.result.Wrong++
 			return
 		}
-		n.openJobs++
-		w.observe(invariants.Event{Kind: invariants.JobAccepted, Node: n.id, Job: request.job, Work: request.work.ID, Class: request.work.Class,
-			Deadline: w.now + event.Job.Budget})
+		n.jobsInFlight++
+		sim.observe(invariants.Event{Kind: invariants.JobAccepted, Node: n.id, Job: request.job, Work: request.work.ID, Class: request.work.Class,
+			Deadline: sim.now + event.Job.Budget})
 	case node.ClientLeft:
-		n.openJobs--
-		w.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: n.id, Job: event.Job})
+		n.jobsInFlight--
+		sim.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: n.id, Job: event.Job})
 	case node.EndpointsUpdated:
 		p.recordEndpoints(event)
 	case node.AttemptEnded:
@@ -78,17 +78,17 @@
 
 // recordEffect records what an effect does.
 func (p *nodeProcess) recordEffect(effect node.Effect) {
-	n, w := p.node, p.wired.world
+	n, sim := p.node, p.networked.sim
 	switch effect := effect.(type) {
 	case node.Answer:
-		n.openJobs--
-		w.observe(invariants.Event{Kind: invariants.JobAnswered, Node: n.id, Job: effect.Job, Final: invariants.Final(effect.Final)})
+		n.jobsInFlight--
+		sim.observe(invariants.Event{Kind: invariants.JobAnswered, Node: n.id, Job: effect.Job, Final: invariants.Final(effect.Final)})
 	case node.Dial:
-		if x := w.byAddr[effect.Addr]; x != nil {
+		if x := sim.byAddr[effect.Addr]; x != nil {
 			n.dialed[effect.Conn] = x
 		}
 	case node.WriteAttempt:
-		request, x := p.wired.requests[effect.Attempt.ID], n.dialed[effect.Conn]
+		request, x := p.networked.requests[effect.Attempt.ID], n.dialed[effect.Conn]
 		if request == nil || x == nil {
 			return
 		}
@@ -100,5 +100,5 @@
 	case node.CloseFrontend:
 		n.frontendClosed = true
 	}
-	n.maxQueued = max(n.maxQueued, n.openJobs-n.attemptsOut)
+	n.maxQueued = max(n.maxQueued, n.jobsInFlight-n.attemptsInFlight)
 }
--- a/internal/simulation/wired_test.go
+++ b/internal/simulation/networked_test.go
@@ -18,7 +18,7 @@
 )
 
 // playWired plays a world on connections in memory, on a virtual clock.
-func playWired(t *testing.T, s Scenario, seed uint64, o Options) (r Result) {
+func playNetworked(t *testing.T, s Scenario, seed uint64, o Options) (r Result) {
 	synctesting.Test(t, func(*testing.T) { r = New(s, seed, o).PlayNetworked() })
 	if r.Wrong > 0 {
 		t.Errorf("%s, seed %d: %d answers that no node should give", s.Name, seed, r.Wrong)
@@ -26,17 +26,17 @@
 	return r
 }
 
-const ownProcess = "BIRCHLAB_OWN_PROCESS"
+const ownProcessVariable = "BIRCHLAB_OWN_PROCESS"
 
 // inOwnProcess runs a test in a process of its own while the race detector is on, and says whether it did: a bubble has one processor
 // then (internal/synctesting), and so worlds are still played beside each other. A child that did not run the test fails it.
 func inOwnProcess(t *testing.T) bool {
-	if !underRace || os.Getenv(ownProcess) != "" {
+	if !underRace || os.Getenv(ownProcessVariable) != "" {
 		return false
 	}
 	name := "^" + strings.ReplaceAll(t.Name(), "/", "$/^") + "$"
 	cmd := exec.Command(os.Args[0], "-test.run="+name, "-test.v", fmt.Sprint("-seeds=", *seeds))
-	cmd.Env = append(os.Environ(), ownProcess+"=1", "GOMAXPROCS=1")
+	cmd.Env = append(os.Environ(), ownProcessVariable+"=1", "GOMAXPROCS=1")
 	out, err := cmd.CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "--- PASS: "+t.Name()+" ") {
 		t.Errorf("in a process of its own: %v\n%s", err, out)
@@ -66,7 +66,7 @@
 				s = shortened(s, 2000)
 			}
 			s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At >= s.Length })
-			r := playWired(t, s, s.Seed, Options{})
+			r := playNetworked(t, s, s.Seed, Options{})
 			checkSound(t, r)
 			if s.Load.MalformedRate > 0 && r.Malformed == 0 {
 				t.Error("no bad client came")
@@ -85,18 +85,18 @@
 				return
 			}
 			s := Draw(seed, Size{Nodes: 3, Executors: 6, Length: 10 * time.Second})
-			for _, b := range playWired(t, s, seed, Options{}).Violations {
+			for _, b := range playNetworked(t, s, seed, Options{}).Violations {
 				t.Errorf("seed %d: %v", seed, b)
 			}
 		})
 	}
 }
 
-const wiredDigest = "BIRCHLAB_WIRED_DIGEST"
+const networkedDigestVariable = "BIRCHLAB_WIRED_DIGEST"
 
 // TestWiredDigest writes the digest of some wired worlds' traces for TestWiredSameSeedSameTrace, in a process of its own.
 func TestWiredDigest(t *testing.T) {
-	file := os.Getenv(wiredDigest)
+	file := os.Getenv(networkedDigestVariable)
 	if file == "" {
 		t.Skip("only in a process of its own")
 	}
@@ -109,7 +109,7 @@
 		world.Faults = slices.DeleteFunc(world.Faults, func(f Fault) bool { return f.Kind == "sent-away" })
 		world.Faults = append(world.Faults, Fault{Kind: "node-killed", At: Span(2 * time.Second), For: Span(time.Second)},
 			Fault{Kind: "zone-lost", At: Span(5 * time.Second), For: Span(time.Second), Where: world.Fleet.Zones[:1]})
-		playWired(t, world, seed, Options{Trace: func(s invariants.Event) {
+		playNetworked(t, world, seed, Options{Trace: func(s invariants.Event) {
 			line, err := s.Line()
 			if err != nil {
 				t.Error(err)
@@ -132,7 +132,7 @@
 	for i, procs := range []string{"1", "8", "8"} {
 		file := filepath.Join(t.TempDir(), "digest")
 		cmd := exec.Command(os.Args[0], "-test.run=^TestWiredDigest$")
-		cmd.Env = append(os.Environ(), wiredDigest+"="+file, "GOMAXPROCS="+procs)
+		cmd.Env = append(os.Environ(), networkedDigestVariable+"="+file, "GOMAXPROCS="+procs)
 		if out, err := cmd.CombinedOutput(); err != nil {
 			t.Fatalf("%v\n%s", err, out)
 		}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -15,17 +15,17 @@
 
 // simNode is a node of the world: its state machine, and a model of the process around it.
 type simNode struct {
-	world        *Simulation
+	sim          *Simulation
 	id           invariants.NodeID
 	name         string
 	zone         policy.ZoneID
 	trafficShare float64 // of its zone's traffic, relative to the zone's other nodes
 
-	reducer     *node.Node
-	incarnation int // starts so far
-	startedAt   time.Duration
-	diedAt      time.Duration
-	timerSeq    int // of the timer that is set; earlier ones are void
+	stateMachine *node.Node
+	incarnation  int // starts so far
+	startedAt    time.Duration
+	diedAt       time.Duration
+	timerSeq     int // of the timer that is set; earlier ones are void
 
 	up               bool
 	ready            bool
@@ -40,9 +40,9 @@
 	excluded  map[policy.ExecutorID]invariants.Event // by operators, with what the endpoint list says of them
 	watchLost bool                                   // nothing reaches it from discovery
 
-	openJobs    int
-	attemptsOut int
-	maxQueued   int
+	jobsInFlight     int
+	attemptsInFlight int
+	maxQueued        int
 
 	// In a wired world.
 	process *nodeProcess
@@ -72,10 +72,10 @@
 
 // settings are the policy settings and limits with which a node starts.
 func (n *simNode) settings() (policy.Settings, node.Limits) {
-	fleet := &n.world.scenario.Fleet
-	wired := n.world.wired != nil
+	fleet := &n.sim.scenario.Fleet
+	wired := n.sim.networked != nil
 	settings := policy.Settings{
-		Seed:                uint32(permute(n.world.seed + uint64(n.id)<<20 + uint64(n.incarnation))),
+		Seed:                uint32(permute(n.sim.seed + uint64(n.id)<<20 + uint64(n.incarnation))),
 		Node:                int(n.id),
 		Nodes:               fleet.Nodes,
 		Zone:                n.zone,
@@ -96,11 +96,11 @@
 		ProgressInterval:    time.Duration(fleet.ProgressInterval),
 		MayLease:            fleet.Gossip && fleet.Leases && !wired,
 		MayHedge:            fleet.MayHedge,
-		ClientsMarkRetries:  n.world.scenario.Load.MarksRetries && !wired,
+		ClientsMarkRetries:  n.sim.scenario.Load.MarksRetries && !wired,
 		MayCheckHealth:      fleet.MayCheckHealth && !wired,
 	}
 	longest := time.Duration(0)
-	for _, class := range n.world.jobClasses {
+	for _, class := range n.sim.jobClasses {
 		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialTimeout)) // as config does
 		settings.JobClasses = append(settings.JobClasses, class)
 		longest = max(longest, class.Deadline)
@@ -121,31 +121,31 @@
 // start starts the node's process: it has a cached endpoint list, and watches discovery soon.
 func (n *simNode) start() {
 	n.reset()
-	n.world.observe(invariants.Event{Kind: invariants.NodeStarted, Node: n.id})
+	n.sim.observe(invariants.Event{Kind: invariants.NodeStarted, Node: n.id})
 	settings, limits := n.settings()
-	if n.world.defects.settings != nil {
-		n.world.defects.settings(&settings)
+	if n.sim.defects.settings != nil {
+		n.sim.defects.settings(&settings)
 	}
 	decider := n.newPolicy(settings)
-	if n.world.defects.policy != nil {
-		decider = n.world.defects.policy(n.world, n, decider)
+	if n.sim.defects.policy != nil {
+		decider = n.sim.defects.policy(n.sim, n, decider)
 	}
-	if n.world.wired != nil {
+	if n.sim.networked != nil {
 		n.dialed = map[node.ConnID]*executor{}
-		n.world.wired.startNode(n, settings, limits, decider)
+		n.sim.networked.startNode(n, settings, limits, decider)
 		return
 	}
 	var classes []node.JobClass
 	for i, class := range settings.JobClasses {
 		classes = append(classes, node.JobClass{Name: strconv.Itoa(i), JobClass: class})
 	}
-	n.reducer = node.New(&policyRecorder{Policy: decider, node: n}, limits, classes)
-	if n.world.scenario.Fleet.Gossip {
-		n.joinFleet()
+	n.stateMachine = node.New(&policyRecorder{Policy: decider, node: n}, limits, classes)
+	if n.sim.scenario.Fleet.Gossip {
+		n.joinCluster()
 	}
-	n.deliver(n.endpointsUpdate(policy.CachedUpdate, n.world.discovery.ListAt(n.world.now-cachedListAge)))
+	n.deliver(n.endpointsUpdate(policy.CachedUpdate, n.sim.discovery.ListAt(n.sim.now-cachedListAge)))
 	n.after(firstWatchDelay, func() {
-		n.world.discovery.Watch(n.id)
+		n.sim.discovery.Watch(n.id)
 		n.deliverEndpoints()
 	})
 }
@@ -153,11 +153,11 @@
 // reset forgets the state of the process before.
 func (n *simNode) reset() {
 	n.incarnation++
-	n.startedAt = n.world.now
+	n.startedAt = n.sim.now
 	n.up, n.ready, n.frontendClosed = true, false, false
 	n.suspended, n.pendingEvents = false, nil
 	n.corruption = 0
-	n.openJobs, n.attemptsOut = 0, 0
+	n.jobsInFlight, n.attemptsInFlight = 0, 0
 	n.conns = map[node.ConnID]*executorConn{}
 	n.requests = map[policy.JobID]*clientRequest{}
 	n.endpoints = map[policy.ExecutorID]invariants.Event{}
@@ -167,7 +167,7 @@
 // after runs a function after a delay, unless the process has ended by then.
 func (n *simNode) after(delay time.Duration, run func()) {
 	incarnation := n.incarnation
-	n.world.after(delay, func() {
+	n.sim.after(delay, func() {
 		if n.up && n.incarnation == incarnation {
 			run()
 		}
@@ -184,11 +184,11 @@
 		return
 	}
 	events := []node.Event{event}
-	if n.world.defects.event != nil {
-		events = n.world.defects.event(n.world, n, event)
+	if n.sim.defects.event != nil {
+		events = n.sim.defects.event(n.sim, n, event)
 	}
 	for _, event := range events {
-		effects := n.reducer.Step(n.world.now-n.startedAt, event)
+		effects := n.stateMachine.Step(n.sim.now-n.startedAt, event)
 		n.recordAdminCall(event, effects)
 		n.recordPeerDrains(effects)
 		for _, effect := range effects {
@@ -198,11 +198,11 @@
 }
 
 func (n *simNode) executeWithDefects(effect node.Effect) {
-	if n.world.defects.effect == nil {
+	if n.sim.defects.effect == nil {
 		n.execute(effect)
 		return
 	}
-	for _, effect := range n.world.defects.effect(n.world, n, effect) {
+	for _, effect := range n.sim.defects.effect(n.sim, n, effect) {
 		n.execute(effect)
 	}
 }
@@ -219,7 +219,7 @@
 	case node.CloseConn:
 		n.closeConn(effect.Conn)
 	case node.CheckHealth:
-		n.probe(effect)
+		n.checkHealth(effect)
 	case node.SetReady:
 		n.after(readinessDelay, func() { n.ready = effect.Ready })
 	case node.DrainClients:
@@ -246,7 +246,7 @@
 func (n *simNode) setTimer(effect node.SetTimer) {
 	n.timerSeq++
 	seq := n.timerSeq
-	n.after(n.startedAt+effect.At-n.world.now, func() {
+	n.after(n.startedAt+effect.At-n.sim.now, func() {
 		if n.timerSeq == seq {
 			n.deliver(node.TimerFired{})
 		}
@@ -257,11 +257,11 @@
 // from run to run.
 func (n *simNode) recordLog(message node.Log) {
 	if strings.HasPrefix(message.Text, node.PolicyPanicked) {
-		n.world.result.Panics++
+		n.sim.result.Panics++
 	}
-	if n.world.traceFunc != nil {
+	if n.sim.traceFunc != nil {
 		text, _, _ := strings.Cut(message.Text, "\n")
-		n.world.observe(invariants.Event{Kind: invariants.Note, Node: n.id, Job: message.Job, Executor: message.Executor, Text: text})
+		n.sim.observe(invariants.Event{Kind: invariants.Note, Node: n.id, Job: message.Job, Executor: message.Executor, Text: text})
 	}
 }
 
@@ -279,7 +279,7 @@
 	if !n.up {
 		return
 	}
-	n.world.observe(invariants.Event{Kind: invariants.NodeKilled, Node: n.id})
+	n.sim.observe(invariants.Event{Kind: invariants.NodeKilled, Node: n.id})
 	if n.process != nil {
 		n.process.kill()
 	}
@@ -288,8 +288,8 @@
 
 // exit ends the process: its connections close. What is in flight to executors still arrives.
 func (n *simNode) exit() {
-	n.up, n.ready, n.diedAt = false, false, n.world.now
-	n.world.result.recordMaxQueued(n)
+	n.up, n.ready, n.diedAt = false, false, n.sim.now
+	n.sim.result.recordMaxQueued(n)
 	for _, conn := range sortedByID(n.conns) {
 		if conn.state != connClosed {
 			conn.state = connClosed
@@ -311,7 +311,7 @@
 	}
 	n.activeDownFaults = 1
 	n.after(restartPollPeriod, n.endDownFault)
-	n.world.after(restartPollPeriod, func() {
+	n.sim.after(restartPollPeriod, func() {
 		if !n.up && n.activeDownFaults == 1 {
 			n.endDownFault()
 		}
@@ -324,15 +324,15 @@
 		return
 	}
 	n.suspended = true
-	n.world.observe(invariants.Event{Kind: invariants.NodePaused, Node: n.id})
+	n.sim.observe(invariants.Event{Kind: invariants.NodePaused, Node: n.id})
 	n.after(fault.For, n.resume)
 }
 
 // resume lets a suspended process go on with the events that have waited.
 func (n *simNode) resume() {
 	n.suspended = false
-	n.workRate.suspendedUntil = n.world.now + suspendGrace
-	n.world.observe(invariants.Event{Kind: invariants.NodeResumed, Node: n.id})
+	n.workRate.suspendedUntil = n.sim.now + suspendGrace
+	n.sim.observe(invariants.Event{Kind: invariants.NodeResumed, Node: n.id})
 	events := n.pendingEvents
 	n.pendingEvents = nil
 	for _, event := range events {
--- a/internal/simulation/observe.go
+++ b/internal/simulation/observe.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	slack  = 16 * time.Millisecond // an answer so long after the deadline still counts as in time
-	prompt = time.Millisecond      // what happens within this counts as at once
+	answerTolerance = 16 * time.Millisecond // an answer so long after the deadline still counts as in time
+	promptLimit     = time.Millisecond      // what happens within this counts as at once
 )
 
 // observe reports an observation of now to the checker and the trace. In a wired world it is buffered until its instant is over.
-func (w *Simulation) observe(s invariants.Event) {
-	s.At = w.now
-	if w.wired == nil {
-		w.report(s)
+func (sim *Simulation) observe(s invariants.Event) {
+	s.At = sim.now
+	if sim.networked == nil {
+		sim.report(s)
 		return
 	}
-	w.wired.buffer(observer(s), s)
+	sim.networked.buffer(observer(s), s)
 }
 
 // observer is the sort key of who saw something: the script first, then nodes, then executors.
@@ -34,25 +34,25 @@
 }
 
 // report reports an observation to the trace and the checker.
-func (w *Simulation) report(s invariants.Event) {
-	if w.traceFunc != nil {
-		w.traceFunc(s)
+func (sim *Simulation) report(s invariants.Event) {
+	if sim.traceFunc != nil {
+		sim.traceFunc(s)
 	}
-	for _, b := range w.checker.Observe(s) {
-		w.result.Violations = append(w.result.Violations, b)
-		if w.traceFunc != nil {
-			w.traceFunc(invariants.Event{At: w.now, Kind: invariants.Note, Node: invariants.NoNode, Text: "BROKEN: " + b.Rule.String() + ": " + b.Text})
+	for _, b := range sim.checker.Observe(s) {
+		sim.result.Violations = append(sim.result.Violations, b)
+		if sim.traceFunc != nil {
+			sim.traceFunc(invariants.Event{At: sim.now, Kind: invariants.Note, Node: invariants.NoNode, Text: "BROKEN: " + b.Rule.String() + ": " + b.Text})
 		}
 	}
 }
 
 // note writes a line of text into the trace.
-func (w *Simulation) note(format string, args ...any) {
-	w.observe(invariants.Event{Kind: invariants.Note, Node: invariants.NoNode, Text: fmt.Sprintf(format, args...)})
+func (sim *Simulation) note(format string, args ...any) {
+	sim.observe(invariants.Event{Kind: invariants.Note, Node: invariants.NoNode, Text: fmt.Sprintf(format, args...)})
 }
 
 // advanceChecker lets the checker judge what was due by now.
-func (w *Simulation) advanceChecker() {
-	w.checker.AdvanceTo(w.now)
-	w.result.Violations = append(w.result.Violations, w.checker.Violations()[len(w.result.Violations):]...)
+func (sim *Simulation) advanceChecker() {
+	sim.checker.AdvanceTo(sim.now)
+	sim.result.Violations = append(sim.result.Violations, sim.checker.Violations()[len(sim.result.Violations):]...)
 }
--- a/internal/simulation/policy_recorder.go
+++ b/internal/simulation/policy_recorder.go
@@ -23,9 +23,9 @@
 
 // AttemptEnded records the work done and whether the job was given up.
 func (r *policyRecorder) AttemptEnded(now time.Duration, id policy.JobID, attempt policy.AttemptID, outcome policy.Outcome, final bool) policy.Decision {
-	w := r.node.world
+	sim := r.node.sim
 	if request := r.node.requests[id]; outcome == policy.Succeeded && request != nil {
-		r.node.workRate.add(w.now, cmp.Or(request.work.StatedCost, w.classes[request.work.Class].Mean))
+		r.node.workRate.add(sim.now, cmp.Or(request.work.StatedCost, sim.classes[request.work.Class].Mean))
 	}
 	return r.recordDecision(id, r.Policy.AttemptEnded(now, id, attempt, outcome, final))
 }
@@ -39,7 +39,7 @@
 	if r.process != nil {
 		r.process.gaveUp = append(r.process.gaveUp, gaveUp)
 	} else {
-		r.node.world.observe(gaveUp)
+		r.node.sim.observe(gaveUp)
 	}
 	return decision
 }
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -13,18 +13,18 @@
 
 // clientRequest is one request of a client to a node for a work. A client's retry is another one.
 type clientRequest struct {
-	clients     *zoneClients
-	work        *emulator.Work
-	job         policy.JobID
-	node        *simNode // nil if none could be reached
-	incarnation int      // of the node
-	attempts    int      // so far
-	attemptsOut int
-	sentAt      time.Duration // of the last attempt
-	delivered   bool          // the last attempt has reached its executor
-	answered    bool          // the node owes no answer any more
-	connLost    bool          // the client's connection broke, and the node does not know yet
-	conn        resetter      // the client's connection, in a wired world
+	clients          *zoneClients
+	work             *emulator.Work
+	job              policy.JobID
+	node             *simNode // nil if none could be reached
+	incarnation      int      // of the node
+	attempts         int      // so far
+	attemptsInFlight int
+	sentAt           time.Duration // of the last attempt
+	delivered        bool          // the last attempt has reached its executor
+	answered         bool          // the node owes no answer any more
+	connLost         bool          // the client's connection broke, and the node does not know yet
+	conn             resetter      // the client's connection, in a wired world
 }
 
 // resetter is a connection that can be reset.
@@ -32,28 +32,28 @@
 
 // receive is a node's frontend: a request with the ID of an open one is dropped, all others go to the state machine.
 func (n *simNode) receive(request *clientRequest) {
-	w, work := n.world, request.work
+	sim, work := n.sim, request.work
 	if other := n.requests[request.job]; other != nil && !other.answered {
 		return
 	}
 	n.requests[request.job] = request
-	n.openJobs++
-	w.account.request(request).arrived = w.now
-	budget := (work.Deadline - w.now).Truncate(time.Millisecond)
-	w.observe(invariants.Event{Kind: invariants.JobAccepted, Node: n.id, Job: request.job, Work: work.ID, Class: work.Class, Deadline: w.now + budget})
+	n.jobsInFlight++
+	sim.account.request(request).arrivedAt = sim.now
+	budget := (work.Deadline - sim.now).Truncate(time.Millisecond)
+	sim.observe(invariants.Event{Kind: invariants.JobAccepted, Node: n.id, Job: request.job, Work: work.ID, Class: work.Class, Deadline: sim.now + budget})
 	n.deliver(node.JobArrived{Job: node.Job{
-		Request:     node.Request{ID: request.job, Method: "POST", URI: "/", IdempotencyKey: w.idempotencyKey(work), Body: w.requestBody()},
+		Request:     node.Request{ID: request.job, Method: "POST", URI: "/", IdempotencyKey: sim.idempotencyKey(work), Body: sim.requestBody()},
 		Class:       work.Class,
 		Work:        secondsOf(work.StatedCost).Truncate(time.Microsecond),
 		Budget:      budget,
-		ClientRetry: w.scenario.Load.MarksRetries && work.Retries > 0,
+		ClientRetry: sim.scenario.Load.MarksRetries && work.Retries > 0,
 		Client:      request,
 	}})
-	n.maxQueued = max(n.maxQueued, n.openJobs-n.attemptsOut)
-	leavesAt := min(work.LeavesAt, work.Deadline+slack+time.Millisecond)
-	n.after(leavesAt-w.now, func() { n.clientLeaves(request) })
-	if work.RepeatsID() && w.jobClasses[work.Class].Idempotency == policy.Idempotent {
-		n.after(time.Duration(w.networkRand.Int64N(int64(time.Second))), func() { n.repeatID(request) })
+	n.maxQueued = max(n.maxQueued, n.jobsInFlight-n.attemptsInFlight)
+	leavesAt := min(work.LeavesAt, work.Deadline+answerTolerance+time.Millisecond)
+	n.after(leavesAt-sim.now, func() { n.clientLeaves(request) })
+	if work.RepeatsID() && sim.jobClasses[work.Class].Idempotency == policy.Idempotent {
+		n.after(time.Duration(sim.networkRand.Int64N(int64(time.Second))), func() { n.repeatID(request) })
 	}
 }
 
@@ -69,11 +69,11 @@
 }
 
 // requestBody is the body of all requests; nobody reads what is in it.
-func (w *Simulation) requestBody() []byte {
-	if w.result.requestBody == nil {
-		w.result.requestBody = make([]byte, w.scenario.Load.BodyBytes)
+func (sim *Simulation) requestBody() []byte {
+	if sim.result.requestBody == nil {
+		sim.result.requestBody = make([]byte, sim.scenario.Load.BodyBytes)
 	}
-	return w.result.requestBody
+	return sim.result.requestBody
 }
 
 // clientLeaves is a client closing its connection before it has an answer.
@@ -82,61 +82,61 @@
 		return
 	}
 	n.clientGone(request)
-	if request.work.LeavesAt <= n.world.now {
-		n.world.result.Left++
+	if request.work.LeavesAt <= n.sim.now {
+		n.sim.result.Left++
 	}
 	request.finish(emulator.EndFailed, 0)
 }
 
 // Gone says right before an attempt whether the node's machine knows that the client has gone, even if the process has not read that.
-func (r *clientRequest) Gone() bool { return r.answered && !r.node.world.defects.hideClientGone }
+func (r *clientRequest) Gone() bool { return r.answered && !r.node.sim.defects.hideClientGone }
 
 // clientGone notifies the node that a client does not wait any more.
 func (n *simNode) clientGone(request *clientRequest) {
 	request.answered = true
-	n.openJobs--
-	n.world.observe(invariants.Event{Kind: invariants.ClientLeft, Node: n.id, Job: request.job})
-	if n.world.defects.hideClientLeft {
+	n.jobsInFlight--
+	n.sim.observe(invariants.Event{Kind: invariants.ClientLeft, Node: n.id, Job: request.job})
+	if n.sim.defects.hideClientLeft {
 		return
 	}
-	n.world.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: n.id, Job: request.job})
+	n.sim.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: n.id, Job: request.job})
 	n.deliver(node.ClientLeft{Job: request.job, Client: request})
 }
 
 // answer sends a node's final answer to the client.
 func (n *simNode) answer(answer node.Answer) {
-	w := n.world
-	w.observe(invariants.Event{Kind: invariants.JobAnswered, Node: n.id, Job: answer.Job, Final: invariants.Final(answer.Final)})
+	sim := n.sim
+	sim.observe(invariants.Event{Kind: invariants.JobAnswered, Node: n.id, Job: answer.Job, Final: invariants.Final(answer.Final)})
 	request := n.requests[answer.Job]
 	if request == nil || request.answered {
 		return
 	}
 	request.answered = true
-	n.openJobs--
-	w.account.request(request).answered = w.now
+	n.jobsInFlight--
+	sim.account.request(request).answeredAt = sim.now
 	if request.connLost {
 		return
 	}
-	delay := w.randomDelay(n.zone, request.clients.zone) / 2
-	w.after(delay, func() { request.finish(emulator.End(answer.Final), answer.RetryAfter) })
+	delay := sim.randomDelay(n.zone, request.clients.zone) / 2
+	sim.after(delay, func() { request.finish(emulator.End(answer.Final), answer.RetryAfter) })
 }
 
 // loseClients breaks all clients' connections to a node that has ended.
 func (n *simNode) loseClients() {
-	for _, request := range n.openRequests() {
+	for _, request := range n.requestsInFlight() {
 		request.answered = true
 		if !request.connLost {
-			delay := n.world.randomDelay(n.zone, request.clients.zone) / 2
-			n.world.after(delay, func() { request.finish(emulator.EndLost, 0) })
+			delay := n.sim.randomDelay(n.zone, request.clients.zone) / 2
+			n.sim.after(delay, func() { request.finish(emulator.EndLost, 0) })
 		}
 	}
 }
 
 // openRequests are the requests that the node's process owes an answer, in the order of their job IDs.
-func (n *simNode) openRequests() (open []*clientRequest) {
+func (n *simNode) requestsInFlight() (open []*clientRequest) {
 	all := n.requests
 	if n.process != nil {
-		all = n.world.wired.requests
+		all = n.sim.networked.requests
 	}
 	for _, request := range all {
 		if !request.answered && !request.connLost && request.node == n && request.incarnation == n.incarnation {
@@ -155,21 +155,21 @@
 
 // finish is the end of a request for its client, which retries or is done with the work.
 func (r *clientRequest) finish(end emulator.End, retryAfter time.Duration) {
-	w, work := r.clients.world, r.work
+	sim, work := r.clients.sim, r.work
 	if work.Over || r.job != work.Job() {
 		return // a repeated ID whose request has ended
 	}
-	history := w.account.request(r)
-	history.done, history.end = w.now, end
-	earned := w.result.recordRequestEnd(w, work, end)
-	if at, retries := r.clients.RetryAt(w.now, work, end, retryAfter); retries {
-		w.at(at, func() { r.clients.submit(work) })
+	history := sim.account.request(r)
+	history.doneAt, history.end = sim.now, end
+	earned := sim.result.recordRequestEnd(sim, work, end)
+	if at, retries := r.clients.RetryAt(sim.now, work, end, retryAfter); retries {
+		sim.at(at, func() { r.clients.submit(work) })
 		return
 	}
 	work.Over = true
-	w.account.recordFinished(work, earned)
-	w.openWorks--
+	sim.account.recordFinished(work, earned)
+	sim.worksInFlight--
 	if work.Client != openLoop {
-		w.after(r.clients.Behavior.Think, func() { r.clients.submitNext(work.Client) })
+		sim.after(r.clients.Behavior.Think, func() { r.clients.submitNext(work.Client) })
 	}
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -86,15 +86,15 @@
 }
 
 // recordRequestEnd records the end of a request and returns the value that it earned.
-func (r *Result) recordRequestEnd(w *Simulation, work *emulator.Work, end emulator.End) (earned float64) {
+func (r *Result) recordRequestEnd(sim *Simulation, work *emulator.Work, end emulator.End) (earned float64) {
 	class := &r.Classes[work.Class]
 	class.Requests++
 	switch end {
 	case emulator.EndSucceeded:
 		class.Succeeded++
 		value := work.Value
-		if w.now > work.Objective {
-			value *= w.jobClasses[work.Class].LateValue
+		if sim.now > work.Objective {
+			value *= sim.jobClasses[work.Class].LateValue
 		}
 		class.valueEarned += value
 		r.secondOf(work.ArrivedAt).valueEarned += value
@@ -117,11 +117,11 @@
 const worstWindow = 10
 
 // finish fills in what is known at the world's end, and drops what is not needed any more.
-func (r *Result) finish(w *Simulation) {
-	for _, n := range w.nodes {
+func (r *Result) finish(sim *Simulation) {
+	for _, n := range sim.nodes {
 		r.recordMaxQueued(n)
 	}
-	r.Steps, r.DuplicateRuns, r.LeftQueued, r.SentLate = w.steps, w.checker.LateReruns(), w.checker.ClientsLeftWhileQueued(), w.checker.LateAttempts()
+	r.Steps, r.DuplicateRuns, r.LeftQueued, r.SentLate = sim.steps, sim.checker.LateReruns(), sim.checker.ClientsLeftWhileQueued(), sim.checker.LateAttempts()
 	offered, earned := 0.0, 0.0
 	for i := range r.Classes {
 		class := &r.Classes[i]
@@ -135,8 +135,8 @@
 	}
 	r.findWorst()
 	r.offers, r.capacity, r.requestBody = nil, nil, nil
-	if w.account != nil {
-		r.Account = w.account.finish()
+	if sim.account != nil {
+		r.Account = sim.account.finish()
 	}
 }
 
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	maxLength    = 24 * time.Hour
-	maxNodes     = 1000
-	maxExecutors = 20000
-	maxShareSlip = 0.001 // by which the classes' shares may differ from 1 in sum
+	maxLength     = 24 * time.Hour
+	maxNodes      = 1000
+	maxExecutors  = 20000
+	maxShareError = 0.001 // by which the classes' shares may differ from 1 in sum
 )
 
 // check returns the first thing in a scenario that makes no sense, and where it stands.
@@ -89,7 +89,7 @@
 			return tomlfile.Position{Table: "track", Index: i, Key: key}, err
 		}
 	}
-	if sum < 1-maxShareSlip || sum > 1+maxShareSlip {
+	if sum < 1-maxShareError || sum > 1+maxShareError {
 		return tomlfile.Position{Table: "track", Index: 0, Key: "share"}, fmt.Errorf("the shares of all tracks come to %.3g and not to 1", sum)
 	}
 	return tomlfile.Position{}, nil
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -71,20 +71,20 @@
 
 // candidates collects scenarios that are a step smaller than one.
 type candidates struct {
-	of  Scenario
-	all []Scenario
+	base Scenario
+	all  []Scenario
 }
 
 func (c *candidates) add(change func(*Scenario)) {
-	candidate := c.of
-	candidate.Faults, candidate.Classes = slices.Clone(c.of.Faults), slices.Clone(c.of.Classes)
+	candidate := c.base
+	candidate.Faults, candidate.Classes = slices.Clone(c.base.Faults), slices.Clone(c.base.Classes)
 	change(&candidate)
 	c.all = append(c.all, candidate)
 }
 
 // smallerScenarios are scenarios that are a step smaller, those that save most first.
 func smallerScenarios(s Scenario) []Scenario {
-	c := &candidates{of: s}
+	c := &candidates{base: s}
 	c.addShorter()
 	c.addSmallerFaults()
 	c.addFewerClasses()
@@ -105,7 +105,7 @@
 // addShorter shortens the world.
 func (c *candidates) addShorter() {
 	for _, divisor := range []Span{2, 4, 8} {
-		if saved := c.of.Length / divisor; saved >= minShrunk {
+		if saved := c.base.Length / divisor; saved >= minShrunk {
 			c.add(func(s *Scenario) {
 				s.Length -= saved
 				s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At >= s.Length })
@@ -116,7 +116,7 @@
 
 // addSmallerFaults shortens a fault, or takes it off one of its targets.
 func (c *candidates) addSmallerFaults() {
-	for i, fault := range c.of.Faults {
+	for i, fault := range c.base.Faults {
 		if fault.For > minShrunk {
 			c.add(func(s *Scenario) { s.Faults[i].For = roundToMillisecond(fault.For / 2) })
 		}
@@ -130,10 +130,10 @@
 
 // addFewerClasses removes a class; the others get its share.
 func (c *candidates) addFewerClasses() {
-	if len(c.of.Classes) == 1 {
+	if len(c.base.Classes) == 1 {
 		return
 	}
-	for i, removed := range c.of.Classes {
+	for i, removed := range c.base.Classes {
 		c.add(func(s *Scenario) {
 			s.Classes = slices.Delete(s.Classes, i, i+1)
 			for j := range s.Classes {
--- a/internal/simulation/world.go
+++ b/internal/simulation/simulation.go
@@ -24,12 +24,12 @@
 	defects    injectedDefects
 
 	// The clock and the event heap.
-	now              time.Duration
-	events           eventHeap
-	scheduled        uint64 // events so far
-	steps            int    // events that have run
-	sameInstantSteps int    // of those, events at the instant of the one before
-	maxViolations    int    // the world ends at this number of violations
+	now               time.Duration
+	events            eventHeap
+	scheduled         uint64 // events so far
+	steps             int    // events that have run
+	simultaneousSteps int    // of those, events at the instant of the one before
+	maxViolations     int    // the world ends at this number of violations
 
 	// Random streams, one a use.
 	networkRand    *rand.Rand
@@ -37,24 +37,24 @@
 	workNoiseRand  *rand.Rand
 	frontLayerRand *rand.Rand // of the front layer in front of nodes with unequal shares of the traffic
 
-	nodes      []*simNode
-	executors  []*executor
-	byAddr     map[string]*executor
-	discovery  *emulator.Discovery
-	clients    []*zoneClients // by zone
-	memories   emulator.DedupMemories
-	lastConnID emulator.ConnID
-	lastAddr   int
-	openWorks  int         // works whose clients still wait
-	wired      *wiredWorld // nil where state machines are stepped event by event
-	adminCalls int         // to nodes of a wired world
+	nodes         []*simNode
+	executors     []*executor
+	byAddr        map[string]*executor
+	discovery     *emulator.Discovery
+	clients       []*zoneClients // by zone
+	memories      emulator.DedupMemories
+	lastConnID    emulator.ConnID
+	lastAddr      int
+	worksInFlight int                  // works whose clients still wait
+	networked     *networkedSimulation // nil where state machines are stepped event by event
+	adminCalls    int                  // to nodes of a wired world
 
 	// Faults that are on the network or on everything.
-	partitions        []partition // by zone
-	gossipLoss        float64     // probability
-	newConnResetRate  float64     // probability
-	newConnSilentRate float64     // probability
-	clockOffset       time.Duration
+	partitions              []partition // by zone
+	gossipLoss              float64     // probability
+	newConnResetRate        float64     // probability
+	newConnUnresponsiveRate float64     // probability
+	clockOffset             time.Duration
 
 	checker      *invariants.Checker
 	gossipBounds gossipBounds
@@ -70,7 +70,7 @@
 	effect func(*Simulation, *simNode, node.Effect) []node.Effect
 
 	settings       func(*policy.Settings)
-	fleet          func(*cluster.Settings)
+	cluster        func(*cluster.Settings)
 	executor       func(*emulator.Executor)
 	attempt        func(*emulator.Attempt)
 	hideClientLeft bool // nodes are not notified that a client has left
@@ -87,7 +87,7 @@
 
 // New makes a world in which nothing has happened yet.
 func New(s Scenario, seed uint64, o Options) *Simulation {
-	w := &Simulation{
+	sim := &Simulation{
 		scenario:       s,
 		seed:           seed,
 		policy:         cmp.Or(o.Policy, ModulePolicy),
@@ -105,21 +105,21 @@
 		result:         newResult(s, seed),
 	}
 	if o.Account {
-		w.account = &accountLedger{world: w, open: map[invariants.WorkID]*jobHistory{}}
+		sim.account = &accountLedger{sim: sim, inFlight: map[invariants.WorkID]*jobHistory{}}
 	}
-	w.classes, w.jobClasses = s.JobClasses()
-	w.checker = invariants.New(invariants.Settings{
-		Classes:           w.jobClasses,
-		AnswerSlack:       slack,
+	sim.classes, sim.jobClasses = s.JobClasses()
+	sim.checker = invariants.New(invariants.Settings{
+		Classes:           sim.jobClasses,
+		AnswerSlack:       answerTolerance,
 		DrainGrace:        time.Duration(s.Fleet.DrainGrace),
-		PromptWithin:      prompt,
+		PromptWithin:      promptLimit,
 		SlowStart:         time.Duration(s.Fleet.SlowStartDuration),
 		SlowStartMultiple: s.Fleet.OverloadMultiple,
 		SlowStartWindow:   time.Duration(s.Fleet.OverloadWindow),
 		MeanWork:          s.MeanWork(),
 		Hedging:           s.Fleet.MayHedge,
 	})
-	return w
+	return sim
 }
 
 const (
@@ -128,90 +128,90 @@
 )
 
 // Play plays the world until no client waits any more, or too many invariants are violated. A world is played once.
-func (w *Simulation) Play() Result {
-	w.build()
-	length, end := time.Duration(w.scenario.Length), w.lastDeadline()
-	for len(w.events) > 0 && len(w.result.Violations) < w.maxViolations {
-		event := w.events.pop()
-		if event.at > end || w.openWorks == 0 && event.at > length+settleTime {
+func (sim *Simulation) Play() Result {
+	sim.build()
+	length, end := time.Duration(sim.scenario.Length), sim.lastDeadline()
+	for len(sim.events) > 0 && len(sim.result.Violations) < sim.maxViolations {
+		event := sim.events.pop()
+		if event.at > end || sim.worksInFlight == 0 && event.at > length+settleTime {
 			break
 		}
-		if event.at == w.now {
-			w.sameInstantSteps++
+		if event.at == sim.now {
+			sim.simultaneousSteps++
 		}
-		w.sampleCapacity(min(event.at, end-1))
-		w.now = event.at
-		w.steps++
+		sim.sampleCapacity(min(event.at, end-1))
+		sim.now = event.at
+		sim.steps++
 		event.run()
 	}
-	w.advanceChecker()
-	w.result.finish(w)
-	return w.result
+	sim.advanceChecker()
+	sim.result.finish(sim)
+	return sim.result
 }
 
 // sampleCapacity samples all bins that begin by a time. This is not an event of its own, because the order of events at one instant
 // depends on the number of events before them.
-func (w *Simulation) sampleCapacity(until time.Duration) {
-	for at := time.Duration(len(w.result.capacity)) * Bin; at <= until; at += Bin {
-		w.now = at
-		w.result.sampleCapacity(w)
+func (sim *Simulation) sampleCapacity(until time.Duration) {
+	for at := time.Duration(len(sim.result.capacity)) * Bin; at <= until; at += Bin {
+		sim.now = at
+		sim.result.sampleCapacity(sim)
 	}
 }
 
 // lastDeadline is when the last client has given up at the latest.
-func (w *Simulation) lastDeadline() time.Duration {
-	length := time.Duration(w.scenario.Length)
+func (sim *Simulation) lastDeadline() time.Duration {
+	length := time.Duration(sim.scenario.Length)
 	end := length
-	for _, class := range w.classes {
+	for _, class := range sim.classes {
 		end = max(end, length+class.Deadline+time.Second)
 	}
 	return end
 }
 
 // build sets up executors that have run for long, nodes that have the endpoint list, clients and the script of faults.
-func (w *Simulation) build() {
-	w.buildExecutors()
-	w.buildNodes()
-	if w.account != nil {
-		w.account.init()
+func (sim *Simulation) build() {
+	sim.buildExecutors()
+	sim.buildNodes()
+	if sim.account != nil {
+		sim.account.init()
 	}
-	if every := time.Duration(w.scenario.Fleet.WeightInterval); every > 0 {
-		w.after(every, w.updateWeights)
+	if every := time.Duration(sim.scenario.Fleet.WeightInterval); every > 0 {
+		sim.after(every, sim.updateWeights)
 	}
-	w.buildClients()
-	if w.wired != nil && w.scenario.Load.MalformedRate > 0 {
-		w.wired.startMalformedClients()
+	sim.buildClients()
+	if sim.networked != nil && sim.scenario.Load.MalformedRate > 0 {
+		sim.networked.startMalformedClients()
 	}
-	for _, fault := range w.scenario.Faults {
-		w.scheduleFault(fault.Emulated())
+	for _, fault := range sim.scenario.Faults {
+		sim.scheduleFault(fault.Emulated())
 	}
 }
 
-func (w *Simulation) buildExecutors() {
-	fleet := &w.scenario.Fleet
-	speeds := stream(w.seed, speedStream)
+func (sim *Simulation) buildExecutors() {
+	fleet := &sim.scenario.Fleet
+	speeds := stream(sim.seed, speedStream)
 	for i := range fleet.Executors {
-		w.addExecutor(fmt.Sprint("e", i), i, fleet.Speed*(1+fleet.SpeedSpread*(2*speeds.Float64()-1)))
+		sim.addExecutor(fmt.Sprint("e", i), i, fleet.Speed*(1+fleet.SpeedSpread*(2*speeds.Float64()-1)))
 	}
-	for i, x := range w.executors {
-		if w.defects.executor != nil {
-			w.defects.executor(x.Executor)
+	for i, x := range sim.executors {
+		if sim.defects.executor != nil {
+			sim.defects.executor(x.Executor)
 		}
-		w.discovery.Change(-time.Duration(fleet.DiscoveryLag)-time.Hour+time.Duration(i), x.entry(policy.Available))
-		if w.wired != nil {
-			w.wired.startExecutor(x)
+		sim.discovery.Change(-time.Duration(fleet.DiscoveryLag)-time.Hour+time.Duration(i), x.entry(policy.Available))
+		if sim.networked != nil {
+			sim.networked.startExecutor(x)
 		}
 	}
 }
 
-func (w *Simulation) buildNodes() {
-	fleet := &w.scenario.Fleet
+func (sim *Simulation) buildNodes() {
+	fleet := &sim.scenario.Fleet
 	for i := range fleet.Nodes {
-		n := &simNode{world: w, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(fleet.Zones)), trafficShare: 1}
-		if skew := w.scenario.Load.NodeSkew; skew > 0 {
-			n.trafficShare = math.Exp(w.frontLayerRand.NormFloat64() * skew)
+		n := &simNode{sim: sim, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(fleet.Zones)), trafficShare: 1}
+		if skew := sim.scenario.Load.NodeSkew; skew > 0 {
+			n.trafficShare = math.Exp(sim.frontLayerRand.NormFloat64() * skew)
 		}
-		w.nodes = append(w.nodes, n)
+		sim.nodes = append(sim.nodes, n)
 		n.start()
 	}
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -51,7 +51,7 @@
 		s := leaving(seed, Size{Nodes: 3, Executors: 6, Length: 10 * time.Second})
 		// A node that is killed while it drains clients leaves a goroutine behind that never ends here, as it need not in a process.
 		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.Kind == emulator.ClientsDrained })
-		look(seed, playWired(t, s, seed, Options{}))
+		look(seed, playNetworked(t, s, seed, Options{}))
 	}
 	if t.Logf("%d clients left while their batch jobs waited", waiting); waiting < 2**seeds {
 		t.Errorf("%d clients left while their batch jobs waited: too few to tell", waiting)
@@ -160,10 +160,10 @@
 	return fmt.Sprintf("%d lines, %x", lines, h.Sum(nil))
 }
 
-const digestOnly = "BIRCHLAB_DIGEST"
+const digestVariable = "BIRCHLAB_DIGEST"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(digestOnly) != "" {
+	if os.Getenv(digestVariable) != "" {
 		fmt.Print(digest())
 		os.Exit(0)
 	}
@@ -176,7 +176,7 @@
 	want := digest()
 	for _, procs := range []string{"1", "8"} {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), digestOnly+"=1", "GOMAXPROCS="+procs)
+		cmd.Env = append(os.Environ(), digestVariable+"=1", "GOMAXPROCS="+procs)
 		got, err := cmd.Output()
 		if err != nil {
 			t.Fatal(err)
@@ -260,9 +260,9 @@
 	forgets := defects[0]
 	const seed = 1
 	breaks := func(s Scenario) bool {
-		w := New(s, seed, Options{MaxViolations: 1})
-		w.defects = forgets.inject
-		r := w.Play()
+		sim := New(s, seed, Options{MaxViolations: 1})
+		sim.defects = forgets.inject
+		r := sim.Play()
 		return len(r.Violations) > 0 && r.Violations[0].Rule == forgets.rule
 	}
 	s, steps := faultyScenario(nil), 0
