--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -74,7 +74,7 @@
 }
 
 // The value offered is the value earned plus the value lost, with all faults and policies.
-func TestAccountCloses(t *testing.T) {
+func TestAccountSumsMatch(t *testing.T) {
 	t.Parallel()
 	seeds, drawn := uint64(2), uint64(30)
 	if underRace {
@@ -126,7 +126,7 @@
 }
 
 // Each of these worlds loses value by one known cause, and hardly by any other.
-func TestAccountNamesTheCause(t *testing.T) {
+func TestAccountAttributesLossToCause(t *testing.T) {
 	t.Parallel()
 	one := func(s *Scenario) { // a small plain world: nodes and executors in one zone, work of 100 ms with a slack of 100 ms
 		s.Fleet.Zones, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.SpeedSpread, s.Fleet.ValuePerWork = []string{"here"}, 2, 4, 0, false
@@ -198,7 +198,7 @@
 }
 
 // The parts of a work's time add up to it, with several attempts out at once.
-func TestAccountOfTimes(t *testing.T) {
+func TestAccountTimesByCause(t *testing.T) {
 	t.Parallel()
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	h := &jobHistory{work: &emulator.Work{ArrivedAt: 0, Cost: 0.05}, requests: []*requestHistory{
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	timePerByte = 8 * time.Nanosecond   // of a body that is written: 64 KiB take half a millisecond
-	queuedStart = 50 * time.Millisecond // a start later than this after sending has waited in the executor's queue
+	timePerByte = 8 * time.Nanosecond   // time to write a byte of a body: 64 KiB take half a millisecond
+	queuedStart = 50 * time.Millisecond // an attempt that starts later than this after it was sent counts as queued at the executor
 )
 
-// connAttempt is an attempt that is out on a connection.
+// connAttempt is an attempt in flight on a connection.
 type connAttempt struct {
 	request  *clientRequest
 	executor *executor
 	number   policy.AttemptID
 	history  *attemptHistory
-	written  bool // its last byte has left the node
-	ended    bool // the node is notified of its end, or about to be
+	written  bool // the last byte has left the node
+	ended    bool // the node has been notified of the end, or is about to be
 }
 
-// recordAttempt records that an attempt's first byte is sent.
+// recordAttempt records that the first byte of a new attempt is sent.
 func (n *simNode) recordAttempt(request *clientRequest, executor *executor) *connAttempt {
 	sim := n.sim
 	attempt := &connAttempt{request: request, executor: executor, number: policy.AttemptID(request.attempts), history: sim.account.recordSent(request, executor)}
@@ -46,7 +46,7 @@
 	return attempt
 }
 
-// recordAttemptEnd records that the node is notified of an attempt's end; neverRan says that the notice proves that it never ran.
+// recordAttemptEnd records that the node is notified of an attempt's end. neverRan means that the outcome proves that the attempt never ran.
 func (n *simNode) recordAttemptEnd(attempt *connAttempt, neverRan bool) {
 	n.attemptsInFlight--
 	attempt.request.attemptsInFlight--
@@ -54,11 +54,11 @@
 		Executor: attempt.executor.ID, NeverRan: neverRan})
 }
 
-// writeAttempt writes an attempt to its connection, unless that has closed or the client has gone.
+// writeAttempt writes an attempt to its connection, unless the connection has closed or the client has disconnected.
 func (n *simNode) writeAttempt(effect node.WriteAttempt) {
 	conn := n.conns[effect.Conn]
 	if conn == nil || conn.state != connUp || conn.attempt != nil {
-		return // closed already; the node is about to be notified
+		return // the connection has closed, and the node is about to be notified
 	}
 	request := n.requests[effect.Attempt.ID]
 	if request == nil {
@@ -82,7 +82,7 @@
 	n.after(writing, func() { conn.finishWrite(attempt) })
 }
 
-// finishWrite is the last byte of an attempt leaving the node.
+// finishWrite sends the last byte of an attempt.
 func (c *executorConn) finishWrite(attempt *connAttempt) {
 	if c.state != connUp || c.attempt != attempt {
 		return
@@ -98,7 +98,7 @@
 	})
 }
 
-// idempotencyKey is what the jobs of a work carry if its class has keys; "" otherwise.
+// idempotencyKey returns the idempotency key of a work item's jobs; "" if its class has none.
 func (sim *Simulation) idempotencyKey(work *emulator.Work) string {
 	if sim.jobClasses[work.Class].Idempotency == policy.IdempotentWithKey {
 		return string(work.ID)
@@ -106,7 +106,7 @@
 	return ""
 }
 
-// newAttempt is what an executor receives for a request's attempt.
+// newAttempt returns an attempt of a request as the executor receives it.
 func (sim *Simulation) newAttempt(request *clientRequest, from invariants.NodeID, key emulator.ConnID, x *executor) emulator.Attempt {
 	work := request.work
 	class := &sim.classes[work.Class]
@@ -124,7 +124,7 @@
 	return attempt
 }
 
-// attemptOutcomes are the outcomes of an executor's final answers.
+// attemptOutcomes maps an executor's final answers to outcomes.
 var attemptOutcomes = map[emulator.MessageKind]policy.Outcome{
 	emulator.AttemptDone:     policy.Succeeded,
 	emulator.AttemptFailed:   policy.ExecutorError,
@@ -141,7 +141,7 @@
 	c.toNode(func() { c.receiveAnswer(answer, sentAt) })
 }
 
-// receiveAnswer is the arrival of an executor's answer or notice at the node.
+// receiveAnswer handles the arrival of an executor's answer or notice at the node.
 func (c *executorConn) receiveAnswer(answer emulator.Message, sentAt time.Duration) {
 	attempt := c.attempt
 	if attempt == nil || attempt.ended || attempt.request.job != answer.Job {
@@ -171,7 +171,7 @@
 	}
 }
 
-// becomeIdle notifies the node that a connection is idle. The executor closes one that is not used within its idle timeout.
+// becomeIdle notifies the node that the connection is idle. The executor closes it if it is not used within the idle timeout.
 func (c *executorConn) becomeIdle() {
 	sim, x, uses := c.node.sim, c.executor, c.uses
 	c.node.after(processingDelay, func() {
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -11,7 +11,7 @@
 	"birchstair/policy"
 )
 
-// connState is a connection's state at the node's end.
+// connState is the state of a connection at the node's end.
 type connState int
 
 const (
@@ -25,23 +25,23 @@
 	id       node.ConnID     // at the node
 	key      emulator.ConnID // at the executor
 	node     *simNode
-	executor *executor // nil if nobody has the address
+	executor *executor // nil if no executor has the address
 	state    connState
-	accepted bool // by the executor
+	accepted bool // the executor has accepted the connection
 	uses     int
-	attempt  *connAttempt // nil while idle
+	attempt  *connAttempt // nil while the connection is idle
 
-	unresponsive     bool // nothing comes back
+	unresponsive     bool // nothing that the executor sends arrives at the node
 	resetsAtFirstUse bool
 
 	dialedAt, upAt time.Duration
 
-	// When the message before arrives, each way: messages stay in order.
+	// Arrival times of the last message in each direction. Later messages arrive after it, as a connection keeps their order.
 	nextToExecutor time.Duration
 	nextToNode     time.Duration
 }
 
-// toExecutor runs a function when a message that is sent now reaches the executor, if its process still runs then.
+// toExecutor runs a function when a message that is sent now reaches the executor, unless the executor's process has ended by then.
 func (c *executorConn) toExecutor(run func()) {
 	sim, x := c.node.sim, c.executor
 	c.nextToExecutor = max(c.nextToExecutor+1, sim.arrivalTime(c.node.zone, x.Zone))
@@ -53,7 +53,7 @@
 	})
 }
 
-// toNode runs a function when a message that is sent now reaches the node, if the connection is not closed there by then.
+// toNode runs a function when a message that is sent now reaches the node, unless the connection is closed there by then.
 func (c *executorConn) toNode(run func()) {
 	if c.unresponsive {
 		return
@@ -73,7 +73,7 @@
 	c.node.after(delay, func() { c.deliver(event) })
 }
 
-// deliver records what an event of the connection ends, and delivers it to the node.
+// deliver delivers an event of the connection to the node, and records the end of an attempt or of the connection.
 func (c *executorConn) deliver(event node.Event) {
 	n := c.node
 	switch event := event.(type) {
@@ -106,7 +106,7 @@
 	conn.breakConn("closed here")
 }
 
-// breakConn ends a connection at the node's end, and notifies the node soon.
+// breakConn ends a connection at the node's end and notifies the node.
 func (c *executorConn) breakConn(reason string) {
 	if c.state == connClosed {
 		return
@@ -127,14 +127,14 @@
 	c.deliverAfter(processingDelay+processingDelay/2, node.ConnClosed{Conn: c.id, Detail: detail})
 }
 
-// closeAtExecutor ends a connection at the executor's end, after what is in flight.
+// closeAtExecutor ends a connection at the executor's end, after the messages on their way there.
 func (c *executorConn) closeAtExecutor() {
 	if c.executor != nil && c.accepted {
 		c.toExecutor(c.dropAtExecutor)
 	}
 }
 
-// dropAtExecutor is the executor's notice that a connection has ended.
+// dropAtExecutor notifies the executor that a connection has ended.
 func (c *executorConn) dropAtExecutor() {
 	if c.executor.conns[c.key] == c {
 		delete(c.executor.conns, c.key)
@@ -142,13 +142,13 @@
 	}
 }
 
-// resetByExecutor is a reset of the connection by its executor.
+// resetByExecutor lets the executor reset the connection.
 func (c *executorConn) resetByExecutor() {
 	delete(c.executor.conns, c.key)
 	c.toNode(func() { c.breakConn("reset by the executor") })
 }
 
-// hasIdleConn says whether a node has an idle connection to an executor.
+// hasIdleConn returns whether the node has an idle connection to the executor.
 func (n *simNode) hasIdleConn(x *executor) bool {
 	for _, conn := range n.conns {
 		if conn.executor == x && conn.state == connUp && conn.attempt == nil {
--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -295,7 +295,7 @@
 var violationsWithoutDefect sync.Map // by seed and scenario
 
 // Each injected defect violates its invariant and no other; without it nothing is violated.
-func TestPlantedDefects(t *testing.T) {
+func TestInjectedDefects(t *testing.T) {
 	t.Parallel()
 	for _, d := range defects {
 		t.Run(d.name, func(t *testing.T) {
@@ -329,7 +329,7 @@
 }
 
 // Each invariant has a defect that violates it.
-func TestEveryRuleIsPutToTheTest(t *testing.T) {
+func TestEveryInvariantHasDefect(t *testing.T) {
 	for r := range invariants.ClientPresent + 1 {
 		if r < invariants.OneAnswer || r == invariants.GossipBound { // its defects are planted in fleets
 			continue
--- a/internal/simulation/dial.go
+++ b/internal/simulation/dial.go
@@ -6,10 +6,10 @@
 	"birchstair/internal/node"
 )
 
-// noConnection begins the detail of a dial that failed.
+// noConnection is the prefix of the detail of a failed dial.
 const noConnection = "no connection: "
 
-// dial opens a connection to an executor, with the faults that new connections have now.
+// dial opens a connection to an executor. Current faults of new connections apply to it.
 func (n *simNode) dial(effect node.Dial) {
 	sim := n.sim
 	sim.lastConnID++
@@ -21,12 +21,12 @@
 		n.after(2*time.Duration(sim.scenario.Fleet.Near), func() { conn.failDial("nobody there") })
 		return
 	}
-	unresponsive := sim.networkRand.Float64() < sim.newConnUnresponsiveRate // takes effect once the connection is open
+	unresponsive := sim.networkRand.Float64() < sim.newConnUnresponsiveRate // applies once the connection is open
 	conn.resetsAtFirstUse = sim.networkRand.Float64() < sim.newConnResetRate
 	sim.at(sim.arrivalTime(n.zone, conn.executor.Zone), func() { conn.reachExecutor(unresponsive) })
 }
 
-// failDial ends a dial that is still going on.
+// failDial fails a dial that has not ended yet.
 func (c *executorConn) failDial(reason string) {
 	if c.state != connDialing {
 		return
@@ -36,7 +36,7 @@
 	c.deliver(node.ConnClosed{Conn: c.id, Detail: noConnection + reason})
 }
 
-// reachExecutor is the arrival of the dial at the executor's machine.
+// reachExecutor handles the arrival of the dial at the executor's machine.
 func (c *executorConn) reachExecutor(unresponsive bool) {
 	x, n := c.executor, c.node
 	if x.unreachable || n.conns[c.id] != c || !n.up {
@@ -53,13 +53,13 @@
 	}
 	x.apply(outputs)
 	c.toNode(c.open)
-	if !ok { // the executor has as many connections as it takes: it closes this one as soon as it is open
+	if !ok { // the executor has reached its connection limit and closes this connection at once
 		c.toNode(func() { c.breakConn("closed by the executor") })
 	}
 	c.unresponsive = unresponsive
 }
 
-// open is the arrival of the executor's answer to the dial.
+// open handles the arrival of the executor's answer to the dial.
 func (c *executorConn) open() {
 	if c.state != connDialing {
 		return
--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -8,24 +8,24 @@
 	"birchstair/policy"
 )
 
-// executor is an emulated executor and its place in the world.
+// executor is an emulated executor with its simulated process and connections.
 type executor struct {
 	*emulator.Executor
 	sim    *Simulation
-	number int // of the scenario's executor, or of the one that this one replaces
+	number int // number in the scenario; a replacement has the number of the executor that it replaces
 	addr   string
 	conns  map[emulator.ConnID]*executorConn
 
 	faults           []emulator.Fault // that slow it down or make it fail
-	activeDownFaults int              // faults that keep it down
-	unreachable      bool             // its machine has vanished: nothing answers, and nothing is refused
-	replacements     int
-	timerSeq         int // of the timer that is set; earlier ones are void
+	activeDownFaults int              // number of current faults that keep the executor down
+	unreachable      bool             // its machine has vanished: connections are neither accepted nor refused
+	replacements     int              // number of executors that have replaced this one
+	timerSeq         int              // number of the timer that is set; timers with smaller numbers are ignored
 
-	assignedJobs []*baselineJob // jobs that the best policy has sent here and that have not arrived yet
+	assignedJobs []*baselineJob // jobs that BestPolicy has sent to the executor and that have not arrived yet
 
-	// In a wired world.
-	incarnation int // processes so far
+	// Used in a networked simulation.
+	incarnation int // number of processes that have been started
 	sockets     map[emulator.ConnID]*executorSocket
 }
 
@@ -37,13 +37,13 @@
 	return x
 }
 
-// newAddr is an address that nobody had before.
+// newAddr returns an address that was never used before.
 func (sim *Simulation) newAddr() string {
 	sim.lastAddr++
 	return fmt.Sprintf("127.1.%d.%d:9000", sim.lastAddr/250, sim.lastAddr%250+1)
 }
 
-// entry is the executor's entry in the endpoint list.
+// entry returns the executor's entry in the endpoint list.
 func (x *executor) entry(state policy.EndpointState) emulator.Entry {
 	endpoint := policy.Endpoint{
 		Executor:       x.ID,
@@ -61,10 +61,10 @@
 	return emulator.Entry{Addr: x.addr, Endpoint: endpoint}
 }
 
-// relativeCapacity is the executor's capacity in standard cores.
+// standardCores returns the executor's capacity in standard cores.
 func (x *executor) standardCores() float64 { return float64(x.Cores) * x.Speed }
 
-// apply carries out what follows from something that happened to the executor, and sets its timer.
+// apply applies the outputs of a change of the executor's state, and sets the timer for the next change.
 func (x *executor) apply(outputs []emulator.Output) {
 	for _, output := range outputs {
 		x.applyOutput(output)
@@ -117,11 +117,11 @@
 	}
 }
 
-// restart starts a new process of the executor.
+// restart starts a new process of the executor and publishes it to discovery.
 func (x *executor) restart() {
 	sim := x.sim
 	x.unreachable = false
-	for _, conn := range sortedByExecutorKey(x.conns) { // those of the process before
+	for _, conn := range sortedByExecutorKey(x.conns) { // connections of the previous process
 		delete(x.conns, conn.key)
 		conn.toNode(func() { conn.breakConn("reset by the executor") })
 	}
@@ -136,14 +136,14 @@
 	sim.updateEndpoint(entry)
 }
 
-// changeAddress gives the executor another address.
+// changeAddress gives the executor a new address.
 func (x *executor) changeAddress() {
 	delete(x.sim.byAddr, x.addr)
 	x.addr = x.sim.newAddr()
 	x.sim.byAddr[x.addr] = x
 }
 
-// dedupMemory is what remembers the idempotency keys of a class that have reached an executor's dedup group.
+// dedupMemory returns the memory of the idempotency keys of a class that have reached any executor of the executor's dedup group.
 func (sim *Simulation) dedupMemory(x *executor, class policy.JobClassID) *emulator.DedupMemory {
 	return sim.memories.Of(class, sim.jobClasses[class].DedupGroup, x.ExecutorSpec)
 }
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -9,7 +9,7 @@
 	"birchstair/policy"
 )
 
-// vanishDetection is how long discovery takes to notice that an executor has vanished with its machine.
+// vanishDetection is the time until discovery removes an executor whose machine has vanished.
 const vanishDetection = 2 * time.Second
 
 // beginFault begins a fault on the executor.
@@ -29,7 +29,7 @@
 	}
 }
 
-// endFault ends a fault on the executor. A drain restarts it by itself.
+// endFault ends a fault on the executor. A drain has no end here, as drainAndRestart schedules all its steps.
 func (x *executor) endFault(fault emulator.Fault) {
 	switch fault.Kind {
 	case emulator.Crash, emulator.HostLost, emulator.ZoneLost:
@@ -40,7 +40,7 @@
 		}
 		x.endDownFault()
 	case emulator.Replace:
-		if x.activeDownFaults == 1 { // it never comes back: the count stays over 0
+		if x.activeDownFaults == 1 { // the count stays above 0, so this executor never restarts
 			x.replace()
 		}
 	case emulator.Drain:
@@ -54,14 +54,14 @@
 	}
 }
 
-// applyFaults combines the faults that slow the executor down or make it fail.
+// applyFaults applies the combination of the faults that slow the executor down or make it fail.
 func (x *executor) applyFaults() {
 	trouble := emulator.Combine(x.faults)
 	trouble.FalseRejections = x.Faults().FalseRejections
 	x.apply(x.SetFaults(x.sim.now, trouble))
 }
 
-// stop ends the executor's process. If its machine vanishes, nothing notifies those connected to it, and discovery notices later.
+// stop ends the executor's process. If its machine vanishes with it, nodes are not notified, and discovery notices only later.
 func (x *executor) stop(vanishes bool) {
 	sim := x.sim
 	x.activeDownFaults++
@@ -87,7 +87,7 @@
 	})
 }
 
-// endDownFault ends one of the faults that keep the executor down; with the last one it restarts.
+// endDownFault ends one of the faults that keep the executor down. When the last of them ends, the executor restarts.
 func (x *executor) endDownFault() {
 	if x.activeDownFaults--; x.activeDownFaults > 0 {
 		return
@@ -96,8 +96,8 @@
 	x.restart()
 }
 
-// drainAndRestart drains the executor: the endpoint list says so first, after a grace period it takes nothing new, it ends at three
-// quarters of the fault, and restarts at its end.
+// drainAndRestart drains the executor. Discovery publishes the drain after its lag, and the executor takes no new jobs once the grace
+// period after that has passed. Its process ends after three quarters of the fault's duration and restarts at the end of the fault.
 func (x *executor) drainAndRestart(fault emulator.Fault) {
 	sim := x.sim
 	if !x.Up || x.activeDownFaults > 0 {
@@ -123,8 +123,8 @@
 	sim.after(fault.For, x.endDownFault)
 }
 
-// excludeAndRestart has operators exclude the executor at each node, and restarts it meanwhile. The endpoint list does not show the
-// exclusion.
+// excludeAndRestart lets operators exclude the executor at each node, and restarts its process meanwhile. The endpoint list does not show
+// the exclusion.
 func (x *executor) excludeAndRestart(fault emulator.Fault) {
 	sim := x.sim
 	for _, n := range sim.nodes {
@@ -134,7 +134,7 @@
 	sim.after(fault.For*3/4, x.endDownFault)
 }
 
-// replace starts another executor in the place of one that does not come back.
+// replace starts a new executor, with another ID, in place of one that never restarts.
 func (x *executor) replace() {
 	x.replacements++
 	replacement := x.sim.addExecutor(fmt.Sprintf("%s-%d", x.ID, x.replacements), x.number, x.Speed)
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -42,7 +42,7 @@
 }
 
 // printed is a result as it is printed and as JSON.
-func printed(t *testing.T, r Result) string {
+func printedResult(t *testing.T, r Result) string {
 	t.Helper()
 	var out bytes.Buffer
 	r.Print(&out)
@@ -82,7 +82,7 @@
 		for _, p := range Policies {
 			var h traceHash
 			r := New(s, s.Seed, Options{Policy: p, Account: true, Trace: func(x invariants.Event) { h.record(t, x) }}).Play()
-			fmt.Fprintf(&out, "%s, seed %d, %s: %s\n  result %x\n", s.Name, s.Seed, p, &h, sha256.Sum256([]byte(printed(t, r))))
+			fmt.Fprintf(&out, "%s, seed %d, %s: %s\n  result %x\n", s.Name, s.Seed, p, &h, sha256.Sum256([]byte(printedResult(t, r))))
 		}
 	}
 	golden.Compare(t, "traces.txt", out.String())
@@ -92,9 +92,9 @@
 var notPinned = []string{"bad-clients", "nodes-restarted", "reset-and-repeat"}
 
 // The same with the nodes' network code.
-func TestGoldenWiredTraces(t *testing.T) {
+func TestGoldenNetworkedTraces(t *testing.T) {
 	t.Parallel()
-	if inOwnProcess(t) {
+	if runInOwnProcess(t) {
 		return
 	}
 	var out strings.Builder
@@ -104,7 +104,7 @@
 		}
 		var h traceHash
 		r := playNetworked(t, s, s.Seed, Options{Trace: func(x invariants.Event) { h.record(t, x) }})
-		fmt.Fprintf(&out, "%s, seed %d: %s\n  result %x\n", s.Name, s.Seed, &h, sha256.Sum256([]byte(printed(t, r))))
+		fmt.Fprintf(&out, "%s, seed %d: %s\n  result %x\n", s.Name, s.Seed, &h, sha256.Sum256([]byte(printedResult(t, r))))
 	}
 	golden.Compare(t, "networked-traces.txt", out.String())
 }
@@ -113,7 +113,7 @@
 func TestGoldenResult(t *testing.T) {
 	t.Parallel()
 	s := shortened(loadScenario(t, "fleet-overload"), 600)
-	golden.Compare(t, "result.txt", printed(t, New(s, s.Seed, Options{Account: true}).Play()))
+	golden.Compare(t, "result.txt", printedResult(t, New(s, s.Seed, Options{Account: true}).Play()))
 }
 
 // Drawn scenarios, written with all their keys: two in full, the rest by hash.
@@ -140,7 +140,7 @@
 func TestGoldenShrinking(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
-	breaks := func(s Scenario) bool {
+	violates := func(s Scenario) bool {
 		sim := New(s, 1, Options{MaxViolations: 1})
 		sim.defects = defects[0].inject
 		r := sim.Play()
@@ -153,6 +153,6 @@
 		}
 		fmt.Fprintf(&out, "%x\n", sha256.Sum256(text))
 	}
-	step(shrink(faultyScenario(nil), breaks, step))
+	step(shrink(faultyScenario(nil), violates, step))
 	golden.Compare(t, "shrinking.txt", out.String())
 }
--- a/internal/simulation/gossip_defects_test.go
+++ b/internal/simulation/gossip_defects_test.go
@@ -35,7 +35,7 @@
 }
 
 // Defects of gossip are caught: by a bound that is checked at each message, or by what the fleet earns or sends.
-func TestPlantedDefectsOfTheFleet(t *testing.T) {
+func TestInjectedGossipDefects(t *testing.T) {
 	t.Parallel()
 	for _, d := range []struct {
 		name  string
--- a/internal/simulation/gossip_test.go
+++ b/internal/simulation/gossip_test.go
@@ -7,7 +7,7 @@
 
 // Under overload nodes with gossip earn more with fewer attempts and violate no invariant, also if messages are lost, a node sends corrupt
 // ones and one is suspended. Below capacity gossip changes nothing.
-func TestOverloadOfTheFleet(t *testing.T) {
+func TestGossipUnderOverload(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
--- a/internal/simulation/hard_cases_test.go
+++ b/internal/simulation/hard_cases_test.go
@@ -17,7 +17,7 @@
 	startedAfterConnBreak int // an executor begins on what its node counts as over: it saw the break first
 	killedWithAttempt     int // a node dies with a last byte gone and no word of it
 	arrivedInSlowStart    int // work reaches a cold executor
-	lateStarts            int // a node is told of a start long after it
+	lateStartNotices      int // a node is told of a start long after it
 }
 
 func (x *hardCases) record(s invariants.Event) {
@@ -59,7 +59,7 @@
 		x.arrivedInSlowStart++
 	case invariants.EndpointNotified:
 		if s.State == policy.Available && s.Start > 0 && s.At > s.Start+2*time.Second {
-			x.lateStarts++
+			x.lateStartNotices++
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		{"a node killed between the last byte and the word of it", x.killedWithAttempt},
 		{"a break that the node sees before the executor has the allocation", x.startedAfterConnBreak},
 		{"work for a cold executor", x.arrivedInSlowStart},
-		{"a node told of a start long after it", x.lateStarts},
+		{"a node told of a start long after it", x.lateStartNotices},
 	} {
 		t.Logf("%s: %d", c.name, c.count)
 		if c.count < 5 {
--- a/internal/simulation/kill_run_test.go
+++ b/internal/simulation/kill_run_test.go
@@ -10,7 +10,7 @@
 
 // Real processes that are killed by SIGKILL at random times: no acknowledged job is lost, each has one final answer, and no at-most-once job
 // runs twice.
-func TestKilling(t *testing.T) {
+func TestKilledNodes(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	binary, err := golden.Program(dir)
--- a/internal/simulation/link.go
+++ b/internal/simulation/link.go
@@ -8,13 +8,13 @@
 	"birchstair/policy"
 )
 
-// processingDelay is how long a step within a process takes.
+// processingDelay is the duration of a step within a process.
 const processingDelay = 20 * time.Microsecond
 
-// partition says until when nothing gets into a zone from other zones, and out of it.
+// partition holds the times until which no traffic from other zones enters a zone, and until which no traffic leaves it.
 type partition struct{ inboundUntil, outboundUntil time.Duration }
 
-// minDelay is the least delay between two zones, or within one.
+// minDelay returns the smallest one-way delay between two zones, or within one.
 func (sim *Simulation) minDelay(from, to policy.ZoneID) time.Duration {
 	if from != to {
 		return time.Duration(sim.scenario.Fleet.Far)
@@ -22,13 +22,13 @@
 	return time.Duration(sim.scenario.Fleet.Near)
 }
 
-// randomDelay is a delay between two zones, up to a fifth over the least.
+// randomDelay returns a random one-way delay between two zones, up to a fifth longer than the smallest.
 func (sim *Simulation) randomDelay(from, to policy.ZoneID) time.Duration {
 	least := sim.minDelay(from, to)
 	return least + time.Duration(sim.networkRand.Int64N(int64(least)/5+1))
 }
 
-// arrivalTime is when something that is sent now arrives. Through a partition it is sent again until it gets through.
+// arrivalTime returns the time at which a message that is sent now arrives. A partition delays it until its end, as retransmission does.
 func (sim *Simulation) arrivalTime(from, to policy.ZoneID) time.Duration {
 	sent := sim.now
 	if from != to {
@@ -37,7 +37,7 @@
 	return sent + sim.randomDelay(from, to)
 }
 
-// linked says whether messages pass both ways between two zones.
+// linked returns whether messages pass both ways between two zones.
 func (sim *Simulation) linked(a, b policy.ZoneID) bool {
 	if a == b {
 		return true
@@ -50,7 +50,7 @@
 	return true
 }
 
-// partitionZones lets nothing into a fault's zones, or out of them, until the fault ends.
+// partitionZones blocks inbound traffic, outbound traffic or both of the fault's zones until the fault ends.
 func (sim *Simulation) partitionZones(fault emulator.Fault, inbound, outbound bool) {
 	until := sim.now + fault.For
 	for i, name := range sim.scenario.Fleet.Zones {
@@ -71,7 +71,7 @@
 	}
 }
 
-// isolateNodes lets the checker know that nothing reaches the nodes of a zone.
+// markNodesUnreachable notifies the checker that nothing from other zones reaches the nodes of a zone until the given time.
 func (sim *Simulation) markNodesUnreachable(zone policy.ZoneID, until time.Duration) {
 	for _, n := range sim.nodes {
 		if n.zone == zone {
--- a/internal/simulation/lost_watch_test.go
+++ b/internal/simulation/lost_watch_test.go
@@ -20,7 +20,7 @@
 
 // A node that loses its watch though nothing is wrong with the network violates the invariant that a drain binds in time, and no other.
 // Without the defect none is violated, in event worlds and wired ones.
-func TestUninformed(t *testing.T) {
+func TestLostWatchIsDetected(t *testing.T) {
 	s := drainingScenario()
 	if _, err := s.check(); err != nil {
 		t.Fatal(err)
--- a/internal/simulation/networked_test.go
+++ b/internal/simulation/networked_test.go
@@ -30,7 +30,7 @@
 
 // inOwnProcess runs a test in a process of its own while the race detector is on, and says whether it did: a bubble has one processor
 // then (internal/synctesting), and so worlds are still played beside each other. A child that did not run the test fails it.
-func inOwnProcess(t *testing.T) bool {
+func runInOwnProcess(t *testing.T) bool {
 	if !underRace || os.Getenv(ownProcessVariable) != "" {
 		return false
 	}
@@ -45,7 +45,7 @@
 }
 
 // The scenarios in wired worlds.
-func TestWiredScenarios(t *testing.T) {
+func TestNetworkedScenarios(t *testing.T) {
 	t.Parallel()
 	files, err := fs.Glob(scenarios.Files, "*.toml")
 	if err != nil {
@@ -54,7 +54,7 @@
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(f, ".toml"), func(t *testing.T) {
 			t.Parallel()
-			if inOwnProcess(t) {
+			if runInOwnProcess(t) {
 				return
 			}
 			s, err := LoadFrom(scenarios.Files, f)
@@ -76,12 +76,12 @@
 }
 
 // Drawn scenarios in wired worlds.
-func TestWiredDrawnWorlds(t *testing.T) {
+func TestNetworkedDrawnScenarios(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= uint64(*seeds/10); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			if inOwnProcess(t) {
+			if runInOwnProcess(t) {
 				return
 			}
 			s := Draw(seed, Size{Nodes: 3, Executors: 6, Length: 10 * time.Second})
@@ -95,7 +95,7 @@
 const networkedDigestVariable = "BIRCHLAB_WIRED_DIGEST"
 
 // TestWiredDigest writes the digest of some wired worlds' traces for TestWiredSameSeedSameTrace, in a process of its own.
-func TestWiredDigest(t *testing.T) {
+func TestNetworkedDigest(t *testing.T) {
 	file := os.Getenv(networkedDigestVariable)
 	if file == "" {
 		t.Skip("only in a process of its own")
@@ -126,12 +126,12 @@
 
 // The same seed gives the same trace with the network code, too: in several processes, with one thread and with eight. Under the race
 // detector all have one (internal/synctesting), so that part is the run's without it (make test).
-func TestWiredSameSeedSameTrace(t *testing.T) {
+func TestNetworkedSameSeedSameTrace(t *testing.T) {
 	t.Parallel()
 	want := ""
 	for i, procs := range []string{"1", "8", "8"} {
 		file := filepath.Join(t.TempDir(), "digest")
-		cmd := exec.Command(os.Args[0], "-test.run=^TestWiredDigest$")
+		cmd := exec.Command(os.Args[0], "-test.run=^TestNetworkedDigest$")
 		cmd.Env = append(os.Environ(), networkedDigestVariable+"="+file, "GOMAXPROCS="+procs)
 		if out, err := cmd.CombinedOutput(); err != nil {
 			t.Fatalf("%v\n%s", err, out)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -13,64 +13,64 @@
 	"birchstair/policy"
 )
 
-// simNode is a node of the world: its state machine, and a model of the process around it.
+// simNode is a simulated node: its state machine, and a model of the process that runs it.
 type simNode struct {
 	sim          *Simulation
 	id           invariants.NodeID
 	name         string
 	zone         policy.ZoneID
-	trafficShare float64 // of its zone's traffic, relative to the zone's other nodes
+	trafficShare float64 // weight of the node among the nodes of its zone when the front layer spreads traffic
 
 	stateMachine *node.Node
-	incarnation  int // starts so far
+	incarnation  int // number of times that the process has started
 	startedAt    time.Duration
 	diedAt       time.Duration
-	timerSeq     int // of the timer that is set; earlier ones are void
+	timerSeq     int // number of the timer that is set; timers with smaller numbers are ignored
 
 	up               bool
 	ready            bool
-	frontendClosed   bool         // no new requests are taken
-	activeDownFaults int          // faults that keep it down
-	suspended        bool         // the process is stopped, as by SIGSTOP
-	pendingEvents    []node.Event // events for a suspended process
+	frontendClosed   bool         // the process does not accept new requests any more
+	activeDownFaults int          // number of current faults that keep the process down
+	suspended        bool         // the process is suspended, as by SIGSTOP
+	pendingEvents    []node.Event // events that arrived while the process was suspended
 
 	conns     map[node.ConnID]*executorConn
 	requests  map[policy.JobID]*clientRequest
-	endpoints map[policy.ExecutorID]invariants.Event // what it was last notified of each executor
-	excluded  map[policy.ExecutorID]invariants.Event // by operators, with what the endpoint list says of them
-	watchLost bool                                   // nothing reaches it from discovery
+	endpoints map[policy.ExecutorID]invariants.Event // last update of each executor that the node received
+	excluded  map[policy.ExecutorID]invariants.Event // executors that operators excluded at the node, with their state in the endpoint list
+	watchLost bool                                   // updates from discovery do not reach the node
 
 	jobsInFlight     int
 	attemptsInFlight int
 	maxQueued        int
 
-	// In a wired world.
+	// Used in a networked simulation.
 	process *nodeProcess
 	dialed  map[node.ConnID]*executor
 
-	// In a world with gossip.
+	// Used in a simulation with gossip.
 	alivePeers    []cluster.NodeName
 	peerReachedAt map[invariants.NodeID]time.Duration
-	partitioned   bool     // no messages between it and nodes that are not partitioned
-	corruption    int      // messages sent while it sends corrupt ones, counted from 1; 0 while it does not
-	workRate      workRate // to check the rates that it sends
+	partitioned   bool     // the node exchanges messages only with other partitioned nodes
+	corruption    int      // 0: messages are sent unchanged; otherwise the number of corrupted messages sent, plus 1
+	workRate      workRate // true work rate, to check the rates that the node sends
 }
 
-// Fixed settings of all nodes.
+// Settings of all nodes and timing of their processes.
 const (
-	totalWeight       = 0.8 // of the value of all classes in what the policy optimizes
-	worstClassWeight  = 0.2 // of the value of the worst class
+	totalWeight       = 0.8 // weight of the fraction of the total value that is earned, in what the policy maximizes
+	worstClassWeight  = 0.2 // weight of the fraction that the worst class earns
 	quantum           = 4 * time.Millisecond
 	maxShutdown       = 3 * time.Second
 	shutdownMargin    = 700 * time.Millisecond
-	cachedListAge     = 10 * time.Second // of the endpoint list that a node starts with
-	firstWatchDelay   = 20 * time.Millisecond
-	readinessDelay    = time.Millisecond // until the front layer sees a change of readiness
-	nodeIODelay       = 5 * time.Millisecond
+	cachedListAge     = 10 * time.Second      // age of the cached endpoint list that a node starts with
+	firstWatchDelay   = 20 * time.Millisecond // time from a start until the node watches discovery
+	readinessDelay    = time.Millisecond      // time until the front layer notices a change of readiness
+	nodeIODelay       = 5 * time.Millisecond  // time until an I/O operation of the node's process has an effect
 	restartPollPeriod = 100 * time.Millisecond
 )
 
-// settings are the policy settings and limits with which a node starts.
+// settings returns the policy settings and limits with which the node starts.
 func (n *simNode) settings() (policy.Settings, node.Limits) {
 	fleet := &n.sim.scenario.Fleet
 	wired := n.sim.networked != nil
@@ -118,7 +118,7 @@
 	}
 }
 
-// start starts the node's process: it has a cached endpoint list, and watches discovery soon.
+// start starts the node's process with a cached endpoint list, and soon lets it watch discovery.
 func (n *simNode) start() {
 	n.reset()
 	n.sim.observe(invariants.Event{Kind: invariants.NodeStarted, Node: n.id})
@@ -150,7 +150,7 @@
 	})
 }
 
-// reset forgets the state of the process before.
+// reset clears the state of the previous process.
 func (n *simNode) reset() {
 	n.incarnation++
 	n.startedAt = n.sim.now
@@ -164,7 +164,7 @@
 	n.excluded = map[policy.ExecutorID]invariants.Event{}
 }
 
-// after runs a function after a delay, unless the process has ended by then.
+// after runs a function after a delay, unless the current process of the node has ended by then.
 func (n *simNode) after(delay time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.sim.after(delay, func() {
@@ -174,7 +174,7 @@
 	})
 }
 
-// deliver steps the state machine with an event and carries out its effects.
+// deliver steps the state machine with an event and executes the effects. Events for a suspended process are kept until it resumes.
 func (n *simNode) deliver(event node.Event) {
 	if !n.up {
 		return
@@ -207,7 +207,7 @@
 	}
 }
 
-// execute carries out an effect of the state machine.
+// execute executes an effect that the state machine returned.
 func (n *simNode) execute(effect node.Effect) {
 	switch effect := effect.(type) {
 	case node.Answer:
@@ -242,7 +242,7 @@
 	}
 }
 
-// setTimer sets the node's one timer.
+// setTimer sets the node's timer, which replaces the one that was set.
 func (n *simNode) setTimer(effect node.SetTimer) {
 	n.timerSeq++
 	seq := n.timerSeq
@@ -253,8 +253,8 @@
 	})
 }
 
-// recordLog counts panics of the policy, and writes the first line of a log message into the trace: a stack has addresses, which differ
-// from run to run.
+// recordLog counts panics of the policy, and writes the first line of a log message to the trace. The lines after it may be a stack trace,
+// whose addresses differ from run to run.
 func (n *simNode) recordLog(message node.Log) {
 	if strings.HasPrefix(message.Text, node.PolicyPanicked) {
 		n.sim.result.Panics++
@@ -286,7 +286,7 @@
 	n.exit()
 }
 
-// exit ends the process: its connections close. What is in flight to executors still arrives.
+// exit ends the process and closes its connections. Attempts on their way to executors still arrive.
 func (n *simNode) exit() {
 	n.up, n.ready, n.diedAt = false, false, n.sim.now
 	n.sim.result.recordMaxQueued(n)
@@ -299,7 +299,8 @@
 	n.loseClients()
 }
 
-// endDownFault ends one of the faults that keep the node down; with the last one it starts, once its old process has ended.
+// endDownFault ends one of the faults that keep the node down. When the last of them ends, the node starts as soon as its old process has
+// ended, which may still be shutting down.
 func (n *simNode) endDownFault() {
 	if n.activeDownFaults--; n.activeDownFaults > 0 {
 		return
@@ -318,7 +319,7 @@
 	})
 }
 
-// suspend stops the process for a while, as SIGSTOP does: events wait unread.
+// suspend suspends the process for the duration of the fault, as SIGSTOP does. Events are kept until it resumes.
 func (n *simNode) suspend(fault emulator.Fault) {
 	if !n.up || n.suspended {
 		return
@@ -328,7 +329,7 @@
 	n.after(fault.For, n.resume)
 }
 
-// resume lets a suspended process go on with the events that have waited.
+// resume resumes a suspended process and delivers the events that arrived meanwhile.
 func (n *simNode) resume() {
 	n.suspended = false
 	n.workRate.suspendedUntil = n.sim.now + suspendGrace
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -17,133 +17,133 @@
 	"birchstair/policy"
 )
 
-// Span is a duration that is written with its unit.
+// Span is a duration that scenario files write with a unit, such as "1.5s".
 type Span = tomlfile.Duration
 
-// Scenario describes a world and its faults. Its keys in TOML are a format that scenario files keep to.
+// Scenario describes a simulation and its faults. The TOML keys are the format of scenario files and must not change.
 type Scenario struct {
-	Name    string     `toml:"-"` // of the file
+	Name    string     `toml:"-"` // name of the file, without its extension
 	About   string     `toml:"about"`
-	Seed    uint64     `toml:"seed,omitempty"` // played unless another one is asked for
-	Length  Span       `toml:"length"`         // of the time in which works come
+	Seed    uint64     `toml:"seed,omitempty"` // default seed
+	Length  Span       `toml:"length"`         // time during which clients submit new work
 	Fleet   Fleet      `toml:"fleet"`
 	Load    Load       `toml:"load"`
-	Classes []JobClass `toml:"track"` // job classes
+	Classes []JobClass `toml:"track"`
 	Faults  []Fault    `toml:"fault"`
 }
 
-// Fleet describes the nodes, the executors and the network between them. Defaults are in scenario_defaults.go.
+// Fleet describes the nodes, the executors and the network between them. scenario_defaults.go has the defaults.
 type Fleet struct {
 	Zones     []string `toml:"zones"`
-	Nodes     int      `toml:"nodes"`     // n0, n1, ..., spread over the zones
-	Executors int      `toml:"executors"` // e0, e1, ..., spread over the zones
+	Nodes     int      `toml:"nodes"`     // number of nodes, named n0, n1, ... and spread over the zones
+	Executors int      `toml:"executors"` // number of executors, named e0, e1, ... and spread over the zones
 
 	// Executors.
-	Cores             int     `toml:"cores"`
-	Slots             int     `toml:"places"` // jobs that run at once
-	QueueLimit        int     `toml:"queue"`  // jobs that wait
-	Speed             float64 `toml:"speed"`
-	SpeedSpread       float64 `toml:"spread"`                  // relative deviation of speeds, uniform either way
-	SlowShare         float64 `toml:"slow-part,omitempty"`     // share of the executors that are of a second, slower kind
-	SlowSpeed         float64 `toml:"slow-speed,omitempty"`    // speed of those, with the same deviation
-	CellSize          int     `toml:"cell-of"`                 // executors in a cell
-	ByPriority        bool    `toml:"by-priority"`             // queues are ordered by priority
-	CancelsRunning    bool    `toml:"stops-work"`              // a running job ends when it is canceled
-	KeepsQueued       bool    `toml:"keeps-waiting,omitempty"` // a queued job stays when it is canceled, and runs in its turn
-	AttemptNoise      float64 `toml:"attempt-noise,omitempty"` // sigma of the lognormal by which the work of attempts of a job differs
-	SlowStartCapacity float64 `toml:"cold-share"`              // capacity right after a start, as a share
-	SlowStartDuration Span    `toml:"warm-within"`             // until full capacity
-	OverloadMultiple  float64 `toml:"fall-multiple"`           // of its capacity, over fall-window, at which a cold executor falls over
-	OverloadWindow    Span    `toml:"fall-window"`
-	DrainGrace        Span    `toml:"drain-grace"` // a draining executor takes jobs for so long
-	StartNotices      bool    `toml:"tells-start"` // notices of starts
-	ProgressInterval  Span    `toml:"tells-every"` // notices of progress; 0 for none
-	ReportsLoad       bool    `toml:"reports"`     // answers report load
-	MayHedge          bool    `toml:"copies"`      // idempotent jobs may be hedged
-	MayCheckHealth    bool    `toml:"probes"`      // health checks
-	ReportInterval    Span    `toml:"report-every"`
+	Cores             int     `toml:"cores"`                   // of each executor
+	Slots             int     `toml:"places"`                  // jobs that an executor runs at the same time
+	QueueLimit        int     `toml:"queue"`                   // jobs that an executor queues
+	Speed             float64 `toml:"speed"`                   // mean speed; a standard core has 1
+	SpeedSpread       float64 `toml:"spread"`                  // largest relative deviation from Speed, uniformly distributed
+	SlowShare         float64 `toml:"slow-part,omitempty"`     // fraction of the executors that are of a second, slower kind
+	SlowSpeed         float64 `toml:"slow-speed,omitempty"`    // mean speed of the slower kind, with the same deviation
+	CellSize          int     `toml:"cell-of"`                 // number of executors in a cell
+	ByPriority        bool    `toml:"by-priority"`             // executors order their queues by priority
+	CancelsRunning    bool    `toml:"stops-work"`              // canceling a running job ends it
+	KeepsQueued       bool    `toml:"keeps-waiting,omitempty"` // a canceled job stays queued and still runs
+	AttemptNoise      float64 `toml:"attempt-noise,omitempty"` // sigma of the lognormal factor by which the work of a job's attempts varies
+	SlowStartCapacity float64 `toml:"cold-share"`              // capacity right after a start, as a fraction of full capacity
+	SlowStartDuration Span    `toml:"warm-within"`             // time from a start until full capacity
+	OverloadMultiple  float64 `toml:"fall-multiple"`           // received work over fall-window, relative to capacity, at which an executor in slow start crashes
+	OverloadWindow    Span    `toml:"fall-window"`             // see OverloadMultiple
+	DrainGrace        Span    `toml:"drain-grace"`             // time during which a draining executor still accepts jobs
+	StartNotices      bool    `toml:"tells-start"`             // executors notify nodes when a job starts to run
+	ProgressInterval  Span    `toml:"tells-every"`             // interval of progress notices for a running job; 0 for none
+	ReportsLoad       bool    `toml:"reports"`                 // executors' answers report their load
+	MayHedge          bool    `toml:"copies"`                  // nodes may hedge idempotent jobs
+	MayCheckHealth    bool    `toml:"probes"`                  // nodes may send health checks
+	ReportInterval    Span    `toml:"report-every"`            // interval at which executors refresh the load that they report
 
 	// The network.
-	Near             Span `toml:"near"` // one-way delay within a zone
-	Far              Span `toml:"far"`  // and between zones
-	DialTimeout      Span `toml:"dial-limit"`
-	IdleTimeout      Span `toml:"idle-limit"`
-	MaxExecutorConns int  `toml:"conns"`     // that an executor accepts
-	ConnCost         Span `toml:"conn-cost"` // work of an executor for a new one
+	Near             Span `toml:"near"`       // one-way delay within a zone
+	Far              Span `toml:"far"`        // one-way delay between zones
+	DialTimeout      Span `toml:"dial-limit"` // nodes' timeout for opening a connection
+	IdleTimeout      Span `toml:"idle-limit"` // executors close a connection that is idle for this long
+	MaxExecutorConns int  `toml:"conns"`      // largest number of connections that an executor accepts
+	ConnCost         Span `toml:"conn-cost"`  // work that a new connection costs its executor
 
 	// Discovery.
-	DiscoveryLag   Span `toml:"list-lag"`
-	WeightInterval Span `toml:"weights-every"`        // interval of updates of weights by load; 0 for weights by size
+	DiscoveryLag   Span `toml:"list-lag"`             // time until discovery publishes a change
+	WeightInterval Span `toml:"weights-every"`        // interval at which discovery sets weights by load; 0 for fixed weights by capacity
 	NoWeights      bool `toml:"no-weights,omitempty"` // all executors have the same weight
 
 	// Nodes.
-	MaxAttempts   int     `toml:"allocations"`       // attempts of a job, at most
-	MaxRetryAfter Span    `toml:"come-back"`         // largest retry-after; 0 for none
-	CrossZoneCost float64 `toml:"cross-price"`       // cost of an attempt in another zone
-	ValuePerWork  bool    `toml:"earnings-per-work"` // values are per second of work
-	MaxNodeConns  int     `toml:"node-conns"`        // to executors
-	MaxBodyBytes  int     `toml:"node-bodies"`       // bytes of bodies in memory
+	MaxAttempts   int     `toml:"allocations"`       // largest number of attempts of a job
+	MaxRetryAfter Span    `toml:"come-back"`         // largest retry-after of a rejection; 0 for none
+	CrossZoneCost float64 `toml:"cross-price"`       // cost of a cross-zone attempt, as a multiple of the mean value of a job
+	ValuePerWork  bool    `toml:"earnings-per-work"` // job classes' values are per second of work
+	MaxNodeConns  int     `toml:"node-conns"`        // largest number of a node's connections to executors
+	MaxBodyBytes  int     `toml:"node-bodies"`       // largest size of all request bodies that a node holds, in bytes
 
 	// Messages between nodes.
 	Gossip             bool    `toml:"talk,omitempty"`          // nodes gossip
-	Leases             bool    `toml:"keepers,omitempty"`       // nodes lease executors' places to each other
-	MessageLoss        float64 `toml:"words-lost,omitempty"`    // probability
-	MessageDuplication float64 `toml:"words-doubled,omitempty"` // probability
-	MessageDelay       Span    `toml:"words-late,omitempty"`    // largest delay of a message, uniform
+	Leases             bool    `toml:"keepers,omitempty"`       // nodes lease executors' slots to each other
+	MessageLoss        float64 `toml:"words-lost,omitempty"`    // probability that a message is lost
+	MessageDuplication float64 `toml:"words-doubled,omitempty"` // probability that a message is duplicated
+	MessageDelay       Span    `toml:"words-late,omitempty"`    // largest additional delay of a message, uniformly distributed
 }
 
 // Load describes the clients.
 type Load struct {
-	Utilization        float64   `toml:"of"`    // open-loop traffic as a share of the executors' capacity; 0 for closed loops only
-	ZoneWeights        []float64 `toml:"zones"` // weights of the zones' traffic; evenly if empty
-	Loops              int       `toml:"loops"` // closed-loop clients of each zone
-	ThinkTime          Span      `toml:"think"` // of those, between two works
-	Retries            int       `toml:"retries"`
-	RetryWait          Span      `toml:"retry-wait"`
-	MaxRetryWait       Span      `toml:"retry-most,omitempty"`    // if over retry-wait, the wait doubles up to this, with jitter of up to a half
-	MarksRetries       bool      `toml:"marks-repeats,omitempty"` // clients mark retries
-	NodeSkew           float64   `toml:"node-skew,omitempty"`     // sigma of the lognormal of the shares that nodes of a zone get of its traffic
-	RespectsRetryAfter bool      `toml:"heeds-come-back"`         // clients respect retry-after
+	Utilization        float64   `toml:"of"`                      // open-loop traffic as a fraction of the executors' capacity; 0 for closed loops only
+	ZoneWeights        []float64 `toml:"zones"`                   // weights of the zones' traffic; empty for equal traffic
+	Loops              int       `toml:"loops"`                   // number of closed-loop clients in each zone
+	ThinkTime          Span      `toml:"think"`                   // time that a closed-loop client waits between two work items
+	Retries            int       `toml:"retries"`                 // largest number of retries of a work item
+	RetryWait          Span      `toml:"retry-wait"`              // time that a client waits before a retry
+	MaxRetryWait       Span      `toml:"retry-most,omitempty"`    // if larger than retry-wait, the wait doubles with each retry up to this, with jitter of up to a half
+	MarksRetries       bool      `toml:"marks-repeats,omitempty"` // clients mark retries as such
+	NodeSkew           float64   `toml:"node-skew,omitempty"`     // sigma of the lognormal weights by which a zone's traffic is spread over its nodes; 0 for equal weights
+	RespectsRetryAfter bool      `toml:"heeds-come-back"`         // clients wait for the retry-after of a rejection
 	LeaveRate          float64   `toml:"leaves"`                  // probability that a client leaves early
 	RepeatIDRate       float64   `toml:"repeats-ids"`             // probability that a client repeats a job ID that may be in use
-	HintNoise          float64   `toml:"hint-noise"`              // sigma of the hints of work; under 0 for no hints
-	BodyBytes          int       `toml:"body"`                    // bytes
-	MalformedRate      float64   `toml:"bad"`                     // malformed requests a second at each node, in wired worlds
-	DeadNodeTime       Span      `toml:"dead-for"`                // the front layer sends to a dead node for so long
+	HintNoise          float64   `toml:"hint-noise"`              // sigma of the error of clients' work estimates; negative if clients give none
+	BodyBytes          int       `toml:"body"`                    // size of a request body, in bytes
+	MalformedRate      float64   `toml:"bad"`                     // malformed requests per second at each node; networked simulations only
+	DeadNodeTime       Span      `toml:"dead-for"`                // time during which the front layer still sends to a node that has died
 }
 
 // JobClass describes a job class.
 type JobClass struct {
 	Name             string  `toml:"name"`
-	Share            float64 `toml:"share"`         // of the works
-	Idempotency      string  `toml:"repeat"`        // idempotency: repeatable, tagged or once-only
-	DedupGroup       string  `toml:"group"`         // dedup group of a tagged one: all, zone or cell
-	DedupWindow      Span    `toml:"window"`        // dedup window of a tagged one
-	Work             Span    `toml:"work"`          // mean on a standard core
-	WorkSpread       float64 `toml:"spread"`        // sigma of the lognormal of the work
-	LatencyObjective Span    `toml:"quoted"`        // latency objective beyond the run time
-	RunTimeFactor    float64 `toml:"stretch"`       // run time factor
-	Deadline         Span    `toml:"outer-limit"`   // deadline
-	Value            float64 `toml:"earnings"`      // value
-	LateValue        float64 `toml:"late-earnings"` // share of the value for late answers
-	Priority         int     `toml:"priority"`      // in executors' queues
+	Share            float64 `toml:"share"`         // fraction of the work items
+	Idempotency      string  `toml:"repeat"`        // repeatable, tagged (idempotent with a key) or once-only
+	DedupGroup       string  `toml:"group"`         // executors that deduplicate a tagged class together: all, zone or cell
+	DedupWindow      Span    `toml:"window"`        // time during which a tagged class is deduplicated
+	Work             Span    `toml:"work"`          // mean run time on a standard core
+	WorkSpread       float64 `toml:"spread"`        // sigma of the lognormal distribution of the work
+	LatencyObjective Span    `toml:"quoted"`        // added to RunTimeFactor times the run time
+	RunTimeFactor    float64 `toml:"stretch"`       // see LatencyObjective
+	Deadline         Span    `toml:"outer-limit"`   // time after which the client gives up
+	Value            float64 `toml:"earnings"`      // value of an answer within the latency objective
+	LateValue        float64 `toml:"late-earnings"` // fraction of the value that a later answer earns
+	Priority         int     `toml:"priority"`      // priority in executors' queues
 }
 
-// Fault is an entry of the script.
+// Fault is a fault that a scenario injects.
 type Fault struct {
 	Kind  emulator.Kind `toml:"kind"`
-	At    Span          `toml:"at"`
-	For   Span          `toml:"for"`
-	Where []string      `toml:"where,omitempty"` // names of executors, nodes or zones; empty for all
-	Size  float64       `toml:"size,omitempty"`  // its meaning depends on the kind
+	At    Span          `toml:"at"`              // time at which the fault begins
+	For   Span          `toml:"for"`             // duration of the fault
+	Where []string      `toml:"where,omitempty"` // names of the affected executors, nodes or zones; empty for all
+	Size  float64       `toml:"size,omitempty"`  // magnitude, whose meaning depends on the kind
 }
 
-// Emulated is the fault as the emulator knows it.
+// Emulated converts the fault to the emulator's type.
 func (f Fault) Emulated() emulator.Fault {
 	return emulator.Fault{Kind: f.Kind, At: time.Duration(f.At), For: time.Duration(f.For), Where: f.Where, Size: f.Size}
 }
 
-// Read reads a scenario in TOML; file is its name in errors. What it leaves out is as in Base. An error says where it stands.
+// Read parses a scenario in TOML. Omitted keys have the values of Base. Errors name the file, the line and the key.
 func Read(file string, text []byte) (Scenario, error) {
 	s := base()
 	if err := tomlfile.Decode(file, text, &s); err != nil {
@@ -168,14 +168,14 @@
 	return Read(file, text)
 }
 
-// Text writes the scenario in TOML, with all keys.
+// Text encodes the scenario in TOML, with all keys.
 func (s Scenario) Text() ([]byte, error) {
 	var text bytes.Buffer
 	err := toml.NewEncoder(&text).Encode(s)
 	return text.Bytes(), err
 }
 
-// Names of idempotency in scenarios.
+// Names of the kinds of idempotency in scenario files.
 const (
 	idempotent        = "repeatable"
 	idempotentWithKey = "tagged"
@@ -195,8 +195,8 @@
 	"cell": policy.DedupCell,
 }
 
-// Sized is the scenario with other numbers of nodes and executors, and another length; 0 leaves a value as it is. Faults that would begin
-// after the end are left out.
+// Sized returns the scenario with the given numbers of nodes and executors and the given length; 0 leaves a value unchanged. Faults that
+// would begin after the end are removed.
 func (s Scenario) Sized(nodes, executors int, length time.Duration) (Scenario, error) {
 	s.Fleet.Nodes, s.Fleet.Executors = cmp.Or(nodes, s.Fleet.Nodes), cmp.Or(executors, s.Fleet.Executors)
 	s.Length = cmp.Or(Span(length), s.Length)
@@ -207,7 +207,7 @@
 	return s, nil
 }
 
-// JobClasses are the job classes as emulated clients know them, and as nodes and the checker do.
+// JobClasses converts the job classes to the type of the emulated clients and to that of the nodes and the checker.
 func (s *Scenario) JobClasses() (clients []emulator.JobClass, nodes []policy.JobClass) {
 	for _, t := range s.Classes {
 		class := policy.JobClass{
@@ -228,7 +228,7 @@
 	return clients, nodes
 }
 
-// MeanWork is the mean work of a job over all classes, in seconds on a standard core.
+// MeanWork returns the mean work of a job over all classes, in seconds on a standard core.
 func (s *Scenario) MeanWork() (mean float64) {
 	for _, class := range s.Classes {
 		mean += class.Share * time.Duration(class.Work).Seconds()
@@ -236,7 +236,7 @@
 	return mean
 }
 
-// Rates are the works a second that come to each zone, for a capacity of all executors in seconds of work a second.
+// Rates returns the open-loop arrival rate of each zone, in work items per second. capacity is that of all executors, in seconds of work per second.
 func (s *Scenario) Rates(capacity float64) (rates []float64) {
 	mean, total := s.MeanWork(), 0.0
 	for _, weight := range s.Load.ZoneWeights {
@@ -253,11 +253,11 @@
 }
 
 const (
-	reportNoise = 0.1              // relative error of load reports
-	slowKind    = policy.KindID(1) // of the slower executors; the others are of kind 0
+	reportNoise = 0.1              // relative error of executors' load reports
+	slowKind    = policy.KindID(1) // kind of the slower executors; the others are of kind 0
 )
 
-// Spec is the specification of the scenario's executor of a number. It has the given speed unless it is of the slower kind.
+// Spec returns the specification of the executor with the given number. The speed is scaled down if the executor is of the slower kind.
 func (s *Scenario) Spec(id string, number int, speed float64) emulator.ExecutorSpec {
 	f := &s.Fleet
 	kind := policy.KindID(0)
@@ -291,8 +291,8 @@
 	}
 }
 
-// isSlow says whether the executor of a number is of the slower kind. Each zone has the same share of those: its nth executor is slow if
-// that makes the zone's number of slow ones due by then.
+// isSlow returns whether the executor with the given number is of the slower kind. Each zone has the same fraction of slow executors: the
+// nth executor of a zone is slow if n*SlowShare, rounded down, is larger than for the executor before it.
 func (s *Scenario) isSlow(number int) bool {
 	inZone := float64(number / len(s.Fleet.Zones))
 	return int((inZone+1)*s.Fleet.SlowShare) > int(inZone*s.Fleet.SlowShare)
--- a/internal/simulation/scenario_defaults.go
+++ b/internal/simulation/scenario_defaults.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// base is Base without job classes.
+// base returns the default scenario without job classes.
 func base() Scenario {
 	return Scenario{
 		Length: Span(time.Minute),
@@ -47,7 +47,7 @@
 	}
 }
 
-// baseClasses are the job classes of a scenario that has none.
+// baseClasses returns the job classes of a scenario that defines none.
 func baseClasses() []JobClass {
 	return []JobClass{
 		{Name: "read", Share: 0.4, Idempotency: idempotent, Work: milliseconds(350), WorkSpread: 0.4, LatencyObjective: milliseconds(300), RunTimeFactor: 2,
@@ -59,7 +59,7 @@
 	}
 }
 
-// Base is the scenario of all defaults, with job classes.
+// Base returns the default scenario, with its job classes.
 func Base() Scenario {
 	s := base()
 	s.Classes = baseClasses()
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -14,28 +14,29 @@
 	"birchstair/policy"
 )
 
-// World is a scenario that is played with a seed. It is used by one goroutine, or in a wired world under the lock of wiredWorld.
+// Simulation runs a scenario with a seed. It is not safe for concurrent use; a networked simulation guards it with the lock of
+// its networkedSimulation.
 type Simulation struct {
 	scenario   Scenario
 	seed       uint64
-	classes    []emulator.JobClass // the scenario's job classes, as clients know them
-	jobClasses []policy.JobClass   // the same, as nodes and the checker know them
+	classes    []emulator.JobClass // job classes as the emulated clients know them
+	jobClasses []policy.JobClass   // job classes as the nodes and the checker know them
 	policy     Policy
 	defects    injectedDefects
 
 	// The clock and the event heap.
 	now               time.Duration
 	events            eventHeap
-	scheduled         uint64 // events so far
-	steps             int    // events that have run
-	simultaneousSteps int    // of those, events at the instant of the one before
-	maxViolations     int    // the world ends at this number of violations
+	scheduled         uint64 // number of events scheduled so far
+	steps             int    // number of events that have run
+	simultaneousSteps int    // number of events that ran at the same instant as the event before
+	maxViolations     int    // number of violations at which the simulation ends
 
-	// Random streams, one a use.
+	// Random streams, one for each use.
 	networkRand    *rand.Rand
 	gossipRand     *rand.Rand
 	workNoiseRand  *rand.Rand
-	frontLayerRand *rand.Rand // of the front layer in front of nodes with unequal shares of the traffic
+	frontLayerRand *rand.Rand // distributes traffic unequally over nodes, for Load.NodeSkew
 
 	nodes         []*simNode
 	executors     []*executor
@@ -45,25 +46,25 @@
 	memories      emulator.DedupMemories
 	lastConnID    emulator.ConnID
 	lastAddr      int
-	worksInFlight int                  // works whose clients still wait
-	networked     *networkedSimulation // nil where state machines are stepped event by event
-	adminCalls    int                  // to nodes of a wired world
+	worksInFlight int                  // work items whose clients still wait
+	networked     *networkedSimulation // nil in a simulation that steps the state machines itself
+	adminCalls    int                  // number of admin calls so far; used in networked simulations
 
-	// Faults that are on the network or on everything.
+	// Current faults of the network and of the whole simulation.
 	partitions              []partition // by zone
-	gossipLoss              float64     // probability
-	newConnResetRate        float64     // probability
-	newConnUnresponsiveRate float64     // probability
+	gossipLoss              float64     // probability that a message between nodes is lost
+	newConnResetRate        float64     // probability that a new connection breaks at its first use
+	newConnUnresponsiveRate float64     // probability that a new connection delivers nothing to the node
 	clockOffset             time.Duration
 
 	checker      *invariants.Checker
 	gossipBounds gossipBounds
-	traceFunc    func(invariants.Event) // nil without a trace
-	account      *accountLedger         // nil without an account
+	traceFunc    func(invariants.Event) // nil if no trace is wanted
+	account      *accountLedger         // nil if no account is wanted
 	result       Result
 }
 
-// injectedDefects are defects that tests inject to check the checker. All are zero in use.
+// injectedDefects are defects that tests inject to verify that the checker finds them. The zero value injects none.
 type injectedDefects struct {
 	policy func(*Simulation, *simNode, node.Policy) node.Policy
 	event  func(*Simulation, *simNode, node.Event) []node.Event
@@ -73,19 +74,19 @@
 	cluster        func(*cluster.Settings)
 	executor       func(*emulator.Executor)
 	attempt        func(*emulator.Attempt)
-	hideClientLeft bool // nodes are not notified that a client has left
-	hideClientGone bool // and don't see it when they check right before an attempt
+	hideClientLeft bool // nodes are not notified when a client leaves
+	hideClientGone bool // nodes' check right before an attempt does not detect that the client left
 }
 
-// Options say how a world is played.
+// Options configure a simulation.
 type Options struct {
-	Trace         func(invariants.Event) // called with each observation; nil for no trace
-	MaxViolations int                    // violations after which the world ends; 0 for 20
-	Policy        Policy                 // what decides at the nodes; "" for ModulePolicy, the only one for wired worlds
-	Account       bool                   // keep an account of the value that was not earned; not for wired worlds
+	Trace         func(invariants.Event) // receives each observation; nil for no trace
+	MaxViolations int                    // number of violations after which the simulation ends; 0 means 20
+	Policy        Policy                 // the nodes' policy; "" means ModulePolicy, the only one that networked simulations support
+	Account       bool                   // attribute the value that was not earned to causes; not supported in networked simulations
 }
 
-// New makes a world in which nothing has happened yet.
+// New creates a simulation of a scenario. Play or PlayNetworked runs it.
 func New(s Scenario, seed uint64, o Options) *Simulation {
 	sim := &Simulation{
 		scenario:       s,
@@ -123,11 +124,11 @@
 }
 
 const (
-	settleTime           = 2 * time.Second // after the last answer; whatever is left over shows by then
-	defaultMaxViolations = 20              // more of them show nothing new
+	settleTime           = 2 * time.Second // time simulated after the last answer, so that late effects are still observed
+	defaultMaxViolations = 20              // more violations show nothing new
 )
 
-// Play plays the world until no client waits any more, or too many invariants are violated. A world is played once.
+// Play runs the simulation until no client waits any more, or Options.MaxViolations is reached. It may be called only once.
 func (sim *Simulation) Play() Result {
 	sim.build()
 	length, end := time.Duration(sim.scenario.Length), sim.lastDeadline()
@@ -149,8 +150,8 @@
 	return sim.result
 }
 
-// sampleCapacity samples all bins that begin by a time. This is not an event of its own, because the order of events at one instant
-// depends on the number of events before them.
+// sampleCapacity samples the executors' capacity for all bins that begin at or before until. Sampling is not done by scheduled events,
+// because each event that is scheduled changes the order of later simultaneous events.
 func (sim *Simulation) sampleCapacity(until time.Duration) {
 	for at := time.Duration(len(sim.result.capacity)) * Bin; at <= until; at += Bin {
 		sim.now = at
@@ -158,7 +159,7 @@
 	}
 }
 
-// lastDeadline is when the last client has given up at the latest.
+// lastDeadline returns the time by which every client has given up.
 func (sim *Simulation) lastDeadline() time.Duration {
 	length := time.Duration(sim.scenario.Length)
 	end := length
@@ -168,7 +169,7 @@
 	return end
 }
 
-// build sets up executors that have run for long, nodes that have the endpoint list, clients and the script of faults.
+// build creates the executors, already past their slow start, the nodes with a cached endpoint list, the clients and the faults.
 func (sim *Simulation) build() {
 	sim.buildExecutors()
 	sim.buildNodes()
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -23,7 +23,7 @@
 
 // Drawn worlds with half of the clients leaving early and nodes that are suspended meanwhile: no attempt starts too long after its client
 // has left, in event worlds nor, without suspended nodes, in wired ones.
-func TestClientsLeaveInDrawnWorlds(t *testing.T) {
+func TestClientsLeaveInDrawnScenarios(t *testing.T) {
 	waiting := 0
 	leaving := func(seed uint64, size Size) Scenario {
 		s := Draw(seed, size)
@@ -85,7 +85,7 @@
 }
 
 // The scenarios of lab/size are too large for tests and are played by hand; here they are only read.
-func TestSizesAreRead(t *testing.T) {
+func TestLargeScenariosLoad(t *testing.T) {
 	sizes := os.DirFS("../../lab/size")
 	files, err := fs.Glob(sizes, "*.toml")
 	if err != nil || len(files) == 0 {
@@ -125,7 +125,7 @@
 }
 
 // A fixed set of drawn worlds.
-func TestDrawnWorlds(t *testing.T) {
+func TestDrawnScenarios(t *testing.T) {
 	t.Parallel()
 	last := uint64(*seeds)
 	if underRace {
@@ -188,7 +188,7 @@
 }
 
 // A scenario that is written and read again plays the same.
-func TestTextPlaysTheSame(t *testing.T) {
+func TestScenarioTextRoundTrip(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
 		s := Draw(seed, Size{Nodes: 3, Executors: 5, Length: 5 * time.Second})
@@ -212,7 +212,7 @@
 }
 
 // Every drawn scenario passes the check.
-func TestDrawnMakesSense(t *testing.T) {
+func TestDrawnScenariosAreValid(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3000) {
 		s := Draw(seed, Size{Nodes: 6, Executors: 20, Length: 20 * time.Second})
@@ -257,17 +257,17 @@
 // Shrinking leaves the one fault that violates the invariant.
 func TestShrink(t *testing.T) {
 	t.Parallel()
-	forgets := defects[0]
+	defect := defects[0]
 	const seed = 1
-	breaks := func(s Scenario) bool {
+	violates := func(s Scenario) bool {
 		sim := New(s, seed, Options{MaxViolations: 1})
-		sim.defects = forgets.inject
+		sim.defects = defect.inject
 		r := sim.Play()
-		return len(r.Violations) > 0 && r.Violations[0].Rule == forgets.rule
+		return len(r.Violations) > 0 && r.Violations[0].Rule == defect.rule
 	}
 	s, steps := faultyScenario(nil), 0
-	small := shrink(s, breaks, func(Scenario) { steps++ })
-	if !breaks(small) || steps == 0 {
+	small := shrink(s, violates, func(Scenario) { steps++ })
+	if !violates(small) || steps == 0 {
 		t.Fatalf("what is left after %d steps breaks nothing", steps)
 	}
 	if len(small.Faults) != 1 || small.Faults[0].Kind != emulator.Drain || len(small.Faults[0].Where) != 1 || small.Length > s.Length/2 ||
--- a/internal/simulation/slow_start_test.go
+++ b/internal/simulation/slow_start_test.go
@@ -8,7 +8,7 @@
 )
 
 // Drawn worlds of 20 and 30 nodes whose executors restart under bursts: no invariant is violated.
-func TestColdWorlds(t *testing.T) {
+func TestSlowStartScenarios(t *testing.T) {
 	Hunt(1, 3, Size{Nodes: 4, Executors: 12, Length: 4 * time.Second, SlowStart: true}, 0, func(s Scenario, r Result) bool {
 		if at, err := s.check(); err != nil {
 			t.Errorf("seed %d: %s: %v", r.Seed, at, err)
@@ -22,7 +22,7 @@
 
 // All of 30 nodes are killed and restarted several times within an overload window, while executors are cold under a burst: what their
 // earlier processes sent counts against their budgets.
-func TestColdNodesStartAgain(t *testing.T) {
+func TestSlowStartWithRestartedNodes(t *testing.T) {
 	s := Base()
 	second := func(at float64) Span { return Span(at * 1e9) }
 	s.Name, s.Length, s.Load.Utilization, s.Load.HintNoise, s.Load.DeadNodeTime = "cold-nodes-start-again", second(4), 0.7, 0, second(0.001)
@@ -47,7 +47,7 @@
 }
 
 // Executors with one slot and short jobs: a notice of a start that overtakes the end before it makes them look as if they had two.
-func TestColdOnePlace(t *testing.T) {
+func TestSlowStartWithOneSlot(t *testing.T) {
 	const seed = 44
 	checkSound(t, New(Draw(seed, Size{Nodes: 4, Executors: 20, Length: 8 * time.Second, SlowStart: true}), seed, Options{}).Play())
 }
