--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	clientsStartAfter = 200 * time.Millisecond // nodes have this time before the first job
-	loopStagger       = time.Millisecond       // between the starts of two closed loops
-	unreachedDelay    = time.Millisecond       // until a client knows that no node can be reached
-	openLoop          = -1                     // client number of works that arrive by themselves
+	clientsStartAfter = 200 * time.Millisecond // time that nodes have before clients start
+	loopStagger       = time.Millisecond       // time between the starts of two closed loops
+	unreachedDelay    = time.Millisecond       // time until a client notices that no node can be reached
+	openLoop          = -1                     // client number of work items of the open loop
 )
 
 // zoneClients are the clients of a zone, and the front layer that spreads their requests over nodes.
@@ -22,7 +22,7 @@
 	roundRobin int
 }
 
-// buildClients makes the clients of each zone and schedules their first works.
+// buildClients creates the clients of each zone and schedules their first work items.
 func (sim *Simulation) buildClients() {
 	fleet, load := &sim.scenario.Fleet, &sim.scenario.Load
 	capacity := 0.0
@@ -53,7 +53,7 @@
 	}
 }
 
-// arrivals submits a work of the open loop and schedules the next one.
+// arrivals submits a work item of the open loop and schedules the next one.
 func (c *zoneClients) arrivals() {
 	gap := c.Gap()
 	if gap == emulator.Never || c.sim.now >= time.Duration(c.sim.scenario.Length) {
@@ -63,7 +63,7 @@
 	c.sim.after(gap, c.arrivals)
 }
 
-// submitNext submits the next work of a closed loop.
+// submitNext submits the next work item of a closed loop.
 func (c *zoneClients) submitNext(client int) {
 	if c.sim.now < time.Duration(c.sim.scenario.Length) {
 		c.submitNew(client)
@@ -77,8 +77,8 @@
 	c.submit(work)
 }
 
-// pickNode is the node to which the front layer sends: one of the zone, or of any other zone if it has none. Nodes that died just now
-// are still sent to.
+// pickNode returns the node to which the front layer sends the next request: a ready one of the client's zone, else of another zone. The
+// front layer does not notice for Load.DeadNodeTime that a node has died. pickNode returns nil if there is no candidate.
 func (c *zoneClients) pickNode() *simNode {
 	c.roundRobin++
 	load := &c.sim.scenario.Load
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// nodeByShare picks a node by a number from 0 to 1, in proportion to the nodes' shares of the traffic.
+// nodeByShare picks a node by a random number from 0 to 1, with a probability in proportion to its share of the traffic.
 func nodeByShare(nodes []*simNode, number float64) *simNode {
 	sum := 0.0
 	for _, n := range nodes {
@@ -115,7 +115,7 @@
 	return nodes[len(nodes)-1]
 }
 
-// submit sends a request for a work to a node.
+// submit sends a request for a work item to a node.
 func (c *zoneClients) submit(work *emulator.Work) {
 	sim, n := c.sim, c.pickNode()
 	request := &clientRequest{clients: c, work: work, job: work.Job(), node: n}
@@ -134,7 +134,7 @@
 		switch {
 		case !n.up || n.incarnation != request.incarnation || n.frontendClosed:
 			sim.after(delay, func() { request.finishUnsent(emulator.EndUnreached, 0) })
-		case sim.now >= work.Deadline-time.Millisecond: // its client has given up
+		case sim.now >= work.Deadline-time.Millisecond: // the client has given up
 			request.finishUnsent(emulator.EndFailed, 0)
 		default:
 			n.receive(request)
--- a/internal/simulation/conn_faults.go
+++ b/internal/simulation/conn_faults.go
@@ -6,16 +6,16 @@
 	"birchstair/internal/emulator"
 )
 
-// faultableConn is an open connection between a node and an executor that a fault can be put on.
+// faultableConn is an open connection between a node and an executor into which faults can be injected.
 type faultableConn interface {
-	makeUnresponsive()           // from now on nothing comes back to the node
-	breakAt(delay time.Duration) // it breaks after a delay
+	makeUnresponsive()           // drops everything that the executor sends from now on
+	breakAt(delay time.Duration) // breaks the connection after a delay
 }
 
-// resetPeriod is the time between two resets of open connections while a fault lasts.
+// resetPeriod is the interval at which a fault resets open connections.
 const resetPeriod = time.Second
 
-// beginConnFault begins a fault on connections that are open.
+// beginConnFault begins a fault on open connections.
 func (sim *Simulation) beginConnFault(fault emulator.Fault) {
 	switch fault.Kind {
 	case emulator.SilentOld:
@@ -31,7 +31,7 @@
 	}
 }
 
-// repeatUntil runs a function now and each resetPeriod until a time.
+// repeatUntil runs a function now and then at intervals of resetPeriod until the given time.
 func (sim *Simulation) repeatUntil(until time.Duration, run func()) {
 	run()
 	if sim.now+resetPeriod < until {
@@ -39,7 +39,7 @@
 	}
 }
 
-// openConns are all open connections between nodes and executors, in an order that only the seed decides.
+// openConns returns all open connections between nodes and executors, in an order that depends on the seed only.
 func (sim *Simulation) openConns() (all []faultableConn) {
 	for _, n := range sim.nodes {
 		if n.process != nil && n.up {
@@ -54,7 +54,7 @@
 	return all
 }
 
-// resetOpenConns breaks a share of the open connections to executors.
+// resetOpenConns breaks a fraction of the open connections to executors, within the next resetPeriod.
 func (sim *Simulation) resetOpenConns(share float64) {
 	for _, conn := range sim.openConns() {
 		if sim.networkRand.Float64() < share {
@@ -63,7 +63,7 @@
 	}
 }
 
-// resetClientConns breaks a share of the connections on which clients wait.
+// resetClientConns breaks a fraction of the connections on which clients wait.
 func (sim *Simulation) resetClientConns(share float64) {
 	for _, n := range sim.nodes {
 		for _, request := range n.requestsInFlight() {
@@ -74,7 +74,7 @@
 	}
 }
 
-// resetClient breaks a client's connection: the client may retry at once elsewhere, before this node notices.
+// resetClient breaks a client's connection. The client may retry at another node before this node notices the break.
 func (n *simNode) resetClient(request *clientRequest) {
 	if n.process != nil {
 		if request.conn != nil {
@@ -91,10 +91,10 @@
 	})
 }
 
-// silence lets nothing come back on the connection any more.
+// makeUnresponsive implements faultableConn.
 func (c *executorConn) makeUnresponsive() { c.unresponsive = true }
 
-// breakAt breaks the connection on its way: each end sees it at a time of its own, and what is in flight may still arrive.
+// breakAt implements faultableConn. Each end notices the break at a different time, and messages on their way may still arrive.
 func (c *executorConn) breakAt(delay time.Duration) {
 	sim := c.node.sim
 	c.node.after(delay, func() { c.breakConn("reset on the way") })
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	watchRetryDelay = time.Millisecond // after a partition's end
-	maxNotifyJitter = 20000            // microseconds by which nodes are notified at different times
-	startedLongAgo  = -time.Hour       // start of an executor that discovery only knows to have started long ago
+	watchRetryDelay = time.Millisecond // time after a partition's end until a node's watch is answered
+	maxNotifyJitter = 20000            // largest time by which the notification of a node is delayed, in microseconds
+	startedLongAgo  = -time.Hour       // start time of an executor of which discovery only knows that it started long ago
 )
 
-// endpointsUpdate makes the event of an update of the endpoint list, and records what the node is notified of.
+// endpointsUpdate returns the event of an update of the endpoint list, and records what the node receives with it.
 func (n *simNode) endpointsUpdate(kind policy.EndpointUpdateKind, entries []emulator.Entry) node.EndpointsUpdated {
 	event := node.EndpointsUpdated{Kind: kind}
 	if kind == policy.WatchFailed {
@@ -32,7 +32,7 @@
 		if entry.StartedLongAgo {
 			start = startedLongAgo
 		} else {
-			entry.StartedAt -= n.startedAt // the node's clock begins with its process
+			entry.StartedAt -= n.startedAt // the node's clock starts with its process
 		}
 		event.Endpoints = append(event.Endpoints, node.Endpoint{Endpoint: entry.Endpoint, Addr: entry.Addr})
 		n.recordEndpoint(invariants.Event{Kind: invariants.EndpointNotified, Node: n.id, Executor: entry.Executor, State: entry.State, Start: start})
@@ -43,7 +43,7 @@
 	return event
 }
 
-// recordRemoved records that a complete update removes what it does not list.
+// recordRemoved records the removal of all executors that a complete update does not list.
 func (n *simNode) recordRemoved(listed map[policy.ExecutorID]bool) {
 	for _, known := range sortedByExecutor(n.endpoints) {
 		if !listed[known.Executor] && known.State != policy.Removed {
@@ -53,8 +53,8 @@
 	}
 }
 
-// recordEndpoint observes what the node is notified of an executor, unless it knows that already. An excluded executor counts as
-// draining, whatever the endpoint list says.
+// recordEndpoint observes an update of an executor that the node receives, unless it changes nothing. An executor that operators have
+// excluded counts as draining while the endpoint list has it as available.
 func (n *simNode) recordEndpoint(s invariants.Event) {
 	s.At = 0
 	if _, excluded := n.excluded[s.Executor]; excluded {
@@ -69,7 +69,7 @@
 	}
 }
 
-// adminCall has an operator call a node.
+// adminCall sends an operator's command to the node.
 func (n *simNode) adminCall(command node.AdminCommand, id policy.ExecutorID) {
 	event := node.AdminCalled{Command: command, Executor: id}
 	switch {
@@ -104,7 +104,7 @@
 	return ok && reply.Refusal == ""
 }
 
-// deliverEndpoints delivers to the node what discovery has for it. A node in a zone that nothing gets into is served after that.
+// deliverEndpoints delivers discovery's pending updates to the node. Those for a zone with blocked inbound traffic wait for its end.
 func (n *simNode) deliverEndpoints() {
 	if until := n.sim.partitions[n.zone].inboundUntil; until > n.sim.now {
 		n.after(until-n.sim.now+watchRetryDelay, n.deliverEndpoints)
@@ -120,14 +120,14 @@
 	n.deliver(n.endpointsUpdate(kind, entries))
 }
 
-// updateEndpoint changes an executor's entry at discovery; nodes are notified once discovery has it.
+// updateEndpoint changes an executor's entry at discovery, and notifies the nodes when discovery publishes the change.
 func (sim *Simulation) updateEndpoint(entry emulator.Entry) {
 	at := sim.discovery.Change(sim.now, entry)
 	sim.checker.EndpointPublished(at, entry.Executor, entry.State)
 	sim.notifyNodes(at)
 }
 
-// notifyNodes lets all nodes read discovery's updates, each at a time of its own soon after the given one.
+// notifyNodes lets all nodes read discovery's updates at the given time, each with a random delay.
 func (sim *Simulation) notifyNodes(at time.Duration) {
 	if sim.networked != nil {
 		sim.at(at, sim.networked.notifyWatches)
@@ -141,7 +141,7 @@
 	}
 }
 
-// updateWeights sets all weights by the executors' load, again and again.
+// updateWeights sets all weights by the executors' load, and schedules its next call after Fleet.WeightInterval.
 func (sim *Simulation) updateWeights() {
 	at := time.Duration(0)
 	for _, x := range sim.executors {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,13 +9,13 @@
 	"birchstair/internal/node"
 )
 
-// watchLossDelay is how soon nodes see that discovery is silent.
+// watchLossDelay is the time until nodes notice that discovery is unresponsive.
 const watchLossDelay = 100 * time.Millisecond
 
-// gossipFaults are the kinds that are not played in wired worlds, whose nodes have no gossip and run in the test's own process.
+// gossipFaults are the kinds of fault that networked simulations ignore, as their nodes have no gossip and all share one process.
 var gossipFaults = []emulator.Kind{emulator.GossipPartitioned, emulator.FalseGossip, emulator.NodePaused, emulator.GossipLost, emulator.DiscoveryUnreachable}
 
-// scheduleFault schedules a fault's begin and end.
+// scheduleFault schedules the begin and the end of a fault.
 func (sim *Simulation) scheduleFault(fault emulator.Fault) {
 	sim.at(fault.At, func() {
 		sim.note("fault: %v", fault)
@@ -40,7 +40,7 @@
 	}
 	switch fault.Kind {
 	case emulator.ZonePartitioned, emulator.ZoneInboundLost, emulator.ZoneOutboundLost:
-		if on { // a partition knows when it ends
+		if on { // a partition ends by itself
 			sim.partitionZones(fault, fault.Kind != emulator.ZoneOutboundLost, fault.Kind != emulator.ZoneInboundLost)
 		}
 	case emulator.ResetNew:
@@ -68,7 +68,7 @@
 
 func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
 
-// setProcessFault begins or ends a fault on each executor, and each node, that it is on.
+// setProcessFault begins or ends a fault on each affected executor and node.
 func (sim *Simulation) setProcessFault(fault emulator.Fault, on bool) {
 	for _, x := range sim.faultedExecutors(fault) {
 		if on {
@@ -86,7 +86,7 @@
 	}
 }
 
-// faultedExecutors are the executors that a fault is on; none if its kind is not on executors.
+// faultedExecutors returns the executors that a fault affects; none if its kind does not affect executors.
 func (sim *Simulation) faultedExecutors(fault emulator.Fault) (all []*executor) {
 	if on, _ := fault.Kind.On(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
 		return nil
@@ -99,7 +99,7 @@
 	return all
 }
 
-// faultedNodes are the nodes that a fault is on; none if its kind is not on nodes.
+// faultedNodes returns the nodes that a fault affects; none if its kind does not affect nodes.
 func (sim *Simulation) faultedNodes(fault emulator.Fault) (all []*simNode) {
 	if on, _ := fault.Kind.On(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
 		return nil
@@ -112,7 +112,7 @@
 	return all
 }
 
-// setDiscoveryDelay delays all updates of the endpoint list, or ends the delay.
+// setDiscoveryDelay begins or ends a delay of all updates of the endpoint list.
 func (sim *Simulation) setDiscoveryDelay(delay time.Duration, on bool) {
 	sim.discovery.SetDelay(delay)
 	if on {
@@ -122,7 +122,7 @@
 	}
 }
 
-// setDiscoverySilent stops discovery from answering, or lets it answer again.
+// setDiscoveryUnresponsive makes discovery unresponsive, or lets it answer again.
 func (sim *Simulation) setDiscoveryUnresponsive(unresponsive bool) {
 	sim.discovery.SetSilent(unresponsive)
 	sim.checker.SetUnreachable(sim.now, invariants.NoNode, unresponsive)
@@ -133,7 +133,7 @@
 	sim.notifyNodes(at)
 }
 
-// setClientFault begins or ends a fault of the clients' traffic.
+// setClientFault begins or ends a fault that changes the clients' traffic.
 func (sim *Simulation) setClientFault(fault emulator.Fault, on bool) {
 	for _, c := range sim.clients {
 		switch {
@@ -167,7 +167,7 @@
 	}
 }
 
-// endFault ends a fault on the node. A suspended one resumes by itself.
+// endFault ends a fault on the node. A suspended node resumes by itself.
 func (n *simNode) endFault(fault emulator.Fault) {
 	switch fault.Kind {
 	case emulator.ClientsDrained:
@@ -179,7 +179,7 @@
 	}
 }
 
-// setPeerFault begins or ends a fault of a node in a world with gossip.
+// setPeerFault begins or ends a fault of the node's gossip or of its connection to discovery.
 func (n *simNode) setPeerFault(kind emulator.Kind, on bool) {
 	switch kind {
 	case emulator.FalseGossip:
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -11,19 +11,19 @@
 	"birchstair/policy"
 )
 
-// Membership is modeled as memberlist brings it: late, and by what each node could reach itself.
+// Membership is modeled like that of the memberlist library: each node notices changes late, by which peers it can reach itself.
 const (
-	membershipInterval = 500 * time.Millisecond  // between two looks at who is alive
-	memberTimeout      = 2500 * time.Millisecond // a node that could not be reached for so long counts as dead
+	membershipInterval = 500 * time.Millisecond  // interval at which a node updates its list of alive peers
+	memberTimeout      = 2500 * time.Millisecond // a peer that could not be reached for this long counts as dead
 )
 
-// Beginnings of the node's log messages about drains that it heard of from peers.
+// Prefixes of the node's log messages about drains that it received from peers.
 const (
 	logPeerDrain    = "counts as draining"
 	logPeerDrainEnd = "no longer counts as draining"
 )
 
-// joinFleet lets a node that has just started gossip with its peers.
+// joinCluster lets a node that has just started gossip with its peers.
 func (n *simNode) joinCluster() {
 	sim := n.sim
 	incarnation := uint64(n.startedAt.Milliseconds())<<8 + uint64(n.incarnation)
@@ -38,7 +38,7 @@
 	n.after(time.Duration(sim.gossipRand.Int64N(int64(membershipInterval))), n.updateMembership)
 }
 
-// updateMembership finds out which peers are alive, again and again.
+// updateMembership updates the node's list of alive peers, and schedules its next call.
 func (n *simNode) updateMembership() {
 	sim := n.sim
 	var alive []cluster.NodeName
@@ -60,7 +60,7 @@
 	n.after(membershipInterval, n.updateMembership)
 }
 
-// sendGossip checks a gossip message against the bounds and sends it.
+// sendGossip checks a gossip message against the bounds and sends it, corrupted if the node has that fault.
 func (n *simNode) sendGossip(envelope cluster.Envelope) {
 	n.checkGossipBounds(envelope)
 	message := n.corrupt(envelope.Message)
@@ -79,7 +79,7 @@
 	}
 }
 
-// sendToPeer sends a message that may be lost, late or doubled. A partition loses it.
+// sendToPeer sends a message that may be lost, delayed or duplicated. A partition drops it.
 func (n *simNode) sendToPeer(peer *simNode, event node.Event) {
 	sim, fleet := n.sim, &n.sim.scenario.Fleet
 	sim.result.PeerMessages++
@@ -104,7 +104,7 @@
 	}
 }
 
-// corrupt corrupts what a faulty node says of itself, each message in another way.
+// corrupt returns the message that is sent instead if the node has the fault to send false messages. Four kinds of corruption alternate.
 func (n *simNode) corrupt(message cluster.Message) cluster.Message {
 	if n.corruption == 0 {
 		return message
@@ -119,17 +119,17 @@
 		rates.Completed *= 10
 	case 1:
 		rates.Completed = -1
-	case 2: // nearly all expires
+	case 2: // nearly all jobs seem to expire
 		rates.Expired += 10 * rates.Completed
-	case 3: // in a peer's name
+	case 3: // sent under a peer's name
 		message.From = cluster.NodeName(n.sim.nodes[(int(n.id)+1)%len(n.sim.nodes)].name)
 	}
 	message.Rates = rates
 	return message
 }
 
-// recordPeerDrains records the drains of which a node has heard from a peer: it must respect them like the endpoint list's, until it
-// gives them up because its own list has not confirmed them in time.
+// recordPeerDrains records the drains that a node has received from a peer. It must respect them like those in its own endpoint list,
+// until it drops them because its own list has not confirmed them in time.
 func (n *simNode) recordPeerDrains(effects []node.Effect) {
 	for _, effect := range effects {
 		message, ok := effect.(node.Log)
--- a/internal/simulation/health_check.go
+++ b/internal/simulation/health_check.go
@@ -7,10 +7,11 @@
 	"birchstair/policy"
 )
 
-// probeTimeout is how long a node waits for an executor to answer a probe.
+// healthCheckTimeout is the time within which an executor must answer a health check.
 const healthCheckTimeout = 250 * time.Millisecond
 
-// probe asks an executor for its load, past its queue. An executor that does not answer jobs does not answer probes either.
+// checkHealth sends a health check to an executor, which answers with its load without queueing the check. An unresponsive executor does not
+// answer health checks either.
 func (n *simNode) checkHealth(effect node.CheckHealth) {
 	sim, x, ended := n.sim, n.sim.byAddr[effect.Addr], false
 	end := func(event node.HealthCheckEnded) {
@@ -38,7 +39,7 @@
 	})
 }
 
-// probedLoad is the load that the executor answers a probe with; values that it does not report are -1.
+// healthCheckLoad returns the load with which the executor answers a health check. Values that it does not report are -1.
 func (x *executor) healthCheckLoad() policy.Load {
 	load := policy.Load{InFlight: -1, Queued: -1, FreeSlots: -1, FreeMemory: -1, RunTime: -1}
 	if reported := x.LoadReport(x.sim.now); reported.Known {
--- a/internal/simulation/observe.go
+++ b/internal/simulation/observe.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	answerTolerance = 16 * time.Millisecond // an answer so long after the deadline still counts as in time
-	promptLimit     = time.Millisecond      // what happens within this counts as at once
+	answerTolerance = 16 * time.Millisecond // an answer this long after the deadline still counts as in time
+	promptLimit     = time.Millisecond      // time within which the node must answer a job that the policy gave up
 )
 
-// observe reports an observation of now to the checker and the trace. In a wired world it is buffered until its instant is over.
+// observe reports an event at the present time to the checker and the trace. A networked simulation buffers it until its instant is over.
 func (sim *Simulation) observe(s invariants.Event) {
 	s.At = sim.now
 	if sim.networked == nil {
@@ -22,7 +22,7 @@
 	sim.networked.buffer(observer(s), s)
 }
 
-// observer is the sort key of who saw something: the script first, then nodes, then executors.
+// observer returns the sort key of an event's observer: faults and notes first, then nodes, then executors.
 func observer(s invariants.Event) string {
 	switch {
 	case s.Kind == invariants.EffectStarted || s.Kind == invariants.AttemptReached:
@@ -33,7 +33,7 @@
 	return ""
 }
 
-// report reports an observation to the trace and the checker.
+// report reports an event to the trace and the checker, and adds the violations that the checker finds to the result.
 func (sim *Simulation) report(s invariants.Event) {
 	if sim.traceFunc != nil {
 		sim.traceFunc(s)
@@ -46,12 +46,12 @@
 	}
 }
 
-// note writes a line of text into the trace.
+// note writes a line of text to the trace.
 func (sim *Simulation) note(format string, args ...any) {
 	sim.observe(invariants.Event{Kind: invariants.Note, Node: invariants.NoNode, Text: fmt.Sprintf(format, args...)})
 }
 
-// advanceChecker lets the checker judge what was due by now.
+// advanceChecker lets the checker check everything that was due by now.
 func (sim *Simulation) advanceChecker() {
 	sim.checker.AdvanceTo(sim.now)
 	sim.result.Violations = append(sim.result.Violations, sim.checker.Violations()[len(sim.result.Violations):]...)
--- a/internal/simulation/policy_recorder.go
+++ b/internal/simulation/policy_recorder.go
@@ -9,11 +9,11 @@
 	"birchstair/policy"
 )
 
-// policyRecorder is a node's policy with its decisions observed.
+// policyRecorder wraps a node's policy and records its decisions.
 type policyRecorder struct {
 	node.Policy
 	node    *simNode
-	process *nodeProcess // in a wired world
+	process *nodeProcess // used in a networked simulation
 }
 
 // Place places a job and records whether it was given up.
@@ -30,7 +30,8 @@
 	return r.recordDecision(id, r.Policy.AttemptEnded(now, id, attempt, outcome, final))
 }
 
-// recordDecision observes that a job is given up. In a wired world the tap of the step does that.
+// recordDecision records that the policy gives up a job. In a networked simulation the event is kept until nodeProcess.recordStep reports
+// it with the other events of the step.
 func (r *policyRecorder) recordDecision(id policy.JobID, decision policy.Decision) policy.Decision {
 	if decision.Action != policy.Reject && decision.Action != policy.Fail {
 		return decision
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Names of the random streams. They seed the streams: another name is another trace.
+// Names of the random streams. A stream is seeded with its name, so that a changed name changes all traces.
 const (
 	networkStream       = "network"
 	gossipStream        = "words"
@@ -25,10 +25,10 @@
 	fnvPrime  = 1099511628211
 )
 
-// scheduleGamma is the odd increment by which splitmix64 walks over all numbers.
+// scheduleGamma is the increment of splitmix64. As it is odd, its multiples modulo 2^64 visit every number.
 const scheduleGamma = 0x9e3779b97f4a7c15
 
-// stream returns the random stream of one use. Each use has its own, so that removing a fault changes as little else as possible.
+// stream returns the random stream of one use. Separate streams keep the rest of a simulation the same when a fault is removed.
 func stream(seed uint64, use string) *rand.Rand {
 	hash := uint64(fnvOffset)
 	for i := range len(use) {
@@ -37,7 +37,7 @@
 	return rand.New(rand.NewPCG(seed, hash))
 }
 
-// permute is the finalizer of splitmix64: a permutation of all numbers that looks random.
+// permute is the finalizer of splitmix64, a pseudorandom permutation of all 64-bit numbers.
 func permute(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/simulation/recovery.go
+++ b/internal/simulation/recovery.go
@@ -5,14 +5,14 @@
 )
 
 const (
-	settlingTime   = 3 * time.Second // after a world's start; estimates are settled then
-	recoveryWindow = 3               // seconds over which service must have recovered
+	settlingTime   = 3 * time.Second // time from the start until nodes' estimates have settled
+	recoveryWindow = 3               // number of seconds over which the earned fraction must have recovered
 )
 
-// Recovery is the time from the end of the last fault until the share of value earned was at most tolerance under that before the first
-// fault, over recoveryWindow. It is false if that never was, or if no fault ends within the world. The first fault must begin later than
-// settlingTime, and the result must be one that Play returned.
-func (r *Result) Recovery(faults []Fault, tolerance float64) (time.Duration, bool) {
+// Recovery returns the time from the end of the last fault until the earned fraction of the value, over recoveryWindow, is back within
+// tolerance of the fraction before the first fault. ok is false if it never recovers, or if the last fault ends too late to tell. The first
+// fault must begin later than settlingTime, and the result must be one that Play returned.
+func (r *Result) Recovery(faults []Fault, tolerance float64) (recovery time.Duration, ok bool) {
 	first, last := time.Duration(r.Length), time.Duration(0)
 	for _, fault := range faults {
 		first = min(first, time.Duration(fault.At))
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -11,26 +11,26 @@
 	"birchstair/policy"
 )
 
-// clientRequest is one request of a client to a node for a work. A client's retry is another one.
+// clientRequest is one request of a client for a work item. A retry is another request.
 type clientRequest struct {
 	clients          *zoneClients
 	work             *emulator.Work
 	job              policy.JobID
-	node             *simNode // nil if none could be reached
+	node             *simNode // nil if no node could be reached
 	incarnation      int      // of the node
 	attempts         int      // so far
 	attemptsInFlight int
-	sentAt           time.Duration // of the last attempt
-	delivered        bool          // the last attempt has reached its executor
-	answered         bool          // the node owes no answer any more
-	connLost         bool          // the client's connection broke, and the node does not know yet
-	conn             resetter      // the client's connection, in a wired world
+	sentAt           time.Duration // time at which the last attempt was sent
+	delivered        bool          // the last attempt has arrived at its executor
+	answered         bool          // the node has answered, has ended, or knows that the client left
+	connLost         bool          // the client's connection broke, and the node has not noticed yet
+	conn             resetter      // the client's connection, in a networked simulation
 }
 
 // resetter is a connection that can be reset.
 type resetter interface{ Reset() }
 
-// receive is a node's frontend: a request with the ID of an open one is dropped, all others go to the state machine.
+// receive models the node's frontend. It drops a request whose job ID is in flight already, and delivers all others to the state machine.
 func (n *simNode) receive(request *clientRequest) {
 	sim, work := n.sim, request.work
 	if other := n.requests[request.job]; other != nil && !other.answered {
@@ -57,7 +57,7 @@
 	}
 }
 
-// repeatID is a misbehaving client: it leaves, and requests the same job ID again at once, while an attempt may be out.
+// repeatID models a misbehaving client that disconnects and at once sends the same job ID again, while an attempt may be in flight.
 func (n *simNode) repeatID(request *clientRequest) {
 	if request.answered || request.connLost {
 		return
@@ -68,7 +68,7 @@
 	})
 }
 
-// requestBody is the body of all requests; nobody reads what is in it.
+// requestBody returns the body of all requests, whose content is never read.
 func (sim *Simulation) requestBody() []byte {
 	if sim.result.requestBody == nil {
 		sim.result.requestBody = make([]byte, sim.scenario.Load.BodyBytes)
@@ -76,7 +76,7 @@
 	return sim.result.requestBody
 }
 
-// clientLeaves is a client closing its connection before it has an answer.
+// clientLeaves lets the client close its connection before it has an answer.
 func (n *simNode) clientLeaves(request *clientRequest) {
 	if request.answered || request.connLost || n.requests[request.job] != request {
 		return
@@ -88,10 +88,11 @@
 	request.finish(emulator.EndFailed, 0)
 }
 
-// Gone says right before an attempt whether the node's machine knows that the client has gone, even if the process has not read that.
+// Gone implements the check that a node makes right before an attempt: it returns whether the node's machine knows that the client has
+// disconnected, even if the process has not read that yet.
 func (r *clientRequest) Gone() bool { return r.answered && !r.node.sim.defects.hideClientGone }
 
-// clientGone notifies the node that a client does not wait any more.
+// clientGone notifies the node that the client has disconnected.
 func (n *simNode) clientGone(request *clientRequest) {
 	request.answered = true
 	n.jobsInFlight--
@@ -121,7 +122,7 @@
 	sim.after(delay, func() { request.finish(emulator.End(answer.Final), answer.RetryAfter) })
 }
 
-// loseClients breaks all clients' connections to a node that has ended.
+// loseClients breaks the connections of all clients of a node that has ended.
 func (n *simNode) loseClients() {
 	for _, request := range n.requestsInFlight() {
 		request.answered = true
@@ -132,7 +133,7 @@
 	}
 }
 
-// openRequests are the requests that the node's process owes an answer, in the order of their job IDs.
+// requestsInFlight returns the requests that the node's process has not answered, in the order of their job IDs.
 func (n *simNode) requestsInFlight() (open []*clientRequest) {
 	all := n.requests
 	if n.process != nil {
@@ -147,17 +148,17 @@
 	return open
 }
 
-// finishUnsent ends a request that no node has received.
+// finishUnsent ends a request for whose answer no node is responsible any more.
 func (r *clientRequest) finishUnsent(end emulator.End, retryAfter time.Duration) {
 	r.answered = true
 	r.finish(end, retryAfter)
 }
 
-// finish is the end of a request for its client, which retries or is done with the work.
+// finish ends a request for its client, which then retries or is done with the work item.
 func (r *clientRequest) finish(end emulator.End, retryAfter time.Duration) {
 	sim, work := r.clients.sim, r.work
 	if work.Over || r.job != work.Job() {
-		return // a repeated ID whose request has ended
+		return // the request of a repeated job ID, or one that a retry has replaced
 	}
 	history := sim.account.request(r)
 	history.doneAt, history.end = sim.now, end
