--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -9,25 +9,25 @@
 	"birchstair/internal/emulator"
 )
 
-// Cause is why a work did not earn its full value.
+// Cause is the reason why a work item did not earn its full value.
 type Cause int
 
-// Causes. The first two are of works that could not be done in time any more when their first attempt was sent, if any was. For all
-// others the cause is where they spent most of their time, not counting the work itself on a standard core.
+// Causes. NeverSent and SentTooLate apply to work items that had no attempt at all, or whose first attempt was sent too late to meet the
+// latency objective. The cause of the others is where they spent most of their time, without the run time on a standard core.
 const (
-	NeverSent          Cause = iota // no attempt left a node
-	SentTooLate                     // the first one left when a standard core would have missed the latency objective
-	QueuedAtNode                    // at the node, with no attempt out
-	RejectedByExecutor              // with attempts that executors rejected
-	Failed                          // with attempts that failed or found no connection
-	Connecting                      // while a connection to the executor was opened
+	NeverSent          Cause = iota // no attempt was sent
+	SentTooLate                     // the first attempt was sent when even a standard core would have missed the latency objective
+	QueuedAtNode                    // at the node, without an attempt in flight
+	RejectedByExecutor              // in attempts that executors rejected
+	Failed                          // in attempts that failed or had no connection
+	Connecting                      // opening a connection to the executor
 	InTransit                       // between client, node and executor
-	InQueue                         // at an executor, before it started
-	RunningSlow                     // running on a slow executor, beyond the work
-	RunningFast                     // running on another one, beyond the work
+	InQueue                         // at an executor, before the attempt started
+	RunningSlow                     // running on a slow executor, beyond the run time on a standard core
+	RunningFast                     // running on another executor, beyond the run time on a standard core
 	BetweenRequests                 // at the client, before a retry
-	NodeLost                        // at a node that could not be reached or was lost
-	ClientLeft                      // its client left early
+	NodeLost                        // in requests whose node was unreachable or whose connection broke
+	ClientLeft                      // the client disconnected early
 	causeCount
 )
 
@@ -37,8 +37,8 @@
 // String is the cause's name in accounts and their JSON.
 func (c Cause) String() string { return causeNames[c] }
 
-// Account attributes the value that a world did not earn to causes. In each row the value offered is the value earned plus the value
-// lost, by cause.
+// Account attributes the value that a simulation did not earn to causes. In each row the offered value is the sum of the earned value and
+// of the values lost to each cause.
 type Account struct {
 	Scenario   string `json:"scenario"`
 	Seed       uint64 `json:"seed"`
@@ -46,40 +46,40 @@
 	Nodes      int    `json:"nodes"`
 	Executors  int    `json:"executors"`
 	Length     Span   `json:"length"`
-	Violations int    `json:"rules_broken"` // violations of invariants
+	Violations int    `json:"rules_broken"` // violated invariants
 
-	Worst      float64 `json:"worst"`       // share earned in the worst 10 s
-	WorstClass float64 `json:"worst_track"` // share earned in the worst class
+	Worst      float64 `json:"worst"`       // fraction of the value earned in the worst 10 s
+	WorstClass float64 `json:"worst_track"` // fraction of the value earned by the worst job class
 
 	All     AccountRow   `json:"all"`
-	Classes []AccountRow `json:"tracks"`  // by class
-	Traffic []AccountRow `json:"traffic"` // by quarters of the nodes, those with least traffic first
-	Subsets []AccountRow `json:"slices"`  // by quarters of the nodes, those whose executors were least loaded first
-	Busy    []float64    `json:"busy"`    // executors' load, as a share of their capacity: minimum, quartiles, maximum
+	Classes []AccountRow `json:"tracks"`  // one row for each job class
+	Traffic []AccountRow `json:"traffic"` // one row for each quarter of the nodes, ordered by their traffic, least first
+	Subsets []AccountRow `json:"slices"`  // one row for each quarter of the nodes, ordered by the load of the executors that they used, least first
+	Busy    []float64    `json:"busy"`    // load of executors, as a fraction of their capacity: minimum, quartiles, maximum
 
 	Attempts       int     `json:"attempts"`
-	Crossings      int     `json:"crossings"`         // attempts to another zone
-	Waited         float64 `json:"waited"`            // share of the attempts that waited at their executor
-	IdleUsed       float64 `json:"free_used"`         // of those, the share for which a core was idle, when they left, at another executor that the node had used
+	Crossings      int     `json:"crossings"`         // cross-zone attempts
+	Waited         float64 `json:"waited"`            // fraction of the attempts that were queued at their executor
+	IdleUsed       float64 `json:"free_used"`         // fraction of the queued attempts that were sent while a core was idle at another executor that the node had used
 	IdleZone       float64 `json:"free_in_zone"`      // the same in the node's zone
-	IdleAny        float64 `json:"free"`              // the same anywhere
-	QueuedIdleZone float64 `json:"held_free_in_zone"` // of the value lost at nodes or sent too late or never, the share for which a core was idle in the node's zone at arrival
-	QueuedIdleAny  float64 `json:"held_free"`         // the same anywhere
+	IdleAny        float64 `json:"free"`              // as IdleUsed, at any other executor
+	QueuedIdleZone float64 `json:"held_free_in_zone"` // fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode whose work item arrived while a core was idle in the node's zone
+	QueuedIdleAny  float64 `json:"held_free"`         // as QueuedIdleZone, at any executor
 }
 
-// AccountRow is the account of some of the works.
+// AccountRow is the account of a group of work items, such as those of a job class.
 type AccountRow struct {
 	Name          string             `json:"name"`
 	Works         int                `json:"works"`
-	EarnedLess    int                `json:"less"`  // works that earned less than their full value
-	EarnedNothing int                `json:"never"` // works that earned nothing
+	EarnedLess    int                `json:"less"`  // work items that earned less than their full value
+	EarnedNothing int                `json:"never"` // work items that earned nothing
 	Offered       float64            `json:"offered"`
 	Earned        float64            `json:"earned"`
-	Sent          float64            `json:"sent"`           // work sent to executors as a share of the work offered; over 1 if some was sent repeatedly
-	Lost          map[string]float64 `json:"lost"`           // value, by cause
-	TimeMS        map[string]float64 `json:"time_ms"`        // mean time by cause of the works that earned less; running includes the work itself
-	SubsetSize    float64            `json:"slice,omitzero"` // effective number of executors that a node used, on average
-	SubsetLoad    float64            `json:"load,omitzero"`  // load of those, as a share of their capacity
+	Sent          float64            `json:"sent"`           // work sent to executors, relative to the offered work; above 1 if some was sent repeatedly
+	Lost          map[string]float64 `json:"lost"`           // lost value by cause
+	TimeMS        map[string]float64 `json:"time_ms"`        // mean time by cause of the work items that earned less; for running, including the run time on a standard core
+	SubsetSize    float64            `json:"slice,omitzero"` // mean effective number of executors that a node used
+	SubsetLoad    float64            `json:"load,omitzero"`  // load of these executors, as a fraction of their capacity
 
 	lostByCause, timeByCause [causeCount]float64
 	workOffered, workSent    float64 // in seconds on a standard core
@@ -87,7 +87,7 @@
 	subsetLoad               float64 // sum over the row's nodes
 }
 
-// record adds a finished work.
+// record adds a finished work item.
 func (r *AccountRow) record(work *emulator.Work, earned float64, cause Cause, times [causeCount]time.Duration) {
 	r.Works++
 	r.workOffered += work.Cost
@@ -106,7 +106,7 @@
 	}
 }
 
-// add adds another row.
+// add adds the values of another row.
 func (r *AccountRow) add(other AccountRow) {
 	r.Works += other.Works
 	r.EarnedLess += other.EarnedLess
@@ -123,7 +123,7 @@
 	r.subsetLoad += other.subsetLoad
 }
 
-// finish fills in what is printed from what was recorded.
+// finish computes the exported fields that depend on the unexported sums.
 func (r *AccountRow) finish() {
 	r.Sent = ratio(r.workSent, r.workOffered)
 	r.Lost, r.TimeMS = map[string]float64{}, map[string]float64{}
@@ -137,13 +137,14 @@
 	}
 }
 
-// nodeRow is the account of a node.
+// nodeRow is the account of a node, with the number of its attempts to each executor.
 type nodeRow struct {
 	AccountRow
 	attemptsTo map[*executor]int
 }
 
-// usedSubset is the effective number of executors that a node used, and their load, both weighted by its attempts to each.
+// usedSubset returns the effective number of executors that a node used, which is the inverse of the sum of the squared fractions of its
+// attempts, and the load of the executors weighted by these fractions.
 func usedSubset(attemptsTo map[*executor]int, executors []*executor, busy []float64) (size, load float64) {
 	sum, squares := 0.0, 0.0
 	for i, x := range executors {
@@ -158,7 +159,7 @@
 	return sum * sum / squares, load / sum
 }
 
-// quarters makes up to four rows of the nodes, ordered by a key.
+// quarters orders the nodes by a key and returns one row for each quarter of them; fewer than four if there are fewer nodes.
 func quarters(nodes []nodeRow, key func(nodeRow) float64, name string) (rows []AccountRow) {
 	nodes = slices.Clone(nodes)
 	slices.SortStableFunc(nodes, func(a, b nodeRow) int { return cmp.Compare(key(a), key(b)) })
--- a/internal/simulation/account_history.go
+++ b/internal/simulation/account_history.go
@@ -9,19 +9,19 @@
 	"birchstair/policy"
 )
 
-// notSeen is the time of what did not happen.
+// unsetTime is the time of an event that has not happened.
 const unsetTime = time.Duration(-1)
 
-// jobHistory is what happened to a work.
+// jobHistory is the history of a work item: its requests and attempts.
 type jobHistory struct {
 	work          *emulator.Work
-	firstNode     *simNode  // nil if no node could be reached
-	idleAtArrival idleCores // when it first arrived there
+	firstNode     *simNode  // first node that received a request; nil if none was reached
+	idleAtArrival idleCores // idle cores when the work item was submitted to firstNode
 	requests      []*requestHistory
 	attempts      []*attemptHistory
 }
 
-// requestHistory is what happened to a request.
+// requestHistory holds the times of the events of a request, and its end.
 type requestHistory struct {
 	submittedAt, arrivedAt, answeredAt, doneAt time.Duration
 	end                                        emulator.End
@@ -31,12 +31,12 @@
 	return &requestHistory{submittedAt: submitted, arrivedAt: unsetTime, answeredAt: unsetTime, doneAt: unsetTime}
 }
 
-// lostWithNode says whether the node could not be reached or was lost.
+// lostWithNode returns whether no node could be reached, or the connection to it broke.
 func (r *requestHistory) lostWithNode() bool {
 	return r.end == emulator.EndLost || r.end == emulator.EndUnreached
 }
 
-// attemptHistory is what happened to an attempt.
+// attemptHistory holds the times of the events of an attempt, and its outcome.
 type attemptHistory struct {
 	executor           *executor
 	sentAt             time.Duration
@@ -55,7 +55,7 @@
 		dialedAt: unsetTime, connUpAt: unsetTime}
 }
 
-// firstSent is when the first attempt was sent; notSeen without one.
+// firstAttemptSentAt returns the time at which the first attempt was sent; unsetTime if there is none.
 func (h *jobHistory) firstAttemptSentAt() time.Duration {
 	first := unsetTime
 	for _, attempt := range h.attempts {
@@ -66,23 +66,23 @@
 	return first
 }
 
-// cause says why a work lost value, if it did, and where its time went by now.
+// cause returns the cause of lost value, if value was lost, and the time that the work item has spent on each cause until now.
 func (h *jobHistory) cause(now time.Duration) (Cause, [causeCount]time.Duration) {
-	times, first, runTime := h.times(now), h.firstAttemptSentAt(), secondsOf(h.work.Cost)
+	times, firstSentAt, runTime := h.times(now), h.firstAttemptSentAt(), secondsOf(h.work.Cost)
 	switch {
 	case h.work.LeavesAt <= now:
 		return ClientLeft, times
-	case first == unsetTime && slices.ContainsFunc(h.requests, (*requestHistory).lostWithNode):
+	case firstSentAt == unsetTime && slices.ContainsFunc(h.requests, (*requestHistory).lostWithNode):
 		return NodeLost, times
-	case first == unsetTime:
+	case firstSentAt == unsetTime:
 		return NeverSent, times
-	case first > h.work.Objective-runTime:
+	case firstSentAt > h.work.Objective-runTime:
 		return SentTooLate, times
 	}
 	return longestCause(times, runTime), times
 }
 
-// longestCause is the cause with most time beyond the work's own time on a standard core.
+// longestCause returns the cause with the longest time. Time of running counts only beyond the run time on a standard core.
 func longestCause(times [causeCount]time.Duration, runTime time.Duration) Cause {
 	if ran := times[RunningSlow] + times[RunningFast]; ran > 0 {
 		beyond := max(0, 1-float64(runTime)/float64(ran))
@@ -98,7 +98,8 @@
 	return longest
 }
 
-// precedence orders causes at one time: the highest counts, so that of several attempts the one that is furthest does.
+// precedence orders the causes that apply at the same time. The highest counts, so that of several attempts the one that has progressed
+// most determines the cause.
 type precedence int
 
 const (
@@ -111,20 +112,20 @@
 	attemptRunning
 )
 
-// timeSpan is a span of a work's time with its cause.
+// timeSpan is a part of a work item's time, with its cause.
 type timeSpan struct {
 	from, to   time.Duration
 	cause      Cause
 	precedence precedence
 }
 
-// timeline collects the spans of a work's time up to an end.
+// timeline collects the time spans of a work item up to an end.
 type timeline struct {
 	end   time.Duration
 	spans []timeSpan
 }
 
-// add adds a span; one that has not ended lasts to the timeline's end, one that has not begun is not added.
+// add adds a time span. A span that has not ended lasts until the end of the timeline; one that has not begun is not added.
 func (t *timeline) add(from, to time.Duration, cause Cause, precedence precedence) {
 	if to == unsetTime || to > t.end {
 		to = t.end
@@ -134,7 +135,7 @@
 	}
 }
 
-// times says where a work's time went, up to an end.
+// times returns the time that a work item has spent on each cause until end.
 func (h *jobHistory) times(end time.Duration) [causeCount]time.Duration {
 	line := &timeline{end: end}
 	line.add(h.work.ArrivedAt, end, BetweenRequests, atClient)
@@ -190,7 +191,7 @@
 	t.add(began, min(ended, until), running, attemptRunning)
 }
 
-// total sums the time of each cause, counting at each time the span with the highest precedence.
+// total returns the time of each cause. At each time only the span with the highest precedence counts.
 func (t *timeline) total() (times [causeCount]time.Duration) {
 	var edges []time.Duration
 	for _, span := range t.spans {
@@ -206,7 +207,7 @@
 	return times
 }
 
-// highest is the first span with the highest precedence of those that cover a stretch of time; nil if none does.
+// highest returns the span with the highest precedence, the first of them, that covers the given time; nil if none does.
 func (t *timeline) highest(from, to time.Duration) (highest *timeSpan) {
 	for i := range t.spans {
 		span := &t.spans[i]
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	queuedAfter   = 5 * time.Millisecond // a start later than this after arrival counts as having waited; a new connection takes less
-	slowCoreSpeed = 0.9                  // relative to a standard core; slower ones count as slow
+	queuedAfter   = 5 * time.Millisecond // an attempt that starts later than this after its arrival counts as queued; setting up a new connection takes less
+	slowCoreSpeed = 0.9                  // a core below this speed counts as slow; a standard core has 1
 )
 
-// accountLedger records what an account needs while a world is played. It observes and changes nothing. The methods of a nil ledger,
-// which is that of a world without an account, record nothing.
+// accountLedger records the data of an account during a simulation, without any influence on it. A simulation without an account has a nil
+// ledger, whose methods record nothing.
 type accountLedger struct {
 	sim       *Simulation
 	inFlight  map[invariants.WorkID]*jobHistory
 	classes   []AccountRow
 	nodes     []nodeRow
-	unreached AccountRow // of works that no node received
+	unreached AccountRow // work items that no node received
 
-	attemptsInTransit map[*executor]int     // attempts on their way to it
-	workReceived      map[*executor]float64 // in seconds
+	attemptsInTransit map[*executor]int     // attempts on their way to the executor
+	workReceived      map[*executor]float64 // work of the attempts that arrived, in seconds on a standard core
 
-	// Attempts so far, those of them that waited, and those of these for which a core was idle elsewhere.
+	// Number of attempts, of queued attempts, and of queued attempts that were sent while a core was idle elsewhere.
 	attempts, waited, idleUsed, idleZone, idleAny int
 
-	// Value lost at nodes though a core was idle at arrival.
+	// Value lost at nodes although a core was idle when the work item was submitted.
 	queuedIdleZone, queuedIdleAny float64
 }
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// recordSubmit records a request for a work to a node; nil if none can be reached.
+// recordSubmit records a request for a work item; n is nil if no node can be reached.
 func (l *accountLedger) recordSubmit(work *emulator.Work, n *simNode) {
 	if l == nil {
 		return
@@ -60,7 +60,8 @@
 	history.requests = append(history.requests, newRequestHistory(l.sim.now))
 }
 
-// request is the history of a request, for the caller to write to; it is thrown away if the request is not its work's last one.
+// request returns the history of a request, for the caller to fill in. For a request that is not the last one of its work item it returns
+// a history that is discarded.
 func (l *accountLedger) request(request *clientRequest) *requestHistory {
 	if l == nil || l.inFlight[request.work.ID] == nil || request.job != request.work.Job() {
 		return &requestHistory{}
@@ -86,10 +87,10 @@
 	return attempt
 }
 
-// idleCores says where a core is idle: at an executor that the node has used, in its zone, anywhere.
+// idleCores holds whether a core is idle at an executor that a node has used, at one in the node's zone, and at any executor.
 type idleCores struct{ used, zone, any bool }
 
-// idleCores says where a core is idle for a node now, at executors other than the given one.
+// idleCores returns where a core is idle now, other than at the given executor.
 func (l *accountLedger) idleCores(n *simNode, except *executor) (idle idleCores) {
 	for _, x := range l.sim.executors {
 		if x == except || x.InFlight()+l.attemptsInTransit[x] >= x.Cores || !x.Up || x.unreachable || x.Draining {
@@ -102,7 +103,7 @@
 	return idle
 }
 
-// recordReached records an attempt's arrival at its executor.
+// recordArrived records the arrival of an attempt at its executor.
 func (l *accountLedger) recordArrived(attempt *attemptHistory, work float64) {
 	attempt.arrivedAt = attempt.executor.sim.now
 	if l != nil {
@@ -111,7 +112,7 @@
 	}
 }
 
-// recordBegan records that the executor has started an attempt.
+// recordStarted records that the executor has started an attempt.
 func (l *accountLedger) recordStarted(attempt *attemptHistory) {
 	if attempt.startedAt != unsetTime {
 		return
@@ -127,7 +128,7 @@
 	}
 }
 
-// recordAnswer records an executor's answer to an attempt, or its notice.
+// recordAnswer records an executor's answer or notice for an attempt.
 func (l *accountLedger) recordAnswer(attempt *attemptHistory, answer emulator.MessageKind) {
 	switch answer {
 	case emulator.AttemptStarted:
@@ -137,7 +138,7 @@
 	}
 }
 
-// countTrue is 1 for true and 0 for false.
+// countTrue returns 1 for true and 0 for false.
 func countTrue(value bool) int {
 	if value {
 		return 1
@@ -145,8 +146,8 @@
 	return 0
 }
 
-// recordEnded records that the node is notified of an attempt's end. The attempt may still reach its executor, as a break does not stop
-// what is on its way; it then counts as arrived already.
+// recordEnded records that the node is notified of an attempt's end. An attempt that has not arrived yet counts as arrived from now on; it
+// may in fact still arrive, because a broken connection does not stop messages on their way.
 func (l *accountLedger) recordEnded(attempt *attemptHistory, outcome policy.Outcome) {
 	attempt.endedAtNode, attempt.outcome = attempt.executor.sim.now, outcome
 	if attempt.canceled {
@@ -158,7 +159,7 @@
 	}
 }
 
-// recordFinished records that a work is over for its client, and the value that it earned.
+// recordFinished records that a work item has ended for its client, and the value that it earned.
 func (l *accountLedger) recordFinished(work *emulator.Work, earned float64) {
 	if l == nil {
 		return
@@ -182,7 +183,7 @@
 	}
 }
 
-// finish makes the account; works that are still open have earned nothing.
+// finish returns the account. Work items that have not ended have earned nothing.
 func (l *accountLedger) finish() *Account {
 	sim := l.sim
 	for _, id := range slices.Sorted(maps.Keys(l.inFlight)) {
@@ -218,7 +219,7 @@
 	return a
 }
 
-// addClasses adds the rows of all works and of each class.
+// addClasses adds the row of all work items and the rows of the job classes.
 func (l *accountLedger) addClasses(a *Account) {
 	a.All.Name = "all"
 	a.WorstClass = 1
@@ -229,7 +230,7 @@
 	}
 }
 
-// addNodes adds the rows of the nodes, and the load of the executors.
+// addNodes adds the rows of the nodes and the load of the executors.
 func (l *accountLedger) addNodes(a *Account) {
 	executors := l.sim.executors
 	var busy []float64
--- a/internal/simulation/account_print.go
+++ b/internal/simulation/account_print.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Print prints the account: the value lost by cause as shares of the value offered, then the time of works that earned less.
+// Print prints the account: a table of the value lost to each cause, as fractions of the offered value, and a table of the times of the work
+// items that earned less than their full value.
 func (a *Account) Print(to io.Writer) {
 	fmt.Fprintf(to, "%s, seed %d, %d nodes, %d executors, %v, decided by: %s\n", a.Scenario, a.Seed, a.Nodes, a.Executors, time.Duration(a.Length), a.Policy)
 	fmt.Fprintf(to, "Earned %.4f of what was offered; in the worst 10 s %.4f, of the worst track %.4f\n", ratio(a.All.Earned, a.All.Offered), a.Worst, a.WorstClass)
@@ -34,12 +35,12 @@
 	}
 }
 
-// accountTable is a table with a row for each AccountRow, and a column for each cause that is not 0 in all rows.
+// accountTable is a table with one row for each AccountRow and one column for each cause that is not 0 in all rows.
 type accountTable struct {
-	header string                              // of the columns before the causes, separated by tabs
-	cells  func(r AccountRow) string           // of those columns
-	value  func(r AccountRow, c Cause) float64 // of a cause's cell
-	format string                              // of that value
+	header string                              // header of the columns before the causes, separated by tabs
+	cells  func(r AccountRow) string           // cells of those columns, separated by tabs
+	value  func(r AccountRow, c Cause) float64 // value of the cell of a cause
+	format string                              // format of that value
 }
 
 var lostTable = accountTable{
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -10,23 +10,23 @@
 	"birchstair/policy"
 )
 
-// Policy names what decides at the nodes of a world.
+// Policy names the policy of the nodes in a simulation.
 type Policy string
 
-// Policies. The last two are baselines that exist in simulations alone.
+// Policies. RandomPolicy and BestPolicy are baselines that exist only in simulations.
 const (
-	ModulePolicy Policy = "module" // package policy
-	RandomPolicy Policy = "random" // a random available executor, at once
-	BestPolicy   Policy = "best"   // the executor that by the true state of all would answer first; jobs queue until it has a place
+	ModulePolicy Policy = "module" // the policy of package policy, which real nodes use
+	RandomPolicy Policy = "random" // sends each job at once to a random available executor
+	BestPolicy   Policy = "best"   // knows the true state of all executors and sends a job to the one that would answer first; queues the job until that has a free slot
 )
 
-// Policies are all of them.
+// Policies lists all policies.
 var Policies = []Policy{ModulePolicy, RandomPolicy, BestPolicy}
 
-// baselineRetryDelay is how soon a baseline looks again at its queue.
+// queueRetryDelay is the interval at which a baseline tries again to place queued jobs.
 const queueRetryDelay = time.Millisecond
 
-// newPolicy makes what decides at the node.
+// newPolicy creates the node's policy.
 func (n *simNode) newPolicy(settings policy.Settings) node.Policy {
 	if n.sim.policy == ModulePolicy {
 		return policy.New(settings)
@@ -40,20 +40,20 @@
 	return b
 }
 
-// baseline is a policy that the real one is compared with. It chooses an executor for each job by choose, and another one after an
-// attempt that did not run or may be repeated.
+// baseline is a policy with which the real one is compared. It chooses an executor for each job with choose, and again after an attempt that
+// did not run or may be repeated.
 type baseline struct {
 	node      *simNode
 	settings  policy.Settings
-	choose    func(*baselineJob) policy.ExecutorID // "" to queue the job
+	choose    func(*baselineJob) policy.ExecutorID // returns the executor for a job; "" to queue the job
 	available map[policy.ExecutorID]bool
-	order     []policy.ExecutorID // available ones, in the world's order
+	order     []policy.ExecutorID // available executors, in the order of Simulation.executors
 	jobs      map[policy.JobID]*baselineJob
-	due       []policy.JobID
-	queued    []policy.JobID
-	retryAt   time.Duration // when the queue is looked at
-	noSlotAt  time.Duration // when there was last no place anywhere
-	watching  bool          // the endpoint list
+	due       []policy.JobID // jobs to place now
+	queued    []policy.JobID // jobs that wait for a free slot
+	retryAt   time.Duration  // time at which queued jobs are tried again
+	noSlotAt  time.Duration  // last time at which no executor had a free slot
+	watching  bool           // the watch of the endpoint list has been requested
 }
 
 // baselineJob is a job at a baseline.
@@ -61,7 +61,7 @@
 	id              policy.JobID
 	class           policy.JobClass
 	request         *clientRequest
-	deadline        time.Duration // its deadline on the process's clock
+	deadline        time.Duration // on the clock of the node's process
 	attempts        int
 	attemptInFlight bool
 	mayHaveRun      bool
@@ -74,7 +74,7 @@
 	b.due = append(b.due, arrival.Job)
 }
 
-// NextTask implements node.Policy. Queued jobs with the least time left go first.
+// NextTask implements node.Policy. Queued jobs are tried again in the order of their latency objectives.
 func (b *baseline) NextTask(now time.Duration) policy.DueTask {
 	if !b.watching {
 		b.watching = true
@@ -95,7 +95,7 @@
 	return policy.DueTask{At: now + time.Hour}
 }
 
-// objective is when a job must be answered to earn its full value.
+// objective returns the time by which a job must be answered to earn its full value.
 func (b *baseline) objective(id policy.JobID) time.Duration {
 	if job := b.jobs[id]; job != nil && job.request != nil {
 		return job.request.work.Objective
@@ -168,7 +168,7 @@
 	}
 }
 
-// random is a random available executor.
+// random returns a random available executor; "" if there is none.
 func (b *baseline) random(r *rand.Rand) policy.ExecutorID {
 	if len(b.order) == 0 {
 		return ""
@@ -176,59 +176,59 @@
 	return b.order[r.IntN(len(b.order))]
 }
 
-// soonest is the executor that would answer first of those that would have a place when the job came, by the true state of all, their
-// queues and what is on its way to them. It is "" if none would, or if waiting for a place elsewhere would bring an answer in time and
-// this executor would not.
+// earliestAnswer returns the executor that would answer first among those that would have a free slot when the job arrived. The forecast
+// uses the true state of the executors, with their queues and the jobs on their way to them. earliestAnswer returns "" if no executor would
+// have a free slot, or if this executor would answer too late and waiting for a slot at another one would give an answer in time.
 func (b *baseline) earliestAnswer(job *baselineJob) policy.ExecutorID {
 	sim := b.node.sim
 	if b.noSlotAt == sim.now {
-		return "" // no place has become free since
+		return "" // no time has passed since no slot was free
 	}
-	var free *executor
-	firstFree, first := policy.Forever, policy.Forever
+	var earliest *executor
+	earliestDone, earliestAnywhere := policy.Forever, policy.Forever
 	for _, x := range sim.executors {
 		if !b.usable(x) {
 			continue
 		}
-		hasPlace, done := b.forecast(x, job)
-		first = min(first, done)
-		if hasPlace && done < firstFree {
-			free, firstFree = x, done
+		hasSlot, done := b.forecast(x, job)
+		earliestAnywhere = min(earliestAnywhere, done)
+		if hasSlot && done < earliestDone {
+			earliest, earliestDone = x, done
 		}
 	}
-	if free == nil {
+	if earliest == nil {
 		b.noSlotAt = sim.now
 		return ""
 	}
-	if objective := job.request.work.Objective; firstFree > objective && first <= objective {
+	if objective := job.request.work.Objective; earliestDone > objective && earliestAnywhere <= objective {
 		return ""
 	}
-	free.assignedJobs = append(free.assignedJobs, job)
+	earliest.assignedJobs = append(earliest.assignedJobs, job)
 	job.request.delivered = false
-	return free.ID
+	return earliest.ID
 }
 
-// usable says whether an executor is available, by the endpoint list and in truth.
+// usable returns whether an executor is available both in the endpoint list and in fact.
 func (b *baseline) usable(x *executor) bool {
-	trouble := x.Faults()
-	healthy := x.Up && !x.unreachable && !x.Draining && !trouble.Unresponsive && trouble.Errors <= 0
+	faults := x.Faults()
+	healthy := x.Up && !x.unreachable && !x.Draining && !faults.Unresponsive && faults.Errors <= 0
 	return b.available[x.ID] && healthy && b.node.sim.linked(b.node.zone, x.Zone)
 }
 
-// forecast says whether an executor will have a place when a job that is sent now arrives, and when its answer will be back.
-func (b *baseline) forecast(x *executor, job *baselineJob) (hasPlace bool, done time.Duration) {
+// forecast returns whether an executor will have a free slot when a job that is sent now arrives, and when the answer would arrive here.
+func (b *baseline) forecast(x *executor, job *baselineJob) (hasSlot bool, done time.Duration) {
 	sim := b.node.sim
 	delay := sim.minDelay(b.node.zone, x.Zone)
 	arrival := sim.now + delay
 	if !b.node.hasIdleConn(x) {
 		arrival += 2 * delay // for the dial
 	}
-	placeFree, rate := x.NextFreeSlot(sim.now, sim.assignedWork(x))
-	done = max(placeFree, arrival) + time.Duration(job.request.work.Cost/rate*1e9) + delay
-	return placeFree <= arrival, done
+	freeAt, rate := x.NextFreeSlot(sim.now, sim.assignedWork(x))
+	done = max(freeAt, arrival) + time.Duration(job.request.work.Cost/rate*1e9) + delay
+	return freeAt <= arrival, done
 }
 
-// assignedWork is the work that the best policy has sent to an executor and that has not arrived yet.
+// assignedWork returns the work of the jobs that BestPolicy has sent to an executor and that have not arrived yet.
 func (sim *Simulation) assignedWork(x *executor) (work []float64) {
 	x.assignedJobs = slices.DeleteFunc(x.assignedJobs, func(job *baselineJob) bool {
 		n := job.request.node
@@ -240,7 +240,7 @@
 	return work
 }
 
-// The methods of node.Policy for which a baseline has no use.
+// The remaining methods of node.Policy do nothing, as a baseline does not need them.
 
 // AttemptStarted implements node.Policy.
 func (b *baseline) AttemptStarted(time.Duration, policy.JobID, policy.AttemptID) {}
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Offer is a work that clients wanted.
+// Offer is the demand of a work item: when it arrived, its latency objective, its work and its value.
 type Offer struct {
-	ArrivedAt, Objective time.Duration // it earns its value within this time
+	ArrivedAt, Objective time.Duration // it has its value if it is completed within this time
 	Work                 float64       // in seconds on a standard core
-	Value                float64       // its value
+	Value                float64
 }
 
-// Bin is the length of the bins in which capacity is counted.
+// Bin is the length of the time bins in which capacity is counted.
 const Bin = 250 * time.Millisecond
 
-// Best is an upper bound of the value that could have been earned with a capacity, given as work for each bin. Offers with most value
-// for their work go first, each into the first bins of its time with capacity left.
+// Best returns an upper bound of the value that any policy could earn with the capacity, which is the possible work in each bin. It places
+// the offers with the highest value density first, each into the earliest bins between its arrival and its objective that have capacity left.
 func Best(offers []Offer, capacity []float64) float64 {
 	left := slices.Clone(capacity)
 	offers = slices.Clone(offers)
@@ -35,24 +35,24 @@
 	return sum
 }
 
-// sampleCapacity adds the bin that begins now: the capacity of the executors that work and that a running node can reach.
+// sampleCapacity adds the bin that begins now, with the capacity of the working executors that a running node can reach.
 func (r *Result) sampleCapacity(sim *Simulation) {
 	capacity := 0.0
 	for _, x := range sim.executors {
-		trouble := x.Faults()
-		if !x.Up || x.unreachable || x.Draining || trouble.Unresponsive || !sim.reachable(x) {
+		faults := x.Faults()
+		if !x.Up || x.unreachable || x.Draining || faults.Unresponsive || !sim.reachable(x) {
 			continue
 		}
-		share := (1 - trouble.Errors) * (1 - trouble.Neighbor/2) / max(1, trouble.Slow)
-		if trouble.StallEvery > 0 {
-			share *= 1 - trouble.StallFor.Seconds()/trouble.StallEvery.Seconds()
+		fraction := (1 - faults.Errors) * (1 - faults.Neighbor/2) / max(1, faults.Slow)
+		if faults.StallEvery > 0 {
+			fraction *= 1 - faults.StallFor.Seconds()/faults.StallEvery.Seconds()
 		}
-		capacity += x.Capacity(sim.now) * share
+		capacity += x.Capacity(sim.now) * fraction
 	}
 	r.capacity = append(r.capacity, capacity*Bin.Seconds())
 }
 
-// reachable says whether a running node may send to an executor: their zones are linked, and operators have not excluded it there.
+// reachable returns whether any running node may send to the executor: their zones are linked, and operators have not excluded it there.
 func (sim *Simulation) reachable(x *executor) bool {
 	for _, n := range sim.nodes {
 		_, excluded := n.excluded[x.ID]
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -31,7 +31,7 @@
 	}
 	rates := sim.scenario.Rates(capacity)
 	for i, zone := range fleet.Zones {
-		habits := emulator.Behavior{
+		behavior := emulator.Behavior{
 			Rate:              rates[i],
 			Loops:             load.Loops,
 			Think:             time.Duration(load.ThinkTime),
@@ -44,7 +44,7 @@
 			HintNoise:         load.HintNoise,
 		}
 		c := &zoneClients{sim: sim, zone: policy.ZoneID(i)}
-		c.Clients = emulator.NewClients(zone+"-", sim.classes, habits, fleet.ValuePerWork, stream(sim.seed, clientStream+zone))
+		c.Clients = emulator.NewClients(zone+"-", sim.classes, behavior, fleet.ValuePerWork, stream(sim.seed, clientStream+zone))
 		sim.clients = append(sim.clients, c)
 		sim.at(clientsStartAfter+c.Gap()/2, c.arrivals)
 		for client := range load.Loops {
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -162,6 +162,6 @@
 	return slices.SortedFunc(maps.Values(conns), func(a, b *executorConn) int { return cmp.Compare(a.id, b.id) })
 }
 
-func sortedByExecutorKey(conns map[emulator.ConnID]*executorConn) []*executorConn {
+func sortedByKey(conns map[emulator.ConnID]*executorConn) []*executorConn {
 	return slices.SortedFunc(maps.Values(conns), func(a, b *executorConn) int { return cmp.Compare(a.key, b.key) })
 }
--- a/internal/simulation/conn_faults.go
+++ b/internal/simulation/conn_faults.go
@@ -55,19 +55,19 @@
 }
 
 // resetOpenConns breaks a fraction of the open connections to executors, within the next resetPeriod.
-func (sim *Simulation) resetOpenConns(share float64) {
+func (sim *Simulation) resetOpenConns(fraction float64) {
 	for _, conn := range sim.openConns() {
-		if sim.networkRand.Float64() < share {
+		if sim.networkRand.Float64() < fraction {
 			conn.breakAt(time.Duration(sim.networkRand.Int64N(int64(resetPeriod))))
 		}
 	}
 }
 
 // resetClientConns breaks a fraction of the connections on which clients wait.
-func (sim *Simulation) resetClientConns(share float64) {
+func (sim *Simulation) resetClientConns(fraction float64) {
 	for _, n := range sim.nodes {
 		for _, request := range n.requestsInFlight() {
-			if n.up && sim.networkRand.Float64() < share {
+			if n.up && sim.networkRand.Float64() < fraction {
 				n.resetClient(request)
 			}
 		}
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -11,19 +11,19 @@
 	"birchstair/internal/emulator"
 )
 
-// Size bounds the scenarios that are drawn.
+// Size limits the scenarios that Draw draws.
 type Size struct {
-	Nodes     int           // at most
-	Executors int           // at most
-	Length    time.Duration // of the time in which works come
-	SlowStart bool          // scenarios of 20 and 30 nodes about the slow start of executors
+	Nodes     int           // largest number of nodes
+	Executors int           // largest number of executors
+	Length    time.Duration // time during which clients submit new work
+	SlowStart bool          // draw scenarios with 20 or 30 nodes that stress the slow start of executors
 }
 
-// adminFaults are the kinds of fault that operators cause.
+// adminFaults are the kinds of fault that consist of operators' commands.
 var adminFaults = []emulator.Kind{emulator.Excluded, emulator.ClientsDrained}
 
-// Draw draws a scenario and its faults from a seed. Later additions draw from streams of their own, so that the rest of a seed's scenario
-// stays as it was before them.
+// Draw draws a scenario and its faults from a seed. Each feature that was added later draws from a random stream of its own, so that the
+// rest of a seed's scenario has stayed the same.
 func Draw(seed uint64, size Size) Scenario {
 	r := stream(seed, drawStream)
 	s := base()
@@ -46,10 +46,10 @@
 // round rounds to three decimals.
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
 
-// oneIn is true once in n times.
+// oneIn returns true with a probability of 1/n.
 func oneIn(r *rand.Rand, n int) bool { return r.IntN(n) == 0 }
 
-// otherFaults are the kinds of fault that need neither operators nor gossip.
+// otherFaults returns the kinds of fault that need neither operators nor gossip.
 func otherFaults() []emulator.Kind {
 	return slices.DeleteFunc(emulator.Kinds(), func(k emulator.Kind) bool {
 		return slices.Contains(adminFaults, k) || slices.Contains(gossipFaults, k)
@@ -137,19 +137,19 @@
 	}
 	l.HintNoise = [...]float64{0.2, 0, 0.6, -1}[r.IntN(4)]
 	l.BodyBytes = [...]int{0, 1 << 10, 64 << 10}[r.IntN(3)]
-	if oneIn(r, 6) { // closed loops beside the open one
+	if oneIn(r, 6) { // closed loops in addition to the open loop
 		l.Loops = 1 + r.IntN(6)
 		l.ThinkTime = milliseconds(r.IntN(300))
 	}
 }
 
-// drawFeatures draws what the policy may do beside one attempt at a time.
+// drawFeatures draws whether the policy may hedge jobs and check executors' health.
 func drawFeatures(r *rand.Rand, f *Fleet) {
 	f.MayHedge = oneIn(r, 2)
 	f.MayCheckHealth = oneIn(r, 2)
 }
 
-// drawGossip draws whether nodes gossip, and what goes wrong with their messages then.
+// drawGossip draws whether nodes gossip, and if so the faults of their messages.
 func drawGossip(r *rand.Rand, s *Scenario) {
 	if !oneIn(r, 2) {
 		return
@@ -163,7 +163,7 @@
 	drawFaults(r, s, 3, gossipFaults)
 }
 
-// drawFaults draws up to most faults of some kinds.
+// drawFaults draws at most most faults of the given kinds.
 func drawFaults(r *rand.Rand, s *Scenario, most int, kinds []emulator.Kind) {
 	for range r.IntN(most + 1) {
 		s.Faults = append(s.Faults, drawFault(r, s, kinds[r.IntN(len(kinds))]))
@@ -192,7 +192,7 @@
 	return fault
 }
 
-// drawnSizes narrows the sizes of a kind of fault to those from which a world can recover.
+// drawnSizeRange narrows the range of a fault's size to sizes from which the simulation can recover.
 func drawnSizeRange(kind emulator.Kind, least, most float64) (float64, float64) {
 	switch kind {
 	case emulator.SlowExecutors, emulator.HeavyTail:
@@ -207,11 +207,11 @@
 	return least, most
 }
 
-// drawTargets draws all, those of a zone, some, or one.
+// drawTargets draws the targets of a fault: all, those of a zone, a random set, or a single one.
 func drawTargets(r *rand.Rand, letter string, count int, zone string) (targets []string) {
 	switch r.IntN(5) {
 	case 0:
-		return nil // all
+		return nil // nil stands for all
 	case 1:
 		return []string{zone}
 	case 2:
--- a/internal/simulation/draw_slow_start.go
+++ b/internal/simulation/draw_slow_start.go
@@ -9,19 +9,19 @@
 	"birchstair/internal/emulator"
 )
 
-// startFaults are the kinds of fault after which executors start cold.
+// startFaults are the kinds of fault after which executors restart and are in slow start.
 var startFaults = []emulator.Kind{emulator.Crash, emulator.HostLost, emulator.Replace, emulator.AddressChanged, emulator.Drain, emulator.ZoneLost}
 
-// startSideFaults are the kinds that make it harder for nodes to share the slow-start budget meanwhile.
+// startSideFaults are the kinds of fault that make it harder for nodes to share the slow-start budget at that time.
 var startSideFaults = []emulator.Kind{emulator.NodeKilled, emulator.NodeKilled, emulator.NodeRestart, emulator.NodePaused, emulator.DiscoveryDelayed,
 	emulator.DiscoveryUnreachable, emulator.DiscoverySilent, emulator.SilentNew}
 
-// maxOtherFaults is the number of faults that a slow-start scenario keeps of those drawn before.
+// maxOtherFaults is the number of previously drawn faults that a slow-start scenario keeps.
 const maxOtherFaults = 2
 
-// drawSlowStart makes a drawn scenario one about the slow start of executors (rule 4): 20 or 30 nodes, most of which share nothing,
-// executors that start, join or come back under a burst, and nodes that restart, are suspended or are notified late just then. Jobs are
-// small enough for slow-start budgets of one to some hundreds.
+// drawSlowStart changes a drawn scenario to stress the slow-start budget of executors (rule 4). It has 20 or 30 nodes, usually without
+// gossip. Executors start, join or restart under a burst of traffic, and at that time nodes restart, are suspended or receive updates of the
+// endpoint list late. The work of jobs is so small that a slow-start budget is from one to several hundred jobs.
 func drawSlowStart(s *Scenario) {
 	r := stream(s.Seed, drawSlowStartStream)
 	s.About = fmt.Sprintf("Drawn from seed %d for cold executors among many nodes.", s.Seed)
@@ -37,7 +37,7 @@
 	sortFaults(s)
 }
 
-// millisecondsBetween is a random whole number of milliseconds from least to under most.
+// millisecondsBetween returns a random duration in whole milliseconds, at least least and below most.
 func millisecondsBetween(r *rand.Rand, least, most int) Span {
 	return milliseconds(least + r.IntN(most-least))
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// drawStart draws a start of executors under a burst, perhaps a second one while they warm up, and faults beside it.
+// drawStart draws a restart of executors under a burst, sometimes a second restart while they warm up, and simultaneous faults.
 func drawStart(r *rand.Rand, s *Scenario) {
 	start := drawFault(r, s, startFaults[r.IntN(len(startFaults))])
 	start.At = millisecondsBetween(r, 1000, int(time.Duration(s.Length)/(2*time.Millisecond)))
@@ -81,7 +81,7 @@
 	}
 }
 
-// drawSideFault draws a fault about the time at which executors have started.
+// drawSideFault draws a fault that begins within the last second before executors have started.
 func drawSideFault(r *rand.Rand, s *Scenario, started Span) Fault {
 	fault := drawFault(r, s, startSideFaults[r.IntN(len(startSideFaults))])
 	fault.At = max(0, started-millisecondsBetween(r, 0, 1000))
@@ -90,7 +90,7 @@
 		fault.Size = round(0.1 + 3*r.Float64())
 	}
 	if oneIn(r, 2) && (fault.Kind == emulator.NodeKilled || fault.Kind == emulator.NodePaused) {
-		fault.Where = nil // all nodes
+		fault.Where = nil // nil stands for all nodes
 	}
 	return fault
 }
--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -121,7 +121,7 @@
 func (x *executor) restart() {
 	sim := x.sim
 	x.unreachable = false
-	for _, conn := range sortedByExecutorKey(x.conns) { // connections of the previous process
+	for _, conn := range sortedByKey(x.conns) { // connections of the previous process
 		delete(x.conns, conn.key)
 		conn.toNode(func() { conn.breakConn("reset by the executor") })
 	}
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -56,9 +56,9 @@
 
 // applyFaults applies the combination of the faults that slow the executor down or make it fail.
 func (x *executor) applyFaults() {
-	trouble := emulator.Combine(x.faults)
-	trouble.FalseRejections = x.Faults().FalseRejections
-	x.apply(x.SetFaults(x.sim.now, trouble))
+	faults := emulator.Combine(x.faults)
+	faults.FalseRejections = x.Faults().FalseRejections
+	x.apply(x.SetFaults(x.sim.now, faults))
 }
 
 // stop ends the executor's process. If its machine vanishes with it, nodes are not notified, and discovery notices only later.
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Hunt plays the drawn scenarios of all seeds from first to last, several at a time (parallel; 0 for as many as there are processors),
-// and calls found with each result, in the order of the seeds and never twice at a time. It stops soon after found returns false.
+// Hunt plays the drawn scenarios of all seeds from first to last and calls found with each result, in the order of the seeds and never
+// concurrently. It plays up to parallel simulations at a time; 0 stands for GOMAXPROCS. It stops soon after found returns false.
 func Hunt(first, last uint64, size Size, parallel int, found func(Scenario, Result) bool) {
 	if parallel <= 0 {
 		parallel = runtime.GOMAXPROCS(0)
@@ -23,12 +23,12 @@
 type hunt struct {
 	size     Size
 	found    func(Scenario, Result) bool
-	lastSeed uint64 // seed
+	lastSeed uint64
 
-	mu         sync.Mutex // guards the fields below, and calls of found
-	nextSeed   uint64     // to be played
-	nextResult uint64     // seed whose result is reported next
-	waiting    map[uint64]huntResult
+	mu         sync.Mutex            // guards the fields below and calls to found
+	nextSeed   uint64                // next seed to play
+	nextResult uint64                // seed of the next result to report
+	waiting    map[uint64]huntResult // results of later seeds that can't be reported yet
 	stopped    bool
 }
 
@@ -37,7 +37,7 @@
 	result   Result
 }
 
-// play plays seeds until there are no more.
+// play plays seeds until none is left or the hunt is stopped.
 func (h *hunt) play() {
 	for {
 		seed, ok := h.takeSeed()
@@ -60,7 +60,7 @@
 	return seed, true
 }
 
-// report reports a result and those that have waited for it.
+// report stores a result, and reports all results that are next in order.
 func (h *hunt) report(seed uint64, played huntResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/simulation/kill_clients.go
+++ b/internal/simulation/kill_clients.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	clientTimeout   = 90 * time.Second // until a client gives up its job
-	callTimeout     = 10 * time.Second
-	clientBackoff   = 30 * time.Millisecond  // after an error or 503
-	confirmDelay    = 500 * time.Millisecond // until a final answer is asked for again, perhaps of the next process
-	durableBudgetMS = "60000"                // header of a submission
-	pollQuery       = "?wait_ms=1000"
+	clientTimeout   = 90 * time.Second       // time after which a client gives up its job
+	callTimeout     = 10 * time.Second       // timeout of a single HTTP request
+	clientBackoff   = 30 * time.Millisecond  // time that a client waits after an error or status 503
+	confirmDelay    = 500 * time.Millisecond // time until a client requests the final answer once more, perhaps from the next process
+	durableBudgetMS = "60000"                // X-Budget-Ms of a submission
+	pollQuery       = "?wait_ms=1000"        // lets the node wait up to 1 s for the final answer
 )
 
-// client submits a job until it is acknowledged, and polls until it has seen one final answer twice, whatever happens to the node.
+// client submits a job until it is acknowledged, and polls until it has received the same final answer twice. It retries when the node is
+// down or not ready.
 func (r *killRun) client(id, class string) {
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	url := "http://" + r.listen + "/-/jobs/" + id
@@ -35,7 +36,7 @@
 		case !acknowledged && (status == http.StatusCreated || status == http.StatusOK):
 			acknowledged = true
 		case status != http.StatusOK:
-			r.violation("%s: %s answered with status %d: %s", id, method, status, text)
+			r.violation("%s: %s returned status %d: %s", id, method, status, text)
 			return
 		case json.Unmarshal(text, &answer) == nil && answer.Final != "":
 			if r.recordFinal(id, answer.Final) {
@@ -46,19 +47,19 @@
 	}
 }
 
-// recordFinal records a final answer. It says true if the client is done: the answer is confirmed, or differs from the one before.
+// recordFinal records a final answer. It returns true if this is the second answer, which confirms or contradicts the first.
 func (r *killRun) recordFinal(id, final string) (done bool) {
 	r.mu.Lock()
 	before := r.finals[id]
 	r.finals[id] = final
 	r.mu.Unlock()
 	if before != "" && before != final {
-		r.violation("%s has two final answers, %s and %s", id, before, final)
+		r.violation("%s has two different final answers, %s and %s", id, before, final)
 	}
 	return before != ""
 }
 
-// call makes one HTTP call.
+// call sends one HTTP request and returns the status and body of the response.
 func call(client *http.Client, method, url, class string, body []byte) (status int, text []byte, err error) {
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -13,49 +13,49 @@
 	"time"
 )
 
-// KillTest is a run of real processes on loopback: a node with durable jobs that is killed by SIGKILL at random times, emulated executors,
-// and clients that submit until their job is acknowledged and poll until they have a final answer.
+// KillTest is a run of real processes on loopback: a node with durable jobs that is killed with SIGKILL at random times, emulated executors,
+// and clients. Each client submits its job until the node acknowledges it, and then polls until it has a final answer.
 type KillTest struct {
-	Binary string // birchstair
+	Binary string // path of the birchstair program
 	Seed   uint64
-	Jobs   int
-	Kills  int
+	Jobs   int    // number of durable jobs
+	Kills  int    // number of times that the node is killed
 	Leases bool   // executors honor leases
 	Dir    string // an empty directory for the run's files; the caller removes it
 }
 
-// KillResult is what came of a run.
+// KillResult is the result of a KillTest.
 type KillResult struct {
-	Finals     map[string]int // final answers, by name
-	Violations []string       // what must not have happened
+	Finals     map[string]int // number of jobs by the name of their final answer
+	Violations []string       // descriptions of what must not have happened
 }
 
 // The timing of a run.
 const (
-	submitInterval   = 15 * time.Millisecond
-	minUptimeMS      = 20  // milliseconds from a start to the next kill, at least
-	uptimeRangeMS    = 400 // milliseconds beyond that, uniform
+	submitInterval   = 15 * time.Millisecond // time between the submissions of two jobs
+	minUptimeMS      = 20                    // shortest time from a start to the next kill, in milliseconds
+	uptimeRangeMS    = 400                   // range of the uniformly distributed additional time, in milliseconds
 	readyTimeout     = 10 * time.Second
 	readyPoll        = 10 * time.Millisecond
-	loggedTailLength = 500 // bytes of the node's log in a report
-	killStream       = 4   // second word of the seed
+	loggedTailLength = 500 // number of bytes at the end of the node's log that a violation quotes
+	killStream       = 4   // second word of the random seed
 )
 
-// killRun is the state of a run.
+// killRun is the state of a running KillTest.
 type killRun struct {
 	KillTest
-	listen string // the node's address
-	site   string // files
-	config string
+	listen string // address of the node
+	site   string // path of the operator's file
+	config string // path of the node's configuration
 
-	mu         sync.Mutex // guards the fields below
-	runsOfJob  map[string]int
+	mu         sync.Mutex        // guards the fields below
+	runsOfJob  map[string]int    // number of runs by job
 	finals     map[string]string // by job
 	violations []string
 	rand       *rand.Rand
 }
 
-// Play plays the run. An error means that it could not be played.
+// Play plays the run. It returns an error if the run could not be played to its end.
 func (k KillTest) Play() (KillResult, error) {
 	r := &killRun{KillTest: k, runsOfJob: map[string]int{}, finals: map[string]string{}, rand: rand.New(rand.NewPCG(k.Seed, killStream))}
 	closeAll, err := r.setUp()
@@ -87,7 +87,7 @@
 
 func jobName(i int) string { return fmt.Sprint("job", i) }
 
-// start starts the node.
+// start starts the node's process.
 func (r *killRun) start() (*exec.Cmd, error) {
 	log, err := os.OpenFile(r.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -101,7 +101,7 @@
 
 func (r *killRun) logFile() string { return filepath.Join(r.Dir, "log") }
 
-// killAndRestart kills the node and starts it again.
+// killAndRestart kills the node's process and starts a new one.
 func (r *killRun) killAndRestart(node *exec.Cmd) (*exec.Cmd, error) {
 	if err := node.Process.Kill(); err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	return r.start()
 }
 
-// shutDown shuts the node down gracefully, once it is ready: before that it does not listen to signals.
+// shutDown shuts the node down gracefully. It waits until the node is ready, as the node ignores signals before that.
 func (r *killRun) shutDown(node *exec.Cmd) {
 	r.awaitReady()
 	node.Process.Signal(syscall.SIGTERM)
@@ -121,11 +121,11 @@
 		if logErr != nil {
 			log = []byte(logErr.Error())
 		}
-		r.violation("a planned end: %v; its log ends with %s", err, log[max(0, len(log)-loggedTailLength):])
+		r.violation("the node's graceful shutdown failed: %v; its log ends with %s", err, log[max(0, len(log)-loggedTailLength):])
 	}
 }
 
-// awaitReady waits until the node says that it is ready.
+// awaitReady waits until the node reports that it is ready.
 func (r *killRun) awaitReady() {
 	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(readyPoll) {
 		answer, err := http.Get("http://" + r.listen + "/-/ready")
@@ -137,40 +137,40 @@
 			return
 		}
 	}
-	r.violation("the node is not ready again")
+	r.violation("the node was not ready within %v after its last start", readyTimeout)
 }
 
-// verdict says what is wrong with what was seen.
+// outcome counts the final answers and returns all violations.
 func (r *killRun) outcome() KillResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := KillResult{Finals: map[string]int{}, Violations: r.violations}
+	result := KillResult{Finals: map[string]int{}, Violations: r.violations}
 	for i := range r.Jobs {
 		id, once := jobName(i), killClasses[i%len(killClasses)].repeat == killAtMostOnce
 		final, runs := r.finals[id], r.runsOfJob[id]
-		out.Finals[final]++
+		result.Finals[final]++
 		switch {
 		case final == "":
-			out.Violations = append(out.Violations, id+" has no final answer")
+			result.Violations = append(result.Violations, id+" has no final answer")
 		case once && runs > 1:
-			out.Violations = append(out.Violations, fmt.Sprintf("%s, once-only, ran %d times", id, runs))
+			result.Violations = append(result.Violations, fmt.Sprintf("at-most-once job %s ran %d times", id, runs))
 		case final == "handled" && runs == 0:
-			out.Violations = append(out.Violations, id+" was handled and never ran")
+			result.Violations = append(result.Violations, id+" has the final answer handled but never ran")
 		case final == "pushed back" && once && runs > 0:
-			out.Violations = append(out.Violations, id+" was pushed back and ran")
+			result.Violations = append(result.Violations, id+" has the final answer pushed back but ran")
 		}
 	}
-	return out
+	return result
 }
 
-// violation records what must not have happened.
+// violation records that something happened that must not happen.
 func (r *killRun) violation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// randomN is a random number under n.
+// randomN returns a random number from 0 to below n.
 func (r *killRun) randomN(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/simulation/kill_setup.go
+++ b/internal/simulation/kill_setup.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	killExecutors  = 3
-	maxRunTimeMS   = 120 // of a job, in milliseconds, uniform
+	killExecutors  = 3   // number of emulated executors
+	maxRunTimeMS   = 120 // longest run time of a job, in milliseconds; run times are uniformly distributed
 	killAtMostOnce = "once"
-	durablePrefix  = "durable-" // of the IDs that a node gives to durable jobs at executors
+	durablePrefix  = "durable-" // prefix that a node adds to the IDs of durable jobs at executors
 )
 
-// killClasses are the job classes of a run, as the platform's configuration names their idempotency.
+// killClasses are the job classes of a run. repeat is the idempotency as the node's configuration names it.
 var killClasses = [2]struct{ name, repeat string }{{"page", "repeatable"}, {"order", killAtMostOnce}}
 
-// siteFormat is the operator's file of the node.
+// siteFormat is the format of the node's operator file. Its arguments are the store's directory and whether executors honor leases.
 const siteFormat = `[durable]
 dir = %q
 outer-limit = "2m"
@@ -36,7 +36,7 @@
 leases = %v
 `
 
-// killConfig is the node's configuration, as far as a run sets it.
+// killConfig is the node's configuration, with the fields that a run sets.
 type killConfig struct {
 	Name      string       `json:"name"`
 	Listen    string       `json:"listen"`
@@ -71,7 +71,8 @@
 	Value     float64 `json:"earnings"`
 }
 
-// setUp starts the emulated executors and discovery, and writes the node's files. closeAll ends what was started, also after an error.
+// setUp starts the emulated executors and discovery, and writes the node's files. closeAll closes all listeners; it must be called even if
+// setUp returns an error.
 func (r *killRun) setUp() (closeAll func(), err error) {
 	var open []net.Listener
 	closeAll = func() {
@@ -108,7 +109,7 @@
 	return closeAll, r.writeFiles(discovery.Addr().String())
 }
 
-// newExecutor is an emulated executor that counts how often each job runs.
+// newExecutor returns an emulated executor that counts how often each job runs.
 func (r *killRun) newExecutor(id policy.ExecutorID) *platform.Executor {
 	return &platform.Executor{
 		ID:      id,
--- a/internal/simulation/malformed_clients.go
+++ b/internal/simulation/malformed_clients.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// malformedReplyTimeout is how soon a malformed request must be answered with an error, or its connection closed.
+// malformedReplyTimeout is the time within which a node must answer a malformed request with an error, or close its connection.
 const malformedReplyTimeout = 3 * time.Second
 
 // classPlaceholder stands for the name of a job class in malformedRequests.
 const classPlaceholder = "TRACK"
 
-// malformedRequests are what malformed clients send. A request that is hidden in the body of another must not be served.
+// malformedRequests are the requests that malformed clients send. One hides a request in the body of another, which must not be served.
 var malformedRequests = []string{
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
 	"GET",
@@ -34,12 +34,12 @@
 	"POST /x HTTP/1.1\r\n" + strings.Repeat("X-Long: "+strings.Repeat("y", 1000)+"\r\n", 40),
 }
 
-// requestHead is the head of a request with these header fields.
+// requestHead returns the head of a request with the given header fields.
 func requestHead(fields ...string) string {
 	return "POST /x HTTP/1.1\r\nHost: backend.local\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
 }
 
-// startMalformedClients sends a malformed request to each node at the scenario's rate, of all kinds in turn.
+// startMalformedClients sends malformed requests to each node at the scenario's rate, cycling through malformedRequests.
 func (ns *networkedSimulation) startMalformedClients() {
 	sim := ns.sim
 	gap, turn := time.Duration(1e9/sim.scenario.Load.MalformedRate), 0
@@ -60,7 +60,7 @@
 	sim.after(clientsStartAfter, next)
 }
 
-// sendMalformed sends a malformed request to a node and reads what comes back.
+// sendMalformed sends a malformed request to a node and checks the answer.
 func (ns *networkedSimulation) sendMalformed(p *nodeProcess, id, request string) {
 	ctx, cancel := context.WithTimeout(context.Background(), malformedReplyTimeout)
 	defer cancel()
@@ -69,7 +69,7 @@
 		return
 	}
 	defer conn.Close()
-	conn.Write([]byte(request)) //nolint:errcheck // reading the answer shows what became of the connection
+	conn.Write([]byte(request)) //nolint:errcheck // reading the answer reports an error of the connection
 	conn.SetReadDeadline(time.Now().Add(malformedReplyTimeout))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	ns.locked(func() {
--- a/internal/simulation/networked.go
+++ b/internal/simulation/networked.go
@@ -11,40 +11,40 @@
 	"birchstair/policy"
 )
 
-// shutdownWait is how long a wired world waits at its end for goroutines to find that it is over.
+// goroutineExitTime is the time that goroutines have to exit after the simulation has ended.
 const goroutineExitTime = 10 * time.Second
 
-// wiredWorld plays a world with the nodes' network code, net/http's server and client among it, on connections in memory. Models and
-// script are those of an event world; what passes between them is bytes. It reads the time by package time only: on a virtual clock
-// (testing/synctest) it takes as long as its work, elsewhere as long as the world lasts.
+// networkedSimulation runs a simulation with the nodes' real network code, including net/http's server and client, over in-memory
+// connections. Executors, discovery, clients and faults are the models that Play uses, but exchange bytes with the nodes. It uses the clock
+// of package time: on the virtual clock of testing/synctest it takes only its computing time, elsewhere the whole simulated time.
 type networkedSimulation struct {
 	sim         *Simulation
 	net         *memnet.Net
 	start       time.Time
-	rescheduled chan struct{} // the next event may be another one now
-	done        chan struct{} // closed at the world's end
+	rescheduled chan struct{} // wakes sleep when an event was scheduled, as it may be the next one
+	done        chan struct{} // closed when the simulation ends
 
-	mu               sync.Mutex // guards the world and the fields below; taken before the network's lock
-	ended            bool       // the world is over: whatever still goes on does not count
+	mu               sync.Mutex // guards sim and the fields below; acquired before the lock of net
+	ended            bool       // the simulation has ended; later events are ignored
 	requests         map[policy.JobID]*clientRequest
-	endpointsChanged chan struct{}         // closed when discovery may have an update
-	buffered         []bufferedObservation // of this instant, not sorted
+	endpointsChanged chan struct{}         // closed when discovery may have an update, and then replaced
+	buffered         []bufferedObservation // events at the current instant, not sorted yet
 	observations     int
 
-	pathMu      sync.Mutex // guards the fields below; taken after all other locks
+	pathMu      sync.Mutex // guards the fields below; acquired after all other locks
 	zoneOfHost  map[string]policy.ZoneID
 	partitions  []partition
 	unreachable map[string]bool
 }
 
-// bufferedObservation is an observation and its observer: those of one instant are sorted by observer.
+// bufferedObservation is an event with its observer, by which the events at one instant are sorted.
 type bufferedObservation struct {
 	observer string
 	order    int
 	invariants.Event
 }
 
-// PlayWired plays the world on connections in memory, in a testing/synctest bubble.
+// PlayNetworked runs the simulation with the nodes' network code over in-memory connections. It must be called in a testing/synctest bubble.
 func (sim *Simulation) PlayNetworked() Result {
 	ns := &networkedSimulation{
 		sim:              sim,
@@ -67,7 +67,7 @@
 	return sim.result
 }
 
-// play plays the world to its end and kills what still runs.
+// play runs the simulation to its end and kills the nodes that still run.
 func (ns *networkedSimulation) play() {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
@@ -86,7 +86,7 @@
 	ns.ended = true
 }
 
-// step runs the next event, or waits for its time without the lock. It says false at the world's end.
+// step runs the next event, or releases the lock and waits for its time. It returns false at the end of the simulation.
 func (ns *networkedSimulation) step() bool {
 	sim := ns.sim
 	end := sim.lastDeadline()
@@ -110,7 +110,7 @@
 	return true
 }
 
-// sleep waits for a time, or until an event is scheduled.
+// sleep waits for the given time, or until an event is scheduled.
 func (ns *networkedSimulation) sleep(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	select {
@@ -120,7 +120,7 @@
 	}
 }
 
-// locked runs a function on the world at the present time, under the lock. After the world's end it does nothing.
+// locked runs a function with the lock held and the simulation's clock at the present time. It does nothing once the simulation has ended.
 func (ns *networkedSimulation) locked(run func()) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
@@ -131,7 +131,7 @@
 	run()
 }
 
-// eventScheduled wakes the player: the new event may be the next one.
+// eventScheduled wakes sleep, because the new event may be the next one.
 func (ns *networkedSimulation) eventScheduled() {
 	select {
 	case ns.rescheduled <- struct{}{}:
@@ -139,7 +139,7 @@
 	}
 }
 
-// buffer keeps an observation until its instant is over.
+// buffer keeps an event until its instant is over.
 func (ns *networkedSimulation) buffer(observer string, s invariants.Event) {
 	if len(ns.buffered) > 0 && ns.buffered[0].At != s.At {
 		ns.flush()
@@ -148,7 +148,7 @@
 	ns.buffered = append(ns.buffered, bufferedObservation{observer, ns.observations, s})
 }
 
-// flush reports the observations of one instant in an order that does not depend on which goroutine was first.
+// flush reports the events at one instant in an order that does not depend on the scheduling of goroutines.
 func (ns *networkedSimulation) flush() {
 	slices.SortStableFunc(ns.buffered, func(a, b bufferedObservation) int {
 		return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.order, b.order))
--- a/internal/simulation/networked_clients.go
+++ b/internal/simulation/networked_clients.go
@@ -13,7 +13,7 @@
 	"birchstair/internal/invariants"
 )
 
-// submit sends a request to its node and waits for the answer in a goroutine.
+// submit starts a goroutine that sends a request to its node and waits for the answer.
 func (ns *networkedSimulation) submit(request *clientRequest) {
 	sim, p, work := ns.sim, request.node.process, request.work
 	from := "clients-" + sim.scenario.Fleet.Zones[request.clients.zone]
@@ -33,7 +33,7 @@
 	}()
 }
 
-// recordClientGone records the end of a client's connection when it arrives at the node's machine. Before that, the node can't see it.
+// recordClientGone records the end of a client's connection at the time when it arrives at the node's machine, before which the node can't detect it.
 func (ns *networkedSimulation) recordClientGone(request *clientRequest, from, host string) {
 	path := ns.path(from, host)
 	if path.Lost {
@@ -44,7 +44,7 @@
 	})
 }
 
-// call is a client's call to a node.
+// call sends a client's request to a node and returns the end of the request.
 func (ns *networkedSimulation) call(from, addr string, message platform.Request, request *clientRequest) (end emulator.End, retryAfter time.Duration) {
 	work := request.work
 	until := ns.start.Add(min(work.LeavesAt, work.Deadline+answerTolerance+time.Millisecond))
@@ -72,7 +72,7 @@
 		return emulator.EndLost, 0
 	}
 	wrongResult := final.End == emulator.EndSucceeded && !platform.IsSuccess(final, string(work.ID))
-	wrongError := final.End == emulator.EndFailed && final.Status < http.StatusInternalServerError // for a well-formed request
+	wrongError := final.End == emulator.EndFailed && final.Status < http.StatusInternalServerError // a well-formed request must not fail with a client error
 	if wrongResult || wrongError {
 		ns.locked(func() { ns.sim.result.Wrong++ })
 	}
--- a/internal/simulation/networked_discovery.go
+++ b/internal/simulation/networked_discovery.go
@@ -13,12 +13,12 @@
 	discoveryAddress = "127.0.0.1:8500"
 )
 
-// serveDiscovery starts discovery.
+// serveDiscovery starts serving discovery.
 func (ns *networkedSimulation) serveDiscovery() {
 	ns.listen(discoveryHost, discoveryAddress, ns.serveWatch)
 }
 
-// serveWatch answers watch requests on a connection until it ends.
+// serveWatch answers watch requests on a connection until the connection ends.
 func (ns *networkedSimulation) serveWatch(conn *memnet.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -37,8 +37,9 @@
 	}
 }
 
-// awaitUpdate waits until there is an answer to a watch request: at once for a complete list, else with the next update or when the
-// request's hold time is over. Silent discovery has no answer. nil means that the world is over.
+// awaitUpdate waits for the answer to a watch request and returns it. A complete list is returned at once, otherwise the next updates or,
+// when the request's hold time is over, an empty list. Unresponsive discovery does not answer. awaitUpdate returns nil when the simulation
+// ends.
 func (ns *networkedSimulation) awaitUpdate(request platform.Watch) []byte {
 	until := time.Now().Add(request.Hold)
 	for {
@@ -46,7 +47,7 @@
 		if answer != nil {
 			return answer
 		}
-		var holdOver <-chan time.Time // nil once the hold time is over: only a change can bring an answer then
+		var holdOver <-chan time.Time // nil once the hold time is over, as only a change can lead to an answer then
 		if left := time.Until(until); left > 0 {
 			holdOver = time.After(left)
 		}
@@ -59,7 +60,7 @@
 	}
 }
 
-// answerWatch is the answer to a watch request by now, nil if there is none, and a channel that is closed with the next change.
+// answerWatch returns the present answer to a watch request, or nil if there is none yet, and a channel that the next change closes.
 func (ns *networkedSimulation) answerWatch(request platform.Watch, until time.Time) (answer []byte, changed chan struct{}) {
 	ns.locked(func() {
 		changed = ns.endpointsChanged
@@ -78,7 +79,7 @@
 	return answer, changed
 }
 
-// notifyWatches lets all watches look for updates.
+// notifyWatches lets all watch requests check for updates.
 func (ns *networkedSimulation) notifyWatches() {
 	close(ns.endpointsChanged)
 	ns.endpointsChanged = make(chan struct{})
--- a/internal/simulation/networked_executor.go
+++ b/internal/simulation/networked_executor.go
@@ -11,16 +11,16 @@
 	"birchstair/internal/memnet"
 )
 
-// executorSocket is a connection at an executor's end.
+// executorSocket is the executor's end of a connection.
 type executorSocket struct {
 	conn     *memnet.Conn
-	response platform.Answer // as far as it is written
+	response platform.Answer // state of the response that is being written
 }
 
-// host is the network's name of the executor's process.
+// host returns the name of the executor's process in the network.
 func (x *executor) host() string { return fmt.Sprintf("%s#%d", x.ID, x.incarnation) }
 
-// startExecutor starts the executor's process: it listens.
+// startExecutor starts the executor's process, which listens on the executor's address.
 func (ns *networkedSimulation) startExecutor(x *executor) {
 	x.incarnation++
 	x.sockets = map[emulator.ConnID]*executorSocket{}
@@ -31,7 +31,7 @@
 	ns.listen(x.host(), x.addr, func(conn *memnet.Conn) { ns.serveExecutor(x, incarnation, conn) })
 }
 
-// endExecutor ends the executor's process, or its machine if that vanishes.
+// endExecutor ends the executor's process. If its machine vanishes too, nothing can reach the address any more.
 func (ns *networkedSimulation) endExecutor(x *executor, vanishes bool) {
 	if vanishes {
 		ns.setUnreachable(x.addr, true)
@@ -40,7 +40,7 @@
 	ns.net.Kill(x.host(), vanishes)
 }
 
-// serveExecutor reads attempts from a connection until it ends.
+// serveExecutor reads attempts from a connection until the connection ends.
 func (ns *networkedSimulation) serveExecutor(x *executor, incarnation int, conn *memnet.Conn) {
 	defer conn.Close()
 	key, accepted := ns.acceptAtExecutor(x, incarnation, conn)
@@ -70,7 +70,8 @@
 	}
 }
 
-// acceptAtExecutor lets the executor accept a connection, unless its process has ended or it has as many as it takes.
+// acceptAtExecutor lets the executor accept a connection. It returns false if the executor's process has ended or has reached its connection
+// limit.
 func (ns *networkedSimulation) acceptAtExecutor(x *executor, incarnation int, conn *memnet.Conn) (key emulator.ConnID, accepted bool) {
 	ns.locked(func() {
 		if x.incarnation != incarnation {
@@ -88,14 +89,14 @@
 	return key, accepted
 }
 
-// answerAttempt writes an executor's answer or notice.
+// answerAttempt writes an executor's answer or notice to its connection.
 func (ns *networkedSimulation) answerAttempt(x *executor, answer emulator.Message) {
 	socket, request := x.sockets[answer.Conn], ns.requests[answer.Job]
 	if socket == nil || request == nil {
 		return
 	}
 	text, complete := socket.response.Append(nil, answer, x.ID, platform.Result(string(request.work.ID)))
-	socket.conn.Write(text) //nolint:errcheck // the reader of a broken connection sees and records that
+	socket.conn.Write(text) //nolint:errcheck // the reader of the connection records a break
 	if answer.Kind == emulator.AttemptStarted && ns.sim.now-request.sentAt > queuedStart {
 		ns.sim.result.QueuedStarts++
 	}
--- a/internal/simulation/networked_network.go
+++ b/internal/simulation/networked_network.go
@@ -7,7 +7,7 @@
 	"birchstair/policy"
 )
 
-// path is what lies between two hosts now. Discovery is in no zone; a partition keeps it from a zone that nothing gets into.
+// path returns the present network path between two hosts. Discovery belongs to no zone; it can't reach a zone whose inbound traffic is blocked.
 func (ns *networkedSimulation) path(from, to string) memnet.Path {
 	ns.pathMu.Lock()
 	defer ns.pathMu.Unlock()
@@ -31,32 +31,32 @@
 	return path
 }
 
-// setZone puts a host into a zone.
+// setZone assigns a host to a zone.
 func (ns *networkedSimulation) setZone(host string, zone policy.ZoneID) {
 	ns.pathMu.Lock()
 	defer ns.pathMu.Unlock()
 	ns.zoneOfHost[host] = zone
 }
 
-// setPartitions copies the world's partitions for the network.
+// setPartitions copies the simulation's partitions for path, which does not hold the simulation's lock.
 func (ns *networkedSimulation) setPartitions(partitions []partition) {
 	ns.pathMu.Lock()
 	defer ns.pathMu.Unlock()
 	copy(ns.partitions, partitions)
 }
 
-// setUnreachable makes an address unreachable, or reachable again.
+// setUnreachable sets whether an address is unreachable.
 func (ns *networkedSimulation) setUnreachable(addr string, unreachable bool) {
 	ns.pathMu.Lock()
 	defer ns.pathMu.Unlock()
 	ns.unreachable[addr] = unreachable
 }
 
-// listen accepts connections on an address of its own and serves each in a goroutine, until the host ends.
+// listen accepts connections on the address and serves each in a goroutine, until the host ends.
 func (ns *networkedSimulation) listen(host, addr string, serve func(*memnet.Conn)) {
 	listener, err := ns.net.Listen(host, addr)
 	if err != nil {
-		panic(err) // no two processes that run have one address
+		panic(err) // running processes have different addresses
 	}
 	go func() {
 		for {
--- a/internal/simulation/networked_node.go
+++ b/internal/simulation/networked_node.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	maxClientConns = 600 // to a node
-	maxAdminCalls  = 64  // that wait at a process; more are lost
+	maxClientConns = 600 // largest number of client connections to a node
+	maxAdminCalls  = 64  // largest number of admin calls that wait at a process; further ones are dropped
 
-	// Admin calls and dial timeouts come at instants of their own, so that nothing depends on the scheduler.
+	// Admin calls and dial timeouts get small different delays, so that no two are simultaneous and their order does not depend on the scheduler.
 	adminDelaySteps  = 997
 	adminDelayStep   = 1009 * time.Nanosecond
 	dialTimeoutSteps = 997
 )
 
-// nodeProcess is a node's process in a wired world.
+// nodeProcess is a node's process in a networked simulation.
 type nodeProcess struct {
 	networked   *networkedSimulation
 	node        *simNode
-	host        string // the network's name of it
+	host        string // name of the process in the network
 	addr        string
 	adminEvents chan node.Event
 	stop        context.CancelFunc
 	ended       bool
-	watchDials  int                          // to discovery
-	gaveUp      []invariants.Event           // by the policy, in this step
-	attempts    map[node.ConnID]*connAttempt // that are out
+	watchDials  int                          // number of connections to discovery that were dialed
+	gaveUp      []invariants.Event           // jobs that the policy gave up in the current step
+	attempts    map[node.ConnID]*connAttempt // attempts in flight
 }
 
 // startNode starts a node's process.
@@ -59,7 +59,7 @@
 	ns.setZone(p.addr, n.zone)
 	listener, err := ns.net.Listen(p.host, p.addr)
 	if err != nil {
-		panic(err) // each incarnation has its own address
+		panic(err) // each incarnation has a different address
 	}
 	cached := n.endpointsUpdate(policy.CachedUpdate, ns.sim.discovery.ListAt(ns.sim.now-cachedListAge)).Endpoints
 	setup := service.Options{
@@ -77,12 +77,12 @@
 		Observer:        p.recordStep,
 	}
 	go func() {
-		service.Run(ctx, setup, p.adminEvents) //nolint:errcheck // a killed node ends by its listener's error; the invariants judge what clients see
+		service.Run(ctx, setup, p.adminEvents) //nolint:errcheck // a killed node ends with an error of its listener; the invariants check the answers to clients
 		ns.locked(p.exited)
 	}()
 }
 
-// nodeConfig is a node's configuration.
+// nodeConfig returns a node's configuration.
 func (ns *networkedSimulation) nodeConfig(settings policy.Settings) config.Settings {
 	fleet := &ns.sim.scenario.Fleet
 	s := config.Settings{
@@ -102,7 +102,7 @@
 	return s
 }
 
-// dial opens a connection to an executor, with the faults that new connections have now.
+// dial opens a connection to an executor. Current faults of new connections apply to it.
 func (p *nodeProcess) dial(ctx context.Context, id node.ConnID, addr string) (net.Conn, error) {
 	ns, sim, name := p.networked, p.networked.sim, fmt.Sprint(id)
 	timeout := time.Duration(sim.scenario.Fleet.DialTimeout) + time.Duration(id%dialTimeoutSteps)*time.Nanosecond
@@ -133,8 +133,8 @@
 	return conn, nil
 }
 
-// dialDiscovery opens a connection to discovery. Its name has a count of the process, as one that is killed may or may not dial once
-// more before it ends.
+// dialDiscovery opens a connection to discovery. The connection's name is numbered per process: a killed process may or may not dial once
+// more before it ends, which must not change the names of other processes' connections.
 func (p *nodeProcess) dialDiscovery(ctx context.Context, _, addr string) (net.Conn, error) {
 	name := ""
 	p.networked.locked(func() {
@@ -143,24 +143,24 @@
 	})
 	conn, err := p.networked.net.Dial(ctx, p.host, name, addr)
 	if err != nil {
-		return nil, err // not a nil *memnet.Conn in an interface
+		return nil, err // conn would be a nil *memnet.Conn in a non-nil interface
 	}
 	return conn, nil
 }
 
-// wiredConn is an open connection of a node's process.
+// networkedConn is an open connection of a node's process.
 type networkedConn struct {
 	*memnet.Conn
 	sim *Simulation
 }
 
-// silence lets nothing come back on the connection any more.
+// makeUnresponsive implements faultableConn.
 func (c networkedConn) makeUnresponsive() { c.DropIncoming() }
 
-// breakAt resets the connection after a delay.
+// breakAt implements faultableConn.
 func (c networkedConn) breakAt(delay time.Duration) { c.sim.after(delay, c.Reset) }
 
-// openConns are the process's open connections to executors.
+// openConns returns the process's open connections to executors.
 func (p *nodeProcess) openConns() (all []faultableConn) {
 	sim := p.networked.sim
 	for _, conn := range p.networked.net.Conns(p.host) {
@@ -171,7 +171,7 @@
 	return all
 }
 
-// adminCall has an operator call the process.
+// adminCall sends an operator's command to the process.
 func (p *nodeProcess) adminCall(call node.AdminCalled) {
 	sim := p.networked.sim
 	sim.adminCalls++
@@ -197,7 +197,7 @@
 	}()
 }
 
-// exited is the process ending by itself.
+// exited records that the process has ended by itself.
 func (p *nodeProcess) exited() {
 	if p.ended {
 		return
--- a/internal/simulation/networked_recorder.go
+++ b/internal/simulation/networked_recorder.go
@@ -9,7 +9,7 @@
 	"birchstair/policy"
 )
 
-// tap observes a step of the process's state machine.
+// recordStep observes a step of the process's state machine. The process calls it after each step.
 func (p *nodeProcess) recordStep(_ time.Duration, event node.Event, effects []node.Effect) {
 	p.networked.locked(func() {
 		gaveUp := p.gaveUp
@@ -28,13 +28,13 @@
 	})
 }
 
-// recordEvent records what an event says.
+// recordEvent records an event of the state machine.
 func (p *nodeProcess) recordEvent(event node.Event) {
 	n, sim := p.node, p.networked.sim
 	switch event := event.(type) {
 	case node.JobArrived:
 		request := p.networked.requests[event.Job.ID]
-		if request == nil { // no client has sent it: it was hidden in the body of another one
+		if request == nil { // no client sent this request: it was hidden in the body of another one
 			sim.result.Wrong++
 			return
 		}
@@ -48,9 +48,9 @@
 		p.recordEndpoints(event)
 	case node.AttemptEnded:
 		p.attemptEnded(event.Conn, event.Outcome.NeverRan())
-	case node.AttemptNotSent: // its first byte was recorded with the effect, but never left
+	case node.AttemptNotSent: // the first byte was recorded with the effect, but was never sent
 		p.attemptEnded(event.Conn, true)
-	case node.ConnClosed: // nothing of an attempt has left, or its outcome would have come
+	case node.ConnClosed: // no byte of an attempt was sent, or AttemptEnded would have come first
 		p.attemptEnded(event.Conn, true)
 	}
 }
@@ -68,7 +68,7 @@
 	p.node.endpointsUpdate(event.Kind, entries)
 }
 
-// attemptEnded records the end of the attempt on a connection, if one is out.
+// attemptEnded records the end of the attempt in flight on a connection, if there is one.
 func (p *nodeProcess) attemptEnded(id node.ConnID, neverRan bool) {
 	if attempt := p.attempts[id]; attempt != nil {
 		delete(p.attempts, id)
@@ -76,7 +76,7 @@
 	}
 }
 
-// recordEffect records what an effect does.
+// recordEffect records an effect of the state machine.
 func (p *nodeProcess) recordEffect(effect node.Effect) {
 	n, sim := p.node, p.networked.sim
 	switch effect := effect.(type) {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -7,61 +7,61 @@
 	"birchstair/internal/invariants"
 )
 
-// Result is what came of a world.
+// Result is the result of a simulation. Its JSON keys are a stable format.
 type Result struct {
 	Scenario   string                 `json:"scenario"`
 	Seed       uint64                 `json:"seed"`
 	Length     Span                   `json:"length"`
-	Earned     float64                `json:"earned"` // share of the value offered that was earned
-	Best       float64                `json:"best"`   // upper bound of Earned, by which nodes and executors were up; 0 if it is not known
-	Worst      float64                `json:"worst"`  // Earned over the worst 10 s
-	WorstAt    Span                   `json:"worst_at"`
-	Classes    []ClassResult          `json:"tracks"` // by class
-	Violations []invariants.Violation `json:"broken"` // violations of invariants
-
-	Attempts      int `json:"allocations"` // attempts
-	Crossings     int `json:"crossings"`   // attempts to another zone
-	Hedges        int `json:"copies"`      // attempts while another one of the job was out
-	HealthChecks  int `json:"probes"`
-	Dials         int `json:"dials"`
-	FailedDials   int `json:"no_connection"` // dials that failed
-	QueuedStarts  int `json:"starts_waited"` // attempts that waited in their executor's queue
-	MaxQueued     int `json:"most_held"`     // jobs without an attempt out at a node, at most
-	Left          int `json:"left"`          // clients that left early
-	Overloaded    int `json:"fell"`          // executors that fell over by overload
-	LeftQueued    int `json:"went_waiting"`  // clients that left while their job had no attempt out
-	SentLate      int `json:"sent_late"`     // attempts for clients that had left longer ago than is allowed
-	DuplicateRuns int `json:"late_twice"`    // jobs with a key that were delayed on their way beyond the dedup window and ran again
-	Wrong         int `json:"wrong"`         // answers that no node should give; seen in wired worlds
-	Malformed     int `json:"bad"`           // malformed requests sent; in wired worlds
-	Panics        int `json:"panics"`        // of the policy; each was contained to one job
+	Earned     float64                `json:"earned"`   // fraction of the offered value that was earned
+	Best       float64                `json:"best"`     // upper bound of Earned, given the nodes and executors that were up; 0 if unknown
+	Worst      float64                `json:"worst"`    // Earned in the worst window of 10 s
+	WorstAt    Span                   `json:"worst_at"` // start of that window
+	Classes    []ClassResult          `json:"tracks"`   // one for each job class
+	Violations []invariants.Violation `json:"broken"`   // violated invariants
+
+	Attempts      int `json:"allocations"`
+	Crossings     int `json:"crossings"`     // cross-zone attempts
+	Hedges        int `json:"copies"`        // attempts that were sent while another one of the job was in flight
+	HealthChecks  int `json:"probes"`        // health checks that nodes sent
+	Dials         int `json:"dials"`         // connections that nodes tried to open
+	FailedDials   int `json:"no_connection"` // dials that did not open a connection
+	QueuedStarts  int `json:"starts_waited"` // attempts that waited in the executor's queue
+	MaxQueued     int `json:"most_held"`     // largest number of jobs at a node without an attempt in flight
+	Left          int `json:"left"`          // clients that disconnected before they had an answer
+	Overloaded    int `json:"fell"`          // executors that crashed by overload in their slow start
+	LeftQueued    int `json:"went_waiting"`  // clients that disconnected while their job had no attempt in flight
+	SentLate      int `json:"sent_late"`     // attempts that were sent too long after the client had disconnected
+	DuplicateRuns int `json:"late_twice"`    // jobs with an idempotency key that ran again, as an attempt was delayed in the network beyond the dedup window
+	Wrong         int `json:"wrong"`         // answers that a node must never give; counted in networked simulations only
+	Malformed     int `json:"bad"`           // malformed requests that were sent; in networked simulations only
+	Panics        int `json:"panics"`        // panics of the policy, each contained to one job
 	Steps         int `json:"steps"`         // events
-	PeerMessages  int `json:"words"`         // messages between nodes
+	PeerMessages  int `json:"words"`         // messages that nodes sent to each other
 
 	Account *Account `json:"account,omitempty"`
 
 	seconds     []resultSecond
 	offers      []Offer
-	capacity    []float64 // work that could be done in each bin
+	capacity    []float64 // work that the executors could have done in each bin, in seconds on a standard core
 	requestBody []byte
 }
 
-// ClassResult is a class's part of a result.
+// ClassResult is the part of a result that belongs to one job class.
 type ClassResult struct {
 	Name      string  `json:"name"`
-	Works     int     `json:"works"` // each with one request or more
-	Requests  int     `json:"tries"` // requests
+	Works     int     `json:"works"` // work items, each with one request or more
+	Requests  int     `json:"tries"` // requests, retries among them
 	Earned    float64 `json:"earned"`
-	Succeeded int     `json:"handled"` // requests that succeeded, and so on
-	Rejected  int     `json:"pushed_back"`
-	Failed    int     `json:"broken_off"`
-	Unreached int     `json:"unreached"`
-	Lost      int     `json:"lost"` // with their node
+	Succeeded int     `json:"handled"`     // requests that succeeded
+	Rejected  int     `json:"pushed_back"` // requests that a node rejected
+	Failed    int     `json:"broken_off"`  // requests that failed, or whose client gave up
+	Unreached int     `json:"unreached"`   // requests that reached no node
+	Lost      int     `json:"lost"`        // requests whose node ended, or whose connection broke
 
 	valueOffered, valueEarned float64
 }
 
-// resultSecond is the value of the works that came in a second, and what they earned.
+// resultSecond is the offered and the earned value of the work items that arrived within one second.
 type resultSecond struct{ valueOffered, valueEarned float64 }
 
 func newResult(s Scenario, seed uint64) Result {
@@ -76,7 +76,7 @@
 	return &r.seconds[min(int(at/time.Second), len(r.seconds)-1)]
 }
 
-// recordWork records a new work.
+// recordWork records a new work item.
 func (r *Result) recordWork(work *emulator.Work) {
 	class := &r.Classes[work.Class]
 	class.Works++
@@ -113,10 +113,10 @@
 
 func (r *Result) recordMaxQueued(n *simNode) { r.MaxQueued = max(r.MaxQueued, n.maxQueued) }
 
-// worstWindow is the number of seconds over which Worst is taken.
+// worstWindow is the length of the window of Result.Worst, in seconds.
 const worstWindow = 10
 
-// finish fills in what is known at the world's end, and drops what is not needed any more.
+// finish computes the fields that depend on the whole simulation, and releases what is not needed any more.
 func (r *Result) finish(sim *Simulation) {
 	for _, n := range sim.nodes {
 		r.recordMaxQueued(n)
@@ -140,10 +140,10 @@
 	}
 }
 
-// findWorst finds the worst window.
+// findWorst sets Worst and WorstAt.
 func (r *Result) findWorst() {
 	window := min(worstWindow, len(r.seconds))
-	r.Worst = 2 // over any share
+	r.Worst = 2 // larger than any fraction
 	for from := 0; from+window <= len(r.seconds); from++ {
 		if earned := r.earnedOver(from, from+window); earned < r.Worst {
 			r.Worst, r.WorstAt = earned, Span(time.Duration(from)*time.Second)
@@ -151,7 +151,7 @@
 	}
 }
 
-// earnedOver is the share earned of the value offered in some seconds.
+// earnedOver returns the fraction earned of the value that was offered in the seconds from from to before to.
 func (r *Result) earnedOver(from, to int) float64 {
 	offered, earned := 0.0, 0.0
 	for _, second := range r.seconds[max(0, from):min(to, len(r.seconds))] {
@@ -161,7 +161,7 @@
 	return ratio(earned, offered)
 }
 
-// ratio is a share of a total; 1 if the total is 0.
+// ratio returns share/total, or 1 if the total is 0.
 func ratio(share, total float64) float64 {
 	if total == 0 {
 		return 1
@@ -169,7 +169,7 @@
 	return share / total
 }
 
-// Works is the number of works that clients wanted.
+// Works returns the number of work items of all classes.
 func (r *Result) Works() (n int) {
 	for _, class := range r.Classes {
 		n += class.Works
@@ -177,7 +177,7 @@
 	return n
 }
 
-// requests is the number of requests that clients made.
+// requests returns the number of requests of all classes.
 func (r *Result) requests() (n int) {
 	for _, class := range r.Classes {
 		n += class.Requests
--- a/internal/simulation/result_print.go
+++ b/internal/simulation/result_print.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Print prints the result for people.
+// Print prints the result in a readable form.
 func (r *Result) Print(to io.Writer) {
 	fmt.Fprintf(to, "%s, seed %d, %v\n", r.Scenario, r.Seed, time.Duration(r.Length))
 	fmt.Fprintf(to, "  earned in the quoted time  %.3f, in the worst 10 s %.3f (from %v)\n", r.Earned, r.Worst, time.Duration(r.WorstAt))
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -8,8 +8,8 @@
 	"birchstair/internal/invariants"
 )
 
-// Shrink looks for the smallest scenario, in faults first and then in all else, that still violates an invariant with the same seed. It
-// calls step with each smaller one that it finds, and returns the last; s itself if that does not violate it.
+// Shrink reduces a scenario, its faults first and then the rest, as long as it still violates the same invariant with the same seed. It
+// calls step with each smaller scenario that it finds and returns the last one, or s if s does not violate the invariant.
 func Shrink(s Scenario, seed uint64, rule invariants.Rule, step func(Scenario)) Scenario {
 	return shrink(s, func(candidate Scenario) bool {
 		r := New(candidate, seed, Options{MaxViolations: 1}).Play()
@@ -17,7 +17,7 @@
 	}, step)
 }
 
-// shrink looks for the smallest scenario that still fails.
+// shrink reduces a scenario as long as it still fails.
 func shrink(s Scenario, fails func(Scenario) bool, step func(Scenario)) Scenario {
 	if !fails(s) {
 		return s
@@ -39,7 +39,7 @@
 	return s
 }
 
-// removeFaults removes as many faults as it can: halves first, then smaller groups. It says whether it removed any.
+// removeFaults removes as many faults as possible: halves of them first, then smaller groups. It returns whether it removed any.
 func removeFaults(s *Scenario, take func(Scenario) bool) (any bool) {
 	for group := (len(s.Faults) + 1) / 2; group > 0 && len(s.Faults) > 0; {
 		if removeGroup(s, group, take) {
@@ -54,7 +54,7 @@
 	return any
 }
 
-// removeGroup removes the first group of so many faults without which the scenario still fails.
+// removeGroup removes the first group of size faults without which the scenario still fails. It returns whether there is one.
 func removeGroup(s *Scenario, size int, take func(Scenario) bool) bool {
 	for i := 0; i < len(s.Faults); i += size {
 		candidate := *s
@@ -66,10 +66,10 @@
 	return false
 }
 
-// minShrunk is the least duration to which lengths and faults are shortened.
+// minShrunk is the shortest duration to which the length and the faults of a scenario are reduced.
 const minShrunk = Span(100 * time.Millisecond)
 
-// candidates collects scenarios that are a step smaller than one.
+// candidates collects scenarios that are one step smaller than base.
 type candidates struct {
 	base Scenario
 	all  []Scenario
@@ -82,7 +82,7 @@
 	c.all = append(c.all, candidate)
 }
 
-// smallerScenarios are scenarios that are a step smaller, those that save most first.
+// smallerScenarios returns scenarios that are one step smaller, with the largest reductions first.
 func smallerScenarios(s Scenario) []Scenario {
 	c := &candidates{base: s}
 	c.addShorter()
@@ -102,7 +102,7 @@
 	return slices.DeleteFunc(c.all, func(candidate Scenario) bool { return sameText(candidate, s) })
 }
 
-// addShorter shortens the world.
+// addShorter adds scenarios of a shorter length, without the faults that would begin after it.
 func (c *candidates) addShorter() {
 	for _, divisor := range []Span{2, 4, 8} {
 		if saved := c.base.Length / divisor; saved >= minShrunk {
@@ -114,7 +114,7 @@
 	}
 }
 
-// addSmallerFaults shortens a fault, or takes it off one of its targets.
+// addSmallerFaults adds scenarios in which one fault is shorter or affects one target less.
 func (c *candidates) addSmallerFaults() {
 	for i, fault := range c.base.Faults {
 		if fault.For > minShrunk {
@@ -128,7 +128,7 @@
 	}
 }
 
-// addFewerClasses removes a class; the others get its share.
+// addFewerClasses adds scenarios without one of the job classes, whose share is spread over the others.
 func (c *candidates) addFewerClasses() {
 	if len(c.base.Classes) == 1 {
 		return
@@ -145,7 +145,7 @@
 
 func roundToMillisecond(d Span) Span { return Span(time.Duration(d).Round(time.Millisecond)) }
 
-// sameText says whether two scenarios are written alike. Scenarios whose text can't be written never are.
+// sameText returns whether two scenarios have the same text. It is false if a scenario can't be encoded.
 func sameText(a, b Scenario) bool {
 	textA, errA := a.Text()
 	textB, errB := b.Text()
