--- a/internal/simulation/defects_test.go
+++ b/internal/simulation/defects_test.go
@@ -14,7 +14,7 @@
 	"birchstair/policy"
 )
 
-// faultyScenario is a scenario in which every invariant is tested.
+// faultyScenario returns a scenario whose faults test every invariant, after change, if not nil, was applied to it.
 func faultyScenario(change func(*Scenario)) Scenario {
 	s := base()
 	s.Name, s.Length, s.Classes = "troubled", Span(25*time.Second), baseClasses()
@@ -34,7 +34,7 @@
 	return s
 }
 
-// defect is a defect to inject, and the invariant that it must violate, and no other.
+// defect is a defect to inject, with the only invariant that it must violate.
 type defect struct {
 	name   string
 	rule   invariants.Rule
@@ -42,20 +42,20 @@
 	inject injectedDefects
 }
 
-// slowExecutors has many executors slow down under little traffic, so that hedging pays.
+// slowExecutors slows several executors down under little traffic, so that hedging is useful.
 func slowExecutors(s *Scenario) {
 	s.Load.Utilization, s.Fleet.StartNotices = 0.4, true
 	s.Faults = []Fault{{Kind: emulator.SlowExecutors, At: Span(4 * time.Second), For: Span(18 * time.Second), Where: []string{"e0", "e1", "e2", "e3", "e4"}, Size: 6}}
 }
 
-// leavingClients makes clients leave while their jobs are queued.
+// leavingClients lets clients disconnect while their jobs are queued.
 func leavingClients(s *Scenario) {
 	s.Load.Utilization, s.Load.LeaveRate, s.Faults = 1.6, 0.5, nil
 }
 
-// leavingClientsOfSuspendedNodes also suspends the nodes again and again: the events that they read
-// first when they resume are old, and that a client has left is not among the first.
-func leavingClientsOfSuspendedNodes(s *Scenario) {
+// leavingClientsAndSuspendedNodes also suspends the nodes repeatedly. A resumed node first handles older events, and learns that a client has
+// disconnected only after it has handled them.
+func leavingClientsAndSuspendedNodes(s *Scenario) {
 	leavingClients(s)
 	s.Load.Utilization, s.Load.LeaveRate, s.Length = 3, 0.9, Span(8*time.Second)
 	for i := range s.Classes {
@@ -67,7 +67,7 @@
 	}
 }
 
-// withDedupGroup makes all classes idempotent with a key, in a dedup group and with a dedup window.
+// withDedupGroup makes all job classes idempotent with a key, with the given dedup group and dedup window.
 func withDedupGroup(group string, window time.Duration) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
@@ -76,7 +76,7 @@
 	}
 }
 
-// changeEvent changes events of one type before the state machine sees them.
+// changeEvent replaces events of one type before the state machine receives them.
 func changeEvent[E node.Event](change func(*Simulation, *simNode, E) []node.Event) func(*Simulation, *simNode, node.Event) []node.Event {
 	return func(sim *Simulation, n *simNode, ev node.Event) []node.Event {
 		if e, ok := ev.(E); ok {
@@ -86,7 +86,7 @@
 	}
 }
 
-// changeEffect changes effects of one type before they are carried out.
+// changeEffect replaces effects of one type before they are executed.
 func changeEffect[E node.Effect](change func(*Simulation, *simNode, E) []node.Effect) func(*Simulation, *simNode, node.Effect) []node.Effect {
 	return func(sim *Simulation, n *simNode, e node.Effect) []node.Effect {
 		if e, ok := e.(E); ok {
@@ -96,7 +96,7 @@
 	}
 }
 
-// retryingPolicy is a policy that retries what the real one fails.
+// retryingPolicy is a policy that sends another attempt of a job that the real policy fails.
 type retryingPolicy struct {
 	node.Policy
 	executors []*executor
@@ -123,7 +123,7 @@
 }
 
 var defects = []defect{
-	{"the reducer forgets that an executor drains", invariants.DrainRespected, nil, injectedDefects{
+	{"the state machine ignores that an executor drains", invariants.DrainRespected, nil, injectedDefects{
 		event: changeEvent(func(_ *Simulation, _ *simNode, ev node.EndpointsUpdated) []node.Event {
 			for i := range ev.Endpoints {
 				if ev.Endpoints[i].State == policy.Draining {
@@ -132,7 +132,7 @@
 			}
 			return []node.Event{ev}
 		})}},
-	{"the reducer forgets with the next list what operators have taken out", invariants.DrainRespected, func(s *Scenario) {
+	{"the state machine forgets excluded executors with the next update of the endpoint list", invariants.DrainRespected, func(s *Scenario) {
 		s.Faults = append(s.Faults, Fault{Kind: emulator.Excluded, At: Span(3 * time.Second), For: Span(14 * time.Second), Where: []string{"e9", "e11"}})
 	}, injectedDefects{
 		event: changeEvent(func(sim *Simulation, n *simNode, e node.EndpointsUpdated) []node.Event {
@@ -143,7 +143,7 @@
 			}
 			return []node.Event{e}
 		})}},
-	{"the list's edge sits on its news", invariants.DrainRespected, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightInterval = 0 }, injectedDefects{
+	{"updates of the endpoint list are delivered late", invariants.DrainRespected, func(s *Scenario) { s.Faults = s.Faults[:1]; s.Fleet.WeightInterval = 0 }, injectedDefects{
 		event: changeEvent(func(sim *Simulation, n *simNode, ev node.EndpointsUpdated) []node.Event {
 			if ev.Kind != policy.IncrementalUpdate {
 				return []node.Event{ev}
@@ -155,16 +155,16 @@
 			})
 			return nil
 		})}},
-	{"the reducer answers twice", invariants.OneAnswer, nil, injectedDefects{
+	{"the state machine answers twice", invariants.OneAnswer, nil, injectedDefects{
 		effect: changeEffect(func(_ *Simulation, _ *simNode, a node.Answer) []node.Effect { return []node.Effect{a, a} })}},
-	{"results are lost within the node", invariants.OneAnswer, nil, injectedDefects{
+	{"answers are lost within the node", invariants.OneAnswer, nil, injectedDefects{
 		effect: changeEffect(func(sim *Simulation, _ *simNode, a node.Answer) []node.Effect {
 			if a.Final == node.Succeeded && sim.steps%20 == 0 {
 				return nil
 			}
 			return []node.Effect{a}
 		})}},
-	{"the front tells of twice the budget", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Utilization = 1.5 }, injectedDefects{
+	{"the frontend doubles the budget of a job", invariants.OneAnswer, func(s *Scenario) { s.Load.Retries = 0; s.Load.Utilization = 1.5 }, injectedDefects{
 		event: changeEvent(func(sim *Simulation, _ *simNode, ev node.JobArrived) []node.Event {
 			ev.Job.Budget *= 2
 			return []node.Event{ev}
@@ -175,13 +175,13 @@
 				p.JobClasses[i].LateValue = 1
 			}
 		}}},
-	{"an executor's error counts as its result", invariants.OneAnswer, nil, injectedDefects{
+	{"an executor's error counts as success", invariants.OneAnswer, nil, injectedDefects{
 		event: changeAttemptEnd(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.Succeeded
 			}
 		})}},
-	{"what is answered is sent once more", invariants.OneAnswer, nil, injectedDefects{
+	{"a job that is answered is sent once more", invariants.OneAnswer, nil, injectedDefects{
 		effect: changeEffect(func(sim *Simulation, n *simNode, a node.Answer) []node.Effect {
 			t := n.requests[a.Job]
 			if a.Final == node.Succeeded && t != nil && sim.jobClasses[t.work.Class].Idempotency == policy.Idempotent {
@@ -193,28 +193,28 @@
 			}
 			return []node.Effect{a}
 		})}},
-	{"a cut counts as a connection that never came up", invariants.NoEffectTwice, nil, injectedDefects{
+	{"a broken connection counts as one that was never opened", invariants.NoEffectTwice, nil, injectedDefects{
 		event: changeAttemptEnd(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ConnectionLost {
 				ev.Outcome = policy.ConnectFailed
 			}
 		})}},
-	{"an error counts as turned away", invariants.NoEffectTwice, nil, injectedDefects{
+	{"an executor's error counts as a rejection", invariants.NoEffectTwice, nil, injectedDefects{
 		event: changeAttemptEnd(func(ev *node.AttemptEnded) {
 			if ev.Outcome == policy.ExecutorError {
 				ev.Outcome = policy.ExecutorFull
 			}
 		})}},
-	{"the module sends what it should break off", invariants.NoEffectTwice, nil, injectedDefects{
+	{"the policy retries a job that it should fail", invariants.NoEffectTwice, nil, injectedDefects{
 		policy: func(sim *Simulation, _ *simNode, m node.Policy) node.Policy { return &retryingPolicy{m, sim.executors} }}},
-	{"what is broken off is told as pushed back", invariants.NoEffectTwice, nil, injectedDefects{
+	{"a failed job is answered as rejected", invariants.NoEffectTwice, nil, injectedDefects{
 		effect: changeEffect(func(_ *Simulation, _ *simNode, a node.Answer) []node.Effect {
 			if a.Final == node.Failed {
 				a.Final = node.Rejected
 			}
 			return []node.Effect{a}
 		})}},
-	{"a next allocation goes out before the last one's outcome", invariants.NoEffectTwice, nil, injectedDefects{
+	{"an attempt is sent before the outcome of the last one is known", invariants.NoEffectTwice, nil, injectedDefects{
 		effect: changeEffect(func(_ *Simulation, n *simNode, e node.CloseConn) []node.Effect {
 			c := n.conns[e.Conn]
 			if c == nil || c.state != connUp || c.attempt == nil {
@@ -224,7 +224,7 @@
 			n.after(2*processingDelay, func() { n.deliver(node.ConnClosed{Conn: e.Conn}) })
 			return nil
 		})}},
-	{"a once-only track is taken for repeatable", invariants.NoEffectTwice, nil, injectedDefects{
+	{"an at-most-once class counts as idempotent", invariants.NoEffectTwice, nil, injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
@@ -232,9 +232,9 @@
 				}
 			}
 		}}},
-	{"a second copy where none is allowed", invariants.NoEffectTwice, slowExecutors, injectedDefects{
+	{"jobs are hedged although that is not allowed", invariants.NoEffectTwice, slowExecutors, injectedDefects{
 		settings: func(p *policy.Settings) { p.MayHedge = true }}},
-	{"a once-only track is copied", invariants.NoEffectTwice, func(s *Scenario) { slowExecutors(s); s.Fleet.MayHedge = true }, injectedDefects{
+	{"jobs of an at-most-once class are hedged", invariants.NoEffectTwice, func(s *Scenario) { slowExecutors(s); s.Fleet.MayHedge = true }, injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				if p.JobClasses[i].Idempotency == policy.AtMostOnce {
@@ -242,31 +242,31 @@
 				}
 			}
 		}}},
-	{"a zone's group is taken for all executors", invariants.NoEffectTwice, withDedupGroup("zone", 5*time.Second), injectedDefects{
+	{"a zone's dedup group counts as that of all executors", invariants.NoEffectTwice, withDedupGroup("zone", 5*time.Second), injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				p.JobClasses[i].DedupGroup = policy.DedupAllExecutors
 			}
 		}}},
-	{"a window is taken for longer than it is", invariants.NoEffectTwice, withDedupGroup("all", 300*time.Millisecond), injectedDefects{
+	{"a dedup window counts as longer than it is", invariants.NoEffectTwice, withDedupGroup("all", 300*time.Millisecond), injectedDefects{
 		settings: func(p *policy.Settings) {
 			for i := range p.JobClasses {
 				p.JobClasses[i].DedupWindow = time.Minute
 			}
 		}}},
-	{"executors say turned away, and run it", invariants.NoEffectTwice, nil, injectedDefects{
+	{"executors reject attempts but run them", invariants.NoEffectTwice, nil, injectedDefects{
 		executor: func(x *emulator.Executor) { x.SetFaults(0, emulator.ExecutorFaults{FalseRejections: x.Zone == 0}) }}},
-	{"executors forget the tags they have seen", invariants.NoEffectTwice, withDedupGroup("all", 5*time.Second), injectedDefects{
+	{"executors forget idempotency keys", invariants.NoEffectTwice, withDedupGroup("all", 5*time.Second), injectedDefects{
 		attempt: func(a *emulator.Attempt) { a.DedupWindow = 0 }}},
-	{"a cold executor is taken for a warm one", invariants.SlowStartBudget, func(s *Scenario) {
+	{"an executor in slow start counts as having its full capacity", invariants.SlowStartBudget, func(s *Scenario) {
 		s.Load.Utilization = 1.5
 		s.Fleet.SlowStartCapacity, s.Fleet.OverloadMultiple, s.Fleet.QueueLimit = 0.1, 1, 10
 	}, injectedDefects{settings: func(p *policy.Settings) {
 		p.SlowStartCapacity, p.SlowStartDuration, p.OverloadMultiple = 1, time.Millisecond, 1000
 	}}},
-	{"the leaving is forgotten", invariants.ClientPresent, leavingClients, injectedDefects{hideClientLeft: true, hideClientGone: true}},
-	{"nobody looks before an attempt's first byte", invariants.ClientPresent, leavingClientsOfSuspendedNodes, injectedDefects{hideClientGone: true}},
-	{"what is given up on is held for a while", invariants.PromptAnswer, nil, injectedDefects{
+	{"the node ignores that clients have disconnected", invariants.ClientPresent, leavingClients, injectedDefects{hideClientLeft: true, hideClientGone: true}},
+	{"the node does not check for the client before an attempt's first byte", invariants.ClientPresent, leavingClientsAndSuspendedNodes, injectedDefects{hideClientGone: true}},
+	{"the answer to a rejected job is delayed", invariants.PromptAnswer, nil, injectedDefects{
 		effect: changeEffect(func(sim *Simulation, n *simNode, a node.Answer) []node.Effect {
 			if t := n.requests[a.Job]; a.Final == node.Rejected && t != nil && t.work.Deadline > sim.now+time.Second {
 				n.after(300*time.Millisecond, func() { n.execute(a) })
@@ -276,8 +276,8 @@
 		})}},
 }
 
-// violationWithoutDefect plays a scenario without a defect, once for all defects that are tested in it, and returns the first
-// violation; "" if there is none.
+// violationWithoutDefect plays a scenario without a defect and returns the first violation; "" if there is none. It plays each scenario only
+// once, as several defects are tested in the same one.
 func violationWithoutDefect(s Scenario, seed uint64) string {
 	text, err := s.Text()
 	if err != nil {
@@ -292,50 +292,50 @@
 	return play.(func() string)()
 }
 
-var violationsWithoutDefect sync.Map // by seed and scenario
+var violationsWithoutDefect sync.Map // keyed by seed and scenario
 
-// Each injected defect violates its invariant and no other; without it nothing is violated.
+// TestInjectedDefects verifies that each injected defect violates its invariant and no other, and that nothing is violated without it.
 func TestInjectedDefects(t *testing.T) {
 	t.Parallel()
 	for _, d := range defects {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
-			caught := map[invariants.Rule]int{}
+			violationsFound := map[invariants.Rule]int{}
 			for seed := range uint64(2) {
-				if underRace && caught[d.rule] > 0 {
+				if underRace && violationsFound[d.rule] > 0 {
 					break
 				}
 				s := faultyScenario(d.change)
 				if _, err := s.check(); err != nil {
 					t.Fatal(err)
 				}
-				if broken := violationWithoutDefect(s, seed); broken != "" {
-					t.Fatalf("seed %d breaks a rule with nothing planted: %s", seed, broken)
+				if violation := violationWithoutDefect(s, seed); violation != "" {
+					t.Fatalf("seed %d violates an invariant without the defect: %s", seed, violation)
 				}
 				sim := New(s, seed, Options{MaxViolations: 1000})
 				sim.defects = d.inject
 				for _, b := range sim.Play().Violations {
-					if caught[b.Rule]++; b.Rule != d.rule && caught[b.Rule] == 1 {
-						t.Errorf("seed %d: another rule broke: %v", seed, b)
+					if violationsFound[b.Rule]++; b.Rule != d.rule && violationsFound[b.Rule] == 1 {
+						t.Errorf("seed %d: another invariant was violated: %v", seed, b)
 					}
 				}
 			}
-			t.Logf("caught %d times", caught[d.rule])
-			if caught[d.rule] == 0 {
-				t.Errorf("not caught")
+			t.Logf("detected %d times", violationsFound[d.rule])
+			if violationsFound[d.rule] == 0 {
+				t.Errorf("the defect was not detected")
 			}
 		})
 	}
 }
 
-// Each invariant has a defect that violates it.
+// TestEveryInvariantHasDefect verifies that each invariant has a defect that violates it.
 func TestEveryInvariantHasDefect(t *testing.T) {
 	for r := range invariants.ClientPresent + 1 {
-		if r < invariants.OneAnswer || r == invariants.GossipBound { // its defects are planted in fleets
+		if r < invariants.OneAnswer || r == invariants.GossipBound { // TestInjectedGossipDefects tests the gossip bounds
 			continue
 		}
 		if !slices.ContainsFunc(defects, func(d defect) bool { return d.rule == r }) {
-			t.Errorf("no defect breaks %q", r)
+			t.Errorf("no defect violates %q", r)
 		}
 	}
 }
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -14,8 +14,7 @@
 	"birchstair/internal/invariants"
 )
 
-// traceHash hashes a trace twice: as it is, and without the texts of its notes. A log message that is reworded on purpose changes the
-// first hash alone.
+// traceHash hashes a trace twice: completely, and without the texts of its notes. A reworded log message changes only the first hash.
 type traceHash struct {
 	lines         int
 	whole, events bytes.Buffer
@@ -41,7 +40,7 @@
 	return fmt.Sprintf("%d lines, %x, without texts %x", h.lines, sha256.Sum256(h.whole.Bytes()), sha256.Sum256(h.events.Bytes()))
 }
 
-// printed is a result as it is printed and as JSON.
+// printedResult returns a result as it is printed, followed by its JSON.
 func printedResult(t *testing.T, r Result) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -58,23 +57,23 @@
 	return out.String()
 }
 
-// goldenWorlds are the worlds whose traces and results are pinned.
+// goldenScenarios returns the scenarios whose traces and results are in golden files.
 func goldenScenarios(t *testing.T) []Scenario {
 	t.Helper()
-	worlds := []Scenario{}
+	all := []Scenario{}
 	for _, name := range []string{"answers-lost", "bad-clients", "calm", "copies-of-silent", "discovery-silent", "errors-and-cut",
 		"fleet-one-hears-of-drain", "fleet-overload", "fleet-replaced", "nodes-restarted", "reset-and-repeat", "rolling-drains", "split-zone"} {
 		s := loadScenario(t, name)
 		s.Length = min(s.Length, Span(20*time.Second))
-		worlds = append(worlds, shortened(s, 600))
+		all = append(all, shortened(s, 600))
 	}
 	for seed := uint64(1); seed <= 6; seed++ {
-		worlds = append(worlds, Draw(seed, Size{Nodes: 4, Executors: 8, Length: 6 * time.Second}))
+		all = append(all, Draw(seed, Size{Nodes: 4, Executors: 8, Length: 6 * time.Second}))
 	}
-	return append(worlds, Draw(7, Size{Nodes: 4, Executors: 8, Length: 4 * time.Second, SlowStart: true}))
+	return append(all, Draw(7, Size{Nodes: 4, Executors: 8, Length: 4 * time.Second, SlowStart: true}))
 }
 
-// The traces and results of some worlds, stepped event by event, are as they were, whatever decides at the nodes.
+// TestGoldenTraces compares the traces and results of goldenScenarios, with each policy, to the golden file.
 func TestGoldenTraces(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
@@ -88,10 +87,10 @@
 	golden.Compare(t, "traces.txt", out.String())
 }
 
-// notPinned are scenarios whose trace or result with the network code was seen to differ from run to run with one seed.
+// notPinned are scenarios whose trace or result in a networked simulation has differed between runs with the same seed.
 var notPinned = []string{"bad-clients", "nodes-restarted", "reset-and-repeat"}
 
-// The same with the nodes' network code.
+// TestGoldenNetworkedTraces compares the traces and results of networked simulations to the golden file.
 func TestGoldenNetworkedTraces(t *testing.T) {
 	t.Parallel()
 	if runInOwnProcess(t) {
@@ -109,14 +108,14 @@
 	golden.Compare(t, "networked-traces.txt", out.String())
 }
 
-// One result in full, as it is printed and with its JSON keys.
+// TestGoldenResult compares one result, printed and as JSON, to the golden file, which has it in full.
 func TestGoldenResult(t *testing.T) {
 	t.Parallel()
 	s := shortened(loadScenario(t, "fleet-overload"), 600)
 	golden.Compare(t, "result.txt", printedResult(t, New(s, s.Seed, Options{Account: true}).Play()))
 }
 
-// Drawn scenarios, written with all their keys: two in full, the rest by hash.
+// TestGoldenDrawnScenarios compares drawn scenarios with all their keys to the golden file, which has two in full and hashes of all.
 func TestGoldenDrawnScenarios(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
@@ -136,7 +135,7 @@
 	golden.Compare(t, "drawn-scenarios.txt", out.String())
 }
 
-// The steps by which a world that breaks a rule becomes smaller are as they were.
+// TestGoldenShrinking compares the steps by which a scenario that violates an invariant is reduced to the golden file.
 func TestGoldenShrinking(t *testing.T) {
 	t.Parallel()
 	var out strings.Builder
--- a/internal/simulation/hard_cases_test.go
+++ b/internal/simulation/hard_cases_test.go
@@ -8,76 +8,76 @@
 	"birchstair/policy"
 )
 
-// hardCases counts the hard cases in a trace.
+// hardCases counts situations in a trace that are hard to handle correctly.
 type hardCases struct {
-	attemptsInFlight      map[string]invariants.Event // allocations that are out, by node and batch job
-	attemptsEnded         map[string]bool             // that the node counts as over, by node, batch job and executor
-	nodeOfWork            map[invariants.WorkID]invariants.NodeID
-	atTwoNodes            int // a second node takes what a first one still holds
-	startedAfterConnBreak int // an executor begins on what its node counts as over: it saw the break first
-	killedWithAttempt     int // a node dies with a last byte gone and no word of it
-	arrivedInSlowStart    int // work reaches a cold executor
-	lateStartNotices      int // a node is told of a start long after it
+	attemptsInFlight      map[string]invariants.Event             // attempts in flight, by node and job
+	attemptsEnded         map[string]bool                         // attempts that have ended for the node, by node, job and executor
+	nodeOfWork            map[invariants.WorkID]invariants.NodeID // node with a job of the work item in flight
+	jobsAtTwoNodes        int                                     // jobs accepted while another node had the same work item in flight
+	startedAfterConnBreak int                                     // attempts that started at the executor after they had ended for the node, which had noticed a broken connection
+	killedWithAttempt     int                                     // attempts of killed nodes of which the last byte was sent and no outcome had arrived
+	arrivedInSlowStart    int                                     // attempts that arrived at an executor in slow start
+	lateStartNotices      int                                     // updates by which a node learned of an executor's start more than 2 s after it
 }
 
-func (x *hardCases) record(s invariants.Event) {
+func (h *hardCases) record(s invariants.Event) {
 	key := string(rune(s.Node)) + string(s.Job)
 	switch s.Kind {
 	case invariants.JobAccepted:
-		if n, ok := x.nodeOfWork[s.Work]; ok && n != s.Node {
-			x.atTwoNodes++
+		if n, ok := h.nodeOfWork[s.Work]; ok && n != s.Node {
+			h.jobsAtTwoNodes++
 		}
-		x.nodeOfWork[s.Work] = s.Node
+		h.nodeOfWork[s.Work] = s.Node
 	case invariants.JobAnswered, invariants.ClientKnownLeft:
-		for w, n := range x.nodeOfWork {
+		for w, n := range h.nodeOfWork {
 			if n == s.Node && len(s.Job) > len(w) && string(s.Job[:len(w)]) == string(w) && s.Job[len(w)] == '/' {
-				delete(x.nodeOfWork, w)
+				delete(h.nodeOfWork, w)
 			}
 		}
 	case invariants.AttemptLastByte:
-		x.attemptsInFlight[key] = s
+		h.attemptsInFlight[key] = s
 	case invariants.AttemptEnded:
-		delete(x.attemptsInFlight, key)
-		x.attemptsEnded[key+string(s.Executor)] = true
+		delete(h.attemptsInFlight, key)
+		h.attemptsEnded[key+string(s.Executor)] = true
 	case invariants.EffectStarted:
-		if x.attemptsEnded[key+string(s.Executor)] {
-			x.startedAfterConnBreak++
+		if h.attemptsEnded[key+string(s.Executor)] {
+			h.startedAfterConnBreak++
 		}
 	case invariants.NodeKilled:
-		for k, o := range x.attemptsInFlight {
+		for k, o := range h.attemptsInFlight {
 			if o.Node == s.Node {
-				x.killedWithAttempt++
-				delete(x.attemptsInFlight, k)
+				h.killedWithAttempt++
+				delete(h.attemptsInFlight, k)
 			}
 		}
-		for w, n := range x.nodeOfWork {
+		for w, n := range h.nodeOfWork {
 			if n == s.Node {
-				delete(x.nodeOfWork, w)
+				delete(h.nodeOfWork, w)
 			}
 		}
 	case invariants.AttemptReached:
-		x.arrivedInSlowStart++
+		h.arrivedInSlowStart++
 	case invariants.EndpointNotified:
 		if s.State == policy.Available && s.Start > 0 && s.At > s.Start+2*time.Second {
-			x.lateStartNotices++
+			h.lateStartNotices++
 		}
 	}
 }
 
-// The hard cases happen in the worlds of the tests, each many times, and no invariant is violated by them.
+// TestHardCasesHappen verifies that each hard case happens several times in drawn scenarios, and that no invariant is violated.
 func TestHardCasesHappen(t *testing.T) {
 	t.Parallel()
-	x := &hardCases{attemptsInFlight: map[string]invariants.Event{}, attemptsEnded: map[string]bool{}, nodeOfWork: map[invariants.WorkID]invariants.NodeID{}}
-	ties, orphans := 0, 0
+	cases := &hardCases{attemptsInFlight: map[string]invariants.Event{}, attemptsEnded: map[string]bool{}, nodeOfWork: map[invariants.WorkID]invariants.NodeID{}}
+	simultaneous, orphanedRuns := 0, 0
 	play := func(s Scenario, seed uint64) {
-		clear(x.attemptsInFlight)
-		clear(x.attemptsEnded)
-		clear(x.nodeOfWork)
-		sim := New(s, seed, Options{Trace: x.record})
+		clear(cases.attemptsInFlight)
+		clear(cases.attemptsEnded)
+		clear(cases.nodeOfWork)
+		sim := New(s, seed, Options{Trace: cases.record})
 		r := sim.Play()
-		ties += sim.simultaneousSteps
+		simultaneous += sim.simultaneousSteps
 		for _, e := range sim.executors {
-			orphans += e.Orphans
+			orphanedRuns += e.Orphans
 		}
 		for _, b := range r.Violations {
 			t.Errorf("seed %d: %v", seed, b)
@@ -96,17 +96,17 @@
 		name  string
 		count int
 	}{
-		{"two things at one instant", ties},
-		{"two nodes hold the same work of one client", x.atTwoNodes},
-		{"work that runs on after its allocation was given up, and ends for nobody", orphans},
-		{"a node killed between the last byte and the word of it", x.killedWithAttempt},
-		{"a break that the node sees before the executor has the allocation", x.startedAfterConnBreak},
-		{"work for a cold executor", x.arrivedInSlowStart},
-		{"a node told of a start long after it", x.lateStartNotices},
+		{"two events at the same instant", simultaneous},
+		{"two nodes have the same work item in flight", cases.jobsAtTwoNodes},
+		{"an attempt that finishes after its connection has closed", orphanedRuns},
+		{"a node killed between an attempt's last byte and its outcome", cases.killedWithAttempt},
+		{"an attempt that starts after the node has noticed the broken connection", cases.startedAfterConnBreak},
+		{"an attempt that arrives at an executor in slow start", cases.arrivedInSlowStart},
+		{"a node that learns of an executor's start long after it", cases.lateStartNotices},
 	} {
 		t.Logf("%s: %d", c.name, c.count)
 		if c.count < 5 {
-			t.Errorf("%s: happened %d times only", c.name, c.count)
+			t.Errorf("%s: happened only %d times, want at least 5", c.name, c.count)
 		}
 	}
 }
--- a/internal/simulation/kill_run_test.go
+++ b/internal/simulation/kill_run_test.go
@@ -8,8 +8,8 @@
 	"birchstair/internal/golden"
 )
 
-// Real processes that are killed by SIGKILL at random times: no acknowledged job is lost, each has one final answer, and no at-most-once job
-// runs twice.
+// TestKilledNodes kills real processes with SIGKILL at random times. No acknowledged job may be lost, each must have one final answer, and no
+// at-most-once job may run twice.
 func TestKilledNodes(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -18,11 +18,11 @@
 		t.Fatal(err)
 	}
 	var wait sync.WaitGroup
-	free := make(chan struct{}, 8) // they mostly wait
+	slots := make(chan struct{}, 8) // more runs at a time than cores, as they mostly wait
 	for seed := range uint64(24) {
 		wait.Go(func() {
-			free <- struct{}{}
-			defer func() { <-free }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			k := KillTest{Binary: binary, Seed: seed, Jobs: 20, Kills: 3, Leases: seed%2 == 0, Dir: t.TempDir()}
 			r, err := k.Play()
 			if err != nil {
@@ -32,7 +32,7 @@
 				t.Errorf("seed %d: %s", seed, w)
 			}
 			if r.Finals["handled"] == 0 {
-				t.Errorf("seed %d: nothing was handled: %s", seed, fmt.Sprint(r.Finals))
+				t.Errorf("seed %d: no job succeeded: %s", seed, fmt.Sprint(r.Finals))
 			}
 		})
 	}
--- a/internal/simulation/networked_test.go
+++ b/internal/simulation/networked_test.go
@@ -17,7 +17,7 @@
 	"birchstair/lab/scenarios"
 )
 
-// playWired plays a world on connections in memory, on a virtual clock.
+// playNetworked runs a networked simulation on a virtual clock.
 func playNetworked(t *testing.T, s Scenario, seed uint64, o Options) (r Result) {
 	synctesting.Test(t, func(*testing.T) { r = New(s, seed, o).PlayNetworked() })
 	if r.Wrong > 0 {
@@ -28,8 +28,8 @@
 
 const ownProcessVariable = "BIRCHLAB_OWN_PROCESS"
 
-// inOwnProcess runs a test in a process of its own while the race detector is on, and says whether it did: a bubble has one processor
-// then (internal/synctesting), and so worlds are still played beside each other. A child that did not run the test fails it.
+// runInOwnProcess runs the test in a child process if the race detector is on, and returns whether it did. A synctest bubble then uses one
+// processor only (internal/synctesting), and child processes let tests still run in parallel. The test fails if the child has not run it.
 func runInOwnProcess(t *testing.T) bool {
 	if !underRace || os.Getenv(ownProcessVariable) != "" {
 		return false
@@ -39,12 +39,12 @@
 	cmd.Env = append(os.Environ(), ownProcessVariable+"=1", "GOMAXPROCS=1")
 	out, err := cmd.CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "--- PASS: "+t.Name()+" ") {
-		t.Errorf("in a process of its own: %v\n%s", err, out)
+		t.Errorf("child process: %v\n%s", err, out)
 	}
 	return true
 }
 
-// The scenarios in wired worlds.
+// TestNetworkedScenarios plays the repository's scenarios in networked simulations. No invariant may be violated.
 func TestNetworkedScenarios(t *testing.T) {
 	t.Parallel()
 	files, err := fs.Glob(scenarios.Files, "*.toml")
@@ -61,7 +61,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Length = min(s.Length, Span(2*time.Minute)) // bytes take longer than events
+			s.Length = min(s.Length, Span(2*time.Minute)) // networked simulations take longer than others
 			if underRace {
 				s = shortened(s, 2000)
 			}
@@ -69,13 +69,13 @@
 			r := playNetworked(t, s, s.Seed, Options{})
 			checkSound(t, r)
 			if s.Load.MalformedRate > 0 && r.Malformed == 0 {
-				t.Error("no bad client came")
+				t.Error("no malformed request was sent")
 			}
 		})
 	}
 }
 
-// Drawn scenarios in wired worlds.
+// TestNetworkedDrawnScenarios plays drawn scenarios in networked simulations. No invariant may be violated.
 func TestNetworkedDrawnScenarios(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= uint64(*seeds/10); seed++ {
@@ -94,22 +94,23 @@
 
 const networkedDigestVariable = "BIRCHLAB_WIRED_DIGEST"
 
-// TestWiredDigest writes the digest of some wired worlds' traces for TestWiredSameSeedSameTrace, in a process of its own.
+// TestNetworkedDigest writes the digest of the traces of several networked simulations to a file. It runs only in the child processes of
+// TestNetworkedSameSeedSameTrace.
 func TestNetworkedDigest(t *testing.T) {
 	file := os.Getenv(networkedDigestVariable)
 	if file == "" {
-		t.Skip("only in a process of its own")
+		t.Skip("runs only in a child process of TestNetworkedSameSeedSameTrace")
 	}
 	var out strings.Builder
 	for seed := uint64(1); seed <= 6; seed++ {
 		h, lines := sha256.New(), 0
-		world := Draw(seed, Size{Nodes: 3, Executors: 6, Length: 8 * time.Second})
-		// Killed processes: what is left of their goroutines must change nothing, not even the names of later connections.
-		// Without nodes that are killed while they drain clients: the goroutine that does so never ends there, as it need not in a process.
-		world.Faults = slices.DeleteFunc(world.Faults, func(f Fault) bool { return f.Kind == "sent-away" })
-		world.Faults = append(world.Faults, Fault{Kind: "node-killed", At: Span(2 * time.Second), For: Span(time.Second)},
-			Fault{Kind: "zone-lost", At: Span(5 * time.Second), For: Span(time.Second), Where: world.Fleet.Zones[:1]})
-		playNetworked(t, world, seed, Options{Trace: func(s invariants.Event) {
+		scenario := Draw(seed, Size{Nodes: 3, Executors: 6, Length: 8 * time.Second})
+		// Remaining goroutines of killed processes must not change anything, not even the names of later connections. Drains of clients are
+		// removed, because the goroutine of a drain never ends here if its node is killed, as only the end of a real process ends it.
+		scenario.Faults = slices.DeleteFunc(scenario.Faults, func(f Fault) bool { return f.Kind == "sent-away" })
+		scenario.Faults = append(scenario.Faults, Fault{Kind: "node-killed", At: Span(2 * time.Second), For: Span(time.Second)},
+			Fault{Kind: "zone-lost", At: Span(5 * time.Second), For: Span(time.Second), Where: scenario.Fleet.Zones[:1]})
+		playNetworked(t, scenario, seed, Options{Trace: func(s invariants.Event) {
 			line, err := s.Line()
 			if err != nil {
 				t.Error(err)
@@ -124,8 +125,8 @@
 	}
 }
 
-// The same seed gives the same trace with the network code, too: in several processes, with one thread and with eight. Under the race
-// detector all have one (internal/synctesting), so that part is the run's without it (make test).
+// TestNetworkedSameSeedSameTrace verifies that the same seed gives the same networked trace in several processes, with one thread and with
+// eight. With the race detector all of them use one thread (internal/synctesting), so only the run without it tests eight.
 func TestNetworkedSameSeedSameTrace(t *testing.T) {
 	t.Parallel()
 	want := ""
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -73,7 +73,7 @@
 // settings returns the policy settings and limits with which the node starts.
 func (n *simNode) settings() (policy.Settings, node.Limits) {
 	fleet := &n.sim.scenario.Fleet
-	wired := n.sim.networked != nil
+	networked := n.sim.networked != nil
 	settings := policy.Settings{
 		Seed:                uint32(permute(n.sim.seed + uint64(n.id)<<20 + uint64(n.incarnation))),
 		Node:                int(n.id),
@@ -94,10 +94,10 @@
 		OverloadWindow:      time.Duration(fleet.OverloadWindow),
 		StartNotices:        fleet.StartNotices,
 		ProgressInterval:    time.Duration(fleet.ProgressInterval),
-		MayLease:            fleet.Gossip && fleet.Leases && !wired,
+		MayLease:            fleet.Gossip && fleet.Leases && !networked,
 		MayHedge:            fleet.MayHedge,
-		ClientsMarkRetries:  n.sim.scenario.Load.MarksRetries && !wired,
-		MayCheckHealth:      fleet.MayCheckHealth && !wired,
+		ClientsMarkRetries:  n.sim.scenario.Load.MarksRetries && !networked,
+		MayCheckHealth:      fleet.MayCheckHealth && !networked,
 	}
 	longest := time.Duration(0)
 	for _, class := range n.sim.jobClasses {
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -2,6 +2,6 @@
 
 import "birchstair/internal/synctesting"
 
-// underRace says that the race detector is on, with which worlds take some eight times as long. An event world is one goroutine, so all of them
-// are played in the run without it (make test), and each scenario once with it.
+// underRace is true if the race detector is on, with which simulations take about eight times as long. A simulation that is not networked
+// is a single goroutine. Therefore the run without the detector (make test) plays all of them, and the run with it each scenario once.
 const underRace = synctesting.UnderRace
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -19,13 +19,13 @@
 	"birchstair/lab/scenarios"
 )
 
-var seeds = flag.Int("seeds", 150, "number of drawn worlds")
+var seeds = flag.Int("seeds", 150, "number of drawn scenarios to play")
 
-// Drawn worlds with half of the clients leaving early and nodes that are suspended meanwhile: no attempt starts too long after its client
-// has left, in event worlds nor, without suspended nodes, in wired ones.
+// TestClientsLeaveInDrawnScenarios plays drawn scenarios in which half of the clients disconnect early and nodes are suspended. No attempt
+// may be sent too long after its client has disconnected, nor in networked simulations, which ignore the suspensions.
 func TestClientsLeaveInDrawnScenarios(t *testing.T) {
-	waiting := 0
-	leaving := func(seed uint64, size Size) Scenario {
+	leftWhileQueued := 0
+	leavingScenario := func(seed uint64, size Size) Scenario {
 		s := Draw(seed, size)
 		s.Load.LeaveRate, s.Load.Utilization = 0.5, max(1, s.Load.Utilization)
 		for i := range 4 {
@@ -34,31 +34,31 @@
 		}
 		return s
 	}
-	look := func(seed uint64, r Result) {
-		waiting += r.LeftQueued
+	check := func(seed uint64, r Result) {
+		leftWhileQueued += r.LeftQueued
 		if r.SentLate > 0 {
-			t.Errorf("seed %d: %d attempts began too long after their clients had left", seed, r.SentLate)
+			t.Errorf("seed %d: %d attempts were sent too long after their clients had disconnected", seed, r.SentLate)
 		}
 		for _, b := range r.Violations {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 	}
 	for seed := uint64(1); seed <= uint64(*seeds/8); seed++ {
-		look(seed, New(leaving(seed, Size{Nodes: 4, Executors: 8, Length: 15 * time.Second}), seed, Options{}).Play())
+		check(seed, New(leavingScenario(seed, Size{Nodes: 4, Executors: 8, Length: 15 * time.Second}), seed, Options{}).Play())
 	}
-	t.Logf("%d of them in worlds of events", waiting)
+	t.Logf("%d clients left while their jobs were queued, without networked simulations", leftWhileQueued)
 	for seed := uint64(1); seed <= uint64(*seeds/50); seed++ {
-		s := leaving(seed, Size{Nodes: 3, Executors: 6, Length: 10 * time.Second})
-		// A node that is killed while it drains clients leaves a goroutine behind that never ends here, as it need not in a process.
+		s := leavingScenario(seed, Size{Nodes: 3, Executors: 6, Length: 10 * time.Second})
+		// The goroutine of a client drain never ends here if its node is killed, as only the end of a real process ends it.
 		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.Kind == emulator.ClientsDrained })
-		look(seed, playNetworked(t, s, seed, Options{}))
+		check(seed, playNetworked(t, s, seed, Options{}))
 	}
-	if t.Logf("%d clients left while their batch jobs waited", waiting); waiting < 2**seeds {
-		t.Errorf("%d clients left while their batch jobs waited: too few to tell", waiting)
+	if t.Logf("%d clients left while their jobs were queued", leftWhileQueued); leftWhileQueued < 2**seeds {
+		t.Errorf("%d clients left while their jobs were queued, want at least %d for a conclusive test", leftWhileQueued, 2**seeds)
 	}
 }
 
-// Every scenario with some seeds: no invariant is violated, and the policy never panics.
+// TestScenarios plays each scenario with several seeds. No invariant may be violated, and the policy must not panic.
 func TestScenarios(t *testing.T) {
 	t.Parallel()
 	files, err := fs.Glob(scenarios.Files, "*.toml")
@@ -84,12 +84,12 @@
 	}
 }
 
-// The scenarios of lab/size are too large for tests and are played by hand; here they are only read.
+// TestLargeScenariosLoad verifies that the scenarios of lab/size can be read. They are too large to be played in a test.
 func TestLargeScenariosLoad(t *testing.T) {
 	sizes := os.DirFS("../../lab/size")
 	files, err := fs.Glob(sizes, "*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatal("none: ", err)
+		t.Fatal("no scenarios in lab/size: ", err)
 	}
 	for _, f := range files {
 		if s, err := LoadFrom(sizes, f); err != nil || len(s.Faults) == 0 {
@@ -98,8 +98,8 @@
 	}
 }
 
-// shortened shortens a scenario to about as many jobs, without the faults that would begin later.
-func shortened(s Scenario, most float64) Scenario {
+// shortened returns the scenario with a length of about maxWorks work items, without the faults that would begin later.
+func shortened(s Scenario, maxWorks float64) Scenario {
 	mean := 0.0
 	for _, t := range s.Classes {
 		mean += t.Share * time.Duration(t.Work).Seconds()
@@ -107,24 +107,24 @@
 	if s.Load.Utilization == 0 {
 		return s
 	}
-	perSecond := s.Load.Utilization * float64(s.Fleet.Executors*s.Fleet.Slots) * s.Fleet.Speed / mean // and retries
-	s.Length = min(s.Length, Span(most/perSecond*float64(time.Second)))
+	perSecond := s.Load.Utilization * float64(s.Fleet.Executors*s.Fleet.Slots) * s.Fleet.Speed / mean // without retries
+	s.Length = min(s.Length, Span(maxWorks/perSecond*float64(time.Second)))
 	s.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool { return f.At >= s.Length })
 	return s
 }
 
-// checkSound fails if an invariant was violated, the policy panicked, or nothing was played.
+// checkSound fails if an invariant was violated, the policy panicked, or there was no traffic.
 func checkSound(t *testing.T, r Result) {
 	t.Helper()
 	for _, b := range r.Violations {
 		t.Errorf("%s, seed %d: %v", r.Scenario, r.Seed, b)
 	}
 	if r.Panics > 0 || r.Works() == 0 || r.Attempts == 0 {
-		t.Errorf("%s, seed %d: the module broke %d times; %d wanted, %d allocations", r.Scenario, r.Seed, r.Panics, r.Works(), r.Attempts)
+		t.Errorf("%s, seed %d: %d panics of the policy, %d work items, %d attempts", r.Scenario, r.Seed, r.Panics, r.Works(), r.Attempts)
 	}
 }
 
-// A fixed set of drawn worlds.
+// TestDrawnScenarios plays the drawn scenarios of a fixed set of seeds. No invariant may be violated, and the policy must not panic.
 func TestDrawnScenarios(t *testing.T) {
 	t.Parallel()
 	last := uint64(*seeds)
@@ -136,16 +136,16 @@
 			t.Errorf("seed %d: %v", r.Seed, b)
 		}
 		if r.Panics > 0 {
-			t.Errorf("seed %d: the module broke %d times", r.Seed, r.Panics)
+			t.Errorf("seed %d: %d panics of the policy", r.Seed, r.Panics)
 		}
 		return true
 	})
 }
 
-// digest is a hash of the traces of some worlds.
+// digest returns a hash of the traces of several simulations.
 func digest() string {
 	h := sha256.New()
-	lines := 0
+	lineCount := 0
 	for seed := uint64(1); seed <= 8; seed++ {
 		s := Draw(seed, Size{Nodes: 4, Executors: 8, Length: 10 * time.Second})
 		New(s, seed, Options{Trace: func(x invariants.Event) {
@@ -154,10 +154,10 @@
 				panic(err)
 			}
 			h.Write(line)
-			lines++
+			lineCount++
 		}}).Play()
 	}
-	return fmt.Sprintf("%d lines, %x", lines, h.Sum(nil))
+	return fmt.Sprintf("%d lines, %x", lineCount, h.Sum(nil))
 }
 
 const digestVariable = "BIRCHLAB_DIGEST"
@@ -170,7 +170,7 @@
 	os.Exit(m.Run())
 }
 
-// The same seed gives the same trace, byte for byte: again, in other processes, with one thread and with eight.
+// TestSameSeedSameTrace verifies that the same seed gives the same trace in several processes, with one thread and with eight.
 func TestSameSeedSameTrace(t *testing.T) {
 	t.Parallel()
 	want := digest()
@@ -187,7 +187,7 @@
 	}
 }
 
-// A scenario that is written and read again plays the same.
+// TestScenarioTextRoundTrip verifies that a scenario that is encoded and parsed again has the same result.
 func TestScenarioTextRoundTrip(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
@@ -196,14 +196,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := Read(s.Name+".toml", text)
+		decoded, err := Read(s.Name+".toml", text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var a, b bytes.Buffer
 		r := New(s, seed, Options{}).Play()
 		r.Print(&a)
-		r = New(back, seed, Options{}).Play()
+		r = New(decoded, seed, Options{}).Play()
 		r.Print(&b)
 		if a.String() != b.String() {
 			t.Errorf("seed %d:\n%s%s", seed, a.String(), b.String())
@@ -211,7 +211,7 @@
 	}
 }
 
-// Every drawn scenario passes the check.
+// TestDrawnScenariosAreValid verifies that drawn scenarios pass the check of their values.
 func TestDrawnScenariosAreValid(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3000) {
@@ -222,7 +222,7 @@
 	}
 }
 
-// Errors of scenarios name file, line and key.
+// TestBrokenScenarios compares errors of scenario files, which name file, line and key, to the golden file.
 func TestBrokenScenarios(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
@@ -254,7 +254,7 @@
 	golden.Compare(t, "broken-scenarios.txt", out.String())
 }
 
-// Shrinking leaves the one fault that violates the invariant.
+// TestShrink verifies that shrinking leaves only the fault that violates the invariant.
 func TestShrink(t *testing.T) {
 	t.Parallel()
 	defect := defects[0]
@@ -266,16 +266,16 @@
 		return len(r.Violations) > 0 && r.Violations[0].Rule == defect.rule
 	}
 	s, steps := faultyScenario(nil), 0
-	small := shrink(s, violates, func(Scenario) { steps++ })
-	if !violates(small) || steps == 0 {
-		t.Fatalf("what is left after %d steps breaks nothing", steps)
+	reduced := shrink(s, violates, func(Scenario) { steps++ })
+	if !violates(reduced) || steps == 0 {
+		t.Fatalf("the scenario after %d steps violates no invariant", steps)
 	}
-	if len(small.Faults) != 1 || small.Faults[0].Kind != emulator.Drain || len(small.Faults[0].Where) != 1 || small.Length > s.Length/2 ||
-		small.Fleet.Nodes != 1 || len(small.Classes) != 1 {
-		text, _ := small.Text()
-		t.Errorf("still large:\n%s", text)
+	if len(reduced.Faults) != 1 || reduced.Faults[0].Kind != emulator.Drain || len(reduced.Faults[0].Where) != 1 || reduced.Length > s.Length/2 ||
+		reduced.Fleet.Nodes != 1 || len(reduced.Classes) != 1 {
+		text, _ := reduced.Text()
+		t.Errorf("the scenario could be smaller:\n%s", text)
 	}
-	if whole := shrink(s, func(Scenario) bool { return false }, func(Scenario) { t.Error("a step that helped nothing") }); !sameText(whole, s) {
-		t.Error("a world that breaks nothing was changed")
+	if unchanged := shrink(s, func(Scenario) bool { return false }, func(Scenario) { t.Error("a step for a scenario that violates no invariant") }); !sameText(unchanged, s) {
+		t.Error("a scenario that violates no invariant was changed")
 	}
 }
