--- a/cmd/birchstair-sim/account.go
+++ b/cmd/birchstair-sim/account.go
@@ -9,14 +9,14 @@
 )
 
 type accountCmd struct {
-	Scenario  string            `arg:"" help:"A file, or the name of a kept scenario."`
-	Seed      uint64            `help:"What chance is drawn from; the scenario's own seed, or 1, if it is left out."`
-	Policy    simulation.Policy `enum:"module,random,best" default:"module" help:"What decides at the nodes: the module; a random live executor, at once; the executor that by what is true is done first."`
-	Nodes     int               `help:"So many nodes instead of the scenario's."`
-	Executors int               `help:"So many executors instead of the scenario's."`
-	Load      float64           `help:"So much traffic, as a part of what all executors can do, instead of the scenario's."`
-	Length    time.Duration     `help:"So long instead of the scenario's."`
-	JSON      string            `name:"json" type:"path" placeholder:"FILE" help:"Write the account there."`
+	Scenario  string            `arg:"" help:"A file, or the name of a built-in scenario."`
+	Seed      uint64            `help:"Random seed. Defaults to the scenario's own seed, or else to 1."`
+	Policy    simulation.Policy `enum:"module,random,best" default:"module" help:"Policy of the nodes: module is the real one, random sends each job at once to a random available executor, and best knows the true state of all executors."`
+	Nodes     int               `help:"Number of nodes. Defaults to the scenario's."`
+	Executors int               `help:"Number of executors. Defaults to the scenario's."`
+	Load      float64           `help:"Traffic, as a fraction of the capacity of all executors. Defaults to the scenario's."`
+	Length    time.Duration     `help:"Length of the scenario. Defaults to its own."`
+	JSON      string            `name:"json" type:"path" placeholder:"FILE" help:"Write the account to this file, as JSON."`
 }
 
 // Run plays the scenario and prints the account.
--- a/cmd/birchstair-sim/fleet.go
+++ b/cmd/birchstair-sim/fleet.go
@@ -12,34 +12,34 @@
 	"birchstair/internal/simulation"
 )
 
-// fleetCmd plays scenarios with real processes.
+// fleetCmd plays scenarios with clusters of real processes.
 type fleetCmd struct {
-	Run  fleetRunCmd  `cmd:"" help:"Play a scenario with real processes of the program on loopback. The exit status is 1 where something was wrong."`
-	Hunt fleetHuntCmd `cmd:"" help:"Play fleets and faults drawn from seeds with real processes, and keep what was wrong."`
+	Run  fleetRunCmd  `cmd:"" help:"Play a scenario with real processes on loopback. The exit status is 1 if an invariant was violated."`
+	Hunt fleetHuntCmd `cmd:"" help:"Play scenarios drawn from seeds with real processes, and keep the files of runs with violations."`
 }
 
 type fleetOptions struct {
-	Binary string `type:"existingfile" default:"bin/birchstair" help:"The node."`
-	Keep   string `type:"path" placeholder:"DIR" help:"Keep logs, configurations and the timeline of each run there; else only of runs where something was wrong, in a temporary folder."`
+	Binary string `type:"existingfile" default:"bin/birchstair" help:"Path of the birchstair program."`
+	Keep   string `type:"path" placeholder:"DIR" help:"Keep the logs, configurations and timeline of each run in this directory. By default only those of runs with violations are kept, in a temporary directory."`
 }
 
 type fleetRunCmd struct {
 	fleetOptions
-	Scenario string `arg:"" help:"A file, or the name of a kept scenario."`
-	Seed     uint64 `default:"1" help:"What load and chance are drawn from."`
-	Runs     int    `default:"1" help:"How many runs, one after another, each with the next seed."`
-	Against  bool   `help:"Play each seed once more without the [fleet] table, in turn, and print both."`
-	JSON     string `name:"json" type:"path" placeholder:"FILE" help:"Write the results there, a line each."`
+	Scenario string `arg:"" help:"A file, or the name of a built-in scenario."`
+	Seed     uint64 `default:"1" help:"Random seed of the first run."`
+	Runs     int    `default:"1" help:"Number of runs, one after another. Each has the next seed."`
+	Against  bool   `help:"Play each seed both with and without the [fleet] table, and print both results."`
+	JSON     string `name:"json" type:"path" placeholder:"FILE" help:"Append the results to this file, as a line of JSON each."`
 }
 
 type fleetHuntCmd struct {
 	fleetOptions
-	Seeds    seeds `default:"1..20" help:"The seeds to draw from: A..B."`
-	Nodes    int   `default:"6" help:"Processes in each fleet, 3 to 60."`
-	Parallel int   `default:"2" help:"Runs at a time."`
+	Seeds    seeds `default:"1..20" help:"Range of seeds, as FIRST..LAST."`
+	Nodes    int   `default:"6" help:"Number of nodes in each scenario, from 3 to 60."`
+	Parallel int   `default:"2" help:"Number of runs at a time."`
 }
 
-// Run plays the runs and prints each.
+// Run plays the runs and prints the result of each.
 func (c *fleetRunCmd) Run() error {
 	s, err := load(c.Scenario)
 	if err != nil {
@@ -48,21 +48,21 @@
 	if err := harness.CheckScenario(s); err != nil {
 		return fmt.Errorf("%s: %w", c.Scenario, err)
 	}
-	wrong := 0
+	violations := 0
 	for i := range c.Runs {
 		variants := []bool{s.Fleet.Gossip}
 		if c.Against {
 			variants = []bool{true, false}
 		}
 		for _, gossip := range variants {
-			one := s
-			one.Fleet.Gossip = gossip
-			r, dir, err := c.play(one, c.Seed+uint64(i))
+			variant := s
+			variant.Fleet.Gossip = gossip
+			r, dir, err := c.play(variant, c.Seed+uint64(i))
 			if err != nil {
 				return err
 			}
-			printFleet(one, r, dir)
-			wrong += len(r.Violations)
+			printFleet(variant, r, dir)
+			violations += len(r.Violations)
 			if c.JSON != "" {
 				if err := appendLine(c.JSON, struct {
 					Gossip bool `json:"Talk"`
@@ -73,7 +73,7 @@
 			}
 		}
 	}
-	if wrong > 0 {
+	if violations > 0 {
 		return errViolation
 	}
 	return nil
@@ -93,7 +93,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// play plays one run, and drops its folder where nothing was wrong and nobody wants it.
+// play plays one run. It removes the run's directory unless there were violations or --keep is set.
 func (c *fleetOptions) play(s simulation.Scenario, seed uint64) (harness.Result, string, error) {
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
@@ -133,14 +133,14 @@
 	}
 }
 
-// Run plays a run for each seed and prints each.
+// Run plays a run for each seed and prints its result.
 func (c *fleetHuntCmd) Run() error {
 	if c.Nodes < 3 || c.Nodes > 60 {
-		return fmt.Errorf("--nodes %d: from 3 to 60", c.Nodes)
+		return fmt.Errorf("--nodes %d: must be from 3 to 60", c.Nodes)
 	}
 	var mu sync.Mutex
-	runs, wrong := 0, 0
-	var failed error
+	runs, violations := 0, 0
+	var failure error
 	inParallel(c.Seeds.count(), max(1, c.Parallel), func(i int) {
 		seed := c.Seeds.first + uint64(i)
 		s := harness.Draw(seed, c.Nodes)
@@ -148,27 +148,27 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			failed = err
+			failure = err
 			return
 		}
 		runs++
-		wrong += len(r.Violations)
+		violations += len(r.Violations)
 		printFleet(s, r, dir)
 		if len(r.Violations) > 0 {
-			failed = errors.Join(failed, keepScenario(dir, s))
+			failure = errors.Join(failure, keepScenario(dir, s))
 		}
 	})
-	fmt.Printf("%d runs, %d things wrong\n", runs, wrong)
-	if failed != nil {
-		return failed
+	fmt.Printf("%d runs, %d things wrong\n", runs, violations)
+	if failure != nil {
+		return failure
 	}
-	if wrong > 0 {
+	if violations > 0 {
 		return errViolation
 	}
 	return nil
 }
 
-// keepScenario writes the scenario of a run beside the run's logs.
+// keepScenario writes the scenario of a run to the run's directory.
 func keepScenario(dir string, s simulation.Scenario) error {
 	text, err := s.Text()
 	if err != nil {
--- a/cmd/birchstair-sim/help_test.go
+++ b/cmd/birchstair-sim/help_test.go
@@ -11,7 +11,7 @@
 	"birchstair/internal/golden"
 )
 
-// asProgram names the environment variable by which the test binary runs as the program.
+// asProgram is the environment variable that makes the test binary run as the program.
 const asProgram = "BIRCHSTAIR_SIM_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// TestHelp pins the help of the program and of each of its commands: names of flags follow from Go fields.
+// TestHelp compares the help of the program and of each command to the golden file. The names of flags derive from Go fields.
 func TestHelp(t *testing.T) {
 	var out strings.Builder
 	var print func(n *kong.Node, path []string)
--- a/cmd/birchstair-sim/hunt.go
+++ b/cmd/birchstair-sim/hunt.go
@@ -14,21 +14,21 @@
 )
 
 type huntCmd struct {
-	Against   bool          `help:"Play each world whose nodes talk once more with each alone, and name those where talking did worst."`
-	Seeds     seeds         `default:"1..1000" help:"The seeds, as FIRST..LAST."`
-	Nodes     int           `default:"4" help:"Nodes in a world, at most."`
-	Executors int           `default:"8" help:"Executors in a world, at most."`
-	Length    time.Duration `default:"15s" help:"How long batch jobs come in a world."`
-	SlowStart bool          `name:"cold" help:"Draw worlds about cold executors, with 20 or 30 nodes."`
-	Parallel  int           `help:"Worlds at a time; as many as there are cores if it is left out."`
-	Keep      string        `type:"path" placeholder:"DIR" help:"Keep what breaks a rule, and what does worst, as scenarios there."`
-	Worst     int           `default:"5" help:"How many of those that do worst are named."`
+	Against   bool          `help:"Play each scenario with gossip once more without, and list those in which gossip did worst."`
+	Seeds     seeds         `default:"1..1000" help:"Range of seeds, as FIRST..LAST."`
+	Nodes     int           `default:"4" help:"Largest number of nodes in a scenario."`
+	Executors int           `default:"8" help:"Largest number of executors in a scenario."`
+	Length    time.Duration `default:"15s" help:"Length of a scenario, during which clients submit batch jobs."`
+	SlowStart bool          `name:"cold" help:"Draw scenarios with 20 or 30 nodes that stress the slow start of executors."`
+	Parallel  int           `help:"Number of scenarios at a time. Defaults to the number of cores."`
+	Keep      string        `type:"path" placeholder:"DIR" help:"Write the scenarios that violate an invariant or do worst to this directory."`
+	Worst     int           `default:"5" help:"Number of scenarios to list of those that do worst."`
 }
 
-// seeds is a range of seeds, both ends included.
+// seeds is a range of seeds, including both ends.
 type seeds struct{ first, last uint64 }
 
-// UnmarshalText reads FIRST..LAST, or one seed.
+// UnmarshalText parses FIRST..LAST, or a single seed.
 func (s *seeds) UnmarshalText(text []byte) (err error) {
 	a, b, ok := strings.Cut(string(text), "..")
 	if !ok {
@@ -43,41 +43,41 @@
 	return nil
 }
 
-// count returns how many seeds there are.
+// count returns the number of seeds in the range.
 func (s seeds) count() int { return int(s.last - s.first + 1) }
 
 // huntProgressInterval is how often progress is reported on standard error.
 const huntProgressInterval = time.Second
 
-// world is a scenario that was played, and its result.
-type world struct {
+// playedScenario is a scenario with its result.
+type playedScenario struct {
 	scenario simulation.Scenario
 	result   simulation.Result
 }
 
-// shortfall is by how much a world earned less than it could have with the nodes and executors that were there.
-func (w world) shortfall() float64 { return w.result.Best - w.result.Earned }
+// shortfall returns the difference between the upper bound of the earned fraction, given the nodes and executors that were up, and the earned fraction.
+func (w playedScenario) shortfall() float64 { return w.result.Best - w.result.Earned }
 
 // hunt is the state of a running hunt.
 type hunt struct {
 	*huntCmd
 	began, reported time.Time
 
-	done       uint64
-	works      int
-	steps      int
-	panics     int
-	lateTwice  int
-	violations int
-	worst      []world // the largest shortfall first
-	comparison comparison
-	err        error
+	done          uint64
+	works         int
+	steps         int
+	panics        int
+	duplicateRuns int
+	violations    int
+	worst         []playedScenario // ordered by shortfall, largest first
+	comparison    comparison
+	err           error
 }
 
-// Run plays a world for each seed, and prints and keeps those that violate an invariant or do worst.
+// Run plays a drawn scenario for each seed, and prints and keeps those that violate an invariant or do worst.
 func (c *huntCmd) Run() error {
 	if c.Nodes < 1 || c.Executors < 2 || c.Length < time.Second {
-		return fmt.Errorf("a world has at least 1 node, 2 executors and 1s: --nodes %d, --executors %d, --length %v", c.Nodes, c.Executors, c.Length)
+		return fmt.Errorf("--nodes %d, --executors %d, --length %v: must be at least 1, 2 and 1s", c.Nodes, c.Executors, c.Length)
 	}
 	if c.Keep != "" {
 		if err := os.MkdirAll(c.Keep, 0o755); err != nil {
@@ -87,7 +87,7 @@
 	h := hunt{huntCmd: c, began: time.Now(), reported: time.Now()}
 	size := simulation.Size{Nodes: c.Nodes, Executors: c.Executors, Length: c.Length, SlowStart: c.SlowStart}
 	simulation.Hunt(c.Seeds.first, c.Seeds.last, size, c.Parallel, func(s simulation.Scenario, r simulation.Result) bool {
-		h.add(world{s, r})
+		h.add(playedScenario{s, r})
 		h.reportProgress()
 		return h.err == nil
 	})
@@ -97,33 +97,33 @@
 	return h.printSummary()
 }
 
-// add counts a world, and prints and keeps it where it violates an invariant.
-func (h *hunt) add(w world) {
-	r := w.result
+// add adds a result to the sums, and prints and keeps the scenario if it violated an invariant.
+func (h *hunt) add(played playedScenario) {
+	r := played.result
 	h.done++
 	h.works += r.Works()
 	h.steps += r.Steps
 	h.panics += r.Panics
-	h.lateTwice += r.DuplicateRuns
+	h.duplicateRuns += r.DuplicateRuns
 	if len(r.Violations) > 0 {
 		h.violations++
 		fmt.Printf("seed %d: %v\n", r.Seed, r.Violations[0])
 		if h.Keep != "" {
-			h.err = keep(h.Keep, w.scenario, "breaks: "+r.Violations[0].Rule.String())
+			h.err = keep(h.Keep, played.scenario, "breaks: "+r.Violations[0].Rule.String())
 		}
 	}
 	if r.Panics > 0 {
 		fmt.Printf("seed %d: the module broke %d times\n", r.Seed, r.Panics)
 	}
-	if h.Against && w.scenario.Fleet.Gossip {
-		h.comparison.add(w)
+	if h.Against && played.scenario.Fleet.Gossip {
+		h.comparison.add(played)
 	}
-	h.worst = append(h.worst, w)
-	slices.SortStableFunc(h.worst, func(a, b world) int { return cmp.Compare(b.shortfall(), a.shortfall()) })
+	h.worst = append(h.worst, played)
+	slices.SortStableFunc(h.worst, func(a, b playedScenario) int { return cmp.Compare(b.shortfall(), a.shortfall()) })
 	h.worst = h.worst[:min(len(h.worst), h.Worst)]
 }
 
-// reportProgress reports progress on standard error now and then.
+// reportProgress reports progress on standard error at intervals of huntProgressInterval.
 func (h *hunt) reportProgress() {
 	if time.Since(h.reported) <= huntProgressInterval {
 		return
@@ -135,15 +135,15 @@
 	fmt.Fprintf(os.Stderr, "%d of %d worlds, %d broken, %.0f a second, %v to go\n", h.done, total, h.violations, rate, remaining.Round(time.Second))
 }
 
-// printSummary prints sums and the worlds that did worst, and keeps those.
+// printSummary prints the sums and the scenarios that did worst, and keeps these scenarios.
 func (h *hunt) printSummary() error {
 	fmt.Printf("%d worlds, %d things wanted, %d steps in %v: %d broke a rule, the module broke %d times, %d tagged ran again too late to be dropped\n",
-		h.done, h.works, h.steps, time.Since(h.began).Round(time.Millisecond), h.violations, h.panics, h.lateTwice)
-	for _, w := range h.worst {
-		r := w.result
-		fmt.Printf("  seed %d earned %.3f where %.3f could have been; faults: %d\n", r.Seed, r.Earned, r.Best, len(w.scenario.Faults))
+		h.done, h.works, h.steps, time.Since(h.began).Round(time.Millisecond), h.violations, h.panics, h.duplicateRuns)
+	for _, played := range h.worst {
+		r := played.result
+		fmt.Printf("  seed %d earned %.3f where %.3f could have been; faults: %d\n", r.Seed, r.Earned, r.Best, len(played.scenario.Faults))
 		if h.Keep != "" {
-			if err := keep(h.Keep, w.scenario, fmt.Sprintf("earned %.3f", r.Earned)); err != nil {
+			if err := keep(h.Keep, played.scenario, fmt.Sprintf("earned %.3f", r.Earned)); err != nil {
 				return err
 			}
 		}
@@ -157,32 +157,32 @@
 	return nil
 }
 
-// comparison is of worlds that were played with nodes that gossip, and with each node alone.
+// comparison compares the results of scenarios with gossip to those without.
 type comparison struct {
-	pairs []worldPair
+	pairs []comparedPair
 }
 
-type worldPair struct {
+type comparedPair struct {
 	seed                          uint64
-	gossip, alone, best           float64 // earned, and what could have been
+	gossip, alone, best           float64 // earned fraction with gossip and without, and its upper bound
 	gossipAttempts, aloneAttempts int
 }
 
-// notable is the difference from which on one of a pair counts as better.
-const notable = 0.02
+// notableDifference is the smallest difference of the earned fractions that counts as better or worse.
+const notableDifference = 0.02
 
-// add plays a world whose nodes gossip once more with each node alone.
-func (c *comparison) add(w world) {
-	s, r := w.scenario, w.result
+// add plays a scenario with gossip once more without, and adds both results.
+func (c *comparison) add(played playedScenario) {
+	s, r := played.scenario, played.result
 	s.Fleet.Gossip = false
 	alone := simulation.New(s, r.Seed, simulation.Options{}).Play()
-	c.pairs = append(c.pairs, worldPair{r.Seed, r.Earned, alone.Earned, r.Best, r.Attempts, alone.Attempts})
+	c.pairs = append(c.pairs, comparedPair{r.Seed, r.Earned, alone.Earned, r.Best, r.Attempts, alone.Attempts})
 }
 
-// print prints sums, and the worlds in which gossip did worst.
+// print prints the means, and the scenarios in which gossip did worst.
 func (c *comparison) print(worst int) {
-	slices.SortStableFunc(c.pairs, func(a, b worldPair) int { return cmp.Compare(a.gossip-a.alone, b.gossip-b.alone) })
-	var sum worldPair
+	slices.SortStableFunc(c.pairs, func(a, b comparedPair) int { return cmp.Compare(a.gossip-a.alone, b.gossip-b.alone) })
+	var sum comparedPair
 	better, worse := 0, 0
 	for _, p := range c.pairs {
 		sum.gossip += p.gossip
@@ -190,9 +190,9 @@
 		sum.gossipAttempts += p.gossipAttempts
 		sum.aloneAttempts += p.aloneAttempts
 		switch {
-		case p.gossip > p.alone+notable:
+		case p.gossip > p.alone+notableDifference:
 			better++
-		case p.gossip < p.alone-notable:
+		case p.gossip < p.alone-notableDifference:
 			worse++
 		}
 	}
@@ -204,9 +204,9 @@
 	}
 }
 
-// keep writes a scenario to a directory, with the reason in its description.
-func keep(dir string, s simulation.Scenario, why string) error {
-	s.About = strings.TrimSuffix(s.About, ".") + "; " + why + "."
+// keep writes a scenario to a directory, with the reason for keeping it in its description.
+func keep(dir string, s simulation.Scenario, reason string) error {
+	s.About = strings.TrimSuffix(s.About, ".") + "; " + reason + "."
 	text, err := s.Text()
 	if err != nil {
 		return err
@@ -215,12 +215,12 @@
 }
 
 type shrinkCmd struct {
-	Scenario string `arg:"" help:"A file, or the name of a kept scenario."`
-	Seed     uint64 `help:"What chance is drawn from; the scenario's own seed, or 1, if it is left out."`
-	To       string `type:"path" placeholder:"FILE" help:"Where the small scenario goes; else it is printed."`
+	Scenario string `arg:"" help:"A file, or the name of a built-in scenario."`
+	Seed     uint64 `help:"Random seed. Defaults to the scenario's own seed, or else to 1."`
+	To       string `type:"path" placeholder:"FILE" help:"Write the reduced scenario to this file. By default it is printed."`
 }
 
-// Run prints the smallest scenario that still violates the same invariant, or writes it to a file.
+// Run reduces the scenario as long as it violates the same invariant, and prints it or writes it to a file.
 func (c *shrinkCmd) Run() error {
 	s, err := load(c.Scenario)
 	if err != nil {
@@ -229,23 +229,23 @@
 	seed := seedOf(s, c.Seed)
 	r := simulation.New(s, seed, simulation.Options{}).Play()
 	if len(r.Violations) == 0 {
-		return fmt.Errorf("%s breaks no rule with seed %d: there is nothing to shrink", s.Name, seed)
+		return fmt.Errorf("%s violates no invariant with seed %d, so there is nothing to shrink", s.Name, seed)
 	}
 	rule := r.Violations[0].Rule
 	fmt.Fprintf(os.Stderr, "%s breaks the rule %q; looking for less that does\n", s.Name, rule)
-	small := simulation.Shrink(s, seed, rule, func(s simulation.Scenario) {
+	reduced := simulation.Shrink(s, seed, rule, func(s simulation.Scenario) {
 		fmt.Fprintf(os.Stderr, "  %d faults, %v, %d nodes, %d executors, %d tracks\n", len(s.Faults), time.Duration(s.Length), s.Fleet.Nodes,
 			s.Fleet.Executors, len(s.Classes))
 	})
-	small.Seed = seed
-	r = simulation.New(small, seed, simulation.Options{}).Play()
+	reduced.Seed = seed
+	r = simulation.New(reduced, seed, simulation.Options{}).Play()
 	for _, b := range r.Violations {
 		if b.Rule == rule {
 			fmt.Fprintln(os.Stderr, b)
 			break
 		}
 	}
-	text, err := small.Text()
+	text, err := reduced.Text()
 	if err != nil {
 		return err
 	}
@@ -256,5 +256,5 @@
 	return err
 }
 
-// seedOf returns the seed of the flag, or the scenario's own, or 1.
+// seedOf returns the seed of the flag, or the scenario's own if the flag is 0, or 1 if both are.
 func seedOf(s simulation.Scenario, flag uint64) uint64 { return cmp.Or(flag, s.Seed, 1) }
--- a/cmd/birchstair-sim/kill.go
+++ b/cmd/birchstair-sim/kill.go
@@ -12,32 +12,32 @@
 )
 
 type killCmd struct {
-	Binary   string `type:"existingfile" default:"bin/birchstair" help:"The node."`
-	Runs     int    `default:"100" help:"How many runs."`
-	Seed     uint64 `default:"1" help:"The first run's seed; each further one has the next."`
-	Jobs     int    `default:"20" help:"Durable batch jobs in a run."`
-	Kills    int    `default:"3" help:"How often its node is killed."`
-	Leases   bool   `default:"true" negatable:"" help:"Executors can be asked what they hold."`
-	Parallel int    `help:"Runs at a time; as many as there are cores if it is left out."`
+	Binary   string `type:"existingfile" default:"bin/birchstair" help:"Path of the birchstair program."`
+	Runs     int    `default:"100" help:"Number of runs."`
+	Seed     uint64 `default:"1" help:"Random seed of the first run. Each run has the next seed."`
+	Jobs     int    `default:"20" help:"Number of durable batch jobs in a run."`
+	Kills    int    `default:"3" help:"Number of times that the node is killed in a run."`
+	Leases   bool   `default:"true" negatable:"" help:"Executors answer lease queries."`
+	Parallel int    `help:"Number of runs at a time. Defaults to the number of cores."`
 }
 
 // killProgressInterval is how often progress is reported on standard error.
 const killProgressInterval = 2 * time.Second
 
-// killTotals are the sums over all runs.
+// killTotals holds the sums over all runs.
 type killTotals struct {
-	mu       sync.Mutex
-	finals   map[string]int // final answers by kind
-	done     int
-	wrong    int
-	err      error
-	reported time.Time
+	mu         sync.Mutex
+	finals     map[string]int // number of final answers by kind
+	done       int
+	violations int
+	err        error
+	reported   time.Time
 }
 
-// Run plays the runs and prints what became of all batch jobs.
+// Run plays the runs and prints the numbers of final answers and violations.
 func (c *killCmd) Run() error {
 	if c.Runs < 1 || c.Jobs < 1 || c.Kills < 0 {
-		return fmt.Errorf("at least one run and one batch job: --runs %d, --jobs %d, --kills %d", c.Runs, c.Jobs, c.Kills)
+		return fmt.Errorf("--runs %d, --jobs %d, --kills %d: must be at least 1, 1 and 0", c.Runs, c.Jobs, c.Kills)
 	}
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
@@ -53,8 +53,8 @@
 		return totals.err
 	}
 	fmt.Printf("%d runs with %d kills each: %d handled, %d pushed back, %d broken off; %d things wrong\n", totals.done, c.Kills,
-		totals.finals["handled"], totals.finals["pushed back"], totals.finals["broken off"], totals.wrong)
-	if totals.wrong > 0 {
+		totals.finals["handled"], totals.finals["pushed back"], totals.finals["broken off"], totals.violations)
+	if totals.violations > 0 {
 		return errViolation
 	}
 	return nil
@@ -70,7 +70,7 @@
 	return result, dir, err
 }
 
-// add adds a run to the totals, prints what was wrong in it, and removes its directory where nothing was.
+// add adds a run to the totals and prints its violations. It removes the run's directory if there are none.
 func (c *killCmd) add(totals *killTotals, seed uint64, result simulation.KillResult, dir string, err error) {
 	totals.mu.Lock()
 	defer totals.mu.Unlock()
@@ -78,18 +78,18 @@
 	if totals.err == nil {
 		totals.err = err
 	}
-	for kind, n := range result.Finals {
-		totals.finals[kind] += n
+	for kind, count := range result.Finals {
+		totals.finals[kind] += count
 	}
 	for _, text := range result.Violations {
 		fmt.Printf("seed %d: %s (see %s)\n", seed, text, dir)
 	}
-	totals.wrong += len(result.Violations)
+	totals.violations += len(result.Violations)
 	if len(result.Violations) == 0 {
 		totals.err = errors.Join(totals.err, os.RemoveAll(dir))
 	}
 	if time.Since(totals.reported) > killProgressInterval {
 		totals.reported = time.Now()
-		fmt.Fprintf(os.Stderr, "%d of %d runs, %d things wrong\n", totals.done, c.Runs, totals.wrong)
+		fmt.Fprintf(os.Stderr, "%d of %d runs, %d things wrong\n", totals.done, c.Runs, totals.violations)
 	}
 }
--- a/cmd/birchstair-sim/main.go
+++ b/cmd/birchstair-sim/main.go
@@ -1,5 +1,5 @@
-// Birchstair-sim simulates nodes, executors and clients on a virtual clock, injects faults, and checks the invariants at
-// every step. Some of its commands do the same with real processes on loopback.
+// Birchstair-sim simulates nodes, executors and clients on a virtual clock, injects faults, and checks the invariants at every step. Its
+// commands kill, fleet and scale run real processes on loopback instead.
 package main
 
 import (
@@ -13,29 +13,29 @@
 )
 
 var commands struct {
-	List    listCmd    `cmd:"" help:"List the kept scenarios."`
-	Run     runCmd     `cmd:"" help:"Play a scenario. The exit status is 1 if a rule broke."`
-	Account accountCmd `cmd:"" help:"Play a scenario and say where the earnings went that were not earned. The exit status is 1 if a rule broke."`
-	Hunt    huntCmd    `cmd:"" help:"Play worlds and faults drawn from seeds, and keep what breaks a rule or does worst."`
-	Shrink  shrinkCmd  `cmd:"" help:"Find the fewest faults and the shortest stretch that still break the same rule."`
-	Kill    killCmd    `cmd:"" help:"Kill real nodes with durable batch jobs, on loopback, and count what became of each."`
-	Fleet   fleetCmd   `cmd:"" help:"Play fleets of real processes with faults between them, on loopback."`
-	Scale   scaleCmd   `cmd:"" help:"Measure what a node costs as executors, nodes and tenants grow: real nodes among hollow ones, on loopback."`
-	Trace   traceCmd   `cmd:"" help:"Print a trace as people read it."`
+	List    listCmd    `cmd:"" help:"List the built-in scenarios."`
+	Run     runCmd     `cmd:"" help:"Play a scenario. The exit status is 1 if an invariant was violated."`
+	Account accountCmd `cmd:"" help:"Play a scenario and attribute the value that was not earned to causes. The exit status is 1 if an invariant was violated."`
+	Hunt    huntCmd    `cmd:"" help:"Play scenarios drawn from seeds, and report those that violate an invariant or fall furthest below the possible value."`
+	Shrink  shrinkCmd  `cmd:"" help:"Reduce a scenario that violates an invariant to a small one that still violates it."`
+	Kill    killCmd    `cmd:"" help:"Kill real nodes with durable batch jobs on loopback, and check the final answer of each job."`
+	Fleet   fleetCmd   `cmd:"" help:"Play scenarios with clusters of real processes on loopback."`
+	Scale   scaleCmd   `cmd:"" help:"Measure the cost of a node by the number of executors, nodes and tenants, with real nodes among emulated ones on loopback."`
+	Trace   traceCmd   `cmd:"" help:"Print a trace in a readable form."`
 }
 
-// errViolation means that an invariant was violated, or something else was wrong, which has been printed.
-var errViolation = errors.New("a rule broke")
+// errViolation is returned if an invariant was violated or a measurement was wrong. The details have been printed.
+var errViolation = errors.New("an invariant was violated")
 
 func main() {
-	if os.Getenv(scaletest.HollowEnv) != "" { // started by birchstair-sim scale
+	if os.Getenv(scaletest.HollowEnv) != "" { // a process that birchstair-sim scale has started
 		if err := scaletest.Hollow(os.Stdin, os.Stdout); err != nil {
-			fmt.Fprintln(os.Stderr, "birchstair-sim, a hollow process:", err)
+			fmt.Fprintln(os.Stderr, "birchstair-sim, an emulated process of scale:", err)
 			os.Exit(2)
 		}
 		return
 	}
-	ctx := kong.Parse(&commands, kong.Name("birchstair-sim"), kong.Description("Worlds on a virtual clock, with faults and the rules checked."),
+	ctx := kong.Parse(&commands, kong.Name("birchstair-sim"), kong.Description("Simulates nodes, executors and clients on a virtual clock, injects faults, and checks invariants."),
 		kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
 		if !errors.Is(err, errViolation) {
--- a/cmd/birchstair-sim/run.go
+++ b/cmd/birchstair-sim/run.go
@@ -20,7 +20,7 @@
 
 type listCmd struct{}
 
-// Run prints a line for each scenario of the repository.
+// Run prints a line for each built-in scenario.
 func (listCmd) Run() error {
 	files, err := fs.Glob(scenarios.Files, "*.toml")
 	if err != nil {
@@ -37,7 +37,7 @@
 	return w.Flush()
 }
 
-// load reads a scenario from a file, or one of the repository by its name.
+// load reads a scenario from a file, or a built-in one by its name.
 func load(name string) (simulation.Scenario, error) {
 	if text, err := os.ReadFile(name); err == nil {
 		return simulation.Read(name, text)
@@ -46,18 +46,18 @@
 	}
 	s, err := simulation.LoadFrom(scenarios.Files, name+".toml")
 	if errors.Is(err, fs.ErrNotExist) {
-		return s, fmt.Errorf("%s: neither a file nor a kept scenario; birchstair-sim list names those", name)
+		return s, fmt.Errorf("%s: neither a file nor a built-in scenario; birchstair-sim list prints those", name)
 	}
 	return s, err
 }
 
 type runCmd struct {
-	Scenario string `arg:"" help:"A file, or the name of a kept scenario."`
-	Seed     uint64 `help:"What chance is drawn from; the scenario's own seed, or 1, if it is left out."`
-	Against  bool   `help:"Play it once more with nodes that talk, or do not: whichever the scenario does not say."`
-	Runs     int    `help:"Play it with so many seeds, from that one on, talking and each alone, and print means, and how soon service was back after the faults."`
-	Trace    string `type:"path" placeholder:"FILE" help:"Write all that is seen there, a line of JSON each."`
-	JSON     string `name:"json" type:"path" placeholder:"FILE" help:"Write the result there."`
+	Scenario string `arg:"" help:"A file, or the name of a built-in scenario."`
+	Seed     uint64 `help:"Random seed. Defaults to the scenario's own seed, or else to 1."`
+	Against  bool   `help:"Play the scenario both with and without gossip between nodes, and compare the results."`
+	Runs     int    `help:"Play the scenario with this number of consecutive seeds, both with and without gossip, and print means and recovery times after the faults."`
+	Trace    string `type:"path" placeholder:"FILE" help:"Write the trace to this file, as a line of JSON for each event."`
+	JSON     string `name:"json" type:"path" placeholder:"FILE" help:"Write the result to this file, as JSON."`
 }
 
 // Run plays the scenario and prints the result.
@@ -71,9 +71,9 @@
 	}
 	o := simulation.Options{}
 	if c.Trace != "" {
-		trace, finish, failed := writeTrace(c.Trace)
-		if failed != nil {
-			return failed
+		trace, finish, createErr := writeTrace(c.Trace)
+		if createErr != nil {
+			return createErr
 		}
 		defer func() { err = errors.Join(err, finish()) }()
 		o.Trace = trace
@@ -88,7 +88,7 @@
 	return report(c.JSON, r, r)
 }
 
-// compare plays the scenario once more, with gossip turned the other way, and prints both.
+// compare plays the scenario once more with gossip switched on or off, whichever the scenario is not, and prints both results.
 func (c *runCmd) compare(s simulation.Scenario, r simulation.Result) {
 	other := s
 	other.Fleet.Gossip = !s.Fleet.Gossip
@@ -100,10 +100,10 @@
 		gossip.Earned, alone.Earned, gossip.Best, gossip.Attempts, alone.Attempts, len(gossip.Violations), len(alone.Violations))
 }
 
-// report writes what to a file, if one is named, and returns errViolation where the result has a violation.
-func report(path string, what any, r simulation.Result) error {
+// report writes value as JSON to the file at path, unless path is empty, and returns errViolation if the result has a violation.
+func report(path string, value any, r simulation.Result) error {
 	if path != "" {
-		text, err := json.MarshalIndent(what, "", "  ")
+		text, err := json.MarshalIndent(value, "", "  ")
 		if err != nil {
 			return err
 		}
@@ -117,31 +117,31 @@
 	return nil
 }
 
-// writeTrace creates a file for a trace. write appends a line; finish closes the file and returns all errors.
+// writeTrace creates a file for a trace. write appends a line, and finish closes the file and returns all errors.
 func writeTrace(path string) (write func(invariants.Event), finish func() error, err error) {
 	f, err := os.Create(filepath.Clean(path))
 	if err != nil {
 		return nil, nil, err
 	}
 	w := bufio.NewWriterSize(f, 1<<20)
-	var failed error
+	var errs error
 	return func(s invariants.Event) {
 			line, err := s.Line()
 			if err == nil {
 				_, err = w.Write(append(line, '\n'))
 			}
-			failed = errors.Join(failed, err)
+			errs = errors.Join(errs, err)
 		}, func() error {
-			return errors.Join(failed, w.Flush(), f.Close())
+			return errors.Join(errs, w.Flush(), f.Close())
 		}, nil
 }
 
 const (
-	recoveredWithin = 0.02            // of the rate before a fault, to count as recovered
-	quickRecovery   = 5 * time.Second // recoveries within it are counted apart
+	recoveryTolerance = 0.02            // largest difference of the earned fraction to that before the faults, to count as recovered
+	quickRecovery     = 5 * time.Second // recoveries within this time are also counted separately
 )
 
-// runSeeds plays a scenario with several seeds, once with nodes that gossip and once with each alone, and prints means.
+// runSeeds plays a scenario with several seeds, with and without gossip, and prints means.
 func (c *runCmd) runSeeds(s simulation.Scenario) error {
 	violations := 0
 	for _, gossip := range []bool{true, false} {
@@ -159,10 +159,10 @@
 	return nil
 }
 
-// printMeans prints the means of a scenario's results and how many recovered after the faults. It returns the number of
+// printMeans prints the means of a scenario's results, and the number of those that recovered after the faults. It returns the number of
 // violations.
 func printMeans(s simulation.Scenario, results []simulation.Result) (violations int) {
-	earned, best, attempts, recovered, quickly := 0.0, 0.0, 0, 0, 0
+	earned, best, attempts, recovered, recoveredQuickly := 0.0, 0.0, 0, 0, 0
 	longest := time.Duration(0)
 	for i := range results {
 		r := &results[i]
@@ -170,16 +170,16 @@
 		best += r.Best
 		attempts += r.Attempts
 		violations += len(r.Violations)
-		if recovery, ok := r.Recovery(s.Faults, recoveredWithin); ok {
+		if recovery, ok := r.Recovery(s.Faults, recoveryTolerance); ok {
 			recovered++
 			longest = max(longest, recovery)
 			if recovery <= quickRecovery {
-				quickly++
+				recoveredQuickly++
 			}
 		}
 	}
 	n := float64(len(results))
 	fmt.Printf("%s, %d seeds, talk %t: earned %.3f of at the most %.3f on average, %.0f allocations; back within %.2f of before: %d, in 5 s %d, the longest %v\n",
-		s.Name, len(results), s.Fleet.Gossip, earned/n, best/n, float64(attempts)/n, recoveredWithin, recovered, quickly, longest)
+		s.Name, len(results), s.Fleet.Gossip, earned/n, best/n, float64(attempts)/n, recoveryTolerance, recovered, recoveredQuickly, longest)
 	return violations
 }
--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -15,47 +15,47 @@
 	"birchstair/internal/scaletest"
 )
 
-// scaleCmd measures slopes.
+// scaleCmd measures the cost of a node at several points of each dimension, and fits slopes.
 type scaleCmd struct {
-	Binary    string        `type:"existingfile" default:"bin/birchstair" help:"The node."`
-	Against   string        `type:"existingfile" placeholder:"FILE" help:"Another build of the node: each point is measured with both, in turn."`
-	Executors []int         `default:"12,100,400,1600,3200" help:"Hollow executors."`
-	Of        []int         `default:"1,9" help:"How many nodes the one among them counts itself among: from six on its slice is three in so many."`
-	Nodes     []int         `default:"3,9,30,100,300" help:"Nodes that talk."`
-	Real      int           `default:"1" help:"Of them, real ones; the others are members without batch jobs."`
-	Rungs     []int         `default:"1,16,64" help:"Figures in a message between nodes: classes of batch jobs that earn differently for their work."`
-	Rates     []int         `default:"50,200,800" help:"Starts a second at one node."`
-	Running   []int         `default:"100,400,800" help:"Tasks at a time at one node, of 4 s each."`
-	Queued    []int         `name:"held" default:"100,400,800" help:"Executors, at one node of nine with more tasks of 4 s than it has tokens for."`
-	Tenants   []int         `default:"1,75,750" help:"Tenants, with the module alone: the platform's protocol names none."`
-	Rounds    int           `default:"3" help:"How often each point is measured, in turn."`
-	Skip      []string      `placeholder:"DIM,..." help:"Dimensions that are left out: executors, nodes, rungs, rates, running, held, tenants."`
-	At        int           `default:"400" help:"Executors where another dimension is varied."`
-	Among     int           `default:"9" help:"Nodes where rungs are varied."`
-	Rate      int           `default:"200" help:"Starts a second where another dimension is varied."`
-	Work      time.Duration `default:"20ms" help:"That a task takes."`
-	Span      time.Duration `default:"3s" help:"That each point is watched idle, and under load."`
-	Settle    time.Duration `default:"1s" help:"Before each stretch that counts; under load it opens connections."`
-	Sockets   int           `default:"1024" help:"A node's limits.sockets."`
-	JSON      string        `name:"json" type:"path" placeholder:"FILE" help:"Write rows and fits there, a line each."`
-	Keep      string        `type:"path" placeholder:"DIR" help:"Keep logs and configurations there."`
+	Binary    string        `type:"existingfile" default:"bin/birchstair" help:"Path of the birchstair program."`
+	Against   string        `type:"existingfile" placeholder:"FILE" help:"Another build of the program. Each point is measured with both builds, in turn."`
+	Executors []int         `default:"12,100,400,1600,3200" help:"Numbers of emulated executors."`
+	Of        []int         `default:"1,9" help:"Cluster sizes that the only real node assumes. From six nodes on, its subset is 3/N of the executors."`
+	Nodes     []int         `default:"3,9,30,100,300" help:"Numbers of nodes that gossip."`
+	Real      int           `default:"1" help:"Number of real nodes among them. The others are emulated and have no batch jobs."`
+	Rungs     []int         `default:"1,16,64" help:"Numbers of priority levels in a gossip message, which are job classes of different value density."`
+	Rates     []int         `default:"50,200,800" help:"Numbers of jobs started per second at one node."`
+	Running   []int         `default:"100,400,800" help:"Numbers of simultaneous jobs of 4 s at one node."`
+	Queued    []int         `name:"held" default:"100,400,800" help:"Numbers of executors, at one node of nine that has more jobs of 4 s than tokens."`
+	Tenants   []int         `default:"1,75,750" help:"Numbers of tenants. Measured with the policy alone, as the platform's protocol has no tenants."`
+	Rounds    int           `default:"3" help:"Number of rounds. Each round measures all points in turn."`
+	Skip      []string      `placeholder:"DIM,..." help:"Dimensions to skip: executors, nodes, rungs, rates, running, held, tenants."`
+	At        int           `default:"400" help:"Number of executors while another dimension is varied."`
+	Among     int           `default:"9" help:"Number of nodes while rungs are varied."`
+	Rate      int           `default:"200" help:"Jobs started per second while another dimension is varied."`
+	Work      time.Duration `default:"20ms" help:"Run time of a job."`
+	Span      time.Duration `default:"3s" help:"Time that each point is measured without load, and again under load."`
+	Settle    time.Duration `default:"1s" help:"Time to settle before each measurement. Under load, connections are opened in this time."`
+	Sockets   int           `default:"1024" help:"Setting limits.sockets of a real node."`
+	JSON      string        `name:"json" type:"path" placeholder:"FILE" help:"Append rows and fits to this file, as a line of JSON each."`
+	Keep      string        `type:"path" placeholder:"DIR" help:"Keep logs and configurations in this directory."`
 }
 
-// sweep returns the points to measure.
+// sweep returns the dimensions and values to measure.
 func (c *scaleCmd) sweep() (scaletest.Sweep, error) {
 	s := scaletest.Sweep{Executors: c.Executors, FleetSizes: c.Of, Nodes: c.Nodes, MaxRealNodes: c.Real, PriorityLevels: c.Rungs, Rates: c.Rates, Concurrency: c.Running, Queueing: c.Queued, Tenants: c.Tenants, Rounds: c.Rounds,
 		BaseExecutors: c.At, BaseNodes: c.Among, BaseRate: c.Rate, Work: c.Work, Span: c.Span, Sockets: c.Sockets, Against: c.Against != ""}
 	dims := map[string]*[]int{"executors": &s.Executors, "nodes": &s.Nodes, "rungs": &s.PriorityLevels, "rates": &s.Rates, "running": &s.Concurrency, "held": &s.Queueing, "tenants": &s.Tenants}
 	for _, name := range c.Skip {
 		if dims[name] == nil {
-			return s, fmt.Errorf("--skip: %q is none of %s", name, strings.Join(slices.Sorted(maps.Keys(dims)), ", "))
+			return s, fmt.Errorf("--skip: unknown dimension %q; it must be one of %s", name, strings.Join(slices.Sorted(maps.Keys(dims)), ", "))
 		}
 		*dims[name] = nil
 	}
 	return s, s.Check()
 }
 
-// Run measures all points and prints them, and what follows from them.
+// Run measures all points, and prints them and the fitted slopes.
 func (c *scaleCmd) Run() (err error) {
 	s, err := c.sweep()
 	if err != nil {
@@ -74,28 +74,28 @@
 	}
 	fmt.Printf("all points take about %v\n", s.EstimatedTime().Round(10*time.Second))
 	var rows []scaletest.Row
-	wrong := 0
-	var failed error
+	violations := 0
+	var failure error
 	write := func(v any) {
-		if c.JSON != "" && failed == nil {
-			failed = appendLine(c.JSON, v)
+		if c.JSON != "" && failure == nil {
+			failure = appendLine(c.JSON, v)
 		}
 	}
 	if err := s.Run(o, func(r scaletest.Row) {
 		fmt.Println(r)
-		rows, wrong = append(rows, r), wrong+len(r.Violations)
+		rows, violations = append(rows, r), violations+len(r.Violations)
 		write(r)
 	}); err != nil {
 		return err
 	}
 	printFits(rows, write)
-	if failed == nil && wrong > 0 {
-		failed = errViolation
+	if failure == nil && violations > 0 {
+		failure = errViolation
 	}
-	return failed
+	return failure
 }
 
-// options returns the options of a measurement but for its directory, unless it is kept.
+// options returns the options of the measurement. The directory is empty unless --keep is set.
 func (c *scaleCmd) options() (o scaletest.Options, err error) {
 	o = scaletest.Options{Settle: c.Settle, Dir: c.Keep}
 	if o.Binary, err = filepath.Abs(c.Binary); err != nil {
@@ -114,7 +114,7 @@
 	return o, nil
 }
 
-// removeOnSignal removes a directory and ends the program when it is interrupted. All processes that it started end with
+// removeOnSignal removes a directory and exits when the program receives SIGINT or SIGTERM. All processes that the program started end with
 // it.
 func removeOnSignal(dir string) {
 	interrupted := make(chan os.Signal, 1)
@@ -128,7 +128,7 @@
 	}()
 }
 
-// printFits prints the slopes that differ from none, and writes all.
+// printFits prints the slopes that differ significantly from zero, and passes all of them to write.
 func printFits(rows []scaletest.Row, write func(any)) {
 	flat := 0
 	for _, f := range scaletest.Fits(rows) {
--- a/cmd/birchstair-sim/trace.go
+++ b/cmd/birchstair-sim/trace.go
@@ -13,15 +13,15 @@
 )
 
 type traceCmd struct {
-	File     string            `arg:"" type:"existingfile" help:"A trace that run wrote."`
-	BatchJob string            `placeholder:"ID" help:"Only what is about this batch job, or the work that it is a try of."`
-	Executor policy.ExecutorID `placeholder:"ID" help:"Only what is about this executor."`
-	Node     int               `default:"-1" help:"Only what is about this node, by its number."`
-	From     time.Duration     `help:"Only from then on."`
-	To       time.Duration     `help:"Only until then."`
+	File     string            `arg:"" type:"existingfile" help:"A trace file that run has written."`
+	BatchJob string            `placeholder:"ID" help:"Print only events of this batch job, or of the work item with this ID."`
+	Executor policy.ExecutorID `placeholder:"ID" help:"Print only events of this executor."`
+	Node     int               `default:"-1" help:"Print only events of the node with this number."`
+	From     time.Duration     `help:"Print only events from this time on."`
+	To       time.Duration     `help:"Print only events up to this time."`
 }
 
-// Run prints the lines of a trace that the flags select.
+// Run prints the events of a trace that the flags select.
 func (c *traceCmd) Run() (err error) {
 	f, err := os.Open(c.File)
 	if err != nil {
@@ -37,7 +37,7 @@
 		row++
 		var s invariants.Event
 		if err := s.Parse(in.Bytes()); err != nil {
-			return fmt.Errorf("%s:%d: not a line of a trace, or cut off: %w", c.File, row, err)
+			return fmt.Errorf("%s:%d: invalid or incomplete line of a trace: %w", c.File, row, err)
 		}
 		if c.wants(s) {
 			shown++
@@ -48,17 +48,17 @@
 		return fmt.Errorf("%s:%d: %w", c.File, row+1, err)
 	}
 	if shown == 0 {
-		return fmt.Errorf("%s: none of its %d lines is about that", c.File, row)
+		return fmt.Errorf("%s: the flags select none of its %d events", c.File, row)
 	}
 	return nil
 }
 
-// wants returns whether the flags select a line.
+// wants returns whether the flags select an event.
 func (c *traceCmd) wants(s invariants.Event) bool {
 	if s.At < c.From || c.To > 0 && s.At > c.To {
 		return false
 	}
-	fault := s.Kind == invariants.Note && s.Node == invariants.NoNode // where one looks is often where a fault began
+	fault := s.Kind == invariants.Note && s.Node == invariants.NoNode // faults are printed with every selection, as they often explain it
 	if c.Node >= 0 && int(s.Node) != c.Node && !fault {
 		return false
 	}
