--- a/cmd/birchstair-sim/hunt.go
+++ b/cmd/birchstair-sim/hunt.go
@@ -35,10 +35,10 @@
 		b = a
 	}
 	if s.first, err = strconv.ParseUint(a, 10, 64); err != nil {
-		return fmt.Errorf("%q is no span of seeds, such as 1..1000", text)
+		return fmt.Errorf("invalid range of seeds %q; it must be FIRST..LAST, such as 1..1000", text)
 	}
 	if s.last, err = strconv.ParseUint(b, 10, 64); err != nil || s.last < s.first {
-		return fmt.Errorf("%q is no span of seeds, such as 1..1000", text)
+		return fmt.Errorf("invalid range of seeds %q; it must be FIRST..LAST, such as 1..1000", text)
 	}
 	return nil
 }
@@ -46,7 +46,7 @@
 // count returns the number of seeds in the range.
 func (s seeds) count() int { return int(s.last - s.first + 1) }
 
-// huntProgressInterval is how often progress is reported on standard error.
+// huntProgressInterval is the interval at which progress is reported on standard error.
 const huntProgressInterval = time.Second
 
 // playedScenario is a scenario with its result.
--- a/cmd/birchstair-sim/kill.go
+++ b/cmd/birchstair-sim/kill.go
@@ -21,7 +21,7 @@
 	Parallel int    `help:"Number of runs at a time. Defaults to the number of cores."`
 }
 
-// killProgressInterval is how often progress is reported on standard error.
+// killProgressInterval is the interval at which progress is reported on standard error.
 const killProgressInterval = 2 * time.Second
 
 // killTotals holds the sums over all runs.
--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -128,7 +128,7 @@
 	}()
 }
 
-// printFits prints the slopes that differ significantly from zero, and passes all of them to write.
+// printFits prints the slopes that differ from zero by more than twice their spread, and passes all slopes to write.
 func printFits(rows []scaletest.Row, write func(any)) {
 	flat := 0
 	for _, f := range scaletest.Fits(rows) {
--- a/cmd/birchstair-sim/trace.go
+++ b/cmd/birchstair-sim/trace.go
@@ -58,7 +58,7 @@
 	if s.At < c.From || c.To > 0 && s.At > c.To {
 		return false
 	}
-	fault := s.Kind == invariants.Note && s.Node == invariants.NoNode // faults are printed with every selection, as they often explain it
+	fault := s.Kind == invariants.Note && s.Node == invariants.NoNode // faults are selected whichever node, executor or job is given, as they often explain the events
 	if c.Node >= 0 && int(s.Node) != c.Node && !fault {
 		return false
 	}
--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -17,16 +17,16 @@
 const (
 	NeverSent          Cause = iota // no attempt was sent
 	SentTooLate                     // the first attempt was sent when even a standard core would have missed the latency objective
-	QueuedAtNode                    // at the node, without an attempt in flight
-	RejectedByExecutor              // in attempts that executors rejected
-	Failed                          // in attempts that failed or had no connection
-	Connecting                      // opening a connection to the executor
-	InTransit                       // between client, node and executor
-	InQueue                         // at an executor, before the attempt started
-	RunningSlow                     // running on a slow executor, beyond the run time on a standard core
-	RunningFast                     // running on another executor, beyond the run time on a standard core
-	BetweenRequests                 // at the client, before a retry
-	NodeLost                        // in requests whose node was unreachable or whose connection broke
+	QueuedAtNode                    // time at the node without an attempt in flight
+	RejectedByExecutor              // time in attempts that executors rejected
+	Failed                          // time in attempts that failed or had no connection
+	Connecting                      // time until a connection to the executor was open
+	InTransit                       // time in transit between client, node and executor
+	InQueue                         // time at an executor before the attempt started
+	RunningSlow                     // time running on a slow executor, beyond the run time on a standard core
+	RunningFast                     // time running on another executor, beyond the run time on a standard core
+	BetweenRequests                 // time at the client before a retry
+	NodeLost                        // time in requests whose node was unreachable or whose connection broke
 	ClientLeft                      // the client disconnected early
 	causeCount
 )
@@ -60,11 +60,11 @@
 	Attempts       int     `json:"attempts"`
 	Crossings      int     `json:"crossings"`         // cross-zone attempts
 	Waited         float64 `json:"waited"`            // fraction of the attempts that were queued at their executor
-	IdleUsed       float64 `json:"free_used"`         // fraction of the queued attempts that were sent while a core was idle at another executor that the node had used
-	IdleZone       float64 `json:"free_in_zone"`      // the same in the node's zone
+	IdleUsed       float64 `json:"free_used"`         // fraction of Waited that was sent while a core was idle at another executor that the node had used
+	IdleZone       float64 `json:"free_in_zone"`      // as IdleUsed, at any other executor of the node's zone
 	IdleAny        float64 `json:"free"`              // as IdleUsed, at any other executor
-	QueuedIdleZone float64 `json:"held_free_in_zone"` // fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode whose work item arrived while a core was idle in the node's zone
-	QueuedIdleAny  float64 `json:"held_free"`         // as QueuedIdleZone, at any executor
+	QueuedIdleZone float64 `json:"held_free_in_zone"` // fraction of the value lost at nodes whose work item arrived while a core was idle in the node's zone
+	QueuedIdleAny  float64 `json:"held_free"`         // as QueuedIdleZone, with an idle core in any zone
 }
 
 // AccountRow is the account of a group of work items, such as those of a job class.
@@ -77,14 +77,14 @@
 	Earned        float64            `json:"earned"`
 	Sent          float64            `json:"sent"`           // work sent to executors, relative to the offered work; above 1 if some was sent repeatedly
 	Lost          map[string]float64 `json:"lost"`           // lost value by cause
-	TimeMS        map[string]float64 `json:"time_ms"`        // mean time by cause of the work items that earned less; for running, including the run time on a standard core
+	TimeMS        map[string]float64 `json:"time_ms"`        // mean time by cause of the work items that earned less, with the full running time
 	SubsetSize    float64            `json:"slice,omitzero"` // mean effective number of executors that a node used
 	SubsetLoad    float64            `json:"load,omitzero"`  // load of these executors, as a fraction of their capacity
 
 	lostByCause, timeByCause [causeCount]float64
-	workOffered, workSent    float64 // in seconds on a standard core
-	subsetSize               float64 // sum over the row's nodes
-	subsetLoad               float64 // sum over the row's nodes
+	workOffered, workSent    float64 // work in seconds on a standard core
+	subsetSize               float64 // sum of SubsetSize over the nodes of the row
+	subsetLoad               float64 // sum of SubsetLoad over the nodes of the row
 }
 
 // record adds a finished work item.
--- a/internal/simulation/account_history.go
+++ b/internal/simulation/account_history.go
@@ -40,14 +40,14 @@
 type attemptHistory struct {
 	executor           *executor
 	sentAt             time.Duration
-	arrivedAt          time.Duration // the executor, with its last byte
-	startedAt, endedAt time.Duration // at the executor
-	endedAtNode        time.Duration // when the node was notified
-	dialedAt, connUpAt time.Duration // of the connection, if this is its first attempt
+	arrivedAt          time.Duration // time at which the last byte arrived at the executor
+	startedAt, endedAt time.Duration // times at the executor
+	endedAtNode        time.Duration // time at which the node was notified of the end
+	dialedAt, connUpAt time.Duration // times of the connection, if this is its first attempt
 	outcome            policy.Outcome
-	canceled           bool      // by its node
-	onSlowCore         bool      // ran on a slow core
-	idleWhenSent       idleCores // when it was sent
+	canceled           bool      // the node has canceled the attempt
+	onSlowCore         bool      // ran on a core below slowCoreSpeed
+	idleWhenSent       idleCores // idle cores when the attempt was sent
 }
 
 func newAttemptHistory(x *executor) *attemptHistory {
--- a/internal/simulation/account_test.go
+++ b/internal/simulation/account_test.go
@@ -222,7 +222,8 @@
 	}
 }
 
-// TestBaselines verifies that BestPolicy earns at least as much as the other policies, and that with long jobs ModulePolicy earns more than RandomPolicy.
+// TestBaselines verifies that BestPolicy earns at least as much as the other policies, and that with long jobs ModulePolicy earns more than
+// RandomPolicy.
 func TestBaselines(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(8)
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -17,7 +17,7 @@
 const (
 	ModulePolicy Policy = "module" // the policy of package policy, which real nodes use
 	RandomPolicy Policy = "random" // sends each job at once to a random available executor
-	BestPolicy   Policy = "best"   // knows the true state of all executors and sends a job to the one that would answer first; queues the job until that has a free slot
+	BestPolicy   Policy = "best"   // knows the true state of all executors; sends each job to the one that would answer first
 )
 
 // Policies lists all policies.
@@ -61,7 +61,7 @@
 	id              policy.JobID
 	class           policy.JobClass
 	request         *clientRequest
-	deadline        time.Duration // on the clock of the node's process
+	deadline        time.Duration // time on the clock of the node's process
 	attempts        int
 	attemptInFlight bool
 	mayHaveRun      bool
@@ -221,7 +221,7 @@
 	delay := sim.minDelay(b.node.zone, x.Zone)
 	arrival := sim.now + delay
 	if !b.node.hasIdleConn(x) {
-		arrival += 2 * delay // for the dial
+		arrival += 2 * delay // time to open a connection
 	}
 	freeAt, rate := x.NextFreeSlot(sim.now, sim.assignedWork(x))
 	done = max(freeAt, arrival) + time.Duration(job.request.work.Cost/rate*1e9) + delay
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -8,8 +8,8 @@
 
 // Offer is the demand of a work item: when it arrived, its latency objective, its work and its value.
 type Offer struct {
-	ArrivedAt, Objective time.Duration // it has its value if it is completed within this time
-	Work                 float64       // in seconds on a standard core
+	ArrivedAt, Objective time.Duration // the work earns its value if it is completed between these times
+	Work                 float64       // work in seconds on a standard core
 	Value                float64
 }
 
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -22,8 +22,8 @@
 
 // executorConn is a modeled connection between a node and an executor.
 type executorConn struct {
-	id       node.ConnID     // at the node
-	key      emulator.ConnID // at the executor
+	id       node.ConnID     // ID at the node
+	key      emulator.ConnID // ID at the executor
 	node     *simNode
 	executor *executor // nil if no executor has the address
 	state    connState
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -163,9 +163,9 @@
 	drawFaults(r, s, 3, gossipFaults)
 }
 
-// drawFaults draws at most most faults of the given kinds.
-func drawFaults(r *rand.Rand, s *Scenario, most int, kinds []emulator.Kind) {
-	for range r.IntN(most + 1) {
+// drawFaults adds up to maxFaults random faults of the given kinds to the scenario.
+func drawFaults(r *rand.Rand, s *Scenario, maxFaults int, kinds []emulator.Kind) {
+	for range r.IntN(maxFaults + 1) {
 		s.Faults = append(s.Faults, drawFault(r, s, kinds[r.IntN(len(kinds))]))
 	}
 }
--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -16,7 +16,7 @@
 	addr   string
 	conns  map[emulator.ConnID]*executorConn
 
-	faults           []emulator.Fault // that slow it down or make it fail
+	faults           []emulator.Fault // current faults that slow the executor down or make it fail
 	activeDownFaults int              // number of current faults that keep the executor down
 	unreachable      bool             // its machine has vanished: connections are neither accepted nor refused
 	replacements     int              // number of executors that have replaced this one
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -11,7 +11,8 @@
 	"birchstair/policy"
 )
 
-// Membership is modeled like that of the memberlist library: each node notices changes late, by which peers it can reach itself.
+// Membership is modeled like that of the memberlist library: a node notices with a delay which peers are alive, and counts those as alive
+// that it can reach itself.
 const (
 	membershipInterval = 500 * time.Millisecond  // interval at which a node updates its list of alive peers
 	memberTimeout      = 2500 * time.Millisecond // a peer that could not be reached for this long counts as dead
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -50,7 +50,7 @@
 
 	mu         sync.Mutex        // guards the fields below
 	runsOfJob  map[string]int    // number of runs by job
-	finals     map[string]string // by job
+	finals     map[string]string // final answer by job
 	violations []string
 	rand       *rand.Rand
 }
--- a/internal/simulation/networked.go
+++ b/internal/simulation/networked.go
@@ -44,7 +44,8 @@
 	invariants.Event
 }
 
-// PlayNetworked runs the simulation with the nodes' network code over in-memory connections. It must be called in a testing/synctest bubble.
+// PlayNetworked runs the simulation with the nodes' network code over in-memory connections. It is meant to be called in a testing/synctest
+// bubble; elsewhere it takes as long as the simulated time. It may be called only once.
 func (sim *Simulation) PlayNetworked() Result {
 	ns := &networkedSimulation{
 		sim:              sim,
--- a/internal/simulation/networked_clients.go
+++ b/internal/simulation/networked_clients.go
@@ -33,7 +33,8 @@
 	}()
 }
 
-// recordClientGone records the end of a client's connection at the time when it arrives at the node's machine, before which the node can't detect it.
+// recordClientGone records the end of a client's connection at the time when it arrives at the node's machine. The node can't detect it
+// earlier.
 func (ns *networkedSimulation) recordClientGone(request *clientRequest, from, host string) {
 	path := ns.path(from, host)
 	if path.Lost {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -101,7 +101,7 @@
 	}
 	longest := time.Duration(0)
 	for _, class := range n.sim.jobClasses {
-		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialTimeout)) // as config does
+		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialTimeout)) // internal/config reduces it in the same way
 		settings.JobClasses = append(settings.JobClasses, class)
 		longest = max(longest, class.Deadline)
 	}
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -17,8 +17,8 @@
 	work             *emulator.Work
 	job              policy.JobID
 	node             *simNode // nil if no node could be reached
-	incarnation      int      // of the node
-	attempts         int      // so far
+	incarnation      int      // incarnation of the node that gets the request
+	attempts         int      // number of attempts so far
 	attemptsInFlight int
 	sentAt           time.Duration // time at which the last attempt was sent
 	delivered        bool          // the last attempt has arrived at its executor
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -35,7 +35,7 @@
 	Wrong         int `json:"wrong"`         // answers that a node must never give; counted in networked simulations only
 	Malformed     int `json:"bad"`           // malformed requests that were sent; in networked simulations only
 	Panics        int `json:"panics"`        // panics of the policy, each contained to one job
-	Steps         int `json:"steps"`         // events
+	Steps         int `json:"steps"`         // events that were run
 	PeerMessages  int `json:"words"`         // messages that nodes sent to each other
 
 	Account *Account `json:"account,omitempty"`
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -39,7 +39,7 @@
 	Executors int      `toml:"executors"` // number of executors, named e0, e1, ... and spread over the zones
 
 	// Executors.
-	Cores             int     `toml:"cores"`                   // of each executor
+	Cores             int     `toml:"cores"`                   // number of cores of an executor
 	Slots             int     `toml:"places"`                  // jobs that an executor runs at the same time
 	QueueLimit        int     `toml:"queue"`                   // jobs that an executor queues
 	Speed             float64 `toml:"speed"`                   // mean speed; a standard core has 1
@@ -54,7 +54,7 @@
 	SlowStartCapacity float64 `toml:"cold-share"`              // capacity right after a start, as a fraction of full capacity
 	SlowStartDuration Span    `toml:"warm-within"`             // time from a start until full capacity
 	OverloadMultiple  float64 `toml:"fall-multiple"`           // received work over fall-window, relative to capacity, at which an executor in slow start crashes
-	OverloadWindow    Span    `toml:"fall-window"`             // see OverloadMultiple
+	OverloadWindow    Span    `toml:"fall-window"`             // time over which received work counts for fall-multiple
 	DrainGrace        Span    `toml:"drain-grace"`             // time during which a draining executor still accepts jobs
 	StartNotices      bool    `toml:"tells-start"`             // executors notify nodes when a job starts to run
 	ProgressInterval  Span    `toml:"tells-every"`             // interval of progress notices for a running job; 0 for none
@@ -104,8 +104,8 @@
 	MarksRetries       bool      `toml:"marks-repeats,omitempty"` // clients mark retries as such
 	NodeSkew           float64   `toml:"node-skew,omitempty"`     // sigma of the lognormal weights by which a zone's traffic is spread over its nodes; 0 for equal weights
 	RespectsRetryAfter bool      `toml:"heeds-come-back"`         // clients wait for the retry-after of a rejection
-	LeaveRate          float64   `toml:"leaves"`                  // probability that a client leaves early
-	RepeatIDRate       float64   `toml:"repeats-ids"`             // probability that a client repeats a job ID that may be in use
+	LeaveRate          float64   `toml:"leaves"`                  // probability that a client disconnects before it has an answer
+	RepeatIDRate       float64   `toml:"repeats-ids"`             // probability that a client sends a job ID again that may be in flight
 	HintNoise          float64   `toml:"hint-noise"`              // sigma of the error of clients' work estimates; negative if clients give none
 	BodyBytes          int       `toml:"body"`                    // size of a request body, in bytes
 	MalformedRate      float64   `toml:"bad"`                     // malformed requests per second at each node; networked simulations only
@@ -121,8 +121,8 @@
 	DedupWindow      Span    `toml:"window"`        // time during which a tagged class is deduplicated
 	Work             Span    `toml:"work"`          // mean run time on a standard core
 	WorkSpread       float64 `toml:"spread"`        // sigma of the lognormal distribution of the work
-	LatencyObjective Span    `toml:"quoted"`        // added to RunTimeFactor times the run time
-	RunTimeFactor    float64 `toml:"stretch"`       // see LatencyObjective
+	LatencyObjective Span    `toml:"quoted"`        // latency objective, to which RunTimeFactor times the work is added
+	RunTimeFactor    float64 `toml:"stretch"`       // multiple of a job's work that is added to its latency objective
 	Deadline         Span    `toml:"outer-limit"`   // time after which the client gives up
 	Value            float64 `toml:"earnings"`      // value of an answer within the latency objective
 	LateValue        float64 `toml:"late-earnings"` // fraction of the value that a later answer earns
@@ -236,7 +236,8 @@
 	return mean
 }
 
-// Rates returns the open-loop arrival rate of each zone, in work items per second. capacity is that of all executors, in seconds of work per second.
+// Rates returns the open-loop arrival rate of each zone, in work items per second. capacity is the capacity of all executors, in seconds of
+// work per second.
 func (s *Scenario) Rates(capacity float64) (rates []float64) {
 	mean, total := s.MeanWork(), 0.0
 	for _, weight := range s.Load.ZoneWeights {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -42,7 +42,7 @@
 	executors     []*executor
 	byAddr        map[string]*executor
 	discovery     *emulator.Discovery
-	clients       []*zoneClients // by zone
+	clients       []*zoneClients // indexed by zone
 	memories      emulator.DedupMemories
 	lastConnID    emulator.ConnID
 	lastAddr      int
@@ -51,7 +51,7 @@
 	adminCalls    int                  // number of admin calls so far; used in networked simulations
 
 	// Current faults of the network and of the whole simulation.
-	partitions              []partition // by zone
+	partitions              []partition // indexed by zone
 	gossipLoss              float64     // probability that a message between nodes is lost
 	newConnResetRate        float64     // probability that a new connection breaks at its first use
 	newConnUnresponsiveRate float64     // probability that a new connection delivers nothing to the node
