--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// earnedOver returns the fraction earned of the value that was offered in the seconds from from to before to.
+// earnedOver returns the fraction earned of the value that was offered in the seconds with from <= second < to.
 func (r *Result) earnedOver(from, to int) float64 {
 	offered, earned := 0.0, 0.0
 	for _, second := range r.seconds[max(0, from):min(to, len(r.seconds))] {
