--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -9,7 +9,7 @@
 func (n *Node) JoinCluster(s cluster.Settings) { n.cluster = cluster.New(s) }
 
 // Cluster returns what this node knows of its cluster, for reading only, or nil if the node is not part of one.
-func (n *Node) Cluster() *cluster.Fleet { return n.cluster }
+func (n *Node) Cluster() *cluster.State { return n.cluster }
 
 // gossipReceived handles a gossip message. Executors that it newly reports as draining get no new work.
 func (n *Node) gossipReceived(m cluster.Message) {
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -89,7 +89,7 @@
 	if sim.now < n.workRate.suspendedUntil+settings.PeerStateTTL {
 		longest += suspendRounds * settings.GossipInterval
 	}
-	for _, used := range n.stateMachine.Cluster().FreshPeers(sim.now - n.startedAt) {
+	for _, used := range n.stateMachine.Cluster().FreshMessages(sim.now - n.startedAt) {
 		at, ok := sim.gossipBounds.sentAt[used]
 		if !ok {
 			sim.reportBoundViolation(n, "%s uses message %d of %s, which was never sent", n.name, used.Seq, used.From)
