--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -28,7 +28,7 @@
 	quota        quotaState
 	zoneLoad     zoneLoad
 	slowStart    slowStart
-	healthChecks pendingProbes
+	healthChecks pendingHealthChecks
 	leases       leaseTable
 	shedding     loadShedding
 }
@@ -47,9 +47,9 @@
 		index:  candidateIndex{expiries: executorHeap{keyKind: keyExpiry}},
 		leases: leaseTable{ledgers: map[ExecutorHash]*leaseLedger{}},
 		slowStart: slowStart{
-			capacity:       settings.SlowStartCapacity,
-			duration:       settings.SlowStartDuration,
-			overloadWindow: settings.OverloadWindow,
+			initialCapacity: settings.SlowStartCapacity,
+			duration:        settings.SlowStartDuration,
+			overloadWindow:  settings.OverloadWindow,
 		},
 	}
 	for i, class := range settings.JobClasses {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -9,7 +9,7 @@
 //	UpdateEndpoints                        the endpoint list has changed
 //	JobArrived, ClientLeft                 a client has sent a job; a client no longer waits for one
 //	AttemptStarted, AttemptProgressed      an executor has started a job, or has completed a fraction of it
-//	LoadReported, ProbeEnded               an executor has reported its load; a health check has ended
+//	LoadReported, HealthCheckEnded         an executor has reported its load; a health check has ended
 //	ReceiveLeaseMessage                    another node has sent a lease message
 //	SetAdmissionThreshold                  the cluster has a new threshold, below which jobs are shed
 //	UpdateJobClasses, ShutDownBy           the configuration has changed; the node shuts down
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// pendingProbes is which executors owe a sign of life.
-type pendingProbes struct {
+// pendingHealthChecks holds the executors that have a health check in flight or are unresponsive.
+type pendingHealthChecks struct {
 	awaitingReply []*executor
 }
 
-// await adds an executor that has a health check out, or is unresponsive.
-func (c *pendingProbes) await(e *executor) {
+// await adds an executor, unless it is in the list already.
+func (c *pendingHealthChecks) await(e *executor) {
 	if !e.health.awaited {
 		e.health.awaited = true
 		c.awaitingReply = append(c.awaitingReply, e)
 	}
 }
 
-// pending returns the executors that still owe a sign of life, in the order in which they got tokens.
-func (c *pendingProbes) pending() []*executor {
+// pending returns the executors that still have a health check in flight or are unresponsive, in the order in which they got
+// tokens.
+func (c *pendingHealthChecks) pending() []*executor {
 	c.awaitingReply = slices.DeleteFunc(c.awaitingReply, func(e *executor) bool {
-		e.health.awaited = e.health.probeOut || e.health.unresponsive
+		e.health.awaited = e.health.checkInFlight || e.health.unresponsive
 		return !e.health.awaited
 	})
-	slices.SortFunc(c.awaitingReply, func(a, b *executor) int { return a.tokens.joined - b.tokens.joined })
+	slices.SortFunc(c.awaitingReply, func(a, b *executor) int { return a.tokens.joinOrder - b.tokens.joinOrder })
 	return c.awaitingReply
 }
 
-// markUnresponsive lets no new attempt go to an executor until it answers. The number of timeouts in a row sets how soon
-// it is checked again.
+// markUnresponsive keeps new attempts away from an executor until it responds. The number of timeouts in a row determines
+// the delay before the next health check.
 func (d *Dispatcher) markUnresponsive(e *executor, timeouts int) {
 	e.health.unresponsive = true
 	e.health.timeouts = timeouts
@@ -37,27 +38,29 @@
 	d.healthChecks.await(e)
 }
 
-// ProbeEnded reports the result of a health check. The load is valid only if it was answered.
-func (d *Dispatcher) ProbeEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
+// HealthCheckEnded records the result of a health check. The load is valid only if the executor answered.
+func (d *Dispatcher) HealthCheckEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
 	d.beginTurn(now)
 	e := d.endpoints.byID[id]
 	if e == nil {
 		return
 	}
-	inTime := e.health.probeOut
-	e.health.probeOut = false
+	inTime := e.health.checkInFlight
+	e.health.checkInFlight = false
 	if answered {
-		d.recordProbeAnswer(e, load, now)
+		d.recordHealthCheckAnswer(e, load, now)
 	} else if inTime && e.health.suspect {
-		// The check was refused at once, so the machine is up: the next attempt that fails will tell.
+		// The health check failed before its timeout, so the machine is up and refuses connections. Let the executor have
+		// attempts again: the next failed one ejects it.
 		d.subset.noteRecovery(e.health.unresponsive)
 		e.health.unresponsive = false
 		d.subset.recheck()
 	}
 }
 
-// recordProbeAnswer makes e usable again, and lets its lease holder grant a lease more if e has a slot free.
-func (d *Dispatcher) recordProbeAnswer(e *executor, load Load, now time.Duration) {
+// recordHealthCheckAnswer makes e usable again. If e has a free slot and this node is its lease holder, it grants one more
+// lease.
+func (d *Dispatcher) recordHealthCheckAnswer(e *executor, load Load, now time.Duration) {
 	if e.health.unresponsive {
 		d.subset.invalidate()
 	}
@@ -65,54 +68,55 @@
 	e.health.lastSeen = now
 	e.health.unresponsive = false
 	e.health.timeouts = 0
-	if load.FreeSlots >= oneSlot {
+	if load.FreeSlots >= minReportedCount {
 		d.grantFreeSlot(e.hash, now)
 	}
 }
 
-// requestProbe sends e a health check, unless one is out or the last one was sent less than the interval ago.
-func (d *Dispatcher) requestProbe(e *executor, now, interval time.Duration) {
-	if !d.config.canCheckHealth || e.health.probeOut {
+// requestHealthCheck sends e a health check, unless one is in flight or the last one was sent less than interval ago.
+func (d *Dispatcher) requestHealthCheck(e *executor, now, interval time.Duration) {
+	if !d.config.canCheckHealth || e.health.checkInFlight {
 		return
 	}
-	if e.health.probedAt != 0 && now-e.health.probedAt < interval {
+	if e.health.checkSentAt != 0 && now-e.health.checkSentAt < interval {
 		return
 	}
-	e.health.probeOut = true
-	e.health.probedAt = now
+	e.health.checkInFlight = true
+	e.health.checkSentAt = now
 	d.healthChecks.await(e)
 	d.outbox = append(d.outbox, DueTask{Task: SendHealthCheck, Executor: e.id})
 	d.timers.checkAll(now + d.classes.shortestObjective)
 }
 
-// checkUnanswered finds the health checks and the lease requests that were not answered in time.
+// checkUnanswered handles health checks and lease requests that were not answered in time.
 func (d *Dispatcher) checkUnanswered(now time.Duration) {
-	d.checkProbes(now)
+	d.handleHealthCheckTimeouts(now)
 	d.checkLeaseRequests(now)
 }
 
-// checkProbes marks executors that did not answer a health check within the shortest objective as unresponsive, and
-// checks those again: each timeout in a row makes the interval longer by one mean running time, up to maxBackoffFactor.
-func (d *Dispatcher) checkProbes(now time.Duration) {
+// handleHealthCheckTimeouts marks executors that did not answer a health check within the shortest objective as
+// unresponsive, and sends unresponsive executors the next one when it is due. Each timeout in a row makes the delay between
+// health checks longer by the largest mean work of a job class, up to maxBackoffFactor times that.
+func (d *Dispatcher) handleHealthCheckTimeouts(now time.Duration) {
 	for _, e := range d.healthChecks.pending() {
-		if e.tokens.joined == 0 {
+		if e.tokens.joinOrder == 0 {
 			continue
 		}
-		waited := now - e.health.probedAt - d.clock.stalledFor
-		if e.health.probeOut && waited >= d.classes.shortestObjective {
-			e.health.probeOut = false
+		waited := now - e.health.checkSentAt - d.clock.stalledFor
+		if e.health.checkInFlight && waited >= d.classes.shortestObjective {
+			e.health.checkInFlight = false
 			if !e.health.unresponsive {
 				d.logf("%s ejected until it answers a health check", e.id)
 			}
 			d.markUnresponsive(e, min(e.health.timeouts+1, maxBackoffFactor))
-			d.timers.checkAll(now + d.probeInterval(e))
+			d.timers.checkAll(now + d.healthCheckInterval(e))
 		} else if e.health.unresponsive {
-			d.requestProbe(e, now, d.probeInterval(e))
+			d.requestHealthCheck(e, now, d.healthCheckInterval(e))
 		}
 	}
 }
 
-// probeInterval returns how long an unresponsive executor is left alone between two health checks.
-func (d *Dispatcher) probeInterval(e *executor) time.Duration {
+// healthCheckInterval returns the time between two health checks of an unresponsive executor.
+func (d *Dispatcher) healthCheckInterval(e *executor) time.Duration {
 	return d.longestMeanWork() * time.Duration(e.health.timeouts)
 }
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -357,7 +357,7 @@
 		for _, arg := range args[2:] {
 			load.FreeSlots, _ = strconv.ParseFloat(strings.TrimPrefix(arg, "free="), 64)
 		}
-		p.d.ProbeEnded(now, ExecutorID(args[0]), args[1] == "answered", load)
+		p.d.HealthCheckEnded(now, ExecutorID(args[0]), args[1] == "answered", load)
 	default:
 		return false
 	}
