--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -17,7 +17,7 @@
 const (
 	ModulePolicy Policy = "module" // the policy of package policy, which real nodes use
 	RandomPolicy Policy = "random" // sends each job at once to a random available executor
-	BestPolicy   Policy = "best"   // knows the true state of all executors; sends each job to the one that would answer first
+	BestPolicy   Policy = "best"   // knows the true state of all executors and sends each job to the one that would answer first, once it has a free slot
 )
 
 // Policies lists all policies.
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -66,7 +66,7 @@
 		n.workRate.sentAt = n.workRate.sentAt[1:]
 	}
 	if most := settings.Fanout * (boundRounds + 1 + extraRounds); len(n.workRate.sentAt) > most {
-		sim.reportBoundViolation(n, "%s sent %d messages in %v, at most %d are allowed", n.name, len(n.workRate.sentAt), window, most)
+		sim.reportBoundViolation(n, "%s told %d words in %v where %d are the most", n.name, len(n.workRate.sentAt), window, most)
 	}
 }
 
@@ -78,7 +78,7 @@
 		return
 	}
 	if did := n.workRate.rate(sim.now, sim.now-n.startedAt); sent > workRateFactor*did+workRateSlack {
-		sim.reportBoundViolation(n, "%s sent the work rate %.2f, the true one is %.2f", n.name, sent, did)
+		sim.reportBoundViolation(n, "%s tells that it does %.2f, and did %.2f", n.name, sent, did)
 	}
 }
 
@@ -92,9 +92,9 @@
 	for _, used := range n.stateMachine.Cluster().FreshMessages(sim.now - n.startedAt) {
 		at, ok := sim.gossipBounds.sentAt[used]
 		if !ok {
-			sim.reportBoundViolation(n, "%s uses message %d of %s, which was never sent", n.name, used.Seq, used.From)
+			sim.reportBoundViolation(n, "%s counts word %d of %s, which was never told", n.name, used.Seq, used.From)
 		} else if sim.now-at > longest {
-			sim.reportBoundViolation(n, "%s uses the state of %s, which is %v old, at most %v is allowed", n.name, used.From, sim.now-at, longest)
+			sim.reportBoundViolation(n, "%s counts figures of %s that are %v old where %v is the most", n.name, used.From, sim.now-at, longest)
 		}
 	}
 }
--- a/internal/simulation/kill_clients.go
+++ b/internal/simulation/kill_clients.go
@@ -36,7 +36,7 @@
 		case !acknowledged && (status == http.StatusCreated || status == http.StatusOK):
 			acknowledged = true
 		case status != http.StatusOK:
-			r.violation("%s: %s returned status %d: %s", id, method, status, text)
+			r.violation("%s: %s answered with status %d: %s", id, method, status, text)
 			return
 		case json.Unmarshal(text, &answer) == nil && answer.Final != "":
 			if r.recordFinal(id, answer.Final) {
@@ -54,7 +54,7 @@
 	r.finals[id] = final
 	r.mu.Unlock()
 	if before != "" && before != final {
-		r.violation("%s has two different final answers, %s and %s", id, before, final)
+		r.violation("%s has two final answers, %s and %s", id, before, final)
 	}
 	return before != ""
 }
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -121,7 +121,7 @@
 		if logErr != nil {
 			log = []byte(logErr.Error())
 		}
-		r.violation("the node's graceful shutdown failed: %v; its log ends with %s", err, log[max(0, len(log)-loggedTailLength):])
+		r.violation("a planned end: %v; its log ends with %s", err, log[max(0, len(log)-loggedTailLength):])
 	}
 }
 
@@ -137,7 +137,7 @@
 			return
 		}
 	}
-	r.violation("the node was not ready within %v after its last start", readyTimeout)
+	r.violation("the node is not ready again")
 }
 
 // outcome counts the final answers and returns all violations.
@@ -153,11 +153,11 @@
 		case final == "":
 			result.Violations = append(result.Violations, id+" has no final answer")
 		case once && runs > 1:
-			result.Violations = append(result.Violations, fmt.Sprintf("at-most-once job %s ran %d times", id, runs))
+			result.Violations = append(result.Violations, fmt.Sprintf("%s, once-only, ran %d times", id, runs))
 		case final == "handled" && runs == 0:
-			result.Violations = append(result.Violations, id+" has the final answer handled but never ran")
+			result.Violations = append(result.Violations, id+" was handled and never ran")
 		case final == "pushed back" && once && runs > 0:
-			result.Violations = append(result.Violations, id+" has the final answer pushed back but ran")
+			result.Violations = append(result.Violations, id+" was pushed back and ran")
 		}
 	}
 	return result
