--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -8,42 +8,42 @@
 	"birchstair/policy"
 )
 
-// executor is an emulated executor and its place in the world.
+// executor is an emulated executor with its simulated process and connections.
 type executor struct {
 	*emulator.Executor
-	world  *World
-	number int // of the scenario's executor, or of the one that this one replaces
+	sim    *Simulation
+	number int // number in the scenario; a replacement has the number of the executor that it replaces
 	addr   string
 	conns  map[emulator.ConnID]*executorConn
 
-	faults           []emulator.Fault // that slow it down or make it fail
-	activeDownFaults int              // faults that keep it down
-	unreachable      bool             // its machine has vanished: nothing answers, and nothing is refused
-	replacements     int
-	timerSeq         int // of the timer that is set; earlier ones are void
+	faults           []emulator.Fault // current faults that slow the executor down or make it fail
+	activeDownFaults int              // number of current faults that keep the executor down
+	unreachable      bool             // its machine has vanished: connections are neither accepted nor refused
+	replacements     int              // number of executors that have replaced this one
+	timerSeq         int              // number of the timer that is set; timers with smaller numbers are ignored
 
-	assigned []*baselineJob // jobs that the best policy has sent here and that have not arrived yet
+	assignedJobs []*baselineJob // jobs that BestPolicy has sent to the executor and that have not arrived yet
 
-	// In a wired world.
-	incarnation int // processes so far
+	// Used in a networked simulation.
+	incarnation int // number of processes that have been started
 	sockets     map[emulator.ConnID]*executorSocket
 }
 
-func (w *World) addExecutor(id string, number int, speed float64) *executor {
-	x := &executor{world: w, number: number, addr: w.newAddr(), conns: map[emulator.ConnID]*executorConn{}}
-	x.Executor = emulator.NewExecutor(w.scenario.Spec(id, number, speed), stream(w.seed, executorStream+id))
-	w.executors = append(w.executors, x)
-	w.byAddr[x.addr] = x
+func (sim *Simulation) addExecutor(id string, number int, speed float64) *executor {
+	x := &executor{sim: sim, number: number, addr: sim.newAddr(), conns: map[emulator.ConnID]*executorConn{}}
+	x.Executor = emulator.NewExecutor(sim.scenario.Spec(id, number, speed), stream(sim.seed, executorStream+id))
+	sim.executors = append(sim.executors, x)
+	sim.byAddr[x.addr] = x
 	return x
 }
 
-// newAddr is an address that nobody had before.
-func (w *World) newAddr() string {
-	w.lastAddr++
-	return fmt.Sprintf("127.1.%d.%d:9000", w.lastAddr/250, w.lastAddr%250+1)
+// newAddr returns an address that was never used before.
+func (sim *Simulation) newAddr() string {
+	sim.lastAddr++
+	return fmt.Sprintf("127.1.%d.%d:9000", sim.lastAddr/250, sim.lastAddr%250+1)
 }
 
-// entry is the executor's entry in the endpoint list.
+// entry returns the executor's entry in the endpoint list.
 func (x *executor) entry(state policy.EndpointState) emulator.Entry {
 	endpoint := policy.Endpoint{
 		Executor:       x.ID,
@@ -51,20 +51,20 @@
 		Kind:           x.Kind,
 		Cell:           x.Cell,
 		State:          state,
-		Weight:         x.relativeCapacity(),
+		Weight:         x.standardCores(),
 		StartedAt:      x.Started,
 		StartedLongAgo: x.Started < 0,
 	}
-	if x.world.scenario.Fleet.NoWeights {
+	if x.sim.scenario.Fleet.NoWeights {
 		endpoint.Weight = 1
 	}
 	return emulator.Entry{Addr: x.addr, Endpoint: endpoint}
 }
 
-// relativeCapacity is the executor's capacity in standard cores.
-func (x *executor) relativeCapacity() float64 { return float64(x.Cores) * x.Speed }
+// standardCores returns the executor's capacity in standard cores.
+func (x *executor) standardCores() float64 { return float64(x.Cores) * x.Speed }
 
-// apply carries out what follows from something that happened to the executor, and sets its timer.
+// apply applies the outputs of a change of the executor's state, and sets the timer for the next change.
 func (x *executor) apply(outputs []emulator.Output) {
 	for _, output := range outputs {
 		x.applyOutput(output)
@@ -74,30 +74,30 @@
 	if next == emulator.Never {
 		return
 	}
-	x.world.at(next, func() {
+	x.sim.at(next, func() {
 		if x.timerSeq == seq {
-			x.apply(x.Wake(x.world.now))
+			x.apply(x.Wake(x.sim.now))
 		}
 	})
 }
 
 func (x *executor) applyOutput(output emulator.Output) {
-	w := x.world
+	sim := x.sim
 	switch output := output.(type) {
 	case emulator.Message:
-		if w.wired != nil {
-			w.wired.answerAttempt(x, output)
+		if sim.networked != nil {
+			sim.networked.answerAttempt(x, output)
 		} else if conn := x.conns[output.Conn]; conn != nil {
 			conn.answer(output)
 		}
 	case emulator.EffectStarted:
 		if conn := x.conns[output.Conn]; conn != nil && conn.attempt != nil && conn.attempt.request.job == output.Job {
-			w.account.recordBegan(conn.attempt.history)
+			sim.account.recordStarted(conn.attempt.history)
 		}
-		w.observe(invariants.Event{Kind: invariants.EffectStarted, Node: output.Node, Job: output.Job, Work: output.Work, Class: output.Class, Executor: x.ID})
+		sim.observe(invariants.Event{Kind: invariants.EffectStarted, Node: output.Node, Job: output.Job, Work: output.Work, Class: output.Class, Executor: x.ID})
 	case emulator.AttemptArrived:
-		if x.InSlowStart(w.now) {
-			w.observe(invariants.Event{Kind: invariants.AttemptReached, Node: output.Node, Job: output.Job, Executor: x.ID, Cost: output.StatedCost,
+		if x.InSlowStart(sim.now) {
+			sim.observe(invariants.Event{Kind: invariants.AttemptReached, Node: output.Node, Job: output.Job, Executor: x.ID, Cost: output.StatedCost,
 				Capacity: output.Capacity})
 		}
 	case emulator.ConnReset:
@@ -108,42 +108,42 @@
 			socket.conn.Reset()
 		}
 	case emulator.Crashed:
-		w.result.Overloaded++
-		w.observe(invariants.Event{Kind: invariants.ExecutorCrashed, Node: invariants.NoNode, Executor: x.ID})
-		w.updateEndpoint(x.entry(policy.Removed))
-		if w.wired != nil {
-			w.wired.endExecutor(x, false)
+		sim.result.Overloaded++
+		sim.observe(invariants.Event{Kind: invariants.ExecutorCrashed, Node: invariants.NoNode, Executor: x.ID})
+		sim.updateEndpoint(x.entry(policy.Removed))
+		if sim.networked != nil {
+			sim.networked.endExecutor(x, false)
 		}
 	}
 }
 
-// restart starts a new process of the executor.
+// restart starts a new process of the executor and publishes it to discovery.
 func (x *executor) restart() {
-	w := x.world
+	sim := x.sim
 	x.unreachable = false
-	for _, conn := range sortedByKey(x.conns) { // those of the process before
+	for _, conn := range sortedByKey(x.conns) { // connections of the previous process
 		delete(x.conns, conn.key)
 		conn.toNode(func() { conn.breakConn("reset by the executor") })
 	}
-	x.apply(x.Start(w.now))
-	if w.wired != nil {
-		w.wired.startExecutor(x)
+	x.apply(x.Start(sim.now))
+	if sim.networked != nil {
+		sim.networked.startExecutor(x)
 	}
 	x.applyFaults()
-	w.observe(invariants.Event{Kind: invariants.ExecutorStarted, Node: invariants.NoNode, Executor: x.ID})
+	sim.observe(invariants.Event{Kind: invariants.ExecutorStarted, Node: invariants.NoNode, Executor: x.ID})
 	entry := x.entry(policy.Available)
-	entry.StartedAt += w.clockOffset
-	w.updateEndpoint(entry)
+	entry.StartedAt += sim.clockOffset
+	sim.updateEndpoint(entry)
 }
 
-// changeAddress gives the executor another address.
+// changeAddress gives the executor a new address.
 func (x *executor) changeAddress() {
-	delete(x.world.byAddr, x.addr)
-	x.addr = x.world.newAddr()
-	x.world.byAddr[x.addr] = x
+	delete(x.sim.byAddr, x.addr)
+	x.addr = x.sim.newAddr()
+	x.sim.byAddr[x.addr] = x
 }
 
-// dedupMemory is what remembers the idempotency keys of a class that have reached an executor's dedup group.
-func (w *World) dedupMemory(x *executor, class policy.JobClassID) *emulator.DedupMemory {
-	return w.memories.Of(class, w.jobClasses[class].DedupGroup, x.ExecutorSpec)
+// dedupMemory returns the memory of the idempotency keys of a class that have reached any executor of the executor's dedup group.
+func (sim *Simulation) dedupMemory(x *executor, class policy.JobClassID) *emulator.DedupMemory {
+	return sim.memories.Of(class, sim.jobClasses[class].DedupGroup, x.ExecutorSpec)
 }
--- a/internal/simulation/wired_tap.go
+++ b/internal/simulation/networked_recorder.go
@@ -9,9 +9,9 @@
 	"birchstair/policy"
 )
 
-// tap observes a step of the process's state machine.
-func (p *nodeProcess) tap(_ time.Duration, event node.Event, effects []node.Effect) {
-	p.wired.locked(func() {
+// recordStep observes a step of the process's state machine. The process calls it after each step.
+func (p *nodeProcess) recordStep(_ time.Duration, event node.Event, effects []node.Effect) {
+	p.networked.locked(func() {
 		gaveUp := p.gaveUp
 		p.gaveUp = nil
 		if p.ended {
@@ -20,7 +20,7 @@
 		p.recordEvent(event)
 		p.node.recordAdminCall(event, effects)
 		for _, s := range gaveUp {
-			p.wired.world.observe(s)
+			p.networked.sim.observe(s)
 		}
 		for _, effect := range effects {
 			p.recordEffect(effect)
@@ -28,29 +28,29 @@
 	})
 }
 
-// recordEvent records what an event says.
+// recordEvent records an event of the state machine.
 func (p *nodeProcess) recordEvent(event node.Event) {
-	n, w := p.node, p.wired.world
+	n, sim := p.node, p.networked.sim
 	switch event := event.(type) {
 	case node.JobArrived:
-		request := p.wired.requests[event.Job.ID]
-		if request == nil { // no client has sent it: it was hidden in the body of another one
-			w.result.Wrong++
+		request := p.networked.requests[event.Job.ID]
+		if request == nil { // no client sent this request: it was hidden in the body of another one
+			sim.result.Wrong++
 			return
 		}
-		n.openJobs++
-		w.observe(invariants.Event{Kind: invariants.JobAccepted, Node: n.id, Job: request.job, Work: request.work.ID, Class: request.work.Class,
-			Deadline: w.now + event.Job.Budget})
+		n.jobsInFlight++
+		sim.observe(invariants.Event{Kind: invariants.JobAccepted, Node: n.id, Job: request.job, Work: request.work.ID, Class: request.work.Class,
+			Deadline: sim.now + event.Job.Budget})
 	case node.ClientLeft:
-		n.openJobs--
-		w.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: n.id, Job: event.Job})
+		n.jobsInFlight--
+		sim.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: n.id, Job: event.Job})
 	case node.EndpointsUpdated:
 		p.recordEndpoints(event)
 	case node.AttemptEnded:
 		p.attemptEnded(event.Conn, event.Outcome.NeverRan())
-	case node.AttemptNotSent: // its first byte was recorded with the effect, but never left
+	case node.AttemptNotSent: // the first byte was recorded with the effect, but was never sent
 		p.attemptEnded(event.Conn, true)
-	case node.ConnClosed: // nothing of an attempt has left, or its outcome would have come
+	case node.ConnClosed: // no byte of an attempt was sent, or AttemptEnded would have come first
 		p.attemptEnded(event.Conn, true)
 	}
 }
@@ -68,7 +68,7 @@
 	p.node.endpointsUpdate(event.Kind, entries)
 }
 
-// attemptEnded records the end of the attempt on a connection, if one is out.
+// attemptEnded records the end of the attempt in flight on a connection, if there is one.
 func (p *nodeProcess) attemptEnded(id node.ConnID, neverRan bool) {
 	if attempt := p.attempts[id]; attempt != nil {
 		delete(p.attempts, id)
@@ -76,19 +76,19 @@
 	}
 }
 
-// recordEffect records what an effect does.
+// recordEffect records an effect of the state machine.
 func (p *nodeProcess) recordEffect(effect node.Effect) {
-	n, w := p.node, p.wired.world
+	n, sim := p.node, p.networked.sim
 	switch effect := effect.(type) {
 	case node.Answer:
-		n.openJobs--
-		w.observe(invariants.Event{Kind: invariants.JobAnswered, Node: n.id, Job: effect.Job, Final: invariants.Final(effect.Final)})
+		n.jobsInFlight--
+		sim.observe(invariants.Event{Kind: invariants.JobAnswered, Node: n.id, Job: effect.Job, Final: invariants.Final(effect.Final)})
 	case node.Dial:
-		if x := w.byAddr[effect.Addr]; x != nil {
+		if x := sim.byAddr[effect.Addr]; x != nil {
 			n.dialed[effect.Conn] = x
 		}
 	case node.WriteAttempt:
-		request, x := p.wired.requests[effect.Attempt.ID], n.dialed[effect.Conn]
+		request, x := p.networked.requests[effect.Attempt.ID], n.dialed[effect.Conn]
 		if request == nil || x == nil {
 			return
 		}
@@ -100,5 +100,5 @@
 	case node.CloseFrontend:
 		n.frontendClosed = true
 	}
-	n.maxQueued = max(n.maxQueued, n.openJobs-n.attemptsOut)
+	n.maxQueued = max(n.maxQueued, n.jobsInFlight-n.attemptsInFlight)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -13,69 +13,69 @@
 	"birchstair/policy"
 )
 
-// simNode is a node of the world: its state machine, and a model of the process around it.
+// simNode is a simulated node: its state machine, and a model of the process that runs it.
 type simNode struct {
-	world        *World
+	sim          *Simulation
 	id           invariants.NodeID
 	name         string
 	zone         policy.ZoneID
-	trafficShare float64 // of its zone's traffic, relative to the zone's other nodes
+	trafficShare float64 // weight of the node among the nodes of its zone when the front layer spreads traffic
 
-	reducer     *node.Node
-	incarnation int // starts so far
-	startedAt   time.Duration
-	diedAt      time.Duration
-	timerSeq    int // of the timer that is set; earlier ones are void
+	stateMachine *node.Node
+	incarnation  int // number of times that the process has started
+	startedAt    time.Duration
+	diedAt       time.Duration
+	timerSeq     int // number of the timer that is set; timers with smaller numbers are ignored
 
 	up               bool
 	ready            bool
-	frontendClosed   bool         // no new requests are taken
-	activeDownFaults int          // faults that keep it down
-	suspended        bool         // the process is stopped, as by SIGSTOP
-	pendingEvents    []node.Event // events for a suspended process
+	frontendClosed   bool         // the process does not accept new requests any more
+	activeDownFaults int          // number of current faults that keep the process down
+	suspended        bool         // the process is suspended, as by SIGSTOP
+	pendingEvents    []node.Event // events that arrived while the process was suspended
 
 	conns     map[node.ConnID]*executorConn
 	requests  map[policy.JobID]*clientRequest
-	endpoints map[policy.ExecutorID]invariants.Event // what it was last notified of each executor
-	excluded  map[policy.ExecutorID]invariants.Event // by operators, with what the endpoint list says of them
-	watchLost bool                                   // nothing reaches it from discovery
+	endpoints map[policy.ExecutorID]invariants.Event // last update of each executor that the node received
+	excluded  map[policy.ExecutorID]invariants.Event // executors that operators excluded at the node, with their state in the endpoint list
+	watchLost bool                                   // updates from discovery do not reach the node
 
-	openJobs    int
-	attemptsOut int
-	maxQueued   int
+	jobsInFlight     int
+	attemptsInFlight int
+	maxQueued        int
 
-	// In a wired world.
+	// Used in a networked simulation.
 	process *nodeProcess
 	dialed  map[node.ConnID]*executor
 
-	// In a world with gossip.
+	// Used in a simulation with gossip.
 	alivePeers    []cluster.NodeName
 	peerReachedAt map[invariants.NodeID]time.Duration
-	partitioned   bool     // no messages between it and nodes that are not partitioned
-	corruption    int      // messages sent while it sends corrupt ones, counted from 1; 0 while it does not
-	workRate      workRate // to check the rates that it sends
+	partitioned   bool     // the node exchanges messages only with other partitioned nodes
+	corruption    int      // 0: messages are sent unchanged; otherwise the number of corrupted messages sent, plus 1
+	workRate      workRate // true work rate, to check the rates that the node sends
 }
 
-// Fixed settings of all nodes.
+// Settings of all nodes and timing of their processes.
 const (
-	totalWeight       = 0.8 // of the value of all classes in what the policy optimizes
-	worstClassWeight  = 0.2 // of the value of the worst class
+	totalWeight       = 0.8 // weight of the fraction of the total value that is earned, in what the policy maximizes
+	worstClassWeight  = 0.2 // weight of the fraction that the worst class earns
 	quantum           = 4 * time.Millisecond
 	maxShutdown       = 3 * time.Second
 	shutdownMargin    = 700 * time.Millisecond
-	cachedListAge     = 10 * time.Second // of the endpoint list that a node starts with
-	firstWatchDelay   = 20 * time.Millisecond
-	readinessDelay    = time.Millisecond // until the front layer sees a change of readiness
-	nodeIODelay       = 5 * time.Millisecond
+	cachedListAge     = 10 * time.Second      // age of the cached endpoint list that a node starts with
+	firstWatchDelay   = 20 * time.Millisecond // time from a start until the node watches discovery
+	readinessDelay    = time.Millisecond      // time until the front layer notices a change of readiness
+	nodeIODelay       = 5 * time.Millisecond  // time until an I/O operation of the node's process has an effect
 	restartPollPeriod = 100 * time.Millisecond
 )
 
-// settings are the policy settings and limits with which a node starts.
+// settings returns the policy settings and limits with which the node starts.
 func (n *simNode) settings() (policy.Settings, node.Limits) {
-	fleet := &n.world.scenario.Fleet
-	wired := n.world.wired != nil
+	fleet := &n.sim.scenario.Fleet
+	networked := n.sim.networked != nil
 	settings := policy.Settings{
-		Seed:                uint32(permute(n.world.seed + uint64(n.id)<<20 + uint64(n.incarnation))),
+		Seed:                uint32(permute(n.sim.seed + uint64(n.id)<<20 + uint64(n.incarnation))),
 		Node:                int(n.id),
 		Nodes:               fleet.Nodes,
 		Zone:                n.zone,
@@ -94,14 +94,14 @@
 		OverloadWindow:      time.Duration(fleet.OverloadWindow),
 		StartNotices:        fleet.StartNotices,
 		ProgressInterval:    time.Duration(fleet.ProgressInterval),
-		MayLease:            fleet.Gossip && fleet.Leases && !wired,
+		MayLease:            fleet.Gossip && fleet.Leases && !networked,
 		MayHedge:            fleet.MayHedge,
-		ClientsMarkRetries:  n.world.scenario.Load.MarksRetries && !wired,
-		MayCheckHealth:      fleet.MayProbe && !wired,
+		ClientsMarkRetries:  n.sim.scenario.Load.MarksRetries && !networked,
+		MayCheckHealth:      fleet.MayCheckHealth && !networked,
 	}
 	longest := time.Duration(0)
-	for _, class := range n.world.jobClasses {
-		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialTimeout)) // as config does
+	for _, class := range n.sim.jobClasses {
+		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialTimeout)) // internal/config reduces it in the same way
 		settings.JobClasses = append(settings.JobClasses, class)
 		longest = max(longest, class.Deadline)
 	}
@@ -118,63 +118,63 @@
 	}
 }
 
-// start starts the node's process: it has a cached endpoint list, and watches discovery soon.
+// start starts the node's process with a cached endpoint list, and soon lets it watch discovery.
 func (n *simNode) start() {
 	n.reset()
-	n.world.observe(invariants.Event{Kind: invariants.NodeStarted, Node: n.id})
+	n.sim.observe(invariants.Event{Kind: invariants.NodeStarted, Node: n.id})
 	settings, limits := n.settings()
-	if n.world.defects.settings != nil {
-		n.world.defects.settings(&settings)
+	if n.sim.defects.settings != nil {
+		n.sim.defects.settings(&settings)
 	}
 	decider := n.newPolicy(settings)
-	if n.world.defects.policy != nil {
-		decider = n.world.defects.policy(n.world, n, decider)
+	if n.sim.defects.policy != nil {
+		decider = n.sim.defects.policy(n.sim, n, decider)
 	}
-	if n.world.wired != nil {
+	if n.sim.networked != nil {
 		n.dialed = map[node.ConnID]*executor{}
-		n.world.wired.startNode(n, settings, limits, decider)
+		n.sim.networked.startNode(n, settings, limits, decider)
 		return
 	}
 	var classes []node.JobClass
 	for i, class := range settings.JobClasses {
 		classes = append(classes, node.JobClass{Name: strconv.Itoa(i), JobClass: class})
 	}
-	n.reducer = node.New(&policyRecorder{Policy: decider, node: n}, limits, classes)
-	if n.world.scenario.Fleet.Gossip {
-		n.joinFleet()
+	n.stateMachine = node.New(&policyRecorder{Policy: decider, node: n}, limits, classes)
+	if n.sim.scenario.Fleet.Gossip {
+		n.joinCluster()
 	}
-	n.deliver(n.endpointsUpdate(policy.CachedUpdate, n.world.discovery.ListAt(n.world.now-cachedListAge)))
+	n.deliver(n.endpointsUpdate(policy.CachedUpdate, n.sim.discovery.ListAt(n.sim.now-cachedListAge)))
 	n.after(firstWatchDelay, func() {
-		n.world.discovery.Watch(n.id)
+		n.sim.discovery.Watch(n.id)
 		n.deliverEndpoints()
 	})
 }
 
-// reset forgets the state of the process before.
+// reset clears the state of the previous process.
 func (n *simNode) reset() {
 	n.incarnation++
-	n.startedAt = n.world.now
+	n.startedAt = n.sim.now
 	n.up, n.ready, n.frontendClosed = true, false, false
 	n.suspended, n.pendingEvents = false, nil
 	n.corruption = 0
-	n.openJobs, n.attemptsOut = 0, 0
+	n.jobsInFlight, n.attemptsInFlight = 0, 0
 	n.conns = map[node.ConnID]*executorConn{}
 	n.requests = map[policy.JobID]*clientRequest{}
 	n.endpoints = map[policy.ExecutorID]invariants.Event{}
 	n.excluded = map[policy.ExecutorID]invariants.Event{}
 }
 
-// after runs a function after a delay, unless the process has ended by then.
+// after runs a function after a delay, unless the current process of the node has ended by then.
 func (n *simNode) after(delay time.Duration, run func()) {
 	incarnation := n.incarnation
-	n.world.after(delay, func() {
+	n.sim.after(delay, func() {
 		if n.up && n.incarnation == incarnation {
 			run()
 		}
 	})
 }
 
-// deliver steps the state machine with an event and carries out its effects.
+// deliver steps the state machine with an event and executes the effects. Events for a suspended process are kept until it resumes.
 func (n *simNode) deliver(event node.Event) {
 	if !n.up {
 		return
@@ -184,11 +184,11 @@
 		return
 	}
 	events := []node.Event{event}
-	if n.world.defects.event != nil {
-		events = n.world.defects.event(n.world, n, event)
+	if n.sim.defects.event != nil {
+		events = n.sim.defects.event(n.sim, n, event)
 	}
 	for _, event := range events {
-		effects := n.reducer.Step(n.world.now-n.startedAt, event)
+		effects := n.stateMachine.Step(n.sim.now-n.startedAt, event)
 		n.recordAdminCall(event, effects)
 		n.recordPeerDrains(effects)
 		for _, effect := range effects {
@@ -198,16 +198,16 @@
 }
 
 func (n *simNode) executeWithDefects(effect node.Effect) {
-	if n.world.defects.effect == nil {
+	if n.sim.defects.effect == nil {
 		n.execute(effect)
 		return
 	}
-	for _, effect := range n.world.defects.effect(n.world, n, effect) {
+	for _, effect := range n.sim.defects.effect(n.sim, n, effect) {
 		n.execute(effect)
 	}
 }
 
-// execute carries out an effect of the state machine.
+// execute executes an effect that the state machine returned.
 func (n *simNode) execute(effect node.Effect) {
 	switch effect := effect.(type) {
 	case node.Answer:
@@ -219,7 +219,7 @@
 	case node.CloseConn:
 		n.closeConn(effect.Conn)
 	case node.CheckHealth:
-		n.probe(effect)
+		n.checkHealth(effect)
 	case node.SetReady:
 		n.after(readinessDelay, func() { n.ready = effect.Ready })
 	case node.DrainClients:
@@ -242,26 +242,26 @@
 	}
 }
 
-// setTimer sets the node's one timer.
+// setTimer sets the node's timer, which replaces the one that was set.
 func (n *simNode) setTimer(effect node.SetTimer) {
 	n.timerSeq++
 	seq := n.timerSeq
-	n.after(n.startedAt+effect.At-n.world.now, func() {
+	n.after(n.startedAt+effect.At-n.sim.now, func() {
 		if n.timerSeq == seq {
 			n.deliver(node.TimerFired{})
 		}
 	})
 }
 
-// recordLog counts panics of the policy, and writes the first line of a log message into the trace: a stack has addresses, which differ
-// from run to run.
+// recordLog counts panics of the policy, and writes the first line of a log message to the trace. The lines after it may be a stack trace,
+// whose addresses differ from run to run.
 func (n *simNode) recordLog(message node.Log) {
 	if strings.HasPrefix(message.Text, node.PolicyPanicked) {
-		n.world.result.Panics++
+		n.sim.result.Panics++
 	}
-	if n.world.traceFunc != nil {
+	if n.sim.traceFunc != nil {
 		text, _, _ := strings.Cut(message.Text, "\n")
-		n.world.observe(invariants.Event{Kind: invariants.Note, Node: n.id, Job: message.Job, Executor: message.Executor, Text: text})
+		n.sim.observe(invariants.Event{Kind: invariants.Note, Node: n.id, Job: message.Job, Executor: message.Executor, Text: text})
 	}
 }
 
@@ -279,17 +279,17 @@
 	if !n.up {
 		return
 	}
-	n.world.observe(invariants.Event{Kind: invariants.NodeKilled, Node: n.id})
+	n.sim.observe(invariants.Event{Kind: invariants.NodeKilled, Node: n.id})
 	if n.process != nil {
 		n.process.kill()
 	}
 	n.exit()
 }
 
-// exit ends the process: its connections close. What is in flight to executors still arrives.
+// exit ends the process and closes its connections. Attempts on their way to executors still arrive.
 func (n *simNode) exit() {
-	n.up, n.ready, n.diedAt = false, false, n.world.now
-	n.world.result.recordMaxQueued(n)
+	n.up, n.ready, n.diedAt = false, false, n.sim.now
+	n.sim.result.recordMaxQueued(n)
 	for _, conn := range sortedByID(n.conns) {
 		if conn.state != connClosed {
 			conn.state = connClosed
@@ -299,7 +299,8 @@
 	n.loseClients()
 }
 
-// endDownFault ends one of the faults that keep the node down; with the last one it starts, once its old process has ended.
+// endDownFault ends one of the faults that keep the node down. When the last of them ends, the node starts as soon as its old process has
+// ended, which may still be shutting down.
 func (n *simNode) endDownFault() {
 	if n.activeDownFaults--; n.activeDownFaults > 0 {
 		return
@@ -311,28 +312,28 @@
 	}
 	n.activeDownFaults = 1
 	n.after(restartPollPeriod, n.endDownFault)
-	n.world.after(restartPollPeriod, func() {
+	n.sim.after(restartPollPeriod, func() {
 		if !n.up && n.activeDownFaults == 1 {
 			n.endDownFault()
 		}
 	})
 }
 
-// suspend stops the process for a while, as SIGSTOP does: events wait unread.
+// suspend suspends the process for the duration of the fault, as SIGSTOP does. Events are kept until it resumes.
 func (n *simNode) suspend(fault emulator.Fault) {
 	if !n.up || n.suspended {
 		return
 	}
 	n.suspended = true
-	n.world.observe(invariants.Event{Kind: invariants.NodePaused, Node: n.id})
+	n.sim.observe(invariants.Event{Kind: invariants.NodePaused, Node: n.id})
 	n.after(fault.For, n.resume)
 }
 
-// resume lets a suspended process go on with the events that have waited.
+// resume resumes a suspended process and delivers the events that arrived meanwhile.
 func (n *simNode) resume() {
 	n.suspended = false
-	n.workRate.suspendedUntil = n.world.now + suspendGrace
-	n.world.observe(invariants.Event{Kind: invariants.NodeResumed, Node: n.id})
+	n.workRate.suspendedUntil = n.sim.now + suspendGrace
+	n.sim.observe(invariants.Event{Kind: invariants.NodeResumed, Node: n.id})
 	events := n.pendingEvents
 	n.pendingEvents = nil
 	for _, event := range events {
--- a/internal/simulation/policy_recorder.go
+++ b/internal/simulation/policy_recorder.go
@@ -9,11 +9,11 @@
 	"birchstair/policy"
 )
 
-// policyRecorder is a node's policy with its decisions observed.
+// policyRecorder wraps a node's policy and records its decisions.
 type policyRecorder struct {
 	node.Policy
 	node    *simNode
-	process *nodeProcess // in a wired world
+	process *nodeProcess // used in a networked simulation
 }
 
 // Place places a job and records whether it was given up.
@@ -23,14 +23,15 @@
 
 // AttemptEnded records the work done and whether the job was given up.
 func (r *policyRecorder) AttemptEnded(now time.Duration, id policy.JobID, attempt policy.AttemptID, outcome policy.Outcome, final bool) policy.Decision {
-	w := r.node.world
+	sim := r.node.sim
 	if request := r.node.requests[id]; outcome == policy.Succeeded && request != nil {
-		r.node.workRate.add(w.now, cmp.Or(request.work.StatedCost, w.classes[request.work.Class].Mean))
+		r.node.workRate.add(sim.now, cmp.Or(request.work.StatedCost, sim.classes[request.work.Class].Mean))
 	}
 	return r.recordDecision(id, r.Policy.AttemptEnded(now, id, attempt, outcome, final))
 }
 
-// recordDecision observes that a job is given up. In a wired world the tap of the step does that.
+// recordDecision records that the policy gives up a job. In a networked simulation the event is kept until nodeProcess.recordStep reports
+// it with the other events of the step.
 func (r *policyRecorder) recordDecision(id policy.JobID, decision policy.Decision) policy.Decision {
 	if decision.Action != policy.Reject && decision.Action != policy.Fail {
 		return decision
@@ -39,7 +40,7 @@
 	if r.process != nil {
 		r.process.gaveUp = append(r.process.gaveUp, gaveUp)
 	} else {
-		r.node.world.observe(gaveUp)
+		r.node.sim.observe(gaveUp)
 	}
 	return decision
 }
--- a/internal/simulation/result_print.go
+++ b/internal/simulation/result_print.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Print prints the result for people.
+// Print prints the result in a readable form.
 func (r *Result) Print(to io.Writer) {
 	fmt.Fprintf(to, "%s, seed %d, %v\n", r.Scenario, r.Seed, time.Duration(r.Length))
 	fmt.Fprintf(to, "  earned in the quoted time  %.3f, in the worst 10 s %.3f (from %v)\n", r.Earned, r.Worst, time.Duration(r.WorstAt))
@@ -25,8 +25,8 @@
 	if r.PeerMessages > 0 {
 		fmt.Fprintf(to, "  %d words between nodes\n", r.PeerMessages)
 	}
-	if r.Hedges+r.Probes > 0 {
-		fmt.Fprintf(to, "  %d copies; %d probes\n", r.Hedges, r.Probes)
+	if r.Hedges+r.HealthChecks > 0 {
+		fmt.Fprintf(to, "  %d copies; %d probes\n", r.Hedges, r.HealthChecks)
 	}
 	if r.Panics > 0 {
 		fmt.Fprintf(to, "  the module broke %d times\n", r.Panics)
