--- a/internal/frontend/close_races_test.go
+++ b/internal/frontend/close_races_test.go
@@ -162,8 +162,8 @@
 	golden.Compare(t, "request-when-server-closes.txt", c.out.String())
 }
 
-// TestIdleAtShutdown begins a shutdown while a connection is becoming idle, and its next request then arrives at once. The
-// request must be answered.
+// TestIdleAtShutdown begins a shutdown when the answer to a request is written but its connection is not idle yet. When
+// the connection becomes idle, the next request has already arrived, and must be answered.
 func TestIdleAtShutdown(t *testing.T) {
 	c, halts := newHaltableNode(t, 10)
 	first := c.dial()
@@ -414,7 +414,7 @@
 	}()
 	c.printAnswer(pending)
 	stop.Go()
-	c.printEvent()
+	c.printEvent() // posted, but not processed: the event loop has ended
 	c.printAnswer(late)
 	<-over
 	golden.Compare(t, "stop.txt", c.out.String())
--- a/internal/frontend/request_framer.go
+++ b/internal/frontend/request_framer.go
@@ -24,7 +24,8 @@
 	contentLength           int64
 }
 
-// maxFieldLine is how many bytes of a line are kept. A Content-Length line that doesn't fit stops the framer.
+// maxFieldLine is how many bytes of a line are kept. A Content-Length line without padding is shorter; one that doesn't
+// fit stops the framer. Of a Transfer-Encoding line only the name matters.
 const maxFieldLine = 80
 
 // observe parses the next bytes of the connection.
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -13,7 +13,8 @@
 const (
 	// defaultCloseTimeout bounds how long Close waits until answers are written, and Stop until late requests are answered.
 	defaultCloseTimeout = 300 * time.Millisecond
-	// closeIdleInterval is how often newly idle connections are closed while the node drains its clients or shuts down.
+	// closeIdleInterval is how often newly idle connections are closed during a client drain, and how often BeginLameDuck
+	// checks whether the idle connections are closed.
 	closeIdleInterval = 20 * time.Millisecond
 	// handoffGrace is how long idle connections stay open after a successor process has taken over.
 	handoffGrace = 400 * time.Millisecond
@@ -45,7 +46,9 @@
 		if handedOver {
 			time.Sleep(handoffGrace)
 		}
-		for s.conns.enterLameDuck() > 0 { // repeated because a connection may become idle at any time
+		// The first call of enterLameDuck closes the idle connections. Later calls only count those that are not closed
+		// yet: connTable.onStateChange closes the connections that become idle later.
+		for s.conns.enterLameDuck() > 0 {
 			time.Sleep(closeIdleInterval)
 		}
 	}()
--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -49,9 +49,9 @@
 type executorLoad int
 
 const (
-	loadIdleOpen       executorLoad = iota // no attempt of this node is in flight there; all late jobs may use it
-	loadIdleRestricted                     // no attempt of this node either; open only to late jobs of classes without late value
-	loadBusy                               // an attempt of this node is in flight there; no late job may use it
+	loadIdleOpen       executorLoad = iota // no attempt of this node is in flight at the executor; all late jobs may use it
+	loadIdleRestricted                     // no attempt in flight either; only late jobs of classes without late value may use it
+	loadBusy                               // an attempt of this node is in flight at the executor; no late job may use it
 )
 
 // leaseReadiness tells whether a token may be used as far as leases are concerned.
@@ -168,8 +168,8 @@
 	}
 }
 
-// reindexDirty updates all entries that are out of date because their kind's pace or concurrency has changed, because their
-// time has expired, or because of an event.
+// reindexDirty updates all entries that are out of date: their kind's pace or concurrency has changed, the time until
+// which they are valid has passed, or an event has marked them dirty.
 func (d *Dispatcher) reindexDirty(now time.Duration) {
 	for _, kind := range d.index.kinds {
 		if kind.stats.concurrency > kind.maxConcurrency {
@@ -312,8 +312,9 @@
 	return e.currentRate(pace)*(1+3*rateTolerance) >= entry.agingRate*entry.group.rateScale()
 }
 
-// setPaceLimit sets how far the kind's pace may drift before e's rate is computed again. The less e's pace depends on its
-// kind's, the farther it may drift.
+// setPaceLimit sets how far the kind's pace may drift before e's rate is computed again: by maxPaceDrift at most. The
+// less e's pace depends on its kind's, the farther it may drift. In a normalized group it is the reverse: there
+// rateScale follows the kind's pace, and a drift makes the bound inexact only by the weight of e's own observations.
 func (e *executor) setPaceLimit(kind *kindIndex) {
 	pace := kind.stats.pace
 	seen := e.estimate.work / (e.estimate.work + 1) // weight of e's own observations in its pace
--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// scanRanked yields all executors on the query's side. It is used for jobs bound to a dedup group, whose executors may be
-// outside the subset.
+// scanRanked yields all executors on the query's side: in this node's zone, or in the other zones. It is used for jobs
+// bound to the dedup group of a cell. The executors of a cell may be outside the subset, and are few, so they are not
+// searched for in the index. Jobs bound to a zone use the index.
 func (d *Dispatcher) scanRanked(q *query, yield func(*executor) bool) {
 	for _, e := range d.endpoints.ranked {
 		d.index.visited++
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -21,9 +21,9 @@
 	late           bool
 	leastDemanding job           // a job with the least work and the latest objective of the queued jobs
 	executors      []*executor   // executors that could serve leastDemanding
-	earliestEnd    time.Duration // earliest time at which one of executors could complete leastDemanding
-	minWait        time.Duration // shortest expected wait at executors
-	minPace        float64       // lowest pace of executors
+	earliestEnd    time.Duration // earliest time at which one of these executors could complete leastDemanding
+	minWait        time.Duration // shortest expected wait at any of these executors
+	minPace        float64       // lowest pace of these executors
 }
 
 // relaxTo changes leastDemanding so that it demands no more than j.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -166,7 +166,7 @@
 }
 
 // recordRestart begins the slow start of an executor that has started, unless the slow start is already over. It resets
-// ejections and start waits, which were observed before the restart.
+// the ejection and the start wait, which date from before the restart, and sets the in-flight cap to one.
 func (d *Dispatcher) recordRestart(e *executor, startedAt, now time.Duration) {
 	e.started = startedAt
 	until := startedAt + d.slowStart.duration
--- a/policy/events.go
+++ b/policy/events.go
@@ -13,7 +13,7 @@
 	ExecutorFull                  // the executor had no capacity and rejected the job without running it
 	TimedOut                      // the executor didn't answer in time; the job may have run, and may still be running
 	ConnectFailed                 // the connection failed before the whole request was written; the job never ran
-	ConnectionLost                // the connection broke after that; the job may have run
+	ConnectionLost                // the connection broke after the whole request was written; the job may have run
 	Canceled                      // this node canceled the attempt; the job may have run
 	NotSent                       // the attempt was never sent; the job never ran
 )
@@ -33,11 +33,11 @@
 
 // Load is an executor's report of its load. Fields that the report doesn't contain are negative.
 type Load struct {
-	InFlight   float64       // jobs at the executor, queued ones included
-	Queued     float64       // jobs that wait at the executor
-	FreeSlots  float64       // jobs that the executor could start at once
+	InFlight   float64       // number of jobs at the executor, queued ones included
+	Queued     float64       // number of jobs that wait at the executor
+	FreeSlots  float64       // number of jobs that the executor could start at once
 	FreeMemory float64       // free memory, in the executor's own units
-	RunTime    time.Duration // running time of its latest jobs
+	RunTime    time.Duration // running time of the executor's latest jobs
 }
 
 // EndpointUpdateKind says what an update of the endpoint list contains.
--- a/policy/job.go
+++ b/policy/job.go
@@ -9,13 +9,13 @@
 type job struct {
 	id                JobID
 	class             *jobClass
-	tenant            *tenant // nil: the job belongs to no tenant
+	tenant            *tenant // tenant that the job belongs to; nil: none
 	tenantID          TenantID
 	work              time.Duration // estimated running time on a standard core
 	hasClientEstimate bool          // work is the client's estimate, not the mean of the class
 
 	arrivedAt   time.Duration
-	objectiveAt time.Duration // time by which the latency objective is met
+	objectiveAt time.Duration // time by which the job must end to meet its latency objective
 	deadlineAt  time.Duration // time by which the client must have its answer
 	finished    bool          // the client has its answer or has left
 
@@ -51,9 +51,9 @@
 	startedAt        time.Duration
 	running          bool          // a start notice has come
 	waitedAtExecutor bool          // the attempt waited at the executor before it started
-	progress         float64       // fraction done, by the last progress notice
+	progress         float64       // fraction of the attempt that is done, from the last progress notice
 	progressAt       time.Duration // time of the last progress notice, or of the start
-	canceling        bool          // the cancellation was sent
+	canceling        bool          // a cancellation of the attempt was sent to the executor
 	migrationCounted bool          // the load summary counts the attempt as a migration
 	tokenReleased    bool          // the token was released because no progress notice came for too long
 	generation       int32         // incremented to disable the attempt's timers
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	budgetCountDecay     = 1 - (1-smoothing)/8 // factor for shortBudgets and rejectedFirstTries with each new job
+	budgetCountDecay     = 1 - (1-smoothing)/8 // factor by which shortBudgets and rejectedFirstTries decay with each new job
 	checkIntervalDivisor = 8                   // the check interval is the shortest objective divided by this
 	unknownWorkDivisor   = 2                   // the initial mean work is a fixed objective divided by this
 )
@@ -22,7 +22,7 @@
 	deadline         time.Duration
 	runTimeFactor    float64 // multiple of a job's work that is added to its latency objective
 	value            float64
-	lateValue        float64 // fraction of the value of a job that is completed between objective and deadline
+	lateValue        float64 // fraction of value that a job yields if it is completed between objective and deadline
 	kind             KindID
 
 	fullBudget         time.Duration // largest budget seen, taken as that of every first try
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	smoothing          = 0.85 // weight that an average keeps when a new observation is added
+	smoothing          = 0.85 // weight of the previous value in a running average when an observation is added
 	paceStep           = 0.05 // weight of a new observation in a kind's pace, for one second of work or more
-	minSampleWeight    = 0.05 // minimum weight of a new running time in a class's mean work
+	minSampleWeight    = 0.05 // minimum weight of a new running time in the mean work of a job class
 	minPace            = 0.05 // lower bound for a kind's pace
-	waitedFactor       = 5.0  // an attempt without a start notice counts as delayed if it took this multiple of its running time
+	waitedFactor       = 5.0  // multiple of inferRunTime above which an attempt without a start notice counts as delayed
 	dedupReplyFraction = 0.1  // a job with a key, done in less than this fraction of its predicted time, was answered from memory
 	minReportedCount   = 0.5  // reported counts are averages; from this value on they count as at least one slot or job
 	minProgress        = 0.02 // minimum fraction done for a progress notice to predict the running time
 	standardPace       = 1    // pace of an executor of which nothing is known
 )
 
-// kindStats holds what was observed of the executors of one kind.
+// kindStats holds what was observed of the executors of one kind. Executors in slow start count too, but their start
+// notices do not raise concurrency.
 type kindStats struct {
 	pace                float64 // running time per unit of work
 	size                float64 // mean weight in the endpoint list
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -36,7 +36,8 @@
 	Concurrency   int     // number of slots, from load reports or from the jobs that ran at the same time
 }
 
-// LearnedExecutor is the state learned of an executor since its last start.
+// LearnedExecutor is the learned state of an executor. Of it, only StartWait, EjectedFor and InFlightCap are reset when
+// the executor restarts and begins a slow start.
 type LearnedExecutor struct {
 	ID            ExecutorID
 	Quota         int
@@ -105,8 +106,8 @@
 // of this process. Implausible values are ignored, and so are executors that are not in the endpoint list or are in slow
 // start.
 //
-// If the number of nodes has changed, only paces, slots, work and ejections are imported. Quotas, start waits and the value
-// that classes requested and earned depend on all nodes together and start afresh: with imported quotas, each node of a
+// If the number of nodes has changed, everything is imported but the quotas, the start waits and the value that classes
+// requested and earned. These depend on all nodes together and start afresh: with imported quotas, each node of a
 // larger cluster would send as much as a node of the smaller one did.
 func (d *Dispatcher) ImportLearned(now time.Duration, learned LearnedState) {
 	sameNodes := learned.Nodes == 0 || learned.Nodes == d.config.nodeCount
--- a/policy/learned_state_test.go
+++ b/policy/learned_state_test.go
@@ -128,7 +128,8 @@
 			}
 		}
 	}
-	// No attempt ended in these two seconds: each executor gets at most its initial quota, raised by one.
+	// No attempt ended in these two seconds, and the quota interval is 2 s: each executor gets at most its initial
+	// quota, raised by one.
 	for id, count := range sent {
 		if count > initialQuota+1 {
 			t.Errorf("%s got %d attempts in the first two seconds, want at most %d", id, count, initialQuota+1)
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -36,7 +36,7 @@
 // leaseTable holds this node's lease requests as a borrower, and its ledgers as the lease holder of executors.
 type leaseTable struct {
 	wanted     bool        // queued jobs may need leases to be requested at the end of this turn
-	unused     []*executor // executors with a lease granted in this turn that an attempt may not use yet
+	unused     []*executor // executors with a lease granted in this turn, to be returned at its end if no attempt uses it
 	requests   []*executor // executors with a lease request that may be pending
 	ledgers    map[ExecutorHash]*leaseLedger
 	ledgerList []*leaseLedger // all ledgers, in the order in which they were opened
@@ -355,10 +355,10 @@
 	d.sendLease(now, e.lease.holder, message, e.hash)
 }
 
-// adjustQuota changes the quota by at most one, as quotas of executors are adjusted. It is lowered if too many jobs had to
-// wait at the executor. It is raised if nodes had to wait for a lease while few jobs had to wait at the executor. If
-// executors answer health checks, one of these must also have shown a free slot. After the quota was lowered it is not
-// raised for leaseQuotaCooldown intervals.
+// adjustQuota changes the quota by at most one, following the RAIN design's rule for executors' quotas. It is lowered
+// if too many jobs had to wait at the executor. It is raised if nodes had to wait for a lease while few jobs had to
+// wait at the executor. If executors answer health checks, one of these must also have shown a free slot. After the
+// quota was lowered it is not raised for leaseQuotaCooldown intervals.
 func (l *leaseLedger) adjustQuota(canProbe bool) {
 	l.cooldown--
 	delayedFraction := float64(l.delayedStarts) / max(float64(l.returns), 1)
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -7,10 +7,10 @@
 
 const (
 	levelsPerOctave   = 2    // priority levels for each doubling of the value density
-	minWorkSeconds    = 1e-6 // least work of a job in the value density and the load summary, in seconds
-	minDensity        = 1e-9 // least value density in the logarithm for the priority level
-	minSecondsPerWork = 1e-9 // least divisor in the estimate of an executor's capacity, in seconds
-	lowSlackDivisor   = 2    // a job that arrives with less than its slack divided by this has low slack
+	minWorkSeconds    = 1e-6 // lower bound of a job's work, in seconds, in its value density and in the load summary
+	minDensity        = 1e-9 // lower bound of a value density from which a priority level is computed
+	minSecondsPerWork = 1e-9 // lower bound of the divisor in the estimate of an executor's capacity, in seconds
+	lowSlackDivisor   = 2    // a job has low slack if less than its full slack divided by this is left when it arrives
 )
 
 // PriorityLevels is the number of priority levels, which are ranges of the value density (value per second of work).
@@ -31,7 +31,7 @@
 // itself except for a random fraction. The zero value sheds nothing.
 type AdmissionThreshold struct {
 	Level          int     // priority level below which all jobs are shed; 0: no job is shed
-	AdmitFraction  float64 // fraction of the jobs of exactly that level that are admitted, 0 to 1
+	AdmitFraction  float64 // fraction of the jobs of priority level Level that are admitted, 0 to 1
 	MigrationDelay float64 // fraction of its slack that an unstarted attempt waits before it is migrated, 0 to 1
 }
 
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	slowProgressFactor = 2.0 // an attempt or executor is slow from this multiple of the usual pace of the executor's kind
+	slowProgressFactor = 2.0 // an attempt or executor is slow if its pace is at least this multiple of the executor kind's pace
 	maxMigrationCost   = 0.1 // largest cost of a migration to another zone, as a fraction of the job's value
 	migrationGain      = 2   // a started attempt is migrated if it needs more than this multiple of the running time elsewhere
 )
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -16,7 +16,7 @@
 type health struct {
 	ejectedUntil      time.Duration // end of the last ejection
 	inFlightCap       int           // maximum number of attempts in flight, raised by each completed attempt; 0: no cap
-	lastSeen          time.Duration // time of the last response, or since which the first one is awaited
+	lastSeen          time.Duration // time of the last response, or, if later, since which a response is awaited
 	timeouts          int           // consecutive inactivity timeouts and unanswered health checks
 	consecutiveErrors int           // executor errors since the last completed attempt
 	rejections        int           // attempts rejected as full since recordAlive was last called
@@ -24,7 +24,7 @@
 	unresponsive      bool          // a health check or a connection failed, and the executor has not responded since
 	checkInFlight     bool          // a health check is in flight
 	checkSentAt       time.Duration // time of the last health check; 0: none was sent
-	awaited           bool          // the executor is in pendingHealthChecks.awaitingReply
+	awaited           bool          // the executor is in the list pendingHealthChecks.awaitingReply
 }
 
 // awaitResponse starts the inactivity timeout when the first attempt is sent to an idle executor.
@@ -39,8 +39,8 @@
 	h.inFlightCap = 1
 }
 
-// backoffFactor returns the multiple of the usual ejection time for the next ejection: one more for each timeout in a row,
-// or doubled for each error in a row up to maxBackoffFactor, whichever is longer.
+// backoffFactor returns the factor for the usual ejection time at the next ejection. It is the larger of two: one plus
+// the number of timeouts in a row, and 2 to the power of the number of errors in a row, up to maxBackoffFactor.
 func (h *health) backoffFactor() time.Duration {
 	forErrors := min(1<<min(h.consecutiveErrors, maxBackoffFactor), maxBackoffFactor)
 	return time.Duration(max(1+h.timeouts, forErrors))
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -9,13 +9,14 @@
 //
 //	(runTime + kind's pace) / (work + 1)  =  kind's pace + seen x (own pace - kind's pace)
 //
-// where own pace = runTime / work, and seen = work / (work + 1) is the weight of the executor's own observations. So it changes
-// whenever its kind's pace changes. Executors are therefore put into buckets by seen. In each bucket, a heap orders them by
-// their own pace, which gives a lower bound of the paces in the bucket for any pace of the kind.
+// where own pace = runTime / work, and seen = work / (work + 1) is the weight of the executor's own observations. An
+// executor's pace thus changes whenever its kind's pace changes, so it can't be the key of a heap. Instead, executors
+// are put into buckets by seen. In each bucket, a heap orders them by their own pace, which gives a lower bound of the
+// paces in the bucket for any pace of the kind.
 
 const (
 	evenPaceBuckets    = 16                                   // number of buckets of equal width for seen, from 0 to 1
-	halvingPaceBuckets = 24                                   // buckets that divide the lowest even one, each half as wide as the next
+	halvingPaceBuckets = 24                                   // buckets that divide the lowest even one, each half as wide as the one before
 	unseenPaceBucket   = evenPaceBuckets + halvingPaceBuckets // bucket of executors without observed work, ordered by runTime
 	firstHalvingExp    = 4                                    // the width of the even buckets is 2 to the power of minus this
 )
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	zoneFullLoad          = 1.3  // jobs per core at which a zone is full, with load-adjusted weights in the endpoint list
-	zoneFullDelayedStarts = 0.3  // fraction of attempts with a delayed start at which a zone is full, with start notices
-	zoneFullWait          = 2.0  // start wait at which a zone is full, without start notices, in shortest objectives
+	zoneFullLoad          = 1.3  // number of jobs per core at which a zone is full, if weights are load-adjusted
+	zoneFullDelayedStarts = 0.3  // fraction of delayed starts at which a zone is full, if there are start notices
+	zoneFullWait          = 2.0  // start wait, in shortest objectives, at which a zone is full, if there are no start notices
 	zoneLoadStep          = 0.1  // weight of a new observation in the running average of a zone's load
 	minZoneSize           = 1e-9 // least total size of a zone's executors, to avoid a division by zero
 	unusableToken         = -1   // tokenAge of an executor whose tokens the job may not use now
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
+// The RAIN design prescribes executorQueuingThreshold, initialQuota, maxQuota and the rule of adjustQuota.
 const (
-	executorQueuingThreshold = 0.3 // fraction of the waiting at the executor above which its queue is taken as the cause of delays
-	emptyQueueThreshold      = 0.5 // fraction of the waiting at the executor above which this node's queue counts as empty
+	executorQueuingThreshold = 0.3 // executorFraction above which the executor's queue is taken as the cause of delays
+	emptyQueueThreshold      = 0.5 // executorFraction above which this node's queue counts as empty
 	slackTargetFraction      = 0.5 // fraction of a job's slack that it may wait before the executor counts as over its target
 	initialQuota             = 2   // quota of an executor of which nothing is known
-	maxQuota                 = 8   // upper bound of a quota
+	maxQuota                 = 8   // largest quota of an executor
 	intervalFraction         = 0.4 // the interval between two adjustments is this fraction of the shortest deadline
 	fullTokenDelay           = 2.0 // running times, per rejection in a row, for which the token of a full executor stays taken
 )
@@ -53,7 +54,8 @@
 	joinOrder      int             // position in the order in which executors got tokens, from 1; 0: not in quotaState.executors
 }
 
-// inherit records the executor's quota in another process, to be used when the executor joins the subset here.
+// inherit records the quota that another process of this node had for the executor. It is used when the executor joins
+// the subset of this process.
 func (t *tokens) inherit(quota int) { t.inheritedQuota = min(quota, maxQuota) }
 
 // begin sets the first quota, with one free token for each given time.
@@ -101,7 +103,7 @@
 // queuing holds an executor's waiting times in the current interval, from which adjustQuota derives its next quota.
 type queuing struct {
 	atExecutor     time.Duration // total time that attempts waited at the executor
-	inQueue        time.Duration // total time that its jobs waited in this node's queue
+	inQueue        time.Duration // total time that jobs waited in this node's queue before they were sent to the executor
 	overTarget     bool          // a job waited longer than slackTargetFraction of its slack
 	outOfTokens    bool          // at some time no token was free
 	sawFull        bool          // the executor rejected an attempt as full
@@ -111,7 +113,7 @@
 	startedOthers  bool          // the executor started an attempt that shows it is not full for all tenants (recordStart)
 }
 
-// recordQueued adds the time that a job waited in this node's queue.
+// recordQueued adds the time that a job waited in this node's queue before it was sent to the executor.
 func (q *queuing) recordQueued(wait time.Duration) { q.inQueue += wait }
 
 // recordStartWait adds the time that an attempt waited at the executor. overTarget says whether its job waited for too much
@@ -129,8 +131,9 @@
 	q.fullWait += runTime
 }
 
-// recordStart records an attempt that the executor started. If it follows a rejection of another tenant's attempt, only that
-// tenant's quota at the executor was used up.
+// recordStart records an attempt that the executor started. If it did so before any rejection in this interval, or
+// after it rejected another tenant's attempt, it is not full for all tenants: only the rejected tenant's quota there is
+// used up.
 func (q *queuing) recordStart(tenant TenantID) {
 	q.startedOthers = q.startedOthers || !q.sawFull || tenant != q.fullTenant
 }
@@ -144,7 +147,8 @@
 	}
 }
 
-// executorFraction returns which fraction of all waiting was at the executor rather than in this node's queue.
+// executorFraction returns the fraction of the total waiting time that was spent at the executor and not in this node's
+// queue: the r of the RAIN design.
 func (q *queuing) executorFraction() float64 {
 	total := q.atExecutor + q.inQueue
 	if total <= 0 {
@@ -207,7 +211,7 @@
 	if len(means) > 0 {
 		return
 	}
-	means[AnyKind] = meanQuota{} // marks the means as computed, even if there are none
+	means[AnyKind] = meanQuota{} // a map that is not empty means that the means are computed
 	for _, e := range d.quota.executors {
 		if e.available {
 			means[e.kind] = means[e.kind].with(e.tokens.quota)
@@ -215,9 +219,9 @@
 	}
 }
 
-// adjustQuota changes e's quota by at most one. The quota is lowered if jobs waited too long, mostly at e, while this node's
-// queue was empty or hardly mattered. It is raised if jobs waited in this node's queue, e ran out of tokens, and there was
-// little waiting at e.
+// adjustQuota changes e's quota by at most one, by the rule of the RAIN design. The quota is lowered if jobs waited too
+// long, mostly at e, while this node's queue was empty or hardly mattered. It is raised if jobs waited in this node's
+// queue, e ran out of tokens, and there was little waiting at e.
 func (d *Dispatcher) adjustQuota(e *executor, now time.Duration) {
 	fraction := e.queuing.executorFraction()
 	queueEmpty := !d.queue.usedThisInterval || fraction > emptyQueueThreshold
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -18,8 +18,8 @@
 // The dedup groups.
 const (
 	DedupAllExecutors DedupGroup = iota // all executors
-	DedupZone                           // the executors of the same zone
-	DedupCell                           // the executors of the same cell
+	DedupZone                           // the executors of the zone in which the job ran
+	DedupCell                           // the executors of the cell in which the job ran
 )
 
 // JobClass holds the settings of one class of jobs.
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -29,8 +29,9 @@
 	blockedUntil    time.Duration // time until which another process of this node uses the budget
 }
 
-// derive sets the number of sending nodes and this node's share of the slow-start budget. Divided among all of many nodes,
-// a share would be less than one job. So only a few nodes share the budget: as many as could each send one job to one slot.
+// derive sets the number of sending nodes and this node's share of the slow-start budget. If all of many nodes shared
+// the budget, a share would be less than one job. So only a few nodes share it: as many as there are jobs in the
+// initial budget of an executor with one slot, if the work of a job is the shortest objective.
 func (s *slowStart) derive(overloadMultiple float64, shortestObjective time.Duration, nodeCount int) {
 	window := s.overloadWindow.Seconds()
 	senders := int(overloadMultiple * s.initialCapacity * window / shortestObjective.Seconds())
@@ -89,7 +90,8 @@
 // depends on the slots and the pace observed for e's kind, and on the capacity that e is sure to have at its age.
 func (d *Dispatcher) withinSlowStartBudget(e *executor, j *job, now time.Duration) bool {
 	kind := d.endpoints.kinds[e.kind]
-	// An executor gets less if it is smaller than the mean of its kind. A pace slower than the kind's lowers the budget, too.
+	// An executor gets less if it is smaller than the mean of its kind, and if its own pace, as observed before or
+	// after its restart, is slower than the kind's.
 	capacity := d.slowStart.capacityFraction(e, now) * min(1, max(e.size, e.weight)/kind.size)
 	budget := d.slowStart.budget * capacity * kind.safeSlots() / max(kind.pace, d.pace(e, now))
 	if e.started < 0 && now < d.slowStart.overloadWindow {
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -8,7 +8,7 @@
 // timerQueue holds all timers, ordered by their due times.
 type timerQueue struct {
 	heap     timerHeap
-	sequence int // number of the last timer, for the order of timers with the same due time
+	sequence int // number of timers added so far, which orders timers with the same due time
 }
 
 // timerKind says what to do when a timer is due.
--- a/policy/value.go
+++ b/policy/value.go
@@ -14,7 +14,7 @@
 	minMeanValue          = 1e-9 // least mean value of a class's jobs, to avoid a division by zero
 	minTotalQuota         = 1e-9 // least sum of all tenants' quotas, to avoid a division by zero
 
-	rateMemoryIntervals = 5 // intervals that a tenant's rate averages over, which follows from tenantRateDecay
+	rateMemoryIntervals = 5 // number of intervals over which a tenant's rate is averaged: 1 / (1 - tenantRateDecay)
 	valueMeanSlowdown   = 4 // factor by which the mean values change more slowly than other running averages
 )
 
@@ -108,7 +108,7 @@
 func (d *Dispatcher) updateWorstClass() {
 	var worst *jobClass
 	leastFraction := math.Inf(1)
-	jobs := 0.0 // requested jobs of all classes
+	jobs := 0.0 // number of requested jobs of all classes
 	for _, class := range d.classes.current {
 		class.requestedValue *= valueDecay
 		class.earnedValue *= valueDecay
