--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -14,8 +14,8 @@
 	remote   bool    // candidates are in other zones; otherwise they are in the own zone
 	late     bool    // the job is past its objective
 	forLease bool    // candidates are wanted for a lease request, not for an attempt
-	maxPace  float64 // executors with a higher pace are of no use
-	minAge   float64 // tokens with a lower weighted age are of no use; the caller may raise it during the iteration
+	maxPace  float64 // executors with a higher pace are of no use to the job
+	minAge   float64 // tokens with a lower weighted age are of no use to the job; the caller may raise it during the iteration
 }
 
 // candidates iterates over the executors with a token that the query's job may be able to use. It begins with the bucket that
--- a/policy/executor_heap.go
+++ b/policy/executor_heap.go
@@ -6,10 +6,10 @@
 type heapKey int
 
 const (
-	keyTokenAge  heapKey = iota // time since which the oldest token has been free, in a rate bucket
-	keyPaceDrift                // paceLimit, negated in kindIndex.paceFloors
-	keyExpiry                   // time until which the entry is valid
-	keyPace                     // own pace of the executor, in a pace bucket
+	keyTokenAge  heapKey = iota // in rate buckets: time since which the executor's oldest token has been free
+	keyPaceDrift                // in paceFloors and paceCeilings of kindIndex: the entry's paceLimit, negated in paceFloors
+	keyExpiry                   // in candidateIndex.expiries: time until which the entry is valid
+	keyPace                     // in pace buckets: the executor's own pace; without observed work its running time
 	heapKeys                    // number of kinds of keys
 )
 
--- a/policy/job.go
+++ b/policy/job.go
@@ -19,7 +19,7 @@
 	deadlineAt  time.Duration // time by which the client must have its answer
 	finished    bool          // the client has its answer or has left
 
-	firstTry         bool    // no earlier try of the client is known, nor indicated by the budget
+	firstTry         bool    // no earlier try of the client is known, and the budget indicates none
 	shortBudget      bool    // the client waits for less than half of the deadline
 	startMargin      float64 // factor for the running time that must be left at the latest start
 	predictionMargin float64 // factor for the running time in the prediction whether an executor meets the objective
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -14,7 +14,7 @@
 	waitedFactor       = 5.0  // multiple of inferRunTime above which an attempt without a start notice counts as delayed
 	dedupReplyFraction = 0.1  // a job with a key, done in less than this fraction of its predicted time, was answered from memory
 	minReportedCount   = 0.5  // reported counts are averages; from this value on they count as at least one slot or job
-	minProgress        = 0.02 // minimum fraction done for a progress notice to predict the running time
+	minProgress        = 0.02 // minimum completed fraction of an attempt for a progress notice to predict the running time
 	standardPace       = 1    // pace of an executor of which nothing is known
 )
 
@@ -22,7 +22,7 @@
 // notices do not raise concurrency.
 type kindStats struct {
 	pace                float64 // running time per unit of work
-	size                float64 // mean weight in the endpoint list
+	size                float64 // mean weight of the kind's executors in the endpoint list
 	reportedSlots       float64 // average number of slots in load reports; 0: no report was received
 	concurrency         int     // number of slots, from load reports or from this node's jobs that ran at the same time
 	exactSlots          float64 // average number of slots in load reports without queued jobs; 0: no such report
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -31,7 +31,7 @@
 type LearnedKind struct {
 	ID            KindID
 	Pace          float64 // running time per unit of work
-	Size          float64 // mean weight in the endpoint list
+	Size          float64 // mean weight of the kind's executors in the endpoint list
 	ReportedSlots float64 // average number of slots in load reports; 0: no report was received
 	Concurrency   int     // number of slots, from load reports or from the jobs that ran at the same time
 }
@@ -45,7 +45,7 @@
 	StartWait     time.Duration
 	EjectedFor    time.Duration // remaining time of its ejection
 	InFlightCap   int           // most attempts in flight; 0: no cap
-	Timeouts      int           // consecutive inactivity timeouts and unanswered health checks
+	Timeouts      int           // number of consecutive inactivity timeouts and unanswered health checks
 }
 
 // ExportLearned returns the learned state, sorted by id.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -17,9 +17,9 @@
 	ejectedUntil      time.Duration // end of the last ejection
 	inFlightCap       int           // maximum number of attempts in flight, raised by each completed attempt; 0: no cap
 	lastSeen          time.Duration // time of the last response, or, if later, since which a response is awaited
-	timeouts          int           // consecutive inactivity timeouts and unanswered health checks
-	consecutiveErrors int           // executor errors since the last completed attempt
-	rejections        int           // attempts rejected as full since recordAlive was last called
+	timeouts          int           // number of consecutive inactivity timeouts and unanswered health checks
+	consecutiveErrors int           // number of executor errors since the last completed attempt
+	rejections        int           // number of attempts rejected as full since recordAlive was last called
 	suspect           bool          // an attempt has failed since recordAlive was last called
 	unresponsive      bool          // a health check or a connection failed, and the executor has not responded since
 	checkInFlight     bool          // a health check is in flight
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -18,7 +18,7 @@
 	evenPaceBuckets    = 16                                   // number of buckets of equal width for seen, from 0 to 1
 	halvingPaceBuckets = 24                                   // buckets that divide the lowest even one, each half as wide as the one before
 	unseenPaceBucket   = evenPaceBuckets + halvingPaceBuckets // bucket of executors without observed work, ordered by runTime
-	firstHalvingExp    = 4                                    // the width of the even buckets is 2 to the power of minus this
+	firstHalvingExp    = 4                                    // the width of an even bucket is 2 to the power of -firstHalvingExp
 )
 
 // indexPace puts a member of the subset into its pace bucket. An executor outside the subset is removed from its bucket.
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -9,11 +9,11 @@
 const (
 	executorQueuingThreshold = 0.3 // executorFraction above which the executor's queue is taken as the cause of delays
 	emptyQueueThreshold      = 0.5 // executorFraction above which this node's queue counts as empty
-	slackTargetFraction      = 0.5 // fraction of a job's slack that it may wait before the executor counts as over its target
+	slackTargetFraction      = 0.5 // fraction of its slack that a job may wait before its executor counts as over its target
 	initialQuota             = 2   // quota of an executor of which nothing is known
 	maxQuota                 = 8   // largest quota of an executor
 	intervalFraction         = 0.4 // the interval between two adjustments is this fraction of the shortest deadline
-	fullTokenDelay           = 2.0 // running times, per rejection in a row, for which the token of a full executor stays taken
+	fullTokenDelay           = 2.0 // number of running times, per rejection in a row, for which a full executor's token stays taken
 )
 
 // quotaState holds the executors whose quotas are adjusted, and the end of the current interval.
@@ -47,7 +47,7 @@
 // tokens holds an executor's quota, which is the number of attempts that this node may have in flight there, and its tokens.
 // An attempt takes a token and releases it at its end.
 type tokens struct {
-	quota          int             // 0: the executor has not been in the subset yet
+	quota          int             // most attempts in flight at the executor; 0: it has not been in the subset yet
 	inheritedQuota int             // quota in the learned state of the predecessor process; 0: none
 	free           []time.Duration // time since which each free token has been free, oldest first
 	taken          int             // tokens of attempts in flight, and of ended ones whose token is released later
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -16,7 +16,7 @@
 type subset struct {
 	members     []*executor   // executors in slow start first, then the others by rank, highest first
 	previous    []*executor   // members before the last rebuild; their array is reused by the next one
-	lateSize    int           // number of leading members open to late jobs of classes that pay for late completion
+	lateSize    int           // number of members, from the first on, that late jobs of classes with a late value may use
 	stale       bool          // the next turn checks whether the subset must be rebuilt
 	changed     bool          // something that the subset depends on has changed
 	validUntil  time.Duration // time at which the subset is out of date though nothing has changed
