--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -11,61 +11,62 @@
 )
 
 const (
-	attemptWaits  = 5 * time.Millisecond // a start later than this after arrival counts as having waited; a new connection takes less
-	slowCoreSpeed = 0.9                  // relative to a standard core; slower ones count as slow
+	queuedAfter   = 5 * time.Millisecond // an attempt that starts later than this after its arrival counts as queued; setting up a new connection takes less
+	slowCoreSpeed = 0.9                  // a core below this speed counts as slow; a standard core has 1
 )
 
-// accountLedger records what an account needs while a world is played. It observes and changes nothing. The methods of a nil ledger,
-// which is that of a world without an account, record nothing.
+// accountLedger records the data of an account during a simulation, without any influence on it. A simulation without an account has a nil
+// ledger, whose methods record nothing.
 type accountLedger struct {
-	world     *World
-	open      map[invariants.WorkID]*jobHistory
+	sim       *Simulation
+	inFlight  map[invariants.WorkID]*jobHistory
 	classes   []AccountRow
 	nodes     []nodeRow
-	unreached AccountRow // of works that no node received
+	unreached AccountRow // work items that no node received
 
-	approaching  map[*executor]int     // attempts on their way to it
-	workReceived map[*executor]float64 // in seconds
+	attemptsInTransit map[*executor]int     // attempts on their way to the executor
+	workReceived      map[*executor]float64 // work of the attempts that arrived, in seconds on a standard core
 
-	// Attempts so far, those of them that waited, and those of these for which a core was idle elsewhere.
+	// Number of attempts, of queued attempts, and of queued attempts that were sent while a core was idle elsewhere.
 	attempts, waited, idleUsed, idleZone, idleAny int
 
-	// Value lost at nodes though a core was idle at arrival.
+	// Value lost at nodes although a core was idle when the work item was submitted.
 	queuedIdleZone, queuedIdleAny float64
 }
 
 func (l *accountLedger) init() {
-	l.approaching, l.workReceived = map[*executor]int{}, map[*executor]float64{}
-	for _, class := range l.world.scenario.Classes {
+	l.attemptsInTransit, l.workReceived = map[*executor]int{}, map[*executor]float64{}
+	for _, class := range l.sim.scenario.Classes {
 		l.classes = append(l.classes, AccountRow{Name: class.Name})
 	}
-	for _, n := range l.world.nodes {
+	for _, n := range l.sim.nodes {
 		l.nodes = append(l.nodes, nodeRow{AccountRow: AccountRow{Name: n.name}, attemptsTo: map[*executor]int{}})
 	}
 }
 
-// recordSubmit records a request for a work to a node; nil if none can be reached.
+// recordSubmit records a request for a work item; n is nil if no node can be reached.
 func (l *accountLedger) recordSubmit(work *emulator.Work, n *simNode) {
 	if l == nil {
 		return
 	}
-	history := l.open[work.ID]
+	history := l.inFlight[work.ID]
 	if history == nil {
 		history = &jobHistory{work: work}
-		l.open[work.ID] = history
+		l.inFlight[work.ID] = history
 	}
 	if history.firstNode == nil && n != nil {
 		history.firstNode, history.idleAtArrival = n, l.idleCores(n, nil)
 	}
-	history.requests = append(history.requests, newRequestHistory(l.world.now))
+	history.requests = append(history.requests, newRequestHistory(l.sim.now))
 }
 
-// request is the history of a request, for the caller to write to; it is thrown away if the request is not its work's last one.
+// request returns the history of a request, for the caller to fill in. For a request that is not the last one of its work item it returns
+// a history that is discarded.
 func (l *accountLedger) request(request *clientRequest) *requestHistory {
-	if l == nil || l.open[request.work.ID] == nil || request.job != request.work.Job() {
+	if l == nil || l.inFlight[request.work.ID] == nil || request.job != request.work.Job() {
 		return &requestHistory{}
 	}
-	requests := l.open[request.work.ID].requests
+	requests := l.inFlight[request.work.ID].requests
 	return requests[len(requests)-1]
 }
 
@@ -76,23 +77,23 @@
 		return attempt
 	}
 	n := request.node
-	attempt.idle = l.idleCores(n, x)
+	attempt.idleWhenSent = l.idleCores(n, x)
 	l.nodes[n.id].attemptsTo[x]++
-	l.approaching[x]++
+	l.attemptsInTransit[x]++
 	l.attempts++
-	if history := l.open[request.work.ID]; history != nil {
+	if history := l.inFlight[request.work.ID]; history != nil {
 		history.attempts = append(history.attempts, attempt)
 	}
 	return attempt
 }
 
-// idleCores says where a core is idle: at an executor that the node has used, in its zone, anywhere.
+// idleCores holds whether a core is idle at an executor that a node has used, at one in the node's zone, and at any executor.
 type idleCores struct{ used, zone, any bool }
 
-// idleCores says where a core is idle for a node now, at executors other than the given one.
+// idleCores returns where a core is idle now, other than at the given executor.
 func (l *accountLedger) idleCores(n *simNode, except *executor) (idle idleCores) {
-	for _, x := range l.world.executors {
-		if x == except || x.InFlight()+l.approaching[x] >= x.Cores || !x.Up || x.unreachable || x.Draining {
+	for _, x := range l.sim.executors {
+		if x == except || x.InFlight()+l.attemptsInTransit[x] >= x.Cores || !x.Up || x.unreachable || x.Draining {
 			continue
 		}
 		idle.any = true
@@ -102,42 +103,42 @@
 	return idle
 }
 
-// recordReached records an attempt's arrival at its executor.
-func (l *accountLedger) recordReached(attempt *attemptHistory, work float64) {
-	attempt.reached = attempt.executor.world.now
+// recordArrived records the arrival of an attempt at its executor.
+func (l *accountLedger) recordArrived(attempt *attemptHistory, work float64) {
+	attempt.arrivedAt = attempt.executor.sim.now
 	if l != nil {
-		l.approaching[attempt.executor]--
+		l.attemptsInTransit[attempt.executor]--
 		l.workReceived[attempt.executor] += work
 	}
 }
 
-// recordBegan records that the executor has started an attempt.
-func (l *accountLedger) recordBegan(attempt *attemptHistory) {
-	if attempt.began != notSeen {
+// recordStarted records that the executor has started an attempt.
+func (l *accountLedger) recordStarted(attempt *attemptHistory) {
+	if attempt.startedAt != unsetTime {
 		return
 	}
 	x := attempt.executor
-	attempt.began = x.world.now
-	attempt.slow = x.Speed/max(1, x.Faults().Slow) < slowCoreSpeed
-	if l != nil && attempt.began-attempt.reached > attemptWaits {
+	attempt.startedAt = x.sim.now
+	attempt.onSlowCore = x.Speed/max(1, x.Faults().Slow) < slowCoreSpeed
+	if l != nil && attempt.startedAt-attempt.arrivedAt > queuedAfter {
 		l.waited++
-		l.idleUsed += countTrue(attempt.idle.used)
-		l.idleZone += countTrue(attempt.idle.zone)
-		l.idleAny += countTrue(attempt.idle.any)
+		l.idleUsed += countTrue(attempt.idleWhenSent.used)
+		l.idleZone += countTrue(attempt.idleWhenSent.zone)
+		l.idleAny += countTrue(attempt.idleWhenSent.any)
 	}
 }
 
-// recordAnswer records an executor's answer to an attempt, or its notice.
+// recordAnswer records an executor's answer or notice for an attempt.
 func (l *accountLedger) recordAnswer(attempt *attemptHistory, answer emulator.MessageKind) {
 	switch answer {
 	case emulator.AttemptStarted:
-		l.recordBegan(attempt)
+		l.recordStarted(attempt)
 	case emulator.AttemptDone, emulator.AttemptFailed, emulator.AttemptRejected:
-		attempt.ended = attempt.executor.world.now
+		attempt.endedAt = attempt.executor.sim.now
 	}
 }
 
-// countTrue is 1 for true and 0 for false.
+// countTrue returns 1 for true and 0 for false.
 func countTrue(value bool) int {
 	if value {
 		return 1
@@ -145,27 +146,27 @@
 	return 0
 }
 
-// recordEnded records that the node is notified of an attempt's end. The attempt may still reach its executor, as a break does not stop
-// what is on its way; it then counts as arrived already.
+// recordEnded records that the node is notified of an attempt's end. An attempt that has not arrived yet counts as arrived from now on; it
+// may in fact still arrive, because a broken connection does not stop messages on their way.
 func (l *accountLedger) recordEnded(attempt *attemptHistory, outcome policy.Outcome) {
-	attempt.endedAtNode, attempt.outcome = attempt.executor.world.now, outcome
+	attempt.endedAtNode, attempt.outcome = attempt.executor.sim.now, outcome
 	if attempt.canceled {
 		attempt.outcome = policy.Canceled
 	}
-	if l != nil && attempt.reached == notSeen {
-		l.approaching[attempt.executor]--
-		attempt.reached = attempt.endedAtNode
+	if l != nil && attempt.arrivedAt == unsetTime {
+		l.attemptsInTransit[attempt.executor]--
+		attempt.arrivedAt = attempt.endedAtNode
 	}
 }
 
-// recordFinished records that a work is over for its client, and the value that it earned.
+// recordFinished records that a work item has ended for its client, and the value that it earned.
 func (l *accountLedger) recordFinished(work *emulator.Work, earned float64) {
 	if l == nil {
 		return
 	}
-	history := l.open[work.ID]
-	delete(l.open, work.ID)
-	cause, times := history.cause(l.world.now)
+	history := l.inFlight[work.ID]
+	delete(l.inFlight, work.ID)
+	cause, times := history.cause(l.sim.now)
 	if cause <= QueuedAtNode && history.idleAtArrival.zone {
 		l.queuedIdleZone += work.Value - earned
 	}
@@ -182,24 +183,24 @@
 	}
 }
 
-// finish makes the account; works that are still open have earned nothing.
+// finish returns the account. Work items that have not ended have earned nothing.
 func (l *accountLedger) finish() *Account {
-	w := l.world
-	for _, id := range slices.Sorted(maps.Keys(l.open)) {
-		l.recordFinished(l.open[id].work, 0)
+	sim := l.sim
+	for _, id := range slices.Sorted(maps.Keys(l.inFlight)) {
+		l.recordFinished(l.inFlight[id].work, 0)
 	}
 	waited := float64(l.waited)
 	a := &Account{
-		Scenario:   w.scenario.Name,
-		Seed:       w.seed,
-		Policy:     w.policy,
-		Nodes:      len(w.nodes),
-		Executors:  len(w.executors),
-		Length:     w.scenario.Length,
-		Violations: len(w.result.Violations),
-		Worst:      w.result.Worst,
+		Scenario:   sim.scenario.Name,
+		Seed:       sim.seed,
+		Policy:     sim.policy,
+		Nodes:      len(sim.nodes),
+		Executors:  len(sim.executors),
+		Length:     sim.scenario.Length,
+		Violations: len(sim.result.Violations),
+		Worst:      sim.result.Worst,
 		Attempts:   l.attempts,
-		Crossings:  w.result.Crossings,
+		Crossings:  sim.result.Crossings,
 		Waited:     ratio(waited, float64(l.attempts)),
 		IdleUsed:   ratio(float64(l.idleUsed), waited),
 		IdleZone:   ratio(float64(l.idleZone), waited),
@@ -218,7 +219,7 @@
 	return a
 }
 
-// addClasses adds the rows of all works and of each class.
+// addClasses adds the row of all work items and the rows of the job classes.
 func (l *accountLedger) addClasses(a *Account) {
 	a.All.Name = "all"
 	a.WorstClass = 1
@@ -229,12 +230,12 @@
 	}
 }
 
-// addNodes adds the rows of the nodes, and the load of the executors.
+// addNodes adds the rows of the nodes and the load of the executors.
 func (l *accountLedger) addNodes(a *Account) {
-	executors := l.world.executors
+	executors := l.sim.executors
 	var busy []float64
 	for _, x := range executors {
-		capacity := float64(min(x.Cores, x.Slots)) * x.Speed * time.Duration(l.world.scenario.Length).Seconds()
+		capacity := float64(min(x.Cores, x.Slots)) * x.Speed * time.Duration(l.sim.scenario.Length).Seconds()
 		busy = append(busy, l.workReceived[x]/capacity)
 	}
 	for i := range l.nodes {
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -9,7 +9,7 @@
 	"birchstair/policy"
 )
 
-// vanishDetection is how long discovery takes to notice that an executor has vanished with its machine.
+// vanishDetection is the time until discovery removes an executor whose machine has vanished.
 const vanishDetection = 2 * time.Second
 
 // beginFault begins a fault on the executor.
@@ -29,7 +29,7 @@
 	}
 }
 
-// endFault ends a fault on the executor. A drain restarts it by itself.
+// endFault ends a fault on the executor. A drain has no end here, as drainAndRestart schedules all its steps.
 func (x *executor) endFault(fault emulator.Fault) {
 	switch fault.Kind {
 	case emulator.Crash, emulator.HostLost, emulator.ZoneLost:
@@ -40,12 +40,12 @@
 		}
 		x.endDownFault()
 	case emulator.Replace:
-		if x.activeDownFaults == 1 { // it never comes back: the count stays over 0
+		if x.activeDownFaults == 1 { // the count stays above 0, so this executor never restarts
 			x.replace()
 		}
 	case emulator.Drain:
 	case emulator.Excluded:
-		for _, n := range x.world.nodes {
+		for _, n := range x.sim.nodes {
 			n.adminCall(node.ReadmitExecutor, x.ID)
 		}
 	default:
@@ -54,40 +54,40 @@
 	}
 }
 
-// applyFaults combines the faults that slow the executor down or make it fail.
+// applyFaults applies the combination of the faults that slow the executor down or make it fail.
 func (x *executor) applyFaults() {
-	trouble := emulator.CombineFaults(x.faults)
-	trouble.FalseRejections = x.Faults().FalseRejections
-	x.apply(x.SetFaults(x.world.now, trouble))
+	faults := emulator.CombineFaults(x.faults)
+	faults.FalseRejections = x.Faults().FalseRejections
+	x.apply(x.SetFaults(x.sim.now, faults))
 }
 
-// stop ends the executor's process. If its machine vanishes, nothing notifies those connected to it, and discovery notices later.
+// stop ends the executor's process. If its machine vanishes with it, nodes are not notified, and discovery notices only later.
 func (x *executor) stop(vanishes bool) {
-	w := x.world
+	sim := x.sim
 	x.activeDownFaults++
 	if !x.Up {
 		x.unreachable = x.unreachable || vanishes
 		return
 	}
-	outputs := x.Crash(w.now)
-	if w.wired != nil {
-		w.wired.endExecutor(x, vanishes)
+	outputs := x.Crash(sim.now)
+	if sim.networked != nil {
+		sim.networked.endExecutor(x, vanishes)
 	}
 	if !vanishes {
 		x.apply(outputs)
-		w.updateEndpoint(x.entry(policy.Removed))
+		sim.updateEndpoint(x.entry(policy.Removed))
 		return
 	}
 	x.unreachable = true
 	x.timerSeq++
-	w.after(vanishDetection, func() {
+	sim.after(vanishDetection, func() {
 		if x.unreachable {
-			w.updateEndpoint(x.entry(policy.Removed))
+			sim.updateEndpoint(x.entry(policy.Removed))
 		}
 	})
 }
 
-// endDownFault ends one of the faults that keep the executor down; with the last one it restarts.
+// endDownFault ends one of the faults that keep the executor down. When the last of them ends, the executor restarts.
 func (x *executor) endDownFault() {
 	if x.activeDownFaults--; x.activeDownFaults > 0 {
 		return
@@ -96,48 +96,48 @@
 	x.restart()
 }
 
-// drainAndRestart drains the executor: the endpoint list says so first, after a grace period it takes nothing new, it ends at three
-// quarters of the fault, and restarts at its end.
+// drainAndRestart drains the executor. Discovery publishes the drain after its lag, and the executor takes no new jobs once the grace
+// period after that has passed. Its process ends after three quarters of the fault's duration and restarts at the end of the fault.
 func (x *executor) drainAndRestart(fault emulator.Fault) {
-	w := x.world
+	sim := x.sim
 	if !x.Up || x.activeDownFaults > 0 {
 		return
 	}
 	x.activeDownFaults++
 	started := x.Started
-	w.updateEndpoint(x.entry(policy.Draining))
-	w.after(time.Duration(w.scenario.Fleet.DiscoveryLag+w.scenario.Fleet.DrainGrace), func() {
+	sim.updateEndpoint(x.entry(policy.Draining))
+	sim.after(time.Duration(sim.scenario.Fleet.DiscoveryLag+sim.scenario.Fleet.DrainGrace), func() {
 		if x.Up && x.Started == started {
 			x.Draining = true
 		}
 	})
-	w.after(fault.For*3/4, func() {
+	sim.after(fault.For*3/4, func() {
 		if x.Up && x.Started == started {
-			x.apply(x.Crash(w.now))
-			if w.wired != nil {
-				w.wired.endExecutor(x, false)
+			x.apply(x.Crash(sim.now))
+			if sim.networked != nil {
+				sim.networked.endExecutor(x, false)
 			}
-			w.updateEndpoint(x.entry(policy.Removed))
+			sim.updateEndpoint(x.entry(policy.Removed))
 		}
 	})
-	w.after(fault.For, x.endDownFault)
+	sim.after(fault.For, x.endDownFault)
 }
 
-// excludeAndRestart has operators exclude the executor at each node, and restarts it meanwhile. The endpoint list does not show the
-// exclusion.
+// excludeAndRestart lets operators exclude the executor at each node, and restarts its process meanwhile. The endpoint list does not show
+// the exclusion.
 func (x *executor) excludeAndRestart(fault emulator.Fault) {
-	w := x.world
-	for _, n := range w.nodes {
+	sim := x.sim
+	for _, n := range sim.nodes {
 		n.adminCall(node.ExcludeExecutor, x.ID)
 	}
-	w.after(fault.For/2, func() { x.stop(false) })
-	w.after(fault.For*3/4, x.endDownFault)
+	sim.after(fault.For/2, func() { x.stop(false) })
+	sim.after(fault.For*3/4, x.endDownFault)
 }
 
-// replace starts another executor in the place of one that does not come back.
+// replace starts a new executor, with another ID, in place of one that never restarts.
 func (x *executor) replace() {
 	x.replacements++
-	replacement := x.world.addExecutor(fmt.Sprintf("%s-%d", x.ID, x.replacements), x.number, x.Speed)
+	replacement := x.sim.addExecutor(fmt.Sprintf("%s-%d", x.ID, x.replacements), x.number, x.Speed)
 	replacement.Up = false
 	replacement.restart()
 }
--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -14,8 +14,8 @@
 	remote   bool    // candidates are in other zones; otherwise they are in the own zone
 	late     bool    // the job is past its objective
 	forLease bool    // candidates are wanted for a lease request, not for an attempt
-	maxPace  float64 // executors with a higher pace are of no use
-	minAge   float64 // tokens with a lower weighted age are of no use; the caller may raise it during the iteration
+	maxPace  float64 // executors with a higher pace are of no use to the job
+	minAge   float64 // tokens with a lower weighted age are of no use to the job; the caller may raise it during the iteration
 }
 
 // candidates iterates over the executors with a token that the query's job may be able to use. It begins with the bucket that
@@ -47,8 +47,9 @@
 	}
 }
 
-// scanRanked yields all executors on the query's side. It is used for jobs bound to a dedup group, whose executors may be
-// outside the subset.
+// scanRanked yields all executors on the query's side: in this node's zone, or in the other zones. It is used for jobs
+// bound to the dedup group of a cell. The executors of a cell may be outside the subset, and are few, so they are not
+// searched for in the index. Jobs bound to a zone use the index.
 func (d *Dispatcher) scanRanked(q *query, yield func(*executor) bool) {
 	for _, e := range d.endpoints.ranked {
 		d.index.visited++
