--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -132,10 +132,10 @@
 // Fault is a fault that a scenario injects.
 type Fault struct {
 	Kind  emulator.FaultKind `toml:"kind"`
-	At    Span          `toml:"at"`              // time at which the fault begins
-	For   Span          `toml:"for"`             // duration of the fault
-	Where []string      `toml:"where,omitempty"` // names of the affected executors, nodes or zones; empty for all
-	Size  float64       `toml:"size,omitempty"`  // magnitude, whose meaning depends on the kind
+	At    Span               `toml:"at"`              // time at which the fault begins
+	For   Span               `toml:"for"`             // duration of the fault
+	Where []string           `toml:"where,omitempty"` // names of the affected executors, nodes or zones; empty for all
+	Size  float64            `toml:"size,omitempty"`  // magnitude, whose meaning depends on the kind
 }
 
 // Emulated converts the fault to the emulator's type.
