--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -36,7 +36,7 @@
 		for _, line := range lines {
 			out = append(out, line)
 			if words := strings.Fields(line); len(words) > 0 && words[0] != "#" {
-				for _, text := range p.play(golden.Span(t, words[0]), words[1:]) {
+				for _, text := range p.play(golden.Duration(t, words[0]), words[1:]) {
 					out = append(out, golden.Arrow+text)
 				}
 			}
@@ -66,7 +66,7 @@
 		startedAt := p.started(values)
 		p.state.ObserveEndpoint(now, policy.ExecutorID(words[1]), startedAt, startedAt == 0, state)
 	case "is-draining":
-		started := golden.Span(p.t, values["started"])
+		started := golden.Duration(p.t, values["started"])
 		return []string{fmt.Sprint(p.state.IsDraining(policy.ExecutorID(words[1]), started, started == 0))}
 	case "expire":
 		return p.expire(now, words[1] == "up-to-date")
@@ -126,7 +126,7 @@
 	}
 	for _, word := range words[2:] {
 		if fields := strings.Split(word, ":"); len(fields) == 3 && !strings.Contains(word, "=") {
-			m.Drains = append(m.Drains, Drain{Executor: policy.ExecutorID(fields[0]), Age: golden.Span(p.t, fields[1]), ExecutorStart: golden.Span(p.t, fields[2]).Milliseconds()})
+			m.Drains = append(m.Drains, Drain{Executor: policy.ExecutorID(fields[0]), Age: golden.Duration(p.t, fields[1]), ExecutorStart: golden.Duration(p.t, fields[2]).Milliseconds()})
 		}
 	}
 	for _, id := range p.state.Receive(now, m) {
@@ -191,7 +191,7 @@
 func (p *tracePlayer) started(values map[string]string) time.Duration {
 	p.t.Helper()
 	if value := values["started"]; value != "" {
-		return golden.Span(p.t, value)
+		return golden.Duration(p.t, value)
 	}
 	return 0
 }
--- a/internal/invariants/effect.go
+++ b/internal/invariants/effect.go
@@ -13,14 +13,14 @@
 	at       time.Duration
 }
 
-// maxEffectRuns is how many runs of a work are remembered.
+// maxEffectRuns is how many runs of the effect of a work are remembered.
 const maxEffectRuns = 8
 
-// effectRan checks that an effect does not run twice. Nodes do not answer for clients that repeat their requests: for idempotent classes
-// with a key, only runs for the same batch job count. If something between node and executor delays an attempt for longer than the
-// dedup window, the effect runs again whatever the node does: that is counted, and is no violation as long as every attempt was sent
-// within the window.
-func (c *Checker) effectRan(key jobKey, event Event) {
+// effectStarted checks that an effect does not run twice. For classes with an idempotency key, only runs for the same
+// batch job count, since nodes are not responsible for clients that repeat their requests. If an attempt reaches the
+// executor after the dedup window, the effect runs again whatever the node does. Such runs are counted, and are not a
+// violation if every attempt was sent within the window.
+func (c *Checker) effectStarted(key jobKey, event Event) {
 	class := c.settings.Classes[event.Class]
 	about := subject{job: key, work: event.Work, executor: event.Executor}
 	for _, run := range c.effects[event.Work] {
--- a/internal/service/client_races_test.go
+++ b/internal/service/client_races_test.go
@@ -30,7 +30,7 @@
 	listen        string
 	pendingDials  chan chan struct{}        // each dial to the executor sends a channel, and blocks until that is closed
 	endpointState chan policy.EndpointState // the next state in which discovery lists the executor
-	halts         emulator.Halts            // stop calls of the clients' connections
+	halts         emulator.Breakpoints      // stop calls of the clients' connections
 	loopStop      atomic.Pointer[loopStop]
 
 	mu                                    sync.Mutex
@@ -261,7 +261,7 @@
 		stop := w.halts.At(emulator.AfterRead, 0) // only this client's connection reads now
 		c.Close()
 		w.awaitStop(stop)
-		return stop.Go
+		return stop.Release
 	}},
 	{"the client half-closes its connection and reads the failure", func(w *testNode, c net.Conn) func() {
 		w.halfClose(c)
@@ -270,7 +270,7 @@
 }
 
 // awaitStop waits until a call has reached a stop.
-func (w *testNode) awaitStop(s *emulator.Stop) {
+func (w *testNode) awaitStop(s *emulator.Breakpoint) {
 	w.t.Helper()
 	select {
 	case <-s.Reached:
@@ -368,7 +368,7 @@
 	w.awaitStop(stop)
 	close(proceed)
 	w.awaitResult(w.submit("stays"))
-	stop.Go()
+	stop.Release()
 	w.awaitClientsLeft(1)
 	w.checkRanOnly("stays")
 }
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -211,7 +211,7 @@
 // usable returns whether an executor is available both in the endpoint list and in fact.
 func (b *baseline) usable(x *executor) bool {
 	faults := x.Faults()
-	healthy := x.Up && !x.unreachable && !x.Draining && !faults.Unresponsive && faults.Errors <= 0
+	healthy := x.Up && !x.unreachable && !x.Draining && !faults.Unresponsive && faults.ErrorRate <= 0
 	return b.available[x.ID] && healthy && b.node.sim.linked(b.node.zone, x.Zone)
 }
 
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -43,7 +43,7 @@
 		if !x.Up || x.unreachable || x.Draining || faults.Unresponsive || !sim.reachable(x) {
 			continue
 		}
-		fraction := (1 - faults.Errors) * (1 - faults.Neighbor/2) / max(1, faults.Slow)
+		fraction := (1 - faults.ErrorRate) * (1 - faults.NeighborShare/2) / max(1, faults.Slow)
 		if faults.StallEvery > 0 {
 			fraction *= 1 - faults.StallFor.Seconds()/faults.StallEvery.Seconds()
 		}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -13,7 +13,7 @@
 const watchLossDelay = 100 * time.Millisecond
 
 // gossipFaults are the kinds of fault that networked simulations ignore, as their nodes have no gossip and all share one process.
-var gossipFaults = []emulator.Kind{emulator.GossipPartitioned, emulator.FalseGossip, emulator.NodePaused, emulator.GossipLost, emulator.DiscoveryUnreachable}
+var gossipFaults = []emulator.FaultKind{emulator.GossipPartitioned, emulator.FalseGossip, emulator.NodePaused, emulator.GossipLost, emulator.DiscoveryUnreachable}
 
 // scheduleFault schedules the begin and the end of a fault.
 func (sim *Simulation) scheduleFault(fault emulator.Fault) {
@@ -45,15 +45,15 @@
 		}
 	case emulator.ResetNew:
 		sim.newConnResetRate = size
-	case emulator.SilentNew:
+	case emulator.UnresponsiveNew:
 		sim.newConnUnresponsiveRate = size
-	case emulator.SilentOld, emulator.ResetOld, emulator.ClientReset:
+	case emulator.UnresponsiveOld, emulator.ResetOld, emulator.ClientReset:
 		if on {
 			sim.beginConnFault(fault)
 		}
 	case emulator.DiscoveryDelayed:
 		sim.setDiscoveryDelay(secondsOf(size), on)
-	case emulator.DiscoverySilent:
+	case emulator.DiscoveryStopped:
 		sim.setDiscoveryUnresponsive(on)
 	case emulator.GossipLost:
 		sim.gossipLoss = size
@@ -88,11 +88,11 @@
 
 // faultedExecutors returns the executors that a fault affects; none if its kind does not affect executors.
 func (sim *Simulation) faultedExecutors(fault emulator.Fault) (all []*executor) {
-	if on, _ := fault.Kind.On(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
+	if on, _ := fault.Kind.Target(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
 	for _, x := range sim.executors {
-		if fault.Touches(string(x.ID), sim.scenario.Fleet.Zones[x.Zone]) {
+		if fault.Affects(string(x.ID), sim.scenario.Fleet.Zones[x.Zone]) {
 			all = append(all, x)
 		}
 	}
@@ -101,11 +101,11 @@
 
 // faultedNodes returns the nodes that a fault affects; none if its kind does not affect nodes.
 func (sim *Simulation) faultedNodes(fault emulator.Fault) (all []*simNode) {
-	if on, _ := fault.Kind.On(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
+	if on, _ := fault.Kind.Target(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
 	for _, n := range sim.nodes {
-		if fault.Touches(n.name, sim.scenario.Fleet.Zones[n.zone]) {
+		if fault.Affects(n.name, sim.scenario.Fleet.Zones[n.zone]) {
 			all = append(all, n)
 		}
 	}
@@ -124,7 +124,7 @@
 
 // setDiscoveryUnresponsive makes discovery unresponsive, or lets it answer again.
 func (sim *Simulation) setDiscoveryUnresponsive(unresponsive bool) {
-	sim.discovery.SetSilent(unresponsive)
+	sim.discovery.SetStopped(unresponsive)
 	sim.checker.SetUnreachable(sim.now, invariants.NoNode, unresponsive)
 	at := sim.now
 	if unresponsive {
@@ -180,7 +180,7 @@
 }
 
 // setPeerFault begins or ends a fault of the node's gossip or of its connection to discovery.
-func (n *simNode) setPeerFault(kind emulator.Kind, on bool) {
+func (n *simNode) setPeerFault(kind emulator.FaultKind, on bool) {
 	switch kind {
 	case emulator.FalseGossip:
 		n.corruption = countTrue(on)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -131,11 +131,11 @@
 
 // Fault is a fault that a scenario injects.
 type Fault struct {
-	Kind  emulator.Kind `toml:"kind"`
-	At    Span          `toml:"at"`              // time at which the fault begins
-	For   Span          `toml:"for"`             // duration of the fault
-	Where []string      `toml:"where,omitempty"` // names of the affected executors, nodes or zones; empty for all
-	Size  float64       `toml:"size,omitempty"`  // magnitude, whose meaning depends on the kind
+	Kind  emulator.FaultKind `toml:"kind"`
+	At    Span               `toml:"at"`              // time at which the fault begins
+	For   Span               `toml:"for"`             // duration of the fault
+	Where []string           `toml:"where,omitempty"` // names of the affected executors, nodes or zones; empty for all
+	Size  float64            `toml:"size,omitempty"`  // magnitude, whose meaning depends on the kind
 }
 
 // Emulated converts the fault to the emulator's type.
@@ -273,11 +273,11 @@
 		Cores:            f.Cores,
 		Speed:            speed,
 		Slots:            f.Slots,
-		Queue:            f.QueueLimit,
+		QueueLimit:       f.QueueLimit,
 		ByPriority:       f.ByPriority,
 		CancelsRunning:   f.CancelsRunning,
 		KeepsQueued:      f.KeepsQueued,
-		SlowStartShare:   f.SlowStartCapacity,
+		InitialCapacity:  f.SlowStartCapacity,
 		SlowStart:        time.Duration(f.SlowStartDuration),
 		OverloadMultiple: f.OverloadMultiple,
 		OverloadWindow:   time.Duration(f.OverloadWindow),
@@ -287,7 +287,7 @@
 		SendsLoad:        f.ReportsLoad,
 		ReportEvery:      time.Duration(f.ReportInterval),
 		ReportNoise:      reportNoise,
-		Conns:            f.MaxExecutorConns,
+		MaxConns:         f.MaxExecutorConns,
 		ConnCost:         time.Duration(f.ConnCost),
 	}
 }
