--- a/cmd/birchstair-sim/main.go
+++ b/cmd/birchstair-sim/main.go
@@ -24,7 +24,7 @@
 	Trace   traceCmd   `cmd:"" help:"Print a trace in a readable form."`
 }
 
-// errViolation is returned if an invariant was violated or a measurement was wrong. The details have been printed.
+// errViolation is returned if an invariant was violated, or something else happened that must not happen. The details have been printed.
 var errViolation = errors.New("an invariant was violated")
 
 func main() {
--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -12,8 +12,9 @@
 // Cause is the reason why a work item did not earn its full value.
 type Cause int
 
-// Causes. NeverSent and SentTooLate apply to work items that had no attempt at all, or whose first attempt was sent too late to meet the
-// latency objective. The cause of the others is where they spent most of their time, without the run time on a standard core.
+// Causes. ClientLeft applies to all work items whose client disconnected. Of the others, those without an attempt have NodeLost if a
+// request lost its node and NeverSent otherwise, and those whose first attempt was sent too late to meet the latency objective have
+// SentTooLate. The cause of the rest is where they spent most of their time, without the run time on a standard core.
 const (
 	NeverSent          Cause = iota // no attempt was sent
 	SentTooLate                     // the first attempt was sent when even a standard core would have missed the latency objective
@@ -63,7 +64,7 @@
 	IdleUsed       float64 `json:"free_used"`         // fraction of Waited that was sent while a core was idle at another executor that the node had used
 	IdleZone       float64 `json:"free_in_zone"`      // as IdleUsed, at any other executor of the node's zone
 	IdleAny        float64 `json:"free"`              // as IdleUsed, at any other executor
-	QueuedIdleZone float64 `json:"held_free_in_zone"` // fraction of the value lost at nodes whose work item arrived while a core was idle in the node's zone
+	QueuedIdleZone float64 `json:"held_free_in_zone"` // fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode for which a core was idle in the node's zone when the work item was submitted
 	QueuedIdleAny  float64 `json:"held_free"`         // as QueuedIdleZone, with an idle core in any zone
 }
 
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -30,7 +30,7 @@
 	// Number of attempts, of queued attempts, and of queued attempts that were sent while a core was idle elsewhere.
 	attempts, waited, idleUsed, idleZone, idleAny int
 
-	// Value lost at nodes although a core was idle when the work item was submitted.
+	// Value lost to NeverSent, SentTooLate and QueuedAtNode although a core was idle when the work item was submitted.
 	queuedIdleZone, queuedIdleAny float64
 }
 
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -182,7 +182,7 @@
 func (b *baseline) earliestAnswer(job *baselineJob) policy.ExecutorID {
 	sim := b.node.sim
 	if b.noSlotAt == sim.now {
-		return "" // no time has passed since no slot was free
+		return "" // no slot was free earlier at this instant; it is taken that none has become free since
 	}
 	var earliest *executor
 	earliestDone, earliestAnywhere := policy.Forever, policy.Forever
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -106,7 +106,8 @@
 	conn.breakConn("closed here")
 }
 
-// breakConn ends a connection at the node's end and notifies the node.
+// breakConn ends a connection at the node's end, and notifies the node after processingDelay: first of the end of the attempt, then of the
+// closed connection.
 func (c *executorConn) breakConn(reason string) {
 	if c.state == connClosed {
 		return
--- a/internal/simulation/gossip_test.go
+++ b/internal/simulation/gossip_test.go
@@ -30,7 +30,7 @@
 		}},
 	} {
 		if underRace && c.nodes > 3 {
-			continue // the run without the race detector checks the larger cases
+			continue // results do not depend on the race detector; the run without it checks the larger cases
 		}
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/hard_cases_test.go
+++ b/internal/simulation/hard_cases_test.go
@@ -14,7 +14,7 @@
 	attemptsEnded         map[string]bool                         // attempts that have ended for the node, by node, job and executor
 	nodeOfWork            map[invariants.WorkID]invariants.NodeID // node with a job of the work item in flight
 	jobsAtTwoNodes        int                                     // jobs accepted while another node had the same work item in flight
-	startedAfterConnBreak int                                     // attempts that started at the executor after the node had recorded their end
+	startedAfterConnBreak int                                     // attempts that started after their end at the node, which noticed the broken connection first
 	killedWithAttempt     int                                     // attempts of killed nodes of which the last byte was sent and no outcome had arrived
 	arrivedInSlowStart    int                                     // attempts that arrived at an executor in slow start
 	lateStartNotices      int                                     // updates by which a node learned of an executor's start more than 2 s after it
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -20,7 +20,7 @@
 	Seed   uint64
 	Jobs   int    // number of durable jobs
 	Kills  int    // number of times that the node is killed
-	Leases bool   // executors honor leases
+	Leases bool   // executors answer lease queries
 	Dir    string // an empty directory for the run's files; the caller removes it
 }
 
--- a/internal/simulation/kill_run_test.go
+++ b/internal/simulation/kill_run_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	var wait sync.WaitGroup
-	slots := make(chan struct{}, 8) // more runs at a time than cores, as they mostly wait
+	slots := make(chan struct{}, 8) // runs mostly wait, so that several fit on a core
 	for seed := range uint64(24) {
 		wait.Go(func() {
 			slots <- struct{}{}
--- a/internal/simulation/kill_setup.go
+++ b/internal/simulation/kill_setup.go
@@ -25,7 +25,8 @@
 // killClasses are the job classes of a run. repeat is the idempotency as the node's configuration names it.
 var killClasses = [2]struct{ name, repeat string }{{"page", "repeatable"}, {"order", killAtMostOnce}}
 
-// siteFormat is the format of the node's operator file. Its arguments are the store's directory and whether executors honor leases.
+// siteFormat is the format of the node's operator file. Its arguments are the store's directory and whether executors answer
+// lease queries.
 const siteFormat = `[durable]
 dir = %q
 outer-limit = "2m"
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -258,7 +258,8 @@
 	slowKind    = policy.KindID(1) // kind of the slower executors; the others are of kind 0
 )
 
-// Spec returns the specification of the executor with the given number. The speed is scaled down if the executor is of the slower kind.
+// Spec returns the specification of the executor with the given number. It has the given speed, multiplied by
+// SlowSpeed/Speed if it is of the slower kind.
 func (s *Scenario) Spec(id string, number int, speed float64) emulator.ExecutorSpec {
 	f := &s.Fleet
 	kind := policy.KindID(0)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestLargeScenariosLoad verifies that the scenarios of lab/size can be read. They are too large to be played in a test.
+// TestLargeScenariosLoad verifies that the scenarios of lab/size can be read. They are too large for a test and
+// are played by hand.
 func TestLargeScenariosLoad(t *testing.T) {
 	sizes := os.DirFS("../../lab/size")
 	files, err := fs.Glob(sizes, "*.toml")
@@ -170,7 +171,8 @@
 	os.Exit(m.Run())
 }
 
-// TestSameSeedSameTrace verifies that the same seed gives the same trace in several processes, with one thread and with eight.
+// TestSameSeedSameTrace verifies that the same seed gives the same trace, byte for byte, in several processes, with one thread and with
+// eight.
 func TestSameSeedSameTrace(t *testing.T) {
 	t.Parallel()
 	want := digest()
--- a/internal/simulation/slow_start_test.go
+++ b/internal/simulation/slow_start_test.go
@@ -21,7 +21,8 @@
 }
 
 // TestSlowStartWithRestartedNodes kills and restarts all of 30 nodes several times within an overload window, while executors are in slow
-// start under a burst. What a node's earlier processes sent must count against its slow-start budget.
+// start under a burst. What a node's earlier processes sent counts against the budgets of the executors, although the restarted
+// node does not know of it.
 func TestSlowStartWithRestartedNodes(t *testing.T) {
 	s := Base()
 	seconds := func(at float64) Span { return Span(at * 1e9) }
