--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -6,97 +6,107 @@
 	"time"
 )
 
-// The candidate index finds executors for a job without visiting all of them. It returns candidates, the most promising
-// bucket first, and omits only executors that a bound proves useless for the job. The choice among the candidates is made by
-// tokenAge, so the index never changes the result.
+// The candidate index finds executors for a job without visiting all of them. It returns candidates, starting with the
+// bucket of the highest token ages. It omits an executor only if a bound proves that the executor is of no use to the
+// job. The caller chooses among the candidates by tokenAge, so the result is the same as that of a full scan.
 //
-// A token group holds only executors with a usable token: a free token that neither the executor's removal from the endpoint
-// list nor its in-flight cap rules out.
+// An executor has a usable token if it has a free token, is below its in-flight cap, and was not removed from the
+// endpoint list. Token groups hold only executors with a usable token.
 //
 //	candidateIndex
 //	├─ kindIndex             one for each executor kind
 //	│  ├─ tokenGroup         executors with a usable token and the same groupKey
 //	│  │  └─ rateBucket      executors with nearly the same aging rate; a heap by the age of the oldest free token
-//	│  ├─ paceBuckets        members of the subset, for the lowest pace among them (pace_index.go)
+//	│  ├─ paceBuckets        members of the subset; the buckets find the lowest pace among them (pace_index.go)
 //	│  └─ paceFloors, paceCeilings    entries that are out of date once the kind's pace has drifted too far
 //	├─ expiries              entries that are out of date after a certain time
 //	└─ dirty                 executors whose entry is out of date because of an event
 //
-// A token's age grows with time at its executor's aging rate: weight / (pace x (shortest objective + expected wait)). An
-// entry holds an upper bound of that rate. The invariants are:
+// The weighted age of a free token (tokenAge) grows with time. The rate of this growth, the aging rate of the executor,
+// is weight / (pace x (shortest objective + expected wait)). The index entry of an executor holds an upper bound of it.
+// The invariants are:
 //
-//	I1  agingRate x rateScale is at least the true rate, as long as the entry is neither dirty nor expired and the kind's
-//	    pace has not passed paceLimit.
+//	I1  agingRate x rateScale is at least the true aging rate, as long as the entry is neither dirty nor expired and the
+//	    kind's pace has not passed paceLimit.
 //	I2  maxRate of a bucket is at least agingRate of each executor in it.
 //	I3  A bucket and its head are in the lists of its group if and only if the bucket has executors.
-//	I4  Each change of a value that an entry depends on marks the executor dirty (markDirty).
+//	I4  Each change of a value that an entry depends on marks the executor dirty (markDirty). The exceptions are the time
+//	    and the kind's pace and concurrency: reindexDirty compares them with the limits up to which entries are valid.
 //
-// Entries are brought up to date by the next query (reindexDirty). TestIndexMatchesFullScan compares the answers of the index
-// with a scan of all executors.
+// Each query first brings the entries up to date (reindexDirty). TestIndexMatchesFullScan compares the results of the
+// index with those of a scan of all executors.
 
 const (
-	rateBucketsPerE  = 256       // number of rate buckets between a rate and e times that rate
-	maxRateBucket    = 1e6       // number of the bucket for extreme rates: zero, infinite or out of range
-	spareRateBuckets = 64        // a group discards its empty buckets if it has this many more than buckets in use
-	roundingUp       = 1 + 1e-9  // factor of upper bounds that allows for rounding errors: an equal candidate must not be omitted
-	roundingDown     = 1 - 1e-12 // factor of lower bounds of a pace that allows for rounding errors
-	rateTolerance    = 1.0 / 512 // largest relative error of a rate bound that a drift of the kind's pace may cause
-	maxPaceDrift     = 1.0 / 8   // largest relative drift of the kind's pace before its executors are indexed again
-	waitBoundDivisor = 8         // the bound of a shrinking wait is valid for (shortest objective + wait) divided by this
+	rateBucketsPerE  = 256 // number of rate buckets between an aging rate and e (2.718) times that rate
+	maxRateBucket    = 1e6 // number by which the bucket of extreme aging rates (zero, infinite or out of range) is found
+	spareRateBuckets = 64  // a group discards its empty buckets once they outnumber those in use by more than this
+
+	// An upper bound is multiplied by roundingUp, and a lower bound of a pace by roundingDown, to allow for rounding
+	// errors. Without that, the index could omit an executor that ties with the best candidate.
+	roundingUp   = 1 + 1e-9
+	roundingDown = 1 - 1e-12
+
+	rateTolerance    = 1.0 / 512 // largest relative error of an aging rate's bound that a drift of the kind's pace can cause
+	maxPaceDrift     = 1.0 / 8   // largest relative drift of a kind's pace before its executors are indexed again
+	waitBoundDivisor = 8         // a bound of a shrinking wait is valid for at most (shortest objective + wait) / this
 )
 
-// executorLoad tells which jobs past their objective may use an executor.
+// executorLoad says which late jobs are allowed to use an executor.
 type executorLoad int
 
 const (
-	loadIdleOpen       executorLoad = iota // no attempt of this node is in flight at the executor; all late jobs may use it
-	loadIdleRestricted                     // no attempt in flight either; only late jobs of classes without late value may use it
-	loadBusy                               // an attempt of this node is in flight at the executor; no late job may use it
+	// loadIdleOpen means that no attempt of this node is in flight at the executor, and that all late jobs may use it.
+	loadIdleOpen executorLoad = iota
+	// loadIdleRestricted means that no attempt of this node is in flight at the executor, but that only late jobs of
+	// classes without a late value may use it.
+	loadIdleRestricted
+	// loadBusy means that an attempt of this node is in flight at the executor, so that no late job may use it.
+	loadBusy
 )
 
-// leaseReadiness tells whether a token may be used as far as leases are concerned.
+// leaseReadiness says whether a token needs a lease before it can be used, and whether that lease was requested.
 type leaseReadiness int
 
 const (
-	leaseNeeded  leaseReadiness = iota // a lease has to be requested first
+	leaseNeeded  leaseReadiness = iota // a lease is needed and was not requested yet
 	leaseReady                         // a lease is granted, or none is needed
-	leasePending                       // a lease is requested and not granted yet
+	leasePending                       // a lease was requested and is not granted yet
 )
 
 // indexEntry is the entry of an executor in the candidate index.
 type indexEntry struct {
-	subsetRank int  // position among the subset's members; -1: not a member
+	subsetRank int  // the executor's position in subset.members; -1: it is not a member
 	dirty      bool // the executor is in candidateIndex.dirty
 	group      *tokenGroup
 	positions  [heapKeys]heapPosition
-	agingRate  float64 // upper bound of the tokens' aging rate, as long as the kind's pace has not passed paceLimit
-	paceLimit  float64 // lowest pace of the kind for which the entry is valid; in a normalized group the highest one
+	agingRate  float64 // upper bound of the tokens' aging rate; in a normalized group for a kind's pace of 1
+	paceLimit  float64 // lowest pace of the kind for which agingRate is valid; in a normalized group the highest one
 }
 
-// candidateIndex is the candidate index, over all executor kinds.
+// candidateIndex is the candidate index of all executor kinds.
 type candidateIndex struct {
 	kinds           []*kindIndex
-	expiries        executorHeap      // entries that are valid until a certain time, ordered by that time
-	dirty           []*executor       // executors to be indexed again
+	expiries        executorHeap      // executors whose entry is valid only until a certain time, ordered by that time
+	dirty           []*executor       // executors whose entry the next query updates
 	classCandidates []classCandidates // candidates for the part of the queue that is being scanned (class_candidates.go)
 
-	// Counters of the work done, for tests.
-	visited   int // executors visited
-	bounded   int // bucket heads whose bound was computed
-	evaluated int // executors evaluated in full, by tokenAge or pace
-	reindexed int // updates of entries of executors with a usable token
+	// Tests read these counters of the work done.
+	visited   int // number of executors that searches looked at
+	bounded   int // number of bucket heads whose maxAge was computed to find the first bucket
+	evaluated int // number of calls of tokenAge, and of pace by the pace index
+	reindexed int // number of updated entries of executors with a usable token
 }
 
 // kindIndex is the part of the index for one executor kind.
 type kindIndex struct {
 	id             KindID
 	stats          *kindStats
-	maxConcurrency int // concurrency from which bounds are computed; at least the kind's present concurrency
+	maxConcurrency int // number of slots per executor in all bounds; a query first raises it to stats.concurrency
 	groups         []*tokenGroup
-	paceFloors     executorHeap // entries that are valid while the kind's pace is at least their paceLimit, highest limit first
-	paceCeilings   executorHeap // entries that are valid while the kind's pace is at most their paceLimit, lowest limit first
+	paceFloors     executorHeap // executors whose entry is valid while the pace is at least paceLimit; highest limit first
+	paceCeilings   executorHeap // executors whose entry is valid while the pace is at most paceLimit; lowest limit first
 	paceBuckets    [evenPaceBuckets + halvingPaceBuckets + 1]executorHeap
-	localSubset    []*executor // members of the subset in the own zone, as of its last rebuild
+	localSubset    []*executor // subset members for which remoteSide is 0, as of the subset's last rebuild
 }
 
 // groupKey is the set of properties that all executors of a group share.
@@ -105,7 +115,7 @@
 	inSubset   bool
 	load       executorLoad
 	lease      leaseReadiness
-	normalized bool // aging rates are computed for a kind's pace of 1 and scaled by rateScale
+	normalized bool // the group's aging rates are computed for a kind's pace of 1, and multiplied by rateScale in queries
 }
 
 // tokenGroup holds the executors of a kind that have a usable token and the same groupKey.
@@ -114,24 +124,25 @@
 	kind          *kindIndex
 	bucketsByRate map[int]*rateBucket
 	buckets       []*rateBucket // the non-empty buckets
-	heads         []bucketHead  // heads of buckets, at the same indexes; contiguous in memory, which makes scans fast
+	heads         []bucketHead  // heads[i] belongs to buckets[i]; they are contiguous in memory, so scans are fast
 }
 
-// rateBucket holds the executors of a group with nearly the same aging rate, in a heap by the age of their oldest free token.
+// rateBucket holds the executors of a group with nearly the same aging rate, in a heap by the age of their oldest free
+// token.
 type rateBucket struct {
 	executorHeap
 	group    *tokenGroup
 	maxRate  float64 // upper bound of the aging rates in the bucket
-	position int     // index in group.buckets; -1 while the bucket is empty
+	position int     // the bucket's index in group.buckets; -1 while the bucket is empty
 }
 
-// bucketHead holds the values from which the ages of all tokens in a bucket are bounded.
+// bucketHead holds the two values of a rate bucket from which maxAge is computed.
 type bucketHead struct {
 	maxRate    float64
-	oldestFree int64 // time since which the oldest token has been free
+	oldestFree int64 // time since which the bucket's oldest free token has been free
 }
 
-// maxAge returns an upper bound of the ages of the bucket's tokens.
+// maxAge returns an upper bound of the weighted ages of the bucket's tokens. The caller multiplies it by rateScale.
 func (h bucketHead) maxAge(now time.Duration) float64 {
 	return h.maxRate * float64(max(0, int64(now)-h.oldestFree))
 }
@@ -152,8 +163,8 @@
 	d.index.kinds = append(d.index.kinds, kind)
 }
 
-// markDirty makes the next query index an executor again. It must be called after each change of a value that the executor's
-// entry depends on.
+// markDirty makes the next query update an executor's entry in the index. It must be called after each change of a
+// value that the entry depends on.
 func (d *Dispatcher) markDirty(e *executor) {
 	if !e.indexed.dirty {
 		e.indexed.dirty = true
@@ -168,8 +179,9 @@
 	}
 }
 
-// reindexDirty updates all entries that are out of date: their kind's pace or concurrency has changed, the time until
-// which they are valid has passed, or an event has marked them dirty.
+// reindexDirty updates all entries that are out of date. An entry is out of date if its kind's pace has passed its
+// paceLimit, its kind's concurrency has risen above maxConcurrency, its time of validity is over, or an event has
+// marked it dirty.
 func (d *Dispatcher) reindexDirty(now time.Duration) {
 	for _, kind := range d.index.kinds {
 		if kind.stats.concurrency > kind.maxConcurrency {
@@ -194,8 +206,8 @@
 	d.index.dirty = d.index.dirty[:0]
 }
 
-// resetMaxConcurrency sets each kind's maxConcurrency to the present concurrency, which may be lower. It is called at the end
-// of an interval.
+// resetMaxConcurrency lowers each kind's maxConcurrency to its present concurrency at the end of a quota interval.
+// Between the ends of intervals, maxConcurrency only rises.
 func (d *Dispatcher) resetMaxConcurrency() {
 	for _, kind := range d.index.kinds {
 		if kind.maxConcurrency != kind.stats.concurrency {
@@ -204,15 +216,15 @@
 	}
 }
 
-// setMaxConcurrency sets a kind's maxConcurrency to the present concurrency, and marks its entries dirty, as all their bounds
-// depend on it.
+// setMaxConcurrency sets a kind's maxConcurrency to its present concurrency. It marks all entries of the kind dirty,
+// because their bounds depend on maxConcurrency.
 func (d *Dispatcher) setMaxConcurrency(kind *kindIndex) {
 	kind.maxConcurrency = kind.stats.concurrency
 	d.markAllDirty(kind.paceFloors.executors)
 	d.markAllDirty(kind.paceCeilings.executors)
 }
 
-// reindex updates the entry of an executor.
+// reindex updates the index entry of an executor.
 func (d *Dispatcher) reindex(e *executor, now time.Duration) {
 	kind := d.endpoints.kinds[e.kind].index
 	d.indexPace(e, kind)
@@ -243,13 +255,14 @@
 	}
 }
 
-// hasUsableToken reports whether e has a free token that neither its removal nor its in-flight cap rules out.
+// hasUsableToken reports whether e has a free token, was not removed from the endpoint list, and is below its in-flight
+// cap.
 func (e *executor) hasUsableToken() bool {
 	atCap := e.health.inFlightCap > 0 && e.tokens.taken >= e.health.inFlightCap
 	return len(e.tokens.free) > 0 && !e.removed && !atCap
 }
 
-// removeEntry removes an executor without a usable token from its group.
+// removeEntry removes an executor from its token group, because it has no usable token any more.
 func (e *executor) removeEntry() {
 	before := e.indexed.positions[keyTokenAge].heap
 	if before == nil {
@@ -261,8 +274,8 @@
 	before.bucket.syncHead()
 }
 
-// groupKeyOf returns the key of the group that e belongs to now, and the time until which that holds unless an event changes
-// it.
+// groupKeyOf returns the key of the token group that e belongs to now. The key holds until the returned time, unless an
+// event changes it earlier.
 func (d *Dispatcher) groupKeyOf(e *executor, kind *kindIndex, now time.Duration) (key groupKey, until time.Duration) {
 	key = groupKey{
 		remote:     d.remoteSide(e) > 0,
@@ -291,8 +304,8 @@
 	return key, until
 }
 
-// entryIsCurrent reports whether e's entry needs no update, because its bounds are still valid and tight enough. This is so
-// for most executors whose estimate has only decayed.
+// entryIsCurrent reports whether e's index entry can stay as it is: its bounds are still valid and tight enough. If
+// only the estimate of e's pace has decayed since the last update (estimate.decay), the entry can usually stay.
 func (d *Dispatcher) entryIsCurrent(e *executor, kind *kindIndex, key groupKey, now time.Duration) bool {
 	entry := &e.indexed
 	if entry.positions[keyTokenAge].heap == nil || entry.positions[keyExpiry].heap != nil {
@@ -312,9 +325,10 @@
 	return e.currentRate(pace)*(1+3*rateTolerance) >= entry.agingRate*entry.group.rateScale()
 }
 
-// setPaceLimit sets how far the kind's pace may drift before e's rate is computed again: by maxPaceDrift at most. The
-// less e's pace depends on its kind's, the farther it may drift. In a normalized group it is the reverse: there
-// rateScale follows the kind's pace, and a drift makes the bound inexact only by the weight of e's own observations.
+// setPaceLimit sets how far the kind's pace can drift before e's aging rate is computed again. The limit is
+// maxPaceDrift, or less if a smaller drift already causes an error of rateTolerance in the bound. The less e's pace
+// depends on its kind's pace, the farther the kind's pace can drift. In a normalized group it is the reverse: rateScale
+// follows the kind's pace, so a drift affects the bound only by the weight of e's own observations.
 func (e *executor) setPaceLimit(kind *kindIndex) {
 	pace := kind.stats.pace
 	seen := e.estimate.work / (e.estimate.work + 1) // weight of e's own observations in its pace
@@ -327,17 +341,19 @@
 	kind.paceFloors.update(e, -floatKey(e.indexed.paceLimit))
 }
 
-// maxAgingRate returns an upper bound of the rate at which e's tokens age. It is valid until the returned time, as long as the
-// kind's pace has not passed e's paceLimit. If there are few observations of e, its pace mostly follows its kind's. Its group
-// is then normalized: the rate is computed for a kind's pace of 1. Such an executor has a free slot, so minWait does not
-// depend on the pace.
+// maxAgingRate returns an upper bound of the rate at which e's tokens age. The bound is valid until the returned time,
+// as long as the kind's pace has not passed e's paceLimit.
+//
+// In a normalized group, the bound is computed for a kind's pace of 1. An executor is in such a group if there are few
+// observations of it, so that its pace mostly follows its kind's pace, and if it has a free slot, so that minWait does
+// not depend on the pace.
 func (d *Dispatcher) maxAgingRate(e *executor, kind *kindIndex, now time.Duration) (rate float64, until time.Duration) {
 	wait, until := d.minWait(e, e.limitPace(), kind.maxConcurrency, now)
 	return roundingUp * e.weight / (e.limitPace() * (d.classes.shortestObjective + wait).Seconds()), until
 }
 
-// limitPace returns the pace from which e's aging rate is computed: e's pace if its kind's pace were at paceLimit, in a
-// normalized group divided by paceLimit.
+// limitPace returns the pace from which e's aging rate is computed. This is the pace that e would have if its kind's
+// pace were paceLimit. In a normalized group, that pace is divided by paceLimit.
 func (e *executor) limitPace() float64 {
 	if e.indexed.group.normalized {
 		return (1 + e.estimate.runTime/e.indexed.paceLimit) / (e.estimate.work + 1)
@@ -345,12 +361,14 @@
 	return (e.estimate.runTime + e.indexed.paceLimit) / (e.estimate.work + 1)
 }
 
-// currentRate returns the upper bound of e's aging rate for its kind's present pace, which is tighter than agingRate.
+// currentRate returns an upper bound of e's aging rate at the given pace of its kind. This bound is tighter than
+// agingRate, because agingRate holds for every pace of the kind down to paceLimit (in a normalized group, up to it).
 func (e *executor) currentRate(pace float64) float64 {
 	return roundingUp * e.indexed.agingRate * e.limitPace() * (e.estimate.work + 1) / (e.estimate.runTime + pace)
 }
 
-// rateScale returns the factor by which the rates of the group have to be multiplied.
+// rateScale returns the factor by which the aging rates of the group have to be multiplied. It is 1 unless the group is
+// normalized.
 func (g *tokenGroup) rateScale() float64 {
 	if g.normalized {
 		return roundingUp / g.kind.stats.pace
@@ -358,8 +376,9 @@
 	return 1
 }
 
-// minWait returns a lower bound of expectedWait for a job sent to e, valid until the returned time. If all slots are taken, a
-// job waits at least for the first running attempt to end, and for its share of the queued attempts' running time.
+// minWait returns a lower bound of expectedWait for a job sent to e. The bound is valid until the returned time. If
+// this node's attempts take all slots, the job waits at least until the first running attempt ends, plus the running
+// times of the queued attempts divided by the number of slots.
 func (d *Dispatcher) minWait(e *executor, pace float64, slots int, now time.Duration) (wait, until time.Duration) {
 	if len(e.attempts) < slots {
 		return e.estimate.startWait, Forever
@@ -372,18 +391,18 @@
 			queued += scaled(a.work, pace)
 		}
 	}
-	rounding := time.Duration(len(e.attempts) + 2) // each term is truncated to a whole nanosecond
+	rounding := time.Duration(len(e.attempts) + 2) // each term of the wait is truncated to a whole nanosecond
 	wait = max(0, queued/time.Duration(slots)-rounding)
 	left := firstEnd - now - 1
 	if firstEnd == Forever || left <= 0 {
 		return max(e.estimate.startWait, wait), Forever
 	}
-	// The wait shrinks as time passes, so its value at the time until is a lower bound.
+	// The wait shrinks as time passes. So the wait at the end of the validity is a lower bound until then.
 	until = now + max(min(left, (d.classes.shortestObjective+wait+left)/waitBoundDivisor), 1)
 	return max(e.estimate.startWait, wait+firstEnd-1-until), until
 }
 
-// groupFor returns the kind's group with the given key, and adds one if there is none.
+// groupFor returns the kind's token group with the given key. It adds the group if there is none.
 func (k *kindIndex) groupFor(key groupKey) *tokenGroup {
 	for _, g := range k.groups {
 		if g.groupKey == key {
@@ -395,7 +414,7 @@
 	return g
 }
 
-// bucketFor returns the group's bucket for a rate, and adds one if there is none.
+// bucketFor returns the group's bucket for an aging rate. It adds the bucket if there is none.
 func (g *tokenGroup) bucketFor(rate float64) *rateBucket {
 	number, maxRate := int(maxRateBucket), math.Inf(1)
 	if log := math.Floor(math.Log(rate) * rateBucketsPerE); math.Abs(log) < maxRateBucket {
@@ -415,7 +434,7 @@
 	return b
 }
 
-// syncHead updates the group's lists of buckets and heads after a change of this bucket.
+// syncHead updates the group's lists of buckets and heads after this bucket has changed.
 func (b *rateBucket) syncHead() {
 	g, oldest := b.group, b.min()
 	switch {
@@ -431,7 +450,8 @@
 	}
 }
 
-// removeFromList removes the bucket and its head from the group's lists. The last bucket takes its place.
+// removeFromList removes the bucket and its head from the group's lists. The last bucket of the list moves to the free
+// index.
 func (b *rateBucket) removeFromList() {
 	g := b.group
 	last := len(g.buckets) - 1
--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// query describes the candidates that are wanted for a job.
+// query describes which executors are wanted as candidates for a job.
 type query struct {
 	*job
 	now      time.Duration
-	remote   bool    // candidates are in other zones; otherwise they are in the own zone
-	late     bool    // the job is past its objective
-	forLease bool    // candidates are wanted for a lease request, not for an attempt
+	remote   bool    // executors are wanted for which remoteSide is 1 (other zones), not those for which it is 0
+	late     bool    // the job counts as late (isLate)
+	forLease bool    // the candidates are wanted for a lease request, not for an attempt
 	maxPace  float64 // executors with a higher pace are of no use to the job
-	minAge   float64 // tokens with a lower weighted age are of no use to the job; the caller may raise it during the iteration
+	minAge   float64 // tokens with a lower weighted age are of no use to the job; the caller can raise it while it iterates
 }
 
-// candidates iterates over the executors with a token that the query's job may be able to use. It begins with the bucket that
-// has the highest bound of a token's age. The executors that it omits are useless for the job; those that it yields may turn
-// out to be.
+// candidates iterates over executors with a token for the query's job. It starts with the bucket that has the highest
+// upper bound of a token's age. Every omitted executor is of no use to the job. A yielded executor can be of no use
+// too, so the caller evaluates each one by tokenAge.
 func (d *Dispatcher) candidates(q *query) iter.Seq[*executor] {
 	return func(yield func(*executor) bool) {
 		if d.boundToDedupGroup(q.job) && q.class.dedupGroup != DedupZone {
@@ -47,9 +47,9 @@
 	}
 }
 
-// scanRanked yields all executors on the query's side: in this node's zone, or in the other zones. It is used for jobs
-// bound to the dedup group of a cell. The executors of a cell may be outside the subset, and are few, so they are not
-// searched for in the index. Jobs bound to a zone use the index.
+// scanRanked yields all executors on the query's side (this node's zone or the other zones) in the order of their rank.
+// It does not use the index. It serves jobs bound to the dedup group of a cell: the few executors of the cell can be
+// outside the subset. The caller skips the executors of other cells (isEligible). Jobs bound to a zone use the index.
 func (d *Dispatcher) scanRanked(q *query, yield func(*executor) bool) {
 	for _, e := range d.endpoints.ranked {
 		d.index.visited++
@@ -59,8 +59,8 @@
 	}
 }
 
-// mostPromising returns the matching bucket with the highest bound of a token's age, or nil if no matching group has an
-// executor.
+// mostPromising returns the bucket with the highest upper bound of a token's age, among the groups that match the
+// query. It returns nil if no matching group has an executor.
 func (d *Dispatcher) mostPromising(q *query) *rateBucket {
 	var first *rateBucket
 	highest := -1.0
@@ -76,8 +76,9 @@
 	return first
 }
 
-// maxPace returns the pace above which an executor can't complete j by its objective even without a wait. It is infinite for a
-// job past its objective. It allows for rounding errors, so tokenAge still has to check executors below it.
+// maxPace returns an upper bound of the paces at which an executor can complete j by its objective, if j starts there
+// without a wait. For a late job the bound is infinite. The bound is slightly too high, to allow for rounding errors,
+// so tokenAge has to check the executors below it too.
 func (j *job) maxPace(now time.Duration, late bool) float64 {
 	if late {
 		return math.Inf(1)
@@ -85,7 +86,7 @@
 	return (float64(max(0, j.objectiveAt-now)+2)/j.predictionMargin + 2) / float64(max(1, j.work)) * roundingUp
 }
 
-// matchingGroups iterates over the non-empty groups whose executors may be candidates.
+// matchingGroups iterates over the non-empty token groups whose kind and key match the query.
 func (d *Dispatcher) matchingGroups(q *query) iter.Seq[*tokenGroup] {
 	return func(yield func(*tokenGroup) bool) {
 		for _, kind := range d.index.kinds {
@@ -101,7 +102,7 @@
 	}
 }
 
-// matches reports whether a group's executors may be candidates, whatever their kind.
+// matches reports whether the key of a token group matches the query. It does not check the group's executor kind.
 func (d *Dispatcher) matches(g *tokenGroup, q *query) bool {
 	lease := leaseReady
 	if q.forLease {
@@ -119,9 +120,10 @@
 	return !q.late || g.load == loadIdleOpen || g.load == loadIdleRestricted && q.class.lateValue == 0
 }
 
-// walkBucket yields the candidates in a bucket's heap from index i downwards. It does not go below an executor for which even
-// the bucket's maxRate gives too low a token age, as the tokens below are younger. Executors that are too slow are omitted. It
-// returns false if the caller has stopped the iteration.
+// walkBucket yields the candidates in a bucket's heap, from index i downwards. The further down an executor is, the
+// shorter its oldest token has been free. So the walk stops at an executor whose token would be below the query's
+// minAge even at the bucket's maxRate. Executors above the query's maxPace are skipped. The result is false if the
+// caller has stopped the iteration.
 func (d *Dispatcher) walkBucket(b *rateBucket, i int, q *query, yield func(*executor) bool) bool {
 	if i >= len(b.executors) {
 		return true
@@ -136,7 +138,7 @@
 	}
 	rate := e.currentRate(kindPace)
 	if scale*e.indexed.agingRate > rate*(1+3*rateTolerance) {
-		d.markDirty(e) // the kind's pace has drifted so far that the bound of the rate is no longer tight
+		d.markDirty(e) // the kind's pace has drifted so far that agingRate is no longer a tight bound
 	}
 	tooYoung := rate*freeFor < q.minAge
 	tooSlow := (e.estimate.runTime+kindPace)/(e.estimate.work+1)*roundingDown > q.maxPace
@@ -146,7 +148,9 @@
 	return d.walkBucket(b, 2*i+1, q, yield) && d.walkBucket(b, 2*i+2, q, yield)
 }
 
-// anyTokenFor reports whether there may be a token that j can use or, with forLease, request a lease for.
+// anyTokenFor returns false only if the index has no token for j. With forLease, only tokens count for which a lease
+// has to be requested first. Without forLease, only tokens count that can be used without another lease request. For a
+// job bound to a dedup group the result is always true, as executors outside the subset can serve it too.
 func (d *Dispatcher) anyTokenFor(j *job, now time.Duration, forLease bool) bool {
 	if d.boundToDedupGroup(j) {
 		return true
@@ -165,7 +169,7 @@
 	return false
 }
 
-// anyTokenUsable reports whether there is any usable token that needs no lease request.
+// anyTokenUsable reports whether any executor has a usable token that needs no lease request.
 func (d *Dispatcher) anyTokenUsable(now time.Duration) bool {
 	d.reindexDirty(now)
 	return slices.ContainsFunc(d.index.kinds, func(kind *kindIndex) bool {
@@ -173,5 +177,5 @@
 	})
 }
 
-// runsOn reports whether the class's jobs may run on executors of a kind.
+// runsOn reports whether the jobs of the class can run on executors of the given kind.
 func (c *jobClass) runsOn(kind KindID) bool { return c.kind == AnyKind || c.kind == kind }
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// Under overload, many jobs are queued while the executors are full: executors still have free tokens, but these are of no use
-// to any job yet. The cost of evaluating each token for each queued job would grow with the square of the subset's size. So
-// the executors are first evaluated once per class, for a job that demands no more than any queued job of the class
-// (classCandidates). A queued job that none of these executors can serve is skipped. This never changes the result, since
-// pickExecutor would find no executor for a skipped job either.
+// During an overload, many jobs are queued and the executors are full. Executors still have free tokens, but no job can
+// use these tokens yet. If each token were evaluated for each queued job, the cost would grow with the square of the
+// subset's size. So the executors are first evaluated once per job class, for an artificial job that demands no more
+// than any queued job of the class (classCandidates). A queued job is skipped if none of the executors found for its
+// class can serve it. This never changes the result, since pickExecutor would find no executor for a skipped job
+// either.
 
-// minQueuedForGrouping is the largest number of queued jobs for which each job is evaluated by itself.
+// minQueuedForGrouping is the largest number of queued jobs at which each job is evaluated by itself. With more jobs, they
+// are grouped by class.
 const minQueuedForGrouping = 8
 
-// classCandidates holds the executors that could serve queued jobs of one class, for either the jobs past their objective or
-// the others.
+// classCandidates holds the executors that could serve one group of queued jobs: either the late jobs of a class, or
+// the other jobs of that class.
 type classCandidates struct {
 	class          *jobClass
 	late           bool
-	leastDemanding job           // a job with the least work and the latest objective of the queued jobs
+	leastDemanding job           // artificial job with the least work, the lowest margin and the latest objective of the group
 	executors      []*executor   // executors that could serve leastDemanding
-	earliestEnd    time.Duration // earliest time at which one of these executors could complete leastDemanding
-	minWait        time.Duration // shortest expected wait at any of these executors
-	minPace        float64       // lowest pace of these executors
+	earliestEnd    time.Duration // earliest time at which any member of executors could complete leastDemanding
+	minWait        time.Duration // shortest expected wait at any member of executors
+	minPace        float64       // lowest pace of any member of executors
 }
 
-// relaxTo changes leastDemanding so that it demands no more than j.
+// relaxTo lowers the demands of leastDemanding, so that it demands no more than j.
 func (c *classCandidates) relaxTo(j *job) {
 	leastDemanding := &c.leastDemanding
 	leastDemanding.work = min(leastDemanding.work, j.work)
@@ -35,12 +37,14 @@
 	leastDemanding.hasClientEstimate = leastDemanding.hasClientEstimate || j.hasClientEstimate
 }
 
-// placedIndividually reports whether j may have other candidates than its class, so that it has to be evaluated by itself.
+// placedIndividually reports whether j has to be evaluated by itself. That is so if j is bound to a dedup group or has an
+// attempt in flight, because its candidates can then differ from those of its class.
 func (d *Dispatcher) placedIndividually(j *job) bool {
 	return d.boundToDedupGroup(j) || len(j.attempts) > 0
 }
 
-// findCandidates finds the candidates of each class for a part of the queue, if that part is long.
+// findCandidates finds the candidates of each class of the given queued jobs. If there are at most
+// minQueuedForGrouping jobs, it finds no candidates.
 func (d *Dispatcher) findCandidates(queued []*job, now time.Duration) {
 	d.index.classCandidates = d.index.classCandidates[:0]
 	if len(queued) <= minQueuedForGrouping {
@@ -49,7 +53,7 @@
 	d.findByClass(queued, now)
 }
 
-// findByClass groups the queued jobs by class and lateness, and finds the candidates of each group.
+// findByClass groups the queued jobs by class and by whether they are late, and finds the candidates of each group.
 func (d *Dispatcher) findByClass(queued []*job, now time.Duration) {
 	for _, j := range queued {
 		if !d.placedIndividually(j) {
@@ -61,7 +65,7 @@
 	}
 }
 
-// addToClass adds j to the group of its class and lateness.
+// addToClass adds j to the group of its class for late jobs or for other jobs.
 func (d *Dispatcher) addToClass(j *job, late bool) {
 	if c := d.candidatesOf(j.class, late); c != nil {
 		c.relaxTo(j)
@@ -71,7 +75,8 @@
 	d.index.classCandidates = append(d.index.classCandidates, classCandidates{class: j.class, late: late, leastDemanding: leastDemanding})
 }
 
-// findForClass finds the executors that could serve the least demanding job of a group, and sets the group's bounds.
+// findForClass finds the executors that could serve leastDemanding of a group. It also sets the group's earliestEnd,
+// minWait and minPace.
 func (d *Dispatcher) findForClass(c *classCandidates, now time.Duration) {
 	leastDemanding := &c.leastDemanding
 	c.earliestEnd, c.minWait, c.minPace = Forever, Forever, math.Inf(1)
@@ -92,7 +97,7 @@
 	}
 }
 
-// candidatesOf returns the candidates of a class and lateness, or nil if there is no such group.
+// candidatesOf returns the group of a class for late jobs or for other jobs. It returns nil if there is no such group.
 func (d *Dispatcher) candidatesOf(class *jobClass, late bool) *classCandidates {
 	for i := range d.index.classCandidates {
 		if c := &d.index.classCandidates[i]; c.class == class && c.late == late {
@@ -102,8 +107,8 @@
 	return nil
 }
 
-// mayBePlaced reports whether pickExecutor may find an executor for j, which must be a job of the last findCandidates.
-// If it returns false, pickExecutor would find none.
+// mayBePlaced returns false only if pickExecutor is certain to find no executor for j. If it returns true, pickExecutor
+// can still find none. The job j must be one of those passed to the last call of findCandidates.
 func (d *Dispatcher) mayBePlaced(j *job, now time.Duration) bool {
 	if len(d.index.classCandidates) == 0 || d.placedIndividually(j) {
 		return true
