--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,18 +3,34 @@
 import "time"
 
 const (
-	maxLateQueueFraction = 0.5  // longest time in the queue as a fraction of the deadline, for classes with a late value
-	clientEstimateMargin = 1.1  // margin on a predicted running time, as a factor, if the client gave an estimate of the work
-	classEstimateMargin  = 1.25 // the same margin without the client's estimate, and for work sent to an executor in slow start
-	budgetMarginStep     = 0.05 // decrease of a tenant's budgetMargin with each success
-	budgetMarginRise     = 4    // increase of a tenant's budgetMargin with each timeout, in steps of budgetMarginStep
-	maxBudgetMargin      = 1.5  // largest budgetMargin, which is a fraction of the predicted running time
-	maxShortBudgetRatio  = 0.3  // fraction of first tries with short budgets above which a short budget shows no earlier try
-	maxClientRetries     = 3.0  // estimate of how often a client retries a rejected job
-	shortBudgetDivisor   = 2    // a job gets a start margin if its budget is below the deadline divided by this
+	// maxLateQueueFraction is the longest time in the queue of a job whose class has a late value, as a fraction of the
+	// class's deadline.
+	maxLateQueueFraction = 0.5
+
+	// clientEstimateMargin is the factor for the predicted wait and running time of a job if the client estimated its
+	// work.
+	clientEstimateMargin = 1.1
+
+	// classEstimateMargin is the factor for the predicted wait and running time of a job if the client did not estimate
+	// its work. The work of every job sent to an executor in slow start is multiplied by it too.
+	classEstimateMargin = 1.25
+
+	// A tenant's budgetMargin is a fraction of the predicted running time. It falls by budgetMarginStep when a job with a
+	// short budget succeeds. It rises by budgetMarginRise times budgetMarginStep when such a job times out, up to
+	// maxBudgetMargin.
+	budgetMarginStep = 0.05
+	budgetMarginRise = 4
+	maxBudgetMargin  = 1.5
+
+	// If a larger fraction of a tenant's first tries than maxShortBudgetRatio has short budgets, a short budget of that
+	// tenant's jobs is not a sign of an earlier try.
+	maxShortBudgetRatio = 0.3
+
+	maxClientRetries   = 3.0 // assumed number of times that a client retries a rejected job
+	shortBudgetDivisor = 2   // a short client timeout gives a job a start margin below the class's deadline divided by this
 )
 
-// newJob returns the job of an arrival. Without the client's estimate, its work is the running average of its class.
+// newJob returns the job for an arrival. If the client did not estimate its work, the class's mean work is used.
 func (d *Dispatcher) newJob(now time.Duration, arrival Arrival) *job {
 	class := d.classes.lookup(arrival.Class)
 	j := &job{
@@ -42,13 +58,15 @@
 	return j
 }
 
-// spentBudget returns how much of j's time was spent before it arrived here, by earlier tries or while this node stalled:
-// the objective counts from the first try. If the budget is short, which means more than a quantum below the largest budget
-// seen of the class, the result is the class's deadline minus the budget. The class and the tenant record the budget.
+// spentBudget returns how much time passed between the client's first try and j's arrival, in earlier tries or while
+// this node stalled. The latency objective counts from the first try. A budget is short if it is more than a quantum
+// below the largest budget seen of the class. For a job with a short budget, the result is the class's deadline minus
+// the budget; for other jobs it is 0. The class and the tenant record the budget.
 //
-// A budget can also be short because the client's timeout is shorter than the deadline. Then it says nothing about earlier
-// tries, and 0 is returned. If such a budget is less than half of the deadline, the job has a tenant, and clients mark their
-// retries, the job gets a start margin, since an attempt that can't end before its client gives up is wasted.
+// A budget can also be short because the client's timeout is shorter than the deadline. Such a budget says nothing
+// about earlier tries, and the result is 0. The job gets a start margin if that budget is less than half of the
+// deadline, the job has a tenant, and clients mark their retries. The reason is that an attempt is wasted if it ends
+// after its client has given up.
 func (d *Dispatcher) spentBudget(j *job, arrival Arrival) time.Duration {
 	class := j.class
 	shortfall := class.recordBudget(arrival.Budget)
@@ -68,30 +86,33 @@
 	return 0
 }
 
-// shortTimeoutByMarks reports whether the client's timeout is shorter than the deadline, where clients mark their retries:
-// either this is a first try with a short budget, or first tries of the tenant often have short budgets. The shortfall is
-// the full budget minus j's budget. A first try may have waited for this turn since the previous one, so a shortfall up to
-// that time doesn't count.
+// shortTimeoutByMarks reports whether j's client has a timeout that is shorter than the deadline. It is used if clients
+// mark their retries. The result is true if j is a first try with a short budget, or if the tenant's first tries often
+// have short budgets (maxShortBudgetRatio). The shortfall is the class's full budget minus j's budget. A first try has
+// possibly waited here since the previous turn, so its budget counts as short only if the shortfall is larger than that
+// time.
 func (d *Dispatcher) shortTimeoutByMarks(j *job, arrival Arrival, shortfall time.Duration) bool {
 	shortFirstTry := !arrival.ClientRetry && shortfall > d.clock.turnGap
 	ratio := j.tenant.recordFirstTry(arrival.ClientRetry, shortFirstTry)
 	return ratio > maxShortBudgetRatio || shortFirstTry
 }
 
-// shortTimeoutByCounts reports whether the client's timeout is shorter than the deadline, where clients don't mark their
-// retries: the shortfall of j's budget is larger than the time that one earlier try can have spent, and more jobs with short
-// budgets arrive than retries of rejected jobs would explain.
+// shortTimeoutByCounts reports whether j's client has a timeout that is shorter than the deadline. It is used if
+// clients don't mark their retries. The result is true if two conditions hold. First, the shortfall of j's budget is
+// larger than the time that one earlier try can have taken. Second, more jobs of the class arrive with short budgets
+// than retries of rejected jobs would explain.
 func (d *Dispatcher) shortTimeoutByCounts(j *job, shortfall time.Duration) bool {
 	return !d.config.clientsMarkRetries &&
 		shortfall > d.maxQueueTime(j)+d.config.maxRetryAfter+max(0, d.clock.stalledFor) &&
 		j.class.shortBudgets > minTenantArrivals+maxClientRetries*j.class.rejectedFirstTries
 }
 
-// rejectOrFail gives j its final answer without another attempt. A rejection invites the client to retry, so it is only
-// used if a retry can't have a duplicate effect (rejectionAllowed). Any other job fails.
+// rejectOrFail gives j its final answer without another attempt. A rejected client can retry, so j is rejected only if
+// a retry can't have a duplicate effect (rejectionAllowed). Otherwise j fails. A shed job never ran, so it is always
+// rejected.
 //
-// The Retry-After of shed jobs is random, between half of the maximum and the maximum, so that their retries do not arrive
-// at the same time.
+// The Retry-After of a shed job is random, between half of the maximum and the maximum. Otherwise the retries of many
+// shed jobs would arrive at the same time.
 func (d *Dispatcher) rejectOrFail(j *job) Decision {
 	d.removeJob(j)
 	j.class.recordRejected(j.firstTry)
@@ -105,7 +126,8 @@
 	return Decision{Action: Fail}
 }
 
-// maxQueueTime returns the longest time that j may wait for a token. After that it is rejected, and its client may retry.
+// maxQueueTime returns an upper bound of the time that j waits in the queue for a token. If j gets no token within that
+// time, it is rejected or fails.
 func (d *Dispatcher) maxQueueTime(j *job) time.Duration {
 	if j.class.lateValue > 0 {
 		return scaled(j.class.deadline, maxLateQueueFraction)
@@ -113,8 +135,9 @@
 	return j.latencyObjective()
 }
 
-// latestStart returns the latest time at which an executor of the given pace must start j, so that j ends by its objective
-// or, if its class has a late value, by its deadline and by maxQueueTime.
+// latestStart returns the latest time at which an executor of the given pace can start j and still complete it in time.
+// In time means by its objective. If j's class has a late value, it means by j's deadline and within maxQueueTime after
+// j was queued. The predicted running time is multiplied by j's start margin.
 func (d *Dispatcher) latestStart(j *job, pace float64) time.Duration {
 	end := j.objectiveAt
 	if j.class.lateValue > 0 {
@@ -123,12 +146,12 @@
 	return end - scaled(j.work, pace*j.startMargin)
 }
 
-// isLate reports whether j counts as past its objective in the choice of an executor: less than half of its work can be
-// done before the objective.
+// isLate reports whether j counts as late when an executor is chosen. A job is late if the time left until its
+// objective is less than half of its work.
 func (d *Dispatcher) isLate(j *job, now time.Duration) bool { return j.objectiveAt < now+j.work/2 }
 
-// outOfAttempts reports whether j can't have another attempt: its deadline is reached, its class allows no more attempts,
-// or a retry could have a duplicate effect.
+// outOfAttempts reports whether j can't have another attempt. That is so if its deadline is at most a quantum away, if
+// its class allows no more attempts, or if a retry could have a duplicate effect.
 func (d *Dispatcher) outOfAttempts(j *job, now time.Duration) bool {
 	return now >= j.deadlineAt-d.config.quantum || j.attemptCount >= j.class.maxAttempts || !d.retryAllowed(j, now)
 }
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Forever stands for a time that is never reached.
+// Forever is a time that is never reached.
 const Forever time.Duration = math.MaxInt64
 
-// clock records the times of the dispatcher's turns. A turn consists of all calls with the same time. The clock detects
-// stalls of the node, so that events that waited during a stall aren't taken for events of this moment.
+// clock records the times at which the dispatcher is called. All calls with the same time are one turn. The clock also
+// detects that the node has stalled. Events of the turn after a stall can be older than the turn's time suggests.
 type clock struct {
 	now        time.Duration // time of this turn
-	wakeAt     time.Duration // time at which the previous turn asked to be called again
+	wakeAt     time.Duration // time at which the dispatcher has asked to be called again
 	turnGap    time.Duration // time between the previous turn and this one
-	stalledFor time.Duration // time by which this turn came after wakeAt because the node stalled; 0: no stall
-	shutdownBy time.Duration // time by which all jobs must have their answers; 0 unless the node shuts down
+	stalledFor time.Duration // duration of the node's stall before this turn; 0: the node did not stall
+	shutdownBy time.Duration // time by which all jobs must have their answers; 0: the node is not shutting down
 }
 
-// beginTurn records the time of a call. A delay of less than minStall doesn't count as a stall.
+// beginTurn begins a new turn if the time has changed since the previous call. The node has stalled if the turn begins
+// later than wakeAt by at least minStall.
 func (c *clock) beginTurn(now, minStall time.Duration) {
 	if now == c.now {
 		return
--- a/policy/config.go
+++ b/policy/config.go
@@ -7,23 +7,31 @@
 	nodeID    NodeID
 	nodeCount int
 	zone      ZoneID
-	quantum   time.Duration // time resolution: a time this close to a deadline counts as reaching it
+	quantum   time.Duration // time resolution: a deadline counts as reached when no more than this is left until it
 
-	valuePerWork     bool    // the value of a job is the value of its class times its work in seconds
-	overQuotaValue   float64 // factor for the value of a tenant's jobs over its quota, 0 to 1
-	crossZoneCost    float64 // cost of sending a job to another zone, as a multiple of the mean value of a job; 0: none
-	totalWeight      float64 // weight of the total value over all classes in the value to maximize
-	worstClassWeight float64 // weight of the class with the lowest fraction of its requested value in the value to maximize
+	// valuePerWork says that the value of a job is the value of its class times the job's work in seconds. Without it, the
+	// value of a job is the value of its class.
+	valuePerWork bool
+	// overQuotaValue, 0 to 1, is the lower limit of the factor for the value of a tenant's jobs. The further the tenant is
+	// over its quota, the closer the factor is to this limit. Without an excess it is 1.
+	overQuotaValue float64
+	// crossZoneCost is the cost of sending a job to another zone, as a multiple of the mean value of a job; 0: no cost.
+	crossZoneCost float64
+	// totalWeight is the weight of the value of all classes together in the value that the dispatcher maximizes.
+	totalWeight float64
+	// worstClassWeight is the weight of the worst class in the value that the dispatcher maximizes. The worst class is
+	// the one that earned the lowest fraction of its requested value.
+	worstClassWeight float64
 
-	maxAttempts         int           // most attempts of a job whose class sets no limit
-	maxRetryAfter       time.Duration // longest Retry-After of a rejection; 0: rejections have none
+	maxAttempts         int           // largest number of attempts of a job whose class sets no limit
+	maxRetryAfter       time.Duration // longest Retry-After of a rejection; 0: rejections have no Retry-After
 	canCancel           bool          // executors support the cancellation of attempts
-	canHedge            bool          // an idempotent job may have a second attempt in flight
+	canHedge            bool          // idempotent jobs are allowed a second attempt in flight
 	canCheckHealth      bool          // executors answer health checks with their load
-	canLease            bool          // nodes may send each other lease messages
+	canLease            bool          // nodes are allowed to send each other lease messages
 	clientsMarkRetries  bool          // clients mark their retries as such
 	loadAdjustedWeights bool          // an executor's weight in the endpoint list falls with its load
-	endpointsPolled     bool          // the endpoint list must be requested; otherwise it arrives unrequested
+	endpointsPolled     bool          // the node must request the endpoint list; otherwise discovery sends it unrequested
 	startNotices        bool          // executors notify the node when a job starts
 	progressInterval    time.Duration // interval of an executor's progress notices; 0: executors send none
 }
--- a/policy/decisions.go
+++ b/policy/decisions.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Action is what Place or AttemptEnded decides about a job.
+// Action is the kind of a decision about a job.
 type Action int
 
 // The actions of a decision.
 const (
-	NoAction Action = iota // nothing to do: the job is finished, or an attempt of it is in flight
+	NoAction Action = iota // do nothing, because the job is finished or an attempt of it is in flight
 	Send                   // send a new attempt to Decision.Executor
 	Enqueue                // keep the job in the queue until an executor has a token for it
 	Reject                 // reject the job; the client may retry after Decision.RetryAfter
-	Fail                   // fail the job: it may have run, and a retry could have a duplicate effect
+	Fail                   // fail the job, because it has possibly run and a retry could have a duplicate effect
 )
 
 // Decision is the result of Place and AttemptEnded.
 type Decision struct {
 	Action     Action
-	Executor   ExecutorID    // for Send: the executor that gets the attempt
-	RetryAfter time.Duration // for Reject: how long the client should wait before it retries; 0: no advice
+	Executor   ExecutorID    // for Send: executor that gets the attempt
+	RetryAfter time.Duration // for Reject: time that the client should wait before it retries; 0: no advice
 }
 
-// Task is a kind of work that the caller has to do for the dispatcher.
+// Task is a kind of task that the dispatcher gives to its caller.
 type Task int
 
-// The tasks of NextTask.
+// The tasks that NextTask returns.
 const (
-	Sleep            Task = iota // nothing to do before DueTask.At
+	Sleep            Task = iota // do nothing until DueTask.At
 	PlaceJob                     // call Place for DueTask.Job
 	CancelAttempt                // cancel DueTask.Attempt of DueTask.Job
 	WatchEndpoints               // request the endpoint list from discovery, and watch it for changes
@@ -35,7 +35,7 @@
 	SendHealthCheck              // send a health check to DueTask.Executor
 )
 
-// DueTask is the result of NextTask. Only the fields that the comment of its Task names are set.
+// DueTask is the result of NextTask. Besides Task, only those fields are set that the comment of the Task constant names.
 type DueTask struct {
 	Task     Task
 	At       time.Duration
