--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -7,14 +7,14 @@
 )
 
 // Dispatcher decides for one node which executor gets which job, and when. It is not safe for concurrent use: only the
-// goroutine of the node's event loop may call it. The fields of the second group hold the state of one rule each, and
-// their types are declared in the files of those rules.
+// goroutine of the node's event loop may call it. Each field of the second group holds the state of one scheduling rule.
+// The type of such a field is declared in the file of its rule.
 type Dispatcher struct {
 	config config
 	clock  clock
 	rng    randomSource
 	timers timerQueue
-	outbox []DueTask // lease messages, health checks and log lines that NextTask returns next
+	outbox []DueTask // lease messages, health checks and log lines that NextTask still has to return
 	jobs   map[JobID]*job
 
 	classes      classTable
@@ -59,14 +59,14 @@
 	d.quota.intervalEnd = d.classes.quotaInterval
 	d.slowStart.derive(settings.OverloadMultiple, d.classes.shortestObjective, d.config.nodeCount)
 	d.spreadPolls(settings.PollWithin)
-	d.timers.checkAll(d.slowStart.overloadWindow) // the end of the reduced slow-start budget of a restarted process
+	d.timers.checkAll(d.slowStart.overloadWindow) // until then, a restarted process has a reduced slow-start budget
 	for _, t := range settings.Tenants {
 		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(settings.Nodes)})
 	}
 	return d
 }
 
-// JobArrived queues a job that a client has sent to this node. NextTask asks for its first Place in the same turn.
+// JobArrived queues a job that a client has sent to this node. In the same turn, NextTask returns PlaceJob for this job.
 func (d *Dispatcher) JobArrived(now time.Duration, arrival Arrival) {
 	d.beginTurn(now)
 	j := d.newJob(now, arrival)
@@ -78,14 +78,14 @@
 	j.shed = d.shedding.reportsLoad && d.belowThreshold(j)
 	d.jobs[j.id] = j
 	d.queueJob(j, now)
-	// The queue need not be scanned: the timer places this job, and the arrival frees no token for another job.
+	// The queue is not scanned: a timer places this job, and its arrival frees no token for another job.
 	d.timers.placeJob(now, j)
 	d.leases.requestWanted()
 }
 
-// Place decides to send a job to an executor, to queue it, to reject it or to fail it. The caller calls it when NextTask has
-// returned PlaceJob for the job. It returns NoAction for a job that is finished, and for one that has an attempt in flight
-// and gets no hedge.
+// Place decides to send a job to an executor, to queue it, to reject it or to fail it. The caller calls Place when
+// NextTask has returned PlaceJob for the job. The decision is NoAction for a job that is finished, and for a job that
+// has an attempt in flight and gets no hedge.
 func (d *Dispatcher) Place(now time.Duration, id JobID) Decision {
 	j := d.jobs[id]
 	if j == nil || j.finished {
@@ -105,8 +105,8 @@
 		latestStart = d.latestStart(j, d.pace(e, now))
 	}
 	if e == nil || now > latestStart {
-		// No executor has a token, or the one that has is now too slow. The job waits as long as the fastest executor
-		// could still complete it in time.
+		// No executor has a token for the job, or the chosen executor would now end it too late. The job stays queued as
+		// long as the fastest executor could still complete it in time.
 		latestStart = d.latestStart(j, d.bestPaceFor(j, now))
 		if now > latestStart {
 			return d.rejectOrFail(j)
@@ -120,7 +120,7 @@
 	return Decision{Action: Enqueue}
 }
 
-// placeHedge sends a second attempt of j if a hedge is wanted and an executor has a token for it.
+// placeHedge sends a second attempt of j if j wants a hedge and an executor has a token for j.
 func (d *Dispatcher) placeHedge(j *job, now time.Duration) Decision {
 	if !j.hedgeWanted {
 		return Decision{}
@@ -132,8 +132,9 @@
 	return d.dispatch(j, e, now)
 }
 
-// schedulePlacement sets a timer for the next time at which Place may decide differently for a queued job even if no token
-// is released: when the job may use other zones, becomes late, is past its latest start, or reaches its deadline.
+// schedulePlacement sets a timer that has Place called again for a queued job. It is due when Place can first decide
+// differently even if no token is released until then. That is when the job is allowed to use other zones, when it
+// becomes late, when its latest start has passed, or when its deadline is reached.
 func (d *Dispatcher) schedulePlacement(j *job, latestStart, now time.Duration) {
 	next := min(max(latestStart, now)+d.config.quantum, j.deadlineAt-d.config.quantum)
 	crossesAt := j.queuedAt + d.crossZoneDelay(j)
@@ -178,8 +179,8 @@
 	d.recordAlive(a.executor, now)
 }
 
-// AttemptEnded records an attempt's outcome and decides what becomes of the job. If final is set, the job is finished, by this
-// outcome or before it, and nothing more is sent for it.
+// AttemptEnded records an attempt's outcome and decides what to do with the job next. With final, the job is finished,
+// by this outcome or by an earlier event, and no further attempt is sent.
 func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, number AttemptID, outcome Outcome, final bool) Decision {
 	d.beginTurn(now)
 	a := d.findAttempt(id, number)
@@ -198,22 +199,23 @@
 		j.mayHaveRun = a
 	}
 	if len(j.attempts) > 0 {
-		return Decision{} // the other attempt is still in flight
+		return Decision{} // the job's other attempt is still in flight
 	}
 	j.generation++
 	d.leases.requestWanted()
 	return d.Place(now, id)
 }
 
-// ClientLeft records that a job's client no longer waits, so that the job needs no answer.
+// ClientLeft records that a job's client no longer waits for the answer. The job then needs none.
 func (d *Dispatcher) ClientLeft(now time.Duration, id JobID) {
 	if j := d.jobs[id]; j != nil {
 		d.finish(j, now)
 	}
 }
 
-// NextTask returns the next task that is due. If none is, it returns Sleep with the time at which the next one will be. The
-// caller calls it until it returns Sleep, and then again at that time and after each event that it reports.
+// NextTask returns the next task that is due. If no task is due, it returns Sleep with the time at which the next task
+// will be due. The caller calls NextTask until it returns Sleep, and calls it again at that time and after each event
+// that the caller has reported.
 func (d *Dispatcher) NextTask(now time.Duration) DueTask {
 	d.beginTurn(now)
 	for now >= d.quota.intervalEnd {
@@ -248,7 +250,8 @@
 	return DueTask{At: at}
 }
 
-// runTimers handles the timers that are due, in order, and stops at the first one that results in a task for the caller.
+// runTimers handles the timers that are due, in the order of their times. It stops at the first timer that results in a
+// task for the caller, and returns that task.
 func (d *Dispatcher) runTimers(now time.Duration) (DueTask, bool) {
 	for {
 		due, found := d.timers.popDue(now)
@@ -278,8 +281,8 @@
 	}
 }
 
-// ShutDownBy records that the node shuts down, and that all jobs must have their answers by the given time. Queued jobs that
-// can't be completed by then are rejected or fail at once.
+// ShutDownBy records that the node shuts down. All jobs must have their answers by the given time. Queued jobs that no
+// executor can complete by then are rejected or fail at once.
 func (d *Dispatcher) ShutDownBy(now, by time.Duration) {
 	d.clock.shutdownBy = by
 	for _, j := range d.jobs {
@@ -290,7 +293,8 @@
 	}
 }
 
-// capToShutdown moves a job's objective and deadline to the end of the shutdown if they are later, once the node shuts down.
+// capToShutdown limits a job's objective and deadline to the end of the shutdown. It does nothing unless the node is
+// shutting down.
 func (d *Dispatcher) capToShutdown(j *job) {
 	if d.clock.shutdownBy > 0 {
 		j.deadlineAt = min(j.deadlineAt, d.clock.shutdownBy)
@@ -298,10 +302,10 @@
 	}
 }
 
-// beginTurn records the time of a call, and whether the node stalled before it.
+// beginTurn records the time of a call to the dispatcher, and for how long the node stalled before the call.
 func (d *Dispatcher) beginTurn(now time.Duration) { d.clock.beginTurn(now, d.classes.checkInterval) }
 
-// logf queues a log line, which NextTask returns as a task.
+// logf formats a log line and adds it to the outbox.
 func (d *Dispatcher) logf(format string, args ...any) {
 	d.outbox = append(d.outbox, DueTask{Task: WriteLog, Text: fmt.Sprintf(format, args...)})
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	minWeight           = 1e-3 // lower bound for an executor's weight; smaller weights are raised to it
-	maxSingleInsertions = 8    // up to this many new executors are inserted one by one; for more, the whole list is sorted again
+	minWeight           = 1e-3 // lower bound of an executor's weight; smaller weights are raised to it
+	maxSingleInsertions = 8    // up to this many new executors are inserted one by one; for more, the whole list is sorted
 	pollIntervalDivisor = 8    // the poll interval is Settings.PollWithin divided by this
 	pollSpreadDivisor   = 2    // the first polls of many nodes are spread over Settings.PollWithin divided by this
-	minPollJitter       = 0.5  // smallest random factor of the poll interval after a failed poll; the largest is greater by 1
+	minPollJitter       = 0.5  // the delay after a failed poll is the poll interval times (this + a random number, 0 to 1)
 )
 
-// goldenRatio32 is the odd integer closest to 2^32 divided by the golden ratio. Multiplying by it makes hashes that differ
-// in few bits differ in many (Fibonacci hashing).
+// goldenRatio32 is a prime number close to 2^32 divided by the golden ratio. If two hashes differ in few bits, their
+// products with this number differ in many bits (Fibonacci hashing).
 const goldenRatio32 = 0x9e3779b1
 
-// endpointTable holds the executors of the endpoint list, and executors removed from it that still have tokens taken.
+// endpointTable holds the executors of the endpoint list. It also holds executors that were removed from the list while
+// this node had tokens of them taken.
 type endpointTable struct {
 	byID       map[ExecutorID]*executor
-	byHash     map[ExecutorHash]*executor // by the hash of the id, which nodes use in lease messages
+	byHash     map[ExecutorHash]*executor // executors by the hash of their id; lease messages contain this hash
 	ranked     []*executor                // all executors, highest rank first
 	unranked   []*executor                // new executors that are not in ranked yet
 	kinds      map[KindID]*kindStats
-	updates    int  // number of list updates so far
-	anyRemoved bool // an executor in this table may have been removed from the list
+	updates    int  // number of updates of the endpoint list so far
+	anyRemoved bool // if false, no executor in this table was removed from the endpoint list
 }
 
-// endpointPoll schedules the requests for the endpoint list, for discovery services that have to be polled.
+// endpointPoll schedules the requests for the endpoint list. It is used if the discovery service has to be polled.
 type endpointPoll struct {
-	watching    bool          // the list has been received, and no watch has failed since
-	outstanding bool          // a poll was sent and has not been answered
+	watching    bool          // the endpoint list was received, and the watch has not failed since
+	outstanding bool          // a poll of the endpoint list was sent and is not answered yet
 	nextAt      time.Duration // earliest time of the next poll
-	interval    time.Duration // mean delay after a failed poll
+	interval    time.Duration // mean delay between a failed poll and the next one
 }
 
-// wanted reports whether the endpoint list has to be polled: no watch is active and no poll is outstanding.
+// wanted reports whether the endpoint list has to be polled: it is not being watched, and no poll is outstanding.
 func (p *endpointPoll) wanted() bool { return !p.watching && !p.outstanding }
 
 // executor holds what this node knows about one executor.
@@ -49,13 +50,13 @@
 	zone       ZoneID
 	kind       KindID
 	cell       CellID
-	rank       uint32        // order of preference at this node (rankOf)
+	rank       uint32        // rank at this node (rankOf); executors of higher rank are preferred
 	weight     float64       // weight in the endpoint list
-	size       float64       // largest weight so far, where weights fall with the load; 0 otherwise
-	listedLoad float64       // jobs per core, computed from the weights in the endpoint list
+	size       float64       // largest weight so far, if weights fall with the load; otherwise 0
+	listedLoad float64       // jobs per core, computed from the weights in the endpoint list; 0 if these ignore the load
 	available  bool          // the endpoint list says that the executor takes new jobs
 	removed    bool          // the executor was removed from the endpoint list
-	listedIn   int           // number of the last list update that contained the executor
+	listedIn   int           // value of endpointTable.updates at the last update that contained the executor
 	started    time.Duration // time of the executor's last start
 	attempts   []*attempt    // this node's attempts in flight
 	tokens     tokens
@@ -78,7 +79,7 @@
 	return count
 }
 
-// longestWork returns the work of this node's largest attempt in flight at e.
+// longestWork returns the largest work of any attempt that this node has in flight at e.
 func (e *executor) longestWork() time.Duration {
 	longest := time.Duration(0)
 	for _, a := range e.attempts {
@@ -87,12 +88,12 @@
 	return longest
 }
 
-// UpdateEndpoints applies an update from discovery: the complete list, changes to it, a list cached by an earlier process,
-// or the failure of the watch.
+// UpdateEndpoints applies an update from discovery. An update is the complete endpoint list, a set of changed entries,
+// a list cached by an earlier process, or the failure of the watch.
 func (d *Dispatcher) UpdateEndpoints(now time.Duration, kind EndpointUpdateKind, entries []Endpoint) {
 	d.poll.outstanding = false
 	if kind == WatchFailed {
-		// All nodes poll the same service, so the delay before the next poll is random.
+		// All nodes poll the same service. The delay before the next poll is random so that they do not poll at once.
 		d.poll.retry(now, minPollJitter+d.rng.next())
 		return
 	}
@@ -147,8 +148,9 @@
 	return e
 }
 
-// isSlowStartSender reports whether this node may send jobs to the executor during its slow start. The executor's hash
-// selects the first such node, and the following node numbers are the others, so all nodes agree without a message.
+// isSlowStartSender reports whether this node is allowed to send jobs to an executor in slow start. The executor's hash
+// selects the first node that is allowed to. The others are the nodes with the next numbers. So all nodes agree on the
+// senders without a message.
 func (d *Dispatcher) isSlowStartSender(hash ExecutorHash) bool {
 	nodes := d.config.nodeCount
 	first := int(hash % ExecutorHash(nodes))
@@ -156,7 +158,8 @@
 	return place < d.slowStart.senders
 }
 
-// update copies the fields of an endpoint list entry except the weight, which recordWeight handles.
+// update copies the fields of an entry of the endpoint list, except the weight (see recordWeight) and the start time (see
+// recordRestart).
 func (e *executor) update(entry Endpoint) {
 	e.zone = entry.Zone
 	e.kind = entry.Kind
@@ -165,8 +168,9 @@
 	e.removed = entry.State == Removed
 }
 
-// recordRestart begins the slow start of an executor that has started, unless the slow start is already over. It resets
-// the ejection and the start wait, which date from before the restart, and sets the in-flight cap to one.
+// recordRestart records that an executor has started, and begins its slow start. The in-flight cap is set to one. The
+// ejection and the start wait are reset, because they date from before the restart. If the slow start would already be
+// over, only the start time is recorded.
 func (d *Dispatcher) recordRestart(e *executor, startedAt, now time.Duration) {
 	e.started = startedAt
 	until := startedAt + d.slowStart.duration
@@ -179,9 +183,9 @@
 	e.estimate.forgetStartWait()
 }
 
-// spreadPolls sets the poll interval and the first poll, given the time within which a node must have the endpoint list.
-// Where nodes are many, their first polls are spread by node number, so that they don't load discovery all at once. A node
-// uses its cached list until then.
+// spreadPolls sets the poll interval and the time of the first poll, given the time within which a node must have the
+// endpoint list. If there are enough nodes for subsetting, their first polls are spread by node number. Otherwise all
+// nodes would load discovery at once. Until its first poll, a node uses its cached list.
 func (d *Dispatcher) spreadPolls(within time.Duration) {
 	d.poll.interval = within / pollIntervalDivisor
 	if d.usesSubset() {
@@ -189,20 +193,20 @@
 	}
 }
 
-// retry schedules the next poll after a failure. The delay is the poll interval times jitter.
+// retry schedules the next poll after a failed poll or watch. The delay is the poll interval multiplied by jitter.
 func (p *endpointPoll) retry(now time.Duration, jitter float64) {
 	p.watching = false
 	p.nextAt = now + scaled(p.interval, jitter)
 }
 
-// rankOf returns an executor's rank at this node: a hash of the executor's id and the node's number.
+// rankOf returns an executor's rank at this node. The rank is a hash of the executor's id and the node's number.
 func (d *Dispatcher) rankOf(id ExecutorID) uint32 {
 	key := binary.LittleEndian.AppendUint32([]byte(id), uint32(d.config.nodeID))
 	// CRC-32 alone is linear in the node's number, so all nodes would rank executors in similar orders.
 	return crc32.ChecksumIEEE(key) * goldenRatio32
 }
 
-// byRank compares executors by their rank at this node, highest first, and by id where ranks are equal.
+// byRank compares executors by their rank at this node, highest first. Executors of equal rank are compared by id.
 func byRank(a, b *executor) int {
 	if a.rank == b.rank {
 		return cmp.Compare(a.id, b.id)
@@ -210,15 +214,16 @@
 	return cmp.Compare(b.rank, a.rank)
 }
 
-// add adds a new executor. insertRanked adds it to the ranking at the end of the list update.
+// add adds a new executor to the table. At the end of the update, insertRanked moves the executor from unranked to
+// ranked.
 func (t *endpointTable) add(e *executor) {
 	t.unranked = append(t.unranked, e)
 	t.byID[e.id] = e
 	t.byHash[e.hash] = e
 }
 
-// insertRanked inserts the new executors by their ranks. A few are inserted one by one, which is cheaper than sorting a
-// list of hundreds again.
+// insertRanked inserts the new executors into ranked. Up to maxSingleInsertions executors are inserted one by one,
+// because that is cheaper than sorting a list of hundreds again.
 func (t *endpointTable) insertRanked() {
 	if len(t.unranked) > maxSingleInsertions {
 		t.ranked = append(t.ranked, t.unranked...)
@@ -232,8 +237,9 @@
 	t.unranked = nil
 }
 
-// dropRemoved drops the removed executors that have no token of this node taken. They would otherwise accumulate, since a
-// machine that is replaced comes back under a new id. A complete update first marks the executors missing from it as removed.
+// dropRemoved drops the removed executors that have no token of this node taken. Removed executors would otherwise
+// accumulate, because a machine that is replaced comes back under a new id. After a complete update, the executors that
+// it doesn't contain are first marked as removed.
 func (d *Dispatcher) dropRemoved(complete bool) {
 	if complete {
 		for _, e := range d.endpoints.ranked {
@@ -250,7 +256,8 @@
 	}
 }
 
-// dropUnused drops removed executors that have no token taken. The others are checked again at the next update.
+// dropUnused drops the removed executors that have no token taken. Removed executors with a token taken stay, and are
+// checked again at the next update.
 func (t *endpointTable) dropUnused() {
 	t.anyRemoved = false
 	t.ranked = slices.DeleteFunc(t.ranked, func(e *executor) bool {
@@ -267,7 +274,7 @@
 	})
 }
 
-// CountUnusable returns how many executors in the endpoint list get no new attempts from this node now, for any reason.
+// CountUnusable returns the number of executors in the endpoint list to which this node sends no new attempts now.
 func (d *Dispatcher) CountUnusable(now time.Duration) int {
 	count := 0
 	for _, e := range d.endpoints.ranked {
@@ -288,8 +295,8 @@
 	d.addKindIndex(id, kind)
 }
 
-// recordWeight records an executor's weight in the endpoint list. A weight that falls with the load is
-// size / (1 + jobs per core), so the weight of an idle executor is its size.
+// recordWeight records an executor's weight in the endpoint list. If weights fall with the load, a weight is
+// size / (1 + jobs per core). The weight of an idle executor is then its size.
 func (d *Dispatcher) recordWeight(e *executor, weight float64) {
 	e.weight = weight
 	if d.config.loadAdjustedWeights {
@@ -300,7 +307,7 @@
 	kind.size += (max(e.size, weight) - kind.size) * (1 - smoothing)
 }
 
-// remoteSide returns 1 for an executor in another zone if crossing zones has a cost, and 0 otherwise.
+// remoteSide returns 1 for an executor in another zone, if crossing zones has a cost. Otherwise it returns 0.
 func (d *Dispatcher) remoteSide(e *executor) int {
 	if d.config.crossZoneCost > 0 && e.zone != d.config.zone {
 		return 1
