--- a/policy/executor_heap.go
+++ b/policy/executor_heap.go
@@ -2,33 +2,44 @@
 
 import "math"
 
-// heapKey is the kind of key by which a heap orders its executors. An executor is in at most one heap per kind of key.
+// heapKey is a kind of key by which a heap orders its executors. An executor is in at most one heap for each kind of key.
 type heapKey int
 
 const (
-	keyTokenAge  heapKey = iota // in rate buckets: time since which the executor's oldest token has been free
-	keyPaceDrift                // in paceFloors and paceCeilings of kindIndex: the entry's paceLimit, negated in paceFloors
-	keyExpiry                   // in candidateIndex.expiries: time until which the entry is valid
-	keyPace                     // in pace buckets: the executor's own pace; without observed work its running time
-	heapKeys                    // number of kinds of keys
+	// keyTokenAge is the kind of key in rate buckets: the time since which the executor's oldest free token has been
+	// free.
+	keyTokenAge heapKey = iota
+	// keyPaceDrift is the kind of key in paceFloors and paceCeilings of kindIndex: the paceLimit of the executor's index
+	// entry. In paceFloors the key is negated.
+	keyPaceDrift
+	// keyExpiry is the kind of key in candidateIndex.expiries: the time until which the executor's index entry is valid.
+	keyExpiry
+	// keyPace is the kind of key in pace buckets: the executor's own pace (running time divided by work). For an executor
+	// without observed work, the key is the running time.
+	keyPace
+
+	heapKeys // number of kinds of keys
 )
 
-// heapPosition is an executor's position in a heap, and its key there. The heap is nil if the executor is in none.
+// heapPosition is an executor's position in a heap, and its key there. If the executor is in no heap, the field heap is
+// nil.
 type heapPosition struct {
 	heap  *executorHeap
 	index int
 	key   int64
 }
 
-// executorHeap is a binary min-heap of executors. Each executor stores its position, so that it can be updated and removed in
-// logarithmic time. walkBucket and searchLowestPace rely on the layout: the children of index i are at 2i+1 and 2i+2.
+// executorHeap is a binary min-heap of executors. Each executor stores its own position in the heap, so updates and
+// removals take logarithmic time. The children of index i are at 2i+1 and 2i+2; walkBucket and searchLowestPace rely on
+// this layout.
 type executorHeap struct {
 	keyKind   heapKey
 	executors []*executor
-	bucket    *rateBucket // bucket that embeds this heap; nil except for keyTokenAge
+	bucket    *rateBucket // rate bucket that embeds this heap; nil if the heap is not part of a rate bucket
 }
 
-// floatKey returns the key for a non-negative float. The bits of such floats have the same order as the floats.
+// floatKey returns the key for a non-negative float: its bits. The bits of non-negative floats, read as integers, have
+// the same order as the floats.
 func floatKey(x float64) int64 { return int64(math.Float64bits(x)) }
 
 // min returns the executor with the smallest key, or nil if the heap is empty.
@@ -42,7 +53,7 @@
 // key returns the key of the executor at index i.
 func (h *executorHeap) key(i int) int64 { return h.executors[i].indexed.positions[h.keyKind].key }
 
-// place puts an executor at index i.
+// place puts an executor at index i of the heap, and records the index in the executor.
 func (h *executorHeap) place(i int, e *executor) {
 	h.executors[i] = e
 	e.indexed.positions[h.keyKind].index = i
@@ -82,8 +93,8 @@
 	}
 }
 
-// update inserts an executor with the given key into this heap, or changes its key. If the executor is in another heap for
-// the same kind of key, it is removed from that heap.
+// update inserts an executor with the given key into this heap, or changes the executor's key if it is in this heap
+// already. If the executor is in another heap for the same kind of key, update first removes it from that heap.
 func (h *executorHeap) update(e *executor, key int64) {
 	position := &e.indexed.positions[h.keyKind]
 	if position.heap == h {
@@ -102,7 +113,8 @@
 	h.siftUp(position.index)
 }
 
-// removeFrom removes an executor from its heap for the given kind of key, if it is in one.
+// removeFrom removes an executor from the heap for the given kind of key. It does nothing if the executor is in no such
+// heap.
 func (e *executor) removeFrom(kind heapKey) {
 	position := &e.indexed.positions[kind]
 	h := position.heap
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -10,7 +10,7 @@
 	awaitingReply []*executor
 }
 
-// await adds an executor, unless it is in the list already.
+// await adds an executor to awaitingReply, unless it is in that list already.
 func (c *pendingHealthChecks) await(e *executor) {
 	if !e.health.awaited {
 		e.health.awaited = true
@@ -18,8 +18,8 @@
 	}
 }
 
-// pending returns the executors that still have a health check in flight or are unresponsive, in the order in which they got
-// tokens.
+// pending returns the executors that still have a health check in flight or are still unresponsive. They are in the
+// order in which executors got their first tokens (joinOrder).
 func (c *pendingHealthChecks) pending() []*executor {
 	c.awaitingReply = slices.DeleteFunc(c.awaitingReply, func(e *executor) bool {
 		e.health.awaited = e.health.checkInFlight || e.health.unresponsive
@@ -29,8 +29,8 @@
 	return c.awaitingReply
 }
 
-// markUnresponsive keeps new attempts away from an executor until it responds. The number of timeouts in a row determines
-// the delay before the next health check.
+// markUnresponsive marks an executor as unresponsive. It gets no new attempts until it responds. The given number of
+// timeouts in a row determines the delay between its health checks.
 func (d *Dispatcher) markUnresponsive(e *executor, timeouts int) {
 	e.health.unresponsive = true
 	e.health.timeouts = timeouts
@@ -38,7 +38,7 @@
 	d.healthChecks.await(e)
 }
 
-// HealthCheckEnded records the result of a health check. The load is valid only if the executor answered.
+// HealthCheckEnded records the result of a health check. The load is used only if the executor answered.
 func (d *Dispatcher) HealthCheckEnded(now time.Duration, id ExecutorID, answered bool, load Load) {
 	d.beginTurn(now)
 	e := d.endpoints.byID[id]
@@ -50,16 +50,17 @@
 	if answered {
 		d.recordHealthCheckAnswer(e, load, now)
 	} else if inTime && e.health.suspect {
-		// The health check failed before its timeout, so the machine is up and refuses connections. Let the executor have
-		// attempts again: the next failed one ejects it.
+		// The health check failed before its timeout, so the executor's machine is up and refuses connections. The
+		// executor can have attempts again. If the next attempt fails, the executor is ejected.
 		d.subset.noteRecovery(e.health.unresponsive)
 		e.health.unresponsive = false
 		d.subset.recheck()
 	}
 }
 
-// recordHealthCheckAnswer makes e usable again. If e has a free slot and this node is its lease holder, it grants one more
-// lease.
+// recordHealthCheckAnswer records that e has answered a health check, so e is no longer unresponsive. If the answer
+// reports a free slot and this node grants the leases of e, one more lease can be granted to a waiting node
+// (grantFreeSlot).
 func (d *Dispatcher) recordHealthCheckAnswer(e *executor, load Load, now time.Duration) {
 	if e.health.unresponsive {
 		d.subset.invalidate()
@@ -73,7 +74,8 @@
 	}
 }
 
-// requestHealthCheck sends e a health check, unless one is in flight or the last one was sent less than interval ago.
+// requestHealthCheck sends e a health check. It sends none if executors don't answer health checks, if a health check
+// of e is in flight, or if the last one was sent less than interval ago.
 func (d *Dispatcher) requestHealthCheck(e *executor, now, interval time.Duration) {
 	if !d.config.canCheckHealth || e.health.checkInFlight {
 		return
@@ -94,9 +96,9 @@
 	d.checkLeaseRequests(now)
 }
 
-// handleHealthCheckTimeouts marks executors that did not answer a health check within the shortest objective as
-// unresponsive, and sends unresponsive executors the next one when it is due. Each timeout in a row makes the delay between
-// health checks longer by the largest mean work of a job class, up to maxBackoffFactor times that.
+// handleHealthCheckTimeouts marks an executor as unresponsive if it did not answer a health check within the shortest
+// objective. It sends an unresponsive executor the next health check when that is due. The delay between health checks is
+// longestMeanWork times the number of timeouts in a row. That number stops at maxBackoffFactor.
 func (d *Dispatcher) handleHealthCheckTimeouts(now time.Duration) {
 	for _, e := range d.healthChecks.pending() {
 		if e.tokens.joinOrder == 0 {
@@ -116,7 +118,8 @@
 	}
 }
 
-// healthCheckInterval returns the time between two health checks of an unresponsive executor.
+// healthCheckInterval returns the time between two health checks of an unresponsive executor: longestMeanWork times the
+// number of timeouts in a row.
 func (d *Dispatcher) healthCheckInterval(e *executor) time.Duration {
 	return d.longestMeanWork() * time.Duration(e.health.timeouts)
 }
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// requestHedge queues j for a second attempt while the first one is in flight, if wantsHedge allows it.
+// requestHedge queues j for a second attempt while its first attempt is in flight. It does nothing if wantsHedge is
+// false, or if j is queued for a second attempt already.
 func (d *Dispatcher) requestHedge(j *job, now time.Duration) {
 	if j.hedgeWanted || !d.wantsHedge(j, now) {
 		return
@@ -11,8 +12,10 @@
 	d.leases.requestWanted()
 }
 
-// wantsHedge reports whether a second attempt of j can still yield value: exactly one attempt is in flight and j's class
-// allows another one, j can meet its objective or its class has a late value, and the cluster is not overloaded.
+// wantsHedge reports whether a second attempt of j is useful. Exactly one attempt of j must be in flight, and j's class
+// must allow another one. The deadline must be more than a quantum away, and j must not be late, unless its class has a
+// late value. The cluster must not be overloaded (admission threshold at
+// level 0).
 func (d *Dispatcher) wantsHedge(j *job, now time.Duration) bool {
 	return !j.finished && len(j.attempts) == 1 && j.attemptCount < j.class.maxAttempts && d.shedding.threshold.Level == 0 &&
 		now < j.deadlineAt-d.config.quantum && (!d.isLate(j, now) || j.class.lateValue > 0)
--- a/policy/ids.go
+++ b/policy/ids.go
@@ -1,20 +1,20 @@
 package policy
 
-// Identifiers. Job classes, tenants, zones and executor kinds are numbered from 0.
+// Identifiers of the package. Job classes, tenants, zones and executor kinds are numbered from 0.
 type (
-	// JobID identifies a job among those in flight at this node.
+	// JobID identifies a job among the jobs in flight at this node.
 	JobID string
 	// ExecutorID identifies an executor in the endpoint list.
 	ExecutorID string
-	// AttemptID is the number of an attempt among those of its job, from 0.
+	// AttemptID is the number of an attempt among the attempts of its job, from 0.
 	AttemptID int
 	// NodeID is the number of a node, from 0 to the number of nodes minus one.
 	NodeID int
-	// ExecutorHash is a hash of an executor's ID, and identifies the executor in lease messages between nodes.
+	// ExecutorHash is a hash of an executor's ID. It identifies the executor in lease messages between nodes.
 	ExecutorHash uint32
 	// JobClassID is the number of a job class. Numbers are never reused for another class.
 	JobClassID int
-	// TenantID is the number of a tenant. A number out of range stands for no tenant.
+	// TenantID is the number of a tenant. A number that is out of range means no tenant.
 	TenantID int
 	// ZoneID is the number of a zone.
 	ZoneID int
@@ -24,8 +24,8 @@
 	CellID int
 )
 
-// AnyKind is the kind of a job class that executors of every kind may run.
+// AnyKind is the kind of a job class whose jobs can run on executors of every kind.
 const AnyKind KindID = -1
 
-// NoJobClass stands for no job class.
+// NoJobClass means no job class.
 const NoJobClass JobClassID = -1
--- a/policy/job.go
+++ b/policy/job.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// minSlackSeconds is the least slack that work is divided by, so that a job without slack has a finite quotient.
+// minSlackSeconds is the lower bound of the slack in workOverSlack, in seconds. It avoids a division by zero or by a
+// negative slack.
 const minSlackSeconds = 1e-3
 
-// job is a batch job that has arrived at this node and is not yet removed: it is queued or has attempts in flight.
+// job is a batch job that has arrived at this node. It exists as long as it is queued or has attempts in flight.
 type job struct {
 	id                JobID
 	class             *jobClass
-	tenant            *tenant // tenant that the job belongs to; nil: none
+	tenant            *tenant // tenant that the job belongs to; nil: the job belongs to no tenant
 	tenantID          TenantID
 	work              time.Duration // estimated running time on a standard core
-	hasClientEstimate bool          // work is the client's estimate, not the mean of the class
+	hasClientEstimate bool          // work is the client's estimate; otherwise it is the mean work of the class
 
 	arrivedAt   time.Duration
 	objectiveAt time.Duration // time by which the job must end to meet its latency objective
 	deadlineAt  time.Duration // time by which the client must have its answer
 	finished    bool          // the client has its answer or has left
 
-	firstTry         bool    // no earlier try of the client is known, and the budget indicates none
-	shortBudget      bool    // the client's timeout, not an earlier try, makes the budget less than half of the deadline
-	startMargin      float64 // factor for the running time that must be left at the latest start
-	predictionMargin float64 // factor for the running time in the prediction whether an executor meets the objective
+	firstTry         bool    // the client did not mark a retry, and the job's budget does not indicate an earlier try
+	shortBudget      bool    // the budget is less than half of the deadline, because of the client's timeout (spentBudget)
+	startMargin      float64 // latestStart multiplies the running time by this
+	predictionMargin float64 // tokenAge multiplies the predicted wait and running time by this
 	lowSlack         bool    // the job arrived with less than half of its slack left
-	shed             bool    // the job was below the admission threshold when it arrived or was to be retried
+	shed             bool    // the job was below the admission threshold, at its arrival or before a retry
 
 	isQueued            bool
 	queuedPastObjective bool          // the job is in the queue's list of late jobs
-	queuedAt            time.Duration // time at which the job entered the queue
-	queueKey            time.Duration // position in the queue: jobs are ordered by it
-	crossZoneDraw       float64       // random number from 0 to 1 that decides whether the job prefers other zones
+	queuedAt            time.Duration // time at which the job last entered the queue
+	queueKey            time.Duration // queued jobs are placed in the order of their queueKey, lowest first
+	crossZoneDraw       float64       // random number from 0 to 1 by which prefersOtherZones decides for the job
 
 	attempts           []*attempt // attempts in flight; a second one is a hedge
-	attemptCount       int        // attempts sent so far
-	mayHaveRun         *attempt   // first attempt that has ended and may have run
+	attemptCount       int        // number of attempts sent so far
+	mayHaveRun         *attempt   // first ended attempt that has possibly run; nil: certainly no ended attempt has run
 	hedgeWanted        bool       // the job is queued for a second attempt
-	leaseRequestedFrom *executor  // executor for which a lease was requested from its lease holder, for this job
-	generation         int32      // incremented to disable the job's timers
+	leaseRequestedFrom *executor  // executor for which a lease was last requested for this job
+	generation         int32      // incremented to disable the job's earlier timers
 }
 
 // attempt is one sending of a job to an executor, until its outcome is known.
@@ -49,14 +50,14 @@
 	cell             CellID // the executor's cell when the attempt was sent
 	sentAt           time.Duration
 	startedAt        time.Duration
-	running          bool          // a start notice has come
-	waitedAtExecutor bool          // the attempt waited at the executor before it started
-	progress         float64       // fraction of the attempt that is done, from the last progress notice
-	progressAt       time.Duration // time of the last progress notice, or of the start
+	running          bool          // the executor has notified this node of the attempt's start
+	waitedAtExecutor bool          // the attempt had a long wait at the executor before it started
+	progress         float64       // completed fraction of the attempt, from the last progress notice
+	progressAt       time.Duration // time of the last progress notice; before the first one, time of the start notice
 	canceling        bool          // a cancellation of the attempt was sent to the executor
 	migrationCounted bool          // the load summary counts the attempt as a migration
-	tokenReleased    bool          // the token was released because no progress notice came for too long
-	generation       int32         // incremented to disable the attempt's timers
+	tokenReleased    bool          // the token was released early, because no progress notice came for too long
+	generation       int32         // incremented to disable the attempt's earlier timers
 }
 
 // start records that the executor has started the attempt.
@@ -66,7 +67,7 @@
 	a.progressAt = now
 }
 
-// removeJob removes a job that has its answer and no attempt in flight.
+// removeJob removes a job that needs no answer any more and has no attempt in flight.
 func (d *Dispatcher) removeJob(j *job) {
 	d.queue.remove(j)
 	j.finished = true
@@ -74,7 +75,8 @@
 	delete(d.jobs, j.id)
 }
 
-// findAttempt returns the attempt of that number, or nil if it is not in flight.
+// findAttempt returns the attempt of the given job with the given number. It returns nil if that attempt is not in
+// flight.
 func (d *Dispatcher) findAttempt(id JobID, number AttemptID) *attempt {
 	j := d.jobs[id]
 	if j == nil {
@@ -88,8 +90,8 @@
 	return nil
 }
 
-// finish ends a job that has its answer or whose client has left. Attempts that are still in flight are reviewed at once,
-// since they can be canceled now.
+// finish ends a job that has its answer or whose client has left. The job's attempts in flight are reviewed at once,
+// because an attempt of a finished job can be canceled.
 func (d *Dispatcher) finish(j *job, now time.Duration) {
 	if len(j.attempts) == 0 {
 		d.removeJob(j)
@@ -103,13 +105,13 @@
 	}
 }
 
-// elapsed returns the time since an attempt was sent, minus the time that this node stalled before this turn: the event that
-// is handled now may have waited for that long.
+// elapsed returns the time since an attempt was sent, minus the time for which this node stalled before this turn. The
+// stall is subtracted because the event that is handled now has possibly waited for that long.
 func (d *Dispatcher) elapsed(a *attempt) time.Duration {
 	return max(0, d.clock.now-a.sentAt-d.clock.stalledFor)
 }
 
-// latencyObjective returns the time within which j should be completed, counted from its client's first try.
+// latencyObjective returns the time within which j should be completed. It counts from the first try of j's client.
 func (j *job) latencyObjective() time.Duration {
 	return min(j.class.latencyObjective+scaled(j.work, j.class.runTimeFactor), j.class.deadline)
 }
@@ -117,7 +119,7 @@
 // slack returns j's latency objective minus its work.
 func (j *job) slack() time.Duration { return j.latencyObjective() - j.work }
 
-// workOverSlack returns j's work divided by its slack.
+// workOverSlack returns j's work divided by its slack, or by minSlackSeconds if the slack is smaller.
 func (j *job) workOverSlack() float64 {
 	return j.work.Seconds() / max(j.slack().Seconds(), minSlackSeconds)
 }
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	budgetCountDecay     = 1 - (1-smoothing)/8 // factor by which shortBudgets and rejectedFirstTries decay with each new job
+	budgetCountDecay     = 1 - (1-smoothing)/8 // each new job multiplies shortBudgets and rejectedFirstTries by this
 	checkIntervalDivisor = 8                   // the check interval is the shortest objective divided by this
-	unknownWorkDivisor   = 2                   // the initial mean work is a fixed objective divided by this
+	unknownWorkDivisor   = 2                   // initialMeanWork divides an objective that ignores the work by this
 )
 
 // jobClass holds the settings of a job class and what was learned about its jobs.
@@ -25,61 +25,64 @@
 	lateValue        float64 // fraction of value that a job yields if it is completed between objective and deadline
 	kind             KindID
 
-	fullBudget         time.Duration // largest budget seen, taken as that of every first try
-	shortBudgets       float64       // number of jobs that arrived with less than fullBudget, decaying
-	rejectedFirstTries float64       // number of first tries that were rejected, decaying
+	fullBudget         time.Duration // largest budget of a job so far; every first try is assumed to have this budget
+	shortBudgets       float64       // decaying number of jobs that arrived with a short budget (recordArrival)
+	rejectedFirstTries float64       // decaying number of first tries that were rejected or failed
 	meanWork           time.Duration // running average of the jobs' work
-	samples            int           // number of running times in meanWork, where clients give no estimates
-	requestedValue     float64       // value of the first tries that arrived, decaying
-	earnedValue        float64       // value of the jobs that were completed within their objective, decaying
+	samples            int           // number of running times observed for meanWork, from jobs without a client's estimate
+	requestedValue     float64       // decaying sum of the values of the first tries that arrived
+	earnedValue        float64       // decaying sum of the values of the jobs that were completed within their objective
 	meanValue          float64       // running average of the value of a job
 }
 
 // classTable holds the job classes, and the values derived from all of them together.
 type classTable struct {
-	all               []*jobClass   // by JobClassID, with the past classes that jobs in flight may still belong to
-	current           []*jobClass   // the classes of the current configuration
-	requiredKinds     []KindID      // kinds that the current classes require; AnyKind if some class requires none
-	shortestObjective time.Duration // shortest latency objective of the current classes
+	all               []*jobClass   // classes by JobClassID; past classes are included, for jobs still in flight
+	current           []*jobClass   // classes of the current configuration
+	requiredKinds     []KindID      // executor kinds of the current classes; contains AnyKind if some class has that kind
+	shortestObjective time.Duration // shortest fixed part of a latency objective among the current classes
 	quotaInterval     time.Duration // time between two updates of the quotas
 	checkInterval     time.Duration // time from the sending of an attempt to its first review
 }
 
-// lookup returns the class with the given ID. For an ID out of range it returns the first or the last class.
+// lookup returns the class with the given ID. For an ID that is too low it returns the first class, and for an ID that
+// is too high the last one.
 func (t *classTable) lookup(id JobClassID) *jobClass {
 	return t.all[min(max(0, int(id)), len(t.all)-1)]
 }
 
-// recordClientEstimate updates the mean work with a client's estimate.
+// recordClientEstimate updates the mean work with a client's estimate of a job's work.
 func (c *jobClass) recordClientEstimate(work time.Duration) {
 	c.meanWork = scaled(c.meanWork, smoothing) + scaled(work, 1-smoothing)
 }
 
-// recordRunTime updates the mean work with a running time. The initial estimate may be far off, so each of the first samples
-// has the same weight as the initial estimate.
+// recordRunTime updates the mean work with an observed running time. The initial mean work can be far off, so each of
+// the first running times gets the same weight as the initial mean work.
 func (c *jobClass) recordRunTime(ran time.Duration) {
 	c.samples++
 	weight := max(minSampleWeight, 1/float64(1+c.samples))
 	c.meanWork = scaled(c.meanWork, 1-weight) + scaled(ran, weight)
 }
 
-// recordBudget records the budget of a job that arrived, and returns its shortfall: the full budget minus this one.
+// recordBudget records the budget of a job that arrived. It returns the shortfall of this budget: fullBudget minus the
+// budget.
 func (c *jobClass) recordBudget(budget time.Duration) time.Duration {
 	c.fullBudget = max(c.fullBudget, budget)
 	return c.fullBudget - budget
 }
 
-// recordRejected counts a job that is rejected or fails, if it is a first try.
+// recordRejected counts a job that is rejected or fails. Only first tries are counted.
 func (c *jobClass) recordRejected(firstTry bool) { c.rejectedFirstTries += oneIf(firstTry) }
 
-// recordArrival counts a job that arrived, and whether it came with less than the full budget.
+// recordArrival counts a job that arrived with a short budget, which is more than a quantum below fullBudget. Each
+// arrival also decays shortBudgets and rejectedFirstTries.
 func (c *jobClass) recordArrival(isShort bool) {
 	c.shortBudgets = c.shortBudgets*budgetCountDecay + oneIf(isShort)
 	c.rejectedFirstTries *= budgetCountDecay
 }
 
-// inherit takes over what was learned about the class that this one replaces. The requested and earned values are moved, so
-// that they aren't counted twice.
+// inherit takes over what was learned about the class that c replaces. The requested and earned values are removed from
+// the replaced class, so that they aren't counted twice.
 func (c *jobClass) inherit(from *jobClass) {
 	if from.samples > 0 || from.fullBudget > 0 {
 		c.meanWork = from.meanWork
@@ -107,7 +110,7 @@
 	t.checkInterval = max(t.shortestObjective/checkIntervalDivisor, quantum)
 }
 
-// minIfSet returns the smaller of two durations, or candidate if current is 0, which means not set.
+// minIfSet returns the smaller of two durations. If current is 0, it counts as not set, and candidate is returned.
 func minIfSet(current, candidate time.Duration) time.Duration {
 	if current == 0 {
 		return candidate
@@ -115,7 +118,7 @@
 	return min(current, candidate)
 }
 
-// addClass adds a class, and takes over what was learned about the class that it replaces.
+// addClass adds a job class to the current classes. What was learned about the class that it replaces is taken over.
 func (d *Dispatcher) addClass(update JobClassUpdate) {
 	class := &jobClass{
 		idempotency:      update.Idempotency,
@@ -138,9 +141,9 @@
 	d.classes.current = append(d.classes.current, class)
 }
 
-// UpdateJobClasses replaces the current job classes. The IDs of new classes must continue the existing ones in order. The
-// slow-start budget, which depends on the shortest objective, does not change, because other nodes may still compute it
-// from the previous classes.
+// UpdateJobClasses replaces the current job classes. The IDs of new classes must continue the existing IDs in order.
+// The slow-start budget depends on the shortest objective, but is not computed again: other nodes possibly still use
+// the budget of the previous classes.
 func (d *Dispatcher) UpdateJobClasses(now time.Duration, updates []JobClassUpdate) {
 	d.classes.current = nil
 	for _, update := range updates {
@@ -158,9 +161,9 @@
 	d.quota.endIntervalBy(now + d.classes.quotaInterval)
 }
 
-// initialMeanWork returns the initial mean work of a class whose settings give no ExpectedWork. If the objective does not
-// grow with the work, it must be below the objective: otherwise no executor would be predicted to complete a job in time,
-// all jobs would be rejected, and no running time would ever be learned.
+// initialMeanWork returns the initial mean work of a class whose settings give no ExpectedWork. If the latency
+// objective does not grow with the work, the initial mean work must be below the objective. Otherwise no executor would
+// be predicted to complete a job in time, all jobs would be rejected, and no running time would ever be learned.
 func initialMeanWork(class JobClass) time.Duration {
 	if class.RunTimeFactor == 0 {
 		return class.LatencyObjective / unknownWorkDivisor
@@ -168,7 +171,7 @@
 	return class.LatencyObjective
 }
 
-// longestMeanWork returns the largest mean work of the current classes, but at least the shortest objective.
+// longestMeanWork returns the largest mean work of the current classes, or the shortest objective if that is larger.
 func (d *Dispatcher) longestMeanWork() time.Duration {
 	longest := d.classes.shortestObjective
 	for _, class := range d.classes.current {
