--- a/policy/admission.go
+++ b/policy/admission.go
@@ -22,8 +22,8 @@
 	budgetMarginRise = 4
 	maxBudgetMargin  = 1.5
 
-	// If a larger fraction of a tenant's first tries than maxShortBudgetRatio has short budgets, a short budget of that
-	// tenant's jobs is not a sign of an earlier try.
+	// maxShortBudgetRatio is a limit: if a larger fraction of a tenant's first tries has short budgets, a short budget of
+	// this tenant is not taken as a sign of an earlier try.
 	maxShortBudgetRatio = 0.3
 
 	maxClientRetries   = 3.0 // assumed number of times that a client retries a rejected job
@@ -59,14 +59,16 @@
 }
 
 // spentBudget returns how much time passed between the client's first try and j's arrival, in earlier tries or while
-// this node stalled. The latency objective counts from the first try. A budget is short if it is more than a quantum
-// below the largest budget seen of the class. For a job with a short budget, the result is the class's deadline minus
-// the budget; for other jobs it is 0. The class and the tenant record the budget.
+// this node stalled. The latency objective counts from the first try. The class and the tenant record the budget.
 //
-// A budget can also be short because the client's timeout is shorter than the deadline. Such a budget says nothing
-// about earlier tries, and the result is 0. The job gets a start margin if that budget is less than half of the
-// deadline, the job has a tenant, and clients mark their retries. The reason is that an attempt is wasted if it ends
-// after its client has given up.
+// A budget is short if it is more than a quantum below the largest budget seen of the class. A short budget is a sign
+// of an earlier try: the result is then the class's deadline minus the budget. For a budget that is not short, the
+// result is 0.
+//
+// A budget can also be short because the client's timeout is shorter than the deadline. Such a budget says nothing about
+// earlier tries, and the result is 0. The job gets a start margin if that budget is less than half of the deadline, the
+// job has a tenant, and clients mark their retries. The reason is that an attempt is wasted if it ends after its client
+// has given up.
 func (d *Dispatcher) spentBudget(j *job, arrival Arrival) time.Duration {
 	class := j.class
 	shortfall := class.recordBudget(arrival.Budget)
--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -38,7 +38,7 @@
 
 const (
 	rateBucketsPerE  = 256 // number of rate buckets between an aging rate and e (2.718) times that rate
-	maxRateBucket    = 1e6 // number by which the bucket of extreme aging rates (zero, infinite or out of range) is found
+	maxRateBucket    = 1e6 // bucket number for extreme aging rates: zero, infinite or out of range
 	spareRateBuckets = 64  // a group discards its empty buckets once they outnumber those in use by more than this
 
 	// An upper bound is multiplied by roundingUp, and a lower bound of a pace by roundingDown, to allow for rounding
@@ -55,12 +55,13 @@
 type executorLoad int
 
 const (
-	// loadIdleOpen means that no attempt of this node is in flight at the executor, and that all late jobs may use it.
+	// loadIdleOpen means that no attempt of this node is in flight at the executor, and that all late jobs are allowed
+	// to use it.
 	loadIdleOpen executorLoad = iota
 	// loadIdleRestricted means that no attempt of this node is in flight at the executor, but that only late jobs of
-	// classes without a late value may use it.
+	// classes without a late value are allowed to use it.
 	loadIdleRestricted
-	// loadBusy means that an attempt of this node is in flight at the executor, so that no late job may use it.
+	// loadBusy means that an attempt of this node is in flight at the executor, so that no late job is allowed to use it.
 	loadBusy
 )
 
@@ -93,7 +94,7 @@
 	// Tests read these counters of the work done.
 	visited   int // number of executors that searches looked at
 	bounded   int // number of bucket heads whose maxAge was computed to find the first bucket
-	evaluated int // number of calls of tokenAge, and of pace by the pace index
+	evaluated int // number of calls of tokenAge, plus calls of pace in the pace index
 	reindexed int // number of updated entries of executors with a usable token
 }
 
@@ -147,7 +148,7 @@
 	return h.maxRate * float64(max(0, int64(now)-h.oldestFree))
 }
 
-// addKindIndex adds the part of the index for a kind.
+// addKindIndex adds the part of the candidate index for an executor kind.
 func (d *Dispatcher) addKindIndex(id KindID, stats *kindStats) {
 	kind := &kindIndex{
 		id:             id,
--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -11,11 +11,11 @@
 type query struct {
 	*job
 	now      time.Duration
-	remote   bool    // executors are wanted for which remoteSide is 1 (other zones), not those for which it is 0
+	remote   bool    // true: executors with remoteSide 1 (other zones) are wanted; false: those with remoteSide 0
 	late     bool    // the job counts as late (isLate)
 	forLease bool    // the candidates are wanted for a lease request, not for an attempt
 	maxPace  float64 // executors with a higher pace are of no use to the job
-	minAge   float64 // tokens with a lower weighted age are of no use to the job; the caller can raise it while it iterates
+	minAge   float64 // tokens with a lower weighted age are of no use to the job; the caller can raise minAge at any time
 }
 
 // candidates iterates over executors with a token for the query's job. It starts with the bucket that has the highest
@@ -148,9 +148,9 @@
 	return d.walkBucket(b, 2*i+1, q, yield) && d.walkBucket(b, 2*i+2, q, yield)
 }
 
-// anyTokenFor returns false only if the index has no token for j. With forLease, only tokens count for which a lease
-// has to be requested first. Without forLease, only tokens count that can be used without another lease request. For a
-// job bound to a dedup group the result is always true, as executors outside the subset can serve it too.
+// anyTokenFor returns false only if the index has no token for j. With forLease, a token counts only if a lease
+// has to be requested for it. Without forLease, a token counts only if it needs no further lease request. For a job bound
+// to a dedup group the result is always true, because executors outside the subset can serve the job too.
 func (d *Dispatcher) anyTokenFor(j *job, now time.Duration, forLease bool) bool {
 	if d.boundToDedupGroup(j) {
 		return true
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -12,8 +12,8 @@
 // class can serve it. This never changes the result, since pickExecutor would find no executor for a skipped job
 // either.
 
-// minQueuedForGrouping is the largest number of queued jobs at which each job is evaluated by itself. With more jobs, they
-// are grouped by class.
+// minQueuedForGrouping is the largest number of queued jobs at which each job is evaluated by itself. With more
+// queued jobs, they are grouped by class.
 const minQueuedForGrouping = 8
 
 // classCandidates holds the executors that could serve one group of queued jobs: either the late jobs of a class, or
@@ -21,7 +21,7 @@
 type classCandidates struct {
 	class          *jobClass
 	late           bool
-	leastDemanding job           // artificial job with the least work, the lowest margin and the latest objective of the group
+	leastDemanding job           // artificial job with the least work, lowest margin and latest objective of the group
 	executors      []*executor   // executors that could serve leastDemanding
 	earliestEnd    time.Duration // earliest time at which any member of executors could complete leastDemanding
 	minWait        time.Duration // shortest expected wait at any member of executors
--- a/policy/config.go
+++ b/policy/config.go
@@ -9,11 +9,11 @@
 	zone      ZoneID
 	quantum   time.Duration // time resolution: a deadline counts as reached when no more than this is left until it
 
-	// valuePerWork says that the value of a job is the value of its class times the job's work in seconds. Without it, the
-	// value of a job is the value of its class.
+	// valuePerWork says that the value of a job is the value of its class times the job's work in seconds. Without it,
+	// the value of a job is the value of its class.
 	valuePerWork bool
-	// overQuotaValue, 0 to 1, is the lower limit of the factor for the value of a tenant's jobs. The further the tenant is
-	// over its quota, the closer the factor is to this limit. Without an excess it is 1.
+	// overQuotaValue, 0 to 1, is the lower limit of the factor for the value of a tenant's jobs. The further the tenant
+	// is over its quota, the closer the factor is to this limit. For a tenant within its quota, the factor is 1.
 	overQuotaValue float64
 	// crossZoneCost is the cost of sending a job to another zone, as a multiple of the mean value of a job; 0: no cost.
 	crossZoneCost float64
--- a/policy/decisions.go
+++ b/policy/decisions.go
@@ -10,7 +10,7 @@
 	NoAction Action = iota // do nothing, because the job is finished or an attempt of it is in flight
 	Send                   // send a new attempt to Decision.Executor
 	Enqueue                // keep the job in the queue until an executor has a token for it
-	Reject                 // reject the job; the client may retry after Decision.RetryAfter
+	Reject                 // reject the job; the client can retry after Decision.RetryAfter
 	Fail                   // fail the job, because it has possibly run and a retry could have a duplicate effect
 )
 
@@ -35,7 +35,7 @@
 	SendHealthCheck              // send a health check to DueTask.Executor
 )
 
-// DueTask is the result of NextTask. Besides Task, only those fields are set that the comment of the Task constant names.
+// DueTask is the result of NextTask. Besides Task, only the fields named in the comment of the Task constant are set.
 type DueTask struct {
 	Task     Task
 	At       time.Duration
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -105,7 +105,7 @@
 		latestStart = d.latestStart(j, d.pace(e, now))
 	}
 	if e == nil || now > latestStart {
-		// No executor has a token for the job, or the chosen executor would now end it too late. The job stays queued as
+		// No executor has a token for the job, or the chosen executor would complete it too late. The job stays queued as
 		// long as the fastest executor could still complete it in time.
 		latestStart = d.latestStart(j, d.bestPaceFor(j, now))
 		if now > latestStart {
@@ -132,9 +132,9 @@
 	return d.dispatch(j, e, now)
 }
 
-// schedulePlacement sets a timer that has Place called again for a queued job. It is due when Place can first decide
-// differently even if no token is released until then. That is when the job is allowed to use other zones, when it
-// becomes late, when its latest start has passed, or when its deadline is reached.
+// schedulePlacement sets a timer that has Place called again for a queued job. The timer is due when Place can first
+// decide differently even if no token is released until then. That is when the job is allowed to use other zones, when
+// it becomes late, when its latest start has passed, or when its deadline is reached.
 func (d *Dispatcher) schedulePlacement(j *job, latestStart, now time.Duration) {
 	next := min(max(latestStart, now)+d.config.quantum, j.deadlineAt-d.config.quantum)
 	crossesAt := j.queuedAt + d.crossZoneDelay(j)
@@ -179,8 +179,8 @@
 	d.recordAlive(a.executor, now)
 }
 
-// AttemptEnded records an attempt's outcome and decides what to do with the job next. With final, the job is finished,
-// by this outcome or by an earlier event, and no further attempt is sent.
+// AttemptEnded records an attempt's outcome and decides what to do with the job next. If final is set, the job is
+// finished, by this outcome or by an earlier event, and no further attempt is sent.
 func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, number AttemptID, outcome Outcome, final bool) Decision {
 	d.beginTurn(now)
 	a := d.findAttempt(id, number)
@@ -206,7 +206,7 @@
 	return d.Place(now, id)
 }
 
-// ClientLeft records that a job's client no longer waits for the answer. The job then needs none.
+// ClientLeft records that a job's client no longer waits for the answer. The job then needs no answer.
 func (d *Dispatcher) ClientLeft(now time.Duration, id JobID) {
 	if j := d.jobs[id]; j != nil {
 		d.finish(j, now)
@@ -233,7 +233,7 @@
 	if task, found := d.runTimers(now); found {
 		return task
 	}
-	if j := d.nextPlaceable(now); j != nil { // a timer may have released a token
+	if j := d.nextPlaceable(now); j != nil { // a timer has possibly released a token
 		return DueTask{Task: PlaceJob, Job: j.id}
 	}
 	d.exchangeLeases(now)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,7 +1,6 @@
 // Package policy schedules batch jobs for one node: it decides which executor gets which job, and when. It does no I/O
 // and reads no clock. It is called by the node's state machine (internal/node) and the simulator's adapter
-// (internal/benchwire). With each call
-// they pass the time since the node's start.
+// (internal/benchwire). With each call they pass the time since the node's start.
 //
 // # Calls
 //
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -10,7 +10,7 @@
 
 const (
 	minWeight           = 1e-3 // lower bound of an executor's weight; smaller weights are raised to it
-	maxSingleInsertions = 8    // up to this many new executors are inserted one by one; for more, the whole list is sorted
+	maxSingleInsertions = 8    // up to this many new executors are inserted one by one; for more, all executors are sorted
 	pollIntervalDivisor = 8    // the poll interval is Settings.PollWithin divided by this
 	pollSpreadDivisor   = 2    // the first polls of many nodes are spread over Settings.PollWithin divided by this
 	minPollJitter       = 0.5  // the delay after a failed poll is the poll interval times (this + a random number, 0 to 1)
@@ -29,7 +29,7 @@
 	unranked   []*executor                // new executors that are not in ranked yet
 	kinds      map[KindID]*kindStats
 	updates    int  // number of updates of the endpoint list so far
-	anyRemoved bool // if false, no executor in this table was removed from the endpoint list
+	anyRemoved bool // some executor in this table was possibly removed from the endpoint list; false: none was
 }
 
 // endpointPoll schedules the requests for the endpoint list. It is used if the discovery service has to be polled.
@@ -184,8 +184,8 @@
 }
 
 // spreadPolls sets the poll interval and the time of the first poll, given the time within which a node must have the
-// endpoint list. If there are enough nodes for subsetting, their first polls are spread by node number. Otherwise all
-// nodes would load discovery at once. Until its first poll, a node uses its cached list.
+// endpoint list. If there are enough nodes for subsetting, their first polls are spread by node number, so that they
+// don't load discovery all at once. Until its first poll, a node uses its cached list.
 func (d *Dispatcher) spreadPolls(within time.Duration) {
 	d.poll.interval = within / pollIntervalDivisor
 	if d.usesSubset() {
