--- a/cmd/birchstair/store.go
+++ b/cmd/birchstair/store.go
@@ -85,7 +85,8 @@
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	// Printed names, here and below, stay as operators' scripts read them.
+	// Operators' scripts parse this output, so the column names stay: TRACK is the job class, HANDED IN the time of
+	// acceptance, OUTER LIMIT the deadline, SENT the number of attempts.
 	fmt.Fprintln(w, "ID\tTRACK\tHANDED IN\tOUTER LIMIT\tSENT\tLAST RECORD")
 	for _, id := range slices.Sorted(maps.Keys(states)) {
 		state := states[id]
@@ -99,7 +100,8 @@
 // formatTime formats the time of a record.
 func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05.000") }
 
-// outcomeNames are the printed names of final answers, indexed by leases.Outcome. They stay as operators' scripts read them.
+// outcomeNames are the printed names of final answers, indexed by leases.Outcome. Operators' scripts parse them, so they stay:
+// "handled" is leases.Succeeded, "pushed back" leases.Rejected, "broken off" leases.Failed.
 var outcomeNames = [...]string{"handled", "pushed back", "broken off"}
 
 // describeRecord returns a record's kind and its most important values.
@@ -131,7 +133,8 @@
 		found = true
 		line := formatTime(r.At) + "  " + describeRecord(r)
 		if r.Kind == store.Accepted {
-			// The labels stay as operators' scripts read them: "outer limit" is the deadline, "tag" the idempotency key.
+			// Operators' scripts parse the labels, so they stay: "track" is the job class, "outer limit" the deadline, "tag" the
+			// idempotency key.
 			line += fmt.Sprintf(": track %s, outer limit %s, %s, %d bytes", r.JobClass, formatTime(r.Deadline), r.URI, len(r.Body))
 			if r.IdempotencyKey != "" {
 				line += ", tag " + r.IdempotencyKey
--- a/internal/admin/codec.go
+++ b/internal/admin/codec.go
@@ -112,7 +112,8 @@
 }
 
 // decodeReply decodes the lines of a reply to a command, without the end marker. Its error says why the node refused the
-// command, or what is wrong with the reply.
+// command, or what is wrong with the reply. Operators' scripts may match the errors, so they stay: "callers" are admin
+// connections, "ends" means that the node is shutting down, "figures" are the lines of the reply.
 func decodeReply(command node.AdminCommand, lines []string) ([]string, error) {
 	if len(lines) == 0 {
 		return nil, errors.New("the node closed without an answer: it has too many callers, or ends")
--- a/internal/cluster/describe.go
+++ b/internal/cluster/describe.go
@@ -52,6 +52,8 @@
 }
 
 func describeThreshold(threshold policy.AdmissionThreshold) string {
+	// Operators' tools parse the names, so they stay: cut_line is the admission threshold, rung its priority level,
+	// earnings_for_work the value density of that level, part the fraction of that level's work that is admitted.
 	if threshold.Level == 0 {
 		return "cut_line none"
 	}
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -126,7 +126,8 @@
 	return newlyDraining
 }
 
-// Reasons for dropping a message, as Describe shows them to operators.
+// Reasons for dropping a message. Describe shows them to operators after "dropped=N words", where "words" means messages. "Of an
+// earlier life" means that the message has an older incarnation.
 const (
 	dropOwnName          = "in this node's own name"
 	dropUnreadForLong    = "unread for long"
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -41,9 +41,10 @@
 
 // Constants that determine how much work is admitted while the threshold rejects jobs.
 const (
-	// toleratedExpiredFraction is the fraction of the finished work that expires at pressure 1.
+	// toleratedExpiredFraction is the tolerated fraction of the finished work that expires. Pressure is 1 when it is reached.
 	toleratedExpiredFraction = 0.05
-	// toleratedWait is the fraction of its slack that a job waits, on average, at pressure 1.
+	// toleratedWait is the tolerated average waiting time of jobs, as a fraction of their slack: the time that the latency
+	// objective leaves beyond the work. Pressure is 1 when it is reached.
 	toleratedWait = 0.4
 	// admitHeadroom is the fraction by which the admitted work may grow when there is no pressure.
 	admitHeadroom = 0.25
--- a/internal/durable/codec.go
+++ b/internal/durable/codec.go
@@ -55,11 +55,13 @@
 	return &statusError{status: http.StatusBadRequest, message: fmt.Sprintf(format, args...)}
 }
 
-// retryAfter is the Retry-After time in responses to submissions that may soon succeed.
+// retryAfter is the Retry-After time in responses to submissions that may succeed if they are repeated soon.
 const retryAfter = 2 * time.Second
 
 // errorResponses maps errors to their responses. The first entry that the error wraps is used: an error of a full store wraps
-// both store.ErrFull and errStore.
+// both store.ErrFull and errStore. Clients receive the messages, so they stay: "pushed back" means rejected, "it is being put on
+// the disk" that an earlier submission of the job is still being written, "takes nothing" that a write has failed, "handed in"
+// submitted, and "let go" removed.
 var errorResponses = []struct {
 	err      error
 	response statusError
--- a/internal/durable/http.go
+++ b/internal/durable/http.go
@@ -63,6 +63,7 @@
 	case http.MethodDelete:
 		return http.StatusNoContent, m.remove(leases.ID(id))
 	}
+	// Clients receive the message, so it stays: PUT submits a job, GET queries it and DELETE removes it.
 	return 0, &statusError{
 		status:  http.StatusMethodNotAllowed,
 		message: "durable batch jobs come by PUT, are asked for by GET and let go by DELETE",
--- a/internal/durable/interceptors.go
+++ b/internal/durable/interceptors.go
@@ -72,8 +72,8 @@
 	})
 }
 
-// SetReady resumes the recovered jobs when the node becomes ready for the first time, which is when it has an endpoint list. A
-// node that is no longer ready is shutting down.
+// SetReady(true) resumes the recovered jobs the first time that the node becomes ready, which is when it has an endpoint list.
+// SetReady(false) stops the job table: a node becomes unready only when it shuts down.
 func (e *frontendInterceptor) SetReady(ready bool) {
 	m := (*Manager)(e)
 	m.mu.Lock()
--- a/internal/durable/lease_query.go
+++ b/internal/durable/lease_query.go
@@ -74,7 +74,7 @@
 }
 
 // leasePath is the path under which executors that support leases are queried: GET /-/leases/JOB?epoch=N. An executor that is
-// queried about an epoch that it has not started must refuse that epoch from then on.
+// queried about an epoch of which it has started no attempt must refuse an attempt of that epoch from then on.
 const leasePath = "/-/leases/"
 
 // maxLeaseBytes limits the length of a response: JSON that holds a result in base64, which takes 4/3 of the result's size.
--- a/internal/frontend/codec.go
+++ b/internal/frontend/codec.go
@@ -49,6 +49,8 @@
 	return &requestError{status: http.StatusBadRequest, reason: fmt.Sprintf(format, args...)}
 }
 
+// Clients receive these texts, so they stay: "in hand" means in flight, and "here" at the paths of Server.prefixHandlers, which
+// accept no chunked bodies.
 var (
 	bodyTooLarge = &requestError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB", false}
 	duplicateID  = &requestError{http.StatusConflict, "X-Call-Id: a batch job of this id is in hand", false}
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -54,7 +54,8 @@
 	Hash    uint32 // hash that identifies the executor
 }
 
-// Reasons for dropping a message. Operators read these texts in an answer of the admin API, after "dropped=N words".
+// Reasons for dropping a message. Operators read these texts in an answer of the admin API, after "dropped=N words", where
+// "words" means messages.
 var (
 	errTooLong      = errors.New("longer than a word may be")
 	errMalformed    = errors.New("that make no sense")
--- a/internal/leases/recovery.go
+++ b/internal/leases/recovery.go
@@ -67,8 +67,9 @@
 	return t.finish(now)
 }
 
-// resume continues a job after the attempt that was queried is known never to have run. The job is submitted again, or
-// the next attempt that may have run is queried.
+// resume continues a job after the attempt that was queried is known never to have run. Past its deadline the job
+// expires. Before that, it is submitted again if it may still be sent (retryUntil), and otherwise the next attempt that
+// may have run is queried.
 func (t *JobTable) resume(now time.Duration, j *job) {
 	switch {
 	case now >= j.Deadline:
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -136,7 +136,8 @@
 	}
 	h.awaitingState, h.stateDeadline = true, n.now+stateTimeout
 	n.emit(Log{Text: "handoff: waiting for the predecessor's state"})
-	n.policy.BlockSlowStartUntil(n.now, policy.Forever) // until the predecessor yields, only it may use them
+	// Until the predecessor yields, only the predecessor may send jobs to executors in slow start.
+	n.policy.BlockSlowStartUntil(n.now, policy.Forever)
 	n.updateLimits()
 }
 
--- a/internal/node/job_classes.go
+++ b/internal/node/job_classes.go
@@ -16,7 +16,7 @@
 	lastIDByName map[string]policy.JobClassID // the newest ID of each class name ever configured
 }
 
-// set replaces the current classes. It returns the update for the policy, and the names of the classes that got new IDs in the
+// set replaces the current classes. It returns the updates for the policy, and the names of the classes that got new IDs in the
 // order of these IDs.
 func (c *jobClasses) set(classes []JobClass) (updates []policy.JobClassUpdate, added []string) {
 	var current []NumberedClass
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -64,7 +64,7 @@
 // Observer is called after every step, before the effects are carried out. It must not retain the effects.
 type Observer func(now time.Duration, ev Event, effects []Effect)
 
-// Sizes of the event queues: the number of events that the edges can post before they block until the loop reads one.
+// Sizes of the event queues: how many events can wait for the loop. An edge that posts to a full queue blocks.
 const (
 	eventQueueSize       = 256
 	urgentEventQueueSize = 16
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -116,8 +116,8 @@
 	return result
 }
 
-// outcomeOfStatus returns the outcome for a response with a status other than 200, and a detail for the log. After a response
-// that the protocol does not define, the attempt may have run.
+// outcomeOfStatus returns the outcome for a response with a status other than 200, and a detail for the log. For
+// a response that the protocol does not define, it returns the outcome of an attempt that may have run.
 func outcomeOfStatus(response *http.Response) (outcome policy.Outcome, detail string) {
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -136,7 +136,7 @@
 // confirmRejection waits for staleWindow whether another response follows. If one does, the rejection may not be the response
 // to this attempt, and the error means that the attempt may have run.
 func (c *executorConn) confirmRejection(r *bufio.Reader, rest io.Reader) error {
-	if rest == nil {
+	if rest == nil { // the executor closes the connection, so no further response can follow on it
 		return errors.New("response may belong to the previous attempt, and the connection ends")
 	}
 	c.conn.SetReadDeadline(time.Now().Add(staleWindow))
