--- a/cmd/birchstair/config.go
+++ b/cmd/birchstair/config.go
@@ -32,12 +32,12 @@
 		return err
 	}
 	if c.Site != "" {
-		fmt.Printf("%s is sound: durable batch jobs are %s, gossip between nodes is %s\n", c.Site,
+		fmt.Printf("%s is valid: durable batch jobs are %s, gossip between nodes is %s\n", c.Site,
 			onOff(siteConfig.Durable != nil), onOff(siteConfig.Cluster != nil))
 	}
 	node.reservePeerDescriptors(siteConfig)
 	clients, executors := node.ConnLimits()
-	fmt.Printf("%s is sound: %d tracks, at most %d connections from clients and %d to executors\n",
+	fmt.Printf("%s is valid: %d tracks, at most %d connections from clients and %d to executors\n",
 		os.Getenv("ROUTER_CONFIG"), len(node.Settings.JobClassNames), clients, executors)
 	p := node.Settings.Policy
 	probes := "off"
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -43,7 +43,7 @@
 
 // serveCmd runs a node.
 type serveCmd struct {
-	Site string `type:"path" placeholder:"FILE" help:"The operator's site file: settings beyond the platform's configuration."`
+	Site string `type:"path" placeholder:"FILE" help:"The operator's site file: TOML settings that the node's configuration, which the platform writes, does not have."`
 }
 
 // Run runs a node until SIGTERM or SIGINT, and reloads its configuration on SIGHUP.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -96,7 +96,7 @@
 		return nil
 	}
 	if c.ListenFD, err = strconv.Atoi(text); err != nil || c.ListenFD <= maxStandardFD {
-		return fmt.Errorf("ROUTER_LISTEN_FD: %.40q is not a descriptor over %d", text, maxStandardFD)
+		return fmt.Errorf("ROUTER_LISTEN_FD: %.40q is not a file descriptor above %d", text, maxStandardFD)
 	}
 	c.SharedDir = env("TMPDIR")
 	return nil
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -15,7 +15,7 @@
 func (c *Config) MissingKey(other *Config) error {
 	for _, key := range slices.Sorted(maps.Keys(c.keys)) {
 		if !other.keys[key] {
-			return fmt.Errorf("%s: missing, and it was there before", key)
+			return fmt.Errorf("%s: missing, but set in the configuration before the reload", key)
 		}
 	}
 	return nil
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -47,9 +47,9 @@
 	case u.complete:
 		return u, nil
 	case r.complete:
-		return update{}, malformedf("got changes where the complete list was requested")
+		return update{}, malformedf("got changes instead of the requested complete list")
 	case u.version < r.version:
-		return update{}, malformedf("got changes up to version %d where those since version %d were requested", u.version, r.version)
+		return update{}, malformedf("got changes only up to version %d; requested those since version %d", u.version, r.version)
 	}
 	return u, nil
 }
--- a/internal/durable/submit.go
+++ b/internal/durable/submit.go
@@ -14,7 +14,7 @@
 // Errors of the operations that clients request. errorResponses maps them to HTTP responses.
 var (
 	errNotReady = errors.New("the node is not ready")
-	errWriting  = errors.New("the submission is being written")
+	errWriting  = errors.New("an earlier submission of this job is still being written")
 	errConflict = errors.New("another job has this id")
 	errNotFound = errors.New("no such job")
 	errNotFinal = errors.New("the job has no final answer")
--- a/internal/site/cluster.go
+++ b/internal/site/cluster.go
@@ -49,15 +49,17 @@
 	}
 	switch {
 	case len(c.Name) > maxNameBytes:
-		return clusterKeyError("name", fmt.Errorf("over %d bytes", maxNameBytes))
+		return clusterKeyError("name", fmt.Errorf("%.40q is over %d bytes long", c.Name, maxNameBytes))
 	case time.Duration(c.GossipInterval) < minGossipInterval:
-		return clusterKeyError("every", fmt.Errorf("under %v", minGossipInterval))
+		return clusterKeyError("every", fmt.Errorf("%v is under %v", time.Duration(c.GossipInterval), minGossipInterval))
 	case c.Fanout < 1 || c.Fanout > maxFanout:
-		return clusterKeyError("tell", fmt.Errorf("not from 1 to %d", maxFanout))
+		return clusterKeyError("tell", fmt.Errorf("%d is not from 1 to %d", c.Fanout, maxFanout))
 	case c.PeerStateTTL < minMessagesForState*c.GossipInterval:
-		return clusterKeyError("view-for", errors.New("under four times every: one or two lost messages would make the rates of a peer unusable"))
+		return clusterKeyError("view-for", fmt.Errorf(
+			"%v is under four times the value of every, %v: one or two lost messages would make the rates of a peer unusable",
+			time.Duration(c.PeerStateTTL), time.Duration(c.GossipInterval)))
 	case c.DrainTTL < c.PeerStateTTL:
-		return clusterKeyError("drain-for", errors.New("under view-for"))
+		return clusterKeyError("drain-for", fmt.Errorf("%v is under the value of view-for, %v", time.Duration(c.DrainTTL), time.Duration(c.PeerStateTTL)))
 	}
 	return nil
 }
--- a/internal/site/durable.go
+++ b/internal/site/durable.go
@@ -60,13 +60,13 @@
 	case !d.Retention.Within(minRetention, maxRetention):
 		return durableKeyError("keep", fmt.Errorf("%v is not from 1s to %v", time.Duration(d.Retention), maxRetention))
 	case d.SegmentSize < minSegmentSize:
-		return durableKeyError("segment", fmt.Errorf("under %d KiB", minSegmentSize>>10))
+		return durableKeyError("segment", fmt.Errorf("%d bytes is under %d KiB", d.SegmentSize, minSegmentSize>>10))
 	case d.MaxSize < minSegments*d.SegmentSize:
-		return durableKeyError("most", errors.New("under four segments: compaction would have no space to work in"))
+		return durableKeyError("most", fmt.Errorf("%d bytes is under four segments of %d bytes: compaction would have no space to work in", d.MaxSize, d.SegmentSize))
 	case d.MaxConcurrent < 1:
-		return durableKeyError("in-hand", errors.New("under 1"))
+		return durableKeyError("in-hand", fmt.Errorf("%d is under 1", d.MaxConcurrent))
 	case time.Duration(d.PollInterval) < minPollInterval:
-		return durableKeyError("ask-every", fmt.Errorf("under %v", minPollInterval))
+		return durableKeyError("ask-every", fmt.Errorf("%v is under %v", time.Duration(d.PollInterval), minPollInterval))
 	}
 	return nil
 }
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -68,7 +68,7 @@
 func decodeReason(err *toml.DecodeError) string {
 	text := strings.TrimPrefix(err.Error(), "toml: ")
 	if types := typeMismatch.FindStringSubmatch(text); types != nil {
-		return fmt.Sprintf("a %s does not belong there, but one of type %s", types[1], types[2])
+		return fmt.Sprintf("the value has type %s instead of %s", types[1], types[2])
 	}
 	return text
 }
--- a/internal/tomlfile/units.go
+++ b/internal/tomlfile/units.go
@@ -14,7 +14,7 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no span of time, such as \"1.5s\"", text)
+		return fmt.Errorf("%q is not a duration like \"1.5s\"", text)
 	}
 	if parsed < 0 {
 		return fmt.Errorf("%q is under 0", text)
@@ -62,7 +62,7 @@
 		*s = ByteSize(n * unit.bytes)
 		return nil
 	}
-	return fmt.Errorf("%q is no size, such as \"64MiB\"; units are B, KiB, MiB and GiB", text)
+	return fmt.Errorf("%q is not a size like \"64MiB\"; units are B, KiB, MiB and GiB", text)
 }
 
 // MarshalText writes a size with the largest unit of which it is a whole multiple.
