--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -87,6 +87,7 @@
 
 // validate returns an error that names the first invalid key of the settings, or nil. It does not check the values of
 // tenants and job classes, which have validate methods of their own.
+// Its texts, and those of the three methods below, are also sent to the simulator, so they don't change.
 func (w *settingsJSON) validate() error {
 	caps, rules := &w.Caps, &w.Rules
 	for _, check := range [...]struct {
@@ -95,21 +96,21 @@
 		reason  string
 	}{
 		{w.Nodes < 1, "balancers", "fewer than one node"},
-		{w.Node < 0 || w.Node >= w.Nodes, "my-number", fmt.Sprintf("%d is not the number of a node, from 0 to %d", w.Node, w.Nodes-1)},
-		{w.Zone < 0 || len(w.Zones) > 0 && w.Zone >= len(w.Zones), "locality", fmt.Sprintf("%d is not an index in areas", w.Zone)},
-		{w.Quantum < 0, "quantum-s", fmt.Sprintf("%g is negative", w.Quantum)},
+		{w.Node < 0 || w.Node >= w.Nodes, "my-number", "not one of the nodes, which count from 0"},
+		{w.Zone < 0 || len(w.Zones) > 0 && w.Zone >= len(w.Zones), "locality", "not one of areas"},
+		{w.Quantum < 0, "quantum-s", "under 0"},
 		{caps.MaxAttempts < 1, "caps.max-allocations", "missing, or under 1"},
-		{caps.MaxRetryAfter < 0, "caps.max-retry-after-s", fmt.Sprintf("%g is negative", caps.MaxRetryAfter)},
-		{caps.IdleTimeout < 0, "caps.conn-idle-s", fmt.Sprintf("%g is negative", caps.IdleTimeout)},
-		{caps.DialTimeout < 0, "caps.dial-timeout-s", fmt.Sprintf("%g is negative", caps.DialTimeout)},
-		{rules.SlowStartCapacity < 0 || rules.SlowStartCapacity > 1, "rules.cold-share", fmt.Sprintf("%g is not between 0 and 1", rules.SlowStartCapacity)},
-		{rules.SlowStartDuration < 0, "rules.warm-within-s", fmt.Sprintf("%g is negative", rules.SlowStartDuration)},
-		{rules.OverloadMultiple < 0, "rules.fall-multiple", fmt.Sprintf("%g is negative", rules.OverloadMultiple)},
-		{rules.OverloadWindow < 0, "rules.fall-s", fmt.Sprintf("%g is negative", rules.OverloadWindow)},
-		{rules.DrainGrace < 0, "rules.drain-grace-s", fmt.Sprintf("%g is negative", rules.DrainGrace)},
-		{w.Domain.ProgressInterval < 0, "domain.progress-s", fmt.Sprintf("%g is negative", w.Domain.ProgressInterval)},
+		{caps.MaxRetryAfter < 0, "caps.max-retry-after-s", "under 0"},
+		{caps.IdleTimeout < 0, "caps.conn-idle-s", "under 0"},
+		{caps.DialTimeout < 0, "caps.dial-timeout-s", "under 0"},
+		{rules.SlowStartCapacity < 0 || rules.SlowStartCapacity > 1, "rules.cold-share", "not between 0 and 1"},
+		{rules.SlowStartDuration < 0, "rules.warm-within-s", "under 0"},
+		{rules.OverloadMultiple < 0, "rules.fall-multiple", "under 0"},
+		{rules.OverloadWindow < 0, "rules.fall-s", "under 0"},
+		{rules.DrainGrace < 0, "rules.drain-grace-s", "under 0"},
+		{w.Domain.ProgressInterval < 0, "domain.progress-s", "under 0"},
 		{len(w.JobClasses) == 0, "tracks", "missing, or empty"},
-		{!slices.Contains(reportModes, w.Report.How), "report.how", fmt.Sprintf("unknown value %.40q; want one of inline, on_probe, off", w.Report.How)},
+		{!slices.Contains(reportModes, w.Report.How), "report.how", "none of inline, on_probe and off"},
 	} {
 		if check.invalid {
 			return fmt.Errorf("settings.%s: %s", check.key, check.reason)
@@ -135,7 +136,7 @@
 		{"domain.progress-s", w.Domain.ProgressInterval},
 	} {
 		if field.seconds > maxSeconds {
-			return fmt.Errorf("settings.%s: %g s is over the limit of %g s", field.key, field.seconds, maxSeconds)
+			return fmt.Errorf("settings.%s: over %g s", field.key, maxSeconds)
 		}
 	}
 	return nil
@@ -145,7 +146,7 @@
 // sign of their sums.
 func (t tenantJSON) validate(index int) error {
 	if !(t.QuotaPerSecond >= 0 && t.QuotaPerSecond <= maxQuotaPerSecond) { // the negation also refuses NaN
-		return fmt.Errorf("settings.projects[%d].quota-per-s: %g is not between 0 and %g", index, t.QuotaPerSecond, maxQuotaPerSecond)
+		return fmt.Errorf("settings.projects[%d].quota-per-s: not between 0 and %g", index, maxQuotaPerSecond)
 	}
 	return nil
 }
@@ -153,10 +154,10 @@
 // validate checks the job class with the given index.
 func (c *jobClassJSON) validate(index int) error {
 	if _, ok := idempotencies[c.Idempotency]; !ok {
-		return fmt.Errorf("settings.tracks[%d].repeat: unknown value %.40q; want one of repeatable, by_key, once", index, c.Idempotency)
+		return fmt.Errorf("settings.tracks[%d].repeat: %.40q is none of the kinds", index, c.Idempotency)
 	}
 	if _, ok := dedupGroups[c.DedupGroup]; !ok {
-		return fmt.Errorf("settings.tracks[%d].dedup-scope: unknown value %.40q; want one of all, zone, cell", index, c.DedupGroup)
+		return fmt.Errorf("settings.tracks[%d].dedup-scope: %.40q is none of the groups", index, c.DedupGroup)
 	}
 	switch {
 	case c.LatencyObjective <= 0:
@@ -164,8 +165,7 @@
 	case c.Deadline <= 0:
 		return fmt.Errorf("settings.tracks[%d].outer-limit-s: missing, or not over 0", index)
 	case max(c.LatencyObjective, c.Deadline, c.DedupWindow) > maxSeconds:
-		return fmt.Errorf("settings.tracks[%d]: one of quoted-time-s, outer-limit-s and dedup-window-s is %g s, over the limit of %g s",
-			index, max(c.LatencyObjective, c.Deadline, c.DedupWindow), maxSeconds)
+		return fmt.Errorf("settings.tracks[%d]: a time over %g s", index, maxSeconds)
 	}
 	return nil
 }
