--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -25,8 +25,8 @@
 	finals = map[string]int{}
 	synctesting.Test(t, func(t *testing.T) {
 		sim := newSimulation(t, seed, s)
-		sim.disk.Lies = s.lyingDisk
-		sim.disk.Slow(s.syncTime)
+		sim.disk.IgnoresSyncs = s.lyingDisk
+		sim.disk.SetSyncDelay(s.syncTime)
 		crashed := sim.scheduleCrash()
 		process := sim.startNode()
 		var clients sync.WaitGroup
@@ -191,7 +191,7 @@
 		sim := newSimulation(t, 1, scenario{})
 		process := sim.startNode()
 		time.Sleep(time.Second)
-		sim.disk.Slow(10 * time.Second)
+		sim.disk.SetSyncDelay(10 * time.Second)
 		start := time.Now()
 		acknowledged := make(chan time.Duration, 1)
 		go func() {
@@ -217,7 +217,7 @@
 		if took := <-acknowledged; took < 10*time.Second {
 			t.Errorf("the durable job was acknowledged after %v, before its record was synced", took)
 		}
-		sim.disk.Slow(0)
+		sim.disk.SetSyncDelay(0)
 		process.kill()
 		sim.net.Shutdown()
 		time.Sleep(30 * time.Second)
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -182,7 +182,7 @@
 func (b *baseline) earliestAnswer(job *baselineJob) policy.ExecutorID {
 	sim := b.node.sim
 	if b.noSlotAt == sim.now {
-		return "" // no time has passed since no slot was free
+		return "" // no slot was free earlier at this instant; it is taken that none has become free since
 	}
 	var earliest *executor
 	earliestDone, earliestAnywhere := policy.Forever, policy.Forever
@@ -211,7 +211,7 @@
 // usable returns whether an executor is available both in the endpoint list and in fact.
 func (b *baseline) usable(x *executor) bool {
 	faults := x.Faults()
-	healthy := x.Up && !x.unreachable && !x.Draining && !faults.Unresponsive && faults.Errors <= 0
+	healthy := x.Up && !x.unreachable && !x.Draining && !faults.Unresponsive && faults.ErrorRate <= 0
 	return b.available[x.ID] && healthy && b.node.sim.linked(b.node.zone, x.Zone)
 }
 
--- a/internal/simulation/kill_run_test.go
+++ b/internal/simulation/kill_run_test.go
@@ -13,12 +13,12 @@
 func TestKilledNodes(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	binary, err := golden.Program(dir)
+	binary, err := golden.BuildProgram(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var wait sync.WaitGroup
-	slots := make(chan struct{}, 8) // more runs at a time than cores, as they mostly wait
+	slots := make(chan struct{}, 8) // runs mostly wait, so that several fit on a core
 	for seed := range uint64(24) {
 		wait.Go(func() {
 			slots <- struct{}{}
--- a/internal/simulation/networked_discovery.go
+++ b/internal/simulation/networked_discovery.go
@@ -65,7 +65,7 @@
 	ns.locked(func() {
 		changed = ns.endpointsChanged
 		discovery := ns.sim.discovery
-		if discovery.Silent() {
+		if discovery.Stopped() {
 			return
 		}
 		version, entries := discovery.Since(ns.sim.now, request.From)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -131,11 +131,11 @@
 
 // Fault is a fault that a scenario injects.
 type Fault struct {
-	Kind  emulator.Kind `toml:"kind"`
-	At    Span          `toml:"at"`              // time at which the fault begins
-	For   Span          `toml:"for"`             // duration of the fault
-	Where []string      `toml:"where,omitempty"` // names of the affected executors, nodes or zones; empty for all
-	Size  float64       `toml:"size,omitempty"`  // magnitude, whose meaning depends on the kind
+	Kind  emulator.FaultKind `toml:"kind"`
+	At    Span               `toml:"at"`              // time at which the fault begins
+	For   Span               `toml:"for"`             // duration of the fault
+	Where []string           `toml:"where,omitempty"` // names of the affected executors, nodes or zones; empty for all
+	Size  float64            `toml:"size,omitempty"`  // magnitude, whose meaning depends on the kind
 }
 
 // Emulated converts the fault to the emulator's type.
@@ -258,7 +258,8 @@
 	slowKind    = policy.KindID(1) // kind of the slower executors; the others are of kind 0
 )
 
-// Spec returns the specification of the executor with the given number. The speed is scaled down if the executor is of the slower kind.
+// Spec returns the specification of the executor with the given number. It has the given speed, multiplied by
+// SlowSpeed/Speed if it is of the slower kind.
 func (s *Scenario) Spec(id string, number int, speed float64) emulator.ExecutorSpec {
 	f := &s.Fleet
 	kind := policy.KindID(0)
@@ -273,11 +274,11 @@
 		Cores:            f.Cores,
 		Speed:            speed,
 		Slots:            f.Slots,
-		Queue:            f.QueueLimit,
+		QueueLimit:       f.QueueLimit,
 		ByPriority:       f.ByPriority,
 		CancelsRunning:   f.CancelsRunning,
 		KeepsQueued:      f.KeepsQueued,
-		SlowStartShare:   f.SlowStartCapacity,
+		InitialCapacity:  f.SlowStartCapacity,
 		SlowStart:        time.Duration(f.SlowStartDuration),
 		OverloadMultiple: f.OverloadMultiple,
 		OverloadWindow:   time.Duration(f.OverloadWindow),
@@ -287,7 +288,7 @@
 		SendsLoad:        f.ReportsLoad,
 		ReportEvery:      time.Duration(f.ReportInterval),
 		ReportNoise:      reportNoise,
-		Conns:            f.MaxExecutorConns,
+		MaxConns:         f.MaxExecutorConns,
 		ConnCost:         time.Duration(f.ConnCost),
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -74,7 +74,7 @@
 func runCrashes(seed uint64, lyingDisk bool) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	c := &crashTest{rand: r, disk: emulator.NewDisk(r), acked: map[string]*acknowledged{}, appended: map[string]bool{}}
-	c.disk.Lies = lyingDisk
+	c.disk.IgnoresSyncs = lyingDisk
 	for range 6 {
 		if err := c.runProcess(); err != nil {
 			return err
@@ -239,7 +239,7 @@
 	if err := appendTo(s, store.Record{Kind: store.Final, ID: "j0", At: day, Body: []byte("r")}); err != nil {
 		t.Errorf("append of a known job's final answer to a full store: %v", err)
 	}
-	disk.Room = 50
+	disk.FreeBytes = 50
 	if err := appendTo(s, store.Record{Kind: store.Final, ID: "j1", At: day, Body: make([]byte, 100)}); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("append on a full disk: error %v, want ErrFailed", err)
 	}
@@ -248,7 +248,7 @@
 		t.Error("the store was opened on a full disk")
 	}
 	disk.Crash()
-	disk.Room = -1
+	disk.FreeBytes = -1
 	if s, err = store.Open(disk, store.Options{SegmentBytes: 1 << 20}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/write_races_test.go
+++ b/internal/upstream/write_races_test.go
@@ -18,7 +18,7 @@
 type haltableConn struct {
 	printer
 	t        *testing.T
-	halts    emulator.Halts
+	halts    emulator.Breakpoints
 	pool     *Pool
 	executor net.Conn
 	in       *bufio.Reader
@@ -97,7 +97,7 @@
 }
 
 // awaitStop waits until a call has reached a stop.
-func (u *haltableConn) awaitStop(s *emulator.Stop) {
+func (u *haltableConn) awaitStop(s *emulator.Breakpoint) {
 	u.t.Helper()
 	select {
 	case <-s.Reached:
@@ -138,15 +138,15 @@
 		}},
 		{"a second response", func(u *haltableConn) { u.respond(emptyResponse(rejectedHead)) }},
 	} {
-		var stop *emulator.Stop
-		u := newUsedConn(t, c.title, func(u *haltableConn) { stop = u.halts.On(1, emulator.BeforeRead, 0) })
+		var stop *emulator.Breakpoint
+		u := newUsedConn(t, c.title, func(u *haltableConn) { stop = u.halts.OnConn(1, emulator.BeforeRead, 0) })
 		u.awaitStop(stop)
 		c.do(u)
-		closes := u.halts.On(1, emulator.BeforeClose, 0) // the writer closes the connection instead of writing
+		closes := u.halts.OnConn(1, emulator.BeforeClose, 0) // the writer closes the connection instead of writing
 		u.pool.Write(1, atMostOnce("j2"))
 		u.awaitStop(closes)
-		closes.Go()
-		stop.Go()
+		closes.Release()
+		stop.Release()
 		u.printUntilClosed()
 		text += u.out.String()
 	}
@@ -163,13 +163,13 @@
 		follow bool
 	}{{"another response follows", true}, {"no response follows", false}} {
 		u := newUsedConn(t, c.title, nil)
-		writes := u.halts.On(1, emulator.BeforeWrite, 0)
+		writes := u.halts.OnConn(1, emulator.BeforeWrite, 0)
 		u.pool.Write(1, atMostOnce("j2"))
 		u.awaitStop(writes)
-		reads := u.halts.On(1, emulator.BeforeRead, 0)
+		reads := u.halts.OnConn(1, emulator.BeforeRead, 0)
 		u.respond(emptyResponse(rejectedHead))
 		u.awaitStop(reads) // the response has been read, and the reader waits for more
-		writes.Go()
+		writes.Release()
 		u.readAttempt()
 		if c.follow {
 			u.respond(okResponse(`{"id":"j2","state":"started"}`))
@@ -179,7 +179,7 @@
 			sent = conn.writeDone
 			conn.mu.Unlock()
 		}
-		reads.Go()
+		reads.Release()
 		if u.printNext(t); c.follow {
 			u.printUntilClosed()
 		} else {
@@ -250,10 +250,10 @@
 		<-proceed
 	}))
 	<-checking
-	stop := u.halts.On(1, emulator.BeforeClose, 0)
+	stop := u.halts.OnConn(1, emulator.BeforeClose, 0)
 	u.executor.Close()
 	u.awaitStop(stop)
-	stop.Go()
+	stop.Release()
 	close(proceed)
 	u.printUntilClosed()
 	text += u.out.String()
