--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -40,7 +40,7 @@
 	names := map[string]bool{}
 	for i, name := range c.Settings.JobClassNames {
 		if name == "" || names[name] {
-			return fmt.Errorf("settings.tracks[%d].name: %q is empty or there twice", i, name)
+			return fmt.Errorf("settings.tracks[%d].name: %q is empty or duplicate", i, name)
 		}
 		names[name] = true
 	}
@@ -73,9 +73,9 @@
 	probe := c.Settings.Probe
 	switch {
 	case probe.Path != "" && (probe.Path[0] != '/' || strings.ContainsAny(probe.Path, " \t\r\n")):
-		return fmt.Errorf("probe.path: %.40q is no path that begins with /", probe.Path)
+		return fmt.Errorf("probe.path: %.40q does not begin with /, or contains white space", probe.Path)
 	case probe.Timeout <= 0 || probe.Timeout > maxProbeTimeout:
-		return fmt.Errorf("probe.timeout_s: not over 0, or over %g", maxProbeTimeout.Seconds())
+		return fmt.Errorf("probe.timeout_s: must be over 0 and at most %g", maxProbeTimeout.Seconds())
 	case probe.Path != "" && !c.Settings.Policy.MayCheckHealth:
 		return errors.New("probe.path: set, but settings.caps.probes is not true or settings.report.how is not on_probe")
 	}
@@ -87,6 +87,7 @@
 
 // validate returns an error that names the first invalid key of the settings, or nil. It does not check the values of
 // tenants and job classes, which have validate methods of their own.
+// Its texts, and those of the three methods below, are also sent to the simulator, so they don't change.
 func (w *settingsJSON) validate() error {
 	caps, rules := &w.Caps, &w.Rules
 	for _, check := range [...]struct {
