--- a/cmd/birchstair-sim/fleet.go
+++ b/cmd/birchstair-sim/fleet.go
@@ -118,12 +118,12 @@
 // printFleet prints the result of a run.
 func printFleet(s simulation.Scenario, r harness.Result, dir string) {
 	fmt.Printf("%s, seed %d, %d nodes, talk %t: earned %.3f, of the best that could be had %.3f; work sent over work finished %.2f; %d works, tries %v, allocations %d\n",
-		s.Name, r.Seed, s.Fleet.Nodes, s.Fleet.Gossip, r.Earned/max(r.Requested, 1e-9), r.Earned/max(r.Best, 1e-9), r.Work/max(r.Finished, 1e-9), r.Works, r.Tries, r.Attempts)
+		s.Name, r.Seed, s.Fleet.Nodes, s.Fleet.Gossip, r.Earned/max(r.Requested, 1e-9), r.Earned/max(r.Best, 1e-9), r.Work/max(r.Finished, 1e-9), r.Works, r.Requests, r.Attempts)
 	if r.LateAttempts > 0 {
 		fmt.Printf("  %d allocations to executors that drain, from nodes that nobody told\n", r.LateAttempts)
 	}
 	if r.SlowStartPeak > 0 {
-		fmt.Printf("  a cold executor was sent %.2f of its budget at the most; %d fell over\n", r.SlowStartPeak, r.Fell)
+		fmt.Printf("  a cold executor was sent %.2f of its budget at the most; %d fell over\n", r.SlowStartPeak, r.Overloaded)
 	}
 	if r.LeftWhileQueued > 0 {
 		fmt.Printf("  %d clients left while their batch jobs waited, %d attempts too late after that\n", r.LeftWhileQueued, r.SentAfterClientLeft)
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -243,7 +243,7 @@
 	r, work := c.cluster, t.work
 	delete(r.requests, t.job)
 	r.endedAt[t.job] = r.now()
-	r.result.Tries[endNames[how]]++
+	r.result.Requests[endNames[how]]++
 	complete := how == emulator.EndSucceeded || how == emulator.EndRejected
 	switch {
 	case how == emulator.EndUnreached || t.excused:
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -75,7 +75,7 @@
 func Play(s simulation.Scenario, o Options) (result Result, err error) {
 	r := &cluster{scenario: s, options: o, start: time.Now(), rand: rand.New(rand.NewPCG(o.Seed, 9)),
 		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.DiscoveryLag)), listChanged: make(chan struct{}), requests: map[policy.JobID]*request{}, endedAt: map[policy.JobID]time.Duration{}, clientLeftAt: map[policy.JobID]time.Duration{},
-		memories: emulator.DedupMemories{}, drainKnownAt: map[policy.ExecutorID]time.Duration{}, result: Result{Seed: o.Seed, Tries: map[string]int{}}}
+		memories: emulator.DedupMemories{}, drainKnownAt: map[policy.ExecutorID]time.Duration{}, result: Result{Seed: o.Seed, Requests: map[string]int{}}}
 	r.classes, r.policyClasses = s.JobClasses()
 	r.checker = invariants.New(invariants.Settings{Classes: r.policyClasses, AnswerSlack: slack, DrainGrace: time.Duration(s.Fleet.DrainGrace) + slack, PromptWithin: time.Hour,
 		SlowStart: time.Duration(s.Fleet.SlowStartDuration), SlowStartMultiple: arrivalMargin * s.Fleet.OverloadMultiple, SlowStartWindow: time.Duration(s.Fleet.OverloadWindow), MeanWork: s.MeanWork(), Hedging: s.Fleet.MayHedge})
--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -207,7 +207,7 @@
 				s.conn.Close()
 			}
 		case emulator.Crashed:
-			r.result.Fell++
+			r.result.Overloaded++
 			r.note("%s fell over", x.ID)
 		}
 	}
--- a/internal/harness/node_files.go
+++ b/internal/harness/node_files.go
@@ -32,51 +32,51 @@
 func (p *nodeProcess) config() NodeConfig {
 	r, f := p.cluster, &p.cluster.scenario.Fleet
 	settings := NodeSettings{
-		Areas:     f.Zones,
-		Balancers: f.Nodes,
+		Zones: f.Zones,
+		Nodes: f.Nodes,
 		Caps: NodeCaps{
-			Cancel:         true,
-			ConnIdle:       time.Duration(f.IdleTimeout).Seconds(),
-			DialTimeout:    time.Duration(f.DialTimeout).Seconds(),
-			MaxAllocations: f.MaxAttempts,
-			MaxRetryAfter:  time.Duration(f.MaxRetryAfter).Seconds(),
-			Peers:          &f.Leases,
-			RetryAfter:     f.MaxRetryAfter > 0,
-			SecondCopies:   &f.MayHedge,
+			Cancel:        true,
+			IdleTimeout:   time.Duration(f.IdleTimeout).Seconds(),
+			DialTimeout:   time.Duration(f.DialTimeout).Seconds(),
+			MaxAttempts:   f.MaxAttempts,
+			MaxRetryAfter: time.Duration(f.MaxRetryAfter).Seconds(),
+			Gossip:        &f.Leases,
+			RetryAfter:    f.MaxRetryAfter > 0,
+			Hedging:       &f.MayHedge,
 		},
-		Discovery:   "push",
-		Domain:      NodeDomain{Progress: new(time.Duration(f.ProgressInterval).Seconds()), ReportX0: "free slots", TellsStart: f.StartNotices},
-		EarningsPer: "request",
-		Flavors:     []string{"plain"},
-		Locality:    int(p.zone),
-		MyNumber:    int(p.id),
-		Prices:      &NodePrices{CrossZone: f.CrossZoneCost},
-		Quantum:     0.004,
+		Discovery: "push",
+		Domain:    NodeDomain{ProgressInterval: new(time.Duration(f.ProgressInterval).Seconds()), MeaningX0: "free slots", StartNotices: f.StartNotices},
+		ValuePer:  "request",
+		Kinds:     []string{"plain"},
+		Zone:      int(p.zone),
+		Node:      int(p.id),
+		Prices:    &NodePrices{CrossZone: f.CrossZoneCost},
+		Quantum:   0.004,
 		Rules: NodeRules{
-			ColdShare:    f.SlowStartCapacity,
-			FallMultiple: f.OverloadMultiple,
-			FallWindow:   time.Duration(f.OverloadWindow).Seconds(),
-			WarmWithin:   time.Duration(f.SlowStartDuration).Seconds(),
+			SlowStartCapacity: f.SlowStartCapacity,
+			OverloadMultiple:  f.OverloadMultiple,
+			OverloadWindow:    time.Duration(f.OverloadWindow).Seconds(),
+			SlowStartDuration: time.Duration(f.SlowStartDuration).Seconds(),
 		},
 		ScoreParts: NodeScoreParts{Class: new(0.2), Whole: 0.8},
 	}
 	if f.ValuePerWork {
-		settings.EarningsPer = "work"
+		settings.ValuePer = "work"
 	}
 	if f.ReportsLoad {
 		settings.Report = InlineReport()
 	}
 	for i, t := range r.scenario.Classes {
-		settings.Tracks = append(settings.Tracks, classConfig(t.Name, r.policyClasses[i]))
+		settings.JobClasses = append(settings.JobClasses, classConfig(t.Name, r.policyClasses[i]))
 	}
 	return NodeConfig{
-		Discovery:  p.discoveryListener.Addr().String(),
-		Limits:     NodeLimits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		Listen:     p.clientAddress,
-		Management: p.adminAddress,
-		Name:       p.name,
-		Seed:       fmt.Sprintf("%016x", r.options.Seed*1000+uint64(p.id)),
-		Settings:   settings,
+		Discovery: p.discoveryListener.Addr().String(),
+		Limits:    NodeLimits{Cores: 1, MemoryMiB: 192, Sockets: 1024},
+		Listen:    p.clientAddress,
+		AdminAddr: p.adminAddress,
+		Name:      p.name,
+		Seed:      fmt.Sprintf("%016x", r.options.Seed*1000+uint64(p.id)),
+		Settings:  settings,
 	}
 }
 
@@ -87,21 +87,21 @@
 )
 
 // classConfig returns the settings of a job class.
-func classConfig(name string, class policy.JobClass) NodeClass {
-	settings := NodeClass{
-		AimStretch: &class.RunTimeFactor,
-		Earnings:   class.Value,
-		Name:       name,
-		OuterLimit: class.Deadline.Seconds(),
-		QuotedTime: class.LatencyObjective.Seconds(),
-		Repeat:     idempotencyNames[class.Idempotency],
+func classConfig(name string, class policy.JobClass) NodeJobClass {
+	settings := NodeJobClass{
+		RunTimeFactor:    &class.RunTimeFactor,
+		Value:            class.Value,
+		Name:             name,
+		Deadline:         class.Deadline.Seconds(),
+		LatencyObjective: class.LatencyObjective.Seconds(),
+		Idempotency:      idempotencyNames[class.Idempotency],
 	}
 	if class.Idempotency == policy.IdempotentWithKey {
-		settings.DedupScope = dedupGroupNames[class.DedupGroup]
+		settings.DedupGroup = dedupGroupNames[class.DedupGroup]
 		settings.DedupWindow = new(class.DedupWindow.Seconds())
 	}
 	if class.LateValue > 0 {
-		settings.LateEarnings = class.LateValue
+		settings.LateValue = class.LateValue
 	}
 	return settings
 }
--- a/internal/harness/options.go
+++ b/internal/harness/options.go
@@ -16,11 +16,11 @@
 	Earned              float64        `json:"Earned"`      // part of it that was answered by the latency objective
 	Best                float64        `json:"Best"`        // upper bound of it by the capacity that there was, most valuable work first
 	Works               int            `json:"Works"`       // pieces of work
-	Tries               map[string]int `json:"Tries"`       // requests, by how they ended
+	Requests            map[string]int `json:"Tries"`       // requests, by how they ended
 	Attempts            int            `json:"Allocations"` // attempts that reached an executor
 	Work                float64        `json:"Work"`        // seconds of work that reached executors
 	Finished            float64        `json:"Finished"`    // seconds of work that they finished
-	Fell                int            `json:"Fell"`        // crashes of executors from overload in slow start
+	Overloaded          int            `json:"Fell"`        // crashes of executors from overload in slow start
 	SlowStartPeak       float64        `json:"ColdMost"`    // largest share of its slow-start budget that an executor got
 	LateAttempts        int            `json:"Late"`        // attempts to draining executors from nodes that had not been notified, long after another node had been
 	LeftWhileQueued     int            `json:"WentWaiting"` // clients that left while their batch jobs had no attempt in flight
--- a/internal/harness/wire_test.go
+++ b/internal/harness/wire_test.go
@@ -18,8 +18,8 @@
 
 // TestResultWireForm pins the JSON form of a result, with each field set and with none.
 func TestResultWireForm(t *testing.T) {
-	set := Result{Seed: 1, Requested: 2, Earned: 3, Best: 4, Works: 5, Tries: map[string]int{"handled": 6}, Attempts: 7, Work: 8, Finished: 9,
-		Fell: 10, SlowStartPeak: 11, LateAttempts: 12, LeftWhileQueued: 13, SentAfterClientLeft: 14, FleetViews: [][]string{{"a"}, nil}, Violations: []string{"w"}}
+	set := Result{Seed: 1, Requested: 2, Earned: 3, Best: 4, Works: 5, Requests: map[string]int{"handled": 6}, Attempts: 7, Work: 8, Finished: 9,
+		Overloaded: 10, SlowStartPeak: 11, LateAttempts: 12, LeftWhileQueued: 13, SentAfterClientLeft: 14, FleetViews: [][]string{{"a"}, nil}, Violations: []string{"w"}}
 	if value := reflect.ValueOf(set); value.Kind() == reflect.Struct {
 		for i := range value.NumField() {
 			if value.Field(i).IsZero() {
--- a/internal/scaletest/real_node.go
+++ b/internal/scaletest/real_node.go
@@ -44,31 +44,31 @@
 // config returns the node's configuration.
 func (p *realNode) config(pt Point, discovery string) harness.NodeConfig {
 	settings := harness.NodeSettings{
-		Areas:       zones,
-		Balancers:   pt.FleetSize,
-		Caps:        harness.NodeCaps{Cancel: true, ConnIdle: 60, DialTimeout: 0.1, MaxAllocations: 3, MaxRetryAfter: 2, RetryAfter: true},
-		Discovery:   "push",
-		Domain:      harness.NodeDomain{ReportX0: "free slots", TellsStart: true},
-		EarningsPer: "request",
-		Flavors:     []string{"plain"},
-		MyNumber:    p.number,
-		Quantum:     0.004,
-		Report:      harness.InlineReport(),
-		Rules:       harness.NodeRules{ColdShare: 0.3, FallMultiple: 4, FallWindow: 1.5, WarmWithin: 9},
-		ScoreParts:  harness.NodeScoreParts{Whole: 1},
+		Zones:      zones,
+		Nodes:      pt.FleetSize,
+		Caps:       harness.NodeCaps{Cancel: true, IdleTimeout: 60, DialTimeout: 0.1, MaxAttempts: 3, MaxRetryAfter: 2, RetryAfter: true},
+		Discovery:  "push",
+		Domain:     harness.NodeDomain{MeaningX0: "free slots", StartNotices: true},
+		ValuePer:   "request",
+		Kinds:      []string{"plain"},
+		Node:       p.number,
+		Quantum:    0.004,
+		Report:     harness.InlineReport(),
+		Rules:      harness.NodeRules{SlowStartCapacity: 0.3, OverloadMultiple: 4, OverloadWindow: 1.5, SlowStartDuration: 9},
+		ScoreParts: harness.NodeScoreParts{Whole: 1},
 	}
 	for _, c := range classes(pt.PriorityLevels) {
-		settings.Tracks = append(settings.Tracks, harness.NodeClass{Earnings: c.value * p.valueScale, Name: c.name,
-			OuterLimit: clientTimeout.Seconds(), QuotedTime: 10, Repeat: "repeatable"})
+		settings.JobClasses = append(settings.JobClasses, harness.NodeJobClass{Value: c.value * p.valueScale, Name: c.name,
+			Deadline: clientTimeout.Seconds(), LatencyObjective: 10, Idempotency: "repeatable"})
 	}
 	return harness.NodeConfig{
-		Discovery:  discovery,
-		Limits:     harness.NodeLimits{Cores: 1, MemoryMB: pt.MemoryMB, Sockets: pt.Sockets},
-		Listen:     p.clientAddress,
-		Management: p.adminAddress,
-		Name:       p.name,
-		Seed:       fmt.Sprintf("%016x", pt.Seed*1000+uint64(p.number)),
-		Settings:   settings,
+		Discovery: discovery,
+		Limits:    harness.NodeLimits{Cores: 1, MemoryMiB: pt.MemoryMB, Sockets: pt.Sockets},
+		Listen:    p.clientAddress,
+		AdminAddr: p.adminAddress,
+		Name:      p.name,
+		Seed:      fmt.Sprintf("%016x", pt.Seed*1000+uint64(p.number)),
+		Settings:  settings,
 	}
 }
 
