--- a/cmd/birchstair-sim/main.go
+++ b/cmd/birchstair-sim/main.go
@@ -28,8 +28,8 @@
 var errViolation = errors.New("a rule broke")
 
 func main() {
-	if os.Getenv(scaletest.HollowEnv) != "" { // started by birchstair-sim scale
-		if err := scaletest.Hollow(os.Stdin, os.Stdout); err != nil {
+	if os.Getenv(scaletest.StubEnv) != "" { // started by birchstair-sim scale
+		if err := scaletest.RunStub(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "birchstair-sim, a hollow process:", err)
 			os.Exit(2)
 		}
--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -44,7 +44,7 @@
 // sweep returns the points to measure.
 func (c *scaleCmd) sweep() (scaletest.Sweep, error) {
 	s := scaletest.Sweep{Executors: c.Executors, FleetSizes: c.Of, Nodes: c.Nodes, MaxRealNodes: c.Real, PriorityLevels: c.Rungs, Rates: c.Rates, Concurrency: c.Running, Queueing: c.Queued, Tenants: c.Tenants, Rounds: c.Rounds,
-		BaseExecutors: c.At, BaseNodes: c.Among, BaseRate: c.Rate, Work: c.Work, Span: c.Span, Sockets: c.Sockets, Against: c.Against != ""}
+		BaseExecutors: c.At, BaseNodes: c.Among, BaseRate: c.Rate, TaskDuration: c.Work, Window: c.Span, Sockets: c.Sockets, Baseline: c.Against != ""}
 	dims := map[string]*[]int{"executors": &s.Executors, "nodes": &s.Nodes, "rungs": &s.PriorityLevels, "rates": &s.Rates, "running": &s.Concurrency, "held": &s.Queueing, "tenants": &s.Tenants}
 	for _, name := range c.Skip {
 		if dims[name] == nil {
@@ -102,7 +102,7 @@
 		return o, err
 	}
 	if c.Against != "" {
-		if o.Against, err = filepath.Abs(c.Against); err != nil {
+		if o.BaselineBinary, err = filepath.Abs(c.Against); err != nil {
 			return o, err
 		}
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return o, err
 	}
-	o.Hollow = []string{self}
+	o.StubCommand = []string{self}
 	return o, nil
 }
 
--- a/internal/scaletest/bounds.go
+++ b/internal/scaletest/bounds.go
@@ -10,24 +10,24 @@
 
 // Bounds of a run on one machine. A run that exceeds one is refused, with its name, before anything starts.
 const (
-	MostExecutors      = 6400
-	MostNodes          = 300
-	MostReal           = 12
-	MostTenants        = 10000
-	MostRate           = 5000
-	MostProcesses      = 300
-	MostMemory         = 12 << 30
-	MostTime           = time.Hour
-	mostFleetSize      = 1000
-	mostPriorityLevels = 64
+	MaxExecutors      = 6400
+	MaxNodes          = 300
+	MaxRealNodes      = 12
+	MaxTenants        = 10000
+	MaxRate           = 5000
+	MaxProcesses      = 300
+	MaxMemoryBytes    = 12 << 30
+	MaxDuration       = time.Hour
+	maxFleetSize      = 1000
+	maxPriorityLevels = 64
 )
 
 // Estimates for the memory of a hollow executor, a hollow node and a batch job in flight, in bytes, and descriptors that stay unused.
 const (
-	executorMemory = 64 << 10
-	memberMemory   = 4 << 20
-	jobMemory      = 128 << 10
-	reservedFiles  = 256
+	stubExecutorBytes   = 64 << 10
+	stubNodeBytes       = 4 << 20
+	jobBytes            = 128 << 10
+	reservedDescriptors = 256
 )
 
 // Check returns an error that names the bound that the run exceeds.
@@ -45,17 +45,17 @@
 		least, most int
 		values      []int
 	}{
-		{"executors", 1, MostExecutors, slices.Concat([]int{s.BaseExecutors}, s.Executors, s.Queueing)},
-		{"of", 1, mostFleetSize, s.FleetSizes},
-		{"nodes", 1, MostNodes, append([]int{s.BaseNodes}, s.Nodes...)},
-		{"real", 1, MostReal, []int{s.MaxRealNodes}},
-		{"rungs", 0, mostPriorityLevels, s.PriorityLevels},
-		{"rates, starts a second", 1, MostRate, append([]int{s.BaseRate}, s.Rates...)},
-		{"tenants", 0, MostTenants, s.Tenants},
+		{"executors", 1, MaxExecutors, slices.Concat([]int{s.BaseExecutors}, s.Executors, s.Queueing)},
+		{"of", 1, maxFleetSize, s.FleetSizes},
+		{"nodes", 1, MaxNodes, append([]int{s.BaseNodes}, s.Nodes...)},
+		{"real", 1, MaxRealNodes, []int{s.MaxRealNodes}},
+		{"rungs", 0, maxPriorityLevels, s.PriorityLevels},
+		{"rates, starts a second", 1, MaxRate, append([]int{s.BaseRate}, s.Rates...)},
+		{"tenants", 0, MaxTenants, s.Tenants},
 		{"rounds", 1, 100, []int{s.Rounds}},
-		{"sockets", 64, files - reservedFiles, []int{s.Sockets}},
-		{"span, in ms", 200, 60000, []int{int(s.Span.Milliseconds())}},
-		{"work, in ms", 1, 60000, []int{int(s.Work.Milliseconds())}},
+		{"sockets", 64, files - reservedDescriptors, []int{s.Sockets}},
+		{"span, in ms", 200, 60000, []int{int(s.Window.Milliseconds())}},
+		{"work, in ms", 1, 60000, []int{int(s.TaskDuration.Milliseconds())}},
 	} {
 		for _, x := range b.values {
 			if x < b.least || x > b.most {
@@ -68,27 +68,27 @@
 			return fmt.Errorf("the point %s %g: %w", pt.Series, pt.X, err)
 		}
 	}
-	if long := s.EstimatedTime(); long > MostTime {
-		return fmt.Errorf("--rounds: all points would take %v, over the %v that a run may take", long.Round(time.Second), MostTime)
+	if long := s.EstimatedTime(); long > MaxDuration {
+		return fmt.Errorf("--rounds: all points would take %v, over the %v that a run may take", long.Round(time.Second), MaxDuration)
 	}
 	return nil
 }
 
 // checkMachine returns an error that names the bound of the machine that a point exceeds.
 func (s Sweep) checkMachine(pt Point, files int) error {
-	if pt.ModuleOnly {
+	if pt.PolicyOnly {
 		return nil
 	}
 	if pt.Concurrency > totalSlots(pt.Executors) {
 		return fmt.Errorf("places: %d tasks at a time, and %d executors have %d", pt.Concurrency, pt.Executors, totalSlots(pt.Executors))
 	}
-	hollow := (pt.Executors+executorsPerProcess-1)/executorsPerProcess + min(1, pt.HollowNodes)
-	if n := pt.RealNodes + hollow + 1; n > MostProcesses {
-		return fmt.Errorf("processes: %d, over %d", n, MostProcesses)
+	hollow := (pt.Executors+executorsPerProcess-1)/executorsPerProcess + min(1, pt.StubNodes)
+	if n := pt.RealNodes + hollow + 1; n > MaxProcesses {
+		return fmt.Errorf("processes: %d, over %d", n, MaxProcesses)
 	}
 	inHand := max(pt.Concurrency, int(pt.Rate*2))
 	if pt.Queueing {
-		inHand = int(pt.Rate * (2*longWork + s.Span).Seconds())
+		inHand = int(pt.Rate * (2*longTask + s.Window).Seconds())
 	}
 	conns := pt.RealNodes * pt.Sockets / 4
 	for _, need := range []struct {
@@ -96,15 +96,15 @@
 		n    int
 	}{
 		{"a process with hollow executors", min(pt.Executors, executorsPerProcess) + conns},
-		{"the process with hollow nodes", pt.HollowNodes * 8},
+		{"the process with hollow nodes", pt.StubNodes * 8},
 		{"the process with clients", 2*inHand + 4*pt.RealNodes},
 	} {
-		if need.n+reservedFiles > files {
-			return fmt.Errorf("descriptors: %s may need %d, and RLIMIT_NOFILE is %d", need.what, need.n+reservedFiles, files)
+		if need.n+reservedDescriptors > files {
+			return fmt.Errorf("descriptors: %s may need %d, and RLIMIT_NOFILE is %d", need.what, need.n+reservedDescriptors, files)
 		}
 	}
-	if memory := pt.Executors*executorMemory + pt.HollowNodes*memberMemory + inHand*jobMemory + pt.RealNodes*pt.MemoryMB<<20; memory > MostMemory {
-		return fmt.Errorf("memory: %d MB, over %d MB", memory>>20, MostMemory>>20)
+	if memory := pt.Executors*stubExecutorBytes + pt.StubNodes*stubNodeBytes + inHand*jobBytes + pt.RealNodes*pt.MemoryMB<<20; memory > MaxMemoryBytes {
+		return fmt.Errorf("memory: %d MB, over %d MB", memory>>20, MaxMemoryBytes>>20)
 	}
 	return nil
 }
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -11,22 +11,22 @@
 // adminCalls is how often metrics are read to measure what that costs.
 const adminCalls = 20
 
-// burstChanges is how many changes come in the busiest second.
-const burstChanges = 50
+// burstUpdates is how many changes come in the busiest second.
+const burstUpdates = 50
 
 // extraExecutor is the id of an executor that changes add to the list, so that nodes' counts of executors show that a change is in force.
 const extraExecutor = policy.ExecutorID("more")
 
 // measureChanges makes changes one after another, and waits for each until it is in force at every node.
-func (w *measurement) measureChanges() error {
-	executors := w.point.Executors
+func (m *measurement) measureChanges() error {
+	executors := m.point.Executors
 	for _, step := range []func() error{
-		w.measureAdminCalls,
-		func() error { return w.measureListChange(executors + 1) },
-		w.measureReload,
-		func() error { return w.measureDrain(executors + 2) },
-		func() error { return w.measureBurst(executors + 1) },
-		func() error { return w.measureZone(executors + 1) },
+		m.measureAdminCalls,
+		func() error { return m.measureListChange(executors + 1) },
+		m.measureReload,
+		func() error { return m.measureDrain(executors + 2) },
+		func() error { return m.measureUpdateBurst(executors + 1) },
+		func() error { return m.measureZone(executors + 1) },
 	} {
 		if err := step(); err != nil {
 			return err
@@ -36,23 +36,23 @@
 }
 
 // knowExecutors returns a condition: all real nodes know so many executors.
-func (w *measurement) knowExecutors(count int) func() bool {
+func (m *measurement) knowExecutors(count int) func() bool {
 	return func() bool {
-		return w.allNodes(func(p *realNode) bool { return p.hasMetric("executors_known", count) })
+		return m.allNodes(func(p *realNode) bool { return p.hasMetric("executors_known", count) })
 	}
 }
 
 // extraEntry returns an entry for an executor that is on the list under another id too.
-func (w *measurement) extraEntry(id policy.ExecutorID) emulator.Entry {
-	extra := w.entries[0]
+func (m *measurement) extraEntry(id policy.ExecutorID) emulator.Entry {
+	extra := m.entries[0]
 	extra.Executor = id
 	return extra
 }
 
-func (w *measurement) measureAdminCalls() error {
-	return w.measureChange("door", adminCalls, func() error {
+func (m *measurement) measureAdminCalls() error {
+	return m.measureChange("door", adminCalls, func() error {
 		for range adminCalls {
-			for _, p := range w.nodes {
+			for _, p := range m.nodes {
 				if _, err := p.metrics(); err != nil {
 					return err
 				}
@@ -63,17 +63,17 @@
 }
 
 // measureListChange adds an executor to the list.
-func (w *measurement) measureListChange(executors int) error {
-	extra := w.extraEntry(extraExecutor)
-	return w.measureChange("list", 1, func() error { w.discovery.Change(extra); return nil }, w.knowExecutors(executors))
+func (m *measurement) measureListChange(executors int) error {
+	extra := m.extraEntry(extraExecutor)
+	return m.measureChange("list", 1, func() error { m.discovery.Change(extra); return nil }, m.knowExecutors(executors))
 }
 
 // measureReload changes the configuration.
-func (w *measurement) measureReload() error {
-	return w.measureChange("settings", 1, func() error {
-		for _, p := range w.nodes {
+func (m *measurement) measureReload() error {
+	return m.measureChange("settings", 1, func() error {
+		for _, p := range m.nodes {
 			p.valueScale = 3
-			if err := p.writeConfig(w.point, w.discoveryAddress); err != nil {
+			if err := p.writeConfig(m.point, m.discoveryAddress); err != nil {
 				return err
 			}
 			if err := p.reload(); err != nil {
@@ -81,67 +81,67 @@
 			}
 		}
 		return nil
-	}, func() bool { return w.allNodes(func(p *realNode) bool { return p.hasMetric("reloads_ok", 1) }) })
+	}, func() bool { return m.allNodes(func(p *realNode) bool { return p.hasMetric("reloads_ok", 1) }) })
 }
 
-// measureBurst changes the weights of many executors within a second, and at last removes one, which nodes' counts show.
-func (w *measurement) measureBurst(executors int) error {
-	return w.measureChange("burst", burstChanges, func() error {
-		for i := range burstChanges - 1 {
-			e := w.entries[i%len(w.entries)]
+// measureUpdateBurst changes the weights of many executors within a second, and at last removes one, which nodes' counts show.
+func (m *measurement) measureUpdateBurst(executors int) error {
+	return m.measureChange("burst", burstUpdates, func() error {
+		for i := range burstUpdates - 1 {
+			e := m.entries[i%len(m.entries)]
 			e.Weight += float64(1 + i)
-			w.discovery.Change(e)
-			time.Sleep(cmp.Or(w.options.Burst, time.Second) / burstChanges)
+			m.discovery.Change(e)
+			time.Sleep(cmp.Or(m.options.BurstDuration, time.Second) / burstUpdates)
 		}
-		extra := w.extraEntry(extraExecutor)
+		extra := m.extraEntry(extraExecutor)
 		extra.State = policy.Removed
-		w.discovery.Change(extra)
+		m.discovery.Change(extra)
 		return nil
-	}, w.knowExecutors(executors))
+	}, m.knowExecutors(executors))
 }
 
 // measureZone removes all executors of a zone at once, and adds them again in slow start.
-func (w *measurement) measureZone(executors int) error {
+func (m *measurement) measureZone(executors int) error {
 	var removed, restarted []emulator.Entry
-	for i, e := range w.entries[:len(w.entries)-1] {
+	for i, e := range m.entries[:len(m.entries)-1] {
 		if i%len(zones) == 1 {
 			e.State = policy.Removed
 			removed = append(removed, e)
-			e.State, e.StartedLongAgo, e.StartedAt = policy.Available, false, time.Since(w.epoch)
+			e.State, e.StartedLongAgo, e.StartedAt = policy.Available, false, time.Since(m.epoch)
 			restarted = append(restarted, e)
 		}
 	}
 	if len(removed) == 0 {
 		return nil
 	}
-	if err := w.measureChange("zone_gone", len(removed), func() error { w.discovery.Change(removed...); return nil }, w.knowExecutors(executors-len(removed))); err != nil {
+	if err := m.measureChange("zone_gone", len(removed), func() error { m.discovery.Change(removed...); return nil }, m.knowExecutors(executors-len(removed))); err != nil {
 		return err
 	}
-	return w.measureChange("zone_back", len(restarted), func() error { w.discovery.Change(restarted...); return nil }, w.knowExecutors(executors))
+	return m.measureChange("zone_back", len(restarted), func() error { m.discovery.Change(restarted...); return nil }, m.knowExecutors(executors))
 }
 
 // measureDrain drains an executor. Real nodes learn of it from discovery, hollow nodes from gossip alone. An executor is added with it, and
 // real nodes' counts of executors show that they have the change. Their counts of excluded executors would not do: these include ejected
 // executors, of which there may be some for 10 s and more after a load that stalled.
-func (w *measurement) measureDrain(executors int) error {
-	drains, extra := w.entries[len(w.entries)-1], w.extraEntry("with the drain")
+func (m *measurement) measureDrain(executors int) error {
+	drains, extra := m.entries[len(m.entries)-1], m.extraEntry("with the drain")
 	drains.State = policy.Draining
-	inForce := w.knowExecutors(executors)
-	return w.measureChange("drain", 2, func() error { w.discovery.Change(drains, extra); return nil }, func() bool {
+	inForce := m.knowExecutors(executors)
+	return m.measureChange("drain", 2, func() error { m.discovery.Change(drains, extra); return nil }, func() bool {
 		if !inForce() {
 			return false
 		}
-		if w.memberProcess == nil {
+		if m.nodeStubs == nil {
 			return true
 		}
-		c, err := w.memberProcess.counts(drains.Executor)
-		return err == nil && c.Fleet.Drains == w.point.HollowNodes
+		c, err := m.nodeStubs.counts(drains.Executor)
+		return err == nil && c.Fleet.KnowDrain == m.point.StubNodes
 	})
 }
 
 // allNodes reports whether a condition holds for all real nodes.
-func (w *measurement) allNodes(holds func(*realNode) bool) bool {
-	for _, p := range w.nodes {
+func (m *measurement) allNodes(holds func(*realNode) bool) bool {
+	for _, p := range m.nodes {
 		if !holds(p) {
 			return false
 		}
@@ -150,8 +150,8 @@
 }
 
 // measureChange makes some changes and records how long it takes, from the last of them, until a condition holds, and what each costs a node.
-func (w *measurement) measureChange(what string, changes int, change func() error, holds func() bool) error {
-	from, err := w.sample()
+func (m *measurement) measureChange(what string, changes int, change func() error, holds func() bool) error {
+	from, err := m.sample()
 	if err != nil {
 		return err
 	}
@@ -160,16 +160,16 @@
 	}
 	at := time.Now()
 	if err := waitFor(changeTimeout, holds); err != nil {
-		w.fail("%s: not in force at the last node: %v", what, err)
+		m.fail("%s: not in force at the last node: %v", what, err)
 		return nil
 	}
 	took := time.Since(at)
-	to, err := w.sample()
+	to, err := m.sample()
 	if err != nil {
 		return err
 	}
-	per := float64(len(w.nodes) * changes)
-	f := w.row.Figures
+	per := float64(len(m.nodes) * changes)
+	f := m.row.Figures
 	f[what+"_s"] = took.Seconds()
 	f[what+"_us_change"] = float64((to.cpu - from.cpu).Microseconds()) / per
 	f[what+"_b_change"] = float64(to.discoveryOut-from.discoveryOut) / per
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -10,16 +10,16 @@
 
 // Fit is a least-squares line through the measurements of a figure in a series.
 type Fit struct {
-	Series    string  `json:"Series"`
-	Figure    string  `json:"Figure"`
-	Intercept float64 `json:"At"` // the line at X = 0
-	Slope     float64 `json:"Slope"`
-	Spread    float64 `json:"Spread"` // standard error of the slope
-	Residual  float64 `json:"Off"`    // standard deviation of the measurements from the line
-	From      float64 `json:"From"`   // smallest X
-	To        float64 `json:"To"`     // largest X
-	Count     int     `json:"N"`      // measurements
-	Flat      bool    `json:"Flat"`   // the slope is within twice its spread of zero
+	Series     string  `json:"Series"`
+	Figure     string  `json:"Figure"`
+	Intercept  float64 `json:"At"` // the line at X = 0
+	Slope      float64 `json:"Slope"`
+	SlopeError float64 `json:"Spread"` // standard error of the slope
+	Residual   float64 `json:"Off"`    // standard deviation of the measurements from the line
+	From       float64 `json:"From"`   // smallest X
+	To         float64 `json:"To"`     // largest X
+	Count      int     `json:"N"`      // measurements
+	Flat       bool    `json:"Flat"`   // the slope is within twice its spread of zero
 }
 
 // Fits fits each figure of each series that has at least three measurements, at two values of X or more.
@@ -65,8 +65,8 @@
 		off += d * d
 	}
 	f.Residual = math.Sqrt(off / float64(f.Count-2))
-	f.Spread = f.Residual / math.Sqrt(xx)
-	f.Flat = math.Abs(f.Slope) <= 2*f.Spread
+	f.SlopeError = f.Residual / math.Sqrt(xx)
+	f.Flat = math.Abs(f.Slope) <= 2*f.SlopeError
 	return f, true
 }
 
@@ -76,5 +76,5 @@
 	if f.Flat {
 		flat = ", flat within its spread"
 	}
-	return fmt.Sprintf("%s: %s = %.4g + %.4g (spread %.2g) x, off by %.3g, from %g to %g, %d measurements%s", f.Series, f.Figure, f.Intercept, f.Slope, f.Spread, f.Residual, f.From, f.To, f.Count, flat)
+	return fmt.Sprintf("%s: %s = %.4g + %.4g (spread %.2g) x, off by %.3g, from %g to %g, %d measurements%s", f.Series, f.Figure, f.Intercept, f.Slope, f.SlopeError, f.Residual, f.From, f.To, f.Count, flat)
 }
--- a/internal/scaletest/load.go
+++ b/internal/scaletest/load.go
@@ -28,19 +28,19 @@
 
 // outcome is the outcome of a load.
 type outcome struct {
-	answered   int
-	succeeded  int
-	delayed    int // handed in over lateBy after they were due
-	violations []string
-	latencies  []time.Duration // of each answer, from the time when the batch job was due
+	answered      int
+	succeeded     int
+	submittedLate int // handed in over lateBy after they were due
+	violations    []string
+	latencies     []time.Duration // of each answer, from the time when the batch job was due
 }
 
 const (
-	delayTolerance = 20 * time.Millisecond
-	clientTimeout  = 20 * time.Second // for an answer
+	lateTolerance = 20 * time.Millisecond
+	clientTimeout = 20 * time.Second // for an answer
 )
 
-func newLoad(nodes []*realNode, pt Point) *loadGenerator {
+func newLoadGenerator(nodes []*realNode, pt Point) *loadGenerator {
 	return &loadGenerator{nodes: nodes, rate: pt.Rate, classes: classes(pt.PriorityLevels), idleConns: map[*realNode][]net.Conn{}}
 }
 
@@ -53,9 +53,9 @@
 }
 
 // run submits batch jobs for a time, and returns how many.
-func (l *loadGenerator) run(name string, length time.Duration) (due int) {
+func (l *loadGenerator) run(name string, duration time.Duration) (due int) {
 	began := time.Now()
-	for at := began; at.Sub(began) < length; at = began.Add(time.Duration(float64(due) / l.rate * 1e9)) {
+	for at := began; at.Sub(began) < duration; at = began.Add(time.Duration(float64(due) / l.rate * 1e9)) {
 		if wait := time.Until(at); wait > 0 {
 			time.Sleep(wait)
 		}
@@ -78,14 +78,14 @@
 }
 
 func (l *loadGenerator) submit(p *realNode, class, id string, at time.Time) {
-	delayed := time.Since(at) > delayTolerance
+	delayed := time.Since(at) > lateTolerance
 	f, err := l.send(p, class, id)
 	took := time.Since(at)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.latencies = append(l.latencies, took)
 	if delayed {
-		l.delayed++
+		l.submittedLate++
 	}
 	switch {
 	case err != nil:
@@ -146,12 +146,12 @@
 }
 
 // percentile returns the time within which such a share of the answers came.
-func (l *loadGenerator) percentile(part float64) time.Duration {
+func (l *loadGenerator) percentile(fraction float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.latencies) == 0 {
 		return 0
 	}
 	slices.Sort(l.latencies)
-	return l.latencies[min(len(l.latencies)-1, int(part*float64(len(l.latencies))))]
+	return l.latencies[min(len(l.latencies)-1, int(fraction*float64(len(l.latencies))))]
 }
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -15,24 +15,24 @@
 	"birchstair/policy"
 )
 
-// hollowNode describes a member of the fleet without batch jobs.
-type hollowNode struct {
+// stubNode describes a member of the fleet without batch jobs.
+type stubNode struct {
 	Name   string `json:"Name"`
 	Number int    `json:"Number"`
 	Listen string `json:"Listen"`
 }
 
-// hollowFleet is what all hollow nodes have in common.
-type hollowFleet struct {
+// stubFleet is what all hollow nodes have in common.
+type stubFleet struct {
 	Seeds          []string `json:"Seeds"`
 	Real           []string `json:"Real"`  // addresses of real nodes: traffic with them counts
 	PriorityLevels int      `json:"Rungs"` // in gossip messages
 }
 
-// fleetCounts are what the hollow nodes know, and their traffic with real nodes.
-type fleetCounts struct {
+// gossipCounts are what the hollow nodes know, and their traffic with real nodes.
+type gossipCounts struct {
 	LeastAlive int   `json:"Fewest"` // nodes that each of them at least knows to be alive, itself included
-	Drains     int   `json:"Drains"` // hollow nodes that know that the executor of interest drains
+	KnowDrain  int   `json:"Drains"` // hollow nodes that know that the executor of interest drains
 	PacketsIn  int64 `json:"PacketsIn"`
 	PacketsOut int64 `json:"PacketsOut"`
 	Streams    int64 `json:"Streams"`
@@ -40,18 +40,18 @@
 	BytesOut   int64 `json:"BytesOut"`
 }
 
-// member is a hollow node: the real gossip edge and the real fleet logic, with invented load figures.
-type member struct {
-	mu    sync.Mutex
-	fleet *cluster.State
-	edge  *gossip.Membership
-	epoch time.Time
-	alive int
+// stubMember is a hollow node: the real gossip edge and the real fleet logic, with invented load figures.
+type stubMember struct {
+	mu         sync.Mutex
+	state      *cluster.State
+	membership *gossip.Membership
+	startedAt  time.Time
+	alive      int
 }
 
-// hollowMembers are the hollow nodes of a process.
-type hollowMembers struct {
-	all     []*member
+// stubMembers are the hollow nodes of a process.
+type stubMembers struct {
+	all     []*stubMember
 	traffic gossip.Traffic
 	cancel  context.CancelFunc
 	wait    sync.WaitGroup
@@ -61,9 +61,9 @@
 const joinInterval = 20 * time.Millisecond
 
 // startMembers starts the hollow nodes of a job. The result must be stopped even after an error.
-func startMembers(job hollowJob) (*hollowMembers, error) {
+func startMembers(job stubJob) (*stubMembers, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &hollowMembers{cancel: cancel}
+	h := &stubMembers{cancel: cancel}
 	isReal := map[netip.Addr]bool{}
 	for _, text := range job.Fleet.Real {
 		a, err := netip.ParseAddr(text)
@@ -79,16 +79,16 @@
 			return h, err
 		}
 		o.Traffic = &h.traffic
-		m := &member{epoch: time.Now()}
-		s := cluster.Defaults(o.Name, uint64(m.epoch.UnixMilli()), uint32(n.Number))
-		m.fleet = cluster.New(s)
-		m.edge = gossip.New(o, m.handle, zerolog.Nop())
+		m := &stubMember{startedAt: time.Now()}
+		s := cluster.Defaults(o.Name, uint64(m.startedAt.UnixMilli()), uint32(n.Number))
+		m.state = cluster.New(s)
+		m.membership = gossip.New(o, m.handle, zerolog.Nop())
 		h.all = append(h.all, m)
 		h.wait.Go(func() {
 			select { // one after another, as in a rollout: if all join at once, they take each other for dead
 			case <-ctx.Done():
 			case <-time.After(time.Duration(i) * joinInterval):
-				m.edge.Run(ctx)
+				m.membership.Run(ctx)
 			}
 		})
 		h.wait.Go(func() { m.gossip(ctx, s.GossipInterval, job.Fleet.PriorityLevels) })
@@ -96,22 +96,22 @@
 	return h, nil
 }
 
-func (m *member) handle(ev node.Event) {
+func (m *stubMember) handle(ev node.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch ev := ev.(type) {
 	case node.AliveNodesChanged:
-		m.fleet.SetAlive(ev.Alive)
+		m.state.SetAlive(ev.Alive)
 		m.alive = len(ev.Alive)
 	case node.GossipReceived:
-		m.fleet.Receive(time.Since(m.epoch), ev.Message)
+		m.state.Receive(time.Since(m.startedAt), ev.Message)
 	case node.GossipUnreadable:
-		m.fleet.CountDropped(ev.Why)
+		m.state.CountDropped(ev.Why)
 	}
 }
 
 // gossip sends the gossip messages of the node, until ctx ends.
-func (m *member) gossip(ctx context.Context, every time.Duration, levels int) {
+func (m *stubMember) gossip(ctx context.Context, every time.Duration, levels int) {
 	ticks := time.NewTicker(every)
 	defer ticks.Stop()
 	for {
@@ -126,25 +126,25 @@
 		}
 		t.Admitted, t.Completed, t.Capacity = 4, 3, 10
 		m.mu.Lock()
-		now := time.Since(m.epoch)
-		m.fleet.ExpireDrains(now, true)
-		messages, _ := m.fleet.Tick(now, t)
+		now := time.Since(m.startedAt)
+		m.state.ExpireDrains(now, true)
+		messages, _ := m.state.Tick(now, t)
 		m.mu.Unlock()
 		for _, message := range messages {
-			m.edge.SendGossip(message)
+			m.membership.SendGossip(message)
 		}
 	}
 }
 
 // counts returns the counts. About is the executor whose drain is of interest, with no known start; empty for none.
-func (h *hollowMembers) counts(about policy.ExecutorID) (c fleetCounts) {
+func (h *stubMembers) counts(about policy.ExecutorID) (c gossipCounts) {
 	for i, m := range h.all {
 		m.mu.Lock()
 		if i == 0 || m.alive < c.LeastAlive {
 			c.LeastAlive = m.alive
 		}
-		if about != "" && m.fleet.IsDraining(about, 0, true) {
-			c.Drains++
+		if about != "" && m.state.IsDraining(about, 0, true) {
+			c.KnowDrain++
 		}
 		m.mu.Unlock()
 	}
@@ -154,7 +154,7 @@
 	return c
 }
 
-func (h *hollowMembers) stop() {
+func (h *stubMembers) stop() {
 	h.cancel()
 	h.wait.Wait()
 }
--- a/internal/scaletest/module_only.go
+++ b/internal/scaletest/policy_only.go
@@ -11,9 +11,9 @@
 	"birchstair/policy"
 )
 
-// moduleJob runs the policy alone on a virtual clock, as the reducer calls it: without sockets, and with tenants, which the platform's
+// policyJob runs the policy alone on a virtual clock, as the reducer calls it: without sockets, and with tenants, which the platform's
 // protocol has no header for. Batch jobs arrive at a constant rate and take a fixed time.
-type moduleJob struct {
+type policyJob struct {
 	Executors int           `json:"Executors"`
 	FleetSize int           `json:"Of"`
 	Tenants   int           `json:"Tenants"`
@@ -24,8 +24,8 @@
 	Starts    int           `json:"Starts"` // starts that count, at most
 }
 
-// moduleFigures is the result of a moduleJob.
-type moduleFigures struct {
+// policyFigures is the result of a moduleJob.
+type policyFigures struct {
 	Starts         int     `json:"Starts"`
 	MicrosPerStart float64 `json:"PerUs"` // CPU time per start, in microseconds
 	Heap           int64   `json:"Heap"`  // bytes of the state
@@ -35,44 +35,44 @@
 	Error          string  `json:"Wrong"`
 }
 
-// moduleAttempt identifies an attempt.
-type moduleAttempt struct {
+// policyAttempt identifies an attempt.
+type policyAttempt struct {
 	id     policy.JobID
 	number policy.AttemptID
 }
 
-// moduleEnd is when an attempt ends.
-type moduleEnd struct {
+// attemptEnd is when an attempt ends.
+type attemptEnd struct {
 	at time.Duration
-	moduleAttempt
+	policyAttempt
 }
 
-// moduleEndHeap orders ends by time. It implements heap.Interface.
-type moduleEndHeap []moduleEnd
+// attemptEndHeap orders ends by time. It implements heap.Interface.
+type attemptEndHeap []attemptEnd
 
 // Len implements sort.Interface.
-func (e moduleEndHeap) Len() int { return len(e) }
+func (e attemptEndHeap) Len() int { return len(e) }
 
 // Less implements sort.Interface.
-func (e moduleEndHeap) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e attemptEndHeap) Less(i, j int) bool { return e[i].at < e[j].at }
 
 // Swap implements sort.Interface.
-func (e moduleEndHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e attemptEndHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements heap.Interface.
-func (e *moduleEndHeap) Push(x any) { *e = append(*e, x.(moduleEnd)) }
+func (e *attemptEndHeap) Push(x any) { *e = append(*e, x.(attemptEnd)) }
 
 // Pop implements heap.Interface.
-func (e *moduleEndHeap) Pop() any {
+func (e *attemptEndHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-func (m *moduleJob) budget() time.Duration { return max(5*time.Second, 5*m.Work) }
+func (m *policyJob) budget() time.Duration { return max(5*time.Second, 5*m.Work) }
 
-func (m *moduleJob) settings() policy.Settings {
+func (m *policyJob) settings() policy.Settings {
 	s := policy.Settings{Seed: 7, Nodes: m.FleetSize, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Quantum: 4 * time.Millisecond,
 		ValuePerWork: true, SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond, StartNotices: true,
 		JobClasses: []policy.JobClass{{LatencyObjective: max(time.Second, 3*m.Work), Deadline: m.budget(), Value: 2}}}
@@ -82,14 +82,14 @@
 	return s
 }
 
-// modulePlayer is the policy and its surroundings.
-type modulePlayer struct {
-	job        *moduleJob
+// policyRun is the policy and its surroundings.
+type policyRun struct {
+	job        *policyJob
 	dispatcher *policy.Dispatcher
 	now        time.Duration
-	ends       moduleEndHeap
+	ends       attemptEndHeap
 	sent       map[policy.JobID]policy.AttemptID
-	inFlight   map[moduleAttempt]policy.ExecutorID
+	inFlight   map[policyAttempt]policy.ExecutorID
 	running    map[policy.ExecutorID]int
 	arrivals   int
 	starts     int
@@ -99,15 +99,15 @@
 }
 
 // play runs the policy until enough starts are counted or the CPU time is used up.
-func (m *moduleJob) play() (f moduleFigures) {
+func (m *policyJob) play() (f policyFigures) {
 	before := heapNow()
-	p := newModulePlayer(m)
+	p := newPolicyRun(m)
 	p.publishExecutors()
 	p.runDue()
 	first, began, err := p.run()
 	end, cpuErr := cpu(os.Getpid())
 	if err = errors.Join(err, cpuErr); err != nil {
-		return moduleFigures{Error: err.Error()}
+		return policyFigures{Error: err.Error()}
 	}
 	f.Starts, f.Succeeded, f.InFlight = p.starts-first, p.succeeded, len(p.inFlight)
 	f.Queued = p.arrivals - p.succeeded - p.rejected - f.InFlight
@@ -117,17 +117,17 @@
 	return f
 }
 
-func newModulePlayer(m *moduleJob) *modulePlayer {
-	return &modulePlayer{
+func newPolicyRun(m *policyJob) *policyRun {
+	return &policyRun{
 		job:        m,
 		dispatcher: policy.New(m.settings()),
 		sent:       map[policy.JobID]policy.AttemptID{},
 		running:    map[policy.ExecutorID]int{},
-		inFlight:   map[moduleAttempt]policy.ExecutorID{},
+		inFlight:   map[policyAttempt]policy.ExecutorID{},
 	}
 }
 
-func (p *modulePlayer) publishExecutors() {
+func (p *policyRun) publishExecutors() {
 	var entries []policy.Endpoint
 	for i := range p.job.Executors {
 		entries = append(entries, policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % 4), Cell: policy.CellID(i / 40), Weight: float64(slots(i)), StartedLongAgo: true})
@@ -136,7 +136,7 @@
 }
 
 // run plays the virtual clock. It returns the number of the first start that counts, and the CPU time then.
-func (p *modulePlayer) run() (first int, began time.Duration, err error) {
+func (p *policyRun) run() (first int, began time.Duration, err error) {
 	m := p.job
 	first = -1
 	for err == nil {
@@ -166,7 +166,7 @@
 const cpuCheckInterval = 16
 
 // step advances the clock to the next event: the end of an attempt, an arrival, or the time at which the policy has something due.
-func (p *modulePlayer) step() {
+func (p *policyRun) step() {
 	m := p.job
 	arrives := time.Duration(float64(p.arrivals) / m.Rate * 1e9)
 	p.now = min(arrives, p.wakeAt)
@@ -175,7 +175,7 @@
 	}
 	switch {
 	case len(p.ends) > 0 && p.ends[0].at == p.now:
-		e := heap.Pop(&p.ends).(moduleEnd)
+		e := heap.Pop(&p.ends).(attemptEnd)
 		p.endAttempt(e.id, e.number, policy.Succeeded)
 	case arrives == p.now:
 		tenant := policy.TenantID(-1)
@@ -197,7 +197,7 @@
 }
 
 // runDue carries out what the policy has due, as the reducer does.
-func (p *modulePlayer) runDue() {
+func (p *policyRun) runDue() {
 	for {
 		switch due := p.dispatcher.NextTask(p.now); due.Task {
 		case policy.PlaceJob:
@@ -212,7 +212,7 @@
 }
 
 // apply carries out a decision.
-func (p *modulePlayer) apply(id policy.JobID, what policy.Decision) {
+func (p *policyRun) apply(id policy.JobID, what policy.Decision) {
 	if what.Action == policy.Reject || what.Action == policy.Fail {
 		p.rejected++
 	}
@@ -223,15 +223,15 @@
 	p.sent[id]++
 	p.starts++
 	p.running[what.Executor]++
-	out := moduleAttempt{id, n}
+	out := policyAttempt{id, n}
 	p.inFlight[out] = what.Executor
-	heap.Push(&p.ends, moduleEnd{p.now + p.job.Work, out})
+	heap.Push(&p.ends, attemptEnd{p.now + p.job.Work, out})
 	p.dispatcher.AttemptStarted(p.now, id, n)
 }
 
 // endAttempt ends an attempt, unless it has ended before.
-func (p *modulePlayer) endAttempt(id policy.JobID, n policy.AttemptID, how policy.Outcome) {
-	out := moduleAttempt{id, n}
+func (p *policyRun) endAttempt(id policy.JobID, n policy.AttemptID, how policy.Outcome) {
+	out := policyAttempt{id, n}
 	on, is := p.inFlight[out]
 	if !is {
 		return
--- a/internal/scaletest/samples.go
+++ b/internal/scaletest/samples.go
@@ -5,8 +5,8 @@
 )
 
 // cpu returns the CPU time of all real nodes.
-func (w *measurement) cpu() (total time.Duration, err error) {
-	for _, p := range w.nodes {
+func (m *measurement) cpu() (total time.Duration, err error) {
+	for _, p := range m.nodes {
 		t, err := cpu(p.cmd.Process.Pid)
 		if err != nil {
 			return 0, err
@@ -21,30 +21,30 @@
 	at           time.Time
 	cpu          time.Duration
 	counts       Counts // of the executors, summed
-	fleet        fleetCounts
+	fleet        gossipCounts
 	discoveryIn  int64
 	discoveryOut int64
 }
 
 // sample takes a sample.
-func (w *measurement) sample() (s sample, err error) {
-	s.at, s.discoveryIn, s.discoveryOut = time.Now(), w.discoveryTraffic.in.Load(), w.discoveryTraffic.out.Load()
-	if s.cpu, err = w.cpu(); err != nil {
+func (m *measurement) sample() (s sample, err error) {
+	s.at, s.discoveryIn, s.discoveryOut = time.Now(), m.discoveryTraffic.in.Load(), m.discoveryTraffic.out.Load()
+	if s.cpu, err = m.cpu(); err != nil {
 		return s, err
 	}
-	for _, h := range w.executorProcesses {
+	for _, h := range m.executorStubs {
 		c, err := h.counts("")
 		if err != nil {
 			return s, err
 		}
-		s.counts.Ran += c.Ran
-		s.counts.Opened += c.Opened
-		s.counts.In += c.In
-		s.counts.Out += c.Out
-		s.counts.Over += c.Over
+		s.counts.TasksStarted += c.TasksStarted
+		s.counts.ConnsAccepted += c.ConnsAccepted
+		s.counts.BytesRead += c.BytesRead
+		s.counts.BytesWritten += c.BytesWritten
+		s.counts.OverfullExecutors += c.OverfullExecutors
 	}
-	if w.memberProcess != nil {
-		c, err := w.memberProcess.counts("")
+	if m.nodeStubs != nil {
+		c, err := m.nodeStubs.counts("")
 		if err != nil {
 			return s, err
 		}
@@ -54,9 +54,9 @@
 }
 
 // recordFootprint records memory and descriptors of a node: the largest of any real node.
-func (w *measurement) recordFootprint(when string) error {
-	f := w.row.Figures
-	for _, p := range w.nodes {
+func (m *measurement) recordFootprint(when string) error {
+	f := m.row.Figures
+	for _, p := range m.nodes {
 		now, most, err := memory(p.cmd.Process.Pid)
 		if err != nil {
 			return err
@@ -74,15 +74,15 @@
 
 // recordGossip records the gossip traffic of a real node between two samples. Only traffic with hollow nodes is counted; since a node gossips
 // with all peers alike, the rest is extrapolated.
-func (w *measurement) recordGossip(when string, from, to sample) {
-	if w.memberProcess == nil {
+func (m *measurement) recordGossip(when string, from, to sample) {
+	if m.nodeStubs == nil {
 		return
 	}
-	span := to.at.Sub(from.at).Seconds() * float64(len(w.nodes))
-	if all := w.point.RealNodes + w.point.HollowNodes; w.point.RealNodes > 1 {
-		span *= float64(w.point.HollowNodes) / float64(all-1)
+	span := to.at.Sub(from.at).Seconds() * float64(len(m.nodes))
+	if all := m.point.RealNodes + m.point.StubNodes; m.point.RealNodes > 1 {
+		span *= float64(m.point.StubNodes) / float64(all-1)
 	}
-	f := w.row.Figures
+	f := m.row.Figures
 	f["nodes_out_bps_"+when] = float64(to.fleet.BytesIn-from.fleet.BytesIn) / span
 	f["nodes_in_bps_"+when] = float64(to.fleet.BytesOut-from.fleet.BytesOut) / span
 	f["nodes_out_pps_"+when] = float64(to.fleet.PacketsIn-from.fleet.PacketsIn) / span
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -22,8 +22,8 @@
 var binary string
 
 func TestMain(m *testing.M) {
-	if os.Getenv(HollowEnv) != "" {
-		if err := Hollow(os.Stdin, os.Stdout); err != nil {
+	if os.Getenv(StubEnv) != "" {
+		if err := RunStub(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(2)
 		}
@@ -32,24 +32,24 @@
 	golden.Main(m, &binary)
 }
 
-func smallest() Sweep {
+func smallestSweep() Sweep {
 	return Sweep{Executors: []int{16}, FleetSizes: []int{9}, Nodes: []int{4}, Tenants: []int{3}, MaxRealNodes: 2, Rounds: 1, BaseExecutors: 16, BaseNodes: 4, BaseRate: 60,
-		Work: 5 * time.Millisecond, Span: 400 * time.Millisecond, Sockets: 512}
+		TaskDuration: 5 * time.Millisecond, Window: 400 * time.Millisecond, Sockets: 512}
 }
 
-func options(t *testing.T) Options {
+func testOptions(t *testing.T) Options {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Binary: binary, Hollow: []string{self}, Dir: t.TempDir(), Settle: 200 * time.Millisecond, Starts: 200, Burst: 100 * time.Millisecond}
+	return Options{Binary: binary, StubCommand: []string{self}, Dir: t.TempDir(), Settle: 200 * time.Millisecond, MaxPolicyStarts: 200, BurstDuration: 100 * time.Millisecond}
 }
 
-// TestSmallest runs the smallest sweep. Each batch job is answered once and counted once at both ends, all executors are known, and each change
+// TestSmallestSweep runs the smallest sweep. Each batch job is answered once and counted once at both ends, all executors are known, and each change
 // is in force at all nodes, or the row says what is wrong.
-func TestSmallest(t *testing.T) {
+func TestSmallestSweep(t *testing.T) {
 	rows := map[string]Row{}
-	if err := smallest().Run(options(t), func(r Row) {
+	if err := smallestSweep().Run(testOptions(t), func(r Row) {
 		t.Log(r)
 		rows[r.Series] = r
 		if r.NotRun != "" || len(r.Violations) > 0 {
@@ -79,11 +79,11 @@
 	}
 }
 
-// TestNotRun checks that a point that cannot be run says why, and that the others run.
-func TestNotRun(t *testing.T) {
-	o := options(t)
+// TestPointNotRun checks that a point that cannot be run says why, and that the others run.
+func TestPointNotRun(t *testing.T) {
+	o := testOptions(t)
 	o.Binary = filepath.Join(o.Dir, "nothing")
-	s := smallest()
+	s := smallestSweep()
 	s.Nodes = nil
 	rows := map[string]Row{}
 	if err := s.Run(o, func(r Row) { rows[r.Series] = r }); err != nil {
@@ -97,18 +97,18 @@
 	}
 }
 
-// TestAgainst checks that with another build each point of processes is measured with both, side by side and either first in turn, and that
+// TestBaseline checks that with another build each point of processes is measured with both, side by side and either first in turn, and that
 // each row is of the build that it says.
-func TestAgainst(t *testing.T) {
-	s := smallest()
-	s.Against = true
+func TestBaseline(t *testing.T) {
+	s := smallestSweep()
+	s.Baseline = true
 	for round, want := range [][]string{{"executors-of-9", "executors-of-9-against"}, {"executors-of-9-against", "executors-of-9"}} {
 		var got []string
 		for _, pt := range s.points(round) {
 			if strings.HasPrefix(pt.Series, "executors") {
 				got = append(got, pt.Series)
 			}
-			if pt.Against != strings.HasSuffix(pt.Series, "-against") || pt.ModuleOnly && pt.Against {
+			if pt.Baseline != strings.HasSuffix(pt.Series, "-against") || pt.PolicyOnly && pt.Baseline {
 				t.Errorf("%+v", pt)
 			}
 		}
@@ -116,8 +116,8 @@
 			t.Error(diff)
 		}
 	}
-	o := options(t)
-	o.Against = filepath.Join(o.Dir, "nothing")
+	o := testOptions(t)
+	o.BaselineBinary = filepath.Join(o.Dir, "nothing")
 	s.Nodes, s.Tenants = nil, nil
 	rows := map[string]Row{}
 	if err := s.Run(o, func(r Row) { rows[r.Series] = r }); err != nil {
@@ -134,7 +134,7 @@
 // TestBounds checks that a sweep that exceeds a bound is refused with its name.
 func TestBounds(t *testing.T) {
 	const files = 20000
-	if err := smallest().check(files); err != nil {
+	if err := smallestSweep().check(files); err != nil {
 		t.Fatal(err)
 	}
 	for name, change := range map[string]func(*Sweep){
@@ -147,21 +147,21 @@
 		"--rungs: 65":                   func(s *Sweep) { s.PriorityLevels = []int{65} },
 		"--rates, starts a second: 0":   func(s *Sweep) { s.Rates = []int{0} },
 		"--rounds: 0":                   func(s *Sweep) { s.Rounds = 0 },
-		"--rounds: all points would":    func(s *Sweep) { s.Rounds, s.Span = 100, time.Minute },
-		"--span":                        func(s *Sweep) { s.Span = 0 },
-		"--work":                        func(s *Sweep) { s.Work = 0 },
+		"--rounds: all points would":    func(s *Sweep) { s.Rounds, s.Window = 100, time.Minute },
+		"--span":                        func(s *Sweep) { s.Window = 0 },
+		"--work":                        func(s *Sweep) { s.TaskDuration = 0 },
 		"--sockets: 30000":              func(s *Sweep) { s.Sockets = 30000 },
 		"places: 100 tasks":             func(s *Sweep) { s.Concurrency = []int{100} },
 		"descriptors: a process":        func(s *Sweep) { s.Nodes, s.MaxRealNodes, s.Sockets = []int{12}, 12, 19000 },
 		"descriptors: the process with": func(s *Sweep) { s.BaseExecutors, s.Rates = 3200, []int{5000} },
 	} {
-		s := smallest()
+		s := smallestSweep()
 		change(&s)
 		if err := s.check(files); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	s := smallest()
+	s := smallestSweep()
 	s.Executors = []int{3200}
 	if err := s.check(1900); err == nil || !strings.Contains(err.Error(), "RLIMIT_NOFILE is 1900") {
 		t.Error(err)
@@ -170,7 +170,7 @@
 	if err := s.check(files); err == nil || !strings.Contains(err.Error(), "descriptors: ") {
 		t.Error(err)
 	}
-	pt := Point{Executors: 6400, HollowNodes: 300, RealNodes: 12, MemoryMB: 192, Rate: 80000}
+	pt := Point{Executors: 6400, StubNodes: 300, RealNodes: 12, MemoryMB: 192, Rate: 80000}
 	if err := s.checkMachine(pt, 1<<20); err == nil || !strings.Contains(err.Error(), "memory: ") {
 		t.Error(err)
 	}
@@ -183,10 +183,10 @@
 	}
 }
 
-// worldOf sets up a point until the test ends, and fails the test if there was a violation.
-func worldOf(t *testing.T, pt Point) *measurement {
+// setUpMeasurement sets up a point until the test ends, and fails the test if there was a violation.
+func setUpMeasurement(t *testing.T, pt Point) *measurement {
 	t.Helper()
-	w := &measurement{options: options(t), point: pt, epoch: time.Now(), row: Row{Figures: map[string]float64{}}}
+	w := &measurement{options: testOptions(t), point: pt, epoch: time.Now(), row: Row{Figures: map[string]float64{}}}
 	t.Cleanup(func() {
 		for _, c := range slices.Backward(w.cleanups) {
 			c()
@@ -201,12 +201,12 @@
 	return w
 }
 
-// TestFarOver checks that a list of 100,000 entries and 100,000 tenants, far more than planned for, are served or refused without a crash.
-func TestFarOver(t *testing.T) {
-	if f := (&moduleJob{Executors: 16, FleetSize: 9, Tenants: 100000, Rate: 100, Work: time.Millisecond, MaxCPU: 10 * time.Second, Starts: 200}).play(); f.Error != "" || f.Starts == 0 {
+// TestFarAbovePlannedSize checks that a list of 100,000 entries and 100,000 tenants, far more than planned for, are served or refused without a crash.
+func TestFarAbovePlannedSize(t *testing.T) {
+	if f := (&policyJob{Executors: 16, FleetSize: 9, Tenants: 100000, Rate: 100, Work: time.Millisecond, MaxCPU: 10 * time.Second, Starts: 200}).play(); f.Error != "" || f.Starts == 0 {
 		t.Errorf("100,000 tenants: %+v", f)
 	}
-	w := worldOf(t, Point{Series: "far-over", Executors: 4, FleetSize: 9, RealNodes: 1, Sockets: 512, MemoryMB: 192})
+	w := setUpMeasurement(t, Point{Series: "far-over", Executors: 4, FleetSize: 9, RealNodes: 1, Sockets: 512, MemoryMB: 192})
 	p := w.nodes[0]
 	var all []emulator.Entry
 	for i := range 100000 {
@@ -226,9 +226,9 @@
 	}
 }
 
-// TestDrainAmongExcluded checks that an executor that an operator has excluded does not disturb the measurement of a drain.
-func TestDrainAmongExcluded(t *testing.T) {
-	w := worldOf(t, Point{Series: "drain", Executors: 4, FleetSize: 9, RealNodes: 1, HollowNodes: 2, Gossip: true, Sockets: 512, MemoryMB: 192})
+// TestDrainWithExcludedExecutor checks that an executor that an operator has excluded does not disturb the measurement of a drain.
+func TestDrainWithExcludedExecutor(t *testing.T) {
+	w := setUpMeasurement(t, Point{Series: "drain", Executors: 4, FleetSize: 9, RealNodes: 1, StubNodes: 2, Gossip: true, Sockets: 512, MemoryMB: 192})
 	if _, err := admin.Call(w.nodes[0].adminAddress, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -262,7 +262,7 @@
 	if diff := cmp.Diff(want, got["s/grows"], cmpopts.EquateApprox(0, 1e-9)); diff != "" {
 		t.Error(diff)
 	}
-	if f := got["s/noisy"]; !f.Flat || f.Spread < 0.1 || f.Residual < 0.4 {
+	if f := got["s/noisy"]; !f.Flat || f.SlopeError < 0.1 || f.Residual < 0.4 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/scaletest/setup.go
+++ b/internal/scaletest/setup.go
@@ -15,54 +15,54 @@
 )
 
 // setUp starts everything that the point needs.
-func (w *measurement) setUp() error {
-	w.dir = filepath.Join(w.options.Dir, fmt.Sprintf("%s-%g-%d", w.point.Series, w.point.X, w.point.Round))
-	if err := os.MkdirAll(w.dir, 0o700); err != nil {
+func (m *measurement) setUp() error {
+	m.dir = filepath.Join(m.options.Dir, fmt.Sprintf("%s-%g-%d", m.point.Series, m.point.X, m.point.Round))
+	if err := os.MkdirAll(m.dir, 0o700); err != nil {
 		return err
 	}
 	slot, held, err := harness.ReserveAddresses()
 	if err != nil {
 		return err
 	}
-	w.cleanups = append(w.cleanups, func() { held.Close() })
-	if err := w.startExecutors(slot); err != nil {
+	m.cleanups = append(m.cleanups, func() { held.Close() })
+	if err := m.startExecutors(slot); err != nil {
 		return err
 	}
 	lists, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	w.cleanups = append(w.cleanups, func() { lists.Close() })
-	w.discoveryAddress, w.discovery = lists.Addr().String(), &platform.Discovery{Entries: w.entries, Zones: zones, Epoch: w.epoch}
-	go w.discovery.Serve(countedListener{lists, &w.discoveryTraffic})
-	if err := w.startNodes(slot); err != nil {
+	m.cleanups = append(m.cleanups, func() { lists.Close() })
+	m.discoveryAddress, m.discovery = lists.Addr().String(), &platform.Discovery{Entries: m.entries, Zones: zones, Epoch: m.epoch}
+	go m.discovery.Serve(countedListener{lists, &m.discoveryTraffic})
+	if err := m.startNodes(slot); err != nil {
 		return err
 	}
-	if w.point.Gossip {
-		return w.awaitMembership()
+	if m.point.Gossip {
+		return m.awaitMembership()
 	}
 	return nil
 }
 
 // startExecutors starts the hollow executors.
-func (w *measurement) startExecutors(slot byte) error {
-	work := w.options.Work
-	if w.point.long() {
-		work = longWork
-	}
-	for first := 0; first < w.point.Executors; first += executorsPerProcess {
-		job := hollowJob{Host: fmt.Sprintf("127.%d.3.%d", slot, first/executorsPerProcess+1), Work: work}
-		for i := first; i < min(first+executorsPerProcess, w.point.Executors); i++ {
-			job.Executors = append(job.Executors, hollowExecutor{executorID(i), slots(i)})
+func (m *measurement) startExecutors(slot byte) error {
+	work := m.options.TaskDuration
+	if m.point.hasLongTasks() {
+		work = longTask
+	}
+	for first := 0; first < m.point.Executors; first += executorsPerProcess {
+		job := stubJob{Host: fmt.Sprintf("127.%d.3.%d", slot, first/executorsPerProcess+1), TaskDuration: work}
+		for i := first; i < min(first+executorsPerProcess, m.point.Executors); i++ {
+			job.Executors = append(job.Executors, stubExecutor{executorID(i), slots(i)})
 		}
-		h, err := startHollow(w.options.Hollow, job)
+		h, err := startStub(m.options.StubCommand, job)
 		if err != nil {
 			return err
 		}
-		w.executorProcesses = append(w.executorProcesses, h)
-		w.stopAtEnd(h)
+		m.executorStubs = append(m.executorStubs, h)
+		m.stopAtEnd(h)
 		for i, x := range job.Executors {
-			w.entries = append(w.entries, emulator.Entry{Addr: h.Addrs[i], Endpoint: policy.Endpoint{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
+			m.entries = append(m.entries, emulator.Entry{Addr: h.Addrs[i], Endpoint: policy.Endpoint{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
 				Cell: policy.CellID((first + i) / 40), State: policy.Available, Weight: float64(x.Slots), StartedLongAgo: true}})
 		}
 	}
@@ -78,131 +78,131 @@
 
 // How many nodes of each sort the others join at.
 const (
-	realSeeds   = 3
-	hollowSeeds = 5
+	realSeeds = 3
+	stubSeeds = 5
 )
 
 // startNodes starts the real nodes and the hollow ones, and records what the start takes.
-func (w *measurement) startNodes(slot byte) error {
+func (m *measurement) startNodes(slot byte) error {
 	var hosts []string
-	for i := range w.point.RealNodes {
+	for i := range m.point.RealNodes {
 		hosts = append(hosts, fmt.Sprintf("127.%d.0.%d", slot, i+1))
 	}
-	job := hollowJob{Fleet: hollowFleet{Real: hosts, PriorityLevels: w.point.PriorityLevels}}
-	for i := range w.point.HollowNodes {
-		job.Nodes = append(job.Nodes, hollowNode{fmt.Sprint("h", i), w.point.RealNodes + i, fmt.Sprintf("127.%d.%d.%d:%d", slot, 10+i/200, 1+i%200, gossipPort)})
+	job := stubJob{Fleet: stubFleet{Real: hosts, PriorityLevels: m.point.PriorityLevels}}
+	for i := range m.point.StubNodes {
+		job.Nodes = append(job.Nodes, stubNode{fmt.Sprint("h", i), m.point.RealNodes + i, fmt.Sprintf("127.%d.%d.%d:%d", slot, 10+i/200, 1+i%200, gossipPort)})
 	}
 	job.Fleet.Seeds = gossipSeeds(hosts, job.Nodes)
 	began := time.Now()
 	for i, host := range hosts {
-		if err := w.startRealNode(i, host, job.Fleet.Seeds); err != nil {
+		if err := m.startRealNode(i, host, job.Fleet.Seeds); err != nil {
 			return err
 		}
 	}
-	if err := w.startHollowNodes(job); err != nil {
+	if err := m.startStubNodes(job); err != nil {
 		return err
 	}
-	return w.awaitReady(began)
+	return m.awaitReady(began)
 }
 
 // gossipSeeds returns the addresses at which nodes join the fleet: those of some real nodes and of some hollow ones.
-func gossipSeeds(hosts []string, hollow []hollowNode) (seeds []string) {
+func gossipSeeds(hosts []string, hollow []stubNode) (seeds []string) {
 	for _, host := range hosts[:min(realSeeds, len(hosts))] {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", host, gossipPort))
 	}
-	for _, n := range hollow[:min(hollowSeeds, len(hollow))] {
+	for _, n := range hollow[:min(stubSeeds, len(hollow))] {
 		seeds = append(seeds, n.Listen)
 	}
 	return seeds
 }
 
-func (w *measurement) startRealNode(number int, host string, seeds []string) error {
+func (m *measurement) startRealNode(number int, host string, seeds []string) error {
 	name := fmt.Sprint("n", number)
-	p := &realNode{name: name, number: number, dir: filepath.Join(w.dir, name), clientAddress: fmt.Sprintf("%s:%d", host, clientPort),
+	p := &realNode{name: name, number: number, dir: filepath.Join(m.dir, name), clientAddress: fmt.Sprintf("%s:%d", host, clientPort),
 		adminAddress: fmt.Sprintf("%s:%d", host, adminPort), valueScale: 2}
-	if w.point.Gossip {
+	if m.point.Gossip {
 		p.gossipAddress = fmt.Sprintf("%s:%d", host, gossipPort)
 	}
 	if err := os.MkdirAll(p.dir, 0o700); err != nil {
 		return err
 	}
-	if err := errors.Join(p.writeConfig(w.point, w.discoveryAddress), p.writeSite(seeds), p.start(w.binary())); err != nil {
+	if err := errors.Join(p.writeConfig(m.point, m.discoveryAddress), p.writeSite(seeds), p.start(m.binary())); err != nil {
 		return err
 	}
-	w.nodes = append(w.nodes, p)
-	w.cleanups = append(w.cleanups, func() {
+	m.nodes = append(m.nodes, p)
+	m.cleanups = append(m.cleanups, func() {
 		if err := p.shutDown(); err != nil {
-			w.fail("node %s: a planned end: %v", p.name, err)
+			m.fail("node %s: a planned end: %v", p.name, err)
 		}
 	})
 	return nil
 }
 
-func (w *measurement) startHollowNodes(job hollowJob) error {
+func (m *measurement) startStubNodes(job stubJob) error {
 	if len(job.Nodes) == 0 {
 		return nil
 	}
-	h, err := startHollow(w.options.Hollow, job)
+	h, err := startStub(m.options.StubCommand, job)
 	if err != nil {
 		return err
 	}
-	w.memberProcess = h
-	w.stopAtEnd(h)
+	m.nodeStubs = h
+	m.stopAtEnd(h)
 	return nil
 }
 
 // stopAtEnd lets a hollow process be stopped when the measurement ends.
-func (w *measurement) stopAtEnd(h *hollowProcess) {
-	w.cleanups = append(w.cleanups, func() {
+func (m *measurement) stopAtEnd(h *stubProcess) {
+	m.cleanups = append(m.cleanups, func() {
 		if err := h.stop(); err != nil {
-			w.fail("a hollow process: %v", err)
+			m.fail("a hollow process: %v", err)
 		}
 	})
 }
 
 // awaitReady waits until all real nodes are ready and know all executors, and records what their start took.
-func (w *measurement) awaitReady(began time.Time) error {
-	for _, p := range w.nodes {
-		if err := waitFor(readyTimeout, func() bool { return p.isReady() && p.hasMetric("executors_known", w.point.Executors) }); err != nil {
-			return fmt.Errorf("node %s is not ready with %d executors: %w", p.name, w.point.Executors, err)
+func (m *measurement) awaitReady(began time.Time) error {
+	for _, p := range m.nodes {
+		if err := waitFor(readyTimeout, func() bool { return p.isReady() && p.hasMetric("executors_known", m.point.Executors) }); err != nil {
+			return fmt.Errorf("node %s is not ready with %d executors: %w", p.name, m.point.Executors, err)
 		}
 	}
-	w.row.Figures["ready_s"] = time.Since(began).Seconds()
-	w.row.Figures["list_whole_kb"] = float64(w.discoveryTraffic.out.Load()) / 1e3 / float64(len(w.nodes))
-	total, err := w.cpu()
-	w.row.Figures["ready_cpu_ms"] = total.Seconds() * 1e3 / float64(len(w.nodes))
+	m.row.Figures["ready_s"] = time.Since(began).Seconds()
+	m.row.Figures["list_whole_kb"] = float64(m.discoveryTraffic.out.Load()) / 1e3 / float64(len(m.nodes))
+	total, err := m.cpu()
+	m.row.Figures["ready_cpu_ms"] = total.Seconds() * 1e3 / float64(len(m.nodes))
 	return err
 }
 
 // binary returns the build that the point measures.
-func (w *measurement) binary() string {
-	if w.point.Against {
-		return w.options.Against
+func (m *measurement) binary() string {
+	if m.point.Baseline {
+		return m.options.BaselineBinary
 	}
-	return w.options.Binary
+	return m.options.Binary
 }
 
 // awaitMembership waits until all nodes know each other, and records how long it takes.
-func (w *measurement) awaitMembership() error {
-	all, least := w.point.RealNodes+w.point.HollowNodes, 0
+func (m *measurement) awaitMembership() error {
+	all, least := m.point.RealNodes+m.point.StubNodes, 0
 	began := time.Now()
 	err := waitFor(membershipTimeout, func() bool {
-		for _, p := range w.nodes {
+		for _, p := range m.nodes {
 			if !p.knowsAll(all) {
 				return false
 			}
 		}
-		if w.memberProcess == nil {
+		if m.nodeStubs == nil {
 			return true
 		}
-		c, err := w.memberProcess.counts("")
+		c, err := m.nodeStubs.counts("")
 		least = c.Fleet.LeastAlive
 		return err == nil && least == all
 	})
 	if err != nil {
 		return fmt.Errorf("%d nodes do not know each other, one hollow one knows %d: %w", all, least, err)
 	}
-	w.row.Figures["meet_s"] = time.Since(began).Seconds()
+	m.row.Figures["meet_s"] = time.Since(began).Seconds()
 	return nil
 }
 
--- a/internal/scaletest/hollow_process.go
+++ b/internal/scaletest/stub_process.go
@@ -17,19 +17,19 @@
 	"birchstair/policy"
 )
 
-// Hollow is the main function of a hollow process. It serves until in ends.
-func Hollow(in io.Reader, out io.Writer) error {
+// RunStub is the main function of a hollow process. It serves until in ends.
+func RunStub(in io.Reader, out io.Writer) error {
 	lines, answers := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
-	var job hollowJob
+	var job stubJob
 	if err := lines.Decode(&job); err != nil {
 		return err
 	}
-	if job.Module != nil {
-		return answers.Encode(job.Module.play())
+	if job.Policy != nil {
+		return answers.Encode(job.Policy.play())
 	}
 	var t traffic
 	var ran atomic.Int64
-	var ready hollowReady
+	var ready stubReady
 	executors := make([]*platform.Executor, len(job.Executors))
 	for i, x := range job.Executors {
 		l, err := net.Listen("tcp", job.Host+":0")
@@ -39,7 +39,7 @@
 		}
 		defer l.Close()
 		ready.Addrs = append(ready.Addrs, l.Addr().String())
-		executors[i] = &platform.Executor{ID: x.ID, Slots: x.Slots, SendsLoad: true, RunTime: func() time.Duration { return job.Work },
+		executors[i] = &platform.Executor{ID: x.ID, Slots: x.Slots, SendsLoad: true, RunTime: func() time.Duration { return job.TaskDuration },
 			OnEffect: func(policy.JobID) { ran.Add(1) }}
 		go executors[i].Serve(countedListener{l, &t})
 	}
@@ -56,10 +56,10 @@
 		if err := lines.Decode(&about); err != nil {
 			return nil // the measurement has ended
 		}
-		c := Counts{Ran: ran.Load(), Opened: t.opened.Load(), In: t.in.Load(), Out: t.out.Load(), Fleet: members.counts(about)}
+		c := Counts{TasksStarted: ran.Load(), ConnsAccepted: t.opened.Load(), BytesRead: t.in.Load(), BytesWritten: t.out.Load(), Fleet: members.counts(about)}
 		for _, x := range executors {
 			if x.MaxRunning() > x.Slots {
-				c.Over++
+				c.OverfullExecutors++
 			}
 		}
 		if err := answers.Encode(c); err != nil {
@@ -68,18 +68,18 @@
 	}
 }
 
-// hollowProcess is a hollow process, from the side of the measurement.
-type hollowProcess struct {
+// stubProcess is a hollow process, from the side of the measurement.
+type stubProcess struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
 	out   *json.Decoder
 	Addrs []string
 }
 
-// startHollow starts a process for a job that has executors or nodes, and waits until it is ready.
-func startHollow(command []string, job hollowJob) (*hollowProcess, error) {
-	h := &hollowProcess{}
-	var ready hollowReady
+// startStub starts a process for a job that has executors or nodes, and waits until it is ready.
+func startStub(command []string, job stubJob) (*stubProcess, error) {
+	h := &stubProcess{}
+	var ready stubReady
 	if err := h.start(command, job, &ready); err != nil {
 		return nil, err
 	}
@@ -91,10 +91,10 @@
 }
 
 // start starts the process, sends its job and reads the first answer.
-func (h *hollowProcess) start(command []string, job hollowJob, answer any) error {
+func (h *stubProcess) start(command []string, job stubJob, answer any) error {
 	h.cmd = exec.Command(command[0], command[1:]...)
 	h.cmd.Stderr = os.Stderr
-	h.cmd.Env = append(os.Environ(), HollowEnv+"=1")
+	h.cmd.Env = append(os.Environ(), StubEnv+"=1")
 	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive this process
 	out, err := h.cmd.StdoutPipe()
 	if err != nil {
@@ -114,7 +114,7 @@
 }
 
 // counts reads the counts, and how many hollow nodes know that an executor drains; an empty id for none.
-func (h *hollowProcess) counts(about policy.ExecutorID) (c Counts, err error) {
+func (h *stubProcess) counts(about policy.ExecutorID) (c Counts, err error) {
 	if err := json.NewEncoder(h.in).Encode(about); err != nil {
 		return c, err
 	}
@@ -123,7 +123,7 @@
 
 // stop ends the process by closing its input, or kills it after a while. Its exit status is not an error: all that counts of it
 // was read before.
-func (h *hollowProcess) stop() error {
+func (h *stubProcess) stop() error {
 	closed := h.in.Close()
 	timeout := time.AfterFunc(5*time.Second, func() { h.cmd.Process.Kill() })
 	defer timeout.Stop()
--- a/internal/scaletest/sweep.go
+++ b/internal/scaletest/sweep.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// HollowEnv is the environment variable that is set for hollow processes. A program that starts them must call Hollow if it is set.
-const HollowEnv = "BIRCHLAB_HOLLOW"
+// StubEnv is the environment variable that is set for hollow processes. A program that starts them must call Hollow if it is set.
+const StubEnv = "BIRCHLAB_HOLLOW"
 
 // Options are the conditions that all points share.
 type Options struct {
-	Binary  string        // the program birchstair
-	Against string        // another build of it, for points of the other build
-	Hollow  []string      // command that starts a hollow process
-	Dir     string        // directory for logs and configurations
-	Span    time.Duration // of each stretch that counts
-	Settle  time.Duration // before each such stretch
-	Work    time.Duration // of a task, unless the point has long tasks
-	Burst   time.Duration // time for burstChanges changes; 0 for 1 s
-	Starts  int           // starts that count with the policy alone; 0 for 4,000
+	Binary          string        // the program birchstair
+	BaselineBinary  string        // another build of it, for points of the other build
+	StubCommand     []string      // command that starts a hollow process
+	Dir             string        // directory for logs and configurations
+	Window          time.Duration // of each stretch that counts
+	Settle          time.Duration // before each such stretch
+	TaskDuration    time.Duration // of a task, unless the point has long tasks
+	BurstDuration   time.Duration // time for burstChanges changes; 0 for 1 s
+	MaxPolicyStarts int           // starts that count with the policy alone; 0 for 4,000
 }
 
 // Row is the result of a point.
@@ -36,9 +36,9 @@
 func (s Sweep) EstimatedTime() (long time.Duration) {
 	for _, pt := range s.points(0) {
 		long += 3 * time.Second
-		if !pt.ModuleOnly {
-			long += 2*s.Span + 8*time.Second
-			if pt.long() {
+		if !pt.PolicyOnly {
+			long += 2*s.Window + 8*time.Second
+			if pt.hasLongTasks() {
 				long += 20 * time.Second
 			}
 		}
@@ -51,7 +51,7 @@
 	if err := s.Check(); err != nil {
 		return err
 	}
-	o.Span, o.Work = s.Span, s.Work
+	o.Window, o.TaskDuration = s.Window, s.TaskDuration
 	for round := range s.Rounds {
 		for _, pt := range s.points(round) {
 			each(Measure(pt, o))
@@ -92,8 +92,8 @@
 	BaseExecutors int           // where executors are not varied
 	BaseNodes     int           // where priority levels are varied
 	BaseRate      int           // where the rate is not varied
-	Work          time.Duration // of a task
-	Span          time.Duration // of the stretch without load, and of that under load
+	TaskDuration  time.Duration // of a task
+	Window        time.Duration // of the stretch without load, and of that under load
 	Sockets       int           // connection limit of a real node
-	Against       bool          // measures each point with another build as well
+	Baseline      bool          // measures each point with another build as well
 }
--- a/internal/scaletest/wire_test.go
+++ b/internal/scaletest/wire_test.go
@@ -11,23 +11,23 @@
 	"birchstair/internal/golden"
 )
 
-// setAll sets every field of a struct to a value that its JSON form shows, and fields of structs within it likewise.
-func setAll(value reflect.Value) {
+// setAllFields sets every field of a struct to a value that its JSON form shows, and fields of structs within it likewise.
+func setAllFields(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
 		for i := range value.NumField() {
-			setAll(value.Field(i))
+			setAllFields(value.Field(i))
 		}
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		setAll(value.Elem())
+		setAllFields(value.Elem())
 	case reflect.Slice:
 		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
-		setAll(value.Index(0))
+		setAllFields(value.Index(0))
 	case reflect.Map:
 		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-		setAll(key)
-		setAll(element)
+		setAllFields(key)
+		setAllFields(element)
 		value.Set(reflect.MakeMap(value.Type()))
 		value.SetMapIndex(key, element)
 	case reflect.String:
@@ -46,10 +46,10 @@
 // TestWireForms pins the JSON of results, and of the messages between the processes of a run, with each field set and with none.
 func TestWireForms(t *testing.T) {
 	text := ""
-	for _, message := range []any{&Row{}, &Fit{}, &hollowJob{}, &hollowReady{}, &Counts{}, &moduleFigures{}} {
+	for _, message := range []any{&Row{}, &Fit{}, &stubJob{}, &stubReady{}, &Counts{}, &policyFigures{}} {
 		for _, set := range []bool{false, true} {
 			if set {
-				setAll(reflect.ValueOf(message).Elem())
+				setAllFields(reflect.ValueOf(message).Elem())
 			}
 			line, err := json.Marshal(message)
 			if err != nil {
@@ -87,8 +87,8 @@
 
 // TestPoints pins the points of a round, in their order, with each dimension varied.
 func TestPoints(t *testing.T) {
-	s := smallest()
-	s.PriorityLevels, s.Rates, s.Concurrency, s.Queueing, s.Against, s.Span = []int{1, 64}, []int{50}, []int{100}, []int{400}, true, time.Second
+	s := smallestSweep()
+	s.PriorityLevels, s.Rates, s.Concurrency, s.Queueing, s.Baseline, s.Window = []int{1, 64}, []int{50}, []int{100}, []int{400}, true, time.Second
 	text := ""
 	for _, point := range s.points(1) {
 		line, err := json.Marshal(point)
