--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -6,18 +6,19 @@
 	"net"
 )
 
-// ReserveAddresses reserves the loopback addresses 127.SLOT.x.y, which no other run uses, until the returned listener is closed.
-func ReserveAddresses() (slot byte, claim net.Listener, err error) {
+// ReserveAddresses reserves the loopback addresses 127.SLOT.x.y for this run until the returned listener is closed.
+// Runs in other processes pick another slot, since the listener's port is taken.
+func ReserveAddresses() (slot byte, reservation net.Listener, err error) {
 	for range 500 {
 		slot = byte(2 + rand.IntN(250))
-		if claim, err = net.Listen("tcp", fmt.Sprintf("127.%d.2.1:%d", slot, relayPort)); err == nil {
-			return slot, claim, nil
+		if reservation, err = net.Listen("tcp", fmt.Sprintf("127.%d.2.1:%d", slot, relayPort)); err == nil {
+			return slot, reservation, nil
 		}
 	}
 	return 0, nil, err
 }
 
-// Ports at the addresses of a node.
+// Ports of a node. The relay port is at another address than the others.
 const (
 	relayPort  = 7946
 	gossipPort = 7947
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -15,26 +15,26 @@
 	"birchstair/policy"
 )
 
-// zoneClients are the clients of a zone and the load balancer in front of its nodes.
+// zoneClients are the emulated clients of a zone and the load balancer between them and the nodes.
 type zoneClients struct {
 	*emulator.Clients
 	cluster  *cluster
 	zone     policy.ZoneID
-	nextNode int
-	until    time.Duration
+	nextNode int           // position in the load balancer's rotation
+	until    time.Duration // end of the load
 }
 
-// request is a request of a client at a node.
-type request struct {
-	from    *zoneClients
+// clientRequest is a clientRequest of a client at a node.
+type clientRequest struct {
+	clients *zoneClients
 	work    *emulator.Work
 	job     policy.JobID
 	node    *nodeProcess
-	runs    int  // effects that executors have begun for it
-	excused bool // its node was killed or paused meanwhile: no answer is owed
+	effects int  // number of effects that executors have started for it
+	excused bool // whether its node was killed, paused or shut down, so that it may stay unanswered
 }
 
-// buildClients starts the clients of each zone, which submit work until the given time.
+// buildClients starts the clients of each zone, which submit work until the given time. It is called with r.mu held.
 func (r *cluster) buildClients(until time.Duration) {
 	f, l := &r.scenario.Fleet, &r.scenario.Load
 	capacity := 0.0
@@ -44,13 +44,14 @@
 	rates := r.scenario.Rates(capacity)
 	for i, zone := range f.Zones {
 		c := &zoneClients{cluster: r, zone: policy.ZoneID(i), until: until}
-		c.Clients = emulator.NewClients(zone+"-", r.classes, emulator.Behavior{Rate: rates[i], Retries: l.Retries,
+		c.Clients = emulator.NewClients(zone+"-", r.clientClasses, emulator.Behavior{Rate: rates[i], Retries: l.Retries,
 			Backoff: time.Duration(l.RetryWait), FollowsRetryAfter: l.RespectsRetryAfter, LeaveShare: l.LeaveRate, HintNoise: l.HintNoise}, f.ValuePerWork, rand.New(rand.NewPCG(r.options.Seed, uint64(5000+i))))
 		r.clients = append(r.clients, c)
 		r.after(c.Gap(), c.arrive)
 	}
 }
 
+// arrive submits a new work item and schedules the next one, until the load ends. It is called with r.mu held.
 func (c *zoneClients) arrive() {
 	r := c.cluster
 	if r.now() >= c.until {
@@ -66,52 +67,53 @@
 
 // Limits of clients and of the load balancer.
 const (
-	frontDelay    = 200 * time.Millisecond // the load balancer sends requests to a node for so long after its shutdown has begun
-	overdueMargin = 500 * time.Millisecond // beyond slack, until a client stops waiting for an answer
-	maxIdleConns  = 100                    // to a node
-	maxBody       = 4 << 10                // of a request, in bytes
+	loadBalancerDelay = 200 * time.Millisecond // time for which the load balancer still picks a node whose shutdown has begun
+	overdueTolerance  = 500 * time.Millisecond // time beyond timingTolerance after which a client stops waiting for an answer
+	maxIdleConns      = 100                    // idle connections that clients keep to a node
+	maxBodyBytes      = 4 << 10                // largest request body that clients send, in bytes
 )
 
-// pickNode returns the node that the load balancer sends to: the zone's nodes that are up, in turn, or if there is none another zone's;
-// nil if no node is up.
+// pickNode returns the node that the load balancer sends the next request to. It rotates over the running nodes of the
+// zone, or over those of the other zones if the zone has none. It returns nil if no node is running.
 func (c *zoneClients) pickNode() *nodeProcess {
 	c.nextNode++
 	for _, near := range [...]bool{true, false} {
-		var at []*nodeProcess
+		var candidates []*nodeProcess
 		for _, p := range c.cluster.nodes {
-			if (p.zone == c.zone) == near && p.up && (p.terminatedAt == 0 || c.cluster.now() < p.terminatedAt+frontDelay) {
-				at = append(at, p)
+			if (p.zone == c.zone) == near && p.up && (p.terminatedAt == 0 || c.cluster.now() < p.terminatedAt+loadBalancerDelay) {
+				candidates = append(candidates, p)
 			}
 		}
-		if len(at) > 0 {
-			return at[c.nextNode%len(at)]
+		if len(candidates) > 0 {
+			return candidates[c.nextNode%len(candidates)]
 		}
 	}
 	return nil
 }
 
+// submit sends a request for a work item, unless the run is ending. It is called with r.mu held.
 func (c *zoneClients) submit(work *emulator.Work) {
 	r := c.cluster
 	if r.closing {
 		return
 	}
-	t := &request{from: c, work: work, job: work.Job(), node: c.pickNode()}
-	t.excused = t.node != nil && t.node.wasPaused()
-	if t.node == nil {
-		r.after(time.Millisecond, func() { c.requestEnded(t, emulator.EndUnreached, platform.Final{}) })
+	request := &clientRequest{clients: c, work: work, job: work.Job(), node: c.pickNode()}
+	request.excused = request.node != nil && request.node.wasPaused()
+	if request.node == nil {
+		r.after(time.Millisecond, func() { c.requestEnded(request, emulator.EndUnreached, platform.Final{}) })
 		return
 	}
-	r.requests[t.job] = t
-	m := platform.Request{Job: t.job, Class: r.scenario.Classes[work.Class].Name, StatedCost: time.Duration(work.StatedCost * 1e9), Body: make([]byte, min(r.scenario.Load.BodyBytes, maxBody))}
-	if r.policyClasses[work.Class].Idempotency == policy.IdempotentWithKey {
-		m.IdempotencyKey = string(work.ID)
+	r.requests[request.job] = request
+	message := platform.Request{Job: request.job, Class: r.scenario.Classes[work.Class].Name, StatedCost: time.Duration(work.StatedCost * 1e9), Body: make([]byte, min(r.scenario.Load.BodyBytes, maxBodyBytes))}
+	if r.nodeClasses[work.Class].Idempotency == policy.IdempotentWithKey {
+		message.IdempotencyKey = string(work.ID)
 	}
 	r.goroutines.Go(func() {
-		how, f := r.send(t, m)
+		end, f := r.send(request, message)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if !r.over {
-			c.requestEnded(t, how, f)
+		if !r.stopped {
+			c.requestEnded(request, end, f)
 		}
 	})
 }
@@ -119,52 +121,54 @@
 // clientConn is a client's connection to a node.
 type clientConn struct {
 	net.Conn
-	reused      bool // it has carried a request before
-	incarnation int  // of the node's process
+	reused      bool // whether it has carried an earlier request
+	incarnation int  // incarnation of the node's process when the connection was taken or dialed
 }
 
-// errIdleConnClosed says that the node closed an idle connection before it can have read the request.
+// errIdleConnClosed means that a reused connection failed before the first byte of the answer. The node may have closed
+// the idle connection when the request was being sent, without reading it.
 var errIdleConnClosed = errors.New("the node closed an idle connection")
 
-// send sends a request and waits for its answer. If the node closes an idle connection at the same time, it is sent once more on a new one.
-func (r *cluster) send(t *request, m platform.Request) (emulator.End, platform.Final) {
+// send sends a request and waits for its answer. If a reused connection fails before the answer begins, send repeats
+// the request once on a new connection.
+func (r *cluster) send(request *clientRequest, message platform.Request) (emulator.End, platform.Final) {
 	incarnation := 0
 	for again := false; ; again = true {
-		c, err := r.connect(t.node, again)
+		c, err := r.connect(request.node, again)
 		switch {
 		case again && (err != nil || c.incarnation != incarnation):
-			return emulator.EndLost, platform.Final{} // its process is gone, and may have read the first
+			return emulator.EndLost, platform.Final{} // the node's process has ended, and may have read the first request
 		case err != nil:
 			return emulator.EndUnreached, platform.Final{}
 		}
 		incarnation = c.incarnation
-		m.Budget = (t.work.Deadline - r.now()).Truncate(time.Millisecond)
-		if m.Budget <= 0 {
+		message.Budget = (request.work.Deadline - r.now()).Truncate(time.Millisecond)
+		if message.Budget <= 0 {
 			c.Close()
 			return emulator.EndUnreached, platform.Final{}
 		}
-		f, err := r.exchange(c, t, m, c.reused && !again)
+		f, err := r.exchange(c, request, message, c.reused && !again)
 		if errors.Is(err, errIdleConnClosed) {
 			c.Close()
-			r.observeClientLeft(t)
+			r.observeClientLeft(request)
 			continue
 		}
-		return r.exchangeEnded(c, t, f, err), f
+		return r.exchangeEnded(c, request, f, err), f
 	}
 }
 
-// exchange sends a request on a connection and reads the answer. It fails with os.ErrDeadlineExceeded when the client leaves, or when the
-// answer is overdue, and with errIdleConnClosed only if mayRetry is set.
-func (r *cluster) exchange(c *clientConn, t *request, m platform.Request, mayRetry bool) (f platform.Final, err error) {
+// exchange sends a request on a connection and reads the answer. It fails with os.ErrDeadlineExceeded when the client
+// disconnects or the answer is overdue, and with errIdleConnClosed only if mayRetry is set.
+func (r *cluster) exchange(c *clientConn, request *clientRequest, message platform.Request, mayRetry bool) (f platform.Final, err error) {
 	r.mu.Lock()
-	r.observe(invariants.Event{Kind: invariants.JobAccepted, Node: t.node.id, Job: t.job, Work: t.work.ID, Class: t.work.Class, Deadline: r.now() + m.Budget})
+	r.observe(invariants.Event{Kind: invariants.JobAccepted, Node: request.node.id, Job: request.job, Work: request.work.ID, Class: request.work.Class, Deadline: r.now() + message.Budget})
 	r.mu.Unlock()
-	wait := m.Budget + slack + overdueMargin
-	if t.clientLeaves() {
-		wait = max(0, t.work.LeavesAt-r.now())
+	wait := message.Budget + timingTolerance + overdueTolerance
+	if request.clientLeaves() {
+		wait = max(0, request.work.LeavesAt-r.now())
 	}
 	c.SetDeadline(time.Now().Add(wait))
-	if _, err := c.Write(m.Append(nil)); err != nil {
+	if _, err := c.Write(message.Append(nil)); err != nil {
 		return f, err
 	}
 	in := bufio.NewReader(c)
@@ -174,15 +178,15 @@
 	return platform.ReadFinal(in)
 }
 
-// exchangeEnded returns how a request ended for its client, and closes or returns the connection.
-func (r *cluster) exchangeEnded(c *clientConn, t *request, f platform.Final, err error) emulator.End {
+// exchangeEnded returns how a request ended for its client. It closes the connection or keeps it for a later request.
+func (r *cluster) exchangeEnded(c *clientConn, request *clientRequest, f platform.Final, err error) emulator.End {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.Close()
-		if t.clientLeaves() {
+		if request.clientLeaves() {
 			r.mu.Lock()
-			r.observe(invariants.Event{Kind: invariants.ClientLeft, Node: t.node.id, Job: t.job})
-			r.clientLeftAt[t.job] = r.now()
+			r.observe(invariants.Event{Kind: invariants.ClientLeft, Node: request.node.id, Job: request.job})
+			r.clientLeftAt[request.job] = r.now()
 			r.mu.Unlock()
 		}
 		return emulator.EndFailed
@@ -192,15 +196,17 @@
 	case f.Closes:
 		c.Close()
 	default:
-		r.returnConn(t.node, c.Conn)
+		r.returnConn(request.node, c.Conn)
 	}
 	return f.End
 }
 
-// clientLeaves reports whether the client leaves before the deadline.
-func (t *request) clientLeaves() bool { return t.work.LeavesAt < t.work.Deadline }
+// clientLeaves reports whether the client disconnects before the request's deadline.
+func (request *clientRequest) clientLeaves() bool {
+	return request.work.LeavesAt < request.work.Deadline
+}
 
-// connect returns an idle connection to a node, or dials a new one if there is none or fresh is set.
+// connect returns an idle connection to a node. It dials a new one if there is none or fresh is set.
 func (r *cluster) connect(p *nodeProcess, fresh bool) (*clientConn, error) {
 	r.mu.Lock()
 	c := &clientConn{incarnation: p.incarnation}
@@ -221,65 +227,66 @@
 func (r *cluster) returnConn(p *nodeProcess, c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over || !p.up || len(p.idleConns) >= maxIdleConns {
+	if r.stopped || !p.up || len(p.idleConns) >= maxIdleConns {
 		c.Close()
 		return
 	}
 	p.idleConns = append(p.idleConns, c)
 }
 
-// observeClientLeft tells the checker that no answer is owed for a request.
-func (r *cluster) observeClientLeft(t *request) {
+// observeClientLeft informs the checker that a request needs no answer.
+func (r *cluster) observeClientLeft(request *clientRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: t.node.id, Job: t.job})
+	r.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: request.node.id, Job: request.job})
 }
 
-// endNames are the keys of the counts of requests in a Result.
+// endNames are the keys of Result.Requests, by emulator.End.
 var endNames = [...]string{"handled", "pushed back", "broken off", "unreached", "lost"}
 
-// requestEnded checks how a request ended, and lets its client retry. It is called with r.mu held.
-func (c *zoneClients) requestEnded(t *request, how emulator.End, f platform.Final) {
-	r, work := c.cluster, t.work
-	delete(r.requests, t.job)
-	r.endedAt[t.job] = r.now()
-	r.result.Requests[endNames[how]]++
-	complete := how == emulator.EndSucceeded || how == emulator.EndRejected
+// requestEnded counts and checks how a request ended, and schedules a retry if the client wants one. It is called with
+// r.mu held.
+func (c *zoneClients) requestEnded(request *clientRequest, end emulator.End, f platform.Final) {
+	r, work := c.cluster, request.work
+	delete(r.requests, request.job)
+	r.endedAt[request.job] = r.now()
+	r.result.Requests[endNames[end]]++
+	complete := end == emulator.EndSucceeded || end == emulator.EndRejected
 	switch {
-	case how == emulator.EndUnreached || t.excused:
-		// Nothing is owed, but an answer that came all the same is checked.
-		if t.node != nil {
-			r.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: t.node.id, Job: t.job})
+	case end == emulator.EndUnreached || request.excused:
+		// No answer is required, but one that was received is still checked.
+		if request.node != nil {
+			r.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: request.node.id, Job: request.job})
 		}
 		if complete {
-			r.checkAnswer(t, how, f)
+			r.checkAnswer(request, end, f)
 		}
-	case how == emulator.EndLost:
-		r.fail("%s: node %s ended its connection with no whole answer", t.job, t.node.name)
-	case f.Status == 0 && work.LeavesAt <= r.now(): // its client has left
+	case end == emulator.EndLost:
+		r.fail("%s: node %s ended its connection with no whole answer", request.job, request.node.name)
+	case f.Status == 0 && work.LeavesAt <= r.now(): // the client has disconnected
 	case f.Status == 0:
-		r.fail("%s: node %s gave no answer by its outer limit", t.job, t.node.name)
+		r.fail("%s: node %s gave no answer by its outer limit", request.job, request.node.name)
 	default:
-		r.observe(invariants.Event{Kind: invariants.JobAnswered, Node: t.node.id, Job: t.job, Final: invariants.Final(how)})
-		r.checkAnswer(t, how, f)
+		r.observe(invariants.Event{Kind: invariants.JobAnswered, Node: request.node.id, Job: request.job, Final: invariants.Final(end)})
+		r.checkAnswer(request, end, f)
 	}
-	if how == emulator.EndSucceeded && r.now() <= work.Objective {
+	if end == emulator.EndSucceeded && r.now() <= work.Objective {
 		r.result.Earned += work.Value
 	}
-	if at, again := c.RetryAt(r.now(), work, how, f.RetryAfter); again && (how != emulator.EndLost || r.policyClasses[work.Class].Idempotency != policy.AtMostOnce) {
+	if at, again := c.RetryAt(r.now(), work, end, f.RetryAfter); again && (end != emulator.EndLost || r.nodeClasses[work.Class].Idempotency != policy.AtMostOnce) {
 		r.after(at-r.now(), func() { c.submit(work) })
 	}
 }
 
-// checkAnswer checks an answer against what executors ran.
-func (r *cluster) checkAnswer(t *request, how emulator.End, f platform.Final) {
-	m := r.policyClasses[t.work.Class]
+// checkAnswer checks an answer against what executors ran for the request. It is called with r.mu held.
+func (r *cluster) checkAnswer(request *clientRequest, end emulator.End, f platform.Final) {
+	class := r.nodeClasses[request.work.Class]
 	switch {
-	case how == emulator.EndSucceeded && !platform.IsSuccess(f, string(t.work.ID)):
-		r.fail("%s was answered with what no executor made for it", t.job)
-	case how == emulator.EndRejected && t.runs > 0 && (m.Idempotency == policy.AtMostOnce || m.Idempotency == policy.IdempotentWithKey && m.DedupGroup != policy.DedupAllExecutors):
-		r.fail("%s was pushed back, and ran", t.job)
-	case how == emulator.EndFailed && f.Status < 500:
-		r.fail("%s: node %s finds fault with a sound message: status %d", t.job, t.node.name, f.Status)
+	case end == emulator.EndSucceeded && !platform.IsSuccess(f, string(request.work.ID)):
+		r.fail("%s was answered with what no executor made for it", request.job)
+	case end == emulator.EndRejected && request.effects > 0 && (class.Idempotency == policy.AtMostOnce || class.Idempotency == policy.IdempotentWithKey && class.DedupGroup != policy.DedupAllExecutors):
+		r.fail("%s was pushed back, and ran", request.job)
+	case end == emulator.EndFailed && f.Status < 500:
+		r.fail("%s: node %s finds fault with a sound message: status %d", request.job, request.node.name, f.Status)
 	}
 }
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -17,68 +17,69 @@
 	"birchstair/policy"
 )
 
-// cluster is a run: its processes, its emulated services, and what has been observed.
+// cluster is a running scenario: the node processes, the emulated services, and the state of the checks.
 type cluster struct {
 	scenario simulation.Scenario
 	options  Options
 	start    time.Time
 
-	mu            sync.Mutex // guards all below; nothing under it blocks
-	over          bool       // everything ends
-	closing       bool       // nodes shut down: clients stop submitting
-	rand          *rand.Rand
-	classes       []emulator.JobClass // as clients use them
-	policyClasses []policy.JobClass   // as nodes are configured
-	checker       *invariants.Checker
-	result        Result
-	nodes         []*nodeProcess
-	executors     []*executor
-	discovery     *emulator.Discovery
-	listChanged   chan struct{} // closed when there may be an update
-	requests      map[policy.JobID]*request
-	endedAt       map[policy.JobID]time.Duration // when a request ended
-	clientLeftAt  map[policy.JobID]time.Duration // for clients that left before their answers
-	clients       []*zoneClients
-	memories      emulator.DedupMemories
-	drainKnownAt  map[policy.ExecutorID]time.Duration // when any node was first notified that it drains
-	lastConn      emulator.ConnID
-	timeline      *os.File
-	offers        []simulation.Offer
-	capacity      []float64    // work that executors could do, in bins of the run
-	addressClaim  net.Listener // reserves the addresses of the run
-	timers        []*time.Timer
-	goroutines    sync.WaitGroup // requests, and servers of connections
+	mu                 sync.Mutex // guards all fields below; not held across blocking calls
+	stopped            bool       // set when everything is torn down: callbacks do nothing
+	closing            bool       // set before the nodes are shut down: clients submit no more
+	rand               *rand.Rand
+	clientClasses      []emulator.JobClass // the job classes, as the emulated clients use them
+	nodeClasses        []policy.JobClass   // the same job classes, as the nodes' policy has them
+	checker            *invariants.Checker
+	result             Result
+	nodes              []*nodeProcess
+	executors          []*executor
+	discovery          *emulator.Discovery
+	listChanged        chan struct{}                   // closed and replaced when watches should check for an update
+	requests           map[policy.JobID]*clientRequest // requests in flight
+	endedAt            map[policy.JobID]time.Duration  // when each request ended
+	clientLeftAt       map[policy.JobID]time.Duration  // when a client disconnected before its answer
+	clients            []*zoneClients
+	memories           emulator.DedupMemories
+	drainKnownAt       map[policy.ExecutorID]time.Duration // when the first node was notified of the executor's drain
+	lastConn           emulator.ConnID
+	timeline           *os.File
+	offers             []simulation.Offer
+	capacity           []float64    // work that the executors could do in each simulation.Bin, in seconds
+	addressReservation net.Listener // keeps the loopback addresses reserved
+	timers             []*time.Timer
+	goroutines         sync.WaitGroup // clients' requests, log readers, accept loops and connection handlers
 
-	lastTick    time.Duration // when this process ran last, to detect that it stalled
-	stall       time.Duration // how long it stalled before that
-	stallSeenAt time.Duration
+	lastTick    time.Duration // last tick of detectStalls
+	stall       time.Duration // longest recent stall of this process
+	stallSeenAt time.Duration // when that stall was detected
 
-	gossipLost       float64       // share of datagrams
-	gossipDuplicated float64       // share of datagrams
-	gossipDelay      time.Duration // at most
+	gossipLost       float64       // fraction of the datagrams between nodes that is lost
+	gossipDuplicated float64       // fraction of the datagrams between nodes that is duplicated
+	gossipDelay      time.Duration // largest delay of a datagram between nodes
 }
 
-// Margins for a busy machine, and times of a run.
+// Tolerances for a busy machine, and times of a run.
 const (
-	slack             = time.Second            // an answer may be so late
-	observationDelay  = 150 * time.Millisecond // this process may read so late what a node wrote
-	gossipDrainWithin = 3 * time.Second        // every node knows of a drain within it, if gossip is not partitioned
-	warmUp            = 500 * time.Millisecond // after all nodes are ready
-	readyTimeout      = 20 * time.Second
-	arrivalMargin     = 1.5             // over the slow-start budget, since attempts that were sent in time may arrive in a burst
-	answerMargin      = 2 * time.Second // for answers after the last deadline
-	tickInterval      = 50 * time.Millisecond
-	stallEffect       = 2 * time.Second // what arrived during a stall is read within it
+	timingTolerance  = time.Second            // allowed lateness of an answer or of a node's reaction
+	observationDelay = 150 * time.Millisecond // time until this process reads what a node wrote
+	drainGossipLimit = 3 * time.Second        // time for gossip to inform every node of a drain, without a partition
+	loadDelay        = 500 * time.Millisecond // time from when all nodes are ready until the load begins
+	readyTimeout     = 20 * time.Second
+	slowStartMargin  = 1.5             // multiple of the slow-start budget that is allowed, since attempts sent within the budget may arrive in a burst
+	answerMargin     = 2 * time.Second // wait for outstanding answers after the last deadline
+	tickInterval     = 50 * time.Millisecond
+	stallAftermath   = 2 * time.Second // time after a stall in which what arrived during it is read
 )
 
-// Play runs a scenario. It returns an error if the scenario could not be played; violations are in the result.
+// Play plays a scenario. It returns an error if the scenario could not be played; violations of the rules are in the
+// result.
 func Play(s simulation.Scenario, o Options) (result Result, err error) {
 	r := &cluster{scenario: s, options: o, start: time.Now(), rand: rand.New(rand.NewPCG(o.Seed, 9)),
-		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.DiscoveryLag)), listChanged: make(chan struct{}), requests: map[policy.JobID]*request{}, endedAt: map[policy.JobID]time.Duration{}, clientLeftAt: map[policy.JobID]time.Duration{},
+		discovery: emulator.NewDiscovery(time.Duration(s.Fleet.DiscoveryLag)), listChanged: make(chan struct{}), requests: map[policy.JobID]*clientRequest{}, endedAt: map[policy.JobID]time.Duration{}, clientLeftAt: map[policy.JobID]time.Duration{},
 		memories: emulator.DedupMemories{}, drainKnownAt: map[policy.ExecutorID]time.Duration{}, result: Result{Seed: o.Seed, Requests: map[string]int{}}}
-	r.classes, r.policyClasses = s.JobClasses()
-	r.checker = invariants.New(invariants.Settings{Classes: r.policyClasses, AnswerSlack: slack, DrainGrace: time.Duration(s.Fleet.DrainGrace) + slack, PromptWithin: time.Hour,
-		SlowStart: time.Duration(s.Fleet.SlowStartDuration), SlowStartMultiple: arrivalMargin * s.Fleet.OverloadMultiple, SlowStartWindow: time.Duration(s.Fleet.OverloadWindow), MeanWork: s.MeanWork(), Hedging: s.Fleet.MayHedge})
+	r.clientClasses, r.nodeClasses = s.JobClasses()
+	r.checker = invariants.New(invariants.Settings{Classes: r.nodeClasses, AnswerSlack: timingTolerance, DrainGrace: time.Duration(s.Fleet.DrainGrace) + timingTolerance, PromptWithin: time.Hour,
+		SlowStart: time.Duration(s.Fleet.SlowStartDuration), SlowStartMultiple: slowStartMargin * s.Fleet.OverloadMultiple, SlowStartWindow: time.Duration(s.Fleet.OverloadWindow), MeanWork: s.MeanWork(), Hedging: s.Fleet.MayHedge})
 	if r.timeline, err = os.Create(filepath.Join(o.Dir, "timeline.txt")); err != nil {
 		return Result{}, err
 	}
@@ -109,25 +110,26 @@
 }
 
 // observe passes an event to the checker. It is called with r.mu held.
-func (r *cluster) observe(s invariants.Event) {
-	s.At = r.now()
-	for _, b := range r.checker.Observe(s) {
-		r.fail("%s", b.String())
+func (r *cluster) observe(event invariants.Event) {
+	event.At = r.now()
+	for _, violation := range r.checker.Observe(event) {
+		r.fail("%s", violation.String())
 	}
 }
 
-// after calls a function later, with r.mu held, unless the run is over by then.
-func (r *cluster) after(span time.Duration, what func()) {
-	r.timers = append(r.timers, time.AfterFunc(span, func() {
+// after calls a function after a delay, with r.mu held, unless the run has stopped by then. It is called with r.mu
+// held.
+func (r *cluster) after(delay time.Duration, call func()) {
+	r.timers = append(r.timers, time.AfterFunc(delay, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if !r.over {
-			what()
+		if !r.stopped {
+			call()
 		}
 	}))
 }
 
-// setUp starts the emulated services and the nodes.
+// setUp starts the emulated executors, discovery, and the nodes.
 func (r *cluster) setUp() error {
 	f := &r.scenario.Fleet
 	speeds := rand.New(rand.NewPCG(r.options.Seed, 10))
@@ -137,13 +139,13 @@
 		x := r.newExecutor(fmt.Sprint("e", i), i, f.Speed*(1+f.SpeedSpread*(2*speeds.Float64()-1)))
 		r.discovery.Change(-time.Hour+time.Duration(i), x.entry(policy.Available))
 	}
-	slot, held, err := ReserveAddresses()
+	slot, reservation, err := ReserveAddresses()
 	if err != nil {
-		return fmt.Errorf("no free loopback addresses for a fleet: %w", err)
+		return fmt.Errorf("reserve loopback addresses: %w", err)
 	}
-	r.addressClaim = held
+	r.addressReservation = reservation
 	for i := range f.Nodes {
-		p, err := r.newProc(i, slot)
+		p, err := r.newNodeProcess(i, slot)
 		if err != nil {
 			return err
 		}
@@ -160,7 +162,7 @@
 	return nil
 }
 
-// awaitReady waits until all nodes are ready and, if they gossip, know each other.
+// awaitReady waits until all nodes are ready and, if they gossip, have discovered each other.
 func (r *cluster) awaitReady() error {
 	for _, p := range r.nodes {
 		until := time.Now().Add(readyTimeout)
@@ -174,13 +176,13 @@
 	return nil
 }
 
-// run plays the load and the faults, and waits for the last answers.
+// run applies the load and the faults, and waits for the last answers.
 func (r *cluster) run() {
 	r.mu.Lock()
 	r.note("all nodes are ready")
 	r.gossipLost, r.gossipDuplicated, r.gossipDelay = r.scenario.Fleet.MessageLoss, r.scenario.Fleet.MessageDuplication, time.Duration(r.scenario.Fleet.MessageDelay)
 	length := time.Duration(r.scenario.Length)
-	r.after(warmUp, func() { r.buildClients(r.now() + length) })
+	r.after(loadDelay, func() { r.buildClients(r.now() + length) })
 	for _, f := range r.scenario.Faults {
 		r.schedule(f.Emulated())
 	}
@@ -188,34 +190,36 @@
 		r.options.injectDefect(r)
 	}
 	r.sampleCapacity()
-	r.ticks()
+	r.detectStalls()
 	longest := time.Duration(0)
-	for _, t := range r.policyClasses {
-		longest = max(longest, t.Deadline)
+	for _, class := range r.nodeClasses {
+		longest = max(longest, class.Deadline)
 	}
 	r.mu.Unlock()
-	time.Sleep(warmUp + length)
+	time.Sleep(loadDelay + length)
 	for until := time.Now().Add(longest + answerMargin); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		r.mu.Lock()
-		open := len(r.requests)
+		inFlight := len(r.requests)
 		r.mu.Unlock()
-		if open == 0 {
+		if inFlight == 0 {
 			break
 		}
 	}
 }
 
-// ticks detects stalls of this process, which observes both ends: what it reads after a stall arrived before.
-func (r *cluster) ticks() {
-	if stall := r.now() - r.lastTick - tickInterval; r.lastTick > 0 && (stall > r.stall || r.now() > r.stallSeenAt+stallEffect) {
+// detectStalls records stalls of this process. The harness takes the time of an event when it reads it, so an event
+// that arrived during a stall seems later than it was. Checks of times allow for that by ownStall. It is called with
+// r.mu held.
+func (r *cluster) detectStalls() {
+	if stall := r.now() - r.lastTick - tickInterval; r.lastTick > 0 && (stall > r.stall || r.now() > r.stallSeenAt+stallAftermath) {
 		r.stall, r.stallSeenAt = max(0, stall), r.now()
 	}
 	r.lastTick = r.now()
-	r.after(tickInterval, r.ticks)
+	r.after(tickInterval, r.detectStalls)
 }
 
-// ownStall returns how long this process has just stalled. Times that it took before and after a stall look as far apart as that, though
-// the events may have been close.
+// ownStall returns how long this process has just stalled, or 0. Two events before and after a stall may have been
+// closer together than their recorded times, by up to this long. It is called with r.mu held.
 func (r *cluster) ownStall() time.Duration {
 	if r.lastTick == 0 {
 		return 0
@@ -223,29 +227,30 @@
 	return max(r.stall, r.now()-r.lastTick-tickInterval, 0)
 }
 
-// sampleCapacity records what executors can do in this bin.
+// sampleCapacity records the work that the executors can do in this bin, and schedules the next sample. It is called
+// with r.mu held.
 func (r *cluster) sampleCapacity() {
-	can := 0.0
+	capacity := 0.0
 	for _, x := range r.executors {
-		if t := x.Faults(); x.Up && !x.Draining && !t.Unresponsive {
-			can += x.Capacity(r.now()) * (1 - t.Errors) / max(1, t.Slow)
+		if faults := x.Faults(); x.Up && !x.Draining && !faults.Unresponsive {
+			capacity += x.Capacity(r.now()) * (1 - faults.Errors) / max(1, faults.Slow)
 		}
 	}
 	for len(r.capacity) <= int(r.now()/simulation.Bin) {
-		r.capacity = append(r.capacity, can*simulation.Bin.Seconds())
+		r.capacity = append(r.capacity, capacity*simulation.Bin.Seconds())
 	}
 	r.after(simulation.Bin, r.sampleCapacity)
 }
 
-// finish shuts down the nodes and returns the result.
+// finish shuts the nodes down gracefully and returns the result.
 func (r *cluster) finish() Result {
 	for _, p := range r.nodes {
-		r.result.FleetViews = append(r.result.FleetViews, p.fleetView())
+		r.result.ClusterViews = append(r.result.ClusterViews, p.clusterView())
 	}
 	r.mu.Lock()
-	r.closing = true // no retries: the nodes shut down now
-	for _, t := range r.requests {
-		t.excused = true
+	r.closing = true // clients must not retry while the nodes shut down
+	for _, request := range r.requests {
+		request.excused = true
 	}
 	r.mu.Unlock()
 	for _, p := range r.nodes {
@@ -258,9 +263,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.checker.AdvanceTo(r.now())
-	r.result.LeftWhileQueued, r.result.SlowStartPeak = r.checker.ClientsLeftWhileQueued(), arrivalMargin*r.checker.SlowStartPeak()
-	for _, b := range r.checker.Violations() {
-		if text := b.String(); !slices.Contains(r.result.Violations, text) {
+	r.result.LeftWhileQueued, r.result.SlowStartPeak = r.checker.ClientsLeftWhileQueued(), slowStartMargin*r.checker.SlowStartPeak()
+	for _, violation := range r.checker.Violations() {
+		if text := violation.String(); !slices.Contains(r.result.Violations, text) {
 			r.fail("%s", text)
 		}
 	}
@@ -268,12 +273,12 @@
 	return r.result
 }
 
-// shutDown ends everything that is left.
+// shutDown stops all processes, emulated services and goroutines that are left.
 func (r *cluster) shutDown() {
 	r.mu.Lock()
-	r.over = true
-	for _, t := range r.timers {
-		t.Stop()
+	r.stopped = true
+	for _, timer := range r.timers {
+		timer.Stop()
 	}
 	r.wakeWatches()
 	closers := []func(){}
@@ -284,11 +289,11 @@
 		closers = append(closers, x.close)
 	}
 	r.mu.Unlock()
-	for _, c := range closers {
-		c()
+	for _, closer := range closers {
+		closer()
 	}
-	if r.addressClaim != nil {
-		r.addressClaim.Close()
+	if r.addressReservation != nil {
+		r.addressReservation.Close()
 	}
 	r.goroutines.Wait()
 }
--- a/internal/harness/discovery.go
+++ b/internal/harness/discovery.go
@@ -10,20 +10,21 @@
 	"birchstair/policy"
 )
 
-// changeEndpoint changes the endpoint list, and notifies nodes when it is published. It is called with r.mu held.
+// changeEndpoint changes an entry of the endpoint list, and wakes the nodes' watches when the change is published after
+// the discovery lag. It is called with r.mu held.
 func (r *cluster) changeEndpoint(e emulator.Entry) {
 	at := r.discovery.Change(r.now(), e)
 	r.checker.EndpointPublished(at, e.Executor, e.State)
 	r.after(at-r.now()+time.Millisecond, r.wakeWatches)
 }
 
-// wakeWatches lets all watches check for an update. It is called with r.mu held.
+// wakeWatches makes all waiting watches check for an update. It is called with r.mu held.
 func (r *cluster) wakeWatches() {
 	close(r.listChanged)
 	r.listChanged = make(chan struct{})
 }
 
-// serveDiscovery serves the node's connections to discovery.
+// serveDiscovery answers the watches on the node's connections to discovery.
 func (p *nodeProcess) serveDiscovery() {
 	for {
 		c, err := p.discoveryListener.Accept()
@@ -35,11 +36,11 @@
 			in := bufio.NewReader(c)
 			for {
 				c.SetReadDeadline(time.Now().Add(2 * time.Minute))
-				ask, err := platform.ReadWatch(in)
+				watch, err := platform.ReadWatch(in)
 				if err != nil {
 					return
 				}
-				answer := p.awaitUpdate(ask)
+				answer := p.awaitUpdate(watch)
 				if answer == nil {
 					return
 				}
@@ -51,17 +52,18 @@
 	}
 }
 
-// awaitUpdate waits for the answer to a watch. There is none while discovery does not answer this node; nil at the end of the run.
+// awaitUpdate returns the answer to a watch: once there is an update, or when the time that the watch may be held is
+// over. While discovery does not answer this node, it waits longer. It returns nil at the end of the run.
 func (p *nodeProcess) awaitUpdate(watch platform.Watch) []byte {
 	r := p.cluster
 	until := time.Now().Add(watch.Hold)
 	for {
 		r.mu.Lock()
-		if r.over {
+		if r.stopped {
 			r.mu.Unlock()
 			return nil
 		}
-		news := r.listChanged
+		changed := r.listChanged
 		if !p.discoveryUnreachable && !r.discovery.Silent() {
 			version, entries := r.discovery.Since(r.now(), watch.From)
 			if watch.Complete {
@@ -74,22 +76,23 @@
 			}
 		}
 		r.mu.Unlock()
-		var over <-chan time.Time
+		var expired <-chan time.Time
 		if left := time.Until(until); left > 0 {
-			over = time.After(left)
+			expired = time.After(left)
 		}
 		select {
-		case <-news:
-		case <-over:
+		case <-changed:
+		case <-expired:
 		}
 	}
 }
 
-// update returns an update with the addresses at which this node reaches executors, and records what the node learns by it.
+// update encodes an update with the addresses at which this node reaches executors, and records that the node has been
+// notified of its entries. It is called with cluster.mu held.
 func (p *nodeProcess) update(version int, complete bool, entries []emulator.Entry) []byte {
 	r := p.cluster
 	named := map[policy.ExecutorID]bool{}
-	own := make([]emulator.Entry, 0, len(entries))
+	ownEntries := make([]emulator.Entry, 0, len(entries))
 	for _, e := range entries {
 		named[e.Executor] = true
 		l := p.executorListeners[e.Executor]
@@ -97,7 +100,7 @@
 			continue
 		}
 		e.Addr = l.Addr().String()
-		own = append(own, e)
+		ownEntries = append(ownEntries, e)
 		start := e.StartedAt
 		if e.StartedLongAgo {
 			start = -time.Hour
@@ -105,30 +108,31 @@
 		p.recordEndpoint(invariants.Event{Executor: e.Executor, State: e.State, Start: start})
 	}
 	if complete {
-		for id, was := range p.known {
-			if !named[id] && was.State != policy.Removed {
-				p.recordEndpoint(invariants.Event{Executor: id, State: policy.Removed, Start: was.Start})
+		for id, previous := range p.known {
+			if !named[id] && previous.State != policy.Removed {
+				p.recordEndpoint(invariants.Event{Executor: id, State: policy.Removed, Start: previous.Start})
 			}
 		}
 	}
-	return platform.AppendList(nil, version, complete, own, r.scenario.Fleet.Zones, r.start)
+	return platform.AppendList(nil, version, complete, ownEntries, r.scenario.Fleet.Zones, r.start)
 }
 
-// recordEndpoint records that the node has been notified of an endpoint.
-func (p *nodeProcess) recordEndpoint(s invariants.Event) {
-	s.Kind, s.Node, s.At = invariants.EndpointNotified, p.id, p.cluster.now()
-	was, ok := p.known[s.Executor]
-	if ok && was.State == s.State && was.Start == s.Start {
+// recordEndpoint records that the node has been notified of an endpoint's state. A change from draining to removed
+// keeps the time of the first notification. It is called with cluster.mu held.
+func (p *nodeProcess) recordEndpoint(event invariants.Event) {
+	event.Kind, event.Node, event.At = invariants.EndpointNotified, p.id, p.cluster.now()
+	previous, ok := p.known[event.Executor]
+	if ok && previous.State == event.State && previous.Start == event.Start {
 		return
 	}
-	if ok && was.State != policy.Available && s.State != policy.Available {
-		s.At = was.At
+	if ok && previous.State != policy.Available && event.State != policy.Available {
+		event.At = previous.At
 	}
-	p.known[s.Executor] = s
-	if s.State != policy.Available {
-		if _, ok := p.cluster.drainKnownAt[s.Executor]; !ok {
-			p.cluster.drainKnownAt[s.Executor] = p.cluster.now()
+	p.known[event.Executor] = event
+	if event.State != policy.Available {
+		if _, ok := p.cluster.drainKnownAt[event.Executor]; !ok {
+			p.cluster.drainKnownAt[event.Executor] = p.cluster.now()
 		}
 	}
-	p.cluster.observe(s)
+	p.cluster.observe(event)
 }
--- a/internal/harness/draw.go
+++ b/internal/harness/draw.go
@@ -9,20 +9,20 @@
 	"birchstair/internal/simulation"
 )
 
-// Draw returns a short random scenario for so many nodes: a load, and two to five faults that may overlap. The order of draws is part of
-// what a seed means.
+// Draw returns a short random scenario with the given number of nodes. It has a random load and two to five faults that
+// may overlap. The order of the draws must stay, or a seed would give another scenario.
 func Draw(seed uint64, nodes int) simulation.Scenario {
 	r := rand.New(rand.NewPCG(seed, 77))
 	s := simulation.Base()
 	s.Name, s.Seed, s.Length = fmt.Sprint("fleet-", seed), seed, simulation.Span(10*time.Second)
 	s.About = fmt.Sprintf("Drawn from seed %d for %d real processes.", seed, nodes)
-	f, l := &s.Fleet, &s.Load
+	f, load := &s.Fleet, &s.Load
 	f.Nodes, f.Executors, f.Gossip = nodes, max(6, nodes), true
 	f.DiscoveryLag = simulation.Span(300 * time.Millisecond)
 	f.WeightInterval = 0
 	f.SlowStartDuration = simulation.Span(4 * time.Second)
-	l.Utilization = []float64{0.4, 0.6, 0.8, 1.5, 2, 4}[r.IntN(6)]
-	l.Retries, l.RetryWait, l.RespectsRetryAfter = r.IntN(4), simulation.Span(time.Duration(50*r.IntN(4))*time.Millisecond), r.IntN(2) == 0
+	load.Utilization = []float64{0.4, 0.6, 0.8, 1.5, 2, 4}[r.IntN(6)]
+	load.Retries, load.RetryWait, load.RespectsRetryAfter = r.IntN(4), simulation.Span(time.Duration(50*r.IntN(4))*time.Millisecond), r.IntN(2) == 0
 	f.MessageLoss = []float64{0, 0, 0.3}[r.IntN(3)]
 	f.MessageDuplication = []float64{0, 0.2}[r.IntN(2)]
 	f.MessageDelay = simulation.Span([]time.Duration{0, 500 * time.Millisecond}[r.IntN(2)])
--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -12,7 +12,8 @@
 	"birchstair/policy"
 )
 
-// executor is an emulated executor on sockets, on the real clock. Each node reaches it at an address of its own.
+// executor is an emulated executor with sockets and the real clock. It has a separate listener for each node, so that
+// the sender of an attempt is known.
 type executor struct {
 	*emulator.Executor
 	cluster     *cluster
@@ -23,12 +24,13 @@
 	timer       *time.Timer
 }
 
-// executorConn is a connection of a node to an executor.
+// executorConn is a node's connection to an executor.
 type executorConn struct {
 	conn   net.Conn
-	answer platform.Answer
+	answer platform.Answer // state of the answer that is being written
 }
 
+// newExecutor adds an executor that has been running for long, outside its slow start.
 func (r *cluster) newExecutor(id string, number int, speed float64) *executor {
 	x := &executor{cluster: r, conns: map[emulator.ConnID]*executorConn{}}
 	x.Executor = emulator.NewExecutor(r.scenario.Spec(id, number, speed), rand.New(rand.NewPCG(r.options.Seed, uint64(1000+number))))
@@ -37,12 +39,13 @@
 	return x
 }
 
+// entry returns the executor's entry in the endpoint list, without an address.
 func (x *executor) entry(state policy.EndpointState) emulator.Entry {
 	return emulator.Entry{Endpoint: policy.Endpoint{Executor: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: state, Weight: float64(x.Cores) * x.Speed,
 		StartedAt: x.Started, StartedLongAgo: x.Started < 0}}
 }
 
-// listenForExecutor opens the address at which the node reaches an executor.
+// listenForExecutor opens the listener at which the node reaches an executor.
 func (p *nodeProcess) listenForExecutor(x *executor) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,11 +64,11 @@
 	return nil
 }
 
-// serve reads attempts from a node's connection until it ends.
+// serve reads attempts from a node's connection until it is closed.
 func (x *executor) serve(p *nodeProcess, c net.Conn) {
 	defer c.Close()
 	r := x.cluster
-	key, incarnation, accepted := x.open(c)
+	conn, incarnation, accepted := x.open(c)
 	if !accepted {
 		c.(*net.TCPConn).SetLinger(0)
 		return
@@ -74,117 +77,122 @@
 	for {
 		c.SetReadDeadline(time.Now().Add(time.Duration(r.scenario.Fleet.IdleTimeout) + time.Minute))
 		m, err := platform.ReadAttempt(in)
-		if !x.read(p, key, incarnation, m, err) {
+		if !x.read(p, conn, incarnation, m, err) {
 			return
 		}
 	}
 }
 
-// open registers a connection, if the executor accepts it, and returns its id and the incarnation of the executor.
-func (x *executor) open(c net.Conn) (key emulator.ConnID, incarnation int, accepted bool) {
+// open registers a connection if the executor is up and accepts it. It returns the connection's id and the executor's
+// incarnation.
+func (x *executor) open(c net.Conn) (id emulator.ConnID, incarnation int, accepted bool) {
 	r := x.cluster
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over || !x.Up {
+	if r.stopped || !x.Up {
 		return 0, 0, false
 	}
 	r.lastConn++
-	key, incarnation = r.lastConn, x.incarnation
-	accepted, outputs := x.Open(r.now(), key)
+	id, incarnation = r.lastConn, x.incarnation
+	accepted, outputs := x.Open(r.now(), id)
 	if accepted {
-		x.conns[key] = &executorConn{conn: c}
+		x.conns[id] = &executorConn{conn: c}
 	}
 	x.apply(outputs)
-	return key, incarnation, accepted
+	return id, incarnation, accepted
 }
 
-// read handles what was read from a connection, and reports whether the connection goes on.
-func (x *executor) read(p *nodeProcess, key emulator.ConnID, incarnation int, m platform.Request, err error) bool {
+// read handles an attempt or an error that was read from a connection, and reports whether the connection stays open.
+func (x *executor) read(p *nodeProcess, conn emulator.ConnID, incarnation int, m platform.Request, err error) bool {
 	r := x.cluster
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over || x.incarnation != incarnation || x.conns[key] == nil {
+	if r.stopped || x.incarnation != incarnation || x.conns[conn] == nil {
 		return false
 	}
 	if err != nil {
-		delete(x.conns, key)
-		x.apply(x.ConnClosed(r.now(), key))
+		delete(x.conns, conn)
+		x.apply(x.ConnClosed(r.now(), conn))
 		return false
 	}
-	x.attemptArrived(p, key, m)
+	x.attemptArrived(p, conn, m)
 	return true
 }
 
-// attemptArrived checks a complete attempt and passes it to the executor. It is called with cluster.mu held.
-func (x *executor) attemptArrived(p *nodeProcess, key emulator.ConnID, m platform.Request) {
+// attemptArrived checks that an attempt was allowed to be sent, and passes it to the executor. It is called with
+// cluster.mu held.
+func (x *executor) attemptArrived(p *nodeProcess, conn emulator.ConnID, m platform.Request) {
 	r := x.cluster
 	r.checkClientPresent(p, x, m.Job)
-	t := r.requests[m.Job]
-	if t == nil {
-		// Its client has an answer or has given up: nothing may be sent for it.
-		if r.endedAt[m.Job] > 0 && r.now() > r.endedAt[m.Job]+slack+r.ownStall() && !p.wasPaused() {
+	request := r.requests[m.Job]
+	if request == nil {
+		// The client has its answer or has given up. No attempt may be sent any more.
+		if r.endedAt[m.Job] > 0 && r.now() > r.endedAt[m.Job]+timingTolerance+r.ownStall() && !p.wasPaused() {
 			r.fail("%s was sent to %s by %s %v after its end", m.Job, x.ID, p.name, r.now()-r.endedAt[m.Job])
 		}
 		return
 	}
 	r.result.Attempts++
-	r.result.Work += t.work.Cost
-	r.checkDrain(p, x, t)
-	x.apply(x.Accept(r.now(), r.attempt(p, x, key, t)))
+	r.result.Work += request.work.Cost
+	r.checkDrain(p, x, request)
+	x.apply(x.Accept(r.now(), r.attempt(p, x, conn, request)))
 }
 
-// checkDrain checks that the executor of an attempt that has arrived does not drain, or that the node cannot have known it.
-func (r *cluster) checkDrain(p *nodeProcess, x *executor, t *request) {
+// checkDrain checks that no node sends an attempt to a draining or removed executor once the node has been notified of
+// that, or could have been. It counts attempts by nodes not notified long after another node was.
+func (r *cluster) checkDrain(p *nodeProcess, x *executor, request *clientRequest) {
 	grace := time.Duration(r.scenario.Fleet.DrainGrace)
 	known, ok := p.known[x.ID]
 	switch {
 	case ok && known.State == policy.Available:
-		if at, drains := r.drainKnownAt[x.ID]; drains && r.now() > at+grace+gossipDrainWithin {
+		if at, drains := r.drainKnownAt[x.ID]; drains && r.now() > at+grace+drainGossipLimit {
 			r.result.LateAttempts++
-			r.note("%s was sent to %s by %s, %v after another node was told that it drains", t.job, x.ID, p.name, r.now()-at)
+			r.note("%s was sent to %s by %s, %v after another node was told that it drains", request.job, x.ID, p.name, r.now()-at)
 		}
-	case ok && r.now() > known.At+grace+slack+r.ownStall() && !p.wasPaused():
-		r.fail("%s was sent to %s by %s %v after that node was told that it drains or is gone", t.job, x.ID, p.name, r.now()-known.At)
+	case ok && r.now() > known.At+grace+timingTolerance+r.ownStall() && !p.wasPaused():
+		r.fail("%s was sent to %s by %s %v after that node was told that it drains or is gone", request.job, x.ID, p.name, r.now()-known.At)
 	}
 	late, due := r.checker.OverdueDrain(r.now(), p.id, x.ID)
-	if due && late > slack+r.ownStall() && !p.wasPaused() && !t.excused {
+	if due && late > timingTolerance+r.ownStall() && !p.wasPaused() && !request.excused {
 		r.fail("%v: %s was sent to %s by %s %v after that node could have heard for %v that it drains or is gone",
-			invariants.DrainInForce, t.job, x.ID, p.name, late, invariants.DrainInForceWithin)
+			invariants.DrainInForce, request.job, x.ID, p.name, late, invariants.DrainInForceWithin)
 	}
 }
 
-// attempt returns an attempt of a request as the executor runs it.
-func (r *cluster) attempt(p *nodeProcess, x *executor, key emulator.ConnID, t *request) emulator.Attempt {
-	classID := t.work.Class
-	class := r.policyClasses[classID]
-	a := emulator.Attempt{Conn: key, Node: p.id, Job: t.job, Work: t.work.ID, Class: classID, Priority: r.classes[classID].Priority,
-		Cost: t.work.Cost, StatedCost: t.work.StatedCost}
-	if a.StatedCost == 0 {
-		a.StatedCost = r.classes[classID].Mean
+// attempt returns the attempt of a request in the form that the emulated executor accepts.
+func (r *cluster) attempt(p *nodeProcess, x *executor, conn emulator.ConnID, request *clientRequest) emulator.Attempt {
+	classID := request.work.Class
+	class := r.nodeClasses[classID]
+	attempt := emulator.Attempt{Conn: conn, Node: p.id, Job: request.job, Work: request.work.ID, Class: classID, Priority: r.clientClasses[classID].Priority,
+		Cost: request.work.Cost, StatedCost: request.work.StatedCost}
+	if attempt.StatedCost == 0 {
+		attempt.StatedCost = r.clientClasses[classID].Mean
 	}
 	if class.Idempotency == policy.IdempotentWithKey {
-		a.IdempotencyKey, a.DedupWindow = string(t.work.ID), class.DedupWindow
-		a.DedupMemory = r.memories.Of(classID, class.DedupGroup, x.ExecutorSpec)
+		attempt.IdempotencyKey, attempt.DedupWindow = string(request.work.ID), class.DedupWindow
+		attempt.DedupMemory = r.memories.Of(classID, class.DedupGroup, x.ExecutorSpec)
 	}
-	return a
+	return attempt
 }
 
-// checkClientPresent checks the rule "still awaited" for an attempt that has arrived, since the harness does not see when a node sends
-// the first byte. A pause of the node is no excuse: what it wrote before arrives before it resumes.
+// checkClientPresent checks that the client of an attempt is still connected when the attempt arrives; the harness does
+// not see when a node sends its first byte. A pause of the node does not excuse it: bytes written before the pause
+// arrive during the pause.
 func (r *cluster) checkClientPresent(p *nodeProcess, x *executor, job policy.JobID) {
-	at, went := r.clientLeftAt[job]
-	if !went || r.now() <= at+invariants.ClientGoneTolerance+observationDelay {
+	at, left := r.clientLeftAt[job]
+	if !left || r.now() <= at+invariants.ClientGoneTolerance+observationDelay {
 		return
 	}
 	late := r.now() - at
 	r.result.SentAfterClientLeft++
 	r.note("%s reached %s by %s %v after its client had left", job, x.ID, p.name, late)
-	if r.result.SentAfterClientLeft > invariants.ToleratedLateAttempts || late >= invariants.ClientGoneLimit+slack {
+	if r.result.SentAfterClientLeft > invariants.ToleratedLateAttempts || late >= invariants.ClientGoneLimit+timingTolerance {
 		r.fail("%s reached %s by %s %v after its client had left, late attempt %d", job, x.ID, p.name, late, r.result.SentAfterClientLeft)
 	}
 }
 
-// apply carries out the outputs of the executor, and sets its timer. It is called with cluster.mu held.
+// apply carries out the outputs of the emulated executor and sets the timer for its next event. It is called with
+// cluster.mu held.
 func (x *executor) apply(outputs []emulator.Output) {
 	r := x.cluster
 	for _, o := range outputs {
@@ -192,8 +200,8 @@
 		case emulator.Message:
 			x.write(o)
 		case emulator.EffectStarted:
-			if t := r.requests[o.Job]; t != nil {
-				t.runs++
+			if request := r.requests[o.Job]; request != nil {
+				request.effects++
 			}
 			r.observe(invariants.Event{Kind: invariants.EffectStarted, Node: o.Node, Job: o.Job, Work: o.Work, Class: o.Class, Executor: x.ID})
 		case emulator.AttemptArrived:
@@ -214,39 +222,40 @@
 	if x.timer != nil {
 		x.timer.Stop()
 	}
-	if next := x.Next(); next != emulator.Never && !r.over {
+	if next := x.Next(); next != emulator.Never && !r.stopped {
 		x.timer = time.AfterFunc(next-r.now(), func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			if !r.over {
+			if !r.stopped {
 				x.apply(x.Wake(r.now()))
 			}
 		})
 	}
 }
 
-// write writes a message about an attempt. Messages are short, so that the kernel buffers them at once.
+// write writes a message about an attempt to its connection. Messages are short enough for the kernel's buffer, so the
+// write does not block. It is called with cluster.mu held.
 func (x *executor) write(o emulator.Message) {
 	s := x.conns[o.Conn]
-	t := x.cluster.requests[o.Job]
+	request := x.cluster.requests[o.Job]
 	if o.Kind == emulator.AttemptDone {
-		if t != nil {
-			x.cluster.result.Finished += t.work.Cost
+		if request != nil {
+			x.cluster.result.Finished += request.work.Cost
 		}
 	}
 	if s == nil {
 		return
 	}
 	work := ""
-	if t != nil {
-		work = string(t.work.ID)
+	if request != nil {
+		work = string(request.work.ID)
 	}
 	b, _ := s.answer.Append(nil, o, x.ID, platform.Result(work))
 	s.conn.SetWriteDeadline(time.Now().Add(time.Second))
-	s.conn.Write(b) //nolint:errcheck // the reader of a broken connection handles it
+	s.conn.Write(b) //nolint:errcheck // the reader of the connection handles its error
 }
 
-// crash ends the executor's process.
+// crash crashes the executor.
 func (x *executor) crash() {
 	x.incarnation++
 	x.apply(x.Crash(x.cluster.now()))
@@ -257,10 +266,11 @@
 	r := x.cluster
 	x.apply(x.Start(r.now()))
 	delete(r.drainKnownAt, x.ID)
-	r.observe(invariants.Event{Kind: invariants.ExecutorStarted, Node: invariants.NoNode, Executor: x.ID, Start: x.Started}) // as published, or no node would count as notified
+	r.observe(invariants.Event{Kind: invariants.ExecutorStarted, Node: invariants.NoNode, Executor: x.ID, Start: x.Started}) // the published start time, or no node would count as notified
 	r.changeEndpoint(x.entry(policy.Available))
 }
 
+// close closes all connections to the executor and stops its timer.
 func (x *executor) close() {
 	x.cluster.mu.Lock()
 	defer x.cluster.mu.Unlock()
--- a/internal/harness/fault_targets.go
+++ b/internal/harness/fault_targets.go
@@ -9,40 +9,41 @@
 	"birchstair/policy"
 )
 
-// onExecutors calls a function for each executor that a fault is on.
-func (r *cluster) onExecutors(f emulator.Fault, what func(*executor)) {
+// onExecutors calls a function for each executor that a fault affects.
+func (r *cluster) onExecutors(f emulator.Fault, apply func(*executor)) {
 	for _, x := range r.executors {
 		if f.Touches(string(x.ID), r.scenario.Fleet.Zones[x.Zone]) {
-			what(x)
+			apply(x)
 		}
 	}
 }
 
-// onNodes calls a function for each node that a fault is on.
-func (r *cluster) onNodes(f emulator.Fault, what func(*nodeProcess)) {
+// onNodes calls a function for each node that a fault affects.
+func (r *cluster) onNodes(f emulator.Fault, apply func(*nodeProcess)) {
 	for _, p := range r.nodes {
 		if f.Touches(p.name, r.scenario.Fleet.Zones[p.zone]) {
-			what(p)
+			apply(p)
 		}
 	}
 }
 
-// excuseRequests excuses the open requests of a node that is down or paused: they may be late or lost by no fault of the node.
+// excuseRequests excuses the requests in flight at a node that is killed or paused: they may be answered late or not at
+// all.
 func (r *cluster) excuseRequests(p *nodeProcess) {
-	for _, t := range r.requests {
-		if t.node == p {
-			t.excused = true
+	for _, request := range r.requests {
+		if request.node == p {
+			request.excused = true
 		}
 	}
 }
 
-// wasPaused reports whether the node is paused or was shortly before.
+// wasPaused reports whether the node is paused or was paused until recently.
 func (p *nodeProcess) wasPaused() bool { return p.paused || p.cluster.now() < p.pausedUntil }
 
-// updateFault applies the sum of the executor's faults.
+// updateFault applies the combination of the executor's current faults.
 func (x *executor) updateFault() { x.apply(x.SetFaults(x.cluster.now(), emulator.Combine(x.faults))) }
 
-// endDownFault ends one fault that keeps an executor down.
+// endDownFault ends one of the faults that keep an executor down. After the last one, the executor restarts.
 func (x *executor) endDownFault() {
 	if x.downFaults--; x.downFaults <= 0 {
 		x.downFaults = 0
@@ -50,13 +51,14 @@
 	}
 }
 
-// endDownFault ends one fault that keeps a node down.
+// endDownFault ends one of the faults that keep a node down. After the last one, the node's process is started again,
+// once a graceful shutdown that is still going on has ended.
 func (p *nodeProcess) endDownFault() {
 	if p.downFaults--; p.downFaults > 0 {
 		return
 	}
 	p.downFaults = 0
-	if p.up { // its shutdown is not over
+	if p.up { // the graceful shutdown is still going on: try again later
 		p.downFaults = 1
 		p.cluster.after(100*time.Millisecond, p.endDownFault)
 		return
@@ -66,7 +68,8 @@
 	}
 }
 
-// drain drains an executor: discovery publishes it at once, the process ends after three quarters of the fault, and restarts at its end.
+// drain drains an executor that is up. Discovery publishes the drain at once, the executor ends after three quarters of
+// the fault's duration, and restarts at the end of the fault.
 func (r *cluster) drain(x *executor, f emulator.Fault) {
 	if !x.Up || x.downFaults > 0 {
 		return
@@ -83,19 +86,19 @@
 	r.after(f.For, x.endDownFault)
 }
 
-// addFault adds a fault that changes how the executor runs.
+// addFault adds a fault that makes the executor slow, unresponsive or fail attempts.
 func (x *executor) addFault(f emulator.Fault) {
 	x.faults = append(x.faults, f)
 	x.updateFault()
 }
 
-// removeFault removes a fault that changes how the executor runs.
+// removeFault removes a fault that was added by addFault.
 func (x *executor) removeFault(f emulator.Fault) {
 	x.faults = emulator.Without(x.faults, f)
 	x.updateFault()
 }
 
-// takeDown crashes the executor, if it is up, until endDownFault.
+// takeDown crashes the executor if it is up, and keeps it down until endDownFault.
 func (x *executor) takeDown() {
 	x.downFaults++
 	if x.Up {
@@ -104,23 +107,23 @@
 	}
 }
 
-// takeDown kills the node, if it is up, until endDownFault.
+// takeDown kills the node's process if it is up, and keeps it down until endDownFault.
 func (p *nodeProcess) takeDown() {
 	p.downFaults++
 	if p.up {
-		p.recordEnd()
+		p.recordKill()
 		p.cmd.Process.Kill()
 	}
 }
 
-// terminate shuts the node down gracefully until endDownFault.
+// terminate asks the node's process to shut down gracefully, and keeps it down until endDownFault.
 func (p *nodeProcess) terminate() {
 	p.downFaults++
 	p.terminatedAt = p.cluster.now()
 	p.signal(syscall.SIGTERM)
 }
 
-// pause stops the process of the node.
+// pause suspends the node's process by SIGSTOP.
 func (p *nodeProcess) pause() {
 	p.signal(syscall.SIGSTOP)
 	p.paused = true
@@ -128,32 +131,36 @@
 	p.cluster.excuseRequests(p)
 }
 
-// resume lets the process of the node go on. For a while after it, the node still counts as paused.
+// resume lets the node's process continue. The node still counts as paused for a while, since it reacts late to what it
+// missed.
 func (p *nodeProcess) resume() {
-	p.paused, p.pausedUntil = false, p.cluster.now()+2*slack
+	p.paused, p.pausedUntil = false, p.cluster.now()+2*timingTolerance
 	p.cluster.observe(invariants.Event{Kind: invariants.NodeResumed, Node: p.id})
 	p.cluster.excuseRequests(p)
 	p.signal(syscall.SIGCONT)
 }
 
-// setDiscoveryUnreachable sets whether the node cannot reach discovery.
+// setDiscoveryUnreachable sets whether discovery leaves the node's watches unanswered.
 func (p *nodeProcess) setDiscoveryUnreachable(unreachable bool) {
 	p.discoveryUnreachable = unreachable
 	p.cluster.checker.SetUnreachable(p.cluster.now(), p.id, unreachable)
 }
 
-// delayDiscovery delays updates beyond the usual lag. Nodes are excused until the delay has passed.
+// delayDiscovery delays endpoint updates beyond the scenario's discovery lag. Nodes need not know of changes until the
+// delay has passed.
 func (r *cluster) delayDiscovery(delay time.Duration) {
 	r.discovery.SetDelay(delay)
 	r.checker.UnreachableUntil(invariants.NoNode, r.now()+time.Duration(r.scenario.Fleet.DiscoveryLag)+delay)
 }
 
+// setBurst sets the factor by which all clients submit more work; 0 ends the burst.
 func (r *cluster) setBurst(factor float64) {
 	for _, c := range r.clients {
 		c.Burst = factor
 	}
 }
 
+// setTail sets the tail of the distribution of work in all clients' requests.
 func (r *cluster) setTail(tail emulator.Tail) {
 	for _, c := range r.clients {
 		c.Tail = tail
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -10,11 +10,13 @@
 	"birchstair/internal/simulation"
 )
 
-// supportedFaults are the kinds of faults that the harness can play. Draw draws from them by index: the order is part of what a seed means.
+// supportedFaults are the kinds of faults that the harness can play. Draw picks from them by index, so their order must
+// stay.
 var supportedFaults = []emulator.Kind{emulator.SlowExecutors, emulator.Errors, emulator.Unresponsive, emulator.Crash, emulator.Drain, emulator.DiscoveryDelayed, emulator.DiscoverySilent, emulator.DiscoveryUnreachable,
 	emulator.NodeKilled, emulator.NodeRestart, emulator.NodePaused, emulator.GossipPartitioned, emulator.GossipLost, emulator.Burst, emulator.HeavyTail}
 
-// CheckScenario returns an error that says what of a scenario the harness cannot play.
+// CheckScenario returns an error if the harness cannot play a scenario. The error names the field of the scenario and
+// its value.
 func CheckScenario(s simulation.Scenario) error {
 	for i, f := range s.Faults {
 		if !slices.Contains(supportedFaults, f.Kind) {
@@ -32,9 +34,10 @@
 	return nil
 }
 
-// schedule puts a fault on the clock.
+// schedule schedules the begin and the end of a fault. A fault without a duration does not end. It is called with r.mu
+// held.
 func (r *cluster) schedule(f emulator.Fault) {
-	r.after(warmUp+f.At, func() {
+	r.after(loadDelay+f.At, func() {
 		r.note("FAULT: %s for %v, %.3g, at %v", f.Kind, f.For, f.Size, f.Where)
 		r.beginFault(f)
 		if f.For > 0 {
@@ -46,7 +49,7 @@
 	})
 }
 
-// beginFault starts a fault. It is called with r.mu held.
+// beginFault begins a fault. It is called with r.mu held.
 func (r *cluster) beginFault(f emulator.Fault) {
 	switch f.Kind {
 	case emulator.SlowExecutors, emulator.Errors, emulator.Unresponsive:
--- a/internal/harness/gossip_relay.go
+++ b/internal/harness/gossip_relay.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// gossipRelay forwards all gossip to a node, by TCP and UDP. It recognizes the sender by its loopback address.
+// gossipRelay forwards gossip to a node over TCP and UDP, unless a partition separates the node from the sender. It
+// identifies the sender by its loopback address.
 type gossipRelay struct {
 	cluster *cluster
-	to      *nodeProcess
-	addr    string
-	tcp     net.Listener
-	udp     *net.UDPConn
-	out     *net.UDPConn
+	node    *nodeProcess
+	addr    string       // address that the node advertises to its peers
+	tcp     net.Listener // accepts peers' connections at addr
+	udp     *net.UDPConn // receives peers' datagrams at addr
+	sender  *net.UDPConn
 
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
@@ -23,36 +24,36 @@
 }
 
 func newGossipRelay(r *cluster, to *nodeProcess, addr string) (*gossipRelay, error) {
-	h := &gossipRelay{cluster: r, to: to, addr: addr, conns: map[net.Conn]bool{}}
+	relay := &gossipRelay{cluster: r, node: to, addr: addr, conns: map[net.Conn]bool{}}
 	var err error
-	if h.tcp, err = net.Listen("tcp", addr); err != nil {
+	if relay.tcp, err = net.Listen("tcp", addr); err != nil {
 		return nil, err
 	}
 	at, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if h.udp, err = net.ListenUDP("udp", at); err != nil {
-		h.tcp.Close()
+	if relay.udp, err = net.ListenUDP("udp", at); err != nil {
+		relay.tcp.Close()
 		return nil, err
 	}
-	if h.out, err = net.ListenUDP("udp", &net.UDPAddr{IP: at.IP}); err != nil {
-		h.tcp.Close()
-		h.udp.Close()
+	if relay.sender, err = net.ListenUDP("udp", &net.UDPAddr{IP: at.IP}); err != nil {
+		relay.tcp.Close()
+		relay.udp.Close()
 		return nil, err
 	}
-	r.goroutines.Go(h.serveTCP)
-	r.goroutines.Go(h.serveUDP)
-	return h, nil
+	r.goroutines.Go(relay.serveTCP)
+	r.goroutines.Go(relay.serveUDP)
+	return relay, nil
 }
 
-// copies returns the delay of each copy of a datagram that gets through now: none, one or two. The order of draws is part of what a seed
-// means.
-func (h *gossipRelay) copies(from net.IP) (delays []time.Duration) {
-	r := h.cluster
+// copyDelays returns the delay of each copy of a datagram that is to be forwarded: no copy if the datagram is lost, two
+// if it is duplicated. The order of the draws must stay, or a seed would give other losses.
+func (g *gossipRelay) copyDelays(from net.IP) (delays []time.Duration) {
+	r := g.cluster
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over || h.partitioned(from) {
+	if r.stopped || g.partitioned(from) {
 		return nil
 	}
 	copies := 1
@@ -72,97 +73,99 @@
 	return delays
 }
 
-// partitioned reports whether a partition separates a sender from the node. It is called with cluster.mu held.
-func (h *gossipRelay) partitioned(from net.IP) bool {
-	for _, p := range h.cluster.nodes {
+// partitioned reports whether a partition separates a sender from the node. A sender that is not a node counts as
+// separated. It is called with cluster.mu held.
+func (g *gossipRelay) partitioned(from net.IP) bool {
+	for _, p := range g.cluster.nodes {
 		if p.address.Equal(from) {
-			return p.partitioned != h.to.partitioned
+			return p.partitioned != g.node.partitioned
 		}
 	}
 	return true
 }
 
-func (h *gossipRelay) serveUDP() {
-	to, err := net.ResolveUDPAddr("udp", h.to.gossipAddress)
+func (g *gossipRelay) serveUDP() {
+	to, err := net.ResolveUDPAddr("udp", g.node.gossipAddress)
 	if err != nil {
 		return
 	}
 	for b := make([]byte, 65536); ; {
-		n, from, err := h.udp.ReadFromUDP(b)
+		n, from, err := g.udp.ReadFromUDP(b)
 		if err != nil {
 			return
 		}
-		for _, delay := range h.copies(from.IP) {
+		for _, delay := range g.copyDelays(from.IP) {
 			text := append([]byte(nil), b[:n]...)
 			if delay == 0 {
-				h.out.WriteToUDP(text, to)
+				g.sender.WriteToUDP(text, to)
 				continue
 			}
-			time.AfterFunc(delay, func() { h.out.WriteToUDP(text, to) })
+			time.AfterFunc(delay, func() { g.sender.WriteToUDP(text, to) })
 		}
 	}
 }
 
-func (h *gossipRelay) serveTCP() {
+func (g *gossipRelay) serveTCP() {
 	for {
-		c, err := h.tcp.Accept()
+		c, err := g.tcp.Accept()
 		if err != nil {
 			return
 		}
 		from := c.RemoteAddr().(*net.TCPAddr).IP
-		h.cluster.mu.Lock()
-		apart := h.partitioned(from)
-		h.cluster.mu.Unlock()
-		if apart || !h.add(c) {
+		g.cluster.mu.Lock()
+		isolated := g.partitioned(from)
+		g.cluster.mu.Unlock()
+		if isolated || !g.add(c) {
 			c.Close()
 			continue
 		}
-		h.cluster.goroutines.Go(func() { h.relay(c, from) })
+		g.cluster.goroutines.Go(func() { g.relay(c, from) })
 	}
 }
 
-// add registers a connection to be closed with the relay. It fails if the relay is closed.
-func (h *gossipRelay) add(c net.Conn) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.closed {
-		h.conns[c] = true
+// add registers a connection to be closed with the relay. It returns false if the relay is closed already.
+func (g *gossipRelay) add(c net.Conn) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.closed {
+		g.conns[c] = true
 	}
-	return !h.closed
+	return !g.closed
 }
 
-func (h *gossipRelay) remove(c net.Conn) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.conns, c)
+func (g *gossipRelay) remove(c net.Conn) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.conns, c)
 	c.Close()
 }
 
-// relay forwards a connection both ways until it ends. During a partition it drops what arrives.
-func (h *gossipRelay) relay(c net.Conn, from net.IP) {
-	defer h.remove(c)
-	d, err := net.DialTimeout("tcp", h.to.gossipAddress, time.Second)
-	if err != nil || !h.add(d) {
+// relay forwards the bytes of a connection in both directions until it ends. During a partition it drops them and keeps
+// the connection open.
+func (g *gossipRelay) relay(client net.Conn, from net.IP) {
+	defer g.remove(client)
+	server, err := net.DialTimeout("tcp", g.node.gossipAddress, time.Second)
+	if err != nil || !g.add(server) {
 		return
 	}
-	defer h.remove(d)
+	defer g.remove(server)
 	var wait sync.WaitGroup
-	for _, way := range [][2]net.Conn{{c, d}, {d, c}} {
+	for _, direction := range [][2]net.Conn{{client, server}, {server, client}} {
 		wait.Go(func() {
 			b := make([]byte, 32<<10)
 			for {
-				n, err := way[0].Read(b)
-				h.cluster.mu.Lock()
-				silent := h.partitioned(from)
-				h.cluster.mu.Unlock()
-				if n > 0 && !silent {
-					if _, err := way[1].Write(b[:n]); err != nil {
+				n, err := direction[0].Read(b)
+				g.cluster.mu.Lock()
+				isolated := g.partitioned(from)
+				g.cluster.mu.Unlock()
+				if n > 0 && !isolated {
+					if _, err := direction[1].Write(b[:n]); err != nil {
 						break
 					}
 				}
 				if err != nil {
-					if errors.Is(err, io.EOF) && !silent {
-						if w, ok := way[1].(*net.TCPConn); ok {
+					if errors.Is(err, io.EOF) && !isolated {
+						if w, ok := direction[1].(*net.TCPConn); ok {
 							w.CloseWrite()
 							return
 						}
@@ -170,21 +173,21 @@
 					break
 				}
 			}
-			c.Close()
-			d.Close()
+			client.Close()
+			server.Close()
 		})
 	}
 	wait.Wait()
 }
 
-func (h *gossipRelay) close() {
-	h.tcp.Close()
-	h.udp.Close()
-	h.out.Close()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.closed = true
-	for c := range h.conns {
+func (g *gossipRelay) close() {
+	g.tcp.Close()
+	g.udp.Close()
+	g.sender.Close()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.closed = true
+	for c := range g.conns {
 		c.Close()
 	}
 }
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -53,27 +53,29 @@
 	return s
 }
 
-// TestDrainToldByNeighbours lets one of three nodes learn of a drain, while the others cannot reach discovery, and one of them is partitioned
-// for a while: all must respect it. Without gossip they do not, which shows that the check can fail.
-func TestDrainToldByNeighbours(t *testing.T) {
+// TestDrainLearnedByGossip checks that nodes respect a drain that they learn of by gossip alone. One of three nodes is
+// notified by discovery; the others cannot reach discovery, and one of them is partitioned for a while. Without gossip
+// the nodes keep sending to the draining executors, which shows that the check can fail.
+func TestDrainLearnedByGossip(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "fleet-one-hears-of-drain")
-	// e0 alone is hardly used by the nodes that are not told: without messages so little went there that none could have. They use e3 and e4 most.
+	// Three executors drain: the uninformed nodes hardly use e0 and mostly use e3 and e4. If only e0 drained, a run
+	// without gossip might have no late attempt.
 	s.Length, s.Load.Utilization = simulation.Span(12*time.Second), 0.4
 	s.Faults[1].For, s.Faults[2].For, s.Faults[2].Where = simulation.Span(12*time.Second), simulation.Span(20*time.Second), []string{"e0", "e3", "e4"}
 	if r := playScenario(t, s, 1); r.LateAttempts > 0 {
-		t.Errorf("%d attempts went to an executor of whose drain a neighbour had told", r.LateAttempts)
+		t.Errorf("%d attempts went to an executor long after a peer was notified of its drain", r.LateAttempts)
 	}
 	s.Fleet.Gossip = false
 	r := playScenario(t, s, 1)
-	if t.Logf("without messages %d attempts went to executors that drain", r.LateAttempts); r.LateAttempts == 0 {
-		t.Error("without messages nothing was sent to executors that drain: this test shows nothing")
+	if t.Logf("without gossip, %d attempts went to draining executors", r.LateAttempts); r.LateAttempts == 0 {
+		t.Error("without gossip, nothing was sent to draining executors: the check above cannot fail")
 	}
 }
 
-// TestUninformed checks that a node that ignores discovery violates the rule "informed" and no other, and that a node that cannot
-// reach discovery violates none.
-func TestUninformed(t *testing.T) {
+// TestIgnoredDiscovery checks that a node that ignores discovery violates the rule invariants.DrainInForce and no
+// other, and that a node that cannot reach discovery violates none.
+func TestIgnoredDiscovery(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "fleet-one-hears-of-drain")
 	s.Fleet.Gossip, s.Length = false, simulation.Span(12*time.Second)
@@ -82,36 +84,37 @@
 	playScenario(t, s, 1)
 	s.Faults = s.Faults[:1]
 	r := playWith(t, s, Options{Binary: binary, Dir: t.TempDir(), Seed: 1, injectDefect: func(r *cluster) { r.nodes[1].discoveryUnreachable = true }})
-	if t.Logf("%d times", len(r.Violations)); len(r.Violations) == 0 {
-		t.Error("not caught")
+	if t.Logf("%d violations", len(r.Violations)); len(r.Violations) == 0 {
+		t.Error("the node that ignores discovery violated no rule")
 	}
 	for _, w := range r.Violations {
 		if !strings.HasPrefix(w, invariants.DrainInForce.String()) || !strings.Contains(w, "by n1 ") {
-			t.Errorf("something else was wrong: %s", w)
+			t.Errorf("unexpected violation: %s", w)
 		}
 	}
 }
 
-// TestBudgetOfMoves runs eight nodes below capacity, two of them partitioned and one killed. The work that they send beyond what finishes
-// stays far under that of the same nodes without gossip: the budget of migrations holds over the fleet.
-func TestBudgetOfMoves(t *testing.T) {
+// TestMigrationBudget checks that nodes that gossip share one budget for migrations. Eight nodes run below capacity;
+// two of them are partitioned and one is killed. The work that they send beyond the work that finishes must stay far
+// below that of the same nodes without gossip.
+func TestMigrationBudget(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "fleet-overload")
-	s.Name, s.Length = "budget-of-moves", simulation.Span(8*time.Second)
+	s.Name, s.Length = "migration-budget", simulation.Span(8*time.Second)
 	s.Fleet.Nodes, s.Fleet.Executors, s.Load.Utilization = 8, 24, 0.8
 	s.Faults = []simulation.Fault{{Kind: "nodes-apart", At: simulation.Span(2 * time.Second), For: simulation.Span(3 * time.Second), Where: []string{"n0", "n1"}},
 		{Kind: "node-killed", At: simulation.Span(4 * time.Second), For: simulation.Span(2 * time.Second), Where: []string{"n2"}}}
-	talking := playScenario(t, s, 1)
+	gossiping := playScenario(t, s, 1)
 	s.Fleet.Gossip = false
 	alone := playScenario(t, s, 1)
-	more := func(r Result) float64 { return r.Work/r.Finished - 1 }
-	if t.Logf("sent over finished %.2f talking, %.2f alone", 1+more(talking), 1+more(alone)); more(talking) > 0.75*more(alone) {
-		t.Errorf("sent over finished %.2f talking, %.2f alone", 1+more(talking), 1+more(alone))
+	excess := func(r Result) float64 { return r.Work/r.Finished - 1 }
+	if t.Logf("sent over finished work: %.2f with gossip, %.2f without", 1+excess(gossiping), 1+excess(alone)); excess(gossiping) > 0.75*excess(alone) {
+		t.Errorf("sent over finished work: %.2f with gossip, %.2f without", 1+excess(gossiping), 1+excess(alone))
 	}
 }
 
-// TestDrawnFleets checks that random scenarios violate no rule.
-func TestDrawnFleets(t *testing.T) {
+// TestRandomScenarios checks that random scenarios violate no rule.
+func TestRandomScenarios(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
@@ -122,27 +125,27 @@
 	}
 }
 
-// TestViews checks that each node reports its peers and the age of their state at its admin door.
-func TestViews(t *testing.T) {
+// TestPeerViews checks that the admin command for the cluster state lists each peer with the age of its state.
+func TestPeerViews(t *testing.T) {
 	t.Parallel()
 	s := simulation.Base()
-	s.Name, s.Length, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Gossip, s.Fleet.WeightInterval = "views", simulation.Span(2*time.Second), 4, 4, true, 0
+	s.Name, s.Length, s.Fleet.Nodes, s.Fleet.Executors, s.Fleet.Gossip, s.Fleet.WeightInterval = "peer-views", simulation.Span(2*time.Second), 4, 4, true, 0
 	r := playScenario(t, s, 3)
-	for i, view := range r.FleetViews {
+	for i, view := range r.ClusterViews {
 		text := strings.Join(view, "\n")
 		if strings.Count(text, "neighbour=") != 3 || strings.Contains(text, "age_ms=never") || !strings.Contains(text, "alive=4") {
-			t.Errorf("node %d says:\n%s", i, text)
+			t.Errorf("node %d reports:\n%s", i, text)
 		}
 	}
 }
 
-// TestClientsLeave lets clients leave while their batch jobs wait: no attempt for them may reach an executor 0.1 s later, even if the nodes
-// are paused meanwhile.
+// TestClientsLeave checks that no attempt reaches an executor more than 0.1 s after the client has disconnected while
+// its batch job was queued, even if the nodes are paused in between.
 func TestClientsLeave(t *testing.T) {
-	for _, stopped := range []bool{false, true} {
-		t.Run(fmt.Sprint("stopped=", stopped), func(t *testing.T) {
+	for _, paused := range []bool{false, true} {
+		t.Run(fmt.Sprint("paused=", paused), func(t *testing.T) {
 			s := loadScenario(t, "fleet-clients-leave")
-			if stopped {
+			if paused {
 				s.Load.Utilization, s.Fleet.Executors = 8, 16
 				for i := range 9 {
 					s.Faults = append(s.Faults, simulation.Fault{Kind: "node-stopped", At: simulation.Span(time.Duration(500+600*i) * time.Millisecond),
@@ -150,8 +153,8 @@
 				}
 			}
 			r := playScenario(t, s, 3)
-			if t.Logf("%d clients left while their batch jobs waited, %d attempts were late", r.LeftWhileQueued, r.SentAfterClientLeft); r.LeftWhileQueued < 10 {
-				t.Errorf("%d clients left while their batch jobs waited: too few to tell", r.LeftWhileQueued)
+			if t.Logf("%d clients disconnected while their batch jobs were queued, %d attempts were late", r.LeftWhileQueued, r.SentAfterClientLeft); r.LeftWhileQueued < 10 {
+				t.Errorf("%d clients disconnected while their batch jobs were queued, want at least 10", r.LeftWhileQueued)
 			}
 		})
 	}
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -19,7 +19,8 @@
 	"birchstair/policy"
 )
 
-// nodeProcess is a node and its process, if it is up.
+// nodeProcess is a node and, while it is up, its process. A node keeps its addresses and files when its process is
+// restarted.
 type nodeProcess struct {
 	cluster           *cluster
 	id                invariants.NodeID
@@ -28,30 +29,30 @@
 	dir               string
 	clientAddress     string
 	adminAddress      string
-	address           net.IP       // its loopback address
-	gossipAddress     string       // where it listens for its peers
-	gossipRelay       *gossipRelay // where its peers reach it
-	discoveryListener net.Listener
-	executorListeners map[policy.ExecutorID]net.Listener // at which it reaches each executor
+	address           net.IP                             // loopback address of the node's own listeners
+	gossipAddress     string                             // where the node listens for gossip; empty if the scenario has no gossip
+	gossipRelay       *gossipRelay                       // relay that peers send gossip to; nil if the scenario has no gossip
+	discoveryListener net.Listener                       // where the node reaches emulated discovery
+	executorListeners map[policy.ExecutorID]net.Listener // where the node reaches each emulated executor
 
 	// Guarded by cluster.mu.
 	cmd                  *exec.Cmd
-	ended                chan error // gets the error of the process's end
+	exited               chan error // receives the exit error of the process
 	incarnation          int
 	up                   bool
-	terminatedAt         time.Duration // when its shutdown began; 0 before
-	downFaults           int           // faults that keep it down
+	terminatedAt         time.Duration // when the process was asked to shut down; 0 if it was not
+	downFaults           int           // number of faults that currently keep the node down
 	paused               bool
-	pausedUntil          time.Duration // it counts as paused until then
-	discoveryUnreachable bool          // discovery does not answer it
-	known                map[policy.ExecutorID]invariants.Event
-	partitioned          bool // its gossip reaches partitioned nodes alone
-	idleConns            []net.Conn
+	pausedUntil          time.Duration                          // end of the time after a pause in which the node still counts as paused
+	discoveryUnreachable bool                                   // whether discovery leaves this node's watches unanswered
+	known                map[policy.ExecutorID]invariants.Event // last notification of each endpoint
+	partitioned          bool                                   // whether the node exchanges gossip only with other partitioned nodes
+	idleConns            []net.Conn                             // clients' idle connections to the node
 }
 
-func (r *cluster) newProc(i int, slot byte) (*nodeProcess, error) {
-	p := &nodeProcess{cluster: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: policy.ZoneID(i % len(r.scenario.Fleet.Zones)), executorListeners: map[policy.ExecutorID]net.Listener{},
-		address: net.IPv4(127, slot, 0, byte(i+1)), known: map[policy.ExecutorID]invariants.Event{}}
+func (r *cluster) newNodeProcess(number int, slot byte) (*nodeProcess, error) {
+	p := &nodeProcess{cluster: r, id: invariants.NodeID(number), name: fmt.Sprint("n", number), zone: policy.ZoneID(number % len(r.scenario.Fleet.Zones)), executorListeners: map[policy.ExecutorID]net.Listener{},
+		address: net.IPv4(127, slot, 0, byte(number+1)), known: map[policy.ExecutorID]invariants.Event{}}
 	p.dir = filepath.Join(r.options.Dir, p.name)
 	if err := os.Mkdir(p.dir, 0o700); err != nil {
 		return nil, err
@@ -64,7 +65,7 @@
 	r.goroutines.Go(func() { p.serveDiscovery() })
 	if r.scenario.Fleet.Gossip {
 		p.gossipAddress = fmt.Sprintf("%s:%d", p.address, gossipPort)
-		if p.gossipRelay, err = newGossipRelay(r, p, fmt.Sprintf("127.%d.1.%d:%d", slot, i+1, relayPort)); err != nil {
+		if p.gossipRelay, err = newGossipRelay(r, p, fmt.Sprintf("127.%d.1.%d:%d", slot, number+1, relayPort)); err != nil {
 			return nil, err
 		}
 	}
@@ -76,7 +77,7 @@
 	return p, nil
 }
 
-// start starts the process. It is called with cluster.mu held.
+// start starts the node's process. It is called with cluster.mu held.
 func (p *nodeProcess) start() error {
 	args := []string{"serve"}
 	if p.gossipRelay != nil {
@@ -85,7 +86,7 @@
 	cmd := exec.Command(p.cluster.options.Binary, args...)
 	cmd.Dir = p.dir
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + p.dir, "ROUTER_CONFIG=" + filepath.Join(p.dir, "config.json")}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no node outlives this process
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the kernel kills the node when this process dies
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -94,11 +95,11 @@
 		return err
 	}
 	p.incarnation++
-	p.cmd, p.up, p.terminatedAt, p.ended, p.paused = cmd, true, 0, make(chan error, 1), false
+	p.cmd, p.up, p.terminatedAt, p.exited, p.paused = cmd, true, 0, make(chan error, 1), false
 	clear(p.known)
 	p.cluster.observe(invariants.Event{Kind: invariants.NodeStarted, Node: p.id})
 	p.cluster.note("%s: started, process %d", p.name, cmd.Process.Pid)
-	ended, run := p.ended, p.incarnation
+	ended, incarnation := p.exited, p.incarnation
 	p.cluster.goroutines.Go(func() {
 		lines := bufio.NewScanner(out)
 		lines.Buffer(nil, 1<<20)
@@ -107,9 +108,9 @@
 		}
 		err := cmd.Wait()
 		p.cluster.mu.Lock()
-		if p.incarnation == run && p.up {
+		if p.incarnation == incarnation && p.up {
 			p.up = false
-			if !p.cluster.over {
+			if !p.cluster.stopped {
 				p.cluster.note("%s: its process ended: %v", p.name, err)
 			}
 		}
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// readLogLine copies a line of a node's log to the timeline, and looks for panics and data races.
+// readLogLine copies a line of a node's log to the timeline. A line that reports a panic or a data race is a violation.
 func (r *cluster) readLogLine(p *nodeProcess, line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +132,7 @@
 
 func (p *nodeProcess) isReady() bool { return p.readyStatus() == http.StatusOK }
 
-// readyStatus returns the HTTP status of the node's readiness endpoint, or 0 without an answer.
+// readyStatus returns the HTTP status of the node's readiness endpoint, or 0 if it does not answer.
 func (p *nodeProcess) readyStatus() int {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := c.Get("http://" + p.clientAddress + "/-/ready")
@@ -142,8 +143,9 @@
 	return answer.StatusCode
 }
 
-// fleetView returns the fleet as the node sees it.
-func (p *nodeProcess) fleetView() []string {
+// clusterView returns the lines in which the node describes the cluster, or the error as a line. It returns nil if
+// nodes do not gossip.
+func (p *nodeProcess) clusterView() []string {
 	if p.gossipRelay == nil {
 		return nil
 	}
@@ -154,9 +156,9 @@
 	return lines
 }
 
-// knowsAll reports whether the node counts so many nodes as alive.
+// knowsAll reports whether the node counts exactly this many nodes as alive, itself included.
 func (p *nodeProcess) knowsAll(nodes int) bool {
-	for _, line := range p.fleetView() {
+	for _, line := range p.clusterView() {
 		if strings.HasPrefix(line, "node=") {
 			return strings.Contains(line, fmt.Sprintf(" alive=%d ", nodes))
 		}
@@ -164,19 +166,19 @@
 	return false
 }
 
-// signal sends a signal to the process, if it is up. It is called with cluster.mu held.
+// signal sends a signal to the process if it is up. It is called with cluster.mu held.
 func (p *nodeProcess) signal(s syscall.Signal) {
 	if p.up {
 		p.cmd.Process.Signal(s)
 	}
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process if it is up, and waits until it has exited.
 func (p *nodeProcess) kill() {
 	p.cluster.mu.Lock()
-	up, ended := p.up, p.ended
+	up, ended := p.up, p.exited
 	if up {
-		p.recordEnd()
+		p.recordKill()
 		p.cmd.Process.Kill()
 	}
 	p.cluster.mu.Unlock()
@@ -186,8 +188,8 @@
 	}
 }
 
-// recordEnd records that the node is down and has lost what was in flight. It is called with cluster.mu held.
-func (p *nodeProcess) recordEnd() {
+// recordKill records that the node was killed and has lost its jobs in flight. It is called with cluster.mu held.
+func (p *nodeProcess) recordKill() {
 	p.up = false
 	p.cluster.observe(invariants.Event{Kind: invariants.NodeKilled, Node: p.id})
 	p.cluster.excuseRequests(p)
@@ -197,11 +199,12 @@
 	p.idleConns = nil
 }
 
-// shutDown shuts the process down gracefully and waits for its end. A process that has just started gets the signal when it is ready: until
-// it handles signals, the signal itself kills it (docs/design/crossings.md).
+// shutDown shuts the process down gracefully and waits until it has exited. If the process has just started, shutDown
+// first waits until it answers requests: SIGTERM kills a process that does not handle signals yet
+// (docs/design/crossings.md).
 func (p *nodeProcess) shutDown() error {
 	p.cluster.mu.Lock()
-	up, ended := p.up, p.ended
+	up, ended := p.up, p.exited
 	p.signal(syscall.SIGCONT)
 	p.cluster.mu.Unlock()
 	if !up {
@@ -222,6 +225,7 @@
 	}
 }
 
+// close closes the node's relay, its listeners and the clients' idle connections to it.
 func (p *nodeProcess) close() {
 	p.discoveryListener.Close()
 	for _, l := range p.executorListeners {
--- a/internal/harness/node_files.go
+++ b/internal/harness/node_files.go
@@ -11,10 +11,10 @@
 	"birchstair/policy"
 )
 
-// gossipSeeds is how many nodes the others join at.
+// gossipSeeds is the number of nodes whose addresses every node gets as gossip seeds.
 const gossipSeeds = 3
 
-// writeFiles writes the node's configuration and, if nodes gossip, the operator's file.
+// writeFiles writes the node's configuration and, if nodes gossip, the operator's file site.toml.
 func (p *nodeProcess) writeFiles() error {
 	err := p.config().WriteFile(filepath.Join(p.dir, "config.json"))
 	if p.gossipRelay == nil {
@@ -67,7 +67,7 @@
 		settings.Report = InlineReport()
 	}
 	for i, t := range r.scenario.Classes {
-		settings.JobClasses = append(settings.JobClasses, classConfig(t.Name, r.policyClasses[i]))
+		settings.JobClasses = append(settings.JobClasses, classConfig(t.Name, r.nodeClasses[i]))
 	}
 	return NodeConfig{
 		Discovery: p.discoveryListener.Addr().String(),
@@ -80,13 +80,13 @@
 	}
 }
 
-// Names of idempotency and dedup groups in the configuration.
+// Values of the configuration keys repeat and dedup-scope.
 var (
 	idempotencyNames = map[policy.Idempotency]string{policy.Idempotent: "repeatable", policy.IdempotentWithKey: "by_key", policy.AtMostOnce: "once"}
 	dedupGroupNames  = map[policy.DedupGroup]string{policy.DedupAllExecutors: "all", policy.DedupZone: "zone", policy.DedupCell: "cell"}
 )
 
-// classConfig returns the settings of a job class.
+// classConfig returns the configuration of a job class.
 func classConfig(name string, class policy.JobClass) NodeJobClass {
 	settings := NodeJobClass{
 		RunTimeFactor:    &class.RunTimeFactor,
--- a/internal/harness/options.go
+++ b/internal/harness/options.go
@@ -1,30 +1,30 @@
 package harness
 
-// Options are how a scenario is played.
+// Options control how a scenario is played.
 type Options struct {
-	Binary string // the program birchstair
-	Dir    string // an empty directory for logs, configurations and the timeline
-	Seed   uint64
+	Binary string // path of the birchstair executable
+	Dir    string // empty directory for the nodes' files and the timeline
+	Seed   uint64 // seed of all random draws
 
-	injectDefect func(*cluster) // called when the load begins, to inject a defect; nil for none
+	injectDefect func(*cluster) // injects a defect before the load begins, to test the checks themselves; may be nil
 }
 
-// Result is the result of a run. Violations alone are a verdict, all others are counts.
+// Result is the result of a run. The run failed if there are violations. All other fields are informational.
 type Result struct {
 	Seed                uint64         `json:"Seed"`
-	Requested           float64        `json:"Asked"`       // value of all work
-	Earned              float64        `json:"Earned"`      // part of it that was answered by the latency objective
-	Best                float64        `json:"Best"`        // upper bound of it by the capacity that there was, most valuable work first
-	Works               int            `json:"Works"`       // pieces of work
-	Requests            map[string]int `json:"Tries"`       // requests, by how they ended
+	Requested           float64        `json:"Asked"`       // value of all submitted work
+	Earned              float64        `json:"Earned"`      // value of the work that was answered within its latency objective
+	Best                float64        `json:"Best"`        // upper bound of Earned: the available capacity serves the most valuable work first
+	Works               int            `json:"Works"`       // work items, each with one request or more
+	Requests            map[string]int `json:"Tries"`       // number of requests by how they ended, see endNames
 	Attempts            int            `json:"Allocations"` // attempts that reached an executor
-	Work                float64        `json:"Work"`        // seconds of work that reached executors
-	Finished            float64        `json:"Finished"`    // seconds of work that they finished
-	Overloaded          int            `json:"Fell"`        // crashes of executors from overload in slow start
-	SlowStartPeak       float64        `json:"ColdMost"`    // largest share of its slow-start budget that an executor got
-	LateAttempts        int            `json:"Late"`        // attempts to draining executors from nodes that had not been notified, long after another node had been
-	LeftWhileQueued     int            `json:"WentWaiting"` // clients that left while their batch jobs had no attempt in flight
-	SentAfterClientLeft int            `json:"SentLate"`    // attempts that arrived too long after their clients had left
-	FleetViews          [][]string     `json:"Views"`       // the fleet as each node sees it at the end
-	Violations          []string       `json:"Wrong"`       // violations
+	Work                float64        `json:"Work"`        // work of the attempts that reached executors, in seconds
+	Finished            float64        `json:"Finished"`    // work of the attempts that executors completed, in seconds
+	Overloaded          int            `json:"Fell"`        // executor crashes caused by overload during slow start
+	SlowStartPeak       float64        `json:"ColdMost"`    // largest fraction of its slow-start budget that any executor received; over 1 if exceeded
+	LateAttempts        int            `json:"Late"`        // attempts at draining executors by nodes not notified of the drain, long after another node was notified
+	LeftWhileQueued     int            `json:"WentWaiting"` // clients that disconnected while their batch jobs had no attempt in flight
+	SentAfterClientLeft int            `json:"SentLate"`    // attempts that reached an executor too long after the client had disconnected
+	ClusterViews        [][]string     `json:"Views"`       // cluster as each node reports it at the end, by node
+	Violations          []string       `json:"Wrong"`       // description of each violation
 }
--- a/internal/harness/wire_test.go
+++ b/internal/harness/wire_test.go
@@ -19,7 +19,7 @@
 // TestResultWireForm pins the JSON form of a result, with each field set and with none.
 func TestResultWireForm(t *testing.T) {
 	set := Result{Seed: 1, Requested: 2, Earned: 3, Best: 4, Works: 5, Requests: map[string]int{"handled": 6}, Attempts: 7, Work: 8, Finished: 9,
-		Overloaded: 10, SlowStartPeak: 11, LateAttempts: 12, LeftWhileQueued: 13, SentAfterClientLeft: 14, FleetViews: [][]string{{"a"}, nil}, Violations: []string{"w"}}
+		Overloaded: 10, SlowStartPeak: 11, LateAttempts: 12, LeftWhileQueued: 13, SentAfterClientLeft: 14, ClusterViews: [][]string{{"a"}, nil}, Violations: []string{"w"}}
 	if value := reflect.ValueOf(set); value.Kind() == reflect.Struct {
 		for i := range value.NumField() {
 			if value.Field(i).IsZero() {
@@ -38,7 +38,7 @@
 	golden.Compare(t, "result.jsonl", text)
 }
 
-// fixedListener has an address and accepts nothing.
+// fixedListener is a listener with a fixed address that accepts no connections.
 type fixedListener struct {
 	net.Listener
 	address net.TCPAddr
@@ -63,13 +63,13 @@
 	}
 	text := ""
 	for _, s := range []simulation.Scenario{all, none} {
-		track := s.Classes[0]
+		class := s.Classes[0]
 		s.Classes = nil
 		for i := range classes {
-			track.Name = fmt.Sprint("class", i)
-			s.Classes = append(s.Classes, track)
+			class.Name = fmt.Sprint("class", i)
+			s.Classes = append(s.Classes, class)
 		}
-		r := &cluster{scenario: s, options: Options{Seed: 7}, policyClasses: classes}
+		r := &cluster{scenario: s, options: Options{Seed: 7}, nodeClasses: classes}
 		for i := range 4 {
 			p := &nodeProcess{cluster: r, id: invariants.NodeID(i), name: fmt.Sprint("n", i), zone: 1, dir: t.TempDir(), clientAddress: "127.9.0.1:8081", adminAddress: "127.9.0.1:8082",
 				gossipAddress: "127.9.0.1:7947", discoveryListener: fixedListener{address: net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9000}}}
@@ -93,7 +93,7 @@
 	golden.Compare(t, "node_files.txt", text)
 }
 
-// TestDrawnScenarios pins the scenarios of some seeds, and so the order of random draws.
+// TestDrawnScenarios pins the scenarios that Draw returns for some seeds, and thereby the order of its random draws.
 func TestDrawnScenarios(t *testing.T) {
 	all := ""
 	for seed := range uint64(8) {
