--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -43,7 +43,7 @@
 
 // sweep returns the points to measure.
 func (c *scaleCmd) sweep() (scaletest.Sweep, error) {
-	s := scaletest.Sweep{Executors: c.Executors, FleetSizes: c.Of, Nodes: c.Nodes, MaxRealNodes: c.Real, PriorityLevels: c.Rungs, Rates: c.Rates, Concurrency: c.Running, Queueing: c.Queued, Tenants: c.Tenants, Rounds: c.Rounds,
+	s := scaletest.Sweep{Executors: c.Executors, ClusterSizes: c.Of, Nodes: c.Nodes, MaxRealNodes: c.Real, PriorityLevels: c.Rungs, Rates: c.Rates, Concurrency: c.Running, Queueing: c.Queued, Tenants: c.Tenants, Rounds: c.Rounds,
 		BaseExecutors: c.At, BaseNodes: c.Among, BaseRate: c.Rate, TaskDuration: c.Work, Window: c.Span, Sockets: c.Sockets, Baseline: c.Against != ""}
 	dims := map[string]*[]int{"executors": &s.Executors, "nodes": &s.Nodes, "rungs": &s.PriorityLevels, "rates": &s.Rates, "running": &s.Concurrency, "held": &s.Queueing, "tenants": &s.Tenants}
 	for _, name := range c.Skip {
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -8,16 +8,17 @@
 	"birchstair/policy"
 )
 
-// adminCalls is how often metrics are read to measure what that costs.
+// adminCalls is the number of times that metrics are read from each node to measure the cost of a read.
 const adminCalls = 20
 
-// burstUpdates is how many changes come in the busiest second.
+// burstUpdates is the number of endpoint updates in the busiest second.
 const burstUpdates = 50
 
-// extraExecutor is the id of an executor that changes add to the list, so that nodes' counts of executors show that a change is in force.
+// extraExecutor is the id of an executor that is added to and removed from the endpoint list with other changes. A
+// node's count of executors then shows that the node has received the change.
 const extraExecutor = policy.ExecutorID("more")
 
-// measureChanges makes changes one after another, and waits for each until it is in force at every node.
+// measureChanges makes changes one after another, and waits for each until it is in effect at every node.
 func (m *measurement) measureChanges() error {
 	executors := m.point.Executors
 	for _, step := range []func() error{
@@ -35,20 +36,22 @@
 	return nil
 }
 
-// knowExecutors returns a condition: all real nodes know so many executors.
+// knowExecutors returns a condition that holds if every real node knows the given number of executors.
 func (m *measurement) knowExecutors(count int) func() bool {
 	return func() bool {
 		return m.allNodes(func(p *realNode) bool { return p.hasMetric("executors_known", count) })
 	}
 }
 
-// extraEntry returns an entry for an executor that is on the list under another id too.
+// extraEntry returns an entry with a new id for the address of the first executor, which is on the endpoint list under
+// its own id.
 func (m *measurement) extraEntry(id policy.ExecutorID) emulator.Entry {
 	extra := m.entries[0]
 	extra.Executor = id
 	return extra
 }
 
+// measureAdminCalls reads the metrics of all nodes several times.
 func (m *measurement) measureAdminCalls() error {
 	return m.measureChange("door", adminCalls, func() error {
 		for range adminCalls {
@@ -62,13 +65,13 @@
 	}, func() bool { return true })
 }
 
-// measureListChange adds an executor to the list.
+// measureListChange adds an executor to the endpoint list.
 func (m *measurement) measureListChange(executors int) error {
 	extra := m.extraEntry(extraExecutor)
 	return m.measureChange("list", 1, func() error { m.discovery.Change(extra); return nil }, m.knowExecutors(executors))
 }
 
-// measureReload changes the configuration.
+// measureReload changes the configuration of all real nodes and makes them reload it.
 func (m *measurement) measureReload() error {
 	return m.measureChange("settings", 1, func() error {
 		for _, p := range m.nodes {
@@ -84,7 +87,8 @@
 	}, func() bool { return m.allNodes(func(p *realNode) bool { return p.hasMetric("reloads_ok", 1) }) })
 }
 
-// measureUpdateBurst changes the weights of many executors within a second, and at last removes one, which nodes' counts show.
+// measureUpdateBurst changes the weights of many executors within a second. Its last update removes an executor, so
+// that the nodes' counts of executors show when they have received all updates.
 func (m *measurement) measureUpdateBurst(executors int) error {
 	return m.measureChange("burst", burstUpdates, func() error {
 		for i := range burstUpdates - 1 {
@@ -120,9 +124,10 @@
 	return m.measureChange("zone_back", len(restarted), func() error { m.discovery.Change(restarted...); return nil }, m.knowExecutors(executors))
 }
 
-// measureDrain drains an executor. Real nodes learn of it from discovery, hollow nodes from gossip alone. An executor is added with it, and
-// real nodes' counts of executors show that they have the change. Their counts of excluded executors would not do: these include ejected
-// executors, of which there may be some for 10 s and more after a load that stalled.
+// measureDrain drains an executor. Real nodes are notified by discovery, stub nodes by gossip alone. Another executor
+// is added with the drain, so that the real nodes' counts of executors show that they have received the change. Their
+// counts of excluded executors cannot show it: these include ejected executors, of which there may be some for 10 s and
+// more after a load that stalled.
 func (m *measurement) measureDrain(executors int) error {
 	drains, extra := m.entries[len(m.entries)-1], m.extraEntry("with the drain")
 	drains.State = policy.Draining
@@ -135,11 +140,11 @@
 			return true
 		}
 		c, err := m.nodeStubs.counts(drains.Executor)
-		return err == nil && c.Fleet.KnowDrain == m.point.StubNodes
+		return err == nil && c.Gossip.KnowDrain == m.point.StubNodes
 	})
 }
 
-// allNodes reports whether a condition holds for all real nodes.
+// allNodes reports whether a condition holds for every real node.
 func (m *measurement) allNodes(holds func(*realNode) bool) bool {
 	for _, p := range m.nodes {
 		if !holds(p) {
@@ -149,7 +154,8 @@
 	return true
 }
 
-// measureChange makes some changes and records how long it takes, from the last of them, until a condition holds, and what each costs a node.
+// measureChange makes changes and waits until a condition holds. It records the time from the last change until then,
+// and the CPU time and bytes of discovery traffic that each change costs a node.
 func (m *measurement) measureChange(what string, changes int, change func() error, holds func() bool) error {
 	from, err := m.sample()
 	if err != nil {
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -12,14 +12,14 @@
 type Fit struct {
 	Series     string  `json:"Series"`
 	Figure     string  `json:"Figure"`
-	Intercept  float64 `json:"At"` // the line at X = 0
+	Intercept  float64 `json:"At"` // value of the line at X = 0
 	Slope      float64 `json:"Slope"`
 	SlopeError float64 `json:"Spread"` // standard error of the slope
 	Residual   float64 `json:"Off"`    // standard deviation of the measurements from the line
 	From       float64 `json:"From"`   // smallest X
 	To         float64 `json:"To"`     // largest X
-	Count      int     `json:"N"`      // measurements
-	Flat       bool    `json:"Flat"`   // the slope is within twice its spread of zero
+	Count      int     `json:"N"`      // number of measurements
+	Flat       bool    `json:"Flat"`   // whether the slope differs from zero by no more than twice its standard error
 }
 
 // Fits fits each figure of each series that has at least three measurements, at two values of X or more.
@@ -40,6 +40,7 @@
 	return fits
 }
 
+// fit fits a line through points of X and the figure's value. It fails with fewer than three points or a single X.
 func fit(points [][2]float64) (f Fit, ok bool) {
 	f.Count = len(points)
 	f.From, f.To = math.Inf(1), math.Inf(-1)
@@ -59,18 +60,18 @@
 	}
 	f.Slope = xy / xx
 	f.Intercept = my - f.Slope*mx
-	off := 0.0
+	squares := 0.0
 	for _, p := range points {
 		d := p[1] - f.Intercept - f.Slope*p[0]
-		off += d * d
+		squares += d * d
 	}
-	f.Residual = math.Sqrt(off / float64(f.Count-2))
+	f.Residual = math.Sqrt(squares / float64(f.Count-2))
 	f.SlopeError = f.Residual / math.Sqrt(xx)
 	f.Flat = math.Abs(f.Slope) <= 2*f.SlopeError
 	return f, true
 }
 
-// String returns the line and its errors as people read them.
+// String formats the line and its errors for people.
 func (f Fit) String() string {
 	flat := ""
 	if f.Flat {
--- a/internal/scaletest/load.go
+++ b/internal/scaletest/load.go
@@ -13,12 +13,13 @@
 	"birchstair/policy"
 )
 
-// loadGenerator submits batch jobs by a schedule, each at its time whether or not earlier ones have been answered, to the nodes in turn.
+// loadGenerator submits batch jobs to the nodes in rotation, at a constant rate. It is an open load: a batch job is
+// submitted when it is due, even if earlier ones have no answer yet.
 type loadGenerator struct {
 	nodes     []*realNode
-	rate      float64
+	rate      float64 // batch jobs per second
 	classes   []class
-	submitted int // so far
+	submitted int // number of batch jobs submitted so far
 	requests  sync.WaitGroup
 
 	mu        sync.Mutex
@@ -26,25 +27,25 @@
 	outcome
 }
 
-// outcome is the outcome of a load.
+// outcome holds the results of a load.
 type outcome struct {
 	answered      int
 	succeeded     int
-	submittedLate int // handed in over lateBy after they were due
+	submittedLate int // batch jobs that were submitted more than lateTolerance after they were due
 	violations    []string
-	latencies     []time.Duration // of each answer, from the time when the batch job was due
+	latencies     []time.Duration // time from when each batch job was due until its answer
 }
 
 const (
 	lateTolerance = 20 * time.Millisecond
-	clientTimeout = 20 * time.Second // for an answer
+	clientTimeout = 20 * time.Second // time that a client waits for an answer
 )
 
 func newLoadGenerator(nodes []*realNode, pt Point) *loadGenerator {
 	return &loadGenerator{nodes: nodes, rate: pt.Rate, classes: classes(pt.PriorityLevels), idleConns: map[*realNode][]net.Conn{}}
 }
 
-// snapshot returns the outcome so far, and forgets the latencies.
+// snapshot returns the outcome so far without the latencies, which it discards.
 func (l *loadGenerator) snapshot() outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,7 +53,7 @@
 	return l.outcome
 }
 
-// run submits batch jobs for a time, and returns how many.
+// run submits batch jobs for a duration, and returns their number. Their ids begin with the given name.
 func (l *loadGenerator) run(name string, duration time.Duration) (due int) {
 	began := time.Now()
 	for at := began; at.Sub(began) < duration; at = began.Add(time.Duration(float64(due) / l.rate * 1e9)) {
@@ -67,7 +68,7 @@
 	return due
 }
 
-// wait waits for all answers.
+// wait waits for all answers, and closes the connections.
 func (l *loadGenerator) wait() {
 	l.requests.Wait()
 	for _, conns := range l.idleConns {
@@ -77,6 +78,7 @@
 	}
 }
 
+// submit submits a batch job that is due at a given time, and records its outcome.
 func (l *loadGenerator) submit(p *realNode, class, id string, at time.Time) {
 	delayed := time.Since(at) > lateTolerance
 	f, err := l.send(p, class, id)
@@ -100,8 +102,10 @@
 	}
 }
 
+// send sends a batch job and reads its answer. If an idle connection turns out to be closed, it sends the job again on
+// another one.
 func (l *loadGenerator) send(p *realNode, class, id string) (platform.Final, error) {
-	m := platform.Request{Job: policy.JobID(id), Class: class, Budget: clientTimeout, Body: []byte("task")}
+	request := platform.Request{Job: policy.JobID(id), Class: class, Budget: clientTimeout, Body: []byte("task")}
 	for {
 		c, reused, err := l.connect(p)
 		if err != nil {
@@ -109,13 +113,13 @@
 		}
 		c.SetDeadline(time.Now().Add(clientTimeout + time.Second))
 		in := bufio.NewReader(c)
-		if _, err = c.Write(m.Append(nil)); err == nil {
+		if _, err = c.Write(request.Append(nil)); err == nil {
 			_, err = in.Peek(1)
 		}
 		if err != nil {
 			c.Close()
 			if reused {
-				continue // the node closed the idle connection: try another one
+				continue // the node closed the idle connection
 			}
 			return platform.Final{}, err
 		}
@@ -131,7 +135,7 @@
 	}
 }
 
-// connect returns an idle connection, or dials one.
+// connect returns an idle connection to a node, or dials a new one.
 func (l *loadGenerator) connect(p *realNode) (c net.Conn, reused bool, err error) {
 	l.mu.Lock()
 	if n := len(l.idleConns[p]); n > 0 {
@@ -145,7 +149,7 @@
 	return c, false, err
 }
 
-// percentile returns the time within which such a share of the answers came.
+// percentile returns the latency that the given fraction of the answers did not exceed, or 0 without answers.
 func (l *loadGenerator) percentile(fraction float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scaletest/load_figures.go
+++ b/internal/scaletest/load_figures.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// measureIdle measures the nodes without load.
+// measureIdle measures CPU time, traffic, memory and descriptors of the nodes without load.
 func (m *measurement) measureIdle() error {
 	time.Sleep(m.options.Settle)
 	from, err := m.sample()
@@ -27,20 +27,21 @@
 	return m.recordFootprint("idle")
 }
 
-// measureLoad submits batch jobs. A first stretch, which does not count, opens connections and brings tasks to run.
+// measureLoad measures the nodes under load. A warm-up phase, which is not measured, opens connections and fills the
+// executors.
 func (m *measurement) measureLoad() error {
-	opening := m.options.Settle
+	warmUp := m.options.Settle
 	if m.point.hasLongTasks() {
-		opening = max(opening, longTask+time.Second)
+		warmUp = max(warmUp, longTask+time.Second)
 	}
-	l := newLoadGenerator(m.nodes, m.point)
-	l.run("warm", opening)
+	load := newLoadGenerator(m.nodes, m.point)
+	load.run("warm", warmUp)
 	from, err := m.sample()
 	if err != nil {
 		return err
 	}
-	before := l.snapshot()
-	due := l.run("job", m.options.Window)
+	before := load.snapshot()
+	due := load.run("job", m.options.Window)
 	to, err := m.sample()
 	if err != nil {
 		return err
@@ -49,18 +50,18 @@
 		return err
 	}
 	inFlight := m.inFlight()
-	l.wait()
+	load.wait()
 	m.recordStarts(from, to)
 	f := m.row.Figures
 	f["in_hand"] = float64(inFlight) / float64(len(m.nodes))
-	f["shortfall_part"] = float64(l.submittedLate-before.submittedLate) / float64(max(1, due))
-	f["handled_part"] = float64(l.succeeded) / float64(max(1, l.submitted))
-	f["p50_ms"], f["p99_ms"] = l.percentile(0.5).Seconds()*1e3, l.percentile(0.99).Seconds()*1e3
+	f["shortfall_part"] = float64(load.submittedLate-before.submittedLate) / float64(max(1, due))
+	f["handled_part"] = float64(load.succeeded) / float64(max(1, load.submitted))
+	f["p50_ms"], f["p99_ms"] = load.percentile(0.5).Seconds()*1e3, load.percentile(0.99).Seconds()*1e3
 	m.recordGossip("load", from, to)
-	return m.checkLoad(l, to)
+	return m.checkLoad(load, to)
 }
 
-// inFlight returns how many batch jobs the nodes that answer have in flight.
+// inFlight returns the number of batch jobs in flight, summed over the nodes that report it.
 func (m *measurement) inFlight() (total int) {
 	for _, p := range m.nodes {
 		if metrics, err := p.metrics(); err == nil {
@@ -70,12 +71,13 @@
 	return total
 }
 
-// recordStarts records what the starts of tasks between two samples cost.
+// recordStarts records the rate of task starts between two samples, and their cost in CPU time, bytes and dialed
+// connections.
 func (m *measurement) recordStarts(from, to sample) {
 	f := m.row.Figures
-	starts, span, nodes := float64(to.counts.TasksStarted-from.counts.TasksStarted), to.at.Sub(from.at).Seconds(), float64(len(m.nodes))
-	f["starts_ps"] = starts / span
-	f["load_core_pct"] = 100 * (to.cpu - from.cpu).Seconds() / span / nodes
+	starts, seconds, nodes := float64(to.counts.TasksStarted-from.counts.TasksStarted), to.at.Sub(from.at).Seconds(), float64(len(m.nodes))
+	f["starts_ps"] = starts / seconds
+	f["load_core_pct"] = 100 * (to.cpu - from.cpu).Seconds() / seconds / nodes
 	if starts > 0 {
 		f["cpu_us_start"] = float64((to.cpu - from.cpu).Microseconds()) / starts
 		f["dials_start"] = float64(to.counts.ConnsAccepted-from.counts.ConnsAccepted) / starts
@@ -84,7 +86,7 @@
 	}
 }
 
-// checkLoad checks that clients, executors and nodes agree on a load that has ended.
+// checkLoad checks that the counts of clients, executors and nodes agree after a load has ended.
 func (m *measurement) checkLoad(l *loadGenerator, to sample) error {
 	m.row.Violations = append(m.row.Violations, l.violations...)
 	if l.answered+len(l.violations) != l.submitted {
@@ -109,13 +111,13 @@
 	return nil
 }
 
-// class is a job class. There is one for each priority level that gossip messages are to have.
+// class is a job class. Each job class of a point has a value that puts it into a priority level of its own.
 type class struct {
 	name  string
 	value float64
 }
 
-// classes returns a job class for each priority level, and one at least.
+// classes returns a job class for each of the given number of priority levels, and at least one.
 func classes(levels int) (all []class) {
 	for i := range max(1, levels) {
 		all = append(all, class{fmt.Sprint("batch", i), 1e-6 * float64(int(1)<<(i/2)) * (1 + 0.45*float64(i%2))})
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -15,24 +15,24 @@
 	"birchstair/policy"
 )
 
-// stubNode describes a member of the fleet without batch jobs.
+// stubNode describes a cluster member that gossips but has no batch jobs.
 type stubNode struct {
 	Name   string `json:"Name"`
 	Number int    `json:"Number"`
 	Listen string `json:"Listen"`
 }
 
-// stubFleet is what all hollow nodes have in common.
-type stubFleet struct {
-	Seeds          []string `json:"Seeds"`
-	Real           []string `json:"Real"`  // addresses of real nodes: traffic with them counts
-	PriorityLevels int      `json:"Rungs"` // in gossip messages
+// stubCluster holds what is the same for all stub nodes.
+type stubCluster struct {
+	Seeds          []string `json:"Seeds"` // addresses through which nodes join the cluster
+	Real           []string `json:"Real"`  // IP addresses of the real nodes, whose traffic with stub nodes is counted
+	PriorityLevels int      `json:"Rungs"` // number of priority levels in a gossip message
 }
 
-// gossipCounts are what the hollow nodes know, and their traffic with real nodes.
+// gossipCounts describe what the stub nodes of a process know, and their traffic with real nodes.
 type gossipCounts struct {
-	LeastAlive int   `json:"Fewest"` // nodes that each of them at least knows to be alive, itself included
-	KnowDrain  int   `json:"Drains"` // hollow nodes that know that the executor of interest drains
+	LeastAlive int   `json:"Fewest"` // smallest number of nodes that a stub node knows to be alive, itself included
+	KnowDrain  int   `json:"Drains"` // number of stub nodes that know that the executor asked about drains
 	PacketsIn  int64 `json:"PacketsIn"`
 	PacketsOut int64 `json:"PacketsOut"`
 	Streams    int64 `json:"Streams"`
@@ -40,16 +40,16 @@
 	BytesOut   int64 `json:"BytesOut"`
 }
 
-// stubMember is a hollow node: the real gossip edge and the real fleet logic, with invented load figures.
+// stubMember is a stub node. It runs the real gossip and cluster code, but gossips made-up load figures.
 type stubMember struct {
 	mu         sync.Mutex
 	state      *cluster.State
 	membership *gossip.Membership
 	startedAt  time.Time
-	alive      int
+	alive      int // number of nodes that it knows to be alive
 }
 
-// stubMembers are the hollow nodes of a process.
+// stubMembers are the stub nodes of a process.
 type stubMembers struct {
 	all     []*stubMember
 	traffic gossip.Traffic
@@ -57,45 +57,46 @@
 	wait    sync.WaitGroup
 }
 
-// joinInterval is the time between the joins of two hollow nodes.
+// joinInterval is the time between the joins of two stub nodes.
 const joinInterval = 20 * time.Millisecond
 
-// startMembers starts the hollow nodes of a job. The result must be stopped even after an error.
+// startMembers starts the stub nodes of a job. The result must be stopped even after an error.
 func startMembers(job stubJob) (*stubMembers, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &stubMembers{cancel: cancel}
+	members := &stubMembers{cancel: cancel}
 	isReal := map[netip.Addr]bool{}
-	for _, text := range job.Fleet.Real {
+	for _, text := range job.Cluster.Real {
 		a, err := netip.ParseAddr(text)
 		if err != nil {
-			return h, err
+			return members, err
 		}
 		isReal[a] = true
 	}
-	h.traffic.Counts = func(a netip.Addr) bool { return isReal[a] }
+	members.traffic.Counts = func(a netip.Addr) bool { return isReal[a] }
 	for i, n := range job.Nodes {
-		o, err := gossip.ParseOptions(cluster.NodeName(n.Name), policy.NodeID(n.Number), n.Listen, "", job.Fleet.Seeds)
+		o, err := gossip.ParseOptions(cluster.NodeName(n.Name), policy.NodeID(n.Number), n.Listen, "", job.Cluster.Seeds)
 		if err != nil {
-			return h, err
+			return members, err
 		}
-		o.Traffic = &h.traffic
+		o.Traffic = &members.traffic
 		m := &stubMember{startedAt: time.Now()}
 		s := cluster.Defaults(o.Name, uint64(m.startedAt.UnixMilli()), uint32(n.Number))
 		m.state = cluster.New(s)
 		m.membership = gossip.New(o, m.handle, zerolog.Nop())
-		h.all = append(h.all, m)
-		h.wait.Go(func() {
-			select { // one after another, as in a rollout: if all join at once, they take each other for dead
+		members.all = append(members.all, m)
+		members.wait.Go(func() {
+			select { // join one after another, as in a rollout: if all join at once, they declare each other dead
 			case <-ctx.Done():
 			case <-time.After(time.Duration(i) * joinInterval):
 				m.membership.Run(ctx)
 			}
 		})
-		h.wait.Go(func() { m.gossip(ctx, s.GossipInterval, job.Fleet.PriorityLevels) })
+		members.wait.Go(func() { m.gossip(ctx, s.GossipInterval, job.Cluster.PriorityLevels) })
 	}
-	return h, nil
+	return members, nil
 }
 
+// handle applies an event of the gossip code to the node's cluster state.
 func (m *stubMember) handle(ev node.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// gossip sends the gossip messages of the node, until ctx ends.
+// gossip sends the node's gossip messages until ctx is done.
 func (m *stubMember) gossip(ctx context.Context, every time.Duration, levels int) {
 	ticks := time.NewTicker(every)
 	defer ticks.Stop()
@@ -136,9 +137,9 @@
 	}
 }
 
-// counts returns the counts. About is the executor whose drain is of interest, with no known start; empty for none.
-func (h *stubMembers) counts(about policy.ExecutorID) (c gossipCounts) {
-	for i, m := range h.all {
+// counts returns the counts of all stub nodes. About is the executor whose drain is asked about; empty for none.
+func (s *stubMembers) counts(about policy.ExecutorID) (c gossipCounts) {
+	for i, m := range s.all {
 		m.mu.Lock()
 		if i == 0 || m.alive < c.LeastAlive {
 			c.LeastAlive = m.alive
@@ -148,13 +149,13 @@
 		}
 		m.mu.Unlock()
 	}
-	t := &h.traffic
+	t := &s.traffic
 	c.PacketsIn, c.PacketsOut, c.Streams = t.PacketsIn.Load(), t.PacketsOut.Load(), t.StreamsIn.Load()+t.StreamsOut.Load()
 	c.BytesIn, c.BytesOut = t.BytesIn.Load(), t.BytesOut.Load()
 	return c
 }
 
-func (h *stubMembers) stop() {
-	h.cancel()
-	h.wait.Wait()
+func (s *stubMembers) stop() {
+	s.cancel()
+	s.wait.Wait()
 }
--- a/internal/scaletest/points.go
+++ b/internal/scaletest/points.go
@@ -6,37 +6,38 @@
 	"birchstair/policy"
 )
 
-// Point is one set of conditions, measured once in a round.
+// Point is one set of conditions, which is measured once in each round.
 type Point struct {
-	Series         string  `json:"Series"` // the slope that it belongs to
-	X              float64 `json:"X"`
+	Series         string  `json:"Series"` // name of the series; a line is fitted through the points of a series
+	X              float64 `json:"X"`      // value of the dimension that the series varies
 	Round          int     `json:"Round"`
 	Seed           uint64  `json:"Seed"`
 	Executors      int     `json:"Executors"`
-	FleetSize      int     `json:"Of"` // nodes that a real one counts itself among; see subsetSize
+	ClusterSize    int     `json:"Of"` // number of nodes that a real node is configured with, which determines its subset
 	RealNodes      int     `json:"Real"`
 	StubNodes      int     `json:"Hollow,omitempty"`
 	Gossip         bool    `json:"Talk"`
 	PriorityLevels int     `json:"Rungs,omitempty"`
-	Rate           float64 `json:"Rate"`              // starts per second, of all real nodes together
-	Concurrency    int     `json:"Running,omitempty"` // tasks that the rate keeps running at a time
-	Sockets        int     `json:"Sockets"`
-	MemoryMB       int     `json:"Memory"` // memory limit of a real node
+	Rate           float64 `json:"Rate"`              // task starts per second at all real nodes together
+	Concurrency    int     `json:"Running,omitempty"` // number of tasks that the rate keeps running at a time
+	Sockets        int     `json:"Sockets"`           // connection limit of a real node
+	MemoryMB       int     `json:"Memory"`            // memory limit of a real node, in MB
 	Tenants        int     `json:"Tenants,omitempty"`
-	PolicyOnly     bool    `json:"Module,omitempty"`  // measures the policy alone
-	Queueing       bool    `json:"Held,omitempty"`    // the load exceeds the tokens, so that batch jobs are queued
-	Baseline       bool    `json:"Against,omitempty"` // measures the other build
+	PolicyOnly     bool    `json:"Module,omitempty"`  // whether the policy alone is measured
+	Queueing       bool    `json:"Held,omitempty"`    // whether the load exceeds the nodes' tokens, so that batch jobs are queued
+	Baseline       bool    `json:"Against,omitempty"` // whether the other build is measured
 }
 
-// hasLongTasks reports whether its tasks take longWork.
+// hasLongTasks reports whether the point's tasks take longTask.
 func (pt Point) hasLongTasks() bool { return pt.Concurrency > 0 || pt.Queueing }
 
-// PlannedFleetSize is how many nodes the planned size has for control.
-const PlannedFleetSize = 9
+// PlannedClusterSize is the number of nodes in a deployment of the planned size.
+const PlannedClusterSize = 9
 
 var zones = []string{"a", "b", "c", "d"}
 
-// slots returns how many tasks the i-th executor runs at a time: referenceSlots over the first referenceExecutors.
+// slots returns the number of tasks that the i-th executor runs at a time. The first referenceExecutors executors share
+// referenceSlots evenly.
 func slots(i int) int {
 	return referenceSlots*(i+1)/referenceExecutors - referenceSlots*i/referenceExecutors
 }
@@ -45,42 +46,42 @@
 
 // points returns the points of a round, in the order in which they are measured.
 func (s Sweep) points(round int) (points []Point) {
-	base := Point{Round: round, Seed: uint64(round + 1), Executors: s.BaseExecutors, FleetSize: PlannedFleetSize, RealNodes: 1, Rate: float64(s.BaseRate), Sockets: s.Sockets, MemoryMB: nodeMemoryMB}
-	add := func(series string, x int, as func(*Point)) {
+	base := Point{Round: round, Seed: uint64(round + 1), Executors: s.BaseExecutors, ClusterSize: PlannedClusterSize, RealNodes: 1, Rate: float64(s.BaseRate), Sockets: s.Sockets, MemoryMB: nodeMemoryMB}
+	add := func(series string, x int, set func(*Point)) {
 		pt := base
 		pt.Series, pt.X = series, float64(x)
-		as(&pt)
+		set(&pt)
 		points = append(points, pt)
 	}
 	for _, n := range s.Executors {
-		for _, of := range s.FleetSizes {
-			add(fmt.Sprintf("executors-of-%d", of), n, func(pt *Point) { pt.Executors, pt.FleetSize = n, of })
-			add(fmt.Sprintf("module-executors-of-%d", of), n, func(pt *Point) { pt.PolicyOnly, pt.Executors, pt.FleetSize = true, n, of })
-			add(fmt.Sprintf("module-held-of-%d", of), n, func(pt *Point) { pt.PolicyOnly, pt.Queueing, pt.Executors, pt.FleetSize = true, true, n, of })
+		for _, of := range s.ClusterSizes {
+			add(fmt.Sprintf("executors-of-%d", of), n, func(pt *Point) { pt.Executors, pt.ClusterSize = n, of })
+			add(fmt.Sprintf("module-executors-of-%d", of), n, func(pt *Point) { pt.PolicyOnly, pt.Executors, pt.ClusterSize = true, n, of })
+			add(fmt.Sprintf("module-held-of-%d", of), n, func(pt *Point) { pt.PolicyOnly, pt.Queueing, pt.Executors, pt.ClusterSize = true, true, n, of })
 		}
 	}
 	for _, n := range s.Nodes {
 		add("nodes", n, func(pt *Point) {
-			pt.FleetSize, pt.Gossip = n, true
+			pt.ClusterSize, pt.Gossip = n, true
 			pt.RealNodes = min(n, s.MaxRealNodes)
 			pt.StubNodes = n - pt.RealNodes
 		})
 	}
 	for _, n := range s.PriorityLevels {
 		add("rungs", n, func(pt *Point) {
-			pt.FleetSize, pt.Gossip, pt.PriorityLevels, pt.StubNodes = s.BaseNodes, true, n, s.BaseNodes-1
+			pt.ClusterSize, pt.Gossip, pt.PriorityLevels, pt.StubNodes = s.BaseNodes, true, n, s.BaseNodes-1
 		})
 	}
 	for _, n := range s.Rates {
 		add("rate", n, func(pt *Point) { pt.Rate = float64(n) })
 	}
 	for _, n := range s.Concurrency {
-		add("running", n, func(pt *Point) { pt.Concurrency, pt.Rate, pt.FleetSize = n, float64(n)/longTask.Seconds(), 1 })
+		add("running", n, func(pt *Point) { pt.Concurrency, pt.Rate, pt.ClusterSize = n, float64(n)/longTask.Seconds(), 1 })
 	}
 	for _, n := range s.Queueing {
 		add("held", n, func(pt *Point) {
 			pt.Queueing, pt.Executors, pt.Sockets, pt.MemoryMB = true, n, max(s.Sockets, queueingSockets), queueingMemoryMB
-			pt.Rate = queueingRate(n, PlannedFleetSize)
+			pt.Rate = queueingRate(n, PlannedClusterSize)
 		})
 	}
 	for _, n := range s.Tenants {
@@ -92,8 +93,9 @@
 	return points
 }
 
-// withBaseline puts the same point of the other build beside each point, so that what slows the machine for a while slows both. Which of them is
-// first alternates by the round. Points of the policy alone are of this program's build, and stay single.
+// withBaseline adds the same point for the other build next to each point. The two are measured in succession, so that
+// a machine that is slow for a while slows both. Which of them is first alternates from round to round. Points with
+// PolicyOnly always measure the policy that is built into this program, so they are not repeated.
 func withBaseline(points []Point, round int) (pairs []Point) {
 	for _, pt := range points {
 		if pt.PolicyOnly {
@@ -111,16 +113,17 @@
 	return pairs
 }
 
-// subsetSize returns the size of a node's subset of executors in a fleet, where crossing zones costs nothing: from six nodes on, three
-// times its share.
-func subsetSize(executors, of int) int {
-	if of < 6 {
+// subsetSize returns the number of executors in a node's subset if cross-zone attempts cost nothing. With fewer than
+// six nodes the subset has all executors; otherwise it has three times the node's share of them.
+func subsetSize(executors, nodes int) int {
+	if nodes < 6 {
 		return executors
 	}
-	return min(executors, (3*executors+of-1)/of)
+	return min(executors, (3*executors+nodes-1)/nodes)
 }
 
-// queueingRate returns a rate of long tasks that a node's first tokens are not enough for, so that batch jobs are queued.
-func queueingRate(executors, of int) float64 {
-	return queueingLoadFactor * initialTokens * float64(subsetSize(executors, of)) / longTask.Seconds()
+// queueingRate returns a rate of long tasks for which a node's initial tokens do not suffice, so that batch jobs are
+// queued.
+func queueingRate(executors, nodes int) float64 {
+	return queueingLoadFactor * initialTokens * float64(subsetSize(executors, nodes)) / longTask.Seconds()
 }
--- a/internal/scaletest/policy_only.go
+++ b/internal/scaletest/policy_only.go
@@ -11,43 +11,44 @@
 	"birchstair/policy"
 )
 
-// policyJob runs the policy alone on a virtual clock, as the reducer calls it: without sockets, and with tenants, which the platform's
-// protocol has no header for. Batch jobs arrive at a constant rate and take a fixed time.
+// policyJob measures the policy alone, without sockets and on a virtual clock, with the calls that a node's state
+// machine makes. It can have tenants, which the platform's protocol has no header for. Batch jobs arrive at a constant
+// rate and take a fixed time.
 type policyJob struct {
-	Executors int           `json:"Executors"`
-	FleetSize int           `json:"Of"`
-	Tenants   int           `json:"Tenants"`
-	Rate      float64       `json:"Rate"`
-	Work      time.Duration `json:"Work"`
-	MaxCPU    time.Duration `json:"Most"`   // CPU time of the starts that count, at most
-	Skip      int           `json:"Skip"`   // first starts, which do not count
-	Starts    int           `json:"Starts"` // starts that count, at most
+	Executors   int           `json:"Executors"`
+	ClusterSize int           `json:"Of"`
+	Tenants     int           `json:"Tenants"`
+	Rate        float64       `json:"Rate"`
+	Work        time.Duration `json:"Work"`
+	MaxCPU      time.Duration `json:"Most"`   // limit on the CPU time that is measured
+	Skip        int           `json:"Skip"`   // number of first starts that are not measured
+	Starts      int           `json:"Starts"` // largest number of starts that are measured
 }
 
-// policyFigures is the result of a moduleJob.
+// policyFigures is the result of a policyJob.
 type policyFigures struct {
 	Starts         int     `json:"Starts"`
-	MicrosPerStart float64 `json:"PerUs"` // CPU time per start, in microseconds
-	Heap           int64   `json:"Heap"`  // bytes of the state
-	Succeeded      int     `json:"Handled"`
-	InFlight       int     `json:"Out"`  // attempts in flight at the end
-	Queued         int     `json:"Held"` // batch jobs queued at the end
-	Error          string  `json:"Wrong"`
+	MicrosPerStart float64 `json:"PerUs"`   // CPU time per start, in microseconds
+	Heap           int64   `json:"Heap"`    // growth of the heap, in bytes
+	Succeeded      int     `json:"Handled"` // batch jobs that succeeded
+	InFlight       int     `json:"Out"`     // attempts in flight at the end
+	Queued         int     `json:"Held"`    // batch jobs queued at the end
+	Error          string  `json:"Wrong"`   // why the measurement failed; empty if it did not
 }
 
-// policyAttempt identifies an attempt.
+// policyAttempt identifies an attempt of a batch job.
 type policyAttempt struct {
 	id     policy.JobID
 	number policy.AttemptID
 }
 
-// attemptEnd is when an attempt ends.
+// attemptEnd is the scheduled end of an attempt.
 type attemptEnd struct {
 	at time.Duration
 	policyAttempt
 }
 
-// attemptEndHeap orders ends by time. It implements heap.Interface.
+// attemptEndHeap is a heap of scheduled ends, the earliest first. It implements heap.Interface.
 type attemptEndHeap []attemptEnd
 
 // Len implements sort.Interface.
@@ -73,16 +74,16 @@
 func (m *policyJob) budget() time.Duration { return max(5*time.Second, 5*m.Work) }
 
 func (m *policyJob) settings() policy.Settings {
-	s := policy.Settings{Seed: 7, Nodes: m.FleetSize, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Quantum: 4 * time.Millisecond,
+	s := policy.Settings{Seed: 7, Nodes: m.ClusterSize, TotalWeight: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Quantum: 4 * time.Millisecond,
 		ValuePerWork: true, SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, OverloadMultiple: 4, OverloadWindow: 1500 * time.Millisecond, StartNotices: true,
 		JobClasses: []policy.JobClass{{LatencyObjective: max(time.Second, 3*m.Work), Deadline: m.budget(), Value: 2}}}
 	for range m.Tenants {
-		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerSecond: m.Rate * float64(m.FleetSize) / float64(m.Tenants)})
+		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerSecond: m.Rate * float64(m.ClusterSize) / float64(m.Tenants)})
 	}
 	return s
 }
 
-// policyRun is the policy and its surroundings.
+// policyRun is the policy together with the arrivals and executors that it is measured with.
 type policyRun struct {
 	job        *policyJob
 	dispatcher *policy.Dispatcher
@@ -95,10 +96,10 @@
 	starts     int
 	succeeded  int
 	rejected   int
-	wakeAt     time.Duration // when the policy has something due
+	wakeAt     time.Duration // when the policy wants to be called next
 }
 
-// play runs the policy until enough starts are counted or the CPU time is used up.
+// play runs the policy until enough starts have been measured or the CPU time is used up.
 func (m *policyJob) play() (f policyFigures) {
 	before := heapNow()
 	p := newPolicyRun(m)
@@ -135,7 +136,8 @@
 	p.dispatcher.UpdateEndpoints(0, policy.CompleteUpdate, entries)
 }
 
-// run plays the virtual clock. It returns the number of the first start that counts, and the CPU time then.
+// run advances the virtual clock until the measurement is complete. It returns the number of the first start that is
+// measured, and the CPU time of this process at that point.
 func (p *policyRun) run() (first int, began time.Duration, err error) {
 	m := p.job
 	first = -1
@@ -155,17 +157,18 @@
 		}
 		p.step()
 		if p.arrivals > 20*(m.Skip+m.Starts) {
-			err = fmt.Errorf("the module starts nothing: %d starts, %d arrivals, now %v next %v ends %d handled %d",
+			err = fmt.Errorf("the policy starts too few attempts: %d starts, %d arrivals, now %v next %v ends %d handled %d",
 				p.starts, p.arrivals, p.now, p.wakeAt, len(p.ends), p.succeeded)
 		}
 	}
 	return first, began, err
 }
 
-// cpuCheckInterval is how many starts lie between two readings of the CPU time.
+// cpuCheckInterval is the number of starts between two readings of the CPU time.
 const cpuCheckInterval = 16
 
-// step advances the clock to the next event: the end of an attempt, an arrival, or the time at which the policy has something due.
+// step advances the clock to the next event and handles it. An event is the end of an attempt, the arrival of a batch
+// job, or the time at which the policy wants to be called.
 func (p *policyRun) step() {
 	m := p.job
 	arrives := time.Duration(float64(p.arrivals) / m.Rate * 1e9)
@@ -188,7 +191,7 @@
 	p.runDue()
 }
 
-// heapNow returns the bytes of live objects on the heap.
+// heapNow collects garbage and returns the bytes of allocated heap objects.
 func heapNow() int64 {
 	runtime.GC()
 	var s runtime.MemStats
@@ -196,7 +199,7 @@
 	return int64(s.HeapAlloc)
 }
 
-// runDue carries out what the policy has due, as the reducer does.
+// runDue carries out the policy's due tasks, as a node's state machine does.
 func (p *policyRun) runDue() {
 	for {
 		switch due := p.dispatcher.NextTask(p.now); due.Task {
@@ -211,36 +214,36 @@
 	}
 }
 
-// apply carries out a decision.
-func (p *policyRun) apply(id policy.JobID, what policy.Decision) {
-	if what.Action == policy.Reject || what.Action == policy.Fail {
+// apply carries out the policy's decision on a batch job.
+func (p *policyRun) apply(id policy.JobID, decision policy.Decision) {
+	if decision.Action == policy.Reject || decision.Action == policy.Fail {
 		p.rejected++
 	}
-	if what.Action != policy.Send {
+	if decision.Action != policy.Send {
 		return
 	}
 	n := p.sent[id]
 	p.sent[id]++
 	p.starts++
-	p.running[what.Executor]++
-	out := policyAttempt{id, n}
-	p.inFlight[out] = what.Executor
-	heap.Push(&p.ends, attemptEnd{p.now + p.job.Work, out})
+	p.running[decision.Executor]++
+	attempt := policyAttempt{id, n}
+	p.inFlight[attempt] = decision.Executor
+	heap.Push(&p.ends, attemptEnd{p.now + p.job.Work, attempt})
 	p.dispatcher.AttemptStarted(p.now, id, n)
 }
 
-// endAttempt ends an attempt, unless it has ended before.
+// endAttempt informs the policy of the end of an attempt, unless the attempt has ended before.
 func (p *policyRun) endAttempt(id policy.JobID, n policy.AttemptID, how policy.Outcome) {
-	out := policyAttempt{id, n}
-	on, is := p.inFlight[out]
-	if !is {
+	attempt := policyAttempt{id, n}
+	executor, ok := p.inFlight[attempt]
+	if !ok {
 		return
 	}
-	delete(p.inFlight, out)
-	p.running[on]--
+	delete(p.inFlight, attempt)
+	p.running[executor]--
 	if how == policy.Succeeded {
 		p.succeeded++
-		p.dispatcher.LoadReported(on, policy.Load{InFlight: float64(p.running[on]), FreeSlots: float64(100 - p.running[on]), FreeMemory: -1, RunTime: -1})
+		p.dispatcher.LoadReported(executor, policy.Load{InFlight: float64(p.running[executor]), FreeSlots: float64(100 - p.running[executor]), FreeMemory: -1, RunTime: -1})
 		delete(p.sent, id)
 	}
 	p.apply(id, p.dispatcher.AttemptEnded(p.now, id, n, how, how == policy.Succeeded))
--- a/internal/scaletest/real_node.go
+++ b/internal/scaletest/real_node.go
@@ -18,21 +18,21 @@
 	"birchstair/internal/node"
 )
 
-// realNode is a real node and its process.
+// realNode is a node that runs as a process of the program.
 type realNode struct {
 	name          string
 	number        int
 	dir           string
 	clientAddress string
 	adminAddress  string
-	gossipAddress string // empty if it does not gossip
+	gossipAddress string // empty if the node does not gossip
 	log           *os.File
 	cmd           *exec.Cmd
 	ended         chan error
-	valueScale    float64 // multiplies the value of each class
+	valueScale    float64 // factor for the value of each job class, which changes when the configuration is reloaded
 }
 
-// writeConfig replaces the node's configuration in one step.
+// writeConfig replaces the node's configuration file atomically.
 func (p *realNode) writeConfig(pt Point, discovery string) error {
 	next := filepath.Join(p.dir, "config.next")
 	if err := p.config(pt, discovery).WriteFile(next); err != nil {
@@ -45,7 +45,7 @@
 func (p *realNode) config(pt Point, discovery string) harness.NodeConfig {
 	settings := harness.NodeSettings{
 		Zones:      zones,
-		Nodes:      pt.FleetSize,
+		Nodes:      pt.ClusterSize,
 		Caps:       harness.NodeCaps{Cancel: true, IdleTimeout: 60, DialTimeout: 0.1, MaxAttempts: 3, MaxRetryAfter: 2, RetryAfter: true},
 		Discovery:  "push",
 		Domain:     harness.NodeDomain{MeaningX0: "free slots", StartNotices: true},
@@ -72,7 +72,7 @@
 	}
 }
 
-// writeSite writes the operator's file, if the node gossips.
+// writeSite writes the operator's file site.toml if the node gossips.
 func (p *realNode) writeSite(seeds []string) error {
 	if p.gossipAddress == "" {
 		return nil
@@ -84,7 +84,7 @@
 // reload makes the process reload its configuration.
 func (p *realNode) reload() error { return p.cmd.Process.Signal(syscall.SIGHUP) }
 
-// start starts a build of the program.
+// start starts the node as a process of the given build.
 func (p *realNode) start(binary string) error {
 	args := []string{"serve"}
 	if p.gossipAddress != "" {
@@ -93,7 +93,7 @@
 	p.cmd = exec.Command(binary, args...)
 	p.cmd.Dir = p.dir
 	p.cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + p.dir, "ROUTER_CONFIG=" + filepath.Join(p.dir, "config.json")}
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive this process
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the kernel kills the node when this process dies
 	var err error
 	if p.log, err = os.Create(filepath.Join(p.dir, "log")); err != nil {
 		return err
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// shutDown shuts the process down gracefully, or kills it after a while.
+// shutDown shuts the process down gracefully, or kills it after 10 s.
 func (p *realNode) shutDown() (err error) {
 	if p.ended == nil {
 		return nil
@@ -119,7 +119,7 @@
 		return err
 	case <-time.After(10 * time.Second):
 		p.cmd.Process.Kill()
-		return errors.Join(errors.New("it has not ended 10 s after SIGTERM"), <-p.ended)
+		return errors.Join(errors.New("not exited 10 s after SIGTERM"), <-p.ended)
 	}
 }
 
@@ -133,7 +133,7 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// metrics reads the node's metrics at its admin door.
+// metrics reads the node's metrics over its admin socket.
 func (p *realNode) metrics() (map[string]int, error) {
 	lines, err := admin.Call(p.adminAddress, node.ReadMetrics, "", 5*time.Second)
 	if err != nil {
@@ -143,19 +143,19 @@
 	for _, line := range lines {
 		name, text, _ := strings.Cut(line, "=")
 		if metrics[name], err = strconv.Atoi(text); err != nil {
-			return nil, fmt.Errorf("the figure %q: %w", line, err)
+			return nil, fmt.Errorf("parse metric %q: %w", line, err)
 		}
 	}
 	return metrics, nil
 }
 
-// hasMetric reports whether a metric of the node has a value.
+// hasMetric reports whether a metric of the node can be read and equals x.
 func (p *realNode) hasMetric(name string, x int) bool {
 	metrics, err := p.metrics()
 	return err == nil && metrics[name] == x
 }
 
-// knowsAll reports whether the node counts so many nodes as alive.
+// knowsAll reports whether the node counts exactly this many nodes as alive, itself included.
 func (p *realNode) knowsAll(nodes int) bool {
 	lines, err := admin.Call(p.adminAddress, node.ReadCluster, "", 5*time.Second)
 	return err == nil && slices.ContainsFunc(lines, func(line string) bool {
--- a/internal/scaletest/samples.go
+++ b/internal/scaletest/samples.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// cpu returns the CPU time of all real nodes.
+// cpu returns the CPU time that all real nodes together have used.
 func (m *measurement) cpu() (total time.Duration, err error) {
 	for _, p := range m.nodes {
 		t, err := cpu(p.cmd.Process.Pid)
@@ -16,19 +16,19 @@
 	return total, nil
 }
 
-// sample is the CPU time of all real nodes, and what was counted outside of them, at a time.
+// sample holds the CPU time of all real nodes and the counts of the stubs and of discovery at one time.
 type sample struct {
 	at           time.Time
 	cpu          time.Duration
-	counts       Counts // of the executors, summed
-	fleet        gossipCounts
-	discoveryIn  int64
-	discoveryOut int64
+	counts       Counts // sum over the processes with stub executors
+	gossip       gossipCounts
+	discoveryIn  int64 // bytes that discovery has read
+	discoveryOut int64 // bytes that discovery has written
 }
 
 // sample takes a sample.
 func (m *measurement) sample() (s sample, err error) {
-	s.at, s.discoveryIn, s.discoveryOut = time.Now(), m.discoveryTraffic.in.Load(), m.discoveryTraffic.out.Load()
+	s.at, s.discoveryIn, s.discoveryOut = time.Now(), m.discoveryTraffic.bytesRead.Load(), m.discoveryTraffic.bytesWritten.Load()
 	if s.cpu, err = m.cpu(); err != nil {
 		return s, err
 	}
@@ -48,16 +48,17 @@
 		if err != nil {
 			return s, err
 		}
-		s.fleet = c.Fleet
+		s.gossip = c.Gossip
 	}
 	return s, nil
 }
 
-// recordFootprint records memory and descriptors of a node: the largest of any real node.
+// recordFootprint records the memory and the number of descriptors of the real nodes, each as the largest over all of
+// them.
 func (m *measurement) recordFootprint(when string) error {
 	f := m.row.Figures
 	for _, p := range m.nodes {
-		now, most, err := memory(p.cmd.Process.Pid)
+		now, peak, err := memory(p.cmd.Process.Pid)
 		if err != nil {
 			return err
 		}
@@ -66,26 +67,26 @@
 			return err
 		}
 		f["rss_mb_"+when] = max(f["rss_mb_"+when], float64(now)/1e6)
-		f["peak_mb"] = max(f["peak_mb"], float64(most)/1e6)
+		f["peak_mb"] = max(f["peak_mb"], float64(peak)/1e6)
 		f["files_"+when] = max(f["files_"+when], float64(files))
 	}
 	return nil
 }
 
-// recordGossip records the gossip traffic of a real node between two samples. Only traffic with hollow nodes is counted; since a node gossips
-// with all peers alike, the rest is extrapolated.
+// recordGossip records the gossip traffic of a real node between two samples. Only its traffic with stub nodes is
+// counted. A node treats all its peers in the same way, so the traffic with other real nodes is extrapolated from that.
 func (m *measurement) recordGossip(when string, from, to sample) {
 	if m.nodeStubs == nil {
 		return
 	}
-	span := to.at.Sub(from.at).Seconds() * float64(len(m.nodes))
+	seconds := to.at.Sub(from.at).Seconds() * float64(len(m.nodes))
 	if all := m.point.RealNodes + m.point.StubNodes; m.point.RealNodes > 1 {
-		span *= float64(m.point.StubNodes) / float64(all-1)
+		seconds *= float64(m.point.StubNodes) / float64(all-1)
 	}
 	f := m.row.Figures
-	f["nodes_out_bps_"+when] = float64(to.fleet.BytesIn-from.fleet.BytesIn) / span
-	f["nodes_in_bps_"+when] = float64(to.fleet.BytesOut-from.fleet.BytesOut) / span
-	f["nodes_out_pps_"+when] = float64(to.fleet.PacketsIn-from.fleet.PacketsIn) / span
-	f["nodes_in_pps_"+when] = float64(to.fleet.PacketsOut-from.fleet.PacketsOut) / span
-	f["nodes_streams_ps_"+when] = float64(to.fleet.Streams-from.fleet.Streams) / span
+	f["nodes_out_bps_"+when] = float64(to.gossip.BytesIn-from.gossip.BytesIn) / seconds
+	f["nodes_in_bps_"+when] = float64(to.gossip.BytesOut-from.gossip.BytesOut) / seconds
+	f["nodes_out_pps_"+when] = float64(to.gossip.PacketsIn-from.gossip.PacketsIn) / seconds
+	f["nodes_in_pps_"+when] = float64(to.gossip.PacketsOut-from.gossip.PacketsOut) / seconds
+	f["nodes_streams_ps_"+when] = float64(to.gossip.Streams-from.gossip.Streams) / seconds
 }
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -33,7 +33,7 @@
 }
 
 func smallestSweep() Sweep {
-	return Sweep{Executors: []int{16}, FleetSizes: []int{9}, Nodes: []int{4}, Tenants: []int{3}, MaxRealNodes: 2, Rounds: 1, BaseExecutors: 16, BaseNodes: 4, BaseRate: 60,
+	return Sweep{Executors: []int{16}, ClusterSizes: []int{9}, Nodes: []int{4}, Tenants: []int{3}, MaxRealNodes: 2, Rounds: 1, BaseExecutors: 16, BaseNodes: 4, BaseRate: 60,
 		TaskDuration: 5 * time.Millisecond, Window: 400 * time.Millisecond, Sockets: 512}
 }
 
@@ -45,8 +45,9 @@
 	return Options{Binary: binary, StubCommand: []string{self}, Dir: t.TempDir(), Settle: 200 * time.Millisecond, MaxPolicyStarts: 200, BurstDuration: 100 * time.Millisecond}
 }
 
-// TestSmallestSweep runs the smallest sweep. Each batch job is answered once and counted once at both ends, all executors are known, and each change
-// is in force at all nodes, or the row says what is wrong.
+// TestSmallestSweep runs the smallest sweep and expects no violations: each batch job is answered once and counted once
+// at both ends, all executors are known, and each change takes effect at all nodes. The rows must have the expected
+// figures.
 func TestSmallestSweep(t *testing.T) {
 	rows := map[string]Row{}
 	if err := smallestSweep().Run(testOptions(t), func(r Row) {
@@ -72,14 +73,14 @@
 		}
 	}
 	if f := rows["nodes"].Figures; f["nodes_in_bps_load"] <= 0 || f["nodes_out_bps_load"] <= 0 {
-		t.Errorf("no words were seen between real and hollow nodes: %v", f)
+		t.Errorf("no gossip traffic was counted between real nodes and stub nodes: %v", f)
 	}
 	if f := rows["executors-of-9"].Figures; f["starts_ps"] <= 0 || f["handled_part"] <= 0 || f["list_whole_kb"] <= 0 {
-		t.Errorf("nothing was started, or no list told: %v", f)
+		t.Errorf("no task was started, or no endpoint list was sent: %v", f)
 	}
 }
 
-// TestPointNotRun checks that a point that cannot be run says why, and that the others run.
+// TestPointNotRun checks that the row of a point that cannot be run has the reason, and that the other points are run.
 func TestPointNotRun(t *testing.T) {
 	o := testOptions(t)
 	o.Binary = filepath.Join(o.Dir, "nothing")
@@ -97,8 +98,9 @@
 	}
 }
 
-// TestBaseline checks that with another build each point of processes is measured with both, side by side and either first in turn, and that
-// each row is of the build that it says.
+// TestBaseline checks that a sweep with Baseline measures each point with both builds, except for points with
+// PolicyOnly. The two builds must follow each other in an order that alternates by round, and each row must come from
+// the build that it names.
 func TestBaseline(t *testing.T) {
 	s := smallestSweep()
 	s.Baseline = true
@@ -131,7 +133,7 @@
 	}
 }
 
-// TestBounds checks that a sweep that exceeds a bound is refused with its name.
+// TestBounds checks that a sweep that exceeds a bound is refused with an error that names the bound.
 func TestBounds(t *testing.T) {
 	const files = 20000
 	if err := smallestSweep().check(files); err != nil {
@@ -179,71 +181,74 @@
 		t.Error(err)
 	}
 	if n := totalSlots(3200); n != referenceSlots {
-		t.Errorf("%d places", n)
+		t.Errorf("total slots = %d, want %d", n, referenceSlots)
 	}
 }
 
-// setUpMeasurement sets up a point until the test ends, and fails the test if there was a violation.
+// setUpMeasurement sets up a point for the duration of the test. The test fails if there is a violation.
 func setUpMeasurement(t *testing.T, pt Point) *measurement {
 	t.Helper()
-	w := &measurement{options: testOptions(t), point: pt, epoch: time.Now(), row: Row{Figures: map[string]float64{}}}
+	m := &measurement{options: testOptions(t), point: pt, epoch: time.Now(), row: Row{Figures: map[string]float64{}}}
 	t.Cleanup(func() {
-		for _, c := range slices.Backward(w.cleanups) {
+		for _, c := range slices.Backward(m.cleanups) {
 			c()
 		}
-		if len(w.row.Violations) > 0 {
-			t.Error(w.row.Violations)
+		if len(m.row.Violations) > 0 {
+			t.Error(m.row.Violations)
 		}
 	})
-	if err := w.setUp(); err != nil {
+	if err := m.setUp(); err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return m
 }
 
-// TestFarAbovePlannedSize checks that a list of 100,000 entries and 100,000 tenants, far more than planned for, are served or refused without a crash.
+// TestFarAbovePlannedSize checks that a node neither crashes nor hangs far above the planned size: 100,000 tenants must
+// be served, and an endpoint list of 100,000 entries must be used or refused.
 func TestFarAbovePlannedSize(t *testing.T) {
-	if f := (&policyJob{Executors: 16, FleetSize: 9, Tenants: 100000, Rate: 100, Work: time.Millisecond, MaxCPU: 10 * time.Second, Starts: 200}).play(); f.Error != "" || f.Starts == 0 {
+	if f := (&policyJob{Executors: 16, ClusterSize: 9, Tenants: 100000, Rate: 100, Work: time.Millisecond, MaxCPU: 10 * time.Second, Starts: 200}).play(); f.Error != "" || f.Starts == 0 {
 		t.Errorf("100,000 tenants: %+v", f)
 	}
-	w := setUpMeasurement(t, Point{Series: "far-over", Executors: 4, FleetSize: 9, RealNodes: 1, Sockets: 512, MemoryMB: 192})
-	p := w.nodes[0]
+	m := setUpMeasurement(t, Point{Series: "far-above-planned-size", Executors: 4, ClusterSize: 9, RealNodes: 1, Sockets: 512, MemoryMB: 192})
+	p := m.nodes[0]
 	var all []emulator.Entry
 	for i := range 100000 {
 		all = append(all, emulator.Entry{Addr: "127.0.0.1:1", Endpoint: policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % len(zones)), Weight: 1, StartedLongAgo: true}})
 	}
-	w.discovery.Change(all...)
+	m.discovery.Change(all...)
 	if err := waitFor(readyTimeout, func() bool {
 		log, err := os.ReadFile(filepath.Join(p.dir, "log"))
 		return p.hasMetric("executors_known", len(all)) || err == nil && strings.Contains(string(log), "endpoint list unavailable")
 	}); err != nil {
-		t.Errorf("a list of %d is neither served nor turned down: %v", len(all), err)
+		t.Errorf("an endpoint list of %d entries is neither used nor refused: %v", len(all), err)
 	}
 	if vars, err := p.metrics(); err != nil {
 		t.Error(err)
 	} else {
-		t.Logf("of %d executors %d are known", len(all), vars["executors_known"])
+		t.Logf("of %d executors, the node knows %d", len(all), vars["executors_known"])
 	}
 }
 
-// TestDrainWithExcludedExecutor checks that an executor that an operator has excluded does not disturb the measurement of a drain.
+// TestDrainWithExcludedExecutor checks that an executor that an operator has excluded does not disturb the measurement
+// of a drain.
 func TestDrainWithExcludedExecutor(t *testing.T) {
-	w := setUpMeasurement(t, Point{Series: "drain", Executors: 4, FleetSize: 9, RealNodes: 1, StubNodes: 2, Gossip: true, Sockets: 512, MemoryMB: 192})
-	if _, err := admin.Call(w.nodes[0].adminAddress, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
+	m := setUpMeasurement(t, Point{Series: "drain", Executors: 4, ClusterSize: 9, RealNodes: 1, StubNodes: 2, Gossip: true, Sockets: 512, MemoryMB: 192})
+	if _, err := admin.Call(m.nodes[0].adminAddress, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.measureDrain(5); err != nil {
+	if err := m.measureDrain(5); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := w.row.Figures["drain_s"]; !ok {
-		t.Error("the drain was not seen to be in force")
+	if _, ok := m.row.Figures["drain_s"]; !ok {
+		t.Error("no figure for the time until the drain took effect")
 	}
-	if vars, err := w.nodes[0].metrics(); err != nil || vars["executors_excluded"] != 2 {
-		t.Errorf("%d executors get nothing new, want the one that drains and the one taken out; %v", vars["executors_excluded"], err)
+	if vars, err := m.nodes[0].metrics(); err != nil || vars["executors_excluded"] != 2 {
+		t.Errorf("%d executors excluded, want the draining one and the one excluded by the operator; error %v", vars["executors_excluded"], err)
 	}
 }
 
-// TestFits checks that a line is found with its spread, and that a figure without a slope is flat.
+// TestFits checks that the fitted line has the expected slope and intercept, and that a figure without a slope is
+// reported as flat with a standard error.
 func TestFits(t *testing.T) {
 	var rows []Row
 	for i, noise := range []float64{0.5, -0.5, 0.5, -0.5, 0.5, -0.5} {
--- a/internal/scaletest/setup.go
+++ b/internal/scaletest/setup.go
@@ -14,27 +14,27 @@
 	"birchstair/policy"
 )
 
-// setUp starts everything that the point needs.
+// setUp starts the executors, discovery and nodes of the point.
 func (m *measurement) setUp() error {
 	m.dir = filepath.Join(m.options.Dir, fmt.Sprintf("%s-%g-%d", m.point.Series, m.point.X, m.point.Round))
 	if err := os.MkdirAll(m.dir, 0o700); err != nil {
 		return err
 	}
-	slot, held, err := harness.ReserveAddresses()
+	slot, reservation, err := harness.ReserveAddresses()
 	if err != nil {
 		return err
 	}
-	m.cleanups = append(m.cleanups, func() { held.Close() })
+	m.cleanups = append(m.cleanups, func() { reservation.Close() })
 	if err := m.startExecutors(slot); err != nil {
 		return err
 	}
-	lists, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	m.cleanups = append(m.cleanups, func() { lists.Close() })
-	m.discoveryAddress, m.discovery = lists.Addr().String(), &platform.Discovery{Entries: m.entries, Zones: zones, Epoch: m.epoch}
-	go m.discovery.Serve(countedListener{lists, &m.discoveryTraffic})
+	m.cleanups = append(m.cleanups, func() { listener.Close() })
+	m.discoveryAddress, m.discovery = listener.Addr().String(), &platform.Discovery{Entries: m.entries, Zones: zones, Epoch: m.epoch}
+	go m.discovery.Serve(countedListener{listener, &m.discoveryTraffic})
 	if err := m.startNodes(slot); err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// startExecutors starts the hollow executors.
+// startExecutors starts the processes with the stub executors, and adds the executors to the endpoint list.
 func (m *measurement) startExecutors(slot byte) error {
 	work := m.options.TaskDuration
 	if m.point.hasLongTasks() {
@@ -55,47 +55,48 @@
 		for i := first; i < min(first+executorsPerProcess, m.point.Executors); i++ {
 			job.Executors = append(job.Executors, stubExecutor{executorID(i), slots(i)})
 		}
-		h, err := startStub(m.options.StubCommand, job)
+		stubs, err := startStub(m.options.StubCommand, job)
 		if err != nil {
 			return err
 		}
-		m.executorStubs = append(m.executorStubs, h)
-		m.stopAtEnd(h)
+		m.executorStubs = append(m.executorStubs, stubs)
+		m.stopAtEnd(stubs)
 		for i, x := range job.Executors {
-			m.entries = append(m.entries, emulator.Entry{Addr: h.Addrs[i], Endpoint: policy.Endpoint{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
+			m.entries = append(m.entries, emulator.Entry{Addr: stubs.Addrs[i], Endpoint: policy.Endpoint{Executor: x.ID, Zone: policy.ZoneID((first + i) % len(zones)),
 				Cell: policy.CellID((first + i) / 40), State: policy.Available, Weight: float64(x.Slots), StartedLongAgo: true}})
 		}
 	}
 	return nil
 }
 
-// Ports at the address of a real node; hollow nodes have the last one.
+// Ports of a real node. A stub node has only the gossip port.
 const (
 	clientPort = 8081
 	adminPort  = 8082
 	gossipPort = 7947
 )
 
-// How many nodes of each sort the others join at.
+// Numbers of nodes that serve as gossip seeds.
 const (
 	realSeeds = 3
 	stubSeeds = 5
 )
 
-// startNodes starts the real nodes and the hollow ones, and records what the start takes.
+// startNodes starts the real nodes and the stub nodes, and records the time and CPU time that the real nodes take to
+// become ready.
 func (m *measurement) startNodes(slot byte) error {
 	var hosts []string
 	for i := range m.point.RealNodes {
 		hosts = append(hosts, fmt.Sprintf("127.%d.0.%d", slot, i+1))
 	}
-	job := stubJob{Fleet: stubFleet{Real: hosts, PriorityLevels: m.point.PriorityLevels}}
+	job := stubJob{Cluster: stubCluster{Real: hosts, PriorityLevels: m.point.PriorityLevels}}
 	for i := range m.point.StubNodes {
 		job.Nodes = append(job.Nodes, stubNode{fmt.Sprint("h", i), m.point.RealNodes + i, fmt.Sprintf("127.%d.%d.%d:%d", slot, 10+i/200, 1+i%200, gossipPort)})
 	}
-	job.Fleet.Seeds = gossipSeeds(hosts, job.Nodes)
+	job.Cluster.Seeds = gossipSeeds(hosts, job.Nodes)
 	began := time.Now()
 	for i, host := range hosts {
-		if err := m.startRealNode(i, host, job.Fleet.Seeds); err != nil {
+		if err := m.startRealNode(i, host, job.Cluster.Seeds); err != nil {
 			return err
 		}
 	}
@@ -105,12 +106,13 @@
 	return m.awaitReady(began)
 }
 
-// gossipSeeds returns the addresses at which nodes join the fleet: those of some real nodes and of some hollow ones.
-func gossipSeeds(hosts []string, hollow []stubNode) (seeds []string) {
+// gossipSeeds returns the addresses through which nodes join the cluster: those of some real nodes and of some stub
+// nodes.
+func gossipSeeds(hosts []string, stubs []stubNode) (seeds []string) {
 	for _, host := range hosts[:min(realSeeds, len(hosts))] {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", host, gossipPort))
 	}
-	for _, n := range hollow[:min(stubSeeds, len(hollow))] {
+	for _, n := range stubs[:min(stubSeeds, len(stubs))] {
 		seeds = append(seeds, n.Listen)
 	}
 	return seeds
@@ -142,25 +144,26 @@
 	if len(job.Nodes) == 0 {
 		return nil
 	}
-	h, err := startStub(m.options.StubCommand, job)
+	stub, err := startStub(m.options.StubCommand, job)
 	if err != nil {
 		return err
 	}
-	m.nodeStubs = h
-	m.stopAtEnd(h)
+	m.nodeStubs = stub
+	m.stopAtEnd(stub)
 	return nil
 }
 
-// stopAtEnd lets a hollow process be stopped when the measurement ends.
+// stopAtEnd registers a stub process to be stopped when the measurement ends.
 func (m *measurement) stopAtEnd(h *stubProcess) {
 	m.cleanups = append(m.cleanups, func() {
 		if err := h.stop(); err != nil {
-			m.fail("a hollow process: %v", err)
+			m.fail("stop stub process: %v", err)
 		}
 	})
 }
 
-// awaitReady waits until all real nodes are ready and know all executors, and records what their start took.
+// awaitReady waits until all real nodes are ready and know all executors. It records the time since began, the CPU time
+// used, and the bytes of the endpoint list, each per node.
 func (m *measurement) awaitReady(began time.Time) error {
 	for _, p := range m.nodes {
 		if err := waitFor(readyTimeout, func() bool { return p.isReady() && p.hasMetric("executors_known", m.point.Executors) }); err != nil {
@@ -168,13 +171,13 @@
 		}
 	}
 	m.row.Figures["ready_s"] = time.Since(began).Seconds()
-	m.row.Figures["list_whole_kb"] = float64(m.discoveryTraffic.out.Load()) / 1e3 / float64(len(m.nodes))
+	m.row.Figures["list_whole_kb"] = float64(m.discoveryTraffic.bytesWritten.Load()) / 1e3 / float64(len(m.nodes))
 	total, err := m.cpu()
 	m.row.Figures["ready_cpu_ms"] = total.Seconds() * 1e3 / float64(len(m.nodes))
 	return err
 }
 
-// binary returns the build that the point measures.
+// binary returns the path of the build that the point measures.
 func (m *measurement) binary() string {
 	if m.point.Baseline {
 		return m.options.BaselineBinary
@@ -182,7 +185,7 @@
 	return m.options.Binary
 }
 
-// awaitMembership waits until all nodes know each other, and records how long it takes.
+// awaitMembership waits until every node counts all nodes as alive, and records how long that takes.
 func (m *measurement) awaitMembership() error {
 	all, least := m.point.RealNodes+m.point.StubNodes, 0
 	began := time.Now()
@@ -196,17 +199,17 @@
 			return true
 		}
 		c, err := m.nodeStubs.counts("")
-		least = c.Fleet.LeastAlive
+		least = c.Gossip.LeastAlive
 		return err == nil && least == all
 	})
 	if err != nil {
-		return fmt.Errorf("%d nodes do not know each other, one hollow one knows %d: %w", all, least, err)
+		return fmt.Errorf("%d nodes have not all discovered each other, one stub node knows %d: %w", all, least, err)
 	}
 	m.row.Figures["meet_s"] = time.Since(began).Seconds()
 	return nil
 }
 
-// waitFor waits until a condition holds, and fails after a limit.
+// waitFor waits until a condition holds. It returns an error if that takes longer than the limit.
 func waitFor(limit time.Duration, holds func() bool) error {
 	for end := time.Now().Add(limit); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/scaletest/stub_messages.go
+++ b/internal/scaletest/stub_messages.go
@@ -6,32 +6,33 @@
 	"birchstair/policy"
 )
 
-// A hollow process has many executors, or many hollow nodes. It reads a hollowJob as a line of JSON, answers with a hollowReady, and then
-// answers each further line, the id of an executor, with Counts, until its input ends.
+// A stub process runs many stub executors or many stub nodes. It reads a stubJob as a line of JSON and answers with a
+// stubReady. Each further line of input is the id of an executor, which may be empty, and is answered with Counts. The
+// process ends with its input.
 
-// stubJob says what a hollow process has.
+// stubJob describes the executors or nodes that a stub process runs.
 type stubJob struct {
-	Host         string         `json:"Host"` // address that its executors listen on
+	Host         string         `json:"Host"` // address that the executors listen on
 	Executors    []stubExecutor `json:"Executors"`
-	TaskDuration time.Duration  `json:"Work"` // of each task
+	TaskDuration time.Duration  `json:"Work"` // duration of each task at the executors
 	Nodes        []stubNode     `json:"Nodes"`
-	Fleet        stubFleet      `json:"Fleet"`
-	Policy       *policyJob     `json:"Module"` // if set: measure the policy alone, answer with moduleFigures, and end
+	Cluster      stubCluster    `json:"Fleet"`
+	Policy       *policyJob     `json:"Module"` // if set, the process measures the policy alone, answers with policyFigures, and ends
 }
 
-// stubExecutor is an executor of a hollow process.
+// stubExecutor describes an executor of a stub process.
 type stubExecutor struct {
 	ID    policy.ExecutorID `json:"ID"`
 	Slots int               `json:"Places"`
 }
 
-// stubReady is the first answer of a hollow process.
+// stubReady is the first answer of a stub process.
 type stubReady struct {
-	Addrs []string `json:"Addrs"` // of the executors, in order
-	Error string   `json:"Wrong"`
+	Addrs []string `json:"Addrs"` // addresses of the executors, in the order of the job
+	Error string   `json:"Wrong"` // why the process could not start; empty if it did
 }
 
-// Counts are what a hollow process has counted since its start.
+// Counts are what a stub process has counted since its start.
 type Counts struct {
 	TasksStarted      int64 `json:"Ran"`    // tasks started
 	ConnsAccepted     int64 `json:"Opened"` // connections accepted
@@ -39,5 +40,5 @@
 	BytesWritten      int64 `json:"Out"`    // bytes written
 	OverfullExecutors int   `json:"Over"`   // executors that have run more tasks at a time than they have slots
 
-	Fleet gossipCounts `json:"Fleet"`
+	Gossip gossipCounts `json:"Fleet"`
 }
--- a/internal/scaletest/stub_process.go
+++ b/internal/scaletest/stub_process.go
@@ -17,7 +17,8 @@
 	"birchstair/policy"
 )
 
-// RunStub is the main function of a hollow process. It serves until in ends.
+// RunStub is the main function of a stub process. It reads a job and then requests for counts from in, answers on out,
+// and returns when in ends.
 func RunStub(in io.Reader, out io.Writer) error {
 	lines, answers := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	var job stubJob
@@ -28,7 +29,7 @@
 		return answers.Encode(job.Policy.play())
 	}
 	var t traffic
-	var ran atomic.Int64
+	var tasksStarted atomic.Int64
 	var ready stubReady
 	executors := make([]*platform.Executor, len(job.Executors))
 	for i, x := range job.Executors {
@@ -40,7 +41,7 @@
 		defer l.Close()
 		ready.Addrs = append(ready.Addrs, l.Addr().String())
 		executors[i] = &platform.Executor{ID: x.ID, Slots: x.Slots, SendsLoad: true, RunTime: func() time.Duration { return job.TaskDuration },
-			OnEffect: func(policy.JobID) { ran.Add(1) }}
+			OnEffect: func(policy.JobID) { tasksStarted.Add(1) }}
 		go executors[i].Serve(countedListener{l, &t})
 	}
 	members, err := startMembers(job)
@@ -52,11 +53,11 @@
 		return errors.Join(err, errors.New(ready.Error))
 	}
 	for {
-		var about policy.ExecutorID // the executor whose drain is of interest
+		var about policy.ExecutorID // the executor whose drain is asked about; empty for none
 		if err := lines.Decode(&about); err != nil {
 			return nil // the measurement has ended
 		}
-		c := Counts{TasksStarted: ran.Load(), ConnsAccepted: t.opened.Load(), BytesRead: t.in.Load(), BytesWritten: t.out.Load(), Fleet: members.counts(about)}
+		c := Counts{TasksStarted: tasksStarted.Load(), ConnsAccepted: t.connsAccepted.Load(), BytesRead: t.bytesRead.Load(), BytesWritten: t.bytesWritten.Load(), Gossip: members.counts(about)}
 		for _, x := range executors {
 			if x.MaxRunning() > x.Slots {
 				c.OverfullExecutors++
@@ -68,7 +69,7 @@
 	}
 }
 
-// stubProcess is a hollow process, from the side of the measurement.
+// stubProcess is a stub process as seen by the measuring process that started it.
 type stubProcess struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
@@ -76,7 +77,7 @@
 	Addrs []string
 }
 
-// startStub starts a process for a job that has executors or nodes, and waits until it is ready.
+// startStub starts a stub process for a job with executors or nodes, and waits until it is ready.
 func startStub(command []string, job stubJob) (*stubProcess, error) {
 	h := &stubProcess{}
 	var ready stubReady
@@ -90,44 +91,45 @@
 	return h, nil
 }
 
-// start starts the process, sends its job and reads the first answer.
-func (h *stubProcess) start(command []string, job stubJob, answer any) error {
-	h.cmd = exec.Command(command[0], command[1:]...)
-	h.cmd.Stderr = os.Stderr
-	h.cmd.Env = append(os.Environ(), StubEnv+"=1")
-	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive this process
-	out, err := h.cmd.StdoutPipe()
+// start starts the process, sends it the job and reads the first answer.
+func (p *stubProcess) start(command []string, job stubJob, answer any) error {
+	p.cmd = exec.Command(command[0], command[1:]...)
+	p.cmd.Stderr = os.Stderr
+	p.cmd.Env = append(os.Environ(), StubEnv+"=1")
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the kernel kills the stub when this process dies
+	out, err := p.cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	if h.in, err = h.cmd.StdinPipe(); err != nil {
+	if p.in, err = p.cmd.StdinPipe(); err != nil {
 		return err
 	}
-	if err := h.cmd.Start(); err != nil {
+	if err := p.cmd.Start(); err != nil {
 		return err
 	}
-	h.out = json.NewDecoder(bufio.NewReader(out))
-	if err := errors.Join(json.NewEncoder(h.in).Encode(job), h.out.Decode(answer)); err != nil {
-		return fmt.Errorf("a hollow process does not begin: %w", errors.Join(err, h.stop()))
+	p.out = json.NewDecoder(bufio.NewReader(out))
+	if err := errors.Join(json.NewEncoder(p.in).Encode(job), p.out.Decode(answer)); err != nil {
+		return fmt.Errorf("start stub process: %w", errors.Join(err, p.stop()))
 	}
 	return nil
 }
 
-// counts reads the counts, and how many hollow nodes know that an executor drains; an empty id for none.
-func (h *stubProcess) counts(about policy.ExecutorID) (c Counts, err error) {
-	if err := json.NewEncoder(h.in).Encode(about); err != nil {
+// counts reads the counts of the process, including the number of stub nodes that know that the given executor drains.
+// The id may be empty.
+func (p *stubProcess) counts(about policy.ExecutorID) (c Counts, err error) {
+	if err := json.NewEncoder(p.in).Encode(about); err != nil {
 		return c, err
 	}
-	return c, h.out.Decode(&c)
+	return c, p.out.Decode(&c)
 }
 
-// stop ends the process by closing its input, or kills it after a while. Its exit status is not an error: all that counts of it
-// was read before.
-func (h *stubProcess) stop() error {
-	closed := h.in.Close()
-	timeout := time.AfterFunc(5*time.Second, func() { h.cmd.Process.Kill() })
+// stop ends the process by closing its input, or kills it after 5 s. Its exit status is ignored, since all results have
+// been read before.
+func (p *stubProcess) stop() error {
+	closed := p.in.Close()
+	timeout := time.AfterFunc(5*time.Second, func() { p.cmd.Process.Kill() })
 	defer timeout.Stop()
-	ended := h.cmd.Wait()
+	ended := p.cmd.Wait()
 	if errors.As(ended, new(*exec.ExitError)) {
 		ended = nil
 	}
--- a/internal/scaletest/sweep.go
+++ b/internal/scaletest/sweep.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// StubEnv is the environment variable that is set for hollow processes. A program that starts them must call Hollow if it is set.
+// StubEnv is the environment variable that is set for stub processes. A program that measures points starts itself as
+// stub processes; its main function must call RunStub if the variable is set.
 const StubEnv = "BIRCHLAB_HOLLOW"
 
-// Options are the conditions that all points share.
+// Options are the conditions that are the same for all points.
 type Options struct {
-	Binary          string        // the program birchstair
-	BaselineBinary  string        // another build of it, for points of the other build
-	StubCommand     []string      // command that starts a hollow process
-	Dir             string        // directory for logs and configurations
-	Window          time.Duration // of each stretch that counts
-	Settle          time.Duration // before each such stretch
-	TaskDuration    time.Duration // of a task, unless the point has long tasks
-	BurstDuration   time.Duration // time for burstChanges changes; 0 for 1 s
-	MaxPolicyStarts int           // starts that count with the policy alone; 0 for 4,000
+	Binary          string        // path of the birchstair executable
+	BaselineBinary  string        // path of another build, for points with Baseline
+	StubCommand     []string      // command that starts a stub process
+	Dir             string        // directory for the nodes' logs and configurations
+	Window          time.Duration // length of each phase that is measured
+	Settle          time.Duration // time without measuring before each such phase
+	TaskDuration    time.Duration // duration of a task, unless the point has long tasks
+	BurstDuration   time.Duration // time over which burstUpdates updates are spread; 0 for 1 s
+	MaxPolicyStarts int           // largest number of starts measured with the policy alone; 0 for 4,000
 }
 
 // Row is the result of a point.
@@ -29,24 +30,24 @@
 	Point
 	Figures    map[string]float64 `json:"Figures,omitempty"`
 	Violations []string           `json:"Wrong,omitempty"`
-	NotRun     string             `json:"NotRun,omitempty"` // why the point could not be run
+	NotRun     string             `json:"NotRun,omitempty"` // why the point could not be run; empty if it was
 }
 
 // EstimatedTime estimates how long a run takes.
-func (s Sweep) EstimatedTime() (long time.Duration) {
+func (s Sweep) EstimatedTime() (total time.Duration) {
 	for _, pt := range s.points(0) {
-		long += 3 * time.Second
+		total += 3 * time.Second
 		if !pt.PolicyOnly {
-			long += 2*s.Window + 8*time.Second
+			total += 2*s.Window + 8*time.Second
 			if pt.hasLongTasks() {
-				long += 20 * time.Second
+				total += 20 * time.Second
 			}
 		}
 	}
-	return time.Duration(s.Rounds) * long
+	return time.Duration(s.Rounds) * total
 }
 
-// Run measures all points, round after round, and calls each with every row.
+// Run measures all points in each round, and calls each with every row.
 func (s Sweep) Run(o Options, each func(Row)) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// String returns the row as people read it: a line, and one for each violation.
+// String formats the row for people: a line with the figures, and a line for each violation.
 func (r Row) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %g, round %d:", r.Series, r.X, r.Round+1)
@@ -76,24 +77,25 @@
 	return b.String()
 }
 
-// Sweep describes a run: the values of each dimension, which is varied alone from a base.
+// Sweep describes a run. Each dimension is varied alone, over the given values, while the others keep their base
+// values.
 type Sweep struct {
-	Executors      []int // each for every fleet size
-	FleetSizes     []int // fleet sizes that the real node counts itself among
-	Nodes          []int // nodes that gossip, real and hollow
-	MaxRealNodes   int   // real nodes among them at most
-	PriorityLevels []int // priority levels in a gossip message
-	Rates          []int // starts per second
-	Concurrency    []int // tasks that run at a time
-	Queueing       []int // executors, at loads where batch jobs are queued
-	Tenants        []int // with the policy alone
-	Rounds         int   // how often each point is measured
+	Executors      []int // numbers of executors, each measured with every cluster size
+	ClusterSizes   []int // numbers of nodes that the real node is configured with
+	Nodes          []int // numbers of nodes that gossip, real nodes and stub nodes together
+	MaxRealNodes   int   // largest number of real nodes among Nodes
+	PriorityLevels []int // numbers of priority levels in a gossip message
+	Rates          []int // task starts per second
+	Concurrency    []int // numbers of tasks that run at a time
+	Queueing       []int // numbers of executors, measured at loads where batch jobs are queued
+	Tenants        []int // numbers of tenants, measured with the policy alone
+	Rounds         int   // number of times that each point is measured
 
-	BaseExecutors int           // where executors are not varied
-	BaseNodes     int           // where priority levels are varied
-	BaseRate      int           // where the rate is not varied
-	TaskDuration  time.Duration // of a task
-	Window        time.Duration // of the stretch without load, and of that under load
+	BaseExecutors int           // number of executors where they are not varied
+	BaseNodes     int           // number of nodes where priority levels are varied
+	BaseRate      int           // task starts per second where the rate is not varied
+	TaskDuration  time.Duration // duration of a task, except at points with long tasks
+	Window        time.Duration // length of the measured phase without load, and of that under load
 	Sockets       int           // connection limit of a real node
-	Baseline      bool          // measures each point with another build as well
+	Baseline      bool          // whether each point is also measured with another build
 }
--- a/internal/scaletest/traffic.go
+++ b/internal/scaletest/traffic.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// traffic counts the connections of a listener and their bytes.
-type traffic struct{ opened, in, out atomic.Int64 }
+// traffic counts the connections that listeners have accepted, and the bytes read from and written to them.
+type traffic struct{ connsAccepted, bytesRead, bytesWritten atomic.Int64 }
 
 // countedListener counts the traffic of its connections.
 type countedListener struct {
@@ -26,20 +26,20 @@
 	if err != nil {
 		return nil, err
 	}
-	l.t.opened.Add(1)
+	l.t.connsAccepted.Add(1)
 	return countedConn{c, l.t}, nil
 }
 
 // Read implements net.Conn.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.t.in.Add(int64(n))
+	c.t.bytesRead.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.t.out.Add(int64(n))
+	c.t.bytesWritten.Add(int64(n))
 	return n, err
 }
--- a/internal/scaletest/wire_test.go
+++ b/internal/scaletest/wire_test.go
@@ -11,7 +11,7 @@
 	"birchstair/internal/golden"
 )
 
-// setAllFields sets every field of a struct to a value that its JSON form shows, and fields of structs within it likewise.
+// setAllFields sets every field of a struct, and of structs within it, to a value that is not the zero value.
 func setAllFields(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestWireForms pins the JSON of results, and of the messages between the processes of a run, with each field set and with none.
+// TestWireForms pins the JSON form of results and of the messages between the processes of a run, with every field set
+// and with none.
 func TestWireForms(t *testing.T) {
 	text := ""
 	for _, message := range []any{&Row{}, &Fit{}, &stubJob{}, &stubReady{}, &Counts{}, &policyFigures{}} {
@@ -58,7 +59,7 @@
 			text += string(line) + "\n"
 			back := reflect.New(reflect.TypeOf(message).Elem()).Interface()
 			if err := json.Unmarshal(line, back); err != nil || !reflect.DeepEqual(back, message) {
-				t.Errorf("%s came back as %+v, %v", line, back, err)
+				t.Errorf("%s was decoded as %+v, error %v", line, back, err)
 			}
 		}
 	}
@@ -68,7 +69,7 @@
 // TestNodeFiles pins the configuration and the operator's file that are written for a node.
 func TestNodeFiles(t *testing.T) {
 	p := &realNode{name: "n1", number: 1, dir: t.TempDir(), clientAddress: "127.9.0.1:8081", adminAddress: "127.9.0.1:8082", gossipAddress: "127.9.0.1:7947", valueScale: 2}
-	if err := p.writeConfig(Point{Seed: 7, FleetSize: 9, PriorityLevels: 3, MemoryMB: 192, Sockets: 512}, "127.0.0.1:9000"); err != nil {
+	if err := p.writeConfig(Point{Seed: 7, ClusterSize: 9, PriorityLevels: 3, MemoryMB: 192, Sockets: 512}, "127.0.0.1:9000"); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.writeSite([]string{"127.9.0.2:7947", "127.9.0.3:7947"}); err != nil {
