--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -65,7 +65,7 @@
 	drainGossipLimit = 3 * time.Second        // time for gossip to inform every node of a drain, without a partition
 	loadDelay        = 500 * time.Millisecond // time from when all nodes are ready until the load begins
 	readyTimeout     = 20 * time.Second
-	slowStartMargin  = 1.5             // multiple of the slow-start budget that is allowed, since attempts sent within the budget may arrive in a burst
+	slowStartMargin  = 1.5             // allowed multiple of the slow-start budget, since attempts sent within it may arrive in a burst
 	answerMargin     = 2 * time.Second // wait for outstanding answers after the last deadline
 	tickInterval     = 50 * time.Millisecond
 	stallAftermath   = 2 * time.Second // time after a stall in which what arrived during it is read
--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -266,7 +266,9 @@
 	r := x.cluster
 	x.apply(x.Start(r.now()))
 	delete(r.drainKnownAt, x.ID)
-	r.observe(invariants.Event{Kind: invariants.ExecutorStarted, Node: invariants.NoNode, Executor: x.ID, Start: x.Started}) // the published start time, or no node would count as notified
+	// The event has the start time that discovery publishes. With another one, no node would count as notified of the
+	// start.
+	r.observe(invariants.Event{Kind: invariants.ExecutorStarted, Node: invariants.NoNode, Executor: x.ID, Start: x.Started})
 	r.changeEndpoint(x.entry(policy.Available))
 }
 
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -50,6 +50,8 @@
 	idleConns            []net.Conn                             // clients' idle connections to the node
 }
 
+// newNodeProcess prepares a node without starting its process: its directory, its gossip relay and the listeners at
+// which it reaches discovery and executors.
 func (r *cluster) newNodeProcess(number int, slot byte) (*nodeProcess, error) {
 	p := &nodeProcess{cluster: r, id: invariants.NodeID(number), name: fmt.Sprint("n", number), zone: policy.ZoneID(number % len(r.scenario.Fleet.Zones)), executorListeners: map[policy.ExecutorID]net.Listener{},
 		address: net.IPv4(127, slot, 0, byte(number+1)), known: map[policy.ExecutorID]invariants.Event{}}
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -26,7 +26,7 @@
 
 	nodeMemoryMB     = 192   // memory limit in MB, the default of the configuration
 	queueingSockets  = 16384 // connection limit of a node at points with Queueing
-	queueingMemoryMB = 1024  // memory limit in MB at points with Queueing; a node accepts as many clients as fit into half of it, at 96 KB each
+	queueingMemoryMB = 1024  // memory limit at points with Queueing; half of it limits the number of clients, at 96 KB each
 )
 
 // measurement is the state of measuring one point.
