--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -186,7 +186,7 @@
 	e := n.endpoints.get(id)
 	limit := n.maxConns()
 	if e == nil || !e.available || n.conns.openCount() >= limit-limit/healthCheckReserve {
-		n.policy.ProbeEnded(n.now, id, false, policy.Load{})
+		n.policy.HealthCheckEnded(n.now, id, false, policy.Load{})
 		return
 	}
 	n.conns.healthChecksInFlight++
@@ -196,7 +196,7 @@
 // healthCheckEnded passes the result of a health check on to the policy.
 func (n *Node) healthCheckEnded(ev HealthCheckEnded) {
 	n.conns.healthChecksInFlight--
-	n.policy.ProbeEnded(n.now, ev.Executor, ev.Answered, ev.Load)
+	n.policy.HealthCheckEnded(n.now, ev.Executor, ev.Answered, ev.Load)
 }
 
 func (n *Node) closeConn(c *conn) {
@@ -344,8 +344,10 @@
 	return ev.Outcome
 }
 
-// handleConnBroken handles a connection that broke while it carried an attempt: it lowers the idle limit if the cause was
-// probably a dropped idle connection, and closes the executor's idle connections unless this node closed the connection itself.
+// handleConnBroken handles a connection that broke while it carried an attempt. It lowers the idle limit if the cause was
+// probably a dropped idle connection, and closes the executor's idle connections, unless this node canceled the attempt or
+// closed the connection before the last byte was written. After a timeout (TimedOut) the idle connections are closed,
+// although this node closed the connection: the executor may be unreachable.
 func (n *Node) handleConnBroken(c *conn, outcome policy.Outcome) {
 	if outcome == policy.ConnectionLost && c.wasIdle && !c.progressed {
 		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, c.writtenAt-c.idleSince)
--- a/internal/simulation/account_print.go
+++ b/internal/simulation/account_print.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Print prints the account: the value lost by cause as shares of the value offered, then the time of works that earned less.
+// Print prints the account: a table of the value lost to each cause, as fractions of the offered value, and a table of the times of the work
+// items that earned less than their full value.
 func (a *Account) Print(to io.Writer) {
 	fmt.Fprintf(to, "%s, seed %d, %d nodes, %d executors, %v, decided by: %s\n", a.Scenario, a.Seed, a.Nodes, a.Executors, time.Duration(a.Length), a.Policy)
 	fmt.Fprintf(to, "Earned %.4f of what was offered; in the worst 10 s %.4f, of the worst track %.4f\n", ratio(a.All.Earned, a.All.Offered), a.Worst, a.WorstClass)
@@ -34,33 +35,33 @@
 	}
 }
 
-// accountTable is a table with a row for each AccountRow, and a column for each cause that is not 0 in all rows.
+// accountTable is a table with one row for each AccountRow and one column for each cause that is not 0 in all rows.
 type accountTable struct {
-	head   string                              // of the columns before the causes, separated by tabs
-	cells  func(r AccountRow) string           // of those columns
-	value  func(r AccountRow, c Cause) float64 // of a cause's cell
-	format string                              // of that value
+	header string                              // header of the columns before the causes, separated by tabs
+	cells  func(r AccountRow) string           // cells of those columns, separated by tabs
+	value  func(r AccountRow, c Cause) float64 // value of the cell of a cause
+	format string                              // format of that value
 }
 
 var lostTable = accountTable{
-	head: "\tbatch jobs\tless\tnothing\tsent\toffered\tearned\tlost",
+	header: "\tbatch jobs\tless\tnothing\tsent\toffered\tearned\tlost",
 	cells: func(r AccountRow) string {
 		earned := ratio(r.Earned, r.Offered)
-		return fmt.Sprintf("%d\t%d\t%d\t%.3f\t%.0f\t%.4f\t%.4f", r.Works, r.Less, r.Never, r.Sent, r.Offered, earned, 1-earned)
+		return fmt.Sprintf("%d\t%d\t%d\t%.3f\t%.0f\t%.4f\t%.4f", r.Works, r.EarnedLess, r.EarnedNothing, r.Sent, r.Offered, earned, 1-earned)
 	},
 	value:  func(r AccountRow, c Cause) float64 { return r.lostByCause[c] / max(r.Offered, 1e-9) },
 	format: "%.4f\t",
 }
 
 var timeTable = accountTable{
-	head: "\tslice\tload",
+	header: "\tslice\tload",
 	cells: func(r AccountRow) string {
 		if r.SubsetSize == 0 {
 			return "\t"
 		}
 		return fmt.Sprintf("%.1f\t%.3f", r.SubsetSize, r.SubsetLoad)
 	},
-	value:  func(r AccountRow, c Cause) float64 { return r.timeByCause[c] * 1e3 / float64(max(r.Less, 1)) },
+	value:  func(r AccountRow, c Cause) float64 { return r.timeByCause[c] * 1e3 / float64(max(r.EarnedLess, 1)) },
 	format: "%.0f\t",
 }
 
@@ -72,7 +73,7 @@
 		}
 	}
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(table, "%s\t", t.head)
+	fmt.Fprintf(table, "%s\t", t.header)
 	for _, c := range shown {
 		fmt.Fprintf(table, "%s\t", c)
 	}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,29 +9,29 @@
 	"birchstair/internal/node"
 )
 
-// watchLossDelay is how soon nodes see that discovery is silent.
+// watchLossDelay is the time until nodes notice that discovery is unresponsive.
 const watchLossDelay = 100 * time.Millisecond
 
-// gossipFaults are the kinds that are not played in wired worlds, whose nodes have no gossip and run in the test's own process.
+// gossipFaults are the kinds of fault that networked simulations ignore, as their nodes have no gossip and all share one process.
 var gossipFaults = []emulator.Kind{emulator.GossipPartitioned, emulator.FalseGossip, emulator.NodePaused, emulator.GossipLost, emulator.DiscoveryUnreachable}
 
-// scheduleFault schedules a fault's begin and end.
-func (w *World) scheduleFault(fault emulator.Fault) {
-	w.at(fault.At, func() {
-		w.note("fault: %v", fault)
-		w.setFault(fault, true)
+// scheduleFault schedules the begin and the end of a fault.
+func (sim *Simulation) scheduleFault(fault emulator.Fault) {
+	sim.at(fault.At, func() {
+		sim.note("fault: %v", fault)
+		sim.setFault(fault, true)
 		if fault.For > 0 {
-			w.after(fault.For, func() {
-				w.note("over: %v", fault)
-				w.setFault(fault, false)
+			sim.after(fault.For, func() {
+				sim.note("over: %v", fault)
+				sim.setFault(fault, false)
 			})
 		}
 	})
 }
 
 // setFault begins or ends a fault.
-func (w *World) setFault(fault emulator.Fault, on bool) {
-	if w.wired != nil && slices.Contains(gossipFaults, fault.Kind) {
+func (sim *Simulation) setFault(fault emulator.Fault, on bool) {
+	if sim.networked != nil && slices.Contains(gossipFaults, fault.Kind) {
 		return
 	}
 	size := fault.Size
@@ -40,44 +40,44 @@
 	}
 	switch fault.Kind {
 	case emulator.ZonePartitioned, emulator.ZoneInboundLost, emulator.ZoneOutboundLost:
-		if on { // a partition knows when it ends
-			w.partitionZones(fault, fault.Kind != emulator.ZoneOutboundLost, fault.Kind != emulator.ZoneInboundLost)
+		if on { // a partition ends by itself
+			sim.partitionZones(fault, fault.Kind != emulator.ZoneOutboundLost, fault.Kind != emulator.ZoneInboundLost)
 		}
 	case emulator.ResetNew:
-		w.newConnResetRate = size
+		sim.newConnResetRate = size
 	case emulator.SilentNew:
-		w.newConnSilentRate = size
+		sim.newConnUnresponsiveRate = size
 	case emulator.SilentOld, emulator.ResetOld, emulator.ClientReset:
 		if on {
-			w.beginConnFault(fault)
+			sim.beginConnFault(fault)
 		}
 	case emulator.DiscoveryDelayed:
-		w.setDiscoveryDelay(secondsOf(size), on)
+		sim.setDiscoveryDelay(secondsOf(size), on)
 	case emulator.DiscoverySilent:
-		w.setDiscoverySilent(on)
+		sim.setDiscoveryUnresponsive(on)
 	case emulator.GossipLost:
-		w.gossipLoss = size
+		sim.gossipLoss = size
 	case emulator.Burst, emulator.HeavyTail:
-		w.setClientFault(fault, on)
+		sim.setClientFault(fault, on)
 	case emulator.ClockSkew:
-		w.clockOffset = secondsOf(size)
+		sim.clockOffset = secondsOf(size)
 	default:
-		w.setProcessFault(fault, on)
+		sim.setProcessFault(fault, on)
 	}
 }
 
 func secondsOf(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
 
-// setProcessFault begins or ends a fault on each executor, and each node, that it is on.
-func (w *World) setProcessFault(fault emulator.Fault, on bool) {
-	for _, x := range w.faultedExecutors(fault) {
+// setProcessFault begins or ends a fault on each affected executor and node.
+func (sim *Simulation) setProcessFault(fault emulator.Fault, on bool) {
+	for _, x := range sim.faultedExecutors(fault) {
 		if on {
 			x.beginFault(fault)
 		} else {
 			x.endFault(fault)
 		}
 	}
-	for _, n := range w.faultedNodes(fault) {
+	for _, n := range sim.faultedNodes(fault) {
 		if on {
 			n.beginFault(fault)
 		} else {
@@ -86,56 +86,56 @@
 	}
 }
 
-// faultedExecutors are the executors that a fault is on; none if its kind is not on executors.
-func (w *World) faultedExecutors(fault emulator.Fault) (all []*executor) {
+// faultedExecutors returns the executors that a fault affects; none if its kind does not affect executors.
+func (sim *Simulation) faultedExecutors(fault emulator.Fault) (all []*executor) {
 	if on, _ := fault.Kind.On(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
-	for _, x := range w.executors {
-		if fault.Touches(string(x.ID), w.scenario.Fleet.Zones[x.Zone]) {
+	for _, x := range sim.executors {
+		if fault.Touches(string(x.ID), sim.scenario.Fleet.Zones[x.Zone]) {
 			all = append(all, x)
 		}
 	}
 	return all
 }
 
-// faultedNodes are the nodes that a fault is on; none if its kind is not on nodes.
-func (w *World) faultedNodes(fault emulator.Fault) (all []*simNode) {
+// faultedNodes returns the nodes that a fault affects; none if its kind does not affect nodes.
+func (sim *Simulation) faultedNodes(fault emulator.Fault) (all []*simNode) {
 	if on, _ := fault.Kind.On(); on != emulator.OnNodes && fault.Kind != emulator.ZoneLost {
 		return nil
 	}
-	for _, n := range w.nodes {
-		if fault.Touches(n.name, w.scenario.Fleet.Zones[n.zone]) {
+	for _, n := range sim.nodes {
+		if fault.Touches(n.name, sim.scenario.Fleet.Zones[n.zone]) {
 			all = append(all, n)
 		}
 	}
 	return all
 }
 
-// setDiscoveryDelay delays all updates of the endpoint list, or ends the delay.
-func (w *World) setDiscoveryDelay(delay time.Duration, on bool) {
-	w.discovery.SetDelay(delay)
+// setDiscoveryDelay begins or ends a delay of all updates of the endpoint list.
+func (sim *Simulation) setDiscoveryDelay(delay time.Duration, on bool) {
+	sim.discovery.SetDelay(delay)
 	if on {
-		w.checker.UnreachableUntil(invariants.NoNode, w.now+time.Duration(w.scenario.Fleet.DiscoveryLag)+delay)
+		sim.checker.UnreachableUntil(invariants.NoNode, sim.now+time.Duration(sim.scenario.Fleet.DiscoveryLag)+delay)
 	} else {
-		w.notifyNodes(w.now)
+		sim.notifyNodes(sim.now)
 	}
 }
 
-// setDiscoverySilent stops discovery from answering, or lets it answer again.
-func (w *World) setDiscoverySilent(silent bool) {
-	w.discovery.SetSilent(silent)
-	w.checker.SetUnreachable(w.now, invariants.NoNode, silent)
-	at := w.now
-	if silent {
+// setDiscoveryUnresponsive makes discovery unresponsive, or lets it answer again.
+func (sim *Simulation) setDiscoveryUnresponsive(unresponsive bool) {
+	sim.discovery.SetSilent(unresponsive)
+	sim.checker.SetUnreachable(sim.now, invariants.NoNode, unresponsive)
+	at := sim.now
+	if unresponsive {
 		at += watchLossDelay
 	}
-	w.notifyNodes(at)
+	sim.notifyNodes(at)
 }
 
-// setClientFault begins or ends a fault of the clients' traffic.
-func (w *World) setClientFault(fault emulator.Fault, on bool) {
-	for _, c := range w.clients {
+// setClientFault begins or ends a fault that changes the clients' traffic.
+func (sim *Simulation) setClientFault(fault emulator.Fault, on bool) {
+	for _, c := range sim.clients {
 		switch {
 		case fault.Kind == emulator.Burst && on:
 			c.Burst = fault.Size
@@ -167,7 +167,7 @@
 	}
 }
 
-// endFault ends a fault on the node. A suspended one resumes by itself.
+// endFault ends a fault on the node. A suspended node resumes by itself.
 func (n *simNode) endFault(fault emulator.Fault) {
 	switch fault.Kind {
 	case emulator.ClientsDrained:
@@ -179,7 +179,7 @@
 	}
 }
 
-// setPeerFault begins or ends a fault of a node in a world with gossip.
+// setPeerFault begins or ends a fault of the node's gossip or of its connection to discovery.
 func (n *simNode) setPeerFault(kind emulator.Kind, on bool) {
 	switch kind {
 	case emulator.FalseGossip:
@@ -187,7 +187,7 @@
 	case emulator.GossipPartitioned:
 		n.partitioned = on
 	case emulator.DiscoveryUnreachable:
-		n.world.checker.SetUnreachable(n.world.now, n.id, on)
+		n.sim.checker.SetUnreachable(n.sim.now, n.id, on)
 		n.watchLost = on
 		if !on && n.up {
 			n.deliverEndpoints()
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -7,10 +7,10 @@
 
 const (
 	levelsPerOctave   = 2    // priority levels for each doubling of the value density
-	minWorkSeconds    = 1e-6 // least work of a job in the value density and the load summary, in seconds
-	minDensity        = 1e-9 // least value density in the logarithm for the priority level
-	minSecondsPerWork = 1e-9 // least divisor in the estimate of an executor's capacity, in seconds
-	lowSlackDivisor   = 2    // a job that arrives with less than its slack divided by this has low slack
+	minWorkSeconds    = 1e-6 // lower bound of a job's work, in seconds, in its value density and in the load summary
+	minDensity        = 1e-9 // lower bound of a value density from which a priority level is computed
+	minSecondsPerWork = 1e-9 // lower bound of the divisor in the estimate of an executor's capacity, in seconds
+	lowSlackDivisor   = 2    // a job has low slack if less than its full slack divided by this is left when it arrives
 )
 
 // PriorityLevels is the number of priority levels, which are ranges of the value density (value per second of work).
@@ -22,7 +22,7 @@
 	Admitted   float64                 // work of the jobs that arrived and were not shed, without jobs of low slack
 	Completed  float64                 // work of the jobs that were completed
 	Migrations float64                 // work of the attempts that would be migrated if migrations were not limited
-	Expired    float64                 // work of the jobs that got no token in time
+	Expired    float64                 // work of the jobs given up with attempts left, after a wait here or at an executor
 	Waiting    float64                 // work of the jobs that wait now, here or at an executor, each divided by its slack
 	Capacity   float64                 // work per second that all available executors of the endpoint list can do
 }
@@ -31,7 +31,7 @@
 // itself except for a random fraction. The zero value sheds nothing.
 type AdmissionThreshold struct {
 	Level          int     // priority level below which all jobs are shed; 0: no job is shed
-	AdmitFraction  float64 // fraction of the jobs of exactly that level that are admitted, 0 to 1
+	AdmitFraction  float64 // fraction of the jobs of priority level Level that are admitted, 0 to 1
 	MigrationDelay float64 // fraction of its slack that an unstarted attempt waits before it is migrated, 0 to 1
 }
 
@@ -167,8 +167,9 @@
 	return capacity
 }
 
-// recordExpired adds the work of a job that got no token in time. A job that arrived with too little time has not waited
-// and is left out: a threshold that is raised for such jobs would rise without end.
+// recordExpired adds the work of a job that is rejected or fails although it has attempts left, whether or not an attempt
+// was sent before. A job that arrived with low slack, or at most a quantum ago, has hardly waited and is left out: a
+// threshold that is raised for such jobs would rise without end.
 func (d *Dispatcher) recordExpired(j *job) {
 	waited := d.clock.now-j.arrivedAt > d.config.quantum
 	if !j.lowSlack && waited && j.attemptCount < j.class.maxAttempts {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -38,7 +38,7 @@
 	e := a.executor
 	if d.config.canCheckHealth && (outcome == ConnectFailed || outcome == ConnectionLost) {
 		d.markUnresponsive(e, max(1, e.health.timeouts))
-		d.requestProbe(e, now, 0)
+		d.requestHealthCheck(e, now, 0)
 	}
 	if isExecutorFault(a, outcome) {
 		d.eject(e, now, "after a failed attempt")
@@ -59,13 +59,13 @@
 	return e.health.suspect && !fullForOne
 }
 
-// delayTokenRelease releases the token of an attempt that the executor rejected as full only after fullTokenRest running
+// delayTokenRelease releases the token of an attempt that the executor rejected as full only after fullTokenDelay running
 // times, multiplied by the number of consecutive rejections. During an overload, the token would otherwise be taken for
 // one attempt after another that is rejected.
 func (d *Dispatcher) delayTokenRelease(e *executor, runTime, now time.Duration) {
 	d.returnLease(e, now, true)
 	inRow := e.health.recordRejection()
-	d.timers.releaseToken(now+scaled(runTime, fullTokenRest*float64(inRow)), e)
+	d.timers.releaseToken(now+scaled(runTime, fullTokenDelay*float64(inRow)), e)
 }
 
 // recordAbandoned records an attempt that timed out or was canceled. The executor may still be running it, so its token is
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	zoneFullLoad          = 1.3  // jobs per core at which a zone is full, with load-adjusted weights in the endpoint list
-	zoneFullDelayedStarts = 0.3  // fraction of attempts with a delayed start at which a zone is full, with start notices
-	zoneFullWait          = 2.0  // start wait at which a zone is full, without start notices, in shortest objectives
+	zoneFullLoad          = 1.3  // number of jobs per core at which a zone is full, if weights are load-adjusted
+	zoneFullDelayedStarts = 0.3  // fraction of delayed starts at which a zone is full, if there are start notices
+	zoneFullWait          = 2.0  // start wait, in shortest objectives, at which a zone is full, if there are no start notices
 	zoneLoadStep          = 0.1  // weight of a new observation in the running average of a zone's load
 	minZoneSize           = 1e-9 // least total size of a zone's executors, to avoid a division by zero
 	unusableToken         = -1   // tokenAge of an executor whose tokens the job may not use now
@@ -48,7 +48,7 @@
 	waitedUntil := min(now, j.objectiveAt-j.work)
 	e.queuing.recordQueued(max(0, waitedUntil-j.queuedAt))
 	if len(e.attempts) == 0 {
-		e.health.awaitSign(now)
+		e.health.awaitResponse(now)
 	}
 	a := &attempt{job: j, number: AttemptID(j.attemptCount), executor: e, zone: e.zone, cell: e.cell, sentAt: now}
 	d.takeToken(e, a)
@@ -149,7 +149,8 @@
 }
 
 // isUsable reports whether e may get new attempts of this node, regardless of tokens: e is available in the endpoint list
-// (rule 3), is neither unresponsive nor ejected, and, if it is in slow start, this node is one of its senders.
+// (rule 3), is neither unresponsive nor ejected, and, if it is in slow start, this node is one of its senders and the
+// slow-start budget is not blocked for this process (blockedUntil), because another process of this node uses it.
 func (d *Dispatcher) isUsable(e *executor, now time.Duration) bool {
 	if !e.available || e.health.unresponsive || e.health.ejectedUntil > now {
 		return false
@@ -186,8 +187,9 @@
 
 // prefersOtherZones reports whether j prefers other zones from the start. While this zone is overloaded, that is so for the
 // fraction of jobs that would make the loads equal, reduced for the cost of crossing zones. Each job has its own random
-// number, so that not all jobs cross at the same time. Without this preference, a zone with far more traffic than executors
-// would keep all its jobs, because some token there is always free.
+// number, so that the nodes, which see about the same loads and decide alone, don't all send their jobs to other zones at
+// once. Without this preference, a zone with far more traffic than executors would keep all its jobs, because some token
+// there is always free.
 func (d *Dispatcher) prefersOtherZones(j *job) bool {
 	return d.config.crossZoneCost > 0 && d.zoneLoad.local > 1 &&
 		j.crossZoneDraw < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
@@ -243,7 +245,7 @@
 		d.index.visited++
 		return d.remoteSide(e) == 0 && d.isUsable(e, now) && d.isEligible(e, j, now)
 	}
-	if d.boundToDedupGroup(j) || d.subset.rezoned {
+	if d.boundToDedupGroup(j) || d.subset.memberMoved {
 		return slices.ContainsFunc(d.eligibleExecutors(j), isLocalUsable)
 	}
 	for _, kind := range d.index.kinds {
--- a/policy/value.go
+++ b/policy/value.go
@@ -14,14 +14,14 @@
 	minMeanValue          = 1e-9 // least mean value of a class's jobs, to avoid a division by zero
 	minTotalQuota         = 1e-9 // least sum of all tenants' quotas, to avoid a division by zero
 
-	rateMemoryIntervals = 5 // intervals that a tenant's rate averages over, which follows from tenantRateDecay
+	rateMemoryIntervals = 5 // number of intervals over which a tenant's rate is averaged: 1 / (1 - tenantRateDecay)
 	valueMeanSlowdown   = 4 // factor by which the mean values change more slowly than other running averages
 )
 
 // valueAverages holds the averages that a job's value is compared with.
 type valueAverages struct {
 	mean                  float64   // mean value of a job
-	meanDensity           float64   // mean value density of a job
+	meanDensity           float64   // mean of the jobs' marginal value per second of work
 	worstClass            *jobClass // class that earned the lowest fraction of its requested value; nil: none
 	worstClassValuePerJob float64   // value of worstClass's jobs, averaged over the jobs of all classes
 }
@@ -108,7 +108,7 @@
 func (d *Dispatcher) updateWorstClass() {
 	var worst *jobClass
 	leastFraction := math.Inf(1)
-	jobs := 0.0 // requested jobs of all classes
+	jobs := 0.0 // number of requested jobs of all classes
 	for _, class := range d.classes.current {
 		class.requestedValue *= valueDecay
 		class.earnedValue *= valueDecay
