--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// Kind is a kind of fault, by its name in scenarios.
-type Kind string
+// FaultKind is a kind of fault, by its name in scenarios.
+type FaultKind string
 
-// The kinds of faults: what a fault does, and what its size means.
+// The kinds of faults, with their targets and the meaning of Size.
 const (
-	SlowExecutors        Kind = "slow"         // executors run Size times slower
-	Stalls               Kind = "stalls"       // they stop for Size seconds, every 2 s
-	NoisyNeighbor        Kind = "neighbour"    // another program takes the share Size of them, on and off
-	Errors               Kind = "errors"       // the share Size of their batch jobs ends in a quick error
-	Unresponsive         Kind = "mute"         // they accept everything and answer nothing
-	Crash                Kind = "crash"        // they end, and restart in slow start after it
-	HostLost             Kind = "vanish"       // they and their machines disappear without a reset, and restart in slow start after it
-	Replace              Kind = "replace"      // they end, and others start in their places under new ids
-	AddressChanged       Kind = "moved"        // they end, and restart at another address
-	Drain                Kind = "drain"        // they drain, end, and restart in slow start after it
-	Excluded             Kind = "taken-out"    // operators exclude them at each node, restart them, and readmit them after it
-	ZoneLost             Kind = "zone-lost"    // a zone with its executors and nodes is down, and restarts after it
-	ZonePartitioned      Kind = "zone-cut"     // a partition between a zone and the others
-	ZoneInboundLost      Kind = "zone-deaf"    // packets into a zone are lost
-	ZoneOutboundLost     Kind = "zone-mute"    // packets out of a zone are lost
-	ResetNew             Kind = "reset-new"    // the share Size of new connections is reset at the first use
-	ResetOld             Kind = "reset-old"    // the share Size of open connections is reset, every second
-	SilentNew            Kind = "silent-new"   // the share Size of new connections returns nothing
-	SilentOld            Kind = "silent-old"   // at its start, the share Size of open connections stops returning anything
-	ClientReset          Kind = "client-reset" // the share Size of clients' connections is reset, every second; nodes learn of it late
-	DiscoveryDelayed     Kind = "list-late"    // discovery publishes Size seconds later than usual
-	DiscoverySilent      Kind = "list-lost"    // discovery publishes nothing
-	NodeKilled           Kind = "node-killed"  // nodes are killed, and restart after it
-	ClientsDrained       Kind = "sent-away"    // operators drain nodes' clients
-	NodeRestart          Kind = "node-restart" // nodes shut down gracefully, and restart after it
-	NodePaused           Kind = "node-stopped" // nodes' processes are paused, and then read what arrived meanwhile
-	FalseGossip          Kind = "node-lies"    // nodes send false gossip
-	GossipPartitioned    Kind = "nodes-apart"  // no gossip passes between these nodes and the others
-	GossipLost           Kind = "words-lost"   // the share Size of gossip messages is lost
-	DiscoveryUnreachable Kind = "list-cut"     // nodes cannot reach discovery
-	Burst                Kind = "burst"        // Size times the usual load
-	HeavyTail            Kind = "heavy-tail"   // one batch job in 50 costs Size times the usual
-	ClockSkew            Kind = "clock-off"    // executors that start meanwhile state a start Size seconds after the true one
+	SlowExecutors        FaultKind = "slow"         // executors run Size times slower
+	Stalls               FaultKind = "stalls"       // executors stop for Size seconds, every 2 s
+	NoisyNeighbor        FaultKind = "neighbour"    // another program takes the share Size of the machines of executors, on and off
+	Errors               FaultKind = "errors"       // the fraction Size of the batch jobs of executors ends in a quick error
+	Unresponsive         FaultKind = "mute"         // executors accept every attempt and send nothing
+	Crash                FaultKind = "crash"        // executors crash, and restart in slow start when the fault ends
+	HostLost             FaultKind = "vanish"       // executors and their machines disappear without a reset, and restart in slow start when the fault ends
+	Replace              FaultKind = "replace"      // executors end, and others start in their places under new ids
+	AddressChanged       FaultKind = "moved"        // executors end, and restart at another address
+	Drain                FaultKind = "drain"        // executors drain, end, and restart in slow start when the fault ends
+	Excluded             FaultKind = "taken-out"    // operators exclude executors at each node, restart them, and readmit them when the fault ends
+	ZoneLost             FaultKind = "zone-lost"    // a zone with its executors and nodes is down, and restarts when the fault ends
+	ZonePartitioned      FaultKind = "zone-cut"     // a partition between a zone and the others
+	ZoneInboundLost      FaultKind = "zone-deaf"    // packets into a zone are lost
+	ZoneOutboundLost     FaultKind = "zone-mute"    // packets out of a zone are lost
+	ResetNew             FaultKind = "reset-new"    // the fraction Size of new connections is reset at the first use
+	ResetOld             FaultKind = "reset-old"    // the fraction Size of open connections is reset, every second
+	UnresponsiveNew      FaultKind = "silent-new"   // the fraction Size of new connections returns nothing
+	UnresponsiveOld      FaultKind = "silent-old"   // at the start of the fault, the fraction Size of open connections stops returning anything
+	ClientReset          FaultKind = "client-reset" // the fraction Size of clients' connections is reset, every second; nodes learn of it late
+	DiscoveryDelayed     FaultKind = "list-late"    // discovery publishes changes Size seconds later than usual
+	DiscoveryStopped     FaultKind = "list-lost"    // discovery publishes nothing
+	NodeKilled           FaultKind = "node-killed"  // nodes are killed, and restart when the fault ends
+	ClientsDrained       FaultKind = "sent-away"    // operators drain the clients of nodes
+	NodeRestart          FaultKind = "node-restart" // nodes shut down gracefully, and restart when the fault ends
+	NodePaused           FaultKind = "node-stopped" // the processes of nodes are paused, and then read what arrived meanwhile
+	FalseGossip          FaultKind = "node-lies"    // nodes send false gossip
+	GossipPartitioned    FaultKind = "nodes-apart"  // no gossip passes between some nodes and the others
+	GossipLost           FaultKind = "words-lost"   // the fraction Size of gossip messages is lost
+	DiscoveryUnreachable FaultKind = "list-cut"     // nodes cannot reach discovery
+	Burst                FaultKind = "burst"        // clients make Size times the usual load
+	HeavyTail            FaultKind = "heavy-tail"   // one batch job in 50 costs Size times the usual
+	ClockSkew            FaultKind = "clock-off"    // executors that start during the fault state a start Size seconds after the true one
 )
 
 // Target is the kind of target of a fault.
@@ -54,7 +54,7 @@
 	OnExecutors Target = iota // executors that the fault names, or random ones
 	OnZone                    // a whole zone
 	OnNodes                   // nodes that the fault names, or random ones
-	OnAll                     // connections, discovery or clients
+	OnAll                     // all connections, all clients, or discovery
 )
 
 // kindSpec describes a kind of fault: its target and the bounds of its size. A kind without a unit has no size.
@@ -64,16 +64,16 @@
 	unit        string
 }
 
-var kinds = map[Kind]kindSpec{
+var kinds = map[FaultKind]kindSpec{
 	SlowExecutors: {OnExecutors, 1, 1000, "times slower"}, Stalls: {OnExecutors, 0.001, 1.9, "seconds"},
 	NoisyNeighbor: {OnExecutors, 0.01, 0.99, "a part"}, Errors: {OnExecutors, 0.01, 1, "a part"},
 	Unresponsive: {target: OnExecutors}, Crash: {target: OnExecutors}, HostLost: {target: OnExecutors}, Replace: {target: OnExecutors},
 	AddressChanged: {target: OnExecutors}, Drain: {target: OnExecutors}, Excluded: {target: OnExecutors},
 	ZoneLost: {target: OnZone}, ZonePartitioned: {target: OnZone}, ZoneInboundLost: {target: OnZone}, ZoneOutboundLost: {target: OnZone},
 	ResetNew: {OnAll, 0.01, 1, "a part"}, ResetOld: {OnAll, 0.01, 1, "a part"},
-	SilentNew: {OnAll, 0.01, 1, "a part"}, SilentOld: {OnAll, 0.01, 1, "a part"},
+	UnresponsiveNew: {OnAll, 0.01, 1, "a part"}, UnresponsiveOld: {OnAll, 0.01, 1, "a part"},
 	ClientReset:      {OnAll, 0.01, 1, "a part"},
-	DiscoveryDelayed: {OnAll, 0.01, 3600, "seconds"}, DiscoverySilent: {target: OnAll},
+	DiscoveryDelayed: {OnAll, 0.01, 3600, "seconds"}, DiscoveryStopped: {target: OnAll},
 	NodeKilled: {target: OnNodes}, NodeRestart: {target: OnNodes}, ClientsDrained: {target: OnNodes},
 	NodePaused: {target: OnNodes}, FalseGossip: {target: OnNodes}, GossipPartitioned: {target: OnNodes}, DiscoveryUnreachable: {target: OnNodes},
 	GossipLost: {OnAll, 0.01, 1, "a part"},
@@ -81,8 +81,8 @@
 	ClockSkew: {OnAll, -3600, 3600, "seconds"},
 }
 
-// Kinds returns all kinds, in the order of their names.
-func Kinds() (all []Kind) {
+// FaultKinds returns all kinds, in the order of their names.
+func FaultKinds() (all []FaultKind) {
 	for k := range kinds {
 		all = append(all, k)
 	}
@@ -90,20 +90,20 @@
 	return all
 }
 
-// On returns the target of a kind, and whether the kind exists.
-func (k Kind) On() (Target, bool) {
+// Target returns the kind of target of a kind of fault, and whether the kind of fault exists.
+func (k FaultKind) Target() (Target, bool) {
 	s, ok := kinds[k]
 	return s.target, ok
 }
 
-// Sized returns the bounds of the size of a kind, and whether it has one.
-func (k Kind) Sized() (least, most float64, ok bool) {
+// SizeBounds returns the bounds of the size of a kind of fault, and whether it has a size.
+func (k FaultKind) SizeBounds() (least, most float64, ok bool) {
 	s := kinds[k]
 	return s.least, s.most, s.unit != ""
 }
 
-// CheckSize returns an error if a size is out of the bounds of a kind.
-func (k Kind) CheckSize(size float64) error {
+// CheckSize returns an error if a size is out of the bounds of a kind of fault.
+func (k FaultKind) CheckSize(size float64) error {
 	s := kinds[k]
 	switch {
 	case s.unit == "" && size != 0:
@@ -114,45 +114,45 @@
 	return nil
 }
 
-// Fault is a fault from At on for the time For. Where names its targets, executors, zones or nodes; if empty, it is on all of them.
+// Fault is a fault of a simulated or real cluster, for a limited time.
 type Fault struct {
-	Kind  Kind
-	At    time.Duration
-	For   time.Duration
-	Where []string
-	Size  float64
+	Kind  FaultKind
+	At    time.Duration // when it starts
+	For   time.Duration // how long it lasts
+	Where []string      // names of its targets: executors, zones or nodes; empty for all
+	Size  float64       // its meaning depends on the kind; 0 if the kind has no size
 }
 
-// Touches reports whether a fault is on the target with a name in a zone.
-func (f Fault) Touches(name, zone string) bool {
+// Affects reports whether a fault is on the executor or node of the given name, which is in the given zone.
+func (f Fault) Affects(name, zone string) bool {
 	return len(f.Where) == 0 || slices.Contains(f.Where, name) || slices.Contains(f.Where, zone)
 }
 
-// Combine returns the sum of an executor's faults.
-func Combine(faults []Fault) (t ExecutorFaults) {
+// CombineFaults combines the faults of an executor.
+func CombineFaults(faults []Fault) (sum ExecutorFaults) {
 	for _, f := range faults {
 		switch f.Kind {
 		case SlowExecutors:
-			t.Slow = max(1, t.Slow) * f.Size
+			sum.Slow = max(1, sum.Slow) * f.Size
 		case Stalls:
-			t.StallFor, t.StallEvery = time.Duration(f.Size*1e9), 2*time.Second
+			sum.StallFor, sum.StallEvery = time.Duration(f.Size*1e9), 2*time.Second
 		case NoisyNeighbor:
-			t.Neighbor = max(t.Neighbor, f.Size)
+			sum.NeighborShare = max(sum.NeighborShare, f.Size)
 		case Errors:
-			t.Errors = max(t.Errors, f.Size)
+			sum.ErrorRate = max(sum.ErrorRate, f.Size)
 		case Unresponsive:
-			t.Unresponsive = true
+			sum.Unresponsive = true
 		}
 	}
-	return t
+	return sum
 }
 
-// Without returns an executor's faults without one that is over. It reuses the slice.
-func Without(faults []Fault, over Fault) []Fault {
-	return slices.DeleteFunc(faults, func(f Fault) bool { return f.Kind == over.Kind && f.At == over.At && f.Size == over.Size })
+// RemoveFault returns the faults of an executor without one that has ended. It reuses the slice.
+func RemoveFault(faults []Fault, removed Fault) []Fault {
+	return slices.DeleteFunc(faults, func(f Fault) bool { return f.Kind == removed.Kind && f.At == removed.At && f.Size == removed.Size })
 }
 
-// String returns the fault as people read it.
+// String returns the fault in a form for people to read.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%s from %v for %v", f.Kind, f.At, f.For)
 	if f.Size != 0 {
--- a/internal/frontend/close_races_test.go
+++ b/internal/frontend/close_races_test.go
@@ -13,15 +13,15 @@
 )
 
 // newHaltableNode returns a ready fakeNode and the halts of its listener and connections.
-func newHaltableNode(t *testing.T, conns int) (*fakeNode, *emulator.Halts) {
-	halts := &emulator.Halts{}
+func newHaltableNode(t *testing.T, conns int) (*fakeNode, *emulator.Breakpoints) {
+	halts := &emulator.Breakpoints{}
 	c := newFakeNodeWithHalts(t, conns, halts)
 	c.server.SetReady(true)
 	return c, halts
 }
 
 // awaitStop waits until a call has reached a stop.
-func (c *fakeNode) awaitStop(s *emulator.Stop) {
+func (c *fakeNode) awaitStop(s *emulator.Breakpoint) {
 	c.t.Helper()
 	select {
 	case <-s.Reached:
@@ -88,11 +88,11 @@
 			c.waitUntil("both are idle", func() bool { _, idle, _ := c.server.conns.counts(); return idle == 2 })
 		}
 		// The pending read returns the first byte alone, and the next read is stopped.
-		pendingRead := halts.On(1, emulator.AfterRead, 0)
+		pendingRead := halts.OnConn(1, emulator.AfterRead, 0)
 		first.send(jobRequest("handled-2")[:1])
 		c.awaitStop(pendingRead)
-		stop := halts.On(1, emulator.BeforeRead, 0)
-		pendingRead.Go()
+		stop := halts.OnConn(1, emulator.BeforeRead, 0)
+		pendingRead.Release()
 		c.awaitStop(stop)
 		first.send(jobRequest("handled-2")[1:])
 		interrupted := halts.InterruptedReads()
@@ -100,7 +100,7 @@
 		if halts.InterruptedReads() != interrupted {
 			t.Errorf("%s: a read is interrupted in the middle of a request", cause.name)
 		}
-		stop.Go()
+		stop.Release()
 		c.printEvent()
 		c.printAnswer(first)
 		c.server.http.Close()
@@ -121,7 +121,7 @@
 	c.server.conns.enterLameDuck()
 	c.awaitStop(stop) // the deadline has interrupted the read, which returned no bytes
 	first.send(jobRequest("handled-2"))
-	stop.Go()
+	stop.Release()
 	c.printEvent()
 	c.printAnswer(first)
 	golden.Compare(t, "request-at-final-read.txt", c.out.String())
@@ -137,8 +137,8 @@
 	c.printEvent()
 	c.printAnswer(first)
 	c.waitUntil("the connection is idle", func() bool { _, idle, _ := c.server.conns.counts(); return idle == 1 })
-	late := halts.On(1, emulator.AfterRead, 0)
-	closes := halts.On(1, emulator.BeforeClose, 0)
+	late := halts.OnConn(1, emulator.AfterRead, 0)
+	closes := halts.OnConn(1, emulator.BeforeClose, 0)
 	c.server.conns.enterLameDuck()
 	c.awaitStop(late) // the deadline has interrupted the read, which returned no bytes
 	first.send(jobRequest("handled-2"))
@@ -154,8 +154,8 @@
 		defer c.server.conns.mu.Unlock()
 		return c.server.conns.shuttingDown
 	})
-	closes.Go()
-	late.Go()
+	closes.Release()
+	late.Release()
 	c.printEvent()
 	c.printAnswer(first)
 	c.printEvent()
@@ -174,7 +174,7 @@
 	c.awaitStop(stop)
 	c.server.conns.enterLameDuck()
 	first.send(jobRequest("handled-2"))
-	stop.Go()
+	stop.Release()
 	c.printEvent()
 	c.printAnswer(first)
 	golden.Compare(t, "idle-at-shutdown.txt", c.out.String())
@@ -300,10 +300,10 @@
 			if client.Gone() {
 				t.Fatal("Gone reports that the client has left before it leaves")
 			}
-			stop := halts.On(1, emulator.AfterRead, 0)
+			stop := halts.OnConn(1, emulator.AfterRead, 0)
 			far := len(leave.early) >= 1<<20
 			if len(leave.early) > maxReadAhead {
-				stop.Go()
+				stop.Release()
 			}
 			if !far {
 				c.server.conns.sharedReadAhead.Store(0) // as if other connections had reserved all of it
@@ -326,7 +326,7 @@
 			leave.end(from.Conn.(*net.TCPConn))
 			c.waitUntil("Gone reports that the client has left", client.Gone)
 			c.printEvent()
-			stop.Go()
+			stop.Release()
 			c.waitUntil("the connection is closed", func() bool { open, _, _ := c.server.conns.counts(); return open == 0 })
 			if got, want := c.out.String(), "  left: wait-1\n"; got != want || len(c.events) > 0 {
 				t.Errorf("the server posts %q and %d more events, want %q", got, len(c.events), want)
@@ -400,7 +400,7 @@
 // that was not read before.
 func TestStop(t *testing.T) {
 	c, halts := newHaltableNode(t, 10)
-	stop := halts.On(2, emulator.BeforeRead, 0)
+	stop := halts.OnConn(2, emulator.BeforeRead, 0)
 	pending := c.dial()
 	pending.send(jobRequest("wait-1"))
 	c.printEvent() // not answered, as if the event loop had ended
@@ -413,7 +413,7 @@
 		close(over)
 	}()
 	c.printAnswer(pending)
-	stop.Go()
+	stop.Release()
 	c.printEvent() // posted, but not processed: the event loop has ended
 	c.printAnswer(late)
 	<-over
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -27,11 +27,11 @@
 }
 
 func newFakeNode(t *testing.T, conns int, change ...func(*http.Server)) *fakeNode {
-	return newFakeNodeWithHalts(t, conns, &emulator.Halts{}, change...)
+	return newFakeNodeWithHalts(t, conns, &emulator.Breakpoints{}, change...)
 }
 
 // newFakeNodeWithHalts returns a fakeNode with halts on the calls of its listener and its connections.
-func newFakeNodeWithHalts(t *testing.T, conns int, halts *emulator.Halts, change ...func(*http.Server)) *fakeNode {
+func newFakeNodeWithHalts(t *testing.T, conns int, halts *emulator.Breakpoints, change ...func(*http.Server)) *fakeNode {
 	c := &fakeNode{t: t, events: make(chan node.Event, 100)}
 	c.server = New([]node.NumberedClass{{JobClass: node.JobClass{Name: "board-read"}}, {ID: 1, JobClass: node.JobClass{Name: "run-verify", JobClass: policy.JobClass{Deadline: time.Second}}},
 		{ID: 2, JobClass: node.JobClass{Name: "split-record", JobClass: policy.JobClass{Idempotency: policy.IdempotentWithKey}}}}, ConnLimits{conns, conns / 2}, func(ev node.Event) {
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -233,7 +233,7 @@
 	capacity := 0.0
 	for _, x := range r.executors {
 		if faults := x.Faults(); x.Up && !x.Draining && !faults.Unresponsive {
-			capacity += x.Capacity(r.now()) * (1 - faults.Errors) / max(1, faults.Slow)
+			capacity += x.Capacity(r.now()) * (1 - faults.ErrorRate) / max(1, faults.Slow)
 		}
 	}
 	for len(r.capacity) <= int(r.now()/simulation.Bin) {
--- a/internal/harness/discovery.go
+++ b/internal/harness/discovery.go
@@ -64,7 +64,7 @@
 			return nil
 		}
 		changed := r.listChanged
-		if !p.discoveryUnreachable && !r.discovery.Silent() {
+		if !p.discoveryUnreachable && !r.discovery.Stopped() {
 			version, entries := r.discovery.Since(r.now(), watch.From)
 			if watch.Complete {
 				entries = r.discovery.Complete(r.now())
--- a/internal/harness/fault_targets.go
+++ b/internal/harness/fault_targets.go
@@ -12,7 +12,7 @@
 // onExecutors calls a function for each executor that a fault affects.
 func (r *cluster) onExecutors(f emulator.Fault, apply func(*executor)) {
 	for _, x := range r.executors {
-		if f.Touches(string(x.ID), r.scenario.Fleet.Zones[x.Zone]) {
+		if f.Affects(string(x.ID), r.scenario.Fleet.Zones[x.Zone]) {
 			apply(x)
 		}
 	}
@@ -21,7 +21,7 @@
 // onNodes calls a function for each node that a fault affects.
 func (r *cluster) onNodes(f emulator.Fault, apply func(*nodeProcess)) {
 	for _, p := range r.nodes {
-		if f.Touches(p.name, r.scenario.Fleet.Zones[p.zone]) {
+		if f.Affects(p.name, r.scenario.Fleet.Zones[p.zone]) {
 			apply(p)
 		}
 	}
@@ -41,7 +41,9 @@
 func (p *nodeProcess) wasPaused() bool { return p.paused || p.cluster.now() < p.pausedUntil }
 
 // updateFault applies the combination of the executor's current faults.
-func (x *executor) updateFault() { x.apply(x.SetFaults(x.cluster.now(), emulator.Combine(x.faults))) }
+func (x *executor) updateFault() {
+	x.apply(x.SetFaults(x.cluster.now(), emulator.CombineFaults(x.faults)))
+}
 
 // endDownFault ends one of the faults that keep an executor down. After the last one, the executor restarts.
 func (x *executor) endDownFault() {
@@ -94,7 +96,7 @@
 
 // removeFault removes a fault that was added by addFault.
 func (x *executor) removeFault(f emulator.Fault) {
-	x.faults = emulator.Without(x.faults, f)
+	x.faults = emulator.RemoveFault(x.faults, f)
 	x.updateFault()
 }
 
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -12,7 +12,7 @@
 
 // supportedFaults are the kinds of faults that the harness can play. Draw picks from them by index, so their order must
 // stay.
-var supportedFaults = []emulator.Kind{emulator.SlowExecutors, emulator.Errors, emulator.Unresponsive, emulator.Crash, emulator.Drain, emulator.DiscoveryDelayed, emulator.DiscoverySilent, emulator.DiscoveryUnreachable,
+var supportedFaults = []emulator.FaultKind{emulator.SlowExecutors, emulator.Errors, emulator.Unresponsive, emulator.Crash, emulator.Drain, emulator.DiscoveryDelayed, emulator.DiscoveryStopped, emulator.DiscoveryUnreachable,
 	emulator.NodeKilled, emulator.NodeRestart, emulator.NodePaused, emulator.GossipPartitioned, emulator.GossipLost, emulator.Burst, emulator.HeavyTail}
 
 // CheckScenario returns an error if the harness cannot play a scenario. The error names the field of the scenario and
@@ -60,8 +60,8 @@
 		r.onExecutors(f, func(x *executor) { r.drain(x, f) })
 	case emulator.DiscoveryDelayed:
 		r.delayDiscovery(seconds(f.Size))
-	case emulator.DiscoverySilent:
-		r.discovery.SetSilent(true)
+	case emulator.DiscoveryStopped:
+		r.discovery.SetStopped(true)
 		r.checker.SetUnreachable(r.now(), invariants.NoNode, true)
 	case emulator.DiscoveryUnreachable:
 		r.onNodes(f, func(p *nodeProcess) { p.setDiscoveryUnreachable(true) })
@@ -92,8 +92,8 @@
 	case emulator.DiscoveryDelayed:
 		r.discovery.SetDelay(0)
 		r.wakeWatches()
-	case emulator.DiscoverySilent:
-		r.discovery.SetSilent(false)
+	case emulator.DiscoveryStopped:
+		r.discovery.SetStopped(false)
 		r.checker.SetUnreachable(r.now(), invariants.NoNode, false)
 		r.wakeWatches()
 	case emulator.DiscoveryUnreachable:
--- a/internal/invariants/job.go
+++ b/internal/invariants/job.go
@@ -12,17 +12,17 @@
 	id   policy.JobID
 }
 
-// job is a batch job at a node, from its arrival until it is answered or its client is known to have left, and none of its attempts is
-// in flight.
+// job is the record of a batch job at a node. It is kept from the arrival of the job until no attempt is in flight and
+// the job is answered or its node knows that the client left.
 type job struct {
 	work       WorkID
 	class      policy.JobClassID
-	limit      time.Duration // its deadline
+	deadline   time.Duration // its deadline
 	givenUp    bool          // the policy has given up on it
 	givenUpAt  time.Duration
-	excused    bool // its node was paused while it was open: no time limit applies
+	excused    bool // its node was paused while it had the job: no time limit applies
 	answered   bool
-	closed     bool // no answer is owed: its node knows that the client left, or the missing answer has been reported
+	closed     bool // no answer is expected: its node knows that the client left, or the missing answer has been reported
 	clientLeft bool // its client has left, whether its node knows or not
 	attempts   []attempt
 }
@@ -35,7 +35,7 @@
 	cell       policy.CellID
 	sentAt     time.Duration
 	ended      bool
-	neverRan   bool          // its end proved that
+	neverRan   bool          // its end proved that it never ran
 	knownStart time.Duration // the last start of its executor that its node had been notified of
 }
 
@@ -43,8 +43,8 @@
 
 func mayHaveRun(a attempt) bool { return !a.ended || !a.neverRan }
 
-// jobAccepted begins a record. An id whose client left and that arrives again while an attempt of it is in flight continues the record
-// that there is.
+// jobAccepted begins the record of a job. If the id of a job whose client left arrives again while an attempt of it is
+// in flight, the existing record continues.
 func (c *Checker) jobAccepted(key jobKey, event Event) {
 	j := c.jobs[key]
 	if j == nil {
@@ -52,13 +52,14 @@
 		c.jobs[key] = j
 	}
 	delete(c.clientLeftAt, key)
-	j.work, j.class, j.limit = event.Work, event.Class, event.Deadline
+	j.work, j.class, j.deadline = event.Work, event.Class, event.Deadline
 	j.answered, j.closed, j.clientLeft, j.givenUp = false, false, false, false
 	j.excused = c.paused[event.Node]
 	c.schedule(event.Deadline+c.settings.AnswerSlack, key, event.Deadline)
 }
 
-// forget drops the record of a batch job that owes no answer and has no attempt in flight.
+// forget drops the record of a batch job that needs no answer and has no attempt in flight. The record of a job whose
+// node was paused is kept, since its id may be answered more than once.
 func (c *Checker) forget(key jobKey, j *job) {
 	if (j.answered || j.closed) && !j.excused && !slices.ContainsFunc(j.attempts, inFlight) {
 		delete(c.jobs, key)
@@ -84,16 +85,16 @@
 	}
 }
 
-func (c *Checker) clientKnownToHaveLeft(key jobKey) {
+func (c *Checker) clientKnownLeft(key jobKey) {
 	if j := c.jobs[key]; j != nil {
 		j.closed = true
 		c.forget(key, j)
 	}
 }
 
-// attemptSent checks the rules that bind a node when the first byte of an attempt leaves.
+// attemptSent checks the rules that apply when a node sends the first byte of an attempt.
 func (c *Checker) attemptSent(key jobKey, event Event) {
-	c.checkAwaited(key, event)
+	c.checkClientPresent(key, event)
 	j := c.jobs[key]
 	if j == nil || (j.answered || j.closed) && !j.excused {
 		about := subject{job: key, work: event.Work, executor: event.Executor}
@@ -108,8 +109,8 @@
 		sentAt: event.At, knownStart: c.knownStart(event.Node, event.Executor)})
 }
 
-// checkAwaited checks the rule "still awaited".
-func (c *Checker) checkAwaited(key jobKey, event Event) {
+// checkClientPresent checks the rule "still awaited": no attempt is sent for a client that left a while ago.
+func (c *Checker) checkClientPresent(key jobKey, event Event) {
 	leftAt, left := c.clientLeftAt[key]
 	if !left || event.At <= leftAt+ClientGoneTolerance {
 		return
@@ -122,7 +123,7 @@
 	}
 }
 
-// checkInFlight checks that no other attempt is in flight, or only one where the class may be hedged.
+// checkInFlight checks that no other attempt of the job is in flight, or one at most if the class may be hedged.
 func (c *Checker) checkInFlight(j *job, event Event, about subject) {
 	count := 0
 	for _, a := range j.attempts {
@@ -139,7 +140,7 @@
 	}
 }
 
-// checkRetry checks that after an attempt that may have run, another one cannot have the effect twice.
+// checkRetry checks that an attempt after one that may have run cannot repeat its effect.
 func (c *Checker) checkRetry(j *job, event Event, about subject) {
 	index := slices.IndexFunc(j.attempts, mayHaveRun)
 	if index < 0 {
@@ -172,7 +173,8 @@
 	c.forget(key, j)
 }
 
-// jobAnswered checks that a final answer is the only one, is true, and comes at once after the job was given up on.
+// jobAnswered checks that a final answer is the only one, agrees with what ran, and comes without delay if the policy
+// has given up on the job.
 func (c *Checker) jobAnswered(key jobKey, event Event) {
 	j := c.jobs[key]
 	if j != nil && j.answered && j.excused {
@@ -194,7 +196,8 @@
 	c.forget(key, j)
 }
 
-// checkAnswer checks that an answer agrees with what may have run: a client repeats a rejected job, which must be safe.
+// checkAnswer checks that an answer agrees with what ran. A client repeats a rejected job, so a job is only rejected if
+// that is safe.
 func (c *Checker) checkAnswer(j *job, event Event, about subject) {
 	class := c.settings.Classes[j.class]
 	repeatUnsafe := class.Idempotency == policy.AtMostOnce ||
--- a/internal/simulation/conn_faults.go
+++ b/internal/simulation/conn_faults.go
@@ -18,7 +18,7 @@
 // beginConnFault begins a fault on open connections.
 func (sim *Simulation) beginConnFault(fault emulator.Fault) {
 	switch fault.Kind {
-	case emulator.SilentOld:
+	case emulator.UnresponsiveOld:
 		for _, conn := range sim.openConns() {
 			if sim.networkRand.Float64() < fault.Size {
 				conn.makeUnresponsive()
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -20,7 +20,7 @@
 }
 
 // adminFaults are the kinds of fault that consist of operators' commands.
-var adminFaults = []emulator.Kind{emulator.Excluded, emulator.ClientsDrained}
+var adminFaults = []emulator.FaultKind{emulator.Excluded, emulator.ClientsDrained}
 
 // Draw draws a scenario and its faults from a seed. Each feature that was added later draws from a random stream of its own, so that the
 // rest of a seed's scenario has stayed the same.
@@ -50,8 +50,8 @@
 func oneIn(r *rand.Rand, n int) bool { return r.IntN(n) == 0 }
 
 // otherFaults returns the kinds of fault that need neither operators nor gossip.
-func otherFaults() []emulator.Kind {
-	return slices.DeleteFunc(emulator.Kinds(), func(k emulator.Kind) bool {
+func otherFaults() []emulator.FaultKind {
+	return slices.DeleteFunc(emulator.FaultKinds(), func(k emulator.FaultKind) bool {
 		return slices.Contains(adminFaults, k) || slices.Contains(gossipFaults, k)
 	})
 }
@@ -164,18 +164,18 @@
 }
 
 // drawFaults adds up to maxFaults random faults of the given kinds to the scenario.
-func drawFaults(r *rand.Rand, s *Scenario, maxFaults int, kinds []emulator.Kind) {
+func drawFaults(r *rand.Rand, s *Scenario, maxFaults int, kinds []emulator.FaultKind) {
 	for range r.IntN(maxFaults + 1) {
 		s.Faults = append(s.Faults, drawFault(r, s, kinds[r.IntN(len(kinds))]))
 	}
 }
 
-func drawFault(r *rand.Rand, s *Scenario, kind emulator.Kind) Fault {
+func drawFault(r *rand.Rand, s *Scenario, kind emulator.FaultKind) Fault {
 	length := int(time.Duration(s.Length) / time.Millisecond)
 	fault := Fault{Kind: kind}
 	fault.At = milliseconds(r.IntN(length * 9 / 10))
 	fault.For = milliseconds(100 + r.IntN(length/2))
-	on, _ := kind.On()
+	on, _ := kind.Target()
 	zone := s.Fleet.Zones[r.IntN(len(s.Fleet.Zones))]
 	switch on {
 	case emulator.OnZone:
@@ -185,7 +185,7 @@
 	case emulator.OnNodes:
 		fault.Where = drawTargets(r, "n", s.Fleet.Nodes, zone)
 	}
-	if least, most, ok := kind.Sized(); ok {
+	if least, most, ok := kind.SizeBounds(); ok {
 		least, most = drawnSizeRange(kind, least, most)
 		fault.Size = round(max(least, least+(most-least)*r.Float64()))
 	}
@@ -193,7 +193,7 @@
 }
 
 // drawnSizeRange narrows the range of a fault's size to sizes from which the simulation can recover.
-func drawnSizeRange(kind emulator.Kind, least, most float64) (float64, float64) {
+func drawnSizeRange(kind emulator.FaultKind, least, most float64) (float64, float64) {
 	switch kind {
 	case emulator.SlowExecutors, emulator.HeavyTail:
 		most = 20
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -157,7 +157,7 @@
 // finish ends a request for its client, which then retries or is done with the work item.
 func (r *clientRequest) finish(end emulator.End, retryAfter time.Duration) {
 	sim, work := r.clients.sim, r.work
-	if work.Over || r.job != work.Job() {
+	if work.Ended || r.job != work.Job() {
 		return // the request of a repeated job ID, or one that a retry has replaced
 	}
 	history := sim.account.request(r)
@@ -167,10 +167,10 @@
 		sim.at(at, func() { r.clients.submit(work) })
 		return
 	}
-	work.Over = true
+	work.Ended = true
 	sim.account.recordFinished(work, earned)
 	sim.worksInFlight--
 	if work.Client != openLoop {
-		sim.after(r.clients.Behavior.Think, func() { r.clients.submitNext(work.Client) })
+		sim.after(r.clients.Behavior.ThinkTime, func() { r.clients.submitNext(work.Client) })
 	}
 }
