--- a/internal/harness/node_config.go
+++ b/internal/harness/node_config.go
@@ -35,7 +35,7 @@
 	ValuePer   string         `json:"earnings-per"` // what a job class's value is paid for: "work" or "request"
 	Kinds      []string       `json:"flavors"`      // names of the executor kinds
 	Zone       int            `json:"locality"`     // index of the node's zone in Zones
-	Node       int            `json:"my-number"`    // index of the node
+	Node       int            `json:"my-number"`    // index of this node
 	Prices     *NodePrices    `json:"prices,omitempty"`
 	Quantum    float64        `json:"quantum-s"`
 	Report     *NodeReport    `json:"report,omitempty"`
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -29,7 +29,7 @@
 	queueingMemoryMB = 1024  // memory limit at points with Queueing; half of it limits the number of clients, at 96 KB each
 )
 
-// measurement is the state of measuring one point.
+// measurement holds the processes, the emulated services and the results of the point that is being measured.
 type measurement struct {
 	options          Options
 	point            Point
