--- a/cmd/birchstair-sim/main.go
+++ b/cmd/birchstair-sim/main.go
@@ -28,8 +28,8 @@
 var errViolation = errors.New("an invariant was violated")
 
 func main() {
-	if os.Getenv(scaletest.HollowEnv) != "" { // a process that birchstair-sim scale has started
-		if err := scaletest.Hollow(os.Stdin, os.Stdout); err != nil {
+	if os.Getenv(scaletest.StubEnv) != "" { // a process that birchstair-sim scale has started
+		if err := scaletest.RunStub(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "birchstair-sim, an emulated process of scale:", err)
 			os.Exit(2)
 		}
--- a/internal/scaletest/samples.go
+++ b/internal/scaletest/samples.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// cpu returns the CPU time of all real nodes.
-func (w *measurement) cpu() (total time.Duration, err error) {
-	for _, p := range w.nodes {
+// cpu returns the CPU time that all real nodes together have used.
+func (m *measurement) cpu() (total time.Duration, err error) {
+	for _, p := range m.nodes {
 		t, err := cpu(p.cmd.Process.Pid)
 		if err != nil {
 			return 0, err
@@ -16,48 +16,49 @@
 	return total, nil
 }
 
-// sample is the CPU time of all real nodes, and what was counted outside of them, at a time.
+// sample holds the CPU time of all real nodes and the counts of the stubs and of discovery at one time.
 type sample struct {
 	at           time.Time
 	cpu          time.Duration
-	counts       Counts // of the executors, summed
-	fleet        fleetCounts
-	discoveryIn  int64
-	discoveryOut int64
+	counts       Counts // sum over the processes with stub executors
+	gossip       gossipCounts
+	discoveryIn  int64 // bytes that discovery has read
+	discoveryOut int64 // bytes that discovery has written
 }
 
 // sample takes a sample.
-func (w *measurement) sample() (s sample, err error) {
-	s.at, s.discoveryIn, s.discoveryOut = time.Now(), w.discoveryTraffic.in.Load(), w.discoveryTraffic.out.Load()
-	if s.cpu, err = w.cpu(); err != nil {
+func (m *measurement) sample() (s sample, err error) {
+	s.at, s.discoveryIn, s.discoveryOut = time.Now(), m.discoveryTraffic.bytesRead.Load(), m.discoveryTraffic.bytesWritten.Load()
+	if s.cpu, err = m.cpu(); err != nil {
 		return s, err
 	}
-	for _, h := range w.executorProcesses {
+	for _, h := range m.executorStubs {
 		c, err := h.counts("")
 		if err != nil {
 			return s, err
 		}
-		s.counts.Ran += c.Ran
-		s.counts.Opened += c.Opened
-		s.counts.In += c.In
-		s.counts.Out += c.Out
-		s.counts.Over += c.Over
+		s.counts.TasksStarted += c.TasksStarted
+		s.counts.ConnsAccepted += c.ConnsAccepted
+		s.counts.BytesRead += c.BytesRead
+		s.counts.BytesWritten += c.BytesWritten
+		s.counts.OverfullExecutors += c.OverfullExecutors
 	}
-	if w.memberProcess != nil {
-		c, err := w.memberProcess.counts("")
+	if m.nodeStubs != nil {
+		c, err := m.nodeStubs.counts("")
 		if err != nil {
 			return s, err
 		}
-		s.fleet = c.Fleet
+		s.gossip = c.Gossip
 	}
 	return s, nil
 }
 
-// recordFootprint records memory and descriptors of a node: the largest of any real node.
-func (w *measurement) recordFootprint(when string) error {
-	f := w.row.Figures
-	for _, p := range w.nodes {
-		now, most, err := memory(p.cmd.Process.Pid)
+// recordFootprint records the memory and the number of descriptors of the real nodes, each as the largest over all of
+// them.
+func (m *measurement) recordFootprint(when string) error {
+	f := m.row.Figures
+	for _, p := range m.nodes {
+		now, peak, err := memory(p.cmd.Process.Pid)
 		if err != nil {
 			return err
 		}
@@ -66,26 +67,26 @@
 			return err
 		}
 		f["rss_mb_"+when] = max(f["rss_mb_"+when], float64(now)/1e6)
-		f["peak_mb"] = max(f["peak_mb"], float64(most)/1e6)
+		f["peak_mb"] = max(f["peak_mb"], float64(peak)/1e6)
 		f["files_"+when] = max(f["files_"+when], float64(files))
 	}
 	return nil
 }
 
-// recordGossip records the gossip traffic of a real node between two samples. Only traffic with hollow nodes is counted; since a node gossips
-// with all peers alike, the rest is extrapolated.
-func (w *measurement) recordGossip(when string, from, to sample) {
-	if w.memberProcess == nil {
+// recordGossip records the gossip traffic of a real node between two samples. Only its traffic with stub nodes is
+// counted. A node treats all its peers in the same way, so the traffic with other real nodes is extrapolated from that.
+func (m *measurement) recordGossip(when string, from, to sample) {
+	if m.nodeStubs == nil {
 		return
 	}
-	span := to.at.Sub(from.at).Seconds() * float64(len(w.nodes))
-	if all := w.point.RealNodes + w.point.HollowNodes; w.point.RealNodes > 1 {
-		span *= float64(w.point.HollowNodes) / float64(all-1)
+	seconds := to.at.Sub(from.at).Seconds() * float64(len(m.nodes))
+	if all := m.point.RealNodes + m.point.StubNodes; m.point.RealNodes > 1 {
+		seconds *= float64(m.point.StubNodes) / float64(all-1)
 	}
-	f := w.row.Figures
-	f["nodes_out_bps_"+when] = float64(to.fleet.BytesIn-from.fleet.BytesIn) / span
-	f["nodes_in_bps_"+when] = float64(to.fleet.BytesOut-from.fleet.BytesOut) / span
-	f["nodes_out_pps_"+when] = float64(to.fleet.PacketsIn-from.fleet.PacketsIn) / span
-	f["nodes_in_pps_"+when] = float64(to.fleet.PacketsOut-from.fleet.PacketsOut) / span
-	f["nodes_streams_ps_"+when] = float64(to.fleet.Streams-from.fleet.Streams) / span
+	f := m.row.Figures
+	f["nodes_out_bps_"+when] = float64(to.gossip.BytesIn-from.gossip.BytesIn) / seconds
+	f["nodes_in_bps_"+when] = float64(to.gossip.BytesOut-from.gossip.BytesOut) / seconds
+	f["nodes_out_pps_"+when] = float64(to.gossip.PacketsIn-from.gossip.PacketsIn) / seconds
+	f["nodes_in_pps_"+when] = float64(to.gossip.PacketsOut-from.gossip.PacketsOut) / seconds
+	f["nodes_streams_ps_"+when] = float64(to.gossip.Streams-from.gossip.Streams) / seconds
 }
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -22,8 +22,8 @@
 var binary string
 
 func TestMain(m *testing.M) {
-	if os.Getenv(HollowEnv) != "" {
-		if err := Hollow(os.Stdin, os.Stdout); err != nil {
+	if os.Getenv(StubEnv) != "" {
+		if err := RunStub(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(2)
 		}
@@ -32,24 +32,25 @@
 	golden.Main(m, &binary)
 }
 
-func smallest() Sweep {
-	return Sweep{Executors: []int{16}, FleetSizes: []int{9}, Nodes: []int{4}, Tenants: []int{3}, MaxRealNodes: 2, Rounds: 1, BaseExecutors: 16, BaseNodes: 4, BaseRate: 60,
-		Work: 5 * time.Millisecond, Span: 400 * time.Millisecond, Sockets: 512}
+func smallestSweep() Sweep {
+	return Sweep{Executors: []int{16}, ClusterSizes: []int{9}, Nodes: []int{4}, Tenants: []int{3}, MaxRealNodes: 2, Rounds: 1, BaseExecutors: 16, BaseNodes: 4, BaseRate: 60,
+		TaskDuration: 5 * time.Millisecond, Window: 400 * time.Millisecond, Sockets: 512}
 }
 
-func options(t *testing.T) Options {
+func testOptions(t *testing.T) Options {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Binary: binary, Hollow: []string{self}, Dir: t.TempDir(), Settle: 200 * time.Millisecond, Starts: 200, Burst: 100 * time.Millisecond}
+	return Options{Binary: binary, StubCommand: []string{self}, Dir: t.TempDir(), Settle: 200 * time.Millisecond, MaxPolicyStarts: 200, BurstDuration: 100 * time.Millisecond}
 }
 
-// TestSmallest runs the smallest sweep. Each batch job is answered once and counted once at both ends, all executors are known, and each change
-// is in force at all nodes, or the row says what is wrong.
-func TestSmallest(t *testing.T) {
+// TestSmallestSweep runs the smallest sweep and expects no violations: each batch job is answered once and counted once
+// at both ends, all executors are known, and each change takes effect at all nodes. The rows must have the expected
+// figures.
+func TestSmallestSweep(t *testing.T) {
 	rows := map[string]Row{}
-	if err := smallest().Run(options(t), func(r Row) {
+	if err := smallestSweep().Run(testOptions(t), func(r Row) {
 		t.Log(r)
 		rows[r.Series] = r
 		if r.NotRun != "" || len(r.Violations) > 0 {
@@ -72,18 +73,18 @@
 		}
 	}
 	if f := rows["nodes"].Figures; f["nodes_in_bps_load"] <= 0 || f["nodes_out_bps_load"] <= 0 {
-		t.Errorf("no words were seen between real and hollow nodes: %v", f)
+		t.Errorf("no gossip traffic was counted between real nodes and stub nodes: %v", f)
 	}
 	if f := rows["executors-of-9"].Figures; f["starts_ps"] <= 0 || f["handled_part"] <= 0 || f["list_whole_kb"] <= 0 {
-		t.Errorf("nothing was started, or no list told: %v", f)
+		t.Errorf("no task was started, or no endpoint list was sent: %v", f)
 	}
 }
 
-// TestNotRun checks that a point that cannot be run says why, and that the others run.
-func TestNotRun(t *testing.T) {
-	o := options(t)
+// TestPointNotRun checks that the row of a point that cannot be run has the reason, and that the other points are run.
+func TestPointNotRun(t *testing.T) {
+	o := testOptions(t)
 	o.Binary = filepath.Join(o.Dir, "nothing")
-	s := smallest()
+	s := smallestSweep()
 	s.Nodes = nil
 	rows := map[string]Row{}
 	if err := s.Run(o, func(r Row) { rows[r.Series] = r }); err != nil {
@@ -97,18 +98,19 @@
 	}
 }
 
-// TestAgainst checks that with another build each point of processes is measured with both, side by side and either first in turn, and that
-// each row is of the build that it says.
-func TestAgainst(t *testing.T) {
-	s := smallest()
-	s.Against = true
+// TestBaseline checks that a sweep with Baseline measures each point with both builds, except for points with
+// PolicyOnly. The two builds must follow each other in an order that alternates by round, and each row must come from
+// the build that it names.
+func TestBaseline(t *testing.T) {
+	s := smallestSweep()
+	s.Baseline = true
 	for round, want := range [][]string{{"executors-of-9", "executors-of-9-against"}, {"executors-of-9-against", "executors-of-9"}} {
 		var got []string
 		for _, pt := range s.points(round) {
 			if strings.HasPrefix(pt.Series, "executors") {
 				got = append(got, pt.Series)
 			}
-			if pt.Against != strings.HasSuffix(pt.Series, "-against") || pt.ModuleOnly && pt.Against {
+			if pt.Baseline != strings.HasSuffix(pt.Series, "-against") || pt.PolicyOnly && pt.Baseline {
 				t.Errorf("%+v", pt)
 			}
 		}
@@ -116,8 +118,8 @@
 			t.Error(diff)
 		}
 	}
-	o := options(t)
-	o.Against = filepath.Join(o.Dir, "nothing")
+	o := testOptions(t)
+	o.BaselineBinary = filepath.Join(o.Dir, "nothing")
 	s.Nodes, s.Tenants = nil, nil
 	rows := map[string]Row{}
 	if err := s.Run(o, func(r Row) { rows[r.Series] = r }); err != nil {
@@ -131,10 +133,10 @@
 	}
 }
 
-// TestBounds checks that a sweep that exceeds a bound is refused with its name.
+// TestBounds checks that a sweep that exceeds a bound is refused with an error that names the bound.
 func TestBounds(t *testing.T) {
 	const files = 20000
-	if err := smallest().check(files); err != nil {
+	if err := smallestSweep().check(files); err != nil {
 		t.Fatal(err)
 	}
 	for name, change := range map[string]func(*Sweep){
@@ -147,21 +149,21 @@
 		"--rungs: 65":                   func(s *Sweep) { s.PriorityLevels = []int{65} },
 		"--rates, starts a second: 0":   func(s *Sweep) { s.Rates = []int{0} },
 		"--rounds: 0":                   func(s *Sweep) { s.Rounds = 0 },
-		"--rounds: all points would":    func(s *Sweep) { s.Rounds, s.Span = 100, time.Minute },
-		"--span":                        func(s *Sweep) { s.Span = 0 },
-		"--work":                        func(s *Sweep) { s.Work = 0 },
+		"--rounds: all points would":    func(s *Sweep) { s.Rounds, s.Window = 100, time.Minute },
+		"--span":                        func(s *Sweep) { s.Window = 0 },
+		"--work":                        func(s *Sweep) { s.TaskDuration = 0 },
 		"--sockets: 30000":              func(s *Sweep) { s.Sockets = 30000 },
 		"places: 100 tasks":             func(s *Sweep) { s.Concurrency = []int{100} },
 		"descriptors: a process":        func(s *Sweep) { s.Nodes, s.MaxRealNodes, s.Sockets = []int{12}, 12, 19000 },
 		"descriptors: the process with": func(s *Sweep) { s.BaseExecutors, s.Rates = 3200, []int{5000} },
 	} {
-		s := smallest()
+		s := smallestSweep()
 		change(&s)
 		if err := s.check(files); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	s := smallest()
+	s := smallestSweep()
 	s.Executors = []int{3200}
 	if err := s.check(1900); err == nil || !strings.Contains(err.Error(), "RLIMIT_NOFILE is 1900") {
 		t.Error(err)
@@ -170,7 +172,7 @@
 	if err := s.check(files); err == nil || !strings.Contains(err.Error(), "descriptors: ") {
 		t.Error(err)
 	}
-	pt := Point{Executors: 6400, HollowNodes: 300, RealNodes: 12, MemoryMB: 192, Rate: 80000}
+	pt := Point{Executors: 6400, StubNodes: 300, RealNodes: 12, MemoryMB: 192, Rate: 80000}
 	if err := s.checkMachine(pt, 1<<20); err == nil || !strings.Contains(err.Error(), "memory: ") {
 		t.Error(err)
 	}
@@ -179,71 +181,74 @@
 		t.Error(err)
 	}
 	if n := totalSlots(3200); n != referenceSlots {
-		t.Errorf("%d places", n)
+		t.Errorf("total slots = %d, want %d", n, referenceSlots)
 	}
 }
 
-// worldOf sets up a point until the test ends, and fails the test if there was a violation.
-func worldOf(t *testing.T, pt Point) *measurement {
+// setUpMeasurement sets up a point for the duration of the test. The test fails if there is a violation.
+func setUpMeasurement(t *testing.T, pt Point) *measurement {
 	t.Helper()
-	w := &measurement{options: options(t), point: pt, epoch: time.Now(), row: Row{Figures: map[string]float64{}}}
+	m := &measurement{options: testOptions(t), point: pt, epoch: time.Now(), row: Row{Figures: map[string]float64{}}}
 	t.Cleanup(func() {
-		for _, c := range slices.Backward(w.cleanups) {
+		for _, c := range slices.Backward(m.cleanups) {
 			c()
 		}
-		if len(w.row.Violations) > 0 {
-			t.Error(w.row.Violations)
+		if len(m.row.Violations) > 0 {
+			t.Error(m.row.Violations)
 		}
 	})
-	if err := w.setUp(); err != nil {
+	if err := m.setUp(); err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return m
 }
 
-// TestFarOver checks that a list of 100,000 entries and 100,000 tenants, far more than planned for, are served or refused without a crash.
-func TestFarOver(t *testing.T) {
-	if f := (&moduleJob{Executors: 16, FleetSize: 9, Tenants: 100000, Rate: 100, Work: time.Millisecond, MaxCPU: 10 * time.Second, Starts: 200}).play(); f.Error != "" || f.Starts == 0 {
+// TestFarAbovePlannedSize checks that a node neither crashes nor hangs far above the planned size: 100,000 tenants must
+// be served, and an endpoint list of 100,000 entries must be used or refused.
+func TestFarAbovePlannedSize(t *testing.T) {
+	if f := (&policyJob{Executors: 16, ClusterSize: 9, Tenants: 100000, Rate: 100, Work: time.Millisecond, MaxCPU: 10 * time.Second, Starts: 200}).play(); f.Error != "" || f.Starts == 0 {
 		t.Errorf("100,000 tenants: %+v", f)
 	}
-	w := worldOf(t, Point{Series: "far-over", Executors: 4, FleetSize: 9, RealNodes: 1, Sockets: 512, MemoryMB: 192})
-	p := w.nodes[0]
+	m := setUpMeasurement(t, Point{Series: "far-above-planned-size", Executors: 4, ClusterSize: 9, RealNodes: 1, Sockets: 512, MemoryMB: 192})
+	p := m.nodes[0]
 	var all []emulator.Entry
 	for i := range 100000 {
 		all = append(all, emulator.Entry{Addr: "127.0.0.1:1", Endpoint: policy.Endpoint{Executor: executorID(i), Zone: policy.ZoneID(i % len(zones)), Weight: 1, StartedLongAgo: true}})
 	}
-	w.discovery.Change(all...)
+	m.discovery.Change(all...)
 	if err := waitFor(readyTimeout, func() bool {
 		log, err := os.ReadFile(filepath.Join(p.dir, "log"))
 		return p.hasMetric("executors_known", len(all)) || err == nil && strings.Contains(string(log), "endpoint list unavailable")
 	}); err != nil {
-		t.Errorf("a list of %d is neither served nor turned down: %v", len(all), err)
+		t.Errorf("an endpoint list of %d entries is neither used nor refused: %v", len(all), err)
 	}
 	if vars, err := p.metrics(); err != nil {
 		t.Error(err)
 	} else {
-		t.Logf("of %d executors %d are known", len(all), vars["executors_known"])
+		t.Logf("of %d executors, the node knows %d", len(all), vars["executors_known"])
 	}
 }
 
-// TestDrainAmongExcluded checks that an executor that an operator has excluded does not disturb the measurement of a drain.
-func TestDrainAmongExcluded(t *testing.T) {
-	w := worldOf(t, Point{Series: "drain", Executors: 4, FleetSize: 9, RealNodes: 1, HollowNodes: 2, Gossip: true, Sockets: 512, MemoryMB: 192})
-	if _, err := admin.Call(w.nodes[0].adminAddress, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
+// TestDrainWithExcludedExecutor checks that an executor that an operator has excluded does not disturb the measurement
+// of a drain.
+func TestDrainWithExcludedExecutor(t *testing.T) {
+	m := setUpMeasurement(t, Point{Series: "drain", Executors: 4, ClusterSize: 9, RealNodes: 1, StubNodes: 2, Gossip: true, Sockets: 512, MemoryMB: 192})
+	if _, err := admin.Call(m.nodes[0].adminAddress, node.ExcludeExecutor, executorID(0), 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.measureDrain(5); err != nil {
+	if err := m.measureDrain(5); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := w.row.Figures["drain_s"]; !ok {
-		t.Error("the drain was not seen to be in force")
+	if _, ok := m.row.Figures["drain_s"]; !ok {
+		t.Error("no figure for the time until the drain took effect")
 	}
-	if vars, err := w.nodes[0].metrics(); err != nil || vars["executors_excluded"] != 2 {
-		t.Errorf("%d executors get nothing new, want the one that drains and the one taken out; %v", vars["executors_excluded"], err)
+	if vars, err := m.nodes[0].metrics(); err != nil || vars["executors_excluded"] != 2 {
+		t.Errorf("%d executors excluded, want the draining one and the one excluded by the operator; error %v", vars["executors_excluded"], err)
 	}
 }
 
-// TestFits checks that a line is found with its spread, and that a figure without a slope is flat.
+// TestFits checks that the fitted line has the expected slope and intercept, and that a figure without a slope is
+// reported as flat with a standard error.
 func TestFits(t *testing.T) {
 	var rows []Row
 	for i, noise := range []float64{0.5, -0.5, 0.5, -0.5, 0.5, -0.5} {
@@ -262,7 +267,7 @@
 	if diff := cmp.Diff(want, got["s/grows"], cmpopts.EquateApprox(0, 1e-9)); diff != "" {
 		t.Error(diff)
 	}
-	if f := got["s/noisy"]; !f.Flat || f.Spread < 0.1 || f.Residual < 0.4 {
+	if f := got["s/noisy"]; !f.Flat || f.SlopeError < 0.1 || f.Residual < 0.4 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/scaletest/wire_test.go
+++ b/internal/scaletest/wire_test.go
@@ -11,23 +11,23 @@
 	"birchstair/internal/golden"
 )
 
-// setAll sets every field of a struct to a value that its JSON form shows, and fields of structs within it likewise.
-func setAll(value reflect.Value) {
+// setAllFields sets every field of a struct, and of structs within it, to a value that is not the zero value.
+func setAllFields(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
 		for i := range value.NumField() {
-			setAll(value.Field(i))
+			setAllFields(value.Field(i))
 		}
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		setAll(value.Elem())
+		setAllFields(value.Elem())
 	case reflect.Slice:
 		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
-		setAll(value.Index(0))
+		setAllFields(value.Index(0))
 	case reflect.Map:
 		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-		setAll(key)
-		setAll(element)
+		setAllFields(key)
+		setAllFields(element)
 		value.Set(reflect.MakeMap(value.Type()))
 		value.SetMapIndex(key, element)
 	case reflect.String:
@@ -43,13 +43,14 @@
 	}
 }
 
-// TestWireForms pins the JSON of results, and of the messages between the processes of a run, with each field set and with none.
+// TestWireForms pins the JSON form of results and of the messages between the processes of a run, with every field set
+// and with none.
 func TestWireForms(t *testing.T) {
 	text := ""
-	for _, message := range []any{&Row{}, &Fit{}, &hollowJob{}, &hollowReady{}, &Counts{}, &moduleFigures{}} {
+	for _, message := range []any{&Row{}, &Fit{}, &stubJob{}, &stubReady{}, &Counts{}, &policyFigures{}} {
 		for _, set := range []bool{false, true} {
 			if set {
-				setAll(reflect.ValueOf(message).Elem())
+				setAllFields(reflect.ValueOf(message).Elem())
 			}
 			line, err := json.Marshal(message)
 			if err != nil {
@@ -58,7 +59,7 @@
 			text += string(line) + "\n"
 			back := reflect.New(reflect.TypeOf(message).Elem()).Interface()
 			if err := json.Unmarshal(line, back); err != nil || !reflect.DeepEqual(back, message) {
-				t.Errorf("%s came back as %+v, %v", line, back, err)
+				t.Errorf("%s was decoded as %+v, error %v", line, back, err)
 			}
 		}
 	}
@@ -68,7 +69,7 @@
 // TestNodeFiles pins the configuration and the operator's file that are written for a node.
 func TestNodeFiles(t *testing.T) {
 	p := &realNode{name: "n1", number: 1, dir: t.TempDir(), clientAddress: "127.9.0.1:8081", adminAddress: "127.9.0.1:8082", gossipAddress: "127.9.0.1:7947", valueScale: 2}
-	if err := p.writeConfig(Point{Seed: 7, FleetSize: 9, PriorityLevels: 3, MemoryMB: 192, Sockets: 512}, "127.0.0.1:9000"); err != nil {
+	if err := p.writeConfig(Point{Seed: 7, ClusterSize: 9, PriorityLevels: 3, MemoryMB: 192, Sockets: 512}, "127.0.0.1:9000"); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.writeSite([]string{"127.9.0.2:7947", "127.9.0.3:7947"}); err != nil {
@@ -87,8 +88,8 @@
 
 // TestPoints pins the points of a round, in their order, with each dimension varied.
 func TestPoints(t *testing.T) {
-	s := smallest()
-	s.PriorityLevels, s.Rates, s.Concurrency, s.Queueing, s.Against, s.Span = []int{1, 64}, []int{50}, []int{100}, []int{400}, true, time.Second
+	s := smallestSweep()
+	s.PriorityLevels, s.Rates, s.Concurrency, s.Queueing, s.Baseline, s.Window = []int{1, 64}, []int{50}, []int{100}, []int{400}, true, time.Second
 	text := ""
 	for _, point := range s.points(1) {
 		line, err := json.Marshal(point)
