--- a/policy/latency.go
+++ b/policy/latency.go
@@ -7,31 +7,47 @@
 )
 
 const (
-	smoothing          = 0.85 // weight of the previous value in a running average when an observation is added
-	paceStep           = 0.05 // weight of a new observation in a kind's pace, for one second of work or more
-	minSampleWeight    = 0.05 // minimum weight of a new running time in the mean work of a job class
-	minPace            = 0.05 // lower bound for a kind's pace
-	waitedFactor       = 5.0  // multiple of inferRunTime above which an attempt without a start notice counts as delayed
-	dedupReplyFraction = 0.1  // a job with a key, done in less than this fraction of its predicted time, was answered from memory
-	minReportedCount   = 0.5  // reported counts are averages; from this value on they count as at least one slot or job
-	minProgress        = 0.02 // minimum completed fraction of an attempt for a progress notice to predict the running time
-	standardPace       = 1    // pace of an executor of which nothing is known
+	// A running average or decaying sum keeps this fraction of its previous value at each update.
+	smoothing = 0.85
+	// Weight of a completed run in its kind's pace; it is less for a run of less than one second of work.
+	paceStep        = 0.05
+	minSampleWeight = 0.05 // minimum weight of a new running time in the mean work of a job class
+	minPace         = 0.05 // lower bound of the pace of an executor kind, in running time per unit of work
+	// An attempt without a start notice counts as delayed if it took more than this multiple of its inferred running
+	// time.
+	waitedFactor = 5.0
+	// A job with an idempotency key counts as answered from the executor's memory, without a new run, if it ends within
+	// this fraction of its predicted running time.
+	dedupReplyFraction = 0.1
+	// Load reports contain averages; a reported number of slots or jobs below this counts as none.
+	minReportedCount = 0.5
+	// A progress notice predicts an attempt's running time only if more than this fraction of the attempt is done.
+	minProgress  = 0.02
+	standardPace = 1 // pace that is assumed where none is known: one second of running time per second of work
 )
 
-// kindStats holds what was observed of the executors of one kind. Executors in slow start count too, but their start
-// notices do not raise concurrency.
+// kindStats holds what was observed of the executors of one kind. Executors in slow start are included, except that
+// their start notices do not raise the field concurrency.
 type kindStats struct {
-	pace                float64 // running time per unit of work
-	size                float64 // mean weight of the kind's executors in the endpoint list
-	reportedSlots       float64 // average number of slots in load reports; 0: no report was received
-	concurrency         int     // number of slots, from load reports or from this node's jobs that ran at the same time
-	exactSlots          float64 // average number of slots in load reports without queued jobs; 0: no such report
-	observedConcurrency int     // most jobs of this node that ran together for at least half of a job's running time
+	pace float64 // running average of the running time per unit of work
+	// Running average of the weights that the kind's executors have in the endpoint list when idle.
+	size float64
+	// Running average of an executor's number of slots, from all load reports; 0: no report has come.
+	reportedSlots float64
+	// Estimated number of an executor's slots: from load reports, or the most jobs of this node seen to run there at
+	// the same time.
+	concurrency int
+	// Running average of an executor's number of slots, only from load reports that show no queued jobs, because these
+	// are exact; 0: no such report has come.
+	exactSlots float64
+	// Most jobs of this node that an executor ran at the same time for at least half of the running time of one of
+	// them.
+	observedConcurrency int
 	index               *kindIndex
 }
 
-// observeRun updates the pace by a completed run, and observedConcurrency by the number of jobs that ran together. The
-// running time and the work are in seconds.
+// observeRun updates the kind's pace and observedConcurrency after a completed run. The running time and the work are
+// in seconds. The concurrency is the number of this node's jobs that ran at the executor at the same time.
 func (k *kindStats) observeRun(runTime, work float64, concurrency int) {
 	k.observedConcurrency = max(k.observedConcurrency, concurrency)
 	k.pace += paceStep * min(1, work) * (runTime/work - k.pace)
@@ -41,8 +57,8 @@
 // observeConcurrency records the number of this node's jobs that run at an executor of the kind at the same time.
 func (k *kindStats) observeConcurrency(running int) { k.concurrency = max(k.concurrency, running) }
 
-// observeReport updates the slots by a load report. The reported number of queued jobs is imprecise, and so are the slots
-// computed from it: only a report without queued jobs counts for exactSlots.
+// observeReport updates the numbers of slots after a load report. The reported number of queued jobs is imprecise, and
+// so is the number of slots computed from it. Therefore only reports without queued jobs change exactSlots.
 func (k *kindStats) observeReport(slots, queued float64) {
 	if k.reportedSlots == 0 {
 		k.reportedSlots = slots
@@ -57,12 +73,12 @@
 
 // estimate holds decaying statistics of an executor's speed.
 type estimate struct {
-	runTime   float64       // sum of running times, in seconds
-	work      float64       // sum of the work done in them, in seconds on a standard core
-	startWait time.Duration // average wait of an attempt at the executor before it starts
+	runTime   float64       // decaying sum of the running times of completed attempts, in seconds
+	work      float64       // decaying sum of the work of completed attempts, in seconds on a standard core
+	startWait time.Duration // running average of how long an attempt waits at the executor before it starts
 }
 
-// observeRun adds a running time and the work done in it, both in seconds.
+// observeRun adds the running time and the work of a completed attempt, both in seconds.
 func (s *estimate) observeRun(runTime, work float64) {
 	s.runTime = s.runTime*smoothing + runTime
 	s.work = s.work*smoothing + work
@@ -72,30 +88,34 @@
 // the executor before it sends more jobs there.
 func (s *estimate) observeStartWait(wait time.Duration) { s.startWait = (s.startWait + wait) / 2 }
 
-// adopt sets the running time and the work done in it, both in seconds, as another process has observed them.
+// adopt sets the sums of running time and of work, both in seconds, to those that another process of this node has
+// observed.
 func (s *estimate) adopt(runTime, work float64) {
 	s.runTime = runTime
 	s.work = work
 }
 
-// adoptStartWait sets the start wait that another process has observed.
+// adoptStartWait sets the start wait to the one that another process of this node has observed. A negative one counts
+// as 0.
 func (s *estimate) adoptStartWait(wait time.Duration) { s.startWait = max(0, wait) }
 
 // forgetStartWait resets the start wait after a restart of the executor.
 func (s *estimate) forgetStartWait() { s.startWait = 0 }
 
-// meanPace returns the running time per unit of work. The kind's pace counts as one more observation, of one unit of work.
+// meanPace returns the executor's running time per unit of work. The pace of its kind counts as one more observation,
+// of one unit of work.
 func (s *estimate) meanPace(kindPace float64) float64 { return (s.runTime + kindPace) / (s.work + 1) }
 
-// decay lowers the weight of past observations. It is called at the end of each interval.
+// decay lowers the weight of past observations. It is called at the end of each quota interval.
 func (s *estimate) decay() {
 	s.startWait = scaled(s.startWait, smoothing)
 	s.runTime *= smoothing
 	s.work *= smoothing
 }
 
-// pace returns the running time that e needs per unit of work, from its estimate and its kind's pace. Attempts that already
-// run longer than predicted count too; otherwise an executor that has slowed down since its last result would look fast.
+// pace returns the running time that e needs per unit of work, from e's own observations and its kind's pace. Attempts
+// that have already run longer than predicted are included. Otherwise an executor that has slowed down since its last
+// result would look fast.
 func (d *Dispatcher) pace(e *executor, now time.Duration) float64 {
 	runTime := e.estimate.runTime + d.endpoints.kinds[e.kind].pace
 	work := e.estimate.work + 1
@@ -117,8 +137,9 @@
 	return runTime / work
 }
 
-// expectedWait returns how long a job sent to e now would wait there before it starts: the observed start wait, or, if this
-// node's attempts alone fill the slots of e's kind, the time until one of these slots is free.
+// expectedWait returns how long a job that is sent to e now is expected to wait there before it starts. If this node's
+// attempts alone fill e's slots, it is the time until one of the slots is free for the job, but at least the observed
+// start wait. Otherwise it is the observed start wait, or more if an attempt at e has not started in time.
 func (d *Dispatcher) expectedWait(e *executor, pace float64, now time.Duration) time.Duration {
 	slots := d.endpoints.kinds[e.kind].concurrency
 	wait := e.estimate.startWait
@@ -128,7 +149,8 @@
 		left := scaled(a.work, pace)
 		if a.running {
 			left -= now - a.startedAt
-			firstFree = min(firstFree, max(left, -left)) // an attempt overdue by some time is expected to need that time again
+			// An overdue attempt is expected to run on for as long as it is overdue already.
+			firstFree = min(firstFree, max(left, -left))
 			continue
 		}
 		queuedTime += left
@@ -147,8 +169,9 @@
 	return max(e.estimate.startWait, firstFree+queuedTime/time.Duration(slots))
 }
 
-// recordRunTime records the running time of a completed attempt of j at e. It ignores answers that the executor remembered
-// for the job's idempotency key: they would make the executor look fast, and it would be overloaded during its slow start.
+// recordRunTime records the running time of a completed attempt of j at e. An answer that the executor remembered for
+// the job's idempotency key is ignored. It would make the executor look fast, and the executor would be overloaded in
+// its slow start.
 func (d *Dispatcher) recordRunTime(j *job, e *executor, ran time.Duration) {
 	kind := d.endpoints.kinds[e.kind]
 	if j.class.idempotency == IdempotentWithKey && ran < scaled(j.work, dedupReplyFraction*kind.pace) {
@@ -188,7 +211,8 @@
 	return best
 }
 
-// LoadReported records a load report that came with an answer. An incomplete report is ignored.
+// LoadReported records a load report that came with an executor's answer. A report that is incomplete or shows no slots
+// is ignored.
 func (d *Dispatcher) LoadReported(id ExecutorID, load Load) {
 	e := d.endpoints.byID[id]
 	slots := load.InFlight - load.Queued + load.FreeSlots
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -6,49 +6,55 @@
 	"time"
 )
 
-// LearnedState is the state that a process has learned and hands to its successor in a hot restart. The two processes have
-// no common clock, so a point in time is given as the time left from the export on. internal/hotrestart encodes it.
+// LearnedState is what a process has learned and passes to its successor in a hot restart. The two processes have no
+// common clock, so a future time is given as the time remaining at the export. Package internal/hotrestart encodes the
+// state.
 type LearnedState struct {
-	Nodes       int // number of nodes in the cluster at the export; 0: same as at the import
+	Nodes       int // number of nodes in the cluster at the export; 0: assumed to be the same at the import
 	Classes     []LearnedClass
 	Kinds       []LearnedKind
 	Executors   []LearnedExecutor
 	MeanValue   float64 // mean value of a job
-	MeanDensity float64 // mean of the jobs' marginal value per second of work
+	MeanDensity float64 // mean marginal value of a job per second of work
 }
 
 // LearnedClass is the learned state of a job class of the current configuration.
 type LearnedClass struct {
-	ID                          JobClassID
-	MeanWork                    time.Duration
-	Samples                     int           // number of running times that MeanWork is computed from
-	FullBudget                  time.Duration // largest time budget that a client has given a job
-	RequestedValue, EarnedValue float64       // decaying sums: all jobs; jobs completed within their objective
-	UnitValue                   float64       // mean value of a job
+	ID       JobClassID
+	MeanWork time.Duration
+	Samples  int // number of running times from which MeanWork is computed
+	// Largest time budget of a job so far: the time that its client waits for the answer.
+	FullBudget time.Duration
+	// Decaying sums of the values of all first tries, and of the jobs completed within their objective.
+	RequestedValue, EarnedValue float64
+	UnitValue                   float64 // mean value of a job of the class
 }
 
 // LearnedKind is the learned state of an executor kind.
 type LearnedKind struct {
-	ID            KindID
-	Pace          float64 // running time per unit of work
-	Size          float64 // mean weight of the kind's executors in the endpoint list
-	ReportedSlots float64 // average number of slots in load reports; 0: no report was received
-	Concurrency   int     // number of slots, from load reports or from the jobs that ran at the same time
+	ID   KindID
+	Pace float64 // running average of the running time per unit of work
+	Size float64 // running average of the weights that the kind's executors have in the endpoint list when idle
+	// Running average of an executor's number of slots, from all load reports; 0: no report had come.
+	ReportedSlots float64
+	// Estimated number of an executor's slots: from load reports, or the most jobs of the node seen to run there at the
+	// same time.
+	Concurrency int
 }
 
-// LearnedExecutor is the learned state of an executor. Of it, only StartWait, EjectedFor and InFlightCap are reset when
-// the executor restarts and begins a slow start.
+// LearnedExecutor is the learned state of an executor. When the executor restarts and begins a slow start, only
+// StartWait, EjectedFor and InFlightCap are reset.
 type LearnedExecutor struct {
 	ID            ExecutorID
 	Quota         int
-	RunTime, Work float64 // decaying sums over its completed attempts, in seconds
+	RunTime, Work float64 // decaying sums of the running times and of the work of completed attempts, in seconds
 	StartWait     time.Duration
-	EjectedFor    time.Duration // remaining time of its ejection
-	InFlightCap   int           // most attempts in flight; 0: no cap
+	EjectedFor    time.Duration // remaining time of the executor's ejection; 0: not ejected
+	InFlightCap   int           // maximum number of attempts in flight at the executor; 0: no cap
 	Timeouts      int           // number of consecutive inactivity timeouts and unanswered health checks
 }
 
-// ExportLearned returns the learned state, sorted by id.
+// ExportLearned returns the learned state of this process. Its classes, kinds and executors are sorted by ID.
 func (d *Dispatcher) ExportLearned(now time.Duration) LearnedState {
 	learned := LearnedState{
 		Nodes:       d.config.nodeCount,
@@ -102,13 +108,13 @@
 	}
 }
 
-// ImportLearned applies the state learned by another process of this node. The caller has translated the class ids to those
-// of this process. Implausible values are ignored, and so are executors that are not in the endpoint list or are in slow
-// start.
+// ImportLearned applies the state that another process of this node has learned. The caller must have translated the
+// class IDs to those of this process. Implausible values are ignored, and so is the state of executors that are in slow
+// start or not in the endpoint list.
 //
-// If the number of nodes has changed, everything is imported but the quotas, the start waits and the value that classes
-// requested and earned. These depend on all nodes together and start afresh: with imported quotas, each node of a
-// larger cluster would send as much as a node of the smaller one did.
+// If the number of nodes has changed, the quotas, the start waits, and the requested and earned values of the classes
+// are not imported. They depend on all nodes together. With imported quotas, for example, each node of a larger cluster
+// would send as much as a node of the smaller one did.
 func (d *Dispatcher) ImportLearned(now time.Duration, learned LearnedState) {
 	sameNodes := learned.Nodes == 0 || learned.Nodes == d.config.nodeCount
 	d.values.adopt(learned.MeanValue, learned.MeanDensity)
@@ -131,7 +137,8 @@
 	d.queue.rescan()
 }
 
-// adopt applies the learned state of a class. The requested and earned values hold only for the same number of nodes.
+// adopt applies the learned state of a class, unless that state is implausible. The requested and earned values are
+// applied only if the number of nodes is the same.
 func (c *jobClass) adopt(in LearnedClass, sameNodes bool) {
 	if in.MeanWork <= 0 || in.UnitValue <= 0 {
 		return
@@ -146,7 +153,7 @@
 	}
 }
 
-// adopt applies the learned state of an executor kind.
+// adopt applies the learned state of an executor kind, unless that state is implausible.
 func (k *kindStats) adopt(in LearnedKind) {
 	if in.Pace > 0 && in.Concurrency > 0 && in.Size > 0 {
 		k.pace = in.Pace
@@ -156,7 +163,8 @@
 	}
 }
 
-// importExecutor applies the learned state of an executor, unless the executor is in slow start.
+// importExecutor applies the learned state of an executor, unless that state is implausible or the executor is in slow
+// start.
 func (d *Dispatcher) importExecutor(e *executor, in LearnedExecutor, sameNodes bool, now time.Duration) {
 	if now < e.slowStart.until || in.Quota < 1 || in.RunTime < 0 || in.Work < 0 {
 		return
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -5,64 +5,71 @@
 	"time"
 )
 
-// If there are many nodes and they may send each other messages, the slots of each executor are leased: one node, the lease
-// holder, grants leases to all nodes. A node requests a lease before it uses a token of the executor, and returns it when it
-// releases the token. If a lease holder does not answer, the node asks a second holder. If that one does not answer either,
-// the node uses the executor without a lease for one interval.
+// In a large cluster whose nodes may send each other messages, the slots of each executor are leased. One node, called
+// the executor's lease holder, grants the leases to all nodes, itself included. A node requests a lease before it uses
+// a token of the executor, and returns the lease when it releases the token. If the lease holder does not answer, the
+// node asks a second lease holder. If that one does not answer either, the node uses the executor without a lease for
+// one interval.
 
 const (
-	maxDelayedStartFraction = 0.1 // fraction of delayed starts below which the lease quota may be raised
-	leaseQuotaCooldown      = 4   // number of intervals for which a lowered lease quota is not raised
-	leaseLifetime           = 2   // number of intervals after which a lease that was not returned expires
-	leaseAnswerDivisor      = 4   // the timeout for a lease request is the shortest objective divided by this
-
-	primaryRetryIntervals = 2 // number of intervals after which a node asks the first lease holder again
+	// A lease quota is raised only if less than this fraction of the jobs had to wait at the executor.
+	maxDelayedStartFraction = 0.1
+	// A lease quota that was lowered is raised again after this number of intervals at the earliest.
+	leaseQuotaCooldown = 4
+	leaseLifetime      = 2 // a lease that is not returned expires after this number of intervals
+	leaseAnswerDivisor = 4 // the timeout for a lease request is the shortest objective divided by this
+
+	primaryRetryIntervals = 2 // a lease holder that did not answer is asked again after this number of intervals
 )
 
-// LeaseMessage is a message between two nodes about a lease of an executor's slot. Its values are part of the wire protocol.
+// LeaseMessage is a message between two nodes about a lease of a slot of an executor. Its values are part of the wire
+// protocol.
 type LeaseMessage byte
 
-// The lease messages. Borrowers send requests, cancels and returns; lease holders send grants and waits.
+// The lease messages. A borrower, which is a node that uses leases, sends requests, cancels and returns. A lease
+// holder, which is the node that grants an executor's leases, sends grants and waits.
 const (
 	LeaseRequest       LeaseMessage = iota + 1 // requests a lease
 	LeaseRequestLate                           // requests a lease for a job past its objective
 	LeaseGrant                                 // grants a requested lease
-	LeaseWait                                  // no lease is available; the request is queued
+	LeaseWait                                  // no lease is available yet; the request is queued
 	LeaseCancel                                // withdraws a queued request
 	LeaseReturn                                // returns a lease
 	LeaseReturnDelayed                         // returns a lease whose job had to wait at the executor
 )
 
-// leaseTable holds this node's lease requests as a borrower, and its ledgers as the lease holder of executors.
+// leaseTable holds this node's own lease requests, and the ledgers of the executors whose leases this node grants.
 type leaseTable struct {
-	wanted     bool        // queued jobs may need leases to be requested at the end of this turn
-	unused     []*executor // executors with a lease granted in this turn, to be returned at its end if no attempt uses it
-	requests   []*executor // executors with a lease request that may be pending
+	wanted bool // at the end of this turn, leases are requested for queued jobs that need one
+	// Executors with a lease granted in this turn; at the end of the turn, leases that no attempt uses are returned.
+	unused     []*executor
+	requests   []*executor // executors for which a lease was requested; some of the requests may have ended since
 	ledgers    map[ExecutorHash]*leaseLedger
-	ledgerList []*leaseLedger // all ledgers, in the order in which they were opened
+	ledgerList []*leaseLedger // all lease ledgers of this node, in the order in which they were opened
 }
 
-// leaseState holds this node's lease request and leases, as a borrower, for one executor.
+// leaseState holds this node's lease request and its leases for one executor.
 type leaseState struct {
-	holder         NodeID        // node that leases are requested from
-	primaryRetryAt time.Duration // time from which the first lease holder is asked again
-	bypassUntil    time.Duration // time until which the executor is used without a lease, since no holder answers
-	requested      bool          // a lease was requested and not granted yet
-	requestedAt    time.Duration
-	queued         bool // the holder has answered that no lease is available yet
-	granted        bool // a lease was granted and no attempt uses it yet
-	inUse          int  // number of leases used by attempts
-	listed         bool // the executor is in leaseTable.requests
-}
-
-// request records that a lease is requested of the holder now.
+	holder         NodeID        // node from which leases of the executor are requested
+	primaryRetryAt time.Duration // time from which leases are requested from the first lease holder again
+	// Time until which the executor is used without a lease, because no lease holder has answered.
+	bypassUntil time.Duration
+	requested   bool // a lease was requested and has not been granted yet
+	requestedAt time.Duration
+	queued      bool // the lease holder has answered that no lease is available yet
+	granted     bool // a lease was granted and no attempt uses it yet
+	inUse       int  // number of leases that attempts use
+	listed      bool // the executor is in leaseTable.requests
+}
+
+// request records that a lease is requested now.
 func (l *leaseState) request(now time.Duration) {
 	l.requested = true
 	l.queued = false
 	l.requestedAt = now
 }
 
-// use marks a granted lease as used by an attempt.
+// use marks the granted lease, if there is one, as used by an attempt.
 func (l *leaseState) use() {
 	if l.granted {
 		l.granted = false
@@ -70,36 +77,39 @@
 	}
 }
 
-// expireRequest drops a request that was not granted within the timeout.
+// expireRequest drops a lease request that was not granted within the timeout.
 func (l *leaseState) expireRequest(now, timeout time.Duration) {
 	l.requested = l.requested && now-l.requestedAt <= timeout
 }
 
-// leaseLedger holds the leases of one executor's slots, and the nodes that wait for one. Its lease holder keeps it.
+// leaseLedger holds the leases of one executor's slots, and the nodes that wait for a lease. It is kept by the
+// executor's lease holder, the node that grants these leases.
 type leaseLedger struct {
-	hash          ExecutorHash
-	quota         int // number of slots that may be leased at the same time; a free slot seen in a health check may be added
-	granted       []lease
-	waiting       []NodeID // nodes that wait for a lease, longest first
-	waitingLate   []NodeID // nodes that wait for a lease for a job past its objective, longest first
-	returns       int      // number of leases returned in this interval
-	delayedStarts int      // number of these leases whose job had to wait at the executor
-	shortage      bool     // a node had to wait for a lease in this interval
-	cooldown      int      // number of intervals until the quota may be raised
+	hash ExecutorHash
+	// Maximum number of leases granted at the same time; a health check that shows a free slot allows one more.
+	quota   int
+	granted []lease
+	waiting []NodeID // nodes that wait for a lease; the one that has waited longest is first
+	// Nodes that wait for a lease for a job past its objective; the one that has waited longest is first.
+	waitingLate   []NodeID
+	returns       int  // number of leases returned in this interval
+	delayedStarts int  // number of leases returned in this interval whose job had to wait at the executor
+	shortage      bool // a node had to wait for a lease in this interval
+	cooldown      int  // number of intervals until the quota can be raised again; 0 or less: it can be raised now
 	grantedAt     time.Duration
-	freeSlotSeen  bool // in this interval a health check showed a free slot while the whole quota was granted
+	freeSlotSeen  bool // in this interval a health check showed a free slot although the whole quota was granted
 }
 
-// lease is a lease of one slot, granted to the borrower.
+// lease is a lease of one slot of an executor, granted to the node borrower.
 type lease struct {
 	borrower  NodeID
 	expiresAt time.Duration
 }
 
-// requestWanted makes the end of this turn request leases for queued jobs.
+// requestWanted schedules lease requests for queued jobs at the end of this turn.
 func (t *leaseTable) requestWanted() { t.wanted = true }
 
-// addRequest adds an executor with a lease request, unless it is in the list already.
+// addRequest adds an executor for which a lease was requested, unless the executor is in the list already.
 func (t *leaseTable) addRequest(e *executor) {
 	if !e.lease.listed {
 		e.lease.listed = true
@@ -107,7 +117,7 @@
 	}
 }
 
-// pending returns the executors with a lease request that is not granted yet, in the order of the subset.
+// pending returns the executors for which a lease is requested and not granted yet, in the order of the subset.
 func (t *leaseTable) pending() []*executor {
 	t.requests = slices.DeleteFunc(t.requests, func(e *executor) bool {
 		e.lease.listed = e.lease.requested
@@ -117,7 +127,7 @@
 	return t.requests
 }
 
-// ledgerFor returns the ledger of an executor whose lease holder is this node, and opens it if there is none.
+// ledgerFor returns the lease ledger of an executor whose leases this node grants. If there is none yet, it opens one.
 func (t *leaseTable) ledgerFor(hash ExecutorHash) *leaseLedger {
 	ledger := t.ledgers[hash]
 	if ledger == nil {
@@ -132,19 +142,20 @@
 // enough of them for subsetting.
 func (d *Dispatcher) leasesSlots() bool { return d.config.canLease && d.usesSubset() }
 
-// leaseHolderOf returns an executor's first lease holder.
+// leaseHolderOf returns an executor's first lease holder: the node that grants its leases unless that node fails.
 func (d *Dispatcher) leaseHolderOf(hash ExecutorHash) NodeID {
 	return NodeID(hash % ExecutorHash(d.config.nodeCount))
 }
 
-// secondLeaseHolderOf returns the lease holder to use while the first one does not answer. It is derived from another hash,
-// so that the executors of a failed lease holder are spread over all nodes. It may be the same node as the first one.
+// secondLeaseHolderOf returns an executor's second lease holder: the node that is asked for leases while the first
+// lease holder does not answer. It is derived from another hash, so that the executors of a failed lease holder are
+// spread over all nodes. For some executors it is the same node as the first lease holder.
 func (d *Dispatcher) secondLeaseHolderOf(hash ExecutorHash) NodeID {
 	return d.leaseHolderOf((hash ^ hash>>16) * goldenRatio32 >> 8)
 }
 
-// leaseAllows reports whether a token of e may be used now as far as leases are concerned, or, with forLease, whether a lease
-// may be requested for e.
+// leaseAllows reports whether the state of e's leases allows the use of a token of e now. With forLease it reports
+// instead whether this state allows a lease request for e.
 func (d *Dispatcher) leaseAllows(e *executor, now time.Duration, forLease bool) bool {
 	if !d.leasesSlots() {
 		return !forLease
@@ -156,8 +167,8 @@
 	return e.lease.granted || bypassed
 }
 
-// exchangeLeases is called at the end of a turn. It returns unused leases, cancels queued requests if no job is queued any
-// more, and requests leases for queued jobs.
+// exchangeLeases is called at the end of a turn. It returns unused leases and requests leases for queued jobs. If no
+// job is queued any more, it cancels the requests that wait for a lease.
 func (d *Dispatcher) exchangeLeases(now time.Duration) {
 	d.returnUnusedLeases(now)
 	if d.queue.empty() {
@@ -179,7 +190,7 @@
 	}
 }
 
-// awaitsLease reports whether a lease was requested for j and the lease holder has not answered yet.
+// awaitsLease reports whether a lease was requested for j and the request has not been answered yet.
 func (j *job) awaitsLease() bool {
 	from := j.leaseRequestedFrom
 	return from != nil && from.lease.requested && !from.lease.queued
@@ -197,7 +208,8 @@
 	d.leases.unused = d.leases.unused[:0]
 }
 
-// cancelLeaseRequests cancels the requests that a lease holder has queued.
+// cancelLeaseRequests cancels this node's lease requests that wait in the queue of a lease holder. It is limited to
+// executors in the subset.
 func (d *Dispatcher) cancelLeaseRequests(now time.Duration) {
 	for _, e := range d.leases.pending() {
 		if e.indexed.subsetRank >= 0 && e.lease.queued {
@@ -208,8 +220,8 @@
 	}
 }
 
-// requestLease requests a lease of one of e's slots for j. The first lease holder is asked again once primaryRetryAt has
-// passed and no lease of the second one is in use.
+// requestLease requests a lease of one of e's slots for j. The request goes to the first lease holder again once
+// primaryRetryAt has passed and no attempt uses a lease of e that the second lease holder granted.
 func (d *Dispatcher) requestLease(j *job, e *executor, now time.Duration) {
 	if now >= e.lease.primaryRetryAt && e.lease.inUse == 0 {
 		e.lease.holder = d.leaseHolderOf(e.hash)
@@ -226,7 +238,7 @@
 	d.sendLease(now, e.lease.holder, message, e.hash)
 }
 
-// ReceiveLeaseMessage handles a lease message from another node about an executor's slots.
+// ReceiveLeaseMessage handles a lease message from another node about the slots of the executor with the given hash.
 func (d *Dispatcher) ReceiveLeaseMessage(now time.Duration, from NodeID, message LeaseMessage, hash ExecutorHash) {
 	switch message {
 	case LeaseGrant, LeaseWait:
@@ -242,8 +254,8 @@
 	}
 }
 
-// receiveLeaseAnswer handles a lease holder's answer to a request of this node. A grant without a pending request to that
-// holder is returned at once.
+// receiveLeaseAnswer handles a lease holder's answer to a lease request of this node. If this node has no pending
+// request to that lease holder, a granted lease is returned at once.
 func (d *Dispatcher) receiveLeaseAnswer(now time.Duration, from NodeID, message LeaseMessage, hash ExecutorHash) {
 	e := d.endpoints.byHash[hash]
 	if e == nil || !e.lease.requested || e.lease.holder != from {
@@ -263,8 +275,9 @@
 	}
 }
 
-// receiveLeaseRequest handles a request as the lease holder. It grants a lease, or queues the request and sends the executor
-// a health check, which may show a free slot beyond the quota.
+// receiveLeaseRequest handles a lease request for an executor whose leases this node grants. It grants a lease or
+// queues the request. After it has queued the request, it sends the executor a health check, because the executor may
+// have a free slot beyond the quota.
 func (d *Dispatcher) receiveLeaseRequest(now time.Duration, from NodeID, pastObjective bool, hash ExecutorHash) {
 	ledger := d.leases.ledgerFor(hash)
 	ledger.addWaiting(from, pastObjective)
@@ -279,8 +292,9 @@
 	}
 }
 
-// grantFreeSlot grants one more lease after a health check has shown a free slot, if this node has the executor's ledger. It
-// grants none within the shortest objective after the last grant, as that lease may not show in the executor's load yet.
+// grantFreeSlot grants one more lease to a waiting node after a health check has shown a free slot, if this node grants
+// the executor's leases. It grants none within the shortest objective after the last grant, because the reported load
+// may not include the job of that grant yet.
 func (d *Dispatcher) grantFreeSlot(hash ExecutorHash, now time.Duration) {
 	ledger := d.leases.ledgers[hash]
 	if ledger == nil || now-ledger.grantedAt < d.classes.shortestObjective {
@@ -292,8 +306,9 @@
 }
 
 // checkLeaseRequests handles lease requests that were not answered within the shortest objective divided by
-// leaseAnswerDivisor. If the first lease holder did not answer, the next request goes to the second one. If the second one
-// did not answer either, the executor is used without a lease for one interval.
+// leaseAnswerDivisor. If the first lease holder did not answer, the next request goes to the second one. If the second
+// one did not answer either, the executor is used without a lease for one interval. If both are the same node, the
+// requests to it are repeated instead.
 func (d *Dispatcher) checkLeaseRequests(now time.Duration) {
 	for _, e := range d.leases.pending() {
 		unanswered := !e.lease.queued && now-e.lease.requestedAt >= d.classes.shortestObjective/leaseAnswerDivisor
@@ -312,8 +327,9 @@
 	}
 }
 
-// grantLeases grants leases to the nodes that have waited longest, up to the limit. It first drops the leases that were not
-// returned within leaseLifetime intervals: their node has failed, or its message was lost.
+// grantLeases grants leases to the nodes that have waited longest, until the number of granted leases reaches the
+// limit. Before that, it drops the leases that were not returned within leaseLifetime intervals, because the borrower
+// has failed or its message was lost.
 func (d *Dispatcher) grantLeases(ledger *leaseLedger, limit int, now time.Duration) {
 	ledger.granted = slices.DeleteFunc(ledger.granted, func(l lease) bool { return l.expiresAt <= now })
 	for ledger.anyWaiting() && len(ledger.granted) < limit {
@@ -324,7 +340,8 @@
 	}
 }
 
-// adjustLeaseQuotas adjusts the quotas of this node's ledgers at the end of an interval.
+// adjustLeaseQuotas adjusts the lease quotas of the executors whose leases this node grants, at the end of an interval.
+// It grants the leases that the new quotas allow.
 func (d *Dispatcher) adjustLeaseQuotas(now time.Duration) {
 	for _, ledger := range d.leases.ledgerList {
 		ledger.adjustQuota(d.config.canCheckHealth)
@@ -341,8 +358,8 @@
 	d.outbox = append(d.outbox, DueTask{Task: SendLeaseMessage, Node: to, Message: message, Hash: hash})
 }
 
-// returnLease returns a lease of e that is in use, if there is one. waitedAtExecutor tells the lease holder whether the job had
-// to wait at e.
+// returnLease returns a lease of e that an attempt used, if there is one. The message says whether the job had to wait
+// at e (waitedAtExecutor).
 func (d *Dispatcher) returnLease(e *executor, now time.Duration, waitedAtExecutor bool) {
 	if e.lease.inUse == 0 {
 		return
@@ -355,10 +372,10 @@
 	d.sendLease(now, e.lease.holder, message, e.hash)
 }
 
-// adjustQuota changes the quota by at most one, following the RAIN design's rule for executors' quotas. It is lowered
-// if too many jobs had to wait at the executor. It is raised if nodes had to wait for a lease while few jobs had to
-// wait at the executor. If executors answer health checks, one of these must also have shown a free slot. After the
-// quota was lowered it is not raised for leaseQuotaCooldown intervals.
+// adjustQuota changes the lease quota by at most one, like the rule of the RAIN design for quotas of executors. The
+// quota is lowered if too many jobs had to wait at the executor. It is raised if nodes had to wait for a lease while
+// few jobs had to wait at the executor. If executors answer health checks, a health check must also have shown a free
+// slot. After the quota was lowered, it is raised after leaseQuotaCooldown intervals at the earliest.
 func (l *leaseLedger) adjustQuota(canProbe bool) {
 	l.cooldown--
 	delayedFraction := float64(l.delayedStarts) / max(float64(l.returns), 1)
@@ -375,7 +392,8 @@
 	l.freeSlotSeen = false
 }
 
-// addWaiting queues a node for a lease, unless it is queued already. Nodes with a job past its objective come after all others.
+// addWaiting queues a node for a lease, unless the node is queued already. Nodes that want a lease for a job past its
+// objective come after all others.
 func (l *leaseLedger) addWaiting(node NodeID, pastObjective bool) {
 	if l.isWaiting(node) {
 		return
@@ -387,7 +405,7 @@
 	}
 }
 
-// removeWaiting removes a node from the queue.
+// removeWaiting removes a node from the queue for leases.
 func (l *leaseLedger) removeWaiting(node NodeID) {
 	isNode := func(other NodeID) bool { return other == node }
 	l.waiting = slices.DeleteFunc(l.waiting, isNode)
@@ -402,7 +420,7 @@
 // anyWaiting reports whether any node is queued for a lease.
 func (l *leaseLedger) anyWaiting() bool { return len(l.waiting)+len(l.waitingLate) > 0 }
 
-// popWaiting removes the next node from the queue and returns it. The queue must not be empty.
+// popWaiting removes the node that is next in the queue for leases, and returns it. The queue must not be empty.
 func (l *leaseLedger) popWaiting() NodeID {
 	from := &l.waiting
 	if len(l.waiting) == 0 {
@@ -413,7 +431,8 @@
 	return node
 }
 
-// recordReturn records a returned lease. A lease that has already expired also counts for the adjustment of the quota.
+// recordReturn records a returned lease. A lease that has expired before its return is also counted, for the adjustment
+// of the quota.
 func (l *leaseLedger) recordReturn(from NodeID, waitedAtExecutor bool) {
 	l.returns++
 	if waitedAtExecutor {
--- a/policy/random.go
+++ b/policy/random.go
@@ -15,7 +15,7 @@
 	return Random(r.seed, r.count)
 }
 
-// Random returns the random number, from 0 to 1, for a seed and a counter.
+// Random returns the random number, from 0 to 1, that belongs to a seed and a counter.
 func Random(seed, count uint32) float64 {
 	var key [8]byte
 	binary.LittleEndian.PutUint32(key[:4], seed)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// retryAllowed reports whether another attempt of j can't have a duplicate effect (rule 2). That is so if no earlier attempt
-// may have run, if j is idempotent, or, for a job with an idempotency key, while executors remember the key. An at-most-once
-// job that may have run is never retried.
+// retryAllowed reports whether another attempt of j certainly has no duplicate effect (rule 2). That is so if certainly
+// no earlier attempt has run, or if j is idempotent. For a job with an idempotency key, it is also so while the
+// executors remember the key. An at-most-once job is never retried after an attempt that has possibly run.
 func (d *Dispatcher) retryAllowed(j *job, now time.Duration) bool {
 	if j.mayHaveRun == nil {
 		return true
@@ -18,15 +18,16 @@
 	return false
 }
 
-// rejectionAllowed reports whether j may be rejected, which invites its client to retry: no attempt may have run, or
-// another one can't have a duplicate effect at any executor.
+// rejectionAllowed reports whether it is safe to reject j. The client retries a rejected job, so a rejection is safe
+// only if certainly no attempt of j has run, or if running j again at any executor has no duplicate effect.
 func (j *job) rejectionAllowed() bool {
 	return j.mayHaveRun == nil || j.class.idempotency == Idempotent ||
 		j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors
 }
 
-// inDedupGroup reports whether e is in the dedup group of j's attempt that may have run, so that a retry at e can't have a
-// duplicate effect. It is true for every executor if no attempt may have run or if j is idempotent.
+// inDedupGroup reports whether e is in the dedup group of the attempt of j that has possibly run. Executors of this
+// group recognize a retry as a duplicate, so a retry at e has no duplicate effect. The result is true for every
+// executor if certainly no attempt has run or if j is idempotent.
 func (j *job) inDedupGroup(e *executor) bool {
 	if j.mayHaveRun == nil || j.class.idempotency == Idempotent {
 		return true
@@ -42,7 +43,8 @@
 	return false
 }
 
-// boundToDedupGroup reports whether j may only be retried in the dedup group of its earlier attempt.
+// boundToDedupGroup reports whether j can be retried only in one zone or cell: the dedup group of an earlier attempt
+// that has possibly run.
 func (d *Dispatcher) boundToDedupGroup(j *job) bool {
 	return j.mayHaveRun != nil && j.class.idempotency == IdempotentWithKey && j.class.dedupGroup != DedupAllExecutors
 }
