--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -6,62 +6,73 @@
 )
 
 const (
-	levelsPerOctave   = 2    // priority levels for each doubling of the value density
-	minWorkSeconds    = 1e-6 // lower bound of a job's work, in seconds, in its value density and in the load summary
-	minDensity        = 1e-9 // lower bound of a value density from which a priority level is computed
-	minSecondsPerWork = 1e-9 // lower bound of the divisor in the estimate of an executor's capacity, in seconds
-	lowSlackDivisor   = 2    // a job has low slack if less than its full slack divided by this is left when it arrives
+	levelsPerOctave = 2 // number of priority levels for each doubling of the value density
+	// Least work of a job, in seconds, in the computation of its value density and of the offered load.
+	minWorkSeconds    = 1e-6
+	minDensity        = 1e-9 // a value density below this is raised to it before its priority level is computed
+	minSecondsPerWork = 1e-9 // least running time, in seconds, that the estimate of an executor's capacity divides by
+	lowSlackDivisor   = 2    // a job has low slack if, when it arrives, less than its full slack divided by this is left
 )
 
-// PriorityLevels is the number of priority levels, which are ranges of the value density (value per second of work).
+// PriorityLevels is the number of priority levels. Each level is a range of value densities (value per second of work).
 const PriorityLevels = 64
 
 // LoadSummary is a node's load since its previous summary. Work is in seconds on a standard core.
 type LoadSummary struct {
-	Offered    [PriorityLevels]float64 // work of the jobs that arrived, by priority level, without jobs of low slack
-	Admitted   float64                 // work of the jobs that arrived and were not shed, without jobs of low slack
-	Completed  float64                 // work of the jobs that were completed
-	Migrations float64                 // work of the attempts that would be migrated if migrations were not limited
-	Expired    float64                 // work of the jobs given up with attempts left, after a wait here or at an executor
-	Waiting    float64                 // work of the jobs that wait now, here or at an executor, each divided by its slack
-	Capacity   float64                 // work per second that all available executors of the endpoint list can do
-}
-
-// AdmissionThreshold says which jobs the cluster has no capacity for: jobs below Level are shed, and so are jobs of Level
-// itself except for a random fraction. The zero value sheds nothing.
+	// Work of the jobs that arrived, by priority level; jobs with low slack are left out.
+	Offered   [PriorityLevels]float64
+	Admitted  float64 // work of the jobs that arrived and were not shed; jobs with low slack are left out
+	Completed float64 // work of the jobs that were completed
+	// Work of the unstarted attempts that would be migrated if neither MigrationDelay nor the cost of crossing zones
+	// limited migrations.
+	Migrations float64
+	// Work of the jobs that were rejected or failed after a wait although they had attempts left; jobs with low slack
+	// are left out.
+	Expired float64
+	// Sum of work divided by slack, over the jobs that wait now: at an executor, or in this node's queue and not late.
+	Waiting  float64
+	Capacity float64 // seconds of work per second that all available executors in the endpoint list can do together
+}
+
+// AdmissionThreshold says for which jobs the cluster has no capacity. Jobs of a priority level below Level are shed. Of
+// the jobs of Level itself, a random fraction is admitted and the others are shed. The zero value sheds no job.
 type AdmissionThreshold struct {
-	Level          int     // priority level below which all jobs are shed; 0: no job is shed
-	AdmitFraction  float64 // fraction of the jobs of priority level Level that are admitted, 0 to 1
-	MigrationDelay float64 // fraction of its slack that an unstarted attempt waits before it is migrated, 0 to 1
+	Level         int     // priority level below which all jobs are shed; 0: no job is shed
+	AdmitFraction float64 // fraction of the jobs of priority level Level that is admitted, 0 to 1
+	// An attempt that has not started is migrated only after this fraction of its slack has passed, 0 to 1.
+	MigrationDelay float64
 }
 
 // loadShedding holds the load that this node reports to the cluster, and the admission threshold that the cluster has set.
 type loadShedding struct {
-	reportsLoad bool               // the cluster has asked for a load summary, so that the threshold applies
+	// A load summary was taken at least once; the threshold applies to jobs that arrive from then on.
+	reportsLoad bool
 	threshold   AdmissionThreshold // current threshold of the cluster
 	summary     LoadSummary        // load since the last summary was taken
 }
 
-// recordOffered adds the work of a job that arrived. Jobs of low slack, often retries of clients, are left out: they may
-// find no token in time even if most tokens are free, so they say nothing about the capacity of the cluster.
+// recordOffered adds to the load summary the work of a job that arrived. Jobs with low slack, which are often retries
+// of clients, are left out. Such a job may find no token in time even if most tokens are free, so it says nothing about
+// the capacity of the cluster.
 func (s *loadShedding) recordOffered(j *job, level int) {
 	if !j.lowSlack {
 		s.summary.Offered[level] += max(j.work.Seconds(), minWorkSeconds)
 	}
 }
 
-// recordAdmitted adds the work of a job that was not shed. Jobs of low slack are left out as in recordOffered.
+// recordAdmitted adds to the load summary the work of a job that was not shed. Jobs with low slack are left out, for
+// the same reason as in recordOffered.
 func (s *loadShedding) recordAdmitted(j *job) {
 	if !j.lowSlack {
 		s.summary.Admitted += j.work.Seconds()
 	}
 }
 
-// recordCompleted adds the work of a job that was completed.
+// recordCompleted adds to the load summary the work of a job that was completed.
 func (s *loadShedding) recordCompleted(j *job) { s.summary.Completed += j.work.Seconds() }
 
-// recordMigration adds the work of an attempt that would be migrated if migrations were not limited. It counts each attempt
-// only once.
+// recordMigration adds to the load summary the work of an attempt that would be migrated if migrations were not
+// limited. Each attempt is counted only once.
 func (s *loadShedding) recordMigration(a *attempt) {
 	if !a.migrationCounted {
 		a.migrationCounted = true
@@ -69,7 +80,8 @@
 	}
 }
 
-// takeSummary returns the summary and begins a new one. The threshold applies to jobs that arrive after the first call.
+// takeSummary returns the load summary and begins a new one. The admission threshold applies to jobs that arrive after
+// the first call.
 func (s *loadShedding) takeSummary() LoadSummary {
 	taken := s.summary
 	s.summary = LoadSummary{}
@@ -77,9 +89,9 @@
 	return taken
 }
 
-// belowThreshold reports whether j, which arrives now, is shed because the cluster has no capacity for its priority level,
-// and adds j to the load summary. Without a common threshold, one node would admit jobs of low value while jobs of high
-// value find no token at another node.
+// belowThreshold reports whether j, which arrives now, is shed because the cluster has no capacity for j's priority
+// level. It also adds j to the load summary. All nodes use the same threshold. With different thresholds, one node
+// would admit jobs of low value while jobs of high value find no token at another node.
 func (d *Dispatcher) belowThreshold(j *job) bool {
 	level := d.priorityLevel(j)
 	j.lowSlack = j.objectiveAt-d.clock.now-j.work < j.slack()/lowSlackDivisor
@@ -91,31 +103,33 @@
 	return false
 }
 
-// admits reports whether the threshold admits a job of the given priority level. On the threshold's own level a random
-// fraction is admitted, but no jobs of low slack. A random number is drawn for each job of that level that has no low
-// slack, even if the level is 0 and nothing is shed.
+// admits reports whether the admission threshold admits a job of the given priority level. Of the jobs of the
+// threshold's own level, those with low slack are shed, and a random fraction of the others is admitted. If the
+// threshold's level is 0, no job is shed. Even then, a random number is drawn for each job of level 0 without low
+// slack.
 func (d *Dispatcher) admits(j *job, level int) bool {
 	threshold := d.shedding.threshold
 	inAdmittedFraction := level == threshold.Level && !j.lowSlack && d.rng.next() < threshold.AdmitFraction
 	return threshold.Level == 0 || level > threshold.Level || inAdmittedFraction
 }
 
-// shedsRetry reports whether j, after attempts that all provably never ran, is now below the admission threshold. While the
-// cluster is overloaded, a retry of such a job would use capacity that jobs of higher value need.
+// shedsRetry reports whether j is shed instead of being retried. That is so if j was attempted, certainly no attempt of
+// it has run, and its priority level is now below the admission threshold. The cluster is overloaded then, and a retry
+// of j would use capacity that jobs of higher value need.
 func (d *Dispatcher) shedsRetry(j *job) bool {
 	return j.attemptCount > 0 && j.mayHaveRun == nil && d.shedding.threshold.Level > d.priorityLevel(j)
 }
 
-// priorityLevel returns the level of j's value density, 0 to PriorityLevels-1. The scale is logarithmic: the middle level
-// stands for a density of 1, and each doubling adds levelsPerOctave levels. The value is reduced for a tenant over its
-// quota.
+// priorityLevel returns the priority level of j's value density, 0 to PriorityLevels-1. The scale is logarithmic: the
+// middle level stands for a density of 1, and each doubling of the density adds levelsPerOctave levels. The value of j
+// is reduced if j's tenant is over its quota.
 func (d *Dispatcher) priorityLevel(j *job) int {
 	density := d.valueOf(j) / max(j.work.Seconds(), minWorkSeconds) * d.tenantFactor(j.tenant)
 	level := PriorityLevels/2 + int(math.Round(levelsPerOctave*math.Log2(max(density, minDensity))))
 	return min(max(0, level), PriorityLevels-1)
 }
 
-// TakeLoadSummary returns this node's load since the last call, with the waiting work and the capacity as of now.
+// TakeLoadSummary returns this node's load since the last call. The waiting work and the capacity are those of now.
 func (d *Dispatcher) TakeLoadSummary(now time.Duration) LoadSummary {
 	summary := d.shedding.takeSummary()
 	summary.Waiting = d.waitingWork()
@@ -123,14 +137,15 @@
 	return summary
 }
 
-// SetAdmissionThreshold sets the cluster's threshold. Jobs that were already admitted are not shed, except instead of a
-// retry after attempts that never ran.
+// SetAdmissionThreshold sets the admission threshold of the cluster. A job that was already admitted is shed only in
+// place of a retry, and only if certainly no attempt of it has run.
 func (d *Dispatcher) SetAdmissionThreshold(threshold AdmissionThreshold) {
 	d.shedding.threshold = threshold
 }
 
-// waitingWork returns the sum, over the jobs that wait here or at an executor, of work divided by slack: a job with little
-// slack that has to wait is a stronger sign of missing capacity.
+// waitingWork returns the sum of work divided by slack, over the jobs that wait in this node's queue or, if executors
+// send start notices, at an executor. Late jobs in the queue are left out. A waiting job with little slack counts more,
+// because it is a stronger sign of missing capacity.
 func (d *Dispatcher) waitingWork() float64 {
 	waiting := 0.0
 	for _, j := range d.queue.onTime {
@@ -149,8 +164,9 @@
 	return waiting
 }
 
-// estimateCapacity returns the work per second that the available executors of the endpoint list can do, computed from
-// their slots and paces.
+// estimateCapacity returns the work per second that the available executors in the endpoint list can do together. It is
+// computed from their slots and paces. Of an executor in slow start, only the capacity that it is sure to have is
+// counted.
 func (d *Dispatcher) estimateCapacity(now time.Duration) float64 {
 	capacity := 0.0
 	for _, e := range d.endpoints.ranked {
@@ -167,9 +183,9 @@
 	return capacity
 }
 
-// recordExpired adds the work of a job that is rejected or fails although it has attempts left, whether or not an attempt
-// was sent before. A job that arrived with low slack, or at most a quantum ago, has hardly waited and is left out: a
-// threshold that is raised for such jobs would rise without end.
+// recordExpired adds to the load summary the work of a job that is rejected or fails although it has attempts left,
+// whether or not an attempt was sent before. A job that arrived with low slack, or at most a quantum ago, is left out,
+// because it has hardly waited. If the threshold were raised for such jobs, it would rise without end.
 func (d *Dispatcher) recordExpired(j *job) {
 	waited := d.clock.now-j.arrivedAt > d.config.quantum
 	if !j.lowSlack && waited && j.attemptCount < j.class.maxAttempts {
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -3,14 +3,19 @@
 import "time"
 
 const (
-	slowProgressFactor = 2.0 // an attempt or executor is slow if its pace is at least this multiple of the executor kind's pace
-	maxMigrationCost   = 0.1 // largest cost of a migration to another zone, as a fraction of the job's value
-	migrationGain      = 2   // a started attempt is migrated if it needs more than this multiple of the running time elsewhere
+	// An attempt or executor counts as slow if its pace is at least this multiple of the pace of the executor's kind.
+	slowProgressFactor = 2.0
+	// A job is migrated to another zone only if the cost of crossing zones is below this fraction of its marginal
+	// value.
+	maxMigrationCost = 0.1
+	// A started attempt is migrated if its expected remaining time is more than this multiple of its running time at
+	// the other executor.
+	migrationGain = 2
 )
 
-// reviewAttempt reports whether to cancel an attempt: its job is finished, it can't yield value any more, or the job is
-// migrated to another executor. It also requests health checks of inactive executors and hedges, and schedules the
-// attempt's next review.
+// reviewAttempt reports whether to cancel an attempt: its job is finished, the attempt can't yield value any more, or
+// the job is to be migrated to another executor. If necessary, it also requests a health check of the executor, or a
+// hedge for the job. As long as the job is not finished, it schedules the attempt's next review.
 func (d *Dispatcher) reviewAttempt(a *attempt, now time.Duration) bool {
 	if a.canceling || !d.config.canCancel {
 		return false
@@ -18,7 +23,8 @@
 	d.checkInactiveExecutor(a, now)
 	idempotent := a.class.idempotency == Idempotent
 	if a.finished {
-		return !a.running || idempotent // the client may rely on a started job that is not idempotent
+		// A started job that is not idempotent is not canceled, because its client may rely on its effect.
+		return !a.running || idempotent
 	}
 	remaining := d.remainingAtSlowPace(a, now)
 	d.timers.checkAttempt(now+max(remaining, d.classes.checkInterval), a)
@@ -39,9 +45,9 @@
 	return d.shouldMigrate(a, pace, now)
 }
 
-// checkInactiveExecutor requests a health check of the executor of an attempt if nothing has arrived from it for longer
-// than the attempt should take. For an attempt that has not started, the inactivity timeout is at least the time for
-// which it waits before it is migrated (MigrationDelay).
+// checkInactiveExecutor requests a health check of an attempt's executor if nothing has arrived from the executor for
+// longer than the attempt should take. For an attempt that has not started, this inactivity timeout is at least
+// MigrationDelay times the slack that the job had when the attempt was sent.
 func (d *Dispatcher) checkInactiveExecutor(a *attempt, now time.Duration) {
 	e := a.executor
 	inactivityTimeout := scaled(a.work, d.endpoints.kinds[e.kind].pace)
@@ -54,9 +60,9 @@
 	}
 }
 
-// remainingAtSlowPace returns how long a started attempt may still run before it counts as slow, which is when it has run
-// for slowProgressFactor times the usual running time of its executor's kind. The result is negative if it has run
-// longer, and 0 if it has not started.
+// remainingAtSlowPace returns the time until a started attempt counts as slow. An attempt counts as slow when it has
+// run for slowProgressFactor times the running time that is usual for its work at executors of that kind. The result is
+// negative if the attempt counts as slow already, and 0 if the attempt has not started.
 func (d *Dispatcher) remainingAtSlowPace(a *attempt, now time.Duration) time.Duration {
 	if !a.running {
 		return 0
@@ -65,8 +71,8 @@
 	return scaled(a.work, slowProgressFactor*usualPace) - (now - a.startedAt)
 }
 
-// paceForCheck returns the executor's pace in the review of an attempt. Without the client's estimate of the work, a long
-// running time may be due to the job and not to the executor, so attempts that are still running are not counted.
+// paceForCheck returns the pace of a's executor that the review of a uses. Attempts that are still running are included
+// only if the client estimated a's work. Otherwise a long running time may be due to the job and not to the executor.
 func (d *Dispatcher) paceForCheck(a *attempt, now time.Duration) float64 {
 	if a.hasClientEstimate {
 		return d.pace(a.executor, now)
@@ -74,8 +80,9 @@
 	return a.executor.estimate.meanPace(d.endpoints.kinds[a.executor.kind].pace)
 }
 
-// isStuck reports whether an attempt makes no or slow progress: its executor is unresponsive, or the attempt has run longer
-// than remainingAtSlowPace allows and the executor is ejected, is slow, or sent no progress notices for too long.
+// isStuck reports whether an attempt makes no progress or slow progress. That is so if its executor is unresponsive. It
+// is also so if the attempt counts as slow (remainingAtSlowPace) and its executor is ejected, is slow, or has sent no
+// progress notice for too long.
 func (d *Dispatcher) isStuck(a *attempt, pace float64, remaining, now time.Duration) bool {
 	e := a.executor
 	if e.health.unresponsive {
@@ -85,16 +92,17 @@
 	return remaining < 0 && (e.health.isEjected(now) || a.tokenReleased || slow)
 }
 
-// missesObjective reports whether an attempt that starts now would end after its objective, and its class has no late
-// value.
+// missesObjective reports whether an attempt that started now would end too late to yield value: after its objective,
+// and its class has no late value.
 func (d *Dispatcher) missesObjective(a *attempt, pace float64, now time.Duration) bool {
 	return a.class.lateValue == 0 && now > a.objectiveAt-scaled(a.work, pace)
 }
 
-// shouldMigrate reports whether to cancel an attempt because another executor has a token for the job. An attempt that has
-// started is migrated only if it would need much longer where it is. An attempt that has not started is migrated only after
-// migrationStart, or at once if its executor is ejected or unresponsive, and to another zone only if the cost of crossing
-// zones is small compared with the job's value.
+// shouldMigrate reports whether to cancel an attempt because another executor has a token for the job. A started
+// attempt is migrated only if its expected remaining time is more than migrationGain times its running time at the
+// other executor. An attempt that has not started is migrated after migrationStart, or at once if its executor is
+// ejected or unresponsive. Its migration to another zone also requires that the cost of crossing zones is small
+// compared with the job's value (maxMigrationCost).
 func (d *Dispatcher) shouldMigrate(a *attempt, pace float64, now time.Duration) bool {
 	target := d.migrationTarget(a, now)
 	if target == nil {
@@ -113,9 +121,10 @@
 	return d.remoteSide(target) == 0 || d.config.crossZoneCost < maxMigrationCost*d.marginalValue(a.job)
 }
 
-// migrationStart returns the earliest time at which an attempt that has not started may be migrated. Most attempts start
-// without a migration, so it first waits for the fraction of its slack that the cluster sets as MigrationDelay. If there is
-// no information on whether the target is less loaded, it waits for at least the longest mean running time.
+// migrationStart returns the earliest time at which an attempt that has not started is migrated. Most attempts start
+// without a migration, so the attempt first waits for a fraction of its slack, which the cluster sets as
+// MigrationDelay. If nothing is known about the load of the target, the attempt waits for at least the longest mean
+// running time of a job class.
 func (d *Dispatcher) migrationStart(a *attempt, target *executor, pace float64) time.Duration {
 	slack := a.objectiveAt - a.sentAt - scaled(a.work, pace)
 	delay := max(0, scaled(slack, d.shedding.threshold.MigrationDelay))
@@ -126,8 +135,8 @@
 	return a.sentAt + delay
 }
 
-// migrationTarget returns the executor that the job would be sent to if the attempt were canceled now, or nil. A canceled
-// attempt may have run, so the executor must be eligible for such a retry.
+// migrationTarget returns the executor that the job would be sent to if the attempt were canceled now, or nil if there
+// is none. A canceled attempt may have run, so the target must be an executor at which a retry has no duplicate effect.
 func (d *Dispatcher) migrationTarget(a *attempt, now time.Duration) *executor {
 	if a.mayHaveRun == nil {
 		a.mayHaveRun = a
@@ -136,8 +145,9 @@
 	return d.pickExecutor(a.job, now, false)
 }
 
-// remaining returns how much longer a started attempt is expected to run: as its last progress notice predicts, or, without
-// one, as long as it has run until now.
+// remaining returns how much longer a started attempt is expected to run. If its last progress notice shows more than
+// minProgress, the result is the remaining time that this notice predicted. Otherwise the attempt is expected to run on
+// for as long as it has run until now.
 func (a *attempt) remaining(now time.Duration) time.Duration {
 	if a.progress > minProgress {
 		return scaled(a.progressAt-a.startedAt, (1-a.progress)/a.progress)
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// recordOutcome updates the state of an attempt's executor after the attempt's outcome, and releases its token: at once, or
-// later if the executor may still be running the job or is full.
+// recordOutcome updates the state of an attempt's executor after the attempt has ended, and releases the attempt's
+// token. If the executor is full or may still be running the job, the token is released later.
 func (d *Dispatcher) recordOutcome(a *attempt, outcome Outcome, now time.Duration) {
 	if a.tokenReleased {
-		return // the attempt was already removed from its executor because no progress notice came
+		// The attempt's token was already released, because no progress notice came.
+		return
 	}
 	e := a.executor
 	e.removeAttempt(a)
@@ -32,8 +33,8 @@
 	d.releaseToken(e, now, a.waitedAtExecutor)
 }
 
-// recordFailure records a failed attempt, and ejects the executor if the failure is its fault. If the connection failed and
-// executors answer health checks, the executor counts as unresponsive until it answers one.
+// recordFailure records a failed attempt, and ejects the executor if the failure is attributed to the executor. After a
+// failed connection, the executor counts as unresponsive until it responds, if executors answer health checks.
 func (d *Dispatcher) recordFailure(a *attempt, outcome Outcome, now time.Duration) {
 	e := a.executor
 	if d.config.canCheckHealth && (outcome == ConnectFailed || outcome == ConnectionLost) {
@@ -46,10 +47,11 @@
 	e.health.recordFailure(outcome)
 }
 
-// isExecutorFault reports whether a failure is attributed to the executor. An error always is. Any other failure may be
-// caused by the network or the job, and is attributed to the executor only if an earlier attempt has failed and nothing
-// has arrived from the executor since. A rejection as full is not attributed to the executor while it has rejected jobs of
-// only one tenant, since it may limit that tenant.
+// isExecutorFault reports whether a failed attempt is attributed to the executor. An error from the executor always is.
+// The cause of any other failure may be the network or the job. Such a failure is attributed to the executor only if an
+// earlier attempt there has failed and no attempt has started, progressed or completed there since. While the executor
+// has rejected jobs of only one tenant as full, these rejections are not attributed to the executor, because it may
+// have a limit for that tenant.
 func isExecutorFault(a *attempt, outcome Outcome) bool {
 	e := a.executor
 	if outcome == ExecutorError {
@@ -59,17 +61,17 @@
 	return e.health.suspect && !fullForOne
 }
 
-// delayTokenRelease releases the token of an attempt that the executor rejected as full only after fullTokenDelay running
-// times, multiplied by the number of consecutive rejections. During an overload, the token would otherwise be taken for
-// one attempt after another that is rejected.
+// delayTokenRelease schedules the release of the token of an attempt that the executor rejected as full. The delay is
+// the predicted running time, multiplied by fullTokenDelay and by the number of rejections in a row. Without the delay,
+// the token would be taken for one rejected attempt after another during an overload.
 func (d *Dispatcher) delayTokenRelease(e *executor, runTime, now time.Duration) {
 	d.returnLease(e, now, true)
 	inRow := e.health.recordRejection()
 	d.timers.releaseToken(now+scaled(runTime, fullTokenDelay*float64(inRow)), e)
 }
 
-// recordAbandoned records an attempt that timed out or was canceled. The executor may still be running it, so its token is
-// released only when the predicted running time is over.
+// recordAbandoned records an attempt that timed out or was canceled. The executor may still be running the job, so the
+// attempt's token is released only when the predicted running time is over.
 func (d *Dispatcher) recordAbandoned(a *attempt, outcome Outcome, runTime, now time.Duration) {
 	e := a.executor
 	if a.shortBudget && outcome == TimedOut {
@@ -104,9 +106,10 @@
 	d.recordRunTime(a.job, e, runTime)
 }
 
-// inferRunTime returns the estimated running time of an attempt without a start notice: the time that its executor's pace
-// predicts, limited to the time since it was sent. Without the client's estimate of the work, half of the time beyond the
-// prediction and the usual start wait is added. Otherwise an initial estimate of the work that is too low would never rise.
+// inferRunTime estimates the running time of a completed attempt without a start notice. The estimate is the running
+// time that the executor's pace predicts, but at most the time since the attempt was sent. If the client did not
+// estimate the work, half of the time beyond the prediction and the usual start wait is added. Without this addition,
+// an initial estimate of the work that is too low would never rise.
 func (d *Dispatcher) inferRunTime(a *attempt, now time.Duration) time.Duration {
 	e := a.executor
 	elapsed := d.elapsed(a)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,24 +7,31 @@
 )
 
 const (
-	maxBackoffFactor = 8 // limits the ejection time after repeated errors, and the delay between health checks
-	inactivityFactor = 2 // an executor is inactive after this multiple of the time that this node's attempts should take
-	maxMissedNotices = 2 // missed progress notices after which an attempt is inactive; one fewer after an inactivity timeout
+	// Largest multiple of the usual ejection time after repeated errors, and of the shortest delay between health
+	// checks.
+	maxBackoffFactor = 8
+	inactivityFactor = 2 // an executor counts as inactive after this multiple of the time that its attempts should take
+	// An attempt counts as inactive after this number of missed progress notices; one fewer after an inactivity timeout
+	// of its executor.
+	maxMissedNotices = 2
 )
 
 // health holds the state of an executor's ejections, inactivity timeouts and health checks.
 type health struct {
-	ejectedUntil      time.Duration // end of the last ejection
-	inFlightCap       int           // maximum number of attempts in flight, raised by each completed attempt; 0: no cap
-	lastSeen          time.Duration // time of the last response, or, if later, since which a response is awaited
-	timeouts          int           // number of consecutive inactivity timeouts and unanswered health checks
-	consecutiveErrors int           // number of executor errors since the last completed attempt
-	rejections        int           // number of attempts rejected as full since recordAlive was last called
-	suspect           bool          // an attempt has failed since recordAlive was last called
-	unresponsive      bool          // a health check or a connection failed, and the executor has not responded since
-	checkInFlight     bool          // a health check is in flight
-	checkSentAt       time.Duration // time of the last health check; 0: none was sent
-	awaited           bool          // the executor is in the list pendingHealthChecks.awaitingReply
+	ejectedUntil time.Duration // time at which the last ejection of the executor ends
+	inFlightCap  int           // maximum number of attempts in flight, raised by each completed attempt; 0: no cap
+	// Time of the last response of the executor; if an attempt was sent later while the executor was idle, the time of
+	// that attempt.
+	lastSeen          time.Duration
+	timeouts          int // number of consecutive inactivity timeouts and unanswered health checks
+	consecutiveErrors int // number of executor errors since the last completed attempt
+	// Number of attempts rejected as full since an attempt last started, progressed or completed.
+	rejections    int
+	suspect       bool          // an attempt has failed, and none has started, progressed or completed since
+	unresponsive  bool          // a health check or a connection failed, and the executor has not responded since
+	checkInFlight bool          // a health check of the executor is in flight
+	checkSentAt   time.Duration // time at which the last health check was sent; 0: none was sent
+	awaited       bool          // the executor is in the list pendingHealthChecks.awaitingReply
 }
 
 // awaitResponse starts the inactivity timeout when the first attempt is sent to an idle executor.
@@ -33,21 +40,23 @@
 // isEjected reports whether the executor is ejected now.
 func (h *health) isEjected(now time.Duration) bool { return h.ejectedUntil > now }
 
-// restart resets the state of an executor that has restarted: it is not ejected and may have one attempt in flight at first.
+// restart resets the state of an executor that has restarted. Its ejection ends, and its cap on attempts in flight is
+// set to one.
 func (h *health) restart() {
 	h.ejectedUntil = 0
 	h.inFlightCap = 1
 }
 
-// backoffFactor returns the factor for the usual ejection time at the next ejection. It is the larger of two: one plus
-// the number of timeouts in a row, and 2 to the power of the number of errors in a row, up to maxBackoffFactor.
+// backoffFactor returns the factor by which the usual ejection time is multiplied at the next ejection. It is the
+// larger of two numbers: one plus the number of timeouts in a row, and 2 to the power of the number of errors in a row.
+// The second number is limited to maxBackoffFactor.
 func (h *health) backoffFactor() time.Duration {
 	forErrors := min(1<<min(h.consecutiveErrors, maxBackoffFactor), maxBackoffFactor)
 	return time.Duration(max(1+h.timeouts, forErrors))
 }
 
-// recordSuccess records a completed attempt. It raises the in-flight cap by one, and removes the cap once it exceeds the
-// quota.
+// recordSuccess records a completed attempt. It raises the cap on attempts in flight by one, and removes the cap once
+// it exceeds the quota.
 func (h *health) recordSuccess(quota int) {
 	h.consecutiveErrors = 0
 	if h.inFlightCap == 0 {
@@ -73,7 +82,8 @@
 	return h.rejections
 }
 
-// adopt applies the state learned by another process of this node, and reports whether it includes an ejection or a cap.
+// adopt applies the state learned by another process of this node. It reports whether that state includes an ejection
+// or a cap on attempts in flight.
 func (h *health) adopt(timeouts, inFlightCap int, ejectedFor, now time.Duration) bool {
 	h.timeouts = timeouts
 	if ejectedFor <= 0 && inFlightCap <= 0 {
@@ -93,9 +103,10 @@
 	h.rejections = 0
 }
 
-// eject keeps new attempts away from e for the largest mean work of a job class, times backoffFactor. An executor that fails
-// quickly frees its tokens at once and would attract more jobs. After the ejection e may have one attempt in flight at first.
-// An ejection in force is not extended. The cause is written to the log.
+// eject keeps new attempts away from e for the largest mean work of a job class, multiplied by backoffFactor. Without
+// an ejection, an executor that fails jobs quickly would attract more jobs, because it frees its tokens at once. After
+// the ejection, the cap on attempts in flight at e is one at first. If e is ejected already, nothing changes. The cause
+// is written to the log, unless e already has a cap on attempts in flight.
 func (d *Dispatcher) eject(e *executor, now time.Duration, cause string) {
 	if e.health.isEjected(now) {
 		return
@@ -111,10 +122,11 @@
 	d.timers.checkAll(e.health.ejectedUntil)
 }
 
-// detectInactivity ejects e if it has attempts of this node and has not responded within the inactivity timeout, which is
-// inactivityFactor times the time that they should take, plus the shortest objective. It also releases the tokens of single
-// inactive attempts, as on a connection that broke unnoticed: these say nothing about the executor, and their tokens would
-// be unavailable for long.
+// detectInactivity ejects e if this node has attempts there and e has not responded within the inactivity timeout. The
+// timeout is the sum of three terms: inactivityFactor times the predicted running time of the largest attempt,
+// inactivityFactor times the usual start wait, and the shortest objective. detectInactivity also releases the tokens of
+// single attempts that are inactive, for example because a connection broke unnoticed. Such an attempt says nothing
+// about the executor, and its token would otherwise be unavailable for long.
 func (d *Dispatcher) detectInactivity(e *executor, now time.Duration) {
 	if len(e.attempts) == 0 || !e.available {
 		return
@@ -129,9 +141,9 @@
 	d.releaseInactiveAttempts(e, now, timeout)
 }
 
-// releaseInactiveAttempts releases the tokens of attempts at e that have sent no progress notice within both the timeout and
-// the time for maxMissedNotices. After an inactivity timeout of e, one missed notice is enough; otherwise no token would be
-// free for the next trial attempt.
+// releaseInactiveAttempts releases the tokens of attempts at e for which no progress notice has come for longer than
+// the timeout and for longer than maxMissedNotices progress intervals. After an inactivity timeout of e, one interval
+// fewer is enough. Otherwise no token would be free for the next trial attempt.
 func (d *Dispatcher) releaseInactiveAttempts(e *executor, now, timeout time.Duration) {
 	notices := d.config.progressInterval * time.Duration(maxMissedNotices-min(e.health.timeouts, 1))
 	e.attempts = slices.DeleteFunc(e.attempts, func(a *attempt) bool {
@@ -143,8 +155,8 @@
 	})
 }
 
-// recordAlive records that e has started, progressed or completed an attempt. This also ends its state as unresponsive, as
-// the answer to a health check would.
+// recordAlive records that e has started, progressed or completed an attempt. Like the answer to a health check, this
+// ends the state in which e counts as unresponsive.
 func (d *Dispatcher) recordAlive(e *executor, now time.Duration) {
 	d.subset.noteRecovery(e.health.unresponsive)
 	e.health.recordAlive(now)
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -5,20 +5,25 @@
 	"time"
 )
 
-// The pace index finds the lowest pace in the subset. The pace of an executor, apart from its attempts in flight, is
+// The pace index finds the lowest pace of an executor in the subset. Apart from the effect of its attempts in flight,
+// an executor's pace is
 //
 //	(runTime + kind's pace) / (work + 1)  =  kind's pace + seen x (own pace - kind's pace)
 //
-// where own pace = runTime / work, and seen = work / (work + 1) is the weight of the executor's own observations. An
-// executor's pace thus changes whenever its kind's pace changes, so it can't be the key of a heap. Instead, executors
-// are put into buckets by seen. In each bucket, a heap orders them by their own pace, which gives a lower bound of the
-// paces in the bucket for any pace of the kind.
+// where own pace = runTime / work, and seen = work / (work + 1) is the weight of the executor's own observations. The
+// pace of an executor changes with each change of its kind's pace, so it can't be the key of a heap. Instead, executors
+// are divided into buckets by seen, and a heap in each bucket orders them by their own pace. The lowest own pace in a
+// bucket gives a lower bound of the bucket's paces, whatever the kind's pace is.
 
 const (
-	evenPaceBuckets    = 16                                   // number of buckets of equal width for seen, from 0 to 1
-	halvingPaceBuckets = 24                                   // buckets that divide the lowest even one, each half as wide as the one before
-	unseenPaceBucket   = evenPaceBuckets + halvingPaceBuckets // bucket of executors without observed work, ordered by runTime
-	firstHalvingExp    = 4                                    // the width of an even bucket is 2 to the power of -firstHalvingExp
+	// Number of pace buckets of equal width that divide the range of seen, from 0 to 1.
+	evenPaceBuckets = 16
+	// Number of pace buckets that divide the lowest bucket of equal width further; each is half as wide as the one
+	// before.
+	halvingPaceBuckets = 24
+	// Number of the pace bucket for executors without observed work, which are ordered by runTime.
+	unseenPaceBucket = evenPaceBuckets + halvingPaceBuckets
+	firstHalvingExp  = 4 // the width of an even pace bucket is 2 to the power of minus this
 )
 
 // indexPace puts a member of the subset into its pace bucket. An executor outside the subset is removed from its bucket.
@@ -42,7 +47,8 @@
 	kind.paceBuckets[number].update(e, floatKey(e.estimate.runTime/e.estimate.work))
 }
 
-// minPace returns a lower bound of the paces of the executor at index i of a bucket's heap and of those below it.
+// minPace returns a lower bound of the paces in a part of a pace bucket's heap: of the executor at index i and of those
+// below it.
 func (k *kindIndex) minPace(bucket, i int) float64 {
 	kindPace := k.stats.pace
 	own := math.Float64frombits(uint64(k.paceBuckets[bucket].key(i)))
@@ -56,7 +62,8 @@
 	return (kindPace + (own-kindPace)*least) * roundingDown
 }
 
-// seenRange returns the smallest and the largest value of seen in a bucket.
+// seenRange returns the smallest and the largest value of seen, the weight of an executor's own observations, in a pace
+// bucket.
 func seenRange(bucket int) (least, most float64) {
 	if bucket < evenPaceBuckets {
 		return float64(bucket) / evenPaceBuckets, float64(bucket+1) / evenPaceBuckets
@@ -68,7 +75,8 @@
 	return most / 2, most
 }
 
-// paceLowerBound returns a lower bound of the paces of the subset's members of the given kind, or of all members for AnyKind.
+// paceLowerBound returns a lower bound of the paces of the subset's members of the given kind, or of all kinds for
+// AnyKind.
 func (d *Dispatcher) paceLowerBound(id KindID, now time.Duration) float64 {
 	d.reindexDirty(now)
 	lowest := math.Inf(1)
@@ -85,8 +93,8 @@
 	return lowest
 }
 
-// lowestPace returns the lowest pace of the subset's available members of the given kind, or of all of them for AnyKind. It is
-// infinite if there are none.
+// lowestPace returns the lowest pace of the subset's available members of the given kind, or of all kinds for AnyKind.
+// If there are no such members, it returns infinity.
 func (d *Dispatcher) lowestPace(id KindID, now time.Duration) float64 {
 	d.reindexDirty(now)
 	lowest := math.Inf(1)
@@ -105,7 +113,8 @@
 	return lowest
 }
 
-// mostPromisingPaceBucket returns the number of the bucket with the lowest bound, or 0 if all are empty.
+// mostPromisingPaceBucket returns the number of the pace bucket whose lower bound of its paces is lowest, or 0 if all
+// buckets are empty.
 func (k *kindIndex) mostPromisingPaceBucket() int {
 	first, lowest := 0, math.Inf(1)
 	for bucket := range k.paceBuckets {
@@ -119,8 +128,8 @@
 	return first
 }
 
-// searchLowestPace lowers *lowest to the lowest pace in a bucket's heap from index i downwards. It skips the executors whose
-// bound shows that their paces are not lower.
+// searchLowestPace lowers *lowest to the lowest pace of an available executor in a pace bucket's heap, from index i
+// downwards. It skips executors whose lower bound is not below *lowest.
 func (d *Dispatcher) searchLowestPace(kind *kindIndex, bucket, i int, lowest *float64, now time.Duration) {
 	executors := kind.paceBuckets[bucket].executors
 	if i >= len(executors) || kind.minPace(bucket, i) >= *lowest {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,12 +6,17 @@
 )
 
 const (
-	zoneFullLoad          = 1.3  // number of jobs per core at which a zone is full, if weights are load-adjusted
-	zoneFullDelayedStarts = 0.3  // fraction of delayed starts at which a zone is full, if there are start notices
-	zoneFullWait          = 2.0  // start wait, in shortest objectives, at which a zone is full, if there are no start notices
-	zoneLoadStep          = 0.1  // weight of a new observation in the running average of a zone's load
-	minZoneSize           = 1e-9 // least total size of a zone's executors, to avoid a division by zero
-	unusableToken         = -1   // tokenAge of an executor whose tokens the job may not use now
+	// A zone counts as full at this number of jobs per core, if weights in the endpoint list fall with the load.
+	zoneFullLoad = 1.3
+	// A zone counts as full at this fraction of delayed starts, if executors send start notices.
+	zoneFullDelayedStarts = 0.3
+	// A zone counts as full if attempts there wait this multiple of the shortest objective before they start, if
+	// executors send no start notices.
+	zoneFullWait = 2.0
+	zoneLoadStep = 0.1 // weight of a new observation in the running average of a zone's load
+	// Least total size of a zone's executors in the computation of its load, to avoid a division by zero.
+	minZoneSize   = 1e-9
+	unusableToken = -1 // tokenAge returns this for an executor whose tokens the job can't use now
 )
 
 // neverCross is a crossZoneDelay that never ends. It is below Forever, so that adding it to a time doesn't overflow.
@@ -22,7 +27,7 @@
 	local, remote float64
 }
 
-// loadOf returns the load of one side, numbered as by remoteSide: 0 is this node's zone, 1 the other zones.
+// loadOf returns the load of one side, numbered as by remoteSide: side 0 is this node's zone, side 1 all other zones.
 func (z *zoneLoad) loadOf(side int) *float64 {
 	if side > 0 {
 		return &z.remote
@@ -30,17 +35,19 @@
 	return &z.local
 }
 
-// observe adds an observation to the running average of one side's load.
+// observe adds an observation to the running average of the load of one side: side 0 is this node's zone, side 1 all
+// other zones.
 func (z *zoneLoad) observe(side int, observed float64) {
 	load := z.loadOf(side)
 	*load += (observed - *load) * zoneLoadStep
 }
 
-// decayRemote lowers the remote load after an interval. While no job is sent to other zones, it is hardly observed and
-// would otherwise stay high.
+// decayRemote lowers the load of the other zones at the end of an interval. While no job is sent there, their load is
+// hardly observed and would otherwise stay high.
 func (z *zoneLoad) decayRemote() { z.remote *= smoothing }
 
-// dispatch takes a token of e for a new attempt of j and schedules the attempt's first review.
+// dispatch takes a token of e for a new attempt of j, schedules the attempt's first review, and returns the decision to
+// send it.
 func (d *Dispatcher) dispatch(j *job, e *executor, now time.Duration) Decision {
 	d.queue.remove(j)
 	// A late job waits because other jobs have priority, not for lack of tokens, so only the time before it was late
@@ -62,10 +69,11 @@
 }
 
 // pickExecutor returns the executor whose oldest free token has the highest tokenAge for j, or nil if j can't use any
-// token now. With forLease it instead returns the executor whose lease holder should be asked for a lease.
+// token now. With forLease, it chooses among the tokens that can be used only after a lease is granted, and returns the
+// executor to request a lease for.
 //
-// Executors of this node's zone are preferred, and other zones are used only after crossZoneDelay, or if no executor of
-// this zone is usable. For a job that prefersOtherZones, the preference is reversed, and there is no delay. On a tie the
+// Executors of this node's zone are preferred. Other zones are used only after crossZoneDelay, or if no executor of
+// this zone is usable. If j prefersOtherZones, the preference is reversed, and there is no delay. On a tie, the
 // executor of higher rank is chosen.
 func (d *Dispatcher) pickExecutor(j *job, now time.Duration, forLease bool) *executor {
 	if !d.retryAllowed(j, now) || !d.anyTokenFor(j, now, forLease) {
@@ -89,8 +97,9 @@
 	return nil
 }
 
-// oldestToken returns the candidate with the highest tokenAge on the query's side (this zone or the others), or nil. It
-// sets the query's minAge to the best age so far, so that the candidate index can skip executors that can't exceed it.
+// oldestToken returns the candidate with the highest tokenAge on the query's side (this zone or the others), or nil if
+// there is none. During the search, it sets the query's minAge to the highest age so far. The candidate index then
+// skips executors whose tokens can't have a higher age.
 func (d *Dispatcher) oldestToken(wanted *query) *executor {
 	var best *executor
 	wanted.minAge = unusableToken
@@ -105,11 +114,13 @@
 	return best
 }
 
-// tokenAge returns the weighted age of e's oldest free token, or unusableToken if the query's job may not use it now.
+// tokenAge returns the weighted age of e's oldest free token, or unusableToken if the query's job can't use the token
+// now.
 //
-// The age is multiplied by e's weight in the endpoint list, and divided by e's pace and the expected wait at e. Many
-// nodes have at least one token each at every executor, so unweighted ages would give small and slow executors as many
-// jobs as the others. A token is not usable if e is predicted to miss the job's objective, unless the job is late anyway.
+// The age is multiplied by e's weight in the endpoint list. It is divided by e's pace, and by the sum of the shortest
+// objective and the expected wait at e. Many nodes have at least one token each at every executor, so unweighted ages
+// would give small and slow executors as many jobs as the others. A token is not usable if e is predicted to miss the
+// job's objective, unless the job is late anyway.
 func (d *Dispatcher) tokenAge(e *executor, wanted *query) float64 {
 	j := wanted.job
 	now := wanted.now
@@ -138,9 +149,10 @@
 	return e.weight * float64(now-e.tokens.free[0]) / (pace * (d.classes.shortestObjective + wait).Seconds())
 }
 
-// acceptsLate reports whether the late job j may use e. Late jobs must not take slots from jobs that can still meet their
-// objective, so e must have no attempt of this node. If j's class has a late value, j can wait for long, and e must also be
-// one of the executors that only a few nodes send late jobs to.
+// acceptsLate reports whether the late job j can use e. Late jobs must not take slots from jobs that can still meet
+// their objective, so this node must have no attempt at e. A job whose class has a late value can wait for long. For
+// such a job, e must also be among the first lateSize executors, because only a few nodes send such jobs to the same
+// executor.
 func (d *Dispatcher) acceptsLate(e *executor, j *job) bool {
 	if len(e.attempts) > 0 {
 		return false
@@ -148,9 +160,10 @@
 	return j.class.lateValue <= 0 || d.rankAmong(e, j) < d.subset.lateSize
 }
 
-// isUsable reports whether e may get new attempts of this node, regardless of tokens: e is available in the endpoint list
-// (rule 3), is neither unresponsive nor ejected, and, if it is in slow start, this node is one of its senders and the
-// slow-start budget is not blocked for this process (blockedUntil), because another process of this node uses it.
+// isUsable reports whether e can get new attempts of this node, regardless of tokens. e must be available in the
+// endpoint list, since a draining executor gets no new attempts (rule 3). e must be neither unresponsive nor ejected.
+// If e is in slow start, this node must be one of the few nodes that use e during that time, and the slow-start budget
+// must not be in use by another process of this node (blockedUntil).
 func (d *Dispatcher) isUsable(e *executor, now time.Duration) bool {
 	if !e.available || e.health.unresponsive || e.health.ejectedUntil > now {
 		return false
@@ -158,15 +171,15 @@
 	return e.slowStart.sender && now >= d.slowStart.blockedUntil || now >= e.slowStart.until
 }
 
-// canAccept reports whether e can take j now: e has a free token, is below its cap on attempts in flight, and, if it is in
-// slow start, j fits into the slow-start budget (rule 4).
+// canAccept reports whether e can take j now: e has a free token and is below its cap on attempts in flight. If e is in
+// slow start, j must also fit into the slow-start budget (rule 4).
 func (d *Dispatcher) canAccept(e *executor, j *job, now time.Duration) bool {
 	return len(e.tokens.free) > 0 && (e.health.inFlightCap == 0 || e.tokens.taken < e.health.inFlightCap) &&
 		(now >= e.slowStart.until || d.withinSlowStartBudget(e, j, now))
 }
 
-// isEligible reports whether e is of the kind that j's class requires and, if an earlier attempt may have run, whether an
-// attempt at e can't have a duplicate effect (rule 2).
+// isEligible reports whether e is of the kind that j's class requires, and whether an attempt of j at e certainly has
+// no duplicate effect (rule 2).
 func (d *Dispatcher) isEligible(e *executor, j *job, now time.Duration) bool {
 	if j.class.kind != AnyKind && j.class.kind != e.kind {
 		return false
@@ -174,9 +187,9 @@
 	return j.inDedupGroup(e) && d.retryAllowed(j, now)
 }
 
-// crossZoneDelay returns how long j waits in the queue before it may use executors of other zones. The delay, as a
-// fraction of j's slack, is the cost of crossing zones divided by j's value. A job whose value is below the cost never
-// crosses zones.
+// crossZoneDelay returns how long j waits in the queue before it can use executors of other zones. The cost of crossing
+// zones, divided by j's marginal value, is the fraction of j's slack for which j waits. If the value is not above the
+// cost, j never crosses zones.
 func (d *Dispatcher) crossZoneDelay(j *job) time.Duration {
 	costFraction := d.config.crossZoneCost / d.marginalValue(j)
 	if costFraction < 1 {
@@ -185,18 +198,18 @@
 	return neverCross
 }
 
-// prefersOtherZones reports whether j prefers other zones from the start. While this zone is overloaded, that is so for the
-// fraction of jobs that would make the loads equal, reduced for the cost of crossing zones. Each job has its own random
-// number, so that the nodes, which see about the same loads and decide alone, don't all send their jobs to other zones at
-// once. Without this preference, a zone with far more traffic than executors would keep all its jobs, because some token
-// there is always free.
+// prefersOtherZones reports whether j is sent to other zones rather than to this one. While this zone is overloaded,
+// that is so for a random fraction of its jobs: the fraction that would make the loads equal, minus a fraction for the
+// cost of crossing zones. Each job has its own random number. Otherwise the nodes, which see about the same loads and
+// decide independently, would all send their jobs to other zones at once. Without this preference, a zone with far more
+// traffic than executors would keep all its jobs, because some token there is always free.
 func (d *Dispatcher) prefersOtherZones(j *job) bool {
 	return d.config.crossZoneCost > 0 && d.zoneLoad.local > 1 &&
 		j.crossZoneDraw < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
 }
 
-// updateZoneLoads sets the zone loads from the endpoint list, if its weights are load-adjusted: the mean jobs per core of
-// the usable executors on each side, divided by zoneFullLoad.
+// updateZoneLoads computes the loads of this zone and of the other zones from the endpoint list, if weights in the list
+// fall with the load. A load is the mean number of jobs per core of the usable executors, divided by zoneFullLoad.
 func (d *Dispatcher) updateZoneLoads(now time.Duration) {
 	if !d.config.loadAdjustedWeights {
 		return
@@ -216,8 +229,9 @@
 	}
 }
 
-// recordZoneWait updates the load of e's side after an attempt that waited at e for the given time before it started or was
-// canceled. It does nothing if the endpoint list shows the load, since updateZoneLoads then sets it.
+// recordZoneWait updates the load of e's side (this zone or the others) after an attempt. The attempt waited at e for
+// the given time before it started or was abandoned. If weights in the endpoint list fall with the load, nothing is
+// done, because updateZoneLoads computes the loads from them.
 func (d *Dispatcher) recordZoneWait(e *executor, wait time.Duration) {
 	if d.config.loadAdjustedWeights {
 		return
@@ -231,15 +245,16 @@
 	d.zoneLoad.observe(d.remoteSide(e), observed)
 }
 
-// decayZoneLoad lets the remote load decay at the end of an interval, if it is not taken from the endpoint list.
+// decayZoneLoad lowers the load of the other zones at the end of an interval, unless the loads are computed from the
+// endpoint list.
 func (d *Dispatcher) decayZoneLoad() {
 	if !d.config.loadAdjustedWeights {
 		d.zoneLoad.decayRemote()
 	}
 }
 
-// anyLocalUsable reports whether this node's zone has a usable executor that is eligible for j, with or without a free
-// token.
+// anyLocalUsable reports whether this node's zone has a usable executor that is eligible for j. The executor need not
+// have a free token.
 func (d *Dispatcher) anyLocalUsable(j *job, now time.Duration) bool {
 	isLocalUsable := func(e *executor) bool {
 		d.index.visited++
@@ -256,7 +271,7 @@
 	return false
 }
 
-// ranksBefore reports whether executor a ranks before b among j's candidates.
+// ranksBefore reports whether executor a comes before b in the ranking of j's candidates.
 func (d *Dispatcher) ranksBefore(a, b *executor, j *job) bool {
 	if d.boundToDedupGroup(j) {
 		return byRank(a, b) < 0
@@ -264,7 +279,7 @@
 	return a.indexed.subsetRank < b.indexed.subsetRank
 }
 
-// rankAmong returns e's position among j's candidates by rank, from 0.
+// rankAmong returns e's position in the ranking of j's candidates, from 0.
 func (d *Dispatcher) rankAmong(e *executor, j *job) int {
 	if d.boundToDedupGroup(j) {
 		position, _ := slices.BinarySearchFunc(d.endpoints.ranked, e, byRank)
@@ -273,8 +288,8 @@
 	return e.indexed.subsetRank
 }
 
-// eligibleExecutors returns the executors among which j's executor is chosen: the subset, or all executors if j may only be
-// retried in a dedup group, whose executors may be outside the subset.
+// eligibleExecutors returns the executors among which j's executor is chosen. That is the subset, unless j can be
+// retried only in a dedup group. The executors of that group may be outside the subset, so all executors are returned.
 func (d *Dispatcher) eligibleExecutors(j *job) []*executor {
 	if d.boundToDedupGroup(j) {
 		return d.endpoints.ranked
