--- a/policy/latency.go
+++ b/policy/latency.go
@@ -11,7 +11,7 @@
 	smoothing = 0.85
 	// Weight of a completed run in its kind's pace; it is less for a run of less than one second of work.
 	paceStep        = 0.05
-	minSampleWeight = 0.05 // minimum weight of a new running time in the mean work of a job class
+	minSampleWeight = 0.05 // least weight of a new running time in the running average of a job class's work
 	minPace         = 0.05 // lower bound of the pace of an executor kind, in running time per unit of work
 	// An attempt without a start notice counts as delayed if it took more than this multiple of its inferred running
 	// time.
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -47,7 +47,7 @@
 type loadShedding struct {
 	// A load summary was taken at least once; the threshold applies to jobs that arrive from then on.
 	reportsLoad bool
-	threshold   AdmissionThreshold // current threshold of the cluster
+	threshold   AdmissionThreshold // current admission threshold of the cluster
 	summary     LoadSummary        // load since the last summary was taken
 }
 
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -57,7 +57,7 @@
 	}
 	least, most := seenRange(bucket)
 	if own < kindPace {
-		least = most // its own pace is lower than its kind's, so the pace is lowest where seen is largest
+		least = most // if the own pace is below the kind's, the pace is lowest where seen is largest
 	}
 	return (kindPace + (own-kindPace)*least) * roundingDown
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	minQueueDensity   = 1e-3 // least density of the marginal value in the queue key, as a multiple of the mean
-	minQueueLateValue = 1e-3 // least late value in the queue key
-	queueScanFactor   = 2    // jobs of each list that one scan looks at, for each member of the subset
+	// Least density of the marginal value in the computation of a queue key, as a multiple of the mean density.
+	minQueueDensity   = 1e-3
+	minQueueLateValue = 1e-3 // least late value of a class in the computation of a queue key
+	queueScanFactor   = 2    // a scan of the queue looks at this many jobs of each list per member of the subset
 )
 
 // jobQueue holds the jobs that wait for a token, in the order in which they are placed.
 type jobQueue struct {
 	onTime           []*job // jobs that can still meet their objective, ordered by queueKey
 	late             []*job // jobs that can't meet their objective any more, ordered by queueKey
-	hedges           []*job // jobs that want a second attempt, in the order of their requests
-	usedThisInterval bool   // some job had to wait in this quota interval
+	hedges           []*job // jobs with an attempt in flight that want a second one, in the order of their requests
+	usedThisInterval bool   // a job that is not late had to wait in this quota interval
 	tokenFreed       bool   // a token may have been released since the last scan of the queue
 }
 
@@ -33,19 +34,20 @@
 // rescan requests a scan of the queue in the next turn, because a token may have been released.
 func (q *jobQueue) rescan() { q.tokenFreed = true }
 
-// startInterval begins a new quota interval. The queue counts as used in it if jobs that can still meet their objective are
-// waiting at its start.
+// startInterval begins a new quota interval. The queue counts as used in the new interval if jobs that can still meet
+// their objective are waiting at its start.
 func (q *jobQueue) startInterval() {
 	q.usedThisInterval = len(q.onTime) > 0
 	q.rescan()
 }
 
-// recordWait records that j had to wait for a token. A late job does not count: it waits because other jobs have priority.
+// recordWait records that j had to wait for a token. A late job is not counted, because it waits while other jobs have
+// priority.
 func (q *jobQueue) recordWait(j *job) {
 	q.usedThisInterval = q.usedThisInterval || !j.queuedPastObjective
 }
 
-// listOf returns the list of queued jobs that j belongs to.
+// listOf returns the list of queued jobs that j belongs to: the late jobs or the others.
 func (q *jobQueue) listOf(j *job) *[]*job {
 	if j.queuedPastObjective {
 		return &q.late
@@ -53,7 +55,7 @@
 	return &q.onTime
 }
 
-// insert adds j at the position of its queue key.
+// insert adds j to its list, at the position of its queue key.
 func (q *jobQueue) insert(j *job) {
 	list := q.listOf(j)
 	position, _ := slices.BinarySearchFunc(*list, j, compareQueueKeys)
@@ -61,7 +63,7 @@
 	j.isQueued = true
 }
 
-// remove removes j, if it is queued.
+// remove removes j from the queue, if it is queued.
 func (q *jobQueue) remove(j *job) {
 	if !j.isQueued {
 		return
@@ -84,10 +86,10 @@
 	return cmp.Or(cmp.Compare(a.queueKey, b.queueKey), cmp.Compare(a.id, b.id))
 }
 
-// queueJob puts j into the queue, or moves it to the list of late jobs once it has no slack left. The queue key is the
-// current time plus the slack divided by the density of the job's marginal value (per second of work, as a multiple of the
-// mean), so that of two jobs with the same slack the one of higher density is placed first. For a late job, the class's
-// deadline divided by its late value takes the place of the slack.
+// queueJob puts j into the queue. Once j has no slack left, it moves j to the list of late jobs. The queue key is the
+// current time plus j's slack divided by j's density. The density is j's marginal value per second of work, as a
+// multiple of the mean. So of two jobs with the same slack, the one with the higher density is placed first. For a late
+// job, the deadline of its class divided by the late value takes the place of the slack.
 func (d *Dispatcher) queueJob(j *job, now time.Duration) {
 	slack := j.objectiveAt - now - j.work
 	pastObjective := slack < 0
@@ -107,8 +109,9 @@
 	d.queue.insert(j)
 }
 
-// nextPlaceable returns the first job in queue order that may use some free token, or nil. It scans the queue only if a
-// token may have been released since the last scan, and only as far as queueScanFactor allows.
+// nextPlaceable returns the first job in queue order for which pickExecutor finds an executor, or nil if there is none.
+// It scans the queue only if a token may have been released since the last scan, and only as far as queueScanFactor
+// allows.
 func (d *Dispatcher) nextPlaceable(now time.Duration) *job {
 	if d.subset.stale {
 		d.rebuildSubset(now)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -7,26 +7,32 @@
 
 // The RAIN design prescribes executorQueuingThreshold, initialQuota, maxQuota and the rule of adjustQuota.
 const (
-	executorQueuingThreshold = 0.3 // executorFraction above which the executor's queue is taken as the cause of delays
-	emptyQueueThreshold      = 0.5 // executorFraction above which this node's queue counts as empty
-	slackTargetFraction      = 0.5 // fraction of its slack that a job may wait before its executor counts as over its target
-	initialQuota             = 2   // quota of an executor of which nothing is known
-	maxQuota                 = 8   // largest quota of an executor
-	intervalFraction         = 0.4 // the interval between two adjustments is this fraction of the shortest deadline
-	fullTokenDelay           = 2.0 // number of running times, per rejection in a row, for which a full executor's token stays taken
+	// An executor counts as the cause of delays if more than this fraction of the waiting time was spent there; for a
+	// lease quota, if more than this fraction of the jobs had to wait there.
+	executorQueuingThreshold = 0.3
+	// This node's queue counts as empty if more than this fraction of the waiting time was spent at the executor.
+	emptyQueueThreshold = 0.5
+	// An executor counts as over its target if a job waited for more than this fraction of its slack.
+	slackTargetFraction = 0.5
+	initialQuota        = 2   // quota, in attempts in flight, of an executor of which nothing is known
+	maxQuota            = 8   // largest quota of an executor, in attempts in flight
+	intervalFraction    = 0.4 // quotas are adjusted at intervals of this fraction of the shortest deadline of a job class
+	// The token of an attempt rejected as full stays taken for this many running times, multiplied by the number of
+	// rejections in a row.
+	fullTokenDelay = 2.0
 )
 
-// quotaState holds the executors whose quotas are adjusted, and the end of the current interval.
+// quotaState holds the executors whose quotas are adjusted, and the end of the current quota interval.
 type quotaState struct {
 	executors   []*executor // executors that have tokens: those that are or were in the subset
 	joined      int         // number of executors that have been added so far
 	intervalEnd time.Duration
 }
 
-// endIntervalBy makes the current interval end at the given time, unless it ends earlier.
+// endIntervalBy makes the current quota interval end at the given time, unless it ends earlier.
 func (q *quotaState) endIntervalBy(at time.Duration) { q.intervalEnd = min(q.intervalEnd, at) }
 
-// add adds an executor that gets its first tokens, and records its position in the order of joining.
+// add adds an executor that gets its first tokens, and records its position in the order in which executors got tokens.
 func (q *quotaState) add(e *executor) {
 	q.joined++
 	e.tokens.joinOrder = q.joined
@@ -44,37 +50,42 @@
 	})
 }
 
-// tokens holds an executor's quota, which is the number of attempts that this node may have in flight there, and its tokens.
-// An attempt takes a token and releases it at its end.
+// tokens holds the quota and the tokens of an executor. The quota is the number of attempts that this node is allowed
+// to have in flight there. An attempt takes a token when it is sent, and the token is released when the attempt has
+// ended or later.
 type tokens struct {
-	quota          int             // most attempts in flight at the executor; 0: it has not been in the subset yet
-	inheritedQuota int             // quota in the learned state of the predecessor process; 0: none
-	free           []time.Duration // time since which each free token has been free, oldest first
-	taken          int             // tokens of attempts in flight, and of ended ones whose token is released later
-	joinOrder      int             // position in the order in which executors got tokens, from 1; 0: not in quotaState.executors
+	// Maximum number of this node's attempts in flight at the executor; 0: it has not been in the subset yet.
+	quota          int
+	inheritedQuota int             // quota of the executor in the learned state of the predecessor process; 0: none
+	free           []time.Duration // for each free token, the time since which it has been free; oldest first
+	// Number of tokens of attempts in flight, and of ended attempts whose token is released later.
+	taken     int
+	joinOrder int // position in the order in which executors got tokens, from 1; 0: not in quotaState.executors
 }
 
-// inherit records the quota that another process of this node had for the executor. It is used when the executor joins
-// the subset of this process.
+// inherit records the quota that another process of this node had for the executor. The quota is used when the executor
+// joins the subset of this process.
 func (t *tokens) inherit(quota int) { t.inheritedQuota = min(quota, maxQuota) }
 
-// begin sets the first quota, with one free token for each given time.
+// begin sets the first quota: one free token for each of the given times, since which the token counts as free.
 func (t *tokens) begin(freeSince []time.Duration) {
 	t.quota = len(freeSince)
 	t.free = freeSince
 	slices.Sort(t.free)
 }
 
-// total returns the number of tokens, free and taken. After the quota was lowered it may exceed the quota.
+// total returns the number of tokens, free and taken. After the quota was lowered, this number may exceed the quota for
+// a time.
 func (t *tokens) total() int { return t.taken + len(t.free) }
 
-// take uses the oldest free token.
+// take takes the oldest free token.
 func (t *tokens) take() {
 	t.free = t.free[1:]
 	t.taken++
 }
 
-// release frees a taken token, or drops it if the quota was lowered meanwhile.
+// release frees a taken token. If the other tokens already reach the quota, because the quota was lowered, the token is
+// dropped instead.
 func (t *tokens) release(now time.Duration) {
 	t.taken--
 	if t.total() < t.quota {
@@ -82,7 +93,7 @@
 	}
 }
 
-// raise increases the quota by one and reports whether that added a free token.
+// raise increases the quota by one, and reports whether a free token was added.
 func (t *tokens) raise(now time.Duration) bool {
 	t.quota++
 	if t.total() >= t.quota {
@@ -100,24 +111,26 @@
 	}
 }
 
-// queuing holds an executor's waiting times in the current interval, from which adjustQuota derives its next quota.
+// queuing holds the waiting times of one executor's jobs in the current quota interval. adjustQuota derives the
+// executor's next quota from them.
 type queuing struct {
 	atExecutor     time.Duration // total time that attempts waited at the executor
 	inQueue        time.Duration // total time that jobs waited in this node's queue before they were sent to the executor
-	overTarget     bool          // a job waited longer than slackTargetFraction of its slack
-	outOfTokens    bool          // at some time no token was free
+	overTarget     bool          // a job waited for more than slackTargetFraction of its slack, or the executor was full
+	outOfTokens    bool          // at some time in the interval, no token of the executor was free
 	sawFull        bool          // the executor rejected an attempt as full
-	fullTenant     TenantID      // tenant of the last attempt rejected as full
+	fullTenant     TenantID      // tenant of the last attempt that was rejected as full
 	fullForSeveral bool          // attempts of more than one tenant were rejected as full
-	fullWait       time.Duration // sum of the predicted running times of the rejected attempts
-	startedOthers  bool          // the executor started an attempt that shows it is not full for all tenants (recordStart)
+	fullWait       time.Duration // sum of the predicted running times of the attempts that were rejected as full
+	// The executor started an attempt, which shows that it is not full for all tenants (recordStart).
+	startedOthers bool
 }
 
 // recordQueued adds the time that a job waited in this node's queue before it was sent to the executor.
 func (q *queuing) recordQueued(wait time.Duration) { q.inQueue += wait }
 
-// recordStartWait adds the time that an attempt waited at the executor. overTarget says whether its job waited for too much
-// of its slack.
+// recordStartWait adds the time that an attempt waited at the executor. overTarget says whether the job waited for more
+// than slackTargetFraction of its slack.
 func (q *queuing) recordStartWait(wait time.Duration, overTarget bool) {
 	q.atExecutor += wait
 	q.overTarget = q.overTarget || overTarget
@@ -131,15 +144,16 @@
 	q.fullWait += runTime
 }
 
-// recordStart records an attempt that the executor started. If it did so before any rejection in this interval, or
-// after it rejected another tenant's attempt, it is not full for all tenants: only the rejected tenant's quota there is
-// used up.
+// recordStart records that the executor started an attempt of the given tenant. If no attempt was rejected as full
+// before it in this interval, or the last rejected one was another tenant's, the executor is not full for all tenants.
+// A rejection then only shows that the rejected tenant's quota at the executor is used up.
 func (q *queuing) recordStart(tenant TenantID) {
 	q.startedOthers = q.startedOthers || !q.sawFull || tenant != q.fullTenant
 }
 
-// chargeRejections counts the running times of rejected attempts as waiting at the executor, unless only one tenant's
-// attempts were rejected while the executor started others.
+// chargeRejections adds the predicted running times of the attempts rejected as full to atExecutor, as if the attempts
+// had waited there. It adds nothing if the executor rejected only one tenant's attempts while it started other
+// attempts.
 func (q *queuing) chargeRejections() {
 	if q.fullForSeveral || q.sawFull && !q.startedOthers {
 		q.atExecutor += q.fullWait
@@ -148,7 +162,7 @@
 }
 
 // executorFraction returns the fraction of the total waiting time that was spent at the executor and not in this node's
-// queue: the r of the RAIN design.
+// queue. The RAIN design calls it r.
 func (q *queuing) executorFraction() float64 {
 	total := q.atExecutor + q.inQueue
 	if total <= 0 {
@@ -157,7 +171,7 @@
 	return float64(q.atExecutor) / float64(total)
 }
 
-// takeToken takes e's oldest free token for an attempt, and uses the lease if one is granted.
+// takeToken takes e's oldest free token for an attempt. If a lease of e is granted, the attempt uses the lease.
 func (d *Dispatcher) takeToken(e *executor, a *attempt) {
 	e.tokens.take()
 	e.queuing.outOfTokens = e.queuing.outOfTokens || len(e.tokens.free) == 0
@@ -168,8 +182,8 @@
 	d.markDirty(e)
 }
 
-// releaseToken releases an attempt's token and returns its lease. The lease holder is notified whether the job had to wait
-// at e.
+// releaseToken releases a token of e. If an attempt used a lease of e, it also returns one to the node that grants e's
+// leases. The message says whether the job had to wait at e (waitedAtExecutor).
 func (d *Dispatcher) releaseToken(e *executor, now time.Duration, waitedAtExecutor bool) {
 	d.returnLease(e, now, waitedAtExecutor)
 	e.tokens.release(now)
@@ -191,10 +205,10 @@
 	e.tokens.lower()
 }
 
-// meanQuota computes the mean of quotas.
+// meanQuota holds the sum and the number of quotas, to compute their mean.
 type meanQuota struct{ sum, count int }
 
-// or returns the rounded mean, or the given quota if no quota was added.
+// or returns the rounded mean of the quotas that were added, or the given quota if none was added.
 func (m meanQuota) or(quota int) int {
 	if m.count == 0 {
 		return quota
@@ -202,16 +216,16 @@
 	return (m.sum + m.count/2) / m.count
 }
 
-// with returns m with another quota added.
+// with returns a copy of m to which another quota was added.
 func (m meanQuota) with(quota int) meanQuota { return meanQuota{m.sum + quota, m.count + 1} }
 
-// fillMeanQuotas computes the mean quota of each executor kind, unless means is already filled: executors that join the
-// subset together share one computation.
+// fillMeanQuotas computes the mean quota of each executor kind, unless means is filled already. Executors that join the
+// subset together thus share one computation.
 func (d *Dispatcher) fillMeanQuotas(means map[KindID]meanQuota) {
 	if len(means) > 0 {
 		return
 	}
-	means[AnyKind] = meanQuota{} // a map that is not empty means that the means are computed
+	means[AnyKind] = meanQuota{} // marks means as filled, even if no executor is available
 	for _, e := range d.quota.executors {
 		if e.available {
 			means[e.kind] = means[e.kind].with(e.tokens.quota)
@@ -219,9 +233,10 @@
 	}
 }
 
-// adjustQuota changes e's quota by at most one, by the rule of the RAIN design. The quota is lowered if jobs waited too
-// long, mostly at e, while this node's queue was empty or hardly mattered. It is raised if jobs waited in this node's
-// queue, e ran out of tokens, and there was little waiting at e.
+// adjustQuota changes e's quota by at most one, by the rule of the RAIN design. The quota is lowered if a job waited
+// too long, more than executorQueuingThreshold of the waiting time was spent at e, and this node's queue was unused or
+// counts as empty. The quota is raised if jobs waited in this node's queue, e ran out of tokens, and less than
+// executorQueuingThreshold of the waiting time was spent at e.
 func (d *Dispatcher) adjustQuota(e *executor, now time.Duration) {
 	fraction := e.queuing.executorFraction()
 	queueEmpty := !d.queue.usedThisInterval || fraction > emptyQueueThreshold
@@ -233,11 +248,11 @@
 	}
 }
 
-// onInterval ends an interval: it adjusts quotas, ejects inactive executors and decays averages.
+// onInterval ends a quota interval. It adjusts quotas, ejects inactive executors and lets averages decay.
 func (d *Dispatcher) onInterval(now time.Duration) {
 	d.quota.dropRemoved()
 	for _, e := range d.quota.executors {
-		d.markDirty(e) // because its estimate and its queuing change below
+		d.markDirty(e) // e's estimate and waiting times change below
 		d.chargeUnstarted(e, now)
 		e.queuing.chargeRejections()
 		d.adjustQuota(e, now)
@@ -255,7 +270,7 @@
 	d.updateTenants()
 }
 
-// chargeUnstarted adds the time that attempts not yet started have waited at e in this interval.
+// chargeUnstarted adds the time for which unstarted attempts have waited at e in this interval.
 func (d *Dispatcher) chargeUnstarted(e *executor, now time.Duration) {
 	if !d.config.startNotices {
 		return
@@ -268,14 +283,15 @@
 	}
 }
 
-// decay resets the waiting times for a new interval and decays the estimate. Without the decay, an executor with a bad
-// estimate would never be tried again.
+// decay resets e's waiting times for a new interval, and lowers the weight of past observations in its estimate.
+// Otherwise an executor with a bad estimate would never be tried again.
 func (e *executor) decay() {
 	e.queuing = queuing{outOfTokens: len(e.tokens.free) == 0}
 	e.estimate.decay()
 }
 
-// recordStartWait records how long an attempt waited at e before it started, less the quantum of the node's clock.
+// recordStartWait records how long an attempt waited at e before it started. The quantum, which is the resolution of
+// the node's clock, is subtracted.
 func (d *Dispatcher) recordStartWait(e *executor, a *attempt, wait time.Duration) {
 	wait = max(0, wait-d.config.quantum)
 	e.estimate.observeStartWait(wait)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -7,31 +7,37 @@
 )
 
 const (
-	// restartedBudgetFraction is the fraction of its slow-start budget that a process may use in its first overload window
-	// for an executor that started before the process did. The predecessor process may have used up the budget. Since each
-	// job counted classEstimateMargin times its work, it sent at most budget/classEstimateMargin of work. What that leaves of
-	// the budget, with the margin applied again, is budget*(classEstimateMargin-1).
+	// restartedBudgetFraction is the fraction of its slow-start budget that a process can use in its first overload
+	// window for an executor that started before the process did. The predecessor process may have used up the budget.
+	// It counted each job as classEstimateMargin times the job's work, so it sent at most budget/classEstimateMargin of
+	// work. The rest is budget*(1-1/classEstimateMargin). Since this process multiplies work by the same margin, it can
+	// use budget*(classEstimateMargin-1).
 	restartedBudgetFraction = classEstimateMargin - 1
 
-	// unknownWorkMargin is the extra margin of a job in slow start, as a fraction, if no running time of its class is known.
-	// It is divided by one plus the number of known running times.
+	// unknownWorkMargin enlarges the margin on the work of a job in slow start if the client did not estimate the work.
+	// The margin is multiplied by 1 + unknownWorkMargin/(1 + number of known running times of the job's class).
 	unknownWorkMargin = 2
 )
 
 // slowStart limits the work that this node sends to executors that have just started (the slow-start budget, rule 4).
 type slowStart struct {
-	executors       []*executor   // executors in slow start that this node may use
+	executors       []*executor   // executors in slow start that this node is allowed to use
 	initialCapacity float64       // fraction of its full capacity that an executor has at its start
 	duration        time.Duration // time from an executor's start until it has its full capacity
-	senders         int           // number of nodes that may use the same executor in slow start
-	budget          float64       // seconds of work that this node may send within overloadWindow, per unit of capacity
-	overloadWindow  time.Duration
-	blockedUntil    time.Duration // time until which another process of this node uses the budget
+	senders         int           // number of nodes that are allowed to use the same executor in slow start
+	// Seconds of work that this node can send to an executor within overloadWindow, per unit of the executor's
+	// capacity.
+	budget         float64
+	overloadWindow time.Duration
+	// Time until which this process must not use executors in slow start, because another process of this node uses the
+	// budget.
+	blockedUntil time.Duration
 }
 
-// derive sets the number of sending nodes and this node's share of the slow-start budget. If all of many nodes shared
-// the budget, a share would be less than one job. So only a few nodes share it: as many as there are jobs in the
-// initial budget of an executor with one slot, if the work of a job is the shortest objective.
+// derive sets the number of nodes that use an executor in slow start, and this node's share of the slow-start budget.
+// If all nodes of a large cluster shared the budget, a share would be less than one job. So only a few nodes share it:
+// as many as there are jobs in the initial budget of an executor with one slot, if a job's work is as long as the
+// shortest objective.
 func (s *slowStart) derive(overloadMultiple float64, shortestObjective time.Duration, nodeCount int) {
 	window := s.overloadWindow.Seconds()
 	senders := int(overloadMultiple * s.initialCapacity * window / shortestObjective.Seconds())
@@ -39,7 +45,8 @@
 	s.budget = overloadMultiple * window / float64(s.senders)
 }
 
-// add adds an executor whose slow start begins, if this node may use it then and it is not in slow start already.
+// add adds an executor whose slow start begins, if this node is allowed to use it in its slow start. An executor that
+// is already in slow start is not added again.
 func (s *slowStart) add(e *executor, now time.Duration) {
 	if e.slowStart.sender && now >= e.slowStart.until {
 		s.executors = append(s.executors, e)
@@ -51,17 +58,17 @@
 	s.executors = slices.DeleteFunc(s.executors, func(e *executor) bool { return e.removed || now >= e.slowStart.until })
 }
 
-// capacityFraction returns the fraction of its full capacity that e is sure to have now. It grows linearly over the duration
-// of slow start.
+// capacityFraction returns the fraction of its full capacity that e is sure to have now. The fraction grows linearly
+// over the duration of slow start.
 func (s *slowStart) capacityFraction(e *executor, now time.Duration) float64 {
 	return s.initialCapacity + (1-s.initialCapacity)*min(1, max(0, float64(now-e.started)/float64(s.duration)))
 }
 
 // executorSlowStart is the slow-start state of one executor.
 type executorSlowStart struct {
-	sender bool          // this node is one of those that may use the executor in its slow start
-	until  time.Duration // end of its slow start
-	spent  []spend       // work sent to it within the overload window
+	sender bool          // this node is one of those that are allowed to use the executor in its slow start
+	until  time.Duration // end of the executor's slow start
+	spent  []spend       // records of the work sent to the executor within the overload window
 }
 
 // begin starts a slow start that lasts until the given time.
@@ -70,17 +77,17 @@
 	s.spent = s.spent[:0]
 }
 
-// spend records that work was sent to the executor.
+// spend records that work was sent to the executor in its slow start.
 func (s *executorSlowStart) spend(now, work time.Duration) {
 	s.spent = append(s.spent, spend{now, work})
 }
 
-// dropBefore drops the records of work sent longer ago than the window.
+// dropBefore drops the records of work that was sent longer ago than the window.
 func (s *executorSlowStart) dropBefore(now, window time.Duration) {
 	s.spent = slices.DeleteFunc(s.spent, func(spent spend) bool { return spent.at+window <= now })
 }
 
-// spend records an amount of work and the time at which it was sent.
+// spend is a record of an amount of work and the time at which it was sent.
 type spend struct {
 	at   time.Duration
 	work time.Duration
@@ -90,8 +97,8 @@
 // depends on the slots and the pace observed for e's kind, and on the capacity that e is sure to have at its age.
 func (d *Dispatcher) withinSlowStartBudget(e *executor, j *job, now time.Duration) bool {
 	kind := d.endpoints.kinds[e.kind]
-	// An executor gets less if it is smaller than the mean of its kind, and if its own pace, as observed before or
-	// after its restart, is slower than the kind's.
+	// An executor gets less if it is smaller than the mean of its kind. It also gets less if its own pace, as observed
+	// before or after its restart, is slower than its kind's.
 	capacity := d.slowStart.capacityFraction(e, now) * min(1, max(e.size, e.weight)/kind.size)
 	budget := d.slowStart.budget * capacity * kind.safeSlots() / max(kind.pace, d.pace(e, now))
 	if e.started < 0 && now < d.slowStart.overloadWindow {
@@ -104,8 +111,8 @@
 	return j.slowStartWork().Seconds() <= budget
 }
 
-// slowStartWork returns the work that j counts for in the slow-start budget: its estimated work plus a margin. Without the
-// client's estimate, the margin is larger the fewer running times of its class are known.
+// slowStartWork returns the work that j counts as in the slow-start budget: its estimated work plus a margin. If the
+// client did not estimate the work, the margin is larger if fewer running times of j's class are known.
 func (j *job) slowStartWork() time.Duration {
 	margin := classEstimateMargin
 	if !j.hasClientEstimate {
@@ -125,9 +132,10 @@
 	}
 }
 
-// safeSlots returns the number of slots of a kind that the slow-start budget may rely on: from load reports without queued
-// jobs, or from jobs that ran at the same time for long enough. It does not rely on the higher count from start notices: a
-// start notice may overtake the result of the job that ended before it, so an executor with one slot would seem to have two.
+// safeSlots returns the number of slots of the kind's executors that the slow-start budget can rely on. It is taken
+// from load reports without queued jobs. If there are none, it is taken from jobs that ran at the same time for long
+// enough. The higher count from start notices is not used. A start notice may arrive before the result of the job that
+// ended before it, so an executor with one slot would seem to have two.
 func (k *kindStats) safeSlots() float64 {
 	if k.exactSlots > 0 {
 		return max(1, math.Round(k.exactSlots))
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,33 +6,38 @@
 )
 
 const (
-	subsetMinNodes       = 6 // minimum number of nodes for subsetting; fewer nodes use all executors each
-	nodesPerExecutor     = 3 // number of nodes that have the same executor in their subsets, if minSubsetSize allows it
-	minSubsetSize        = 3 // minimum subset size per required kind, in the own zone and in other zones; doubled with leases
-	lateNodesPerExecutor = 2 // number of nodes that send jobs past their objective to the same executor
+	subsetMinNodes = 6 // minimum number of nodes for subsetting; in a smaller cluster, each node uses all executors
+	// Number of nodes that have the same executor in their subsets; more if minSubsetSize makes the subsets larger.
+	nodesPerExecutor = 3
+	// Minimum number of executors per required kind in a subset, in the own zone and again in other zones; doubled with
+	// leases.
+	minSubsetSize        = 3
+	lateNodesPerExecutor = 2 // number of nodes that send late jobs of classes with a late value to the same executor
 )
 
-// subset holds the executors that this node uses. Where nodes are many, it is a part of all executors.
+// subset holds the executors that this node uses. In a large cluster, these are only some of all executors.
 type subset struct {
-	members     []*executor   // executors in slow start first, then the others by rank, highest first
-	previous    []*executor   // members before the last rebuild; their array is reused by the next one
-	lateSize    int           // number of members, from the first on, that late jobs of classes with a late value may use
+	members  []*executor // members of the subset: executors in slow start first, then the others, highest rank first
+	previous []*executor // members before the last rebuild; the next rebuild reuses the array of this slice
+	// Number of members, counted from the first one, that late jobs of classes with a late value can use.
+	lateSize    int
 	stale       bool          // the next turn checks whether the subset must be rebuilt
-	changed     bool          // something that the subset depends on has changed
-	validUntil  time.Duration // time at which the subset is out of date though nothing has changed
+	changed     bool          // something that the subset depends on has changed since the last rebuild
+	validUntil  time.Duration // time from which the subset is out of date even if no event has changed it
 	memberMoved bool          // the zone or kind of a member has changed since the last rebuild
 }
 
 // recheck makes the next turn rebuild the subset if it is out of date by then.
 func (s *subset) recheck() { s.stale = true }
 
-// invalidate makes the next turn rebuild the subset, because something that it depends on has changed.
+// invalidate makes the next turn rebuild the subset, because something that the subset depends on has changed.
 func (s *subset) invalidate() {
 	s.stale = true
 	s.changed = true
 }
 
-// noteRecovery records that an executor has responded, which changes the subset if it was unresponsive.
+// noteRecovery records that an executor has responded. If the executor was unresponsive, the subset is out of date,
+// because the executor is usable again.
 func (s *subset) noteRecovery(wasUnresponsive bool) { s.changed = s.changed || wasUnresponsive }
 
 // noteMoved records that the zone or kind of an executor has changed in the endpoint list.
@@ -42,12 +47,13 @@
 	}
 }
 
-// usesSubset reports whether there are enough nodes for each to use only a part of the executors.
+// usesSubset reports whether there are enough nodes for subsetting: each node then uses only some of the executors.
 func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
-// subsetSize returns how many executors this node uses per required kind in its own zone, and likewise in other zones. With
-// few nodes that is all of them. Otherwise it is so many that each executor is in the subsets of nodesPerExecutor nodes. If
-// crossing zones has no cost, all executors count as being in the own zone.
+// subsetSize returns how many executors this node uses per required kind in its own zone, and how many in other zones.
+// In a small cluster, that is all executors. In a large one, the number is such that each executor is in the subsets of
+// nodesPerExecutor nodes on average, but it is at least minSubsetSize. If crossing zones has no cost, all executors
+// count as being in the own zone.
 func (d *Dispatcher) subsetSize() int {
 	executors := len(d.endpoints.ranked)
 	if !d.usesSubset() {
@@ -60,12 +66,14 @@
 	return size
 }
 
-// rebuildSubset picks the executors that this node uses: those that rank highest here, per required kind in the own zone and
-// in other zones. If many nodes all used all executors, even a quota of one per node would add up to overload.
+// rebuildSubset picks the executors that this node uses, if the subset is out of date. For each required kind, these
+// are the executors that rank highest at this node, in the own zone and again in other zones. If all of many nodes used
+// all executors, even a quota of one per node would add up to overload.
 func (d *Dispatcher) rebuildSubset(now time.Duration) {
 	d.subset.stale = false
 	if !d.subset.changed && now < d.subset.validUntil {
-		return // a rebuild would not change it
+		// A rebuild would not change the subset.
+		return
 	}
 	d.subset.lateSize = max(1, ceilDiv(lateNodesPerExecutor*len(d.endpoints.ranked), d.config.nodeCount))
 	previous := d.beginSubset()
@@ -75,8 +83,8 @@
 	d.finishSubset(previous)
 }
 
-// addSlowStarters adds the executors in slow start that this node may use. They are added whatever their rank and in addition
-// to subsetSize others, since they do only a part of the work of an executor past slow start.
+// addSlowStarters adds the executors in slow start that this node is allowed to use, whatever their rank. They are not
+// counted for subsetSize, because an executor in slow start does less work than one past slow start.
 func (d *Dispatcher) addSlowStarters(now time.Duration, means map[KindID]meanQuota) {
 	d.slowStart.dropEnded(now)
 	for _, e := range d.slowStart.executors {
@@ -87,11 +95,13 @@
 	}
 }
 
-// addRanked adds usable executors past slow start in the order of their ranks, until there are size of them per required kind
-// in the own zone and in other zones. An executor counts for each required kind that it matches, AnyKind included.
+// addRanked adds usable executors past slow start in the order of their ranks. It stops when it has found the given
+// number of executors per required kind in the own zone, and the same number in other zones. An executor is counted for
+// each required kind that it matches, AnyKind included.
 func (d *Dispatcher) addRanked(now time.Duration, size int, means map[KindID]meanQuota) {
 	required := d.classes.requiredKinds
-	counts := make([]int, 2*len(required)) // counts per kind in the own zone, then counts per kind in other zones
+	// Numbers of executors added: first per kind in the own zone, then per kind in other zones.
+	counts := make([]int, 2*len(required))
 	missing := len(counts)
 	for _, e := range d.endpoints.ranked {
 		if missing == 0 {
@@ -119,9 +129,10 @@
 	}
 }
 
-// addToSubset adds an executor, and gives it its first tokens if it never had any. Their number is the quota inherited from
-// the predecessor process, or else the mean quota of the executor's kind, or else initialQuota. The ages of the tokens are
-// random within one interval, so that nodes do not all start with the same executor.
+// addToSubset adds an executor to the subset. If the executor never had tokens, it gets its first ones. Their number is
+// the quota inherited from the predecessor process, or else the mean quota of the executor's kind, or else
+// initialQuota. The ages of the tokens are random within one quota interval, so that nodes do not all start with the
+// same executor.
 func (d *Dispatcher) addToSubset(e *executor, now time.Duration, means map[KindID]meanQuota) {
 	d.subset.members = append(d.subset.members, e)
 	if e.tokens.quota > 0 {
@@ -154,8 +165,8 @@
 	return previous
 }
 
-// limitSubsetValidity ends the subset's validity at the next time at which something that it depends on changes without an
-// event: an ejection or the slow start of e ends, or this process may use executors in slow start.
+// limitSubsetValidity limits the subset's validity to the next time at which it can change without an event. That is
+// the end of e's ejection or slow start, or the time from which this process is allowed to use executors in slow start.
 func (d *Dispatcher) limitSubsetValidity(e *executor, now time.Duration) {
 	for _, at := range [...]time.Duration{e.health.ejectedUntil, e.slowStart.until, d.slowStart.blockedUntil} {
 		if at > now {
@@ -164,8 +175,9 @@
 	}
 }
 
-// finishSubset sets the members' positions, and marks the executors whose entries in the candidate index have to change:
-// those that joined or left, and those that have become open or closed to late jobs.
+// finishSubset sets the positions of the subset's members. It also marks the executors whose entries in the candidate
+// index have to change: those that joined or left the subset, and those for which it has changed whether late jobs can
+// use them.
 func (d *Dispatcher) finishSubset(previous []*executor) {
 	for _, kind := range d.index.kinds {
 		kind.localSubset = kind.localSubset[:0]
@@ -189,7 +201,8 @@
 			d.markDirty(e)
 		}
 	}
-	clear(d.subset.previous[len(d.subset.previous):cap(d.subset.previous)]) // so that dropped executors can be garbage-collected
+	// Clear the unused rest of the array, so that executors that left the subset can be garbage-collected.
+	clear(d.subset.previous[len(d.subset.previous):cap(d.subset.previous)])
 }
 
 // ceilDiv returns a / b, rounded up.
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -8,21 +8,21 @@
 // timerQueue holds all timers, ordered by their due times.
 type timerQueue struct {
 	heap     timerHeap
-	sequence int // number of timers added so far, which orders timers with the same due time
+	sequence int // number of timers added so far; it orders timers with the same due time
 }
 
-// timerKind says what to do when a timer is due.
+// timerKind says what is done when a timer is due.
 type timerKind uint8
 
 const (
-	placeJobTimer     timerKind = iota // have the caller call Place for the job
-	checkAttemptTimer                  // review the attempt, and cancel it if necessary
-	releaseTokenTimer                  // release one of the executor's taken tokens
+	placeJobTimer     timerKind = iota // make NextTask return PlaceJob for the timer's job
+	checkAttemptTimer                  // review the timer's attempt, and cancel it if necessary
+	releaseTokenTimer                  // release one of the taken tokens of the timer's executor
 	checkAllTimer                      // check the subset, the queue, the leases and the health checks
 )
 
-// timer is an action that is due at some time. A timer of a job or an attempt has no effect once the generation of the job
-// or attempt has changed.
+// timer is an action that is due at some time. A timer of a job or an attempt has no effect if the generation of the
+// job or attempt has changed since the timer was set.
 type timer struct {
 	at         time.Duration
 	sequence   int
@@ -33,12 +33,13 @@
 	executor   *executor
 }
 
-// placeJob sets a timer that has Place called for the job.
+// placeJob sets a timer at which NextTask returns PlaceJob for the job.
 func (q *timerQueue) placeJob(at time.Duration, j *job) {
 	q.add(timer{at: at, kind: placeJobTimer, generation: j.generation, job: j})
 }
 
-// checkAttempt sets the timer of an attempt's next review. It replaces the timer that was set before.
+// checkAttempt sets the timer of an attempt's next review. The timer that was set before for the attempt has no effect
+// any more.
 func (q *timerQueue) checkAttempt(at time.Duration, a *attempt) {
 	a.generation++
 	q.add(timer{at: at, kind: checkAttemptTimer, generation: a.generation, attempt: a})
@@ -49,7 +50,8 @@
 	q.add(timer{at: at, kind: releaseTokenTimer, executor: e})
 }
 
-// checkAll sets a timer that checks everything whose state changes with time alone.
+// checkAll sets a timer for a check of everything whose state changes with time alone: the subset, the queue, the
+// leases and the health checks.
 func (q *timerQueue) checkAll(at time.Duration) {
 	q.add(timer{at: at, kind: checkAllTimer})
 }
--- a/policy/value.go
+++ b/policy/value.go
@@ -6,40 +6,46 @@
 )
 
 const (
-	minTenantArrivals     = 2.0  // number of recent jobs that is too small to judge a tenant's traffic by
-	valueDecay            = 0.95 // factor for a class's requested and earned value, each interval
-	minWorstClassFraction = 0.05 // least fraction of all jobs that the worst class is taken to have
-	tenantRateDecay       = 0.8  // factor for a tenant's rate, each interval
-	minMarginalValue      = 1e-9 // least marginal value, in mean jobs, to avoid a division by zero
-	minMeanValue          = 1e-9 // least mean value of a class's jobs, to avoid a division by zero
-	minTotalQuota         = 1e-9 // least sum of all tenants' quotas, to avoid a division by zero
+	minTenantArrivals = 2.0 // number of recent jobs that is too small to judge the traffic of a tenant or class by
+	// A class's requested and earned values are multiplied by this at the end of each interval.
+	valueDecay            = 0.95
+	minWorstClassFraction = 0.05 // the worst class is assumed to have at least this fraction of all jobs
+	tenantRateDecay       = 0.8  // a tenant's rate keeps this fraction of its previous value at the end of each interval
+	// Least marginal value of a job, as a multiple of the mean value, to avoid a division by zero.
+	minMarginalValue = 1e-9
+	minMeanValue     = 1e-9 // least mean value of a class's jobs, to avoid a division by zero
+	minTotalQuota    = 1e-9 // least sum of all tenants' quotas, in jobs per second, to avoid a division by zero
 
 	rateMemoryIntervals = 5 // number of intervals over which a tenant's rate is averaged: 1 / (1 - tenantRateDecay)
-	valueMeanSlowdown   = 4 // factor by which the mean values change more slowly than other running averages
+	// The mean value and the mean density of jobs change this many times more slowly than other running averages.
+	valueMeanSlowdown = 4
 )
 
 // valueAverages holds the averages that a job's value is compared with.
 type valueAverages struct {
 	mean                  float64   // mean value of a job
-	meanDensity           float64   // mean of the jobs' marginal value per second of work
+	meanDensity           float64   // mean marginal value of a job per second of work
 	worstClass            *jobClass // class that earned the lowest fraction of its requested value; nil: none
-	worstClassValuePerJob float64   // value of worstClass's jobs, averaged over the jobs of all classes
+	worstClassValuePerJob float64   // value of the jobs of worstClass divided by the number of jobs of all classes
 }
 
 // tenant holds a tenant's quota and its traffic at this node.
 type tenant struct {
-	quotaPerSecond   float64 // this node's part of the tenant's quota, in jobs per second
-	rate             float64 // running average of the tenant's jobs per second at this node
-	arrivals         int     // jobs in this interval
-	overQuota        float64 // rate, relative to the tenant's fair share of this node's traffic; over 1: over its quota
-	budgetMargin     float64 // extra time that a job with a short budget must have, as a fraction of its predicted running time
-	shortBudgetRatio float64 // fraction of the tenant's first tries that came with less than the full budget
+	quotaPerSecond float64 // this node's share of the tenant's quota, in jobs per second
+	rate           float64 // running average of the tenant's jobs per second at this node
+	arrivals       int     // number of jobs of the tenant that arrived in this interval
+	// The tenant's rate divided by its fair share of this node's traffic; above 1: the tenant is over its quota.
+	overQuota float64
+	// Extra time that a job with a short budget must have, as a fraction of the predicted running time.
+	budgetMargin     float64
+	shortBudgetRatio float64 // fraction of the tenant's first tries that arrived with less than the full budget
 }
 
-// forgetWorstClass is called when the classes change. No class counts as the worst until the current interval ends.
+// forgetWorstClass is called when the job classes change. After that, no class counts as the worst until the current
+// interval ends.
 func (v *valueAverages) forgetWorstClass() { v.worstClass = nil }
 
-// adopt takes over the mean values that another process of this node has learned, if it has.
+// adopt takes over the mean values that another process of this node has learned, if that process has learned any.
 func (v *valueAverages) adopt(mean, meanDensity float64) {
 	if mean > 0 && meanDensity > 0 {
 		v.mean = mean
@@ -47,7 +53,8 @@
 	}
 }
 
-// valueOf returns the value of a job: the value of its class, multiplied by its work in seconds with ValuePerWork.
+// valueOf returns the value of a job, which is the value of its class. With the setting ValuePerWork, it is that value
+// times the job's work in seconds.
 func (d *Dispatcher) valueOf(j *job) float64 {
 	if d.config.valuePerWork {
 		return j.class.value * j.work.Seconds()
@@ -55,7 +62,8 @@
 	return j.class.value
 }
 
-// tenantFactor returns the factor for the value of a tenant's jobs. It is below 1 if the tenant is over its quota.
+// tenantFactor returns the factor by which the value of a tenant's jobs is multiplied. It is below 1 if the tenant is
+// over its quota.
 func (d *Dispatcher) tenantFactor(t *tenant) float64 {
 	if t != nil && t.overQuota > 1 {
 		return d.config.overQuotaValue + (1-d.config.overQuotaValue)/t.overQuota
@@ -63,9 +71,10 @@
 	return 1
 }
 
-// marginalValue returns the value of completing j within its objective, as a multiple of the mean value of a job. It has
-// two terms, weighted by the operators' settings: j's contribution to the total value and, if j is of the class that
-// earned the lowest fraction of its requested value, j's contribution to the value of that class.
+// marginalValue returns the value of completing j within its objective, as a multiple of the mean value of a job. It is
+// the sum of two terms, which are weighted by TotalWeight and WorstClassWeight of the settings. The first term is j's
+// contribution to the total value. The second is j's contribution to the value of the class that earned the lowest
+// fraction of its requested value, if j is of that class. If j's tenant is over its quota, the sum is reduced.
 func (d *Dispatcher) marginalValue(j *job) float64 {
 	value := d.valueOf(j)
 	marginal := d.config.totalWeight * value / d.values.mean
@@ -75,7 +84,8 @@
 	return max(marginal*d.tenantFactor(j.tenant), minMarginalValue)
 }
 
-// recordRequested updates the averages with the value of a job that arrived. Only first tries count as requested value.
+// recordRequested updates the averages with the value of a job that arrived. The value counts as requested value of the
+// class only if the job is a first try.
 func (d *Dispatcher) recordRequested(j *job, firstTry bool) {
 	value := d.valueOf(j)
 	j.class.meanValue = j.class.meanValue*smoothing + value*(1-smoothing)
@@ -87,7 +97,7 @@
 	d.values.meanDensity = slowMean(d.values.meanDensity, density)
 }
 
-// slowMean returns a running mean after another observation. The first observation becomes the mean.
+// slowMean returns a running mean after another observation was added. The first observation becomes the mean.
 func slowMean(mean, observed float64) float64 {
 	if mean == 0 {
 		mean = observed
@@ -95,7 +105,8 @@
 	return mean + (observed-mean)*(1-smoothing)/valueMeanSlowdown
 }
 
-// recordCompletion records a completed attempt. The job's value is earned if the attempt ended within its objective.
+// recordCompletion records a completed attempt. The job's value counts as earned if the attempt ended within the job's
+// objective.
 func (d *Dispatcher) recordCompletion(a *attempt, now time.Duration) {
 	d.shedding.recordCompleted(a.job)
 	if now <= a.objectiveAt {
@@ -103,8 +114,8 @@
 	}
 }
 
-// updateWorstClass is called at the end of each interval. It lets the requested and earned values of the classes decay, and
-// finds the class that earned the lowest fraction of its requested value.
+// updateWorstClass is called at the end of each interval. It lets the requested and earned values of the classes decay.
+// It then finds the class that earned the lowest fraction of its requested value.
 func (d *Dispatcher) updateWorstClass() {
 	var worst *jobClass
 	leastFraction := math.Inf(1)
@@ -129,9 +140,9 @@
 // requestedJobs returns the approximate number of jobs of a class that were requested recently.
 func (c *jobClass) requestedJobs() float64 { return c.requestedValue / max(c.meanValue, minMeanValue) }
 
-// updateTenants is called at the end of each interval. It updates the tenants' rates, and how far each tenant is over its
-// quota. If the total rate at this node exceeds the node's part of all quotas, each quota is raised in proportion:
-// otherwise a node with more traffic than other nodes would take all its tenants for over their quotas.
+// updateTenants is called at the end of each interval. It updates the tenants' rates, and how far each tenant is over
+// its quota. If the total rate at this node exceeds this node's share of all quotas, each quota is raised in
+// proportion. Otherwise all tenants of a node with more traffic than other nodes would count as over their quotas.
 func (d *Dispatcher) updateTenants() {
 	interval := d.classes.quotaInterval.Seconds()
 	totalRate := 0.0
@@ -143,7 +154,7 @@
 		totalQuota += t.quotaPerSecond
 	}
 	overload := max(totalRate/max(totalQuota, minTotalQuota), 1)
-	// Added to both rates, so that a tenant with few jobs does not count as over its quota.
+	// fewArrivals is added to both rates, so that a tenant with few jobs does not count as over its quota.
 	fewArrivals := minTenantArrivals / (rateMemoryIntervals * interval)
 	for i := range d.tenants {
 		t := &d.tenants[i]
@@ -171,8 +182,9 @@
 	t.budgetMargin = max(t.budgetMargin-budgetMarginStep, 0)
 }
 
-// recordFirstTry records whether a first try of the tenant came with a short budget, and returns the fraction of its first
-// tries that do. A client's retry is not recorded. For a job without a tenant, where t is nil, the fraction is 0.
+// recordFirstTry records whether a first try of the tenant arrived with a short budget, and returns the fraction of the
+// tenant's first tries that did. A client's retry is not recorded. For a job without a tenant, t is nil and the
+// fraction is 0.
 func (t *tenant) recordFirstTry(isRetry, isShort bool) float64 {
 	if t == nil {
 		return 0
