--- a/policy/latency.go
+++ b/policy/latency.go
@@ -34,14 +34,14 @@
 	size float64
 	// Running average of an executor's number of slots, from all load reports; 0: no report has come.
 	reportedSlots float64
-	// Estimated number of an executor's slots: from load reports, or the most jobs of this node seen to run there at
-	// the same time.
+	// Estimated number of slots of an executor: from load reports, or the largest number of this node's jobs seen to
+	// run there at the same time.
 	concurrency int
 	// Running average of an executor's number of slots, only from load reports that show no queued jobs, because these
 	// are exact; 0: no such report has come.
 	exactSlots float64
-	// Most jobs of this node that an executor ran at the same time for at least half of the running time of one of
-	// them.
+	// Largest number of this node's jobs that an executor ran at the same time for at least half of one job's running
+	// time.
 	observedConcurrency int
 	index               *kindIndex
 }
@@ -170,8 +170,8 @@
 }
 
 // recordRunTime records the running time of a completed attempt of j at e. An answer that the executor remembered for
-// the job's idempotency key is ignored. It would make the executor look fast, and the executor would be overloaded in
-// its slow start.
+// the job's idempotency key is ignored. If it counted, the executor would look fast and would be overloaded in its slow
+// start.
 func (d *Dispatcher) recordRunTime(j *job, e *executor, ran time.Duration) {
 	kind := d.endpoints.kinds[e.kind]
 	if j.class.idempotency == IdempotentWithKey && ran < scaled(j.work, dedupReplyFraction*kind.pace) {
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -25,7 +25,8 @@
 	Samples  int // number of running times from which MeanWork is computed
 	// Largest time budget of a job so far: the time that its client waits for the answer.
 	FullBudget time.Duration
-	// Decaying sums of the values of all first tries, and of the jobs completed within their objective.
+	// Decaying sums of the values of jobs: of all first tries that arrived, and of the jobs completed within their
+	// objective.
 	RequestedValue, EarnedValue float64
 	UnitValue                   float64 // mean value of a job of the class
 }
@@ -37,8 +38,8 @@
 	Size float64 // running average of the weights that the kind's executors have in the endpoint list when idle
 	// Running average of an executor's number of slots, from all load reports; 0: no report had come.
 	ReportedSlots float64
-	// Estimated number of an executor's slots: from load reports, or the most jobs of the node seen to run there at the
-	// same time.
+	// Estimated number of slots of an executor: from load reports, or the largest number of the node's jobs seen to run
+	// there at the same time.
 	Concurrency int
 }
 
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -100,7 +100,7 @@
 	freeSlotSeen  bool // in this interval a health check showed a free slot although the whole quota was granted
 }
 
-// lease is a lease of one slot of an executor, granted to the node borrower.
+// lease is a lease of one slot of an executor. The borrower is the node to which the lease is granted.
 type lease struct {
 	borrower  NodeID
 	expiresAt time.Duration
@@ -148,8 +148,8 @@
 }
 
 // secondLeaseHolderOf returns an executor's second lease holder: the node that is asked for leases while the first
-// lease holder does not answer. It is derived from another hash, so that the executors of a failed lease holder are
-// spread over all nodes. For some executors it is the same node as the first lease holder.
+// lease holder does not answer. It is derived from another hash, so that the executors whose first lease holder has
+// failed are spread over all nodes. For some executors it is the same node as the first lease holder.
 func (d *Dispatcher) secondLeaseHolderOf(hash ExecutorHash) NodeID {
 	return d.leaseHolderOf((hash ^ hash>>16) * goldenRatio32 >> 8)
 }
@@ -431,8 +431,8 @@
 	return node
 }
 
-// recordReturn records a returned lease. A lease that has expired before its return is also counted, for the adjustment
-// of the quota.
+// recordReturn records a returned lease. The return of a lease that has already expired is counted too, for the
+// adjustment of the quota.
 func (l *leaseLedger) recordReturn(from NodeID, waitedAtExecutor bool) {
 	l.returns++
 	if waitedAtExecutor {
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -71,8 +71,9 @@
 	return scaled(a.work, slowProgressFactor*usualPace) - (now - a.startedAt)
 }
 
-// paceForCheck returns the pace of a's executor that the review of a uses. Attempts that are still running are included
-// only if the client estimated a's work. Otherwise a long running time may be due to the job and not to the executor.
+// paceForCheck returns the pace of an attempt's executor for the review of the attempt. Attempts that are still running
+// are included in the pace only if the client estimated the work of the reviewed attempt. Otherwise a long running time
+// may be due to the job and not to the executor.
 func (d *Dispatcher) paceForCheck(a *attempt, now time.Duration) float64 {
 	if a.hasClientEstimate {
 		return d.pace(a.executor, now)
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -16,10 +16,10 @@
 // bucket gives a lower bound of the bucket's paces, whatever the kind's pace is.
 
 const (
-	// Number of pace buckets of equal width that divide the range of seen, from 0 to 1.
+	// Number of pace buckets of equal width into which the range of seen, 0 to 1, is divided.
 	evenPaceBuckets = 16
-	// Number of pace buckets that divide the lowest bucket of equal width further; each is half as wide as the one
-	// before.
+	// Number of pace buckets into which the lowest of the equal-width buckets is divided; each is half as wide as the
+	// one before.
 	halvingPaceBuckets = 24
 	// Number of the pace bucket for executors without observed work, which are ordered by runTime.
 	unseenPaceBucket = evenPaceBuckets + halvingPaceBuckets
@@ -47,7 +47,7 @@
 	kind.paceBuckets[number].update(e, floatKey(e.estimate.runTime/e.estimate.work))
 }
 
-// minPace returns a lower bound of the paces in a part of a pace bucket's heap: of the executor at index i and of those
+// minPace returns a lower bound of the paces of some executors in a pace bucket's heap: the one at index i and all
 // below it.
 func (k *kindIndex) minPace(bucket, i int) float64 {
 	kindPace := k.stats.pace
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -288,8 +288,8 @@
 	return e.indexed.subsetRank
 }
 
-// eligibleExecutors returns the executors among which j's executor is chosen. That is the subset, unless j can be
-// retried only in a dedup group. The executors of that group may be outside the subset, so all executors are returned.
+// eligibleExecutors returns the executors among which j's executor is chosen. That is the subset. If j can be retried
+// only in a dedup group, it is all executors, because those of the group may be outside the subset.
 func (d *Dispatcher) eligibleExecutors(j *job) []*executor {
 	if d.boundToDedupGroup(j) {
 		return d.endpoints.ranked
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -10,7 +10,8 @@
 	// Least density of the marginal value in the computation of a queue key, as a multiple of the mean density.
 	minQueueDensity   = 1e-3
 	minQueueLateValue = 1e-3 // least late value of a class in the computation of a queue key
-	queueScanFactor   = 2    // a scan of the queue looks at this many jobs of each list per member of the subset
+	// One scan of the queue looks at up to this many jobs of each list for each member of the subset.
+	queueScanFactor = 2
 )
 
 // jobQueue holds the jobs that wait for a token, in the order in which they are placed.
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -7,8 +7,8 @@
 
 // The RAIN design prescribes executorQueuingThreshold, initialQuota, maxQuota and the rule of adjustQuota.
 const (
-	// An executor counts as the cause of delays if more than this fraction of the waiting time was spent there; for a
-	// lease quota, if more than this fraction of the jobs had to wait there.
+	// An executor counts as the cause of delays if more than this fraction of the waiting time was spent there. For a
+	// lease quota, it does if more than this fraction of the jobs had to wait there.
 	executorQueuingThreshold = 0.3
 	// This node's queue counts as empty if more than this fraction of the waiting time was spent at the executor.
 	emptyQueueThreshold = 0.5
@@ -54,7 +54,7 @@
 // to have in flight there. An attempt takes a token when it is sent, and the token is released when the attempt has
 // ended or later.
 type tokens struct {
-	// Maximum number of this node's attempts in flight at the executor; 0: it has not been in the subset yet.
+	// Maximum number of this node's attempts in flight at the executor; 0: the executor has not been in the subset yet.
 	quota          int
 	inheritedQuota int             // quota of the executor in the learned state of the predecessor process; 0: none
 	free           []time.Duration // for each free token, the time since which it has been free; oldest first
@@ -145,8 +145,8 @@
 }
 
 // recordStart records that the executor started an attempt of the given tenant. If no attempt was rejected as full
-// before it in this interval, or the last rejected one was another tenant's, the executor is not full for all tenants.
-// A rejection then only shows that the rejected tenant's quota at the executor is used up.
+// earlier in this interval, or the last rejected one was another tenant's, the executor is not full for all tenants. A
+// rejection then only shows that the rejected tenant's quota at the executor is used up.
 func (q *queuing) recordStart(tenant TenantID) {
 	q.startedOthers = q.startedOthers || !q.sawFull || tenant != q.fullTenant
 }
@@ -182,8 +182,8 @@
 	d.markDirty(e)
 }
 
-// releaseToken releases a token of e. If an attempt used a lease of e, it also returns one to the node that grants e's
-// leases. The message says whether the job had to wait at e (waitedAtExecutor).
+// releaseToken releases a token of e. If an attempt used a lease of e, a lease is also returned to the node that grants
+// e's leases. The message says whether the job had to wait at e (waitedAtExecutor).
 func (d *Dispatcher) releaseToken(e *executor, now time.Duration, waitedAtExecutor bool) {
 	d.returnLease(e, now, waitedAtExecutor)
 	e.tokens.release(now)
@@ -284,7 +284,7 @@
 }
 
 // decay resets e's waiting times for a new interval, and lowers the weight of past observations in its estimate.
-// Otherwise an executor with a bad estimate would never be tried again.
+// Without the lower weight, an executor with a bad estimate would never be tried again.
 func (e *executor) decay() {
 	e.queuing = queuing{outOfTokens: len(e.tokens.free) == 0}
 	e.estimate.decay()
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -26,8 +26,8 @@
 }
 
 // inDedupGroup reports whether e is in the dedup group of the attempt of j that has possibly run. Executors of this
-// group recognize a retry as a duplicate, so a retry at e has no duplicate effect. The result is true for every
-// executor if certainly no attempt has run or if j is idempotent.
+// group recognize a retry as a duplicate, so a retry at any of them has no duplicate effect. The result is true for
+// every executor if certainly no attempt has run or if j is idempotent.
 func (j *job) inDedupGroup(e *executor) bool {
 	if j.mayHaveRun == nil || j.class.idempotency == Idempotent {
 		return true
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -64,7 +64,7 @@
 	Tenants    []Tenant   // tenants, indexed by TenantID
 
 	ValuePerWork bool // the value of a job is the value of its class times its work in seconds
-	// Lower limit of the factor by which the value of a job is multiplied if its tenant is over its quota, 0 to 1.
+	// The value of a job whose tenant is over its quota is multiplied by a factor between this (0 to 1) and 1.
 	OverQuotaValue float64
 	CrossZoneCost  float64 // cost of sending a job to another zone, as a multiple of the mean value of a job; 0: none
 	TotalWeight    float64 // the value to maximize contains the total value of all classes, multiplied by this
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -111,8 +111,9 @@
 	return j.slowStartWork().Seconds() <= budget
 }
 
-// slowStartWork returns the work that j counts as in the slow-start budget: its estimated work plus a margin. If the
-// client did not estimate the work, the margin is larger if fewer running times of j's class are known.
+// slowStartWork returns the work that j counts as in the slow-start budget: its estimated work plus a margin. The
+// margin is larger if the client did not estimate the work: the fewer running times of j's class are known, the larger
+// it is.
 func (j *job) slowStartWork() time.Duration {
 	margin := classEstimateMargin
 	if !j.hasClientEstimate {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -7,7 +7,8 @@
 
 const (
 	subsetMinNodes = 6 // minimum number of nodes for subsetting; in a smaller cluster, each node uses all executors
-	// Number of nodes that have the same executor in their subsets; more if minSubsetSize makes the subsets larger.
+	// Each executor is in the subsets of this number of nodes on average, or of more if minSubsetSize makes the subsets
+	// larger.
 	nodesPerExecutor = 3
 	// Minimum number of executors per required kind in a subset, in the own zone and again in other zones; doubled with
 	// leases.
@@ -67,8 +68,8 @@
 }
 
 // rebuildSubset picks the executors that this node uses, if the subset is out of date. For each required kind, these
-// are the executors that rank highest at this node, in the own zone and again in other zones. If all of many nodes used
-// all executors, even a quota of one per node would add up to overload.
+// are the executors that rank highest at this node, in the own zone and again in other zones. If each of many nodes
+// used all executors, even a quota of one per node would add up to overload.
 func (d *Dispatcher) rebuildSubset(now time.Duration) {
 	d.subset.stale = false
 	if !d.subset.changed && now < d.subset.validUntil {
--- a/policy/value.go
+++ b/policy/value.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	minTenantArrivals = 2.0 // number of recent jobs that is too small to judge the traffic of a tenant or class by
+	minTenantArrivals = 2.0 // so few recent jobs of a tenant or class are not enough to judge its traffic
 	// A class's requested and earned values are multiplied by this at the end of each interval.
 	valueDecay            = 0.95
 	minWorstClassFraction = 0.05 // the worst class is assumed to have at least this fraction of all jobs
