--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -68,7 +68,8 @@
 func (c *Checker) LateAttempts() int { return c.lateAttempts }
 
 // SlowStartPeak returns the most work that reached an executor in slow start within the window, as a multiple of its
-// budget. It counts windows in which two thirds of the work came from nodes that had been notified of the start.
+// budget. It counts only windows in which at least two thirds of the work came from nodes that had been notified of the
+// start.
 func (c *Checker) SlowStartPeak() float64 { return c.slowStartPeak }
 
 // Observe processes an event, and returns the violations that the event and the time that passed before it revealed.
@@ -128,8 +129,8 @@
 	maps.DeleteFunc(c.clientLeftAt, func(key jobKey, _ time.Duration) bool { return key.node == event.Node })
 }
 
-// nodePaused records that a node's process is paused or has resumed. No time limit applies to the jobs that the node
-// has then.
+// nodePaused records that a node's process is paused or has resumed. From then on, no time limit applies to the jobs
+// that the node has at that time.
 func (c *Checker) nodePaused(event Event) {
 	c.paused[event.Node] = event.Kind == NodePaused
 	c.UnreachableUntil(event.Node, event.At)
--- a/internal/invariants/doc.go
+++ b/internal/invariants/doc.go
@@ -1,10 +1,11 @@
 // Package invariants checks recorded events against the rules that nodes must keep. A caller passes the events to a
-// Checker in the order of their times, and gets each violation as soon as it is found. Simulations, clusters of real
-// processes and recorded traces use the same checker.
+// Checker in the order of their times, and gets each violation as soon as it is found. The package depends on none of
+// its callers: simulations, clusters of real processes and recorded traces use the same checker.
 //
 // Each rule has a key that reports and scenarios refer to:
 //
-//	one answer         a batch job gets exactly one final answer before its deadline, and no attempt is sent for it afterwards
+//	one answer         a batch job gets exactly one final answer before its deadline, and no attempt is sent for it
+//	                   after that answer
 //	no effect twice    no effect happens twice, and a job has one attempt in flight at most, or two if hedging is allowed
 //	drain kept         no attempt is sent to an executor later than the drain grace after its node was notified of the drain
 //	cold spared        an executor in slow start does not get more work than its budget
--- a/internal/invariants/effect.go
+++ b/internal/invariants/effect.go
@@ -13,13 +13,13 @@
 	at       time.Duration
 }
 
-// maxEffectRuns is how many runs of the effect of a work are remembered.
+// maxEffectRuns is how many runs of its effect are remembered for each work.
 const maxEffectRuns = 8
 
 // effectStarted checks that an effect does not run twice. For classes with an idempotency key, only runs for the same
-// batch job count, since nodes are not responsible for clients that repeat their requests. If an attempt reaches the
-// executor after the dedup window, the effect runs again whatever the node does. Such runs are counted, and are not a
-// violation if every attempt was sent within the window.
+// batch job count, since nodes are not responsible for clients that repeat their requests. If a delay between node and
+// executor makes an attempt arrive after the dedup window, the effect runs again whatever the node does. Such runs are
+// counted, and are not a violation if every attempt was sent within the window.
 func (c *Checker) effectStarted(key jobKey, event Event) {
 	class := c.settings.Classes[event.Class]
 	about := subject{job: key, work: event.Work, executor: event.Executor}
--- a/internal/invariants/endpoint.go
+++ b/internal/invariants/endpoint.go
@@ -6,17 +6,17 @@
 	"birchstair/policy"
 )
 
-// knownEndpoint is what a node knows about an executor by its notifications.
+// knownEndpoint is what a node has been notified of about an executor.
 type knownEndpoint struct {
 	state policy.EndpointState
-	since time.Duration // when the node was notified of the state; if not Available, of the first such state since the last Available
+	since time.Duration // when the node was last notified that the executor is available, or first that it is not
 	start time.Duration // start of the executor's process
 }
 
 // publishedEndpoint is the state of an executor that discovery publishes.
 type publishedEndpoint struct {
 	state policy.EndpointState
-	since time.Duration // when the state was published; if not Available, the first such state since the last Available
+	since time.Duration // when the executor was last published as available, or first as not available
 }
 
 func (c *Checker) endpointNotified(event Event) {
@@ -38,7 +38,7 @@
 func (c *Checker) EndpointPublished(from time.Duration, executor policy.ExecutorID, state policy.EndpointState) {
 	previous, known := c.published[executor]
 	if known && previous.state != policy.Available && state != policy.Available {
-		return // the time counts from the first of the two
+		return // the time counts from the first state that is not Available
 	}
 	c.published[executor] = publishedEndpoint{state, from}
 }
@@ -55,8 +55,9 @@
 	c.UnreachableUntil(node, now)
 }
 
-// OverdueDrain returns for how long a node must have known from discovery that an executor accepts nothing new, and
-// whether that time has come.
+// OverdueDrain returns how long ago the time ended within which a node must learn from discovery that an executor
+// accepts nothing new. The second result is false if that time has not ended, if discovery publishes the executor as
+// available, or if the node cannot reach discovery.
 func (c *Checker) OverdueDrain(now time.Duration, node NodeID, executor policy.ExecutorID) (time.Duration, bool) {
 	endpoint, known := c.published[executor]
 	if !known || endpoint.state == policy.Available || c.unreachable[node] || c.unreachable[NoNode] {
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -31,8 +31,8 @@
 	JobGivenUp                        // the policy of the node has given up on the job
 	ClientKnownLeft                   // the node has learned that the client of the job left
 	AttemptFirstByte                  // the node has sent the first byte of an attempt to an executor, in its zone and cell
-	AttemptLastByte                   // the node has sent the last byte of that attempt
-	AttemptEnded                      // the node has learned that an attempt ended, and whether it certainly never ran
+	AttemptLastByte                   // the node has sent the last byte of an attempt to an executor
+	AttemptEnded                      // the node has learned that an attempt ended, and whether this proves that it never ran
 	JobAnswered                       // the node has given the job its final answer
 	ExecutorStarted                   // an executor has started and is in slow start; a Start of 0 stands for the time of the event
 	AttemptReached                    // an attempt has reached an executor, with its cost and the executor's present capacity
@@ -69,8 +69,8 @@
 // The kinds of final answers, in the order of their numbers in traces.
 const (
 	Succeeded Final = iota
-	Rejected        // nothing of it ran
-	Failed          // it may have run
+	Rejected        // the job did not run, or may safely run again
+	Failed          // the job may have run
 )
 
 var finalNames = [...]string{"handled", "pushed back", "broken off"}
@@ -96,7 +96,7 @@
 	NeverRan bool                 `json:"proof,omitempty"`    // the end of the attempt proves that it never ran
 	Final    Final                `json:"final,omitempty"`    // kind of the final answer
 	Cost     float64              `json:"cost,omitempty"`     // work of the attempt, in seconds on a standard core
-	Capacity float64              `json:"capacity,omitempty"` // work that the executor can do per second, in the same unit
+	Capacity float64              `json:"capacity,omitempty"` // work that the executor can do in a second, in seconds on a standard core
 	Text     string               `json:"text,omitempty"`
 }
 
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -43,8 +43,8 @@
 	return eventAt(t, EffectStarted, func(s *Event) { s.Class, s.Executor = class, e })
 }
 
-// sentAfterClientsLeft returns the events of a number of clients that leave at once, and whose batch jobs are sent
-// later by the given time.
+// sentAfterClientsLeft returns the events of a number of clients that all leave at time 0, and of the first attempts of
+// their batch jobs, which are sent at the given time.
 func sentAfterClientsLeft(after time.Duration, count int) (all []Event) {
 	for _, s := range []Event{accepted(0), eventAt(0, ClientLeft, nil), sentAt(after, 0, "a", 0)} {
 		for i := range count {
@@ -240,7 +240,7 @@
 // TestSlowStartOperatorsBound checks the operators' bound on an executor in slow start. If N batch jobs of mean work
 // fill the budget, the bound is N plus twice the square root of N plus 2. It is the narrower bound if N is large. Work
 // just under it is not a violation and the next batch job is one, whichever nodes sent them, unless over a third came
-// from nodes that had not been notified. With a small N our own bound still applies.
+// from nodes that had not been notified of the start. With a small N our own bound still applies.
 func TestSlowStartOperatorsBound(t *testing.T) {
 	settings := testSettings
 	for _, c := range []struct {
--- a/internal/invariants/job.go
+++ b/internal/invariants/job.go
@@ -12,8 +12,8 @@
 	id   policy.JobID
 }
 
-// job is the record of a batch job at a node. It is kept from the arrival of the job until no attempt is in flight and
-// the job is answered or its node knows that the client left.
+// job is the record of a batch job at a node. It begins with the arrival of the job. It ends once
+// the job is answered or needs no answer any more, and none of its attempts is in flight.
 type job struct {
 	work       WorkID
 	class      policy.JobClassID
@@ -58,7 +58,7 @@
 	c.schedule(event.Deadline+c.settings.AnswerSlack, key, event.Deadline)
 }
 
-// forget drops the record of a batch job that needs no answer and has no attempt in flight. The record of a job whose
+// forget drops the record of a batch job if it needs no answer and has no attempt in flight. The record of a job whose
 // node was paused is kept, since its id may be answered more than once.
 func (c *Checker) forget(key jobKey, j *job) {
 	if (j.answered || j.closed) && !j.excused && !slices.ContainsFunc(j.attempts, inFlight) {
@@ -140,7 +140,7 @@
 	}
 }
 
-// checkRetry checks that an attempt after one that may have run cannot repeat its effect.
+// checkRetry checks that if an earlier attempt may have run, the present one cannot cause the effect a second time.
 func (c *Checker) checkRetry(j *job, event Event, about subject) {
 	index := slices.IndexFunc(j.attempts, mayHaveRun)
 	if index < 0 {
@@ -196,8 +196,8 @@
 	c.forget(key, j)
 }
 
-// checkAnswer checks that an answer agrees with what ran. A client repeats a rejected job, so a job is only rejected if
-// that is safe.
+// checkAnswer checks that an answer agrees with what ran or may have run. A client repeats a rejected job, so a job
+// that may have run may be rejected only if the repeat is safe.
 func (c *Checker) checkAnswer(j *job, event Event, about subject) {
 	class := c.settings.Classes[j.class]
 	repeatUnsafe := class.Idempotency == policy.AtMostOnce ||
--- a/internal/invariants/rule.go
+++ b/internal/invariants/rule.go
@@ -11,14 +11,14 @@
 
 // The rules, in the order of ruleNames.
 const (
-	OneAnswer       Rule = iota + 1 // a job gets exactly one final answer before its deadline, and no attempt afterwards
+	OneAnswer       Rule = iota + 1 // a job gets exactly one final answer before its deadline, and no attempt after that answer
 	NoEffectTwice                   // no effect happens twice
-	DrainRespected                  // no attempt to an executor after the drain grace that follows the notification of its drain
+	DrainRespected                  // no attempt to an executor later than the drain grace after the node was notified of its drain
 	SlowStartBudget                 // an executor in slow start does not get more work than its budget
 	PromptAnswer                    // a job that the policy has given up on is answered without delay
 	GossipBound                     // the gossip of a node stays within its bounds
-	ClientPresent                   // no attempt for a client that left a while ago
-	DrainInForce                    // no attempt to an executor some seconds after discovery published its drain
+	ClientPresent                   // no attempt is sent for a client that left a while ago
+	DrainInForce                    // no attempt is sent to an executor some seconds after discovery published its drain
 )
 
 var ruleNames = [...]string{"", "one answer", "no effect twice", "drain kept", "cold spared", "answered at once", "bound kept", "still awaited", "informed"}
@@ -29,18 +29,18 @@
 // Settings are the parameters of the rules at a site.
 type Settings struct {
 	Classes           []policy.JobClass // job classes by their ids, with the dedup windows that the executors apply
-	AnswerSlack       time.Duration     // how long after its deadline an answer still counts as in time
+	AnswerSlack       time.Duration     // how long after the deadline of its job an answer still counts as in time
 	DrainGrace        time.Duration     // how long after the notification of a drain an attempt may still be sent
 	PromptWithin      time.Duration     // how long after the policy has given up on a job its answer counts as prompt
 	SlowStart         time.Duration     // length of an executor's slow start
 	SlowStartMultiple float64           // slow-start budget, as a multiple of the executor's present capacity
 	SlowStartWindow   time.Duration     // length of the window for which the slow-start budget holds
-	MeanWork          float64           // seconds of work of a mean batch job; if 0, unknown: the operators' slow-start bound is not checked
+	MeanWork          float64           // seconds of work of a mean batch job; 0 if unknown: then the operators' slow-start bound is not checked
 	Hedging           bool              // an idempotent batch job may have two attempts in flight
 }
 
-// DrainInForceWithin is how long after discovery has published a drain a node that can reach discovery may still send
-// attempts to the executor. It includes the drain grace.
+// DrainInForceWithin is how long a node that can reach discovery may still send attempts to a draining executor, from
+// the time when discovery has published the drain. It includes the drain grace.
 const DrainInForceWithin = 6 * time.Second
 
 // Bounds of the rule "still awaited". An attempt is late if it begins longer than ClientGoneTolerance after its client
--- a/internal/invariants/slow_start.go
+++ b/internal/invariants/slow_start.go
@@ -27,8 +27,8 @@
 const (
 	slowStartSlack = 1.15 // our bound, as a multiple of the budget
 
-	// The operators' bound allows for the scatter of random arrivals. If N mean batch jobs fill the budget, it is N
-	// jobs, plus this many square roots of N, plus this many jobs.
+	// The operators' bound allows for the scatter of random arrivals. If N mean batch jobs fill the budget, the bound
+	// is N + scatterRoots*sqrt(N) + scatterJobs mean batch jobs.
 	scatterRoots = 2
 	scatterJobs  = 2
 )
@@ -57,8 +57,8 @@
 }
 
 // knownStartWhenSent returns the last start of the executor that the node had been notified of when it sent the
-// attempt. That may differ from the last one that it knows now: a node that was paused may be notified of the start
-// while the attempt is on its way.
+// attempt. The node may know of a later start by now: a node that was paused may send what it had in flight, and be
+// notified of the start while the attempt is on its way.
 func (c *Checker) knownStartWhenSent(key jobKey, event Event) time.Duration {
 	if j := c.jobs[key]; j != nil {
 		for _, a := range slices.Backward(j.attempts) {
--- a/internal/invariants/violation.go
+++ b/internal/invariants/violation.go
@@ -31,7 +31,7 @@
 	shownEvents  = 14      // events that a violation shows at most
 )
 
-// violationKey identifies a violation. Only the first one with a key is reported.
+// violationKey identifies a violation. Of the violations with the same key, only the first is reported.
 type violationKey struct {
 	rule    Rule
 	node    NodeID
