--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -53,7 +53,7 @@
 	return m[key]
 }
 
-// repeats reports whether a key was received before and its dedup window has not ended. If not, it records the key.
+// repeats reports whether a key was received before and its dedup window has not ended. Otherwise it records the key.
 func (m *DedupMemory) repeats(now time.Duration, key string, window time.Duration) bool {
 	if now <= m.until[key] {
 		return true
--- a/internal/emulator/breakpoint.go
+++ b/internal/emulator/breakpoint.go
@@ -46,17 +46,17 @@
 
 	step     Step
 	conn     int           // number of the connection, from 1; 0 for any
-	skip     int           // how many more calls pass without a stop
+	skip     int           // how many more calls pass the step before one is stopped
 	released chan struct{} // closed by Release
 	once     sync.Once
 }
 
-// At sets a breakpoint for the calls of all connections and listeners. The first skip calls that reach the step pass
-// it, and the next one stops.
+// At sets a breakpoint for the calls of all connections and listeners. It lets as many calls pass the step as skip
+// says, and stops the next one.
 func (h *Breakpoints) At(step Step, skip int) *Breakpoint { return h.OnConn(0, step, skip) }
 
-// OnConn sets a breakpoint for the calls of one connection. The first skip calls that reach the step pass it, and the
-// next one stops. Connections are numbered from 1 in the order of their creation.
+// OnConn sets a breakpoint for the calls of one connection. It lets as many calls pass the step as skip says, and stops
+// the next one. Connections are numbered from 1 in the order of their creation.
 func (h *Breakpoints) OnConn(conn int, step Step, skip int) *Breakpoint {
 	s := &Breakpoint{Reached: make(chan struct{}), step: step, conn: conn, skip: skip, released: make(chan struct{})}
 	h.mu.Lock()
@@ -69,7 +69,7 @@
 // stop.
 func (s *Breakpoint) Release() { s.once.Do(func() { close(s.released) }) }
 
-// reach is called when a call reaches a step. It blocks while a breakpoint for the step is set and not released.
+// reach is called when a call reaches a step. If a breakpoint stops the call, reach blocks until Release.
 func (h *Breakpoints) reach(conn int, step Step) {
 	h.mu.Lock()
 	var at *Breakpoint
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -25,18 +25,18 @@
 	Loops             int           // clients in a closed loop: each submits its next batch job when the last one has ended
 	ThinkTime         time.Duration // pause of a client in a closed loop before its next batch job
 	Retries           int           // maximum number of retries of a batch job
-	Backoff           time.Duration // time before the first retry, if the answer has no Retry-After that is followed
-	MaxBackoff        time.Duration // if over Backoff, the backoff doubles up to this limit, with a jitter of half in either direction
+	Backoff           time.Duration // time before a retry, unless the client follows a Retry-After
+	MaxBackoff        time.Duration // if over Backoff, the backoff doubles with each retry up to this limit, with a jitter of half in either direction
 	FollowsRetryAfter bool          // clients wait as long as Retry-After says
 	LeaveFraction     float64       // fraction of the batch jobs whose clients leave before the deadline
-	RepeatIDFraction  float64       // fraction of the batch jobs whose clients submit the id again while it is in flight
+	RepeatIDFraction  float64       // fraction of the batch jobs whose id clients submit again while the job is in flight
 	HintNoise         float64       // sigma of the lognormal error of stated costs; negative if clients state no costs
 }
 
 // Tail makes some batch jobs cost a multiple of the usual.
 type Tail struct {
 	Fraction float64 // fraction of the batch jobs that cost more
-	Multiple float64 // factor by which they cost more
+	Multiple float64 // their cost, as a multiple of the usual
 }
 
 // TailOf returns a tail of one batch job in 50 that costs the given multiple.
@@ -59,13 +59,13 @@
 	OnTime     bool // it was answered by its latency objective
 
 	firstSent time.Duration // when its first request was sent
-	repeatID  bool          // its client submits its id again while it is in flight
+	repeatID  bool          // its client submits the same job id again while the job is in flight
 }
 
 // Job returns the id of the present request for the work.
 func (w *Work) Job() policy.JobID { return policy.JobID(fmt.Sprintf("%s/%d", w.ID, w.Retries)) }
 
-// RepeatsID reports whether the client submits the id of the work again while it is in flight.
+// RepeatsID reports whether the client submits the same job id again while the job is in flight.
 func (w *Work) RepeatsID() bool { return w.repeatID }
 
 // Clients models the clients of one zone.
@@ -76,7 +76,7 @@
 	Burst    float64 // the present rate as a multiple of the usual one; below 1, it counts as 1
 	Tail     Tail
 	rand     *rand.Rand
-	count    int        // number of works so far
+	count    int        // number of pieces of work drawn so far
 	perWork  bool       // the values of the classes are per second of work
 	backoff  *rand.Rand // source for the jitter of the backoff; it is separate, so that retries do not change arrivals
 }
@@ -138,21 +138,22 @@
 	return policy.JobClassID(len(c.Classes) - 1)
 }
 
-// End is how a request ended for its client.
+// End is how a request ended, as its client sees it.
 type End int
 
 // The ends of a request.
 const (
 	EndSucceeded End = iota
-	EndRejected      // nothing of it ran
+	EndRejected      // rejected: the job did not run, or may safely run again
 	EndFailed        // failed, or not answered in time
 	EndUnreached     // no connection to the node was made
 	EndLost          // the connection to the node was lost
 )
 
-// RetryAt returns when a client retries, and whether it retries. Idempotent work is retried after any failure. So is
-// work with an idempotency key, if its dedup group is all executors, within half of its dedup window. Other work is
-// retried only if it cannot have run.
+// RetryAt returns when a client retries, and whether it retries. Idempotent work is retried after any failure. Work
+// with an idempotency key is too, if its dedup group is all executors and less than half of its dedup window has passed
+// since the first request. Otherwise a client retries only if nothing can have run: after a rejection, or if the
+// request did not reach the node.
 func (c *Clients) RetryAt(now time.Duration, w *Work, end End, retryAfter time.Duration) (time.Duration, bool) {
 	t := &c.Classes[w.Class]
 	may := end == EndRejected || end == EndUnreached || t.Idempotency == policy.Idempotent ||
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -109,8 +109,8 @@
 	return policy.IncrementalUpdate, entries
 }
 
-// Since returns the changes that were published after a version, with the last change of each executor alone, and the
-// version that includes them. A version is a number of changes.
+// Since returns the changes that were published after a version, only the last one of each executor, and the version
+// that includes them. A version is the number of changes that it includes.
 func (d *Discovery) Since(now time.Duration, version int) (next int, entries []Entry) {
 	until := now - d.lag - d.extraLag
 	seen := map[policy.ExecutorID]int{}
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -31,10 +31,10 @@
 	CancelsRunning bool // a running batch job is canceled when its connection closes
 	KeepsQueued    bool // a waiting batch job is not canceled when its connection closes
 
-	InitialCapacity  float64       // fraction of its capacity right after a start; it grows linearly to 1 during slow start
+	InitialCapacity  float64       // fraction of the full capacity right after a start; grows linearly to 1 in slow start
 	SlowStart        time.Duration // length of the slow start; 0 for none
-	OverloadMultiple float64       // in slow start the executor crashes above this multiple of its present capacity; 0 for no limit
-	OverloadWindow   time.Duration // window over which arriving work is compared with that limit
+	OverloadMultiple float64       // slow-start budget, as a multiple of the present capacity; the executor crashes over it; 0 for no limit
+	OverloadWindow   time.Duration // length of the window for which the slow-start budget holds
 	MeanWork         float64       // seconds of work of a mean batch job
 
 	SendsStart    bool          // a message is sent when an attempt starts
@@ -60,9 +60,9 @@
 
 	now            time.Duration // time to which the running work has been advanced
 	running        []*task
-	waiting        []*task  // in the order in which they will start
+	waiting        []*task  // tasks that wait for a slot, in the order in which they will start
 	conns          []ConnID // open connections in the order of opening, in which a crash resets them
-	lastOrder      int      // order number of the last task that was accepted
+	lastOrder      int      // order of the last task
 	connectionWork float64  // remaining seconds of work that new connections cost
 	arrivals       []arrival
 	loadReport     Load
@@ -110,7 +110,7 @@
 	return now + time.Duration(slices.Min(slotWork)/rate*1e9), rate
 }
 
-// Open accepts a connection. It returns false if the executor is down or has as many connections as it may have.
+// Open accepts a connection. It returns false if the executor is down or has MaxConns connections.
 func (e *Executor) Open(now time.Duration, c ConnID) (bool, []Output) {
 	e.begin(now)
 	if !e.Up || len(e.conns) >= e.MaxConns {
--- a/internal/emulator/executor_fault.go
+++ b/internal/emulator/executor_fault.go
@@ -10,7 +10,7 @@
 	Slow            float64       // factor by which the executor is slower; 0 for the usual speed
 	StallFor        time.Duration // length of a stall, in which all work stops
 	StallEvery      time.Duration // interval from the start of a stall to the next; 0 for no stalls
-	NeighborShare   float64       // share of the machine that another program takes, on and off
+	NeighborShare   float64       // share of the machine that another program takes, on and off (neighborInterval)
 	ErrorRate       float64       // fraction of the batch jobs that end in a quick error, without running
 	Unresponsive    bool          // accepts every attempt, and sends nothing
 	FalseRejections bool          // rejects a batch job and still runs it: a defect that tests inject
--- a/internal/emulator/executor_run.go
+++ b/internal/emulator/executor_run.go
@@ -73,14 +73,14 @@
 	return next
 }
 
-// begin advances the time at the beginning of a call, whose outputs are empty at first.
+// begin starts a call: it empties the outputs and advances the time.
 func (e *Executor) begin(now time.Duration) {
 	e.outputs = e.outputs[:0]
 	e.advance(now)
 }
 
-// advance does the work of the time up to now. It then ends the attempts that have finished, sends progress messages
-// and starts waiting attempts. The work that new connections cost is done before that of batch jobs.
+// advance does the work for the time since the last call. It then ends the attempts that have finished, sends progress
+// messages and starts waiting attempts. The work that new connections cost is done before that of batch jobs.
 func (e *Executor) advance(now time.Duration) {
 	span := (now - e.now).Seconds()
 	if span > 0 && e.Up {
@@ -167,8 +167,8 @@
 	e.outputs = append(e.outputs, Message{t.Conn, t.Job, kind, progress, e.LoadReport(e.now)})
 }
 
-// LoadReport returns the load report of the executor. It is renewed every ReportEvery, with a random error of up to
-// ReportNoise, and is the same for all nodes until then.
+// LoadReport returns the load report of the executor, with a random error of up to ReportNoise. All nodes get the same
+// report until its age is ReportEvery and it is renewed.
 func (e *Executor) LoadReport(now time.Duration) Load {
 	if !e.SendsLoad {
 		return Load{}
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -38,7 +38,7 @@
 	NodeRestart          FaultKind = "node-restart" // nodes shut down gracefully, and restart when the fault ends
 	NodePaused           FaultKind = "node-stopped" // the processes of nodes are paused, and then read what arrived meanwhile
 	FalseGossip          FaultKind = "node-lies"    // nodes send false gossip
-	GossipPartitioned    FaultKind = "nodes-apart"  // no gossip passes between some nodes and the others
+	GossipPartitioned    FaultKind = "nodes-apart"  // no gossip passes between the nodes of the fault and the others
 	GossipLost           FaultKind = "words-lost"   // the fraction Size of gossip messages is lost
 	DiscoveryUnreachable FaultKind = "list-cut"     // nodes cannot reach discovery
 	Burst                FaultKind = "burst"        // clients make Size times the usual load
@@ -51,9 +51,9 @@
 
 // The kinds of targets.
 const (
-	OnExecutors Target = iota // executors that the fault names, or random ones
-	OnZone                    // a whole zone
-	OnNodes                   // nodes that the fault names, or random ones
+	OnExecutors Target = iota // executors; Fault.Where names them or their zones
+	OnZone                    // whole zones; Fault.Where names at least one
+	OnNodes                   // nodes; Fault.Where names them or their zones
 	OnAll                     // all connections, all clients, or discovery
 )
 
@@ -90,19 +90,19 @@
 	return all
 }
 
-// Target returns the kind of target of a kind of fault, and whether the kind of fault exists.
+// Target returns what a fault of the kind is on, and whether the kind exists.
 func (k FaultKind) Target() (Target, bool) {
 	s, ok := kinds[k]
 	return s.target, ok
 }
 
-// SizeBounds returns the bounds of the size of a kind of fault, and whether it has a size.
+// SizeBounds returns the smallest and the largest size of the faults of a kind, and whether they have a size.
 func (k FaultKind) SizeBounds() (least, most float64, ok bool) {
 	s := kinds[k]
 	return s.least, s.most, s.unit != ""
 }
 
-// CheckSize returns an error if a size is out of the bounds of a kind of fault.
+// CheckSize returns an error if a size is out of the bounds of a kind of fault, or is not 0 for a kind without a size.
 func (k FaultKind) CheckSize(size float64) error {
 	s := kinds[k]
 	switch {
--- a/internal/emulator/lease.go
+++ b/internal/emulator/lease.go
@@ -2,8 +2,8 @@
 
 import "birchstair/policy"
 
-// LeaseState is what an executor knows about a lease, which is identified by a durable batch job and an epoch. It is
-// the name of the state in the protocol.
+// LeaseState is what an executor knows about a lease, which is identified by a durable batch job and an epoch. The
+// values are the names of the states in the protocol.
 type LeaseState string
 
 // The states of a lease: what became of its attempt.
@@ -35,8 +35,9 @@
 // Restart empties the table, as a restart of the executor does.
 func (l *LeaseTable) Restart() { l.jobs, l.restarted = map[policy.JobID]*leaseRecord{}, true }
 
-// Accept reports whether an attempt may run, and records it if it may. It may not if the table has its epoch or a newer
-// one, from an earlier attempt or query. Epoch 0 stands for an attempt without a lease, which may always run.
+// Accept reports whether an attempt is allowed to run, and records it if so. It is refused if the table has its epoch
+// or a newer one, from an earlier attempt or query. Epoch 0 stands for an attempt without a lease, which is always
+// allowed.
 func (l *LeaseTable) Accept(job policy.JobID, epoch uint32) bool {
 	if epoch == 0 {
 		return true
--- a/internal/emulator/output.go
+++ b/internal/emulator/output.go
@@ -10,7 +10,7 @@
 // The kinds of messages about an attempt.
 const (
 	AttemptStarted  MessageKind = iota // it has started
-	AttemptProgress                    // a fraction of it is done
+	AttemptProgress                    // it runs, and a fraction of its work is done
 	AttemptDone                        // it has finished, with a result
 	AttemptFailed                      // it has failed; it may have had its effect
 	AttemptRejected                    // it was rejected and never ran
@@ -31,7 +31,7 @@
 		Conn     ConnID
 		Job      policy.JobID
 		Kind     MessageKind
-		Progress float64 // fraction of the work that is done; of progress messages only
+		Progress float64 // fraction of the work that is done; used for AttemptProgress only
 		Load     Load
 	}
 	// EffectStarted says that the effect of an attempt has begun.
