--- a/internal/emulator/platform/codec.go
+++ b/internal/emulator/platform/codec.go
@@ -73,8 +73,8 @@
 
 var errNoIDOrBudget = errors.New("attempt without an id or a valid budget")
 
-// leasePath is the prefix of the path of a lease query, with which a node that has restarted asks what became of an
-// attempt.
+// leasePath is the prefix of the path of a lease query. With such a query, a node that has restarted asks what became
+// of an attempt that it sent before the restart.
 const leasePath = "/-/leases/"
 
 // AppendLeaseAnswer appends the answer to a lease query to b.
@@ -96,8 +96,8 @@
 // messageStates are the names of the kinds of messages on the wire.
 var messageStates = map[emulator.MessageKind]string{emulator.AttemptStarted: "started", emulator.AttemptProgress: "running", emulator.AttemptDone: "done", emulator.AttemptFailed: "failed"}
 
-// Append appends the next message to b, and reports whether it ends the response. result is used only if the message
-// says that the attempt has finished.
+// Append appends the next message to b, and reports whether it ends the response. result is used only for a message of
+// the kind AttemptDone.
 func (a *Answer) Append(b []byte, message emulator.Message, from policy.ExecutorID, result string) (_ []byte, ended bool) {
 	if message.Kind == emulator.AttemptRejected && !a.begun {
 		b = append(b, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\n"...)
