--- a/internal/benchwire/adapter.go
+++ b/internal/benchwire/adapter.go
@@ -29,8 +29,8 @@
 	endpoints []policy.Endpoint    // entries of the last endpoint list read
 }
 
-// Run reads batches from in, and writes the reply to each to out, until the input ends. An error about the input has
-// the number of the line that is invalid.
+// Run reads batches from in, and writes a reply to each batch to out, until the input ends. An error about the input
+// states the number of the invalid line.
 func Run(in io.Reader, out io.Writer) error {
 	a := &adapter{input: bufio.NewScanner(in), instances: map[string]*instance{}}
 	a.input.Buffer(make([]byte, lineBuffer), maxLineBytes)
@@ -102,8 +102,8 @@
 	}
 }
 
-// event passes an event to its instance. The event has no effect if the instance is not running, or if its dispatcher
-// does not know the job any more.
+// event passes an event to its instance. The event has no effect if the instance is not running, or if the event is
+// about a job that the dispatcher does not have any more.
 func (a *adapter) event(message string) error {
 	name, err := a.fields.required(fieldInstance)
 	if err != nil {
@@ -122,12 +122,12 @@
 	if n != nil {
 		a.activate(n)
 	} else {
-		n = &instance{} // not running: the event is decoded, so that a malformed one is an error, and dropped
+		n = &instance{} // not running: the event is decoded, so that a malformed one is an error, and has no effect
 	}
 	return n.event(a.now-n.startedAt, message, &a.fields)
 }
 
-// start starts an instance, which replaces a running one of the same name.
+// start starts an instance. It replaces a running instance of the same name.
 func (a *adapter) start(name string) error {
 	seed, err := a.fields.requiredInt(fieldSeed)
 	if err != nil {
@@ -155,7 +155,7 @@
 	}
 }
 
-// updateEndpoints reads an endpoint list, whose entries are the lines that follow, and passes it to its instance.
+// updateEndpoints reads an endpoint list, whose entries are the lines that follow, and passes the list to its instance.
 func (a *adapter) updateEndpoints(name string) error {
 	kind, count, err := decodeEndpointList(&a.fields)
 	if err != nil {
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -273,7 +273,7 @@
 // maxLoadValues is how many values of a load report are read. Further ones are ignored.
 const maxLoadValues = 8
 
-// decodeLoad decodes a load report. ok is false if the message has none, or if a value of it is malformed.
+// decodeLoad decodes a load report. ok is false if the message has no report, or one with a malformed value.
 func decodeLoad(f *fields, loadFields config.LoadFields) (load policy.Load, ok bool) {
 	text, ok := f.get(fieldLoad)
 	if !ok || len(text) == 0 {
--- a/internal/benchwire/instance.go
+++ b/internal/benchwire/instance.go
@@ -14,7 +14,7 @@
 	name       string             // empty for an instance that is not running
 	startedAt  time.Duration      // start of the instance on the simulator's clock
 	timerAt    time.Duration      // when the earliest timer is due, relative to the start of the instance; 0 for none
-	dispatcher *policy.Dispatcher // nil if the settings are invalid, or after a failure
+	dispatcher *policy.Dispatcher // nil if the settings are invalid, after a failure, and if the instance is not running
 	loadFields config.LoadFields
 	actions    actionEncoder // actions of the present batch
 	active     bool          // the instance had an event in the present batch
@@ -36,7 +36,7 @@
 	n.guard(func() { n.dispatcher = policy.New(settings.Policy) })
 }
 
-// discard drops the dispatcher, and its actions of the present batch.
+// discard drops the dispatcher, and the actions that it has decided on in the present batch.
 func (n *instance) discard() {
 	n.dispatcher = nil
 	n.actions.reset()
@@ -193,7 +193,8 @@
 	}
 }
 
-// setTimer sets a timer, unless one that is due earlier is set. The simulator has no way to cancel a timer.
+// setTimer sets a timer, unless a timer is already set that is due no later. The simulator has no way to cancel a
+// timer.
 func (n *instance) setTimer(at time.Duration) {
 	if n.timerAt == 0 || at < n.timerAt {
 		n.timerAt = at
--- a/internal/benchwire/line.go
+++ b/internal/benchwire/line.go
@@ -48,7 +48,7 @@
 	return string(message)
 }
 
-// maxQuoted is the number of bytes that an error quotes of a malformed text.
+// maxQuoted is how many bytes of a malformed text an error quotes.
 const maxQuoted = 40
 
 func clip(text []byte) []byte { return text[:min(len(text), maxQuoted)] }
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -51,7 +51,8 @@
 	"ENTRY executor=executor-a stage-state=U campus=0 model=0 bay=1 power-hint=1 start-time-s=0\n" +
 	"ENTRY executor=executor-b stage-state=U campus=0 model=0 bay=2 power-hint=1.5 start-time-s=6.1\n"
 
-// TestWire pins every kind of message in both directions, and every named value of a field.
+// TestWire pins every kind of message in both directions, and every named value of a field, as the simulator's protocol
+// defines them.
 func TestWire(t *testing.T) {
 	var out strings.Builder
 	out.WriteString(dialogue("endpoint lists: each kind, each state; a watch is asked for",
--- a/internal/memnet/conn.go
+++ b/internal/memnet/conn.go
@@ -38,9 +38,9 @@
 // The ways in which a connection breaks.
 const (
 	NoBreak        Break = iota // the connection does not break
-	BreakPartial                // half of the bytes arrive, and the Write fails
-	BreakLost                   // the Write succeeds, but no byte arrives
-	BreakDelivered              // the Write succeeds, and all bytes arrive before the reset
+	BreakPartial                // half of the bytes arrive before the reset, the Write fails, and neither end gets more
+	BreakLost                   // the Write succeeds, but none of its bytes arrives before the reset
+	BreakDelivered              // the Write succeeds, and all of its bytes arrive before the reset
 )
 
 // LocalAddr implements net.Conn.
--- a/internal/memnet/deadline.go
+++ b/internal/memnet/deadline.go
@@ -44,7 +44,7 @@
 
 // SetDeadline implements net.Conn.
 func (c *Conn) SetDeadline(at time.Time) error {
-	c.SetReadDeadline(at) // an error is the same as that of the next call
+	c.SetReadDeadline(at) // if it fails, the next call fails with the same error
 	return c.SetWriteDeadline(at)
 }
 
--- a/internal/memnet/network.go
+++ b/internal/memnet/network.go
@@ -10,7 +10,7 @@
 // Path describes the path between two hosts for a packet that is sent now.
 type Path struct {
 	Delay   time.Duration // one-way delay
-	PerByte time.Duration // additional delay for each byte
+	PerByte time.Duration // additional delay for each byte, the inverse of the bandwidth
 	Hold    time.Duration // packets are held for this time, and then delivered in order
 	Lost    bool          // packets are lost, and neither end is notified
 }
@@ -84,7 +84,8 @@
 // is set. The host cannot dial any more.
 func (n *Net) Kill(host string, silently bool) {
 	n.mu.Lock()
-	// Whether a goroutine of the host would dial before it ends depends on the scheduler, so no dial may succeed.
+	// Whether a goroutine of the host would dial before it ends depends on the scheduler, so every dial from now on
+	// fails.
 	n.killedHosts[host] = true
 	var listeners []*Listener
 	for _, l := range n.listeners {
