--- a/internal/leases/doc.go
+++ b/internal/leases/doc.go
@@ -2,22 +2,22 @@
 // disk, has exactly one final answer however often its node crashes, and never runs twice if its class forbids that.
 //
 // A JobTable holds the state of all durable jobs of a node. It reads no clock and does no input or output: each method
-// reports an event and its time, and returns the effects to carry out. Package durable carries them out and keeps the
-// records. Package policy decides where a job is sent and when it is retried. The JobTable decides when a job is
-// submitted to the policy and with which time limit, and what must be on disk before a decision of the policy is
-// carried out.
+// reports an event and its time, and returns the effects to carry out. Three packages share the work. Package policy
+// decides where a job is sent and when it is retried. The JobTable decides when a job is submitted to the policy and
+// with which time limit, and what must be on disk before a decision of the policy is carried out. Package durable
+// carries out the effects and keeps the records.
 //
-// Every attempt of a job has a number, its epoch, which is on disk before the attempt is sent. An executor that
-// supports leases accepts an attempt only if its epoch is greater than all that it has seen of the job, and can be
-// queried about the state of an epoch. So a node that has crashed can find out after its restart whether an attempt
-// ran.
+// Every attempt of a job has a number, its epoch. The epoch is on disk before the attempt is sent. An executor that
+// supports leases accepts an attempt of a job only if the attempt's epoch is greater than all epochs of that job that
+// the executor has seen. It also answers queries about the state of an attempt. So a node that has crashed can find out
+// after its restart whether an attempt ran.
 //
 // # States
 //
 //	Storing       the job's record is being written
 //	Waiting       the record is on disk; the job waits until the policy has room for it
 //	Dispatched    the policy has the job
-//	Querying      an attempt may have run before a restart of the node, and its executor is queried about it
+//	Querying      an attempt may have run before the node restarted, and the node queries its executor about it
 //	StoringFinal  the final answer is being written
 //	Done          the final answer is on disk, where clients can fetch it until it is forgotten
 //
@@ -25,7 +25,7 @@
 //
 //	from          event                                                   to
 //	              Accept                                                  Storing
-//	              Recover: no attempt may have run, or it may run again   Waiting
+//	              Recover: no attempt can have run, or a retry is safe    Waiting
 //	              Recover: an attempt may have run                        Querying, or StoringFinal if executors can't be queried
 //	              Recover: past the deadline, and no attempt to query     StoringFinal
 //	              Recover: the final answer is on disk                    Done
--- a/internal/leases/effects.go
+++ b/internal/leases/effects.go
@@ -37,12 +37,13 @@
 type (
 	// Acknowledge confirms to the client that the job is on disk.
 	Acknowledge struct{ ID ID }
-	// Submit gives the job to the policy, which must get it done within the budget.
+	// Submit gives the job to the policy. The policy must have the job's answer before the budget, a time from now, is
+	// over.
 	Submit struct {
 		ID     ID
 		Budget time.Duration
 	}
-	// SendAttempt sends an attempt to its executor. The record of the attempt is on disk.
+	// SendAttempt sends an attempt to its executor. It follows only after the record of the attempt is on disk.
 	SendAttempt struct {
 		ID    ID
 		Epoch Epoch
@@ -61,7 +62,7 @@
 	}
 )
 
-// Wake asks for a call of JobTable.Wake at a time. A later Wake effect replaces an earlier one.
+// Wake asks the caller to call JobTable.Wake at the given time. A later Wake effect replaces an earlier one.
 type Wake struct{ At time.Duration }
 
 func (StoreJob) effect()      {}
--- a/internal/leases/job.go
+++ b/internal/leases/job.go
@@ -38,16 +38,17 @@
 // The outcomes.
 const (
 	Succeeded Outcome = iota
-	Rejected          // the job did not run, or may safely run again
+	Rejected          // the job did not run, or it is safe to run it again
 	Failed            // the job may have run
 )
 
-// JobClass holds those properties of a job's class that determine whether the job may be sent again after an attempt
-// may have run.
+// JobClass holds the properties of a job's class that determine whether it is safe to send the job again although an
+// earlier attempt of it may have run.
 type JobClass struct {
 	Idempotency policy.Idempotency
 	DedupGroup  policy.DedupGroup
-	DedupWindow time.Duration // for jobs with an idempotency key; already reduced by the time to open a connection
+	// How long executors recognize a retry by the job's idempotency key, minus the time to open a connection.
+	DedupWindow time.Duration
 }
 
 // Job is a durable job as it was submitted. All times in this package are wall clock times, as durations since 1970.
@@ -72,7 +73,7 @@
 const (
 	QueryUnanswered  QueryResult = iota // no answer, or an unreadable one
 	QueryUnsupported                    // the executor doesn't support leases
-	QueryNeverRan                       // the executor has not started the attempt, and refuses it from now on
+	QueryNeverRan                       // the executor has not started the attempt, and will refuse it if it arrives later
 	QueryRunning                        // the attempt is running
 	QueryFinished                       // the attempt has finished, and its result is included
 	QueryLost                           // the attempt may have run; the executor has restarted since and has no record of it
@@ -85,17 +86,18 @@
 type job struct {
 	Job
 	state         State
-	attempts      []Attempt // attempts[e-1] has epoch e
-	queryInFlight bool      // in state Querying: whether a QueryAttempt effect is unanswered
+	attempts      []Attempt // the attempt with epoch e is attempts[e-1]
+	queryInFlight bool      // whether a QueryAttempt effect is unanswered; used in state Querying only
 	final         Outcome
 	result        []byte
 
-	sequence        int // order of creation, which decides between jobs with the same deadline
-	heapIndex       int // index in JobTable.waiting
-	timerGeneration int // current generation of the job's timers; those of earlier generations are void
+	sequence  int // position in the order of creation; among jobs with the same deadline, the lowest is submitted first
+	heapIndex int // index in JobTable.waiting
+	// Number of the valid generation of the job's timers. Timers of earlier generations are canceled.
+	timerGeneration int
 }
 
-// firstPossibleRun returns the earliest attempt that may have run, or nil if none may have.
+// firstPossibleRun returns the earliest attempt that may have run, or nil if provably none ran.
 func (j *job) firstPossibleRun() *Attempt {
 	for i := range j.attempts {
 		if !j.attempts[i].NeverRan {
@@ -105,10 +107,11 @@
 	return nil
 }
 
-// retryUntil returns the time until which the job may be sent again. If an attempt of it may have run, that depends on
-// its class: without limit if the job is idempotent, during the dedup window if the job has an idempotency key and all
-// executors share one dedup group, and otherwise not at all. The policy doesn't know of attempts from before a restart,
-// so the job's budget must end by this time.
+// retryUntil returns the time until which it is safe to send the job again. If provably no attempt of the job ran,
+// there is no limit. Otherwise the time depends on the job's class: there is no limit if the job is idempotent; the
+// limit is the end of the dedup window if the job has an idempotency key and all executors share one dedup group; in
+// all other cases the job must not be sent again at all. The policy doesn't know of attempts from before a restart, so
+// the budget that the policy gets for the job must end by this time.
 func (j *job) retryUntil() time.Duration {
 	first := j.firstPossibleRun()
 	if first == nil || j.Class.Idempotency == policy.Idempotent {
--- a/internal/leases/job_table.go
+++ b/internal/leases/job_table.go
@@ -9,14 +9,14 @@
 
 // Settings are the operator's settings for durable jobs.
 type Settings struct {
-	MaxDispatched  int           // maximum number of jobs that the policy has at a time
+	MaxDispatched  int           // maximum number of jobs that the policy has at the same time
 	AnswerTTL      time.Duration // how long a final answer is kept
 	QueryExecutors bool          // whether executors support leases and can be queried about attempts
 	QueryInterval  time.Duration // time between two queries about an attempt
 }
 
-// JobTable holds the state of all durable jobs of a node. Its methods return effects, to be carried out in their order.
-// They are not safe for concurrent use.
+// JobTable holds the state of all durable jobs of a node. Its methods return effects, which the caller carries out in
+// the order returned. The methods are not safe for concurrent use.
 type JobTable struct {
 	settings   Settings
 	jobs       map[ID]*job // all jobs that are not forgotten
@@ -26,7 +26,7 @@
 
 	timers   timerHeap
 	wakeAt   time.Duration // time of the pending Wake effect, or wakeNotSet
-	sequence int           // number of jobs and timers created so far, which orders equal times
+	sequence int           // number of jobs and timers created so far; each takes its own sequence from it
 
 	effects []Effect // effects of the current call, returned at its end
 }
@@ -61,7 +61,8 @@
 
 func (t *JobTable) emit(effect Effect) { t.effects = append(t.effects, effect) }
 
-// finish ends each call: it submits waiting jobs to the policy, sets the timer and returns the effects of the call.
+// finish ends each call of a method: it submits waiting jobs to the policy, requests a Wake for the earliest timer and
+// returns the effects of the call.
 func (t *JobTable) finish(now time.Duration) []Effect {
 	t.submitWaiting(now)
 	t.setWake()
@@ -88,8 +89,8 @@
 	return j
 }
 
-// JobNotStored reports that a job's record could not be written. The job is forgotten, and the caller must inform the
-// client.
+// JobNotStored reports that a job's record could not be written. The table forgets the job, and the caller must inform
+// the client.
 func (t *JobTable) JobNotStored(now time.Duration, id ID) []Effect {
 	if j := t.jobs[id]; j != nil && j.state == Storing {
 		delete(t.jobs, id)
@@ -98,7 +99,8 @@
 	return t.finish(now)
 }
 
-// JobStored reports that a job's record is on disk. Only now the job is acknowledged and may be submitted to the policy.
+// JobStored reports that a job's record is on disk. Only now is the job acknowledged, and only now can it be submitted
+// to the policy.
 func (t *JobTable) JobStored(now time.Duration, id ID) []Effect {
 	if j := t.jobs[id]; j != nil && j.state == Storing {
 		t.emit(Acknowledge{id})
@@ -113,7 +115,8 @@
 	heap.Push(&t.waiting, j)
 }
 
-// submitWaiting submits as many jobs to the policy as it has room for, those with the earliest deadlines first.
+// submitWaiting submits waiting jobs to the policy until it has Settings.MaxDispatched jobs. Jobs with the earliest
+// deadlines come first.
 func (t *JobTable) submitWaiting(now time.Duration) {
 	for !t.stopped && t.dispatched < t.settings.MaxDispatched && len(t.waiting) > 0 {
 		j := heap.Pop(&t.waiting).(*job)
@@ -141,8 +144,8 @@
 	return attempt.Epoch, t.finish(now)
 }
 
-// AttemptStored reports that the record of an attempt is on disk. The attempt is sent, unless the job has an answer or
-// a later attempt by now.
+// AttemptStored reports that the record of an attempt is on disk. The attempt is sent, unless the job has left state
+// Dispatched or the policy has started a later attempt in the meantime.
 func (t *JobTable) AttemptStored(now time.Duration, id ID, epoch Epoch) []Effect {
 	if j := t.jobs[id]; j != nil && j.state == Dispatched && int(epoch) == len(j.attempts) {
 		t.emit(SendAttempt{id, epoch})
@@ -150,8 +153,8 @@
 	return t.finish(now)
 }
 
-// AttemptEnded reports that an attempt has ended. If it provably never ran, that is recorded. Otherwise it would be
-// unknown after a crash whether the attempt ran.
+// AttemptEnded reports that an attempt has ended. If the attempt provably never ran, a record of this is written: after
+// a crash, the node would otherwise have to assume that the attempt may have run.
 func (t *JobTable) AttemptEnded(now time.Duration, id ID, epoch Epoch, neverRan bool) []Effect {
 	if j := t.jobs[id]; j != nil && neverRan && epoch >= 1 && int(epoch) <= len(j.attempts) && !j.attempts[epoch-1].NeverRan {
 		j.markNeverRan(epoch)
@@ -186,7 +189,8 @@
 	t.emit(StoreFinal{j.ID, final, result})
 }
 
-// expire answers a job that is too late to be submitted. It is rejected only if it did not run or may safely run again.
+// expire answers a job for which it is too late to be submitted. The answer is Rejected if provably no attempt ran or
+// the job is idempotent, and Failed otherwise.
 func (t *JobTable) expire(j *job) {
 	final := Failed
 	if j.firstPossibleRun() == nil || j.Class.Idempotency == policy.Idempotent {
@@ -195,7 +199,7 @@
 	t.finalize(j, final, nil)
 }
 
-// FinalStored reports that a final answer is on disk. Only now clients receive it.
+// FinalStored reports that a final answer is on disk. Only now do clients receive the answer.
 func (t *JobTable) FinalStored(now time.Duration, id ID) []Effect {
 	if j := t.jobs[id]; j != nil && j.state == StoringFinal {
 		t.retain(j, now+t.settings.AnswerTTL)
@@ -204,7 +208,7 @@
 	return t.finish(now)
 }
 
-// retain keeps a job in state Done until a time, and forgets it then.
+// retain puts a job into state Done, and forgets the job at the given time.
 func (t *JobTable) retain(j *job, until time.Duration) {
 	j.state = Done
 	j.cancelTimers()
--- a/internal/leases/recovery.go
+++ b/internal/leases/recovery.go
@@ -6,9 +6,9 @@
 	"birchstair/policy"
 )
 
-// Recover adds a job that is found on disk when the node starts, with its attempts and its final answer, if there is
-// one. lastRecorded is the latest time in any record on disk. A clock that is behind it was set back, so that the time
-// since an attempt is unknown; a dedup window is then taken to be over.
+// Recover adds a job that was found on disk when the node started, with its attempts and, if there is one, its final
+// answer. lastRecorded is the latest time in any record on disk. If now is before lastRecorded, the clock was set back,
+// and it is unknown how long ago an attempt was sent. A dedup window then counts as over.
 func (t *JobTable) Recover(now, lastRecorded time.Duration, recovered Job, attempts []Attempt, final *Outcome, result []byte, finalAt time.Duration) []Effect {
 	j := t.add(recovered)
 	j.attempts = attempts
@@ -31,8 +31,8 @@
 	return t.finish(now)
 }
 
-// query asks for the state of the earliest attempt that may have run. If executors don't support leases, that can't be
-// found out, and the job has failed.
+// query asks the executor for the state of the job's earliest attempt that may have run. If executors don't support
+// leases, it can't be found out whether that attempt ran, and the job fails.
 func (t *JobTable) query(now time.Duration, j *job) {
 	if !t.settings.QueryExecutors {
 		t.finalize(j, Failed, nil)
@@ -41,7 +41,8 @@
 	first := j.firstPossibleRun()
 	j.state, j.queryInFlight = Querying, true
 	j.cancelTimers()
-	t.schedule(max(j.Deadline, now+t.settings.QueryInterval), j) // even past its deadline a job waits for one answer
+	// Even past its deadline, the job waits at least one QueryInterval for the answer to this query.
+	t.schedule(max(j.Deadline, now+t.settings.QueryInterval), j)
 	t.emit(QueryAttempt{j.ID, first.Epoch, first.Executor})
 }
 
@@ -67,8 +68,8 @@
 	return t.finish(now)
 }
 
-// resume continues a job after the attempt that was queried is known never to have run. The job is submitted again, or
-// the next attempt that may have run is queried.
+// resume continues a job after a query has shown that an attempt never ran. The job is submitted again if that is safe.
+// Otherwise the next attempt that may have run is queried. Past its deadline, the job is answered instead.
 func (t *JobTable) resume(now time.Duration, j *job) {
 	switch {
 	case now >= j.Deadline:
--- a/internal/leases/timers.go
+++ b/internal/leases/timers.go
@@ -51,13 +51,13 @@
 	heap.Push(&t.timers, timer{at, t.sequence, j.timerGeneration, j})
 }
 
-// cancelTimers voids the timers that are set for the job. Wake skips them.
+// cancelTimers cancels all timers of the job. They stay in JobTable.timers, and Wake skips them when they are due.
 func (j *job) cancelTimers() { j.timerGeneration++ }
 
 // timer is a time at which a JobTable acts on a job.
 type timer struct {
 	at         time.Duration
-	sequence   int // order of creation, which decides between timers of the same time
+	sequence   int // position in the order of creation; among timers of the same time, the lowest fires first
 	generation int // the job's timerGeneration when the timer was set
 	job        *job
 }
