--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -7,8 +7,8 @@
 	"birchstair/policy"
 )
 
-// suspendedIntervals is the number of gossip intervals without a Tick after which the node concludes that its process was
-// suspended. Its own rates and the messages that waited unread are then out of date.
+// suspendedIntervals is the number of gossip intervals without a Tick after which the node concludes that its process
+// was suspended. The node's own rates are out of date then, and so are the messages that waited unread.
 const suspendedIntervals = 3
 
 // NodeName is the name of a node, unique in its cluster.
@@ -16,14 +16,17 @@
 
 // Settings are the settings of a State.
 type Settings struct {
-	Self           NodeName
-	Incarnation    uint64        // when this process started, in Unix milliseconds; greater after each restart
-	Seed           uint32        // seed of the random choices
-	Epoch          int64         // Unix milliseconds at which this node's time is zero, by the clock of its endpoint list
+	Self        NodeName
+	Incarnation uint64 // when this process started, in Unix milliseconds; greater after each restart
+	Seed        uint32 // seed of the random choices
+	// Unix time in milliseconds at which this node's time is zero, by the clock that the start times on the endpoint
+	// list refer to.
+	Epoch          int64
 	GossipInterval time.Duration // time between two gossip rounds
 	Fanout         int           // number of messages sent per gossip round
-	PeerStateTTL   time.Duration // how long a peer's rates are used after they were received
-	DrainTTL       time.Duration // how long a drain is believed after some node's own endpoint list last showed it
+	PeerStateTTL   time.Duration // how long a peer's rates are used after their receipt
+	// How long a drain counts as going on after it was last shown by the endpoint list of any node.
+	DrainTTL time.Duration
 }
 
 // Defaults returns the default settings for a node.
@@ -45,13 +48,13 @@
 	settings Settings
 	nextTick time.Duration
 	lastTick time.Duration
-	draws    uint32 // number of random numbers drawn so far
+	draws    uint32 // number of random numbers drawn so far; each draw uses the next one
 
 	peers     peerTable
 	drains    drainTable
 	own       ownLoad
 	threshold policy.AdmissionThreshold
-	shedding  bool // whether the threshold rejects jobs at present
+	shedding  bool // whether the threshold now rejects jobs
 }
 
 // New creates the state of a node that knows no peers yet.
@@ -74,7 +77,8 @@
 // Next returns the time at which Tick is due.
 func (s *State) Next() time.Duration { return s.nextTick }
 
-// SetAlive sets which nodes of the cluster are alive. This node may be among them; it is left out.
+// SetAlive sets which nodes of the cluster are alive. The names can include this node, which is not one of its own
+// peers and is left out.
 func (s *State) SetAlive(names []NodeName) {
 	alive := slices.DeleteFunc(slices.Sorted(slices.Values(names)), func(name NodeName) bool { return name == s.settings.Self })
 	s.peers.alive = slices.Compact(alive)
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -9,35 +9,40 @@
 )
 
 const (
-	// maxDrains is the largest number of drains that a node remembers.
+	// maxDrains is the largest number of drains that a node remembers. At the limit, a new drain replaces the one that
+	// was seen longest ago.
 	maxDrains = 4096
-	// maxExecutorIDLength is the largest length of an executor ID in a peer's report, in bytes.
+	// maxExecutorIDLength is the maximum length in bytes of an executor ID in a peer's report. Reports with longer IDs
+	// are ignored.
 	maxExecutorIDLength = 128
 )
 
-// Drain is a report that an executor is draining or removed, according to some node's own endpoint list.
+// Drain is a report that an executor is draining or removed. The report originates from the endpoint list of some node.
 type Drain struct {
 	Executor      policy.ExecutorID
 	ExecutorStart int64         // when the executor started, in Unix milliseconds; 0 if it started long ago
-	Age           time.Duration // time since an endpoint list last showed the drain
+	Age           time.Duration // time since the endpoint list of any node last showed the drain
 }
 
 // drainState is what this node knows of one drain.
 type drainState struct {
-	executorStart int64         // see Drain.ExecutorStart
-	seenAt        time.Duration // when some node's own endpoint list last showed the drain
+	executorStart int64         // when the executor started, as in Drain.ExecutorStart
+	seenAt        time.Duration // when the endpoint list of any node last showed the drain
 	ownList       bool          // whether this node's own endpoint list shows the executor as draining or removed
-	removed       bool          // whether the executor is gone from this node's own endpoint list
+	removed       bool          // whether the executor has disappeared from this node's own endpoint list
 }
 
 // drainTable holds the drains that this node knows of.
 type drainTable struct {
-	states   map[policy.ExecutorID]*drainState
-	endedAt  map[policy.ExecutorID]time.Duration // when the own endpoint list ended a drain; older reports are ignored
-	lastSent int                                 // index of the last drain sent, among the sorted executor IDs
+	states map[policy.ExecutorID]*drainState
+	// When this node's own endpoint list last ended a drain of each executor. A peer's report is ignored if its drain
+	// was not seen after that.
+	endedAt  map[policy.ExecutorID]time.Duration
+	lastSent int // index of the last drain sent, in the list of executor IDs sorted anew for each message
 }
 
-// nextBatch returns at most limit drains for a message, beginning after the last one that was sent.
+// nextBatch returns at most limit drains for a message. It begins after the last drain that was sent, so that all
+// drains take turns.
 func (t *drainTable) nextBatch(now time.Duration, limit int) (drains []Drain) {
 	ids := slices.Sorted(maps.Keys(t.states))
 	for range min(len(ids), limit) {
@@ -49,7 +54,8 @@
 	return drains
 }
 
-// store adds or replaces a drain. If the table is full, the drain seen longest ago is removed.
+// store adds a drain or replaces the executor's earlier one. If the table is full, the drain that was seen longest ago
+// is removed.
 func (t *drainTable) store(id policy.ExecutorID, d *drainState) {
 	if t.states[id] == nil && len(t.states) >= maxDrains {
 		delete(t.states, t.oldest())
@@ -57,7 +63,7 @@
 	t.states[id] = d
 }
 
-// oldest returns the executor whose drain was seen longest ago; of several, the one with the lowest ID.
+// oldest returns the executor whose drain was seen longest ago. Among several, it returns the one with the lowest ID.
 func (t *drainTable) oldest() policy.ExecutorID {
 	oldest := policy.ExecutorID("")
 	for id, d := range t.states {
@@ -69,7 +75,8 @@
 	return oldest
 }
 
-// startID identifies a start of an executor by a number that is the same on every node, whatever their clocks show.
+// startID returns a number for a start of an executor, in Unix milliseconds, or 0 if it started long ago. The number is
+// the same on every node, although each node counts its own time from another moment.
 func (s *State) startID(startedAt time.Duration, startedLongAgo bool) int64 {
 	if startedLongAgo {
 		return 0
@@ -85,7 +92,7 @@
 	case state != policy.Available:
 		removed := state == policy.Removed
 		if removed && known != nil {
-			start = max(start, known.executorStart) // a removed entry may lack its start time
+			start = max(start, known.executorStart) // the entry of a removed executor may lack the start time
 		}
 		delete(t.endedAt, id)
 		t.store(id, &drainState{executorStart: start, seenAt: now, ownList: true, removed: removed})
@@ -98,8 +105,9 @@
 	}
 }
 
-// receiveDrain records a peer's report of a drain, and returns whether the drain is new to this node. However often a
-// report is passed on, the drain's age runs from when some node's own endpoint list last showed it.
+// receiveDrain records a peer's report of a drain, and returns whether the drain is new to this node. The age in a
+// report counts from when the endpoint list of some node last showed the drain. Passing the report on does not make the
+// drain younger.
 func (s *State) receiveDrain(now time.Duration, d Drain) bool {
 	if !s.validDrain(d) {
 		return false
@@ -125,16 +133,20 @@
 		d.Executor != "" && len(d.Executor) <= maxExecutorIDLength
 }
 
-// IsDraining reports whether, according to peers, an executor that started at this time is draining. It is false for a
-// drain that this node's own endpoint list shows, since the caller knows of it from there.
+// IsDraining reports whether peers report a drain of an executor that started at the given time. It returns false if
+// this node's own endpoint list shows the drain, because the caller knows of the drain from there.
 func (s *State) IsDraining(id policy.ExecutorID, startedAt time.Duration, startedLongAgo bool) bool {
 	d := s.drains.states[id]
 	return d != nil && !d.ownList && s.startID(startedAt, startedLongAgo) <= d.executorStart
 }
 
-// ExpireDrains removes drains that are older than DrainTTL, and returns their executors ordered by ID. listUpToDate
-// tells whether this node's own endpoint list is up to date. If it is, the drains that it shows count as seen now, and
-// drains reported only by peers can expire. If it is not, drains reported by peers are kept until it is.
+// ExpireDrains removes the drains that have expired, and returns their executors ordered by ID. listUpToDate says whether
+// this node's own endpoint list is up to date:
+//
+//   - A drain that only peers have reported is removed when it was last seen longer than DrainTTL ago, but not while the
+//     list is out of date.
+//   - A drain of an executor that has disappeared from the list is removed after DrainTTL in any case.
+//   - A drain that the list still shows is never removed here. While the list is up to date, the drain counts as seen now.
 func (s *State) ExpireDrains(now time.Duration, listUpToDate bool) (ids []policy.ExecutorID) {
 	t := &s.drains
 	for id, d := range t.states {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// maxDrainsPerMessage limits the number of drains in a message, and so its size.
+	// maxDrainsPerMessage is the maximum number of drains in a message. It limits the message's size.
 	maxDrainsPerMessage = 24
-	// peerRetentionMultiple is how long the state of an inactive peer is kept, as a multiple of Settings.PeerStateTTL.
-	// The state outlasts the use of the rates because its incarnation and sequence number are needed to recognize old
-	// messages.
+	// Settings.PeerStateTTL is multiplied by peerRetentionMultiple to get how long an inactive peer's state is kept.
+	// The state is kept for longer than its rates are used, because the peer's incarnation and sequence number are
+	// needed to recognize old messages.
 	peerRetentionMultiple = 10
 )
 
-// Message is a gossip message. The rates are the sender's own; the drains include those that it received from other
-// nodes.
+// Message is a gossip message. Its rates are the sender's own. Its drains include those that the sender has received
+// from other nodes.
 type Message struct {
 	From        NodeName
-	Incarnation uint64 // of the sender; see Settings.Incarnation
-	Seq         uint64 // number of the message, increasing within an incarnation
+	Incarnation uint64 // incarnation of the sender, as in Settings.Incarnation
+	Seq         uint64 // sequence number of the message, increasing within an incarnation
 	Rates       Rates
 	Drains      []Drain
 }
@@ -48,17 +48,19 @@
 
 // peerTable holds the peers and the message counters.
 type peerTable struct {
-	alive       []NodeName // living peers, shuffled before each pass over them
-	nextIndex   int        // index of the next recipient in alive
-	seq         uint64     // sequence number of the last message sent
-	states      map[NodeName]*peerState
-	ignoreUntil time.Duration // messages received before this time may have waited unread while the process was suspended
-
-	sent, received int            // numbers of messages
-	dropped        map[string]int // numbers of messages dropped, by reason
+	alive     []NodeName // living peers; shuffled before each pass over them
+	nextIndex int        // index of the next recipient in alive
+	seq       uint64     // sequence number of the last message sent
+	states    map[NodeName]*peerState
+	// End of the interval after a suspension of this process. Messages received before this time are dropped, because
+	// they may have waited unread during the suspension.
+	ignoreUntil time.Duration
+
+	sent, received int            // number of messages sent, and of messages received and not dropped
+	dropped        map[string]int // number of messages dropped, by reason
 }
 
-// fresh returns the peers whose rates are not older than ttl, ordered by name.
+// fresh returns the peers whose rates were received at most ttl ago, ordered by name.
 func (p *peerTable) fresh(now, ttl time.Duration) (names []NodeName) {
 	for _, name := range slices.Sorted(maps.Keys(p.states)) {
 		if now-p.states[name].receivedAt <= ttl {
@@ -68,7 +70,7 @@
 	return names
 }
 
-// expire removes the state of peers whose last message is older than maxAge.
+// expire removes the state of each peer whose last message was received longer than maxAge ago.
 func (p *peerTable) expire(now, maxAge time.Duration) {
 	maps.DeleteFunc(p.states, func(_ NodeName, s *peerState) bool { return now-s.receivedAt > maxAge })
 }
@@ -97,7 +99,8 @@
 	return to
 }
 
-// nextMessage returns a message with this node's rates and at most maxDrainsPerMessage drains, which take turns.
+// nextMessage returns a message with this node's rates and at most maxDrainsPerMessage drains. If there are more
+// drains, they take turns in successive messages.
 func (s *State) nextMessage(now time.Duration) Message {
 	s.peers.seq++
 	return Message{
@@ -109,8 +112,8 @@
 	}
 }
 
-// Receive processes a gossip message and returns the executors whose drain is new to this node. A message that is
-// implausible or out of date is dropped and counted by reason.
+// Receive processes a gossip message. It returns the executors whose drains are new to this node. A message that is
+// implausible or out of date is dropped, and counted by the reason.
 func (s *State) Receive(now time.Duration, m Message) (newlyDraining []policy.ExecutorID) {
 	if reason := s.dropReason(now, m); reason != "" {
 		s.peers.dropped[reason]++
@@ -143,7 +146,7 @@
 	case m.From == s.settings.Self:
 		return dropOwnName
 	case now < s.peers.ignoreUntil || s.suspended(now-s.lastTick):
-		// The process was suspended. A message that waited unread meanwhile would be taken for a recent one.
+		// The process was suspended. A message that waited unread during that time would be taken for a recent one.
 		return dropUnreadForLong
 	case !slices.Contains(s.peers.alive, m.From):
 		return dropUnknownNode
@@ -157,10 +160,10 @@
 	return ""
 }
 
-// CountDropped counts a message that was dropped before it reached Receive, as one that can't be decoded.
+// CountDropped counts a message that was dropped before it reached Receive, for example because it can't be decoded.
 func (s *State) CountDropped(reason string) { s.peers.dropped[reason]++ }
 
-// FreshMessages returns the IDs of the messages whose rates are in use, ordered by sender.
+// FreshMessages returns the ID of the last message of each peer whose rates are in use, ordered by sender.
 func (s *State) FreshMessages(now time.Duration) (ids []MessageID) {
 	for _, name := range s.peers.fresh(now, s.settings.PeerStateTTL) {
 		peer := s.peers.states[name]
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -10,57 +10,60 @@
 
 // Constants for estimating the rates of the whole cluster from the reports of peers.
 const (
-	// maxPeerMultiple limits the influence of one peer, so that a node that reports nonsense can't move the threshold
-	// far. It is a multiple of this node's own rates or, if that is larger and there are minPeersForMedian peers, of
-	// the peers' median.
+	// maxPeerMultiple limits the influence of a single peer, so that a node that reports nonsense can't move the
+	// threshold far. The magnitude of this node's own rates is multiplied by it to get the largest magnitude that
+	// counts for a peer. If at least minPeersForMedian peers report, the median of the peers' magnitudes takes the
+	// place of this node's own if it is larger.
 	maxPeerMultiple = 8
-	// minPeersForMedian is the smallest number of peers whose median is meaningful.
+	// minPeersForMedian is the smallest number of peers for which the median of their magnitudes is used.
 	minPeersForMedian = 3
-	// minDivisor is the smallest divisor of a ratio, which keeps the ratio finite when a rate is zero.
+	// minDivisor is the smallest divisor of a ratio. It keeps the ratio finite when a rate is zero.
 	minDivisor = 1e-9
 )
 
-// Conditions on which the threshold starts and stops rejecting jobs. Utilization is the fraction of the executors'
-// capacity that goes into completed work. Pressure is 1 when the cluster loses or delays as much work as is tolerated.
+// Conditions on which the threshold starts and stops rejecting jobs. Utilization is the completed work as a fraction of
+// the executors' capacity. Finished work is the work that was completed or expired. Pressure is 1 when as much work
+// expires, or work waits as long, as is tolerated.
 const (
-	// overloadedExpiredFraction is the fraction of the finished work that must expire for the cluster to count as
-	// overloaded.
+	// Rejections start only if more than overloadedExpiredFraction of the finished work expires in the cluster. The
+	// same fraction decides whether a single node reports losses.
 	overloadedExpiredFraction = 0.03
-	// utilizationToStart is the utilization above which rejections can start. At lower utilization work expires for
-	// another reason than lack of capacity, and rejecting jobs would not help.
+	// Rejections start only if utilization is above utilizationToStart. At lower utilization, work expires for another
+	// reason than lack of capacity, and rejecting jobs would not help.
 	utilizationToStart = 0.75
-	// utilizationToStop and pressureToStop: rejections end when utilization or pressure falls to its value here.
+	// Rejections end when utilization falls to utilizationToStop, or pressure to pressureToStop.
 	utilizationToStop = 0.6
 	pressureToStop    = 0.25
-	// confirmingFraction is the fraction of the known nodes that must report losses of their own before rejections
-	// start, and minConfirmingNodes is their least number. So a single node can't make the cluster reject jobs by
-	// reporting losses that no other node has.
+	// Rejections start only if at least confirmingFraction of the known nodes report losses of their own, and at least
+	// minConfirmingNodes of them. If fewer nodes than that are known, all must report losses. So a single node can't
+	// make the cluster reject jobs by reporting losses that no other node has.
 	confirmingFraction = 0.25
 	minConfirmingNodes = 2
 )
 
 // Constants that determine how much work is admitted while the threshold rejects jobs.
 const (
-	// toleratedExpiredFraction is the fraction of the finished work that expires at pressure 1.
+	// Pressure is 1 if toleratedExpiredFraction of the finished work expires.
 	toleratedExpiredFraction = 0.05
-	// toleratedWait is the fraction of its slack that a job waits, on average, at pressure 1.
+	// Pressure is 1 if jobs wait for toleratedWait of their slack, on average weighted by work.
 	toleratedWait = 0.4
-	// admitHeadroom is the fraction by which the admitted work may grow when there is no pressure.
+	// At pressure 0, the base of the estimate of the admissible work is multiplied by 1+admitHeadroom, so that the
+	// admitted work can grow.
 	admitHeadroom = 0.25
-	// minAdmitFactor is the fraction of the completed work that is admitted even under the highest pressure.
+	// However high the pressure, at least minAdmitFactor of the completed work is admitted.
 	minAdmitFactor = 0.8
-	// admittedCapacityFraction is the fraction of the executors' capacity for which work is always admitted. Rejected
-	// work gives no evidence of whether it could have been completed.
+	// Work for admittedCapacityFraction of the executors' capacity is always admitted, because rejected work gives no
+	// evidence of whether it could have been completed.
 	admittedCapacityFraction = 0.8
-	// negligibleFraction is the fraction of the offered work below which a group of priority levels is ignored.
+	// A group of priority levels is ignored if its jobs have at most negligibleFraction of the offered work.
 	negligibleFraction = 0.02
 )
 
-// migrationBudget limits the migrated work to a fraction of the completed work.
+// migrationBudget limits the work of migrated attempts to this fraction of the completed work.
 const migrationBudget = 0.1
 
-// clusterRates estimates the rates of the whole cluster: this node's own, plus those of the peers that reported
-// recently, scaled up to the number of all living peers.
+// clusterRates estimates the rates of the whole cluster: this node's own rates, plus those of the peers with fresh
+// rates. The peers' rates are scaled up to stand for all living peers.
 func (s *State) clusterRates(now time.Duration) Rates {
 	var peers []Rates
 	var magnitudes []float64
@@ -82,7 +85,8 @@
 	return sum
 }
 
-// magnitudeLimit returns the largest magnitude for which a single peer's rates count. Larger rates are scaled down to it.
+// magnitudeLimit returns the largest magnitude that counts for a single peer. The caller scales larger rates down to
+// this magnitude.
 func (s *State) magnitudeLimit(magnitudes []float64) float64 {
 	limit := maxPeerMultiple * s.own.rates.magnitude()
 	if len(magnitudes) >= minPeersForMedian {
@@ -92,8 +96,9 @@
 	return limit
 }
 
-// updateThreshold computes the admission threshold. While the cluster is overloaded, the work that it can admit goes to
-// the highest priority levels. Rejections end when the overload ends or when all the offered work is admissible.
+// updateThreshold computes the admission threshold. While the cluster is overloaded, the work that the cluster can
+// admit is given to the highest priority levels. Rejections end when the overload ends, or when all the offered work is
+// admissible.
 func (s *State) updateThreshold(now time.Duration) {
 	total := s.clusterRates(now)
 	s.threshold = policy.AdmissionThreshold{MigrationDelay: total.migrationDelay()}
@@ -104,7 +109,8 @@
 	}
 }
 
-// overloaded reports whether jobs should be rejected. Starting to reject takes a heavier overload than continuing to.
+// overloaded reports whether the cluster is so overloaded that jobs should be rejected. Rejections start at a heavier
+// overload than the one at which they end.
 func (s *State) overloaded(now time.Duration, total Rates) bool {
 	utilization := 0.0
 	if s.own.capacity > 0 {
@@ -116,8 +122,8 @@
 	return total.expiredFraction() > overloadedExpiredFraction && utilization > utilizationToStart && s.confirmed(now)
 }
 
-// confirmed reports whether enough nodes report losses of their own. Known nodes are this one and those that reported
-// recently.
+// confirmed reports whether enough of the known nodes report losses of their own. The known nodes are this one and the
+// peers with fresh rates.
 func (s *State) confirmed(now time.Duration) bool {
 	confirming, known := 0, 1
 	if s.own.rates.reportsLosses() {
@@ -145,17 +151,19 @@
 	return 0
 }
 
-// pressure returns how much work expires or how long work waits, whichever is worse, as a multiple of what is tolerated.
+// pressure returns the larger of two ratios: the expired fraction of the finished work divided by
+// toleratedExpiredFraction, and the fraction of their slack that jobs wait on average divided by toleratedWait.
 func (r Rates) pressure() float64 {
 	return max(r.expiredFraction()/toleratedExpiredFraction, r.Waiting/max(r.Completed, minDivisor)/toleratedWait)
 }
 
 // admissible returns how much work the cluster can admit, given the capacity of its executors.
 //
-// The base of the estimate is the admitted work up to a pressure of 1. It falls to the completed work at a pressure of
-// 2. The completed work alone would be too low a base, because admitted work can also end without completing or
-// expiring. Unused capacity is added while pressure is below 1. Otherwise a cluster that once rejected jobs would never
-// find out that it could complete more.
+// The estimate starts from a base. Up to pressure 1, the base is the admitted work, or the completed work if that is
+// larger. From pressure 1 to 2 it falls linearly to the completed work. The completed work alone would be too low a
+// base at low pressure, because admitted work can also end without completing or expiring. While pressure is below 1,
+// unused capacity is added. Otherwise a cluster that once rejected jobs would never find out that it could complete
+// more.
 func (r Rates) admissible(capacity float64) float64 {
 	pressure := r.pressure()
 	base := r.Completed + max(0, r.Admitted-r.Completed)*min(1, max(0, 2-pressure))
@@ -164,10 +172,10 @@
 	return max(work, admittedCapacityFraction*capacity)
 }
 
-// thresholdLevel distributes the admissible work over the priority levels, highest first. It returns the level whose
-// work is admissible only in part, and the fraction of it that is. If nearly all the offered work is of this one level,
-// it returns level 0, which rejects nothing: the policy chooses better among jobs of one level, by which of them can
-// still be completed in time.
+// thresholdLevel distributes the admissible work over the priority levels, highest first. It returns the level of whose
+// work only a part is admissible, and that part as a fraction. If nearly all the offered work belongs to this one
+// level, it returns level 0, which rejects nothing: among jobs of one level, the policy chooses better, because it
+// knows which of them can still be completed in time.
 func (r Rates) thresholdLevel(admissible float64) (level int, admitFraction float64) {
 	offered := r.offered()
 	higher := 0.0
@@ -185,10 +193,10 @@
 	return 0, 0
 }
 
-// migrationDelay returns how long an attempt waits before it may be migrated, as a fraction of its slack. The delay
-// keeps the migrations of the cluster within migrationBudget, and is zero while the nodes want to migrate no more than
-// that. It is computed from the migrations that nodes want, not from those that they carried out, so it doesn't
-// oscillate.
+// migrationDelay returns how long an attempt waits before it is migrated, as a fraction of the attempt's slack. The
+// delay keeps the migrations of the cluster within migrationBudget. It is zero while the nodes want to migrate no more
+// work than that. It is computed from the migrations that nodes want, not from those that they carry out: otherwise a
+// delay would reduce its own cause, and oscillate.
 func (r Rates) migrationDelay() float64 {
 	if r.Migrations <= migrationBudget*r.Completed {
 		return 0
--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -8,24 +8,28 @@
 	"birchstair/policy"
 )
 
-// AveragingTimeConstant is the time constant of the exponential moving averages of which Rates consists.
+// AveragingTimeConstant is the time constant of the exponential moving averages in Rates.
 const AveragingTimeConstant = 1500 * time.Millisecond
 
 const (
-	// maxRate is the largest plausible rate. No node could be offered as much work per second.
+	// maxRate is the largest plausible rate, in seconds of work per second. No node could be offered that much work.
 	maxRate = 1e7
-	// minRate is the smallest rate that is kept. A priority level whose offered rate falls below it is removed.
+	// minRate is the smallest offered rate of a priority level that is kept, in seconds of work per second. A level
+	// with a lower rate is removed from Rates.Offered.
 	minRate = 1e-6
 )
 
-// Rates are the load of one node, as moving averages in seconds of work on a standard core per second.
+// Rates are the load of one node, or the sum over several nodes. Except for Waiting, the fields are moving averages in
+// seconds of work on a standard core per second.
 type Rates struct {
-	Offered    map[int]float64 // work of the jobs that arrived, by priority level, without jobs of low slack
-	Admitted   float64         // work of the jobs that arrived and were not shed, without jobs of low slack
-	Completed  float64         // work of the jobs that were completed
-	Expired    float64         // work of the jobs given up with attempts left, after a wait at the node or at an executor
-	Migrations float64         // work of the attempts that would be migrated if migrations were not limited
-	Waiting    float64         // not a rate: sum of work divided by slack over the jobs that wait now
+	Offered   map[int]float64 // work of the jobs that arrived, by priority level, without jobs of low slack
+	Admitted  float64         // work of the jobs that arrived and were not shed, without jobs of low slack
+	Completed float64         // work of the jobs that were completed
+	// Work of the jobs that were given up although they had attempts left, after a wait at the node or at an executor.
+	Expired    float64
+	Migrations float64 // work of the attempts that would be migrated if migrations were not limited
+	// Work of the jobs that wait now, each divided by the job's slack, as a sum. It is neither a rate nor an average.
+	Waiting float64
 }
 
 // Clone returns a deep copy.
@@ -45,8 +49,8 @@
 	return plausible(r.Admitted) && plausible(r.Completed) && plausible(r.Expired) && plausible(r.Migrations) && plausible(r.Waiting)
 }
 
-// offered returns the rate over all priority levels. It always adds them in the same order, because a sum of floats
-// depends on it.
+// offered returns the offered rate, summed over all priority levels. The levels are always added in the same order,
+// because the rounding of a sum of floats depends on the order.
 func (r Rates) offered() float64 {
 	sum := 0.0
 	for level := range policy.PriorityLevels {
@@ -73,8 +77,9 @@
 // ownLoad holds the averaged load of this node.
 type ownLoad struct {
 	rates        Rates
-	averagedOver time.Duration // time covered by the averages, since the start or the last reset
-	capacity     float64       // of all available executors on this node's endpoint list, in seconds of work per second
+	averagedOver time.Duration // time that the averages cover, since the start or the last reset
+	// Capacity of all available executors on this node's endpoint list, in seconds of work per second.
+	capacity float64
 }
 
 // reset discards the averages and begins new ones.
@@ -83,7 +88,7 @@
 	l.rates = Rates{Offered: map[int]float64{}}
 }
 
-// add updates the averages with the load since the last call, elapsed ago.
+// add updates the averages with the load since the last call. elapsed is the time since that call.
 func (l *ownLoad) add(load policy.LoadSummary, elapsed time.Duration) {
 	if elapsed <= 0 {
 		return
@@ -107,9 +112,9 @@
 	}
 }
 
-// weightOfOldAverage returns the weight of the old average when the value for the elapsed time is added to it. Soon
-// after the start it is smaller than the plain exponential decay, since the average began at zero and would otherwise
-// be too low.
+// weightOfOldAverage returns the weight that the old average keeps when the value for the elapsed time is added. Soon
+// after the start, this weight is smaller than the plain exponential decay. With the plain decay, averages that began
+// at zero would stay too low for a while.
 func weightOfOldAverage(averagedOver, elapsed time.Duration) float64 {
 	decay := func(d time.Duration) float64 { return math.Exp(-float64(d) / float64(AveragingTimeConstant)) }
 	return decay(elapsed) * (1 - decay(averagedOver)) / (1 - decay(averagedOver+elapsed))
