--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -15,20 +15,21 @@
 
 // This file encodes the messages between nodes as CBOR. The types of the encoding are used in this file only.
 
-// wireVersion is the version of the messages. It increases when the meaning of a field changes, but not for a new
-// field: a receiver skips fields that it does not know.
+// wireVersion is the version of the messages. It increases when the meaning of a field changes. A new field doesn't
+// increase it, because a receiver skips fields that it doesn't know.
 const wireVersion = 1
 
-// maxMessageBytes is the largest size of a gossip message, so that it fits into one datagram.
+// maxMessageBytes is the maximum size of a gossip message. A message of this size fits into one datagram.
 const maxMessageBytes = 1300
 
-// gossipMessage is the encoding of cluster.Message, a CBOR map with integer keys.
+// gossipMessage is the encoding of cluster.Message, a CBOR map with integer keys. Loads have the units of
+// cluster.Rates.
 type gossipMessage struct {
 	Version     uint8           `cbor:"0,keyasint"`
 	From        string          `cbor:"1,keyasint"`
 	Incarnation uint64          `cbor:"2,keyasint"`
 	Seq         uint64          `cbor:"3,keyasint"`
-	Offered     map[int]float32 `cbor:"4,keyasint,omitempty"` // seconds of work per second, by priority level
+	Offered     map[int]float32 `cbor:"4,keyasint,omitempty"` // rates of offered work, by priority level
 	Completed   float32         `cbor:"5,keyasint,omitempty"`
 	Expired     float32         `cbor:"6,keyasint,omitempty"`
 	Drains      []drainMessage  `cbor:"7,keyasint,omitempty"`
@@ -37,24 +38,25 @@
 	Migrations  float32         `cbor:"10,keyasint,omitempty"`
 }
 
-// drainMessage is the encoding of cluster.Drain, a CBOR array of the fields in this order.
+// drainMessage is the encoding of cluster.Drain: a CBOR array with these fields in this order.
 type drainMessage struct {
-	_           struct{} `cbor:",toarray"`
-	Executor    string
-	Incarnation int64 // when the executor started, in Unix milliseconds as in the endpoint list; 0 if that is long ago
-	AgeMs       int64 // milliseconds since some node's endpoint list last showed the drain
+	_        struct{} `cbor:",toarray"`
+	Executor string
+	// When the executor started according to the endpoint list, in Unix milliseconds; 0 if it started long ago.
+	Incarnation int64
+	AgeMs       int64 // milliseconds since the endpoint list of any node last showed the drain
 }
 
-// leaseMessage is the encoding of a message about an executor's leases, a CBOR array of the fields in this order.
+// leaseMessage is the encoding of a message about an executor's leases: a CBOR array with these fields in this order.
 type leaseMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint8
 	From    int    // number of the sending node
-	Message uint8  // a policy.LeaseMessage
+	Message uint8  // kind of the message, a policy.LeaseMessage
 	Hash    uint32 // hash that identifies the executor
 }
 
-// Reasons for dropping a message. Operators read these texts in an answer of the admin API, after "dropped=N words".
+// Reasons for dropping a message. The admin API's answer shows them to operators, after the text "dropped=N words".
 var (
 	errTooLong      = errors.New("longer than a word may be")
 	errMalformed    = errors.New("that make no sense")
@@ -65,7 +67,7 @@
 	errNameConflict = errors.New("of a second node of the same name")
 )
 
-// maxAgeMillis is the largest age that a time.Duration can hold.
+// maxAgeMillis is the largest age that a time.Duration can hold, in milliseconds.
 const maxAgeMillis = math.MaxInt64 / int64(time.Millisecond)
 
 var (
@@ -79,7 +81,7 @@
 	}.DecMode())
 )
 
-// must panics on an error. The CBOR options above are constant, so an error there is a programming error.
+// must returns v, or panics on an error. The CBOR options above are constant, so an error is a mistake in this file.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -87,8 +89,8 @@
 	return v
 }
 
-// encodeGossip encodes a message. If it is too long, the second half of its drains is dropped until it fits. A dropped
-// drain is not sent until cluster.State includes it in a message again.
+// encodeGossip encodes a message. While the message is too long, the second half of its drains is dropped. A dropped
+// drain is sent when cluster.State includes it in a message again.
 func encodeGossip(message cluster.Message) ([]byte, error) {
 	wire := newGossipMessage(message)
 	for {
@@ -128,13 +130,15 @@
 		wire.Drains = append(wire.Drains, drainMessage{
 			Executor:    string(drain.Executor),
 			Incarnation: drain.ExecutorStart,
-			AgeMs:       (drain.Age + time.Millisecond - 1).Milliseconds(), // rounded up, so that passing it on never shrinks it
+			// The age is rounded up, so that passing a drain on never makes it younger.
+			AgeMs: (drain.Age + time.Millisecond - 1).Milliseconds(),
 		})
 	}
 	return wire
 }
 
-// decodeGossip decodes a message. It does not check whether rates and ages are plausible: package cluster does.
+// decodeGossip decodes a message. It doesn't check whether rates are plausible, or whether ages are within
+// Settings.DrainTTL. Package cluster does.
 func decodeGossip(b []byte) (cluster.Message, error) {
 	var wire gossipMessage
 	if len(b) > maxMessageBytes {
@@ -182,10 +186,11 @@
 	return message, nil
 }
 
-// cborArray is the CBOR major type of an array, which is in the upper three bits of the first byte.
+// cborArray is the CBOR major type of an array. The upper three bits of a value's first byte are its major type.
 const cborArray = 4
 
-// isLeaseMessage distinguishes the two kinds of messages: a lease message is a CBOR array, a gossip message a map.
+// isLeaseMessage reports whether a message is a lease message. Lease messages are CBOR arrays, and gossip messages are
+// CBOR maps.
 func isLeaseMessage(b []byte) bool { return len(b) > 0 && b[0]>>5 == cborArray }
 
 func encodeLeaseMessage(from policy.NodeID, message node.SendLeaseMessage) ([]byte, error) {
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -12,11 +12,12 @@
 // NotifyLeave is memberlist's callback when a peer has left or is considered dead.
 func (m *Membership) NotifyLeave(peer *memberlist.Node) { m.setAlive(peer, false) }
 
-// NotifyUpdate is memberlist's callback when a peer has changed its metadata. It does nothing: nodes never change theirs.
+// NotifyUpdate is memberlist's callback for a peer that has changed its metadata. It does nothing, because nodes never
+// change their metadata.
 func (m *Membership) NotifyUpdate(*memberlist.Node) {}
 
-// NotifyConflict is memberlist's callback when a second node uses the name of another one. memberlist ignores the
-// second node.
+// NotifyConflict is memberlist's callback for a node that uses the name of a known node at another address. memberlist
+// ignores the new node.
 func (m *Membership) NotifyConflict(known, other *memberlist.Node) {
 	m.log.Error().
 		Str("name", known.Name).
@@ -46,14 +47,15 @@
 	m.post(node.GossipReceived{Message: message})
 }
 
-// NodeMeta returns the metadata that memberlist sends to peers: this node's number.
+// NodeMeta returns this node's metadata, which memberlist sends to peers. The metadata is this node's number.
 func (m *Membership) NodeMeta(int) []byte { return []byte(metadata(m.options.Node)) }
 
-// GetBroadcasts returns the messages that memberlist should piggyback on its own. There are none.
+// GetBroadcasts returns the messages that memberlist should attach to its own messages. There are none.
 func (m *Membership) GetBroadcasts(int, int) [][]byte { return nil }
 
 // LocalState returns the state that memberlist should exchange with a peer. There is none.
 func (m *Membership) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState is memberlist's callback with a peer's LocalState. It does nothing: peers have none.
+// MergeRemoteState is memberlist's callback for the LocalState of a peer. It does nothing, because LocalState is always
+// empty.
 func (m *Membership) MergeRemoteState([]byte, bool) {}
--- a/internal/gossip/log.go
+++ b/internal/gossip/log.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 )
 
-// newLogger returns a logger for memberlist that copies the lines relevant to operators into the node's log.
+// newLogger returns a logger for memberlist. It copies the lines that are relevant to operators into the node's log.
 func newLogger(log zerolog.Logger) *stdlog.Logger {
 	return stdlog.New(logWriter{log}, "", 0)
 }
@@ -23,8 +23,9 @@
 	return len(b), nil
 }
 
-// routineWarnings are texts that occur in memberlist's warnings and errors about a single message or exchange that
-// failed, or that succeeded over TCP only. Such failures are expected and are repaired by later exchanges.
+// routineWarnings are texts by which routine warnings and errors of memberlist are recognized. Each of these is about a
+// single message or exchange that failed, or that succeeded over TCP after UDP had failed. Such failures are expected,
+// and later exchanges make up for them.
 var routineWarnings = []string{"Failed to send", "Push/Pull with", "fallback", "Was able to connect"}
 
 // relevantToOperators reports whether a line of memberlist's log is a warning or an error that is not routine.
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -16,45 +16,55 @@
 )
 
 const (
-	maxQueued               = 64                     // maximum number of messages waiting to be sent; further ones are dropped
-	maxDeadPeers            = 1024                   // maximum number of dead peers whose addresses are remembered
-	retryInterval           = time.Second            // between attempts to listen, to join seeds and to rejoin resumed peers
-	leaveTimeout            = 200 * time.Millisecond // for announcing at a graceful shutdown that this node leaves
-	defaultPushPullInterval = 10 * time.Second       // between exchanges of the whole state with a random peer
+	// maxQueued is the maximum number of messages that wait to be sent. Further messages are dropped.
+	maxQueued = 64
+	// maxDeadPeers is the maximum number of dead peers whose addresses are remembered.
+	maxDeadPeers = 1024
+	// retryInterval is the time between two attempts to listen, to join the seeds or to rejoin resumed peers.
+	retryInterval = time.Second
+	// leaveTimeout is the longest time that a graceful shutdown waits while this node announces that it leaves.
+	leaveTimeout = 200 * time.Millisecond
+	// defaultPushPullInterval is the time between two exchanges of memberlist's whole state with a random peer.
+	defaultPushPullInterval = 10 * time.Second
 )
 
-// Settings of memberlist that differ from its defaults for a local network.
+// Settings in which this package differs from memberlist's defaults for a local network.
 const (
-	probeInterval = 500 * time.Millisecond // between failure detection probes
-	probeTimeout  = 200 * time.Millisecond // after which a probe by UDP counts as unanswered
-	// suspicionMult is the least time to refute a suspicion, in probe intervals. Over 10 nodes, memberlist multiplies it by
-	// log10 of their number.
-	suspicionMult    = 3
-	suspicionMaxMult = 2               // longest time to refute a suspicion, as a multiple of the least
-	streamTimeout    = 2 * time.Second // of TCP connections, as for exchanges of the whole state
-	// deadNodeReclaimTimeout is the time from a node's death until its name may be used from another address, as by the same
-	// node after a restart.
+	// probeInterval is the time between two probes of memberlist's failure detection.
+	probeInterval = 500 * time.Millisecond
+	// probeTimeout is the time after which a probe over UDP counts as unanswered.
+	probeTimeout = 200 * time.Millisecond
+	// probeInterval is multiplied by suspicionMult to get the least time that a suspected node has to refute the
+	// suspicion. With more than 10 nodes, memberlist also multiplies that time by log10 of their number.
+	suspicionMult = 3
+	// The least time to refute a suspicion is multiplied by suspicionMaxMult to get the longest.
+	suspicionMaxMult = 2
+	// streamTimeout is the timeout of TCP connections, which memberlist uses to exchange its whole state, among others.
+	streamTimeout = 2 * time.Second
+	// deadNodeReclaimTimeout is the time from a node's death until memberlist accepts its name from another address. It
+	// is short, because the same node can have another address after a restart.
 	deadNodeReclaimTimeout = time.Millisecond
 )
 
 // Membership is a node's membership in its cluster. It implements the interfaces Delegate, EventDelegate and
 // ConflictDelegate of memberlist.
 type Membership struct {
-	options          Options
-	post             func(node.Event) // posts an event to the node's event loop
-	log              zerolog.Logger
-	outbox           chan any      // messages to send, each a cluster.Envelope or a node.SendLeaseMessage
-	pushPullInterval time.Duration // see defaultPushPullInterval; 0 for no exchanges
+	options Options
+	post    func(node.Event) // posts an event to the node's event loop
+	log     zerolog.Logger
+	outbox  chan any // messages to send, each a cluster.Envelope or a node.SendLeaseMessage
+	// Interval between exchanges of the whole state (see defaultPushPullInterval); 0 disables them.
+	pushPullInterval time.Duration
 
 	mu           sync.Mutex
-	peers        map[string]*memberlist.Node // living nodes, each by its name and by its metadata
-	deadAddrs    map[string]string           // addresses of peers that are considered dead, by name
-	resumed      map[string]bool             // names in deadAddrs from which a message was received since
+	peers        map[string]*memberlist.Node // living nodes; each is entered twice, by its name and by its metadata
+	deadAddrs    map[string]string           // addresses of the peers that are considered dead, by name
+	resumed      map[string]bool             // names in deadAddrs of peers that have sent a message since
 	peersChanged chan struct{}               // signals that peers has changed
-	peerResumed  chan struct{}               // signals that resumed has grown
+	peerResumed  chan struct{}               // signals that a name was added to resumed
 }
 
-// New creates a membership that passes its events to post. It does nothing until Run is called.
+// New creates a membership that passes its events to post. The membership does nothing until Run is called.
 func New(options Options, post func(node.Event), log zerolog.Logger) *Membership {
 	return &Membership{
 		options:          options,
@@ -73,8 +83,8 @@
 // SendGossip queues a message to a peer. The message is dropped if the queue is full.
 func (m *Membership) SendGossip(to cluster.Envelope) { m.enqueue(to) }
 
-// SendLeaseMessage queues a message about an executor's leases to the peer whose number it contains. The message is
-// dropped if the queue is full.
+// SendLeaseMessage queues a message about an executor's leases. The message contains the number of the peer to send it
+// to. It is dropped if the queue is full.
 func (m *Membership) SendLeaseMessage(to node.SendLeaseMessage) { m.enqueue(to) }
 
 func (m *Membership) enqueue(message any) {
@@ -84,8 +94,8 @@
 	}
 }
 
-// Run joins the cluster, and leaves it when the context ends. While the listen address is in use, as by the predecessor
-// in a handoff, it retries.
+// Run joins the cluster, and leaves it when the context ends. It keeps trying while the listen address is in use, for
+// example by the predecessor in a handoff.
 func (m *Membership) Run(ctx context.Context) {
 	list := m.listen(ctx)
 	if list == nil {
@@ -102,8 +112,8 @@
 	wait.Wait()
 }
 
-// listen retries until the node listens on its address, and returns nil if the context ends before. A failure is logged
-// unless it is the same as the one before.
+// listen tries to listen on the node's address until it succeeds. It returns nil if the context ends first. A failure
+// is logged unless its text is the same as that of the failure before.
 func (m *Membership) listen(ctx context.Context) *memberlist.Memberlist {
 	logged := ""
 	for {
@@ -121,7 +131,7 @@
 	}
 }
 
-// sleep waits for the interval, and returns false if the context ends first.
+// sleep waits for the interval and returns true, or returns false if the context ends first.
 func sleep(ctx context.Context, interval time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -159,9 +169,9 @@
 	return list, err
 }
 
-// joinSeeds joins the seeds that are not known as alive, and repeats this at every retryInterval. Without the
-// repetition, two sides of a long network partition would not find each other again, since each considers the other
-// dead.
+// joinSeeds joins the seeds that are not known as alive, and repeats this after every retryInterval. After a long
+// network partition, the nodes on each side consider those on the other side dead. Without the repetition, the two
+// sides would not find each other again.
 func (m *Membership) joinSeeds(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		alive := map[string]bool{}
@@ -180,16 +190,16 @@
 	}
 }
 
-// join joins the node at an address, by exchanging the whole state with it over TCP.
+// join joins the cluster through the node at an address. memberlist exchanges its whole state with that node over TCP.
 func join(list *memberlist.Memberlist, addr string) {
 	list.Join([]string{addr}) //nolint:errcheck // the caller tries again
 }
 
-// rejoinResumed joins peers that are considered dead here but have sent a message since. A living node that is
-// considered dead does not know it: it takes all others for alive, so it joins none of them, and they send it nothing.
-// memberlist notifies such a node and accepts its refutation, but in a few datagrams only. If these are lost, only an
-// exchange with a random peer, which happens every defaultPushPullInterval, would bring the node back without
-// rejoinResumed.
+// rejoinResumed joins peers that this node considers dead but that have sent a message since. Such a peer is alive and
+// doesn't know that it is considered dead. It considers all others alive and therefore joins none of them, and they
+// send it nothing. memberlist notifies the peer and accepts its refutation, but does so in only a few datagrams. If
+// these are lost and rejoinResumed did not exist, only an exchange with a random peer would bring the peer back. These
+// exchanges take place every defaultPushPullInterval.
 func (m *Membership) rejoinResumed(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		select {
@@ -208,7 +218,7 @@
 	}
 }
 
-// takeResumed returns the addresses of the resumed peers, and clears resumed.
+// takeResumed returns the addresses of the peers in resumed, and empties resumed.
 func (m *Membership) takeResumed() (addrs []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -219,7 +229,8 @@
 	return addrs
 }
 
-// noteMessageFrom records that a message was received from a peer, which matters if the peer is considered dead.
+// noteMessageFrom records that a message was received from a peer. If the peer is considered dead, rejoinResumed then
+// joins it.
 func (m *Membership) noteMessageFrom(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -230,7 +241,7 @@
 	signal(m.peerResumed)
 }
 
-// signal sends to a channel of capacity 1, unless a signal is already pending in it.
+// signal sends to a channel of capacity 1. If the channel already holds a signal, it does nothing.
 func signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -250,7 +261,7 @@
 	}
 }
 
-// send sends a message over UDP, which may lose it. A message to a peer that is not alive is dropped.
+// send sends a message over UDP, so the message can be lost. A message to a peer that is not alive is dropped.
 func (m *Membership) send(list *memberlist.Memberlist, message any) {
 	var peer *memberlist.Node
 	var b []byte
@@ -271,19 +282,19 @@
 	}
 }
 
-// metadata returns the metadata of the node with this number. The prefix # distinguishes it from names in
-// Membership.peers.
+// metadata returns the metadata of the node with the given number. The prefix # distinguishes metadata from names among
+// the keys of Membership.peers.
 func metadata(number policy.NodeID) string { return fmt.Sprint("#", number) }
 
-// peer returns the living peer with this name or metadata, or nil.
+// peer returns the living peer whose name or metadata is key, or nil.
 func (m *Membership) peer(key string) *memberlist.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.peers[key]
 }
 
-// reportPeers posts which nodes are alive after each change. It runs in its own goroutine, because posting waits while
-// the event loop's queue is full, and memberlist's callbacks must not wait.
+// reportPeers posts an event with the living nodes after each change. Posting blocks while the event loop's queue is
+// full, and memberlist's callbacks must not block. So reportPeers runs in a goroutine of its own.
 func (m *Membership) reportPeers(ctx context.Context) {
 	for {
 		select {
@@ -300,7 +311,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for key, peer := range m.peers {
-		if key == peer.Name { // skips the entries by metadata
+		if key == peer.Name { // each node also has an entry by its metadata, which is skipped here
 			names = append(names, cluster.NodeName(peer.Name))
 		}
 	}
@@ -308,7 +319,7 @@
 	return names
 }
 
-// setAlive records whether a node, possibly this one, is alive.
+// setAlive records whether a node is alive. The node can be this one.
 func (m *Membership) setAlive(peer *memberlist.Node, alive bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -8,18 +8,18 @@
 	"birchstair/policy"
 )
 
-// Options are a node's identity in its cluster and the addresses that it needs to join it.
+// Options are a node's identity in its cluster, and the addresses that the node needs to join the cluster.
 type Options struct {
 	Name      cluster.NodeName // name of this node, unique in the cluster
 	Node      policy.NodeID    // number by which peers address messages about leases
 	Listen    netip.AddrPort   // address to listen on, for TCP and UDP
 	Advertise netip.AddrPort   // address at which peers reach this node
-	Seeds     []netip.AddrPort // addresses of some nodes of the cluster; this node's own may be among them
-	Traffic   *Traffic         // counters of the traffic, or nil
+	Seeds     []netip.AddrPort // nodes through which to join the cluster; this one can be among them
+	Traffic   *Traffic         // counters of the gossip traffic; nil to count nothing
 }
 
-// ParseOptions parses the addresses in the table fleet of the site file. An empty advertise address defaults to the listen
-// address. Errors name the key.
+// ParseOptions parses the addresses in the table fleet of the site file. If advertise is empty, the listen address is
+// advertised. An error names the key of the malformed address.
 func ParseOptions(name cluster.NodeName, number policy.NodeID, listen, advertise string, seeds []string) (Options, error) {
 	options := Options{Name: name, Node: number}
 	var err error
--- a/internal/gossip/traffic.go
+++ b/internal/gossip/traffic.go
@@ -17,7 +17,7 @@
 
 	PacketsIn, PacketsOut atomic.Int64 // UDP datagrams
 	StreamsIn, StreamsOut atomic.Int64 // TCP connections
-	BytesIn, BytesOut     atomic.Int64 // bytes of both, UDP and TCP
+	BytesIn, BytesOut     atomic.Int64 // bytes over UDP and TCP together
 }
 
 // countingTransport is a transport that counts its traffic.
@@ -47,7 +47,7 @@
 	return err == nil && c.traffic.Counts(peer.Addr().Unmap())
 }
 
-// forward counts received packets and accepted connections and passes them on, until Shutdown.
+// forward counts received packets and accepted connections, and passes them on to memberlist, until Shutdown is called.
 func (c *countingTransport) forward() {
 	for {
 		select {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -11,14 +11,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's NetTransport with two changes. It connects to peers from the address that it listens on, so
-// that a peer or a firewall can recognize the node by its address. And at most maxStreams accepted connections are open
-// at a time; further ones wait.
+// transport is memberlist's NetTransport with two changes. First, it connects to peers from the address that it listens
+// on, so that a peer or a firewall can recognize the node by its address. Second, at most maxStreams accepted
+// connections are open at a time, and further connections wait.
 type transport struct {
 	*memberlist.NetTransport
-	source   netip.Addr      // local address of the connections to peers
-	accepted <-chan net.Conn // connections as NetTransport accepts them
-	streams  chan net.Conn   // accepted connections for memberlist, at most maxStreams open
+	source   netip.Addr      // local address from which peers are connected to
+	accepted <-chan net.Conn // connections that NetTransport has accepted
+	streams  chan net.Conn   // accepted connections that are passed to memberlist, of which at most maxStreams are open
 	closing  chan struct{}   // closed when Shutdown begins
 	closed   chan struct{}   // closed when the sockets are closed
 	once     sync.Once       // guards Shutdown
@@ -27,8 +27,9 @@
 // maxStreams is the largest number of accepted connections that are open at a time.
 const maxStreams = 16
 
-// MaxDescriptors is the largest number of file descriptors that gossip uses: the UDP socket and the TCP listener, the
-// accepted connections, one more that waits to be accepted, and the connections that this node opens.
+// MaxDescriptors is the maximum number of file descriptors that gossip uses. It counts the UDP socket, the TCP
+// listener, the accepted connections that are open, one accepted connection that waits for another to close, and the
+// connections that this node opens.
 const MaxDescriptors = 2 + maxStreams + 1 + maxDialed
 
 // maxDialed is the largest number of connections that memberlist opens to peers at a time.
@@ -55,7 +56,7 @@
 	return t, nil
 }
 
-// Shutdown closes the sockets. It does not wait for memberlist to take the accepted connections; those left are closed.
+// Shutdown closes the sockets. Accepted connections that memberlist has not taken by then are closed.
 func (t *transport) Shutdown() (err error) {
 	t.once.Do(func() {
 		close(t.closing)
@@ -68,8 +69,9 @@
 // StreamCh returns the channel from which memberlist takes accepted connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// limitStreams passes accepted connections on while fewer than maxStreams are open. Otherwise hosts that open many
-// connections and send nothing would exhaust the file descriptors that clients and discovery need.
+// limitStreams passes accepted connections on while fewer than maxStreams are open. Without the limit, hosts that open
+// many connections and send nothing would exhaust the file descriptors, which connections from clients and to discovery
+// need.
 func (t *transport) limitStreams() {
 	slots := make(chan struct{}, maxStreams)
 	for {
@@ -91,8 +93,8 @@
 	}
 }
 
-// closeAccepted closes connections that are still accepted until the listener is closed. If it didn't take them, the
-// listener's goroutine would block and Shutdown would wait for it.
+// closeAccepted closes the connections that are still accepted until the listener is closed. If it didn't take them
+// from the channel, the listener's goroutine would block, and Shutdown would wait for that goroutine forever.
 func (t *transport) closeAccepted() {
 	for {
 		select {
@@ -104,14 +106,14 @@
 	}
 }
 
-// stream is an accepted connection that holds one of maxStreams slots until it is closed.
+// stream is an accepted connection. It occupies one of maxStreams slots until it is closed.
 type stream struct {
 	net.Conn
 	once  sync.Once
 	slots chan struct{}
 }
 
-// Close closes the connection. The first call frees the slot.
+// Close closes the connection. Only the first call frees the slot.
 func (s *stream) Close() error {
 	err := s.Conn.Close()
 	s.once.Do(func() { <-s.slots })
