--- a/internal/hotrestart/codec.go
+++ b/internal/hotrestart/codec.go
@@ -11,13 +11,13 @@
 	"birchstair/policy"
 )
 
-// Messages are encoded as lines with one JSON object each. The names in the tags of the wire types below are part of the protocol
-// between versions of the program. They must not change when names in package node change.
+// Messages are encoded as lines, and each line is one JSON object. The names in the tags of the wire types below are
+// part of the protocol between versions of the program. They must not change when names in package node change.
 
 // version is the version of the protocol. It is raised when the meaning of a message changes.
 const version = 1
 
-// The names on the wire of message kinds and operators' commands, indexed by their values in package node.
+// The names of message kinds and of operators' commands on the wire, indexed by their values in package node.
 var (
 	kindNames = []string{
 		node.StateTransfer:      "state",
@@ -44,8 +44,8 @@
 	State    *wireState        `json:"State,omitempty"`
 }
 
-// wireState is the state that a process transfers to its successor. Durations are in nanoseconds, and points in time are sent as
-// ages.
+// wireState is the state that a process transfers to its successor. Durations are in nanoseconds. A point in time is
+// sent as an age, the time since then.
 type wireState struct {
 	Excluded   []policy.ExecutorID `json:"Outs"`
 	Readmitted []wireReadmitted    `json:"Backs"`
@@ -116,7 +116,7 @@
 	Timeouts    int               `json:"Silences"`
 }
 
-// encode encodes a message as a line.
+// encode encodes a message as a line, including the newline.
 func encode(message node.HandoffMessage) ([]byte, error) {
 	wire := wireMessage{Version: version, Kind: kindNames[message.Kind], Seq: message.Seq, Executor: message.Executor}
 	if message.State != nil {
@@ -129,7 +129,7 @@
 	return append(line, '\n'), err
 }
 
-// decode decodes a line. It ignores fields that this version doesn't know.
+// decode decodes a line. It ignores fields that this version of the program doesn't know.
 func decode(line []byte) (message node.HandoffMessage, err error) {
 	var wire wireMessage
 	if err := json.Unmarshal(line, &wire); err != nil {
@@ -159,7 +159,8 @@
 	return message, nil
 }
 
-// convert applies a function to each element of a slice. It keeps nil and empty slices distinct, because they are encoded differently.
+// convert applies a function to each element of a slice. It returns nil only for a nil slice, because nil and empty
+// slices have different encodings.
 func convert[From, To any](list []From, convertOne func(From) To) []To {
 	if list == nil {
 		return nil
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -12,12 +12,12 @@
 
 const (
 	socketName       = "birchstair.sock"
-	maxSocketPathLen = 100 // bytes; the operating system's limit is a few bytes higher
+	maxSocketPathLen = 100 // maximum length in bytes; the operating system's limit is a few bytes higher
 	dialTimeout      = time.Second
 )
 
-// Dial connects to the process that is already running. It fails if there is no socket in the directory, or only one that was left
-// behind by a dead process.
+// Dial connects to the process that is already running. It fails if the directory contains no socket, or only a socket
+// that a dead process has left behind.
 func Dial(dir string) (conn net.Conn, err error) {
 	err = withSocketPath(dir, socketName, func(path string) error {
 		conn, err = net.DialTimeout("unix", path, dialTimeout)
@@ -29,7 +29,8 @@
 	return conn, nil
 }
 
-// listen opens a socket in the directory. The socket takes over the name socketName from the process that listened there before.
+// listen opens a socket in the directory and renames it to socketName. The socket of the process that listened there
+// before loses this name.
 func listen(dir string) (*net.UnixListener, error) {
 	ownName := fmt.Sprintf("%s.%d", socketName, os.Getpid())
 	var listener *net.UnixListener
@@ -44,7 +45,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", ownName, err)
 	}
-	listener.SetUnlinkOnClose(false) // by the time it is closed, the name may belong to another process's socket
+	// Closing the listener must not remove the file: by then the name may belong to the socket of another process.
+	listener.SetUnlinkOnClose(false)
 	ownPath := filepath.Join(dir, ownName)
 	if err := os.Rename(ownPath, filepath.Join(dir, socketName)); err != nil {
 		listener.Close()
@@ -53,8 +55,8 @@
 	return listener, nil
 }
 
-// withSocketPath calls use with a path to a file in the directory. The path is short enough for a socket, even if the path of the
-// directory itself is too long. It is valid until use returns.
+// withSocketPath calls use with a path to a file in the directory. The path is short enough for a socket, even if the
+// path of the directory itself is too long. The path is valid only until use returns.
 func withSocketPath(dir, file string, use func(path string) error) error {
 	path := filepath.Join(dir, file)
 	if len(path) <= maxSocketPathLen {
--- a/internal/hotrestart/transport.go
+++ b/internal/hotrestart/transport.go
@@ -10,10 +10,15 @@
 )
 
 const (
-	maxMessageBytes    = 16 << 20 // enough for the state with an endpoint list of tens of thousands of executors
-	readBufferBytes    = 1 << 10  // initial size of a read buffer, which grows up to maxMessageBytes
-	sendQueueLen       = 64       // messages that are queued for a process that doesn't read them
-	maxLinks           = 2        // further successors are rejected, because file descriptors are scarce
+	// maxMessageBytes is the maximum size of a message. It is enough for a state whose endpoint list has tens of
+	// thousands of executors.
+	maxMessageBytes = 16 << 20
+	// readBufferBytes is the initial size of a link's read buffer, which grows to up to maxMessageBytes.
+	readBufferBytes = 1 << 10
+	// sendQueueLen is the maximum number of messages queued for another process. If more are sent, the link is closed.
+	sendQueueLen = 64
+	// maxLinks is the maximum number of links. Further successors are rejected, because file descriptors are scarce.
+	maxLinks           = 2
 	writeTimeout       = time.Second
 	detailLinkClosed   = "link closed"
 	firstSuccessorLink = node.Predecessor + 1
@@ -21,20 +26,20 @@
 
 // Transport holds the links to the other processes of this node. Its methods are safe for concurrent use.
 type Transport struct {
-	dir    string           // where the socket is
+	dir    string           // directory of the socket
 	notify func(node.Event) // receives the transport's events
 
 	mu       sync.Mutex
-	nextLink node.HandoffLink           // ID of the next successor's link
+	nextLink node.HandoffLink           // the ID that the next successor's link gets
 	links    map[node.HandoffLink]*link // links that are up
 	listener *net.UnixListener          // nil while no successor can connect
 	closed   bool                       // Close has been called
 }
 
-// link is a connection to another process. Transport.read removes it when the connection has ended.
+// link is a connection to another process. When the connection has ended, Transport.read removes the link.
 type link struct {
 	conn net.Conn
-	out  chan node.HandoffMessage // messages that are queued for writing
+	out  chan node.HandoffMessage // messages queued for writing
 }
 
 // New creates a transport whose socket is in dir. It passes its events to notify.
@@ -42,15 +47,16 @@
 	return &Transport{dir: dir, notify: notify, nextLink: firstSuccessorLink, links: map[node.HandoffLink]*link{}}
 }
 
-// Start opens the link to the predecessor. The connection is nil if there is no predecessor.
+// Start opens the link to the predecessor. If there is no predecessor, the connection is nil and Start does nothing.
 func (t *Transport) Start(predecessor net.Conn) {
 	if predecessor != nil {
 		t.open(node.Predecessor, predecessor)
 	}
 }
 
-// AcceptConnections makes this process the one that a successor connects to, if accept is true. Otherwise it does nothing, because
-// the successor takes over the name of the socket. If listening fails, the process continues, but no successor can connect to it.
+// AcceptConnections makes this process the one that a successor connects to, if accept is true. If accept is false, it
+// does nothing, because the successor takes over the name of the socket. If listening fails, the process continues, but
+// no successor can connect to it.
 func (t *Transport) AcceptConnections(accept bool) {
 	if !accept {
 		return
@@ -91,19 +97,21 @@
 	}
 }
 
-// open adds a link and starts the goroutines that read from and write to its connection. They end when the connection closes.
+// open adds a link, and starts one goroutine that reads from its connection and one that writes to it. Both end when
+// the connection closes.
 func (t *Transport) open(id node.HandoffLink, conn net.Conn) {
 	l := &link{conn: conn, out: make(chan node.HandoffMessage, sendQueueLen)}
 	t.mu.Lock()
 	t.links[id] = l
 	t.mu.Unlock()
-	// Before any other event of the link: the node ignores the messages and the end of a link that it doesn't know.
+	// This event must come before all others of the link, because the node ignores events of a link that it doesn't
+	// know.
 	t.notify(node.HandoffLinkUp{Link: id})
 	go t.read(id, l)
 	go l.write()
 }
 
-// read receives messages until the connection ends, then removes the link.
+// read receives messages until the connection ends. Then it removes the link.
 func (t *Transport) read(id node.HandoffLink, l *link) {
 	detail := detailLinkClosed
 	if err := t.receive(id, l.conn); err != nil {
@@ -131,7 +139,8 @@
 	return lines.Err()
 }
 
-// write writes the queued messages. After an error it closes the connection, so that Transport.read removes the link.
+// write writes the queued messages. After an error it closes the connection, which causes Transport.read to remove the
+// link.
 func (l *link) write() {
 	for message := range l.out {
 		line, err := encode(message)
@@ -145,7 +154,7 @@
 	}
 }
 
-// Send queues a message. If the queue is full because the other process doesn't read, the link is closed.
+// Send queues a message. If the other process doesn't read its messages and the queue is full, the link is closed.
 func (t *Transport) Send(to node.HandoffLink, message node.HandoffMessage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
