--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -19,13 +19,12 @@
 	Self        NodeName
 	Incarnation uint64 // when this process started, in Unix milliseconds; greater after each restart
 	Seed        uint32 // seed of the random choices
-	// Unix time in milliseconds at which this node's time is zero, by the clock that the start times on the endpoint
-	// list refer to.
+	// Unix time in milliseconds at which this node's time is zero, by the clock of this node's endpoint list.
 	Epoch          int64
 	GossipInterval time.Duration // time between two gossip rounds
 	Fanout         int           // number of messages sent per gossip round
 	PeerStateTTL   time.Duration // how long a peer's rates are used after their receipt
-	// How long a drain counts as going on after it was last shown by the endpoint list of any node.
+	// How long a drain is believed to go on after the endpoint list of any node last showed it.
 	DrainTTL time.Duration
 }
 
@@ -77,15 +76,15 @@
 // Next returns the time at which Tick is due.
 func (s *State) Next() time.Duration { return s.nextTick }
 
-// SetAlive sets which nodes of the cluster are alive. The names can include this node, which is not one of its own
-// peers and is left out.
+// SetAlive sets which nodes of the cluster are alive. The names can include this node. It is left out, because it is
+// not a peer of itself.
 func (s *State) SetAlive(names []NodeName) {
 	alive := slices.DeleteFunc(slices.Sorted(slices.Values(names)), func(name NodeName) bool { return name == s.settings.Self })
 	s.peers.alive = slices.Compact(alive)
 }
 
-// Tick runs one gossip round and is due every gossip interval. It adds the load that the policy measured since the last
-// tick to the node's averages, and returns the messages to send and the new admission threshold.
+// Tick runs one gossip round and is due every gossip interval. load is what the policy measured since the last tick;
+// Tick adds it to the node's averages. Tick returns the messages to send and the new admission threshold.
 func (s *State) Tick(now time.Duration, load policy.LoadSummary) ([]Envelope, policy.AdmissionThreshold) {
 	elapsed := now - s.lastTick
 	s.lastTick, s.nextTick = now, now+s.settings.GossipInterval
--- a/internal/cluster/describe.go
+++ b/internal/cluster/describe.go
@@ -58,6 +58,6 @@
 	return fmt.Sprintf("cut_line rung=%d earnings_for_work=%.3g part=%.3f", threshold.Level, valueDensity(threshold.Level), threshold.AdmitFraction)
 }
 
-// valueDensity returns the value per second of work that a priority level stands for: 1 at the middle level, and
-// sqrt(2) times as much with each higher level.
+// valueDensity returns the value per second of work that a priority level stands for. It is 1 at the middle level, and
+// is multiplied by sqrt(2) with each level above.
 func valueDensity(level int) float64 { return math.Exp2(float64(level-policy.PriorityLevels/2) / 2) }
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -10,8 +10,8 @@
 //     policy.AdmissionThreshold. Its level is computed from the rates that nodes measured, never from an earlier level,
 //     so that nodes that have received the same messages agree on the level. The past only influences whether jobs are
 //     rejected at all: rejections start at a higher load than the load at which they end.
-//   - Is an executor draining or removed, although this node's own endpoint list doesn't show it yet? A peer's report of
-//     a drain is believed until Settings.DrainTTL after some node's own endpoint list last showed the drain.
+//   - Is an executor draining or removed, although this node's own endpoint list doesn't show it yet? The node believes
+//     a peer's report of a drain for Settings.DrainTTL after some node's own endpoint list last showed the drain.
 //
 // Files:
 //
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -35,10 +35,10 @@
 // drainTable holds the drains that this node knows of.
 type drainTable struct {
 	states map[policy.ExecutorID]*drainState
-	// When this node's own endpoint list last ended a drain of each executor. A peer's report is ignored if its drain
-	// was not seen after that.
+	// Time at which this node's own endpoint list last showed the end of an executor's drain. A peer's report is
+	// ignored if it is about a drain that was last seen at that time or before.
 	endedAt  map[policy.ExecutorID]time.Duration
-	lastSent int // index of the last drain sent, in the list of executor IDs sorted anew for each message
+	lastSent int // index of the last drain sent, among the sorted executor IDs
 }
 
 // nextBatch returns at most limit drains for a message. It begins after the last drain that was sent, so that all
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -11,9 +11,9 @@
 // Constants for estimating the rates of the whole cluster from the reports of peers.
 const (
 	// maxPeerMultiple limits the influence of a single peer, so that a node that reports nonsense can't move the
-	// threshold far. The magnitude of this node's own rates is multiplied by it to get the largest magnitude that
-	// counts for a peer. If at least minPeersForMedian peers report, the median of the peers' magnitudes takes the
-	// place of this node's own if it is larger.
+	// threshold far. The magnitude of this node's own rates is multiplied by maxPeerMultiple to get the largest
+	// magnitude that counts for a peer. If at least minPeersForMedian peers report, and the median of their magnitudes
+	// is larger than this node's own magnitude, the median is multiplied instead.
 	maxPeerMultiple = 8
 	// minPeersForMedian is the smallest number of peers for which the median of their magnitudes is used.
 	minPeersForMedian = 3
@@ -22,8 +22,8 @@
 )
 
 // Conditions on which the threshold starts and stops rejecting jobs. Utilization is the completed work as a fraction of
-// the executors' capacity. Finished work is the work that was completed or expired. Pressure is 1 when as much work
-// expires, or work waits as long, as is tolerated.
+// the executors' capacity. Finished work is the work that was completed or expired. Pressure measures how much work
+// expires and how long work waits. It is 1 at the tolerated amount.
 const (
 	// Rejections start only if more than overloadedExpiredFraction of the finished work expires in the cluster. The
 	// same fraction decides whether a single node reports losses.
@@ -45,7 +45,7 @@
 const (
 	// Pressure is 1 if toleratedExpiredFraction of the finished work expires.
 	toleratedExpiredFraction = 0.05
-	// Pressure is 1 if jobs wait for toleratedWait of their slack, on average weighted by work.
+	// Pressure is 1 if the average wait of jobs, weighted by their work, is toleratedWait of their slack.
 	toleratedWait = 0.4
 	// At pressure 0, the base of the estimate of the admissible work is multiplied by 1+admitHeadroom, so that the
 	// admitted work can grow.
@@ -138,7 +138,7 @@
 	return confirming >= min(known, minConfirmingNodes) && float64(confirming) >= confirmingFraction*float64(known)
 }
 
-// reportsLosses reports whether the rates of a single node show enough expired work for an overload.
+// reportsLosses reports whether more than overloadedExpiredFraction of a single node's finished work expires.
 func (r Rates) reportsLosses() bool {
 	return r.Expired > overloadedExpiredFraction*(r.Completed+r.Expired)
 }
@@ -151,8 +151,9 @@
 	return 0
 }
 
-// pressure returns the larger of two ratios: the expired fraction of the finished work divided by
-// toleratedExpiredFraction, and the fraction of their slack that jobs wait on average divided by toleratedWait.
+// pressure returns the larger of two ratios. One is the expired fraction of the finished work, divided by
+// toleratedExpiredFraction. The other is the average wait of jobs as a fraction of their slack, divided by
+// toleratedWait.
 func (r Rates) pressure() float64 {
 	return max(r.expiredFraction()/toleratedExpiredFraction, r.Waiting/max(r.Completed, minDivisor)/toleratedWait)
 }
@@ -172,10 +173,10 @@
 	return max(work, admittedCapacityFraction*capacity)
 }
 
-// thresholdLevel distributes the admissible work over the priority levels, highest first. It returns the level of whose
-// work only a part is admissible, and that part as a fraction. If nearly all the offered work belongs to this one
-// level, it returns level 0, which rejects nothing: among jobs of one level, the policy chooses better, because it
-// knows which of them can still be completed in time.
+// thresholdLevel distributes the admissible work over the priority levels, highest first. It returns the first level
+// whose work is admissible only in part, and the admissible fraction of that work. If nearly all the offered work
+// belongs to this one level, it returns level 0, which rejects nothing: among jobs of one level, the policy chooses
+// better, because it knows which of them can still be completed in time.
 func (r Rates) thresholdLevel(admissible float64) (level int, admitFraction float64) {
 	offered := r.offered()
 	higher := 0.0
@@ -195,8 +196,8 @@
 
 // migrationDelay returns how long an attempt waits before it is migrated, as a fraction of the attempt's slack. The
 // delay keeps the migrations of the cluster within migrationBudget. It is zero while the nodes want to migrate no more
-// work than that. It is computed from the migrations that nodes want, not from those that they carry out: otherwise a
-// delay would reduce its own cause, and oscillate.
+// work than that. It is computed from the migrations that nodes want. Computed from the migrations carried out, it
+// would oscillate, because a longer delay leads to fewer migrations.
 func (r Rates) migrationDelay() float64 {
 	if r.Migrations <= migrationBudget*r.Completed {
 		return 0
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -84,7 +84,7 @@
 func (m *Membership) SendGossip(to cluster.Envelope) { m.enqueue(to) }
 
 // SendLeaseMessage queues a message about an executor's leases. The message contains the number of the peer to send it
-// to. It is dropped if the queue is full.
+// to. The message is dropped if the queue is full.
 func (m *Membership) SendLeaseMessage(to node.SendLeaseMessage) { m.enqueue(to) }
 
 func (m *Membership) enqueue(message any) {
@@ -197,9 +197,9 @@
 
 // rejoinResumed joins peers that this node considers dead but that have sent a message since. Such a peer is alive and
 // doesn't know that it is considered dead. It considers all others alive and therefore joins none of them, and they
-// send it nothing. memberlist notifies the peer and accepts its refutation, but does so in only a few datagrams. If
-// these are lost and rejoinResumed did not exist, only an exchange with a random peer would bring the peer back. These
-// exchanges take place every defaultPushPullInterval.
+// send it nothing. memberlist notifies the peer and accepts its refutation, but does so in only a few datagrams.
+// Without rejoinResumed, the loss of these datagrams would leave only the exchanges with a random peer, every
+// defaultPushPullInterval, to bring the peer back.
 func (m *Membership) rejoinResumed(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		select {
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -11,7 +11,7 @@
 // Options are a node's identity in its cluster, and the addresses that the node needs to join the cluster.
 type Options struct {
 	Name      cluster.NodeName // name of this node, unique in the cluster
-	Node      policy.NodeID    // number by which peers address messages about leases
+	Node      policy.NodeID    // number of this node, by which peers address messages about leases
 	Listen    netip.AddrPort   // address to listen on, for TCP and UDP
 	Advertise netip.AddrPort   // address at which peers reach this node
 	Seeds     []netip.AddrPort // nodes through which to join the cluster; this one can be among them
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -16,7 +16,7 @@
 // connections are open at a time, and further connections wait.
 type transport struct {
 	*memberlist.NetTransport
-	source   netip.Addr      // local address from which peers are connected to
+	source   netip.Addr      // local address of the connections that this node opens to peers
 	accepted <-chan net.Conn // connections that NetTransport has accepted
 	streams  chan net.Conn   // accepted connections that are passed to memberlist, of which at most maxStreams are open
 	closing  chan struct{}   // closed when Shutdown begins
@@ -70,8 +70,7 @@
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
 // limitStreams passes accepted connections on while fewer than maxStreams are open. Without the limit, hosts that open
-// many connections and send nothing would exhaust the file descriptors, which connections from clients and to discovery
-// need.
+// many connections and send nothing would use up the file descriptors that are needed for clients and discovery.
 func (t *transport) limitStreams() {
 	slots := make(chan struct{}, maxStreams)
 	for {
--- a/internal/hotrestart/transport.go
+++ b/internal/hotrestart/transport.go
@@ -33,7 +33,7 @@
 	nextLink node.HandoffLink           // the ID that the next successor's link gets
 	links    map[node.HandoffLink]*link // links that are up
 	listener *net.UnixListener          // nil while no successor can connect
-	closed   bool                       // Close has been called
+	closed   bool                       // whether Close has been called
 }
 
 // link is a connection to another process. When the connection has ended, Transport.read removes the link.
--- a/internal/leases/effects.go
+++ b/internal/leases/effects.go
@@ -37,8 +37,7 @@
 type (
 	// Acknowledge confirms to the client that the job is on disk.
 	Acknowledge struct{ ID ID }
-	// Submit gives the job to the policy. The policy must have the job's answer before the budget, a time from now, is
-	// over.
+	// Submit gives a job to the policy. The policy must answer the job within the budget, which counts from now.
 	Submit struct {
 		ID     ID
 		Budget time.Duration
