--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,13 +1,13 @@
 // Package node is the state machine of one node of the dispatcher.
 //
-// Node.Step takes one Event, changes the node's state and returns the Effects that follow from it. It reads no clock and does
-// no input or output, so the same events at the same times always give the same effects in the same order. The packages that
-// connect the node to the outside, its edges (frontend, upstream, discovery, admin, hotrestart, gossip), do the input and
-// output and report the results as further events. Loop connects the two: it queues events, calls Step and passes the effects
-// to the edges.
+// Node.Step takes one Event, changes the node's state and returns the Effects that follow from the event. Step reads no
+// clock and does no input or output, so the same events at the same times always give the same effects in the same
+// order. The edges of a node are the packages that connect it to the outside (frontend, upstream, discovery, admin,
+// hotrestart, gossip). They do the input and output, and report the results as further events. Loop connects Node and
+// edges: it queues events, calls Step and passes the effects to the edges.
 //
-// What the node decides about a job (whether to admit it, where to send it, when to retry) is decided by a Policy, normally
-// *policy.Dispatcher. Step reports to the policy what happened and does what the policy asks for.
+// A Policy, normally *policy.Dispatcher, makes the decisions about jobs: whether a job is admitted, where it is sent
+// and when it is retried. Step reports to the policy what happened, and does what the policy asks for.
 //
 // # Steps
 //
@@ -22,9 +22,10 @@
 //
 // # Files
 //
-// Each area of the state is a struct of its own. As a rule, only the file that declares a struct writes its fields, and other
-// files call its methods. There are three exceptions: reload.go sets fields of Limits, relay.go maintains the deferred commands
-// of handoff, and idle_conns.go maintains the lists of idle connections.
+// Each area of the state is a struct of its own. As a rule, a struct's fields are written only by the file that
+// declares the struct, and other files call its methods. There are three exceptions: reload.go sets fields of Limits,
+// relay.go maintains handoff.deferred, the commands that are run again after a handoff, and idle_conns.go maintains the
+// lists of idle connections.
 //
 //	events.go       events and the values they carry
 //	effects.go      effects
@@ -65,9 +66,12 @@
 //	   v takes back the whole limits                      v
 //	serving alone                                       exited
 //
-// The successor's limits are halved from the start. Until its state has arrived it is not ready, and until the predecessor has
-// yielded it accepts connections but tells operators that it is not ready; both waits are bounded (stateTimeout, yieldTimeout).
-// If a link goes down early, the remaining process continues alone: a successor without the state, a predecessor by
-// accepting connections again. Only one of the two may send work to executors in slow start: the predecessor until it yields,
-// and the successor once everything that the predecessor may have sent has left the window of the slow-start budget.
+// The successor's limits are halved from the start. The successor is not ready until the predecessor's state has
+// arrived. After that it accepts connections, but still reports to operators that it is not ready until the predecessor
+// has yielded. Both waits are bounded (stateTimeout, yieldTimeout). If a link goes down early, the remaining process
+// continues alone: a successor continues without the state, and a predecessor accepts connections again.
+//
+// Only one of the two processes sends work to executors in slow start at any time. Until the predecessor yields, this
+// is the predecessor. The successor begins when everything that the predecessor may have sent has left the window of
+// the slow-start budget.
 package node
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -7,8 +7,8 @@
 	"birchstair/policy"
 )
 
-// Effect is something that Step asks its caller to do. It is one of the types below. The caller carries effects out in the
-// order in which Step returned them.
+// Effect is something that Step asks its caller to do. Its implementations are the types below. The caller carries
+// effects out in the order in which Step returns them.
 type Effect interface{ effect() }
 
 // Effects on clients, carried out by package frontend.
@@ -18,21 +18,21 @@
 		Job        policy.JobID
 		Final      Final
 		Result     []byte
-		RetryAfter time.Duration // when the client may retry; 0 for no advice
+		RetryAfter time.Duration // time after which the client is advised to retry; 0 for no advice
 	}
 	// UpdateJobClasses replaces the job classes that the frontend accepts.
 	UpdateJobClasses struct{ Classes []NumberedClass }
 	// SetReady sets whether the readiness check reports that the node accepts jobs.
 	SetReady struct{ Ready bool }
-	// DrainClients starts or ends a drain of clients: while it is on, the node reports not ready and closes clients'
-	// connections after their answers. Jobs that still arrive are accepted.
+	// DrainClients starts or ends a client drain. During the drain, the node reports that it is not ready, and closes
+	// each client's connection after its answer. Jobs that still arrive are accepted.
 	DrainClients struct{ On bool }
-	// AcceptConnections sets whether this process accepts new connections from clients. Package hotrestart carries it out as
-	// well: the process that accepts clients also accepts a successor.
+	// AcceptConnections sets whether this process accepts new connections from clients. Package hotrestart receives
+	// this effect too, because the process that accepts clients also accepts a successor.
 	AcceptConnections struct{ Accept bool }
 	// HalveLimits halves the resource limits of this process, or restores them.
 	HalveLimits struct{ Half bool }
-	// CloseFrontend stops accepting jobs and closes clients' connections once they have their answers.
+	// CloseFrontend stops accepting jobs. Each client's connection is closed once the client has received its answers.
 	CloseFrontend struct{}
 )
 
@@ -43,14 +43,14 @@
 		Conn ConnID
 		Addr string
 	}
-	// WriteAttempt sends an attempt on a connection that is idle or has just come up.
+	// WriteAttempt sends an attempt on a connection. The connection is idle or has just come up.
 	WriteAttempt struct {
 		Conn    ConnID
 		Attempt Attempt
 	}
-	// CloseConn closes a connection, or stops dialing it.
+	// CloseConn closes a connection. If the connection is still being dialed, the dialing stops.
 	CloseConn struct{ Conn ConnID }
-	// CheckHealth asks an executor for its load, over a new connection. One HealthCheckEnded event follows.
+	// CheckHealth asks an executor for its load over a new connection. One HealthCheckEnded event reports the result.
 	CheckHealth struct {
 		Executor policy.ExecutorID
 		Addr     string
@@ -59,14 +59,16 @@
 
 // Effects on discovery.
 type (
-	// WatchEndpoints requests the endpoint list again at once.
+	// WatchEndpoints requests the endpoint list again immediately.
 	WatchEndpoints struct{}
-	// SwitchDiscovery sets the address that the endpoint list is requested from. It may be the address already in use.
+	// SwitchDiscovery sets the address from which the endpoint list is requested. The address can be the one already in
+	// use.
 	SwitchDiscovery struct{ Addr string }
 )
 
-// AdminReply answers an operator's call. It is carried out by package admin. The reply is the reason for a refusal, metrics or
-// lines of text; if none of these is set, it says that the command was run or, for CheckReady, that this process is ready.
+// AdminReply answers an operator's call. Package admin carries it out. The reply consists of the reason for a refusal,
+// of metrics or of lines of text. If none of these is set, the reply is that the command was run or, for CheckReady,
+// that this process is ready.
 type AdminReply struct {
 	Caller  AdminCallID
 	Refusal string
@@ -85,7 +87,7 @@
 	CloseHandoffLink struct{ Link HandoffLink }
 )
 
-// Effects on other nodes of the cluster, carried out by package gossip. Both kinds of messages may be lost.
+// Effects on other nodes of the cluster, carried out by package gossip. The messages sent by these effects can be lost.
 type (
 	// SendGossip sends a gossip message to a node.
 	SendGossip struct{ cluster.Envelope }
@@ -99,15 +101,15 @@
 
 // Effects on the process itself, carried out by Loop.
 type (
-	// SetTimer requests one TimerFired event at the given time. A later SetTimer replaces it.
+	// SetTimer requests one TimerFired event at the given time. A later SetTimer replaces an earlier one.
 	SetTimer struct{ At time.Duration }
-	// Log writes a line to the log. Executor and Job are written as fields of the line unless they are empty.
+	// Log writes a line to the log. Executor and Job become fields of the line if they are not empty.
 	Log struct {
 		Text     string
 		Executor policy.ExecutorID
 		Job      policy.JobID
 	}
-	// Exit ends the loop. By then, every job is answered.
+	// Exit ends the loop. Every job is answered before this effect is returned.
 	Exit struct{}
 )
 
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -7,7 +7,7 @@
 	"birchstair/policy"
 )
 
-// ConnID identifies a connection to an executor, from its Dial effect to its ConnClosed event.
+// ConnID identifies a connection to an executor. It is valid from the connection's Dial effect to its ConnClosed event.
 type ConnID uint64
 
 // Request is the part of a job that executors receive unchanged.
@@ -17,7 +17,7 @@
 	URI            string // path and query, as the client sent them
 	Host           string
 	ContentType    string
-	IdempotencyKey string // by which executors recognize a repeated request
+	IdempotencyKey string // key by which executors recognize a repeated request; empty for none
 	Epoch          uint32 // lease epoch of a durable job's attempt; 0 for other jobs
 	Body           []byte
 }
@@ -28,18 +28,19 @@
 	Class       policy.JobClassID
 	Tenant      policy.TenantID
 	Work        time.Duration // estimated run time; 0 if unknown
-	Budget      time.Duration // how long the client waits for the answer
-	ClientRetry bool          // the client marked the job as a retry
+	Budget      time.Duration // time that the client waits for the answer
+	ClientRetry bool          // whether the client marked the job as a retry
 
-	NearConnectionLimit bool // the frontend was nearly out of file descriptors when the job arrived
+	// Whether the frontend was nearly out of file descriptors when the job arrived.
+	NearConnectionLimit bool
 
-	Client Client // nil if no client waits on a connection
+	Client Client // client that waits for the answer on a connection; nil if there is none
 }
 
-// Client is the client that waits for a job's answer. The state machine only passes it on.
+// Client is the client that waits for a job's answer. The state machine only passes a Client on and compares it.
 type Client interface {
-	// Gone reports whether the client is known to have stopped waiting for the answer. It doesn't block, and any goroutine may
-	// call it.
+	// Gone reports whether the client is known to have stopped waiting for the answer. It doesn't block. Any goroutine
+	// can call it.
 	Gone() bool
 }
 
@@ -49,19 +50,19 @@
 	policy.JobClass
 }
 
-// NumberedClass is a job class with its ID, which the jobs of the class carry.
+// NumberedClass is a job class with its ID. Each job of the class carries this ID.
 type NumberedClass struct {
 	ID policy.JobClassID
 	JobClass
 }
 
-// Endpoint is an entry of the endpoint list with the executor's address.
+// Endpoint is an entry of the endpoint list, together with the address of the executor.
 type Endpoint struct {
 	policy.Endpoint
 	Addr string
 }
 
-// Load is an executor's load report. Known is false if the executor sent none.
+// Load is an executor's load report. Known is false if the executor sent no report.
 type Load struct {
 	policy.Load
 	Known bool
@@ -70,9 +71,12 @@
 // Attempt is one attempt of a job, as it is sent to an executor.
 type Attempt struct {
 	*Request
-	Budget        time.Duration // how long this node waits for the attempt
-	NotIdempotent bool          // may run again only if it provably never ran, or, with an idempotency key, within its dedup group
-	Client        Client        // checked right before the first byte is sent; nil if no client waits
+	Budget time.Duration // time that this node waits for the attempt
+	// Whether the job's class is not idempotent. Such a job is run again only if it provably never ran
+	// or, if it has an idempotency key, within its dedup group.
+	NotIdempotent bool
+	// Client of the job, which is checked right before the first byte is sent; nil if no client waits.
+	Client Client
 }
 
 // Final is the kind of a job's final answer.
@@ -81,11 +85,11 @@
 // The kinds of final answers.
 const (
 	Succeeded Final = iota // an attempt succeeded
-	Rejected               // the job provably never ran, or may run again
+	Rejected               // the job provably never ran, or it is safe to run it again
 	Failed                 // the job may have run
 )
 
-// Event reports to the state machine that something happened. It is one of the types below.
+// Event reports to the state machine that something has happened. Its implementations are the types below.
 type Event interface{ event() }
 
 // Events from clients, reported by package frontend.
@@ -95,11 +99,13 @@
 	// ClientLeft reports that the client of a job has closed its connection.
 	ClientLeft struct {
 		Job    policy.JobID
-		Client Client // as in Job
+		Client Client // the job's Client field
 	}
-	// JobDeclined reports that the frontend itself answered a job of the given class because the job's ID was already in use.
+	// JobDeclined reports that the frontend itself answered a job of this class, because the job's ID was already in
+	// use.
 	JobDeclined struct{ Class policy.JobClassID }
-	// FrontendClosed reports that the frontend has closed: no client waits for an answer any more, and none can connect.
+	// FrontendClosed reports that the frontend has closed. No client waits for an answer any more, and no client can
+	// connect.
 	FrontendClosed struct{}
 )
 
@@ -107,31 +113,34 @@
 type (
 	// ConnReady reports that a connection has been dialed successfully.
 	ConnReady struct{ Conn ConnID }
-	// AttemptProgressed reports that an attempt has started (Progress 0), or which fraction of it is done.
+	// AttemptProgressed reports the progress of an attempt. Progress is 0 when the attempt has started, and later the
+	// fraction of the attempt that is done.
 	AttemptProgressed struct {
 		Conn     ConnID
 		Progress float64
 		Load     Load
 	}
-	// AttemptEnded reports the outcome of an attempt, unless its connection broke before a byte of it was written.
+	// AttemptEnded reports the outcome of an attempt. If the connection closed before a byte of the attempt was
+	// written, there is no AttemptEnded event, only ConnClosed.
 	AttemptEnded struct {
 		Conn       ConnID
 		Outcome    policy.Outcome
 		Result     []byte
 		Load       Load
-		ConnBroken bool   // the connection broke, or the executor's response could not be parsed
-		Detail     string // for the log
+		ConnBroken bool   // whether the connection broke, or the executor's response could not be parsed
+		Detail     string // text for the log
 	}
-	// AttemptNotSent reports that no byte of an attempt was written because its client had gone. The connection is idle.
+	// AttemptNotSent reports that no byte of an attempt was written, because the attempt's client had gone. The
+	// connection can carry the next attempt.
 	AttemptNotSent struct{ Conn ConnID }
 	// ConnIdle reports that a connection can carry the next attempt.
 	ConnIdle struct{ Conn ConnID }
 	// ConnClosed reports that a connection's descriptor is free. It is the last event of every connection.
 	ConnClosed struct {
 		Conn   ConnID
-		Detail string // for the log
+		Detail string // text for the log
 	}
-	// HealthCheckEnded reports the result of a health check. Load is set only if the executor answered.
+	// HealthCheckEnded reports the result of a health check. Load is only set if the executor answered.
 	HealthCheckEnded struct {
 		Executor policy.ExecutorID
 		Answered bool
@@ -141,28 +150,29 @@
 
 // Events from discovery and the configuration.
 type (
-	// EndpointsUpdated reports an update of the endpoint list, or that a watch failed; Detail then says why.
+	// EndpointsUpdated reports an update of the endpoint list, or a failed watch. Detail is the reason why the watch
+	// failed.
 	EndpointsUpdated struct {
 		Kind      policy.EndpointUpdateKind
 		Endpoints []Endpoint
 		Detail    string
 	}
-	// DiscoverySwitchPending reports that a new discovery address has not delivered an endpoint list yet. Until it does, the
-	// old address stays in use.
+	// DiscoverySwitchPending reports that a new discovery address has not delivered an endpoint list yet. The old
+	// address stays in use until the new one delivers a list.
 	DiscoverySwitchPending struct{ Addr, Detail string }
-	// ConfigReloaded reports that the configuration was read again. If it is invalid, Detail says why and the other fields are
-	// empty.
+	// ConfigReloaded reports that the configuration was read again. If the configuration is invalid, Detail is the
+	// reason and the other fields are empty.
 	ConfigReloaded struct {
-		Discovery       string   // the address from which the endpoint list is requested
-		NeedRestart     []string // keys that changed and take effect at the next start
+		Discovery       string   // address from which the endpoint list is requested
+		NeedRestart     []string // changed keys that only take effect at the next start
 		Classes         []JobClass
-		MaxWork         time.Duration // as in Limits
-		ShutdownTimeout time.Duration // as in Limits
+		MaxWork         time.Duration // as in Limits.MaxWork
+		ShutdownTimeout time.Duration // as in Limits.ShutdownTimeout
 		Detail          string
 	}
 )
 
-// AdminCalled reports an operator's call. One AdminReply answers it.
+// AdminCalled reports an operator's call. The node answers it with one AdminReply.
 type AdminCalled struct {
 	Caller   AdminCallID
 	Command  AdminCommand
@@ -178,7 +188,7 @@
 		Link    HandoffLink
 		Message HandoffMessage
 	}
-	// HandoffLinkDown reports that a link has closed, most likely because its process has ended.
+	// HandoffLinkDown reports that a link has closed, most likely because the process at its other end has ended.
 	HandoffLinkDown struct {
 		Link   HandoffLink
 		Detail string
@@ -197,7 +207,8 @@
 		Message policy.LeaseMessage
 		Hash    policy.ExecutorHash
 	}
-	// GossipUnreadable reports a datagram that could not be decoded.
+	// GossipUnreadable reports that package gossip could not decode a message, or that a second node uses a known
+	// node's name.
 	GossipUnreadable struct{ Why string }
 )
 
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,7 +9,7 @@
 	"birchstair/policy"
 )
 
-// Frontend is the edge to clients. Its methods don't block, and neither do those of the other edges.
+// Frontend is the edge to clients. The methods of this edge and of the other edges don't block.
 type Frontend interface {
 	Answer(Answer)
 	SetReady(bool)
@@ -50,37 +50,39 @@
 	SendLeaseMessage(SendLeaseMessage)
 }
 
-// Edges are the implementations that carry out effects: one for each kind of partner that the node communicates with.
+// Edges are the implementations that carry out effects. There is one edge for each kind of partner that the node
+// communicates with.
 type Edges struct {
-	Frontend    Frontend
-	Upstream    Upstream
-	Discovery   Discovery
-	Admin       Admin           // nil if operators can't connect
-	Handoff     Handoff         // nil if no other process of the node can connect
-	Gossip      Gossip          // nil if this node is not part of a cluster
-	LimitMemory func(half bool) // halves this process's memory limit, or restores it; nil if Handoff is
+	Frontend  Frontend
+	Upstream  Upstream
+	Discovery Discovery
+	Admin     Admin   // edge to operators; nil if they can't connect
+	Handoff   Handoff // edge to other processes of the node; nil if they can't connect
+	Gossip    Gossip  // edge to the cluster; nil if this node is not part of one
+	// LimitMemory halves the memory limit of this process, or restores it. It is nil if Handoff is nil.
+	LimitMemory func(half bool)
 }
 
-// Observer is called after every step, before the effects are carried out. It must not retain the effects.
+// Observer is called after every step, before the effects are carried out. It must not keep the slice of effects.
 type Observer func(now time.Duration, ev Event, effects []Effect)
 
-// Sizes of the event queues: the number of events that the edges can post before they block until the loop reads one.
+// Sizes of the event queues. While a queue holds this many events, an edge that posts another event blocks.
 const (
 	eventQueueSize       = 256
 	urgentEventQueueSize = 16
 )
 
-// Loop is the event loop of a node: it passes events to the Node, one at a time, and has the effects carried out.
+// Loop is the event loop of a node. It passes events to the Node one at a time, and passes the effects to the edges.
 type Loop struct {
-	Observe Observer // may be nil; set before Run
+	Observe Observer // called after every step; can be nil; must be set before Run is called
 
-	start  time.Time // when the node's time is 0
+	start  time.Time // time at which the node's time is 0
 	events chan Event
-	urgent chan Event    // read before the events in the other queue
-	done   chan struct{} // closed when Run has returned
+	urgent chan Event    // queue that is read before events
+	done   chan struct{} // channel that is closed when Run has returned
 }
 
-// NewLoop creates a loop whose node counts time from start.
+// NewLoop creates a loop. The node that it runs counts time from start.
 func NewLoop(start time.Time) *Loop {
 	return &Loop{
 		start:  start,
@@ -90,7 +92,7 @@
 	}
 }
 
-// Post queues an event. After Run has returned it does nothing.
+// Post queues an event. After Run has returned, events are discarded.
 func (l *Loop) Post(ev Event) {
 	select {
 	case l.events <- ev:
@@ -98,7 +100,7 @@
 	}
 }
 
-// PostUrgent queues an event ahead of all those queued by Post.
+// PostUrgent queues an event that is handled before all events queued by Post.
 func (l *Loop) PostUrgent(ev Event) {
 	select {
 	case l.urgent <- ev:
@@ -106,7 +108,7 @@
 	}
 }
 
-// next waits for the next event. Urgent events come first.
+// next waits for the next event. Urgent events come before others.
 func (l *Loop) next(timer *time.Timer) Event {
 	select {
 	case ev := <-l.urgent:
@@ -149,7 +151,7 @@
 	}
 }
 
-// carryOut passes an effect to the edge that carries it out.
+// carryOut passes an effect to the edges that carry it out.
 func (edges *Edges) carryOut(e Effect) {
 	switch e := e.(type) {
 	case Answer, UpdateJobClasses, SetReady, DrainClients, CloseFrontend:
@@ -181,7 +183,8 @@
 	}
 }
 
-// carryOutFrontend passes on an effect that only the frontend carries out.
+// carryOutFrontend passes an effect to the frontend. carryOut itself handles AcceptConnections and HalveLimits, because
+// these concern more than the frontend.
 func (edges *Edges) carryOutFrontend(e Effect) {
 	switch e := e.(type) {
 	case Answer:
@@ -197,7 +200,7 @@
 	}
 }
 
-// carryOutUpstream passes on an effect that concerns executors.
+// carryOutUpstream passes an effect on executors to the upstream edge.
 func (edges *Edges) carryOutUpstream(e Effect) {
 	switch e := e.(type) {
 	case Dial:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,29 +9,33 @@
 	"birchstair/policy"
 )
 
-// Limits are the settings that the state machine needs besides those of the policy.
+// Limits are the settings that the state machine needs in addition to those of the policy.
 type Limits struct {
-	Quantum         time.Duration // attempts are abandoned this long before their job's deadline
-	MaxIdle         time.Duration // a connection to an executor that has been idle for this long is not used again
-	DialTimeout     time.Duration // longest time to dial a connection, or to notice that an executor has closed one
-	MaxConns        int           // maximum number of connections to executors
-	MaxConnsShared  int           // replaces MaxConns while another process of this node shares its limits
-	MaxBodyBytes    int           // maximum total size of the request bodies of all jobs
-	RetryAfter      time.Duration // when to retry, sent with jobs that are rejected at a resource limit; 0 for no advice
-	MaxWork         time.Duration // maximum estimated run time of a job; a longer estimate is reduced to this
-	LameDuckPeriod  time.Duration // how long new jobs are accepted after a shutdown was requested
-	ShutdownTimeout time.Duration // time from a shutdown request by which every job is answered
+	// How long before a job's deadline this node abandons the job's attempts.
+	Quantum time.Duration
+	MaxIdle time.Duration // a connection to an executor is not used again after being idle for this long
+	// Maximum time until a dialed connection is up, or until this node notices that an executor has closed a
+	// connection.
+	DialTimeout    time.Duration
+	MaxConns       int // maximum number of connections to executors
+	MaxConnsShared int // maximum number of connections to executors while another process of this node shares its limits
+	MaxBodyBytes   int // maximum total size of the request bodies of all jobs
+	// Time after which a client is advised to retry a job that was rejected at a resource limit; 0 for no advice.
+	RetryAfter      time.Duration
+	MaxWork         time.Duration // maximum estimated run time of a job; longer estimates are reduced to it
+	LameDuckPeriod  time.Duration // time after a shutdown request during which new jobs are accepted
+	ShutdownTimeout time.Duration // time after a shutdown request by which every job is answered
 	SlowStartWindow time.Duration // window of the slow-start budget, plus a margin for attempts in flight
 }
 
-// PolicyPanicked is the start of the log line for a panic of the policy.
+// PolicyPanicked is the beginning of the log line about a panic of the policy.
 const PolicyPanicked = "the policy panicked"
 
-// panicBackoff is the longest time between a panic of the policy and the next call of the policy.
+// panicBackoff is the longest time from a panic of the policy to the next call of the policy.
 const panicBackoff = 100 * time.Millisecond
 
-// Policy decides about jobs. It is implemented by *policy.Dispatcher, which documents the contract of each method, and by
-// wrappers that observe the calls.
+// Policy makes the decisions about jobs. It is implemented by *policy.Dispatcher, which documents the contract of each
+// method, and by wrappers that observe the calls of another Policy.
 type Policy interface {
 	UpdateEndpoints(now time.Duration, kind policy.EndpointUpdateKind, entries []policy.Endpoint)
 	JobArrived(now time.Duration, arrival policy.Arrival)
@@ -68,14 +72,15 @@
 	admin     adminState
 	handoff   handoff
 	relays    commandRelays
-	cluster   *cluster.State // nil if this node is not part of a cluster
+	cluster   *cluster.State // what this node knows of its cluster; nil if it is not part of one
 
-	now     time.Duration // time of the current step
-	timerAt time.Duration // time that the timer is set to, or timerNotSet
-	effects []Effect      // effects of the current step
+	now time.Duration // time of the current step
+	// Time for which the timer is set, or timerNotSet.
+	timerAt time.Duration
+	effects []Effect // effects of the current step
 }
 
-// New creates a node that knows no executors yet. The job classes get the IDs from 0 upwards, in the order given.
+// New creates a node that knows no executors yet. The job classes get the IDs 0, 1, 2 and so on, in the order given.
 func New(p Policy, limits Limits, classes []JobClass) *Node {
 	n := &Node{
 		policy:    p,
@@ -91,8 +96,8 @@
 	return n
 }
 
-// Step handles one event and returns the effects, which are valid until the next call. The time now is counted from the
-// node's start and never decreases.
+// Step handles one event and returns the effects. The returned slice is valid until the next call. The time now is
+// counted from the node's start and never decreases.
 func (n *Node) Step(now time.Duration, ev Event) (effects []Effect) {
 	n.now, n.effects = now, n.effects[:0]
 	defer func() {
@@ -101,8 +106,8 @@
 		}
 		effects = n.effects
 	}()
-	// The cluster's tick comes first: if this process was suspended, the tick must detect that before the messages that
-	// arrived meanwhile are handled.
+	// The cluster's tick comes first. If this process was suspended, the tick detects the suspension. It must do so
+	// before a message that arrived during the suspension is handled.
 	n.tickCluster()
 	n.handle(ev)
 	n.expireJobs()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// configReloaded applies the discovery address, the job classes and the limits of a configuration that was read again. Jobs in
+// configReloaded applies a configuration that was read again: its discovery address, job classes and limits. Jobs in
 // flight are not affected. An invalid configuration changes nothing.
 func (n *Node) configReloaded(ev ConfigReloaded) {
 	if ev.Detail != "" {
@@ -22,8 +22,8 @@
 	n.emit(SwitchDiscovery{ev.Discovery})
 }
 
-// reloadJobClasses applies the job classes of a reload and the limits that depend on them. The policy, the node and the frontend
-// change to the new classes in the same step.
+// reloadJobClasses applies the job classes of a reload, and the limits that depend on the classes. The policy, the node
+// and the frontend change to the new classes in the same step.
 func (n *Node) reloadJobClasses(ev ConfigReloaded) {
 	n.limits.MaxWork, n.limits.ShutdownTimeout = ev.MaxWork, ev.ShutdownTimeout
 	if n.classes.same(ev.Classes) {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// shutdown is the state of a graceful shutdown. After the request, the node reports that it is not ready. Jobs that still arrive
-// in the lame-duck period are accepted, and all jobs are answered by the deadline.
+// shutdown is the state of a graceful shutdown. From the shutdown request on, the node reports that it is not ready.
+// During the lame-duck period, jobs that still arrive are accepted. All jobs are answered by the deadline.
 type shutdown struct {
-	requested       bool          // a shutdown was requested
+	requested       bool          // whether a shutdown was requested
 	lameDuckUntil   time.Duration // end of the lame-duck period
-	deadline        time.Duration // by which all jobs are answered
-	frontendClosing bool          // every job is answered, and the frontend was asked to close
+	deadline        time.Duration // time by which all jobs are answered
+	frontendClosing bool          // whether every job was answered and the frontend was asked to close
 }
 
-// limitDeadline limits a job's deadline to the deadline of the shutdown, if one was requested.
+// limitDeadline returns the earlier of a job's deadline and the deadline of the shutdown. If no shutdown was requested,
+// it returns the job's deadline.
 func (s *shutdown) limitDeadline(deadline time.Duration) time.Duration {
 	if s.requested {
 		return min(deadline, s.deadline)
@@ -25,8 +26,8 @@
 // inLameDuck reports whether the lame-duck period is running.
 func (s *shutdown) inLameDuck(now time.Duration) bool { return s.requested && now < s.lameDuckUntil }
 
-// beginShutdown starts a graceful shutdown. The policy is notified of the deadline, so that it sends no attempt that can't end
-// by then.
+// beginShutdown starts a graceful shutdown. It notifies the policy of the shutdown's deadline, so that the policy sends
+// no attempt that can't end by then.
 func (n *Node) beginShutdown() {
 	if n.shutdown.requested {
 		return
@@ -51,9 +52,9 @@
 	n.emit(CloseFrontend{})
 }
 
-// frontendClosed ends the process. If a job arrived while the frontend was closing, the job is answered first: the frontend is
-// asked to close again, and posts another FrontendClosed event afterwards. If no shutdown was requested, the frontend has
-// failed and no client can receive an answer, so all jobs fail at once.
+// frontendClosed ends the process. If a job arrived while the frontend was closing, that job is answered first: the
+// frontend is asked to close again, and posts another FrontendClosed event when it has. If no shutdown was requested,
+// the frontend has failed. Then no client can receive an answer, so all jobs fail immediately.
 func (n *Node) frontendClosed() {
 	if n.shutdown.requested && n.jobs.inFlight() > 0 {
 		n.emit(CloseFrontend{})
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -6,10 +6,12 @@
 	"birchstair/policy"
 )
 
-// timerNotSet is the value of Node.timerAt after the timer has fired. It differs from every time that a timer can be set to.
+// timerNotSet is the value of Node.timerAt after the timer has fired. It differs from every time for which a timer can
+// be set.
 const timerNotSet time.Duration = -1
 
-// runPolicyTasks runs all of the policy's tasks that are due, then sets the timer for the next work of the node.
+// runPolicyTasks runs all of the policy's tasks that are due. Then it sets the timer for the time at which the node has
+// work next.
 func (n *Node) runPolicyTasks() {
 	for {
 		due := n.policy.NextTask(n.now)
@@ -31,7 +33,8 @@
 	case policy.SendHealthCheck:
 		n.startHealthCheck(due.Executor)
 	case policy.SendLeaseMessage:
-		if n.cluster != nil { // without a cluster, no edge carries out SendLeaseMessage
+		// Without a cluster, no edge carries out SendLeaseMessage.
+		if n.cluster != nil {
 			n.emit(SendLeaseMessage{To: due.Node, Message: due.Message, Hash: due.Hash})
 		}
 	case policy.WatchEndpoints:
@@ -41,7 +44,8 @@
 	}
 }
 
-// nextWake returns when the next step is due if no event arrives earlier: when the policy or another area has work.
+// nextWake returns when the next step is due if no event arrives before that. This is the earliest time at which the
+// policy or another area of the node's state has work.
 func (n *Node) nextWake(policyTaskAt time.Duration) time.Duration {
 	at := min(policyTaskAt, n.nextHandoffDeadline())
 	if n.cluster != nil {
@@ -56,7 +60,7 @@
 	return at
 }
 
-// setTimer asks for a TimerFired event, unless the timer is set to this time already.
+// setTimer requests a TimerFired event at the given time, unless the timer is already set for this time.
 func (n *Node) setTimer(at time.Duration) {
 	if at != n.timerAt {
 		n.timerAt = at
@@ -64,5 +68,6 @@
 	}
 }
 
-// timerFired records that the timer has fired, so that the next call of setTimer sets it again, even to the same time.
+// timerFired records that the timer has fired. The next call of setTimer then sets the timer, even if it is for the
+// same time.
 func (n *Node) timerFired() { n.timerAt = timerNotSet }
