--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -9,36 +9,37 @@
 	"birchstair/policy"
 )
 
-// AdminCallID identifies an operator's call, so that the reply can be delivered to its caller.
+// AdminCallID identifies an operator's call. The reply carries the ID, so that package admin can deliver it to the
+// right caller.
 type AdminCallID uint64
 
 // AdminCommand is the command of an operator's call.
 type AdminCommand int
 
-// The commands of operators. Those from ExcludeExecutor to DrainOff change the node's state and are relayed to the node's
-// other processes.
+// The commands of operators. The commands from ExcludeExecutor to DrainOff change the node's state, so they are relayed
+// to the node's other processes.
 const (
 	CheckReady      AdminCommand = iota // reports whether this process accepts jobs
 	ReadMetrics                         // returns the counters
-	ExcludeExecutor                     // gives an executor no new work until it is readmitted
+	ExcludeExecutor                     // gives an executor no new work until the executor is readmitted
 	ReadmitExecutor                     // ends the exclusion of an executor
-	DrainOn                             // closes clients' connections after their answers, from now on
-	DrainOff                            // ends the client drain
+	DrainOn                             // starts a client drain, which closes clients' connections after their answers
+	DrainOff                            // ends a client drain
 	ReadCluster                         // returns what the node knows of its cluster
 )
 
-// Reasons for which a command is refused. Operators' tools match these texts.
+// Reasons for refusing a command. Operators' tools match these texts.
 const (
 	refusalNotReady        = "not ready"
 	refusalNoCluster       = "this node talks with no others: its [fleet] table is not there"
 	refusalUnknownExecutor = "no executor on the list has this id"
 )
 
-// adminState is the part of the node's state that operators have set.
+// adminState is the part of the node's state that operators set by commands.
 type adminState struct {
 	clientsDrained bool
 	excluded       map[policy.ExecutorID]bool
-	readmittedAt   map[policy.ExecutorID]time.Duration // when each executor was last readmitted, if ever
+	readmittedAt   map[policy.ExecutorID]time.Duration // time of the last readmission of each executor that was readmitted
 }
 
 // inherit takes over the exclusions and readmissions from the predecessor's state.
@@ -95,8 +96,8 @@
 	return &m
 }
 
-// runCommand runs a command that changes the node's state, in this process alone. If the command can't be run, it returns the
-// reason.
+// runCommand runs a command that changes the node's state, only in this process. If the command can't be run, it
+// returns the reason.
 func (n *Node) runCommand(command AdminCommand, id policy.ExecutorID) (refusal string) {
 	switch command {
 	case ExcludeExecutor:
@@ -109,16 +110,17 @@
 	return ""
 }
 
-// runRelayedCommand runs a command that another process of this node has already run. An executor is excluded even if it is
-// not on this process's endpoint list yet.
+// runRelayedCommand runs a command that another process of this node has already run. If the command excludes an
+// executor that is not yet on this process's endpoint list, the exclusion is stored for when the executor appears
+// there.
 func (n *Node) runRelayedCommand(command AdminCommand, id policy.ExecutorID) {
 	if n.runCommand(command, id) != "" && command == ExcludeExecutor {
 		n.admin.excluded[id] = true
 	}
 }
 
-// exclude gives an executor no new work until it is readmitted, whatever the endpoint list says. Excluding an excluded executor
-// has no effect.
+// exclude gives an executor no new work until the executor is readmitted, whatever the endpoint list says. If the
+// executor is already excluded, exclude does nothing.
 func (n *Node) exclude(id policy.ExecutorID) (refusal string) {
 	if n.admin.excluded[id] {
 		return ""
@@ -134,8 +136,8 @@
 	return ""
 }
 
-// readmit ends an exclusion. The executor counts as started now: operators restart executors while they are excluded, and
-// discovery may report the restart later or not at all.
+// readmit ends the exclusion of an executor. The executor counts as started now, because operators restart executors
+// while they are excluded, and discovery may report such a restart late or never.
 func (n *Node) readmit(id policy.ExecutorID) (refusal string) {
 	e := n.endpoints.get(id)
 	if !n.admin.excluded[id] {
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -8,21 +8,22 @@
 	"birchstair/policy"
 )
 
-// healthCheckReserve determines the part of the connection limit that is reserved for attempts: health checks leave
-// 1/healthCheckReserve of the limit free.
+// The connection limit is divided by healthCheckReserve to get the number of connections that health checks leave free
+// for attempts.
 const healthCheckReserve = 8
 
-// minAttemptBudget is the shortest time budget that an attempt gives its executor.
+// minAttemptBudget is the shortest time budget that an attempt states to its executor.
 const minAttemptBudget = time.Millisecond
 
 // connState is the state of a connection to an executor.
 type connState int
 
 const (
-	connDialing  connState = iota // is being dialed
-	connBusy                      // carries an attempt
-	connIdle                      // can carry the next attempt
-	connFinished                  // its attempt has ended; the rest of the answer is being read, or the connection is being closed
+	connDialing connState = iota // the connection is being dialed
+	connBusy                     // the connection carries an attempt
+	connIdle                     // the connection can carry the next attempt
+	// The connection's attempt has ended. The rest of the answer is being read, or the connection is being closed.
+	connFinished
 )
 
 // conn is a connection to an executor, from its Dial effect to its ConnClosed event.
@@ -31,30 +32,31 @@
 	executor *executor
 	state    connState
 
-	// The attempt that the connection carries, or will carry once it is up.
+	// The attempt that the connection carries or, while the connection is still being dialed, will carry.
 	job         *job // the attempt's job; nil if there is no attempt
 	attempt     policy.AttemptID
 	decidedAt   time.Duration  // when the policy decided on the attempt
 	writtenAt   time.Duration  // when the attempt was handed to the connection
-	progressed  bool           // the executor has sent something about the attempt
-	abandoned   bool           // this node no longer waits for the attempt
-	abandonedAs policy.Outcome // the outcome of an abandoned attempt that may have run
+	progressed  bool           // whether the executor has sent anything about the attempt
+	abandoned   bool           // whether this node no longer waits for the attempt
+	abandonedAs policy.Outcome // outcome of an abandoned attempt, if the attempt may have run
 
-	// The executor's counters of the same names, copied to detect whether it has restarted or moved since.
-	restarts    int // when the policy decided on the attempt
-	addrChanges int // when the connection was dialed
+	// Copies of the executor's counters with the same names. If a counter differs from its copy, the executor has
+	// restarted or moved.
+	restarts    int // executor.restarts when the policy decided on the attempt
+	addrChanges int // executor.addrChanges when the connection was dialed
 
-	wasIdle     bool          // the connection has been idle at least once
+	wasIdle     bool          // whether the connection has been idle at least once
 	idleSince   time.Duration // when the connection last became idle
 	idleElement *list.Element // the connection's element in idleConns; nil unless it is idle
 }
 
-// executorRestarted reports whether the executor has restarted since the policy chose it. The new process is in slow start,
-// which the policy did not know when it chose the executor.
+// executorRestarted reports whether the executor has restarted since the policy chose it for the attempt. The policy
+// didn't know then that the executor would be in slow start.
 func (c *conn) executorRestarted() bool { return c.restarts != c.executor.restarts }
 
-// executorMoved reports whether the executor's address has changed since this connection was dialed. The old address may
-// belong to another executor by now.
+// executorMoved reports whether the executor's address has changed since this connection was dialed. The address to
+// which the connection leads may belong to another executor by now.
 func (c *conn) executorMoved() bool { return c.addrChanges != c.executor.addrChanges }
 
 // connTable holds all connections to executors.
@@ -64,17 +66,18 @@
 	lastID               ConnID
 	healthChecksInFlight int
 
-	idleLimit          time.Duration // how long a connection may be idle and still be used; see maxIdle
-	idleLimitLoweredAt time.Duration // when idleLimit was last lowered
+	// Idle time from which a connection is not used again; maxIdle returns its current value.
+	idleLimit          time.Duration
+	idleLimitLoweredAt time.Duration // time when idleLimit was last lowered
 }
 
 // get returns a connection by its ID, or nil.
 func (t *connTable) get(id ConnID) *conn { return t.byID[id] }
 
-// openCount returns the number of connections that count against the limit, including those of health checks.
+// openCount returns the number of connections that count toward the connection limit, including those of health checks.
 func (t *connTable) openCount() int { return len(t.byID) + t.healthChecksInFlight }
 
-// add creates a connection that is to be dialed.
+// add creates a connection, which the caller must dial.
 func (t *connTable) add(e *executor) *conn {
 	t.lastID++
 	c := &conn{id: t.lastID, executor: e, addrChanges: e.addrChanges}
@@ -82,10 +85,10 @@
 	return c
 }
 
-// maxIdle returns how long a connection may have been idle and still be used: the configured time, or less if connections
-// broke after a shorter idle time. Executors, or network devices in between, may drop idle connections without notice, and an
-// attempt that is written on a dropped connection counts as possibly run. The configured time applies again once it has passed
-// since the last such break.
+// maxIdle returns the idle time from which a connection is not used again. This is the configured time, or less if
+// connections broke after a shorter idle time. The reason is that executors or network devices can drop idle
+// connections without notice, and an attempt that is written on a dropped connection counts as possibly run. The
+// configured time applies again once the limit has not been lowered for the configured time.
 func (t *connTable) maxIdle(now, configured time.Duration) time.Duration {
 	if now-t.idleLimitLoweredAt >= configured {
 		t.idleLimit = configured
@@ -93,21 +96,21 @@
 	return t.idleLimit
 }
 
-// lowerIdleLimit records that a connection broke after it had been idle for the given time. The limit for all executors becomes
-// at most half of that time.
+// lowerIdleLimit records that a connection broke after it had been idle for the given time. The idle limit, which is
+// the same for all executors, becomes at most half of that time.
 func (t *connTable) lowerIdleLimit(now, configured, idle time.Duration) {
 	t.idleLimit = min(t.maxIdle(now, configured), idle/2)
 	t.idleLimitLoweredAt = now
 }
 
-// addIdle adds a connection to those that are idle.
+// addIdle marks a connection as idle and adds it to the idle connections.
 func (t *connTable) addIdle(c *conn, now time.Duration) {
 	c.state, c.wasIdle, c.idleSince = connIdle, true, now
 	t.idle.add(c)
 }
 
-// detachJob removes the link between a connection and the job whose attempt it carries. It returns the job, or nil if there was
-// none.
+// detachJob removes the link between a connection and the job whose attempt the connection carries. It returns the job,
+// or nil if the connection carries no attempt.
 func (t *connTable) detachJob(c *conn) *job {
 	j := c.job
 	if j != nil {
@@ -117,8 +120,9 @@
 	return j
 }
 
-// startAttempt sends an attempt of a job to an executor. If the attempt can't be sent, the policy is notified at once and may
-// start the next attempt, which calls startAttempt again; the job class's MaxAttempts bounds this recursion.
+// startAttempt sends an attempt of a job to an executor. If the attempt can't be sent, the policy is notified
+// immediately. The policy can then start the next attempt, which calls startAttempt again. The job class's MaxAttempts
+// limits this recursion.
 func (n *Node) startAttempt(j *job, id policy.ExecutorID) {
 	attempt := j.nextAttemptID()
 	if e := n.endpoints.get(id); e == nil || !n.assignConn(j, attempt, e, n.now) {
@@ -126,8 +130,8 @@
 	}
 }
 
-// assignConn gives an attempt a connection to its executor: the one that became idle last, or else a new one. It reports
-// whether it found one.
+// assignConn gives an attempt a connection to its executor: the connection that became idle last or, if none is idle, a
+// new one. It returns false if the attempt got no connection.
 func (n *Node) assignConn(j *job, attempt policy.AttemptID, e *executor, decidedAt time.Duration) bool {
 	if !e.available {
 		return false
@@ -147,8 +151,9 @@
 	return true
 }
 
-// takeIdleConn removes the connection that became idle last from the executor's idle connections and returns it, or nil. If that
-// connection has been idle for too long, so have all the others, and all of them are closed.
+// takeIdleConn returns the executor's connection that became idle last, and removes it from the idle connections. If
+// that connection has been idle for too long, so have all the others. Then all are closed, and takeIdleConn returns
+// nil.
 func (n *Node) takeIdleConn(e *executor) *conn {
 	if len(e.idle) == 0 {
 		return nil
@@ -161,8 +166,8 @@
 	return n.conns.idle.take(e, last)
 }
 
-// dial opens a connection to an executor. At the connection limit, the oldest idle connection of any executor is closed to make
-// room; dial returns nil if there is none.
+// dial opens a connection to an executor. At the connection limit, it first closes the connection that has been idle
+// for longest, of any executor. If no connection is idle, it returns nil.
 func (n *Node) dial(e *executor) *conn {
 	if n.conns.openCount() >= n.maxConns() && !n.closeOldestIdleConn() {
 		return nil
@@ -180,8 +185,8 @@
 	return n.limits.MaxConns
 }
 
-// startHealthCheck asks an executor for its load. The health check fails at once if the executor takes no new work, or if so
-// many connections are open that the rest is reserved for attempts (see healthCheckReserve).
+// startHealthCheck asks an executor for its load. The health check fails immediately if the executor takes no new work,
+// or if all other connections are reserved for attempts (see healthCheckReserve).
 func (n *Node) startHealthCheck(id policy.ExecutorID) {
 	e := n.endpoints.get(id)
 	limit := n.maxConns()
@@ -211,7 +216,7 @@
 	}
 }
 
-// closeOldestIdleConn closes the connection that has been idle for longest. It reports whether there was an idle connection.
+// closeOldestIdleConn closes the connection that has been idle for longest. It returns false if no connection is idle.
 func (n *Node) closeOldestIdleConn() bool {
 	oldest := n.conns.idle.oldest()
 	if oldest == nil {
@@ -222,8 +227,8 @@
 	return true
 }
 
-// writeAttempt sends the attempt of a connection that is up. The attempt is counted in the metrics now, and uncounted if its
-// last byte is never written.
+// writeAttempt sends the attempt of a connection that is up. The metrics count the attempt now. If the attempt's last
+// byte is never written, the count is taken back later.
 func (n *Node) writeAttempt(c *conn) {
 	c.state, c.progressed, c.writtenAt = connBusy, false, n.now
 	n.metrics.countAttempt()
@@ -235,19 +240,20 @@
 	}})
 }
 
-// mayMissDedupWindow reports whether the policy decided on a retry with an idempotency key longer ago than DialTimeout. The
-// dedup window in the policy's settings is shorter than the executors' by DialTimeout only. After a longer delay, an executor
-// might not recognize the retry as a duplicate and run the job again.
+// mayMissDedupWindow reports whether a retry with an idempotency key could reach its executor after the end of the
+// dedup window. The policy's dedup window is shorter than the executors' by DialTimeout. If the policy decided on the
+// retry longer ago than that, an executor might not recognize the retry as a duplicate and run the job again.
 func (n *Node) mayMissDedupWindow(c *conn, j *job) bool {
 	return c.attempt > 0 && j.IdempotencyKey != "" && n.now-c.decidedAt > n.limits.DialTimeout
 }
 
-// stillWanted reports whether the attempt that a connection was dialed for may still be sent.
+// stillWanted reports whether the attempt for which a connection was dialed should still be sent.
 func (n *Node) stillWanted(c *conn) bool {
 	return c.executor.available && !c.job.answered && !c.executorRestarted() && !c.executorMoved() && !n.mayMissDedupWindow(c, c.job)
 }
 
-// connReady handles a connection that is up: it writes the attempt that the connection was dialed for, if that is still wanted.
+// connReady handles a connection that has come up. It writes the attempt for which the connection was dialed, if that
+// attempt is still wanted.
 func (n *Node) connReady(c *conn) {
 	switch {
 	case c == nil || c.state != connDialing:
@@ -262,7 +268,8 @@
 	}
 }
 
-// keepConn keeps a connection for the next attempt, unless its executor takes no new work or has moved.
+// keepConn keeps a connection for the next attempt. If the executor takes no new work or has moved, it closes the
+// connection instead.
 func (n *Node) keepConn(c *conn) {
 	if !c.executor.available || c.executorMoved() {
 		n.closeConn(c)
@@ -271,9 +278,9 @@
 	n.conns.addIdle(c, n.now)
 }
 
-// abandonAttempt stops waiting for an attempt. If its connection is still being dialed, the attempt was never sent and ends
-// now. Otherwise the connection is closed, and the attempt ends when its AttemptEnded or ConnClosed event arrives, with the
-// given outcome if it may have run.
+// abandonAttempt stops waiting for an attempt. If the attempt's connection is still being dialed, the attempt was never
+// sent and ends now. Otherwise the connection is closed, and the attempt ends when its AttemptEnded or ConnClosed event
+// arrives. If the attempt may have run, it then has the given outcome.
 func (n *Node) abandonAttempt(c *conn, outcome policy.Outcome) {
 	switch {
 	case c.state == connDialing && c.job.answered:
@@ -286,7 +293,7 @@
 	}
 }
 
-// attemptProgressed notifies the policy that an attempt has started, or of the fraction of it that is done.
+// attemptProgressed notifies the policy that an attempt has started, or which fraction of the attempt is done.
 func (n *Node) attemptProgressed(c *conn, ev AttemptProgressed) {
 	if c == nil || c.job == nil {
 		return
@@ -324,18 +331,20 @@
 	n.attemptOver(j, c.attempt, outcome)
 }
 
-// resolveOutcome answers the job if the outcome of its attempt decides the answer, and logs the details of a failure. It returns
-// the outcome for the policy, which differs from the reported outcome if this node closed the connection.
+// resolveOutcome answers the job if the outcome of the attempt decides the answer, and logs the details of a failure.
+// It returns the outcome for the policy. This differs from the reported outcome if this node closed the connection.
 func (n *Node) resolveOutcome(c *conn, j *job, ev AttemptEnded) policy.Outcome {
 	switch {
 	case ev.Outcome == policy.Succeeded:
 		n.answer(j, Answer{Final: Succeeded, Result: ev.Result})
 	case ev.Outcome == policy.InvalidRequest:
-		// The request itself is invalid. A retry on another executor would fail as well, and count against a healthy executor.
+		// The request itself is invalid. A retry on another executor would fail as well, and would count as a failure
+		// of a healthy executor.
 		n.answer(j, Answer{Final: Failed})
 		n.emit(Log{Text: ev.Detail, Executor: c.executor.id, Job: j.ID})
 	case c.abandoned && ev.ConnBroken && ev.Outcome == policy.ConnectFailed:
-		return policy.NotSent // closed by this node before the last byte was written
+		// This node closed the connection before the last byte was written.
+		return policy.NotSent
 	case c.abandoned && ev.ConnBroken:
 		return c.abandonedAs
 	case ev.Detail != "":
@@ -344,23 +353,25 @@
 	return ev.Outcome
 }
 
-// handleConnBroken handles a connection that broke while it carried an attempt. It lowers the idle limit if the cause was
-// probably a dropped idle connection, and closes the executor's idle connections, unless this node canceled the attempt or
-// closed the connection before the last byte was written. After a timeout (TimedOut) the idle connections are closed,
-// although this node closed the connection: the executor may be unreachable.
+// handleConnBroken handles a connection that broke while it carried an attempt. If the cause was probably that the
+// connection had been dropped while it was idle, the idle limit is lowered. The executor's idle connections are closed,
+// with two exceptions: this node canceled the attempt, or this node closed the connection before the last byte was
+// written. After a timeout (TimedOut) it was this node that closed the connection, but the idle connections are closed
+// all the same, because the executor may be unreachable.
 func (n *Node) handleConnBroken(c *conn, outcome policy.Outcome) {
 	if outcome == policy.ConnectionLost && c.wasIdle && !c.progressed {
 		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, c.writtenAt-c.idleSince)
 	}
 	if outcome != policy.Canceled && outcome != policy.NotSent {
-		// The executor's idle connections may be broken as well. If the executor is unreachable, dialing a new connection fails
-		// before any byte of an attempt is written.
+		// The executor's idle connections may be broken as well. A new connection is safer: if the executor is
+		// unreachable, dialing fails before any byte of an attempt is written.
 		n.closeIdleConns(c.executor)
 	}
 }
 
-// attemptNotSent handles an attempt that was not written because its client had gone. The attempt never ran, and the connection
-// is idle. The frontend's ClientLeft event for the same client may arrive before or after this one.
+// attemptNotSent handles an attempt that was not written because its client had gone. The attempt never ran, and its
+// connection is idle. The frontend also reports, by ClientLeft, that this client has gone. That event can arrive before
+// or after this one.
 func (n *Node) attemptNotSent(c *conn) {
 	if c == nil || c.state != connBusy {
 		return
@@ -368,30 +379,31 @@
 	n.metrics.uncountAttempt()
 	j := n.conns.detachJob(c)
 	c.state = connFinished
-	if !c.abandoned { // the connection of an abandoned attempt is being closed
+	if !c.abandoned { // if the attempt was abandoned, the connection is being closed
 		n.keepConn(c)
 	}
 	n.clientGone(j)
 	n.attemptOver(j, c.attempt, policy.NotSent)
 }
 
-// connBecameIdle keeps a connection for the next attempt after its answer has been read to the end.
+// connBecameIdle keeps a connection for the next attempt, after the answer to the previous attempt was read to the end.
 func (n *Node) connBecameIdle(c *conn) {
 	if c != nil && c.state == connFinished && !c.abandoned {
 		n.keepConn(c)
 	}
 }
 
-// connClosed removes a closed connection. If an attempt was assigned to it, no byte of that attempt was written. A connection
-// that had been idle before was closed by the executor because of its idle time, and the attempt gets another connection. A new
-// connection that was closed at once means that the executor accepts no more connections; the attempt failed to connect.
+// connClosed removes a closed connection. If an attempt is still assigned to the connection, no byte of the attempt was
+// written. If the connection had been idle before, the executor closed it because of its idle time, and the attempt
+// gets another connection. If the connection was new, it could not be dialed, or the executor closed it immediately
+// because it accepts no more connections. Then the attempt failed to connect.
 func (n *Node) connClosed(c *conn, detail string) {
 	if c == nil {
 		return
 	}
 	delete(n.conns.byID, c.id)
 	n.removeIdleConn(c)
-	if c.state == connBusy { // no AttemptEnded event came before, so nothing was written
+	if c.state == connBusy { // no AttemptEnded event came before, so no byte was written
 		n.metrics.uncountAttempt()
 	}
 	c.state = connFinished
@@ -413,22 +425,23 @@
 	}
 }
 
-// removeIdleConn removes a closed connection from the idle connections. If the executor closed it because it was idle for too
-// long, the idle limit is lowered.
+// removeIdleConn removes a closed connection from the idle connections. If the executor closed the connection because
+// it had been idle for too long, the idle limit is lowered.
 func (n *Node) removeIdleConn(c *conn) {
 	i := slices.Index(c.executor.idle, c)
 	if i < 0 {
 		return
 	}
 	n.conns.idle.take(c.executor, i)
-	// A connection that was idle for a shorter time was closed by the executor right after its answer.
+	// A connection that was idle for at most DialTimeout was closed right after the answer, not because of its idle
+	// time.
 	if idle := n.now - c.idleSince; idle > n.limits.DialTimeout {
 		n.conns.lowerIdleLimit(n.now, n.limits.MaxIdle, idle)
 	}
 }
 
-// reassignConn gives the unwritten attempt of a closed connection another connection to the same executor, unless the attempt
-// is no longer wanted. It reports whether the attempt has a new connection.
+// reassignConn gives the attempt of a closed connection another connection to the same executor. No byte of the attempt
+// was written. It returns false if the attempt is no longer wanted or there is no connection for it.
 func (n *Node) reassignConn(closed *conn, j *job) bool {
 	if closed.abandoned || j.answered || closed.executorRestarted() || n.mayMissDedupWindow(closed, j) {
 		return false
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// handleGossip handles events from other nodes of the cluster. It ignores them if this node is not part of a cluster.
+// handleGossip handles events from other nodes of the cluster. If this node is not part of a cluster, it ignores them.
 func (n *Node) handleGossip(ev Event) {
 	if n.cluster == nil {
 		return
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -9,8 +9,9 @@
 	"birchstair/policy"
 )
 
-// failedWatchesUntilDown is the number of failed watches after which discovery counts as down, and the cached list is used.
-// After a single failure, discovery may still deliver a list soon, which is preferred to the cached one.
+// failedWatchesUntilDown is the number of failed watches after which discovery counts as down, and the cached endpoint
+// list is used. After only one failure, discovery may still deliver a list soon, and that list would be better than the
+// cached one.
 const failedWatchesUntilDown = 2
 
 // executor is an executor on the endpoint list.
@@ -19,32 +20,34 @@
 	addr  string
 	entry policy.Endpoint // the executor's entry on the endpoint list
 
-	// The entry after operators' exclusions and drains reported by the cluster are applied, as the policy sees it.
-	available bool          // takes new work
+	// The entry as the policy sees it, after operators' exclusions and the cluster's reports of drains were applied.
+	available bool          // whether the executor takes new work
 	startedAt time.Duration // when the executor started
 
-	lastUpdate  int // the number of the last update that contained the executor
-	restarts    int // how many updates had a later start time
-	addrChanges int // how many updates had a new address
+	lastUpdate  int // number of the last update that contained the executor, as counted by endpointTable.updates
+	restarts    int // number of updates in which the executor's start time was later than before
+	addrChanges int // number of updates in which the executor's address was new
 
-	idle []*conn // idle connections, the one that became idle last at the end; only idleConns writes it
+	// Idle connections, in the order in which they became idle. Only idleConns writes this field.
+	idle []*conn
 }
 
-// endpointTable holds the executors on the endpoint list, and the sources from which the list came.
+// endpointTable holds the executors on the endpoint list, and records from which sources the list came.
 type endpointTable struct {
 	byID          map[policy.ExecutorID]*executor
 	updates       int  // number of updates so far
-	complete      bool // discovery has delivered a complete list
-	inherited     bool // the predecessor's list has been taken over in a handoff
-	watchFailing  bool // the last watch failed
+	complete      bool // whether discovery has delivered a complete list
+	inherited     bool // whether the predecessor's list was taken over in a handoff
+	watchFailing  bool // whether the last watch failed
 	failedWatches int  // number of failed watches so far
-	usable        bool // the list has been good enough to start serving (see suffices); never reset
+	// Whether the list has been good enough to start serving (see suffices). This is never reset.
+	usable bool
 }
 
 // get returns an executor by its ID, or nil.
 func (t *endpointTable) get(id policy.ExecutorID) *executor { return t.byID[id] }
 
-// sorted returns all executors ordered by ID, so that iterating over them always produces effects in the same order.
+// sorted returns all executors ordered by ID. Iterating in this order always produces effects in the same order.
 func (t *endpointTable) sorted() []*executor {
 	all := slices.Collect(maps.Values(t.byID))
 	slices.SortFunc(all, func(a, b *executor) int { return cmp.Compare(a.id, b.id) })
@@ -54,8 +57,10 @@
 // upToDate reports whether the list is complete and discovery keeps it up to date.
 func (t *endpointTable) upToDate() bool { return t.complete && !t.watchFailing }
 
-// suffices reports whether, after an update of this kind, the node can start serving with the list it has: a list from discovery
-// or from the predecessor, or, if discovery is down, the cached list.
+// suffices reports whether, after an update of this kind, the list is good enough to start serving. A complete list
+// from discovery is good enough, and so is the predecessor's list. The list cached on disk is good enough only if
+// discovery is down. An update from a cached list never suffices by itself: the node first waits for the result of a
+// watch.
 func (t *endpointTable) suffices(kind policy.EndpointUpdateKind) bool {
 	if len(t.byID) == 0 || kind == policy.CachedUpdate {
 		return false
@@ -103,7 +108,8 @@
 	}
 }
 
-// updateExecutors applies each entry of an update, and returns the entries as the policy sees them (see effectiveEndpoint).
+// updateExecutors applies each entry of an update. It returns the entries as the policy sees them (see
+// effectiveEndpoint).
 func (n *Node) updateExecutors(ev EndpointsUpdated) []policy.Endpoint {
 	entries := make([]policy.Endpoint, len(ev.Endpoints))
 	for i, in := range ev.Endpoints {
@@ -116,8 +122,9 @@
 	return entries
 }
 
-// updateExecutor applies one entry. If the executor has moved or restarted, its idle connections are closed: they no longer
-// lead to the executor's process, and an attempt written on one would count as possibly run.
+// updateExecutor applies one entry. If the executor has moved or restarted, its idle connections are closed. They no
+// longer lead to the executor's process, and an attempt that is written on such a connection would count as possibly
+// run.
 func (n *Node) updateExecutor(in Endpoint, effective policy.Endpoint) {
 	e := n.endpoints.get(in.Executor)
 	if in.State == policy.Removed {
@@ -150,7 +157,7 @@
 	e.available, e.startedAt = effective.State == policy.Available, effective.StartedAt
 }
 
-// removeUnlisted removes the executors that are missing from the last update, which was a complete list.
+// removeUnlisted removes the executors that the last update doesn't contain. That update must list all executors.
 func (n *Node) removeUnlisted() {
 	for _, e := range n.endpoints.sorted() {
 		if e.lastUpdate != n.endpoints.updates {
@@ -161,15 +168,16 @@
 	}
 }
 
-// removeExecutor removes an executor and closes its idle connections. Its attempts in flight go on.
+// removeExecutor removes an executor and closes its idle connections. The executor's attempts in flight go on.
 func (n *Node) removeExecutor(e *executor) {
 	e.available = false
 	n.closeIdleConns(e)
 	delete(n.endpoints.byID, e.id)
 }
 
-// inheritEndpoints takes over the predecessor's endpoint list, which is newer than the list cached on disk. A complete list from
-// discovery is even newer: it is kept, and applied again, because the predecessor's exclusions now apply to it as well.
+// inheritEndpoints takes over the predecessor's endpoint list, which is newer than the list cached on disk. If
+// discovery has already delivered a complete list, that list is even newer and is kept. It is applied again, because
+// the exclusions inherited from the predecessor now apply to it.
 func (n *Node) inheritEndpoints(endpoints []Endpoint) {
 	if n.endpoints.complete {
 		for _, e := range n.endpoints.sorted() {
@@ -189,8 +197,9 @@
 	n.policy.UpdateEndpoints(n.now, policy.IncrementalUpdate, []policy.Endpoint{effective})
 }
 
-// effectiveEndpoint returns an entry of the list as the policy sees it. An executor is draining if operators have excluded it,
-// or if other nodes of the cluster report that it is draining. An executor that was readmitted counts as started at that time.
+// effectiveEndpoint returns an entry of the list as the policy sees it. An executor is draining if operators have
+// excluded it, or if other nodes of the cluster report that it is draining. An executor that operators have readmitted
+// counts as started when it was readmitted, unless the list says that it started later.
 func (n *Node) effectiveEndpoint(in policy.Endpoint) policy.Endpoint {
 	draining := n.cluster != nil && n.cluster.IsDraining(in.Executor, in.StartedAt, in.StartedLongAgo)
 	if (n.admin.excluded[in.Executor] || draining) && in.State == policy.Available {
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -8,10 +8,12 @@
 // JoinCluster makes this node part of a cluster. It must be called before the first step, or not at all.
 func (n *Node) JoinCluster(s cluster.Settings) { n.cluster = cluster.New(s) }
 
-// Cluster returns what this node knows of its cluster, for reading only, or nil if the node is not part of one.
+// Cluster returns what this node knows of its cluster, or nil if the node is not part of one. The caller must not
+// change it.
 func (n *Node) Cluster() *cluster.State { return n.cluster }
 
-// gossipReceived handles a gossip message. Executors that it newly reports as draining get no new work.
+// gossipReceived handles a gossip message. If the message is the first to report that an executor is draining, this
+// node gives that executor no new work.
 func (n *Node) gossipReceived(m cluster.Message) {
 	for _, id := range n.cluster.Receive(n.now, m) {
 		if e := n.endpoints.get(id); e != nil && e.available && n.cluster.IsDraining(id, e.entry.StartedAt, e.entry.StartedLongAgo) {
@@ -21,8 +23,8 @@
 	}
 }
 
-// tickCluster does the cluster's periodic work, if it is due: it expires the drains that other nodes no longer report, updates
-// the admission threshold and sends gossip messages.
+// tickCluster does the cluster's periodic work if the work is due. It expires the drains that other nodes no longer
+// report, updates the admission threshold and sends gossip messages.
 func (n *Node) tickCluster() {
 	if n.cluster == nil || n.now < n.cluster.Next() {
 		return
@@ -48,7 +50,8 @@
 	}
 }
 
-// observeEndpoint passes an executor's entry on this node's own endpoint list to the cluster, which spreads drains by gossip.
+// observeEndpoint passes an executor's entry on this node's own endpoint list to the cluster. The cluster spreads
+// drains by gossip.
 func (n *Node) observeEndpoint(in policy.Endpoint) {
 	if n.cluster != nil {
 		n.cluster.ObserveEndpoint(n.now, in.Executor, in.StartedAt, in.StartedLongAgo, in.State)
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -13,25 +13,26 @@
 // Predecessor is the link to the process that this one takes over from.
 const Predecessor HandoffLink = 0
 
-// noLink differs from every link.
+// noLink is a value that differs from the IDs of all links.
 const noLink HandoffLink = -1
 
 const (
-	// stateTimeout is how long a successor waits for the predecessor's state before it continues without it.
+	// stateTimeout is how long a successor waits for the predecessor's state. After that it continues without the
+	// state.
 	stateTimeout = 2 * time.Second
-	// yieldTimeout is how long a successor reports not ready while it waits for the predecessor to yield.
+	// yieldTimeout is how long a successor reports that it is not ready because the predecessor has not yielded yet.
 	yieldTimeout = 2 * time.Second
 )
 
-// HandoffState is the state that a process transfers to its successor. Each process counts time from its own start, so points in
-// time are sent as ages.
+// HandoffState is the state that a process transfers to its successor. Points in time are sent as ages, because each
+// process counts time from its own start.
 type HandoffState struct {
 	Excluded   []policy.ExecutorID  // executors that operators have excluded
 	Readmitted []ReadmittedExecutor // executors that operators have readmitted
-	Drained    bool                 // clients are being drained
-	Endpoints  []Endpoint           // endpoint list, in which StartedAt is an age
+	Drained    bool                 // whether clients are being drained
+	Endpoints  []Endpoint           // endpoint list; the StartedAt of each entry is an age
 	Learned    policy.LearnedState  // the policy's estimates
-	ClassNames []string             // names of Learned.Classes, in the same order
+	ClassNames []string             // names of the classes in Learned.Classes, in the same order
 }
 
 // ReadmittedExecutor is an executor that operators have readmitted.
@@ -49,10 +50,10 @@
 	StateTransfer HandoffKind = iota
 	// SuccessorReady notifies the predecessor that the successor can serve.
 	SuccessorReady
-	// PredecessorYielded notifies the successor that the predecessor no longer accepts connections and sends nothing to
-	// executors in slow start.
+	// PredecessorYielded notifies the successor that the predecessor has yielded. The predecessor no longer accepts
+	// connections, and sends no work to executors in slow start.
 	PredecessorYielded
-	// RelayCommand carries an operator's command that the receiver is to run as well.
+	// RelayCommand carries an operator's command. The receiver must run the command as well.
 	RelayCommand
 	// RelayDone confirms that the RelayCommand with the same Seq has been run.
 	RelayDone
@@ -61,29 +62,32 @@
 // HandoffMessage is a message between two processes of a node.
 type HandoffMessage struct {
 	Kind     HandoffKind
-	Seq      uint64            // sequence number of the command, in RelayCommand and RelayDone
-	Command  AdminCommand      // in RelayCommand
-	Executor policy.ExecutorID // executor that the command is about, in RelayCommand
-	State    *HandoffState     // in StateTransfer
+	Seq      uint64            // sequence number of the command; set in RelayCommand and RelayDone
+	Command  AdminCommand      // operator's command; set in RelayCommand
+	Executor policy.ExecutorID // executor that the command is about; set in RelayCommand
+	State    *HandoffState     // predecessor's state; set in StateTransfer
 }
 
-// handoff is the state of a handoff between processes of this node. The package comment describes the protocol. A process can be
-// the successor of one process and the predecessor of another.
+// handoff is the state of a handoff between processes of this node. The package comment describes the protocol. A
+// process can at the same time be the successor of one process and the predecessor of another.
 type handoff struct {
-	links        []HandoffLink // links that are up, the predecessor's first
-	announced    bool          // this process has announced that it can serve
-	limitsHalved bool          // another process uses the other half of the resource limits
+	links        []HandoffLink // links that are up; the link to the predecessor comes first
+	announced    bool          // whether this process has announced that it can serve
+	limitsHalved bool          // whether another process uses the other half of the resource limits
 
-	// As a successor.
-	awaitingState bool             // the predecessor's state has not arrived yet
-	stateDeadline time.Duration    // when this process stops waiting for the state
-	deferred      []HandoffMessage // operators' commands run while awaitingState, to be run again once the state is taken over
-	awaitingYield bool             // SuccessorReady was sent; the predecessor may still accept connections
-	yieldDeadline time.Duration    // when this process reports ready even if the predecessor has not yielded
+	// Fields of a successor.
+	awaitingState bool          // whether the predecessor's state has yet to arrive
+	stateDeadline time.Duration // time at which this process stops waiting for the state
+	// Operators' commands that were run while awaitingState was set. They are run again after the state is taken over.
+	deferred []HandoffMessage
+	// Whether this process has sent SuccessorReady but the predecessor may still accept connections.
+	awaitingYield bool
+	// Time at which this process reports that it is ready even if the predecessor has not yielded.
+	yieldDeadline time.Duration
 
-	// As a predecessor.
-	yielded   bool        // the successor accepts connections, this process does not
-	successor HandoffLink // the successor that this process has yielded to
+	// Fields of a predecessor.
+	yielded   bool        // whether the successor accepts connections in place of this process
+	successor HandoffLink // link to the successor, if yielded is set
 }
 
 // connected reports whether a link is up.
@@ -99,9 +103,10 @@
 	return true
 }
 
-// ready returns what this process reports to readiness checks: whether it accepts jobs. It reports not ready while the
-// predecessor may still accept connections. Otherwise the platform might end the predecessor, and a predecessor that has not
-// yielded closes its clients' connections at once, some of them while the client is sending its next request.
+// ready returns what this process reports to readiness checks: whether it accepts jobs. It reports that it is not ready
+// while the predecessor may still accept connections. Otherwise the platform might end a predecessor that has not
+// yielded. Such a predecessor closes its clients' connections immediately, some of them while the client is sending its
+// next request.
 func (n *Node) ready() bool {
 	if n.shutdown.requested || !n.handoff.announced {
 		return false
@@ -109,8 +114,8 @@
 	return !n.handoff.awaitingYield || n.now >= n.handoff.yieldDeadline
 }
 
-// announceReady announces that this process can serve, as soon as it has endpoints and doesn't wait for the predecessor's state.
-// It does so only once.
+// announceReady announces that this process can serve, once it has endpoints and doesn't wait for the predecessor's
+// state. After the first announcement it does nothing.
 func (n *Node) announceReady() {
 	h := &n.handoff
 	if !n.endpoints.usable || h.awaitingState || h.announced {
@@ -125,7 +130,8 @@
 	}
 }
 
-// handoffLinkUp starts a handoff: this process sends its state to a successor, or waits for the state of its predecessor.
+// handoffLinkUp starts a handoff. If the link leads to a successor, this process sends its state. If it leads to the
+// predecessor, this process waits for the predecessor's state.
 func (n *Node) handoffLinkUp(link HandoffLink) {
 	h := &n.handoff
 	h.links = append(h.links, link)
@@ -136,12 +142,14 @@
 	}
 	h.awaitingState, h.stateDeadline = true, n.now+stateTimeout
 	n.emit(Log{Text: "handoff: waiting for the predecessor's state"})
-	n.policy.BlockSlowStartUntil(n.now, policy.Forever) // until the predecessor yields, only it may use them
+	// Until the predecessor yields, only the predecessor sends work to executors in slow start.
+	n.policy.BlockSlowStartUntil(n.now, policy.Forever)
 	n.updateLimits()
 }
 
-// handoffLinkDown ends the handoff with a process that has ended, has sent an unreadable message, or has not sent its state
-// in time. This process takes back the limits that it shared with the other process, and what it had yielded to a successor.
+// handoffLinkDown ends the handoff with another process. That process has ended, has sent an unreadable message, or has
+// not sent its state in time. This process takes back the half of the limits that the other process used. If it had
+// yielded to that process, it accepts connections again and, after a wait, uses executors in slow start again.
 func (n *Node) handoffLinkDown(link HandoffLink, detail string) {
 	h := &n.handoff
 	if !h.disconnect(link) {
@@ -185,7 +193,8 @@
 	}
 }
 
-// yieldTo lets a successor accept connections and use executors in slow start. This process only finishes the jobs that it has.
+// yieldTo lets a successor accept connections and send work to executors in slow start. This process only finishes its
+// jobs.
 func (n *Node) yieldTo(successor HandoffLink) {
 	n.handoff.yielded, n.handoff.successor = true, successor
 	n.emit(Log{Text: "handoff: yielded to the successor"})
@@ -195,13 +204,13 @@
 	n.emit(SendHandoff{successor, HandoffMessage{Kind: PredecessorYielded}})
 }
 
-// blockSlowStart blocks attempts to executors in slow start until everything that another process may have sent to them has left
-// the window of the slow-start budget.
+// blockSlowStart blocks attempts to executors in slow start for SlowStartWindow. After that, everything that another
+// process may have sent to these executors has left the window of the slow-start budget.
 func (n *Node) blockSlowStart() {
 	n.policy.BlockSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
 }
 
-// updateLimits halves the limits of this process while another one of this node uses the other half.
+// updateLimits halves the limits of this process while another process of this node uses the other half.
 func (n *Node) updateLimits() {
 	half := n.handoff.yielded || n.handoff.connected(Predecessor)
 	if half != n.handoff.limitsHalved {
@@ -242,8 +251,8 @@
 	n.announceReady()
 }
 
-// importLearned gives the policy the predecessor's estimates. Job classes have different IDs in the two processes and are
-// matched by name; those that this process doesn't have are left out.
+// importLearned gives the predecessor's estimates to the policy. A job class can have different IDs in the two
+// processes, so classes are matched by name. Estimates for classes that this process doesn't have are left out.
 func (n *Node) importLearned(state HandoffState) {
 	var classes []policy.LearnedClass
 	for i, class := range state.Learned.Classes {
@@ -259,7 +268,8 @@
 	n.policy.ImportLearned(n.now, state.Learned)
 }
 
-// expireHandoff stops waiting for the predecessor's state, and for confirmations of relayed commands, at their deadlines.
+// expireHandoff handles the deadlines of a handoff. At its deadline, this process stops waiting for the predecessor's
+// state or for the confirmation of a relayed command.
 func (n *Node) expireHandoff() {
 	if n.handoff.awaitingState && n.now >= n.handoff.stateDeadline {
 		n.emit(CloseHandoffLink{Predecessor})
@@ -268,7 +278,8 @@
 	n.expireRelays()
 }
 
-// nextHandoffDeadline returns when expireHandoff has something to do next, or policy.Forever.
+// nextHandoffDeadline returns when expireHandoff has something to do next, or policy.Forever if it is waiting for
+// nothing.
 func (n *Node) nextHandoffDeadline() time.Duration {
 	next := n.relays.nextDeadline()
 	if n.handoff.awaitingState {
--- a/internal/node/idle_conns.go
+++ b/internal/node/idle_conns.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// idleConns is the list of all idle connections, the longest idle first. It finds the oldest idle connection without a pass over
-// all executors. It also maintains each executor's own list, executor.idle, in the same order.
+// idleConns is the list of all idle connections, the longest idle first. With this list, the oldest idle connection is
+// found without a pass over all executors. idleConns also maintains each executor's own list, executor.idle, in the
+// same order.
 type idleConns struct{ byAge list.List }
 
 // add appends a connection that has just become idle.
@@ -24,8 +25,9 @@
 	return c
 }
 
-// oldest returns the connection that has been idle for longest, or nil. If several became idle at the same time, only the first
-// one of each executor is considered, and of these the one that was dialed first is returned.
+// oldest returns the connection that has been idle for longest, or nil if none is idle. Of several that became idle at
+// the same time, it considers only the first one in each executor's list. Among these it returns the one that was
+// dialed first.
 func (l *idleConns) oldest() (oldest *conn) {
 	for element := l.byAge.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*conn)
--- a/internal/node/job_classes.go
+++ b/internal/node/job_classes.go
@@ -6,18 +6,18 @@
 	"birchstair/policy"
 )
 
-// jobClasses assigns IDs to the job classes of the current and of earlier configurations.
+// jobClasses assigns an ID to each job class. The IDs of classes from earlier configurations stay valid.
 //
-// A class that a reload leaves unchanged keeps its ID. A new or changed class gets the next unused ID, so that jobs in flight,
-// and jobs still on their way from the frontend, keep the class they arrived with.
+// A class that a reload leaves unchanged keeps its ID. A new or changed class gets the next unused ID. So the jobs in
+// flight, and the jobs still on their way from the frontend, keep the class with which they arrived.
 type jobClasses struct {
 	current      []NumberedClass
-	idempotency  []policy.Idempotency         // of each class ever configured, indexed by ID
-	lastIDByName map[string]policy.JobClassID // the newest ID of each class name ever configured
+	idempotency  []policy.Idempotency         // idempotency of each class ever configured, indexed by the class's ID
+	lastIDByName map[string]policy.JobClassID // newest ID of each class name ever configured
 }
 
-// set replaces the current classes. It returns the update for the policy, and the names of the classes that got new IDs in the
-// order of these IDs.
+// set replaces the current classes. It returns the update for the policy. It also returns the names of the classes that
+// got new IDs, ordered by these IDs.
 func (c *jobClasses) set(classes []JobClass) (updates []policy.JobClassUpdate, added []string) {
 	var current []NumberedClass
 	for _, class := range classes {
@@ -39,7 +39,7 @@
 	return updates, added
 }
 
-// idOf returns the ID of the current class with the same name and settings, if there is one.
+// idOf returns the ID of the current class that has the same name and settings, and false if there is none.
 func (c *jobClasses) idOf(class JobClass) (id policy.JobClassID, ok bool) {
 	i := slices.IndexFunc(c.current, func(old NumberedClass) bool { return old.JobClass == class })
 	if i < 0 {
@@ -56,7 +56,8 @@
 // JobClasses returns the current job classes with their IDs.
 func (n *Node) JobClasses() []NumberedClass { return n.classes.current }
 
-// setJobClasses replaces the current classes, also in the metrics. It returns the update for the policy.
+// setJobClasses replaces the current classes, and adds the new ones to the metrics. It returns the update for the
+// policy.
 func (n *Node) setJobClasses(classes []JobClass) []policy.JobClassUpdate {
 	updates, added := n.classes.set(classes)
 	for _, name := range added {
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -8,19 +8,21 @@
 	"birchstair/policy"
 )
 
-// job is the state of a job, kept from its arrival until it has its final answer and none of its attempts is in flight.
+// job is the state of a job. It is kept until the job has its final answer and none of the job's attempts is in flight.
 type job struct {
 	Job
-	deadline  time.Duration // when the final answer is due
-	expiresAt time.Duration // when expireJobs handles the job next: first shortly before its deadline, then at the deadline
-	answered  bool          // the job has its final answer or needs none
-	conns     []*conn       // connections of the attempts in flight: one, or two while an attempt is hedged
-	attempts  int           // number of attempts started so far
-	arrival   int           // sequence number of the arrival; orders jobs that expire at the same time
-	heapIndex int           // index in jobTable.unanswered
+	deadline time.Duration // time by which the final answer is due
+	// Time at which expireJobs handles the job next. This is first a quantum before the deadline, and then the
+	// deadline.
+	expiresAt time.Duration
+	answered  bool    // whether the job has its final answer or needs none
+	conns     []*conn // connections of the attempts in flight; two while an attempt is hedged, else at most one
+	attempts  int     // number of attempts started so far
+	arrival   int     // sequence number of the arrival, by which jobs that expire at the same time are ordered
+	heapIndex int     // index of the job in jobTable.unanswered
 }
 
-// nextAttemptID returns the ID of the next attempt, and counts that attempt as started.
+// nextAttemptID returns the ID of the next attempt, and counts the attempt as started.
 func (j *job) nextAttemptID() policy.AttemptID {
 	id := policy.AttemptID(j.attempts)
 	j.attempts++
@@ -48,10 +50,12 @@
 	unanswered jobHeap // jobs without a final answer, ordered by expiry
 	bodyBytes  int     // total size of the request bodies of all jobs
 	arrivals   int     // number of jobs added so far
-	deciding   *job    // the job that the policy is deciding about, which is failed if the policy panics; else nil
+	// Job that the policy is deciding about, or nil. If the policy panics, this job fails unless it has an attempt in
+	// flight.
+	deciding *job
 }
 
-// add adds a job. It expires a quantum before its deadline for the first time.
+// add adds a job. The job expires for the first time a quantum before its deadline.
 func (t *jobTable) add(j *job, quantum time.Duration) {
 	t.byID[j.ID] = j
 	t.bodyBytes += len(j.Body)
@@ -60,7 +64,7 @@
 	heap.Push(&t.unanswered, j)
 }
 
-// markAnswered marks a job as answered. It is forgotten once none of its attempts is in flight.
+// markAnswered marks a job as answered. The job is removed once none of its attempts is in flight.
 func (t *jobTable) markAnswered(j *job) {
 	j.answered = true
 	heap.Remove(&t.unanswered, j.heapIndex)
@@ -86,13 +90,13 @@
 	return t.unanswered[0]
 }
 
-// postpone moves the expiry of the job that expires first to its deadline.
+// postpone moves the expiry of a job to the job's deadline. The job must be the one that expires first.
 func (t *jobTable) postpone(first *job) {
 	first.expiresAt = first.deadline
 	heap.Fix(&t.unanswered, first.heapIndex)
 }
 
-// limitDeadlines moves all deadlines that are later than the given one forward to it.
+// limitDeadlines brings every job's deadline that is later than the given one forward to the given one.
 func (t *jobTable) limitDeadlines(deadline, quantum time.Duration) {
 	for _, j := range t.unanswered {
 		j.deadline = min(j.deadline, deadline)
@@ -101,11 +105,12 @@
 	heap.Init(&t.unanswered)
 }
 
-// jobArrived adds a job and notifies the policy, which admits or rejects the job later, when it is asked for a placement. A job
-// that would exceed a resource limit is rejected here.
+// jobArrived adds a job and notifies the policy. The policy admits or rejects the job later, when it is asked to place
+// the job. A job that would exceed a resource limit is rejected here.
 func (n *Node) jobArrived(in Job) {
 	if n.jobs.byID[in.ID] != nil {
-		// The client left and submitted the job again under the same ID while an earlier attempt is still in flight.
+		// The client left and submitted the job again under the same ID, while an attempt from before is still in
+		// flight.
 		n.metrics.countAnswer(in.Class, Failed)
 		n.emit(Answer{Job: in.ID, Final: Failed})
 		return
@@ -140,16 +145,17 @@
 	n.jobs.markAnswered(j)
 }
 
-// clientLeft handles a client that has closed its connection. The job may have ended before: the last check before an attempt's
-// first byte can notice that a client has gone earlier than the frontend does (see attemptNotSent). By now another client may
-// have submitted a job under the same ID, so the client is compared as well.
+// clientLeft handles a client that has closed its connection. Its job may already be gone: before an attempt's first
+// byte is written, the client is checked once more, and that check can notice earlier than the frontend that the client
+// has gone (see attemptNotSent). Another client may then have submitted a job under the same ID, so the client is
+// compared as well.
 func (n *Node) clientLeft(ev ClientLeft) {
 	if j := n.jobs.byID[ev.Job]; j != nil && j.Client == ev.Client {
 		n.clientGone(j)
 	}
 }
 
-// clientGone ends a job whose client has gone: the job needs no answer and gets no further attempts.
+// clientGone ends a job whose client has gone. The job needs no answer and gets no further attempts.
 func (n *Node) clientGone(j *job) {
 	if !j.answered {
 		n.jobs.markAnswered(j)
@@ -181,7 +187,7 @@
 	}
 }
 
-// attemptOver notifies the policy of the outcome of an attempt, and applies its next decision about the job.
+// attemptOver notifies the policy of the outcome of an attempt, and applies the policy's next decision about the job.
 func (n *Node) attemptOver(j *job, attempt policy.AttemptID, outcome policy.Outcome) {
 	n.jobs.release(j)
 	n.jobs.deciding = j
@@ -199,8 +205,8 @@
 	}
 }
 
-// expireJobs abandons the attempts of jobs shortly before their deadlines. A job that the policy has not answered by its
-// deadline is failed here, so that every job gets an answer.
+// expireJobs abandons the attempts of each job shortly before the job's deadline. If the policy has not answered the
+// job by the deadline, the job fails here, so that every job gets an answer.
 func (n *Node) expireJobs() {
 	for {
 		j := n.jobs.first()
@@ -219,9 +225,9 @@
 	}
 }
 
-// policyPanicked limits the effect of a panic of the policy to the job that the policy was deciding about, if any. That job
-// fails unless it has an attempt in flight; the answer leaves open whether it ran. All other jobs go on, and the policy is
-// called again after panicBackoff at the latest.
+// policyPanicked limits the effect of a panic of the policy to the job that the policy was deciding about, if any. That
+// job fails unless it has an attempt in flight. The answer Failed leaves open whether the job ran. All other jobs go
+// on, and the policy is called again after panicBackoff at the latest.
 func (n *Node) policyPanicked(text string) {
 	n.emit(Log{Text: text})
 	if j := n.jobs.deciding; j != nil && len(j.conns) == 0 {
