--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -7,8 +7,8 @@
 	"birchstair/policy"
 )
 
-// suspendedIntervals is the number of gossip intervals without a Tick after which the node concludes that its process was
-// suspended. Its own rates and the messages that waited unread are then out of date.
+// suspendedIntervals is the number of gossip intervals without a Tick after which the node concludes that its process
+// was suspended. The node's own rates are out of date then, and so are the messages that waited unread.
 const suspendedIntervals = 3
 
 // NodeName is the name of a node, unique in its cluster.
@@ -16,14 +16,16 @@
 
 // Settings are the settings of a State.
 type Settings struct {
-	Self           NodeName
-	Incarnation    uint64        // when this process started, in Unix milliseconds; greater after each restart
-	Seed           uint32        // seed of the random choices
-	Epoch          int64         // Unix milliseconds at which this node's time is zero, by the clock of its endpoint list
+	Self        NodeName
+	Incarnation uint64 // when this process started, in Unix milliseconds; greater after each restart
+	Seed        uint32 // seed of the random choices
+	// Unix time in milliseconds at which this node's time is zero, by the clock of this node's endpoint list.
+	Epoch          int64
 	GossipInterval time.Duration // time between two gossip rounds
 	Fanout         int           // number of messages sent per gossip round
-	PeerStateTTL   time.Duration // how long a peer's rates are used after they were received
-	DrainTTL       time.Duration // how long a drain is believed after some node's own endpoint list last showed it
+	PeerStateTTL   time.Duration // how long a peer's rates are used after their receipt
+	// How long a drain is believed to go on after the endpoint list of any node last showed it.
+	DrainTTL time.Duration
 }
 
 // Defaults returns the default settings for a node.
@@ -45,13 +47,13 @@
 	settings Settings
 	nextTick time.Duration
 	lastTick time.Duration
-	draws    uint32 // number of random numbers drawn so far
+	draws    uint32 // number of random numbers drawn so far; each draw uses the next one
 
 	peers     peerTable
 	drains    drainTable
 	own       ownLoad
 	threshold policy.AdmissionThreshold
-	shedding  bool // whether the threshold rejects jobs at present
+	shedding  bool // whether the threshold now rejects jobs
 }
 
 // New creates the state of a node that knows no peers yet.
@@ -74,14 +76,15 @@
 // Next returns the time at which Tick is due.
 func (s *State) Next() time.Duration { return s.nextTick }
 
-// SetAlive sets which nodes of the cluster are alive. This node may be among them; it is left out.
+// SetAlive sets which nodes of the cluster are alive. The names can include this node. It is left out, because it is
+// not a peer of itself.
 func (s *State) SetAlive(names []NodeName) {
 	alive := slices.DeleteFunc(slices.Sorted(slices.Values(names)), func(name NodeName) bool { return name == s.settings.Self })
 	s.peers.alive = slices.Compact(alive)
 }
 
-// Tick runs one gossip round and is due every gossip interval. It adds the load that the policy measured since the last
-// tick to the node's averages, and returns the messages to send and the new admission threshold.
+// Tick runs one gossip round and is due every gossip interval. load is what the policy measured since the last tick;
+// Tick adds it to the node's averages. Tick returns the messages to send and the new admission threshold.
 func (s *State) Tick(now time.Duration, load policy.LoadSummary) ([]Envelope, policy.AdmissionThreshold) {
 	elapsed := now - s.lastTick
 	s.lastTick, s.nextTick = now, now+s.settings.GossipInterval
