--- a/internal/frontend/client_conn.go
+++ b/internal/frontend/client_conn.go
@@ -11,44 +11,48 @@
 	"birchstair/internal/socket"
 )
 
-// finalReadTimeout bounds the last read before a close, if the system can't tell whether unread bytes have arrived.
+// finalReadTimeout bounds the last read before a close. It is used only where the operating system can't tell whether
+// unread bytes have arrived.
 const finalReadTimeout = time.Millisecond
 
-// clientConn is a connection from a client. It does two things that net/http does not: closeWhenSafe closes it without losing
-// a request that has arrived, and read-ahead (read_ahead.go) notices that a client leaves while its answer is pending, even if
-// the client has sent part of its next request before.
+// clientConn is a connection from a client. It does two things that net/http does not:
 //
-// A connection has one reader at a time: net/http's goroutine, which calls Read and also closes the connection, or the
-// goroutine that reads ahead while an answer is pending. All other methods may be called from any goroutine.
+//   - closeWhenSafe closes the connection without losing a request that has arrived.
+//   - Read-ahead (read_ahead.go) notices that a client leaves while its answer is pending. It does so even if the client has
+//     already sent part of its next request.
+//
+// Only one goroutine reads a connection at a time. Usually that is net/http's goroutine, which calls Read and also closes the
+// connection. While an answer is pending, it can be the read-ahead goroutine. Any goroutine can call the other methods.
 type clientConn struct {
 	net.Conn
 
 	mu             sync.Mutex
 	framer         requestFramer
-	requestCount   int       // requests passed to the handler
-	answeredCount  int       // of those, the requests that are answered
+	requestCount   int       // number of requests passed to the handler
+	answeredCount  int       // number of requests that are answered
 	deadline       time.Time // the read deadline that net/http has set; zero for none
 	closeMode      closeMode
-	finalCheckDone bool // the last read before a close has started, and has found no request so far
+	finalCheckDone bool // the last read before a close has started, and has not returned a byte
 
-	client          *waitingClient // the client while its answer is pending, else nil
-	gotFirstByte    bool           // net/http's background read has returned a byte, and can no longer see a close
+	client          *waitingClient // the client whose answer is pending; nil if no answer is pending
+	gotFirstByte    bool           // net/http's background read has returned one byte, so net/http would miss a close
 	readAhead       *readAhead     // bytes read while an answer was pending; nil if there are none
-	sharedReadAhead *atomic.Int64  // bytes of maxSharedReadAhead that no connection has reserved
-	closed          bool           // net/http has closed the connection and no longer reads it
+	sharedReadAhead *atomic.Int64  // how many of maxSharedReadAhead bytes no connection has reserved
+	closed          bool           // net/http has closed the connection
 }
 
-// closeMode says whether a connection is to be closed, and which part of a request may be lost by that.
+// closeMode says whether a connection is to be closed, and whether the close may lose a part of a request that has arrived.
 type closeMode int
 
 const (
 	stayOpen          closeMode = iota
-	closeIfIdle                 // to be closed unless at least part of a request has arrived
-	closeIfIncomplete           // to be closed unless a complete request has arrived
+	closeIfIdle                 // close the connection unless at least a part of a request has arrived
+	closeIfIncomplete           // close the connection unless a complete request has arrived
 )
 
-// closeWhenSafe has the connection closed as soon as that loses no request. It moves the read deadline into the past, so
-// that the goroutine that reads the connection reads what has arrived, and then ends and closes the connection.
+// closeWhenSafe starts to close the connection, which then closes as soon as that loses no request. To interrupt the goroutine
+// that reads the connection, it moves the read deadline into the past. That goroutine reads what has arrived, and closes the
+// connection if no request is among it.
 func (c *clientConn) closeWhenSafe(mode closeMode) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,19 +65,19 @@
 	}
 }
 
-// keepOpen cancels a closeWhenSafe that has not taken effect.
+// keepOpen cancels a call of closeWhenSafe that has not closed the connection yet.
 func (c *clientConn) keepOpen() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeMode = stayOpen
 }
 
-// canClose reports whether a close would lose none of the requests that have been read so far. The parts of requests that
-// may be lost depend on closeMode.
+// canClose reports whether a close would lose none of the requests that have been read so far. In mode closeIfIncomplete, a
+// request that has been read only in part does not count.
 func (c *clientConn) canClose() bool {
 	f := &c.framer
 	switch {
-	case f.stopped && f.completeHeads > c.answeredCount: // the request has a chunked body, whose end the framer can't find
+	case f.stopped && f.completeHeads > c.answeredCount: // the framer can't find the end of this request
 		return false
 	case c.closeMode == closeIfIncomplete:
 		return f.completeHeads == c.answeredCount || f.completeHeads == c.answeredCount+1 && f.bodyRemaining > 0
@@ -88,8 +92,8 @@
 	c.answeredCount = c.requestCount
 }
 
-// countRequest counts a request that is passed to the handler. chunksOnly reports that the request has a chunked body and
-// no Content-Length header besides.
+// countRequest counts a request that is passed to the handler. chunksOnly reports that the request has a chunked body and no
+// Content-Length header.
 func (c *clientConn) countRequest() (chunksOnly bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +102,7 @@
 	return f.chunked && !f.hasContentLength && f.completeHeads == c.requestCount
 }
 
-// markClosed records that net/http has closed the connection, and releases what read-ahead has reserved.
+// markClosed records that net/http has closed the connection, and releases the bytes that read-ahead has reserved.
 func (c *clientConn) markClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +112,8 @@
 	}
 }
 
-// SetReadDeadline implements net.Conn. The deadline takes effect later while the reader is being interrupted.
+// SetReadDeadline implements net.Conn. While the reader is being interrupted, the deadline is only stored, and takes effect
+// after the interruption.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,8 +125,8 @@
 // field that readDeadline depends on.
 func (c *clientConn) applyReadDeadline() { c.Conn.SetReadDeadline(c.readDeadline()) }
 
-// readDeadline returns a deadline in the past while the reader is to stop reading ahead or to check whether the connection
-// can be closed, and net/http's deadline otherwise.
+// readDeadline returns the deadline for reads. It is in the past while the reader must be interrupted: to stop reading ahead,
+// or to check whether the connection can be closed. Otherwise it is net/http's deadline.
 func (c *clientConn) readDeadline() time.Time {
 	stopping := c.readAhead != nil && c.readAhead.stopping && !c.readAhead.done
 	if stopping || c.closeMode != stayOpen && c.canClose() && !c.finalCheckDone {
@@ -130,8 +135,8 @@
 	return c.deadline
 }
 
-// Read implements net.Conn. It returns first what was read ahead. If closeWhenSafe has interrupted a read and the connection
-// can't be closed after all, it reads again.
+// Read implements net.Conn. It first returns the bytes that were read ahead. If closeWhenSafe has interrupted a read and the
+// connection can't be closed after all, Read reads again.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if n, err, ok := c.takeReadAhead(b); ok {
 		return n, err
@@ -144,7 +149,7 @@
 	}
 }
 
-// afterRead processes the result of a read into b. done reports that Read returns this result; otherwise Read reads again.
+// afterRead processes the result of a read into b. If done is true, Read returns this result; otherwise Read reads again.
 func (c *clientConn) afterRead(b []byte, n int, err error) (done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,8 +174,9 @@
 	return c.finalCheckDone || !c.finalCheck()
 }
 
-// finalCheck checks for an unread request after closeWhenSafe has interrupted a read: a read whose deadline has passed
-// returns nothing even if bytes have arrived. It reports whether to read once more. It is called with the lock held.
+// finalCheck checks whether bytes of a request are unread after closeWhenSafe has interrupted a read. The check is needed
+// because a read whose deadline has passed returns nothing even if bytes have arrived. readAgain reports whether Read must
+// read once more. finalCheck is called with the lock held.
 func (c *clientConn) finalCheck() (readAgain bool) {
 	c.finalCheckDone = true
 	arrived, known := socket.Pending(c.Conn)
--- a/internal/frontend/codec.go
+++ b/internal/frontend/codec.go
@@ -21,10 +21,13 @@
 	maxBodyBytes   = 64 << 10
 	maxIDBytes     = 128
 
-	readHeaderTimeout = 2500 * time.Millisecond // from a request's first byte to the end of its header
-	readTimeout       = 2700 * time.Millisecond // from a request's first byte to the end of its body
-	writeTimeout      = 5 * time.Second         // for writing an answer
-	idleTimeout       = 5 * time.Minute         // how long a connection may be idle between requests
+	// readHeaderTimeout and readTimeout count from a request's first bytes. For the first request on a connection they count
+	// from the opening of the connection.
+	readHeaderTimeout = 2500 * time.Millisecond // limit for the time until the end of a request's header
+	readTimeout       = 2700 * time.Millisecond // limit for the time until the end of a request's body
+
+	writeTimeout = 5 * time.Second // limit for the time to write an answer
+	idleTimeout  = 5 * time.Minute // limit for the time that a connection is idle between requests
 )
 
 // singleHeaders are the headers that may occur only once in a request. If one occurred twice, the node and the executor
@@ -35,7 +38,7 @@
 type requestError struct {
 	status    int
 	reason    string
-	closeConn bool // the end of the request can't be determined, so nothing more may be read from the connection
+	closeConn bool // closes the connection after the answer, because the end of the request can't be found
 }
 
 func (e *requestError) writeTo(w http.ResponseWriter) {
@@ -49,8 +52,8 @@
 	return &requestError{status: http.StatusBadRequest, reason: fmt.Sprintf(format, args...)}
 }
 
-// Clients receive these texts, so they stay: "in hand" means in flight, and "here" at the paths of Server.prefixHandlers, which
-// accept no chunked bodies.
+// Clients receive these texts, so the texts must not change. "in hand" means in flight. "here" means at the paths of
+// Server.prefixHandlers, whose handlers accept no chunked bodies.
 var (
 	bodyTooLarge = &requestError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB", false}
 	duplicateID  = &requestError{http.StatusConflict, "X-Call-Id: a batch job of this id is in hand", false}
@@ -75,7 +78,7 @@
 	if r.Method != http.MethodPost {
 		return job, &requestError{http.StatusMethodNotAllowed, "batch jobs come by POST", false}
 	}
-	if !r.ProtoAtLeast(1, 1) { // in HTTP/1.0 net/http ignores chunks and uses the Content-Length
+	if !r.ProtoAtLeast(1, 1) { // for HTTP/1.0, net/http ignores Transfer-Encoding and uses Content-Length
 		return job, unsupportedVersion
 	}
 	for _, name := range singleHeaders {
@@ -125,7 +128,7 @@
 	return job, nil
 }
 
-// decodeBudget decodes how long a client waits for its answer, which is cut to the job class's deadline.
+// decodeBudget decodes how long a client waits for its answer. The result is at most the job class's deadline.
 func decodeBudget(text string, deadline time.Duration) (time.Duration, *requestError) {
 	ms, err := strconv.ParseInt(text, 10, 32)
 	if err != nil || ms <= 0 {
@@ -134,13 +137,13 @@
 	return min(time.Duration(ms)*time.Millisecond, deadline), nil
 }
 
-// decodeCost decodes the client's estimate of the job's work, which may be missing.
+// decodeCost decodes the client's estimate of the job's work, in microseconds. It returns 0 if the client gave none.
 func decodeCost(text string) (time.Duration, *requestError) {
 	if text == "" {
 		return 0, nil
 	}
 	us, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(us >= 0 && us < 1e12) { // written so that NaN is invalid too
+	if err != nil || !(us >= 0 && us < 1e12) { // the negated condition also rejects NaN
 		return 0, badRequest("X-Call-Cost: %.40q is not a number of microseconds", text)
 	}
 	return time.Duration(us * float64(time.Microsecond)), nil
@@ -161,7 +164,8 @@
 	case len(body) > maxBodyBytes:
 		return nil, bodyTooLarge
 	}
-	// Clear ReadTimeout: a read that is made while the answer is pending waits for the client's close or next request.
+	// Clear the read deadline that ReadTimeout has set. A read while the answer is pending waits for the client's close or next
+	// request, which can come much later.
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return body, nil
 }
--- a/internal/frontend/conn_table.go
+++ b/internal/frontend/conn_table.go
@@ -11,38 +11,41 @@
 
 // ConnLimits bounds the number of open connections from clients.
 type ConnLimits struct {
-	Max       int // limit while this is the node's only process
-	MaxShared int // limit for each of two processes of the node during a hot restart
+	Max       int // largest number of connections while this is the node's only process
+	MaxShared int // largest number of connections per process during a hot restart, when the node has two processes
 }
 
 const (
-	newConnDivisor  = 4 // new connections are evicted before idle ones while they exceed 1/4 of the limit
-	overflowDivisor = 8 // up to 1/8 over the limit is accepted, so that older connections can be evicted
+	newConnDivisor  = 4 // if more than 1/4 of the limit are new connections, they are evicted before idle ones
+	overflowDivisor = 8 // connections are accepted up to 1/8 over the limit, so that older ones can be evicted for them
 )
 
-// connTable keeps the number of open connections within its limit. Clients that use their connections keep them during a
-// flood of connections that send nothing, or one request each.
+// connTable keeps the number of open connections within its limit. During a flood of connections that send nothing, or one
+// request each, clients that use their connections keep them.
 //
-// A connection is in one of three lists. It is in none while a request on it is being answered, unless it is new:
+// A connection is in one of three lists. Only a connection on which a request is being answered is in no list, unless the
+// connection is new:
 //
 //	new      no batch job has been read on it yet
 //	idle     its last request is answered
-//	closing  it will be closed as soon as that loses no request
+//	closing  it is closed as soon as that loses no request
 //
-// Over the limit, the oldest new connection is evicted; if there are few new ones, the longest idle connection is. If there
-// is nothing to evict, batch jobs are marked as near the connection limit, and the state machine rejects them. The table is
-// also the server's listener: it accepts no connection while acceptLimit are open, or while another process of the node
-// accepts them.
+// While the limit is exceeded, connections are evicted. If there are more than maxNew new connections, the oldest of them is
+// evicted; otherwise the connection that has been idle longest is. If there is no idle connection either, batch jobs are marked
+// as near the connection limit, and the state machine rejects them.
 //
-// Lock order: a connection's lock may be taken while the table's lock is held, but not the other way round.
+// The table is also the server's listener. It accepts no connection while acceptLimit connections are open, or while another
+// process of the node accepts connections.
+//
+// Lock order: the table's lock is taken before a connection's lock, never after it.
 type connTable struct {
 	net.Listener
 	limits          ConnLimits
-	sharedReadAhead atomic.Int64 // bytes of maxSharedReadAhead that are not reserved
+	sharedReadAhead atomic.Int64 // how many of maxSharedReadAhead bytes no connection has reserved
 
 	mu           sync.Mutex
 	changed      *sync.Cond // signaled when open, acceptLimit, acceptPaused, closed or closingConns may have changed
-	open         int        // number of open connections, those that are closing included
+	open         int        // number of open connections, including those in closingConns
 	entries      map[net.Conn]*connEntry
 	newConns     *list.List // of *connEntry, oldest first
 	idleConns    *list.List // of *connEntry, longest idle first
@@ -50,10 +53,10 @@
 
 	maxConns    int // the limit in effect: limits.Max or limits.MaxShared
 	acceptLimit int // number of open connections at which accepting stops
-	maxNew      int // over the limit, new connections are evicted before idle ones if there are more than this
+	maxNew      int // if there are more new connections than this, they are evicted before idle ones
 
-	lameDuck         bool // the node is shutting down: connections are closed when they become idle
-	shuttingDown     bool // closeIdleAndWait has been called: the server is closing
+	lameDuck         bool // the node is shutting down, and connections are closed when they become idle
+	shuttingDown     bool // closeIdleAndWait has been called, because the server is closing
 	draining         bool // a client drain is in progress
 	drainLoopRunning bool // a goroutine calls closeDrained periodically
 	acceptPaused     bool // another process of the node accepts connections
@@ -63,7 +66,7 @@
 // connEntry is the table's record of a connection.
 type connEntry struct {
 	conn     *clientConn
-	list     *list.List // the list that holds the connection, or nil
+	list     *list.List // the list that holds the connection; nil if none does
 	element  *list.Element
 	hadJob   bool // a batch job has been read on the connection
 	openedAt time.Time
@@ -83,7 +86,7 @@
 	return t
 }
 
-// setShared sets whether another process of the node is running, which decides which limit applies.
+// setShared switches to ConnLimits.MaxShared if another process of the node is running, and to ConnLimits.Max if not.
 func (t *connTable) setShared(shared bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,7 +100,7 @@
 	t.evict()
 }
 
-// onStateChange is the http.Server.ConnState hook, which net/http calls when a connection changes its state.
+// onStateChange is the ConnState hook of http.Server. net/http calls it when a connection changes its state.
 func (t *connTable) onStateChange(c net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,7 +118,7 @@
 	case http.StateIdle:
 		e.conn.markIdle()
 		if t.lameDuck || e.list == t.closingConns {
-			t.startClosing(e, closeIfIdle) // a request that has arrived by now is still served
+			t.startClosing(e, closeIfIdle) // if a request has arrived by now, it is still served
 		} else if e.hadJob {
 			t.moveTo(e, t.idleConns)
 		}
@@ -129,28 +132,28 @@
 	t.evict()
 }
 
-// jobReceived records that a complete batch job has been read on a connection, which then stays open until the answer is
-// written. overLimit reports that more connections are open than the limit allows and none of them can be evicted.
+// jobReceived records that a complete batch job has been read on a connection. The connection then stays open until the answer
+// is written. overLimit reports that more connections are open than the limit allows and that none of them can be evicted.
 func (t *connTable) jobReceived(c net.Conn) (overLimit bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[c]; e != nil {
 		e.hadJob = true
-		t.moveTo(e, nil) // if it was being closed, evict chooses another connection instead
+		t.moveTo(e, nil) // this also cancels a close of the connection; evict then chooses another one
 		t.evict()
 	}
 	return t.excess() > 0
 }
 
-// mustCloseAfterAnswer reports whether an answer that is written now must close its connection.
+// mustCloseAfterAnswer reports whether a connection must be closed after an answer that is written now.
 func (t *connTable) mustCloseAfterAnswer() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lameDuck || t.draining || t.acceptPaused || t.excess() > 0
 }
 
-// enterLameDuck starts to close idle connections: those that are idle now, and each that becomes idle later. It returns the
-// number of connections that are still being closed.
+// enterLameDuck starts to close the connections that are idle now, and has each other connection closed once it becomes idle.
+// It returns the number of connections in closingConns.
 func (t *connTable) enterLameDuck() (closing int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +162,8 @@
 	return t.closingConns.Len()
 }
 
-// closeIdleAndWait closes idle connections and waits until they are closed, or until a timeout.
+// closeIdleAndWait closes the idle connections, and those that become idle later. It returns when no connection is being
+// closed any more, or after the timeout.
 func (t *connTable) closeIdleAndWait(timeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,8 +172,8 @@
 	t.waitWhile(func() bool { return t.closingConns.Len() > 0 }, timeout)
 }
 
-// closeNewAndWait closes the new connections and waits until no connection is open, or until a timeout. It is called after
-// enterLameDuck, which closes the idle ones.
+// closeNewAndWait closes the new connections. It returns when no connection is open any more, or after the timeout. It is
+// called after enterLameDuck, which closes the idle connections.
 func (t *connTable) closeNewAndWait(timeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,8 +183,8 @@
 	t.waitWhile(func() bool { return t.open > 0 }, timeout)
 }
 
-// setDraining starts or ends a client drain. startLoop reports that the caller must start a goroutine that calls
-// closeDrained until that returns false. At most one such goroutine runs at a time.
+// setDraining starts or ends a client drain. If startLoop is true, the caller must start a goroutine that calls closeDrained
+// until closeDrained returns false. At most one such goroutine runs at a time.
 func (t *connTable) setDraining(drain bool) (startLoop bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -197,8 +201,8 @@
 	return t.draining
 }
 
-// closeDrained closes the idle connections, and the new ones that have been open for newConnGrace. It reports whether the
-// client drain is still in progress.
+// closeDrained closes the idle connections, and the new connections that have been open for newConnGrace. It returns false if
+// the client drain has ended.
 func (t *connTable) closeDrained() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -219,10 +223,11 @@
 
 // The methods below are called with the lock held.
 
-// excess returns by how many connections the limit is exceeded, not counting those that are being closed.
+// excess returns the number of open connections above the limit. Connections that are being closed do not count as open.
 func (t *connTable) excess() int { return t.open - t.closingConns.Len() - t.maxConns }
 
-// evict starts to close new or idle connections until the limit is no longer exceeded, or none of them is left.
+// evict starts to close connections until the limit is no longer exceeded. While there are more than maxNew new connections, it
+// chooses the oldest of them, and otherwise the one that has been idle longest. It stops if no connection is idle then.
 func (t *connTable) evict() {
 	for n := t.excess(); n > 0; n-- {
 		from, mode := t.idleConns, closeIfIdle
@@ -243,14 +248,15 @@
 	}
 }
 
-// startClosing has a connection closed as soon as that loses no request. net/http's goroutine of the connection closes it.
+// startClosing starts to close a connection. net/http's goroutine for the connection closes it as soon as that loses no
+// request.
 func (t *connTable) startClosing(e *connEntry, mode closeMode) {
 	t.moveTo(e, t.closingConns)
 	e.conn.closeWhenSafe(mode)
 }
 
-// moveTo moves a connection to a list, or to none if the list is nil. Moving it to any list but closingConns cancels a close
-// that has not taken effect.
+// moveTo removes a connection from its list and adds it to another list, unless that is nil. If the other list is not
+// closingConns, moveTo also cancels a close of the connection that has been started.
 func (t *connTable) moveTo(e *connEntry, to *list.List) {
 	if e.list != nil {
 		e.list.Remove(e.element)
@@ -263,7 +269,7 @@
 	}
 }
 
-// waitWhile blocks until a condition is false, or until a timeout.
+// waitWhile blocks until the condition is false, or until the timeout has passed.
 func (t *connTable) waitWhile(condition func() bool, timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	defer time.AfterFunc(timeout, t.changed.Broadcast).Stop()
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// pastDeadline is a deadline that makes a blocked call return at once.
+// pastDeadline is a deadline in the past. Setting it makes a blocked read or accept return at once.
 var pastDeadline = time.Unix(1, 0)
 
 // deadliner is implemented by listeners whose Accept can be interrupted, such as net.TCPListener.
 type deadliner interface{ SetDeadline(time.Time) error }
 
-// wrapListener returns a listener that accepts from l within the table's limits. Accepting may have been paused before.
+// wrapListener returns a listener that accepts connections from l within the table's limits. If accepting is paused already, it
+// stays paused.
 func (t *connTable) wrapListener(l net.Listener) net.Listener {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -22,7 +23,7 @@
 	return t
 }
 
-// Accept implements net.Listener. It waits while the table is full or accepting is paused.
+// Accept implements net.Listener. It waits while acceptLimit connections are open, or while accepting is paused.
 func (t *connTable) Accept() (net.Conn, error) {
 	for {
 		t.mu.Lock()
@@ -34,7 +35,7 @@
 		if err == nil {
 			return &clientConn{Conn: c, sharedReadAhead: &t.sharedReadAhead}, nil
 		}
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // otherwise updateAcceptDeadline has interrupted it
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // a passed deadline means that updateAcceptDeadline has interrupted Accept
 			return nil, err
 		}
 	}
@@ -49,8 +50,8 @@
 	return t.Listener.Close()
 }
 
-// setAccepting starts or stops accepting connections. When it stops, connections that wait in the backlog of a socket that
-// two processes listen on are left for the other process.
+// setAccepting starts or stops accepting connections. After a stop, connections in the socket's backlog are left to the other
+// process that listens on the same socket.
 func (t *connTable) setAccepting(accept bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,8 +67,8 @@
 	return t.acceptPaused
 }
 
-// updateAcceptDeadline interrupts a blocked Accept if accepting is paused, and lets Accept block again if it is not. It is
-// called with the lock held.
+// updateAcceptDeadline interrupts a blocked Accept if accepting is paused, and otherwise lets Accept block again. It is called
+// with the lock held.
 func (t *connTable) updateAcceptDeadline() {
 	l, ok := t.Listener.(deadliner)
 	if !ok {
--- a/internal/frontend/read_ahead.go
+++ b/internal/frontend/read_ahead.go
@@ -6,24 +6,23 @@
 )
 
 const (
-	maxReadAhead       = maxHeaderBytes + maxBodyBytes // bytes that each connection may always read ahead
-	maxSharedReadAhead = 2 << 20                       // bytes that all connections together may read ahead beyond that
-	readAheadChunk     = 4 << 10                       // size of a read
+	maxReadAhead       = maxHeaderBytes + maxBodyBytes // bytes that each connection can always read ahead
+	maxSharedReadAhead = 2 << 20                       // bytes that all connections together can read ahead beyond maxReadAhead
+	readAheadChunk     = 4 << 10                       // size of one read, in bytes
 )
 
 // readAhead holds the bytes that are read from a connection while an answer is pending on it.
 //
 // net/http detects that a client has left by reading one byte in the background. If that byte belongs to the client's next
-// request, net/http reads no further and misses a close after it: the pending batch job, and then the next one, would be
-// sent to executors for a client that has left. So the connection reads on in a goroutine of its own, and Read returns the
-// bytes later.
+// request, net/http reads no further and misses a close after that byte. The pending batch job, and then the next one, would be
+// sent to executors although the client has left. A goroutine therefore reads on, and Read returns the bytes later.
 type readAhead struct {
-	buffered []byte
-	err      error
+	buffered []byte        // bytes that Read has not returned yet
+	err      error         // the error that ended the reads
 	ended    chan struct{} // closed when the read-ahead goroutine has ended
-	stopping bool          // the goroutine has been asked to end; guarded by the connection's lock
-	done     bool          // the goroutine reads no more; guarded by the connection's lock
-	reserved int64         // bytes taken from sharedReadAhead; only the goroutine uses this field until done is set
+	stopping bool          // the read-ahead goroutine must end; guarded by the connection's lock
+	done     bool          // the read-ahead goroutine reads no more; guarded by the connection's lock
+	reserved int64         // bytes taken from sharedReadAhead; until done is set, used only by the read-ahead goroutine
 }
 
 // startReadAhead starts to read ahead if an answer is pending and net/http's background read has ended. It is called with
@@ -59,8 +58,8 @@
 	}
 }
 
-// takeReadAhead waits until the read-ahead goroutine has ended and moves bytes that it read into b. ok is false if nothing
-// is left of them.
+// takeReadAhead waits until the read-ahead goroutine has ended. It then moves buffered bytes into b, or returns the error that
+// ended the reads if no bytes are left. ok is false if there is neither.
 func (c *clientConn) takeReadAhead(b []byte) (n int, err error, ok bool) {
 	c.mu.Lock()
 	a := c.readAhead
@@ -86,9 +85,9 @@
 	return 0, nil, false
 }
 
-// reserve takes one more chunk from the bytes that all connections share, and reports whether enough were left. Reading
-// beyond maxReadAhead is needed to notice the close of a client that has sent a lot: the unread bytes could fill the
-// socket's buffer, and the close comes after them.
+// reserve takes one more chunk from the bytes that all connections share, and reports whether enough bytes were left. A client's
+// close arrives after all bytes that the client has sent. To notice the close of a client that has sent a lot, a connection must
+// therefore read beyond maxReadAhead; otherwise the unread bytes could fill the socket's buffer.
 func (c *clientConn) reserve(a *readAhead) bool {
 	if c.sharedReadAhead.Add(-readAheadChunk) < 0 {
 		c.sharedReadAhead.Add(readAheadChunk)
@@ -98,7 +97,8 @@
 	return true
 }
 
-// release gives the reserved bytes back. It is called with the lock held, after the goroutine is done.
+// release returns the reserved bytes to the bytes that all connections share. It is called with the lock held, after the
+// read-ahead goroutine is done.
 func (c *clientConn) release(a *readAhead) {
 	c.sharedReadAhead.Add(a.reserved)
 	a.reserved = 0
--- a/internal/frontend/request_framer.go
+++ b/internal/frontend/request_framer.go
@@ -5,16 +5,16 @@
 	"strconv"
 )
 
-// requestFramer finds the boundaries of requests in the bytes that are read from a connection, up to the first request
-// with a chunked body. It prevents request smuggling: net/http ignores the Content-Length of a chunked request, so that a
-// proxy that uses the Content-Length would see other requests on the connection than net/http. The framer shows the server
-// whether a request has both headers.
+// requestFramer finds the boundaries of requests in the bytes that are read from a connection, up to the first request with a
+// chunked body. It also notes whether a request has both Transfer-Encoding and Content-Length, so that the server can reject
+// that request. This prevents request smuggling: net/http ignores the Content-Length of a chunked request, while a proxy may
+// use it and then see other requests on the connection than net/http.
 type requestFramer struct {
-	completeHeads    int
-	stopped          bool  // no more bytes are parsed, because a request was chunked or its Content-Length was invalid
+	completeHeads    int   // number of headers that were read completely
+	stopped          bool  // parsing has stopped, because a request was chunked or its Content-Length was invalid
 	chunked          bool  // the last complete header has a Transfer-Encoding
 	hasContentLength bool  // the last complete header has a Content-Length
-	bodyRemaining    int64 // bytes that are still missing of the body that follows the last complete header
+	bodyRemaining    int64 // bytes of the body after the last complete header that are not read yet
 
 	// State of the header that is being read.
 	inHead                  bool   // the request line has been read
@@ -24,8 +24,8 @@
 	contentLength           int64
 }
 
-// maxFieldLine is how many bytes of a line are kept. A Content-Length line without padding is shorter; one that doesn't
-// fit stops the framer. Of a Transfer-Encoding line only the name matters.
+// maxFieldLine is how many bytes of a line are kept. A Content-Length line without padding is shorter. If a Content-Length line
+// doesn't fit, the framer stops. A Transfer-Encoding line may be truncated, because the framer needs only its name.
 const maxFieldLine = 80
 
 // observe parses the next bytes of the connection.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,11 +1,11 @@
 // Package frontend serves clients: it reads batch jobs from their connections, posts them as events to the node's state
 // machine, and writes the final answers.
 //
-// Server (server.go) handles each request in the goroutine that net/http runs for the connection; the goroutine blocks
-// until the final answer. connTable (conn_table.go) keeps the number of connections within its limits, and closes idle
-// ones when the node drains its clients or shuts down (shutdown.go). clientConn (client_conn.go) wraps each connection so
-// that closing it loses no request, and so that a disconnected client is noticed while its job is pending. All headers
-// and texts of the protocol are in codec.go.
+// Server (server.go) handles each request in the goroutine that net/http runs for the connection. That goroutine blocks until
+// the final answer. connTable (conn_table.go) keeps the number of connections within its limits. It also closes idle
+// connections when the node drains its clients or shuts down (shutdown.go). clientConn (client_conn.go) wraps each connection,
+// so that a close loses no request, and so that the server notices a client that disconnects while its job is pending. All
+// headers and texts of the protocol are in codec.go.
 package frontend
 
 import (
@@ -21,35 +21,35 @@
 	"birchstair/policy"
 )
 
-// Server reads batch jobs from clients and answers them. Its exported methods may be called from any goroutine, unless
-// their comments say otherwise. The methods of node.Frontend are called by the event loop and do not block.
+// Server reads batch jobs from clients and answers them. Its exported methods are safe for concurrent use, unless their comments
+// say otherwise. The event loop calls the methods of node.Frontend, which do not block.
 type Server struct {
 	post        func(node.Event)
-	jobClasses  atomic.Pointer[map[string]jobClass] // by name; an update replaces the whole map
+	jobClasses  atomic.Pointer[map[string]jobClass] // job classes by name; an update replaces the whole map
 	http        http.Server
 	conns       *connTable
 	ready       atomic.Bool
-	nodeStopped chan struct{} // closed when the event loop has ended, after which no answer comes
+	nodeStopped chan struct{} // closed when the event loop has ended, so that no more answers come
 
 	closeTimeout time.Duration // how long Close waits until answers are written
 
 	mu             sync.Mutex
-	pending        map[policy.JobID]chan node.Answer // channels on which handlers wait for final answers, by job
-	prefixHandlers map[string]http.Handler           // by path prefix; not changed after Serve is called
+	pending        map[policy.JobID]chan node.Answer // channels on which handlers wait for final answers, by job ID
+	prefixHandlers map[string]http.Handler           // handlers by path prefix; not changed after Serve is called
 }
 
 // connContextKey is the key under which a request's context holds its clientConn.
 type connContextKey struct{}
 
-// jobClass holds what the server needs of a job class to decode and validate its batch jobs.
+// jobClass holds the properties of a job class that the server needs to decode and validate batch jobs.
 type jobClass struct {
 	id          policy.JobClassID
-	deadline    time.Duration // upper bound for the budget that a client asks for
+	deadline    time.Duration // longest budget that a client can request
 	requiresKey bool          // a batch job without an idempotency key is invalid
 }
 
-// New returns a server for these job classes that keeps to these limits. It reports events by calling post, which may
-// block while the event queue is full. Methods that the event loop calls therefore never call post in its goroutine.
+// New returns a server for these job classes with these limits. The server reports events by calling post, which can block while
+// the event queue is full. Methods that the event loop calls therefore never call post in the event loop's goroutine.
 func New(classes []node.NumberedClass, limits ConnLimits, post func(node.Event)) *Server {
 	s := &Server{
 		post:         post,
@@ -63,7 +63,8 @@
 		Handler:                      http.HandlerFunc(s.handle),
 		ConnState:                    s.conns.onStateChange,
 		DisableGeneralOptionsHandler: true, // "OPTIONS *" must reach handle, which counts every request
-		// Both timeouts count from a request's first byte, so a client that sends slowly can't hold a connection for long.
+		// Both timeouts start at the latest with a request's first bytes, so a client that sends slowly can't hold a connection
+		// for long.
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
@@ -75,7 +76,7 @@
 	return s
 }
 
-// HandlePrefix passes requests whose path begins with prefix to another handler. It must be called before Serve. The
+// HandlePrefix registers a handler for requests whose path begins with prefix. It must be called before Serve. The server's
 // limits on connections, header size and time apply to these requests too.
 func (s *Server) HandlePrefix(prefix string, handler http.Handler) {
 	if s.prefixHandlers == nil {
@@ -93,14 +94,15 @@
 	s.jobClasses.Store(&byName)
 }
 
-// SetReady sets what the readiness endpoint answers. During a client drain it answers "not ready" in any case.
+// SetReady sets whether the readiness endpoint reports that the node is ready. During a client drain the endpoint always answers
+// "not ready".
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
 // AcceptConnections starts or stops accepting connections. While this process does not accept, another process of the
 // node accepts from the same socket.
 func (s *Server) AcceptConnections(accept bool) { s.conns.setAccepting(accept) }
 
-// HalveLimits switches to the limits that apply while two processes of the node run (ConnLimits.MaxShared), or back.
+// HalveLimits switches to ConnLimits.MaxShared, the limit while two processes of the node run, or back to ConnLimits.Max.
 func (s *Server) HalveLimits(half bool) { s.conns.setShared(half) }
 
 // Answer passes a final answer to the handler that waits for it. It does nothing if no handler waits any longer.
@@ -113,8 +115,8 @@
 	}
 }
 
-// register returns the channel on which a batch job's final answer will arrive, or nil if a job of this id is pending
-// already.
+// register returns the channel on which a batch job's final answer will arrive. It returns nil if a job with the same ID is
+// already pending.
 func (s *Server) register(id policy.JobID) chan node.Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +143,7 @@
 			lengthAndChunks.writeTo(w)
 			return
 		}
-		// requestFramer does not parse chunks and can't tell where this request ends, so it must be the last one.
+		// requestFramer does not parse chunks and can't tell where this request ends. So no request may follow on this connection.
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == readyPath {
@@ -182,7 +184,7 @@
 	final, left := s.awaitAnswer(r.Context(), client, job.ID, answer)
 	s.setConnectionClose(w)
 	if left {
-		w.Header().Set("Connection", "close") // further requests that the client sent before it left are not served
+		w.Header().Set("Connection", "close") // further requests that the client sent before it left are dropped
 	}
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	writeAnswer(w, final)
@@ -196,11 +198,11 @@
 	}
 }
 
-// awaitAnswer waits for the final answer and returns it. If the client leaves first, the answer is a failure: a client that
-// has only half-closed its connection still reads it, and would get an empty 200 if the handler wrote nothing. If the
-// event loop has ended, it never processed the batch job, so the answer is a rejection.
+// awaitAnswer waits for the final answer and returns it. If the client leaves first, awaitAnswer returns a failure. A client that
+// has only half-closed its connection still reads the answer, and would get an empty 200 if the handler wrote nothing. If the
+// event loop has ended, awaitAnswer returns a rejection, because the event loop never processed the batch job.
 //
-// left reports that the client has left; whatever else it has sent on the connection is then dropped.
+// left reports that the client has left. The caller then drops whatever else the client has sent on the connection.
 func (s *Server) awaitAnswer(ctx context.Context, client *waitingClient, id policy.JobID, answer chan node.Answer) (a node.Answer, left bool) {
 	defer client.finished.Store(true)
 	stopped := false
@@ -213,10 +215,10 @@
 	case <-s.nodeStopped:
 		stopped = true
 	}
-	client.finished.Store(true) // before posting the event, which the event loop may process late
+	client.finished.Store(true) // set before ClientLeft is posted, because the event loop can process that event late
 	s.unregister(id)
 	select {
-	case a := <-answer: // the answer arrived at the same moment
+	case a := <-answer: // the answer arrived at the same time
 		return a, left
 	default:
 	}
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// defaultCloseTimeout bounds how long Close waits until answers are written, and Stop until late requests are answered.
+	// defaultCloseTimeout bounds how long Close waits until answers are written, and how long Stop waits until late requests are
+	// answered.
 	defaultCloseTimeout = 300 * time.Millisecond
-	// closeIdleInterval is how often newly idle connections are closed during a client drain, and how often BeginLameDuck
-	// checks whether the idle connections are closed.
+	// closeIdleInterval is the interval between closes of newly idle connections during a client drain. BeginLameDuck also checks
+	// at this interval whether the idle connections are closed.
 	closeIdleInterval = 20 * time.Millisecond
 	// handoffGrace is how long idle connections stay open after a successor process has taken over.
 	handoffGrace = 400 * time.Millisecond
-	// drainGrace is how long idle connections stay open after a client drain begins. Load balancers stop opening
-	// connections within 0.3 s, and a client's connection is closed with the answer to its next request. 4 s into the
-	// drain, no connection may be idle or carry a batch job that was sent within the last 2 s.
+	// drainGrace is how long idle connections stay open after a client drain begins. Load balancers stop opening connections
+	// within 0.3 s. The connection of an active client is closed after the answer to its next request. The drain must meet this
+	// limit: 4 s after it begins, no connection is idle or carries a batch job that was sent within the last 2 s.
 	drainGrace = 1600 * time.Millisecond
-	// newConnGrace is how long a connection that is opened during a client drain may go without a request.
+	// newConnGrace is how long a connection without a request stays open during a client drain.
 	newConnGrace = 200 * time.Millisecond
 )
 
@@ -34,9 +35,9 @@
 	return nil
 }
 
-// BeginLameDuck starts the first phase of a shutdown, in which requests are still served: each answer closes its
-// connection, and idle connections are closed. If a successor process has taken over, idle connections stay open for
-// another handoffGrace.
+// BeginLameDuck starts the first phase of a shutdown. In this phase requests are still served, each connection is closed after
+// its next answer, and idle connections are closed. If a successor process has taken over, idle connections stay open for
+// handoffGrace first.
 func (s *Server) BeginLameDuck() {
 	handedOver := s.conns.isAcceptPaused()
 	if !handedOver && s.conns.enterLameDuck() == 0 {
@@ -46,17 +47,17 @@
 		if handedOver {
 			time.Sleep(handoffGrace)
 		}
-		// The first call of enterLameDuck closes the idle connections. Later calls only count those that are not closed
-		// yet: connTable.onStateChange closes the connections that become idle later.
+		// The first call of enterLameDuck closes the idle connections. connTable.onStateChange closes the connections that become
+		// idle later, so later calls only count the connections that are not closed yet.
 		for s.conns.enterLameDuck() > 0 {
 			time.Sleep(closeIdleInterval)
 		}
 	}()
 }
 
-// DrainClients starts or ends a client drain. During a drain the server is not ready and each answer closes its
-// connection. Idle connections are closed after drainGrace; until then clients have time to go to another node, so that
-// no request is sent on a connection that is just being closed.
+// DrainClients starts or ends a client drain. During a drain the server is not ready, and each connection is closed after its
+// next answer. Idle connections are closed after drainGrace. Until then clients have time to go to another node, so that no
+// request is sent on a connection that is just being closed.
 func (s *Server) DrainClients(drain bool) {
 	if !s.conns.setDraining(drain) {
 		return
@@ -70,8 +71,8 @@
 }
 
 // Close shuts the server down in the background and posts node.FrontendClosed when all answers are written, or after a
-// timeout. connTable closes the idle connections first, because http.Server.Shutdown would also close those on which an
-// unread request has arrived.
+// timeout. connTable closes the idle connections first, because http.Server.Shutdown would also close idle connections on which
+// an unread request has arrived.
 func (s *Server) Close() {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), s.closeTimeout)
@@ -82,9 +83,9 @@
 	}()
 }
 
-// Stop is called after the event loop has ended. Requests that still arrive, such as the first on a new connection, are
-// rejected, which is safe because none of them was sent to an executor. Stop blocks until all connections are closed, or
-// until a timeout.
+// Stop rejects the requests that still arrive, such as the first request on a new connection. It is called after the event loop
+// has ended, so that no such request was sent to an executor and rejecting it is safe. Stop blocks until all connections are
+// closed, or until a timeout.
 func (s *Server) Stop() {
 	s.conns.enterLameDuck() // before nodeStopped is closed, so that each rejection closes its connection
 	close(s.nodeStopped)
--- a/internal/frontend/waiting_client.go
+++ b/internal/frontend/waiting_client.go
@@ -13,9 +13,10 @@
 	finished     atomic.Bool   // the client has its answer or has left
 }
 
-// Gone implements node.Client: it reports whether the client has left, by the state of the socket in the kernel. It is
-// called right before an attempt's first byte is written. The client's close may be unread at that time, because the reader
-// is late or the process was suspended. Gone also notifies the handler, since the reader may never get to the close.
+// Gone implements node.Client. It reports whether the client has left. It is called right before an attempt's first byte is
+// written. At that time the client's close can be unread, because the reader is late or the process was suspended. Gone
+// therefore checks the state of the socket in the kernel. If the client has left, Gone also notifies the handler, because the
+// reader may never reach the close.
 func (w *waitingClient) Gone() bool {
 	if w.finished.Load() {
 		return true
@@ -27,8 +28,8 @@
 	return true
 }
 
-// beginWait returns the client of the batch job that has just been read. endWait must be called after its answer is
-// written.
+// beginWait returns the client of the batch job that has just been read, and starts to read ahead. endWait must be called after
+// the answer to that job is written.
 func (c *clientConn) beginWait() *waitingClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +39,7 @@
 	return w
 }
 
-// endWait stops reading ahead. Read will return the bytes that were read ahead.
+// endWait ends the wait for an answer and stops reading ahead. Later calls of Read return the bytes that were read ahead.
 func (c *clientConn) endWait() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
