--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -11,12 +11,12 @@
 	"birchstair/policy"
 )
 
-// maxReplyBytes is the limit for a reply. Every reply of a node is shorter.
+// maxReplyBytes is the largest reply that Call reads. Every reply of a node is shorter.
 const maxReplyBytes = 1 << 20
 
-// Call sends a command to the node at addr and returns the lines of its reply; commands that only succeed or fail return
-// none. executor is used by the commands that name an executor. timeout applies to the dial, and again to the rest of the
-// call. The error says that the node refused the command, and for which reason, or that the call failed.
+// Call sends a command to the node at addr and returns the lines of the node's reply. A command that only succeeds or fails has
+// no such lines. executor is sent only with commands that name an executor. timeout applies to the dial, and again to the rest
+// of the call. The error says why the node refused the command, or that the call failed.
 func Call(addr string, command node.AdminCommand, executor policy.ExecutorID, timeout time.Duration) ([]string, error) {
 	line := commandNames[command]
 	if takesExecutor(command) {
--- a/internal/admin/codec.go
+++ b/internal/admin/codec.go
@@ -12,16 +12,16 @@
 	"birchstair/policy"
 )
 
-// This file has all text of the protocol between operators and the node. A command is one line. A reply is "ok", or "fail"
-// and a reason, or any number of lines followed by an end marker.
+// This file has all text of the protocol between operators and the node. A command is one line. A reply has one of three forms:
+// "ok", or "fail" and a reason, or any number of lines followed by an end marker.
 
 const (
-	maxLineBytes = 256 // limit for the line with a command
-	maxIDBytes   = 128 // limit for an executor's id
+	maxLineBytes = 256 // longest line with a command, in bytes
+	maxIDBytes   = 128 // longest ID of an executor, in bytes
 
 	replyOK   = "ok"
 	replyFail = "fail"
-	replyEnd  = "eof" // end marker after lines: without it the reply was cut off
+	replyEnd  = "eof" // end marker; a reply of lines that lacks it was cut off
 )
 
 // commandNames are the names of commands in the protocol.
@@ -50,7 +50,7 @@
 	return command == node.ReadMetrics || command == node.ReadCluster
 }
 
-// decode decodes a command. The text of its error is sent to the caller as the reason of the failure.
+// decode decodes a command. If it returns an error, the text of the error is sent to the caller as the reason for the failure.
 func decode(line string) (command node.AdminCommand, executor policy.ExecutorID, err error) {
 	if !utf8.ValidString(line) {
 		return 0, "", errors.New("the line is no text")
@@ -111,9 +111,10 @@
 	return append(b, replyEnd+"\n"...)
 }
 
-// decodeReply decodes the lines of a reply to a command, without the end marker. Its error says why the node refused the
-// command, or what is wrong with the reply. Operators' scripts may match the errors, so they stay: "callers" are admin
-// connections, "ends" means that the node is shutting down, "figures" are the lines of the reply.
+// decodeReply decodes the reply to a command. It returns the lines before the end marker, or nil if the reply is "ok". The error
+// says why the node refused the command, or what is wrong with the reply. Operators' scripts may match the error texts, so the
+// texts must not change. In them, "callers" are admin connections, "ends" means that the node is shutting down, and "figures"
+// are the lines of the reply.
 func decodeReply(command node.AdminCommand, lines []string) ([]string, error) {
 	if len(lines) == 0 {
 		return nil, errors.New("the node closed without an answer: it has too many callers, or ends")
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,7 +1,7 @@
-// Package admin implements the operators' interface to a node. Each connection carries one command, which is a line of text,
-// and its reply.
+// Package admin implements the operators' interface to a node. Each connection carries one command, which is a line of text, and
+// the reply to that command.
 //
-// Server (server.go) posts commands as events to the node's state machine, and writes the replies that come back as effects.
+// Server (server.go) posts commands as events to the node's state machine, and writes the replies that the state machine returns.
 // Call (client.go) is the client side, which the program's ops command uses. All text of the protocol is in codec.go.
 package admin
 
@@ -18,15 +18,15 @@
 )
 
 const (
-	readTimeout      = 5 * time.Second       // for a complete command to arrive
-	replyTimeout     = time.Second           // for the state machine to reply
-	writeTimeout     = time.Second           // for the reply to be written
-	acceptRetryDelay = 20 * time.Millisecond // before the next accept after one that failed
+	readTimeout      = 5 * time.Second       // limit for the time until a complete command has arrived
+	replyTimeout     = time.Second           // limit for the time until the state machine replies
+	writeTimeout     = time.Second           // limit for the time to write the reply
+	acceptRetryDelay = 20 * time.Millisecond // wait after a failed accept
 )
 
-// Server serves operators' commands, from a limited number of callers at a time. When another caller connects at the limit,
-// the oldest connection without a complete command is evicted, so that callers that connect and send nothing don't keep
-// others out. The methods may be called from any goroutine.
+// Server serves operators' commands. The number of callers at a time is limited. When another caller connects at the limit, the
+// oldest connection without a complete command is evicted, so that callers that send nothing don't keep others out. The methods
+// are safe for concurrent use.
 type Server struct {
 	post       func(node.Event)
 	maxCallers int
@@ -35,7 +35,7 @@
 	changed    *sync.Cond // signaled when callers or closed has changed
 	lastID     node.AdminCallID
 	callers    map[node.AdminCallID]*caller
-	incomplete *list.List // of *caller: callers without a complete command, oldest first
+	incomplete *list.List // callers (*caller) without a complete command, oldest first
 	closed     bool
 	listener   net.Listener // nil before Serve
 }
@@ -43,20 +43,20 @@
 // caller is a caller's connection. The goroutine that runs serve owns the connection and closes it.
 type caller struct {
 	conn    net.Conn
-	element *list.Element // the caller's element of Server.incomplete, or nil if it is not in that list
+	element *list.Element // the caller's element of Server.incomplete; nil if the caller is not in that list
 	reply   chan node.AdminReply
 }
 
-// New returns a server for at most maxCallers callers at a time. post must not queue commands behind batch jobs; it may
-// block while its own queue is full.
+// New returns a server for at most maxCallers callers at a time. post must not queue commands behind batch jobs. It can block
+// while the queue for commands is full.
 func New(maxCallers int, post func(node.Event)) *Server {
 	s := &Server{post: post, maxCallers: maxCallers, callers: map[node.AdminCallID]*caller{}, incomplete: list.New()}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-// Serve accepts callers from l until the server is closed. It blocks. After any other error of an accept it tries again with
-// a delay, since such errors are temporary: the process has no descriptor left, or the caller has left.
+// Serve accepts callers from l until the server is closed. It blocks. If an accept fails for another reason, Serve tries again
+// after acceptRetryDelay, because such errors are temporary: the process has no descriptor left, or the caller has left.
 func (s *Server) Serve(l net.Listener) {
 	s.mu.Lock()
 	s.listener = l
@@ -103,14 +103,14 @@
 	}
 }
 
-// admit waits until the number of callers is below the limit, and then serves the new caller in a goroutine of its own.
+// admit waits until the number of callers is below the limit, and then serves the new caller in a new goroutine.
 func (s *Server) admit(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.callers) >= s.maxCallers && !s.closed {
 		if oldest := s.incomplete.Front(); oldest != nil {
 			c := oldest.Value.(*caller)
-			c.conn.Close() // the goroutine that serves c then fails to read, and removes c
+			c.conn.Close() // the read in the goroutine that serves c then fails, and that goroutine removes c
 			s.removeIncomplete(c)
 		}
 		s.changed.Wait()
@@ -126,7 +126,7 @@
 	go s.serve(s.lastID, c)
 }
 
-// removeIncomplete removes a caller from the list of those without a complete command. It is called with the lock held.
+// removeIncomplete removes a caller from Server.incomplete. It is called with the lock held.
 func (s *Server) removeIncomplete(c *caller) {
 	if c.element != nil {
 		s.incomplete.Remove(c.element)
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -18,7 +18,7 @@
 
 // encodeRequest returns the HTTP request of an attempt.
 func encodeRequest(a node.Attempt) []byte {
-	const headersSize = 320 // estimate, to allocate only once
+	const headersSize = 320 // estimated size of the headers in bytes, so that the request is allocated only once
 	b := make([]byte, 0, headersSize+len(a.URI)+len(a.Body))
 	b = append(b, a.Method...)
 	b = append(b, ' ')
@@ -57,15 +57,15 @@
 
 // responseLine is a decoded line of a response.
 type responseLine struct {
-	progressed bool           // the line says that the attempt is running
-	progress   float64        // fraction of the work that is done
+	progressed bool           // the line reports that the attempt is running
+	progress   float64        // completed fraction of the work
 	ended      bool           // the line ends the attempt
-	outcome    policy.Outcome // valid if ended
-	result     []byte         // the job's result if it has succeeded
-	load       node.Load
+	outcome    policy.Outcome // outcome of the attempt; valid only if ended is set
+	result     []byte         // the job's result; empty unless the job has succeeded
+	load       node.Load      // the executor's load, if the line reports it
 }
 
-// finalStates maps the states that end an attempt to its outcome.
+// finalStates maps each state that ends an attempt to the attempt's outcome.
 var finalStates = map[string]policy.Outcome{
 	"done":     policy.Succeeded,
 	"failed":   policy.ExecutorError,
@@ -73,8 +73,8 @@
 	"lost":     policy.ConnectionLost,
 }
 
-// decodeLine decodes a line of the response to an attempt of job. A line with an unknown state is neither progress nor the
-// end of the attempt; a later line ends it.
+// decodeLine decodes a line of the response to an attempt of a job. A line with an unknown state neither reports progress nor
+// ends the attempt; a later line ends the attempt.
 func (p *Pool) decodeLine(text []byte, job policy.JobID) (line responseLine, err error) {
 	var wire struct { // encoding/json matches keys to these names case-insensitively
 		ID     policy.JobID
@@ -107,7 +107,7 @@
 	return line, nil
 }
 
-// decodeResult returns the text of a result that is a JSON string, and any other result as JSON.
+// decodeResult decodes a result that is a JSON string. It returns any other JSON value unchanged.
 func decodeResult(result json.RawMessage) []byte {
 	var text string
 	if json.Unmarshal(result, &text) == nil {
@@ -116,8 +116,8 @@
 	return result
 }
 
-// outcomeOfStatus returns the outcome for a response with a status other than 200, and a detail for the log. For
-// a response that the protocol does not define, it returns the outcome of an attempt that may have run.
+// outcomeOfStatus returns the outcome for a response with a status other than 200, and a detail for the log. For a response that
+// the protocol does not define, the outcome is policy.ExecutorError, because the attempt may have run.
 func outcomeOfStatus(response *http.Response) (outcome policy.Outcome, detail string) {
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -133,16 +133,16 @@
 	return policy.ExecutorError, "unexpected response: " + response.Status
 }
 
-// maxLoadValue is an upper bound for valid values of a load report.
+// maxLoadValue is the largest valid value in a load report.
 const maxLoadValue = 1e6
 
 // loadField identifies a value of a load report by its two names.
 type loadField struct {
-	setting string // name in the settings
-	wire    string // name in the protocol
+	setting string // the value's name in the settings
+	wire    string // the value's name in the protocol
 }
 
-// value looks up the field by either of its names. ok reports that the value exists and is within its bounds.
+// value looks up the field's value by either of its names. ok reports that the value exists and is from 0 to maxLoadValue.
 func (f loadField) value(values map[string]float64) (value float64, ok bool) {
 	value, ok = values[f.setting]
 	if !ok {
@@ -159,8 +159,8 @@
 	loadRunTime    = loadField{"latency_ms", "avg_ms"}
 )
 
-// loadFromValues returns the load in a report that came with a response. If a value is missing or out of bounds, the whole
-// report is ignored.
+// loadFromValues returns the load in a report that came with a response. If the number of running or waiting jobs or of free
+// slots is missing or out of bounds, the whole report is ignored.
 func (p *Pool) loadFromValues(values map[string]float64) node.Load {
 	if !p.usesReports {
 		return node.Load{}
@@ -182,8 +182,8 @@
 	return p.loadFromValues(parseLoadReport(header))
 }
 
-// parseLoadReport parses the value of a load report header, such as "TEXT active=1, waiting=2". It leaves out values that are
-// not numbers.
+// parseLoadReport parses the value of a load report header, such as "TEXT active=1, waiting=2". It skips values that are not
+// numbers.
 func parseLoadReport(header string) map[string]float64 {
 	text, ok := strings.CutPrefix(header, "TEXT ")
 	if !ok {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -21,26 +21,26 @@
 
 	mu     sync.Mutex
 	conn   net.Conn // nil until the connection is open
-	closed bool     // closed by either side; no attempt may start on it any more
+	closed bool     // one side has closed the connection, so no further attempt starts on it
 
-	// The attempt that the connection carries.
-	job            policy.JobID     // empty while the connection is idle
-	notIdempotent  bool             // the job may be retried only if this attempt certainly never ran
+	// The fields from job to writeStartedAt describe the attempt that the connection carries.
+	job            policy.JobID     // job of the attempt; empty while the connection is idle
+	notIdempotent  bool             // the job must not be retried unless this attempt certainly never ran
 	writeStarted   bool             // a byte of the attempt may have been sent
 	writeDone      bool             // the last byte of the attempt has been sent
-	writeEnded     chan writeResult // receives one value, when the write of the attempt has ended
-	writeStartedAt time.Time
+	writeEnded     chan writeResult // receives one value when the write of the attempt has ended
+	writeStartedAt time.Time        // when writeStarted was set
 
-	idleSince time.Time // when the last response was complete; zero if the connection is unused
+	idleSince time.Time // when the last response was complete; zero before the first response
 }
 
 // writeResult is the result of writing an attempt.
 type writeResult struct {
-	started  bool // a byte may have been sent
-	complete bool // the last byte has been sent
+	started  bool // a byte of the attempt may have been sent
+	complete bool // the last byte of the attempt has been sent
 }
 
-// run opens the connection, reads responses until the connection ends, and reports the end.
+// run opens the connection, reads responses until the connection ends, and then posts node.ConnClosed.
 func (c *executorConn) run(ctx context.Context, addr string) {
 	detail := ""
 	defer func() {
@@ -79,13 +79,13 @@
 	return true
 }
 
-// write sends the attempt that the connection is claimed for. Since the attempt was decided, the executor may have closed the
-// connection and the client may have left, in particular if the process was suspended meanwhile. Both are therefore checked
-// right before the first byte.
+// write sends the attempt that the connection is claimed for. Right before the first byte it checks that the executor has not
+// closed the connection and that the client has not left. Either can have happened since the state machine decided to send the
+// attempt, in particular if the process was suspended in between.
 func (c *executorConn) write(a node.Attempt) {
 	request := encodeRequest(a)
 	unusable := c.hasUnreadInput()
-	clientGone := a.Client != nil && a.Client.Gone() // the last check before the first byte
+	clientGone := a.Client != nil && a.Client.Gone() // checked last, right before the first byte
 	c.mu.Lock()
 	c.closed = c.closed || unusable
 	switch {
@@ -113,8 +113,9 @@
 }
 
 // hasUnreadInput reports whether a close or an unsolicited response of the executor has arrived on an idle connection and is
-// not read yet. If an attempt were written then, the node could not tell whether it ran, or would mistake the unsolicited
-// response for the attempt's. It returns false for a connection that has carried no attempt yet.
+// not read yet. No attempt must be written then. After a close, the node could not tell whether the attempt ran. An unsolicited
+// response would be mistaken for the response to the attempt. hasUnreadInput returns false for a connection that has carried no
+// attempt yet.
 func (c *executorConn) hasUnreadInput() bool {
 	c.mu.Lock()
 	used := !c.idleSince.IsZero()
@@ -126,7 +127,7 @@
 	return unread
 }
 
-// close closes the connection or cancels its dial. It may be called more than once.
+// close closes the connection or cancels its dial. It is safe to call more than once.
 func (c *executorConn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -17,18 +17,21 @@
 )
 
 const (
-	maxHeaderBytes = 16 << 10  // limit for the header of a response, and for the bytes that follow its outcome
-	maxLineBytes   = 128 << 10 // limit for a line of a response: a result as long as the longest body, escaped as JSON
+	// maxHeaderBytes is the limit for the header of a response. The bytes that follow the outcome have the same limit.
+	maxHeaderBytes = 16 << 10
+
+	// maxLineBytes is the limit for a line of a response. The line can hold a result as long as the longest body, escaped as JSON.
+	maxLineBytes = 128 << 10
 
 	// trailingTimeout bounds how long the rest of a response may take after the line with the outcome.
 	trailingTimeout = time.Second
 
-	// staleWindow is how long after a response a second response to the same attempt may arrive. By the protocol's
-	// description that takes some milliseconds.
+	// staleWindow is how long after a response a second response to the same attempt can arrive. The protocol's description
+	// speaks of some milliseconds.
 	staleWindow = 20 * time.Millisecond
 )
 
-// handleResponse waits for a response, reads it and posts its outcome. It reports whether the connection can carry another
+// handleResponse waits for a response, reads it and posts its outcome. It returns true if the connection can carry another
 // attempt. r reads from limited, which bounds the size of the response's header.
 func (c *executorConn) handleResponse(r *bufio.Reader, limited *io.LimitedReader) bool {
 	limited.N = maxHeaderBytes
@@ -58,8 +61,8 @@
 	return err == nil && rest != nil && c.finishResponse(rest)
 }
 
-// fail closes the connection and sets the outcome of its attempt. It returns false if no byte of the attempt was sent; then
-// node.ConnClosed alone reports that the attempt never started.
+// fail closes the connection and sets the outcome of the connection's attempt in ended. It returns false if no byte of the
+// attempt was sent. In that case ended must not be posted: node.ConnClosed alone reports that the attempt never started.
 func (c *executorConn) fail(err error, ended *node.AttemptEnded) (sent bool) {
 	c.close() // ends the write if it is still in progress
 	written := <-c.writeEnded
@@ -74,7 +77,7 @@
 }
 
 // readOutcome reads a response up to its outcome. It returns a reader for the rest of the response, or nil if the executor
-// closes the connection after it. An error means that the connection broke or that the response is invalid.
+// closes the connection after this response. An error means that the connection broke or that the response is invalid.
 func (c *executorConn) readOutcome(r *bufio.Reader, limited *io.LimitedReader, job policy.JobID, ended *node.AttemptEnded) (io.Reader, error) {
 	response, err := http.ReadResponse(r, nil)
 	for err == nil && response.StatusCode < http.StatusOK {
@@ -96,7 +99,7 @@
 	return response.Body, nil
 }
 
-// readLines reads lines up to the one that ends the attempt, and posts the progress that they report.
+// readLines reads the lines of a response up to the line that ends the attempt, and posts the progress that the lines report.
 func (c *executorConn) readLines(body io.Reader, job policy.JobID, ended *node.AttemptEnded) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 1<<10), maxLineBytes)
@@ -124,17 +127,17 @@
 	return errors.New("incomplete response")
 }
 
-// mayBeStale reports whether a rejection could be a second response to the connection's previous attempt: a rejection by
-// status does not name its job, as a line does. If it were taken for the response to this attempt, an at-most-once job
-// could run twice.
+// mayBeStale reports whether a rejection could be a second response to the connection's previous attempt. A rejection by status
+// does not name its job, unlike a response line. If a stale rejection were taken for the response to this attempt, an
+// at-most-once job could run twice.
 func (c *executorConn) mayBeStale() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.notIdempotent && !c.idleSince.IsZero() && (!c.writeDone || c.writeStartedAt.Sub(c.idleSince) < staleWindow)
 }
 
-// confirmRejection waits for staleWindow whether another response follows. If one does, the rejection may not be the response
-// to this attempt, and the error means that the attempt may have run.
+// confirmRejection waits for staleWindow to see whether another response follows. If another response follows, the rejection may
+// belong to the previous attempt. The error then means that this attempt may have run.
 func (c *executorConn) confirmRejection(r *bufio.Reader, rest io.Reader) error {
 	if rest == nil { // the executor closes the connection, so no further response can follow on it
 		return errors.New("response may belong to the previous attempt, and the connection ends")
@@ -156,7 +159,7 @@
 }
 
 // finishResponse reads the rest of a response and makes the connection idle. It returns false if the rest is incomplete or too
-// long, or if the attempt was not written completely.
+// long, if the attempt was not written completely, or if the connection is closed.
 func (c *executorConn) finishResponse(rest io.Reader) bool {
 	c.conn.SetDeadline(time.Now().Add(trailingTimeout))
 	if n, err := io.Copy(io.Discard, io.LimitReader(rest, maxHeaderBytes)); err != nil || n == maxHeaderBytes {
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -14,15 +14,17 @@
 // unknownLoad stands for a load value that the executor has not reported.
 const unknownLoad = -1
 
-// HealthCheckConfig says how executors are asked whether they respond, and for their load: by a GET request to Path, which they
-// answer with status 200 and a load report in a header. Health checks are off if Path is empty.
+// HealthCheckConfig configures health checks, which find out whether an executor responds and what its load is. A health check is
+// a GET request to Path. The executor answers with status 200 and a load report in a header. Health checks are off if Path is
+// empty.
 type HealthCheckConfig struct {
 	Path    string
-	Timeout time.Duration   // limit for dial, request and response together
-	Fields  map[string]bool // values to use from load reports, by their names in the settings
+	Timeout time.Duration   // limit for the time of dial, request and response together
+	Fields  map[string]bool // the values of load reports that are used, by their names in the settings
 }
 
-// CheckHealth sends a health check to an executor in the background, on a connection of its own, and posts node.HealthCheckEnded.
+// CheckHealth sends a health check to an executor in the background, on a separate connection, and then posts
+// node.HealthCheckEnded.
 func (p *Pool) CheckHealth(id policy.ExecutorID, addr string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), p.healthCheck.Timeout)
@@ -32,9 +34,9 @@
 	}()
 }
 
-// requestLoad sends a health check and waits for the response. answered is true after a response of any status, so that a
-// wrong path in the configuration doesn't make all executors appear unresponsive. Values that are not in a valid load report
-// are unknownLoad.
+// requestLoad sends a health check and waits for the response. answered is true after a response of any status, so that a wrong
+// path in the configuration doesn't make all executors appear unresponsive. A value that the response does not report is
+// unknownLoad.
 func (p *Pool) requestLoad(ctx context.Context, addr string) (load policy.Load, answered bool) {
 	load = policy.Load{InFlight: unknownLoad, Queued: unknownLoad, FreeSlots: unknownLoad, FreeMemory: unknownLoad, RunTime: unknownLoad}
 	conn, err := p.dial(ctx, 0, addr)
@@ -65,7 +67,8 @@
 	return load, true
 }
 
-// reportedValue returns the value of a field of a load report, or unknownLoad if it is missing or not to be used.
+// reportedValue returns the value of a field of a load report. It returns unknownLoad if the value is missing or out of bounds,
+// or if the configuration does not use the field.
 func (c *HealthCheckConfig) reportedValue(field loadField, values map[string]float64) float64 {
 	value, ok := field.value(values)
 	if !ok || !c.Fields[field.setting] {
