--- a/internal/durable/class.go
+++ b/internal/durable/class.go
@@ -8,18 +8,18 @@
 	"birchstair/policy"
 )
 
-// ClassPrefix is put before the name of an ordinary job class to form the name of its durable class.
+// ClassPrefix and the name of an ordinary job class together form the name of the durable class.
 const ClassPrefix = "durable/"
 
 // jobClass holds the properties of a durable job class that the manager uses.
 type jobClass struct {
-	id          policy.JobClassID // ID of the class in the node's state machine
-	keyRequired bool              // submissions must have an idempotency key
-	lease       leases.JobClass   // how attempts that may have run are treated
-	removed     bool              // the class is no longer configured: jobs in the store continue, new ones are rejected
+	id          policy.JobClassID // ID of the durable class in the node's state machine
+	keyRequired bool              // a submission without an idempotency key is rejected
+	lease       leases.JobClass   // properties that determine what happens to a job whose attempt may have run
+	removed     bool              // the class is no longer configured; jobs in the store continue, new jobs are rejected
 }
 
-// newJobClass returns the durable class of an ordinary one. id is the ID of the durable class.
+// newJobClass returns the durable class for an ordinary job class. id is the ID of the durable class.
 func newJobClass(id policy.JobClassID, class policy.JobClass) jobClass {
 	return jobClass{
 		id:          id,
@@ -32,11 +32,11 @@
 	}
 }
 
-// AddClasses appends a durable class for each ordinary one. Deadline and latency objective of a durable class are maxDeadline,
-// so that a durable job counts as on time for as long as it may run.
+// AddClasses appends a durable class for each ordinary class. A durable class has maxDeadline as its deadline and as its latency
+// objective, so that a durable job that finishes before maxDeadline counts as on time.
 func AddClasses(settings policy.Settings, maxDeadline time.Duration) policy.Settings {
 	for _, class := range slices.Clone(settings.JobClasses) {
-		class.ExpectedWork = class.LatencyObjective // not maxDeadline, which says nothing about the work
+		class.ExpectedWork = class.LatencyObjective // kept from the ordinary class, because maxDeadline says nothing about the work
 		class.Deadline = maxDeadline
 		class.LatencyObjective = maxDeadline
 		class.RunTimeFactor = 0
--- a/internal/durable/codec.go
+++ b/internal/durable/codec.go
@@ -12,18 +12,18 @@
 	"birchstair/internal/store"
 )
 
-// jobStatus is the status of a job that is sent to clients.
+// jobStatus is the status of a job, as clients receive it.
 type jobStatus struct {
 	ID     string `json:"id"`
-	State  string `json:"state"`            // a value of stateNames, or removedState
-	Final  string `json:"final,omitempty"`  // a value of finalNames; empty until there is a final answer
-	Result []byte `json:"result,omitempty"` // body of the result
+	State  string `json:"state"`            // one of the values in stateNames, or removedState
+	Final  string `json:"final,omitempty"`  // one of the values in finalNames; empty until the job has a final answer
+	Result []byte `json:"result,omitempty"` // body of the job's result
 }
 
-// removedState is the state of a job that was removed before its status was read for the response.
+// removedState is the state in the response if the job was removed while the request was being handled.
 const removedState = "let go"
 
-// stateNames maps the states to their names on the wire.
+// stateNames maps the states of jobs to their names on the wire.
 var stateNames = map[leases.State]string{
 	leases.Storing:      "keeping",
 	leases.Waiting:      "waiting",
@@ -44,10 +44,10 @@
 type statusError struct {
 	status     int           // HTTP status code
 	message    string        // body of the response
-	retryAfter time.Duration // value of the Retry-After header; 0 for none
+	retryAfter time.Duration // value of the Retry-After header; 0 for no header
 }
 
-// Error returns the message.
+// Error returns the body of the response.
 func (e *statusError) Error() string { return e.message }
 
 // badRequest returns the error for an invalid request.
@@ -55,13 +55,15 @@
 	return &statusError{status: http.StatusBadRequest, message: fmt.Sprintf(format, args...)}
 }
 
-// retryAfter is the Retry-After time in responses to submissions that may succeed if they are repeated soon.
+// retryAfter is the value of Retry-After in responses to rejected submissions that can succeed if they are repeated soon.
 const retryAfter = 2 * time.Second
 
-// errorResponses maps errors to their responses. The first entry that the error wraps is used: an error of a full store wraps
-// both store.ErrFull and errStore. Clients receive the messages, so they stay: "pushed back" means rejected, "it is being put on
-// the disk" that an earlier submission of the job is still being written, "takes nothing" that a write has failed, "handed in"
-// submitted, and "let go" removed.
+// errorResponses maps errors to their responses. The first entry whose error is wrapped by the given error is used. The order
+// matters, because the error of a full store wraps both store.ErrFull and errStore.
+//
+// Clients receive the messages, so the messages must not change. In them, "pushed back" means rejected, "handed in" means
+// submitted, and "let go" means removed. "It is being put on the disk" means that an earlier submission of the job is still being
+// written. "Takes nothing" means that a write has failed.
 var errorResponses = []struct {
 	err      error
 	response statusError
--- a/internal/durable/effects.go
+++ b/internal/durable/effects.go
@@ -11,7 +11,7 @@
 	"birchstair/policy"
 )
 
-// step passes one event to the job table and carries out the effects.
+// step passes one event to the job table, and carries out the effects that the job table returns.
 func (m *Manager) step(event func(now time.Duration) []leases.Effect) {
 	m.mu.Lock()
 	effects := event(now())
@@ -19,7 +19,7 @@
 	m.apply(effects)
 }
 
-// apply carries out effects in their order. Called without m.mu held.
+// apply carries out effects in their order. It must be called without m.mu held.
 func (m *Manager) apply(effects []leases.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// write appends a record to the store. Once the record is synced, onWritten, unless nil, is called as the event of a step. It
-// is not called if the record can't be written.
+// write appends a record to the store. Once the record is synced, onWritten is passed to step as an event. onWritten can be nil.
+// If the record can't be written, onWritten is not used.
 func (m *Manager) write(record store.Record, onWritten func(now time.Duration) []leases.Effect) {
 	m.append(record, func(err error) {
 		if err == nil && onWritten != nil {
@@ -61,8 +61,8 @@
 	})
 }
 
-// append appends a record to the store. It logs a failure, unless the store is full or the manager is closing: these are
-// expected.
+// append appends a record to the store, and calls done with the result. It logs an error, except the expected errors while the
+// store is full or the manager is closing.
 func (m *Manager) append(record store.Record, done func(error)) {
 	m.store.Append(record, func(err error) {
 		if err != nil && !errors.Is(err, store.ErrFull) && m.ctx.Err() == nil {
@@ -116,8 +116,8 @@
 	m.write(record, func(now time.Duration) []leases.Effect { return m.jobTable.FinalStored(now, effect.ID) })
 }
 
-// acknowledge passes the result of writing a submission's record to the client that waits for it, if any. Called with m.mu
-// held.
+// acknowledge passes the result of writing a submission's record to the client that waits for that result, if there is one. It
+// must be called with m.mu held.
 func (m *Manager) acknowledge(id leases.ID, err error) {
 	if waiter := m.ackWaiters[id]; waiter != nil {
 		delete(m.ackWaiters, id)
@@ -125,8 +125,8 @@
 	}
 }
 
-// dispatch submits a job to the state machine. The event is posted from a new goroutine: post may block until the event loop
-// takes an event, and the caller may be the event loop itself.
+// dispatch submits a job to the state machine. The event is posted from a new goroutine, because post can block until the event
+// loop takes an event, and the caller of dispatch can be the event loop itself.
 func (m *Manager) dispatch(effect leases.Submit) {
 	stored, ok := m.store.Get(string(effect.ID))
 	if !ok {
@@ -153,8 +153,8 @@
 	go m.post(node.JobArrived{Job: job})
 }
 
-// sendAttempt sends an attempt, whose record is synced by now, to its executor, unless the attempt has ended or the job has a
-// later one.
+// sendAttempt sends an attempt to its executor. It is called once the attempt's record is synced. It does nothing if the attempt
+// has ended, or if the job has a later attempt.
 func (m *Manager) sendAttempt(effect leases.SendAttempt) {
 	m.mu.Lock()
 	conn := m.latestConn[effect.ID]
@@ -165,7 +165,7 @@
 	}
 }
 
-// publish wakes the clients that wait for a final answer.
+// publish wakes the clients that wait for a job's final answer.
 func (m *Manager) publish(id leases.ID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -175,7 +175,7 @@
 	}
 }
 
-// setTimer sets the time at which the job table is next woken, and stops the previous timer.
+// setTimer sets the time at which the job table is woken next. It replaces the previous timer.
 func (m *Manager) setTimer(at time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/durable/http.go
+++ b/internal/durable/http.go
@@ -14,19 +14,19 @@
 // Path is the prefix of the paths that the HTTP handler serves:
 //
 //	PUT    /-/jobs/ID           Submits a job. The status is 201 once the job is synced to disk, or 200 if it was submitted before.
-//	                            The headers X-Call-Class, X-Budget-Ms, Idempotency-Key, X-Call-Cost and Content-Type are those
-//	                            of ordinary jobs. X-Path is the path of the request to the executor.
-//	GET    /-/jobs/ID?wait_ms=N Returns the job's state. Waits up to N milliseconds for the final answer.
+//	                            The headers X-Call-Class, X-Budget-Ms, Idempotency-Key, X-Call-Cost and Content-Type mean the
+//	                            same as for ordinary jobs. X-Path is the path of the request to the executor.
+//	GET    /-/jobs/ID?wait_ms=N Waits up to N milliseconds for the final answer, then returns the job's state.
 //	DELETE /-/jobs/ID           Removes a job that has its final answer.
 const Path = "/-/jobs/"
 
 const (
-	maxIDBytes   = 100
-	maxKeyBytes  = 100             // length of an idempotency key
-	maxBodyBytes = 64 << 10        // length of a submission's body
-	maxWait      = 5 * time.Minute // time that a GET request waits for a final answer
-	writeTimeout = 5 * time.Second // time to write a response
-	maxCost      = 1e12            // expected work of a job, in microseconds
+	maxIDBytes   = 100             // longest ID of a job, in bytes
+	maxKeyBytes  = 100             // longest idempotency key, in bytes
+	maxBodyBytes = 64 << 10        // longest body of a submission, in bytes
+	maxWait      = 5 * time.Minute // longest time that a GET request waits for a final answer
+	writeTimeout = 5 * time.Second // limit for the time to write a response
+	maxCost      = 1e12            // upper bound for the expected work of a job, in microseconds
 )
 
 // ServeHTTP implements http.Handler for requests under Path.
@@ -63,7 +63,8 @@
 	case http.MethodDelete:
 		return http.StatusNoContent, m.remove(leases.ID(id))
 	}
-	// Clients receive the message, so it stays: PUT submits a job, GET queries it and DELETE removes it.
+	// Clients receive the message, so it must not change. It means that PUT submits a job, GET queries a job and DELETE removes a
+	// job.
 	return 0, &statusError{
 		status:  http.StatusMethodNotAllowed,
 		message: "durable batch jobs come by PUT, are asked for by GET and let go by DELETE",
@@ -75,7 +76,8 @@
 	if err != nil {
 		return 0, err
 	}
-	setReadDeadline(w, time.Time{}) // the request is read, and syncing the record may take long
+	// The request has been read completely, and syncing the record can take longer than the read timeout.
+	setReadDeadline(w, time.Time{})
 	created, err := m.submit(r.Context(), job)
 	if created {
 		return http.StatusCreated, err
@@ -83,7 +85,7 @@
 	return http.StatusOK, err
 }
 
-// readSubmission parses and checks the headers of a submission, then reads its body.
+// readSubmission parses and validates the headers of a submission, and then reads the body.
 func (m *Manager) readSubmission(r *http.Request, id string) (job submission, err error) {
 	header := r.Header
 	job.record = store.Record{
@@ -120,7 +122,7 @@
 	return job, err
 }
 
-// readBudget parses the time until the deadline, in milliseconds.
+// readBudget parses the X-Budget-Ms header, which holds the time until the job's deadline in milliseconds.
 func (m *Manager) readBudget(text string) (time.Duration, error) {
 	maxBudget := m.options.MaxDeadline.Milliseconds()
 	budget, err := strconv.ParseInt(text, 10, 64)
@@ -130,13 +132,14 @@
 	return time.Duration(budget) * time.Millisecond, nil
 }
 
-// readCost parses the expected work, in microseconds. It returns 0 if the client states none.
+// readCost parses the X-Call-Cost header, which holds the job's expected work in microseconds. It returns 0 if the header is
+// missing.
 func readCost(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
 	cost, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(cost >= 0 && cost < maxCost) { // written this way, the condition rejects NaN as well
+	if err != nil || !(cost >= 0 && cost < maxCost) { // the negated condition also rejects NaN
 		return 0, badRequest("X-Call-Cost: %.40q is not a number of microseconds", text)
 	}
 	return time.Duration(cost * float64(time.Microsecond)), nil
@@ -153,7 +156,8 @@
 	return body, nil
 }
 
-// waitTimeout parses the wait_ms parameter, the time to wait for a final answer in milliseconds. The result is at most maxWait.
+// waitTimeout parses the wait_ms parameter, which says how many milliseconds to wait for a final answer. The result is at most
+// maxWait.
 func waitTimeout(r *http.Request) (time.Duration, error) {
 	text := r.URL.Query().Get("wait_ms")
 	if text == "" {
--- a/internal/durable/interceptors.go
+++ b/internal/durable/interceptors.go
@@ -9,7 +9,8 @@
 	"birchstair/policy"
 )
 
-// Observe is called after each step of the node's state machine. It records the endpoints' addresses and the ends of attempts.
+// Observe is called after each step of the node's state machine. It records the addresses of endpoints, and reports the ends of
+// attempts to the job table.
 func (m *Manager) Observe(_ time.Duration, event node.Event, _ []node.Effect) {
 	switch event := event.(type) {
 	case node.EndpointsUpdated:
@@ -17,7 +18,8 @@
 	case node.AttemptEnded:
 		m.attemptEnded(event.Conn, event.Outcome.NeverRan(), false)
 	case node.ConnClosed:
-		m.attemptEnded(event.Conn, true, true) // no part of an attempt was sent, or else AttemptEnded would have come first
+		// If an attempt is still recorded for the connection, no part of it was sent: otherwise AttemptEnded would have come first.
+		m.attemptEnded(event.Conn, true, true)
 	}
 }
 
@@ -35,8 +37,8 @@
 	}
 }
 
-// attemptEnded reports the end of the attempt on a connection to the job table, if it was an attempt of a durable job.
-// connClosed is set if the connection is closed.
+// attemptEnded reports the end of the attempt on a connection to the job table, if the connection carried an attempt of a durable
+// job. connClosed reports that the connection is closed as well.
 func (m *Manager) attemptEnded(conn node.ConnID, neverRan, connClosed bool) {
 	m.mu.Lock()
 	ended := m.attempts[conn]
@@ -56,10 +58,11 @@
 	m.apply(effects)
 }
 
-// frontendInterceptor handles the state machine's calls of the frontend that concern durable jobs, and passes on the others.
+// frontendInterceptor implements node.Frontend. It handles the state machine's calls that concern durable jobs, and passes the
+// other calls on to the frontend.
 type frontendInterceptor Manager
 
-// Answer handles the answers to durable jobs, and passes on those to ordinary jobs.
+// Answer handles the answers to durable jobs, and passes the answers to ordinary jobs on to the frontend.
 func (e *frontendInterceptor) Answer(answer node.Answer) {
 	m := (*Manager)(e)
 	id, durable := strings.CutPrefix(string(answer.Job), jobIDPrefix)
@@ -72,8 +75,8 @@
 	})
 }
 
-// SetReady(true) resumes the recovered jobs the first time that the node becomes ready, which is when it has an endpoint list.
-// SetReady(false) stops the job table: a node becomes unready only when it shuts down.
+// SetReady resumes the recovered jobs when the node becomes ready for the first time, which is when it has an endpoint list. When
+// the node becomes unready, SetReady stops the job table, because a node becomes unready only when it shuts down.
 func (e *frontendInterceptor) SetReady(ready bool) {
 	m := (*Manager)(e)
 	m.mu.Lock()
@@ -88,7 +91,8 @@
 	m.apply(effects)
 }
 
-// UpdateJobClasses updates the durable classes, and passes on the ordinary ones: the frontend's clients can't use durable ones.
+// UpdateJobClasses updates the durable classes, and passes the ordinary classes on to the frontend. The durable classes are not
+// passed on, because clients that submit ordinary jobs must not use them.
 func (e *frontendInterceptor) UpdateJobClasses(classes []node.NumberedClass) {
 	m := (*Manager)(e)
 	m.mu.Lock()
@@ -120,10 +124,12 @@
 // Close passes the call on to the frontend.
 func (e *frontendInterceptor) Close() { e.frontend.Close() }
 
-// upstreamInterceptor handles the state machine's calls of the upstream that concern durable jobs, and passes on the others.
+// upstreamInterceptor implements node.Upstream. It handles the state machine's calls that concern durable jobs, and passes the
+// other calls on to the upstream.
 type upstreamInterceptor Manager
 
-// Dial records the connection's address, which identifies the executor of an attempt, and passes the call on to the upstream.
+// Dial records the connection's address and passes the call on to the upstream. Write uses the address to find the executor of an
+// attempt.
 func (e *upstreamInterceptor) Dial(conn node.ConnID, addr string) {
 	m := (*Manager)(e)
 	m.mu.Lock()
@@ -132,9 +138,9 @@
 	m.upstream.Dial(conn, addr)
 }
 
-// Write records an attempt of a durable job in the store, and sends it once that record is synced. If the job is over
-// by now, that is, no longer in state Dispatched in the job table, Write closes the connection instead. Attempts of ordinary
-// jobs are passed on.
+// Write appends a record of an attempt of a durable job to the store. The attempt is sent once that record is synced. If the job
+// is no longer in state leases.Dispatched, Write closes the connection instead. Attempts of ordinary jobs are passed on to the
+// upstream at once.
 func (e *upstreamInterceptor) Write(conn node.ConnID, request node.Attempt) {
 	m := (*Manager)(e)
 	id, durable := strings.CutPrefix(string(request.ID), jobIDPrefix)
@@ -160,7 +166,7 @@
 	m.apply(effects)
 }
 
-// withEpoch copies a request and sets its epoch.
+// withEpoch returns a copy of a request with this epoch.
 func (m *Manager) withEpoch(request *node.Request, epoch leases.Epoch) *node.Request {
 	fenced := *request
 	fenced.Epoch = uint32(epoch)
--- a/internal/durable/lease_query.go
+++ b/internal/durable/lease_query.go
@@ -13,7 +13,7 @@
 	"birchstair/internal/leases"
 )
 
-const queryTimeout = 2 * time.Second // limit of one request to an executor
+const queryTimeout = 2 * time.Second // limit for the time of one request to an executor
 
 // DialFunc opens a connection to an executor's address.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
@@ -46,8 +46,8 @@
 	})
 }
 
-// requestLease sends the query. The result is QueryUnanswered if the executor can't be reached or sends an unknown response,
-// and QueryUnsupported if it doesn't serve leasePath.
+// requestLease sends a lease query and returns its result. The result is QueryUnanswered if the executor can't be reached or sends
+// an unknown response. It is QueryUnsupported if the executor doesn't serve leasePath.
 func (m *Manager) requestLease(addr, job string, epoch leases.Epoch) (leases.QueryResult, []byte) {
 	ctx, cancel := context.WithTimeout(m.ctx, queryTimeout)
 	defer cancel()
@@ -73,11 +73,12 @@
 	return leases.QueryUnanswered, nil
 }
 
-// leasePath is the path under which executors that support leases are queried: GET /-/leases/JOB?epoch=N. An executor that is
-// queried about an epoch of which it has started no attempt must refuse an attempt of that epoch from then on.
+// leasePath is the prefix of the paths at which executors that support leases are queried: GET /-/leases/JOB?epoch=N. If the
+// executor has started no attempt of that epoch when the query arrives, it must refuse attempts of that epoch from then on.
 const leasePath = "/-/leases/"
 
-// maxLeaseBytes limits the length of a response: JSON that holds a result in base64, which takes 4/3 of the result's size.
+// maxLeaseBytes is the limit for the length of a response. A response is JSON and holds the result in base64, which takes 4/3 of
+// the result's size.
 const maxLeaseBytes = 2 * maxBodyBytes
 
 func leaseURL(addr, job string, epoch leases.Epoch) string {
@@ -90,7 +91,8 @@
 	Result []byte `json:"result"` // the attempt's result, if it has finished
 }
 
-// leaseStates maps the states on the wire to query results. An unknown state gives QueryUnanswered, the zero value.
+// leaseStates maps the states on the wire to query results. An unknown state is mapped to QueryUnanswered, which is the zero
+// value.
 var leaseStates = map[string]leases.QueryResult{
 	"never":    leases.QueryNeverRan,
 	"running":  leases.QueryRunning,
--- a/internal/durable/manager.go
+++ b/internal/durable/manager.go
@@ -17,14 +17,14 @@
 	"birchstair/policy"
 )
 
-// jobIDPrefix starts the IDs that durable jobs have in the node's state machine, so that they differ from the IDs of ordinary
-// jobs.
+// jobIDPrefix is the prefix of the IDs that durable jobs have in the node's state machine. It makes these IDs differ from the IDs
+// of ordinary jobs.
 const jobIDPrefix = "durable-"
 
-// Options are the operator's settings.
+// Options holds the operator's settings for durable jobs.
 type Options struct {
-	MaxDeadline time.Duration   // the longest time until the deadline that a client may request
-	Leases      leases.Settings // concurrency, retention and lease queries
+	MaxDeadline time.Duration   // longest time until the deadline that a client can request
+	Leases      leases.Settings // settings for concurrency, retention and lease queries
 }
 
 // Manager accepts durable batch jobs, keeps them in the store and submits them to the node's state machine.
@@ -34,7 +34,7 @@
 	log         zerolog.Logger
 	queryClient *http.Client // sends lease queries to executors
 
-	ctx    context.Context // ends with Close
+	ctx    context.Context // context that Close ends
 	cancel context.CancelFunc
 
 	post     func(node.Event) // queues an event for the state machine
@@ -42,40 +42,40 @@
 	upstream node.Upstream
 
 	mu              sync.Mutex
-	classes         map[string]jobClass // durable classes, by the names of their ordinary classes
+	classes         map[string]jobClass // durable classes by the name of their ordinary class
 	jobTable        *leases.JobTable
-	unwritten       map[leases.ID]*store.Record  // records of submissions that are not in the store yet
-	doneWaiters     map[leases.ID]chan struct{}  // closed when the final answer is in the store
-	ackWaiters      map[leases.ID]chan error     // receives the result of writing the record of a submission
-	attempts        map[node.ConnID]*attempt     // attempts that have not ended, by connection
+	unwritten       map[leases.ID]*store.Record  // records of submissions that are not synced yet
+	doneWaiters     map[leases.ID]chan struct{}  // channels that are closed when a job's final answer is in the store
+	ackWaiters      map[leases.ID]chan error     // channels that receive the result of writing a submission's record
+	attempts        map[node.ConnID]*attempt     // attempts of durable jobs that have not ended, by connection
 	latestConn      map[leases.ID]node.ConnID    // the connection of each job's latest attempt
 	connAddrs       map[node.ConnID]string       // addresses of the connections to executors
-	executorByAddr  map[string]policy.ExecutorID // includes executors that were removed from the endpoint list
-	addrByExecutor  map[policy.ExecutorID]string
-	timer           *time.Timer     // wakes the job table when it has work due
-	ready           bool            // the node is ready, so that submissions are accepted
-	recoveryEffects []leases.Effect // effects of the recovery, to be carried out once the node is ready
+	executorByAddr  map[string]policy.ExecutorID // executors by address, including those removed from the endpoint list
+	addrByExecutor  map[policy.ExecutorID]string // addresses of the executors in the endpoint list
+	timer           *time.Timer                  // wakes the job table at the time of the last leases.Wake effect
+	ready           bool                         // the node is ready, and submissions are accepted
+	recoveryEffects []leases.Effect              // effects of the recovery, which are carried out once the node is ready
 	faults          faults
 }
 
-// faults are defects that tests inject. Production code sets none of them.
+// faults selects defects that tests inject. Production code sets none of its fields.
 type faults struct {
-	ackBeforeWrite    bool // acknowledge a submission before its record is synced
-	sendBeforeWrite   bool // send an attempt before its record is synced
-	omitEpoch         bool // send attempts without an epoch
-	allEndsAsNeverRan bool // treat every attempt that ends as one that never ran
+	ackBeforeWrite    bool // submissions are acknowledged before their record is synced
+	sendBeforeWrite   bool // attempts are sent before their record is synced
+	omitEpoch         bool // attempts are sent without an epoch
+	allEndsAsNeverRan bool // every attempt that ends is treated as if it had never run
 }
 
-// attempt is an attempt that was sent to its executor, or will be sent once its record is synced.
+// attempt is an attempt of a durable job. It has been sent to its executor, or will be sent once its record is synced.
 type attempt struct {
 	id      leases.ID
 	epoch   leases.Epoch
 	request node.Attempt
 }
 
-// New returns a manager of the jobs in a store. The manager owns the store from now on and closes it in Close. classNames and
-// classes are the job classes of the settings, without the durable ones that AddClasses appends. The manager sends no events
-// to the state machine before Start.
+// New returns a manager of the jobs in a store. The manager owns the store, and Close closes the store. classNames and classes
+// are the job classes of the settings, without the durable classes that AddClasses appends. The manager sends no events to the
+// state machine before Start is called.
 func New(options Options, jobs *store.Store, classNames []string, classes []policy.JobClass, dial DialFunc, log zerolog.Logger) *Manager {
 	m := &Manager{
 		options:        options,
@@ -100,18 +100,19 @@
 	return m
 }
 
-// Start recovers the jobs in the store. It returns the frontend and the upstream that the state machine must use in place of
-// those given.
+// Start recovers the jobs in the store. It returns wrappers of the frontend and the upstream, which the state machine must use in
+// place of the originals.
 func (m *Manager) Start(post func(node.Event), frontend node.Frontend, upstream node.Upstream) (node.Frontend, node.Upstream) {
 	m.post, m.frontend, m.upstream = post, frontend, upstream
 	m.recover()
 	return (*frontendInterceptor)(m), (*upstreamInterceptor)(m)
 }
 
-// errClosed is the result of submissions whose record is not synced yet when the manager is closed.
+// errClosed is the result of a submission whose record is not synced when the manager is closed.
 var errClosed = errors.New("the node is shutting down")
 
-// Close stops the manager and closes the store after all queued records are written. The node's event loop must have ended.
+// Close stops the manager, waits until all queued records are written, and closes the store. It must be called after the node's
+// event loop has ended.
 func (m *Manager) Close() error {
 	m.cancel()
 	m.mu.Lock()
@@ -132,8 +133,8 @@
 	return err
 }
 
-// now returns the time as package leases represents it, as the duration since 1970.
+// now returns the current time as the duration since 1970, which is how package leases represents times.
 func now() time.Duration { return sinceEpoch(time.Now()) }
 
-// sinceEpoch converts a time to the representation of package leases, the duration since 1970.
+// sinceEpoch converts a time to the duration since 1970, which is how package leases represents times.
 func sinceEpoch(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
--- a/internal/durable/recover.go
+++ b/internal/durable/recover.go
@@ -10,8 +10,8 @@
 	"birchstair/policy"
 )
 
-// recover adds all jobs in the store to the job table, in the order of their IDs. The effects are carried out once the node is
-// ready.
+// recover adds all jobs in the store to the job table, in the order of their IDs. It saves the resulting effects in
+// m.recoveryEffects, to be carried out once the node is ready.
 func (m *Manager) recover() {
 	began := time.Now()
 	jobs, lastWrite := m.storedJobs()
@@ -42,7 +42,8 @@
 		Msg("durable batch jobs recovered")
 }
 
-// storedJobs returns the jobs in the store, ordered by ID, and the time of the latest record.
+// storedJobs returns the jobs in the store, ordered by ID, and the time of the latest record of acceptance, attempt start or
+// final answer.
 func (m *Manager) storedJobs() (jobs []store.JobState, lastWrite time.Duration) {
 	m.store.ForEach(func(job store.JobState) {
 		jobs = append(jobs, job)
@@ -58,8 +59,9 @@
 	return jobs, lastWrite
 }
 
-// recoverJob adds one job to the job table. If the job's class is no longer configured, the job must not run again, because
-// its idempotency is unknown: it is treated as a job of an at-most-once class whose deadline has passed. Called with m.mu held.
+// recoverJob adds one job to the job table. If the job's class is no longer configured, the job's idempotency is unknown and the
+// job must not run again. Such a job is treated as an at-most-once job whose deadline has passed. recoverJob must be called with
+// m.mu held.
 func (m *Manager) recoverJob(at, lastWrite time.Duration, job store.JobState) []leases.Effect {
 	class, known := m.classes[job.Accepted.JobClass]
 	deadline := sinceEpoch(job.Accepted.Deadline)
--- a/internal/durable/submit.go
+++ b/internal/durable/submit.go
@@ -23,12 +23,12 @@
 
 // submission is a job that a client submits.
 type submission struct {
-	record store.Record  // the record to be written; submit sets its times
-	budget time.Duration // time from now until the deadline
+	record store.Record  // the record to be written; submit sets the times in the record
+	budget time.Duration // time from the call of submit until the deadline
 }
 
-// submit accepts a job and waits until its record is synced. created is false if the job had already been submitted. The error
-// is errNotReady, errWriting or errConflict, or wraps errStore and the store's error.
+// submit accepts a job and waits until its record is synced. created is false if the job had already been submitted, or if there
+// is an error. The error is errNotReady, errWriting or errConflict, or wraps errStore and the store's error.
 func (m *Manager) submit(ctx context.Context, job submission) (created bool, err error) {
 	id := leases.ID(job.record.ID)
 	record := &job.record
@@ -48,7 +48,7 @@
 	written := make(chan error, 1)
 	m.ackWaiters[id] = written
 	accepted := leases.Job{ID: id, Class: m.classes[record.JobClass].lease, Deadline: sinceEpoch(record.Deadline)}
-	effects, _ := m.jobTable.Accept(sinceEpoch(record.At), accepted) // can't fail: State has found no job of this ID
+	effects, _ := m.jobTable.Accept(sinceEpoch(record.At), accepted) // can't fail, because State has found no job with this ID
 	m.mu.Unlock()
 	m.apply(effects)
 	select {
@@ -58,14 +58,14 @@
 		}
 		return true, nil
 	case <-ctx.Done():
-		// The client has disconnected and can't read the response. If it submits the job again, that request finds this job,
-		// unless its record could not be written.
+		// The client has disconnected and can't read the response. If the client submits the job again, that request finds this
+		// job, unless this job's record could not be written.
 		return true, nil
 	}
 }
 
-// checkRepeat checks a submission under an ID that is in use: it is a repeat of that job if the content is the same. previous
-// is the record of the earlier submission while that is not in the store yet, and nil otherwise.
+// checkRepeat checks a submission under an ID that a job already has. The submission is a repeat if it has the same content as
+// that job. previous is the record of the earlier submission if that record is not in the store yet, and nil otherwise.
 func (m *Manager) checkRepeat(record *store.Record, state leases.State, previous *store.Record) error {
 	if stored, ok := m.store.Get(record.ID); previous == nil && ok {
 		previous = stored.Accepted
@@ -84,8 +84,8 @@
 	return a.JobClass == b.JobClass && a.IdempotencyKey == b.IdempotencyKey && a.URI == b.URI && bytes.Equal(a.Body, b.Body)
 }
 
-// wait waits until a job has its final answer. It also returns when the timeout is over, the client has disconnected or the
-// manager is closed. The error is errNotFound if there is no such job.
+// wait waits until a job has its final answer. It also returns when the timeout has passed, when the client has disconnected or
+// when the manager is closed. The error is errNotFound if there is no such job.
 func (m *Manager) wait(ctx context.Context, id leases.ID, timeout time.Duration) error {
 	m.mu.Lock()
 	state, ok := m.jobTable.State(id)
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// remove removes a job that has its final answer. Otherwise it returns errNotFound or errNotFinal.
+// remove removes a job that has its final answer. It returns errNotFinal if the job has no final answer yet, and errNotFound if
+// there is no such job.
 func (m *Manager) remove(id leases.ID) error {
 	m.mu.Lock()
 	_, known := m.jobTable.State(id)
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// status returns the status of a job that is sent to clients.
+// status returns the status of a job, as clients receive it.
 func (m *Manager) status(id leases.ID) jobStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service assembles and runs a node: the state machine with its policy, and the packages that carry out its effects
-// over the network.
+// Package service assembles and runs a node. A node consists of the state machine with its policy, and the packages that carry
+// out the state machine's effects over the network.
 package service
 
 import (
@@ -23,29 +23,29 @@
 	"birchstair/policy"
 )
 
-// Options are the settings of a node, and the parts that differ between a real and a simulated node.
+// Options holds the settings of a node, and the parts that differ between a real and a simulated node.
 type Options struct {
 	Settings        config.Settings
 	Limits          node.Limits
 	ClientLimits    frontend.ConnLimits
 	CachedEndpoints discovery.CachedList // the endpoint list that was last cached for this node
 	DiscoveryAddr   string
-	StartTime       time.Time // time at which the event loop's clock is zero
+	StartTime       time.Time // time at which the event loop's clock reads zero
 
 	Policy        node.Policy
-	Listener      net.Listener // listener for clients
-	AdminListener net.Listener // listener for operators; nil for none
+	Listener      net.Listener // accepts clients' connections
+	AdminListener net.Listener // accepts operators' connections; nil if the node serves no operators
 	DialExecutor  upstream.Dialer
 	DialDiscovery discovery.Dialer
 	Log           zerolog.Logger
-	Observer      node.Observer // called after each step of the state machine; nil for none
+	Observer      node.Observer // is called after each step of the state machine; nil for no observer
 
-	HandoffDir  string          // directory in which a successor process finds this one; empty for no hot restarts
-	Predecessor net.Conn        // connection to the process that this one takes over from; nil for none
+	HandoffDir  string          // directory in which a successor process finds this process; empty to turn hot restarts off
+	Predecessor net.Conn        // connection to the process that this process takes over from; nil if there is none
 	LimitMemory func(half bool) // halves the memory limit of this process, or restores it
 
-	Cluster *Cluster         // nil for a node without gossip
-	Durable *durable.Manager // nil for a node without durable batch jobs; Run closes it
+	Cluster *Cluster         // settings for gossip; nil for a node without gossip
+	Durable *durable.Manager // manager of durable batch jobs, which Run closes; nil for a node without durable batch jobs
 }
 
 // Cluster holds the settings of a node that gossips with other nodes.
@@ -55,7 +55,7 @@
 }
 
 // JobClasses returns the policy's job classes with their names. If durable batch jobs are on, the policy has two classes for
-// each job class of the settings: one for its ordinary and one for its durable batch jobs.
+// each job class of the settings: one for ordinary batch jobs and one for durable batch jobs.
 func JobClasses(s config.Settings) (classes []node.JobClass) {
 	for i, class := range s.Policy.JobClasses {
 		name := ""
@@ -70,8 +70,8 @@
 }
 
 // Run runs a node. It returns when the context has ended and all batch jobs are answered, or when the client listener fails.
-// Run also processes the events from the given channel, which may be nil. The channel need not be closed, and must not be
-// closed before Run has returned.
+// Run also processes the events from the given channel. The channel can be nil. It need not be closed, and must not be closed
+// before Run has returned.
 func Run(ctx context.Context, o Options, events <-chan node.Event) error {
 	n := newInstance(o)
 	defer n.stop()
@@ -107,15 +107,15 @@
 	discovery    *discovery.Watcher
 	admin        *admin.Server
 	edges        node.Edges
-	stops        []func() // called in reverse order when the node ends
+	stops        []func() // functions that stop the node's parts; called in reverse order when the node ends
 }
 
-// newInstance creates a node with the parts that every node has.
+// newInstance creates a node with only the parts that every node has.
 func newInstance(o Options) *instance {
 	n := &instance{Options: o, loop: node.NewLoop(o.StartTime)}
 	n.loop.Observe = o.Observer
 	n.stateMachine = node.New(o.Policy, o.Limits, JobClasses(o.Settings))
-	ownClasses := n.stateMachine.JobClasses()[:len(o.Settings.JobClassNames)] // without the classes of durable batch jobs
+	ownClasses := n.stateMachine.JobClasses()[:len(o.Settings.JobClassNames)] // the job classes without those of durable batch jobs
 	n.frontend = frontend.New(ownClasses, o.ClientLimits, n.loop.Post)
 	n.upstream = upstream.New(o.DialExecutor, o.Settings.ReportsLoad(), upstream.HealthCheckConfig{
 		Path:    o.Settings.Probe.Path,
@@ -143,15 +143,15 @@
 	return watcher
 }
 
-// stop ends the parts of the node that were started, in reverse order.
+// stop stops the parts of the node, the one that was started last first.
 func (n *instance) stop() {
 	for i := len(n.stops) - 1; i >= 0; i-- {
 		n.stops[i]()
 	}
 }
 
-// startHandoff starts the handoff with the predecessor, if there is one, and lets a successor process connect later. Until
-// the predecessor has handed over, it accepts the clients' connections.
+// startHandoff starts the handoff from the predecessor, if there is one, and lets a successor process connect later. Until the
+// predecessor has handed over, the predecessor accepts the clients' connections and this process accepts none.
 func (n *instance) startHandoff() {
 	if n.HandoffDir == "" {
 		return
@@ -183,8 +183,8 @@
 	})
 }
 
-// startDurable inserts the manager of durable batch jobs between the state machine and the frontend and upstream, and lets it
-// observe the state machine.
+// startDurable inserts the manager of durable batch jobs between the state machine on one side and the frontend and the upstream
+// on the other. It also lets the manager observe the state machine.
 func (n *instance) startDurable() {
 	if n.Durable == nil {
 		return
@@ -199,7 +199,8 @@
 	}
 }
 
-// serveClients serves clients in the background. If that fails, it sends the error to the returned channel and ends the node.
+// serveClients serves clients in the background. If the listener fails, the error is sent to the returned channel and the node
+// ends.
 func (n *instance) serveClients() <-chan error {
 	failed := make(chan error, 1)
 	go func() {
