--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -2,18 +2,19 @@
 
 import "fmt"
 
-// pendingRecordBytes is the estimated size of a pending record without its body, which counts towards Options.MaxBytes.
+// pendingRecordBytes is the estimated size of a pending record without the record's body, in bytes. Pending records count towards
+// Options.MaxBytes.
 const pendingRecordBytes = 256
 
 // pendingWrite is a record that waits to be committed.
 type pendingWrite struct {
 	record Record
-	done   func(error) // called once with the result
+	done   func(error) // is called once with the result
 }
 
-// Append queues a record, and calls done once the record is on disk or can't be written. Append doesn't wait for the disk, and
-// done must not wait for it either. The error passed to done is nil, or wraps ErrFull (only for Accepted records), ErrFailed or
-// ErrClosed.
+// Append queues a record. It does not wait for the disk. done is called once the record is on disk or can't be written, and must
+// not wait for the disk either. The error passed to done is nil, or wraps ErrFull, ErrFailed or ErrClosed. Only Accepted records
+// can fail with ErrFull.
 func (s *Store) Append(r Record, done func(error)) {
 	if err := s.enqueue(pendingWrite{r, done}); err != nil {
 		done(err)
@@ -44,8 +45,8 @@
 	return total
 }
 
-// commitLoop commits the pending records until the store is closed and none are left. All records that are pending at a time
-// share one sync.
+// commitLoop commits pending records until Close has been called and no record is pending. All records that are pending at the
+// same time share one sync.
 func (s *Store) commitLoop() {
 	defer close(s.done)
 	for {
@@ -62,8 +63,8 @@
 	}
 }
 
-// nextBatch waits for pending records and takes all of them. The batch is empty if the store is closed and none are left.
-// failed is the error that made the store fail, or nil.
+// nextBatch waits for pending records and takes all of them. The batch is empty if Close has been called and no record is pending.
+// failed is the error that made the store fail; it is nil if the store has not failed.
 func (s *Store) nextBatch() (batch []pendingWrite, failed error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,8 +88,8 @@
 	return err
 }
 
-// commit writes a batch as one frame, syncs it and applies its records. Then, if necessary, it starts a new segment and
-// compacts the oldest ones.
+// commit writes a batch as one frame, syncs the frame and applies its records. Then, if necessary, it starts a new segment and
+// compacts the oldest segments.
 func (s *Store) commit(batch []pendingWrite) error {
 	frame, sizes, err := encodeBatch(batch)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return s.compact(false, nil)
 }
 
-// encodeBatch encodes a batch as a frame. sizes are the encoded sizes of its records.
+// encodeBatch encodes a batch as a frame. sizes holds the encoded size of each record in bytes.
 func encodeBatch(batch []pendingWrite) (frame []byte, sizes []int, err error) {
 	var records []byte
 	for _, w := range batch {
@@ -116,7 +117,8 @@
 	return encodeFrame(records), sizes, nil
 }
 
-// applyBatch applies the records of a synced frame, and starts a new segment if the last one has reached Options.SegmentBytes.
+// applyBatch applies the records of a synced frame. If the last segment has reached Options.SegmentBytes, applyBatch starts a new
+// segment.
 func (s *Store) applyBatch(batch []pendingWrite, sizes []int, frameBytes int) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -1,11 +1,11 @@
 package store
 
-// Compact copies all live records to the last segment and removes all others, however much of them is live. It calls progress,
-// unless nil, before it compacts each segment. It must not be called while anything else uses the store.
+// Compact copies all live records to the last segment and removes all other segments, even those that are mostly live. It calls
+// progress before it compacts each segment, unless progress is nil. It must not be called while anything else uses the store.
 func (s *Store) Compact(progress func(done, all int)) error { return s.compact(true, progress) }
 
-// compact repeatedly removes the oldest segment while at most half of it is live, or, if all is set, until only the last
-// segment is left.
+// compact compacts the oldest segment again and again, while at most half of that segment is live. If all is set, it continues
+// until only the last segment is left.
 func (s *Store) compact(all bool, progress func(done, all int)) error {
 	first, last := s.firstSegment, s.lastSegment
 	for {
@@ -22,7 +22,7 @@
 	}
 }
 
-// compactionDue returns the number of the oldest segment, and whether that segment is to be compacted.
+// compactionDue returns the number of the oldest segment. due reports that this segment must be compacted.
 func (s *Store) compactionDue(all bool) (oldest uint64, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,7 +30,8 @@
 	return oldest, oldest < s.lastSegment && (all || s.liveBytes[oldest]*2 <= s.segmentBytes[oldest])
 }
 
-// compactSegment copies all records of the jobs that begin in the oldest segment to the last one, and removes the oldest one.
+// compactSegment compacts the oldest segment. It copies all records of the jobs whose first record is in that segment to the last
+// segment, and then removes the oldest segment.
 func (s *Store) compactSegment(oldest uint64) error {
 	records, moved, err := s.liveRecords(oldest)
 	if err != nil {
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// liveRecords returns the encoded records of all jobs whose first record is in a segment. moved holds the size of the records
-// of each job, in bytes.
+// liveRecords returns the encoded records of all jobs whose first record is in a segment, including the records of these jobs in
+// later segments. moved maps each job's ID to the size of the job's records in bytes.
 func (s *Store) liveRecords(segment uint64) (records []byte, moved map[string]int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,8 +75,9 @@
 	return records, moved, nil
 }
 
-// accountCompaction updates the recorded sizes after the jobs in moved were copied to the last segment, as a frame of
-// frameBytes (0 if there were no jobs), and the oldest segment was removed.
+// accountCompaction updates the sizes of segments and live records after a compaction, which has removed the oldest segment and
+// copied the records of the jobs in moved to the last segment. frameBytes is the size of the frame with the copied records; it is
+// 0 if no job was moved.
 func (s *Store) accountCompaction(oldest uint64, moved map[string]int, frameBytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -10,19 +10,20 @@
 	"syscall"
 )
 
-// Disk is a directory that a store owns. Tests use one that loses or tears unsynced data and returns errors.
+// Disk is a directory that a store owns. Tests use an implementation that loses or tears unsynced data and returns errors.
 type Disk interface {
-	// Lock locks the directory for this process until the closer is closed. It fails if another process has locked it.
+	// Lock locks the directory for this process until the returned Closer is closed. It fails if another process has locked the
+	// directory.
 	Lock() (io.Closer, error)
-	// List returns the names of the files, in alphabetical order.
+	// List returns the names of the files in the directory, in alphabetical order.
 	List() ([]string, error)
 	// Read returns the contents of a file.
 	Read(name string) ([]byte, error)
-	// Create creates a file, which must not exist yet. The new name is durable after SyncDir.
+	// Create creates a file. It fails if the file exists. The new name is durable after SyncDir.
 	Create(name string) (File, error)
 	// Remove removes a file. The removal is durable after SyncDir.
 	Remove(name string) error
-	// Truncate shortens a file to a size in bytes. The new size is durable when it returns.
+	// Truncate shortens a file to a size in bytes. The new size is durable when Truncate returns.
 	Truncate(name string, size int64) error
 	// SyncDir makes all earlier creations and removals of files durable.
 	SyncDir() error
@@ -31,7 +32,7 @@
 // File is a file that is open for appending.
 type File interface {
 	io.WriteCloser
-	// Sync makes all earlier writes durable.
+	// Sync makes all earlier writes to the file durable.
 	Sync() error
 }
 
@@ -45,8 +46,8 @@
 
 func (d Directory) path(name string) string { return filepath.Join(string(d), name) }
 
-// Lock implements Disk. It creates the directory if it is missing, and locks a file in it. The error wraps ErrLocked if
-// another process has locked that file.
+// Lock implements Disk. It creates the directory if it is missing, and locks the file named lockName in the directory. The error
+// wraps ErrLocked if another process has locked that file.
 func (d Directory) Lock() (io.Closer, error) {
 	if err := os.MkdirAll(string(d), dirMode); err != nil {
 		return nil, err
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,6 +1,6 @@
-// Package store keeps the records of durable batch jobs on disk, in a log that is split into segments. It assumes that data
-// that is not synced may be lost or torn in a crash, and that a failed sync can't be repaired by another one. Package leases
-// decides what the records of a job mean.
+// Package store keeps the records of durable batch jobs on disk, in a log that is split into segments. It assumes that a crash can
+// lose or tear data that is not synced, and that another sync can't repair a failed one. Package leases decides what the records
+// of a job mean.
 //
 // # Format
 //
@@ -10,23 +10,24 @@
 //	frame   = magic (4 bytes), length of the records (4 bytes), checksum (4 bytes), record ...
 //	record  = a CBOR map with integer keys
 //
-// Numbers are little-endian. The checksum is a CRC-32C of the length and the records. A frame holds the records that were
-// synced together, and is valid as a whole or not at all. So a disk that writes its pages in any order can't bring back some
-// of the records of a frame that was never acknowledged.
+// Numbers are little-endian. The checksum is a CRC-32C of the length and the records. A frame holds the records that were synced
+// together, and is valid as a whole or not at all. A disk can write its pages in any order, so a crash can leave a part of a frame
+// that was never acknowledged on disk. The checksum prevents recovery from using any record of such a frame.
 //
 // # Appending
 //
 // Append queues a record. One goroutine writes all queued records as one frame, syncs the file once and then calls the
-// records' callbacks. This is a group commit (commit.go). After a failed write or sync the store accepts no more records,
-// because it is unknown what has reached the disk.
+// records' callbacks. This is a group commit (commit.go). After a failed write or sync the store accepts no more records, because
+// it is unknown which data has reached the disk.
 //
 // # Recovery
 //
-// Open reads all segments (recovery.go, scan.go). A torn tail of the last segment is truncated: none of it was acknowledged.
-// Any other damage is a CorruptionError. New records are written to a new segment.
+// Open reads all segments (recovery.go, scan.go). A torn tail of the last segment is truncated, because no record in the tail was
+// acknowledged. Any other damage is an error, such as a CorruptionError. New records are written to a new segment.
 //
 // # Compaction
 //
-// When at most half of the oldest segment is live, all records of the jobs that begin in it are copied to the last segment,
-// and the oldest segment is removed (compaction.go). This happens between two commits, while the store is in use.
+// When at most half of the oldest segment is live, the segment is compacted (compaction.go): all records of the jobs whose first
+// record is in that segment are copied to the last segment, and the oldest segment is removed. This happens between two commits,
+// while the store is in use.
 package store
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	frameHeaderBytes = 12
-	maxFrameBytes    = 1 << 28 // limit of a frame's records; decodeFrame rejects longer frames
+	frameHeaderBytes = 12      // size of magic, length and checksum
+	maxFrameBytes    = 1 << 28 // largest size of a frame's records; decodeFrame rejects larger frames
 )
 
 var (
@@ -16,7 +16,7 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// checksum returns the checksum of a frame, which covers the encoded length and the records.
+// checksum returns the checksum of a frame. It covers the encoded length and the encoded records.
 func checksum(length, records []byte) uint32 {
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, records)
 }
@@ -30,8 +30,8 @@
 	return append(b, records...)
 }
 
-// decodeFrame decodes the frame at the start of b, calls visit with each of its records and the record's size in bytes, and
-// returns the size of the frame. The error is errTorn if b doesn't start with a complete, valid frame.
+// decodeFrame decodes the frame at the start of b and returns the frame's size in bytes. It calls visit with each record of the
+// frame and the record's size in bytes. The error is errTorn if b doesn't start with a complete frame with a correct checksum.
 func decodeFrame(b []byte, visit func(r Record, size int)) (size int, err error) {
 	records, ok := frameRecords(b)
 	if !ok {
@@ -62,8 +62,8 @@
 	return records, checksum(b[4:8], records) == binary.LittleEndian.Uint32(b[8:])
 }
 
-// containsFrame reports whether a complete frame begins anywhere in b after its first byte. If one follows a damaged frame, the
-// damage is not a torn tail: a frame is written only after the frame before it was synced.
+// containsFrame reports whether a complete, valid frame begins anywhere in b after the first byte. If such a frame follows a
+// damaged frame, the damage is not a torn tail, because a frame is written only after the previous frame was synced.
 func containsFrame(b []byte) bool {
 	for at := 1; ; {
 		next := bytes.Index(b[at:], frameMagic[:])
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -7,21 +7,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind is a kind of record. The numbers are part of the format.
+// Kind is a kind of record. The numeric values are part of the format on disk.
 type Kind uint8
 
 // The kinds of records, in the order in which they are written for a job.
 const (
 	Accepted       Kind = iota + 1 // the batch job was accepted
 	AttemptStarted                 // an attempt is about to be sent
-	AttemptEnded                   // an attempt has ended; NeverRan is set if it is known not to have run
+	AttemptEnded                   // an attempt has ended; Record.NeverRan is set if the attempt is known not to have run
 	Final                          // the batch job has its final answer
-	Released                       // the batch job is no longer needed, and all of its records are obsolete
+	Released                       // the batch job is no longer needed, and all of the job's records are obsolete
 )
 
 var kindNames = [...]string{"", "accepted", "sent", "over", "final", "let go"}
 
-// String returns the kind's name, as operators see it in the output of commands.
+// String returns the name of the kind in the output of operators' commands.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -29,8 +29,8 @@
 	return "unknown"
 }
 
-// Record is one record of a batch job in the store. Its kind determines which fields are used. Times are those of the
-// wall clock, rounded to microseconds. The integer keys are part of the format.
+// Record is one record of a batch job in the store. The record's kind determines which fields are used. Times are wall-clock
+// times, and are rounded to microseconds on disk. The integer keys are part of the format on disk.
 type Record struct {
 	Kind Kind      `cbor:"1,keyasint"`
 	ID   string    `cbor:"2,keyasint"` // ID of the batch job
@@ -39,7 +39,7 @@
 	// The request of the batch job; set in Accepted records.
 	JobClass       string        `cbor:"4,keyasint,omitempty"`
 	Deadline       time.Time     `cbor:"5,keyasint,omitzero"`
-	Work           time.Duration `cbor:"6,keyasint,omitempty"` // the client's estimate; 0 if it gave none
+	Work           time.Duration `cbor:"6,keyasint,omitempty"` // the client's estimate of the work; 0 if the client gave none
 	URI            string        `cbor:"7,keyasint,omitempty"`
 	Host           string        `cbor:"8,keyasint,omitempty"`
 	ContentType    string        `cbor:"9,keyasint,omitempty"`
@@ -51,16 +51,16 @@
 	Executor string `cbor:"13,keyasint,omitempty"`
 	NeverRan bool   `cbor:"14,keyasint,omitempty"` // the attempt is known not to have run; set in AttemptEnded records only
 
-	Outcome uint8 `cbor:"15,keyasint,omitempty"` // kind of the final answer, as numbered by package leases; set in Final records
+	Outcome uint8 `cbor:"15,keyasint,omitempty"` // the leases.Outcome of the final answer; set in Final records
 }
 
-const maxRecordBytes = 1 << 20
+const maxRecordBytes = 1 << 20 // largest size of an encoded record
 
 // recordEncoding encodes times as floating-point seconds, rounded to microseconds.
 var recordEncoding = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeUnixMicro}.EncMode()
 	if err != nil {
-		panic(err) // can't happen with these constant options
+		panic(err) // can't happen, because the options are constant and valid
 	}
 	return mode
 }()
@@ -77,7 +77,7 @@
 	return append(b, encoded...), nil
 }
 
-// decodeRecord decodes the record at the start of b, and returns the bytes that follow it.
+// decodeRecord decodes the record at the start of b. rest holds the bytes after the record.
 func decodeRecord(b []byte) (r Record, rest []byte, err error) {
 	rest, err = cbor.UnmarshalFirst(b, &r)
 	if err != nil {
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// recoverSegments reads all segments and starts a new one, so that nothing is appended to a segment that a crash may have
-// left incomplete.
+// recoverSegments reads all segments and starts a new segment. Records are appended only to the new segment, because a crash may
+// have left the others incomplete.
 func (s *Store) recoverSegments() error {
 	segments, err := Scan(s.disk, s.apply)
 	if err != nil {
@@ -20,8 +20,9 @@
 	return s.startSegment()
 }
 
-// recoverSegment adds a segment that Scan has found to the store, and truncates its torn tail, if there is one. A segment
-// without a complete header is removed instead: the crash came while it was being created, so it holds no records.
+// recoverSegment adds a segment that Scan has found to the store, and truncates the segment's torn tail, if there is one. A segment
+// without a complete header is removed instead. Such a segment holds no records, because the crash came while the segment was
+// being created.
 func (s *Store) recoverSegment(segment Segment) error {
 	if segment.Torn && segment.CompleteBytes == 0 {
 		s.lastSegment = segment.Number - 1
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// startSegment creates the next segment. Its header and its file name are synced before any record is written to it.
+// startSegment creates the next segment. The segment's header and file name are synced before any record is written to it.
 func (s *Store) startSegment() error {
 	number := s.lastSegment + 1
 	file, err := s.disk.Create(segmentName(number))
--- a/internal/store/scan.go
+++ b/internal/store/scan.go
@@ -7,15 +7,15 @@
 
 // Segment describes a segment that was scanned.
 type Segment struct {
-	Name          string // file name
+	Name          string // file name of the segment
 	Number        uint64
 	Records       int   // number of records in complete frames
-	CompleteBytes int64 // size up to the end of the last complete frame; 0 if not even the header is complete
-	Torn          bool  // the last frame, or the header, is incomplete
+	CompleteBytes int64 // size up to the end of the last complete frame; 0 if the segment's header is incomplete
+	Torn          bool  // the last frame or the segment's header is incomplete
 }
 
-// Scan reads all segments in order and calls visit with every record and its size in bytes. Only the last segment may have a
-// torn tail. If anything else is damaged or missing, the error names the segment.
+// Scan reads all segments in order and calls visit with every record and the record's size in bytes. A torn tail is allowed only in
+// the last segment. If anything else is damaged or missing, the error names the segment.
 func Scan(disk Disk, visit func(segment uint64, r Record, size int)) (segments []Segment, err error) {
 	numbers, err := segmentNumbers(disk)
 	if err != nil {
@@ -56,7 +56,7 @@
 		return segment, err
 	}
 	if err := checkSegmentHeader(b, number); err != nil {
-		if last && errors.Is(err, errTorn) { // a crash came while the segment was being created
+		if last && errors.Is(err, errTorn) { // the process crashed while it created the segment
 			segment.Torn = true
 			return segment, nil
 		}
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%0*d%s", segmentDigits, number, segmentSuffix)
 }
 
-// segmentNumber parses the number of a segment from its file name. ok is false if a file of that name is no segment.
+// segmentNumber parses the number of a segment from the segment's file name. ok is false if the name is not that of a segment.
 func segmentNumber(name string) (number uint64, ok bool) {
 	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	number, err := strconv.ParseUint(digits, 10, 64)
@@ -35,8 +35,8 @@
 	return binary.LittleEndian.AppendUint64(b, number)
 }
 
-// checkSegmentHeader checks that b begins with the header of the segment of that number. The error is errTorn if the header
-// is not complete.
+// checkSegmentHeader checks that b begins with a valid header, and that the header has the given segment number. The error is
+// errTorn if the header is not complete.
 func checkSegmentHeader(b []byte, number uint64) error {
 	if len(b) < segmentHeaderBytes {
 		return errTorn
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// JobState is the state of a batch job that results from its records.
+// JobState is the state of a batch job, as it results from the job's records.
 type JobState struct {
-	Accepted *Record   // the record of acceptance; immutable
-	Attempts []Attempt // in the order in which they were recorded
-	Final    *Record   // the record of the final answer; nil until there is one
+	Accepted *Record   // the job's Accepted record; immutable
+	Attempts []Attempt // the job's attempts, in the order of their AttemptStarted records
+	Final    *Record   // the job's Final record; nil while the job has no final answer
 }
 
-// Attempt is the state of one attempt, which is recorded before the attempt is sent.
+// Attempt is the state of one attempt. An attempt is recorded before it is sent.
 type Attempt struct {
 	Epoch    uint32
 	Executor string
-	At       time.Time // when it was recorded
-	Ended    bool
-	NeverRan bool // the attempt is known not to have run
+	At       time.Time // time of the attempt's AttemptStarted record
+	Ended    bool      // the attempt has an AttemptEnded record
+	NeverRan bool      // the attempt is known not to have run
 }
 
-// JobStates are the states of all batch jobs, by ID.
+// JobStates holds the states of batch jobs by job ID.
 type JobStates map[string]*JobState
 
-// Apply applies a record to the state of its job. Records must be applied in the order of the log. A record of a job that was
-// never accepted, or was released, has no effect unless it accepts the job.
+// Apply applies a record to the state of the record's job. Records must be applied in the order of the log. If the job is unknown,
+// because it was never accepted or was released, only an Accepted record has an effect.
 func (s JobStates) Apply(r Record) {
 	job := s[r.ID]
 	if job == nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// attempt returns the attempt that has an epoch, or nil.
+// attempt returns the attempt with this epoch, or nil if there is none.
 func (s *JobState) attempt(epoch uint32) *Attempt {
 	for i := range s.Attempts {
 		if s.Attempts[i].Epoch == epoch {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Records returns records, in order, from which Apply restores the state.
+// Records returns records that restore the state when Apply is called with each of them in this order.
 func (s *JobState) Records() []Record {
 	records := []Record{*s.Accepted}
 	for _, a := range s.Attempts {
@@ -76,7 +76,7 @@
 	return records
 }
 
-// clone returns a copy that doesn't share its list of attempts. The records of the copy are shared.
+// clone returns a copy of the state. The copy has its own list of attempts, but shares the Accepted and Final records with s.
 func (s *JobState) clone() JobState {
 	c := *s
 	c.Attempts = append([]Attempt(nil), s.Attempts...)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -6,12 +6,13 @@
 	"sync"
 )
 
-// Options limit the size of a store and of its segments.
+// Options holds the size limits of a store.
 type Options struct {
-	// SegmentBytes is the approximate size of a segment in bytes. The commit that reaches it starts a new segment; compaction
-	// may exceed it.
+	// SegmentBytes is the approximate size of a segment in bytes. A commit starts a new segment if the last segment has reached
+	// this size. Compaction can make the last segment larger.
 	SegmentBytes int64
-	// MaxBytes is the size of all segments and pending records in bytes above which no new job is accepted; 0 for no limit.
+	// MaxBytes limits the total size of segments and pending records in bytes. Above it, no new job is accepted. 0 means no
+	// limit.
 	MaxBytes int64
 }
 
@@ -21,22 +22,22 @@
 	options Options
 	lock    io.Closer
 
-	file File // the last segment; used by commitLoop, or by Compact while nothing else uses the store
+	file File // file of the last segment; used only by commitLoop, and by Compact while nothing else uses the store
 
 	mu           sync.Mutex
-	wakeup       *sync.Cond     // signaled when pending grows, or closing is set
-	pending      []pendingWrite // records that the next commit writes
+	wakeup       *sync.Cond     // signaled when pending grows or closing is set
+	pending      []pendingWrite // records that the next commit will write
 	closing      bool           // Close has been called
 	failed       error          // the error that made the store fail, wrapping ErrFailed; nil if it has not failed
 	jobs         JobStates
-	extents      map[string][]extent // the segments that hold live records of each job, in ascending order
-	liveBytes    map[uint64]int64    // size of the live records in each segment
-	segmentBytes map[uint64]int64    // size of each segment
+	extents      map[string][]extent // extents by job ID, in ascending order of segments
+	liveBytes    map[uint64]int64    // size of the live records in each segment, by segment number
+	segmentBytes map[uint64]int64    // size of each segment, by segment number
 	firstSegment uint64              // number of the oldest segment
-	lastSegment  uint64              // number of the segment that is written to
-	syncs        int                 // frames synced since the store was opened, except by compaction
+	lastSegment  uint64              // number of the newest segment, to which records are written
+	syncs        int                 // number of frames synced since the store was opened, not counting those of compaction
 
-	done chan struct{} // closed when commitLoop has returned
+	done chan struct{} // closed when commitLoop returns
 }
 
 // extent is the size of a job's live records in one segment.
@@ -45,7 +46,8 @@
 	bytes   int
 }
 
-// Open opens a store, or creates one in an empty directory. A torn tail is truncated; other damage is returned as an error.
+// Open opens a store, or creates one in an empty directory. A torn tail of the last segment is truncated. Any other damage is
+// returned as an error.
 func Open(disk Disk, options Options) (*Store, error) {
 	lock, err := disk.Lock()
 	if err != nil {
@@ -83,7 +85,7 @@
 	return errors.Join(s.file.Close(), s.lock.Close())
 }
 
-// Get returns the state of a batch job on disk, and false if the store has no such job.
+// Get returns the state of a batch job, as it is on disk. It returns false if the store has no such job.
 func (s *Store) Get(id string) (JobState, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +113,7 @@
 	Jobs     int
 	Bytes    int64 // total size of all segments
 	Segments int
-	Syncs    int   // frames synced since the store was opened, except by compaction
+	Syncs    int   // number of frames synced since the store was opened, not counting those of compaction
 	Failed   error // the error that made the store fail, wrapping ErrFailed; nil if it has not failed
 }
 
@@ -136,7 +138,8 @@
 	return total
 }
 
-// apply applies a record to the state of its job, and updates the sizes of live records. size is the record's size on disk.
+// apply applies a record to the state of the record's job, and updates the sizes of live records. size is the record's size on disk
+// in bytes.
 func (s *Store) apply(segment uint64, r Record, size int) {
 	s.jobs.Apply(r)
 	if s.jobs[r.ID] == nil {
@@ -152,7 +155,7 @@
 	s.liveBytes[segment] += int64(size)
 }
 
-// dropExtents counts the records of a job as no longer live.
+// dropExtents removes a job's extents, so that the job's records no longer count as live.
 func (s *Store) dropExtents(id string) {
 	for _, e := range s.extents[id] {
 		s.liveBytes[e.segment] -= int64(e.bytes)
