--- a/cmd/birchstair/config.go
+++ b/cmd/birchstair/config.go
@@ -11,7 +11,7 @@
 	"birchstair/internal/site"
 )
 
-// configCmd works on the configuration, without a node.
+// configCmd has the commands for the configuration. They need no running node.
 type configCmd struct {
 	Check checkCmd `cmd:"" help:"Read the configuration and report errors in it."`
 }
@@ -21,7 +21,7 @@
 	Site string `type:"path" placeholder:"FILE" help:"The operator's site file, which is checked too."`
 }
 
-// Run checks the configuration and the site file, and prints limits and options that result from them.
+// Run checks the configuration and the site file, and prints the limits and options that result from both.
 func (c checkCmd) Run() error {
 	node, err := readNodeConfig(os.Getenv, time.Now())
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// onOff returns a boolean as it is printed.
+// onOff returns "on" or "off", the printed form of a boolean.
 func onOff(on bool) string {
 	if on {
 		return "on"
@@ -61,15 +61,15 @@
 	return "off"
 }
 
-// nodeConfig is the node's configuration, which the platform writes.
+// nodeConfig is the node's configuration. The platform writes the configuration file.
 type nodeConfig struct {
 	config.Config
-	names  discovery.Names
+	names  discovery.Names      // decodes names and times in endpoint lists
 	cached discovery.CachedList // the endpoint list that was last cached for this node
 }
 
-// readNodeConfig reads the configuration file that the environment names. Times of day in it are converted to durations since
-// start.
+// readNodeConfig reads the configuration file that the environment names. Wall-clock times in the file are converted to durations
+// since start.
 func readNodeConfig(env func(string) string, start time.Time) (c nodeConfig, err error) {
 	if c.Config, err = config.Read(env); err != nil {
 		return c, err
@@ -79,8 +79,8 @@
 	return c, err
 }
 
-// readSite reads the operator's site file and checks it against the node's configuration. Without a file name it returns the
-// defaults.
+// readSite reads the operator's site file and checks that the file's settings fit the node's memory. If the file name is empty,
+// readSite returns the defaults.
 func readSite(file string, c nodeConfig) (site.Config, error) {
 	siteConfig, err := site.Read(file)
 	if err == nil {
@@ -89,7 +89,7 @@
 	return siteConfig, err
 }
 
-// reservePeerDescriptors reserves file descriptors for gossip, if the site file turns gossip on.
+// reservePeerDescriptors reserves file descriptors for gossip if the site file turns gossip on.
 func (c *nodeConfig) reservePeerDescriptors(siteConfig site.Config) {
 	if siteConfig.Cluster != nil {
 		c.PeerDescriptors = gossip.MaxDescriptors
--- a/cmd/birchstair/listen.go
+++ b/cmd/birchstair/listen.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// acceptTimeout bounds how long an accept on an inherited socket may block a thread.
+// acceptTimeout bounds how long an accept on an inherited socket can block a thread.
 const acceptTimeout = 50 * time.Millisecond
 
-// listen returns the listener for clients, on the inherited socket if there is one and on a new socket otherwise.
+// listen returns the listener for clients. It uses the inherited socket if there is one, and a new socket otherwise.
 func listen(c nodeConfig) (net.Listener, error) {
 	if c.ListenFD == 0 {
 		return net.Listen("tcp", c.Listen)
 	}
 	inherited := os.NewFile(uintptr(c.ListenFD), "ROUTER_LISTEN_FD")
 	defer inherited.Close() //nolint:errcheck // the listener has a descriptor of its own
-	// All processes that hold a socket share its blocking mode, so another process may have made this one blocking. Without
-	// a timeout, a thread that is blocked in accept would accept one more connection after this process has stopped accepting.
+	// All processes that hold a socket share the socket's blocking mode, so another process may have made this socket blocking.
+	// Without a timeout, a thread that is blocked in accept would accept one more connection after this process has stopped
+	// accepting.
 	timeout := syscall.Timeval{Usec: int64(acceptTimeout / time.Microsecond)}
 	if err := syscall.SetsockoptTimeval(c.ListenFD, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &timeout); err != nil {
 		return nil, fmt.Errorf("ROUTER_LISTEN_FD: %d is not a socket: %w", c.ListenFD, err)
--- a/cmd/birchstair/main.go
+++ b/cmd/birchstair/main.go
@@ -1,5 +1,5 @@
-// Birchstair runs a node, which accepts batch jobs from clients and dispatches them to executors, and has commands to operate
-// it.
+// Birchstair runs a node, which accepts batch jobs from clients and dispatches them to executors. It also has commands to operate
+// a node.
 package main
 
 import (
@@ -15,7 +15,7 @@
 
 const version = "0.1.0"
 
-// commands defines the program's commands and flags. kong derives their names from the names of the fields.
+// commands defines the program's commands and flags. kong derives the names of commands and flags from the names of the fields.
 var commands struct {
 	Serve   serveCmd   `cmd:"" help:"Run the node until SIGTERM."`
 	Config  configCmd  `cmd:"" help:"Work with the configuration."`
--- a/cmd/birchstair/ops.go
+++ b/cmd/birchstair/ops.go
@@ -29,7 +29,7 @@
 }
 
 type (
-	simpleCmd   struct{} // a command without arguments that prints ok
+	simpleCmd   struct{} // a command without arguments; it prints "ok" on success
 	varsCmd     struct{}
 	fleetCmd    struct{}
 	executorCmd struct {
@@ -37,13 +37,13 @@
 	}
 )
 
-// commandName is the name of the command that runs. The subcommands of ops have the same names in the node's protocol.
+// commandName is the name of the subcommand that was selected. The subcommands of ops have the same names in the node's protocol.
 type commandName string
 
-// Run sends the command.
+// Run sends a command without arguments.
 func (simpleCmd) Run(ops *opsCmd, name commandName) error { return ops.run(name, "") }
 
-// Run sends the command for an executor.
+// Run sends a command that names an executor.
 func (c executorCmd) Run(ops *opsCmd, name commandName) error {
 	return ops.run(name, policy.ExecutorID(c.ID))
 }
@@ -80,7 +80,8 @@
 	return admin.Call(addr, command, executor, c.Wait)
 }
 
-// address returns the node's management address from the flag, the environment or the configuration, in this order.
+// address returns the node's management address. It uses the first of these that is set: the flag, the environment variable, the
+// setting in the configuration file.
 func (c *opsCmd) address() (string, error) {
 	addr := cmp.Or(c.At, os.Getenv("ROUTER_MANAGEMENT"))
 	if addr == "" && os.Getenv("ROUTER_CONFIG") != "" {
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -35,9 +35,9 @@
 )
 
 const (
-	// logBuffer is how many log lines are buffered until they are written. Further lines are dropped and counted.
+	// logBuffer is the largest number of log lines that wait to be written. Lines beyond that are dropped and counted.
 	logBuffer = 1000
-	// maxSendDelay is how long it may take from the decision to send an attempt until its first byte is written.
+	// maxSendDelay is the longest time from the decision to send an attempt until the attempt's first byte is written.
 	maxSendDelay = 100 * time.Millisecond
 )
 
@@ -54,14 +54,14 @@
 	if err != nil {
 		return err
 	}
-	// The event loop logs, and must not block on standard error.
+	// The event loop writes log lines and must not block on standard error, so the lines are buffered.
 	out := diode.NewWriter(unclosable{os.Stderr}, logBuffer, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "%d lines of the log were left out\n", missed)
 	})
 	defer func() { err = errors.Join(err, out.Close()) }()
 	log := zerolog.New(out).With().Timestamp().Str("node", conf.Name).Logger()
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(log) // for net/http, which uses the standard logger
+	stdlog.SetOutput(log) // net/http uses the standard logger
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	siteConfig, err := readSite(c.Site, conf)
@@ -74,8 +74,8 @@
 // unclosable hides the Close method of a writer, so that standard error stays open after the log is closed.
 type unclosable struct{ io.Writer }
 
-// serve runs a node until the context ends and all batch jobs are answered. On each value from reloads it reloads the
-// configuration by calling read.
+// serve runs a node until the context has ended and all batch jobs are answered. For each value from reloads, it calls read and
+// applies the configuration that read returns.
 func serve(ctx context.Context, conf nodeConfig, siteConfig site.Config, reloads <-chan os.Signal, read func() (nodeConfig, error),
 	start time.Time, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(conf.Cores)))
@@ -113,8 +113,8 @@
 	return service.Run(ctx, o, events)
 }
 
-// limitMemory sets the Go runtime's soft memory limit to three quarters of the memory that the node may use, or to half of that
-// while another process of the node is running.
+// limitMemory sets the Go runtime's soft memory limit to three quarters of the memory that the node is allowed to use. If half is
+// set, the limit is half as high, because another process of the node is running.
 func limitMemory(bytes int64, half bool) {
 	processes := int64(1)
 	if half {
@@ -123,7 +123,8 @@
 	debug.SetMemoryLimit(bytes * 3 / 4 / processes)
 }
 
-// dialPredecessor connects to the process of this node that is already running. It returns nil if there is none.
+// dialPredecessor connects to a process of this node that is already running. It returns nil if there is no such process, or if
+// dir is empty.
 func dialPredecessor(dir string, log zerolog.Logger) net.Conn {
 	if dir == "" {
 		return nil
@@ -136,8 +137,8 @@
 	return predecessor
 }
 
-// addParts adds the parts of the node that the configuration and the site file turn on, and changes the policy's settings
-// accordingly.
+// addParts adds the parts of the node that the configuration and the site file turn on, and adapts the policy's settings to these
+// parts.
 func addParts(o *service.Options, conf *nodeConfig, siteConfig site.Config) (err error) {
 	if conf.AdminAddr != "" {
 		if o.AdminListener, err = net.Listen("tcp", conf.AdminAddr); err != nil {
@@ -158,7 +159,7 @@
 	return err
 }
 
-// addLimits sets the node's limits.
+// addLimits sets the limits in o from the configuration.
 func addLimits(o *service.Options, conf nodeConfig) {
 	clients, executors := conf.ConnLimits()
 	clientsShared, executorsShared := conf.HandoffConnLimits()
@@ -179,7 +180,7 @@
 	}
 }
 
-// openDurable opens the store of durable batch jobs.
+// openDurable opens the store of durable batch jobs and returns the manager of these jobs.
 func openDurable(settings *site.Durable, conf nodeConfig, log zerolog.Logger) (*durable.Manager, error) {
 	s, err := store.Open(store.Directory(settings.Dir),
 		store.Options{SegmentBytes: int64(settings.SegmentSize), MaxBytes: int64(settings.MaxSize)})
@@ -216,8 +217,8 @@
 	return &service.Cluster{Settings: s, Options: o}, err
 }
 
-// reloadConfig reads the configuration again and returns the event that applies it. A configuration with which the node
-// could not start changes nothing. The event names the changed settings that need a restart.
+// reloadConfig reads the configuration again and returns the event that applies it. If the configuration can't be read or lacks a
+// key that conf has, the event only reports the error. Otherwise it also names the changed settings that need a restart.
 func reloadConfig(conf *nodeConfig, siteConfig site.Config, read func() (nodeConfig, error)) node.ConfigReloaded {
 	next, err := read()
 	if err == nil {
--- a/cmd/birchstair/store.go
+++ b/cmd/birchstair/store.go
@@ -13,7 +13,7 @@
 	"birchstair/internal/store"
 )
 
-// storeCmd inspects or compacts the store of durable batch jobs, which no node may use meanwhile.
+// storeCmd has the commands that inspect or compact the store of durable batch jobs. They fail while a node uses the store.
 type storeCmd struct {
 	Check   storeCheckCmd   `cmd:"" help:"Read all records and report damage."`
 	List    storeListCmd    `cmd:"" help:"List the batch jobs in the store."`
@@ -37,7 +37,7 @@
 	}
 )
 
-// progressInterval is how often a scan reports on standard error.
+// progressInterval is the interval between a scan's progress reports on standard error.
 const progressInterval = time.Second
 
 // scanLocked locks a store and calls visit for each of its records. It reports progress on standard error.
@@ -58,7 +58,7 @@
 	})
 }
 
-// Run reads all records, prints the segments and reports damage.
+// Run reads all records, prints a line for each segment and reports damage.
 func (c storeCheckCmd) Run() error {
 	segments, err := scanLocked(c.Dir, func(store.Record) {})
 	for _, s := range segments {
@@ -78,15 +78,15 @@
 	return nil
 }
 
-// Run prints a line for each batch job.
+// Run prints a line for each batch job in the store.
 func (c storeListCmd) Run() error {
 	states := store.JobStates{}
 	if _, err := scanLocked(c.Dir, states.Apply); err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	// Operators' scripts parse this output, so the column names stay: TRACK is the job class, HANDED IN the time of
-	// acceptance, OUTER LIMIT the deadline, SENT the number of attempts.
+	// Operators' scripts parse this output, so the column names must not change. TRACK is the job class, HANDED IN is the time
+	// of acceptance, OUTER LIMIT is the deadline, and SENT is the number of attempts.
 	fmt.Fprintln(w, "ID\tTRACK\tHANDED IN\tOUTER LIMIT\tSENT\tLAST RECORD")
 	for _, id := range slices.Sorted(maps.Keys(states)) {
 		state := states[id]
@@ -100,11 +100,11 @@
 // formatTime formats the time of a record.
 func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05.000") }
 
-// outcomeNames are the printed names of final answers, indexed by leases.Outcome. Operators' scripts parse them, so they stay:
-// "handled" is leases.Succeeded, "pushed back" leases.Rejected, "broken off" leases.Failed.
+// outcomeNames holds the printed names of final answers, indexed by leases.Outcome. Operators' scripts parse the names, so the names
+// must not change. "handled" is leases.Succeeded, "pushed back" is leases.Rejected, and "broken off" is leases.Failed.
 var outcomeNames = [...]string{"handled", "pushed back", "broken off"}
 
-// describeRecord returns a record's kind and its most important values.
+// describeRecord returns the kind and the most important values of a record, as operators see them.
 func describeRecord(r store.Record) string {
 	s := r.Kind.String()
 	switch r.Kind {
@@ -133,8 +133,8 @@
 		found = true
 		line := formatTime(r.At) + "  " + describeRecord(r)
 		if r.Kind == store.Accepted {
-			// Operators' scripts parse the labels, so they stay: "track" is the job class, "outer limit" the deadline, "tag" the
-			// idempotency key.
+			// Operators' scripts parse the labels, so the labels must not change. "track" is the job class, "outer limit" is the
+			// deadline, and "tag" is the idempotency key.
 			line += fmt.Sprintf(": track %s, outer limit %s, %s, %d bytes", r.JobClass, formatTime(r.Deadline), r.URI, len(r.Body))
 			if r.IdempotencyKey != "" {
 				line += ", tag " + r.IdempotencyKey
