--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -61,7 +61,7 @@
 	defer func() { err = errors.Join(err, out.Close()) }()
 	log := zerolog.New(out).With().Timestamp().Str("node", conf.Name).Logger()
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(log) // net/http uses the standard logger
+	stdlog.SetOutput(log) // net/http logs to the standard logger
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	siteConfig, err := readSite(c.Site, conf)
@@ -82,7 +82,7 @@
 	limitMemory(conf.MemoryBytes, false)
 	listener, err := listen(conf)
 	if err != nil {
-		return err // the error names the address
+		return err // returned unwrapped, because the error already names the address
 	}
 	o := service.Options{
 		DiscoveryAddr:   conf.Discovery,
@@ -147,13 +147,13 @@
 	}
 	conf.reservePeerDescriptors(siteConfig)
 	p := &conf.Settings.Policy
-	p.MayLease = conf.Settings.MayGossip && siteConfig.Cluster != nil // leases are agreed on by gossip
+	p.MayLease = conf.Settings.MayGossip && siteConfig.Cluster != nil // nodes agree on leases by gossip
 	if siteConfig.Durable != nil {
 		if o.Durable, err = openDurable(siteConfig.Durable, *conf, o.Log); err != nil {
 			return err
 		}
 		*p = durable.AddClasses(*p, time.Duration(siteConfig.Durable.MaxDeadline))
-		p.MayHedge = false // an executor's lease on a job is exclusive
+		p.MayHedge = false // hedging is off, because an executor's lease on a job is exclusive
 	}
 	o.Cluster, err = clusterOptions(siteConfig.Cluster, *conf, o.StartTime)
 	return err
--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -7,8 +7,8 @@
 // Manager stands between the node's state machine and two interfaces: node.Frontend, through which the state machine reaches
 // clients, and node.Upstream, through which it reaches executors. Manager sends an attempt to an executor only after a record
 // with the attempt's epoch is synced. The epoch is a fencing token: after a restart, the node queries executors that support
-// leases about the last epoch of a job. An executor that has not started that epoch must refuse it from then on. Package leases
-// decides which effects follow from an event, and this package carries out these effects.
+// leases about the last epoch of a job. If an executor has not started that epoch when it is queried, it must refuse the epoch from
+// then on. Package leases decides which effects follow from an event, and this package carries out these effects.
 //
 //   - http.go: the HTTP handler, which also validates clients' requests
 //   - codec.go: response bodies, and the mapping of errors to responses
--- a/internal/durable/lease_query.go
+++ b/internal/durable/lease_query.go
@@ -88,7 +88,7 @@
 // leaseResponse is an executor's response to a lease query.
 type leaseResponse struct {
 	State  string `json:"state"`  // a key of leaseStates
-	Result []byte `json:"result"` // the attempt's result, if it has finished
+	Result []byte `json:"result"` // the attempt's result; empty unless the attempt has finished
 }
 
 // leaseStates maps the states on the wire to query results. An unknown state is mapped to QueryUnanswered, which is the zero
--- a/internal/durable/submit.go
+++ b/internal/durable/submit.go
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// sameJob reports whether two submissions have the same class, idempotency key, URI and body. The deadline may differ.
+// sameJob reports whether two submissions have the same class, idempotency key, URI and body. It does not compare other fields,
+// such as the deadline.
 func sameJob(a, b *store.Record) bool {
 	return a.JobClass == b.JobClass && a.IdempotencyKey == b.IdempotencyKey && a.URI == b.URI && bytes.Equal(a.Body, b.Body)
 }
--- a/internal/frontend/client_conn.go
+++ b/internal/frontend/client_conn.go
@@ -30,18 +30,18 @@
 	framer         requestFramer
 	requestCount   int       // number of requests passed to the handler
 	answeredCount  int       // number of requests that are answered
-	deadline       time.Time // the read deadline that net/http has set; zero for none
+	deadline       time.Time // the read deadline that net/http has set; zero if it has set none
 	closeMode      closeMode
 	finalCheckDone bool // the last read before a close has started, and has not returned a byte
 
 	client          *waitingClient // the client whose answer is pending; nil if no answer is pending
-	gotFirstByte    bool           // net/http's background read has returned one byte, so net/http would miss a close
+	gotFirstByte    bool           // net/http's background read has returned one byte; net/http does not notice a close after it
 	readAhead       *readAhead     // bytes read while an answer was pending; nil if there are none
-	sharedReadAhead *atomic.Int64  // how many of maxSharedReadAhead bytes no connection has reserved
+	sharedReadAhead *atomic.Int64  // bytes of maxSharedReadAhead that are still available to all connections
 	closed          bool           // net/http has closed the connection
 }
 
-// closeMode says whether a connection is to be closed, and whether the close may lose a part of a request that has arrived.
+// closeMode says whether a connection must be closed, and whether a request that has arrived only in part keeps it open.
 type closeMode int
 
 const (
@@ -77,7 +77,7 @@
 func (c *clientConn) canClose() bool {
 	f := &c.framer
 	switch {
-	case f.stopped && f.completeHeads > c.answeredCount: // the framer can't find the end of this request
+	case f.stopped && f.completeHeads > c.answeredCount: // the framer can't find the end of the request that is being read
 		return false
 	case c.closeMode == closeIfIncomplete:
 		return f.completeHeads == c.answeredCount || f.completeHeads == c.answeredCount+1 && f.bodyRemaining > 0
--- a/internal/frontend/codec.go
+++ b/internal/frontend/codec.go
@@ -30,8 +30,8 @@
 	idleTimeout  = 5 * time.Minute // limit for the time that a connection is idle between requests
 )
 
-// singleHeaders are the headers that may occur only once in a request. If one occurred twice, the node and the executor
-// could use different values.
+// singleHeaders are the headers that must not occur more than once in a request. If a header occurred twice, the node and the
+// executor could use different values.
 var singleHeaders = [...]string{"X-Call-Id", "X-Call-Class", "X-Budget-Ms", "X-Call-Cost", "X-Again", "Idempotency-Key"}
 
 // requestError is the answer to a request that is not a valid batch job.
@@ -128,7 +128,7 @@
 	return job, nil
 }
 
-// decodeBudget decodes how long a client waits for its answer. The result is at most the job class's deadline.
+// decodeBudget decodes how long a client waits for its answer, in milliseconds. The result is at most the job class's deadline.
 func decodeBudget(text string, deadline time.Duration) (time.Duration, *requestError) {
 	ms, err := strconv.ParseInt(text, 10, 32)
 	if err != nil || ms <= 0 {
--- a/internal/frontend/conn_table.go
+++ b/internal/frontend/conn_table.go
@@ -16,8 +16,13 @@
 }
 
 const (
-	newConnDivisor  = 4 // if more than 1/4 of the limit are new connections, they are evicted before idle ones
-	overflowDivisor = 8 // connections are accepted up to 1/8 over the limit, so that older ones can be evicted for them
+	// The connection limit is divided by newConnDivisor. If there are more new connections than the result, new connections are
+	// evicted before idle ones.
+	newConnDivisor = 4
+
+	// The connection limit is divided by overflowDivisor. The result is how many connections are accepted beyond the limit, so that
+	// older connections can be evicted for them.
+	overflowDivisor = 8
 )
 
 // connTable keeps the number of open connections within its limit. During a flood of connections that send nothing, or one
@@ -41,19 +46,19 @@
 type connTable struct {
 	net.Listener
 	limits          ConnLimits
-	sharedReadAhead atomic.Int64 // how many of maxSharedReadAhead bytes no connection has reserved
+	sharedReadAhead atomic.Int64 // bytes of maxSharedReadAhead that are still available to all connections
 
 	mu           sync.Mutex
 	changed      *sync.Cond // signaled when open, acceptLimit, acceptPaused, closed or closingConns may have changed
 	open         int        // number of open connections, including those in closingConns
 	entries      map[net.Conn]*connEntry
-	newConns     *list.List // of *connEntry, oldest first
-	idleConns    *list.List // of *connEntry, longest idle first
-	closingConns *list.List // of *connEntry
+	newConns     *list.List // new connections (*connEntry), oldest first
+	idleConns    *list.List // idle connections (*connEntry), longest idle first
+	closingConns *list.List // connections that are being closed (*connEntry)
 
 	maxConns    int // the limit in effect: limits.Max or limits.MaxShared
 	acceptLimit int // number of open connections at which accepting stops
-	maxNew      int // if there are more new connections than this, they are evicted before idle ones
+	maxNew      int // new connections are evicted before idle ones if there are more new connections than this
 
 	lameDuck         bool // the node is shutting down, and connections are closed when they become idle
 	shuttingDown     bool // closeIdleAndWait has been called, because the server is closing
@@ -139,7 +144,7 @@
 	defer t.mu.Unlock()
 	if e := t.entries[c]; e != nil {
 		e.hadJob = true
-		t.moveTo(e, nil) // this also cancels a close of the connection; evict then chooses another one
+		t.moveTo(e, nil) // moveTo also cancels a started close of this connection; evict then closes another one
 		t.evict()
 	}
 	return t.excess() > 0
@@ -226,8 +231,9 @@
 // excess returns the number of open connections above the limit. Connections that are being closed do not count as open.
 func (t *connTable) excess() int { return t.open - t.closingConns.Len() - t.maxConns }
 
-// evict starts to close connections until the limit is no longer exceeded. While there are more than maxNew new connections, it
-// chooses the oldest of them, and otherwise the one that has been idle longest. It stops if no connection is idle then.
+// evict starts to close connections until the limit is no longer exceeded. As long as there are more than maxNew new connections,
+// it closes the oldest new connection. Otherwise it closes the connection that has been idle longest. It stops early if there are
+// at most maxNew new connections and no idle connections.
 func (t *connTable) evict() {
 	for n := t.excess(); n > 0; n-- {
 		from, mode := t.idleConns, closeIfIdle
@@ -255,8 +261,8 @@
 	e.conn.closeWhenSafe(mode)
 }
 
-// moveTo removes a connection from its list and adds it to another list, unless that is nil. If the other list is not
-// closingConns, moveTo also cancels a close of the connection that has been started.
+// moveTo removes a connection from its list and adds it to another list. If the other list is nil, the connection is then in no
+// list. Unless the other list is closingConns, moveTo also cancels a started close of the connection.
 func (t *connTable) moveTo(e *connEntry, to *list.List) {
 	if e.list != nil {
 		e.list.Remove(e.element)
--- a/internal/frontend/request_framer.go
+++ b/internal/frontend/request_framer.go
@@ -7,7 +7,7 @@
 
 // requestFramer finds the boundaries of requests in the bytes that are read from a connection, up to the first request with a
 // chunked body. It also notes whether a request has both Transfer-Encoding and Content-Length, so that the server can reject
-// that request. This prevents request smuggling: net/http ignores the Content-Length of a chunked request, while a proxy may
+// that request. This prevents request smuggling: net/http ignores the Content-Length of a chunked request, while a proxy can
 // use it and then see other requests on the connection than net/http.
 type requestFramer struct {
 	completeHeads    int   // number of headers that were read completely
@@ -16,16 +16,16 @@
 	hasContentLength bool  // the last complete header has a Content-Length
 	bodyRemaining    int64 // bytes of the body after the last complete header that are not read yet
 
-	// State of the header that is being read.
-	inHead                  bool   // the request line has been read
+	// The fields below are the state of the header that is being read.
+	inHead                  bool   // the request line before the header has been read
 	line                    []byte // the line that is being read, truncated to maxFieldLine bytes
 	headHasContentLength    bool
 	headHasTransferEncoding bool
 	contentLength           int64
 }
 
-// maxFieldLine is how many bytes of a line are kept. A Content-Length line without padding is shorter. If a Content-Length line
-// doesn't fit, the framer stops. A Transfer-Encoding line may be truncated, because the framer needs only its name.
+// maxFieldLine is how many bytes of a line the framer keeps. A Content-Length line without padding is shorter. If a Content-Length
+// line doesn't fit, the framer stops. A Transfer-Encoding line can be longer, because the framer needs only the header's name.
 const maxFieldLine = 80
 
 // observe parses the next bytes of the connection.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -218,7 +218,7 @@
 	client.finished.Store(true) // set before ClientLeft is posted, because the event loop can process that event late
 	s.unregister(id)
 	select {
-	case a := <-answer: // the answer arrived at the same time
+	case a := <-answer: // the answer arrived before unregister was called
 		return a, left
 	default:
 	}
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -83,11 +83,11 @@
 	}()
 }
 
-// Stop rejects the requests that still arrive, such as the first request on a new connection. It is called after the event loop
-// has ended, so that no such request was sent to an executor and rejecting it is safe. Stop blocks until all connections are
-// closed, or until a timeout.
+// Stop is called after the event loop has ended. It rejects requests that still arrive, such as the first request on a new
+// connection. Rejecting these requests is safe, because none of them was sent to an executor. Stop blocks until all connections
+// are closed, or until a timeout.
 func (s *Server) Stop() {
-	s.conns.enterLameDuck() // before nodeStopped is closed, so that each rejection closes its connection
+	s.conns.enterLameDuck() // called before nodeStopped is closed, so that each rejection also closes its connection
 	close(s.nodeStopped)
 	s.conns.closeNewAndWait(defaultCloseTimeout)
 	s.http.Close()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -143,7 +143,7 @@
 	return watcher
 }
 
-// stop stops the parts of the node, the one that was started last first.
+// stop stops the parts of the node, in reverse order of their start.
 func (n *instance) stop() {
 	for i := len(n.stops) - 1; i >= 0; i-- {
 		n.stops[i]()
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -9,7 +9,7 @@
 // pendingWrite is a record that waits to be committed.
 type pendingWrite struct {
 	record Record
-	done   func(error) // is called once with the result
+	done   func(error) // called once, with the result of the commit
 }
 
 // Append queues a record. It does not wait for the disk. done is called once the record is on disk or can't be written, and must
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -4,7 +4,7 @@
 // progress before it compacts each segment, unless progress is nil. It must not be called while anything else uses the store.
 func (s *Store) Compact(progress func(done, all int)) error { return s.compact(true, progress) }
 
-// compact compacts the oldest segment again and again, while at most half of that segment is live. If all is set, it continues
+// compact compacts the oldest segment repeatedly, as long as at most half of that segment is live. If all is set, it continues
 // until only the last segment is left.
 func (s *Store) compact(all bool, progress func(done, all int)) error {
 	first, last := s.firstSegment, s.lastSegment
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -36,7 +36,7 @@
 	ID   string    `cbor:"2,keyasint"` // ID of the batch job
 	At   time.Time `cbor:"3,keyasint"` // when the record was made
 
-	// The request of the batch job; set in Accepted records.
+	// The fields from JobClass to Body describe the request of the batch job. They are used in Accepted records.
 	JobClass       string        `cbor:"4,keyasint,omitempty"`
 	Deadline       time.Time     `cbor:"5,keyasint,omitzero"`
 	Work           time.Duration `cbor:"6,keyasint,omitempty"` // the client's estimate of the work; 0 if the client gave none
@@ -46,7 +46,7 @@
 	IdempotencyKey string        `cbor:"10,keyasint,omitempty"`
 	Body           []byte        `cbor:"11,keyasint,omitempty"` // body of the request; in a Final record, body of the result
 
-	// The attempt; set in AttemptStarted and AttemptEnded records.
+	// The fields from Epoch to NeverRan describe an attempt. They are used in AttemptStarted and AttemptEnded records.
 	Epoch    uint32 `cbor:"12,keyasint,omitempty"`
 	Executor string `cbor:"13,keyasint,omitempty"`
 	NeverRan bool   `cbor:"14,keyasint,omitempty"` // the attempt is known not to have run; set in AttemptEnded records only
--- a/internal/store/scan.go
+++ b/internal/store/scan.go
@@ -56,7 +56,7 @@
 		return segment, err
 	}
 	if err := checkSegmentHeader(b, number); err != nil {
-		if last && errors.Is(err, errTorn) { // the process crashed while it created the segment
+		if last && errors.Is(err, errTorn) { // the process crashed while it was creating the segment
 			segment.Torn = true
 			return segment, nil
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -11,8 +11,8 @@
 	// SegmentBytes is the approximate size of a segment in bytes. A commit starts a new segment if the last segment has reached
 	// this size. Compaction can make the last segment larger.
 	SegmentBytes int64
-	// MaxBytes limits the total size of segments and pending records in bytes. Above it, no new job is accepted. 0 means no
-	// limit.
+	// MaxBytes limits the total size of segments and pending records in bytes. Above this limit, no new job is accepted.
+	// 0 means no limit.
 	MaxBytes int64
 }
 
@@ -30,7 +30,7 @@
 	closing      bool           // Close has been called
 	failed       error          // the error that made the store fail, wrapping ErrFailed; nil if it has not failed
 	jobs         JobStates
-	extents      map[string][]extent // extents by job ID, in ascending order of segments
+	extents      map[string][]extent // extents of each job, by job ID, in ascending order of segments
 	liveBytes    map[uint64]int64    // size of the live records in each segment, by segment number
 	segmentBytes map[uint64]int64    // size of each segment, by segment number
 	firstSegment uint64              // number of the oldest segment
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -20,7 +20,7 @@
 	cancel context.CancelFunc // cancels the dial
 
 	mu     sync.Mutex
-	conn   net.Conn // nil until the connection is open
+	conn   net.Conn // the network connection; nil until it is open
 	closed bool     // one side has closed the connection, so no further attempt starts on it
 
 	// The fields from job to writeStartedAt describe the attempt that the connection carries.
@@ -85,7 +85,7 @@
 func (c *executorConn) write(a node.Attempt) {
 	request := encodeRequest(a)
 	unusable := c.hasUnreadInput()
-	clientGone := a.Client != nil && a.Client.Gone() // checked last, right before the first byte
+	clientGone := a.Client != nil && a.Client.Gone() // the client is checked last, right before the first byte is written
 	c.mu.Lock()
 	c.closed = c.closed || unusable
 	switch {
@@ -113,9 +113,9 @@
 }
 
 // hasUnreadInput reports whether a close or an unsolicited response of the executor has arrived on an idle connection and is
-// not read yet. No attempt must be written then. After a close, the node could not tell whether the attempt ran. An unsolicited
-// response would be mistaken for the response to the attempt. hasUnreadInput returns false for a connection that has carried no
-// attempt yet.
+// not read yet. No attempt must be written in that case. After a close, the node could not tell whether the attempt ran. An
+// unsolicited response would be mistaken for the response to the attempt. hasUnreadInput returns false for a connection that has
+// carried no attempt yet.
 func (c *executorConn) hasUnreadInput() bool {
 	c.mu.Lock()
 	used := !c.idleSince.IsZero()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -23,7 +23,7 @@
 	// maxLineBytes is the limit for a line of a response. The line can hold a result as long as the longest body, escaped as JSON.
 	maxLineBytes = 128 << 10
 
-	// trailingTimeout bounds how long the rest of a response may take after the line with the outcome.
+	// trailingTimeout bounds how long the rest of a response can take after the line with the outcome.
 	trailingTimeout = time.Second
 
 	// staleWindow is how long after a response a second response to the same attempt can arrive. The protocol's description
@@ -64,7 +64,7 @@
 // fail closes the connection and sets the outcome of the connection's attempt in ended. It returns false if no byte of the
 // attempt was sent. In that case ended must not be posted: node.ConnClosed alone reports that the attempt never started.
 func (c *executorConn) fail(err error, ended *node.AttemptEnded) (sent bool) {
-	c.close() // ends the write if it is still in progress
+	c.close() // also ends a write of the attempt that is still in progress
 	written := <-c.writeEnded
 	if !written.started {
 		return false
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("malformed response head: %w", err)
 	}
-	limited.N = math.MaxInt64 // readLines bounds the lines of the body
+	limited.N = math.MaxInt64 // the header is read; readLines limits the length of lines in the body
 	ended.Load = c.pool.loadFromHeader(response.Header.Get(loadReportHeader))
 	if response.StatusCode == http.StatusOK {
 		err = c.readLines(response.Body, job, ended)
@@ -136,7 +136,7 @@
 	return c.notIdempotent && !c.idleSince.IsZero() && (!c.writeDone || c.writeStartedAt.Sub(c.idleSince) < staleWindow)
 }
 
-// confirmRejection waits for staleWindow to see whether another response follows. If another response follows, the rejection may
+// confirmRejection waits for staleWindow to see whether another response follows. If another response follows, the rejection can
 // belong to the previous attempt. The error then means that this attempt may have run.
 func (c *executorConn) confirmRejection(r *bufio.Reader, rest io.Reader) error {
 	if rest == nil { // the executor closes the connection, so no further response can follow on it
