--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -12,22 +12,27 @@
 // Cause is the reason why a work item did not earn its full value.
 type Cause int
 
-// Causes. ClientLeft applies to all work items whose client disconnected. Of the others, those without an attempt have NodeLost if a
-// request lost its node and NeverSent otherwise, and those whose first attempt was sent too late to meet the latency objective have
-// SentTooLate. The cause of the rest is where they spent most of their time, without the run time on a standard core.
+// Causes. A work item has the first of these that applies:
+//
+//   - ClientLeft, if its client disconnected early.
+//   - NodeLost, if no attempt was sent and one of its requests reached no node or lost its connection.
+//   - NeverSent, if no attempt was sent.
+//   - SentTooLate, if the first attempt was sent too late to meet the latency objective.
+//   - The cause on which the work item spent most of its time. Of the running time, only the time beyond the run time on a standard core
+//     counts.
 const (
 	NeverSent          Cause = iota // no attempt was sent
-	SentTooLate                     // the first attempt was sent when even a standard core would have missed the latency objective
-	QueuedAtNode                    // time at the node without an attempt in flight
+	SentTooLate                     // the first attempt was sent so late that even a standard core would have missed the latency objective
+	QueuedAtNode                    // time at a node while no attempt was in flight
 	RejectedByExecutor              // time in attempts that executors rejected
-	Failed                          // time in attempts that failed or had no connection
+	Failed                          // time in attempts that failed or got no connection
 	Connecting                      // time until a connection to the executor was open
 	InTransit                       // time in transit between client, node and executor
-	InQueue                         // time at an executor before the attempt started
-	RunningSlow                     // time running on a slow executor, beyond the run time on a standard core
-	RunningFast                     // time running on another executor, beyond the run time on a standard core
-	BetweenRequests                 // time at the client before a retry
-	NodeLost                        // time in requests whose node was unreachable or whose connection broke
+	InQueue                         // time at an executor before the attempt started to run
+	RunningSlow                     // time of running on a core slower than slowCoreSpeed
+	RunningFast                     // time of running on any other core
+	BetweenRequests                 // time for which a client waited before a retry
+	NodeLost                        // time in requests that reached no node or lost their connection
 	ClientLeft                      // the client disconnected early
 	causeCount
 )
@@ -38,8 +43,8 @@
 // String is the cause's name in accounts and their JSON.
 func (c Cause) String() string { return causeNames[c] }
 
-// Account attributes the value that a simulation did not earn to causes. In each row the offered value is the sum of the earned value and
-// of the values lost to each cause.
+// Account states the causes of the value that a simulation did not earn. In each row, the earned value and the values lost to all causes
+// sum to the offered value.
 type Account struct {
 	Scenario   string `json:"scenario"`
 	Seed       uint64 `json:"seed"`
@@ -47,40 +52,52 @@
 	Nodes      int    `json:"nodes"`
 	Executors  int    `json:"executors"`
 	Length     Span   `json:"length"`
-	Violations int    `json:"rules_broken"` // violated invariants
+	Violations int    `json:"rules_broken"` // number of violated invariants
 
-	Worst      float64 `json:"worst"`       // fraction of the value earned in the worst 10 s
-	WorstClass float64 `json:"worst_track"` // fraction of the value earned by the worst job class
+	Worst      float64 `json:"worst"`       // fraction of the offered value that was earned in the worst 10 s
+	WorstClass float64 `json:"worst_track"` // fraction of the offered value that the worst job class earned
 
 	All     AccountRow   `json:"all"`
-	Classes []AccountRow `json:"tracks"`  // one row for each job class
-	Traffic []AccountRow `json:"traffic"` // one row for each quarter of the nodes, ordered by their traffic, least first
-	Subsets []AccountRow `json:"slices"`  // one row for each quarter of the nodes, ordered by the load of the executors that they used, least first
-	Busy    []float64    `json:"busy"`    // load of executors, as a fraction of their capacity: minimum, quartiles, maximum
-
-	Attempts       int     `json:"attempts"`
-	Crossings      int     `json:"crossings"`         // cross-zone attempts
-	Waited         float64 `json:"waited"`            // fraction of the attempts that were queued at their executor
-	IdleUsed       float64 `json:"free_used"`         // fraction of Waited that was sent while a core was idle at another executor that the node had used
-	IdleZone       float64 `json:"free_in_zone"`      // as IdleUsed, at any other executor of the node's zone
-	IdleAny        float64 `json:"free"`              // as IdleUsed, at any other executor
-	QueuedIdleZone float64 `json:"held_free_in_zone"` // fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode for which a core was idle in the node's zone when the work item was submitted
-	QueuedIdleAny  float64 `json:"held_free"`         // as QueuedIdleZone, with an idle core in any zone
+	Classes []AccountRow `json:"tracks"` // one row for each job class
+	// One row for each quarter of the nodes. The nodes are ordered by their traffic, least first.
+	Traffic []AccountRow `json:"traffic"`
+	// One row for each quarter of the nodes. The nodes are ordered by the load of the executors that they used, least first.
+	Subsets []AccountRow `json:"slices"`
+	// Load of the executors, as a fraction of their capacity: minimum, lower quartile, median, upper quartile, maximum.
+	Busy []float64 `json:"busy"`
+
+	Attempts  int     `json:"attempts"`
+	Crossings int     `json:"crossings"` // number of cross-zone attempts
+	Waited    float64 `json:"waited"`    // fraction of the attempts that were queued at their executor
+	// Fraction of the queued attempts that were sent while a core was idle at another executor that the node had used before.
+	IdleUsed float64 `json:"free_used"`
+	// Fraction of the queued attempts that were sent while a core was idle at another executor of the node's zone.
+	IdleZone float64 `json:"free_in_zone"`
+	// Fraction of the queued attempts that were sent while a core was idle at any other executor.
+	IdleAny float64 `json:"free"`
+	// Fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode that was lost by work items submitted while a core was idle in
+	// the node's zone.
+	QueuedIdleZone float64 `json:"held_free_in_zone"`
+	// As QueuedIdleZone, but with a core that was idle in any zone.
+	QueuedIdleAny float64 `json:"held_free"`
 }
 
 // AccountRow is the account of a group of work items, such as those of a job class.
 type AccountRow struct {
-	Name          string             `json:"name"`
-	Works         int                `json:"works"`
-	EarnedLess    int                `json:"less"`  // work items that earned less than their full value
-	EarnedNothing int                `json:"never"` // work items that earned nothing
-	Offered       float64            `json:"offered"`
-	Earned        float64            `json:"earned"`
-	Sent          float64            `json:"sent"`           // work sent to executors, relative to the offered work; above 1 if some was sent repeatedly
-	Lost          map[string]float64 `json:"lost"`           // lost value by cause
-	TimeMS        map[string]float64 `json:"time_ms"`        // mean time by cause of the work items that earned less, with the full running time
-	SubsetSize    float64            `json:"slice,omitzero"` // mean effective number of executors that a node used
-	SubsetLoad    float64            `json:"load,omitzero"`  // load of these executors, as a fraction of their capacity
+	Name          string  `json:"name"`
+	Works         int     `json:"works"`
+	EarnedLess    int     `json:"less"`  // number of work items that earned less than their full value
+	EarnedNothing int     `json:"never"` // number of work items that earned nothing
+	Offered       float64 `json:"offered"`
+	Earned        float64 `json:"earned"`
+	// Work sent to executors, divided by the offered work. A value above 1 means that work was sent more than once.
+	Sent float64            `json:"sent"`
+	Lost map[string]float64 `json:"lost"` // lost value by the name of its cause
+	// Mean time by the name of its cause, in milliseconds, for the work items that earned less than their full value. Running time counts
+	// in full.
+	TimeMS     map[string]float64 `json:"time_ms"`
+	SubsetSize float64            `json:"slice,omitzero"` // mean effective number of executors that a node used
+	SubsetLoad float64            `json:"load,omitzero"`  // load of the executors that a node used, as a fraction of their capacity
 
 	lostByCause, timeByCause [causeCount]float64
 	workOffered, workSent    float64 // work in seconds on a standard core
@@ -124,7 +141,7 @@
 	r.subsetLoad += other.subsetLoad
 }
 
-// finish computes the exported fields that depend on the unexported sums.
+// finish computes Sent, Lost and TimeMS from the row's sums.
 func (r *AccountRow) finish() {
 	r.Sent = ratio(r.workSent, r.workOffered)
 	r.Lost, r.TimeMS = map[string]float64{}, map[string]float64{}
@@ -144,8 +161,8 @@
 	attemptsTo map[*executor]int
 }
 
-// usedSubset returns the effective number of executors that a node used, which is the inverse of the sum of the squared fractions of its
-// attempts, and the load of the executors weighted by these fractions.
+// usedSubset returns the effective number of executors that a node used, and their mean load. Each executor has a fraction of the node's
+// attempts. The effective number is the inverse of the sum of the squares of these fractions, and the mean load is weighted by them.
 func usedSubset(attemptsTo map[*executor]int, executors []*executor, busy []float64) (size, load float64) {
 	sum, squares := 0.0, 0.0
 	for i, x := range executors {
@@ -160,7 +177,8 @@
 	return sum * sum / squares, load / sum
 }
 
-// quarters orders the nodes by a key and returns one row for each quarter of them; fewer than four if there are fewer nodes.
+// quarters orders the nodes by a key and returns one row for each quarter of the nodes. With fewer than four nodes, it returns one row for
+// each node.
 func quarters(nodes []nodeRow, key func(nodeRow) float64, name string) (rows []AccountRow) {
 	nodes = slices.Clone(nodes)
 	slices.SortStableFunc(nodes, func(a, b nodeRow) int { return cmp.Compare(key(a), key(b)) })
--- a/internal/simulation/account_history.go
+++ b/internal/simulation/account_history.go
@@ -15,8 +15,8 @@
 // jobHistory is the history of a work item: its requests and attempts.
 type jobHistory struct {
 	work          *emulator.Work
-	firstNode     *simNode  // first node that received a request; nil if none was reached
-	idleAtArrival idleCores // idle cores when the work item was submitted to firstNode
+	firstNode     *simNode  // first node to which a request was submitted; nil if no node could be reached
+	idleAtArrival idleCores // where a core was idle when the work item was submitted to firstNode
 	requests      []*requestHistory
 	attempts      []*attemptHistory
 }
@@ -31,7 +31,7 @@
 	return &requestHistory{submittedAt: submitted, arrivedAt: unsetTime, answeredAt: unsetTime, doneAt: unsetTime}
 }
 
-// lostWithNode returns whether no node could be reached, or the connection to it broke.
+// lostWithNode returns whether the request reached no node, or lost its connection to the node.
 func (r *requestHistory) lostWithNode() bool {
 	return r.end == emulator.EndLost || r.end == emulator.EndUnreached
 }
@@ -43,11 +43,11 @@
 	arrivedAt          time.Duration // time at which the last byte arrived at the executor
 	startedAt, endedAt time.Duration // times at the executor
 	endedAtNode        time.Duration // time at which the node was notified of the end
-	dialedAt, connUpAt time.Duration // times of the connection, if this is its first attempt
+	dialedAt, connUpAt time.Duration // times at which the connection was dialed and opened; unset unless this is the connection's first attempt
 	outcome            policy.Outcome
 	canceled           bool      // the node has canceled the attempt
-	onSlowCore         bool      // ran on a core below slowCoreSpeed
-	idleWhenSent       idleCores // idle cores when the attempt was sent
+	onSlowCore         bool      // the attempt ran on a core slower than slowCoreSpeed
+	idleWhenSent       idleCores // where a core was idle when the attempt was sent
 }
 
 func newAttemptHistory(x *executor) *attemptHistory {
@@ -66,7 +66,7 @@
 	return first
 }
 
-// cause returns the cause of lost value, if value was lost, and the time that the work item has spent on each cause until now.
+// cause returns the work item's cause, which counts only if value was lost, and the time spent on each cause until now.
 func (h *jobHistory) cause(now time.Duration) (Cause, [causeCount]time.Duration) {
 	times, firstSentAt, runTime := h.times(now), h.firstAttemptSentAt(), secondsOf(h.work.Cost)
 	switch {
@@ -82,7 +82,7 @@
 	return longestCause(times, runTime), times
 }
 
-// longestCause returns the cause with the longest time. Time of running counts only beyond the run time on a standard core.
+// longestCause returns the cause with the longest time. Of the running time, only the time beyond the run time on a standard core counts.
 func longestCause(times [causeCount]time.Duration, runTime time.Duration) Cause {
 	if ran := times[RunningSlow] + times[RunningFast]; ran > 0 {
 		beyond := max(0, 1-float64(runTime)/float64(ran))
@@ -98,8 +98,8 @@
 	return longest
 }
 
-// precedence orders the causes that apply at the same time. The highest counts, so that of several attempts the one that has progressed
-// most determines the cause.
+// precedence orders the causes that apply at the same time. Only the cause with the highest precedence counts. So, if several attempts are
+// in flight, the attempt that has progressed most determines the cause.
 type precedence int
 
 const (
@@ -125,7 +125,7 @@
 	spans []timeSpan
 }
 
-// add adds a time span. A span that has not ended lasts until the end of the timeline; one that has not begun is not added.
+// add adds a time span. A span that has not ended lasts until the end of the timeline. A span that has not begun is not added.
 func (t *timeline) add(from, to time.Duration, cause Cause, precedence precedence) {
 	if to == unsetTime || to > t.end {
 		to = t.end
@@ -191,7 +191,7 @@
 	t.add(began, min(ended, until), running, attemptRunning)
 }
 
-// total returns the time of each cause. At each time only the span with the highest precedence counts.
+// total returns the time of each cause. At any time, only the span with the highest precedence counts.
 func (t *timeline) total() (times [causeCount]time.Duration) {
 	var edges []time.Duration
 	for _, span := range t.spans {
@@ -207,7 +207,8 @@
 	return times
 }
 
-// highest returns the span with the highest precedence, the first of them, that covers the given time; nil if none does.
+// highest returns the span with the highest precedence among the spans that cover the whole interval between two times. Among spans with
+// equal precedence it returns the first. It returns nil if no span covers the interval.
 func (t *timeline) highest(from, to time.Duration) (highest *timeSpan) {
 	for i := range t.spans {
 		span := &t.spans[i]
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -11,26 +11,29 @@
 )
 
 const (
-	queuedAfter   = 5 * time.Millisecond // an attempt that starts later than this after its arrival counts as queued; setting up a new connection takes less
-	slowCoreSpeed = 0.9                  // a core below this speed counts as slow; a standard core has 1
+	// An attempt counts as queued if it starts more than this after its arrival. Setting up a new connection delays a start by less.
+	queuedAfter   = 5 * time.Millisecond
+	slowCoreSpeed = 0.9 // a core below this speed counts as slow; a standard core has 1
 )
 
-// accountLedger records the data of an account during a simulation, without any influence on it. A simulation without an account has a nil
-// ledger, whose methods record nothing.
+// accountLedger records the data of an account during a simulation. It does not influence the simulation. A simulation without an account
+// has a nil ledger; the methods of a nil ledger record nothing in an account.
 type accountLedger struct {
 	sim       *Simulation
 	inFlight  map[invariants.WorkID]*jobHistory
 	classes   []AccountRow
 	nodes     []nodeRow
-	unreached AccountRow // work items that no node received
+	unreached AccountRow // sums over the work items for which no node could be reached
 
-	attemptsInTransit map[*executor]int     // attempts on their way to the executor
-	workReceived      map[*executor]float64 // work of the attempts that arrived, in seconds on a standard core
+	attemptsInTransit map[*executor]int     // number of attempts on their way to each executor
+	workReceived      map[*executor]float64 // work of the attempts that arrived at each executor, in seconds on a standard core
 
-	// Number of attempts, of queued attempts, and of queued attempts that were sent while a core was idle elsewhere.
+	// attempts counts all attempts, and waited counts those that were queued at their executor. The others count the queued attempts that
+	// were sent while a core was idle at another executor: one that the node had used, one in the node's zone, or any.
 	attempts, waited, idleUsed, idleZone, idleAny int
 
-	// Value lost to NeverSent, SentTooLate and QueuedAtNode although a core was idle when the work item was submitted.
+	// Value lost to NeverSent, SentTooLate and QueuedAtNode although a core was idle, in the node's zone or in any zone, when the work item
+	// was submitted.
 	queuedIdleZone, queuedIdleAny float64
 }
 
@@ -44,7 +47,7 @@
 	}
 }
 
-// recordSubmit records a request for a work item; n is nil if no node can be reached.
+// recordSubmit records that a client submits a request for a work item to node n. n is nil if no node can be reached.
 func (l *accountLedger) recordSubmit(work *emulator.Work, n *simNode) {
 	if l == nil {
 		return
@@ -60,8 +63,8 @@
 	history.requests = append(history.requests, newRequestHistory(l.sim.now))
 }
 
-// request returns the history of a request, for the caller to fill in. For a request that is not the last one of its work item it returns
-// a history that is discarded.
+// request returns the history of a request. The caller records times in it. If a later request of the same work item exists, the returned
+// history is not part of the account.
 func (l *accountLedger) request(request *clientRequest) *requestHistory {
 	if l == nil || l.inFlight[request.work.ID] == nil || request.job != request.work.Job() {
 		return &requestHistory{}
@@ -70,7 +73,7 @@
 	return requests[len(requests)-1]
 }
 
-// recordSent records an attempt's first byte and returns its history.
+// recordSent records that the first byte of an attempt is sent, and returns the attempt's history.
 func (l *accountLedger) recordSent(request *clientRequest, x *executor) *attemptHistory {
 	attempt := newAttemptHistory(x)
 	if l == nil {
@@ -87,10 +90,10 @@
 	return attempt
 }
 
-// idleCores holds whether a core is idle at an executor that a node has used, at one in the node's zone, and at any executor.
+// idleCores states whether a core is idle at an executor that a node has used, at an executor in the node's zone, and at any executor.
 type idleCores struct{ used, zone, any bool }
 
-// idleCores returns where a core is idle now, other than at the given executor.
+// idleCores returns where a core is idle now. The executor except does not count.
 func (l *accountLedger) idleCores(n *simNode, except *executor) (idle idleCores) {
 	for _, x := range l.sim.executors {
 		if x == except || x.InFlight()+l.attemptsInTransit[x] >= x.Cores || !x.Up || x.unreachable || x.Draining {
@@ -146,8 +149,8 @@
 	return 0
 }
 
-// recordEnded records that the node is notified of an attempt's end. An attempt that has not arrived yet counts as arrived from now on; it
-// may in fact still arrive, because a broken connection does not stop messages on their way.
+// recordEnded records that the node is notified of an attempt's end. An attempt that has not arrived yet counts as arrived from now on. Its
+// message can still reach the executor, because a broken connection does not stop messages on their way.
 func (l *accountLedger) recordEnded(attempt *attemptHistory, outcome policy.Outcome) {
 	attempt.endedAtNode, attempt.outcome = attempt.executor.sim.now, outcome
 	if attempt.canceled {
@@ -183,7 +186,7 @@
 	}
 }
 
-// finish returns the account. Work items that have not ended have earned nothing.
+// finish returns the account. Work items that have not ended count as having earned nothing.
 func (l *accountLedger) finish() *Account {
 	sim := l.sim
 	for _, id := range slices.Sorted(maps.Keys(l.inFlight)) {
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	timePerByte = 8 * time.Nanosecond   // time to write a byte of a body: 64 KiB take half a millisecond
-	queuedStart = 50 * time.Millisecond // an attempt that starts later than this after it was sent counts as queued at the executor
+	timePerByte = 8 * time.Nanosecond // time to write one byte of a body; 64 KiB take half a millisecond
+	// An attempt counts as queued at its executor if the executor starts it more than this after it was sent.
+	queuedStart = 50 * time.Millisecond
 )
 
 // connAttempt is an attempt in flight on a connection.
@@ -22,8 +23,8 @@
 	executor *executor
 	number   policy.AttemptID
 	history  *attemptHistory
-	written  bool // the last byte has left the node
-	ended    bool // the node has been notified of the end, or is about to be
+	written  bool // the last byte of the attempt has left the node
+	ended    bool // the node has been notified of the end of the attempt, or is about to be
 }
 
 // recordAttempt records that the first byte of a new attempt is sent.
@@ -46,7 +47,7 @@
 	return attempt
 }
 
-// recordAttemptEnd records that the node is notified of an attempt's end. neverRan means that the outcome proves that the attempt never ran.
+// recordAttemptEnd records that the node is notified of an attempt's end. neverRan is true if the outcome proves that the attempt never ran.
 func (n *simNode) recordAttemptEnd(attempt *connAttempt, neverRan bool) {
 	n.attemptsInFlight--
 	attempt.request.attemptsInFlight--
@@ -171,7 +172,8 @@
 	}
 }
 
-// becomeIdle notifies the node that the connection is idle. The executor closes it if it is not used within the idle timeout.
+// becomeIdle notifies the node that the connection is idle. The executor closes the connection unless another attempt uses it within the
+// idle timeout.
 func (c *executorConn) becomeIdle() {
 	sim, x, uses := c.node.sim, c.executor, c.uses
 	c.node.after(processingDelay, func() {
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -17,7 +17,9 @@
 const (
 	ModulePolicy Policy = "module" // the policy of package policy, which real nodes use
 	RandomPolicy Policy = "random" // sends each job at once to a random available executor
-	BestPolicy   Policy = "best"   // knows the true state of all executors and sends each job to the one that would answer first, once it has a free slot
+	// BestPolicy knows the true state of all executors. It sends each job to the executor that will answer first, as soon as that executor
+	// has a free slot.
+	BestPolicy Policy = "best"
 )
 
 // Policies lists all policies.
@@ -40,20 +42,20 @@
 	return b
 }
 
-// baseline is a policy with which the real one is compared. It chooses an executor for each job with choose, and again after an attempt that
-// did not run or may be repeated.
+// baseline is a policy to which the real policy is compared. It calls choose to select the executor of an attempt. After an attempt without
+// a final answer it chooses again, unless the job may have run and is not idempotent, or its deadline or MaxAttempts is reached.
 type baseline struct {
 	node      *simNode
 	settings  policy.Settings
-	choose    func(*baselineJob) policy.ExecutorID // returns the executor for a job; "" to queue the job
+	choose    func(*baselineJob) policy.ExecutorID // returns the executor for a job, or "" to queue the job
 	available map[policy.ExecutorID]bool
 	order     []policy.ExecutorID // available executors, in the order of Simulation.executors
 	jobs      map[policy.JobID]*baselineJob
 	due       []policy.JobID // jobs to place now
 	queued    []policy.JobID // jobs that wait for a free slot
-	retryAt   time.Duration  // time at which queued jobs are tried again
+	retryAt   time.Duration  // time at which the queued jobs are to be placed again
 	noSlotAt  time.Duration  // last time at which no executor had a free slot
-	watching  bool           // the watch of the endpoint list has been requested
+	watching  bool           // the baseline has requested the watch of the endpoint list
 }
 
 // baselineJob is a job at a baseline.
@@ -61,7 +63,7 @@
 	id              policy.JobID
 	class           policy.JobClass
 	request         *clientRequest
-	deadline        time.Duration // time on the clock of the node's process
+	deadline        time.Duration // deadline on the clock of the node's process
 	attempts        int
 	attemptInFlight bool
 	mayHaveRun      bool
@@ -74,7 +76,7 @@
 	b.due = append(b.due, arrival.Job)
 }
 
-// NextTask implements node.Policy. Queued jobs are tried again in the order of their latency objectives.
+// NextTask implements node.Policy. It tries to place queued jobs again in the order of their latency objectives, earliest first.
 func (b *baseline) NextTask(now time.Duration) policy.DueTask {
 	if !b.watching {
 		b.watching = true
@@ -168,7 +170,7 @@
 	}
 }
 
-// random returns a random available executor; "" if there is none.
+// random returns a random available executor, or "" if there is none.
 func (b *baseline) random(r *rand.Rand) policy.ExecutorID {
 	if len(b.order) == 0 {
 		return ""
@@ -176,13 +178,14 @@
 	return b.order[r.IntN(len(b.order))]
 }
 
-// earliestAnswer returns the executor that would answer first among those that would have a free slot when the job arrived. The forecast
-// uses the true state of the executors, with their queues and the jobs on their way to them. earliestAnswer returns "" if no executor would
-// have a free slot, or if this executor would answer too late and waiting for a slot at another one would give an answer in time.
+// earliestAnswer considers the executors that will have a free slot when the job arrives, and returns the one that will answer first. The
+// forecast uses the true state of the executors, including their queues and the jobs on their way to them. earliestAnswer returns "" if no
+// executor will have a free slot. It also returns "" if the chosen executor would miss the latency objective, but an executor without a free
+// slot could still meet it: the job then waits for that slot.
 func (b *baseline) earliestAnswer(job *baselineJob) policy.ExecutorID {
 	sim := b.node.sim
 	if b.noSlotAt == sim.now {
-		return "" // no slot was free earlier at this instant; it is taken that none has become free since
+		return "" // no slot was free earlier at this instant, and none is assumed to have become free since
 	}
 	var earliest *executor
 	earliestDone, earliestAnywhere := policy.Forever, policy.Forever
@@ -208,14 +211,15 @@
 	return earliest.ID
 }
 
-// usable returns whether an executor is available both in the endpoint list and in fact.
+// usable returns whether the endpoint list has an executor as available, and the executor is in fact healthy and reachable from the node.
 func (b *baseline) usable(x *executor) bool {
 	faults := x.Faults()
 	healthy := x.Up && !x.unreachable && !x.Draining && !faults.Unresponsive && faults.ErrorRate <= 0
 	return b.available[x.ID] && healthy && b.node.sim.linked(b.node.zone, x.Zone)
 }
 
-// forecast returns whether an executor will have a free slot when a job that is sent now arrives, and when the answer would arrive here.
+// forecast predicts the result of sending a job to an executor now. hasSlot is true if the executor will have a free slot when the job
+// arrives. done is the time at which the answer will reach the node.
 func (b *baseline) forecast(x *executor, job *baselineJob) (hasSlot bool, done time.Duration) {
 	sim := b.node.sim
 	delay := sim.minDelay(b.node.zone, x.Zone)
@@ -240,7 +244,7 @@
 	return work
 }
 
-// The remaining methods of node.Policy do nothing, as a baseline does not need them.
+// The remaining methods of node.Policy do nothing, because a baseline does not need them.
 
 // AttemptStarted implements node.Policy.
 func (b *baseline) AttemptStarted(time.Duration, policy.JobID, policy.AttemptID) {}
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -8,7 +8,7 @@
 
 // Offer is the demand of a work item: when it arrived, its latency objective, its work and its value.
 type Offer struct {
-	ArrivedAt, Objective time.Duration // the work earns its value if it is completed between these times
+	ArrivedAt, Objective time.Duration // the work earns its value if it is completed between arrival and latency objective
 	Work                 float64       // work in seconds on a standard core
 	Value                float64
 }
@@ -16,8 +16,9 @@
 // Bin is the length of the time bins in which capacity is counted.
 const Bin = 250 * time.Millisecond
 
-// Best returns an upper bound of the value that any policy could earn with the capacity, which is the possible work in each bin. It places
-// the offers with the highest value density first, each into the earliest bins between its arrival and its objective that have capacity left.
+// Best returns an upper bound of the value that any policy could earn. capacity is the work that can be done in each bin, in seconds on a
+// standard core. Best places the offers in the order of their value density, highest first. It places each offer into the earliest bins
+// that have capacity left, from the bin of its arrival to the bin of its latency objective.
 func Best(offers []Offer, capacity []float64) float64 {
 	left := slices.Clone(capacity)
 	offers = slices.Clone(offers)
@@ -35,7 +36,7 @@
 	return sum
 }
 
-// sampleCapacity adds the bin that begins now, with the capacity of the working executors that a running node can reach.
+// sampleCapacity adds a bin that begins now. Its capacity is that of all working executors to which at least one running node can send jobs.
 func (r *Result) sampleCapacity(sim *Simulation) {
 	capacity := 0.0
 	for _, x := range sim.executors {
@@ -52,7 +53,8 @@
 	r.capacity = append(r.capacity, capacity*Bin.Seconds())
 }
 
-// reachable returns whether any running node may send to the executor: their zones are linked, and operators have not excluded it there.
+// reachable returns whether at least one running node can send jobs to the executor. The zones of the node and the executor must be linked,
+// and operators must not have excluded the executor at the node.
 func (sim *Simulation) reachable(x *executor) bool {
 	for _, n := range sim.nodes {
 		_, excluded := n.excluded[x.ID]
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	clientsStartAfter = 200 * time.Millisecond // time that nodes have before clients start
-	loopStagger       = time.Millisecond       // time between the starts of two closed loops
+	clientsStartAfter = 200 * time.Millisecond // time from the begin of the simulation until clients start, in which nodes get ready
+	loopStagger       = time.Millisecond       // time between the starts of two closed-loop clients
 	unreachedDelay    = time.Millisecond       // time until a client notices that no node can be reached
-	openLoop          = -1                     // client number of work items of the open loop
+	openLoop          = -1                     // client number of the work items of the open loop, which belong to no closed-loop client
 )
 
-// zoneClients are the clients of a zone, and the front layer that spreads their requests over nodes.
+// zoneClients models the clients of a zone and the front layer, which spreads the clients' requests over nodes.
 type zoneClients struct {
 	*emulator.Clients
 	sim        *Simulation
@@ -77,8 +77,9 @@
 	c.submit(work)
 }
 
-// pickNode returns the node to which the front layer sends the next request: a ready one of the client's zone, else of another zone. The
-// front layer does not notice for Load.DeadNodeTime that a node has died. pickNode returns nil if there is no candidate.
+// pickNode returns the node to which the front layer sends the next request. It prefers ready nodes of the client's zone, and uses ready
+// nodes of other zones only if that zone has none. A node that has died still counts as ready for Load.DeadNodeTime, because the front layer
+// does not notice the death earlier. pickNode returns nil if there is no candidate.
 func (c *zoneClients) pickNode() *simNode {
 	c.roundRobin++
 	load := &c.sim.scenario.Load
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// nodeByShare picks a node by a random number from 0 to 1, with a probability in proportion to its share of the traffic.
+// nodeByShare picks a node with a probability in proportion to its trafficShare. number is a random number from 0 to 1.
 func nodeByShare(nodes []*simNode, number float64) *simNode {
 	sum := 0.0
 	for _, n := range nodes {
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -5,27 +5,27 @@
 //
 // A [Simulation] runs a [Scenario] with a seed. All future events are in one heap, ordered by time; events at the same instant run in an
 // order that is drawn from the seed. Each use of randomness has a random stream of its own, so that removing one fault from a scenario
-// changes little else. [Shrink] depends on that.
+// changes little else. [Shrink] relies on this: it removes faults and plays the scenario again with the same seed.
 //
 // There are two ways to run a simulation:
 //
 //   - [Simulation.Play] steps the nodes' state machines (internal/node) event by event. Connections, gossip and clients are modeled. It
-//     is fast and single-threaded, and is used for searching many seeds.
+//     is single-threaded and fast. Searches over many seeds use it.
 //   - [Simulation.PlayNetworked] runs the nodes' network code over in-memory connections (internal/memnet) in a testing/synctest bubble.
-//     Executors, discovery, clients and faults are the same models, and exchange bytes with the nodes.
+//     Executors, discovery, clients and faults are the same models as in Play. They exchange bytes with the nodes.
 //
 // # Faults and invariants
 //
 // A [Fault] begins and ends at given times and affects executors, nodes, zones or the whole simulation. Everything that nodes send and
-// executors receive is reported to the checker, which reports violated invariants. With gossip, the bounds of docs/design/fleet.md are
-// checked too. Tests inject defects to verify that the checker finds them.
+// executors receive is reported to the checker. The checker reports violated invariants. If nodes gossip, the bounds of
+// docs/design/fleet.md are checked too. Tests inject defects to verify that the checker finds them.
 //
 // # Results
 //
-// A [Result] states the fraction of the offered value that was earned, and the violations. An [Account] attributes the value that was not
-// earned to causes. The baselines [RandomPolicy] and [BestPolicy] show what other policies earn in the same scenario. [Draw] makes a
-// scenario from a seed, [Hunt] plays many of them, and [Shrink] reduces one that violates an invariant. [KillTest] is independent of the
-// rest: it kills real processes with durable jobs on loopback.
+// A [Result] states the fraction of the offered value that was earned, and the violations. An [Account] states the causes of the lost
+// value. The baselines [RandomPolicy] and [BestPolicy] show what other policies earn in the same scenario. [Draw] makes a scenario from a
+// seed, [Hunt] plays the scenarios of many seeds, and [Shrink] reduces a scenario that violates an invariant. [KillTest] uses none of
+// these: it kills real processes with durable jobs on loopback.
 //
 // # Files
 //
