--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -22,10 +22,10 @@
 
 // executorConn is a modeled connection between a node and an executor.
 type executorConn struct {
-	id       node.ConnID     // ID at the node
-	key      emulator.ConnID // ID at the executor
+	id       node.ConnID     // ID of the connection at the node
+	key      emulator.ConnID // ID of the connection at the executor
 	node     *simNode
-	executor *executor // nil if no executor has the address
+	executor *executor // nil if no executor has the dialed address
 	state    connState
 	accepted bool // the executor has accepted the connection
 	uses     int
@@ -36,12 +36,12 @@
 
 	dialedAt, upAt time.Duration
 
-	// Arrival times of the last message in each direction. Later messages arrive after it, as a connection keeps their order.
+	// Arrival time of the last message in each direction. Later messages arrive after that time, because a connection keeps their order.
 	nextToExecutor time.Duration
 	nextToNode     time.Duration
 }
 
-// toExecutor runs a function when a message that is sent now reaches the executor, unless the executor's process has ended by then.
+// toExecutor sends a message to the executor. It runs the function when the message arrives, unless the executor's process has ended by then.
 func (c *executorConn) toExecutor(run func()) {
 	sim, x := c.node.sim, c.executor
 	c.nextToExecutor = max(c.nextToExecutor+1, sim.arrivalTime(c.node.zone, x.Zone))
@@ -53,7 +53,8 @@
 	})
 }
 
-// toNode runs a function when a message that is sent now reaches the node, unless the connection is closed there by then.
+// toNode sends a message to the node. It runs the function when the message arrives, unless the node's end of the connection is closed by
+// then.
 func (c *executorConn) toNode(run func()) {
 	if c.unresponsive {
 		return
@@ -106,8 +107,8 @@
 	conn.breakConn("closed here")
 }
 
-// breakConn ends a connection at the node's end, and notifies the node after processingDelay: first of the end of the attempt, then of the
-// closed connection.
+// breakConn ends a connection at the node's end. It notifies the node of the end of the attempt after processingDelay, and of the closed
+// connection half a processingDelay later.
 func (c *executorConn) breakConn(reason string) {
 	if c.state == connClosed {
 		return
@@ -128,7 +129,7 @@
 	c.deliverAfter(processingDelay+processingDelay/2, node.ConnClosed{Conn: c.id, Detail: detail})
 }
 
-// closeAtExecutor ends a connection at the executor's end, after the messages on their way there.
+// closeAtExecutor ends a connection at the executor's end. Messages already on their way to the executor arrive first.
 func (c *executorConn) closeAtExecutor() {
 	if c.executor != nil && c.accepted {
 		c.toExecutor(c.dropAtExecutor)
--- a/internal/simulation/conn_faults.go
+++ b/internal/simulation/conn_faults.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// openConns returns all open connections between nodes and executors, in an order that depends on the seed only.
+// openConns returns all open connections between nodes and executors. Their order depends only on the seed.
 func (sim *Simulation) openConns() (all []faultableConn) {
 	for _, n := range sim.nodes {
 		if n.process != nil && n.up {
@@ -54,7 +54,7 @@
 	return all
 }
 
-// resetOpenConns breaks a fraction of the open connections to executors, within the next resetPeriod.
+// resetOpenConns breaks a fraction of the open connections to executors, each at a random time within the next resetPeriod.
 func (sim *Simulation) resetOpenConns(fraction float64) {
 	for _, conn := range sim.openConns() {
 		if sim.networkRand.Float64() < fraction {
@@ -63,7 +63,7 @@
 	}
 }
 
-// resetClientConns breaks a fraction of the connections on which clients wait.
+// resetClientConns breaks a fraction of the connections on which clients wait for an answer.
 func (sim *Simulation) resetClientConns(fraction float64) {
 	for _, n := range sim.nodes {
 		for _, request := range n.requestsInFlight() {
@@ -94,7 +94,7 @@
 // makeUnresponsive implements faultableConn.
 func (c *executorConn) makeUnresponsive() { c.unresponsive = true }
 
-// breakAt implements faultableConn. Each end notices the break at a different time, and messages on their way may still arrive.
+// breakAt implements faultableConn. The two ends notice the break at different times. Messages on their way can still arrive.
 func (c *executorConn) breakAt(delay time.Duration) {
 	sim := c.node.sim
 	c.node.after(delay, func() { c.breakConn("reset on the way") })
--- a/internal/simulation/dial.go
+++ b/internal/simulation/dial.go
@@ -9,7 +9,7 @@
 // noConnection is the prefix of the detail of a failed dial.
 const noConnection = "no connection: "
 
-// dial opens a connection to an executor. Current faults of new connections apply to it.
+// dial opens a connection to an executor. The current faults of new connections apply to this connection.
 func (n *simNode) dial(effect node.Dial) {
 	sim := n.sim
 	sim.lastConnID++
@@ -21,7 +21,7 @@
 		n.after(2*time.Duration(sim.scenario.Fleet.Near), func() { conn.failDial("nobody there") })
 		return
 	}
-	unresponsive := sim.networkRand.Float64() < sim.newConnUnresponsiveRate // applies once the connection is open
+	unresponsive := sim.networkRand.Float64() < sim.newConnUnresponsiveRate // takes effect once the connection is open
 	conn.resetsAtFirstUse = sim.networkRand.Float64() < sim.newConnResetRate
 	sim.at(sim.arrivalTime(n.zone, conn.executor.Zone), func() { conn.reachExecutor(unresponsive) })
 }
@@ -53,7 +53,7 @@
 	}
 	x.apply(outputs)
 	c.toNode(c.open)
-	if !ok { // the executor has reached its connection limit and closes this connection at once
+	if !ok { // the executor has reached its connection limit and closes the connection at once
 		c.toNode(func() { c.breakConn("closed by the executor") })
 	}
 	c.unresponsive = unresponsive
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -15,15 +15,15 @@
 type Size struct {
 	Nodes     int           // largest number of nodes
 	Executors int           // largest number of executors
-	Length    time.Duration // time during which clients submit new work
+	Length    time.Duration // time during which clients submit new work items
 	SlowStart bool          // draw scenarios with 20 or 30 nodes that stress the slow start of executors
 }
 
-// adminFaults are the kinds of fault that consist of operators' commands.
+// adminFaults are the kinds of fault that operators cause with commands to nodes.
 var adminFaults = []emulator.FaultKind{emulator.Excluded, emulator.ClientsDrained}
 
-// Draw draws a scenario and its faults from a seed. Each feature that was added later draws from a random stream of its own, so that the
-// rest of a seed's scenario has stayed the same.
+// Draw draws a scenario and its faults from a seed. Operators' commands, hedging, health checks, gossip and slow start are drawn from random
+// streams of their own, because Draw gained them later: the rest of each seed's scenario stays as it was before.
 func Draw(seed uint64, size Size) Scenario {
 	r := stream(seed, drawStream)
 	s := base()
@@ -49,7 +49,7 @@
 // oneIn returns true with a probability of 1/n.
 func oneIn(r *rand.Rand, n int) bool { return r.IntN(n) == 0 }
 
-// otherFaults returns the kinds of fault that need neither operators nor gossip.
+// otherFaults returns the kinds of fault that are neither in adminFaults nor in gossipFaults.
 func otherFaults() []emulator.FaultKind {
 	return slices.DeleteFunc(emulator.FaultKinds(), func(k emulator.FaultKind) bool {
 		return slices.Contains(adminFaults, k) || slices.Contains(gossipFaults, k)
@@ -143,13 +143,13 @@
 	}
 }
 
-// drawFeatures draws whether the policy may hedge jobs and check executors' health.
+// drawFeatures draws whether the policy is allowed to hedge jobs, and whether it is allowed to check executors' health.
 func drawFeatures(r *rand.Rand, f *Fleet) {
 	f.MayHedge = oneIn(r, 2)
 	f.MayCheckHealth = oneIn(r, 2)
 }
 
-// drawGossip draws whether nodes gossip, and if so the faults of their messages.
+// drawGossip draws whether nodes gossip. If they do, it also draws whether they lease slots, and the faults of gossip.
 func drawGossip(r *rand.Rand, s *Scenario) {
 	if !oneIn(r, 2) {
 		return
@@ -207,7 +207,8 @@
 	return least, most
 }
 
-// drawTargets draws the targets of a fault: all, those of a zone, a random set, or a single one.
+// drawTargets draws the targets of a fault: all of them, those of a zone, a random set, or a single one. The letter is the prefix of their
+// names, and count is their number.
 func drawTargets(r *rand.Rand, letter string, count int, zone string) (targets []string) {
 	switch r.IntN(5) {
 	case 0:
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	watchRetryDelay = time.Millisecond // time after a partition's end until a node's watch is answered
-	maxNotifyJitter = 20000            // largest time by which the notification of a node is delayed, in microseconds
-	startedLongAgo  = -time.Hour       // start time of an executor of which discovery only knows that it started long ago
+	watchRetryDelay = time.Millisecond // time from the end of a partition until the watch of a node is answered
+	maxNotifyJitter = 20000            // largest random delay of the notification of a node, in microseconds
+	startedLongAgo  = -time.Hour       // start time that is reported to the checker for an executor that started long ago
 )
 
-// endpointsUpdate returns the event of an update of the endpoint list, and records what the node receives with it.
+// endpointsUpdate returns the event by which a node receives an update of the endpoint list, and records the update's content for the
+// checker.
 func (n *simNode) endpointsUpdate(kind policy.EndpointUpdateKind, entries []emulator.Entry) node.EndpointsUpdated {
 	event := node.EndpointsUpdated{Kind: kind}
 	if kind == policy.WatchFailed {
@@ -53,8 +54,8 @@
 	}
 }
 
-// recordEndpoint observes an update of an executor that the node receives, unless it changes nothing. An executor that operators have
-// excluded counts as draining while the endpoint list has it as available.
+// recordEndpoint reports to the checker that the node has received an update of an executor's state. An update that changes nothing is not
+// reported. If operators have excluded an executor that the endpoint list has as available, the executor counts as draining.
 func (n *simNode) recordEndpoint(s invariants.Event) {
 	s.At = 0
 	if _, excluded := n.excluded[s.Executor]; excluded {
@@ -81,7 +82,7 @@
 	}
 }
 
-// recordAdminCall records an exclusion or readmission that the node has accepted.
+// recordAdminCall records the exclusion or readmission of an executor, if the node has accepted the operator's command.
 func (n *simNode) recordAdminCall(event node.Event, effects []node.Effect) {
 	call, ok := event.(node.AdminCalled)
 	if !ok || !slices.ContainsFunc(effects, isAcceptance) {
@@ -104,7 +105,8 @@
 	return ok && reply.Refusal == ""
 }
 
-// deliverEndpoints delivers discovery's pending updates to the node. Those for a zone with blocked inbound traffic wait for its end.
+// deliverEndpoints delivers discovery's pending updates to the node. If the inbound traffic of the node's zone is blocked, the updates are
+// delivered watchRetryDelay after the blockage ends.
 func (n *simNode) deliverEndpoints() {
 	if until := n.sim.partitions[n.zone].inboundUntil; until > n.sim.now {
 		n.after(until-n.sim.now+watchRetryDelay, n.deliverEndpoints)
@@ -127,7 +129,8 @@
 	sim.notifyNodes(at)
 }
 
-// notifyNodes lets all nodes read discovery's updates at the given time, each with a random delay.
+// notifyNodes lets all nodes read discovery's updates at the given time. Outside networked simulations, each node has a random additional
+// delay.
 func (sim *Simulation) notifyNodes(at time.Duration) {
 	if sim.networked != nil {
 		sim.at(at, sim.networked.notifyWatches)
@@ -141,7 +144,7 @@
 	}
 }
 
-// updateWeights sets all weights by the executors' load, and schedules its next call after Fleet.WeightInterval.
+// updateWeights sets the weight of each executor by its load, and schedules the next call of updateWeights after Fleet.WeightInterval.
 func (sim *Simulation) updateWeights() {
 	at := time.Duration(0)
 	for _, x := range sim.executors {
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// scheduledEvent is a function to run at a given time. Events at the same instant run in the order of tieBreak, drawn from the seed.
+// scheduledEvent is a function to run at a given time. Events at the same instant run in the order of their tieBreak values, which depend
+// on the seed.
 type scheduledEvent struct {
 	at       time.Duration
 	tieBreak uint64
@@ -13,8 +14,8 @@
 	return e.at < other.at || e.at == other.at && e.tieBreak < other.tieBreak
 }
 
-// eventHeap is a binary min-heap with the next event first. It does not use container/heap, whose interface values need an allocation for
-// each event and whose interface calls would take a large fraction of a simulation's time.
+// eventHeap is a binary min-heap with the next event first. It does not use container/heap: the interface values of that package need an
+// allocation for each event, and its interface calls would take a large fraction of a simulation's time.
 type eventHeap []scheduledEvent
 
 func (h *eventHeap) push(event scheduledEvent) {
@@ -59,7 +60,7 @@
 	return first
 }
 
-// at schedules a function to run at the given time, or now if that has passed.
+// at schedules a function to run at the given time, or now if that time has passed.
 func (sim *Simulation) at(at time.Duration, run func()) {
 	sim.scheduled++
 	sim.events.push(scheduledEvent{max(at, sim.now), permute(sim.seed ^ sim.scheduled*scheduleGamma), run})
--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -8,7 +8,7 @@
 	"birchstair/policy"
 )
 
-// executor is an emulated executor with its simulated process and connections.
+// executor is an emulated executor, together with the models of its process and its connections.
 type executor struct {
 	*emulator.Executor
 	sim    *Simulation
@@ -18,14 +18,14 @@
 
 	faults           []emulator.Fault // current faults that slow the executor down or make it fail
 	activeDownFaults int              // number of current faults that keep the executor down
-	unreachable      bool             // its machine has vanished: connections are neither accepted nor refused
+	unreachable      bool             // the executor's machine has vanished: connections are neither accepted nor refused
 	replacements     int              // number of executors that have replaced this one
-	timerSeq         int              // number of the timer that is set; timers with smaller numbers are ignored
+	timerSeq         int              // number of the current timer; timers with smaller numbers are ignored
 
 	assignedJobs []*baselineJob // jobs that BestPolicy has sent to the executor and that have not arrived yet
 
 	// Used in a networked simulation.
-	incarnation int // number of processes that have been started
+	incarnation int // number of processes of the executor that have been started
 	sockets     map[emulator.ConnID]*executorSocket
 }
 
@@ -37,7 +37,7 @@
 	return x
 }
 
-// newAddr returns an address that was never used before.
+// newAddr returns an address that no executor has had before.
 func (sim *Simulation) newAddr() string {
 	sim.lastAddr++
 	return fmt.Sprintf("127.1.%d.%d:9000", sim.lastAddr/250, sim.lastAddr%250+1)
@@ -64,7 +64,7 @@
 // standardCores returns the executor's capacity in standard cores.
 func (x *executor) standardCores() float64 { return float64(x.Cores) * x.Speed }
 
-// apply applies the outputs of a change of the executor's state, and sets the timer for the next change.
+// apply applies the outputs of a state change of the executor, and sets the timer for the next state change.
 func (x *executor) apply(outputs []emulator.Output) {
 	for _, output := range outputs {
 		x.applyOutput(output)
@@ -117,7 +117,7 @@
 	}
 }
 
-// restart starts a new process of the executor and publishes it to discovery.
+// restart starts a new process of the executor, and changes the executor's entry at discovery to available.
 func (x *executor) restart() {
 	sim := x.sim
 	x.unreachable = false
@@ -143,7 +143,7 @@
 	x.sim.byAddr[x.addr] = x
 }
 
-// dedupMemory returns the memory of the idempotency keys of a class that have reached any executor of the executor's dedup group.
+// dedupMemory returns the memory of a job class's idempotency keys. All executors of x's dedup group share this memory.
 func (sim *Simulation) dedupMemory(x *executor, class policy.JobClassID) *emulator.DedupMemory {
 	return sim.memories.Of(class, sim.jobClasses[class].DedupGroup, x.ExecutorSpec)
 }
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -9,7 +9,7 @@
 	"birchstair/policy"
 )
 
-// vanishDetection is the time until discovery removes an executor whose machine has vanished.
+// vanishDetection is the time from the loss of an executor's machine until discovery removes the executor.
 const vanishDetection = 2 * time.Second
 
 // beginFault begins a fault on the executor.
@@ -29,7 +29,7 @@
 	}
 }
 
-// endFault ends a fault on the executor. A drain has no end here, as drainAndRestart schedules all its steps.
+// endFault ends a fault on the executor. It does nothing for a drain, because drainAndRestart schedules all steps of a drain.
 func (x *executor) endFault(fault emulator.Fault) {
 	switch fault.Kind {
 	case emulator.Crash, emulator.HostLost, emulator.ZoneLost:
@@ -40,7 +40,7 @@
 		}
 		x.endDownFault()
 	case emulator.Replace:
-		if x.activeDownFaults == 1 { // the count stays above 0, so this executor never restarts
+		if x.activeDownFaults == 1 { // activeDownFaults stays above 0, so this executor never restarts
 			x.replace()
 		}
 	case emulator.Drain:
@@ -61,7 +61,8 @@
 	x.apply(x.SetFaults(x.sim.now, faults))
 }
 
-// stop ends the executor's process. If its machine vanishes with it, nodes are not notified, and discovery notices only later.
+// stop ends the executor's process. If the executor's machine vanishes too, connections are not closed, so that nodes are not notified, and
+// discovery removes the executor only after vanishDetection.
 func (x *executor) stop(vanishes bool) {
 	sim := x.sim
 	x.activeDownFaults++
@@ -96,8 +97,9 @@
 	x.restart()
 }
 
-// drainAndRestart drains the executor. Discovery publishes the drain after its lag, and the executor takes no new jobs once the grace
-// period after that has passed. Its process ends after three quarters of the fault's duration and restarts at the end of the fault.
+// drainAndRestart drains the executor. Discovery publishes the drain after Fleet.DiscoveryLag. The executor still accepts jobs for
+// Fleet.DrainGrace after that. Its process ends after three quarters of the fault's duration, and a new process starts at the end of the
+// fault.
 func (x *executor) drainAndRestart(fault emulator.Fault) {
 	sim := x.sim
 	if !x.Up || x.activeDownFaults > 0 {
@@ -123,8 +125,8 @@
 	sim.after(fault.For, x.endDownFault)
 }
 
-// excludeAndRestart lets operators exclude the executor at each node, and restarts its process meanwhile. The endpoint list does not show
-// the exclusion.
+// excludeAndRestart lets operators exclude the executor at each node. During the exclusion, the executor's process ends after half of the
+// fault's duration, and a new process starts after three quarters. The endpoint list does not show the exclusion.
 func (x *executor) excludeAndRestart(fault emulator.Fault) {
 	sim := x.sim
 	for _, n := range sim.nodes {
@@ -134,7 +136,7 @@
 	sim.after(fault.For*3/4, x.endDownFault)
 }
 
-// replace starts a new executor, with another ID, in place of one that never restarts.
+// replace starts a new executor with another ID. It takes the place of x, which never restarts.
 func (x *executor) replace() {
 	x.replacements++
 	replacement := x.sim.addExecutor(fmt.Sprintf("%s-%d", x.ID, x.replacements), x.number, x.Speed)
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -11,14 +11,14 @@
 	"birchstair/policy"
 )
 
-// Membership is modeled like that of the memberlist library: a node notices with a delay which peers are alive, and counts those as alive
-// that it can reach itself.
+// Membership is modeled on the memberlist library. A node counts a peer as alive if the node itself could reach the peer recently. It
+// notices changes with a delay.
 const (
 	membershipInterval = 500 * time.Millisecond  // interval at which a node updates its list of alive peers
-	memberTimeout      = 2500 * time.Millisecond // a peer that could not be reached for this long counts as dead
+	memberTimeout      = 2500 * time.Millisecond // a peer counts as dead once it could not be reached for this long
 )
 
-// Prefixes of the node's log messages about drains that it received from peers.
+// Prefixes of the log messages that a node writes when a peer notifies it of an executor's drain, and when it drops this notice.
 const (
 	logPeerDrain    = "counts as draining"
 	logPeerDrainEnd = "no longer counts as draining"
@@ -61,7 +61,7 @@
 	n.after(membershipInterval, n.updateMembership)
 }
 
-// sendGossip checks a gossip message against the bounds and sends it, corrupted if the node has that fault.
+// sendGossip checks the bounds of gossip and then sends the message. If the node has the fault FalseGossip, it sends a corrupted message.
 func (n *simNode) sendGossip(envelope cluster.Envelope) {
 	n.checkGossipBounds(envelope)
 	message := n.corrupt(envelope.Message)
@@ -72,7 +72,7 @@
 	}
 }
 
-// sendLeaseMessage sends a message about leases.
+// sendLeaseMessage sends a message about leases to a peer.
 func (n *simNode) sendLeaseMessage(effect node.SendLeaseMessage) {
 	if int(effect.To) < len(n.sim.nodes) {
 		event := node.LeaseMessageReceived{From: policy.NodeID(n.id), Message: effect.Message, Hash: effect.Hash}
@@ -80,7 +80,7 @@
 	}
 }
 
-// sendToPeer sends a message that may be lost, delayed or duplicated. A partition drops it.
+// sendToPeer sends a message to a peer. The message can be lost, delayed or duplicated at random. A partition drops it.
 func (n *simNode) sendToPeer(peer *simNode, event node.Event) {
 	sim, fleet := n.sim, &n.sim.scenario.Fleet
 	sim.result.PeerMessages++
@@ -105,7 +105,8 @@
 	}
 }
 
-// corrupt returns the message that is sent instead if the node has the fault to send false messages. Four kinds of corruption alternate.
+// corrupt returns the message to send in place of the given one. They differ only if the node has the fault FalseGossip. Successive messages
+// cycle through four kinds of corruption.
 func (n *simNode) corrupt(message cluster.Message) cluster.Message {
 	if n.corruption == 0 {
 		return message
@@ -129,8 +130,8 @@
 	return message
 }
 
-// recordPeerDrains records the drains that a node has received from a peer. It must respect them like those in its own endpoint list,
-// until it drops them because its own list has not confirmed them in time.
+// recordPeerDrains records which executors a node counts as draining because a peer has notified it of the drain. The node must respect such
+// a drain like one in its own endpoint list. It drops the drain if its own list does not confirm it in time.
 func (n *simNode) recordPeerDrains(effects []node.Effect) {
 	for _, effect := range effects {
 		message, ok := effect.(node.Log)
