--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -7,17 +7,25 @@
 	"birchstair/internal/cluster"
 )
 
-// Bounds of docs/design/fleet.md that are checked whenever a node sends a gossip message: the number of messages that it sends, the age of
-// the peer states that it uses, and the difference between the work rate that it sends and the true one.
+// Whenever a node sends a gossip message, the simulation checks three bounds of docs/design/fleet.md: the number of messages that the node
+// sends, the age of the peer states that the node uses, and the difference between the work rate in the message and the true work rate.
 const (
-	suspendGrace       = 4 * time.Second // time after a suspension without a check of the node's rates, whose averages may restart
-	boundRounds        = 4               // number of gossip intervals over which messages are counted
-	extraRounds        = 1               // rounds tolerated beyond the bound, as a round may just have begun
-	workRateFactor     = 2.5             // factor by which the sent work rate may exceed the true one, as clients' estimates are inexact
-	workRateSlack      = 1.0             // additional tolerance, in seconds of work per second
-	maxCheckedNoise    = 0.3             // work rates are not checked if Load.HintNoise is at least this
-	suspendRounds      = 3               // number of gossip intervals by which peer states may be older after a suspension
-	gossipRecordLength = time.Minute     // time for which sent messages are recorded
+	// After a suspension, the work rate of a node is not checked for this long, because the node's averages can restart.
+	suspendGrace = 4 * time.Second
+	// Messages are counted over this number of gossip intervals.
+	boundRounds = 4
+	// This number of rounds is tolerated beyond the bound, because a round can have just begun.
+	extraRounds = 1
+	// The true work rate is multiplied by this to get the largest rate that a node may send, because clients' estimates are inexact.
+	workRateFactor = 2.5
+	// This is added to the largest rate that a node may send, in seconds of work per second.
+	workRateSlack = 1.0
+	// Work rates are not checked if Load.HintNoise is at least this.
+	maxCheckedNoise = 0.3
+	// After a suspension, peer states may be older by this number of gossip intervals.
+	suspendRounds = 3
+	// Sent messages are recorded for this long.
+	gossipRecordLength = time.Minute
 )
 
 // gossipBounds records the messages that all nodes have sent.
@@ -26,27 +34,28 @@
 	order  []cluster.MessageID // keys of sentAt, oldest first
 }
 
-// workRate records the true work rate of one node, averaged as the node itself does, and the times of its messages.
+// workRate records the true work rate of one node, and the times of the gossip messages that the node has sent. The rate is averaged in the
+// same way as the node averages it.
 type workRate struct {
 	work           float64 // seconds of work, decaying exponentially since at
 	at             time.Duration
-	suspendedUntil time.Duration   // end of suspendGrace after the last suspension
+	suspendedUntil time.Duration   // end of the suspendGrace after the last suspension
 	sentAt         []time.Duration // times of the messages within the last boundRounds gossip intervals
 }
 
-// add adds completed work, in seconds.
+// add adds completed work, in seconds on a standard core.
 func (r *workRate) add(now time.Duration, work float64) {
 	r.work = r.work*math.Exp(-float64(now-r.at)/float64(cluster.AveragingTimeConstant)) + work
 	r.at = now
 }
 
-// rate returns the work rate, in seconds of work per second, of a process that has run for the given time.
+// rate returns the work rate of a process that has run for the given time, in seconds of work per second.
 func (r *workRate) rate(now, running time.Duration) float64 {
 	complete := cluster.AveragingTimeConstant.Seconds() * (1 - math.Exp(-float64(running)/float64(cluster.AveragingTimeConstant)))
 	return r.work * math.Exp(-float64(now-r.at)/float64(cluster.AveragingTimeConstant)) / max(complete, 1e-3)
 }
 
-// checkGossipBounds checks the bounds when a node sends a message, before the message can be corrupted or lost.
+// checkGossipBounds checks all bounds when a node sends a message. It sees the message before a fault can corrupt or lose it.
 func (n *simNode) checkGossipBounds(envelope cluster.Envelope) {
 	settings := cluster.Defaults("", 0, 0)
 	n.checkMessageCount(settings)
@@ -58,7 +67,7 @@
 	n.checkPeerStates(settings)
 }
 
-// checkMessageCount checks the number of messages that a node sends.
+// checkMessageCount checks the number of messages that a node has sent within the last boundRounds gossip intervals.
 func (n *simNode) checkMessageCount(settings cluster.Settings) {
 	sim, window := n.sim, boundRounds*settings.GossipInterval
 	n.workRate.sentAt = append(n.workRate.sentAt, sim.now)
@@ -70,8 +79,8 @@
 	}
 }
 
-// checkWorkRate checks the work rate that a node sends. There is no check if clients' estimates are too inexact or missing, or if the node
-// was suspended recently, because the rate is inexact then.
+// checkWorkRate checks the work rate that a node sends. It does nothing if clients' estimates are missing or too inexact, or if the node was
+// suspended recently, because the work rate is inexact then.
 func (n *simNode) checkWorkRate(sent float64) {
 	sim, noise := n.sim, n.sim.scenario.Load.HintNoise
 	if noise < 0 || noise >= maxCheckedNoise || sim.now < n.workRate.suspendedUntil {
@@ -99,7 +108,7 @@
 	}
 }
 
-// recordGossip records that a message was sent. A corrupted one may have the name of another node.
+// recordGossip records that a message was sent. If the message is corrupted, its sender's name can be that of another node.
 func (sim *Simulation) recordGossip(message cluster.Message) {
 	bounds := &sim.gossipBounds
 	id := cluster.MessageID{From: message.From, Incarnation: message.Incarnation, Seq: message.Seq}
--- a/internal/simulation/kill_clients.go
+++ b/internal/simulation/kill_clients.go
@@ -12,13 +12,13 @@
 	clientTimeout   = 90 * time.Second       // time after which a client gives up its job
 	callTimeout     = 10 * time.Second       // timeout of a single HTTP request
 	clientBackoff   = 30 * time.Millisecond  // time that a client waits after an error or status 503
-	confirmDelay    = 500 * time.Millisecond // time until a client requests the final answer once more, perhaps from the next process
-	durableBudgetMS = "60000"                // X-Budget-Ms of a submission
-	pollQuery       = "?wait_ms=1000"        // lets the node wait up to 1 s for the final answer
+	confirmDelay    = 500 * time.Millisecond // time between the two requests of a client for the final answer, in which the node can restart
+	durableBudgetMS = "60000"                // value of the header X-Budget-Ms of a submission, in milliseconds
+	pollQuery       = "?wait_ms=1000"        // query of a poll, by which the node waits up to 1 s for the final answer
 )
 
-// client submits a job until it is acknowledged, and polls until it has received the same final answer twice. It retries when the node is
-// down or not ready.
+// client submits a job repeatedly until the node acknowledges it. It then polls until it has received two final answers, which must be the
+// same. It retries when the node is down or not ready.
 func (r *killRun) client(id, class string) {
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	url := "http://" + r.listen + "/-/jobs/" + id
@@ -47,7 +47,8 @@
 	}
 }
 
-// recordFinal records a final answer. It returns true if this is the second answer, which confirms or contradicts the first.
+// recordFinal records a final answer, and a violation if the answer differs from the job's first one. It returns true if the job had a final
+// answer before.
 func (r *killRun) recordFinal(id, final string) (done bool) {
 	r.mu.Lock()
 	before := r.finals[id]
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -13,49 +13,50 @@
 	"time"
 )
 
-// KillTest is a run of real processes on loopback: a node with durable jobs that is killed with SIGKILL at random times, emulated executors,
-// and clients. Each client submits its job until the node acknowledges it, and then polls until it has a final answer.
+// KillTest is a run of a real node process on loopback, with emulated executors and clients. The node has durable jobs, and is killed with
+// SIGKILL at random times. Each client submits one job until the node acknowledges it, and then polls until it has received the final
+// answer twice.
 type KillTest struct {
 	Binary string // path of the birchstair program
 	Seed   uint64
 	Jobs   int    // number of durable jobs
 	Kills  int    // number of times that the node is killed
-	Leases bool   // executors answer lease queries
+	Leases bool   // whether executors answer lease queries
 	Dir    string // an empty directory for the run's files; the caller removes it
 }
 
 // KillResult is the result of a KillTest.
 type KillResult struct {
 	Finals     map[string]int // number of jobs by the name of their final answer
-	Violations []string       // descriptions of what must not have happened
+	Violations []string       // descriptions of the violations
 }
 
 // The timing of a run.
 const (
 	submitInterval   = 15 * time.Millisecond // time between the submissions of two jobs
-	minUptimeMS      = 20                    // shortest time from a start to the next kill, in milliseconds
-	uptimeRangeMS    = 400                   // range of the uniformly distributed additional time, in milliseconds
+	minUptimeMS      = 20                    // shortest time from a start of the node to the next kill, in milliseconds
+	uptimeRangeMS    = 400                   // range of the random time that is added to minUptimeMS, uniformly distributed, in milliseconds
 	readyTimeout     = 10 * time.Second
 	readyPoll        = 10 * time.Millisecond
-	loggedTailLength = 500 // number of bytes at the end of the node's log that a violation quotes
-	killStream       = 4   // second word of the random seed
+	loggedTailLength = 500 // number of bytes from the end of the node's log that are quoted if a planned shutdown fails
+	killStream       = 4   // second word of the seed of the random numbers; the first is KillTest.Seed
 )
 
 // killRun is the state of a running KillTest.
 type killRun struct {
 	KillTest
 	listen string // address of the node
-	site   string // path of the operator's file
+	site   string // path of the node's operator file
 	config string // path of the node's configuration
 
 	mu         sync.Mutex        // guards the fields below
-	runsOfJob  map[string]int    // number of runs by job
-	finals     map[string]string // final answer by job
+	runsOfJob  map[string]int    // number of runs of each job
+	finals     map[string]string // last final answer of each job
 	violations []string
 	rand       *rand.Rand
 }
 
-// Play plays the run. It returns an error if the run could not be played to its end.
+// Play plays the run. It returns an error if the run fails before its end; violations are not errors but part of the result.
 func (k KillTest) Play() (KillResult, error) {
 	r := &killRun{KillTest: k, runsOfJob: map[string]int{}, finals: map[string]string{}, rand: rand.New(rand.NewPCG(k.Seed, killStream))}
 	closeAll, err := r.setUp()
@@ -112,7 +113,7 @@
 	return r.start()
 }
 
-// shutDown shuts the node down gracefully. It waits until the node is ready, as the node ignores signals before that.
+// shutDown shuts the node down gracefully. It first waits until the node is ready, because the node ignores signals before that.
 func (r *killRun) shutDown(node *exec.Cmd) {
 	r.awaitReady()
 	node.Process.Signal(syscall.SIGTERM)
@@ -140,7 +141,7 @@
 	r.violation("the node is not ready again")
 }
 
-// outcome counts the final answers and returns all violations.
+// outcome returns the result of the run, after checking the final answer and the number of runs of each job.
 func (r *killRun) outcome() KillResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,7 +171,7 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// randomN returns a random number from 0 to below n.
+// randomN returns a random number that is at least 0 and below n.
 func (r *killRun) randomN(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/simulation/kill_setup.go
+++ b/internal/simulation/kill_setup.go
@@ -17,16 +17,16 @@
 
 const (
 	killExecutors  = 3   // number of emulated executors
-	maxRunTimeMS   = 120 // longest run time of a job, in milliseconds; run times are uniformly distributed
+	maxRunTimeMS   = 120 // upper limit of the run time of a job, in milliseconds; run times are uniformly distributed below it
 	killAtMostOnce = "once"
 	durablePrefix  = "durable-" // prefix that a node adds to the IDs of durable jobs at executors
 )
 
-// killClasses are the job classes of a run. repeat is the idempotency as the node's configuration names it.
+// killClasses are the job classes of a run. repeat is the idempotency of the class, under its name in the node's configuration.
 var killClasses = [2]struct{ name, repeat string }{{"page", "repeatable"}, {"order", killAtMostOnce}}
 
-// siteFormat is the format of the node's operator file. Its arguments are the store's directory and whether executors answer
-// lease queries.
+// siteFormat is the format string of the node's operator file. The string has two arguments: the directory of the store, and whether
+// executors answer lease queries.
 const siteFormat = `[durable]
 dir = %q
 outer-limit = "2m"
@@ -37,7 +37,7 @@
 leases = %v
 `
 
-// killConfig is the node's configuration, with the fields that a run sets.
+// killConfig is the node's configuration. It has only the fields that a run sets.
 type killConfig struct {
 	Name      string       `json:"name"`
 	Listen    string       `json:"listen"`
@@ -72,8 +72,8 @@
 	Value     float64 `json:"earnings"`
 }
 
-// setUp starts the emulated executors and discovery, and writes the node's files. closeAll closes all listeners; it must be called even if
-// setUp returns an error.
+// setUp starts the emulated executors and discovery, and writes the node's files. closeAll closes all listeners. The caller must call it even
+// if setUp returns an error.
 func (r *killRun) setUp() (closeAll func(), err error) {
 	var open []net.Listener
 	closeAll = func() {
--- a/internal/simulation/link.go
+++ b/internal/simulation/link.go
@@ -8,13 +8,14 @@
 	"birchstair/policy"
 )
 
-// processingDelay is the duration of a step within a process.
+// processingDelay is the time that a process takes to handle one event.
 const processingDelay = 20 * time.Microsecond
 
-// partition holds the times until which no traffic from other zones enters a zone, and until which no traffic leaves it.
+// partition describes the partition of one zone. Until inboundUntil, no traffic from other zones enters the zone. Until outboundUntil, no
+// traffic leaves the zone for other zones.
 type partition struct{ inboundUntil, outboundUntil time.Duration }
 
-// minDelay returns the smallest one-way delay between two zones, or within one.
+// minDelay returns the smallest one-way delay between two zones, or within a zone if both are the same.
 func (sim *Simulation) minDelay(from, to policy.ZoneID) time.Duration {
 	if from != to {
 		return time.Duration(sim.scenario.Fleet.Far)
@@ -22,13 +23,14 @@
 	return time.Duration(sim.scenario.Fleet.Near)
 }
 
-// randomDelay returns a random one-way delay between two zones, up to a fifth longer than the smallest.
+// randomDelay returns a random one-way delay between two zones. It is at least minDelay, and at most a fifth longer.
 func (sim *Simulation) randomDelay(from, to policy.ZoneID) time.Duration {
 	least := sim.minDelay(from, to)
 	return least + time.Duration(sim.networkRand.Int64N(int64(least)/5+1))
 }
 
-// arrivalTime returns the time at which a message that is sent now arrives. A partition delays it until its end, as retransmission does.
+// arrivalTime returns the time at which a message that is sent now arrives. A partition delays the message until the partition ends, as if
+// TCP retransmitted it.
 func (sim *Simulation) arrivalTime(from, to policy.ZoneID) time.Duration {
 	sent := sim.now
 	if from != to {
@@ -50,7 +52,7 @@
 	return true
 }
 
-// partitionZones blocks inbound traffic, outbound traffic or both of the fault's zones until the fault ends.
+// partitionZones blocks the inbound traffic, the outbound traffic or both for each of the fault's zones, until the fault ends.
 func (sim *Simulation) partitionZones(fault emulator.Fault, inbound, outbound bool) {
 	until := sim.now + fault.For
 	for i, name := range sim.scenario.Fleet.Zones {
--- a/internal/simulation/malformed_clients.go
+++ b/internal/simulation/malformed_clients.go
@@ -11,13 +11,14 @@
 	"time"
 )
 
-// malformedReplyTimeout is the time within which a node must answer a malformed request with an error, or close its connection.
+// malformedReplyTimeout is the time within which a node must answer a malformed request with an error, or close the client's connection.
 const malformedReplyTimeout = 3 * time.Second
 
 // classPlaceholder stands for the name of a job class in malformedRequests.
 const classPlaceholder = "TRACK"
 
-// malformedRequests are the requests that malformed clients send. One hides a request in the body of another, which must not be served.
+// malformedRequests are the requests that misbehaving clients send. One of them hides a second request in its body. The node must not serve
+// this hidden request.
 var malformedRequests = []string{
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
 	"GET",
@@ -60,7 +61,7 @@
 	sim.after(clientsStartAfter, next)
 }
 
-// sendMalformed sends a malformed request to a node and checks the answer.
+// sendMalformed sends a malformed request to a node. It counts the answer as wrong if the answer is not an error or does not come in time.
 func (ns *networkedSimulation) sendMalformed(p *nodeProcess, id, request string) {
 	ctx, cancel := context.WithTimeout(context.Background(), malformedReplyTimeout)
 	defer cancel()
--- a/internal/simulation/networked.go
+++ b/internal/simulation/networked.go
@@ -15,19 +15,20 @@
 const goroutineExitTime = 10 * time.Second
 
 // networkedSimulation runs a simulation with the nodes' real network code, including net/http's server and client, over in-memory
-// connections. Executors, discovery, clients and faults are the models that Play uses, but exchange bytes with the nodes. It uses the clock
-// of package time: on the virtual clock of testing/synctest it takes only its computing time, elsewhere the whole simulated time.
+// connections. Executors, discovery, clients and faults are the same models as in Play, but they exchange bytes with the nodes. The
+// simulation uses the clock of package time. With the virtual clock of testing/synctest, it takes only its computing time. With a real
+// clock, it takes the whole simulated time.
 type networkedSimulation struct {
 	sim         *Simulation
 	net         *memnet.Net
 	start       time.Time
-	rescheduled chan struct{} // wakes sleep when an event was scheduled, as it may be the next one
+	rescheduled chan struct{} // wakes sleep when an event was scheduled, because that event can be the next one
 	done        chan struct{} // closed when the simulation ends
 
 	mu               sync.Mutex // guards sim and the fields below; acquired before the lock of net
 	ended            bool       // the simulation has ended; later events are ignored
 	requests         map[policy.JobID]*clientRequest
-	endpointsChanged chan struct{}         // closed when discovery may have an update, and then replaced
+	endpointsChanged chan struct{}         // closed when discovery can have an update, and then replaced by a new channel
 	buffered         []bufferedObservation // events at the current instant, not sorted yet
 	observations     int
 
@@ -37,15 +38,15 @@
 	unreachable map[string]bool
 }
 
-// bufferedObservation is an event with its observer, by which the events at one instant are sorted.
+// bufferedObservation is an event with its sort keys. Events at the same instant are sorted by observer, and then by order.
 type bufferedObservation struct {
 	observer string
 	order    int
 	invariants.Event
 }
 
-// PlayNetworked runs the simulation with the nodes' network code over in-memory connections. It is meant to be called in a testing/synctest
-// bubble; elsewhere it takes as long as the simulated time. It may be called only once.
+// PlayNetworked runs the simulation with the nodes' network code over in-memory connections. Callers should call it in a testing/synctest
+// bubble; outside a bubble it takes as long as the simulated time. It must not be called more than once.
 func (sim *Simulation) PlayNetworked() Result {
 	ns := &networkedSimulation{
 		sim:              sim,
@@ -87,7 +88,8 @@
 	ns.ended = true
 }
 
-// step runs the next event, or releases the lock and waits for its time. It returns false at the end of the simulation.
+// step runs the next event if its time has come. Otherwise it releases the lock and waits until then, or until another event is scheduled.
+// It returns false at the end of the simulation.
 func (ns *networkedSimulation) step() bool {
 	sim := ns.sim
 	end := sim.lastDeadline()
@@ -121,7 +123,8 @@
 	}
 }
 
-// locked runs a function with the lock held and the simulation's clock at the present time. It does nothing once the simulation has ended.
+// locked sets the simulation's clock to the present time and runs a function, both with the lock held. It does nothing once the simulation
+// has ended.
 func (ns *networkedSimulation) locked(run func()) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
@@ -132,7 +135,7 @@
 	run()
 }
 
-// eventScheduled wakes sleep, because the new event may be the next one.
+// eventScheduled wakes sleep, because the event that was just scheduled can be the next one.
 func (ns *networkedSimulation) eventScheduled() {
 	select {
 	case ns.rescheduled <- struct{}{}:
@@ -140,7 +143,7 @@
 	}
 }
 
-// buffer keeps an event until its instant is over.
+// buffer keeps an event until the first later event arrives or the simulation ends. Then flush sorts and reports it.
 func (ns *networkedSimulation) buffer(observer string, s invariants.Event) {
 	if len(ns.buffered) > 0 && ns.buffered[0].At != s.At {
 		ns.flush()
@@ -149,7 +152,7 @@
 	ns.buffered = append(ns.buffered, bufferedObservation{observer, ns.observations, s})
 }
 
-// flush reports the events at one instant in an order that does not depend on the scheduling of goroutines.
+// flush reports the buffered events, which are all at the same instant. Their order does not depend on the scheduling of goroutines.
 func (ns *networkedSimulation) flush() {
 	slices.SortStableFunc(ns.buffered, func(a, b bufferedObservation) int {
 		return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.order, b.order))
--- a/internal/simulation/networked_clients.go
+++ b/internal/simulation/networked_clients.go
@@ -33,8 +33,8 @@
 	}()
 }
 
-// recordClientGone records the end of a client's connection at the time when it arrives at the node's machine. The node can't detect it
-// earlier.
+// recordClientGone records that a client has closed its connection. The time of the record is that at which the close arrives at the node's
+// machine, because the node can't detect it earlier.
 func (ns *networkedSimulation) recordClientGone(request *clientRequest, from, host string) {
 	path := ns.path(from, host)
 	if path.Lost {
@@ -73,7 +73,8 @@
 		return emulator.EndLost, 0
 	}
 	wrongResult := final.End == emulator.EndSucceeded && !platform.IsSuccess(final, string(work.ID))
-	wrongError := final.End == emulator.EndFailed && final.Status < http.StatusInternalServerError // a well-formed request must not fail with a client error
+	// A well-formed request must not fail with the status of a client error.
+	wrongError := final.End == emulator.EndFailed && final.Status < http.StatusInternalServerError
 	if wrongResult || wrongError {
 		ns.locked(func() { ns.sim.result.Wrong++ })
 	}
--- a/internal/simulation/networked_discovery.go
+++ b/internal/simulation/networked_discovery.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// awaitUpdate waits for the answer to a watch request and returns it. A complete list is returned at once, otherwise the next updates or,
-// when the request's hold time is over, an empty list. Unresponsive discovery does not answer. awaitUpdate returns nil when the simulation
-// ends.
+// awaitUpdate waits for the answer to a watch request and returns it. A request for the complete list is answered at once. Any other request
+// is answered with the next updates, or with an empty list once the request's hold time is over. While discovery is unresponsive, there is
+// no answer. awaitUpdate returns nil when the simulation ends.
 func (ns *networkedSimulation) awaitUpdate(request platform.Watch) []byte {
 	until := time.Now().Add(request.Hold)
 	for {
@@ -47,7 +47,7 @@
 		if answer != nil {
 			return answer
 		}
-		var holdOver <-chan time.Time // nil once the hold time is over, as only a change can lead to an answer then
+		var holdOver <-chan time.Time // nil once the hold time is over: from then on only a change can lead to an answer
 		if left := time.Until(until); left > 0 {
 			holdOver = time.After(left)
 		}
@@ -60,7 +60,8 @@
 	}
 }
 
-// answerWatch returns the present answer to a watch request, or nil if there is none yet, and a channel that the next change closes.
+// answerWatch returns the present answer to a watch request, or nil if there is no answer yet. It also returns a channel that is closed at
+// the next change.
 func (ns *networkedSimulation) answerWatch(request platform.Watch, until time.Time) (answer []byte, changed chan struct{}) {
 	ns.locked(func() {
 		changed = ns.endpointsChanged
@@ -79,7 +80,7 @@
 	return answer, changed
 }
 
-// notifyWatches lets all watch requests check for updates.
+// notifyWatches lets all waiting watch requests check for updates.
 func (ns *networkedSimulation) notifyWatches() {
 	close(ns.endpointsChanged)
 	ns.endpointsChanged = make(chan struct{})
--- a/internal/simulation/networked_node.go
+++ b/internal/simulation/networked_node.go
@@ -20,9 +20,10 @@
 
 const (
 	maxClientConns = 600 // largest number of client connections to a node
-	maxAdminCalls  = 64  // largest number of admin calls that wait at a process; further ones are dropped
+	maxAdminCalls  = 64  // largest number of admin calls that wait at a process; further calls are dropped
 
-	// Admin calls and dial timeouts get small different delays, so that no two are simultaneous and their order does not depend on the scheduler.
+	// Each admin call and each dial timeout gets a small additional delay of its own. Without it, two of them could be simultaneous, and their
+	// order would depend on the scheduler.
 	adminDelaySteps  = 997
 	adminDelayStep   = 1009 * time.Nanosecond
 	dialTimeoutSteps = 997
@@ -37,9 +38,9 @@
 	adminEvents chan node.Event
 	stop        context.CancelFunc
 	ended       bool
-	watchDials  int                          // number of connections to discovery that were dialed
+	watchDials  int                          // number of connections to discovery that the process has dialed
 	gaveUp      []invariants.Event           // jobs that the policy gave up in the current step
-	attempts    map[node.ConnID]*connAttempt // attempts in flight
+	attempts    map[node.ConnID]*connAttempt // attempts in flight, by their connection
 }
 
 // startNode starts a node's process.
@@ -77,7 +78,8 @@
 		Observer:        p.recordStep,
 	}
 	go func() {
-		service.Run(ctx, setup, p.adminEvents) //nolint:errcheck // a killed node ends with an error of its listener; the invariants check the answers to clients
+		// The error is not checked, because a killed node ends with an error of its listener. The invariants check the answers to clients.
+		service.Run(ctx, setup, p.adminEvents) //nolint:errcheck // a killed node ends with an error of its listener
 		ns.locked(p.exited)
 	}()
 }
@@ -102,7 +104,7 @@
 	return s
 }
 
-// dial opens a connection to an executor. Current faults of new connections apply to it.
+// dial opens a connection to an executor. The current faults of new connections apply to this connection.
 func (p *nodeProcess) dial(ctx context.Context, id node.ConnID, addr string) (net.Conn, error) {
 	ns, sim, name := p.networked, p.networked.sim, fmt.Sprint(id)
 	timeout := time.Duration(sim.scenario.Fleet.DialTimeout) + time.Duration(id%dialTimeoutSteps)*time.Nanosecond
@@ -133,8 +135,8 @@
 	return conn, nil
 }
 
-// dialDiscovery opens a connection to discovery. The connection's name is numbered per process: a killed process may or may not dial once
-// more before it ends, which must not change the names of other processes' connections.
+// dialDiscovery opens a connection to discovery. The connection's name has a number that is counted for each process separately. It is not
+// certain whether a killed process dials once more before it ends, and this must not change the names of other processes' connections.
 func (p *nodeProcess) dialDiscovery(ctx context.Context, _, addr string) (net.Conn, error) {
 	name := ""
 	p.networked.locked(func() {
@@ -197,7 +199,7 @@
 	}()
 }
 
-// exited records that the process has ended by itself.
+// exited records that the process has ended by itself, unless it was killed before.
 func (p *nodeProcess) exited() {
 	if p.ended {
 		return
--- a/internal/simulation/networked_recorder.go
+++ b/internal/simulation/networked_recorder.go
@@ -9,7 +9,7 @@
 	"birchstair/policy"
 )
 
-// recordStep observes a step of the process's state machine. The process calls it after each step.
+// recordStep records a step of the state machine: the event and the effects. The process calls recordStep after each step.
 func (p *nodeProcess) recordStep(_ time.Duration, event node.Event, effects []node.Effect) {
 	p.networked.locked(func() {
 		gaveUp := p.gaveUp
@@ -34,7 +34,7 @@
 	switch event := event.(type) {
 	case node.JobArrived:
 		request := p.networked.requests[event.Job.ID]
-		if request == nil { // no client sent this request: it was hidden in the body of another one
+		if request == nil { // no client sent this request: it was hidden in the body of another request
 			sim.result.Wrong++
 			return
 		}
@@ -50,7 +50,7 @@
 		p.attemptEnded(event.Conn, event.Outcome.NeverRan())
 	case node.AttemptNotSent: // the first byte was recorded with the effect, but was never sent
 		p.attemptEnded(event.Conn, true)
-	case node.ConnClosed: // no byte of an attempt was sent, or AttemptEnded would have come first
+	case node.ConnClosed: // the connection closed before any byte of an attempt was sent: otherwise AttemptEnded would have come first
 		p.attemptEnded(event.Conn, true)
 	}
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -19,13 +19,13 @@
 	id           invariants.NodeID
 	name         string
 	zone         policy.ZoneID
-	trafficShare float64 // weight of the node among the nodes of its zone when the front layer spreads traffic
+	trafficShare float64 // relative share of the node in the traffic that the front layer spreads, if Load.NodeSkew is set
 
 	stateMachine *node.Node
 	incarnation  int // number of times that the process has started
 	startedAt    time.Duration
 	diedAt       time.Duration
-	timerSeq     int // number of the timer that is set; timers with smaller numbers are ignored
+	timerSeq     int // number of the current timer; timers with smaller numbers are ignored
 
 	up               bool
 	ready            bool
@@ -36,9 +36,10 @@
 
 	conns     map[node.ConnID]*executorConn
 	requests  map[policy.JobID]*clientRequest
-	endpoints map[policy.ExecutorID]invariants.Event // last update of each executor that the node received
-	excluded  map[policy.ExecutorID]invariants.Event // executors that operators excluded at the node, with their state in the endpoint list
-	watchLost bool                                   // updates from discovery do not reach the node
+	endpoints map[policy.ExecutorID]invariants.Event // last update of each executor that the node has received
+	// Executors that operators excluded at the node, with their last update from the endpoint list.
+	excluded  map[policy.ExecutorID]invariants.Event
+	watchLost bool // updates from discovery do not reach the node
 
 	jobsInFlight     int
 	attemptsInFlight int
@@ -52,21 +53,23 @@
 	alivePeers    []cluster.NodeName
 	peerReachedAt map[invariants.NodeID]time.Duration
 	partitioned   bool     // the node exchanges messages only with other partitioned nodes
-	corruption    int      // 0: messages are sent unchanged; otherwise the number of corrupted messages sent, plus 1
+	corruption    int      // 0 if messages are sent unchanged; otherwise 1 plus the number of corrupted messages sent
 	workRate      workRate // true work rate, to check the rates that the node sends
 }
 
 // Settings of all nodes and timing of their processes.
 const (
-	totalWeight       = 0.8 // weight of the fraction of the total value that is earned, in what the policy maximizes
-	worstClassWeight  = 0.2 // weight of the fraction that the worst class earns
+	// In the goal of the policy, the earned fraction of the total value is multiplied by this.
+	totalWeight = 0.8
+	// In the goal of the policy, the fraction that the worst job class earns of its value is multiplied by this.
+	worstClassWeight  = 0.2
 	quantum           = 4 * time.Millisecond
 	maxShutdown       = 3 * time.Second
 	shutdownMargin    = 700 * time.Millisecond
-	cachedListAge     = 10 * time.Second      // age of the cached endpoint list that a node starts with
-	firstWatchDelay   = 20 * time.Millisecond // time from a start until the node watches discovery
+	cachedListAge     = 10 * time.Second      // age of the cached endpoint list with which a node starts
+	firstWatchDelay   = 20 * time.Millisecond // time from the start of a node until it watches discovery
 	readinessDelay    = time.Millisecond      // time until the front layer notices a change of readiness
-	nodeIODelay       = 5 * time.Millisecond  // time until an I/O operation of the node's process has an effect
+	nodeIODelay       = 5 * time.Millisecond  // time until an I/O operation of the node's process takes effect
 	restartPollPeriod = 100 * time.Millisecond
 )
 
@@ -101,7 +104,7 @@
 	}
 	longest := time.Duration(0)
 	for _, class := range n.sim.jobClasses {
-		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialTimeout)) // internal/config reduces it in the same way
+		class.DedupWindow = max(0, class.DedupWindow-time.Duration(fleet.DialTimeout)) // internal/config reduces DedupWindow in the same way
 		settings.JobClasses = append(settings.JobClasses, class)
 		longest = max(longest, class.Deadline)
 	}
@@ -118,7 +121,7 @@
 	}
 }
 
-// start starts the node's process with a cached endpoint list, and soon lets it watch discovery.
+// start starts the node's process with a cached endpoint list. The process watches discovery after firstWatchDelay.
 func (n *simNode) start() {
 	n.reset()
 	n.sim.observe(invariants.Event{Kind: invariants.NodeStarted, Node: n.id})
@@ -174,7 +177,8 @@
 	})
 }
 
-// deliver steps the state machine with an event and executes the effects. Events for a suspended process are kept until it resumes.
+// deliver steps the state machine with an event and executes the resulting effects. While the process is suspended, events are kept and
+// delivered when it resumes.
 func (n *simNode) deliver(event node.Event) {
 	if !n.up {
 		return
@@ -242,7 +246,7 @@
 	}
 }
 
-// setTimer sets the node's timer, which replaces the one that was set.
+// setTimer sets the node's timer. A timer that was set before no longer fires.
 func (n *simNode) setTimer(effect node.SetTimer) {
 	n.timerSeq++
 	seq := n.timerSeq
@@ -253,8 +257,8 @@
 	})
 }
 
-// recordLog counts panics of the policy, and writes the first line of a log message to the trace. The lines after it may be a stack trace,
-// whose addresses differ from run to run.
+// recordLog counts panics of the policy, and writes the first line of a log message to the trace. It omits the other lines, because they can
+// be a stack trace with addresses that differ from run to run.
 func (n *simNode) recordLog(message node.Log) {
 	if strings.HasPrefix(message.Text, node.PolicyPanicked) {
 		n.sim.result.Panics++
@@ -286,7 +290,7 @@
 	n.exit()
 }
 
-// exit ends the process and closes its connections. Attempts on their way to executors still arrive.
+// exit ends the process and closes its connections. Attempts that are on their way to executors still arrive.
 func (n *simNode) exit() {
 	n.up, n.ready, n.diedAt = false, false, n.sim.now
 	n.sim.result.recordMaxQueued(n)
@@ -299,8 +303,8 @@
 	n.loseClients()
 }
 
-// endDownFault ends one of the faults that keep the node down. When the last of them ends, the node starts as soon as its old process has
-// ended, which may still be shutting down.
+// endDownFault ends one of the faults that keep the node down. When the last of them ends, the node starts a new process. If the old process
+// is still shutting down, endDownFault tries again every restartPollPeriod until the old process has ended.
 func (n *simNode) endDownFault() {
 	if n.activeDownFaults--; n.activeDownFaults > 0 {
 		return
@@ -319,7 +323,7 @@
 	})
 }
 
-// suspend suspends the process for the duration of the fault, as SIGSTOP does. Events are kept until it resumes.
+// suspend suspends the process for the duration of the fault, as SIGSTOP does. Events are kept until the process resumes.
 func (n *simNode) suspend(fault emulator.Fault) {
 	if !n.up || n.suspended {
 		return
--- a/internal/simulation/observe.go
+++ b/internal/simulation/observe.go
@@ -8,11 +8,13 @@
 )
 
 const (
-	answerTolerance = 16 * time.Millisecond // an answer this long after the deadline still counts as in time
-	promptLimit     = time.Millisecond      // time within which the node must answer a job that the policy gave up
+	// An answer counts as in time up to this long after the deadline.
+	answerTolerance = 16 * time.Millisecond
+	promptLimit     = time.Millisecond // time within which the node must answer a job after the policy has given it up
 )
 
-// observe reports an event at the present time to the checker and the trace. A networked simulation buffers it until its instant is over.
+// observe reports an event at the present time to the checker and the trace. A networked simulation first buffers the events of an instant,
+// to sort them.
 func (sim *Simulation) observe(s invariants.Event) {
 	s.At = sim.now
 	if sim.networked == nil {
@@ -22,7 +24,8 @@
 	sim.networked.buffer(observer(s), s)
 }
 
-// observer returns the sort key of an event's observer: faults and notes first, then nodes, then executors.
+// observer returns the sort key of the node or executor that observes an event. Events without an observer, such as faults, are first, then
+// those of nodes, then those of executors.
 func observer(s invariants.Event) string {
 	switch {
 	case s.Kind == invariants.EffectStarted || s.Kind == invariants.AttemptReached:
@@ -51,7 +54,7 @@
 	sim.observe(invariants.Event{Kind: invariants.Note, Node: invariants.NoNode, Text: fmt.Sprintf(format, args...)})
 }
 
-// advanceChecker lets the checker check everything that was due by now.
+// advanceChecker lets the checker run all checks that are due by now, and adds the new violations to the result.
 func (sim *Simulation) advanceChecker() {
 	sim.checker.AdvanceTo(sim.now)
 	sim.result.Violations = append(sim.result.Violations, sim.checker.Violations()[len(sim.result.Violations):]...)
--- a/internal/simulation/policy_recorder.go
+++ b/internal/simulation/policy_recorder.go
@@ -16,12 +16,12 @@
 	process *nodeProcess // used in a networked simulation
 }
 
-// Place places a job and records whether it was given up.
+// Place lets the policy place a job, and records whether the policy gives it up.
 func (r *policyRecorder) Place(now time.Duration, id policy.JobID) policy.Decision {
 	return r.recordDecision(id, r.Policy.Place(now, id))
 }
 
-// AttemptEnded records the work done and whether the job was given up.
+// AttemptEnded notifies the policy of the end of an attempt. It records the completed work, and whether the policy gives up the job.
 func (r *policyRecorder) AttemptEnded(now time.Duration, id policy.JobID, attempt policy.AttemptID, outcome policy.Outcome, final bool) policy.Decision {
 	sim := r.node.sim
 	if request := r.node.requests[id]; outcome == policy.Succeeded && request != nil {
@@ -30,8 +30,8 @@
 	return r.recordDecision(id, r.Policy.AttemptEnded(now, id, attempt, outcome, final))
 }
 
-// recordDecision records that the policy gives up a job. In a networked simulation the event is kept until nodeProcess.recordStep reports
-// it with the other events of the step.
+// recordDecision records the decision if it gives up the job. In a networked simulation, nodeProcess.recordStep reports this event later,
+// together with the other events of the step.
 func (r *policyRecorder) recordDecision(id policy.JobID, decision policy.Decision) policy.Decision {
 	if decision.Action != policy.Reject && decision.Action != policy.Fail {
 		return decision
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Names of the random streams. A stream is seeded with its name, so that a changed name changes all traces.
+// Names of the random streams. A stream is seeded with the scenario's seed and its name, so a changed name changes the traces.
 const (
 	networkStream       = "network"
 	gossipStream        = "words"
@@ -25,10 +25,11 @@
 	fnvPrime  = 1099511628211
 )
 
-// scheduleGamma is the increment of splitmix64. As it is odd, its multiples modulo 2^64 visit every number.
+// scheduleGamma is the increment of splitmix64. Because it is odd, its multiples modulo 2^64 include every number.
 const scheduleGamma = 0x9e3779b97f4a7c15
 
-// stream returns the random stream of one use. Separate streams keep the rest of a simulation the same when a fault is removed.
+// stream returns the random stream with the given name, which stands for one use of randomness. With separate streams, the rest of a
+// simulation changes little when a fault is removed.
 func stream(seed uint64, use string) *rand.Rand {
 	hash := uint64(fnvOffset)
 	for i := range len(use) {
--- a/internal/simulation/recovery.go
+++ b/internal/simulation/recovery.go
@@ -5,13 +5,14 @@
 )
 
 const (
-	settlingTime   = 3 * time.Second // time from the start until nodes' estimates have settled
-	recoveryWindow = 3               // number of seconds over which the earned fraction must have recovered
+	settlingTime   = 3 * time.Second // time from the start of a simulation until the nodes' estimates have settled
+	recoveryWindow = 3               // length of the window over which the earned fraction is compared, in seconds
 )
 
-// Recovery returns the time from the end of the last fault until the earned fraction of the value, over recoveryWindow, is back within
-// tolerance of the fraction before the first fault. ok is false if it never recovers, or if the last fault ends too late to tell. The first
-// fault must begin later than settlingTime, and the result must be one that Play returned.
+// Recovery returns the time from the end of the last fault until the simulation has recovered. It has recovered at the begin of the first
+// recoveryWindow in which the earned fraction of the value is at most tolerance below the fraction before the first fault. ok is false if
+// there is no such window before the end of the simulation. The first fault must begin later than settlingTime, and the result must come
+// from Play.
 func (r *Result) Recovery(faults []Fault, tolerance float64) (recovery time.Duration, ok bool) {
 	first, last := time.Duration(r.Length), time.Duration(0)
 	for _, fault := range faults {
