--- a/cmd/birchstair-sim/hunt.go
+++ b/cmd/birchstair-sim/hunt.go
@@ -55,7 +55,8 @@
 	result   simulation.Result
 }
 
-// shortfall returns the difference between the upper bound of the earned fraction, given the nodes and executors that were up, and the earned fraction.
+// shortfall returns the upper bound of the earned fraction minus the earned fraction. The upper bound is that of the nodes and executors that
+// were up.
 func (w playedScenario) shortfall() float64 { return w.result.Best - w.result.Earned }
 
 // hunt is the state of a running hunt.
@@ -69,12 +70,12 @@
 	panics        int
 	duplicateRuns int
 	violations    int
-	worst         []playedScenario // ordered by shortfall, largest first
+	worst         []playedScenario // scenarios that did worst so far, by shortfall, largest first
 	comparison    comparison
 	err           error
 }
 
-// Run plays a drawn scenario for each seed, and prints and keeps those that violate an invariant or do worst.
+// Run plays a drawn scenario for each seed. It prints the scenarios that violate an invariant or do worst, and keeps them if --keep is set.
 func (c *huntCmd) Run() error {
 	if c.Nodes < 1 || c.Executors < 2 || c.Length < time.Second {
 		return fmt.Errorf("--nodes %d, --executors %d, --length %v: must be at least 1, 2 and 1s", c.Nodes, c.Executors, c.Length)
@@ -97,7 +98,8 @@
 	return h.printSummary()
 }
 
-// add adds a result to the sums, and prints and keeps the scenario if it violated an invariant.
+// add adds a result to the sums. If the scenario violated an invariant, add prints the first violation, and keeps the scenario if --keep is
+// set.
 func (h *hunt) add(played playedScenario) {
 	r := played.result
 	h.done++
@@ -135,7 +137,7 @@
 	fmt.Fprintf(os.Stderr, "%d of %d worlds, %d broken, %.0f a second, %v to go\n", h.done, total, h.violations, rate, remaining.Round(time.Second))
 }
 
-// printSummary prints the sums and the scenarios that did worst, and keeps these scenarios.
+// printSummary prints the sums and the scenarios that did worst. It keeps these scenarios if --keep is set.
 func (h *hunt) printSummary() error {
 	fmt.Printf("%d worlds, %d things wanted, %d steps in %v: %d broke a rule, the module broke %d times, %d tagged ran again too late to be dropped\n",
 		h.done, h.works, h.steps, time.Since(h.began).Round(time.Millisecond), h.violations, h.panics, h.duplicateRuns)
@@ -157,21 +159,21 @@
 	return nil
 }
 
-// comparison compares the results of scenarios with gossip to those without.
+// comparison compares the results of the same scenarios with gossip and without.
 type comparison struct {
 	pairs []comparedPair
 }
 
 type comparedPair struct {
 	seed                          uint64
-	gossip, alone, best           float64 // earned fraction with gossip and without, and its upper bound
+	gossip, alone, best           float64 // earned fraction with gossip and without it, and the upper bound of the earned fraction
 	gossipAttempts, aloneAttempts int
 }
 
 // notableDifference is the smallest difference of the earned fractions that counts as better or worse.
 const notableDifference = 0.02
 
-// add plays a scenario with gossip once more without, and adds both results.
+// add plays a scenario, which was played with gossip, again without gossip. It adds both results to the comparison.
 func (c *comparison) add(played playedScenario) {
 	s, r := played.scenario, played.result
 	s.Fleet.Gossip = false
@@ -204,7 +206,7 @@
 	}
 }
 
-// keep writes a scenario to a directory, with the reason for keeping it in its description.
+// keep writes a scenario to a directory. It adds the reason for keeping the scenario to the scenario's description.
 func keep(dir string, s simulation.Scenario, reason string) error {
 	s.About = strings.TrimSuffix(s.About, ".") + "; " + reason + "."
 	text, err := s.Text()
@@ -220,7 +222,7 @@
 	To       string `type:"path" placeholder:"FILE" help:"Write the reduced scenario to this file. By default it is printed."`
 }
 
-// Run reduces the scenario as long as it violates the same invariant, and prints it or writes it to a file.
+// Run reduces the scenario as long as it violates the same invariant. It prints the reduced scenario, or writes it to the file of --to.
 func (c *shrinkCmd) Run() error {
 	s, err := load(c.Scenario)
 	if err != nil {
@@ -256,5 +258,5 @@
 	return err
 }
 
-// seedOf returns the seed of the flag, or the scenario's own if the flag is 0, or 1 if both are.
+// seedOf returns the value of the flag --seed. If the flag is 0, it returns the scenario's own seed; if that is 0 too, it returns 1.
 func seedOf(s simulation.Scenario, flag uint64) uint64 { return cmp.Or(flag, s.Seed, 1) }
--- a/cmd/birchstair-sim/kill.go
+++ b/cmd/birchstair-sim/kill.go
@@ -27,7 +27,7 @@
 // killTotals holds the sums over all runs.
 type killTotals struct {
 	mu         sync.Mutex
-	finals     map[string]int // number of final answers by kind
+	finals     map[string]int // number of final answers of each kind
 	done       int
 	violations int
 	err        error
@@ -70,7 +70,7 @@
 	return result, dir, err
 }
 
-// add adds a run to the totals and prints its violations. It removes the run's directory if there are none.
+// add adds a run to the totals and prints the run's violations. If there are none, it removes the run's directory.
 func (c *killCmd) add(totals *killTotals, seed uint64, result simulation.KillResult, dir string, err error) {
 	totals.mu.Lock()
 	defer totals.mu.Unlock()
--- a/cmd/birchstair-sim/main.go
+++ b/cmd/birchstair-sim/main.go
@@ -24,11 +24,12 @@
 	Trace   traceCmd   `cmd:"" help:"Print a trace in a readable form."`
 }
 
-// errViolation is returned if an invariant was violated, or something else happened that must not happen. The details have been printed.
+// errViolation means that an invariant was violated, or that something else happened that must not happen. A command that returns it has
+// already printed the details.
 var errViolation = errors.New("an invariant was violated")
 
 func main() {
-	if os.Getenv(scaletest.StubEnv) != "" { // a process that birchstair-sim scale has started
+	if os.Getenv(scaletest.StubEnv) != "" { // this is an emulated process that birchstair-sim scale has started
 		if err := scaletest.RunStub(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "birchstair-sim, an emulated process of scale:", err)
 			os.Exit(2)
--- a/cmd/birchstair-sim/run.go
+++ b/cmd/birchstair-sim/run.go
@@ -37,7 +37,7 @@
 	return w.Flush()
 }
 
-// load reads a scenario from a file, or a built-in one by its name.
+// load reads a scenario from the file with the given name. If there is no such file, it returns the built-in scenario with this name.
 func load(name string) (simulation.Scenario, error) {
 	if text, err := os.ReadFile(name); err == nil {
 		return simulation.Read(name, text)
@@ -88,7 +88,8 @@
 	return report(c.JSON, r, r)
 }
 
-// compare plays the scenario once more with gossip switched on or off, whichever the scenario is not, and prints both results.
+// compare prints the results of the scenario with and without gossip. r is the result of the scenario as it is. compare plays the scenario
+// again with gossip switched on if it was off, and off if it was on.
 func (c *runCmd) compare(s simulation.Scenario, r simulation.Result) {
 	other := s
 	other.Fleet.Gossip = !s.Fleet.Gossip
@@ -100,7 +101,7 @@
 		gossip.Earned, alone.Earned, gossip.Best, gossip.Attempts, alone.Attempts, len(gossip.Violations), len(alone.Violations))
 }
 
-// report writes value as JSON to the file at path, unless path is empty, and returns errViolation if the result has a violation.
+// report writes value as JSON to the file at path, unless path is empty. It returns errViolation if r has a violation.
 func report(path string, value any, r simulation.Result) error {
 	if path != "" {
 		text, err := json.MarshalIndent(value, "", "  ")
@@ -117,7 +118,8 @@
 	return nil
 }
 
-// writeTrace creates a file for a trace. write appends a line, and finish closes the file and returns all errors.
+// writeTrace creates a file for a trace. write appends an event to the file as a line. finish closes the file, and returns all errors of
+// writing and closing.
 func writeTrace(path string) (write func(invariants.Event), finish func() error, err error) {
 	f, err := os.Create(filepath.Clean(path))
 	if err != nil {
@@ -137,11 +139,12 @@
 }
 
 const (
-	recoveryTolerance = 0.02            // largest difference of the earned fraction to that before the faults, to count as recovered
-	quickRecovery     = 5 * time.Second // recoveries within this time are also counted separately
+	// A simulation has recovered once the earned fraction is at most this much below the fraction before the faults.
+	recoveryTolerance = 0.02
+	quickRecovery     = 5 * time.Second // recoveries that take at most this long are also counted separately
 )
 
-// runSeeds plays a scenario with several seeds, with and without gossip, and prints means.
+// runSeeds plays a scenario with several seeds, both with and without gossip. It prints the means for each of the two.
 func (c *runCmd) runSeeds(s simulation.Scenario) error {
 	violations := 0
 	for _, gossip := range []bool{true, false} {
@@ -159,7 +162,7 @@
 	return nil
 }
 
-// printMeans prints the means of a scenario's results, and the number of those that recovered after the faults. It returns the number of
+// printMeans prints the means of a scenario's results, and the number of results that recovered after the faults. It returns the number of
 // violations.
 func printMeans(s simulation.Scenario, results []simulation.Result) (violations int) {
 	earned, best, attempts, recovered, recoveredQuickly := 0.0, 0.0, 0, 0, 0
--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -15,7 +15,8 @@
 	"birchstair/internal/scaletest"
 )
 
-// scaleCmd measures the cost of a node at several points of each dimension, and fits slopes.
+// scaleCmd measures the cost of a node at several values of each dimension, such as the number of executors. It fits the slope of the cost
+// over each dimension.
 type scaleCmd struct {
 	Binary    string        `type:"existingfile" default:"bin/birchstair" help:"Path of the birchstair program."`
 	Against   string        `type:"existingfile" placeholder:"FILE" help:"Another build of the program. Each point is measured with both builds, in turn."`
@@ -41,7 +42,7 @@
 	Keep      string        `type:"path" placeholder:"DIR" help:"Keep logs and configurations in this directory."`
 }
 
-// sweep returns the dimensions and values to measure.
+// sweep returns the dimensions to measure, and the values of each.
 func (c *scaleCmd) sweep() (scaletest.Sweep, error) {
 	s := scaletest.Sweep{Executors: c.Executors, ClusterSizes: c.Of, Nodes: c.Nodes, MaxRealNodes: c.Real, PriorityLevels: c.Rungs, Rates: c.Rates, Concurrency: c.Running, Queueing: c.Queued, Tenants: c.Tenants, Rounds: c.Rounds,
 		BaseExecutors: c.At, BaseNodes: c.Among, BaseRate: c.Rate, TaskDuration: c.Work, Window: c.Span, Sockets: c.Sockets, Baseline: c.Against != ""}
@@ -55,7 +56,7 @@
 	return s, s.Check()
 }
 
-// Run measures all points, and prints them and the fitted slopes.
+// Run measures all points, and prints the measurements and the fitted slopes.
 func (c *scaleCmd) Run() (err error) {
 	s, err := c.sweep()
 	if err != nil {
@@ -114,8 +115,8 @@
 	return o, nil
 }
 
-// removeOnSignal removes a directory and exits when the program receives SIGINT or SIGTERM. All processes that the program started end with
-// it.
+// removeOnSignal removes a directory and exits the program when the program receives SIGINT or SIGTERM. All processes that the program has
+// started end when it exits.
 func removeOnSignal(dir string) {
 	interrupted := make(chan os.Signal, 1)
 	signal.Notify(interrupted, os.Interrupt, syscall.SIGTERM)
@@ -128,7 +129,7 @@
 	}()
 }
 
-// printFits prints the slopes that differ from zero by more than twice their spread, and passes all slopes to write.
+// printFits prints each slope that differs from zero by more than twice its spread. It passes all slopes to write.
 func printFits(rows []scaletest.Row, write func(any)) {
 	flat := 0
 	for _, f := range scaletest.Fits(rows) {
--- a/cmd/birchstair-sim/trace.go
+++ b/cmd/birchstair-sim/trace.go
@@ -53,12 +53,13 @@
 	return nil
 }
 
-// wants returns whether the flags select an event.
+// wants returns whether the flags of the command select an event.
 func (c *traceCmd) wants(s invariants.Event) bool {
 	if s.At < c.From || c.To > 0 && s.At > c.To {
 		return false
 	}
-	fault := s.Kind == invariants.Note && s.Node == invariants.NoNode // faults are selected whichever node, executor or job is given, as they often explain the events
+	// Faults often explain the other events, so they are selected whichever node, executor or job is given.
+	fault := s.Kind == invariants.Note && s.Node == invariants.NoNode
 	if c.Node >= 0 && int(s.Node) != c.Node && !fault {
 		return false
 	}
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -11,26 +11,27 @@
 	"birchstair/policy"
 )
 
-// clientRequest is one request of a client for a work item. A retry is another request.
+// clientRequest is one request of a client for a work item. A retry of the work item is a separate request.
 type clientRequest struct {
 	clients          *zoneClients
 	work             *emulator.Work
 	job              policy.JobID
 	node             *simNode // nil if no node could be reached
-	incarnation      int      // incarnation of the node that gets the request
+	incarnation      int      // incarnation of the node to which the request is sent
 	attempts         int      // number of attempts so far
 	attemptsInFlight int
-	sentAt           time.Duration // time at which the last attempt was sent
+	sentAt           time.Duration // time at which the first byte of the last attempt was sent
 	delivered        bool          // the last attempt has arrived at its executor
-	answered         bool          // the node has answered, has ended, or knows that the client left
-	connLost         bool          // the client's connection broke, and the node has not noticed yet
-	conn             resetter      // the client's connection, in a networked simulation
+	answered         bool          // the node has answered the request, has ended, or knows that the client has disconnected
+	connLost         bool          // the client's connection broke, and the node has not noticed this yet
+	conn             resetter      // the client's connection; used in networked simulations
 }
 
 // resetter is a connection that can be reset.
 type resetter interface{ Reset() }
 
-// receive models the node's frontend. It drops a request whose job ID is in flight already, and delivers all others to the state machine.
+// receive models the node's frontend. It drops a request whose job ID is in flight already. It delivers every other request to the state
+// machine.
 func (n *simNode) receive(request *clientRequest) {
 	sim, work := n.sim, request.work
 	if other := n.requests[request.job]; other != nil && !other.answered {
@@ -57,7 +58,8 @@
 	}
 }
 
-// repeatID models a misbehaving client that disconnects and at once sends the same job ID again, while an attempt may be in flight.
+// repeatID models a misbehaving client. The client disconnects and at once sends the same job ID again, although an attempt of the job can
+// still be in flight.
 func (n *simNode) repeatID(request *clientRequest) {
 	if request.answered || request.connLost {
 		return
@@ -68,7 +70,7 @@
 	})
 }
 
-// requestBody returns the body of all requests, whose content is never read.
+// requestBody returns the body that all requests share. Nothing reads its content.
 func (sim *Simulation) requestBody() []byte {
 	if sim.result.requestBody == nil {
 		sim.result.requestBody = make([]byte, sim.scenario.Load.BodyBytes)
@@ -88,11 +90,11 @@
 	request.finish(emulator.EndFailed, 0)
 }
 
-// Gone implements the check that a node makes right before an attempt: it returns whether the node's machine knows that the client has
-// disconnected, even if the process has not read that yet.
+// Gone returns whether the node's machine knows that the client has disconnected. A node checks this right before it sends an attempt,
+// because the node's process can learn of the disconnection later than its machine.
 func (r *clientRequest) Gone() bool { return r.answered && !r.node.sim.defects.hideClientGone }
 
-// clientGone notifies the node that the client has disconnected.
+// clientGone records that the client has disconnected, and notifies the node.
 func (n *simNode) clientGone(request *clientRequest) {
 	request.answered = true
 	n.jobsInFlight--
@@ -133,7 +135,8 @@
 	}
 }
 
-// requestsInFlight returns the requests that the node's process has not answered, in the order of their job IDs.
+// requestsInFlight returns the requests that the node's present process has not answered, in the order of their job IDs. It omits requests
+// whose connection broke.
 func (n *simNode) requestsInFlight() (open []*clientRequest) {
 	all := n.requests
 	if n.process != nil {
@@ -148,17 +151,17 @@
 	return open
 }
 
-// finishUnsent ends a request for whose answer no node is responsible any more.
+// finishUnsent ends a request for its client. It marks the request as answered, because no node will answer it any more.
 func (r *clientRequest) finishUnsent(end emulator.End, retryAfter time.Duration) {
 	r.answered = true
 	r.finish(end, retryAfter)
 }
 
-// finish ends a request for its client, which then retries or is done with the work item.
+// finish ends a request for its client. The client then retries, or the work item has ended.
 func (r *clientRequest) finish(end emulator.End, retryAfter time.Duration) {
 	sim, work := r.clients.sim, r.work
 	if work.Ended || r.job != work.Job() {
-		return // the request of a repeated job ID, or one that a retry has replaced
+		return // the work item has ended, or a retry has replaced this request
 	}
 	history := sim.account.request(r)
 	history.doneAt, history.end = sim.now, end
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -9,34 +9,36 @@
 
 // Result is the result of a simulation. Its JSON keys are a stable format.
 type Result struct {
-	Scenario   string                 `json:"scenario"`
-	Seed       uint64                 `json:"seed"`
-	Length     Span                   `json:"length"`
-	Earned     float64                `json:"earned"`   // fraction of the offered value that was earned
-	Best       float64                `json:"best"`     // upper bound of Earned, given the nodes and executors that were up; 0 if unknown
+	Scenario string  `json:"scenario"`
+	Seed     uint64  `json:"seed"`
+	Length   Span    `json:"length"`
+	Earned   float64 `json:"earned"` // fraction of the offered value that was earned
+	// Upper bound of Earned, given the nodes and executors that were up. It is 0 if it was not computed.
+	Best       float64                `json:"best"`
 	Worst      float64                `json:"worst"`    // Earned in the worst window of 10 s
-	WorstAt    Span                   `json:"worst_at"` // start of that window
-	Classes    []ClassResult          `json:"tracks"`   // one for each job class
+	WorstAt    Span                   `json:"worst_at"` // start of the worst window of 10 s
+	Classes    []ClassResult          `json:"tracks"`   // one result for each job class
 	Violations []invariants.Violation `json:"broken"`   // violated invariants
 
-	Attempts      int `json:"allocations"`
-	Crossings     int `json:"crossings"`     // cross-zone attempts
-	Hedges        int `json:"copies"`        // attempts that were sent while another one of the job was in flight
-	HealthChecks  int `json:"probes"`        // health checks that nodes sent
-	Dials         int `json:"dials"`         // connections that nodes tried to open
-	FailedDials   int `json:"no_connection"` // dials that did not open a connection
-	QueuedStarts  int `json:"starts_waited"` // attempts that waited in the executor's queue
-	MaxQueued     int `json:"most_held"`     // largest number of jobs at a node without an attempt in flight
-	Left          int `json:"left"`          // clients that disconnected before they had an answer
-	Overloaded    int `json:"fell"`          // executors that crashed by overload in their slow start
-	LeftQueued    int `json:"went_waiting"`  // clients that disconnected while their job had no attempt in flight
-	SentLate      int `json:"sent_late"`     // attempts that were sent too long after the client had disconnected
-	DuplicateRuns int `json:"late_twice"`    // jobs with an idempotency key that ran again, as an attempt was delayed in the network beyond the dedup window
-	Wrong         int `json:"wrong"`         // answers that a node must never give; counted in networked simulations only
-	Malformed     int `json:"bad"`           // malformed requests that were sent; in networked simulations only
-	Panics        int `json:"panics"`        // panics of the policy, each contained to one job
-	Steps         int `json:"steps"`         // events that were run
-	PeerMessages  int `json:"words"`         // messages that nodes sent to each other
+	Attempts     int `json:"allocations"`
+	Crossings    int `json:"crossings"`     // number of cross-zone attempts
+	Hedges       int `json:"copies"`        // number of attempts that were sent while another attempt of the job was in flight
+	HealthChecks int `json:"probes"`        // number of health checks that nodes sent
+	Dials        int `json:"dials"`         // number of connections that nodes tried to open
+	FailedDials  int `json:"no_connection"` // number of dials that did not open a connection
+	QueuedStarts int `json:"starts_waited"` // number of attempts that started more than queuedStart after they were sent
+	MaxQueued    int `json:"most_held"`     // largest number of jobs at a node without an attempt in flight
+	Left         int `json:"left"`          // number of clients that disconnected before they had an answer
+	Overloaded   int `json:"fell"`          // number of crashes of executors that were overloaded in their slow start
+	LeftQueued   int `json:"went_waiting"`  // number of clients that disconnected while their job had no attempt in flight
+	SentLate     int `json:"sent_late"`     // number of attempts that were sent too long after the client had disconnected
+	// Number of jobs with an idempotency key that ran again, because an attempt was delayed in the network beyond the dedup window.
+	DuplicateRuns int `json:"late_twice"`
+	Wrong         int `json:"wrong"`  // number of answers that a node must never give; counted only in networked simulations
+	Malformed     int `json:"bad"`    // number of malformed requests that were sent; only in networked simulations
+	Panics        int `json:"panics"` // number of panics of the policy; each affected only one job
+	Steps         int `json:"steps"`  // number of events that were run
+	PeerMessages  int `json:"words"`  // number of messages that nodes sent to each other
 
 	Account *Account `json:"account,omitempty"`
 
@@ -46,22 +48,22 @@
 	requestBody []byte
 }
 
-// ClassResult is the part of a result that belongs to one job class.
+// ClassResult is the result of one job class.
 type ClassResult struct {
 	Name      string  `json:"name"`
-	Works     int     `json:"works"` // work items, each with one request or more
-	Requests  int     `json:"tries"` // requests, retries among them
+	Works     int     `json:"works"` // number of work items; each has at least one request
+	Requests  int     `json:"tries"` // number of requests, including retries
 	Earned    float64 `json:"earned"`
-	Succeeded int     `json:"handled"`     // requests that succeeded
-	Rejected  int     `json:"pushed_back"` // requests that a node rejected
-	Failed    int     `json:"broken_off"`  // requests that failed, or whose client gave up
-	Unreached int     `json:"unreached"`   // requests that reached no node
-	Lost      int     `json:"lost"`        // requests whose node ended, or whose connection broke
+	Succeeded int     `json:"handled"`     // number of requests that succeeded
+	Rejected  int     `json:"pushed_back"` // number of requests that a node rejected
+	Failed    int     `json:"broken_off"`  // number of requests that failed, or whose client gave up
+	Unreached int     `json:"unreached"`   // number of requests that reached no node
+	Lost      int     `json:"lost"`        // number of requests whose node ended, or whose connection broke
 
 	valueOffered, valueEarned float64
 }
 
-// resultSecond is the offered and the earned value of the work items that arrived within one second.
+// resultSecond is the offered and the earned value of the work items that clients submitted within one second.
 type resultSecond struct{ valueOffered, valueEarned float64 }
 
 func newResult(s Scenario, seed uint64) Result {
@@ -116,7 +118,7 @@
 // worstWindow is the length of the window of Result.Worst, in seconds.
 const worstWindow = 10
 
-// finish computes the fields that depend on the whole simulation, and releases what is not needed any more.
+// finish computes the fields that depend on the whole simulation, and releases the data that is not needed any more.
 func (r *Result) finish(sim *Simulation) {
 	for _, n := range sim.nodes {
 		r.recordMaxQueued(n)
@@ -143,7 +145,7 @@
 // findWorst sets Worst and WorstAt.
 func (r *Result) findWorst() {
 	window := min(worstWindow, len(r.seconds))
-	r.Worst = 2 // larger than any fraction
+	r.Worst = 2 // 2 is larger than any fraction, so the first window replaces it
 	for from := 0; from+window <= len(r.seconds); from++ {
 		if earned := r.earnedOver(from, from+window); earned < r.Worst {
 			r.Worst, r.WorstAt = earned, Span(time.Duration(from)*time.Second)
@@ -151,7 +153,7 @@
 	}
 }
 
-// earnedOver returns the fraction earned of the value that was offered in the seconds with from <= second < to.
+// earnedOver returns the earned fraction of the value that was offered in the seconds from <= second < to.
 func (r *Result) earnedOver(from, to int) float64 {
 	offered, earned := 0.0, 0.0
 	for _, second := range r.seconds[max(0, from):min(to, len(r.seconds))] {
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -16,10 +16,10 @@
 	maxLength     = 24 * time.Hour
 	maxNodes      = 1000
 	maxExecutors  = 20000
-	maxShareError = 0.001 // tolerated difference between 1 and the sum of the classes' shares
+	maxShareError = 0.001 // largest tolerated difference between 1 and the sum of the job classes' shares
 )
 
-// check returns the first error in the scenario, and its position.
+// check returns the first error in the scenario, and the position of the wrong value.
 func (s *Scenario) check() (tomlfile.Position, error) {
 	for _, check := range []func() (tomlfile.Position, error){s.checkBounds, s.checkClasses, s.checkFaults} {
 		if at, err := check(); err != nil {
@@ -95,7 +95,7 @@
 	return tomlfile.Position{}, nil
 }
 
-// check returns the first error in the job class, and its key.
+// check returns the first error in the job class, and the key of the wrong value.
 func (t *JobClass) check() (key string, err error) {
 	_, isIdempotency := idempotencyNames[t.Idempotency]
 	_, isDedupGroup := dedupGroupNames[t.DedupGroup]
@@ -134,7 +134,7 @@
 	return tomlfile.Position{}, nil
 }
 
-// checkFault returns the first error in the fault, and its key.
+// checkFault returns the first error in the fault, and the key of the wrong value.
 func (s *Scenario) checkFault(fault Fault) (key string, err error) {
 	on, ok := fault.Kind.Target()
 	if !ok {
@@ -157,7 +157,7 @@
 	return "", nil
 }
 
-// checkTarget returns an error if a fault on the given kind of target can't affect the target with this name.
+// checkTarget returns an error unless name is a target that the fault can affect. on is the kind of target that the fault has.
 func (s *Scenario) checkTarget(on emulator.Target, name string) error {
 	isZone := slices.Contains(s.Fleet.Zones, name)
 	switch {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -14,8 +14,8 @@
 	"birchstair/policy"
 )
 
-// Simulation runs a scenario with a seed. It is not safe for concurrent use; a networked simulation guards it with the lock of
-// its networkedSimulation.
+// Simulation runs a scenario with a seed. It is not safe for concurrent use. In a networked simulation, the lock of networkedSimulation
+// guards it.
 type Simulation struct {
 	scenario   Scenario
 	seed       uint64
@@ -29,7 +29,7 @@
 	events            eventHeap
 	scheduled         uint64 // number of events scheduled so far
 	steps             int    // number of events that have run
-	simultaneousSteps int    // number of events that ran at the same instant as the event before
+	simultaneousSteps int    // number of events that ran at the same instant as the event before them
 	maxViolations     int    // number of violations at which the simulation ends
 
 	// Random streams, one for each use.
@@ -46,8 +46,8 @@
 	memories      emulator.DedupMemories
 	lastConnID    emulator.ConnID
 	lastAddr      int
-	worksInFlight int                  // work items whose clients still wait
-	networked     *networkedSimulation // nil in a simulation that steps the state machines itself
+	worksInFlight int                  // number of work items whose clients still wait
+	networked     *networkedSimulation // nil unless the simulation is a networked one
 	adminCalls    int                  // number of admin calls so far; used in networked simulations
 
 	// Current faults of the network and of the whole simulation.
@@ -64,7 +64,7 @@
 	result       Result
 }
 
-// injectedDefects are defects that tests inject to verify that the checker finds them. The zero value injects none.
+// injectedDefects are defects that tests inject to verify that the checker finds them. The zero value injects no defects.
 type injectedDefects struct {
 	policy func(*Simulation, *simNode, node.Policy) node.Policy
 	event  func(*Simulation, *simNode, node.Event) []node.Event
@@ -74,16 +74,16 @@
 	cluster        func(*cluster.Settings)
 	executor       func(*emulator.Executor)
 	attempt        func(*emulator.Attempt)
-	hideClientLeft bool // nodes are not notified when a client leaves
-	hideClientGone bool // nodes' check right before an attempt does not detect that the client left
+	hideClientLeft bool // nodes are not notified when a client disconnects
+	hideClientGone bool // the check right before an attempt does not detect that the client has disconnected
 }
 
 // Options configure a simulation.
 type Options struct {
-	Trace         func(invariants.Event) // receives each observation; nil for no trace
+	Trace         func(invariants.Event) // called with each event of the trace; nil for no trace
 	MaxViolations int                    // number of violations after which the simulation ends; 0 means 20
-	Policy        Policy                 // the nodes' policy; "" means ModulePolicy, the only one that networked simulations support
-	Account       bool                   // attribute the value that was not earned to causes; not supported in networked simulations
+	Policy        Policy                 // policy of the nodes; "" stands for ModulePolicy, the only policy that networked simulations support
+	Account       bool                   // record an Account of the lost value; not supported in networked simulations
 }
 
 // New creates a simulation of a scenario. Play or PlayNetworked runs it.
@@ -124,11 +124,12 @@
 }
 
 const (
-	settleTime           = 2 * time.Second // time simulated after the last answer, so that late effects are still observed
-	defaultMaxViolations = 20              // more violations show nothing new
+	settleTime           = 2 * time.Second // time that is simulated after the last answer, so that late effects are still observed
+	defaultMaxViolations = 20              // default of Options.MaxViolations; further violations show nothing new
 )
 
-// Play runs the simulation until no client waits any more, or Options.MaxViolations is reached. It may be called only once.
+// Play runs the simulation until no client waits any more, or until the number of violations reaches Options.MaxViolations. It must not be
+// called more than once.
 func (sim *Simulation) Play() Result {
 	sim.build()
 	length, end := time.Duration(sim.scenario.Length), sim.lastDeadline()
@@ -150,8 +151,8 @@
 	return sim.result
 }
 
-// sampleCapacity samples the executors' capacity for all bins that begin at or before until. Sampling is not done by scheduled events,
-// because each event that is scheduled changes the order of later simultaneous events.
+// sampleCapacity samples the executors' capacity for all bins that begin at or before until. It is not called by scheduled events, because
+// each scheduled event changes the order of later simultaneous events.
 func (sim *Simulation) sampleCapacity(until time.Duration) {
 	for at := time.Duration(len(sim.result.capacity)) * Bin; at <= until; at += Bin {
 		sim.now = at
@@ -169,7 +170,8 @@
 	return end
 }
 
-// build creates the executors, already past their slow start, the nodes with a cached endpoint list, the clients and the faults.
+// build creates the executors, the nodes and the clients, and schedules the faults. The executors are past their slow start, and the nodes
+// have a cached endpoint list.
 func (sim *Simulation) build() {
 	sim.buildExecutors()
 	sim.buildNodes()
