--- a/cmd/birchstair-sim/run.go
+++ b/cmd/birchstair-sim/run.go
@@ -37,7 +37,8 @@
 	return w.Flush()
 }
 
-// load reads a scenario from the file with the given name. If there is no such file, it returns the built-in scenario with this name.
+// load reads a scenario from the file with the given name. If the file can't be read, and the name has neither a slash nor a dot, load
+// returns the built-in scenario with this name.
 func load(name string) (simulation.Scenario, error) {
 	if text, err := os.ReadFile(name); err == nil {
 		return simulation.Read(name, text)
--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -29,8 +29,8 @@
 	Connecting                      // time until a connection to the executor was open
 	InTransit                       // time in transit between client, node and executor
 	InQueue                         // time at an executor before the attempt started to run
-	RunningSlow                     // time of running on a core slower than slowCoreSpeed
-	RunningFast                     // time of running on any other core
+	RunningSlow                     // running time on a core slower than slowCoreSpeed
+	RunningFast                     // running time on any other core
 	BetweenRequests                 // time for which a client waited before a retry
 	NodeLost                        // time in requests that reached no node or lost their connection
 	ClientLeft                      // the client disconnected early
@@ -78,7 +78,8 @@
 	// Fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode that was lost by work items submitted while a core was idle in
 	// the node's zone.
 	QueuedIdleZone float64 `json:"held_free_in_zone"`
-	// As QueuedIdleZone, but with a core that was idle in any zone.
+	// Fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode that was lost by work items submitted while a core was idle in
+	// any zone.
 	QueuedIdleAny float64 `json:"held_free"`
 }
 
@@ -100,7 +101,7 @@
 	SubsetLoad float64            `json:"load,omitzero"`  // load of the executors that a node used, as a fraction of their capacity
 
 	lostByCause, timeByCause [causeCount]float64
-	workOffered, workSent    float64 // work in seconds on a standard core
+	workOffered, workSent    float64 // offered and sent work, in seconds on a standard core
 	subsetSize               float64 // sum of SubsetSize over the nodes of the row
 	subsetLoad               float64 // sum of SubsetLoad over the nodes of the row
 }
--- a/internal/simulation/account_history.go
+++ b/internal/simulation/account_history.go
@@ -40,9 +40,9 @@
 type attemptHistory struct {
 	executor           *executor
 	sentAt             time.Duration
-	arrivedAt          time.Duration // time at which the last byte arrived at the executor
-	startedAt, endedAt time.Duration // times at the executor
-	endedAtNode        time.Duration // time at which the node was notified of the end
+	arrivedAt          time.Duration // time at which the attempt's last byte arrived at the executor
+	startedAt, endedAt time.Duration // times at which the executor started and ended the attempt
+	endedAtNode        time.Duration // time at which the node was notified of the attempt's end
 	dialedAt, connUpAt time.Duration // times at which the connection was dialed and opened; unset unless this is the connection's first attempt
 	outcome            policy.Outcome
 	canceled           bool      // the node has canceled the attempt
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -13,7 +13,7 @@
 const (
 	// An attempt counts as queued if it starts more than this after its arrival. Setting up a new connection delays a start by less.
 	queuedAfter   = 5 * time.Millisecond
-	slowCoreSpeed = 0.9 // a core below this speed counts as slow; a standard core has 1
+	slowCoreSpeed = 0.9 // a core slower than this counts as slow; a standard core has speed 1
 )
 
 // accountLedger records the data of an account during a simulation. It does not influence the simulation. A simulation without an account
@@ -93,7 +93,7 @@
 // idleCores states whether a core is idle at an executor that a node has used, at an executor in the node's zone, and at any executor.
 type idleCores struct{ used, zone, any bool }
 
-// idleCores returns where a core is idle now. The executor except does not count.
+// idleCores returns where a core is idle now. Cores of the executor except do not count; it can be nil.
 func (l *accountLedger) idleCores(n *simNode, except *executor) (idle idleCores) {
 	for _, x := range l.sim.executors {
 		if x == except || x.InFlight()+l.attemptsInTransit[x] >= x.Cores || !x.Up || x.unreachable || x.Draining {
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	clientsStartAfter = 200 * time.Millisecond // time from the begin of the simulation until clients start, in which nodes get ready
+	clientsStartAfter = 200 * time.Millisecond // time from the start of the simulation until clients start; nodes get ready in this time
 	loopStagger       = time.Millisecond       // time between the starts of two closed-loop clients
 	unreachedDelay    = time.Millisecond       // time until a client notices that no node can be reached
 	openLoop          = -1                     // client number of the work items of the open loop, which belong to no closed-loop client
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -125,7 +125,7 @@
 }
 
 func drawLoad(r *rand.Rand, l *Load) {
-	l.Utilization = round(0.15 * math.Exp(r.Float64()*2.2)) // from 0.15 to 1.35
+	l.Utilization = round(0.15 * math.Exp(r.Float64()*2.2)) // the result is from 0.15 to 1.35
 	l.Retries = r.IntN(4)
 	l.RetryWait = milliseconds(150 * r.IntN(3))
 	l.RespectsRetryAfter = oneIn(r, 2)
@@ -137,7 +137,7 @@
 	}
 	l.HintNoise = [...]float64{0.2, 0, 0.6, -1}[r.IntN(4)]
 	l.BodyBytes = [...]int{0, 1 << 10, 64 << 10}[r.IntN(3)]
-	if oneIn(r, 6) { // closed loops in addition to the open loop
+	if oneIn(r, 6) { // the scenario has closed loops in addition to the open loop
 		l.Loops = 1 + r.IntN(6)
 		l.ThinkTime = milliseconds(r.IntN(300))
 	}
@@ -207,12 +207,12 @@
 	return least, most
 }
 
-// drawTargets draws the targets of a fault: all of them, those of a zone, a random set, or a single one. The letter is the prefix of their
-// names, and count is their number.
+// drawTargets draws the targets of a fault: all of them, those of a zone, a random set, or a single one. letter is the first letter of
+// the names of all possible targets, and count is their number.
 func drawTargets(r *rand.Rand, letter string, count int, zone string) (targets []string) {
 	switch r.IntN(5) {
 	case 0:
-		return nil // nil stands for all
+		return nil // nil stands for all targets
 	case 1:
 		return []string{zone}
 	case 2:
--- a/internal/simulation/executor.go
+++ b/internal/simulation/executor.go
@@ -12,7 +12,7 @@
 type executor struct {
 	*emulator.Executor
 	sim    *Simulation
-	number int // number in the scenario; a replacement has the number of the executor that it replaces
+	number int // number of the executor in the scenario; a replacement has the number of the executor that it replaces
 	addr   string
 	conns  map[emulator.ConnID]*executorConn
 
@@ -121,7 +121,7 @@
 func (x *executor) restart() {
 	sim := x.sim
 	x.unreachable = false
-	for _, conn := range sortedByKey(x.conns) { // connections of the previous process
+	for _, conn := range sortedByKey(x.conns) { // these are connections of the previous process
 		delete(x.conns, conn.key)
 		conn.toNode(func() { conn.breakConn("reset by the executor") })
 	}
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -61,8 +61,8 @@
 	x.apply(x.SetFaults(x.sim.now, faults))
 }
 
-// stop ends the executor's process. If the executor's machine vanishes too, connections are not closed, so that nodes are not notified, and
-// discovery removes the executor only after vanishDetection.
+// stop ends the executor's process. If the executor's machine vanishes too, nodes are not notified, because the connections are not closed.
+// Discovery then removes the executor only after vanishDetection.
 func (x *executor) stop(vanishes bool) {
 	sim := x.sim
 	x.activeDownFaults++
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// corrupt returns the message to send in place of the given one. They differ only if the node has the fault FalseGossip. Successive messages
-// cycle through four kinds of corruption.
+// corrupt returns the message to send in place of the given one. The two differ only if the node has the fault FalseGossip. Successive
+// messages cycle through four kinds of corruption.
 func (n *simNode) corrupt(message cluster.Message) cluster.Message {
 	if n.corruption == 0 {
 		return message
@@ -114,7 +114,7 @@
 	n.corruption++
 	rates := message.Rates.Clone()
 	switch n.corruption % 4 {
-	case 0: // ten times the true rates
+	case 0: // the rates are ten times the true ones
 		for level := range rates.Offered {
 			rates.Offered[level] *= 10
 		}
@@ -123,7 +123,7 @@
 		rates.Completed = -1
 	case 2: // nearly all jobs seem to expire
 		rates.Expired += 10 * rates.Completed
-	case 3: // sent under a peer's name
+	case 3: // the message is sent under a peer's name
 		message.From = cluster.NodeName(n.sim.nodes[(int(n.id)+1)%len(n.sim.nodes)].name)
 	}
 	message.Rates = rates
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -12,34 +12,35 @@
 const (
 	// After a suspension, the work rate of a node is not checked for this long, because the node's averages can restart.
 	suspendGrace = 4 * time.Second
-	// Messages are counted over this number of gossip intervals.
+	// To check how many messages a node sends, its messages are counted over this number of gossip intervals.
 	boundRounds = 4
-	// This number of rounds is tolerated beyond the bound, because a round can have just begun.
+	// The messages of this number of rounds are tolerated beyond the bound on sent messages, because a round can have just begun.
 	extraRounds = 1
-	// The true work rate is multiplied by this to get the largest rate that a node may send, because clients' estimates are inexact.
+	// The true work rate is multiplied by this to get the largest rate that a node is allowed to send, because clients' estimates are
+	// inexact.
 	workRateFactor = 2.5
-	// This is added to the largest rate that a node may send, in seconds of work per second.
+	// This is added to the largest work rate that a node is allowed to send, in seconds of work per second.
 	workRateSlack = 1.0
 	// Work rates are not checked if Load.HintNoise is at least this.
 	maxCheckedNoise = 0.3
-	// After a suspension, peer states may be older by this number of gossip intervals.
+	// After the suspension of a node, its peer states are allowed to be older by this number of gossip intervals.
 	suspendRounds = 3
-	// Sent messages are recorded for this long.
+	// Sent gossip messages are recorded for this long, to check the age of the peer states that nodes use.
 	gossipRecordLength = time.Minute
 )
 
 // gossipBounds records the messages that all nodes have sent.
 type gossipBounds struct {
 	sentAt map[cluster.MessageID]time.Duration
-	order  []cluster.MessageID // keys of sentAt, oldest first
+	order  []cluster.MessageID // IDs of the messages in sentAt, oldest first
 }
 
 // workRate records the true work rate of one node, and the times of the gossip messages that the node has sent. The rate is averaged in the
 // same way as the node averages it.
 type workRate struct {
-	work           float64 // seconds of work, decaying exponentially since at
+	work           float64 // completed work in seconds, with exponential decay up to the time at
 	at             time.Duration
-	suspendedUntil time.Duration   // end of the suspendGrace after the last suspension
+	suspendedUntil time.Duration   // end of the grace period suspendGrace after the last suspension
 	sentAt         []time.Duration // times of the messages within the last boundRounds gossip intervals
 }
 
--- a/internal/simulation/malformed_clients.go
+++ b/internal/simulation/malformed_clients.go
@@ -61,7 +61,8 @@
 	sim.after(clientsStartAfter, next)
 }
 
-// sendMalformed sends a malformed request to a node. It counts the answer as wrong if the answer is not an error or does not come in time.
+// sendMalformed sends a malformed request to a node. The node's reaction counts as wrong if the node answers with a status other than an
+// error, or neither answers nor closes the connection in time.
 func (ns *networkedSimulation) sendMalformed(p *nodeProcess, id, request string) {
 	ctx, cancel := context.WithTimeout(context.Background(), malformedReplyTimeout)
 	defer cancel()
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -59,9 +59,9 @@
 
 // Settings of all nodes and timing of their processes.
 const (
-	// In the goal of the policy, the earned fraction of the total value is multiplied by this.
+	// The policy maximizes a weighted sum, in which the earned fraction of the total value is multiplied by this.
 	totalWeight = 0.8
-	// In the goal of the policy, the fraction that the worst job class earns of its value is multiplied by this.
+	// The policy maximizes a weighted sum, in which the earned fraction of the worst job class is multiplied by this.
 	worstClassWeight  = 0.2
 	quantum           = 4 * time.Millisecond
 	maxShutdown       = 3 * time.Second
--- a/internal/simulation/policy_recorder.go
+++ b/internal/simulation/policy_recorder.go
@@ -13,7 +13,7 @@
 type policyRecorder struct {
 	node.Policy
 	node    *simNode
-	process *nodeProcess // used in a networked simulation
+	process *nodeProcess // process that runs the policy; nil unless the simulation is a networked one
 }
 
 // Place lets the policy place a job, and records whether the policy gives it up.
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -9,9 +9,9 @@
 	workNoiseStream     = "attempts"
 	frontLayerStream    = "front"
 	speedStream         = "speeds"
-	executorStream      = "executor "         // followed by the executor's ID
-	clientStream        = "clients "          // followed by the zone's name
-	randomPolicyStream  = "random choice at " // followed by the node's name
+	executorStream      = "executor "         // the executor's ID is appended
+	clientStream        = "clients "          // the zone's name is appended
+	randomPolicyStream  = "random choice at " // the node's name is appended
 	drawStream          = "draw"
 	drawAdminStream     = "operators"
 	drawFeatureStream   = "beside"
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -18,7 +18,7 @@
 	job              policy.JobID
 	node             *simNode // nil if no node could be reached
 	incarnation      int      // incarnation of the node to which the request is sent
-	attempts         int      // number of attempts so far
+	attempts         int      // number of attempts of the request so far
 	attemptsInFlight int
 	sentAt           time.Duration // time at which the first byte of the last attempt was sent
 	delivered        bool          // the last attempt has arrived at its executor
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -15,7 +15,7 @@
 	Earned   float64 `json:"earned"` // fraction of the offered value that was earned
 	// Upper bound of Earned, given the nodes and executors that were up. It is 0 if it was not computed.
 	Best       float64                `json:"best"`
-	Worst      float64                `json:"worst"`    // Earned in the worst window of 10 s
+	Worst      float64                `json:"worst"`    // value of Earned in the worst window of 10 s
 	WorstAt    Span                   `json:"worst_at"` // start of the worst window of 10 s
 	Classes    []ClassResult          `json:"tracks"`   // one result for each job class
 	Violations []invariants.Violation `json:"broken"`   // violated invariants
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -24,7 +24,7 @@
 type Scenario struct {
 	Name    string     `toml:"-"` // name of the file, without its extension
 	About   string     `toml:"about"`
-	Seed    uint64     `toml:"seed,omitempty"` // seed that is used if none is given
+	Seed    uint64     `toml:"seed,omitempty"` // default of the random seed
 	Length  Span       `toml:"length"`         // time during which clients submit new work items
 	Fleet   Fleet      `toml:"fleet"`
 	Load    Load       `toml:"load"`
