--- a/cmd/birchstair-sim/fleet.go
+++ b/cmd/birchstair-sim/fleet.go
@@ -93,7 +93,8 @@
 	return errors.Join(err, f.Close())
 }
 
-// play plays one run, and returns its result and its directory. It removes the directory unless there were violations or --keep is set.
+// play plays one run, and returns its result and its directory. It removes the directory unless there were violations
+// or --keep is set.
 func (c *fleetOptions) play(s simulation.Scenario, seed uint64) (harness.Result, string, error) {
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
--- a/cmd/birchstair-sim/hunt.go
+++ b/cmd/birchstair-sim/hunt.go
@@ -55,8 +55,8 @@
 	result   simulation.Result
 }
 
-// shortfall returns the upper bound of the earned fraction minus the earned fraction. The upper bound is that of the nodes and executors that
-// were up.
+// shortfall returns the upper bound of the earned fraction minus the earned fraction. The upper bound is that of the
+// nodes and executors that were up.
 func (w playedScenario) shortfall() float64 { return w.result.Best - w.result.Earned }
 
 // hunt is the state of a running hunt.
@@ -75,7 +75,8 @@
 	err           error
 }
 
-// Run plays a drawn scenario for each seed. It prints the scenarios that violate an invariant or do worst, and keeps them if --keep is set.
+// Run plays a drawn scenario for each seed. It prints the scenarios that violate an invariant or do worst, and keeps
+// them if --keep is set.
 func (c *huntCmd) Run() error {
 	if c.Nodes < 1 || c.Executors < 2 || c.Length < time.Second {
 		return fmt.Errorf("--nodes %d, --executors %d, --length %v: must be at least 1, 2 and 1s", c.Nodes, c.Executors, c.Length)
@@ -98,8 +99,8 @@
 	return h.printSummary()
 }
 
-// add adds a result to the sums. If the scenario violated an invariant, add prints the first violation, and keeps the scenario if --keep is
-// set.
+// add adds a result to the sums. If the scenario violated an invariant, add prints the first violation, and keeps the
+// scenario if --keep is set.
 func (h *hunt) add(played playedScenario) {
 	r := played.result
 	h.done++
@@ -222,7 +223,8 @@
 	To       string `type:"path" placeholder:"FILE" help:"Write the reduced scenario to this file. By default it is printed."`
 }
 
-// Run reduces the scenario as long as it violates the same invariant. It prints the reduced scenario, or writes it to the file of --to.
+// Run reduces the scenario as long as it violates the same invariant. It prints the reduced scenario, or writes it to
+// the file of --to.
 func (c *shrinkCmd) Run() error {
 	s, err := load(c.Scenario)
 	if err != nil {
@@ -258,5 +260,6 @@
 	return err
 }
 
-// seedOf returns the value of the flag --seed. If the flag is 0, it returns the scenario's own seed; if that is 0 too, it returns 1.
+// seedOf returns the value of the flag --seed. If the flag is 0, it returns the scenario's own seed; if that is 0 too,
+// it returns 1.
 func seedOf(s simulation.Scenario, flag uint64) uint64 { return cmp.Or(flag, s.Seed, 1) }
--- a/cmd/birchstair-sim/main.go
+++ b/cmd/birchstair-sim/main.go
@@ -24,8 +24,8 @@
 	Trace   traceCmd   `cmd:"" help:"Print a trace in a readable form."`
 }
 
-// errViolation means that an invariant was violated, or that something else happened that must not happen. A command that returns it has
-// already printed the details.
+// errViolation means that an invariant was violated, or that something else happened that must not happen. A command
+// that returns it has already printed the details.
 var errViolation = errors.New("an invariant was violated")
 
 func main() {
--- a/cmd/birchstair-sim/run.go
+++ b/cmd/birchstair-sim/run.go
@@ -37,8 +37,8 @@
 	return w.Flush()
 }
 
-// load reads a scenario from the file with the given name. If the file can't be read, and the name has neither a slash nor a dot, load
-// returns the built-in scenario with this name.
+// load reads a scenario from the file with the given name. If the file can't be read, and the name has neither a slash
+// nor a dot, load returns the built-in scenario with this name.
 func load(name string) (simulation.Scenario, error) {
 	if text, err := os.ReadFile(name); err == nil {
 		return simulation.Read(name, text)
@@ -89,8 +89,8 @@
 	return report(c.JSON, r, r)
 }
 
-// compare prints the results of the scenario with and without gossip. r is the result of the scenario as it is. compare plays the scenario
-// again with gossip switched on if it was off, and off if it was on.
+// compare prints the results of the scenario with and without gossip. r is the result of the scenario as it is. compare
+// plays the scenario again with gossip switched on if it was off, and off if it was on.
 func (c *runCmd) compare(s simulation.Scenario, r simulation.Result) {
 	other := s
 	other.Fleet.Gossip = !s.Fleet.Gossip
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// writeTrace creates a file for a trace. write appends an event to the file as a line. finish closes the file, and returns all errors of
-// writing and closing.
+// writeTrace creates a file for a trace. write appends an event to the file as a line. finish closes the file, and
+// returns all errors of writing and closing.
 func writeTrace(path string) (write func(invariants.Event), finish func() error, err error) {
 	f, err := os.Create(filepath.Clean(path))
 	if err != nil {
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// printMeans prints the means of a scenario's results, and the number of results that recovered after the faults. It returns the number of
-// violations.
+// printMeans prints the means of a scenario's results, and the number of results that recovered after the faults. It
+// returns the number of violations.
 func printMeans(s simulation.Scenario, results []simulation.Result) (violations int) {
 	earned, best, attempts, recovered, recoveredQuickly := 0.0, 0.0, 0, 0, 0
 	longest := time.Duration(0)
--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -15,8 +15,8 @@
 	"birchstair/internal/scaletest"
 )
 
-// scaleCmd measures the cost of a node at several values of each dimension, such as the number of executors. It fits the slope of the cost
-// over each dimension.
+// scaleCmd measures the cost of a node at several values of each dimension, such as the number of executors. It fits
+// the slope of the cost over each dimension.
 type scaleCmd struct {
 	Binary    string        `type:"existingfile" default:"bin/birchstair" help:"Path of the birchstair program."`
 	Against   string        `type:"existingfile" placeholder:"FILE" help:"Another build of the program. Each point is measured with both builds, in turn."`
@@ -115,8 +115,8 @@
 	return o, nil
 }
 
-// removeOnSignal removes a directory and exits the program when the program receives SIGINT or SIGTERM. All processes that the program has
-// started end when it exits.
+// removeOnSignal removes a directory and exits the program when the program receives SIGINT or SIGTERM. All processes
+// that the program has started end when it exits.
 func removeOnSignal(dir string) {
 	interrupted := make(chan os.Signal, 1)
 	signal.Notify(interrupted, os.Interrupt, syscall.SIGTERM)
--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -18,8 +18,8 @@
 //   - NodeLost, if no attempt was sent and one of its requests reached no node or lost its connection.
 //   - NeverSent, if no attempt was sent.
 //   - SentTooLate, if the first attempt was sent too late to meet the latency objective.
-//   - The cause on which the work item spent most of its time. Of the running time, only the time beyond the run time on a standard core
-//     counts.
+//   - The cause on which the work item spent most of its time. Of the running time, only the time beyond the run time
+//     on a standard core counts.
 const (
 	NeverSent          Cause = iota // no attempt was sent
 	SentTooLate                     // the first attempt was sent so late that even a standard core would have missed the latency objective
@@ -43,8 +43,8 @@
 // String is the cause's name in accounts and their JSON.
 func (c Cause) String() string { return causeNames[c] }
 
-// Account states the causes of the value that a simulation did not earn. In each row, the earned value and the values lost to all causes
-// sum to the offered value.
+// Account states the causes of the value that a simulation did not earn. In each row, the earned value and the values
+// lost to all causes sum to the offered value.
 type Account struct {
 	Scenario   string `json:"scenario"`
 	Seed       uint64 `json:"seed"`
@@ -61,7 +61,8 @@
 	Classes []AccountRow `json:"tracks"` // one row for each job class
 	// One row for each quarter of the nodes. The nodes are ordered by their traffic, least first.
 	Traffic []AccountRow `json:"traffic"`
-	// One row for each quarter of the nodes. The nodes are ordered by the load of the executors that they used, least first.
+	// One row for each quarter of the nodes. The nodes are ordered by the load of the executors that they used, least
+	// first.
 	Subsets []AccountRow `json:"slices"`
 	// Load of the executors, as a fraction of their capacity: minimum, lower quartile, median, upper quartile, maximum.
 	Busy []float64 `json:"busy"`
@@ -69,17 +70,18 @@
 	Attempts  int     `json:"attempts"`
 	Crossings int     `json:"crossings"` // number of cross-zone attempts
 	Waited    float64 `json:"waited"`    // fraction of the attempts that were queued at their executor
-	// Fraction of the queued attempts that were sent while a core was idle at another executor that the node had used before.
+	// Fraction of the queued attempts that were sent while a core was idle at another executor that the node had used
+	// before.
 	IdleUsed float64 `json:"free_used"`
 	// Fraction of the queued attempts that were sent while a core was idle at another executor of the node's zone.
 	IdleZone float64 `json:"free_in_zone"`
 	// Fraction of the queued attempts that were sent while a core was idle at any other executor.
 	IdleAny float64 `json:"free"`
-	// Fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode that was lost by work items submitted while a core was idle in
-	// the node's zone.
+	// Fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode that was lost by work items submitted while
+	// a core was idle in the node's zone.
 	QueuedIdleZone float64 `json:"held_free_in_zone"`
-	// Fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode that was lost by work items submitted while a core was idle in
-	// any zone.
+	// Fraction of the value lost to NeverSent, SentTooLate and QueuedAtNode that was lost by work items submitted while
+	// a core was idle in any zone.
 	QueuedIdleAny float64 `json:"held_free"`
 }
 
@@ -94,8 +96,8 @@
 	// Work sent to executors, divided by the offered work. A value above 1 means that work was sent more than once.
 	Sent float64            `json:"sent"`
 	Lost map[string]float64 `json:"lost"` // lost value by the name of its cause
-	// Mean time by the name of its cause, in milliseconds, for the work items that earned less than their full value. Running time counts
-	// in full.
+	// Mean time by the name of its cause, in milliseconds, for the work items that earned less than their full value.
+	// Running time counts in full.
 	TimeMS     map[string]float64 `json:"time_ms"`
 	SubsetSize float64            `json:"slice,omitzero"` // mean effective number of executors that a node used
 	SubsetLoad float64            `json:"load,omitzero"`  // load of the executors that a node used, as a fraction of their capacity
@@ -162,8 +164,9 @@
 	attemptsTo map[*executor]int
 }
 
-// usedSubset returns the effective number of executors that a node used, and their mean load. Each executor has a fraction of the node's
-// attempts. The effective number is the inverse of the sum of the squares of these fractions, and the mean load is weighted by them.
+// usedSubset returns the effective number of executors that a node used, and their mean load. Each executor has a
+// fraction of the node's attempts. The effective number is the inverse of the sum of the squares of these fractions,
+// and the mean load is weighted by them.
 func usedSubset(attemptsTo map[*executor]int, executors []*executor, busy []float64) (size, load float64) {
 	sum, squares := 0.0, 0.0
 	for i, x := range executors {
@@ -178,8 +181,8 @@
 	return sum * sum / squares, load / sum
 }
 
-// quarters orders the nodes by a key and returns one row for each quarter of the nodes. With fewer than four nodes, it returns one row for
-// each node.
+// quarters orders the nodes by a key and returns one row for each quarter of the nodes. With fewer than four nodes, it
+// returns one row for each node.
 func quarters(nodes []nodeRow, key func(nodeRow) float64, name string) (rows []AccountRow) {
 	nodes = slices.Clone(nodes)
 	slices.SortStableFunc(nodes, func(a, b nodeRow) int { return cmp.Compare(key(a), key(b)) })
--- a/internal/simulation/account_history.go
+++ b/internal/simulation/account_history.go
@@ -82,7 +82,8 @@
 	return longestCause(times, runTime), times
 }
 
-// longestCause returns the cause with the longest time. Of the running time, only the time beyond the run time on a standard core counts.
+// longestCause returns the cause with the longest time. Of the running time, only the time beyond the run time on a
+// standard core counts.
 func longestCause(times [causeCount]time.Duration, runTime time.Duration) Cause {
 	if ran := times[RunningSlow] + times[RunningFast]; ran > 0 {
 		beyond := max(0, 1-float64(runTime)/float64(ran))
@@ -98,8 +99,8 @@
 	return longest
 }
 
-// precedence orders the causes that apply at the same time. Only the cause with the highest precedence counts. So, if several attempts are
-// in flight, the attempt that has progressed most determines the cause.
+// precedence orders the causes that apply at the same time. Only the cause with the highest precedence counts. So, if
+// several attempts are in flight, the attempt that has progressed most determines the cause.
 type precedence int
 
 const (
@@ -125,7 +126,8 @@
 	spans []timeSpan
 }
 
-// add adds a time span. A span that has not ended lasts until the end of the timeline. A span that has not begun is not added.
+// add adds a time span. A span that has not ended lasts until the end of the timeline. A span that has not begun is not
+// added.
 func (t *timeline) add(from, to time.Duration, cause Cause, precedence precedence) {
 	if to == unsetTime || to > t.end {
 		to = t.end
@@ -207,8 +209,8 @@
 	return times
 }
 
-// highest returns the span with the highest precedence among the spans that cover the whole interval between two times. Among spans with
-// equal precedence it returns the first. It returns nil if no span covers the interval.
+// highest returns the span with the highest precedence among the spans that cover the whole interval between two times.
+// Among spans with equal precedence it returns the first. It returns nil if no span covers the interval.
 func (t *timeline) highest(from, to time.Duration) (highest *timeSpan) {
 	for i := range t.spans {
 		span := &t.spans[i]
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// An attempt counts as queued if it starts more than this after its arrival. Setting up a new connection delays a start by less.
+	// An attempt counts as queued if it starts more than this after its arrival. Setting up a new connection delays a
+	// start by less.
 	queuedAfter   = 5 * time.Millisecond
 	slowCoreSpeed = 0.9 // a core slower than this counts as slow; a standard core has speed 1
 )
 
-// accountLedger records the data of an account during a simulation. It does not influence the simulation. A simulation without an account
-// has a nil ledger; the methods of a nil ledger record nothing in an account.
+// accountLedger records the data of an account during a simulation. It does not influence the simulation. A simulation
+// without an account has a nil ledger; the methods of a nil ledger record nothing in an account.
 type accountLedger struct {
 	sim       *Simulation
 	inFlight  map[invariants.WorkID]*jobHistory
@@ -28,12 +29,13 @@
 	attemptsInTransit map[*executor]int     // number of attempts on their way to each executor
 	workReceived      map[*executor]float64 // work of the attempts that arrived at each executor, in seconds on a standard core
 
-	// attempts counts all attempts, and waited counts those that were queued at their executor. The others count the queued attempts that
-	// were sent while a core was idle at another executor: one that the node had used, one in the node's zone, or any.
+	// attempts counts all attempts, and waited counts those that were queued at their executor. The others count the
+	// queued attempts that were sent while a core was idle at another executor: one that the node had used, one in the
+	// node's zone, or any.
 	attempts, waited, idleUsed, idleZone, idleAny int
 
-	// Value lost to NeverSent, SentTooLate and QueuedAtNode although a core was idle, in the node's zone or in any zone, when the work item
-	// was submitted.
+	// Value lost to NeverSent, SentTooLate and QueuedAtNode although a core was idle, in the node's zone or in any
+	// zone, when the work item was submitted.
 	queuedIdleZone, queuedIdleAny float64
 }
 
@@ -63,8 +65,8 @@
 	history.requests = append(history.requests, newRequestHistory(l.sim.now))
 }
 
-// request returns the history of a request. The caller records times in it. If a later request of the same work item exists, the returned
-// history is not part of the account.
+// request returns the history of a request. The caller records times in it. If a later request of the same work item
+// exists, the returned history is not part of the account.
 func (l *accountLedger) request(request *clientRequest) *requestHistory {
 	if l == nil || l.inFlight[request.work.ID] == nil || request.job != request.work.Job() {
 		return &requestHistory{}
@@ -90,7 +92,8 @@
 	return attempt
 }
 
-// idleCores states whether a core is idle at an executor that a node has used, at an executor in the node's zone, and at any executor.
+// idleCores states whether a core is idle at an executor that a node has used, at an executor in the node's zone, and
+// at any executor.
 type idleCores struct{ used, zone, any bool }
 
 // idleCores returns where a core is idle now. Cores of the executor except do not count; it can be nil.
@@ -149,8 +152,9 @@
 	return 0
 }
 
-// recordEnded records that the node is notified of an attempt's end. An attempt that has not arrived yet counts as arrived from now on. Its
-// message can still reach the executor, because a broken connection does not stop messages on their way.
+// recordEnded records that the node is notified of an attempt's end. An attempt that has not arrived yet counts as
+// arrived from now on. Its message can still reach the executor, because a broken connection does not stop messages on
+// their way.
 func (l *accountLedger) recordEnded(attempt *attemptHistory, outcome policy.Outcome) {
 	attempt.endedAtNode, attempt.outcome = attempt.executor.sim.now, outcome
 	if attempt.canceled {
--- a/internal/simulation/account_print.go
+++ b/internal/simulation/account_print.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Print prints two tables. The first has the value lost to each cause, as a fraction of the offered value. The second has the time spent on
-// each cause, for the work items that earned less than their full value.
+// Print prints two tables. The first has the value lost to each cause, as a fraction of the offered value. The second
+// has the time spent on each cause, for the work items that earned less than their full value.
 func (a *Account) Print(to io.Writer) {
 	fmt.Fprintf(to, "%s, seed %d, %d nodes, %d executors, %v, decided by: %s\n", a.Scenario, a.Seed, a.Nodes, a.Executors, time.Duration(a.Length), a.Policy)
 	fmt.Fprintf(to, "Earned %.4f of what was offered; in the worst 10 s %.4f, of the worst track %.4f\n", ratio(a.All.Earned, a.All.Offered), a.Worst, a.WorstClass)
@@ -35,7 +35,8 @@
 	}
 }
 
-// accountTable is a table with one row for each AccountRow. It has one column for each cause whose value is above 0 in at least one row.
+// accountTable is a table with one row for each AccountRow. It has one column for each cause whose value is above 0 in
+// at least one row.
 type accountTable struct {
 	header string                              // header of the columns before those of the causes, separated by tabs
 	cells  func(r AccountRow) string           // cells of the columns before those of the causes, separated by tabs
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -47,7 +47,8 @@
 	return attempt
 }
 
-// recordAttemptEnd records that the node is notified of an attempt's end. neverRan is true if the outcome proves that the attempt never ran.
+// recordAttemptEnd records that the node is notified of an attempt's end. neverRan is true if the outcome proves that
+// the attempt never ran.
 func (n *simNode) recordAttemptEnd(attempt *connAttempt, neverRan bool) {
 	n.attemptsInFlight--
 	attempt.request.attemptsInFlight--
@@ -172,8 +173,8 @@
 	}
 }
 
-// becomeIdle notifies the node that the connection is idle. The executor closes the connection unless another attempt uses it within the
-// idle timeout.
+// becomeIdle notifies the node that the connection is idle. The executor closes the connection unless another attempt
+// uses it within the idle timeout.
 func (c *executorConn) becomeIdle() {
 	sim, x, uses := c.node.sim, c.executor, c.uses
 	c.node.after(processingDelay, func() {
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -17,8 +17,8 @@
 const (
 	ModulePolicy Policy = "module" // the policy of package policy, which real nodes use
 	RandomPolicy Policy = "random" // sends each job at once to a random available executor
-	// BestPolicy knows the true state of all executors. It sends each job to the executor that will answer first, as soon as that executor
-	// has a free slot.
+	// BestPolicy knows the true state of all executors. It sends each job to the executor that will answer first, as
+	// soon as that executor has a free slot.
 	BestPolicy Policy = "best"
 )
 
@@ -42,8 +42,9 @@
 	return b
 }
 
-// baseline is a policy to which the real policy is compared. It calls choose to select the executor of an attempt. After an attempt without
-// a final answer it chooses again, unless the job may have run and is not idempotent, or its deadline or MaxAttempts is reached.
+// baseline is a policy to which the real policy is compared. It calls choose to select the executor of an attempt.
+// After an attempt without a final answer it chooses again, unless the job may have run and is not idempotent, or its
+// deadline or MaxAttempts is reached.
 type baseline struct {
 	node      *simNode
 	settings  policy.Settings
@@ -76,7 +77,8 @@
 	b.due = append(b.due, arrival.Job)
 }
 
-// NextTask implements node.Policy. It tries to place queued jobs again in the order of their latency objectives, earliest first.
+// NextTask implements node.Policy. It tries to place queued jobs again in the order of their latency objectives,
+// earliest first.
 func (b *baseline) NextTask(now time.Duration) policy.DueTask {
 	if !b.watching {
 		b.watching = true
@@ -178,10 +180,11 @@
 	return b.order[r.IntN(len(b.order))]
 }
 
-// earliestAnswer considers the executors that will have a free slot when the job arrives, and returns the one that will answer first. The
-// forecast uses the true state of the executors, including their queues and the jobs on their way to them. earliestAnswer returns "" if no
-// executor will have a free slot. It also returns "" if the chosen executor would miss the latency objective, but an executor without a free
-// slot could still meet it: the job then waits for that slot.
+// earliestAnswer considers the executors that will have a free slot when the job arrives, and returns the one that will
+// answer first. The forecast uses the true state of the executors, including their queues and the jobs on their way to
+// them. earliestAnswer returns "" if no executor will have a free slot. It also returns "" if the chosen executor would
+// miss the latency objective, but an executor without a free slot could still meet it: the job then waits for that
+// slot.
 func (b *baseline) earliestAnswer(job *baselineJob) policy.ExecutorID {
 	sim := b.node.sim
 	if b.noSlotAt == sim.now {
@@ -211,15 +214,16 @@
 	return earliest.ID
 }
 
-// usable returns whether the endpoint list has an executor as available, and the executor is in fact healthy and reachable from the node.
+// usable returns whether the endpoint list has an executor as available, and the executor is in fact healthy and
+// reachable from the node.
 func (b *baseline) usable(x *executor) bool {
 	faults := x.Faults()
 	healthy := x.Up && !x.unreachable && !x.Draining && !faults.Unresponsive && faults.ErrorRate <= 0
 	return b.available[x.ID] && healthy && b.node.sim.linked(b.node.zone, x.Zone)
 }
 
-// forecast predicts the result of sending a job to an executor now. hasSlot is true if the executor will have a free slot when the job
-// arrives. done is the time at which the answer will reach the node.
+// forecast predicts the result of sending a job to an executor now. hasSlot is true if the executor will have a free
+// slot when the job arrives. done is the time at which the answer will reach the node.
 func (b *baseline) forecast(x *executor, job *baselineJob) (hasSlot bool, done time.Duration) {
 	sim := b.node.sim
 	delay := sim.minDelay(b.node.zone, x.Zone)
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -16,9 +16,10 @@
 // Bin is the length of the time bins in which capacity is counted.
 const Bin = 250 * time.Millisecond
 
-// Best returns an upper bound of the value that any policy could earn. capacity is the work that can be done in each bin, in seconds on a
-// standard core. Best places the offers in the order of their value density, highest first. It places each offer into the earliest bins
-// that have capacity left, from the bin of its arrival to the bin of its latency objective.
+// Best returns an upper bound of the value that any policy could earn. capacity is the work that can be done in each
+// bin, in seconds on a standard core. Best places the offers in the order of their value density, highest first. It
+// places each offer into the earliest bins that have capacity left, from the bin of its arrival to the bin of its
+// latency objective.
 func Best(offers []Offer, capacity []float64) float64 {
 	left := slices.Clone(capacity)
 	offers = slices.Clone(offers)
@@ -36,7 +37,8 @@
 	return sum
 }
 
-// sampleCapacity adds a bin that begins now. Its capacity is that of all working executors to which at least one running node can send jobs.
+// sampleCapacity adds a bin that begins now. Its capacity is that of all working executors to which at least one
+// running node can send jobs.
 func (r *Result) sampleCapacity(sim *Simulation) {
 	capacity := 0.0
 	for _, x := range sim.executors {
@@ -53,8 +55,8 @@
 	r.capacity = append(r.capacity, capacity*Bin.Seconds())
 }
 
-// reachable returns whether at least one running node can send jobs to the executor. The zones of the node and the executor must be linked,
-// and operators must not have excluded the executor at the node.
+// reachable returns whether at least one running node can send jobs to the executor. The zones of the node and the
+// executor must be linked, and operators must not have excluded the executor at the node.
 func (sim *Simulation) reachable(x *executor) bool {
 	for _, n := range sim.nodes {
 		_, excluded := n.excluded[x.ID]
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -77,9 +77,10 @@
 	c.submit(work)
 }
 
-// pickNode returns the node to which the front layer sends the next request. It prefers ready nodes of the client's zone, and uses ready
-// nodes of other zones only if that zone has none. A node that has died still counts as ready for Load.DeadNodeTime, because the front layer
-// does not notice the death earlier. pickNode returns nil if there is no candidate.
+// pickNode returns the node to which the front layer sends the next request. It prefers ready nodes of the client's
+// zone, and uses ready nodes of other zones only if that zone has none. A node that has died still counts as ready for
+// Load.DeadNodeTime, because the front layer does not notice the death earlier. pickNode returns nil if there is no
+// candidate.
 func (c *zoneClients) pickNode() *simNode {
 	c.roundRobin++
 	load := &c.sim.scenario.Load
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -36,12 +36,14 @@
 
 	dialedAt, upAt time.Duration
 
-	// Arrival time of the last message in each direction. Later messages arrive after that time, because a connection keeps their order.
+	// Arrival time of the last message in each direction. Later messages arrive after that time, because a connection
+	// keeps their order.
 	nextToExecutor time.Duration
 	nextToNode     time.Duration
 }
 
-// toExecutor sends a message to the executor. It runs the function when the message arrives, unless the executor's process has ended by then.
+// toExecutor sends a message to the executor. It runs the function when the message arrives, unless the executor's
+// process has ended by then.
 func (c *executorConn) toExecutor(run func()) {
 	sim, x := c.node.sim, c.executor
 	c.nextToExecutor = max(c.nextToExecutor+1, sim.arrivalTime(c.node.zone, x.Zone))
@@ -53,8 +55,8 @@
 	})
 }
 
-// toNode sends a message to the node. It runs the function when the message arrives, unless the node's end of the connection is closed by
-// then.
+// toNode sends a message to the node. It runs the function when the message arrives, unless the node's end of the
+// connection is closed by then.
 func (c *executorConn) toNode(run func()) {
 	if c.unresponsive {
 		return
@@ -107,8 +109,8 @@
 	conn.breakConn("closed here")
 }
 
-// breakConn ends a connection at the node's end. It notifies the node of the end of the attempt after processingDelay, and of the closed
-// connection half a processingDelay later.
+// breakConn ends a connection at the node's end. It notifies the node of the end of the attempt after processingDelay,
+// and of the closed connection half a processingDelay later.
 func (c *executorConn) breakConn(reason string) {
 	if c.state == connClosed {
 		return
--- a/internal/simulation/conn_faults.go
+++ b/internal/simulation/conn_faults.go
@@ -54,7 +54,8 @@
 	return all
 }
 
-// resetOpenConns breaks a fraction of the open connections to executors, each at a random time within the next resetPeriod.
+// resetOpenConns breaks a fraction of the open connections to executors, each at a random time within the next
+// resetPeriod.
 func (sim *Simulation) resetOpenConns(fraction float64) {
 	for _, conn := range sim.openConns() {
 		if sim.networkRand.Float64() < fraction {
@@ -94,7 +95,8 @@
 // makeUnresponsive implements faultableConn.
 func (c *executorConn) makeUnresponsive() { c.unresponsive = true }
 
-// breakAt implements faultableConn. The two ends notice the break at different times. Messages on their way can still arrive.
+// breakAt implements faultableConn. The two ends notice the break at different times. Messages on their way can still
+// arrive.
 func (c *executorConn) breakAt(delay time.Duration) {
 	sim := c.node.sim
 	c.node.after(delay, func() { c.breakConn("reset on the way") })
--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -22,8 +22,9 @@
 // adminFaults are the kinds of fault that operators cause with commands to nodes.
 var adminFaults = []emulator.FaultKind{emulator.Excluded, emulator.ClientsDrained}
 
-// Draw draws a scenario and its faults from a seed. Operators' commands, hedging, health checks, gossip and slow start are drawn from random
-// streams of their own, because Draw gained them later: the rest of each seed's scenario stays as it was before.
+// Draw draws a scenario and its faults from a seed. Operators' commands, hedging, health checks, gossip and slow start
+// are drawn from random streams of their own, because Draw gained them later: the rest of each seed's scenario stays as
+// it was before.
 func Draw(seed uint64, size Size) Scenario {
 	r := stream(seed, drawStream)
 	s := base()
@@ -207,8 +208,8 @@
 	return least, most
 }
 
-// drawTargets draws the targets of a fault: all of them, those of a zone, a random set, or a single one. letter is the first letter of
-// the names of all possible targets, and count is their number.
+// drawTargets draws the targets of a fault: all of them, those of a zone, a random set, or a single one. letter is the
+// first letter of the names of all possible targets, and count is their number.
 func drawTargets(r *rand.Rand, letter string, count int, zone string) (targets []string) {
 	switch r.IntN(5) {
 	case 0:
--- a/internal/simulation/draw_slow_start.go
+++ b/internal/simulation/draw_slow_start.go
@@ -12,17 +12,18 @@
 // startFaults are the kinds of fault after which executors restart and are in slow start.
 var startFaults = []emulator.FaultKind{emulator.Crash, emulator.HostLost, emulator.Replace, emulator.AddressChanged, emulator.Drain, emulator.ZoneLost}
 
-// startSideFaults are the kinds of fault that make it harder for nodes to share an executor's slow-start budget. NodeKilled is listed twice
-// and so drawn twice as often as each of the others.
+// startSideFaults are the kinds of fault that make it harder for nodes to share an executor's slow-start budget.
+// NodeKilled is listed twice and so drawn twice as often as each of the others.
 var startSideFaults = []emulator.FaultKind{emulator.NodeKilled, emulator.NodeKilled, emulator.NodeRestart, emulator.NodePaused, emulator.DiscoveryDelayed,
 	emulator.DiscoveryUnreachable, emulator.DiscoveryStopped, emulator.UnresponsiveNew}
 
 // maxOtherFaults is the number of previously drawn faults that a slow-start scenario keeps.
 const maxOtherFaults = 2
 
-// drawSlowStart changes a drawn scenario so that it stresses the slow-start budget of executors (rule 4). The scenario then has 20 or 30
-// nodes, usually without gossip. Executors start, join or restart under a burst of traffic. At that time nodes restart, are suspended or
-// receive updates of the endpoint list late. Jobs have so little work that a slow-start budget is one to several hundred jobs.
+// drawSlowStart changes a drawn scenario so that it stresses the slow-start budget of executors (rule 4). The scenario
+// then has 20 or 30 nodes, usually without gossip. Executors start, join or restart under a burst of traffic. At that
+// time nodes restart, are suspended or receive updates of the endpoint list late. Jobs have so little work that a
+// slow-start budget is one to several hundred jobs.
 func drawSlowStart(s *Scenario) {
 	r := stream(s.Seed, drawSlowStartStream)
 	s.About = fmt.Sprintf("Drawn from seed %d for cold executors among many nodes.", s.Seed)
@@ -60,8 +61,9 @@
 	}
 }
 
-// drawStart draws a restart of executors under a burst of traffic. It adds up to two faults of startSideFaults at about the same time, and
-// in one of three cases a second restart 0.2 to 3 s after the end of the first, while the executors are still in slow start.
+// drawStart draws a restart of executors under a burst of traffic. It adds up to two faults of startSideFaults at about
+// the same time, and in one of three cases a second restart 0.2 to 3 s after the end of the first, while the executors
+// are still in slow start.
 func drawStart(r *rand.Rand, s *Scenario) {
 	start := drawFault(r, s, startFaults[r.IntN(len(startFaults))])
 	start.At = millisecondsBetween(r, 1000, int(time.Duration(s.Length)/(2*time.Millisecond)))
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -18,8 +18,8 @@
 	startedLongAgo  = -time.Hour       // start time that is reported to the checker for an executor that started long ago
 )
 
-// endpointsUpdate returns the event by which a node receives an update of the endpoint list, and records the update's content for the
-// checker.
+// endpointsUpdate returns the event by which a node receives an update of the endpoint list, and records the update's
+// content for the checker.
 func (n *simNode) endpointsUpdate(kind policy.EndpointUpdateKind, entries []emulator.Entry) node.EndpointsUpdated {
 	event := node.EndpointsUpdated{Kind: kind}
 	if kind == policy.WatchFailed {
@@ -54,8 +54,9 @@
 	}
 }
 
-// recordEndpoint reports to the checker that the node has received an update of an executor's state. An update that changes nothing is not
-// reported. If operators have excluded an executor that the endpoint list has as available, the executor counts as draining.
+// recordEndpoint reports to the checker that the node has received an update of an executor's state. An update that
+// changes nothing is not reported. If operators have excluded an executor that the endpoint list has as available, the
+// executor counts as draining.
 func (n *simNode) recordEndpoint(s invariants.Event) {
 	s.At = 0
 	if _, excluded := n.excluded[s.Executor]; excluded {
@@ -105,8 +106,8 @@
 	return ok && reply.Refusal == ""
 }
 
-// deliverEndpoints delivers discovery's pending updates to the node. If the inbound traffic of the node's zone is blocked, the updates are
-// delivered watchRetryDelay after the blockage ends.
+// deliverEndpoints delivers discovery's pending updates to the node. If the inbound traffic of the node's zone is
+// blocked, the updates are delivered watchRetryDelay after the blockage ends.
 func (n *simNode) deliverEndpoints() {
 	if until := n.sim.partitions[n.zone].inboundUntil; until > n.sim.now {
 		n.after(until-n.sim.now+watchRetryDelay, n.deliverEndpoints)
@@ -129,8 +130,8 @@
 	sim.notifyNodes(at)
 }
 
-// notifyNodes lets all nodes read discovery's updates at the given time. Outside networked simulations, each node has a random additional
-// delay.
+// notifyNodes lets all nodes read discovery's updates at the given time. Outside networked simulations, each node has a
+// random additional delay.
 func (sim *Simulation) notifyNodes(at time.Duration) {
 	if sim.networked != nil {
 		sim.at(at, sim.networked.notifyWatches)
@@ -144,7 +145,8 @@
 	}
 }
 
-// updateWeights sets the weight of each executor by its load, and schedules the next call of updateWeights after Fleet.WeightInterval.
+// updateWeights sets the weight of each executor by its load, and schedules the next call of updateWeights after
+// Fleet.WeightInterval.
 func (sim *Simulation) updateWeights() {
 	at := time.Duration(0)
 	for _, x := range sim.executors {
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// scheduledEvent is a function to run at a given time. Events at the same instant run in the order of their tieBreak values, which depend
-// on the seed.
+// scheduledEvent is a function to run at a given time. Events at the same instant run in the order of their tieBreak
+// values, which depend on the seed.
 type scheduledEvent struct {
 	at       time.Duration
 	tieBreak uint64
@@ -14,8 +14,9 @@
 	return e.at < other.at || e.at == other.at && e.tieBreak < other.tieBreak
 }
 
-// eventHeap is a binary min-heap with the next event first. It does not use container/heap: the interface values of that package need an
-// allocation for each event, and its interface calls would take a large fraction of a simulation's time.
+// eventHeap is a binary min-heap with the next event first. It does not use container/heap: the interface values of
+// that package need an allocation for each event, and its interface calls would take a large fraction of a simulation's
+// time.
 type eventHeap []scheduledEvent
 
 func (h *eventHeap) push(event scheduledEvent) {
--- a/internal/simulation/executor_faults.go
+++ b/internal/simulation/executor_faults.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// endFault ends a fault on the executor. It does nothing for a drain, because drainAndRestart schedules all steps of a drain.
+// endFault ends a fault on the executor. It does nothing for a drain, because drainAndRestart schedules all steps of a
+// drain.
 func (x *executor) endFault(fault emulator.Fault) {
 	switch fault.Kind {
 	case emulator.Crash, emulator.HostLost, emulator.ZoneLost:
@@ -61,8 +62,8 @@
 	x.apply(x.SetFaults(x.sim.now, faults))
 }
 
-// stop ends the executor's process. If the executor's machine vanishes too, nodes are not notified, because the connections are not closed.
-// Discovery then removes the executor only after vanishDetection.
+// stop ends the executor's process. If the executor's machine vanishes too, nodes are not notified, because the
+// connections are not closed. Discovery then removes the executor only after vanishDetection.
 func (x *executor) stop(vanishes bool) {
 	sim := x.sim
 	x.activeDownFaults++
@@ -97,9 +98,9 @@
 	x.restart()
 }
 
-// drainAndRestart drains the executor. Discovery publishes the drain after Fleet.DiscoveryLag. The executor still accepts jobs for
-// Fleet.DrainGrace after that. Its process ends after three quarters of the fault's duration, and a new process starts at the end of the
-// fault.
+// drainAndRestart drains the executor. Discovery publishes the drain after Fleet.DiscoveryLag. The executor still
+// accepts jobs for Fleet.DrainGrace after that. Its process ends after three quarters of the fault's duration, and a
+// new process starts at the end of the fault.
 func (x *executor) drainAndRestart(fault emulator.Fault) {
 	sim := x.sim
 	if !x.Up || x.activeDownFaults > 0 {
@@ -125,8 +126,9 @@
 	sim.after(fault.For, x.endDownFault)
 }
 
-// excludeAndRestart lets operators exclude the executor at each node. During the exclusion, the executor's process ends after half of the
-// fault's duration, and a new process starts after three quarters. The endpoint list does not show the exclusion.
+// excludeAndRestart lets operators exclude the executor at each node. During the exclusion, the executor's process ends
+// after half of the fault's duration, and a new process starts after three quarters. The endpoint list does not show
+// the exclusion.
 func (x *executor) excludeAndRestart(fault emulator.Fault) {
 	sim := x.sim
 	for _, n := range sim.nodes {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,8 +12,8 @@
 // watchLossDelay is the time until nodes notice that discovery is unresponsive.
 const watchLossDelay = 100 * time.Millisecond
 
-// gossipFaults are the kinds of fault that networked simulations ignore. The nodes of a networked simulation do not gossip, and they all run
-// in one operating-system process.
+// gossipFaults are the kinds of fault that networked simulations ignore. The nodes of a networked simulation do not
+// gossip, and they all run in one operating-system process.
 var gossipFaults = []emulator.FaultKind{emulator.GossipPartitioned, emulator.FalseGossip, emulator.NodePaused, emulator.GossipLost, emulator.DiscoveryUnreachable}
 
 // scheduleFault schedules the begin and the end of a fault.
@@ -87,7 +87,8 @@
 	}
 }
 
-// faultedExecutors returns the executors that a fault affects. There are none if faults of this kind do not affect executors.
+// faultedExecutors returns the executors that a fault affects. There are none if faults of this kind do not affect
+// executors.
 func (sim *Simulation) faultedExecutors(fault emulator.Fault) (all []*executor) {
 	if on, _ := fault.Kind.Target(); on != emulator.OnExecutors && fault.Kind != emulator.ZoneLost {
 		return nil
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -11,14 +11,15 @@
 	"birchstair/policy"
 )
 
-// Membership is modeled on the memberlist library. A node counts a peer as alive if the node itself could reach the peer recently. It
-// notices changes with a delay.
+// Membership is modeled on the memberlist library. A node counts a peer as alive if the node itself could reach the
+// peer recently. It notices changes with a delay.
 const (
 	membershipInterval = 500 * time.Millisecond  // interval at which a node updates its list of alive peers
 	memberTimeout      = 2500 * time.Millisecond // a peer counts as dead once it could not be reached for this long
 )
 
-// Prefixes of the log messages that a node writes when a peer notifies it of an executor's drain, and when it drops this notice.
+// Prefixes of the log messages that a node writes when a peer notifies it of an executor's drain, and when it drops
+// this notice.
 const (
 	logPeerDrain    = "counts as draining"
 	logPeerDrainEnd = "no longer counts as draining"
@@ -61,7 +62,8 @@
 	n.after(membershipInterval, n.updateMembership)
 }
 
-// sendGossip checks the bounds of gossip and then sends the message. If the node has the fault FalseGossip, it sends a corrupted message.
+// sendGossip checks the bounds of gossip and then sends the message. If the node has the fault FalseGossip, it sends a
+// corrupted message.
 func (n *simNode) sendGossip(envelope cluster.Envelope) {
 	n.checkGossipBounds(envelope)
 	message := n.corrupt(envelope.Message)
@@ -105,8 +107,8 @@
 	}
 }
 
-// corrupt returns the message to send in place of the given one. The two differ only if the node has the fault FalseGossip. Successive
-// messages cycle through four kinds of corruption.
+// corrupt returns the message to send in place of the given one. The two differ only if the node has the fault
+// FalseGossip. Successive messages cycle through four kinds of corruption.
 func (n *simNode) corrupt(message cluster.Message) cluster.Message {
 	if n.corruption == 0 {
 		return message
@@ -130,8 +132,9 @@
 	return message
 }
 
-// recordPeerDrains records which executors a node counts as draining because a peer has notified it of the drain. The node must respect such
-// a drain like one in its own endpoint list. It drops the drain if its own list does not confirm it in time.
+// recordPeerDrains records which executors a node counts as draining because a peer has notified it of the drain. The
+// node must respect such a drain like one in its own endpoint list. It drops the drain if its own list does not confirm
+// it in time.
 func (n *simNode) recordPeerDrains(effects []node.Effect) {
 	for _, effect := range effects {
 		message, ok := effect.(node.Log)
--- a/internal/simulation/gossip_bounds.go
+++ b/internal/simulation/gossip_bounds.go
@@ -7,17 +7,19 @@
 	"birchstair/internal/cluster"
 )
 
-// Whenever a node sends a gossip message, the simulation checks three bounds of docs/design/fleet.md: the number of messages that the node
-// sends, the age of the peer states that the node uses, and the difference between the work rate in the message and the true work rate.
+// Whenever a node sends a gossip message, the simulation checks three bounds of docs/design/fleet.md: the number of
+// messages that the node sends, the age of the peer states that the node uses, and the difference between the work rate
+// in the message and the true work rate.
 const (
 	// After a suspension, the work rate of a node is not checked for this long, because the node's averages can restart.
 	suspendGrace = 4 * time.Second
 	// To check how many messages a node sends, its messages are counted over this number of gossip intervals.
 	boundRounds = 4
-	// The messages of this number of rounds are tolerated beyond the bound on sent messages, because a round can have just begun.
+	// The messages of this number of rounds are tolerated beyond the bound on sent messages, because a round can have
+	// just begun.
 	extraRounds = 1
-	// The true work rate is multiplied by this to get the largest rate that a node is allowed to send, because clients' estimates are
-	// inexact.
+	// The true work rate is multiplied by this to get the largest rate that a node is allowed to send, because clients'
+	// estimates are inexact.
 	workRateFactor = 2.5
 	// This is added to the largest work rate that a node is allowed to send, in seconds of work per second.
 	workRateSlack = 1.0
@@ -35,8 +37,8 @@
 	order  []cluster.MessageID // IDs of the messages in sentAt, oldest first
 }
 
-// workRate records the true work rate of one node, and the times of the gossip messages that the node has sent. The rate is averaged in the
-// same way as the node averages it.
+// workRate records the true work rate of one node, and the times of the gossip messages that the node has sent. The
+// rate is averaged in the same way as the node averages it.
 type workRate struct {
 	work           float64 // completed work in seconds, with exponential decay up to the time at
 	at             time.Duration
@@ -56,7 +58,8 @@
 	return r.work * math.Exp(-float64(now-r.at)/float64(cluster.AveragingTimeConstant)) / max(complete, 1e-3)
 }
 
-// checkGossipBounds checks all bounds when a node sends a message. It sees the message before a fault can corrupt or lose it.
+// checkGossipBounds checks all bounds when a node sends a message. It sees the message before a fault can corrupt or
+// lose it.
 func (n *simNode) checkGossipBounds(envelope cluster.Envelope) {
 	settings := cluster.Defaults("", 0, 0)
 	n.checkMessageCount(settings)
@@ -80,8 +83,8 @@
 	}
 }
 
-// checkWorkRate checks the work rate that a node sends. It does nothing if clients' estimates are missing or too inexact, or if the node was
-// suspended recently, because the work rate is inexact then.
+// checkWorkRate checks the work rate that a node sends. It does nothing if clients' estimates are missing or too
+// inexact, or if the node was suspended recently, because the work rate is inexact then.
 func (n *simNode) checkWorkRate(sent float64) {
 	sim, noise := n.sim, n.sim.scenario.Load.HintNoise
 	if noise < 0 || noise >= maxCheckedNoise || sim.now < n.workRate.suspendedUntil {
@@ -109,7 +112,8 @@
 	}
 }
 
-// recordGossip records that a message was sent. If the message is corrupted, its sender's name can be that of another node.
+// recordGossip records that a message was sent. If the message is corrupted, its sender's name can be that of another
+// node.
 func (sim *Simulation) recordGossip(message cluster.Message) {
 	bounds := &sim.gossipBounds
 	id := cluster.MessageID{From: message.From, Incarnation: message.Incarnation, Seq: message.Seq}
--- a/internal/simulation/health_check.go
+++ b/internal/simulation/health_check.go
@@ -10,8 +10,8 @@
 // healthCheckTimeout is the time within which an executor must answer a health check.
 const healthCheckTimeout = 250 * time.Millisecond
 
-// checkHealth sends a health check to an executor. The executor does not queue the check; it answers at once with its load. An unresponsive
-// executor does not answer.
+// checkHealth sends a health check to an executor. The executor does not queue the check; it answers at once with its
+// load. An unresponsive executor does not answer.
 func (n *simNode) checkHealth(effect node.CheckHealth) {
 	sim, x, ended := n.sim, n.sim.byAddr[effect.Addr], false
 	end := func(event node.HealthCheckEnded) {
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// Hunt draws and plays a scenario for each seed from first to last. It calls found with each result, in the order of the seeds and never
-// concurrently. It plays up to parallel simulations at a time; 0 stands for GOMAXPROCS. After found has returned false, Hunt starts no
-// further simulation and does not call found again.
+// Hunt draws and plays a scenario for each seed from first to last. It calls found with each result, in the order of
+// the seeds and never concurrently. It plays up to parallel simulations at a time; 0 stands for GOMAXPROCS. After found
+// has returned false, Hunt starts no further simulation and does not call found again.
 func Hunt(first, last uint64, size Size, parallel int, found func(Scenario, Result) bool) {
 	if parallel <= 0 {
 		parallel = runtime.GOMAXPROCS(0)
@@ -61,7 +61,8 @@
 	return seed, true
 }
 
-// report stores the result of a seed. It then calls found for the results that are next in the order of the seeds, until one is missing.
+// report stores the result of a seed. It then calls found for the results that are next in the order of the seeds,
+// until one is missing.
 func (h *hunt) report(seed uint64, played huntResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/simulation/kill_clients.go
+++ b/internal/simulation/kill_clients.go
@@ -17,8 +17,8 @@
 	pollQuery       = "?wait_ms=1000"        // query of a poll, by which the node waits up to 1 s for the final answer
 )
 
-// client submits a job repeatedly until the node acknowledges it. It then polls until it has received two final answers, which must be the
-// same. It retries when the node is down or not ready.
+// client submits a job repeatedly until the node acknowledges it. It then polls until it has received two final
+// answers, which must be the same. It retries when the node is down or not ready.
 func (r *killRun) client(id, class string) {
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	url := "http://" + r.listen + "/-/jobs/" + id
@@ -47,8 +47,8 @@
 	}
 }
 
-// recordFinal records a final answer, and a violation if the answer differs from the job's first one. It returns true if the job had a final
-// answer before.
+// recordFinal records a final answer, and a violation if the answer differs from the job's first one. It returns true
+// if the job had a final answer before.
 func (r *killRun) recordFinal(id, final string) (done bool) {
 	r.mu.Lock()
 	before := r.finals[id]
--- a/internal/simulation/kill_run.go
+++ b/internal/simulation/kill_run.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// KillTest is a run of a real node process on loopback, with emulated executors and clients. The node has durable jobs, and is killed with
-// SIGKILL at random times. Each client submits one job until the node acknowledges it, and then polls until it has received the final
-// answer twice.
+// KillTest is a run of a real node process on loopback, with emulated executors and clients. The node has durable jobs,
+// and is killed with SIGKILL at random times. Each client submits one job until the node acknowledges it, and then
+// polls until it has received the final answer twice.
 type KillTest struct {
 	Binary string // path of the birchstair program
 	Seed   uint64
@@ -56,7 +56,8 @@
 	rand       *rand.Rand
 }
 
-// Play plays the run. It returns an error if the run fails before its end; violations are not errors but part of the result.
+// Play plays the run. It returns an error if the run fails before its end; violations are not errors but part of the
+// result.
 func (k KillTest) Play() (KillResult, error) {
 	r := &killRun{KillTest: k, runsOfJob: map[string]int{}, finals: map[string]string{}, rand: rand.New(rand.NewPCG(k.Seed, killStream))}
 	closeAll, err := r.setUp()
@@ -113,7 +114,8 @@
 	return r.start()
 }
 
-// shutDown shuts the node down gracefully. It first waits until the node is ready, because the node ignores signals before that.
+// shutDown shuts the node down gracefully. It first waits until the node is ready, because the node ignores signals
+// before that.
 func (r *killRun) shutDown(node *exec.Cmd) {
 	r.awaitReady()
 	node.Process.Signal(syscall.SIGTERM)
--- a/internal/simulation/kill_setup.go
+++ b/internal/simulation/kill_setup.go
@@ -22,11 +22,12 @@
 	durablePrefix  = "durable-" // prefix that a node adds to the IDs of durable jobs at executors
 )
 
-// killClasses are the job classes of a run. repeat is the idempotency of the class, under its name in the node's configuration.
+// killClasses are the job classes of a run. repeat is the idempotency of the class, under its name in the node's
+// configuration.
 var killClasses = [2]struct{ name, repeat string }{{"page", "repeatable"}, {"order", killAtMostOnce}}
 
-// siteFormat is the format string of the node's operator file. The string has two arguments: the directory of the store, and whether
-// executors answer lease queries.
+// siteFormat is the format string of the node's operator file. The string has two arguments: the directory of the
+// store, and whether executors answer lease queries.
 const siteFormat = `[durable]
 dir = %q
 outer-limit = "2m"
@@ -72,8 +73,8 @@
 	Value     float64 `json:"earnings"`
 }
 
-// setUp starts the emulated executors and discovery, and writes the node's files. closeAll closes all listeners. The caller must call it even
-// if setUp returns an error.
+// setUp starts the emulated executors and discovery, and writes the node's files. closeAll closes all listeners. The
+// caller must call it even if setUp returns an error.
 func (r *killRun) setUp() (closeAll func(), err error) {
 	var open []net.Listener
 	closeAll = func() {
--- a/internal/simulation/link.go
+++ b/internal/simulation/link.go
@@ -11,8 +11,8 @@
 // processingDelay is the time that a process takes to handle one event.
 const processingDelay = 20 * time.Microsecond
 
-// partition describes the partition of one zone. Until inboundUntil, no traffic from other zones enters the zone. Until outboundUntil, no
-// traffic leaves the zone for other zones.
+// partition describes the partition of one zone. Until inboundUntil, no traffic from other zones enters the zone. Until
+// outboundUntil, no traffic leaves the zone for other zones.
 type partition struct{ inboundUntil, outboundUntil time.Duration }
 
 // minDelay returns the smallest one-way delay between two zones, or within a zone if both are the same.
@@ -29,8 +29,8 @@
 	return least + time.Duration(sim.networkRand.Int64N(int64(least)/5+1))
 }
 
-// arrivalTime returns the time at which a message that is sent now arrives. A partition delays the message until the partition ends, as if
-// TCP retransmitted it.
+// arrivalTime returns the time at which a message that is sent now arrives. A partition delays the message until the
+// partition ends, as if TCP retransmitted it.
 func (sim *Simulation) arrivalTime(from, to policy.ZoneID) time.Duration {
 	sent := sim.now
 	if from != to {
@@ -52,7 +52,8 @@
 	return true
 }
 
-// partitionZones blocks the inbound traffic, the outbound traffic or both for each of the fault's zones, until the fault ends.
+// partitionZones blocks the inbound traffic, the outbound traffic or both for each of the fault's zones, until the
+// fault ends.
 func (sim *Simulation) partitionZones(fault emulator.Fault, inbound, outbound bool) {
 	until := sim.now + fault.For
 	for i, name := range sim.scenario.Fleet.Zones {
--- a/internal/simulation/malformed_clients.go
+++ b/internal/simulation/malformed_clients.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// malformedReplyTimeout is the time within which a node must answer a malformed request with an error, or close the client's connection.
+// malformedReplyTimeout is the time within which a node must answer a malformed request with an error, or close the
+// client's connection.
 const malformedReplyTimeout = 3 * time.Second
 
 // classPlaceholder stands for the name of a job class in malformedRequests.
 const classPlaceholder = "TRACK"
 
-// malformedRequests are the requests that misbehaving clients send. One of them hides a second request in its body. The node must not serve
-// this hidden request.
+// malformedRequests are the requests that misbehaving clients send. One of them hides a second request in its body. The
+// node must not serve this hidden request.
 var malformedRequests = []string{
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
 	"GET",
@@ -61,8 +62,8 @@
 	sim.after(clientsStartAfter, next)
 }
 
-// sendMalformed sends a malformed request to a node. The node's reaction counts as wrong if the node answers with a status other than an
-// error, or neither answers nor closes the connection in time.
+// sendMalformed sends a malformed request to a node. The node's reaction counts as wrong if the node answers with a
+// status other than an error, or neither answers nor closes the connection in time.
 func (ns *networkedSimulation) sendMalformed(p *nodeProcess, id, request string) {
 	ctx, cancel := context.WithTimeout(context.Background(), malformedReplyTimeout)
 	defer cancel()
--- a/internal/simulation/networked.go
+++ b/internal/simulation/networked.go
@@ -14,10 +14,10 @@
 // goroutineExitTime is the time that goroutines have to exit after the simulation has ended.
 const goroutineExitTime = 10 * time.Second
 
-// networkedSimulation runs a simulation with the nodes' real network code, including net/http's server and client, over in-memory
-// connections. Executors, discovery, clients and faults are the same models as in Play, but they exchange bytes with the nodes. The
-// simulation uses the clock of package time. With the virtual clock of testing/synctest, it takes only its computing time. With a real
-// clock, it takes the whole simulated time.
+// networkedSimulation runs a simulation with the nodes' real network code, including net/http's server and client, over
+// in-memory connections. Executors, discovery, clients and faults are the same models as in Play, but they exchange
+// bytes with the nodes. The simulation uses the clock of package time. With the virtual clock of testing/synctest, it
+// takes only its computing time. With a real clock, it takes the whole simulated time.
 type networkedSimulation struct {
 	sim         *Simulation
 	net         *memnet.Net
@@ -38,15 +38,17 @@
 	unreachable map[string]bool
 }
 
-// bufferedObservation is an event with its sort keys. Events at the same instant are sorted by observer, and then by order.
+// bufferedObservation is an event with its sort keys. Events at the same instant are sorted by observer, and then by
+// order.
 type bufferedObservation struct {
 	observer string
 	order    int
 	invariants.Event
 }
 
-// PlayNetworked runs the simulation with the nodes' network code over in-memory connections. Callers should call it in a testing/synctest
-// bubble; outside a bubble it takes as long as the simulated time. It must not be called more than once.
+// PlayNetworked runs the simulation with the nodes' network code over in-memory connections. Callers should call it in
+// a testing/synctest bubble; outside a bubble it takes as long as the simulated time. It must not be called more than
+// once.
 func (sim *Simulation) PlayNetworked() Result {
 	ns := &networkedSimulation{
 		sim:              sim,
@@ -88,8 +90,8 @@
 	ns.ended = true
 }
 
-// step runs the next event if its time has come. Otherwise it releases the lock and waits until then, or until another event is scheduled.
-// It returns false at the end of the simulation.
+// step runs the next event if its time has come. Otherwise it releases the lock and waits until then, or until another
+// event is scheduled. It returns false at the end of the simulation.
 func (ns *networkedSimulation) step() bool {
 	sim := ns.sim
 	end := sim.lastDeadline()
@@ -123,8 +125,8 @@
 	}
 }
 
-// locked sets the simulation's clock to the present time and runs a function, both with the lock held. It does nothing once the simulation
-// has ended.
+// locked sets the simulation's clock to the present time and runs a function, both with the lock held. It does nothing
+// once the simulation has ended.
 func (ns *networkedSimulation) locked(run func()) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
@@ -152,7 +154,8 @@
 	ns.buffered = append(ns.buffered, bufferedObservation{observer, ns.observations, s})
 }
 
-// flush reports the buffered events, which are all at the same instant. Their order does not depend on the scheduling of goroutines.
+// flush reports the buffered events, which are all at the same instant. Their order does not depend on the scheduling
+// of goroutines.
 func (ns *networkedSimulation) flush() {
 	slices.SortStableFunc(ns.buffered, func(a, b bufferedObservation) int {
 		return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.order, b.order))
--- a/internal/simulation/networked_clients.go
+++ b/internal/simulation/networked_clients.go
@@ -33,8 +33,8 @@
 	}()
 }
 
-// recordClientGone records that a client has closed its connection. The time of the record is that at which the close arrives at the node's
-// machine, because the node can't detect it earlier.
+// recordClientGone records that a client has closed its connection. The time of the record is that at which the close
+// arrives at the node's machine, because the node can't detect it earlier.
 func (ns *networkedSimulation) recordClientGone(request *clientRequest, from, host string) {
 	path := ns.path(from, host)
 	if path.Lost {
--- a/internal/simulation/networked_discovery.go
+++ b/internal/simulation/networked_discovery.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// awaitUpdate waits for the answer to a watch request and returns it. A request for the complete list is answered at once. Any other request
-// is answered with the next updates, or with an empty list once the request's hold time is over. While discovery is unresponsive, there is
-// no answer. awaitUpdate returns nil when the simulation ends.
+// awaitUpdate waits for the answer to a watch request and returns it. A request for the complete list is answered at
+// once. Any other request is answered with the next updates, or with an empty list once the request's hold time is
+// over. While discovery is unresponsive, there is no answer. awaitUpdate returns nil when the simulation ends.
 func (ns *networkedSimulation) awaitUpdate(request platform.Watch) []byte {
 	until := time.Now().Add(request.Hold)
 	for {
@@ -60,8 +60,8 @@
 	}
 }
 
-// answerWatch returns the present answer to a watch request, or nil if there is no answer yet. It also returns a channel that is closed at
-// the next change.
+// answerWatch returns the present answer to a watch request, or nil if there is no answer yet. It also returns a
+// channel that is closed at the next change.
 func (ns *networkedSimulation) answerWatch(request platform.Watch, until time.Time) (answer []byte, changed chan struct{}) {
 	ns.locked(func() {
 		changed = ns.endpointsChanged
--- a/internal/simulation/networked_executor.go
+++ b/internal/simulation/networked_executor.go
@@ -31,7 +31,8 @@
 	ns.listen(x.host(), x.addr, func(conn *memnet.Conn) { ns.serveExecutor(x, incarnation, conn) })
 }
 
-// endExecutor ends the executor's process. If the executor's machine vanishes too, nothing reaches the executor's address any more.
+// endExecutor ends the executor's process. If the executor's machine vanishes too, nothing reaches the executor's
+// address any more.
 func (ns *networkedSimulation) endExecutor(x *executor, vanishes bool) {
 	if vanishes {
 		ns.setUnreachable(x.addr, true)
@@ -70,8 +71,8 @@
 	}
 }
 
-// acceptAtExecutor lets the executor accept a connection. accepted is false if the executor's process has ended or has reached its
-// connection limit.
+// acceptAtExecutor lets the executor accept a connection. accepted is false if the executor's process has ended or has
+// reached its connection limit.
 func (ns *networkedSimulation) acceptAtExecutor(x *executor, incarnation int, conn *memnet.Conn) (key emulator.ConnID, accepted bool) {
 	ns.locked(func() {
 		if x.incarnation != incarnation {
--- a/internal/simulation/networked_network.go
+++ b/internal/simulation/networked_network.go
@@ -7,8 +7,8 @@
 	"birchstair/policy"
 )
 
-// path returns the present network path between two hosts. Discovery belongs to no zone, but a zone with blocked inbound traffic receives
-// nothing from discovery either.
+// path returns the present network path between two hosts. Discovery belongs to no zone, but a zone with blocked
+// inbound traffic receives nothing from discovery either.
 func (ns *networkedSimulation) path(from, to string) memnet.Path {
 	ns.pathMu.Lock()
 	defer ns.pathMu.Unlock()
--- a/internal/simulation/networked_node.go
+++ b/internal/simulation/networked_node.go
@@ -22,8 +22,8 @@
 	maxClientConns = 600 // largest number of client connections to a node
 	maxAdminCalls  = 64  // largest number of admin calls that wait at a process; further calls are dropped
 
-	// Each admin call and each dial timeout gets a small additional delay of its own. Without it, two of them could be simultaneous, and their
-	// order would depend on the scheduler.
+	// Each admin call and each dial timeout gets a small additional delay of its own. Without it, two of them could be
+	// simultaneous, and their order would depend on the scheduler.
 	adminDelaySteps  = 997
 	adminDelayStep   = 1009 * time.Nanosecond
 	dialTimeoutSteps = 997
@@ -78,7 +78,8 @@
 		Observer:        p.recordStep,
 	}
 	go func() {
-		// The error is not checked, because a killed node ends with an error of its listener. The invariants check the answers to clients.
+		// The error is not checked, because a killed node ends with an error of its listener. The invariants check the
+		// answers to clients.
 		service.Run(ctx, setup, p.adminEvents) //nolint:errcheck // a killed node ends with an error of its listener
 		ns.locked(p.exited)
 	}()
@@ -135,8 +136,9 @@
 	return conn, nil
 }
 
-// dialDiscovery opens a connection to discovery. The connection's name has a number that is counted for each process separately. It is not
-// certain whether a killed process dials once more before it ends, and this must not change the names of other processes' connections.
+// dialDiscovery opens a connection to discovery. The connection's name has a number that is counted for each process
+// separately. It is not certain whether a killed process dials once more before it ends, and this must not change the
+// names of other processes' connections.
 func (p *nodeProcess) dialDiscovery(ctx context.Context, _, addr string) (net.Conn, error) {
 	name := ""
 	p.networked.locked(func() {
--- a/internal/simulation/networked_recorder.go
+++ b/internal/simulation/networked_recorder.go
@@ -9,7 +9,8 @@
 	"birchstair/policy"
 )
 
-// recordStep records a step of the state machine: the event and the effects. The process calls recordStep after each step.
+// recordStep records a step of the state machine: the event and the effects. The process calls recordStep after each
+// step.
 func (p *nodeProcess) recordStep(_ time.Duration, event node.Event, effects []node.Effect) {
 	p.networked.locked(func() {
 		gaveUp := p.gaveUp
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -177,8 +177,8 @@
 	})
 }
 
-// deliver steps the state machine with an event and executes the resulting effects. While the process is suspended, events are kept and
-// delivered when it resumes.
+// deliver steps the state machine with an event and executes the resulting effects. While the process is suspended,
+// events are kept and delivered when it resumes.
 func (n *simNode) deliver(event node.Event) {
 	if !n.up {
 		return
@@ -257,8 +257,8 @@
 	})
 }
 
-// recordLog counts panics of the policy, and writes the first line of a log message to the trace. It omits the other lines, because they can
-// be a stack trace with addresses that differ from run to run.
+// recordLog counts panics of the policy, and writes the first line of a log message to the trace. It omits the other
+// lines, because they can be a stack trace with addresses that differ from run to run.
 func (n *simNode) recordLog(message node.Log) {
 	if strings.HasPrefix(message.Text, node.PolicyPanicked) {
 		n.sim.result.Panics++
@@ -303,8 +303,9 @@
 	n.loseClients()
 }
 
-// endDownFault ends one of the faults that keep the node down. When the last of them ends, the node starts a new process. If the old process
-// is still shutting down, endDownFault tries again every restartPollPeriod until the old process has ended.
+// endDownFault ends one of the faults that keep the node down. When the last of them ends, the node starts a new
+// process. If the old process is still shutting down, endDownFault tries again every restartPollPeriod until the old
+// process has ended.
 func (n *simNode) endDownFault() {
 	if n.activeDownFaults--; n.activeDownFaults > 0 {
 		return
--- a/internal/simulation/observe.go
+++ b/internal/simulation/observe.go
@@ -13,8 +13,8 @@
 	promptLimit     = time.Millisecond // time within which the node must answer a job after the policy has given it up
 )
 
-// observe reports an event at the present time to the checker and the trace. A networked simulation first buffers the events of an instant,
-// to sort them.
+// observe reports an event at the present time to the checker and the trace. A networked simulation first buffers the
+// events of an instant, to sort them.
 func (sim *Simulation) observe(s invariants.Event) {
 	s.At = sim.now
 	if sim.networked == nil {
@@ -24,8 +24,8 @@
 	sim.networked.buffer(observer(s), s)
 }
 
-// observer returns the sort key of the node or executor that observes an event. Events without an observer, such as faults, are first, then
-// those of nodes, then those of executors.
+// observer returns the sort key of the node or executor that observes an event. Events without an observer, such as
+// faults, are first, then those of nodes, then those of executors.
 func observer(s invariants.Event) string {
 	switch {
 	case s.Kind == invariants.EffectStarted || s.Kind == invariants.AttemptReached:
--- a/internal/simulation/policy_recorder.go
+++ b/internal/simulation/policy_recorder.go
@@ -21,7 +21,8 @@
 	return r.recordDecision(id, r.Policy.Place(now, id))
 }
 
-// AttemptEnded notifies the policy of the end of an attempt. It records the completed work, and whether the policy gives up the job.
+// AttemptEnded notifies the policy of the end of an attempt. It records the completed work, and whether the policy
+// gives up the job.
 func (r *policyRecorder) AttemptEnded(now time.Duration, id policy.JobID, attempt policy.AttemptID, outcome policy.Outcome, final bool) policy.Decision {
 	sim := r.node.sim
 	if request := r.node.requests[id]; outcome == policy.Succeeded && request != nil {
@@ -30,8 +31,8 @@
 	return r.recordDecision(id, r.Policy.AttemptEnded(now, id, attempt, outcome, final))
 }
 
-// recordDecision records the decision if it gives up the job. In a networked simulation, nodeProcess.recordStep reports this event later,
-// together with the other events of the step.
+// recordDecision records the decision if it gives up the job. In a networked simulation, nodeProcess.recordStep reports
+// this event later, together with the other events of the step.
 func (r *policyRecorder) recordDecision(id policy.JobID, decision policy.Decision) policy.Decision {
 	if decision.Action != policy.Reject && decision.Action != policy.Fail {
 		return decision
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -2,7 +2,8 @@
 
 import "math/rand/v2"
 
-// Names of the random streams. A stream is seeded with the scenario's seed and its name, so a changed name changes the traces.
+// Names of the random streams. A stream is seeded with the scenario's seed and its name, so a changed name changes the
+// traces.
 const (
 	networkStream       = "network"
 	gossipStream        = "words"
@@ -28,8 +29,8 @@
 // scheduleGamma is the increment of splitmix64. Because it is odd, its multiples modulo 2^64 include every number.
 const scheduleGamma = 0x9e3779b97f4a7c15
 
-// stream returns the random stream with the given name, which stands for one use of randomness. With separate streams, the rest of a
-// simulation changes little when a fault is removed.
+// stream returns the random stream with the given name, which stands for one use of randomness. With separate streams,
+// the rest of a simulation changes little when a fault is removed.
 func stream(seed uint64, use string) *rand.Rand {
 	hash := uint64(fnvOffset)
 	for i := range len(use) {
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -30,8 +30,8 @@
 // resetter is a connection that can be reset.
 type resetter interface{ Reset() }
 
-// receive models the node's frontend. It drops a request whose job ID is in flight already. It delivers every other request to the state
-// machine.
+// receive models the node's frontend. It drops a request whose job ID is in flight already. It delivers every other
+// request to the state machine.
 func (n *simNode) receive(request *clientRequest) {
 	sim, work := n.sim, request.work
 	if other := n.requests[request.job]; other != nil && !other.answered {
@@ -58,8 +58,8 @@
 	}
 }
 
-// repeatID models a misbehaving client. The client disconnects and at once sends the same job ID again, although an attempt of the job can
-// still be in flight.
+// repeatID models a misbehaving client. The client disconnects and at once sends the same job ID again, although an
+// attempt of the job can still be in flight.
 func (n *simNode) repeatID(request *clientRequest) {
 	if request.answered || request.connLost {
 		return
@@ -90,8 +90,8 @@
 	request.finish(emulator.EndFailed, 0)
 }
 
-// Gone returns whether the node's machine knows that the client has disconnected. A node checks this right before it sends an attempt,
-// because the node's process can learn of the disconnection later than its machine.
+// Gone returns whether the node's machine knows that the client has disconnected. A node checks this right before it
+// sends an attempt, because the node's process can learn of the disconnection later than its machine.
 func (r *clientRequest) Gone() bool { return r.answered && !r.node.sim.defects.hideClientGone }
 
 // clientGone records that the client has disconnected, and notifies the node.
@@ -135,8 +135,8 @@
 	}
 }
 
-// requestsInFlight returns the requests that the node's present process has not answered, in the order of their job IDs. It omits requests
-// whose connection broke.
+// requestsInFlight returns the requests that the node's present process has not answered, in the order of their job
+// IDs. It omits requests whose connection broke.
 func (n *simNode) requestsInFlight() (open []*clientRequest) {
 	all := n.requests
 	if n.process != nil {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -32,7 +32,8 @@
 	Overloaded   int `json:"fell"`          // number of crashes of executors that were overloaded in their slow start
 	LeftQueued   int `json:"went_waiting"`  // number of clients that disconnected while their job had no attempt in flight
 	SentLate     int `json:"sent_late"`     // number of attempts that were sent too long after the client had disconnected
-	// Number of jobs with an idempotency key that ran again, because an attempt was delayed in the network beyond the dedup window.
+	// Number of jobs with an idempotency key that ran again, because an attempt was delayed in the network beyond the
+	// dedup window.
 	DuplicateRuns int `json:"late_twice"`
 	Wrong         int `json:"wrong"`  // number of answers that a node must never give; counted only in networked simulations
 	Malformed     int `json:"bad"`    // number of malformed requests that were sent; only in networked simulations
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -54,8 +54,8 @@
 	AttemptNoise      float64 `toml:"attempt-noise,omitempty"`
 	SlowStartCapacity float64 `toml:"cold-share"`  // capacity of an executor right after its start, as a fraction of its full capacity
 	SlowStartDuration Span    `toml:"warm-within"` // time from the start of an executor until it has its full capacity
-	// The work that an executor in slow start can do within OverloadWindow at its present capacity is multiplied by this to get its
-	// slow-start budget. An executor that receives more work crashes. 0 stands for no limit.
+	// The work that an executor in slow start can do within OverloadWindow at its present capacity is multiplied by
+	// this to get its slow-start budget. An executor that receives more work crashes. 0 stands for no limit.
 	OverloadMultiple float64 `toml:"fall-multiple"`
 	OverloadWindow   Span    `toml:"fall-window"`  // length of the window in which received work counts for OverloadMultiple
 	DrainGrace       Span    `toml:"drain-grace"`  // time during which a draining executor still accepts jobs
@@ -202,8 +202,8 @@
 	"cell": policy.DedupCell,
 }
 
-// Sized returns the scenario with the given numbers of nodes and executors and the given length. An argument of 0 leaves its value unchanged.
-// Faults that would begin at or after the new end are removed.
+// Sized returns the scenario with the given numbers of nodes and executors and the given length. An argument of 0
+// leaves its value unchanged. Faults that would begin at or after the new end are removed.
 func (s Scenario) Sized(nodes, executors int, length time.Duration) (Scenario, error) {
 	s.Fleet.Nodes, s.Fleet.Executors = cmp.Or(nodes, s.Fleet.Nodes), cmp.Or(executors, s.Fleet.Executors)
 	s.Length = cmp.Or(Span(length), s.Length)
@@ -214,7 +214,8 @@
 	return s, nil
 }
 
-// JobClasses converts the job classes to two types: the type of the emulated clients, and the type of the nodes and the checker.
+// JobClasses converts the job classes to two types: the type of the emulated clients, and the type of the nodes and the
+// checker.
 func (s *Scenario) JobClasses() (clients []emulator.JobClass, nodes []policy.JobClass) {
 	for _, t := range s.Classes {
 		class := policy.JobClass{
@@ -265,8 +266,8 @@
 	slowKind    = policy.KindID(1) // kind of the slower executors; all other executors are of kind 0
 )
 
-// Spec returns the specification of the executor with the given number. The given speed is multiplied by SlowSpeed/Speed if the executor is
-// of the slower kind.
+// Spec returns the specification of the executor with the given number. The given speed is multiplied by
+// SlowSpeed/Speed if the executor is of the slower kind.
 func (s *Scenario) Spec(id string, number int, speed float64) emulator.ExecutorSpec {
 	f := &s.Fleet
 	kind := policy.KindID(0)
@@ -300,8 +301,9 @@
 	}
 }
 
-// isSlow returns whether the executor with the given number is of the slower kind. The slow executors are spread evenly over the zones: the
-// nth executor of a zone, counted from 1, is slow if n*SlowShare and (n-1)*SlowShare differ after rounding down.
+// isSlow returns whether the executor with the given number is of the slower kind. The slow executors are spread evenly
+// over the zones: the nth executor of a zone, counted from 1, is slow if n*SlowShare and (n-1)*SlowShare differ after
+// rounding down.
 func (s *Scenario) isSlow(number int) bool {
 	inZone := float64(number / len(s.Fleet.Zones))
 	return int((inZone+1)*s.Fleet.SlowShare) > int(inZone*s.Fleet.SlowShare)
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -157,7 +157,8 @@
 	return "", nil
 }
 
-// checkTarget returns an error unless name is a target that the fault can affect. on is the kind of target that the fault has.
+// checkTarget returns an error unless name is a target that the fault can affect. on is the kind of target that the
+// fault has.
 func (s *Scenario) checkTarget(on emulator.Target, name string) error {
 	isZone := slices.Contains(s.Fleet.Zones, name)
 	switch {
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -8,9 +8,9 @@
 	"birchstair/internal/invariants"
 )
 
-// Shrink reduces a scenario as long as it still violates the given invariant with the same seed. It reduces the faults first, and then the
-// rest. It calls step with each smaller scenario that it finds, and returns the last of them. If s itself does not violate the invariant,
-// Shrink returns s.
+// Shrink reduces a scenario as long as it still violates the given invariant with the same seed. It reduces the faults
+// first, and then the rest. It calls step with each smaller scenario that it finds, and returns the last of them. If s
+// itself does not violate the invariant, Shrink returns s.
 func Shrink(s Scenario, seed uint64, rule invariants.Rule, step func(Scenario)) Scenario {
 	return shrink(s, func(candidate Scenario) bool {
 		r := New(candidate, seed, Options{MaxViolations: 1}).Play()
@@ -40,8 +40,8 @@
 	return s
 }
 
-// removeFaults removes as many faults as possible. It first tries to remove half of them at once, and then smaller groups. It returns whether
-// it removed any.
+// removeFaults removes as many faults as possible. It first tries to remove half of them at once, and then smaller
+// groups. It returns whether it removed any.
 func removeFaults(s *Scenario, take func(Scenario) bool) (any bool) {
 	for group := (len(s.Faults) + 1) / 2; group > 0 && len(s.Faults) > 0; {
 		if removeGroup(s, group, take) {
@@ -56,8 +56,8 @@
 	return any
 }
 
-// removeGroup divides the faults into groups of the given size, and removes the first group without which the scenario still fails. It
-// returns false if there is no such group.
+// removeGroup divides the faults into groups of the given size, and removes the first group without which the scenario
+// still fails. It returns false if there is no such group.
 func removeGroup(s *Scenario, size int, take func(Scenario) bool) bool {
 	for i := 0; i < len(s.Faults); i += size {
 		candidate := *s
@@ -85,8 +85,8 @@
 	c.all = append(c.all, candidate)
 }
 
-// smallerScenarios returns scenarios that are one step smaller than s. Shorter scenarios come first, then those with smaller faults, with
-// fewer job classes, and with simpler settings.
+// smallerScenarios returns scenarios that are one step smaller than s. Shorter scenarios come first, then those with
+// smaller faults, with fewer job classes, and with simpler settings.
 func smallerScenarios(s Scenario) []Scenario {
 	c := &candidates{base: s}
 	c.addShorter()
@@ -106,7 +106,8 @@
 	return slices.DeleteFunc(c.all, func(candidate Scenario) bool { return sameText(candidate, s) })
 }
 
-// addShorter adds scenarios of a shorter length, the shortest first. They do not have the faults that would begin after their end.
+// addShorter adds scenarios of a shorter length, the shortest first. They do not have the faults that would begin after
+// their end.
 func (c *candidates) addShorter() {
 	for _, divisor := range []Span{2, 4, 8} {
 		if saved := c.base.Length / divisor; saved >= minShrunk {
@@ -132,7 +133,8 @@
 	}
 }
 
-// addFewerClasses adds scenarios without one of the job classes. The share of the removed class is spread over the other classes.
+// addFewerClasses adds scenarios without one of the job classes. The share of the removed class is spread over the
+// other classes.
 func (c *candidates) addFewerClasses() {
 	if len(c.base.Classes) == 1 {
 		return
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -14,8 +14,8 @@
 	"birchstair/policy"
 )
 
-// Simulation runs a scenario with a seed. It is not safe for concurrent use. In a networked simulation, the lock of networkedSimulation
-// guards it.
+// Simulation runs a scenario with a seed. It is not safe for concurrent use. In a networked simulation, the lock of
+// networkedSimulation guards it.
 type Simulation struct {
 	scenario   Scenario
 	seed       uint64
@@ -128,8 +128,8 @@
 	defaultMaxViolations = 20              // default of Options.MaxViolations; further violations show nothing new
 )
 
-// Play runs the simulation until no client waits any more, or until the number of violations reaches Options.MaxViolations. It must not be
-// called more than once.
+// Play runs the simulation until no client waits any more, or until the number of violations reaches
+// Options.MaxViolations. It must not be called more than once.
 func (sim *Simulation) Play() Result {
 	sim.build()
 	length, end := time.Duration(sim.scenario.Length), sim.lastDeadline()
@@ -151,8 +151,8 @@
 	return sim.result
 }
 
-// sampleCapacity samples the executors' capacity for all bins that begin at or before until. It is not called by scheduled events, because
-// each scheduled event changes the order of later simultaneous events.
+// sampleCapacity samples the executors' capacity for all bins that begin at or before until. It is not called by
+// scheduled events, because each scheduled event changes the order of later simultaneous events.
 func (sim *Simulation) sampleCapacity(until time.Duration) {
 	for at := time.Duration(len(sim.result.capacity)) * Bin; at <= until; at += Bin {
 		sim.now = at
@@ -170,8 +170,8 @@
 	return end
 }
 
-// build creates the executors, the nodes and the clients, and schedules the faults. The executors are past their slow start, and the nodes
-// have a cached endpoint list.
+// build creates the executors, the nodes and the clients, and schedules the faults. The executors are past their slow
+// start, and the nodes have a cached endpoint list.
 func (sim *Simulation) build() {
 	sim.buildExecutors()
 	sim.buildNodes()
