--- a/internal/simulation/draw.go
+++ b/internal/simulation/draw.go
@@ -15,15 +15,16 @@
 type Size struct {
 	Nodes     int           // largest number of nodes
 	Executors int           // largest number of executors
-	Length    time.Duration // time during which clients submit new work
+	Length    time.Duration // time during which clients submit new work items
 	SlowStart bool          // draw scenarios with 20 or 30 nodes that stress the slow start of executors
 }
 
-// adminFaults are the kinds of fault that consist of operators' commands.
+// adminFaults are the kinds of fault that operators cause with commands to nodes.
 var adminFaults = []emulator.FaultKind{emulator.Excluded, emulator.ClientsDrained}
 
-// Draw draws a scenario and its faults from a seed. Each feature that was added later draws from a random stream of its own, so that the
-// rest of a seed's scenario has stayed the same.
+// Draw draws a scenario and its faults from a seed. Operators' commands, hedging, health checks, gossip and slow start
+// are drawn from random streams of their own, because Draw gained them later: the rest of each seed's scenario stays as
+// it was before.
 func Draw(seed uint64, size Size) Scenario {
 	r := stream(seed, drawStream)
 	s := base()
@@ -49,7 +50,7 @@
 // oneIn returns true with a probability of 1/n.
 func oneIn(r *rand.Rand, n int) bool { return r.IntN(n) == 0 }
 
-// otherFaults returns the kinds of fault that need neither operators nor gossip.
+// otherFaults returns the kinds of fault that are neither in adminFaults nor in gossipFaults.
 func otherFaults() []emulator.FaultKind {
 	return slices.DeleteFunc(emulator.FaultKinds(), func(k emulator.FaultKind) bool {
 		return slices.Contains(adminFaults, k) || slices.Contains(gossipFaults, k)
@@ -125,7 +126,7 @@
 }
 
 func drawLoad(r *rand.Rand, l *Load) {
-	l.Utilization = round(0.15 * math.Exp(r.Float64()*2.2)) // from 0.15 to 1.35
+	l.Utilization = round(0.15 * math.Exp(r.Float64()*2.2)) // the result is from 0.15 to 1.35
 	l.Retries = r.IntN(4)
 	l.RetryWait = milliseconds(150 * r.IntN(3))
 	l.RespectsRetryAfter = oneIn(r, 2)
@@ -137,19 +138,19 @@
 	}
 	l.HintNoise = [...]float64{0.2, 0, 0.6, -1}[r.IntN(4)]
 	l.BodyBytes = [...]int{0, 1 << 10, 64 << 10}[r.IntN(3)]
-	if oneIn(r, 6) { // closed loops in addition to the open loop
+	if oneIn(r, 6) { // the scenario has closed loops in addition to the open loop
 		l.Loops = 1 + r.IntN(6)
 		l.ThinkTime = milliseconds(r.IntN(300))
 	}
 }
 
-// drawFeatures draws whether the policy may hedge jobs and check executors' health.
+// drawFeatures draws whether the policy is allowed to hedge jobs, and whether it is allowed to check executors' health.
 func drawFeatures(r *rand.Rand, f *Fleet) {
 	f.MayHedge = oneIn(r, 2)
 	f.MayCheckHealth = oneIn(r, 2)
 }
 
-// drawGossip draws whether nodes gossip, and if so the faults of their messages.
+// drawGossip draws whether nodes gossip. If they do, it also draws whether they lease slots, and the faults of gossip.
 func drawGossip(r *rand.Rand, s *Scenario) {
 	if !oneIn(r, 2) {
 		return
@@ -207,11 +208,12 @@
 	return least, most
 }
 
-// drawTargets draws the targets of a fault: all, those of a zone, a random set, or a single one.
+// drawTargets draws the targets of a fault: all of them, those of a zone, a random set, or a single one. letter is the
+// first letter of the names of all possible targets, and count is their number.
 func drawTargets(r *rand.Rand, letter string, count int, zone string) (targets []string) {
 	switch r.IntN(5) {
 	case 0:
-		return nil // nil stands for all
+		return nil // nil stands for all targets
 	case 1:
 		return []string{zone}
 	case 2:
