--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -18,7 +18,7 @@
 	return 0, nil, err
 }
 
-// Ports of a node. The relay port is at another address than the others.
+// Ports of a node. The gossip relay of a node listens at relayPort, at an address of its own.
 const (
 	relayPort  = 7946
 	gossipPort = 7947
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -24,14 +24,15 @@
 	until    time.Duration // end of the load
 }
 
-// clientRequest is a clientRequest of a client at a node.
+// clientRequest is a request that a client sends to a node. The node is nil if none was running.
 type clientRequest struct {
 	clients *zoneClients
 	work    *emulator.Work
 	job     policy.JobID
 	node    *nodeProcess
-	effects int  // number of effects that executors have started for it
-	excused bool // whether its node was killed, paused or shut down, so that it may stay unanswered
+	effects int // number of effects that executors have started for the request
+	// Whether the request may stay unanswered, because its node was killed or paused, or because the run ends.
+	excused bool
 }
 
 // buildClients starts the clients of each zone, which submit work until the given time. It is called with r.mu held.
@@ -67,8 +68,8 @@
 
 // Limits of clients and of the load balancer.
 const (
-	loadBalancerDelay = 200 * time.Millisecond // time for which the load balancer still picks a node whose shutdown has begun
-	overdueTolerance  = 500 * time.Millisecond // time beyond timingTolerance after which a client stops waiting for an answer
+	loadBalancerDelay = 200 * time.Millisecond // time after the start of a node's shutdown in which it is still picked
+	overdueTolerance  = 500 * time.Millisecond // extra time beyond timingTolerance that a client waits for an answer
 	maxIdleConns      = 100                    // idle connections that clients keep to a node
 	maxBodyBytes      = 4 << 10                // largest request body that clients send, in bytes
 )
@@ -121,12 +122,12 @@
 // clientConn is a client's connection to a node.
 type clientConn struct {
 	net.Conn
-	reused      bool // whether it has carried an earlier request
+	reused      bool // whether the connection has carried an earlier request
 	incarnation int  // incarnation of the node's process when the connection was taken or dialed
 }
 
 // errIdleConnClosed means that a reused connection failed before the first byte of the answer. The node may have closed
-// the idle connection when the request was being sent, without reading it.
+// the idle connection without reading the request.
 var errIdleConnClosed = errors.New("the node closed an idle connection")
 
 // send sends a request and waits for its answer. If a reused connection fails before the answer begins, send repeats
@@ -234,14 +235,14 @@
 	p.idleConns = append(p.idleConns, c)
 }
 
-// observeClientLeft informs the checker that a request needs no answer.
+// observeClientLeft informs the checker that a request on a connection that the node has closed needs no answer.
 func (r *cluster) observeClientLeft(request *clientRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observe(invariants.Event{Kind: invariants.ClientKnownLeft, Node: request.node.id, Job: request.job})
 }
 
-// endNames are the keys of Result.Requests, by emulator.End.
+// endNames are the keys of Result.Requests, indexed by emulator.End.
 var endNames = [...]string{"handled", "pushed back", "broken off", "unreached", "lost"}
 
 // requestEnded counts and checks how a request ended, and schedules a retry if the client wants one. It is called with
--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -49,7 +49,7 @@
 	timers             []*time.Timer
 	goroutines         sync.WaitGroup // clients' requests, log readers, accept loops and connection handlers
 
-	lastTick    time.Duration // last tick of detectStalls
+	lastTick    time.Duration // when detectStalls last ran
 	stall       time.Duration // longest recent stall of this process
 	stallSeenAt time.Duration // when that stall was detected
 
@@ -61,14 +61,15 @@
 // Tolerances for a busy machine, and times of a run.
 const (
 	timingTolerance  = time.Second            // allowed lateness of an answer or of a node's reaction
-	observationDelay = 150 * time.Millisecond // time until this process reads what a node wrote
-	drainGossipLimit = 3 * time.Second        // time for gossip to inform every node of a drain, without a partition
+	observationDelay = 150 * time.Millisecond // longest time until this process reads what a node has written
+	drainGossipLimit = 3 * time.Second        // time in which gossip informs all nodes of a drain, if none is partitioned
 	loadDelay        = 500 * time.Millisecond // time from when all nodes are ready until the load begins
 	readyTimeout     = 20 * time.Second
-	slowStartMargin  = 1.5             // allowed multiple of the slow-start budget, since attempts sent within it may arrive in a burst
-	answerMargin     = 2 * time.Second // wait for outstanding answers after the last deadline
-	tickInterval     = 50 * time.Millisecond
-	stallAftermath   = 2 * time.Second // time after a stall in which what arrived during it is read
+	// Allowed multiple of the slow-start budget. Attempts that were sent within the budget can arrive in a burst.
+	slowStartMargin = 1.5
+	answerMargin    = 2 * time.Second // wait for outstanding answers after the last deadline
+	tickInterval    = 50 * time.Millisecond
+	stallAftermath  = 2 * time.Second // time after a stall in which this process reads what arrived during the stall
 )
 
 // Play plays a scenario. It returns an error if the scenario could not be played; violations of the rules are in the
@@ -207,9 +208,9 @@
 	}
 }
 
-// detectStalls records stalls of this process. The harness takes the time of an event when it reads it, so an event
-// that arrived during a stall seems later than it was. Checks of times allow for that by ownStall. It is called with
-// r.mu held.
+// detectStalls records stalls of this process. An event gets the time at which the harness reads it, so an event that
+// arrives during a stall is recorded too late. Checks that compare times add ownStall to their tolerance. It is called
+// with r.mu held.
 func (r *cluster) detectStalls() {
 	if stall := r.now() - r.lastTick - tickInterval; r.lastTick > 0 && (stall > r.stall || r.now() > r.stallSeenAt+stallAftermath) {
 		r.stall, r.stallSeenAt = max(0, stall), r.now()
@@ -218,8 +219,8 @@
 	r.after(tickInterval, r.detectStalls)
 }
 
-// ownStall returns how long this process has just stalled, or 0. Two events before and after a stall may have been
-// closer together than their recorded times, by up to this long. It is called with r.mu held.
+// ownStall returns how long this process has just stalled, or 0. The recorded times of an event before a stall and of
+// one after the stall are further apart than the events were, by at most this long. It is called with r.mu held.
 func (r *cluster) ownStall() time.Duration {
 	if r.lastTick == 0 {
 		return 0
--- a/internal/harness/discovery.go
+++ b/internal/harness/discovery.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// awaitUpdate returns the answer to a watch: once there is an update, or when the time that the watch may be held is
-// over. While discovery does not answer this node, it waits longer. It returns nil at the end of the run.
+// awaitUpdate waits until a watch is to be answered, and returns the answer. A watch for the complete list is answered
+// at once, any other when there is an update or its hold time is over. While discovery is stopped or does not answer
+// this node, awaitUpdate keeps waiting. It returns nil at the end of the run.
 func (p *nodeProcess) awaitUpdate(watch platform.Watch) []byte {
 	r := p.cluster
 	until := time.Now().Add(watch.Hold)
@@ -87,8 +88,9 @@
 	}
 }
 
-// update encodes an update with the addresses at which this node reaches executors, and records that the node has been
-// notified of its entries. It is called with cluster.mu held.
+// update encodes the entries as an update for this node, with the addresses at which this node reaches the executors.
+// It records that the node has been notified of the entries, and of the removal of executors that a complete list lacks.
+// It is called with cluster.mu held.
 func (p *nodeProcess) update(version int, complete bool, entries []emulator.Entry) []byte {
 	r := p.cluster
 	named := map[policy.ExecutorID]bool{}
@@ -117,8 +119,9 @@
 	return platform.AppendList(nil, version, complete, ownEntries, r.scenario.Fleet.Zones, r.start)
 }
 
-// recordEndpoint records that the node has been notified of an endpoint's state. A change from draining to removed
-// keeps the time of the first notification. It is called with cluster.mu held.
+// recordEndpoint records that the node has been notified of an endpoint's state. If a draining endpoint is removed, the
+// time of the first notification stays, since the grace period for attempts starts there. It is called with cluster.mu
+// held.
 func (p *nodeProcess) recordEndpoint(event invariants.Event) {
 	event.Kind, event.Node, event.At = invariants.EndpointNotified, p.id, p.cluster.now()
 	previous, ok := p.known[event.Executor]
--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -138,8 +138,10 @@
 	x.apply(x.Accept(r.now(), r.attempt(p, x, conn, request)))
 }
 
-// checkDrain checks that no node sends an attempt to a draining or removed executor once the node has been notified of
-// that, or could have been. It counts attempts by nodes not notified long after another node was.
+// checkDrain checks that no attempt reaches a draining or removed executor once the sending node has been notified of
+// that state, or has had enough time to be notified by discovery. It also counts the attempts of nodes that have not
+// been notified, from the grace period plus drainGossipLimit after the first node was notified. Those are
+// not violations.
 func (r *cluster) checkDrain(p *nodeProcess, x *executor, request *clientRequest) {
 	grace := time.Duration(r.scenario.Fleet.DrainGrace)
 	known, ok := p.known[x.ID]
@@ -175,9 +177,10 @@
 	return attempt
 }
 
-// checkClientPresent checks that the client of an attempt is still connected when the attempt arrives; the harness does
-// not see when a node sends its first byte. A pause of the node does not excuse it: bytes written before the pause
-// arrive during the pause.
+// checkClientPresent checks the rule invariants.ClientPresent when an attempt arrives, since the harness does not see
+// when the node sends the first byte. An attempt is late if it arrives longer than ClientGoneTolerance and
+// observationDelay after its client has disconnected; a few late attempts are tolerated. A pause of the node does not
+// excuse an attempt: bytes that the node wrote before the pause arrive during the pause.
 func (r *cluster) checkClientPresent(p *nodeProcess, x *executor, job policy.JobID) {
 	at, left := r.clientLeftAt[job]
 	if !left || r.now() <= at+invariants.ClientGoneTolerance+observationDelay {
--- a/internal/harness/fault_targets.go
+++ b/internal/harness/fault_targets.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// excuseRequests excuses the requests in flight at a node that is killed or paused: they may be answered late or not at
-// all.
+// excuseRequests excuses the requests in flight at a node that is killed or paused. If they are answered late or not at
+// all, that is no fault of the node's program.
 func (r *cluster) excuseRequests(p *nodeProcess) {
 	for _, request := range r.requests {
 		if request.node == p {
@@ -53,8 +53,8 @@
 	}
 }
 
-// endDownFault ends one of the faults that keep a node down. After the last one, the node's process is started again,
-// once a graceful shutdown that is still going on has ended.
+// endDownFault ends one of the faults that keep a node down. After the last one, it starts the node's process again. If
+// a graceful shutdown is still going on, it first waits for the end of the shutdown.
 func (p *nodeProcess) endDownFault() {
 	if p.downFaults--; p.downFaults > 0 {
 		return
@@ -70,8 +70,8 @@
 	}
 }
 
-// drain drains an executor that is up. Discovery publishes the drain at once, the executor ends after three quarters of
-// the fault's duration, and restarts at the end of the fault.
+// drain drains an executor that is up. Discovery gets the change at once and publishes it after its lag. The executor
+// ends after three quarters of the fault's duration and restarts at the end of the fault.
 func (r *cluster) drain(x *executor, f emulator.Fault) {
 	if !x.Up || x.downFaults > 0 {
 		return
@@ -133,8 +133,8 @@
 	p.cluster.excuseRequests(p)
 }
 
-// resume lets the node's process continue. The node still counts as paused for a while, since it reacts late to what it
-// missed.
+// resume lets the node's process continue. The node still counts as paused for a while, since it handles late what
+// arrived during the pause.
 func (p *nodeProcess) resume() {
 	p.paused, p.pausedUntil = false, p.cluster.now()+2*timingTolerance
 	p.cluster.observe(invariants.Event{Kind: invariants.NodeResumed, Node: p.id})
@@ -155,14 +155,14 @@
 	r.checker.UnreachableUntil(invariants.NoNode, r.now()+time.Duration(r.scenario.Fleet.DiscoveryLag)+delay)
 }
 
-// setBurst sets the factor by which all clients submit more work; 0 ends the burst.
+// setBurst multiplies the usual rate at which all clients submit work by a factor; 0 ends the burst.
 func (r *cluster) setBurst(factor float64) {
 	for _, c := range r.clients {
 		c.Burst = factor
 	}
 }
 
-// setTail sets the tail of the distribution of work in all clients' requests.
+// setTail sets the tail of the distribution from which all clients draw the work of a request.
 func (r *cluster) setTail(tail emulator.Tail) {
 	for _, c := range r.clients {
 		c.Tail = tail
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -10,13 +10,13 @@
 	"birchstair/internal/simulation"
 )
 
-// supportedFaults are the kinds of faults that the harness can play. Draw picks from them by index, so their order must
-// stay.
+// supportedFaults are the kinds of faults that the harness can play. Draw picks from them by index. Their order must
+// stay, or a seed would give another scenario.
 var supportedFaults = []emulator.FaultKind{emulator.SlowExecutors, emulator.Errors, emulator.Unresponsive, emulator.Crash, emulator.Drain, emulator.DiscoveryDelayed, emulator.DiscoveryStopped, emulator.DiscoveryUnreachable,
 	emulator.NodeKilled, emulator.NodeRestart, emulator.NodePaused, emulator.GossipPartitioned, emulator.GossipLost, emulator.Burst, emulator.HeavyTail}
 
-// CheckScenario returns an error if the harness cannot play a scenario. The error names the field of the scenario and
-// its value.
+// CheckScenario returns an error if the harness cannot play a scenario. The error names the field of the scenario that
+// is the reason.
 func CheckScenario(s simulation.Scenario) error {
 	for i, f := range s.Faults {
 		if !slices.Contains(supportedFaults, f.Kind) {
--- a/internal/harness/gossip_relay.go
+++ b/internal/harness/gossip_relay.go
@@ -47,8 +47,9 @@
 	return relay, nil
 }
 
-// copyDelays returns the delay of each copy of a datagram that is to be forwarded: no copy if the datagram is lost, two
-// if it is duplicated. The order of the draws must stay, or a seed would give other losses.
+// copyDelays returns the delay of each copy of a datagram that is to be forwarded. There are none if the datagram is
+// lost or a partition stops it, and two if it is duplicated. The order of the draws must stay, or a seed would give
+// other losses, copies and delays.
 func (g *gossipRelay) copyDelays(from net.IP) (delays []time.Duration) {
 	r := g.cluster
 	r.mu.Lock()
@@ -140,8 +141,8 @@
 	c.Close()
 }
 
-// relay forwards the bytes of a connection in both directions until it ends. During a partition it drops them and keeps
-// the connection open.
+// relay forwards the bytes of a connection in both directions until the connection ends. During a partition it drops
+// the bytes and keeps the connection open.
 func (g *gossipRelay) relay(client net.Conn, from net.IP) {
 	defer g.remove(client)
 	server, err := net.DialTimeout("tcp", g.node.gossipAddress, time.Second)
