--- a/internal/scaletest/bounds.go
+++ b/internal/scaletest/bounds.go
@@ -23,8 +23,8 @@
 	maxPriorityLevels = 64
 )
 
-// Estimates of memory for each stub executor, stub node and batch job in flight, and the number of descriptors that are
-// kept in reserve.
+// Estimated bytes of memory for each stub executor, stub node and batch job in flight, and the number of descriptors
+// that a process must have left.
 const (
 	stubExecutorBytes   = 64 << 10
 	stubNodeBytes       = 4 << 20
@@ -32,7 +32,7 @@
 	reservedDescriptors = 256
 )
 
-// Check returns an error that names the bound that the run exceeds.
+// Check returns an error if the run exceeds a bound. The error names the bound.
 func (s Sweep) Check() error {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// checkMachine returns an error that names the bound of the machine that a point exceeds.
+// checkMachine returns an error if a point exceeds a bound of the machine. The error names the bound.
 func (s Sweep) checkMachine(pt Point, files int) error {
 	if pt.PolicyOnly {
 		return nil
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -14,8 +14,8 @@
 // burstUpdates is the number of endpoint updates in the busiest second.
 const burstUpdates = 50
 
-// extraExecutor is the id of an executor that is added to and removed from the endpoint list with other changes. A
-// node's count of executors then shows that the node has received the change.
+// extraExecutor is the id of an executor that measureListChange adds to the endpoint list and measureUpdateBurst removes
+// after its other updates. The count of executors of a node then shows whether the node has received these changes.
 const extraExecutor = policy.ExecutorID("more")
 
 // measureChanges makes changes one after another, and waits for each until it is in effect at every node.
@@ -43,15 +43,14 @@
 	}
 }
 
-// extraEntry returns an entry with a new id for the address of the first executor, which is on the endpoint list under
-// its own id.
+// extraEntry returns an entry that lists the first executor a second time, under the given id.
 func (m *measurement) extraEntry(id policy.ExecutorID) emulator.Entry {
 	extra := m.entries[0]
 	extra.Executor = id
 	return extra
 }
 
-// measureAdminCalls reads the metrics of all nodes several times.
+// measureAdminCalls reads the metrics of all nodes adminCalls times.
 func (m *measurement) measureAdminCalls() error {
 	return m.measureChange("door", adminCalls, func() error {
 		for range adminCalls {
@@ -104,7 +103,8 @@
 	}, m.knowExecutors(executors))
 }
 
-// measureZone removes all executors of a zone at once, and adds them again in slow start.
+// measureZone removes all executors of a zone at once, and adds them again in slow start. It leaves out the last
+// executor, which measureDrain has drained.
 func (m *measurement) measureZone(executors int) error {
 	var removed, restarted []emulator.Entry
 	for i, e := range m.entries[:len(m.entries)-1] {
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -40,7 +40,8 @@
 	return fits
 }
 
-// fit fits a line through points of X and the figure's value. It fails with fewer than three points or a single X.
+// fit fits a line through points of X and the figure's value. It fails if there are fewer
+// than three points or all have the same X.
 func fit(points [][2]float64) (f Fit, ok bool) {
 	f.Count = len(points)
 	f.From, f.To = math.Inf(1), math.Inf(-1)
--- a/internal/scaletest/load_figures.go
+++ b/internal/scaletest/load_figures.go
@@ -111,7 +111,8 @@
 	return nil
 }
 
-// class is a job class. Each job class of a point has a value that puts it into a priority level of its own.
+// class is a job class. The job classes of a point have values in different priority levels, so that gossip messages
+// have as many levels as the point asks for.
 type class struct {
 	name  string
 	value float64
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -18,15 +18,16 @@
 	changeTimeout       = 20 * time.Second
 	executorsPerProcess = 1600            // stub executors in a process
 	referenceSlots      = 7700            // total slots of referenceExecutors
-	referenceExecutors  = 3200            // number of executors that have referenceSlots, see slots
+	referenceExecutors  = 3200            // number of executors that share referenceSlots, see slots
 	longTask            = 4 * time.Second // duration of a task at points with long tasks
 
 	initialTokens      = 2.0 // initial quota of tokens that the policy gives each executor of a node's subset
 	queueingLoadFactor = 1.5 // load at points with Queueing, as a multiple of the load that the initial tokens suffice for
 
-	nodeMemoryMB     = 192   // memory limit in MB, the default of the configuration
-	queueingSockets  = 16384 // connection limit of a node at points with Queueing
-	queueingMemoryMB = 1024  // memory limit at points with Queueing; half of it limits the number of clients, at 96 KB each
+	nodeMemoryMB    = 192   // memory limit in MB, the default of the configuration
+	queueingSockets = 16384 // connection limit of a node at points with Queueing
+	// Memory limit in MB at points with Queueing. A node accepts as many clients as fit into half of it, at 96 KB each.
+	queueingMemoryMB = 1024
 )
 
 // measurement holds the processes, the emulated services and the results of the point that is being measured.
--- a/internal/scaletest/members.go
+++ b/internal/scaletest/members.go
@@ -25,14 +25,14 @@
 // stubCluster holds what is the same for all stub nodes.
 type stubCluster struct {
 	Seeds          []string `json:"Seeds"` // addresses through which nodes join the cluster
-	Real           []string `json:"Real"`  // IP addresses of the real nodes, whose traffic with stub nodes is counted
+	Real           []string `json:"Real"`  // IP addresses of the real nodes; only traffic with these is counted
 	PriorityLevels int      `json:"Rungs"` // number of priority levels in a gossip message
 }
 
 // gossipCounts describe what the stub nodes of a process know, and their traffic with real nodes.
 type gossipCounts struct {
 	LeastAlive int   `json:"Fewest"` // smallest number of nodes that a stub node knows to be alive, itself included
-	KnowDrain  int   `json:"Drains"` // number of stub nodes that know that the executor asked about drains
+	KnowDrain  int   `json:"Drains"` // number of stub nodes that know of the drain of the executor in question
 	PacketsIn  int64 `json:"PacketsIn"`
 	PacketsOut int64 `json:"PacketsOut"`
 	Streams    int64 `json:"Streams"`
@@ -46,7 +46,7 @@
 	state      *cluster.State
 	membership *gossip.Membership
 	startedAt  time.Time
-	alive      int // number of nodes that it knows to be alive
+	alive      int // number of nodes that the stub node knows to be alive, itself included
 }
 
 // stubMembers are the stub nodes of a process.
@@ -137,7 +137,8 @@
 	}
 }
 
-// counts returns the counts of all stub nodes. About is the executor whose drain is asked about; empty for none.
+// counts returns the counts of all stub nodes. KnowDrain counts the drain of the executor with the id about, whenever
+// that executor started; it is 0 if the id is empty.
 func (s *stubMembers) counts(about policy.ExecutorID) (c gossipCounts) {
 	for i, m := range s.all {
 		m.mu.Lock()
--- a/internal/scaletest/points.go
+++ b/internal/scaletest/points.go
@@ -13,7 +13,7 @@
 	Round          int     `json:"Round"`
 	Seed           uint64  `json:"Seed"`
 	Executors      int     `json:"Executors"`
-	ClusterSize    int     `json:"Of"` // number of nodes that a real node is configured with, which determines its subset
+	ClusterSize    int     `json:"Of"` // number of nodes according to a real node's configuration; determines its subset
 	RealNodes      int     `json:"Real"`
 	StubNodes      int     `json:"Hollow,omitempty"`
 	Gossip         bool    `json:"Talk"`
@@ -24,8 +24,8 @@
 	MemoryMB       int     `json:"Memory"`            // memory limit of a real node, in MB
 	Tenants        int     `json:"Tenants,omitempty"`
 	PolicyOnly     bool    `json:"Module,omitempty"`  // whether the policy alone is measured
-	Queueing       bool    `json:"Held,omitempty"`    // whether the load exceeds the nodes' tokens, so that batch jobs are queued
-	Baseline       bool    `json:"Against,omitempty"` // whether the other build is measured
+	Queueing       bool    `json:"Held,omitempty"`    // whether the load exceeds the nodes' tokens, so that jobs are queued
+	Baseline       bool    `json:"Against,omitempty"` // whether the other build is measured instead of the usual one
 }
 
 // hasLongTasks reports whether the point's tasks take longTask.
@@ -94,7 +94,7 @@
 }
 
 // withBaseline adds the same point for the other build next to each point. The two are measured in succession, so that
-// a machine that is slow for a while slows both. Which of them is first alternates from round to round. Points with
+// a machine that is slow for a while slows both. Their order alternates from round to round. Points with
 // PolicyOnly always measure the policy that is built into this program, so they are not repeated.
 func withBaseline(points []Point, round int) (pairs []Point) {
 	for _, pt := range points {
--- a/internal/scaletest/policy_only.go
+++ b/internal/scaletest/policy_only.go
@@ -12,15 +12,15 @@
 )
 
 // policyJob measures the policy alone, without sockets and on a virtual clock, with the calls that a node's state
-// machine makes. It can have tenants, which the platform's protocol has no header for. Batch jobs arrive at a constant
-// rate and take a fixed time.
+// machine makes. Only such a measurement can have tenants, since the platform's protocol has no header for them. Batch
+// jobs arrive at a constant rate and take a fixed time.
 type policyJob struct {
 	Executors   int           `json:"Executors"`
 	ClusterSize int           `json:"Of"`
 	Tenants     int           `json:"Tenants"`
 	Rate        float64       `json:"Rate"`
 	Work        time.Duration `json:"Work"`
-	MaxCPU      time.Duration `json:"Most"`   // limit on the CPU time that is measured
+	MaxCPU      time.Duration `json:"Most"`   // CPU time after which the measurement ends even with fewer starts
 	Skip        int           `json:"Skip"`   // number of first starts that are not measured
 	Starts      int           `json:"Starts"` // largest number of starts that are measured
 }
@@ -29,7 +29,7 @@
 type policyFigures struct {
 	Starts         int     `json:"Starts"`
 	MicrosPerStart float64 `json:"PerUs"`   // CPU time per start, in microseconds
-	Heap           int64   `json:"Heap"`    // growth of the heap, in bytes
+	Heap           int64   `json:"Heap"`    // growth of the heap by the policy's state, in bytes
 	Succeeded      int     `json:"Handled"` // batch jobs that succeeded
 	InFlight       int     `json:"Out"`     // attempts in flight at the end
 	Queued         int     `json:"Held"`    // batch jobs queued at the end
--- a/internal/scaletest/real_node.go
+++ b/internal/scaletest/real_node.go
@@ -29,7 +29,7 @@
 	log           *os.File
 	cmd           *exec.Cmd
 	ended         chan error
-	valueScale    float64 // factor for the value of each job class, which changes when the configuration is reloaded
+	valueScale    float64 // factor for the values of all job classes; measureReload changes it
 }
 
 // writeConfig replaces the node's configuration file atomically.
--- a/internal/scaletest/setup.go
+++ b/internal/scaletest/setup.go
@@ -162,8 +162,8 @@
 	})
 }
 
-// awaitReady waits until all real nodes are ready and know all executors. It records the time since began, the CPU time
-// used, and the bytes of the endpoint list, each per node.
+// awaitReady waits until all real nodes are ready and know all executors. It records the time that this took since
+// began, and, averaged over the nodes, the CPU time used and the bytes of the endpoint list.
 func (m *measurement) awaitReady(began time.Time) error {
 	for _, p := range m.nodes {
 		if err := waitFor(readyTimeout, func() bool { return p.isReady() && p.hasMetric("executors_known", m.point.Executors) }); err != nil {
--- a/internal/scaletest/stub_messages.go
+++ b/internal/scaletest/stub_messages.go
@@ -7,8 +7,8 @@
 )
 
 // A stub process runs many stub executors or many stub nodes. It reads a stubJob as a line of JSON and answers with a
-// stubReady. Each further line of input is the id of an executor, which may be empty, and is answered with Counts. The
-// process ends with its input.
+// stubReady. Each further line of input holds the id of an executor, or an empty id. The process answers the line with
+// Counts that include the drain of this executor. The process ends with its input.
 
 // stubJob describes the executors or nodes that a stub process runs.
 type stubJob struct {
@@ -17,7 +17,8 @@
 	TaskDuration time.Duration  `json:"Work"` // duration of each task at the executors
 	Nodes        []stubNode     `json:"Nodes"`
 	Cluster      stubCluster    `json:"Fleet"`
-	Policy       *policyJob     `json:"Module"` // if set, the process measures the policy alone, answers with policyFigures, and ends
+	// If set, the process measures the policy alone, answers with policyFigures, and ends.
+	Policy *policyJob `json:"Module"`
 }
 
 // stubExecutor describes an executor of a stub process.
--- a/internal/scaletest/stub_process.go
+++ b/internal/scaletest/stub_process.go
@@ -18,7 +18,7 @@
 )
 
 // RunStub is the main function of a stub process. It reads a job and then requests for counts from in, answers on out,
-// and returns when in ends.
+// and returns when in ends. If the job is to measure the policy alone, it returns after the first answer.
 func RunStub(in io.Reader, out io.Writer) error {
 	lines, answers := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	var job stubJob
@@ -53,7 +53,7 @@
 		return errors.Join(err, errors.New(ready.Error))
 	}
 	for {
-		var about policy.ExecutorID // the executor whose drain is asked about; empty for none
+		var about policy.ExecutorID // the executor whose drain the request is about; empty for none
 		if err := lines.Decode(&about); err != nil {
 			return nil // the measurement has ended
 		}
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// counts reads the counts of the process, including the number of stub nodes that know that the given executor drains.
-// The id may be empty.
+// counts reads the counts of the process. They include the number of stub nodes that know of the drain of the given
+// executor. An empty id stands for no executor.
 func (p *stubProcess) counts(about policy.ExecutorID) (c Counts, err error) {
 	if err := json.NewEncoder(p.in).Encode(about); err != nil {
 		return c, err
--- a/internal/scaletest/sweep.go
+++ b/internal/scaletest/sweep.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// StubEnv is the environment variable that is set for stub processes. A program that measures points starts itself as
-// stub processes; its main function must call RunStub if the variable is set.
+// StubEnv is the environment variable that is set for stub processes. The main function of the program that StubCommand
+// starts must call RunStub if the variable is set.
 const StubEnv = "BIRCHLAB_HOLLOW"
 
 // Options are the conditions that are the same for all points.
@@ -21,7 +21,7 @@
 	Window          time.Duration // length of each phase that is measured
 	Settle          time.Duration // time without measuring before each such phase
 	TaskDuration    time.Duration // duration of a task, unless the point has long tasks
-	BurstDuration   time.Duration // time over which burstUpdates updates are spread; 0 for 1 s
+	BurstDuration   time.Duration // time in which measureUpdateBurst makes its updates; 0 for 1 s
 	MaxPolicyStarts int           // largest number of starts measured with the policy alone; 0 for 4,000
 }
 
@@ -47,7 +47,7 @@
 	return time.Duration(s.Rounds) * total
 }
 
-// Run measures all points in each round, and calls each with every row.
+// Run measures all points in each round. It calls each with the row of a point as soon as the point has been measured.
 func (s Sweep) Run(o Options, each func(Row)) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -81,9 +81,9 @@
 // values.
 type Sweep struct {
 	Executors      []int // numbers of executors, each measured with every cluster size
-	ClusterSizes   []int // numbers of nodes that the real node is configured with
+	ClusterSizes   []int // numbers of nodes according to the configuration of the real node
 	Nodes          []int // numbers of nodes that gossip, real nodes and stub nodes together
-	MaxRealNodes   int   // largest number of real nodes among Nodes
+	MaxRealNodes   int   // most real nodes at a point; the other nodes that gossip are stub nodes
 	PriorityLevels []int // numbers of priority levels in a gossip message
 	Rates          []int // task starts per second
 	Concurrency    []int // numbers of tasks that run at a time
--- a/internal/scaletest/wire_test.go
+++ b/internal/scaletest/wire_test.go
@@ -11,7 +11,8 @@
 	"birchstair/internal/golden"
 )
 
-// setAllFields sets every field of a struct, and of structs within it, to a value that is not the zero value.
+// setAllFields sets every field of a struct, and of structs within it, to a value that is not the zero value. Fields
+// with omitempty then appear in the JSON form.
 func setAllFields(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
