--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,15 +9,16 @@
 const (
 	// A running average or decaying sum keeps this fraction of its previous value at each update.
 	smoothing = 0.85
-	// Weight of a completed run in its kind's pace; it is less for a run of less than one second of work.
+	// Weight of a completed run in the running average of the pace of the executor's kind. A run of less than one second
+	// of work has a lower weight, in proportion to the work.
 	paceStep        = 0.05
 	minSampleWeight = 0.05 // least weight of a new running time in the running average of a job class's work
 	minPace         = 0.05 // lower bound of the pace of an executor kind, in running time per unit of work
-	// An attempt without a start notice counts as delayed if it took more than this multiple of its inferred running
-	// time.
+	// For attempts without a start notice: the job counts as having waited at the executor if the attempt took more than
+	// this multiple of its inferred running time.
 	waitedFactor = 5.0
-	// A job with an idempotency key counts as answered from the executor's memory, without a new run, if it ends within
-	// this fraction of its predicted running time.
+	// An executor that remembers a job's idempotency key answers without running the job again. Any answer that took less
+	// than this fraction of the job's predicted running time counts as remembered.
 	dedupReplyFraction = 0.1
 	// Load reports contain averages; a reported number of slots or jobs below this counts as none.
 	minReportedCount = 0.5
@@ -30,24 +31,27 @@
 // their start notices do not raise the field concurrency.
 type kindStats struct {
 	pace float64 // running average of the running time per unit of work
-	// Running average of the weights that the kind's executors have in the endpoint list when idle.
+	// Running average of the sizes of the kind's executors. The size of an executor is the weight that it has in the
+	// endpoint list when idle.
 	size float64
-	// Running average of an executor's number of slots, from all load reports; 0: no report has come.
+	// Running average of the number of slots per executor of the kind, from all load reports; 0: no report has come.
 	reportedSlots float64
-	// Estimated number of slots of an executor: from load reports, or the largest number of this node's jobs seen to
-	// run there at the same time.
+	// Estimated number of slots per executor of the kind. The estimate comes from load reports, or from the largest
+	// number of this node's jobs seen running at one executor at the same time.
 	concurrency int
-	// Running average of an executor's number of slots, only from load reports that show no queued jobs, because these
-	// are exact; 0: no such report has come.
+	// Running average of the number of slots per executor of the kind, from load reports that show no queued jobs; 0: no
+	// such report has come. Other reports are left out, because the number of slots computed from them is imprecise.
 	exactSlots float64
-	// Largest number of this node's jobs that an executor ran at the same time for at least half of one job's running
-	// time.
+	// Largest number of this node's jobs seen running at one executor at the same time. It is used where the number of
+	// slots must not be overestimated. It is counted when a job completes: that job, and each job still running that has
+	// run for at least half of the completed job's running time.
 	observedConcurrency int
 	index               *kindIndex
 }
 
 // observeRun updates the kind's pace and observedConcurrency after a completed run. The running time and the work are
-// in seconds. The concurrency is the number of this node's jobs that ran at the executor at the same time.
+// in seconds. The concurrency is the number of this node's jobs that were running at the executor, counted as described
+// at observedConcurrency.
 func (k *kindStats) observeRun(runTime, work float64, concurrency int) {
 	k.observedConcurrency = max(k.observedConcurrency, concurrency)
 	k.pace += paceStep * min(1, work) * (runTime/work - k.pace)
@@ -84,8 +88,8 @@
 	s.work = s.work*smoothing + work
 }
 
-// observeStartWait updates the start wait. A new observation has a weight of one half, so that this node notices a queue at
-// the executor before it sends more jobs there.
+// observeStartWait updates the start wait. A new observation has a weight of one half, so that this node notices a
+// queue at the executor before it sends more jobs to the executor.
 func (s *estimate) observeStartWait(wait time.Duration) { s.startWait = (s.startWait + wait) / 2 }
 
 // adopt sets the sums of running time and of work, both in seconds, to those that another process of this node has
@@ -137,9 +141,10 @@
 	return runTime / work
 }
 
-// expectedWait returns how long a job that is sent to e now is expected to wait there before it starts. If this node's
-// attempts alone fill e's slots, it is the time until one of the slots is free for the job, but at least the observed
-// start wait. Otherwise it is the observed start wait, or more if an attempt at e has not started in time.
+// expectedWait returns how long a job that is sent to e now is expected to wait at e before it starts. If this node's
+// attempts alone fill e's slots, the job has to wait until a slot is free. The result is then the predicted time until
+// that, but at least the observed start wait. Otherwise the result is the observed start wait, or more if an attempt at
+// e has not started in time.
 func (d *Dispatcher) expectedWait(e *executor, pace float64, now time.Duration) time.Duration {
 	slots := d.endpoints.kinds[e.kind].concurrency
 	wait := e.estimate.startWait
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -10,7 +10,7 @@
 // common clock, so a future time is given as the time remaining at the export. Package internal/hotrestart encodes the
 // state.
 type LearnedState struct {
-	Nodes       int // number of nodes in the cluster at the export; 0: assumed to be the same at the import
+	Nodes       int // number of nodes in the cluster at the export; 0: taken to be unchanged since
 	Classes     []LearnedClass
 	Kinds       []LearnedKind
 	Executors   []LearnedExecutor
@@ -18,12 +18,14 @@
 	MeanDensity float64 // mean marginal value of a job per second of work
 }
 
-// LearnedClass is the learned state of a job class of the current configuration.
+// LearnedClass holds what was learned about the jobs of one class. Only classes of the current configuration are
+// exported.
 type LearnedClass struct {
 	ID       JobClassID
 	MeanWork time.Duration
 	Samples  int // number of running times from which MeanWork is computed
-	// Largest time budget of a job so far: the time that its client waits for the answer.
+	// Largest time budget of a job of the class so far. A job's budget is the time for which its client waits for the
+	// answer.
 	FullBudget time.Duration
 	// Decaying sums of the values of jobs: of all first tries that arrived, and of the jobs completed within their
 	// objective.
@@ -35,11 +37,11 @@
 type LearnedKind struct {
 	ID   KindID
 	Pace float64 // running average of the running time per unit of work
-	Size float64 // running average of the weights that the kind's executors have in the endpoint list when idle
-	// Running average of an executor's number of slots, from all load reports; 0: no report had come.
+	Size float64 // running average of the sizes (weights when idle) of the kind's executors
+	// Running average of the number of slots per executor of the kind, from all load reports; 0: no report had come.
 	ReportedSlots float64
-	// Estimated number of slots of an executor: from load reports, or the largest number of the node's jobs seen to run
-	// there at the same time.
+	// Estimated number of slots per executor of the kind. The estimate comes from load reports, or from the largest
+	// number of the node's jobs seen running at one executor at the same time.
 	Concurrency int
 }
 
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -41,7 +41,8 @@
 // leaseTable holds this node's own lease requests, and the ledgers of the executors whose leases this node grants.
 type leaseTable struct {
 	wanted bool // at the end of this turn, leases are requested for queued jobs that need one
-	// Executors with a lease granted in this turn; at the end of the turn, leases that no attempt uses are returned.
+	// Executors whose lease holder granted this node a lease in this turn. At the end of the turn, the leases that no
+	// attempt uses are returned.
 	unused     []*executor
 	requests   []*executor // executors for which a lease was requested; some of the requests may have ended since
 	ledgers    map[ExecutorHash]*leaseLedger
@@ -86,7 +87,8 @@
 // executor's lease holder, the node that grants these leases.
 type leaseLedger struct {
 	hash ExecutorHash
-	// Maximum number of leases granted at the same time; a health check that shows a free slot allows one more.
+	// Maximum number of leases granted at the same time. After a health check that shows a free slot, one more lease is
+	// granted even if this number is reached.
 	quota   int
 	granted []lease
 	waiting []NodeID // nodes that wait for a lease; the one that has waited longest is first
@@ -208,8 +210,8 @@
 	d.leases.unused = d.leases.unused[:0]
 }
 
-// cancelLeaseRequests cancels this node's lease requests that wait in the queue of a lease holder. It is limited to
-// executors in the subset.
+// cancelLeaseRequests cancels this node's lease requests that wait in the queue of a lease holder. Requests for
+// executors outside the subset are left alone.
 func (d *Dispatcher) cancelLeaseRequests(now time.Duration) {
 	for _, e := range d.leases.pending() {
 		if e.indexed.subsetRank >= 0 && e.lease.queued {
@@ -374,8 +376,9 @@
 
 // adjustQuota changes the lease quota by at most one, like the rule of the RAIN design for quotas of executors. The
 // quota is lowered if too many jobs had to wait at the executor. It is raised if nodes had to wait for a lease while
-// few jobs had to wait at the executor. If executors answer health checks, a health check must also have shown a free
-// slot. After the quota was lowered, it is raised after leaseQuotaCooldown intervals at the earliest.
+// few jobs had to wait at the executor. If executors answer health checks, the quota is raised only after a health
+// check has also shown a free slot. A quota that was lowered is raised after leaseQuotaCooldown intervals at the
+// earliest.
 func (l *leaseLedger) adjustQuota(canProbe bool) {
 	l.cooldown--
 	delayedFraction := float64(l.delayedStarts) / max(float64(l.returns), 1)
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -7,11 +7,11 @@
 
 const (
 	levelsPerOctave = 2 // number of priority levels for each doubling of the value density
-	// Least work of a job, in seconds, in the computation of its value density and of the offered load.
+	// A job with less work than this, in seconds, counts as this much work in its value density and in the offered load.
 	minWorkSeconds    = 1e-6
 	minDensity        = 1e-9 // a value density below this is raised to it before its priority level is computed
-	minSecondsPerWork = 1e-9 // least running time, in seconds, that the estimate of an executor's capacity divides by
-	lowSlackDivisor   = 2    // a job has low slack if, when it arrives, less than its full slack divided by this is left
+	minSecondsPerWork = 1e-9 // least running time, in seconds, that an estimated capacity is divided by
+	lowSlackDivisor   = 2    // a job that arrives with less than its full slack divided by this has low slack
 )
 
 // PriorityLevels is the number of priority levels. Each level is a range of value densities (value per second of work).
@@ -23,13 +23,15 @@
 	Offered   [PriorityLevels]float64
 	Admitted  float64 // work of the jobs that arrived and were not shed; jobs with low slack are left out
 	Completed float64 // work of the jobs that were completed
-	// Work of the unstarted attempts that would be migrated if neither MigrationDelay nor the cost of crossing zones
-	// limited migrations.
+	// Demand for migrations: work of the unstarted attempts for whose job another executor had a token. Attempts that
+	// were not migrated because of MigrationDelay or the cost of crossing zones are included. Attempts at ejected or
+	// unresponsive executors are left out.
 	Migrations float64
 	// Work of the jobs that were rejected or failed after a wait although they had attempts left; jobs with low slack
 	// are left out.
 	Expired float64
-	// Sum of work divided by slack, over the jobs that wait now: at an executor, or in this node's queue and not late.
+	// Sign of missing capacity: sum of work divided by slack, over the jobs that wait now. Jobs at an executor are
+	// included, and so are the jobs in this node's queue that are not late.
 	Waiting  float64
 	Capacity float64 // seconds of work per second that all available executors in the endpoint list can do together
 }
@@ -45,7 +47,7 @@
 
 // loadShedding holds the load that this node reports to the cluster, and the admission threshold that the cluster has set.
 type loadShedding struct {
-	// A load summary was taken at least once; the threshold applies to jobs that arrive from then on.
+	// The admission threshold applies to arriving jobs. This is so once the first load summary has been taken.
 	reportsLoad bool
 	threshold   AdmissionThreshold // current admission threshold of the cluster
 	summary     LoadSummary        // load since the last summary was taken
@@ -113,9 +115,9 @@
 	return threshold.Level == 0 || level > threshold.Level || inAdmittedFraction
 }
 
-// shedsRetry reports whether j is shed instead of being retried. That is so if j was attempted, certainly no attempt of
-// it has run, and its priority level is now below the admission threshold. The cluster is overloaded then, and a retry
-// of j would use capacity that jobs of higher value need.
+// shedsRetry reports whether j is shed instead of being retried. A job is shed if its priority level is now below the
+// admission threshold. In that case the cluster is overloaded, and a retry would use capacity that jobs of higher value
+// need. The job must have been attempted, and certainly no attempt of it has run.
 func (d *Dispatcher) shedsRetry(j *job) bool {
 	return j.attemptCount > 0 && j.mayHaveRun == nil && d.shedding.threshold.Level > d.priorityLevel(j)
 }
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -81,9 +81,9 @@
 	return a.executor.estimate.meanPace(d.endpoints.kinds[a.executor.kind].pace)
 }
 
-// isStuck reports whether an attempt makes no progress or slow progress. That is so if its executor is unresponsive. It
-// is also so if the attempt counts as slow (remainingAtSlowPace) and its executor is ejected, is slow, or has sent no
-// progress notice for too long.
+// isStuck reports whether an attempt makes no progress or slow progress. Every attempt at an unresponsive executor is
+// stuck. An attempt that counts as slow (remainingAtSlowPace) is stuck if its executor is ejected or slow, or if no
+// progress notice of the attempt has come for too long.
 func (d *Dispatcher) isStuck(a *attempt, pace float64, remaining, now time.Duration) bool {
 	e := a.executor
 	if e.health.unresponsive {
@@ -93,8 +93,8 @@
 	return remaining < 0 && (e.health.isEjected(now) || a.tokenReleased || slow)
 }
 
-// missesObjective reports whether an attempt that started now would end too late to yield value: after its objective,
-// and its class has no late value.
+// missesObjective reports whether an attempt that started now would yield no value, because it would end after its
+// objective. If its class yields value even then (lateValue), the result is false.
 func (d *Dispatcher) missesObjective(a *attempt, pace float64, now time.Duration) bool {
 	return a.class.lateValue == 0 && now > a.objectiveAt-scaled(a.work, pace)
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -48,9 +48,9 @@
 }
 
 // isExecutorFault reports whether a failed attempt is attributed to the executor. An error from the executor always is.
-// The cause of any other failure may be the network or the job. Such a failure is attributed to the executor only if an
-// earlier attempt there has failed and no attempt has started, progressed or completed there since. While the executor
-// has rejected jobs of only one tenant as full, these rejections are not attributed to the executor, because it may
+// The cause of any other failure may be the network or the job. Such a failure is attributed to the executor only if
+// the executor is suspect: an earlier attempt has failed, and no attempt has started, progressed or completed since.
+// Rejections as full are not attributed to the executor while all of them concern the same tenant. The executor may
 // have a limit for that tenant.
 func isExecutorFault(a *attempt, outcome Outcome) bool {
 	e := a.executor
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// Largest multiple of the usual ejection time after repeated errors, and of the shortest delay between health
-	// checks.
+	// Upper limit of two backoffs. Repeated errors prolong the usual ejection time at most by this factor. Unanswered
+	// health checks prolong the shortest delay between health checks at most by this factor.
 	maxBackoffFactor = 8
 	inactivityFactor = 2 // an executor counts as inactive after this multiple of the time that its attempts should take
-	// An attempt counts as inactive after this number of missed progress notices; one fewer after an inactivity timeout
-	// of its executor.
+	// An attempt counts as inactive after this number of missed progress notices at the earliest. After an inactivity
+	// timeout of its executor, one missed notice fewer is enough.
 	maxMissedNotices = 2
 )
 
@@ -20,8 +20,8 @@
 type health struct {
 	ejectedUntil time.Duration // time at which the last ejection of the executor ends
 	inFlightCap  int           // maximum number of attempts in flight, raised by each completed attempt; 0: no cap
-	// Time of the last response of the executor; if an attempt was sent later while the executor was idle, the time of
-	// that attempt.
+	// Time from which the inactivity timeout counts. This is the time of the executor's last response, or of a later
+	// attempt that was sent when this node had no other attempt at the executor.
 	lastSeen          time.Duration
 	timeouts          int // number of consecutive inactivity timeouts and unanswered health checks
 	consecutiveErrors int // number of executor errors since the last completed attempt
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -18,8 +18,8 @@
 const (
 	// Number of pace buckets of equal width into which the range of seen, 0 to 1, is divided.
 	evenPaceBuckets = 16
-	// Number of pace buckets into which the lowest of the equal-width buckets is divided; each is half as wide as the
-	// one before.
+	// Number of pace buckets into which the lowest of the equal-width buckets is divided. Each but the last is half as
+	// wide as the one before.
 	halvingPaceBuckets = 24
 	// Number of the pace bucket for executors without observed work, which are ordered by runTime.
 	unseenPaceBucket = evenPaceBuckets + halvingPaceBuckets
@@ -47,8 +47,8 @@
 	kind.paceBuckets[number].update(e, floatKey(e.estimate.runTime/e.estimate.work))
 }
 
-// minPace returns a lower bound of the paces of some executors in a pace bucket's heap: the one at index i and all
-// below it.
+// minPace returns a lower bound for the pace of the executor at index i in a pace bucket's heap. The bound also holds
+// for all descendants of this executor in the heap.
 func (k *kindIndex) minPace(bucket, i int) float64 {
 	kindPace := k.stats.pace
 	own := math.Float64frombits(uint64(k.paceBuckets[bucket].key(i)))
@@ -128,8 +128,9 @@
 	return first
 }
 
-// searchLowestPace lowers *lowest to the lowest pace of an available executor in a pace bucket's heap, from index i
-// downwards. It skips executors whose lower bound is not below *lowest.
+// searchLowestPace searches a pace bucket's heap for the lowest pace of an available executor, and lowers *lowest to
+// it. The search covers the executor at index i and its descendants in the heap. It skips executors whose lower bound
+// (minPace) is not below *lowest.
 func (d *Dispatcher) searchLowestPace(kind *kindIndex, bucket, i int, lowest *float64, now time.Duration) {
 	executors := kind.paceBuckets[bucket].executors
 	if i >= len(executors) || kind.minPace(bucket, i) >= *lowest {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,12 +6,14 @@
 )
 
 const (
-	// A zone counts as full at this number of jobs per core, if weights in the endpoint list fall with the load.
+	// The next three constants say when a zone counts as full. Which one applies depends on what the node can observe.
+
+	// Used if weights in the endpoint list fall with the load: number of jobs per core of a full zone.
 	zoneFullLoad = 1.3
-	// A zone counts as full at this fraction of delayed starts, if executors send start notices.
+	// Used otherwise if executors send start notices: fraction of delayed starts in a full zone.
 	zoneFullDelayedStarts = 0.3
-	// A zone counts as full if attempts there wait this multiple of the shortest objective before they start, if
-	// executors send no start notices.
+	// Used if there are neither such weights nor start notices: wait before an attempt starts in a full zone, as a
+	// multiple of the shortest latency objective. The wait is inferred from the running time.
 	zoneFullWait = 2.0
 	zoneLoadStep = 0.1 // weight of a new observation in the running average of a zone's load
 	// Least total size of a zone's executors in the computation of its load, to avoid a division by zero.
@@ -150,9 +152,9 @@
 }
 
 // acceptsLate reports whether the late job j can use e. Late jobs must not take slots from jobs that can still meet
-// their objective, so this node must have no attempt at e. A job whose class has a late value can wait for long. For
-// such a job, e must also be among the first lateSize executors, because only a few nodes send such jobs to the same
-// executor.
+// their objective, so this node must have no attempt at e. A job that yields value even after its objective (lateValue)
+// can wait for long. Only a few nodes send such jobs to the same executor. For such a job, e must therefore also be
+// among the first lateSize executors.
 func (d *Dispatcher) acceptsLate(e *executor, j *job) bool {
 	if len(e.attempts) > 0 {
 		return false
@@ -245,8 +247,8 @@
 	d.zoneLoad.observe(d.remoteSide(e), observed)
 }
 
-// decayZoneLoad lowers the load of the other zones at the end of an interval, unless the loads are computed from the
-// endpoint list.
+// decayZoneLoad lowers the estimated load of the other zones at the end of an interval (see decayRemote). If weights in
+// the endpoint list fall with the load, nothing is done, because updateZoneLoads computes the loads from them.
 func (d *Dispatcher) decayZoneLoad() {
 	if !d.config.loadAdjustedWeights {
 		d.zoneLoad.decayRemote()
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// Least density of the marginal value in the computation of a queue key, as a multiple of the mean density.
+	// Least value density that a queue key is divided by, as a multiple of the mean density. It limits the key of a job
+	// of little value.
 	minQueueDensity   = 1e-3
-	minQueueLateValue = 1e-3 // least late value of a class in the computation of a queue key
-	// One scan of the queue looks at up to this many jobs of each list for each member of the subset.
+	minQueueLateValue = 1e-3 // least lateValue that a late job's queue key is divided by, to avoid a division by zero
+	// Limit for one scan of the queue: in each list, at most this many jobs per member of the subset are looked at.
 	queueScanFactor = 2
 )
 
@@ -87,10 +88,10 @@
 	return cmp.Or(cmp.Compare(a.queueKey, b.queueKey), cmp.Compare(a.id, b.id))
 }
 
-// queueJob puts j into the queue. Once j has no slack left, it moves j to the list of late jobs. The queue key is the
-// current time plus j's slack divided by j's density. The density is j's marginal value per second of work, as a
-// multiple of the mean. So of two jobs with the same slack, the one with the higher density is placed first. For a late
-// job, the deadline of its class divided by the late value takes the place of the slack.
+// queueJob puts j into the queue, or moves j to the list of late jobs if j has no slack left. Of two jobs with the same
+// slack, the one with the higher density is placed first. The density is the marginal value per second of work, as a
+// multiple of the mean. The queue key is therefore the current time plus j's slack divided by j's density. For a late
+// job, the deadline of its class divided by the class's lateValue takes the place of the slack.
 func (d *Dispatcher) queueJob(j *job, now time.Duration) {
 	slack := j.objectiveAt - now - j.work
 	pastObjective := slack < 0
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -7,12 +7,13 @@
 
 // The RAIN design prescribes executorQueuingThreshold, initialQuota, maxQuota and the rule of adjustQuota.
 const (
-	// An executor counts as the cause of delays if more than this fraction of the waiting time was spent there. For a
-	// lease quota, it does if more than this fraction of the jobs had to wait there.
+	// An executor counts as the cause of delays if more than this fraction of its jobs' waiting time was spent at the
+	// executor and not in this node's queue. For a lease quota, the fraction of jobs that had to wait at the executor is
+	// compared with this instead.
 	executorQueuingThreshold = 0.3
 	// This node's queue counts as empty if more than this fraction of the waiting time was spent at the executor.
 	emptyQueueThreshold = 0.5
-	// An executor counts as over its target if a job waited for more than this fraction of its slack.
+	// An executor counts as over its target if a job waited for more than this fraction of the job's slack.
 	slackTargetFraction = 0.5
 	initialQuota        = 2   // quota, in attempts in flight, of an executor of which nothing is known
 	maxQuota            = 8   // largest quota of an executor, in attempts in flight
@@ -51,8 +52,8 @@
 }
 
 // tokens holds the quota and the tokens of an executor. The quota is the number of attempts that this node is allowed
-// to have in flight there. An attempt takes a token when it is sent, and the token is released when the attempt has
-// ended or later.
+// to have in flight there. An attempt takes a token when it is sent, and the token is released when the attempt ends. If
+// the executor is full or may still be running the job, the token is released later.
 type tokens struct {
 	// Maximum number of this node's attempts in flight at the executor; 0: the executor has not been in the subset yet.
 	quota          int
@@ -67,7 +68,7 @@
 // joins the subset of this process.
 func (t *tokens) inherit(quota int) { t.inheritedQuota = min(quota, maxQuota) }
 
-// begin sets the first quota: one free token for each of the given times, since which the token counts as free.
+// begin sets the first quota. For each of the given times, there is one token that counts as free since that time.
 func (t *tokens) begin(freeSince []time.Duration) {
 	t.quota = len(freeSince)
 	t.free = freeSince
@@ -93,7 +94,8 @@
 	}
 }
 
-// raise increases the quota by one, and reports whether a free token was added.
+// raise increases the quota by one, and reports whether a free token was added. None is added while there are still more
+// tokens than the old quota, after the quota was lowered.
 func (t *tokens) raise(now time.Duration) bool {
 	t.quota++
 	if t.total() >= t.quota {
@@ -116,7 +118,7 @@
 type queuing struct {
 	atExecutor     time.Duration // total time that attempts waited at the executor
 	inQueue        time.Duration // total time that jobs waited in this node's queue before they were sent to the executor
-	overTarget     bool          // a job waited for more than slackTargetFraction of its slack, or the executor was full
+	overTarget     bool          // a job waited beyond slackTargetFraction of its slack, or rejections were charged
 	outOfTokens    bool          // at some time in the interval, no token of the executor was free
 	sawFull        bool          // the executor rejected an attempt as full
 	fullTenant     TenantID      // tenant of the last attempt that was rejected as full
@@ -233,10 +235,10 @@
 	}
 }
 
-// adjustQuota changes e's quota by at most one, by the rule of the RAIN design. The quota is lowered if a job waited
-// too long, more than executorQueuingThreshold of the waiting time was spent at e, and this node's queue was unused or
-// counts as empty. The quota is raised if jobs waited in this node's queue, e ran out of tokens, and less than
-// executorQueuingThreshold of the waiting time was spent at e.
+// adjustQuota changes e's quota by at most one, by the rule of the RAIN design. The rule compares the fraction of the
+// waiting time that was spent at e with executorQueuingThreshold. Above the threshold, the quota is lowered if a job
+// waited too long and this node's queue was unused or counts as empty. Below the threshold, the quota is raised if jobs
+// waited in this node's queue and e ran out of tokens. The quota stays between 1 and maxQuota.
 func (d *Dispatcher) adjustQuota(e *executor, now time.Duration) {
 	fraction := e.queuing.executorFraction()
 	queueEmpty := !d.queue.usedThisInterval || fraction > emptyQueueThreshold
@@ -283,8 +285,8 @@
 	}
 }
 
-// decay resets e's waiting times for a new interval, and lowers the weight of past observations in its estimate.
-// Without the lower weight, an executor with a bad estimate would never be tried again.
+// decay resets e's waiting times for a new interval, and lowers the weight of past observations in the estimate of e's
+// speed. Otherwise an executor that was once measured as slow would never be tried again.
 func (e *executor) decay() {
 	e.queuing = queuing{outOfTokens: len(e.tokens.free) == 0}
 	e.estimate.decay()
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// retryAllowed reports whether another attempt of j certainly has no duplicate effect (rule 2). That is so if certainly
-// no earlier attempt has run, or if j is idempotent. For a job with an idempotency key, it is also so while the
-// executors remember the key. An at-most-once job is never retried after an attempt that has possibly run.
+// retryAllowed reports whether another attempt of j certainly has no duplicate effect (rule 2). A job can always be
+// retried if certainly no earlier attempt has run. After an attempt that has possibly run, an idempotent job can be
+// retried, and a job with an idempotency key while the executors remember the key. An at-most-once job can't.
 func (d *Dispatcher) retryAllowed(j *job, now time.Duration) bool {
 	if j.mayHaveRun == nil {
 		return true
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -45,7 +45,7 @@
 // flight keep the settings of the ID that they arrived with.
 type JobClassUpdate struct {
 	ID       JobClassID
-	Replaces JobClassID // class whose learned state this class takes over if it is new, or NoJobClass
+	Replaces JobClassID // class whose learned state a new class takes over, or NoJobClass
 	JobClass
 }
 
@@ -64,12 +64,13 @@
 	Tenants    []Tenant   // tenants, indexed by TenantID
 
 	ValuePerWork bool // the value of a job is the value of its class times its work in seconds
-	// The value of a job whose tenant is over its quota is multiplied by a factor between this (0 to 1) and 1.
+	// Least factor, 0 to 1, by which a job's value is multiplied if the job's tenant is over its quota. The further the
+	// tenant is over its quota, the closer the factor is to this.
 	OverQuotaValue float64
 	CrossZoneCost  float64 // cost of sending a job to another zone, as a multiple of the mean value of a job; 0: none
-	TotalWeight    float64 // the value to maximize contains the total value of all classes, multiplied by this
-	// The value to maximize contains the value of the class that earned the lowest fraction of its requested value,
-	// multiplied by this.
+	TotalWeight    float64 // weight of the total value of all classes in the value to maximize
+	// Weight of the worst class's value in the value to maximize. The worst class is the one that earned the lowest
+	// fraction of its requested value.
 	WorstClassWeight float64
 
 	MaxAttempts        int           // maximum number of attempts of a job whose class sets no limit
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -25,8 +25,8 @@
 	initialCapacity float64       // fraction of its full capacity that an executor has at its start
 	duration        time.Duration // time from an executor's start until it has its full capacity
 	senders         int           // number of nodes that are allowed to use the same executor in slow start
-	// Seconds of work that this node can send to an executor within overloadWindow, per unit of the executor's
-	// capacity.
+	// This node's share of the slow-start budget of an executor: seconds of work within overloadWindow, per unit of the
+	// executor's capacity.
 	budget         float64
 	overloadWindow time.Duration
 	// Time until which this process must not use executors in slow start, because another process of this node uses the
@@ -35,9 +35,9 @@
 }
 
 // derive sets the number of nodes that use an executor in slow start, and this node's share of the slow-start budget.
-// If all nodes of a large cluster shared the budget, a share would be less than one job. So only a few nodes share it:
-// as many as there are jobs in the initial budget of an executor with one slot, if a job's work is as long as the
-// shortest objective.
+// If all nodes of a large cluster shared the budget, a share would be less than one job. So only a few nodes share the
+// budget: as many as possible, as long as each initial share is at least one job. Their number is computed for an
+// executor with one slot, and for jobs with as much work as the shortest objective is long.
 func (s *slowStart) derive(overloadMultiple float64, shortestObjective time.Duration, nodeCount int) {
 	window := s.overloadWindow.Seconds()
 	senders := int(overloadMultiple * s.initialCapacity * window / shortestObjective.Seconds())
@@ -66,7 +66,7 @@
 
 // executorSlowStart is the slow-start state of one executor.
 type executorSlowStart struct {
-	sender bool          // this node is one of those that are allowed to use the executor in its slow start
+	sender bool          // this node is allowed to use the executor in its slow start
 	until  time.Duration // end of the executor's slow start
 	spent  []spend       // records of the work sent to the executor within the overload window
 }
@@ -112,8 +112,8 @@
 }
 
 // slowStartWork returns the work that j counts as in the slow-start budget: its estimated work plus a margin. The
-// margin is larger if the client did not estimate the work: the fewer running times of j's class are known, the larger
-// it is.
+// margin is larger if the client did not estimate the work. It then falls with the number of known running times of j's
+// class.
 func (j *job) slowStartWork() time.Duration {
 	margin := classEstimateMargin
 	if !j.hasClientEstimate {
@@ -133,10 +133,10 @@
 	}
 }
 
-// safeSlots returns the number of slots of the kind's executors that the slow-start budget can rely on. It is taken
-// from load reports without queued jobs. If there are none, it is taken from jobs that ran at the same time for long
-// enough. The higher count from start notices is not used. A start notice may arrive before the result of the job that
-// ended before it, so an executor with one slot would seem to have two.
+// safeSlots returns the number of slots per executor of the kind that the slow-start budget can rely on. The number
+// comes from load reports without queued jobs (exactSlots). Without such reports, it is the number of jobs that ran at
+// the same time for long enough (observedConcurrency). The higher count from start notices is not used. The start
+// notice of a job may arrive before the result of the previous job, so an executor with one slot would seem to have two.
 func (k *kindStats) safeSlots() float64 {
 	if k.exactSlots > 0 {
 		return max(1, math.Round(k.exactSlots))
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -7,20 +7,23 @@
 
 const (
 	subsetMinNodes = 6 // minimum number of nodes for subsetting; in a smaller cluster, each node uses all executors
-	// Each executor is in the subsets of this number of nodes on average, or of more if minSubsetSize makes the subsets
-	// larger.
+	// Mean number of nodes that have the same executor in their subsets. The mean is higher if minSubsetSize makes the
+	// subsets larger.
 	nodesPerExecutor = 3
-	// Minimum number of executors per required kind in a subset, in the own zone and again in other zones; doubled with
-	// leases.
-	minSubsetSize        = 3
-	lateNodesPerExecutor = 2 // number of nodes that send late jobs of classes with a late value to the same executor
+	// Minimum size of a subset: this number of executors per required kind in the own zone, and as many in other zones.
+	// If slots are leased, both numbers are doubled.
+	minSubsetSize = 3
+	// Mean number of nodes that can send late jobs to the same executor. It limits only jobs that yield value even after
+	// their objective (lateValue).
+	lateNodesPerExecutor = 2
 )
 
 // subset holds the executors that this node uses. In a large cluster, these are only some of all executors.
 type subset struct {
 	members  []*executor // members of the subset: executors in slow start first, then the others, highest rank first
 	previous []*executor // members before the last rebuild; the next rebuild reuses the array of this slice
-	// Number of members, counted from the first one, that late jobs of classes with a late value can use.
+	// Number of members, counted from the first one, that late jobs can use. It limits only jobs that yield value even
+	// after their objective (lateValue).
 	lateSize    int
 	stale       bool          // the next turn checks whether the subset must be rebuilt
 	changed     bool          // something that the subset depends on has changed since the last rebuild
@@ -177,8 +180,8 @@
 }
 
 // finishSubset sets the positions of the subset's members. It also marks the executors whose entries in the candidate
-// index have to change: those that joined or left the subset, and those for which it has changed whether late jobs can
-// use them.
+// index have to change. These are the executors that joined or left the subset, and those that became open to late jobs
+// or are so no longer.
 func (d *Dispatcher) finishSubset(previous []*executor) {
 	for _, kind := range d.index.kinds {
 		kind.localSubset = kind.localSubset[:0]
--- a/policy/value.go
+++ b/policy/value.go
@@ -6,11 +6,13 @@
 )
 
 const (
-	minTenantArrivals = 2.0 // so few recent jobs of a tenant or class are not enough to judge its traffic
-	// A class's requested and earned values are multiplied by this at the end of each interval.
-	valueDecay            = 0.95
-	minWorstClassFraction = 0.05 // the worst class is assumed to have at least this fraction of all jobs
-	tenantRateDecay       = 0.8  // a tenant's rate keeps this fraction of its previous value at the end of each interval
+	minTenantArrivals = 2.0 // number of recent jobs of a tenant or class that is too small to judge its traffic
+	// Factor that lowers the weight of past jobs in a class's requested and earned values at the end of each interval.
+	valueDecay = 0.95
+	// Least fraction of all jobs that the worst class counts as in worstClassValuePerJob. Otherwise the jobs of a rare
+	// class would get an extreme marginal value.
+	minWorstClassFraction = 0.05
+	tenantRateDecay       = 0.8 // a tenant's rate keeps this fraction of its previous value at the end of each interval
 	// Least marginal value of a job, as a multiple of the mean value, to avoid a division by zero.
 	minMarginalValue = 1e-9
 	minMeanValue     = 1e-9 // least mean value of a class's jobs, to avoid a division by zero
@@ -84,8 +86,8 @@
 	return max(marginal*d.tenantFactor(j.tenant), minMarginalValue)
 }
 
-// recordRequested updates the averages with the value of a job that arrived. The value counts as requested value of the
-// class only if the job is a first try.
+// recordRequested updates the mean values with a job that arrived. The job's value is added to the class's
+// requestedValue only if the client has not submitted the job before (firstTry).
 func (d *Dispatcher) recordRequested(j *job, firstTry bool) {
 	value := d.valueOf(j)
 	j.class.meanValue = j.class.meanValue*smoothing + value*(1-smoothing)
