--- a/policy/lease.go
+++ b/policy/lease.go
@@ -91,15 +91,16 @@
 	// granted even if this number is reached.
 	quota   int
 	granted []lease
-	waiting []NodeID // nodes that wait for a lease; the one that has waited longest is first
-	// Nodes that wait for a lease for a job past its objective; the one that has waited longest is first.
+	waiting []NodeID // nodes that wait for a lease, longest wait first
+	// Nodes that wait for a lease for a job past its objective, longest wait first. They get leases only when waiting is
+	// empty.
 	waitingLate   []NodeID
 	returns       int  // number of leases returned in this interval
 	delayedStarts int  // number of leases returned in this interval whose job had to wait at the executor
 	shortage      bool // a node had to wait for a lease in this interval
 	cooldown      int  // number of intervals until the quota can be raised again; 0 or less: it can be raised now
 	grantedAt     time.Duration
-	freeSlotSeen  bool // in this interval a health check showed a free slot although the whole quota was granted
+	freeSlotSeen  bool // a health check showed a free slot in this interval although the whole quota was granted
 }
 
 // lease is a lease of one slot of an executor. The borrower is the node to which the lease is granted.
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -47,7 +47,7 @@
 
 // loadShedding holds the load that this node reports to the cluster, and the admission threshold that the cluster has set.
 type loadShedding struct {
-	// The admission threshold applies to arriving jobs. This is so once the first load summary has been taken.
+	// The first load summary has been taken. The admission threshold applies to jobs that arrive from then on.
 	reportsLoad bool
 	threshold   AdmissionThreshold // current admission threshold of the cluster
 	summary     LoadSummary        // load since the last summary was taken
--- a/policy/pace_index.go
+++ b/policy/pace_index.go
@@ -113,8 +113,8 @@
 	return lowest
 }
 
-// mostPromisingPaceBucket returns the number of the pace bucket whose lower bound of its paces is lowest, or 0 if all
-// buckets are empty.
+// mostPromisingPaceBucket returns the number of the pace bucket in which to search first for the lowest pace: the one
+// with the lowest lower bound of paces. If all buckets are empty, the result is 0.
 func (k *kindIndex) mostPromisingPaceBucket() int {
 	first, lowest := 0, math.Inf(1)
 	for bucket := range k.paceBuckets {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -71,8 +71,8 @@
 }
 
 // pickExecutor returns the executor whose oldest free token has the highest tokenAge for j, or nil if j can't use any
-// token now. With forLease, it chooses among the tokens that can be used only after a lease is granted, and returns the
-// executor to request a lease for.
+// token now. With forLease, it considers only the tokens that can't be used before a lease is granted. The result is
+// then the executor for which to request a lease.
 //
 // Executors of this node's zone are preferred. Other zones are used only after crossZoneDelay, or if no executor of
 // this zone is usable. If j prefersOtherZones, the preference is reversed, and there is no delay. On a tie, the
@@ -189,9 +189,9 @@
 	return j.inDedupGroup(e) && d.retryAllowed(j, now)
 }
 
-// crossZoneDelay returns how long j waits in the queue before it can use executors of other zones. The cost of crossing
-// zones, divided by j's marginal value, is the fraction of j's slack for which j waits. If the value is not above the
-// cost, j never crosses zones.
+// crossZoneDelay returns how long j waits in the queue before it can use executors of other zones. The delay is a
+// fraction of j's slack: the cost of crossing zones divided by j's marginal value. If the value is not above the cost,
+// j never crosses zones.
 func (d *Dispatcher) crossZoneDelay(j *job) time.Duration {
 	costFraction := d.config.crossZoneCost / d.marginalValue(j)
 	if costFraction < 1 {
@@ -200,11 +200,11 @@
 	return neverCross
 }
 
-// prefersOtherZones reports whether j is sent to other zones rather than to this one. While this zone is overloaded,
-// that is so for a random fraction of its jobs: the fraction that would make the loads equal, minus a fraction for the
-// cost of crossing zones. Each job has its own random number. Otherwise the nodes, which see about the same loads and
-// decide independently, would all send their jobs to other zones at once. Without this preference, a zone with far more
-// traffic than executors would keep all its jobs, because some token there is always free.
+// prefersOtherZones reports whether j is sent to other zones rather than to this one. While this zone is overloaded, a
+// random fraction of its jobs prefers other zones. This is the fraction that would make the loads equal, minus a
+// fraction for the cost of crossing zones. Each job has its own random number. Otherwise the nodes, which see about the
+// same loads and decide independently, would all send their jobs to other zones at once. Without this preference, a
+// zone with far more traffic than executors would keep all its jobs, because some token there is always free.
 func (d *Dispatcher) prefersOtherZones(j *job) bool {
 	return d.config.crossZoneCost > 0 && d.zoneLoad.local > 1 &&
 		j.crossZoneDraw < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -17,9 +17,9 @@
 	slackTargetFraction = 0.5
 	initialQuota        = 2   // quota, in attempts in flight, of an executor of which nothing is known
 	maxQuota            = 8   // largest quota of an executor, in attempts in flight
-	intervalFraction    = 0.4 // quotas are adjusted at intervals of this fraction of the shortest deadline of a job class
-	// The token of an attempt rejected as full stays taken for this many running times, multiplied by the number of
-	// rejections in a row.
+	intervalFraction    = 0.4 // interval of quota adjustments, as a fraction of the shortest deadline of a job class
+	// Time for which a token stays taken after its attempt was rejected as full, in predicted running times. The time is
+	// multiplied by the number of rejections in a row.
 	fullTokenDelay = 2.0
 )
 
@@ -52,8 +52,8 @@
 }
 
 // tokens holds the quota and the tokens of an executor. The quota is the number of attempts that this node is allowed
-// to have in flight there. An attempt takes a token when it is sent, and the token is released when the attempt ends. If
-// the executor is full or may still be running the job, the token is released later.
+// to have in flight at the executor. An attempt takes a token when it is sent, and the token is released when the
+// attempt ends. If the executor is full or may still be running the job, the token is released later.
 type tokens struct {
 	// Maximum number of this node's attempts in flight at the executor; 0: the executor has not been in the subset yet.
 	quota          int
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -25,9 +25,9 @@
 		j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors
 }
 
-// inDedupGroup reports whether e is in the dedup group of the attempt of j that has possibly run. Executors of this
-// group recognize a retry as a duplicate, so a retry at any of them has no duplicate effect. The result is true for
-// every executor if certainly no attempt has run or if j is idempotent.
+// inDedupGroup reports whether j can be retried at e as far as the dedup group is concerned. After an attempt that has
+// possibly run, the executors of its dedup group recognize a retry as a duplicate, so a retry at any of them has no
+// duplicate effect. If certainly no attempt has run or if j is idempotent, the result is true for every executor.
 func (j *job) inDedupGroup(e *executor) bool {
 	if j.mayHaveRun == nil || j.class.idempotency == Idempotent {
 		return true
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -13,8 +13,8 @@
 	// Minimum size of a subset: this number of executors per required kind in the own zone, and as many in other zones.
 	// If slots are leased, both numbers are doubled.
 	minSubsetSize = 3
-	// Mean number of nodes that can send late jobs to the same executor. It limits only jobs that yield value even after
-	// their objective (lateValue).
+	// Mean number of nodes that can send late jobs to the same executor. Jobs that yield nothing after their objective
+	// (lateValue 0) are not limited by this.
 	lateNodesPerExecutor = 2
 )
 
@@ -22,8 +22,8 @@
 type subset struct {
 	members  []*executor // members of the subset: executors in slow start first, then the others, highest rank first
 	previous []*executor // members before the last rebuild; the next rebuild reuses the array of this slice
-	// Number of members, counted from the first one, that late jobs can use. It limits only jobs that yield value even
-	// after their objective (lateValue).
+	// Number of members, counted from the first one, that late jobs can use. Jobs that yield nothing after their
+	// objective (lateValue 0) are not limited by this.
 	lateSize    int
 	stale       bool          // the next turn checks whether the subset must be rebuilt
 	changed     bool          // something that the subset depends on has changed since the last rebuild
@@ -55,9 +55,9 @@
 func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
 // subsetSize returns how many executors this node uses per required kind in its own zone, and how many in other zones.
-// In a small cluster, that is all executors. In a large one, the number is such that each executor is in the subsets of
-// nodesPerExecutor nodes on average, but it is at least minSubsetSize. If crossing zones has no cost, all executors
-// count as being in the own zone.
+// In a small cluster, that is all executors. In a large one, each executor is in the subsets of nodesPerExecutor nodes on
+// average. The result is at least minSubsetSize, or twice that if slots are leased. If crossing zones has no cost, all
+// executors count as being in the own zone.
 func (d *Dispatcher) subsetSize() int {
 	executors := len(d.endpoints.ranked)
 	if !d.usesSubset() {
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -33,7 +33,7 @@
 	executor   *executor
 }
 
-// placeJob sets a timer at which NextTask returns PlaceJob for the job.
+// placeJob sets a timer for the placement of the job. When the timer is due, NextTask returns PlaceJob.
 func (q *timerQueue) placeJob(at time.Duration, j *job) {
 	q.add(timer{at: at, kind: placeJobTimer, generation: j.generation, job: j})
 }
