--- a/policy/latency.go
+++ b/policy/latency.go
@@ -43,8 +43,8 @@
 	// such report has come. Other reports are left out, because the number of slots computed from them is imprecise.
 	exactSlots float64
 	// Largest number of this node's jobs seen running at one executor at the same time. It is used where the number of
-	// slots must not be overestimated. It is counted when a job completes: that job, and each job still running that has
-	// run for at least half of the completed job's running time.
+	// slots must not be overestimated. The jobs are counted when one of them completes: that job, and each job still
+	// running that has run for at least half of the completed job's running time.
 	observedConcurrency int
 	index               *kindIndex
 }
@@ -143,7 +143,7 @@
 
 // expectedWait returns how long a job that is sent to e now is expected to wait at e before it starts. If this node's
 // attempts alone fill e's slots, the job has to wait until a slot is free. The result is then the predicted time until
-// that, but at least the observed start wait. Otherwise the result is the observed start wait, or more if an attempt at
+// a slot is free, but at least the observed start wait. Otherwise the result is the observed start wait, or more if an attempt at
 // e has not started in time.
 func (d *Dispatcher) expectedWait(e *executor, pace float64, now time.Duration) time.Duration {
 	slots := d.endpoints.kinds[e.kind].concurrency
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -112,8 +112,8 @@
 }
 
 // slowStartWork returns the work that j counts as in the slow-start budget: its estimated work plus a margin. The
-// margin is larger if the client did not estimate the work. It then falls with the number of known running times of j's
-// class.
+// margin is larger if the client did not estimate the work. The larger margin falls with the number of known running
+// times of j's class.
 func (j *job) slowStartWork() time.Duration {
 	margin := classEstimateMargin
 	if !j.hasClientEstimate {
@@ -135,8 +135,9 @@
 
 // safeSlots returns the number of slots per executor of the kind that the slow-start budget can rely on. The number
 // comes from load reports without queued jobs (exactSlots). Without such reports, it is the number of jobs that ran at
-// the same time for long enough (observedConcurrency). The higher count from start notices is not used. The start
-// notice of a job may arrive before the result of the previous job, so an executor with one slot would seem to have two.
+// the same time for long enough (observedConcurrency), but at most the estimate concurrency. A higher count from start
+// notices is not used. The start notice of a job may arrive before the result of the previous job. An executor with one
+// slot would then seem to have two.
 func (k *kindStats) safeSlots() float64 {
 	if k.exactSlots > 0 {
 		return max(1, math.Round(k.exactSlots))
--- a/policy/value.go
+++ b/policy/value.go
@@ -87,7 +87,7 @@
 }
 
 // recordRequested updates the mean values with a job that arrived. The job's value is added to the class's
-// requestedValue only if the client has not submitted the job before (firstTry).
+// requestedValue only if the client seems to submit the job for the first time (firstTry).
 func (d *Dispatcher) recordRequested(j *job, firstTry bool) {
 	value := d.valueOf(j)
 	j.class.meanValue = j.class.meanValue*smoothing + value*(1-smoothing)
