--- a/policy/latency.go
+++ b/policy/latency.go
@@ -143,8 +143,8 @@
 
 // expectedWait returns how long a job that is sent to e now is expected to wait at e before it starts. If this node's
 // attempts alone fill e's slots, the job has to wait until a slot is free. The result is then the predicted time until
-// a slot is free, but at least the observed start wait. Otherwise the result is the observed start wait, or more if an attempt at
-// e has not started in time.
+// a slot is free, but at least the observed start wait. Otherwise the result is the observed start wait, or more if an
+// attempt at e has not started in time.
 func (d *Dispatcher) expectedWait(e *executor, pace float64, now time.Duration) time.Duration {
 	slots := d.endpoints.kinds[e.kind].concurrency
 	wait := e.estimate.startWait
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -141,8 +141,8 @@
 	return ledger
 }
 
-// leasesSlots reports whether executors' slots are leased between nodes: nodes may send each other messages, and there are
-// enough of them for subsetting.
+// leasesSlots reports whether executors' slots are leased between nodes. That requires that nodes may send each other
+// messages, and that the cluster has enough nodes for subsetting.
 func (d *Dispatcher) leasesSlots() bool { return d.config.canLease && d.usesSubset() }
 
 // leaseHolderOf returns an executor's first lease holder: the node that grants its leases unless that node fails.
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -122,8 +122,8 @@
 	return scaled(j.work, margin)
 }
 
-// BlockSlowStartUntil keeps this process from using executors in slow start until the given time. Until then another process
-// of this node uses the slow-start budget.
+// BlockSlowStartUntil keeps this process from using executors in slow start until the given time. Until then another
+// process of this node uses the slow-start budget.
 func (d *Dispatcher) BlockSlowStartUntil(now, until time.Duration) {
 	d.slowStart.blockedUntil = until
 	d.subset.invalidate()
