--- a/policy/lease.go
+++ b/policy/lease.go
@@ -41,7 +41,8 @@
 // leaseTable holds this node's own lease requests, and the ledgers of the executors whose leases this node grants.
 type leaseTable struct {
 	wanted bool // at the end of this turn, leases are requested for queued jobs that need one
-	// Executors with a lease granted in this turn; at the end of the turn, leases that no attempt uses are returned.
+	// Executors whose lease holder granted this node a lease in this turn. At the end of the turn, the leases that no
+	// attempt uses are returned.
 	unused     []*executor
 	requests   []*executor // executors for which a lease was requested; some of the requests may have ended since
 	ledgers    map[ExecutorHash]*leaseLedger
@@ -86,18 +87,20 @@
 // executor's lease holder, the node that grants these leases.
 type leaseLedger struct {
 	hash ExecutorHash
-	// Maximum number of leases granted at the same time; a health check that shows a free slot allows one more.
+	// Maximum number of leases granted at the same time. After a health check that shows a free slot, one more lease is
+	// granted even if this number is reached.
 	quota   int
 	granted []lease
-	waiting []NodeID // nodes that wait for a lease; the one that has waited longest is first
-	// Nodes that wait for a lease for a job past its objective; the one that has waited longest is first.
+	waiting []NodeID // nodes that wait for a lease, longest wait first
+	// Nodes that wait for a lease for a job past its objective, longest wait first. They get leases only when waiting is
+	// empty.
 	waitingLate   []NodeID
 	returns       int  // number of leases returned in this interval
 	delayedStarts int  // number of leases returned in this interval whose job had to wait at the executor
 	shortage      bool // a node had to wait for a lease in this interval
 	cooldown      int  // number of intervals until the quota can be raised again; 0 or less: it can be raised now
 	grantedAt     time.Duration
-	freeSlotSeen  bool // in this interval a health check showed a free slot although the whole quota was granted
+	freeSlotSeen  bool // a health check showed a free slot in this interval although the whole quota was granted
 }
 
 // lease is a lease of one slot of an executor. The borrower is the node to which the lease is granted.
@@ -138,8 +141,8 @@
 	return ledger
 }
 
-// leasesSlots reports whether executors' slots are leased between nodes: nodes may send each other messages, and there are
-// enough of them for subsetting.
+// leasesSlots reports whether executors' slots are leased between nodes. That requires that nodes may send each other
+// messages, and that the cluster has enough nodes for subsetting.
 func (d *Dispatcher) leasesSlots() bool { return d.config.canLease && d.usesSubset() }
 
 // leaseHolderOf returns an executor's first lease holder: the node that grants its leases unless that node fails.
@@ -208,8 +211,8 @@
 	d.leases.unused = d.leases.unused[:0]
 }
 
-// cancelLeaseRequests cancels this node's lease requests that wait in the queue of a lease holder. It is limited to
-// executors in the subset.
+// cancelLeaseRequests cancels this node's lease requests that wait in the queue of a lease holder. Requests for
+// executors outside the subset are left alone.
 func (d *Dispatcher) cancelLeaseRequests(now time.Duration) {
 	for _, e := range d.leases.pending() {
 		if e.indexed.subsetRank >= 0 && e.lease.queued {
@@ -374,8 +377,9 @@
 
 // adjustQuota changes the lease quota by at most one, like the rule of the RAIN design for quotas of executors. The
 // quota is lowered if too many jobs had to wait at the executor. It is raised if nodes had to wait for a lease while
-// few jobs had to wait at the executor. If executors answer health checks, a health check must also have shown a free
-// slot. After the quota was lowered, it is raised after leaseQuotaCooldown intervals at the earliest.
+// few jobs had to wait at the executor. If executors answer health checks, the quota is raised only after a health
+// check has also shown a free slot. A quota that was lowered is raised after leaseQuotaCooldown intervals at the
+// earliest.
 func (l *leaseLedger) adjustQuota(canProbe bool) {
 	l.cooldown--
 	delayedFraction := float64(l.delayedStarts) / max(float64(l.returns), 1)
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -6,12 +6,14 @@
 )
 
 const (
-	// A zone counts as full at this number of jobs per core, if weights in the endpoint list fall with the load.
+	// The next three constants say when a zone counts as full. Which one applies depends on what the node can observe.
+
+	// Used if weights in the endpoint list fall with the load: number of jobs per core of a full zone.
 	zoneFullLoad = 1.3
-	// A zone counts as full at this fraction of delayed starts, if executors send start notices.
+	// Used otherwise if executors send start notices: fraction of delayed starts in a full zone.
 	zoneFullDelayedStarts = 0.3
-	// A zone counts as full if attempts there wait this multiple of the shortest objective before they start, if
-	// executors send no start notices.
+	// Used if there are neither such weights nor start notices: wait before an attempt starts in a full zone, as a
+	// multiple of the shortest latency objective. The wait is inferred from the running time.
 	zoneFullWait = 2.0
 	zoneLoadStep = 0.1 // weight of a new observation in the running average of a zone's load
 	// Least total size of a zone's executors in the computation of its load, to avoid a division by zero.
@@ -69,8 +71,8 @@
 }
 
 // pickExecutor returns the executor whose oldest free token has the highest tokenAge for j, or nil if j can't use any
-// token now. With forLease, it chooses among the tokens that can be used only after a lease is granted, and returns the
-// executor to request a lease for.
+// token now. With forLease, it considers only the tokens that can't be used before a lease is granted. The result is
+// then the executor for which to request a lease.
 //
 // Executors of this node's zone are preferred. Other zones are used only after crossZoneDelay, or if no executor of
 // this zone is usable. If j prefersOtherZones, the preference is reversed, and there is no delay. On a tie, the
@@ -150,9 +152,9 @@
 }
 
 // acceptsLate reports whether the late job j can use e. Late jobs must not take slots from jobs that can still meet
-// their objective, so this node must have no attempt at e. A job whose class has a late value can wait for long. For
-// such a job, e must also be among the first lateSize executors, because only a few nodes send such jobs to the same
-// executor.
+// their objective, so this node must have no attempt at e. A job that yields value even after its objective (lateValue)
+// can wait for long. Only a few nodes send such jobs to the same executor. For such a job, e must therefore also be
+// among the first lateSize executors.
 func (d *Dispatcher) acceptsLate(e *executor, j *job) bool {
 	if len(e.attempts) > 0 {
 		return false
@@ -187,9 +189,9 @@
 	return j.inDedupGroup(e) && d.retryAllowed(j, now)
 }
 
-// crossZoneDelay returns how long j waits in the queue before it can use executors of other zones. The cost of crossing
-// zones, divided by j's marginal value, is the fraction of j's slack for which j waits. If the value is not above the
-// cost, j never crosses zones.
+// crossZoneDelay returns how long j waits in the queue before it can use executors of other zones. The delay is a
+// fraction of j's slack: the cost of crossing zones divided by j's marginal value. If the value is not above the cost,
+// j never crosses zones.
 func (d *Dispatcher) crossZoneDelay(j *job) time.Duration {
 	costFraction := d.config.crossZoneCost / d.marginalValue(j)
 	if costFraction < 1 {
@@ -198,11 +200,11 @@
 	return neverCross
 }
 
-// prefersOtherZones reports whether j is sent to other zones rather than to this one. While this zone is overloaded,
-// that is so for a random fraction of its jobs: the fraction that would make the loads equal, minus a fraction for the
-// cost of crossing zones. Each job has its own random number. Otherwise the nodes, which see about the same loads and
-// decide independently, would all send their jobs to other zones at once. Without this preference, a zone with far more
-// traffic than executors would keep all its jobs, because some token there is always free.
+// prefersOtherZones reports whether j is sent to other zones rather than to this one. While this zone is overloaded, a
+// random fraction of its jobs prefers other zones. This is the fraction that would make the loads equal, minus a
+// fraction for the cost of crossing zones. Each job has its own random number. Otherwise the nodes, which see about the
+// same loads and decide independently, would all send their jobs to other zones at once. Without this preference, a
+// zone with far more traffic than executors would keep all its jobs, because some token there is always free.
 func (d *Dispatcher) prefersOtherZones(j *job) bool {
 	return d.config.crossZoneCost > 0 && d.zoneLoad.local > 1 &&
 		j.crossZoneDraw < (d.zoneLoad.local-d.zoneLoad.remote)/d.zoneLoad.local-d.config.crossZoneCost/d.marginalValue(j)
@@ -245,8 +247,8 @@
 	d.zoneLoad.observe(d.remoteSide(e), observed)
 }
 
-// decayZoneLoad lowers the load of the other zones at the end of an interval, unless the loads are computed from the
-// endpoint list.
+// decayZoneLoad lowers the estimated load of the other zones at the end of an interval (see decayRemote). If weights in
+// the endpoint list fall with the load, nothing is done, because updateZoneLoads computes the loads from them.
 func (d *Dispatcher) decayZoneLoad() {
 	if !d.config.loadAdjustedWeights {
 		d.zoneLoad.decayRemote()
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// retryAllowed reports whether another attempt of j certainly has no duplicate effect (rule 2). That is so if certainly
-// no earlier attempt has run, or if j is idempotent. For a job with an idempotency key, it is also so while the
-// executors remember the key. An at-most-once job is never retried after an attempt that has possibly run.
+// retryAllowed reports whether another attempt of j certainly has no duplicate effect (rule 2). A job can always be
+// retried if certainly no earlier attempt has run. After an attempt that has possibly run, an idempotent job can be
+// retried, and a job with an idempotency key while the executors remember the key. An at-most-once job can't.
 func (d *Dispatcher) retryAllowed(j *job, now time.Duration) bool {
 	if j.mayHaveRun == nil {
 		return true
@@ -25,9 +25,9 @@
 		j.class.idempotency == IdempotentWithKey && j.class.dedupGroup == DedupAllExecutors
 }
 
-// inDedupGroup reports whether e is in the dedup group of the attempt of j that has possibly run. Executors of this
-// group recognize a retry as a duplicate, so a retry at any of them has no duplicate effect. The result is true for
-// every executor if certainly no attempt has run or if j is idempotent.
+// inDedupGroup reports whether j can be retried at e as far as the dedup group is concerned. After an attempt that has
+// possibly run, the executors of its dedup group recognize a retry as a duplicate, so a retry at any of them has no
+// duplicate effect. If certainly no attempt has run or if j is idempotent, the result is true for every executor.
 func (j *job) inDedupGroup(e *executor) bool {
 	if j.mayHaveRun == nil || j.class.idempotency == Idempotent {
 		return true
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -7,20 +7,23 @@
 
 const (
 	subsetMinNodes = 6 // minimum number of nodes for subsetting; in a smaller cluster, each node uses all executors
-	// Each executor is in the subsets of this number of nodes on average, or of more if minSubsetSize makes the subsets
-	// larger.
+	// Mean number of nodes that have the same executor in their subsets. The mean is higher if minSubsetSize makes the
+	// subsets larger.
 	nodesPerExecutor = 3
-	// Minimum number of executors per required kind in a subset, in the own zone and again in other zones; doubled with
-	// leases.
-	minSubsetSize        = 3
-	lateNodesPerExecutor = 2 // number of nodes that send late jobs of classes with a late value to the same executor
+	// Minimum size of a subset: this number of executors per required kind in the own zone, and as many in other zones.
+	// If slots are leased, both numbers are doubled.
+	minSubsetSize = 3
+	// Mean number of nodes that can send late jobs to the same executor. Jobs that yield nothing after their objective
+	// (lateValue 0) are not limited by this.
+	lateNodesPerExecutor = 2
 )
 
 // subset holds the executors that this node uses. In a large cluster, these are only some of all executors.
 type subset struct {
 	members  []*executor // members of the subset: executors in slow start first, then the others, highest rank first
 	previous []*executor // members before the last rebuild; the next rebuild reuses the array of this slice
-	// Number of members, counted from the first one, that late jobs of classes with a late value can use.
+	// Number of members, counted from the first one, that late jobs can use. Jobs that yield nothing after their
+	// objective (lateValue 0) are not limited by this.
 	lateSize    int
 	stale       bool          // the next turn checks whether the subset must be rebuilt
 	changed     bool          // something that the subset depends on has changed since the last rebuild
@@ -52,9 +55,9 @@
 func (d *Dispatcher) usesSubset() bool { return d.config.nodeCount >= subsetMinNodes }
 
 // subsetSize returns how many executors this node uses per required kind in its own zone, and how many in other zones.
-// In a small cluster, that is all executors. In a large one, the number is such that each executor is in the subsets of
-// nodesPerExecutor nodes on average, but it is at least minSubsetSize. If crossing zones has no cost, all executors
-// count as being in the own zone.
+// In a small cluster, that is all executors. In a large one, each executor is in the subsets of nodesPerExecutor nodes on
+// average. The result is at least minSubsetSize, or twice that if slots are leased. If crossing zones has no cost, all
+// executors count as being in the own zone.
 func (d *Dispatcher) subsetSize() int {
 	executors := len(d.endpoints.ranked)
 	if !d.usesSubset() {
@@ -177,8 +180,8 @@
 }
 
 // finishSubset sets the positions of the subset's members. It also marks the executors whose entries in the candidate
-// index have to change: those that joined or left the subset, and those for which it has changed whether late jobs can
-// use them.
+// index have to change. These are the executors that joined or left the subset, and those that became open to late jobs
+// or are so no longer.
 func (d *Dispatcher) finishSubset(previous []*executor) {
 	for _, kind := range d.index.kinds {
 		kind.localSubset = kind.localSubset[:0]
