--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -149,69 +149,118 @@
 // TestSwitchDiscovery checks that after a switch to another address, the old one stays active until the new one has
 // sent the complete list, and no longer. A switch to the current address has no effect.
 func TestSwitchDiscovery(t *testing.T) {
-	steps := make(chan string, 100)
-	serve := func(name string, answers chan string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			select {
-			case <-r.Context().Done():
-				steps <- name + ": the watch has ended"
-			case answer := <-answers:
-				if answer == "error" {
-					w.WriteHeader(http.StatusInternalServerError)
-				}
-				w.Write([]byte(answer))
-			}
-		}))
-		t.Cleanup(s.Close)
-		return s.Listener.Addr().String()
-	}
-	oldAnswers, newAnswers := make(chan string), make(chan string)
-	from, to := serve("old", oldAnswers), serve("new", newAnswers)
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
+	steps := make(chan string, 100)
+	oldServer, newServer := newScriptedServer(t, "old", steps), newScriptedServer(t, "new", steps)
 	w := New(Names{}, NewTiming(time.Second, true), nil, func(ev node.Event) {
 		switch ev := ev.(type) {
 		case node.EndpointsUpdated:
-			steps <- fmt.Sprintf("  -> list %d: %s", ev.Kind, ev.Endpoints[0].Executor)
+			if ev.Kind != policy.WatchFailed {
+				steps <- fmt.Sprintf("  -> list %d: %s", ev.Kind, ev.Endpoints[0].Executor)
+			} else if ctx.Err() == nil { // the end of the test makes requests fail too
+				t.Error("the node was notified of a failed watch:", ev.Detail)
+				steps <- "  -> watch failed"
+				cancel()
+			}
 		case node.DiscoverySwitchPending:
-			steps <- "  -> switch to " + strings.ReplaceAll(ev.Addr, to, "new") + " pending: " + strings.ReplaceAll(ev.Detail, to, "new")
+			steps <- "  -> switch to " + strings.ReplaceAll(ev.Addr, newServer.addr, "new") + " pending: " + strings.ReplaceAll(ev.Detail, newServer.addr, "new")
 		}
 	})
 	// The hedge delays are so long that no request is hedged, even if a response takes long on a busy machine.
 	w.timing.HedgeDelay, w.timing.InitialHedgeDelay = 20*time.Second, 20*time.Second
-	go w.Run(ctx, from)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		w.Run(ctx, oldServer.addr)
+	}()
+	defer func() {
+		cancel()
+		<-ended
+	}()
 	var out strings.Builder
+	// The functions below end the test if the context has ended, which means that the watch has failed.
 	expect := func(n int) {
+		t.Helper()
 		got := make([]string, n)
 		for i := range got {
-			got[i] = <-steps
+			select {
+			case got[i] = <-steps:
+			case <-ctx.Done():
+				t.FailNow()
+			}
 		}
 		slices.Sort(got) // they may arrive in any order
 		out.WriteString(strings.Join(got, "\n") + "\n")
 	}
-	answer := func(name string, to chan string, text string) {
-		out.WriteString(name + " answers " + text + "\n")
-		to <- text
+	awaitRequest := func(s *scriptedServer) {
+		t.Helper()
+		select {
+		case <-s.requests:
+		case <-ctx.Done():
+			t.FailNow()
+		}
+	}
+	answer := func(s *scriptedServer, text string) {
+		t.Helper()
+		out.WriteString(s.name + " answers " + text + "\n")
+		select {
+		case s.answers <- text:
+		case <-ctx.Done():
+			t.FailNow()
+		}
 	}
 	entry := func(seq, whole, name string) string {
 		return `{"seq":` + seq + `,"whole":` + whole + `,"hosts":[` + host(name, `"health":"ready"`) + `]}`
 	}
-	answer("old", oldAnswers, entry("41", "true", "a"))
+	awaitRequest(oldServer)
+	answer(oldServer, entry("41", "true", "a"))
 	expect(1)
-	w.SwitchDiscovery(from)
-	w.SwitchDiscovery(to) // replaces the switch above if Run has not read it yet
-	answer("new", newAnswers, "error")
+	w.SwitchDiscovery(oldServer.addr)
+	w.SwitchDiscovery(newServer.addr) // replaces the switch above if Run has not read it yet
+	awaitRequest(newServer)
+	answer(newServer, "error")
 	expect(1)
-	answer("old", oldAnswers, entry("42", "false", "b"))
+	awaitRequest(oldServer)
+	answer(oldServer, entry("42", "false", "b"))
 	expect(1)
-	answer("new", newAnswers, entry("7", "true", "c"))
+	awaitRequest(newServer)
+	awaitRequest(oldServer) // without a request in flight, the old server could not notice the end of the old watch
+	answer(newServer, entry("7", "true", "c"))
 	expect(2)
-	w.SwitchDiscovery(to)
-	answer("new", newAnswers, entry("8", "false", "d"))
+	w.SwitchDiscovery(newServer.addr)
+	awaitRequest(newServer)
+	answer(newServer, entry("8", "false", "d"))
 	expect(1)
 	golden.Compare(t, "switch.txt", out.String())
 }
 
+// scriptedServer is a discovery service whose answers a test sends one by one.
+type scriptedServer struct {
+	name, addr string
+	requests   chan struct{} // receives a value when a request has reached the handler
+	answers    chan string   // each is the response to one request; "error" stands for status 500
+}
+
+// newScriptedServer starts a server, which reports to steps when a client cancels a request.
+func newScriptedServer(t *testing.T, name string, steps chan<- string) *scriptedServer {
+	s := &scriptedServer{name: name, requests: make(chan struct{}, 100), answers: make(chan string)}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.requests <- struct{}{}
+		select {
+		case <-r.Context().Done():
+			steps <- name + ": the watch has ended"
+		case answer := <-s.answers:
+			if answer == "error" {
+				w.WriteHeader(http.StatusInternalServerError)
+			}
+			w.Write([]byte(answer))
+		}
+	}))
+	t.Cleanup(server.Close)
+	s.addr = server.Listener.Addr().String()
+	return s
+}
+
 // TestDecodeCached checks that the cached list, which a node gets at its start, is decoded from discovery's wire form,
 // and may be missing.
 func TestDecodeCached(t *testing.T) {
