--- a/internal/discovery/cached_list.go
+++ b/internal/discovery/cached_list.go
@@ -13,10 +13,10 @@
 	Endpoints []node.Endpoint
 
 	version  int64
-	complete bool // whether it is a complete list, which the changes since its version bring up to date
+	complete bool // whether the list is complete; only a complete list can be brought up to date with later changes
 }
 
-// DecodeCached decodes a cached list from discovery's wire form. An empty text or null yields an empty list.
+// DecodeCached decodes a cached list from discovery's wire form. An empty text and the text null yield an empty list.
 func (n Names) DecodeCached(text json.RawMessage) (CachedList, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return CachedList{}, nil
@@ -28,7 +28,8 @@
 	return CachedList{Endpoints: u.endpoints, version: u.version, complete: u.complete}, nil
 }
 
-// apply returns the complete list that results from applying the changes since the cached list's version to it.
+// apply returns the complete list that results from applying changes to the cached list. They must be the changes since
+// the cached list's version.
 func (c CachedList) apply(changes update) update {
 	result := update{version: changes.version, complete: true}
 	changed := map[policy.ExecutorID]bool{}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -10,7 +10,8 @@
 // Dialer opens connections to the discovery service.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// requestContextKey is the context key under which a dial finds the context of its request.
+// requestContextKey is the context key under which get stores the context of a request, for the dial that the request
+// causes.
 type requestContextKey struct{}
 
 // client sends requests to one address of discovery.
@@ -20,8 +21,9 @@
 	http  *http.Client
 }
 
-// newClient creates a client. It cancels a dial when the request that caused it ends. By default, net/http lets the
-// dial continue; if the address does not answer, each request would then occupy a descriptor until the system gives up.
+// newClient creates a client. The client cancels a dial when the request that caused the dial ends. By default,
+// net/http would let the dial continue: if the address does not answer, each request would occupy a file descriptor
+// until the operating system gives up on the dial.
 func newClient(addr string, names Names, dialer Dialer) *client {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
@@ -37,8 +39,8 @@
 // close closes idle connections.
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-// do sends a request and reads its response. It refuses a response that does not match the request: changes in place of
-// the complete list, or a version older than the requested one.
+// do sends a request and decodes its response. A response that does not match the request is an error: changes in place
+// of the complete list, or changes up to a version older than the one in the request.
 func (c *client) do(ctx context.Context, r *request) (update, error) {
 	u, err := c.get(ctx, r.url(c.addr))
 	switch {
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -16,7 +16,7 @@
 	maxResponseBytes = 4 << 20
 )
 
-// url returns the URL of the request for a given discovery address.
+// url returns the URL of the request to the discovery service at the given address.
 func (r *request) url(addr string) string {
 	url := "http://" + addr + targetsPath
 	if r.complete {
@@ -40,28 +40,28 @@
 	Kind        string            `json:"class"`
 	Cell        policy.CellID     `json:"block"`
 	State       string            `json:"health"`
-	Weight      *float64          `json:"share"`   // 1 if missing
-	StartedAtMS int64             `json:"born_ms"` // time of its last start, as Unix time in milliseconds; 0 if it started long ago
+	Weight      *float64          `json:"share"`   // weight of the executor; 1 if missing
+	StartedAtMS int64             `json:"born_ms"` // time of the executor's last start, as Unix time in milliseconds; 0 if it started long ago
 }
 
-// statesByName maps the values of the health key.
+// statesByName maps the values of the key health to states of an executor.
 var statesByName = map[string]policy.EndpointState{"ready": policy.Available, "draining": policy.Draining, "gone": policy.Removed}
 
-// Names holds what is needed to convert discovery's lists: the names in the settings, by index, and the node's start
-// time.
+// Names converts names and times in discovery's lists to the indexes and durations that the node uses. Zones and Kinds
+// are the names of zones and executor kinds in the settings, by index.
 type Names struct {
 	Zones, Kinds []string
-	Start        time.Time // zero point of the node's state machine, whose times are durations since then
+	Start        time.Time // start time of the node; its state machine represents a time as the duration since Start
 }
 
-// update is a decoded response.
+// update is a decoded response: the complete list, or the changes since the requested version.
 type update struct {
 	version   int64
 	complete  bool
 	endpoints []node.Endpoint
 }
 
-// decode decodes a response of discovery. Code outside this file does not depend on the wire form.
+// decode decodes a response of discovery. Only this file depends on the wire form of responses.
 func (n Names) decode(text []byte) (update, error) {
 	var list wireList
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -81,7 +81,8 @@
 	return u, nil
 }
 
-// endpoint converts an entry. Every entry needs an address, except one that reports a removed executor.
+// endpoint converts an entry of a list. An entry without an executor, with an unknown state or without a valid address
+// is an error. Only the entry of a removed executor needs no address.
 func (n Names) endpoint(host wireEndpoint) (node.Endpoint, error) {
 	state, known := statesByName[host.State]
 	_, err := netip.ParseAddrPort(host.Addr)
@@ -104,7 +105,7 @@
 	}}, nil
 }
 
-// index returns the index of a name, or len(names) for a name that the settings do not list.
+// index returns the index of a name in names, or len(names) if it is not among them.
 func index(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,5 +1,5 @@
 // Package discovery watches the discovery service: it fetches the complete endpoint list once, and then long-polls for
-// changes. It passes them as events to the state machine of package node.
+// changes. It passes the list and the changes as events to the state machine of package node.
 //
 // # Watches
 //
@@ -10,7 +10,7 @@
 // the requests:
 //
 //	backingOff       --- timer, or wake ----------> awaitingResponse   send the next request
-//	awaitingResponse --- response ----------------> backingOff         report the update; pause up to MinPollInterval, or not at all
+//	awaitingResponse --- response ----------------> backingOff         report the update; pause until MinPollInterval after the request's start
 //	awaitingResponse --- failure, or hedge delay -> backingOff         report the error; pause by the backoff
 //
 // The mode of the machine determines the next request:
@@ -20,12 +20,13 @@
 //	watching    the last request was answered: requests changes with the full long poll
 //	throttling  discovery rejects requests: no long poll, and long timeouts
 //
-// A request that is unanswered after its hedge delay stays in flight while further ones are sent. If discovery is slow,
-// canceling each request would mean that none is ever answered; if the connection is dead, only another request can be
-// answered. The first response cancels all other requests.
+// A request that is unanswered at the end of its hedge delay can stay in flight while further requests are sent;
+// Timing.MinHedgeInterval limits how many do. If discovery is slow and each such request were canceled, no request
+// would ever be answered. If the connection of the request is dead, only another request can be answered. The first
+// response cancels all other requests.
 //
 // # Bounds
 //
-// Timing holds all timeouts, intervals and backoffs. Timing.MaxUpdateDelay adds up how long a change, such as a drain,
-// can take from discovery to the node.
+// Timing holds all timeouts, intervals and backoffs. Timing.MaxUpdateDelay returns the maximum time that a change, such
+// as a drain, takes from discovery to the node.
 package discovery
--- a/internal/discovery/machine.go
+++ b/internal/discovery/machine.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// overloadRejections is how many rejections in a row mean that the service is overloaded. A single one may be a
-// corrupted response.
+// overloadRejections is the number of rejections in a row after which the service counts as overloaded. A single
+// rejection can be a corrupted response.
 const overloadRejections = 2
 
 // request is a request to discovery.
 type request struct {
 	complete   bool          // whether the complete list is requested
-	version    int64         // if complete is false: the changes since this version are requested
-	longPoll   time.Duration // how long discovery may wait for a change before it responds
-	hedgeDelay time.Duration // time after longPoll at which the next request is sent if this one is unanswered
-	timeout    time.Duration // time after which the request is canceled, longPoll included
+	version    int64         // version since which changes are requested; unused if complete is true
+	longPoll   time.Duration // maximum time that discovery waits for a change before it responds
+	hedgeDelay time.Duration // time beyond longPoll after which the request counts as failed if it is unanswered
+	timeout    time.Duration // time from its start after which the request is canceled; includes longPoll
 	startedAt  time.Time
 
-	cancel context.CancelFunc // set by the poller
+	cancel context.CancelFunc // cancels the request; set by the poller
 }
 
 // state is what a watch currently waits for.
 type state int
 
 const (
-	backingOff       state = iota // waits for the timer that sends the next request; hedged requests may be in flight
+	backingOff       state = iota // waits for the timer, to send the next request then; hedged requests can be in flight
 	awaitingResponse              // waits for the response to the current request, or the end of its hedge delay
 )
 
@@ -39,7 +39,7 @@
 	fetching   mode = iota // no version is known: request the complete list
 	probing                // the last request failed: check whether discovery is back
 	watching               // the last request was answered: request changes with a long poll
-	throttling             // discovery rejects requests: reduce the load
+	throttling             // discovery rejects requests: reduce its load, without long polls and with long timeouts
 )
 
 // effects holds the side effects that the transitions of a machine call for.
@@ -47,17 +47,18 @@
 	now() time.Time
 	// send sends a request. Its result is passed to onResponse or onFailure.
 	send(*request)
-	// cancel cancels a request.
+	// cancel cancels a request in flight.
 	cancel(*request)
-	// setTimer arranges a call of onTimer after the given time. It replaces an earlier timer.
+	// setTimer arranges one call of onTimer after the given time, in place of a call arranged earlier.
 	setTimer(time.Duration)
-	// report delivers an update or an error, and returns after it was handled. It fails if the watch has ended.
+	// report delivers an update, or an error if the request failed. It returns after Run has handled the report, or
+	// fails if the watch has ended.
 	report(update, error) error
 }
 
 // machine is the state machine of a watch on one address. The methods onWake, onTimer, onResponse and onFailure are its
-// transitions. Those that report an update or an error return an error if the watch has ended. A machine is not safe
-// for concurrent use.
+// transitions. A transition that reports an update or an error fails if the watch has ended. A machine is not safe for
+// concurrent use.
 type machine struct {
 	timing  Timing
 	rand    *rand.Rand
@@ -68,20 +69,20 @@
 
 	version      int64
 	versionKnown bool
-	responded    bool          // whether a list or changes have been received
-	failing      bool          // whether the last request failed, or a watch that resumes from a cached list had no response yet
-	rejections   int           // consecutive rejections by a shared service
+	responded    bool          // whether this watch has received the complete list or changes
+	failing      bool          // whether the last request failed; true at the start of a watch that resumes from a cached list
+	rejections   int           // number of rejections in a row by a shared service
 	backoff      time.Duration // pause after the next failure, before jitter
-	responseTime time.Duration // time of the last slow response beyond its long poll
+	responseTime time.Duration // time beyond its long poll that the last late response took
 
 	current      *request   // the latest request; nil while backing off
-	inFlight     []*request // the current request and hedged earlier ones
+	inFlight     []*request // the current request, and earlier ones that stayed in flight after their hedge delays
 	lastHedgedAt time.Time  // start time of the last request that stayed in flight after its hedge delay
 }
 
-// newMachine creates the state machine of a watch. Where nodes poll a shared service, the watch resumes from the
-// version of a complete cached list: fetching the complete list would load the service, and would count as a late
-// delivery.
+// newMachine creates the state machine of a watch. Where nodes poll a shared service and the cached list is complete,
+// the watch resumes from the version of the cached list. Fetching the complete list again would add to the load of the
+// service, and would count as a late delivery.
 func newMachine(timing Timing, cached CachedList, random *rand.Rand, effects effects) *machine {
 	resume := cached.complete && timing.SharedService
 	return &machine{
@@ -128,11 +129,12 @@
 // start sends the first request.
 func (m *machine) start() { m.sendNext() }
 
-// mayWake reports whether onWake has an effect now. onWake ends a backoff early, except one after a rejection, which
-// protects an overloaded service. It does not affect a request in flight.
+// mayWake reports whether onWake has an effect now. onWake ends a backoff early, unless the last request was rejected:
+// the backoff after a rejection protects an overloaded service. onWake has no effect while the watch waits for a
+// response.
 func (m *machine) mayWake() bool { return m.state() == backingOff && m.rejections == 0 }
 
-// onWake ends a backoff early.
+// onWake ends a backoff early, if mayWake allows that.
 func (m *machine) onWake() {
 	if m.mayWake() {
 		m.sendNext()
@@ -148,8 +150,8 @@
 	return m.onHedgeDelay()
 }
 
-// onHedgeDelay treats the current request as failed. The request stays in flight, unless another hedged request was
-// started less than MinHedgeInterval before it.
+// onHedgeDelay treats the current request as failed. The request is canceled if it started less than MinHedgeInterval
+// after the last request that stayed in flight after its hedge delay. Otherwise it stays in flight.
 func (m *machine) onHedgeDelay() error {
 	unanswered := m.current
 	if unanswered.startedAt.Sub(m.lastHedgedAt) >= m.timing.MinHedgeInterval {
@@ -160,12 +162,12 @@
 	return m.fail(unanswered, fmt.Errorf("no answer within %v", unanswered.longPoll+unanswered.hedgeDelay))
 }
 
-// onFailure handles the failure of a request. The failure of a hedged request is ignored, unless discovery's response
-// shows that the version is unusable. Then the complete list is fetched at once, because later requests with that
-// version would fail as well.
+// onFailure handles the failure of a request. The failure of a hedged request is ignored, unless the request was for
+// changes and the response was malformed (see malformedError). In that case the version is unusable, and later requests
+// with that version would fail as well, so the complete list is fetched at once.
 func (m *machine) onFailure(r *request, err error) error {
 	if !m.remove(r) {
-		return nil // the request was abandoned
+		return nil // the request was canceled earlier, by abandon or onResponse
 	}
 	malformed := isMalformed(err)
 	if malformed {
@@ -180,7 +182,8 @@
 	return nil
 }
 
-// refetch sends a request for the complete list, unless the current request is one.
+// refetch sends a request for the complete list, unless the current request already asks for it. A current request for
+// changes is canceled.
 func (m *machine) refetch() {
 	if m.current != nil && !m.current.complete {
 		m.abandon(m.current)
@@ -194,7 +197,7 @@
 // onResponse handles the response to a request, current or hedged, and cancels all other requests.
 func (m *machine) onResponse(r *request, u update) error {
 	if !m.remove(r) {
-		return nil // the request was abandoned
+		return nil // the request was canceled earlier, by abandon or onResponse
 	}
 	for _, other := range m.inFlight {
 		m.effects.cancel(other)
@@ -236,7 +239,7 @@
 func (m *machine) pauseAfter(r *request) time.Duration {
 	switch {
 	case m.rejections > 0:
-		const maxDoublings = 8 // avoids overflow of the shift; the result is far above MaxRejectedBackoff
+		const maxDoublings = 8 // keeps the shift from overflowing; 8 doublings are far above MaxRejectedBackoff
 		return min(m.timing.InitialInterval<<min(m.rejections-1, maxDoublings), m.timing.MaxRejectedBackoff)
 	case m.versionKnown:
 		return m.backoff
@@ -270,8 +273,8 @@
 	m.effects.setTimer(r.longPoll + r.hedgeDelay)
 }
 
-// nextRequest creates the request that the mode calls for. While discovery does not respond, the long poll is short, so
-// that a request that is left unanswered when discovery is back does not delay the next update for long.
+// nextRequest creates the request that the mode calls for. While discovery does not respond, the long poll is short.
+// Otherwise a request that stays unanswered would delay the first update after discovery is back for too long.
 func (m *machine) nextRequest() *request {
 	r := &request{complete: !m.versionKnown, version: m.version, startedAt: m.effects.now()}
 	switch m.mode() {
@@ -288,9 +291,9 @@
 	return r
 }
 
-// watchTimes returns the long poll and hedge delay of a request in watching mode. After slow responses the hedge delay
-// is longer and the long poll is shorter by the same time, so that a request that hangs is still noticed as early as
-// before.
+// watchTimes returns the long poll and hedge delay of a request in watching mode. After a slow response, the
+// hedge delay is longer, and the long poll is shorter by the same time. Their sum is unchanged, so that an unresponsive
+// connection is noticed as early as before.
 func (m *machine) watchTimes() (longPoll, hedgeDelay time.Duration) {
 	sum := m.timing.LongPoll + m.timing.HedgeDelay
 	minLongPoll := min(m.timing.LongPoll, m.timing.ProbeLongPoll)
@@ -298,7 +301,7 @@
 	return sum - hedgeDelay, hedgeDelay
 }
 
-// requestTimeout returns how long a request may take beyond its long poll.
+// requestTimeout returns the time beyond its long poll after which the next request is canceled.
 func (m *machine) requestTimeout() time.Duration {
 	if m.overloaded() || !m.versionKnown && m.overdue() {
 		return m.timing.OverdueRequestTimeout
@@ -306,7 +309,7 @@
 	return m.timing.RequestTimeout
 }
 
-// abandon cancels a request, whose result is then ignored.
+// abandon cancels a request. The result of the request is then ignored.
 func (m *machine) abandon(r *request) {
 	m.effects.cancel(r)
 	m.remove(r)
--- a/internal/discovery/poller.go
+++ b/internal/discovery/poller.go
@@ -15,7 +15,7 @@
 	results chan result
 	deliver func(update, error) error
 
-	requests sync.WaitGroup // goroutines of requests; each ends with the request's context or the watch's
+	requests sync.WaitGroup // goroutines of requests; each ends once its result is delivered or the watch has ended
 }
 
 // result is the outcome of a request.
@@ -27,12 +27,12 @@
 
 func newPoller(ctx context.Context, client *client, deliver func(update, error) error) *poller {
 	timer := time.NewTimer(time.Hour)
-	timer.Stop() // the state machine sets it with its first request
+	timer.Stop() // the state machine sets the timer with its first request
 	return &poller{ctx: ctx, client: client, timer: timer, results: make(chan result), deliver: deliver}
 }
 
-// run watches the address until the context ends, and returns after all requests have ended. Each value on wake ends a
-// backoff early.
+// run watches the address until the context ends, and returns after all requests have ended. A value on wake ends a
+// backoff early (see machine.mayWake).
 func (p *poller) run(timing Timing, cached CachedList, random *rand.Rand, wake <-chan struct{}) {
 	defer p.client.close()
 	defer p.requests.Wait()
@@ -43,7 +43,7 @@
 	}
 }
 
-// step waits for one event and passes it to the state machine. It fails if the watch has ended.
+// step waits for one event and passes the event to the state machine. step fails if the watch has ended.
 func (p *poller) step(m *machine, wake <-chan struct{}) error {
 	if !m.mayWake() {
 		wake = nil // leaves a pending value in the channel for a later step
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -12,8 +12,8 @@
 
 // Watcher watches the discovery service. Its address can be switched at run time.
 type Watcher struct {
-	// Cached is the endpoint list that this node last received. Where nodes poll a shared service, the first watch resumes
-	// from its version.
+	// Cached is the endpoint list that this node last received. Where nodes poll a shared service and the list is
+	// complete, the first watch resumes from the version of this list.
 	Cached CachedList
 
 	timing   Timing
@@ -24,15 +24,15 @@
 	switches chan string
 	reports  chan report
 
-	started uint64         // number of watches started so far; each uses its number as the stream of its random generator
-	running sync.WaitGroup // goroutines of watches; each ends with the watch's context
+	started uint64         // number of watches started so far; seeds the random generator of each watch, together with Timing.Seed
+	running sync.WaitGroup // goroutines of watches; each ends when the context of its watch ends
 }
 
-// watch is the watch on one address. It ends with its context.
+// watch is the watch on one address. It ends when its context ends.
 type watch struct {
 	addr            string
 	stop            context.CancelFunc
-	handled         chan struct{} // receives a value after each report was handled
+	handled         chan struct{} // receives a value after Run has handled a report of this watch
 	pendingReported bool          // whether the node was notified that the switch to this address is pending
 }
 
@@ -43,7 +43,7 @@
 	err    error
 }
 
-// New creates a watcher, which passes its events to notify. A nil dialer stands for net.Dialer.
+// New creates a watcher. The watcher passes its events to notify. If dialer is nil, it uses a net.Dialer.
 func New(names Names, timing Timing, dialer Dialer, notify func(node.Event)) *Watcher {
 	if dialer == nil {
 		dialer = new(net.Dialer).DialContext
@@ -59,7 +59,7 @@
 	}
 }
 
-// WatchEndpoints ends a backoff between two requests early.
+// WatchEndpoints ends a pause between two requests early, unless a shared service rejected the first one.
 func (w *Watcher) WatchEndpoints() {
 	select {
 	case w.wake <- struct{}{}:
@@ -70,7 +70,7 @@
 // SwitchDiscovery switches to another address. It never blocks, and must be called by one goroutine only.
 func (w *Watcher) SwitchDiscovery(addr string) {
 	select {
-	case <-w.switches: // replaces a switch that Run has not read yet
+	case <-w.switches: // drops an earlier switch that Run has not read yet
 	default:
 	}
 	w.switches <- addr
@@ -78,7 +78,8 @@
 
 // Run watches discovery until the context ends, and returns after all goroutines that it started have ended. After a
 // switch, the old address stays active until the new one has delivered the complete list, so a switch to an unreachable
-// address does no harm. Then the watch on the old address is stopped, because its updates could undo newer ones.
+// address does no harm. Then the watch on the old address is stopped, because updates from the old address could undo
+// newer ones from the new address.
 func (w *Watcher) Run(ctx context.Context, addr string) {
 	defer w.running.Wait()
 	var active *watch                      // the watch whose updates are passed on; nil until a watch has received the complete list
@@ -94,7 +95,7 @@
 			if latest != active {
 				latest.stop()
 			}
-			latest = w.start(ctx, addr, CachedList{}) // versions of the old address may not be valid at the new one
+			latest = w.start(ctx, addr, CachedList{}) // without the cached list, because the new address can use other versions
 		case r := <-w.reports:
 			if r.from == latest && r.err == nil && latest != active { // the first update of a watch is always a complete list
 				if active != nil {
@@ -108,9 +109,9 @@
 	}
 }
 
-// handle notifies the node of reports from the active watch, or from the latest one while no watch is active. If
-// another watch is active, the first error of the latest watch is reported as a pending switch and its further errors
-// are dropped. Reports of stopped watches are dropped too.
+// handle notifies the node of a report from the active watch, or from the latest watch while no watch is active. While
+// an earlier watch is active, the first error of the latest watch is reported as a pending switch, and further errors
+// of the latest watch are dropped. Reports of stopped watches are dropped too.
 func (w *Watcher) handle(r report, active, latest *watch) {
 	switch {
 	case r.from == active || r.from == latest && active == nil:
@@ -133,7 +134,7 @@
 	}
 }
 
-// start starts a watch on an address, which resumes from the cached list where possible.
+// start starts a watch on an address. The watch resumes from the cached list where possible (see newMachine).
 func (w *Watcher) start(ctx context.Context, addr string, cached CachedList) *watch {
 	ctx, stop := context.WithCancel(ctx)
 	started := &watch{addr: addr, stop: stop, handled: make(chan struct{}, 1)}
@@ -145,7 +146,7 @@
 	return started
 }
 
-// deliver passes a report to Run, and returns after Run has handled it. It fails if the watch has ended.
+// deliver passes a report to Run, and returns after Run has handled the report. deliver fails if the watch has ended.
 func (w *Watcher) deliver(ctx context.Context, r report) error {
 	select {
 	case <-ctx.Done():
