--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -118,7 +118,7 @@
 	Value            float64 `json:"earnings"`
 }
 
-// Values of string keys; each constant's comment names its key.
+// Values of keys that hold strings. The comment of each constant names its key.
 const (
 	discoveryPolled     = "ask"      // discovery
 	weightsLoadAdjusted = "live"     // weights
@@ -135,7 +135,7 @@
 	"once":       policy.AtMostOnce,
 }
 
-// dedupGroups maps the values of a job class's dedup-scope key. The default covers all executors.
+// dedupGroups maps the values of a job class's dedup-scope key. If the key is absent, the group holds all executors.
 var dedupGroups = map[string]policy.DedupGroup{
 	"":     policy.DedupAllExecutors,
 	"all":  policy.DedupAllExecutors,
@@ -143,8 +143,8 @@
 	"cell": policy.DedupCell,
 }
 
-// settings converts the settings object, which validate must have accepted. Tenants and job classes are validated here;
-// an error names the one at fault.
+// settings converts the settings object. The caller must have checked the object with validate. Tenants and job classes
+// are validated here; an error names the invalid tenant or job class.
 func (w *settingsJSON) settings() (Settings, error) {
 	s := Settings{
 		Policy:      w.policy(),
@@ -172,7 +172,7 @@
 	return s, nil
 }
 
-// policy converts the policy's settings, except tenants and job classes.
+// policy converts the settings that package policy uses, except tenants and job classes.
 func (w *settingsJSON) policy() policy.Settings {
 	p := policy.Settings{
 		Node:                w.Node,
@@ -206,8 +206,8 @@
 	return p
 }
 
-// loadFields returns the position of each known value in load reports. A value x0 or x1 whose declared meaning is not
-// the expected one counts as absent.
+// loadFields returns the position of each known value in load reports. The value x0 or x1 counts as absent
+// if the settings do not declare the expected meaning for it.
 func (w *settingsJSON) loadFields() (fields LoadFields) {
 	for i, name := range loadFieldNames {
 		fields[i] = slices.Index(w.Report.Fields, name)
@@ -248,7 +248,8 @@
 	return class, nil
 }
 
-// decodeError returns an error that names the key, within the named object, that could not be decoded.
+// decodeError returns an error that names the key whose value could not be decoded, or only the object if the key is
+// not known. The object is given by its name.
 func decodeError(object string, err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) && mismatch.Field != "" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Config is the configuration of a node, read from its file and the environment. Each field's comment names its key in
-// the file, and the environment variable that replaces an absent key.
+// Config is the configuration of a node, read from its file and the environment. The comment of each field names its
+// key in the file, and the environment variable that is read if the file lacks the key.
 type Config struct {
 	Name      string // node name: name, or ROUTER_NAME; required
 	Listen    string // address and port that clients connect to: listen, or ROUTER_LISTEN; required
@@ -23,18 +23,18 @@
 	ListenFD  int    // descriptor of an inherited listening socket: ROUTER_LISTEN_FD; 0 if there is none
 	SharedDir string // directory shared by the predecessor and the successor of a handoff: TMPDIR if ListenFD is set, else empty
 
-	Cores           float64 // CPU limit: limits.cores; default 1
-	MemoryBytes     int64   // memory limit, above which the node is killed: limits.memory_mb; default 192 MiB
-	MaxDescriptors  int     // limit of file descriptors: limits.sockets; default 1024
-	PeerDescriptors int     // descriptors, out of MaxDescriptors, reserved for gossip; set by the caller
+	Cores           float64 // CPU limit, in cores: limits.cores; default 1
+	MemoryBytes     int64   // memory limit, above which the node is killed: limits.memory_mb, in MiB; default 192
+	MaxDescriptors  int     // maximum number of file descriptors: limits.sockets; default 1024
+	PeerDescriptors int     // file descriptors reserved for gossip, out of MaxDescriptors; set by the caller
 
 	CachedEndpoints json.RawMessage // last endpoint list that this node received, in discovery's wire form: known; optional
 	Settings        Settings
 
-	keys map[string]bool // the keys present in the file
+	keys map[string]bool // paths of the keys that are present in the file
 }
 
-// Defaults of keys that neither the file nor the environment sets.
+// Values of keys that are absent from the file.
 const (
 	defaultCores        = 1
 	defaultMemoryMiB    = 192
@@ -88,8 +88,8 @@
 	return c, c.validate()
 }
 
-// readListenFD reads the descriptor of the listening socket that a handoff's predecessor passes on, and the directory
-// that the two processes share.
+// readListenFD reads what the predecessor passes on in a handoff: the descriptor of the listening socket, and the
+// directory that predecessor and successor share.
 func (c *Config) readListenFD(env func(string) string) (err error) {
 	text := env("ROUTER_LISTEN_FD")
 	if text == "" {
@@ -110,14 +110,15 @@
 	settings, policySettings := &c.Settings, &c.Settings.Policy
 	policySettings.Seed = crc32.ChecksumIEEE([]byte(file.Seed))
 	for i := range policySettings.JobClasses {
-		// After the policy has decided on a retry, opening the connection may take up to DialTimeout. The retry must still
-		// arrive within the executor's deduplication window.
+		// A retry must reach the executor within the executor's deduplication window. Opening the connection for it can
+		// take up to DialTimeout after the policy has decided on the retry, so DialTimeout is subtracted from the
+		// window that the policy uses.
 		window := &policySettings.JobClasses[i].DedupWindow
 		*window = max(0, *window-settings.DialTimeout)
 	}
 	settings.Probe = Probe{Path: file.Probe.Path, Timeout: Seconds(valueOr(file.Probe.TimeoutS, defaultProbeTimeout))}
-	// The settings only permit health checks and gossip. Health checks also need a path, and gossip needs the operator's
-	// site file.
+	// The settings only permit health checks and gossip, and do not enable them. Health checks also need a path, and
+	// gossip also needs the operator's site file.
 	policySettings.MayCheckHealth = policySettings.MayCheckHealth && settings.Probe.Path != ""
 	settings.MayGossip, policySettings.MayLease = policySettings.MayLease, false
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -24,11 +24,12 @@
 	meaningX1 = "free memory"
 )
 
-// maxLoad is above any plausible value. A load report with a larger value is ignored.
+// maxLoad is the maximum of a value in a load report. A report with a larger value is implausible, and is ignored.
 const maxLoad = 1e6
 
-// LoadFields holds the position of each value in a load report, or -1 if the report lacks the value. The values are:
-// jobs in flight, jobs queued, free slots, free memory, and the running time of the last job in milliseconds.
+// LoadFields holds the position of each value in a load report, or -1 if load reports lack the value. The values are:
+// the number of jobs in flight, the number of jobs queued, free slots, free memory, and the running time of the last
+// job in milliseconds.
 type LoadFields [loadValues]int
 
 // Decode decodes the values of a load report. ok is false if the report holds no known value, or an implausible one.
@@ -40,7 +41,7 @@
 			continue
 		}
 		known[i] = values[position]
-		if !(known[i] >= 0 && known[i] <= maxLoad) { // the negation also refuses NaN
+		if !(known[i] >= 0 && known[i] <= maxLoad) { // the negated condition also refuses NaN
 			return load, false
 		}
 		ok = true
@@ -58,7 +59,7 @@
 	return load, ok
 }
 
-// ReportedValues reports, for each value of a load report over HTTP by its name there, whether the policy uses it.
+// ReportedValues maps the name of each value in load reports over HTTP to whether the policy uses the value.
 func (s *Settings) ReportedValues() map[string]bool {
 	used := map[string]bool{}
 	for i, name := range loadReportNames {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -32,8 +32,8 @@
 	return keys, nil
 }
 
-// collectKeys adds the keys of an object to keys, each with the prefix: the path of the object and a separator. For a
-// list of objects, it adds the keys that all of them have.
+// collectKeys adds the keys of an object to the set keys. Each key gets the prefix, which is the path of the object and
+// a separator. For a list of objects, collectKeys adds the keys that all the objects have.
 func collectKeys(prefix string, value any, keys map[string]bool) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -63,12 +63,13 @@
 	return common
 }
 
-// jobClassKeys are the keys that every job class has. Other keys depend on its idempotency, so they may come and go.
+// jobClassKeys are the keys that every job class has. Other keys depend on the
+// idempotency of the class, so a reload is allowed to remove them.
 var jobClassKeys = map[string]bool{"name": true, "quoted-time-s": true, "outer-limit-s": true, "repeat": true, "earnings": true}
 
-// RestartKeys returns the keys that differ in the other configuration and take effect only at the next start. It leaves
-// out the job classes and the discovery address, which take effect at once; the seed, which is new at each start; and
-// the known list, which discovery replaces.
+// RestartKeys returns the keys whose values differ between the two configurations and take effect only at the next
+// start. It leaves out the job classes and the discovery address, because changes to them take effect at once. It also
+// leaves out the seed, which is new at each start, and the cached endpoint list (key known), which discovery replaces.
 func (c *Config) RestartKeys(other Config) (keys []string) {
 	other.Settings.Policy.Seed = c.Settings.Policy.Seed
 	other.Settings.JobClassNames = c.Settings.JobClassNames
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -14,8 +14,8 @@
 	minMemoryMiB      = 32
 	minDescriptors    = 64
 	maxProbeTimeout   = 10 * time.Second
-	maxSeconds        = 366 * 24 * 3600.0 // 366 days, which fits a time.Duration
-	maxQuotaPerSecond = 1e9               // above the quota of any installation
+	maxSeconds        = 366 * 24 * 3600.0 // 366 days in seconds, which fits a time.Duration
+	maxQuotaPerSecond = 1e9               // higher than the quota of any installation
 )
 
 // validate returns an error that names the first invalid key of the configuration, or nil.
@@ -82,12 +82,12 @@
 	return nil
 }
 
-// reportModes are the valid values of report.how, which may also be absent.
+// reportModes are the valid values of report.how. The empty value stands for an absent key.
 var reportModes = []string{"", reportInline, reportOnProbe, reportOff}
 
 // validate returns an error that names the first invalid key of the settings, or nil. It does not check the values of
-// tenants and job classes, which have validate methods of their own.
-// Its texts, and those of the three methods below, are also sent to the simulator, so they don't change.
+// tenants and job classes, which have validate methods of their own. The error texts of this method, of validateSeconds
+// and of the two validate methods below are also sent to the simulator, so they must not change.
 func (w *settingsJSON) validate() error {
 	caps, rules := &w.Caps, &w.Rules
 	for _, check := range [...]struct {
@@ -142,10 +142,10 @@
 	return nil
 }
 
-// validate checks the tenant with the given index. Rates are divided by the quota, so a negative quota would change the
-// sign of their sums.
+// validate checks the tenant with the given index. A negative quota is invalid: rates are divided by the quota, so sums
+// of the results would have the wrong sign.
 func (t tenantJSON) validate(index int) error {
-	if !(t.QuotaPerSecond >= 0 && t.QuotaPerSecond <= maxQuotaPerSecond) { // the negation also refuses NaN
+	if !(t.QuotaPerSecond >= 0 && t.QuotaPerSecond <= maxQuotaPerSecond) { // the negated condition also refuses NaN
 		return fmt.Errorf("settings.projects[%d].quota-per-s: not between 0 and %g", index, maxQuotaPerSecond)
 	}
 	return nil
