--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -1,8 +1,8 @@
 // Package reload catches SIGHUP, which tells a node to reload its configuration.
 //
-// It starts to catch the signal when the package is initialized, so that a signal during the start of the process does
-// not end the process. Go initializes this package early, because it imports little more than package os/signal and its
-// path sorts before nearly all others. A signal before the initialization still ends the process.
+// The package starts to catch the signal when it is initialized, so that a signal during the start of the process does
+// not end the process. Go initializes this package early, because the package imports little more than os/signal, and
+// because its import path sorts before nearly all others. A signal before the initialization still ends the process.
 package reload
 
 import (
@@ -11,7 +11,7 @@
 	"syscall"
 )
 
-// pending buffers one signal. More need not be kept: the reload that follows reads the latest state of the file.
+// pending buffers one signal. One is enough, because the reload after it reads the latest state of the file.
 var pending = catch()
 
 // catch starts to catch SIGHUP, and returns the channel that receives it.
@@ -22,12 +22,12 @@
 }
 
 // Requests returns the channel that receives a value after each SIGHUP, including one that arrived before this call.
-// Signals in quick succession may yield a single value.
+// Several signals in quick succession can yield a single value.
 func Requests() <-chan os.Signal { return pending }
 
 // RestoreDefault restores the default effect of SIGHUP, which is to end the process. A SIGHUP that has already arrived
-// ends it too. Commands that do not reload anything call RestoreDefault, so that they end when their terminal is
-// closed.
+// ends the process too. Commands that do not reload anything call RestoreDefault, so that they end when their terminal
+// is closed.
 func RestoreDefault() {
 	signal.Stop(pending) // after Stop returns, the channel receives no more signals
 	select {
--- a/internal/site/cluster.go
+++ b/internal/site/cluster.go
@@ -16,7 +16,7 @@
 	Name           string            `toml:"name"`            // name of this node in the cluster; default: the name in the configuration
 	Listen         string            `toml:"listen"`          // address and port that peers connect to, TCP and UDP; required
 	Advertise      string            `toml:"advertise"`       // address and port that peers are given to reach this node; default: listen
-	Seeds          []string          `toml:"seeds"`           // addresses of some nodes of the cluster, which may include this node; default: none
+	Seeds          []string          `toml:"seeds"`           // addresses of some nodes of the cluster; this node can be among them; default: none
 	TrustedNetwork bool              `toml:"trusted-network"` // allows non-loopback addresses, though gossip is not encrypted; default false
 	GossipInterval tomlfile.Duration `toml:"every"`           // time between two gossip rounds; default 250ms
 	Fanout         int               `toml:"tell"`            // number of messages per gossip round, each to one peer; default 3
@@ -24,7 +24,7 @@
 	DrainTTL       tomlfile.Duration `toml:"drain-for"`       // maximum age at which a drain received from a peer applies; default 10s
 }
 
-// clusterDefaults returns the values of keys that the table leaves out.
+// clusterDefaults returns the table fleet with the values of keys that are absent from the site file.
 func clusterDefaults() *Cluster {
 	defaults := cluster.Defaults("", 0, 0)
 	return &Cluster{
@@ -40,7 +40,7 @@
 	minGossipInterval   = 20 * time.Millisecond
 	maxFanout           = 16
 	maxNameBytes        = 64
-	minMessagesForState = 4 // minimum number of gossip intervals for which a peer's state is kept, so that lost messages do no harm
+	minMessagesForState = 4 // PeerStateTTL is at least GossipInterval multiplied by this, so that one or two lost messages do no harm
 )
 
 func (c *Cluster) validate() error {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// validateAddr checks the address that is the value of a key, or an element of it.
+// validateAddr checks one address: the value of the given key, or an element of the key's list.
 func (c *Cluster) validateAddr(key, text string) error {
 	addr, err := netip.ParseAddrPort(text)
 	switch {
--- a/internal/site/durable.go
+++ b/internal/site/durable.go
@@ -11,16 +11,16 @@
 // Durable enables durable batch jobs, which survive a restart of the node.
 type Durable struct {
 	Dir            string            `toml:"dir"`         // directory of the job log; no other node may use it; required
-	MaxDeadline    tomlfile.Duration `toml:"outer-limit"` // longest deadline that a client may request; default 24h
+	MaxDeadline    tomlfile.Duration `toml:"outer-limit"` // longest deadline that a client can request; default 24h
 	Retention      tomlfile.Duration `toml:"keep"`        // how long a final answer can be retrieved; default 24h
 	SegmentSize    tomlfile.ByteSize `toml:"segment"`     // size of a segment of the log; default 1MiB
-	MaxSize        tomlfile.ByteSize `toml:"most"`        // size of the whole log, which is held in memory too, above which new jobs are rejected; default 16MiB
-	MaxConcurrent  int               `toml:"in-hand"`     // number of jobs given to the policy at a time, while others wait on disk; default 256
+	MaxSize        tomlfile.ByteSize `toml:"most"`        // size of the log above which new jobs are rejected; the log is also held in memory; default 16MiB
+	MaxConcurrent  int               `toml:"in-hand"`     // maximum number of jobs that the policy has at a time; further jobs wait on disk; default 256
 	ExecutorLeases bool              `toml:"leases"`      // whether executors can be polled for the jobs that they run and have finished; default false
 	PollInterval   tomlfile.Duration `toml:"ask-every"`   // time between polls while an executor is unreachable or still runs the job; default 2s
 }
 
-// durableDefaults returns the values of keys that the table leaves out.
+// durableDefaults returns the table durable with the values of keys that are absent from the site file.
 func durableDefaults() *Durable {
 	return &Durable{
 		MaxDeadline:   tomlfile.Duration(24 * time.Hour),
@@ -34,15 +34,16 @@
 
 // Bounds of the values in the table durable.
 const (
-	memoryDivisor   = 8 // the log may take 1/8 of the memory; a small job takes 1 KB in memory and 0.3 KB on disk
+	memoryDivisor   = 8 // MaxSize is at most the node's memory divided by this: a small job takes 1 KB in memory, 0.3 KB on disk
 	minSegmentSize  = 64 << 10
-	minSegments     = 4 // minimum number of segments that fit in the log, so that compaction has space to work in
+	minSegments     = 4 // MaxSize is at least SegmentSize multiplied by this, so that compaction has space to work in
 	minPollInterval = 50 * time.Millisecond
 	minRetention    = time.Second
 	maxRetention    = 400 * 24 * time.Hour
 )
 
-// FitsMemory returns an error if the log may grow too large for the node's memory, given in bytes, and nil otherwise.
+// FitsMemory returns an error if the maximum size of the log is too large for the node's memory, which is given in
+// bytes.
 func (c Config) FitsMemory(memory int64) error {
 	if d := c.Durable; d != nil && int64(d.MaxSize) > memory/memoryDivisor {
 		return fmt.Errorf("durable.most: %d MiB is over an eighth of limits.memory_mb, %d: "+
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -8,12 +8,12 @@
 	"unsafe"
 )
 
-// peerEnder is a connection that can tell without a socket whether its peer has ended it, such as memnet.Conn.
+// peerEnder is a connection that knows without a socket whether its peer has ended it. An example is memnet.Conn.
 type peerEnder interface{ PeerEnded() bool }
 
 // Pending returns whether a read from a connection would return at once, because data, the peer's close or an error has
-// arrived. It may be called while another goroutine reads. known is false if the system cannot tell, for example
-// because the connection is not a socket.
+// arrived. It is safe to call Pending while another goroutine reads from the connection. known is false if the state
+// cannot be determined, for example because the connection is not a socket.
 func Pending(c net.Conn) (pending, known bool) {
 	raw := rawConn(c)
 	if raw == nil {
@@ -26,9 +26,9 @@
 	return pending, known && err == nil
 }
 
-// Ended returns whether the peer has closed, half-closed or reset a connection, even if data that arrived before is
-// still unread. It does not block, and may be called while another goroutine reads. known is false if the system cannot
-// tell.
+// Ended returns whether the peer has closed, half-closed or reset a connection, even if data that arrived earlier is
+// still unread. Ended does not block, and is safe to call while another goroutine reads from the connection. known is
+// false if the state cannot be determined.
 func Ended(c net.Conn) (ended, known bool) {
 	if c, ok := c.(peerEnder); ok {
 		return c.PeerEnded(), true
@@ -60,8 +60,8 @@
 	return raw
 }
 
-// peek returns whether a read would return data, or the end or an error of the connection. known is false if the system
-// cannot tell.
+// peek looks at the next byte of a socket without reading it. data is true if a read would return data, and end is true
+// if a read would return the end of the connection or an error. known is false if neither can be determined.
 func peek(fd uintptr) (data, end, known bool) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -75,7 +75,7 @@
 }
 
 // inCloseWait returns whether the TCP state of the socket shows that the peer has closed its sending side. If the state
-// cannot be read, it returns false, because a batch job may be canceled only if its client has certainly left.
+// cannot be read, it returns false, because a batch job must not be canceled unless its client has certainly left.
 func inCloseWait(fd uintptr) bool {
 	const tcpCloseWait = 8 // TCP_CLOSE_WAIT, as a value of tcpi_state, the first byte of struct tcp_info
 	var info [8]byte
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// decodeError converts an error of the TOML decoder to one that names the file, the line and the key, where they are
+// decodeError converts an error of the TOML decoder to one that names the file, and the line and the key if they are
 // known.
 func decodeError(file string, err error, target reflect.Type) error {
 	var strict *toml.StrictMissingError
@@ -73,16 +73,16 @@
 	return text
 }
 
-// bareNumber is a number without a unit in place of a duration or size. The decoder would read it as nanoseconds or
-// bytes.
+// bareNumber is a number without a unit where a duration or size is expected. The decoder would read the number as
+// nanoseconds or bytes.
 type bareNumber struct {
 	position Position
 	value    any
-	unit     string // the unit that was probably meant
+	unit     string // unit that was probably meant, such as MiB
 }
 
-// findBareNumber returns the first bare number in a decoded table, or nil. The fields of struct type t define the
-// table's keys.
+// findBareNumber returns the first bare number in a decoded table, or nil if there is none. The fields of struct type t
+// define the keys of the table. The parameter at is the position of the table; its Key is empty.
 func findBareNumber(t reflect.Type, table map[string]any, at Position) *bareNumber {
 	for i := range t.NumField() {
 		field := t.Field(i)
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// findInnerBareNumber searches a value that may be a table or an array of tables.
+// findInnerBareNumber returns the first bare number in a value that is a table or an array of tables. It returns nil if
+// there is none, and for any other value.
 func findInnerBareNumber(t reflect.Type, value any, table string) *bareNumber {
 	switch value := value.(type) {
 	case map[string]any:
@@ -124,7 +125,8 @@
 	return nil
 }
 
-// missingUnit returns the unit that was probably meant if t is a duration or size and the value has no unit, else "".
+// missingUnit returns the unit that was probably meant, if t is a duration or size and the value has no unit. Otherwise
+// it returns "".
 func missingUnit(t reflect.Type, value any) string {
 	if _, isText := value.(string); isText {
 		return ""
--- a/internal/tomlfile/nearest.go
+++ b/internal/tomlfile/nearest.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// maxEdits is the maximum edit distance of a suggested key from the unknown one.
+// maxEdits is the maximum edit distance between an unknown key and the key that is suggested in its place.
 const maxEdits = 2
 
 // nearestKey returns the key with the least edit distance from an unknown key, among those of struct type t and of the
-// structs nested in it. It returns "" if none is within maxEdits.
+// structs nested in it. It returns "" if the distance of each of them is over maxEdits.
 func nearestKey(unknown string, t reflect.Type) string {
 	nearest, least := "", maxEdits+1
 	var visit func(reflect.Type)
--- a/internal/tomlfile/position.go
+++ b/internal/tomlfile/position.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// NoIndex is the Index of a Position that is not in an array of tables.
+// NoIndex is the Index of a Position whose table is not in an array of tables.
 const NoIndex = -1
 
 // Position is the position of a key in a file.
 type Position struct {
 	Table string // name of the table; empty for a top-level key
-	Index int    // index of the table in an array of tables, or NoIndex
+	Index int    // index of the table in its array of tables; NoIndex if it is in none
 	Key   string
 }
 
-// String returns the key, preceded by its table.
+// String returns the key, preceded by the name of its table and the table's index if the key has these.
 func (p Position) String() string {
 	switch {
 	case p.Table == "":
@@ -41,7 +41,7 @@
 // Error returns the key and what is wrong with its value.
 func (e *KeyError) Error() string { return fmt.Sprintf("%s: %v", e.Position, e.Err) }
 
-// Unwrap returns the error without the key.
+// Unwrap returns the cause, whose text lacks the key.
 func (e *KeyError) Unwrap() error { return e.Err }
 
 // Locate prefixes an error with the file, and a KeyError also with the line and the key.
@@ -53,8 +53,8 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// line returns the line number of the key in the text; if it is not found, that of its table; if that is not found
-// either, 1.
+// line returns the line number of the key in the text. If the key is not found, line returns the line number of its
+// table, or 1 if the table is not found either.
 func (p Position) line(text string) int {
 	index, inTable := -1, p.Table == ""
 	found, row := 1, 0
--- a/internal/tomlfile/units.go
+++ b/internal/tomlfile/units.go
@@ -34,13 +34,16 @@
 // ByteSize is a number of bytes that is written with its unit, such as "64MiB".
 type ByteSize int64
 
-// maxByteSize is half the largest int64, which leaves headroom for sums of sizes.
+// maxByteSize is the maximum of a size, in bytes. It is half the range of int64, which leaves headroom for sums of
+// sizes.
 const maxByteSize = 1 << 62
 
-// sizeUnits are the units in the order in which UnmarshalText compares suffixes. B is last, since all others end in B.
+// sizeUnits are the units in the order in which UnmarshalText compares them with the end of the text. B is last,
+// because the other units also end in B.
 var sizeUnits = []sizeUnit{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// largestFirst are the units that MarshalText tries, from large to small, before bytes.
+// largestFirst are the units that MarshalText tries, from the largest to the smallest, before it writes a size in
+// bytes.
 var largestFirst = []sizeUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}}
 
 type sizeUnit struct {
@@ -65,7 +68,7 @@
 	return fmt.Errorf("%q is not a size like \"64MiB\"; units are B, KiB, MiB and GiB", text)
 }
 
-// MarshalText writes a size with the largest unit of which it is a whole multiple.
+// MarshalText writes a size in the largest unit that yields a whole number.
 func (s ByteSize) MarshalText() ([]byte, error) {
 	for _, unit := range largestFirst {
 		if s != 0 && int64(s)%unit.bytes == 0 {
