--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -17,7 +17,7 @@
 	reserveDivisor    = 16       // the descriptor limit is divided by this to get the number of descriptors kept in reserve
 	ownDescriptors    = 8        // descriptors of the process itself: 3 standard streams, 2 of Go's poller, the listener, one just accepted, one just closed
 	minConns          = 7        // minimum number of descriptors for clients and executors together, even if fewer are left
-	executorDivisor   = 4        // the descriptors for clients and executors are divided by this to get those for executors
+	executorDivisor   = 4        // the number of descriptors for clients and executors is divided by this to get the number for executors
 	clientConnBytes   = 96 << 10 // maximum memory of one client connection, in bytes: a body, buffers, a stack
 	clientMemoryShare = 2        // the memory limit is divided by this to get the memory for client connections
 )
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// WatchEndpoints ends a pause between two requests early, unless a shared service rejected the first one.
+// WatchEndpoints ends a pause between two requests early, unless a shared service rejected the last request.
 func (w *Watcher) WatchEndpoints() {
 	select {
 	case w.wake <- struct{}{}:
