--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,31 +3,38 @@
 import "time"
 
 const (
-	// maxLateQueueFraction is the longest time in the queue of a job whose class has a late value, as a fraction of the
-	// class's deadline.
+	// maxLateQueueFraction limits how long a job waits in the queue if its class has a late value. Such a job still
+	// yields value after its objective. The limit is a fraction of the class's deadline.
 	maxLateQueueFraction = 0.5
 
-	// clientEstimateMargin is the factor for the predicted wait and running time of a job if the client estimated its
-	// work.
+	// clientEstimateMargin is the safety margin of predictions for a job whose work the client estimated. The predicted
+	// wait and running time are multiplied by it.
 	clientEstimateMargin = 1.1
 
-	// classEstimateMargin is the factor for the predicted wait and running time of a job if the client did not estimate
-	// its work. The work of every job sent to an executor in slow start is multiplied by it too.
+	// classEstimateMargin is the safety margin for a job whose work is only known as the mean of its class. The
+	// predicted wait and running time are multiplied by it. The slow-start budget multiplies the work of every job by
+	// it.
 	classEstimateMargin = 1.25
 
-	// A tenant's budgetMargin is a fraction of the predicted running time. It falls by budgetMarginStep when a job with a
-	// short budget succeeds. It rises by budgetMarginRise times budgetMarginStep when such a job times out, up to
+	// A tenant's budgetMargin keeps attempts from ending after a client with a short timeout has given up. It is a
+	// fraction of the predicted running time. When a job with a short budget succeeds, the margin falls by
+	// budgetMarginStep. When such a job times out, the margin rises by budgetMarginRise times budgetMarginStep, up to
 	// maxBudgetMargin.
 	budgetMarginStep = 0.05
 	budgetMarginRise = 4
 	maxBudgetMargin  = 1.5
 
-	// maxShortBudgetRatio is a limit: if a larger fraction of a tenant's first tries has short budgets, a short budget of
-	// this tenant is not taken as a sign of an earlier try.
+	// maxShortBudgetRatio identifies tenants whose clients have short timeouts. It is a fraction of a tenant's first
+	// tries. If more of them have short budgets, a short budget of the tenant is no sign of an earlier try.
 	maxShortBudgetRatio = 0.3
 
-	maxClientRetries   = 3.0 // assumed number of times that a client retries a rejected job
-	shortBudgetDivisor = 2   // a short client timeout gives a job a start margin below the class's deadline divided by this
+	// maxClientRetries is the largest number of short budgets that one rejected job explains. It is the assumed number
+	// of times that a client retries a rejected job.
+	maxClientRetries = 3.0
+
+	// shortBudgetDivisor decides which jobs of clients with a short timeout get a start margin. The budget must be
+	// below the class's deadline divided by this number.
+	shortBudgetDivisor = 2
 )
 
 // newJob returns the job for an arrival. If the client did not estimate its work, the class's mean work is used.
@@ -65,10 +72,10 @@
 // of an earlier try: the result is then the class's deadline minus the budget. For a budget that is not short, the
 // result is 0.
 //
-// A budget can also be short because the client's timeout is shorter than the deadline. Such a budget says nothing about
-// earlier tries, and the result is 0. The job gets a start margin if that budget is less than half of the deadline, the
-// job has a tenant, and clients mark their retries. The reason is that an attempt is wasted if it ends after its client
-// has given up.
+// A budget can also be short because the client's timeout is shorter than the deadline. Such a budget says nothing
+// about earlier tries, and the result is 0. An attempt is wasted if it ends after its client has given up. To avoid
+// that, the job can get a start margin. Three conditions must hold: the budget is less than half of the deadline, the
+// job has a tenant, and clients mark their retries.
 func (d *Dispatcher) spentBudget(j *job, arrival Arrival) time.Duration {
 	class := j.class
 	shortfall := class.recordBudget(arrival.Budget)
@@ -91,8 +98,8 @@
 // shortTimeoutByMarks reports whether j's client has a timeout that is shorter than the deadline. It is used if clients
 // mark their retries. The result is true if j is a first try with a short budget, or if the tenant's first tries often
 // have short budgets (maxShortBudgetRatio). The shortfall is the class's full budget minus j's budget. A first try has
-// possibly waited here since the previous turn, so its budget counts as short only if the shortfall is larger than that
-// time.
+// possibly waited at this node since the previous turn. So its budget counts as short only if the shortfall is larger
+// than the time between the two turns.
 func (d *Dispatcher) shortTimeoutByMarks(j *job, arrival Arrival, shortfall time.Duration) bool {
 	shortFirstTry := !arrival.ClientRetry && shortfall > d.clock.turnGap
 	ratio := j.tenant.recordFirstTry(arrival.ClientRetry, shortFirstTry)
@@ -138,8 +145,8 @@
 }
 
 // latestStart returns the latest time at which an executor of the given pace can start j and still complete it in time.
-// In time means by its objective. If j's class has a late value, it means by j's deadline and within maxQueueTime after
-// j was queued. The predicted running time is multiplied by j's start margin.
+// The predicted running time is multiplied by j's start margin. A job must end by its objective. If j's class has a
+// late value, j must instead end by its deadline and within maxQueueTime after it was queued.
 func (d *Dispatcher) latestStart(j *job, pace float64) time.Duration {
 	end := j.objectiveAt
 	if j.class.lateValue > 0 {
@@ -148,8 +155,8 @@
 	return end - scaled(j.work, pace*j.startMargin)
 }
 
-// isLate reports whether j counts as late when an executor is chosen. A job is late if the time left until its
-// objective is less than half of its work.
+// isLate reports whether j counts as late in the choice of an executor. A job is late if less than half of its work
+// fits into the time left until its objective.
 func (d *Dispatcher) isLate(j *job, now time.Duration) bool { return j.objectiveAt < now+j.work/2 }
 
 // outOfAttempts reports whether j can't have another attempt. That is so if its deadline is at most a quantum away, if
--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -23,11 +23,11 @@
 //	└─ dirty                 executors whose entry is out of date because of an event
 //
 // The weighted age of a free token (tokenAge) grows with time. The rate of this growth, the aging rate of the executor,
-// is weight / (pace x (shortest objective + expected wait)). The index entry of an executor holds an upper bound of it.
-// The invariants are:
+// is weight / (pace x (shortest objective + expected wait)). An executor's index entry holds an upper bound of its
+// rate. The invariants are:
 //
-//	I1  agingRate x rateScale is at least the true aging rate, as long as the entry is neither dirty nor expired and the
-//	    kind's pace has not passed paceLimit.
+//	I1  While an entry is valid, its agingRate x rateScale is at least the true aging rate. An entry is valid if it is
+//	    neither dirty nor expired, and if the kind's pace has not passed paceLimit.
 //	I2  maxRate of a bucket is at least agingRate of each executor in it.
 //	I3  A bucket and its head are in the lists of its group if and only if the bucket has executors.
 //	I4  Each change of a value that an entry depends on marks the executor dirty (markDirty). The exceptions are the time
@@ -37,31 +37,43 @@
 // index with those of a scan of all executors.
 
 const (
-	rateBucketsPerE  = 256 // number of rate buckets between an aging rate and e (2.718) times that rate
-	maxRateBucket    = 1e6 // bucket number for extreme aging rates: zero, infinite or out of range
-	spareRateBuckets = 64  // a group discards its empty buckets once they outnumber those in use by more than this
+	// rateBucketsPerE sets how narrow the rate buckets are. It is the number of buckets between an aging rate and e
+	// (2.718) times that rate.
+	rateBucketsPerE = 256
+	// maxRateBucket is the bucket number for extreme aging rates: zero, infinite or out of range.
+	maxRateBucket = 1e6
+	// spareRateBuckets is the number of empty buckets that a group keeps for reuse, beyond the number of its buckets in
+	// use. If there are more, the group discards its empty buckets before it adds a bucket.
+	spareRateBuckets = 64
 
 	// An upper bound is multiplied by roundingUp, and a lower bound of a pace by roundingDown, to allow for rounding
 	// errors. Without that, the index could omit an executor that ties with the best candidate.
 	roundingUp   = 1 + 1e-9
 	roundingDown = 1 - 1e-12
 
-	rateTolerance    = 1.0 / 512 // largest relative error of an aging rate's bound that a drift of the kind's pace can cause
-	maxPaceDrift     = 1.0 / 8   // largest relative drift of a kind's pace before its executors are indexed again
-	waitBoundDivisor = 8         // a bound of a shrinking wait is valid for at most (shortest objective + wait) / this
+	// rateTolerance keeps the bounds of aging rates tight while a kind's pace drifts. It is the largest relative error
+	// of a bound that such a drift can cause.
+	rateTolerance = 1.0 / 512
+	// maxPaceDrift limits how long index entries are kept while a kind's pace drifts. After a larger relative drift,
+	// the executors of the kind are indexed again.
+	maxPaceDrift = 1.0 / 8
+	// waitBoundDivisor keeps the bound of a shrinking wait from becoming too loose. The bound is valid for at most
+	// (shortest objective + wait) / waitBoundDivisor.
+	waitBoundDivisor = 8
 )
 
-// executorLoad says which late jobs are allowed to use an executor.
+// executorLoad says which late jobs are allowed to use an executor. For a late job bound to a dedup group, only loadBusy
+// excludes the executor; acceptsLate decides about the others.
 type executorLoad int
 
 const (
-	// loadIdleOpen means that no attempt of this node is in flight at the executor, and that all late jobs are allowed
-	// to use it.
+	// loadIdleOpen means that no attempt of this node is in flight at the executor. All late jobs are allowed to use
+	// it.
 	loadIdleOpen executorLoad = iota
-	// loadIdleRestricted means that no attempt of this node is in flight at the executor, but that only late jobs of
-	// classes without a late value are allowed to use it.
+	// loadIdleRestricted means that no attempt of this node is in flight at the executor. Of the late jobs, only those
+	// that yield no value after their objective (lateValue 0) are allowed to use it.
 	loadIdleRestricted
-	// loadBusy means that an attempt of this node is in flight at the executor, so that no late job is allowed to use it.
+	// loadBusy means that an attempt of this node is in flight at the executor. No late job is allowed to use it.
 	loadBusy
 )
 
@@ -76,12 +88,16 @@
 
 // indexEntry is the entry of an executor in the candidate index.
 type indexEntry struct {
-	subsetRank int  // the executor's position in subset.members; -1: it is not a member
+	subsetRank int  // the executor's position in subset.members; -1: the executor is not a member
 	dirty      bool // the executor is in candidateIndex.dirty
 	group      *tokenGroup
 	positions  [heapKeys]heapPosition
-	agingRate  float64 // upper bound of the tokens' aging rate; in a normalized group for a kind's pace of 1
-	paceLimit  float64 // lowest pace of the kind for which agingRate is valid; in a normalized group the highest one
+	// agingRate is an upper bound of the aging rate of the executor's tokens. In a normalized group, it is computed for
+	// a kind's pace of 1.
+	agingRate float64
+	// paceLimit is the lowest pace of the kind for which agingRate is valid. In a normalized group, it is the highest
+	// pace.
+	paceLimit float64
 }
 
 // candidateIndex is the candidate index of all executor kinds.
@@ -100,9 +116,11 @@
 
 // kindIndex is the part of the index for one executor kind.
 type kindIndex struct {
-	id             KindID
-	stats          *kindStats
-	maxConcurrency int // number of slots per executor in all bounds; a query first raises it to stats.concurrency
+	id    KindID
+	stats *kindStats
+	// maxConcurrency is the number of slots per executor that all bounds assume. A query first raises this number to
+	// stats.concurrency if that is larger.
+	maxConcurrency int
 	groups         []*tokenGroup
 	paceFloors     executorHeap // executors whose entry is valid while the pace is at least paceLimit; highest limit first
 	paceCeilings   executorHeap // executors whose entry is valid while the pace is at most paceLimit; lowest limit first
@@ -112,11 +130,13 @@
 
 // groupKey is the set of properties that all executors of a group share.
 type groupKey struct {
-	remote     bool
-	inSubset   bool
-	load       executorLoad
-	lease      leaseReadiness
-	normalized bool // the group's aging rates are computed for a kind's pace of 1, and multiplied by rateScale in queries
+	remote   bool
+	inSubset bool
+	load     executorLoad
+	lease    leaseReadiness
+	// normalized means that the group's aging rates are computed for a kind's pace of 1. Queries multiply the rates by
+	// rateScale, so that the bounds follow the kind's pace.
+	normalized bool
 }
 
 // tokenGroup holds the executors of a kind that have a usable token and the same groupKey.
@@ -125,7 +145,8 @@
 	kind          *kindIndex
 	bucketsByRate map[int]*rateBucket
 	buckets       []*rateBucket // the non-empty buckets
-	heads         []bucketHead  // heads[i] belongs to buckets[i]; they are contiguous in memory, so scans are fast
+	// heads[i] is the head of buckets[i]. Heads are stored by value, so that a scan of them reads one contiguous array.
+	heads []bucketHead
 }
 
 // rateBucket holds the executors of a group with nearly the same aging rate, in a heap by the age of their oldest free
@@ -328,8 +349,9 @@
 
 // setPaceLimit sets how far the kind's pace can drift before e's aging rate is computed again. The limit is
 // maxPaceDrift, or less if a smaller drift already causes an error of rateTolerance in the bound. The less e's pace
-// depends on its kind's pace, the farther the kind's pace can drift. In a normalized group it is the reverse: rateScale
-// follows the kind's pace, so a drift affects the bound only by the weight of e's own observations.
+// depends on its kind's pace, the farther the kind's pace can drift. In a normalized group, the opposite holds: the
+// more e's pace depends on its kind's pace, the farther that pace can drift. The reason is that rateScale follows the
+// kind's pace, so a drift affects the bound only by the weight of e's own observations.
 func (e *executor) setPaceLimit(kind *kindIndex) {
 	pace := kind.stats.pace
 	seen := e.estimate.work / (e.estimate.work + 1) // weight of e's own observations in its pace
@@ -345,9 +367,9 @@
 // maxAgingRate returns an upper bound of the rate at which e's tokens age. The bound is valid until the returned time,
 // as long as the kind's pace has not passed e's paceLimit.
 //
-// In a normalized group, the bound is computed for a kind's pace of 1. An executor is in such a group if there are few
-// observations of it, so that its pace mostly follows its kind's pace, and if it has a free slot, so that minWait does
-// not depend on the pace.
+// In a normalized group, the bound is computed for a kind's pace of 1. An executor is in such a group if two conditions
+// hold. First, there are few observations of the executor, so its pace mostly follows its kind's pace. Second, the
+// executor has a free slot, so minWait does not depend on the pace.
 func (d *Dispatcher) maxAgingRate(e *executor, kind *kindIndex, now time.Duration) (rate float64, until time.Duration) {
 	wait, until := d.minWait(e, e.limitPace(), kind.maxConcurrency, now)
 	return roundingUp * e.weight / (e.limitPace() * (d.classes.shortestObjective + wait).Seconds()), until
@@ -378,8 +400,8 @@
 }
 
 // minWait returns a lower bound of expectedWait for a job sent to e. The bound is valid until the returned time. If
-// this node's attempts take all slots, the job waits at least until the first running attempt ends, plus the running
-// times of the queued attempts divided by the number of slots.
+// this node's attempts take all slots, the wait has two parts. The first part lasts until the first running attempt
+// ends. The second part is the sum of the running times of the queued attempts, divided by the number of slots.
 func (d *Dispatcher) minWait(e *executor, pace float64, slots int, now time.Duration) (wait, until time.Duration) {
 	if len(e.attempts) < slots {
 		return e.estimate.startWait, Forever
@@ -398,7 +420,7 @@
 	if firstEnd == Forever || left <= 0 {
 		return max(e.estimate.startWait, wait), Forever
 	}
-	// The wait shrinks as time passes. So the wait at the end of the validity is a lower bound until then.
+	// The wait shrinks as time passes. So the wait at the time until is a lower bound for all earlier times.
 	until = now + max(min(left, (d.classes.shortestObjective+wait+left)/waitBoundDivisor), 1)
 	return max(e.estimate.startWait, wait+firstEnd-1-until), until
 }
--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -15,7 +15,8 @@
 	late     bool    // the job counts as late (isLate)
 	forLease bool    // the candidates are wanted for a lease request, not for an attempt
 	maxPace  float64 // executors with a higher pace are of no use to the job
-	minAge   float64 // tokens with a lower weighted age are of no use to the job; the caller can raise minAge at any time
+	// minAge is the lowest weighted age of a token that is of use to the job. The caller can raise minAge at any time.
+	minAge float64
 }
 
 // candidates iterates over executors with a token for the query's job. It starts with the bucket that has the highest
@@ -76,9 +77,9 @@
 	return first
 }
 
-// maxPace returns an upper bound of the paces at which an executor can complete j by its objective, if j starts there
-// without a wait. For a late job the bound is infinite. The bound is slightly too high, to allow for rounding errors,
-// so tokenAge has to check the executors below it too.
+// maxPace returns the highest pace at which an executor can still complete j by its objective. It assumes that j starts
+// without a wait. For a late job the result is infinite. To allow for rounding errors, the result is slightly too high,
+// so tokenAge has to check the executors of lower pace too.
 func (j *job) maxPace(now time.Duration, late bool) float64 {
 	if late {
 		return math.Inf(1)
@@ -120,10 +121,10 @@
 	return !q.late || g.load == loadIdleOpen || g.load == loadIdleRestricted && q.class.lateValue == 0
 }
 
-// walkBucket yields the candidates in a bucket's heap, from index i downwards. The further down an executor is, the
-// shorter its oldest token has been free. So the walk stops at an executor whose token would be below the query's
-// minAge even at the bucket's maxRate. Executors above the query's maxPace are skipped. The result is false if the
-// caller has stopped the iteration.
+// walkBucket yields the candidates in a bucket's heap: the executor at index i and its descendants. No descendant's
+// oldest token has been free for longer than the executor's own. So the walk leaves out an executor and its descendants
+// if its token would be below the query's minAge even at the bucket's maxRate. Executors above the query's maxPace are
+// skipped. The result is false if the caller has stopped the iteration.
 func (d *Dispatcher) walkBucket(b *rateBucket, i int, q *query, yield func(*executor) bool) bool {
 	if i >= len(b.executors) {
 		return true
@@ -148,9 +149,9 @@
 	return d.walkBucket(b, 2*i+1, q, yield) && d.walkBucket(b, 2*i+2, q, yield)
 }
 
-// anyTokenFor returns false only if the index has no token for j. With forLease, a token counts only if a lease
-// has to be requested for it. Without forLease, a token counts only if it needs no further lease request. For a job bound
-// to a dedup group the result is always true, because executors outside the subset can serve the job too.
+// anyTokenFor returns false only if the index has no token for j. With forLease, only tokens count for which a lease
+// must still be requested. Without forLease, only tokens count that need no lease or have one. For a job bound to a
+// dedup group, the result is always true, because executors outside the subset can serve the job too.
 func (d *Dispatcher) anyTokenFor(j *job, now time.Duration, forLease bool) bool {
 	if d.boundToDedupGroup(j) {
 		return true
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -12,20 +12,23 @@
 // class can serve it. This never changes the result, since pickExecutor would find no executor for a skipped job
 // either.
 
-// minQueuedForGrouping is the largest number of queued jobs at which each job is evaluated by itself. With more
-// queued jobs, they are grouped by class.
+// minQueuedForGrouping is the queue length above which grouping by class saves time. Up to this number of queued jobs,
+// each job is evaluated by itself.
 const minQueuedForGrouping = 8
 
 // classCandidates holds the executors that could serve one group of queued jobs: either the late jobs of a class, or
 // the other jobs of that class.
 type classCandidates struct {
-	class          *jobClass
-	late           bool
-	leastDemanding job           // artificial job with the least work, lowest margin and latest objective of the group
+	class *jobClass
+	late  bool
+	// leastDemanding is an artificial job that stands for the whole group: an executor that can't serve it can't serve
+	// any job of the group. It has the least work, lowest predictionMargin and latest objectiveAt of the group. It has
+	// a client estimate if any job of the group has one.
+	leastDemanding job
 	executors      []*executor   // executors that could serve leastDemanding
-	earliestEnd    time.Duration // earliest time at which any member of executors could complete leastDemanding
-	minWait        time.Duration // shortest expected wait at any member of executors
-	minPace        float64       // lowest pace of any member of executors
+	earliestEnd    time.Duration // earliest predicted end of leastDemanding at any of executors
+	minWait        time.Duration // shortest expected wait at any of executors
+	minPace        float64       // lowest pace of any of executors
 }
 
 // relaxTo lowers the demands of leastDemanding, so that it demands no more than j.
@@ -37,8 +40,8 @@
 	leastDemanding.hasClientEstimate = leastDemanding.hasClientEstimate || j.hasClientEstimate
 }
 
-// placedIndividually reports whether j has to be evaluated by itself. That is so if j is bound to a dedup group or has an
-// attempt in flight, because its candidates can then differ from those of its class.
+// placedIndividually reports whether j has to be evaluated by itself. That is so if j is bound to a dedup group or has
+// an attempt in flight, because its candidates can then differ from those of its class.
 func (d *Dispatcher) placedIndividually(j *job) bool {
 	return d.boundToDedupGroup(j) || len(j.attempts) > 0
 }
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -8,8 +8,9 @@
 // Forever is a time that is never reached.
 const Forever time.Duration = math.MaxInt64
 
-// clock records the times at which the dispatcher is called. All calls with the same time are one turn. The clock also
-// detects that the node has stalled. Events of the turn after a stall can be older than the turn's time suggests.
+// clock records the times at which the dispatcher is called. Consecutive calls with the same time are one turn. The
+// clock also detects that the node has stalled. Events of the turn after a stall can be older than the turn's time
+// suggests.
 type clock struct {
 	now        time.Duration // time of this turn
 	wakeAt     time.Duration // time at which the dispatcher has asked to be called again
--- a/policy/config.go
+++ b/policy/config.go
@@ -7,20 +7,22 @@
 	nodeID    NodeID
 	nodeCount int
 	zone      ZoneID
-	quantum   time.Duration // time resolution: a deadline counts as reached when no more than this is left until it
+	quantum   time.Duration // time resolution; a deadline counts as reached one quantum early
 
-	// valuePerWork says that the value of a job is the value of its class times the job's work in seconds. Without it,
-	// the value of a job is the value of its class.
+	// valuePerWork says that the value of a job grows with its work: class value times the work in seconds. If
+	// valuePerWork is false, the value of a job is the value of its class.
 	valuePerWork bool
-	// overQuotaValue, 0 to 1, is the lower limit of the factor for the value of a tenant's jobs. The further the tenant
-	// is over its quota, the closer the factor is to this limit. For a tenant within its quota, the factor is 1.
+	// overQuotaValue limits how much less the jobs of a tenant over its quota are valued. The value of a tenant's jobs
+	// is multiplied by a factor from overQuotaValue to 1. Within the quota, the factor is 1. The further the tenant is
+	// over its quota, the closer the factor is to overQuotaValue.
 	overQuotaValue float64
 	// crossZoneCost is the cost of sending a job to another zone, as a multiple of the mean value of a job; 0: no cost.
 	crossZoneCost float64
-	// totalWeight is the weight of the value of all classes together in the value that the dispatcher maximizes.
+	// totalWeight is the weight of the total value in the sum that the dispatcher maximizes. The total value is that of
+	// all classes together.
 	totalWeight float64
-	// worstClassWeight is the weight of the worst class in the value that the dispatcher maximizes. The worst class is
-	// the one that earned the lowest fraction of its requested value.
+	// worstClassWeight is the weight of the worst class in the sum that the dispatcher maximizes. The worst class is
+	// the one that earned the lowest fraction of its requested value, which is the value of its arrived first tries.
 	worstClassWeight float64
 
 	maxAttempts         int           // largest number of attempts of a job whose class sets no limit
--- a/policy/decisions.go
+++ b/policy/decisions.go
@@ -9,7 +9,7 @@
 const (
 	NoAction Action = iota // do nothing, because the job is finished or an attempt of it is in flight
 	Send                   // send a new attempt to Decision.Executor
-	Enqueue                // keep the job in the queue until an executor has a token for it
+	Enqueue                // keep the job in the queue until an executor has a token for the job
 	Reject                 // reject the job; the client can retry after Decision.RetryAfter
 	Fail                   // fail the job, because it has possibly run and a retry could have a duplicate effect
 )
@@ -18,7 +18,7 @@
 type Decision struct {
 	Action     Action
 	Executor   ExecutorID    // for Send: executor that gets the attempt
-	RetryAfter time.Duration // for Reject: time that the client should wait before it retries; 0: no advice
+	RetryAfter time.Duration // for Reject: time for which the client should wait before it retries; 0: no advice
 }
 
 // Task is a kind of task that the dispatcher gives to its caller.
@@ -35,7 +35,8 @@
 	SendHealthCheck              // send a health check to DueTask.Executor
 )
 
-// DueTask is the result of NextTask. Besides Task, only the fields named in the comment of the Task constant are set.
+// DueTask is the result of NextTask. Besides Task, only some fields are set: those that the comment of its Task
+// constant names.
 type DueTask struct {
 	Task     Task
 	At       time.Duration
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -7,8 +7,8 @@
 )
 
 // Dispatcher decides for one node which executor gets which job, and when. It is not safe for concurrent use: only the
-// goroutine of the node's event loop may call it. Each field of the second group holds the state of one scheduling rule.
-// The type of such a field is declared in the file of its rule.
+// goroutine of the node's event loop may call it. Each field of the second group holds the state of one scheduling
+// rule. The type of such a field is declared in the file of its rule.
 type Dispatcher struct {
 	config config
 	clock  clock
@@ -59,14 +59,17 @@
 	d.quota.intervalEnd = d.classes.quotaInterval
 	d.slowStart.derive(settings.OverloadMultiple, d.classes.shortestObjective, d.config.nodeCount)
 	d.spreadPolls(settings.PollWithin)
-	d.timers.checkAll(d.slowStart.overloadWindow) // until then, a restarted process has a reduced slow-start budget
+	// After the first overload window, this process is no longer limited to a fraction of its slow-start budget
+	// (restartedBudgetFraction). Jobs that didn't fit into the budget before can fit then.
+	d.timers.checkAll(d.slowStart.overloadWindow)
 	for _, t := range settings.Tenants {
 		d.tenants = append(d.tenants, tenant{quotaPerSecond: t.QuotaPerSecond / float64(settings.Nodes)})
 	}
 	return d
 }
 
-// JobArrived queues a job that a client has sent to this node. In the same turn, NextTask returns PlaceJob for this job.
+// JobArrived queues a job that a client has sent to this node. In the same turn, NextTask returns PlaceJob for this
+// job.
 func (d *Dispatcher) JobArrived(now time.Duration, arrival Arrival) {
 	d.beginTurn(now)
 	j := d.newJob(now, arrival)
@@ -105,8 +108,8 @@
 		latestStart = d.latestStart(j, d.pace(e, now))
 	}
 	if e == nil || now > latestStart {
-		// No executor has a token for the job, or the chosen executor would complete it too late. The job stays queued as
-		// long as the fastest executor could still complete it in time.
+		// No executor has a token for the job, or the chosen executor would complete the job too late. The job stays
+		// queued as long as the fastest executor could still complete it in time.
 		latestStart = d.latestStart(j, d.bestPaceFor(j, now))
 		if now > latestStart {
 			return d.rejectOrFail(j)
@@ -133,8 +136,8 @@
 }
 
 // schedulePlacement sets a timer that has Place called again for a queued job. The timer is due when Place can first
-// decide differently even if no token is released until then. That is when the job is allowed to use other zones, when
-// it becomes late, when its latest start has passed, or when its deadline is reached.
+// decide differently without a new free token. That is the earliest of four times: the job is allowed to use other
+// zones, it becomes late, its latest start has passed, or its deadline is reached.
 func (d *Dispatcher) schedulePlacement(j *job, latestStart, now time.Duration) {
 	next := min(max(latestStart, now)+d.config.quantum, j.deadlineAt-d.config.quantum)
 	crossesAt := j.queuedAt + d.crossZoneDelay(j)
@@ -179,8 +182,8 @@
 	d.recordAlive(a.executor, now)
 }
 
-// AttemptEnded records an attempt's outcome and decides what to do with the job next. If final is set, the job is
-// finished, by this outcome or by an earlier event, and no further attempt is sent.
+// AttemptEnded records an attempt's outcome and decides what to do with the job next. If final is set, this outcome or
+// an earlier event has finished the job, and no further attempt is sent.
 func (d *Dispatcher) AttemptEnded(now time.Duration, id JobID, number AttemptID, outcome Outcome, final bool) Decision {
 	d.beginTurn(now)
 	a := d.findAttempt(id, number)
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,19 +9,33 @@
 )
 
 const (
-	minWeight           = 1e-3 // lower bound of an executor's weight; smaller weights are raised to it
-	maxSingleInsertions = 8    // up to this many new executors are inserted one by one; for more, all executors are sorted
-	pollIntervalDivisor = 8    // the poll interval is Settings.PollWithin divided by this
-	pollSpreadDivisor   = 2    // the first polls of many nodes are spread over Settings.PollWithin divided by this
-	minPollJitter       = 0.5  // the delay after a failed poll is the poll interval times (this + a random number, 0 to 1)
+	// minWeight is the smallest weight of an executor; smaller weights in the endpoint list are raised to it. Weights
+	// are used as divisors.
+	minWeight = 1e-3
+
+	// maxSingleInsertions is the number of new executors up to which inserting them one by one is cheaper. For more new
+	// executors, the whole list is sorted.
+	maxSingleInsertions = 8
+
+	// pollIntervalDivisor leaves time for several polls within Settings.PollWithin. The poll interval is PollWithin
+	// divided by this number.
+	pollIntervalDivisor = 8
+
+	// pollSpreadDivisor spreads the first polls of many nodes, and leaves time for retries. The first polls are spread
+	// over Settings.PollWithin divided by this number.
+	pollSpreadDivisor = 2
+
+	// minPollJitter is the lower bound of the random factor that spreads the polls after a failure. The delay is the
+	// poll interval times a random number from minPollJitter to minPollJitter + 1.
+	minPollJitter = 0.5
 )
 
 // goldenRatio32 is a prime number close to 2^32 divided by the golden ratio. If two hashes differ in few bits, their
 // products with this number differ in many bits (Fibonacci hashing).
 const goldenRatio32 = 0x9e3779b1
 
-// endpointTable holds the executors of the endpoint list. It also holds executors that were removed from the list while
-// this node had tokens of them taken.
+// endpointTable holds the executors of the endpoint list. It also holds removed executors of which this node still has
+// tokens taken.
 type endpointTable struct {
 	byID       map[ExecutorID]*executor
 	byHash     map[ExecutorHash]*executor // executors by the hash of their id; lease messages contain this hash
@@ -29,7 +43,7 @@
 	unranked   []*executor                // new executors that are not in ranked yet
 	kinds      map[KindID]*kindStats
 	updates    int  // number of updates of the endpoint list so far
-	anyRemoved bool // some executor in this table was possibly removed from the endpoint list; false: none was
+	anyRemoved bool // the table possibly holds executors that were removed from the endpoint list; false: it holds none
 }
 
 // endpointPoll schedules the requests for the endpoint list. It is used if the discovery service has to be polled.
@@ -52,8 +66,8 @@
 	cell       CellID
 	rank       uint32        // rank at this node (rankOf); executors of higher rank are preferred
 	weight     float64       // weight in the endpoint list
-	size       float64       // largest weight so far, if weights fall with the load; otherwise 0
-	listedLoad float64       // jobs per core, computed from the weights in the endpoint list; 0 if these ignore the load
+	size       float64       // weight of the idle executor: the largest weight so far; 0: weights ignore the load
+	listedLoad float64       // load in jobs per core, inferred from the weight and the size; 0: weights ignore the load
 	available  bool          // the endpoint list says that the executor takes new jobs
 	removed    bool          // the executor was removed from the endpoint list
 	listedIn   int           // value of endpointTable.updates at the last update that contained the executor
@@ -148,9 +162,9 @@
 	return e
 }
 
-// isSlowStartSender reports whether this node is allowed to send jobs to an executor in slow start. The executor's hash
-// selects the first node that is allowed to. The others are the nodes with the next numbers. So all nodes agree on the
-// senders without a message.
+// isSlowStartSender reports whether this node is one of an executor's senders: the nodes that are allowed to send it
+// jobs during its slow start. The executor's hash selects the first sender. The other senders are the nodes with the
+// next numbers. So all nodes agree on the senders without a message.
 func (d *Dispatcher) isSlowStartSender(hash ExecutorHash) bool {
 	nodes := d.config.nodeCount
 	first := int(hash % ExecutorHash(nodes))
@@ -158,8 +172,8 @@
 	return place < d.slowStart.senders
 }
 
-// update copies the fields of an entry of the endpoint list, except the weight (see recordWeight) and the start time (see
-// recordRestart).
+// update copies the fields of an entry of the endpoint list, except the weight (see recordWeight) and the start time
+// (see recordRestart).
 func (e *executor) update(entry Endpoint) {
 	e.zone = entry.Zone
 	e.kind = entry.Kind
@@ -169,8 +183,8 @@
 }
 
 // recordRestart records that an executor has started, and begins its slow start. The in-flight cap is set to one. The
-// ejection and the start wait are reset, because they date from before the restart. If the slow start would already be
-// over, only the start time is recorded.
+// ejection and the start wait are reset, because they date from before the restart. If the executor started so long ago
+// that its slow start is over, only the start time is recorded.
 func (d *Dispatcher) recordRestart(e *executor, startedAt, now time.Duration) {
 	e.started = startedAt
 	until := startedAt + d.slowStart.duration
@@ -237,9 +251,9 @@
 	t.unranked = nil
 }
 
-// dropRemoved drops the removed executors that have no token of this node taken. Removed executors would otherwise
-// accumulate, because a machine that is replaced comes back under a new id. After a complete update, the executors that
-// it doesn't contain are first marked as removed.
+// dropRemoved drops the removed executors of which this node has no token taken. Removed executors would otherwise
+// accumulate, because a machine that is replaced comes back under a new id. After a complete update, executors that are
+// missing in the update are first marked as removed.
 func (d *Dispatcher) dropRemoved(complete bool) {
 	if complete {
 		for _, e := range d.endpoints.ranked {
@@ -307,7 +321,8 @@
 	kind.size += (max(e.size, weight) - kind.size) * (1 - smoothing)
 }
 
-// remoteSide returns 1 for an executor in another zone, if crossing zones has a cost. Otherwise it returns 0.
+// remoteSide returns 1 for an executor in another zone, and 0 for one in this node's zone. If sending jobs to other
+// zones has no cost, the result is always 0.
 func (d *Dispatcher) remoteSide(e *executor) int {
 	if d.config.crossZoneCost > 0 && e.zone != d.config.zone {
 		return 1
