--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -62,8 +62,8 @@
 	waitBoundDivisor = 8
 )
 
-// executorLoad says which late jobs are allowed to use an executor. For a late job bound to a dedup group, only loadBusy
-// excludes the executor; acceptsLate decides about the others.
+// executorLoad says which late jobs are allowed to use an executor. For a late job bound to a dedup group, only
+// loadBusy excludes the executor; acceptsLate decides about the others.
 type executorLoad int
 
 const (
@@ -122,8 +122,8 @@
 	// stats.concurrency if that is larger.
 	maxConcurrency int
 	groups         []*tokenGroup
-	paceFloors     executorHeap // executors whose entry is valid while the pace is at least paceLimit; highest limit first
-	paceCeilings   executorHeap // executors whose entry is valid while the pace is at most paceLimit; lowest limit first
+	paceFloors     executorHeap // entries that are valid while the kind's pace is at least paceLimit; highest limit first
+	paceCeilings   executorHeap // entries that are valid while the kind's pace is at most paceLimit; lowest limit first
 	paceBuckets    [evenPaceBuckets + halvingPaceBuckets + 1]executorHeap
 	localSubset    []*executor // subset members for which remoteSide is 0, as of the subset's last rebuild
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -25,8 +25,8 @@
 // The caller also reads reports: TakeLoadSummary, ExportLearned and CountUnusable. Arguments and results are plain
 // values. Their types are in ids.go, settings.go, events.go and decisions.go.
 //
-// Dispatcher (dispatcher.go) holds the state of each scheduling rule in a struct of its own. A call that involves several
-// rules is in dispatcher.go. A call that involves only one rule is in that rule's file.
+// Dispatcher (dispatcher.go) holds the state of each scheduling rule in a struct of its own. A call that involves
+// several rules is in dispatcher.go. A call that involves only one rule is in that rule's file.
 //
 // # Life of a job
 //
@@ -39,8 +39,8 @@
 //  3. The job takes a token of one executor of the subset: the executor whose oldest free token has the highest
 //     weighted age. An attempt is sent to that executor (placement.go, subset.go).
 //  4. The attempt's outcome releases the token. If the attempt failed, the job can be retried (outcome.go, retry.go).
-//  5. At the end of each interval, each executor's quota changes by at most one. The change depends on how long jobs
-//     waited at the executor and in the queue (quota.go).
+//  5. At the end of each quota interval, each executor's quota changes by at most one. The change depends on how long
+//     jobs waited at the executor and in the queue (quota.go).
 //
 // # Failures and overload
 //
@@ -53,11 +53,11 @@
 //     one attempt in flight at first (outlier.go, health_check.go).
 //  3. Pace: a job doesn't use an executor that is predicted to miss the job's objective. Tokens of an executor with
 //     little capacity or long waits age more slowly (latency.go, and tokenAge in placement.go).
-//  4. Migration and hedging: an attempt that doesn't start, or makes slow progress, is canceled and sent to another
-//     executor if that can't cause a duplicate effect. Instead of that, a second attempt can be sent while the first
-//     one is in flight (migration.go, hedge.go).
-//  5. Early rejection: a job is rejected or fails at once if it can't yield any value any more, or if the cluster has
-//     no capacity for it (latestStart in admission.go, load_shedding.go).
+//  4. Migration: an attempt that doesn't start, or makes slow progress, is canceled, and the job is sent to another
+//     executor. This is done only if it can't cause a duplicate effect. Hedging: instead of a migration, a second
+//     attempt can be sent while the first one is in flight (migration.go, hedge.go).
+//  5. Early rejection: a job that can't yield any value any more is rejected or fails at once (latestStart in
+//     admission.go). The same applies to a job for which the cluster has no capacity (load_shedding.go).
 //  6. Leases: in a large cluster whose nodes are allowed to exchange messages, each executor's slots are leased to all
 //     nodes by one of the nodes (lease.go).
 //
--- a/policy/events.go
+++ b/policy/events.go
@@ -68,7 +68,7 @@
 	Kind           KindID
 	Cell           CellID
 	State          EndpointState
-	Weight         float64       // size relative to other executors; less under load with Settings.LoadAdjustedWeights
+	Weight         float64       // size relative to other executors; with Settings.LoadAdjustedWeights, less under load
 	StartedAt      time.Duration // time of the executor's last start
 	StartedLongAgo bool          // the executor is past its slow start, whatever StartedAt says
 }
--- a/policy/executor_heap.go
+++ b/policy/executor_heap.go
@@ -2,27 +2,28 @@
 
 import "math"
 
-// heapKey is a kind of key by which a heap orders its executors. An executor is in at most one heap for each kind of key.
+// heapKey is a kind of key by which a heap orders its executors. An executor is in at most one heap for each kind of
+// key.
 type heapKey int
 
 const (
-	// keyTokenAge is the kind of key in rate buckets: the time since which the executor's oldest free token has been
-	// free.
+	// keyTokenAge orders the executors of a rate bucket by the age of their oldest free token, oldest first. The key is
+	// the time since which that token has been free.
 	keyTokenAge heapKey = iota
-	// keyPaceDrift is the kind of key in paceFloors and paceCeilings of kindIndex: the paceLimit of the executor's index
-	// entry. In paceFloors the key is negated.
+	// keyPaceDrift finds the entries that a drift of a kind's pace has made invalid. It is used in paceFloors and
+	// paceCeilings of kindIndex. The key is the paceLimit of the executor's index entry, negated in paceFloors.
 	keyPaceDrift
-	// keyExpiry is the kind of key in candidateIndex.expiries: the time until which the executor's index entry is valid.
+	// keyExpiry finds the entries that have expired. It is used in candidateIndex.expiries. The key is the time until
+	// which the executor's index entry is valid.
 	keyExpiry
-	// keyPace is the kind of key in pace buckets: the executor's own pace (running time divided by work). For an executor
-	// without observed work, the key is the running time.
+	// keyPace orders the executors of a pace bucket by their own paces, lowest first. The key is the observed running
+	// time divided by the observed work. For an executor without observed work, the key is the running time.
 	keyPace
 
 	heapKeys // number of kinds of keys
 )
 
-// heapPosition is an executor's position in a heap, and its key there. If the executor is in no heap, the field heap is
-// nil.
+// heapPosition is an executor's position and key in a heap. If the executor is in no heap, the field heap is nil.
 type heapPosition struct {
 	heap  *executorHeap
 	index int
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -29,8 +29,8 @@
 	return c.awaitingReply
 }
 
-// markUnresponsive marks an executor as unresponsive. It gets no new attempts until it responds. The given number of
-// timeouts in a row determines the delay between its health checks.
+// markUnresponsive marks an executor as unresponsive. The executor gets no new attempts until it responds. The given
+// number of timeouts in a row determines the delay between its health checks.
 func (d *Dispatcher) markUnresponsive(e *executor, timeouts int) {
 	e.health.unresponsive = true
 	e.health.timeouts = timeouts
@@ -58,8 +58,8 @@
 	}
 }
 
-// recordHealthCheckAnswer records that e has answered a health check, so e is no longer unresponsive. If the answer
-// reports a free slot and this node grants the leases of e, one more lease can be granted to a waiting node
+// recordHealthCheckAnswer records that e has answered a health check, so e is no longer unresponsive. The answer can
+// report a free slot. If this node grants the leases of e, it can then grant a waiting node one more lease
 // (grantFreeSlot).
 func (d *Dispatcher) recordHealthCheckAnswer(e *executor, load Load, now time.Duration) {
 	if e.health.unresponsive {
@@ -96,9 +96,9 @@
 	d.checkLeaseRequests(now)
 }
 
-// handleHealthCheckTimeouts marks an executor as unresponsive if it did not answer a health check within the shortest
-// objective. It sends an unresponsive executor the next health check when that is due. The delay between health checks is
-// longestMeanWork times the number of timeouts in a row. That number stops at maxBackoffFactor.
+// handleHealthCheckTimeouts marks an executor as unresponsive if a health check has had no answer for as long as the
+// shortest objective. An unresponsive executor gets the next health check when that is due (healthCheckInterval). The
+// number of timeouts in a row, which determines the delay, stops at maxBackoffFactor.
 func (d *Dispatcher) handleHealthCheckTimeouts(now time.Duration) {
 	for _, e := range d.healthChecks.pending() {
 		if e.tokens.joinOrder == 0 {
--- a/policy/ids.go
+++ b/policy/ids.go
@@ -6,7 +6,7 @@
 	JobID string
 	// ExecutorID identifies an executor in the endpoint list.
 	ExecutorID string
-	// AttemptID is the number of an attempt among the attempts of its job, from 0.
+	// AttemptID is the number of an attempt. The attempts of each job are numbered from 0.
 	AttemptID int
 	// NodeID is the number of a node, from 0 to the number of nodes minus one.
 	NodeID int
--- a/policy/job.go
+++ b/policy/job.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minSlackSeconds is the lower bound of the slack in workOverSlack, in seconds. It avoids a division by zero or by a
-// negative slack.
+// minSlackSeconds keeps workOverSlack from dividing by zero or by a negative slack. A slack of fewer seconds counts as
+// this number of seconds.
 const minSlackSeconds = 1e-3
 
 // job is a batch job that has arrived at this node. It exists as long as it is queued or has attempts in flight.
@@ -21,9 +21,9 @@
 	finished    bool          // the client has its answer or has left
 
 	firstTry         bool    // the client did not mark a retry, and the job's budget does not indicate an earlier try
-	shortBudget      bool    // the budget is less than half of the deadline, because of the client's timeout (spentBudget)
-	startMargin      float64 // latestStart multiplies the running time by this
-	predictionMargin float64 // tokenAge multiplies the predicted wait and running time by this
+	shortBudget      bool    // the client's timeout left a budget below half of the class's deadline (spentBudget)
+	startMargin      float64 // safety factor for the running time in latestStart
+	predictionMargin float64 // safety factor for the predicted wait and running time in tokenAge
 	lowSlack         bool    // the job arrived with less than half of its slack left
 	shed             bool    // the job was below the admission threshold, at its arrival or before a retry
 
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -7,9 +7,17 @@
 )
 
 const (
-	budgetCountDecay     = 1 - (1-smoothing)/8 // each new job multiplies shortBudgets and rejectedFirstTries by this
-	checkIntervalDivisor = 8                   // the check interval is the shortest objective divided by this
-	unknownWorkDivisor   = 2                   // initialMeanWork divides an objective that ignores the work by this
+	// budgetCountDecay lets shortBudgets and rejectedFirstTries forget past jobs. Each job that arrives multiplies both
+	// counts by it.
+	budgetCountDecay = 1 - (1-smoothing)/8
+
+	// checkIntervalDivisor sets how soon after its sending an attempt is first reviewed. The check interval is the
+	// shortest objective divided by this number.
+	checkIntervalDivisor = 8
+
+	// unknownWorkDivisor keeps the initial mean work of a class below its latency objective (initialMeanWork). It is
+	// used for objectives that don't grow with the work: the initial mean work is the objective divided by this number.
+	unknownWorkDivisor = 2
 )
 
 // jobClass holds the settings of a job class and what was learned about its jobs.
@@ -22,14 +30,14 @@
 	deadline         time.Duration
 	runTimeFactor    float64 // multiple of a job's work that is added to its latency objective
 	value            float64
-	lateValue        float64 // fraction of value that a job yields if it is completed between objective and deadline
+	lateValue        float64 // fraction of value that a job yields if it is completed after its objective, by its deadline
 	kind             KindID
 
-	fullBudget         time.Duration // largest budget of a job so far; every first try is assumed to have this budget
+	fullBudget         time.Duration // assumed budget of every first try: the largest budget of a job so far
 	shortBudgets       float64       // decaying number of jobs that arrived with a short budget (recordArrival)
 	rejectedFirstTries float64       // decaying number of first tries that were rejected or failed
 	meanWork           time.Duration // running average of the jobs' work
-	samples            int           // number of running times observed for meanWork, from jobs without a client's estimate
+	samples            int           // number of running times observed for meanWork; only jobs without a client's estimate count
 	requestedValue     float64       // decaying sum of the values of the first tries that arrived
 	earnedValue        float64       // decaying sum of the values of the jobs that were completed within their objective
 	meanValue          float64       // running average of the value of a job
@@ -39,7 +47,7 @@
 type classTable struct {
 	all               []*jobClass   // classes by JobClassID; past classes are included, for jobs still in flight
 	current           []*jobClass   // classes of the current configuration
-	requiredKinds     []KindID      // executor kinds of the current classes; contains AnyKind if some class has that kind
+	requiredKinds     []KindID      // executor kinds that the current classes ask for; AnyKind can be one of them
 	shortestObjective time.Duration // shortest fixed part of a latency objective among the current classes
 	quotaInterval     time.Duration // time between two updates of the quotas
 	checkInterval     time.Duration // time from the sending of an attempt to its first review
