--- a/policy/admission.go
+++ b/policy/admission.go
@@ -159,8 +159,8 @@
 // fits into the time left until its objective.
 func (d *Dispatcher) isLate(j *job, now time.Duration) bool { return j.objectiveAt < now+j.work/2 }
 
-// outOfAttempts reports whether j can't have another attempt. That is so if its deadline is at most a quantum away, if
-// its class allows no more attempts, or if a retry could have a duplicate effect.
+// outOfAttempts reports whether j can't have another attempt. One of three reasons is enough: j's deadline is at most a
+// quantum away, j's class allows no more attempts, or a retry could have a duplicate effect.
 func (d *Dispatcher) outOfAttempts(j *job, now time.Duration) bool {
 	return now >= j.deadlineAt-d.config.quantum || j.attemptCount >= j.class.maxAttempts || !d.retryAllowed(j, now)
 }
--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -10,8 +10,8 @@
 // bucket of the highest token ages. It omits an executor only if a bound proves that the executor is of no use to the
 // job. The caller chooses among the candidates by tokenAge, so the result is the same as that of a full scan.
 //
-// An executor has a usable token if it has a free token, is below its in-flight cap, and was not removed from the
-// endpoint list. Token groups hold only executors with a usable token.
+// A free token is usable if its executor is below its in-flight cap and was not removed from the endpoint list. Token
+// groups hold only executors with a usable token.
 //
 //	candidateIndex
 //	├─ kindIndex             one for each executor kind
@@ -149,8 +149,8 @@
 	heads []bucketHead
 }
 
-// rateBucket holds the executors of a group with nearly the same aging rate, in a heap by the age of their oldest free
-// token.
+// rateBucket holds the executors of a group that have nearly the same aging rate. It is a heap, ordered by the age of
+// the executors' oldest free tokens.
 type rateBucket struct {
 	executorHeap
 	group    *tokenGroup
@@ -201,9 +201,9 @@
 	}
 }
 
-// reindexDirty updates all entries that are out of date. An entry is out of date if its kind's pace has passed its
-// paceLimit, its kind's concurrency has risen above maxConcurrency, its time of validity is over, or an event has
-// marked it dirty.
+// reindexDirty updates all entries that are out of date. Four causes put an entry out of date: the kind's pace has
+// passed the entry's paceLimit, the kind's concurrency has risen above maxConcurrency, the entry's time of validity is
+// over, or an event has marked the entry dirty.
 func (d *Dispatcher) reindexDirty(now time.Duration) {
 	for _, kind := range d.index.kinds {
 		if kind.stats.concurrency > kind.maxConcurrency {
@@ -385,7 +385,8 @@
 }
 
 // currentRate returns an upper bound of e's aging rate at the given pace of its kind. This bound is tighter than
-// agingRate, because agingRate holds for every pace of the kind down to paceLimit (in a normalized group, up to it).
+// agingRate, which holds for every pace of the kind down to paceLimit. In a normalized group, agingRate holds for every
+// pace up to paceLimit.
 func (e *executor) currentRate(pace float64) float64 {
 	return roundingUp * e.indexed.agingRate * e.limitPace() * (e.estimate.work + 1) / (e.estimate.runTime + pace)
 }
--- a/policy/candidate_query.go
+++ b/policy/candidate_query.go
@@ -121,10 +121,10 @@
 	return !q.late || g.load == loadIdleOpen || g.load == loadIdleRestricted && q.class.lateValue == 0
 }
 
-// walkBucket yields the candidates in a bucket's heap: the executor at index i and its descendants. No descendant's
-// oldest token has been free for longer than the executor's own. So the walk leaves out an executor and its descendants
-// if its token would be below the query's minAge even at the bucket's maxRate. Executors above the query's maxPace are
-// skipped. The result is false if the caller has stopped the iteration.
+// walkBucket yields the candidates in a bucket's heap: the executor at index i and its descendants. The oldest token of
+// a descendant has been free for at most as long as the executor's. If the executor's token would be below the query's
+// minAge even at the bucket's maxRate, so would theirs. The walk then leaves out the executor and its descendants.
+// Executors above the query's maxPace are skipped. The result is false if the caller has stopped the iteration.
 func (d *Dispatcher) walkBucket(b *rateBucket, i int, q *query, yield func(*executor) bool) bool {
 	if i >= len(b.executors) {
 		return true
--- a/policy/class_candidates.go
+++ b/policy/class_candidates.go
@@ -7,10 +7,10 @@
 
 // During an overload, many jobs are queued and the executors are full. Executors still have free tokens, but no job can
 // use these tokens yet. If each token were evaluated for each queued job, the cost would grow with the square of the
-// subset's size. So the executors are first evaluated once per job class, for an artificial job that demands no more
-// than any queued job of the class (classCandidates). A queued job is skipped if none of the executors found for its
-// class can serve it. This never changes the result, since pickExecutor would find no executor for a skipped job
-// either.
+// subset's size. So the executors are first evaluated once per job class, and separately for its late jobs
+// (classCandidates). They are evaluated for an artificial job that demands no more than any of the queued jobs
+// concerned. A queued job is skipped if none of the executors found for its class can serve it. This never changes the
+// result, since pickExecutor would find no executor for a skipped job either.
 
 // minQueuedForGrouping is the queue length above which grouping by class saves time. Up to this number of queued jobs,
 // each job is evaluated by itself.
@@ -40,8 +40,8 @@
 	leastDemanding.hasClientEstimate = leastDemanding.hasClientEstimate || j.hasClientEstimate
 }
 
-// placedIndividually reports whether j has to be evaluated by itself. That is so if j is bound to a dedup group or has
-// an attempt in flight, because its candidates can then differ from those of its class.
+// placedIndividually reports whether j has to be evaluated by itself. If j is bound to a dedup group or has an attempt
+// in flight, its candidates can differ from those of its class.
 func (d *Dispatcher) placedIndividually(j *job) bool {
 	return d.boundToDedupGroup(j) || len(j.attempts) > 0
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -22,7 +22,8 @@
 	// all classes together.
 	totalWeight float64
 	// worstClassWeight is the weight of the worst class in the sum that the dispatcher maximizes. The worst class is
-	// the one that earned the lowest fraction of its requested value, which is the value of its arrived first tries.
+	// the one that earned the lowest fraction of its requested value. Requested value is the value of the first tries
+	// that arrived.
 	worstClassWeight float64
 
 	maxAttempts         int           // largest number of attempts of a job whose class sets no limit
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -87,8 +87,8 @@
 }
 
 // Place decides to send a job to an executor, to queue it, to reject it or to fail it. The caller calls Place when
-// NextTask has returned PlaceJob for the job. The decision is NoAction for a job that is finished, and for a job that
-// has an attempt in flight and gets no hedge.
+// NextTask has returned PlaceJob for the job. The decision is NoAction for a finished job. It is also NoAction for a
+// job with an attempt in flight that gets no hedge.
 func (d *Dispatcher) Place(now time.Duration, id JobID) Decision {
 	j := d.jobs[id]
 	if j == nil || j.finished {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -197,9 +197,9 @@
 	e.estimate.forgetStartWait()
 }
 
-// spreadPolls sets the poll interval and the time of the first poll, given the time within which a node must have the
-// endpoint list. If there are enough nodes for subsetting, their first polls are spread by node number, so that they
-// don't load discovery all at once. Until its first poll, a node uses its cached list.
+// spreadPolls sets the poll interval and the time of the first poll. A node must have the endpoint list within the
+// given time. In a cluster that is large enough for subsetting, the first polls are spread by node number. Without
+// that, all nodes would load discovery at once. Until its first poll, a node uses its cached list.
 func (d *Dispatcher) spreadPolls(within time.Duration) {
 	d.poll.interval = within / pollIntervalDivisor
 	if d.usesSubset() {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// requestHealthCheck sends e a health check. It sends none if executors don't answer health checks, if a health check
-// of e is in flight, or if the last one was sent less than interval ago.
+// requestHealthCheck sends e a health check, unless one of e is in flight or the last one was sent less than interval
+// ago. It sends none in a configuration in which executors don't answer health checks.
 func (d *Dispatcher) requestHealthCheck(e *executor, now, interval time.Duration) {
 	if !d.config.canCheckHealth || e.health.checkInFlight {
 		return
--- a/policy/job_class.go
+++ b/policy/job_class.go
@@ -171,7 +171,7 @@
 
 // initialMeanWork returns the initial mean work of a class whose settings give no ExpectedWork. If the latency
 // objective does not grow with the work, the initial mean work must be below the objective. Otherwise no executor would
-// be predicted to complete a job in time, all jobs would be rejected, and no running time would ever be learned.
+// be predicted to complete a job in time. All jobs would be rejected, and no running time would ever be learned.
 func initialMeanWork(class JobClass) time.Duration {
 	if class.RunTimeFactor == 0 {
 		return class.LatencyObjective / unknownWorkDivisor
