--- a/internal/cluster/describe.go
+++ b/internal/cluster/describe.go
@@ -16,6 +16,8 @@
 	lines = append(lines, s.describePeers(now)...)
 	lines = append(lines, s.describeDrains(now)...)
 	total := s.clusterRates(now)
+	// The figures are work per second: the work of the jobs that arrived (offered), were completed (done) and expired (lost).
+	// "moves wished" is the work of the attempts that would be migrated without a limit.
 	lines = append(lines,
 		fmt.Sprintf("fleet offered=%.2f done=%.2f lost=%.2f", total.offered(), total.Completed, total.Expired),
 		fmt.Sprintf("moves wished=%.2f wait=%.2f", total.Migrations, s.threshold.MigrationDelay),
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -130,7 +130,8 @@
 }
 
 // Reasons for dropping a message. Describe shows them to operators after "dropped=N words", where "words" means messages. "Of an
-// earlier life" means that the message has an older incarnation.
+// earlier life" means that the message has an older incarnation. "Older than one before" means that this node has already received
+// the message, or a later one of the same sender.
 const (
 	dropOwnName          = "in this node's own name"
 	dropUnreadForLong    = "unread for long"
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -139,12 +139,13 @@
 	return confirming >= min(known, minConfirmingNodes) && float64(confirming) >= confirmingFraction*float64(known)
 }
 
-// reportsLosses reports whether more than overloadedExpiredFraction of a single node's finished work expires.
+// reportsLosses reports whether a single node loses too much work: whether its expired work is more than
+// overloadedExpiredFraction of its completed and expired work.
 func (r Rates) reportsLosses() bool {
 	return r.Expired > overloadedExpiredFraction*(r.Completed+r.Expired)
 }
 
-// expiredFraction returns the fraction of the finished work that expired.
+// expiredFraction returns the expired work as a fraction of the completed and expired work.
 func (r Rates) expiredFraction() float64 {
 	if r.Completed+r.Expired > 0 {
 		return r.Expired / (r.Completed + r.Expired)
@@ -152,9 +153,9 @@
 	return 0
 }
 
-// pressure returns the larger of two ratios. One is the expired fraction of the finished work, divided by
-// toleratedExpiredFraction. The other is the average wait of jobs as a fraction of their slack, divided by
-// toleratedWait.
+// pressure measures how much work expires and how long work waits. It is 1 at the tolerated amount, and is the larger
+// of two ratios. One is expiredFraction, divided by toleratedExpiredFraction. The other is the average wait of jobs as
+// a fraction of their slack, divided by toleratedWait.
 func (r Rates) pressure() float64 {
 	return max(r.expiredFraction()/toleratedExpiredFraction, r.Waiting/max(r.Completed, minDivisor)/toleratedWait)
 }
--- a/internal/frontend/codec.go
+++ b/internal/frontend/codec.go
@@ -52,8 +52,8 @@
 	return &requestError{status: http.StatusBadRequest, reason: fmt.Sprintf(format, args...)}
 }
 
-// Clients receive these texts, so the texts must not change. "in hand" means in flight. "here" means at the paths of
-// Server.prefixHandlers, whose handlers accept no chunked bodies.
+// Clients receive these texts and those of the badRequest calls, so none of them must change. "in hand" means in flight. "here"
+// means at the paths of Server.prefixHandlers, whose handlers accept no chunked bodies.
 var (
 	bodyTooLarge = &requestError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB", false}
 	duplicateID  = &requestError{http.StatusConflict, "X-Call-Id: a batch job of this id is in hand", false}
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -14,8 +14,9 @@
 	// defaultCloseTimeout bounds how long Close waits until answers are written, and how long Stop waits until late requests are
 	// answered.
 	defaultCloseTimeout = 300 * time.Millisecond
-	// closeIdleInterval is the interval between closes of newly idle connections during a client drain. BeginLameDuck also checks
-	// at this interval whether the idle connections are closed.
+	// closeIdleInterval is the pause between two passes over the connections. During a client drain, each pass closes the
+	// connections that have become idle. In a shutdown, BeginLameDuck repeats its pass until no connection is being closed any
+	// more.
 	closeIdleInterval = 20 * time.Millisecond
 	// handoffGrace is how long idle connections stay open after a successor process has taken over.
 	handoffGrace = 400 * time.Millisecond
--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -149,7 +149,7 @@
 	case ok && known.State == policy.Available:
 		if at, drains := r.drainKnownAt[x.ID]; drains && r.now() > at+grace+drainGossipLimit {
 			r.result.LateAttempts++
-			r.note("%s was sent to %s by %s, %v after another node was told that it drains", request.job, x.ID, p.name, r.now()-at)
+			r.note("job %s: node %s sent an attempt to executor %s, %v after another node was notified that the executor drains", request.job, p.name, x.ID, r.now()-at)
 		}
 	case ok && r.now() > known.At+grace+timingTolerance+r.ownStall() && !p.wasPaused():
 		r.fail("%s was sent to %s by %s %v after that node was told that it drains or is gone", request.job, x.ID, p.name, r.now()-known.At)
@@ -188,7 +188,7 @@
 	}
 	late := r.now() - at
 	r.result.SentAfterClientLeft++
-	r.note("%s reached %s by %s %v after its client had left", job, x.ID, p.name, late)
+	r.note("job %s: node %s sent an attempt that reached executor %s %v after the job's client had left", job, p.name, x.ID, late)
 	if r.result.SentAfterClientLeft > invariants.ToleratedLateAttempts || late >= invariants.ClientGoneLimit+timingTolerance {
 		r.fail("%s reached %s by %s %v after its client had left, late attempt %d", job, x.ID, p.name, late, r.result.SentAfterClientLeft)
 	}
@@ -219,7 +219,7 @@
 			}
 		case emulator.Crashed:
 			r.result.Overloaded++
-			r.note("%s fell over", x.ID)
+			r.note("executor %s crashed", x.ID)
 		}
 	}
 	if x.timer != nil {
--- a/internal/leases/job_table.go
+++ b/internal/leases/job_table.go
@@ -109,7 +109,7 @@
 	return t.finish(now)
 }
 
-// enqueue adds a job to those that wait for the policy.
+// enqueue adds a job to those that wait until the policy has room for them.
 func (t *JobTable) enqueue(j *job) {
 	j.state = Waiting
 	heap.Push(&t.waiting, j)
--- a/internal/leases/recovery.go
+++ b/internal/leases/recovery.go
@@ -8,7 +8,8 @@
 
 // Recover adds a job that was found on disk when the node started, with its attempts and, if there is one, its final
 // answer. lastRecorded is the latest time in any record on disk. If now is before lastRecorded, the clock was set back,
-// and it is unknown how long ago an attempt was sent. A dedup window then counts as over.
+// and it is unknown how long ago an attempt was sent. The executors may then have forgotten the job's idempotency key.
+// Therefore a job that has such a key gets a dedup window of 0.
 func (t *JobTable) Recover(now, lastRecorded time.Duration, recovered Job, attempts []Attempt, final *Outcome, result []byte, finalAt time.Duration) []Effect {
 	j := t.add(recovered)
 	j.attempts = attempts
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -96,8 +96,8 @@
 	return &m
 }
 
-// runCommand runs a command that changes the node's state, only in this process. If the command can't be run, it
-// returns the reason.
+// runCommand runs a command that changes the node's state. It doesn't relay the command to the node's other processes.
+// If the command can't be run, it returns the reason.
 func (n *Node) runCommand(command AdminCommand, id policy.ExecutorID) (refusal string) {
 	switch command {
 	case ExcludeExecutor:
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -114,8 +114,8 @@
 	return !n.handoff.awaitingYield || n.now >= n.handoff.yieldDeadline
 }
 
-// announceReady announces that this process can serve, once it has endpoints and doesn't wait for the predecessor's
-// state. After the first announcement it does nothing.
+// announceReady announces that this process can serve. It does nothing while the process has no endpoints or still
+// waits for the predecessor's state, or if it has announced before.
 func (n *Node) announceReady() {
 	h := &n.handoff
 	if !n.endpoints.usable || h.awaitingState || h.announced {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,7 +25,8 @@
 	MaxWork         time.Duration // maximum estimated run time of a job; longer estimates are reduced to it
 	LameDuckPeriod  time.Duration // time after a shutdown request during which new jobs are accepted
 	ShutdownTimeout time.Duration // time after a shutdown request by which every job is answered
-	SlowStartWindow time.Duration // window of the slow-start budget, plus a margin for attempts in flight
+	// How long attempts to executors in slow start are blocked after another process of this node has yielded or ended.
+	SlowStartWindow time.Duration
 }
 
 // PolicyPanicked is the beginning of the log line about a panic of the policy.
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// compactionDue returns the number of the oldest segment. due reports that this segment must be compacted.
+// compactionDue returns the number of the oldest segment, and whether that segment must be compacted now.
 func (s *Store) compactionDue(all bool) (oldest uint64, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -25,7 +25,7 @@
 
 	// The fields from job to writeStartedAt describe the attempt that the connection carries.
 	job            policy.JobID     // job of the attempt; empty while the connection is idle
-	notIdempotent  bool             // the job must not be retried unless this attempt certainly never ran
+	notIdempotent  bool             // the job may be retried only if it is certain that this attempt never ran
 	writeStarted   bool             // a byte of the attempt may have been sent
 	writeDone      bool             // the last byte of the attempt has been sent
 	writeEnded     chan writeResult // receives one value when the write of the attempt has ended
