--- a/internal/durable/lease_query.go
+++ b/internal/durable/lease_query.go
@@ -13,7 +13,7 @@
 	"birchstair/internal/leases"
 )
 
-const queryTimeout = 2 * time.Second // limit for the time of one request to an executor
+const queryTimeout = 2 * time.Second // time limit of one request to an executor
 
 // DialFunc opens a connection to an executor's address.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
--- a/internal/frontend/conn_table.go
+++ b/internal/frontend/conn_table.go
@@ -16,12 +16,12 @@
 }
 
 const (
-	// The connection limit is divided by newConnDivisor. If there are more new connections than the result, new connections are
-	// evicted before idle ones.
+	// If there are many new connections, they are evicted before idle ones. Many means more than the connection limit divided by
+	// newConnDivisor.
 	newConnDivisor = 4
 
-	// The connection limit is divided by overflowDivisor. The result is how many connections are accepted beyond the limit, so that
-	// older connections can be evicted for them.
+	// Some connections are accepted beyond the limit, so that older connections can be evicted for them. Their number is the
+	// connection limit divided by overflowDivisor.
 	overflowDivisor = 8
 )
 
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -34,10 +34,10 @@
 	probeInterval = 500 * time.Millisecond
 	// probeTimeout is the time after which a probe over UDP counts as unanswered.
 	probeTimeout = 200 * time.Millisecond
-	// probeInterval is multiplied by suspicionMult to get the least time that a suspected node has to refute the
-	// suspicion. With more than 10 nodes, memberlist also multiplies that time by log10 of their number.
+	// The least time that a suspected node has to refute the suspicion is suspicionMult times probeInterval. With more
+	// than 10 nodes, memberlist also multiplies that time by log10 of their number.
 	suspicionMult = 3
-	// The least time to refute a suspicion is multiplied by suspicionMaxMult to get the longest.
+	// The longest time to refute a suspicion is suspicionMaxMult times the least time.
 	suspicionMaxMult = 2
 	// streamTimeout is the timeout of TCP connections, which memberlist uses to exchange its whole state, among others.
 	streamTimeout = 2 * time.Second
--- a/internal/harness/executor.go
+++ b/internal/harness/executor.go
@@ -219,7 +219,7 @@
 			}
 		case emulator.Crashed:
 			r.result.Overloaded++
-			r.note("executor %s crashed", x.ID)
+			r.note("executor %s crashed from overload in its slow start", x.ID)
 		}
 	}
 	if x.timer != nil {
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -100,7 +100,7 @@
 	p.cmd, p.up, p.terminatedAt, p.exited, p.paused = cmd, true, 0, make(chan error, 1), false
 	clear(p.known)
 	p.cluster.observe(invariants.Event{Kind: invariants.NodeStarted, Node: p.id})
-	p.cluster.note("%s: started, process %d", p.name, cmd.Process.Pid)
+	p.cluster.note("node %s: started, process %d", p.name, cmd.Process.Pid)
 	ended, incarnation := p.exited, p.incarnation
 	p.cluster.goroutines.Go(func() {
 		lines := bufio.NewScanner(out)
@@ -113,7 +113,7 @@
 		if p.incarnation == incarnation && p.up {
 			p.up = false
 			if !p.cluster.stopped {
-				p.cluster.note("%s: its process ended: %v", p.name, err)
+				p.cluster.note("node %s: its process ended: %v", p.name, err)
 			}
 		}
 		p.cluster.mu.Unlock()
@@ -126,7 +126,7 @@
 func (r *cluster) readLogLine(p *nodeProcess, line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note("%s: %s", p.name, line)
+	r.note("node %s: %s", p.name, line)
 	if strings.Contains(line, node.PolicyPanicked) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
 		r.fail("node %s: %.200s", p.name, line)
 	}
--- a/internal/leases/job.go
+++ b/internal/leases/job.go
@@ -93,7 +93,7 @@
 
 	sequence  int // position in the order of creation; among jobs with the same deadline, the lowest is submitted first
 	heapIndex int // index in JobTable.waiting
-	// Number of the valid generation of the job's timers. Timers of earlier generations are canceled.
+	// Tells valid timers of the job from canceled ones: only timers that were set with this number are valid.
 	timerGeneration int
 }
 
@@ -107,11 +107,12 @@
 	return nil
 }
 
-// retryUntil returns the time until which it is safe to send the job again. If provably no attempt of the job ran,
-// there is no limit. Otherwise the time depends on the job's class: there is no limit if the job is idempotent; the
-// limit is the end of the dedup window if the job has an idempotency key and all executors share one dedup group; in
-// all other cases the job must not be sent again at all. The policy doesn't know of attempts from before a restart, so
-// the budget that the policy gets for the job must end by this time.
+// retryUntil returns the time until which it is safe to send the job again. There is no limit if provably no attempt of
+// the job ran, or if the job is idempotent. If the job has an idempotency key and all executors share one dedup group,
+// the limit is the end of the job's dedup window. In all other cases the job must not be sent again at all.
+//
+// The policy doesn't know of attempts from before a restart. Therefore the budget that the policy gets for the job must
+// end by this time.
 func (j *job) retryUntil() time.Duration {
 	first := j.firstPossibleRun()
 	if first == nil || j.Class.Idempotency == policy.Idempotent {
--- a/internal/leases/recovery.go
+++ b/internal/leases/recovery.go
@@ -70,8 +70,8 @@
 }
 
 // resume continues a job after the attempt that was queried is known never to have run. Past its deadline the job
-// expires. Before that, it is submitted again if it may still be sent (retryUntil), and otherwise the next attempt that
-// may have run is queried.
+// expires. Before the deadline, the job is submitted again if it is still safe to send it (see retryUntil). If that is
+// no longer safe, the next attempt that may have run is queried.
 func (t *JobTable) resume(now time.Duration, j *job) {
 	switch {
 	case now >= j.Deadline:
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -8,8 +8,8 @@
 	"birchstair/policy"
 )
 
-// The connection limit is divided by healthCheckReserve to get the number of connections that health checks leave free
-// for attempts.
+// Health checks leave some connections to executors free for attempts. Their number is the connection limit divided by
+// healthCheckReserve.
 const healthCheckReserve = 8
 
 // minAttemptBudget is the shortest time budget that an attempt states to its executor.
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -24,7 +24,10 @@
 	available bool          // whether the executor takes new work
 	startedAt time.Duration // when the executor started
 
-	lastUpdate  int // number of the last update that contained the executor, as counted by endpointTable.updates
+	// By lastUpdate, removeUnlisted finds the executors that the latest update doesn't contain. It is the number of the
+	// last update that contained this executor, as counted by endpointTable.updates.
+	lastUpdate int
+	// By these counters, a connection notices that the executor has restarted or moved (see conn).
 	restarts    int // number of updates in which the executor's start time was later than before
 	addrChanges int // number of updates in which the executor's address was new
 
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -20,7 +20,8 @@
 	// stateTimeout is how long a successor waits for the predecessor's state. After that it continues without the
 	// state.
 	stateTimeout = 2 * time.Second
-	// yieldTimeout is how long a successor reports that it is not ready because the predecessor has not yielded yet.
+	// yieldTimeout is how long a successor waits for the predecessor to yield. While it waits, it reports that it is not
+	// ready.
 	yieldTimeout = 2 * time.Second
 )
 
@@ -204,8 +205,9 @@
 	n.emit(SendHandoff{successor, HandoffMessage{Kind: PredecessorYielded}})
 }
 
-// blockSlowStart blocks attempts to executors in slow start for SlowStartWindow. After that, everything that another
-// process may have sent to these executors has left the window of the slow-start budget.
+// blockSlowStart blocks attempts to executors in slow start for SlowStartWindow. The slow-start budget limits the work
+// that is sent to such an executor within a window of time. After SlowStartWindow, everything that another process may
+// have sent to the executor has left that window.
 func (n *Node) blockSlowStart() {
 	n.policy.BlockSlowStartUntil(n.now, n.now+n.limits.SlowStartWindow)
 }
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -12,8 +12,8 @@
 type job struct {
 	Job
 	deadline time.Duration // time by which the final answer is due
-	// Time at which expireJobs handles the job next. This is first a quantum before the deadline, and then the
-	// deadline.
+	// Time at which expireJobs handles the job next. This is first a quantum before the deadline, to abandon the job's
+	// attempts, and then the deadline, to answer the job.
 	expiresAt time.Duration
 	answered  bool    // whether the job has its final answer or needs none
 	conns     []*conn // connections of the attempts in flight; two while an attempt is hedged, else at most one
