--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	readTimeout      = 5 * time.Second       // limit for the time until a complete command has arrived
-	replyTimeout     = time.Second           // limit for the time until the state machine replies
-	writeTimeout     = time.Second           // limit for the time to write the reply
+	readTimeout      = 5 * time.Second       // time limit for the arrival of a complete command
+	replyTimeout     = time.Second           // time limit for the state machine's reply
+	writeTimeout     = time.Second           // time limit for writing the reply
 	acceptRetryDelay = 20 * time.Millisecond // wait after a failed accept
 )
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -19,7 +19,8 @@
 	Self        NodeName
 	Incarnation uint64 // when this process started, in Unix milliseconds; greater after each restart
 	Seed        uint32 // seed of the random choices
-	// Unix time in milliseconds at which this node's time is zero, by the clock of this node's endpoint list.
+	// Unix time in milliseconds at which this node's time is zero, by the clock of this node's endpoint list. It
+	// converts the start times of executors to Unix times, which are the same on every node.
 	Epoch          int64
 	GossipInterval time.Duration // time between two gossip rounds
 	Fanout         int           // number of messages sent per gossip round
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -143,8 +143,8 @@
 // ExpireDrains removes the drains that have expired, and returns their executors ordered by ID. listUpToDate says whether
 // this node's own endpoint list is up to date:
 //
-//   - A drain that only peers have reported is removed when it was last seen longer than DrainTTL ago, but not while the
-//     list is out of date.
+//   - A drain that only peers have reported is removed when it was last seen longer than DrainTTL ago. While the list is
+//     out of date, such a drain is kept.
 //   - A drain of an executor that has disappeared from the list is removed after DrainTTL in any case.
 //   - A drain that the list still shows is never removed here. While the list is up to date, the drain counts as seen now.
 func (s *State) ExpireDrains(now time.Duration, listUpToDate bool) (ids []policy.ExecutorID) {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -11,9 +11,8 @@
 const (
 	// maxDrainsPerMessage is the maximum number of drains in a message. It limits the message's size.
 	maxDrainsPerMessage = 24
-	// Settings.PeerStateTTL is multiplied by peerRetentionMultiple to get how long an inactive peer's state is kept.
-	// The state is kept for longer than its rates are used, because the peer's incarnation and sequence number are
-	// needed to recognize old messages.
+	// The state of an inactive peer is kept for peerRetentionMultiple times Settings.PeerStateTTL. That is longer than
+	// its rates are used, because the peer's incarnation and sequence number are needed to recognize old messages.
 	peerRetentionMultiple = 10
 )
 
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -11,9 +11,9 @@
 // Constants for estimating the rates of the whole cluster from the reports of peers.
 const (
 	// maxPeerMultiple limits the influence of a single peer, so that a node that reports nonsense can't move the
-	// threshold far. The magnitude of this node's own rates is multiplied by maxPeerMultiple to get the largest
-	// magnitude that counts for a peer. If at least minPeersForMedian peers report, and the median of their magnitudes
-	// is larger than this node's own magnitude, the median is multiplied instead.
+	// threshold far. The largest magnitude that counts for a peer is maxPeerMultiple times the magnitude of this node's
+	// own rates. If at least minPeersForMedian peers report, the median of their magnitudes is used in place of this
+	// node's own magnitude if it is larger.
 	maxPeerMultiple = 8
 	// minPeersForMedian is the smallest number of peers for which the median of their magnitudes is used.
 	minPeersForMedian = 3
--- a/internal/durable/effects.go
+++ b/internal/durable/effects.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// dispatch submits a job to the state machine. The event is posted from a new goroutine, because post can block until the event
-// loop takes an event, and the caller of dispatch can be the event loop itself.
+// dispatch submits a job to the state machine. The event is posted from a new goroutine. Otherwise the event loop could
+// deadlock: post can block until the loop takes an event, and the caller of dispatch can be the loop itself.
 func (m *Manager) dispatch(effect leases.Submit) {
 	stored, ok := m.store.Get(string(effect.ID))
 	if !ok {
--- a/internal/durable/http.go
+++ b/internal/durable/http.go
@@ -25,7 +25,7 @@
 	maxKeyBytes  = 100             // longest idempotency key, in bytes
 	maxBodyBytes = 64 << 10        // longest body of a submission, in bytes
 	maxWait      = 5 * time.Minute // longest time that a GET request waits for a final answer
-	writeTimeout = 5 * time.Second // limit for the time to write a response
+	writeTimeout = 5 * time.Second // time limit for writing a response
 	maxCost      = 1e12            // upper bound for the expected work of a job, in microseconds
 )
 
--- a/internal/frontend/codec.go
+++ b/internal/frontend/codec.go
@@ -23,11 +23,11 @@
 
 	// readHeaderTimeout and readTimeout count from a request's first bytes. For the first request on a connection they count
 	// from the opening of the connection.
-	readHeaderTimeout = 2500 * time.Millisecond // limit for the time until the end of a request's header
-	readTimeout       = 2700 * time.Millisecond // limit for the time until the end of a request's body
+	readHeaderTimeout = 2500 * time.Millisecond // time limit for the arrival of a request's header
+	readTimeout       = 2700 * time.Millisecond // time limit for the arrival of the whole request
 
-	writeTimeout = 5 * time.Second // limit for the time to write an answer
-	idleTimeout  = 5 * time.Minute // limit for the time that a connection is idle between requests
+	writeTimeout = 5 * time.Second // time limit for writing an answer
+	idleTimeout  = 5 * time.Minute // longest time that a connection can be idle between requests
 )
 
 // singleHeaders are the headers that must not occur more than once in a request. If a header occurred twice, the node and the
--- a/internal/frontend/read_ahead.go
+++ b/internal/frontend/read_ahead.go
@@ -87,7 +87,7 @@
 
 // reserve takes one more chunk from the bytes that all connections share, and reports whether enough bytes were left. A client's
 // close arrives after all bytes that the client has sent. To notice the close of a client that has sent a lot, a connection must
-// therefore read beyond maxReadAhead; otherwise the unread bytes could fill the socket's buffer.
+// therefore read beyond maxReadAhead. Otherwise the unread bytes could fill the socket's buffer.
 func (c *clientConn) reserve(a *readAhead) bool {
 	if c.sharedReadAhead.Add(-readAheadChunk) < 0 {
 		c.sharedReadAhead.Add(readAheadChunk)
--- a/internal/leases/doc.go
+++ b/internal/leases/doc.go
@@ -1,15 +1,15 @@
 // Package leases implements the state machine of durable jobs. A durable job is acknowledged only once its record is on
-// disk, has exactly one final answer however often its node crashes, and never runs twice if its class forbids that.
+// disk. It has exactly one final answer, however often its node crashes, and never runs twice if its class forbids that.
 //
 // A JobTable holds the state of all durable jobs of a node. It reads no clock and does no input or output: each method
 // reports an event and its time, and returns the effects to carry out. Three packages share the work. Package policy
 // decides where a job is sent and when it is retried. The JobTable decides when a job is submitted to the policy and
-// with which time limit, and what must be on disk before a decision of the policy is carried out. Package durable
-// carries out the effects and keeps the records.
+// with which time limit. It also decides what must be on disk before a decision of the policy is carried out. Package
+// durable carries out the effects and keeps the records.
 //
 // Every attempt of a job has a number, its epoch. The epoch is on disk before the attempt is sent. An executor that
-// supports leases accepts an attempt of a job only if the attempt's epoch is greater than all epochs of that job that
-// the executor has seen. It also answers queries about the state of an attempt. So a node that has crashed can find out
+// supports leases accepts an attempt of a job only if its epoch is greater than all epochs of that job that the
+// executor has seen. The executor also answers queries about the state of an attempt. So a node that has crashed can find out
 // after its restart whether an attempt ran.
 //
 // # States
--- a/internal/leases/job.go
+++ b/internal/leases/job.go
@@ -42,12 +42,13 @@
 	Failed            // the job may have run
 )
 
-// JobClass holds the properties of a job's class that determine whether it is safe to send the job again although an
-// earlier attempt of it may have run.
+// JobClass holds the properties of a job's class by which retryUntil decides whether the job may be sent again. The
+// question arises when an earlier attempt of the job may have run.
 type JobClass struct {
 	Idempotency policy.Idempotency
 	DedupGroup  policy.DedupGroup
-	// How long executors recognize a retry by the job's idempotency key, minus the time to open a connection.
+	// How long after an attempt it is safe to send the job again with the same idempotency key. This is how long
+	// executors recognize the key, minus the time to open a connection.
 	DedupWindow time.Duration
 }
 
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -87,8 +87,8 @@
 
 // maxIdle returns the idle time from which a connection is not used again. This is the configured time, or less if
 // connections broke after a shorter idle time. The reason is that executors or network devices can drop idle
-// connections without notice, and an attempt that is written on a dropped connection counts as possibly run. The
-// configured time applies again once the limit has not been lowered for the configured time.
+// connections without notice. An attempt that is written on a dropped connection counts as possibly run. The configured
+// time applies again once the limit has not been lowered for that time.
 func (t *connTable) maxIdle(now, configured time.Duration) time.Duration {
 	if now-t.idleLimitLoweredAt >= configured {
 		t.idleLimit = configured
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -146,8 +146,8 @@
 }
 
 // clientLeft handles a client that has closed its connection. Its job may already be gone: before an attempt's first
-// byte is written, the client is checked once more, and that check can notice earlier than the frontend that the client
-// has gone (see attemptNotSent). Another client may then have submitted a job under the same ID, so the client is
+// byte is written, the client is checked once more (see attemptNotSent). That check can notice earlier than the
+// frontend that the client has gone. Another client may then have submitted a job under the same ID, so the client is
 // compared as well.
 func (n *Node) clientLeft(ev ClientLeft) {
 	if j := n.jobs.byID[ev.Job]; j != nil && j.Client == ev.Client {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -9,8 +9,8 @@
 // Metrics are a node's counters since its start, and its current numbers of jobs and executors.
 //
 // ExcludedExecutors counts the executors that are excluded, draining, ejected or unresponsive. It also counts the
-// executors in slow start to which this process must not send work, because only another node is allowed to or, in a
-// handoff, only another process of this node.
+// executors in slow start to which this process must not send work. In that case, only another node is allowed to send
+// them work or, in a handoff, only another process of this node.
 type Metrics struct {
 	Classes           []ClassMetrics // counters by job class, in the order in which the classes were first configured
 	Attempts          int            // attempts handed to a connection, except those whose last byte was never written
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -75,9 +75,9 @@
 	return records, moved, nil
 }
 
-// accountCompaction updates the sizes of segments and live records after a compaction, which has removed the oldest segment and
-// copied the records of the jobs in moved to the last segment. frameBytes is the size of the frame with the copied records; it is
-// 0 if no job was moved.
+// accountCompaction updates the sizes of segments and live records after a compaction. The compaction has removed the oldest
+// segment, and has copied the records of the jobs in moved to the last segment. frameBytes is the size of the frame with the
+// copied records. It is 0 if no job was moved.
 func (s *Store) accountCompaction(oldest uint64, moved map[string]int, frameBytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -19,7 +19,7 @@
 // empty.
 type HealthCheckConfig struct {
 	Path    string
-	Timeout time.Duration   // limit for the time of dial, request and response together
+	Timeout time.Duration   // time limit for dial, request and response together
 	Fields  map[string]bool // the values of load reports that are used, by their names in the settings
 }
 
