--- a/internal/frontend/conn_table.go
+++ b/internal/frontend/conn_table.go
@@ -28,16 +28,16 @@
 // connTable keeps the number of open connections within its limit. During a flood of connections that send nothing, or one
 // request each, clients that use their connections keep them.
 //
-// A connection is in one of three lists. Only a connection on which a request is being answered is in no list, unless the
-// connection is new:
+// A connection is in one of three lists, except while a request is being answered on it. A connection on which no batch job has
+// been read yet stays in its list even then. The lists are:
 //
 //	new      no batch job has been read on it yet
 //	idle     its last request is answered
 //	closing  it is closed as soon as that loses no request
 //
 // While the limit is exceeded, connections are evicted. If there are more than maxNew new connections, the oldest of them is
-// evicted; otherwise the connection that has been idle longest is. If there is no idle connection either, batch jobs are marked
-// as near the connection limit, and the state machine rejects them.
+// evicted. Otherwise the connection that has been idle longest is evicted. If there is no idle connection either, batch jobs are
+// marked as near the connection limit, and the state machine rejects them.
 //
 // The table is also the server's listener. It accepts no connection while acceptLimit connections are open, or while another
 // process of the node accepts connections.
