--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -11,9 +11,8 @@
 const (
 	// maxDrainsPerMessage is the maximum number of drains in a message. It limits the message's size.
 	maxDrainsPerMessage = 24
-	// Settings.PeerStateTTL is multiplied by peerRetentionMultiple to get how long an inactive peer's state is kept.
-	// The state is kept for longer than its rates are used, because the peer's incarnation and sequence number are
-	// needed to recognize old messages.
+	// The state of an inactive peer is kept for peerRetentionMultiple times Settings.PeerStateTTL. That is longer than
+	// its rates are used, because the peer's incarnation and sequence number are needed to recognize old messages.
 	peerRetentionMultiple = 10
 )
 
@@ -130,7 +129,8 @@
 }
 
 // Reasons for dropping a message. Describe shows them to operators after "dropped=N words", where "words" means messages. "Of an
-// earlier life" means that the message has an older incarnation.
+// earlier life" means that the message has an older incarnation. "Older than one before" means that this node has already received
+// the message, or a later one of the same sender.
 const (
 	dropOwnName          = "in this node's own name"
 	dropUnreadForLong    = "unread for long"
--- a/internal/frontend/codec.go
+++ b/internal/frontend/codec.go
@@ -23,11 +23,11 @@
 
 	// readHeaderTimeout and readTimeout count from a request's first bytes. For the first request on a connection they count
 	// from the opening of the connection.
-	readHeaderTimeout = 2500 * time.Millisecond // limit for the time until the end of a request's header
-	readTimeout       = 2700 * time.Millisecond // limit for the time until the end of a request's body
+	readHeaderTimeout = 2500 * time.Millisecond // time limit for the arrival of a request's header
+	readTimeout       = 2700 * time.Millisecond // time limit for the arrival of the whole request
 
-	writeTimeout = 5 * time.Second // limit for the time to write an answer
-	idleTimeout  = 5 * time.Minute // limit for the time that a connection is idle between requests
+	writeTimeout = 5 * time.Second // time limit for writing an answer
+	idleTimeout  = 5 * time.Minute // longest time that a connection can be idle between requests
 )
 
 // singleHeaders are the headers that must not occur more than once in a request. If a header occurred twice, the node and the
@@ -52,8 +52,8 @@
 	return &requestError{status: http.StatusBadRequest, reason: fmt.Sprintf(format, args...)}
 }
 
-// Clients receive these texts, so the texts must not change. "in hand" means in flight. "here" means at the paths of
-// Server.prefixHandlers, whose handlers accept no chunked bodies.
+// Clients receive these texts and those of the badRequest calls, so none of them must change. "in hand" means in flight. "here"
+// means at the paths of Server.prefixHandlers, whose handlers accept no chunked bodies.
 var (
 	bodyTooLarge = &requestError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB", false}
 	duplicateID  = &requestError{http.StatusConflict, "X-Call-Id: a batch job of this id is in hand", false}
--- a/internal/leases/recovery.go
+++ b/internal/leases/recovery.go
@@ -8,7 +8,8 @@
 
 // Recover adds a job that was found on disk when the node started, with its attempts and, if there is one, its final
 // answer. lastRecorded is the latest time in any record on disk. If now is before lastRecorded, the clock was set back,
-// and it is unknown how long ago an attempt was sent. A dedup window then counts as over.
+// and it is unknown how long ago an attempt was sent. The executors may then have forgotten the job's idempotency key.
+// Therefore a job that has such a key gets a dedup window of 0.
 func (t *JobTable) Recover(now, lastRecorded time.Duration, recovered Job, attempts []Attempt, final *Outcome, result []byte, finalAt time.Duration) []Effect {
 	j := t.add(recovered)
 	j.attempts = attempts
@@ -69,8 +70,8 @@
 }
 
 // resume continues a job after the attempt that was queried is known never to have run. Past its deadline the job
-// expires. Before that, it is submitted again if it may still be sent (retryUntil), and otherwise the next attempt that
-// may have run is queried.
+// expires. Before the deadline, the job is submitted again if it is still safe to send it (see retryUntil). If that is
+// no longer safe, the next attempt that may have run is queried.
 func (t *JobTable) resume(now time.Duration, j *job) {
 	switch {
 	case now >= j.Deadline:
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -8,8 +8,8 @@
 	"birchstair/policy"
 )
 
-// The connection limit is divided by healthCheckReserve to get the number of connections that health checks leave free
-// for attempts.
+// Health checks leave some connections to executors free for attempts. Their number is the connection limit divided by
+// healthCheckReserve.
 const healthCheckReserve = 8
 
 // minAttemptBudget is the shortest time budget that an attempt states to its executor.
@@ -87,8 +87,8 @@
 
 // maxIdle returns the idle time from which a connection is not used again. This is the configured time, or less if
 // connections broke after a shorter idle time. The reason is that executors or network devices can drop idle
-// connections without notice, and an attempt that is written on a dropped connection counts as possibly run. The
-// configured time applies again once the limit has not been lowered for the configured time.
+// connections without notice. An attempt that is written on a dropped connection counts as possibly run. The configured
+// time applies again once the limit has not been lowered for that time.
 func (t *connTable) maxIdle(now, configured time.Duration) time.Duration {
 	if now-t.idleLimitLoweredAt >= configured {
 		t.idleLimit = configured
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -12,8 +12,8 @@
 type job struct {
 	Job
 	deadline time.Duration // time by which the final answer is due
-	// Time at which expireJobs handles the job next. This is first a quantum before the deadline, and then the
-	// deadline.
+	// Time at which expireJobs handles the job next. This is first a quantum before the deadline, to abandon the job's
+	// attempts, and then the deadline, to answer the job.
 	expiresAt time.Duration
 	answered  bool    // whether the job has its final answer or needs none
 	conns     []*conn // connections of the attempts in flight; two while an attempt is hedged, else at most one
@@ -146,8 +146,8 @@
 }
 
 // clientLeft handles a client that has closed its connection. Its job may already be gone: before an attempt's first
-// byte is written, the client is checked once more, and that check can notice earlier than the frontend that the client
-// has gone (see attemptNotSent). Another client may then have submitted a job under the same ID, so the client is
+// byte is written, the client is checked once more (see attemptNotSent). That check can notice earlier than the
+// frontend that the client has gone. Another client may then have submitted a job under the same ID, so the client is
 // compared as well.
 func (n *Node) clientLeft(ev ClientLeft) {
 	if j := n.jobs.byID[ev.Job]; j != nil && j.Client == ev.Client {
