--- a/cmd/birchstair-sim/account.go
+++ b/cmd/birchstair-sim/account.go
@@ -15,7 +15,7 @@
 	Nodes     int               `help:"Number of nodes. Defaults to the scenario's."`
 	Executors int               `help:"Number of executors. Defaults to the scenario's."`
 	Load      float64           `help:"Traffic, as a fraction of the capacity of all executors. Defaults to the scenario's."`
-	Length    time.Duration     `help:"Length of the scenario. Defaults to its own."`
+	Length    time.Duration     `help:"Time during which clients submit batch jobs. Defaults to the scenario's length."`
 	JSON      string            `name:"json" type:"path" placeholder:"FILE" help:"Write the account to this file, as JSON."`
 }
 
--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -32,7 +32,7 @@
 	Rounds    int           `default:"3" help:"Number of rounds. Each round measures all points in turn."`
 	Skip      []string      `placeholder:"DIM,..." help:"Dimensions to skip: executors, nodes, rungs, rates, running, held, tenants."`
 	At        int           `default:"400" help:"Number of executors while another dimension is varied."`
-	Among     int           `default:"9" help:"Number of nodes while rungs are varied."`
+	Among     int           `default:"9" help:"Number of nodes while the number of priority levels (--rungs) is varied."`
 	Rate      int           `default:"200" help:"Jobs started per second while another dimension is varied."`
 	Work      time.Duration `default:"20ms" help:"Run time of a job."`
 	Span      time.Duration `default:"3s" help:"Time that each point is measured without load, and again under load."`
--- a/cmd/birchstair-sim/trace.go
+++ b/cmd/birchstair-sim/trace.go
@@ -13,7 +13,7 @@
 )
 
 type traceCmd struct {
-	File     string            `arg:"" type:"existingfile" help:"A trace file that run has written."`
+	File     string            `arg:"" type:"existingfile" help:"A trace file written by the command run."`
 	BatchJob string            `placeholder:"ID" help:"Print only events of this batch job, or of the work item with this ID."`
 	Executor policy.ExecutorID `placeholder:"ID" help:"Print only events of this executor."`
 	Node     int               `default:"-1" help:"Print only events of the node with this number."`
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -11,8 +11,8 @@
 const (
 	// maxDrainsPerMessage is the maximum number of drains in a message. It limits the message's size.
 	maxDrainsPerMessage = 24
-	// The state of an inactive peer is kept for peerRetentionMultiple times Settings.PeerStateTTL. That is longer than
-	// its rates are used, because the peer's incarnation and sequence number are needed to recognize old messages.
+	// The rates of an inactive peer are used for Settings.PeerStateTTL. Its state is kept peerRetentionMultiple times as
+	// long, because the peer's incarnation and sequence number are needed to recognize old messages.
 	peerRetentionMultiple = 10
 )
 
--- a/internal/cluster/overload.go
+++ b/internal/cluster/overload.go
@@ -25,8 +25,9 @@
 // the executors' capacity. Finished work is the work that was completed or expired. Pressure measures how much work
 // expires and how long work waits. It is 1 at the tolerated amount.
 const (
-	// Rejections start only if more than overloadedExpiredFraction of the finished work expires in the cluster. The
-	// same fraction decides whether a single node reports losses.
+	// Rejections start only if, in the cluster, expired work is more than overloadedExpiredFraction of the finished work.
+	// A single node counts as reporting losses if its own expired work is more than the same fraction of its finished
+	// work.
 	overloadedExpiredFraction = 0.03
 	// Rejections start only if utilization is above utilizationToStart. At lower utilization, work expires for another
 	// reason than lack of capacity, and rejecting jobs would not help.
@@ -43,7 +44,8 @@
 
 // Constants that determine how much work is admitted while the threshold rejects jobs.
 const (
-	// toleratedExpiredFraction is the tolerated fraction of the finished work that expires. Pressure is 1 when it is reached.
+	// toleratedExpiredFraction is the tolerated amount of expired work, as a fraction of the finished work. Pressure is 1
+	// when it is reached.
 	toleratedExpiredFraction = 0.05
 	// toleratedWait is the tolerated average waiting time of jobs, as a fraction of their slack: the time that the latency
 	// objective leaves beyond the work. Pressure is 1 when it is reached.
@@ -51,7 +53,7 @@
 	// At pressure 0, the base of the estimate of the admissible work is multiplied by 1+admitHeadroom, so that the
 	// admitted work can grow.
 	admitHeadroom = 0.25
-	// However high the pressure, at least minAdmitFactor of the completed work is admitted.
+	// However high the pressure, the admissible work is at least minAdmitFactor times the completed work.
 	minAdmitFactor = 0.8
 	// Work for admittedCapacityFraction of the executors' capacity is always admitted, because rejected work gives no
 	// evidence of whether it could have been completed.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -51,7 +51,7 @@
 	case r.complete:
 		return update{}, malformedf("got changes instead of the requested complete list")
 	case u.version < r.version:
-		return update{}, malformedf("got changes only up to version %d; requested those since version %d", u.version, r.version)
+		return update{}, malformedf("changes end at version %d, before the requested version %d", u.version, r.version)
 	}
 	return u, nil
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -27,9 +27,9 @@
 // maxStreams is the largest number of accepted connections that are open at a time.
 const maxStreams = 16
 
-// MaxDescriptors is the maximum number of file descriptors that gossip uses. It counts the UDP socket, the TCP
-// listener, the accepted connections that are open, one accepted connection that waits for another to close, and the
-// connections that this node opens.
+// MaxDescriptors is the maximum number of file descriptors that gossip uses. It counts two listening
+// sockets (UDP and TCP), maxStreams accepted connections that are open, one more that waits for another to close, and
+// maxDialed connections that this node opens.
 const MaxDescriptors = 2 + maxStreams + 1 + maxDialed
 
 // maxDialed is the largest number of connections that memberlist opens to peers at a time.
--- a/internal/leases/effects.go
+++ b/internal/leases/effects.go
@@ -18,7 +18,7 @@
 		ID      ID
 		Attempt Attempt
 	}
-	// StoreNeverRan records that an attempt has ended and never ran.
+	// StoreNeverRan records that an attempt has ended without running.
 	StoreNeverRan struct {
 		ID    ID
 		Epoch Epoch
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -30,7 +30,7 @@
 	// AcceptConnections sets whether this process accepts new connections from clients. Package hotrestart receives
 	// this effect too, because the process that accepts clients also accepts a successor.
 	AcceptConnections struct{ Accept bool }
-	// HalveLimits halves the resource limits of this process, or restores them.
+	// HalveLimits halves the resource limits of this process if Half is true, and restores them otherwise.
 	HalveLimits struct{ Half bool }
 	// CloseFrontend stops accepting jobs. Each client's connection is closed once the client has received its answers.
 	CloseFrontend struct{}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -72,8 +72,8 @@
 type Attempt struct {
 	*Request
 	Budget time.Duration // time that this node waits for the attempt
-	// Whether the job's class is not idempotent. Such a job is run again in two cases only: it provably never ran, or it
-	// has an idempotency key and the retry stays within the job's dedup group.
+	// Whether the job's class is not idempotent. A further attempt of such a job is sent in two cases only: the job
+	// provably never ran, or it has an idempotency key and the retry stays within the job's dedup group.
 	NotIdempotent bool
 	// Client of the job, which is checked right before the first byte is sent; nil if no client waits.
 	Client Client
--- a/internal/node/handoff.go
+++ b/internal/node/handoff.go
@@ -74,12 +74,13 @@
 type handoff struct {
 	links        []HandoffLink // links that are up; the link to the predecessor comes first
 	announced    bool          // whether this process has announced that it can serve
-	limitsHalved bool          // whether another process uses the other half of the resource limits
+	limitsHalved bool          // whether this process uses only half of the resource limits, because another one uses the rest
 
 	// Fields of a successor.
 	awaitingState bool          // whether the predecessor's state has yet to arrive
 	stateDeadline time.Duration // time at which this process stops waiting for the state
-	// Operators' commands that were run while awaitingState was set. They are run again after the state is taken over.
+	// Operators' commands that were run while awaitingState was set. They are run again after the state is taken over,
+	// because taking it over can undo them.
 	deferred []HandoffMessage
 	// Whether this process has sent SuccessorReady but the predecessor may still accept connections.
 	awaitingYield bool
--- a/internal/site/cluster.go
+++ b/internal/site/cluster.go
@@ -56,7 +56,7 @@
 		return clusterKeyError("tell", fmt.Errorf("%d is not from 1 to %d", c.Fanout, maxFanout))
 	case c.PeerStateTTL < minMessagesForState*c.GossipInterval:
 		return clusterKeyError("view-for", fmt.Errorf(
-			"%v is under four times the value of every, %v: one or two lost messages would make the rates of a peer unusable",
+			"%v is under four times fleet.every (%v): one or two lost messages would make the rates of a peer unusable",
 			time.Duration(c.PeerStateTTL), time.Duration(c.GossipInterval)))
 	case c.DrainTTL < c.PeerStateTTL:
 		return clusterKeyError("drain-for", fmt.Errorf("%v is under the value of view-for, %v", time.Duration(c.DrainTTL), time.Duration(c.PeerStateTTL)))
--- a/policy/candidate_index.go
+++ b/policy/candidate_index.go
@@ -92,8 +92,8 @@
 	dirty      bool // the executor is in candidateIndex.dirty
 	group      *tokenGroup
 	positions  [heapKeys]heapPosition
-	// agingRate is an upper bound of the aging rate of the executor's tokens. In a normalized group, it is computed for
-	// a kind's pace of 1.
+	// agingRate is an upper bound of the aging rate of the executor's tokens. In a normalized group (see
+	// groupKey.normalized), it is the bound that would hold if the kind's pace were 1.
 	agingRate float64
 	// paceLimit is the lowest pace of the kind for which agingRate is valid. In a normalized group, it is the highest
 	// pace.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -228,8 +228,8 @@
 	return cmp.Compare(b.rank, a.rank)
 }
 
-// add adds a new executor to the table. At the end of the update, insertRanked moves the executor from unranked to
-// ranked.
+// add adds a new executor to the table. At the end of the update, insertRanked moves the executor from the list
+// unranked to the list ranked.
 func (t *endpointTable) add(e *executor) {
 	t.unranked = append(t.unranked, e)
 	t.byID[e.id] = e
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -27,8 +27,8 @@
 	standardPace = 1 // pace that is assumed where none is known: one second of running time per second of work
 )
 
-// kindStats holds what was observed of the executors of one kind. Executors in slow start are included, except that
-// their start notices do not raise the field concurrency.
+// kindStats holds what was observed of the executors of one kind. Executors in slow start are included, with one
+// exception: concurrency is not raised by their start notices.
 type kindStats struct {
 	pace float64 // running average of the running time per unit of work
 	// Running average of the sizes of the kind's executors. The size of an executor is the weight that it has in the
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -139,8 +139,9 @@
 	return summary
 }
 
-// SetAdmissionThreshold sets the admission threshold of the cluster. A job that was already admitted is shed only in
-// place of a retry, and only if certainly no attempt of it has run.
+// SetAdmissionThreshold sets the admission threshold of the cluster. Once the first load summary has been taken, it
+// decides which arriving jobs are shed. A job already admitted is shed only when it would be retried, and only if it is
+// certain that none of its attempts has run.
 func (d *Dispatcher) SetAdmissionThreshold(threshold AdmissionThreshold) {
 	d.shedding.threshold = threshold
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -247,8 +247,8 @@
 	d.zoneLoad.observe(d.remoteSide(e), observed)
 }
 
-// decayZoneLoad lowers the estimated load of the other zones at the end of an interval (see decayRemote). If weights in
-// the endpoint list fall with the load, nothing is done, because updateZoneLoads computes the loads from them.
+// decayZoneLoad lowers the estimated load of the other zones at the end of an interval (see decayRemote). With
+// loadAdjustedWeights, it does nothing: updateZoneLoads then computes the loads from the weights in the endpoint list.
 func (d *Dispatcher) decayZoneLoad() {
 	if !d.config.loadAdjustedWeights {
 		d.zoneLoad.decayRemote()
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -11,7 +11,8 @@
 	// of little value.
 	minQueueDensity   = 1e-3
 	minQueueLateValue = 1e-3 // least lateValue that a late job's queue key is divided by, to avoid a division by zero
-	// Limit for one scan of the queue: in each list, at most this many jobs per member of the subset are looked at.
+	// Limit for one scan of the queue: in each of the lists onTime, late and hedges, at most this many jobs per member of
+	// the subset are looked at.
 	queueScanFactor = 2
 )
 
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -124,7 +124,8 @@
 	fullTenant     TenantID      // tenant of the last attempt that was rejected as full
 	fullForSeveral bool          // attempts of more than one tenant were rejected as full
 	fullWait       time.Duration // sum of the predicted running times of the attempts that were rejected as full
-	// The executor started an attempt, which shows that it is not full for all tenants (recordStart).
+	// The executor started an attempt before it rejected any as full, or started one of a tenant other than fullTenant. So
+	// it still had room for some tenant. Set by recordStart.
 	startedOthers bool
 }
 
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -19,14 +19,15 @@
 	unknownWorkMargin = 2
 )
 
-// slowStart limits the work that this node sends to executors that have just started (the slow-start budget, rule 4).
+// slowStart holds the slow-start budget, which limits the work that this node sends to executors that have just started
+// (rule 4 in doc.go).
 type slowStart struct {
 	executors       []*executor   // executors in slow start that this node is allowed to use
 	initialCapacity float64       // fraction of its full capacity that an executor has at its start
 	duration        time.Duration // time from an executor's start until it has its full capacity
 	senders         int           // number of nodes that are allowed to use the same executor in slow start
-	// This node's share of the slow-start budget of an executor: seconds of work within overloadWindow, per unit of the
-	// executor's capacity.
+	// This node's share of the slow-start budget of an executor whose capacity is 1, in seconds of work within
+	// overloadWindow. The share of another executor is this multiplied by its capacity.
 	budget         float64
 	overloadWindow time.Duration
 	// Time until which this process must not use executors in slow start, because another process of this node uses the
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -31,10 +31,11 @@
 	memberMoved bool          // the zone or kind of a member has changed since the last rebuild
 }
 
-// recheck makes the next turn rebuild the subset if it is out of date by then.
+// recheck marks the subset as possibly out of date: the next turn checks it and rebuilds it if needed.
 func (s *subset) recheck() { s.stale = true }
 
-// invalidate makes the next turn rebuild the subset, because something that the subset depends on has changed.
+// invalidate marks the subset as out of date, because something that it depends on has changed: the next turn rebuilds
+// it.
 func (s *subset) invalidate() {
 	s.stale = true
 	s.changed = true
