--- a/cmd/birchstair-sim/hunt.go
+++ b/cmd/birchstair-sim/hunt.go
@@ -22,7 +22,7 @@
 	SlowStart bool          `name:"cold" help:"Draw scenarios with 20 or 30 nodes that stress the slow start of executors."`
 	Parallel  int           `help:"Number of scenarios at a time. Defaults to the number of cores."`
 	Keep      string        `type:"path" placeholder:"DIR" help:"Write the scenarios that violate an invariant or do worst to this directory."`
-	Worst     int           `default:"5" help:"Number of scenarios to list of those that do worst."`
+	Worst     int           `default:"5" help:"Number of worst scenarios to list."`
 }
 
 // seeds is a range of seeds, including both ends.
--- a/cmd/birchstair-sim/scale.go
+++ b/cmd/birchstair-sim/scale.go
@@ -21,7 +21,7 @@
 	Binary    string        `type:"existingfile" default:"bin/birchstair" help:"Path of the birchstair program."`
 	Against   string        `type:"existingfile" placeholder:"FILE" help:"Another build of the program. Each point is measured with both builds, in turn."`
 	Executors []int         `default:"12,100,400,1600,3200" help:"Numbers of emulated executors."`
-	Of        []int         `default:"1,9" help:"Cluster sizes that the only real node assumes. From six nodes on, its subset is 3/N of the executors."`
+	Of        []int         `default:"1,9" help:"Cluster sizes N to measure with a single real node, which is told that it is one of N. From N = 6 on, its subset has 3/N of the executors."`
 	Nodes     []int         `default:"3,9,30,100,300" help:"Numbers of nodes that gossip."`
 	Real      int           `default:"1" help:"Number of real nodes among them. The others are emulated and have no batch jobs."`
 	Rungs     []int         `default:"1,16,64" help:"Numbers of priority levels in a gossip message, which are job classes of different value density."`
@@ -129,7 +129,8 @@
 	}()
 }
 
-// printFits prints each slope that differs from zero by more than twice its spread. It passes all slopes to write.
+// printFits calls write with every fit. It prints those whose slope differs from zero by more than twice its standard
+// error, and the number of the others.
 func printFits(rows []scaletest.Row, write func(any)) {
 	flat := 0
 	for _, f := range scaletest.Fits(rows) {
--- a/cmd/birchstair/serve.go
+++ b/cmd/birchstair/serve.go
@@ -43,7 +43,7 @@
 
 // serveCmd runs a node.
 type serveCmd struct {
-	Site string `type:"path" placeholder:"FILE" help:"The operator's site file: TOML settings that the node's configuration, which the platform writes, does not have."`
+	Site string `type:"path" placeholder:"FILE" help:"The operator's site file (TOML). It enables gossip and durable batch jobs, which the configuration file written by the platform does not cover."`
 }
 
 // Run runs a node until SIGTERM or SIGINT, and reloads its configuration on SIGHUP.
--- a/internal/discovery/machine.go
+++ b/internal/discovery/machine.go
@@ -39,7 +39,7 @@
 	fetching   mode = iota // no version is known: request the complete list
 	probing                // the last request failed: check whether discovery is back
 	watching               // the last request was answered: request changes with a long poll
-	throttling             // discovery rejects requests: reduce its load, without long polls and with long timeouts
+	throttling             // discovery rejects requests: request no long poll, and allow a longer timeout, to reduce its load
 )
 
 // effects holds the side effects that the transitions of a machine call for.
@@ -150,8 +150,9 @@
 	return m.onHedgeDelay()
 }
 
-// onHedgeDelay treats the current request as failed. The request is canceled if it started less than MinHedgeInterval
-// after the last request that stayed in flight after its hedge delay. Otherwise it stays in flight.
+// onHedgeDelay counts the current request as failed, and so starts a backoff. The request itself stays in flight as a
+// hedged request, unless it started less than MinHedgeInterval after the start of the last hedged request. In that case
+// it is canceled.
 func (m *machine) onHedgeDelay() error {
 	unanswered := m.current
 	if unanswered.startedAt.Sub(m.lastHedgedAt) >= m.timing.MinHedgeInterval {
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -38,7 +38,8 @@
 	// another request follow, while the unanswered one can stay in flight. Derived: where lists are pushed, a quarter
 	// of the drain grace, but at least 100ms and at most 500ms; otherwise 500ms.
 	HedgeDelay time.Duration
-	// InitialHedgeDelay replaces HedgeDelay while no version is known. Derived: HedgeDelay, but at most 300ms.
+	// InitialHedgeDelay replaces HedgeDelay while no version of the endpoint list is known. Derived: HedgeDelay, but at
+	// most 300ms.
 	InitialHedgeDelay time.Duration
 	// MinHedgeInterval is the minimum time between the starts of two requests that both stay in flight after their
 	// hedge delays. A request that started sooner after such a request is canceled at the end of its hedge delay. This
@@ -72,8 +73,9 @@
 	MaxRejectedBackoff time.Duration
 }
 
-// Bounds of the values that NewTiming derives from the drain grace. The minimums leave a process that shares its CPU
-// core enough time to respond, and limit the cost of requests.
+// Bounds of the values that NewTiming derives from the drain grace. minHedgeDelay
+// gives discovery enough time to respond even if its process shares a CPU core with others. minMaxBackoff limits the
+// rate of requests, and so their cost.
 const (
 	maxLongPoll          = 2 * time.Second
 	minHedgeDelay        = 100 * time.Millisecond
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -33,7 +33,7 @@
 	addr            string
 	stop            context.CancelFunc
 	handled         chan struct{} // receives a value after Run has handled a report of this watch
-	pendingReported bool          // whether the node was notified that the switch to this address is pending
+	pendingReported bool          // whether the node was notified that this address has not delivered its list yet (node.DiscoverySwitchPending)
 }
 
 // report carries an update or an error from a watch to Run.
--- a/internal/durable/interceptors.go
+++ b/internal/durable/interceptors.go
@@ -138,9 +138,9 @@
 	m.upstream.Dial(conn, addr)
 }
 
-// Write appends a record of an attempt of a durable job to the store. The attempt is sent once that record is synced. If the job
-// is no longer in state leases.Dispatched, Write closes the connection instead. Attempts of ordinary jobs are passed on to the
-// upstream at once.
+// Write passes attempts of ordinary jobs on to the upstream at once. For a durable job in state leases.Dispatched, it appends a
+// record of the attempt to the store; the attempt is sent once that record is synced. For a durable job in any other state, it
+// appends nothing and closes the connection.
 func (e *upstreamInterceptor) Write(conn node.ConnID, request node.Attempt) {
 	m := (*Manager)(e)
 	id, durable := strings.CutPrefix(string(request.ID), jobIDPrefix)
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -21,16 +21,18 @@
 
 // Behavior describes how clients behave.
 type Behavior struct {
-	Rate              float64       // batch jobs per second that arrive in an open loop; 0 if Loops make the load
-	Loops             int           // clients in a closed loop: each submits its next batch job when the last one has ended
-	ThinkTime         time.Duration // pause of a client in a closed loop before its next batch job
-	Retries           int           // maximum number of retries of a batch job
-	Backoff           time.Duration // time before a retry, unless the client follows a Retry-After
-	MaxBackoff        time.Duration // if over Backoff, the backoff doubles with each retry up to this limit, with a jitter of half in either direction
-	FollowsRetryAfter bool          // clients wait as long as Retry-After says
-	LeaveFraction     float64       // fraction of the batch jobs whose clients leave before the deadline
-	RepeatIDFraction  float64       // fraction of the batch jobs whose id clients submit again while the job is in flight
-	HintNoise         float64       // sigma of the lognormal error of stated costs; negative if clients state no costs
+	Rate      float64       // batch jobs per second that arrive in an open loop; 0 if Loops make the load
+	Loops     int           // clients in a closed loop: each submits its next batch job when the last one has ended
+	ThinkTime time.Duration // pause of a client in a closed loop before its next batch job
+	Retries   int           // maximum number of retries of a batch job
+	Backoff   time.Duration // time before a retry, unless the client follows a Retry-After
+	// MaxBackoff limits the time before a retry, which doubles with each retry. The limited time is then multiplied by a
+	// random factor from 0.5 to 1.5. If MaxBackoff is at most Backoff, the time is always Backoff.
+	MaxBackoff        time.Duration
+	FollowsRetryAfter bool    // clients wait as long as Retry-After says
+	LeaveFraction     float64 // fraction of the batch jobs whose clients leave before the deadline
+	RepeatIDFraction  float64 // fraction of the batch jobs whose id clients submit again while the job is in flight
+	HintNoise         float64 // sigma of the lognormal error of stated costs; negative if clients state no costs
 }
 
 // Tail makes some batch jobs cost a multiple of the usual.
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -20,7 +20,7 @@
 	HostLost             FaultKind = "vanish"       // executors and their machines disappear without a reset, and restart in slow start when the fault ends
 	Replace              FaultKind = "replace"      // executors end, and others start in their places under new ids
 	AddressChanged       FaultKind = "moved"        // executors end, and restart at another address
-	Drain                FaultKind = "drain"        // executors drain, end, and restart in slow start when the fault ends
+	Drain                FaultKind = "drain"        // executors drain and then end during the fault; they restart in slow start when it ends
 	Excluded             FaultKind = "taken-out"    // operators exclude executors at each node, restart them, and readmit them when the fault ends
 	ZoneLost             FaultKind = "zone-lost"    // a zone with its executors and nodes is down, and restarts when the fault ends
 	ZonePartitioned      FaultKind = "zone-cut"     // a partition between a zone and the others
@@ -66,17 +66,17 @@
 
 var kinds = map[FaultKind]kindSpec{
 	SlowExecutors: {OnExecutors, 1, 1000, "times slower"}, Stalls: {OnExecutors, 0.001, 1.9, "seconds"},
-	NoisyNeighbor: {OnExecutors, 0.01, 0.99, "a part"}, Errors: {OnExecutors, 0.01, 1, "a part"},
+	NoisyNeighbor: {OnExecutors, 0.01, 0.99, "a fraction"}, Errors: {OnExecutors, 0.01, 1, "a fraction"},
 	Unresponsive: {target: OnExecutors}, Crash: {target: OnExecutors}, HostLost: {target: OnExecutors}, Replace: {target: OnExecutors},
 	AddressChanged: {target: OnExecutors}, Drain: {target: OnExecutors}, Excluded: {target: OnExecutors},
 	ZoneLost: {target: OnZone}, ZonePartitioned: {target: OnZone}, ZoneInboundLost: {target: OnZone}, ZoneOutboundLost: {target: OnZone},
-	ResetNew: {OnAll, 0.01, 1, "a part"}, ResetOld: {OnAll, 0.01, 1, "a part"},
-	UnresponsiveNew: {OnAll, 0.01, 1, "a part"}, UnresponsiveOld: {OnAll, 0.01, 1, "a part"},
-	ClientReset:      {OnAll, 0.01, 1, "a part"},
+	ResetNew: {OnAll, 0.01, 1, "a fraction"}, ResetOld: {OnAll, 0.01, 1, "a fraction"},
+	UnresponsiveNew: {OnAll, 0.01, 1, "a fraction"}, UnresponsiveOld: {OnAll, 0.01, 1, "a fraction"},
+	ClientReset:      {OnAll, 0.01, 1, "a fraction"},
 	DiscoveryDelayed: {OnAll, 0.01, 3600, "seconds"}, DiscoveryStopped: {target: OnAll},
 	NodeKilled: {target: OnNodes}, NodeRestart: {target: OnNodes}, ClientsDrained: {target: OnNodes},
 	NodePaused: {target: OnNodes}, FalseGossip: {target: OnNodes}, GossipPartitioned: {target: OnNodes}, DiscoveryUnreachable: {target: OnNodes},
-	GossipLost: {OnAll, 0.01, 1, "a part"},
+	GossipLost: {OnAll, 0.01, 1, "a fraction"},
 	Burst:      {OnAll, 1, 100, "times the usual"}, HeavyTail: {OnAll, 1, 1000, "times the usual"},
 	ClockSkew: {OnAll, -3600, 3600, "seconds"},
 }
@@ -109,7 +109,7 @@
 	case s.unit == "" && size != 0:
 		return fmt.Errorf("%s has no size", k)
 	case s.unit != "" && !(size >= s.least && size <= s.most):
-		return fmt.Errorf("the size of %s is %s, from %v to %v", k, s.unit, s.least, s.most)
+		return fmt.Errorf("the size of %s must be from %v to %v (%s)", k, s.least, s.most, s.unit)
 	}
 	return nil
 }
--- a/internal/frontend/conn_table.go
+++ b/internal/frontend/conn_table.go
@@ -206,8 +206,8 @@
 	return t.draining
 }
 
-// closeDrained closes the idle connections, and the new connections that have been open for newConnGrace. It returns false if
-// the client drain has ended.
+// closeDrained starts to close the idle connections, and those new connections (see connTable) that were opened at least
+// newConnGrace ago. If the client drain has ended, it closes none, marks the drain loop as ended and returns false.
 func (t *connTable) closeDrained() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -63,7 +63,8 @@
 	return fmt.Errorf("unknown kind of event %q", text)
 }
 
-// Final is the kind of a final answer. Traces have its number.
+// Final is the kind of a final answer. Traces store it as its number, so the order of the
+// constants must not change.
 type Final int
 
 // The kinds of final answers, in the order of their numbers in traces.
--- a/internal/invariants/job.go
+++ b/internal/invariants/job.go
@@ -43,8 +43,8 @@
 
 func mayHaveRun(a attempt) bool { return !a.ended || !a.neverRan }
 
-// jobAccepted begins the record of a job. If the id of a job whose client left arrives again while an attempt of it is
-// in flight, the existing record continues.
+// jobAccepted begins the record of a job. If its id has a record already, the attempts in that record are kept:
+// a client can leave and submit the same id again while an attempt is in flight. See forget.
 func (c *Checker) jobAccepted(key jobKey, event Event) {
 	j := c.jobs[key]
 	if j == nil {
--- a/internal/invariants/violation.go
+++ b/internal/invariants/violation.go
@@ -27,8 +27,8 @@
 }
 
 const (
-	recentEvents = 1 << 12 // events that a checker keeps to explain violations
-	shownEvents  = 14      // events that a violation shows at most
+	recentEvents = 1 << 12 // number of events that a checker keeps to explain violations
+	shownEvents  = 14      // largest number of events that a violation shows
 )
 
 // violationKey identifies a violation. Of the violations with the same key, only the first is reported.
--- a/internal/memnet/network.go
+++ b/internal/memnet/network.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// Shutdown kills every host, silently.
+// Shutdown kills every host. No connection sees a reset.
 func (n *Net) Shutdown() {
 	n.mu.Lock()
 	hosts := map[string]bool{}
--- a/internal/scaletest/setup.go
+++ b/internal/scaletest/setup.go
@@ -167,7 +167,7 @@
 func (m *measurement) awaitReady(began time.Time) error {
 	for _, p := range m.nodes {
 		if err := waitFor(readyTimeout, func() bool { return p.isReady() && p.hasMetric("executors_known", m.point.Executors) }); err != nil {
-			return fmt.Errorf("node %s is not ready with %d executors: %w", p.name, m.point.Executors, err)
+			return fmt.Errorf("node %s is not ready, or does not know all %d executors: %w", p.name, m.point.Executors, err)
 		}
 	}
 	m.row.Figures["ready_s"] = time.Since(began).Seconds()
--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -99,7 +99,7 @@
 	// Mean time by the name of its cause, in milliseconds, for the work items that earned less than their full value.
 	// Running time counts in full.
 	TimeMS     map[string]float64 `json:"time_ms"`
-	SubsetSize float64            `json:"slice,omitzero"` // mean effective number of executors that a node used
+	SubsetSize float64            `json:"slice,omitzero"` // mean effective number of executors that a node used; see usedSubset
 	SubsetLoad float64            `json:"load,omitzero"`  // load of the executors that a node used, as a fraction of their capacity
 
 	lostByCause, timeByCause [causeCount]float64
--- a/internal/simulation/account_history.go
+++ b/internal/simulation/account_history.go
@@ -66,7 +66,8 @@
 	return first
 }
 
-// cause returns the work item's cause, which counts only if value was lost, and the time spent on each cause until now.
+// cause returns why the work item lost value, and the time that it has spent on each cause until now. Callers ignore the
+// first result if no value was lost.
 func (h *jobHistory) cause(now time.Duration) (Cause, [causeCount]time.Duration) {
 	times, firstSentAt, runTime := h.times(now), h.firstAttemptSentAt(), secondsOf(h.work.Cost)
 	switch {
--- a/internal/simulation/account_ledger.go
+++ b/internal/simulation/account_ledger.go
@@ -96,10 +96,10 @@
 // at any executor.
 type idleCores struct{ used, zone, any bool }
 
-// idleCores returns where a core is idle now. Cores of the executor except do not count; it can be nil.
-func (l *accountLedger) idleCores(n *simNode, except *executor) (idle idleCores) {
+// idleCores returns where a core is idle now. Cores of ignored, which can be nil, do not count.
+func (l *accountLedger) idleCores(n *simNode, ignored *executor) (idle idleCores) {
 	for _, x := range l.sim.executors {
-		if x == except || x.InFlight()+l.attemptsInTransit[x] >= x.Cores || !x.Up || x.unreachable || x.Draining {
+		if x == ignored || x.InFlight()+l.attemptsInTransit[x] >= x.Cores || !x.Up || x.unreachable || x.Draining {
 			continue
 		}
 		idle.any = true
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -157,18 +157,17 @@
 	return "", nil
 }
 
-// checkTarget returns an error unless name is a target that the fault can affect. on is the kind of target that the
-// fault has.
-func (s *Scenario) checkTarget(on emulator.Target, name string) error {
+// checkTarget returns an error unless name is a possible target of a fault that affects targets of this kind.
+func (s *Scenario) checkTarget(kind emulator.Target, name string) error {
 	isZone := slices.Contains(s.Fleet.Zones, name)
 	switch {
-	case on == emulator.OnExecutors && !isZone && !isNumbered(name, "e", s.Fleet.Executors):
+	case kind == emulator.OnExecutors && !isZone && !isNumbered(name, "e", s.Fleet.Executors):
 		return fmt.Errorf("%q is neither an executor, e0 to e%d, nor a zone", name, s.Fleet.Executors-1)
-	case on == emulator.OnNodes && !isZone && !isNumbered(name, "n", s.Fleet.Nodes):
+	case kind == emulator.OnNodes && !isZone && !isNumbered(name, "n", s.Fleet.Nodes):
 		return fmt.Errorf("%q is neither a node, n0 to n%d, nor a zone", name, s.Fleet.Nodes-1)
-	case on == emulator.OnZone && !isZone:
+	case kind == emulator.OnZone && !isZone:
 		return fmt.Errorf("%q is not one of the zones %v", name, s.Fleet.Zones)
-	case on == emulator.OnAll:
+	case kind == emulator.OnAll:
 		return fmt.Errorf("a fault of this kind always affects everything and can't be limited to %q", name)
 	}
 	return nil
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -76,8 +76,8 @@
 	return true
 }
 
-// readOutcome reads a response up to its outcome. It returns a reader for the rest of the response, or nil if the executor
-// closes the connection after this response. An error means that the connection broke or that the response is invalid.
+// readOutcome reads a response until the outcome of the attempt is known, and sets it in ended. It returns a reader for the rest
+// of the response, or nil if the connection can't be used again because the executor closes it after this response. An error means that the connection broke or that the response is invalid.
 func (c *executorConn) readOutcome(r *bufio.Reader, limited *io.LimitedReader, job policy.JobID, ended *node.AttemptEnded) (io.Reader, error) {
 	response, err := http.ReadResponse(r, nil)
 	for err == nil && response.StatusCode < http.StatusOK {
